--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -55,6 +55,10 @@
         for watch in list(self.watches.values()):
             watch.read()
 
+    def current_at(self):
+        """{cell: when its file was last seen to be as it was told}, of each known before the news at hand."""
+        return {cell: watch.current_at for cell, watch in self.watches.items()}
+
     def _read(self, cell, lines):
         mistakes = zone_mistakes(path_of(self.folder, cell), lines, self.zones[cell])
         if mistakes:
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -140,7 +140,7 @@
     def _listed(self, lists):
         """All lists in force. The host connections come first: the decisions may wish for a new host at
         once."""
-        rows = self.rows.of(lists, self.lists.zones)
+        rows = self.rows.of(lists, self.lists.zones, self.lists.current_at())
         self.enlisted([row for of_cell in rows.values() for row in of_cell])
         before, self.told = self.told, dict(lists)
         for cell, of_cell in rows.items():
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -82,6 +82,11 @@
     def read(self):
         """Nothing to do: a log tells by itself, where files would be read anew."""
 
+    def current_at(self):
+        """{cell: when its list was last known to be as it was told}, of each known before the news at
+        hand."""
+        return {cell: each.follower.current_at for cell, each in self.followed.items()}
+
     def _event(self, cell, event):
         followed = self.followed.get(cell)
         if followed is None:
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -106,7 +106,7 @@
 
     def listed(self, lines):
         """A whole host list. The host connections come first: the module may wish for a new host at once."""
-        rows = self.listing.rows(lines)
+        rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
         self.enlisted(rows)
         self.core.listed([row.listed for row in rows], True)
         self.others.hosts_listed(
--- a/gaproute/discovery/changelog/cell.py
+++ b/gaproute/discovery/changelog/cell.py
@@ -79,6 +79,10 @@
         """Whether the event is a whole list, or one of those that follow it."""
         return event.fleet.complete or self.based and event.seq <= self.last + 1
 
+    def has_list(self):
+        """Whether a whole list has come of this source."""
+        return self.based
+
     def missing(self):
         """Something is missing: a whole list is asked for."""
         why = f"something is missing after {self.last}"
--- a/gaproute/discovery/changelog/events.py
+++ b/gaproute/discovery/changelog/events.py
@@ -8,6 +8,7 @@
 import httptools
 import msgspec
 
+from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.hosts.rows import Row
 from gaproute.interface import Listed, State
 from gaproute.loop.streams import address
@@ -153,19 +154,21 @@
 class Lister:
     """Members as rows. Zones and cells that are not numbers are numbered as they are first named.
 
-    Start times come by the wall clock and leave by the loop's; each is converted once, so that a wall clock
-    that is set does not look like a restart. A member that cannot be read leaves its host as it was: a whole
-    list must not lose it. What is kept of a host goes with it.
+    Start times come by the wall clock and leave by the loop's (`StartTimes`); each is converted once, so that
+    a wall clock that is set does not look like a restart. A member that cannot be read leaves its host as it
+    was: a whole list must not lose it. What is kept of a host goes with it.
     """
 
     def __init__(self, loop, zones, wall=time.time_ns):
-        self.loop, self.wall = loop, wall
+        self.start_times = StartTimes(loop, wall)
         self.zones = {name: number for number, name in enumerate(zones)}
         self.cells, self.refused = {}, 0
         self.hosts = {}  # id: (its start as it was told, its row)
 
-    def rows(self, fleet):
-        rows = [row for row in map(self.read, fleet.members) if row is not None]
+    def rows(self, fleet, absent_at=None):
+        """`absent_at`: when the list was last known before this news, by the loop's clock; None: never."""
+        read = [self.read(raw, absent_at) for raw in fleet.members]
+        rows = [row for row in read if row is not None]
         if fleet.complete:
             self.hosts = {
                 row.listed.worker: self.hosts[row.listed.worker]
@@ -174,9 +177,9 @@
             }
         return rows
 
-    def read(self, raw):
+    def read(self, raw, absent_at):
         try:
-            return self.row(_member(raw))
+            return self.row(_member(raw), absent_at)
         except (ValueError, KeyError, RecursionError):  # msgspec's are a ValueError
             self.refused += 1
         try:
@@ -184,7 +187,7 @@
         except (ValueError, KeyError, RecursionError):
             return None
 
-    def row(self, member):
+    def row(self, member, absent_at):
         address(member.host_port)
         state = STATES[member.phase]
         zone = self.zones.setdefault(member.locality, len(self.zones))
@@ -195,19 +198,20 @@
         )
         size = member.size if 0 < (member.size or 0) < math.inf else 1.0
         told = int(member.up_since_ms) if 0 < (member.up_since_ms or 0) < math.inf else 0
-        row = Row(Listed(member.id, zone, cell, state, size, self.started(member.id, told)), member.host_port)
+        started = self.started(member.id, told, absent_at)
+        row = Row(Listed(member.id, zone, cell, state, size, started), member.host_port)
         self.hosts[member.id] = told, row
         if state is State.GONE:
             del self.hosts[member.id]
         return row
 
-    def started(self, name, told):
+    def started(self, name, told, absent_at):
         if told == 0:
             return None
         known = self.hosts.get(name)
         if known is not None and known[0] == told:
             return known[1].listed.started
-        return self.loop.now() - max(0, self.wall() - told * MILLI)  # one in the future is one just now
+        return self.start_times.convert(told * MILLI, absent_at)
 
 
 def known(told):
--- a/gaproute/discovery/changelog/follow.py
+++ b/gaproute/discovery/changelog/follow.py
@@ -12,6 +12,7 @@
 CONNECT = 500 * MILLI  # for a connection: many round trips, and several tries within that time
 FIRST = 20 * MILLI  # before it is asked again; doubled with each try that told nothing
 LONGEST = 500 * MILLI  # between tries: told or not, its news counts as told soon after
+HEAD = 1  # what became whole of an answer that has its head alone: no word of the list yet
 WHOLE = 1024  # whole lists that are known again, by some bytes each: usually there is one
 
 
@@ -21,6 +22,9 @@
     `anew` counts how often the log began anew: what it told would be passed over for ever as had before. An
     event written twice must not pass for that: only a whole list does, first on a connection, that is not
     the one had under its number. A log that begins anew with less is not noticed.
+
+    `current_at`: when the list was last known to be as it was told, by an event or a comment; None before the
+    first whole list. While an event is told it is still the time before that.
     """
 
     path = b"/changes"
@@ -36,6 +40,7 @@
         self.fault = ""  # why it was asked again, the last time
         for event in known:
             self.note(event)
+        self.current_at = loop.now() if self.lists else None
         # the last that came whole; when it was asked; the later of the two
         self.heard = self.began = self.since = loop.now()
         self.move(where)
@@ -93,6 +98,12 @@
             self.last, self.pause = event.seq, self.first_pause
             self.note(event)
             self.loop.guard(self.told, event)
+        if reader.whole > max(before, HEAD) and self.has_list():
+            self.current_at = self.loop.now()
+
+    def has_list(self):
+        """Whether a whole list has come, on which what comes now builds."""
+        return bool(self.lists)
 
     def lasted(self):
         """The connection has been alive for a while; a head alone would tell nothing."""
--- a/gaproute/discovery/listing.py
+++ b/gaproute/discovery/listing.py
@@ -5,6 +5,7 @@
 import time
 
 from gaproute.conf import Mistakes, read_hosts
+from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.hosts.rows import Row
 from gaproute.interface import Listed, State
 
@@ -38,17 +39,18 @@
 class Listing:
     """Turns host lines into rows. Zones and racks are numbered in the order in which they are first named.
 
-    Start times come by the wall clock and leave by the loop's. Each is converted once, so that a wall clock
-    that is set does not look like a restart; it goes with its host.
+    Start times come by the wall clock and leave by the loop's (`StartTimes`). Each is converted once, so that
+    a wall clock that is set does not look like a restart; it goes with its host.
     """
 
     def __init__(self, loop, wall=time.time_ns, sizes=True):
-        self.loop, self.wall, self.sizes = loop, wall, sizes
+        self.start_times, self.sizes = StartTimes(loop, wall), sizes
         self.zones, self.racks, self.starts = Numbers(), Numbers(), {}
 
-    def rows(self, lines):
-        """Of a whole list."""
-        rows = [self.row(line, line.zone) for line in lines]
+    def rows(self, lines, absent_at=None):
+        """Of a whole list. `absent_at`: when the list before it was last known to be in force, by the loop's
+        clock; None where this is the first."""
+        rows = [self.row(line, line.zone, absent_at) for line in lines]
         self.forget_others(lines)
         return rows
 
@@ -58,32 +60,37 @@
         self.starts = {name: start for name, start in self.starts.items() if name in named}
         self.racks.keep(line.rack for line in lines)
 
-    def row(self, line, zone):
-        """Of one line, whose host stands in that zone."""
+    def row(self, line, zone, absent_at=None):
+        """Of one line, whose host stands in that zone. `absent_at`: as for `rows`."""
         zone, rack = self.zones.number(zone), self.racks.number(line.rack)
         capacity = line.capacity if self.sizes else 1.0
-        listed = Listed(line.name, zone, rack, STATES[line.state], capacity, self.started(line))
+        listed = Listed(line.name, zone, rack, STATES[line.state], capacity, self.started(line, absent_at))
         return Row(listed, line.where)
 
-    def started(self, line):
+    def started(self, line, absent_at):
         if line.started is None:
             self.starts.pop(line.name, None)
             return None
         known = self.starts.get(line.name)
         if known is None or known[0] != line.started:
-            age = max(0, self.wall() - line.started)  # a start in the future is one just now
-            known = self.starts[line.name] = (line.started, self.loop.now() - age)
+            known = line.started, self.start_times.convert(line.started, absent_at)
+            self.starts[line.name] = known
         return known[1]
 
 
 class FileWatch:
     """Looks at a file of lines; `told(lines)` at once when it has changed. A wrong or missing file is
-    refused whole, `refused(mistakes)` is called once for it, and the list last told stays."""
+    refused whole, `refused(mistakes)` is called once for it, and the list last told stays.
+
+    `current_at`: when the file was last seen to be as it was told; None before the first. While lines are
+    told it is still the time before that. Changes are known by the file's time being another, not a later
+    one, so a wall clock that is set back hides none."""
 
     def __init__(self, loop, path, look, told, refused, reader=read_hosts):
         self.loop, self.path, self.look_every = loop, path, look
         self.told, self.refused, self.reader = told, refused, reader
-        self.mark = None
+        self.mark = self.current_at = None
+        self.good = False  # whether the file as it was last read was told
         # after a stop the list is read before the tasks that came meanwhile
         loop.on_late.append(self.look)
         self.again()
@@ -93,6 +100,7 @@
         self.look()
 
     def look(self):
+        looked_at = self.loop.now()
         try:
             state = os.stat(self.path)
             mark = (state.st_mtime_ns, state.st_ino, state.st_size)
@@ -101,14 +109,18 @@
         if mark != self.mark:
             self.mark = mark
             self.read()
+        elif self.good:
+            self.current_at = looked_at
 
     def read(self):
+        read_at, self.good = self.loop.now(), False
         try:
             lines = self.reader(self.path)
         except Mistakes as wrong:
             self.refused(wrong.mistakes)
             return
         self.told(lines)
+        self.good, self.current_at = True, read_at
 
     def close(self):
         self.timer.cancel()
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -27,7 +27,7 @@
         self.gateway.forget()
 
     def _told(self, lines):
-        rows = self.listing.rows(lines)
+        rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
         self.rows = {row.listed.worker: row.listed for row in rows}
         self.gateway.listed(self.loop.now(), [row.listed for row in rows], True)
         self.lists += 1
--- a/gaproute/node/process.py
+++ b/gaproute/node/process.py
@@ -107,7 +107,8 @@
         self.core.tell = lambda words: self.peers.send(words, self.charter.peers_all)
 
     def told(self, event):
-        rows = self.lister.rows(event.fleet)
+        absent_at = self.follower.current_at if self.follower is not None else None
+        rows = self.lister.rows(event.fleet, absent_at)
         complete = event.fleet.complete
         self.hosts.listed(rows, complete)
         self.core.listed([row.listed for row in rows], complete)
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -357,9 +357,9 @@
 def test_what_is_kept_of_a_host_goes_with_it(lister):
     hosts = [(f"s-{place}", f"127.0.0.1:{place}", "Ready") for place in range(1, 4)]
     first = listed(lister, *hosts, up_since_ms=999_999_000)
-    lister.wall = lambda: 2_000_000 * SECOND
+    lister.start_times.wall = lambda: 2_000_000 * SECOND  # a step: no time has passed
     assert listed(lister, *hosts, up_since_ms=999_999_000) == first
-    assert listed(lister, hosts[0], up_since_ms=1_999_999_000)["s-1"].listed.started == 49 * SECOND
+    assert listed(lister, hosts[0], up_since_ms=1_999_999_000)["s-1"].listed.started == 50 * SECOND
     listed(lister, ("s-1", "127.0.0.1:1", "Gone"))
     listed(lister, hosts[1], complete=True)
     assert list(lister.hosts) == ["s-2"]
