--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -261,7 +261,7 @@
 def test_the_log_drops_what_comes_too_fast_and_says_how_much():
     reader, writer = os.pipe()
     clock = [10.0]
-    log = Log(writer, lambda: clock[0])
+    log = Log(writer, clock=lambda: clock[0])
     for number in range(250):
         log.info("x", number=number)
     clock[0] = 11.0
--- a/tests/test_stepped_clock_node.py
+++ b/tests/test_stepped_clock_node.py
@@ -2,6 +2,8 @@
 clients and hosts see is judged as on any other day."""
 
 import inspect
+import json
+import os
 import sys
 import time
 from collections import Counter
@@ -9,6 +11,7 @@
 import pytest
 from scripted import MILLI, SECOND, Handed
 
+from gaproute.node.log import BURST, Log
 from gaproute.standins.platform import LineHost, event, sse
 
 HOUR = 3600 * SECOND
@@ -146,3 +149,18 @@
     assert made.faults() == Counter()
     assert joined - SECOND - 4 * STEP <= worker.started <= joined + 4 * STEP
     assert 0 < made.to_cold() < MOST_TO_COLD
+
+
+def test_a_wall_clock_that_steps_lets_no_more_lines_into_the_log_and_bars_none():
+    reader, writer = os.pipe()
+    clock, walls = [10.0], iter(range(1000, 0, -1))
+    log = Log(writer, lambda: next(walls), lambda: clock[0])
+    for _ in range(BURST + 50):
+        log.info("x")
+    clock[0] = 11.0
+    log.wall = lambda: 500
+    log.info("y")
+    os.close(writer)
+    with os.fdopen(reader) as file:
+        lines = [json.loads(line) for line in file]
+    assert len(lines) == BURST + 1 and lines[-1]["left_out"] == 50 and lines[-1]["at"] == 500
