--- a/gaproute/ledger/memory.py
+++ b/gaproute/ledger/memory.py
@@ -5,7 +5,9 @@
 crash of the machine loses is advice, and the checks above tell what it tore.
 
 A row has its time by the monotonic clock with the boot that this clock belongs to, and by the wall clock for
-when the machine was booted since. So a wall clock that is set makes no fact of this boot younger.
+when the machine was booted since. So a wall clock that is set makes no fact of this boot younger. The
+column `wall`, by which rows are ordered and forgotten, goes by the monotonic clock from what the wall clock
+read when the memory was made: a wall clock that is set meanwhile neither drops rows nor keeps them.
 """
 
 import fcntl
@@ -47,6 +49,7 @@
 
     def __init__(self, path, told, clock=time.monotonic_ns, wall=time.time_ns, boot=None):
         self.path, self.told, self.clock, self.wall = Path(path), told, clock, wall
+        self.offset = wall() - clock()  # ns
         self.boot = this_boot() if boot is None else boot
         self.base = self.lock = None
         self.torn = self.written = self.failed = 0
@@ -129,15 +132,14 @@
         now, wall, rows = self.clock(), self.wall(), []
         for subject, value, at in facts:
             key = msgspec.msgpack.encode(subject)
-            then = wall - (now - at)
-            data = msgspec.msgpack.encode(Row(at, then, self.boot, value))
-            rows.append((key, data, _sum(key, data), then))
+            data = msgspec.msgpack.encode(Row(at, wall - (now - at), self.boot, value))
+            rows.append((key, data, _sum(key, data), at + self.offset))
         self._change("INSERT OR REPLACE INTO facts VALUES (?, ?, ?, ?)", rows)
 
     def forget(self, age):
         """Drops what is older than `age`, and what claims to be of the future."""
-        wall = self.wall()
-        self._change("DELETE FROM facts WHERE wall < ? OR wall > ?", [(wall - age, wall + age)])
+        now = self.clock() + self.offset
+        self._change("DELETE FROM facts WHERE wall < ? OR wall > ?", [(now - age, now + age)])
 
     def _change(self, statement, rows):
         if self.base is None or not rows:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -3,6 +3,7 @@
 
 import itertools
 
+import msgspec
 import pytest
 from helpers import MILLI, SECOND, gateway
 
@@ -87,6 +88,53 @@
     assert len(made.read(99)) == 6
 
 
+HOUR = 3600 * SECOND
+
+
+@pytest.mark.parametrize("step", [HOUR, -HOUR])
+def test_a_wall_clock_that_steps_between_a_write_and_the_forgetting_drops_nothing(memory, step):
+    clocks = Clocks()
+    made = memory(clocks)
+    made.write([(WARM, (4, 0), 99 * SECOND)])
+    clocks.now, clocks.wall = clocks.now + SECOND, clocks.wall + SECOND + step
+    made.write([(("load",), (5,), 100 * SECOND)])
+    made.forget(300 * SECOND)
+    assert made.read(9) == [(("load",), (5,), SECOND), (WARM, (4, 0), 2 * SECOND)]
+
+
+@pytest.mark.parametrize("step", [HOUR, -HOUR])
+def test_what_is_old_is_forgotten_and_the_latest_come_first_however_the_wall_clock_steps(memory, step):
+    clocks = Clocks()
+    made = memory(clocks)
+    made.write([(WARM, (4, 0), 99 * SECOND)])
+    clocks.now, clocks.wall = clocks.now + 200 * SECOND, clocks.wall + 200 * SECOND + step
+    made.write([(("load",), (5,), 299 * SECOND)])
+    assert made.read(1) == [(("load",), (5,), SECOND)]
+    clocks.now, clocks.wall = clocks.now + 150 * SECOND, clocks.wall - step
+    made.forget(300 * SECOND)
+    assert made.read(9) == [(("load",), (5,), 151 * SECOND)]
+
+
+@pytest.mark.parametrize("step", [0, HOUR, -HOUR])
+def test_after_a_boot_ages_go_by_the_wall_clock_as_it_was_at_the_write(memory, step):
+    """Not as it was when the life began: a machine that boots without a clock is told the time soon after."""
+    clocks = Clocks(wall=10**18 - step)
+    made = memory(clocks)
+    clocks.wall += step
+    made.write([(WARM, (4, 0), 99 * SECOND)])
+    made.close()
+    assert memory(Clocks(SECOND, 10**18 + 60 * SECOND), "b2").read(9)[0][2] == 61 * SECOND
+
+
+def test_a_row_stands_on_disk_as_the_version_before_wrote_it(memory):
+    """Its column held the wall clock of the write; in a life without steps that is the same."""
+    made = memory()
+    made.write([(WARM, (4, 0), 99 * SECOND)])
+    ((key, data, wall),) = made.base.execute("SELECT subject, data, wall FROM facts")
+    assert wall == 10**18 - SECOND and msgspec.msgpack.decode(key) == list(WARM)
+    assert msgspec.msgpack.decode(data) == [99 * SECOND, 10**18 - SECOND, "b1", [4, 0]]
+
+
 @pytest.mark.parametrize("harm", ["cut", "nonsense", "empty", "hole"])
 def test_a_file_that_is_no_good_is_set_aside_and_a_new_one_begun(memory, tmp_path, harm):
     written(memory, *[(("warm", "x", f"f{n}"), (1, 0), SECOND) for n in range(2000)])
