--- /dev/null
+++ b/tests/test_stepped_clock_restart.py
@@ -0,0 +1,163 @@
+"""The wall clock stepped by an hour over a restart: what begins at it, and what a step does to that."""
+
+import pytest
+from keepers_net import Net as Keepers
+
+from gaproute.decisions.chance import Chance
+from gaproute.ledger.tables import StoredTable, TableFile
+from gaproute.ledger.votes import Votes
+from gaproute.loop.datagrams import Datagrams
+from gaproute.peers.gossip import Gossip
+from gaproute.shared.keepers import Keeper
+from gaproute.shared.membership import ALIVE, DEAD, Members
+from gaproute.shared.permits import Holder, Permits
+from gaproute.shared.weak import Page, Weak, Word
+from gaproute.shared.weak.facts import HANDS, LIFE, key
+from gaproute.standins.net import Net
+
+SECOND = 1_000_000_000
+HOUR_MS = 3_600_000
+BEGUN_MS = 1_800_000_000_000  # ms since 1970 when the first lives begin
+STEPS = pytest.mark.parametrize("step", [-HOUR_MS, -5000, 5000, HOUR_MS])
+
+
+class Members4(Net):
+    """Four members whose incarnations begin at a wall clock that is `ahead` of the net's own, in ms."""
+
+    ahead = 0
+
+    def start(self, name, seed, peers):
+        incarnation = BEGUN_MS + self.now // 1_000_000 + self.ahead
+        node = self.nodes[name] = Members(name, name, Chance(seed), self.now, incarnation)
+        node.listed(self.now, peers)
+        self.down.discard(name)
+        self.push(node.due, "tick", name, node)
+
+
+# Membership
+
+
+@STEPS
+@pytest.mark.parametrize("away", [SECOND // 2, 40 * SECOND], ids=["still alive to all", "dead to all"])
+def test_a_member_back_under_another_incarnation_is_believed_within_seconds(step, away):
+    net = Members4(4)
+    net.run(3 * SECOND)
+    before = net.nodes["g2"].incarnation
+    net.down.add("g2")
+    net.run(away)
+    assert net.views("g2") == {ALIVE if away < SECOND else DEAD}
+    net.ahead = step
+    net.start("g2", 9, {f"g{number}": f"g{number}" for number in range(4)})
+    net.run(3 * SECOND)
+    now = net.nodes["g2"].incarnation
+    assert now > before and net.views("g2") == {ALIVE}
+    net.run(10 * SECOND)
+    held = {net.nodes[name].members["g2"].incarnation for name in ("g0", "g1", "g3")}
+    assert held == {net.nodes["g2"].incarnation} and net.views("g2") == {ALIVE}
+
+
+# Gossip of demand and copies
+
+
+def hands(incarnation, counter, tasks):
+    return Word(incarnation, (Page(HANDS, 0, counter, 0, 0.0, ((key("h1"), tasks),)),))
+
+
+def test_what_a_teller_says_under_a_lower_incarnation_waits_until_it_has_outbid_its_past_life():
+    made = Weak("me", BEGUN_MS, Chance(7), 0)
+    made.peers(0, ["a"])
+    made.listed(0, {"h1": 1})
+    made.hear(0, "a", hands(BEGUN_MS, 900, 4.0))
+    assert made.hear(SECOND, "a", hands(BEGUN_MS - HOUR_MS, 1, 2.0)) == 0
+    assert made.hands(SECOND, "h1").heard == pytest.approx(4.0, rel=0.03)
+    assert made.hands(LIFE[HANDS] + 2 * SECOND, "h1").tellers == 0  # what it said before fades as ever
+    assert made.hear(2 * SECOND, "a", hands(BEGUN_MS + 1, 1, 2.0)) == 1
+
+
+def test_a_gateway_restarted_with_its_clock_an_hour_back_is_heard_again(fleet, monkeypatch):
+    made, start = fleet
+    ahead = [0]
+
+    def wall():
+        return (BEGUN_MS + ahead[0]) * 1_000_000 + made.loop.now()
+
+    monkeypatch.setattr(Gossip.__init__, "__defaults__", (Datagrams, wall))
+    second = start("second", "weak-word yes")
+    at = second.others.giver.address
+    third = start("third", f"peer second {at}\nweak-word yes")
+    weak = third.others.weak.weak
+    made.until(lambda: "second" in weak.store.tellers)
+    before = second.others.gossip.members.incarnation
+    second.close()
+    ahead[0] = -HOUR_MS
+    lines = (f"listen peers {at}", f"peer third {third.others.giver.address}", "weak-word yes")
+    again = start("second", *lines, listen=False)
+    assert again.others.gossip.members.incarnation < before
+    made.until(lambda: weak.store.last("second") > before)
+    assert again.others.gossip.members.incarnation > before
+
+
+# Leases
+
+
+class Voters(Keepers):
+    """Keepers whose fencing numbers begin at the wall clock `base`, in ms, as a founder has it."""
+
+    base = BEGUN_MS
+
+    def start(self, name):
+        self.keepers[name] = Keeper(
+            name, self.names, self.disks[name], self.chance, self.now, Permits(quiet=False), self.base
+        )
+
+
+@STEPS
+def test_keepers_that_restart_give_no_fence_and_no_session_a_second_time(step):
+    net = Voters(3, holders=1)
+    held, sessions = [], []
+    for life in range(3):
+        net.holders = {"h0": Holder("h0", net.names, net.chance, net.now)}  # a new process each time
+        wish = net.holders["h0"].take(net.now, f"room-{life}", 30 * SECOND)
+        net.run(10 * SECOND)
+        assert wish.may(net.now)
+        held.append(wish.fence)
+        sessions.append(net.holders["h0"].session)
+        for name in net.names:
+            net.crash(name)
+        net.base += step
+        for name in net.names:
+            net.start(name)
+    assert held == sorted(set(held)) and held[0] > BEGUN_MS
+    assert sessions == sorted(set(sessions))
+
+
+# Files
+
+
+@pytest.mark.parametrize("step", [-HOUR_MS, HOUR_MS])
+def test_votes_hold_no_time(tmp_path, step):
+    files = []
+    for name, wall in (("one", BEGUN_MS), ("two", BEGUN_MS + step)):
+        votes = Votes(tmp_path / name, wall=lambda wall=wall: wall).open()
+        votes.read()
+        votes.append(b"vote")
+        votes.sync()
+        votes.close()
+        files.append((tmp_path / name).read_bytes())
+        votes = Votes(tmp_path / name, wall=lambda wall=wall: wall - step).open()
+        assert votes.read() == [b"vote"]
+        votes.close()
+    assert files[0] == files[1]
+
+
+@pytest.mark.parametrize("step", [-HOUR_MS, HOUR_MS])
+def test_a_kept_cell_table_holds_no_time_and_goes_by_its_version(tmp_path, step):
+    files = []
+    for name, wall in (("one", BEGUN_MS), ("two", BEGUN_MS + step)):
+        told = []
+        made = TableFile(tmp_path / name, "north", told.append, lambda wall=wall: wall)
+        assert made.write(StoredTable("north", 2, 7, 5, b"rows"))
+        files.append((tmp_path / name).read_bytes())
+        later = TableFile(tmp_path / name, "north", told.append, lambda wall=wall: wall - step)
+        assert later.read((2, 7)).data == b"rows" and later.read((2, 8)) is None and len(told) == 1
+    assert files[0] == files[1]
