--- a/gaproute/discovery/changelog/events.py
+++ b/gaproute/discovery/changelog/events.py
@@ -211,6 +211,8 @@
         known = self.hosts.get(name)
         if known is not None and known[0] == told:
             return known[1].listed.started
+        if known is not None and known[0] == 0:  # it was there before, its start is only told now
+            absent_at = None
         return self.start_times.convert(told * MILLI, absent_at)
 
 
--- a/gaproute/discovery/changelog/start_times.py
+++ b/gaproute/discovery/changelog/start_times.py
@@ -1,17 +1,14 @@
 """Start times of hosts: told by the wall clock, used by the loop's monotonic clock."""
 
-LARGEST_STEP = 24 * 3600 * 1_000_000_000  # ns by which a wall clock may be wrong
-
 
 class StartTimes:
     """Converts start times so that a wall clock that is set cannot make a young host old.
 
     Two bounds hold beside the wall clock. A start that was not in the list yet when that was last known is no
-    earlier than then, which needs no wall clock at all; only one that is further back than any clock is wrong
-    is a host that had long been running and is listed, or told with its start, only now. And the lowest
-    offset between the two clocks that was seen since the gateway began counts: a step can only make a host
-    younger. So a wrong clock costs a warm host at most its time of slow start; at the first list, of which
-    nothing earlier is known, a clock that is ahead is believed.
+    earlier than then, which needs no wall clock at all. And the lowest offset between the two clocks that was
+    seen since the gateway began counts: a step can only make a host younger. So a wrong clock costs a warm
+    host at most its time of slow start; at the first list, of which nothing earlier is known, a clock that is
+    ahead is believed.
     """
 
     def __init__(self, loop, wall):
@@ -23,11 +20,11 @@
         """When a host started, by the loop's clock; one in the future started just now.
 
         `told`: ns since 1970. `absent_at`: when the list was last known to be without this start, by the
-        loop's clock; None where it was never known before.
+        loop's clock; None where it was never known before, or the host was in it with no start told.
         """
         now = self.loop.now()
         self.offset = min(self.offset, self.wall() - now)
         started = told - self.offset
-        if absent_at is not None and started > now - LARGEST_STEP:
+        if absent_at is not None:
             started = max(started, absent_at)
         return min(started, now)
--- a/gaproute/discovery/listing.py
+++ b/gaproute/discovery/listing.py
@@ -36,6 +36,9 @@
             self.of = {name: number for name, number in self.of.items() if name in named}
 
 
+NOT_TOLD = (0, None)  # of a host that is listed without a start: its start as told and as converted
+
+
 class Listing:
     """Turns host lines into rows. Zones and racks are numbered in the order in which they are first named.
 
@@ -68,10 +71,12 @@
         return Row(listed, line.where)
 
     def started(self, line, absent_at):
+        known = self.starts.get(line.name)
         if line.started is None:
-            self.starts.pop(line.name, None)
+            self.starts[line.name] = NOT_TOLD
             return None
-        known = self.starts.get(line.name)
+        if known is NOT_TOLD:  # it was there before, its start is only told now
+            absent_at = None
         if known is None or known[0] != line.started:
             known = line.started, self.start_times.convert(line.started, absent_at)
             self.starts[line.name] = known
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -115,12 +115,19 @@
     assert told(lister, absent_at, member("b", wall.true()))["b"] == absent_at
 
 
-def test_a_host_that_ran_for_days_before_it_was_listed_is_not_taken_for_a_new_one(lister, wall, clock):
+@pytest.mark.parametrize("age", [49 * HOUR, 23 * HOUR])
+def test_a_host_that_appears_is_no_older_however_far_back_its_start_is_told(lister, wall, clock, age):
     told(lister, None, member("a", wall.true() - HOUR))
-    wall.ahead = HOUR
-    days, hours = 49 * HOUR, 23 * HOUR
-    found = told(lister, clock.now, member("b", wall.true() - days), member("c", wall.true() - hours))
-    assert found == {"b": clock.now - days, "c": clock.now}
+    absent_at = clock.now
+    clock.now += SECOND
+    assert told(lister, absent_at, member("b", wall.true() - age))["b"] == absent_at
+
+
+def test_a_host_whose_start_is_told_only_later_is_as_old_as_told(lister, wall, clock):
+    assert told(lister, None, member("a", 0))["a"] is None
+    age = 23 * HOUR
+    clock.now += SECOND
+    assert told(lister, clock.now, member("a", wall.true() - age))["a"] == clock.now - age
 
 
 def test_a_known_host_that_started_anew_is_no_older_than_since_its_earlier_start_was_in_the_list(
@@ -131,10 +138,7 @@
     clock.now += SECOND
     wall.ahead = HOUR
     assert told(lister, absent_at, member("a", wall.true()))["a"] == clock.now
-    wall.ahead, lister.start_times.offset = (
-        HOUR,
-        BEGUN + HOUR,
-    )  # ahead from the start: only the list bounds it
+    lister.start_times.offset = BEGUN + HOUR  # ahead from the start: only the list bounds it
     clock.now += SECOND
     assert told(lister, clock.now - SECOND, member("a", wall.true()))["a"] == clock.now - SECOND
 
@@ -261,6 +265,14 @@
     assert anew.listed.started == clock.now
 
 
+def test_a_line_whose_start_is_told_only_later_is_as_old_as_told(loop, wall, clock):
+    listing = Listing(loop, wall)
+    (untold,) = listing.rows(read_hosts("l", "host a 127.0.0.1:1\n"))
+    clock.now += SECOND
+    (known,) = listing.rows(lines(a=wall.true() - HOUR), clock.now)
+    assert untold.listed.started is None and known.listed.started == clock.now - HOUR
+
+
 def test_a_file_is_known_by_each_look_that_finds_it_unchanged_and_by_no_other(loop, clock, tmp_path):
     path, seen, look = tmp_path / "hosts", [], SECOND
     path.write_text("host a 127.0.0.1:1\n")
