--- a/gaproute/fronts/jsonrpc/link.py
+++ b/gaproute/fronts/jsonrpc/link.py
@@ -17,7 +17,19 @@
 class Link:
     """A connection at work, from its first byte until it has been quiet for a while."""
 
-    __slots__ = ("front", "stream", "reader", "place", "tasks", "open", "since", "told", "faults", "closing")
+    __slots__ = (
+        "front",
+        "stream",
+        "reader",
+        "place",
+        "tasks",
+        "open",
+        "since",
+        "told",
+        "faults",
+        "closing",
+        "departed",
+    )
 
     def __init__(self, front, sock, place, tasks):
         self.front, self.place, self.tasks = front, place, tasks
@@ -25,11 +37,12 @@
         self.open = {}  # number: (the core's key, mark) of its task
         self.since = self.told = front.loop.now()  # a message is coming in; the last word either way
         self.faults, self.closing = 0, False
-        self.stream = Stream(front.loop, sock, self.bytes, self.ended)
+        self.departed = False  # the client had closed behind what was read last: its end is read next
+        self.stream = Stream(front.loop, sock, self.bytes, self.ended, hangup_first=True)
         self.stream.on_room = self.room
 
     def bytes(self, data):
-        if self.closing:
+        if self.closing or self.departed:
             return
         now = self.front.loop.now()
         if not self.reader.midway:
@@ -41,8 +54,9 @@
             fault, bodies = wrong, wrong.bodies
         if bodies:
             self.since = now
-            if self.stream.ended():  # the client has left behind what it sent, maybe while that waited at
-                return  # admission: nothing begins, and the next read tells the end
+            self.departed = self.stream.hung_up()  # behind what it sent, maybe while that waited at admission
+            if self.departed:  # or lay unread: nothing begins
+                return
         for body in messages.wanted(bodies, self.open, self.front.marks):
             try:
                 self.front.take(self, body)
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -154,6 +154,9 @@
             tenant = self.tenants.get(named.decode("latin-1"))
             if tenant is None:
                 raise Refused(400, "unknown Gaproute-Tenant")
+        if request.departed:
+            self.departed(request)
+            return
         call = self.call(request, model, version)
         left = []
 
@@ -164,18 +167,22 @@
         def gone():
             left.append(True)
             self.core.client_left(key)
-            self.server.answer(
-                request,
-                504,
-                (JSON, (b"Gaproute-Outcome", b"scrapped")),
-                error("scrapped: the client closed its side before the answer"),
-            )
+            self.departed(request)
 
         key = self.core.take(
             call, track, tenant, model.lanes, model.load, request.arrived, limit - self.way_back, finish
         )
         request.left = gone
 
+    def departed(self, request):
+        """The answer for one that has closed its side and may still read."""
+        self.server.answer(
+            request,
+            504,
+            (JSON, (b"Gaproute-Outcome", b"scrapped")),
+            error("scrapped: the client closed its side before the answer"),
+        )
+
     def call(self, request, model, version):
         """A request as a call."""
         headers = request.headers
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -2,7 +2,8 @@
 
 A client that closes its side has left: HTTP/1.1 cannot tell a half-closed client from a gone one before
 bytes are written to it, and a task that nobody waits for must end at once. What is answered then is still
-written, so that one that only closed half gets a clear answer.
+written, so that one that only closed half gets a clear answer. A request whose client has closed behind it is
+handed over as `departed`: the handler answers it and begins nothing for it.
 """
 
 from gaproute.http1.deadlines import DeadlineLink
@@ -27,7 +28,7 @@
         self.reader = Reader(True, lambda: loop.now() - loop.behind, server.limits.head, server.limits.body)
         self.queue = []  # [request, rendered answer or None], in the order of the requests
         self.closing = self.ended = False
-        self.stream = Stream(server.loop, sock, self.bytes, self._end)
+        self.stream = Stream(server.loop, sock, self.bytes, self._end, hangup_first=True)
         self.stream.on_half, self.stream.on_room = self._half, self._room
         self.timer = self.due = None
 
@@ -40,8 +41,7 @@
         except Fault as fault:
             self._refuse(fault)
             return
-        for request in requests:
-            self._take(request)
+        self._take_all(requests)
         self._weigh(self.reader.size if self.reader.midway else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
@@ -87,17 +87,22 @@
     def _refuse(self, fault):
         """Answers what cannot be read and closes; what was whole before it is answered first."""
         self.server.faults += 1
-        for request in self.reader.done:
-            self._take(request)
+        self._take_all(self.reader.done)
         self.reader.done = []
         headers, body = self.server.explain(fault)
         self.closing = True
         self.queue.append([None, render(fault.status, headers, body, True)])
         self._write()
 
+    def _take_all(self, requests):
+        departed = bool(requests) and self.stream.hung_up()
+        for request in requests:
+            request.departed = departed
+            self._take(request)
+
     def _take(self, request):
         request.link = self
-        if self.closing or self.server.loop.behind and self.stream.ended():
+        if self.closing or request.departed and self.server.loop.behind and not self.server.counted:
             return  # one that came and left while this process stood still is not taken
         self.tasks += 1
         if (
--- a/gaproute/http1/message.py
+++ b/gaproute/http1/message.py
@@ -31,7 +31,7 @@
 class Request:
     """One request as it came. Header names are lower case; a name that came twice is joined by a comma."""
 
-    __slots__ = ("method", "target", "headers", "body", "arrived", "keep_alive", "link", "left")
+    __slots__ = ("method", "target", "headers", "body", "arrived", "keep_alive", "link", "left", "departed")
 
     def __init__(self, arrived):
         self.arrived = arrived  # when its first byte came, by the loop's clock
@@ -39,6 +39,7 @@
         self.keep_alive = True
         self.link = None
         self.left = None  # call() when the client leaves before the answer
+        self.departed = False  # its client had closed its side when it was read
 
 
 class Response:
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -2,20 +2,20 @@
 
 import errno
 import fcntl
-import select
 import socket
 import struct
 import termios
 
+from gaproute.loop import unread
 from gaproute.loop.loop import GONE, MILLI, READ, WRITE
+from gaproute.loop.unread import END, Pending
 
 CHUNK = 65536  # bytes read in one call: a large socket buffer in few calls, small next to a body
-READS = 128  # of what lies unread when writing fails: more than any receive buffer holds
+READS = 128  # of what lies unread before an end: more than any receive buffer holds
 HIGH = 1 << 20  # bytes waiting to be written above which the writer is told to hold back
 LINGER = 30_000 * MILLI  # for the last bytes to be taken after a close; then the connection is reset
 FAREWELL = 300 * MILLI  # for the other side to close too, once all is written: some round trips; what one
 #                          that does not sends later meets a closed socket, as ever
-END = select.EPOLLRDHUP  # the other side sends no more: told also while nothing is read
 
 
 def address(text):
@@ -41,7 +41,8 @@
     """A connected socket. `on_bytes(data)`, `on_end(error or None)` once; writes are buffered.
 
     With `on_half` set, the other side's end of sending calls it instead of ending the stream: writing goes
-    on.
+    on. With `hangup_first` the other side's end is heard in the turn in which it comes, however many bytes
+    lie unread before it: for the side that works for a client, who may have left behind what it sent.
 
     `handed` counts the bytes that the kernel accepted: what a failure proves rests on it.
     """
@@ -54,6 +55,7 @@
         "on_end",
         "on_room",
         "on_half",
+        "hangup_first",
         "out",
         "waiting",
         "handed",
@@ -66,16 +68,16 @@
         "open",
     )
 
-    def __init__(self, loop, sock, on_bytes, on_end):
+    def __init__(self, loop, sock, on_bytes, on_end, *, hangup_first=False):
         self.loop, self.sock, self.fd = loop, sock, sock.fileno()
         self.on_bytes, self.on_end, self.on_room = on_bytes, on_end, None
-        self.on_half = None
+        self.on_half, self.hangup_first = None, hangup_first
         self.out, self.waiting, self.handed = [], 0, 0
         self.closing, self.reading, self.open = False, True, True
         self.wanted = False  # `begin` found no room: told by `on_room`
         self.halved = False  # its end of sending was told: not to be told again and again
-        self.mask, self.timer = READ, None
-        loop.watch(self.fd, READ, self._ready)
+        self.mask, self.timer = READ | END if hangup_first else READ, None
+        loop.watch(self.fd, self.mask, self._ready)
 
     def _ready(self, events):
         if events & WRITE:
@@ -83,11 +85,20 @@
         if self.open and events & (READ | GONE | END):
             if self.reading:
                 self._read()
+                if self.hangup_first and events & END:
+                    self._read_to_end()
             elif events & GONE:
                 self._finish(ConnectionResetError(errno.ECONNRESET, "closed by the other side"))
             else:
                 self._half()
 
+    def _read_to_end(self):
+        """All that lies before the other side's end is there already: it is read in this turn."""
+        for _ in range(READS):
+            if not self.open or not self.reading:
+                return
+            self._read()
+
     def _read(self):
         try:
             data = self.sock.recv(CHUNK)
@@ -185,9 +196,11 @@
             self.on_room()
 
     def _watch(self):
-        mask = (READ if self.reading else 0 if self.halved else END) | (
-            WRITE if self.out or self.wanted else 0
-        )
+        if self.reading:
+            mask = READ | END if self.hangup_first and not self.halved else READ
+        else:
+            mask = 0 if self.halved else END
+        mask |= WRITE if self.out or self.wanted else 0
         if self.open and mask != self.mask:
             self.mask = mask
             self.loop.rewatch(self.fd, mask)
@@ -210,14 +223,13 @@
             pass
         return False
 
-    def ended(self):
-        """Whether the other side has closed behind the bytes read so far: one system call."""
-        try:
-            return not self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-        except (BlockingIOError, InterruptedError):
-            return False
-        except OSError:
-            return True
+    def pending(self):
+        """What the kernel has of the other side that has not been read yet: one system call."""
+        return unread.pending(self.fd) if self.open else Pending(hung_up=True, unread=False)
+
+    def hung_up(self):
+        """Whether the other side has closed or reset, also where bytes lie unread before that."""
+        return self.pending().hung_up
 
     def release(self):
         """Gives the descriptor up, open and no longer watched; no further callbacks."""
