--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -17,7 +17,8 @@
 
 class Core(Ends):
     """`hosts` gives `relay(worker, call, effect, task, limit, until, done)`, `order(worker, function, copies,
-    done)` and `probe(worker, done)`; the first returns what has `begun` and `give_up()`."""
+    done)` and `probe(worker, done)`; the first returns what has `begun`, where it has, whether it is
+    `withdrawable` once nobody waits for it, and `give_up()`."""
 
     def __init__(self, loop, gateway, terms, hosts, record, name):
         super().__init__(gateway)
--- a/gaproute/core/final.py
+++ b/gaproute/core/final.py
@@ -84,10 +84,11 @@
 
     def _over(self, held):
         """Nothing begins any more once a task has its final answer or its client has left. What waits for its
-        connection is taken back whatever the settings say of cancelling: not to begin is none."""
+        connection is taken back whatever the settings say of cancelling: not to begin is none. So is what a
+        host has not whole yet, and what another gateway has, which may not have begun it."""
         for number, (_, _, hold) in held.out.items():
-            if not hold.begun:
-                self._take_back(held, number, face.Result.MOOT)
+            if not hold.begun or hold.withdrawable:
+                self._take_back(held, number, face.Result.CANCELLED)
 
     def _take_back(self, held, number, result):
         hold = held.out[number][2]
--- a/gaproute/hosts/entries.py
+++ b/gaproute/hosts/entries.py
@@ -18,6 +18,8 @@
 class EntryHosts(Hosts):
     """Entry gateways as hosts, each by its address in place of a name."""
 
+    forwards = True
+
     def request(self, call, task, host, until):
         """The bytes of a relay, made as they are handed over; the answer must be here by `until`."""
 
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/fleet.py
@@ -46,20 +46,27 @@
 
 
 class Sent:
-    """The core's hold of a relay."""
+    """The core's hold of a relay. `forwards`: another gateway has it, and no host yet."""
 
-    def __init__(self, hosts, host, exchange):
-        self.hosts, self.host, self.exchange = hosts, host, exchange
+    def __init__(self, hosts, host, exchange, forwards=False):
+        self.hosts, self.host, self.exchange, self.forwards = hosts, host, exchange, forwards
 
     @property
     def begun(self):
         return self.exchange.link is not None
 
+    @property
+    def withdrawable(self):
+        """Whether it is taken back, though begun, where nobody waits for it any more."""
+        return self.forwards or not self.exchange.delivered
+
     def give_up(self):
         self.hosts.give_up(self.host, self.exchange)
 
 
 class Hosts:
+    forwards = False  # whether what is reached are other gateways
+
     def __init__(self, loop, pooling, reach=REACH, gateway="gaproute"):
         self.loop, self.pooling, self.reach, self.gateway = loop, pooling, reach, gateway.encode()
         self.hosts = {}
@@ -208,7 +215,9 @@
 
         request = self.request(call, task, host, until)
         exchange = self.exchange(host, request, effect, came, until, call.client_present)
-        return Never(self.loop, done, Result.FULL) if exchange is None else Sent(self, host, exchange)
+        if exchange is None:
+            return Never(self.loop, done, Result.FULL)
+        return Sent(self, host, exchange, self.forwards)
 
     def request(self, call, task, host, until):
         """The bytes of a relay, or what makes them as they are handed over."""
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/fleet.py
@@ -2,14 +2,13 @@
 
 from gaproute.core.core import Heard
 from gaproute.hosts.jsonlines import lines
-from gaproute.hosts.jsonlines.link import Asked, Link, Links
+from gaproute.hosts.jsonlines.link import EVER, Asked, Link, Links
 from gaproute.hosts.never import Never
 from gaproute.interface import Effect, Result, State
 from gaproute.interface.call import always
 from gaproute.loop.streams import address
 
 SECOND = 1_000_000_000
-EVER = 1 << 62  # an order or a probe has a time-out of its own
 
 
 class Host:
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/link.py
@@ -11,6 +11,12 @@
 from gaproute.interface.call import always
 from gaproute.loop import Stream, connect
 
+EVER = 1 << 62  # a time that never comes: of requests whose answer has a time-out of its own
+
+
+class Unfinished(Exception):
+    """This side ends the connection as a request on it is not to come whole any more."""
+
 
 class Asked:
     """One request on a connection. `done(reply or None, what its failure proves or None)` once, never at
@@ -28,6 +34,12 @@
     def begun(self):
         return self.stop is not None
 
+    @property
+    def withdrawable(self):
+        """Whether it is taken back, though begun, where nobody waits for it any more: its host has it whole
+        only with its last byte, and may not get that then."""
+        return self.link.stream.open and not self.link.handed(self)
+
     def end(self, reply, failure):
         done, self.done = self.done, None
         return done is not None and done(reply, failure)  # None: it was given up meanwhile
@@ -116,7 +128,7 @@
         now, ended = self.hosts.loop.now(), []
         for asked in self.open.values():
             ended.append((asked, proof.of_end(asked.begun, error, isinstance(error, lines.Spoilt))))
-            if self.served and self.heard < asked.sent and not isinstance(error, lines.Spoilt):
+            if self.served and self.heard < asked.sent and not isinstance(error, (lines.Spoilt, Unfinished)):
                 self.hosts.pooling.ended(now, self.host.name, asked.sent - self.used, now - asked.sent)
         self.open = {}
         self.drop()
@@ -132,8 +144,9 @@
             self.drop()
 
     def give_up(self, asked):
-        """One that has not begun never does. One that has is halted where the settings allow it, and its
-        connection ends where that was silent."""
+        """One that has not begun never does. One of which the host has a part never comes whole: its
+        connection ends. One that it has is halted where the settings allow it, and its connection ends where
+        that was silent."""
         asked.done = None
         if self.open.get(asked.id) is not asked:
             return
@@ -142,6 +155,9 @@
             if not self.open:
                 self.drop()
             return
+        if asked.until < EVER and not self.handed(asked):
+            self.fail(Unfinished("a request is taken back before it was written whole"))
+            return
         self.carried.add(asked.id)
         if self.hosts.pooling.silent(self.hosts.loop.now(), max(asked.sent, self.heard)):
             self.trusted = False
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -160,6 +160,11 @@
         """Whether the kernel has taken any byte of the request."""
         return self.link is not None and self.link.handed
 
+    @property
+    def delivered(self):
+        """Whether the kernel has taken all of the request."""
+        return self.link is not None and not self.link.stream.waiting
+
     def settle(self, answer, undelivered):
         if not self.over:
             self.over = True
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -32,6 +32,8 @@
 class Hold:
     """What the hosts give for a relay."""
 
+    withdrawable = False  # its host has it whole
+
     def __init__(self, give_up, begun):
         self.give_up, self.begun = give_up, begun
 
--- a/tests/test_departed_attempts.py
+++ b/tests/test_departed_attempts.py
@@ -11,6 +11,7 @@
 from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, half_close
 from test_departed_ends import end
 
+from gaproute.fronts.jsonrpc.messages import FAILED
 from gaproute.hosts.jsonlines import link as links
 from gaproute.http1 import client as http_clients
 from gaproute.http1.client import Exchange
@@ -188,6 +189,78 @@
     assert client.answers[0]["id"] == 2 and made.came() == 2 and made.process.front.faults == 0
 
 
+# What has begun to be written and has not come whole
+
+
+class Clogged:
+    """Stands for a socket that takes so many bytes and then no more, until it is `let`."""
+
+    def __init__(self, sock, room):
+        self.sock, self.room = sock, room
+
+    def send(self, data):
+        if not self.room:
+            raise BlockingIOError
+        sent = self.sock.send(bytes(data[: self.room]))
+        self.room -= sent
+        return sent
+
+    def let(self):
+        self.room = 1 << 30
+
+    def __getattr__(self, name):
+        return getattr(self.sock, name)
+
+
+def written_in_part(gate, method="fault-check", **told):
+    """A gateway whose one connection to its host took the first half of a request; a client."""
+    made = gate(hosts=1, settings=limits(**told), clock=Handed())
+    made.process.hosts.room = 1
+    known(made)
+    (made.link,) = made.process.hosts.hosts["s-0"].links
+    made.clog = made.link.stream.sock = Clogged(made.link.stream.sock, 500)
+    client = made.client()
+    client.ask(1, method, arg=arg(b"x" * 1000), d=2000)
+    made.until(lambda: made.link.stream.waiting)
+    return made, client
+
+
+def reads_on(made):
+    """The connection takes all there is; whether the host got the request."""
+    made.clog.let()
+    made.turns()
+    return bool(made.came())
+
+
+@pytest.mark.parametrize("cancel", [True, False])
+@leaves
+def test_a_request_written_in_part_never_comes_whole_once_its_client_has_left(gate, cancel, leave):
+    made, client = written_in_part(gate, cancel=cancel)
+    leave(client)
+    made.turns()
+    stays = leave is LEAVES["stays"]
+    assert reads_on(made) is stays and len(client.answers) == stays and not made.process.core.held
+
+
+def test_what_else_is_at_work_on_that_connection_may_have_run_and_nothing_is_left_of_it(gate):
+    """The connection ends: its host gives up what is open on it."""
+    made = gate(silent_at_requests, hosts=1, settings=limits(), clock=Handed())
+    made.process.hosts.room = 1
+    known(made)
+    (link,) = made.process.hosts.hosts["s-0"].links
+    other, client = made.client(), made.client()
+    other.ask(1, "repair-order", i="f" * 16)
+    made.until(made.came)
+    link.stream.sock = Clogged(link.stream.sock, 500)
+    client.ask(1, arg=arg(b"x" * 1000))
+    made.until(lambda: link.stream.waiting)
+    client.stream.abort()
+    made.until(lambda: other.answers)
+    made.turns()
+    assert other.answers[0]["error"]["code"] == FAILED and made.came() == 1
+    assert not made.process.core.held and not link.open and not link.stream.open
+
+
 # Over HTTP
 
 
