--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -140,7 +140,7 @@
             client_present=lambda: link.present(number, asked.mark),
         )
         self.marks[asked.mark] = link
-        came = self.loop.now() - self.loop.behind
+        came = self.loop.now() - link.waited
         link.tasks += 1
         link.open[number] = None
         link.open[number] = (
--- a/gaproute/fronts/jsonrpc/link.py
+++ b/gaproute/fronts/jsonrpc/link.py
@@ -32,6 +32,7 @@
         "departed",
         "looked",
         "withdrawn",
+        "waited",
     )
 
     def __init__(self, front, sock, place, tasks):
@@ -42,6 +43,7 @@
         self.faults, self.closing = 0, False
         self.departed = False  # the client had closed behind what was read last: its end is read next
         self.looked = 0  # when it was last asked whether the client has closed, and what lies unread of it
+        self.waited = 0  # how long what was read last may have lain unread, ns
         self.withdrawn = ()  # what the aborts name that lay unread then
         self.stream = Stream(front.loop, sock, self.bytes, self.ended, hangup_first=True)
         self.stream.on_room = self.room
@@ -62,6 +64,7 @@
             self.departed = self.stream.hung_up()  # behind what it sent, maybe while that waited at admission
             if self.departed:  # or lay unread: nothing begins
                 return
+            self.waited = max(self.front.loop.behind, self.stream.waited())
             self.looked, self.withdrawn = now if len(data) < CHUNK else 0, ()
         for body in messages.wanted(bodies, self.open, self.front.marks):
             try:
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -16,17 +16,17 @@
 class ServerLink(DeadlineLink):
     """A connection at work, from its first byte until it has been quiet for a while."""
 
-    __slots__ = ("ended", "place", "tasks", "weight", "looked")
+    __slots__ = ("ended", "place", "tasks", "weight", "looked", "waited")
 
     def __init__(self, server, sock, place, tasks):
         self.server, self.place, self.tasks, self.idle_end = server, place, tasks, None
         self.resting = False  # in the server's line of those that may soon be parked
         self.looked = 0  # when the client was last seen not to have closed
         self.weight = 0  # bytes held of a request that has not come in whole
-        # After a stop of the process, requests count from when they may have come, not from when they are
-        # read.
-        loop = server.loop
-        self.reader = Reader(True, lambda: loop.now() - loop.behind, server.limits.head, server.limits.body)
+        self.waited = 0  # how long what is read may have lain unread, ns: requests count from when they came
+        self.reader = Reader(
+            True, lambda: server.loop.now() - self.waited, server.limits.head, server.limits.body
+        )
         self.queue = []  # [request, rendered answer or None], in the order of the requests
         self.closing = self.ended = False
         self.stream = Stream(server.loop, sock, self.bytes, self._end, hangup_first=True)
@@ -37,6 +37,7 @@
         """Feeds received bytes to the parser and hands over the requests that they complete."""
         if self.closing:
             return
+        self.waited = max(self.server.loop.behind, self.stream.waited())
         try:
             requests = self.reader.feed(data)
         except Fault as fault:
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -66,6 +66,8 @@
         "reading",
         "wanted",
         "halved",
+        "paused_at",
+        "unread_since",
         "mask",
         "timer",
         "open",
@@ -78,6 +80,8 @@
         self.out, self.waiting, self.handed = [], 0, 0
         self.closing, self.reading, self.open = False, True, True
         self.wanted = False  # `begin` found no room: told by `on_room`
+        self.paused_at = None  # where it was: what came since then has not been read to its end yet
+        self.unread_since = None  # what was read last came after that, where it was paused
         self.halved = False  # its end of sending was told: not to be told again and again
         self.mask, self.timer = READ | END if hangup_first else READ, None
         loop.watch(self.fd, self.mask, self._ready)
@@ -111,10 +115,21 @@
             self._finish(fault)
             return
         if data:
+            self.unread_since = self.paused_at
+            if len(data) < CHUNK and self.reading:
+                self.paused_at = None
             self.on_bytes(data)
         else:
             self._half()
 
+    def waited(self):
+        """How long what was read last may have lain unread, ns: one system call.
+
+        The kernel tells when the last bytes came. What came before them in a pause may be as old as that.
+        """
+        paused = 0 if self.unread_since is None else self.loop.now() - self.unread_since
+        return max(paused, unread.age_of_last_bytes(self.sock))
+
     def look(self):
         """Read what waits before the loop comes to it."""
         if self.open and self.reading:
@@ -209,6 +224,8 @@
             self.loop.rewatch(self.fd, mask)
 
     def pause(self):
+        if self.reading and self.paused_at is None:
+            self.paused_at = self.loop.now()
         self.reading = False
         self._watch()
 
--- a/gaproute/loop/unread.py
+++ b/gaproute/loop/unread.py
@@ -10,7 +10,9 @@
 import termios
 from typing import NamedTuple
 
+MILLI = 1_000_000
 END = select.EPOLLRDHUP  # the other side sends no more: told also while bytes lie unread before that
+LAST_DATA_RECEIVED = slice(52, 56)  # of `struct tcp_info`: ms since the last bytes came
 PEEK = 2 << 20  # bytes looked at before they are read: more than one client may have open at a time
 
 
@@ -46,3 +48,12 @@
         return sock.recv(min(unread, PEEK), socket.MSG_PEEK | socket.MSG_DONTWAIT) if unread else b""
     except OSError:
         return b""
+
+
+def age_of_last_bytes(sock: socket.socket) -> int:
+    """How long ago the last bytes came, read or not, ns in whole ms; 0 where the socket is not TCP's."""
+    try:
+        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.stop)
+    except OSError:
+        return 0
+    return MILLI * int.from_bytes(told[LAST_DATA_RECEIVED], sys.byteorder)
--- /dev/null
+++ b/tests/test_deadline_passed_lines.py
@@ -0,0 +1,127 @@
+"""The limit told to a host of lines is at most what its client has left when its bytes are written."""
+
+import json
+import socket
+import time
+
+import pytest
+from scripted import MILLI, SECOND, SETTINGS, Handed
+from test_departed_attempts import Clogged, known, written_in_part
+from test_departed_ends import requests
+
+from gaproute.fronts.jsonrpc import link as client_links
+from gaproute.loop.streams import address
+
+SLACK = 150  # ms, by the operators' terms
+WHOLE_WITHIN = 100 * MILLI
+D = 2000  # ms that a client waits, told with its request
+
+
+def limits(made):
+    return [command["meta"]["limit"] for host in made.hosts for command in host.seen("go")]
+
+
+def told_limit(made, elapsed):
+    """The one limit told keeps what has gone by since the request was sent, ms."""
+    (limit,) = limits(made)
+    return D - elapsed - 500 <= limit <= D - elapsed + SLACK
+
+
+@pytest.mark.parametrize("waits", [0, 300, 1200])
+def test_a_request_that_lay_in_the_queue_of_those_to_be_accepted(gate, waits):
+    """The loop stands still meanwhile, by the system's own clock: the kernel tells how old the bytes are."""
+    made = gate()
+    data = requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D)
+    sock = socket.create_connection(address(made.where)[1])
+    sock.sendall(data)
+    time.sleep(waits / 1000)
+    made.until(made.came)
+    assert told_limit(made, waits)
+    sock.close()
+
+
+@pytest.mark.parametrize("waits", [0, 60, 140, 400])
+def test_a_request_that_lay_unread_on_a_connection_at_work(gate, waits):
+    made = gate()
+    client = made.client()
+    client.ask(1, "repair-order")
+    made.until(lambda: client.answers)
+    for host in made.hosts:
+        host.came.clear()
+    client.ask(2, d=D)
+    time.sleep(waits / 1000)
+    made.until(made.came)
+    assert told_limit(made, waits)
+
+
+def test_a_request_that_lay_unread_as_its_client_takes_no_answers(gate, monkeypatch):
+    """How old the bytes are that come in a pause is not known: they count from its begin."""
+    monkeypatch.setattr(client_links, "UNTAKEN", 10)
+    made = gate(clock=Handed())
+    client = made.client()
+    client.ask(1)
+    made.until(lambda: client.answers)
+    (link,) = made.process.front.links
+    clog = link.stream.sock = Clogged(link.stream.sock, 0)
+    client.ask(2)
+    made.until(lambda: link.stream.waiting)
+    client.ask(3)  # the last one that is read
+    made.until(lambda: made.came() == 3)
+    client.ask(4, d=D)
+    client.ask(5, d=D)
+    made.passes(SECOND)
+    assert made.came() == 3
+    clog.let()
+    made.until(lambda: made.came() == 5)
+    assert all(limit <= D - 1000 + SLACK for limit in limits(made)[3:])
+    made.until(lambda: len(client.answers) == 5)
+    client.ask(6, d=D)  # read as it comes
+    made.until(lambda: made.came() == 6)
+    assert D - SLACK <= limits(made)[-1] <= D
+
+
+def test_a_retry_carries_what_is_left_then(gate):
+    held = []
+
+    def answer(stream, command):
+        if command["type"] == "go" and not held:
+            held.append((stream, command))
+        else:
+            made.hosts[0].serve(stream, command)
+
+    made = gate(answer, hosts=2, clock=Handed())
+    known(made)
+    client = made.client()
+    client.ask(1, d=D)
+    made.until(lambda: held)
+    made.passes(900 * MILLI)
+    made.hosts[0].say(*held[0], "overload")
+    made.until(lambda: client.answers)
+    first, second = sorted(limits(made))
+    assert D - SLACK <= second <= D and first <= D - 900 + SLACK
+
+
+def test_what_waits_for_room_in_a_full_socket_carries_what_is_left_when_it_is_written(gate):
+    made, client = written_in_part(gate)
+    other = made.client()
+    other.ask(1, i="f" * 16, d=D)
+    made.turns()
+    made.clock.now += WHOLE_WITHIN - 10 * MILLI
+    made.clog.let()
+    made.until(lambda: made.came() == 2)
+    told = {command["req"]: command["meta"]["limit"] for command in made.hosts[0].seen("go")}
+    assert told["f" * 16] <= D - WHOLE_WITHIN // MILLI + 20
+
+
+def test_a_probe_or_an_order_written_in_part_ends_no_connection(gate):
+    made = gate(hosts=1, settings=SETTINGS, clock=Handed())
+    made.process.hosts.room = 1
+    known(made)
+    (link,) = made.process.hosts.hosts["s-0"].links
+    clog = link.stream.sock = Clogged(link.stream.sock, 10)
+    told = []
+    made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: told.append(each))
+    made.passes(WHOLE_WITHIN + 50 * MILLI)
+    clog.let()
+    made.until(lambda: told)
+    assert link.stream.open and told[0][0].value == "ok", json.dumps(str(told))
