--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/link.py
@@ -11,6 +11,9 @@
 from gaproute.interface.call import always
 from gaproute.loop import Stream, connect
 
+# For a request that has begun to be with the kernel whole, ns: by no more is the limit told in it out when
+# its host can read it.
+WHOLE_WITHIN = 100_000_000
 EVER = 1 << 62  # a time that never comes: of requests whose answer has a time-out of its own
 
 
@@ -88,6 +91,13 @@
                 return  # `on_room` asks again
             self.written += len(data)
             asked.stop, asked.line = self.written, None
+            if self.stream.waiting and asked.until < EVER:
+                self.hosts.loop.after(WHOLE_WITHIN, self.look_whole, asked)
+
+    def look_whole(self, asked):
+        """What a host has had in part for so long it gets no more of: the limit in it is no longer true."""
+        if self.open.get(asked.id) is asked and not self.handed(asked):
+            self.fail(Unfinished("a request could not be written whole in time"))
 
     def never(self, asked, result):
         """It has not begun and never will."""
--- a/tests/test_deadline_passed_lines.py
+++ b/tests/test_deadline_passed_lines.py
@@ -10,10 +10,10 @@
 from test_departed_ends import requests
 
 from gaproute.fronts.jsonrpc import link as client_links
+from gaproute.hosts.jsonlines.link import WHOLE_WITHIN
 from gaproute.loop.streams import address
 
 SLACK = 150  # ms, by the operators' terms
-WHOLE_WITHIN = 100 * MILLI
 D = 2000  # ms that a client waits, told with its request
 
 
@@ -113,6 +113,19 @@
     assert told["f" * 16] <= D - WHOLE_WITHIN // MILLI + 20
 
 
+@pytest.mark.parametrize("track", ["fault-check", "repair-order"])
+@pytest.mark.parametrize("span", [90, 300, 1000])
+def test_a_request_written_in_part_comes_whole_while_its_limit_is_true_or_never(gate, span, track):
+    """An idempotent one goes again then, on another connection."""
+    made, client = written_in_part(gate, method=track)
+    made.passes(span * MILLI)
+    made.clog.let()
+    made.turns()
+    assert all(limit <= D - span + SLACK for limit in limits(made))
+    assert made.came() == (span == 90 or track == "fault-check") and len(client.answers) == 1
+    assert made.link.stream.open is (span == 90)
+
+
 def test_a_probe_or_an_order_written_in_part_ends_no_connection(gate):
     made = gate(hosts=1, settings=SETTINGS, clock=Handed())
     made.process.hosts.room = 1
