--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -44,8 +44,10 @@
         return self.stream.open
 
     def send(self, exchange, data):
+        """The request begins now, with what is true now, or its exchange fails soon and never ran."""
         self.exchange, self.mark = exchange, self.stream.handed
-        self.stream.write(data)
+        if not self.stream.begin(data):
+            self.loop.soon(self._fail, "the connection takes no bytes")
 
     @property
     def handed(self):
--- a/tests/test_deadline_passed_http.py
+++ b/tests/test_deadline_passed_http.py
@@ -5,11 +5,13 @@
 
 import pytest
 from scripted import MILLI, SECOND, HeldDials
+from test_departed_attempts import Clogged
 from test_departed_forwarded import CALL, Way
 from test_http1 import HEAD
 
 from gaproute.http1 import Limits, Server
 from gaproute.http1 import client as http_clients
+from gaproute.interface import Result
 from gaproute.loop import Loop, connect
 from gaproute.loop.streams import address
 
@@ -50,6 +52,22 @@
     assert 1900 <= first <= 2000 and limit(way) <= 1700
 
 
+def test_a_forwarded_call_waits_in_no_connections_buffer(way, monkeypatch):
+    """A kept connection that takes no byte is not used: the call goes again, with what is left then."""
+    way.forward()
+    way.until(lambda: way.came)
+    way.server.answer(way.came[0], 200, (), b"")
+    way.until(lambda: way.heard)
+    ((link,),) = [host.idle for host in way.entries.hosts.hosts.values()]
+    link.stream.sock = clog = Clogged(link.stream.sock, 0)
+    hold = way.forward()
+    way.until(lambda: len(way.heard) == 2)
+    clog.let()
+    way.loop.run(until=way.loop.sleep(20 * MILLI))
+    assert way.heard[1].result is Result.CONNECT_FAILED and len(way.came) == 1 and not link.open
+    assert not hold.exchange.handed
+
+
 @pytest.fixture
 def served():
     """A server that reads no more than two requests of a connection, with a clock of the test's own."""
