--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -129,9 +129,18 @@
             raise Fault(messages.REFUSED, f"{OPEN} requests are open on this connection", number)
         if self.stopping:
             raise Fault(messages.REFUSED, "the gateway stops", number)
-        call = Call(asked.function, "", (), asked.body, asked.mark, method, asked.receipt)
+        call = Call(
+            asked.function,
+            "",
+            (),
+            asked.body,
+            asked.mark,
+            method,
+            asked.receipt,
+            client_present=lambda: link.present(number, asked.mark),
+        )
         self.marks[asked.mark] = link
-        came = self.loop.now() - self.loop.behind
+        came = self.loop.now() - link.waited
         link.tasks += 1
         link.open[number] = None
         link.open[number] = (
--- a/gaproute/fronts/jsonrpc/link.py
+++ b/gaproute/fronts/jsonrpc/link.py
@@ -3,6 +3,7 @@
 from gaproute.fronts.jsonrpc import messages
 from gaproute.fronts.jsonrpc.messages import Fault
 from gaproute.loop import Stream
+from gaproute.loop.streams import CHUNK, FRESH
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 QUIET = 100 * MILLI  # without a request until a connection is parked: only parked ones can make room, and
@@ -17,7 +18,22 @@
 class Link:
     """A connection at work, from its first byte until it has been quiet for a while."""
 
-    __slots__ = ("front", "stream", "reader", "place", "tasks", "open", "since", "told", "faults", "closing")
+    __slots__ = (
+        "front",
+        "stream",
+        "reader",
+        "place",
+        "tasks",
+        "open",
+        "since",
+        "told",
+        "faults",
+        "closing",
+        "departed",
+        "looked",
+        "withdrawn",
+        "waited",
+    )
 
     def __init__(self, front, sock, place, tasks):
         self.front, self.place, self.tasks = front, place, tasks
@@ -25,11 +41,15 @@
         self.open = {}  # number: (the core's key, mark) of its task
         self.since = self.told = front.loop.now()  # a message is coming in; the last word either way
         self.faults, self.closing = 0, False
-        self.stream = Stream(front.loop, sock, self.bytes, self.ended)
+        self.departed = False  # the client had closed behind what was read last: its end is read next
+        self.looked = 0  # when it was last asked whether the client has closed, and what lies unread of it
+        self.waited = 0  # how long what was read last may have lain unread, ns
+        self.withdrawn = ()  # what the aborts name that lay unread then
+        self.stream = Stream(front.loop, sock, self.bytes, self.ended, hangup_first=True)
         self.stream.on_room = self.room
 
     def bytes(self, data):
-        if self.closing:
+        if self.closing or self.departed:
             return
         now = self.front.loop.now()
         if not self.reader.midway:
@@ -41,8 +61,11 @@
             fault, bodies = wrong, wrong.bodies
         if bodies:
             self.since = now
-            if self.stream.ended():  # the client has left behind what it sent, maybe while that waited at
-                return  # admission: nothing begins, and the next read tells the end
+            self.departed = self.stream.hung_up()  # behind what it sent, maybe while that waited at admission
+            if self.departed:  # or lay unread: nothing begins
+                return
+            self.waited = max(self.front.loop.behind, self.stream.waited())
+            self.looked, self.withdrawn = now if len(data) < CHUNK else 0, ()
         for body in messages.wanted(bodies, self.open, self.front.marks):
             try:
                 self.front.take(self, body)
@@ -82,6 +105,30 @@
                 self.front.left(key, mark)
                 return
 
+    def present(self, number, mark):
+        """Whether the client still waits for that request, asked when an attempt of it begins.
+
+        The loop may be a long turn behind: what has come meanwhile, a close or an abort, counts although it
+        is read later.
+        """
+        loop = self.front.loop
+        if self.closing or not self.stream.open:
+            return False
+        now = loop.now()
+        if now - self.looked >= FRESH:
+            pending = self.stream.pending()
+            if pending.hung_up:
+                loop.soon(self.stream.hear_end)
+                return False
+            self.looked = now
+            self.withdrawn = (
+                messages.aborted(self.reader.copy(), self.stream.peek()) if pending.unread else ()
+            )
+        if number in self.withdrawn or mark in self.withdrawn:
+            loop.soon(self.withdraw, mark)
+            return False
+        return True
+
     def look(self, now):
         """What a glance now and then is enough for."""
         if self.stream.waiting and now - self.told > PROGRESS:
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/link.py
@@ -8,24 +8,41 @@
 from gaproute.hosts import proof
 from gaproute.hosts.jsonlines import lines
 from gaproute.interface import Effect, Result
+from gaproute.interface.call import always
 from gaproute.loop import Stream, connect
 
+# For a request that has begun to be with the kernel whole, ns: by no more is the limit told in it out when
+# its host can read it.
+WHOLE_WITHIN = 100_000_000
+EVER = 1 << 62  # a time that never comes: of requests whose answer has a time-out of its own
+
+
+class Unfinished(Exception):
+    """This side ends the connection as a request on it is not to come whole any more."""
+
 
 class Asked:
     """One request on a connection. `done(reply or None, what its failure proves or None)` once, never at
     once; it returns whether nothing goes out under that id again. `line(now)` gives its bytes, and is asked
-    when they are written; `until`: when it may begin at the latest."""
+    when they are written; `until`: when it may begin at the latest; `wanted()`: whether it still may."""
 
-    __slots__ = ("id", "line", "until", "done", "sent", "stop", "link")
+    __slots__ = ("id", "line", "until", "done", "sent", "stop", "link", "wanted")
 
-    def __init__(self, link, name, line, until, done, now):
+    def __init__(self, link, name, line, until, done, now, wanted=always):
         self.link, self.id, self.line, self.until, self.done, self.sent = link, name, line, until, done, now
+        self.wanted = wanted
         self.stop = None  # bytes written on its connection up to its end; None: none of it yet
 
     @property
     def begun(self):
         return self.stop is not None
 
+    @property
+    def withdrawable(self):
+        """Whether it is taken back, though begun, where nobody waits for it any more: its host has it whole
+        only with its last byte, and may not get that then."""
+        return self.link.stream.open and not self.link.handed(self)
+
     def end(self, reply, failure):
         done, self.done = self.done, None
         return done is not None and done(reply, failure)  # None: it was given up meanwhile
@@ -66,7 +83,7 @@
         """What waits goes out while the kernel takes it; what may no longer begin never does."""
         for asked in [asked for asked in self.open.values() if not asked.begun]:
             now = self.hosts.loop.now()
-            if now >= asked.until:
+            if now >= asked.until or not asked.wanted():
                 self.never(asked, Result.MOOT)
                 continue
             data = asked.line(now)
@@ -74,6 +91,13 @@
                 return  # `on_room` asks again
             self.written += len(data)
             asked.stop, asked.line = self.written, None
+            if self.stream.waiting and asked.until < EVER:
+                self.hosts.loop.after(WHOLE_WITHIN, self.look_whole, asked)
+
+    def look_whole(self, asked):
+        """What a host has had in part for so long it gets no more of: the limit in it is no longer true."""
+        if self.open.get(asked.id) is asked and not self.handed(asked):
+            self.fail(Unfinished("a request could not be written whole in time"))
 
     def never(self, asked, result):
         """It has not begun and never will."""
@@ -114,7 +138,7 @@
         now, ended = self.hosts.loop.now(), []
         for asked in self.open.values():
             ended.append((asked, proof.of_end(asked.begun, error, isinstance(error, lines.Spoilt))))
-            if self.served and self.heard < asked.sent and not isinstance(error, lines.Spoilt):
+            if self.served and self.heard < asked.sent and not isinstance(error, (lines.Spoilt, Unfinished)):
                 self.hosts.pooling.ended(now, self.host.name, asked.sent - self.used, now - asked.sent)
         self.open = {}
         self.drop()
@@ -130,8 +154,9 @@
             self.drop()
 
     def give_up(self, asked):
-        """One that has not begun never does. One that has is halted where the settings allow it, and its
-        connection ends where that was silent."""
+        """One that has not begun never does. One of which the host has a part never comes whole: its
+        connection ends. One that it has is halted where the settings allow it, and its connection ends where
+        that was silent."""
         asked.done = None
         if self.open.get(asked.id) is not asked:
             return
@@ -140,6 +165,9 @@
             if not self.open:
                 self.drop()
             return
+        if asked.until < EVER and not self.handed(asked):
+            self.fail(Unfinished("a request is taken back before it was written whole"))
+            return
         self.carried.add(asked.id)
         if self.hosts.pooling.silent(self.hosts.loop.now(), max(asked.sent, self.heard)):
             self.trusted = False
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -2,32 +2,34 @@
 
 A client that closes its side has left: HTTP/1.1 cannot tell a half-closed client from a gone one before
 bytes are written to it, and a task that nobody waits for must end at once. What is answered then is still
-written, so that one that only closed half gets a clear answer.
+written, so that one that only closed half gets a clear answer. A request whose client has closed behind it is
+handed over as `departed`: the handler answers it and begins nothing for it.
 """
 
 from gaproute.http1.deadlines import DeadlineLink
 from gaproute.http1.message import Fault, Reader
 from gaproute.http1.rendering import render
 from gaproute.loop import Stream
-from gaproute.loop.streams import HIGH
+from gaproute.loop.streams import FRESH, HIGH
 
 
 class ServerLink(DeadlineLink):
     """A connection at work, from its first byte until it has been quiet for a while."""
 
-    __slots__ = ("ended", "place", "tasks", "weight")
+    __slots__ = ("ended", "place", "tasks", "weight", "looked", "waited")
 
     def __init__(self, server, sock, place, tasks):
         self.server, self.place, self.tasks, self.idle_end = server, place, tasks, None
         self.resting = False  # in the server's line of those that may soon be parked
+        self.looked = 0  # when the client was last seen not to have closed
         self.weight = 0  # bytes held of a request that has not come in whole
-        # After a stop of the process, requests count from when they may have come, not from when they are
-        # read.
-        loop = server.loop
-        self.reader = Reader(True, lambda: loop.now() - loop.behind, server.limits.head, server.limits.body)
+        self.waited = 0  # how long what is read may have lain unread, ns: requests count from when they came
+        self.reader = Reader(
+            True, lambda: server.loop.now() - self.waited, server.limits.head, server.limits.body
+        )
         self.queue = []  # [request, rendered answer or None], in the order of the requests
         self.closing = self.ended = False
-        self.stream = Stream(server.loop, sock, self.bytes, self._end)
+        self.stream = Stream(server.loop, sock, self.bytes, self._end, hangup_first=True)
         self.stream.on_half, self.stream.on_room = self._half, self._room
         self.timer = self.due = None
 
@@ -35,13 +37,13 @@
         """Feeds received bytes to the parser and hands over the requests that they complete."""
         if self.closing:
             return
+        self.waited = max(self.server.loop.behind, self.stream.waited())
         try:
             requests = self.reader.feed(data)
         except Fault as fault:
             self._refuse(fault)
             return
-        for request in requests:
-            self._take(request)
+        self._take_all(requests)
         self._weigh(self.reader.size if self.reader.midway else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
@@ -52,6 +54,19 @@
             if self._crowded():
                 self.stream.pause()
 
+    def client_present(self):
+        """Whether the client has neither closed its side nor left, asked when something begins for it: a loop
+        in a long turn reads of that later."""
+        if self.ended or not self.stream.open:
+            return False
+        now = self.server.loop.now()
+        if now - self.looked >= FRESH:
+            if self.stream.hung_up():
+                self.server.loop.soon(self.stream.hear_end)
+                return False
+            self.looked = now
+        return True
+
     def _weigh(self, weight):
         server = self.server
         server.buffered += weight - self.weight
@@ -87,17 +102,24 @@
     def _refuse(self, fault):
         """Answers what cannot be read and closes; what was whole before it is answered first."""
         self.server.faults += 1
-        for request in self.reader.done:
-            self._take(request)
+        self._take_all(self.reader.done)
         self.reader.done = []
         headers, body = self.server.explain(fault)
         self.closing = True
         self.queue.append([None, render(fault.status, headers, body, True)])
         self._write()
 
+    def _take_all(self, requests):
+        departed = bool(requests) and self.stream.hung_up()
+        if requests and not departed:
+            self.looked = self.server.loop.now()
+        for request in requests:
+            request.departed = departed
+            self._take(request)
+
     def _take(self, request):
         request.link = self
-        if self.closing or self.server.loop.behind and self.stream.ended():
+        if self.closing or request.departed and self.server.loop.behind and not self.server.counted:
             return  # one that came and left while this process stood still is not taken
         self.tasks += 1
         if (
