--- /dev/null
+++ b/gaproute/faultinjection/disk.py
@@ -0,0 +1,386 @@
+"""A faulty disk for the ledger's tests: calls that fail or are short, and what a kill leaves behind.
+
+`FaultyDisk.installed(module, ...)` replaces the name `os` in modules that write files. Calls go through to
+real files in one folder, so that the modules read what they wrote; beside them the disk keeps account of
+what would be durable: the bytes that an fsync covered, and the names that a sync of the folder covered.
+
+- A fault of the plan makes a call fail, or a read or write short.
+- A failed fsync drops what it should have made durable: it can still be read, as from the page cache, but no
+  later fsync brings it to the disk. Only writing the bytes again does.
+- A kill at the n-th call raises `ProcessKilled` before, after or, for a write, in the middle of that call.
+  `end_process` then leaves what a dead process leaves: the page cache, some of it maybe evicted.
+  `fail_power` leaves what a machine that lost its power leaves: what is durable, of the rest any prefix,
+  maybe zeros where the bytes were to come; of renames, creations and removals any prefix.
+"""
+
+from __future__ import annotations
+
+import errno
+import os
+import random
+from collections import Counter
+from collections.abc import Callable, Iterator, Mapping, Sequence
+from contextlib import contextmanager
+from dataclasses import dataclass, field
+from enum import Enum
+from pathlib import Path
+from types import ModuleType
+from typing import Any
+
+from gaproute.faultinjection.plan import Failure, Fault, FaultPlan, Script, ShortTransfer
+
+FULL, QUOTA, BROKEN = Failure(errno.ENOSPC), Failure(errno.EDQUOT), Failure(errno.EIO)
+
+# How each call may go wrong, for plans by chance.
+FAULTS: Mapping[str, Sequence[Fault]] = {
+    "open": (FULL, QUOTA, BROKEN, Failure(errno.EMFILE), Failure(errno.ENFILE)),
+    "read": (BROKEN, ShortTransfer(1)),
+    "write": (FULL, QUOTA, BROKEN, ShortTransfer(1)),
+    "fsync": (FULL, QUOTA, BROKEN),
+    "ftruncate": (BROKEN,),
+    "rename": (FULL, QUOTA, BROKEN),
+    "replace": (FULL, QUOTA, BROKEN),
+    "link": (FULL, QUOTA, BROKEN),
+    "unlink": (BROKEN,),
+    "close": (FULL, BROKEN),
+}
+
+
+class ProcessKilled(BaseException):
+    """The process ended in the middle of a call. Not an Exception, so that no `except Exception` lives on."""
+
+
+class Moment(Enum):
+    """When the kill comes, seen from the call's effect."""
+
+    BEFORE = "before"
+    WITHIN = "within"  # of a write a part was done; any other call is whole or not begun
+    AFTER = "after"
+
+
+@dataclass(frozen=True, slots=True)
+class KillPoint:
+    """A kill at the `call`th call of any name, counted from 1."""
+
+    call: int
+    moment: Moment
+
+
+@dataclass(frozen=True, slots=True)
+class _Write:
+    offset: int
+    data: bytes
+
+    def apply(self, content: bytearray) -> None:
+        content.extend(bytes(max(0, self.offset - len(content))))
+        content[self.offset : self.offset + len(self.data)] = self.data
+
+
+@dataclass(frozen=True, slots=True)
+class _Truncate:
+    size: int
+
+    def apply(self, content: bytearray) -> None:
+        del content[self.size :]
+        content.extend(bytes(self.size - len(content)))
+
+
+@dataclass(eq=False, slots=True)
+class _File:
+    """One file, whatever its names: `cached` is what is read; `pending` is not synced yet."""
+
+    durable: bytearray = field(default_factory=bytearray)
+    cached: bytearray = field(default_factory=bytearray)
+    pending: list[_Write | _Truncate] = field(default_factory=list)
+
+    def change(self, change: _Write | _Truncate) -> None:
+        change.apply(self.cached)
+        self.pending.append(change)
+
+    def evicted(self) -> bytes:
+        """What is read once the clean pages have left the cache: changes that a failed sync dropped are
+        gone, those that are still to be written are there."""
+        content = bytearray(self.durable)
+        for change in self.pending:
+            change.apply(content)
+        return bytes(content)
+
+    def after_power_failure(self, chance: random.Random) -> bytes:
+        """What is durable and any prefix of the rest, the last write maybe in part or as zeros."""
+        content = bytearray(self.durable)
+        reached = chance.randrange(len(self.pending) + 1)
+        for change in self.pending[:reached]:
+            change.apply(content)
+        torn = self.pending[reached] if reached < len(self.pending) else None
+        if isinstance(torn, _Write):
+            _Write(torn.offset, torn.data[: chance.randrange(len(torn.data) + 1)]).apply(content)
+        if len(content) < len(self.cached) and chance.randrange(3) == 0:  # the size came, the bytes did not
+            content.extend(bytes(len(self.cached) - len(content)))
+        return bytes(content)
+
+
+@dataclass(frozen=True, slots=True)
+class _NameChange:
+    """One change of the folder: `name` is now of `file` (None: of none), and `gone` is no name any more."""
+
+    name: str
+    file: _File | None
+    gone: str | None = None
+
+    def apply(self, names: dict[str, _File]) -> None:
+        if self.gone is not None:
+            names.pop(self.gone, None)
+        if self.file is None:
+            names.pop(self.name, None)
+        else:
+            names[self.name] = self.file
+
+
+@dataclass(slots=True)
+class _Descriptor:
+    file: _File | None  # None for a folder
+    appends: bool = False
+    position: int = 0
+
+
+class FaultyDisk:
+    """One folder. `plan`: which calls fail; `kill`: at which call the process ends. `calls` counts them all,
+    `counts` by name."""
+
+    def __init__(
+        self,
+        folder: str | Path,
+        plan: FaultPlan | None = None,
+        *,
+        kill: KillPoint | None = None,
+        chance: random.Random | None = None,
+    ) -> None:
+        self.folder = os.path.abspath(folder)
+        self.plan = plan or FaultPlan(Script(()))
+        self.kill, self.chance = kill, chance or random.Random(0)
+        self.killed = False
+        self.calls = 0
+        self.counts: Counter[str] = Counter()
+        self._descriptors: dict[int, _Descriptor] = {}
+        self._names: dict[str, _File] = {}
+        self._durable_names: dict[str, _File] = {}
+        self._pending: list[_NameChange] = []
+        self._settle()
+
+    # The face
+
+    @contextmanager
+    def installed(self, *modules: ModuleType) -> Iterator[FaultyDisk]:
+        """Inside the block these modules' `os` is this disk."""
+        before = [module.os for module in modules]
+        for module in modules:
+            module.os = FaultyOs(self)
+        try:
+            yield self
+        finally:
+            for module, was in zip(modules, before, strict=True):
+                module.os = was
+
+    @property
+    def open_descriptors(self) -> int:
+        """Descriptors that were opened here and not closed."""
+        return len(self._descriptors)
+
+    def end_process(self) -> None:
+        """The process is gone, the machine runs on: descriptors are closed. Pages that a failed sync left as
+        clean may be evicted. The next process may use the disk."""
+        self._close_all()
+        if self.chance.randrange(2):
+            for name, file in self._names.items():
+                file.cached[:] = file.evicted()
+                Path(name).write_bytes(file.cached)
+
+    def fail_power(self) -> None:
+        """The machine is gone: the folder holds what its disk may hold. The next process may use it."""
+        self._close_all()
+        names = dict(self._durable_names)
+        for change in self._pending[: self.chance.randrange(len(self._pending) + 1)]:
+            change.apply(names)
+        contents = {name: file.after_power_failure(self.chance) for name, file in names.items()}
+        for name in self._names:
+            Path(name).unlink(missing_ok=True)
+        for name, content in contents.items():
+            Path(name).write_bytes(content)
+        self._settle()
+
+    # Calls, for `FaultyOs`
+
+    def open(self, path: Any, flags: int, mode: int = 0o777) -> int:
+        """See open(2)."""
+        name = os.path.abspath(os.fspath(path))
+        stood = os.path.lexists(name)
+        descriptor = self._call("open", lambda: os.open(path, flags, mode))
+        if os.path.dirname(name) == self.folder:
+            self._descriptors[descriptor] = self._opened(name, flags, stood)
+        elif name == self.folder:
+            self._descriptors[descriptor] = _Descriptor(None)
+        self._after()
+        return descriptor
+
+    def read(self, descriptor: int, count: int) -> bytes:
+        """See read(2)."""
+        fault = self._before("read")
+        most = fault.most if isinstance(fault, ShortTransfer) else count
+        data = os.read(descriptor, min(count, most))
+        self._after()
+        return data
+
+    def write(self, descriptor: int, data: Any) -> int:
+        """See write(2)."""
+        fault = self._before("write")
+        view = memoryview(data)
+        if isinstance(fault, ShortTransfer):
+            view = view[: max(1, fault.most)]
+        if self._kill_is(Moment.WITHIN):
+            view = view[: self.chance.randrange(len(view) + 1)]
+        written = os.write(descriptor, view) if view else 0
+        held = self._descriptors.get(descriptor)
+        if held is not None and held.file is not None and written:
+            offset = len(held.file.cached) if held.appends else held.position
+            held.file.change(_Write(offset, bytes(view[:written])))
+            held.position = offset + written
+        self._after(Moment.WITHIN, Moment.AFTER)
+        return written
+
+    def fsync(self, descriptor: int) -> None:
+        """See fsync(2). A failure drops what was to be made durable, all of it or from some point on."""
+        held = self._descriptors.get(descriptor)
+        try:
+            self._before("fsync")
+        except OSError:
+            self._synced(held, all_of_it=False)
+            raise
+        self._synced(held, all_of_it=True)
+        self._after()
+
+    def ftruncate(self, descriptor: int, size: int) -> None:
+        """See ftruncate(2)."""
+        self._call("ftruncate", lambda: os.ftruncate(descriptor, size))
+        held = self._descriptors.get(descriptor)
+        if held is not None and held.file is not None:
+            held.file.change(_Truncate(size))
+        self._after()
+
+    def close(self, descriptor: int) -> None:
+        """See close(2): the descriptor is released also where this fails."""
+        try:
+            self._before("close")
+        except OSError:
+            self._closed(descriptor)
+            raise
+        self._closed(descriptor)
+        self._after()
+
+    def rename(self, source: Any, target: Any, call: str = "rename") -> None:
+        """See rename(2)."""
+        self._call(call, lambda: os.rename(source, target))
+        old, new = os.path.abspath(os.fspath(source)), os.path.abspath(os.fspath(target))
+        file = self._names.get(old)
+        if file is not None:
+            self._rename(_NameChange(new, file, gone=old))
+        self._after()
+
+    def link(self, source: Any, target: Any) -> None:
+        """See link(2)."""
+        self._call("link", lambda: os.link(source, target))
+        file = self._names.get(os.path.abspath(os.fspath(source)))
+        if file is not None:
+            self._rename(_NameChange(os.path.abspath(os.fspath(target)), file))
+        self._after()
+
+    def unlink(self, path: Any) -> None:
+        """See unlink(2)."""
+        self._call("unlink", lambda: os.unlink(path))
+        self._rename(_NameChange(os.path.abspath(os.fspath(path)), None))
+        self._after()
+
+    # Account
+
+    def _opened(self, name: str, flags: int, stood: bool) -> _Descriptor:
+        file = self._names.get(name)
+        if file is None or not stood:
+            file = _File()
+            self._rename(_NameChange(name, file))
+        if flags & os.O_TRUNC and file.cached:
+            file.change(_Truncate(0))
+        return _Descriptor(file, bool(flags & os.O_APPEND))
+
+    def _rename(self, change: _NameChange) -> None:
+        change.apply(self._names)
+        self._pending.append(change)
+
+    def _synced(self, held: _Descriptor | None, *, all_of_it: bool) -> None:
+        """What was pending is durable, or only a first part of it is and the rest is dropped."""
+        if held is None:
+            return
+        pending = self._pending if held.file is None else held.file.pending
+        target = self._durable_names if held.file is None else held.file.durable
+        reached = len(pending) if all_of_it else self.chance.randrange(len(pending) + 1)
+        for change in pending[:reached]:
+            change.apply(target)
+        pending.clear()
+
+    def _closed(self, descriptor: int) -> None:
+        self._descriptors.pop(descriptor, None)
+        os.close(descriptor)
+
+    def _close_all(self) -> None:
+        self.killed = False
+        for descriptor in list(self._descriptors):
+            self._closed(descriptor)
+
+    def _settle(self) -> None:
+        """What the folder holds now is durable."""
+        self._names = {}
+        for path in Path(self.folder).iterdir():
+            if path.is_file():
+                content = path.read_bytes()
+                self._names[str(path)] = _File(bytearray(content), bytearray(content))
+        self._durable_names, self._pending = dict(self._names), []
+
+    # Faults and the kill
+
+    def _call(self, name: str, effect: Callable[[], Any]) -> Any:
+        self._before(name)
+        return effect()
+
+    def _before(self, name: str) -> Fault | None:
+        if self.killed:  # what cleans up behind a kill is not run by a dead process
+            raise ProcessKilled(f"{name} after the kill")
+        self.calls += 1
+        self.counts[name] += 1
+        if self._kill_is(Moment.BEFORE) or (name != "write" and self._kill_is(Moment.WITHIN)):
+            self._die(f"before call {self.calls}, {name}")
+        fault = self.plan.inject(name)
+        if isinstance(fault, Failure):
+            raise OSError(fault.errno, os.strerror(fault.errno))
+        return fault
+
+    def _after(self, *moments: Moment) -> None:
+        if any(self._kill_is(moment) for moment in moments or (Moment.AFTER,)):
+            self._die(f"after call {self.calls}")
+
+    def _die(self, where: str) -> None:
+        self.killed = True
+        raise ProcessKilled(where)
+
+    def _kill_is(self, moment: Moment) -> bool:
+        return self.kill is not None and self.kill.call == self.calls and self.kill.moment is moment
+
+
+class FaultyOs:
+    """Stands for the module `os`: the calls that change files go to the disk, all else is as it was."""
+
+    def __init__(self, disk: FaultyDisk) -> None:
+        self.open, self.read, self.write, self.close = disk.open, disk.read, disk.write, disk.close
+        self.fsync, self.ftruncate = disk.fsync, disk.ftruncate
+        self.rename, self.link, self.unlink = disk.rename, disk.link, disk.unlink
+        self.replace = lambda source, target: disk.rename(source, target, "replace")
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(os, name)
