--- a/gaproute/ledger/tables.py
+++ b/gaproute/ledger/tables.py
@@ -14,10 +14,11 @@
 import msgspec
 import xxhash
 
+from gaproute.ledger import files
+
 MAGIC = b"gaproute-table-1"
 CHECKSUM_BYTES = 8
 MAX_FILE = 5 << 20  # bytes: a whole encoded table and its head
-ONLY_OWNER = 0o600
 OLDEST = (-1, -1)
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
@@ -76,13 +77,10 @@
         """Keep this table in place of the one before; whether it stands on disk."""
         content = msgspec.msgpack.encode(table)
         content = MAGIC + _checksum(content) + content
-        beside = f"{self.path}.new"
         try:
             if len(content) > MAX_FILE:
                 raise OSError(f"a table of {len(content)} bytes is more than {MAX_FILE}")
-            _write_synced(beside, content)
-            os.rename(beside, self.path)
-            _sync_folder(self.path.parent)
+            files.close(files.put_in_place(self.path, content))
         except OSError as fault:
             self._failed(fault)
             return False
@@ -126,22 +124,3 @@
 
 def _checksum(content):
     return xxhash.xxh3_64_digest(content)
-
-
-def _write_synced(path, content):
-    file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, ONLY_OWNER)
-    try:
-        view = memoryview(content)
-        while view:
-            view = view[os.write(file, view) :]
-        os.fsync(file)
-    finally:
-        os.close(file)
-
-
-def _sync_folder(folder):
-    file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-    try:
-        os.fsync(file)
-    finally:
-        os.close(file)
--- a/gaproute/ledger/votes.py
+++ b/gaproute/ledger/votes.py
@@ -21,12 +21,10 @@
 import time
 from pathlib import Path
 
+from gaproute.ledger import files
 from gaproute.ledger.records import Bad, packed, parsed, whole
 from gaproute.shared.keepers import Lost
 
-ONLY_OWNER = 0o600
-ANEW = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
-
 
 class Votes:
     """`open` before use. `told(text)` says what an operator should know. `torn`: tails cut off."""
@@ -39,9 +37,9 @@
     def open(self):
         """Errors: OSError: the folder cannot be written, or another process holds the file."""
         try:
-            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, ONLY_OWNER)
+            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.ONLY_OWNER)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            Path(f"{self.path}.new").unlink(missing_ok=True)  # a replacement that was not finished
+            files.remove(f"{self.path}.new")  # a replacement that was not finished
         except OSError:
             self.close()
             raise
@@ -53,14 +51,15 @@
         with _Noted(self):
             self._forget()
             try:
-                data = self.path.read_bytes()
+                data = files.read_whole(self.path)
             except FileNotFoundError:
                 data = b""
             try:
                 records, good, last = parsed(data)
             except Bad as fault:
                 return Lost(str(fault))
-            self.file = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, ONLY_OWNER)
+            flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
+            self.file = os.open(self.path, flags, files.ONLY_OWNER)
             if good < len(data):
                 self.torn += 1
                 self.told(
@@ -69,7 +68,7 @@
                 )
                 os.ftruncate(self.file, good)
             os.fsync(self.file)  # what a dead process wrote may be in memory only
-            self._folder()
+            files.sync_folder(self.path.parent)
             self.number = self.first = last + 1
             return records
 
@@ -77,7 +76,7 @@
         """Stands for good only when `sync` has come back."""
         self._usable()
         with _Noted(self):
-            _all(self.file, packed(self.number, self.first, bytes(record)))
+            files.write_all(self.file, packed(self.number, self.first, bytes(record)))
             self.number += 1
 
     def sync(self):
@@ -90,19 +89,13 @@
         """All that stands there by `records`, at once and for good: written beside, synced, put in its
         place."""
         with _Noted(self):
-            new = f"{self.path}.new"
-            file = os.open(new, ANEW, ONLY_OWNER)
-            try:
-                _all(file, whole(map(bytes, records)))
-                os.fsync(file)
-                os.rename(new, self.path)
-                self._folder()
-            except BaseException:
-                os.close(file)
-                raise
-            self._forget()
-            self.file = file
-            self.number = self.first = len(records) + 1  # the seal is one
+            self._put(records)
+
+    def _put(self, records):
+        file = files.put_in_place(self.path, whole(map(bytes, records)))
+        self._forget()
+        self.file = file
+        self.number = self.first = len(records) + 1  # the seal is one
         self.failed = None
 
     def aside(self, why):
@@ -111,15 +104,8 @@
             self._forget()
             aside = f"{self.path}.broken-{self.wall()}"
             os.rename(self.path, aside)
-            self._folder()
-        self.told(f"{self.path}: {why}; set aside as {aside}; this keeper begins without a memory")
-
-    def _folder(self):
-        folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+            self.told(f"{self.path}: {why}; set aside as {aside}; this keeper begins without a memory")
+            files.sync_folder(self.path.parent)
 
     def _usable(self):
         if self.failed is not None or self.file is None:
@@ -128,13 +114,13 @@
 
     def _forget(self):
         if self.file is not None:
-            os.close(self.file)
+            files.close(self.file)
         self.file, self.number, self.first = None, 0, 0
 
     def close(self):
         self._forget()
         if self.lock is not None:
-            os.close(self.lock)
+            files.close(self.lock)
             self.lock = None
 
 
@@ -155,10 +141,3 @@
                     f"{votes.path}: {fault}; this keeper neither votes nor grants until all is written anew"
                 )
             votes.failed = fault
-
-
-def _all(file, data):
-    """A short write, as on a disk that is just full, is tried on until the error comes."""
-    view = memoryview(data)
-    while view:
-        view = view[os.write(file, view) :]
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -6,7 +6,9 @@
 
 import pytest
 
-from gaproute.ledger import Votes
+from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
+from gaproute.faultinjection.plan import FaultPlan, Script
+from gaproute.ledger import Votes, files
 from gaproute.ledger import votes as module
 from gaproute.ledger.records import Bad, packed, parsed, whole
 from gaproute.shared.keepers import Lost
@@ -159,6 +161,51 @@
     assert again(votes) == [b"one"]
 
 
+def faulty(tmp_path, *lines):
+    return FaultyDisk(tmp_path, FaultPlan(Script.of(*lines)))
+
+
+def test_a_close_that_fails_leaks_nothing_and_closes_no_descriptor_twice(votes, tmp_path):
+    """close(2) releases the descriptor also where it reports an error: closing it again would take that of
+    another file."""
+    disk = faulty(tmp_path, *[("close", number, BROKEN) for number in range(1, 9)])
+    with disk.installed(module, files):
+        one = votes()
+        assert one.read() == []
+        one.replace([b"one"])
+        assert disk.open_descriptors == 2  # the lock and the file
+        one.append(b"two")
+        one.sync()
+        one.close()
+    assert disk.open_descriptors == 0
+    assert again(votes) == [b"one", b"two"]
+
+
+@pytest.mark.parametrize("call", ["write", "fsync", "rename"])
+def test_a_replacement_that_fails_gives_its_space_back(votes, tmp_path, call):
+    filled(votes, [b"one"])
+    one = votes()
+    one.read()
+    disk = faulty(tmp_path, (call, 1, FULL))
+    with disk.installed(module, files), pytest.raises(OSError, match="No space"):
+        one.replace([b"other"])
+    assert disk.open_descriptors == 0 and not (tmp_path / "votes.new").exists()
+    one.close()
+    assert again(votes) == [b"one"]
+
+
+def test_a_file_is_said_to_be_set_aside_although_the_folder_was_not_synced(votes, tmp_path):
+    path = filled(votes, [b"one"], [b"two"])
+    written = path.read_bytes()
+    path.write_bytes(flipped(written, written.index(b"one")))
+    one = votes()
+    assert isinstance(one.read(), Lost)
+    disk = faulty(tmp_path, ("fsync", 1, BROKEN))
+    with disk.installed(module, files), pytest.raises(OSError, match="Input/output"):
+        one.aside("a bad record")
+    assert "a bad record; set aside as" in one.texts[0] and one.read() == []
+
+
 def test_a_full_device_is_told(votes):
     one = votes()
     one.read()
