--- a/gaproute/ledger/votes.py
+++ b/gaproute/ledger/votes.py
@@ -10,9 +10,9 @@
 Whose file it is stands in its first record, which is the keeper's to write and to compare (its name, and the
 number that its memory was given); a file of another gateway is then set aside by `aside`.
 
-Errors: OSError. After one of `append` or `sync` all but `replace` and `aside` are refused until it is opened
-anew: after a failed fsync the kernel may hold as clean what never came to the disk, and a replacement writes
-all anew.
+Errors: OSError. After one of `append` or `sync` all but `read`, `replace` and `aside` are refused: after a
+failed fsync the kernel may hold as clean what never came to the disk, and only writing all anew, which `read`
+and `replace` do, makes it durable.
 """
 
 import errno
@@ -47,30 +47,29 @@
 
     def read(self):
         """The records, as they were appended; Lost(why) where one in the middle is not what was written. A
-        torn tail is cut off. To be called once, before all else. Errors: OSError."""
+        torn tail is cut off. To be called before all else, and again after it failed. Errors: OSError.
+
+        All is written anew before it is handed out: what is read may be in memory only, left there as clean
+        by a sync that failed in a process before this one."""
         with _Noted(self):
+            if self.lock is None:
+                self.open()
             self._forget()
             try:
                 data = files.read_whole(self.path)
             except FileNotFoundError:
                 data = b""
             try:
-                records, good, last = parsed(data)
+                records, good, _ = parsed(data)
             except Bad as fault:
                 return Lost(str(fault))
-            flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
-            self.file = os.open(self.path, flags, files.ONLY_OWNER)
-            if good < len(data):
-                self.torn += 1
-                self.told(
-                    f"{self.path}: a torn tail of {len(data) - good} bytes cut off, "
-                    f"{len(records)} records stay"
-                )
-                os.ftruncate(self.file, good)
-            os.fsync(self.file)  # what a dead process wrote may be in memory only
-            files.sync_folder(self.path.parent)
-            self.number = self.first = last + 1
-            return records
+            self._put(records)
+        if good < len(data):
+            self.torn += 1
+            self.told(
+                f"{self.path}: a torn tail of {len(data) - good} bytes cut off, {len(records)} records stay"
+            )
+        return records
 
     def append(self, record):
         """Stands for good only when `sync` has come back."""
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -3,6 +3,7 @@
 
 import errno
 import os
+from types import SimpleNamespace
 
 import pytest
 
@@ -194,6 +195,41 @@
     assert again(votes) == [b"one"]
 
 
+def test_what_a_failed_sync_left_in_memory_is_not_believed_at_the_next_opening(votes, tmp_path):
+    """The next process reads it from the page cache, and its own fsync succeeds: the kernel took the pages
+    for clean when the first one failed."""
+    disk = faulty(tmp_path)
+    with disk.installed(module, files):
+        one = votes()
+        one.read()
+        disk.plan = FaultPlan(Script.of(("fsync", 1, BROKEN)))
+        one.append(b"one")
+        with pytest.raises(OSError, match="Input/output"):
+            one.sync()
+        disk.chance = SimpleNamespace(randrange=lambda below: 0)  # the least that may be left
+        disk.end_process()
+        one.file = one.lock = None
+        assert votes().read() == [b"one"]  # so it may be acted on
+        disk.fail_power()
+        assert votes().read() == [b"one"]
+        disk.end_process()
+
+
+def test_a_read_that_failed_is_read_again_and_goes_on(votes, tmp_path):
+    filled(votes, [b"one"])
+    disk = faulty(tmp_path, ("open", 1, FULL), ("read", 1, BROKEN), ("fsync", 1, FULL))
+    with disk.installed(module, files):
+        one = Votes(tmp_path / "votes", lambda text: None)
+        for _ in range(3):
+            with pytest.raises(OSError):
+                one.read()
+        assert one.read() == [b"one"]
+        one.append(b"two")
+        one.sync()
+        one.close()
+    assert disk.open_descriptors == 0 and again(votes) == [b"one", b"two"]
+
+
 def test_a_file_is_said_to_be_set_aside_although_the_folder_was_not_synced(votes, tmp_path):
     path = filled(votes, [b"one"], [b"two"])
     written = path.read_bytes()
