--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -199,6 +199,7 @@
     """The next process reads it from the page cache, and its own fsync succeeds: the kernel took the pages
     for clean when the first one failed."""
     disk = faulty(tmp_path)
+    disk.chance = SimpleNamespace(randrange=lambda below: 0)  # the least that may be left
     with disk.installed(module, files):
         one = votes()
         one.read()
@@ -206,7 +207,6 @@
         one.append(b"one")
         with pytest.raises(OSError, match="Input/output"):
             one.sync()
-        disk.chance = SimpleNamespace(randrange=lambda below: 0)  # the least that may be left
         disk.end_process()
         one.file = one.lock = None
         assert votes().read() == [b"one"]  # so it may be acted on
