--- a/gaproute/shared/keepers/store.py
+++ b/gaproute/shared/keepers/store.py
@@ -70,12 +70,12 @@
                     log, state = Log(record.index, record.last, record.members), record.state
                 else:
                     log.put(record.index, record.entry)
+            if log.last_term > term:
+                return Lost("entries of terms that it never entered")
             if state is not None:
-                self.unpack(state)
+                self.unpack(state)  # last: the machine of a disk that cannot be used stays empty
         except ValueError as fault:
             return Lost(f"not understood: {fault}")
-        if log.last_term > term:
-            return Lost("entries of terms that it never entered")
         self.life, self.term, self.voted, self.log, self.state = life, term, voted, log, state
         return None
 
--- a/tests/test_keepers_votes.py
+++ b/tests/test_keepers_votes.py
@@ -20,6 +20,8 @@
 )
 from gaproute.shared.keepers.records import Identity, Snapshot, Voted, Written, decode
 from gaproute.shared.keepers.records import encode as record
+from gaproute.shared.keepers.sessions import Sessions
+from gaproute.shared.permits import Permits, commands
 
 NAMES = ("a", "b", "c")
 ROLL = tuple(Member(name, number) for number, name in enumerate(NAMES, 1))
@@ -193,6 +195,21 @@
     assert one.tick(one.due) == [] and not one.member
 
 
+def test_nothing_of_a_disk_that_cannot_be_used_comes_into_force():
+    """Its snapshot is understood, its entries are of a term that it never entered."""
+    taken = Permits(quiet=False)
+    taken.apply(1, commands.encode(commands.Take("host-7", "h", 1, SECOND)), "h")
+    state = Sessions(taken).pack()
+    kept = disk()
+    late = Entry(7, NOTHING)
+    kept.records = [
+        record(each) for each in (Identity("b", 2), Snapshot(9, 2, ROLL, state), Written(10, late))
+    ]
+    one = Keeper("b", NAMES, kept, Chance(1), 0)
+    assert kept.put_aside == ["entries of terms that it never entered"] and one.store.blank
+    assert one.machine.permits == {} and one.machine.held == {} and one.machine.fence == 0
+
+
 def test_a_disk_that_cannot_be_read_is_tried_again_and_nothing_is_said_meanwhile():
     kept, good = disk(vote=("c", 3)), Disk.read
     kept.read = lambda: Disk.sync(kept)
