--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -4,6 +4,7 @@
 import secrets
 import time
 
+from gaproute.ledger.files import MOMENTARY
 from gaproute.ledger.votes import Votes
 from gaproute.peers.keepers import Seat
 from gaproute.shared.permits import Permits
@@ -14,13 +15,15 @@
 
 
 class Strong:
-    """`line`: the configuration's `keepers`. Errors: OSError where the file of votes cannot be had."""
+    """`line`: the configuration's `keepers`. Errors: OSError where the file of votes cannot be had. A disk
+    that fails for a while is no such error: the node of the group is silent until it answers."""
 
     def __init__(self, loop, name, line, record, chance):
         self.loop, self.peers = loop, {}  # name: address
         self.disk = None
         if name in line.names:
-            self.disk = Votes(line.votes, lambda text: record.event("warning", "votes", text=text)).open()
+            self.disk = Votes(line.votes, lambda text: record.event("warning", "votes", text=text))
+            self._open()
         self.seat = Seat(
             loop,
             name,
@@ -35,6 +38,14 @@
         self.errands = Errands(self.seat.holder, line.longest, secrets.randbits(LIVES) << 12)
         self.timer = None
 
+    def _open(self):
+        try:
+            self.disk.open()
+        except OSError as fault:
+            if fault.errno not in MOMENTARY:
+                raise
+            # the group's node opens it with its first read, which it repeats (`DISK_AGAIN`)
+
     def listed(self, peers):
         """{name: address} of all gateways that may ask. Changed in place, as the carrier holds it."""
         for name in [name for name in self.peers if name not in peers]:
--- a/tests/test_ledger_faults.py
+++ b/tests/test_ledger_faults.py
@@ -1,11 +1,24 @@
 """The ledger over a disk that fails, writes short, and is cut off at any call."""
 
+import errno
 import itertools
+from types import SimpleNamespace
 
 import pytest
 from faulty_ledger import Broken, Node, Records, Tables, hunt, play
 from ledger_mutants import PLANTED
 
+from gaproute.appliance.strong import Strong
+from gaproute.decisions.chance import Chance
+from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
+from gaproute.faultinjection.plan import Failure, FaultPlan, Script
+from gaproute.ledger import files
+from gaproute.ledger import votes as votes_module
+from gaproute.loop import Loop
+from gaproute.loop.loop import Stepped
+
+SECOND = 1_000_000_000
+
 PLAYERS = [Records, Node, Tables]
 
 
@@ -45,3 +58,67 @@
         hunt(planted.player, new_folder, range(4), steps=6, odds=6)
         hunt(planted.player, new_folder, range(2), steps=6)
     assert caught.value.name in planted.names
+
+
+class Strongly:
+    """The leases' part of one gateway, the only member of its group, on a clock of the test's."""
+
+    def __init__(self, folder, *lines):
+        self.disk = FaultyDisk(folder, FaultPlan(Script.of(*lines)))
+        self.loop, self.events = Loop(Stepped()), []
+        self.line = SimpleNamespace(names=("a",), votes=str(folder / "votes"), longest=SECOND)
+
+    def start(self):
+        record = SimpleNamespace(event=lambda level, what, **told: self.events.append((what, told)))
+        self.strong = Strong(self.loop, "a", self.line, record, Chance(1))
+        return self.strong.seat.keeper
+
+    def run(self, span):
+        end = self.loop.now() + span
+        self.loop.at(end, lambda: None)
+        while self.loop.now() < end:
+            self.loop.turn()
+
+    def close(self):
+        self.strong.close()
+        self.loop.close()
+
+
+@pytest.mark.parametrize("fault", [FULL, BROKEN, Failure(errno.EMFILE), Failure(errno.EDQUOT)])
+def test_a_gateway_starts_on_a_disk_that_fails_and_takes_part_once_it_answers(tmp_path, fault):
+    part = Strongly(tmp_path, *[("open", number, fault) for number in range(1, 4)])
+    with part.disk.installed(files, votes_module):
+        node = part.start()
+        assert node.mute and node.due > 0
+        part.run(12 * SECOND)
+        assert node.mute == "" and node.leading and len(part.disk.plan.log) == 3
+        assert [what for what, _ in part.events].count("votes") == 1  # said once
+        part.close()
+    assert part.disk.open_descriptors == 0
+
+
+@pytest.mark.parametrize("fault", [errno.EACCES, errno.ENOENT, errno.ENOTDIR])
+def test_a_place_where_no_votes_can_be_is_no_start(tmp_path, fault):
+    part = Strongly(tmp_path, ("open", 1, Failure(fault)))
+    with part.disk.installed(files, votes_module), pytest.raises(OSError):
+        part.start()
+    part.loop.close()
+    assert part.disk.open_descriptors == 0
+
+
+def test_a_gateway_goes_on_while_its_disk_fails_and_leads_again_after_it(tmp_path):
+    part = Strongly(tmp_path)
+    with part.disk.installed(files, votes_module):
+        node = part.start()
+        part.run(5 * SECOND)
+        assert node.leading
+        number = part.disk.counts["write"]
+        part.disk.plan = FaultPlan(Script.of(*[("write", each, FULL) for each in range(1, 4)]))
+        wish = part.strong.seat.holder.take(part.loop.now(), "host-7", SECOND)
+        part.strong._act()
+        part.run(SECOND)
+        assert node.mute and not node.leading and wish.state == "asked"
+        part.run(20 * SECOND)
+        assert node.leading and wish.state == "held" and part.disk.counts["write"] > number + 3
+        part.close()
+    assert part.disk.open_descriptors == 0 and not (tmp_path / "votes.new").exists()
