--- a/gaproute/ledger/tables.py
+++ b/gaproute/ledger/tables.py
@@ -2,7 +2,8 @@
 
 One file, put in place whole: written beside, synced, renamed. It begins with a checksum over all the rest.
 What is torn, of another fleet or no table is set aside for the operator, never fatal: the gateway starts
-without one. Write failures are counted and told once; the table in memory serves on.
+without one. Failures are counted and told once an outage; the table in memory serves on. A file that could
+not be read for a moment may hold a newer table than others tell: it is to be read before it is written over.
 """
 
 import os
@@ -20,6 +21,7 @@
 CHECKSUM_BYTES = 8
 MAX_FILE = 5 << 20  # bytes: a whole encoded table and its head
 OLDEST = (-1, -1)
+MAX_READS = 12  # that fail in turn, until the file is given up: a disk that answers has a bad place there
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
@@ -48,21 +50,19 @@
 
 
 class TableFile:
-    """`told(text)` is called with what an operator should know of, each kind of thing once."""
+    """`told(text)` is called with what an operator should know of, each outage once. `unread`: reads that
+    failed since the last that did not, for a reason that passes; until it is 0 nothing should be written."""
 
     def __init__(self, path, fleet: str, told, wall=time.time_ns):
         self.path, self.fleet, self.told, self.wall = Path(path), fleet, told, wall
         self.counts = TableFileCounts()
+        self.unread = 0
+        self.failing = False
 
     def read(self, heard: tuple[int, int] = OLDEST) -> StoredTable | None:
         """The table kept; None where there is none that can be used. `heard`: the version others hold."""
-        try:
-            with self.path.open("rb") as opened:
-                content = opened.read(MAX_FILE + 1)
-        except FileNotFoundError:
-            return None
-        except OSError as fault:
-            self._failed(fault)
+        content = self._read()
+        if content is None:
             return None
         try:
             table = self._checked(content)
@@ -85,6 +85,7 @@
             self._failed(fault)
             return False
         self.counts.written += 1
+        self.failing = False
         return True
 
     def set_aside(self, reason: str):
@@ -94,10 +95,24 @@
         try:
             os.rename(self.path, aside)
         except OSError as fault:
-            self._failed(fault)
+            self._failed(f"{reason}; not set aside: {fault}")
             return
-        if self.counts.set_aside == 1:
-            self.told(f"{self.path}: {reason}; set aside as {aside}, starting without a table")
+        self.told(f"{self.path}: {reason}; set aside as {aside}, starting without a table")
+
+    def _read(self) -> bytes | None:
+        try:
+            content = files.read_whole(self.path, MAX_FILE + 1)
+        except FileNotFoundError:
+            content = None
+        except OSError as fault:
+            self._failed(fault)
+            self.unread = self.unread + 1 if fault.errno in files.MOMENTARY else 0
+            if self.unread == MAX_READS:
+                self.unread = 0
+                self.set_aside(f"not read {MAX_READS} times: {fault}")
+            return None
+        self.unread, self.failing = 0, False
+        return content
 
     def _checked(self, content):
         if len(content) > MAX_FILE:
@@ -118,7 +133,8 @@
 
     def _failed(self, fault):
         self.counts.failed += 1
-        if self.counts.failed == 1:
+        if not self.failing:
+            self.failing = True
             self.told(f"{self.path}: {fault}; the table is not kept on disk")
 
 
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -21,6 +21,7 @@
 LEAST_TURN = SECOND // 200  # between two turns of the timer
 LIST_INTERVAL = 5 * SECOND  # between two looks at the members
 WRITE_INTERVAL = 60 * SECOND  # between two writes to disk: each waits for the disk
+RETRY_INTERVAL = 5 * SECOND  # until a read or write that failed is tried again
 
 
 class TableCarrier:
@@ -174,8 +175,17 @@
 
     def _restore(self):
         kept = None if self.file is None else self.file.read(self.disseminator.document.version)
-        if kept is None:
-            return
+        if kept is not None:
+            self._take_kept(kept)
+        self._write_soon()
+
+    def _restore_late(self):
+        """What could not be read at the start: taken if it is newer than what was heard meanwhile."""
+        kept = self.file.read()
+        if kept is not None and (kept.term, kept.number) > self.disseminator.document.version:
+            self._take_kept(kept)
+
+    def _take_kept(self, kept):
         version = Version(kept.term, kept.number)
         try:
             self.disseminator.publish_whole(self.loop.now(), version, kept.digest, kept.data)
@@ -186,12 +196,22 @@
 
     def _write(self):
         self.write_at = self.loop.now() + WRITE_INTERVAL
-        document = self.disseminator.document
-        if self.file is None or document.version <= self.written:
+        if self.file is None:
             return
+        if self.file.unread:
+            self._restore_late()
+        document = self.disseminator.document
+        if self.file.unread or document.version <= self.written:
+            return self._write_soon()
         term, number = document.version
         if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.whole())):
             self.written = document.version
+        self._write_soon()
+
+    def _write_soon(self):
+        """While the disk fails it is tried more often than what is new is written."""
+        if self.file is not None and (self.file.unread or self.file.failing):
+            self.write_at = min(self.write_at, self.loop.now() + RETRY_INTERVAL)
 
     def _tell(self, text):
         self.record.event("warning", "cell table on disk", text=text)
--- a/tests/test_ledger_tables.py
+++ b/tests/test_ledger_tables.py
@@ -6,7 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from gaproute.ledger.tables import MAX_FILE, StoredTable, TableFile
+from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
+from gaproute.faultinjection.plan import FaultPlan, Script
+from gaproute.ledger import files
+from gaproute.ledger import tables as tables_module
+from gaproute.ledger.tables import MAX_FILE, MAX_READS, StoredTable, TableFile
 
 KEPT = StoredTable("north", 3, 17, (1 << 64) - 1, b"rows" * 100)
 
@@ -96,6 +100,42 @@
     assert kept.read() is None and kept.counts.failed == 1 and len(told) == 1
 
 
+def test_an_outage_is_told_once_and_the_next_one_again(path):
+    disk = FaultyDisk(path.parent, FaultPlan(Script.of(*[("write", each, FULL) for each in (1, 2, 4)])))
+    kept, told = opened(path)
+    with disk.installed(files):
+        assert [kept.write(KEPT) for _ in range(5)] == [False, False, True, False, True]
+    assert len(told) == 2 and kept.counts.failed == 3 and disk.open_descriptors == 0
+    assert os.listdir(path.parent) == [path.name]
+
+
+def test_a_file_that_is_not_read_for_a_moment_stays_and_is_to_be_read_first(path):
+    disk = FaultyDisk(path.parent, FaultPlan(Script.of(("open", 1, FULL), ("read", 1, BROKEN))))
+    kept, told = opened(path)
+    with disk.installed(files):
+        assert kept.read() is None and kept.unread == 1
+        assert kept.read() is None and kept.unread == 2
+        assert kept.read() == KEPT and kept.unread == 0 and len(told) == 1
+
+
+def test_a_file_that_is_never_read_is_given_up_and_kept_aside(path):
+    lines = [("read", each, BROKEN) for each in range(1, MAX_READS + 1)]
+    kept, told = opened(path)
+    with FaultyDisk(path.parent, FaultPlan(Script.of(*lines))).installed(files):
+        assert [kept.read() for _ in range(MAX_READS)] == [None] * MAX_READS
+        assert kept.unread == 0 and asides(path) == ["cells.table.broken-7"]
+        assert kept.write(KEPT) and kept.read() == KEPT
+    assert len(told) == 2 and f"not read {MAX_READS} times" in told[1]
+
+
+def test_why_a_table_cannot_be_used_is_told_also_where_it_cannot_be_set_aside(path):
+    path.write_bytes(b"no table")
+    kept, told = opened(path)
+    with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, BROKEN)))).installed(tables_module):
+        assert kept.read() is None
+    assert len(told) == 1 and "no cell table; not set aside: " in told[0]
+
+
 def test_a_short_write_does_not_replace_the_table(path, monkeypatch):
     write = os.write
 
--- a/tests/test_tables_carrier.py
+++ b/tests/test_tables_carrier.py
@@ -10,12 +10,16 @@
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.table import Version
 from gaproute.decisions.chance import Chance
+from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
+from gaproute.faultinjection.plan import FaultPlan, Script
+from gaproute.ledger import files
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
 from gaproute.peers.giver import Giver
 from gaproute.peers.gossip import CARRIED, Gossip
 from gaproute.peers.tables import TableCarrier, wire
+from gaproute.peers.tables import carrier as carrier_module
 from gaproute.shared.dissemination import DocumentError, Peer
 from gaproute.shared.dissemination.bounds import PART_BYTES
 from gaproute.shared.dissemination.messages import Announcement, Pull
@@ -262,3 +266,37 @@
     assert two.carrier.table() == FIRST and two.carrier.timer is None
     two.carrier.start()
     fleet.until_all_hold(one.carrier.table())
+
+
+def test_a_table_that_could_not_be_read_at_the_start_is_taken_before_it_is_written_over(
+    fleet, tmp_path, monkeypatch
+):
+    """Others know an older table only: this gateway was the one to which the newer one was given."""
+    monkeypatch.setattr(carrier_module, "RETRY_INTERVAL", 100 * MILLI)
+    path = tmp_path / "cells.table"
+    newer = table(cells(26, entries=0), number=5)
+    before = fleet.add("one", path=path)
+    before.carrier.publish(newer)
+    fleet.until(lambda: before.carrier.written == newer.version)
+    fleet.remove(before)
+    fleet.add("two").carrier.publish(FIRST)
+    disk = FaultyDisk(tmp_path, FaultPlan(Script.of(*[("read", each, BROKEN) for each in range(1, 4)])))
+    with disk.installed(files):
+        again = fleet.add("one", path=path)
+        fleet.until_all_hold(newer)
+    assert disk.open_descriptors == 0 and len(disk.plan.log) == 3
+    assert [what for what, _ in again.record.events].count("cell table on disk") == 1
+
+
+def test_a_table_is_served_while_the_disk_fails_and_written_once_it_does_not(fleet, tmp_path, monkeypatch):
+    monkeypatch.setattr(carrier_module, "RETRY_INTERVAL", 100 * MILLI)
+    path = tmp_path / "cells.table"
+    faults = [("fsync", each, BROKEN) for each in range(1, 4)] + [("write", 4, FULL)]
+    disk = FaultyDisk(tmp_path, FaultPlan(Script.of(*faults)))
+    with disk.installed(files):
+        one = fleet.add("one", path=path)
+        fleet.add("two")
+        published(fleet)
+        fleet.until(lambda: one.carrier.written == FIRST.version)
+    assert len(disk.plan.log) == 4 and disk.open_descriptors == 0
+    assert [what for what, _ in one.record.events].count("cell table on disk") == 1
