--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -7,7 +7,16 @@
 import click
 
 from gaproute.cli.common import refuse
-from gaproute.conf import Mistakes, move, read_charter, read_hosts, read_peers, read_text, write_whole
+from gaproute.conf import (
+    Mistakes,
+    NotDurableError,
+    move,
+    read_charter,
+    read_hosts,
+    read_peers,
+    read_text,
+    write_whole,
+)
 from gaproute.conf.cell_files import check_cells
 
 
@@ -108,6 +117,13 @@
                 f"{new}: stands already; name another file or say --replace; nothing is written", err=True
             )
             sys.exit(2)
+        except NotDurableError as fault:
+            click.echo(
+                f"{new}: written, but a crash of the machine may undo it ({fault.strerror}); "
+                "write it again with --replace",
+                err=True,
+            )
+            sys.exit(2)
         except OSError as fault:
             click.echo(
                 f"{new}: {fault.strerror}; name a file that can be written; nothing is written", err=True
--- a/gaproute/conf/__init__.py
+++ b/gaproute/conf/__init__.py
@@ -2,12 +2,13 @@
 
 from gaproute.conf.charter import Charter
 from gaproute.conf.lines import Mistakes
-from gaproute.conf.moving import move, write_whole
+from gaproute.conf.moving import NotDurableError, move, write_whole
 from gaproute.conf.reading import read_charter, read_hosts, read_peers, read_text
 
 __all__ = [
     "Charter",
     "Mistakes",
+    "NotDurableError",
     "move",
     "read_charter",
     "read_hosts",
--- a/gaproute/conf/moving.py
+++ b/gaproute/conf/moving.py
@@ -7,8 +7,8 @@
 """
 
 import os
+import secrets
 import shlex
-import tempfile
 from typing import NamedTuple
 
 from gaproute.conf.across import twice
@@ -19,6 +19,7 @@
 # What a deployment states; everything else is the operator's own and stays as it is.
 STATED = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
 NAMED = ("track", "tenant")
+READABLE = 0o644  # of the file written
 
 
 class Left(NamedTuple):
@@ -149,23 +150,54 @@
     return " ".join(shlex.quote(each) for each in words)
 
 
+class NotDurableError(OSError):
+    """The file is in its place, whole; whether its name outlasts a crash of the machine is not known."""
+
+
 def write_whole(path, text, replace, kept):
     """The file whole or not at all: written beside it, then put in its place. One that stands is written over
-    where `replace` says so, never one of the `kept`: the way back needs them. Errors: `OSError`."""
+    where `replace` says so, never one of the `kept`: the way back needs them. Errors: `OSError`; where the
+    file is in its place all the same, `NotDurableError`."""
     if os.path.exists(path) and any(os.path.samefile(path, file) for file in kept):
         raise FileExistsError
     folder = os.path.dirname(os.path.abspath(path))
-    fd, beside = tempfile.mkstemp(dir=folder, prefix=".migrate-")
+    beside = os.path.join(folder, f".migrate-{secrets.token_hex(8)}")
+    file = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, READABLE)
     try:
-        with os.fdopen(fd, "w") as file:
-            file.write(text)
-            file.flush()
-            os.fsync(file.fileno())
-        os.chmod(beside, 0o644)
+        try:
+            _write_synced(file, text.encode())
+        finally:
+            os.close(file)
         if replace:
             os.replace(beside, path)
         else:
             os.link(beside, path)  # fails where the file stands, also if it came meanwhile
     finally:
-        if os.path.exists(beside):
-            os.unlink(beside)
+        _discard(beside)
+    try:
+        _sync_folder(folder)
+    except OSError as fault:
+        raise NotDurableError(fault.errno, fault.strerror) from fault
+
+
+def _write_synced(file, data):
+    os.fchmod(file, READABLE)  # whatever the umask
+    left = memoryview(data)
+    while left:
+        left = left[os.write(file, left) :]
+    os.fsync(file)
+
+
+def _sync_folder(folder):
+    file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    try:
+        os.fsync(file)
+    finally:
+        os.close(file)
+
+
+def _discard(path):
+    try:
+        os.unlink(path)
+    except OSError:
+        pass  # it was put in its place, or stays as a file of no use beside it
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -1,13 +1,17 @@
 """A configuration moved to another shape of deployment, and a gateway on loopback that runs by the result."""
 
+import errno
 import os
+import random
 
 import pytest
 from click.testing import CliRunner
 from helpers import CHARTER, MILLI, SECOND
 
 from gaproute.cli.main import main
-from gaproute.conf import Mistakes, move, read_charter
+from gaproute.conf import Mistakes, move, moving, read_charter
+from gaproute.faultinjection.disk import FULL, FaultyDisk, KillPoint, Moment, ProcessKilled
+from gaproute.faultinjection.plan import FaultPlan, Script
 
 OLD = """# our box
 name g1
@@ -119,6 +123,57 @@
     assert run(tmp_path, "--replace").exit_code == 2 and (tmp_path / "old").read_text() == OLD
 
 
+def written_under(disk, path, replace):
+    """Whether the new text was said to be written to the faulty disk."""
+    with disk.installed(moving):
+        try:
+            moving.write_whole(str(path), "new\n" * 50, replace, kept=())
+        except (OSError, ProcessKilled):
+            return False
+    return True
+
+
+@pytest.mark.parametrize("replace", [False, True])
+@pytest.mark.parametrize("moment", Moment)
+def test_a_kill_at_any_call_leaves_the_file_whole_or_as_it_was(tmp_path, replace, moment):
+    said = 0
+    for call in range(1, 20):
+        for seed in range(6):
+            folder = tmp_path / f"{call}-{seed}"
+            folder.mkdir()
+            path = folder / "new"
+            if replace:
+                path.write_text("old")
+            disk = FaultyDisk(folder, kill=KillPoint(call, moment), chance=random.Random(seed))
+            done = written_under(disk, path, replace)
+            (disk.fail_power if seed % 2 else disk.end_process)()
+            stands = path.read_text() if path.exists() else None
+            assert stands in ({"new\n" * 50} if done else {"new\n" * 50, "old" if replace else None})
+            said += done
+    assert said  # the last kills come after the last call
+
+
+@pytest.mark.parametrize("call", ["open", "write", "fsync", "close", "replace"])
+def test_a_disk_that_fails_leaves_the_file_as_it_was_and_nothing_beside_it(tmp_path, call):
+    (tmp_path / "new").write_text("old")
+    disk = FaultyDisk(tmp_path, FaultPlan(Script.of((call, 1, FULL))))
+    assert not written_under(disk, tmp_path / "new", True)
+    assert [path.name for path in tmp_path.iterdir()] == ["new"] and disk.open_descriptors == 0
+    assert (tmp_path / "new").read_text() == "old"
+    assert written_under(FaultyDisk(tmp_path), tmp_path / "new", True)
+    assert (tmp_path / "new").stat().st_mode & 0o777 == 0o644
+
+
+def test_a_file_that_a_crash_may_undo_is_said_to_be_one(tmp_path, monkeypatch):
+    def unsynced(folder):
+        raise OSError(errno.EIO, "Input/output error")
+
+    monkeypatch.setattr(moving, "_sync_folder", unsynced)
+    done = run(tmp_path)
+    assert done.exit_code == 2 and "written, but a crash of the machine may undo it" in done.output
+    assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
+
+
 @pytest.mark.parametrize("old", [b"\xff\xfe", b"track\x00"])
 def test_an_old_file_that_is_no_text_is_refused_without_a_traceback(tmp_path, old):
     run(tmp_path)
