--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -177,7 +177,6 @@
         kept = None if self.file is None else self.file.read(self.disseminator.document.version)
         if kept is not None:
             self._take_kept(kept)
-        self._write_soon()
 
     def _restore_late(self):
         """What could not be read at the start: taken if it is newer than what was heard meanwhile."""
@@ -195,23 +194,22 @@
         self.written = version
 
     def _write(self):
-        self.write_at = self.loop.now() + WRITE_INTERVAL
         if self.file is None:
             return
         if self.file.unread:
             self._restore_late()
         document = self.disseminator.document
-        if self.file.unread or document.version <= self.written:
-            return self._write_soon()
+        if self.file.unread:
+            self.write_at = self.loop.now() + RETRY_INTERVAL
+            return
+        if document.version <= self.written:
+            return  # what is new after a quiet time is written in the next turn
+        self.write_at = self.loop.now() + WRITE_INTERVAL
         term, number = document.version
         if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.whole())):
             self.written = document.version
-        self._write_soon()
-
-    def _write_soon(self):
-        """While the disk fails it is tried more often than what is new is written."""
-        if self.file is not None and (self.file.unread or self.file.failing):
-            self.write_at = min(self.write_at, self.loop.now() + RETRY_INTERVAL)
+        else:
+            self.write_at = self.loop.now() + RETRY_INTERVAL
 
     def _tell(self, text):
         self.record.event("warning", "cell table on disk", text=text)
--- a/tests/test_tables_carrier.py
+++ b/tests/test_tables_carrier.py
@@ -300,3 +300,18 @@
         fleet.until(lambda: one.carrier.written == FIRST.version)
     assert len(disk.plan.log) == 4 and disk.open_descriptors == 0
     assert [what for what, _ in one.record.events].count("cell table on disk") == 1
+
+
+def test_a_table_is_on_disk_soon_after_it_was_accepted_and_later_ones_not_each_at_once(fleet, tmp_path):
+    path = tmp_path / "cells.table"
+    one = fleet.add("one", path=path)
+    fleet.add("two")
+    ends = fleet.loop.now() + SECOND // 2
+    fleet.until(lambda: fleet.loop.now() > ends)  # several turns without a table
+    published(fleet)
+    fleet.until(lambda: one.carrier.written == FIRST.version, within=5 * SECOND)
+    assert one.carrier.write_at > fleet.loop.now() + 50 * SECOND
+    one.carrier.publish_change(next_change(FIRST, capacity=7.5))
+    ends = fleet.loop.now() + 2 * SECOND
+    fleet.until(lambda: fleet.loop.now() > ends)
+    assert one.carrier.written == FIRST.version and one.carrier.file.counts.written == 1
