--- a/gaproute/faultinjection/disk.py
+++ b/gaproute/faultinjection/disk.py
@@ -21,12 +21,13 @@
 from collections import Counter
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from contextlib import contextmanager
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from enum import Enum
 from pathlib import Path
 from types import ModuleType
 from typing import Any
 
+from gaproute.faultinjection.durability import CachedFile, NameChange, Truncate, Write
 from gaproute.faultinjection.plan import Failure, Fault, FaultPlan, Script, ShortTransfer
 
 FULL, QUOTA, BROKEN = Failure(errno.ENOSPC), Failure(errno.EDQUOT), Failure(errno.EIO)
@@ -66,79 +67,9 @@
     moment: Moment
 
 
-@dataclass(frozen=True, slots=True)
-class _Write:
-    offset: int
-    data: bytes
-
-    def apply(self, content: bytearray) -> None:
-        content.extend(bytes(max(0, self.offset - len(content))))
-        content[self.offset : self.offset + len(self.data)] = self.data
-
-
-@dataclass(frozen=True, slots=True)
-class _Truncate:
-    size: int
-
-    def apply(self, content: bytearray) -> None:
-        del content[self.size :]
-        content.extend(bytes(self.size - len(content)))
-
-
-@dataclass(eq=False, slots=True)
-class _File:
-    """One file, whatever its names: `cached` is what is read; `pending` is not synced yet."""
-
-    durable: bytearray = field(default_factory=bytearray)
-    cached: bytearray = field(default_factory=bytearray)
-    pending: list[_Write | _Truncate] = field(default_factory=list)
-
-    def change(self, change: _Write | _Truncate) -> None:
-        change.apply(self.cached)
-        self.pending.append(change)
-
-    def evicted(self) -> bytes:
-        """What is read once the clean pages have left the cache: changes that a failed sync dropped are
-        gone, those that are still to be written are there."""
-        content = bytearray(self.durable)
-        for change in self.pending:
-            change.apply(content)
-        return bytes(content)
-
-    def after_power_failure(self, chance: random.Random) -> bytes:
-        """What is durable and any prefix of the rest, the last write maybe in part or as zeros."""
-        content = bytearray(self.durable)
-        reached = chance.randrange(len(self.pending) + 1)
-        for change in self.pending[:reached]:
-            change.apply(content)
-        torn = self.pending[reached] if reached < len(self.pending) else None
-        if isinstance(torn, _Write):
-            _Write(torn.offset, torn.data[: chance.randrange(len(torn.data) + 1)]).apply(content)
-        if len(content) < len(self.cached) and chance.randrange(3) == 0:  # the size came, the bytes did not
-            content.extend(bytes(len(self.cached) - len(content)))
-        return bytes(content)
-
-
-@dataclass(frozen=True, slots=True)
-class _NameChange:
-    """One change of the folder: `name` is now of `file` (None: of none), and `gone` is no name any more."""
-
-    name: str
-    file: _File | None
-    gone: str | None = None
-
-    def apply(self, names: dict[str, _File]) -> None:
-        if self.gone is not None:
-            names.pop(self.gone, None)
-        if self.file is None:
-            names.pop(self.name, None)
-        else:
-            names[self.name] = self.file
-
-
 @dataclass(slots=True)
 class _Descriptor:
-    file: _File | None  # None for a folder
+    file: CachedFile | None  # None for a folder
     appends: bool = False
     position: int = 0
 
@@ -162,9 +93,9 @@
         self.calls = 0
         self.counts: Counter[str] = Counter()
         self._descriptors: dict[int, _Descriptor] = {}
-        self._names: dict[str, _File] = {}
-        self._durable_names: dict[str, _File] = {}
-        self._pending: list[_NameChange] = []
+        self._names: dict[str, CachedFile] = {}
+        self._durable_names: dict[str, CachedFile] = {}
+        self._pending: list[NameChange] = []
         self._settle()
 
     # The face
@@ -242,7 +173,7 @@
         held = self._descriptors.get(descriptor)
         if held is not None and held.file is not None and written:
             offset = len(held.file.cached) if held.appends else held.position
-            held.file.change(_Write(offset, bytes(view[:written])))
+            held.file.change(Write(offset, bytes(view[:written])))
             held.position = offset + written
         self._after(Moment.WITHIN, Moment.AFTER)
         return written
@@ -263,7 +194,7 @@
         self._call("ftruncate", lambda: os.ftruncate(descriptor, size))
         held = self._descriptors.get(descriptor)
         if held is not None and held.file is not None:
-            held.file.change(_Truncate(size))
+            held.file.change(Truncate(size))
         self._after()
 
     def close(self, descriptor: int) -> None:
@@ -282,7 +213,7 @@
         old, new = os.path.abspath(os.fspath(source)), os.path.abspath(os.fspath(target))
         file = self._names.get(old)
         if file is not None:
-            self._rename(_NameChange(new, file, gone=old))
+            self._rename(NameChange(new, file, gone=old))
         self._after()
 
     def link(self, source: Any, target: Any) -> None:
@@ -290,13 +221,13 @@
         self._call("link", lambda: os.link(source, target))
         file = self._names.get(os.path.abspath(os.fspath(source)))
         if file is not None:
-            self._rename(_NameChange(os.path.abspath(os.fspath(target)), file))
+            self._rename(NameChange(os.path.abspath(os.fspath(target)), file))
         self._after()
 
     def unlink(self, path: Any) -> None:
         """See unlink(2)."""
         self._call("unlink", lambda: os.unlink(path))
-        self._rename(_NameChange(os.path.abspath(os.fspath(path)), None))
+        self._rename(NameChange(os.path.abspath(os.fspath(path)), None))
         self._after()
 
     # Account
@@ -304,13 +235,13 @@
     def _opened(self, name: str, flags: int, stood: bool) -> _Descriptor:
         file = self._names.get(name)
         if file is None or not stood:
-            file = _File()
-            self._rename(_NameChange(name, file))
+            file = CachedFile()
+            self._rename(NameChange(name, file))
         if flags & os.O_TRUNC and file.cached:
-            file.change(_Truncate(0))
+            file.change(Truncate(0))
         return _Descriptor(file, bool(flags & os.O_APPEND))
 
-    def _rename(self, change: _NameChange) -> None:
+    def _rename(self, change: NameChange) -> None:
         change.apply(self._names)
         self._pending.append(change)
 
@@ -340,7 +271,7 @@
         for path in Path(self.folder).iterdir():
             if path.is_file():
                 content = path.read_bytes()
-                self._names[str(path)] = _File(bytearray(content), bytearray(content))
+                self._names[str(path)] = CachedFile(bytearray(content), bytearray(content))
         self._durable_names, self._pending = dict(self._names), []
 
     # Faults and the kill
--- /dev/null
+++ b/gaproute/faultinjection/durability.py
@@ -0,0 +1,84 @@
+"""What a file and a folder keep through a crash: changes in the cache, and those that reached the disk."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+
+
+@dataclass(frozen=True, slots=True)
+class Write:
+    """Bytes written at an offset; a gap before it is zeros."""
+
+    offset: int
+    data: bytes
+
+    def apply(self, content: bytearray) -> None:
+        """Make this change of the file's content."""
+        content.extend(bytes(max(0, self.offset - len(content))))
+        content[self.offset : self.offset + len(self.data)] = self.data
+
+
+@dataclass(frozen=True, slots=True)
+class Truncate:
+    """The size is set: what is behind it goes, what is missing is zeros."""
+
+    size: int
+
+    def apply(self, content: bytearray) -> None:
+        """Make this change of the file's content."""
+        del content[self.size :]
+        content.extend(bytes(self.size - len(content)))
+
+
+@dataclass(eq=False, slots=True)
+class CachedFile:
+    """One file, whatever its names: `cached` is what is read; `pending` is not synced yet."""
+
+    durable: bytearray = field(default_factory=bytearray)
+    cached: bytearray = field(default_factory=bytearray)
+    pending: list[Write | Truncate] = field(default_factory=list)
+
+    def change(self, change: Write | Truncate) -> None:
+        """Make the change in the cache; the disk gets it with a sync, or by and by."""
+        change.apply(self.cached)
+        self.pending.append(change)
+
+    def evicted(self) -> bytes:
+        """What is read once the clean pages have left the cache: changes that a failed sync dropped are
+        gone, those that are still to be written are there."""
+        content = bytearray(self.durable)
+        for change in self.pending:
+            change.apply(content)
+        return bytes(content)
+
+    def after_power_failure(self, chance: random.Random) -> bytes:
+        """What is durable and any prefix of the rest, the last write maybe in part or as zeros."""
+        content = bytearray(self.durable)
+        reached = chance.randrange(len(self.pending) + 1)
+        for change in self.pending[:reached]:
+            change.apply(content)
+        torn = self.pending[reached] if reached < len(self.pending) else None
+        if isinstance(torn, Write):
+            Write(torn.offset, torn.data[: chance.randrange(len(torn.data) + 1)]).apply(content)
+        if len(content) < len(self.cached) and chance.randrange(3) == 0:  # the size came, the bytes did not
+            content.extend(bytes(len(self.cached) - len(content)))
+        return bytes(content)
+
+
+@dataclass(frozen=True, slots=True)
+class NameChange:
+    """One change of the folder: `name` is now of `file` (None: of none), and `gone` is no name any more."""
+
+    name: str
+    file: CachedFile | None
+    gone: str | None = None
+
+    def apply(self, names: dict[str, CachedFile]) -> None:
+        """Make this change of the folder's names."""
+        if self.gone is not None:
+            names.pop(self.gone, None)
+        if self.file is None:
+            names.pop(self.name, None)
+        else:
+            names[self.name] = self.file
--- a/gaproute/ledger/memory.py
+++ b/gaproute/ledger/memory.py
@@ -11,6 +11,7 @@
 when the machine was booted since. So a wall clock that is set makes no fact of this boot younger.
 """
 
+import contextlib
 import fcntl
 import os
 import sqlite3
@@ -66,8 +67,7 @@
 
 def passes(fault):
     """Whether a failure of SQLite's says nothing of the file itself."""
-    code = getattr(fault, "sqlite_errorcode", None)
-    return code is not None and code & PRIMARY_CODE in MOMENTARY
+    return getattr(fault, "sqlite_errorcode", 0) & PRIMARY_CODE in MOMENTARY
 
 
 def _sum(key, data):
@@ -152,10 +152,8 @@
         """Whether it can be written to; opens it where it is not open and the pause since the last attempt
         is over."""
         if self.base is None and self.clock() >= self.retry_at:
-            try:
+            with contextlib.suppress(NoMemory):  # put off, and told before
                 self.open()
-            except NoMemory:
-                pass  # put off, and told before
         return self.base is not None
 
     def _put_off(self):
