--- a/gaproute/ledger/votes.py
+++ b/gaproute/ledger/votes.py
@@ -10,9 +10,9 @@
 Whose file it is stands in its first record, which is the keeper's to write and to compare (its name, and the
 number that its memory was given); a file of another gateway is then set aside by `aside`.
 
-Errors: OSError. After one of `append` or `sync` all but `replace` and `aside` are refused until it is opened
-anew: after a failed fsync the kernel may hold as clean what never came to the disk, and a replacement writes
-all anew.
+Errors: OSError. After one of `append` or `sync` all but `read`, `replace` and `aside` are refused: after a
+failed fsync the kernel may hold as clean what never came to the disk, and only writing all anew, which `read`
+and `replace` do, makes it durable.
 """
 
 import errno
@@ -21,12 +21,10 @@
 import time
 from pathlib import Path
 
+from gaproute.ledger import files
 from gaproute.ledger.records import Bad, packed, parsed, whole
 from gaproute.shared.keepers import Lost
 
-ONLY_OWNER = 0o600
-ANEW = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
-
 
 class Votes:
     """`open` before use. `told(text)` says what an operator should know. `torn`: tails cut off."""
@@ -39,9 +37,9 @@
     def open(self):
         """Errors: OSError: the folder cannot be written, or another process holds the file."""
         try:
-            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, ONLY_OWNER)
+            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.ONLY_OWNER)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            Path(f"{self.path}.new").unlink(missing_ok=True)  # a replacement that was not finished
+            files.remove(f"{self.path}.new")  # a replacement that was not finished
         except OSError:
             self.close()
             raise
@@ -49,35 +47,35 @@
 
     def read(self):
         """The records, as they were appended; Lost(why) where one in the middle is not what was written. A
-        torn tail is cut off. To be called once, before all else. Errors: OSError."""
+        torn tail is cut off. To be called before all else, and again after it failed. Errors: OSError.
+
+        All is written anew before it is handed out: what is read may be in memory only, left there as clean
+        by a sync that failed in a process before this one."""
         with _Noted(self):
+            if self.lock is None:
+                self.open()
             self._forget()
             try:
-                data = self.path.read_bytes()
+                data = files.read_whole(self.path)
             except FileNotFoundError:
                 data = b""
             try:
-                records, good, last = parsed(data)
+                records, good, _ = parsed(data)
             except Bad as fault:
                 return Lost(str(fault))
-            self.file = os.open(self.path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, ONLY_OWNER)
-            if good < len(data):
-                self.torn += 1
-                self.told(
-                    f"{self.path}: a torn tail of {len(data) - good} bytes cut off, "
-                    f"{len(records)} records stay"
-                )
-                os.ftruncate(self.file, good)
-            os.fsync(self.file)  # what a dead process wrote may be in memory only
-            self._folder()
-            self.number = self.first = last + 1
-            return records
+            self._put(records)
+        if good < len(data):
+            self.torn += 1
+            self.told(
+                f"{self.path}: a torn tail of {len(data) - good} bytes cut off, {len(records)} records stay"
+            )
+        return records
 
     def append(self, record):
         """Stands for good only when `sync` has come back."""
         self._usable()
         with _Noted(self):
-            _all(self.file, packed(self.number, self.first, bytes(record)))
+            files.write_all(self.file, packed(self.number, self.first, bytes(record)))
             self.number += 1
 
     def sync(self):
@@ -90,19 +88,13 @@
         """All that stands there by `records`, at once and for good: written beside, synced, put in its
         place."""
         with _Noted(self):
-            new = f"{self.path}.new"
-            file = os.open(new, ANEW, ONLY_OWNER)
-            try:
-                _all(file, whole(map(bytes, records)))
-                os.fsync(file)
-                os.rename(new, self.path)
-                self._folder()
-            except BaseException:
-                os.close(file)
-                raise
-            self._forget()
-            self.file = file
-            self.number = self.first = len(records) + 1  # the seal is one
+            self._put(records)
+
+    def _put(self, records):
+        file = files.put_in_place(self.path, whole(map(bytes, records)))
+        self._forget()
+        self.file = file
+        self.number = self.first = len(records) + 1  # the seal is one
         self.failed = None
 
     def aside(self, why):
@@ -111,15 +103,8 @@
             self._forget()
             aside = f"{self.path}.broken-{self.wall()}"
             os.rename(self.path, aside)
-            self._folder()
-        self.told(f"{self.path}: {why}; set aside as {aside}; this keeper begins without a memory")
-
-    def _folder(self):
-        folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
-        try:
-            os.fsync(folder)
-        finally:
-            os.close(folder)
+            self.told(f"{self.path}: {why}; set aside as {aside}; this keeper begins without a memory")
+            files.sync_folder(self.path.parent)
 
     def _usable(self):
         if self.failed is not None or self.file is None:
@@ -128,13 +113,13 @@
 
     def _forget(self):
         if self.file is not None:
-            os.close(self.file)
+            files.close(self.file)
         self.file, self.number, self.first = None, 0, 0
 
     def close(self):
         self._forget()
         if self.lock is not None:
-            os.close(self.lock)
+            files.close(self.lock)
             self.lock = None
 
 
@@ -155,10 +140,3 @@
                     f"{votes.path}: {fault}; this keeper neither votes nor grants until all is written anew"
                 )
             votes.failed = fault
-
-
-def _all(file, data):
-    """A short write, as on a disk that is just full, is tried on until the error comes."""
-    view = memoryview(data)
-    while view:
-        view = view[os.write(file, view) :]
