--- a/gaproute/lobby/lot.py
+++ b/gaproute/lobby/lot.py
@@ -99,7 +99,7 @@
 
     def make_room(self):
         """No descriptor was to be had: some idle ones go, the oldest first."""
-        self.look(self.loop.lobby.poll(0, LOBBY), self.loop.now())  # one that has just spoken is not idle
+        self.look(self.loop.lobby_events(LOBBY), self.loop.now())  # one that has just spoken is not idle
         self.loop.waiting = True
         for fd in self.admission.oldest(self.loop.now(), self._idle()):
             self.displaced += 1
@@ -177,7 +177,7 @@
         `first_by`: those that have brought no request yet stay parked, until that time at the latest.
         """
         now = self.loop.now()
-        while events := self.loop.lobby.poll(0, LOBBY):  # each is told once: no more than are parked
+        while events := self.loop.lobby_events(LOBBY):  # each is told once: no more than are parked
             self.look(events, now)
         self.loop.waiting = True
         for listener in [
--- /dev/null
+++ b/gaproute/loop/faults.py
@@ -0,0 +1,67 @@
+"""Failures of system calls that pass by themselves, by the manual pages of Linux, and the pauses between
+tries."""
+
+import errno
+
+# socket(2), accept(2), pipe2(2), epoll_create(2), epoll_ctl(2), open(2), send(2): nothing is left of what the
+# call needs. ENOSPC is epoll_ctl's, for the watches of one user.
+SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC))
+INTERRUPTIONS = frozenset((errno.EINTR, errno.EAGAIN))
+MOMENTARY = SHORTAGES | INTERRUPTIONS
+
+# bind(2): the port is still held by a process that ends, or the interface is only coming up. A wrong address
+# fails alike, so that these are worth fewer tries.
+ADDRESS_NOT_FREE = frozenset((errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN, errno.ENETUNREACH))
+
+# connect(2): no port of its own is left, or its network is away for a moment: this machine's trouble.
+NO_OWN_ADDRESS = frozenset((errno.EADDRNOTAVAIL,))
+NO_OWN_NETWORK = frozenset((errno.ENETDOWN, errno.ENETUNREACH))
+
+# accept(2): the connection that was next has failed, which says nothing of the one behind it. The network
+# errors are those that Linux hands on from the new socket; the last four are named by its page as well.
+CONNECTION_FAILED = frozenset(
+    (
+        errno.EINTR,
+        errno.ECONNABORTED,
+        errno.EPERM,
+        errno.ENETDOWN,
+        errno.EPROTO,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+        errno.ENOSR,
+        errno.ESOCKTNOSUPPORT,
+        errno.EPROTONOSUPPORT,
+        errno.ETIMEDOUT,
+    )
+)
+
+
+def is_momentary(fault):
+    """Whether the same call may succeed in a moment with nothing changed by the caller."""
+    return fault.errno in MOMENTARY
+
+
+class Backoff:
+    """Pauses between tries, ns: the first, then twice the one before, up to the longest."""
+
+    def __init__(self, first, longest):
+        self.first, self.longest = first, longest
+        self.pause = first
+
+    def next(self):
+        """The pause until the next try."""
+        pause, self.pause = self.pause, min(2 * self.pause, self.longest)
+        return pause
+
+    @property
+    def begun(self):
+        """Whether a try has failed since the last reset."""
+        return self.pause > self.first
+
+    def reset(self):
+        """A try has succeeded: the next pause is the first one again."""
+        self.pause = self.first
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -15,6 +15,7 @@
 from collections import deque
 
 from gaproute.decisions.admission.admission import ADMISSION_TIME
+from gaproute.loop.faults import Backoff, is_momentary
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LATE = 50 * MILLI  # a turn this late was stopped, not busy: a busy one lasts some milliseconds
@@ -23,6 +24,7 @@
 IDLE = SECOND  # longest wait in one poll: a clock that jumps is noticed within it
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 GONE = select.EPOLLHUP | select.EPOLLERR
+REGISTER_FIRST, REGISTER_LONGEST = 2 * MILLI, 100 * MILLI  # between tries to register with the epoll
 
 
 class Promise:
@@ -118,12 +120,24 @@
         return ready
 
 
+def wait(epoll, span):
+    """Events of the epoll after `span` ns at the latest; an interrupted wait ends early, a look does not."""
+    while True:
+        try:
+            return epoll.poll(max(0, span) / SECOND)
+        except InterruptedError:
+            if span > 0:
+                return []
+
+
 class Loop:
     def __init__(self, clock=time.monotonic_ns):
         self.clock = clock
-        self.poll = getattr(clock, "poll", None) or (lambda epoll, span: epoll.poll(max(0, span) / SECOND))
+        self.poll = getattr(clock, "poll", None) or wait
         self.epoll = select.epoll()
         self.watched = {}  # descriptor: call(events)
+        self.unregistered = {}  # watched descriptor that the epoll has not with these events yet: events
+        self.register_timer, self.register_backoff = None, Backoff(REGISTER_FIRST, REGISTER_LONGEST)
         self.leaving = {}  # stream that says farewell (`Stream.close`): since when; the oldest first
         self.fresh = set()  # watched since the last poll: what that told is of an earlier life of them
         self.lobby = select.epoll()  # of what is parked; one event of the outer one
@@ -174,30 +188,91 @@
     # Descriptors
 
     def watch(self, fd, events, call):
+        """`call(events)` from now on. Where the epoll is short of memory or of watches for a moment, it is
+        tried again until `unwatch`. Other errors: OSError, and it is not watched."""
         self.watched[fd] = call
         self.fresh.add(fd)
-        self.epoll.register(fd, events)
+        try:
+            self._register(fd, events)
+        except OSError as fault:
+            self._put_off(fd, events, fault)
 
     def rewatch(self, fd, events):
-        self.epoll.modify(fd, events)
+        """Other events of a watched descriptor. Errors: as `watch`."""
+        try:
+            self.epoll.modify(fd, events)
+        except OSError as fault:
+            self._put_off(fd, events, fault)
+        else:
+            if self.unregistered:
+                self.unregistered.pop(fd, None)
 
     def unwatch(self, fd):
-        if self.watched.pop(fd, None) is not None:
+        """Nothing more is called for the descriptor."""
+        if self.watched.pop(fd, None) is None:
+            return
+        if self.unregistered:
+            self.unregistered.pop(fd, None)
+        self._unregister(fd)
+
+    def _register(self, fd, events):
+        try:
+            self.epoll.register(fd, events)
+        except FileExistsError:  # it could not be unregistered before
+            self.epoll.modify(fd, events)
+
+    def _unregister(self, fd):
+        try:
             self.epoll.unregister(fd)
+        except OSError:
+            pass  # not registered yet; or it stays until it is closed or has an event (`_bytes`)
+
+    def _put_off(self, fd, events, fault):
+        """The epoll did not take the descriptor: a momentary failure is tried again."""
+        if not is_momentary(fault) and fd not in self.unregistered:
+            self.watched.pop(fd, None)
+            raise fault
+        self.unregistered[fd] = events
+        if self.register_timer is None:
+            self.register_timer = self.after(self.register_backoff.next(), self._register_again)
+
+    def _register_again(self):
+        """One more try for each descriptor that the epoll did not take; a second failure is a shortage."""
+        self.register_timer = None
+        waiting, self.unregistered = self.unregistered, {}
+        for fd, events in waiting.items():
+            try:
+                self._register(fd, events)
+            except OSError as fault:
+                self.guard(self._put_off, fd, events, fault)
+        if not self.unregistered:
+            self.register_backoff.reset()
+        elif self.patient is not None:
+            self.patient.make_room()
 
     def on_signal(self, number, call):
-        """`call()` in a turn of the loop, never inside the handler; through a wake-up descriptor."""
+        """`call()` in a turn of the loop, never inside the handler; through a wake-up descriptor. Errors:
+        OSError where that cannot be had; nothing is left behind then."""
         if not self.signals:
-            reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
-            signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
-            self.watch(reader, READ, lambda events: self._signalled(reader))
+            self._open_wakeup()
         self.signals[number] = call
         signal.signal(number, lambda *_: None)
 
+    def _open_wakeup(self):
+        reader, writer = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
+        try:
+            self.watch(reader, READ, lambda events: self._signalled(reader))
+            signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
+        except BaseException:
+            self.unwatch(reader)
+            os.close(reader)
+            os.close(writer)
+            raise
+
     def _signalled(self, reader):
         try:
             numbers = os.read(reader, 512)
-        except BlockingIOError:
+        except (BlockingIOError, InterruptedError):
             return
         for number in dict.fromkeys(numbers):
             if number in self.signals:
@@ -256,14 +331,24 @@
         self.fresh.clear()
         for fd, events in ready:
             if fd == self.inner:
-                self.patient.look(self.lobby.poll(0, LOBBY), self.clock() - self.behind)
+                self.patient.look(self.lobby_events(), self.clock() - self.behind)
                 self.waiting = True
                 continue
-            call = self.watched.get(fd)  # an earlier callback of this turn may have closed it
-            if call is not None and fd not in self.fresh:
+            call = self.watched.get(fd)
+            if call is None:  # an earlier callback of this turn has closed it, or unregistering it failed
+                self._unregister(fd)
+            elif fd not in self.fresh:
                 self.guard(call, events)
         self._queued()
 
+    def lobby_events(self, most=LOBBY):
+        """What the inner epoll has to tell now, so many events of it."""
+        while True:
+            try:
+                return self.lobby.poll(0, most)
+            except InterruptedError:
+                continue
+
     def _queued(self):
         for _ in range(len(self.queue)):
             call, args = self.queue.popleft()
--- /dev/null
+++ b/tests/failing.py
@@ -0,0 +1,47 @@
+"""System calls that fail as a test tells them: stand-ins for an epoll, and for one call of a module."""
+
+import os
+
+
+def fault(code):
+    """The OSError of that number, of its own class as the interpreter raises it."""
+    return OSError(code, os.strerror(code))
+
+
+class Failing:
+    """Stands for a call: its first calls fail with these numbers, one each (None: that one is carried
+    out)."""
+
+    def __init__(self, call, *codes):
+        self.call, self.codes, self.failed = call, list(codes), 0
+
+    def __call__(self, *args, **named):
+        code = self.codes.pop(0) if self.codes else None
+        if code is not None:
+            self.failed += 1
+            raise fault(code)
+        return self.call(*args, **named)
+
+
+class FailingEpoll:
+    """Stands for an epoll: `fail(name, *codes)` makes the next calls of that method fail."""
+
+    def __init__(self, epoll):
+        self.epoll = epoll
+
+    def __getattr__(self, name):
+        return getattr(self.epoll, name)
+
+    def fail(self, name, *codes):
+        """The next calls of the method `name` fail with these numbers."""
+        setattr(self, name, failing := Failing(getattr(self.epoll, name), *codes))
+        return failing
+
+
+def open_descriptors():
+    """The numbers of this process's open descriptors."""
+    listing = os.open("/proc/self/fd", os.O_RDONLY | os.O_DIRECTORY)
+    try:
+        return {int(name) for name in os.listdir(listing)} - {listing}
+    finally:
+        os.close(listing)
