--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -45,9 +45,9 @@
         self.stopping, self.emptied = False, None  # call() after a stop, when no connection is left
         self.family = where[0]
         self.lot = Lot.of(loop)
-        self.number = self.lot.open(self)
-        self.listener = Listener(loop, where, None, on_ready=self._ready)
+        self.listener = Listener(loop, where, None, on_ready=self._ready)  # first: it may fail
         self.address = self.listener.address
+        self.number = self.lot.open(self)
         self.sweeper = loop.after(SWEEP, self._sweep)
 
     def _ready(self):
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -25,10 +25,11 @@
         self.turned_away = self.faults = 0
         self.family = where[0]
         self.lot = Lot.of(loop)
-        self.number = self.lot.open(self)
         self.shared = inherited is not None  # others accept from the same queue
+        # first: it may fail
         self.listener = Listener(loop, where, None, on_ready=self._ready, inherited=inherited)
         self.address = self.listener.address
+        self.number = self.lot.open(self)
 
     @property
     def held(self):
--- a/gaproute/loop/datagrams.py
+++ b/gaproute/loop/datagrams.py
@@ -28,10 +28,10 @@
         self.sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
             self.sock.bind(target)
+            loop.watch(self.sock.fileno(), READ, self._ready)
         except OSError:
             self.sock.close()
             raise
-        loop.watch(self.sock.fileno(), READ, self._ready)
 
     def _ready(self, events):
         for _ in range(READS):
--- a/gaproute/loop/faults.py
+++ b/gaproute/loop/faults.py
@@ -45,6 +45,11 @@
     return fault.errno in MOMENTARY
 
 
+def is_momentary_read(fault):
+    """Whether a file that could not be opened or read may be so in a moment: open(2), read(2)."""
+    return fault.errno in MOMENTARY or fault.errno == errno.EIO
+
+
 class Backoff:
     """Pauses between tries, ns: the first, then twice the one before, up to the longest."""
 
--- /dev/null
+++ b/gaproute/loop/starting.py
@@ -0,0 +1,47 @@
+"""The start of a process while system calls fail for a moment: steps are tried again for a bounded time."""
+
+import time
+
+from gaproute.loop.faults import ADDRESS_NOT_FREE, Backoff, is_momentary, is_momentary_read
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+START_TIME = 6 * SECOND  # for all steps together: a process is to serve, or to have told why not, within 10 s
+ADDRESS_TIME = 2 * SECOND  # for an address that cannot be had: usually it is a wrong one
+FIRST, LONGEST = 5 * MILLI, 250 * MILLI  # between tries
+
+
+def cause_of(fault):
+    """The OSError behind a failure, itself or what it was raised from; None where there is none."""
+    for each in (fault, fault.__cause__):
+        if isinstance(each, OSError):
+            return each
+    return None
+
+
+class Patience:
+    """Calls the steps of a start; a step that fails for a moment is called again, and so has to leave nothing
+    behind when it fails. Waits for real: nothing else is to be done meanwhile."""
+
+    def __init__(self, clock=time.monotonic_ns, sleep=time.sleep):
+        self.clock, self.sleep = clock, sleep
+        self.began = clock()
+
+    def call(self, step):
+        """What the step returns. Errors: its last one, once its time is up or where waiting is of no use."""
+        backoff = Backoff(FIRST, LONGEST)
+        while True:
+            try:
+                return step()
+            except Exception as fault:
+                if self.clock() + backoff.pause > self.began + time_for(cause_of(fault)):
+                    raise
+            self.sleep(backoff.next() / SECOND)
+
+
+def time_for(fault):
+    """How long after its begin a start waits for the end of such a failure, ns."""
+    if fault is None:
+        return 0
+    if is_momentary(fault) or is_momentary_read(fault):
+        return START_TIME
+    return ADDRESS_TIME if fault.errno in ADDRESS_NOT_FREE else 0
--- a/gaproute/node/__main__.py
+++ b/gaproute/node/__main__.py
@@ -1,10 +1,13 @@
 """`python -m gaproute.node`: one gateway of the platform, as the environment says. Exit codes: 0 stopped, 2
-the environment or the configuration cannot be used, 3 the address cannot be listened on."""
+the environment or the configuration cannot be used, 3 the address cannot be listened on, or the operating
+system gives too little to start with. What may pass by itself is tried again first (`loop.starting`)."""
 
 import gc
 import os
 import sys
 
+from gaproute.loop import Loop
+from gaproute.loop.starting import Patience
 from gaproute.node.charter import Refused, environment, read
 from gaproute.node.process import Process
 from gaproute.record.record import FOLLOWED
@@ -18,15 +21,21 @@
 
 
 def main():
+    patience = Patience()
     try:
         name, listen, path = environment()
-        process = Process(path, read(path), name, listen, followed=followed())
+        told = patience.call(lambda: read(path))
+        loop = patience.call(Loop)
+        process = Process(path, told, name, listen, loop=loop, followed=followed())
+        patience.call(process.heed_signals)
     except Refused as fault:
         print(fault, file=sys.stderr)
         return 2
-    process.heed_signals()
+    except OSError as fault:
+        print(f"cannot start: {fault.strerror}", file=sys.stderr)
+        return 3
     try:
-        process.start()
+        patience.call(process.start)
     except OSError as fault:
         print(f"cannot listen on {process.listen}: {fault.strerror}", file=sys.stderr)
         return 3
--- a/gaproute/node/charter.py
+++ b/gaproute/node/charter.py
@@ -46,7 +46,7 @@
         with open(path, "rb") as file:
             told = file.read()
     except OSError as fault:
-        raise Unread(f"EDGE_CONFIG: {path}: {fault.strerror}", fault) from None
+        raise Unread(f"EDGE_CONFIG: {path}: {fault.strerror}", fault) from fault
     try:
         charter = msgspec.json.decode(told, type=Charter)
     except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
--- a/gaproute/node/process.py
+++ b/gaproute/node/process.py
@@ -18,6 +18,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.connecting import short
 from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.faults import Backoff, is_momentary_read
 from gaproute.loop.streams import address
 from gaproute.node import charter as charters
 from gaproute.node.log import Log
@@ -25,7 +26,8 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 STATUS = 5 * SECOND  # between lines of status: a few of them in the shortest day
-AGAIN = 200 * MILLI  # until a file that could not be opened is tried again
+AGAIN, AGAIN_LONGEST = 200 * MILLI, 5 * SECOND  # until a file that could not be read is tried again
+PEERS_FIRST, PEERS_LONGEST = 50 * MILLI, 5 * SECOND  # between tries to hear the peers
 STILL_COMING = 800 * MILLI  # after SIGTERM, in which clients still come: 0.6 s, and a turn or two
 GRANTED = 700 * MILLI  # beyond the longest deadline, until SIGKILL may come after SIGTERM
 LONGEST = 3 * SECOND  # what a longer deadline counts as there
@@ -60,10 +62,11 @@
         self.seed, self.sockets = seed, sockets
         self.front = self.follower = self.peers = None
         self.stopping, self.granted = False, 0
-        self.again = None  # timer of a reload that could not be read
+        self.again, self.reload_backoff = None, Backoff(AGAIN, AGAIN_LONGEST)  # of a file not read yet
+        self.peers_timer, self.peers_backoff = None, Backoff(PEERS_FIRST, PEERS_LONGEST)
 
     def start(self):
-        """Errors: OSError where the address cannot be listened on."""
+        """Errors: OSError where the address cannot be listened on; it may be called again then."""
         self.front = Front(
             self.loop,
             address(self.listen),
@@ -98,12 +101,17 @@
         self.status()
 
     def hear_peers(self):
-        """Without others a gateway serves by its own probes: no reason not to start."""
+        """Without others a gateway serves by its own probes: no reason not to start. It goes on trying."""
+        self.peers_timer = None
         try:
             self.peers = Datagrams(self.loop, self.charter.peer_listen, self.core.told)
         except OSError as fault:
-            self.log.warning("no peers", listen=self.charter.peer_listen, error=str(fault))
+            if not self.peers_backoff.begun:
+                self.log.warning("no peers", listen=self.charter.peer_listen, error=str(fault))
+            self.peers_timer = self.loop.after(self.peers_backoff.next(), self.hear_peers)
             return
+        if self.peers_backoff.begun:
+            self.log.info("peers", listen=self.charter.peer_listen)
         self.core.tell = lambda words: self.peers.send(words, self.charter.peers_all)
 
     def told(self, event):
@@ -130,24 +138,32 @@
 
     def reload(self):
         """The file anew: the log's address may have moved. A file that cannot be used changes nothing; one
-        that cannot be opened for want of a descriptor is tried again until it can."""
+        that cannot be read for a moment is tried again until it can."""
+        self.reload_backoff.reset()
+        self._reload()
+
+    def _reload(self):
         if self.again is not None:
             self.again.cancel()
             self.again = None
         try:
             charter, _, _ = charters.read(self.path)
         except charters.Refused as fault:
-            if isinstance(fault, charters.Unread) and short(self.loop, fault.fault):
-                self.log.warning("configuration not read yet", text=str(fault))
-                self.again = self.loop.after(AGAIN, self.reload)
-            else:
-                self.log.error("configuration refused", text=str(fault))
+            self._not_reloaded(fault)
             return
         self.log.info("configuration", changelog=charter.changelog)
         self.charter = charter
         if self.follower is not None:
             self.follower.move(charter.changelog)
 
+    def _not_reloaded(self, fault):
+        if isinstance(fault, charters.Unread) and is_momentary_read(fault.fault):
+            short(self.loop, fault.fault)
+            self.log.warning("configuration not read yet", text=str(fault))
+            self.again = self.loop.after(self.reload_backoff.next(), self._reload)
+        else:
+            self.log.error("configuration refused", text=str(fault))
+
     def stop(self):
         """Goes on serving while clients still come, then takes nothing new, ends what is held and leaves."""
         if not self.stopping:
@@ -174,6 +190,9 @@
         self.loop.run()
         self.loop.guard(self.status)
         self.log.info("stopped", held=len(self.core.held), connections=self.front.held)
+        for timer in (self.again, self.peers_timer):
+            if timer is not None:
+                timer.cancel()
         for part in (self.front, self.follower, self.hosts, self.peers):
             if part is not None:
                 self.loop.guard(part.close)
--- /dev/null
+++ b/tests/test_syscalls_start.py
@@ -0,0 +1,310 @@
+"""The start and the reload of the platform's gateway while system calls fail for a moment."""
+
+import builtins
+import errno
+import json
+import os
+import select
+import signal
+import socket
+import subprocess
+import sys
+import time
+
+import pytest
+from failing import Failing, fault, open_descriptors
+from scripted import MILLI, SECOND, SETTINGS, Handed
+
+from gaproute.loop import Loop, connecting, datagrams, starting
+from gaproute.loop.starting import ADDRESS_TIME, START_TIME, Patience
+from gaproute.node import __main__ as program
+from gaproute.node import charter as charters
+from gaproute.node.log import Log
+from gaproute.node.process import AGAIN, AGAIN_LONGEST, PEERS_LONGEST, Process
+
+SHORT = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+
+
+class Sockets:
+    """Stands for the socket module in another one: what `call` makes fails as told."""
+
+    def __init__(self, name, *codes):
+        if name == "socket":
+            self.socket = Failing(socket.socket, *codes)
+            return
+        left = list(codes)
+
+        class Made(socket.socket):
+            pass
+
+        def failing(sock, *args):
+            if left:
+                raise fault(left.pop(0))
+            return getattr(socket.socket, name)(sock, *args)
+
+        setattr(Made, name, failing)
+        self.socket, self.left = Made, left
+
+    def __getattr__(self, name):
+        return getattr(socket, name)
+
+
+@pytest.fixture
+def patience():
+    """A patience whose waits take no time, and the waits that it took in seconds."""
+    clock = Handed()
+
+    def sleep(span):
+        made.waits.append(span)
+        clock.now += int(span * SECOND)
+
+    made = Patience(clock, sleep)
+    made.waits = []
+    return made
+
+
+# Patience
+
+
+def test_a_step_is_called_again_with_pauses_that_grow(patience):
+    step = Failing(lambda: "done", *SHORT, errno.EINTR, errno.EAGAIN, errno.ENOSPC)
+    assert patience.call(step) == "done"
+    assert patience.waits == [0.005, 0.01, 0.02, 0.04, 0.08, 0.16, 0.25]
+
+
+@pytest.mark.parametrize(
+    "code, span",
+    [
+        (errno.EMFILE, START_TIME),
+        (errno.EADDRINUSE, ADDRESS_TIME),
+        (errno.EADDRNOTAVAIL, ADDRESS_TIME),
+        (errno.EACCES, 0),
+        (errno.EAFNOSUPPORT, 0),
+    ],
+)
+def test_a_step_that_goes_on_failing_is_given_up_in_time(patience, code, span):
+    began = patience.clock()
+    with pytest.raises(OSError) as told:
+        patience.call(Failing(lambda: None, *[code] * 999))
+    assert told.value.errno == code and span - SECOND // 4 <= patience.clock() - began <= span + MILLI
+
+
+def test_all_steps_have_one_time_together_and_it_is_under_ten_seconds(patience):
+    began = patience.clock()
+    patience.call(Failing(lambda: None, *[errno.EMFILE] * 20))
+    with pytest.raises(OSError):
+        patience.call(Failing(lambda: None, *[errno.EMFILE] * 99))
+    assert patience.clock() - began <= START_TIME < 10 * SECOND
+
+
+def test_what_is_no_failure_of_a_system_call_is_told_at_once(patience):
+    with pytest.raises(ZeroDivisionError):
+        patience.call(lambda: 1 / 0)
+    assert not patience.waits
+
+
+# The program
+
+
+@pytest.fixture
+def started(monkeypatch, tmp_path, patience):
+    """Runs the program up to its loop, with waits that take no time; returns its exit code."""
+    path, made = tmp_path / "config.json", []
+    told = {"name": "n1", "listen": "127.0.0.1:0", "changelog": "127.0.0.1:9", "settings": SETTINGS}
+    path.write_text(json.dumps(told))
+    monkeypatch.setenv("EDGE_CONFIG", str(path))
+    monkeypatch.setattr(program, "Patience", lambda: patience)
+    monkeypatch.setattr(program.gc, "freeze", lambda: None)
+    monkeypatch.setattr(Process, "run", lambda process: made.append(process))
+    monkeypatch.setattr(Log, "line", lambda *_: None)
+    before = open_descriptors()
+
+    def run(**changes):
+        path.write_text(json.dumps(told | changes))
+        return program.main()
+
+    run.made = made
+    yield run
+    signal.set_wakeup_fd(-1)
+    for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+        signal.signal(number, signal.SIG_DFL if number != signal.SIGINT else signal.default_int_handler)
+    for process in made:
+        process.front.close()
+        process.follower.close()
+        process.hosts.close()
+        if process.peers is not None:
+            process.peers.close()
+        (pipe,) = process.loop.watched
+        process.loop.close()
+        os.close(pipe)
+    # The writing end of the signals' pipe; a start that was given up leaves all four of its loop to the exit.
+    assert len(open_descriptors() - before) <= (len(made) or 4)
+
+
+def test_a_start_without_failures_does_not_wait(started, patience):
+    assert started() == 0 and len(started.made) == 1 and not patience.waits
+
+
+@pytest.mark.parametrize("code", SHORT)
+@pytest.mark.parametrize("name", ["socket", "bind", "listen", "getsockname"])
+def test_a_listener_that_cannot_be_had_at_once_is_had_a_moment_later(started, monkeypatch, name, code):
+    monkeypatch.setattr(connecting, "socket", Sockets(name, code, code, code))
+    assert started() == 0 and started.made[0].front.address.startswith("127.0.0.1:")
+    assert len(started.made[0].front.lot.owners) == 1
+
+
+def test_an_address_in_use_by_one_that_ends_is_had_when_it_is_free(started, patience):
+    taken = socket.create_server(("127.0.0.1", 0))
+    where = f"127.0.0.1:{taken.getsockname()[1]}"
+    wait = patience.sleep
+
+    def sleep(span):
+        wait(span)
+        if len(patience.waits) == 4:
+            taken.close()
+
+    patience.sleep = sleep
+    assert started(listen=where) == 0 and started.made[0].front.address == where
+
+
+@pytest.mark.parametrize("where", ["192.0.2.1:80", "taken"])
+def test_an_address_that_cannot_be_had_ends_the_start_with_3_and_says_so_soon(
+    started, patience, capsys, where
+):
+    began = patience.clock()
+    with socket.create_server(("127.0.0.1", 0)) as taken:
+        where = f"127.0.0.1:{taken.getsockname()[1]}" if where == "taken" else where
+        assert started(listen=where) == 3
+    assert f"cannot listen on {where}" in capsys.readouterr().err
+    assert patience.clock() - began <= ADDRESS_TIME + MILLI and not started.made
+
+
+@pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOMEM])
+def test_the_epolls_and_the_signals_pipe_are_asked_for_again(started, monkeypatch, code):
+    monkeypatch.setattr(select, "epoll", Failing(select.epoll, code, None, code))
+    monkeypatch.setattr(os, "pipe2", Failing(os.pipe2, code, code))
+    assert started() == 0
+    assert select.epoll.failed == 2 and os.pipe2.failed == 2
+
+
+@pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EINTR, errno.EIO])
+def test_a_configuration_that_cannot_be_read_at_once_is_read_a_moment_later(started, monkeypatch, code):
+    real = builtins.open
+    failing = Failing(real, code, code)
+    monkeypatch.setattr(charters, "open", failing, raising=False)
+    assert started() == 0 and failing.failed == 2
+
+
+def test_a_configuration_that_is_not_there_ends_the_start_at_once(started, monkeypatch, patience, capsys):
+    monkeypatch.setenv("EDGE_CONFIG", "/nowhere/config.json")
+    assert started() == 2 and not patience.waits and "/nowhere" in capsys.readouterr().err
+
+
+def test_a_machine_that_gives_no_epoll_at_all_ends_the_start_in_time(started, monkeypatch, patience, capsys):
+    began = patience.clock()
+    monkeypatch.setattr(select, "epoll", Failing(select.epoll, *[errno.EMFILE] * 999))
+    assert started() == 3 and "cannot start" in capsys.readouterr().err
+    assert patience.clock() - began <= START_TIME
+
+
+def test_the_real_program_waits_for_its_address_and_then_serves(tmp_path):
+    taken = socket.create_server(("127.0.0.1", 0))
+    where = taken.getsockname()
+    path = tmp_path / "config.json"
+    told = {"name": "n1", "listen": f"127.0.0.1:{where[1]}", "changelog": "127.0.0.1:9"}
+    path.write_text(json.dumps(told | {"settings": SETTINGS}))
+    environment = {**os.environ, "EDGE_CONFIG": str(path)}
+    child = subprocess.Popen(
+        [sys.executable, "-m", "gaproute.node"], env=environment, stderr=subprocess.DEVNULL
+    )
+    try:
+        time.sleep(1)
+        taken.close()
+        for _ in range(200):
+            try:
+                socket.create_connection(where).close()
+                break
+            except ConnectionRefusedError:
+                time.sleep(0.05)
+        assert child.poll() is None
+        child.terminate()
+        assert child.wait(10) == 0
+    finally:
+        child.kill()
+        child.wait()
+
+
+# Peers, reload
+
+
+@pytest.mark.parametrize("code", [*SHORT, errno.EADDRINUSE])
+@pytest.mark.parametrize("name", ["socket", "bind"])
+def test_peers_that_cannot_be_heard_at_the_start_are_heard_later(gate, monkeypatch, name, code):
+    made = gate(clock=Handed(), peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
+    monkeypatch.setattr(datagrams, "socket", Sockets(name, *[code] * 3))
+    made.process.hear_peers()
+    assert made.process.peers is None
+    for _ in range(30):
+        made.passes(50 * MILLI)
+    assert made.process.peers is not None and made.process.peers_timer is None
+    assert [what for what, _ in made.lines if "peers" in what] == ["no peers", "peers"]
+    made.process.core.tell(b"x")
+
+
+def test_peers_that_can_never_be_heard_are_tried_less_and_less_often_and_logged_once(gate, monkeypatch):
+    made = gate(clock=Handed(), peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
+    sockets = Sockets("socket", *[errno.EMFILE] * 999)
+    monkeypatch.setattr(datagrams, "socket", sockets)
+    made.process.hear_peers()
+    for _ in range(60):
+        made.passes(PEERS_LONGEST // 5)
+    assert 15 <= sockets.socket.failed <= 25
+    assert [what for what, _ in made.lines].count("no peers") == 1
+
+
+def test_datagrams_that_cannot_be_watched_leave_no_descriptor(monkeypatch):
+    loop = Loop()
+    before = open_descriptors()
+    monkeypatch.setattr(loop, "watch", Failing(loop.watch, errno.EPERM))
+    with pytest.raises(PermissionError) as told:  # its traceback holds the socket, which is not left to the
+        datagrams.Datagrams(loop, "127.0.0.1:0", lambda data: None)  # garbage collector
+    assert open_descriptors() == before and told.tb is not None
+    loop.close()
+
+
+@pytest.mark.parametrize("code", [errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EIO])
+def test_a_reload_that_cannot_be_read_is_tried_again_less_and_less_often(gate, monkeypatch, code):
+    made = gate(clock=Handed())
+    made.told["changelog"] = "127.0.0.1:9"
+    made.write()
+    failing = Failing(builtins.open, *[code] * 999)
+    monkeypatch.setattr(charters, "open", failing, raising=False)
+    made.process.reload()
+    made.passes(AGAIN)
+    made.passes(2 * AGAIN)
+    assert failing.failed == 3
+    for _ in range(AGAIN_LONGEST // AGAIN):
+        made.passes(AGAIN)
+    assert 4 <= failing.failed <= 6
+    failing.codes.clear()
+    made.passes(AGAIN_LONGEST)
+    made.passes(AGAIN_LONGEST)
+    assert made.process.charter.changelog == "127.0.0.1:9" and made.process.again is None
+
+
+def test_a_reload_that_is_refused_is_not_tried_again(gate):
+    made = gate(clock=Handed())
+    made.path.write_text("no JSON")
+    made.process.reload()
+    assert made.lines[-1][0] == "configuration refused" and made.process.again is None
+
+
+def test_a_cause_is_found_where_a_failure_was_raised_from_one():
+    try:
+        try:
+            raise fault(errno.EMFILE)
+        except OSError as inner:
+            raise charters.Unread("text", inner) from inner
+    except charters.Unread as outer:
+        assert starting.cause_of(outer).errno == errno.EMFILE
+    assert starting.cause_of(ValueError()) is None
