--- a/gaproute/loop/connecting.py
+++ b/gaproute/loop/connecting.py
@@ -217,6 +217,7 @@
         self.backoff = Backoff(ACCEPT_FIRST, ACCEPT_LONGEST)
         self.empty = False  # whether the last `accept` found nobody waiting
         self.resting = None  # timer of the end of a rest
+        self.waiting_since = None  # since when connections may wait that were not accepted yet
         family, target = where
         self.path = target if family == socket.AF_UNIX and inherited is None else None
         self.sock = listening(where, backlog) if inherited is None else inherited
@@ -230,6 +231,8 @@
             raise
 
     def _ready(self, events):
+        if self.waiting_since is None:
+            self.waiting_since = self.loop.polled_before
         if self.on_ready is not None:
             self.on_ready()
             return
@@ -250,6 +253,7 @@
                 sock, address = self.sock.accept()
             except BlockingIOError:
                 self.empty = True
+                self.waiting_since = None
                 return None
             except OSError as fault:
                 if fault.errno in CONNECTION_FAILED:
@@ -257,9 +261,17 @@
                 self._give_way(fault)
                 return None
             self.backoff.reset()
+            self._note_wait(sock.fileno())
             return _tuned(sock), address
         return None
 
+    def _note_wait(self, fd):
+        """How long the connection may have waited here: its first bytes may be as old."""
+        if self.waiting_since is None:
+            self.loop.accepted_late.pop(fd, None)
+        else:
+            self.loop.accepted_late[fd] = self.waiting_since
+
     def _give_way(self, fault):
         """Nothing can be accepted for a while. A second failure in a row is a shortage."""
         repeated = self.backoff.begun
@@ -278,6 +290,8 @@
     def rest(self, span):
         """Accepts nothing for a while; what comes waits in the kernel."""
         self.rests += 1
+        if self.waiting_since is None:
+            self.waiting_since = self.loop.now()
         self.loop.unwatch(self.sock.fileno())
         self._end_rest()
         self.resting = self.loop.after(span, self._again)
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -149,6 +149,8 @@
         self.running = False
         self.turns = self.late_turns = 0
         self.behind = 0  # in a late turn: how long ago what is read now may have come
+        self.polled_at = self.polled_before = self.clock()  # the last poll's return, and the one's before it
+        self.accepted_late = {}  # descriptor: since when its connection may have waited to be accepted
         self.on_late = []  # calls made first in a late turn: other news that waits to be read
         self.errors = []  # the last few errors that escaped a callback
         self.on_error = None  # call(error), where somebody wants to log them
@@ -215,6 +217,14 @@
             self.unregistered.pop(fd, None)
         self._unregister(fd)
 
+    def unread_since(self, fd):
+        """The earliest time at which bytes of a watched descriptor that are read in this turn may have come.
+
+        What came before the last poll but one was told then, unless the connection waited to be accepted,
+        which counts once: for the first bytes that are read.
+        """
+        return min(self.polled_before, self.accepted_late.pop(fd, self.polled_before))
+
     def _register(self, fd, events):
         try:
             self.epoll.register(fd, events)
@@ -302,7 +312,8 @@
             self.dead -= 1
         due = self.timers[0][0] - self.clock() if self.timers else IDLE
         ready = self.poll(self.epoll, 0 if self.queue or self.waiting else min(max(0, due), IDLE))
-        late = self.clock() - self.timers[0][0] if self.timers else 0
+        self.polled_before, self.polled_at = self.polled_at, self.clock()
+        late = self.polled_at - self.timers[0][0] if self.timers else 0
         self.behind = late if late > LATE else 0
         if self.behind:
             self.late_turns += 1
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -126,9 +126,12 @@
         """How long what was read last may have lain unread, ns: one system call.
 
         The kernel tells when the last bytes came. What came before them in a pause may be as old as that.
+        The kernel's clock need not be the loop's: no age counts that the loop's own polls rule out.
         """
-        paused = 0 if self.unread_since is None else self.loop.now() - self.unread_since
-        return max(paused, unread.age_of_last_bytes(self.sock))
+        now = self.loop.now()
+        paused = 0 if self.unread_since is None else now - self.unread_since
+        bound = now - self.loop.unread_since(self.fd)
+        return max(paused, min(unread.age_of_last_bytes(self.sock), bound))
 
     def look(self):
         """Read what waits before the loop comes to it."""
--- a/tests/test_deadline_passed_lines.py
+++ b/tests/test_deadline_passed_lines.py
@@ -11,6 +11,7 @@
 
 from gaproute.fronts.jsonrpc import link as client_links
 from gaproute.hosts.jsonlines.link import WHOLE_WITHIN
+from gaproute.loop import unread
 from gaproute.loop.streams import address
 
 SLACK = 150  # ms, by the operators' terms
@@ -138,3 +139,27 @@
     clog.let()
     made.until(lambda: told)
     assert link.stream.open and told[0][0].value == "ok", json.dumps(str(told))
+
+
+def test_a_kernel_clock_that_runs_otherwise_than_the_loops_makes_no_request_old(gate, monkeypatch):
+    monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: 10 * SECOND)
+    made = gate()
+    client = made.client()
+    for number in (1, 2):
+        client.ask(number, d=D)
+        made.until(lambda number=number: len(limits(made)) == number)
+    assert all(limit >= D - SLACK for limit in limits(made))
+
+
+@pytest.mark.parametrize("age", [0, 10 * SECOND])
+def test_a_request_that_lay_in_the_queue_while_none_were_accepted(gate, monkeypatch, age):
+    """The loop goes on turning: what it polls meanwhile does not tell of the connection."""
+    kernels = unread.age_of_last_bytes
+    monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: max(age, kernels(sock)))
+    made = gate()
+    made.process.front.listener.rest(600 * MILLI)
+    sock = socket.create_connection(address(made.where)[1])
+    sock.sendall(requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D))
+    made.until(made.came)
+    assert told_limit(made, 600)
+    sock.close()
