--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -6,11 +6,11 @@
 
 class Undelivered(Exception):
     """No full answer came. `handed` is whether the kernel took any byte of the request: if not, it never
-    ran."""
+    ran. `reset`: the connection was reset, as by a server that closes it with bytes unread."""
 
-    def __init__(self, handed, connected, text):
+    def __init__(self, handed, connected, text, reset=False):
         super().__init__(text)
-        self.handed, self.connected = handed, connected
+        self.handed, self.connected, self.reset = handed, connected, reset
 
 
 class Link:
@@ -82,14 +82,15 @@
         )
 
     def _end(self, error):
-        self._fail(f"the connection ended: {error or 'closed by the server'}")
+        reset = isinstance(error, (ConnectionResetError, BrokenPipeError))
+        self._fail(f"the connection ended: {error or 'closed by the server'}", reset)
 
-    def _fail(self, text):
+    def _fail(self, text, reset=False):
         exchange, self.exchange = self.exchange, None
         handed = self.handed
         self.stream.abort()
         if exchange is not None:
-            exchange.settle(None, Undelivered(handed, True, text))
+            exchange.settle(None, Undelivered(handed, True, text, reset))
         elif self.on_idle_end is not None:
             self.on_idle_end(self)
 
--- a/gaproute/standins/clients.py
+++ b/gaproute/standins/clients.py
@@ -16,6 +16,7 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LINKS = 64  # kept connections to one gateway
 LEAST = 50 * MILLI  # that a further try has left: with less no answer could come in time
+CROSS = 50 * MILLI  # a request may cross the close of a connection at rest for so long: it is sent once more
 
 
 class Kind(NamedTuple):
@@ -79,11 +80,14 @@
         name = f"{self.habits.prefix}{self.count}"
         self.ask(name, kind, model, kind.limit, 0, name, ())
 
-    def ask(self, name, kind, model, limit, tries, first, refused):
-        """One try. `refused`: gateways that no connection was made to."""
+    def ask(self, name, kind, model, limit, tries, first, refused, crossed=False):
+        """One try. `refused`: gateways that no connection was made to; `crossed`: it met the close of a
+        connection before."""
         able = [place for place in range(len(self.gateways)) if place not in refused]
         if not able or refused and limit < LEAST:
-            self.tap.note("unreachable", id=name)
+            self.tap.note(
+                "unreachable", id=name, first=first, track=kind.name, asked=self.loop.now(), tries=tries
+            )
             return
         place = self.random.choice(able)
         patience = round(limit * self.random.uniform(*self.habits.patience)) if tries == 0 else limit
@@ -123,12 +127,18 @@
                 )
                 return
             if answer is None:
+                spent = self.loop.now() - start
                 if link is not None and not undelivered.handed:
                     self.ask(name, kind, model, limit, tries, first, refused)
                     return
+                if undelivered.reset and spent <= CROSS and not crossed:  # closed with the request unread
+                    self.ask(name, kind, model, limit - spent, tries, first, refused, True)
+                    return
                 note("broken", text=str(undelivered))
                 return
             outcome = answer.headers.get(b"gaproute-outcome", b"").decode()
+            if outcome == "delivered" and answer.status == 200 and not made_for(answer.body, name):
+                self.tap.note("stray", gateway=place, text=f"{name}: a body that no host made for it")
             note("answer", status=answer.status, outcome=outcome, handed=start)
             if used.open and len(idle) < LINKS:
                 used.on_idle_end = ended
@@ -184,3 +194,11 @@
             self.rate = self.habits.rate * (told.get("factor", 2.0) if told.get("on", True) else 1.0)
         elif told.get("trouble") == "hot":
             self.hot = (told.get("share", 0.2), None) if told.get("on", True) else None
+
+
+def made_for(body, name):
+    """Whether a stand-in host made this answer for that task."""
+    try:
+        return msgspec.json.decode(body, type=dict).get("id") == name
+    except msgspec.MsgspecError:
+        return False
--- a/gaproute/standins/platform/clients.py
+++ b/gaproute/standins/platform/clients.py
@@ -153,7 +153,14 @@
         self.place = clients.places.pick(self.refused)
         self.link = self.place and self.place.link()
         if self.link is None:
-            clients.tap.note("unreachable", id=self.name)
+            clients.tap.note(
+                "unreachable",
+                id=self.name,
+                first=self.first,
+                track=self.kind.name,
+                asked=self.asked,
+                tries=self.tries,
+            )
             self.close()
             return
         left = self.asked + self.patience - clients.loop.now()
--- a/gaproute/standins/platform/rpc.py
+++ b/gaproute/standins/platform/rpc.py
@@ -40,7 +40,8 @@
 
 class Asked:
     """A message on its way. `answered(message)` or `ended(what)` once; `what`: "refused" (no connection),
-    "unsent" (none of its bytes left), "crossed" (the only one, sent just before the end) or "broken"."""
+    "unsent" (none of its bytes left), "crossed" (the only one, sent just before the end of a connection that
+    rested, or of a new one that was reset: unread) or "broken"."""
 
     __slots__ = ("told", "answered", "ended", "mark", "sent")
 
@@ -58,14 +59,14 @@
         self.loop, self.stray, self.closed = loop, stray, closed
         self.open, self.left, self.count = {}, {}, 0
         self.stream, self.reader, self.over = None, Reader(), False
-        self.used = loop.now()
+        self.used, self.answered = loop.now(), False
         self.give_up = connect(loop, where, CONNECT, self.connected)
 
     def connected(self, sock, error):
         if error is not None:
             self.end("refused")
             return
-        self.stream = Stream(self.loop, sock, self.bytes, lambda error: self.end("broken"))
+        self.stream = Stream(self.loop, sock, self.bytes, self.ended)
         for number, asked in list(self.open.items()):
             self.write(number, asked)
 
@@ -104,6 +105,7 @@
         for message in messages:
             number = message.get("id") if isinstance(message, dict) else None
             asked = self.open.pop(number, None)
+            self.answered = True
             if asked is not None:
                 asked.answered(message)
             elif number in self.left:
@@ -111,7 +113,11 @@
             else:
                 self.stray(f"an answer under {number!r}")
 
-    def end(self, what):
+    def ended(self, error):
+        """The other side has closed or reset it."""
+        self.end("broken", isinstance(error, (ConnectionResetError, BrokenPipeError)))
+
+    def end(self, what, reset=False):
         """The connection is over; what is open on it learns how far it got."""
         if self.over:
             return
@@ -123,7 +129,7 @@
             if what == "broken" and (asked.mark is None or self.stream.handed <= asked.mark):
                 how = "unsent"
             elif what == "broken" and len(opened) == 1 and self.loop.now() - asked.sent <= self.CROSS:
-                how = "crossed"
+                how = "crossed" if self.answered or reset else "broken"
             asked.ended(how)
 
     def drop(self):
--- a/tests/test_standins_clients.py
+++ b/tests/test_standins_clients.py
@@ -2,6 +2,7 @@
 
 import base64
 import json
+import socket
 
 import pytest
 from helpers import makers
@@ -172,3 +173,40 @@
         _, gates = day(bench, [answer], length=1)
         bench.until(lambda days=days: len(bench.seen("done")) == days)
         assert len(gates[0].came) == tries and len(bench.seen("broken")) == days - 1
+
+
+def closes(gate, stream, told):
+    """Reads the request and closes: the client sees the end of the connection and no reset."""
+    stream.close()
+
+
+def test_the_first_request_of_a_connection_is_lost_when_it_was_read_and_closed(bench):
+    _, gates = day(bench, [closes], length=1)
+    bench.until(lambda: bench.seen("done"))
+    assert len(gates[0].came) == 1 and len(bench.seen("broken")) == 1
+
+
+def test_a_request_on_a_connection_that_rested_may_cross_its_close_once(bench):
+    def closes_second(gate, stream, told):
+        if len(gate.came) == 2:
+            stream.sock.shutdown(socket.SHUT_WR)
+        else:
+            served(gate, stream, told)
+
+    made, gates = day(bench, [closes_second], length=1)
+    bench.until(lambda: bench.seen("answer"))
+    kept = list(made.places.places[0].links)
+    assert [link.answered for link in kept] == [True]
+    made.done, made.until = False, bench.loop.now() + SECOND
+    made.begin()
+    bench.until(lambda: len(bench.seen("answer")) == 2)
+    assert len(gates[0].came) == 3 and not bench.seen("broken")
+
+
+def test_a_task_that_finds_no_gateway_says_whose_it_was_and_when(bench):
+    made, gates = day(bench, [served], length=1)
+    bench.until(lambda: made.until)
+    made.places.places[0].taken = False
+    made.begin()
+    (noted,) = bench.seen("unreachable")
+    assert noted["first"] == noted["id"] and noted["track"] == "p" and noted["asked"] > 0
--- /dev/null
+++ b/tests/test_standins_kserve_clients.py
@@ -0,0 +1,119 @@
+"""Stand-in clients of the KServe form on one loop, before a gateway that the test plays."""
+
+import json
+
+import pytest
+from helpers import ListTap, turn_until
+
+from gaproute.http1 import Server
+from gaproute.loop import Loop
+from gaproute.loop.streams import address
+from gaproute.standins.clients import Clients, Habits, Kind
+from gaproute.standins.host.kserve import cut_off
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+DELIVERED = ((b"Gaproute-Outcome", b"delivered"),)
+
+
+class Played:
+    """Clients with one task, and one gateway: `answer(gateway, request, name)` is called for each request."""
+
+    def __init__(self, answer, where=None, **habits):
+        self.loop, self.answer, self.came = Loop(), answer, []
+        self.tap = ListTap(self.loop.clock)
+        self.server = Server(self.loop, address("127.0.0.1:0"), self.handle)
+        self.clients = Clients(
+            self.loop,
+            [where or self.server.address],
+            [Kind("p", 1.0, SECOND, ("m",))],
+            Habits(**{"rate": 1.0, "impatient": 0.0, "retries": 0} | habits),
+            7,
+            self.tap,
+            self.loop.now() - 1,
+        )
+
+    def handle(self, request):
+        self.came.append(json.loads(request.body)["id"])
+        self.answer(self, request, self.came[-1])
+
+    def deliver(self, request, name):
+        self.server.answer(request, 200, DELIVERED, json.dumps({"id": name}).encode())
+
+    def ask(self):
+        """One more task."""
+        self.clients.begin()
+
+    def seen(self, what):
+        return [event for event in self.tap.events if event["what"] == what]
+
+    def until(self, what, count=1):
+        turn_until(self.loop, lambda: len(self.seen(what)) >= count)
+
+    def close(self):
+        self.server.close()
+        self.loop.close()
+
+
+@pytest.fixture
+def play():
+    made = []
+
+    def make(*args, **told):
+        made.append(Played(*args, **told))
+        return made[-1]
+
+    yield make
+    for each in made:
+        each.close()
+
+
+def read_and_closed(played, request, name):
+    """No answer, but an end that the client cannot take for a reset."""
+    request.link._shut()
+
+
+def test_a_body_made_for_another_task_is_a_stray(play):
+    played = play(lambda played, request, name: played.deliver(request, "other"))
+    played.until("answer")
+    assert [name in event["text"] for name, event in zip(played.came, played.seen("stray"), strict=True)] == [
+        True
+    ]
+
+
+def test_the_first_request_of_a_connection_is_lost_when_it_was_read_and_closed(play):
+    played = play(read_and_closed)
+    played.until("broken")
+    assert len(played.came) == 1
+
+
+def test_a_request_on_a_kept_connection_is_lost_when_it_was_read_and_closed(play):
+    def second_closed(played, request, name):
+        if len(played.came) == 2:
+            read_and_closed(played, request, name)
+        else:
+            played.deliver(request, name)
+
+    played = play(second_closed)
+    played.until("answer")
+    played.ask()
+    played.until("broken")
+    assert len(played.came) == 2
+
+
+def test_a_request_whose_connection_is_reset_at_once_is_sent_once_more_and_no_more(play):
+    played = play(lambda played, request, name: cut_off(request))
+    played.until("broken")
+    assert len(played.came) == 2 and played.came[0] == played.came[1]
+
+
+def test_a_request_whose_connection_is_reset_later_is_lost(play):
+    played = play(lambda played, request, name: played.loop.after(80 * MILLI, cut_off, request))
+    played.until("broken")
+    assert len(played.came) == 1
+
+
+def test_a_task_that_finds_no_gateway_says_whose_it_was_and_when(play):
+    played = play(None, where="127.0.0.1:1")
+    played.until("unreachable")
+    (noted,) = played.seen("unreachable")
+    assert noted["first"] == noted["id"] and noted["track"] == "p" and noted["asked"] > 0
