--- a/gaproute/cluster/gateways.py
+++ b/gaproute/cluster/gateways.py
@@ -5,7 +5,7 @@
 
 from gaproute.cluster.processes import NEXT, hurry
 from gaproute.trial.gateways import Gateways
-from gaproute.trial.processes import MILLI, SECOND
+from gaproute.trial.processes import MILLI
 
 WAY_BACK = 25 * MILLI  # the configuration's own, for an answer's way on a machine that is not crowded
 
@@ -83,18 +83,23 @@
             self.tap.note("killed", gateway=number)
             process.signal(signal.SIGKILL)
         else:
-            self.tap.note("ending", gateway=number)
-            process.signal(signal.SIGTERM)
-            yield from self.trial.processes.rest([process], self.trial.longest + 3 * SECOND)
-            code = process.child.poll()
-            if code != 0:
-                self.trial.faulty.append(f"g{number} ended with {code} after a SIGTERM")
-                process.signal(signal.SIGKILL)
-            self.tap.note("killed", gateway=number)
+            yield from self.end(number, process)
         yield self.loop.sleep(back)
         yield from self.trial.starting(self.start(number))
         self.busy.discard(number)
 
+    def end(self, number, process):
+        """A coroutine: asked to end, and killed where it has not as soon as the operators may."""
+        self.tap.note("ending", gateway=number)
+        process.signal(signal.SIGTERM)
+        yield from self.trial.processes.rest([process], self.trial.kill_after)
+        code = process.child.poll()
+        self.tap.note("killed" if code is None else "ended", gateway=number)
+        if code is None:
+            process.signal(signal.SIGKILL)
+        if code != 0:
+            self.trial.faulty.append(f"g{number} ended with {code} after a SIGTERM")
+
     def stall(self, number, span):
         if number in self.busy:
             return
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -32,7 +32,16 @@
 
 
 class ClusterHarness(Trial):
-    ENDING = 20 * SECOND  # beyond the longest limit, for hundreds of gateways that end at once
+    ENDING = 20 * SECOND  # beyond the longest limit, for hundreds of gateways that end at once: nobody asks
+    #                       any more
+
+    def late(self):
+        """What hosts, clients and wires noted; the parent judges nobody."""
+        most = self.lateness.most()
+        return round(max(most["hosts"], most["clients"], most["wires"]) * MILLI)
+
+    def ending_time(self):
+        return self.longest + self.ENDING
 
     def furnish(self):
         settings, self.faulty, self.voids, self.ready_time = self.script.cluster, [], [], None
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -1,5 +1,10 @@
-"""What a played cluster is worth: `well`, `failed` (the program broke a rule or ended wrongly) or `void`."""
+"""What a played cluster is worth: `well`, `failed` (the program broke a rule or ended wrongly) or `void`.
 
+A harness that ran late measured nothing that rests on time. What was sent or answered twice, or answered
+wrongly, is broken all the same.
+"""
+
+from gaproute.judge import UNTIMED
 from gaproute.trial.result import Result
 
 
@@ -25,6 +30,8 @@
 
     @property
     def verdict(self):
+        if self.whole and any(broken.kind in UNTIMED for broken in self.broken):
+            return "failed"
         return "void" if self.void else "failed" if self.faulty else "well"
 
     @property
--- a/gaproute/judge/__init__.py
+++ b/gaproute/judge/__init__.py
@@ -1,6 +1,7 @@
 """The five rules, judged from the traffic on the sockets of hosts and clients. Imports nothing that it
 judges."""
 
-from gaproute.judge.rules import Broken, Facts, judge
+from gaproute.judge.facts import UNTIMED, Broken, Facts, Kind, kill_after
+from gaproute.judge.rules import judge
 
-__all__ = ["Broken", "Facts", "judge"]
+__all__ = ["UNTIMED", "Broken", "Facts", "Kind", "judge", "kill_after"]
--- a/gaproute/judge/day.py
+++ b/gaproute/judge/day.py
@@ -6,11 +6,10 @@
 
 from collections import defaultdict
 
+from gaproute.judge.downtime import FOREVER, Downtime
 from gaproute.judge.senders import Senders
 
-SECOND = 1_000_000_000
 NEVER_RAN = (429, 404)
-FOREVER = 1 << 62  # ns, after any day's end
 
 
 class Day:
@@ -35,15 +34,7 @@
         self.said = said
         for arrivals in self.arrivals.values():
             arrivals.sort(key=lambda arrival: arrival[0])
-        self.stops = down_spans(run)
-        self.endings = defaultdict(list)  # gateway: (asked to end, ended), after which it starts again
-        asked = {}
-        for event in sorted(run, key=lambda event: event["at"]):
-            if event["what"] in ("killed", "stopped"):
-                if event["gateway"] in asked:
-                    self.endings[event["gateway"]].append((asked.pop(event["gateway"]), event["at"]))
-            elif event["what"] == "ending":
-                asked[event["gateway"]] = event["at"]
+        self.downtime = Downtime(run)
         self.senders = Senders(hosts, self.ends, run)
         self.held_up = held_up(run)
 
@@ -68,34 +59,6 @@
         later = [status for said, status in self.said[task, host] if said >= at]
         return not later or later[0] not in NEVER_RAN
 
-    def stopped_within(self, gateway, begin, end):
-        return any(start <= end and stop + SECOND >= begin for start, stop in self.stops[gateway])
-
-    def ending_at(self, gateway, at):
-        """Whether it had been asked to end then: it may close a connection just as a request comes on it,
-        which no client can tell from a request that was read."""
-        return any(begin <= at <= end for begin, end in self.endings[gateway])
-
-
-def down_spans(run):
-    """{gateway: [(begin, end), ...]}: when it did not run, ns. A process that was stopped runs again when it
-    is continued or a new one has started; one that was killed, only when a new one has started. A second kill
-    before that, of a process still starting, does not begin the span anew."""
-    spans = defaultdict(list)
-    began, killed = {}, set()
-    for event in sorted(run, key=lambda event: event["at"]):
-        what, gateway = event["what"], event.get("gateway")
-        if what in ("killed", "stopped"):
-            began.setdefault(gateway, event["at"])
-            if what == "killed":
-                killed.add(gateway)
-        elif gateway in began and (what == "started" or (what == "continued" and gateway not in killed)):
-            spans[gateway].append((began.pop(gateway), event["at"]))
-            killed.discard(gateway)
-    for gateway, at in began.items():
-        spans[gateway].append((at, FOREVER))
-    return spans
-
 
 def held_up(run):
     """[(begin, end, late, gateways, hosts)] of the faults under which bytes may reach hosts late, `late` ns
--- a/gaproute/judge/permits.py
+++ b/gaproute/judge/permits.py
@@ -96,7 +96,7 @@
         what = event["what"]
         if what == "fault" and not event["on"]:
             found.append((event["at"], f"fault {event['id']}"))
-        elif what in ("killed", "stopped"):
+        elif what in ("killed", "ended", "stopped"):
             down.add(event["gateway"])
         elif what in ("started", "continued") and event["gateway"] in down:
             down.discard(event["gateway"])
--- a/gaproute/judge/rules.py
+++ b/gaproute/judge/rules.py
@@ -8,76 +8,21 @@
 
 from bisect import bisect_left, bisect_right
 from collections import defaultdict
-from typing import NamedTuple
 
+from gaproute.judge.answers import answers
 from gaproute.judge.day import Day
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
-TRANSIT = 60 * MILLI  # between a gateway's send and the host's read of it, on a machine that is busy
-
-
-class Broken(NamedTuple):
-    rule: int
-    at: int
-    text: str
-
-
-class Facts(NamedTuple):
-    """What the day was played by."""
-
-    effects: dict  # track: "pure", "receipted" or "effectful"
-    groups: dict  # track: "all", "zone" or "rack"
-    windows: dict  # track: how long a group remembers, ns
-    places: dict  # host: (zone, rack)
-    drain_grace: int = 500 * MILLI
-    order_free: float = 6
-    order_share: float = 0.3
-    order_window: int = 10 * SECOND
-    transit: int = TRANSIT  # a harness adds what it may itself be late
+from gaproute.judge.facts import Broken, Kind
 
 
 def judge(facts, hosts, clients, run):
     """[Broken] of a day. `hosts`: {name: [[events of a run], ...]}; `clients`, `run`: [events]."""
     day = Day(hosts, clients, run)
     found = []
-    for rule in (one_answer, effects, drains, cold, rations):
+    for rule in (answers, effects, drains, cold, rations):
         found += rule(facts, day)
     return sorted(found, key=lambda broken: (broken.rule, broken.at))
 
 
-def one_answer(facts, day):
-    """Rule 1. A gateway that was killed or stood still meanwhile is excused, as it could not answer; one
-    that was asked to end still answers what had reached it before."""
-    for event in day.clients:
-        if event["what"] == "stray":
-            yield Broken(
-                1,
-                event["at"],
-                f"gateway {event['gateway']} sent an answer that nobody asked for"
-                f"{': ' * ('text' in event)}{event.get('text', '')}",
-            )
-    for task, ends in day.ends.items():
-        if len(ends) > 1:
-            yield Broken(1, ends[1]["at"], f"task {task}: {len(ends)} ends")
-        end = ends[0]
-        excused = day.stopped_within(end["gateway"], end["asked"], end["at"])
-        if end["what"] == "overdue" and not excused:
-            yield Broken(
-                1,
-                end["at"],
-                f"task {task} ({end['track']}): no answer within its {end['patience'] // MILLI} ms",
-            )
-        if end["what"] == "broken" and not excused and not day.ending_at(end["gateway"], end["asked"]):
-            yield Broken(1, end["at"], f"task {task}: the connection ended without an answer: {end['text']}")
-        if end["what"] == "answer" and not end["outcome"] and end["status"] >= 500:
-            yield Broken(1, end["at"], f"task {task}: status {end['status']} names no outcome")
-        for at, host, _ in day.arrivals.get(task, ()):
-            if not excused and day.sent(end["gateway"], host, at) > end["at"] + facts.transit:
-                yield Broken(
-                    1, at, f"task {task}: sent to {host} {(at - end['at']) // MILLI} ms after its end"
-                )
-
-
 def effects(facts, day):
     """Rule 2, by what the hosts said of each arrival."""
     for task, arrivals in day.arrivals.items():
@@ -89,24 +34,38 @@
         for at, host, event in arrivals:
             if first is not None:
                 if effect == "effectful":
-                    yield Broken(2, at, f"effectful task {task}: sent to {host}, may have run at {first[1]}")
+                    yield Broken(
+                        2,
+                        at,
+                        f"effectful task {task}: sent to {host}, may have run at {first[1]}",
+                        Kind.DUPLICATE,
+                    )
                 else:
                     sent = day.sent(day.senders.number(host, None, event), host, at)
                     if sent > first[0] + facts.windows[track] + facts.transit:
-                        yield Broken(2, at, f"receipted task {task}: sent again after its window")
+                        yield Broken(
+                            2, at, f"receipted task {task}: sent again after its window", Kind.WINDOW
+                        )
                     place = {"all": 0, "zone": 1, "rack": 2}[facts.groups[track]]
                     if place and facts.places[host][place - 1] != facts.places[first[1]][place - 1]:
                         yield Broken(
-                            2, at, f"receipted task {task}: sent to {host}, outside {first[1]}'s group"
+                            2,
+                            at,
+                            f"receipted task {task}: sent to {host}, outside {first[1]}'s group",
+                            Kind.GROUP,
                         )
                     if event["mark"] != first[2]["mark"]:
-                        yield Broken(2, at, f"receipted task {task}: its mark changed between relays")
+                        yield Broken(
+                            2, at, f"receipted task {task}: its mark changed between relays", Kind.KEY
+                        )
             elif day.ran(task, at, host):
                 first = (at, host, event)
         end = day.ends.get(task, [None])[0]
         declined = end is not None and end["what"] == "answer" and end["outcome"] == "declined"
         if declined and first is not None and not (effect == "receipted" and facts.groups[track] == "all"):
-            yield Broken(2, end["at"], f"{effect} task {task}: declined, may have run at {first[1]}")
+            yield Broken(
+                2, end["at"], f"{effect} task {task}: declined, may have run at {first[1]}", Kind.REFUSED
+            )
 
 
 def drains(facts, day):
@@ -136,6 +95,7 @@
                         event["at"],
                         f"{event['what']} to {host}, told draining or gone before"
                         + (f", by g{sender}" if None not in spans else ""),
+                        Kind.DRAIN,
                     )
 
 
@@ -174,7 +134,12 @@
                 share = up["cold_share"] + (1 - up["cold_share"]) * age / up["cold_time"]
                 able = up["cores"] * up["speed"] * share * up["tip"]
                 if total > up["fall_multiple"] * able:
-                    yield Broken(4, event["at"], f"cold {host}: {total / able:.1f} times what it can do")
+                    yield Broken(
+                        4,
+                        event["at"],
+                        f"cold {host}: {total / able:.1f} times what it can do",
+                        Kind.SLOW_START,
+                    )
                     break
 
 
@@ -211,5 +176,7 @@
                 bisect_right(asked, at) - bisect_left(asked, since - facts.transit)
             )
             if ordered > allowed:
-                yield Broken(5, at, f"gateway {gateway}: {ordered} load orders, {allowed:.1f} allowed")
+                yield Broken(
+                    5, at, f"gateway {gateway}: {ordered} load orders, {allowed:.1f} allowed", Kind.RATION
+                )
                 break
--- a/gaproute/standins/host/machine.py
+++ b/gaproute/standins/host/machine.py
@@ -88,8 +88,9 @@
 
     # Tasks
 
-    def take(self, name, mark, model, link, answer):
-        """A task came over the connection `link`: its `Work`, or None where it has ended or never will."""
+    def take(self, name, mark, model, link, answer, limit=None):
+        """A task came over the connection `link`: its `Work`, or None where it has ended or never will.
+        `limit`: the deadline that came with it, ns from its arrival; None where the form has none."""
         now = self.loop.now()
         amount = self.random.gammavariate(SHAPE, model.work / SHAPE)
         copies = self.shelf.of(model.name)
@@ -101,7 +102,7 @@
         ):
             amount *= heavy.get("factor", 10)
         work = Work(name, mark, model, amount, copies.busy + len(copies.waiting), answer)
-        self.tap.note("task", id=name, mark=mark, track=model.track, work=model.work, link=link)
+        self.tap.note("task", id=name, mark=mark, track=model.track, work=model.work, link=link, limit=limit)
         self.counts["tasks"] += 1
         self.weigh(now, model.work)
         if self.down:
--- a/gaproute/standins/platform/host.py
+++ b/gaproute/standins/platform/host.py
@@ -16,7 +16,7 @@
 from gaproute.standins.host.fetch import fetcher
 from gaproute.standins.host.machine import Machine
 
-SECOND = 1_000_000_000
+MILLI, SECOND = 1_000_000, 1_000_000_000
 SWEEP = SECOND  # between looks for idle connections
 LINE = 256 * 1024  # bytes of a line: a body of 16 KiB in base64 takes 22, and the rest little
 WORDS = {
@@ -160,7 +160,10 @@
             self.tap.note("said", id=name, status=STATUS["not_here"])
             link.say("not_here", name, {})
             return
-        work = self.machine.take(name, name, model, link.number, lambda work, end: self.end(link, work, end))
+        limit = round(float(meta["limit"]) * MILLI)
+        work = self.machine.take(
+            name, name, model, link.number, lambda work, end: self.end(link, work, end), limit
+        )
         if not self.machine.down and link.stream.open and work is not None:
             link.open[name] = work
 
--- a/gaproute/trial/result.py
+++ b/gaproute/trial/result.py
@@ -1,7 +1,6 @@
 """What the taps of a played day say: the rules, the service, what was sent and fetched."""
 
 from gaproute.judge import Facts, judge
-from gaproute.judge.rules import TRANSIT
 from gaproute.standins.tap import read
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -18,8 +17,6 @@
         self.clients, self.run = trial.crowd.events(), read(out / "run.tap")
         store = read(out / "store.tap")
         copies = script.copies
-        # a harness may itself be late by so much before its measurement is void
-        transit = TRANSIT + (script.cluster.late if script.cluster else 0)
         facts = Facts(
             {line.name: line.effect for line in script.tracks},
             {line.name: line.group for line in script.tracks},
@@ -29,10 +26,13 @@
             copies.free,
             copies.share,
             copies.window if copies.orders else 0,
-            transit,
+            trial.late(),
+            trial.longest,
         )
         self.broken = judge(facts, hosts, self.clients, self.run)
         self.codes = trial.gateways.codes
+        # clients that ended before all their tasks had: what they still waited for is on no tap
+        self.unfinished = len(trial.crowd.processes) - sum(event["what"] == "done" for event in self.clients)
         self.fetches = sum(event["what"] == "fetch" for event in store)
         self.turned_away = sum(event["what"] == "turned away" for event in store)
         arrivals = [event for runs in hosts.values() for events in runs for event in events]
@@ -49,7 +49,9 @@
         # A client's retries count with its first try: served if any answer came within the contract time of
         # it.
         firsts = {}
-        for event in sorted(self.ends, key=lambda event: event["asked"]):
+        # one that found no gateway was not served either
+        tried = [event for event in self.clients if event["what"] == "unreachable"]
+        for event in sorted([*self.ends, *tried], key=lambda event: event["asked"]):
             first = firsts.setdefault(
                 event["first"], [event["asked"], event["track"], False, event["what"] == "left"]
             )
@@ -86,7 +88,8 @@
 
     @property
     def well(self):
-        return not self.broken and bool(self.ends) and all(code == 0 for code in self.codes.values())
+        ended_well = all(code == 0 for code in self.codes.values())
+        return not self.broken and bool(self.ends) and not self.unfinished and ended_well
 
     def plain(self):
         """The result as plain data."""
@@ -101,5 +104,6 @@
             "turned_away": self.turned_away,
             "fell_over": self.fell,
             "exit_codes": self.codes,
+            "clients_unfinished": self.unfinished,
             "broken": [broken._asdict() for broken in self.broken],
         }
--- a/gaproute/trial/run.py
+++ b/gaproute/trial/run.py
@@ -7,6 +7,7 @@
 import random
 from pathlib import Path
 
+from gaproute.judge import kill_after
 from gaproute.loop import Loop
 from gaproute.standins.tap import Tap
 from gaproute.trial.crowd import Crowd
@@ -21,8 +22,6 @@
 
 
 class Trial:
-    ENDING = 3 * SECOND  # beyond the longest limit, for gateways that are asked to end
-
     def __init__(self, script, out, seed=1, decisions="gaproute.decisions.route:Gateway", talk=None):
         self.script, self.out, self.seed, self.decisions = script, Path(out), seed, decisions
         self.talk = talk or (lambda text: None)
@@ -41,6 +40,19 @@
         self.list = HostList(self.loop, self.tap, self.seats, self.out / "hosts.list")
         self.gateways, self.crowd = Gateways(self), Crowd(self)
 
+    def late(self):
+        """By how much the parts that measure ran late at most, as they noted it, ns. A trial's notes none."""
+        return 0
+
+    @property
+    def kill_after(self):
+        """After a SIGTERM: how long a gateway has until SIGKILL, ns."""
+        return kill_after(self.longest)
+
+    def ending_time(self):
+        """How long the gateways have to end when the day is over, ns."""
+        return self.kill_after
+
     # The day
 
     def together(self, routines):
@@ -89,7 +101,7 @@
 
     def wind_up(self):
         """A coroutine: the gateways end as asked, then the rest, whose last lines are written then."""
-        yield from self.gateways.stop(self.longest + self.ENDING)
+        yield from self.gateways.stop(self.ending_time())
         self.seats.close()
         self.store.hush()
         yield from self.processes.rest(self.processes.all, 3 * SECOND)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -100,12 +100,14 @@
 def test_rule_1_excuses_a_gateway_in_each_span_in_which_it_did_not_run():
     run = gateway_events((100, "stopped"), (200, "continued"), (3000, "killed"), (3100, "started"))
     for at, found in ((150, []), (2500, [1]), (3050, []), (4200, [1])):
-        assert rules({}, [end(at, "broken", asked=(at - 20) * MILLI)], run) == found
+        assert rules({}, [end(at, "overdue", asked=(at - 20) * MILLI)], run) == found
+    # one that stood still closes no connection
+    assert rules({}, [end(150, "broken", asked=130 * MILLI)], run) == [1]
 
 
-def test_rule_1_excuses_a_request_sent_to_a_gateway_that_was_asked_to_end_and_no_earlier_one():
-    run = [{"at": at * MILLI, "what": what, "gateway": 0} for at, what in ((300, "ending"), (2500, "killed"))]
-    assert rules({}, [end(600, "broken", asked=400 * MILLI)], run) == []
+def test_rule_1_excuses_no_request_that_a_gateway_closed_when_it_was_asked_to_end():
+    run = gateway_events((300, "ending"), (2500, "killed"))
+    assert rules({}, [end(600, "broken", asked=400 * MILLI)], run) == [1]
     assert rules({}, [end(600, "broken", asked=200 * MILLI)], run) == [1]
 
 
--- a/tests/test_platform_trial.py
+++ b/tests/test_platform_trial.py
@@ -9,7 +9,8 @@
 
 import pytest
 
-from gaproute.judge import Facts, judge
+from gaproute.judge import Facts, Kind, judge
+from gaproute.judge.facts import DEADLINE_SLACK
 from gaproute.standins.platform import charter
 from gaproute.standins.platform.listing import Listing, member
 from gaproute.standins.tap import Tap, read
@@ -162,6 +163,25 @@
     assert 0.65 < share < 0.85  # three to one, as told
 
 
+def test_hosts_note_the_deadlines_they_are_told_and_a_longer_one_is_caught(day):
+    name, host, place, event = next(
+        (end["id"], host, place, event)
+        for end in day.clients
+        if end["what"] == "answer" and end["outcome"] == "delivered"
+        for host, (events,) in day.hosts.items()
+        for place, event in enumerate(events)
+        if event["what"] == "task" and event["id"] == end["id"]
+    )
+    end = next(end for end in day.clients if end.get("id") == name)
+    left = end["asked"] + end["patience"] - event["at"]
+    assert 0 < event["limit"] <= left + DEADLINE_SLACK
+    for more, found in ((0, []), (MILLI, [Kind.DEADLINE])):
+        forged = list(day.hosts[host][0])
+        forged[place] = event | {"limit": left + DEADLINE_SLACK + more}
+        judged = judge(facts(), day.hosts | {host: [forged]}, day.clients, day.run)
+        assert [broken.kind for broken in judged] == found
+
+
 def test_every_gateway_is_told_of_the_drain_and_what_came_later_is_caught(day):
     told = [event for event in day.told if event["what"] == "told" and event["state"] == "draining"]
     assert sorted((event["gateway"], event["host"]) for event in told) == [(0, DRAINED), (1, DRAINED)]
--- /dev/null
+++ b/tests/test_trial_accounts.py
@@ -0,0 +1,134 @@
+"""A played day's accounts leave out nothing that a client waited for, and no breach that rests on no time."""
+
+from types import SimpleNamespace
+
+import pytest
+
+from gaproute.cluster.gateways import ClusterGateways
+from gaproute.cluster.harness import ClusterHarness
+from gaproute.cluster.script import read_script
+from gaproute.cluster.verdict import Verdict
+from gaproute.judge import Broken, Kind
+from gaproute.loop import Loop
+from gaproute.trial.result import Result
+from gaproute.trial.run import Trial
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+
+
+def answered(name, at=100 * MILLI, first=None):
+    return {
+        "at": at,
+        "what": "answer",
+        "id": name,
+        "first": first or name,
+        "track": "fault-check",
+        "gateway": 0,
+        "asked": 0,
+        "patience": SECOND,
+        "outcome": "delivered",
+        "status": 200,
+    }
+
+
+def result(folder, *events, processes=1, codes=None):
+    """The result of a day of `short-day`'s script on which the clients saw this."""
+    for tap in ("run.tap", "store.tap"):
+        (folder / tap).write_text("")
+    trial = SimpleNamespace(
+        script=read_script("short-day"),
+        out=folder,
+        seats=SimpleNamespace(seats={}),
+        crowd=SimpleNamespace(processes=[None] * processes, events=lambda: list(events)),
+        gateways=SimpleNamespace(codes=codes or {0: 0}),
+        late=lambda: 0,
+        longest=4 * SECOND,
+    )
+    return Result(trial)
+
+
+DONE = {"at": SECOND, "what": "done", "late": 0}
+
+
+def test_a_day_whose_clients_ended_before_their_tasks_is_not_well(tmp_path):
+    assert result(tmp_path, answered("a"), DONE).well
+    cut_short = result(tmp_path, answered("a"))
+    assert not cut_short.well and cut_short.plain()["clients_unfinished"] == 1
+    assert not result(tmp_path, answered("a"), DONE, processes=2).well
+
+
+def test_a_task_that_found_no_gateway_was_not_served(tmp_path):
+    lost = {
+        "at": 0,
+        "what": "unreachable",
+        "id": "b",
+        "first": "b",
+        "track": "fault-check",
+        "asked": 0,
+        "tries": 0,
+    }
+    assert result(tmp_path, answered("a"), DONE).service == 1.0
+    assert result(tmp_path, answered("a"), lost, DONE).service == 0.5
+    assert result(tmp_path, answered("b", at=200 * MILLI), lost, DONE).service == 1.0  # a further try was
+
+
+@pytest.mark.parametrize(
+    "kind, verdict", [(Kind.DUPLICATE, "failed"), (Kind.STRAY, "failed"), (Kind.LOST, "void")]
+)
+def test_a_harness_that_ran_late_hides_no_breach_that_rests_on_no_time(kind, verdict):
+    made = Verdict.__new__(Verdict)
+    made.whole, made.void, made.faulty = True, ["a wire ran late"], ["x"]
+    made.broken = [Broken(1, 0, "x", kind)]
+    assert made.verdict == verdict
+
+
+def test_a_harness_allows_the_lateness_that_it_measured():
+    late = {"parent": 400.0, "clients": 3.5, "hosts": 12.25, "wires": 7.0}
+    harness = SimpleNamespace(lateness=SimpleNamespace(most=lambda: late))
+    assert ClusterHarness.late(harness) == 12_250_000
+    assert Trial.late(None) == 0
+
+
+class Ending:
+    """A gateway's process that ends some time after a SIGTERM, or never; `told`: what it got when."""
+
+    def __init__(self, loop, after):
+        self.loop, self.told = loop, []
+        self.end = None if after is None else loop.now() + after
+        self.child = SimpleNamespace(poll=self.poll)
+
+    def poll(self):
+        return 0 if self.end is not None and self.loop.now() >= self.end else None
+
+    def signal(self, number):
+        self.told.append((number.name, self.loop.now()))
+
+
+@pytest.mark.parametrize(
+    "after, noted, signals",
+    [(60 * MILLI, "ended", ["SIGTERM"]), (None, "killed", ["SIGTERM", "SIGKILL"])],
+)
+def test_a_gateway_that_has_not_ended_is_killed_as_soon_as_the_operators_may(after, noted, signals):
+    loop, events, faulty = Loop(), [], []
+
+    def rest(processes, span):
+        end = loop.now() + span
+        while processes[0].child.poll() is None and loop.now() < end:
+            yield loop.sleep(5 * MILLI)
+
+    process = Ending(loop, after)
+    gateways = SimpleNamespace(
+        tap=SimpleNamespace(note=lambda what, **told: events.append(what)),
+        trial=SimpleNamespace(processes=SimpleNamespace(rest=rest), kill_after=200 * MILLI, faulty=faulty),
+    )
+    loop.run(until=loop.spawn(ClusterGateways.end(gateways, 0, process)).done)
+    assert events == ["ending", noted] and [name for name, _ in process.told] == signals
+    assert bool(faulty) == (noted == "killed")
+    if noted == "killed":
+        assert 200 * MILLI <= process.told[1][1] - process.told[0][1] < 400 * MILLI
+    loop.close()
+
+
+def test_a_trial_s_gateways_have_as_long_to_end_as_the_operators_give_them(tmp_path):
+    trial = Trial(read_script("short-day"), tmp_path)
+    assert trial.ending_time() == trial.kill_after == 3700 * MILLI  # limits of 4 s count as 3 s
