--- a/gaproute/decisions/cells/remote.py
+++ b/gaproute/decisions/cells/remote.py
@@ -21,18 +21,26 @@
 TRANSIT = 100 * MILLI  # between two gateways: by so much an entry's end may be later than the one it was told
 
 
-def serve_remote(journey, cell, entries, health, cancel_allowed):
-    """Yields wishes as `route.Gateway.serve` does; ends without a final wish when the task is over."""
-    end, tried = journey.end - ANSWER_BY, set()
+def serve_remote(journey, cell, entries, health, cancel_allowed, end_by=lambda: None):
+    """Yields wishes as `route.Gateway.serve` does; ends without a final wish when the task is over.
+
+    `end_by()`: when every task must have its answer as the process ends, None while it does not.
+    """
+
+    def end():
+        stop = end_by()
+        return (journey.end if stop is None else min(journey.end, stop)) - ANSWER_BY
+
+    tried = set()
     if journey.hops >= MAX_HOPS:
         yield CellUnknown(journey.advice, "cell not known")
         return
-    while len(tried) < ENTRIES_TRIED and journey.now < end:
+    while len(tried) < ENTRIES_TRIED and journey.now < end():
         entry = entries.pick(journey.now, cell, tried)
         if entry is None:
             break
         tried.add(entry.name)
-        relay = yield Forward(entry, end, Forwarded(cell.name, journey.hops + 1))
+        relay = yield Forward(entry, end(), Forwarded(cell.name, journey.hops + 1))
         outcome = yield from _await(journey, relay, end, cell, health, cancel_allowed)
         if outcome is None:
             return
@@ -65,7 +73,7 @@
     """
     cancelled = False
     while True:
-        now, outcome = yield Wait(end if journey.now < end else journey.now + SECOND)
+        now, outcome = yield Wait(end() if journey.now < end() else journey.now + SECOND)
         if outcome is not None and outcome.result is Result.BEGUN:
             yield from _await_end(now, outcome)
             return None
@@ -75,11 +83,11 @@
             return None
         if outcome is not None:
             return outcome
-        given_up = now >= end or _is_lost(cell, health) and journey.track.effect is Effect.PURE
+        given_up = now >= end() or _is_lost(cell, health) and journey.track.effect is Effect.PURE
         if given_up and cancel_allowed and not cancelled:
             cancelled = True
             yield Cancel(relay)
-        if now >= end:
+        if now >= end():
             yield journey.ending("late")
             return None
 
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -97,7 +97,9 @@
         gateway = self.local.gateways.get(name)
         if gateway is None:
             cell = self.table.by_name[name]
-            inner = serve_remote(journey, cell, self.entries, self.health, self.terms.cancel_allowed)
+            inner = serve_remote(
+                journey, cell, self.entries, self.health, self.terms.cancel_allowed, lambda: self.end_by
+            )
         elif gateway.fleet:
             inner = gateway.serve(journey.now, journey.rest() if journey.relays else journey.task)
         else:
--- a/tests/test_cells_cellular.py
+++ b/tests/test_cells_cellular.py
@@ -203,6 +203,27 @@
     assert isinstance(next(made.serve(0, task("v"), Forwarded("nowhere", 1))), face.Decline)
 
 
+@pytest.mark.parametrize(
+    "track, ending", [(PURE, face.Decline), (RECEIPTED, face.Scrap), (EFFECTFUL, face.Scrap)]
+)
+def test_a_forwarded_task_has_its_answer_before_the_process_ends(track, ending):
+    made = fleet()
+    drive = Drive(made, task("t", function_of(made, "cell7"), track, time_left=10 * SECOND))
+    made.end_by = 2 * SECOND
+    assert not any(isinstance(wish, (face.Decline, face.Scrap)) for wish in drive.late(SECOND))
+    wishes = drive.late(2 * SECOND)
+    assert isinstance(wishes[-1], ending) and drive.sent == drive.sent[:1]
+
+
+def test_what_comes_shortly_before_the_process_ends_is_forwarded_with_the_time_that_is_left():
+    made = fleet()
+    made.end_by = 2 * SECOND
+    wish = Drive(made, task("t", function_of(made, "cell7")), now=SECOND).wishes[0]
+    assert isinstance(wish, Forward) and wish.until < 2 * SECOND
+    late = Drive(made, task("u", function_of(made, "cell7")), now=2 * SECOND)
+    assert isinstance(late.wishes[-1], face.Decline) and late.sent == []
+
+
 @pytest.mark.parametrize("track", [PURE, RECEIPTED, EFFECTFUL])
 def test_what_provably_did_not_run_goes_to_another_entry_and_then_to_the_next_home(track):
     made = fleet()
