--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -25,6 +25,9 @@
 
 LAST_REQUEST = 1_500_000_000  # ns after a stop, for requests on connections accepted before to come in:
 #                               more than until a connection that was at work is parked
+LONGEST_GRANTED = 3_000_000_000  # ns, as which longer deadlines count for the time of a SIGKILL
+GRANTED = 700_000_000  # ns beyond the longest deadline, after SIGTERM, from which on SIGKILL may come
+AHEAD = 100_000_000  # ns before that, by which what is held has its answer
 LAST_WORDS = 200_000_000  # ns, after the last client's connection, for words to other gateways to leave
 
 
@@ -158,12 +161,17 @@
         self.others.stop()
         if self.cells is not None:
             self.cells.stop()
+        self.core.end_by(self.loop.now() + self._granted())
         self.core.emptied = self._emptied
         for front in self.client_fronts:
             front.on_emptied(self._emptied)
         self.loop.after(LAST_REQUEST + self.charter.longest + LAST_WORDS, self.loop.stop)
         self._emptied()
 
+    def _granted(self):
+        """For how long after a stop tasks are held: the process may be killed soon after that."""
+        return min(self.charter.longest, LONGEST_GRANTED) + GRANTED - AHEAD - self.charter.clients.way_back
+
     def _emptied(self):
         """Ends the loop once no task is held and no client's connection is left."""
         if not self.core.held and not any(front.held for front in self.client_fronts):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from helpers import MILLI, SECOND
+from helpers import CHARTER, MILLI, SECOND
 
 from gaproute.appliance.gateway import LAST_REQUEST, LAST_WORDS
 from gaproute.http1.deadlines import QUIET
@@ -202,3 +202,48 @@
     run_out(made)
     assert all(statuses(rest_of(client)) == [200] for client in kept)
     assert [tasks(tap) for tap in made.taps] == ([1, 4] if drained == 0 else [4, 1])
+
+
+SHORT_LIMITS = {
+    "contract 1s limit 4s": "contract 200ms limit 300ms",
+    "contract 1s limit 3s": "contract 200ms limit 300ms",
+    "contract 600ms limit 1200ms": "contract 200ms limit 300ms",
+}
+SHORT = CHARTER
+for words, shorter in SHORT_LIMITS.items():
+    SHORT = SHORT.replace(words, shorter)
+
+
+@pytest.mark.parametrize(
+    "charter, killed",
+    [
+        pytest.param(SHORT, SECOND, id="limits-of-0.3-s"),
+        pytest.param(CHARTER, 3700 * MILLI, id="limits-of-4-s-that-count-as-3"),
+    ],
+)
+def test_what_is_held_has_its_answer_before_the_process_may_be_killed(rig, charter, killed):
+    """Requests go on coming on open connections, each with its whole limit; the host answers none."""
+    made = rig(hosts=1, charter=charter)
+    made.hosts[0].command({"trouble": "hang"})
+    early = made.ask("crew", "early")
+    made.until(lambda: made.seen("task", id="early"))
+    clients = [accepted_by(made) for _ in range(4)]
+    began = made.loop.now()
+    made.gate.stop()
+    for client in clients:
+        made.rest(min(killed - 250 * MILLI, LAST_REQUEST - 200 * MILLI) // len(clients))
+        client.sendall(ASK)
+    made.rest(killed - (made.loop.now() - began))
+    assert early.ready and not made.gate.core.held
+    for client in clients:
+        assert statuses(client.recv(65536)) in ([503], [504])
+        client.close()
+
+
+def accepted_by(made):
+    """A connection that the gateway has accepted."""
+    before = made.gate.lot.held
+    client = socket.create_connection(made.at[1])
+    client.setblocking(False)
+    made.until(lambda: made.gate.lot.held > before)
+    return client
