--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -8,7 +8,7 @@
     """No full answer came. `handed` is whether the kernel took any byte of the request: if not, it never
     ran. `reset`: the connection was reset, as by a server that closes it with bytes unread."""
 
-    def __init__(self, handed, connected, text, reset=False):
+    def __init__(self, handed, connected, text, *, reset=False):
         super().__init__(text)
         self.handed, self.connected, self.reset = handed, connected, reset
 
@@ -90,7 +90,7 @@
         handed = self.handed
         self.stream.abort()
         if exchange is not None:
-            exchange.settle(None, Undelivered(handed, True, text, reset))
+            exchange.settle(None, Undelivered(handed, True, text, reset=reset))
         elif self.on_idle_end is not None:
             self.on_idle_end(self)
 
