--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -13,7 +13,7 @@
 import socket
 
 from gaproute.fronts.jsonrpc import messages
-from gaproute.fronts.jsonrpc.link import Link
+from gaproute.fronts.jsonrpc.link import LATE, Link
 from gaproute.fronts.jsonrpc.messages import Fault
 from gaproute.interface.call import Call, Ending
 from gaproute.lobby import Lot
@@ -93,10 +93,11 @@
 
     def lighten(self):
         """Guards memory against thousands that send slowly or take no answers, each within its own bounds;
-        harms the heaviest of them before its time."""
-        weights = [(link.weight(), place, link) for place, link in enumerate(self.links)]
-        over = sum([weight for weight, _, _ in weights]) - WEIGHT
-        for weight, _, link in sorted(weights, reverse=True) if over > 0 else ():
+        harms the heaviest of them before its time, and first those to whom no answer is owed."""
+        now = self.loop.now()
+        weights = [(not link.owes(now), link.weight(), place, link) for place, link in enumerate(self.links)]
+        over = sum([weight for _, weight, _, _ in weights]) - WEIGHT
+        for _, weight, _, link in sorted(weights, reverse=True) if over > 0 else ():
             if over > 0:
                 over -= weight
                 self.deaf += 1
@@ -132,7 +133,9 @@
         call = Call(asked.function, "", (), asked.body, asked.mark, method, asked.receipt)
         self.marks[asked.mark] = link
         came = self.loop.now() - self.loop.behind
+        wait = min(asked.wait, longest)
         link.tasks += 1
+        link.owed_until = max(link.owed_until, came + wait + LATE)
         link.open[number] = None
         link.open[number] = (
             self.core.take(
@@ -142,7 +145,7 @@
                 asked.lanes,
                 asked.load_time,
                 came,
-                min(asked.wait, longest) - self.way_back,
+                wait - self.way_back,
                 lambda final: self.final(link, asked, final),
             ),
             asked.mark,
--- a/gaproute/fronts/jsonrpc/link.py
+++ b/gaproute/fronts/jsonrpc/link.py
@@ -12,24 +12,42 @@
 UNTAKEN = 64 * 1024  # bytes that wait for a client to take them, above which nothing of it is read: a few
 #                          answers of the greatest size, or a thousand of the usual
 FAULTS = 64  # of one connection, until it is closed: each takes work from the others
+LATE = 500 * MILLI  # after its time in which an answer still counts as given: it is owed for so long
 
 
 class Link:
-    """A connection at work, from its first byte until it has been quiet for a while."""
-
-    __slots__ = ("front", "stream", "reader", "place", "tasks", "open", "since", "told", "faults", "closing")
+    """A connection at work, from its first byte until it has been quiet for a while.
+
+    `ending`: nothing more of it is read, and it closes once what is open on it is answered. `closing`: all is
+    answered. `owed_until`: when the last of its requests needs no answer any more.
+    """
+
+    __slots__ = (
+        "front",
+        "stream",
+        "reader",
+        "place",
+        "tasks",
+        "open",
+        "since",
+        "told",
+        "faults",
+        "ending",
+        "closing",
+        "owed_until",
+    )
 
     def __init__(self, front, sock, place, tasks):
         self.front, self.place, self.tasks = front, place, tasks
         self.reader = messages.Reader()
         self.open = {}  # number: (the core's key, mark) of its task
         self.since = self.told = front.loop.now()  # a message is coming in; the last word either way
-        self.faults, self.closing = 0, False
+        self.faults, self.ending, self.closing, self.owed_until = 0, False, False, 0
         self.stream = Stream(front.loop, sock, self.bytes, self.ended)
         self.stream.on_room = self.room
 
     def bytes(self, data):
-        if self.closing:
+        if self.ending or self.closing:
             return
         now = self.front.loop.now()
         if not self.reader.midway:
@@ -44,26 +62,41 @@
             if self.stream.ended():  # the client has left behind what it sent, maybe while that waited at
                 return  # admission: nothing begins, and the next read tells the end
         for body in messages.wanted(bodies, self.open, self.front.marks):
-            try:
-                self.front.take(self, body)
-            except Fault as wrong:
-                self.refuse(wrong)
-            if self.closing or not self.stream.open:
+            self.take(body)
+            if not self.stream.open:
                 return
         if fault is not None:
             self.refuse(fault)  # what a reader finds wrong is unreadable: that closes
         elif self.stream.waiting >= UNTAKEN:
             self.stream.pause()
-        if self.front.stopping:
-            self.settled()
+        self.settled()
+
+    def take(self, body):
+        """One message; what goes wrong with it is told under its number and spoils no other."""
+        try:
+            self.front.take(self, body)
+        except Fault as wrong:
+            self.refuse(wrong)
+        except Exception as error:
+            self.front.loop.failed(error)
+            self.refuse(Fault(messages.FAILED, "an error in the gateway", messages.number(body)))
 
     def refuse(self, fault):
+        """Tells what came wrong. What cannot be read, or too many faults, end the reading; the requests read
+        before are owed their answers, also where they stand behind it in the same read."""
+        if fault.code == messages.REFUSED:  # an answer, and no fault of the client's
+            self.write(messages.error(fault.number, fault.code, fault.text))
+            return
+        if self.ending:
+            return  # it has been told
         self.front.faults += 1
         self.faults += 1
         self.front.refused(fault.code, fault.text)
         self.write(messages.error(fault.number, fault.code, fault.text))
         if fault.code == messages.UNREADABLE or self.faults >= FAULTS:
-            self.shut()
+            self.ending = True
+            self.stream.pause()
+            self.settled()
 
     def write(self, data):
         self.told = self.front.loop.now()
@@ -71,7 +104,7 @@
 
     def room(self):
         self.told = self.front.loop.now()
-        if not self.stream.reading and not self.closing:
+        if not self.stream.reading and not self.ending and not self.closing:
             self.stream.resume()
 
     def withdraw(self, named):
@@ -84,13 +117,15 @@
 
     def look(self, now):
         """What a glance now and then is enough for."""
-        if self.stream.waiting and now - self.told > PROGRESS:
+        if self.stream.waiting and now - self.told > PROGRESS and not self.owes(now):
             self.front.deaf += 1
             self.end()
-        elif self.closing:
+        elif self.ending or self.closing:
             return
-        elif self.reader.midway and now - self.since > PROGRESS:
-            self.refuse(Fault(messages.UNREADABLE, "the message did not come in whole in time"))
+        elif self.late(now):
+            self.stream.look()  # its rest may have come since the loop last looked
+            if self.stream.open and not self.ending and self.late(now):
+                self.refuse(Fault(messages.UNREADABLE, "the message did not come in whole in time"))
         elif (
             not self.open
             and not self.stream.waiting
@@ -100,6 +135,14 @@
         ):
             self.park()
 
+    def late(self, now):
+        """Whether a message has been coming in for too long."""
+        return self.reader.midway and now - self.since > PROGRESS
+
+    def owes(self, now):
+        """Whether a request of it still needs an answer that can be taken in time."""
+        return now <= self.owed_until
+
     def weight(self):
         return self.stream.waiting + len(self.reader.buffer)
 
@@ -111,22 +154,16 @@
         front.lot.park(self.stream.release(), front.number, due, self.place, self.tasks, True)
 
     def settled(self):
-        """A request is answered: at a stop its connection closes after the last, and not before what already
-        lies there has been read and answered."""
-        if (
-            self.front.stopping
-            and not self.closing
-            and not self.open
-            and not self.reader.midway
-            and self.stream.quiet()
-        ):
+        """A request is answered: one that ends closes after the last. At a stop each does, and not before
+        what already lies there has been read and answered."""
+        if self.open or self.closing:
+            return
+        if self.ending or self.front.stopping and not self.reader.midway and self.stream.quiet():
             self.shut()
 
     def shut(self):
-        """Closes once what was written has been taken; what is open on it has lost its client. Until its
-        descriptor is given back it counts."""
+        """Closes once what was written has been taken. Until its descriptor is given back it counts."""
         self.closing = True
-        self.leave()
         self.stream.close(self.ended)
 
     def end(self):
--- a/gaproute/fronts/jsonrpc/messages.py
+++ b/gaproute/fronts/jsonrpc/messages.py
@@ -139,6 +139,14 @@
     return number, told.method, told.params
 
 
+def number(body):
+    """The number of a body's request; None where none can be read."""
+    try:
+        return envelope(body)[0]
+    except Fault as fault:
+        return fault.number
+
+
 def request(number, method, params, longest):
     """A task's request; `longest`: ns that a client of the track waits at most. Errors: Fault."""
 
@@ -154,8 +162,8 @@
     check(_ID(told.o), "o is 16 hex digits")
     check(len(told.k) <= KEY and told.k.isprintable(), f"k is text of at most {KEY} characters")
     check(
-        math.isfinite(told.d) and 0 < told.d * 1_000_000 <= TIMES * longest,
-        f"d is 1 to {TIMES * longest // 1_000_000} ms, not {told.d:.6g}",
+        0 < told.d * 1_000_000 <= TIMES * longest,  # an int of any size, or a finite float
+        f"d is 1 to {TIMES * longest // 1_000_000} ms",
     )
     figures = extras(told.extras)
     check(figures is not None, "extras is NAME:FIGURE;NAME:FIGURE")
