--- a/gaproute/lobby/lot.py
+++ b/gaproute/lobby/lot.py
@@ -55,13 +55,7 @@
     def _accept(self):
         listener, owner = next(iter(self.arriving.items()))
         del self.arriving[listener]
-        if (
-            self.admission.patient
-            and owner.counted
-            and self.held >= self.admission.most
-            and self._parting() is None
-            and self._victim() is None
-        ):
+        if self.admission.patient and owner.counted and not self.has_room():
             listener.rest(HOLD)
             return
         came = listener.accept()
@@ -71,13 +65,17 @@
         sock, address = came
         owner.admits(sock, address)
 
+    def has_room(self):
+        """Whether one more client finds room; in a full house one that rests gives way to it."""
+        return self.held < self.admission.most or self._parting() is not None or self._victim() is not None
+
     def admit(self, address, counted):
         """The place of an arrival's address, or None where it is turned away. `counted`: whether it takes of
         the clients' share of connections; operators and peers do not."""
         if counted:
             said = self.admission.admit(self.held, self.address_counts.count(address), True)
-            if said is DISPLACE and not self._displace():
-                said = TURN_AWAY
+            if said is DISPLACE and not self._displace() and not self.admission.patient:
+                said = TURN_AWAY  # a patient house was asked for room first: who rested then has just spoken
             if said is TURN_AWAY:
                 self.turned_away += 1
                 return None
@@ -99,16 +97,19 @@
 
     def make_room(self):
         """No descriptor was to be had: some idle ones go, the oldest first."""
-        self.look(self.loop.lobby.poll(0, LOBBY), self.loop.now())  # one that has just spoken is not idle
-        self.loop.waiting = True
+        self._catch_up()  # one that has just spoken is not idle
         for fd in self.admission.oldest(self.loop.now(), self._idle()):
-            self.displaced += 1
-            self._drop(fd)
+            self.displaced += self._retire(fd)
 
     def _parting(self):
-        """The connection that has said farewell longest, where that is long enough; it too is counted."""
+        """The connection that has said farewell longest of those whose answers were taken, where that is long
+        enough; it too is counted."""
+        now = self.loop.now()
         for stream, since in self.loop.leaving.items():
-            return self.admission.victim(self.loop.now(), [(stream, since, 0)])
+            if self.admission.victim(now, [(stream, since, 0)]) is None:
+                return None  # nor are those behind it long enough
+            if stream.taken():
+                return stream
         return None
 
     def _displace(self):
@@ -116,13 +117,27 @@
         if parting is not None:
             parting.cut()
             return True
-        fd = self._victim()
-        if fd is None:
+        while (fd := self._victim()) is not None:
+            if self._retire(fd):
+                self.displaced += 1
+                return True
+        return False
+
+    def _retire(self, fd):
+        """Closes a parked connection that rests; one that has spoken by now is in line instead, as a request
+        that lies unread would be reset. Returns whether it was closed."""
+        self._catch_up()
+        if self.state[fd] != PARKED:
             return False
-        self.displaced += 1
         self._drop(fd)
         return True
 
+    def _catch_up(self):
+        """Puts in line whoever has spoken by now; each is told once, so that this ends."""
+        while events := self.loop.lobby.poll(0, LOBBY):
+            self.look(events, self.loop.now())
+        self.loop.waiting = True
+
     # Waking
 
     def look(self, events, seen):
@@ -176,10 +191,7 @@
 
         `first_by`: those that have brought no request yet stay parked, until that time at the latest.
         """
-        now = self.loop.now()
-        while events := self.loop.lobby.poll(0, LOBBY):  # each is told once: no more than are parked
-            self.look(events, now)
-        self.loop.waiting = True
+        self._catch_up()
         for listener in [
             listener for listener, whose in self.arriving.items() if whose is self.owners[owner]
         ]:
@@ -190,5 +202,7 @@
             if first_by is not None and not self.tasks[fd]:
                 self.due[fd] = min(self.due[fd], first_by)
                 self._enter(fd)
-            else:
+            elif all_of_them:
                 self._drop(fd)
+            else:
+                self._retire(fd)
--- a/gaproute/lobby/parking.py
+++ b/gaproute/lobby/parking.py
@@ -19,7 +19,7 @@
 class Parking:
     """Parks connections by descriptor, closes them at their idle end, and counts clients' connections.
 
-    The base of the lot. An owner has `counted` and `lost()`.
+    The base of the lot, which gives `_retire(fd)`. An owner has `counted` and `lost()`.
     """
 
     def __init__(self, loop):
@@ -88,8 +88,7 @@
             if self.due[fd] > now:
                 self.slot[fd] = self.calendar.add(fd, self.due[fd])
             else:
-                self.expired += 1
-                self._drop(fd)
+                self.expired += self._retire(fd)
         self._arm()
 
     def _drop(self, fd):
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -261,14 +261,18 @@
     def part(self, until=0):
         """The other side has not closed: left to the kernel, by then at the latest, once that has nothing of
         ours unacknowledged."""
+        if not self.taken() and self.loop.now() < until:
+            self.timer = self.loop.after(FAREWELL, self.part, until)
+        else:
+            self._finish(None)
+
+    def taken(self):
+        """Whether the other side has acknowledged all that was written."""
         try:
             held = int.from_bytes(fcntl.ioctl(self.fd, termios.TIOCOUTQ, bytes(4)), "little")
         except OSError:  # no such figure here: taken
             held = 0
-        if held and self.loop.now() < until:
-            self.timer = self.loop.after(FAREWELL, self.part, until)
-        else:
-            self._finish(None)
+        return not self.out and not held
 
     def abort(self):
         """Closes at once with a reset; no further callbacks."""
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -37,6 +37,7 @@
     for each in deaf:  # an error is owed to each, and none of them closes then
         each.sendall(b"noise" * 200)
     made.until(lambda: len(made.loop.leaving) == len(deaf))
+    made.until(lambda: all(stream.taken() for stream in made.loop.leaving))  # the kernel may take 40 ms
     late = made.client()
     late.ask(1)
     made.turns()
--- /dev/null
+++ b/tests/test_unanswered_resting.py
@@ -0,0 +1,109 @@
+"""A connection that rests, or that says farewell, is not closed over a request or an answer: where its time
+is over, where a full house or a shortage of descriptors asks for room, and at the end of the process."""
+
+import pytest
+from scripted import MILLI, SECOND, Handed
+from test_unanswered_requests import BAD, codes, deaf
+
+
+def resting(made, asks=1):
+    """A client whose connection rests at admission; with `asks` requests answered before."""
+    client = made.client()
+    for number in range(1, asks + 1):
+        client.ask(number)
+        made.until(lambda number=number: len(client.answers) == number)
+    made.passes(300 * MILLI)
+    made.until(lambda: made.process.front.parked)
+    return client
+
+
+def over_time(lot, made):
+    made.clock.now += 60 * SECOND
+    lot._tick()
+
+
+def displaced(lot, made):
+    lot._displace()
+
+
+def short_of_descriptors(lot, made):
+    lot.make_room()
+
+
+def closed_by_its_owner(lot, made):
+    lot.close(made.process.front.number)
+
+
+@pytest.mark.parametrize("close", [over_time, displaced, short_of_descriptors, closed_by_its_owner])
+@pytest.mark.parametrize("asks", [0, 1])
+def test_a_connection_is_not_closed_over_a_request_that_has_just_come(gate, close, asks):
+    """The first request of a connection, or a later one, not seen by the loop as yet."""
+    made = gate(clock=Handed())
+    client, quiet = resting(made, asks), made.client()
+    made.until(lambda: made.process.front.parked == 2)
+    made.passes(300 * MILLI)
+    client.ask(asks + 1)
+    close(made.process.front.lot, made)
+    made.until(lambda: len(client.answers) == asks + 1)
+    assert set(codes(client)[0].values()) == {None} and not client.ended
+    made.turns()
+    assert quiet.ended
+
+
+def test_a_request_that_comes_while_others_are_being_closed_is_answered(gate):
+    made = gate(clock=Handed())
+    clients = [made.client() for _ in range(3)]
+    made.until(lambda: made.process.front.parked == 3)
+    lot, last = made.process.front.lot, clients[-1]
+    drop = lot._drop
+
+    def slow_close(fd):
+        if not last.buffer and not said:
+            said.append(True)
+            last.ask(1)
+        drop(fd)
+
+    said, lot._drop = [], slow_close
+    lot.close(made.process.front.number)
+    made.until(lambda: last.answers)
+    assert codes(last)[0] == {1: None} and [client.ended for client in clients] == [True, True, False]
+
+
+def test_who_was_accepted_for_one_who_rested_stays_although_that_one_has_just_spoken(gate):
+    made = gate(sockets=70, clock=Handed())
+    lot = made.process.front.lot
+    clients = [made.client() for _ in range(lot.admission.most)]
+    made.until(lambda: made.process.front.parked == len(clients))
+    made.passes(200 * MILLI)
+    late = made.client()
+    late.ask(1, i="f" * 16)
+    displace = lot._displace
+
+    def all_have_spoken():
+        for number, client in enumerate(clients):
+            client.ask(1, i=f"{number:016x}")
+        lot._displace = displace
+        return displace()
+
+    lot._displace = all_have_spoken
+    made.until(lambda: late.answers and all(client.answers for client in clients))
+    assert codes(late)[0] == {1: None} and made.process.front.turned_away == 0
+
+
+def test_a_connection_whose_answers_are_on_their_way_makes_no_room(gate, monkeypatch):
+    made = gate(sockets=70, clock=Handed())
+    client = made.client()
+    client.ask(1)
+    made.until(lambda: client.answers)
+    (link,) = made.process.front.links
+    reads = deaf(link, monkeypatch)
+    client.ask(2)
+    made.until(lambda: link.stream.waiting)
+    client.send(BAD)
+    made.until(lambda: made.loop.leaving)
+    made.passes(200 * MILLI)
+    lot = made.process.front.lot
+    assert lot._parting() is None and not lot._displace()
+    reads()
+    made.until(lambda: client.ended)
+    assert codes(client)[0] == {1: None, 2: None}
