--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -69,10 +69,13 @@
         self._set_deadline()
 
     def park(self):
-        """Gives the socket back to the lot; closes it where its idle time is over or the server stops."""
+        """Gives the socket back to the lot; closes it where its idle time is over or the server stops, and
+        not before a request that lies unread has been answered."""
         server = self.server
         if server.loop.now() >= self.idle_end or not self.stream.open or server.stopping:
-            self._shut()
+            self.stream.look()
+            if not self.queue and not self.reader.midway:
+                self._shut()
             return
         self._clear_deadline()
         server.links.discard(self)
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -68,11 +68,18 @@
             self._end(None)
         elif not self.reader.midway:
             self.park()
+        elif self._came_meanwhile():
+            return
         elif self.queue:
             self.closing = True  # the answers still owed go out first
         else:
             self._refuse(Fault(408, "the request did not come in whole in time"))
 
+    def _came_meanwhile(self):
+        """Whether the rest of the overdue request had come since the loop last looked: it is taken then."""
+        self.stream.look()
+        return not self.stream.open or not self.reader.midway
+
     def _clear_deadline(self):
         self.due, self.resting = None, False
         if self.timer is not None:
--- /dev/null
+++ b/tests/test_unanswered_http1.py
@@ -0,0 +1,65 @@
+"""HTTP/1.1: a kept connection is not closed over a request that has come by then."""
+
+import pytest
+from helpers import MILLI, SECOND
+from test_stopping import ASK, asked_and_answered, clients, closes, rest_of, run_out, statuses
+
+from gaproute.http1.connection import ServerLink
+
+__all__ = ["clients"]
+
+
+def test_a_request_that_comes_while_resting_connections_are_closed_at_a_stop_is_answered(rig, clients):
+    made = rig(hosts=1)
+    kept = [clients(made) for _ in range(3)]
+    for client in kept:
+        asked_and_answered(made, client)
+    made.until(lambda: made.gate.fronts[0].server.parked == 3)
+    lot, said = made.gate.lot, []
+    drop = lot._drop
+
+    def slow_close(fd):
+        if not said:
+            said.append(True)
+            kept[-1].sendall(ASK)
+        drop(fd)
+
+    lot._drop = slow_close
+    made.gate.stop()
+    run_out(made)
+    assert [rest_of(client) for client in kept[:2]] == [b"", b""]
+    said = rest_of(kept[-1])
+    assert statuses(said) == [200] and closes(said) == [True]
+
+
+@pytest.mark.parametrize("stops", [True, False])
+def test_a_request_that_comes_as_a_quiet_connection_is_closed_is_answered(rig, clients, monkeypatch, stops):
+    """At a stop, or as its idle time is over."""
+    monkeypatch.setattr("gaproute.http1.deadlines.QUIET", 10 * SECOND)  # it is not parked meanwhile
+    made = rig(hosts=1)
+    client = clients(made)
+    asked_and_answered(made, client)
+    (link,) = made.gate.fronts[0].server.links
+    if stops:
+        made.gate.stop()
+    link.idle_end = made.loop.now()
+    client.sendall(ASK)  # in the gateway's socket, not read by it
+    link.park()
+    made.until(lambda: not made.gate.core.held)
+    made.rest(10 * MILLI)
+    assert statuses(client.recv(65536)) == [200]
+
+
+def test_a_request_whose_rest_has_just_come_is_not_refused_as_a_slow_one(rig, clients, monkeypatch):
+    made = rig(hosts=1)
+    client = clients(made)
+    client.sendall(ASK[:40])
+    made.until(lambda: made.gate.fronts[0].server.links)
+    (link,) = made.gate.fronts[0].server.links
+    client.sendall(ASK[40:])
+    link.due = made.loop.now() - 1
+    ServerLink._deadline_passed(link)
+    made.until(lambda: made.seen("task"))
+    made.until(lambda: not made.gate.core.held)
+    made.rest(10 * MILLI)
+    assert statuses(client.recv(65536)) == [200]
