--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -12,6 +12,7 @@
 
 import socket
 
+from gaproute.decisions.admission.admission import HOLD
 from gaproute.fronts.jsonrpc import messages
 from gaproute.fronts.jsonrpc.link import LATE, Link
 from gaproute.fronts.jsonrpc.messages import Fault
@@ -42,7 +43,8 @@
         self.refused = lambda code, text: None  # what came wrong, for the log
         self.parked = self.turned_away = self.faults = self.deaf = 0
         self.marks = {}  # a task's mark, while it is open: its connection
-        self.stopping, self.emptied = False, None  # call() after a stop, when no connection is left
+        self.stopping = False  # connections close once nothing is owed on them
+        self.emptied = None  # call() when the last connection has closed, where somebody waits for that
         self.family = where[0]
         self.lot = Lot.of(loop)
         self.number = self.lot.open(self)
@@ -81,7 +83,7 @@
         return len(self.links) + self.parked
 
     def tell(self):
-        if self.stopping and self.emptied is not None and not self.held:
+        if self.emptied is not None and not self.held:
             self.emptied()
 
     def _sweep(self):
@@ -170,10 +172,19 @@
 
     # Stop
 
+    def shut(self):
+        """Accepts no more. What waits in the kernel's queue is taken in first, as it would be reset; those
+        who rest make room for it."""
+        while (room := self.lot.has_room()) and (came := self.listener.accept()) is not None:
+            self.admits(*came)
+        if room:
+            self.listener.close()
+        else:
+            self.loop.after(HOLD, self.shut)
+
     def stop(self):
-        """Accepts no more; connections close once nothing is open on them and no half message has come. What
-        waits in the kernel's queue is taken in first, as it would be reset, and what it asks is declined: the
-        resting ones make room for it."""
+        """Closes every connection once nothing is open on it and no half message has come. What has come
+        until then is answered first, and what it asks is declined."""
         if self.stopping:
             return
         self.stopping = True
--- a/gaproute/node/process.py
+++ b/gaproute/node/process.py
@@ -26,10 +26,11 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 STATUS = 5 * SECOND  # between lines of status: a few of them in the shortest day
 AGAIN = 200 * MILLI  # until a file that could not be opened is tried again
-STILL_COMING = 800 * MILLI  # after SIGTERM, in which clients still come: 0.6 s, and a turn or two
+COMING = 600 * MILLI  # after SIGTERM, in which new connections come
+STILL_COMING = COMING + 200 * MILLI  # until no more are accepted: the clients' time, and a turn or two
 GRANTED = 700 * MILLI  # beyond the longest deadline, until SIGKILL may come after SIGTERM
 LONGEST = 3 * SECOND  # what a longer deadline counts as there
-AHEAD = 200 * MILLI  # of SIGKILL, by which what is only waiting to be taken is left to the kernel
+AHEAD = 200 * MILLI  # of SIGKILL, by which connections are closed at the latest, in order
 
 
 class Process:
@@ -59,7 +60,8 @@
         self.lister = events.Lister(loop, self.site.zones)
         self.seed, self.sockets = seed, sockets
         self.front = self.follower = self.peers = None
-        self.stopping, self.granted = False, 0
+        self.stopping = False
+        self.closing = self.granted = 0  # once it stops: when connections are closed, when it has left
         self.again = None  # timer of a reload that could not be read
 
     def start(self):
@@ -149,25 +151,33 @@
             self.follower.move(charter.changelog)
 
     def stop(self):
-        """Goes on serving while clients still come, then takes nothing new, ends what is held and leaves."""
-        if not self.stopping:
-            self.stopping = True
-            self.log.info("stopping", held=len(self.core.held))
-            longest = max(track.hard_limit for track in self.terms.tracks)
-            self.granted = self.loop.now() + min(longest, LONGEST) + GRANTED - AHEAD
-            self.core.end_by(self.granted - way_back())
-            self.loop.after(STILL_COMING, self.shut)
+        """Goes on serving: new connections while they still come, the open ones until shortly before SIGKILL
+        may come. Then they are closed in order, and the process leaves; sooner where none is left.
+
+        In a turn that finds itself late the signal may have come as long ago: the time granted counts from
+        then."""
+        if self.stopping:
+            return
+        self.stopping = True
+        self.log.info("stopping", held=len(self.core.held))
+        now = self.loop.now()
+        began = now - self.loop.behind
+        self.closing, self.granted = schedule([track.hard_limit for track in self.terms.tracks], began, now)
+        self.core.end_by(self.closing - way_back())
+        self.loop.at(self.granted, self.loop.stop)  # first: an error must not keep the process
+        self.loop.at(self.closing, self.front.stop)
+        self.loop.at(min(began + STILL_COMING, self.closing), self.shut)
 
     def shut(self):
+        """Accepts no new connections, and leaves once the last of the open ones is closed."""
         self.core.emptied = self.front.emptied = self.leave
-        self.loop.at(self.granted, self.leave)  # first: an error must not keep the process
-        self.front.stop()
+        self.front.shut()
         self.leave()
 
     def leave(self):
         """Ends the loop once all is answered and the answers are taken: each connection closes when the other
-        side has read to its end. What only waits for that gets no more time than SIGTERM grants."""
-        if not self.core.held and (not self.front.held or self.loop.now() >= self.granted):
+        side has read to its end."""
+        if not self.core.held and not self.front.held:
             self.loop.stop()
 
     def run(self):
@@ -227,6 +237,19 @@
         )
 
 
+def schedule(deadlines, began, now):
+    """(when open connections are closed, when the process has left) after a SIGTERM that came at `began` and
+    is heeded `now`; ns.
+
+    SIGKILL may come after the longest of the deadlines and `GRANTED`. With short deadlines that is soon after
+    the last clients have come: the closing then takes half of the time between.
+    """
+    killed = min(max(deadlines), LONGEST) + GRANTED
+    ahead = min(AHEAD, (killed - COMING) // 2)
+    closing = max(now, began + killed - ahead)
+    return closing, closing + ahead // 2
+
+
 def had(figure):
     """None where it cannot be had: reading it takes a descriptor."""
     try:
