--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -12,8 +12,9 @@
 
 import socket
 
+from gaproute.decisions.admission.admission import HOLD
 from gaproute.fronts.jsonrpc import messages
-from gaproute.fronts.jsonrpc.link import Link
+from gaproute.fronts.jsonrpc.link import LATE, Link
 from gaproute.fronts.jsonrpc.messages import Fault
 from gaproute.interface.call import Call, Ending
 from gaproute.lobby import Lot
@@ -42,7 +43,8 @@
         self.refused = lambda code, text: None  # what came wrong, for the log
         self.parked = self.turned_away = self.faults = self.deaf = 0
         self.marks = {}  # a task's mark, while it is open: its connection
-        self.stopping, self.emptied = False, None  # call() after a stop, when no connection is left
+        self.stopping = False  # connections close once nothing is owed on them
+        self.emptied = None  # call() when the last connection has closed, where somebody waits for that
         self.family = where[0]
         self.lot = Lot.of(loop)
         self.listener = Listener(loop, where, None, on_ready=self._ready)  # first: it may fail
@@ -81,7 +83,7 @@
         return len(self.links) + self.parked
 
     def tell(self):
-        if self.stopping and self.emptied is not None and not self.held:
+        if self.emptied is not None and not self.held:
             self.emptied()
 
     def _sweep(self):
@@ -93,10 +95,11 @@
 
     def lighten(self):
         """Guards memory against thousands that send slowly or take no answers, each within its own bounds;
-        harms the heaviest of them before its time."""
-        weights = [(link.weight(), place, link) for place, link in enumerate(self.links)]
-        over = sum([weight for weight, _, _ in weights]) - WEIGHT
-        for weight, _, link in sorted(weights, reverse=True) if over > 0 else ():
+        harms the heaviest of them before its time, and first those to whom no answer is owed."""
+        now = self.loop.now()
+        weights = [(not link.owes(now), link.weight(), place, link) for place, link in enumerate(self.links)]
+        over = sum([weight for _, weight, _, _ in weights]) - WEIGHT
+        for _, weight, _, link in sorted(weights, reverse=True) if over > 0 else ():
             if over > 0:
                 over -= weight
                 self.deaf += 1
@@ -141,7 +144,9 @@
         )
         self.marks[asked.mark] = link
         came = self.loop.now() - link.waited
+        wait = min(asked.wait, longest)
         link.tasks += 1
+        link.owed_until = max(link.owed_until, came + wait + LATE)
         link.open[number] = None
         link.open[number] = (
             self.core.take(
@@ -151,7 +156,7 @@
                 asked.lanes,
                 asked.load_time,
                 came,
-                min(asked.wait, longest) - self.way_back,
+                wait - self.way_back,
                 lambda final: self.final(link, asked, final),
             ),
             asked.mark,
@@ -176,10 +181,19 @@
 
     # Stop
 
+    def shut(self):
+        """Accepts no more. What waits in the kernel's queue is taken in first, as it would be reset; those
+        who rest make room for it."""
+        while (room := self.lot.has_room()) and (came := self.listener.accept()) is not None:
+            self.admits(*came)
+        if room:
+            self.listener.close()
+        else:
+            self.loop.after(HOLD, self.shut)
+
     def stop(self):
-        """Accepts no more; connections close once nothing is open on them and no half message has come. What
-        waits in the kernel's queue is taken in first, as it would be reset, and what it asks is declined: the
-        resting ones make room for it."""
+        """Closes every connection once nothing is open on it and no half message has come. What has come
+        until then is answered first, and what it asks is declined."""
         if self.stopping:
             return
         self.stopping = True
