--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from gaproute.shared.keepers.messages import HIGHEST
+from gaproute.shared.messages import HIGHEST
 from gaproute.shared.permits.commands import LONGEST, kept
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/shared/keepers/messages.py
+++ b/gaproute/shared/keepers/messages.py
@@ -7,26 +7,20 @@
 
 from typing import Annotated
 
-from msgspec import Meta, Struct
+from msgspec import Meta
+
+from gaproute.shared.messages import Count, Message, Name
 
-HIGHEST = 1 << 48  # of a term, an index, a life: no fleet gets there; above it is nonsense
 MOST_ENTRIES = 64  # entries in one message: a heartbeat's worth of work, small next to a snapshot
 BODY = 2048  # bytes of one command: names and a few numbers take a tenth of it
 MOST_STATE = 4 << 20  # bytes of a snapshot: all permits and sessions at their bounds take less
-NAME = 128  # characters of a name
 KEEPERS = 9  # members at most: 3 or 5 are meant, one is added before another goes
 
-Count = Annotated[int, Meta(ge=0, le=HIGHEST)]
-Name = Annotated[str, Meta(max_length=NAME)]
 Body = Annotated[bytes, Meta(max_length=BODY)]
 NOTHING, MEMBERS, OPEN, COMMAND = range(4)  # kinds of entries
 
 
-class Told(Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
-    """What all messages and records are made from: compared by value, no unknown fields."""
-
-
-class Member(Told):
+class Member(Message):
     name: Name
     life: Count
 
@@ -34,7 +28,7 @@
 Members = Annotated[tuple[Member, ...], Meta(max_length=KEEPERS)]
 
 
-class Roll(Told):
+class Roll(Message):
     """The body of an entry of kind MEMBERS: who the members are from here on. `base`: where the founder
     wants fencing numbers to begin (0: no wish)."""
 
@@ -42,7 +36,7 @@
     base: Count = 0
 
 
-class Entry(Told):
+class Entry(Message):
     """`session` and `nonce` name the holder's request; 0 where a keeper made the entry."""
 
     term: Count
@@ -52,7 +46,7 @@
     body: Body = b""
 
 
-class Hello(Told, tag=1):
+class Hello(Message, tag=1):
     """From a keeper with an empty memory that may found; the answer echoes the asker's life, so that it is
     from after that life began. `blank`: never voted, never took an entry."""
 
@@ -61,7 +55,7 @@
     blank: bool
 
 
-class Ask(Told, tag=2):
+class Ask(Message, tag=2):
     """RequestVote. `index`, `last`: of the last entry and its term. `pre`: only whether it would be
     given."""
 
@@ -72,14 +66,14 @@
     pre: bool
 
 
-class Vote(Told, tag=3):
+class Vote(Message, tag=3):
     term: Count
     life: Count
     pre: bool
     given: bool
 
 
-class Append(Told, tag=4):
+class Append(Message, tag=4):
     """AppendEntries, a heartbeat without entries. `index`, `last`: of the entry before them."""
 
     term: Count
@@ -90,7 +84,7 @@
     entries: Annotated[tuple[Entry, ...], Meta(max_length=MOST_ENTRIES)] = ()
 
 
-class Ack(Told, tag=5):
+class Ack(Message, tag=5):
     """`ok`: all up to `index` is as the leader's and on disk. Otherwise: try behind `index`."""
 
     term: Count
@@ -99,7 +93,7 @@
     index: Count
 
 
-class Install(Told, tag=6):
+class Install(Message, tag=6):
     """InstallSnapshot: the state after the entry `index` of term `last`; answered by an Ack."""
 
     term: Count
@@ -110,7 +104,7 @@
     state: Annotated[bytes, Meta(max_length=MOST_STATE)]
 
 
-class Request(Told, tag=7):
+class Request(Message, tag=7):
     """From a holder. Session 0 opens one (the body is empty). A nonce is used for one command of a
     session."""
 
@@ -119,7 +113,7 @@
     body: Body
 
 
-class Reply(Told, tag=8):
+class Reply(Message, tag=8):
     """`state`: `done` (body: the machine's answer; for an opened session its number is in `session`),
     `elsewhere` (not the leader; `leader` may name it), `busy`, `forgotten` (no such session), `refused`
     (body: why, as text). `opened`: 0, or the session that was opened."""
--- a/gaproute/shared/keepers/records.py
+++ b/gaproute/shared/keepers/records.py
@@ -4,7 +4,8 @@
 
 import msgspec
 
-from gaproute.shared.keepers.messages import Count, Entry, Members, Name, Told
+from gaproute.shared.keepers.messages import Entry, Members
+from gaproute.shared.messages import Count, Message, Name
 
 
 class Lost(NamedTuple):
@@ -13,14 +14,14 @@
     why: str
 
 
-class Identity(Told, tag=1):
+class Identity(Message, tag=1):
     """The head of every disk: whose it is. A life is drawn once for an empty disk."""
 
     name: Name
     life: Count
 
 
-class Voted(Told, tag=2):
+class Voted(Message, tag=2):
     """The term, and who got the vote in it (empty: nobody yet)."""
 
     term: Count
@@ -28,14 +29,14 @@
     life: Count
 
 
-class Written(Told, tag=3):
+class Written(Message, tag=3):
     """An entry at its index; whatever was at this index and behind it is replaced."""
 
     index: Count
     entry: Entry
 
 
-class Snapshot(Told, tag=4):
+class Snapshot(Message, tag=4):
     """The state after the entry `index` of term `last`; entries up to it are gone."""
 
     index: Count
--- a/gaproute/shared/keepers/store.py
+++ b/gaproute/shared/keepers/store.py
@@ -7,8 +7,8 @@
 """
 
 from gaproute.shared.keepers.log import Log
-from gaproute.shared.keepers.messages import HIGHEST
 from gaproute.shared.keepers.records import Identity, Lost, Snapshot, Voted, Written, decode, encode
+from gaproute.shared.messages import HIGHEST
 
 
 class Store:
--- a/gaproute/shared/permits/commands.py
+++ b/gaproute/shared/permits/commands.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Meta
 
-from gaproute.shared.keepers.messages import HIGHEST, Name, Told
+from gaproute.shared.messages import HIGHEST, Message, Name
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -19,7 +19,7 @@
 Fence = Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
-class Take(Told, tag=1):
+class Take(Message, tag=1):
     """`amount` of the resource (1 of a name) for `span` ns."""
 
     resource: Name
@@ -28,18 +28,18 @@
     span: Span
 
 
-class Renew(Told, tag=2):
+class Renew(Message, tag=2):
     fence: Fence
     holder: Name
     span: Span
 
 
-class Give(Told, tag=3):
+class Give(Message, tag=3):
     fence: Fence
     holder: Name
 
 
-class Size(Told, tag=4):
+class Size(Message, tag=4):
     """The pool holds `amount`. Less than is held: nothing new is granted until enough has come back."""
 
     resource: Name
@@ -47,7 +47,7 @@
     amount: Amount
 
 
-class Lapse(Told, tag=5):
+class Lapse(Message, tag=5):
     """From the leader alone: the permit last granted or renewed by the entry `at` has ended by its
     clock."""
 
@@ -55,7 +55,7 @@
     at: Amount
 
 
-class Answer(Told):
+class Answer(Message):
     """`why` is empty where it was done."""
 
     why: Name = ""
--- a/gaproute/shared/permits/holder.py
+++ b/gaproute/shared/permits/holder.py
@@ -7,7 +7,8 @@
 
 from collections import Counter, deque
 
-from gaproute.shared.keepers.messages import HIGHEST, Reply, Request
+from gaproute.shared.keepers.messages import Reply, Request
+from gaproute.shared.messages import HIGHEST
 from gaproute.shared.permits.commands import (
     LONGEST,
     MOST_WISHES,
--- a/gaproute/shared/permits/machine.py
+++ b/gaproute/shared/permits/machine.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from gaproute.shared.keepers.messages import Told
+from gaproute.shared.messages import Message
 from gaproute.shared.permits.commands import (
     LONGEST,
     Answer,
@@ -25,7 +25,7 @@
 POOLS = 4096  # resources with a size of their own: hosts whose room is lent
 
 
-class Permit(Told):
+class Permit(Message):
     fence: int
     resource: str
     holder: str
@@ -34,7 +34,7 @@
     at: int  # index of the entry that granted or last renewed it
 
 
-class State(Told):
+class State(Message):
     fence: int
     quiet: bool
     permits: list[Permit]
