--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,7 +23,7 @@
 
 from benchmarks.rows import write
 from gaproute.decisions.chance import Chance
-from gaproute.peers.gossip import decode, encode
+from gaproute.peers.membership import decode, encode
 from gaproute.shared.membership import ALIVE, DEAD, LEFT
 from gaproute.shared.membership.invariants import check
 from gaproute.standins.net import LINK, Net
--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -6,7 +6,7 @@
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, UDP_HEADERS, held_bytes
 from gaproute.decisions.chance import Chance
-from gaproute.peers.gossip import decode, encode
+from gaproute.peers.membership import decode, encode
 from gaproute.shared.membership import ALIVE, DEAD, Members, News, Word
 
 SECOND = 1_000_000_000
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -15,7 +15,7 @@
 from gaproute.hollow.simulation import Fleet, GatewayLoop, GatewayRow
 from gaproute.hollow.simulation.network import SimulatedDatagrams
 from gaproute.interface import State
-from gaproute.peers.gossip import decode, encode
+from gaproute.peers.membership import decode, encode
 from gaproute.shared.membership import ALIVE, News, Word
 from gaproute.shared.membership.invariants import check
 from gaproute.shared.membership.table import MEMBERS
--- a/benchmarks/weak_bytes.py
+++ b/benchmarks/weak_bytes.py
@@ -22,7 +22,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import word_pb2
-from gaproute.peers.gossip import MOST, Gossip
+from gaproute.peers.membership import MOST, Gossip
 from gaproute.peers.weak import decode, encode
 from gaproute.shared.weak import Page, Weak, Word
 from gaproute.shared.weak.facts import DEMAND, HANDS, WARM
--- a/gaproute/hollow/cells/fixed.py
+++ b/gaproute/hollow/cells/fixed.py
@@ -6,7 +6,7 @@
 
 from gaproute.hollow.parts import DATAGRAM_HEADERS, Part
 from gaproute.peers import word_pb2
-from gaproute.peers.gossip import CARRIED, VERSION
+from gaproute.peers.membership import CARRIED, VERSION
 
 
 class FixedGossip:
--- a/gaproute/peers/__init__.py
+++ b/gaproute/peers/__init__.py
@@ -1,7 +1,7 @@
 """What gateways tell one another. Advice only: nothing that the rules rest on comes from here."""
 
 from gaproute.peers.giver import Giver
-from gaproute.peers.gossip import Gossip
 from gaproute.peers.learner import Learner
+from gaproute.peers.membership import Gossip
 
 __all__ = ["Giver", "Gossip", "Learner"]
--- /dev/null
+++ b/gaproute/shared/messages.py
@@ -0,0 +1,18 @@
+"""The base of all messages and records that gateways exchange or store, and the bounds of their fields.
+
+A decoder refuses what is out of these bounds, so no peer can make a gateway hold more than it should.
+"""
+
+from typing import Annotated
+
+from msgspec import Meta, Struct
+
+HIGHEST = 1 << 48  # of a term, an index, an incarnation: no fleet gets there; above it is nonsense
+NAME = 128  # characters of a name
+
+Count = Annotated[int, Meta(ge=0, le=HIGHEST)]
+Name = Annotated[str, Meta(max_length=NAME)]
+
+
+class Message(Struct, frozen=True, forbid_unknown_fields=True, array_like=True):
+    """An immutable value, encoded as an array: compared by value, unknown fields are an error."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from gaproute.decisions.chance import Chance
-from gaproute.peers.gossip import decode, encode
+from gaproute.peers.membership import decode, encode
 from gaproute.shared.membership import ALIVE, DEAD, LEFT, SUSPECT, Members, News, Word
 from gaproute.shared.membership.invariants import check
 from gaproute.shared.membership.members import ERRANDS
--- a/tests/test_stepped_clock_restart.py
+++ b/tests/test_stepped_clock_restart.py
@@ -7,7 +7,7 @@
 from gaproute.ledger.tables import StoredTable, TableFile
 from gaproute.ledger.votes import Votes
 from gaproute.loop.datagrams import Datagrams
-from gaproute.peers.gossip import Gossip
+from gaproute.peers.membership import Gossip
 from gaproute.shared.keepers import Keeper
 from gaproute.shared.membership import ALIVE, DEAD, Members
 from gaproute.shared.permits import Holder, Permits
--- a/tests/test_tables_carrier.py
+++ b/tests/test_tables_carrier.py
@@ -17,7 +17,7 @@
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
 from gaproute.peers.giver import Giver
-from gaproute.peers.gossip import CARRIED, Gossip
+from gaproute.peers.membership import CARRIED, Gossip
 from gaproute.peers.tables import TableCarrier, wire
 from gaproute.peers.tables import carrier as carrier_module
 from gaproute.shared.dissemination import DocumentError, Peer
--- a/tests/test_tables_encoding.py
+++ b/tests/test_tables_encoding.py
@@ -12,7 +12,7 @@
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.table import Version
 from gaproute.peers import word_pb2
-from gaproute.peers.gossip import CARRIED
+from gaproute.peers.membership import CARRIED
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encoded_change
 from gaproute.shared.dissemination import Change, DocumentError
--- a/tests/test_weak_merge.py
+++ b/tests/test_weak_merge.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.peers.gossip import decode as decode_word
+from gaproute.peers.membership import decode as decode_word
 from gaproute.peers.weak import decode, encode
 from gaproute.peers.weak.wire import code
 from gaproute.shared.weak import Page, Word
