--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -8,8 +8,8 @@
 from gaproute.http1 import render
 from gaproute.peers.keepers import wire
 from gaproute.peers.keepers.carrier import TARGET
-from gaproute.shared.keepers import Keeper
 from gaproute.shared.permits import Holder, Permits
+from gaproute.shared.raft import Keeper
 from gaproute.simulation.plan import Plan
 from gaproute.simulation.world import World
 
--- a/gaproute/ledger/votes.py
+++ b/gaproute/ledger/votes.py
@@ -23,7 +23,7 @@
 
 from gaproute.ledger import files
 from gaproute.ledger.records import Bad, packed, parsed, whole
-from gaproute.shared.keepers import Lost
+from gaproute.shared.raft import Lost
 
 
 class Votes:
--- a/gaproute/peers/keepers/seat.py
+++ b/gaproute/peers/keepers/seat.py
@@ -2,10 +2,10 @@
 choice."""
 
 from gaproute.peers.keepers.carrier import Carrier
-from gaproute.shared.keepers import Keeper
-from gaproute.shared.keepers.invariants import replay
-from gaproute.shared.keepers.messages import Reply
 from gaproute.shared.permits import Holder
+from gaproute.shared.raft import Keeper
+from gaproute.shared.raft.invariants import replay
+from gaproute.shared.raft.messages import Reply
 
 MILLI = 1_000_000
 
--- a/gaproute/peers/keepers/wire.py
+++ b/gaproute/peers/keepers/wire.py
@@ -9,8 +9,8 @@
 import msgspec
 from msgspec import Meta
 
-from gaproute.shared.keepers.messages import MESSAGES, MOST_STATE
 from gaproute.shared.messages import NAME
+from gaproute.shared.raft.messages import MESSAGES, MOST_STATE
 
 VERSION = 1
 MANY = 64  # messages in a batch: those of a few beats
--- a/gaproute/shared/permits/holder.py
+++ b/gaproute/shared/permits/holder.py
@@ -7,7 +7,6 @@
 
 from collections import Counter, deque
 
-from gaproute.shared.keepers.messages import Reply, Request
 from gaproute.shared.messages import HIGHEST
 from gaproute.shared.permits.commands import (
     LONGEST,
@@ -21,6 +20,7 @@
     encode,
     read_answer,
 )
+from gaproute.shared.raft.messages import Reply, Request
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/gaproute/shared/keepers/__init__.py
+++ b/gaproute/shared/raft/__init__.py
@@ -27,7 +27,7 @@
 An unsynced tail may be cut by a crash at any record. A record that was synced and cannot be read: Lost.
 """
 
-from gaproute.shared.keepers.keeper import Keeper
-from gaproute.shared.keepers.records import Lost
+from gaproute.shared.raft.keeper import Keeper
+from gaproute.shared.raft.records import Lost
 
 __all__ = ["Keeper", "Lost"]
--- a/gaproute/shared/keepers/election.py
+++ b/gaproute/shared/raft/election.py
@@ -5,8 +5,8 @@
 told.
 """
 
-from gaproute.shared.keepers.messages import NOTHING, Ask, Vote
-from gaproute.shared.keepers.spans import ELECTION
+from gaproute.shared.raft.messages import NOTHING, Ask, Vote
+from gaproute.shared.raft.spans import ELECTION
 
 
 def _ask(keeper, out, term, pre):
--- a/gaproute/shared/keepers/following.py
+++ b/gaproute/shared/raft/following.py
@@ -1,6 +1,6 @@
 """The follower's side: entries and snapshots from the leader of the term (Raft 5.3, 7)."""
 
-from gaproute.shared.keepers.messages import Ack
+from gaproute.shared.raft.messages import Ack
 
 
 def _leader(keeper, now, sender, message, out):
--- a/gaproute/shared/keepers/founding.py
+++ b/gaproute/shared/raft/founding.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gaproute.shared.keepers.messages import MEMBERS, Entry, Hello, Member, Roll
+from gaproute.shared.raft.messages import MEMBERS, Entry, Hello, Member, Roll
 
 
 def tick(keeper, now, out):
--- a/gaproute/shared/keepers/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -8,9 +8,9 @@
 
 import msgspec
 
-from gaproute.shared.keepers.messages import KEEPERS
-from gaproute.shared.keepers.sessions import OWN, SESSIONS
 from gaproute.shared.permits.invariants import check_holders, check_permits
+from gaproute.shared.raft.messages import KEEPERS
+from gaproute.shared.raft.sessions import OWN, SESSIONS
 
 KEPT = 16  # breaches held by a keeper: the first ones tell
 
--- a/gaproute/shared/keepers/keeper.py
+++ b/gaproute/shared/raft/keeper.py
@@ -2,9 +2,11 @@
 
 from collections import Counter
 
-from gaproute.shared.keepers import election, following, founding, leading, requests
-from gaproute.shared.keepers.invariants import KEPT, check_one
-from gaproute.shared.keepers.messages import (
+from gaproute.shared.permits.clocks import Clocks
+from gaproute.shared.permits.machine import Permits
+from gaproute.shared.raft import election, following, founding, leading, requests
+from gaproute.shared.raft.invariants import KEPT, check_one
+from gaproute.shared.raft.messages import (
     COMMAND,
     KEEPERS,
     MEMBERS,
@@ -17,11 +19,9 @@
     Request,
     Vote,
 )
-from gaproute.shared.keepers.sessions import Sessions
-from gaproute.shared.keepers.spans import DISK_AGAIN, ELECTION
-from gaproute.shared.keepers.store import Store
-from gaproute.shared.permits.clocks import Clocks
-from gaproute.shared.permits.machine import Permits
+from gaproute.shared.raft.sessions import Sessions
+from gaproute.shared.raft.spans import DISK_AGAIN, ELECTION
+from gaproute.shared.raft.store import Store
 
 KEEP = 1024  # entries applied that the log holds before a snapshot takes their place
 JUMP = 1 << 30  # a term so far above the own is nonsense: an election a second for 30 years
--- a/gaproute/shared/keepers/leading.py
+++ b/gaproute/shared/raft/leading.py
@@ -3,9 +3,9 @@
 
 import msgspec
 
-from gaproute.shared.keepers.members import next_roll
-from gaproute.shared.keepers.messages import MEMBERS, NOTHING, Append, Entry, Install, Roll
-from gaproute.shared.keepers.spans import BEAT, CHANGE, STATE_AGAIN, UNHEARD
+from gaproute.shared.raft.members import next_roll
+from gaproute.shared.raft.messages import MEMBERS, NOTHING, Append, Entry, Install, Roll
+from gaproute.shared.raft.spans import BEAT, CHANGE, STATE_AGAIN, UNHEARD
 
 PENDING = 512  # entries not yet agreed on: a megabyte at most; beyond it holders are told `busy`
 LAPSES = 64  # permits let go in one turn; a leader that was stopped may find many
--- a/gaproute/shared/keepers/log.py
+++ b/gaproute/shared/raft/log.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from gaproute.shared.keepers.messages import MEMBERS, MOST_ENTRIES, Roll
+from gaproute.shared.raft.messages import MEMBERS, MOST_ENTRIES, Roll
 
 BYTES = 128 << 10  # of the bodies in one message: several turns of commands, far from a socket's buffer
 
--- a/gaproute/shared/keepers/members.py
+++ b/gaproute/shared/raft/members.py
@@ -1,7 +1,7 @@
 """The next step of the members towards the configuration: one joins or one leaves, never both (Raft's
 single-server changes: any majority before and any after share a keeper)."""
 
-from gaproute.shared.keepers.messages import KEEPERS, Member
+from gaproute.shared.raft.messages import KEEPERS, Member
 
 
 def next_roll(members, named, lives, matches, commit):
--- a/gaproute/shared/keepers/records.py
+++ b/gaproute/shared/raft/records.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from gaproute.shared.keepers.messages import Entry, Members
 from gaproute.shared.messages import Count, Message, Name
+from gaproute.shared.raft.messages import Entry, Members
 
 
 class Lost(NamedTuple):
--- a/gaproute/shared/keepers/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -1,7 +1,7 @@
 """What holders ask of the leader: checked, written down once, answered when it is agreed on."""
 
-from gaproute.shared.keepers.messages import COMMAND, OPEN, Reply
 from gaproute.shared.messages import NAME
+from gaproute.shared.raft.messages import COMMAND, OPEN, Reply
 
 EACH = 4  # requests of one holder that wait to be agreed on: it sends one at a time
 
--- a/gaproute/shared/keepers/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from gaproute.shared.keepers.log import read_roll
-from gaproute.shared.keepers.messages import COMMAND, MEMBERS, OPEN
+from gaproute.shared.raft.log import read_roll
+from gaproute.shared.raft.messages import COMMAND, MEMBERS, OPEN
 
 SESSIONS = 4096  # in all: a thousand gateways that restarted a few times; 200 bytes each
 OWN = 4  # of one holder: a gateway needs one, lost openings make more of them
--- a/gaproute/shared/keepers/store.py
+++ b/gaproute/shared/raft/store.py
@@ -6,9 +6,9 @@
 end in the middle of a record, and a record behind a gap would be read as if nothing were missing.
 """
 
-from gaproute.shared.keepers.log import Log
-from gaproute.shared.keepers.records import Identity, Lost, Snapshot, Voted, Written, decode, encode
 from gaproute.shared.messages import HIGHEST
+from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.records import Identity, Lost, Snapshot, Voted, Written, decode, encode
 
 
 class Store:
--- a/gaproute/simulation/disk.py
+++ b/gaproute/simulation/disk.py
@@ -10,7 +10,7 @@
 import errno
 import os
 
-from gaproute.shared.keepers import Lost
+from gaproute.shared.raft import Lost
 
 FULL, READONLY, FAILING = errno.ENOSPC, errno.EROFS, errno.EIO
 
--- a/gaproute/simulation/keepchecks.py
+++ b/gaproute/simulation/keepchecks.py
@@ -2,9 +2,9 @@
 
 from itertools import pairwise
 
-from gaproute.shared.keepers.invariants import History, check_all
-from gaproute.shared.keepers.messages import Ack, Append, Install, Reply, Vote
-from gaproute.shared.keepers.records import Voted, decode
+from gaproute.shared.raft.invariants import History, check_all
+from gaproute.shared.raft.messages import Ack, Append, Install, Reply, Vote
+from gaproute.shared.raft.records import Voted, decode
 from gaproute.simulation.plan import MEMORY
 
 
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -7,10 +7,10 @@
 a holder is cut off.
 """
 
-from gaproute.shared.keepers import Keeper, log
-from gaproute.shared.keepers import keeper as module
 from gaproute.shared.permits import Holder, Permits
 from gaproute.shared.permits.commands import BOUND
+from gaproute.shared.raft import Keeper, log
+from gaproute.shared.raft import keeper as module
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
 from gaproute.simulation.keepchecks import Held, Remembered, Told, agreed, came_right
--- a/gaproute/simulation/mutants.py
+++ b/gaproute/simulation/mutants.py
@@ -9,14 +9,14 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
-from gaproute.shared.keepers import election, following, founding, leading, members, requests
-from gaproute.shared.keepers.keeper import Keeper
-from gaproute.shared.keepers.sessions import Sessions
-from gaproute.shared.keepers.store import Store
 from gaproute.shared.permits import commands
 from gaproute.shared.permits.clocks import Clocks
 from gaproute.shared.permits.holder import Holder, Wish
 from gaproute.shared.permits.machine import Permits
+from gaproute.shared.raft import election, following, founding, leading, members, requests
+from gaproute.shared.raft.keeper import Keeper
+from gaproute.shared.raft.sessions import Sessions
+from gaproute.shared.raft.store import Store
 
 TELLS, VOTE, LEADER = "on disk before it is told", "one vote a term", "one leader a term"
 REMEMBERED, TERM, WRITTEN = "a vote is remembered", "term only grows", "a vote is on disk before it is told"
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds.py
@@ -5,9 +5,9 @@
 
 from gaproute.maintenance import Host as Listed
 from gaproute.maintenance import Round
-from gaproute.shared.keepers import Keeper
 from gaproute.shared.permits import Permits
 from gaproute.shared.permits.commands import BOUND
+from gaproute.shared.raft import Keeper
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
 from gaproute.simulation.keepchecks import Held
--- a/tests/keepers_net.py
+++ b/tests/keepers_net.py
@@ -3,9 +3,9 @@
 import heapq
 import random
 
-from gaproute.shared.keepers import Keeper
-from gaproute.shared.keepers.invariants import History, check_all
 from gaproute.shared.permits import Holder, Permits
+from gaproute.shared.raft import Keeper
+from gaproute.shared.raft.invariants import History, check_all
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/tests/ledger_mutants.py
+++ b/tests/ledger_mutants.py
@@ -24,8 +24,8 @@
 from gaproute.ledger import votes as votes_module
 from gaproute.ledger.records import Bad, head, parsed
 from gaproute.ledger.votes import Votes
-from gaproute.shared.keepers import Lost
-from gaproute.shared.keepers.store import Store
+from gaproute.shared.raft import Lost
+from gaproute.shared.raft.store import Store
 
 
 class Planted(NamedTuple):
--- a/tests/test_keepers_carried.py
+++ b/tests/test_keepers_carried.py
@@ -10,8 +10,8 @@
 from gaproute.loop.streams import address
 from gaproute.peers.keepers import Seat, wire
 from gaproute.peers.keepers.carrier import BURST
-from gaproute.shared.keepers.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
 from gaproute.shared.permits import Permits
+from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
 
 
 class Record:
--- a/tests/test_keepers_members.py
+++ b/tests/test_keepers_members.py
@@ -3,9 +3,9 @@
 import pytest
 from keepers_net import MILLI, SECOND, Disk, Net
 
-from gaproute.shared.keepers.leading import PENDING
-from gaproute.shared.keepers.members import next_roll
-from gaproute.shared.keepers.messages import NOTHING, Ack, Member
+from gaproute.shared.raft.leading import PENDING
+from gaproute.shared.raft.members import next_roll
+from gaproute.shared.raft.messages import NOTHING, Ack, Member
 
 A, B, C = (Member(name, number) for number, name in enumerate("abc", 1))
 ALL = (A, B, C)
--- a/tests/test_keepers_votes.py
+++ b/tests/test_keepers_votes.py
@@ -4,8 +4,9 @@
 from keepers_net import SECOND, Chance, Disk
 from msgspec.msgpack import encode
 
-from gaproute.shared.keepers import Keeper, Lost
-from gaproute.shared.keepers.messages import (
+from gaproute.shared.permits import Permits, commands
+from gaproute.shared.raft import Keeper, Lost
+from gaproute.shared.raft.messages import (
     MEMBERS,
     NOTHING,
     Ack,
@@ -18,10 +19,9 @@
     Roll,
     Vote,
 )
-from gaproute.shared.keepers.records import Identity, Snapshot, Voted, Written, decode
-from gaproute.shared.keepers.records import encode as record
-from gaproute.shared.keepers.sessions import Sessions
-from gaproute.shared.permits import Permits, commands
+from gaproute.shared.raft.records import Identity, Snapshot, Voted, Written, decode
+from gaproute.shared.raft.records import encode as record
+from gaproute.shared.raft.sessions import Sessions
 
 NAMES = ("a", "b", "c")
 ROLL = tuple(Member(name, number) for number, name in enumerate(NAMES, 1))
--- a/tests/test_ledger_samples.py
+++ b/tests/test_ledger_samples.py
@@ -11,8 +11,8 @@
 from gaproute.ledger import Memory, Votes
 from gaproute.ledger.tables import TableFile
 from gaproute.peers.tables import encoding
-from gaproute.shared.keepers import Keeper
 from gaproute.shared.permits import Permits
+from gaproute.shared.raft import Keeper
 
 SAMPLES = Path(__file__).parent / "samples" / "ledger"
 SECOND = 1_000_000_000
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -3,8 +3,6 @@
 import pytest
 from keepers_net import MILLI, SECOND, Chance, Net
 
-from gaproute.shared.keepers.messages import COMMAND, OPEN, Entry, Reply, Request
-from gaproute.shared.keepers.sessions import OWN, Sessions
 from gaproute.shared.permits import Holder, Permits
 from gaproute.shared.permits.clocks import Clocks
 from gaproute.shared.permits.commands import (
@@ -21,6 +19,8 @@
     read_answer,
 )
 from gaproute.shared.permits.invariants import check_permits
+from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Reply, Request
+from gaproute.shared.raft.sessions import OWN, Sessions
 
 
 class Log:
--- a/tests/test_simulation_world.py
+++ b/tests/test_simulation_world.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from gaproute.shared.keepers import Lost
+from gaproute.shared.raft import Lost
 from gaproute.simulation import (
     Breach,
     Chance,
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -12,8 +12,8 @@
 from gaproute.ledger import Votes, files
 from gaproute.ledger import votes as module
 from gaproute.ledger.records import Bad, packed, parsed, whole
-from gaproute.shared.keepers import Lost
-from gaproute.shared.keepers.store import Store
+from gaproute.shared.raft import Lost
+from gaproute.shared.raft.store import Store
 from gaproute.simulation import Chance, Disk
 
 
