--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -6,8 +6,8 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS
 from gaproute.http1 import render
-from gaproute.peers.keepers import wire
-from gaproute.peers.keepers.carrier import TARGET
+from gaproute.peers.raft import wire
+from gaproute.peers.raft.carrier import TARGET
 from gaproute.shared.permits import Holder, Permits
 from gaproute.shared.raft import Keeper
 from gaproute.simulation.plan import Plan
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -6,7 +6,7 @@
 
 from gaproute.ledger.files import MOMENTARY
 from gaproute.ledger.votes import Votes
-from gaproute.peers.keepers import Seat
+from gaproute.peers.raft import Seat
 from gaproute.shared.permits import Permits
 from gaproute.shared.permits.errands import Errands
 
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -5,7 +5,7 @@
 from gaproute.hollow.parts import Part
 from gaproute.loop.streams import address
 from gaproute.peers import Giver
-from gaproute.peers.keepers.carrier import TARGET
+from gaproute.peers.raft.carrier import TARGET
 
 
 class Exchange(Part):
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -1,7 +1,7 @@
 """Leases as a part: the product's seat among keepers and holders; each gateway keeps one lease up."""
 
 from gaproute.hollow.parts import Part
-from gaproute.peers.keepers import Seat
+from gaproute.peers.raft import Seat
 from gaproute.shared.permits import Permits
 
 SECOND = 1_000_000_000
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -12,7 +12,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.loop import READ
-from gaproute.peers.keepers import Carrier
+from gaproute.peers.raft import Carrier
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 BEAT = 20 * MILLI  # between looks at the process's own lateness
--- a/gaproute/hollow/simulation/network.py
+++ b/gaproute/hollow/simulation/network.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from gaproute.peers.keepers import wire
+from gaproute.peers.raft import wire
 
 MILLI = 1_000_000
 REGIONS = 5  # by the gateway's number
@@ -70,7 +70,7 @@
 
 
 class SimulatedCarrier:
-    """Has the face of `gaproute.peers.keepers.Carrier`: one message in each exchange."""
+    """Has the face of `gaproute.peers.raft.Carrier`: one message in each exchange."""
 
     def __init__(self, network, loop, name, peers, take):
         self.network, self.loop, self.name, self.peers, self.take = network, loop, name, peers, take
--- a/gaproute/peers/keepers/__init__.py
+++ b/gaproute/peers/raft/__init__.py
@@ -6,7 +6,7 @@
 seat.carrier.listen(where)                   or an address of its own
 """
 
-from gaproute.peers.keepers.carrier import Carrier
-from gaproute.peers.keepers.seat import Seat
+from gaproute.peers.raft.carrier import Carrier
+from gaproute.peers.raft.seat import Seat
 
 __all__ = ["Carrier", "Seat"]
--- a/gaproute/peers/keepers/carrier.py
+++ b/gaproute/peers/raft/carrier.py
@@ -10,7 +10,7 @@
 
 from gaproute.http1 import Exchange, Limits, Server
 from gaproute.loop.streams import address
-from gaproute.peers.keepers import wire
+from gaproute.peers.raft import wire
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/gaproute/peers/keepers/seat.py
+++ b/gaproute/peers/raft/seat.py
@@ -1,7 +1,7 @@
 """A gateway's seat among keepers and holders: clock, sockets and log lines around the decisions, no
 choice."""
 
-from gaproute.peers.keepers.carrier import Carrier
+from gaproute.peers.raft.carrier import Carrier
 from gaproute.shared.permits import Holder
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.invariants import replay
--- a/tests/test_keepers_carried.py
+++ b/tests/test_keepers_carried.py
@@ -8,8 +8,8 @@
 from gaproute.ledger.votes import Votes
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
-from gaproute.peers.keepers import Seat, wire
-from gaproute.peers.keepers.carrier import BURST
+from gaproute.peers.raft import Seat, wire
+from gaproute.peers.raft.carrier import BURST
 from gaproute.shared.permits import Permits
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
 
