--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -8,7 +8,7 @@
 from gaproute.http1 import render
 from gaproute.peers.raft import wire
 from gaproute.peers.raft.carrier import TARGET
-from gaproute.shared.permits import Holder, Permits
+from gaproute.shared.leases import Holder, Permits
 from gaproute.shared.raft import Keeper
 from gaproute.simulation.plan import Plan
 from gaproute.simulation.world import World
--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -7,8 +7,8 @@
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes, once
 from gaproute.decisions.chance import Chance
 from gaproute.ledger.votes import Votes
-from gaproute.shared.permits import Permits
-from gaproute.shared.permits.commands import Renew, Take, encode, read_answer
+from gaproute.shared.leases import Permits
+from gaproute.shared.leases.commands import Renew, Take, encode, read_answer
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Request
 from gaproute.shared.raft.sessions import Sessions
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -4,7 +4,7 @@
 
 from gaproute.http1 import Server
 from gaproute.lobby.descriptors import descriptors
-from gaproute.shared.permits.errands import read_order
+from gaproute.shared.leases.errands import read_order
 
 MILLI = 1_000_000
 
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -7,8 +7,8 @@
 from gaproute.ledger.files import MOMENTARY
 from gaproute.ledger.votes import Votes
 from gaproute.peers.raft import Seat
-from gaproute.shared.permits import Permits
-from gaproute.shared.permits.errands import Errands
+from gaproute.shared.leases import Permits
+from gaproute.shared.leases.errands import Errands
 
 MILLI = 1_000_000
 LIVES = 40  # bits of a life's first errand: with 4,096 after it, all fit JSON's 2^53
--- a/gaproute/conf/words/fleet.py
+++ b/gaproute/conf/words/fleet.py
@@ -7,7 +7,7 @@
 from gaproute.conf.lines import Directive, Span, Yes
 from gaproute.conf.words.kinds import Address, Name, Started
 from gaproute.decisions.cells.bounds import MAX_NAME
-from gaproute.shared.permits.commands import LONGEST, SHORTEST
+from gaproute.shared.leases.commands import LONGEST, SHORTEST
 from gaproute.shared.raft.messages import KEEPERS
 
 FROM = "from"  # what sources of host lists are named after, in place of a folder
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -2,7 +2,7 @@
 
 from gaproute.hollow.parts import Part
 from gaproute.peers.raft import Seat
-from gaproute.shared.permits import Permits
+from gaproute.shared.leases import Permits
 
 SECOND = 1_000_000_000
 SPAN = 30 * SECOND  # of the lease: renewed at half of it
--- a/gaproute/peers/raft/seat.py
+++ b/gaproute/peers/raft/seat.py
@@ -2,7 +2,7 @@
 choice."""
 
 from gaproute.peers.raft.carrier import Carrier
-from gaproute.shared.permits import Holder
+from gaproute.shared.leases import Holder
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.invariants import replay
 from gaproute.shared.raft.messages import Reply
--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
+from gaproute.shared.leases.commands import LONGEST, kept
 from gaproute.shared.messages import HIGHEST
-from gaproute.shared.permits.commands import LONGEST, kept
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/gaproute/shared/permits/__init__.py
+++ b/gaproute/shared/leases/__init__.py
@@ -13,7 +13,7 @@
     wish.fence, .state ("asked", "held", "refused", "given", "over"), .why, .end
 """
 
-from gaproute.shared.permits.holder import Holder, Wish
-from gaproute.shared.permits.machine import Permits
+from gaproute.shared.leases.holder import Holder, Wish
+from gaproute.shared.leases.machine import Permits
 
 __all__ = ["Holder", "Permits", "Wish"]
--- a/gaproute/shared/permits/errands.py
+++ b/gaproute/shared/leases/errands.py
@@ -11,8 +11,8 @@
 import msgspec
 from msgspec import Meta
 
+from gaproute.shared.leases.commands import LONGEST, SHORTEST
 from gaproute.shared.messages import HIGHEST, NAME
-from gaproute.shared.permits.commands import LONGEST, SHORTEST
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/gaproute/shared/permits/holder.py
+++ b/gaproute/shared/leases/holder.py
@@ -7,8 +7,7 @@
 
 from collections import Counter, deque
 
-from gaproute.shared.messages import HIGHEST
-from gaproute.shared.permits.commands import (
+from gaproute.shared.leases.commands import (
     LONGEST,
     MOST_WISHES,
     SHORTEST,
@@ -20,6 +19,7 @@
     encode,
     read_answer,
 )
+from gaproute.shared.messages import HIGHEST
 from gaproute.shared.raft.messages import Reply, Request
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/shared/permits/invariants.py
+++ b/gaproute/shared/leases/invariants.py
@@ -1,7 +1,7 @@
 """What must always hold of permits; every check returns breaches as text, named first."""
 
-from gaproute.shared.permits.commands import MOST_WISHES
-from gaproute.shared.permits.machine import PERMITS, POOLS
+from gaproute.shared.leases.commands import MOST_WISHES
+from gaproute.shared.leases.machine import PERMITS, POOLS
 
 
 def check_permits(machine):
--- a/gaproute/shared/permits/machine.py
+++ b/gaproute/shared/leases/machine.py
@@ -6,8 +6,7 @@
 
 import msgspec
 
-from gaproute.shared.messages import Message
-from gaproute.shared.permits.commands import (
+from gaproute.shared.leases.commands import (
     LONGEST,
     Answer,
     Give,
@@ -20,6 +19,7 @@
     read,
     read_wish,
 )
+from gaproute.shared.messages import Message
 
 PERMITS = 4096  # standing at once: hosts out and rooms lent of a large fleet; 200 bytes each
 POOLS = 4096  # resources with a size of their own: hosts whose room is lent
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gaproute.shared.permits.invariants import check_holders, check_permits
+from gaproute.shared.leases.invariants import check_holders, check_permits
 from gaproute.shared.raft.messages import KEEPERS
 from gaproute.shared.raft.sessions import OWN, SESSIONS
 
--- a/gaproute/shared/raft/keeper.py
+++ b/gaproute/shared/raft/keeper.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from gaproute.shared.permits.clocks import Clocks
-from gaproute.shared.permits.machine import Permits
+from gaproute.shared.leases.clocks import Clocks
+from gaproute.shared.leases.machine import Permits
 from gaproute.shared.raft import election, following, founding, leading, requests
 from gaproute.shared.raft.invariants import KEPT, check_one
 from gaproute.shared.raft.messages import (
--- a/gaproute/simulation/campaigns.py
+++ b/gaproute/simulation/campaigns.py
@@ -6,7 +6,7 @@
 """
 
 from gaproute.rollouts.campaign import SECOND, WAY, Campaign, Host, check, floors, lendable
-from gaproute.shared.permits import Permits
+from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper
 from gaproute.simulation.campaigns_checks import checks
 from gaproute.simulation.campaigns_gateway import Gateway
--- a/gaproute/simulation/campaigns_checks.py
+++ b/gaproute/simulation/campaigns_checks.py
@@ -4,7 +4,7 @@
 from gaproute.rollouts.campaign import SECOND
 from gaproute.rollouts.invariants import check_floor, check_groups, check_loads, check_spend
 from gaproute.rollouts.spend import pool
-from gaproute.shared.permits.invariants import check_holder
+from gaproute.shared.leases.invariants import check_holder
 from gaproute.simulation.checks import Checks
 from gaproute.simulation.keepchecks import Told
 
--- a/gaproute/simulation/campaigns_gateway.py
+++ b/gaproute/simulation/campaigns_gateway.py
@@ -10,7 +10,7 @@
 from gaproute.rollouts.orders import Latest
 from gaproute.rollouts.spend import ASK, Spend
 from gaproute.rollouts.weights import Weights
-from gaproute.shared.permits import Holder
+from gaproute.shared.leases import Holder
 from gaproute.shared.weak import Weak, Word
 from gaproute.simulation.campaigns_planner import Planner
 
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -7,8 +7,8 @@
 a holder is cut off.
 """
 
-from gaproute.shared.permits import Holder, Permits
-from gaproute.shared.permits.commands import BOUND
+from gaproute.shared.leases import Holder, Permits
+from gaproute.shared.leases.commands import BOUND
 from gaproute.shared.raft import Keeper, log
 from gaproute.shared.raft import keeper as module
 from gaproute.simulation.chance import Chance
--- a/gaproute/simulation/mutants.py
+++ b/gaproute/simulation/mutants.py
@@ -9,10 +9,10 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
-from gaproute.shared.permits import commands
-from gaproute.shared.permits.clocks import Clocks
-from gaproute.shared.permits.holder import Holder, Wish
-from gaproute.shared.permits.machine import Permits
+from gaproute.shared.leases import commands
+from gaproute.shared.leases.clocks import Clocks
+from gaproute.shared.leases.holder import Holder, Wish
+from gaproute.shared.leases.machine import Permits
 from gaproute.shared.raft import election, following, founding, leading, members, requests
 from gaproute.shared.raft.keeper import Keeper
 from gaproute.shared.raft.sessions import Sessions
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds.py
@@ -5,8 +5,8 @@
 
 from gaproute.maintenance import Host as Listed
 from gaproute.maintenance import Round
-from gaproute.shared.permits import Permits
-from gaproute.shared.permits.commands import BOUND
+from gaproute.shared.leases import Permits
+from gaproute.shared.leases.commands import BOUND
 from gaproute.shared.raft import Keeper
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
--- a/tests/faulty_ledger.py
+++ b/tests/faulty_ledger.py
@@ -15,7 +15,7 @@
 from gaproute.ledger import votes as votes_module
 from gaproute.ledger.tables import StoredTable, TableFile
 from gaproute.ledger.votes import Votes
-from gaproute.shared.permits import Permits
+from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper, Lost
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Install, Vote
 
--- a/tests/keepers_net.py
+++ b/tests/keepers_net.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from gaproute.shared.permits import Holder, Permits
+from gaproute.shared.leases import Holder, Permits
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.invariants import History, check_all
 
--- a/tests/test_keepers_carried.py
+++ b/tests/test_keepers_carried.py
@@ -10,7 +10,7 @@
 from gaproute.loop.streams import address
 from gaproute.peers.raft import Seat, wire
 from gaproute.peers.raft.carrier import BURST
-from gaproute.shared.permits import Permits
+from gaproute.shared.leases import Permits
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
 
 
--- a/tests/test_keepers_votes.py
+++ b/tests/test_keepers_votes.py
@@ -4,7 +4,7 @@
 from keepers_net import SECOND, Chance, Disk
 from msgspec.msgpack import encode
 
-from gaproute.shared.permits import Permits, commands
+from gaproute.shared.leases import Permits, commands
 from gaproute.shared.raft import Keeper, Lost
 from gaproute.shared.raft.messages import (
     MEMBERS,
--- a/tests/test_ledger_samples.py
+++ b/tests/test_ledger_samples.py
@@ -11,7 +11,7 @@
 from gaproute.ledger import Memory, Votes
 from gaproute.ledger.tables import TableFile
 from gaproute.peers.tables import encoding
-from gaproute.shared.permits import Permits
+from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper
 
 SAMPLES = Path(__file__).parent / "samples" / "ledger"
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -3,9 +3,9 @@
 import pytest
 from keepers_net import MILLI, SECOND, Chance, Net
 
-from gaproute.shared.permits import Holder, Permits
-from gaproute.shared.permits.clocks import Clocks
-from gaproute.shared.permits.commands import (
+from gaproute.shared.leases import Holder, Permits
+from gaproute.shared.leases.clocks import Clocks
+from gaproute.shared.leases.commands import (
     BOUND,
     LONGEST,
     Answer,
@@ -18,7 +18,7 @@
     kept,
     read_answer,
 )
-from gaproute.shared.permits.invariants import check_permits
+from gaproute.shared.leases.invariants import check_permits
 from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Reply, Request
 from gaproute.shared.raft.sessions import OWN, Sessions
 
--- a/tests/test_permits_appliance.py
+++ b/tests/test_permits_appliance.py
@@ -8,8 +8,8 @@
 
 from gaproute.conf import Mistakes, read_charter
 from gaproute.loop.streams import address
-from gaproute.shared.permits import Holder
-from gaproute.shared.permits.errands import Errands, Order
+from gaproute.shared.leases import Holder
+from gaproute.shared.leases.errands import Errands, Order
 
 LONGEST = 300  # ms of a permit here, so that the quiet after founding is short
 
--- a/tests/test_rollouts_simulation.py
+++ b/tests/test_rollouts_simulation.py
@@ -8,7 +8,7 @@
 from gaproute.rollouts.loads import Loads
 from gaproute.rollouts.spend import Spend
 from gaproute.rollouts.weights import Weights
-from gaproute.shared.permits import machine
+from gaproute.shared.leases import machine
 from gaproute.simulation import campaigns, campaigns_gateway
 from gaproute.simulation.campaigns import play
 from gaproute.simulation.campaigns_cases import CASES, SECOND
--- a/tests/test_rollouts_spend.py
+++ b/tests/test_rollouts_spend.py
@@ -4,8 +4,8 @@
 
 from gaproute.rollouts.invariants import check_sent, check_spend
 from gaproute.rollouts.spend import ASK, FRESH, Spend, pool
-from gaproute.shared.permits import Holder, Permits
-from gaproute.shared.permits.commands import Size, encode
+from gaproute.shared.leases import Holder, Permits
+from gaproute.shared.leases.commands import Size, encode
 from gaproute.shared.raft.messages import Reply
 
 
