--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
 from gaproute.peers.weak import decode, encode
-from gaproute.shared.weak import Weak
+from gaproute.shared.gossip import Weak
 
 SECOND = 1_000_000_000
 GATEWAYS = (16, 64, 256, 1_024, 4_096)
--- a/benchmarks/weak.py
+++ b/benchmarks/weak.py
@@ -34,9 +34,9 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
 from gaproute.peers.weak import decode, encode
-from gaproute.shared.weak import Page, Weak
-from gaproute.shared.weak.facts import HANDS
-from gaproute.shared.weak.invariants import check, own_alone
+from gaproute.shared.gossip import Page, Weak
+from gaproute.shared.gossip.facts import HANDS
+from gaproute.shared.gossip.invariants import check, own_alone
 
 SECOND = 1_000_000_000
 STEP = SECOND // 4  # in which tasks come
--- a/benchmarks/weak_bytes.py
+++ b/benchmarks/weak_bytes.py
@@ -24,9 +24,9 @@
 from gaproute.peers import word_pb2
 from gaproute.peers.membership import MOST, Gossip
 from gaproute.peers.weak import decode, encode
-from gaproute.shared.weak import Page, Weak, Word
-from gaproute.shared.weak.facts import DEMAND, HANDS, WARM
-from gaproute.shared.weak.facts import MOST as ENTRIES
+from gaproute.shared.gossip import Page, Weak, Word
+from gaproute.shared.gossip.facts import DEMAND, HANDS, WARM
+from gaproute.shared.gossip.facts import MOST as ENTRIES
 
 ROUNDS, TIMES = 21, 200
 
--- a/gaproute/hollow/demand.py
+++ b/gaproute/hollow/demand.py
@@ -2,7 +2,7 @@
 
 from gaproute.hollow.parts import Part
 from gaproute.peers.weak import Carrier
-from gaproute.shared.weak.told import RATE, RATE_IN_CELLS
+from gaproute.shared.gossip.told import RATE, RATE_IN_CELLS
 
 SECOND = 1_000_000_000
 EVERY = SECOND  # between two feeds
--- a/gaproute/peers/weak/carrier.py
+++ b/gaproute/peers/weak/carrier.py
@@ -2,8 +2,8 @@
 what this gateway sees is looked up from its decisions at a pace, so that no task's path grows longer."""
 
 from gaproute.peers.weak.wire import decode, encode
-from gaproute.shared.weak import Weak
-from gaproute.shared.weak.told import RATE
+from gaproute.shared.gossip import Weak
+from gaproute.shared.gossip.told import RATE
 
 SECOND = 1_000_000_000
 LOOK = SECOND // 2  # between two looks at tasks in hand and copies: as often as one peer is told at most
--- a/gaproute/peers/weak/wire.py
+++ b/gaproute/peers/weak/wire.py
@@ -14,7 +14,19 @@
 from itertools import pairwise
 from struct import Struct, error
 
-from gaproute.shared.weak.facts import DEMAND, HANDS, KINDS, LIFE, MOST, ROOM, SCALE, SLOTS, WARM, Page, Word
+from gaproute.shared.gossip.facts import (
+    DEMAND,
+    HANDS,
+    KINDS,
+    LIFE,
+    MOST,
+    ROOM,
+    SCALE,
+    SLOTS,
+    WARM,
+    Page,
+    Word,
+)
 
 VERSION = 1
 TICK = 10_000_000  # ns of an age's unit: 655 s is the longest, twice what any page lives
--- a/gaproute/shared/weak/demand.py
+++ b/gaproute/shared/gossip/demand.py
@@ -3,7 +3,7 @@
 from collections import deque
 from math import sqrt
 
-from gaproute.shared.weak.facts import DEMAND, MOST, SECOND
+from gaproute.shared.gossip.facts import DEMAND, MOST, SECOND
 
 STEP = 2 * SECOND  # arrivals are counted by it: a spread over shorter ones is that of chance alone
 STEPS = 10  # kept: 20 s, a burst shows within some seconds
--- a/gaproute/shared/weak/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -1,8 +1,8 @@
 """What must always hold of a gateway's weak word: named checks that return breaches as text."""
 
-from gaproute.shared.weak import demand, hosts, own
-from gaproute.shared.weak.facts import HIGHEST, SLOTS, sound
-from gaproute.shared.weak.merge import TOMBS
+from gaproute.shared.gossip import demand, hosts, own
+from gaproute.shared.gossip.facts import HIGHEST, SLOTS, sound
+from gaproute.shared.gossip.merge import TOMBS
 
 
 def bounded(weak):
--- a/gaproute/shared/weak/own.py
+++ b/gaproute/shared/gossip/own.py
@@ -1,7 +1,7 @@
 """What this gateway saw itself, made into pages: the only facts that it tells."""
 
-from gaproute.shared.weak.demand import Demand
-from gaproute.shared.weak.facts import DEMAND, HANDS, LIFE, MOST, SCALE, SECOND, SLOTS, WARM, Page, key
+from gaproute.shared.gossip.demand import Demand
+from gaproute.shared.gossip.facts import DEMAND, HANDS, LIFE, MOST, SCALE, SECOND, SLOTS, WARM, Page, key
 
 HOSTS = 8192  # hosts of which tasks in hand or room are kept
 COPIES = 512  # copies kept of each page's functions, those seen last
--- a/gaproute/shared/weak/told.py
+++ b/gaproute/shared/gossip/told.py
@@ -4,7 +4,7 @@
 fleet a round takes longer, and a reader holds a sample of the tellers by which it scales.
 """
 
-from gaproute.shared.weak.facts import DEMAND, HANDS, ROOM, SECOND, SLOTS, WARM, Word, size
+from gaproute.shared.gossip.facts import DEMAND, HANDS, ROOM, SECOND, SLOTS, WARM, Word, size
 
 RATE = 3_000  # bytes a second, headers included: under 4 kB with bursts and membership's beside it
 RATE_IN_CELLS = 2_200  # where the table of cells takes a share of the 4 kB: 0.9 kB at 46,000 changes a day
--- a/gaproute/shared/weak/weak.py
+++ b/gaproute/shared/gossip/weak.py
@@ -3,12 +3,12 @@
 
 from collections import Counter
 
-from gaproute.shared.weak.facts import DEMAND, HANDS, KINDS, LIFE, ROOM, SECOND, SLOTS, WARM
-from gaproute.shared.weak.hosts import Hosts
-from gaproute.shared.weak.merge import TOMB_LIFE, Store
-from gaproute.shared.weak.own import Own
-from gaproute.shared.weak.reading import WITNESSES, Reading, Sums, median
-from gaproute.shared.weak.told import RATE, Told
+from gaproute.shared.gossip.facts import DEMAND, HANDS, KINDS, LIFE, ROOM, SECOND, SLOTS, WARM
+from gaproute.shared.gossip.hosts import Hosts
+from gaproute.shared.gossip.merge import TOMB_LIFE, Store
+from gaproute.shared.gossip.own import Own
+from gaproute.shared.gossip.reading import WITNESSES, Reading, Sums, median
+from gaproute.shared.gossip.told import RATE, Told
 
 REFRESH = SECOND // 2  # sums serve so long: a figure of the fleet is seconds old anyway
 WORDS = 8  # of one sender a second, four times what an honest one sends; BURST at once
--- a/gaproute/simulation/campaigns_gateway.py
+++ b/gaproute/simulation/campaigns_gateway.py
@@ -10,8 +10,8 @@
 from gaproute.rollouts.orders import Latest
 from gaproute.rollouts.spend import ASK, Spend
 from gaproute.rollouts.weights import Weights
+from gaproute.shared.gossip import Weak, Word
 from gaproute.shared.leases import Holder
-from gaproute.shared.weak import Weak, Word
 from gaproute.simulation.campaigns_planner import Planner
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/simulation/rounds_actors.py
+++ b/gaproute/simulation/rounds_actors.py
@@ -9,8 +9,8 @@
 from gaproute.maintenance.drained import Bounds
 from gaproute.maintenance.invariants import check_belief, check_given, check_round
 from gaproute.maintenance.warm import Shown
+from gaproute.shared.gossip import Weak
 from gaproute.shared.leases import Holder
-from gaproute.shared.weak import Weak
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 PROBE = SECOND  # between two questions to one host
--- a/tests/test_stepped_clock_restart.py
+++ b/tests/test_stepped_clock_restart.py
@@ -8,11 +8,11 @@
 from gaproute.ledger.votes import Votes
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers.membership import Gossip
+from gaproute.shared.gossip import Page, Weak, Word
+from gaproute.shared.gossip.facts import HANDS, LIFE, key
 from gaproute.shared.leases import Holder, Permits
 from gaproute.shared.membership import ALIVE, DEAD, Members
 from gaproute.shared.raft import Keeper
-from gaproute.shared.weak import Page, Weak, Word
-from gaproute.shared.weak.facts import HANDS, LIFE, key
 from gaproute.standins.net import Net
 
 SECOND = 1_000_000_000
--- a/tests/test_weak_merge.py
+++ b/tests/test_weak_merge.py
@@ -7,9 +7,9 @@
 from gaproute.peers.membership import decode as decode_word
 from gaproute.peers.weak import decode, encode
 from gaproute.peers.weak.wire import code
-from gaproute.shared.weak import Page, Word
-from gaproute.shared.weak.facts import DEMAND, HANDS, LIFE, MOST, ROOM, SCALE, WARM
-from gaproute.shared.weak.merge import Store
+from gaproute.shared.gossip import Page, Word
+from gaproute.shared.gossip.facts import DEMAND, HANDS, LIFE, MOST, ROOM, SCALE, WARM
+from gaproute.shared.gossip.merge import Store
 
 page = st.builds(
     Page,
--- a/tests/test_weak_word.py
+++ b/tests/test_weak_word.py
@@ -5,11 +5,11 @@
 import pytest
 
 from gaproute.decisions.chance import Chance
-from gaproute.shared.weak import Page, Weak, Word
-from gaproute.shared.weak.facts import DEMAND, HANDS, HIGHEST, LIFE, MOST, ROOM, SECOND, SLOTS, WARM, key
-from gaproute.shared.weak.invariants import Ages, check, own_alone
-from gaproute.shared.weak.told import RATE
-from gaproute.shared.weak.weak import BURST
+from gaproute.shared.gossip import Page, Weak, Word
+from gaproute.shared.gossip.facts import DEMAND, HANDS, HIGHEST, LIFE, MOST, ROOM, SECOND, SLOTS, WARM, key
+from gaproute.shared.gossip.invariants import Ages, check, own_alone
+from gaproute.shared.gossip.told import RATE
+from gaproute.shared.gossip.weak import BURST
 
 
 def weak(name="me", peers=("a", "b", "c"), hosts=("h1", "h2")):
