--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -9,7 +9,7 @@
 from benchmarks.weak_bytes import wrapped
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
-from gaproute.peers.weak import decode, encode
+from gaproute.peers.gossip import decode, encode
 from gaproute.shared.gossip import Weak
 
 SECOND = 1_000_000_000
--- a/benchmarks/weak.py
+++ b/benchmarks/weak.py
@@ -33,7 +33,7 @@
 from benchmarks.rows import write
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
-from gaproute.peers.weak import decode, encode
+from gaproute.peers.gossip import decode, encode
 from gaproute.shared.gossip import Page, Weak
 from gaproute.shared.gossip.facts import HANDS
 from gaproute.shared.gossip.invariants import check, own_alone
--- a/benchmarks/weak_bytes.py
+++ b/benchmarks/weak_bytes.py
@@ -22,8 +22,8 @@
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import word_pb2
+from gaproute.peers.gossip import decode, encode
 from gaproute.peers.membership import MOST, Gossip
-from gaproute.peers.weak import decode, encode
 from gaproute.shared.gossip import Page, Weak, Word
 from gaproute.shared.gossip.facts import DEMAND, HANDS, WARM
 from gaproute.shared.gossip.facts import MOST as ENTRIES
--- a/gaproute/hollow/demand.py
+++ b/gaproute/hollow/demand.py
@@ -1,7 +1,7 @@
 """Gossip of demand as a part: the product's carrier, fed the arrivals that clients would cause."""
 
 from gaproute.hollow.parts import Part
-from gaproute.peers.weak import Carrier
+from gaproute.peers.gossip import Carrier
 from gaproute.shared.gossip.told import RATE, RATE_IN_CELLS
 
 SECOND = 1_000_000_000
--- a/gaproute/peers/weak/carrier.py
+++ b/gaproute/peers/gossip/carrier.py
@@ -1,7 +1,7 @@
 """The weak word carried by the membership's datagrams. Who is up is taken from there, once a second at most;
 what this gateway sees is looked up from its decisions at a pace, so that no task's path grows longer."""
 
-from gaproute.peers.weak.wire import decode, encode
+from gaproute.peers.gossip.wire import decode, encode
 from gaproute.shared.gossip import Weak
 from gaproute.shared.gossip.told import RATE
 
--- a/tests/test_weak_merge.py
+++ b/tests/test_weak_merge.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from gaproute.peers.gossip import decode, encode
+from gaproute.peers.gossip.wire import code
 from gaproute.peers.membership import decode as decode_word
-from gaproute.peers.weak import decode, encode
-from gaproute.peers.weak.wire import code
 from gaproute.shared.gossip import Page, Word
 from gaproute.shared.gossip.facts import DEMAND, HANDS, LIFE, MOST, ROOM, SCALE, WARM
 from gaproute.shared.gossip.merge import Store
