--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -6,12 +6,12 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes, once
 from gaproute.decisions.chance import Chance
-from gaproute.ledger.votes import Votes
 from gaproute.shared.leases import Permits
 from gaproute.shared.leases.commands import Renew, Take, encode, read_answer
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Request
 from gaproute.shared.raft.sessions import Sessions
+from gaproute.storage.votes import Votes
 
 SECOND = 1_000_000_000
 LEASES = (64, 256, 1_024, 4_096)  # the bound on both
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -9,13 +9,13 @@
 from gaproute.decisions.told.roll import Roll
 from gaproute.discovery.listing import FileWatch
 from gaproute.http1 import Limits
-from gaproute.ledger import Memory, NoMemory
 from gaproute.loop.streams import address
 from gaproute.peers import Giver, Gossip, Learner
 from gaproute.peers.giver import LIMITS
 from gaproute.peers.gossip import Carrier
 from gaproute.peers.raft.carrier import TARGET
 from gaproute.peers.raft.wire import LONGEST
+from gaproute.storage import Memory, NoMemory
 
 # Of those that ask at a gateway that takes part in the strong word: batches are long, and every gateway of
 # a large fleet may hold a connection to each keeper.
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -4,11 +4,11 @@
 import secrets
 import time
 
-from gaproute.ledger.files import MOMENTARY
-from gaproute.ledger.votes import Votes
 from gaproute.peers.raft import Seat
 from gaproute.shared.leases import Permits
 from gaproute.shared.leases.errands import Errands
+from gaproute.storage.files import MOMENTARY
+from gaproute.storage.votes import Votes
 
 MILLI = 1_000_000
 LIVES = 40  # bits of a life's first errand: with 4,096 after it, all fit JSON's 2^53
--- a/gaproute/hollow/cells/fleet.py
+++ b/gaproute/hollow/cells/fleet.py
@@ -11,9 +11,9 @@
 from gaproute.hollow.gateway import HollowGateway
 from gaproute.hollow.simulation import Fleet, GatewayLoop, GatewayRow, Network
 from gaproute.hollow.simulation.network import FAR, NEAR, SimulatedCarrier, SimulatedDatagrams
-from gaproute.ledger.tables import StoredTable
 from gaproute.peers.tables import encoding
 from gaproute.shared.dissemination import Peer
+from gaproute.storage.tables import StoredTable
 
 SEEDS = 4  # configured peers outside the own cell
 
--- a/gaproute/hollow/cells/surroundings.py
+++ b/gaproute/hollow/cells/surroundings.py
@@ -6,8 +6,8 @@
 
 from gaproute.decisions.cells.place import Place
 from gaproute.hollow.parts import Surroundings
-from gaproute.ledger.tables import StoredTable
 from gaproute.shared.dissemination import Peer
+from gaproute.storage.tables import StoredTable
 
 
 @dataclass(kw_only=True)
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -6,7 +6,6 @@
 
 from gaproute.decisions.cells.change import TableChange, TableHolder
 from gaproute.decisions.cells.table import CellTable, Version
-from gaproute.ledger.tables import StoredTable, TableFile
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encoded_change
 from gaproute.peers.tables.pulls import TARGET, Puller, answered
@@ -16,6 +15,7 @@
 from gaproute.shared.dissemination.messages import NOTHING, Pull
 from gaproute.shared.dissemination.sightings import Standing
 from gaproute.shared.dissemination.view import Candidates
+from gaproute.storage.tables import StoredTable, TableFile
 
 KIND = "table"
 LEAST_TURN = SECOND // 200  # between two turns of the timer
--- a/gaproute/simulation/disk.py
+++ b/gaproute/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk with the face of gaproute/ledger/votes.py: what was not synced may be lost at a crash.
+"""A simulated disk with the face of gaproute/storage/votes.py: what was not synced may be lost at a crash.
 
 `pending` is what was appended and not synced; at a crash the first few of it may have come onto the disk (a
 record that was written in part is cut off by its checksum, so it counts as not written). A replacement is
--- a/gaproute/ledger/memory.py
+++ b/gaproute/storage/memory.py
@@ -23,7 +23,7 @@
 import msgspec
 import xxhash
 
-from gaproute.ledger import files
+from gaproute.storage import files
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/gaproute/ledger/tables.py
+++ b/gaproute/storage/tables.py
@@ -15,7 +15,7 @@
 import msgspec
 import xxhash
 
-from gaproute.ledger import files
+from gaproute.storage import files
 
 MAGIC = b"gaproute-table-1"
 CHECKSUM_BYTES = 8
--- a/gaproute/ledger/votes.py
+++ b/gaproute/storage/votes.py
@@ -21,9 +21,9 @@
 import time
 from pathlib import Path
 
-from gaproute.ledger import files
-from gaproute.ledger.records import Bad, packed, parsed, whole
 from gaproute.shared.raft import Lost
+from gaproute.storage import files
+from gaproute.storage.records import Bad, packed, parsed, whole
 
 
 class Votes:
--- a/tests/faulty_ledger.py
+++ b/tests/faulty_ledger.py
@@ -10,14 +10,14 @@
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import FAULTS, FaultyDisk, KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Chances, FaultPlan
-from gaproute.ledger import files
-from gaproute.ledger import tables as tables_module
-from gaproute.ledger import votes as votes_module
-from gaproute.ledger.tables import StoredTable, TableFile
-from gaproute.ledger.votes import Votes
 from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper, Lost
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Install, Vote
+from gaproute.storage import files
+from gaproute.storage import tables as tables_module
+from gaproute.storage import votes as votes_module
+from gaproute.storage.tables import StoredTable, TableFile
+from gaproute.storage.votes import Votes
 
 MODULES = (files, votes_module, tables_module)
 ATTEMPTS = 30  # while calls fail
--- a/tests/ledger_mutants.py
+++ b/tests/ledger_mutants.py
@@ -20,12 +20,12 @@
     Tables,
 )
 
-from gaproute.ledger import files
-from gaproute.ledger import votes as votes_module
-from gaproute.ledger.records import Bad, head, parsed
-from gaproute.ledger.votes import Votes
 from gaproute.shared.raft import Lost
 from gaproute.shared.raft.store import Store
+from gaproute.storage import files
+from gaproute.storage import votes as votes_module
+from gaproute.storage.records import Bad, head, parsed
+from gaproute.storage.votes import Votes
 
 
 class Planted(NamedTuple):
--- a/tests/test_keepers_carried.py
+++ b/tests/test_keepers_carried.py
@@ -5,13 +5,13 @@
 from keepers_net import SECOND, Chance
 
 from gaproute.http1 import Exchange
-from gaproute.ledger.votes import Votes
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from gaproute.peers.raft import Seat, wire
 from gaproute.peers.raft.carrier import BURST
 from gaproute.shared.leases import Permits
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
+from gaproute.storage.votes import Votes
 
 
 class Record:
--- a/tests/test_ledger_faults.py
+++ b/tests/test_ledger_faults.py
@@ -12,10 +12,10 @@
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script
-from gaproute.ledger import files
-from gaproute.ledger import votes as votes_module
 from gaproute.loop import Loop
 from gaproute.loop.loop import Stepped
+from gaproute.storage import files
+from gaproute.storage import votes as votes_module
 
 SECOND = 1_000_000_000
 
--- a/tests/test_ledger_samples.py
+++ b/tests/test_ledger_samples.py
@@ -8,11 +8,11 @@
 
 from gaproute.decisions.cells.table import Version
 from gaproute.decisions.chance import Chance
-from gaproute.ledger import Memory, Votes
-from gaproute.ledger.tables import TableFile
 from gaproute.peers.tables import encoding
 from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper
+from gaproute.storage import Memory, Votes
+from gaproute.storage.tables import TableFile
 
 SAMPLES = Path(__file__).parent / "samples" / "ledger"
 SECOND = 1_000_000_000
--- a/tests/test_ledger_tables.py
+++ b/tests/test_ledger_tables.py
@@ -8,9 +8,9 @@
 
 from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
 from gaproute.faultinjection.plan import FaultPlan, Script
-from gaproute.ledger import files
-from gaproute.ledger import tables as tables_module
-from gaproute.ledger.tables import MAX_FILE, MAX_READS, StoredTable, TableFile
+from gaproute.storage import files
+from gaproute.storage import tables as tables_module
+from gaproute.storage.tables import MAX_FILE, MAX_READS, StoredTable, TableFile
 
 KEPT = StoredTable("north", 3, 17, (1 << 64) - 1, b"rows" * 100)
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -15,12 +15,12 @@
 from gaproute.decisions.told.roll import Roll
 from gaproute.faultinjection.disk import BROKEN, FaultyDisk
 from gaproute.faultinjection.plan import FaultPlan, Script
-from gaproute.ledger import Memory, NoMemory
-from gaproute.ledger import memory as module
-from gaproute.ledger.memory import RETRY_LEAST, RETRY_MOST
 from gaproute.loop import Loop
 from gaproute.loop.loop import Stepped
 from gaproute.loop.streams import address
+from gaproute.storage import Memory, NoMemory
+from gaproute.storage import memory as module
+from gaproute.storage.memory import RETRY_LEAST, RETRY_MOST
 
 WARM = ("warm", "x", "f")
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -338,7 +338,7 @@
         "gaproute.cli",
         "gaproute.conf",
         "gaproute.peers",
-        "gaproute.ledger",
+        "gaproute.storage",
         "gaproute.appliance",
         "gaproute.load",
         "gaproute.fronts.kserve",
--- a/tests/test_stepped_clock_restart.py
+++ b/tests/test_stepped_clock_restart.py
@@ -4,8 +4,6 @@
 from keepers_net import Net as Keepers
 
 from gaproute.decisions.chance import Chance
-from gaproute.ledger.tables import StoredTable, TableFile
-from gaproute.ledger.votes import Votes
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers.membership import Gossip
 from gaproute.shared.gossip import Page, Weak, Word
@@ -14,6 +12,8 @@
 from gaproute.shared.membership import ALIVE, DEAD, Members
 from gaproute.shared.raft import Keeper
 from gaproute.standins.net import Net
+from gaproute.storage.tables import StoredTable, TableFile
+from gaproute.storage.votes import Votes
 
 SECOND = 1_000_000_000
 HOUR_MS = 3_600_000
--- a/tests/test_tables_carrier.py
+++ b/tests/test_tables_carrier.py
@@ -12,7 +12,6 @@
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
 from gaproute.faultinjection.plan import FaultPlan, Script
-from gaproute.ledger import files
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
@@ -23,6 +22,7 @@
 from gaproute.shared.dissemination import DocumentError, Peer
 from gaproute.shared.dissemination.bounds import PART_BYTES
 from gaproute.shared.dissemination.messages import Announcement, Pull
+from gaproute.storage import files
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 FIRST = table(cells(26, entries=0), number=1)
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -9,12 +9,12 @@
 
 from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
 from gaproute.faultinjection.plan import FaultPlan, Script
-from gaproute.ledger import Votes, files
-from gaproute.ledger import votes as module
-from gaproute.ledger.records import Bad, packed, parsed, whole
 from gaproute.shared.raft import Lost
 from gaproute.shared.raft.store import Store
 from gaproute.simulation import Chance, Disk
+from gaproute.storage import Votes, files
+from gaproute.storage import votes as module
+from gaproute.storage.records import Bad, packed, parsed, whole
 
 
 @pytest.fixture
