--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes
 from gaproute.appliance import Appliance
-from gaproute.conf import read_charter
+from gaproute.config import read_charter
 from gaproute.discovery.changelog.events import Reader
 from gaproute.record.logs import logger
 from gaproute.standins.platform.listing import Listing, member
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -8,7 +8,7 @@
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, cpu_seconds
 from gaproute.appliance import Appliance
 from gaproute.appliance.operator import host_table, knowledge, status
-from gaproute.conf import read_charter
+from gaproute.config import read_charter
 from gaproute.http1 import render
 from gaproute.interface import Result
 from gaproute.loop import Loop
--- a/benchmarks/scale/forwarding.py
+++ b/benchmarks/scale/forwarding.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from benchmarks.scale import forwarding_clients
-from gaproute.conf.cell_files import read_table
+from gaproute.config.cell_files import read_table
 from gaproute.decisions.cells.homes import Homes
 
 ADDRESS = "127.0.0.2"  # of gateways: nobody connects from there, so that a port found free stays free
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -20,7 +20,7 @@
 from relay import Gate
 from rows import write
 
-from gaproute.conf import read_peers
+from gaproute.config import read_peers
 from gaproute.loop import Loop
 from gaproute.peers import Learner
 
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from gaproute.conf.cell_files import read_table
+from gaproute.config.cell_files import read_table
 from gaproute.decisions.cells.change import TableChange
 from gaproute.decisions.cells.errors import OtherFleet, StaleVersion, TableError
 from gaproute.discovery.listing import FileWatch
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -2,7 +2,7 @@
 
 from gaproute.appliance.keeping import Keeper
 from gaproute.appliance.strong import Strong
-from gaproute.conf import read_peers
+from gaproute.config import read_peers
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.told.facts import Fact
 from gaproute.decisions.told.lore import FACTS, Lore
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -13,7 +13,7 @@
 import subprocess
 import sys
 
-from gaproute.conf import Mistakes, read_charter
+from gaproute.config import Mistakes, read_charter
 from gaproute.decisions.admission.restarts import Restarts
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop, Promise
--- a/gaproute/cli/playing.py
+++ b/gaproute/cli/playing.py
@@ -7,7 +7,7 @@
 from rich.console import Console
 
 from gaproute.cli.common import json_option, show_table
-from gaproute.conf import Mistakes
+from gaproute.config import Mistakes
 
 
 @click.command()
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -7,7 +7,7 @@
 import click
 
 from gaproute.cli.common import refuse
-from gaproute.conf import (
+from gaproute.config import (
     Mistakes,
     NotDurableError,
     move,
@@ -17,7 +17,7 @@
     read_text,
     write_whole,
 )
-from gaproute.conf.cell_files import check_cells
+from gaproute.config.cell_files import check_cells
 
 
 def charter_of(file, whole=False):
--- a/gaproute/conf/__init__.py
+++ b/gaproute/config/__init__.py
@@ -1,9 +1,9 @@
 """The configuration: line-based, checked by a schema, refused whole with every mistake in one go."""
 
-from gaproute.conf.charter import Charter
-from gaproute.conf.lines import Mistakes
-from gaproute.conf.moving import NotDurableError, move, write_whole
-from gaproute.conf.reading import read_charter, read_hosts, read_peers, read_text
+from gaproute.config.charter import Charter
+from gaproute.config.lines import Mistakes
+from gaproute.config.moving import NotDurableError, move, write_whole
+from gaproute.config.reading import read_charter, read_hosts, read_peers, read_text
 
 __all__ = [
     "Charter",
--- a/gaproute/conf/across.py
+++ b/gaproute/config/across.py
@@ -1,8 +1,8 @@
 """Mistakes that only show between lines."""
 
-from gaproute.conf.lines import Mistake
-from gaproute.conf.words.fleet import CellHosts, CellsLine, HostLine, KeepersLine, Listen, Word
-from gaproute.conf.words.tasks import ModelLine, TrackLine
+from gaproute.config.lines import Mistake
+from gaproute.config.words.fleet import CellHosts, CellsLine, HostLine, KeepersLine, Listen, Word
+from gaproute.config.words.tasks import ModelLine, TrackLine
 
 # What a fleet in cells cannot have: {word: cure}.
 WITHOUT_CELLS = {
--- a/gaproute/conf/cell_files.py
+++ b/gaproute/config/cell_files.py
@@ -3,9 +3,9 @@
 import os
 from urllib.parse import quote
 
-from gaproute.conf.cells import MAX_BYTES, read_cells
-from gaproute.conf.lines import Mistake, Mistakes
-from gaproute.conf.reading import read_hosts, read_text
+from gaproute.config.cells import MAX_BYTES, read_cells
+from gaproute.config.lines import Mistake, Mistakes
+from gaproute.config.reading import read_hosts, read_text
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 
 MAX_LIST_BYTES = 1 << 20  # of a host list: 1 KiB for each of the most hosts
--- a/gaproute/conf/cells.py
+++ b/gaproute/config/cells.py
@@ -11,8 +11,8 @@
 from itertools import islice, pairwise
 from pathlib import Path
 
-from gaproute.conf.lines import Mistake, Mistakes, read_lines
-from gaproute.conf.words.cells import CELL_WORDS, CellLine, TableLine
+from gaproute.config.lines import Mistake, Mistakes, read_lines
+from gaproute.config.words.cells import CELL_WORDS, CellLine, TableLine
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.errors import RowError, TableError
 from gaproute.decisions.cells.table import Cell, CellTable, Version, check_cell, validate
--- a/gaproute/conf/charter.py
+++ b/gaproute/config/charter.py
@@ -1,8 +1,8 @@
 """The charter that a checked configuration becomes."""
 
 from gaproute import interface as face
-from gaproute.conf.words import WORDS
-from gaproute.conf.words.fleet import PeerLine
+from gaproute.config.words import WORDS
+from gaproute.config.words.fleet import PeerLine
 
 EFFECTS = {effect.value: effect for effect in face.Effect}
 GROUPS = {"all": face.Group.ALL, "zone": face.Group.ZONE, "rack": face.Group.CELL}
--- a/gaproute/conf/moving.py
+++ b/gaproute/config/moving.py
@@ -11,10 +11,10 @@
 import shlex
 from typing import NamedTuple
 
-from gaproute.conf.across import twice
-from gaproute.conf.lines import Mistake, Mistakes, read_lines
-from gaproute.conf.reading import read_charter
-from gaproute.conf.words import WORDS
+from gaproute.config.across import twice
+from gaproute.config.lines import Mistake, Mistakes, read_lines
+from gaproute.config.reading import read_charter
+from gaproute.config.words import WORDS
 
 # What a deployment states; everything else is the operator's own and stays as it is.
 STATED = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
--- a/gaproute/conf/reading.py
+++ b/gaproute/config/reading.py
@@ -2,11 +2,11 @@
 
 from pathlib import Path
 
-from gaproute.conf.across import across, twice
-from gaproute.conf.charter import Charter
-from gaproute.conf.lines import Mistake, Mistakes, read_lines
-from gaproute.conf.words import HOST_WORDS, PEER_WORDS, WORDS
-from gaproute.conf.words.process import Decisions
+from gaproute.config.across import across, twice
+from gaproute.config.charter import Charter
+from gaproute.config.lines import Mistake, Mistakes, read_lines
+from gaproute.config.words import HOST_WORDS, PEER_WORDS, WORDS
+from gaproute.config.words.process import Decisions
 
 
 def read_charter(file, text=None):
--- a/gaproute/conf/words/__init__.py
+++ b/gaproute/config/words/__init__.py
@@ -1,6 +1,6 @@
 """What each line of the configuration may say: one schema a word."""
 
-from gaproute.conf.words.fleet import (
+from gaproute.config.words.fleet import (
     CellHosts,
     CellsLine,
     HostLine,
@@ -13,9 +13,9 @@
     WeakWord,
     Word,
 )
-from gaproute.conf.words.kinds import Address, Name
-from gaproute.conf.words.process import Clients, Decisions, Log, ReachLine
-from gaproute.conf.words.tasks import (
+from gaproute.config.words.kinds import Address, Name
+from gaproute.config.words.process import Clients, Decisions, Log, ReachLine
+from gaproute.config.words.tasks import (
     Advice,
     Cold,
     Copies,
--- a/gaproute/conf/words/cells.py
+++ b/gaproute/config/words/cells.py
@@ -4,7 +4,7 @@
 
 from pydantic import BeforeValidator, Field
 
-from gaproute.conf.lines import Directive
+from gaproute.config.lines import Directive
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.table import Entry, Points
 
--- a/gaproute/conf/words/tasks.py
+++ b/gaproute/config/words/tasks.py
@@ -4,8 +4,8 @@
 
 from pydantic import BeforeValidator, Field, model_validator
 
-from gaproute.conf.lines import Directive, Span, Yes
-from gaproute.conf.words.kinds import Name
+from gaproute.config.lines import Directive, Span, Yes
+from gaproute.config.words.kinds import Name
 
 
 class TrackLine(Directive):
--- a/gaproute/discovery/listing.py
+++ b/gaproute/discovery/listing.py
@@ -4,7 +4,7 @@
 import os
 import time
 
-from gaproute.conf import Mistakes, read_hosts
+from gaproute.config import Mistakes, read_hosts
 from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.hosts.rows import Row
 from gaproute.interface import Listed, State
--- a/gaproute/hollow/__main__.py
+++ b/gaproute/hollow/__main__.py
@@ -6,7 +6,7 @@
 
 import argparse
 
-from gaproute.conf import read_charter, read_peers
+from gaproute.config import read_charter, read_peers
 from gaproute.hollow.process import HollowProcess
 
 
--- a/gaproute/hollow/parts.py
+++ b/gaproute/hollow/parts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gaproute.conf import Charter
+from gaproute.config import Charter
 from gaproute.decisions.chance import Chance
 
 DATAGRAM_HEADERS = 28  # bytes of IPv4 and UDP around each datagram
--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -4,7 +4,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from gaproute.conf import read_charter
+from gaproute.config import read_charter
 from gaproute.decisions.chance import Chance
 from gaproute.hollow.gateway import PARTS, HollowGateway
 from gaproute.hollow.parts import Surroundings
--- a/gaproute/load/script.py
+++ b/gaproute/load/script.py
@@ -5,8 +5,8 @@
 
 from pydantic import BeforeValidator, Field
 
-from gaproute.conf.lines import Directive, Mistake, Mistakes, Size, Span, Yes, read_lines
-from gaproute.conf.words import Address, Name
+from gaproute.config.lines import Directive, Mistake, Mistakes, Size, Span, Yes, read_lines
+from gaproute.config.words import Address, Name
 
 
 class Target(Directive):
--- a/gaproute/trial/script.py
+++ b/gaproute/trial/script.py
@@ -10,8 +10,8 @@
 
 from pydantic import Field
 
-from gaproute.conf.lines import Directive, Mistake, Mistakes, Span, Yes, read_lines
-from gaproute.conf.words import WORDS, Name
+from gaproute.config.lines import Directive, Mistake, Mistakes, Span, Yes, read_lines
+from gaproute.config.words import WORDS, Name
 
 AT_HOSTS = ("hang", "lost", "fail", "slow", "refuse", "cut", "reset", "shut", "heavy")
 AT_PROCESSES = ("vanish", "crash", "preempt", "deploy", "gateway-kill", "gateway-stall")
--- a/tests/cell_fleet.py
+++ b/tests/cell_fleet.py
@@ -10,7 +10,7 @@
 from helpers import MILLI, SECOND, ListTap
 
 from benchmarks.scale.forwarding import free_ports
-from gaproute.conf.cell_files import read_table
+from gaproute.config.cell_files import read_table
 from gaproute.decisions.cells.homes import Homes
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 from scripted import Gate
 
 from gaproute.appliance import Appliance
-from gaproute.conf import read_charter
+from gaproute.config import read_charter
 from gaproute.record.logs import logger
 
 pytest_plugins = ["known_red", "pytester"]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,7 +9,7 @@
 
 from gaproute import interface as face
 from gaproute.appliance import Appliance
-from gaproute.conf import read_charter
+from gaproute.config import read_charter
 from gaproute.decisions.route import Gateway
 from gaproute.decisions.route.beliefs import MILLI, SECOND
 from gaproute.http1 import Exchange
--- a/tests/test_cells_conf.py
+++ b/tests/test_cells_conf.py
@@ -5,9 +5,9 @@
 from helpers import CHARTER
 
 from gaproute.cli.main import main
-from gaproute.conf import Mistakes, read_charter
-from gaproute.conf.cell_files import path_of, read_cell_hosts, read_table
-from gaproute.conf.cells import MAX_BYTES
+from gaproute.config import Mistakes, read_charter
+from gaproute.config.cell_files import path_of, read_cell_hosts, read_table
+from gaproute.config.cells import MAX_BYTES
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 from gaproute.decisions.cells.table import Entry, Points, Version
 
--- a/tests/test_cluster_permits.py
+++ b/tests/test_cluster_permits.py
@@ -7,7 +7,7 @@
 from test_cluster_play import PLAYS, command
 
 from gaproute.cluster.script import read_script
-from gaproute.conf import Mistakes
+from gaproute.config import Mistakes
 from gaproute.judge import permits
 from gaproute.judge.permits import SECOND
 from gaproute.standins.tap import read
--- a/tests/test_cluster_platform.py
+++ b/tests/test_cluster_platform.py
@@ -11,7 +11,7 @@
 from gaproute.cluster.harness import ClusterHarness
 from gaproute.cluster.platform.play import NodeHarness, player
 from gaproute.cluster.script import read_script
-from gaproute.conf import Mistakes
+from gaproute.config import Mistakes
 from gaproute.judge import Facts, judge
 from gaproute.loop import Loop
 from gaproute.standins.platform.listing import Listing, member
--- a/tests/test_cluster_script.py
+++ b/tests/test_cluster_script.py
@@ -10,7 +10,7 @@
 from gaproute.cluster.script import read_script
 from gaproute.cluster.table import Table
 from gaproute.cluster.wires import late, ways
-from gaproute.conf import Mistakes
+from gaproute.config import Mistakes
 from gaproute.judge import Facts, judge
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.conf import Mistakes, read_charter, read_hosts
-from gaproute.conf.lines import PLAIN
+from gaproute.config import Mistakes, read_charter, read_hosts
+from gaproute.config.lines import PLAIN
 from gaproute.interface import Effect, Group
 
 GOOD = """
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from scripted import MILLI, SECOND, Followed, Handed, HeldDials
 
-from gaproute.conf import read_hosts
+from gaproute.config import read_hosts
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog import events
 from gaproute.discovery.changelog import follow as following
--- a/tests/test_migrate.py
+++ b/tests/test_migrate.py
@@ -9,7 +9,7 @@
 from helpers import CHARTER, MILLI, SECOND
 
 from gaproute.cli.main import main
-from gaproute.conf import Mistakes, move, moving, read_charter
+from gaproute.config import Mistakes, move, moving, read_charter
 from gaproute.faultinjection.disk import FULL, FaultyDisk, KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import FaultPlan, Script
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -336,7 +336,7 @@
         "asyncio",
         "xxhash",
         "gaproute.cli",
-        "gaproute.conf",
+        "gaproute.config",
         "gaproute.peers",
         "gaproute.storage",
         "gaproute.appliance",
--- a/tests/test_parent.py
+++ b/tests/test_parent.py
@@ -14,7 +14,7 @@
 from helpers import CHARTER, SECOND
 
 from gaproute.cli.asking import ask
-from gaproute.conf import read_charter
+from gaproute.config import read_charter
 from gaproute.decisions.admission.restarts import APART, FIRST, MOST, SPREAD, WELL, Restarts
 from gaproute.decisions.chance import Chance
 from gaproute.loop.streams import address
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,7 @@
 from test_gateway import scripted_host
 
 from gaproute.appliance.operator import peer_table, status
-from gaproute.conf import Mistakes, read_charter, read_peers
+from gaproute.config import Mistakes, read_charter, read_peers
 from gaproute.decisions.told.asking import CHUNK
 from gaproute.decisions.told.lore import Lore
 from gaproute.decisions.told.purse import Purse
--- a/tests/test_permits_appliance.py
+++ b/tests/test_permits_appliance.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import CHARTER, MILLI, SECOND
 
-from gaproute.conf import Mistakes, read_charter
+from gaproute.config import Mistakes, read_charter
 from gaproute.loop.streams import address
 from gaproute.shared.leases import Holder
 from gaproute.shared.leases.errands import Errands, Order
--- a/tests/test_stepped_clock.py
+++ b/tests/test_stepped_clock.py
@@ -14,8 +14,8 @@
 from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.cell_rows import CellRows
 from gaproute.appliance.cells import Cells
-from gaproute.conf import read_hosts
-from gaproute.conf.words.fleet import CellHosts, HostLine
+from gaproute.config import read_hosts
+from gaproute.config.words.fleet import CellHosts, HostLine
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog import events, follow
 from gaproute.discovery.changelog.cell import CellFollower
--- a/tests/test_weak_carrier.py
+++ b/tests/test_weak_carrier.py
@@ -5,7 +5,7 @@
 from helpers import CHARTER
 
 from gaproute.appliance.operator import status
-from gaproute.conf import Mistakes, read_charter
+from gaproute.config import Mistakes, read_charter
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
 
