--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -11,8 +11,8 @@
 from gaproute.appliance import Appliance
 from gaproute.config import read_charter
 from gaproute.discovery.changelog.events import Reader
-from gaproute.record.logs import logger
 from gaproute.standins.platform.listing import Listing, member
+from gaproute.telemetry.logs import logger
 
 PARAMETER = "hosts of a cell"
 SIZES = (32, 64, 128, 256, 400)  # hosts in each cell
--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -10,8 +10,8 @@
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from gaproute.peers import Giver, Learner, wire
-from gaproute.record.logs import logger
-from gaproute.record.record import Record
+from gaproute.telemetry.logs import logger
+from gaproute.telemetry.record import Record
 
 FACTS = (256, 1_024, 4_096, 16_384)
 HOSTS = 256
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -12,7 +12,7 @@
 from gaproute.http1 import render
 from gaproute.interface import Result
 from gaproute.loop import Loop
-from gaproute.record.logs import logger
+from gaproute.telemetry.logs import logger
 
 HOSTS = (16, 64, 256, 1_024)
 FUNCTIONS = (16, 64, 256, 1_024)
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -20,8 +20,8 @@
 from gaproute.loop import Loop
 from gaproute.loop.loop import READ
 from gaproute.loop.streams import address
-from gaproute.record.logs import logger
-from gaproute.record.record import Record
+from gaproute.telemetry.logs import logger
+from gaproute.telemetry.record import Record
 
 LAST_REQUEST = 1_500_000_000  # ns after a stop, for requests on connections accepted before to come in:
 #                               more than until a connection that was at work is parked
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -20,7 +20,7 @@
 from gaproute.loop.connecting import listening
 from gaproute.loop.loop import READ
 from gaproute.loop.streams import address
-from gaproute.record.logs import logger
+from gaproute.telemetry.logs import logger
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 READY_TIME = 30 * SECOND  # for a child to start, on a crowded machine
--- a/gaproute/node/__main__.py
+++ b/gaproute/node/__main__.py
@@ -10,7 +10,7 @@
 from gaproute.loop.starting import Patience
 from gaproute.node.charter import Refused, environment, read
 from gaproute.node.process import Process
-from gaproute.record.record import FOLLOWED
+from gaproute.telemetry.record import FOLLOWED
 
 
 def followed():
--- a/gaproute/node/process.py
+++ b/gaproute/node/process.py
@@ -22,7 +22,7 @@
 from gaproute.loop.streams import address
 from gaproute.node import charter as charters
 from gaproute.node.log import Log
-from gaproute.record.record import FOLLOWED, Record
+from gaproute.telemetry.record import FOLLOWED, Record
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 STATUS = 5 * SECOND  # between lines of status: a few of them in the shortest day
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 
 from gaproute.appliance import Appliance
 from gaproute.config import read_charter
-from gaproute.record.logs import logger
+from gaproute.telemetry.logs import logger
 
 pytest_plugins = ["known_red", "pytester"]
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,10 +15,10 @@
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
 from gaproute.loop.streams import address
-from gaproute.record.logs import logger
 from gaproute.standins.host import Host, Make, Model
 from gaproute.standins.store import Store
 from gaproute.standins.tap import Tap
+from gaproute.telemetry.logs import logger
 
 PURE = face.Track(face.Effect.PURE, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
 RECEIPTED = PURE._replace(effect=face.Effect.RECEIPTED, repeat_window=2 * SECOND)
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -12,8 +12,8 @@
 from gaproute.node import charter as charters
 from gaproute.node.log import Log
 from gaproute.node.process import Process
-from gaproute.record.record import FOLLOWED
 from gaproute.standins.platform import ChangeLog, Client, LineHost, event
+from gaproute.telemetry.record import FOLLOWED
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 SETTINGS = {
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,7 +7,7 @@
 from gaproute.core.core import Core, Heard
 from gaproute.interface.call import Answer, Call, Ending
 from gaproute.loop import Loop, Stepped
-from gaproute.record.record import Record
+from gaproute.telemetry.record import Record
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 DONE = Heard(face.Result.OK, Answer(200, (), b"done"))
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -23,7 +23,7 @@
 from gaproute.hosts.rows import Row
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Loop, Stepped
-from gaproute.record.record import Record
+from gaproute.telemetry.record import Record
 
 HOSTS = ("a", "b")
 LEFT = 3 * SECOND  # that each client waits
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,8 +18,8 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.node import charter as charters
 from gaproute.node.log import Log
-from gaproute.record.record import Record
 from gaproute.standins.platform import ChangeLog, arg, event, sse
+from gaproute.telemetry.record import Record
 from gaproute.terms import site, terms
 
 
