--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -16,7 +16,7 @@
 from rows import table, write
 
 WAYS = {
-    "module": "gaproute.decisions.route:Gateway",
+    "module": "gaproute.decisions.routing:Gateway",
     "least queue": "gaproute.standins.baselines:LeastQueue",
     "random choice": "gaproute.standins.baselines:RandomChoice",
 }
--- a/benchmarks/fleet/candidates.py
+++ b/benchmarks/fleet/candidates.py
@@ -4,7 +4,7 @@
 from zlib import crc32
 
 from benchmarks.fleet.parted import Alike
-from gaproute.decisions.route.beliefs import LOAD_LIFE, MILLI, SECOND
+from gaproute.decisions.routing.beliefs import LOAD_LIFE, MILLI, SECOND
 
 NEAR_TIE = 0.3  # points: less than from one choice of the hash to the next
 WORK_TIME = 100 * MILLI  # over which what a report told of has been answered
--- a/benchmarks/fleet/follow.py
+++ b/benchmarks/fleet/follow.py
@@ -14,8 +14,8 @@
 from benchmarks.fleet.variants import VARIANTS
 from benchmarks.fleet.world import World
 from benchmarks.rows import table, write
-from gaproute.decisions.route.beliefs import LOAD_LIFE
-from gaproute.decisions.route.score import NIL
+from gaproute.decisions.routing.beliefs import LOAD_LIFE
+from gaproute.decisions.routing.score import NIL
 
 WHY = (
     "only copy known",
--- a/benchmarks/fleet/parted.py
+++ b/benchmarks/fleet/parted.py
@@ -6,9 +6,9 @@
 
 from typing import NamedTuple
 
-from gaproute.decisions.route import Gateway
-from gaproute.decisions.route import score as policy
-from gaproute.decisions.route.beliefs import SECOND, WIDE, Worker
+from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing import score as policy
+from gaproute.decisions.routing.beliefs import SECOND, WIDE, Worker
 
 
 class Scored(NamedTuple):
--- a/benchmarks/fleet/seers.py
+++ b/benchmarks/fleet/seers.py
@@ -1,8 +1,8 @@
 """Comparisons that see what no gateway can: true queues, as they are or were, and true copies."""
 
 from benchmarks.fleet.parted import Alike
-from gaproute.decisions.route import score as policy
-from gaproute.decisions.route.beliefs import MILLI
+from gaproute.decisions.routing import score as policy
+from gaproute.decisions.routing.beliefs import MILLI
 
 POINT = 0.5  # points a task in hand, where queues are true: a copy is worth twelve
 
--- a/benchmarks/fleet/smoothed.py
+++ b/benchmarks/fleet/smoothed.py
@@ -4,8 +4,8 @@
 
 from benchmarks.fleet.candidates import Firsts, Shared, Soft
 from benchmarks.fleet.parted import Alike
-from gaproute.decisions.route import score as policy
-from gaproute.decisions.route.beliefs import LOAD_LIFE, MILLI, SECOND, WIDE
+from gaproute.decisions.routing import score as policy
+from gaproute.decisions.routing.beliefs import LOAD_LIFE, MILLI, SECOND, WIDE
 
 SMOOTH = 8  # reports over which a worker's load is averaged
 STRONG = 4.0  # times more points for the smoothed load
--- a/benchmarks/fleet/variants.py
+++ b/benchmarks/fleet/variants.py
@@ -2,7 +2,7 @@
 
 from benchmarks.fleet import candidates, seers, smoothed
 from benchmarks.fleet.parted import Alike, Parted
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 
 VARIANTS = {
     "today": lambda world, seed, terms, now: Gateway(seed, terms, now),
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -8,7 +8,7 @@
 from benchmarks.fleet.hosts import CAPACITY, COLD_SHARE, COLD_TIME, Host
 from benchmarks.fleet.traffic import TRACKS
 from gaproute import interface as face
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 
 ZONES = 3
 STEP, STEPS = 25 * MILLI, 48  # between looks at the hosts' tasks in hand; so many are kept
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -49,7 +49,7 @@
 AFTER = 30 * SECOND  # from the first kill, in which fetches are counted
 MODES = {"nothing": (False, False), "disk": (False, True), "peers": (True, False), "both": (True, True)}
 LIARS = {
-    "0%": "gaproute.decisions.route:Gateway",
+    "0%": "gaproute.decisions.routing:Gateway",
     "20%": "gaproute.standins.liars:LiesNow",
     "50%": "gaproute.standins.liars:LiesHalf",
     "100%": "gaproute.standins.liars:LiesAlways",
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -22,7 +22,7 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MODELS = 300
 LAG = 40  # tasks in flight
-PLACES = (("gaproute.decisions.route", "gaproute.decisions.chance"), ("gaproute.policy", "gaproute.policy"))
+PLACES = (("gaproute.decisions.routing", "gaproute.decisions.chance"), ("gaproute.policy", "gaproute.policy"))
 TOLD = {
     "tenant_shares": (),
     "over_share_value": 1.0,
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -21,7 +21,7 @@
 
 from rows import write
 
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 from gaproute.http1 import Exchange, Link, Server
 from gaproute.interface import Relay, Wait
 from gaproute.loop import Loop, connect
@@ -206,7 +206,7 @@
             made = {
                 name: Gate(where, decisions, folder)
                 for name, decisions in (
-                    ("module", "gaproute.decisions.route:Gateway"),
+                    ("module", "gaproute.decisions.routing:Gateway"),
                     ("next in turn", "relay:NextInTurn"),
                 )
             }
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.cells.node import Node
 from benchmarks.scale.cells.world import PURE, World
 from gaproute import interface as face
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 
 SHAPE = Shape(26, 10, 39, entries=3, host_capacity=2.0)
 FUNCTIONS, EXPONENT = 20_000, 1.0
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -5,7 +5,7 @@
 from benchmarks.scale.gateways import CAPACITY, MEGABYTE, REPORT, SECOND, TERMS, Caller, row, rows
 from benchmarks.scale.meters import held_bytes
 from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, grown
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 from gaproute.interface import Wait
 
 HOSTS = (100, 400, 1_600, 6_400, 25_600)
--- a/benchmarks/scale/costs/sharing.py
+++ b/benchmarks/scale/costs/sharing.py
@@ -5,8 +5,8 @@
 from benchmarks.scale.gateways import MILLI, SECOND, TERMS, Caller
 from benchmarks.scale.plays import CPU, cpu_ms, grown
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.route.ration import Ration
-from gaproute.decisions.route.sharing import Sharing
+from gaproute.decisions.routing.ration import Ration
+from gaproute.decisions.routing.sharing import Sharing
 
 WINDOW = 10 * SECOND
 CALLS = (100, 1_000, 10_000, 100_000, 1_000_000)
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -1,8 +1,8 @@
 """Gateways' decisions to be measured: terms, host lists, and a caller that answers each relay at once."""
 
 from gaproute import interface as face
-from gaproute.decisions.route import Gateway
-from gaproute.decisions.route.beliefs import MIX
+from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.beliefs import MIX
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 ZONES, CELLS = 13, 640
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -80,7 +80,7 @@
     with tempfile.TemporaryDirectory() as folder:
         gate = Gate(
             hosts,
-            "gaproute.decisions.route:Gateway",
+            "gaproute.decisions.routing:Gateway",
             folder,
             f"listen peers unix:{folder}/p",
             f"listen operator unix:{folder}/o",
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.cells.place import Place
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.links.pooling import Pooling
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve.entry import EntryFront
 from gaproute.hosts.entries import CellHosts, Entries
 from gaproute.peers.tables import TableCarrier
--- a/gaproute/benchlink/__main__.py
+++ b/gaproute/benchlink/__main__.py
@@ -6,7 +6,7 @@
 from gaproute import interface as face
 from gaproute.benchlink import wire
 from gaproute.benchlink.drive import Instance
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 
 
 class Hub:
--- a/gaproute/cli/playing.py
+++ b/gaproute/cli/playing.py
@@ -14,7 +14,7 @@
 @click.argument("script", default="bad-day")
 @click.option("--seed", default=1, help="Seed of the day's chance.")
 @click.option(
-    "--decisions", default="gaproute.decisions.route:Gateway", help="The gateways' decisions, MODULE:CLASS."
+    "--decisions", default="gaproute.decisions.routing:Gateway", help="The gateways' decisions, MODULE:CLASS."
 )
 @click.option("--out", type=click.Path(file_okay=False), help="Folder for taps, logs and result.json.")
 @json_option
--- a/gaproute/config/words/process.py
+++ b/gaproute/config/words/process.py
@@ -40,9 +40,9 @@
 
 class Decisions(Directive):
     places: ClassVar = ("made_by",)
-    example: ClassVar = "decisions gaproute.decisions.route:Gateway"
+    example: ClassVar = "decisions gaproute.decisions.routing:Gateway"
     once: ClassVar = True
-    made_by: str = Field("gaproute.decisions.route:Gateway", pattern=r"^[\w.]+:\w+$")
+    made_by: str = Field("gaproute.decisions.routing:Gateway", pattern=r"^[\w.]+:\w+$")
 
     def load(self):
         module, _, name = self.made_by.partition(":")
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -1,6 +1,6 @@
 """A gateway of a fleet of cells: it picks the cell of each call, then leaves the call to that cell.
 
-`CellularGateway` is driven as `gaproute.decisions.route.Gateway` is, and is one for as long as its table has
+`CellularGateway` is driven as `gaproute.decisions.routing.Gateway` is, and is one for as long as its table has
 at most one cell: the calls go straight through. With several cells it has a `route.Gateway` for each cell
 that it knows, and forwards the calls of all others to their entry gateways.
 
@@ -20,7 +20,7 @@
 from gaproute.decisions.cells.tasks import CellTasks
 from gaproute.decisions.cells.views import View
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 from gaproute.interface import Outcome, Task, Wait
 
 CHANCE_SALT = 0x63656C6C  # the chance that picks cells is another than that which picks hosts
--- a/gaproute/decisions/cells/journey.py
+++ b/gaproute/decisions/cells/journey.py
@@ -4,7 +4,7 @@
 that must not run twice leaves a cell only when every relay of it provably did not run.
 """
 
-from gaproute.decisions.route.beliefs import LONG, MILLI
+from gaproute.decisions.routing.beliefs import LONG, MILLI
 from gaproute.interface import NEVER_RAN, Decline, Effect, Result, Scrap
 
 LOOK = 500 * MILLI  # between looks at a task with an overdue relay
--- a/gaproute/decisions/cells/local.py
+++ b/gaproute/decisions/cells/local.py
@@ -4,8 +4,8 @@
 a relay goes to the gateway that sent it, also after its cell has left the view.
 """
 
-from gaproute.decisions.route import Gateway
-from gaproute.decisions.route.ration import Ration
+from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.ration import Ration
 from gaproute.interface import Report, Wait
 
 SECOND = 1_000_000_000
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.cells.entries import CellUnknown
 from gaproute.decisions.cells.illness import Permit
 from gaproute.decisions.cells.remote import serve_remote
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 from gaproute.interface import Decline, Effect, Found, Relay, Result, Scrap, Wait
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/decisions/route/__init__.py
+++ b/gaproute/decisions/routing/__init__.py
@@ -10,6 +10,6 @@
 `allowed`, `score`, `wait`, `booked`, `task`, `tidy`. Beside them `beliefs`, `ration`, `sharing`.
 """
 
-from gaproute.decisions.route.tidy import Gateway
+from gaproute.decisions.routing.tidy import Gateway
 
 __all__ = ["Gateway"]
--- a/gaproute/decisions/route/allowed.py
+++ b/gaproute/decisions/routing/allowed.py
@@ -1,7 +1,7 @@
 """What a worker may be sent: by the rules on further relays, the cold ones' share, the load ration."""
 
-from gaproute.decisions.route.beliefs import LONG, SECOND
-from gaproute.decisions.route.hints import Hints
+from gaproute.decisions.routing.beliefs import LONG, SECOND
+from gaproute.decisions.routing.hints import Hints
 from gaproute.interface import Effect, Group
 
 CREDIT_LIFE = 2 * SECOND  # over which unspent credit fades: about the time in which cold workers fall over
--- a/gaproute/decisions/route/booked.py
+++ b/gaproute/decisions/routing/booked.py
@@ -3,8 +3,8 @@
 from collections import Counter
 from statistics import median
 
-from gaproute.decisions.route.beliefs import ERRED, RECENT, ROOM
-from gaproute.decisions.route.wait import Waits
+from gaproute.decisions.routing.beliefs import ERRED, RECENT, ROOM
+from gaproute.decisions.routing.wait import Waits
 from gaproute.interface import Effect, Found, Result
 
 ZONE_SILENT = 2  # workers of a zone with overdue relays, none heard since: one alone may have slow work
--- a/gaproute/decisions/route/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -7,8 +7,8 @@
 
 from statistics import median
 
-from gaproute.decisions.route.beliefs import ERRED, MIX, RECENT, WIDE
-from gaproute.decisions.route.measures import Measures
+from gaproute.decisions.routing.beliefs import ERRED, MIX, RECENT, WIDE
+from gaproute.decisions.routing.measures import Measures
 from gaproute.interface import Found
 
 MISLED = 2  # wrong hints after which none is followed: one may be a copy that has just gone
--- a/gaproute/decisions/route/known.py
+++ b/gaproute/decisions/routing/known.py
@@ -3,9 +3,9 @@
 from collections import deque
 
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.route.beliefs import FLOWS, KEPT, LONG, LOOK, MIX, SECOND, Function, Worker
-from gaproute.decisions.route.ration import Ration
-from gaproute.decisions.route.sharing import Sharing
+from gaproute.decisions.routing.beliefs import FLOWS, KEPT, LONG, LOOK, MIX, SECOND, Function, Worker
+from gaproute.decisions.routing.ration import Ration
+from gaproute.decisions.routing.sharing import Sharing
 
 NEAR = 10.0  # points for a worker of the own zone, for each task's earnings that a crossing costs:
 #                        a copy has six, and stands for a load, which costs over half of a task's earnings
--- a/gaproute/decisions/route/measures.py
+++ b/gaproute/decisions/routing/measures.py
@@ -4,8 +4,8 @@
 from heapq import nsmallest
 from statistics import median
 
-from gaproute.decisions.route.beliefs import LOAD_LIFE, LOOK, MIX, RECENT
-from gaproute.decisions.route.known import Known
+from gaproute.decisions.routing.beliefs import LOAD_LIFE, LOOK, MIX, RECENT
+from gaproute.decisions.routing.known import Known
 
 FADE = 4  # power of age over keep-alive: warmth stays above two thirds for three quarters of it
 SUSPECT = 0.4  # share of bad results below which none is doubted: chance and lost answers strike all
--- a/gaproute/decisions/route/ration.py
+++ b/gaproute/decisions/routing/ration.py
@@ -13,7 +13,7 @@
 from bisect import bisect_right, insort
 from collections import deque
 
-from gaproute.decisions.route.beliefs import KEPT
+from gaproute.decisions.routing.beliefs import KEPT
 
 TRAVEL = 0.5  # of the window, for the way of an order; one that may still be under way then ends
 #                          with its connection. At half the tasks it still is an order for every seven
--- a/gaproute/decisions/route/score.py
+++ b/gaproute/decisions/routing/score.py
@@ -2,8 +2,8 @@
 
 from bisect import bisect_left
 
-from gaproute.decisions.route.allowed import Allowed
-from gaproute.decisions.route.beliefs import LONG, ROOM, SECOND, WIDE
+from gaproute.decisions.routing.allowed import Allowed
+from gaproute.decisions.routing.beliefs import LONG, ROOM, SECOND, WIDE
 
 WARMTH = 6.0  # points for a fresh copy: it outweighs a free place, all memory and the prior
 QUEUE = 0.5  # points lost for each ROOM of tasks queued, where a load serves one task alone
--- a/gaproute/decisions/route/task.py
+++ b/gaproute/decisions/routing/task.py
@@ -1,7 +1,7 @@
 """One task, from acceptance to its one final answer."""
 
-from gaproute.decisions.route.beliefs import MILLI, SECOND, Trail
-from gaproute.decisions.route.booked import Booked
+from gaproute.decisions.routing.beliefs import MILLI, SECOND, Trail
+from gaproute.decisions.routing.booked import Booked
 from gaproute.interface import Cancel, Decline, Effect, Order, Relay, Result, Scrap, Wait
 
 MOST_COPIES = 16  # of one function that one order asks a worker for
--- a/gaproute/decisions/route/tidy.py
+++ b/gaproute/decisions/routing/tidy.py
@@ -1,7 +1,7 @@
 """The whole gateway: a task's path, and beside it the list, the probes and what is forgotten."""
 
-from gaproute.decisions.route.beliefs import MILLI, SECOND
-from gaproute.decisions.route.task import PAUSE, Serving
+from gaproute.decisions.routing.beliefs import MILLI, SECOND
+from gaproute.decisions.routing.task import PAUSE, Serving
 from gaproute.interface import Listen, Probe, Wait
 
 PROBE_EVERY = 700 * MILLI  # between probes of one worker where reports come by probe only
--- a/gaproute/decisions/route/wait.py
+++ b/gaproute/decisions/routing/wait.py
@@ -2,8 +2,8 @@
 
 from statistics import median
 
-from gaproute.decisions.route.beliefs import FLOWS, KEPT, LOAD_LIFE, LOOK, RECENT, ROOM, SECOND
-from gaproute.decisions.route.score import Score
+from gaproute.decisions.routing.beliefs import FLOWS, KEPT, LOAD_LIFE, LOOK, RECENT, ROOM, SECOND
+from gaproute.decisions.routing.score import Score
 
 REFUSAL_LIFE = 2 * SECOND  # refusals older than this say nothing of now
 SHED = 2.0  # of the shortest contract time: expected wait to decline at; half for no earnings
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -4,7 +4,7 @@
 """
 
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.route.tidy import TIDY
+from gaproute.decisions.routing.tidy import TIDY
 from gaproute.hollow.cells.ways import Ways
 from gaproute.hollow.parts import Part
 
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -1,12 +1,12 @@
 """The host list as a part: the watched file, its rows, and the decisions' state that is fed with them."""
 
-from gaproute.decisions.route.tidy import TIDY
+from gaproute.decisions.routing.tidy import TIDY
 from gaproute.discovery.listing import FileWatch, Listing
 from gaproute.hollow.parts import Part
 
 
 class Hosts(Part):
-    """The decisions' own `gateway` (`gaproute.decisions.route`), fed the list and driven by no task."""
+    """The decisions' own `gateway` (`gaproute.decisions.routing`), fed the list and driven by no task."""
 
     def __init__(self, surroundings, parts):
         self.loop, self.charter = surroundings.loop, surroundings.charter
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -2,7 +2,7 @@
 
 Every time is an int of nanoseconds and every id is passed on as it came.
 
-The caller (the bench's adapter, a gateway program) makes one `Gateway` of `gaproute.decisions.route`, feeds
+The caller (the bench's adapter, a gateway program) makes one `Gateway` of `gaproute.decisions.routing`, feeds
 it lists, probe and order answers through its methods, and drives its generators:
 
 - `serve(now, task)`, one for each task, from acceptance to its one final answer;
--- a/gaproute/node/process.py
+++ b/gaproute/node/process.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.admission.admission import RESTED, Admission, way_back
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.links.pooling import OWN, Pooling, share_out
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 from gaproute.discovery.changelog import events
 from gaproute.discovery.changelog.follow import Follower
 from gaproute.fronts.jsonrpc.front import Front
--- a/gaproute/standins/baselines.py
+++ b/gaproute/standins/baselines.py
@@ -1,7 +1,7 @@
 """Choices to measure beside the module's own: the same rules, tasks and guards, another way to pick a
 host."""
 
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 
 
 class Plain(Gateway):
--- a/gaproute/standins/liars.py
+++ b/gaproute/standins/liars.py
@@ -1,7 +1,7 @@
 """Gateways that serve as the product does and tell others wrong things on purpose: a share of the copies that
 they tell of stand at other hosts than told."""
 
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 
 
 class Liar(Gateway):
--- a/gaproute/standins/rogues.py
+++ b/gaproute/standins/rogues.py
@@ -1,7 +1,7 @@
 """Decision modules that break one rule each on purpose: the judge that does not catch them is no judge."""
 
-from gaproute.decisions.route import Gateway
-from gaproute.decisions.route.beliefs import MILLI
+from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.beliefs import MILLI
 from gaproute.interface import Decline, Order, Relay, State, Wait
 
 
--- a/gaproute/trial/run.py
+++ b/gaproute/trial/run.py
@@ -22,7 +22,7 @@
 
 
 class Trial:
-    def __init__(self, script, out, seed=1, decisions="gaproute.decisions.route:Gateway", talk=None):
+    def __init__(self, script, out, seed=1, decisions="gaproute.decisions.routing:Gateway", talk=None):
         self.script, self.out, self.seed, self.decisions = script, Path(out), seed, decisions
         self.talk = talk or (lambda text: None)
         self.out.mkdir(parents=True, exist_ok=True)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -10,8 +10,8 @@
 from gaproute import interface as face
 from gaproute.appliance import Appliance
 from gaproute.config import read_charter
-from gaproute.decisions.route import Gateway
-from gaproute.decisions.route.beliefs import MILLI, SECOND
+from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.beliefs import MILLI, SECOND
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
 from gaproute.loop.streams import address
--- a/tests/test_cells_cellular.py
+++ b/tests/test_cells_cellular.py
@@ -13,7 +13,7 @@
 from gaproute.decisions.cells.health import PURE_WAIT
 from gaproute.decisions.cells.place import Place
 from gaproute.decisions.cells.tasks import CELLS_TRIED
-from gaproute.decisions.route import Gateway
+from gaproute.decisions.routing import Gateway
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 PURE, RECEIPTED, EFFECTFUL = 0, 1, 2
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -4,7 +4,7 @@
 from helpers import SECOND, gateway, row, task
 
 from benchmarks.cold import Day, day, play
-from gaproute.decisions.route.beliefs import Trail
+from gaproute.decisions.routing.beliefs import Trail
 from gaproute.terms import terms
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -2,11 +2,11 @@
 from helpers import EFFECTFUL, MILLI, PURE, RECEIPTED, SECOND, TERMS, Drive, gateway, row, task
 
 from gaproute import interface as face
-from gaproute.decisions.route import Gateway
-from gaproute.decisions.route.beliefs import LOOK, ROOM, WIDE, Function, Trail
-from gaproute.decisions.route.measures import FADE
-from gaproute.decisions.route.score import MEMORY, PRIOR, PRIOR_HOT, QUEUE, QUEUE_HOT, WARMTH
-from gaproute.decisions.route.wait import REFUSAL_LIFE
+from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.beliefs import LOOK, ROOM, WIDE, Function, Trail
+from gaproute.decisions.routing.measures import FADE
+from gaproute.decisions.routing.score import MEMORY, PRIOR, PRIOR_HOT, QUEUE, QUEUE_HOT, WARMTH
+from gaproute.decisions.routing.wait import REFUSAL_LIFE
 from gaproute.interface import Result
 
 MAY_HAVE_RUN = [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED]
--- a/tests/test_policy_move.py
+++ b/tests/test_policy_move.py
@@ -4,7 +4,7 @@
 from helpers import MILLI, SECOND, Drive, gateway, row, task
 
 from gaproute import interface as face
-from gaproute.decisions.route.beliefs import KEPT, LOAD_LIFE, RECENT, ROOM, Trail
+from gaproute.decisions.routing.beliefs import KEPT, LOAD_LIFE, RECENT, ROOM, Trail
 from gaproute.interface import Result
 
 
--- a/tests/test_ranks.py
+++ b/tests/test_ranks.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from gaproute import interface as face
-from gaproute.decisions.route import Gateway
-from gaproute.decisions.route.beliefs import LONG, Trail
-from gaproute.decisions.route.measures import RANKED
-from gaproute.decisions.route.score import PRIOR_FALL
+from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.beliefs import LONG, Trail
+from gaproute.decisions.routing.measures import RANKED
+from gaproute.decisions.routing.score import PRIOR_FALL
 
 MOST = 4 * RANKED
 WORKERS = st.integers(0, MOST - 1)
--- a/tests/test_ration.py
+++ b/tests/test_ration.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from gaproute import interface as face
-from gaproute.decisions.route.ration import TRAVEL, Ration
+from gaproute.decisions.routing.ration import TRAVEL, Ration
 from gaproute.interface import Result
 
 WINDOW = 10 * SECOND
--- a/tests/test_scale_measurements.py
+++ b/tests/test_scale_measurements.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.measurement import UNITS, Measurement, MeasurementError, Point, measure
 from benchmarks.scale.meters import held_bytes
 from benchmarks.scale.plays import cpu_ms, grown
-from gaproute.decisions.route import measures
+from gaproute.decisions.routing import measures
 
 SIZES = (100, 400, 1_600, 6_400, 25_600)
 CURVES = {
--- a/tests/test_trial_gateways.py
+++ b/tests/test_trial_gateways.py
@@ -60,7 +60,7 @@
         out=folder,
         seed=1,
         models=[],
-        decisions="gaproute.decisions.route:Gateway",
+        decisions="gaproute.decisions.routing:Gateway",
         script=SimpleNamespace(day=day, gateway_lines=[]),
         processes=Processes(program),
     )
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -19,9 +19,9 @@
 
 RULES = {
     -3: "gaproute.standins.liars:LiesAlways",
-    -2: "gaproute.decisions.route:Gateway",
-    -1: "gaproute.decisions.route:Gateway",
-    0: "gaproute.decisions.route:Gateway",
+    -2: "gaproute.decisions.routing:Gateway",
+    -1: "gaproute.decisions.routing:Gateway",
+    0: "gaproute.decisions.routing:Gateway",
 } | {rule: f"gaproute.standins.rogues:{rogue.__name__}" for rule, rogue in ROGUES.items()}
 
 SCRIPTS = {-1: "short-day", -2: "telling-day", -3: "telling-day"}
