--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -18,7 +18,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from benchmarks.rows import write
-from gaproute.decisions.links.pooling import LONGEST, Pooling
+from gaproute.decisions.connections.pooling import LONGEST, Pooling
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.rows import Row
 from gaproute.http1 import Limits, Server
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -7,7 +7,7 @@
 from benchmarks import kept_connections
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes, once
-from gaproute.decisions.links.pooling import Pooling
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import kserve
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.rows import Row
--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -5,7 +5,7 @@
 
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, once
-from gaproute.decisions.links.pooling import Pooling
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.discovery.listing import FileWatch, Listing
 from gaproute.hosts.fleet import Hosts
 from gaproute.loop import Loop
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -9,7 +9,7 @@
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.place import Place
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.links.pooling import Pooling
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve.entry import EntryFront
 from gaproute.hosts.entries import CellHosts, Entries
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -10,7 +10,7 @@
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.links.pooling import Pooling
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.discovery.listing import FileWatch, Listing
 from gaproute.fronts.kserve import Front
 from gaproute.hosts.fleet import Hosts, Reach
--- a/gaproute/hosts/entries.py
+++ b/gaproute/hosts/entries.py
@@ -4,7 +4,7 @@
 when the request is handed over, so that it does not answer after that.
 """
 
-from gaproute.decisions.links.pooling import Pooling
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import forwarded, kserve
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.never import Never
--- a/gaproute/node/process.py
+++ b/gaproute/node/process.py
@@ -7,7 +7,7 @@
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import RESTED, Admission, way_back
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.links.pooling import OWN, Pooling, share_out
+from gaproute.decisions.connections.pooling import OWN, Pooling, share_out
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.changelog import events
 from gaproute.discovery.changelog.follow import Follower
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -7,7 +7,7 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, nothing
 
-from gaproute.decisions.links.pooling import CARRIED
+from gaproute.decisions.connections.pooling import CARRIED
 from gaproute.discovery.changelog import events
 from gaproute.hosts.jsonlines import link as links
 from gaproute.interface import Effect, Result
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -16,7 +16,7 @@
 
 from gaproute import interface as face
 from gaproute.core.core import Core
-from gaproute.decisions.links.pooling import Pooling
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.hosts.jsonlines import link as links
 from gaproute.hosts.jsonlines.fleet import Hosts
--- a/tests/test_jsonlines.py
+++ b/tests/test_jsonlines.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.decisions.links.pooling import Pooling
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts.jsonlines import lines
 from gaproute.hosts.jsonlines.fleet import Hosts
 from gaproute.hosts.rows import Row
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -10,7 +10,7 @@
 from scripted import MILLI, SECOND, SETTINGS, Handed, half_close, nothing
 
 from gaproute.decisions.admission.admission import SHORT
-from gaproute.decisions.links.pooling import OWN
+from gaproute.decisions.connections.pooling import OWN
 from gaproute.fronts.jsonrpc import front as fronts
 from gaproute.fronts.jsonrpc import link as links
 from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
