--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -4,8 +4,8 @@
 
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, once
-from gaproute.decisions.told.lore import Lore
-from gaproute.decisions.told.roll import Roll
+from gaproute.decisions.reports.lore import Lore
+from gaproute.decisions.reports.roll import Roll
 from gaproute.http1 import render
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
--- a/gaproute/appliance/keeping.py
+++ b/gaproute/appliance/keeping.py
@@ -6,10 +6,10 @@
 
 import time
 
-from gaproute.decisions.told.asking import KEEP_EVERY, KEEP_WHOLE
-from gaproute.decisions.told.facts import OLDEST
-from gaproute.decisions.told.purse import SLICE, Purse
-from gaproute.decisions.told.roll import own
+from gaproute.decisions.reports.asking import KEEP_EVERY, KEEP_WHOLE
+from gaproute.decisions.reports.facts import OLDEST
+from gaproute.decisions.reports.purse import SLICE, Purse
+from gaproute.decisions.reports.roll import own
 
 MOST = 256  # facts in one transaction: about a millisecond
 
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -4,9 +4,9 @@
 from gaproute.appliance.strong import Strong
 from gaproute.config import read_peers
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.told.facts import Fact
-from gaproute.decisions.told.lore import FACTS, Lore
-from gaproute.decisions.told.roll import Roll
+from gaproute.decisions.reports.facts import Fact
+from gaproute.decisions.reports.lore import FACTS, Lore
+from gaproute.decisions.reports.roll import Roll
 from gaproute.discovery.listing import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop.streams import address
--- a/gaproute/decisions/told/lore.py
+++ b/gaproute/decisions/reports/lore.py
@@ -16,7 +16,7 @@
 
 from collections import Counter
 
-from gaproute.decisions.told.facts import KINDS, OLDEST
+from gaproute.decisions.reports.facts import KINDS, OLDEST
 
 FACTS = 50_000  # facts held: 300 hosts with 160 functions each; beyond it new subjects are refused
 NAME = 256  # characters of a name: what is longer was never a host or a model
--- a/gaproute/decisions/routing/sharing.py
+++ b/gaproute/decisions/routing/sharing.py
@@ -6,7 +6,7 @@
 no credit, orders nothing and lifts no limit.
 """
 
-from gaproute.decisions.told.words import Words
+from gaproute.decisions.reports.words import Words
 
 WORTH = 0.006  # of the result: what probes and reports told may cost together
 SAVED = 4  # probes that tasks may save up: after a rest no burst, at a steady pace no gap
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -1,7 +1,7 @@
 """The address at which other gateways ask, as a part: the product's giver, and keepers' messages."""
 
 from gaproute.appliance.others import ASKED
-from gaproute.decisions.told.roll import Roll
+from gaproute.decisions.reports.roll import Roll
 from gaproute.hollow.parts import Part
 from gaproute.loop.streams import address
 from gaproute.peers import Giver
--- a/gaproute/peers/giver.py
+++ b/gaproute/peers/giver.py
@@ -10,9 +10,9 @@
 
 from google.protobuf.message import DecodeError
 
-from gaproute.decisions.told.asking import CHUNK, CHUNK_BYTES
-from gaproute.decisions.told.purse import MILLI, SLICE, Purse
-from gaproute.decisions.told.roll import own
+from gaproute.decisions.reports.asking import CHUNK, CHUNK_BYTES
+from gaproute.decisions.reports.purse import MILLI, SLICE, Purse
+from gaproute.decisions.reports.roll import own
 from gaproute.http1 import Limits, Server
 from gaproute.peers import wire
 from gaproute.peers.lore_pb2 import Told
--- a/gaproute/peers/learner.py
+++ b/gaproute/peers/learner.py
@@ -5,7 +5,7 @@
 that the first chunk, which holds what was used last, helps while the rest is on its way.
 """
 
-from gaproute.decisions.told.asking import (
+from gaproute.decisions.reports.asking import (
     ANSWER,
     ANSWER_TIME,
     ASKED,
@@ -15,7 +15,7 @@
     TRIES,
     TRY_AGAIN,
 )
-from gaproute.decisions.told.lore import Lore
+from gaproute.decisions.reports.lore import Lore
 from gaproute.http1 import Exchange
 from gaproute.loop import Promise
 from gaproute.loop.streams import address
--- a/gaproute/peers/wire.py
+++ b/gaproute/peers/wire.py
@@ -4,8 +4,8 @@
 
 from google.protobuf.message import DecodeError
 
-from gaproute.decisions.told.asking import ANSWER
-from gaproute.decisions.told.facts import Fact
+from gaproute.decisions.reports.asking import ANSWER
+from gaproute.decisions.reports.facts import Fact
 from gaproute.peers.lore_pb2 import Ask, Told
 
 VERSION = 2
--- a/tests/test_lore.py
+++ b/tests/test_lore.py
@@ -11,10 +11,10 @@
 
 from gaproute.appliance.operator import knowledge
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.told.facts import OLDEST, Fact
-from gaproute.decisions.told.lore import FACTS, SLOWEST, Lore
-from gaproute.decisions.told.purse import BURST, REST, SHARE, Purse
-from gaproute.decisions.told.roll import GONE_KEPT, Roll, own
+from gaproute.decisions.reports.facts import OLDEST, Fact
+from gaproute.decisions.reports.lore import FACTS, SLOWEST, Lore
+from gaproute.decisions.reports.purse import BURST, REST, SHARE, Purse
+from gaproute.decisions.reports.roll import GONE_KEPT, Roll, own
 from gaproute.interface import Found, Outcome, Result, State
 from gaproute.peers.lore_pb2 import Told
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,8 +11,8 @@
 
 from gaproute.appliance.keeping import MOST, Keeper
 from gaproute.appliance.operator import knowledge
-from gaproute.decisions.told.purse import REST, SLICE
-from gaproute.decisions.told.roll import Roll
+from gaproute.decisions.reports.purse import REST, SLICE
+from gaproute.decisions.reports.roll import Roll
 from gaproute.faultinjection.disk import BROKEN, FaultyDisk
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
@@ -74,7 +74,7 @@
 
 
 def test_a_fact_of_the_future_is_refused_by_the_lore(memory):
-    from gaproute.decisions.told.lore import Lore
+    from gaproute.decisions.reports.lore import Lore
 
     written(memory)
     ((_, _, age),) = memory(Clocks(SECOND, 10**18 - 60 * SECOND), "b2").read(9)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,10 +9,10 @@
 
 from gaproute.appliance.operator import peer_table, status
 from gaproute.config import Mistakes, read_charter, read_peers
-from gaproute.decisions.told.asking import CHUNK
-from gaproute.decisions.told.lore import Lore
-from gaproute.decisions.told.purse import Purse
-from gaproute.decisions.told.roll import Roll
+from gaproute.decisions.reports.asking import CHUNK
+from gaproute.decisions.reports.lore import Lore
+from gaproute.decisions.reports.purse import Purse
+from gaproute.decisions.reports.roll import Roll
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.streams import address
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -7,11 +7,11 @@
 
 from gaproute import interface as face
 from gaproute.decisions.chance import Chance
+from gaproute.decisions.reports import words as wording
+from gaproute.decisions.reports.words import mark
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.sharing import SAVED, WORTH
 from gaproute.decisions.routing.tidy import PROBE_EVERY
-from gaproute.decisions.told import words as wording
-from gaproute.decisions.told.words import mark
 from gaproute.interface import Report, Result
 
 TOLD = {
