--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -45,8 +45,8 @@
 
 def serve(file, form):
     if form == "one line":
+        from gaproute.connections import Lot
         from gaproute.decisions.admission.admission import ARRIVING, FRESH, Admission
-        from gaproute.lobby import Lot
 
         def look(lot, events, seen):
             for fd, _ in events:
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -21,7 +21,7 @@
 
 from rows import write
 
-from gaproute.lobby import Calendar
+from gaproute.connections import Calendar
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 IDLE, STEP, SPAN = 75 * SECOND, 10 * MILLI, 20 * SECOND
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -7,6 +7,8 @@
 from gaproute.appliance.cells import Cells
 from gaproute.appliance.operator import Operator
 from gaproute.appliance.others import Others
+from gaproute.connections import Lot
+from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
@@ -15,8 +17,6 @@
 from gaproute.fronts.kserve import Front
 from gaproute.hosts.fleet import Hosts, Reach
 from gaproute.interface import State
-from gaproute.lobby import Lot
-from gaproute.lobby.descriptors import descriptors
 from gaproute.loop import Loop
 from gaproute.loop.loop import READ
 from gaproute.loop.streams import address
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
+from gaproute.connections.descriptors import descriptors
 from gaproute.http1 import Server
-from gaproute.lobby.descriptors import descriptors
 from gaproute.shared.leases.errands import read_order
 
 MILLI = 1_000_000
--- a/gaproute/lobby/lot.py
+++ b/gaproute/connections/lot.py
@@ -9,6 +9,8 @@
 import os
 from collections import deque
 
+from gaproute.connections.descriptors import descriptors
+from gaproute.connections.parking import NONE, ONCE, PARKED, QUEUED, Parking
 from gaproute.decisions.admission.admission import (
     ARRIVING,
     DISPLACE,
@@ -19,8 +21,6 @@
     Admission,
 )
 from gaproute.decisions.chance import Chance
-from gaproute.lobby.descriptors import descriptors
-from gaproute.lobby.parking import NONE, ONCE, PARKED, QUEUED, Parking
 from gaproute.loop.loop import LOBBY
 
 CHUNK = 65536  # bytes read from one that wakes
--- a/gaproute/lobby/parking.py
+++ b/gaproute/connections/parking.py
@@ -8,8 +8,8 @@
 from array import array
 from select import EPOLLIN, EPOLLONESHOT
 
-from gaproute.lobby.addresses import AddressCounts
-from gaproute.lobby.calendar import Calendar
+from gaproute.connections.addresses import AddressCounts
+from gaproute.connections.calendar import Calendar
 
 EXPIRES = 256  # idle ends looked at in one turn: after a stop they must not all fall into one
 ONCE = EPOLLIN | EPOLLONESHOT
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -12,12 +12,12 @@
 
 import socket
 
+from gaproute.connections import Lot
 from gaproute.decisions.admission.admission import HOLD
 from gaproute.fronts.jsonrpc import messages
 from gaproute.fronts.jsonrpc.link import LATE, Link
 from gaproute.fronts.jsonrpc.messages import Fault
 from gaproute.interface.call import Call, Ending
-from gaproute.lobby import Lot
 from gaproute.loop import Listener
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -3,10 +3,10 @@
 import socket
 from collections import deque
 
+from gaproute.connections import Lot
 from gaproute.http1.connection import ServerLink
 from gaproute.http1.deadlines import SWEEP
 from gaproute.http1.limits import LIMITS
-from gaproute.lobby import Lot
 from gaproute.loop import Listener
 
 
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -1,7 +1,7 @@
 """The loop: readiness by epoll, timers in a heap, generators as coroutines. Times are int nanoseconds.
 
 One turn hands over everything that is readable, then what was asked for `soon`, then the timers that are due,
-and last, for a bounded time, what waits at admission (`gaproute/lobby`).
+and last, for a bounded time, what waits at admission (`gaproute/connections`).
 A turn that finds itself late (the process was stopped, or the machine stalled) looks for bytes again until
 none are left before any timer fires: what came in meanwhile is booked before anything is judged overdue.
 """
--- a/gaproute/node/process.py
+++ b/gaproute/node/process.py
@@ -4,6 +4,8 @@
 import signal
 import traceback
 
+from gaproute.connections import Lot
+from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import RESTED, Admission, way_back
 from gaproute.decisions.chance import Chance
@@ -13,8 +15,6 @@
 from gaproute.discovery.changelog.follow import Follower
 from gaproute.fronts.jsonrpc.front import Front
 from gaproute.hosts.jsonlines.fleet import Hosts
-from gaproute.lobby import Lot
-from gaproute.lobby.descriptors import descriptors
 from gaproute.loop import Loop
 from gaproute.loop.connecting import short
 from gaproute.loop.datagrams import Datagrams
--- a/tests/test_lobby.py
+++ b/tests/test_lobby.py
@@ -11,6 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from gaproute.connections import Calendar, Lot, lot
+from gaproute.connections.calendar import WIDTH
+from gaproute.connections.parking import EXPIRES
 from gaproute.decisions.admission.admission import (
     ARRIVING,
     DISPLACE,
@@ -27,9 +30,6 @@
 )
 from gaproute.decisions.chance import Chance
 from gaproute.http1 import Limits, Server
-from gaproute.lobby import Calendar, Lot, lot
-from gaproute.lobby.calendar import WIDTH
-from gaproute.lobby.parking import EXPIRES
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 
