--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -1,6 +1,6 @@
 """What one gateway of the platform costs as its host list grows: processes on loopback.
 
-One `gaproute.node` with 3 tasks a second, as a gateway of a large fleet sees them, before stand-in hosts:
+One `gaproute.platform` with 3 tasks a second, as a gateway of a large fleet sees them, before stand-in hosts:
 CPU of the start, of an idle second, of a change of one line of the list, of a task; bytes of its log.
 
     python -m benchmarks.wide [--hosts 60,120,400,1000] [--seconds 15] [--plays 3]
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -1,4 +1,4 @@
-"""The platform's gateways of a harness: `gaproute.node`, each with a file and environment of its own."""
+"""The platform's gateways of a harness: `gaproute.platform`, each with a file and environment of its own."""
 
 import json
 
@@ -52,7 +52,7 @@
         log = self.out / f"{name}.log"
         before = log.stat().st_size if log.exists() else 0
         process = trial.processes.start(
-            ["gaproute.node"], None, log.name, tells=False, environment=environment, **self.manner(number)
+            ["gaproute.platform"], None, log.name, tells=False, environment=environment, **self.manner(number)
         )
         self.processes[number] = process
         end = self.loop.now() + READY_TIME
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -18,7 +18,7 @@
 class ClusterLine(Directive):
     example: ClassVar = "cluster wires 4 clients 4 batch 8 ready 60s late 100ms bound 5m"
     once: ClassVar = True
-    kind: Literal["appliance", "platform"] = "appliance"  # `gaproute serve` or `gaproute.node`
+    kind: Literal["appliance", "platform"] = "appliance"  # `gaproute serve` or `gaproute.platform`
     wires: int = Field(1, ge=1, le=16)  # processes that share the wire
     clients: int = Field(1, ge=1, le=32)  # processes that share the load
     batch: int = Field(0, ge=0, le=256)  # processes that start at a time; 0: as many as cores
--- a/gaproute/node/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gaproute.node`: one gateway of the platform, as the environment says. Exit codes: 0 stopped, 2
+"""`python -m gaproute.platform`: one gateway of the platform, as the environment says. Exit codes: 0 stopped, 2
 the environment or the configuration cannot be used, 3 the address cannot be listened on, or the operating
 system gives too little to start with. What may pass by itself is tried again first (`loop.starting`)."""
 
@@ -8,8 +8,8 @@
 
 from gaproute.loop import Loop
 from gaproute.loop.starting import Patience
-from gaproute.node.charter import Refused, environment, read
-from gaproute.node.process import Process
+from gaproute.platform.charter import Refused, environment, read
+from gaproute.platform.process import Process
 from gaproute.telemetry.record import FOLLOWED
 
 
--- a/gaproute/node/process.py
+++ b/gaproute/platform/process.py
@@ -20,8 +20,8 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.faults import Backoff, is_momentary_read
 from gaproute.loop.streams import address
-from gaproute.node import charter as charters
-from gaproute.node.log import Log
+from gaproute.platform import charter as charters
+from gaproute.platform.log import Log
 from gaproute.telemetry.record import FOLLOWED, Record
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/standins/platform/charter.py
+++ b/gaproute/standins/platform/charter.py
@@ -111,7 +111,7 @@
     fresh = path.with_suffix(".new")
     fresh.write_text(json.dumps(told))
     fresh.replace(path)
-    return [sys.executable, "-m", "gaproute.node"], {
+    return [sys.executable, "-m", "gaproute.platform"], {
         "EDGE_NAME": told["name"],
         "EDGE_LISTEN": told["listen"],
         "EDGE_CONFIG": str(path),
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -9,9 +9,9 @@
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog.follow import Follower
 from gaproute.loop import Loop, connect
-from gaproute.node import charter as charters
-from gaproute.node.log import Log
-from gaproute.node.process import Process
+from gaproute.platform import charter as charters
+from gaproute.platform.log import Log
+from gaproute.platform.process import Process
 from gaproute.standins.platform import ChangeLog, Client, LineHost, event
 from gaproute.telemetry.record import FOLLOWED
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -17,7 +17,7 @@
 from gaproute.loop import connect
 from gaproute.loop.connecting import DIAL_FIRST
 from gaproute.loop.streams import FAREWELL, address
-from gaproute.node.process import AGAIN, STATUS, STILL_COMING
+from gaproute.platform.process import AGAIN, STATUS, STILL_COMING
 
 
 def test_a_client_that_takes_no_answers_is_seen_to_leave_though_nothing_is_read(gate):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -16,8 +16,8 @@
 from gaproute.fronts.jsonrpc import link as links
 from gaproute.fronts.jsonrpc import messages
 from gaproute.loop.datagrams import Datagrams
-from gaproute.node import charter as charters
-from gaproute.node.log import Log
+from gaproute.platform import charter as charters
+from gaproute.platform.log import Log
 from gaproute.standins.platform import ChangeLog, arg, event, sse
 from gaproute.telemetry.record import Record
 from gaproute.terms import site, terms
@@ -240,7 +240,7 @@
 
 
 def test_a_stop_serves_on_for_a_while_then_ends_what_it_holds(gate, monkeypatch):
-    monkeypatch.setattr("gaproute.node.process.STILL_COMING", 60 * MILLI)
+    monkeypatch.setattr("gaproute.platform.process.STILL_COMING", 60 * MILLI)
     held = []
     made = gate(lambda stream, command: held.append((stream, command)))
     client = made.client()
@@ -285,7 +285,7 @@
 
 def start(path, **environment):
     return subprocess.Popen(
-        [sys.executable, "-m", "gaproute.node"],
+        [sys.executable, "-m", "gaproute.platform"],
         stderr=subprocess.PIPE,
         env=os.environ | {"EDGE_CONFIG": str(path)} | environment,
     )
@@ -349,7 +349,7 @@
         "gaproute.hosts.entries",
         "gaproute.hosts.forwarded",
     }
-    code = "import sys, gaproute.node.__main__; print(*sys.modules)"
+    code = "import sys, gaproute.platform.__main__; print(*sys.modules)"
     loaded = set(
         subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, check=True
--- a/tests/test_sigterm_requests.py
+++ b/tests/test_sigterm_requests.py
@@ -13,7 +13,7 @@
 
 from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
 from gaproute.loop.streams import address
-from gaproute.node.process import GRANTED, LONGEST, STILL_COMING, schedule
+from gaproute.platform.process import GRANTED, LONGEST, STILL_COMING, schedule
 
 STEP = 20 * MILLI  # between two requests of a client
 DEADLINES = (20, 100, 300, 3000, 10_000)  # ms
@@ -243,7 +243,7 @@
         "EDGE_LISTEN": "127.0.0.1:0",
         "EDGE_CONFIG": str(made.path),
     }
-    command = [sys.executable, "-m", "gaproute.node"]
+    command = [sys.executable, "-m", "gaproute.platform"]
     process = subprocess.Popen(command, env=environment, stderr=subprocess.PIPE)
     try:
         lines = [json.loads(process.stderr.readline()) for _ in range(2)]
--- a/tests/test_stepped_clock_node.py
+++ b/tests/test_stepped_clock_node.py
@@ -11,7 +11,7 @@
 import pytest
 from scripted import MILLI, SECOND, Handed
 
-from gaproute.node.log import BURST, Log
+from gaproute.platform.log import BURST, Log
 from gaproute.standins.platform import LineHost, event, sse
 
 HOUR = 3600 * SECOND
--- a/tests/test_syscalls_start.py
+++ b/tests/test_syscalls_start.py
@@ -17,10 +17,10 @@
 
 from gaproute.loop import Loop, connecting, datagrams, starting
 from gaproute.loop.starting import ADDRESS_TIME, START_TIME, Patience
-from gaproute.node import __main__ as program
-from gaproute.node import charter as charters
-from gaproute.node.log import Log
-from gaproute.node.process import AGAIN, AGAIN_LONGEST, PEERS_LONGEST, Process
+from gaproute.platform import __main__ as program
+from gaproute.platform import charter as charters
+from gaproute.platform.log import Log
+from gaproute.platform.process import AGAIN, AGAIN_LONGEST, PEERS_LONGEST, Process
 
 SHORT = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
@@ -215,7 +215,7 @@
     path.write_text(json.dumps(told | {"settings": SETTINGS}))
     environment = {**os.environ, "EDGE_CONFIG": str(path)}
     child = subprocess.Popen(
-        [sys.executable, "-m", "gaproute.node"], env=environment, stderr=subprocess.DEVNULL
+        [sys.executable, "-m", "gaproute.platform"], env=environment, stderr=subprocess.DEVNULL
     )
     try:
         time.sleep(1)
