--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 from statistics import median
 
+from gaproute.scenarios.processes import Process
 from gaproute.standins.platform import charter
 from gaproute.standins.platform.listing import Listing, member
-from gaproute.trial.processes import Process
 
 MILLI = 1_000_000
 RATE = 3.0  # tasks a second
--- a/gaproute/cli/playing.py
+++ b/gaproute/cli/playing.py
@@ -38,8 +38,8 @@
 
         Play = player(told)
     else:
-        from gaproute.trial.run import Trial as Play
-        from gaproute.trial.tables import show
+        from gaproute.scenarios.run import Trial as Play
+        from gaproute.scenarios.tables import show
     result = Play(told, out, seed, decisions, None if plain else click.echo).run()
     if told.cluster is None:
         Path(out, "result.json").write_text(json.dumps(result.plain(), indent=1))
@@ -121,7 +121,7 @@
 @click.option("--scale", default=1.0, help="Shortens all times.")
 def day_script(day, hosts, gateways, scale):
     """Print a trial script with the troubles of a bench's DAY file (JSON)."""
-    from gaproute.trial.daybook import script_of
+    from gaproute.scenarios.daybook import script_of
 
     try:
         text, left_out = script_of(json.load(day), hosts, gateways, scale)
--- a/gaproute/cluster/crowd.py
+++ b/gaproute/cluster/crowd.py
@@ -1,6 +1,6 @@
 """The clients: several processes that share one load, each with names, chance and a tap of its own."""
 
-from gaproute.trial.crowd import Crowd
+from gaproute.scenarios.crowd import Crowd
 
 
 class ClusterCrowd(Crowd):
--- a/gaproute/cluster/gateways.py
+++ b/gaproute/cluster/gateways.py
@@ -4,8 +4,8 @@
 import signal
 
 from gaproute.cluster.processes import NEXT, hurry
-from gaproute.trial.gateways import Gateways
-from gaproute.trial.processes import MILLI
+from gaproute.scenarios.gateways import Gateways
+from gaproute.scenarios.processes import MILLI
 
 WAY_BACK = 25 * MILLI  # the configuration's own, for an answer's way on a machine that is not crowded
 
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -23,9 +23,9 @@
 from gaproute.cluster.table import Table
 from gaproute.cluster.verdict import Verdict
 from gaproute.cluster.wires import Wires
+from gaproute.scenarios.processes import MILLI, SECOND, NotReady
+from gaproute.scenarios.run import Trial
 from gaproute.standins.tap import read
-from gaproute.trial.processes import MILLI, SECOND, NotReady
-from gaproute.trial.run import Trial
 
 LAST_RESORT = 30  # seconds after the bound: the alarm ends a parent that no longer turns its loop
 BACK = 60 * SECOND  # after the day, for gateways that are being restarted: a fleet's start, at most
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -3,7 +3,7 @@
 
 from statistics import median
 
-from gaproute.trial.processes import MILLI
+from gaproute.scenarios.processes import MILLI
 
 BEAT = 20 * MILLI  # between looks at the parent's own clock
 PARENT = 500  # ms that the parent may be late whatever the script allows: it judges nobody, it
--- a/gaproute/cluster/lists.py
+++ b/gaproute/cluster/lists.py
@@ -3,7 +3,7 @@
 
 import os
 
-from gaproute.trial.processes import MILLI
+from gaproute.scenarios.processes import MILLI
 
 SLICE = 16  # files written in one turn: some milliseconds, so that the parent keeps time
 GATHER = 5 * MILLI  # changes that come together are told together
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -4,8 +4,8 @@
 
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import NEXT, hurry
+from gaproute.scenarios.processes import MILLI, READY_TIME, NotReady
 from gaproute.standins.platform import charter
-from gaproute.trial.processes import MILLI, READY_TIME, NotReady
 
 
 class NodeGateways(ClusterGateways):
--- a/gaproute/cluster/processes.py
+++ b/gaproute/cluster/processes.py
@@ -11,7 +11,7 @@
 from collections import deque
 
 from gaproute.loop import Promise
-from gaproute.trial.processes import MILLI, Processes
+from gaproute.scenarios.processes import MILLI, Processes
 
 NICE = 5  # that gateways are nicer where nobody may be woken at once
 URGENT, NEXT = 2, 1  # the lowest real-time priorities: woken at once, before other work; gateways
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -10,7 +10,7 @@
 from gaproute.cluster import crews, sets
 from gaproute.cluster.platform import words
 from gaproute.config.lines import Directive, Mistake, Span, Yes
-from gaproute.trial import script as trial
+from gaproute.scenarios import script as trial
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/gaproute/cluster/seats.py
+++ b/gaproute/cluster/seats.py
@@ -1,6 +1,6 @@
 """The hosts: the wire is told where each listens; who is struck is drawn by the script's line alone."""
 
-from gaproute.trial.seats import Seats
+from gaproute.scenarios.seats import Seats
 
 
 class ClusterSeats(Seats):
--- a/gaproute/cluster/show.py
+++ b/gaproute/cluster/show.py
@@ -1,6 +1,6 @@
 """A cluster's verdict for a person, 80 columns wide."""
 
-from gaproute.trial import tables
+from gaproute.scenarios import tables
 
 
 def show(verdict, console):
--- a/gaproute/cluster/strikes.py
+++ b/gaproute/cluster/strikes.py
@@ -3,7 +3,7 @@
 import os
 
 from gaproute.cluster import sets
-from gaproute.trial.processes import SECOND
+from gaproute.scenarios.processes import SECOND
 
 
 class Strikes:
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -5,7 +5,7 @@
 """
 
 from gaproute.judge import UNTIMED
-from gaproute.trial.result import Result
+from gaproute.scenarios.result import Result
 
 
 class Verdict(Result):
--- a/gaproute/cluster/wires.py
+++ b/gaproute/cluster/wires.py
@@ -5,7 +5,7 @@
 
 from gaproute.cluster import sets
 from gaproute.loop.loop import GONE, READ
-from gaproute.trial.processes import MILLI, SECOND, NotReady
+from gaproute.scenarios.processes import MILLI, SECOND, NotReady
 
 ANSWER = 5 * SECOND  # for a wire to say its counts: one that takes longer ran late anyway
 AFTER = 500 * MILLI  # after a cut, until all that it kept has flown on
--- a/gaproute/trial/crowd.py
+++ b/gaproute/scenarios/crowd.py
@@ -1,7 +1,7 @@
 """The clients of a day: stand-ins that draw the load, and what they saw."""
 
+from gaproute.scenarios.processes import MILLI
 from gaproute.standins.tap import read
-from gaproute.trial.processes import MILLI
 
 
 class Crowd:
--- a/gaproute/trial/gateways.py
+++ b/gaproute/scenarios/gateways.py
@@ -3,7 +3,7 @@
 import json
 import signal
 
-from gaproute.trial.processes import ANYWHERE, MILLI, READY_TIME, NotReady
+from gaproute.scenarios.processes import ANYWHERE, MILLI, READY_TIME, NotReady
 
 
 class Gateways:
--- a/gaproute/trial/run.py
+++ b/gaproute/scenarios/run.py
@@ -9,14 +9,14 @@
 
 from gaproute.judge import kill_after
 from gaproute.loop import Loop
+from gaproute.scenarios.crowd import Crowd
+from gaproute.scenarios.gateways import Gateways
+from gaproute.scenarios.hostlist import HostList
+from gaproute.scenarios.processes import ANYWHERE, MILLI, SECOND, Processes
+from gaproute.scenarios.result import Result
+from gaproute.scenarios.seats import Seats, models_of
+from gaproute.scenarios.troubles import Troubles
 from gaproute.standins.tap import Tap
-from gaproute.trial.crowd import Crowd
-from gaproute.trial.gateways import Gateways
-from gaproute.trial.hostlist import HostList
-from gaproute.trial.processes import ANYWHERE, MILLI, SECOND, Processes
-from gaproute.trial.result import Result
-from gaproute.trial.seats import Seats, models_of
-from gaproute.trial.troubles import Troubles
 
 SETTLE = 700 * MILLI  # between all being up and the first task
 
--- a/gaproute/trial/script.py
+++ b/gaproute/scenarios/script.py
@@ -123,7 +123,7 @@
 def read_script(name, further=None, check=lambda file, found: []):
     """(Script, [(word, line)]) by the name of one that comes with the program, or by its path. `further`:
     words beside a trial's own, `check(file, found)` the mistakes of their lines. Errors: `Mistakes`."""
-    path = resources.files("gaproute.trial") / "scripts" / f"{name}.script"
+    path = resources.files("gaproute.scenarios") / "scripts" / f"{name}.script"
     file = path if path.is_file() else Path(name)
     try:
         text = file.read_text()
--- a/gaproute/trial/seats.py
+++ b/gaproute/scenarios/seats.py
@@ -3,7 +3,7 @@
 import signal
 import time
 
-from gaproute.trial.processes import ANYWHERE
+from gaproute.scenarios.processes import ANYWHERE
 
 
 class HostSeat:
--- a/gaproute/trial/troubles.py
+++ b/gaproute/scenarios/troubles.py
@@ -2,8 +2,8 @@
 
 import signal
 
-from gaproute.trial.processes import MILLI, SECOND
-from gaproute.trial.script import AT_CLIENTS, AT_HOSTS
+from gaproute.scenarios.processes import MILLI, SECOND
+from gaproute.scenarios.script import AT_CLIENTS, AT_HOSTS
 
 
 class Troubles:
--- a/tests/test_cluster_play.py
+++ b/tests/test_cluster_play.py
@@ -17,8 +17,8 @@
 from gaproute.cluster.script import read_script
 from gaproute.cluster.table import Table
 from gaproute.loop import Loop
+from gaproute.scenarios.seats import Seats
 from gaproute.standins.tap import Tap, read
-from gaproute.trial.seats import Seats
 
 MILLI = 1_000_000
 PLAYS = 3  # a busy machine voids a play; then it is played again
--- a/tests/test_platform_trial.py
+++ b/tests/test_platform_trial.py
@@ -11,10 +11,10 @@
 
 from gaproute.judge import Facts, Kind, judge
 from gaproute.judge.facts import DEADLINE_SLACK
+from gaproute.scenarios.processes import Process
 from gaproute.standins.platform import charter
 from gaproute.standins.platform.listing import Listing, member
 from gaproute.standins.tap import Tap, read
-from gaproute.trial.processes import Process
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LENGTH = 3 * SECOND
--- a/tests/test_trial_accounts.py
+++ b/tests/test_trial_accounts.py
@@ -10,8 +10,8 @@
 from gaproute.cluster.verdict import Verdict
 from gaproute.judge import Broken, Kind
 from gaproute.loop import Loop
-from gaproute.trial.result import Result
-from gaproute.trial.run import Trial
+from gaproute.scenarios.result import Result
+from gaproute.scenarios.run import Trial
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/tests/test_trial_gateways.py
+++ b/tests/test_trial_gateways.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gaproute.loop.loop import Loop
-from gaproute.trial.gateways import Gateways
+from gaproute.scenarios.gateways import Gateways
 
 SECOND = 1_000_000_000
 MILLI = 1_000_000
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -14,8 +14,8 @@
 
 from gaproute.cluster.script import read_script
 from gaproute.loop.streams import address
+from gaproute.scenarios.daybook import script_of
 from gaproute.standins.rogues import ROGUES
-from gaproute.trial.daybook import script_of
 
 RULES = {
     -3: "gaproute.standins.liars:LiesAlways",
