--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -16,12 +16,13 @@
 a gateway that stalled must not judge as overdue what has been answered meanwhile.
 """
 
+from gaproute.interface.actions import Cancel, Decline, Listen, Order, Probe, Relay, Scrap, Wait
 from gaproute.interface.outcomes import NEVER_RAN, Found, Outcome, Report, Result
 from gaproute.interface.terms import Effect, Group, Listed, State, Task, Terms, Track
-from gaproute.interface.wishes import Cancel, Decline, Listen, Order, Probe, Relay, Scrap, Wait
 
 __all__ = [
     "NEVER_RAN",
+    "Cancel",
     "Decline",
     "Effect",
     "Found",
@@ -31,7 +32,6 @@
     "Order",
     "Outcome",
     "Probe",
-    "Cancel",
     "Relay",
     "Report",
     "Result",
