--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -94,7 +94,7 @@
         wish = serve.send(None)
         worker = None
         while type(wish) is not wait:
-            relay = type(wish) is face.Relay
+            relay = type(wish) is face.Attempt
             worker = wish.worker if relay else worker
             try:
                 wish = serve.send(0 if relay else None)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -23,7 +23,7 @@
 
 from gaproute.decisions.routing import Gateway
 from gaproute.http1 import Exchange, Link, Server
-from gaproute.interface import Relay, Wait
+from gaproute.interface import Attempt, Wait
 from gaproute.loop import Loop, connect
 from gaproute.loop.streams import address
 
@@ -43,7 +43,7 @@
 
     def serve(self, now, task):
         self.turn += 1
-        yield Relay(self.fleet[self.turn % len(self.fleet)].id)
+        yield Attempt(self.fleet[self.turn % len(self.fleet)].id)
         yield Wait(now + task.time_left)
 
     def heard(self, now, outcome):
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -38,7 +38,7 @@
         """One relay, and as many again as fail."""
         for _ in range(4):
             worker = min(self.random.sample(self.rows, 2), key=lambda each: self.told.get(each, 0))
-            yield face.Relay(worker)
+            yield face.Attempt(worker)
             _, outcome = yield face.Wait(now + task.time_left)
             if outcome is None or outcome.ended:
                 return
--- a/benchmarks/scale/cells/node.py
+++ b/benchmarks/scale/cells/node.py
@@ -63,7 +63,7 @@
                     held.wait += 1
                     self.world.clock.at(until, self._woken, held, held.wait)
                     return
-                case face.Relay():
+                case face.Attempt():
                     value = self._relay(held, wish)
                 case face.Cancel(relay):
                     if relay in held.out:
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -201,6 +201,6 @@
         """Invariants of each wish."""
         if self.checking and node.gateway.single is None:
             self.breaches += invariants.hops_bounded(wish)
-            if isinstance(wish, face.Relay):
+            if isinstance(wish, face.Attempt):
                 self.breaches += invariants.sent_to_known(node.gateway, wish)
                 self.breaches += invariants.one_cell_at_a_time(node.gateway)
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -50,7 +50,7 @@
     asked = task(number, function)
     serving = gateway.serve(now, asked, forwarded)
     wish = next(serving)
-    if not isinstance(wish, face.Relay):
+    if not isinstance(wish, face.Attempt):
         return
     serving.send(0)
     outcome = face.Outcome(
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -76,7 +76,7 @@
         task = face.Task(name, 0, 4 * SECOND, function, LANES, None, 0)
         serve = self.gateway.serve(self.now, task)
         relay = next(serve)
-        if not isinstance(relay, face.Relay):
+        if not isinstance(relay, face.Attempt):
             raise CallError(f"{name} of {function}: {relay!r} came in place of a relay")
         serve.send(0)
         outcome = face.Outcome(
--- a/gaproute/core/drive.py
+++ b/gaproute/core/drive.py
@@ -91,7 +91,7 @@
                 case face.Wait(until):
                     self.wait(key, until, now)
                     return
-                case face.Relay():
+                case face.Attempt():
                     value = self.relays[key]
                     self.relays[key] += 1
                     self.send(key, value, wish, now)
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -14,7 +14,7 @@
 from xxhash import xxh3_64_intdigest
 
 from gaproute.decisions.cells.table import Cell
-from gaproute.interface import Decline, Relay
+from gaproute.interface import Attempt, Decline
 
 SECOND = 1_000_000_000
 
@@ -51,11 +51,11 @@
     hops: int  # times that it has been forwarded
 
 
-class Forward(Relay):
+class Forward(Attempt):
     """A relay to an entry gateway. `worker` is the entry's name."""
 
     def __new__(cls, entry, until, forwarded):
-        """A wish as `Relay`, with what the other gateway must be told."""
+        """A wish as `Attempt`, with what the other gateway must be told."""
         wish = super().__new__(cls, entry.name, until)
         wish.address, wish.forwarded = entry.address, forwarded
         return wish
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.cells.illness import Permit
 from gaproute.decisions.cells.remote import serve_remote
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Decline, Effect, Found, Relay, Result, Scrap, Wait
+from gaproute.interface import Attempt, Decline, Effect, Found, Result, Scrap, Wait
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -121,7 +121,7 @@
             value = None
             if isinstance(wish, (Decline, Scrap)):
                 return wish
-            if isinstance(wish, Relay):
+            if isinstance(wish, Attempt):
                 if journey.relays >= journey.relay_limit:
                     inner.close()
                     return journey.ending("relays")
--- a/gaproute/decisions/routing/task.py
+++ b/gaproute/decisions/routing/task.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing.beliefs import MILLI, SECOND, Trail
 from gaproute.decisions.routing.booked import Booked
-from gaproute.interface import Cancel, Decline, Effect, Order, Relay, Result, Scrap, Wait
+from gaproute.interface import Attempt, Cancel, Decline, Effect, Order, Result, Scrap, Wait
 
 MOST_COPIES = 16  # of one function that one order asks a worker for
 PAUSE = 100 * MILLI  # between looks while a task waits for a worker: half an answer time, spares the CPU
@@ -43,7 +43,7 @@
                 if worker is not None and not trail.relays and self.shed(now, task, track, worker):
                     return "queue"
                 if worker is not None:
-                    relay = yield Relay(worker.id, self.begin_by(track, trail, end))
+                    relay = yield Attempt(worker.id, self.begin_by(track, trail, end))
                     look = self.sent(now, task, relay, worker, trail)
                 elif trail.out:
                     look = now + self.usual(function)
--- a/gaproute/interface/actions.py
+++ b/gaproute/interface/actions.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Relay(NamedTuple):
+class Attempt(NamedTuple):
     worker: str
     until: int = 1 << 62  # when it may begin at the latest, where it has to wait for its connection
 
--- a/gaproute/standins/rogues.py
+++ b/gaproute/standins/rogues.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.beliefs import MILLI
-from gaproute.interface import Decline, Order, Relay, State, Wait
+from gaproute.interface import Attempt, Decline, Order, State, Wait
 
 
 class SendsAfterTheEnd(Gateway):
@@ -15,7 +15,7 @@
         yield Decline(0)
         now, _ = yield Wait(now + 200 * MILLI)
         if self.fleet:
-            yield Relay(self.fleet[0].id)
+            yield Attempt(self.fleet[0].id)
             yield Wait(now + 200 * MILLI)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -91,7 +91,7 @@
                 value = None
                 if isinstance(wish, face.Wait):
                     break
-                if isinstance(wish, face.Relay):
+                if isinstance(wish, face.Attempt):
                     value = len(self.sent)
                     self.sent.append(wish.worker)
         except StopIteration:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -74,7 +74,7 @@
         self.told = []
 
     def serve(self, now, task):
-        yield face.Relay("h")
+        yield face.Attempt("h")
         while True:
             _, outcome = yield face.Wait(now + 1)
             self.told.append("wait over" if outcome is None else "outcome seen")
--- a/tests/test_cells_cellular.py
+++ b/tests/test_cells_cellular.py
@@ -72,7 +72,7 @@
             value = None
             if isinstance(wish, face.Wait):
                 return
-            if isinstance(wish, face.Relay):
+            if isinstance(wish, face.Attempt):
                 value, held[1] = held[1], held[1] + 1
                 self.out.append((name, value, wish.worker, self.now))
 
--- a/tests/test_cells_entries.py
+++ b/tests/test_cells_entries.py
@@ -88,7 +88,7 @@
     made = fleet()
     serve = made.serve(0, task("t", track=track), Forwarded("cell7", 1))
     wish, relays = next(serve), 0
-    while isinstance(wish, face.Relay):
+    while isinstance(wish, face.Attempt):
         serve.send(relays)
         outcome = face.Outcome("t", relays, wish.worker, result, MILLI, False, face.Found.UNTOLD, None, None)
         made.heard(MILLI, outcome)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -71,7 +71,7 @@
 
 
 def relay_and_wait(now, task):
-    yield face.Relay("w")
+    yield face.Attempt("w")
     _, outcome = yield face.Wait(now + 10 * SECOND)
 
 
@@ -101,7 +101,7 @@
 def test_an_error_in_the_module_ends_that_task_alone(when):
     def serve(now, task):
         if when == "later":
-            yield face.Relay("w")
+            yield face.Attempt("w")
             yield face.Wait(now + MILLI)
         raise KeyError("odd")
         yield
@@ -130,7 +130,7 @@
 
 def test_when_the_client_leaves_the_module_hears_of_it_and_nobody_is_answered():
     def serve(now, task):
-        yield face.Relay("w")
+        yield face.Attempt("w")
         _, outcome = yield face.Wait(now + SECOND)
         assert outcome.result is face.Result.DEPARTED
         yield face.Cancel(0)
@@ -146,7 +146,7 @@
 
 def test_a_relay_still_out_after_the_final_answer_is_accounted_for_at_the_limit():
     def serve(now, task):
-        yield face.Relay("w")
+        yield face.Attempt("w")
         yield face.Scrap()
 
     made = core(serve)
@@ -161,7 +161,7 @@
 
 def test_what_has_not_begun_when_its_task_ends_never_does_whatever_the_settings_allow():
     def serve(now, task):
-        yield face.Relay("w")
+        yield face.Attempt("w")
         yield face.Wait(now + MILLI)
         yield face.Decline(0)
 
@@ -178,7 +178,7 @@
     times = []
 
     def serve(now, task):
-        yield face.Relay("w")
+        yield face.Attempt("w")
         for _ in range(3):
             now, outcome = yield face.Wait(now + 10 * MILLI)
             times.append((now, outcome and outcome.result))
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -146,7 +146,7 @@
     made = gateway(row("a"))
     drive = Drive(made, task())
     made.listed(1, change, False)
-    assert not any(isinstance(wish, (face.Relay, face.Order)) for wish in drive.hears(2, Result.MISS))
+    assert not any(isinstance(wish, (face.Attempt, face.Order)) for wish in drive.hears(2, Result.MISS))
     assert Drive(made, task("u"), 3).sent == []
 
 
@@ -272,7 +272,7 @@
     made = gateway()
     drive = Drive(made, task())
     while not drive.ended:
-        assert not any(isinstance(wish, (face.Relay, face.Cancel)) for wish in drive.wishes[1:])
+        assert not any(isinstance(wish, (face.Attempt, face.Cancel)) for wish in drive.wishes[1:])
         drive.late(drive.wishes[-1].until)
     assert len(drive.sent) == 1
 
