--- a/benchmarks/scale/cells/node.py
+++ b/benchmarks/scale/cells/node.py
@@ -72,9 +72,9 @@
                         )
                 case CellUnknown(_, why) if held.forwarded is not None:
                     self._end(held, "unknown", why)
-                case face.Decline(_, why):
+                case face.Reject(_, why):
                     self._end(held, "declined", why)
-                case face.Scrap():
+                case face.Fail():
                     self._end(held, "scrapped", "")
                 case face.Order(worker, function, _):
                     self.gateway.stood(self.world.clock.now, worker, function, face.Result.OK, 1)
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -195,8 +195,8 @@
 
     def decline(self, key, stay_away, why):
         self._final(
-            self.held[key], Ending.DECLINED, None, stay_away, "declined: it is safe to try again", why
+            self.held[key], Ending.REJECTED, None, stay_away, "declined: it is safe to try again", why
         )
 
     def scrap(self, key):
-        self._final(self.held[key], Ending.SCRAPPED, None, 0, "scrapped: it may have run, or may yet")
+        self._final(self.held[key], Ending.FAILED, None, 0, "scrapped: it may have run, or may yet")
--- a/gaproute/core/drive.py
+++ b/gaproute/core/drive.py
@@ -101,9 +101,9 @@
                     self.order(worker, function, copies)
                 case face.Probe(worker):
                     self.probe(worker)
-                case face.Decline():
+                case face.Reject():
                     self.refuse(key, wish)
-                case face.Scrap():
+                case face.Fail():
                     self.scrap(key)
                 case face.Listen():
                     self.listen()
--- a/gaproute/core/final.py
+++ b/gaproute/core/final.py
@@ -43,7 +43,7 @@
         if held.finish is not None:
             self.record.fault("no final answer by the client's limit", key)
             self.forget(key)
-            self._final(held, Ending.SCRAPPED, None, 0, "scrapped: the time was up")
+            self._final(held, Ending.FAILED, None, 0, "scrapped: the time was up")
         self._settle(held)
 
     def _settle(self, held):
@@ -79,7 +79,7 @@
             return
         held = self.held.get(key)
         if held is not None and held.finish is not None:
-            self._final(held, Ending.SCRAPPED, None, 0, "scrapped: an error in the gateway")
+            self._final(held, Ending.FAILED, None, 0, "scrapped: an error in the gateway")
         self.forget(key)
 
     def _over(self, held):
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -14,7 +14,7 @@
 from xxhash import xxh3_64_intdigest
 
 from gaproute.decisions.cells.table import Cell
-from gaproute.interface import Attempt, Decline
+from gaproute.interface import Attempt, Reject
 
 SECOND = 1_000_000_000
 
@@ -61,7 +61,7 @@
         return wish
 
 
-class CellUnknown(Decline):
+class CellUnknown(Reject):
     """A decline by a gateway that has no way into the cell: nothing ran, and another entry may know more."""
 
 
--- a/gaproute/decisions/cells/journey.py
+++ b/gaproute/decisions/cells/journey.py
@@ -5,7 +5,7 @@
 """
 
 from gaproute.decisions.routing.beliefs import LONG, MILLI
-from gaproute.interface import NEVER_RAN, Decline, Effect, Result, Scrap
+from gaproute.interface import NEVER_RAN, Effect, Fail, Reject, Result
 
 LOOK = 500 * MILLI  # between looks at a task with an overdue relay
 
@@ -63,5 +63,5 @@
     def ending(self, why):
         """The final answer where nothing more can be done."""
         if self.track.effect is Effect.PURE or not (self.may_have_run or self.out):
-            return Decline(self.advice, why)
-        return Scrap()
+            return Reject(self.advice, why)
+        return Fail()
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.cells.illness import Permit
 from gaproute.decisions.cells.remote import serve_remote
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Attempt, Decline, Effect, Found, Result, Scrap, Wait
+from gaproute.interface import Attempt, Effect, Fail, Found, Reject, Result, Wait
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -41,7 +41,7 @@
         ending = self._no_choice(journey, forwarded)
         for choice in self._choices(journey, forwarded):
             ending = yield from self._in_cell(journey, choice)
-            if ending is None or isinstance(ending, Scrap):
+            if ending is None or isinstance(ending, Fail):
                 break
             if not journey.may_leave() or not self._worth_leaving(journey.now, ending):
                 break
@@ -56,7 +56,7 @@
         """The ending where there is no cell that the task may go to."""
         if forwarded is not None and forwarded.cell not in self.table.by_name:
             return CellUnknown(journey.advice, "cell not known")
-        return Decline(journey.advice, "no cell")
+        return Reject(journey.advice, "no cell")
 
     def _choices(self, journey, forwarded):
         """The cells for a task, in turn. A forwarded one has no choice: its first gateway made it."""
@@ -106,7 +106,7 @@
             self.health.unreachable(journey.now, name)
             return CellUnknown(journey.advice, "no host")
         ending = yield from self._drive(journey, name, inner, gateway)
-        if gateway is not None and isinstance(ending, Decline) and ending.why in ("nobody", "full"):
+        if gateway is not None and isinstance(ending, Reject) and ending.why in ("nobody", "full"):
             self.health.outcome(journey.now, name, Result.FULL)
         return ending
 
@@ -119,7 +119,7 @@
             except StopIteration:
                 return None
             value = None
-            if isinstance(wish, (Decline, Scrap)):
+            if isinstance(wish, (Reject, Fail)):
                 return wish
             if isinstance(wish, Attempt):
                 if journey.relays >= journey.relay_limit:
--- a/gaproute/decisions/routing/task.py
+++ b/gaproute/decisions/routing/task.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing.beliefs import MILLI, SECOND, Trail
 from gaproute.decisions.routing.booked import Booked
-from gaproute.interface import Attempt, Cancel, Decline, Effect, Order, Result, Scrap, Wait
+from gaproute.interface import Attempt, Cancel, Effect, Fail, Order, Reject, Result, Wait
 
 MOST_COPIES = 16  # of one function that one order asks a worker for
 PAUSE = 100 * MILLI  # between looks while a task waits for a worker: half an answer time, spares the CPU
@@ -29,9 +29,9 @@
         if why is None:
             return
         if trail.first is None or track.effect is Effect.PURE:
-            yield Decline(min(self.terms.advice_limit, int(STAY_AWAY * track.contract_time)), why)
+            yield Reject(min(self.terms.advice_limit, int(STAY_AWAY * track.contract_time)), why)
         else:
-            yield Scrap()
+            yield Fail()
 
     def attempts(self, now, task, track, function, trail):
         """Relays until the task has ended, then None, or until another would not help, then the reason."""
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -169,7 +169,7 @@
         del link.open[asked.number], self.marks[asked.mark]
         if final.ending is Ending.DELIVERED:
             link.write(messages.result(asked.number, final.answer.body))
-        elif final.ending is Ending.DECLINED:
+        elif final.ending is Ending.REJECTED:
             link.write(messages.error(asked.number, messages.REFUSED, final.reason, final.stay_away))
         else:
             link.write(messages.error(asked.number, messages.FAILED, final.reason))
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -34,7 +34,7 @@
     b"x-request-id",
 )
 EXTENSIONS = ["binary_tensor_data"]
-STATUS = {Ending.DECLINED: 503, Ending.SCRAPPED: 504}
+STATUS = {Ending.REJECTED: 503, Ending.FAILED: 504}
 
 
 class Refused(Exception):
@@ -201,7 +201,7 @@
 
     def decline_status(self, request, final):
         """The status of a declined call."""
-        return STATUS[Ending.DECLINED]
+        return STATUS[Ending.REJECTED]
 
     def decline(self, request, final):
         """The answer to a declined call."""
@@ -221,7 +221,7 @@
             answer = final.answer
             fields = (*answer.fields, (b"Gaproute-Outcome", b"delivered"), task, relays)
             self.answer(request, final, answer.status, fields, answer.body)
-        elif final.ending is Ending.DECLINED:
+        elif final.ending is Ending.REJECTED:
             self.decline(request, final)
         else:
             fields = (JSON, (b"Gaproute-Outcome", b"scrapped"), task, relays)
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -10,13 +10,13 @@
 
 A generator yields one of the wishes below and is resumed at once with None, except for
 `Attempt`, resumed with the relay's number, and `Wait`, resumed later with `(now, outcome)`, where the outcome
-is None when the time came first. A task's generator ends after `Decline` or `Scrap`, or after an outcome that
+is None when the time came first. A task's generator ends after `Reject` or `Fail`, or after an outcome that
 ended the task. Before a generator sees an outcome, and also when none is left to see it, the caller hands it
 to `Gateway.heard`. What came in at one moment is handed over before any wait whose time has come is resumed:
 a gateway that stalled must not judge as overdue what has been answered meanwhile.
 """
 
-from gaproute.interface.actions import Attempt, Cancel, Decline, Listen, Order, Probe, Scrap, Wait
+from gaproute.interface.actions import Attempt, Cancel, Fail, Listen, Order, Probe, Reject, Wait
 from gaproute.interface.outcomes import NEVER_RAN, Found, Outcome, Report, Result
 from gaproute.interface.terms import Effect, Group, Listed, State, Task, Terms, Track
 
@@ -24,8 +24,8 @@
     "NEVER_RAN",
     "Attempt",
     "Cancel",
-    "Decline",
     "Effect",
+    "Fail",
     "Found",
     "Group",
     "Listed",
@@ -33,9 +33,9 @@
     "Order",
     "Outcome",
     "Probe",
+    "Reject",
     "Report",
     "Result",
-    "Scrap",
     "State",
     "Task",
     "Terms",
--- a/gaproute/interface/actions.py
+++ b/gaproute/interface/actions.py
@@ -30,10 +30,10 @@
     """Ask for the list and its changes."""
 
 
-class Decline(NamedTuple):
+class Reject(NamedTuple):
     stay_away: int  # advice to the client; 0: none
     why: str = ""  # a word for whoever follows the task
 
 
-class Scrap(NamedTuple):
+class Fail(NamedTuple):
     pass
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -42,8 +42,8 @@
 
 class Ending(Enum):
     DELIVERED = "delivered"
-    DECLINED = "declined"  # trying again is harmless
-    SCRAPPED = "scrapped"  # promises nothing
+    REJECTED = "declined"  # trying again is harmless
+    FAILED = "scrapped"  # promises nothing
 
 
 class Final(NamedTuple):
@@ -51,10 +51,10 @@
 
     ending: Ending
     answer: Answer | None  # with DELIVERED
-    stay_away: int  # with DECLINED: advice, ns; 0: none
+    stay_away: int  # with REJECTED: advice, ns; 0: none
     task: str  # the gateway's id for the task
     relays: int  # relays that were started for it
     reason: str  # a few words for a person
     never_ran: bool = False  # every relay that was started provably did not run
-    cell_unknown: bool = False  # with DECLINED: the call was forwarded here for a cell not known here
+    cell_unknown: bool = False  # with REJECTED: the call was forwarded here for a cell not known here
     found: Found = Found.UNTOLD  # with DELIVERED: what the relay found at the host
--- a/gaproute/standins/rogues.py
+++ b/gaproute/standins/rogues.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.beliefs import MILLI
-from gaproute.interface import Attempt, Decline, Order, State, Wait
+from gaproute.interface import Attempt, Order, Reject, State, Wait
 
 
 class SendsAfterTheEnd(Gateway):
@@ -12,7 +12,7 @@
         if self.chance.below(10):
             yield from super().serve(now, task)
             return
-        yield Decline(0)
+        yield Reject(0)
         now, _ = yield Wait(now + 200 * MILLI)
         if self.fleet:
             yield Attempt(self.fleet[0].id)
--- a/tests/test_cells_cellular.py
+++ b/tests/test_cells_cellular.py
@@ -182,35 +182,35 @@
     assert next(serve).worker.startswith("cell0-")
     made.listed(0, [], True, "cell0")
     serve = made.serve(0, task("u"), Forwarded("cell0", 1))
-    assert isinstance(next(serve), face.Decline)
+    assert isinstance(next(serve), face.Reject)
 
 
 def test_an_entry_that_found_its_cell_ill_declines_at_once_but_for_the_trial():
     made = fleet()
     made.health.unreachable(0, "cell0")
-    assert isinstance(next(made.serve(0, task("t"), Forwarded("cell0", 1))), face.Decline)
+    assert isinstance(next(made.serve(0, task("t"), Forwarded("cell0", 1))), face.Reject)
     effectful = made.serve(2 * SECOND, task("e", track=EFFECTFUL), Forwarded("cell0", 1))
-    assert isinstance(next(effectful), face.Decline)
+    assert isinstance(next(effectful), face.Reject)
     assert next(made.serve(2 * SECOND, task("u"), Forwarded("cell0", 1))).worker.startswith("cell0-")
-    assert isinstance(next(made.serve(2 * SECOND, task("v"), Forwarded("cell0", 1))), face.Decline)
+    assert isinstance(next(made.serve(2 * SECOND, task("v"), Forwarded("cell0", 1))), face.Reject)
 
 
 def test_an_entry_that_knows_the_cell_no_more_forwards_once():
     made = fleet()
     wish = next(made.serve(0, task("t"), Forwarded("cell7", 1)))
     assert isinstance(wish, Forward) and wish.forwarded == Forwarded("cell7", MAX_HOPS)
-    assert isinstance(next(made.serve(0, task("u"), Forwarded("cell7", MAX_HOPS))), face.Decline)
-    assert isinstance(next(made.serve(0, task("v"), Forwarded("nowhere", 1))), face.Decline)
+    assert isinstance(next(made.serve(0, task("u"), Forwarded("cell7", MAX_HOPS))), face.Reject)
+    assert isinstance(next(made.serve(0, task("v"), Forwarded("nowhere", 1))), face.Reject)
 
 
 @pytest.mark.parametrize(
-    "track, ending", [(PURE, face.Decline), (RECEIPTED, face.Scrap), (EFFECTFUL, face.Scrap)]
+    "track, ending", [(PURE, face.Reject), (RECEIPTED, face.Fail), (EFFECTFUL, face.Fail)]
 )
 def test_a_forwarded_task_has_its_answer_before_the_process_ends(track, ending):
     made = fleet()
     drive = Drive(made, task("t", function_of(made, "cell7"), track, time_left=10 * SECOND))
     made.end_by = 2 * SECOND
-    assert not any(isinstance(wish, (face.Decline, face.Scrap)) for wish in drive.late(SECOND))
+    assert not any(isinstance(wish, (face.Reject, face.Fail)) for wish in drive.late(SECOND))
     wishes = drive.late(2 * SECOND)
     assert isinstance(wishes[-1], ending) and drive.sent == drive.sent[:1]
 
@@ -221,7 +221,7 @@
     wish = Drive(made, task("t", function_of(made, "cell7")), now=SECOND).wishes[0]
     assert isinstance(wish, Forward) and wish.until < 2 * SECOND
     late = Drive(made, task("u", function_of(made, "cell7")), now=2 * SECOND)
-    assert isinstance(late.wishes[-1], face.Decline) and late.sent == []
+    assert isinstance(late.wishes[-1], face.Reject) and late.sent == []
 
 
 @pytest.mark.parametrize("track", [PURE, RECEIPTED, EFFECTFUL])
@@ -243,7 +243,7 @@
     made = fleet()
     drive = Drive(made, task("t", function_of(made, "cell7"), track))
     wishes = drive.hears(10 * MILLI, result)
-    assert [type(wish) for wish in wishes] == [face.Scrap]
+    assert [type(wish) for wish in wishes] == [face.Fail]
 
 
 def test_pure_work_that_may_have_run_goes_on():
@@ -298,7 +298,7 @@
     drive = Drive(made, task("t", function_of(made, "cell7")))
     for relay in range(4):
         drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, relay)
-    assert drive.ended and isinstance(drive.wishes[-1], face.Decline) and len(drive.sent) == 4
+    assert drive.ended and isinstance(drive.wishes[-1], face.Reject) and len(drive.sent) == 4
     made = fleet(relay_limit=50)
     drive = Drive(made, task("t", function_of(made, "cell7")))
     for relay in range(2 * CELLS_TRIED):
--- a/tests/test_cells_entries.py
+++ b/tests/test_cells_entries.py
@@ -65,7 +65,7 @@
     assert isinstance(forwarded(made, "cell7", MAX_HOPS), CellUnknown)
     made.health.unreachable(0, "cell0")
     refused = forwarded(made, "cell0")
-    assert isinstance(refused, face.Decline) and not isinstance(refused, CellUnknown)
+    assert isinstance(refused, face.Reject) and not isinstance(refused, CellUnknown)
     made.listed(0, [], True, "cell0")
     made.health.ill.clear()
     assert isinstance(forwarded(made, "cell0"), CellUnknown)  # no host to send it to
@@ -165,14 +165,14 @@
         drive.hears(10 * MILLI, result, relay)
         relay += 1
     (ending,) = drive.wishes
-    assert isinstance(ending, face.Decline) and ending.stay_away == ADVICE > 0
+    assert isinstance(ending, face.Reject) and ending.stay_away == ADVICE > 0
 
 
 def test_a_call_that_no_cell_may_take_ends_with_the_advice_of_its_track():
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
         made.health.unreachable(0, name)
-    assert Drive(made, task("t", track=EFFECTFUL)).wishes == [face.Decline(ADVICE, "no cell")]
+    assert Drive(made, task("t", track=EFFECTFUL)).wishes == [face.Reject(ADVICE, "no cell")]
 
 
 def test_loads_of_forwarded_calls_are_no_usual_answer_times():
--- a/tests/test_cells_repeats.py
+++ b/tests/test_cells_repeats.py
@@ -42,7 +42,7 @@
 )
 def test_a_deduplicated_call_that_broke_off_stays_in_its_cell_and_is_never_declined(result):
     drive = broken_off()
-    assert [type(wish) for wish in drive.hears(20 * MILLI, result, 1)] == [face.Scrap]
+    assert [type(wish) for wish in drive.hears(20 * MILLI, result, 1)] == [face.Fail]
     assert drive.ended and len(drive.sent) == 2
 
 
@@ -59,7 +59,7 @@
 )
 def test_else_a_call_that_broke_off_is_not_sent_again(told):
     drive = broken_off(**told)
-    assert [type(wish) for wish in drive.wishes] == [face.Scrap] and len(drive.sent) == 1
+    assert [type(wish) for wish in drive.wishes] == [face.Fail] and len(drive.sent) == 1
 
 
 @pytest.mark.parametrize(("track", "status", "sendings"), [("plan", 200, 2), ("rack-plan", 504, 1)])
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -88,13 +88,13 @@
 
 def test_a_second_final_answer_reaches_nobody():
     def serve(now, task):
-        yield face.Decline(5)
-        yield face.Scrap()
+        yield face.Reject(5)
+        yield face.Fail()
 
     made = core(serve)
     take(made)
     turns(made)
-    assert [final.ending for final in made.finals] == [Ending.DECLINED] and made.finals[0].stay_away == 5
+    assert [final.ending for final in made.finals] == [Ending.REJECTED] and made.finals[0].stay_away == 5
 
 
 @pytest.mark.parametrize("when", ["first", "later"])
@@ -109,7 +109,7 @@
     made = core(serve)
     take(made)
     turns(made, 2 * MILLI)
-    assert [final.ending for final in made.finals] == [Ending.SCRAPPED]
+    assert [final.ending for final in made.finals] == [Ending.FAILED]
     made.gateway.serve = relay_and_wait
     take(made)
     made.hosts.sent[-1](DONE)
@@ -124,7 +124,7 @@
     turns(made, 299 * MILLI)
     assert not made.finals
     turns(made, 2 * MILLI)
-    assert [final.ending for final in made.finals] == [Ending.SCRAPPED] and made.hosts.taken_back == ["w"]
+    assert [final.ending for final in made.finals] == [Ending.FAILED] and made.hosts.taken_back == ["w"]
     assert made.gateway.told[0].result is face.Result.TIMEOUT and not made.held
 
 
@@ -147,7 +147,7 @@
 def test_a_relay_still_out_after_the_final_answer_is_accounted_for_at_the_limit():
     def serve(now, task):
         yield face.Attempt("w")
-        yield face.Scrap()
+        yield face.Fail()
 
     made = core(serve)
     take(made)
@@ -163,13 +163,13 @@
     def serve(now, task):
         yield face.Attempt("w")
         yield face.Wait(now + MILLI)
-        yield face.Decline(0)
+        yield face.Reject(0)
 
     made = core(serve)
     made.hosts.begun = False
     take(made)
     turns(made, 2 * MILLI)
-    assert made.finals[0].ending is Ending.DECLINED
+    assert made.finals[0].ending is Ending.REJECTED
     assert made.hosts.taken_back == ["w"] and not made.held
     assert made.gateway.told[0].result is face.Result.MOOT
 
@@ -182,7 +182,7 @@
         for _ in range(3):
             now, outcome = yield face.Wait(now + 10 * MILLI)
             times.append((now, outcome and outcome.result))
-        yield face.Scrap()
+        yield face.Fail()
 
     made = core(serve)
     take(made)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -78,7 +78,7 @@
     made = gateway()
     drive = Drive(made, task(track=2))
     drive.hears(MILLI, result)
-    assert drive.ended and drive.wishes == [face.Scrap()] and len(drive.sent) == 1
+    assert drive.ended and drive.wishes == [face.Fail()] and len(drive.sent) == 1
 
 
 def test_effectful_never_goes_again_while_a_relay_is_out():
@@ -292,7 +292,7 @@
     drive = Drive(made, task(track=track))
     made.refusals.extend([(SECOND, True)] * 5)
     drive.late(SECOND)
-    assert drive.ended is ended and (drive.wishes == [face.Cancel(0), face.Decline(SECOND, "late")]) is ended
+    assert drive.ended is ended and (drive.wishes == [face.Cancel(0), face.Reject(SECOND, "late")]) is ended
 
 
 @pytest.mark.parametrize("weight, prior", [(QUEUE, PRIOR), (QUEUE_HOT, PRIOR_HOT)])
@@ -357,7 +357,7 @@
 def test_a_full_fleet_declines_at_once():
     made = gateway()
     made.refusals.extend([(0, True)] * 5 + [(0, False)] * 3)
-    assert Drive(made, task()).wishes == [face.Decline(SECOND, "crowded")]
+    assert Drive(made, task()).wishes == [face.Reject(SECOND, "crowded")]
     assert Drive(made, task("u"), REFUSAL_LIFE).sent  # nothing may come any more: refusals age
     made.refusals.append((1, False))
     assert Drive(made, task("v"), 1).sent
