--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -25,7 +25,7 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
-from gaproute.standins.platform.charter import Track, charter, settings
+from gaproute.standins.platform.charter import RequestClass, charter, settings
 from gaproute.standins.platform.charter import write as ready
 from gaproute.standins.platform.parties import ChangeLog, Client, LineHost, event
 
@@ -33,7 +33,12 @@
 HOSTS, KEPT = 12, 300  # kept connections of clients
 WORK, LEAVES = 30 * MILLI, 20 * MILLI
 WARM = 2 * SECOND  # first ones, which count for nothing
-TRACKS = (Track("check"), Track("check"), Track("check"), Track("order", "effectful"))
+TRACKS = (
+    RequestClass("check"),
+    RequestClass("check"),
+    RequestClass("check"),
+    RequestClass("order", "effectful"),
+)
 
 
 class Hosts:
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -16,8 +16,8 @@
 CALL_TIME = 8 * SECOND  # that a client waits
 PURE, EFFECTFUL = 0, 1  # places of the tracks
 TRACKS = (
-    face.Track(face.Effect.PURE, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
-    face.Track(face.Effect.EFFECTFUL, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
+    face.RequestClass(face.Effect.PURE, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
+    face.RequestClass(face.Effect.EFFECTFUL, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
 )
 MOST_IN_HAND = 4  # times its capacity at which a host turns calls away
 
--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -26,7 +26,7 @@
 FUNCTIONS = 400
 CHANGES = 40  # of a line of the list
 HOSTS_EACH = 250  # in one stand-in process
-TRACKS = [charter.Track("fault-check", earnings=3.0)]
+TRACKS = [charter.RequestClass("fault-check", earnings=3.0)]
 MODELS = [
     {"name": f"{number:016x}", "track": TRACKS[0].name, "lanes": 4, "work": 40 * MILLI, "start": 100 * MILLI}
     for number in range(1, FUNCTIONS + 1)
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -13,7 +13,7 @@
         script = self.trial.script
         copies, life, day = script.copies, script.life, script.day
         tracks = [
-            charter.Track(
+            charter.RequestClass(
                 line.name, line.effect, line.group, line.contract, line.limit, line.earnings, line.remembers
             )
             for line in script.tracks
--- a/gaproute/config/charter.py
+++ b/gaproute/config/charter.py
@@ -39,7 +39,7 @@
         self.sizes_told, self.weak_word = one("sizes").told, one("weak-word").told
         self.terms = face.Terms(
             tracks=tuple(
-                face.Track(
+                face.RequestClass(
                     EFFECTS[line.effect],
                     GROUPS[line.group],
                     line.remembers,
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -18,7 +18,7 @@
 
 from gaproute.interface.actions import Attempt, Cancel, Fail, Listen, Order, Probe, Reject, Wait
 from gaproute.interface.outcomes import NEVER_RAN, Found, Outcome, Report, Result
-from gaproute.interface.terms import Effect, Group, Listed, State, Task, Terms, Track
+from gaproute.interface.terms import Effect, Group, Listed, RequestClass, State, Task, Terms
 
 __all__ = [
     "NEVER_RAN",
@@ -35,10 +35,10 @@
     "Probe",
     "Reject",
     "Report",
+    "RequestClass",
     "Result",
     "State",
     "Task",
     "Terms",
-    "Track",
     "Wait",
 ]
--- a/gaproute/interface/terms.py
+++ b/gaproute/interface/terms.py
@@ -22,7 +22,7 @@
     GONE = "gone"
 
 
-class Track(NamedTuple):
+class RequestClass(NamedTuple):
     effect: Effect
     group: Group
     repeat_window: int  # how long the group remembers a receipted task
@@ -34,7 +34,7 @@
 class Terms(NamedTuple):
     """What a gateway is told once, when it starts."""
 
-    tracks: tuple[Track, ...]
+    tracks: tuple[RequestClass, ...]
     tenant_shares: tuple[float, ...]
     over_share_value: float
     keep_alive: int  # an idle copy stays at least this long
--- a/gaproute/terms.py
+++ b/gaproute/terms.py
@@ -41,7 +41,7 @@
         told.get(key) or {} for key in ("family_info", "limits", "rules", "prices")
     )
     tracks = tuple(
-        face.Track(
+        face.RequestClass(
             EFFECTS[lane["effect"]],
             face.Group(lane.get("group") or "all"),
             span(lane, "dedup_window"),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,7 +20,7 @@
 from gaproute.standins.tap import Tap
 from gaproute.telemetry.logs import logger
 
-PURE = face.Track(face.Effect.PURE, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
+PURE = face.RequestClass(face.Effect.PURE, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
 RECEIPTED = PURE._replace(effect=face.Effect.RECEIPTED, repeat_window=2 * SECOND)
 EFFECTFUL = PURE._replace(effect=face.Effect.EFFECTFUL)
 TERMS = face.Terms(
--- a/tests/test_platform_trial.py
+++ b/tests/test_platform_trial.py
@@ -21,8 +21,8 @@
 DRAINED = "s-2"
 DRAIN = 1.5  # seconds after the first task
 TRACKS = [
-    charter.Track("fault-check", earnings=3.0),
-    charter.Track("repair-order", "effectful", contract=600 * MILLI, limit=4 * SECOND, earnings=3.0),
+    charter.RequestClass("fault-check", earnings=3.0),
+    charter.RequestClass("repair-order", "effectful", contract=600 * MILLI, limit=4 * SECOND, earnings=3.0),
 ]
 KINDS = [
     {"name": "fault-check", "share": 0.8, "limit": 5 * SECOND, "pure": True},
--- a/tests/test_standins_platform.py
+++ b/tests/test_standins_platform.py
@@ -194,7 +194,11 @@
 
 
 def test_the_file_that_is_made_is_one_that_a_gateway_takes(tmp_path):
-    tracks = [charter.Track("p"), charter.Track("e", "effectful"), charter.Track("r", "receipted", "rack")]
+    tracks = [
+        charter.RequestClass("p"),
+        charter.RequestClass("e", "effectful"),
+        charter.RequestClass("r", "receipted", "rack"),
+    ]
     listing = Listing()
     listing.change(member("h", "127.0.0.1:9", cell=3, up_since=5))
     rules = charter.settings(tracks, gateways=40, cold_share=0.5, limits={"send_cap": 3})
