--- a/benchmarks/fleet/traffic.py
+++ b/benchmarks/fleet/traffic.py
@@ -12,8 +12,8 @@
 SEED = 7  # of the play in the table of costs
 
 TRACKS = (
-    face.RequestClass(face.Effect.PURE, face.Group.ALL, 0, 600 * MILLI, 2400 * MILLI, 3.0),
-    face.RequestClass(face.Effect.EFFECTFUL, face.Group.ALL, 0, 600 * MILLI, 2000 * MILLI, 3.0),
+    face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, 600 * MILLI, 2400 * MILLI, 3.0),
+    face.RequestClass(face.Idempotency.NON_IDEMPOTENT, face.Group.ALL, 0, 600 * MILLI, 2000 * MILLI, 3.0),
 )
 
 
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -22,7 +22,7 @@
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.rows import Row
 from gaproute.http1 import Limits, Server
-from gaproute.interface import Effect, Listed, Result, State
+from gaproute.interface import Idempotency, Listed, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Promise
 from gaproute.loop.streams import address
@@ -41,14 +41,14 @@
     """A new connection for every effectful task."""
 
     def safe_rest(self, now, worker, effect, told):
-        return LONGEST if effect is Effect.PURE else -1
+        return LONGEST if effect is Idempotency.IDEMPOTENT else -1
 
 
 class SeenOnly(Pooling):
     """Half the shortest rest after which the host was seen to close one, and nothing known beforehand."""
 
     def safe_rest(self, now, worker, effect, told):
-        return super().safe_rest(now, worker, Effect.PURE, told)
+        return super().safe_rest(now, worker, Idempotency.IDEMPOTENT, told)
 
 
 def listeners(count, tells, idle_time=SECOND):
@@ -64,7 +64,7 @@
     loop.run()
 
 
-def play(pooling, count, seconds, tells=False, effect=Effect.EFFECTFUL):
+def play(pooling, count, seconds, tells=False, effect=Idempotency.NON_IDEMPOTENT):
     sink = subprocess.Popen(
         [sys.executable, __file__, "listeners", str(count), str(int(tells))], stdout=subprocess.PIPE
     )
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -66,7 +66,7 @@
     """Seconds of CPU for each task."""
     face = importlib.import_module("gaproute.interface")
     made, dice = decisions()
-    tracks = (face.RequestClass(face.Effect.PURE, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0),)
+    tracks = (face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0),)
     terms = face.Terms(tracks=tracks, **{name: TOLD[name] for name in face.Terms._fields if name in TOLD})
     gateway, chance = made(7, terms, 0), dice(3)
     gateway.listed(
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.cells.evenness import Popularity
 from benchmarks.scale.cells.fleet import Shape, place, table
 from benchmarks.scale.cells.node import Node
-from benchmarks.scale.cells.world import PURE, World
+from benchmarks.scale.cells.world import IDEMPOTENT, World
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
 
@@ -106,7 +106,7 @@
     nodes = list(world.nodes.values())
 
     def call():
-        world.call(random.choice(nodes), popularity.draw(), PURE)
+        world.call(random.choice(nodes), popularity.draw(), IDEMPOTENT)
         world.clock.at(world.clock.now + int(random.expovariate(rate) * SECOND), call)
 
     world.clock.at(0, call)
--- a/benchmarks/scale/cells/failures.py
+++ b/benchmarks/scale/cells/failures.py
@@ -10,7 +10,7 @@
 from benchmarks.fleet.clock import SECOND
 from benchmarks.scale.cells.evenness import Popularity
 from benchmarks.scale.cells.fleet import Shape, region_of, table
-from benchmarks.scale.cells.world import EFFECTFUL, PURE, World
+from benchmarks.scale.cells.world import IDEMPOTENT, NON_IDEMPOTENT, World
 
 SHAPE = Shape(26, 20, 39, entries=3)
 FUNCTIONS, EXPONENT = 3_000, 0.9
@@ -147,7 +147,7 @@
                 ended[world.clock.now // SECOND, side, ending] += 1
                 begun[second, side, ending] += 1
 
-            track = PURE if random.random() < PURE_SHARE else EFFECTFUL
+            track = IDEMPOTENT if random.random() < PURE_SHARE else NON_IDEMPOTENT
             world.call(node, popularity.draw(), track, done=done)
         world.clock.at(world.clock.now + int(random.expovariate(rate) * SECOND), call)
 
--- a/benchmarks/scale/cells/meetings.py
+++ b/benchmarks/scale/cells/meetings.py
@@ -9,7 +9,7 @@
 
 from benchmarks.fleet.clock import MILLI, SECOND
 from benchmarks.scale.cells.fleet import Shape, bare_cell, place, table, with_entries
-from benchmarks.scale.cells.world import CALL_TIME, PURE, World
+from benchmarks.scale.cells.world import CALL_TIME, IDEMPOTENT, World
 from gaproute import interface as face
 from gaproute.decisions.cells.choice import Chooser
 from gaproute.decisions.cells.demand import Demand, Scope
@@ -90,7 +90,7 @@
             return
         self.world.counts["serial"] += 1
         wish = Forward(entry, 0, Forwarded(names[0], 1))
-        task = face.Task(f"c{self.world.counts['serial']}>", 0, CALL_TIME, function, 1, None, PURE)
+        task = face.Task(f"c{self.world.counts['serial']}>", 0, CALL_TIME, function, 1, None, IDEMPOTENT)
         delay = self.world.delay(stands.zone, node.zone)
         self.world.clock.at(self.world.clock.now + delay, node.take, task, finish, wish.forwarded)
 
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -14,10 +14,10 @@
 
 ONE_WAY = {"zone": MILLI // 4, "region": MILLI, "far": 30 * MILLI}
 CALL_TIME = 8 * SECOND  # that a client waits
-PURE, EFFECTFUL = 0, 1  # places of the tracks
+IDEMPOTENT, NON_IDEMPOTENT = 0, 1  # places of the tracks
 TRACKS = (
-    face.RequestClass(face.Effect.PURE, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
-    face.RequestClass(face.Effect.EFFECTFUL, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
+    face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
+    face.RequestClass(face.Idempotency.NON_IDEMPOTENT, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
 )
 MOST_IN_HAND = 4  # times its capacity at which a host turns calls away
 
@@ -133,7 +133,7 @@
         self.clock.at(self.clock.now + span, done)
 
     def _run(self, task):
-        if task.track == EFFECTFUL:
+        if task.track == NON_IDEMPOTENT:
             call = task.id.split(">")[0]
             self.ran[call] = self.ran.get(call, 0) + 1
             if self.ran[call] > 1:
@@ -178,7 +178,7 @@
 
     # Calls
 
-    def call(self, node, function, track=PURE, time_left=CALL_TIME, done=None):
+    def call(self, node, function, track=IDEMPOTENT, time_left=CALL_TIME, done=None):
         """A client's call to a full gateway."""
         self.counts["serial"] += 1
         begun = self.clock.now
--- a/gaproute/config/charter.py
+++ b/gaproute/config/charter.py
@@ -4,7 +4,7 @@
 from gaproute.config.words import WORDS
 from gaproute.config.words.fleet import PeerLine
 
-EFFECTS = {effect.value: effect for effect in face.Effect}
+EFFECTS = {effect.value: effect for effect in face.Idempotency}
 GROUPS = {"all": face.Group.ALL, "zone": face.Group.ZONE, "rack": face.Group.CELL}
 
 
--- a/gaproute/decisions/cells/journey.py
+++ b/gaproute/decisions/cells/journey.py
@@ -5,7 +5,7 @@
 """
 
 from gaproute.decisions.routing.beliefs import LONG, MILLI
-from gaproute.interface import NEVER_RAN, Effect, Fail, Reject, Result
+from gaproute.interface import NEVER_RAN, Fail, Idempotency, Reject, Result
 
 LOOK = 500 * MILLI  # between looks at a task with an overdue relay
 
@@ -57,11 +57,11 @@
 
     def may_leave(self):
         """Whether the task may go on in another cell."""
-        harmless = not self.may_have_run or self.track.effect is Effect.PURE
+        harmless = not self.may_have_run or self.track.effect is Idempotency.IDEMPOTENT
         return harmless and not self.out and self.relays < self.relay_limit and self.now < self.end
 
     def ending(self, why):
         """The final answer where nothing more can be done."""
-        if self.track.effect is Effect.PURE or not (self.may_have_run or self.out):
+        if self.track.effect is Idempotency.IDEMPOTENT or not (self.may_have_run or self.out):
             return Reject(self.advice, why)
         return Fail()
--- a/gaproute/decisions/cells/remote.py
+++ b/gaproute/decisions/cells/remote.py
@@ -13,7 +13,7 @@
 
 from gaproute.decisions.cells.entries import MAX_HOPS, CellUnknown, Forward, Forwarded
 from gaproute.decisions.routing.task import ANSWER_BY
-from gaproute.interface import Cancel, Effect, Group, Result, Wait
+from gaproute.interface import Cancel, Group, Idempotency, Result, Wait
 
 ENTRIES_TRIED = 2  # of one cell, for one task
 
@@ -58,9 +58,9 @@
 def _may_repeat(journey, result):
     """Whether the task may go to another entry of the cell after this result."""
     track = journey.track
-    if not journey.may_have_run or track.effect is Effect.PURE:
+    if not journey.may_have_run or track.effect is Idempotency.IDEMPOTENT:
         return True
-    dropped = track.effect is Effect.RECEIPTED and track.group is Group.ALL
+    dropped = track.effect is Idempotency.IDEMPOTENT_WITH_KEY and track.group is Group.ALL
     forgotten = journey.first_sent + track.repeat_window
     return dropped and result is Result.RESET and journey.end + TRANSIT <= forgotten
 
@@ -83,7 +83,7 @@
             return None
         if outcome is not None:
             return outcome
-        given_up = now >= end() or _is_lost(cell, health) and journey.track.effect is Effect.PURE
+        given_up = now >= end() or _is_lost(cell, health) and journey.track.effect is Idempotency.IDEMPOTENT
         if given_up and cancel_allowed and not cancelled:
             cancelled = True
             yield Cancel(relay)
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.cells.illness import Permit
 from gaproute.decisions.cells.remote import serve_remote
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Attempt, Effect, Fail, Found, Reject, Result, Wait
+from gaproute.interface import Attempt, Fail, Found, Idempotency, Reject, Result, Wait
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -66,7 +66,7 @@
             return
         self.demand.arrived(journey.now, function)
         self.spill.arrived()
-        choices = self.chooser.cells(journey.now, function, journey.track.effect is Effect.PURE)
+        choices = self.chooser.cells(journey.now, function, journey.track.effect is Idempotency.IDEMPOTENT)
         for _, choice in zip(range(CELLS_TRIED), choices, strict=False):
             if choice.cell in self.table.by_name:  # a newer table may have come meanwhile
                 self.view.sent(journey.now, choice.cell)
@@ -79,7 +79,7 @@
                 yield Choice(name)
             return
         permit = self.health.permit(journey.now, name, journey.task.function)
-        pure = journey.track.effect is Effect.PURE
+        pure = journey.track.effect is Idempotency.IDEMPOTENT
         if permit is Permit.YES:
             yield Choice(name)
         elif permit is Permit.TRIAL and (pure or self.health.waits_for_trial(journey.now, name)):
--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -10,7 +10,7 @@
 
 from collections import deque
 
-from gaproute.interface import Effect
+from gaproute.interface import Idempotency
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -69,7 +69,9 @@
         task loses a round trip there and an effectful one all. Harms, by a handshake a task, where a few died
         by chance.
         """
-        if effect is not Effect.PURE:  # one host's is enough: what ends them stands before all hosts
+        if (
+            effect is not Idempotency.IDEMPOTENT
+        ):  # one host's is enough: what ends them stands before all hosts
             return not any(times and now - times[-1] < STALE_LIFE for times in self.stale.values())
         return sum([now - at < STALE_LIFE for at in self.stale.get(worker, ())]) <= STALE_MOST
 
@@ -77,9 +79,11 @@
         """How long a connection may have rested to be used; `told` is what the host says it keeps one, or
         None."""
         seen = [rested for at, rested in self.closings.get(worker, ()) if now - at < FORGET]
-        longest = LONGEST if effect is Effect.PURE else CALM
+        longest = LONGEST if effect is Idempotency.IDEMPOTENT else CALM
         if told is not None:
-            longest = min(LONGEST, int(told * (TOLD_SHARE if effect is Effect.PURE else TOLD_CALM)))
+            longest = min(
+                LONGEST, int(told * (TOLD_SHARE if effect is Idempotency.IDEMPOTENT else TOLD_CALM))
+            )
         return min(longest, int(min(seen) * SHARE)) if seen else longest
 
     # Connections that carry several requests at once
--- a/gaproute/decisions/routing/allowed.py
+++ b/gaproute/decisions/routing/allowed.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing.beliefs import LONG, SECOND
 from gaproute.decisions.routing.hints import Hints
-from gaproute.interface import Effect, Group
+from gaproute.interface import Group, Idempotency
 
 CREDIT_LIFE = 2 * SECOND  # over which unspent credit fades: about the time in which cold workers fall over
 SAFE = 0.8  # of the load that pushes a cold worker over: the rest is for chance
@@ -15,15 +15,19 @@
         barred = trail.relays >= self.terms.relay_limit or trail.out and not self.terms.twins_allowed
         if barred or not worker.active:
             return False
-        if trail.first is None or track.effect is Effect.PURE:
+        if trail.first is None or track.effect is Idempotency.IDEMPOTENT:
             return True
         first, of = trail.first[0], track.group.value  # a field of workers, but for ALL
         same = track.group is Group.ALL or getattr(worker, of) == getattr(first, of)
-        return track.effect is Effect.RECEIPTED and same and now < self.begin_by(track, trail, LONG)
+        return (
+            track.effect is Idempotency.IDEMPOTENT_WITH_KEY
+            and same
+            and now < self.begin_by(track, trail, LONG)
+        )
 
     def begin_by(self, track, trail, end):
         """When a relay may begin at the latest, should it wait for its connection."""
-        bound = trail.first is not None and track.effect is Effect.RECEIPTED
+        bound = trail.first is not None and track.effect is Idempotency.IDEMPOTENT_WITH_KEY
         return min(end, trail.first[1] + track.repeat_window) if bound else end
 
     def spread_credit(self, now, by=None):
--- a/gaproute/decisions/routing/booked.py
+++ b/gaproute/decisions/routing/booked.py
@@ -5,7 +5,7 @@
 
 from gaproute.decisions.routing.beliefs import ERRED, RECENT, ROOM
 from gaproute.decisions.routing.wait import Waits
-from gaproute.interface import Effect, Found, Result
+from gaproute.interface import Found, Idempotency, Result
 
 ZONE_SILENT = 2  # workers of a zone with overdue relays, none heard since: one alone may have slow work
 PATIENCE = 4  # usual answer times before a relay counts as overdue
@@ -89,7 +89,7 @@
             else:
                 self.loads.append(outcome.took)
         elif outcome.result in FAILURES and not booked:
-            again = outcome.result is Result.ERROR and self.tracks[track].effect is Effect.PURE
+            again = outcome.result is Result.ERROR and self.tracks[track].effect is Idempotency.IDEMPOTENT
             self.book(worker, now, track, ERRED if again else 1.0)
         if outcome.result is Result.FULL:
             worker.full_until = now + self.usual(function)  # a lane frees about then
--- a/gaproute/decisions/routing/task.py
+++ b/gaproute/decisions/routing/task.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing.beliefs import MILLI, SECOND, Trail
 from gaproute.decisions.routing.booked import Booked
-from gaproute.interface import Attempt, Cancel, Effect, Fail, Order, Reject, Result, Wait
+from gaproute.interface import Attempt, Cancel, Fail, Idempotency, Order, Reject, Result, Wait
 
 MOST_COPIES = 16  # of one function that one order asks a worker for
 PAUSE = 100 * MILLI  # between looks while a task waits for a worker: half an answer time, spares the CPU
@@ -28,14 +28,14 @@
             yield Cancel(relay)
         if why is None:
             return
-        if trail.first is None or track.effect is Effect.PURE:
+        if trail.first is None or track.effect is Idempotency.IDEMPOTENT:
             yield Reject(min(self.terms.advice_limit, int(STAY_AWAY * track.contract_time)), why)
         else:
             yield Fail()
 
     def attempts(self, now, task, track, function, trail):
         """Relays until the task has ended, then None, or until another would not help, then the reason."""
-        came, end, pure = now, now + task.time_left - ANSWER_BY, track.effect is Effect.PURE
+        came, end, pure = now, now + task.time_left - ANSWER_BY, track.effect is Idempotency.IDEMPOTENT
         give_up, look = now + track.contract_time, now  # and when to look for a worker again
         while now < min(end, self.end_by):
             if now >= look:
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/fleet.py
@@ -10,7 +10,7 @@
 from gaproute.hosts import kserve, orca, proof
 from gaproute.hosts.never import Never
 from gaproute.http1 import Exchange
-from gaproute.interface import Effect, Result, State
+from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import Answer
 from gaproute.loop.streams import address
 
@@ -159,7 +159,9 @@
                 return None
             host.idle.pop()
             link.on_idle_end = None
-            if effect is Effect.PURE or link.stream.quiet():  # a pure one may go again; spares a system call
+            if (
+                effect is Idempotency.IDEMPOTENT or link.stream.quiet()
+            ):  # a pure one may go again; spares a system call
                 return link
             link.drop()
             host.open.discard(link)
@@ -178,7 +180,9 @@
         for host in self.hosts.values():
             keep = []
             for link in host.idle:
-                if now - link.used <= self.pooling.safe_rest(now, host.name, Effect.PURE, link.told_idle):
+                if now - link.used <= self.pooling.safe_rest(
+                    now, host.name, Idempotency.IDEMPOTENT, link.told_idle
+                ):
                     keep.append(link)
                 else:
                     link.drop()
@@ -239,7 +243,7 @@
 
         timer = None
         exchange = self.exchange(
-            host, kserve.load(function, copies, host.text, self.gateway), Effect.PURE, came
+            host, kserve.load(function, copies, host.text, self.gateway), Idempotency.IDEMPOTENT, came
         )
         if exchange is None:
             self.loop.soon(done, Result.FULL, 0)
@@ -259,7 +263,7 @@
             done(good, orca.read(answer.headers)[0] if good else None)
 
         timer = None
-        exchange = self.exchange(host, kserve.ready(host.text), Effect.PURE, came)
+        exchange = self.exchange(host, kserve.ready(host.text), Idempotency.IDEMPOTENT, came)
         if exchange is None:
             return
         timer = self.loop.after(
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/fleet.py
@@ -4,7 +4,7 @@
 from gaproute.hosts.jsonlines import lines
 from gaproute.hosts.jsonlines.link import EVER, Asked, Link, Links
 from gaproute.hosts.never import Never
-from gaproute.interface import Effect, Result, State
+from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import always
 from gaproute.loop.streams import address
 
@@ -84,7 +84,12 @@
         where not one more connection can be had."""
         now = self.loop.now()
         link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
-        while link is not None and not link.open and effect is not Effect.PURE and not link.stream.quiet():
+        while (
+            link is not None
+            and not link.open
+            and effect is not Idempotency.IDEMPOTENT
+            and not link.stream.quiet()
+        ):
             link.drop()  # it shows an end or a word not asked for: a pure task may go again
             link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
         if (link is None or link.open) and self.make_room():
@@ -116,7 +121,7 @@
         for host in list(self.hosts.values()):
             for link in list(host.links):
                 if not link.open and now - link.used > self.pooling.safe_rest(
-                    now, host.name, Effect.PURE, self.idle_time
+                    now, host.name, Idempotency.IDEMPOTENT, self.idle_time
                 ):
                     link.drop()
             host.forget()
@@ -196,7 +201,7 @@
                 link.fail(TimeoutError("nothing came back"))
             done(*late)
 
-        asked = self.ask(host, tag, lambda now: data, EVER, Effect.PURE, came)
+        asked = self.ask(host, tag, lambda now: data, EVER, Idempotency.IDEMPOTENT, came)
         if asked is None:
             self.loop.soon(done, *unsent)
             return
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/link.py
@@ -7,7 +7,7 @@
 
 from gaproute.hosts import proof
 from gaproute.hosts.jsonlines import lines
-from gaproute.interface import Effect, Result
+from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import always
 from gaproute.loop import Stream, connect
 
@@ -129,7 +129,7 @@
             self.hosts.spoilt += 1
             self.fail(spoilt)
         elif not self.open and not (
-            self.trusted and self.hosts.pooling.keeps(self.heard, self.host.name, Effect.PURE)
+            self.trusted and self.hosts.pooling.keeps(self.heard, self.host.name, Idempotency.IDEMPOTENT)
         ):
             self.drop()
 
--- a/gaproute/interface/terms.py
+++ b/gaproute/interface/terms.py
@@ -4,10 +4,10 @@
 from typing import NamedTuple
 
 
-class Effect(Enum):
-    PURE = "pure"  # may run again
-    RECEIPTED = "receipted"  # carries a mark by which a group of workers drops repeats
-    EFFECTFUL = "effectful"  # must never run twice
+class Idempotency(Enum):
+    IDEMPOTENT = "pure"  # may run again
+    IDEMPOTENT_WITH_KEY = "receipted"  # carries a mark by which a group of workers drops repeats
+    NON_IDEMPOTENT = "effectful"  # must never run twice
 
 
 class Group(Enum):
@@ -23,7 +23,7 @@
 
 
 class RequestClass(NamedTuple):
-    effect: Effect
+    effect: Idempotency
     group: Group
     repeat_window: int  # how long the group remembers a receipted task
     contract_time: int
--- a/gaproute/terms.py
+++ b/gaproute/terms.py
@@ -6,7 +6,11 @@
 from gaproute import interface as face
 
 MICRO = 1_000
-EFFECTS = {"free": face.Effect.PURE, "guarded": face.Effect.RECEIPTED, "single_shot": face.Effect.EFFECTFUL}
+EFFECTS = {
+    "free": face.Idempotency.IDEMPOTENT,
+    "guarded": face.Idempotency.IDEMPOTENT_WITH_KEY,
+    "single_shot": face.Idempotency.NON_IDEMPOTENT,
+}
 FIGURES = {
     "in_hand": ("busy_reqs", "inflight"),
     "waiting": ("pending", "queue"),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -20,11 +20,13 @@
 from gaproute.standins.tap import Tap
 from gaproute.telemetry.logs import logger
 
-PURE = face.RequestClass(face.Effect.PURE, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
-RECEIPTED = PURE._replace(effect=face.Effect.RECEIPTED, repeat_window=2 * SECOND)
-EFFECTFUL = PURE._replace(effect=face.Effect.EFFECTFUL)
+IDEMPOTENT = face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
+IDEMPOTENT_WITH_KEY = IDEMPOTENT._replace(
+    effect=face.Idempotency.IDEMPOTENT_WITH_KEY, repeat_window=2 * SECOND
+)
+NON_IDEMPOTENT = IDEMPOTENT._replace(effect=face.Idempotency.NON_IDEMPOTENT)
 TERMS = face.Terms(
-    (PURE, RECEIPTED, EFFECTFUL),
+    (IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT),
     (),
     1.0,
     10 * SECOND,
--- a/tests/test_cells_all_slow.py
+++ b/tests/test_cells_all_slow.py
@@ -11,7 +11,7 @@
 from gaproute.interface import Result
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-PURE, EFFECTFUL = 0, 2
+IDEMPOTENT, NON_IDEMPOTENT = 0, 2
 NOW = 10 * SECOND
 
 
@@ -50,7 +50,7 @@
     assert choices(slow) == []
 
 
-@pytest.mark.parametrize("track", (PURE, EFFECTFUL))
+@pytest.mark.parametrize("track", (IDEMPOTENT, NON_IDEMPOTENT))
 def test_a_call_that_waits_at_a_slow_cell_is_not_taken_back(slow, track):
     drive = Drive(slow, task("t", "f", track), NOW)
     assert len(drive.sent) == 1
--- a/tests/test_cells_cellular.py
+++ b/tests/test_cells_cellular.py
@@ -16,7 +16,7 @@
 from gaproute.decisions.routing import Gateway
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-PURE, RECEIPTED, EFFECTFUL = 0, 1, 2
+IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2
 PLACE = Place("gateway1", "region0", "zone0")
 
 
@@ -189,7 +189,7 @@
     made = fleet()
     made.health.unreachable(0, "cell0")
     assert isinstance(next(made.serve(0, task("t"), Forwarded("cell0", 1))), face.Reject)
-    effectful = made.serve(2 * SECOND, task("e", track=EFFECTFUL), Forwarded("cell0", 1))
+    effectful = made.serve(2 * SECOND, task("e", track=NON_IDEMPOTENT), Forwarded("cell0", 1))
     assert isinstance(next(effectful), face.Reject)
     assert next(made.serve(2 * SECOND, task("u"), Forwarded("cell0", 1))).worker.startswith("cell0-")
     assert isinstance(next(made.serve(2 * SECOND, task("v"), Forwarded("cell0", 1))), face.Reject)
@@ -204,7 +204,8 @@
 
 
 @pytest.mark.parametrize(
-    "track, ending", [(PURE, face.Reject), (RECEIPTED, face.Fail), (EFFECTFUL, face.Fail)]
+    "track, ending",
+    [(IDEMPOTENT, face.Reject), (IDEMPOTENT_WITH_KEY, face.Fail), (NON_IDEMPOTENT, face.Fail)],
 )
 def test_a_forwarded_task_has_its_answer_before_the_process_ends(track, ending):
     made = fleet()
@@ -224,7 +225,7 @@
     assert isinstance(late.wishes[-1], face.Reject) and late.sent == []
 
 
-@pytest.mark.parametrize("track", [PURE, RECEIPTED, EFFECTFUL])
+@pytest.mark.parametrize("track", [IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
 def test_what_provably_did_not_run_goes_to_another_entry_and_then_to_the_next_home(track):
     made = fleet()
     name = function_of(made, "cell7")
@@ -237,7 +238,7 @@
     assert made.health.barred("cell7")  # both of its entries failed
 
 
-@pytest.mark.parametrize("track", [RECEIPTED, EFFECTFUL])
+@pytest.mark.parametrize("track", [IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
 @pytest.mark.parametrize("result", [face.Result.ERROR, face.Result.RESET, face.Result.TIMEOUT])
 def test_what_may_have_run_is_not_sent_again(track, result):
     made = fleet()
@@ -248,7 +249,7 @@
 
 def test_pure_work_that_may_have_run_goes_on():
     made = fleet()
-    drive = Drive(made, task("t", function_of(made, "cell7"), PURE))
+    drive = Drive(made, task("t", function_of(made, "cell7"), IDEMPOTENT))
     drive.hears(10 * MILLI, face.Result.RESET)
     drive.hears(20 * MILLI, face.Result.RESET, 1)
     assert len(drive.sent) == 3 and not drive.ended
@@ -283,13 +284,13 @@
     made = fleet()
     name = function_of(made, "cell7")
     made.health.unreachable(0, "cell7")
-    drive = Drive(made, task("t", name, EFFECTFUL), now=2 * SECOND)
+    drive = Drive(made, task("t", name, NON_IDEMPOTENT), now=2 * SECOND)
     assert drive.wishes[0].forwarded.cell != "cell7"
     # But where no pure call comes for long, any call is better than none: the cell would stay out for good.
     late = 2 * SECOND + PURE_WAIT
-    drive = Drive(made, task("u", name, EFFECTFUL), now=late)
+    drive = Drive(made, task("u", name, NON_IDEMPOTENT), now=late)
     assert drive.wishes[0].forwarded.cell == "cell7"
-    drive = Drive(made, task("v", name, EFFECTFUL), now=late)
+    drive = Drive(made, task("v", name, NON_IDEMPOTENT), now=late)
     assert drive.wishes[0].forwarded.cell != "cell7"
 
 
@@ -319,13 +320,13 @@
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
         made.health.unreachable(0, name)
-    drive = Drive(made, task("t", "f", EFFECTFUL), now=SECOND)
+    drive = Drive(made, task("t", "f", NON_IDEMPOTENT), now=SECOND)
     assert drive.ended and not drive.sent
     for name in ("cell0", "cell1"):  # the trial of the other has no answer yet
         made.health.tried(600 * SECOND, name)
     made.health.outcome(600 * SECOND, "cell1", face.Result.OK)
     for number in range(20):
-        drive = Drive(made, task(f"t{number}", f"f{number}", EFFECTFUL), now=600 * SECOND)
+        drive = Drive(made, task(f"t{number}", f"f{number}", NON_IDEMPOTENT), now=600 * SECOND)
         assert drive.wishes[0].forwarded.cell == "cell1"
 
 
--- a/tests/test_cells_entries.py
+++ b/tests/test_cells_entries.py
@@ -14,7 +14,7 @@
 from gaproute.decisions.cells.tasks import LEAST_USUAL
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-PURE, RECEIPTED, EFFECTFUL = 0, 1, 2
+IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2
 ADVICE = min(TERMS.advice_limit, TERMS.tracks[0].contract_time)
 
 
@@ -74,14 +74,14 @@
 @pytest.mark.parametrize(
     ("track", "result", "unknown"),
     [
-        (PURE, face.Result.CONNECT_FAILED, True),
-        (EFFECTFUL, face.Result.MISS, True),
+        (IDEMPOTENT, face.Result.CONNECT_FAILED, True),
+        (NON_IDEMPOTENT, face.Result.MISS, True),
         (
-            PURE,
+            IDEMPOTENT,
             face.Result.RESET,
             False,
         ),  # it may have run, and that must not look like a proof that it did not
-        (PURE, face.Result.FULL, False),
+        (IDEMPOTENT, face.Result.FULL, False),
     ],
 )
 def test_an_entry_that_cannot_lead_on_does_not_know_the_cell_where_nothing_ran(track, result, unknown):
@@ -99,7 +99,7 @@
 # The gateway that forwards
 
 
-@pytest.mark.parametrize("track", [PURE, RECEIPTED, EFFECTFUL])
+@pytest.mark.parametrize("track", [IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
 def test_where_an_entry_does_not_know_the_cell_the_next_one_of_the_cell_is_asked(track):
     made = fleet()
     drive = Drive(made, task("t", homed(made, "cell7")[0], track))
@@ -131,7 +131,7 @@
     made = fleet()
     made.spill.left = 0  # nothing may move that was refused for load
     name = homed(made, "cell7")[0]
-    drive = Drive(made, task("t", name, EFFECTFUL))
+    drive = Drive(made, task("t", name, NON_IDEMPOTENT))
     for relay in range(2):
         drive.hears(10 * MILLI, face.Result.MISS, relay)
     assert drive.wishes[0].forwarded.cell == made.homes.order(name, 2)[1]
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("result", [face.Result.FULL, face.Result.MISS, face.Result.CONNECT_FAILED])
 def test_a_call_that_all_cells_refused_ends_with_the_advice_of_its_track(result):
     made, relay = fleet(), 0
-    drive = Drive(made, task("t", homed(made, "cell7")[0], EFFECTFUL))
+    drive = Drive(made, task("t", homed(made, "cell7")[0], NON_IDEMPOTENT))
     while not drive.ended:
         drive.hears(10 * MILLI, result, relay)
         relay += 1
@@ -172,7 +172,7 @@
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
         made.health.unreachable(0, name)
-    assert Drive(made, task("t", track=EFFECTFUL)).wishes == [face.Reject(ADVICE, "no cell")]
+    assert Drive(made, task("t", track=NON_IDEMPOTENT)).wishes == [face.Reject(ADVICE, "no cell")]
 
 
 def test_loads_of_forwarded_calls_are_no_usual_answer_times():
--- a/tests/test_cells_repeats.py
+++ b/tests/test_cells_repeats.py
@@ -12,19 +12,19 @@
 from gaproute.decisions.cells.remote import TRANSIT
 
 MILLI = 1_000_000
-RECEIPTED = 1
-LIMIT = TERMS.tracks[RECEIPTED].repeat_window - TRANSIT
+IDEMPOTENT_WITH_KEY = 1
+LIMIT = TERMS.tracks[IDEMPOTENT_WITH_KEY].repeat_window - TRANSIT
 
 
 def broken_off(result=face.Result.RESET, time_left=LIMIT, **told):
     """A deduplicated call whose first relay to an entry ended so; `told`: what differs in its track."""
     tracks = list(TERMS.tracks)
-    tracks[RECEIPTED] = tracks[RECEIPTED]._replace(**told)
+    tracks[IDEMPOTENT_WITH_KEY] = tracks[IDEMPOTENT_WITH_KEY]._replace(**told)
     terms = TERMS._replace(twins_allowed=False, tracks=tuple(tracks))
     made = CellularGateway(7, terms, 0, Place("gateway1", "region0", "zone0"))
     made.adopt(0, cells_tables.table(cells_tables.cells(26)))
     name = next(name for name in map("f{}".format, range(1_000)) if made.homes.first(name) == "cell7")
-    asked = task("t", name, RECEIPTED, time_left=time_left)
+    asked = task("t", name, IDEMPOTENT_WITH_KEY, time_left=time_left)
     drive = Drive(made, asked)
     drive.hears(10 * MILLI, result)
     return drive
@@ -54,7 +54,7 @@
         {"group": face.Group.CELL},
         {"result": face.Result.ERROR},  # the entry answered: it tried again itself as far as that is allowed
         {"result": face.Result.TIMEOUT},
-        {"effect": face.Effect.EFFECTFUL},
+        {"effect": face.Idempotency.NON_IDEMPOTENT},
     ],
 )
 def test_else_a_call_that_broke_off_is_not_sent_again(told):
--- a/tests/test_cells_suspicion.py
+++ b/tests/test_cells_suspicion.py
@@ -16,7 +16,7 @@
 OWN = Place("gateway0", "region0", "zone0")
 NOW = 10 * SECOND
 LONG = 30 * SECOND  # that a call may take
-PURE, RECEIPTED, EFFECTFUL = 0, 1, 2  # places of the tracks
+IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2  # places of the tracks
 
 
 def overdue(*names, heard=None):
@@ -85,13 +85,13 @@
 def test_what_must_not_run_twice_stays_in_the_own_zone_while_all_else_is_suspected():
     made = gateway()
     first, *rest = functions(made, ("cell7",), 4)
-    waiting = Drive(made, task("t", first, EFFECTFUL))
+    waiting = Drive(made, task("t", first, NON_IDEMPOTENT))
     assert waiting.wishes[0].forwarded.cell == "cell7"
     waiting.late(4 * SECOND)
     for number, function in enumerate(rest):
-        drive = Drive(made, task(f"u{number}", function, EFFECTFUL), now=4 * SECOND)
+        drive = Drive(made, task(f"u{number}", function, NON_IDEMPOTENT), now=4 * SECOND)
         assert drive.sent[0].startswith("cell0-") or drive.wishes[0].forwarded.cell == "cell13"
-    proof = Drive(made, task("v", rest[0], PURE), now=4 * SECOND)
+    proof = Drive(made, task("v", rest[0], IDEMPOTENT), now=4 * SECOND)
     assert proof.wishes[0].forwarded.cell == "cell7"
 
 
@@ -101,11 +101,11 @@
         made.health.overdue(SECOND, f"cell{zone}", 0, "way")
     made.health.ill.clear()
     (function,) = functions(made, ("cell7",), 1)
-    drive = Drive(made, task("t", function, EFFECTFUL), now=SECOND)
+    drive = Drive(made, task("t", function, NON_IDEMPOTENT), now=SECOND)
     assert drive.wishes[0].forwarded.cell == "cell7"
 
 
-@pytest.mark.parametrize("track", [PURE, RECEIPTED, EFFECTFUL])
+@pytest.mark.parametrize("track", [IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
 def test_an_overdue_call_waits_where_it_is(track):
     """Taken back at once, a function that takes long would never end at a gateway with few calls."""
     made = gateway()
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -6,7 +6,7 @@
 
 from gaproute.config import Mistakes, read_charter, read_hosts
 from gaproute.config.lines import PLAIN
-from gaproute.interface import Effect, Group
+from gaproute.interface import Group, Idempotency
 
 GOOD = """
 name g1   # a comment
@@ -28,12 +28,16 @@
     charter = read_charter("f", GOOD)
     a, b = charter.terms.tracks
     assert (a.effect, a.contract_time, a.hard_limit, a.earnings) == (
-        Effect.PURE,
+        Idempotency.IDEMPOTENT,
         1_200_000_000,
         5_000_000_000,
         3,
     )
-    assert (b.effect, b.group, b.repeat_window) == (Effect.RECEIPTED, Group.CELL, 2_500_000_000)
+    assert (b.effect, b.group, b.repeat_window) == (
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        Group.CELL,
+        2_500_000_000,
+    )
     assert charter.models["m"].versions == ("1", "2") and charter.longest == 5_000_000_000
     assert charter.hosts[0].started == 1767225600 * 10**9
 
--- a/tests/test_crossings_hosts.py
+++ b/tests/test_crossings_hosts.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.connections.pooling import CARRIED
 from gaproute.discovery.changelog import events
 from gaproute.hosts.jsonlines import link as links
-from gaproute.interface import Effect, Result
+from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import Call
 from gaproute.standins.platform import arg, event
 
@@ -199,7 +199,7 @@
     hosts.room = 1
     for worker in ("s-0", "s-1"):
         call = Call("7f3a9c21e0b4d655", "", (), b"", f"{worker:>16}", "fault-check")
-        hosts.relay(worker, call, Effect.PURE, worker, end, end, heard.append)
+        hosts.relay(worker, call, Idempotency.IDEMPOTENT, worker, end, end, heard.append)
     made.turns()
     assert made.dials.waiting == 1 and [each.result for each in heard] == [Result.MOOT]
 
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -154,9 +154,9 @@
         assert self.lives[life.name] is life and self.rows[life.name].state is face.State.ACTIVE
         before = [each for each in self.attempts if each.task is task]
         unclear = [each for each in before if each.said not in NEVER_RAN]
-        if task.effect is face.Effect.EFFECTFUL:
+        if task.effect is face.Idempotency.NON_IDEMPOTENT:
             assert not unclear, "may have run already"
-        if task.effect is face.Effect.RECEIPTED and unclear:
+        if task.effect is face.Idempotency.IDEMPOTENT_WITH_KEY and unclear:
             assert now < unclear[0].at + WINDOW, "no host knows the repeat any more"
         if not self.twins:
             assert all(each.said or not each.wire.open for each in before), "two are out"
--- a/tests/test_departed_forwarded.py
+++ b/tests/test_departed_forwarded.py
@@ -13,7 +13,7 @@
 from gaproute.hosts.entries import Entries
 from gaproute.hosts.fleet import REACH
 from gaproute.http1 import Limits, Server
-from gaproute.interface import Effect
+from gaproute.interface import Idempotency
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
@@ -33,7 +33,7 @@
         wish = Forward(Entry("gb", self.server.address), 0, Forwarded("b1", 1))
         now = self.loop.now()
         return self.entries.toward(wish).relay(
-            "gb", call, Effect.PURE, "t", now + within, now + within, self.heard.append
+            "gb", call, Idempotency.IDEMPOTENT, "t", now + within, now + within, self.heard.append
         )
 
     def until(self, condition):
--- a/tests/test_jsonlines.py
+++ b/tests/test_jsonlines.py
@@ -12,7 +12,7 @@
 from gaproute.hosts.jsonlines import lines
 from gaproute.hosts.jsonlines.fleet import Hosts
 from gaproute.hosts.rows import Row
-from gaproute.interface import Effect, Found, Result, State
+from gaproute.interface import Found, Idempotency, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.standins.platform import LineHost
@@ -114,7 +114,7 @@
     def list(self, state):
         self.hosts.listed([Row(row("h", state=state), self.host.address)], True)
 
-    def relay(self, effect=Effect.PURE, mark=CALL.mark, left=SECOND):
+    def relay(self, effect=Idempotency.IDEMPOTENT, mark=CALL.mark, left=SECOND):
         return self.hosts.relay(
             "h",
             CALL._replace(mark=mark),
@@ -234,7 +234,9 @@
     made.results(1)
     made.hosts.listed([Row(row("h2"), made.host.address)], True)
     made.until(lambda: "h" not in made.hosts.hosts)
-    made.hosts.relay("h2", CALL, Effect.PURE, "t", made.loop.now() + SECOND, 1 << 62, made.heard.append)
+    made.hosts.relay(
+        "h2", CALL, Idempotency.IDEMPOTENT, "t", made.loop.now() + SECOND, 1 << 62, made.heard.append
+    )
     assert made.results(2) == [Result.OK, Result.OK]
 
 
@@ -252,7 +254,7 @@
     made.relay()
     made.results(1)
     made.host.streams[0].sock.send(b"x")  # unread: this loop has had no turn
-    made.relay(Effect.EFFECTFUL, "1" * 16)
+    made.relay(Idempotency.NON_IDEMPOTENT, "1" * 16)
     assert made.results(2) == [Result.OK, Result.OK] and len(made.host.streams) == 2
 
 
@@ -301,7 +303,7 @@
     for number in range(4):  # the first is served, the next ends a kept connection
         made.relay(mark=f"{number:016x}")
         made.results(number + 1)
-    made.relay(Effect.EFFECTFUL, "e" * 16)
+    made.relay(Idempotency.NON_IDEMPOTENT, "e" * 16)
     results = made.results(5)
     assert results.count(Result.RESET) == 2 and results[4] is Result.OK
     made.relay(mark="f" * 16)
@@ -311,17 +313,23 @@
 def test_kept_connections_are_tried_again_after_a_while_and_one_end_matters_to_effectful_tasks_alone():
     pooling = Pooling()
     pooling.ended(0, "h", 100 * MILLI, MILLI)
-    assert pooling.keeps(SECOND, "h", Effect.PURE) and not pooling.keeps(SECOND, "h", Effect.EFFECTFUL)
+    assert pooling.keeps(SECOND, "h", Idempotency.IDEMPOTENT) and not pooling.keeps(
+        SECOND, "h", Idempotency.NON_IDEMPOTENT
+    )
     pooling.ended(0, "h", 100 * MILLI, MILLI)
-    assert not pooling.keeps(SECOND, "h", Effect.PURE) and pooling.keeps(SECOND, "other", Effect.PURE)
-    assert pooling.keeps(11 * SECOND, "h", Effect.EFFECTFUL)
-    assert not pooling.keeps(SECOND, "other", Effect.EFFECTFUL)  # what ends them stands before all hosts
+    assert not pooling.keeps(SECOND, "h", Idempotency.IDEMPOTENT) and pooling.keeps(
+        SECOND, "other", Idempotency.IDEMPOTENT
+    )
+    assert pooling.keeps(11 * SECOND, "h", Idempotency.NON_IDEMPOTENT)
+    assert not pooling.keeps(
+        SECOND, "other", Idempotency.NON_IDEMPOTENT
+    )  # what ends them stands before all hosts
     pooling = Pooling()
     pooling.ended(0, "i", 100 * MILLI, SECOND)  # at work for a while: not for its rest
-    assert pooling.keeps(SECOND, "i", Effect.EFFECTFUL)
+    assert pooling.keeps(SECOND, "i", Idempotency.NON_IDEMPOTENT)
 
 
-@pytest.mark.parametrize("effect, rest", [(Effect.PURE, 13.5), (Effect.EFFECTFUL, 3.75)])
+@pytest.mark.parametrize("effect, rest", [(Idempotency.IDEMPOTENT, 13.5), (Idempotency.NON_IDEMPOTENT, 3.75)])
 def test_a_connection_rests_as_long_as_the_host_says_it_keeps_one_and_far_less_where_nothing_may_go_twice(
     effect, rest
 ):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,5 +1,16 @@
 import pytest
-from helpers import EFFECTFUL, MILLI, PURE, RECEIPTED, SECOND, TERMS, Drive, gateway, row, task
+from helpers import (
+    IDEMPOTENT,
+    IDEMPOTENT_WITH_KEY,
+    MILLI,
+    NON_IDEMPOTENT,
+    SECOND,
+    TERMS,
+    Drive,
+    gateway,
+    row,
+    task,
+)
 
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
@@ -68,7 +79,7 @@
 )
 def test_receipted_goes_again_only_in_its_group_and_window(result, group, other, now, lawful):
     made = gateway(row("a"), row("same"), row("near", cell=1), row("far", zone=1, cell=2))
-    track = RECEIPTED._replace(group=group)
+    track = IDEMPOTENT_WITH_KEY._replace(group=group)
     for still_out in (True, False):
         assert made.allowed(made.workers[other], track, trail_with(made, result, 0, still_out), now) is lawful
 
@@ -83,7 +94,7 @@
 
 def test_effectful_never_goes_again_while_a_relay_is_out():
     made = gateway()
-    assert not made.allowed(made.workers["b"], EFFECTFUL, trail_with(made, None, still_out=True), 1)
+    assert not made.allowed(made.workers["b"], NON_IDEMPOTENT, trail_with(made, None, still_out=True), 1)
 
 
 def test_first_possible_run_is_the_earliest_relay_not_disproved():
@@ -97,7 +108,7 @@
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_a_relay_that_may_have_run_binds_the_task_after_an_earlier_one_is_disproved(result):
     made = gateway(row("a"), row("b"), row("other", cell=1))
-    track, trail = RECEIPTED._replace(group=face.Group.CELL), Trail()
+    track, trail = IDEMPOTENT_WITH_KEY._replace(group=face.Group.CELL), Trail()
     for relay, name in enumerate("ab"):
         made.sent(relay, task(track=1), relay, made.workers[name], trail)
     trail.settle(1, result)
@@ -118,7 +129,7 @@
 
 def test_no_second_relay_out_where_forbidden():
     made = gateway(twins_allowed=False)
-    assert not made.allowed(made.workers["b"], PURE, trail_with(made, None, still_out=True), 1)
+    assert not made.allowed(made.workers["b"], IDEMPOTENT, trail_with(made, None, still_out=True), 1)
 
 
 def test_final_answer_before_the_time_is_up_and_nothing_after():
@@ -344,12 +355,12 @@
 
 
 def test_the_shortest_contract_time_sets_the_queue_and_least_earnings_go_first():
-    short = PURE._replace(contract_time=SECOND // 2, earnings=3.0)
+    short = IDEMPOTENT._replace(contract_time=SECOND // 2, earnings=3.0)
     made = gateway()
     made.shortest, made.top_earnings = short.contract_time, 3.0
     made.answers.extend(range(0, 640 * MILLI, 10 * MILLI))
     made.hands = {(str(n), 0): ("a", "f", 0, n, True) for n in range(75)}
-    assert made.crowded(640 * MILLI, task(), PURE) and not made.crowded(640 * MILLI, task(), short)
+    assert made.crowded(640 * MILLI, task(), IDEMPOTENT) and not made.crowded(640 * MILLI, task(), short)
     made.hands = {(str(n), 0): ("a", "f", 0, n, True) for n in range(70)}
     assert made.crowded(SECOND, task(), short)
 
