--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -85,7 +85,7 @@
     def rows(self):
         """The list: hosts that are lost are gone from it."""
         return [
-            face.Listed(
+            face.ListedHost(
                 name,
                 host.zone,
                 0,
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -22,7 +22,7 @@
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.rows import Row
 from gaproute.http1 import Limits, Server
-from gaproute.interface import Idempotency, Listed, Result, State
+from gaproute.interface import Idempotency, ListedHost, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Promise
 from gaproute.loop.streams import address
@@ -72,7 +72,10 @@
     loop, chance = Loop(), random.Random(1)
     hosts = Hosts(loop, pooling)
     hosts.listed(
-        [Row(Listed(f"h{place}", 0, 0, State.ACTIVE, 1.0, None), each) for place, each in enumerate(where)],
+        [
+            Row(ListedHost(f"h{place}", 0, 0, State.ACTIVE, 1.0, None), each)
+            for place, each in enumerate(where)
+        ],
         True,
     )
     call, results = Call("m", "", (), b"{}"), {}
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -72,7 +72,7 @@
     gateway.listed(
         0,
         [
-            face.Listed(f"h{number}", number % 3, number % 5, face.State.ACTIVE, 4.0, None)
+            face.ListedHost(f"h{number}", number % 3, number % 5, face.State.ACTIVE, 4.0, None)
             for number in range(hosts)
         ],
         True,
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -66,7 +66,7 @@
             gateway = make(seed + number, self.terms)
             node = self.nodes[stands.name] = Node(self, stands.name, stands.zone, gateway)
             rows = [
-                face.Listed(host.name, 0, 0, face.State.ACTIVE, host.capacity / shape.host_capacity, None)
+                face.ListedHost(host.name, 0, 0, face.State.ACTIVE, host.capacity / shape.host_capacity, None)
                 for host in choose(random, list(self.hosts.values()))
             ]
             gateway.listed(0, rows, True)
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -74,7 +74,9 @@
     def list_cell(self, node, name):
         """A gateway is told of the hosts of a cell that are up."""
         rows = [
-            face.Listed(host.name, 0, 0, face.State.ACTIVE, host.capacity / self.shape.host_capacity, None)
+            face.ListedHost(
+                host.name, 0, 0, face.State.ACTIVE, host.capacity / self.shape.host_capacity, None
+            )
             for host in (self.hosts[each] for each in self.members.get(name, ()))
             if host.up
         ]
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -35,7 +35,9 @@
     holder.take(table(shape))
     gateway.adopt(0, holder.table)
     for name in gateway.wanted():
-        rows = [face.Listed(f"{name}-{host}", 0, 0, face.State.ACTIVE, 1.0, None) for host in range(HOSTS)]
+        rows = [
+            face.ListedHost(f"{name}-{host}", 0, 0, face.State.ACTIVE, 1.0, None) for host in range(HOSTS)
+        ]
         gateway.listed(0, rows, True, name)
     return gateway, holder
 
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -12,7 +12,7 @@
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.rows import Row
 from gaproute.http1 import render
-from gaproute.interface import Listed, State
+from gaproute.interface import ListedHost, State
 from gaproute.loop import Loop, Promise
 
 SECOND = 1_000_000_000
@@ -32,7 +32,7 @@
         self.loop, self.good = Loop(), 0
         self.hosts = Hosts(self.loop, Pooling())
         self.names = [f"host-{number:04}" for number in range(count)]
-        rows = [Row(Listed(name, 0, 0, State.ACTIVE, 1.0, None), where) for name in self.names]
+        rows = [Row(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where) for name in self.names]
         self.hosts.listed(rows, True)
 
     def probe_all(self):
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -50,12 +50,12 @@
     state: face.State = face.State.ACTIVE,
     capacity: float = CAPACITY,
     started: int | None = None,
-) -> face.Listed:
+) -> face.ListedHost:
     """One host's line of the list."""
-    return face.Listed(f"host-{number:06d}", number % ZONES, number % CELLS, state, capacity, started)
+    return face.ListedHost(f"host-{number:06d}", number % ZONES, number % CELLS, state, capacity, started)
 
 
-def rows(hosts: int) -> list[face.Listed]:
+def rows(hosts: int) -> list[face.ListedHost]:
     """A whole list."""
     return [row(number) for number in range(hosts)]
 
--- a/gaproute/benchlink/wire.py
+++ b/gaproute/benchlink/wire.py
@@ -118,7 +118,7 @@
     if state not in STATES:
         raise WireFault(f"unknown state {state!r}")
     born = nanos(fields[6])
-    return face.Listed(
+    return face.ListedHost(
         fields[0],
         whole(fields[1]),
         whole(fields[2 + 1]),
--- a/gaproute/discovery/listing.py
+++ b/gaproute/discovery/listing.py
@@ -7,7 +7,7 @@
 from gaproute.config import Mistakes, read_hosts
 from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.hosts.rows import Row
-from gaproute.interface import Listed, State
+from gaproute.interface import ListedHost, State
 
 STATES = {state.value: state for state in State}
 
@@ -67,7 +67,9 @@
         """Of one line, whose host stands in that zone. `absent_at`: as for `rows`."""
         zone, rack = self.zones.number(zone), self.racks.number(line.rack)
         capacity = line.capacity if self.sizes else 1.0
-        listed = Listed(line.name, zone, rack, STATES[line.state], capacity, self.started(line, absent_at))
+        listed = ListedHost(
+            line.name, zone, rack, STATES[line.state], capacity, self.started(line, absent_at)
+        )
         return Row(listed, line.where)
 
     def started(self, line, absent_at):
--- a/gaproute/hollow/cells/plan.py
+++ b/gaproute/hollow/cells/plan.py
@@ -4,7 +4,7 @@
 
 from gaproute.decisions.cells.place import Place
 from gaproute.decisions.cells.table import Cell, Entry, Version, own_points, validate
-from gaproute.interface import Listed, State
+from gaproute.interface import ListedHost, State
 
 FLEET = "hollow"
 GATEWAYS = 33  # of a cell
@@ -57,6 +57,6 @@
         """The host list of a cell, by the cell's name; the same object each time."""
         zone = int(cell[len("cell") :]) % ZONES
         return tuple(
-            Listed(f"{cell}-host-{number:03}", zone, number % 97, State.ACTIVE, CAPACITY, 1)
+            ListedHost(f"{cell}-host-{number:03}", zone, number % 97, State.ACTIVE, CAPACITY, 1)
             for number in range(self.hosts)
         )
--- a/gaproute/hosts/entries.py
+++ b/gaproute/hosts/entries.py
@@ -9,7 +9,7 @@
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.never import Never
 from gaproute.hosts.rows import Row
-from gaproute.interface import Listed, Result, State
+from gaproute.interface import ListedHost, Result, State
 from gaproute.loop.streams import address
 
 MILLI = 1_000_000
@@ -81,7 +81,7 @@
 
 
 def _row(where):
-    return Row(Listed(where, 0, 0, State.ACTIVE, 1.0, None), where)
+    return Row(ListedHost(where, 0, 0, State.ACTIVE, 1.0, None), where)
 
 
 class CellHosts(Hosts):
--- a/gaproute/hosts/rows.py
+++ b/gaproute/hosts/rows.py
@@ -2,11 +2,11 @@
 
 from typing import NamedTuple
 
-from gaproute.interface import Listed
+from gaproute.interface import ListedHost
 
 
 class Row(NamedTuple):
     """What the module is told of it, and where it answers."""
 
-    listed: Listed
+    listed: ListedHost
     where: str
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -18,7 +18,7 @@
 
 from gaproute.interface.actions import Attempt, Cancel, Fail, Listen, Order, Probe, Reject, Wait
 from gaproute.interface.outcomes import NEVER_RAN, Found, Outcome, Report, Result
-from gaproute.interface.terms import Group, Idempotency, Listed, RequestClass, State, Task, Terms
+from gaproute.interface.terms import Group, Idempotency, ListedHost, RequestClass, State, Task, Terms
 
 __all__ = [
     "NEVER_RAN",
@@ -28,7 +28,7 @@
     "Found",
     "Group",
     "Idempotency",
-    "Listed",
+    "ListedHost",
     "Listen",
     "Order",
     "Outcome",
--- a/gaproute/interface/terms.py
+++ b/gaproute/interface/terms.py
@@ -63,7 +63,7 @@
     cold_multiple: float = 2.0  # of what it can do, the load that pushes a cold worker over
 
 
-class Listed(NamedTuple):
+class ListedHost(NamedTuple):
     """A worker as the list shows it."""
 
     worker: str
--- a/gaproute/scenarios/troubles.py
+++ b/gaproute/scenarios/troubles.py
@@ -76,7 +76,7 @@
         seat.busy = False
 
     def replace(self, seat, notice, back):
-        """Listed as draining, dead after the notice; another host, new and cold, in its place."""
+        """ListedHost as draining, dead after the notice; another host, new and cold, in its place."""
         seat.busy = True
         seat.state = "draining"
         self.list.publish()
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds.py
@@ -3,7 +3,7 @@
 `Play(seed, kind)` draws a fleet, rounds and what befalls them; `play(seed, kind)` runs them to their end.
 """
 
-from gaproute.maintenance import Host as Listed
+from gaproute.maintenance import Host as ListedHost
 from gaproute.maintenance import Round
 from gaproute.shared.leases import Permits
 from gaproute.shared.leases.commands import BOUND
@@ -73,7 +73,7 @@
         for number in range(size):
             zone = self.zones[number % len(self.zones)]
             rack = f"{zone}r{number // len(self.zones) % 2}"
-            host = Listed(f"h{number}", zone, rack, chance.of(("a", "b")), chance.of((4, 8)), 4)
+            host = ListedHost(f"h{number}", zone, rack, chance.of(("a", "b")), chance.of((4, 8)), 4)
             self.fleet[host.name] = host
             self.copies[host.name] = []
         for function in self.functions:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -56,7 +56,7 @@
 
 
 def row(name, **told):
-    return face.Listed(
+    return face.ListedHost(
         name,
         told.get("zone", 0),
         told.get("cell", 0),
