--- a/gaproute/config/words/process.py
+++ b/gaproute/config/words/process.py
@@ -31,6 +31,12 @@
     answer: Size = Field(64 << 20, ge=1024)
 
 
+FORMER_DECISIONS = {  # names of the decisions in configurations that earlier versions wrote
+    "gaproute.policy:Gateway": "gaproute.decisions.routing:Gateway",
+    "gaproute.decisions.route:Gateway": "gaproute.decisions.routing:Gateway",
+}
+
+
 class Log(Directive):
     places: ClassVar = ("level",)
     example: ClassVar = "log info"
@@ -45,5 +51,5 @@
     made_by: str = Field("gaproute.decisions.routing:Gateway", pattern=r"^[\w.]+:\w+$")
 
     def load(self):
-        module, _, name = self.made_by.partition(":")
+        module, _, name = FORMER_DECISIONS.get(self.made_by, self.made_by).partition(":")
         return getattr(importlib.import_module(module), name)
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -1,6 +1,9 @@
-"""`python -m gaproute.platform`: one gateway of the platform, as the environment says. Exit codes: 0 stopped, 2
-the environment or the configuration cannot be used, 3 the address cannot be listened on, or the operating
-system gives too little to start with. What may pass by itself is tried again first (`loop.starting`)."""
+"""`python -m gaproute.platform`: one gateway of the platform, as the environment says.
+
+Exit codes: 0 stopped, 2 the environment or the configuration cannot be used, 3 the address cannot be listened
+on, or the operating system gives too little to start with. What may pass by itself is tried again first
+(`loop.starting`).
+"""
 
 import gc
 import os
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -6,6 +6,8 @@
 
 from gaproute.config import Mistakes, read_charter, read_hosts
 from gaproute.config.lines import PLAIN
+from gaproute.config.words.process import Decisions
+from gaproute.decisions.routing import Gateway
 from gaproute.interface import Group, Idempotency
 
 GOOD = """
@@ -97,3 +99,8 @@
 def test_a_line_is_split_into_words_as_a_shell_splits_it(raw):
     if PLAIN.fullmatch(raw):
         assert raw.split() == shlex.split(raw, comments=True)
+
+
+@pytest.mark.parametrize("former", ["gaproute.policy:Gateway", "gaproute.decisions.route:Gateway"])
+def test_a_configuration_that_names_the_decisions_by_a_former_name_loads_them(former):
+    assert Decisions(made_by=former).load() is Gateway
