--- a/benchmarks/fleet/parted.py
+++ b/benchmarks/fleet/parted.py
@@ -1,7 +1,7 @@
 """The policy's choice taken apart, so that each part of a score can be followed and changed alone.
 
-`Parted` chooses as `route.Gateway` does (`tests/test_benchmark_fleet.py` holds it to that) and keeps the
-scores of its last choice. What a candidate changes is one of the methods under "Parts".
+`Parted` chooses as `routing.Gateway` does (`tests/benchmarks/test_benchmark_fleet.py` holds it to that) and
+keeps the scores of its last choice. What a candidate changes is one of the methods under "Parts".
 """
 
 from typing import NamedTuple
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -1,8 +1,8 @@
 """A gateway of a fleet of cells: it picks the cell of each call, then leaves the call to that cell.
 
 `CellularGateway` is driven as `gaproute.decisions.routing.Gateway` is, and is one for as long as its
-table has at most one cell: the calls go straight through. With several cells it has a `route.Gateway` for each cell
-that it knows, and forwards the calls of all others to their entry gateways.
+table has at most one cell: the calls go straight through. With several cells it has a `routing.Gateway`
+for each cell that it knows, and forwards the calls of all others to their entry gateways.
 
 Invariant: all cells known share one load ration.
 """
--- a/gaproute/standins/platform/charter.py
+++ b/gaproute/standins/platform/charter.py
@@ -11,7 +11,7 @@
 GROUPS = {"all": "all", "zone": "zone", "rack": "cell"}
 
 
-class Track(NamedTuple):
+class RequestClass(NamedTuple):
     name: str
     effect: str = "pure"  # pure, receipted, effectful
     group: str = "all"  # of hosts that know a receipt: all, zone, rack
--- a/tests/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -5,8 +5,6 @@
 
 import pytest
 from scripted import MILLI, SECOND
-from test_core import core, relay_and_wait, take, turns
-from test_departed_ends import end
 
 from gaproute.decisions.cells.entries import Forward, Forwarded
 from gaproute.decisions.cells.table import Entry
@@ -17,6 +15,8 @@
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
+from tests.core.test_core import core, relay_and_wait, take, turns
+from tests.fronts.test_departed_ends import end
 
 CALL = Call("lamp", "", (), b"{}")
 
--- a/tests/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -17,7 +17,7 @@
 from benchmarks.scale.tables import TABLES, PageError, breaks_first, budget, slopes
 from benchmarks.scale.text import number, share
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 SIZES = (100, 400, 1_600, 6_400)
 
 
--- a/tests/test_cluster_child.py
+++ b/tests/cluster/test_child.py
@@ -6,6 +6,7 @@
 import subprocess
 import sys
 import time
+from pathlib import Path
 
 import pytest
 
@@ -22,7 +23,7 @@
 
 def run(tmp_path, *options, text=ASK):
     (tmp_path / "asked_module.py").write_text(text)
-    here = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+    here = str(Path(__file__).parents[2])
     words = [sys.executable, "-m", "gaproute.cluster.child", *options, "--", "asked_module", "--word"]
     done = subprocess.run(
         words,
@@ -89,7 +90,7 @@
                   "--parent", str(os.getpid()),
                   "--", "asked_module"]).wait()
 """
-    here = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+    here = str(Path(__file__).parents[2])
     process = subprocess.Popen(
         [sys.executable, "-c", parent],
         stdout=subprocess.PIPE,
--- a/tests/test_cluster_permits.py
+++ b/tests/cluster/test_permits.py
@@ -4,13 +4,13 @@
 import subprocess
 
 import pytest
-from test_cluster_play import PLAYS, command
 
 from gaproute.cluster.script import read_script
 from gaproute.config import Mistakes
 from gaproute.judge import permits
 from gaproute.judge.permits import SECOND
 from gaproute.standins.tap import read
+from tests.cluster.test_play import PLAYS, command
 
 
 def test_permits_keep_their_word_while_keepers_die_stand_still_and_do_not_hear_each_other(tmp_path):
--- a/tests/test_cluster_platform.py
+++ b/tests/cluster/test_platform.py
@@ -5,8 +5,6 @@
 import subprocess
 
 import pytest
-from test_cluster_play import PLAYS, command
-from test_cluster_wire import Party
 
 from gaproute.cluster.harness import ClusterHarness
 from gaproute.cluster.platform.play import NodeHarness, player
@@ -18,6 +16,8 @@
 from gaproute.standins.platform.log import Log
 from gaproute.standins.platform.spread import Spread
 from gaproute.standins.tap import Tap, read
+from tests.cluster.test_play import PLAYS, command
+from tests.cluster.test_wire import Party
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 FEWEST_ORDERS = 3  # by which the gateways that orders name are judged
--- a/tests/test_cluster_wire.py
+++ b/tests/cluster/test_wire.py
@@ -20,7 +20,7 @@
 from gaproute.cluster.wire.faults import MILLI
 from gaproute.cluster.wire.invariants import breaches
 from gaproute.cluster.wire.lateness import Lateness
-from gaproute.cluster.wire.streams import Attempt
+from gaproute.cluster.wire.streams import Relay
 from gaproute.loop import Loop, Stepped
 
 A, H, DEAD, NOBODY = 16, 17, 18, 19
@@ -464,7 +464,7 @@
                 near.close()
         party.wait(lambda: not party.wire.streams.relays or None)
         party.turns(2)
-        assert not [one for one in gc.get_objects() if isinstance(one, (End, Attempt))]
+        assert not [one for one in gc.get_objects() if isinstance(one, (End, Relay))]
     finally:
         gc.enable()
 
--- a/tests/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -9,7 +9,6 @@
 
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, half_close
-from test_departed_ends import end
 
 from gaproute.fronts.jsonrpc.messages import FAILED
 from gaproute.hosts.jsonlines import link as links
@@ -18,6 +17,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.streams import CHUNK, address
 from gaproute.standins.platform import arg
+from tests.fronts.test_departed_ends import end
 
 LONG = 300 * MILLI  # a turn in which the client leaves and nothing of it is heard
 LEAVES = {
--- a/tests/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -3,7 +3,8 @@
 
 import pytest
 from scripted import MILLI, SECOND, Handed
-from test_unanswered_requests import BAD, codes, deaf
+
+from tests.fronts.test_unanswered_requests import BAD, codes, deaf
 
 
 def resting(made, asks=1):
--- a/tests/test_hollow_ladder.py
+++ b/tests/hollow/test_ladder.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.limits import Limits, Stopped
 from benchmarks.scale.prediction import errors, predict
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 
 
 def test_a_prediction_is_made_from_three_smaller_rungs_and_its_error_is_told():
--- a/tests/test_hollow_process.py
+++ b/tests/hollow/test_process.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 PROCESS_CONFIG = """\
 name hollow
 listen peers 127.0.0.1:0
--- a/tests/test_deadline_passed_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -5,15 +5,15 @@
 
 import pytest
 from scripted import MILLI, SECOND, HeldDials
-from test_departed_attempts import Clogged
-from test_departed_forwarded import CALL, Way
-from test_http1 import HEAD
 
 from gaproute.http1 import Limits, Server
 from gaproute.http1 import client as http_clients
 from gaproute.interface import Result
 from gaproute.loop import Loop, connect
 from gaproute.loop.streams import address
+from tests.appliance.test_departed_forwarded import CALL, Way
+from tests.fronts.test_departed_attempts import Clogged
+from tests.http1.test_http1 import HEAD
 
 SLACK = 150  # ms, by the operators' terms
 
--- a/tests/test_deadline_passed_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -6,13 +6,13 @@
 
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Handed
-from test_departed_attempts import Clogged, known, written_in_part
-from test_departed_ends import requests
 
 from gaproute.fronts.jsonrpc import link as client_links
 from gaproute.hosts.jsonlines.link import WHOLE_WITHIN
 from gaproute.loop import unread
 from gaproute.loop.streams import address
+from tests.fronts.test_departed_attempts import Clogged, known, written_in_part
+from tests.fronts.test_departed_ends import requests
 
 SLACK = 150  # ms, by the operators' terms
 D = 2000  # ms that a client waits, told with its request
--- a/tests/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -2,9 +2,9 @@
 
 import pytest
 from helpers import MILLI, SECOND
-from test_stopping import ASK, asked_and_answered, clients, closes, rest_of, run_out, statuses
 
 from gaproute.http1.connection import ServerLink
+from tests.appliance.test_stopping import ASK, asked_and_answered, clients, closes, rest_of, run_out, statuses
 
 __all__ = ["clients"]
 
--- a/tests/test_judge_terms.py
+++ b/tests/judge/test_judge_terms.py
@@ -2,9 +2,9 @@
 its name, and what is just inside passes."""
 
 import pytest
-from test_judge import FACTS, MILLI, SECOND, UP, end, gateway_events, said, task, told
 
 from gaproute.judge import UNTIMED, Kind, judge, kill_after
+from tests.judge.test_judge import FACTS, MILLI, SECOND, UP, end, gateway_events, said, task, told
 
 
 def kinds(hosts=None, clients=(), run=(), facts=FACTS):
--- a/tests/test_standins_judge.py
+++ b/tests/judge/test_platform_rules.py
@@ -1,9 +1,9 @@
 """What the judge makes of tellings to single gateways, and of load orders that bear no name."""
 
 import pytest
-from test_judge import FACTS, MILLI, UP, end, task
 
 from gaproute.judge import judge
+from tests.judge.test_judge import FACTS, MILLI, UP, end, task
 
 
 def judged(hosts, clients, run):
--- a/tests/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -5,7 +5,6 @@
 
 import pytest
 from helpers import CHARTER, MILLI, SECOND, gateway, row
-from test_gateway import scripted_host
 
 from gaproute.appliance.operator import peer_table, status
 from gaproute.config import Mistakes, read_charter, read_peers
@@ -18,6 +17,7 @@
 from gaproute.loop.streams import address
 from gaproute.peers import Giver, wire
 from gaproute.peers.lore_pb2 import Ask, Told
+from tests.appliance.test_gateway import scripted_host
 
 
 def where(appliance):
--- a/tests/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -9,11 +9,11 @@
 
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Gate, Handed, nothing
-from test_unanswered_requests import codes, holding
 
 from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
 from gaproute.loop.streams import address
 from gaproute.platform.process import GRANTED, LONGEST, STILL_COMING, schedule
+from tests.fronts.test_unanswered_requests import codes, holding
 
 STEP = 20 * MILLI  # between two requests of a client
 DEADLINES = (20, 100, 300, 3000, 10_000)  # ms
--- a/tests/test_pages.py
+++ b/tests/project/test_pages.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 MARKERS = ("<<<<<<< ", ">>>>>>> ", "||||||| ")  # of a merge that was not resolved
 
 
--- a/tests/test_rollouts_spend.py
+++ b/tests/rollouts/test_spend.py
@@ -1,12 +1,11 @@
 """One gateway's part: what may go out when, and what two gateways may together whatever befalls them."""
 
-from test_rollouts_campaign import SECOND, campaign
-
 from gaproute.rollouts.invariants import check_sent, check_spend
 from gaproute.rollouts.spend import ASK, FRESH, Spend, pool
 from gaproute.shared.leases import Holder, Permits
 from gaproute.shared.leases.commands import Size, encode
 from gaproute.shared.raft.messages import Reply
+from tests.rollouts.test_campaign import SECOND, campaign
 
 
 class Keeper:
--- a/tests/test_rollouts_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -1,14 +1,13 @@
 """Versions: what is declined, what is scrapped, in which order copies are exchanged, whose ration loads
 have."""
 
-from test_rollouts_campaign import SECOND, campaign
-
 from gaproute.rollouts import groups as module
 from gaproute.rollouts.exchange import exchange
 from gaproute.rollouts.groups import Groups
 from gaproute.rollouts.invariants import check_groups, check_loads
 from gaproute.rollouts.loads import Loads, own
 from gaproute.rollouts.weights import Weights
+from tests.rollouts.test_campaign import SECOND, campaign
 
 
 def made():
--- a/tests/test_simulation_bite.py
+++ b/tests/simulation/test_mutants.py
@@ -1,10 +1,10 @@
 """Each small fault that is put into the keepers is caught by name, within the seeds that the tests play."""
 
 import pytest
-from test_simulation_keepers import SEEDS
 
 from gaproute.simulation.keepers import plan, play
 from gaproute.simulation.mutants import MUTANTS, put_in
+from tests.simulation.test_raft import SEEDS
 
 
 def seeds(mutant):
--- a/tests/test_standins_clients.py
+++ b/tests/standins/test_clients.py
@@ -6,11 +6,11 @@
 
 import pytest
 from helpers import makers
-from test_standins_platform import MILLI, MODEL, SECOND, Bench
 
 from gaproute.loop.streams import address
 from gaproute.standins.platform.clients import Clients, Habits, Kind
 from gaproute.standins.platform.parties import Party
+from tests.standins.test_platform import MILLI, MODEL, SECOND, Bench
 
 
 @pytest.fixture
--- a/tests/test_standins_log.py
+++ b/tests/standins/test_log.py
@@ -3,12 +3,12 @@
 import msgspec
 import pytest
 from helpers import makers
-from test_standins_platform import ANY, MILLI, Bench
 
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog.follow import Follower
 from gaproute.standins.platform.listing import Listing, member
 from gaproute.standins.platform.log import Log
+from tests.standins.test_platform import ANY, MILLI, Bench
 
 
 @pytest.fixture
