--- a/gaproute/lobby/lot.py
+++ b/gaproute/lobby/lot.py
@@ -20,7 +20,8 @@
 )
 from gaproute.decisions.chance import Chance
 from gaproute.lobby.descriptors import descriptors
-from gaproute.lobby.parking import NONE, ONCE, PARKED, QUEUED, Parking
+from gaproute.lobby.parking import NONE, PARKED, QUEUED, Parking
+from gaproute.loop.faults import is_momentary
 from gaproute.loop.loop import LOBBY
 
 CHUNK = 65536  # bytes read from one that wakes
@@ -150,12 +151,12 @@
     def _wake(self, fd, seen):
         try:
             data = os.read(fd, CHUNK)
-        except BlockingIOError:  # nothing there after all: it waits on
-            self.state[fd] = PARKED
-            self.loop.lobby.modify(fd, ONCE)
-            self._enter(fd)
-            return
-        except OSError:
+        except OSError as fault:
+            if is_momentary(fault):  # nothing there after all, or it cannot be read now: it waits on
+                self.state[fd] = PARKED
+                self._enter(fd)
+                self._await(fd, True)
+                return
             data = b""
         if not data:
             self._drop(fd)
--- a/gaproute/lobby/parking.py
+++ b/gaproute/lobby/parking.py
@@ -10,6 +10,8 @@
 
 from gaproute.lobby.addresses import AddressCounts
 from gaproute.lobby.calendar import Calendar
+from gaproute.loop.faults import Backoff, is_momentary
+from gaproute.loop.loop import REGISTER_FIRST, REGISTER_LONGEST
 
 EXPIRES = 256  # idle ends looked at in one turn: after a stop they must not all fall into one
 ONCE = EPOLLIN | EPOLLONESHOT
@@ -32,6 +34,8 @@
         self.address_counts = AddressCounts()
         self.held = self.parked = 0  # clients' connections in all; those parked
         self.expired = 0
+        self.unheard = []  # descriptors that the inner epoll did not take; some of them may be gone by now
+        self.hear_timer, self.hear_backoff = None, Backoff(REGISTER_FIRST, REGISTER_LONGEST)
 
     @property
     def addresses(self):
@@ -56,10 +60,47 @@
         self.since[fd], self.tasks[fd], self.place[fd] = self.loop.now(), min(tasks, 65535), place
         self.parked += 1
         self._enter(fd)
-        if listed:
-            self.loop.lobby.modify(fd, ONCE)
+        self._await(fd, listed)
+
+    def _await(self, fd, listed):
+        """The inner epoll tells the next event of a parked connection; where it is short of memory or of
+        watches for a moment, it is tried again."""
+        try:
+            if listed:
+                self.loop.lobby.modify(fd, ONCE)
+            else:
+                self.loop.lobby.register(fd, ONCE)
+        except OSError as fault:
+            self._put_off(fd, fault)
+
+    def _put_off(self, fd, fault):
+        if not is_momentary(fault):
+            self._drop(fd)
+            raise fault
+        self.unheard.append(fd)
+        if self.hear_timer is None:
+            self.hear_timer = self.loop.after(self.hear_backoff.next(), self._hear_again)
+
+    def _hear_again(self):
+        """One more try for each that the inner epoll did not take; a second failure is a shortage."""
+        self.hear_timer = None
+        waiting, self.unheard = self.unheard, []
+        for fd in waiting:
+            if self.state[fd] == PARKED:
+                self.loop.guard(self._register, fd)
+        if not self.unheard:
+            self.hear_backoff.reset()
         else:
-            self.loop.lobby.register(fd, ONCE)
+            self.loop.patient.make_room()
+
+    def _register(self, fd):
+        try:
+            try:
+                self.loop.lobby.register(fd, ONCE)
+            except FileExistsError:
+                self.loop.lobby.modify(fd, ONCE)
+        except OSError as fault:
+            self._put_off(fd, fault)
 
     def _enter(self, fd):
         """Into the calendar, where no entry of the descriptor comes up by its end."""
@@ -96,7 +137,10 @@
         self.state[fd] = NONE
         self.parked -= 1
         owner = self.owners[self.owner[fd]]
-        os.close(fd)
+        try:
+            os.close(fd)
+        except OSError:
+            pass  # Linux gives the descriptor back whatever error close(2) tells
         self.leave(self.place[fd], owner.counted)
         owner.lost()
 
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -7,6 +7,7 @@
 import struct
 import termios
 
+from gaproute.loop.faults import is_momentary
 from gaproute.loop.loop import GONE, MILLI, READ, WRITE
 
 CHUNK = 65536  # bytes read in one call: a large socket buffer in few calls, small next to a body
@@ -15,6 +16,9 @@
 LINGER = 30_000 * MILLI  # for the last bytes to be taken after a close; then the connection is reset
 FAREWELL = 300 * MILLI  # for the other side to close too, once all is written: some round trips; what one
 #                          that does not sends later meets a closed socket, as ever
+PEEK = socket.MSG_PEEK | socket.MSG_DONTWAIT
+PEEKS = 4  # looks at what lies unread that failed, until nothing is known of it
+UNKNOWN = b"?"  # something may lie there
 END = select.EPOLLRDHUP  # the other side sends no more: told also while nothing is read
 
 
@@ -91,10 +95,9 @@
     def _read(self):
         try:
             data = self.sock.recv(CHUNK)
-        except (BlockingIOError, InterruptedError):
-            return
         except OSError as fault:
-            self._finish(fault)
+            if not is_momentary(fault):
+                self._finish(fault)
             return
         if data:
             self.on_bytes(data)
@@ -146,9 +149,9 @@
     def _send(self, data):
         try:
             sent = self.sock.send(data)
-        except (BlockingIOError, InterruptedError):
-            return 0
         except OSError as fault:
+            if is_momentary(fault):
+                return 0
             self.loop.soon(self._broken, fault)
             return None
         self.handed += sent
@@ -159,7 +162,11 @@
         for _ in range(READS if self.reading else 0):
             try:
                 data = self.sock.recv(CHUNK) if self.open else b""
-            except OSError:
+            except BlockingIOError:
+                break
+            except OSError as wrong:
+                if is_momentary(wrong):
+                    continue
                 break
             if not data:
                 break
@@ -203,21 +210,34 @@
     def quiet(self):
         """Whether nothing lies unread and the other side has not closed: one system call."""
         try:
-            self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-        except (BlockingIOError, InterruptedError):
+            self.sock.recv(1, PEEK)
+        except BlockingIOError:
             return True
-        except OSError:
-            pass
+        except OSError as fault:
+            return self._peek_again(fault) is None
         return False
 
     def ended(self):
         """Whether the other side has closed behind the bytes read so far: one system call."""
         try:
-            return not self.sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-        except (BlockingIOError, InterruptedError):
+            return not self.sock.recv(1, PEEK)
+        except BlockingIOError:
             return False
-        except OSError:
-            return True
+        except OSError as fault:
+            return self._peek_again(fault) == b""
+
+    def _peek_again(self, fault):
+        """What lies unread where a look at it failed: None for nothing, b"" for the end."""
+        for _ in range(PEEKS):
+            if not is_momentary(fault):
+                return b""
+            try:
+                return self.sock.recv(1, PEEK)
+            except BlockingIOError:
+                return None
+            except OSError as again:
+                fault = again
+        return UNKNOWN
 
     def release(self):
         """Gives the descriptor up, open and no longer watched; no further callbacks."""
@@ -297,7 +317,10 @@
             if self.timer is not None:
                 self.timer.cancel()
             self.loop.unwatch(self.fd)
-            self.sock.close()
+            try:
+                self.sock.close()
+            except OSError:
+                pass  # Linux gives the descriptor back whatever error close(2) tells
 
 
 def _nothing(*_):
