--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -18,6 +18,7 @@
 from gaproute.interface.call import Call, Ending
 from gaproute.lobby import Lot
 from gaproute.loop import Listener
+from gaproute.loop.connecting import DRAIN_AGAIN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 OPEN = 32  # requests of one connection at a time, by the protocol
@@ -43,6 +44,7 @@
         self.parked = self.turned_away = self.faults = self.deaf = 0
         self.marks = {}  # a task's mark, while it is open: its connection
         self.stopping, self.emptied = False, None  # call() after a stop, when no connection is left
+        self.drainer = None  # timer, where the kernel's queue could not be emptied at a stop
         self.family = where[0]
         self.lot = Lot.of(loop)
         self.listener = Listener(loop, where, None, on_ready=self._ready)  # first: it may fail
@@ -78,7 +80,8 @@
 
     @property
     def held(self):
-        return len(self.links) + self.parked
+        """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
+        return len(self.links) + self.parked + (self.drainer is not None)
 
     def tell(self):
         if self.stopping and self.emptied is not None and not self.held:
@@ -175,15 +178,26 @@
             return
         self.stopping = True
         self.lot.close(self.number)
-        while (came := self.listener.accept()) is not None:
-            self.admits(*came)
+        self._take_in()
+
+    def _take_in(self):
+        """The kernel's queue is emptied, then the address given up; tried again while accepting fails."""
+        self.drainer = None
+        if not self.listener.drain(self.admits):
+            self.drainer = self.loop.after(DRAIN_AGAIN, self._take_in)
+            return
         self.listener.close()
         self.lot.close(self.number)
         for link in list(self.links):
             link.settled()
+        self.tell()
 
     def close(self):
         self.stop()
+        if self.drainer is not None:
+            self.drainer.cancel()
+            self.drainer = None
+        self.listener.close()
         self.sweeper.cancel()
         self.lot.close(self.number, True)
         for link in list(self.links):
--- a/gaproute/fronts/jsonrpc/link.py
+++ b/gaproute/fronts/jsonrpc/link.py
@@ -91,13 +91,9 @@
             return
         elif self.reader.midway and now - self.since > PROGRESS:
             self.refuse(Fault(messages.UNREADABLE, "the message did not come in whole in time"))
-        elif (
-            not self.open
-            and not self.stream.waiting
-            and not self.reader.midway
-            and now - self.told > QUIET
-            and not self.front.stopping
-        ):
+        elif self.front.stopping:
+            self.settled()  # where it could not be seen before whether something lies there
+        elif not self.open and not self.stream.waiting and not self.reader.midway and now - self.told > QUIET:
             self.park()
 
     def weight(self):
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -8,6 +8,7 @@
 from gaproute.http1.limits import LIMITS
 from gaproute.lobby import Lot
 from gaproute.loop import Listener
+from gaproute.loop.connecting import DRAIN_AGAIN
 
 
 class Server:
@@ -21,6 +22,7 @@
         self.parked = self.buffered = 0
         self.resting, self.sweep = deque(), None  # (when, link) that may be parked then
         self.stopping, self.emptied = False, None  # call() after a stop, when no connection is left
+        self.drainer = None  # timer, where the kernel's queue could not be emptied at a stop
         self.last_request = None  # after a stop with grace: when the last request must have come in whole
         self.turned_away = self.faults = 0
         self.family = where[0]
@@ -33,8 +35,8 @@
 
     @property
     def held(self):
-        """Connections, at work and parked."""
-        return len(self.links) + self.parked
+        """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
+        return len(self.links) + self.parked + (self.drainer is not None)
 
     def _ready(self):
         self.lot.arrive(self.listener, self)
@@ -117,19 +119,31 @@
         """
         if self.stopping:
             return
-        while not self.shared and (came := self.listener.accept()) is not None:
-            self.admits(*came)  # else the kernel resets them
         self.stopping = True
-        self.listener.close()
         if grace is not None:
             self.last_request = self.loop.now() + grace
-        self.lot.close(self.number, first_by=self.last_request)
+        self._take_in()
         for link in list(self.links):
             link.stop()
 
+    def _take_in(self):
+        """What waits in the kernel's queue comes in, as the kernel would reset it, then the address is given
+        up; tried again while accepting fails."""
+        self.drainer = None
+        if self.shared or self.listener.drain(self.admits):
+            self.listener.close()
+        else:
+            self.drainer = self.loop.after(DRAIN_AGAIN, self._take_in)
+        self.lot.close(self.number, first_by=self.last_request)
+        self.check_emptied()
+
     def close(self):
         """Stops and ends every connection at once, without waiting for answers still owed."""
         self.stop()
+        if self.drainer is not None:
+            self.drainer.cancel()
+            self.drainer = None
+        self.listener.close()
         self.lot.close(self.number, True)
         if self.sweep is not None:
             self.sweep.cancel()
--- a/tests/test_syscalls_lobby.py
+++ b/tests/test_syscalls_lobby.py
@@ -6,7 +6,7 @@
 
 import pytest
 from failing import Failing, FailingEpoll, fault, open_descriptors
-from scripted import MILLI, SECOND, Handed
+from scripted import MILLI, SECOND, Handed, nothing
 
 from gaproute.http1 import Server
 from gaproute.lobby import lot as lots
@@ -170,6 +170,70 @@
     assert house.answers(client) == 1
 
 
+# Stops while accepting fails
+
+
+class FailingAccept:
+    """Stands for a listening socket."""
+
+    def __init__(self, sock, *codes):
+        self.sock, self.accept = sock, Failing(sock.accept, *codes)
+
+    def __getattr__(self, name):
+        return getattr(self.sock, name)
+
+
+@pytest.mark.parametrize(
+    "code", [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.EINTR, errno.ENETDOWN]
+)
+def test_who_waits_in_the_queue_at_a_stop_is_answered_though_accepting_fails(house, code):
+    server = house.server
+    server.listener.sock = FailingAccept(server.listener.sock, *[code] * 20)
+    client = house.client(HEAD)
+    emptied = []
+    server.emptied = lambda: emptied.append(house.clock.now)
+    server.stop(SECOND)
+    assert server.held and not emptied
+    house.passes(200 * MILLI)
+    assert house.answers(client) == 1
+    client.close()
+    house.passes(SECOND, 10 * MILLI)
+    assert emptied and server.listener.sock.fileno() < 0 and not server.held
+
+
+@pytest.mark.parametrize(
+    "code", [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.EINTR, errno.ENETDOWN]
+)
+def test_the_platforms_front_takes_in_who_waits_at_a_stop_though_accepting_fails(gate, code):
+    made = gate(clock=Handed())
+    front = made.process.front
+    front.listener.sock = FailingAccept(front.listener.sock, *[code] * 20)
+    client = made.client()
+    client.ask(1)
+    made.process.stop()
+    made.process.shut()
+    assert front.held  # neither connection nor end: one may wait
+    for _ in range(40):
+        made.passes(5 * MILLI)
+    assert len(client.answers) == 1 and front.listener.sock.fileno() < 0
+
+
+def test_a_front_that_is_closed_while_it_takes_in_leaves_no_timer(gate):
+    made = gate(clock=Handed())
+    front = made.process.front
+    front.listener.sock = FailingAccept(front.listener.sock, *[errno.EMFILE] * 99)
+    front.stop()
+    timer = front.drainer
+    assert timer.call is not None
+    front.close()
+    assert (
+        timer.call is None
+        and front.drainer is None
+        and front.listener.sock.fileno() < 0
+        and front.listener.resting is None
+    )
+
+
 # Streams
 
 
@@ -301,3 +365,18 @@
     stream.there.shutdown(socket.SHUT_WR)
     stream.loop.run(until=stream.loop.sleep(MILLI))
     assert stream.told == [None] and not stream.open
+
+
+def test_one_that_could_not_be_looked_at_when_the_process_stopped_is_closed_a_moment_later(gate):
+    made = gate(nothing, clock=Handed())
+    client = made.client()
+    client.message({"jsonrpc": "2.0", "id": 1, "method": "ping"})
+    made.until(lambda: client.answers)
+    (link,) = made.process.front.links
+    link.stream.sock = FailingSocket(link.stream.sock)
+    link.stream.sock.fail("recv", *[errno.ENOMEM] * 6)
+    made.process.front.stop()
+    assert not link.closing
+    for _ in range(5):
+        made.passes(50 * MILLI)
+    assert client.ended and not made.process.front.links
