--- a/tests/test_syscalls_hosts.py
+++ b/tests/test_syscalls_hosts.py
@@ -1,6 +1,8 @@
-"""What is told of hosts while this machine's own system calls fail."""
+"""What is told of hosts while this machine's own system calls fail, and the log while its pipe is full."""
 
 import errno
+import json
+import os
 import socket
 
 import pytest
@@ -16,6 +18,8 @@
 from gaproute.http1 import Undelivered
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Stepped, connecting
+from gaproute.node import log as logs
+from gaproute.node.log import Log
 
 OWN = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL]
 
@@ -120,3 +124,58 @@
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
     made.turns()
     assert told == [face.Result.MOOT, face.Result.MOOT]
+
+
+# The log
+
+
+def lines(reader):
+    return [json.loads(line)["event"] for line in os.read(reader, 1 << 20).splitlines()]
+
+
+@pytest.fixture
+def pipe():
+    reader, writer = os.pipe2(os.O_NONBLOCK)
+    yield reader, writer
+    os.close(reader)
+    os.close(writer)
+
+
+def test_lines_are_whole_though_each_write_takes_one_byte(pipe, monkeypatch):
+    reader, writer = pipe
+    write = os.write
+    monkeypatch.setattr(logs.os, "write", lambda fd, data: write(fd, data[:1]))
+    log = Log(writer)
+    log.info("first", told=1)
+    log.info("second")
+    assert lines(reader) == ["first", "second"]
+
+
+def test_the_end_of_a_line_that_had_begun_comes_before_the_next_line(pipe, monkeypatch):
+    reader, writer = pipe
+    write, room = os.write, [10]
+
+    def short(fd, data):
+        if not room[0]:
+            raise fault(errno.EAGAIN)
+        took = write(fd, data[: room[0]])
+        room[0] -= took
+        return took
+
+    monkeypatch.setattr(logs.os, "write", short)
+    log = Log(writer)
+    log.info("cut")
+    log.info("lost")
+    room[0] = 1 << 20
+    log.info("next")
+    assert lines(reader) == ["cut", "next"]
+
+
+def test_a_line_that_nobody_takes_is_lost_and_not_kept(pipe, monkeypatch):
+    monkeypatch.setattr(logs.os, "write", Failing(os.write, errno.EAGAIN, errno.EPIPE))
+    log = Log(pipe[1])
+    log.info("lost")
+    log.info("lost")
+    assert log.rest == b""
+    log.info("next")
+    assert lines(pipe[0]) == ["next"]
