--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -3,6 +3,7 @@
 import os
 import secrets
 import signal
+from functools import partial
 
 from gaproute.appliance.cells import Cells
 from gaproute.appliance.operator import Operator
@@ -59,10 +60,12 @@
         self.lot.admission = Admission(
             clients.connections, clients.per_address, descriptors(), Chance(seed + 3)
         )
-        self.others = Others(loop, charter, gateway, self.record, seed, self.cells)
+        self.make_others = partial(Others, loop, charter, gateway, self.record, seed, self.cells)
+        self.others = self.make_others()
 
     def start(self):
-        """Errors: OSError where an address cannot be listened on; nothing listens then."""
+        """Errors: OSError where an address cannot be listened on; nothing listens then, and it may be called
+        again."""
         try:
             for kind, where in self.charter.listens:
                 if kind == "kserve":
@@ -85,6 +88,7 @@
         except OSError as fault:
             for front in [*self.fronts, self.others]:
                 front.close()
+            self.fronts, self.client_fronts, self.others = [], [], self.make_others()
             raise OSError(fault.errno, f"{where}: {fault.strerror}") from fault
         if self.others.weak is not None:
             self.core.arrived = self.others.weak.arrived
@@ -187,7 +191,10 @@
         is the end of all. A stop before that is this process's alone."""
         self.shared = True
         self.loop.watch(life, READ, lambda events: self._parent_gone(life))
-        os.write(ready, b"ready")
+        try:
+            os.write(ready, b"ready")
+        except OSError:
+            pass  # nobody reads: the parent is gone, which `life` tells
         os.close(ready)
 
     def _parent_gone(self, life):
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -18,11 +18,15 @@
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop, Promise
 from gaproute.loop.connecting import listening
+from gaproute.loop.faults import Backoff, cause_of
 from gaproute.loop.loop import READ
+from gaproute.loop.starting import time_for
 from gaproute.loop.streams import address
 from gaproute.record.logs import logger
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
+RELOAD_FIRST, RELOAD_LONGEST = 50 * MILLI, SECOND  # between tries to reload, or to start a child
+CHILD_TRIES = 8  # to start a child of a new configuration, some 4 s in all
 READY_TIME = 30 * SECOND  # for a child to start, on a crowded machine
 
 
@@ -33,26 +37,45 @@
     def __init__(self, loop, command, descriptors):
         self.loop, self.started = loop, loop.now()
         self.ready, self.ended = Promise(), Promise()
+        self.process = self.life = self.told = self.pid = self.timer = None
+        try:
+            self._start(command, descriptors)
+        except OSError:
+            self._clear()
+            raise
+
+    def _start(self, command, descriptors):
         life, self.life = os.pipe2(os.O_CLOEXEC)  # its end tells the child that the parent is gone
-        self.told, says = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
-        for fd in (life, says, *descriptors):
-            os.set_inheritable(fd, True)
+        says = None
         try:
+            self.told, says = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
+            for fd in (life, says, *descriptors):
+                os.set_inheritable(fd, True)
             self.process = subprocess.Popen(
                 [*command, "--life", str(life), "--ready", str(says)], pass_fds=(life, says, *descriptors)
             )
         finally:
             os.close(life)
-            os.close(says)
+            if says is not None:
+                os.close(says)
         self.pid = os.pidfd_open(self.process.pid)
-        loop.watch(self.pid, READ, self._over)
-        loop.watch(self.told, READ, self._said)
-        self.timer = loop.after(READY_TIME, self.kill)
+        self.loop.watch(self.pid, READ, self._over)
+        self.loop.watch(self.told, READ, self._said)
+        self.timer = self.loop.after(READY_TIME, self.kill)
+
+    def _clear(self):
+        """It could not be started: nothing of it is left."""
+        if self.process is not None:
+            self.process.kill()
+            self.process.wait()
+        self._forget_pid()
+        self._end_life()
+        self._hush()
 
     def _said(self, events):
         try:
             said = os.read(self.told, 16)
-        except BlockingIOError:
+        except (BlockingIOError, InterruptedError):
             return
         self._hush()
         if said:
@@ -67,14 +90,19 @@
 
     def _over(self, events):
         self.process.wait()
-        self.loop.unwatch(self.pid)
-        os.close(self.pid)
+        self._forget_pid()
         self._end_life()
         self._hush()
         self.timer.cancel()
         self.ready.set(False)
         self.ended.set(self.process.returncode)
 
+    def _forget_pid(self):
+        if self.pid is not None:
+            self.loop.unwatch(self.pid)
+            os.close(self.pid)
+            self.pid = None
+
     def _end_life(self):
         if self.life is not None:
             os.close(self.life)
@@ -108,6 +136,7 @@
         self.sockets = {}  # address as configured: its listening socket
         self.stopping = self.rolling = False
         self.again = False  # a reload was asked for while one was under way
+        self.retry = None  # timer of a reload that failed for a moment
 
     def open(self, charter):
         """The listening sockets of a charter; those that stand already stay. Errors: OSError."""
@@ -125,13 +154,15 @@
         return {where: self.sockets[where] for where in wanted}
 
     def start(self):
-        """Errors: OSError where an address cannot be listened on."""
+        """Errors: OSError where an address cannot be listened on, or a child cannot be started; it may be
+        called again then."""
         self.open(self.charter)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
         self.loop.on_signal(signal.SIGHUP, self.reload)
         for seat in range(self.count):
-            self._start(seat)
+            if seat not in self.children:
+                self._start(seat)
         self.log.info(
             "parent started", processes=self.count, listens=[told(sock) for sock in self.sockets.values()]
         )
@@ -170,30 +201,62 @@
         self.loop.at(when, self._back, seat)
 
     def _back(self, seat):
-        if not self.stopping and seat not in self.children and len(self.children) < self.count:
+        if self.stopping or seat in self.children or len(self.children) >= self.count:
+            return
+        try:
             self._start(seat)
+        except OSError as fault:
+            now = self.loop.now()
+            when = self.restarts.died(now, seat, 0)
+            self.log.warning("child not started", seat=seat, error=str(fault), again_ms=(when - now) // MILLI)
+            self.loop.at(when, self._back, seat)
 
     # Reload
 
     def reload(self):
-        """Reads the configuration again; a wrong one is logged and nothing changes."""
+        """Reads the configuration again; a wrong one is logged and nothing changes. What may pass by itself
+        is tried again for a while first."""
         if self.rolling:
             self.again = True
             return
+        self._reload(Backoff(RELOAD_FIRST, RELOAD_LONGEST), self.loop.now())
+
+    def _reload(self, backoff, began):
+        if self.retry is not None:
+            self.retry.cancel()
+            self.retry = None
+        if self.rolling or self.stopping:
+            return
         try:
             charter = read_charter(self.file)
             before = set(self.sockets)
             self.open(charter)
-        except Mistakes as wrong:
-            for mistake in wrong.mistakes:
-                self.log.error("configuration refused", mistake=str(mistake))
-            return
-        except OSError as fault:
-            self.log.error("configuration refused", mistake=str(fault))
+        except (Mistakes, OSError) as wrong:
+            if self.loop.now() + backoff.pause <= began + time_for(cause_of(wrong)):
+                self.retry = self.loop.after(backoff.next(), self._reload, backoff, began)
+            else:
+                self._refuse(wrong)
             return
         self.rolling = True
         self.loop.spawn(self._roll(charter, before))
 
+    def _refuse(self, wrong):
+        for mistake in wrong.mistakes if isinstance(wrong, Mistakes) else [wrong]:
+            self.log.error("configuration refused", mistake=str(mistake))
+
+    def _started(self, seat):
+        """A new child of the seat, tried again where that fails; None in the end."""
+        backoff = Backoff(RELOAD_FIRST, RELOAD_LONGEST)
+        for _ in range(CHILD_TRIES):
+            try:
+                return self._start(seat)
+            except OSError as fault:
+                self.log.warning("child not started", seat=seat, error=str(fault))
+            yield self.loop.sleep(backoff.next())
+            if self.stopping:
+                break
+        return None
+
     def _roll(self, charter, before):
         """Each child in turn: a new one beside it, and only when that serves is the old one asked to end."""
         was, self.charter = self.charter, charter
@@ -201,8 +264,8 @@
             if self.stopping:
                 break
             free = next(number for number in range(self.count + 1) if number not in self.children)
-            fresh = self._start(free)
-            served = yield fresh.ready
+            fresh = yield from self._started(free)
+            served = fresh is not None and (yield fresh.ready)
             if not served:
                 self.log.error("roll given up: the new configuration does not start", seat=free)
                 self.charter = was
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -9,24 +9,39 @@
 from gaproute.cli.common import refuse
 from gaproute.conf import Mistakes, move, read_charter, read_hosts, read_peers, read_text, write_whole
 from gaproute.conf.cell_files import check_cells
+from gaproute.loop import Loop
+from gaproute.loop.starting import Patience
 
 
 def charter_of(file, whole=False):
     """The configuration of a file, or exit 2. `whole`: the files of its cells are read as well; a gateway
     starts without them and waits."""
     try:
-        charter = read_charter(file)
-        if charter.hosts_file is not None:
-            read_hosts(charter.hosts_file.path)
-        if charter.peers_file is not None:
-            read_peers(charter.peers_file.path)
-        if whole and charter.cells is not None:
-            check_cells(charter)
-        return charter
+        return Patience().call(lambda: _read(file, whole))
     except Mistakes as wrong:
         refuse(wrong, "nothing of it is used")
 
 
+def _read(file, whole):
+    charter = read_charter(file)
+    if charter.hosts_file is not None:
+        read_hosts(charter.hosts_file.path)
+    if charter.peers_file is not None:
+        read_peers(charter.peers_file.path)
+    if whole and charter.cells is not None:
+        check_cells(charter)
+    return charter
+
+
+def given(patience, step, failed="cannot start"):
+    """What a step of the start returns, or exit 3 where the operating system does not let it."""
+    try:
+        return patience.call(step)
+    except OSError as fault:
+        click.echo(f"{failed}: {fault}", err=True)
+        sys.exit(3)
+
+
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--seed", type=int, help="Seed of the decisions' chance; drawn at start where not given.")
@@ -38,11 +53,11 @@
 def serve(file, seed, processes, seat, inherited, life, ready):
     """Run a gateway by the configuration FILE until SIGTERM; with --processes several, under one parent that
     starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
-    charter = charter_of(file)
+    charter, patience = charter_of(file), Patience()
     if processes is not None:
         from gaproute.appliance.parent import Parent
 
-        runs = Parent(file, charter, processes, seed)
+        runs = Parent(file, charter, processes, seed, loop=given(patience, Loop))
     else:
         from gaproute.appliance import Appliance
 
@@ -52,13 +67,9 @@
             sockets[where] = socket.socket(fileno=int(fd))
         if seat is not None:
             charter.seat(*seat)
-        runs = Appliance(charter, seed=seed, inherited=sockets)
-        runs.heed_signals()
-    try:
-        runs.start()
-    except OSError as fault:
-        click.echo(f"cannot listen: {fault}", err=True)
-        sys.exit(3)
+        runs = Appliance(charter, loop=given(patience, Loop), seed=seed, inherited=sockets)
+        given(patience, runs.heed_signals)
+    given(patience, runs.start, "cannot listen")
     if life is not None:
         runs.under(life, ready)
     gc.collect()
--- a/gaproute/conf/cells.py
+++ b/gaproute/conf/cells.py
@@ -50,7 +50,7 @@
         with Path(file).open(encoding="utf-8") as opened:
             return opened.read(MAX_BYTES + 1)
     except (OSError, UnicodeDecodeError) as fault:
-        raise Mistakes([Mistake(file, 0, f"cannot be read: {fault}", "name a readable text file")]) from None
+        raise Mistakes([Mistake(file, 0, f"cannot be read: {fault}", "name a readable text file")]) from fault
 
 
 def _check_size(file, text):
--- a/gaproute/conf/reading.py
+++ b/gaproute/conf/reading.py
@@ -48,4 +48,4 @@
     try:
         return Path(file).read_text()
     except (OSError, UnicodeDecodeError) as fault:
-        raise Mistakes([Mistake(file, 0, f"cannot be read: {fault}", "name a readable text file")]) from None
+        raise Mistakes([Mistake(file, 0, f"cannot be read: {fault}", "name a readable text file")]) from fault
--- a/gaproute/discovery/listing.py
+++ b/gaproute/discovery/listing.py
@@ -7,10 +7,12 @@
 from gaproute.conf import Mistakes, read_hosts
 from gaproute.hosts.rows import Row
 from gaproute.interface import Listed, State
+from gaproute.loop.faults import cause_of, is_momentary_read
 
 STATES = {state.value: state for state in State}
 
 
+TOLD_AT = 2  # reads in a row that failed for a moment, at which that is told
 MAX_NUMBERED = 4096  # names numbered, above which those that no line has any more are forgotten
 
 
@@ -78,12 +80,14 @@
 
 class FileWatch:
     """Looks at a file of lines; `told(lines)` at once when it has changed. A wrong or missing file is
-    refused whole, `refused(mistakes)` is called once for it, and the list last told stays."""
+    refused whole, `refused(mistakes)` is called once for it, and the list last told stays. One that cannot
+    be read for a moment is read at the next look; that is told once too, when it lasts."""
 
     def __init__(self, loop, path, look, told, refused, reader=read_hosts):
         self.loop, self.path, self.look_every = loop, path, look
         self.told, self.refused, self.reader = told, refused, reader
         self.mark = None
+        self.unread = 0  # reads in a row that failed for a moment
         # after a stop the list is read before the tasks that came meanwhile
         loop.on_late.append(self.look)
         self.again()
@@ -97,6 +101,8 @@
             state = os.stat(self.path)
             mark = (state.st_mtime_ns, state.st_ino, state.st_size)
         except OSError as fault:
+            if is_momentary_read(fault):
+                return
             mark = fault.errno
         if mark != self.mark:
             self.mark = mark
@@ -106,10 +112,22 @@
         try:
             lines = self.reader(self.path)
         except Mistakes as wrong:
-            self.refused(wrong.mistakes)
+            if self._is_told(wrong):
+                self.refused(wrong.mistakes)
             return
+        self.unread = 0
         self.told(lines)
 
+    def _is_told(self, wrong):
+        """Whether these mistakes are to be told; what may pass by itself is looked at again first."""
+        fault = cause_of(wrong)
+        if fault is None or not is_momentary_read(fault):
+            self.unread = 0
+            return True
+        self.mark = None
+        self.unread += 1
+        return self.unread == TOLD_AT
+
     def close(self):
         self.timer.cancel()
         if self.look in self.loop.on_late:
--- a/gaproute/loop/faults.py
+++ b/gaproute/loop/faults.py
@@ -50,6 +50,14 @@
     return fault.errno in MOMENTARY or fault.errno == errno.EIO
 
 
+def cause_of(fault):
+    """The OSError behind a failure, itself or what it was raised from; None where there is none."""
+    for each in (fault, fault.__cause__):
+        if isinstance(each, OSError):
+            return each
+    return None
+
+
 class Backoff:
     """Pauses between tries, ns: the first, then twice the one before, up to the longest."""
 
--- a/gaproute/loop/starting.py
+++ b/gaproute/loop/starting.py
@@ -2,7 +2,7 @@
 
 import time
 
-from gaproute.loop.faults import ADDRESS_NOT_FREE, Backoff, is_momentary, is_momentary_read
+from gaproute.loop.faults import ADDRESS_NOT_FREE, Backoff, cause_of, is_momentary_read
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 START_TIME = 6 * SECOND  # for all steps together: a process is to serve, or to have told why not, within 10 s
@@ -10,14 +10,6 @@
 FIRST, LONGEST = 5 * MILLI, 250 * MILLI  # between tries
 
 
-def cause_of(fault):
-    """The OSError behind a failure, itself or what it was raised from; None where there is none."""
-    for each in (fault, fault.__cause__):
-        if isinstance(each, OSError):
-            return each
-    return None
-
-
 class Patience:
     """Calls the steps of a start; a step that fails for a moment is called again, and so has to leave nothing
     behind when it fails. Waits for real: nothing else is to be done meanwhile."""
@@ -42,6 +34,6 @@
     """How long after its begin a start waits for the end of such a failure, ns."""
     if fault is None:
         return 0
-    if is_momentary(fault) or is_momentary_read(fault):
+    if is_momentary_read(fault):
         return START_TIME
     return ADDRESS_TIME if fault.errno in ADDRESS_NOT_FREE else 0
--- a/tests/test_syscalls_start.py
+++ b/tests/test_syscalls_start.py
@@ -15,7 +15,8 @@
 from failing import Failing, fault, open_descriptors
 from scripted import MILLI, SECOND, SETTINGS, Handed
 
-from gaproute.loop import Loop, connecting, datagrams, starting
+from gaproute.loop import Loop, connecting, datagrams
+from gaproute.loop.faults import cause_of
 from gaproute.loop.starting import ADDRESS_TIME, START_TIME, Patience
 from gaproute.node import __main__ as program
 from gaproute.node import charter as charters
@@ -306,5 +307,5 @@
         except OSError as inner:
             raise charters.Unread("text", inner) from inner
     except charters.Unread as outer:
-        assert starting.cause_of(outer).errno == errno.EMFILE
-    assert starting.cause_of(ValueError()) is None
+        assert cause_of(outer).errno == errno.EMFILE
+    assert cause_of(ValueError()) is None
