--- a/gaproute/discovery/changelog/follow.py
+++ b/gaproute/discovery/changelog/follow.py
@@ -56,7 +56,7 @@
 
     def connected(self, number, sock, error):
         if number != self.asked or self.connecting is None:
-            return  # a dial that found no descriptor tells so even when it was given up meanwhile
+            return  # of a dial that was given up meanwhile
         self.connecting = None
         if error is not None:
             self.again(error)
--- a/gaproute/loop/connecting.py
+++ b/gaproute/loop/connecting.py
@@ -259,6 +259,7 @@
                 return None
             self.backoff.reset()
             return _tuned(sock), address
+        self.rest(self.backoff.next())  # perhaps it is always the same one
         return None
 
     def _give_way(self, fault):
--- a/gaproute/loop/starting.py
+++ b/gaproute/loop/starting.py
@@ -7,7 +7,8 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 START_TIME = 6 * SECOND  # for all steps together: a process is to serve, or to have told why not, within 10 s
 ADDRESS_TIME = 2 * SECOND  # for an address that cannot be had: usually it is a wrong one
-FIRST, LONGEST = 5 * MILLI, 250 * MILLI  # between tries
+FIRST, LONGEST = 5 * MILLI, 50 * MILLI  # between tries: over a hundred in all, as a step may be of several
+#                          calls of which one in three fails
 
 
 class Patience:
