--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -6,8 +6,11 @@
 from gaproute.http1.connection import ServerLink
 from gaproute.http1.deadlines import SWEEP
 from gaproute.http1.limits import LIMITS
+from gaproute.http1.message import Fault
+from gaproute.http1.rendering import render
 from gaproute.lobby import Lot
 from gaproute.loop import Listener
+from gaproute.loop.streams import CHUNK
 
 
 class Server:
@@ -40,18 +43,30 @@
         self.loop.waiting = True
 
     def admits(self, sock, address):
-        """A connection was accepted: it is parked, or closed where admission has no room."""
+        """A connection was accepted: it is parked, or answered and closed where admission has no room."""
         place = None
         if self.held < self.limits.connections:
             place = self.lot.admit(address[0] if self.family != socket.AF_UNIX else "", self.counted)
         if place is None:
             self.turned_away += 1
-            sock.close()
+            self._turn_away(sock)
             return
         self.parked += 1
         now = self.loop.now()
         self.lot.park(sock.detach(), self.number, self.idle_end(now), place, 0, False)
 
+    def _turn_away(self, sock):
+        """Answers what a connection that finds no room may ask, and closes it. What lies there is read first:
+        a socket closed with bytes unread is reset, which can destroy the answer."""
+        headers, body = self.explain(Fault(503, "there is no room for one more connection"))
+        try:
+            sock.send(render(503, headers, body, True))
+            sock.shutdown(socket.SHUT_WR)
+            sock.recv(CHUNK)
+        except OSError:
+            pass  # nothing to be read, or its client has left
+        sock.close()
+
     def idle_end(self, now):
         """When a connection that is idle from `now` on is closed."""
         return self.lot.admission.idle_end(now, self.limits.idle_time, self.limits.spread)
--- a/tests/test_unanswered_http1.py
+++ b/tests/test_unanswered_http1.py
@@ -1,7 +1,9 @@
 """HTTP/1.1: a kept connection is not closed over a request that has come by then."""
 
+import socket
+
 import pytest
-from helpers import MILLI, SECOND
+from helpers import CHARTER, MILLI, SECOND
 from test_stopping import ASK, asked_and_answered, clients, closes, rest_of, run_out, statuses
 
 from gaproute.http1.connection import ServerLink
@@ -63,3 +65,17 @@
     made.until(lambda: not made.gate.core.held)
     made.rest(10 * MILLI)
     assert statuses(client.recv(65536)) == [200]
+
+
+@pytest.mark.parametrize("asks_first", [True, False])
+def test_a_client_that_finds_no_room_is_answered_whether_it_has_asked_or_not(rig, clients, asks_first):
+    made = rig(hosts=1, charter=CHARTER + "clients connections 1\n")
+    clients(made)
+    late = socket.create_connection(made.at[1])
+    late.settimeout(5)
+    if asks_first:
+        late.sendall(ASK)  # in the gateway's socket before it is accepted
+    made.until(lambda: made.gate.fronts[0].server.turned_away)
+    said = rest_of(late)
+    late.close()
+    assert statuses(said) == [503] and closes(said) == [True] and not made.seen("task")
