--- a/gaproute/lobby/lot.py
+++ b/gaproute/lobby/lot.py
@@ -133,10 +133,13 @@
         return True
 
     def _catch_up(self):
-        """Puts in line whoever has spoken by now; each is told once, so that this ends."""
-        while events := self.loop.lobby.poll(0, LOBBY):
-            self.look(events, self.loop.now())
+        """Puts in line whoever has spoken by now. Each is told once: a look that is not full is the last."""
         self.loop.waiting = True
+        while True:
+            events = self.loop.lobby.poll(0, LOBBY)
+            self.look(events, self.loop.now())
+            if len(events) < LOBBY:
+                return
 
     # Waking
 
