--- a/gaproute/decisions/route/allowed.py
+++ b/gaproute/decisions/route/allowed.py
@@ -27,7 +27,7 @@
         return min(end, trail.first[1] + track.repeat_window) if bound else end
 
     def spread_credit(self, now, by=None):
-        """Each answer of a warm worker earns every cold one its share of the mean per warm peer.
+        """Each answer of a warm worker earns every cold one its share of the mean per warm peer by size.
 
         Counted in answers it holds for bursts, storms of refusals, fresh gateways. Half the fleet stands for
         the warm peers when fewer are warm: then answers of cold ones earn too, up to one for one with none
@@ -38,9 +38,14 @@
         each = max(0.0, 1 - warm / half) / max(1, len(cold)) if by else FIRST * self.terms.cold_share / half
         for worker in cold:
             share = min(self.power(worker, now), most) / max(warm, half) if by and now >= by.warm_at else each
+            share *= self.size(worker)
             kept = max(0.0, 1 - (now - worker.credited) / CREDIT_LIFE)
             worker.credit, worker.credited = worker.credit * kept + share, now
 
+    def size(self, worker):
+        """Of the mean capacity, one at most: what is earned is a share of what the mean worker does."""
+        return min(1.0, worker.capacity * len(self.fleet) / self.capacity)
+
     def may_order(self, now, function):
         """Within the load ration; one open order for a function."""
         return self.terms.orders_allowed and not function.ordered and self.ration.may(now)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import SECOND, gateway, row, task
 
-from benchmarks.cold import Day, day, play
+from benchmarks.cold import HARD, Day, day, play
 from gaproute.decisions.route.beliefs import Trail
 from gaproute.terms import terms
 
@@ -45,3 +45,27 @@
 
 def test_a_host_of_six_in_ten_new_ones_does_not_fall_late_in_its_cold_time():
     assert not play(day(737), 737)["broken"]
+
+
+def hard(case, seed):
+    """A play of one of the hard cases, told by its name."""
+    return play(day(seed)._replace(**HARD[case]), seed)
+
+
+def test_a_small_cold_worker_earns_its_share_of_what_a_worker_of_its_size_does():
+    made = gateway(
+        row("a", capacity=4.0),
+        row("b", capacity=3.0),
+        row("small", capacity=1.0, started=0),
+        row("large", capacity=4.0, started=0),
+    )
+    made.spread_credit(1, made.workers["a"])
+    small, large = made.workers["small"], made.workers["large"]
+    assert small.credit == pytest.approx(
+        large.credit / 3
+    )  # a third of the mean; the large one gets the mean's
+
+
+def test_small_cold_hosts_among_large_ones_do_not_fall_where_all_are_crowded():
+    found = hard("small hosts among large ones, in a fleet of 230", 3)
+    assert not found["fallen"] and not found["broken"] and found["served"] > 0.6
