--- a/gaproute/decisions/route/allowed.py
+++ b/gaproute/decisions/route/allowed.py
@@ -1,10 +1,9 @@
 """What a worker may be sent: by the rules on further relays, the cold ones' share, the load ration."""
 
-from gaproute.decisions.route.beliefs import LONG, SECOND
+from gaproute.decisions.route.beliefs import LONG
 from gaproute.decisions.route.hints import Hints
 from gaproute.interface import Effect, Group
 
-CREDIT_LIFE = 2 * SECOND  # over which unspent credit fades: about the time in which cold workers fall over
 SAFE = 0.8  # of the load that pushes a cold worker over: the rest is for chance
 FIRST = 0.25  # of the told share, for tasks: answers then show what cold workers can do
 
@@ -27,20 +26,22 @@
         return min(end, trail.first[1] + track.repeat_window) if bound else end
 
     def spread_credit(self, now, by=None):
-        """Each answer of a warm worker earns every cold one its share of the mean per warm peer by size.
+        """Earn the cold workers credit for an answer of the worker `by`; for a task where it is none.
 
+        Each answer of a warm worker earns every cold one its share of the mean per warm peer by size.
         Counted in answers it holds for bursts, storms of refusals, fresh gateways. Half the fleet stands for
-        the warm peers when fewer are warm: then answers of cold ones earn too, up to one for one with none
-        warm; the first then come of tasks (`by` none). As nobody is told how they gain, none counts for more
-        than what it surely bears. What is unspent fades, lest many gateways save up a burst."""
+        the warm peers when fewer are warm: then an answer of a cold one earns too, up to one for one with
+        none warm, and that one alone: nobody is told how each gains, but what it answers it can do. For the
+        same reason none counts for more than what it surely bears. With none warm the first come of tasks."""
         cold, half = [worker for worker in self.fleet if now < worker.warm_at], len(self.fleet) / 2
         warm, most = len(self.fleet) - len(cold), SAFE * self.terms.cold_multiple * self.terms.cold_share
-        each = max(0.0, 1 - warm / half) / max(1, len(cold)) if by else FIRST * self.terms.cold_share / half
+        if by is not None and now < by.warm_at:
+            by.earn(now, max(0.0, 1 - warm / half))
+            return
+        first = FIRST * self.terms.cold_share / half
         for worker in cold:
-            share = min(self.power(worker, now), most) / max(warm, half) if by and now >= by.warm_at else each
-            share *= self.size(worker)
-            kept = max(0.0, 1 - (now - worker.credited) / CREDIT_LIFE)
-            worker.credit, worker.credited = worker.credit * kept + share, now
+            share = min(self.power(worker, now), most) / max(warm, half) if by is not None else first
+            worker.earn(now, self.size(worker) * share)
 
     def size(self, worker):
         """Of the mean capacity, one at most: what is earned is a share of what the mean worker does."""
--- a/gaproute/decisions/route/beliefs.py
+++ b/gaproute/decisions/route/beliefs.py
@@ -16,6 +16,7 @@
 RECENT = 5 * SECOND  # samples older than this are no evidence: a suspect is tried again after it
 KEPT = 8  # samples kept of each thing measured: a median that two odd ones do not move
 LOAD_LIFE = 8 * SECOND  # reported queues older than this are forgotten: crowds by the hash last as long
+CREDIT_LIFE = 2 * SECOND  # over which unspent credit fades: about the time in which cold workers fall over
 
 
 class Worker:
@@ -45,6 +46,11 @@
         self.zone, self.cell, self.capacity = row.zone, row.cell, max(row.capacity, 1e-3)
         self.active = row.state is State.ACTIVE
 
+    def earn(self, now, share):
+        """Credit for relays while cold. What is unspent fades, lest many gateways save up a burst."""
+        kept = max(0.0, 1 - (now - self.credited) / CREDIT_LIFE)
+        self.credit, self.credited = self.credit * kept + share, now
+
 
 class Function:
     """What this gateway knows of one function."""
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -69,3 +69,16 @@
 def test_small_cold_hosts_among_large_ones_do_not_fall_where_all_are_crowded():
     found = hard("small hosts among large ones, in a fleet of 230", 3)
     assert not found["fallen"] and not found["broken"] and found["served"] > 0.6
+
+
+def test_an_answer_of_a_cold_worker_earns_that_one_alone():
+    made = gateway(*[row(f"c{number}", started=0) for number in range(4)])
+    quick, slow = made.workers["c0"], made.workers["c1"]
+    for now in range(10):
+        made.spread_credit(now, quick)
+    assert quick.credit == pytest.approx(10) and slow.credit == 0  # it answered nothing
+
+
+def test_a_cold_host_that_gains_nothing_does_not_fall_by_what_those_that_gain_soon_answer():
+    found = hard("all cold, they gain unlike, in a fleet of 30", 0)
+    assert not found["fallen"] and not found["broken"] and found["served"] > 0.5
