--- a/gaproute/decisions/route/allowed.py
+++ b/gaproute/decisions/route/allowed.py
@@ -1,11 +1,12 @@
 """What a worker may be sent: by the rules on further relays, the cold ones' share, the load ration."""
 
-from gaproute.decisions.route.beliefs import LONG
+from gaproute.decisions.route.beliefs import LONG, SECOND
 from gaproute.decisions.route.hints import Hints
 from gaproute.interface import Effect, Group
 
 SAFE = 0.8  # of the load that pushes a cold worker over: the rest is for chance
 FIRST = 0.25  # of the told share, for tasks: answers then show what cold workers can do
+FIRST_PACE = 1 / SECOND  # of these at each worker at most: within the slack for chance of the smallest
 
 
 class Allowed(Hints):
@@ -25,23 +26,30 @@
         bound = trail.first is not None and track.effect is Effect.RECEIPTED
         return min(end, trail.first[1] + track.repeat_window) if bound else end
 
-    def spread_credit(self, now, by=None):
-        """Earn the cold workers credit for an answer of the worker `by`; for a task where it is none.
+    def spread_credit(self, now, by):
+        """Earn the cold workers credit for an answer of the worker `by`.
 
         Each answer of a warm worker earns every cold one its share of the mean per warm peer by size.
         Counted in answers it holds for bursts, storms of refusals, fresh gateways. Half the fleet stands for
         the warm peers when fewer are warm: then an answer of a cold one earns too, up to one for one with
         none warm, and that one alone: nobody is told how each gains, but what it answers it can do. For the
-        same reason none counts for more than what it surely bears. With none warm the first come of tasks."""
+        same reason none counts for more than what it surely bears."""
         cold, half = [worker for worker in self.fleet if now < worker.warm_at], len(self.fleet) / 2
         warm, most = len(self.fleet) - len(cold), SAFE * self.terms.cold_multiple * self.terms.cold_share
-        if by is not None and now < by.warm_at:
+        if now < by.warm_at:
             by.earn(now, max(0.0, 1 - warm / half))
             return
-        first = FIRST * self.terms.cold_share / half
         for worker in cold:
-            share = min(self.power(worker, now), most) / max(warm, half) if by is not None else first
-            worker.earn(now, self.size(worker) * share)
+            worker.earn(now, self.size(worker) * min(self.power(worker, now), most) / max(warm, half))
+
+    def spread_first_credit(self, now):
+        """With none warm the first relays to each come of tasks, at most so many a second of all gateways
+        together: tasks come as fast as clients wish, and the less is answered the more they ask again."""
+        share = FIRST * self.terms.cold_share / (len(self.fleet) / 2)
+        most = FIRST_PACE * (now - self.first_spread) / max(1, self.terms.gateways)
+        self.first_spread = now
+        for worker in self.fleet:
+            worker.earn(now, min(self.size(worker) * share, most))
 
     def size(self, worker):
         """Of the mean capacity, one at most: what is earned is a share of what the mean worker does."""
--- a/gaproute/decisions/route/known.py
+++ b/gaproute/decisions/route/known.py
@@ -24,6 +24,7 @@
         self.shortest = min((track.contract_time for track in terms.tracks), default=SECOND)
         self.workers, self.fleet = {}, []  # all that were ever listed; the active ones
         self.capacity, self.strongest, self.all_warm_at = 0, 1.0, -1  # in all, the most; when none is cold
+        self.first_spread = -1  # when first credit last came of a task
         self.functions, self.list_version, self.end_by = {}, 0, LONG  # of every task: the process stops
         self.zone_heard, self.silent = {}, {}  # zone: last sign of life; until when it is taken for silent
         self.looked, self.doubts, self.counted, self.in_hand = -LOOK, {}, -LOOK, 0  # `doubt`, `crowded`
--- a/gaproute/decisions/route/task.py
+++ b/gaproute/decisions/route/task.py
@@ -21,7 +21,7 @@
         self.mix.append(task.function)
         self.tenants.append(task.tenant)
         if now < self.all_warm_at and all([now < worker.warm_at for worker in self.fleet]):
-            self.spread_credit(now)
+            self.spread_first_credit(now)
         crowded = self.crowded(now, task, track)
         why = "crowded" if crowded else (yield from self.attempts(now, task, track, function, trail))
         for relay in trail.out if self.terms.cancel_allowed else ():
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -82,3 +82,17 @@
 def test_a_cold_host_that_gains_nothing_does_not_fall_by_what_those_that_gain_soon_answer():
     found = hard("all cold, they gain unlike, in a fleet of 30", 0)
     assert not found["fallen"] and not found["broken"] and found["served"] > 0.5
+
+
+def test_a_storm_of_tasks_earns_cold_workers_no_more_than_calls_a_second():
+    made = gateway(*[row(f"c{number}", started=0) for number in range(4)], gateways=2)
+    worker, earned = made.workers["c0"], 0.0
+    for now in range(0, SECOND, SECOND // 1000):
+        made.spread_first_credit(now)
+        earned, worker.credit = earned + worker.credit, 0.0  # spent at once
+    assert 0.4 < earned <= 0.5  # half of one: the other gateway earns as much
+
+
+def test_a_fleet_all_cold_does_not_fall_in_a_storm_of_clients_that_ask_again():
+    found = hard("all cold, strong, a storm, in a fleet of 1", 0)
+    assert not found["fallen"] and not found["broken"]
