--- a/gaproute/decisions/routing/allowed.py
+++ b/gaproute/decisions/routing/allowed.py
@@ -4,9 +4,9 @@
 from gaproute.decisions.routing.hints import Hints
 from gaproute.interface import Group, Idempotency
 
-CREDIT_LIFE = 2 * SECOND  # over which unspent credit fades: about the time in which cold workers fall over
 SAFE = 0.8  # of the load that pushes a cold worker over: the rest is for chance
 FIRST = 0.25  # of the told share, for tasks: answers then show what cold workers can do
+FIRST_PACE = 1 / SECOND  # of these at each worker at most: within the slack for chance of the smallest
 
 
 class Allowed(Hints):
@@ -30,20 +30,34 @@
         bound = trail.first is not None and track.effect is Idempotency.IDEMPOTENT_WITH_KEY
         return min(end, trail.first[1] + track.repeat_window) if bound else end
 
-    def spread_credit(self, now, by=None):
-        """Each answer of a warm worker earns every cold one its share of the mean per warm peer.
+    def spread_credit(self, now, by):
+        """Earn the cold workers credit for an answer of the worker `by`.
 
+        Each answer of a warm worker earns every cold one its share of the mean per warm peer by size.
         Counted in answers it holds for bursts, storms of refusals, fresh gateways. Half the fleet stands for
-        the warm peers when fewer are warm: then answers of cold ones earn too, up to one for one with none
-        warm; the first then come of tasks (`by` none). As nobody is told how they gain, none counts for more
-        than what it surely bears. What is unspent fades, lest many gateways save up a burst."""
+        the warm peers when fewer are warm: then an answer of a cold one earns too, up to one for one with
+        none warm, and that one alone: nobody is told how each gains, but what it answers it can do. For the
+        same reason none counts for more than what it surely bears."""
         cold, half = [worker for worker in self.fleet if now < worker.warm_at], len(self.fleet) / 2
         warm, most = len(self.fleet) - len(cold), SAFE * self.terms.cold_multiple * self.terms.cold_share
-        each = max(0.0, 1 - warm / half) / max(1, len(cold)) if by else FIRST * self.terms.cold_share / half
+        if now < by.warm_at:
+            by.earn(now, max(0.0, 1 - warm / half))
+            return
         for worker in cold:
-            share = min(self.power(worker, now), most) / max(warm, half) if by and now >= by.warm_at else each
-            kept = max(0.0, 1 - (now - worker.credited) / CREDIT_LIFE)
-            worker.credit, worker.credited = worker.credit * kept + share, now
+            worker.earn(now, self.size(worker) * min(self.power(worker, now), most) / max(warm, half))
+
+    def spread_first_credit(self, now):
+        """With none warm the first relays to each come of tasks, at most so many a second of all gateways
+        together: tasks come as fast as clients wish, and the less is answered the more they ask again."""
+        share = FIRST * self.terms.cold_share / (len(self.fleet) / 2)
+        most = FIRST_PACE * (now - self.first_spread) / max(1, self.terms.gateways)
+        self.first_spread = now
+        for worker in self.fleet:
+            worker.earn(now, min(self.size(worker) * share, most))
+
+    def size(self, worker):
+        """Of the mean capacity, one at most: what is earned is a share of what the mean worker does."""
+        return min(1.0, worker.capacity * len(self.fleet) / self.capacity)
 
     def may_order(self, now, function):
         """Within the load ration; one open order for a function."""
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import SECOND, gateway, row, task
 
-from benchmarks.cold import Day, day, play
+from benchmarks.cold import HARD, Day, day, play
 from gaproute.decisions.routing.beliefs import Trail
 from gaproute.terms import terms
 
@@ -45,3 +45,54 @@
 
 def test_a_host_of_six_in_ten_new_ones_does_not_fall_late_in_its_cold_time():
     assert not play(day(737), 737)["broken"]
+
+
+def hard(case, seed):
+    """A play of one of the hard cases, told by its name."""
+    return play(day(seed)._replace(**HARD[case]), seed)
+
+
+def test_a_small_cold_worker_earns_its_share_of_what_a_worker_of_its_size_does():
+    made = gateway(
+        row("a", capacity=4.0),
+        row("b", capacity=3.0),
+        row("small", capacity=1.0, started=0),
+        row("large", capacity=4.0, started=0),
+    )
+    made.spread_credit(1, made.workers["a"])
+    small, large = made.workers["small"], made.workers["large"]
+    assert small.credit == pytest.approx(
+        large.credit / 3
+    )  # a third of the mean; the large one gets the mean's
+
+
+def test_small_cold_hosts_among_large_ones_do_not_fall_where_all_are_crowded():
+    found = hard("small hosts among large ones, in a fleet of 230", 3)
+    assert not found["fallen"] and not found["broken"] and found["served"] > 0.6
+
+
+def test_an_answer_of_a_cold_worker_earns_that_one_alone():
+    made = gateway(*[row(f"c{number}", started=0) for number in range(4)])
+    quick, slow = made.workers["c0"], made.workers["c1"]
+    for now in range(10):
+        made.spread_credit(now, quick)
+    assert quick.credit == pytest.approx(10) and slow.credit == 0  # it answered nothing
+
+
+def test_a_cold_host_that_gains_nothing_does_not_fall_by_what_those_that_gain_soon_answer():
+    found = hard("all cold, they gain unlike, in a fleet of 30", 0)
+    assert not found["fallen"] and not found["broken"] and found["served"] > 0.5
+
+
+def test_a_storm_of_tasks_earns_cold_workers_no_more_than_calls_a_second():
+    made = gateway(*[row(f"c{number}", started=0) for number in range(4)], gateways=2)
+    worker, earned = made.workers["c0"], 0.0
+    for now in range(0, SECOND, SECOND // 1000):
+        made.spread_first_credit(now)
+        earned, worker.credit = earned + worker.credit, 0.0  # spent at once
+    assert 0.4 < earned <= 0.5  # half of one: the other gateway earns as much
+
+
+def test_a_fleet_all_cold_does_not_fall_in_a_storm_of_clients_that_ask_again():
+    found = hard("all cold, strong, a storm, in a fleet of 1", 0)
+    assert not found["fallen"] and not found["broken"]
