--- /dev/null
+++ b/gaproute/faultinjection/plan.py
@@ -0,0 +1,180 @@
+"""Which system call fails, and how: by a script, or by seeded chance, with a log that can be played again.
+
+A `FaultPlan` is asked once for each call that a test double of the operating system is about to make. It
+numbers the calls of each name from 1, asks its source for a fault, and logs what it injected. The log is a
+script: `Script(plan.log)` injects the same faults at the same calls.
+"""
+
+from __future__ import annotations
+
+import errno
+import random
+import sys
+from collections import Counter
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+from contextlib import contextmanager
+from dataclasses import dataclass
+from typing import Protocol
+
+PACKAGE = __name__.rpartition(".")[0]  # frames of this package are not where a call was made
+
+
+@dataclass(frozen=True, slots=True)
+class Fault:
+    """What goes wrong in one system call. Further kinds are subclasses."""
+
+
+@dataclass(frozen=True, slots=True)
+class Failure(Fault):
+    """The call fails with this errno and has no effect."""
+
+    errno: int
+
+    def __str__(self) -> str:
+        return errno.errorcode.get(self.errno, str(self.errno))
+
+
+@dataclass(frozen=True, slots=True)
+class ShortTransfer(Fault):
+    """A read or write moves at most so many bytes."""
+
+    most: int
+
+    def __str__(self) -> str:
+        return f"at most {self.most} bytes"
+
+
+@dataclass(frozen=True, slots=True)
+class ClockStep(Fault):
+    """The wall clock is stepped by so many nanoseconds from this reading on; monotonic time is not."""
+
+    span: int
+
+    def __str__(self) -> str:
+        return f"stepped by {self.span / 1e9:+g} s"
+
+
+@dataclass(frozen=True, slots=True)
+class ScriptedFault:
+    """One line of a script: the `occurrence`th call of that name, counted from 1, goes wrong."""
+
+    call: str
+    occurrence: int
+    fault: Fault
+
+
+@dataclass(frozen=True, slots=True)
+class InjectedFault:
+    """One line of a plan's log. `site` is the file, line and function that made the call."""
+
+    call: str
+    occurrence: int
+    fault: Fault
+    site: str
+
+    def __str__(self) -> str:
+        return f"{self.call} #{self.occurrence}: {self.fault} at {self.site}"
+
+
+class FaultSource(Protocol):
+    """Decides for each call whether it goes wrong."""
+
+    def fault(self, call: str, occurrence: int) -> Fault | None:
+        """The fault of the `occurrence`th call of that name, or None where it goes well."""
+
+
+class Script:
+    """Faults at calls named beforehand: "the 3rd accept fails with EMFILE"."""
+
+    def __init__(self, lines: Iterable[ScriptedFault | InjectedFault]) -> None:
+        self._faults = {(line.call, line.occurrence): line.fault for line in lines}
+
+    @classmethod
+    def of(cls, *lines: tuple[str, int, Fault]) -> Script:
+        """From (call, occurrence, fault) triples."""
+        return cls(ScriptedFault(*line) for line in lines)
+
+    def fault(self, call: str, occurrence: int) -> Fault | None:
+        """See `FaultSource`."""
+        return self._faults.get((call, occurrence))
+
+
+class Chances:
+    """Each call goes wrong with a probability of one in `odds`, in one of the ways that its name has.
+
+    Every name draws from a generator of its own, seeded by (seed, name): what one call draws does not depend
+    on how often others were made. `odds_of` gives single names other odds.
+    """
+
+    def __init__(
+        self,
+        seed: int,
+        odds: int,
+        faults: Mapping[str, Sequence[Fault]],
+        *,
+        odds_of: Mapping[str, int] | None = None,
+    ) -> None:
+        if odds < 1 or any(each < 1 for each in (odds_of or {}).values()):
+            raise ValueError("odds are one in 1 or more")
+        self.seed = seed
+        self._odds, self._faults, self._odds_of = odds, faults, dict(odds_of or {})
+        self._generators: dict[str, random.Random] = {}
+
+    def fault(self, call: str, occurrence: int) -> Fault | None:
+        """See `FaultSource`."""
+        ways = self._faults.get(call)
+        if not ways:
+            return None
+        generator = self._generators.get(call)
+        if generator is None:
+            generator = self._generators[call] = random.Random(f"{self.seed}/{call}")
+        if generator.randrange(self._odds_of.get(call, self._odds)):
+            return None
+        return generator.choice(ways)
+
+
+class FaultPlan:
+    """Numbers the calls of each name, asks the source about each, and logs the faults it hands out.
+
+    While it is paused calls are neither numbered nor failed: setting up and clearing away are no part of
+    what is played.
+    """
+
+    def __init__(self, source: FaultSource) -> None:
+        self.log: list[InjectedFault] = []
+        self.occurrences: Counter[str] = Counter()
+        self.paused = False
+        self._source = source
+
+    def inject(self, call: str) -> Fault | None:
+        """The fault that the call about to be made must show, or None where it goes well."""
+        if self.paused:
+            return None
+        self.occurrences[call] += 1
+        fault = self._source.fault(call, self.occurrences[call])
+        if fault is not None:
+            self.log.append(InjectedFault(call, self.occurrences[call], fault, _call_site()))
+        return fault
+
+    @contextmanager
+    def pause(self) -> Iterator[None]:
+        """No faults inside this block."""
+        before, self.paused = self.paused, True
+        try:
+            yield
+        finally:
+            self.paused = before
+
+    def report(self) -> str:
+        """The log as text, a line for each fault."""
+        return "\n".join(str(line) for line in self.log)
+
+
+def _call_site() -> str:
+    """The innermost frame outside this package, as `file:line function`."""
+    frame = sys._getframe(1)
+    while frame.f_back is not None and frame.f_globals.get("__name__", "").startswith(PACKAGE):
+        frame = frame.f_back
+    code = frame.f_code
+    folder, _, name = code.co_filename.rpartition("/")
+    return f"{folder.rpartition('/')[2]}/{name}:{frame.f_lineno} {code.co_name}"
