--- /dev/null
+++ b/gaproute/faultinjection/catalog.py
@@ -0,0 +1,105 @@
+"""The event loop's system calls and the ways in which Linux documents that each of them fails.
+
+Sources: the manual pages accept(2), socket(2), connect(2), bind(2), listen(2), setsockopt(2), getsockopt(2),
+epoll_ctl(2), epoll_wait(2), pipe(2), recv(2), send(2) and tcp(7). `FAULTS` holds what is drawn by chance; a
+script may inject any other errno as well.
+"""
+
+from __future__ import annotations
+
+import errno
+from collections.abc import Mapping, Sequence
+from enum import StrEnum
+
+from gaproute.faultinjection.plan import ClockStep, Failure, Fault, ShortTransfer
+
+SECOND = 1_000_000_000
+
+
+class NetworkCall(StrEnum):
+    """A call as the plan names it."""
+
+    ACCEPT = "accept"
+    SOCKET = "socket"
+    CONNECT = "connect"
+    SO_ERROR = "so_error"  # how a connection attempt ended, read by getsockopt
+    BIND = "bind"
+    LISTEN = "listen"
+    SETSOCKOPT = "setsockopt"
+    GETSOCKOPT = "getsockopt"
+    RECV = "recv"  # of a stream, also read(2) of its descriptor
+    SEND = "send"
+    RECV_DATAGRAM = "recv_datagram"
+    SEND_DATAGRAM = "send_datagram"
+    EPOLL_CREATE = "epoll_create"
+    EPOLL_ADD = "epoll_add"
+    EPOLL_MODIFY = "epoll_modify"
+    EPOLL_DELETE = "epoll_delete"
+    EPOLL_WAIT = "epoll_wait"
+    PIPE = "pipe"
+    PIPE_READ = "pipe_read"
+    WALL_CLOCK = "wall_clock"  # a reading of it
+
+
+DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
+MEMORY = (errno.ENOBUFS, errno.ENOMEM)
+# Errors of the network that were pending on the new socket: accept(2) asks to treat them like EAGAIN.
+HANDED_ON = (
+    errno.ENETDOWN,
+    errno.EPROTO,
+    errno.ENOPROTOOPT,
+    errno.EHOSTDOWN,
+    errno.ENONET,
+    errno.EHOSTUNREACH,
+    errno.EOPNOTSUPP,
+    errno.ENETUNREACH,
+)
+# The connection is at its end, whichever call tells.
+BROKEN = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+
+ERRNOS: Mapping[str, Sequence[int]] = {
+    NetworkCall.ACCEPT: (errno.ECONNABORTED, errno.EPERM, *DESCRIPTORS, *MEMORY, *HANDED_ON),
+    NetworkCall.SOCKET: (*DESCRIPTORS, *MEMORY),
+    NetworkCall.CONNECT: (
+        errno.EADDRNOTAVAIL,
+        errno.ENETUNREACH,
+        errno.EHOSTUNREACH,
+        errno.ETIMEDOUT,
+        errno.ECONNREFUSED,
+        errno.EINTR,
+        *MEMORY,
+    ),
+    NetworkCall.SO_ERROR: (errno.ECONNREFUSED, errno.ENETUNREACH, *BROKEN),
+    NetworkCall.BIND: (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOMEM),
+    NetworkCall.LISTEN: (errno.EADDRINUSE,),
+    NetworkCall.SETSOCKOPT: MEMORY,
+    NetworkCall.GETSOCKOPT: MEMORY,
+    NetworkCall.RECV: BROKEN,
+    NetworkCall.SEND: (*BROKEN, errno.EAGAIN),
+    NetworkCall.RECV_DATAGRAM: (errno.ECONNREFUSED, errno.ENOMEM),
+    NetworkCall.SEND_DATAGRAM: (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EPERM, *MEMORY),
+    NetworkCall.EPOLL_CREATE: (*DESCRIPTORS, errno.ENOMEM),
+    NetworkCall.EPOLL_ADD: (errno.ENOSPC, errno.ENOMEM),
+    NetworkCall.EPOLL_MODIFY: (errno.ENOMEM,),
+    NetworkCall.EPOLL_WAIT: (errno.EINTR,),
+    NetworkCall.PIPE: DESCRIPTORS,
+    NetworkCall.PIPE_READ: (errno.EAGAIN, errno.EINTR),
+}
+
+SHORT_SIZES = (1, 1, 7, 100)  # bytes that a short read or write moves at most
+STEPS = (1, 5, 60, 3600)  # seconds by which the wall clock is stepped, either way
+
+CLOCK_STEPS: Sequence[Fault] = tuple(ClockStep(sign * span * SECOND) for span in STEPS for sign in (1, -1))
+SHORT_TRANSFERS: Sequence[Fault] = tuple(ShortTransfer(size) for size in SHORT_SIZES)
+
+FAILURES: Mapping[str, Sequence[Fault]] = {
+    call: tuple(Failure(number) for number in numbers) for call, numbers in ERRNOS.items()
+}
+
+# Short transfers come as often as broken connections, so that these do not end most of the traffic.
+FAULTS: Mapping[str, Sequence[Fault]] = {
+    **FAILURES,
+    NetworkCall.RECV: (*FAILURES[NetworkCall.RECV], *SHORT_TRANSFERS),
+    NetworkCall.SEND: (*FAILURES[NetworkCall.SEND], *SHORT_TRANSFERS),
+    NetworkCall.WALL_CLOCK: CLOCK_STEPS,
+}
--- /dev/null
+++ b/gaproute/faultinjection/play/rules.py
@@ -0,0 +1,217 @@
+"""Judges a play by what the far ends saw and by what the gateway still holds when all is over.
+
+Each check has a name, so that a planted fault can be shown to be caught by the check that it breaks.
+"""
+
+from __future__ import annotations
+
+import traceback
+from collections.abc import Iterator
+from dataclasses import dataclass
+from enum import Enum
+from pathlib import Path
+
+from gaproute.faultinjection.play.far_ends import NEVER_RAN, Attempt, FarClient, Request
+from gaproute.faultinjection.play.scene import GUARDED, REPEAT_WINDOW, SINGLE_SHOT, Scene
+from gaproute.faultinjection.play.timeline import MILLI, SECOND
+from gaproute.lobby import Lot
+from gaproute.loop.streams import address
+
+PACKAGE = "faultinjection"  # frames of these files are not the gateway's
+GRACE = 50 * MILLI  # by which an answer may be late
+LEFT_GRACE = 100 * MILLI  # after its client left, within which an attempt may still begin
+ANSWERED_GRACE = 20 * MILLI  # the same after the final answer: for what was on its way
+DEADLINE_SLACK = 150 * MILLI  # of the limit that a host is told
+DRAIN_GRACE = 500 * MILLI  # after the gateway was told that a host drains
+TOLD_AT_LAST = 4 * SECOND  # after which an event counts as told, whatever became of the connection
+PROBING = 1  # connections to each host, by which an unused gateway goes on probing
+# Timers of a gateway that nobody uses, each at most once.
+STANDING_TIMERS = frozenset(
+    (
+        "Core._woken",
+        "Follower.ask",
+        "Follower.quiet",
+        "Front._sweep",
+        "Hosts.sweep",
+        "Parking._tick",
+        "Process.status",
+    )
+)
+
+
+class Check(Enum):
+    """What is held to."""
+
+    ONE_ANSWER = "each request whose client stayed has exactly one final answer"
+    IN_TIME = "the final answer comes before the deadline"
+    NOT_TWICE = "nothing that may not be repeated runs twice"
+    NOT_FOR_NOBODY = "nothing begins over 0.1 s after its client left"
+    NOT_AFTER_ANSWER = "nothing begins after the final answer"
+    DEADLINE_TOLD = "the deadline passed to a host is at most what the client has left"
+    DRAINING_KEPT = "nothing goes to a host past the grace after it was told draining"
+    DESCRIPTORS = "no descriptor is left over"
+    WATCHED = "no descriptor is watched for nobody"
+    TIMERS = "no timer is left over"
+    HELD = "no request, connection or attempt is held for nobody"
+    NO_ERROR = "no error escapes"
+    RECOVERS = "service is back once the faults are over"
+    PEERS_RECOVER = "gateways hear each other once the faults are over"
+    STOPS = "the gateway stops within the time that SIGTERM grants"
+
+
+@dataclass(frozen=True)
+class Finding:
+    """A check that did not hold."""
+
+    check: Check
+    text: str
+
+    def __str__(self) -> str:
+        return f"{self.check.name}: {self.text}"
+
+
+# From the far ends
+
+
+def excuse(scene: Scene) -> None:
+    """Marks the requests whose own connection an injected fault has broken, as the network would."""
+    for client in scene.clients:
+        if client.name in scene.faults.connections.broken:
+            for request in client.requests.values():
+                request.excused = True
+
+
+def judge_far_ends(scene: Scene) -> Iterator[Finding]:
+    """The five rules, from what clients, hosts and the change log saw."""
+    excuse(scene)
+    attempts: dict[str, list[Attempt]] = {}
+    for host in scene.hosts:
+        for attempt in host.attempts:
+            attempts.setdefault(attempt.mark, []).append(attempt)
+    for client in scene.clients:
+        for stray in client.strays:
+            yield Finding(Check.ONE_ANSWER, f"an answer that nobody asked for: {stray}")
+        for request in client.requests.values():
+            begun = sorted(attempts.get(request.mark, ()), key=lambda attempt: attempt.at)
+            yield from _answers(client, request)
+            yield from _attempts(request, begun)
+            yield from _repeats(request, begun)
+    yield from _draining(scene)
+
+
+def _answers(client: FarClient, request: Request) -> Iterator[Finding]:
+    name = f"request {request.number} ({request.lane})"
+    if len(request.answers) > 1:
+        yield Finding(Check.ONE_ANSWER, f"{name} has {len(request.answers)} answers: {request.answers}")
+    if request.excused or request.left is not None:
+        return
+    if not request.answers:
+        how = "its connection was closed" if request.lost else f"nothing came on {client.name}"
+        yield Finding(Check.ONE_ANSWER, f"{name} has no answer: {how}")
+        return
+    late = request.answers[0][0] - request.asked - request.span
+    if late > GRACE:
+        yield Finding(Check.IN_TIME, f"{name} was answered {late // MILLI} ms after its deadline")
+
+
+def _attempts(request: Request, attempts: list[Attempt]) -> Iterator[Finding]:
+    gone = min((at for at in (request.left, request.lost) if at is not None), default=None)
+    for attempt in attempts:
+        name = f"request {request.number} at {attempt.host}"
+        if gone is not None and attempt.at > gone + LEFT_GRACE:
+            span = (attempt.at - gone) // MILLI
+            yield Finding(Check.NOT_FOR_NOBODY, f"{name} began {span} ms after its client left")
+        if request.answers and attempt.at > request.answers[0][0] + ANSWERED_GRACE:
+            yield Finding(Check.NOT_AFTER_ANSWER, f"{name} began after the final answer")
+        over = attempt.at + attempt.limit - request.asked - request.span
+        if over > DEADLINE_SLACK:
+            yield Finding(Check.DEADLINE_TOLD, f"{name} was told {over // MILLI} ms too much")
+
+
+def _repeats(request: Request, attempts: list[Attempt]) -> Iterator[Finding]:
+    ran = [attempt for attempt in attempts if attempt.said not in NEVER_RAN]
+    hosts = [attempt.host for attempt in ran]
+    if request.lane == SINGLE_SHOT and len(ran) > 1:
+        yield Finding(Check.NOT_TWICE, f"request {request.number} ran at {hosts}")
+    if request.lane == GUARDED and ran and ran[-1].at > ran[0].at + REPEAT_WINDOW + ANSWERED_GRACE:
+        yield Finding(Check.NOT_TWICE, f"request {request.number} ran at {hosts}, the last past its window")
+
+
+def _draining(scene: Scene) -> Iterator[Finding]:
+    broken = address(scene.log.address)[1] in scene.faults.connections.broken
+    for host in scene.hosts:
+        begun = [attempt.at for attempt in host.attempts] + host.load_orders
+        for start, end in _drained(scene, host.name, broken):
+            late = [at for at in begun if start + DRAIN_GRACE < at < end]
+            if late:
+                span = (late[0] - start) // MILLI
+                yield Finding(Check.DRAINING_KEPT, f"{host.name} was sent to {span} ms after it drained")
+
+
+def _drained(scene: Scene, host: str, broken: bool) -> Iterator[tuple[int, int]]:
+    """From when to when the gateway knew that the host drains."""
+    start = None
+    for published, _ in scene.log.events:
+        phase = published.phases.get(host)
+        if phase == "Terminating":
+            sure = published.told if published.told is not None and not broken else None
+            start = sure if sure is not None else published.at + TOLD_AT_LAST
+        elif phase is not None and start is not None:
+            yield start, published.at
+            start = None
+    if start is not None:
+        yield start, scene.clock.now
+
+
+# From what the gateway holds
+
+
+def judge_rest(scene: Scene) -> Iterator[Finding]:
+    """Of a gateway that runs and that nobody has used for a while."""
+    core, front, lot = scene.process.core, scene.process.front, Lot.of(scene.loop)
+    held = {
+        "requests": len(core.held) + len(core.tasks),
+        "open ids": len(front.marks),
+        "clients' connections": front.held + lot.held + lot.parked,
+        "streams that close": len(scene.loop.leaving),
+    }
+    for host in scene.process.hosts.hosts.values():
+        held[f"connections to {host.name} beside its probes'"] = max(0, len(host.links) - PROBING)
+    for name, count in held.items():
+        if count:
+            yield Finding(Check.HELD, f"{name}: {count}")
+    timers = scene.live_timers()
+    extra = [name for name in timers if name not in STANDING_TIMERS or timers.count(name) > 1]
+    if extra:
+        yield Finding(Check.TIMERS, f"{extra}")
+    yield from _watched(scene)
+    unknown = scene.unaccounted_descriptors()
+    if unknown:
+        yield Finding(Check.DESCRIPTORS, f"{len(unknown)} open that belong to nobody")
+
+
+def _watched(scene: Scene) -> Iterator[Finding]:
+    process = scene.process
+    wanted = {process.front.listener.sock.fileno()}
+    if process.peers is not None:
+        wanted.add(process.peers.sock.fileno())
+    if process.follower.stream is not None:
+        wanted.add(process.follower.stream.fd)
+    for host in process.hosts.hosts.values():
+        wanted |= {link.stream.fd for link in host.links if link.stream is not None}
+    watched = set(scene.loop.watched)
+    if watched - wanted:
+        yield Finding(Check.WATCHED, f"{len(watched - wanted)} for nobody")
+
+
+def judge_errors(scene: Scene) -> Iterator[Finding]:
+    """Errors that escaped a callback or a turn of the loop, each kind of them once."""
+    for text in dict.fromkeys(map(_described, scene.errors)):
+        yield Finding(Check.NO_ERROR, text)
+
+
+def _described(error: BaseException) -> str:
+    """The error and the way to it through the gateway, the innermost call last."""
+    frames = [frame for frame in traceback.extract_tb(error.__traceback__) if PACKAGE not in frame.filename]
+    way = " > ".join(f"{Path(frame.filename).name}:{frame.lineno} {frame.name}" for frame in frames)
+    return f"{error!r} by {way}"
--- /dev/null
+++ b/gaproute/faultinjection/play/runner.py
@@ -0,0 +1,173 @@
+"""Plays one seed under faults, judges it, and reduces the faults of a failed play to those that matter."""
+
+from __future__ import annotations
+
+import gc
+import tempfile
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from gaproute.faultinjection.catalog import FAULTS
+from gaproute.faultinjection.plan import Chances, FaultPlan, FaultSource, InjectedFault, Script
+from gaproute.faultinjection.play import rules
+from gaproute.faultinjection.play.far_ends import Request
+from gaproute.faultinjection.play.rules import Check, Finding
+from gaproute.faultinjection.play.scene import LANES, Scene, StuckError
+from gaproute.faultinjection.play.timeline import MILLI, SECOND
+from gaproute.faultinjection.play.traffic import Conditions, Traffic
+
+AFTERMATH = 4 * SECOND  # without faults: all requests are over, an ejected host is tried again
+QUIET = 18 * SECOND  # after the last client: idle connections have come to their ends
+RECOVERY_SPAN = 1500 * MILLI  # of a request once the faults are over
+STOP_TIME = 4 * SECOND  # after the stop: the longest deadline, and what SIGTERM grants beyond it
+
+
+@dataclass
+class Verdict:
+    """What became of a play."""
+
+    seed: int
+    findings: list[Finding] = field(default_factory=list)
+    injected: list[InjectedFault] = field(default_factory=list)
+    requests: int = 0
+    delivered: int = 0
+
+    @property
+    def checks(self) -> set[Check]:
+        """The checks that did not hold."""
+        return {finding.check for finding in self.findings}
+
+    def __str__(self) -> str:
+        found = "\n".join(f"  {finding}" for finding in self.findings)
+        injected = "\n".join(f"  {line}" for line in self.injected)
+        return f"seed {self.seed}: {len(self.findings)} findings\n{found}\ninjected faults:\n{injected}"
+
+
+def by_chance(seed: int, odds: int) -> Chances:
+    """Every call of the catalogue fails one in `odds`."""
+    return Chances(seed, odds, FAULTS)
+
+
+def play(
+    seed: int,
+    source: FaultSource,
+    conditions: Conditions = Conditions(),  # noqa: B008 - frozen
+    *,
+    while_played: Callable[[Scene], None] = lambda scene: None,
+) -> Verdict:
+    """One play. `while_played` is called before the gateway starts: tests plant their faults there."""
+    verdict = Verdict(seed)
+    gc.collect()  # what earlier plays left in cycles holds descriptors
+    with tempfile.TemporaryDirectory(prefix="gaproute-faults-") as folder:
+        scene = Scene(Path(folder), FaultPlan(source), seed, conditions.hosts)
+        try:
+            while_played(scene)
+            verdict.findings += _played(scene, seed, conditions)
+        except StuckError as error:
+            verdict.findings.append(Finding(Check.NO_ERROR, f"stuck: {error}"))
+        finally:
+            scene.close()
+        verdict.injected = scene.plan.log
+        _count(scene, verdict)
+        scene.errors.clear()  # their frames hold sockets
+        gc.collect()
+    return verdict
+
+
+def _count(scene: Scene, verdict: Verdict) -> None:
+    for client in scene.clients:
+        for request in client.requests.values():
+            verdict.requests += 1
+            verdict.delivered += any(text == "result" for _, text in request.answers)
+
+
+def _played(scene: Scene, seed: int, conditions: Conditions) -> Iterator[Finding]:
+    with scene.plan.pause():
+        scene.process.start()
+    Traffic(scene, seed, conditions)
+    scene.passes(conditions.length)
+    scene.plan.paused = True
+    if conditions.stop:
+        yield from _stopped(scene)
+    else:
+        scene.passes(AFTERMATH)
+        yield from _recovered(scene)
+        yield from _at_rest(scene)
+    yield from rules.judge_far_ends(scene)
+    yield from rules.judge_errors(scene)
+
+
+def _stopped(scene: Scene) -> Iterator[Finding]:
+    scene.passes(STOP_TIME)
+    if scene.loop.running:
+        yield Finding(Check.STOPS, f"it holds {len(scene.process.core.held)} requests")
+    scene.close_gateway()
+    scene.loop.running = True  # the far ends' last timers
+    scene.passes(RECOVERY_SPAN)
+
+
+def _recovered(scene: Scene) -> Iterator[Finding]:
+    """A request of each class, on a connection of its own, is delivered; gateways hear each other."""
+    for host in scene.hosts:
+        host.reliable = True
+    asked = []
+    heard = len(scene.peer.heard)
+    for number, lane in enumerate(LANES, 1_000_000):
+        request = Request(number, lane, scene.clock.now, RECOVERY_SPAN, key=f"key-{number}")
+        scene.client().ask(request)
+        asked.append(request)
+    scene.passes(RECOVERY_SPAN)
+    for request in asked:
+        if [text for _, text in request.answers] != ["result"]:
+            yield Finding(Check.RECOVERS, f"a {request.lane} request got {request.answers}")
+    if len(scene.peer.heard) == heard:
+        yield Finding(Check.PEERS_RECOVER, "it tells other gateways nothing any more")
+    yield from _hears_peers(scene)
+
+
+def _hears_peers(scene: Scene) -> Iterator[Finding]:
+    peers = scene.process.peers
+    if peers is None:
+        yield Finding(Check.PEERS_RECOVER, "it listens for other gateways no more")
+        return
+    workers = scene.process.core.gateway.workers
+    before = {name: worker.reported for name, worker in workers.items()}
+    for words in scene.peer.heard[-len(workers) :]:
+        scene.peer.tell(words, peers.sock.getsockname())
+    scene.passes(100 * MILLI)
+    if all(worker.reported == before[name] for name, worker in workers.items()):
+        yield Finding(Check.PEERS_RECOVER, "it hears other gateways no more")
+
+
+def _at_rest(scene: Scene) -> Iterator[Finding]:
+    for client in scene.clients:
+        client.connection.close()
+    scene.passes(QUIET)
+    yield from rules.judge_rest(scene)
+
+
+def reduce_faults(
+    seed: int,
+    injected: list[InjectedFault],
+    wanted: set[Check],
+    conditions: Conditions = Conditions(),  # noqa: B008 - frozen
+) -> list[InjectedFault]:
+    """A small part of the faults that still breaks one of the wanted checks: halves are left out first, then
+    ever smaller pieces."""
+
+    def breaks(faults: list[InjectedFault]) -> bool:
+        return bool(play(seed, Script(faults), conditions).checks & wanted)
+
+    faults, size = list(injected), max(1, len(injected) // 2)
+    while True:
+        place, before = 0, len(faults)
+        while place < len(faults):
+            fewer = faults[:place] + faults[place + size :]
+            if breaks(fewer):
+                faults = fewer
+            else:
+                place += size
+        if size == 1 and len(faults) == before:
+            return faults
+        size = max(1, size // 2)
--- /dev/null
+++ b/gaproute/faultinjection/play/scene.py
@@ -0,0 +1,214 @@
+"""A gateway of the platform and its far ends, wired, driven turn by turn on one clock, and closed."""
+
+from __future__ import annotations
+
+import json
+import math
+import os
+from pathlib import Path
+from typing import Any
+
+from gaproute.faultinjection.network import NetworkFaults
+from gaproute.faultinjection.plan import FaultPlan
+from gaproute.faultinjection.play.far_ends import FarChangeLog, FarClient, FarHost, FarPeer
+from gaproute.faultinjection.play.timeline import MILLI, SECOND, FarLoop, PlayClock, arrives_soon
+from gaproute.lobby import Lot
+from gaproute.lobby.parking import NONE
+from gaproute.loop import Loop
+from gaproute.loop.streams import address
+from gaproute.node import charter as charters
+from gaproute.node.log import Log
+from gaproute.node.process import Process
+
+EPOCH = 1_800_000_000 * SECOND  # that the wall clock is ahead of the play's monotonic one
+MOST_TURNS = 200_000  # of a play; one that needs more is stuck
+REPEAT_WINDOW = 700 * MILLI  # for which hosts know a request by its key
+
+FREE, SINGLE_SHOT, GUARDED = "fault-check", "repair-order", "plan"
+LANES = (FREE, SINGLE_SHOT, GUARDED)
+SETTINGS: dict[str, Any] = {
+    "lanes": [
+        {"name": FREE, "effect": "free", "aim": 500.0, "deadline": 3000.0, "worth": 3.0},
+        {"name": SINGLE_SHOT, "effect": "single_shot", "aim": 500.0, "deadline": 3000.0},
+        {
+            "name": GUARDED,
+            "effect": "guarded",
+            "group": "all",
+            "dedup_window": REPEAT_WINDOW / MILLI,
+            "aim": 500.0,
+            "deadline": 3000.0,
+        },
+    ],
+    "limits": {
+        "cancel": True,
+        "probes": True,
+        "peers": True,
+        "send_cap": 6,
+        "retry_after": True,
+        "max_retry_after": 1000.0,
+        "conn_idle": 15000.0,
+        "connect_timeout": 250.0,
+        "multiplex": 100,
+        "may_duplicate": True,
+    },
+    "family_info": {
+        "counts_alike": True,
+        "idle_life": 9800.0,
+        "warm_notes": True,
+        "placement_calls": True,
+        "loads_anyway": 6,
+        "load_part": 0.3,
+        "loads_within": 10000.0,
+        "order_limit": 10000.0,
+    },
+    "report": {"names": ["cpu_share", "x0"], "source": "pull"},
+    "rules": {"cold": 18000.0, "cold_from": 0.17},
+    "zones": ["hall-a"],
+    "membership_mode": "pushed",
+    "balancers": 2,
+}
+
+
+class StuckError(Exception):
+    """A play did not come to its end within its turns."""
+
+
+class Scene:
+    """`plan` decides on the gateway's system calls. `errors` are those that escaped a callback or a turn of
+    the gateway's loop. The gateway is made paused: `start` may be played under faults or not."""
+
+    def __init__(self, folder: Path, plan: FaultPlan, seed: int, hosts: int = 3) -> None:
+        self.before = open_descriptors()
+        self.plan, self.clock = plan, PlayClock()
+        self.faults = NetworkFaults(plan, wall=lambda: self.clock.now + EPOCH)
+        self.far = FarLoop(self.clock)
+        self.hosts = [FarHost(self.far, f"s-{number}", str(seed)) for number in range(hosts)]
+        self.log, self.peer = FarChangeLog(self.far), FarPeer(self.far)
+        self.clients: list[FarClient] = []
+        self.errors: list[BaseException] = []
+        self.turns, self._events = 0, 1  # the first is in the configuration
+        self._path = folder / f"gateway-{seed}.json"
+        self._path.write_text(json.dumps(self._configuration()))
+        self.faults.__enter__()
+        with plan.pause():
+            self.loop = Loop(self.clock)
+            log = Log(-1)
+            self.process = Process(str(self._path), charters.read(str(self._path)), loop=self.loop, log=log)
+        self.loop.on_error = self.errors.append
+        self.loop.running = True
+
+    def _configuration(self) -> dict[str, Any]:
+        phases = {host.name: "Ready" for host in self.hosts}
+        return {
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "seed": "8c1f",
+            "changelog": self.log.address,
+            "peer_listen": "127.0.0.1:0",
+            "peers_all": self.peer.address,
+            "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256},
+            "settings": SETTINGS,
+            "known": {"seq": 1, "results": [self._event(1, phases, complete=True)]},
+        }
+
+    def _event(self, number: int, phases: dict[str, str], complete: bool = False) -> dict[str, Any]:
+        addresses = {host.name: host.address for host in self.hosts}
+        members = [
+            {
+                "id": name,
+                "host_port": addresses[name],
+                "locality": "hall-a",
+                "flavor": "std",
+                "cell": 2,
+                "phase": phase,
+                "size": 4,
+                "up_since_ms": EPOCH // MILLI,
+            }
+            for name, phase in phases.items()
+        ]
+        return {"seq": number, "fleet": {"revision": number, "complete": complete, "members": members}}
+
+    # Driving
+
+    @property
+    def where(self) -> Any:
+        """Where the gateway listens, as a socket address."""
+        return address(self.process.front.address)[1]
+
+    def client(self) -> FarClient:
+        """A new connection of a client."""
+        self.clients.append(FarClient(self.far, self.where))
+        return self.clients[-1]
+
+    def publish(self, **phases: str) -> None:
+        """An event of the change log; host names with `_` for `-`."""
+        self._events += 1
+        named = {name.replace("_", "-"): phase for name, phase in phases.items()}
+        self.log.publish(self._event(self._events, named))
+
+    def passes(self, span: int) -> None:
+        """So much time goes by, or less where the gateway's loop stops. Errors: StuckError."""
+        until = self.clock.now + span
+        while self.clock.now < until and self.loop.running:
+            self._turn(until)
+
+    def _turn(self, until: int) -> None:
+        self.turns += 1
+        if self.turns > MOST_TURNS:
+            raise StuckError(f"{MOST_TURNS} turns at {self.clock.now}")
+        worked = self.far.turn()
+        try:
+            self.loop.turn()
+        except Exception as error:  # noqa: BLE001 - whatever it is, it would have ended the gateway
+            self.errors.append(error)
+            return
+        if worked or not self.clock.idle or self.loop.queue or self.loop.waiting:
+            return
+        if arrives_soon(self.loop.epoll.fileno(), self.far.epoll.fileno()):
+            return
+        timers = self.loop.timers
+        due = min(until, math.ceil(timers[0][0]) if timers else until, self.far.next_due() or until)
+        self.clock.now = max(self.clock.now, due)
+
+    # What is there
+
+    def live_timers(self) -> list[str]:
+        """What the gateway's timers would call."""
+        return sorted(
+            getattr(timer.call, "__qualname__", repr(timer.call))
+            for _, _, timer in self.loop.timers
+            if timer.call is not None
+        )
+
+    def unaccounted_descriptors(self) -> set[int]:
+        """Open descriptors that belong to nobody known."""
+        lot = Lot.of(self.loop)
+        parked = {descriptor for descriptor, state in enumerate(lot.state) if state != NONE}
+        known = parked | set(self.loop.watched) | {self.loop.epoll.fileno(), self.loop.lobby.fileno()}
+        return open_descriptors() - self.before - known - self.far.descriptors()
+
+    # The end
+
+    def close_gateway(self) -> None:
+        """As `Process.run` does at its end."""
+        process = self.process
+        for part in (process.front, process.follower, process.hosts, process.peers):
+            if part is not None:
+                self.loop.guard(part.close)
+
+    def close(self) -> None:
+        """Gives all descriptors back and puts the real system calls in place again."""
+        self.close_gateway()
+        self.faults.__exit__(None, None, None)
+        self.loop.close()
+        for client in self.clients:
+            client.connection.close()
+        for end in (*self.hosts, self.log, self.peer):
+            end.close()
+        self.far.close()
+        self._path.unlink()
+
+
+def open_descriptors() -> set[int]:
+    """Of this process, but for the one that the look itself takes."""
+    return {int(name) for name in os.listdir("/proc/self/fd") if os.path.exists(f"/proc/self/fd/{name}")}
--- /dev/null
+++ b/gaproute/faultinjection/play/traffic.py
@@ -0,0 +1,89 @@
+"""What clients and the change log do in a play, by a seed: arrivals, departures, hosts that drain."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+
+from gaproute.faultinjection.play.far_ends import Departure, FarClient, Request
+from gaproute.faultinjection.play.scene import FREE, GUARDED, LANES, SINGLE_SHOT, Scene
+from gaproute.faultinjection.play.timeline import MILLI, SECOND
+
+WEIGHTS = {FREE: 2, SINGLE_SHOT: 2, GUARDED: 1}
+SPANS = (400 * MILLI, 1000 * MILLI, 1500 * MILLI)  # that clients wait
+REUSED = 0.6  # of the requests go on a connection that is open
+DEPARTURES = 0.2  # of the requests are left before their answer
+LATEST_DEPARTURE = 300 * MILLI  # after the request
+MOST_PIECES = 3  # that a request is sent in
+DRAIN_TIME = SECOND
+
+
+@dataclass(frozen=True)
+class Conditions:
+    """What a play is like, beside its faults. `stop`: the gateway is told to stop in the middle."""
+
+    requests: int = 40
+    length: int = 2 * SECOND
+    hosts: int = 3
+    stop: bool = False
+
+
+class Traffic:
+    """Sends the requests of a play. All its draws come from `seed`, whatever the gateway answers."""
+
+    def __init__(self, scene: Scene, seed: int, conditions: Conditions) -> None:
+        self.scene = scene
+        self.requests: list[tuple[FarClient, Request]] = []
+        self._random = random.Random(f"{seed}/traffic")
+        self._stopped = False
+        for number in range(1, conditions.requests + 1):
+            self._plan_request(number, conditions.length)
+        if conditions.hosts > 1:
+            self._plan_drain(conditions.length)
+        if conditions.stop:
+            scene.far.after(conditions.length // 2, self._stop)
+
+    def _plan_request(self, number: int, length: int) -> None:
+        draw = self._random
+        request = Request(number, draw.choices(LANES, [WEIGHTS[lane] for lane in LANES])[0], 0, 0)
+        request.span = draw.choice(SPANS)
+        request.key = f"key-{number}" if request.lane == GUARDED else ""
+        place = draw.random() if draw.random() < REUSED else None
+        pieces = draw.randint(1, MOST_PIECES)
+        departure = draw.choice(list(Departure)) if draw.random() < DEPARTURES else None
+        at, leaves = draw.randrange(length), draw.randrange(LATEST_DEPARTURE)
+        self.scene.far.after(at, self._ask, request, place, pieces)
+        if departure is not None:
+            self.scene.far.after(at + leaves, self._leave, request, departure)
+
+    def _plan_drain(self, length: int) -> None:
+        far, name = self.scene.far, self._random.choice([host.name for host in self.scene.hosts])
+        at = self._random.randrange(length // 2)
+        far.after(at, self._publish, name, "Terminating")
+        far.after(at + DRAIN_TIME, self._publish, name, "Ready")
+
+    def _publish(self, name: str, phase: str) -> None:
+        self.scene.publish(**{name: phase})
+
+    def _ask(self, request: Request, place: float | None, pieces: int) -> None:
+        client = self._client(place)
+        if client is not None:
+            request.asked = self.scene.clock.now
+            self.requests.append((client, request))
+            client.ask(request, pieces)
+
+    def _client(self, place: float | None) -> FarClient | None:
+        """An open connection by that share of them, else a new one; None where nobody listens any more."""
+        usable = [client for client in self.scene.clients if client.open and not client.leaving]
+        if place is not None and usable:
+            return usable[int(place * len(usable))]
+        return None if self._stopped else self.scene.client()
+
+    def _leave(self, request: Request, departure: Departure) -> None:
+        for client, asked in self.requests:
+            if asked is request:
+                client.leave(request, departure)
+
+    def _stop(self) -> None:
+        self._stopped = True
+        self.scene.process.stop()
--- /dev/null
+++ b/gaproute/faultinjection/sockets.py
@@ -0,0 +1,198 @@
+"""Sockets, epoll and descriptors that ask a fault plan before each system call.
+
+A connection that is made to break is shut down for good, so that the kernel tells of it as of a real one:
+what had come in before is still read, then the error is shown once, then the end.
+"""
+
+from __future__ import annotations
+
+import os
+import select
+import socket
+from typing import Any, ClassVar
+
+from gaproute.faultinjection.catalog import BROKEN, NetworkCall
+from gaproute.faultinjection.plan import Failure, FaultPlan, ShortTransfer
+
+Address = Any  # of a socket: a tuple or a path, by its family
+
+
+def system_error(number: int) -> OSError:
+    """The error that Python raises for this errno, of the subclass that belongs to it."""
+    return OSError(number, os.strerror(number))
+
+
+class Connections:
+    """What must be known of connections beyond one socket object: a descriptor moves between several.
+
+    `broken`: the peers' addresses of connections that a fault has ended.
+    """
+
+    def __init__(self, plan: FaultPlan) -> None:
+        self.plan = plan
+        self.broken: set[Address] = set()
+        self._pending: dict[int, int] = {}  # descriptor: errno that its next read at the end shows
+
+    def fail(self, call: NetworkCall) -> None:
+        """Raises the error that the plan has for this call, if any."""
+        fault = self.plan.inject(call)
+        if isinstance(fault, Failure):
+            raise system_error(fault.errno)
+
+    def before_transfer(self, call: NetworkCall, descriptor: int, size: int) -> int:
+        """How many bytes a read or write of `size` may move. Errors: OSError where it is to fail."""
+        fault = self.plan.inject(call)
+        if isinstance(fault, ShortTransfer):
+            return max(1, min(size, fault.most))
+        if isinstance(fault, Failure):
+            if fault.errno not in BROKEN:
+                raise system_error(fault.errno)
+            self._break(descriptor)
+            if call is NetworkCall.SEND:
+                raise system_error(fault.errno)
+            self._pending[descriptor] = fault.errno  # shown once what lies there has been read
+        return size
+
+    def at_end(self, descriptor: int) -> None:
+        """A read has come to the end: raises the error of a broken connection, once."""
+        number = self._pending.pop(descriptor, None)
+        if number is not None:
+            raise system_error(number)
+
+    def closed(self, descriptor: int) -> None:
+        """The descriptor is given back: its number may serve another connection."""
+        self._pending.pop(descriptor, None)
+
+    def _break(self, descriptor: int) -> None:
+        copy = socket.socket(fileno=os.dup(descriptor))
+        try:
+            self.broken.add(copy.getpeername())
+            copy.shutdown(socket.SHUT_RDWR)
+        except OSError:
+            pass  # the far end was first
+        finally:
+            copy.close()
+
+
+class FaultySocket(socket.socket):
+    """A socket whose calls fail as the plan says. A subclass for each injector sets `connections`."""
+
+    connections: ClassVar[Connections]
+
+    def __init__(
+        self,
+        family: int = socket.AF_INET,
+        type: int = socket.SOCK_STREAM,
+        proto: int = 0,
+        fileno: int | None = None,
+    ) -> None:
+        if fileno is None:
+            self.connections.fail(NetworkCall.SOCKET)
+        super().__init__(family, type, proto, fileno)
+
+    def _is_stream(self) -> bool:
+        return self.type == socket.SOCK_STREAM
+
+    def accept(self) -> tuple[socket.socket, Address]:
+        """See accept(2); the connection of a failed call stays in the queue."""
+        self.connections.fail(NetworkCall.ACCEPT)
+        accepted, address = super().accept()
+        return type(self)(accepted.family, accepted.type, accepted.proto, accepted.detach()), address
+
+    def connect_ex(self, address: Address) -> int:
+        """See connect(2). After EINTR the connection comes about all the same."""
+        fault = self.connections.plan.inject(NetworkCall.CONNECT)
+        if not isinstance(fault, Failure):
+            return super().connect_ex(address)
+        if system_error(fault.errno).__class__ is InterruptedError:
+            super().connect_ex(address)
+        return fault.errno
+
+    def bind(self, address: Address) -> None:
+        """See bind(2)."""
+        self.connections.fail(NetworkCall.BIND)
+        super().bind(address)
+
+    def listen(self, backlog: int = socket.SOMAXCONN) -> None:
+        """See listen(2)."""
+        self.connections.fail(NetworkCall.LISTEN)
+        super().listen(backlog)
+
+    def setsockopt(self, *args: Any) -> None:
+        """See setsockopt(2)."""
+        self.connections.fail(NetworkCall.SETSOCKOPT)
+        super().setsockopt(*args)
+
+    def getsockopt(self, level: int, option: int, *size: int) -> Any:
+        """See getsockopt(2). A connection attempt that succeeded may be shown to have failed."""
+        self.connections.fail(NetworkCall.GETSOCKOPT)
+        value = super().getsockopt(level, option, *size)
+        if (level, option) == (socket.SOL_SOCKET, socket.SO_ERROR) and not value:
+            fault = self.connections.plan.inject(NetworkCall.SO_ERROR)
+            if isinstance(fault, Failure):
+                return fault.errno
+        return value
+
+    def recv(self, size: int, flags: int = 0) -> bytes:
+        """See recv(2)."""
+        if not self._is_stream():
+            self.connections.fail(NetworkCall.RECV_DATAGRAM)
+            return super().recv(size, flags)
+        size = self.connections.before_transfer(NetworkCall.RECV, self.fileno(), size)
+        data = super().recv(size, flags)
+        if not data:
+            self.connections.at_end(self.fileno())
+        return data
+
+    def send(self, data: Any, flags: int = 0) -> int:
+        """See send(2)."""
+        size = self.connections.before_transfer(NetworkCall.SEND, self.fileno(), len(data))
+        return super().send(memoryview(data)[:size], flags)
+
+    def sendto(self, data: Any, *args: Any) -> int:
+        """See sendto(2)."""
+        self.connections.fail(NetworkCall.SEND_DATAGRAM)
+        return super().sendto(data, *args)
+
+    def close(self) -> None:
+        """See close(2)."""
+        if self.fileno() >= 0:
+            self.connections.closed(self.fileno())
+        super().close()
+
+
+class FaultyEpoll:
+    """An epoll whose calls fail as the plan says."""
+
+    def __init__(self, connections: Connections, *args: int) -> None:
+        connections.fail(NetworkCall.EPOLL_CREATE)
+        self._connections, self._epoll = connections, select.epoll(*args)
+
+    def register(self, descriptor: int, events: int) -> None:
+        """See epoll_ctl(2), EPOLL_CTL_ADD."""
+        self._connections.fail(NetworkCall.EPOLL_ADD)
+        self._epoll.register(descriptor, events)
+
+    def modify(self, descriptor: int, events: int) -> None:
+        """See epoll_ctl(2), EPOLL_CTL_MOD."""
+        self._connections.fail(NetworkCall.EPOLL_MODIFY)
+        self._epoll.modify(descriptor, events)
+
+    def unregister(self, descriptor: int) -> None:
+        """See epoll_ctl(2), EPOLL_CTL_DEL."""
+        self._connections.fail(NetworkCall.EPOLL_DELETE)
+        self._epoll.unregister(descriptor)
+
+    def poll(self, timeout: float | None = None, maxevents: int = -1) -> list[tuple[int, int]]:
+        """See epoll_wait(2). Python itself waits on after a signal; code that relies on it does not wait
+        through another binding, nor where a signal's handler raises."""
+        self._connections.fail(NetworkCall.EPOLL_WAIT)
+        return self._epoll.poll(timeout, maxevents)
+
+    def fileno(self) -> int:
+        """The descriptor."""
+        return self._epoll.fileno()
+
+    def close(self) -> None:
+        """Gives the descriptor back."""
+        self._epoll.close()
