--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -54,6 +54,7 @@
     TIMERS = "no timer is left over"
     HELD = "no request, connection or attempt is held for nobody"
     NO_ERROR = "no error escapes"
+    NO_SPIN = "the loop does not turn without end while nothing happens"
     RECOVERS = "service is back once the faults are over"
     PEERS_RECOVER = "gateways hear each other once the faults are over"
     STOPS = "the gateway stops within the time that SIGTERM grants"
