--- a/gaproute/faultinjection/network.py
+++ b/gaproute/faultinjection/network.py
@@ -23,7 +23,7 @@
 
 from gaproute.faultinjection.catalog import NetworkCall
 from gaproute.faultinjection.plan import ClockStep, FaultPlan
-from gaproute.faultinjection.sockets import Connections, FaultyEpoll, FaultySocket
+from gaproute.faultinjection.sockets import Connections, FaultyEpoll, FaultySocket, Wait
 
 SECOND = 1_000_000_000
 # Of a gateway of the platform. A module that is imported later than the injector is installed is not seen.
@@ -75,7 +75,8 @@
 class NetworkFaults:
     """Installs the faults of a plan in all modules of `packages`, as a context manager.
 
-    `wall`: the wall clock, ns, that the plan's steps are added to.
+    Errors on entering: RuntimeError where another is installed. `wall`: the wall clock, ns, that the plan's
+    steps are added to. `wait` takes the place of an epoll's wait, where time is not the real one.
     """
 
     def __init__(
@@ -83,19 +84,23 @@
         plan: FaultPlan,
         *,
         wall: Callable[[], int] = time.time_ns,
+        wait: Wait = select.epoll.poll,
         packages: Sequence[str] = PACKAGES,
     ) -> None:
         self.plan = plan
         self.wall_clock = WallClock(plan, wall)
-        self.connections = Connections(plan)
+        self.connections = Connections(plan, wait)
         self._packages = packages
         self._pipes: set[int] = set()  # descriptors to read from
         self._restore: list[Callable[[], None]] = []
 
     def __enter__(self) -> NetworkFaults:
+        modules = list(modules_of(self._packages))
+        if any(isinstance(value, ModuleStandIn) for module in modules for value in vars(module).values()):
+            raise RuntimeError("faults are installed already")
         stand_ins = self._stand_ins()
         clocks = {time.time: self.wall_clock.time, time.time_ns: self.wall_clock.time_ns}
-        for module in modules_of(self._packages):
+        for module in modules:
             for name, value in list(vars(module).items()):
                 if isinstance(value, ModuleType) and value in stand_ins:
                     self._replace(module, name, stand_ins[value])
--- a/gaproute/faultinjection/plan.py
+++ b/gaproute/faultinjection/plan.py
@@ -99,6 +99,17 @@
         return self._faults.get((call, occurrence))
 
 
+class Periodic:
+    """Every `every`th call of one name shows the same fault. A script that holds whatever else is called."""
+
+    def __init__(self, call: str, fault: Fault, every: int) -> None:
+        self._call, self._fault, self._every = call, fault, every
+
+    def fault(self, call: str, occurrence: int) -> Fault | None:
+        """See `FaultSource`."""
+        return self._fault if call == self._call and occurrence % self._every == 0 else None
+
+
 class Chances:
     """Each call goes wrong with a probability of one in `odds`, in one of the ways that its name has.
 
--- a/gaproute/faultinjection/play/far_ends.py
+++ b/gaproute/faultinjection/play/far_ends.py
@@ -168,6 +168,7 @@
         super().__init__(loop)
         self.name, self.reliable = name, False
         self.attempts: list[Attempt] = []
+        self.cut_short: list[int] = []  # when a connection ended within a command
         self.load_orders: list[int] = []  # when each came
         self._random = random.Random(f"{seed}/{name}")
 
@@ -182,7 +183,11 @@
             for line in lines:
                 self._command(connection, json.loads(line))
 
-        connection = FarConnection(self.loop, sock, came, lambda: None)
+        def ended() -> None:
+            if buffer:
+                self.cut_short.append(self.loop.clock.now)
+
+        connection = FarConnection(self.loop, sock, came, ended)
         self.connections.append(connection)
 
     def _command(self, connection: FarConnection, command: dict[str, Any]) -> None:
@@ -283,7 +288,7 @@
 
 
 class FarPeer:
-    """Another gateway: hears what this one tells, and can tell it the same."""
+    """Another gateway: hears what this one tells, and tells it the same."""
 
     def __init__(self, loop: FarLoop) -> None:
         self.loop = loop
@@ -295,7 +300,9 @@
         loop.watch(self._sock.fileno(), select.EPOLLIN, self._ready)
 
     def _ready(self, _: int) -> None:
-        self.heard.append(self._sock.recv(CHUNK))
+        words, source = self._sock.recvfrom(CHUNK)
+        self.heard.append(words)
+        self.tell(words, source)
 
     def tell(self, words: bytes, where: tuple[str, int]) -> None:
         """One datagram."""
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -25,6 +25,7 @@
 DRAIN_GRACE = 500 * MILLI  # after the gateway was told that a host drains
 TOLD_AT_LAST = 4 * SECOND  # after which an event counts as told, whatever became of the connection
 PROBING = 1  # connections to each host, by which an unused gateway goes on probing
+MAY_HAVE_RUN = "it may have run"  # in the reason of a final answer
 # Timers of a gateway that nobody uses, each at most once.
 STANDING_TIMERS = frozenset(
     (
@@ -47,6 +48,7 @@
     NOT_TWICE = "nothing that may not be repeated runs twice"
     NOT_FOR_NOBODY = "nothing begins over 0.1 s after its client left"
     NOT_AFTER_ANSWER = "nothing begins after the final answer"
+    TRIED_AGAIN = "what no host was sent does not end as what may have run"
     DEADLINE_TOLD = "the deadline passed to a host is at most what the client has left"
     DRAINING_KEPT = "nothing goes to a host past the grace after it was told draining"
     DESCRIPTORS = "no descriptor is left over"
@@ -97,6 +99,8 @@
             yield from _answers(client, request)
             yield from _attempts(request, begun)
             yield from _repeats(request, begun)
+            if not begun:
+                yield from _never_sent(scene, request)
     yield from _draining(scene)
 
 
@@ -138,6 +142,14 @@
         yield Finding(Check.NOT_TWICE, f"request {request.number} ran at {hosts}, the last past its window")
 
 
+def _never_sent(scene: Scene, request: Request) -> Iterator[Finding]:
+    """A command that was cut short may have been this one's: the host cannot tell."""
+    for at, text in request.answers:
+        cut = [when for host in scene.hosts for when in host.cut_short if request.asked <= when <= at]
+        if MAY_HAVE_RUN in text and not cut:
+            yield Finding(Check.TRIED_AGAIN, f"request {request.number} ({request.lane}): {text}")
+
+
 def _draining(scene: Scene) -> Iterator[Finding]:
     broken = address(scene.log.address)[1] in scene.faults.connections.broken
     for host in scene.hosts:
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -80,7 +80,7 @@
     def __init__(self, folder: Path, plan: FaultPlan, seed: int, hosts: int = 3) -> None:
         self.before = open_descriptors()
         self.plan, self.clock = plan, PlayClock()
-        self.faults = NetworkFaults(plan, wall=lambda: self.clock.now + EPOCH)
+        self.faults = NetworkFaults(plan, wall=lambda: self.clock.now + EPOCH, wait=self.clock.wait)
         self.far = FarLoop(self.clock)
         self.hosts = [FarHost(self.far, f"s-{number}", str(seed)) for number in range(hosts)]
         self.log, self.peer = FarChangeLog(self.far), FarPeer(self.far)
@@ -157,6 +157,7 @@
         if self.turns > MOST_TURNS:
             raise StuckError(f"{MOST_TURNS} turns at {self.clock.now}")
         worked = self.far.turn()
+        self.clock.idle = True
         try:
             self.loop.turn()
         except Exception as error:  # noqa: BLE001 - whatever it is, it would have ended the gateway
--- a/gaproute/faultinjection/play/timeline.py
+++ b/gaproute/faultinjection/play/timeline.py
@@ -9,24 +9,18 @@
 import heapq
 import select
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Any
 
 MICRO, MILLI, SECOND = 1_000, 1_000_000, 1_000_000_000
 START = 1000 * SECOND  # on the monotonic clock of a play
 LOOPBACK_DELAY = 0.0001  # seconds of real time within which loopback hands over what was sent
 
 
-class PolledEpoll(Protocol):
-    """What a loop's clock is handed to look for events."""
-
-    def poll(self, timeout: float) -> list[tuple[int, int]]:
-        """Events that are ready."""
-
-
 class PlayClock:
     """The monotonic clock of both sides. Each reading takes a microsecond: no work takes no time.
 
-    The gateway's loop polls through it, without waiting; `idle` says whether that found nothing.
+    The gateway waits for events by `wait`, which never does: `idle` says whether all of its looks since it
+    was last set have found nothing.
     """
 
     def __init__(self) -> None:
@@ -37,11 +31,10 @@
         self.now += MICRO
         return self.now
 
-    def poll(self, epoll: PolledEpoll, span: int) -> list[tuple[int, int]]:
-        """The events that are there now."""
-        self.idle = False
-        ready = epoll.poll(0)
-        self.idle = not ready
+    def wait(self, epoll: select.epoll, timeout: float | None, most: int) -> list[tuple[int, int]]:
+        """The events that are there now, in place of `epoll.poll`."""
+        ready = epoll.poll(0, most)
+        self.idle = self.idle and not ready
         return ready
 
 
--- a/gaproute/faultinjection/sockets.py
+++ b/gaproute/faultinjection/sockets.py
@@ -9,12 +9,15 @@
 import os
 import select
 import socket
+from collections.abc import Callable
 from typing import Any, ClassVar
 
 from gaproute.faultinjection.catalog import BROKEN, NetworkCall
 from gaproute.faultinjection.plan import Failure, FaultPlan, ShortTransfer
 
 Address = Any  # of a socket: a tuple or a path, by its family
+Events = list[tuple[int, int]]
+Wait = Callable[[select.epoll, float | None, int], Events]  # epoll, seconds, most events
 
 
 def system_error(number: int) -> OSError:
@@ -25,11 +28,11 @@
 class Connections:
     """What must be known of connections beyond one socket object: a descriptor moves between several.
 
-    `broken`: the peers' addresses of connections that a fault has ended.
+    `broken`: the peers' addresses of connections that a fault has ended. `wait`: how an epoll is waited for.
     """
 
-    def __init__(self, plan: FaultPlan) -> None:
-        self.plan = plan
+    def __init__(self, plan: FaultPlan, wait: Wait) -> None:
+        self.plan, self.wait = plan, wait
         self.broken: set[Address] = set()
         self._pending: dict[int, int] = {}  # descriptor: errno that its next read at the end shows
 
@@ -183,11 +186,11 @@
         self._connections.fail(NetworkCall.EPOLL_DELETE)
         self._epoll.unregister(descriptor)
 
-    def poll(self, timeout: float | None = None, maxevents: int = -1) -> list[tuple[int, int]]:
+    def poll(self, timeout: float | None = None, maxevents: int = -1) -> Events:
         """See epoll_wait(2). Python itself waits on after a signal; code that relies on it does not wait
         through another binding, nor where a signal's handler raises."""
         self._connections.fail(NetworkCall.EPOLL_WAIT)
-        return self._epoll.poll(timeout, maxevents)
+        return self._connections.wait(self._epoll, timeout, maxevents)
 
     def fileno(self) -> int:
         """The descriptor."""
--- /dev/null
+++ b/tests/faultinjection/test_fault_plan.py
@@ -0,0 +1,84 @@
+"""A script or seeded chance decides which call fails; the log of one play is the script of another."""
+
+import errno
+
+import pytest
+
+from gaproute.faultinjection.plan import Chances, Failure, FaultPlan, Periodic, Script, ShortTransfer
+
+FULL, REFUSED = Failure(errno.EMFILE), Failure(errno.ECONNREFUSED)
+
+
+def injected(plan, call, times):
+    found = []
+    for _ in range(times):
+        found.append(plan.inject(call))
+    return found
+
+
+def test_a_script_fails_the_calls_that_it_names_and_no_others():
+    plan = FaultPlan(Script.of(("accept", 3, FULL), ("connect", 1, REFUSED)))
+    assert injected(plan, "accept", 4) == [None, None, FULL, None]
+    assert injected(plan, "connect", 2) == [REFUSED, None]
+
+
+def test_a_periodic_fault_comes_back():
+    plan = FaultPlan(Periodic("accept", FULL, 2))
+    assert injected(plan, "accept", 4) == [None, FULL, None, FULL]
+    assert injected(plan, "connect", 2) == [None, None]
+
+
+def test_chance_fails_about_one_call_in_so_many_in_each_of_its_ways():
+    plan = FaultPlan(Chances(1, 20, {"accept": (FULL, REFUSED)}))
+    found = [fault for fault in injected(plan, "accept", 20_000) if fault]
+    assert 850 < len(found) < 1150 and 400 < found.count(FULL) < 600
+
+
+def test_the_same_seed_fails_the_same_calls_and_another_seed_others():
+    faults = {"accept": (FULL, REFUSED)}
+    runs = [injected(FaultPlan(Chances(seed, 5, faults)), "accept", 200) for seed in (1, 1, 2)]
+    assert runs[0] == runs[1] != runs[2]
+
+
+def test_what_one_call_draws_does_not_depend_on_how_often_others_are_made():
+    faults = {"accept": (FULL,), "connect": (REFUSED,)}
+    alone = injected(FaultPlan(Chances(7, 5, faults)), "accept", 50)
+    plan = FaultPlan(Chances(7, 5, faults))
+    beside = []
+    for _ in range(50):
+        beside.append(plan.inject("accept"))
+        injected(plan, "connect", 3)
+    assert beside == alone
+
+
+def test_single_calls_may_have_other_odds():
+    plan = FaultPlan(Chances(1, 1000, {"accept": (FULL,), "connect": (REFUSED,)}, odds_of={"connect": 1}))
+    assert injected(plan, "connect", 5) == [REFUSED] * 5
+
+
+@pytest.mark.parametrize("told", [{"odds": 0}, {"odds": 5, "odds_of": {"accept": 0}}])
+def test_odds_below_one_are_an_error(told):
+    with pytest.raises(ValueError, match="one in 1 or more"):
+        Chances(1, faults={}, **told)
+
+
+def test_while_it_is_paused_calls_are_neither_failed_nor_counted():
+    plan = FaultPlan(Script.of(("accept", 2, FULL)))
+    plan.inject("accept")
+    with plan.pause():
+        assert injected(plan, "accept", 3) == [None] * 3
+    assert plan.inject("accept") == FULL and not plan.paused
+
+
+def test_the_log_tells_call_number_fault_and_place_and_plays_again():
+    plan = FaultPlan(Chances(3, 4, {"accept": (FULL, ShortTransfer(1))}))
+    first = injected(plan, "accept", 40)
+    assert injected(FaultPlan(Script(plan.log)), "accept", 40) == first
+    line = plan.log[0]
+    assert first[line.occurrence - 1] == line.fault
+    assert "test_fault_plan.py" in line.site and line.site.endswith("injected")
+    assert plan.report().splitlines()[0] == f"accept #{line.occurrence}: {line.fault} at {line.site}"
+
+
+def test_faults_tell_their_errno_by_name():
+    assert str(FULL) == "EMFILE" and str(ShortTransfer(7)) == "at most 7 bytes"
