--- a/gaproute/faultinjection/network.py
+++ b/gaproute/faultinjection/network.py
@@ -147,13 +147,9 @@
             self.connections.fail(NetworkCall.PIPE_READ)
             return os.read(descriptor, size)
         size = self.connections.before_transfer(NetworkCall.RECV, descriptor, size)
-        data = os.read(descriptor, size)
-        if not data:
-            self.connections.at_end(descriptor)
-        return data
+        return os.read(descriptor, size)
 
     def _close(self, descriptor: int) -> None:
-        self.connections.closed(descriptor)
         self._pipes.discard(descriptor)
         os.close(descriptor)
 
--- a/gaproute/faultinjection/play/far_ends.py
+++ b/gaproute/faultinjection/play/far_ends.py
@@ -169,6 +169,7 @@
         self.name, self.reliable = name, False
         self.attempts: list[Attempt] = []
         self.cut_short: list[int] = []  # when a connection ended within a command
+        self.garbled: list[bytes] = []  # commands that cannot be read
         self.load_orders: list[int] = []  # when each came
         self._random = random.Random(f"{seed}/{name}")
 
@@ -181,7 +182,7 @@
             *lines, rest = bytes(buffer).split(b"\n")
             buffer[:] = rest
             for line in lines:
-                self._command(connection, json.loads(line))
+                self._read(connection, line)
 
         def ended() -> None:
             if buffer:
@@ -190,6 +191,15 @@
         connection = FarConnection(self.loop, sock, came, ended)
         self.connections.append(connection)
 
+    def _read(self, connection: FarConnection, line: bytes) -> None:
+        try:
+            command = json.loads(line)
+        except ValueError:
+            self.garbled.append(line)
+            connection.close()
+        else:
+            self._command(connection, command)
+
     def _command(self, connection: FarConnection, command: dict[str, Any]) -> None:
         match command["type"]:
             case "go":
@@ -351,6 +361,7 @@
         self.loop = loop
         self.requests: dict[int, Request] = {}
         self.strays: list[dict[str, Any]] = []  # answers that nobody asked for
+        self.garbled: list[bytes] = []  # what cannot be read
         self.leaving = False  # nothing more is asked on it
         self._buffer = b""
         self._unsent: list[bytes] = []  # pieces; one request after the other
@@ -428,11 +439,17 @@
         self._buffer += data
         while b"\r\n\r\n" in self._buffer:
             head, _, rest = self._buffer.partition(b"\r\n\r\n")
-            size = int(head.split(b":")[1])
-            if len(rest) < size:
+            try:
+                size = int(head.split(b":")[1])
+                if len(rest) < size:
+                    return
+                answer = json.loads(rest[:size])
+            except (ValueError, IndexError):
+                self.garbled.append(self._buffer)
+                self._buffer = b""
                 return
             self._buffer = rest[size:]
-            self._answered(json.loads(rest[:size]))
+            self._answered(answer)
 
     def _answered(self, answer: dict[str, Any]) -> None:
         request = self.requests.get(answer["id"]) if answer["id"] is not None else None
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -50,6 +50,7 @@
     NOT_AFTER_ANSWER = "nothing begins after the final answer"
     TRIED_AGAIN = "what no host was sent does not end as what may have run"
     DEADLINE_TOLD = "the deadline passed to a host is at most what the client has left"
+    READABLE = "what the far ends are sent can be read"
     DRAINING_KEPT = "nothing goes to a host past the grace after it was told draining"
     DESCRIPTORS = "no descriptor is left over"
     WATCHED = "no descriptor is watched for nobody"
@@ -91,6 +92,9 @@
     for host in scene.hosts:
         for attempt in host.attempts:
             attempts.setdefault(attempt.mark, []).append(attempt)
+    for end in (*scene.clients, *scene.hosts):
+        for data in end.garbled:
+            yield Finding(Check.READABLE, repr(data[:200]))
     for client in scene.clients:
         for stray in client.strays:
             yield Finding(Check.ONE_ANSWER, f"an answer that nobody asked for: {stray}")
--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -5,6 +5,7 @@
 import random
 from dataclasses import dataclass
 
+from gaproute.faultinjection.catalog import STEPS
 from gaproute.faultinjection.play.far_ends import Departure, FarClient, Request
 from gaproute.faultinjection.play.scene import FREE, GUARDED, LANES, SINGLE_SHOT, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
@@ -20,11 +21,13 @@
 
 @dataclass(frozen=True)
 class Conditions:
-    """What a play is like, beside its faults. `stop`: the gateway is told to stop in the middle."""
+    """What a play is like, beside its faults. `clock_steps`: how often the wall clock is stepped; `stop`: the
+    gateway is told to stop in the middle."""
 
     requests: int = 40
     length: int = 2 * SECOND
     hosts: int = 3
+    clock_steps: int = 3
     stop: bool = False
 
 
@@ -40,6 +43,9 @@
             self._plan_request(number, conditions.length)
         if conditions.hosts > 1:
             self._plan_drain(conditions.length)
+        for _ in range(conditions.clock_steps):
+            span = self._random.choice(STEPS) * self._random.choice((SECOND, -SECOND))
+            scene.far.after(self._random.randrange(conditions.length), scene.faults.wall_clock.step, span)
         if conditions.stop:
             scene.far.after(conditions.length // 2, self._stop)
 
--- a/gaproute/faultinjection/sockets.py
+++ b/gaproute/faultinjection/sockets.py
@@ -1,7 +1,8 @@
 """Sockets, epoll and descriptors that ask a fault plan before each system call.
 
-A connection that is made to break is shut down for good, so that the kernel tells of it as of a real one:
-what had come in before is still read, then the error is shown once, then the end.
+A connection that is made to break is shut down for good, so that the kernel tells of it as of a real one: the
+error is shown once, then the end. A read that fails loses what was on its way; after a write that fails what
+had come in before can still be read.
 """
 
 from __future__ import annotations
@@ -15,6 +16,7 @@
 from gaproute.faultinjection.catalog import BROKEN, NetworkCall
 from gaproute.faultinjection.plan import Failure, FaultPlan, ShortTransfer
 
+CHUNK = 65536
 Address = Any  # of a socket: a tuple or a path, by its family
 Events = list[tuple[int, int]]
 Wait = Callable[[select.epoll, float | None, int], Events]  # epoll, seconds, most events
@@ -34,7 +36,6 @@
     def __init__(self, plan: FaultPlan, wait: Wait) -> None:
         self.plan, self.wait = plan, wait
         self.broken: set[Address] = set()
-        self._pending: dict[int, int] = {}  # descriptor: errno that its next read at the end shows
 
     def fail(self, call: NetworkCall) -> None:
         """Raises the error that the plan has for this call, if any."""
@@ -50,27 +51,17 @@
         if isinstance(fault, Failure):
             if fault.errno not in BROKEN:
                 raise system_error(fault.errno)
-            self._break(descriptor)
-            if call is NetworkCall.SEND:
-                raise system_error(fault.errno)
-            self._pending[descriptor] = fault.errno  # shown once what lies there has been read
+            self._break(descriptor, lose=call is NetworkCall.RECV)
+            raise system_error(fault.errno)
         return size
 
-    def at_end(self, descriptor: int) -> None:
-        """A read has come to the end: raises the error of a broken connection, once."""
-        number = self._pending.pop(descriptor, None)
-        if number is not None:
-            raise system_error(number)
-
-    def closed(self, descriptor: int) -> None:
-        """The descriptor is given back: its number may serve another connection."""
-        self._pending.pop(descriptor, None)
-
-    def _break(self, descriptor: int) -> None:
+    def _break(self, descriptor: int, *, lose: bool) -> None:
         copy = socket.socket(fileno=os.dup(descriptor))
         try:
             self.broken.add(copy.getpeername())
             copy.shutdown(socket.SHUT_RDWR)
+            while lose and copy.recv(CHUNK, socket.MSG_DONTWAIT):
+                pass
         except OSError:
             pass  # the far end was first
         finally:
@@ -142,10 +133,7 @@
             self.connections.fail(NetworkCall.RECV_DATAGRAM)
             return super().recv(size, flags)
         size = self.connections.before_transfer(NetworkCall.RECV, self.fileno(), size)
-        data = super().recv(size, flags)
-        if not data:
-            self.connections.at_end(self.fileno())
-        return data
+        return super().recv(size, flags)
 
     def send(self, data: Any, flags: int = 0) -> int:
         """See send(2)."""
@@ -157,12 +145,6 @@
         self.connections.fail(NetworkCall.SEND_DATAGRAM)
         return super().sendto(data, *args)
 
-    def close(self) -> None:
-        """See close(2)."""
-        if self.fileno() >= 0:
-            self.connections.closed(self.fileno())
-        super().close()
-
 
 class FaultyEpoll:
     """An epoll whose calls fail as the plan says."""
