--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -13,8 +13,8 @@
 WEIGHTS = {FREE: 2, SINGLE_SHOT: 2, GUARDED: 1}
 SPANS = (400 * MILLI, 1000 * MILLI, 1500 * MILLI)  # that clients wait
 REUSED = 0.6  # of the requests go on a connection that is open
-DEPARTURES = 0.2  # of the requests are left before their answer
-LATEST_DEPARTURE = 300 * MILLI  # after the request
+DEPARTURES = 0.25  # of the requests are left before their answer
+LATEST_DEPARTURE = 60 * MILLI  # after the request
 MOST_PIECES = 3  # that a request is sent in
 DRAIN_TIME = SECOND
 
