--- a/gaproute/faultinjection/sockets.py
+++ b/gaproute/faultinjection/sockets.py
@@ -83,6 +83,9 @@
         if fileno is None:
             self.connections.fail(NetworkCall.SOCKET)
         super().__init__(family, type, proto, fileno)
+        if self._is_stream() and self.family in (socket.AF_INET, socket.AF_INET6):
+            # Where the code's own call fails, the kernel's real delays would count in a play's time.
+            super().setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def _is_stream(self) -> bool:
         return self.type == socket.SOCK_STREAM
