--- a/gaproute/faultinjection/plan.py
+++ b/gaproute/faultinjection/plan.py
@@ -100,14 +100,16 @@
 
 
 class Periodic:
-    """Every `every`th call of one name shows the same fault. A script that holds whatever else is called."""
+    """Of every `every` calls of one name the last `burst` show the same fault, whatever else is called."""
 
-    def __init__(self, call: str, fault: Fault, every: int) -> None:
-        self._call, self._fault, self._every = call, fault, every
+    def __init__(self, call: str, fault: Fault, every: int, burst: int = 1) -> None:
+        self._call, self._fault = call, fault
+        self._every, self._burst = every, burst
 
     def fault(self, call: str, occurrence: int) -> Fault | None:
         """See `FaultSource`."""
-        return self._fault if call == self._call and occurrence % self._every == 0 else None
+        shown = call == self._call and (occurrence - 1) % self._every >= self._every - self._burst
+        return self._fault if shown else None
 
 
 class Chances:
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -60,6 +60,7 @@
     NO_SPIN = "the loop does not turn without end while nothing happens"
     RECOVERS = "service is back once the faults are over"
     PEERS_RECOVER = "gateways hear each other once the faults are over"
+    STARTS = "the gateway starts although calls fail for a moment"
     STOPS = "the gateway stops within the time that SIGTERM grants"
 
 
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -20,6 +20,7 @@
 AFTERMATH = 4 * SECOND  # without faults: all requests are over, an ejected host is tried again
 QUIET = 18 * SECOND  # after the last client: idle connections have come to their ends
 RECOVERY_SPAN = 1500 * MILLI  # of a request once the faults are over
+MOST_STARTS = 20
 STOP_TIME = 4 * SECOND  # after the stop: the longest deadline, and what SIGTERM grants beyond it
 
 
@@ -84,8 +85,9 @@
 
 
 def _played(scene: Scene, seed: int, conditions: Conditions) -> Iterator[Finding]:
-    with scene.plan.pause():
-        scene.process.start()
+    scene.plan.paused = not conditions.faulty_start
+    yield from _started(scene)
+    scene.plan.paused = False
     Traffic(scene, seed, conditions)
     scene.passes(conditions.length)
     scene.plan.paused = True
@@ -99,6 +101,17 @@
     yield from rules.judge_errors(scene)
 
 
+def _started(scene: Scene) -> Iterator[Finding]:
+    """A start that failed is begun anew, as the program does; it must have left nothing behind."""
+    for _ in range(MOST_STARTS):
+        try:
+            scene.process.start()
+            return
+        except OSError as error:
+            last = error
+    yield Finding(Check.STARTS, repr(last))
+
+
 def _stopped(scene: Scene) -> Iterator[Finding]:
     scene.passes(STOP_TIME)
     if scene.loop.running:
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -21,6 +21,7 @@
 from gaproute.node.process import Process
 
 EPOCH = 1_800_000_000 * SECOND  # that the wall clock is ahead of the play's monotonic one
+HOSTS_AGE = 86_400 * SECOND  # more than the wall clock is stepped: the hosts are warm
 MOST_TURNS = 20_000  # of a play, which has some 2,000; one that needs more is stuck
 REPEAT_WINDOW = 700 * MILLI  # for which hosts know a request by its key
 
@@ -124,7 +125,7 @@
                 "cell": 2,
                 "phase": phase,
                 "size": 4,
-                "up_since_ms": EPOCH // MILLI,
+                "up_since_ms": (EPOCH - HOSTS_AGE) // MILLI,
             }
             for name, phase in phases.items()
         ]
--- a/tests/faultinjection/test_fault_plan.py
+++ b/tests/faultinjection/test_fault_plan.py
@@ -26,6 +26,8 @@
     plan = FaultPlan(Periodic("accept", FULL, 2))
     assert injected(plan, "accept", 4) == [None, FULL, None, FULL]
     assert injected(plan, "connect", 2) == [None, None]
+    burst = FaultPlan(Periodic("accept", FULL, 4, 2))
+    assert injected(burst, "accept", 6) == [None, None, FULL, FULL, None, None]
 
 
 def test_chance_fails_about_one_call_in_so_many_in_each_of_its_ways():
