--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -11,7 +11,7 @@
 from gaproute.faultinjection.network import NetworkFaults
 from gaproute.faultinjection.plan import FaultPlan
 from gaproute.faultinjection.play.far_ends import FarChangeLog, FarClient, FarHost, FarPeer
-from gaproute.faultinjection.play.timeline import MILLI, SECOND, FarLoop, PlayClock, arrives_soon
+from gaproute.faultinjection.play.timeline import MICRO, MILLI, SECOND, FarLoop, PlayClock, arrives_soon
 from gaproute.lobby import Lot
 from gaproute.lobby.parking import NONE
 from gaproute.loop import Loop
@@ -22,6 +22,7 @@
 
 EPOCH = 1_800_000_000 * SECOND  # that the wall clock is ahead of the play's monotonic one
 HOSTS_AGE = 86_400 * SECOND  # more than the wall clock is stepped: the hosts are warm
+TURN_TIME = 20 * MICRO  # that a turn with something to do takes
 MOST_TURNS = 20_000  # of a play, which has some 2,000; one that needs more is stuck
 REPEAT_WINDOW = 700 * MILLI  # for which hosts know a request by its key
 
@@ -161,6 +162,7 @@
 
     def _turn(self, until: int) -> None:
         self.turns += 1
+        self.clock.now += TURN_TIME
         if self.turns > MOST_TURNS:
             raise StuckError(f"{MOST_TURNS} turns at {self.clock.now}")
         worked = self.far.turn()
