--- a/benchmarks/fault_hunt.py
+++ b/benchmarks/fault_hunt.py
@@ -5,7 +5,8 @@
 
 A failure is printed with its seed, its findings and the faults that were injected, each with its call, its
 number and the place in the code. `--reduce` plays it again with ever fewer faults and prints the few that
-matter. `--replay SEED ODDS` plays one seed alone. Each fourth play has the gateway told to stop. Exit code 1
+matter. `--replay SEED ODDS` plays one seed alone. Each fourth play has the gateway told to stop, each
+third has faults from its start on. Exit code 1
 where a rule broke.
 """
 
@@ -19,12 +20,14 @@
 from gaproute.faultinjection.play.runner import Verdict, by_chance, play, reduce_faults
 from gaproute.faultinjection.play.traffic import Conditions
 
-STOP_EACH = 4  # one play of so many has the gateway told to stop
+STOP_EACH, START_EACH = 4, 3  # one play of so many has the gateway told to stop, has faults from its start
 
 
 def conditions_of(seed: int) -> Conditions:
     """What the play of that seed is like."""
-    return Conditions(stop=seed % STOP_EACH == STOP_EACH - 1)
+    return Conditions(
+        stop=seed % STOP_EACH == STOP_EACH - 1, faulty_start=seed % START_EACH == START_EACH - 1
+    )
 
 
 def main() -> int:
