--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -11,7 +11,8 @@
 from enum import Enum
 from pathlib import Path
 
-from gaproute.faultinjection.play.far_ends import NEVER_RAN, Attempt, FarClient, Request
+from gaproute.faultinjection.play.far_client import FarClient, Request
+from gaproute.faultinjection.play.far_host import NEVER_RAN, Attempt
 from gaproute.faultinjection.play.scene import GUARDED, REPEAT_WINDOW, SINGLE_SHOT, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 from gaproute.lobby import Lot
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -11,7 +11,7 @@
 from gaproute.faultinjection.catalog import FAULTS
 from gaproute.faultinjection.plan import Chances, FaultPlan, FaultSource, InjectedFault, Script
 from gaproute.faultinjection.play import rules
-from gaproute.faultinjection.play.far_ends import Request
+from gaproute.faultinjection.play.far_client import Request
 from gaproute.faultinjection.play.rules import Check, Finding
 from gaproute.faultinjection.play.scene import LANES, Scene, StuckError
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -10,7 +10,9 @@
 
 from gaproute.faultinjection.network import NetworkFaults
 from gaproute.faultinjection.plan import FaultPlan
-from gaproute.faultinjection.play.far_ends import FarChangeLog, FarClient, FarHost, FarPeer
+from gaproute.faultinjection.play.far_client import FarClient
+from gaproute.faultinjection.play.far_host import FarHost
+from gaproute.faultinjection.play.far_others import FarChangeLog, FarPeer
 from gaproute.faultinjection.play.timeline import MICRO, MILLI, SECOND, FarLoop, PlayClock, arrives_soon
 from gaproute.lobby import Lot
 from gaproute.lobby.parking import NONE
--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from gaproute.faultinjection.catalog import STEPS
-from gaproute.faultinjection.play.far_ends import Departure, FarClient, Request
+from gaproute.faultinjection.play.far_client import Departure, FarClient, Request
 from gaproute.faultinjection.play.scene import FREE, GUARDED, LANES, SINGLE_SHOT, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 
