--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -11,7 +11,7 @@
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Request
 from gaproute.shared.raft.sessions import Sessions
-from gaproute.storage.votes import Votes
+from gaproute.storage.raft_log_file import RaftLogFile
 
 SECOND = 1_000_000_000
 LEASES = (64, 256, 1_024, 4_096)  # the bound on both
@@ -59,7 +59,7 @@
     """A group of one on a disk of its own, so that nothing but its own log matters."""
 
     def __init__(self, path, seed):
-        self.disk = Votes(path).open()
+        self.disk = RaftLogFile(path).open()
         self.keeper = Keeper(NAME, [NAME], self.disk, Chance(seed), 0, Permits(quiet=False))
         self.now = 0
 
--- a/gaproute/appliance/keeping.py
+++ b/gaproute/appliance/observation_writer.py
@@ -14,7 +14,7 @@
 MOST = 256  # facts in one transaction: about a millisecond
 
 
-class Keeper:
+class ObservationWriter:
     """Every KEEP_EVERY what changed is written, and now and then the whole, so that slow figures come too."""
 
     def __init__(self, loop, memory, gateway, roll, tracks, meter=time.thread_time_ns):
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -1,6 +1,6 @@
 """What one gateway has to do with the others and with its own past life: parts wired, nothing decided."""
 
-from gaproute.appliance.keeping import Keeper
+from gaproute.appliance.observation_writer import ObservationWriter
 from gaproute.appliance.strong import Strong
 from gaproute.config import read_peers
 from gaproute.decisions.chance import Chance
@@ -15,7 +15,7 @@
 from gaproute.peers.gossip import Carrier
 from gaproute.peers.raft.carrier import TARGET
 from gaproute.peers.raft.wire import LONGEST
-from gaproute.storage import Memory, NoMemory
+from gaproute.storage import ObservationStore, ObservationStoreError
 
 # Of those that ask at a gateway that takes part in the strong word: batches are long, and every gateway of
 # a large fleet may hold a connection to each keeper.
@@ -85,13 +85,15 @@
         cannot be opened is tried again while the gateway serves, and written to from then on."""
         if self.charter.memory is None:
             return
-        memory = Memory(self.charter.memory, lambda text: self.record.event("warning", "memory", text=text))
+        memory = ObservationStore(
+            self.charter.memory, lambda text: self.record.event("warning", "memory", text=text)
+        )
         try:
             memory.open()
             self._recall(memory)
-        except NoMemory as fault:
+        except ObservationStoreError as fault:
             self.record.event("warning", "no memory", text=str(fault))
-        self.keeper = Keeper(self.loop, memory, self.gateway, self.roll, self.tracks)
+        self.keeper = ObservationWriter(self.loop, memory, self.gateway, self.roll, self.tracks)
 
     def _recall(self, memory):
         now = self.loop.now()
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -7,8 +7,8 @@
 from gaproute.peers.raft import Seat
 from gaproute.shared.leases import Permits
 from gaproute.shared.leases.errands import Errands
-from gaproute.storage.files import MOMENTARY
-from gaproute.storage.votes import Votes
+from gaproute.storage.files import TRANSIENT_ERRNOS
+from gaproute.storage.raft_log_file import RaftLogFile
 
 MILLI = 1_000_000
 LIVES = 40  # bits of a life's first errand: with 4,096 after it, all fit JSON's 2^53
@@ -22,7 +22,7 @@
         self.loop, self.peers = loop, {}  # name: address
         self.disk = None
         if name in line.names:
-            self.disk = Votes(line.votes, lambda text: record.event("warning", "votes", text=text))
+            self.disk = RaftLogFile(line.votes, lambda text: record.event("warning", "votes", text=text))
             self._open()
         self.seat = Seat(
             loop,
@@ -42,7 +42,7 @@
         try:
             self.disk.open()
         except OSError as fault:
-            if fault.errno not in MOMENTARY:
+            if fault.errno not in TRANSIENT_ERRNOS:
                 raise
             # the group's node opens it with its first read, which it repeats (`DISK_AGAIN`)
 
--- a/gaproute/hollow/cells/fleet.py
+++ b/gaproute/hollow/cells/fleet.py
@@ -13,7 +13,7 @@
 from gaproute.hollow.simulation.network import FAR, NEAR, SimulatedCarrier, SimulatedDatagrams
 from gaproute.peers.tables import encoding
 from gaproute.shared.dissemination import Peer
-from gaproute.storage.tables import StoredTable
+from gaproute.storage.cell_table_file import StoredTable
 
 SEEDS = 4  # configured peers outside the own cell
 
--- a/gaproute/hollow/cells/surroundings.py
+++ b/gaproute/hollow/cells/surroundings.py
@@ -7,7 +7,7 @@
 from gaproute.decisions.cells.place import Place
 from gaproute.hollow.parts import Surroundings
 from gaproute.shared.dissemination import Peer
-from gaproute.storage.tables import StoredTable
+from gaproute.storage.cell_table_file import StoredTable
 
 
 @dataclass(kw_only=True)
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -15,7 +15,7 @@
 from gaproute.shared.dissemination.messages import NOTHING, Pull
 from gaproute.shared.dissemination.sightings import Standing
 from gaproute.shared.dissemination.view import Candidates
-from gaproute.storage.tables import StoredTable, TableFile
+from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 
 KIND = "table"
 LEAST_TURN = SECOND // 200  # between two turns of the timer
@@ -36,7 +36,7 @@
         self.configured = ()
         self.callbacks = []
         self.puller = Puller(loop)
-        self.file = None if path is None else TableFile(path, fleet, self._tell)
+        self.file = None if path is None else CellTableFile(path, fleet, self._tell)
         self.told = NOTHING  # the version that the callbacks were told
         self.written, self.write_at = NOTHING, loop.now()
         self.listed_from, self.list_at = None, loop.now()
--- a/gaproute/simulation/disk.py
+++ b/gaproute/simulation/disk.py
@@ -1,10 +1,10 @@
-"""A simulated disk with the face of gaproute/storage/votes.py: what was not synced may be lost at a crash.
+"""A simulated disk with the face of storage/raft_log_file.py: what was not synced may be lost at a crash.
 
 `pending` is what was appended and not synced; at a crash the first few of it may have come onto the disk (a
 record that was written in part is cut off by its checksum, so it counts as not written). A replacement is
 either whole or not there. `fuse`: the n-th operation from now ends the process, before or after its effect.
-After a failed write the disk refuses all but a replacement until it is opened again, as votes.py does: what a
-failed sync leaves on the plate is not known.
+After a failed write the disk refuses all but a replacement until it is opened again, as raft_log_file.py
+does: what a failed sync leaves on the plate is not known.
 """
 
 import errno
--- a/gaproute/storage/__init__.py
+++ b/gaproute/storage/__init__.py
@@ -1,6 +1,6 @@
 """State on disk."""
 
-from gaproute.storage.memory import Memory, NoMemory
-from gaproute.storage.votes import Votes
+from gaproute.storage.observation_store import ObservationStore, ObservationStoreError
+from gaproute.storage.raft_log_file import RaftLogFile
 
-__all__ = ["Memory", "NoMemory", "Votes"]
+__all__ = ["ObservationStore", "ObservationStoreError", "RaftLogFile"]
--- a/gaproute/storage/tables.py
+++ b/gaproute/storage/cell_table_file.py
@@ -36,12 +36,12 @@
     data: bytes
 
 
-class UnusableTable(Exception):
+class UnusableTableError(Exception):
     """The file holds no table of this fleet; the text says why."""
 
 
 @dataclass
-class TableFileCounts:
+class CellTableFileCounts:
     """What befell the file since the start."""
 
     written: int = 0
@@ -49,13 +49,13 @@
     set_aside: int = 0
 
 
-class TableFile:
+class CellTableFile:
     """`told(text)` is called with what an operator should know of, each outage once. `unread`: reads that
     failed since the last that did not, for a reason that passes; until it is 0 nothing should be written."""
 
     def __init__(self, path, fleet: str, told, wall=time.time_ns):
         self.path, self.fleet, self.told, self.wall = Path(path), fleet, told, wall
-        self.counts = TableFileCounts()
+        self.counts = CellTableFileCounts()
         self.unread = 0
         self.failing = False
 
@@ -67,9 +67,11 @@
         try:
             table = self._checked(content)
             if (table.term, table.number) < heard:
-                raise UnusableTable(f"version {table.term}.{table.number}, others hold {heard[0]}.{heard[1]}")
+                raise UnusableTableError(
+                    f"version {table.term}.{table.number}, others hold {heard[0]}.{heard[1]}"
+                )
             return table
-        except UnusableTable as reason:
+        except UnusableTableError as reason:
             self.set_aside(str(reason))
             return None
 
@@ -80,7 +82,7 @@
         try:
             if len(content) > MAX_FILE:
                 raise OSError(f"a table of {len(content)} bytes is more than {MAX_FILE}")
-            files.close(files.put_in_place(self.path, content))
+            files.close(files.replace_file(self.path, content))
         except OSError as fault:
             self._failed(fault)
             return False
@@ -101,12 +103,12 @@
 
     def _read(self) -> bytes | None:
         try:
-            content = files.read_whole(self.path, MAX_FILE + 1)
+            content = files.read_file(self.path, MAX_FILE + 1)
         except FileNotFoundError:
             content = None
         except OSError as fault:
             self._failed(fault)
-            self.unread = self.unread + 1 if fault.errno in files.MOMENTARY else 0
+            self.unread = self.unread + 1 if fault.errno in files.TRANSIENT_ERRNOS else 0
             if self.unread == MAX_READS:
                 self.unread = 0
                 self.set_aside(f"not read {MAX_READS} times: {fault}")
@@ -116,19 +118,19 @@
 
     def _checked(self, content):
         if len(content) > MAX_FILE:
-            raise UnusableTable(f"more than {MAX_FILE} bytes")
+            raise UnusableTableError(f"more than {MAX_FILE} bytes")
         if not content.startswith(MAGIC):
-            raise UnusableTable("no cell table")
+            raise UnusableTableError("no cell table")
         head = len(MAGIC) + CHECKSUM_BYTES
         body = content[head:]
         if content[len(MAGIC) : head] != _checksum(body):
-            raise UnusableTable("torn or altered: the checksum differs")
+            raise UnusableTableError("torn or altered: the checksum differs")
         try:
             table = msgspec.msgpack.decode(body, type=StoredTable)
         except msgspec.DecodeError as fault:
-            raise UnusableTable(f"no cell table: {fault}") from None
+            raise UnusableTableError(f"no cell table: {fault}") from None
         if table.fleet != self.fleet:
-            raise UnusableTable(f"of fleet {table.fleet!r:.140}, this gateway is of {self.fleet!r}")
+            raise UnusableTableError(f"of fleet {table.fleet!r:.140}, this gateway is of {self.fleet!r}")
         return table
 
     def _failed(self, fault):
--- a/gaproute/storage/files.py
+++ b/gaproute/storage/files.py
@@ -2,7 +2,7 @@
 
 After a failed fsync the kernel may hold the pages as clean that never reached the disk, and a further fsync
 reports success for them (fsync(2), "Errors"). So nothing here syncs a second time what failed once: whoever
-sees an OSError writes everything anew, which `put_in_place` does into a new file.
+sees an OSError writes everything anew, which `replace_file` does into a new file.
 """
 
 import errno
@@ -14,7 +14,7 @@
 NEW_FILE = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
 
 # What passes once the disk has space, answers or may be written again, or descriptors and memory are free.
-MOMENTARY = frozenset(
+TRANSIENT_ERRNOS = frozenset(
     {
         errno.ENOSPC,
         errno.EDQUOT,
@@ -28,7 +28,7 @@
 )
 
 
-def read_whole(path: str | Path, most: int | None = None) -> bytes:
+def read_file(path: str | Path, most: int | None = None) -> bytes:
     """The file's bytes, `most` of them at most. Errors: OSError."""
     file = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     content = bytearray()
@@ -69,7 +69,7 @@
         pass
 
 
-def sync_folder(folder: str | Path) -> None:
+def sync_directory(folder: str | Path) -> None:
     """Make the names in the folder durable. Errors: OSError."""
     file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
@@ -78,7 +78,7 @@
         close(file)
 
 
-def put_in_place(path: str | Path, content: bytes) -> int:
+def replace_file(path: str | Path, content: bytes) -> int:
     """Make `content` the file's content, durably; its descriptor, open for appending, is the caller's.
 
     Written beside, synced, renamed, and the folder synced. Errors: OSError; then the file holds either what
@@ -90,7 +90,7 @@
         write_all(file, content)
         os.fsync(file)
         os.rename(beside, path)
-        sync_folder(Path(path).parent)
+        sync_directory(Path(path).parent)
     except BaseException:
         close(file)
         _discard(beside)
--- a/gaproute/storage/records.py
+++ b/gaproute/storage/log_records.py
@@ -15,10 +15,10 @@
 MAGIC, SEAL = b"\x9evR1", b"\x9evS1"  # found again after a bad record
 START = MAGIC[:2]
 MOST = 16 << 20  # bytes of one record: a whole snapshot; more is a length that went bad
-head = struct.Struct("<4sIQQQ")
+HEADER = struct.Struct("<4sIQQQ")
 
 
-class Bad(Exception):
+class CorruptRecordError(Exception):
     """A record in the middle is not what was written; the text says where."""
 
 
@@ -26,33 +26,33 @@
     return xxhash.xxh3_64_intdigest(struct.pack("<4sIQQ", magic, len(data), number, first) + data)
 
 
-def packed(number, first, data, magic=MAGIC):
-    return head.pack(magic, len(data), number, first, _sum(magic, number, first, data)) + data
+def encode_record(number, first, data, magic=MAGIC):
+    return HEADER.pack(magic, len(data), number, first, _sum(magic, number, first, data)) + data
 
 
-def whole(records):
+def encode_replacement(records):
     """The bytes of a file that stands in another's place."""
-    parts = [packed(number, number, record) for number, record in enumerate(records)]
-    return b"".join([*parts, packed(len(parts), len(parts), b"", SEAL)])
+    parts = [encode_record(number, number, record) for number, record in enumerate(records)]
+    return b"".join([*parts, encode_record(len(parts), len(parts), b"", SEAL)])
 
 
 def _one(data, at):
     """(number, first, bytes or None for a seal, end) of the record that begins there, None if none does."""
-    if at + head.size > len(data):
+    if at + HEADER.size > len(data):
         return None
-    magic, size, number, first, told = head.unpack_from(data, at)
-    end = at + head.size + size
+    magic, size, number, first, told = HEADER.unpack_from(data, at)
+    end = at + HEADER.size + size
     if magic not in (MAGIC, SEAL) or size > MOST or end > len(data):
         return None
-    value = data[at + head.size : end]
+    value = data[at + HEADER.size : end]
     if told != _sum(magic, number, first, value):
         return None
     return number, first, value if magic == MAGIC else None, end
 
 
-def parsed(data):
+def decode_records(data):
     """([bytes of each record], length of what is good, number of the last record or -1). What follows the
-    good length is a torn tail. Errors: Bad, where what is not good was synced once."""
+    good length is a torn tail. Errors: CorruptRecordError, where what is not good was synced once."""
     records, at, last = [], 0, -1
     while at < len(data):
         one = _one(data, at)
@@ -66,6 +66,8 @@
         while look >= 0:
             later = _one(data, look)
             if later is not None and later[1] > last + 1:
-                raise Bad(f"record {last + 1} at byte {at} is not what was written; {later[0]} after it is")
+                raise CorruptRecordError(
+                    f"record {last + 1} at byte {at} is not what was written; {later[0]} after it is"
+                )
             look = data.find(START, look + 1 if later is None else later[3])
     return records, at, last
--- a/gaproute/storage/memory.py
+++ b/gaproute/storage/observation_store.py
@@ -30,7 +30,7 @@
 BUSY = 0  # s to wait for a lock: none, a task may be waiting
 RETRY_LEAST, RETRY_MOST = SECOND, 30 * SECOND  # between attempts at a disk that fails: doubled each time
 PRIMARY_CODE = 0xFF  # of SQLite's extended result codes: what kind of failure it is
-MOMENTARY = frozenset(
+TRANSIENT_ERRNOS = frozenset(
     {
         sqlite3.SQLITE_FULL,
         sqlite3.SQLITE_IOERR,
@@ -45,7 +45,7 @@
 )
 
 
-class NoMemory(Exception):
+class ObservationStoreError(Exception):
     """The file cannot be used; the text says why."""
 
 
@@ -63,20 +63,20 @@
     value: tuple
 
 
-class DamagedFile(sqlite3.DatabaseError):
+class DamagedFileError(sqlite3.DatabaseError):
     """SQLite opens the file and its own check finds it damaged; the text says where."""
 
 
 def passes(fault):
     """Whether a failure of SQLite's says nothing of the file itself."""
-    return getattr(fault, "sqlite_errorcode", 0) & PRIMARY_CODE in MOMENTARY
+    return getattr(fault, "sqlite_errorcode", 0) & PRIMARY_CODE in TRANSIENT_ERRNOS
 
 
 def _sum(key, data):
     return xxhash.xxh3_64_intdigest(key + data) - (1 << 63)  # as SQLite's signed integers
 
 
-class Memory:
+class ObservationStore:
     """`open` before use; where that failed a later write tries it again. `told(text)` is called with each
     thing an operator should know of. `failed`: writes that came to nothing."""
 
@@ -91,12 +91,12 @@
         self.pause, self.retry_at = 0, self.clock()  # 0: no attempt failed since the last write
 
     def open(self):
-        """Errors: NoMemory where the place cannot be written or another process holds it. It may be tried
-        again."""
+        """Errors: ObservationStoreError where the place cannot be written or another process holds it. It may
+        be tried again."""
         try:
             self._take_lock()
             self._connect_or_set_aside()
-        except NoMemory:
+        except ObservationStoreError:
             self.close()
             self._put_off()
             raise
@@ -109,21 +109,21 @@
             self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.ONLY_OWNER)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as fault:
-            raise NoMemory(f"{self.path}: {fault.strerror}") from fault
+            raise ObservationStoreError(f"{self.path}: {fault.strerror}") from fault
 
     def _connect_or_set_aside(self):
         try:
             if self.damaged:
-                raise DamagedFile(self.damaged)
+                raise DamagedFileError(self.damaged)
             self._connect()
         except sqlite3.Error as fault:
             if passes(fault):
-                raise NoMemory(f"{self.path}: {fault}") from fault
+                raise ObservationStoreError(f"{self.path}: {fault}") from fault
             self._set_aside(str(fault))
             try:
                 self._connect()
             except sqlite3.Error as again:
-                raise NoMemory(f"{self.path}: {again}") from again
+                raise ObservationStoreError(f"{self.path}: {again}") from again
 
     def _connect(self):
         self.base = base = sqlite3.connect(self.path, timeout=BUSY, isolation_level=None)
@@ -132,7 +132,7 @@
         if not self.checked:
             (health,), *_ = base.execute("PRAGMA quick_check(1)")
             if health != "ok":
-                raise DamagedFile(health)
+                raise DamagedFileError(health)
         base.execute(
             "CREATE TABLE IF NOT EXISTS facts "
             "(subject BLOB PRIMARY KEY, data BLOB, sum INTEGER, wall INTEGER) WITHOUT ROWID"
@@ -148,14 +148,14 @@
             except FileNotFoundError:
                 pass
             except OSError as fault:
-                raise NoMemory(f"{self.path}: {why}; {fault.strerror}") from fault
+                raise ObservationStoreError(f"{self.path}: {why}; {fault.strerror}") from fault
         self.told(f"{self.path}: {why}; set aside as {aside}")
 
     def ready(self):
         """Whether it can be written to; opens it where it is not open and the pause since the last attempt
         is over."""
         if self.base is None and self.clock() >= self.retry_at:
-            with contextlib.suppress(NoMemory):  # put off, and told before
+            with contextlib.suppress(ObservationStoreError):  # put off, and told before
                 self.open()
         return self.base is not None
 
--- a/gaproute/storage/votes.py
+++ b/gaproute/storage/raft_log_file.py
@@ -23,10 +23,10 @@
 
 from gaproute.shared.raft import Lost
 from gaproute.storage import files
-from gaproute.storage.records import Bad, packed, parsed, whole
+from gaproute.storage.log_records import CorruptRecordError, decode_records, encode_record, encode_replacement
 
 
-class Votes:
+class RaftLogFile:
     """`open` before use. `told(text)` says what an operator should know. `torn`: tails cut off."""
 
     def __init__(self, path, told=print, wall=time.time_ns):
@@ -56,12 +56,12 @@
                 self.open()
             self._forget()
             try:
-                data = files.read_whole(self.path)
+                data = files.read_file(self.path)
             except FileNotFoundError:
                 data = b""
             try:
-                records, good, _ = parsed(data)
-            except Bad as fault:
+                records, good, _ = decode_records(data)
+            except CorruptRecordError as fault:
                 return Lost(str(fault))
             self._put(records)
         if good < len(data):
@@ -75,7 +75,7 @@
         """Stands for good only when `sync` has come back."""
         self._usable()
         with _Noted(self):
-            files.write_all(self.file, packed(self.number, self.first, bytes(record)))
+            files.write_all(self.file, encode_record(self.number, self.first, bytes(record)))
             self.number += 1
 
     def sync(self):
@@ -91,7 +91,7 @@
             self._put(records)
 
     def _put(self, records):
-        file = files.put_in_place(self.path, whole(map(bytes, records)))
+        file = files.replace_file(self.path, encode_replacement(map(bytes, records)))
         self._forget()
         self.file = file
         self.number = self.first = len(records) + 1  # the seal is one
@@ -104,7 +104,7 @@
             aside = f"{self.path}.broken-{self.wall()}"
             os.rename(self.path, aside)
             self.told(f"{self.path}: {why}; set aside as {aside}; this keeper begins without a memory")
-            files.sync_folder(self.path.parent)
+            files.sync_directory(self.path.parent)
 
     def _usable(self):
         if self.failed is not None or self.file is None:
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -12,8 +12,8 @@
 from gaproute.shared.membership import ALIVE, DEAD, Members
 from gaproute.shared.raft import Keeper
 from gaproute.standins.net import Net
-from gaproute.storage.tables import StoredTable, TableFile
-from gaproute.storage.votes import Votes
+from gaproute.storage.cell_table_file import CellTableFile, StoredTable
+from gaproute.storage.raft_log_file import RaftLogFile
 
 SECOND = 1_000_000_000
 HOUR_MS = 3_600_000
@@ -138,13 +138,13 @@
 def test_votes_hold_no_time(tmp_path, step):
     files = []
     for name, wall in (("one", BEGUN_MS), ("two", BEGUN_MS + step)):
-        votes = Votes(tmp_path / name, wall=lambda wall=wall: wall).open()
+        votes = RaftLogFile(tmp_path / name, wall=lambda wall=wall: wall).open()
         votes.read()
         votes.append(b"vote")
         votes.sync()
         votes.close()
         files.append((tmp_path / name).read_bytes())
-        votes = Votes(tmp_path / name, wall=lambda wall=wall: wall - step).open()
+        votes = RaftLogFile(tmp_path / name, wall=lambda wall=wall: wall - step).open()
         assert votes.read() == [b"vote"]
         votes.close()
     assert files[0] == files[1]
@@ -155,9 +155,9 @@
     files = []
     for name, wall in (("one", BEGUN_MS), ("two", BEGUN_MS + step)):
         told = []
-        made = TableFile(tmp_path / name, "north", told.append, lambda wall=wall: wall)
+        made = CellTableFile(tmp_path / name, "north", told.append, lambda wall=wall: wall)
         assert made.write(StoredTable("north", 2, 7, 5, b"rows"))
         files.append((tmp_path / name).read_bytes())
-        later = TableFile(tmp_path / name, "north", told.append, lambda wall=wall: wall - step)
+        later = CellTableFile(tmp_path / name, "north", told.append, lambda wall=wall: wall - step)
         assert later.read((2, 7)).data == b"rows" and later.read((2, 8)) is None and len(told) == 1
     assert files[0] == files[1]
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -394,11 +394,11 @@
     "conf/words/kinds.py": 1,
     "discovery/changelog/events.py": 1,
     "discovery/listing.py": 2,
-    "ledger/memory.py": 1,
-    "ledger/tables.py": 1,
-    "ledger/votes.py": 1,
     "node/log.py": 1,
     "peers/gossip.py": 1,
+    "storage/cell_table_file.py": 1,
+    "storage/observation_store.py": 1,
+    "storage/raft_log_file.py": 1,
 }
 BENCH = {"cluster", "hollow", "trial"}  # they play fleets, and judge by taps that the hosts write
 
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -11,7 +11,7 @@
 from gaproute.peers.raft.carrier import BURST
 from gaproute.shared.leases import Permits
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
-from gaproute.storage.votes import Votes
+from gaproute.storage.raft_log_file import RaftLogFile
 
 
 class Record:
@@ -29,7 +29,7 @@
             self.start(name, number)
 
     def start(self, name, number=9):
-        disk = Votes(self.folder / name, lambda text: None).open() if name in self.names else None
+        disk = RaftLogFile(self.folder / name, lambda text: None).open() if name in self.names else None
         seat = Seat(
             self.loop,
             name,
--- a/tests/storage/test_tables.py
+++ b/tests/storage/test_cell_table_file.py
@@ -8,16 +8,16 @@
 
 from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
 from gaproute.faultinjection.plan import FaultPlan, Script
+from gaproute.storage import cell_table_file as cell_table_module
 from gaproute.storage import files
-from gaproute.storage import tables as tables_module
-from gaproute.storage.tables import MAX_FILE, MAX_READS, StoredTable, TableFile
+from gaproute.storage.cell_table_file import MAX_FILE, MAX_READS, CellTableFile, StoredTable
 
 KEPT = StoredTable("north", 3, 17, (1 << 64) - 1, b"rows" * 100)
 
 
 def opened(path, fleet="north"):
     told = []
-    return TableFile(path, fleet, told.append, wall=lambda: 7), told
+    return CellTableFile(path, fleet, told.append, wall=lambda: 7), told
 
 
 def asides(path):
@@ -131,7 +131,7 @@
 def test_why_a_table_cannot_be_used_is_told_also_where_it_cannot_be_set_aside(path):
     path.write_bytes(b"no table")
     kept, told = opened(path)
-    with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, BROKEN)))).installed(tables_module):
+    with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, BROKEN)))).installed(cell_table_module):
         assert kept.read() is None
     assert len(told) == 1 and "no cell table; not set aside: " in told[0]
 
--- a/tests/storage/test_memory.py
+++ b/tests/storage/test_observation_store.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import MILLI, SECOND, gateway
 
-from gaproute.appliance.keeping import MOST, Keeper
+from gaproute.appliance.observation_writer import MOST, ObservationWriter
 from gaproute.appliance.operator import knowledge
 from gaproute.decisions.reports.purse import REST, SLICE
 from gaproute.decisions.reports.roll import Roll
@@ -18,9 +18,9 @@
 from gaproute.loop import Loop
 from gaproute.loop.loop import Stepped
 from gaproute.loop.streams import address
-from gaproute.storage import Memory, NoMemory
-from gaproute.storage import memory as module
-from gaproute.storage.memory import RETRY_LEAST, RETRY_MOST
+from gaproute.storage import ObservationStore, ObservationStoreError
+from gaproute.storage import observation_store as module
+from gaproute.storage.observation_store import RETRY_LEAST, RETRY_MOST
 
 WARM = ("warm", "x", "f")
 
@@ -41,7 +41,7 @@
     def make(clocks=None, boot="b1", path=tmp_path / "m"):
         clocks = clocks or Clocks()
         texts = []
-        made = Memory(path, texts.append, lambda: clocks.now, lambda: clocks.wall, boot)
+        made = ObservationStore(path, texts.append, lambda: clocks.now, lambda: clocks.wall, boot)
         made.texts = texts
         made.open()
         opened.append(made)
@@ -172,9 +172,9 @@
 
 def test_two_gateways_cannot_share_a_memory_and_a_place_that_cannot_be_written_is_told(memory, tmp_path):
     memory()
-    with pytest.raises(NoMemory):
+    with pytest.raises(ObservationStoreError):
         memory()
-    with pytest.raises(NoMemory, match="No such file"):
+    with pytest.raises(ObservationStoreError, match="No such file"):
         memory(path=tmp_path / "nowhere" / "m")
 
 
@@ -271,9 +271,9 @@
     written(memory)
     disk.fails(code, text)
     clocks = Clocks()
-    made = Memory(tmp_path / "m", print, lambda: clocks.now, lambda: clocks.wall, "b1")
+    made = ObservationStore(tmp_path / "m", print, lambda: clocks.now, lambda: clocks.wall, "b1")
     before = len(os.listdir("/proc/self/fd"))
-    with pytest.raises(NoMemory, match=text):
+    with pytest.raises(ObservationStoreError, match=text):
         made.open()
     assert len(os.listdir("/proc/self/fd")) == before
     assert not made.ready() and not list(tmp_path.glob("*.broken-*"))
@@ -309,7 +309,7 @@
     for name in names:
         name.write_bytes(b"never a database" * 100)
     faults = FaultyDisk(tmp_path, FaultPlan(Script.of(("replace", 3, BROKEN))))
-    with faults.installed(module), pytest.raises(NoMemory, match="not a database.*Input/output"):
+    with faults.installed(module), pytest.raises(ObservationStoreError, match="not a database.*Input/output"):
         memory()
     assert [name.exists() for name in names] == [True, False, False]
     memory()
@@ -334,7 +334,7 @@
     clock = Stepped()
     clock.wall = 10**18
     loop = Loop(clock)
-    made = Keeper(loop, memory(clock), gateway(), Roll(), ("t",), lambda: 0)
+    made = ObservationWriter(loop, memory(clock), gateway(), Roll(), ("t",), lambda: 0)
 
     def run(span):
         end = clock.now + span
@@ -383,7 +383,7 @@
 def keeper(memory):
     """A keeper whose clock and CPU stand still: `spends` is what each reading of the meter adds."""
     loop = Loop(Stepped())
-    made = Keeper(loop, memory(), gateway(), Roll(), ("t",), lambda: next(made.ticks))
+    made = ObservationWriter(loop, memory(), gateway(), Roll(), ("t",), lambda: next(made.ticks))
     made.ticks = itertools.repeat(0)
     yield made
     made.close()
--- a/tests/storage/test_votes.py
+++ b/tests/storage/test_raft_log_file.py
@@ -12,9 +12,9 @@
 from gaproute.shared.raft import Lost
 from gaproute.shared.raft.store import Store
 from gaproute.simulation import Chance, Disk
-from gaproute.storage import Votes, files
-from gaproute.storage import votes as module
-from gaproute.storage.records import Bad, packed, parsed, whole
+from gaproute.storage import RaftLogFile, files
+from gaproute.storage import raft_log_file as module
+from gaproute.storage.log_records import CorruptRecordError, decode_records, encode_record, encode_replacement
 
 
 @pytest.fixture
@@ -23,7 +23,7 @@
 
     def make():
         texts = []
-        one = Votes(tmp_path / "votes", texts.append, lambda: 17)
+        one = RaftLogFile(tmp_path / "votes", texts.append, lambda: 17)
         one.texts = texts
         opened.append(one)
         return one.open()
@@ -69,7 +69,7 @@
 def test_any_cut_gives_a_prefix_that_can_be_gone_on_from(votes):
     path = filled(votes, [b"one"], [b"two", b"three"])
     written = path.read_bytes()
-    seen = {tuple(parsed(written[:length])[0]) for length in range(len(written))}
+    seen = {tuple(decode_records(written[:length])[0]) for length in range(len(written))}
     assert seen == {(), (b"one",), (b"one", b"two")}
     path.write_bytes(written[:-3])
     one = votes()
@@ -83,9 +83,9 @@
 def test_any_bad_byte_before_the_last_batch_is_lost_and_never_a_part(votes):
     path = filled(votes, [b"one", b"two"], [b"three"])
     written = path.read_bytes()
-    for at in range(len(written) - len(packed(0, 0, b"three"))):
-        with pytest.raises(Bad):
-            parsed(flipped(written, at))
+    for at in range(len(written) - len(encode_record(0, 0, b"three"))):
+        with pytest.raises(CorruptRecordError):
+            decode_records(flipped(written, at))
     path.write_bytes(flipped(written, 40))
     one = votes()
     assert isinstance(one.read(), Lost)
@@ -99,11 +99,11 @@
 
 
 def test_a_replacement_was_whole_so_any_bad_byte_of_its_records_is_lost():
-    written = whole([b"one", b"two"])
-    for at in range(len(written) - len(packed(0, 0, b""))):
-        with pytest.raises(Bad):
-            parsed(flipped(written, at))
-    assert parsed(written[:-1])[0] == parsed(written)[0] == [b"one", b"two"]
+    written = encode_replacement([b"one", b"two"])
+    for at in range(len(written) - len(encode_record(0, 0, b""))):
+        with pytest.raises(CorruptRecordError):
+            decode_records(flipped(written, at))
+    assert decode_records(written[:-1])[0] == decode_records(written)[0] == [b"one", b"two"]
 
 
 def test_a_batch_torn_out_of_order_is_a_torn_tail(votes):
@@ -155,7 +155,7 @@
     one = votes()
     one.read()
     with monkeypatch.context() as patch:
-        patch.setattr(module, "whole", lambda records: {}[0])
+        patch.setattr(module, "encode_replacement", lambda records: {}[0])
         with pytest.raises(KeyError):
             one.replace([b"other"])
     one.close()
@@ -219,7 +219,7 @@
     filled(votes, [b"one"])
     disk = faulty(tmp_path, ("open", 1, FULL), ("read", 1, BROKEN), ("fsync", 1, FULL))
     with disk.installed(module, files):
-        one = Votes(tmp_path / "votes", lambda text: None)
+        one = RaftLogFile(tmp_path / "votes", lambda text: None)
         for _ in range(3):
             with pytest.raises(OSError):
                 one.read()
@@ -255,7 +255,7 @@
 
 def test_a_folder_that_is_not_there(tmp_path):
     with pytest.raises(OSError):
-        Votes(tmp_path / "none" / "votes").open()
+        RaftLogFile(tmp_path / "none" / "votes").open()
 
 
 def test_a_keepers_memory_from_this_file_and_none_from_anothers(votes):
@@ -274,4 +274,4 @@
 
 def test_the_simulated_disk_has_the_same_face():
     for name in ("read", "append", "sync", "replace", "aside"):
-        assert callable(getattr(Disk(), name)) and callable(getattr(Votes("x"), name))
+        assert callable(getattr(Disk(), name)) and callable(getattr(RaftLogFile("x"), name))
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -11,8 +11,8 @@
 from gaproute.peers.tables import encoding
 from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper
-from gaproute.storage import Memory, Votes
-from gaproute.storage.tables import TableFile
+from gaproute.storage import ObservationStore, RaftLogFile
+from gaproute.storage.cell_table_file import CellTableFile
 
 SAMPLES = Path(__file__).parent / "samples" / "ledger"
 SECOND = 1_000_000_000
@@ -33,7 +33,7 @@
 def node(path):
     """A node of the group on that file, and what its file told operators."""
     texts = []
-    disk = Votes(path, texts.append, lambda: 17).open()
+    disk = RaftLogFile(path, texts.append, lambda: 17).open()
     made = Keeper("k1", ["k1"], disk, Chance(3), 0, Permits(quiet=False, longest=60 * SECOND))
     return made, disk, texts
 
@@ -99,7 +99,7 @@
 
 def test_the_cell_table_of_the_landed_version_is_read(copied):
     texts = []
-    stored = TableFile(copied("cells-table.bin"), "north", texts.append).read()
+    stored = CellTableFile(copied("cells-table.bin"), "north", texts.append).read()
     assert (stored.term, stored.number, texts) == (3, 17, [])
     table = encoding.decode_table("north", Version(stored.term, stored.number), stored.data)
     assert encoding.cells_digest(table.cells) == stored.digest
@@ -110,7 +110,9 @@
 @pytest.mark.parametrize("name, rows", [("memory.bin", 4), ("memory-killed.bin", 1)])
 def test_learnt_state_of_the_landed_version_is_read(copied, name, rows):
     texts = []
-    made = Memory(copied(name), texts.append, lambda: 103 * SECOND, lambda: 10**18 + 3 * SECOND, "boot-1")
+    made = ObservationStore(
+        copied(name), texts.append, lambda: 103 * SECOND, lambda: 10**18 + 3 * SECOND, "boot-1"
+    )
     made.open()
     read = made.read(99)
     made.close()
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -5,8 +5,8 @@
 from types import SimpleNamespace
 
 import pytest
-from faulty_ledger import Broken, Node, Records, Tables, hunt, play
-from ledger_mutants import PLANTED
+from faulty_storage import Broken, Node, Records, Tables, hunt, play
+from storage_mutants import PLANTED
 
 from gaproute.appliance.strong import Strong
 from gaproute.decisions.chance import Chance
@@ -15,7 +15,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.loop import Stepped
 from gaproute.storage import files
-from gaproute.storage import votes as votes_module
+from gaproute.storage import raft_log_file as raft_log_module
 
 SECOND = 1_000_000_000
 
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("fault", [FULL, BROKEN, Failure(errno.EMFILE), Failure(errno.EDQUOT)])
 def test_a_gateway_starts_on_a_disk_that_fails_and_takes_part_once_it_answers(tmp_path, fault):
     part = Strongly(tmp_path, *[("open", number, fault) for number in range(1, 4)])
-    with part.disk.installed(files, votes_module):
+    with part.disk.installed(files, raft_log_module):
         node = part.start()
         assert node.mute and node.due > 0
         part.run(12 * SECOND)
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("fault", [errno.EACCES, errno.ENOENT, errno.ENOTDIR])
 def test_a_place_where_no_votes_can_be_is_no_start(tmp_path, fault):
     part = Strongly(tmp_path, ("open", 1, Failure(fault)))
-    with part.disk.installed(files, votes_module), pytest.raises(OSError):
+    with part.disk.installed(files, raft_log_module), pytest.raises(OSError):
         part.start()
     part.loop.close()
     assert part.disk.open_descriptors == 0
@@ -108,7 +108,7 @@
 
 def test_a_gateway_goes_on_while_its_disk_fails_and_leads_again_after_it(tmp_path):
     part = Strongly(tmp_path)
-    with part.disk.installed(files, votes_module):
+    with part.disk.installed(files, raft_log_module):
         node = part.start()
         part.run(5 * SECOND)
         assert node.leading
--- a/tests/support/faulty_ledger.py
+++ b/tests/support/faulty_storage.py
@@ -13,13 +13,13 @@
 from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper, Lost
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Install, Vote
+from gaproute.storage import cell_table_file as cell_table_module
 from gaproute.storage import files
-from gaproute.storage import tables as tables_module
-from gaproute.storage import votes as votes_module
-from gaproute.storage.tables import StoredTable, TableFile
-from gaproute.storage.votes import Votes
+from gaproute.storage import raft_log_file as raft_log_module
+from gaproute.storage.cell_table_file import CellTableFile, StoredTable
+from gaproute.storage.raft_log_file import RaftLogFile
 
-MODULES = (files, votes_module, tables_module)
+MODULES = (files, raft_log_module, cell_table_module)
 ATTEMPTS = 30  # while calls fail
 SECOND = 1_000_000_000
 RECORD_LOST = "an acknowledged record is lost"
@@ -101,7 +101,7 @@
         self.acknowledged, self.possible, self.memory, self.number = [], [[]], [], 0
 
     def begin(self):
-        self.votes = Votes(f"{self.folder}/votes", lambda text: None, lambda: 17)
+        self.votes = RaftLogFile(f"{self.folder}/votes", lambda text: None, lambda: 17)
         self.memory = self.opened()
 
     def opened(self):
@@ -183,7 +183,7 @@
 
     def begin(self):
         self.lives += 1
-        disk = Votes(f"{self.folder}/votes", lambda text: None, lambda: 17)
+        disk = RaftLogFile(f"{self.folder}/votes", lambda text: None, lambda: 17)
         chance = Chance(1 + self.lives)
         self.node = Keeper("a", ("a", "b", "c"), disk, chance, self.now, Permits(quiet=False), 0)
         self.disk_file = disk
@@ -264,7 +264,7 @@
         self.accepted = self.tried = 0
 
     def begin(self):
-        self.file = TableFile(f"{self.folder}/cells.table", "north", lambda text: None, lambda: 17)
+        self.file = CellTableFile(f"{self.folder}/cells.table", "north", lambda text: None, lambda: 17)
 
     def step(self):
         self.tried += 1
--- a/tests/support/ledger_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from faulty_ledger import (
+from faulty_storage import (
     ENTRY_UNSAID,
     LEAKED,
     RECORD_INVENTED,
@@ -23,9 +23,9 @@
 from gaproute.shared.raft import Lost
 from gaproute.shared.raft.store import Store
 from gaproute.storage import files
-from gaproute.storage import votes as votes_module
-from gaproute.storage.records import Bad, head, parsed
-from gaproute.storage.votes import Votes
+from gaproute.storage import raft_log_file as raft_log_module
+from gaproute.storage.log_records import HEADER, CorruptRecordError, decode_records
+from gaproute.storage.raft_log_file import RaftLogFile
 
 
 class Planted(NamedTuple):
@@ -39,23 +39,23 @@
 def failed_sync_is_forgotten(patch):
     def sync(self):
         try:
-            votes_module.os.fsync(self.file)
+            raft_log_module.os.fsync(self.file)
         except OSError:
             pass
         self.first = self.number
 
-    patch(Votes, "sync", sync)
+    patch(RaftLogFile, "sync", sync)
 
 
 def failed_sync_is_repeated_and_believed(patch):
     def sync(self):
         try:
-            votes_module.os.fsync(self.file)
+            raft_log_module.os.fsync(self.file)
         except OSError:
-            votes_module.os.fsync(self.file)
+            raft_log_module.os.fsync(self.file)
         self.first = self.number
 
-    patch(Votes, "sync", sync)
+    patch(RaftLogFile, "sync", sync)
 
 
 def what_is_read_at_opening_is_only_synced(patch):
@@ -66,21 +66,21 @@
             self.open()
         self._forget()
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-        self.file = votes_module.os.open(self.path, flags, files.ONLY_OWNER)
-        data = files.read_whole(self.path)
+        self.file = raft_log_module.os.open(self.path, flags, files.ONLY_OWNER)
+        data = files.read_file(self.path)
         try:
-            records, good, last = parsed(data)
-        except Bad as fault:
+            records, good, last = decode_records(data)
+        except CorruptRecordError as fault:
             return Lost(str(fault))
         if good < len(data):
-            votes_module.os.ftruncate(self.file, good)
-        votes_module.os.fsync(self.file)
-        files.sync_folder(self.path.parent)
+            raft_log_module.os.ftruncate(self.file, good)
+        raft_log_module.os.fsync(self.file)
+        files.sync_directory(self.path.parent)
         self.number = self.first = last + 1
         self.failed = None
         return records
 
-    patch(Votes, "read", read)
+    patch(RaftLogFile, "read", read)
 
 
 def a_torn_tail_stays(patch):
@@ -89,62 +89,62 @@
             self.open()
         self._forget()
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-        self.file = votes_module.os.open(self.path, flags, files.ONLY_OWNER)
+        self.file = raft_log_module.os.open(self.path, flags, files.ONLY_OWNER)
         try:
-            records, _, last = parsed(files.read_whole(self.path))
-        except Bad as fault:
+            records, _, last = decode_records(files.read_file(self.path))
+        except CorruptRecordError as fault:
             return Lost(str(fault))
-        votes_module.os.fsync(self.file)
-        files.sync_folder(self.path.parent)
+        raft_log_module.os.fsync(self.file)
+        files.sync_directory(self.path.parent)
         self.number = self.first = last + 1
         self.failed = None
         return records
 
-    patch(Votes, "read", read)
+    patch(RaftLogFile, "read", read)
 
 
 def a_torn_tail_is_accepted(patch):
     """What is left of the last record is taken for it."""
 
     def read_torn(data):
-        records, good, last = parsed(data)
-        rest = data[good + head.size :]
+        records, good, last = decode_records(data)
+        rest = data[good + HEADER.size :]
         return ([*records, rest], len(data), last + 1) if rest else (records, good, last)
 
-    patch(votes_module, "parsed", read_torn)
+    patch(raft_log_module, "decode_records", read_torn)
 
 
 def the_folder_is_not_synced(patch):
-    patch(files, "sync_folder", lambda folder: None)
+    patch(files, "sync_directory", lambda folder: None)
 
 
 def a_file_is_renamed_before_it_is_synced(patch):
-    def put_in_place(path, content):
+    def replace_file(path, content):
         beside = f"{path}.new"
         file = files.os.open(beside, files.NEW_FILE, files.ONLY_OWNER)
         try:
             files.write_all(file, content)
             files.os.rename(beside, path)
-            files.sync_folder(Path(path).parent)
+            files.sync_directory(Path(path).parent)
         except BaseException:
             files.close(file)
             raise
         return file
 
-    patch(files, "put_in_place", put_in_place)
+    patch(files, "replace_file", replace_file)
 
 
 def a_descriptor_is_left_open_on_a_full_disk(patch):
-    def put_in_place(path, content):
+    def replace_file(path, content):
         beside = f"{path}.new"
         file = files.os.open(beside, files.NEW_FILE, files.ONLY_OWNER)
         files.write_all(file, content)
         files.os.fsync(file)
         files.os.rename(beside, path)
-        files.sync_folder(Path(path).parent)
+        files.sync_directory(Path(path).parent)
         return file
 
-    patch(files, "put_in_place", put_in_place)
+    patch(files, "replace_file", replace_file)
 
 
 def a_short_write_is_taken_for_a_whole_one(patch):
