--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -11,7 +11,7 @@
 
 def status(gate):
     counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
-    giver, keeper, learner = others.giver, others.keeper, others.learner
+    giver, writer, learner = others.giver, others.observation_writer, others.learner
     return {
         "name": gate.charter.name,
         "stopping": gate.stopping,
@@ -43,12 +43,12 @@
             "wrong": sum(each.wrong for each in decisions(gate)),
         },
         "telling": giver and {"facts": giver.told, "put_off": giver.put_off, "cpu_ms": giver.spent / MILLI},
-        "memory": keeper
+        "memory": writer
         and {
-            "written": keeper.memory.written,
-            "failed": keeper.memory.failed,
-            "cpu_ms": keeper.spent / MILLI,
-            "longest_ms": keeper.longest / MILLI,
+            "written": writer.store.written,
+            "failed": writer.store.failed,
+            "cpu_ms": writer.spent / MILLI,
+            "longest_ms": writer.longest / MILLI,
         },
     }
 
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -37,7 +37,8 @@
     def __init__(self, loop, charter, gateway, record, seed, cells=None):
         self.cells = cells
         self.loop, self.charter, self.gateway, self.record, self.seed = loop, charter, gateway, record, seed
-        self.giver = self.learner = self.gossip = self.weak = self.keeper = self.watch = self.strong = None
+        self.giver = self.learner = self.gossip = self.weak = self.watch = self.strong = None
+        self.observation_writer: ObservationWriter | None = None
         self.roll, self.lore = Roll(), Lore()
         self.tracks = [line.name for line in charter.tracks]
         self.chance = Chance(seed + 1)
@@ -85,19 +86,19 @@
         cannot be opened is tried again while the gateway serves, and written to from then on."""
         if self.charter.memory is None:
             return
-        memory = ObservationStore(
+        store = ObservationStore(
             self.charter.memory, lambda text: self.record.event("warning", "memory", text=text)
         )
         try:
-            memory.open()
-            self._recall(memory)
+            store.open()
+            self._recall(store)
         except ObservationStoreError as fault:
             self.record.event("warning", "no memory", text=str(fault))
-        self.keeper = ObservationWriter(self.loop, memory, self.gateway, self.roll, self.tracks)
+        self.observation_writer = ObservationWriter(self.loop, store, self.gateway, self.roll, self.tracks)
 
-    def _recall(self, memory):
+    def _recall(self, store):
         now = self.loop.now()
-        for subject, value, age in memory.read(FACTS):
+        for subject, value, age in store.read(FACTS):
             at = self.lore.observed(now, age)
             if at is not None:
                 self.lore.tell(subject, Fact(at, "past life", 0, value))
@@ -139,7 +140,7 @@
 
     def spent(self):
         """CPU that telling and writing down took, ns."""
-        return sum(part.spent for part in (self.giver, self.keeper) if part is not None)
+        return sum(part.spent for part in (self.giver, self.observation_writer) if part is not None)
 
     def stop(self):
         for part in (self.gossip, self.strong):
@@ -149,6 +150,6 @@
             self.watch.close()
 
     def close(self):
-        for part in (self.watch, self.learner, self.weak, self.gossip, self.strong, self.keeper):
+        for part in (self.watch, self.learner, self.weak, self.gossip, self.strong, self.observation_writer):
             if part is not None:
                 part.close()
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import MILLI, SECOND, gateway
 
-from gaproute.appliance.observation_writer import MOST, ObservationWriter
+from gaproute.appliance.observation_writer import MAX_ROWS_PER_WRITE, ObservationWriter
 from gaproute.appliance.operator import knowledge
 from gaproute.decisions.reports.purse import REST, SLICE
 from gaproute.decisions.reports.roll import Roll
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture
-def memory(tmp_path):
+def store(tmp_path):
     opened = []
 
     def make(clocks=None, boot="b1", path=tmp_path / "m"):
@@ -52,43 +52,43 @@
         made.close()
 
 
-def written(memory, *facts, **told):
-    made = memory(**told)
+def written(store, *facts, **told):
+    made = store(**told)
     made.write(facts or [(WARM, (4, 0), 99 * SECOND)])
     made.close()
 
 
-def test_what_was_written_comes_back_with_its_age(memory):
-    written(memory)
-    assert memory(Clocks(103 * SECOND, 10**18 + 3 * SECOND)).read(9) == [(WARM, (4, 0), 4 * SECOND)]
+def test_what_was_written_comes_back_with_its_age(store):
+    written(store)
+    assert store(Clocks(103 * SECOND, 10**18 + 3 * SECOND)).read(9) == [(WARM, (4, 0), 4 * SECOND)]
 
 
-def test_a_wall_clock_that_was_set_back_makes_nothing_younger_in_the_same_boot(memory):
-    written(memory)
-    assert memory(Clocks(103 * SECOND, 10**18 - 3600 * SECOND)).read(9)[0][2] == 4 * SECOND
+def test_a_wall_clock_that_was_set_back_makes_nothing_younger_in_the_same_boot(store):
+    written(store)
+    assert store(Clocks(103 * SECOND, 10**18 - 3600 * SECOND)).read(9)[0][2] == 4 * SECOND
 
 
-def test_after_a_boot_the_wall_clock_counts(memory):
-    written(memory)
-    assert memory(Clocks(SECOND, 10**18 + 60 * SECOND), "b2").read(9)[0][2] == 61 * SECOND
+def test_after_a_boot_the_wall_clock_counts(store):
+    written(store)
+    assert store(Clocks(SECOND, 10**18 + 60 * SECOND), "b2").read(9)[0][2] == 61 * SECOND
 
 
-def test_a_fact_of_the_future_is_refused_by_the_lore(memory):
+def test_a_fact_of_the_future_is_refused_by_the_lore(store):
     from gaproute.decisions.reports.lore import Lore
 
-    written(memory)
-    ((_, _, age),) = memory(Clocks(SECOND, 10**18 - 60 * SECOND), "b2").read(9)
+    written(store)
+    ((_, _, age),) = store(Clocks(SECOND, 10**18 - 60 * SECOND), "b2").read(9)
     assert age < 0 and Lore().observed(0, age) is None
 
 
-def test_the_last_writing_of_a_subject_stands_and_the_latest_come_first(memory):
-    written(memory, (WARM, (4, 0), 90 * SECOND), (("load",), (5,), 95 * SECOND), (WARM, (8, 0), 91 * SECOND))
-    assert memory().read(9) == [(("load",), (5,), 5 * SECOND), (WARM, (8, 0), 9 * SECOND)]
+def test_the_last_writing_of_a_subject_stands_and_the_latest_come_first(store):
+    written(store, (WARM, (4, 0), 90 * SECOND), (("load",), (5,), 95 * SECOND), (WARM, (8, 0), 91 * SECOND))
+    assert store().read(9) == [(("load",), (5,), 5 * SECOND), (WARM, (8, 0), 9 * SECOND)]
 
 
-def test_no_more_is_read_than_asked_for_and_what_is_old_goes(memory):
-    written(memory, *[(("warm", "x", f"f{n}"), (1, 0), n * SECOND) for n in range(1, 21)])
-    made = memory()
+def test_no_more_is_read_than_asked_for_and_what_is_old_goes(store):
+    written(store, *[(("warm", "x", f"f{n}"), (1, 0), n * SECOND) for n in range(1, 21)])
+    made = store()
     assert [subject[2] for subject, _, _ in made.read(2)] == ["f20", "f19"]
     made.forget(85 * SECOND)
     assert len(made.read(99)) == 6
@@ -98,9 +98,9 @@
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
-def test_a_wall_clock_that_steps_between_a_write_and_the_forgetting_drops_nothing(memory, step):
+def test_a_wall_clock_that_steps_between_a_write_and_the_forgetting_drops_nothing(store, step):
     clocks = Clocks()
-    made = memory(clocks)
+    made = store(clocks)
     made.write([(WARM, (4, 0), 99 * SECOND)])
     clocks.now, clocks.wall = clocks.now + SECOND, clocks.wall + SECOND + step
     made.write([(("load",), (5,), 100 * SECOND)])
@@ -109,9 +109,9 @@
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
-def test_what_is_old_is_forgotten_and_the_latest_come_first_however_the_wall_clock_steps(memory, step):
+def test_what_is_old_is_forgotten_and_the_latest_come_first_however_the_wall_clock_steps(store, step):
     clocks = Clocks()
-    made = memory(clocks)
+    made = store(clocks)
     made.write([(WARM, (4, 0), 99 * SECOND)])
     clocks.now, clocks.wall = clocks.now + 200 * SECOND, clocks.wall + 200 * SECOND + step
     made.write([(("load",), (5,), 299 * SECOND)])
@@ -122,19 +122,19 @@
 
 
 @pytest.mark.parametrize("step", [0, HOUR, -HOUR])
-def test_after_a_boot_ages_go_by_the_wall_clock_as_it_was_at_the_write(memory, step):
+def test_after_a_boot_ages_go_by_the_wall_clock_as_it_was_at_the_write(store, step):
     """Not as it was when the life began: a machine that boots without a clock is told the time soon after."""
     clocks = Clocks(wall=10**18 - step)
-    made = memory(clocks)
+    made = store(clocks)
     clocks.wall += step
     made.write([(WARM, (4, 0), 99 * SECOND)])
     made.close()
-    assert memory(Clocks(SECOND, 10**18 + 60 * SECOND), "b2").read(9)[0][2] == 61 * SECOND
+    assert store(Clocks(SECOND, 10**18 + 60 * SECOND), "b2").read(9)[0][2] == 61 * SECOND
 
 
-def test_a_row_stands_on_disk_as_the_version_before_wrote_it(memory):
+def test_a_row_stands_on_disk_as_the_version_before_wrote_it(store):
     """Its column held the wall clock of the write; in a life without steps that is the same."""
-    made = memory()
+    made = store()
     made.write([(WARM, (4, 0), 99 * SECOND)])
     ((key, data, wall),) = made.base.execute("SELECT subject, data, wall FROM facts")
     assert wall == 10**18 - SECOND and msgspec.msgpack.decode(key) == list(WARM)
@@ -142,8 +142,8 @@
 
 
 @pytest.mark.parametrize("harm", ["cut", "nonsense", "empty", "hole"])
-def test_a_file_that_is_no_good_is_set_aside_and_a_new_one_begun(memory, tmp_path, harm):
-    written(memory, *[(("warm", "x", f"f{n}"), (1, 0), SECOND) for n in range(2000)])
+def test_a_file_that_is_no_good_is_set_aside_and_a_new_one_begun(store, tmp_path, harm):
+    written(store, *[(("warm", "x", f"f{n}"), (1, 0), SECOND) for n in range(2000)])
     path = tmp_path / "m"
     data = path.read_bytes()
     path.write_bytes(
@@ -154,32 +154,32 @@
             "hole": data[:4096] + bytes(len(data) - 4096),
         }[harm]
     )
-    made = memory()
+    made = store()
     assert made.read(9) == [] and (harm == "empty" or "set aside" in made.texts[0])
     assert harm == "empty" or list(tmp_path.glob("m.broken-*"))
     made.write([(WARM, (4, 0), 99 * SECOND)])
     assert made.read(9) == [(WARM, (4, 0), SECOND)]
 
 
-def test_a_torn_row_is_left_out_and_counted(memory):
-    written(memory, (WARM, (4, 0), 99 * SECOND), (("load",), (5,), 95 * SECOND))
-    made = memory()
+def test_a_torn_row_is_left_out_and_counted(store):
+    written(store, (WARM, (4, 0), 99 * SECOND), (("load",), (5,), 95 * SECOND))
+    made = store()
     made.base.execute(
         "UPDATE facts SET data = ? WHERE subject = (SELECT subject FROM facts LIMIT 1)", (b"\x94",)
     )
     assert len(made.read(9)) == 1 and made.torn == 1 and "torn" in made.texts[0]
 
 
-def test_two_gateways_cannot_share_a_memory_and_a_place_that_cannot_be_written_is_told(memory, tmp_path):
-    memory()
+def test_two_gateways_cannot_share_a_memory_and_a_place_that_cannot_be_written_is_told(store, tmp_path):
+    store()
     with pytest.raises(ObservationStoreError):
-        memory()
+        store()
     with pytest.raises(ObservationStoreError, match="No such file"):
-        memory(path=tmp_path / "nowhere" / "m")
+        store(path=tmp_path / "nowhere" / "m")
 
 
-def test_a_write_that_fails_is_counted_and_told_once(memory):
-    made = memory()
+def test_a_write_that_fails_is_counted_and_told_once(store):
+    made = store()
     made.base.execute("DROP TABLE facts")
     for _ in range(2):
         made.write([(WARM, (4, 0), SECOND)])
@@ -231,10 +231,10 @@
 LATER = (("load",), (5,), 99 * SECOND)
 
 
-def test_a_full_file_is_written_again_once_there_is_room(memory):
+def test_a_full_file_is_written_again_once_there_is_room(store):
     """SQLite's own bound on the pages stands for the full disk; it ends with the connection."""
     clocks = Clocks()
-    made = memory(clocks)
+    made = store(clocks)
     assert made.write([(WARM, (4, 0), 99 * SECOND)])
     made.base.execute("PRAGMA max_page_count = 3")
     many = [(("warm", "x", f"f{number}"), (4, 0), 98 * SECOND) for number in range(2000)]
@@ -245,9 +245,9 @@
 
 
 @pytest.mark.parametrize("code, text", FAULTS)
-def test_a_disk_that_fails_for_a_while_costs_no_fact_and_is_tried_less_and_less(memory, disk, code, text):
+def test_a_disk_that_fails_for_a_while_costs_no_fact_and_is_tried_less_and_less(store, disk, code, text):
     clocks = Clocks()
-    made = memory(clocks)
+    made = store(clocks)
     assert made.write([(WARM, (4, 0), 99 * SECOND)])
     disk.fails(code, text)
     tried = []
@@ -267,8 +267,8 @@
 
 
 @pytest.mark.parametrize("code, text", FAULTS)
-def test_a_start_on_a_disk_that_fails_leaves_the_file_where_it_is(memory, disk, tmp_path, code, text):
-    written(memory)
+def test_a_start_on_a_disk_that_fails_leaves_the_file_where_it_is(store, disk, tmp_path, code, text):
+    written(store)
     disk.fails(code, text)
     clocks = Clocks()
     made = ObservationStore(tmp_path / "m", print, lambda: clocks.now, lambda: clocks.wall, "b1")
@@ -283,10 +283,10 @@
     made.close()
 
 
-def test_a_disk_that_fails_while_it_is_read_is_no_end(memory, disk):
-    written(memory)
+def test_a_disk_that_fails_while_it_is_read_is_no_end(store, disk):
+    written(store)
     clocks = Clocks()
-    made = memory(clocks)
+    made = store(clocks)
     disk.fails(*FAULTS[0])
     assert made.read(9) == [] and not made.ready()
     disk.fault = None
@@ -294,25 +294,25 @@
     assert made.ready() and len(made.read(9)) == 1
 
 
-def test_a_file_that_is_found_damaged_by_a_write_is_set_aside_and_a_new_one_begun(memory):
+def test_a_file_that_is_found_damaged_by_a_write_is_set_aside_and_a_new_one_begun(store):
     clocks = Clocks()
-    made = memory(clocks)
+    made = store(clocks)
     made.base.execute("DROP TABLE facts")
     assert not made.write([LATER])
     clocks.now += RETRY_LEAST
     assert made.write([LATER]) and len(made.read(9)) == 1 and "set aside" in made.texts[1]
 
 
-def test_of_a_damaged_file_the_log_goes_first(memory, tmp_path):
+def test_of_a_damaged_file_the_log_goes_first(store, tmp_path):
     """Left behind alone it would be played into the file that takes the place."""
     names = [tmp_path / f"m{end}" for end in ("", "-wal", "-shm")]
     for name in names:
         name.write_bytes(b"never a database" * 100)
     faults = FaultyDisk(tmp_path, FaultPlan(Script.of(("replace", 3, BROKEN))))
     with faults.installed(module), pytest.raises(ObservationStoreError, match="not a database.*Input/output"):
-        memory()
+        store()
     assert [name.exists() for name in names] == [True, False, False]
-    memory()
+    store()
     assert list(tmp_path.glob("m.broken-*"))
 
 
@@ -322,7 +322,7 @@
     alone = start("alone", f"memory {tmp_path / 'g.memory'}", listen=False)
     made.at = front(alone)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    kept = alone.others.keeper.memory
+    kept = alone.others.observation_writer.store
     made.until(lambda: kept.pause > RETRY_LEAST)  # a second attempt has failed
     disk.fault = None
     assert made.wait(made.ask("lamp", "w2")).status == 200
@@ -330,27 +330,27 @@
     assert [what for what, _ in alone.record.events].count("no memory") == 1
 
 
-def test_what_failed_rounds_passed_over_is_written_in_the_first_that_does_not(memory, disk):
+def test_what_failed_rounds_passed_over_is_written_in_the_first_that_does_not(store, disk):
     clock = Stepped()
     clock.wall = 10**18
     loop = Loop(clock)
-    made = ObservationWriter(loop, memory(clock), gateway(), Roll(), ("t",), lambda: 0)
+    made = ObservationWriter(loop, store(clock), gateway(), Roll(), ("t",), lambda: 0)
 
     def run(span):
         end = clock.now + span
         loop.at(end, lambda: None)
         while clock.now < end:
             loop.turn()
-        return {subject[1] for subject, _, _ in made.memory.read(9)}
+        return {subject[1] for subject, _, _ in made.store.read(9)}
 
     hosts = {"h1": ("active", 5)}
     made.roll.listed(clock.now, hosts)
     assert run(SECOND) == {"h1"}
     disk.fails(*FAULTS[0])
     made.roll.listed(clock.now + 1, hosts | {"h2": ("active", 6)})
-    assert run(2 * SECOND) == set() and made.memory.failed
+    assert run(2 * SECOND) == set() and made.store.failed
     disk.fault = None
-    assert run(made.memory.retry_at - clock.now + SECOND // 2 + 1) == {"h1", "h2"}
+    assert run(made.store.retry_at - clock.now + SECOND // 2 + 1) == {"h1", "h2"}
     made.close()
     loop.close()
 
@@ -361,7 +361,7 @@
     first = start("alone", line, listen=False)
     made.at = front(first)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    made.until(lambda: first.others.keeper.memory.written >= 1)
+    made.until(lambda: first.others.observation_writer.store.written >= 1)
     first.close()
     loads = len(made.seen("loaded"))
     second = start("alone", line, listen=False)
@@ -380,10 +380,10 @@
 
 
 @pytest.fixture
-def keeper(memory):
-    """A keeper whose clock and CPU stand still: `spends` is what each reading of the meter adds."""
+def writer(store):
+    """A writer whose clock and CPU stand still: `spends` is what each reading of the meter adds."""
     loop = Loop(Stepped())
-    made = ObservationWriter(loop, memory(), gateway(), Roll(), ("t",), lambda: next(made.ticks))
+    made = ObservationWriter(loop, store(), gateway(), Roll(), ("t",), lambda: next(made.ticks))
     made.ticks = itertools.repeat(0)
     yield made
     made.close()
@@ -394,20 +394,23 @@
     return iter([(("warm", "x", f"f{number}"), (4, 0), SECOND) for number in range(count)])
 
 
-def test_writing_takes_no_more_than_its_share(keeper):
-    keeper.purse.left = -5 * MILLI
-    assert keeper.slice(facts(1)) is False and keeper.memory.written == 0
-    keeper.purse.left = 5 * MILLI
-    assert keeper.slice(facts(1)) and keeper.memory.written == 1
+def test_writing_takes_no_more_than_its_share(writer):
+    writer.purse.left = -5 * MILLI
+    assert writer.write_slice(facts(1)) is False and writer.store.written == 0
+    writer.purse.left = 5 * MILLI
+    assert writer.write_slice(facts(1)) and writer.store.written == 1
 
 
-def test_a_slice_ends_at_its_time_or_its_count_and_the_rest_comes_next(keeper):
-    keeper.ticks = itertools.count(0, SLICE // 20)
+def test_a_slice_ends_at_its_time_or_its_count_and_the_rest_comes_next(writer):
+    writer.ticks = itertools.count(0, SLICE // 20)
     told = facts(30)
-    assert not keeper.slice(told) and keeper.memory.written == 11
-    keeper.ticks = itertools.repeat(0)
-    assert not keeper.slice(told) and keeper.memory.written == 11  # too soon after the last
-    keeper.loop.clock.now += REST
-    assert keeper.slice(told) and keeper.memory.written == 30
-    keeper.loop.clock.now += REST
-    assert not keeper.slice(facts(2 * MOST)) and keeper.memory.written == 30 + MOST
+    assert not writer.write_slice(told) and writer.store.written == 11
+    writer.ticks = itertools.repeat(0)
+    assert not writer.write_slice(told) and writer.store.written == 11  # too soon after the last
+    writer.loop.clock.now += REST
+    assert writer.write_slice(told) and writer.store.written == 30
+    writer.loop.clock.now += REST
+    assert (
+        not writer.write_slice(facts(2 * MAX_ROWS_PER_WRITE))
+        and writer.store.written == 30 + MAX_ROWS_PER_WRITE
+    )
