--- a/gaproute/shared/raft/__init__.py
+++ b/gaproute/shared/raft/__init__.py
@@ -22,7 +22,7 @@
     disk.append(record)       may be lost by a crash until
     disk.sync()               has returned
     disk.replace(records)     all records replaced at once and synced; a crash leaves the old or the new
-    ones disk.aside(why)           keeps what cannot be used under another name for the operator; then it
+    ones disk.quarantine(why)           keeps what cannot be used under another name for the operator; then it
     is empty
 An unsynced tail may be cut by a crash at any record. A record that was synced and cannot be read: Lost.
 """
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -40,7 +40,7 @@
         try:
             if isinstance(came, Lost):
                 self.lost = came.why
-                self.disk.aside(came.why)
+                self.disk.quarantine(came.why)
             if not self.life:
                 # A new disk is a new keeper: whatever the name promised or voted before, it does not know it.
                 life = 1 + self.chance.below(HIGHEST)
--- a/gaproute/simulation/disk.py
+++ b/gaproute/simulation/disk.py
@@ -31,7 +31,7 @@
         "operations",
         "torn",
         "lives",
-        "asides",
+        "quarantined",
     )
 
     def __init__(self):
@@ -40,7 +40,7 @@
         self.bad = ""  # why what is there cannot be read for good
         self.fuse, self.after = 0, False  # operations until the crash (0: none); whether after its effect
         self.operations = self.torn = 0  # in all; crashes that lost a part of what was pending
-        self.lives, self.asides = 1, []  # memories so far; what was set aside: [(why, records)]
+        self.lives, self.quarantined = 1, []  # memories so far; what was quarantined: [(why, records)]
 
     def opened(self):
         """A new process has it: what failed before is not remembered."""
@@ -87,10 +87,10 @@
         self.durable, self.pending, self.broken = [bytes(record) for record in records], [], 0
         self._after()
 
-    def aside(self, why):
+    def quarantine(self, why):
         """What is there is kept under another name, and this one is empty."""
         self._before(anew=True)
-        self.asides.append((why, self.durable + self.pending))
+        self.quarantined.append((why, self.durable + self.pending))
         self._new()
         self._after()
 
--- a/gaproute/storage/files.py
+++ b/gaproute/storage/files.py
@@ -9,9 +9,9 @@
 import os
 from pathlib import Path
 
-ONLY_OWNER = 0o600
-READ_BYTES = 1 << 20  # in one call
-NEW_FILE = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
+OWNER_ONLY = 0o600
+READ_CHUNK = 1 << 20  # in one call
+NEW_FILE_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
 
 # What passes once the disk has space, answers or may be written again, or descriptors and memory are free.
 TRANSIENT_ERRNOS = frozenset(
@@ -34,7 +34,7 @@
     content = bytearray()
     try:
         while most is None or len(content) < most:
-            left = READ_BYTES if most is None else min(READ_BYTES, most - len(content))
+            left = READ_CHUNK if most is None else min(READ_CHUNK, most - len(content))
             read = os.read(file, left)
             if not read:
                 break
@@ -61,7 +61,7 @@
         pass
 
 
-def remove(path: str) -> None:
+def remove_if_present(path: str) -> None:
     """Unlink the file if it is there. Errors: OSError."""
     try:
         os.unlink(path)
@@ -85,7 +85,7 @@
     it held or `content`, and which of them outlasts a crash is not known.
     """
     beside = f"{path}.new"
-    file = os.open(beside, NEW_FILE, ONLY_OWNER)
+    file = os.open(beside, NEW_FILE_FLAGS, OWNER_ONLY)
     try:
         write_all(file, content)
         os.fsync(file)
@@ -93,14 +93,14 @@
         sync_directory(Path(path).parent)
     except BaseException:
         close(file)
-        _discard(beside)
+        _free_space(beside)
         raise
     return file
 
 
-def _discard(path: str) -> None:
+def _free_space(path: str) -> None:
     """Give back the space of a file that was not finished, where that can be done."""
     try:
-        remove(path)
+        remove_if_present(path)
     except OSError:
         pass  # the next attempt truncates it
--- a/gaproute/storage/observation_store.py
+++ b/gaproute/storage/observation_store.py
@@ -106,7 +106,7 @@
         if self.lock is not None:
             return
         try:
-            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.ONLY_OWNER)
+            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.OWNER_ONLY)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as fault:
             raise ObservationStoreError(f"{self.path}: {fault.strerror}") from fault
--- a/gaproute/storage/raft_log_file.py
+++ b/gaproute/storage/raft_log_file.py
@@ -8,11 +8,11 @@
 synced, went bad since, or that an older copy of the whole file was put back.
 
 Whose file it is stands in its first record, which is the keeper's to write and to compare (its name, and the
-number that its memory was given); a file of another gateway is then set aside by `aside`.
+number that its memory was given); a file of another gateway is then quarantined by `quarantine`.
 
-Errors: OSError. After one of `append` or `sync` all but `read`, `replace` and `aside` are refused: after a
-failed fsync the kernel may hold as clean what never came to the disk, and only writing all anew, which `read`
-and `replace` do, makes it durable.
+Errors: OSError. After one of `append` or `sync` all but `read`, `replace` and `quarantine` are refused:
+after a failed fsync the kernel may hold as clean what never came to the disk, and only writing all anew,
+which `read` and `replace` do, makes it durable.
 """
 
 import errno
@@ -27,19 +27,19 @@
 
 
 class RaftLogFile:
-    """`open` before use. `told(text)` says what an operator should know. `torn`: tails cut off."""
+    """`open` before use. `report(text)` says what an operator should know. `torn_tails`: tails cut off."""
 
-    def __init__(self, path, told=print, wall=time.time_ns):
-        self.path, self.told, self.wall = Path(path), told, wall
-        self.file = self.lock = self.failed = None
-        self.number = self.first = self.torn = 0
+    def __init__(self, path, report=print, wall_clock=time.time_ns):
+        self.path, self.report, self.wall_clock = Path(path), report, wall_clock
+        self.descriptor = self.lock = self.failure = None
+        self.next_number = self.batch_start = self.torn_tails = 0
 
     def open(self):
         """Errors: OSError: the folder cannot be written, or another process holds the file."""
         try:
-            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.ONLY_OWNER)
+            self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.OWNER_ONLY)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            files.remove(f"{self.path}.new")  # a replacement that was not finished
+            files.remove_if_present(f"{self.path}.new")  # a replacement that was not finished
         except OSError:
             self.close()
             raise
@@ -65,8 +65,8 @@
                 return Lost(str(fault))
             self._put(records)
         if good < len(data):
-            self.torn += 1
-            self.told(
+            self.torn_tails += 1
+            self.report(
                 f"{self.path}: a torn tail of {len(data) - good} bytes cut off, {len(records)} records stay"
             )
         return records
@@ -75,14 +75,14 @@
         """Stands for good only when `sync` has come back."""
         self._usable()
         with _Noted(self):
-            files.write_all(self.file, encode_record(self.number, self.first, bytes(record)))
-            self.number += 1
+            files.write_all(self.descriptor, encode_record(self.next_number, self.batch_start, bytes(record)))
+            self.next_number += 1
 
     def sync(self):
         self._usable()
         with _Noted(self):
-            os.fsync(self.file)
-            self.first = self.number
+            os.fsync(self.descriptor)
+            self.batch_start = self.next_number
 
     def replace(self, records):
         """All that stands there by `records`, at once and for good: written beside, synced, put in its
@@ -93,28 +93,30 @@
     def _put(self, records):
         file = files.replace_file(self.path, encode_replacement(map(bytes, records)))
         self._forget()
-        self.file = file
-        self.number = self.first = len(records) + 1  # the seal is one
-        self.failed = None
+        self.descriptor = file
+        self.next_number = self.batch_start = len(records) + 1  # the seal is one
+        self.failure = None
 
-    def aside(self, why):
+    def quarantine(self, why):
         """Keeps what is there under another name for the operator; then there is nothing."""
         with _Noted(self):
             self._forget()
-            aside = f"{self.path}.broken-{self.wall()}"
-            os.rename(self.path, aside)
-            self.told(f"{self.path}: {why}; set aside as {aside}; this keeper begins without a memory")
+            target = f"{self.path}.broken-{self.wall_clock()}"
+            os.rename(self.path, target)
+            self.report(f"{self.path}: {why}; quarantined as {target}; this Raft node starts empty")
             files.sync_directory(self.path.parent)
 
     def _usable(self):
-        if self.failed is not None or self.file is None:
-            why = self.failed or "not read yet"
-            raise OSError(getattr(why, "errno", errno.EBADF), f"{self.path}: not used since: {why}")
+        if self.failure is not None or self.descriptor is None:
+            why = self.failure or "not read yet"
+            raise OSError(
+                getattr(why, "errno", errno.EBADF), f"{self.path}: not used until it is written again: {why}"
+            )
 
     def _forget(self):
-        if self.file is not None:
-            files.close(self.file)
-        self.file, self.number, self.first = None, 0, 0
+        if self.descriptor is not None:
+            files.close(self.descriptor)
+        self.descriptor, self.next_number, self.batch_start = None, 0, 0
 
     def close(self):
         self._forget()
@@ -135,8 +137,9 @@
     def __exit__(self, kind, fault, trace):
         votes = self.votes
         if isinstance(fault, OSError):
-            if votes.failed is None:
-                votes.told(
-                    f"{votes.path}: {fault}; this keeper neither votes nor grants until all is written anew"
+            if votes.failure is None:
+                votes.report(
+                    f"{votes.path}: {fault}; this Raft node neither votes nor grants leases until the "
+                    "whole file is written again"
                 )
-            votes.failed = fault
+            votes.failure = fault
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -138,13 +138,13 @@
 def test_votes_hold_no_time(tmp_path, step):
     files = []
     for name, wall in (("one", BEGUN_MS), ("two", BEGUN_MS + step)):
-        votes = RaftLogFile(tmp_path / name, wall=lambda wall=wall: wall).open()
+        votes = RaftLogFile(tmp_path / name, wall_clock=lambda wall=wall: wall).open()
         votes.read()
         votes.append(b"vote")
         votes.sync()
         votes.close()
         files.append((tmp_path / name).read_bytes())
-        votes = RaftLogFile(tmp_path / name, wall=lambda wall=wall: wall - step).open()
+        votes = RaftLogFile(tmp_path / name, wall_clock=lambda wall=wall: wall - step).open()
         assert votes.read() == [b"vote"]
         votes.close()
     assert files[0] == files[1]
--- a/tests/raft/test_votes.py
+++ b/tests/raft/test_votes.py
@@ -190,7 +190,7 @@
     kept = disk()
     kept.read = lambda: came
     one = Keeper("b", NAMES, kept, Chance(1), 0)
-    assert kept.put_aside == [one.store.lost] and one.life not in (0, 2) and one.store.blank
+    assert kept.quarantined == [one.store.lost] and one.life not in (0, 2) and one.store.blank
     assert [decode(each) for each in kept.records] == [Identity("b", one.life)]
     assert one.tick(one.due) == [] and not one.member
 
@@ -206,7 +206,7 @@
         record(each) for each in (Identity("b", 2), Snapshot(9, 2, ROLL, state), Written(10, late))
     ]
     one = Keeper("b", NAMES, kept, Chance(1), 0)
-    assert kept.put_aside == ["entries of terms that it never entered"] and one.store.blank
+    assert kept.quarantined == ["entries of terms that it never entered"] and one.store.blank
     assert one.machine.permits == {} and one.machine.held == {} and one.machine.fence == 0
 
 
--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_world.py
@@ -181,5 +181,5 @@
     disk.sync()
     disk.spoiled("bad")
     assert disk.read() == Lost("bad")
-    disk.aside("bad")
-    assert disk.read() == [] and disk.asides == [("bad", [b"a"])]
+    disk.quarantine("bad")
+    assert disk.read() == [] and disk.quarantined == [("bad", [b"a"])]
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -73,7 +73,7 @@
     assert seen == {(), (b"one",), (b"one", b"two")}
     path.write_bytes(written[:-3])
     one = votes()
-    assert one.read() == [b"one", b"two"] and "torn tail" in one.texts[0] and one.torn == 1
+    assert one.read() == [b"one", b"two"] and "torn tail" in one.texts[0] and one.torn_tails == 1
     one.append(b"more")
     one.sync()
     one.close()
@@ -91,8 +91,10 @@
     assert isinstance(one.read(), Lost)
     with pytest.raises(OSError, match="not read yet"):
         one.append(b"x")
-    one.aside("a bad record")
-    assert "set aside as" in one.texts[0] and not path.exists() and path.with_name("votes.broken-17").exists()
+    one.quarantine("a bad record")
+    assert (
+        "quarantined as" in one.texts[0] and not path.exists() and path.with_name("votes.broken-17").exists()
+    )
     one.replace([b"new"])
     one.close()
     assert again(votes) == [b"new"]
@@ -114,7 +116,7 @@
     at = whole.index(b"two")
     path.write_bytes(whole[:at] + b"\0\0\0" + whole[at + 3 :])
     one = votes()
-    assert one.read() == [b"one"] and one.torn == 1 and "torn tail" in one.texts[0]
+    assert one.read() == [b"one"] and one.torn_tails == 1 and "torn tail" in one.texts[0]
 
 
 def test_held_by_another(votes):
@@ -141,7 +143,7 @@
             one.replace([b"one", b"two"])
     assert told.value.errno == errno.ENOSPC and len(one.texts) == 1 and "neither votes" in one.texts[0]
     for refused in (one.sync, lambda: one.append(b"x")):
-        with pytest.raises(OSError, match="not used since"):
+        with pytest.raises(OSError, match="not used until it is written again"):
             refused()
     one.replace([b"one", b"two"])
     one.append(b"three")
@@ -208,7 +210,7 @@
         with pytest.raises(OSError, match="Input/output"):
             one.sync()
         disk.end_process()
-        one.file = one.lock = None
+        one.descriptor = one.lock = None
         assert votes().read() == [b"one"]  # so it may be acted on
         disk.fail_power()
         assert votes().read() == [b"one"]
@@ -230,7 +232,7 @@
     assert disk.open_descriptors == 0 and again(votes) == [b"one", b"two"]
 
 
-def test_a_file_is_said_to_be_set_aside_although_the_folder_was_not_synced(votes, tmp_path):
+def test_a_file_is_said_to_be_quarantined_although_the_folder_was_not_synced(votes, tmp_path):
     path = filled(votes, [b"one"], [b"two"])
     written = path.read_bytes()
     path.write_bytes(flipped(written, written.index(b"one")))
@@ -238,15 +240,15 @@
     assert isinstance(one.read(), Lost)
     disk = faulty(tmp_path, ("fsync", 1, BROKEN))
     with disk.installed(module, files), pytest.raises(OSError, match="Input/output"):
-        one.aside("a bad record")
-    assert "a bad record; set aside as" in one.texts[0] and one.read() == []
+        one.quarantine("a bad record")
+    assert "a bad record; quarantined as" in one.texts[0] and one.read() == []
 
 
 def test_a_full_device_is_told(votes):
     one = votes()
     one.read()
     full = os.open("/dev/full", os.O_WRONLY)
-    os.dup2(full, one.file)
+    os.dup2(full, one.descriptor)
     os.close(full)
     with pytest.raises(OSError) as told:
         one.append(b"x")
@@ -273,5 +275,5 @@
 
 
 def test_the_simulated_disk_has_the_same_face():
-    for name in ("read", "append", "sync", "replace", "aside"):
+    for name in ("read", "append", "sync", "replace", "quarantine"):
         assert callable(getattr(Disk(), name)) and callable(getattr(RaftLogFile("x"), name))
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -79,20 +79,20 @@
             4 + opening,
             ("k2", 12345) if not opening else ("k1", made.life),
         )
-        assert (made.log.base, made.log.last, disk.torn) == (base, 8 + opening, 0 if opening else torn)
-        assert len(texts) == disk.torn and all("torn tail" in text for text in texts)
+        assert (made.log.base, made.log.last, disk.torn_tails) == (base, 8 + opening, 0 if opening else torn)
+        assert len(texts) == disk.torn_tails and all("torn tail" in text for text in texts)
         elected(made)
         assert leases(made) == HELD and made.machine.pools == {"room:host-9": (6, 0)}
         assert made.machine.fence == FENCE + 3 and made.sessions.table[3][:2] == ("gateway-1", 5)
         disk.close()
 
 
-def test_votes_with_a_bad_middle_are_set_aside_and_said(copied):
+def test_votes_with_a_bad_middle_are_quarantined_and_said(copied):
     path = copied("votes-middle-bad.bin")
     before = path.read_bytes()
     made, disk, texts = node(path)
     assert "not what was written" in made.store.lost and made.life not in (0, OWN_NUMBER) and not made.term
-    assert len(texts) == 1 and "set aside as" in texts[0]
+    assert len(texts) == 1 and "quarantined as" in texts[0]
     assert path.with_name(f"{path.name}.broken-17").read_bytes() == before
     disk.close()
 
--- a/tests/support/keepers_net.py
+++ b/tests/support/keepers_net.py
@@ -19,7 +19,7 @@
     """Records in memory; `synced` of them survive a crash. `fails`: what every write raises."""
 
     def __init__(self):
-        self.records, self.synced, self.fails, self.put_aside = [], 0, None, []
+        self.records, self.synced, self.fails, self.quarantined = [], 0, None, []
 
     def _may(self):
         if self.fails:
@@ -40,8 +40,8 @@
         self._may()
         self.records, self.synced = list(records), len(records)
 
-    def aside(self, why):
-        self.put_aside.append(why)
+    def quarantine(self, why):
+        self.quarantined.append(why)
         self.records, self.synced = [], 0
 
     def crash(self, chance):
--- a/tests/support/storage_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -39,10 +39,10 @@
 def failed_sync_is_forgotten(patch):
     def sync(self):
         try:
-            raft_log_module.os.fsync(self.file)
+            raft_log_module.os.fsync(self.descriptor)
         except OSError:
             pass
-        self.first = self.number
+        self.batch_start = self.next_number
 
     patch(RaftLogFile, "sync", sync)
 
@@ -50,10 +50,10 @@
 def failed_sync_is_repeated_and_believed(patch):
     def sync(self):
         try:
-            raft_log_module.os.fsync(self.file)
+            raft_log_module.os.fsync(self.descriptor)
         except OSError:
-            raft_log_module.os.fsync(self.file)
-        self.first = self.number
+            raft_log_module.os.fsync(self.descriptor)
+        self.batch_start = self.next_number
 
     patch(RaftLogFile, "sync", sync)
 
@@ -66,18 +66,18 @@
             self.open()
         self._forget()
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-        self.file = raft_log_module.os.open(self.path, flags, files.ONLY_OWNER)
+        self.descriptor = raft_log_module.os.open(self.path, flags, files.OWNER_ONLY)
         data = files.read_file(self.path)
         try:
             records, good, last = decode_records(data)
         except CorruptRecordError as fault:
             return Lost(str(fault))
         if good < len(data):
-            raft_log_module.os.ftruncate(self.file, good)
-        raft_log_module.os.fsync(self.file)
+            raft_log_module.os.ftruncate(self.descriptor, good)
+        raft_log_module.os.fsync(self.descriptor)
         files.sync_directory(self.path.parent)
-        self.number = self.first = last + 1
-        self.failed = None
+        self.next_number = self.batch_start = last + 1
+        self.failure = None
         return records
 
     patch(RaftLogFile, "read", read)
@@ -89,15 +89,15 @@
             self.open()
         self._forget()
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-        self.file = raft_log_module.os.open(self.path, flags, files.ONLY_OWNER)
+        self.descriptor = raft_log_module.os.open(self.path, flags, files.OWNER_ONLY)
         try:
             records, _, last = decode_records(files.read_file(self.path))
         except CorruptRecordError as fault:
             return Lost(str(fault))
-        raft_log_module.os.fsync(self.file)
+        raft_log_module.os.fsync(self.descriptor)
         files.sync_directory(self.path.parent)
-        self.number = self.first = last + 1
-        self.failed = None
+        self.next_number = self.batch_start = last + 1
+        self.failure = None
         return records
 
     patch(RaftLogFile, "read", read)
@@ -121,7 +121,7 @@
 def a_file_is_renamed_before_it_is_synced(patch):
     def replace_file(path, content):
         beside = f"{path}.new"
-        file = files.os.open(beside, files.NEW_FILE, files.ONLY_OWNER)
+        file = files.os.open(beside, files.NEW_FILE_FLAGS, files.OWNER_ONLY)
         try:
             files.write_all(file, content)
             files.os.rename(beside, path)
@@ -137,7 +137,7 @@
 def a_descriptor_is_left_open_on_a_full_disk(patch):
     def replace_file(path, content):
         beside = f"{path}.new"
-        file = files.os.open(beside, files.NEW_FILE, files.ONLY_OWNER)
+        file = files.os.open(beside, files.NEW_FILE_FLAGS, files.OWNER_ONLY)
         files.write_all(file, content)
         files.os.fsync(file)
         files.os.rename(beside, path)
@@ -157,7 +157,7 @@
 
 def a_node_goes_on_after_a_further_sync(patch):
     def rewrite(self):
-        self.disk.failed = None
+        self.disk.failure = None
         try:
             self.disk.sync()
         except OSError as fault:
