--- a/gaproute/storage/files.py
+++ b/gaproute/storage/files.py
@@ -1,19 +1,20 @@
-"""Files that have to outlast a crash: written whole, synced, and put in place by a rename.
+"""Files that must survive a crash: written to a temporary file, synced, and renamed into place.
 
-After a failed fsync the kernel may hold the pages as clean that never reached the disk, and a further fsync
-reports success for them (fsync(2), "Errors"). So nothing here syncs a second time what failed once: whoever
-sees an OSError writes everything anew, which `replace_file` does into a new file.
+After a failed fsync the kernel may mark pages clean that never reached the disk, and a further fsync reports
+success for them (fsync(2), "Errors"). So no function here repeats a failed fsync: a caller that sees an
+OSError writes the whole content again, which `replace_file` does into a new file.
 """
 
 import errno
 import os
+from contextlib import suppress
 from pathlib import Path
 
-OWNER_ONLY = 0o600
-READ_CHUNK = 1 << 20  # in one call
+OWNER_ONLY = 0o600  # permissions of the files
+READ_CHUNK = 1 << 20  # bytes asked for in one read
 NEW_FILE_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC
 
-# What passes once the disk has space, answers or may be written again, or descriptors and memory are free.
+# Errors that end once the disk has space, answers or is writable again, or descriptors and memory are free.
 TRANSIENT_ERRNOS = frozenset(
     {
         errno.ENOSPC,
@@ -28,79 +29,83 @@
 )
 
 
-def read_file(path: str | Path, most: int | None = None) -> bytes:
-    """The file's bytes, `most` of them at most. Errors: OSError."""
-    file = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
+def read_file(path: str | Path, limit: int | None = None) -> bytes:
+    """Return the file's content, its first `limit` bytes at most. Errors: OSError."""
+    descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
     content = bytearray()
     try:
-        while most is None or len(content) < most:
-            left = READ_CHUNK if most is None else min(READ_CHUNK, most - len(content))
-            read = os.read(file, left)
-            if not read:
+        while limit is None or len(content) < limit:
+            count = READ_CHUNK if limit is None else min(READ_CHUNK, limit - len(content))
+            chunk = os.read(descriptor, count)
+            if not chunk:
                 break
-            content += read
+            content += chunk
     finally:
-        close(file)
+        close(descriptor)
     return bytes(content)
 
 
-def write_all(file: int, data: bytes) -> None:
-    """Write all of it: a short write, as on a disk that is just full, is continued until the error comes.
-    Errors: OSError; then any part of it may have been written."""
-    left = memoryview(data)
-    while left:
-        left = left[os.write(file, left) :]
+def write_all(descriptor: int, data: bytes) -> None:
+    """Write all of `data`, continuing after short writes (a disk that is nearly full) until an error comes.
 
+    Errors: OSError; any part of the data may have been written then.
+    """
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
 
-def close(file: int) -> None:
-    """Close a descriptor. Linux releases it whatever close reports, and whether the bytes reached the disk is
-    what fsync was asked; so a failure says nothing new and must not hide what went wrong before."""
-    try:
-        os.close(file)
-    except OSError:
-        pass
+
+def close(descriptor: int) -> None:
+    """Close a descriptor and ignore the result.
+
+    Linux releases it whatever close(2) reports, and only fsync tells whether the data reached the disk. An
+    error here says nothing new and must not hide an earlier one.
+    """
+    with suppress(OSError):
+        os.close(descriptor)
 
 
 def remove_if_present(path: str) -> None:
-    """Unlink the file if it is there. Errors: OSError."""
-    try:
+    """Unlink the file if it exists. Errors: OSError."""
+    with suppress(FileNotFoundError):
         os.unlink(path)
-    except FileNotFoundError:
-        pass
 
 
-def sync_directory(folder: str | Path) -> None:
-    """Make the names in the folder durable. Errors: OSError."""
-    file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+def sync_directory(directory: str | Path) -> None:
+    """Make the names in the directory durable. Errors: OSError."""
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(file)
+        os.fsync(descriptor)
     finally:
-        close(file)
+        close(descriptor)
+
+
+def temporary_path(path: str | Path) -> str:
+    """Return the name under which `replace_file` writes the new content."""
+    return f"{path}.new"
 
 
 def replace_file(path: str | Path, content: bytes) -> int:
-    """Make `content` the file's content, durably; its descriptor, open for appending, is the caller's.
+    """Replace the file's content atomically and durably.
 
-    Written beside, synced, renamed, and the folder synced. Errors: OSError; then the file holds either what
-    it held or `content`, and which of them outlasts a crash is not known.
+    Returns the descriptor of the new file, open for appending; the caller closes it. Errors: OSError; the
+    file then holds either its old content or `content`, and which one survives a crash is not known.
     """
-    beside = f"{path}.new"
-    file = os.open(beside, NEW_FILE_FLAGS, OWNER_ONLY)
+    temporary = temporary_path(path)
+    descriptor = os.open(temporary, NEW_FILE_FLAGS, OWNER_ONLY)
     try:
-        write_all(file, content)
-        os.fsync(file)
-        os.rename(beside, path)
+        write_all(descriptor, content)
+        os.fsync(descriptor)
+        os.rename(temporary, path)
         sync_directory(Path(path).parent)
     except BaseException:
-        close(file)
-        _free_space(beside)
+        close(descriptor)
+        _free_space(temporary)
         raise
-    return file
+    return descriptor
 
 
 def _free_space(path: str) -> None:
-    """Give back the space of a file that was not finished, where that can be done."""
-    try:
+    """Remove an unfinished file where possible; the next attempt truncates it otherwise."""
+    with suppress(OSError):
         remove_if_present(path)
-    except OSError:
-        pass  # the next attempt truncates it
--- a/gaproute/storage/log_records.py
+++ b/gaproute/storage/log_records.py
@@ -1,73 +1,111 @@
-"""Records in one file: what stands in its bytes, no I/O. Little-endian: magic 4, length 4, number 8, first 8,
-sum 8, then the bytes.
-
-`number` counts the records of the file; `first` is the number at which the batch began that was synced
-together. With it a tail that a crash tore is told from a record that went bad later: only the last batch can
-be torn, since the next one was not begun before the sync of this one came back. A file that was put in
-another's place whole cannot be torn at all: there each record is a batch, and a seal behind the last one
-shows where it went bad too.
+"""Encoding of the records in a log file, without I/O.
+
+A record is a header followed by its payload. The header is little-endian: magic (4 bytes), payload length
+(4), record number (8), batch start (8), checksum (8, XXH3 of the header's other fields and the payload).
+
+The record number counts the records of the file from 0. The batch start is the number of the first record
+of the batch that was synced together. It tells a tail that a crash tore from a record that went bad later:
+only the last batch can be torn, since the next one is not begun before the sync of this one returned. A file
+that was replaced as a whole cannot be torn: there each record is a batch of its own, and a seal, a record
+without payload, follows the last one so that damage to the last record is recognized too.
 """
 
 import struct
+from collections.abc import Iterable
+from typing import NamedTuple
 
 import xxhash
 
-MAGIC, SEAL = b"\x9evR1", b"\x9evS1"  # found again after a bad record
-START = MAGIC[:2]
-MOST = 16 << 20  # bytes of one record: a whole snapshot; more is a length that went bad
+from gaproute.errors import GaprouteError
+
+RECORD_MAGIC, SEAL_MAGIC = b"\x9evR1", b"\x9evS1"
+MAGIC_PREFIX = RECORD_MAGIC[:2]  # of both: what a search behind a bad record looks for
+MAX_PAYLOAD = 16 << 20  # bytes: a whole snapshot; a greater length is a damaged one
 HEADER = struct.Struct("<4sIQQQ")
+CHECKED_FIELDS = struct.Struct("<4sIQQ")  # the header without its checksum
+NO_RECORD = -1  # number of the last record of an empty file
+
+
+class CorruptRecordError(GaprouteError):
+    """A record that was synced is not what was written; the text says at which byte."""
+
+
+class DecodedRecords(NamedTuple):
+    """What `decode_records` found. Bytes behind `valid_length` are a torn tail."""
 
+    payloads: list[bytes]
+    valid_length: int  # bytes
+    last_number: int  # of the last valid record, the seal included; NO_RECORD if there is none
 
-class CorruptRecordError(Exception):
-    """A record in the middle is not what was written; the text says where."""
 
+class _Record(NamedTuple):
+    number: int
+    batch_start: int
+    payload: bytes | None  # None for a seal
+    end: int  # offset of the byte behind it
 
-def _sum(magic, number, first, data):
-    return xxhash.xxh3_64_intdigest(struct.pack("<4sIQQ", magic, len(data), number, first) + data)
 
+def encode_record(number: int, batch_start: int, payload: bytes, magic: bytes = RECORD_MAGIC) -> bytes:
+    """Return the bytes of one record."""
+    checksum = _checksum(magic, number, batch_start, payload)
+    return HEADER.pack(magic, len(payload), number, batch_start, checksum) + payload
 
-def encode_record(number, first, data, magic=MAGIC):
-    return HEADER.pack(magic, len(data), number, first, _sum(magic, number, first, data)) + data
 
+def encode_replacement(payloads: Iterable[bytes]) -> bytes:
+    """Return the content of a file that replaces another as a whole: records and a seal."""
+    records = [encode_record(number, number, payload) for number, payload in enumerate(payloads)]
+    seal = encode_record(len(records), len(records), b"", SEAL_MAGIC)
+    return b"".join([*records, seal])
 
-def encode_replacement(records):
-    """The bytes of a file that stands in another's place."""
-    parts = [encode_record(number, number, record) for number, record in enumerate(records)]
-    return b"".join([*parts, encode_record(len(parts), len(parts), b"", SEAL)])
 
+def decode_records(data: bytes) -> DecodedRecords:
+    """Decode the content of a file.
 
-def _one(data, at):
-    """(number, first, bytes or None for a seal, end) of the record that begins there, None if none does."""
-    if at + HEADER.size > len(data):
+    Errors: CorruptRecordError where a record that is not valid had been synced.
+    """
+    payloads: list[bytes] = []
+    offset, last_number = 0, NO_RECORD
+    while offset < len(data):
+        record = _decode_record(data, offset)
+        if record is None or record.number != last_number + 1:
+            _check_torn_tail(data, offset, last_number + 1)
+            break
+        last_number, offset = record.number, record.end
+        if record.payload is not None:
+            payloads.append(record.payload)
+    return DecodedRecords(payloads, offset, last_number)
+
+
+def _decode_record(data: bytes, offset: int) -> _Record | None:
+    """Return the record that begins at `offset`, None if there is no valid one."""
+    if offset + HEADER.size > len(data):
         return None
-    magic, size, number, first, told = HEADER.unpack_from(data, at)
-    end = at + HEADER.size + size
-    if magic not in (MAGIC, SEAL) or size > MOST or end > len(data):
+    magic, length, number, batch_start, checksum = HEADER.unpack_from(data, offset)
+    end = offset + HEADER.size + length
+    if magic not in (RECORD_MAGIC, SEAL_MAGIC) or length > MAX_PAYLOAD or end > len(data):
         return None
-    value = data[at + HEADER.size : end]
-    if told != _sum(magic, number, first, value):
+    payload = data[offset + HEADER.size : end]
+    if checksum != _checksum(magic, number, batch_start, payload):
         return None
-    return number, first, value if magic == MAGIC else None, end
+    return _Record(number, batch_start, payload if magic == RECORD_MAGIC else None, end)
 
 
-def decode_records(data):
-    """([bytes of each record], length of what is good, number of the last record or -1). What follows the
-    good length is a torn tail. Errors: CorruptRecordError, where what is not good was synced once."""
-    records, at, last = [], 0, -1
-    while at < len(data):
-        one = _one(data, at)
-        if one is None or one[0] != last + 1:
-            break
-        last, _, value, at = one
-        if value is not None:
-            records.append(value)
-    if at < len(data):
-        look = data.find(START, at)
-        while look >= 0:
-            later = _one(data, look)
-            if later is not None and later[1] > last + 1:
-                raise CorruptRecordError(
-                    f"record {last + 1} at byte {at} is not what was written; {later[0]} after it is"
-                )
-            look = data.find(START, look + 1 if later is None else later[3])
-    return records, at, last
+def _check_torn_tail(data: bytes, offset: int, expected: int) -> None:
+    """Check that no record behind `offset` belongs to a batch later than that of record `expected`.
+
+    Errors: CorruptRecordError.
+    """
+    candidate = data.find(MAGIC_PREFIX, offset)
+    while candidate >= 0:
+        later = _decode_record(data, candidate)
+        if later is not None and later.batch_start > expected:
+            raise CorruptRecordError(
+                f"record {expected} at byte {offset} is not what was written: "
+                f"a valid one was expected there, as record {later.number} of a later batch follows it"
+            )
+        candidate = data.find(MAGIC_PREFIX, candidate + 1 if later is None else later.end)
+
+
+def _checksum(magic: bytes, number: int, batch_start: int, payload: bytes) -> int:
+    fields = CHECKED_FIELDS.pack(magic, len(payload), number, batch_start)
+    return xxhash.xxh3_64_intdigest(fields + payload)
--- a/gaproute/storage/raft_log_file.py
+++ b/gaproute/storage/raft_log_file.py
@@ -1,145 +1,171 @@
-"""What a keeper voted, on disk: a file that is appended to, with a checksum for each record.
+"""The persistent state of a Raft node on disk: an append-only file with a checksum for each record.
 
-Not SQLite, though ledger/memory.py uses it and `synchronous = FULL` would sync as well: SQLite has checksums
-in its write-ahead log only, and a frame there that went bad ends the log without a word, so that votes
-committed after it are forgotten in silence and the keeper votes a second time; its pages have none at all.
-Here each record has one, a bad one that was once synced is told from a tail torn by the crash
-(ledger/records.py), and a keeper's log is small and read once. What no file can tell: that the last batch,
-synced, went bad since, or that an older copy of the whole file was put back.
+Not SQLite, though observation_store.py uses it and `synchronous = FULL` would sync as well: SQLite has
+checksums in its write-ahead log only, and a damaged frame there ends the log silently. Votes committed after
+it would be forgotten, and the node would vote a second time in a term; SQLite's pages have no checksum at
+all. Here each record has one, a record that went bad after its sync is told from a tail that a crash tore
+(log_records.py), and the log of a Raft node is small and read once. What no file can detect: that its last
+synced batch went bad, or that an older copy of the whole file was put back.
 
-Whose file it is stands in its first record, which is the keeper's to write and to compare (its name, and the
-number that its memory was given); a file of another gateway is then quarantined by `quarantine`.
+The first record says whose file it is. The Raft node writes and compares it (its name and its incarnation)
+and quarantines a file of another gateway.
 
-Errors: OSError. After one of `append` or `sync` all but `read`, `replace` and `quarantine` are refused:
-after a failed fsync the kernel may hold as clean what never came to the disk, and only writing all anew,
-which `read` and `replace` do, makes it durable.
+Errors: OSError. After one from `append` or `sync` only `read`, `replace` and `quarantine` are accepted: after
+a failed fsync the kernel may mark pages clean that never reached the disk, and only writing everything again,
+as `read` and `replace` do, makes it durable.
 """
 
 import errno
 import fcntl
 import os
 import time
+from collections.abc import Callable, Iterator, Sequence
+from contextlib import contextmanager
 from pathlib import Path
 
 from gaproute.shared.raft import Lost
 from gaproute.storage import files
-from gaproute.storage.log_records import CorruptRecordError, decode_records, encode_record, encode_replacement
+from gaproute.storage.log_records import (
+    CorruptRecordError,
+    DecodedRecords,
+    decode_records,
+    encode_record,
+    encode_replacement,
+)
 
 
 class RaftLogFile:
-    """`open` before use. `report(text)` says what an operator should know. `torn_tails`: tails cut off."""
-
-    def __init__(self, path, report=print, wall_clock=time.time_ns):
-        self.path, self.report, self.wall_clock = Path(path), report, wall_clock
-        self.descriptor = self.lock = self.failure = None
-        self.next_number = self.batch_start = self.torn_tails = 0
-
-    def open(self):
-        """Errors: OSError: the folder cannot be written, or another process holds the file."""
+    """The file of one Raft node, locked against other processes. Call `open`, then `read`, before all else.
+
+    `report(text)` is called with what an operator should know, an outage once. `wall_clock` returns ns since
+    1970 and only names quarantined files. `torn_tails` counts the tails cut off.
+    """
+
+    def __init__(
+        self,
+        path: str | Path,
+        report: Callable[[str], object] = print,
+        wall_clock: Callable[[], int] = time.time_ns,
+    ) -> None:
+        self.path = Path(path)
+        self.report, self.wall_clock = report, wall_clock
+        self.descriptor: int | None = None
+        self.lock: int | None = None  # descriptor of the lock file
+        self.failure: OSError | None = None  # the last one since everything was written
+        self.next_number = 0  # of the next record
+        self.batch_start = 0  # number of the first record that is not synced
+        self.torn_tails = 0
+
+    def open(self) -> "RaftLogFile":
+        """Lock the file. Errors: OSError: the directory is not writable, or another process holds it."""
         try:
             self.lock = os.open(f"{self.path}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, files.OWNER_ONLY)
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            files.remove_if_present(f"{self.path}.new")  # a replacement that was not finished
+            files.remove_if_present(files.temporary_path(self.path))  # a replacement that was not finished
         except OSError:
             self.close()
             raise
         return self
 
-    def read(self):
-        """The records, as they were appended; Lost(why) where one in the middle is not what was written. A
-        torn tail is cut off. To be called before all else, and again after it failed. Errors: OSError.
+    def read(self) -> list[bytes] | Lost:
+        """Return the records in the order they were appended, after cutting off a torn tail.
 
-        All is written anew before it is handed out: what is read may be in memory only, left there as clean
-        by a sync that failed in a process before this one."""
-        with _Noted(self):
+        Lost(why) where a record that had been synced is not what was written. To be called before all else,
+        and again after it failed. Errors: OSError.
+
+        Everything is written again before it is returned: what is read may be in the page cache only, marked
+        clean by a sync that failed in an earlier process.
+        """
+        with self._failures_noted():
             if self.lock is None:
                 self.open()
-            self._forget()
-            try:
-                data = files.read_file(self.path)
-            except FileNotFoundError:
-                data = b""
+            self._close_file()
+            data = self._content()
             try:
-                records, good, _ = decode_records(data)
-            except CorruptRecordError as fault:
-                return Lost(str(fault))
-            self._put(records)
-        if good < len(data):
-            self.torn_tails += 1
-            self.report(
-                f"{self.path}: a torn tail of {len(data) - good} bytes cut off, {len(records)} records stay"
-            )
-        return records
-
-    def append(self, record):
-        """Stands for good only when `sync` has come back."""
-        self._usable()
-        with _Noted(self):
-            files.write_all(self.descriptor, encode_record(self.next_number, self.batch_start, bytes(record)))
+                decoded = decode_records(data)
+            except CorruptRecordError as error:
+                return Lost(str(error))
+            self._write_everything(decoded.payloads)
+        self._report_torn_tail(decoded, len(data))
+        return decoded.payloads
+
+    def append(self, record: bytes) -> None:
+        """Append a record; it is durable only after `sync` returned. Errors: OSError."""
+        descriptor = self._usable_descriptor()
+        with self._failures_noted():
+            files.write_all(descriptor, encode_record(self.next_number, self.batch_start, bytes(record)))
             self.next_number += 1
 
-    def sync(self):
-        self._usable()
-        with _Noted(self):
-            os.fsync(self.descriptor)
+    def sync(self) -> None:
+        """Make all appended records durable. Errors: OSError."""
+        descriptor = self._usable_descriptor()
+        with self._failures_noted():
+            os.fsync(descriptor)
             self.batch_start = self.next_number
 
-    def replace(self, records):
-        """All that stands there by `records`, at once and for good: written beside, synced, put in its
-        place."""
-        with _Noted(self):
-            self._put(records)
-
-    def _put(self, records):
-        file = files.replace_file(self.path, encode_replacement(map(bytes, records)))
-        self._forget()
-        self.descriptor = file
-        self.next_number = self.batch_start = len(records) + 1  # the seal is one
-        self.failure = None
+    def replace(self, records: Sequence[bytes]) -> None:
+        """Replace all records by these, atomically and durably. Errors: OSError."""
+        with self._failures_noted():
+            self._write_everything(records)
 
-    def quarantine(self, why):
-        """Keeps what is there under another name for the operator; then there is nothing."""
-        with _Noted(self):
-            self._forget()
+    def quarantine(self, reason: str) -> None:
+        """Keep the file under another name for the operator; afterwards there is none. Errors: OSError."""
+        with self._failures_noted():
+            self._close_file()
             target = f"{self.path}.broken-{self.wall_clock()}"
             os.rename(self.path, target)
-            self.report(f"{self.path}: {why}; quarantined as {target}; this Raft node starts empty")
+            self.report(f"{self.path}: {reason}; quarantined as {target}; this Raft node starts empty")
             files.sync_directory(self.path.parent)
 
-    def _usable(self):
-        if self.failure is not None or self.descriptor is None:
-            why = self.failure or "not read yet"
-            raise OSError(
-                getattr(why, "errno", errno.EBADF), f"{self.path}: not used until it is written again: {why}"
-            )
-
-    def _forget(self):
-        if self.descriptor is not None:
-            files.close(self.descriptor)
-        self.descriptor, self.next_number, self.batch_start = None, 0, 0
-
-    def close(self):
-        self._forget()
+    def close(self) -> None:
+        """Close the file and release the lock."""
+        self._close_file()
         if self.lock is not None:
             files.close(self.lock)
             self.lock = None
 
+    def _content(self) -> bytes:
+        try:
+            return files.read_file(self.path)
+        except FileNotFoundError:
+            return b""
+
+    def _write_everything(self, records: Sequence[bytes]) -> None:
+        descriptor = files.replace_file(self.path, encode_replacement(map(bytes, records)))
+        self._close_file()
+        self.descriptor = descriptor
+        self.next_number = self.batch_start = len(records) + 1  # the seal is one
+        self.failure = None
 
-class _Noted:
-    """Keeps the first failure, after which nothing is appended any more; says it once."""
-
-    def __init__(self, votes):
-        self.votes = votes
-
-    def __enter__(self):
-        return self
-
-    def __exit__(self, kind, fault, trace):
-        votes = self.votes
-        if isinstance(fault, OSError):
-            if votes.failure is None:
-                votes.report(
-                    f"{votes.path}: {fault}; this Raft node neither votes nor grants leases until the "
-                    "whole file is written again"
+    def _report_torn_tail(self, decoded: DecodedRecords, length: int) -> None:
+        torn = length - decoded.valid_length
+        if torn:
+            self.torn_tails += 1
+            kept = len(decoded.payloads)
+            self.report(f"{self.path}: a torn tail of {torn} bytes cut off, {kept} records stay")
+
+    def _usable_descriptor(self) -> int:
+        if self.failure is None and self.descriptor is not None:
+            return self.descriptor
+        reason = self.failure or "not read yet"
+        number = getattr(reason, "errno", errno.EBADF)
+        raise OSError(number, f"{self.path}: not used until it is written again: {reason}")
+
+    @contextmanager
+    def _failures_noted(self) -> Iterator[None]:
+        """Remember a failure, after which nothing is appended any more, and report the first one."""
+        try:
+            yield
+        except OSError as error:
+            if self.failure is None:
+                self.report(
+                    f"{self.path}: {error}; this Raft node neither votes nor grants leases until the whole "
+                    "file is written again"
                 )
-            votes.failure = fault
+            self.failure = error
+            raise
+
+    def _close_file(self) -> None:
+        if self.descriptor is not None:
+            files.close(self.descriptor)
+        self.descriptor, self.next_number, self.batch_start = None, 0, 0
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -69,7 +69,7 @@
 def test_any_cut_gives_a_prefix_that_can_be_gone_on_from(votes):
     path = filled(votes, [b"one"], [b"two", b"three"])
     written = path.read_bytes()
-    seen = {tuple(decode_records(written[:length])[0]) for length in range(len(written))}
+    seen = {tuple(decode_records(written[:length]).payloads) for length in range(len(written))}
     assert seen == {(), (b"one",), (b"one", b"two")}
     path.write_bytes(written[:-3])
     one = votes()
@@ -105,7 +105,7 @@
     for at in range(len(written) - len(encode_record(0, 0, b""))):
         with pytest.raises(CorruptRecordError):
             decode_records(flipped(written, at))
-    assert decode_records(written[:-1])[0] == decode_records(written)[0] == [b"one", b"two"]
+    assert decode_records(written[:-1]).payloads == decode_records(written).payloads == [b"one", b"two"]
 
 
 def test_a_batch_torn_out_of_order_is_a_torn_tail(votes):
--- a/tests/support/storage_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -24,7 +24,7 @@
 from gaproute.shared.raft.store import Store
 from gaproute.storage import files
 from gaproute.storage import raft_log_file as raft_log_module
-from gaproute.storage.log_records import HEADER, CorruptRecordError, decode_records
+from gaproute.storage.log_records import HEADER, CorruptRecordError, DecodedRecords, decode_records
 from gaproute.storage.raft_log_file import RaftLogFile
 
 
@@ -64,7 +64,7 @@
     def read(self):
         if self.lock is None:
             self.open()
-        self._forget()
+        self._close_file()
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
         self.descriptor = raft_log_module.os.open(self.path, flags, files.OWNER_ONLY)
         data = files.read_file(self.path)
@@ -87,7 +87,7 @@
     def read(self):
         if self.lock is None:
             self.open()
-        self._forget()
+        self._close_file()
         flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
         self.descriptor = raft_log_module.os.open(self.path, flags, files.OWNER_ONLY)
         try:
@@ -109,7 +109,11 @@
     def read_torn(data):
         records, good, last = decode_records(data)
         rest = data[good + HEADER.size :]
-        return ([*records, rest], len(data), last + 1) if rest else (records, good, last)
+        return (
+            DecodedRecords([*records, rest], len(data), last + 1)
+            if rest
+            else DecodedRecords(records, good, last)
+        )
 
     patch(raft_log_module, "decode_records", read_torn)
 
