--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -87,13 +87,13 @@
         if self.charter.memory is None:
             return
         store = ObservationStore(
-            self.charter.memory, lambda text: self.record.event("warning", "memory", text=text)
+            self.charter.memory, lambda text: self.record.event("warning", "observation store", text=text)
         )
         try:
             store.open()
             self._recall(store)
         except ObservationStoreError as fault:
-            self.record.event("warning", "no memory", text=str(fault))
+            self.record.event("warning", "observation store unavailable", text=str(fault))
         self.observation_writer = ObservationWriter(self.loop, store, self.gateway, self.roll, self.tracks)
 
     def _recall(self, store):
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -22,7 +22,7 @@
         self.loop, self.peers = loop, {}  # name: address
         self.disk = None
         if name in line.names:
-            self.disk = RaftLogFile(line.votes, lambda text: record.event("warning", "votes", text=text))
+            self.disk = RaftLogFile(line.votes, lambda text: record.event("warning", "raft log", text=text))
             self._open()
         self.seat = Seat(
             loop,
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -189,17 +189,17 @@
         try:
             self.disseminator.publish_whole(self.loop.now(), version, kept.digest, kept.data)
         except DocumentError as reason:
-            self.file.set_aside(str(reason))
+            self.file.quarantine(str(reason))
             return
         self.written = version
 
     def _write(self):
         if self.file is None:
             return
-        if self.file.unread:
+        if self.file.failed_reads:
             self._restore_late()
         document = self.disseminator.document
-        if self.file.unread:
+        if self.file.failed_reads:
             self.write_at = self.loop.now() + RETRY_INTERVAL
             return
         if document.version <= self.written:
--- a/gaproute/storage/cell_table_file.py
+++ b/gaproute/storage/cell_table_file.py
@@ -19,9 +19,9 @@
 
 MAGIC = b"gaproute-table-1"
 CHECKSUM_BYTES = 8
-MAX_FILE = 5 << 20  # bytes: a whole encoded table and its head
-OLDEST = (-1, -1)
-MAX_READS = 12  # that fail in turn, until the file is given up: a disk that answers has a bad place there
+MAX_FILE_LENGTH = 5 << 20  # bytes: a whole encoded table and its head
+ANY_VERSION = (-1, -1)
+MAX_FAILED_READS = 12  # in turn, until the file is given up: a disk that answers has a bad place there
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
@@ -46,33 +46,34 @@
 
     written: int = 0
     failed: int = 0
-    set_aside: int = 0
+    quarantined: int = 0
 
 
 class CellTableFile:
-    """`told(text)` is called with what an operator should know of, each outage once. `unread`: reads that
-    failed since the last that did not, for a reason that passes; until it is 0 nothing should be written."""
+    """`report(text)` is called with what an operator should know of, each outage once. `failed_reads`: reads
+    that failed since the last that did not, for a transient reason; until it is 0 nothing should be
+    written."""
 
-    def __init__(self, path, fleet: str, told, wall=time.time_ns):
-        self.path, self.fleet, self.told, self.wall = Path(path), fleet, told, wall
+    def __init__(self, path, fleet: str, report, wall_clock=time.time_ns):
+        self.path, self.fleet, self.report, self.wall_clock = Path(path), fleet, report, wall_clock
         self.counts = CellTableFileCounts()
-        self.unread = 0
+        self.failed_reads = 0
         self.failing = False
 
-    def read(self, heard: tuple[int, int] = OLDEST) -> StoredTable | None:
-        """The table kept; None where there is none that can be used. `heard`: the version others hold."""
+    def read(self, newest_known: tuple[int, int] = ANY_VERSION) -> StoredTable | None:
+        """The table stored; None where none can be used. `newest_known`: the version that others hold."""
         content = self._read()
         if content is None:
             return None
         try:
             table = self._checked(content)
-            if (table.term, table.number) < heard:
+            if (table.term, table.number) < newest_known:
                 raise UnusableTableError(
-                    f"version {table.term}.{table.number}, others hold {heard[0]}.{heard[1]}"
+                    f"version {table.term}.{table.number}, others hold {newest_known[0]}.{newest_known[1]}"
                 )
             return table
         except UnusableTableError as reason:
-            self.set_aside(str(reason))
+            self.quarantine(str(reason))
             return None
 
     def write(self, table: StoredTable) -> bool:
@@ -80,8 +81,8 @@
         content = msgspec.msgpack.encode(table)
         content = MAGIC + _checksum(content) + content
         try:
-            if len(content) > MAX_FILE:
-                raise OSError(f"a table of {len(content)} bytes is more than {MAX_FILE}")
+            if len(content) > MAX_FILE_LENGTH:
+                raise OSError(f"a table of {len(content)} bytes is more than {MAX_FILE_LENGTH}")
             files.close(files.replace_file(self.path, content))
         except OSError as fault:
             self._failed(fault)
@@ -90,35 +91,35 @@
         self.failing = False
         return True
 
-    def set_aside(self, reason: str):
+    def quarantine(self, reason: str):
         """Keep what is there under another name: it cannot be used."""
-        self.counts.set_aside += 1
-        aside = f"{self.path}.broken-{self.wall()}"
+        self.counts.quarantined += 1
+        aside = f"{self.path}.broken-{self.wall_clock()}"
         try:
             os.rename(self.path, aside)
         except OSError as fault:
-            self._failed(f"{reason}; not set aside: {fault}")
+            self._failed(f"{reason}; not quarantined: {fault}")
             return
-        self.told(f"{self.path}: {reason}; set aside as {aside}, starting without a table")
+        self.report(f"{self.path}: {reason}; quarantined as {aside}, starting without a table")
 
     def _read(self) -> bytes | None:
         try:
-            content = files.read_file(self.path, MAX_FILE + 1)
+            content = files.read_file(self.path, MAX_FILE_LENGTH + 1)
         except FileNotFoundError:
             content = None
         except OSError as fault:
             self._failed(fault)
-            self.unread = self.unread + 1 if fault.errno in files.TRANSIENT_ERRNOS else 0
-            if self.unread == MAX_READS:
-                self.unread = 0
-                self.set_aside(f"not read {MAX_READS} times: {fault}")
+            self.failed_reads = self.failed_reads + 1 if fault.errno in files.TRANSIENT_ERRNOS else 0
+            if self.failed_reads == MAX_FAILED_READS:
+                self.failed_reads = 0
+                self.quarantine(f"not read {MAX_FAILED_READS} times: {fault}")
             return None
-        self.unread, self.failing = 0, False
+        self.failed_reads, self.failing = 0, False
         return content
 
     def _checked(self, content):
-        if len(content) > MAX_FILE:
-            raise UnusableTableError(f"more than {MAX_FILE} bytes")
+        if len(content) > MAX_FILE_LENGTH:
+            raise UnusableTableError(f"more than {MAX_FILE_LENGTH} bytes")
         if not content.startswith(MAGIC):
             raise UnusableTableError("no cell table")
         head = len(MAGIC) + CHECKSUM_BYTES
@@ -137,7 +138,7 @@
         self.counts.failed += 1
         if not self.failing:
             self.failing = True
-            self.told(f"{self.path}: {fault}; the table is not kept on disk")
+            self.report(f"{self.path}: {fault}; the table is not stored on disk")
 
 
 def _checksum(content):
--- a/gaproute/storage/observation_store.py
+++ b/gaproute/storage/observation_store.py
@@ -27,10 +27,10 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-BUSY = 0  # s to wait for a lock: none, a task may be waiting
-RETRY_LEAST, RETRY_MOST = SECOND, 30 * SECOND  # between attempts at a disk that fails: doubled each time
+LOCK_TIMEOUT = 0  # s to wait for a lock: none, a task may be waiting
+MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # between attempts at a disk that fails: doubled each time
 PRIMARY_CODE = 0xFF  # of SQLite's extended result codes: what kind of failure it is
-TRANSIENT_ERRNOS = frozenset(
+TRANSIENT_CODES = frozenset(
     {
         sqlite3.SQLITE_FULL,
         sqlite3.SQLITE_IOERR,
@@ -49,7 +49,7 @@
     """The file cannot be used; the text says why."""
 
 
-def this_boot():
+def boot_id():
     try:
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     except OSError:
@@ -67,9 +67,9 @@
     """SQLite opens the file and its own check finds it damaged; the text says where."""
 
 
-def passes(fault):
+def is_transient(fault):
     """Whether a failure of SQLite's says nothing of the file itself."""
-    return getattr(fault, "sqlite_errorcode", 0) & PRIMARY_CODE in TRANSIENT_ERRNOS
+    return getattr(fault, "sqlite_errorcode", 0) & PRIMARY_CODE in TRANSIENT_CODES
 
 
 def _sum(key, data):
@@ -77,30 +77,30 @@
 
 
 class ObservationStore:
-    """`open` before use; where that failed a later write tries it again. `told(text)` is called with each
+    """`open` before use; where that failed a later write tries it again. `report(text)` is called with each
     thing an operator should know of. `failed`: writes that came to nothing."""
 
-    def __init__(self, path, told, clock=time.monotonic_ns, wall=time.time_ns, boot=None):
-        self.path, self.told, self.clock, self.wall = Path(path), told, clock, wall
-        self.offset = wall() - clock()  # ns
-        self.boot = this_boot() if boot is None else boot
-        self.base = self.lock = None
-        self.torn = self.written = self.failed = 0
-        self.damaged = ""  # what was found wrong with the file since it was opened
+    def __init__(self, path, report, clock=time.monotonic_ns, wall_clock=time.time_ns, boot=None):
+        self.path, self.report, self.clock, self.wall_clock = Path(path), report, clock, wall_clock
+        self.wall_offset = wall_clock() - clock()  # ns
+        self.boot = boot_id() if boot is None else boot
+        self.connection = self.lock = None
+        self.torn_rows = self.written = self.failed = 0
+        self.damage = ""  # what was found wrong with the file since it was opened
         self.checked = False  # whether the whole file was looked at: once a process, it takes a while
-        self.pause, self.retry_at = 0, self.clock()  # 0: no attempt failed since the last write
+        self.backoff, self.retry_at = 0, self.clock()  # 0: no attempt failed since the last write
 
     def open(self):
         """Errors: ObservationStoreError where the place cannot be written or another process holds it. It may
         be tried again."""
         try:
             self._take_lock()
-            self._connect_or_set_aside()
+            self._connect_or_quarantine()
         except ObservationStoreError:
             self.close()
-            self._put_off()
+            self._back_off()
             raise
-        self.damaged, self.checked = "", True
+        self.damage, self.checked = "", True
 
     def _take_lock(self):
         if self.lock is not None:
@@ -111,37 +111,37 @@
         except OSError as fault:
             raise ObservationStoreError(f"{self.path}: {fault.strerror}") from fault
 
-    def _connect_or_set_aside(self):
+    def _connect_or_quarantine(self):
         try:
-            if self.damaged:
-                raise DamagedFileError(self.damaged)
+            if self.damage:
+                raise DamagedFileError(self.damage)
             self._connect()
         except sqlite3.Error as fault:
-            if passes(fault):
+            if is_transient(fault):
                 raise ObservationStoreError(f"{self.path}: {fault}") from fault
-            self._set_aside(str(fault))
+            self._quarantine(str(fault))
             try:
                 self._connect()
             except sqlite3.Error as again:
                 raise ObservationStoreError(f"{self.path}: {again}") from again
 
     def _connect(self):
-        self.base = base = sqlite3.connect(self.path, timeout=BUSY, isolation_level=None)
-        base.execute("PRAGMA journal_mode = WAL")
-        base.execute("PRAGMA synchronous = OFF")
+        self.connection = connection = sqlite3.connect(self.path, timeout=LOCK_TIMEOUT, isolation_level=None)
+        connection.execute("PRAGMA journal_mode = WAL")
+        connection.execute("PRAGMA synchronous = OFF")
         if not self.checked:
-            (health,), *_ = base.execute("PRAGMA quick_check(1)")
+            (health,), *_ = connection.execute("PRAGMA quick_check(1)")
             if health != "ok":
                 raise DamagedFileError(health)
-        base.execute(
+        connection.execute(
             "CREATE TABLE IF NOT EXISTS facts "
             "(subject BLOB PRIMARY KEY, data BLOB, sum INTEGER, wall INTEGER) WITHOUT ROWID"
         )
-        base.execute("SELECT subject, data, sum, wall FROM facts LIMIT 1").fetchall()
+        connection.execute("SELECT subject, data, sum, wall FROM facts LIMIT 1").fetchall()
 
-    def _set_aside(self, why):
+    def _quarantine(self, why):
         self._disconnect()
-        aside = f"{self.path}.broken-{self.wall()}"
+        aside = f"{self.path}.broken-{self.wall_clock()}"
         for end in ("-shm", "-wal", ""):  # the log first: behind another file it would be played into that
             try:
                 os.replace(f"{self.path}{end}", f"{aside}{end}")
@@ -149,33 +149,33 @@
                 pass
             except OSError as fault:
                 raise ObservationStoreError(f"{self.path}: {why}; {fault.strerror}") from fault
-        self.told(f"{self.path}: {why}; set aside as {aside}")
+        self.report(f"{self.path}: {why}; quarantined as {aside}")
 
     def ready(self):
         """Whether it can be written to; opens it where it is not open and the pause since the last attempt
         is over."""
-        if self.base is None and self.clock() >= self.retry_at:
+        if self.connection is None and self.clock() >= self.retry_at:
             with contextlib.suppress(ObservationStoreError):  # put off, and told before
                 self.open()
-        return self.base is not None
+        return self.connection is not None
 
-    def _put_off(self):
-        self.pause = min(max(RETRY_LEAST, 2 * self.pause), RETRY_MOST)
-        self.retry_at = self.clock() + self.pause
+    def _back_off(self):
+        self.backoff = min(max(MIN_BACKOFF, 2 * self.backoff), MAX_BACKOFF)
+        self.retry_at = self.clock() + self.backoff
 
-    def read(self, most):
-        """[(subject, value, age in ns)], the latest first, `most` rows at most; rows that are torn are left
+    def read(self, limit):
+        """[(subject, value, age in ns)], the latest first, `limit` rows at most; rows that are torn are left
         out and counted. A row that claims to be of the future has an age below nought. Nothing while the
         disk fails."""
-        now, wall, found = self.clock(), self.wall(), []
+        now, wall, found = self.clock(), self.wall_clock(), []
         if not self.ready():
             return found
         try:
-            rows = self.base.execute(
-                "SELECT subject, data, sum FROM facts ORDER BY wall DESC LIMIT ?", (most,)
+            rows = self.connection.execute(
+                "SELECT subject, data, sum FROM facts ORDER BY wall DESC LIMIT ?", (limit,)
             ).fetchall()
         except sqlite3.Error as fault:
-            self._lost(fault)
+            self._note_outage(fault)
             return []
         for key, data, mark in rows:
             try:
@@ -184,28 +184,28 @@
                 subject = msgspec.msgpack.decode(key, type=tuple)
                 row = msgspec.msgpack.decode(data, type=Row)
             except (ValueError, TypeError, msgspec.DecodeError):
-                self.torn += 1
+                self.torn_rows += 1
                 continue
             same = self.boot and row.boot == self.boot
             found.append((subject, row.value, now - row.at if same else wall - row.wall))
-        if self.torn:
-            self.told(f"{self.path}: {self.torn} torn rows left out")
+        if self.torn_rows:
+            self.report(f"{self.path}: {self.torn_rows} torn rows left out")
         return found
 
     def write(self, facts):
         """`facts`: [(subject, value, when by the monotonic clock)], in one transaction; whether they are
         written. A failure is counted; the facts it lost are to be written again, and cost a restart some
         warmth where they are not."""
-        now, wall, rows = self.clock(), self.wall(), []
+        now, wall, rows = self.clock(), self.wall_clock(), []
         for subject, value, at in facts:
             key = msgspec.msgpack.encode(subject)
             data = msgspec.msgpack.encode(Row(at, wall - (now - at), self.boot, value))
-            rows.append((key, data, _sum(key, data), at + self.offset))
+            rows.append((key, data, _sum(key, data), at + self.wall_offset))
         return self._change("INSERT OR REPLACE INTO facts VALUES (?, ?, ?, ?)", rows)
 
     def forget(self, age):
         """Drops what is older than `age`, and what claims to be of the future."""
-        now = self.clock() + self.offset
+        now = self.clock() + self.wall_offset
         self._change("DELETE FROM facts WHERE wall < ? OR wall > ?", [(now - age, now + age)])
 
     def _change(self, statement, rows):
@@ -215,34 +215,34 @@
             self.failed += 1
             return False
         try:
-            self.base.execute("BEGIN IMMEDIATE")
-            self.base.executemany(statement, rows)
-            self.base.execute("COMMIT")
+            self.connection.execute("BEGIN IMMEDIATE")
+            self.connection.executemany(statement, rows)
+            self.connection.execute("COMMIT")
         except sqlite3.Error as fault:
             self.failed += 1
-            self._lost(fault)
+            self._note_outage(fault)
             return False
         self.written += len(rows)
-        self.pause = 0
+        self.backoff = 0
         return True
 
-    def _lost(self, fault):
+    def _note_outage(self, fault):
         """The connection failed: it is made anew after a pause. Told once an outage."""
-        if not self.pause:
-            self.told(f"{self.path}: {fault}; nothing is written until it answers again")
-        if not passes(fault):
-            self.damaged = str(fault)
+        if not self.backoff:
+            self.report(f"{self.path}: {fault}; nothing is written until it answers again")
+        if not is_transient(fault):
+            self.damage = str(fault)
         self._disconnect()
-        self._put_off()
+        self._back_off()
 
     def _disconnect(self):
         """Closing rolls back what was not committed."""
-        if self.base is not None:
+        if self.connection is not None:
             try:
-                self.base.close()
+                self.connection.close()
             except sqlite3.Error:
                 pass  # it is of no use any more
-            self.base = None
+            self.connection = None
 
     def close(self):
         """May be opened again."""
--- a/tests/appliance/test_cell_table_exchange.py
+++ b/tests/appliance/test_cell_table_exchange.py
@@ -85,7 +85,7 @@
     return fleet.cell_status(name).get("version")
 
 
-def test_a_kept_table_that_is_torn_is_set_aside_and_the_gateway_asks_others(told):
+def test_a_kept_table_that_is_torn_is_quarantined_and_the_gateway_asks_others(told):
     fleet = told.fleet
     fleet.stop("gc")
     kept = fleet.folder / "gc.kept"
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_carrier.py
@@ -185,7 +185,7 @@
     fleet.until(lambda: third.carrier.table() == FIRST)
 
 
-def test_a_file_that_is_torn_or_of_another_fleet_is_set_aside_and_the_table_is_heard(fleet, tmp_path):
+def test_a_file_that_is_torn_or_of_another_fleet_is_quarantined_and_the_table_is_heard(fleet, tmp_path):
     path = tmp_path / "cells.table"
     one = fleet.add("one")
     published(fleet)
@@ -198,7 +198,7 @@
         else:
             path.write_bytes(content)
         two = fleet.add(f"two{number}", path=path)
-        assert two.carrier.file.counts.set_aside == 1 and two.carrier.table() is None
+        assert two.carrier.file.counts.quarantined == 1 and two.carrier.table() is None
         assert [what for what, _ in two.record.events] == ["cell table on disk"]
         fleet.until_all_hold(FIRST)
         fleet.remove(two)
--- a/tests/storage/test_cell_table_file.py
+++ b/tests/storage/test_cell_table_file.py
@@ -1,4 +1,4 @@
-"""The last good cell table on disk: kept whole, and set aside where it cannot be used."""
+"""The last good cell table on disk: kept whole, and quarantined where it cannot be used."""
 
 import os
 
@@ -10,17 +10,17 @@
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.storage import cell_table_file as cell_table_module
 from gaproute.storage import files
-from gaproute.storage.cell_table_file import MAX_FILE, MAX_READS, CellTableFile, StoredTable
+from gaproute.storage.cell_table_file import MAX_FAILED_READS, MAX_FILE_LENGTH, CellTableFile, StoredTable
 
 KEPT = StoredTable("north", 3, 17, (1 << 64) - 1, b"rows" * 100)
 
 
 def opened(path, fleet="north"):
     told = []
-    return CellTableFile(path, fleet, told.append, wall=lambda: 7), told
+    return CellTableFile(path, fleet, told.append, wall_clock=lambda: 7), told
 
 
-def asides(path):
+def quarantined(path):
     return [name for name in sorted(os.listdir(path.parent)) if ".broken-" in name]
 
 
@@ -42,12 +42,12 @@
 
 def test_without_a_file_nothing_is_said(tmp_path):
     kept, told = opened(tmp_path / "none")
-    assert kept.read() is None and told == [] and kept.counts.set_aside == 0
+    assert kept.read() is None and told == [] and kept.counts.quarantined == 0
 
 
 @settings(max_examples=150, deadline=None)
 @given(some.data())
-def test_a_file_cut_short_or_altered_anywhere_is_set_aside(tmp_path_factory, data):
+def test_a_file_cut_short_or_altered_anywhere_is_quarantined(tmp_path_factory, data):
     path = tmp_path_factory.mktemp("kept") / "cells.table"
     opened(path)[0].write(KEPT)
     content = bytearray(path.read_bytes())
@@ -59,21 +59,21 @@
     path.write_bytes(content)
     kept, told = opened(path)
     assert kept.read() is None
-    assert kept.counts.set_aside == 1 and len(told) == 1 and asides(path) == ["cells.table.broken-7"]
+    assert kept.counts.quarantined == 1 and len(told) == 1 and quarantined(path) == ["cells.table.broken-7"]
     assert kept.read() is None and len(told) == 1  # there is nothing any more
     assert kept.write(KEPT) and kept.read() == KEPT
 
 
-def test_a_table_of_another_fleet_is_set_aside_whole(path):
+def test_a_table_of_another_fleet_is_quarantined_whole(path):
     kept, told = opened(path, "south")
     assert kept.read() is None and "of fleet 'north'" in told[0]
-    assert opened(path.parent / asides(path)[0])[0].read() == KEPT
+    assert opened(path.parent / quarantined(path)[0])[0].read() == KEPT
 
 
-def test_a_table_older_than_what_is_heard_is_set_aside(path):
+def test_a_table_older_than_what_is_heard_is_quarantined(path):
     kept, told = opened(path)
     assert kept.read((3, 17)) == KEPT
-    assert kept.read((4, 0)) is None and "others hold 4.0" in told[0] and kept.counts.set_aside == 1
+    assert kept.read((4, 0)) is None and "others hold 4.0" in told[0] and kept.counts.quarantined == 1
 
 
 def test_an_absurdly_large_file_is_not_read_whole(path):
@@ -92,9 +92,9 @@
     kept, told = opened(tmp_path / "missing" / "cells.table")
     for _ in range(3):
         assert not kept.write(KEPT)
-    assert kept.counts.failed == 3 and len(told) == 1 and "not kept on disk" in told[0]
+    assert kept.counts.failed == 3 and len(told) == 1 and "not stored on disk" in told[0]
     kept, told = opened(path)
-    assert not kept.write(StoredTable("north", 4, 1, 0, bytes(MAX_FILE)))
+    assert not kept.write(StoredTable("north", 4, 1, 0, bytes(MAX_FILE_LENGTH)))
     assert kept.read() == KEPT
     kept, told = opened(tmp_path)
     assert kept.read() is None and kept.counts.failed == 1 and len(told) == 1
@@ -113,27 +113,27 @@
     disk = FaultyDisk(path.parent, FaultPlan(Script.of(("open", 1, FULL), ("read", 1, BROKEN))))
     kept, told = opened(path)
     with disk.installed(files):
-        assert kept.read() is None and kept.unread == 1
-        assert kept.read() is None and kept.unread == 2
-        assert kept.read() == KEPT and kept.unread == 0 and len(told) == 1
+        assert kept.read() is None and kept.failed_reads == 1
+        assert kept.read() is None and kept.failed_reads == 2
+        assert kept.read() == KEPT and kept.failed_reads == 0 and len(told) == 1
 
 
-def test_a_file_that_is_never_read_is_given_up_and_kept_aside(path):
-    lines = [("read", each, BROKEN) for each in range(1, MAX_READS + 1)]
+def test_a_file_that_is_never_read_is_given_up_and_quarantined(path):
+    lines = [("read", each, BROKEN) for each in range(1, MAX_FAILED_READS + 1)]
     kept, told = opened(path)
     with FaultyDisk(path.parent, FaultPlan(Script.of(*lines))).installed(files):
-        assert [kept.read() for _ in range(MAX_READS)] == [None] * MAX_READS
-        assert kept.unread == 0 and asides(path) == ["cells.table.broken-7"]
+        assert [kept.read() for _ in range(MAX_FAILED_READS)] == [None] * MAX_FAILED_READS
+        assert kept.failed_reads == 0 and quarantined(path) == ["cells.table.broken-7"]
         assert kept.write(KEPT) and kept.read() == KEPT
-    assert len(told) == 2 and f"not read {MAX_READS} times" in told[1]
+    assert len(told) == 2 and f"not read {MAX_FAILED_READS} times" in told[1]
 
 
-def test_why_a_table_cannot_be_used_is_told_also_where_it_cannot_be_set_aside(path):
+def test_why_a_table_cannot_be_used_is_told_also_where_it_cannot_be_quarantined(path):
     path.write_bytes(b"no table")
     kept, told = opened(path)
     with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, BROKEN)))).installed(cell_table_module):
         assert kept.read() is None
-    assert len(told) == 1 and "no cell table; not set aside: " in told[0]
+    assert len(told) == 1 and "no cell table; not quarantined: " in told[0]
 
 
 def test_a_short_write_does_not_replace_the_table(path, monkeypatch):
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -20,7 +20,7 @@
 from gaproute.loop.streams import address
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.storage import observation_store as module
-from gaproute.storage.observation_store import RETRY_LEAST, RETRY_MOST
+from gaproute.storage.observation_store import MAX_BACKOFF, MIN_BACKOFF
 
 WARM = ("warm", "x", "f")
 
@@ -136,13 +136,13 @@
     """Its column held the wall clock of the write; in a life without steps that is the same."""
     made = store()
     made.write([(WARM, (4, 0), 99 * SECOND)])
-    ((key, data, wall),) = made.base.execute("SELECT subject, data, wall FROM facts")
+    ((key, data, wall),) = made.connection.execute("SELECT subject, data, wall FROM facts")
     assert wall == 10**18 - SECOND and msgspec.msgpack.decode(key) == list(WARM)
     assert msgspec.msgpack.decode(data) == [99 * SECOND, 10**18 - SECOND, "b1", [4, 0]]
 
 
 @pytest.mark.parametrize("harm", ["cut", "nonsense", "empty", "hole"])
-def test_a_file_that_is_no_good_is_set_aside_and_a_new_one_begun(store, tmp_path, harm):
+def test_a_file_that_is_no_good_is_quarantined_and_a_new_one_begun(store, tmp_path, harm):
     written(store, *[(("warm", "x", f"f{n}"), (1, 0), SECOND) for n in range(2000)])
     path = tmp_path / "m"
     data = path.read_bytes()
@@ -155,7 +155,7 @@
         }[harm]
     )
     made = store()
-    assert made.read(9) == [] and (harm == "empty" or "set aside" in made.texts[0])
+    assert made.read(9) == [] and (harm == "empty" or "quarantined" in made.texts[0])
     assert harm == "empty" or list(tmp_path.glob("m.broken-*"))
     made.write([(WARM, (4, 0), 99 * SECOND)])
     assert made.read(9) == [(WARM, (4, 0), SECOND)]
@@ -164,10 +164,10 @@
 def test_a_torn_row_is_left_out_and_counted(store):
     written(store, (WARM, (4, 0), 99 * SECOND), (("load",), (5,), 95 * SECOND))
     made = store()
-    made.base.execute(
+    made.connection.execute(
         "UPDATE facts SET data = ? WHERE subject = (SELECT subject FROM facts LIMIT 1)", (b"\x94",)
     )
-    assert len(made.read(9)) == 1 and made.torn == 1 and "torn" in made.texts[0]
+    assert len(made.read(9)) == 1 and made.torn_rows == 1 and "torn" in made.texts[0]
 
 
 def test_two_gateways_cannot_share_a_memory_and_a_place_that_cannot_be_written_is_told(store, tmp_path):
@@ -180,7 +180,7 @@
 
 def test_a_write_that_fails_is_counted_and_told_once(store):
     made = store()
-    made.base.execute("DROP TABLE facts")
+    made.connection.execute("DROP TABLE facts")
     for _ in range(2):
         made.write([(WARM, (4, 0), SECOND)])
     assert made.failed == 2 and len(made.texts) == 1
@@ -236,11 +236,11 @@
     clocks = Clocks()
     made = store(clocks)
     assert made.write([(WARM, (4, 0), 99 * SECOND)])
-    made.base.execute("PRAGMA max_page_count = 3")
+    made.connection.execute("PRAGMA max_page_count = 3")
     many = [(("warm", "x", f"f{number}"), (4, 0), 98 * SECOND) for number in range(2000)]
     assert not made.write(many) and made.failed == 1 and "full" in made.texts[0]
     assert not made.write(many) and made.failed == 2 and len(made.texts) == 1  # not tried so soon
-    clocks.now += RETRY_LEAST
+    clocks.now += MIN_BACKOFF
     assert made.write(many) and len(made.read(9999)) == 2001 and len(made.texts) == 1
 
 
@@ -259,7 +259,7 @@
         clocks.now += SECOND // 2
     assert tried == [1, 2, 4, 8, 16, 30, 30, 30] and len(made.texts) == 1
     disk.fault = None
-    clocks.now += RETRY_MOST
+    clocks.now += MAX_BACKOFF
     assert made.write([LATER]) and {subject for subject, _, _ in made.read(9)} == {WARM, ("load",)}
     assert not list(made.path.parent.glob("*.broken-*"))
     disk.fails(code, text)
@@ -278,7 +278,7 @@
     assert len(os.listdir("/proc/self/fd")) == before
     assert not made.ready() and not list(tmp_path.glob("*.broken-*"))
     disk.fault = None
-    clocks.now += RETRY_LEAST
+    clocks.now += MIN_BACKOFF
     assert made.ready() and made.write([LATER]) and len(made.read(9)) == 2
     made.close()
 
@@ -290,17 +290,17 @@
     disk.fails(*FAULTS[0])
     assert made.read(9) == [] and not made.ready()
     disk.fault = None
-    clocks.now += RETRY_LEAST
+    clocks.now += MIN_BACKOFF
     assert made.ready() and len(made.read(9)) == 1
 
 
-def test_a_file_that_is_found_damaged_by_a_write_is_set_aside_and_a_new_one_begun(store):
+def test_a_file_that_is_found_damaged_by_a_write_is_quarantined_and_a_new_one_begun(store):
     clocks = Clocks()
     made = store(clocks)
-    made.base.execute("DROP TABLE facts")
+    made.connection.execute("DROP TABLE facts")
     assert not made.write([LATER])
-    clocks.now += RETRY_LEAST
-    assert made.write([LATER]) and len(made.read(9)) == 1 and "set aside" in made.texts[1]
+    clocks.now += MIN_BACKOFF
+    assert made.write([LATER]) and len(made.read(9)) == 1 and "quarantined" in made.texts[1]
 
 
 def test_of_a_damaged_file_the_log_goes_first(store, tmp_path):
@@ -323,11 +323,11 @@
     made.at = front(alone)
     assert made.wait(made.ask("lamp", "w1")).status == 200
     kept = alone.others.observation_writer.store
-    made.until(lambda: kept.pause > RETRY_LEAST)  # a second attempt has failed
+    made.until(lambda: kept.backoff > MIN_BACKOFF)  # a second attempt has failed
     disk.fault = None
     assert made.wait(made.ask("lamp", "w2")).status == 200
     made.until(lambda: any(subject[0] == "warm" for subject, _, _ in kept.read(99)))
-    assert [what for what, _ in alone.record.events].count("no memory") == 1
+    assert [what for what, _ in alone.record.events].count("observation store unavailable") == 1
 
 
 def test_what_failed_rounds_passed_over_is_written_in_the_first_that_does_not(store, disk):
@@ -376,7 +376,7 @@
     alone = start("alone", "memory /nowhere/at/all", listen=False)
     made.at = front(alone)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    assert any(what == "no memory" for what, _ in alone.record.events)
+    assert any(what == "observation store unavailable" for what, _ in alone.record.events)
 
 
 @pytest.fixture
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -92,7 +92,7 @@
         assert node.mute and node.due > 0
         part.run(12 * SECOND)
         assert node.mute == "" and node.leading and len(part.disk.plan.log) == 3
-        assert [what for what, _ in part.events].count("votes") == 1  # said once
+        assert [what for what, _ in part.events].count("raft log") == 1  # said once
         part.close()
     assert part.disk.open_descriptors == 0
 
--- a/tests/support/faulty_storage.py
+++ b/tests/support/faulty_storage.py
@@ -277,8 +277,8 @@
         with self.disk.plan.pause(), self.disk.installed(*MODULES):
             self.begin()
             stored = self.file.read()
-            if self.file.counts.set_aside:
-                raise Broken(TAKEN_FOR_BAD, "set aside")
+            if self.file.counts.quarantined:
+                raise Broken(TAKEN_FOR_BAD, "quarantined")
             number = 0 if stored is None else stored.number
             if not self.accepted <= number <= self.tried:
                 raise Broken(TABLE_LOST, f"{number} stands, {self.accepted} was accepted")
