--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -1,70 +1,100 @@
-"""Writes what this gateway saw to its memory on disk, in the background, a slice at a time.
+"""Writes what this gateway observed to its store on disk, in the background, a slice at a time.
 
-While the disk fails nothing is gathered for it; once it answers the whole is written, since what changed
-meanwhile has been passed over.
+While the disk fails nothing is gathered for it; once it answers everything is written, since the changes
+meanwhile were passed over.
 """
 
 import time
+from collections.abc import Callable, Generator, Iterator
+from itertools import islice
+from typing import Any
 
 from gaproute.decisions.reports.asking import KEEP_EVERY, KEEP_WHOLE
 from gaproute.decisions.reports.facts import OLDEST
 from gaproute.decisions.reports.purse import SLICE, Purse
-from gaproute.decisions.reports.roll import own
+from gaproute.decisions.reports.roll import Roll, own
+from gaproute.storage import ObservationStore
+from gaproute.storage.observation_rows import Subject, Value
 
-MAX_ROWS_PER_WRITE = 256  # facts in one transaction: about a millisecond
+MAX_ROWS_PER_WRITE = 256  # in one transaction: about a millisecond
+EVERYTHING = -1  # written_until of a round that writes all observations, not only what changed
+
+Observations = Iterator[tuple[Subject, Value, int]]  # (subject, value, time by the loop's clock in ns)
 
 
 class ObservationWriter:
-    """Every KEEP_EVERY what changed is written, and now and then the whole, so that slow figures come too."""
+    """Writes what changed every KEEP_EVERY, and everything each KEEP_WHOLE rounds, so that figures that
+    change slowly are stored too.
+
+    `tracks` are the names of the request classes. `spent` and `longest` are the CPU time (ns) of all slices
+    and of the longest; `cpu_clock` is replaced by tests.
+    """
 
-    def __init__(self, loop, store, gateway, roll, tracks, meter=time.thread_time_ns):
-        self.meter = meter
-        self.loop, self.store, self.gateway, self.roll, self.tracks = loop, store, gateway, roll, tracks
+    def __init__(
+        self,
+        loop: Any,
+        store: ObservationStore,
+        gateway: Any,
+        roll: Roll,
+        tracks: list[str],
+        cpu_clock: Callable[[], int] = time.thread_time_ns,
+    ) -> None:
+        self.loop, self.store, self.cpu_clock = loop, store, cpu_clock
+        self.gateway, self.roll, self.tracks = gateway, roll, tracks
         self.purse = Purse(loop.now())
-        self.rounds, self.written_until = 0, -1
+        self.rounds = 0
+        self.written_until = EVERYTHING  # ns: what was observed before is on disk
         self.round_written = True  # whether all slices of this round were written
         self.spent = self.longest = 0
-        self.task = loop.spawn(self._keep())
-
-    def _keep(self):
-        while True:
-            yield self.loop.sleep(KEEP_EVERY)
-            if not self.store.ready():
-                self.written_until = -1
-                continue
-            begun, self.round_written = self.loop.now(), True
-            since = -1 if self.rounds % KEEP_WHOLE == 0 else self.written_until
-            facts = own(self.gateway, self.roll, self.tracks, begun, since)
-            while not self.write_slice(facts):
-                yield self.loop.sleep(self.purse.wait(self.loop.now()))
-            if self.rounds % KEEP_WHOLE == 0:
-                self.store.forget(OLDEST)
-            self.written_until = begun if self.round_written else -1
-            self.rounds += 1
+        self.task = loop.spawn(self._run())
 
-    def write_slice(self, facts):
-        """Writes some of the facts; whether those were the last."""
+    def write_slice(self, observations: Observations) -> bool:
+        """Write some of the observations within the CPU budget. Returns whether those were the last."""
         now = self.loop.now()
         if not self.purse.may(now):
             return False
-        begun, some, ended = self.meter(), [], True
-        for fact in facts:
-            some.append(fact)
-            if len(some) >= MAX_ROWS_PER_WRITE or self.meter() - begun > SLICE / 2:
-                ended = False
-                break
-        self.round_written &= self.store.write(some)
-        spent = self.meter() - begun
+        begun = self.cpu_clock()
+        batch, exhausted = self._next_batch(observations, begun)
+        self.round_written &= self.store.write(batch)
+        spent = self.cpu_clock() - begun
         self.spent, self.longest = self.spent + spent, max(self.longest, spent)
         self.purse.spend(now, spent)
-        return ended
+        return exhausted
 
-    def close(self):
-        """What is still unwritten goes in one last slice."""
+    def close(self) -> None:
+        """Stop; what changed since the last round is written in one last slice."""
         self.task.cancel()
-        self.store.write(
-            list(own(self.gateway, self.roll, self.tracks, self.loop.now(), self.written_until))[
-                :MAX_ROWS_PER_WRITE
-            ]
-        )
+        changed = self._observations(self.loop.now(), self.written_until)
+        self.store.write(islice(changed, MAX_ROWS_PER_WRITE))
         self.store.close()
+
+    def _run(self) -> Generator[Any, Any, None]:
+        while True:
+            yield self.loop.sleep(KEEP_EVERY)
+            if not self.store.ready():
+                self.written_until = EVERYTHING
+                continue
+            yield from self._write_round()
+
+    def _write_round(self) -> Generator[Any, Any, None]:
+        whole = self.rounds % KEEP_WHOLE == 0
+        begun, self.round_written = self.loop.now(), True
+        observations = self._observations(begun, EVERYTHING if whole else self.written_until)
+        while not self.write_slice(observations):
+            yield self.loop.sleep(self.purse.wait(self.loop.now()))
+        if whole:
+            self.store.forget(OLDEST)
+        self.written_until = begun if self.round_written else EVERYTHING
+        self.rounds += 1
+
+    def _next_batch(self, observations: Observations, begun: int) -> tuple[list[Any], bool]:
+        """Return the observations of one slice, and whether there are no more."""
+        batch = []
+        for observation in observations:
+            batch.append(observation)
+            if len(batch) >= MAX_ROWS_PER_WRITE or self.cpu_clock() - begun > SLICE / 2:
+                return batch, False
+        return batch, True
+
+    def _observations(self, now: int, since: int) -> Observations:
+        return iter(own(self.gateway, self.roll, self.tracks, now, since))
--- a/gaproute/storage/cell_table_file.py
+++ b/gaproute/storage/cell_table_file.py
@@ -1,13 +1,15 @@
-"""The last good cell table on disk, so that a gateway that starts serves by it until it hears a newer one.
+"""The last good cell table on disk: a gateway that starts serves by it until it hears of a newer one.
 
-One file, put in place whole: written beside, synced, renamed. It begins with a checksum over all the rest.
-What is torn, of another fleet or no table is set aside for the operator, never fatal: the gateway starts
-without one. Failures are counted and told once an outage; the table in memory serves on. A file that could
-not be read for a moment may hold a newer table than others tell: it is to be read before it is written over.
+One file, replaced atomically. It holds a magic, a checksum over the rest, and the table. A file that is torn,
+of another fleet or no table is quarantined for the operator and never fatal: the gateway starts without a
+table. Failures are counted and reported once an outage; the table in memory is served meanwhile. A file that
+could not be read for a moment may hold a newer table than the other gateways: it has to be read before it is
+overwritten.
 """
 
 import os
 import time
+from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Annotated
@@ -15,19 +17,21 @@
 import msgspec
 import xxhash
 
+from gaproute.errors import GaprouteError
 from gaproute.storage import files
 
 MAGIC = b"gaproute-table-1"
-CHECKSUM_BYTES = 8
-MAX_FILE_LENGTH = 5 << 20  # bytes: a whole encoded table and its head
-ANY_VERSION = (-1, -1)
-MAX_FAILED_READS = 12  # in turn, until the file is given up: a disk that answers has a bad place there
+CHECKSUM_LENGTH = 8  # bytes
+BODY_OFFSET = len(MAGIC) + CHECKSUM_LENGTH
+MAX_FILE_LENGTH = 5 << 20  # bytes: a whole encoded table and its header
+ANY_VERSION = (-1, -1)  # lower than that of any table
+MAX_FAILED_READS = 12  # in a row, before the file is quarantined: the disk answers, but has a bad block there
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
 class StoredTable(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """An encoded table with what it is checked by."""
+    """An encoded cell table with its version and what it is checked by."""
 
     fleet: str
     term: Count
@@ -36,110 +40,130 @@
     data: bytes
 
 
-class UnusableTableError(Exception):
-    """The file holds no table of this fleet; the text says why."""
+class UnusableTableError(GaprouteError):
+    """The file holds no table that this gateway can use; the text says what was found and expected."""
 
 
 @dataclass
 class CellTableFileCounts:
-    """What befell the file since the start."""
+    """What happened to the file since the start."""
 
     written: int = 0
-    failed: int = 0
+    failed: int = 0  # reads and writes
     quarantined: int = 0
 
 
 class CellTableFile:
-    """`report(text)` is called with what an operator should know of, each outage once. `failed_reads`: reads
-    that failed since the last that did not, for a transient reason; until it is 0 nothing should be
-    written."""
-
-    def __init__(self, path, fleet: str, report, wall_clock=time.time_ns):
-        self.path, self.fleet, self.report, self.wall_clock = Path(path), fleet, report, wall_clock
+    """The file of one gateway.
+
+    `report(text)` is called with what an operator should know, once an outage. `wall_clock` returns ns since
+    1970 and only names quarantined files. `failed_reads` counts the reads that failed for a transient reason
+    since the last that did not; nothing should be written until it is 0.
+    """
+
+    def __init__(
+        self,
+        path: str | Path,
+        fleet: str,
+        report: Callable[[str], object],
+        wall_clock: Callable[[], int] = time.time_ns,
+    ) -> None:
+        self.path, self.fleet = Path(path), fleet
+        self.report, self.wall_clock = report, wall_clock
         self.counts = CellTableFileCounts()
         self.failed_reads = 0
-        self.failing = False
+        self.failing = False  # an outage was reported and has not ended
 
     def read(self, newest_known: tuple[int, int] = ANY_VERSION) -> StoredTable | None:
-        """The table stored; None where none can be used. `newest_known`: the version that others hold."""
-        content = self._read()
+        """Return the stored table, None where there is none that can be used.
+
+        A table older than `newest_known`, the version (term, number) that others hold, is quarantined.
+        """
+        content = self._content()
         if content is None:
             return None
         try:
-            table = self._checked(content)
-            if (table.term, table.number) < newest_known:
-                raise UnusableTableError(
-                    f"version {table.term}.{table.number}, others hold {newest_known[0]}.{newest_known[1]}"
-                )
-            return table
-        except UnusableTableError as reason:
-            self.quarantine(str(reason))
+            table = self._decode(content)
+            _check_version(table, newest_known)
+        except UnusableTableError as error:
+            self.quarantine(str(error))
             return None
+        return table
 
     def write(self, table: StoredTable) -> bool:
-        """Keep this table in place of the one before; whether it stands on disk."""
-        content = msgspec.msgpack.encode(table)
-        content = MAGIC + _checksum(content) + content
+        """Store this table in place of the one before. Returns whether it is durable."""
+        body = msgspec.msgpack.encode(table)
+        content = MAGIC + _checksum(body) + body
         try:
             if len(content) > MAX_FILE_LENGTH:
-                raise OSError(f"a table of {len(content)} bytes is more than {MAX_FILE_LENGTH}")
+                raise OSError(f"a table of {len(content)} bytes, {MAX_FILE_LENGTH} at most expected")
             files.close(files.replace_file(self.path, content))
-        except OSError as fault:
-            self._failed(fault)
+        except OSError as error:
+            self._note_failure(str(error))
             return False
         self.counts.written += 1
         self.failing = False
         return True
 
-    def quarantine(self, reason: str):
-        """Keep what is there under another name: it cannot be used."""
+    def quarantine(self, reason: str) -> None:
+        """Keep a file that cannot be used under another name for the operator."""
         self.counts.quarantined += 1
-        aside = f"{self.path}.broken-{self.wall_clock()}"
+        target = f"{self.path}.broken-{self.wall_clock()}"
         try:
-            os.rename(self.path, aside)
-        except OSError as fault:
-            self._failed(f"{reason}; not quarantined: {fault}")
+            os.rename(self.path, target)
+        except OSError as error:
+            self._note_failure(f"{reason}; not quarantined: {error}")
             return
-        self.report(f"{self.path}: {reason}; quarantined as {aside}, starting without a table")
+        self.report(f"{self.path}: {reason}; quarantined as {target}, starting without a table")
 
-    def _read(self) -> bytes | None:
+    def _content(self) -> bytes | None:
         try:
             content = files.read_file(self.path, MAX_FILE_LENGTH + 1)
         except FileNotFoundError:
             content = None
-        except OSError as fault:
-            self._failed(fault)
-            self.failed_reads = self.failed_reads + 1 if fault.errno in files.TRANSIENT_ERRNOS else 0
-            if self.failed_reads == MAX_FAILED_READS:
-                self.failed_reads = 0
-                self.quarantine(f"not read {MAX_FAILED_READS} times: {fault}")
+        except OSError as error:
+            self._note_failed_read(error)
             return None
         self.failed_reads, self.failing = 0, False
         return content
 
-    def _checked(self, content):
+    def _note_failed_read(self, error: OSError) -> None:
+        self._note_failure(str(error))
+        self.failed_reads = self.failed_reads + 1 if error.errno in files.TRANSIENT_ERRNOS else 0
+        if self.failed_reads == MAX_FAILED_READS:
+            self.failed_reads = 0
+            self.quarantine(f"not read {MAX_FAILED_READS} times: {error}")
+
+    def _decode(self, content: bytes) -> StoredTable:
+        """Errors: UnusableTableError."""
         if len(content) > MAX_FILE_LENGTH:
             raise UnusableTableError(f"more than {MAX_FILE_LENGTH} bytes")
         if not content.startswith(MAGIC):
-            raise UnusableTableError("no cell table")
-        head = len(MAGIC) + CHECKSUM_BYTES
-        body = content[head:]
-        if content[len(MAGIC) : head] != _checksum(body):
+            raise UnusableTableError(f"no cell table: it does not begin with {MAGIC.decode()!r}")
+        body = content[BODY_OFFSET:]
+        if content[len(MAGIC) : BODY_OFFSET] != _checksum(body):
             raise UnusableTableError("torn or altered: the checksum differs")
         try:
             table = msgspec.msgpack.decode(body, type=StoredTable)
-        except msgspec.DecodeError as fault:
-            raise UnusableTableError(f"no cell table: {fault}") from None
+        except msgspec.DecodeError as error:
+            raise UnusableTableError(f"no cell table: {error}") from None
         if table.fleet != self.fleet:
             raise UnusableTableError(f"of fleet {table.fleet!r:.140}, this gateway is of {self.fleet!r}")
         return table
 
-    def _failed(self, fault):
+    def _note_failure(self, text: str) -> None:
         self.counts.failed += 1
         if not self.failing:
             self.failing = True
-            self.report(f"{self.path}: {fault}; the table is not stored on disk")
+            self.report(f"{self.path}: {text}; the table is not stored on disk")
+
+
+def _check_version(table: StoredTable, newest_known: tuple[int, int]) -> None:
+    """Errors: UnusableTableError."""
+    if (table.term, table.number) < newest_known:
+        term, number = newest_known
+        raise UnusableTableError(f"version {table.term}.{table.number}, others hold {term}.{number}")
 
 
-def _checksum(content):
-    return xxhash.xxh3_64_digest(content)
+def _checksum(body: bytes) -> bytes:
+    return xxhash.xxh3_64_digest(body)
--- a/tests/storage/test_cell_table_file.py
+++ b/tests/storage/test_cell_table_file.py
@@ -133,7 +133,8 @@
     kept, told = opened(path)
     with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, BROKEN)))).installed(cell_table_module):
         assert kept.read() is None
-    assert len(told) == 1 and "no cell table; not quarantined: " in told[0]
+    assert len(told) == 1
+    assert "no cell table: it does not begin with 'gaproute-table-1'; not quarantined: " in told[0]
 
 
 def test_a_short_write_does_not_replace_the_table(path, monkeypatch):
