--- a/gaproute/faultinjection/__init__.py
+++ b/gaproute/faultinjection/__init__.py
@@ -6,6 +6,9 @@
 | module | what it does |
 | --- | --- |
 | `plan` | decides which call fails and how, and logs what was injected |
-| `network` | the event loop's calls: sockets, epoll, pipes, and the wall clock |
-| `disk` | the ledger's calls: files and folders |
+| `disk` | the storage modules' calls: files and folders, with what a crash leaves of them |
+| `durability` | what of a file and of a directory is durable |
+| `disk_faults` | how each call of a disk may fail |
+| `kills` | at which call the process ends |
+| `faulty_os` | the stand-in for the module `os` |
 """
--- a/gaproute/faultinjection/disk.py
+++ b/gaproute/faultinjection/disk.py
@@ -1,4 +1,4 @@
-"""A faulty disk for the ledger's tests: calls that fail or are short, and what a kill leaves behind.
+"""A faulty disk for the tests of storage: calls that fail or are short, and what a kill leaves behind.
 
 `FaultyDisk.installed(module, ...)` replaces the name `os` in modules that write files. Calls go through to
 real files in one folder, so that the modules read what they wrote; beside them the disk keeps account of
@@ -15,57 +15,21 @@
 
 from __future__ import annotations
 
-import errno
 import os
 import random
 from collections import Counter
-from collections.abc import Callable, Iterator, Mapping, Sequence
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass
-from enum import Enum
 from pathlib import Path
 from types import ModuleType
 from typing import Any
 
-from gaproute.faultinjection.durability import CachedFile, NameChange, Truncate, Write
+from gaproute.faultinjection.durability import CachedDirectory, CachedFile, NameChange, Truncate, Write
+from gaproute.faultinjection.faulty_os import FaultyOs
+from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Failure, Fault, FaultPlan, Script, ShortTransfer
 
-FULL, QUOTA, BROKEN = Failure(errno.ENOSPC), Failure(errno.EDQUOT), Failure(errno.EIO)
-
-# How each call may go wrong, for plans by chance.
-FAULTS: Mapping[str, Sequence[Fault]] = {
-    "open": (FULL, QUOTA, BROKEN, Failure(errno.EMFILE), Failure(errno.ENFILE)),
-    "read": (BROKEN, ShortTransfer(1)),
-    "write": (FULL, QUOTA, BROKEN, ShortTransfer(1)),
-    "fsync": (FULL, QUOTA, BROKEN),
-    "ftruncate": (BROKEN,),
-    "rename": (FULL, QUOTA, BROKEN),
-    "replace": (FULL, QUOTA, BROKEN),
-    "link": (FULL, QUOTA, BROKEN),
-    "unlink": (BROKEN,),
-    "close": (FULL, BROKEN),
-}
-
-
-class ProcessKilled(BaseException):
-    """The process ended in the middle of a call. Not an Exception, so that no `except Exception` lives on."""
-
-
-class Moment(Enum):
-    """When the kill comes, seen from the call's effect."""
-
-    BEFORE = "before"
-    WITHIN = "within"  # of a write a part was done; any other call is whole or not begun
-    AFTER = "after"
-
-
-@dataclass(frozen=True, slots=True)
-class KillPoint:
-    """A kill at the `call`th call of any name, counted from 1."""
-
-    call: int
-    moment: Moment
-
 
 @dataclass(slots=True)
 class _Descriptor:
@@ -93,24 +57,21 @@
         self.calls = 0
         self.counts: Counter[str] = Counter()
         self._descriptors: dict[int, _Descriptor] = {}
-        self._names: dict[str, CachedFile] = {}
-        self._durable_names: dict[str, CachedFile] = {}
-        self._pending: list[NameChange] = []
-        self._settle()
+        self._directory = CachedDirectory.of_folder(self.folder)
 
-    # The face
+    # For tests
 
     @contextmanager
     def installed(self, *modules: ModuleType) -> Iterator[FaultyDisk]:
         """Inside the block these modules' `os` is this disk."""
-        before = [module.os for module in modules]
+        originals = [vars(module)["os"] for module in modules]
         for module in modules:
-            module.os = FaultyOs(self)
+            vars(module)["os"] = FaultyOs(self)
         try:
             yield self
         finally:
-            for module, was in zip(modules, before, strict=True):
-                module.os = was
+            for module, original in zip(modules, originals, strict=True):
+                vars(module)["os"] = original
 
     @property
     def open_descriptors(self) -> int:
@@ -122,22 +83,20 @@
         clean may be evicted. The next process may use the disk."""
         self._close_all()
         if self.chance.randrange(2):
-            for name, file in self._names.items():
+            for name, file in self._directory.names.items():
                 file.cached[:] = file.evicted()
                 Path(name).write_bytes(file.cached)
 
     def fail_power(self) -> None:
-        """The machine is gone: the folder holds what its disk may hold. The next process may use it."""
+        """The machine loses its power: the folder holds what its disk may hold. The next process may use
+        it."""
         self._close_all()
-        names = dict(self._durable_names)
-        for change in self._pending[: self.chance.randrange(len(self._pending) + 1)]:
-            change.apply(names)
-        contents = {name: file.after_power_failure(self.chance) for name, file in names.items()}
-        for name in self._names:
+        contents = self._directory.after_power_failure(self.chance)
+        for name in self._directory.names:
             Path(name).unlink(missing_ok=True)
         for name, content in contents.items():
             Path(name).write_bytes(content)
-        self._settle()
+        self._directory = CachedDirectory.of_folder(self.folder)
 
     # Calls, for `FaultyOs`
 
@@ -145,7 +104,7 @@
         """See open(2)."""
         name = os.path.abspath(os.fspath(path))
         stood = os.path.lexists(name)
-        descriptor = self._call("open", lambda: os.open(path, flags, mode))
+        descriptor: int = self._call("open", lambda: os.open(path, flags, mode))
         if os.path.dirname(name) == self.folder:
             self._descriptors[descriptor] = self._opened(name, flags, stood)
         elif name == self.folder:
@@ -211,50 +170,43 @@
         """See rename(2)."""
         self._call(call, lambda: os.rename(source, target))
         old, new = os.path.abspath(os.fspath(source)), os.path.abspath(os.fspath(target))
-        file = self._names.get(old)
+        file = self._directory.names.get(old)
         if file is not None:
-            self._rename(NameChange(new, file, gone=old))
+            self._directory.change(NameChange(new, file, gone=old))
         self._after()
 
     def link(self, source: Any, target: Any) -> None:
         """See link(2)."""
         self._call("link", lambda: os.link(source, target))
-        file = self._names.get(os.path.abspath(os.fspath(source)))
+        file = self._directory.names.get(os.path.abspath(os.fspath(source)))
         if file is not None:
-            self._rename(NameChange(os.path.abspath(os.fspath(target)), file))
+            self._directory.change(NameChange(os.path.abspath(os.fspath(target)), file))
         self._after()
 
     def unlink(self, path: Any) -> None:
         """See unlink(2)."""
         self._call("unlink", lambda: os.unlink(path))
-        self._rename(NameChange(os.path.abspath(os.fspath(path)), None))
+        self._directory.change(NameChange(os.path.abspath(os.fspath(path)), None))
         self._after()
 
-    # Account
+    # What is cached and durable
 
     def _opened(self, name: str, flags: int, stood: bool) -> _Descriptor:
-        file = self._names.get(name)
+        file = self._directory.names.get(name)
         if file is None or not stood:
             file = CachedFile()
-            self._rename(NameChange(name, file))
+            self._directory.change(NameChange(name, file))
         if flags & os.O_TRUNC and file.cached:
             file.change(Truncate(0))
         return _Descriptor(file, bool(flags & os.O_APPEND))
 
-    def _rename(self, change: NameChange) -> None:
-        change.apply(self._names)
-        self._pending.append(change)
-
     def _synced(self, held: _Descriptor | None, *, all_of_it: bool) -> None:
         """What was pending is durable, or only a first part of it is and the rest is dropped."""
         if held is None:
             return
-        pending = self._pending if held.file is None else held.file.pending
-        target = self._durable_names if held.file is None else held.file.durable
-        reached = len(pending) if all_of_it else self.chance.randrange(len(pending) + 1)
-        for change in pending[:reached]:
-            change.apply(target)
-        pending.clear()
+        target = self._directory if held.file is None else held.file
+        pending = len(target.pending)
+        target.sync(pending if all_of_it else self.chance.randrange(pending + 1))
 
     def _closed(self, descriptor: int) -> None:
         self._descriptors.pop(descriptor, None)
@@ -265,15 +217,6 @@
         for descriptor in list(self._descriptors):
             self._closed(descriptor)
 
-    def _settle(self) -> None:
-        """What the folder holds now is durable."""
-        self._names = {}
-        for path in Path(self.folder).iterdir():
-            if path.is_file():
-                content = path.read_bytes()
-                self._names[str(path)] = CachedFile(bytearray(content), bytearray(content))
-        self._durable_names, self._pending = dict(self._names), []
-
     # Faults and the kill
 
     def _call(self, name: str, effect: Callable[[], Any]) -> Any:
@@ -302,16 +245,3 @@
 
     def _kill_is(self, moment: Moment) -> bool:
         return self.kill is not None and self.kill.call == self.calls and self.kill.moment is moment
-
-
-class FaultyOs:
-    """Stands for the module `os`: the calls that change files go to the disk, all else is as it was."""
-
-    def __init__(self, disk: FaultyDisk) -> None:
-        self.open, self.read, self.write, self.close = disk.open, disk.read, disk.write, disk.close
-        self.fsync, self.ftruncate = disk.fsync, disk.ftruncate
-        self.rename, self.link, self.unlink = disk.rename, disk.link, disk.unlink
-        self.replace = lambda source, target: disk.rename(source, target, "replace")
-
-    def __getattr__(self, name: str) -> Any:
-        return getattr(os, name)
--- a/gaproute/faultinjection/durability.py
+++ b/gaproute/faultinjection/durability.py
@@ -1,9 +1,10 @@
-"""What a file and a folder keep through a crash: changes in the cache, and those that reached the disk."""
+"""What a file and a directory keep through a crash: changes in the page cache, and those on the disk."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
+from pathlib import Path
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,6 +45,12 @@
         change.apply(self.cached)
         self.pending.append(change)
 
+    def sync(self, reached: int) -> None:
+        """Make the first `reached` pending changes durable; the others are dropped."""
+        for change in self.pending[:reached]:
+            change.apply(self.durable)
+        self.pending.clear()
+
     def evicted(self) -> bytes:
         """What is read once the clean pages have left the cache: changes that a failed sync dropped are
         gone, those that are still to be written are there."""
@@ -82,3 +89,40 @@
             names.pop(self.name, None)
         else:
             names[self.name] = self.file
+
+
+@dataclass(eq=False, slots=True)
+class CachedDirectory:
+    """One directory: `names` is what is listed; `pending` is not synced yet."""
+
+    durable: dict[str, CachedFile] = field(default_factory=dict)
+    names: dict[str, CachedFile] = field(default_factory=dict)
+    pending: list[NameChange] = field(default_factory=list)
+
+    @classmethod
+    def of_folder(cls, folder: str) -> CachedDirectory:
+        """The files that a folder holds now, all of them durable."""
+        names = {}
+        for path in Path(folder).iterdir():
+            if path.is_file():
+                content = path.read_bytes()
+                names[str(path)] = CachedFile(bytearray(content), bytearray(content))
+        return cls(dict(names), names)
+
+    def change(self, change: NameChange) -> None:
+        """Make the change in the cache; the disk gets it with a sync, or by and by."""
+        change.apply(self.names)
+        self.pending.append(change)
+
+    def sync(self, reached: int) -> None:
+        """Make the first `reached` pending changes durable; the others are dropped."""
+        for change in self.pending[:reached]:
+            change.apply(self.durable)
+        self.pending.clear()
+
+    def after_power_failure(self, chance: random.Random) -> dict[str, bytes]:
+        """The files by name: what is durable and any prefix of the other changes."""
+        names = dict(self.durable)
+        for change in self.pending[: chance.randrange(len(self.pending) + 1)]:
+            change.apply(names)
+        return {name: file.after_power_failure(chance) for name, file in names.items()}
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -10,7 +10,9 @@
 
 from gaproute.cli.main import main
 from gaproute.config import Mistakes, move, moving, read_charter
-from gaproute.faultinjection.disk import FULL, FaultyDisk, KillPoint, Moment, ProcessKilled
+from gaproute.faultinjection.disk import FaultyDisk
+from gaproute.faultinjection.disk_faults import FULL
+from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import FaultPlan, Script
 
 OLD = """# our box
--- a/tests/faultinjection/test_disk.py
+++ b/tests/faultinjection/test_disk.py
@@ -7,7 +7,10 @@
 
 import pytest
 
-from gaproute.faultinjection.disk import BROKEN, FaultyDisk, FaultyOs, KillPoint, Moment, ProcessKilled
+from gaproute.faultinjection.disk import FaultyDisk
+from gaproute.faultinjection.disk_faults import BROKEN
+from gaproute.faultinjection.faulty_os import FaultyOs
+from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script, ShortTransfer
 
 NEW = os.O_WRONLY | os.O_CREAT | os.O_APPEND
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_carrier.py
@@ -10,7 +10,8 @@
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.table import Version
 from gaproute.decisions.chance import Chance
-from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
+from gaproute.faultinjection.disk import FaultyDisk
+from gaproute.faultinjection.disk_faults import BROKEN, FULL
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
--- a/tests/storage/test_cell_table_file.py
+++ b/tests/storage/test_cell_table_file.py
@@ -6,7 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
+from gaproute.faultinjection.disk import FaultyDisk
+from gaproute.faultinjection.disk_faults import BROKEN, FULL
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.storage import cell_table_file as cell_table_module
 from gaproute.storage import files
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -13,7 +13,8 @@
 from gaproute.appliance.operator import knowledge
 from gaproute.decisions.reports.purse import REST, SLICE
 from gaproute.decisions.reports.roll import Roll
-from gaproute.faultinjection.disk import BROKEN, FaultyDisk
+from gaproute.faultinjection.disk import FaultyDisk
+from gaproute.faultinjection.disk_faults import BROKEN
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
 from gaproute.loop.loop import Stepped
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
+from gaproute.faultinjection.disk import FaultyDisk
+from gaproute.faultinjection.disk_faults import BROKEN, FULL
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.shared.raft import Lost
 from gaproute.shared.raft.store import Store
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -10,7 +10,8 @@
 
 from gaproute.appliance.strong import Strong
 from gaproute.decisions.chance import Chance
-from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
+from gaproute.faultinjection.disk import FaultyDisk
+from gaproute.faultinjection.disk_faults import BROKEN, FULL
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script
 from gaproute.loop import Loop
 from gaproute.loop.loop import Stepped
--- a/tests/support/faulty_storage.py
+++ b/tests/support/faulty_storage.py
@@ -8,7 +8,9 @@
 import random
 
 from gaproute.decisions.chance import Chance
-from gaproute.faultinjection.disk import FAULTS, FaultyDisk, KillPoint, Moment, ProcessKilled
+from gaproute.faultinjection.disk import FaultyDisk
+from gaproute.faultinjection.disk_faults import FAULTS
+from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Chances, FaultPlan
 from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper, Lost
