--- a/gaproute/faultinjection/disk.py
+++ b/gaproute/faultinjection/disk.py
@@ -115,8 +115,8 @@
     def read(self, descriptor: int, count: int) -> bytes:
         """See read(2)."""
         fault = self._before("read")
-        most = fault.most if isinstance(fault, ShortTransfer) else count
-        data = os.read(descriptor, min(count, most))
+        limit = fault.limit if isinstance(fault, ShortTransfer) else count
+        data = os.read(descriptor, min(count, limit))
         self._after()
         return data
 
@@ -125,7 +125,7 @@
         fault = self._before("write")
         view = memoryview(data)
         if isinstance(fault, ShortTransfer):
-            view = view[: max(1, fault.most)]
+            view = view[: max(1, fault.limit)]
         if self._kill_is(Moment.WITHIN):
             view = view[: self.chance.randrange(len(view) + 1)]
         written = os.write(descriptor, view) if view else 0
--- a/gaproute/faultinjection/disk_faults.py
+++ b/gaproute/faultinjection/disk_faults.py
@@ -7,18 +7,18 @@
 
 from gaproute.faultinjection.plan import Failure, Fault, ShortTransfer
 
-FULL, QUOTA, BROKEN = Failure(errno.ENOSPC), Failure(errno.EDQUOT), Failure(errno.EIO)
+DISK_FULL, QUOTA_EXCEEDED, IO_ERROR = Failure(errno.ENOSPC), Failure(errno.EDQUOT), Failure(errno.EIO)
 
 # How each call may go wrong, for plans by chance.
-FAULTS: Mapping[str, Sequence[Fault]] = {
-    "open": (FULL, QUOTA, BROKEN, Failure(errno.EMFILE), Failure(errno.ENFILE)),
-    "read": (BROKEN, ShortTransfer(1)),
-    "write": (FULL, QUOTA, BROKEN, ShortTransfer(1)),
-    "fsync": (FULL, QUOTA, BROKEN),
-    "ftruncate": (BROKEN,),
-    "rename": (FULL, QUOTA, BROKEN),
-    "replace": (FULL, QUOTA, BROKEN),
-    "link": (FULL, QUOTA, BROKEN),
-    "unlink": (BROKEN,),
-    "close": (FULL, BROKEN),
+DISK_FAULTS: Mapping[str, Sequence[Fault]] = {
+    "open": (DISK_FULL, QUOTA_EXCEEDED, IO_ERROR, Failure(errno.EMFILE), Failure(errno.ENFILE)),
+    "read": (IO_ERROR, ShortTransfer(1)),
+    "write": (DISK_FULL, QUOTA_EXCEEDED, IO_ERROR, ShortTransfer(1)),
+    "fsync": (DISK_FULL, QUOTA_EXCEEDED, IO_ERROR),
+    "ftruncate": (IO_ERROR,),
+    "rename": (DISK_FULL, QUOTA_EXCEEDED, IO_ERROR),
+    "replace": (DISK_FULL, QUOTA_EXCEEDED, IO_ERROR),
+    "link": (DISK_FULL, QUOTA_EXCEEDED, IO_ERROR),
+    "unlink": (IO_ERROR,),
+    "close": (DISK_FULL, IO_ERROR),
 }
--- a/gaproute/faultinjection/plan.py
+++ b/gaproute/faultinjection/plan.py
@@ -38,20 +38,10 @@
 class ShortTransfer(Fault):
     """A read or write moves at most so many bytes."""
 
-    most: int
+    limit: int
 
     def __str__(self) -> str:
-        return f"at most {self.most} bytes"
-
-
-@dataclass(frozen=True, slots=True)
-class ClockStep(Fault):
-    """The wall clock is stepped by so many nanoseconds from this reading on; monotonic time is not."""
-
-    span: int
-
-    def __str__(self) -> str:
-        return f"stepped by {self.span / 1e9:+g} s"
+        return f"at most {self.limit} bytes"
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,19 +89,8 @@
         return self._faults.get((call, occurrence))
 
 
-class Periodic:
-    """Every `every`th call of one name shows the same fault. A script that holds whatever else is called."""
-
-    def __init__(self, call: str, fault: Fault, every: int) -> None:
-        self._call, self._fault, self._every = call, fault, every
-
-    def fault(self, call: str, occurrence: int) -> Fault | None:
-        """See `FaultSource`."""
-        return self._fault if call == self._call and occurrence % self._every == 0 else None
-
-
-class Chances:
-    """Each call goes wrong with a probability of one in `odds`, in one of the ways that its name has.
+class RandomFaults:
+    """Each call goes wrong with a probability of one in `odds`, in one of the faults that its name has.
 
     Every name draws from a generator of its own, seeded by (seed, name): what one call draws does not depend
     on how often others were made. `odds_of` gives single names other odds.
@@ -133,15 +112,15 @@
 
     def fault(self, call: str, occurrence: int) -> Fault | None:
         """See `FaultSource`."""
-        ways = self._faults.get(call)
-        if not ways:
+        faults = self._faults.get(call)
+        if not faults:
             return None
         generator = self._generators.get(call)
         if generator is None:
             generator = self._generators[call] = random.Random(f"{self.seed}/{call}")
         if generator.randrange(self._odds_of.get(call, self._odds)):
             return None
-        return generator.choice(ways)
+        return generator.choice(faults)
 
 
 class FaultPlan:
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -11,7 +11,7 @@
 from gaproute.cli.main import main
 from gaproute.config import Mistakes, move, moving, read_charter
 from gaproute.faultinjection.disk import FaultyDisk
-from gaproute.faultinjection.disk_faults import FULL
+from gaproute.faultinjection.disk_faults import DISK_FULL
 from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import FaultPlan, Script
 
@@ -158,7 +158,7 @@
 @pytest.mark.parametrize("call", ["open", "write", "fsync", "close", "replace"])
 def test_a_disk_that_fails_leaves_the_file_as_it_was_and_nothing_beside_it(tmp_path, call):
     (tmp_path / "new").write_text("old")
-    disk = FaultyDisk(tmp_path, FaultPlan(Script.of((call, 1, FULL))))
+    disk = FaultyDisk(tmp_path, FaultPlan(Script.of((call, 1, DISK_FULL))))
     assert not written_under(disk, tmp_path / "new", True)
     assert [path.name for path in tmp_path.iterdir()] == ["new"] and disk.open_descriptors == 0
     assert (tmp_path / "new").read_text() == "old"
--- a/tests/faultinjection/test_disk.py
+++ b/tests/faultinjection/test_disk.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gaproute.faultinjection.disk import FaultyDisk
-from gaproute.faultinjection.disk_faults import BROKEN
+from gaproute.faultinjection.disk_faults import IO_ERROR
 from gaproute.faultinjection.faulty_os import FaultyOs
 from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script, ShortTransfer
@@ -87,7 +87,7 @@
 
 def test_what_a_failed_sync_dropped_a_further_sync_does_not_bring_back(tmp_path):
     def play(disk, folder):
-        disk.plan = FaultPlan(Script.of(("fsync", 2, BROKEN)))
+        disk.plan = FaultPlan(Script.of(("fsync", 2, IO_ERROR)))
         calls = FaultyOs(disk)
         file = written(disk, folder / "a", sync=False)
         sync_folder(disk, folder)
@@ -123,7 +123,7 @@
         ("write", 1, ShortTransfer(1)),
         ("read", 1, ShortTransfer(1)),
         ("open", 3, Failure(errno.EMFILE)),
-        ("close", 1, BROKEN),
+        ("close", 1, IO_ERROR),
     )
     calls = FaultyOs(disk)
     file = calls.open(tmp_path / "a", NEW, 0o600)
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_carrier.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.cells.table import Version
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import FaultyDisk
-from gaproute.faultinjection.disk_faults import BROKEN, FULL
+from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
@@ -281,7 +281,7 @@
     fleet.until(lambda: before.carrier.written == newer.version)
     fleet.remove(before)
     fleet.add("two").carrier.publish(FIRST)
-    disk = FaultyDisk(tmp_path, FaultPlan(Script.of(*[("read", each, BROKEN) for each in range(1, 4)])))
+    disk = FaultyDisk(tmp_path, FaultPlan(Script.of(*[("read", each, IO_ERROR) for each in range(1, 4)])))
     with disk.installed(files):
         again = fleet.add("one", path=path)
         fleet.until_all_hold(newer)
@@ -292,7 +292,7 @@
 def test_a_table_is_served_while_the_disk_fails_and_written_once_it_does_not(fleet, tmp_path, monkeypatch):
     monkeypatch.setattr(carrier_module, "RETRY_INTERVAL", 100 * MILLI)
     path = tmp_path / "cells.table"
-    faults = [("fsync", each, BROKEN) for each in range(1, 4)] + [("write", 4, FULL)]
+    faults = [("fsync", each, IO_ERROR) for each in range(1, 4)] + [("write", 4, DISK_FULL)]
     disk = FaultyDisk(tmp_path, FaultPlan(Script.of(*faults)))
     with disk.installed(files):
         one = fleet.add("one", path=path)
--- a/tests/storage/test_cell_table_file.py
+++ b/tests/storage/test_cell_table_file.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as some
 
 from gaproute.faultinjection.disk import FaultyDisk
-from gaproute.faultinjection.disk_faults import BROKEN, FULL
+from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.storage import cell_table_file as cell_table_module
 from gaproute.storage import files
@@ -102,7 +102,7 @@
 
 
 def test_an_outage_is_told_once_and_the_next_one_again(path):
-    disk = FaultyDisk(path.parent, FaultPlan(Script.of(*[("write", each, FULL) for each in (1, 2, 4)])))
+    disk = FaultyDisk(path.parent, FaultPlan(Script.of(*[("write", each, DISK_FULL) for each in (1, 2, 4)])))
     kept, told = opened(path)
     with disk.installed(files):
         assert [kept.write(KEPT) for _ in range(5)] == [False, False, True, False, True]
@@ -111,7 +111,7 @@
 
 
 def test_a_file_that_is_not_read_for_a_moment_stays_and_is_to_be_read_first(path):
-    disk = FaultyDisk(path.parent, FaultPlan(Script.of(("open", 1, FULL), ("read", 1, BROKEN))))
+    disk = FaultyDisk(path.parent, FaultPlan(Script.of(("open", 1, DISK_FULL), ("read", 1, IO_ERROR))))
     kept, told = opened(path)
     with disk.installed(files):
         assert kept.read() is None and kept.failed_reads == 1
@@ -120,7 +120,7 @@
 
 
 def test_a_file_that_is_never_read_is_given_up_and_quarantined(path):
-    lines = [("read", each, BROKEN) for each in range(1, MAX_FAILED_READS + 1)]
+    lines = [("read", each, IO_ERROR) for each in range(1, MAX_FAILED_READS + 1)]
     kept, told = opened(path)
     with FaultyDisk(path.parent, FaultPlan(Script.of(*lines))).installed(files):
         assert [kept.read() for _ in range(MAX_FAILED_READS)] == [None] * MAX_FAILED_READS
@@ -132,7 +132,7 @@
 def test_why_a_table_cannot_be_used_is_told_also_where_it_cannot_be_quarantined(path):
     path.write_bytes(b"no table")
     kept, told = opened(path)
-    with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, BROKEN)))).installed(cell_table_module):
+    with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, IO_ERROR)))).installed(cell_table_module):
         assert kept.read() is None
     assert len(told) == 1
     assert "no cell table: it does not begin with 'gaproute-table-1'; not quarantined: " in told[0]
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -14,7 +14,7 @@
 from gaproute.decisions.reports.purse import REST, SLICE
 from gaproute.decisions.reports.roll import Roll
 from gaproute.faultinjection.disk import FaultyDisk
-from gaproute.faultinjection.disk_faults import BROKEN
+from gaproute.faultinjection.disk_faults import IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.loop import Loop
 from gaproute.loop.loop import Stepped
@@ -224,7 +224,7 @@
     return Disk(monkeypatch)
 
 
-FAULTS = [
+OUTAGES = [
     (sqlite3.SQLITE_IOERR_WRITE, "disk I/O error"),
     (sqlite3.SQLITE_FULL, "database or disk is full"),
     (sqlite3.SQLITE_CANTOPEN, "unable to open database file"),
@@ -245,7 +245,7 @@
     assert made.write(many) and len(made.read(9999)) == 2001 and len(made.texts) == 1
 
 
-@pytest.mark.parametrize("code, text", FAULTS)
+@pytest.mark.parametrize("code, text", OUTAGES)
 def test_a_disk_that_fails_for_a_while_costs_no_fact_and_is_tried_less_and_less(store, disk, code, text):
     clocks = Clocks()
     made = store(clocks)
@@ -267,7 +267,7 @@
     assert not made.write([LATER]) and len(made.texts) == 2  # another outage
 
 
-@pytest.mark.parametrize("code, text", FAULTS)
+@pytest.mark.parametrize("code, text", OUTAGES)
 def test_a_start_on_a_disk_that_fails_leaves_the_file_where_it_is(store, disk, tmp_path, code, text):
     written(store)
     disk.fails(code, text)
@@ -288,7 +288,7 @@
     written(store)
     clocks = Clocks()
     made = store(clocks)
-    disk.fails(*FAULTS[0])
+    disk.fails(*OUTAGES[0])
     assert made.read(9) == [] and not made.ready()
     disk.fault = None
     clocks.now += MIN_BACKOFF
@@ -309,7 +309,7 @@
     names = [tmp_path / f"m{end}" for end in ("", "-wal", "-shm")]
     for name in names:
         name.write_bytes(b"never a database" * 100)
-    faults = FaultyDisk(tmp_path, FaultPlan(Script.of(("replace", 3, BROKEN))))
+    faults = FaultyDisk(tmp_path, FaultPlan(Script.of(("replace", 3, IO_ERROR))))
     with faults.installed(module), pytest.raises(ObservationStoreError, match="not a database.*Input/output"):
         store()
     assert [name.exists() for name in names] == [True, False, False]
@@ -319,7 +319,7 @@
 
 def test_a_gateway_that_starts_without_its_memory_serves_and_is_written_down_later(fleet, tmp_path, disk):
     made, start = fleet
-    disk.fails(*FAULTS[0])
+    disk.fails(*OUTAGES[0])
     alone = start("alone", f"memory {tmp_path / 'g.memory'}", listen=False)
     made.at = front(alone)
     assert made.wait(made.ask("lamp", "w1")).status == 200
@@ -347,7 +347,7 @@
     hosts = {"h1": ("active", 5)}
     made.roll.listed(clock.now, hosts)
     assert run(SECOND) == {"h1"}
-    disk.fails(*FAULTS[0])
+    disk.fails(*OUTAGES[0])
     made.roll.listed(clock.now + 1, hosts | {"h2": ("active", 6)})
     assert run(2 * SECOND) == set() and made.store.failed
     disk.fault = None
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gaproute.faultinjection.disk import FaultyDisk
-from gaproute.faultinjection.disk_faults import BROKEN, FULL
+from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.shared.raft import Lost
 from gaproute.shared.raft.store import Store
@@ -172,7 +172,7 @@
 def test_a_close_that_fails_leaks_nothing_and_closes_no_descriptor_twice(votes, tmp_path):
     """close(2) releases the descriptor also where it reports an error: closing it again would take that of
     another file."""
-    disk = faulty(tmp_path, *[("close", number, BROKEN) for number in range(1, 9)])
+    disk = faulty(tmp_path, *[("close", number, IO_ERROR) for number in range(1, 9)])
     with disk.installed(module, files):
         one = votes()
         assert one.read() == []
@@ -190,7 +190,7 @@
     filled(votes, [b"one"])
     one = votes()
     one.read()
-    disk = faulty(tmp_path, (call, 1, FULL))
+    disk = faulty(tmp_path, (call, 1, DISK_FULL))
     with disk.installed(module, files), pytest.raises(OSError, match="No space"):
         one.replace([b"other"])
     assert disk.open_descriptors == 0 and not (tmp_path / "votes.new").exists()
@@ -206,7 +206,7 @@
     with disk.installed(module, files):
         one = votes()
         one.read()
-        disk.plan = FaultPlan(Script.of(("fsync", 1, BROKEN)))
+        disk.plan = FaultPlan(Script.of(("fsync", 1, IO_ERROR)))
         one.append(b"one")
         with pytest.raises(OSError, match="Input/output"):
             one.sync()
@@ -220,7 +220,7 @@
 
 def test_a_read_that_failed_is_read_again_and_goes_on(votes, tmp_path):
     filled(votes, [b"one"])
-    disk = faulty(tmp_path, ("open", 1, FULL), ("read", 1, BROKEN), ("fsync", 1, FULL))
+    disk = faulty(tmp_path, ("open", 1, DISK_FULL), ("read", 1, IO_ERROR), ("fsync", 1, DISK_FULL))
     with disk.installed(module, files):
         one = RaftLogFile(tmp_path / "votes", lambda text: None)
         for _ in range(3):
@@ -239,7 +239,7 @@
     path.write_bytes(flipped(written, written.index(b"one")))
     one = votes()
     assert isinstance(one.read(), Lost)
-    disk = faulty(tmp_path, ("fsync", 1, BROKEN))
+    disk = faulty(tmp_path, ("fsync", 1, IO_ERROR))
     with disk.installed(module, files), pytest.raises(OSError, match="Input/output"):
         one.quarantine("a bad record")
     assert "a bad record; quarantined as" in one.texts[0] and one.read() == []
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -1,17 +1,17 @@
-"""The ledger over a disk that fails, writes short, and is cut off at any call."""
+"""The storage package over a disk that fails, writes short, and is cut off at any call."""
 
 import errno
 import itertools
 from types import SimpleNamespace
 
 import pytest
-from faulty_storage import Broken, Node, Records, Tables, hunt, play
-from storage_mutants import PLANTED
+from faulty_storage import BrokenGuaranteeError, CellTables, LogRecords, RaftNodeState, play, play_all_kills
+from storage_mutants import STORAGE_MUTANTS
 
 from gaproute.appliance.strong import Strong
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import FaultyDisk
-from gaproute.faultinjection.disk_faults import BROKEN, FULL
+from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script
 from gaproute.loop import Loop
 from gaproute.loop.loop import Stepped
@@ -20,7 +20,7 @@
 
 SECOND = 1_000_000_000
 
-PLAYERS = [Records, Node, Tables]
+SCENARIOS = [LogRecords, RaftNodeState, CellTables]
 
 
 @pytest.fixture
@@ -35,33 +35,35 @@
     return make
 
 
-@pytest.mark.parametrize("player", PLAYERS)
-def test_a_kill_at_any_call_leaves_all_that_was_acknowledged(player, new_folder):
-    hunt(player, new_folder, range(2), steps=6)
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_a_kill_at_any_call_leaves_all_that_was_acknowledged(scenario, new_folder):
+    play_all_kills(scenario, new_folder, range(2), steps=6)
 
 
-@pytest.mark.parametrize("player", PLAYERS)
+@pytest.mark.parametrize("scenario", SCENARIOS)
 @pytest.mark.parametrize("odds", [200, 20, 4])
-def test_calls_that_fail_by_chance_cost_nothing_that_was_acknowledged(player, new_folder, odds):
+def test_calls_that_fail_by_chance_cost_nothing_that_was_acknowledged(scenario, new_folder, odds):
     for seed in range(15):
-        play(player, new_folder(), seed, steps=40, odds=odds)
+        play(scenario, new_folder(), seed, steps=40, odds=odds)
 
 
-@pytest.mark.parametrize("player", PLAYERS)
-def test_a_kill_at_any_call_among_failures_leaves_all_that_was_acknowledged(player, new_folder):
-    hunt(player, new_folder, range(1), steps=6, odds=6)
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_a_kill_at_any_call_among_failures_leaves_all_that_was_acknowledged(scenario, new_folder):
+    play_all_kills(scenario, new_folder, range(1), steps=6, odds=6)
 
 
-@pytest.mark.parametrize("planted", PLANTED, ids=lambda each: f"{each.put.__name__}-{each.player.__name__}")
-def test_a_planted_fault_is_caught_by_name(planted, new_folder, monkeypatch):
-    planted.put(monkeypatch.setattr)
-    with pytest.raises(Broken) as caught:
-        hunt(planted.player, new_folder, range(4), steps=6, odds=6)
-        hunt(planted.player, new_folder, range(2), steps=6)
-    assert caught.value.name in planted.names
+@pytest.mark.parametrize(
+    "mutant", STORAGE_MUTANTS, ids=lambda each: f"{each.apply.__name__}-{each.scenario.__name__}"
+)
+def test_a_mutant_is_caught_by_name(mutant, new_folder, monkeypatch):
+    mutant.apply(monkeypatch.setattr)
+    with pytest.raises(BrokenGuaranteeError) as caught:
+        play_all_kills(mutant.scenario, new_folder, range(4), steps=6, odds=6)
+        play_all_kills(mutant.scenario, new_folder, range(2), steps=6)
+    assert caught.value.name in mutant.names
 
 
-class Strongly:
+class LeasesOfOneGateway:
     """The leases' part of one gateway, the only member of its group, on a clock of the test's."""
 
     def __init__(self, folder, *lines):
@@ -85,9 +87,9 @@
         self.loop.close()
 
 
-@pytest.mark.parametrize("fault", [FULL, BROKEN, Failure(errno.EMFILE), Failure(errno.EDQUOT)])
+@pytest.mark.parametrize("fault", [DISK_FULL, IO_ERROR, Failure(errno.EMFILE), Failure(errno.EDQUOT)])
 def test_a_gateway_starts_on_a_disk_that_fails_and_takes_part_once_it_answers(tmp_path, fault):
-    part = Strongly(tmp_path, *[("open", number, fault) for number in range(1, 4)])
+    part = LeasesOfOneGateway(tmp_path, *[("open", number, fault) for number in range(1, 4)])
     with part.disk.installed(files, raft_log_module):
         node = part.start()
         assert node.mute and node.due > 0
@@ -100,7 +102,7 @@
 
 @pytest.mark.parametrize("fault", [errno.EACCES, errno.ENOENT, errno.ENOTDIR])
 def test_a_place_where_no_votes_can_be_is_no_start(tmp_path, fault):
-    part = Strongly(tmp_path, ("open", 1, Failure(fault)))
+    part = LeasesOfOneGateway(tmp_path, ("open", 1, Failure(fault)))
     with part.disk.installed(files, raft_log_module), pytest.raises(OSError):
         part.start()
     part.loop.close()
@@ -108,13 +110,13 @@
 
 
 def test_a_gateway_goes_on_while_its_disk_fails_and_leads_again_after_it(tmp_path):
-    part = Strongly(tmp_path)
+    part = LeasesOfOneGateway(tmp_path)
     with part.disk.installed(files, raft_log_module):
         node = part.start()
         part.run(5 * SECOND)
         assert node.leading
         number = part.disk.counts["write"]
-        part.disk.plan = FaultPlan(Script.of(*[("write", each, FULL) for each in range(1, 4)]))
+        part.disk.plan = FaultPlan(Script.of(*[("write", each, DISK_FULL) for each in range(1, 4)]))
         wish = part.strong.seat.holder.take(part.loop.now(), "host-7", SECOND)
         part.strong._act()
         part.run(SECOND)
--- a/tests/support/faulty_storage.py
+++ b/tests/support/faulty_storage.py
@@ -1,17 +1,17 @@
-"""Random work on the ledger over a faulty disk, judged by what was acknowledged.
+"""Random work on the stored files over a faulty disk, checked against what was acknowledged.
 
-Each player does seeded work on one part of the ledger, lets the process or the machine end at a chosen call,
-opens again, and judges. Judgements are raised as `Broken` with a fixed name, so that a planted fault is
-caught by name.
+Each scenario does seeded work on one kind of file, lets the process or the machine end at a chosen call,
+opens the file again, and checks it. A broken guarantee is raised as `BrokenGuaranteeError` with a fixed
+name, so that a mutant is caught by name.
 """
 
 import random
 
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import FaultyDisk
-from gaproute.faultinjection.disk_faults import FAULTS
+from gaproute.faultinjection.disk_faults import DISK_FAULTS
 from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
-from gaproute.faultinjection.plan import Chances, FaultPlan
+from gaproute.faultinjection.plan import FaultPlan, RandomFaults
 from gaproute.shared.leases import Permits
 from gaproute.shared.raft import Keeper, Lost
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Install, Vote
@@ -26,16 +26,16 @@
 SECOND = 1_000_000_000
 RECORD_LOST = "an acknowledged record is lost"
 RECORD_INVENTED = "a record is there that was never written"
-TAKEN_FOR_BAD = "a file that nobody spoilt is taken for bad"
+SOUND_FILE_REFUSED = "a file that nobody spoilt is taken for bad"
 NOT_RECOVERED = "the disk is well again, and nothing is written"
-LEAKED = "a descriptor is leaked"
-VOTE_UNSAID = "an answered vote is forgotten"
-ENTRY_UNSAID = "an acknowledged entry is lost"
+DESCRIPTOR_LEAKED = "a descriptor is leaked"
+VOTE_FORGOTTEN = "an answered vote is forgotten"
+ENTRY_LOST = "an acknowledged entry is lost"
 TABLE_LOST = "an accepted table is lost"
 
 
-class Broken(AssertionError):
-    """A promise of the ledger is broken; `name` says which."""
+class BrokenGuaranteeError(AssertionError):
+    """A guarantee of the storage package is broken; `name` says which."""
 
     def __init__(self, name, found=""):
         super().__init__(f"{name}: {found}")
@@ -44,34 +44,34 @@
 
 def faulty_disk(folder, seed, odds=0, kill=None):
     """A disk on which one call in `odds` fails (0: none)."""
-    source = Chances(seed, odds, FAULTS) if odds else Chances(seed, 1, {})
+    source = RandomFaults(seed, odds, DISK_FAULTS) if odds else RandomFaults(seed, 1, {})
     return FaultyDisk(folder, FaultPlan(source), kill=kill, chance=random.Random(f"{seed}/disk"))
 
 
-class Player:
-    """`begin` opens, `step` does one thing, `judge` looks at what stands after the process has ended.
-    `may_hold`: descriptors that the part holds while it runs, at most."""
+class StorageScenario:
+    """`begin` opens, `step` does one thing, `check` reads what is stored after the process has ended.
+    `max_descriptors`: descriptors that the part holds while it runs, at most."""
 
-    may_hold = 0
+    max_descriptors = 0
 
     def __init__(self, folder, disk, seed):
         self.folder, self.disk, self.chance = folder, disk, random.Random(f"{seed}/work")
         self.seed, self.kill = seed, disk.kill
 
     def play(self, steps):
-        """Work until the kill or the last step, end, open again, judge; then a few steps more, twice, so
-        that what an opening left behind is judged as well."""
+        """Work until the kill or the last step, end, open again, check; then a few steps more, twice, so
+        that what an opening left behind is checked as well."""
         self.work(steps)
         for turn in range(2):
             self.chance = random.Random(f"{self.seed}/{self.kill}/{turn}")
             self.end()
-            self.judge()
+            self.check()
             if turn == 0 and self.chance.randrange(2):  # whoever opened it may have acted on what it read
                 self.disk.fail_power()
-                self.judge()
+                self.check()
             self.work(self.chance.randrange(steps))
         self.end()
-        self.judge()
+        self.check()
 
     def work(self, steps):
         """So many steps, or as many as there are before the kill."""
@@ -80,8 +80,10 @@
                 self.begin()
                 for _ in range(steps):
                     self.step()
-                    if self.disk.open_descriptors > self.may_hold:
-                        raise Broken(LEAKED, f"{self.disk.open_descriptors} are open")
+                    if self.disk.open_descriptors > self.max_descriptors:
+                        raise BrokenGuaranteeError(
+                            DESCRIPTOR_LEAKED, f"{self.disk.open_descriptors} are open"
+                        )
             except ProcessKilled:
                 pass
 
@@ -92,34 +94,34 @@
             self.disk.end_process()
 
 
-class Records(Player):
+class LogRecords(StorageScenario):
     """Appends, syncs and replacements of a votes file. What may stand is known as a list of possibilities,
     the acknowledged records first in each of them."""
 
-    may_hold = 2
+    max_descriptors = 2
 
     def __init__(self, folder, disk, seed):
         super().__init__(folder, disk, seed)
         self.acknowledged, self.possible, self.memory, self.number = [], [[]], [], 0
 
     def begin(self):
-        self.votes = RaftLogFile(f"{self.folder}/votes", lambda text: None, lambda: 17)
+        self.log_file = RaftLogFile(f"{self.folder}/votes", lambda text: None, lambda: 17)
         self.memory = self.opened()
 
     def opened(self):
-        """The records. Errors: Broken where they are not what may stand."""
-        read = self.until_it_goes_well(self.votes.read)
+        """The records. Errors: BrokenGuaranteeError where they are not what may stand."""
+        read = self.retried(self.log_file.read)
         if isinstance(read, Lost):
-            raise Broken(TAKEN_FOR_BAD, read.why)
+            raise BrokenGuaranteeError(SOUND_FILE_REFUSED, read.why)
         if read not in self.possible:
-            raise Broken(
+            raise BrokenGuaranteeError(
                 RECORD_LOST if len(read) < len(self.acknowledged) else RECORD_INVENTED,
                 f"{read} stands, {self.acknowledged} was acknowledged",
             )
-        self.settled(read)  # whoever opened it acts by what it read
+        self.acknowledge_all(read)  # whoever opened it acts by what it read
         return read
 
-    def until_it_goes_well(self, call):
+    def retried(self, call):
         """Repeat a call that fails, and in the end make it on a disk that is well."""
         for _ in range(ATTEMPTS):
             try:
@@ -130,9 +132,9 @@
             try:
                 return call()
             except OSError as fault:
-                raise Broken(NOT_RECOVERED, str(fault)) from fault
+                raise BrokenGuaranteeError(NOT_RECOVERED, str(fault)) from fault
 
-    def settled(self, records):
+    def acknowledge_all(self, records):
         self.acknowledged, self.possible = list(records), [list(records)]
 
     def step(self):
@@ -143,39 +145,39 @@
             else:
                 for _ in range(1 + self.chance.randrange(3)):
                     self.append()
-                self.votes.sync()
-                self.settled(self.memory)
+                self.log_file.sync()
+                self.acknowledge_all(self.memory)
         except OSError:
-            self.until_it_goes_well(self.replace)
+            self.retried(self.replace)
 
     def append(self):
         self.number += 1
         self.memory = [*self.memory, b"%d" % self.number * (1 + self.chance.randrange(3))]
         self.possible.append(self.memory)
-        self.votes.append(self.memory[-1])
+        self.log_file.append(self.memory[-1])
 
     def replace(self):
         self.possible.append(self.memory)
-        self.votes.replace(self.memory)
-        self.settled(self.memory)
+        self.log_file.replace(self.memory)
+        self.acknowledge_all(self.memory)
 
-    def judge(self):
+    def check(self):
         """Open on a disk that is well."""
         self.disk.kill = None
         with self.disk.plan.pause(), self.disk.installed(*MODULES):
             self.begin()
-            self.votes.close()
+            self.log_file.close()
 
 
-class Node(Player):
+class RaftNodeState(StorageScenario):
     """A follower of the group to which leaders and candidates of rising terms speak; what it answered is
-    owed."""
+    promised."""
 
-    may_hold = 2
+    max_descriptors = 2
 
     def __init__(self, folder, disk, seed):
         super().__init__(folder, disk, seed)
-        self.now, self.lives = 0, 0
+        self.now, self.restarts = 0, 0
         self.term = 1  # the highest that anybody used
         self.answered = {}  # term: (candidate, life) that was told its vote
         self.seen = 0  # the highest term in an answer
@@ -184,9 +186,9 @@
         self.committed = []  # entries in a snapshot that was sent: all later leaders have them
 
     def begin(self):
-        self.lives += 1
+        self.restarts += 1
         disk = RaftLogFile(f"{self.folder}/votes", lambda text: None, lambda: 17)
-        chance = Chance(1 + self.lives)
+        chance = Chance(1 + self.restarts)
         self.node = Keeper("a", ("a", "b", "c"), disk, chance, self.now, Permits(quiet=False), 0)
         self.disk_file = disk
 
@@ -213,7 +215,9 @@
                 if vote.given:
                     before = self.answered.setdefault(vote.term, (sender, 5))
                     if before != (sender, 5):
-                        raise Broken(VOTE_UNSAID, f"term {vote.term}: {before}, then {sender}")
+                        raise BrokenGuaranteeError(
+                            VOTE_FORGOTTEN, f"term {vote.term}: {before}, then {sender}"
+                        )
 
     def leader(self):
         """The leader of the highest term, `b`, sends what it has; its log goes on from what was agreed."""
@@ -235,31 +239,31 @@
                 if ack.ok:
                     self.log = entries[: max(ack.index, len(self.log))]
 
-    def judge(self):
+    def check(self):
         self.disk.kill = None
         with self.disk.plan.pause(), self.disk.installed(*MODULES):
             self.begin()
             store = self.node.store
             if store.lost:
-                raise Broken(TAKEN_FOR_BAD, store.lost)
+                raise BrokenGuaranteeError(SOUND_FILE_REFUSED, store.lost)
             if store.broken:
-                raise Broken(NOT_RECOVERED, store.broken)
-            self.judge_store(store)
+                raise BrokenGuaranteeError(NOT_RECOVERED, store.broken)
+            self.check_store(store)
             self.disk_file.close()
 
-    def judge_store(self, store):
+    def check_store(self, store):
         if store.term < self.seen:
-            raise Broken(VOTE_UNSAID, f"term {store.term} after {self.seen} was told")
-        owed = self.answered.get(store.term)
-        if owed is not None and store.voted != owed:
-            raise Broken(VOTE_UNSAID, f"{store.voted} in term {store.term} after {owed}")
+            raise BrokenGuaranteeError(VOTE_FORGOTTEN, f"term {store.term} after {self.seen} was told")
+        promised = self.answered.get(store.term)
+        if promised is not None and store.voted != promised:
+            raise BrokenGuaranteeError(VOTE_FORGOTTEN, f"{store.voted} in term {store.term} after {promised}")
         for index, entry in enumerate(self.log, 1):
             if index > store.log.last or (index >= store.log.base and store.log.term(index) != entry.term):
-                raise Broken(ENTRY_UNSAID, f"entry {index} of {len(self.log)}")
+                raise BrokenGuaranteeError(ENTRY_LOST, f"entry {index} of {len(self.log)}")
 
 
-class Tables(Player):
-    """Cell tables put in place of one another; that of the last write that was said to stand is owed."""
+class CellTables(StorageScenario):
+    """Cell tables put in place of one another; that of the last write that was said to stand is promised."""
 
     def __init__(self, folder, disk, seed):
         super().__init__(folder, disk, seed)
@@ -274,26 +278,26 @@
         if self.file.write(StoredTable("north", 1, self.tried, self.tried, data)):
             self.accepted = self.tried
 
-    def judge(self):
+    def check(self):
         self.disk.kill = None
         with self.disk.plan.pause(), self.disk.installed(*MODULES):
             self.begin()
             stored = self.file.read()
             if self.file.counts.quarantined:
-                raise Broken(TAKEN_FOR_BAD, "quarantined")
+                raise BrokenGuaranteeError(SOUND_FILE_REFUSED, "quarantined")
             number = 0 if stored is None else stored.number
             if not self.accepted <= number <= self.tried:
-                raise Broken(TABLE_LOST, f"{number} stands, {self.accepted} was accepted")
+                raise BrokenGuaranteeError(TABLE_LOST, f"{number} stands, {self.accepted} was accepted")
             self.tried += 1
             if not self.file.write(StoredTable("north", 1, self.tried, 0, b"")):
-                raise Broken(NOT_RECOVERED, "no table is written")
+                raise BrokenGuaranteeError(NOT_RECOVERED, "no table is written")
             self.accepted = self.tried
 
 
-def calls_of(player, folder, seed, steps, odds=0):
+def calls_of(scenario, folder, seed, steps, odds=0):
     """How many calls the first half of a play makes without a kill."""
     disk = faulty_disk(folder, seed, odds)
-    made = player(folder, disk, seed)
+    made = scenario(folder, disk, seed)
     with disk.installed(*MODULES):
         made.begin()
         for _ in range(steps):
@@ -302,14 +306,14 @@
     return disk.calls
 
 
-def play(player, folder, seed, steps=12, odds=0, kill=None):
-    """One play; Broken where a promise is."""
-    player(folder, faulty_disk(folder, seed, odds, kill), seed).play(steps)
+def play(scenario, folder, seed, steps=12, odds=0, kill=None):
+    """One play; BrokenGuaranteeError where a promise is."""
+    scenario(folder, faulty_disk(folder, seed, odds, kill), seed).play(steps)
 
 
-def hunt(player, new_folder, seeds, steps=12, odds=0):
+def play_all_kills(scenario, new_folder, seeds, steps=12, odds=0):
     """Plays with a kill at every call, at each of its moments, for each seed."""
     for seed in seeds:
-        for call in range(1, calls_of(player, new_folder(), seed, steps, odds) + 1):
+        for call in range(1, calls_of(scenario, new_folder(), seed, steps, odds) + 1):
             for moment in Moment:
-                play(player, new_folder(), seed, steps, odds, KillPoint(call, moment))
+                play(scenario, new_folder(), seed, steps, odds, KillPoint(call, moment))
--- a/tests/support/storage_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -1,6 +1,7 @@
-"""Faults planted in the ledger, each of which its tests have to catch by name.
+"""Mutants of the storage package, each of which its tests have to catch by name.
 
-A plant is put in by `patch(owner, attribute, value)`; `player` and `names`: whose work shows it, and as what.
+A mutant is applied by `patch(owner, attribute, value)`; `scenario` and `names`: the work that shows it, and
+as what.
 """
 
 import os
@@ -8,16 +9,16 @@
 from typing import NamedTuple
 
 from faulty_storage import (
-    ENTRY_UNSAID,
-    LEAKED,
+    DESCRIPTOR_LEAKED,
+    ENTRY_LOST,
     RECORD_INVENTED,
     RECORD_LOST,
+    SOUND_FILE_REFUSED,
     TABLE_LOST,
-    TAKEN_FOR_BAD,
-    VOTE_UNSAID,
-    Node,
-    Records,
-    Tables,
+    VOTE_FORGOTTEN,
+    CellTables,
+    LogRecords,
+    RaftNodeState,
 )
 
 from gaproute.shared.raft import Lost
@@ -28,11 +29,11 @@
 from gaproute.storage.raft_log_file import RaftLogFile
 
 
-class Planted(NamedTuple):
-    """A fault, whose work shows it, and the names that it may be caught by."""
+class StorageMutant(NamedTuple):
+    """A fault, the work that shows it, and the names that it may be caught by."""
 
-    put: object
-    player: type
+    apply: object
+    scenario: type
     names: tuple
 
 
@@ -173,23 +174,23 @@
     patch(Store, "rewrite", rewrite)
 
 
-LOST = (RECORD_LOST, RECORD_INVENTED, TAKEN_FOR_BAD)
-UNSAID = (ENTRY_UNSAID, VOTE_UNSAID)
-PLANTED = [
-    Planted(failed_sync_is_forgotten, Records, LOST),
-    Planted(failed_sync_is_forgotten, Node, UNSAID),
-    Planted(failed_sync_is_repeated_and_believed, Records, LOST),
-    Planted(failed_sync_is_repeated_and_believed, Node, UNSAID),
-    Planted(what_is_read_at_opening_is_only_synced, Records, LOST),
-    Planted(a_torn_tail_stays, Records, LOST),
-    Planted(a_torn_tail_is_accepted, Records, (RECORD_INVENTED,)),
-    Planted(the_folder_is_not_synced, Records, LOST),
-    Planted(the_folder_is_not_synced, Tables, (TABLE_LOST,)),
-    Planted(a_file_is_renamed_before_it_is_synced, Records, LOST),
-    Planted(a_file_is_renamed_before_it_is_synced, Tables, (TABLE_LOST, TAKEN_FOR_BAD)),
-    Planted(a_descriptor_is_left_open_on_a_full_disk, Records, (LEAKED,)),
-    Planted(a_descriptor_is_left_open_on_a_full_disk, Tables, (LEAKED,)),
-    Planted(a_short_write_is_taken_for_a_whole_one, Records, LOST),
-    Planted(an_answer_leaves_before_the_sync, Node, UNSAID),
-    Planted(a_node_goes_on_after_a_further_sync, Node, (*UNSAID, TAKEN_FOR_BAD)),
+RECORDS_WRONG = (RECORD_LOST, RECORD_INVENTED, SOUND_FILE_REFUSED)
+RAFT_STATE_LOST = (ENTRY_LOST, VOTE_FORGOTTEN)
+STORAGE_MUTANTS = [
+    StorageMutant(failed_sync_is_forgotten, LogRecords, RECORDS_WRONG),
+    StorageMutant(failed_sync_is_forgotten, RaftNodeState, RAFT_STATE_LOST),
+    StorageMutant(failed_sync_is_repeated_and_believed, LogRecords, RECORDS_WRONG),
+    StorageMutant(failed_sync_is_repeated_and_believed, RaftNodeState, RAFT_STATE_LOST),
+    StorageMutant(what_is_read_at_opening_is_only_synced, LogRecords, RECORDS_WRONG),
+    StorageMutant(a_torn_tail_stays, LogRecords, RECORDS_WRONG),
+    StorageMutant(a_torn_tail_is_accepted, LogRecords, (RECORD_INVENTED,)),
+    StorageMutant(the_folder_is_not_synced, LogRecords, RECORDS_WRONG),
+    StorageMutant(the_folder_is_not_synced, CellTables, (TABLE_LOST,)),
+    StorageMutant(a_file_is_renamed_before_it_is_synced, LogRecords, RECORDS_WRONG),
+    StorageMutant(a_file_is_renamed_before_it_is_synced, CellTables, (TABLE_LOST, SOUND_FILE_REFUSED)),
+    StorageMutant(a_descriptor_is_left_open_on_a_full_disk, LogRecords, (DESCRIPTOR_LEAKED,)),
+    StorageMutant(a_descriptor_is_left_open_on_a_full_disk, CellTables, (DESCRIPTOR_LEAKED,)),
+    StorageMutant(a_short_write_is_taken_for_a_whole_one, LogRecords, RECORDS_WRONG),
+    StorageMutant(an_answer_leaves_before_the_sync, RaftNodeState, RAFT_STATE_LOST),
+    StorageMutant(a_node_goes_on_after_a_further_sync, RaftNodeState, (*RAFT_STATE_LOST, SOUND_FILE_REFUSED)),
 ]
