--- a/tests/faultinjection/test_disk.py
+++ b/tests/faultinjection/test_disk.py
@@ -132,7 +132,8 @@
     assert calls.read(reading, 10) == b"a"
     with pytest.raises(OSError, match="Too many open files"):
         calls.open(tmp_path / "b", NEW, 0o600)
-    assert not (tmp_path / "b").exists() and disk.open_descriptors == 2
+    assert not (tmp_path / "b").exists()
+    assert disk.open_descriptors == 2
     with pytest.raises(OSError, match="Input/output"):
         calls.close(reading)
     assert disk.open_descriptors == 1  # released all the same
@@ -142,5 +143,6 @@
 def test_a_module_has_its_own_calls_back_afterwards(tmp_path):
     module = SimpleNamespace(os=os)
     with disk_of(tmp_path).installed(module):
-        assert isinstance(module.os, FaultyOs) and module.os.O_RDONLY == os.O_RDONLY
+        assert isinstance(module.os, FaultyOs)
+        assert module.os.O_RDONLY == os.O_RDONLY
     assert module.os is os
--- a/tests/storage/test_cell_table_file.py
+++ b/tests/storage/test_cell_table_file.py
@@ -36,14 +36,18 @@
     kept, told = opened(path)
     assert kept.read() == KEPT
     newer = StoredTable("north", 3, 18, 5, b"")
-    assert kept.write(newer) and opened(path)[0].read() == newer
-    assert told == [] and os.listdir(path.parent) == [path.name]
+    assert kept.write(newer)
+    assert opened(path)[0].read() == newer
+    assert told == []
+    assert os.listdir(path.parent) == [path.name]
     assert os.stat(path).st_mode & 0o777 == 0o600
 
 
 def test_without_a_file_nothing_is_said(tmp_path):
     kept, told = opened(tmp_path / "none")
-    assert kept.read() is None and told == [] and kept.counts.quarantined == 0
+    assert kept.read() is None
+    assert told == []
+    assert kept.counts.quarantined == 0
 
 
 @settings(max_examples=150, deadline=None)
@@ -60,28 +64,36 @@
     path.write_bytes(content)
     kept, told = opened(path)
     assert kept.read() is None
-    assert kept.counts.quarantined == 1 and len(told) == 1 and quarantined(path) == ["cells.table.broken-7"]
-    assert kept.read() is None and len(told) == 1  # there is nothing any more
-    assert kept.write(KEPT) and kept.read() == KEPT
+    assert kept.counts.quarantined == 1
+    assert len(told) == 1
+    assert quarantined(path) == ["cells.table.broken-7"]
+    assert kept.read() is None
+    assert len(told) == 1
+    assert kept.write(KEPT)
+    assert kept.read() == KEPT
 
 
 def test_a_table_of_another_fleet_is_quarantined_whole(path):
     kept, told = opened(path, "south")
-    assert kept.read() is None and "of fleet 'north'" in told[0]
+    assert kept.read() is None
+    assert "of fleet 'north'" in told[0]
     assert opened(path.parent / quarantined(path)[0])[0].read() == KEPT
 
 
 def test_a_table_older_than_what_is_heard_is_quarantined(path):
     kept, told = opened(path)
     assert kept.read((3, 17)) == KEPT
-    assert kept.read((4, 0)) is None and "others hold 4.0" in told[0] and kept.counts.quarantined == 1
+    assert kept.read((4, 0)) is None
+    assert "others hold 4.0" in told[0]
+    assert kept.counts.quarantined == 1
 
 
 def test_an_absurdly_large_file_is_not_read_whole(path):
     with path.open("ab") as longer:
         longer.truncate(1 << 40)
     kept, told = opened(path)
-    assert kept.read() is None and "more than" in told[0]
+    assert kept.read() is None
+    assert "more than" in told[0]
 
 
 def test_a_write_that_was_not_finished_leaves_the_table_before(path):
@@ -93,12 +105,16 @@
     kept, told = opened(tmp_path / "missing" / "cells.table")
     for _ in range(3):
         assert not kept.write(KEPT)
-    assert kept.counts.failed == 3 and len(told) == 1 and "not stored on disk" in told[0]
+    assert kept.counts.failed == 3
+    assert len(told) == 1
+    assert "not stored on disk" in told[0]
     kept, told = opened(path)
     assert not kept.write(StoredTable("north", 4, 1, 0, bytes(MAX_FILE_LENGTH)))
     assert kept.read() == KEPT
     kept, told = opened(tmp_path)
-    assert kept.read() is None and kept.counts.failed == 1 and len(told) == 1
+    assert kept.read() is None
+    assert kept.counts.failed == 1
+    assert len(told) == 1
 
 
 def test_an_outage_is_told_once_and_the_next_one_again(path):
@@ -106,7 +122,9 @@
     kept, told = opened(path)
     with disk.installed(files):
         assert [kept.write(KEPT) for _ in range(5)] == [False, False, True, False, True]
-    assert len(told) == 2 and kept.counts.failed == 3 and disk.open_descriptors == 0
+    assert len(told) == 2
+    assert kept.counts.failed == 3
+    assert disk.open_descriptors == 0
     assert os.listdir(path.parent) == [path.name]
 
 
@@ -114,9 +132,13 @@
     disk = FaultyDisk(path.parent, FaultPlan(Script.of(("open", 1, DISK_FULL), ("read", 1, IO_ERROR))))
     kept, told = opened(path)
     with disk.installed(files):
-        assert kept.read() is None and kept.failed_reads == 1
-        assert kept.read() is None and kept.failed_reads == 2
-        assert kept.read() == KEPT and kept.failed_reads == 0 and len(told) == 1
+        assert kept.read() is None
+        assert kept.failed_reads == 1
+        assert kept.read() is None
+        assert kept.failed_reads == 2
+        assert kept.read() == KEPT
+        assert kept.failed_reads == 0
+        assert len(told) == 1
 
 
 def test_a_file_that_is_never_read_is_given_up_and_quarantined(path):
@@ -124,9 +146,12 @@
     kept, told = opened(path)
     with FaultyDisk(path.parent, FaultPlan(Script.of(*lines))).installed(files):
         assert [kept.read() for _ in range(MAX_FAILED_READS)] == [None] * MAX_FAILED_READS
-        assert kept.failed_reads == 0 and quarantined(path) == ["cells.table.broken-7"]
-        assert kept.write(KEPT) and kept.read() == KEPT
-    assert len(told) == 2 and f"not read {MAX_FAILED_READS} times" in told[1]
+        assert kept.failed_reads == 0
+        assert quarantined(path) == ["cells.table.broken-7"]
+        assert kept.write(KEPT)
+        assert kept.read() == KEPT
+    assert len(told) == 2
+    assert f"not read {MAX_FAILED_READS} times" in told[1]
 
 
 def test_why_a_table_cannot_be_used_is_told_also_where_it_cannot_be_quarantined(path):
@@ -150,4 +175,5 @@
     kept, told = opened(path)
     assert not kept.write(StoredTable("north", 4, 1, 0, bytes(5_000)))
     monkeypatch.undo()
-    assert kept.read() == KEPT and "No space left" in told[0]
+    assert kept.read() == KEPT
+    assert "No space left" in told[0]
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -1,5 +1,4 @@
-"""The memory of a past life on disk: what it gives back, how old, and what it does with a file that is no
-good."""
+"""The observation store: what it gives back, how old, and what it does with a file that cannot be used."""
 
 import itertools
 import os
@@ -74,12 +73,13 @@
     assert store(Clocks(SECOND, 10**18 + 60 * SECOND), "b2").read(9)[0][2] == 61 * SECOND
 
 
-def test_a_fact_of_the_future_is_refused_by_the_lore(store):
+def test_an_observation_of_the_future_is_refused(store):
     from gaproute.decisions.reports.lore import Lore
 
     written(store)
     ((_, _, age),) = store(Clocks(SECOND, 10**18 - 60 * SECOND), "b2").read(9)
-    assert age < 0 and Lore().observed(0, age) is None
+    assert age < 0
+    assert Lore().observed(0, age) is None
 
 
 def test_the_last_writing_of_a_subject_stands_and_the_latest_come_first(store):
@@ -138,7 +138,8 @@
     made = store()
     made.write([(WARM, (4, 0), 99 * SECOND)])
     ((key, data, wall),) = made.connection.execute("SELECT subject, data, wall FROM facts")
-    assert wall == 10**18 - SECOND and msgspec.msgpack.decode(key) == list(WARM)
+    assert wall == 10**18 - SECOND
+    assert msgspec.msgpack.decode(key) == list(WARM)
     assert msgspec.msgpack.decode(data) == [99 * SECOND, 10**18 - SECOND, "b1", [4, 0]]
 
 
@@ -156,7 +157,8 @@
         }[harm]
     )
     made = store()
-    assert made.read(9) == [] and (harm == "empty" or "quarantined" in made.texts[0])
+    assert made.read(9) == []
+    assert harm == "empty" or "quarantined" in made.texts[0]
     assert harm == "empty" or list(tmp_path.glob("m.broken-*"))
     made.write([(WARM, (4, 0), 99 * SECOND)])
     assert made.read(9) == [(WARM, (4, 0), SECOND)]
@@ -168,10 +170,12 @@
     made.connection.execute(
         "UPDATE facts SET data = ? WHERE subject = (SELECT subject FROM facts LIMIT 1)", (b"\x94",)
     )
-    assert len(made.read(9)) == 1 and made.torn_rows == 1 and "torn" in made.texts[0]
+    assert len(made.read(9)) == 1
+    assert made.torn_rows == 1
+    assert "torn" in made.texts[0]
 
 
-def test_two_gateways_cannot_share_a_memory_and_a_place_that_cannot_be_written_is_told(store, tmp_path):
+def test_two_gateways_cannot_share_a_store_and_a_place_that_is_not_writable_is_reported(store, tmp_path):
     store()
     with pytest.raises(ObservationStoreError):
         store()
@@ -179,36 +183,38 @@
         store(path=tmp_path / "nowhere" / "m")
 
 
-def test_a_write_that_fails_is_counted_and_told_once(store):
+def test_a_write_that_fails_is_counted_and_reported_once(store):
     made = store()
     made.connection.execute("DROP TABLE facts")
     for _ in range(2):
         made.write([(WARM, (4, 0), SECOND)])
-    assert made.failed == 2 and len(made.texts) == 1
+    assert made.failed == 2
+    assert len(made.texts) == 1
 
 
 class Disk:
     """Under SQLite: while `fault` is set, whatever is done on a connection or to make one raises it."""
 
     def __init__(self, monkeypatch):
-        self.fault, connect = None, sqlite3.connect
+        self.fault = None
+        disk, connect = self, sqlite3.connect
 
         class Connection(sqlite3.Connection):
             """One that asks the disk before each statement."""
 
-            def execute(made, *told):
-                self.check()
-                return super().execute(*told)
+            def execute(self, *args):
+                disk.check()
+                return super().execute(*args)
 
-            def executemany(made, *told):
-                self.check()
-                return super().executemany(*told)
+            def executemany(self, *args):
+                disk.check()
+                return super().executemany(*args)
 
-        def connected(*told, **more):
-            self.check()
-            return connect(*told, **more, factory=Connection)
+        def connect_to_disk(*args, **options):
+            disk.check()
+            return connect(*args, **options, factory=Connection)
 
-        monkeypatch.setattr(sqlite3, "connect", connected)
+        monkeypatch.setattr(sqlite3, "connect", connect_to_disk)
 
     def fails(self, code, text):
         self.fault = sqlite3.OperationalError(text)
@@ -239,13 +245,19 @@
     assert made.write([(WARM, (4, 0), 99 * SECOND)])
     made.connection.execute("PRAGMA max_page_count = 3")
     many = [(("warm", "x", f"f{number}"), (4, 0), 98 * SECOND) for number in range(2000)]
-    assert not made.write(many) and made.failed == 1 and "full" in made.texts[0]
-    assert not made.write(many) and made.failed == 2 and len(made.texts) == 1  # not tried so soon
+    assert not made.write(many)
+    assert made.failed == 1
+    assert "full" in made.texts[0]
+    assert not made.write(many)
+    assert made.failed == 2
+    assert len(made.texts) == 1
     clocks.now += MIN_BACKOFF
-    assert made.write(many) and len(made.read(9999)) == 2001 and len(made.texts) == 1
+    assert made.write(many)
+    assert len(made.read(9999)) == 2001
+    assert len(made.texts) == 1
 
 
-@pytest.mark.parametrize("code, text", OUTAGES)
+@pytest.mark.parametrize(("code", "text"), OUTAGES)
 def test_a_disk_that_fails_for_a_while_costs_no_fact_and_is_tried_less_and_less(store, disk, code, text):
     clocks = Clocks()
     made = store(clocks)
@@ -258,16 +270,19 @@
         if made.retry_at != before:
             tried.append((made.retry_at - clocks.now) // SECOND)
         clocks.now += SECOND // 2
-    assert tried == [1, 2, 4, 8, 16, 30, 30, 30] and len(made.texts) == 1
+    assert tried == [1, 2, 4, 8, 16, 30, 30, 30]
+    assert len(made.texts) == 1
     disk.fault = None
     clocks.now += MAX_BACKOFF
-    assert made.write([LATER]) and {subject for subject, _, _ in made.read(9)} == {WARM, ("load",)}
+    assert made.write([LATER])
+    assert {subject for subject, _, _ in made.read(9)} == {WARM, ("load",)}
     assert not list(made.path.parent.glob("*.broken-*"))
     disk.fails(code, text)
-    assert not made.write([LATER]) and len(made.texts) == 2  # another outage
+    assert not made.write([LATER])
+    assert len(made.texts) == 2
 
 
-@pytest.mark.parametrize("code, text", OUTAGES)
+@pytest.mark.parametrize(("code", "text"), OUTAGES)
 def test_a_start_on_a_disk_that_fails_leaves_the_file_where_it_is(store, disk, tmp_path, code, text):
     written(store)
     disk.fails(code, text)
@@ -277,10 +292,13 @@
     with pytest.raises(ObservationStoreError, match=text):
         made.open()
     assert len(os.listdir("/proc/self/fd")) == before
-    assert not made.ready() and not list(tmp_path.glob("*.broken-*"))
+    assert not made.ready()
+    assert not list(tmp_path.glob("*.broken-*"))
     disk.fault = None
     clocks.now += MIN_BACKOFF
-    assert made.ready() and made.write([LATER]) and len(made.read(9)) == 2
+    assert made.ready()
+    assert made.write([LATER])
+    assert len(made.read(9)) == 2
     made.close()
 
 
@@ -289,10 +307,12 @@
     clocks = Clocks()
     made = store(clocks)
     disk.fails(*OUTAGES[0])
-    assert made.read(9) == [] and not made.ready()
+    assert made.read(9) == []
+    assert not made.ready()
     disk.fault = None
     clocks.now += MIN_BACKOFF
-    assert made.ready() and len(made.read(9)) == 1
+    assert made.ready()
+    assert len(made.read(9)) == 1
 
 
 def test_a_file_that_is_found_damaged_by_a_write_is_quarantined_and_a_new_one_begun(store):
@@ -301,7 +321,9 @@
     made.connection.execute("DROP TABLE facts")
     assert not made.write([LATER])
     clocks.now += MIN_BACKOFF
-    assert made.write([LATER]) and len(made.read(9)) == 1 and "quarantined" in made.texts[1]
+    assert made.write([LATER])
+    assert len(made.read(9)) == 1
+    assert "quarantined" in made.texts[1]
 
 
 def test_of_a_damaged_file_the_log_goes_first(store, tmp_path):
@@ -317,7 +339,7 @@
     assert list(tmp_path.glob("m.broken-*"))
 
 
-def test_a_gateway_that_starts_without_its_memory_serves_and_is_written_down_later(fleet, tmp_path, disk):
+def test_a_gateway_that_starts_without_its_store_serves_and_writes_later(fleet, tmp_path, disk):
     made, start = fleet
     disk.fails(*OUTAGES[0])
     alone = start("alone", f"memory {tmp_path / 'g.memory'}", listen=False)
@@ -349,14 +371,15 @@
     assert run(SECOND) == {"h1"}
     disk.fails(*OUTAGES[0])
     made.roll.listed(clock.now + 1, hosts | {"h2": ("active", 6)})
-    assert run(2 * SECOND) == set() and made.store.failed
+    assert run(2 * SECOND) == set()
+    assert made.store.failed
     disk.fault = None
     assert run(made.store.retry_at - clock.now + SECOND // 2 + 1) == {"h1", "h2"}
     made.close()
     loop.close()
 
 
-def test_a_gateway_alone_learns_from_its_own_past_life(fleet, tmp_path):
+def test_a_gateway_alone_learns_from_its_own_earlier_run(fleet, tmp_path):
     made, start = fleet
     line = f"memory {tmp_path / 'g.memory'}"
     first = start("alone", line, listen=False)
@@ -366,13 +389,15 @@
     first.close()
     loads = len(made.seen("loaded"))
     second = start("alone", line, listen=False)
-    assert second.others.lore.facts and [row["by"] for row in knowledge(second)] == ["past life"]
+    assert second.others.lore.facts
+    assert [row["by"] for row in knowledge(second)] == ["past life"]
     made.at = front(second)
-    assert made.wait(made.ask("lamp", "w2")).status == 200 and len(made.seen("loaded")) == loads
+    assert made.wait(made.ask("lamp", "w2")).status == 200
+    assert len(made.seen("loaded")) == loads
     assert second.core.gateway.loads or second.core.gateway.functions["lamp"].times
 
 
-def test_a_gateway_without_a_place_for_its_memory_serves_all_the_same(fleet):
+def test_a_gateway_without_a_place_for_its_store_serves_all_the_same(fleet):
     made, start = fleet
     alone = start("alone", "memory /nowhere/at/all", listen=False)
     made.at = front(alone)
@@ -397,21 +422,24 @@
 
 def test_writing_takes_no_more_than_its_share(writer):
     writer.purse.left = -5 * MILLI
-    assert writer.write_slice(facts(1)) is False and writer.store.written == 0
+    assert writer.write_slice(facts(1)) is False
+    assert writer.store.written == 0
     writer.purse.left = 5 * MILLI
-    assert writer.write_slice(facts(1)) and writer.store.written == 1
+    assert writer.write_slice(facts(1))
+    assert writer.store.written == 1
 
 
 def test_a_slice_ends_at_its_time_or_its_count_and_the_rest_comes_next(writer):
     writer.ticks = itertools.count(0, SLICE // 20)
     told = facts(30)
-    assert not writer.write_slice(told) and writer.store.written == 11
+    assert not writer.write_slice(told)
+    assert writer.store.written == 11
     writer.ticks = itertools.repeat(0)
-    assert not writer.write_slice(told) and writer.store.written == 11  # too soon after the last
+    assert not writer.write_slice(told)
+    assert writer.store.written == 11
     writer.loop.clock.now += REST
-    assert writer.write_slice(told) and writer.store.written == 30
+    assert writer.write_slice(told)
+    assert writer.store.written == 30
     writer.loop.clock.now += REST
-    assert (
-        not writer.write_slice(facts(2 * MAX_ROWS_PER_WRITE))
-        and writer.store.written == 30 + MAX_ROWS_PER_WRITE
-    )
+    assert not writer.write_slice(facts(2 * MAX_ROWS_PER_WRITE))
+    assert writer.store.written == 30 + MAX_ROWS_PER_WRITE
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -1,5 +1,4 @@
-"""A keeper's votes on disk: what is synced is there again, what went bad is never taken for a whole
-memory."""
+"""The Raft log file: what is synced is read again, what went bad is never taken for a whole log."""
 
 import errno
 import os
@@ -19,7 +18,7 @@
 
 
 @pytest.fixture
-def votes(tmp_path):
+def log_file(tmp_path):
     opened = []
 
     def make():
@@ -34,8 +33,8 @@
         one.close()
 
 
-def filled(votes, *batches):
-    one = votes()
+def filled(log_file, *batches):
+    one = log_file()
     assert one.read() == []
     for batch in batches:
         for record in batch:
@@ -45,60 +44,67 @@
     return one.path
 
 
-def again(votes):
-    one = votes()
+def append_and_sync(opened, record):
+    opened.append(record)
+    opened.sync()
+
+
+def again(log_file):
+    one = log_file()
     records = one.read()
     one.close()
     return records
 
 
-def test_there_again_in_order(votes):
-    filled(votes, [b"a", b""], [b"c" * 5000])
-    two = votes()
+def test_records_are_read_again_in_order(log_file):
+    filled(log_file, [b"a", b""], [b"c" * 5000])
+    two = log_file()
     assert two.read() == [b"a", b"", b"c" * 5000]
     two.replace([b"x", b"y"])
     two.append(b"z")
     two.sync()
     two.close()
-    assert again(votes) == [b"x", b"y", b"z"]
+    assert again(log_file) == [b"x", b"y", b"z"]
 
 
 def flipped(data, at):
     return data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1 :]
 
 
-def test_any_cut_gives_a_prefix_that_can_be_gone_on_from(votes):
-    path = filled(votes, [b"one"], [b"two", b"three"])
+def test_any_cut_gives_a_prefix_that_can_be_gone_on_from(log_file):
+    path = filled(log_file, [b"one"], [b"two", b"three"])
     written = path.read_bytes()
     seen = {tuple(decode_records(written[:length]).payloads) for length in range(len(written))}
     assert seen == {(), (b"one",), (b"one", b"two")}
     path.write_bytes(written[:-3])
-    one = votes()
-    assert one.read() == [b"one", b"two"] and "torn tail" in one.texts[0] and one.torn_tails == 1
+    one = log_file()
+    assert one.read() == [b"one", b"two"]
+    assert "torn tail" in one.texts[0]
+    assert one.torn_tails == 1
     one.append(b"more")
     one.sync()
     one.close()
-    assert again(votes) == [b"one", b"two", b"more"]
+    assert again(log_file) == [b"one", b"two", b"more"]
 
 
-def test_any_bad_byte_before_the_last_batch_is_lost_and_never_a_part(votes):
-    path = filled(votes, [b"one", b"two"], [b"three"])
+def test_any_bad_byte_before_the_last_batch_is_lost_and_never_a_part(log_file):
+    path = filled(log_file, [b"one", b"two"], [b"three"])
     written = path.read_bytes()
     for at in range(len(written) - len(encode_record(0, 0, b"three"))):
         with pytest.raises(CorruptRecordError):
             decode_records(flipped(written, at))
     path.write_bytes(flipped(written, 40))
-    one = votes()
+    one = log_file()
     assert isinstance(one.read(), Lost)
     with pytest.raises(OSError, match="not read yet"):
         one.append(b"x")
     one.quarantine("a bad record")
-    assert (
-        "quarantined as" in one.texts[0] and not path.exists() and path.with_name("votes.broken-17").exists()
-    )
+    assert "quarantined as" in one.texts[0]
+    assert not path.exists()
+    assert path.with_name("votes.broken-17").exists()
     one.replace([b"new"])
     one.close()
-    assert again(votes) == [b"new"]
+    assert again(log_file) == [b"new"]
 
 
 def test_a_replacement_was_whole_so_any_bad_byte_of_its_records_is_lost():
@@ -109,27 +115,29 @@
     assert decode_records(written[:-1]).payloads == decode_records(written).payloads == [b"one", b"two"]
 
 
-def test_a_batch_torn_out_of_order_is_a_torn_tail(votes):
+def test_a_batch_torn_out_of_order_is_a_torn_tail(log_file):
     """The kernel may write the page of a later record and lose that of an earlier one, of what was not
     synced."""
-    path = filled(votes, [b"one"], [b"two", b"three"])
+    path = filled(log_file, [b"one"], [b"two", b"three"])
     whole = path.read_bytes()
     at = whole.index(b"two")
     path.write_bytes(whole[:at] + b"\0\0\0" + whole[at + 3 :])
-    one = votes()
-    assert one.read() == [b"one"] and one.torn_tails == 1 and "torn tail" in one.texts[0]
+    one = log_file()
+    assert one.read() == [b"one"]
+    assert one.torn_tails == 1
+    assert "torn tail" in one.texts[0]
 
 
-def test_held_by_another(votes):
-    votes()
+def test_a_file_that_another_process_holds_is_not_opened(log_file):
+    log_file()
     with pytest.raises(BlockingIOError):
-        votes()
+        log_file()
 
 
 @pytest.mark.parametrize("call", ["write", "fsync"])
-def test_after_a_failure_nothing_is_appended_until_all_is_written_anew(votes, monkeypatch, call):
-    filled(votes, [b"one"])
-    one = votes()
+def test_after_a_failure_nothing_is_appended_until_all_is_written_anew(log_file, monkeypatch, call):
+    filled(log_file, [b"one"])
+    one = log_file()
     one.read()
 
     def full(*_):
@@ -137,12 +145,13 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(module.os, call, full)
-        with pytest.raises(OSError) as told:
-            one.append(b"two")
-            one.sync()
-        with pytest.raises(OSError):
+        with pytest.raises(OSError, match="No space left on device") as caught:
+            append_and_sync(one, b"two")
+        with pytest.raises(OSError, match="No space left on device"):
             one.replace([b"one", b"two"])
-    assert told.value.errno == errno.ENOSPC and len(one.texts) == 1 and "neither votes" in one.texts[0]
+    assert caught.value.errno == errno.ENOSPC
+    assert len(one.texts) == 1
+    assert "neither votes" in one.texts[0]
     for refused in (one.sync, lambda: one.append(b"x")):
         with pytest.raises(OSError, match="not used until it is written again"):
             refused()
@@ -150,31 +159,31 @@
     one.append(b"three")
     one.sync()
     one.close()
-    assert again(votes) == [b"one", b"two", b"three"]
+    assert again(log_file) == [b"one", b"two", b"three"]
 
 
-def test_a_replacement_that_fails_leaves_the_old(votes, monkeypatch):
-    filled(votes, [b"one"])
-    one = votes()
+def test_a_replacement_that_fails_leaves_the_old(log_file, monkeypatch):
+    filled(log_file, [b"one"])
+    one = log_file()
     one.read()
     with monkeypatch.context() as patch:
         patch.setattr(module, "encode_replacement", lambda records: {}[0])
         with pytest.raises(KeyError):
             one.replace([b"other"])
     one.close()
-    assert again(votes) == [b"one"]
+    assert again(log_file) == [b"one"]
 
 
 def faulty(tmp_path, *lines):
     return FaultyDisk(tmp_path, FaultPlan(Script.of(*lines)))
 
 
-def test_a_close_that_fails_leaks_nothing_and_closes_no_descriptor_twice(votes, tmp_path):
+def test_a_close_that_fails_leaks_nothing_and_closes_no_descriptor_twice(log_file, tmp_path):
     """close(2) releases the descriptor also where it reports an error: closing it again would take that of
     another file."""
     disk = faulty(tmp_path, *[("close", number, IO_ERROR) for number in range(1, 9)])
     with disk.installed(module, files):
-        one = votes()
+        one = log_file()
         assert one.read() == []
         one.replace([b"one"])
         assert disk.open_descriptors == 2  # the lock and the file
@@ -182,29 +191,30 @@
         one.sync()
         one.close()
     assert disk.open_descriptors == 0
-    assert again(votes) == [b"one", b"two"]
+    assert again(log_file) == [b"one", b"two"]
 
 
 @pytest.mark.parametrize("call", ["write", "fsync", "rename"])
-def test_a_replacement_that_fails_gives_its_space_back(votes, tmp_path, call):
-    filled(votes, [b"one"])
-    one = votes()
+def test_a_replacement_that_fails_gives_its_space_back(log_file, tmp_path, call):
+    filled(log_file, [b"one"])
+    one = log_file()
     one.read()
     disk = faulty(tmp_path, (call, 1, DISK_FULL))
     with disk.installed(module, files), pytest.raises(OSError, match="No space"):
         one.replace([b"other"])
-    assert disk.open_descriptors == 0 and not (tmp_path / "votes.new").exists()
+    assert disk.open_descriptors == 0
+    assert not (tmp_path / "votes.new").exists()
     one.close()
-    assert again(votes) == [b"one"]
+    assert again(log_file) == [b"one"]
 
 
-def test_what_a_failed_sync_left_in_memory_is_not_believed_at_the_next_opening(votes, tmp_path):
+def test_what_a_failed_sync_left_in_memory_is_not_believed_at_the_next_opening(log_file, tmp_path):
     """The next process reads it from the page cache, and its own fsync succeeds: the kernel took the pages
     for clean when the first one failed."""
     disk = faulty(tmp_path)
     disk.chance = SimpleNamespace(randrange=lambda below: 0)  # the least that may be left
     with disk.installed(module, files):
-        one = votes()
+        one = log_file()
         one.read()
         disk.plan = FaultPlan(Script.of(("fsync", 1, IO_ERROR)))
         one.append(b"one")
@@ -212,69 +222,74 @@
             one.sync()
         disk.end_process()
         one.descriptor = one.lock = None
-        assert votes().read() == [b"one"]  # so it may be acted on
+        assert log_file().read() == [b"one"]  # so it may be acted on
         disk.fail_power()
-        assert votes().read() == [b"one"]
+        assert log_file().read() == [b"one"]
         disk.end_process()
 
 
-def test_a_read_that_failed_is_read_again_and_goes_on(votes, tmp_path):
-    filled(votes, [b"one"])
+def test_a_read_that_failed_is_read_again_and_goes_on(log_file, tmp_path):
+    filled(log_file, [b"one"])
     disk = faulty(tmp_path, ("open", 1, DISK_FULL), ("read", 1, IO_ERROR), ("fsync", 1, DISK_FULL))
     with disk.installed(module, files):
         one = RaftLogFile(tmp_path / "votes", lambda text: None)
-        for _ in range(3):
-            with pytest.raises(OSError):
+        for text in ("No space left", "Input/output", "No space left"):
+            with pytest.raises(OSError, match=text):
                 one.read()
         assert one.read() == [b"one"]
         one.append(b"two")
         one.sync()
         one.close()
-    assert disk.open_descriptors == 0 and again(votes) == [b"one", b"two"]
+    assert disk.open_descriptors == 0
+    assert again(log_file) == [b"one", b"two"]
 
 
-def test_a_file_is_said_to_be_quarantined_although_the_folder_was_not_synced(votes, tmp_path):
-    path = filled(votes, [b"one"], [b"two"])
+def test_a_file_is_said_to_be_quarantined_although_the_folder_was_not_synced(log_file, tmp_path):
+    path = filled(log_file, [b"one"], [b"two"])
     written = path.read_bytes()
     path.write_bytes(flipped(written, written.index(b"one")))
-    one = votes()
+    one = log_file()
     assert isinstance(one.read(), Lost)
     disk = faulty(tmp_path, ("fsync", 1, IO_ERROR))
     with disk.installed(module, files), pytest.raises(OSError, match="Input/output"):
         one.quarantine("a bad record")
-    assert "a bad record; quarantined as" in one.texts[0] and one.read() == []
+    assert "a bad record; quarantined as" in one.texts[0]
+    assert one.read() == []
 
 
-def test_a_full_device_is_told(votes):
-    one = votes()
+def test_a_full_device_is_told(log_file):
+    one = log_file()
     one.read()
     full = os.open("/dev/full", os.O_WRONLY)
     os.dup2(full, one.descriptor)
     os.close(full)
-    with pytest.raises(OSError) as told:
+    with pytest.raises(OSError, match="No space left on device") as caught:
         one.append(b"x")
-    assert told.value.errno == errno.ENOSPC
+    assert caught.value.errno == errno.ENOSPC
 
 
 def test_a_folder_that_is_not_there(tmp_path):
-    with pytest.raises(OSError):
+    with pytest.raises(FileNotFoundError):
         RaftLogFile(tmp_path / "none" / "votes").open()
 
 
-def test_a_keepers_memory_from_this_file_and_none_from_anothers(votes):
-    one = votes()
+def test_a_nodes_state_is_read_from_its_own_file_and_not_from_anothers(log_file):
+    one = log_file()
     store = Store("k1", one, Chance(1), lambda state: None)
     store.vote(3, "k2", 5)
     assert store.sync()
     one.close()
-    two = votes()
+    two = log_file()
     back = Store("k1", two, Chance(2), lambda state: None)
     assert (back.term, back.voted, back.life) == (3, ("k2", 5), store.life)
     two.close()
-    other = Store("k9", votes(), Chance(3), lambda state: None)
-    assert other.term == 0 and other.life not in (0, store.life) and "another gateway" in other.lost
+    other = Store("k9", log_file(), Chance(3), lambda state: None)
+    assert other.term == 0
+    assert other.life not in (0, store.life)
+    assert "another gateway" in other.lost
 
 
-def test_the_simulated_disk_has_the_same_face():
+def test_the_simulated_disk_has_the_same_methods():
     for name in ("read", "append", "sync", "replace", "quarantine"):
-        assert callable(getattr(Disk(), name)) and callable(getattr(RaftLogFile("x"), name))
+        assert callable(getattr(Disk(), name))
+        assert callable(getattr(RaftLogFile("x"), name))
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    "name, base, torn",
+    ("name", "base", "torn"),
     [
         ("votes-log.bin", 0, 0),
         ("votes-snapshot.bin", 6, 0),
@@ -74,16 +74,21 @@
     path = copied(name)
     for opening in range(2):  # as it was written, and as this version wrote it anew
         made, disk, texts = node(path)
-        assert not made.store.lost and not made.mute and made.life == OWN_NUMBER
+        assert not made.store.lost
+        assert not made.mute
+        assert made.life == OWN_NUMBER
         assert (made.term, made.store.voted) == (
             4 + opening,
             ("k2", 12345) if not opening else ("k1", made.life),
         )
         assert (made.log.base, made.log.last, disk.torn_tails) == (base, 8 + opening, 0 if opening else torn)
-        assert len(texts) == disk.torn_tails and all("torn tail" in text for text in texts)
+        assert len(texts) == disk.torn_tails
+        assert all("torn tail" in text for text in texts)
         elected(made)
-        assert leases(made) == HELD and made.machine.pools == {"room:host-9": (6, 0)}
-        assert made.machine.fence == FENCE + 3 and made.sessions.table[3][:2] == ("gateway-1", 5)
+        assert leases(made) == HELD
+        assert made.machine.pools == {"room:host-9": (6, 0)}
+        assert made.machine.fence == FENCE + 3
+        assert made.sessions.table[3][:2] == ("gateway-1", 5)
         disk.close()
 
 
@@ -91,8 +96,11 @@
     path = copied("votes-middle-bad.bin")
     before = path.read_bytes()
     made, disk, texts = node(path)
-    assert "not what was written" in made.store.lost and made.life not in (0, OWN_NUMBER) and not made.term
-    assert len(texts) == 1 and "quarantined as" in texts[0]
+    assert "not what was written" in made.store.lost
+    assert made.life not in (0, OWN_NUMBER)
+    assert not made.term
+    assert len(texts) == 1
+    assert "quarantined as" in texts[0]
     assert path.with_name(f"{path.name}.broken-17").read_bytes() == before
     disk.close()
 
@@ -107,7 +115,7 @@
     assert sum(len(cell.entries) for cell in table.cells) == 10
 
 
-@pytest.mark.parametrize("name, rows", [("memory.bin", 4), ("memory-killed.bin", 1)])
+@pytest.mark.parametrize(("name", "rows"), [("memory.bin", 4), ("memory-killed.bin", 1)])
 def test_learnt_state_of_the_landed_version_is_read(copied, name, rows):
     texts = []
     made = ObservationStore(
@@ -116,5 +124,6 @@
     made.open()
     read = made.read(99)
     made.close()
-    assert len(read) == rows and texts == []
+    assert len(read) == rows
+    assert texts == []
     assert read[0] == (("warm", "host-3", "lamp"), (4, 0, 1_700_000_000_000_000_000), 4 * SECOND)
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -2,11 +2,14 @@
 
 import errno
 import itertools
+import os
 from types import SimpleNamespace
 
 import pytest
-from faulty_storage import BrokenGuaranteeError, CellTables, LogRecords, RaftNodeState, play, play_all_kills
+from raft_node_scenario import RaftNodeState
+from storage_file_scenarios import CellTables, LogRecords
 from storage_mutants import STORAGE_MUTANTS
+from storage_scenario import BrokenGuaranteeError, play, play_all_kills
 
 from gaproute.appliance.strong import Strong
 from gaproute.decisions.chance import Chance
@@ -52,14 +55,18 @@
     play_all_kills(scenario, new_folder, range(1), steps=6, odds=6)
 
 
+def play_all_scenarios_of(mutant, new_folder):
+    play_all_kills(mutant.scenario, new_folder, range(4), steps=6, odds=6)
+    play_all_kills(mutant.scenario, new_folder, range(2), steps=6)
+
+
 @pytest.mark.parametrize(
     "mutant", STORAGE_MUTANTS, ids=lambda each: f"{each.apply.__name__}-{each.scenario.__name__}"
 )
 def test_a_mutant_is_caught_by_name(mutant, new_folder, monkeypatch):
     mutant.apply(monkeypatch.setattr)
     with pytest.raises(BrokenGuaranteeError) as caught:
-        play_all_kills(mutant.scenario, new_folder, range(4), steps=6, odds=6)
-        play_all_kills(mutant.scenario, new_folder, range(2), steps=6)
+        play_all_scenarios_of(mutant, new_folder)
     assert caught.value.name in mutant.names
 
 
@@ -92,18 +99,21 @@
     part = LeasesOfOneGateway(tmp_path, *[("open", number, fault) for number in range(1, 4)])
     with part.disk.installed(files, raft_log_module):
         node = part.start()
-        assert node.mute and node.due > 0
+        assert node.mute
+        assert node.due > 0
         part.run(12 * SECOND)
-        assert node.mute == "" and node.leading and len(part.disk.plan.log) == 3
+        assert node.mute == ""
+        assert node.leading
+        assert len(part.disk.plan.log) == 3
         assert [what for what, _ in part.events].count("raft log") == 1  # said once
         part.close()
     assert part.disk.open_descriptors == 0
 
 
 @pytest.mark.parametrize("fault", [errno.EACCES, errno.ENOENT, errno.ENOTDIR])
-def test_a_place_where_no_votes_can_be_is_no_start(tmp_path, fault):
+def test_a_place_where_the_raft_log_cannot_be_is_no_start(tmp_path, fault):
     part = LeasesOfOneGateway(tmp_path, ("open", 1, Failure(fault)))
-    with part.disk.installed(files, raft_log_module), pytest.raises(OSError):
+    with part.disk.installed(files, raft_log_module), pytest.raises(OSError, match=os.strerror(fault)):
         part.start()
     part.loop.close()
     assert part.disk.open_descriptors == 0
@@ -120,8 +130,13 @@
         wish = part.strong.seat.holder.take(part.loop.now(), "host-7", SECOND)
         part.strong._act()
         part.run(SECOND)
-        assert node.mute and not node.leading and wish.state == "asked"
+        assert node.mute
+        assert not node.leading
+        assert wish.state == "asked"
         part.run(20 * SECOND)
-        assert node.leading and wish.state == "held" and part.disk.counts["write"] > number + 3
+        assert node.leading
+        assert wish.state == "held"
+        assert part.disk.counts["write"] > number + 3
         part.close()
-    assert part.disk.open_descriptors == 0 and not (tmp_path / "votes.new").exists()
+    assert part.disk.open_descriptors == 0
+    assert not (tmp_path / "votes.new").exists()
--- a/tests/support/storage_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -5,10 +5,13 @@
 """
 
 import os
+from contextlib import suppress
 from pathlib import Path
 from typing import NamedTuple
 
-from faulty_storage import (
+from raft_node_scenario import RaftNodeState
+from storage_file_scenarios import CellTables, LogRecords
+from storage_scenario import (
     DESCRIPTOR_LEAKED,
     ENTRY_LOST,
     RECORD_INVENTED,
@@ -16,9 +19,6 @@
     SOUND_FILE_REFUSED,
     TABLE_LOST,
     VOTE_FORGOTTEN,
-    CellTables,
-    LogRecords,
-    RaftNodeState,
 )
 
 from gaproute.shared.raft import Lost
@@ -39,10 +39,8 @@
 
 def failed_sync_is_forgotten(patch):
     def sync(self):
-        try:
+        with suppress(OSError):
             raft_log_module.os.fsync(self.descriptor)
-        except OSError:
-            pass
         self.batch_start = self.next_number
 
     patch(RaftLogFile, "sync", sync)
@@ -59,8 +57,8 @@
     patch(RaftLogFile, "sync", sync)
 
 
-def what_is_read_at_opening_is_only_synced(patch):
-    """As the landed version did it."""
+def _read_in_place(*, cut_torn_tail):
+    """A `RaftLogFile.read` that goes on with the file it finds, and only syncs it."""
 
     def read(self):
         if self.lock is None:
@@ -70,38 +68,27 @@
         self.descriptor = raft_log_module.os.open(self.path, flags, files.OWNER_ONLY)
         data = files.read_file(self.path)
         try:
-            records, good, last = decode_records(data)
-        except CorruptRecordError as fault:
-            return Lost(str(fault))
-        if good < len(data):
-            raft_log_module.os.ftruncate(self.descriptor, good)
+            records, valid_length, last_number = decode_records(data)
+        except CorruptRecordError as error:
+            return Lost(str(error))
+        if cut_torn_tail and valid_length < len(data):
+            raft_log_module.os.ftruncate(self.descriptor, valid_length)
         raft_log_module.os.fsync(self.descriptor)
         files.sync_directory(self.path.parent)
-        self.next_number = self.batch_start = last + 1
+        self.next_number = self.batch_start = last_number + 1
         self.failure = None
         return records
 
-    patch(RaftLogFile, "read", read)
+    return read
 
 
-def a_torn_tail_stays(patch):
-    def read(self):
-        if self.lock is None:
-            self.open()
-        self._close_file()
-        flags = os.O_RDWR | os.O_CREAT | os.O_APPEND
-        self.descriptor = raft_log_module.os.open(self.path, flags, files.OWNER_ONLY)
-        try:
-            records, _, last = decode_records(files.read_file(self.path))
-        except CorruptRecordError as fault:
-            return Lost(str(fault))
-        raft_log_module.os.fsync(self.descriptor)
-        files.sync_directory(self.path.parent)
-        self.next_number = self.batch_start = last + 1
-        self.failure = None
-        return records
+def what_is_read_at_opening_is_only_synced(patch):
+    """As version 9f58c07 did it."""
+    patch(RaftLogFile, "read", _read_in_place(cut_torn_tail=True))
 
-    patch(RaftLogFile, "read", read)
+
+def a_torn_tail_stays(patch):
+    patch(RaftLogFile, "read", _read_in_place(cut_torn_tail=False))
 
 
 def a_torn_tail_is_accepted(patch):
