--- a/gaproute/faultinjection/durability.py
+++ b/gaproute/faultinjection/durability.py
@@ -41,7 +41,7 @@
     pending: list[Write | Truncate] = field(default_factory=list)
 
     def change(self, change: Write | Truncate) -> None:
-        """Make the change in the cache; the disk gets it with a sync, or by and by."""
+        """Make the change in the cache; it reaches the disk with a sync, or some time later."""
         change.apply(self.cached)
         self.pending.append(change)
 
@@ -73,6 +73,23 @@
         return bytes(content)
 
 
+@dataclass(slots=True)
+class OpenDescriptor:
+    """A descriptor that a process holds; `file` is None for that of a directory."""
+
+    file: CachedFile | None
+    appends: bool = False
+    position: int = 0  # bytes
+
+    def write(self, data: bytes) -> None:
+        """Write at the position, or at the end of a file that is open for appending."""
+        if self.file is None:
+            return
+        offset = len(self.file.cached) if self.appends else self.position
+        self.file.change(Write(offset, data))
+        self.position = offset + len(data)
+
+
 @dataclass(frozen=True, slots=True)
 class NameChange:
     """One change of the folder: `name` is now of `file` (None: of none), and `gone` is no name any more."""
@@ -110,7 +127,7 @@
         return cls(dict(names), names)
 
     def change(self, change: NameChange) -> None:
-        """Make the change in the cache; the disk gets it with a sync, or by and by."""
+        """Make the change in the cache; it reaches the disk with a sync, or some time later."""
         change.apply(self.names)
         self.pending.append(change)
 
