--- a/gaproute/peers/raft/seat.py
+++ b/gaproute/peers/raft/seat.py
@@ -15,7 +15,7 @@
 
 class Seat:
     """`keepers`: names; `peers`: {name: address} of all gateways that may ask; `record.event(level, what,
-    ...)`. With a `disk` (an opened `ledger.votes.Votes`) and its own name among the keepers it keeps as
+    ...)`. With a `disk` (an opened `storage.RaftLogFile`) and its own name among the keepers it keeps as
     well. `carrier`: makes what carries the messages; a simulation hands in its own."""
 
     def __init__(
