--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -1,6 +1,6 @@
 """What one gateway has to do with the others and with its own past life: parts wired, nothing decided."""
 
-from gaproute.appliance.keeping import Keeper
+from gaproute.appliance.observation_writer import ObservationWriter
 from gaproute.appliance.strong import Strong
 from gaproute.config import read_peers
 from gaproute.decisions.chance import Chance
@@ -15,7 +15,7 @@
 from gaproute.peers.gossip import Carrier
 from gaproute.peers.raft.carrier import TARGET
 from gaproute.peers.raft.wire import LONGEST
-from gaproute.storage import Memory, NoMemory
+from gaproute.storage import ObservationStore, ObservationStoreError
 
 # Of those that ask at a gateway that takes part in the strong word: batches are long, and every gateway of
 # a large fleet may hold a connection to each keeper.
@@ -37,7 +37,8 @@
     def __init__(self, loop, charter, gateway, record, seed, cells=None):
         self.cells = cells
         self.loop, self.charter, self.gateway, self.record, self.seed = loop, charter, gateway, record, seed
-        self.giver = self.learner = self.gossip = self.weak = self.keeper = self.watch = self.strong = None
+        self.giver = self.learner = self.gossip = self.weak = self.watch = self.strong = None
+        self.observation_writer: ObservationWriter | None = None
         self.roll, self.lore = Roll(), Lore()
         self.tracks = [line.name for line in charter.tracks]
         self.chance = Chance(seed + 1)
@@ -85,17 +86,19 @@
         cannot be opened is tried again while the gateway serves, and written to from then on."""
         if self.charter.memory is None:
             return
-        memory = Memory(self.charter.memory, lambda text: self.record.event("warning", "memory", text=text))
+        store = ObservationStore(
+            self.charter.memory, lambda text: self.record.event("warning", "observation store", text=text)
+        )
         try:
-            memory.open()
-            self._recall(memory)
-        except NoMemory as fault:
-            self.record.event("warning", "no memory", text=str(fault))
-        self.keeper = Keeper(self.loop, memory, self.gateway, self.roll, self.tracks)
+            store.open()
+            self._recall(store)
+        except ObservationStoreError as fault:
+            self.record.event("warning", "observation store unavailable", text=str(fault))
+        self.observation_writer = ObservationWriter(self.loop, store, self.gateway, self.roll, self.tracks)
 
-    def _recall(self, memory):
+    def _recall(self, store):
         now = self.loop.now()
-        for subject, value, age in memory.read(FACTS):
+        for subject, value, age in store.read(FACTS):
             at = self.lore.observed(now, age)
             if at is not None:
                 self.lore.tell(subject, Fact(at, "past life", 0, value))
@@ -137,7 +140,7 @@
 
     def spent(self):
         """CPU that telling and writing down took, ns."""
-        return sum(part.spent for part in (self.giver, self.keeper) if part is not None)
+        return sum(part.spent for part in (self.giver, self.observation_writer) if part is not None)
 
     def stop(self):
         for part in (self.gossip, self.strong):
@@ -147,6 +150,6 @@
             self.watch.close()
 
     def close(self):
-        for part in (self.watch, self.learner, self.weak, self.gossip, self.strong, self.keeper):
+        for part in (self.watch, self.learner, self.weak, self.gossip, self.strong, self.observation_writer):
             if part is not None:
                 part.close()
--- a/gaproute/faultinjection/plan.py
+++ b/gaproute/faultinjection/plan.py
@@ -38,10 +38,10 @@
 class ShortTransfer(Fault):
     """A read or write moves at most so many bytes."""
 
-    most: int
+    limit: int
 
     def __str__(self) -> str:
-        return f"at most {self.most} bytes"
+        return f"at most {self.limit} bytes"
 
 
 @dataclass(frozen=True, slots=True)
@@ -112,8 +112,8 @@
         return self._fault if shown else None
 
 
-class Chances:
-    """Each call goes wrong with a probability of one in `odds`, in one of the ways that its name has.
+class RandomFaults:
+    """Each call goes wrong with a probability of one in `odds`, in one of the faults that its name has.
 
     Every name draws from a generator of its own, seeded by (seed, name): what one call draws does not depend
     on how often others were made. `odds_of` gives single names other odds.
@@ -135,15 +135,15 @@
 
     def fault(self, call: str, occurrence: int) -> Fault | None:
         """See `FaultSource`."""
-        ways = self._faults.get(call)
-        if not ways:
+        faults = self._faults.get(call)
+        if not faults:
             return None
         generator = self._generators.get(call)
         if generator is None:
             generator = self._generators[call] = random.Random(f"{self.seed}/{call}")
         if generator.randrange(self._odds_of.get(call, self._odds)):
             return None
-        return generator.choice(ways)
+        return generator.choice(faults)
 
 
 class FaultPlan:
--- a/gaproute/faultinjection/sockets.py
+++ b/gaproute/faultinjection/sockets.py
@@ -47,7 +47,7 @@
         """How many bytes a read or write of `size` may move. Errors: OSError where it is to fail."""
         fault = self.plan.inject(call)
         if isinstance(fault, ShortTransfer):
-            return max(1, min(size, fault.most))
+            return max(1, min(size, fault.limit))
         if isinstance(fault, Failure):
             if fault.errno not in BROKEN:
                 raise system_error(fault.errno)
--- a/gaproute/simulation/disk.py
+++ b/gaproute/simulation/disk.py
@@ -1,10 +1,10 @@
-"""A simulated disk with the face of gaproute/storage/votes.py: what was not synced may be lost at a crash.
+"""A simulated disk with the face of storage/raft_log_file.py: what was not synced may be lost at a crash.
 
 `pending` is what was appended and not synced; at a crash the first few of it may have come onto the disk (a
 record that was written in part is cut off by its checksum, so it counts as not written). A replacement is
 either whole or not there. `fuse`: the n-th operation from now ends the process, before or after its effect.
-After a failed write the disk refuses all but a replacement until it is opened again, as votes.py does: what a
-failed sync leaves on the plate is not known.
+After a failed write the disk refuses all but a replacement until it is opened again, as raft_log_file.py
+does: what a failed sync leaves on the plate is not known.
 """
 
 import errno
@@ -31,7 +31,7 @@
         "operations",
         "torn",
         "lives",
-        "asides",
+        "quarantined",
     )
 
     def __init__(self):
@@ -40,7 +40,7 @@
         self.bad = ""  # why what is there cannot be read for good
         self.fuse, self.after = 0, False  # operations until the crash (0: none); whether after its effect
         self.operations = self.torn = 0  # in all; crashes that lost a part of what was pending
-        self.lives, self.asides = 1, []  # memories so far; what was set aside: [(why, records)]
+        self.lives, self.quarantined = 1, []  # memories so far; what was quarantined: [(why, records)]
 
     def opened(self):
         """A new process has it: what failed before is not remembered."""
@@ -87,10 +87,10 @@
         self.durable, self.pending, self.broken = [bytes(record) for record in records], [], 0
         self._after()
 
-    def aside(self, why):
+    def quarantine(self, why):
         """What is there is kept under another name, and this one is empty."""
         self._before(anew=True)
-        self.asides.append((why, self.durable + self.pending))
+        self.quarantined.append((why, self.durable + self.pending))
         self._new()
         self._after()
 
