--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -8,7 +8,7 @@
 from gaproute.http1 import render
 from gaproute.peers.raft import wire
 from gaproute.peers.raft.carrier import TARGET
-from gaproute.shared.leases import Holder, Permits
+from gaproute.shared.leases import Holder, LeaseTable
 from gaproute.shared.raft import Keeper
 from gaproute.simulation.plan import Plan
 from gaproute.simulation.world import World
@@ -55,7 +55,7 @@
 
     def keeper(self, name, disk, chance, now):
         """A member of the group."""
-        return Keeper(name, GROUP, disk, chance, now, Permits(quiet=False))
+        return Keeper(name, GROUP, disk, chance, now, LeaseTable(initial_wait=False))
 
     def holder(self, name, disk, chance, now):
         """A gateway that wants leases."""
@@ -107,7 +107,7 @@
     group.spent.clear()
     group.play(PLAYED)
     machine = group.seats[group.leading()].actor.machine
-    assert len(machine.permits) == holders * leases, len(machine.permits)
+    assert len(machine.leases) == holders * leases, len(machine.leases)
     return group
 
 
--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -6,8 +6,8 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes, once
 from gaproute.decisions.chance import Chance
-from gaproute.shared.leases import Permits
-from gaproute.shared.leases.commands import Renew, Take, encode, read_answer
+from gaproute.shared.leases import LeaseTable
+from gaproute.shared.leases.commands import AcquireLease, RenewLease, decode_result, encode
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Request
 from gaproute.shared.raft.sessions import Sessions
@@ -24,17 +24,17 @@
 
 def machine_of(leases):
     """A state machine that holds so many leases, of a few holders each."""
-    machine = Permits(quiet=False)
+    machine = LeaseTable(initial_wait=False)
     for number in range(leases):
         holder = f"gate-{number // 4:04}"
-        answer = machine.apply(number + 1, encode(Take(f"host-{number:05}", holder, 1, SPAN)), holder)
-        assert not read_answer(answer).why
+        answer = machine.apply(number + 1, encode(AcquireLease(f"host-{number:05}", holder, 1, SPAN)), holder)
+        assert not decode_result(answer).error
     return machine
 
 
 def sessions_of(holders):
     """A table of sessions, one a holder."""
-    sessions = Sessions(Permits(quiet=False))
+    sessions = Sessions(LeaseTable(initial_wait=False))
     for number in range(holders):
         sessions.apply(number + 1, Entry(1, OPEN, body=f"gate-{number:04}".encode()))
     return sessions
@@ -60,7 +60,7 @@
 
     def __init__(self, path, seed):
         self.disk = Votes(path).open()
-        self.keeper = Keeper(NAME, [NAME], self.disk, Chance(seed), 0, Permits(quiet=False))
+        self.keeper = Keeper(NAME, [NAME], self.disk, Chance(seed), 0, LeaseTable(initial_wait=False))
         self.now = 0
 
     def settle(self):
@@ -76,14 +76,14 @@
         """One lease that is taken and renewed until the log has so many entries."""
         self.keeper.hear(self.now, HOLDER, Request(0, 1, b""))
         session, nonce = self.keeper.applied, 0
-        body = encode(Take("host-00001", HOLDER, 1, SPAN))
+        body = encode(AcquireLease("host-00001", HOLDER, 1, SPAN))
         while self.keeper.log.last < entries:
             nonce += 1
             self.keeper.propose(COMMAND, session, nonce, body)
-            body = encode(Renew(1, HOLDER, SPAN))
+            body = encode(RenewLease(1, HOLDER, SPAN))
             if nonce % BATCH == 0 or self.keeper.log.last == entries:
                 self.settle()
-        assert self.keeper.log.base == 0 and len(self.keeper.machine.permits) == 1
+        assert self.keeper.log.base == 0 and len(self.keeper.machine.leases) == 1
 
     def close(self):
         """Ends it as a stop of the process does."""
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -5,7 +5,7 @@
 import time
 
 from gaproute.peers.raft import Seat
-from gaproute.shared.leases import Permits
+from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.errands import Errands
 from gaproute.storage.files import MOMENTARY
 from gaproute.storage.votes import Votes
@@ -33,7 +33,7 @@
             chance,
             self.disk,
             base=time.time_ns() // MILLI,
-            machine=Permits(longest=line.longest),
+            machine=LeaseTable(max_duration=line.longest),
         )
         self.errands = Errands(self.seat.holder, line.longest, secrets.randbits(LIVES) << 12)
         self.timer = None
--- a/gaproute/config/words/fleet.py
+++ b/gaproute/config/words/fleet.py
@@ -7,7 +7,7 @@
 from gaproute.config.lines import Directive, Span, Yes
 from gaproute.config.words.kinds import Address, Name, Started
 from gaproute.decisions.cells.bounds import MAX_NAME
-from gaproute.shared.leases.commands import LONGEST, SHORTEST
+from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
 from gaproute.shared.raft.messages import KEEPERS
 
 FROM = "from"  # what sources of host lists are named after, in place of a folder
@@ -122,7 +122,7 @@
         BeforeValidator(_split),
     ]
     votes: str | None = None  # what this keeper must not forget; others need none
-    longest: Span = Field(LONGEST, ge=SHORTEST, le=LONGEST)  # of a permit
+    longest: Span = Field(MAX_DURATION, ge=MIN_DURATION, le=MAX_DURATION)  # of a permit
 
     @model_validator(mode="after")
     def fits(self):
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -2,7 +2,7 @@
 
 from gaproute.hollow.parts import Part
 from gaproute.peers.raft import Seat
-from gaproute.shared.leases import Permits
+from gaproute.shared.leases import LeaseTable
 
 SECOND = 1_000_000_000
 SPAN = 30 * SECOND  # of the lease: renewed at half of it
@@ -29,7 +29,7 @@
             surroundings.chance(5),
             surroundings.open_votes(self.name) if self.name in line.names else None,
             surroundings.wall() // 1_000_000,
-            Permits(quiet=False),
+            LeaseTable(initial_wait=False),
             surroundings.open_carrier,
         )
         self.wish, self.refused, self.ended = None, 0, 0
@@ -62,7 +62,7 @@
         return {
             "messages": carrier.counts["sent"],
             "bytes": carrier.counts["bytes"],
-            "entries": 0 if keeper is None else len(keeper.machine.permits) + len(keeper.log.entries),
+            "entries": 0 if keeper is None else len(keeper.machine.leases) + len(keeper.log.entries),
             "held": int(self.held),
             "refused": self.refused,
             "ended": self.ended,
--- a/gaproute/peers/raft/seat.py
+++ b/gaproute/peers/raft/seat.py
@@ -132,7 +132,7 @@
                 "agreed": keeper.commit,
                 "members": [each.name for each in keeper.members],
                 "silent": keeper.mute,
-                "permits": len(keeper.machine.permits),
+                "permits": len(keeper.machine.leases),
             },
         }
 
--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from gaproute.shared.leases.commands import LONGEST, kept
+from gaproute.shared.leases.commands import MAX_DURATION, expiry_wait
 from gaproute.shared.messages import HIGHEST
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -49,7 +49,7 @@
     def need(self):
         """ns of a permit that a rollout which begins now needs: its way and its run, by a host's clock that
         may be slow while the holder's is fast."""
-        return kept(self.most + WAY)
+        return expiry_wait(self.most + WAY)
 
     @property
     def span(self):
@@ -102,8 +102,8 @@
         ("old", 0, STEPS),
         ("group", 1, TASKS),
         ("room", 1, HIGHEST),
-        ("takes", 1, LONGEST),
-        ("most", 1, LONGEST),
+        ("takes", 1, MAX_DURATION),
+        ("most", 1, MAX_DURATION),
         ("by", 0, 1 << 60),
         ("weight", 1, 1000),
         ("pace", 0, TASKS),
@@ -118,10 +118,10 @@
         yield f"group: {campaign.group} does not divide tasks {campaign.tasks}"
     if campaign.takes > campaign.most:
         yield "takes: longer than most"
-    if campaign.span > LONGEST:
+    if campaign.span > MAX_DURATION:
         yield (
             f"most: a permit of {campaign.span / 1e9:.0f} s would be needed, "
-            f"the longest is {LONGEST / 1e9:.0f} s"
+            f"the longest is {MAX_DURATION / 1e9:.0f} s"
         )
     for name, lanes in campaign.floors.items():
         if lanes < 0:
--- a/gaproute/shared/leases/commands.py
+++ b/gaproute/shared/leases/commands.py
@@ -1,6 +1,11 @@
-"""What a holder may ask of the permits and what it is answered, as bytes in entries of the log."""
+"""The commands of the lease table and their results, as the bytes of log entries.
 
-from typing import Annotated
+The tags, the order of the fields and the bounds are a stored form: logs and snapshots on disk hold them.
+All durations are ns.
+"""
+
+from collections.abc import Callable
+from typing import Annotated, TypeAlias
 
 import msgspec
 from msgspec import Meta
@@ -9,71 +14,77 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-LONGEST = 600 * SECOND  # of a permit: how long a resource stays taken at most by a holder that died
-SHORTEST = 100 * MILLI  # below it the renewals cost more than the permit is worth
-BOUND = 10  # per mille by which any clock's rate may differ from true time (1%)
-MOST_WISHES = 1024  # of one holder at once: the hosts of a large fleet, and a bound
+MAX_DURATION = 600 * SECOND  # how long a resource stays taken, at most, by a holder that died
+MIN_DURATION = 100 * MILLI  # below it the renewals cost more than the lease is worth
+CLOCK_ERROR = 10  # per mille by which any clock's rate may differ from true time (1%)
+MAX_LEASES_PER_CLIENT = 1024  # the hosts of a large fleet; bounds what one client makes all hold
 
 Amount = Annotated[int, Meta(ge=0, le=HIGHEST)]
-Span = Annotated[int, Meta(ge=SHORTEST, le=LONGEST)]
-Fence = Annotated[int, Meta(ge=0, le=1 << 62)]
+Duration = Annotated[int, Meta(ge=MIN_DURATION, le=MAX_DURATION)]
+FencingToken = Annotated[int, Meta(ge=0, le=1 << 62)]
 
 
-class Take(Message, tag=1):
-    """`amount` of the resource (1 of a name) for `span` ns."""
+class AcquireLease(Message, frozen=True, tag=1):
+    """Grants `amount` of the resource (1 of one that is no pool) for `duration` ns."""
 
     resource: Name
     holder: Name
     amount: Annotated[int, Meta(ge=1, le=HIGHEST)]
-    span: Span
+    duration: Duration
+
 
+class RenewLease(Message, frozen=True, tag=2):
+    """The lease lasts for `duration` ns from now on."""
 
-class Renew(Message, tag=2):
-    fence: Fence
+    fencing_token: FencingToken
     holder: Name
-    span: Span
+    duration: Duration
 
 
-class Give(Message, tag=3):
-    fence: Fence
+class ReleaseLease(Message, frozen=True, tag=3):
+    """The holder does not need the lease any more."""
+
+    fencing_token: FencingToken
     holder: Name
 
 
-class Size(Message, tag=4):
-    """The pool holds `amount`. Less than is held: nothing new is granted until enough has come back."""
+class ResizePool(Message, frozen=True, tag=4):
+    """The pool has `amount`. Less than is held: nothing new is granted until enough has been released."""
 
     resource: Name
     holder: Name
     amount: Amount
 
 
-class Lapse(Message, tag=5):
-    """From the leader alone: the permit last granted or renewed by the entry `at` has ended by its
-    clock."""
+class ExpireLease(Message, frozen=True, tag=5):
+    """From the leader alone: the lease last granted or renewed by the entry at `log_index` has expired by the
+    leader's clock."""
+
+    fencing_token: FencingToken
+    log_index: Amount
 
-    fence: Fence
-    at: Amount
 
+class CommandResult(Message, frozen=True):
+    """`error` is empty where the command was carried out."""
 
-class Answer(Message):
-    """`why` is empty where it was done."""
+    error: Name = ""
+    fencing_token: FencingToken = 0
 
-    why: Name = ""
-    fence: Fence = 0
 
+ClientCommand: TypeAlias = AcquireLease | RenewLease | ReleaseLease | ResizePool
+Command: TypeAlias = ClientCommand | ExpireLease
 
-WISHES = Take | Renew | Give | Size
-COMMANDS = WISHES | Lapse
-encode = msgspec.msgpack.encode
-read_wish = msgspec.msgpack.Decoder(WISHES).decode
-read = msgspec.msgpack.Decoder(COMMANDS).decode
-read_answer = msgspec.msgpack.Decoder(Answer).decode
+# Each raises ValueError (`msgspec.ValidationError`) for bytes that are out of the bounds above.
+decode_client_command: Callable[[bytes], ClientCommand] = msgspec.msgpack.Decoder(ClientCommand).decode
+decode_command: Callable[[bytes], Command] = msgspec.msgpack.Decoder(Command).decode
+decode_result: Callable[[bytes], CommandResult] = msgspec.msgpack.Decoder(CommandResult).decode
+encode: Callable[[object], bytes] = msgspec.msgpack.encode
 
 
-def kept(span, bound=BOUND):
-    """How long the keepers hold a resource taken that was granted for `span`, both ns by own clocks.
+def expiry_wait(duration: int, error_per_mille: int = CLOCK_ERROR) -> int:
+    """How long the group holds a resource taken that was granted for `duration`, both ns by own clocks.
 
-    The holder's clock runs at 1-b at least, so its span lasts span/(1-b) at most; the leader's runs at 1+b
-    at most, so that its wait lasts kept/(1+b) at least. (1+3b)(1-b) >= 1+b for every b <= 1/3.
+    The holder's clock runs at 1-b at least, so its lease lasts duration/(1-b) at most; the leader's runs at
+    1+b at most, so its wait lasts expiry_wait/(1+b) at least. (1+3b)(1-b) >= 1+b for every b <= 1/3.
     """
-    return span + -(-span * 3 * bound // 1000)
+    return duration + -(-duration * 3 * error_per_mille // 1000)
--- a/gaproute/shared/leases/errands.py
+++ b/gaproute/shared/leases/errands.py
@@ -1,4 +1,4 @@
-"""Permits that this gateway holds for somebody who asks at the operators' address, such as a crew.
+"""LeaseTable that this gateway holds for somebody who asks at the operators' address, such as a crew.
 
 Who asked may die without a word, and the gateway would renew its permit for ever. So each errand has an end
 of its own, by this gateway's clock from when it was asked for; who still needs the permit says so in time.
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from gaproute.shared.leases.commands import LONGEST, SHORTEST
+from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
 from gaproute.shared.messages import HIGHEST, NAME
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -44,8 +44,8 @@
 
 
 def _span(told, longest):
-    if not SHORTEST <= told * MILLI <= longest:
-        raise ValueError(f"{told} ms: {SHORTEST // MILLI} to {longest // MILLI} are possible")
+    if not MIN_DURATION <= told * MILLI <= longest:
+        raise ValueError(f"{told} ms: {MIN_DURATION // MILLI} to {longest // MILLI} are possible")
     return told * MILLI
 
 
@@ -54,7 +54,7 @@
     at each start: who was away meanwhile must not take another's errand for its own. `due` and `tick` as of
     any part."""
 
-    def __init__(self, holder, longest=LONGEST, first=0):
+    def __init__(self, holder, longest=MAX_DURATION, first=0):
         self.holder, self.longest = holder, longest
         self.errands, self.count = {}, first  # number: Errand
 
@@ -75,13 +75,13 @@
         if order.give:
             self.holder.give(now, errand.wish)
         elif errand.over is None:
-            kept = _span(order.for_ms, LONGEST) if order.for_ms else errand.wish.span
+            kept = _span(order.for_ms, MAX_DURATION) if order.for_ms else errand.wish.span
             errand.end = max(errand.end, now + kept)
         return self.told(now, number)
 
     def _take(self, now, order):
         span = _span(order.span_ms, self.longest)
-        kept = _span(order.for_ms, LONGEST) if order.for_ms else span
+        kept = _span(order.for_ms, MAX_DURATION) if order.for_ms else span
         self.tick(now)
         if len(self.errands) >= ERRANDS:
             raise ValueError(f"{ERRANDS} errands at once")
--- a/gaproute/shared/leases/holder.py
+++ b/gaproute/shared/leases/holder.py
@@ -1,23 +1,24 @@
 """The side that wants permits: one request at a time, asked again until some keeper's leader answers.
 
 A permit holds by the holder's own clock from when the request was FIRST sent: whatever was granted was
-granted later. Nobody heard: it runs out here, before the keepers let it lapse (`commands.kept`). What is
-done under a permit carries its fence, as a process may be stopped between looking at `may` and acting.
+granted later. Nobody heard: it runs out here, before the keepers let it expire (`commands.expiry_wait`).
+What is done under a permit carries its fence, as a process may be stopped between looking at `may` and
+acting.
 """
 
 from collections import Counter, deque
 
 from gaproute.shared.leases.commands import (
-    LONGEST,
-    MOST_WISHES,
-    SHORTEST,
-    Answer,
-    Give,
-    Renew,
-    Size,
-    Take,
+    MAX_DURATION,
+    MAX_LEASES_PER_CLIENT,
+    MIN_DURATION,
+    AcquireLease,
+    CommandResult,
+    ReleaseLease,
+    RenewLease,
+    ResizePool,
+    decode_result,
     encode,
-    read_answer,
 )
 from gaproute.shared.messages import HIGHEST
 from gaproute.shared.raft.messages import Reply, Request
@@ -68,19 +69,19 @@
 
     def take(self, now, resource, span, amount=1):
         """Errors: ValueError for what no keeper would take."""
-        if not SHORTEST <= span <= LONGEST or not 1 <= amount <= HIGHEST:
+        if not MIN_DURATION <= span <= MAX_DURATION or not 1 <= amount <= HIGHEST:
             raise ValueError(f"a permit of {amount} for {span} ns")
-        if len(self.wishes) >= MOST_WISHES:
-            raise ValueError(f"{MOST_WISHES} wishes at once")
+        if len(self.wishes) >= MAX_LEASES_PER_CLIENT:
+            raise ValueError(f"{MAX_LEASES_PER_CLIENT} wishes at once")
         wish = Wish(resource, amount, span)
         self.wishes.append(wish)
-        self.queue.append(Job(Take(resource, self.name, amount, span), wish))
+        self.queue.append(Job(AcquireLease(resource, self.name, amount, span), wish))
         return wish
 
     def give(self, now, wish):
         """From here on it may not; the keepers hear it, or let it lapse."""
         if wish.state == "held":
-            self.urgent.append(Job(Give(wish.fence, self.name)))
+            self.urgent.append(Job(ReleaseLease(wish.fence, self.name)))
         self.queue = deque(job for job in self.queue if job.wish is not wish)
         if wish.state in ("asked", "held"):
             self._end(wish, "given")
@@ -92,9 +93,9 @@
 
     def size(self, now, resource, amount):
         """Errors: ValueError where too much waits to be said."""
-        if len(self.queue) >= 2 * MOST_WISHES:
+        if len(self.queue) >= 2 * MAX_LEASES_PER_CLIENT:
             raise ValueError(f"{len(self.queue)} commands wait")
-        self.queue.append(Job(Size(resource, self.name, amount)))
+        self.queue.append(Job(ResizePool(resource, self.name, amount)))
 
     def _end(self, wish, state, why=""):
         wish.state, wish.why, wish.renew = state, why, None
@@ -116,12 +117,12 @@
 
     def tick(self, now):
         for wish in [wish for wish in self.wishes if wish.end is not None and now >= wish.end]:
-            self.urgent.append(Job(Give(wish.fence, self.name)))
+            self.urgent.append(Job(ReleaseLease(wish.fence, self.name)))
             self._end(wish, "over", "not renewed in time")
         for wish in self.wishes:
             if wish.renew is not None and now >= wish.renew:
                 wish.renew = None  # until this one is answered
-                self.urgent.append(Job(Renew(wish.fence, self.name, wish.span), wish))
+                self.urgent.append(Job(RenewLease(wish.fence, self.name, wish.span), wish))
         if now < self.again:
             return []
         if self.job is None:
@@ -142,7 +143,12 @@
                 break
             job = (self.urgent or self.queue).popleft()
             kind = type(job.command)
-            if kind is Take and job.wish.state != "asked" or kind is Renew and job.wish.state != "held":
+            if (
+                kind is AcquireLease
+                and job.wish.state != "asked"
+                or kind is RenewLease
+                and job.wish.state != "held"
+            ):
                 continue
             self.nonce += 1
             job.session, job.nonce, self.body = self.session, self.nonce, encode(job.command)
@@ -190,15 +196,15 @@
     def _read(message):
         if message.state == "done":
             try:
-                return read_answer(message.body)
+                return decode_result(message.body)
             except ValueError:
-                return Answer("answer not understood")
-        return Answer(message.body.decode("utf-8", "replace")[:64] or message.state)
+                return CommandResult("answer not understood")
+        return CommandResult(message.body.decode("utf-8", "replace")[:64] or message.state)
 
     def _forgotten(self, job):
         """The session is gone from the keepers' table: whether the command was done is not known."""
         self.session = 0
-        if isinstance(job.command, Take):
+        if isinstance(job.command, AcquireLease):
             if job.wish.state == "asked":
                 self._end(job.wish, "refused", "outcome unknown")
         else:  # doing these twice is as doing them once
@@ -206,20 +212,22 @@
 
     def _answered(self, now, job, answer):
         wish, kind = job.wish, type(job.command)
-        if kind is Take and not answer.why:
-            wish.fence = answer.fence
+        if kind is AcquireLease and not answer.error:
+            wish.fence = answer.fencing_token
             if wish.state == "asked" and now < job.sent + wish.span:
                 wish.state = "held"
                 self._until(wish, job.sent)
                 return
-            self.urgent.append(Job(Give(answer.fence, self.name)))  # too late, or not wanted any more
+            self.urgent.append(
+                Job(ReleaseLease(answer.fencing_token, self.name))
+            )  # too late, or not wanted any more
             if wish.state == "asked":
                 self._end(wish, "over", "answered too late")
-        elif kind is Take and wish.state == "asked":
-            self._end(wish, "refused", answer.why)
-        elif kind is Renew and wish.state == "held":
-            if answer.why:
-                self._end(wish, "over", answer.why)
+        elif kind is AcquireLease and wish.state == "asked":
+            self._end(wish, "refused", answer.error)
+        elif kind is RenewLease and wish.state == "held":
+            if answer.error:
+                self._end(wish, "over", answer.error)
             else:
                 self._until(wish, job.sent)
 
--- /dev/null
+++ b/gaproute/shared/leases/table.py
@@ -0,0 +1,230 @@
+"""The lease table: the state machine that the members of the Raft group apply their log to.
+
+It has no clock and no randomness, so the state is the same at all members. A lease ends here only by an
+entry: released by its holder, or expired by the leader. The leader's command names the entry that last
+granted or renewed the lease, so that a renewal that came first in the log wins.
+"""
+
+from typing import NamedTuple
+
+import msgspec
+
+from gaproute.shared.leases.commands import (
+    MAX_DURATION,
+    AcquireLease,
+    ClientCommand,
+    CommandResult,
+    ExpireLease,
+    ReleaseLease,
+    RenewLease,
+    ResizePool,
+    decode_client_command,
+    decode_command,
+    encode,
+    expiry_wait,
+)
+from gaproute.shared.leases.expiry import ExpiryUpdate
+from gaproute.shared.messages import Message
+
+MAX_LEASES = 4096  # at once: hosts out and room lent of a large fleet; 200 bytes each
+MAX_POOLS = 4096  # resources with a size of their own: hosts whose room is lent
+INITIAL_WAIT_TOKEN = 0  # what `ExpireLease` names to end the initial wait; no lease has it
+
+# Errors of results. They are kept in the replicated table of sessions: members of two versions must give the
+# same, so the texts stay as they are.
+NOT_UNDERSTOOD = "not understood"
+NOT_THE_HOLDERS = "not the holder's own"
+TOO_LONG = "too long a span"
+NOT_EXPIRED = "not over"
+NO_SUCH_LEASE = "gone"
+INITIAL_WAIT = "quiet after founding"
+TOO_MANY_LEASES = "too many permits"
+TOO_MANY_POOLS = "too many pools"
+ABOVE_POOL_SIZE = "more than there is"
+TAKEN = "taken"
+
+
+class Lease(Message, frozen=True):
+    """A lease that is held. `log_index`: of the entry that granted or last renewed it."""
+
+    fencing_token: int
+    resource: str
+    holder: str
+    amount: int
+    duration: int
+    log_index: int
+
+
+class Pool(NamedTuple):
+    """A resource of which `size` may be held. `excess`: what was held when it shrank below that, or 0."""
+
+    size: int
+    excess: int
+
+
+SINGLE = Pool(1, 0)  # a resource that never was resized
+
+
+class TableState(Message, frozen=True):
+    """The table as a snapshot has it; a stored form."""
+
+    last_token: int
+    initial_wait: bool
+    leases: list[Lease]
+    pools: list[tuple[str, int, int]]
+
+
+_decode_state = msgspec.msgpack.Decoder(TableState).decode
+
+
+class LeaseTable:
+    """`initial_wait`: no lease is granted until the leader has waited the longest duration.
+
+    A log is begun anew only when all disks are lost, and then leases of before may still be held. The wait
+    costs the first start alone. `max_duration`: ns of a lease. Both must be the same at all members.
+    """
+
+    def __init__(self, *, initial_wait: bool = True, max_duration: int = MAX_DURATION) -> None:
+        self.initial_wait, self.max_duration = initial_wait, max_duration
+        self.last_token = 0  # the last fencing token given
+        self.leases: dict[int, Lease] = {}  # by fencing token
+        self.amounts_held: dict[str, int] = {}  # by resource
+        self.pools: dict[str, Pool] = {}  # by resource
+        self.last_change: ExpiryUpdate | None = None  # to a lease, by the last entry
+
+    def pool_size(self, resource: str) -> int:
+        """How much of the resource may be held in all."""
+        return self.pools.get(resource, SINGLE).size
+
+    def check(self, sender: str, body: bytes) -> str:
+        """Why the leader does not even put this command of `sender` into its log, or ''."""
+        try:
+            command = decode_client_command(body)
+        except ValueError:
+            return NOT_UNDERSTOOD
+        if command.holder != sender:
+            return NOT_THE_HOLDERS
+        return TOO_LONG if getattr(command, "duration", 0) > self.max_duration else ""
+
+    def raise_last_token(self, lowest: int) -> None:
+        """Fencing tokens given from here on are above `lowest`."""
+        self.last_token = max(self.last_token, lowest)
+
+    def apply(self, index: int, body: bytes, owner: str = "") -> bytes:
+        """Applies the entry at `index`; the encoded `CommandResult`.
+
+        `owner`: of the session that the command came by; empty for the leader's own commands.
+        """
+        self.last_change = None
+        try:
+            command = decode_command(body)
+        except ValueError:
+            return encode(CommandResult(NOT_UNDERSTOOD))
+        if isinstance(command, ExpireLease):
+            expired = not owner and self._expire(command)
+            return encode(CommandResult("" if expired else NOT_EXPIRED))
+        if command.holder != owner:
+            return encode(CommandResult(NOT_THE_HOLDERS))
+        return encode(self._execute(index, command))
+
+    def _execute(self, index: int, command: ClientCommand) -> CommandResult:
+        if isinstance(command, AcquireLease):
+            return self._acquire(index, command)
+        if isinstance(command, ResizePool):
+            return self._resize(command)
+        lease = self.leases.get(command.fencing_token)
+        if lease is None or lease.holder != command.holder:
+            return CommandResult(NO_SUCH_LEASE)
+        if isinstance(command, ReleaseLease):
+            self._remove(lease)
+        elif isinstance(command, RenewLease):
+            self._put(msgspec.structs.replace(lease, duration=command.duration, log_index=index))
+        return CommandResult("", lease.fencing_token)
+
+    def _acquire(self, index: int, command: AcquireLease) -> CommandResult:
+        held = self.amounts_held.get(command.resource, 0)
+        if self.initial_wait:
+            return CommandResult(INITIAL_WAIT)
+        if len(self.leases) >= MAX_LEASES:
+            return CommandResult(TOO_MANY_LEASES)
+        if command.amount > self.pool_size(command.resource):
+            return CommandResult(ABOVE_POOL_SIZE)
+        if held + command.amount > self.pool_size(command.resource):
+            return CommandResult(TAKEN)
+        self.last_token += 1
+        self.amounts_held[command.resource] = held + command.amount
+        self._put(
+            Lease(self.last_token, command.resource, command.holder, command.amount, command.duration, index)
+        )
+        return CommandResult("", self.last_token)
+
+    def _put(self, lease: Lease) -> None:
+        """The lease as it was granted or renewed."""
+        self.leases[lease.fencing_token] = lease
+        self.last_change = ExpiryUpdate(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
+
+    def _resize(self, command: ResizePool) -> CommandResult:
+        if command.resource not in self.pools and command.amount != 1 and len(self.pools) >= MAX_POOLS:
+            return CommandResult(TOO_MANY_POOLS)
+        self.pools[command.resource] = Pool(command.amount, 0)
+        self._update_excess(command.resource)
+        return CommandResult()
+
+    def _update_excess(self, resource: str) -> None:
+        held = self.amounts_held.get(resource, 0)
+        size = self.pool_size(resource)
+        if size == 1 and held <= 1:
+            self.pools.pop(resource, None)  # as one that never was resized
+        elif resource in self.pools:
+            self.pools[resource] = Pool(size, held if held > size else 0)
+
+    def _expire(self, command: ExpireLease) -> bool:
+        """Whether it has expired: False where a renewal came first, or it is gone."""
+        if command.fencing_token == INITIAL_WAIT_TOKEN:
+            expired, self.initial_wait = self.initial_wait, False
+            return expired
+        lease = self.leases.get(command.fencing_token)
+        if lease is None or lease.log_index != command.log_index:
+            return False
+        self._remove(lease)
+        return True
+
+    def _remove(self, lease: Lease) -> None:
+        del self.leases[lease.fencing_token]
+        self.last_change = ExpiryUpdate(lease.fencing_token, lease.log_index, None)
+        left = self.amounts_held[lease.resource] - lease.amount
+        if left:
+            self.amounts_held[lease.resource] = left
+        else:
+            del self.amounts_held[lease.resource]
+        self._update_excess(lease.resource)
+
+    def expiry_waits(self) -> list[ExpiryUpdate]:
+        """How long a leader waits, from when it became leader, before it lets each lease expire."""
+        waits = [
+            ExpiryUpdate(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
+            for lease in self.leases.values()
+        ]
+        if self.initial_wait:
+            waits.insert(0, ExpiryUpdate(INITIAL_WAIT_TOKEN, 0, expiry_wait(self.max_duration)))
+        return waits
+
+    @staticmethod
+    def expire_command(fencing_token: int, log_index: int) -> bytes:
+        """The entry with which a leader lets a lease expire."""
+        return encode(ExpireLease(fencing_token, log_index))
+
+    def pack(self) -> bytes:
+        """The whole state, for a snapshot."""
+        pools = [(resource, *pool) for resource, pool in self.pools.items()]
+        return encode(TableState(self.last_token, self.initial_wait, list(self.leases.values()), pools))
+
+    def unpack(self, data: bytes) -> None:
+        """Takes on the state of a snapshot. Raises ValueError where `data` is none."""
+        state = _decode_state(data)
+        self.last_token, self.initial_wait = state.last_token, state.initial_wait
+        self.leases = {lease.fencing_token: lease for lease in state.leases}
+        self.pools = {resource: Pool(size, excess) for resource, size, excess in state.pools}
+        self.amounts_held, self.last_change = {}, None
+        for lease in state.leases:
+            self.amounts_held[lease.resource] = self.amounts_held.get(lease.resource, 0) + lease.amount
--- a/gaproute/shared/raft/__init__.py
+++ b/gaproute/shared/raft/__init__.py
@@ -1,9 +1,9 @@
 """The agreement of the strong word: Raft (Ongaro and Ousterhout, 2014) among a few keepers, sans-I/O.
 
-    keeper = Keeper(name, keepers, disk, chance, now, machine=Permits(), base=0)
+    keeper = Keeper(name, keepers, disk, chance, now, machine=LeaseTable(), base=0)
         name      its own; `keepers`: names of all that the configuration names (own among them), 1 to 9
         disk      see below;  `chance.below(n)`;  `now`: own monotonic clock, int ns
-        machine   what the entries mean (`gaproute.shared.leases.Permits()`), a new one for every keeper
+        machine   what the entries mean (`gaproute.shared.leases.LeaseTable()`), a new one for every keeper
         base      where the founder begins fencing numbers: Unix time in ms, so that they grow even when all
                   disks were lost; 0 in tests
     keeper.due                        int ns when `tick` wants to be called; never None while it lives
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gaproute.shared.leases.invariants import check_holders, check_permits
+from gaproute.shared.leases.invariants import check_holders, check_table
 from gaproute.shared.raft.messages import KEEPERS
 from gaproute.shared.raft.sessions import OWN, SESSIONS
 
@@ -20,7 +20,7 @@
     store, log, machine = keeper.store, keeper.log, keeper.machine
     came = []
     seen = keeper.seen
-    now = store.life, store.term, keeper.commit, machine.fence, store.voted
+    now = store.life, store.term, keeper.commit, machine.last_token, store.voted
     if seen is not None and seen[0] == now[0]:
         for name, was, value in zip(
             ("term", "commit index", "fencing number"), seen[1:4], now[1:4], strict=True
@@ -54,7 +54,7 @@
         came.append(f"sessions have owners: {keeper.name}")
     if any(len(own) > OWN for own in owned.values()):
         came.append(f"session table bounded: {keeper.name}")
-    return came + check_permits(keeper.machine)
+    return came + check_table(keeper.machine)
 
 
 class History:
@@ -104,8 +104,8 @@
 
 def _fences(keeper, history):
     came = []
-    for fence, permit in keeper.machine.permits.items():
-        given = permit.resource, permit.holder
+    for fence, lease in keeper.machine.leases.items():
+        given = lease.resource, lease.holder
         if history.fences.setdefault(fence, given) != given:
             came.append(f"a fencing number is given once: {fence} to {history.fences[fence]} and {given}")
     return came
--- a/gaproute/shared/raft/keeper.py
+++ b/gaproute/shared/raft/keeper.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from gaproute.shared.leases.clocks import Clocks
-from gaproute.shared.leases.machine import Permits
+from gaproute.shared.leases.expiry import ExpiryTimers
+from gaproute.shared.leases.table import LeaseTable
 from gaproute.shared.raft import election, following, founding, leading, requests
 from gaproute.shared.raft.invariants import KEPT, check_one
 from gaproute.shared.raft.messages import (
@@ -41,7 +41,7 @@
 
     def __init__(self, name, keepers, disk, chance, now, machine=None, base=0):
         self.name, self.chance, self.base = name, chance, base
-        self.machine = Permits() if machine is None else machine
+        self.machine = LeaseTable() if machine is None else machine
         self.sessions = Sessions(self.machine)
         self.store = Store(name, disk, chance, self.sessions.unpack)
         self.mute = self.store.broken  # why nothing is said, or ''
@@ -188,26 +188,26 @@
         while self.applied < self.commit:
             self.applied += 1
             entry = self.log.entry(self.applied)
-            self.machine.touched = None
+            self.machine.last_change = None
             answer = self.sessions.apply(self.applied, entry)
             if self.role != LEADER:
                 continue
-            if self.machine.touched is not None:
-                self.lead.clocks.note(now, *self.machine.touched)
+            if self.machine.last_change is not None:
+                self.lead.clocks.update(now, *self.machine.last_change)
             requests.answer(self, self.applied, answer, out)
             if entry.kind == MEMBERS and not self.member:
                 self.step_down(now)
 
     def lead_now(self, now):
         self.role, self.leader = LEADER, self.name
-        self.lead = leading.Lead(now, self.log.last + 1, Clocks(now, self.machine.waits()))
+        self.lead = leading.Lead(now, self.log.last + 1, ExpiryTimers(now, self.machine.expiry_waits()))
 
     def propose(self, kind, session=0, nonce=0, body=b""):
         """The leader's next entry; its index, or 0 where too much waits to be agreed on."""
         return leading.propose(self, kind, session, nonce, body)
 
     def lapse(self, fence, at):
-        return self.propose(COMMAND, body=self.machine.lapse(fence, at))
+        return self.propose(COMMAND, body=self.machine.expire_command(fence, at))
 
     def compact(self, now):
         held = self.applied - self.log.base
--- a/gaproute/shared/raft/leading.py
+++ b/gaproute/shared/raft/leading.py
@@ -74,9 +74,9 @@
     if now - lead.since >= UNHEARD and not keeper.most(lives_heard(keeper, now)):
         keeper.step_down(now)
         return
-    for fence, at in lead.clocks.over(now, LAPSES):
+    for fence, at in lead.clocks.pop_expired(now, LAPSES):
         if not keeper.lapse(fence, at):
-            lead.clocks.note(now, fence, at, BEAT)
+            lead.clocks.update(now, fence, at, BEAT)
     if now >= lead.beat:
         lead.beat = now + BEAT
         for name in [name for name in lead.others if name not in keeper.others()]:
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -24,7 +24,7 @@
     def apply(self, index, entry):
         """(state of the reply, its body, the session opened or 0); the same at every keeper."""
         if entry.kind == MEMBERS:
-            self.machine.found(read_roll(entry.body).base)
+            self.machine.raise_last_token(read_roll(entry.body).base)
         elif entry.kind == OPEN:
             self._open(index, entry.body.decode("utf-8", "replace"))
             return "done", b"", index
--- a/gaproute/simulation/campaigns.py
+++ b/gaproute/simulation/campaigns.py
@@ -6,7 +6,7 @@
 """
 
 from gaproute.rollouts.campaign import SECOND, WAY, Campaign, Host, check, floors, lendable
-from gaproute.shared.leases import Permits
+from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import Keeper
 from gaproute.simulation.campaigns_checks import checks
 from gaproute.simulation.campaigns_gateway import Gateway
@@ -88,7 +88,9 @@
         self.world = World(Plan(seed, end, case.faults(self), 0), makes, checks(self), script)
 
     def _keeper(self, name, disk, chance, now):
-        return Keeper(name, self.keepers, disk, chance, now, Permits(False), 1 + self.world.now // MILLI)
+        return Keeper(
+            name, self.keepers, disk, chance, now, LeaseTable(initial_wait=False), 1 + self.world.now // MILLI
+        )
 
     # What actors ask
 
--- a/gaproute/simulation/keepchecks.py
+++ b/gaproute/simulation/keepchecks.py
@@ -136,7 +136,7 @@
                     yield f"fencing numbers grow: {other.name}, {wish.resource} by {wish.fence} after {was}"
                 self.fences[wish.resource] = wish.fence
             if leader is not None:
-                _, when = leader.actor.lead.clocks.ends.get(wish.fence, (0, None))
+                _, when = leader.actor.lead.clocks.deadlines.get(wish.fence, (0, None))
                 if when is not None and leader.clock.true(when) < other.clock.true(wish.end):
                     yield f"the holder's end comes first: {other.name} after {leader.name}, {wish.fence}"
 
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -7,8 +7,8 @@
 a holder is cut off.
 """
 
-from gaproute.shared.leases import Holder, Permits
-from gaproute.shared.leases.commands import BOUND
+from gaproute.shared.leases import Holder, LeaseTable
+from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.shared.raft import Keeper, log
 from gaproute.shared.raft import keeper as module
 from gaproute.simulation.chance import Chance
@@ -26,7 +26,7 @@
 EVERY = 20 * MILLI  # between requests
 KEEP = 12  # entries held before a snapshot, for the run to see many (the program: 1,024)
 TOGETHER = 3  # entries in one message, so that logs are caught up with in parts (the program: 64)
-RATE = BOUND * 1_000  # millionths: clocks go wrong up to what is promised
+RATE = CLOCK_ERROR * 1_000  # millionths: clocks go wrong up to what is promised
 NAMES = ("r1", "r2", "r3", "p1", "p2")
 POOLS = {"p1": (3, 4), "p2": (4, 6)}  # name: sizes that are told
 NARROW = 64  # in a third of the runs elections meet: timers differ by a 64th of what they should
@@ -72,7 +72,9 @@
     def keeper(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
         base = 1 + self.world.now // MILLI
-        return Keeper(name, self.named, disk, chance, now, Permits(True, self.span), base)
+        return Keeper(
+            name, self.named, disk, chance, now, LeaseTable(initial_wait=True, max_duration=self.span), base
+        )
 
     def holder(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
--- a/gaproute/simulation/mutants.py
+++ b/gaproute/simulation/mutants.py
@@ -1,4 +1,4 @@
-"""Small faults that are put into the keepers and permits one at a time: the checks must find each, by name.
+"""Small faults that are put into the keepers and leases one at a time: the checks must find each, by name.
 
 A mutant changes a few words in the source of functions; where the words are not there (any more) it says so,
 as a mutant that changes nothing would be called caught by any breach.
@@ -10,9 +10,9 @@
 from typing import NamedTuple
 
 from gaproute.shared.leases import commands
-from gaproute.shared.leases.clocks import Clocks
+from gaproute.shared.leases.expiry import ExpiryTimers
 from gaproute.shared.leases.holder import Holder, Wish
-from gaproute.shared.leases.machine import Permits
+from gaproute.shared.leases.table import LeaseTable
 from gaproute.shared.raft import election, following, founding, leading, members, requests
 from gaproute.shared.raft.keeper import Keeper
 from gaproute.shared.raft.sessions import Sessions
@@ -21,7 +21,7 @@
 TELLS, VOTE, LEADER = "on disk before it is told", "one vote a term", "one leader a term"
 REMEMBERED, TERM, WRITTEN = "a vote is remembered", "term only grows", "a vote is on disk before it is told"
 UNSAID, STATE, MATCH = "never unsaid", "same entries, same state", "log matching"
-HOLDER, STANDS = "one holder at one true moment", "a permit stands while its holder may"
+HOLDER, STANDS = "one holder at one true moment", "a lease stands while its holder may"
 MOST, OWN_TERM = "a leader has most votes", "a leader commits by its own term"
 ONE, HAVE = "members change one at a time", "committed is what most have"
 FIRST = "the holder's end comes first"
@@ -178,14 +178,18 @@
     _m(
         "the keepers' end without the clock bound",
         (FIRST, HOLDER, STANDS, SPENT),
-        (commands.kept, "span + -(-span * 3 * bound // 1000)", "span"),
+        (commands.expiry_wait, "duration + -(-duration * 3 * error_per_mille // 1000)", "duration"),
         kind="tight",
         seed=4,
     ),
     _m(
-        "a new leader does not wait for permits of before",
+        "a new leader does not wait for leases of before",
         (FIRST, HOLDER, STANDS, SPENT),
-        (Clocks.__init__, "self.note(now, fence, at, wait)", "self.note(now, fence, at, 0)"),
+        (
+            ExpiryTimers.__init__,
+            "self.update(now, fencing_token, log_index, wait)",
+            "self.update(now, fencing_token, log_index, 0)",
+        ),
         kind="tight",
         seed=1,
     ),
@@ -213,36 +217,40 @@
     _m(
         "a fencing number is used again",
         (GROWS, ONCE, FENCES),
-        (Permits._take, "self.fence += 1", "self.fence = max(self.permits, default=self.fence) + 1"),
+        (
+            LeaseTable._acquire,
+            "self.last_token += 1",
+            "self.last_token = max(self.leases, default=self.last_token) + 1",
+        ),
         seed=4,
     ),
     _m(
         "a pool lends one too many",
         (POOL, HOLDER, SPENT),
-        (Permits._take, "> self.size(word.resource)", "> self.size(word.resource) + 1"),
+        (LeaseTable._acquire, "> self.pool_size(command.resource)", "> self.pool_size(command.resource) + 1"),
         seed=1,
     ),
     _m(
         "all that is lent counts as one",
-        ("amounts held are those of the permits",),
+        ("amounts held are those of the leases",),
         (
-            Permits._take,
-            "self.held[word.resource] = held + word.amount",
-            "self.held[word.resource] = held + 1",
+            LeaseTable._acquire,
+            "self.amounts_held[command.resource] = held + command.amount",
+            "self.amounts_held[command.resource] = held + 1",
         ),
         seed=1,
     ),
     _m(
         "granted at once after all memory was lost",
         (HOLDER,),
-        (Permits._take, "if self.quiet:", "if False:"),
+        (LeaseTable._acquire, "if self.initial_wait:", "if False:"),
         kind="forgotten",
         seed=0,
     ),
     _m(
         "fencing numbers begin anew after all memory was lost",
         (FENCES,),
-        (Permits.found, "max(self.fence, base)", "self.fence"),
+        (LeaseTable.raise_last_token, "max(self.last_token, lowest)", "self.last_token"),
         kind="forgotten",
         seed=0,
     ),
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds.py
@@ -5,8 +5,8 @@
 
 from gaproute.maintenance import Host as ListedHost
 from gaproute.maintenance import Round
-from gaproute.shared.leases import Permits
-from gaproute.shared.leases.commands import BOUND
+from gaproute.shared.leases import LeaseTable
+from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.shared.raft import Keeper
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
@@ -20,7 +20,7 @@
 END = 100 * SECOND  # of the faults
 LAST = 300 * SECOND  # a run that has not ended by then is looked at as it is
 OUT = 10 * SECOND  # a host away
-RATE = BOUND * 1_000  # millionths: clocks go wrong up to what is promised
+RATE = CLOCK_ERROR * 1_000  # millionths: clocks go wrong up to what is promised
 KINDS = (
     "none",
     "links",
@@ -183,7 +183,9 @@
     # Actors
 
     def _keeper(self, name, disk, chance, now):
-        return Keeper(name, self.keepers, disk, chance, now, Permits(False, SPAN), 1)
+        return Keeper(
+            name, self.keepers, disk, chance, now, LeaseTable(initial_wait=False, max_duration=SPAN), 1
+        )
 
     def _scheduler(self, name, disk, chance, now):
         place = self.schedulers.index(name)
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -1,4 +1,4 @@
-"""Permits through whole gateways: the configuration's lines, the operators' address, keepers that die."""
+"""LeaseTable through whole gateways: the configuration's lines, the operators' address, keepers that die."""
 
 import json
 import time
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -8,7 +8,7 @@
 from gaproute.peers.membership import Gossip
 from gaproute.shared.gossip import Page, Weak, Word
 from gaproute.shared.gossip.facts import HANDS, LIFE, key
-from gaproute.shared.leases import Holder, Permits
+from gaproute.shared.leases import Holder, LeaseTable
 from gaproute.shared.membership import ALIVE, DEAD, Members
 from gaproute.shared.raft import Keeper
 from gaproute.standins.net import Net
@@ -107,7 +107,13 @@
 
     def start(self, name):
         self.keepers[name] = Keeper(
-            name, self.names, self.disks[name], self.chance, self.now, Permits(quiet=False), self.base
+            name,
+            self.names,
+            self.disks[name],
+            self.chance,
+            self.now,
+            LeaseTable(initial_wait=False),
+            self.base,
         )
 
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,24 +1,24 @@
-"""Permits: what each entry does, who may when by whose clock, and who asks whom again."""
+"""LeaseTable: what each entry does, who may when by whose clock, and who asks whom again."""
 
 import pytest
 from keepers_net import MILLI, SECOND, Chance, Net
 
-from gaproute.shared.leases import Holder, Permits
-from gaproute.shared.leases.clocks import Clocks
+from gaproute.shared.leases import Holder, LeaseTable
 from gaproute.shared.leases.commands import (
-    BOUND,
-    LONGEST,
-    Answer,
-    Give,
-    Lapse,
-    Renew,
-    Size,
-    Take,
+    CLOCK_ERROR,
+    MAX_DURATION,
+    AcquireLease,
+    CommandResult,
+    ExpireLease,
+    ReleaseLease,
+    RenewLease,
+    ResizePool,
+    decode_result,
     encode,
-    kept,
-    read_answer,
+    expiry_wait,
 )
-from gaproute.shared.leases.invariants import check_permits
+from gaproute.shared.leases.expiry import ExpiryTimers
+from gaproute.shared.leases.invariants import check_table
 from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Reply, Request
 from gaproute.shared.raft.sessions import OWN, Sessions
 
@@ -27,58 +27,61 @@
     """A machine and the entries that it is given."""
 
     def __init__(self, **words):
-        self.machine, self.index = Permits(**{"quiet": False, **words}), 0
+        self.machine, self.index = LeaseTable(**{"initial_wait": False, **words}), 0
 
     def __call__(self, command, owner=None):
         self.index += 1
         owner = getattr(command, "holder", "") if owner is None else owner
-        answer = read_answer(self.machine.apply(self.index, encode(command), owner))
-        assert check_permits(self.machine) == []
+        answer = decode_result(self.machine.apply(self.index, encode(command), owner))
+        assert check_table(self.machine) == []
         return answer
 
 
 def test_a_name_has_one_holder_and_fencing_numbers_grow():
     log = Log()
-    assert log(Take("host", "a", 1, SECOND)) == Answer("", 1)
-    assert log(Take("host", "b", 1, SECOND)).why == "taken"
-    assert log(Take("host", "a", 1, SECOND)).why == "taken"
-    assert log(Give(1, "b")).why == "gone" and log(Renew(1, "b", SECOND)).why == "gone"
-    assert log(Give(1, "a")) == Answer("", 1) and log(Give(1, "a")).why == "gone"
-    assert log(Take("host", "b", 1, SECOND)) == Answer("", 2)
-    log.machine.found(1000)
-    assert log(Take("other", "b", 1, SECOND)) == Answer("", 1001)
+    assert log(AcquireLease("host", "a", 1, SECOND)) == CommandResult("", 1)
+    assert log(AcquireLease("host", "b", 1, SECOND)).error == "taken"
+    assert log(AcquireLease("host", "a", 1, SECOND)).error == "taken"
+    assert log(ReleaseLease(1, "b")).error == "gone" and log(RenewLease(1, "b", SECOND)).error == "gone"
+    assert log(ReleaseLease(1, "a")) == CommandResult("", 1) and log(ReleaseLease(1, "a")).error == "gone"
+    assert log(AcquireLease("host", "b", 1, SECOND)) == CommandResult("", 2)
+    log.machine.raise_last_token(1000)
+    assert log(AcquireLease("other", "b", 1, SECOND)) == CommandResult("", 1001)
 
 
 def test_a_pool_is_never_overspent_also_when_it_shrinks():
     log = Log()
-    log(Size("room", "a", 5))
-    assert log(Take("room", "a", 3, SECOND)).fence == 1 and log(Take("room", "b", 2, SECOND)).fence == 2
-    assert log(Take("room", "c", 1, SECOND)).why == "taken"
-    log(Size("room", "a", 2))
-    log(Give(2, "b"))
-    assert log(Take("room", "c", 1, SECOND)).why == "taken"
-    log(Give(1, "a"))
-    assert log(Take("room", "c", 2, SECOND)).fence == 3
-    log(Size("room", "a", 1))
-    log(Give(3, "c"))
-    assert not log.machine.pools and not log.machine.held
+    log(ResizePool("room", "a", 5))
+    assert (
+        log(AcquireLease("room", "a", 3, SECOND)).fencing_token == 1
+        and log(AcquireLease("room", "b", 2, SECOND)).fencing_token == 2
+    )
+    assert log(AcquireLease("room", "c", 1, SECOND)).error == "taken"
+    log(ResizePool("room", "a", 2))
+    log(ReleaseLease(2, "b"))
+    assert log(AcquireLease("room", "c", 1, SECOND)).error == "taken"
+    log(ReleaseLease(1, "a"))
+    assert log(AcquireLease("room", "c", 2, SECOND)).fencing_token == 3
+    log(ResizePool("room", "a", 1))
+    log(ReleaseLease(3, "c"))
+    assert not log.machine.pools and not log.machine.amounts_held
 
 
 def test_a_lapse_of_before_a_renewal_ends_nothing_and_only_keepers_say_it():
     log = Log()
-    log(Take("host", "a", 1, SECOND))
-    assert log(Renew(1, "a", SECOND)).why == ""
-    assert log(Lapse(1, 1)).why == "not over"
-    assert log(Lapse(1, 2), "a").why == "not over"  # a holder's word
-    assert log(Lapse(1, 2)).why == "" and not log.machine.permits
+    log(AcquireLease("host", "a", 1, SECOND))
+    assert log(RenewLease(1, "a", SECOND)).error == ""
+    assert log(ExpireLease(1, 1)).error == "not over"
+    assert log(ExpireLease(1, 2), "a").error == "not over"  # a holder's word
+    assert log(ExpireLease(1, 2)).error == "" and not log.machine.leases
 
 
 def test_a_founded_log_is_quiet_for_the_longest_span():
-    log = Log(quiet=True)
-    assert log(Take("host", "a", 1, SECOND)).why == "quiet after founding"
-    assert log.machine.waits() == [(0, 0, kept(LONGEST))]
-    log(Lapse(0, 0))
-    assert log(Take("host", "a", 1, SECOND)).fence == 1
+    log = Log(initial_wait=True)
+    assert log(AcquireLease("host", "a", 1, SECOND)).error == "quiet after founding"
+    assert log.machine.expiry_waits() == [(0, 0, expiry_wait(MAX_DURATION))]
+    log(ExpireLease(0, 0))
+    assert log(AcquireLease("host", "a", 1, SECOND)).fencing_token == 1
 
 
 @pytest.mark.parametrize(
@@ -86,48 +89,52 @@
     [
         b"",
         b"noise",
-        encode(Lapse(1, 1)),
-        encode(Take("h", "z", 1, SECOND)),
-        encode(Take("h", "a", 0, SECOND)),
-        encode(Take("h", "a", 1, -SECOND)),
-        encode(Take("h", "a", 1, LONGEST + 1)),
-        encode(Take("h" * 200, "a", 1, SECOND)),
+        encode(ExpireLease(1, 1)),
+        encode(AcquireLease("h", "z", 1, SECOND)),
+        encode(AcquireLease("h", "a", 0, SECOND)),
+        encode(AcquireLease("h", "a", 1, -SECOND)),
+        encode(AcquireLease("h", "a", 1, MAX_DURATION + 1)),
+        encode(AcquireLease("h" * 200, "a", 1, SECOND)),
     ],
 )
 def test_what_no_holder_may_ask_is_refused_by_the_leader_and_by_the_log(body):
-    machine = Permits(quiet=False)
+    machine = LeaseTable(initial_wait=False)
     assert machine.check("a", body)
-    assert read_answer(machine.apply(1, body, "a")).why and not machine.permits
+    assert decode_result(machine.apply(1, body, "a")).error and not machine.leases
 
 
 def test_the_keepers_end_comes_after_the_holders_with_both_clocks_wrong():
-    for span in (100 * MILLI, SECOND + 1, LONGEST):
-        slow, fast = 1000 - BOUND, 1000 + BOUND
-        assert kept(span) * 1000 * slow >= span * 1000 * fast
-        assert span * (1000 + 2 * BOUND) * slow < span * 1000 * fast  # why it is not 1 + 2b
+    for span in (100 * MILLI, SECOND + 1, MAX_DURATION):
+        slow, fast = 1000 - CLOCK_ERROR, 1000 + CLOCK_ERROR
+        assert expiry_wait(span) * 1000 * slow >= span * 1000 * fast
+        assert span * (1000 + 2 * CLOCK_ERROR) * slow < span * 1000 * fast  # why it is not 1 + 2b
 
 
 def test_the_leaders_clock_counts_from_the_last_renewal():
-    clocks = Clocks(0, [(7, 1, 10)])
-    clocks.note(5, 7, 2, 10)
-    assert clocks.over(10, 9) == [] and clocks.over(14, 9) == [] and clocks.over(15, 9) == [(7, 2)]
-    clocks.note(20, 8, 3, 10)
-    clocks.note(21, 8, 3, None)
-    assert clocks.over(99, 9) == []
+    timers = ExpiryTimers(0, [(7, 1, 10)])
+    timers.update(5, 7, 2, 10)
+    assert (
+        timers.pop_expired(10, 9) == []
+        and timers.pop_expired(14, 9) == []
+        and timers.pop_expired(15, 9) == [(7, 2)]
+    )
+    timers.update(20, 8, 3, 10)
+    timers.update(21, 8, 3, None)
+    assert timers.pop_expired(99, 9) == []
     for number in range(1000):
-        clocks.note(number, 9, number, 10)
-    assert len(clocks.heap) < 200
+        timers.update(number, 9, number, 10)
+    assert len(timers.heap) < 200
 
 
 def test_a_command_is_done_once_and_a_forgotten_session_does_nothing():
-    one = Sessions(Permits(quiet=False))
+    one = Sessions(LeaseTable(initial_wait=False))
     one.apply(1, Entry(1, OPEN, body=b"a"))
-    take = Entry(1, COMMAND, 1, 1, encode(Take("room", "a", 1, SECOND)))
+    take = Entry(1, COMMAND, 1, 1, encode(AcquireLease("room", "a", 1, SECOND)))
     first = one.apply(2, take)
-    assert one.apply(3, take) == first and one.machine.fence == 1
-    assert one.apply(4, Entry(1, COMMAND, 1, 2, encode(Give(1, "a"))))[0] == "done"
-    assert one.apply(5, take)[0] == "refused" and not one.machine.permits
-    other = Sessions(Permits())
+    assert one.apply(3, take) == first and one.machine.last_token == 1
+    assert one.apply(4, Entry(1, COMMAND, 1, 2, encode(ReleaseLease(1, "a"))))[0] == "done"
+    assert one.apply(5, take)[0] == "refused" and not one.machine.leases
+    other = Sessions(LeaseTable())
     other.unpack(one.pack())
     assert other.pack() == one.pack() and other.table == one.table
     for index in range(6, 6 + OWN):
@@ -154,12 +161,12 @@
     assert not wish.may(0)
     ((other, again),) = one.tick(one.due)
     assert again == request and other != to
-    granted = Reply(5, 1, "done", encode(Answer("", 3)))
+    granted = Reply(5, 1, "done", encode(CommandResult("", 3)))
     assert one.hear(4 * SECOND, "z", granted) == [] and not wish.may(4 * SECOND)
     one.hear(4 * SECOND, other, granted)
     assert wish.may(4 * SECOND) and wish.fence == 3 and wish.end == 10 * SECOND
     ((_, renewal),) = one.tick(5 * SECOND)
-    assert renewal.body == encode(Renew(3, "h", 10 * SECOND)) and wish.may(9 * SECOND)
+    assert renewal.body == encode(RenewLease(3, "h", 10 * SECOND)) and wish.may(9 * SECOND)
     assert not wish.may(10 * SECOND)  # nobody heard
     one.tick(10 * SECOND)
     assert wish.state == "over" and not one.wishes
@@ -167,15 +174,15 @@
 
 def test_an_answer_that_comes_too_late_is_given_back():
     one, wish, (to, request) = opened()
-    ((_, back),) = one.hear(10 * SECOND, to, Reply(5, 1, "done", encode(Answer("", 3))))
-    assert wish.state == "over" and back.body == encode(Give(3, "h"))
+    ((_, back),) = one.hear(10 * SECOND, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
+    assert wish.state == "over" and back.body == encode(ReleaseLease(3, "h"))
 
 
 def test_given_back_while_it_was_asked_for():
     one, wish, (to, request) = opened()
     one.give(0, wish)
-    ((_, back),) = one.hear(SECOND, to, Reply(5, 1, "done", encode(Answer("", 3))))
-    assert back.body == encode(Give(3, "h")) and not wish.may(SECOND)
+    ((_, back),) = one.hear(SECOND, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
+    assert back.body == encode(ReleaseLease(3, "h")) and not wish.may(SECOND)
 
 
 def test_it_goes_where_it_is_sent_but_not_round_and_round():
@@ -193,12 +200,12 @@
     assert one.hear(0, to, Reply(5, 1, "forgotten")) == []
     assert wish.state == "refused" and wish.why == "outcome unknown" and one.due is None
     other, wish, (to, request) = opened()
-    other.hear(0, to, Reply(5, 1, "done", encode(Answer("", 3))))
+    other.hear(0, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
     other.tick(5 * SECOND)
     ((to, opening),) = other.hear(5 * SECOND, other.to, Reply(5, 2, "forgotten"))
     assert opening.session == 0 and wish.may(9 * SECOND)
     ((_, again),) = other.hear(5 * SECOND, to, Reply(0, opening.nonce, "done", opened=9))
-    assert again == Request(9, 1, encode(Renew(3, "h", 10 * SECOND)))
+    assert again == Request(9, 1, encode(RenewLease(3, "h", 10 * SECOND)))
 
 
 def settled(holders=2):
@@ -212,10 +219,10 @@
     for name in ("host-1", "host-2"):
         net.holders["h0"].take(net.now, name, 4 * SECOND)
     net.run(SECOND)
-    assert len(net.leader.machine.permits) == 2
+    assert len(net.leader.machine.leases) == 2
     net.holders["h0"].leave(net.now)
     net.run(SECOND)
-    assert not net.leader.machine.permits and net.holders["h0"].due is None
+    assert not net.leader.machine.leases and net.holders["h0"].due is None
 
 
 def test_a_holder_that_dies_is_followed_only_after_its_end():
@@ -243,9 +250,9 @@
     while net.leader is None:
         net.step()
     since, leader = net.now, net.leader
-    while leader.machine.permits:
+    while leader.machine.leases:
         net.step()
-    assert net.now - since >= kept(4 * SECOND)
+    assert net.now - since >= expiry_wait(4 * SECOND)
 
 
 def test_a_leader_bounds_what_one_holder_and_all_holders_leave_waiting():
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -9,7 +9,7 @@
 from gaproute.loop.streams import address
 from gaproute.peers.raft import Seat, wire
 from gaproute.peers.raft.carrier import BURST
-from gaproute.shared.leases import Permits
+from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
 from gaproute.storage.votes import Votes
 
@@ -38,7 +38,7 @@
             Record(),
             Chance(number),
             disk,
-            machine=Permits(quiet=False),
+            machine=LeaseTable(initial_wait=False),
         )
         seat.disk = disk
         self.peers[name] = seat.carrier.listen(self.peers.get(name, "127.0.0.1:0"))
@@ -102,7 +102,7 @@
     group.start(gone)
     keeper = group.seats[gone].keeper
     assert keeper.life == life and keeper.log.last >= agreed - 1
-    group.until(lambda: len(keeper.machine.permits) == 2)
+    group.until(lambda: len(keeper.machine.leases) == 2)
     assert not any(seat.keeper.breaches for seat in group.seats.values() if seat.keeper)
     assert "leader" in [
         told["now"] for _, what, told in group.seats[group.leader].record.events if what == "keeper"
--- a/tests/raft/test_votes.py
+++ b/tests/raft/test_votes.py
@@ -4,7 +4,7 @@
 from keepers_net import SECOND, Chance, Disk
 from msgspec.msgpack import encode
 
-from gaproute.shared.leases import Permits, commands
+from gaproute.shared.leases import LeaseTable, commands
 from gaproute.shared.raft import Keeper, Lost
 from gaproute.shared.raft.messages import (
     MEMBERS,
@@ -197,8 +197,8 @@
 
 def test_nothing_of_a_disk_that_cannot_be_used_comes_into_force():
     """Its snapshot is understood, its entries are of a term that it never entered."""
-    taken = Permits(quiet=False)
-    taken.apply(1, commands.encode(commands.Take("host-7", "h", 1, SECOND)), "h")
+    taken = LeaseTable(initial_wait=False)
+    taken.apply(1, commands.encode(commands.AcquireLease("host-7", "h", 1, SECOND)), "h")
     state = Sessions(taken).pack()
     kept = disk()
     late = Entry(7, NOTHING)
@@ -207,7 +207,7 @@
     ]
     one = Keeper("b", NAMES, kept, Chance(1), 0)
     assert kept.put_aside == ["entries of terms that it never entered"] and one.store.blank
-    assert one.machine.permits == {} and one.machine.held == {} and one.machine.fence == 0
+    assert one.machine.leases == {} and one.machine.amounts_held == {} and one.machine.last_token == 0
 
 
 def test_a_disk_that_cannot_be_read_is_tried_again_and_nothing_is_said_meanwhile():
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -8,7 +8,7 @@
 from gaproute.rollouts.loads import Loads
 from gaproute.rollouts.spend import Spend
 from gaproute.rollouts.weights import Weights
-from gaproute.shared.leases import machine
+from gaproute.shared.leases import table
 from gaproute.simulation import campaigns, campaigns_gateway
 from gaproute.simulation.campaigns import play
 from gaproute.simulation.campaigns_cases import CASES, SECOND
@@ -85,7 +85,7 @@
 
 
 def a_lapse_too_early(patch):
-    patch(machine, "kept", lambda span: span // 8)
+    patch(table, "expiry_wait", lambda span: span // 8)
 
 
 def a_permit_given_back_too_soon(patch):
--- a/tests/rollouts/test_spend.py
+++ b/tests/rollouts/test_spend.py
@@ -2,8 +2,8 @@
 
 from gaproute.rollouts.invariants import check_sent, check_spend
 from gaproute.rollouts.spend import ASK, FRESH, Spend, pool
-from gaproute.shared.leases import Holder, Permits
-from gaproute.shared.leases.commands import Size, encode
+from gaproute.shared.leases import Holder, LeaseTable
+from gaproute.shared.leases.commands import ResizePool, encode
 from gaproute.shared.raft.messages import Reply
 from tests.rollouts.test_campaign import SECOND, campaign
 
@@ -12,8 +12,8 @@
     """One machine that answers at once, by its entries; `deaf` to whom."""
 
     def __init__(self, lanes):
-        self.machine, self.index, self.deaf = Permits(False), 0, []
-        self.machine.apply(1, encode(Size(pool("h"), "x", lanes)), "x")
+        self.machine, self.index, self.deaf = LeaseTable(initial_wait=False), 0, []
+        self.machine.apply(1, encode(ResizePool(pool("h"), "x", lanes)), "x")
 
     def serve(self, now, spend):
         holder, out = spend.holder, spend.holder.tick(now)
@@ -62,7 +62,7 @@
     assert send(spend, FRESH) == 2 and send(spend, FRESH) == 0
     spend.report(FRESH + ASK, "h", FRESH + ASK, 8, True)
     assert send(spend, FRESH + ASK) == 0  # production wants it
-    assert keeper.machine.held == {pool("h"): 6}
+    assert keeper.machine.amounts_held == {pool("h"): 6}
 
 
 def test_production_that_wants_room_stops_all_until_the_host_is_asked_anew():
@@ -110,16 +110,16 @@
     now += ASK
     one.aim(now, {})
     keeper.serve(now, one)
-    assert len(one.hands) and keeper.machine.held == {pool("h"): 6}  # not before they have ended
+    assert len(one.hands) and keeper.machine.amounts_held == {pool("h"): 6}  # not before they have ended
     for task in list(one.hands):
         one.ended(now, task)
     one.tick(now)
     keeper.serve(now, one)
-    assert keeper.machine.held[pool("h")] == 2 and not one.parts
+    assert keeper.machine.amounts_held[pool("h")] == 2 and not one.parts
     for later in range(now, now + SECOND, ASK):
         twin.tick(later)
         keeper.serve(later, twin)
-    assert keeper.machine.held[pool("h")] == 6
+    assert keeper.machine.amounts_held[pool("h")] == 6
 
 
 def test_a_cold_host_bears_a_fourth_and_a_pace_is_kept():
--- a/tests/simulation/test_raft.py
+++ b/tests/simulation/test_raft.py
@@ -20,7 +20,7 @@
         world, breach = play(plan(seed, keepers, kind), keepers, kind)
         assert breach is None, breach.report()
         up = [seat.actor for seat in world.places if seat.actor is not None and seat.name.startswith("k")]
-        fences += any(keeper.machine.fence for keeper in up)
+        fences += any(keeper.machine.last_token for keeper in up)
         terms += max((keeper.term for keeper in up), default=0)
     assert fences > len(SEEDS[kind, keepers]) * 2 // 3  # permits were granted
     assert terms >= len(SEEDS[kind, keepers]) * (2 if kind == "common" else 1)
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -9,7 +9,7 @@
 from gaproute.decisions.cells.table import Version
 from gaproute.decisions.chance import Chance
 from gaproute.peers.tables import encoding
-from gaproute.shared.leases import Permits
+from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import Keeper
 from gaproute.storage import Memory, Votes
 from gaproute.storage.tables import TableFile
@@ -34,7 +34,7 @@
     """A node of the group on that file, and what its file told operators."""
     texts = []
     disk = Votes(path, texts.append, lambda: 17).open()
-    made = Keeper("k1", ["k1"], disk, Chance(3), 0, Permits(quiet=False, longest=60 * SECOND))
+    made = Keeper("k1", ["k1"], disk, Chance(3), 0, LeaseTable(initial_wait=False, max_duration=60 * SECOND))
     return made, disk, texts
 
 
@@ -50,8 +50,8 @@
 
 def leases(made):
     return sorted(
-        (each.fence - FENCE, each.resource, each.holder, each.amount, each.span)
-        for each in made.machine.permits.values()
+        (each.fencing_token - FENCE, each.resource, each.holder, each.amount, each.duration)
+        for each in made.machine.leases.values()
     )
 
 
@@ -83,7 +83,7 @@
         assert len(texts) == disk.torn and all("torn tail" in text for text in texts)
         elected(made)
         assert leases(made) == HELD and made.machine.pools == {"room:host-9": (6, 0)}
-        assert made.machine.fence == FENCE + 3 and made.sessions.table[3][:2] == ("gateway-1", 5)
+        assert made.machine.last_token == FENCE + 3 and made.sessions.table[3][:2] == ("gateway-1", 5)
         disk.close()
 
 
--- a/tests/support/faulty_ledger.py
+++ b/tests/support/faulty_ledger.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import FAULTS, FaultyDisk, KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Chances, FaultPlan
-from gaproute.shared.leases import Permits
+from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import Keeper, Lost
 from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Install, Vote
 from gaproute.storage import files
@@ -185,7 +185,7 @@
         self.lives += 1
         disk = Votes(f"{self.folder}/votes", lambda text: None, lambda: 17)
         chance = Chance(1 + self.lives)
-        self.node = Keeper("a", ("a", "b", "c"), disk, chance, self.now, Permits(quiet=False), 0)
+        self.node = Keeper("a", ("a", "b", "c"), disk, chance, self.now, LeaseTable(initial_wait=False), 0)
         self.disk_file = disk
 
     def step(self):
--- a/tests/support/keepers_net.py
+++ b/tests/support/keepers_net.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from gaproute.shared.leases import Holder, Permits
+from gaproute.shared.leases import Holder, LeaseTable
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.invariants import History, check_all
 
@@ -62,7 +62,7 @@
 
     def start(self, name):
         self.keepers[name] = Keeper(
-            name, self.names, self.disks[name], self.chance, self.now, Permits(quiet=False)
+            name, self.names, self.disks[name], self.chance, self.now, LeaseTable(initial_wait=False)
         )
 
     def crash(self, name, lost=False):
