--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -8,7 +8,7 @@
 from gaproute.http1 import render
 from gaproute.peers.raft import wire
 from gaproute.peers.raft.carrier import TARGET
-from gaproute.shared.leases import Holder, LeaseTable
+from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import Keeper
 from gaproute.simulation.plan import Plan
 from gaproute.simulation.world import World
@@ -59,7 +59,7 @@
 
     def holder(self, name, disk, chance, now):
         """A gateway that wants leases."""
-        return Holder(name, GROUP, chance, now)
+        return LeaseClient(name, GROUP, chance, now)
 
     def call(self, seat, what, *told):
         """As a World's, metered."""
@@ -83,7 +83,7 @@
         """The holder wants this lease from now on."""
 
         def ask(actor, now):
-            actor.take(now, resource, SPAN)
+            actor.acquire(now, resource, SPAN)
 
         self.ask(holder, ask)
 
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -38,7 +38,7 @@
     @property
     def held(self):
         """Whether the lease stands now."""
-        return self.wish is not None and self.wish.may(self.loop.now())
+        return self.wish is not None and self.wish.valid_at(self.loop.now())
 
     def tick(self, now):
         """Wishes for the lease again where it was refused or ran out."""
@@ -48,7 +48,7 @@
         if self.wish is not None:
             self.refused += self.wish.state == "refused"
             self.ended += self.wish.state == "over"
-        self.wish = self.seat.holder.take(now, f"gateway/{self.name}", SPAN)
+        self.wish = self.seat.holder.acquire(now, f"gateway/{self.name}", SPAN)
         self.seat.act()
 
     def listed(self, gateways):
--- a/gaproute/maintenance/going.py
+++ b/gaproute/maintenance/going.py
@@ -32,7 +32,7 @@
             if (
                 name not in self.places
                 and seen.draining
-                and 0 < seen.mark[0] < self.turn.fence
+                and 0 < seen.mark[0] < self.turn.fencing_token
                 and there(now, seen)
                 and ("serve", name) not in self.ordered
             ):
--- a/gaproute/maintenance/hands.py
+++ b/gaproute/maintenance/hands.py
@@ -26,7 +26,7 @@
             and now - place.since > OUT_AGAIN
         ):
             return f"{name} is not ready"
-        if not (self.holds(now) and place.wish.may(now)):  # rule 1, 6
+        if not (self.holds(now) and place.wish.valid_at(now)):  # rule 1, 6
             return "no permit"
         if place.state == "ready":
             seen = view.shown.get(name)
@@ -39,10 +39,10 @@
             self._believe(now, view)
             if self.missing:  # rule 6: looked at again at the last moment
                 return floor.worded(self.missing)
-            self._to(now, place, "out", f"fence {place.wish.fence}")
-        left = min(self.turn.end, place.wish.end) - now
+            self._to(now, place, "out", f"fence {place.wish.fencing_token}")
+        left = min(self.turn.expires_at, place.wish.expires_at) - now
         place.until = max(place.until, now + left + left * 3 * drained.BOUND // 1000)
-        return place.wish.fence, place.mark, left
+        return place.wish.fencing_token, place.mark, left
 
     def _follow(self, now, place, view, anew):
         seen, name = view.shown.get(place.name), place.name
@@ -65,11 +65,11 @@
             return [("serve", name, self._mark())]
         elif place.state == "draining" and drained.proof(now, seen, place.marked, self.bounds):
             self._to(now, place, "asking", drained.proof(now, seen, place.marked, self.bounds))
-            place.wish = self.holder.take(now, f"out {name}", self.span)
-        elif place.state == "asking" and place.wish.may(now):
-            self._to(now, place, "ready", f"fence {place.wish.fence}")
+            place.wish = self.holder.acquire(now, f"out {name}", self.span)
+        elif place.state == "asking" and place.wish.valid_at(now):
+            self._to(now, place, "ready", f"fence {place.wish.fencing_token}")
         elif place.state in ("asking", "ready") and place.wish.state not in ("asked", "held"):
-            return self._give(now, place, f"permit {place.wish.state} {place.wish.why}")
+            return self._give(now, place, f"permit {place.wish.state} {place.wish.reason}")
         elif place.state in ("out", "lost"):
             return self._absent(now, place, seen)
         elif place.state == "back":
@@ -103,16 +103,18 @@
         """What has not begun is given back: the host serves again."""
         self._release(now, place)
         self._to(now, place, "waiting", why)
-        return [("serve", place.name, self._mark())] if self.turn is not None and self.turn.fence else []
+        return (
+            [("serve", place.name, self._mark())] if self.turn is not None and self.turn.fencing_token else []
+        )
 
     def _release(self, now, place):
         if place.wish is not None:
-            self.holder.give(now, place.wish)
+            self.holder.release(now, place.wish)
             place.wish = None
 
     def _mark(self):
         self.count += 1
-        return self.turn.fence, self.count
+        return self.turn.fencing_token, self.count
 
     def _to(self, now, place, state, why):
         place.to(now, state)
--- a/gaproute/maintenance/invariants.py
+++ b/gaproute/maintenance/invariants.py
@@ -58,7 +58,7 @@
     if isinstance(answer, str):
         return []
     came, place = [], running.places[name]
-    if not (running.holds(now) and place.wish.may(now)):
+    if not (running.holds(now) and place.wish.valid_at(now)):
         came.append(f"no out without a permit: {name}")
     if answer[0] < greatest.get(name, 0):
         came.append(f"no out on an old fence: {name} by {answer[0]} after {greatest[name]}")
--- a/gaproute/maintenance/round.py
+++ b/gaproute/maintenance/round.py
@@ -41,7 +41,7 @@
 
 
 class Running(Going):
-    """`holder`: a `permits.Holder`; `beside`: other rounds that may run now, of which it keeps the floor as
+    """`holder`: a `LeaseClient`; `beside`: other rounds that may run now, of which it keeps the floor as
     well. `tick(now, view)` and `ask(now, host, view)`; `view`: see `view.py`."""
 
     def __init__(self, asked, me, holder, now, span, bounds=BOUNDS, paces=PACES, beside=()):
@@ -62,7 +62,7 @@
         self.withdrawn = True
 
     def holds(self, now):
-        return self.turn is not None and self.turn.may(now) and self.turned is not None
+        return self.turn is not None and self.turn.valid_at(now) and self.turned is not None
 
     def away(self):
         return [place.name for place in self.places.values() if place.state in AWAY]
@@ -105,16 +105,16 @@
         return not wrong
 
     def _turn(self, now):
-        held = self.turn is not None and self.turn.may(now)
+        held = self.turn is not None and self.turn.valid_at(now)
         if held and self.turned is None:
             self.turned = now
         if held and now - self.turned > TURN_LONG and not self.away():  # rule 1
-            self.holder.give(now, self.turn)
+            self.holder.release(now, self.turn)
             self.turn, self.turned, self.next = None, None, now + REST
         elif not held and self.turn is not None and self.turn.state != "asked":
             self.turn, self.turned, self.next = None, None, now + AGAIN
         if self.turn is None and now >= self.next:
-            self.turn = self.holder.take(now, TURN, self.span)
+            self.turn = self.holder.acquire(now, TURN, self.span)
 
     def _stage(self, stage, why):
         if (stage, why) != (self.stage, self.why):
@@ -123,7 +123,7 @@
 
     def _end(self, now, why):
         if self.turn is not None:
-            self.holder.give(now, self.turn)
+            self.holder.release(now, self.turn)
         for place in self.places.values():
             self._release(now, place)
         self._stage("ended", why)
--- a/gaproute/peers/raft/__init__.py
+++ b/gaproute/peers/raft/__init__.py
@@ -1,7 +1,7 @@
 """Carries what keepers and holders say between gateways; nothing runs unless it is made.
 
 seat = Seat(loop, name, keepers, peers, record, disk=None, ...)   disk: this gateway is a keeper as well
-seat.holder.take(...), then seat.act()       the holder's side; `act` after every call on it
+seat.holder.acquire(...), then seat.act()       the holder's side; `act` after every call on it
 seat.carrier.handle(server, request)         for a server that listens already: `POST /keepers`
 seat.carrier.listen(where)                   or an address of its own
 """
--- a/gaproute/peers/raft/seat.py
+++ b/gaproute/peers/raft/seat.py
@@ -2,7 +2,7 @@
 choice."""
 
 from gaproute.peers.raft.carrier import Carrier
-from gaproute.shared.leases import Holder
+from gaproute.shared.leases import LeaseClient
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.invariants import replay
 from gaproute.shared.raft.messages import Reply
@@ -23,7 +23,7 @@
     ):
         self.loop, self.name, self.record = loop, name, record
         self.carrier = carrier(loop, name, peers, self.take)
-        self.holder = Holder(name, keepers, chance, loop.now())
+        self.holder = LeaseClient(name, keepers, chance, loop.now())
         self.keeper = None
         if disk is not None and name in keepers:
             self.keeper = Keeper(name, keepers, disk, chance, loop.now(), machine, base)
@@ -37,7 +37,7 @@
 
     def named(self, keepers):
         """The configuration names these keepers now."""
-        self.holder.named(self.loop.now(), keepers)
+        self.holder.set_configured_members(self.loop.now(), keepers)
         if self.keeper is not None:
             self.keeper.named(self.loop.now(), keepers)
         self.act()
@@ -118,10 +118,12 @@
                 {
                     "resource": wish.resource,
                     "state": wish.state,
-                    "fence": wish.fence,
-                    "ms_left": None if wish.end is None else (wish.end - self.loop.now()) // MILLI,
+                    "fence": wish.fencing_token,
+                    "ms_left": None
+                    if wish.expires_at is None
+                    else (wish.expires_at - self.loop.now()) // MILLI,
                 }
-                for wish in self.holder.wishes
+                for wish in self.holder.requests
             ],
             "carried": dict(self.carrier.counts),
             "keeper": keeper
@@ -138,7 +140,7 @@
 
     def stop(self):
         """Gives all permits back; `close` ends it."""
-        self.holder.leave(self.loop.now())
+        self.holder.release_all(self.loop.now())
         self.act()
 
     def close(self):
--- a/gaproute/rollouts/invariants.py
+++ b/gaproute/rollouts/invariants.py
@@ -11,7 +11,7 @@
     for task, hand in spend.hands.items():
         under[hand.wish] = under.get(hand.wish, 0) + 1
         by[hand.host, hand.campaign] = by.get((hand.host, hand.campaign), 0) + 1
-        if hand.until > now and (hand.wish.state != "held" or hand.wish.end < hand.until):
+        if hand.until > now and (hand.wish.state != "held" or hand.wish.expires_at < hand.until):
             came.append(f"nothing spent without a permit: {task} at {hand.host}, permit {hand.wish.state}")
     for wish, count in under.items():
         if count > wish.amount:
--- a/gaproute/rollouts/spend.py
+++ b/gaproute/rollouts/spend.py
@@ -44,7 +44,7 @@
 
 
 class Spend:
-    """`holder`: the gateway's Holder of permits; `campaigns`: {name: Campaign}."""
+    """`holder`: the gateway's `LeaseClient`; `campaigns`: {name: Campaign}."""
 
     def __init__(self, holder, campaigns, now):
         self.holder, self.campaigns = holder, campaigns
@@ -93,13 +93,13 @@
             for wish in [wish for wish in part.closing if not part.wishes[wish]]:
                 part.closing.remove(wish)
                 del part.wishes[wish]
-                self.holder.give(now, wish)
+                self.holder.release(now, wish)
             if any(wish.state == "held" for wish in open_) and now >= part.again + AGAIN:
                 part.chunk = CHUNK
-            while has < aim and now >= part.again and len(self.holder.wishes) < PARTS:
+            while has < aim and now >= part.again and len(self.holder.requests) < PARTS:
                 span = max(self.campaigns[name].span for name in part.aims)
                 amount = min(part.chunk, aim - has)
-                part.wishes[self.holder.take(now, pool(host), span, amount)] = 0
+                part.wishes[self.holder.acquire(now, pool(host), span, amount)] = 0
                 has += amount
             if not part.aims and not part.wishes:
                 del self.parts[host]
@@ -157,7 +157,7 @@
         ):
             return None
         for wish, hands in part.wishes.items():
-            if wish not in part.closing and hands < wish.amount and wish.may(now + campaign.need):
+            if wish not in part.closing and hands < wish.amount and wish.valid_at(now + campaign.need):
                 return wish
         return None
 
--- a/gaproute/shared/leases/__init__.py
+++ b/gaproute/shared/leases/__init__.py
@@ -1,20 +1,12 @@
-"""Leases: what a Raft group agrees on, and the holder's side, without I/O.
+"""Leases: what a Raft group agrees on, and the side that holds them, without I/O.
 
-LeaseTable(initial_wait=True, max_duration=MAX_DURATION)
-                                          the state machine of a member of the group; `initial_wait`: a log
-                                          that began anew grants nothing for the longest duration (all disks
-                                          may have been lost); the same at all members
-Holder(name, keepers, chance, now)        the side that wants leases
-    .due, .tick(now), .hear(now, sender, message) -> [(to, message)]; as a keeper's
-    .take(now, resource, span, amount=1)  -> Wish; `span` ns; kept up by renewals until given back
-    .give(now, wish)                      from here on `wish.may` is false
-    .leave(now)                           gives all back
-    .size(now, resource, amount)          the pool's size (names without one: 1)
-    wish.may(now)                         whether the lease holds by the holder's own clock
-    wish.fence, .state ("asked", "held", "refused", "given", "over"), .why, .end
+`LeaseTable` is the state machine that every member of the group applies its log to. `LeaseClient` acquires
+leases for a gateway, renews them until they are released, and knows by its own clock which are valid. What is
+done under a lease carries its fencing token.
 """
 
-from gaproute.shared.leases.holder import Holder, Wish
+from gaproute.shared.leases.client import LeaseClient
+from gaproute.shared.leases.requests import LeaseRequest, LeaseRequestError, LeaseState
 from gaproute.shared.leases.table import LeaseTable
 
-__all__ = ["Holder", "LeaseTable", "Wish"]
+__all__ = ["LeaseClient", "LeaseRequest", "LeaseRequestError", "LeaseState", "LeaseTable"]
--- /dev/null
+++ b/gaproute/shared/leases/client.py
@@ -0,0 +1,246 @@
+"""The side that wants leases: one command at a time, sent again until some member's leader answers.
+
+A lease is valid by the client's own clock from when its command was FIRST sent: whatever was granted was
+granted later. If nobody answers it expires here before the group lets it expire (`commands.expiry_wait`).
+What is done under a lease carries its fencing token, as a process may be stopped between looking at
+`valid_at` and acting. Times are ns of the client's clock.
+"""
+
+from collections import Counter, deque
+from collections.abc import Iterable
+
+from gaproute.shared.leases.commands import (
+    MAX_DURATION,
+    MAX_LEASES_PER_CLIENT,
+    MIN_DURATION,
+    AcquireLease,
+    CommandResult,
+    ReleaseLease,
+    RenewLease,
+    ResizePool,
+    encode,
+)
+from gaproute.shared.leases.requests import (
+    LeaseRequest,
+    LeaseRequestError,
+    LeaseState,
+    OutstandingCommand,
+    QueuedCommand,
+    result_of,
+)
+from gaproute.shared.messages import HIGHEST
+from gaproute.shared.raft.messages import Reply, Request
+from gaproute.shared.randomness import RandomSource
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+
+RESEND_AFTER = 500 * MILLI  # to the next member: above a sync and a round trip, below an election
+RETRY_PAUSE = 100 * MILLI  # before the next member is tried by one that knows no leader
+MAX_REDIRECTS = 2  # followed at once: members that name one another must not cause a flood
+
+
+class LeaseClient:
+    """Acquires leases for the holder `name` from the group `members` and renews them until released.
+
+    `requests` has those that are requested or held. `due`, `tick` and `hear` are as of a member of the group.
+    """
+
+    def __init__(self, name: str, members: Iterable[str], chance: RandomSource, now: int) -> None:
+        self.name, self.chance = name, chance
+        self.session = self.nonce = 0  # session 0: none is open
+        self.urgent: deque[QueuedCommand] = deque()  # renewals and releases go before new requests
+        self.queue: deque[QueuedCommand] = deque()
+        self.outstanding: OutstandingCommand | None = None
+        self.resend_at, self.redirects = now, 0
+        self.requests: list[LeaseRequest] = []
+        self.rejected: Counter[str] = Counter()  # messages, by reason
+        self.members: tuple[str, ...] = ()
+        self.target = ""  # the member that is spoken to
+        self.set_configured_members(now, members)
+
+    def set_configured_members(self, now: int, members: Iterable[str]) -> None:
+        """The names of the group's members by the configuration."""
+        self.members = tuple(sorted(set(members)))
+        if self.target not in self.members:
+            self.target = self.members[self.chance.below(len(self.members))]
+
+    def acquire(self, now: int, resource: str, duration: int, amount: int = 1) -> LeaseRequest:
+        """Requests a lease of `duration` ns. Raises `LeaseRequestError`."""
+        if not MIN_DURATION <= duration <= MAX_DURATION or not 1 <= amount <= HIGHEST:
+            raise LeaseRequestError(f"a lease of {amount} of {resource} for {duration} ns")
+        if len(self.requests) >= MAX_LEASES_PER_CLIENT:
+            raise LeaseRequestError(f"{MAX_LEASES_PER_CLIENT} lease requests at once")
+        request = LeaseRequest(resource, amount, duration)
+        self.requests.append(request)
+        self.queue.append(QueuedCommand(AcquireLease(resource, self.name, amount, duration), request))
+        return request
+
+    def release(self, now: int, request: LeaseRequest) -> None:
+        """The lease is not valid from here on; the group hears of it or lets it expire."""
+        if request.state == LeaseState.HELD:
+            self._queue_release(request.fencing_token)
+        self.queue = deque(queued for queued in self.queue if queued.request is not request)
+        if request.open:
+            self._end(request, LeaseState.RELEASED)
+
+    def release_all(self, now: int) -> None:
+        """Releases every lease, as the gateway stops. What the group does not hear of expires."""
+        for request in list(self.requests):
+            self.release(now, request)
+
+    def resize_pool(self, now: int, resource: str, amount: int) -> None:
+        """Sets how much of the resource may be held. Raises `LeaseRequestError` for too many commands."""
+        if len(self.queue) >= 2 * MAX_LEASES_PER_CLIENT:
+            raise LeaseRequestError(f"{len(self.queue)} commands wait")
+        self.queue.append(QueuedCommand(ResizePool(resource, self.name, amount)))
+
+    @property
+    def due(self) -> int | None:
+        """When `tick` is to be called next; None while there is nothing to do."""
+        times = [
+            time
+            for request in self.requests
+            if request.expires_at is not None
+            for time in (request.expires_at, request.renew_at)
+            if time is not None
+        ]
+        if self.outstanding is not None or self.urgent or self.queue:
+            times.append(self.resend_at)
+        return min(times, default=None)
+
+    def tick(self, now: int) -> list[tuple[str, Request]]:
+        """Expires, renews and sends what is due: (member, message)."""
+        self._release_expired(now)
+        self._renew(now)
+        if now < self.resend_at:
+            return []
+        if self.outstanding is None:
+            return self._begin_next(now)
+        after = self.members.index(self.target) + 1 if self.target in self.members else 0
+        self.target = self.members[after % len(self.members)]
+        return self._send(now, self.outstanding)
+
+    def hear(self, now: int, sender: str, message: object) -> list[tuple[str, Request]]:
+        """A member's reply; what is to be sent then."""
+        if sender not in self.members or not isinstance(message, Reply):
+            self.rejected["stranger"] += 1
+            return []
+        command = self.outstanding
+        if command is None or (message.session, message.nonce) != (command.session, command.nonce):
+            self.rejected["late"] += 1
+            return []
+        if message.state == "elsewhere":
+            return self._redirect(now, sender, message.leader, command)
+        if message.state == "busy" or message.state == "done" and not (command.session or message.opened):
+            self.resend_at = now + RETRY_PAUSE + self.chance.below(RETRY_PAUSE)
+            self.target = self.members[self.members.index(sender) - 1]  # so that the next one is the sender
+            return []
+        self.target, self.outstanding, self.resend_at = sender, None, now
+        if message.state == "forgotten":
+            self._session_lost(command)
+        elif message.state == "done" and not command.session:
+            self.session, self.nonce = message.opened, 0
+        else:
+            self._completed(now, command, result_of(message))
+        return self.tick(now)
+
+    def _queue_release(self, fencing_token: int) -> None:
+        self.urgent.append(QueuedCommand(ReleaseLease(fencing_token, self.name)))
+
+    def _end(self, request: LeaseRequest, state: LeaseState, reason: str = "") -> None:
+        request.state, request.reason, request.renew_at = state, reason, None
+        self.requests.remove(request)
+
+    def _release_expired(self, now: int) -> None:
+        for request in list(self.requests):
+            if request.expires_at is not None and now >= request.expires_at:
+                self._queue_release(request.fencing_token)
+                self._end(request, LeaseState.EXPIRED, "not renewed in time")
+
+    def _renew(self, now: int) -> None:
+        for request in self.requests:
+            if request.renew_at is not None and now >= request.renew_at:
+                request.renew_at = None
+                command = RenewLease(request.fencing_token, self.name, request.duration)
+                self.urgent.append(QueuedCommand(command, request))
+
+    def _begin_next(self, now: int) -> list[tuple[str, Request]]:
+        """Sends the next command that is still needed, or opens a session for it."""
+        while self.urgent or self.queue:
+            if not self.session:
+                nonce = 1 + self.chance.below(HIGHEST)
+                self.outstanding = OutstandingCommand(None, None, 0, nonce, b"", now)
+                break
+            queued = (self.urgent or self.queue).popleft()
+            if self._outdated(queued):
+                continue
+            self.nonce += 1
+            self.outstanding = OutstandingCommand(
+                queued.command, queued.request, self.session, self.nonce, encode(queued.command), now
+            )
+            break
+        self.redirects = 0
+        return [] if self.outstanding is None else self._send(now, self.outstanding)
+
+    @staticmethod
+    def _outdated(queued: QueuedCommand) -> bool:
+        request = queued.request
+        if request is None:
+            return False
+        needed = LeaseState.REQUESTED if isinstance(queued.command, AcquireLease) else LeaseState.HELD
+        return request.state != needed
+
+    def _send(self, now: int, command: OutstandingCommand) -> list[tuple[str, Request]]:
+        self.resend_at = now + RESEND_AFTER
+        return [(self.target, Request(command.session, command.nonce, command.body))]
+
+    def _redirect(
+        self, now: int, sender: str, leader: str, command: OutstandingCommand
+    ) -> list[tuple[str, Request]]:
+        if leader in self.members and leader != sender and self.redirects < MAX_REDIRECTS:
+            self.redirects, self.target = self.redirects + 1, leader
+            return self._send(now, command)
+        self.resend_at = min(self.resend_at, now + RETRY_PAUSE)
+        return []
+
+    def _session_lost(self, lost: OutstandingCommand) -> None:
+        """The group has forgotten the session: whether the command was carried out is not known."""
+        self.session = 0
+        if isinstance(lost.command, AcquireLease):
+            if lost.request is not None and lost.request.state == LeaseState.REQUESTED:
+                self._end(lost.request, LeaseState.REJECTED, "outcome unknown")
+        elif lost.command is not None:  # idempotent
+            self.urgent.append(QueuedCommand(lost.command, lost.request))
+
+    def _completed(self, now: int, command: OutstandingCommand, result: CommandResult) -> None:
+        request = command.request
+        if request is None:
+            return
+        if isinstance(command.command, AcquireLease):
+            self._acquired(now, request, command.first_sent, result)
+        elif request.state == LeaseState.HELD:
+            if result.error:
+                self._end(request, LeaseState.EXPIRED, result.error)
+            else:
+                self._extend(request, command.first_sent)
+
+    def _acquired(self, now: int, request: LeaseRequest, first_sent: int, result: CommandResult) -> None:
+        wanted = request.state == LeaseState.REQUESTED
+        if result.error:
+            if wanted:
+                self._end(request, LeaseState.REJECTED, result.error)
+            return
+        request.fencing_token = result.fencing_token
+        if wanted and now < first_sent + request.duration:
+            request.state = LeaseState.HELD
+            self._extend(request, first_sent)
+            return
+        self._queue_release(result.fencing_token)  # too late, or not wanted any more
+        if wanted:
+            self._end(request, LeaseState.EXPIRED, "answered too late")
+
+    @staticmethod
+    def _extend(request: LeaseRequest, first_sent: int) -> None:
+        """Granted or renewed by a command that was first sent then."""
+        request.expires_at = first_sent + request.duration
+        request.renew_at = first_sent + request.duration // 2
--- a/gaproute/shared/leases/errands.py
+++ b/gaproute/shared/leases/errands.py
@@ -64,7 +64,7 @@
         if len(asked) != 1:
             raise ValueError("one of take, keep, give and size is asked for at a time")
         if asked == ["size"]:
-            self.holder.size(now, order.size, order.amount)
+            self.holder.resize_pool(now, order.size, order.amount)
             return {"size": order.size, "amount": order.amount}
         if asked == ["take"]:
             return self._take(now, order)
@@ -73,9 +73,9 @@
         if errand is None:
             raise ValueError(f"no errand {number}")
         if order.give:
-            self.holder.give(now, errand.wish)
+            self.holder.release(now, errand.wish)
         elif errand.over is None:
-            kept = _span(order.for_ms, MAX_DURATION) if order.for_ms else errand.wish.span
+            kept = _span(order.for_ms, MAX_DURATION) if order.for_ms else errand.wish.duration
             errand.end = max(errand.end, now + kept)
         return self.told(now, number)
 
@@ -86,20 +86,22 @@
         if len(self.errands) >= ERRANDS:
             raise ValueError(f"{ERRANDS} errands at once")
         self.count += 1
-        self.errands[self.count] = Errand(self.holder.take(now, order.take, span, order.amount), now + kept)
+        self.errands[self.count] = Errand(
+            self.holder.acquire(now, order.take, span, order.amount), now + kept
+        )
         return self.told(now, self.count)
 
     def told(self, now, number):
         errand = self.errands[number]
         wish = errand.wish
-        left = min(wish.end, errand.end) - now if wish.may(now) else 0
+        left = min(wish.expires_at, errand.end) - now if wish.valid_at(now) else 0
         return {
             "errand": number,
             "resource": wish.resource,
             "amount": wish.amount,
             "state": "held" if left > 0 else "over" if wish.state == "held" else wish.state,
-            "why": wish.why,
-            "fence": wish.fence,
+            "why": wish.reason,
+            "fence": wish.fencing_token,
             "ms_left": max(0, left) // MILLI,
         }
 
@@ -117,7 +119,7 @@
         """Gives back what nobody asked to keep, forgets what is long over."""
         for number, errand in list(self.errands.items()):
             if errand.over is None and now >= errand.end:
-                self.holder.give(now, errand.wish)
+                self.holder.release(now, errand.wish)
             if errand.over is None and errand.wish.state not in ("asked", "held"):
                 errand.over = now
             if errand.over is not None and now >= errand.over + TOLD:
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gaproute.shared.leases.invariants import check_holders, check_table
+from gaproute.shared.leases.invariants import check_clients, check_table
 from gaproute.shared.raft.messages import KEEPERS
 from gaproute.shared.raft.sessions import OWN, SESSIONS
 
@@ -69,7 +69,7 @@
 
 
 def check_all(keepers, holders, history):
-    """`keepers`: those that live; `holders`: [(Holder, its own clock's time)]; `history`: a History."""
+    """`keepers`: those that live; `holders`: [(LeaseClient, its own clock's time)]; `history`: a History."""
     came = []
     for keeper in keepers:
         came += keeper.breaches + check_deep(keeper)
@@ -82,7 +82,7 @@
     came += _matching(keepers)
     latest = max((each for each in keepers if not each.mute), key=lambda each: each.applied, default=None)
     if latest is not None:
-        came += check_holders(latest.machine, holders)
+        came += check_clients(latest.machine, holders)
     return came
 
 
--- a/gaproute/simulation/campaigns_checks.py
+++ b/gaproute/simulation/campaigns_checks.py
@@ -4,7 +4,7 @@
 from gaproute.rollouts.campaign import SECOND
 from gaproute.rollouts.invariants import check_floor, check_groups, check_loads, check_spend
 from gaproute.rollouts.spend import pool
-from gaproute.shared.leases.invariants import check_holder
+from gaproute.shared.leases.invariants import check_client
 from gaproute.simulation.checks import Checks
 from gaproute.simulation.keepchecks import Told
 
@@ -40,7 +40,7 @@
         yield from check_spend(gateway.spend, now)
         yield from check_groups(gateway.groups)
         yield from check_loads(gateway.loads)
-        yield from check_holder(gateway.holder)
+        yield from check_client(gateway.holder)
 
 
 def parts(play, world):
@@ -50,8 +50,8 @@
         seat = world.seats[name]
         if seat.actor is not None:
             own = seat.clock.own(world.now)
-            for wish in seat.actor.holder.wishes:
-                if wish.may(own):
+            for wish in seat.actor.holder.requests:
+                if wish.valid_at(own):
                     held[wish.resource] = held.get(wish.resource, 0) + wish.amount
     for name, lanes in play.lent.items():
         if held.get(pool(name), 0) > max(1, lanes):
--- a/gaproute/simulation/campaigns_gateway.py
+++ b/gaproute/simulation/campaigns_gateway.py
@@ -11,7 +11,7 @@
 from gaproute.rollouts.spend import ASK, Spend
 from gaproute.rollouts.weights import Weights
 from gaproute.shared.gossip import Weak, Word
-from gaproute.shared.leases import Holder
+from gaproute.shared.leases import LeaseClient
 from gaproute.simulation.campaigns_planner import Planner
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -26,7 +26,7 @@
     def __init__(self, play, name, disk, chance, now):
         self.play, self.name, self.chance = play, name, chance
         self.campaigns = play.campaigns
-        self.holder = Holder(name, play.keepers, chance, now)
+        self.holder = LeaseClient(name, play.keepers, chance, now)
         self.spend = Spend(self.holder, self.campaigns, now)
         self.weights = Weights(self.campaigns)
         self.groups = Groups(self.weights)
@@ -125,7 +125,7 @@
         if held is not None:
             self.loads.ended(now, copy is not None)
             if held[1] is not None:
-                self.holder.give(now, held[1])
+                self.holder.release(now, held[1])
 
     def _ended(self, now, host, name, task, how, version):
         if task in self.mine:
@@ -231,13 +231,13 @@
                 if kind == "drop":
                     out.append((host, ("drop", (name, version))))
                 elif host not in self.under and self.loads.may(now):
-                    wish = self.holder.take(now, EXCHANGE, 10 * SECOND) if kind == "swap" else None
+                    wish = self.holder.acquire(now, EXCHANGE, 10 * SECOND) if kind == "swap" else None
                     self.under[host] = (name, version), wish, now
                     self.loads.ordered()
         for host, (copy, wish, _) in list(self.under.items()):
             if wish is not None and wish.state not in ("asked", "held"):
                 self._loaded(now, host, host, None)
-            elif wish is None or wish.may(now):
+            elif wish is None or wish.valid_at(now):
                 known = self.known.get(host)
                 if known and copy in known[1]:
                     self._loaded(now, host, host, copy)
--- a/gaproute/simulation/campaigns_planner.py
+++ b/gaproute/simulation/campaigns_planner.py
@@ -23,7 +23,7 @@
         self.made = 0
 
     def plans(self, now):
-        return self.wish is not None and self.wish.may(now)
+        return self.wish is not None and self.wish.valid_at(now)
 
     def asking(self, now):
         if not self.plans(now) or now < self.asked:
@@ -36,7 +36,7 @@
         if self.wish is None or self.wish.state not in ("asked", "held"):
             if now >= self.again:
                 self.again = now + EVERY // 2 + gateway.chance.below(EVERY)
-                self.wish, self.owners, self.sized = gateway.holder.take(now, PLANNER, SPAN), {}, {}
+                self.wish, self.owners, self.sized = gateway.holder.acquire(now, PLANNER, SPAN), {}, {}
                 self.planned = now + EVERY // 2
         if not self.plans(now) or now < self.planned:
             return []
@@ -50,10 +50,10 @@
         for host in play.hosts:
             if self.sized.get(host) != play.lent[host]:
                 self.sized[host] = play.lent[host]
-                gateway.holder.size(now, pool(host), play.lent[host])
+                gateway.holder.resize_pool(now, pool(host), play.lent[host])
         if "" not in self.sized:
             self.sized[""] = max(2, len(play.hosts) // 3)
-            gateway.holder.size(now, "rollouts/exchange", self.sized[""])
+            gateway.holder.resize_pool(now, "rollouts/exchange", self.sized[""])
         if not hosts:
             return []
         self.forecast.read(now, {"p": (gateway.weak.demand(now, "p", 0).total, 0.0, play.mean / SECOND)})
@@ -80,7 +80,7 @@
         given, out = paces(came, gateway.campaigns), []
         self.number += 1
         for name in alive:
-            orders = Orders(self.wish.fence, self.number, came[name], given[name], copies)
+            orders = Orders(self.wish.fencing_token, self.number, came[name], given[name], copies)
             if name == gateway.name:
                 gateway._orders(now, name, orders)
             else:
--- a/gaproute/simulation/keepchecks.py
+++ b/gaproute/simulation/keepchecks.py
@@ -119,11 +119,11 @@
             leader = None  # one that another has followed: nothing it says is agreed on
         for name in self.holders:
             other = world.seats[name]
-            if other.actor is None or not other.actor.wishes:
+            if other.actor is None or not other.actor.requests:
                 continue
             own = other.clock.own(world.now)
-            for wish in other.actor.wishes:
-                if wish.may(own):
+            for wish in other.actor.requests:
+                if wish.valid_at(own):
                     spent[wish.resource] = spent.get(wish.resource, 0) + wish.amount
                     held.append((other, wish))
         for resource, amount in spent.items():
@@ -132,13 +132,15 @@
         for other, wish in held:
             if wish.resource not in self.most:
                 was = self.fences.get(wish.resource, 0)
-                if wish.fence < was:
-                    yield f"fencing numbers grow: {other.name}, {wish.resource} by {wish.fence} after {was}"
-                self.fences[wish.resource] = wish.fence
+                if wish.fencing_token < was:
+                    token = wish.fencing_token
+                    yield f"fencing numbers grow: {other.name}, {wish.resource} by {token} after {was}"
+                self.fences[wish.resource] = wish.fencing_token
             if leader is not None:
-                _, when = leader.actor.lead.clocks.deadlines.get(wish.fence, (0, None))
-                if when is not None and leader.clock.true(when) < other.clock.true(wish.end):
-                    yield f"the holder's end comes first: {other.name} after {leader.name}, {wish.fence}"
+                _, when = leader.actor.lead.clocks.deadlines.get(wish.fencing_token, (0, None))
+                if when is not None and leader.clock.true(when) < other.clock.true(wish.expires_at):
+                    token = wish.fencing_token
+                    yield f"the holder's end comes first: {other.name} after {leader.name}, {token}"
 
 
 def agreed(play):
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -7,7 +7,7 @@
 a holder is cut off.
 """
 
-from gaproute.shared.leases import Holder, LeaseTable
+from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.shared.raft import Keeper, log
 from gaproute.shared.raft import keeper as module
@@ -78,7 +78,7 @@
 
     def holder(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
-        return Holder(name, self.named, chance, now)
+        return LeaseClient(name, self.named, chance, now)
 
     def leader(self, world):
         leading = [
@@ -95,8 +95,8 @@
         span = self.span // (chance.of((1, 1, 2, 4)) if self.kind == "common" else 1)
 
         def ask(actor, now):
-            if len(actor.wishes) < 4:
-                actor.take(now, resource, span, amount)
+            if len(actor.requests) < 4:
+                actor.acquire(now, resource, span, amount)
 
         world.ask(chance.of(self.holders), ask)
 
@@ -104,15 +104,15 @@
         place = chance.below(4)
 
         def ask(actor, now):
-            if place < len(actor.wishes):
-                actor.give(now, actor.wishes[place])
+            if place < len(actor.requests):
+                actor.release(now, actor.requests[place])
 
         world.ask(chance.of(self.holders), ask)
 
     def size(self, world, chance):
         resource = chance.of(list(POOLS))
         amount = chance.of(POOLS[resource])
-        world.ask(chance.of(self.holders), lambda actor, now: actor.size(now, resource, amount))
+        world.ask(chance.of(self.holders), lambda actor, now: actor.resize_pool(now, resource, amount))
 
     def change(self, world, chance):
         """One name of the configuration by another, once all have the one before; each hears it when it
@@ -133,7 +133,13 @@
             self.spare = left
 
     def tell(self, world, name):
-        if world.ask(name, lambda actor, now: actor.named(now, self.named)):
+        def configure(actor, now):
+            if isinstance(actor, LeaseClient):
+                actor.set_configured_members(now, self.named)
+            else:
+                actor.named(now, self.named)
+
+        if world.ask(name, configure):
             self.told[name] = tuple(self.named)
 
 
--- a/gaproute/simulation/mutants.py
+++ b/gaproute/simulation/mutants.py
@@ -10,8 +10,9 @@
 from typing import NamedTuple
 
 from gaproute.shared.leases import commands
+from gaproute.shared.leases.client import LeaseClient
 from gaproute.shared.leases.expiry import ExpiryTimers
-from gaproute.shared.leases.holder import Holder, Wish
+from gaproute.shared.leases.requests import LeaseRequest
 from gaproute.shared.leases.table import LeaseTable
 from gaproute.shared.raft import election, following, founding, leading, members, requests
 from gaproute.shared.raft.keeper import Keeper
@@ -196,22 +197,27 @@
     _m(
         "a holder counts from the answer",
         (FIRST, HOLDER, STANDS, SPENT),
-        (Holder._answered, "self._until(wish, job.sent)", "self._until(wish, now)"),
+        (LeaseClient._acquired, "self._extend(request, first_sent)", "self._extend(request, now)"),
+        (LeaseClient._completed, "self._extend(request, command.first_sent)", "self._extend(request, now)"),
         kind="tight",
         seed=13,
     ),
     _m(
         "a holder goes on after the end",
         (FIRST, HOLDER, STANDS, SPENT),
-        (Wish.may, " and now < self.end", ""),
-        (Holder.tick, "wish.end is not None and now >= wish.end", "False"),
+        (LeaseRequest.valid_at, " and now < self.expires_at", ""),
+        (
+            LeaseClient._release_expired,
+            "request.expires_at is not None and now >= request.expires_at",
+            "False",
+        ),
         kind="tight",
         seed=7,
     ),
     _m(
         "what is given back is still used",
         (FIRST, HOLDER, STANDS, SPENT),
-        (Holder.give, 'self._end(wish, "given")', "pass"),
+        (LeaseClient.release, "self._end(request, LeaseState.RELEASED)", "pass"),
         seed=4,
     ),
     _m(
--- a/gaproute/simulation/rounds_actors.py
+++ b/gaproute/simulation/rounds_actors.py
@@ -10,7 +10,7 @@
 from gaproute.maintenance.invariants import check_belief, check_given, check_round
 from gaproute.maintenance.warm import Shown
 from gaproute.shared.gossip import Weak
-from gaproute.shared.leases import Holder
+from gaproute.shared.leases import LeaseClient
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 PROBE = SECOND  # between two questions to one host
@@ -188,7 +188,7 @@
 
     def __init__(self, play, name, chance, now, peers, rounds):
         super().__init__(play, name, chance, now, peers)
-        self.holder = Holder(name, play.keepers, chance, now)
+        self.holder = LeaseClient(name, play.keepers, chance, now)
         self.rounds = [
             self.running(
                 asked,
@@ -205,8 +205,8 @@
         self.log, self.breaches = [], []
 
     @property
-    def wishes(self):
-        return self.holder.wishes
+    def requests(self):
+        return self.holder.requests
 
     @property
     def due(self):
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -8,7 +8,7 @@
 
 from gaproute.config import Mistakes, read_charter
 from gaproute.loop.streams import address
-from gaproute.shared.leases import Holder
+from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.errands import Errands, Order
 
 LONGEST = 300  # ms of a permit here, so that the quiet after founding is short
@@ -162,7 +162,7 @@
         def below(self, n):
             return 0
 
-    errands = Errands(Holder("g", ["k"], Once(), 0))
+    errands = Errands(LeaseClient("g", ["k"], Once(), 0))
     number = errands.ask(0, Order(take="x", span_ms=1000))["errand"]
     errands.ask(900 * MILLI, Order(keep=number))
     errands.tick(SECOND)
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -8,7 +8,7 @@
 from gaproute.peers.membership import Gossip
 from gaproute.shared.gossip import Page, Weak, Word
 from gaproute.shared.gossip.facts import HANDS, LIFE, key
-from gaproute.shared.leases import Holder, LeaseTable
+from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.membership import ALIVE, DEAD, Members
 from gaproute.shared.raft import Keeper
 from gaproute.standins.net import Net
@@ -122,11 +122,11 @@
     net = Voters(3, holders=1)
     held, sessions = [], []
     for life in range(3):
-        net.holders = {"h0": Holder("h0", net.names, net.chance, net.now)}  # a new process each time
-        wish = net.holders["h0"].take(net.now, f"room-{life}", 30 * SECOND)
+        net.holders = {"h0": LeaseClient("h0", net.names, net.chance, net.now)}  # a new process each time
+        wish = net.holders["h0"].acquire(net.now, f"room-{life}", 30 * SECOND)
         net.run(10 * SECOND)
-        assert wish.may(net.now)
-        held.append(wish.fence)
+        assert wish.valid_at(net.now)
+        held.append(wish.fencing_token)
         sessions.append(net.holders["h0"].session)
         for name in net.names:
             net.crash(name)
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -3,7 +3,7 @@
 import pytest
 from keepers_net import MILLI, SECOND, Chance, Net
 
-from gaproute.shared.leases import Holder, LeaseTable
+from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.leases.commands import (
     CLOCK_ERROR,
     MAX_DURATION,
@@ -143,12 +143,12 @@
 
 
 def holder(now=0):
-    return Holder("h", ("a", "b", "c"), Chance(1), now)
+    return LeaseClient("h", ("a", "b", "c"), Chance(1), now)
 
 
 def opened(now=0):
     one = holder(now)
-    wish = one.take(now, "host", 10 * SECOND)
+    wish = one.acquire(now, "host", 10 * SECOND)
     ((to, request),) = one.tick(now)
     assert (request.session, request.body) == (0, b"")
     told = one.hear(now, to, Reply(0, request.nonce, "done", opened=5))
@@ -158,18 +158,18 @@
 
 def test_a_permit_counts_from_when_it_was_first_asked_for():
     one, wish, (to, request) = opened()
-    assert not wish.may(0)
+    assert not wish.valid_at(0)
     ((other, again),) = one.tick(one.due)
     assert again == request and other != to
     granted = Reply(5, 1, "done", encode(CommandResult("", 3)))
-    assert one.hear(4 * SECOND, "z", granted) == [] and not wish.may(4 * SECOND)
+    assert one.hear(4 * SECOND, "z", granted) == [] and not wish.valid_at(4 * SECOND)
     one.hear(4 * SECOND, other, granted)
-    assert wish.may(4 * SECOND) and wish.fence == 3 and wish.end == 10 * SECOND
+    assert wish.valid_at(4 * SECOND) and wish.fencing_token == 3 and wish.expires_at == 10 * SECOND
     ((_, renewal),) = one.tick(5 * SECOND)
-    assert renewal.body == encode(RenewLease(3, "h", 10 * SECOND)) and wish.may(9 * SECOND)
-    assert not wish.may(10 * SECOND)  # nobody heard
+    assert renewal.body == encode(RenewLease(3, "h", 10 * SECOND)) and wish.valid_at(9 * SECOND)
+    assert not wish.valid_at(10 * SECOND)  # nobody heard
     one.tick(10 * SECOND)
-    assert wish.state == "over" and not one.wishes
+    assert wish.state == "over" and not one.requests
 
 
 def test_an_answer_that_comes_too_late_is_given_back():
@@ -180,9 +180,9 @@
 
 def test_given_back_while_it_was_asked_for():
     one, wish, (to, request) = opened()
-    one.give(0, wish)
+    one.release(0, wish)
     ((_, back),) = one.hear(SECOND, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
-    assert back.body == encode(ReleaseLease(3, "h")) and not wish.may(SECOND)
+    assert back.body == encode(ReleaseLease(3, "h")) and not wish.valid_at(SECOND)
 
 
 def test_it_goes_where_it_is_sent_but_not_round_and_round():
@@ -198,12 +198,12 @@
 def test_a_forgotten_session_leaves_a_take_unknown_and_says_other_things_again():
     one, wish, (to, request) = opened()
     assert one.hear(0, to, Reply(5, 1, "forgotten")) == []
-    assert wish.state == "refused" and wish.why == "outcome unknown" and one.due is None
+    assert wish.state == "refused" and wish.reason == "outcome unknown" and one.due is None
     other, wish, (to, request) = opened()
     other.hear(0, to, Reply(5, 1, "done", encode(CommandResult("", 3))))
     other.tick(5 * SECOND)
-    ((to, opening),) = other.hear(5 * SECOND, other.to, Reply(5, 2, "forgotten"))
-    assert opening.session == 0 and wish.may(9 * SECOND)
+    ((to, opening),) = other.hear(5 * SECOND, other.target, Reply(5, 2, "forgotten"))
+    assert opening.session == 0 and wish.valid_at(9 * SECOND)
     ((_, again),) = other.hear(5 * SECOND, to, Reply(0, opening.nonce, "done", opened=9))
     assert again == Request(9, 1, encode(RenewLease(3, "h", 10 * SECOND)))
 
@@ -217,32 +217,32 @@
 def test_a_holder_that_leaves_gives_all_back():
     net = settled()
     for name in ("host-1", "host-2"):
-        net.holders["h0"].take(net.now, name, 4 * SECOND)
+        net.holders["h0"].acquire(net.now, name, 4 * SECOND)
     net.run(SECOND)
     assert len(net.leader.machine.leases) == 2
-    net.holders["h0"].leave(net.now)
+    net.holders["h0"].release_all(net.now)
     net.run(SECOND)
     assert not net.leader.machine.leases and net.holders["h0"].due is None
 
 
 def test_a_holder_that_dies_is_followed_only_after_its_end():
     net = settled()
-    wish = net.holders["h0"].take(net.now, "host", 4 * SECOND)
+    wish = net.holders["h0"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
-    assert wish.may(net.now) and wish.fence == 1
+    assert wish.valid_at(net.now) and wish.fencing_token == 1
     del net.holders["h0"]
-    other = net.holders["h1"].take(net.now, "host", 4 * SECOND)
+    other = net.holders["h1"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
-    assert other.state == "refused" and other.why == "taken"
+    assert other.state == "refused" and other.reason == "taken"
     net.run(6 * SECOND)
-    other = net.holders["h1"].take(net.now, "host", 4 * SECOND)
+    other = net.holders["h1"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
-    assert other.may(net.now) and other.fence == 2
+    assert other.valid_at(net.now) and other.fencing_token == 2
 
 
 def test_a_new_leader_counts_anew():
     net = settled(1)
-    net.holders["h0"].take(net.now, "host", 4 * SECOND)
+    net.holders["h0"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
     del net.holders["h0"]
     net.run(2 * SECOND)
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -88,17 +88,17 @@
 
 def test_a_permit_over_sockets_outlives_the_leader_and_a_restart(group):
     holder = group.seats["h"].holder
-    wish = holder.take(group.loop.now(), "host-7", 10 * SECOND)
+    wish = holder.acquire(group.loop.now(), "host-7", 10 * SECOND)
     group.seats["h"].act()
     group.until(lambda: wish.state == "held")
-    assert wish.may(group.loop.now()) and wish.fence == 1
+    assert wish.valid_at(group.loop.now()) and wish.fencing_token == 1
     gone = group.leader
     agreed, life = group.seats[gone].keeper.commit, group.seats[gone].keeper.life
     group.end(gone)
-    other = holder.take(group.loop.now(), "host-8", 10 * SECOND)
+    other = holder.acquire(group.loop.now(), "host-8", 10 * SECOND)
     group.seats["h"].act()
     group.until(lambda: other.state == "held")
-    assert wish.may(group.loop.now()) and other.fence == 2
+    assert wish.valid_at(group.loop.now()) and other.fencing_token == 2
     group.start(gone)
     keeper = group.seats[gone].keeper
     assert keeper.life == life and keeper.log.last >= agreed - 1
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -52,7 +52,8 @@
             return wish
         if said(part, now):
             return next(
-                (wish for wish, hands in part.wishes.items() if hands < wish.amount and wish.may(now)), None
+                (wish for wish, hands in part.wishes.items() if hands < wish.amount and wish.valid_at(now)),
+                None,
             )
 
     patch(Spend, "may", hasty)
@@ -62,7 +63,9 @@
     def generous(self, now, name, host):
         part = self.parts.get(host)
         if said(part, now):
-            return next((wish for wish in part.wishes if wish.may(now + self.campaigns[name].need)), None)
+            return next(
+                (wish for wish in part.wishes if wish.valid_at(now + self.campaigns[name].need)), None
+            )
 
     patch(Spend, "may", generous)
 
@@ -94,7 +97,7 @@
     def hasty(self, now):
         tick(self, now)
         for wish in [wish for part in self.parts.values() for wish in part.closing if wish.state == "held"]:
-            self.holder.give(now, wish)
+            self.holder.release(now, wish)
 
     patch(Spend, "tick", hasty)
 
--- a/tests/rollouts/test_spend.py
+++ b/tests/rollouts/test_spend.py
@@ -2,7 +2,7 @@
 
 from gaproute.rollouts.invariants import check_sent, check_spend
 from gaproute.rollouts.spend import ASK, FRESH, Spend, pool
-from gaproute.shared.leases import Holder, LeaseTable
+from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.leases.commands import ResizePool, encode
 from gaproute.shared.raft.messages import Reply
 from tests.rollouts.test_campaign import SECOND, campaign
@@ -38,7 +38,7 @@
 
 def made(name="g", **words):
     given = {"c": campaign(**words), "d": campaign("d", cancel=False)}
-    return Spend(Holder(name, ["k"], Zero(), 0), given, 0)
+    return Spend(LeaseClient(name, ["k"], Zero(), 0), given, 0)
 
 
 def send(spend, now, name="c"):
@@ -106,7 +106,9 @@
             keeper.serve(now, spend)
             spend.report(now, "h", now, 8, False)
     assert send(one, now) + send(twin, now) == 6
-    assert sum(wish.amount for wish in [*one.holder.wishes, *twin.holder.wishes] if wish.may(now)) == 6
+    assert (
+        sum(wish.amount for wish in [*one.holder.requests, *twin.holder.requests] if wish.valid_at(now)) == 6
+    )
     now += ASK
     one.aim(now, {})
     keeper.serve(now, one)
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -114,7 +114,7 @@
         assert node.leading
         number = part.disk.counts["write"]
         part.disk.plan = FaultPlan(Script.of(*[("write", each, FULL) for each in range(1, 4)]))
-        wish = part.strong.seat.holder.take(part.loop.now(), "host-7", SECOND)
+        wish = part.strong.seat.holder.acquire(part.loop.now(), "host-7", SECOND)
         part.strong._act()
         part.run(SECOND)
         assert node.mute and not node.leading and wish.state == "asked"
--- a/tests/support/keepers_net.py
+++ b/tests/support/keepers_net.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from gaproute.shared.leases import Holder, LeaseTable
+from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import Keeper
 from gaproute.shared.raft.invariants import History, check_all
 
@@ -58,7 +58,7 @@
         self.keepers = {}
         for name in self.names:
             self.start(name)
-        self.holders = {f"h{n}": Holder(f"h{n}", self.names, self.chance, 0) for n in range(holders)}
+        self.holders = {f"h{n}": LeaseClient(f"h{n}", self.names, self.chance, 0) for n in range(holders)}
 
     def start(self, name):
         self.keepers[name] = Keeper(
