--- /dev/null
+++ b/gaproute/appliance/leases.py
@@ -0,0 +1,101 @@
+"""The leases of one gateway: its part in the Raft group, and the requests at the operators' address.
+
+Wires parts together and decides nothing.
+"""
+
+import secrets
+import time
+from typing import Any
+
+from gaproute.peers.raft import Seat
+from gaproute.shared.leases import LeaseTable
+from gaproute.shared.leases.operator_requests import (
+    OperatorCommand,
+    OperatorRequests,
+    PoolStatus,
+    RequestStatus,
+)
+from gaproute.storage.files import MOMENTARY
+from gaproute.storage.votes import Votes
+
+MILLI = 1_000_000
+RUN_BITS = 40  # of the number that a run's first request is drawn by,
+REQUEST_BITS = 12  # with the requests of that run below it: all fit JSON's 2^53
+
+
+class LeaseService:
+    """A gateway's lease client, and its node of the group where `line` names it.
+
+    `line`: the configuration's `keepers`. Raises OSError where the file of votes cannot be had. A disk that
+    fails for a while is no such error: the node is silent until it answers.
+    """
+
+    def __init__(self, loop: Any, name: str, line: Any, record: Any, chance: Any) -> None:
+        self.loop = loop
+        self.peers: dict[str, str] = {}  # addresses by name
+        self.disk: Any = None
+        if name in line.names:
+            self.disk = Votes(line.votes, lambda text: record.event("warning", "votes", text=text))
+            self._open()
+        self.seat = Seat(
+            loop,
+            name,
+            line.names,
+            self.peers,
+            record,
+            chance,
+            self.disk,
+            base=time.time_ns() // MILLI,
+            machine=LeaseTable(max_duration=line.longest),
+        )
+        last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
+        self.requests = OperatorRequests(self.seat.holder, line.longest, last_number)
+        self.timer: Any = None
+
+    def _open(self) -> None:
+        try:
+            self.disk.open()
+        except OSError as error:
+            if error.errno not in MOMENTARY:
+                raise
+            # the group's node opens it with its first read, which it repeats (`DISK_AGAIN`)
+
+    def listed(self, peers: dict[str, str]) -> None:
+        """The addresses by name of all gateways that may ask. Changed in place, as the carrier holds it."""
+        for name in [name for name in self.peers if name not in peers]:
+            del self.peers[name]
+        self.peers.update(peers)
+
+    def handle(self, server: Any, request: Any) -> None:
+        """A batch of messages from another gateway."""
+        self.seat.carrier.handle(server, request)
+
+    def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
+        """Carries out an operator's command. Raises `LeaseRequestError`."""
+        status = self.requests.execute(self.loop.now(), command)
+        self._act()
+        return status
+
+    def table(self) -> dict[str, Any]:
+        """What the operators' address shows; the JSON keys are older than the names here."""
+        return {"errands": self.requests.table(self.loop.now()), **self.seat.table()}
+
+    def _act(self) -> None:
+        self.requests.tick(self.loop.now())
+        self.seat.act()
+        if self.timer is not None:
+            self.timer.cancel()
+        due = self.requests.due
+        self.timer = None if due is None else self.loop.at(max(due, self.loop.now() + MILLI), self._act)
+
+    def stop(self) -> None:
+        """Releases all leases; `close` ends it."""
+        self.seat.stop()
+
+    def close(self) -> None:
+        """Ends it: timer, sockets, disk."""
+        if self.timer is not None:
+            self.timer.cancel()
+        self.seat.close()
+        if self.disk is not None:
+            self.disk.close()
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -4,7 +4,7 @@
 
 from gaproute.connections.descriptors import descriptors
 from gaproute.http1 import Server
-from gaproute.shared.leases.errands import read_order
+from gaproute.shared.leases.operator_requests import decode_command
 
 MILLI = 1_000_000
 
@@ -108,9 +108,9 @@
     return [row | {"learnt": learnt.get(row["name"])} for row in rows]
 
 
-def permits(gate):
-    """What this gateway holds, and its part among the keepers."""
-    return gate.others.strong and gate.others.strong.table()
+def leases(gate):
+    """The leases of this gateway, and its part in the Raft group."""
+    return gate.others.leases and gate.others.leases.table()
 
 
 def events(gate):
@@ -122,7 +122,7 @@
     b"/hosts": host_table,
     b"/knows": knowledge,
     b"/peers": peer_table,
-    b"/permits": permits,
+    b"/permits": leases,
     b"/events": events,
 }
 
@@ -137,7 +137,7 @@
 
     def handle(self, request):
         if request.target == b"/permits" and request.method == b"POST":
-            self.order(request)
+            self.execute(request)
             return
         table = TABLES.get(request.target)
         names = [path.decode() for path in TABLES]
@@ -146,13 +146,13 @@
         )
         self.server.answer(request, 200 if table else 404, ((b"Content-Type", b"application/json"),), body)
 
-    def order(self, request):
-        """A permit taken, kept or given back for whoever asks (`docs/permits.md`)."""
-        strong, status = self.gate.others.strong, 200
+    def execute(self, request):
+        """A lease requested, extended or released for whoever asks (`docs/leases.md`)."""
+        service, status = self.gate.others.leases, 200
         try:
-            if strong is None:
+            if service is None:
                 raise ValueError("no keepers line in the configuration")
-            told = strong.ask(read_order(request.body))
+            told = service.execute(decode_command(request.body))
         except (ValueError, msgspec.ValidationError) as fault:
             told, status = {"error": str(fault)}, 400
         self.server.answer(
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -1,7 +1,7 @@
 """What one gateway has to do with the others and with its own past life: parts wired, nothing decided."""
 
 from gaproute.appliance.keeping import Keeper
-from gaproute.appliance.strong import Strong
+from gaproute.appliance.leases import LeaseService
 from gaproute.config import read_peers
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.reports.facts import Fact
@@ -17,7 +17,7 @@
 from gaproute.peers.raft.wire import LONGEST
 from gaproute.storage import Memory, NoMemory
 
-# Of those that ask at a gateway that takes part in the strong word: batches are long, and every gateway of
+# Of those that ask at a gateway that takes part in leases: batches are long, and every gateway of
 # a large fleet may hold a connection to each keeper.
 FORWARDED_HEAD = 4096  # bytes of headers that a gateway adds to a client's
 ASKED = Limits(body=LONGEST, pipelined=1, connections=4096, buffered=4 * LONGEST)
@@ -37,7 +37,7 @@
     def __init__(self, loop, charter, gateway, record, seed, cells=None):
         self.cells = cells
         self.loop, self.charter, self.gateway, self.record, self.seed = loop, charter, gateway, record, seed
-        self.giver = self.learner = self.gossip = self.weak = self.keeper = self.watch = self.strong = None
+        self.giver = self.learner = self.gossip = self.weak = self.keeper = self.watch = self.leases = None
         self.roll, self.lore = Roll(), Lore()
         self.tracks = [line.name for line in charter.tracks]
         self.chance = Chance(seed + 1)
@@ -54,8 +54,10 @@
                 self.loop, self.charter.name, self.giver.address, Chance(self.seed + 2), self.record
             )
             if line is not None:
-                self.strong = Strong(self.loop, self.charter.name, line, self.record, Chance(self.seed + 5))
-                self.giver.also[TARGET] = self.strong.handle
+                self.leases = LeaseService(
+                    self.loop, self.charter.name, line, self.record, Chance(self.seed + 5)
+                )
+                self.giver.also[TARGET] = self.leases.handle
         except OSError:
             self.giver.close()
             raise
@@ -125,8 +127,8 @@
         others = [peer for peer in peers if peer.name != self.charter.name]
         if self.gossip is not None:
             self.gossip.listed(others)
-        if self.strong is not None:
-            self.strong.listed({peer.name: peer.where for peer in others})
+        if self.leases is not None:
+            self.leases.listed({peer.name: peer.where for peer in others})
         if self.cells is not None:
             self.cells.peers({peer.name: peer.where for peer in others})
         self.learner.listed(others)
@@ -140,13 +142,13 @@
         return sum(part.spent for part in (self.giver, self.keeper) if part is not None)
 
     def stop(self):
-        for part in (self.gossip, self.strong):
+        for part in (self.gossip, self.leases):
             if part is not None:
                 part.stop()
         if self.watch is not None:
             self.watch.close()
 
     def close(self):
-        for part in (self.watch, self.learner, self.weak, self.gossip, self.strong, self.keeper):
+        for part in (self.watch, self.learner, self.weak, self.gossip, self.leases, self.keeper):
             if part is not None:
                 part.close()
--- a/gaproute/shared/__init__.py
+++ b/gaproute/shared/__init__.py
@@ -1,3 +1,2 @@
-"""What processes share, decided without I/O: the weak word, which fades and only advises, and the strong
-word, a permit that few keepers agreed on (`keepers/`: the agreement, `permits/`: what is agreed and the
-holder's side)."""
+"""What processes share, decided without I/O: gossip, which fades and only advises, and leases that the
+members of a Raft group agreed on (`raft/`: the agreement; `leases/`: what is agreed on, the holder's side)."""
--- /dev/null
+++ b/gaproute/shared/leases/operator_requests.py
@@ -0,0 +1,176 @@
+"""Leases that this gateway holds for somebody who asks at the operators' address, such as a crew.
+
+Whoever asked may die without a word, and the gateway would renew its lease for ever. So each request has a
+deadline of its own, by this gateway's clock from when it was made; who still needs the lease extends it in
+time. The asker counts from when it sent its own question, which was earlier, so its deadline is never the
+later one. A crew that forgets to extend works on without a lease, as if the gateway had died.
+
+The JSON keys at that address are older than the names here: `take` acquires, `keep` extends, `give` releases,
+`size` resizes a pool; a request's number is its `errand`.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Annotated, TypedDict
+
+import msgspec
+from msgspec import Meta
+
+from gaproute.shared.leases.client import LeaseClient
+from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
+from gaproute.shared.leases.requests import LeaseRequest, LeaseRequestError, LeaseState
+from gaproute.shared.messages import HIGHEST, NAME
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+
+MAX_REQUESTS = 1024  # at once: as many as the client takes
+SHOWN_AFTER_END = 60 * SECOND  # that a request which has ended is still shown: time to read why
+
+Resource = Annotated[str, Meta(max_length=NAME)]
+
+JSON_KEYS = {"acquire": "take", "extend": "keep", "release": "give", "resize": "size"}
+
+
+class OperatorCommand(msgspec.Struct, forbid_unknown_fields=True, rename=JSON_KEYS):
+    """One of `acquire` (a resource), `extend` or `release` (a request's number), `resize` (a resource).
+
+    `span_ms`: the lease's duration: how long the resource stays taken at most if this gateway dies.
+    `for_ms`: until the gateway releases it unasked; 0: the duration.
+    """
+
+    acquire: Resource = ""
+    extend: int = 0
+    release: int = 0
+    resize: Resource = ""
+    amount: Annotated[int, Meta(ge=0, le=HIGHEST)] = 1
+    span_ms: int = 30_000
+    for_ms: int = 0
+
+
+decode_command: Callable[[bytes], OperatorCommand] = msgspec.json.Decoder(OperatorCommand).decode
+
+
+class RequestStatus(TypedDict):
+    """A request as JSON at the operators' address. `ms_left`: that the asker may act, from when it asked."""
+
+    errand: int
+    resource: str
+    amount: int
+    state: str
+    why: str
+    fence: int
+    ms_left: int
+
+
+class PoolStatus(TypedDict):
+    """The answer to a resize, as JSON."""
+
+    size: str
+    amount: int
+
+
+@dataclass
+class OperatorRequest:
+    """A lease request with a deadline of its own. `ended_at`: when it was seen to be neither requested nor
+    held any more."""
+
+    request: LeaseRequest
+    deadline: int
+    ended_at: int | None = None
+
+
+class OperatorRequests:
+    """The requests by their numbers.
+
+    `max_duration`: ns of a lease, by the configuration. `last_number`: the numbers of this run of the gateway
+    are above it, drawn anew at each start: who was away meanwhile must not take another's request for its
+    own. `due` and `tick` are as of the client.
+    """
+
+    def __init__(self, client: LeaseClient, max_duration: int = MAX_DURATION, last_number: int = 0) -> None:
+        self.client, self.max_duration = client, max_duration
+        self.requests: dict[int, OperatorRequest] = {}
+        self.last_number = last_number
+
+    def execute(self, now: int, command: OperatorCommand) -> RequestStatus | PoolStatus:
+        """Carries out the command. Raises `LeaseRequestError` with what is wrong."""
+        fields = [name for name in JSON_KEYS if getattr(command, name)]
+        if len(fields) != 1:
+            raise LeaseRequestError("one of take, keep, give and size is asked for at a time")
+        if command.resize:
+            self.client.resize_pool(now, command.resize, command.amount)
+            return {"size": command.resize, "amount": command.amount}
+        if command.acquire:
+            return self._acquire(now, command)
+        number = command.extend or command.release
+        held = self.requests.get(number)
+        if held is None:
+            raise LeaseRequestError(f"no errand {number}")
+        if command.release:
+            self.client.release(now, held.request)
+        elif held.ended_at is None:
+            wanted = _duration(command.for_ms, MAX_DURATION) if command.for_ms else held.request.duration
+            held.deadline = max(held.deadline, now + wanted)
+        return self.status(now, number)
+
+    def _acquire(self, now: int, command: OperatorCommand) -> RequestStatus:
+        duration = _duration(command.span_ms, self.max_duration)
+        wanted = _duration(command.for_ms, MAX_DURATION) if command.for_ms else duration
+        self.tick(now)
+        if len(self.requests) >= MAX_REQUESTS:
+            raise LeaseRequestError(f"{MAX_REQUESTS} errands at once")
+        self.last_number += 1
+        request = self.client.acquire(now, command.acquire, duration, command.amount)
+        self.requests[self.last_number] = OperatorRequest(request, now + wanted)
+        return self.status(now, self.last_number)
+
+    def status(self, now: int, number: int) -> RequestStatus:
+        """What the operators' address shows of one request."""
+        held = self.requests[number]
+        request, left = held.request, 0
+        if request.valid_at(now) and request.expires_at is not None:
+            left = min(request.expires_at, held.deadline) - now
+        state = request.state
+        if state == LeaseState.HELD and left <= 0:
+            state = LeaseState.EXPIRED
+        return {
+            "errand": number,
+            "resource": request.resource,
+            "amount": request.amount,
+            "state": state.value,
+            "why": request.reason,
+            "fence": request.fencing_token,
+            "ms_left": max(0, left) // MILLI,
+        }
+
+    def table(self, now: int) -> list[RequestStatus]:
+        """All requests by number, those that ended lately among them."""
+        return [self.status(now, number) for number in sorted(self.requests)]
+
+    @property
+    def due(self) -> int | None:
+        """When `tick` is to be called next; None while there is no request."""
+        return min(map(_due, self.requests.values()), default=None)
+
+    def tick(self, now: int) -> None:
+        """Releases what nobody extended, forgets what has ended long ago."""
+        for number, held in list(self.requests.items()):
+            if held.ended_at is None and now >= held.deadline:
+                self.client.release(now, held.request)
+            if held.ended_at is None and not held.request.open:
+                held.ended_at = now
+            if held.ended_at is not None and now >= held.ended_at + SHOWN_AFTER_END:
+                del self.requests[number]
+
+
+def _due(held: OperatorRequest) -> int:
+    return held.deadline if held.ended_at is None else held.ended_at + SHOWN_AFTER_END
+
+
+def _duration(milliseconds: int, longest: int) -> int:
+    """In ns. Raises `LeaseRequestError` where it is out of bounds."""
+    if not MIN_DURATION <= milliseconds * MILLI <= longest:
+        raise LeaseRequestError(
+            f"{milliseconds} ms: {MIN_DURATION // MILLI} to {longest // MILLI} are possible"
+        )
+    return milliseconds * MILLI
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -1,4 +1,4 @@
-"""LeaseTable through whole gateways: the configuration's lines, the operators' address, keepers that die."""
+"""Leases through whole gateways: the configuration's lines, the operators' address, members that die."""
 
 import json
 import time
@@ -9,9 +9,9 @@
 from gaproute.config import Mistakes, read_charter
 from gaproute.loop.streams import address
 from gaproute.shared.leases import LeaseClient
-from gaproute.shared.leases.errands import Errands, Order
+from gaproute.shared.leases.operator_requests import OperatorCommand, OperatorRequests
 
-LONGEST = 300  # ms of a permit here, so that the quiet after founding is short
+MAX_DURATION = 300  # ms of a lease here, so that the initial wait is short
 
 
 def mistakes(*lines):
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    "lines, told",
+    ("lines", "told"),
     [
         ((*PEERS, "keepers g,h,i"), "a keeper without a file for its votes"),
         ((*PEERS, "keepers h,i votes /tmp/v"), "votes at a gateway that is no keeper"),
@@ -46,7 +46,7 @@
         lines = [
             f"listen peers unix:{self.folder}/{name}",
             "listen operator 127.0.0.1:0",
-            f"keepers a,b,c longest {LONGEST}ms"
+            f"keepers a,b,c longest {MAX_DURATION}ms"
             + (f" votes {self.folder}/{name}.votes" if name in "abc" else ""),
         ]
         lines += [f"peer {other} unix:{self.folder}/{other}" for other in "abcd" if other != name]
@@ -55,32 +55,32 @@
     def down(self, name):
         self.gates.pop(name).close()
 
-    def ask(self, name, **order):
-        """(status, what it is told) of one order at that gateway's operators' address."""
+    def ask(self, name, **command):
+        """(status, what it is told) of one command at that gateway's operators' address."""
         front = next(front for front in self.gates[name].fronts if type(front).__name__ == "Operator")
         self.made.at = address(front.address)
-        answer = self.made.wait(self.made.ask(path="/permits", body=json.dumps(order).encode()))
+        answer = self.made.wait(self.made.ask(path="/permits", body=json.dumps(command).encode()))
         return answer.status, json.loads(answer.body)
 
-    def errand(self, name, number):
+    def request(self, name, number):
         return next(
-            each for each in self.gates[name].others.strong.table()["errands"] if each["errand"] == number
+            each for each in self.gates[name].others.leases.table()["errands"] if each["errand"] == number
         )
 
     def leader(self):
         def leaders():
-            return [name for name in "abc" if self.gates[name].others.strong.seat.keeper.leading]
+            return [name for name in "abc" if self.gates[name].others.leases.seat.keeper.leading]
 
         self.made.until(leaders)
         return leaders()[0]
 
     def held(self, name, resource, for_ms=20_000):
-        """Takes it, again where it is refused, until it is held."""
+        """Acquires it, again where it is rejected, until it is held."""
 
         def one():
-            number = self.ask(name, take=resource, span_ms=LONGEST, for_ms=for_ms)[1]["errand"]
-            self.made.until(lambda: self.errand(name, number)["state"] != "asked")
-            return self.errand(name, number)
+            number = self.ask(name, take=resource, span_ms=MAX_DURATION, for_ms=for_ms)[1]["errand"]
+            self.made.until(lambda: self.request(name, number)["state"] != "asked")
+            return self.request(name, number)
 
         told = one()
         while told["state"] == "refused":
@@ -96,78 +96,82 @@
     return made
 
 
-def test_a_crew_takes_a_permit_that_nobody_else_gets_and_gives_it_back(site):
-    for after in range(0, LONGEST, 50):  # the machine stalls: to the gateways that is no time
-        site.made.loop.after(after * MILLI, time.sleep, 1.2 * LONGEST / 1000)
+def test_a_crew_acquires_a_lease_that_nobody_else_gets_and_releases_it(site):
+    for after in range(0, MAX_DURATION, 50):  # the machine stalls: to the gateways that is no time
+        site.made.loop.after(after * MILLI, time.sleep, 1.2 * MAX_DURATION / 1000)
     one = site.held("d", "out h0", for_ms=5000)
-    time.sleep(2 * LONGEST / 1000)
-    assert one["state"] == "held" and one["fence"] > 0
-    number = site.ask("a", take="out h0", span_ms=LONGEST)[1]["errand"]
-    site.made.until(lambda: site.errand("a", number)["state"] != "asked")
-    assert (site.errand("a", number)["state"], site.errand("a", number)["why"]) == ("refused", "taken")
+    time.sleep(2 * MAX_DURATION / 1000)
+    assert one["state"] == "held"
+    assert one["fence"] > 0
+    number = site.ask("a", take="out h0", span_ms=MAX_DURATION)[1]["errand"]
+    site.made.until(lambda: site.request("a", number)["state"] != "asked")
+    assert (site.request("a", number)["state"], site.request("a", number)["why"]) == ("refused", "taken")
     assert site.ask("d", give=one["errand"])[1]["state"] == "given"
     assert site.held("a", "out h0")["fence"] > one["fence"]
 
 
-def test_a_permit_outlives_its_leader_and_ends_when_nobody_asks_to_keep_it(site):
+def test_a_lease_outlives_its_leader_and_ends_when_nobody_extends_it(site):
     one = site.held("d", "out h1", for_ms=5000)
     leader = site.leader()
     site.down(leader)
     site.ask("d", keep=one["errand"], for_ms=6000)
-    site.made.until(lambda: site.errand("d", one["errand"])["state"] != "held")
+    site.made.until(lambda: site.request("d", one["errand"])["state"] != "held")
     site.up(leader)
     other = next(name for name in "abc" if name != leader)
     assert site.held(other, "out h1")["fence"] > one["fence"]
 
 
-def test_nothing_begins_without_a_majority_and_tasks_are_served_all_the_same(site):
+def test_no_lease_is_granted_without_a_majority_and_requests_are_served_all_the_same(site):
     site.held("d", "out h2")
     site.down("a")
     site.down("b")
-    number = site.ask("d", take="out h3", span_ms=LONGEST)[1]["errand"]
+    number = site.ask("d", take="out h3", span_ms=MAX_DURATION)[1]["errand"]
     site.made.at = address(site.gates["d"].fronts[0].address)
     assert site.made.wait(site.made.ask("lamp", "w1")).status == 200
-    site.made.rest(2 * LONGEST * MILLI)
-    assert site.errand("d", number)["state"] in ("asked", "given") and not site.errand("d", number)["fence"]
+    site.made.rest(2 * MAX_DURATION * MILLI)
+    assert site.request("d", number)["state"] in ("asked", "given")
+    assert not site.request("d", number)["fence"]
 
 
-def test_a_gateway_that_restarts_does_not_give_an_errands_number_again(site):
+def test_a_gateway_that_restarts_does_not_give_a_requests_number_again(site):
     before = site.held("d", "out h4")
     site.down("d")
     site.up("d")
-    after = site.ask("d", take="out h5", span_ms=LONGEST)[1]
+    after = site.ask("d", take="out h5", span_ms=MAX_DURATION)[1]
     assert abs(after["errand"] - before["errand"]) > 1
     assert site.ask("d", keep=before["errand"])[0] == 400
 
 
 @pytest.mark.parametrize(
-    "order, why",
+    ("command", "why"),
     [
         ({}, "one of take"),
         ({"take": "x", "give": 1}, "one of take"),
         ({"give": 9}, "no errand 9"),
         ({"take": "x", "span_ms": 10**9}, "are possible"),
-        ({"take": "x" * 500, "span_ms": LONGEST}, "length"),
+        ({"take": "x" * 500, "span_ms": MAX_DURATION}, "length"),
         ({"take": "x", "amount": -1}, "take"),
         ({"wish": 1}, "unknown field"),
     ],
 )
-def test_an_order_that_cannot_be_is_refused_by_name(site, order, why):
-    status, told = site.ask("d", **order)
-    assert status == 400 and (why in told["error"] or "Expected" in told["error"])
+def test_a_command_that_cannot_be_carried_out_is_rejected_by_name(site, command, why):
+    status, told = site.ask("d", **command)
+    assert status == 400
+    assert why in told["error"] or "Expected" in told["error"]
 
 
-def test_an_errand_that_nobody_keeps_is_given_back_and_then_forgotten():
+def test_a_request_that_nobody_extends_is_released_and_then_forgotten():
     class Once:
         def below(self, n):
             return 0
 
-    errands = Errands(LeaseClient("g", ["k"], Once(), 0))
-    number = errands.ask(0, Order(take="x", span_ms=1000))["errand"]
-    errands.ask(900 * MILLI, Order(keep=number))
-    errands.tick(SECOND)
-    assert errands.told(SECOND, number)["state"] == "asked"
-    errands.tick(1900 * MILLI)
-    assert errands.told(2 * SECOND, number)["state"] == "given"
-    errands.tick(70 * SECOND)
-    assert errands.errands == {} and errands.due is None
+    requests = OperatorRequests(LeaseClient("g", ["k"], Once(), 0))
+    number = requests.execute(0, OperatorCommand(acquire="x", span_ms=1000))["errand"]
+    requests.execute(900 * MILLI, OperatorCommand(extend=number))
+    requests.tick(SECOND)
+    assert requests.status(SECOND, number)["state"] == "asked"
+    requests.tick(1900 * MILLI)
+    assert requests.status(2 * SECOND, number)["state"] == "given"
+    requests.tick(70 * SECOND)
+    assert requests.requests == {}
+    assert requests.due is None
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -390,7 +390,7 @@
     r"|CURRENT_TIMESTAMP"
 )
 ALLOWED = {  # lines that read it, by file; each has its row in docs/crossings.md
-    "appliance/strong.py": 1,
+    "appliance/leases.py": 1,
     "conf/words/kinds.py": 1,
     "discovery/changelog/events.py": 1,
     "discovery/listing.py": 2,
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -8,7 +8,7 @@
 from faulty_ledger import Broken, Node, Records, Tables, hunt, play
 from ledger_mutants import PLANTED
 
-from gaproute.appliance.strong import Strong
+from gaproute.appliance.leases import LeaseService
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
 from gaproute.faultinjection.plan import Failure, FaultPlan, Script
@@ -70,8 +70,8 @@
 
     def start(self):
         record = SimpleNamespace(event=lambda level, what, **told: self.events.append((what, told)))
-        self.strong = Strong(self.loop, "a", self.line, record, Chance(1))
-        return self.strong.seat.keeper
+        self.leases = LeaseService(self.loop, "a", self.line, record, Chance(1))
+        return self.leases.seat.keeper
 
     def run(self, span):
         end = self.loop.now() + span
@@ -80,7 +80,7 @@
             self.loop.turn()
 
     def close(self):
-        self.strong.close()
+        self.leases.close()
         self.loop.close()
 
 
@@ -114,11 +114,11 @@
         assert node.leading
         number = part.disk.counts["write"]
         part.disk.plan = FaultPlan(Script.of(*[("write", each, FULL) for each in range(1, 4)]))
-        wish = part.strong.seat.holder.acquire(part.loop.now(), "host-7", SECOND)
-        part.strong._act()
+        request = part.leases.seat.holder.acquire(part.loop.now(), "host-7", SECOND)
+        part.leases._act()
         part.run(SECOND)
-        assert node.mute and not node.leading and wish.state == "asked"
+        assert node.mute and not node.leading and request.state == "asked"
         part.run(20 * SECOND)
-        assert node.leading and wish.state == "held" and part.disk.counts["write"] > number + 3
+        assert node.leading and request.state == "held" and part.disk.counts["write"] > number + 3
         part.close()
     assert part.disk.open_descriptors == 0 and not (tmp_path / "votes.new").exists()
