--- a/gaproute/shared/__init__.py
+++ b/gaproute/shared/__init__.py
@@ -1,2 +1,5 @@
-"""What processes share, decided without I/O: gossip, which fades and only advises, and leases that the
-members of a Raft group agreed on (`raft/`: the agreement; `leases/`: what is agreed on, the holder's side)."""
+"""What processes share, decided without I/O.
+
+Gossip fades and only advises (`gossip/`, over `membership/`). Leases are what the members of a Raft group
+agreed on (`raft/`: the agreement; `leases/`: the state machine and the holder's side).
+"""
