--- a/gaproute/cluster/crews.py
+++ b/gaproute/cluster/crews.py
@@ -1,8 +1,8 @@
-"""Crews of a cluster: they take, keep and give back permits at the operators' addresses, and note what
+"""Crews of a cluster: they acquire, extend and release leases at the operators' addresses, and note what
 they held when, by the machine's one monotonic clock. Stand-ins for whoever does what must not be done twice.
 
-A gateway numbers its errands from 1 in each of its lives. So a crew that finds its gateway gone takes its
-errand for gone, and never asks the next life for it: the number may be another crew's by then.
+A gateway draws the numbers of its lease requests anew at each start. So a crew that finds its gateway gone
+takes its request for gone, and never asks the next process for it.
 """
 
 from typing import ClassVar
@@ -15,12 +15,13 @@
 from gaproute.standins.tap import read
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-LOOK = 40 * MILLI  # between questions about an errand
-REST = 60 * MILLI  # between errands of one crew, at most
-KEPT = 1200 * MILLI  # that a gateway keeps an errand which nobody asks to go on: a crew that died
-#                              holds a resource for so long, and a wish waits for so long
+LOOK = 40 * MILLI  # between questions about a request
+REST = 60 * MILLI  # between requests of one crew, at most
+# That a gateway holds a request which nobody extends: a crew that died holds a resource for so long, and a
+# request waits for so long.
+EXTENSION = 1200 * MILLI
 BREACH = b'"event":"breach"'  # in a gateway's log: one of its own checks does not hold
-GIVEN = 5  # of ten errands that are given back; two are kept on, of the rest no word comes
+RELEASED = 5  # of ten requests; two are extended, of the rest the crew says nothing more
 
 
 class CrewsLine(Directive):
@@ -29,7 +30,7 @@
     count: int = Field(6, ge=1, le=256)
     resources: int = Field(3, ge=1, le=256)
     keepers: int = Field(3, ge=1, le=7)  # the first gateways; each with its votes in the run's folder
-    longest: Span = SECOND  # of a permit; a founded log grants nothing for so long
+    longest: Span = SECOND  # of a lease; a new log grants nothing for so long
     span: Span = 600 * MILLI
     hold: Span = 700 * MILLI  # that a crew works, at most
     fell_leader: Span = 0  # when the leader's process is killed; 0: never
@@ -53,7 +54,7 @@
         self.over = False
 
     def lines(self, number):
-        """What a gateway's configuration has beside: its operators' address, the keepers."""
+        """What a gateway's configuration has beside: its operators' address, the group's members."""
         if self.line is None:
             return []
         names = ",".join(f"g{keeper}" for keeper in range(self.line.keepers))
@@ -79,30 +80,30 @@
         return ask(self.loop, self.harness.table.operator(number), "/permits", order)
 
     def crew(self, place):
-        """A coroutine: one errand after another, each at a gateway that is drawn anew."""
+        """A coroutine: one request after another, each at a gateway that is drawn anew."""
         random, line, name = self.harness.chance(self.line, f"crew {place}"), self.line, f"crew-{place}"
         while not self.over:
             yield self.loop.sleep(random.randrange(REST))
             number = random.randrange(self.harness.script.day.gateways)
             resource = f"r{random.randrange(line.resources)}"
             told = yield self.ask(
-                number, {"take": resource, "span_ms": line.span // MILLI, "for_ms": KEPT // MILLI}
+                number, {"take": resource, "span_ms": line.span // MILLI, "for_ms": EXTENSION // MILLI}
             )
             if told in (LOST, SILENT) or "errand" not in told:
                 continue
             yield from self.work(name, number, told["errand"], resource, random)
 
-    def work(self, name, number, errand, resource, random):
-        """A coroutine: one errand to its end. A moment in which it may act ends `ms_left` after the question
+    def work(self, name, number, request, resource, random):
+        """A coroutine: one request to its end. A moment in which it may act ends `ms_left` after the question
         was sent, not after the answer came."""
         note, fence, until = self.harness.tap.note, None, 0
-        end = self.loop.now() + KEPT
+        end = self.loop.now() + EXTENSION
         while not self.over:
             sent = self.loop.now()
             told = yield self.ask(number)
             if told is LOST:
                 return
-            rows = [] if told is SILENT else [row for row in told["errands"] if row["errand"] == errand]
+            rows = [] if told is SILENT else [row for row in told["errands"] if row["errand"] == request]
             row = rows[0] if rows else None
             if row and row["state"] == "held":
                 if fence is None:
@@ -116,15 +117,15 @@
                 return
             if self.loop.now() >= end:
                 drawn = random.randrange(10)
-                if fence is not None and drawn >= GIVEN and drawn < GIVEN + 2:
+                if fence is not None and RELEASED <= drawn < RELEASED + 2:
                     end = self.loop.now() + random.randrange(self.line.hold)
-                    yield self.ask(number, {"keep": errand, "for_ms": KEPT // MILLI})
+                    yield self.ask(number, {"keep": request, "for_ms": EXTENSION // MILLI})
                     continue
-                if fence is not None and drawn >= GIVEN:
-                    return  # as if it had died: its last span runs out
+                if fence is not None and drawn >= RELEASED:
+                    return  # as if it had died: its lease expires
                 if fence is not None:
                     note("let go", crew=name, resource=resource, fence=fence)
-                yield self.ask(number, {"give": errand})
+                yield self.ask(number, {"give": request})
                 return
             yield self.loop.sleep(LOOK)
 
