--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -15,12 +15,14 @@
     PoolStatus,
     RequestStatus,
 )
+from gaproute.shared.randomness import RandomSource
 from gaproute.storage.files import MOMENTARY
 from gaproute.storage.votes import Votes
 
 MILLI = 1_000_000
-RUN_BITS = 40  # of the number that a run's first request is drawn by,
-REQUEST_BITS = 12  # with the requests of that run below it: all fit JSON's 2^53
+# A run of the gateway draws where the numbers of its requests begin: with them, all fit JSON's 2^53.
+RUN_BITS = 40
+REQUEST_BITS = 12
 
 
 class LeaseService:
@@ -30,13 +32,10 @@
     fails for a while is no such error: the node is silent until it answers.
     """
 
-    def __init__(self, loop: Any, name: str, line: Any, record: Any, chance: Any) -> None:
+    def __init__(self, loop: Any, name: str, line: Any, record: Any, chance: RandomSource) -> None:
         self.loop = loop
         self.peers: dict[str, str] = {}  # addresses by name
-        self.disk: Any = None
-        if name in line.names:
-            self.disk = Votes(line.votes, lambda text: record.event("warning", "votes", text=text))
-            self._open()
+        self.disk = self._open_votes(line.votes, record) if name in line.names else None
         self.seat = Seat(
             loop,
             name,
@@ -52,13 +51,16 @@
         self.requests = OperatorRequests(self.seat.holder, line.longest, last_number)
         self.timer: Any = None
 
-    def _open(self) -> None:
+    @staticmethod
+    def _open_votes(path: str, record: Any) -> Votes:
+        votes = Votes(path, lambda text: record.event("warning", "votes", text=text))
         try:
-            self.disk.open()
+            votes.open()
         except OSError as error:
             if error.errno not in MOMENTARY:
                 raise
             # the group's node opens it with its first read, which it repeats (`DISK_AGAIN`)
+        return votes
 
     def listed(self, peers: dict[str, str]) -> None:
         """The addresses by name of all gateways that may ask. Changed in place, as the carrier holds it."""
