--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -9,7 +9,7 @@
 from gaproute.peers.raft import wire
 from gaproute.peers.raft.carrier import TARGET
 from gaproute.shared.leases import Holder, Permits
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.simulation.plan import Plan
 from gaproute.simulation.world import World
 
@@ -55,7 +55,7 @@
 
     def keeper(self, name, disk, chance, now):
         """A member of the group."""
-        return Keeper(name, GROUP, disk, chance, now, Permits(quiet=False))
+        return RaftNode(name, GROUP, disk, chance, now, Permits(quiet=False))
 
     def holder(self, name, disk, chance, now):
         """A gateway that wants leases."""
--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -8,8 +8,8 @@
 from gaproute.decisions.chance import Chance
 from gaproute.shared.leases import Permits
 from gaproute.shared.leases.commands import Renew, Take, encode, read_answer
-from gaproute.shared.raft import Keeper
-from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Request
+from gaproute.shared.raft import RaftNode
+from gaproute.shared.raft.messages import Entry, EntryKind, Request
 from gaproute.shared.raft.sessions import Sessions
 from gaproute.storage.votes import Votes
 
@@ -36,7 +36,7 @@
     """A table of sessions, one a holder."""
     sessions = Sessions(Permits(quiet=False))
     for number in range(holders):
-        sessions.apply(number + 1, Entry(1, OPEN, body=f"gate-{number:04}".encode()))
+        sessions.apply(number + 1, Entry(1, EntryKind.OPEN_SESSION, body=f"gate-{number:04}".encode()))
     return sessions
 
 
@@ -60,7 +60,7 @@
 
     def __init__(self, path, seed):
         self.disk = Votes(path).open()
-        self.keeper = Keeper(NAME, [NAME], self.disk, Chance(seed), 0, Permits(quiet=False))
+        self.keeper = RaftNode(NAME, [NAME], self.disk, Chance(seed), 0, Permits(quiet=False))
         self.now = 0
 
     def settle(self):
@@ -79,7 +79,7 @@
         body = encode(Take("host-00001", HOLDER, 1, SPAN))
         while self.keeper.log.last < entries:
             nonce += 1
-            self.keeper.propose(COMMAND, session, nonce, body)
+            self.keeper.propose(EntryKind.COMMAND, session, nonce, body)
             body = encode(Renew(1, HOLDER, SPAN))
             if nonce % BATCH == 0 or self.keeper.log.last == entries:
                 self.settle()
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -4,7 +4,7 @@
 import secrets
 import time
 
-from gaproute.peers.raft import Seat
+from gaproute.peers.raft import HostedNode
 from gaproute.shared.leases import Permits
 from gaproute.shared.leases.errands import Errands
 from gaproute.storage.files import MOMENTARY
@@ -24,7 +24,7 @@
         if name in line.names:
             self.disk = Votes(line.votes, lambda text: record.event("warning", "votes", text=text))
             self._open()
-        self.seat = Seat(
+        self.seat = HostedNode(
             loop,
             name,
             line.names,
--- a/gaproute/config/words/fleet.py
+++ b/gaproute/config/words/fleet.py
@@ -8,7 +8,7 @@
 from gaproute.config.words.kinds import Address, Name, Started
 from gaproute.decisions.cells.bounds import MAX_NAME
 from gaproute.shared.leases.commands import LONGEST, SHORTEST
-from gaproute.shared.raft.messages import KEEPERS
+from gaproute.shared.raft.messages import MAX_MEMBERS
 
 FROM = "from"  # what sources of host lists are named after, in place of a folder
 MAX_SOURCES = 16  # of host lists
@@ -128,8 +128,8 @@
     def fits(self):
         if len(set(self.names)) < len(self.names):
             raise ValueError("a keeper is named twice")
-        if len(self.names) > KEEPERS:
-            raise ValueError(f"{KEEPERS} keepers at most, 3 or 5 are usual")
+        if len(self.names) > MAX_MEMBERS:
+            raise ValueError(f"{MAX_MEMBERS} keepers at most, 3 or 5 are usual")
         return self
 
 
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -1,7 +1,7 @@
 """Leases as a part: the product's seat among keepers and holders; each gateway keeps one lease up."""
 
 from gaproute.hollow.parts import Part
-from gaproute.peers.raft import Seat
+from gaproute.peers.raft import HostedNode
 from gaproute.shared.leases import Permits
 
 SECOND = 1_000_000_000
@@ -20,7 +20,7 @@
         self.loop, self.name = surroundings.loop, surroundings.name
         line = surroundings.charter.keepers
         self.peers = {}
-        self.seat = Seat(
+        self.seat = HostedNode(
             self.loop,
             self.name,
             line.names,
--- a/gaproute/peers/raft/seat.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -3,9 +3,10 @@
 
 from gaproute.peers.raft.carrier import Carrier
 from gaproute.shared.leases import Holder
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.shared.raft.invariants import replay
 from gaproute.shared.raft.messages import Reply
+from gaproute.shared.raft.role import Role
 
 MILLI = 1_000_000
 
@@ -13,7 +14,7 @@
 SLOW = 50 * MILLI  # a turn of the keeper above it is told: its disk holds up the gateway's tasks
 
 
-class Seat:
+class HostedNode:
     """`keepers`: names; `peers`: {name: address} of all gateways that may ask; `record.event(level, what,
     ...)`. With a `disk` (an opened `ledger.votes.Votes`) and its own name among the keepers it keeps as
     well. `carrier`: makes what carries the messages; a simulation hands in its own."""
@@ -26,7 +27,7 @@
         self.holder = Holder(name, keepers, chance, loop.now())
         self.keeper = None
         if disk is not None and name in keepers:
-            self.keeper = Keeper(name, keepers, disk, chance, loop.now(), machine, base)
+            self.keeper = RaftNode(name, keepers, disk, chance, loop.now(), machine, base)
             if self.keeper.store.lost:
                 record.event("error", "keeper's memory set aside", why=self.keeper.store.lost)
         self.seen = {}
@@ -82,7 +83,7 @@
         if now - begun > SLOW:
             self.record.event("warning", "keeper slow", ms=(now - begun) // MILLI)
         told = {
-            "keeper": keeper.role if keeper.role in ("leader", "follower") else None,
+            "keeper": keeper.role.value if keeper.role in (Role.LEADER, Role.FOLLOWER) else None,
             "keeper silent": keeper.mute,
             "members": [member.name for member in keeper.members],
         }
@@ -126,7 +127,7 @@
             "carried": dict(self.carrier.counts),
             "keeper": keeper
             and {
-                "role": keeper.role,
+                "role": keeper.role.value,
                 "term": keeper.term,
                 "leader": keeper.leader,
                 "agreed": keeper.commit,
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -10,12 +10,12 @@
 from msgspec import Meta
 
 from gaproute.shared.messages import NAME
-from gaproute.shared.raft.messages import MESSAGES, MOST_STATE
+from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, MESSAGES
 
 VERSION = 1
 MANY = 64  # messages in a batch: those of a few beats
 BATCH = 512 << 10  # bytes after which no further message joins a batch
-LONGEST = MOST_STATE + BATCH  # bytes of a batch: one snapshot and what went with it
+LONGEST = MAX_SNAPSHOT_BYTES + BATCH  # bytes of a batch: one snapshot and what went with it
 HEAD = b"\x93"  # MessagePack's mark of an array of three
 
 _one = msgspec.msgpack.Encoder().encode
--- a/gaproute/shared/raft/__init__.py
+++ b/gaproute/shared/raft/__init__.py
@@ -1,6 +1,6 @@
 """The agreement of the strong word: Raft (Ongaro and Ousterhout, 2014) among a few keepers, sans-I/O.
 
-    keeper = Keeper(name, keepers, disk, chance, now, machine=Permits(), base=0)
+    keeper = RaftNode(name, keepers, disk, chance, now, machine=Permits(), base=0)
         name      its own; `keepers`: names of all that the configuration names (own among them), 1 to 9
         disk      see below;  `chance.below(n)`;  `now`: own monotonic clock, int ns
         machine   what the entries mean (`gaproute.shared.leases.Permits()`), a new one for every keeper
@@ -16,7 +16,7 @@
 Nothing is told before it is on disk: `tick` and `hear` sync first and return nothing where that fails; the
 keeper is then `mute` (why, as text) until writing all anew succeeds, tried every few seconds.
 
-A crash: drop the Keeper, make a new one with the same disk. The disk's face (OSError from any of them:
+A crash: drop the RaftNode, make a new one with the same disk. The disk's face (OSError from any of them:
 full, read-only, torn; the keeper falls silent):
     disk.read() -> list of records (bytes) as appended, or Lost(why)     empty list: a new disk
     disk.append(record)       may be lost by a crash until
@@ -27,7 +27,7 @@
 An unsynced tail may be cut by a crash at any record. A record that was synced and cannot be read: Lost.
 """
 
-from gaproute.shared.raft.keeper import Keeper
+from gaproute.shared.raft.node import RaftNode
 from gaproute.shared.raft.records import Lost
 
-__all__ = ["Keeper", "Lost"]
+__all__ = ["RaftNode", "Lost"]
--- a/gaproute/shared/raft/founding.py
+++ b/gaproute/shared/raft/bootstrap.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gaproute.shared.raft.messages import MEMBERS, Entry, Hello, Member, Roll
+from gaproute.shared.raft.messages import BootstrapProbe, Entry, EntryKind, Member, Membership
 
 
 def tick(keeper, now, out):
@@ -18,12 +18,12 @@
     if not others:
         _found(keeper)
     for name in others:
-        out.append((name, Hello(keeper.life, 0, True)))
+        out.append((name, BootstrapProbe(keeper.life, 0, True)))
 
 
 def hello(keeper, now, sender, message, out):
     if not message.echo:
-        out.append((sender, Hello(keeper.life, message.life, keeper.store.blank)))
+        out.append((sender, BootstrapProbe(keeper.life, message.life, keeper.store.blank)))
     elif message.echo != keeper.life or not keeper.store.blank or keeper.name != keeper.keepers[0]:
         keeper.refuse("founding is over")
     else:
@@ -38,4 +38,6 @@
 def _found(keeper):
     lives = {**keeper.blanks, keeper.name: keeper.life}
     members = tuple(Member(name, lives[name]) for name in keeper.keepers)
-    keeper.store.put(1, Entry(0, MEMBERS, body=msgspec.msgpack.encode(Roll(members, keeper.base))))
+    keeper.store.put(
+        1, Entry(0, EntryKind.MEMBERSHIP, body=msgspec.msgpack.encode(Membership(members, keeper.base)))
+    )
--- a/gaproute/shared/raft/following.py
+++ b/gaproute/shared/raft/follower.py
@@ -1,16 +1,17 @@
 """The follower's side: entries and snapshots from the leader of the term (Raft 5.3, 7)."""
 
-from gaproute.shared.raft.messages import Ack
+from gaproute.shared.raft.messages import AppendEntriesResponse
+from gaproute.shared.raft.role import Role
 
 
 def _leader(keeper, now, sender, message, out):
     """Whether the sender leads a term that is not over; then it is followed."""
     if message.term < keeper.term:
-        out.append((sender, Ack(keeper.term, keeper.life, False, 0)))
+        out.append((sender, AppendEntriesResponse(keeper.term, keeper.life, False, 0)))
         return False
     if message.term > keeper.term:
         keeper.enter(now, message.term)
-    if keeper.role == "leader":
+    if keeper.role == Role.LEADER:
         keeper.note([f"one leader a term: {sender} and {keeper.name} lead {keeper.term}"])
         return False
     keeper.step_down(now)
@@ -27,7 +28,7 @@
         entries = entries[log.base - index :]
         index = log.base
     elif log.term(index) != message.last:
-        out.append((sender, Ack(keeper.term, keeper.life, False, _before(log, index))))
+        out.append((sender, AppendEntriesResponse(keeper.term, keeper.life, False, _before(log, index))))
         return
     for at, entry in enumerate(entries, index + 1):
         if log.term(at) == entry.term:
@@ -42,7 +43,7 @@
             return
     end = index + len(entries)
     keeper.commit = max(keeper.commit, min(message.commit, end))
-    out.append((sender, Ack(keeper.term, keeper.life, True, end)))
+    out.append((sender, AppendEntriesResponse(keeper.term, keeper.life, True, end)))
 
 
 def _before(log, index):
@@ -66,4 +67,4 @@
             return
         keeper.store.install(message.index, message.last, message.members, message.state)
         keeper.commit = keeper.applied = message.index
-    out.append((sender, Ack(keeper.term, keeper.life, True, message.index)))
+    out.append((sender, AppendEntriesResponse(keeper.term, keeper.life, True, message.index)))
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from gaproute.shared.leases.invariants import check_holders, check_permits
-from gaproute.shared.raft.messages import KEEPERS
+from gaproute.shared.raft.messages import MAX_MEMBERS
 from gaproute.shared.raft.sessions import OWN, SESSIONS
 
 KEPT = 16  # breaches held by a keeper: the first ones tell
@@ -39,7 +39,7 @@
         came.append(f"no entry of a later term: {log.last_term} above {store.term} at {keeper.name}")
     if keeper.leading is not (keeper.lead is not None):
         came.append(f"who leads has a leader's state: {keeper.name}")
-    if len(keeper.sessions.table) > SESSIONS or keeper.lead and len(keeper.lead.others) > 2 * KEEPERS:
+    if len(keeper.sessions.table) > SESSIONS or keeper.lead and len(keeper.lead.others) > 2 * MAX_MEMBERS:
         came.append(f"maps are bounded: {keeper.name}")
     return came
 
@@ -130,4 +130,6 @@
     """A line with all that is needed to look into a breach."""
     words = ("name", "life", "term", "role", "leader", "commit", "applied", "members", "mute")
     said = {word: getattr(keeper, word) for word in words}
-    return msgspec.json.encode({**said, "base": keeper.log.base, "last": keeper.log.last}).decode()
+    return msgspec.json.encode(
+        {**said, "role": keeper.role.value, "base": keeper.log.base, "last": keeper.log.last}
+    ).decode()
--- a/gaproute/shared/raft/leading.py
+++ b/gaproute/shared/raft/leader.py
@@ -3,9 +3,10 @@
 
 import msgspec
 
-from gaproute.shared.raft.members import next_roll
-from gaproute.shared.raft.messages import MEMBERS, NOTHING, Append, Entry, Install, Roll
-from gaproute.shared.raft.spans import BEAT, CHANGE, STATE_AGAIN, UNHEARD
+from gaproute.shared.raft.membership import next_membership
+from gaproute.shared.raft.messages import AppendEntries, Entry, EntryKind, InstallSnapshot, Membership
+from gaproute.shared.raft.role import Role
+from gaproute.shared.raft.timing import BEAT, CHANGE, STATE_AGAIN, UNHEARD
 
 PENDING = 512  # entries not yet agreed on: a megabyte at most; beyond it holders are told `busy`
 LAPSES = 64  # permits let go in one turn; a leader that was stopped may find many
@@ -22,7 +23,7 @@
         self.state_at = None  # when a snapshot was sent
 
 
-class Lead:
+class LeaderState:
     def __init__(self, now, first, clocks):
         self.since, self.first, self.clocks = now, first, clocks
         self.beat = now  # when the next words are due
@@ -42,7 +43,7 @@
     The entry with which a term begins is always taken: after a restart of all, nothing of a long log is
     known to be agreed on, and it is this entry that brings the agreement (5.4.2)."""
     index = keeper.log.last + 1
-    if kind != NOTHING and index - keeper.commit > PENDING:
+    if kind != EntryKind.NOOP and index - keeper.commit > PENDING:
         return 0
     keeper.store.put(index, Entry(keeper.term, kind, session, nonce, body))
     return index
@@ -94,8 +95,12 @@
     if keeper.log.rolls[-1][0] > keeper.commit or keeper.commit < lead.first or now - lead.changed < CHANGE:
         return
     matches = {name: (each.life, each.match) for name, each in lead.others.items()}
-    members = next_roll(keeper.members, keeper.keepers, lives_heard(keeper, now), matches, keeper.commit)
-    if members is not None and keeper.propose(MEMBERS, body=msgspec.msgpack.encode(Roll(members))):
+    members = next_membership(
+        keeper.members, keeper.keepers, lives_heard(keeper, now), matches, keeper.commit
+    )
+    if members is not None and keeper.propose(
+        EntryKind.MEMBERSHIP, body=msgspec.msgpack.encode(Membership(members))
+    ):
         lead.changed = now
 
 
@@ -134,7 +139,7 @@
             out.append(
                 (
                     name,
-                    Install(
+                    InstallSnapshot(
                         keeper.term,
                         keeper.life,
                         log.base,
@@ -149,14 +154,16 @@
     else:
         entries, before = log.behind(each.next), each.next - 1
         each.flying = bool(entries)
-    out.append((name, Append(keeper.term, keeper.life, before, log.term(before), keeper.commit, entries)))
+    out.append(
+        (name, AppendEntries(keeper.term, keeper.life, before, log.term(before), keeper.commit, entries))
+    )
 
 
 def acked(keeper, now, sender, ack, out):
     if ack.term > keeper.term:
         keeper.enter(now, ack.term)
         return
-    if keeper.role != "leader" or ack.term < keeper.term:
+    if keeper.role != Role.LEADER or ack.term < keeper.term:
         keeper.refuse("late")
         return
     each = keeper.lead.progress(sender)
--- a/gaproute/shared/raft/log.py
+++ b/gaproute/shared/raft/log.py
@@ -2,11 +2,11 @@
 
 import msgspec
 
-from gaproute.shared.raft.messages import MEMBERS, MOST_ENTRIES, Roll
+from gaproute.shared.raft.messages import MAX_ENTRIES, EntryKind, Membership
 
 BYTES = 128 << 10  # of the bodies in one message: several turns of commands, far from a socket's buffer
 
-read_roll = msgspec.msgpack.Decoder(Roll).decode
+decode_membership = msgspec.msgpack.Decoder(Membership).decode
 
 
 class Log:
@@ -43,7 +43,7 @@
         Errors: ValueError where it would leave a gap or fall into the snapshot, or is no roll."""
         if not self.base < index <= self.last + 1:
             raise ValueError(f"entry {index} does not follow {self.base} to {self.last}")
-        roll = read_roll(entry.body) if entry.kind == MEMBERS else None
+        roll = decode_membership(entry.body) if entry.kind == EntryKind.MEMBERSHIP else None
         del self.entries[index - self.base - 1 :]
         while self.rolls[-1][0] >= index:
             self.rolls.pop()
@@ -54,7 +54,7 @@
     def behind(self, index):
         """The entries from `index` on, as many as one message takes."""
         came, size = [], 0
-        for entry in self.entries[index - self.base - 1 :][:MOST_ENTRIES]:
+        for entry in self.entries[index - self.base - 1 :][:MAX_ENTRIES]:
             size += len(entry.body)
             if came and size > BYTES:
                 break
--- a/gaproute/shared/raft/members.py
+++ b/gaproute/shared/raft/membership.py
@@ -1,10 +1,10 @@
 """The next step of the members towards the configuration: one joins or one leaves, never both (Raft's
 single-server changes: any majority before and any after share a keeper)."""
 
-from gaproute.shared.raft.messages import KEEPERS, Member
+from gaproute.shared.raft.messages import MAX_MEMBERS, Member
 
 
-def next_roll(members, named, lives, matches, commit):
+def next_membership(members, named, lives, matches, commit):
     """The members after the next step, or None where there is none to take.
 
     `lives`: name: life of those heard lately; `matches`: name: (life, entries it has); `commit`: what a
@@ -17,7 +17,7 @@
     for name in named:
         life, match = matches.get(name, (0, 0))
         ready = life and lives.get(name) == life and match >= commit
-        if ready and name not in known and len(members) < KEEPERS:
+        if ready and name not in known and len(members) < MAX_MEMBERS:
             return tuple(sorted((*members, Member(name, life)), key=lambda member: member.name))
     for member in members:
         # Not before whoever takes its place has joined: fewer members bear fewer losses meanwhile.
--- a/gaproute/shared/raft/messages.py
+++ b/gaproute/shared/raft/messages.py
@@ -5,19 +5,28 @@
 lost its disk is another keeper, whose votes and acks nobody takes for the old one's.
 """
 
+from enum import IntEnum
 from typing import Annotated
 
 from msgspec import Meta
 
 from gaproute.shared.messages import Count, Message, Name
 
-MOST_ENTRIES = 64  # entries in one message: a heartbeat's worth of work, small next to a snapshot
+MAX_ENTRIES = 64  # entries in one message: a heartbeat's worth of work, small next to a snapshot
 BODY = 2048  # bytes of one command: names and a few numbers take a tenth of it
-MOST_STATE = 4 << 20  # bytes of a snapshot: all permits and sessions at their bounds take less
-KEEPERS = 9  # members at most: 3 or 5 are meant, one is added before another goes
+MAX_SNAPSHOT_BYTES = 4 << 20  # bytes of a snapshot: all permits and sessions at their bounds take less
+MAX_MEMBERS = 9  # members at most: 3 or 5 are meant, one is added before another goes
 
 Body = Annotated[bytes, Meta(max_length=BODY)]
-NOTHING, MEMBERS, OPEN, COMMAND = range(4)  # kinds of entries
+
+
+class EntryKind(IntEnum):
+    """What an entry of the log is; the numbers are those on the wire and on disk."""
+
+    NOOP = 0
+    MEMBERSHIP = 1
+    OPEN_SESSION = 2
+    COMMAND = 3
 
 
 class Member(Message):
@@ -25,11 +34,11 @@
     life: Count
 
 
-Members = Annotated[tuple[Member, ...], Meta(max_length=KEEPERS)]
+Members = Annotated[tuple[Member, ...], Meta(max_length=MAX_MEMBERS)]
 
 
-class Roll(Message):
-    """The body of an entry of kind MEMBERS: who the members are from here on. `base`: where the founder
+class Membership(Message):
+    """The body of an entry of kind MEMBERSHIP: who the members are from here on. `base`: where the founder
     wants fencing numbers to begin (0: no wish)."""
 
     members: Members
@@ -40,13 +49,13 @@
     """`session` and `nonce` name the holder's request; 0 where a keeper made the entry."""
 
     term: Count
-    kind: Annotated[int, Meta(ge=0, le=COMMAND)]
+    kind: EntryKind
     session: Count = 0
     nonce: Count = 0
     body: Body = b""
 
 
-class Hello(Message, tag=1):
+class BootstrapProbe(Message, tag=1):
     """From a keeper with an empty memory that may found; the answer echoes the asker's life, so that it is
     from after that life began. `blank`: never voted, never took an entry."""
 
@@ -55,7 +64,7 @@
     blank: bool
 
 
-class Ask(Message, tag=2):
+class RequestVote(Message, tag=2):
     """RequestVote. `index`, `last`: of the last entry and its term. `pre`: only whether it would be
     given."""
 
@@ -66,14 +75,14 @@
     pre: bool
 
 
-class Vote(Message, tag=3):
+class RequestVoteResponse(Message, tag=3):
     term: Count
     life: Count
     pre: bool
     given: bool
 
 
-class Append(Message, tag=4):
+class AppendEntries(Message, tag=4):
     """AppendEntries, a heartbeat without entries. `index`, `last`: of the entry before them."""
 
     term: Count
@@ -81,10 +90,10 @@
     index: Count
     last: Count
     commit: Count
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=MOST_ENTRIES)] = ()
+    entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)] = ()
 
 
-class Ack(Message, tag=5):
+class AppendEntriesResponse(Message, tag=5):
     """`ok`: all up to `index` is as the leader's and on disk. Otherwise: try behind `index`."""
 
     term: Count
@@ -93,15 +102,15 @@
     index: Count
 
 
-class Install(Message, tag=6):
-    """InstallSnapshot: the state after the entry `index` of term `last`; answered by an Ack."""
+class InstallSnapshot(Message, tag=6):
+    """InstallSnapshot: the state after the entry `index` of term `last`. An AppendEntriesResponse answers."""
 
     term: Count
     life: Count
     index: Count
     last: Count
     members: Members
-    state: Annotated[bytes, Meta(max_length=MOST_STATE)]
+    state: Annotated[bytes, Meta(max_length=MAX_SNAPSHOT_BYTES)]
 
 
 class Request(Message, tag=7):
@@ -126,4 +135,13 @@
     opened: Count = 0
 
 
-MESSAGES = Hello | Ask | Vote | Append | Ack | Install | Request | Reply
+MESSAGES = (
+    BootstrapProbe
+    | RequestVote
+    | RequestVoteResponse
+    | AppendEntries
+    | AppendEntriesResponse
+    | InstallSnapshot
+    | Request
+    | Reply
+)
--- a/gaproute/shared/raft/keeper.py
+++ b/gaproute/shared/raft/node.py
@@ -4,39 +4,38 @@
 
 from gaproute.shared.leases.clocks import Clocks
 from gaproute.shared.leases.machine import Permits
-from gaproute.shared.raft import election, following, founding, leading, requests
+from gaproute.shared.raft import bootstrap, election, follower, leader, requests
 from gaproute.shared.raft.invariants import KEPT, check_one
 from gaproute.shared.raft.messages import (
-    COMMAND,
-    KEEPERS,
-    MEMBERS,
-    Ack,
-    Append,
-    Ask,
-    Hello,
-    Install,
+    MAX_MEMBERS,
+    AppendEntries,
+    AppendEntriesResponse,
+    BootstrapProbe,
+    EntryKind,
+    InstallSnapshot,
     Member,
     Request,
-    Vote,
+    RequestVote,
+    RequestVoteResponse,
 )
+from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.sessions import Sessions
-from gaproute.shared.raft.spans import DISK_AGAIN, ELECTION
 from gaproute.shared.raft.store import Store
+from gaproute.shared.raft.timing import DISK_AGAIN, ELECTION
 
 KEEP = 1024  # entries applied that the log holds before a snapshot takes their place
-JUMP = 1 << 30  # a term so far above the own is nonsense: an election a second for 30 years
-FOLLOWER, ASKING, CANDIDATE, LEADER = "follower", "asking", "candidate", "leader"
+MAX_TERM_JUMP = 1 << 30  # a term so far above the own is nonsense: an election a second for 30 years
 HANDLERS = {
-    Ask: election.asked,
-    Vote: election.voted,
-    Append: following.append,
-    Install: following.install,
-    Ack: leading.acked,
-    Hello: founding.hello,
+    RequestVote: election.asked,
+    RequestVoteResponse: election.voted,
+    AppendEntries: follower.append,
+    InstallSnapshot: follower.install,
+    AppendEntriesResponse: leader.acked,
+    BootstrapProbe: bootstrap.hello,
 }
 
 
-class Keeper:
+class RaftNode:
     """The face is in the package's first lines. Reasons in `refused` are a fixed few."""
 
     def __init__(self, name, keepers, disk, chance, now, machine=None, base=0):
@@ -46,11 +45,11 @@
         self.store = Store(name, disk, chance, self.sessions.unpack)
         self.mute = self.store.broken  # why nothing is said, or ''
         self.again = now + DISK_AGAIN
-        self.role, self.leader, self.heard = FOLLOWER, "", now - 2 * ELECTION
+        self.role, self.leader, self.heard = Role.FOLLOWER, "", now - 2 * ELECTION
         self.votes = {}  # name: life, of those who gave this election
         self.blanks = {}  # name: life, of those that were as blank as a founder
         self.commit = self.applied = self.log.base  # a crash left what the store has, and nothing else
-        self.lead = None  # leading.Lead while it leads
+        self.lead = None  # leader.LeaderState while it leads
         self.refused = Counter()
         self.breaches, self.seen = [], None  # what the invariants found as it went, the first few
         self.named(now, keepers)
@@ -60,7 +59,7 @@
     life = property(lambda self: self.store.life)
     log = property(lambda self: self.store.log)
     members = property(lambda self: self.log.members)
-    leading = property(lambda self: self.role == LEADER)
+    leading = property(lambda self: self.role == Role.LEADER)
 
     @property
     def member(self):
@@ -79,8 +78,8 @@
 
     def named(self, now, keepers):
         """The names that the configuration has now. Errors: ValueError."""
-        if not 1 <= len(set(keepers)) <= KEEPERS:
-            raise ValueError(f"1 to {KEEPERS} keepers are named, not {len(set(keepers))}")
+        if not 1 <= len(set(keepers)) <= MAX_MEMBERS:
+            raise ValueError(f"1 to {MAX_MEMBERS} keepers are named, not {len(set(keepers))}")
         self.keepers = tuple(sorted(set(keepers)))
 
     def others(self):
@@ -107,15 +106,15 @@
         self.leader = ""  # a follower's as well
 
     def step_down(self, now):
-        if self.role != FOLLOWER:
-            self.role, self.lead, self.leader = FOLLOWER, None, ""
+        if self.role != Role.FOLLOWER:
+            self.role, self.lead, self.leader = Role.FOLLOWER, None, ""
             self.put_off(now)
 
     @property
     def due(self):
         if self.mute:
             return self.again
-        if self.role == LEADER:
+        if self.role == Role.LEADER:
             ends = self.lead.clocks.due
             return self.lead.beat if ends is None else min(self.lead.beat, ends)
         return self.election
@@ -124,14 +123,14 @@
         if self.mute:
             return self._wake(now)
         out = []
-        if self.role == LEADER:
-            leading.tick(self, now, out)
+        if self.role == Role.LEADER:
+            leader.tick(self, now, out)
         elif now >= self.election:
             self.put_off(now)
             if self.stands:
                 election.ask_first(self, now, out)
             else:
-                founding.tick(self, now, out)
+                bootstrap.tick(self, now, out)
         return self._told(now, out)
 
     def hear(self, now, sender, message):
@@ -144,7 +143,7 @@
             self.refuse("stranger")
         elif type(message) not in HANDLERS:
             self.refuse("not for keepers")
-        elif getattr(message, "term", 0) > self.term + JUMP:
+        elif getattr(message, "term", 0) > self.term + MAX_TERM_JUMP:
             self.refuse("term from far future")
         else:
             HANDLERS[type(message)](self, now, sender, message, out)
@@ -166,21 +165,21 @@
         """Syncs, then draws what rests on it: a won election, commits, answers. [] where the disk
         failed."""
         while self.store.sync():
-            if self.role in (ASKING, CANDIDATE) and self.most(self.votes):
+            if self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE) and self.most(self.votes):
                 election.won(self, now, out)  # writes: has to be synced in its turn
                 continue
-            if self.role == LEADER:
-                leading.advance(self, now, out)
+            if self.role == Role.LEADER:
+                leader.advance(self, now, out)
             self.apply(now, out)
             self.compact(now)
             if self.store.broken:
                 break
-            if self.role == LEADER:
-                leading.send(self, now, out)
+            if self.role == Role.LEADER:
+                leader.send(self, now, out)
             self.note(check_one(self))
             return out
         self.mute, self.again = self.store.broken, now + DISK_AGAIN
-        self.role, self.lead, self.leader = FOLLOWER, None, ""
+        self.role, self.lead, self.leader = Role.FOLLOWER, None, ""
         return []
 
     def apply(self, now, out):
@@ -190,28 +189,28 @@
             entry = self.log.entry(self.applied)
             self.machine.touched = None
             answer = self.sessions.apply(self.applied, entry)
-            if self.role != LEADER:
+            if self.role != Role.LEADER:
                 continue
             if self.machine.touched is not None:
                 self.lead.clocks.note(now, *self.machine.touched)
             requests.answer(self, self.applied, answer, out)
-            if entry.kind == MEMBERS and not self.member:
+            if entry.kind == EntryKind.MEMBERSHIP and not self.member:
                 self.step_down(now)
 
     def lead_now(self, now):
-        self.role, self.leader = LEADER, self.name
-        self.lead = leading.Lead(now, self.log.last + 1, Clocks(now, self.machine.waits()))
+        self.role, self.leader = Role.LEADER, self.name
+        self.lead = leader.LeaderState(now, self.log.last + 1, Clocks(now, self.machine.waits()))
 
     def propose(self, kind, session=0, nonce=0, body=b""):
         """The leader's next entry; its index, or 0 where too much waits to be agreed on."""
-        return leading.propose(self, kind, session, nonce, body)
+        return leader.propose(self, kind, session, nonce, body)
 
     def lapse(self, fence, at):
-        return self.propose(COMMAND, body=self.machine.lapse(fence, at))
+        return self.propose(EntryKind.COMMAND, body=self.machine.lapse(fence, at))
 
     def compact(self, now):
         held = self.applied - self.log.base
         if held >= KEEP and (
-            self.role != LEADER or held >= 4 * KEEP or leading.all_have(self, now, self.applied)
+            self.role != Role.LEADER or held >= 4 * KEEP or leader.all_have(self, now, self.applied)
         ):
             self.store.compact(self.applied, self.sessions.pack())
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -1,7 +1,8 @@
 """What holders ask of the leader: checked, written down once, answered when it is agreed on."""
 
 from gaproute.shared.messages import NAME
-from gaproute.shared.raft.messages import COMMAND, OPEN, Reply
+from gaproute.shared.raft.messages import EntryKind, Reply
+from gaproute.shared.raft.role import Role
 
 EACH = 4  # requests of one holder that wait to be agreed on: it sends one at a time
 
@@ -13,7 +14,7 @@
     if not 0 < len(sender) <= NAME or not request.nonce:
         keeper.refuse("request not understood")
         return
-    if keeper.role != "leader":
+    if keeper.role != Role.LEADER:
         reply("elsewhere", leader=keeper.leader)
         return
     lead = keeper.lead
@@ -45,7 +46,12 @@
     body = request.body if request.session else sender.encode()
     index = 0
     if len(own) < EACH:
-        index = keeper.propose(COMMAND if request.session else OPEN, request.session, request.nonce, body)
+        index = keeper.propose(
+            EntryKind.COMMAND if request.session else EntryKind.OPEN_SESSION,
+            request.session,
+            request.nonce,
+            body,
+        )
     if index:
         lead.waiting[index] = sender, request.session, request.nonce
     else:
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from gaproute.shared.raft.log import read_roll
-from gaproute.shared.raft.messages import COMMAND, MEMBERS, OPEN
+from gaproute.shared.raft.log import decode_membership
+from gaproute.shared.raft.messages import EntryKind
 
 SESSIONS = 4096  # in all: a thousand gateways that restarted a few times; 200 bytes each
 OWN = 4  # of one holder: a gateway needs one, lost openings make more of them
@@ -23,14 +23,14 @@
 
     def apply(self, index, entry):
         """(state of the reply, its body, the session opened or 0); the same at every keeper."""
-        if entry.kind == MEMBERS:
-            self.machine.found(read_roll(entry.body).base)
-        elif entry.kind == OPEN:
+        if entry.kind == EntryKind.MEMBERSHIP:
+            self.machine.found(decode_membership(entry.body).base)
+        elif entry.kind == EntryKind.OPEN_SESSION:
             self._open(index, entry.body.decode("utf-8", "replace"))
             return "done", b"", index
-        elif entry.kind == COMMAND and not entry.session:
+        elif entry.kind == EntryKind.COMMAND and not entry.session:
             self.machine.apply(index, entry.body)  # a keeper's own
-        elif entry.kind == COMMAND:
+        elif entry.kind == EntryKind.COMMAND:
             return self._command(index, entry)
         return "done", b"", 0
 
--- a/gaproute/simulation/campaigns.py
+++ b/gaproute/simulation/campaigns.py
@@ -7,7 +7,7 @@
 
 from gaproute.rollouts.campaign import SECOND, WAY, Campaign, Host, check, floors, lendable
 from gaproute.shared.leases import Permits
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.simulation.campaigns_checks import checks
 from gaproute.simulation.campaigns_gateway import Gateway
 from gaproute.simulation.campaigns_host import Truth
@@ -88,7 +88,7 @@
         self.world = World(Plan(seed, end, case.faults(self), 0), makes, checks(self), script)
 
     def _keeper(self, name, disk, chance, now):
-        return Keeper(name, self.keepers, disk, chance, now, Permits(False), 1 + self.world.now // MILLI)
+        return RaftNode(name, self.keepers, disk, chance, now, Permits(False), 1 + self.world.now // MILLI)
 
     # What actors ask
 
--- a/gaproute/simulation/keepchecks.py
+++ b/gaproute/simulation/keepchecks.py
@@ -3,7 +3,13 @@
 from itertools import pairwise
 
 from gaproute.shared.raft.invariants import History, check_all
-from gaproute.shared.raft.messages import Ack, Append, Install, Reply, Vote
+from gaproute.shared.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    InstallSnapshot,
+    Reply,
+    RequestVoteResponse,
+)
 from gaproute.shared.raft.records import Voted, decode
 from gaproute.simulation.plan import MEMORY
 
@@ -21,7 +27,7 @@
             return
         if seat.disk.pending:
             yield f"on disk before it is told: {seat.name}, {message}, {len(seat.disk.pending)} unsynced"
-        if isinstance(message, Vote) and message.given and not message.pre:
+        if isinstance(message, RequestVoteResponse) and message.given and not message.pre:
             was = self.votes.setdefault((seat.name, message.life, message.term), to)
             if was != to:
                 yield f"one vote a term: {seat.name} gave {message.term} to {was} and {to}"
@@ -31,10 +37,10 @@
             )
             if last is None or (last.term, last.name) != (message.term, to):
                 yield f"a vote is on disk before it is told: {seat.name}, {message.term} to {to}, has {last}"
-        elif isinstance(message, Ack) and message.ok:
+        elif isinstance(message, AppendEntriesResponse) and message.ok:
             key = seat.name, message.life, message.term
             self.acked[key] = max(message.index, self.acked.get(key, 0))
-        elif isinstance(message, (Append, Install)):
+        elif isinstance(message, (AppendEntries, InstallSnapshot)):
             was = self.leaders.setdefault(message.term, (seat.name, message.life))
             if was != (seat.name, message.life):
                 yield f"one leader a term: {was[0]} and {seat.name} in {message.term}"
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -9,8 +9,8 @@
 
 from gaproute.shared.leases import Holder, Permits
 from gaproute.shared.leases.commands import BOUND
-from gaproute.shared.raft import Keeper, log
-from gaproute.shared.raft import keeper as module
+from gaproute.shared.raft import RaftNode, log
+from gaproute.shared.raft import node as module
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
 from gaproute.simulation.keepchecks import Held, Remembered, Told, agreed, came_right
@@ -72,7 +72,7 @@
     def keeper(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
         base = 1 + self.world.now // MILLI
-        return Keeper(name, self.named, disk, chance, now, Permits(True, self.span), base)
+        return RaftNode(name, self.named, disk, chance, now, Permits(True, self.span), base)
 
     def holder(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
@@ -178,12 +178,12 @@
 
 def play(plan, keepers=3, kind="common", **told):
     """(World, Breach or None)."""
-    made, before = Play(plan, keepers, kind, **told), (module.KEEP, log.MOST_ENTRIES)
-    module.KEEP, log.MOST_ENTRIES = KEEP, TOGETHER
+    made, before = Play(plan, keepers, kind, **told), (module.KEEP, log.MAX_ENTRIES)
+    module.KEEP, log.MAX_ENTRIES = KEEP, TOGETHER
     try:
         made.world.run()
     except Breach as breach:
         return made.world, breach
     finally:
-        module.KEEP, log.MOST_ENTRIES = before
+        module.KEEP, log.MAX_ENTRIES = before
     return made.world, None
--- a/gaproute/simulation/mutants.py
+++ b/gaproute/simulation/mutants.py
@@ -13,8 +13,8 @@
 from gaproute.shared.leases.clocks import Clocks
 from gaproute.shared.leases.holder import Holder, Wish
 from gaproute.shared.leases.machine import Permits
-from gaproute.shared.raft import election, following, founding, leading, members, requests
-from gaproute.shared.raft.keeper import Keeper
+from gaproute.shared.raft import bootstrap, election, follower, leader, membership, requests
+from gaproute.shared.raft.node import RaftNode
 from gaproute.shared.raft.sessions import Sessions
 from gaproute.shared.raft.store import Store
 
@@ -87,7 +87,7 @@
     _m(
         "votes of another life are counted",
         (MOST, LEADER, UNSAID, STATE, MATCH),
-        (Keeper.most, "lives.get(member.name) == member.life", "member.name in lives"),
+        (RaftNode.most, "lives.get(member.name) == member.life", "member.name in lives"),
         seed=7,
     ),
     _m(
@@ -99,60 +99,60 @@
     _m(
         "a keeper without memory founds anew",
         (LEADER, UNSAID, STATE, MATCH, VOTE, FENCES),
-        (founding.hello, "if message.blank:", "if True:"),
+        (bootstrap.hello, "if message.blank:", "if True:"),
         seed=3,
     ),
     _m(
         "a leader of an old term is followed",
         (UNSAID, MATCH, STATE, LEADER),
-        (following._leader, "if message.term < keeper.term:", "if False:"),
+        (follower._leader, "if message.term < keeper.term:", "if False:"),
         seed=13,
     ),
     _m(
         "a leader does not step down for a greater term",
         (MOST, LEADER, "no entry of a later term"),
-        (Keeper.enter, "self.step_down(now)", "pass"),
+        (RaftNode.enter, "self.step_down(now)", "pass"),
         seed=13,
     ),
     _m(
         "an entry in conflict is not cut",
         (UNSAID, STATE, MATCH),
-        (following.append, "if log.term(at) == entry.term:", "if at <= log.last:"),
+        (follower.append, "if log.term(at) == entry.term:", "if at <= log.last:"),
         seed=9,
     ),
     _m(
         "the entry before is not compared",
         (UNSAID, STATE, MATCH),
-        (following.append, "elif log.term(index) != message.last:", "elif index > log.last:"),
+        (follower.append, "elif log.term(index) != message.last:", "elif index > log.last:"),
         seed=30,
     ),
     _m(
         "committed beyond what was compared",
         (UNSAID, STATE, "raised", "applied after committed after held"),
-        (following.append, "min(message.commit, end)", "message.commit"),
+        (follower.append, "min(message.commit, end)", "message.commit"),
         seed=2,
     ),
     _m(
         "committed by a minority",
         (HAVE, UNSAID, STATE, MATCH, STANDS),
-        (leading.advance, "have[len(have) // 2]", "have[0]"),
+        (leader.advance, "have[len(have) // 2]", "have[0]"),
         seed=1,
     ),
     _m(
         "committed by an entry of an old term",
         (OWN_TERM, UNSAID, STATE, STANDS),
-        (leading.advance, " and keeper.log.term(index) == keeper.term", ""),
+        (leader.advance, " and keeper.log.term(index) == keeper.term", ""),
         seed=15,
     ),
     _m(
         "what the old disk had is counted for the new one",
         (HAVE, UNSAID, STATE, STANDS),
         (
-            leading.acked,
+            leader.acked,
             "each.life, each.match, each.next, each.state_at = ack.life, 0, keeper.log.last + 1, None",
             "each.life = ack.life",
         ),
-        (leading._match, " and each.life == member.life", ""),
+        (leader._match, " and each.life == member.life", ""),
         seed=3,
     ),
     _m(
@@ -250,7 +250,7 @@
         "a keeper changes its members at once",
         (ONE, LEADER, UNSAID, STATE, MATCH),
         (
-            members.next_roll,
+            membership.next_membership,
             "known = {member.name for member in members}",
             "known = {member.name for member in members}\n"
             "    if known != set(named) and set(named) <= set(lives):\n"
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds.py
@@ -7,7 +7,7 @@
 from gaproute.maintenance import Round
 from gaproute.shared.leases import Permits
 from gaproute.shared.leases.commands import BOUND
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
 from gaproute.simulation.keepchecks import Held
@@ -183,7 +183,7 @@
     # Actors
 
     def _keeper(self, name, disk, chance, now):
-        return Keeper(name, self.keepers, disk, chance, now, Permits(False, SPAN), 1)
+        return RaftNode(name, self.keepers, disk, chance, now, Permits(False, SPAN), 1)
 
     def _scheduler(self, name, disk, chance, now):
         place = self.schedulers.index(name)
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -1,7 +1,7 @@
 """The wall clock stepped by an hour over a restart: what begins at it, and what a step does to that."""
 
 import pytest
-from keepers_net import Net as Keepers
+from raft_net import Net as Keepers
 
 from gaproute.decisions.chance import Chance
 from gaproute.loop.datagrams import Datagrams
@@ -10,7 +10,7 @@
 from gaproute.shared.gossip.facts import HANDS, LIFE, key
 from gaproute.shared.leases import Holder, Permits
 from gaproute.shared.membership import ALIVE, DEAD, Members
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.standins.net import Net
 from gaproute.storage.tables import StoredTable, TableFile
 from gaproute.storage.votes import Votes
@@ -106,7 +106,7 @@
     base = BEGUN_MS
 
     def start(self, name):
-        self.keepers[name] = Keeper(
+        self.keepers[name] = RaftNode(
             name, self.names, self.disks[name], self.chance, self.now, Permits(quiet=False), self.base
         )
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,7 +1,7 @@
 """Permits: what each entry does, who may when by whose clock, and who asks whom again."""
 
 import pytest
-from keepers_net import MILLI, SECOND, Chance, Net
+from raft_net import MILLI, SECOND, Chance, Net
 
 from gaproute.shared.leases import Holder, Permits
 from gaproute.shared.leases.clocks import Clocks
@@ -19,7 +19,7 @@
     read_answer,
 )
 from gaproute.shared.leases.invariants import check_permits
-from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Reply, Request
+from gaproute.shared.raft.messages import Entry, EntryKind, Reply, Request
 from gaproute.shared.raft.sessions import OWN, Sessions
 
 
@@ -121,17 +121,17 @@
 
 def test_a_command_is_done_once_and_a_forgotten_session_does_nothing():
     one = Sessions(Permits(quiet=False))
-    one.apply(1, Entry(1, OPEN, body=b"a"))
-    take = Entry(1, COMMAND, 1, 1, encode(Take("room", "a", 1, SECOND)))
+    one.apply(1, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
+    take = Entry(1, EntryKind.COMMAND, 1, 1, encode(Take("room", "a", 1, SECOND)))
     first = one.apply(2, take)
     assert one.apply(3, take) == first and one.machine.fence == 1
-    assert one.apply(4, Entry(1, COMMAND, 1, 2, encode(Give(1, "a"))))[0] == "done"
+    assert one.apply(4, Entry(1, EntryKind.COMMAND, 1, 2, encode(Give(1, "a"))))[0] == "done"
     assert one.apply(5, take)[0] == "refused" and not one.machine.permits
     other = Sessions(Permits())
     other.unpack(one.pack())
     assert other.pack() == one.pack() and other.table == one.table
     for index in range(6, 6 + OWN):
-        one.apply(index, Entry(1, OPEN, body=b"a"))
+        one.apply(index, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
     assert one.apply(99, take)[0] == "forgotten" and len(one.table) == OWN
 
 
--- a/tests/raft/test_members.py
+++ b/tests/raft/test_membership.py
@@ -1,11 +1,11 @@
 """Who the keepers are: one joins or leaves at a time, and a lost disk makes another keeper."""
 
 import pytest
-from keepers_net import MILLI, SECOND, Disk, Net
+from raft_net import MILLI, SECOND, Disk, Net
 
-from gaproute.shared.raft.leading import PENDING
-from gaproute.shared.raft.members import next_roll
-from gaproute.shared.raft.messages import NOTHING, Ack, Member
+from gaproute.shared.raft.leader import PENDING
+from gaproute.shared.raft.membership import next_membership
+from gaproute.shared.raft.messages import AppendEntriesResponse, EntryKind, Member
 
 A, B, C = (Member(name, number) for number, name in enumerate("abc", 1))
 ALL = (A, B, C)
@@ -13,7 +13,7 @@
 
 def step(members=ALL, named=("a", "b", "c"), lives=None, matches=None, commit=9):
     lives = {"a": 1, "b": 2, "c": 3} if lives is None else lives
-    return next_roll(members, named, lives, matches or {}, commit)
+    return next_membership(members, named, lives, matches or {}, commit)
 
 
 def test_one_step_at_a_time_and_none_that_would_stop_all():
@@ -113,7 +113,7 @@
     lead.named(net.now, [lead.name, other])
     now = net.now + 60 * SECOND
     for name in lead.others():
-        lead.hear(now, name, Ack(lead.term, net.keepers[name].life, True, lead.log.last))
+        lead.hear(now, name, AppendEntriesResponse(lead.term, net.keepers[name].life, True, lead.log.last))
     last = lead.log.last
     lead.tick(now)
     assert lead.log.last == last
@@ -127,7 +127,7 @@
     made.run(3 * SECOND)
     for _ in range(PENDING // 50 + 2):
         for _ in range(50):
-            assert made.leader.propose(NOTHING)
+            assert made.leader.propose(EntryKind.NOOP)
         made.run(SECOND)
     entries = made.leader.commit
     assert PENDING < entries
--- a/tests/raft/test_votes.py
+++ b/tests/raft/test_node.py
@@ -1,31 +1,31 @@
 """One keeper, message by message: who gets a vote, and what is on disk before it is told."""
 
 import pytest
-from keepers_net import SECOND, Chance, Disk
 from msgspec.msgpack import encode
+from raft_net import SECOND, Chance, Disk
 
 from gaproute.shared.leases import Permits, commands
-from gaproute.shared.raft import Keeper, Lost
+from gaproute.shared.raft import Lost, RaftNode
 from gaproute.shared.raft.messages import (
-    MEMBERS,
-    NOTHING,
-    Ack,
-    Append,
-    Ask,
+    AppendEntries,
+    AppendEntriesResponse,
+    BootstrapProbe,
     Entry,
-    Hello,
-    Install,
+    EntryKind,
+    InstallSnapshot,
     Member,
-    Roll,
-    Vote,
+    Membership,
+    RequestVote,
+    RequestVoteResponse,
 )
 from gaproute.shared.raft.records import Identity, Snapshot, Voted, Written, decode
 from gaproute.shared.raft.records import encode as record
+from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.sessions import Sessions
 
 NAMES = ("a", "b", "c")
 ROLL = tuple(Member(name, number) for number, name in enumerate(NAMES, 1))
-FIRST = Entry(0, MEMBERS, body=encode(Roll(ROLL)))
+FIRST = Entry(0, EntryKind.MEMBERSHIP, body=encode(Membership(ROLL)))
 
 
 def disk(name="b", term=1, vote=("", 0), entries=()):
@@ -46,11 +46,11 @@
 
 def keeper(*entries, now=0, **words):
     made = disk(entries=entries, **words)
-    return Keeper(words.get("name", "b"), NAMES, made, Chance(1), now), made
+    return RaftNode(words.get("name", "b"), NAMES, made, Chance(1), now), made
 
 
 def note(term):
-    return Entry(term, NOTHING)
+    return Entry(term, EntryKind.NOOP)
 
 
 def kinds(told):
@@ -59,13 +59,21 @@
 
 def test_a_vote_goes_to_one_a_term_and_is_on_disk_before_it_is_told():
     one, kept = keeper()
-    assert one.hear(0, "a", Ask(2, 1, 1, 0, False)) == [("a", Vote(2, 2, False, True))]
+    assert one.hear(0, "a", RequestVote(2, 1, 1, 0, False)) == [("a", RequestVoteResponse(2, 2, False, True))]
     assert decode(kept.records[-1]) == Voted(2, "a", 1) and kept.synced == len(kept.records)
-    assert one.hear(0, "c", Ask(2, 3, 9, 1, False)) == [("c", Vote(2, 2, False, False))]
-    again = Keeper("b", NAMES, kept, Chance(1), 0)
-    assert again.hear(0, "c", Ask(2, 3, 9, 1, False)) == [("c", Vote(2, 2, False, False))]
-    assert again.hear(0, "a", Ask(2, 1, 1, 0, False)) == [("a", Vote(2, 2, False, True))]
-    assert again.hear(0, "a", Ask(2, 77, 1, 0, False)) == [("a", Vote(2, 2, False, False))]  # another life
+    assert one.hear(0, "c", RequestVote(2, 3, 9, 1, False)) == [
+        ("c", RequestVoteResponse(2, 2, False, False))
+    ]
+    again = RaftNode("b", NAMES, kept, Chance(1), 0)
+    assert again.hear(0, "c", RequestVote(2, 3, 9, 1, False)) == [
+        ("c", RequestVoteResponse(2, 2, False, False))
+    ]
+    assert again.hear(0, "a", RequestVote(2, 1, 1, 0, False)) == [
+        ("a", RequestVoteResponse(2, 2, False, True))
+    ]
+    assert again.hear(0, "a", RequestVote(2, 77, 1, 0, False)) == [
+        ("a", RequestVoteResponse(2, 2, False, False))
+    ]  # another life
 
 
 @pytest.mark.parametrize(
@@ -73,105 +81,115 @@
 )
 def test_only_a_log_that_knows_as_much_gets_a_vote(index, last, given):
     one, _ = keeper(note(1), note(1))
-    assert one.hear(0, "a", Ask(2, 1, index, last, False)) == [("a", Vote(2, 2, False, given))]
+    assert one.hear(0, "a", RequestVote(2, 1, index, last, False)) == [
+        ("a", RequestVoteResponse(2, 2, False, given))
+    ]
 
 
 def test_whoever_hears_a_leader_votes_for_nobody_and_keeps_its_term():
     one, _ = keeper()
-    one.hear(0, "a", Append(1, 1, 1, 0, 0))
-    assert one.hear(SECOND // 2, "c", Ask(9, 3, 9, 9, False)) == [] and one.term == 1
-    assert one.hear(SECOND, "c", Ask(9, 3, 9, 9, False)) == [("c", Vote(9, 2, False, True))]
+    one.hear(0, "a", AppendEntries(1, 1, 1, 0, 0))
+    assert one.hear(SECOND // 2, "c", RequestVote(9, 3, 9, 9, False)) == [] and one.term == 1
+    assert one.hear(SECOND, "c", RequestVote(9, 3, 9, 9, False)) == [
+        ("c", RequestVoteResponse(9, 2, False, True))
+    ]
 
 
 def test_asking_first_raises_no_term_and_a_split_vote_elects_nobody():
     one, kept = keeper()
     before = list(kept.records)
     told = one.tick(one.due)
-    assert told == [(name, Ask(2, 2, 1, 0, True)) for name in "ac"] and kept.records == before
-    told = one.hear(0, "a", Vote(1, 1, True, True))
-    assert told == [(name, Ask(2, 2, 1, 0, False)) for name in "ac"] and one.term == 2
-    one.hear(0, "a", Vote(2, 1, False, False))
-    one.hear(0, "c", Vote(2, 3, False, False))
+    assert told == [(name, RequestVote(2, 2, 1, 0, True)) for name in "ac"] and kept.records == before
+    told = one.hear(0, "a", RequestVoteResponse(1, 1, True, True))
+    assert told == [(name, RequestVote(2, 2, 1, 0, False)) for name in "ac"] and one.term == 2
+    one.hear(0, "a", RequestVoteResponse(2, 1, False, False))
+    one.hear(0, "c", RequestVoteResponse(2, 3, False, False))
     assert not one.leading
-    one.hear(0, "c", Vote(1, 3, False, True))  # of a term that is over
+    one.hear(0, "c", RequestVoteResponse(1, 3, False, True))  # of a term that is over
     assert not one.leading
-    one.hear(0, "c", Vote(2, 33, False, True))  # a life that is no member: it lost its disk
+    one.hear(0, "c", RequestVoteResponse(2, 33, False, True))  # a life that is no member: it lost its disk
     assert not one.leading
-    one.hear(0, "c", Vote(2, 3, False, True))
+    one.hear(0, "c", RequestVoteResponse(2, 3, False, True))
     assert one.leading and one.log.last_term == 2
 
 
 def test_a_conflict_in_the_log_is_overwritten_but_never_what_was_agreed():
     one, kept = keeper(note(1), note(1), note(1))
-    assert one.hear(0, "a", Append(3, 1, 5, 2, 1)) == [("a", Ack(3, 2, False, 4))]
-    assert one.hear(0, "a", Append(3, 1, 4, 2, 1)) == [("a", Ack(3, 2, False, 1))]
-    assert one.hear(0, "a", Append(3, 1, 1, 0, 2, (note(2), note(3)))) == [("a", Ack(3, 2, True, 3))]
+    assert one.hear(0, "a", AppendEntries(3, 1, 5, 2, 1)) == [("a", AppendEntriesResponse(3, 2, False, 4))]
+    assert one.hear(0, "a", AppendEntries(3, 1, 4, 2, 1)) == [("a", AppendEntriesResponse(3, 2, False, 1))]
+    assert one.hear(0, "a", AppendEntries(3, 1, 1, 0, 2, (note(2), note(3)))) == [
+        ("a", AppendEntriesResponse(3, 2, True, 3))
+    ]
     assert [entry.term for entry in one.log.entries] == [0, 2, 3] and one.commit == 2
-    again = Keeper("b", NAMES, kept, Chance(1), 0)
+    again = RaftNode("b", NAMES, kept, Chance(1), 0)
     assert again.log.entries == one.log.entries
-    assert one.hear(0, "a", Append(3, 1, 1, 0, 2, (note(1),))) == []
+    assert one.hear(0, "a", AppendEntries(3, 1, 1, 0, 2, (note(1),))) == []
     assert "never unsaid" in one.breaches[0] and one.log.entry(2).term == 2
 
 
 def test_a_late_heartbeat_cuts_nothing_off():
     one, _ = keeper(note(1), note(1))
-    assert one.hear(0, "a", Append(1, 1, 1, 0, 0, (note(1),))) == [("a", Ack(1, 2, True, 2))]
+    assert one.hear(0, "a", AppendEntries(1, 1, 1, 0, 0, (note(1),))) == [
+        ("a", AppendEntriesResponse(1, 2, True, 2))
+    ]
     assert one.log.last == 3
 
 
 def lead(*entries):
     one, kept = keeper(*entries)
     one.tick(one.due)
-    one.hear(one.election, "a", Vote(1, 1, True, True))
-    one.hear(one.election, "a", Vote(2, 1, False, True))
+    one.hear(one.election, "a", RequestVoteResponse(1, 1, True, True))
+    one.hear(one.election, "a", RequestVoteResponse(2, 1, False, True))
     assert one.leading
     return one, kept
 
 
 def test_entries_of_past_terms_are_agreed_on_with_one_of_the_own_only():
     one, _ = lead(note(1))
-    one.hear(0, "a", Ack(2, 1, True, 2))
+    one.hear(0, "a", AppendEntriesResponse(2, 1, True, 2))
     assert one.commit == 0
-    one.hear(0, "c", Ack(2, 33, True, 3))  # a life that is no member counts for nothing
+    one.hear(0, "c", AppendEntriesResponse(2, 33, True, 3))  # a life that is no member counts for nothing
     assert one.commit == 0
-    one.hear(0, "a", Ack(2, 1, True, 3))
+    one.hear(0, "a", AppendEntriesResponse(2, 1, True, 3))
     assert one.commit == 3
 
 
 def test_one_whose_leaving_is_not_agreed_on_still_stands_without_a_vote_of_its_own():
-    one, _ = keeper(Entry(1, MEMBERS, body=encode(Roll((ROLL[0], ROLL[2])))))
+    one, _ = keeper(Entry(1, EntryKind.MEMBERSHIP, body=encode(Membership((ROLL[0], ROLL[2])))))
     assert not one.member and len(one.tick(one.due)) == 2
-    one.hear(one.election, "a", Vote(1, 1, True, True))
-    assert one.role == "asking"
-    one.hear(one.election, "c", Vote(1, 3, True, True))
-    assert one.role == "candidate"
-    one.hear(one.election, "a", Append(3, 1, 2, 1, 2))
+    one.hear(one.election, "a", RequestVoteResponse(1, 1, True, True))
+    assert one.role is Role.PRE_CANDIDATE
+    one.hear(one.election, "c", RequestVoteResponse(1, 3, True, True))
+    assert one.role is Role.CANDIDATE
+    one.hear(one.election, "a", AppendEntries(3, 1, 2, 1, 2))
     assert one.tick(one.due) == []
 
 
 def test_a_stale_leader_is_told_so_and_one_that_is_not_heard_steps_down():
     one, _ = lead()
     now = one.election
-    assert one.hear(now, "a", Append(1, 1, 1, 0, 0)) == [("a", Ack(2, 2, False, 0))]
+    assert one.hear(now, "a", AppendEntries(1, 1, 1, 0, 0)) == [("a", AppendEntriesResponse(2, 2, False, 0))]
     while one.leading and now < one.election + 10 * SECOND:
         now = one.due
         one.tick(now)
     assert now - one.heard >= 2 * SECOND and not one.leading
     other, _ = lead()
-    other.hear(0, "a", Ack(5, 1, False, 0))
+    other.hear(0, "a", AppendEntriesResponse(5, 1, False, 0))
     assert other.term == 5 and not other.leading
 
 
 def test_a_disk_that_fails_makes_it_silent_until_it_is_written_anew():
     one, kept = keeper()
     kept.fails = "no space left"
-    assert one.hear(0, "a", Ask(2, 1, 1, 0, False)) == [] and "no space" in one.mute
-    assert one.hear(0, "a", Append(2, 1, 1, 0, 0)) == [] and one.tick(one.due) == [] and one.mute
+    assert one.hear(0, "a", RequestVote(2, 1, 1, 0, False)) == [] and "no space" in one.mute
+    assert one.hear(0, "a", AppendEntries(2, 1, 1, 0, 0)) == [] and one.tick(one.due) == [] and one.mute
     kept.fails = None
-    assert one.hear(one.due, "a", Append(2, 1, 1, 0, 0)) == []
+    assert one.hear(one.due, "a", AppendEntries(2, 1, 1, 0, 0)) == []
     one.tick(one.due)
     assert not one.mute and decode(kept.records[1]) == Voted(2, "a", 1)
-    assert one.hear(one.due, "c", Ask(2, 3, 9, 1, False)) == [("c", Vote(2, 2, False, False))]
+    assert one.hear(one.due, "c", RequestVote(2, 3, 9, 1, False)) == [
+        ("c", RequestVoteResponse(2, 2, False, False))
+    ]
 
 
 @pytest.mark.parametrize(
@@ -189,7 +207,7 @@
 def test_a_disk_that_cannot_be_trusted_is_put_aside_and_the_keeper_is_another(came):
     kept = disk()
     kept.read = lambda: came
-    one = Keeper("b", NAMES, kept, Chance(1), 0)
+    one = RaftNode("b", NAMES, kept, Chance(1), 0)
     assert kept.put_aside == [one.store.lost] and one.life not in (0, 2) and one.store.blank
     assert [decode(each) for each in kept.records] == [Identity("b", one.life)]
     assert one.tick(one.due) == [] and not one.member
@@ -201,11 +219,11 @@
     taken.apply(1, commands.encode(commands.Take("host-7", "h", 1, SECOND)), "h")
     state = Sessions(taken).pack()
     kept = disk()
-    late = Entry(7, NOTHING)
+    late = Entry(7, EntryKind.NOOP)
     kept.records = [
         record(each) for each in (Identity("b", 2), Snapshot(9, 2, ROLL, state), Written(10, late))
     ]
-    one = Keeper("b", NAMES, kept, Chance(1), 0)
+    one = RaftNode("b", NAMES, kept, Chance(1), 0)
     assert kept.put_aside == ["entries of terms that it never entered"] and one.store.blank
     assert one.machine.permits == {} and one.machine.held == {} and one.machine.fence == 0
 
@@ -214,49 +232,58 @@
     kept, good = disk(vote=("c", 3)), Disk.read
     kept.read = lambda: Disk.sync(kept)
     kept.fails = "input/output error"
-    one = Keeper("b", NAMES, kept, Chance(1), 0)
-    assert "not read" in one.mute and one.hear(0, "a", Ask(1, 1, 1, 0, False)) == []
+    one = RaftNode("b", NAMES, kept, Chance(1), 0)
+    assert "not read" in one.mute and one.hear(0, "a", RequestVote(1, 1, 1, 0, False)) == []
     kept.read, kept.fails = lambda: good(kept), None
     one.tick(one.due)
     assert not one.mute and one.life == 2
-    assert one.hear(one.again, "a", Ask(1, 1, 1, 0, False)) == [("a", Vote(1, 2, False, False))]
+    assert one.hear(one.again, "a", RequestVote(1, 1, 1, 0, False)) == [
+        ("a", RequestVoteResponse(1, 2, False, False))
+    ]
 
 
 def test_a_founder_needs_all_others_blank_in_answer_to_its_own_life():
-    one = Keeper("a", NAMES, Disk(), Chance(1), 0)
-    assert one.tick(one.due) == [(name, Hello(one.life, 0, True)) for name in "bc"]
-    one.hear(0, "b", Hello(2, one.life, True))
-    one.hear(0, "c", Hello(3, one.life + 1, True))  # in answer to a life before
-    one.hear(0, "c", Hello(3, one.life, False))  # remembers something
+    one = RaftNode("a", NAMES, Disk(), Chance(1), 0)
+    assert one.tick(one.due) == [(name, BootstrapProbe(one.life, 0, True)) for name in "bc"]
+    one.hear(0, "b", BootstrapProbe(2, one.life, True))
+    one.hear(0, "c", BootstrapProbe(3, one.life + 1, True))  # in answer to a life before
+    one.hear(0, "c", BootstrapProbe(3, one.life, False))  # remembers something
     assert one.log.last == 0
-    one.hear(0, "c", Hello(3, one.life, True))
+    one.hear(0, "c", BootstrapProbe(3, one.life, True))
     assert one.members == (Member("a", one.life), Member("b", 2), Member("c", 3)) and one.due == 0
     used, _ = keeper()
-    assert used.hear(0, "a", Hello(9, 0, True)) == [("a", Hello(2, 9, False))]
+    assert used.hear(0, "a", BootstrapProbe(9, 0, True)) == [("a", BootstrapProbe(2, 9, False))]
 
 
 def test_a_snapshot_takes_the_place_of_what_is_behind_and_keeps_what_follows():
     giver, _ = lead(note(1))
-    giver.hear(0, "a", Ack(2, 1, True, 3))
+    giver.hear(0, "a", AppendEntriesResponse(2, 1, True, 3))
     giver.store.compact(3, giver.sessions.pack())
     told = dict(giver.tick(giver.due))
-    giver.hear(giver.due, "c", Ack(2, 3, False, 0))
-    sent = [message for to, message in giver.hear(giver.due, "c", Ack(2, 3, False, 0))] or [told["c"]]
-    state = Install(2, 2, 3, 2, ROLL, giver.store.state)
-    assert all(isinstance(message, (Install, Append)) for message in sent)
+    giver.hear(giver.due, "c", AppendEntriesResponse(2, 3, False, 0))
+    sent = [message for to, message in giver.hear(giver.due, "c", AppendEntriesResponse(2, 3, False, 0))] or [
+        told["c"]
+    ]
+    state = InstallSnapshot(2, 2, 3, 2, ROLL, giver.store.state)
+    assert all(isinstance(message, (InstallSnapshot, AppendEntries)) for message in sent)
     one, kept = keeper(name="c")
-    assert one.hear(0, "b", state) == [("b", Ack(2, 3, True, 3))] and one.commit == one.applied == 3
-    assert one.hear(0, "b", Append(2, 2, 1, 0, 3, (note(1), note(2), note(2)))) == [("b", Ack(2, 3, True, 4))]
-    again = Keeper("c", NAMES, kept, Chance(1), 0)
+    assert (
+        one.hear(0, "b", state) == [("b", AppendEntriesResponse(2, 3, True, 3))]
+        and one.commit == one.applied == 3
+    )
+    assert one.hear(0, "b", AppendEntries(2, 2, 1, 0, 3, (note(1), note(2), note(2)))) == [
+        ("b", AppendEntriesResponse(2, 3, True, 4))
+    ]
+    again = RaftNode("c", NAMES, kept, Chance(1), 0)
     assert (again.log.base, again.log.last, again.commit, again.members) == (3, 4, 3, ROLL)
-    assert one.hear(0, "b", state) == [("b", Ack(2, 3, True, 3))] and one.log.last == 4
+    assert one.hear(0, "b", state) == [("b", AppendEntriesResponse(2, 3, True, 3))] and one.log.last == 4
 
 
 def test_strangers_and_terms_from_the_far_future_are_counted_and_change_nothing():
     one, kept = keeper()
     before = list(kept.records)
-    assert one.hear(0, "z", Append(9, 1, 1, 0, 0)) == []
-    assert one.hear(0, "a", Append(1 << 47, 1, 1, 0, 0)) == []
+    assert one.hear(0, "z", AppendEntries(9, 1, 1, 0, 0)) == []
+    assert one.hear(0, "a", AppendEntries(1 << 47, 1, 1, 0, 0)) == []
     assert one.hear(0, "a", "noise") == []
     assert one.refused == {"stranger": 1, "term from far future": 1, "not for keepers": 1}
     assert kept.records == before and one.term == 1
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -2,15 +2,23 @@
 
 import msgspec
 import pytest
-from keepers_net import SECOND, Chance
+from raft_net import SECOND, Chance
 
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
-from gaproute.peers.raft import Seat, wire
+from gaproute.peers.raft import HostedNode, wire
 from gaproute.peers.raft.carrier import BURST
 from gaproute.shared.leases import Permits
-from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
+from gaproute.shared.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    BootstrapProbe,
+    Entry,
+    Reply,
+    Request,
+    RequestVote,
+)
 from gaproute.storage.votes import Votes
 
 
@@ -30,7 +38,7 @@
 
     def start(self, name, number=9):
         disk = Votes(self.folder / name, lambda text: None).open() if name in self.names else None
-        seat = Seat(
+        seat = HostedNode(
             self.loop,
             name,
             self.names,
@@ -133,7 +141,7 @@
 def test_bad_batches_are_counted_by_reason_and_change_nothing(group):
     group.until(lambda: group.leader)
     seat = group.seats["a"]
-    good = wire.pack(Ack(1, 1, True, 1))
+    good = wire.pack(AppendEntriesResponse(1, 1, True, 1))
     for body, reason in (
         (b"", "noise"),
         (b"\xff" * 65536, "noise"),
@@ -150,7 +158,7 @@
         assert post(group, "a", body) == 400
         assert seat.carrier.counts[f"refused: {reason}"] == before + 1, body[:20]
     term = seat.keeper.term
-    assert post(group, "a", wire.batch("h", [wire.pack(Ask(term + 1, 1, 99, 99, False))])) == 204
+    assert post(group, "a", wire.batch("h", [wire.pack(RequestVote(term + 1, 1, 99, 99, False))])) == 204
     assert seat.keeper.refused["stranger"] == 1 and seat.keeper.term == term
     assert post(group, "h", wire.batch("b", [good])) == 204
     assert group.seats["h"].carrier.counts["refused: no keeper here"] == 1
@@ -164,9 +172,9 @@
     carrier = group.seats["h"].carrier
     group.peers["dead"] = "127.0.0.1:1"
     for _ in range(1000):
-        carrier.send("dead", Hello(1, 0, True))
+        carrier.send("dead", BootstrapProbe(1, 0, True))
     assert len(carrier.table["dead"].queue) == 256 and carrier.counts["lost"] >= 744
-    large = Append(1, 1, 1, 1, 1, tuple(Entry(1, 0, body=b"x" * 2048) for _ in range(64)))
+    large = AppendEntries(1, 1, 1, 1, 1, tuple(Entry(1, 0, body=b"x" * 2048) for _ in range(64)))
     for _ in range(100):
         carrier.send("dead", large)
     assert carrier.table["dead"].held <= 2 * wire.LONGEST
@@ -174,8 +182,8 @@
 
 def test_every_message_comes_back_as_it_was():
     for message in (
-        Hello(1, 2, True),
-        Append(1, 2, 3, 4, 5, (Entry(1, 0, 2, 3, b"x"),)),
+        BootstrapProbe(1, 2, True),
+        AppendEntries(1, 2, 3, 4, 5, (Entry(1, 0, 2, 3, b"x"),)),
         Reply(1, 2, "done", b"y"),
     ):
         assert wire.read(wire.batch("a", [wire.pack(message)])) == ("a", [message])
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers.tables import encoding
 from gaproute.shared.leases import Permits
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.storage import Memory, Votes
 from gaproute.storage.tables import TableFile
 
@@ -34,7 +34,7 @@
     """A node of the group on that file, and what its file told operators."""
     texts = []
     disk = Votes(path, texts.append, lambda: 17).open()
-    made = Keeper("k1", ["k1"], disk, Chance(3), 0, Permits(quiet=False, longest=60 * SECOND))
+    made = RaftNode("k1", ["k1"], disk, Chance(3), 0, Permits(quiet=False, longest=60 * SECOND))
     return made, disk, texts
 
 
--- a/tests/support/faulty_ledger.py
+++ b/tests/support/faulty_ledger.py
@@ -11,8 +11,15 @@
 from gaproute.faultinjection.disk import FAULTS, FaultyDisk, KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Chances, FaultPlan
 from gaproute.shared.leases import Permits
-from gaproute.shared.raft import Keeper, Lost
-from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Install, Vote
+from gaproute.shared.raft import Lost, RaftNode
+from gaproute.shared.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    InstallSnapshot,
+    RequestVote,
+    RequestVoteResponse,
+)
 from gaproute.storage import files
 from gaproute.storage import tables as tables_module
 from gaproute.storage import votes as votes_module
@@ -185,7 +192,7 @@
         self.lives += 1
         disk = Votes(f"{self.folder}/votes", lambda text: None, lambda: 17)
         chance = Chance(1 + self.lives)
-        self.node = Keeper("a", ("a", "b", "c"), disk, chance, self.now, Permits(quiet=False), 0)
+        self.node = RaftNode("a", ("a", "b", "c"), disk, chance, self.now, Permits(quiet=False), 0)
         self.disk_file = disk
 
     def step(self):
@@ -204,9 +211,9 @@
         self.term += self.chance.randrange(2)
         self.now += 10 * SECOND  # no leader was heard for long
         sender = self.chance.choice("bc")
-        ask = Ask(self.term, 5, 1 << 40, self.term - 1, False)
+        ask = RequestVote(self.term, 5, 1 << 40, self.term - 1, False)
         for _, vote in self.node.hear(self.now, sender, ask):
-            if isinstance(vote, Vote):
+            if isinstance(vote, RequestVoteResponse):
                 self.seen = max(self.seen, vote.term)
                 if vote.given:
                     before = self.answered.setdefault(vote.term, (sender, 5))
@@ -223,12 +230,12 @@
             entries.append(Entry(self.term, 0, body=body))
         at = min(len(self.log), len(entries))
         last = entries[at - 1].term if at else 0
-        message = Append(self.term, 5, at, last, 0, tuple(entries[at : at + 8]))
+        message = AppendEntries(self.term, 5, at, last, 0, tuple(entries[at : at + 8]))
         if self.chance.randrange(12) == 0 and entries:
             self.committed, state = list(entries), self.node.sessions.pack()
-            message = Install(self.term, 5, len(entries), entries[-1].term, (), state)
+            message = InstallSnapshot(self.term, 5, len(entries), entries[-1].term, (), state)
         for _, ack in self.node.hear(self.now, "b", message):
-            if isinstance(ack, Ack):
+            if isinstance(ack, AppendEntriesResponse):
                 self.seen = max(self.seen, ack.term)
                 if ack.ok:
                     self.log = entries[: max(ack.index, len(self.log))]
--- a/tests/support/keepers_net.py
+++ b/tests/support/raft_net.py
@@ -4,7 +4,7 @@
 import random
 
 from gaproute.shared.leases import Holder, Permits
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.shared.raft.invariants import History, check_all
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -61,7 +61,7 @@
         self.holders = {f"h{n}": Holder(f"h{n}", self.names, self.chance, 0) for n in range(holders)}
 
     def start(self, name):
-        self.keepers[name] = Keeper(
+        self.keepers[name] = RaftNode(
             name, self.names, self.disks[name], self.chance, self.now, Permits(quiet=False)
         )
 
