--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -89,7 +89,7 @@
 
     def leading(self):
         """The name of the group's leader."""
-        return next(name for name in GROUP if self.seats[name].actor.leading)
+        return next(name for name in GROUP if self.seats[name].actor.is_leader)
 
 
 def played(holders, leases, seed):
--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -60,30 +60,30 @@
 
     def __init__(self, path, seed):
         self.disk = Votes(path).open()
-        self.keeper = RaftNode(NAME, [NAME], self.disk, Chance(seed), 0, Permits(quiet=False))
+        self.node = RaftNode(NAME, [NAME], self.disk, Chance(seed), 0, Permits(quiet=False))
         self.now = 0
 
     def settle(self):
         """Until it leads and has applied all that it has."""
         end = self.now + SETTLES
-        while not self.keeper.leading or self.keeper.applied < self.keeper.log.last:
+        while not self.node.is_leader or self.node.last_applied < self.node.log.last_index:
             assert self.now < end, "the log was not applied in time"
-            self.now = max(self.now, self.keeper.due)
-            assert not self.keeper.mute, self.keeper.mute
-            self.keeper.tick(self.now)
+            self.now = max(self.now, self.node.due)
+            assert not self.node.storage_failure, self.node.storage_failure
+            self.node.tick(self.now)
 
     def fill(self, entries):
         """One lease that is taken and renewed until the log has so many entries."""
-        self.keeper.hear(self.now, HOLDER, Request(0, 1, b""))
-        session, nonce = self.keeper.applied, 0
+        self.node.hear(self.now, HOLDER, Request(0, 1, b""))
+        session, nonce = self.node.last_applied, 0
         body = encode(Take("host-00001", HOLDER, 1, SPAN))
-        while self.keeper.log.last < entries:
+        while self.node.log.last_index < entries:
             nonce += 1
-            self.keeper.propose(EntryKind.COMMAND, session, nonce, body)
+            self.node.propose(EntryKind.COMMAND, session, nonce, body)
             body = encode(Renew(1, HOLDER, SPAN))
-            if nonce % BATCH == 0 or self.keeper.log.last == entries:
+            if nonce % BATCH == 0 or self.node.log.last_index == entries:
                 self.settle()
-        assert self.keeper.log.base == 0 and len(self.keeper.machine.permits) == 1
+        assert self.node.log.snapshot_index == 0 and len(self.node.machine.permits) == 1
 
     def close(self):
         """Ends it as a stop of the process does."""
@@ -118,7 +118,7 @@
     """Milliseconds of CPU of a restart."""
     kept, members = KeptLog(entries, seed), []
     spent = once(lambda: members.append(kept.restarted()))
-    assert members[0].keeper.applied >= entries
+    assert members[0].node.last_applied >= entries
     members[0].close()
     return spent * MILLISECONDS
 
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -44,7 +44,7 @@
         except OSError as fault:
             if fault.errno not in MOMENTARY:
                 raise
-            # the group's node opens it with its first read, which it repeats (`DISK_AGAIN`)
+            # the group's node opens it with its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
 
     def listed(self, peers):
         """{name: address} of all gateways that may ask. Changed in place, as the carrier holds it."""
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -58,11 +58,11 @@
 
     def counters(self):
         """`entries`: a keeper's leases and log entries; `bytes`: counted by the simulated carrier alone."""
-        keeper, carrier = self.seat.keeper, self.seat.carrier
+        node, carrier = self.seat.node, self.seat.carrier
         return {
             "messages": carrier.counts["sent"],
             "bytes": carrier.counts["bytes"],
-            "entries": 0 if keeper is None else len(keeper.machine.permits) + len(keeper.log.entries),
+            "entries": 0 if node is None else len(node.machine.permits) + len(node.log.entries),
             "held": int(self.held),
             "refused": self.refused,
             "ended": self.ended,
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -25,27 +25,27 @@
         self.loop, self.name, self.record = loop, name, record
         self.carrier = carrier(loop, name, peers, self.take)
         self.holder = Holder(name, keepers, chance, loop.now())
-        self.keeper = None
+        self.node = None
         if disk is not None and name in keepers:
-            self.keeper = RaftNode(name, keepers, disk, chance, loop.now(), machine, base)
-            if self.keeper.store.lost:
-                record.event("error", "keeper's memory set aside", why=self.keeper.store.lost)
+            self.node = RaftNode(name, keepers, disk, chance, loop.now(), machine, base)
+            if self.node.store.discard_reason:
+                record.event("error", "keeper's memory set aside", why=self.node.store.discard_reason)
         self.seen = {}
         self.told = loop.now()
         self.breaches = 0
         self.timer = None
         self.arm()
 
-    def named(self, keepers):
+    def set_configured_members(self, keepers):
         """The configuration names these keepers now."""
         self.holder.named(self.loop.now(), keepers)
-        if self.keeper is not None:
-            self.keeper.named(self.loop.now(), keepers)
+        if self.node is not None:
+            self.node.set_configured_members(self.loop.now(), keepers)
         self.act()
 
     def take(self, sender, message):
         """One that came from a peer, or from here."""
-        part = self.holder if isinstance(message, Reply) else self.keeper
+        part = self.holder if isinstance(message, Reply) else self.node
         if part is None:
             self.carrier.counts["refused: no keeper here"] += 1
             return
@@ -56,7 +56,7 @@
     def act(self):
         """What is due now, of both sides; to be called after every call on the holder."""
         begun = self.loop.now()
-        for part in (self.holder, self.keeper):
+        for part in (self.holder, self.node):
             if part is not None and part.due is not None and part.due <= begun:
                 self.send(part.tick(begun))
         self.note(begun)
@@ -69,7 +69,7 @@
                 self.carrier.send(to, message)
 
     def arm(self):
-        dues = [part.due for part in (self.holder, self.keeper) if part is not None and part.due is not None]
+        dues = [part.due for part in (self.holder, self.node) if part is not None and part.due is not None]
         if self.timer is not None:
             self.timer.cancel()
         self.timer = self.loop.at(min(dues), self.act) if dues else None
@@ -77,15 +77,15 @@
     def note(self, begun):
         """Log lines for what an operator wants to know, each change once."""
         self.arm()
-        keeper, now = self.keeper, self.loop.now()
-        if keeper is None:
+        node, now = self.node, self.loop.now()
+        if node is None:
             return
         if now - begun > SLOW:
             self.record.event("warning", "keeper slow", ms=(now - begun) // MILLI)
         told = {
-            "keeper": keeper.role.value if keeper.role in (Role.LEADER, Role.FOLLOWER) else None,
-            "keeper silent": keeper.mute,
-            "members": [member.name for member in keeper.members],
+            "keeper": node.role.value if node.role in (Role.LEADER, Role.FOLLOWER) else None,
+            "keeper silent": node.storage_failure,
+            "members": [member.name for member in node.members],
         }
         for what, value in told.items():
             if value is not None and self.seen.get(what) != value:
@@ -95,14 +95,14 @@
                         "error" if what == "keeper silent" else "info",
                         what,
                         now=value,
-                        term=keeper.term,
-                        leader=keeper.leader,
+                        term=node.term,
+                        leader=node.leader,
                     )
-        for breach in keeper.breaches[self.breaches :]:
-            self.record.event("error", "breach", text=breach, replay=replay(keeper))
-        self.breaches = len(keeper.breaches)
+        for breach in node.breaches[self.breaches :]:
+            self.record.event("error", "breach", text=breach, replay=replay(node))
+        self.breaches = len(node.breaches)
         refused = {
-            **keeper.refused,
+            **node.rejections,
             **{what: count for what, count in self.carrier.counts.items() if what.startswith("refused")},
         }
         if now - self.told >= SAY:
@@ -113,7 +113,7 @@
 
     def table(self):
         """For the operators' address."""
-        keeper = self.keeper
+        node = self.node
         return {
             "holds": [
                 {
@@ -125,15 +125,15 @@
                 for wish in self.holder.wishes
             ],
             "carried": dict(self.carrier.counts),
-            "keeper": keeper
+            "keeper": node
             and {
-                "role": keeper.role.value,
-                "term": keeper.term,
-                "leader": keeper.leader,
-                "agreed": keeper.commit,
-                "members": [each.name for each in keeper.members],
-                "silent": keeper.mute,
-                "permits": len(keeper.machine.permits),
+                "role": node.role.value,
+                "term": node.term,
+                "leader": node.leader,
+                "agreed": node.commit_index,
+                "members": [each.name for each in node.members],
+                "silent": node.storage_failure,
+                "permits": len(node.machine.permits),
             },
         }
 
--- a/gaproute/shared/raft/__init__.py
+++ b/gaproute/shared/raft/__init__.py
@@ -1,23 +1,23 @@
 """The agreement of the strong word: Raft (Ongaro and Ousterhout, 2014) among a few keepers, sans-I/O.
 
-    keeper = RaftNode(name, keepers, disk, chance, now, machine=Permits(), base=0)
+    node = RaftNode(name, keepers, disk, chance, now, machine=Permits(), base=0)
         name      its own; `keepers`: names of all that the configuration names (own among them), 1 to 9
         disk      see below;  `chance.below(n)`;  `now`: own monotonic clock, int ns
-        machine   what the entries mean (`gaproute.shared.leases.Permits()`), a new one for every keeper
+        machine   what the entries mean (`gaproute.shared.leases.Permits()`), a new one for every node
         base      where the founder begins fencing numbers: Unix time in ms, so that they grow even when all
                   disks were lost; 0 in tests
-    keeper.due                        int ns when `tick` wants to be called; never None while it lives
-    keeper.tick(now)                  -> [(to, message)]      `to`: a name
-    keeper.hear(now, sender, message) -> [(to, message)]      messages are those of `messages.py`
-    keeper.named(now, keepers)        the configuration changed: members follow it, one at a time
-    keeper.leading, .term, .log, .commit, .applied, .machine, .members, .life, .mute, .refused (reason:
-    count) invariants.check_one(keeper), check_all(keepers, holders, history) -> list of breaches as text
+    node.due                        int ns when `tick` wants to be called; never None while it lives
+    node.tick(now)                  -> [(to, message)]      `to`: a name
+    node.hear(now, sender, message) -> [(to, message)]      messages are those of `messages.py`
+    node.named(now, keepers)        the configuration changed: members follow it, one at a time
+    node.leading, .term, .log, .commit, .applied, .machine, .members, .life, .mute, .refused (reason:
+    count) invariants.check_one(node), check_all(keepers, holders, history) -> list of breaches as text
 
 Nothing is told before it is on disk: `tick` and `hear` sync first and return nothing where that fails; the
-keeper is then `mute` (why, as text) until writing all anew succeeds, tried every few seconds.
+node is then `mute` (why, as text) until writing all anew succeeds, tried every few seconds.
 
 A crash: drop the RaftNode, make a new one with the same disk. The disk's face (OSError from any of them:
-full, read-only, torn; the keeper falls silent):
+full, read-only, torn; the node falls silent):
     disk.read() -> list of records (bytes) as appended, or Lost(why)     empty list: a new disk
     disk.append(record)       may be lost by a crash until
     disk.sync()               has returned
--- a/gaproute/shared/raft/bootstrap.py
+++ b/gaproute/shared/raft/bootstrap.py
@@ -1,7 +1,7 @@
 """How the first log comes to be without anybody's memory being taken for granted.
 
 Only the first by name of the configured keepers founds, and only when every other one has said, in answer
-to this very life, that it never voted and never took an entry. So a keeper that lost its disk founds
+to this very incarnation, that it never voted and never took an entry. So a node that lost its disk founds
 nothing while any other remembers anything; and while the founder is the one that lost it, no leader of an
 older log can have been elected, as that takes another's vote, and a vote ends being blank.
 """
@@ -11,33 +11,37 @@
 from gaproute.shared.raft.messages import BootstrapProbe, Entry, EntryKind, Member, Membership
 
 
-def tick(keeper, now, out):
-    if not keeper.store.blank or keeper.name != keeper.keepers[0]:
+def tick(node, now, out):
+    if not node.store.is_blank or node.name != node.configured_members[0]:
         return
-    others = keeper.others()
+    others = node.peer_names()
     if not others:
-        _found(keeper)
+        _bootstrap(node)
     for name in others:
-        out.append((name, BootstrapProbe(keeper.life, 0, True)))
-
-
-def hello(keeper, now, sender, message, out):
-    if not message.echo:
-        out.append((sender, BootstrapProbe(keeper.life, message.life, keeper.store.blank)))
-    elif message.echo != keeper.life or not keeper.store.blank or keeper.name != keeper.keepers[0]:
-        keeper.refuse("founding is over")
+        out.append((name, BootstrapProbe(node.incarnation, 0, True)))
+
+
+def on_probe(node, now, sender, message, out):
+    if not message.echoed_incarnation:
+        out.append((sender, BootstrapProbe(node.incarnation, message.incarnation, node.store.is_blank)))
+    elif (
+        message.echoed_incarnation != node.incarnation
+        or not node.store.is_blank
+        or node.name != node.configured_members[0]
+    ):
+        node.reject("founding is over")
     else:
-        keeper.blanks.pop(sender, None)
+        node.blank_peers.pop(sender, None)
         if message.blank:
-            keeper.blanks[sender] = message.life
-        if all(name in keeper.blanks for name in keeper.others()):
-            _found(keeper)
-            keeper.election = now
+            node.blank_peers[sender] = message.incarnation
+        if all(name in node.blank_peers for name in node.peer_names()):
+            _bootstrap(node)
+            node.election_due = now
 
 
-def _found(keeper):
-    lives = {**keeper.blanks, keeper.name: keeper.life}
-    members = tuple(Member(name, lives[name]) for name in keeper.keepers)
-    keeper.store.put(
-        1, Entry(0, EntryKind.MEMBERSHIP, body=msgspec.msgpack.encode(Membership(members, keeper.base)))
+def _bootstrap(node):
+    incarnations = {**node.blank_peers, node.name: node.incarnation}
+    members = tuple(Member(name, incarnations[name]) for name in node.configured_members)
+    node.store.append(
+        1, Entry(0, EntryKind.MEMBERSHIP, body=msgspec.msgpack.encode(Membership(members, node.fencing_base)))
     )
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -7,62 +7,62 @@
 
 from gaproute.shared.raft.messages import EntryKind, RequestVote, RequestVoteResponse
 from gaproute.shared.raft.role import Role
-from gaproute.shared.raft.timing import ELECTION
+from gaproute.shared.raft.timing import ELECTION_TIMEOUT
 
 
-def _ask(keeper, out, term, pre):
-    log = keeper.log
-    for name in keeper.others():
-        out.append((name, RequestVote(term, keeper.life, log.last, log.last_term, pre)))
+def _request_votes(node, out, term, pre):
+    log = node.log
+    for name in node.peer_names():
+        out.append((name, RequestVote(term, node.incarnation, log.last_index, log.last_term, pre)))
 
 
-def ask_first(keeper, now, out):
+def start_pre_vote(node, now, out):
     """Would a majority vote? Only then is the term raised: one that was cut off disturbs nobody when it is
     back."""
-    keeper.role, keeper.leader = Role.PRE_CANDIDATE, ""
-    keeper.votes = {keeper.name: keeper.life}
-    _ask(keeper, out, keeper.term + 1, True)
+    node.role, node.leader = Role.PRE_CANDIDATE, ""
+    node.granted_votes = {node.name: node.incarnation}
+    _request_votes(node, out, node.term + 1, True)
 
 
-def won(keeper, now, out):
+def on_majority(node, now, out):
     """A majority: of the first asking, then it asks in earnest; of the votes, then it leads."""
-    if keeper.role == Role.PRE_CANDIDATE:
-        keeper.role = Role.CANDIDATE
-        keeper.store.vote(keeper.term + 1, keeper.name, keeper.life)
-        keeper.votes = {keeper.name: keeper.life}
-        _ask(keeper, out, keeper.term, False)
+    if node.role == Role.PRE_CANDIDATE:
+        node.role = Role.CANDIDATE
+        node.store.save_vote(node.term + 1, node.name, node.incarnation)
+        node.granted_votes = {node.name: node.incarnation}
+        _request_votes(node, out, node.term, False)
         return
-    keeper.lead_now(now)
+    node.become_leader(now)
     # Entries of past terms are committed by one of the own term only (5.4.2).
-    keeper.propose(EntryKind.NOOP)
+    node.propose(EntryKind.NOOP)
 
 
-def asked(keeper, now, sender, ask, out):
-    fresh = keeper.role == Role.LEADER or now - keeper.heard < ELECTION
-    if fresh and ask.term > keeper.term:
-        keeper.refuse("asked while a leader is heard")
+def on_request_vote(node, now, sender, ask, out):
+    fresh = node.role == Role.LEADER or now - node.leader_heard_at < ELECTION_TIMEOUT
+    if fresh and ask.term > node.term:
+        node.reject("asked while a leader is heard")
         return
-    known = keeper.log.after(ask.index, ask.last)
-    if ask.pre:
+    known = node.log.is_up_to_date(ask.last_log_index, ask.last_log_term)
+    if ask.pre_vote:
         out.append(
-            (sender, RequestVoteResponse(keeper.term, keeper.life, True, ask.term > keeper.term and known))
+            (sender, RequestVoteResponse(node.term, node.incarnation, True, ask.term > node.term and known))
         )
         return
-    if ask.term > keeper.term:
-        keeper.enter(now, ask.term)
-    given = ask.term == keeper.term and known and keeper.store.voted in (("", 0), (sender, ask.life))
-    if given and keeper.store.voted == ("", 0):
-        keeper.store.vote(keeper.term, sender, ask.life)
-        keeper.put_off(now)
-    out.append((sender, RequestVoteResponse(keeper.term, keeper.life, False, given)))
+    if ask.term > node.term:
+        node.enter_term(now, ask.term)
+    given = ask.term == node.term and known and node.store.voted_for in (("", 0), (sender, ask.incarnation))
+    if given and node.store.voted_for == ("", 0):
+        node.store.save_vote(node.term, sender, ask.incarnation)
+        node.reset_election_timer(now)
+    out.append((sender, RequestVoteResponse(node.term, node.incarnation, False, given)))
 
 
-def voted(keeper, now, sender, vote, out):
-    if vote.term > keeper.term:
-        keeper.enter(now, vote.term)
-    elif vote.given and (
-        keeper.role == Role.PRE_CANDIDATE
-        if vote.pre
-        else keeper.role == Role.CANDIDATE and vote.term == keeper.term
+def on_vote_response(node, now, sender, vote, out):
+    if vote.term > node.term:
+        node.enter_term(now, vote.term)
+    elif vote.vote_granted and (
+        node.role == Role.PRE_CANDIDATE
+        if vote.pre_vote
+        else node.role == Role.CANDIDATE and vote.term == node.term
     ):
-        keeper.votes[sender] = vote.life
+        node.granted_votes[sender] = vote.incarnation
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -4,67 +4,73 @@
 from gaproute.shared.raft.role import Role
 
 
-def _leader(keeper, now, sender, message, out):
+def _follow(node, now, sender, message, out):
     """Whether the sender leads a term that is not over; then it is followed."""
-    if message.term < keeper.term:
-        out.append((sender, AppendEntriesResponse(keeper.term, keeper.life, False, 0)))
+    if message.term < node.term:
+        out.append((sender, AppendEntriesResponse(node.term, node.incarnation, False, 0)))
         return False
-    if message.term > keeper.term:
-        keeper.enter(now, message.term)
-    if keeper.role == Role.LEADER:
-        keeper.note([f"one leader a term: {sender} and {keeper.name} lead {keeper.term}"])
+    if message.term > node.term:
+        node.enter_term(now, message.term)
+    if node.role == Role.LEADER:
+        node.record_breaches([f"one leader a term: {sender} and {node.name} lead {node.term}"])
         return False
-    keeper.step_down(now)
-    keeper.leader, keeper.heard = sender, now
-    keeper.put_off(now)
+    node.step_down(now)
+    node.leader, node.leader_heard_at = sender, now
+    node.reset_election_timer(now)
     return True
 
 
-def append(keeper, now, sender, message, out):
-    if not _leader(keeper, now, sender, message, out):
+def on_append_entries(node, now, sender, message, out):
+    if not _follow(node, now, sender, message, out):
         return
-    log, index, entries = keeper.log, message.index, message.entries
-    if index < log.base:  # what the snapshot holds is committed: as the leader's
-        entries = entries[log.base - index :]
-        index = log.base
-    elif log.term(index) != message.last:
-        out.append((sender, AppendEntriesResponse(keeper.term, keeper.life, False, _before(log, index))))
+    log, index, entries = node.log, message.prev_log_index, message.entries
+    if index < log.snapshot_index:  # what the snapshot holds is committed: as the leader's
+        entries = entries[log.snapshot_index - index :]
+        index = log.snapshot_index
+    elif log.term_at(index) != message.prev_log_term:
+        out.append(
+            (sender, AppendEntriesResponse(node.term, node.incarnation, False, _conflict_hint(log, index)))
+        )
         return
     for at, entry in enumerate(entries, index + 1):
-        if log.term(at) == entry.term:
+        if log.term_at(at) == entry.term:
             continue
-        if at <= keeper.commit:
-            keeper.note([f"never unsaid: {sender} replaces {at}, committed to {keeper.commit}"])
+        if at <= node.commit_index:
+            node.record_breaches([f"never unsaid: {sender} replaces {at}, committed to {node.commit_index}"])
             return
         try:
-            keeper.store.put(at, entry)
+            node.store.append(at, entry)
         except ValueError:
-            keeper.refuse("entry not understood")
+            node.reject("entry not understood")
             return
     end = index + len(entries)
-    keeper.commit = max(keeper.commit, min(message.commit, end))
-    out.append((sender, AppendEntriesResponse(keeper.term, keeper.life, True, end)))
+    node.commit_index = max(node.commit_index, min(message.leader_commit, end))
+    out.append((sender, AppendEntriesResponse(node.term, node.incarnation, True, end)))
 
 
-def _before(log, index):
+def _conflict_hint(log, index):
     """Where to try next: before the term that differs, so that a leader skips it whole."""
-    if index > log.last:
-        return log.last
-    term, at = log.term(index), index
-    while at > log.base and log.term(at) == term:
+    if index > log.last_index:
+        return log.last_index
+    term, at = log.term_at(index), index
+    while at > log.snapshot_index and log.term_at(at) == term:
         at -= 1
     return at
 
 
-def install(keeper, now, sender, message, out):
-    if not _leader(keeper, now, sender, message, out):
+def on_install_snapshot(node, now, sender, message, out):
+    if not _follow(node, now, sender, message, out):
         return
-    if message.index > keeper.commit:
+    if message.last_included_index > node.commit_index:
         try:
-            keeper.sessions.unpack(message.state)
+            node.sessions.unpack(message.state)
         except ValueError:
-            keeper.refuse("snapshot not understood")
+            node.reject("snapshot not understood")
             return
-        keeper.store.install(message.index, message.last, message.members, message.state)
-        keeper.commit = keeper.applied = message.index
-    out.append((sender, AppendEntriesResponse(keeper.term, keeper.life, True, message.index)))
+        node.store.install(
+            message.last_included_index, message.last_included_term, message.members, message.state
+        )
+        node.commit_index = node.last_applied = message.last_included_index
+    out.append(
+        (sender, AppendEntriesResponse(node.term, node.incarnation, True, message.last_included_index))
+    )
--- a/gaproute/shared/raft/log.py
+++ b/gaproute/shared/raft/log.py
@@ -1,76 +1,85 @@
-"""The log of a keeper in memory: entries behind a snapshot, and who the members are by each of them."""
+"""The log of a node in memory: entries behind a snapshot, and who the members are by each of them."""
 
 import msgspec
 
 from gaproute.shared.raft.messages import MAX_ENTRIES, EntryKind, Membership
 
-BYTES = 128 << 10  # of the bodies in one message: several turns of commands, far from a socket's buffer
+MAX_BATCH_BYTES = (
+    128 << 10
+)  # of the bodies in one message: several turns of commands, far from a socket's buffer
 
 decode_membership = msgspec.msgpack.Decoder(Membership).decode
 
 
 class Log:
-    """Entries `base` + 1 to `last`; indexes begin at 1. `rolls`: [(index, members)], the last one in
-    force."""
+    """Entries `snapshot_index` + 1 to `last_index`; indexes begin at 1. `membership_history`: [(index,
+    members)], the last one in force."""
 
     def __init__(self, base=0, term=0, members=()):
-        self.base, self.base_term, self.entries = base, term, []
-        self.rolls = [(base, members)]
+        self.snapshot_index, self.snapshot_term, self.entries = base, term, []
+        self.membership_history = [(base, members)]
 
     @property
-    def last(self):
-        return self.base + len(self.entries)
+    def last_index(self):
+        return self.snapshot_index + len(self.entries)
 
     @property
     def last_term(self):
-        return self.entries[-1].term if self.entries else self.base_term
+        return self.entries[-1].term if self.entries else self.snapshot_term
 
     @property
     def members(self):
-        return self.rolls[-1][1]
+        return self.membership_history[-1][1]
 
-    def term(self, index):
+    def term_at(self, index):
         """Of the entry there; None where the log does not hold it (any more)."""
-        if index == self.base:
-            return self.base_term
-        return self.entries[index - self.base - 1].term if self.base < index <= self.last else None
-
-    def entry(self, index):
-        return self.entries[index - self.base - 1]
-
-    def put(self, index, entry):
+        if index == self.snapshot_index:
+            return self.snapshot_term
+        return (
+            self.entries[index - self.snapshot_index - 1].term
+            if self.snapshot_index < index <= self.last_index
+            else None
+        )
+
+    def entry_at(self, index):
+        return self.entries[index - self.snapshot_index - 1]
+
+    def append(self, index, entry):
         """The entry at `index`, just behind the last one or in place of one and all behind it.
-        Errors: ValueError where it would leave a gap or fall into the snapshot, or is no roll."""
-        if not self.base < index <= self.last + 1:
-            raise ValueError(f"entry {index} does not follow {self.base} to {self.last}")
-        roll = decode_membership(entry.body) if entry.kind == EntryKind.MEMBERSHIP else None
-        del self.entries[index - self.base - 1 :]
-        while self.rolls[-1][0] >= index:
-            self.rolls.pop()
+        Errors: ValueError where it would leave a gap or fall into the snapshot, or is no membership."""
+        if not self.snapshot_index < index <= self.last_index + 1:
+            raise ValueError(f"entry {index} does not follow {self.snapshot_index} to {self.last_index}")
+        membership = decode_membership(entry.body) if entry.kind == EntryKind.MEMBERSHIP else None
+        del self.entries[index - self.snapshot_index - 1 :]
+        while self.membership_history[-1][0] >= index:
+            self.membership_history.pop()
         self.entries.append(entry)
-        if roll is not None:
-            self.rolls.append((index, roll.members))
+        if membership is not None:
+            self.membership_history.append((index, membership.members))
 
-    def behind(self, index):
+    def entries_from(self, index):
         """The entries from `index` on, as many as one message takes."""
         came, size = [], 0
-        for entry in self.entries[index - self.base - 1 :][:MAX_ENTRIES]:
+        for entry in self.entries[index - self.snapshot_index - 1 :][:MAX_ENTRIES]:
             size += len(entry.body)
-            if came and size > BYTES:
+            if came and size > MAX_BATCH_BYTES:
                 break
             came.append(entry)
         return tuple(came)
 
     def members_at(self, index):
-        return [members for at, members in self.rolls if at <= index][-1]
+        return [members for at, members in self.membership_history if at <= index][-1]
 
-    def cut(self, index):
+    def compact(self, index):
         """Entries up to `index` are gone: a snapshot holds what they did."""
-        members, term = self.members_at(index), self.term(index)
-        del self.entries[: index - self.base]
-        self.base, self.base_term = index, term
-        self.rolls = [(index, members), *(roll for roll in self.rolls if roll[0] > index)]
-
-    def after(self, index, term):
+        members, term = self.members_at(index), self.term_at(index)
+        del self.entries[: index - self.snapshot_index]
+        self.snapshot_index, self.snapshot_term = index, term
+        self.membership_history = [
+            (index, members),
+            *(membership for membership in self.membership_history if membership[0] > index),
+        ]
+
+    def is_up_to_date(self, index, term):
         """Whether a log that ends with entry `index` of `term` knows at least what this one does."""
-        return (term, index) >= (self.last_term, self.last)
+        return (term, index) >= (self.last_term, self.last_index)
--- a/gaproute/shared/raft/messages.py
+++ b/gaproute/shared/raft/messages.py
@@ -1,8 +1,8 @@
 """What keepers say to one another and to holders. Every message is an immutable value; all numbers are
-bounded here, so that a decoder refuses what no keeper could have said.
+bounded here, so that a decoder refuses what no node could have said.
 
-`life` is the sender's: the number that its disk got when it was empty. A keeper is (name, life); one that
-lost its disk is another keeper, whose votes and acks nobody takes for the old one's.
+`incarnation` is the sender's: the number that its disk got when it was empty. A node is (name,
+incarnation); one that lost its disk is another node, whose votes and acks nobody takes for the old one's.
 """
 
 from enum import IntEnum
@@ -13,11 +13,11 @@
 from gaproute.shared.messages import Count, Message, Name
 
 MAX_ENTRIES = 64  # entries in one message: a heartbeat's worth of work, small next to a snapshot
-BODY = 2048  # bytes of one command: names and a few numbers take a tenth of it
+MAX_COMMAND_BYTES = 2048  # bytes of one command: names and a few numbers take a tenth of it
 MAX_SNAPSHOT_BYTES = 4 << 20  # bytes of a snapshot: all permits and sessions at their bounds take less
 MAX_MEMBERS = 9  # members at most: 3 or 5 are meant, one is added before another goes
 
-Body = Annotated[bytes, Meta(max_length=BODY)]
+Body = Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
 
 
 class EntryKind(IntEnum):
@@ -31,7 +31,7 @@
 
 class Member(Message):
     name: Name
-    life: Count
+    incarnation: Count
 
 
 Members = Annotated[tuple[Member, ...], Meta(max_length=MAX_MEMBERS)]
@@ -46,7 +46,7 @@
 
 
 class Entry(Message):
-    """`session` and `nonce` name the holder's request; 0 where a keeper made the entry."""
+    """`session` and `nonce` name the holder's request; 0 where a node made the entry."""
 
     term: Count
     kind: EntryKind
@@ -56,59 +56,61 @@
 
 
 class BootstrapProbe(Message, tag=1):
-    """From a keeper with an empty memory that may found; the answer echoes the asker's life, so that it is
-    from after that life began. `blank`: never voted, never took an entry."""
+    """From a node with an empty memory that may found; the answer echoes the asker's incarnation, so that it
+    is from after that incarnation began. `blank`: never voted, never took an entry."""
 
-    life: Count
-    echo: Count
+    incarnation: Count
+    echoed_incarnation: Count
     blank: bool
 
 
 class RequestVote(Message, tag=2):
-    """RequestVote. `index`, `last`: of the last entry and its term. `pre`: only whether it would be
-    given."""
+    """RequestVote. `last_log_index`, `last_log_term`: of the candidate's last entry. `pre_vote`: only
+    whether it would be given."""
 
     term: Count
-    life: Count
-    index: Count
-    last: Count
-    pre: bool
+    incarnation: Count
+    last_log_index: Count
+    last_log_term: Count
+    pre_vote: bool
 
 
 class RequestVoteResponse(Message, tag=3):
     term: Count
-    life: Count
-    pre: bool
-    given: bool
+    incarnation: Count
+    pre_vote: bool
+    vote_granted: bool
 
 
 class AppendEntries(Message, tag=4):
-    """AppendEntries, a heartbeat without entries. `index`, `last`: of the entry before them."""
+    """A heartbeat without entries. `prev_log_index`, `prev_log_term`: of the entry before them."""
 
     term: Count
-    life: Count
-    index: Count
-    last: Count
-    commit: Count
+    incarnation: Count
+    prev_log_index: Count
+    prev_log_term: Count
+    leader_commit: Count
     entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)] = ()
 
 
 class AppendEntriesResponse(Message, tag=5):
-    """`ok`: all up to `index` is as the leader's and on disk. Otherwise: try behind `index`."""
+    """`success`: all up to `match_index` is as the leader's and on disk. Otherwise: try
+    behind `match_index`."""
 
     term: Count
-    life: Count
-    ok: bool
-    index: Count
+    incarnation: Count
+    success: bool
+    match_index: Count
 
 
 class InstallSnapshot(Message, tag=6):
-    """InstallSnapshot: the state after the entry `index` of term `last`. An AppendEntriesResponse answers."""
+    """InstallSnapshot: the state after the entry `last_included_index` of `last_included_term`. An
+    AppendEntriesResponse answers."""
 
     term: Count
-    life: Count
-    index: Count
-    last: Count
+    incarnation: Count
+    last_included_index: Count
+    last_included_term: Count
     members: Members
     state: Annotated[bytes, Meta(max_length=MAX_SNAPSHOT_BYTES)]
 
--- a/gaproute/shared/raft/records.py
+++ b/gaproute/shared/raft/records.py
@@ -1,4 +1,4 @@
-"""What a keeper writes to its disk, a record each, and how it is read back."""
+"""What a node writes to its disk, a record each, and how it is read back."""
 
 from typing import NamedTuple
 
@@ -14,39 +14,39 @@
     why: str
 
 
-class Identity(Message, tag=1):
-    """The head of every disk: whose it is. A life is drawn once for an empty disk."""
+class IdentityRecord(Message, tag=1):
+    """The head of every disk: whose it is. A incarnation is drawn once for an empty disk."""
 
     name: Name
-    life: Count
+    incarnation: Count
 
 
-class Voted(Message, tag=2):
+class VoteRecord(Message, tag=2):
     """The term, and who got the vote in it (empty: nobody yet)."""
 
     term: Count
     name: Name
-    life: Count
+    incarnation: Count
 
 
-class Written(Message, tag=3):
+class EntryRecord(Message, tag=3):
     """An entry at its index; whatever was at this index and behind it is replaced."""
 
     index: Count
     entry: Entry
 
 
-class Snapshot(Message, tag=4):
-    """The state after the entry `index` of term `last`; entries up to it are gone."""
+class SnapshotRecord(Message, tag=4):
+    """The state after the entry `last_included_index` of `last_included_term`; entries up to it are gone."""
 
-    index: Count
-    last: Count
+    last_included_index: Count
+    last_included_term: Count
     members: Members
     state: bytes
 
 
 encode = msgspec.msgpack.encode
-_decode = msgspec.msgpack.Decoder(Identity | Voted | Written | Snapshot).decode
+_decode = msgspec.msgpack.Decoder(IdentityRecord | VoteRecord | EntryRecord | SnapshotRecord).decode
 
 
 def decode(data):
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -1,6 +1,6 @@
 """Exactly once (Ongaro's dissertation, 6.3): for each session the last nonce and what it was answered.
 
-The table is part of what is agreed, so every keeper knows after any change of leader what was done
+The table is part of what is agreed, so every node knows after any change of leader what was done
 already. A command of a session that the table has lost is refused: it may have been done.
 """
 
@@ -9,8 +9,8 @@
 from gaproute.shared.raft.log import decode_membership
 from gaproute.shared.raft.messages import EntryKind
 
-SESSIONS = 4096  # in all: a thousand gateways that restarted a few times; 200 bytes each
-OWN = 4  # of one holder: a gateway needs one, lost openings make more of them
+MAX_SESSIONS = 4096  # in all: a thousand gateways that restarted a few times; 200 bytes each
+MAX_SESSIONS_PER_CLIENT = 4  # of one holder: a gateway needs one, lost openings make more of them
 
 _read = msgspec.msgpack.Decoder(tuple[list[tuple[int, str, int, bytes]], bytes]).decode
 
@@ -22,7 +22,7 @@
         self.machine, self.table, self.owned = machine, {}, {}
 
     def apply(self, index, entry):
-        """(state of the reply, its body, the session opened or 0); the same at every keeper."""
+        """(state of the reply, its body, the session opened or 0); the same at every node."""
         if entry.kind == EntryKind.MEMBERSHIP:
             self.machine.found(decode_membership(entry.body).base)
         elif entry.kind == EntryKind.OPEN_SESSION:
@@ -49,9 +49,9 @@
 
     def _open(self, index, owner):
         own = self.owned.setdefault(owner, [])
-        if len(own) >= OWN:
+        if len(own) >= MAX_SESSIONS_PER_CLIENT:
             self._drop(own[0])
-        if len(self.table) >= SESSIONS:
+        if len(self.table) >= MAX_SESSIONS:
             self._drop(next(iter(self.table)))
         self.owned.setdefault(owner, []).append(index)
         self.table[index] = owner, 0, b""
--- a/gaproute/simulation/keepchecks.py
+++ b/gaproute/simulation/keepchecks.py
@@ -10,7 +10,7 @@
     Reply,
     RequestVoteResponse,
 )
-from gaproute.shared.raft.records import Voted, decode
+from gaproute.shared.raft.records import VoteRecord, decode
 from gaproute.simulation.plan import MEMORY
 
 
@@ -27,22 +27,26 @@
             return
         if seat.disk.pending:
             yield f"on disk before it is told: {seat.name}, {message}, {len(seat.disk.pending)} unsynced"
-        if isinstance(message, RequestVoteResponse) and message.given and not message.pre:
-            was = self.votes.setdefault((seat.name, message.life, message.term), to)
+        if isinstance(message, RequestVoteResponse) and message.vote_granted and not message.pre_vote:
+            was = self.votes.setdefault((seat.name, message.incarnation, message.term), to)
             if was != to:
                 yield f"one vote a term: {seat.name} gave {message.term} to {was} and {to}"
             last = next(
-                (record for record in map(decode, reversed(seat.disk.durable)) if isinstance(record, Voted)),
+                (
+                    record
+                    for record in map(decode, reversed(seat.disk.durable))
+                    if isinstance(record, VoteRecord)
+                ),
                 None,
             )
             if last is None or (last.term, last.name) != (message.term, to):
                 yield f"a vote is on disk before it is told: {seat.name}, {message.term} to {to}, has {last}"
-        elif isinstance(message, AppendEntriesResponse) and message.ok:
-            key = seat.name, message.life, message.term
-            self.acked[key] = max(message.index, self.acked.get(key, 0))
+        elif isinstance(message, AppendEntriesResponse) and message.success:
+            key = seat.name, message.incarnation, message.term
+            self.acked[key] = max(message.match_index, self.acked.get(key, 0))
         elif isinstance(message, (AppendEntries, InstallSnapshot)):
-            was = self.leaders.setdefault(message.term, (seat.name, message.life))
-            if was != (seat.name, message.life):
+            was = self.leaders.setdefault(message.term, (seat.name, message.incarnation))
+            if was != (seat.name, message.incarnation):
                 yield f"one leader a term: {was[0]} and {seat.name} in {message.term}"
         elif isinstance(message, Reply) and message.session and message.state == "done":
             was = self.answers.setdefault((to, message.session, message.nonce), message.body)
@@ -63,30 +67,31 @@
         if seat.name not in self.told.keepers:
             return
         keeper = seat.actor
-        key = seat.name, keeper.life
+        key = seat.name, keeper.incarnation
         term, was = keeper.term, self.terms.get(key, 0)
-        if term < was and not keeper.mute:
+        if term < was and not keeper.storage_failure:
             yield f"term only grows: {seat.name} was in {was}, is in {term}"
-        self.terms[key] = max(term, was) if not keeper.mute else was
+        self.terms[key] = max(term, was) if not keeper.storage_failure else was
         voted = self.told.votes.get((*key, term))
-        if voted is not None and keeper.store.voted[0] != voted:
-            yield f"a vote is remembered: {seat.name} gave {term} to {voted}, knows of {keeper.store.voted}"
-        for (_, one), (_, other) in pairwise(keeper.log.rolls):
+        if voted is not None and keeper.store.voted_for[0] != voted:
+            known = keeper.store.voted_for
+            yield f"a vote is remembered: {seat.name} gave {term} to {voted}, knows of {known}"
+        for (_, one), (_, other) in pairwise(keeper.log.membership_history):
             if one and len({*one} ^ {*other}) > 1:
                 yield f"members change one at a time: {seat.name}, {one} to {other}"
         leads = self.told.leaders.get(term)
         if keeper.leader and leads is not None and leads[0] != keeper.leader:
             yield f"one leader a term: {seat.name} follows {keeper.leader} in {term}, which {leads[0]} leads"
-        if keeper.leading:
+        if keeper.is_leader:
             yield from self._leader(keeper, (*key, term))
 
     def _leader(self, keeper, key):
-        before, commit, term = self.led.get(key), keeper.commit, keeper.term
+        before, commit, term = self.led.get(key), keeper.commit_index, keeper.term
         self.led[key] = commit
         if before is None and not self._most(keeper, self.told.votes, keeper.name):
             yield f"a leader has most votes: {keeper.name} leads {term} without"
         elif before is not None and commit > before:
-            if keeper.log.term(commit) != term:
+            if keeper.log.term_at(commit) != term:
                 yield f"a leader commits by its own term: {keeper.name} {commit} in {term}"
             if not self._most(keeper, self.told.acked, commit):
                 yield f"committed is what most have: {keeper.name} {commit} in {term}"
@@ -97,7 +102,7 @@
         roll."""
         count = 0
         for member in keeper.members:
-            value = told.get((member.name, member.life, keeper.term))
+            value = told.get((member.name, member.incarnation, keeper.term))
             count += (
                 member.name == keeper.name
                 or value is not None
@@ -142,7 +147,7 @@
                     yield f"fencing numbers grow: {other.name}, {wish.resource} by {wish.fence} after {was}"
                 self.fences[wish.resource] = wish.fence
             if leader is not None:
-                _, when = leader.actor.lead.clocks.ends.get(wish.fence, (0, None))
+                _, when = leader.actor.leader_state.clocks.ends.get(wish.fence, (0, None))
                 if when is not None and leader.clock.true(when) < other.clock.true(wish.end):
                     yield f"the holder's end comes first: {other.name} after {leader.name}, {wish.fence}"
 
@@ -172,10 +177,13 @@
         if 2 * len(lost) >= len(play.named) or not world.plan.settle:
             return
         up = [seat.actor for seat in world.places if seat.name in play.keepers]
-        leaders = [keeper for keeper in up if keeper is not None and keeper.leading]
+        leaders = [keeper for keeper in up if keeper is not None and keeper.is_leader]
         if not leaders:
-            yield f"a leader after the faults: none, {[(one.role, one.term, one.mute) for one in up if one]}"
-        elif max(keeper.commit for keeper in leaders) < max(keeper.lead.first for keeper in leaders):
+            seen = [(one.role.value, one.term, one.storage_failure) for one in up if one]
+            yield f"a leader after the faults: none, {seen}"
+        elif max(keeper.commit_index for keeper in leaders) < max(
+            keeper.leader_state.first_index for keeper in leaders
+        ):
             yield "a leader after the faults: nothing is agreed on"
 
     return check
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -82,7 +82,7 @@
         leading = [
             seat
             for name in self.keepers
-            if (seat := world.seats[name]).actor is not None and seat.actor.leading
+            if (seat := world.seats[name]).actor is not None and seat.actor.is_leader
         ]
         return max(leading, key=lambda seat: seat.actor.term, default=None)
 
@@ -121,7 +121,7 @@
         elif (
             world.seats[self.named[0]].actor is not None
             and any(
-                seat.actor is not None and seat.name in self.keepers and seat.actor.commit > 1
+                seat.actor is not None and seat.name in self.keepers and seat.actor.commit_index > 1
                 for seat in world.places
             )
             and chance.below(6) == 0
@@ -130,8 +130,14 @@
             self.named = sorted([name for name in self.named if name != left] + [self.spare])
             self.spare = left
 
+    def _configure(self, actor, now):
+        if isinstance(actor, RaftNode):
+            actor.set_configured_members(now, self.named)
+        else:
+            actor.named(now, self.named)
+
     def tell(self, world, name):
-        if world.ask(name, lambda actor, now: actor.named(now, self.named)):
+        if world.ask(name, self._configure):
             self.told[name] = tuple(self.named)
 
 
@@ -178,12 +184,12 @@
 
 def play(plan, keepers=3, kind="common", **told):
     """(World, Breach or None)."""
-    made, before = Play(plan, keepers, kind, **told), (module.KEEP, log.MAX_ENTRIES)
-    module.KEEP, log.MAX_ENTRIES = KEEP, TOGETHER
+    made, before = Play(plan, keepers, kind, **told), (module.COMPACT_AFTER, log.MAX_ENTRIES)
+    module.COMPACT_AFTER, log.MAX_ENTRIES = KEEP, TOGETHER
     try:
         made.world.run()
     except Breach as breach:
         return made.world, breach
     finally:
-        module.KEEP, log.MAX_ENTRIES = before
+        module.COMPACT_AFTER, log.MAX_ENTRIES = before
     return made.world, None
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -106,7 +106,7 @@
     base = BEGUN_MS
 
     def start(self, name):
-        self.keepers[name] = RaftNode(
+        self.nodes[name] = RaftNode(
             name, self.names, self.disks[name], self.chance, self.now, Permits(quiet=False), self.base
         )
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -20,7 +20,7 @@
 )
 from gaproute.shared.leases.invariants import check_permits
 from gaproute.shared.raft.messages import Entry, EntryKind, Reply, Request
-from gaproute.shared.raft.sessions import OWN, Sessions
+from gaproute.shared.raft.sessions import MAX_SESSIONS_PER_CLIENT, Sessions
 
 
 class Log:
@@ -130,9 +130,9 @@
     other = Sessions(Permits())
     other.unpack(one.pack())
     assert other.pack() == one.pack() and other.table == one.table
-    for index in range(6, 6 + OWN):
+    for index in range(6, 6 + MAX_SESSIONS_PER_CLIENT):
         one.apply(index, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
-    assert one.apply(99, take)[0] == "forgotten" and len(one.table) == OWN
+    assert one.apply(99, take)[0] == "forgotten" and len(one.table) == MAX_SESSIONS_PER_CLIENT
 
 
 def holder(now=0):
@@ -256,5 +256,5 @@
     assert states == ["busy"] * 5
     for number in range(2000):
         leader.hear(net.now, f"g{number}", Request(0, 1, b""))
-    assert leader.log.last - leader.commit <= 512 and leader.refused["busy"] > 1000
+    assert leader.log.last_index - leader.commit_index <= 512 and leader.rejections["busy"] > 1000
     assert leader.hear(net.now, "h", Request(77, 1, b"x"))[0][1].state == "forgotten"
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -3,7 +3,7 @@
 import pytest
 from raft_net import MILLI, SECOND, Disk, Net
 
-from gaproute.shared.raft.leader import PENDING
+from gaproute.shared.raft.leader import MAX_UNCOMMITTED
 from gaproute.shared.raft.membership import next_membership
 from gaproute.shared.raft.messages import AppendEntriesResponse, EntryKind, Member
 
@@ -36,8 +36,8 @@
 def test_new_disks_found_a_log_and_elect_one(size):
     net = Net(1, size)
     net.run(10 * SECOND)
-    assert [each.leading for each in net.keepers.values()].count(True) == 1
-    assert {each.commit for each in net.keepers.values()} == {2}
+    assert [each.is_leader for each in net.nodes.values()].count(True) == 1
+    assert {each.commit_index for each in net.nodes.values()} == {2}
 
 
 def settled(size=3):
@@ -48,33 +48,33 @@
 
 def test_a_keeper_without_its_disk_votes_for_nobodys_past_and_is_a_member_again():
     net = settled()
-    name = next(each for each in net.names if not net.keepers[each].leading)
-    life, lead = net.keepers[name].life, net.leader
+    name = next(each for each in net.names if not net.nodes[each].is_leader)
+    life, lead = net.nodes[name].incarnation, net.leader
     net.crash(name, lost=True)
     net.run(SECOND)
     net.start(name)
-    assert net.keepers[name].life != life and not net.keepers[name].member
-    before = lead.commit
+    assert net.nodes[name].incarnation != life and not net.nodes[name].is_member
+    before = lead.commit_index
     third = next(each for each in net.names if each not in (name, lead.name))
     net.cut = {(third, lead.name)}  # only the one without memory answers
     net.run(500 * MILLI)
     lead.propose(0)
     net.run(SECOND)
-    assert lead.commit == before
+    assert lead.commit_index == before
     net.cut.clear()
     net.run(15 * SECOND)
-    assert net.keepers[name].member
-    assert all(each.members == net.leader.members for each in net.keepers.values())
+    assert net.nodes[name].is_member
+    assert all(each.members == net.leader.members for each in net.nodes.values())
 
 
 def test_the_founder_without_its_disk_founds_nothing_while_others_remember():
     net = settled()
-    agreed = net.leader.log.entry(1)
+    agreed = net.leader.log.entry_at(1)
     net.crash("k0", lost=True)
     net.run(5 * SECOND)
     net.start("k0")
     net.run(20 * SECOND)
-    assert net.keepers["k0"].member and net.keepers["k0"].log.entry(1) == agreed
+    assert net.nodes["k0"].is_member and net.nodes["k0"].log.entry_at(1) == agreed
 
 
 def test_two_of_three_without_their_disks_agree_on_nothing():
@@ -86,9 +86,9 @@
     for name in net.names:
         if name != left:
             net.start(name)
-    before = net.keepers[left].commit
+    before = net.nodes[left].commit_index
     net.run(30 * SECOND)
-    assert net.leader is None and net.keepers[left].commit == before
+    assert net.leader is None and net.nodes[left].commit_index == before
 
 
 def test_the_configuration_names_others_and_the_members_follow():
@@ -97,11 +97,11 @@
     net.disks["k3"] = Disk()
     net.start("k3")
     for name in ("k0", "k1", "k2"):
-        net.keepers[name].named(net.now, net.names)
+        net.nodes[name].set_configured_members(net.now, net.names)
     net.run(20 * SECOND)
     assert [member.name for member in net.leader.members] == net.names
-    assert net.leader.name != "k2" and not net.keepers["k2"].leading
-    sizes = [len(members) for _, members in net.leader.log.rolls]
+    assert net.leader.name != "k2" and not net.nodes["k2"].is_leader
+    sizes = [len(members) for _, members in net.leader.log.membership_history]
     assert sizes == [0, 3, 4, 3]
 
 
@@ -109,32 +109,36 @@
     net = settled()
     lead = net.leader
     other = next(each for each in net.names if each != lead.name)
-    lead.lead.first = lead.log.last + 1  # as if it had just been elected
-    lead.named(net.now, [lead.name, other])
+    lead.leader_state.first_index = lead.log.last_index + 1  # as if it had just been elected
+    lead.set_configured_members(net.now, [lead.name, other])
     now = net.now + 60 * SECOND
-    for name in lead.others():
-        lead.hear(now, name, AppendEntriesResponse(lead.term, net.keepers[name].life, True, lead.log.last))
-    last = lead.log.last
+    for name in lead.peer_names():
+        lead.hear(
+            now,
+            name,
+            AppendEntriesResponse(lead.term, net.nodes[name].incarnation, True, lead.log.last_index),
+        )
+    last = lead.log.last_index
     lead.tick(now)
-    assert lead.log.last == last
-    lead.lead.first = last
+    assert lead.log.last_index == last
+    lead.leader_state.first_index = last
     lead.tick(now + SECOND)
-    assert lead.log.last == last + 1 and len(lead.members) == 2
+    assert lead.log.last_index == last + 1 and len(lead.members) == 2
 
 
 def test_a_group_whose_members_all_restart_with_a_long_log_agrees_again():
     made = Net(seed=1)
     made.run(3 * SECOND)
-    for _ in range(PENDING // 50 + 2):
+    for _ in range(MAX_UNCOMMITTED // 50 + 2):
         for _ in range(50):
             assert made.leader.propose(EntryKind.NOOP)
         made.run(SECOND)
-    entries = made.leader.commit
-    assert PENDING < entries
+    entries = made.leader.commit_index
+    assert MAX_UNCOMMITTED < entries
     for name in made.names:
         made.crash(name)
     made.flying.clear()  # else what the old leader had sent would still tell how far all agreed
     for name in made.names:
         made.start(name)
     made.run(10 * SECOND)
-    assert made.leader.commit == made.leader.log.last > entries
+    assert made.leader.commit_index == made.leader.log.last_index > entries
--- a/tests/raft/test_node.py
+++ b/tests/raft/test_node.py
@@ -18,14 +18,14 @@
     RequestVote,
     RequestVoteResponse,
 )
-from gaproute.shared.raft.records import Identity, Snapshot, Voted, Written, decode
+from gaproute.shared.raft.records import EntryRecord, IdentityRecord, SnapshotRecord, VoteRecord, decode
 from gaproute.shared.raft.records import encode as record
 from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.sessions import Sessions
 
 NAMES = ("a", "b", "c")
-ROLL = tuple(Member(name, number) for number, name in enumerate(NAMES, 1))
-FIRST = Entry(0, EntryKind.MEMBERSHIP, body=encode(Membership(ROLL)))
+MEMBERS = tuple(Member(name, number) for number, name in enumerate(NAMES, 1))
+FIRST = Entry(0, EntryKind.MEMBERSHIP, body=encode(Membership(MEMBERS)))
 
 
 def disk(name="b", term=1, vote=("", 0), entries=()):
@@ -34,17 +34,17 @@
         [
             record(each)
             for each in (
-                Identity(name, NAMES.index(name) + 1),
-                Voted(term, *vote),
-                Written(1, FIRST),
-                *(Written(index, entry) for index, entry in enumerate(entries, 2)),
+                IdentityRecord(name, NAMES.index(name) + 1),
+                VoteRecord(term, *vote),
+                EntryRecord(1, FIRST),
+                *(EntryRecord(index, entry) for index, entry in enumerate(entries, 2)),
             )
         ]
     )
     return made
 
 
-def keeper(*entries, now=0, **words):
+def node(*entries, now=0, **words):
     made = disk(entries=entries, **words)
     return RaftNode(words.get("name", "b"), NAMES, made, Chance(1), now), made
 
@@ -58,9 +58,9 @@
 
 
 def test_a_vote_goes_to_one_a_term_and_is_on_disk_before_it_is_told():
-    one, kept = keeper()
+    one, kept = node()
     assert one.hear(0, "a", RequestVote(2, 1, 1, 0, False)) == [("a", RequestVoteResponse(2, 2, False, True))]
-    assert decode(kept.records[-1]) == Voted(2, "a", 1) and kept.synced == len(kept.records)
+    assert decode(kept.records[-1]) == VoteRecord(2, "a", 1) and kept.synced == len(kept.records)
     assert one.hear(0, "c", RequestVote(2, 3, 9, 1, False)) == [
         ("c", RequestVoteResponse(2, 2, False, False))
     ]
@@ -80,14 +80,14 @@
     "index, last, given", [(3, 1, True), (4, 1, True), (2, 1, False), (2, 2, True), (9, 0, False)]
 )
 def test_only_a_log_that_knows_as_much_gets_a_vote(index, last, given):
-    one, _ = keeper(note(1), note(1))
+    one, _ = node(note(1), note(1))
     assert one.hear(0, "a", RequestVote(2, 1, index, last, False)) == [
         ("a", RequestVoteResponse(2, 2, False, given))
     ]
 
 
 def test_whoever_hears_a_leader_votes_for_nobody_and_keeps_its_term():
-    one, _ = keeper()
+    one, _ = node()
     one.hear(0, "a", AppendEntries(1, 1, 1, 0, 0))
     assert one.hear(SECOND // 2, "c", RequestVote(9, 3, 9, 9, False)) == [] and one.term == 1
     assert one.hear(SECOND, "c", RequestVote(9, 3, 9, 9, False)) == [
@@ -96,7 +96,7 @@
 
 
 def test_asking_first_raises_no_term_and_a_split_vote_elects_nobody():
-    one, kept = keeper()
+    one, kept = node()
     before = list(kept.records)
     told = one.tick(one.due)
     assert told == [(name, RequestVote(2, 2, 1, 0, True)) for name in "ac"] and kept.records == before
@@ -104,89 +104,93 @@
     assert told == [(name, RequestVote(2, 2, 1, 0, False)) for name in "ac"] and one.term == 2
     one.hear(0, "a", RequestVoteResponse(2, 1, False, False))
     one.hear(0, "c", RequestVoteResponse(2, 3, False, False))
-    assert not one.leading
+    assert not one.is_leader
     one.hear(0, "c", RequestVoteResponse(1, 3, False, True))  # of a term that is over
-    assert not one.leading
+    assert not one.is_leader
     one.hear(0, "c", RequestVoteResponse(2, 33, False, True))  # a life that is no member: it lost its disk
-    assert not one.leading
+    assert not one.is_leader
     one.hear(0, "c", RequestVoteResponse(2, 3, False, True))
-    assert one.leading and one.log.last_term == 2
+    assert one.is_leader and one.log.last_term == 2
 
 
 def test_a_conflict_in_the_log_is_overwritten_but_never_what_was_agreed():
-    one, kept = keeper(note(1), note(1), note(1))
+    one, kept = node(note(1), note(1), note(1))
     assert one.hear(0, "a", AppendEntries(3, 1, 5, 2, 1)) == [("a", AppendEntriesResponse(3, 2, False, 4))]
     assert one.hear(0, "a", AppendEntries(3, 1, 4, 2, 1)) == [("a", AppendEntriesResponse(3, 2, False, 1))]
     assert one.hear(0, "a", AppendEntries(3, 1, 1, 0, 2, (note(2), note(3)))) == [
         ("a", AppendEntriesResponse(3, 2, True, 3))
     ]
-    assert [entry.term for entry in one.log.entries] == [0, 2, 3] and one.commit == 2
+    assert [entry.term for entry in one.log.entries] == [0, 2, 3] and one.commit_index == 2
     again = RaftNode("b", NAMES, kept, Chance(1), 0)
     assert again.log.entries == one.log.entries
     assert one.hear(0, "a", AppendEntries(3, 1, 1, 0, 2, (note(1),))) == []
-    assert "never unsaid" in one.breaches[0] and one.log.entry(2).term == 2
+    assert "never unsaid" in one.breaches[0] and one.log.entry_at(2).term == 2
 
 
 def test_a_late_heartbeat_cuts_nothing_off():
-    one, _ = keeper(note(1), note(1))
+    one, _ = node(note(1), note(1))
     assert one.hear(0, "a", AppendEntries(1, 1, 1, 0, 0, (note(1),))) == [
         ("a", AppendEntriesResponse(1, 2, True, 2))
     ]
-    assert one.log.last == 3
+    assert one.log.last_index == 3
 
 
 def lead(*entries):
-    one, kept = keeper(*entries)
+    one, kept = node(*entries)
     one.tick(one.due)
-    one.hear(one.election, "a", RequestVoteResponse(1, 1, True, True))
-    one.hear(one.election, "a", RequestVoteResponse(2, 1, False, True))
-    assert one.leading
+    one.hear(one.election_due, "a", RequestVoteResponse(1, 1, True, True))
+    one.hear(one.election_due, "a", RequestVoteResponse(2, 1, False, True))
+    assert one.is_leader
     return one, kept
 
 
 def test_entries_of_past_terms_are_agreed_on_with_one_of_the_own_only():
     one, _ = lead(note(1))
     one.hear(0, "a", AppendEntriesResponse(2, 1, True, 2))
-    assert one.commit == 0
+    assert one.commit_index == 0
     one.hear(0, "c", AppendEntriesResponse(2, 33, True, 3))  # a life that is no member counts for nothing
-    assert one.commit == 0
+    assert one.commit_index == 0
     one.hear(0, "a", AppendEntriesResponse(2, 1, True, 3))
-    assert one.commit == 3
+    assert one.commit_index == 3
 
 
 def test_one_whose_leaving_is_not_agreed_on_still_stands_without_a_vote_of_its_own():
-    one, _ = keeper(Entry(1, EntryKind.MEMBERSHIP, body=encode(Membership((ROLL[0], ROLL[2])))))
-    assert not one.member and len(one.tick(one.due)) == 2
-    one.hear(one.election, "a", RequestVoteResponse(1, 1, True, True))
+    one, _ = node(Entry(1, EntryKind.MEMBERSHIP, body=encode(Membership((MEMBERS[0], MEMBERS[2])))))
+    assert not one.is_member and len(one.tick(one.due)) == 2
+    one.hear(one.election_due, "a", RequestVoteResponse(1, 1, True, True))
     assert one.role is Role.PRE_CANDIDATE
-    one.hear(one.election, "c", RequestVoteResponse(1, 3, True, True))
+    one.hear(one.election_due, "c", RequestVoteResponse(1, 3, True, True))
     assert one.role is Role.CANDIDATE
-    one.hear(one.election, "a", AppendEntries(3, 1, 2, 1, 2))
+    one.hear(one.election_due, "a", AppendEntries(3, 1, 2, 1, 2))
     assert one.tick(one.due) == []
 
 
 def test_a_stale_leader_is_told_so_and_one_that_is_not_heard_steps_down():
     one, _ = lead()
-    now = one.election
+    now = one.election_due
     assert one.hear(now, "a", AppendEntries(1, 1, 1, 0, 0)) == [("a", AppendEntriesResponse(2, 2, False, 0))]
-    while one.leading and now < one.election + 10 * SECOND:
+    while one.is_leader and now < one.election_due + 10 * SECOND:
         now = one.due
         one.tick(now)
-    assert now - one.heard >= 2 * SECOND and not one.leading
+    assert now - one.leader_heard_at >= 2 * SECOND and not one.is_leader
     other, _ = lead()
     other.hear(0, "a", AppendEntriesResponse(5, 1, False, 0))
-    assert other.term == 5 and not other.leading
+    assert other.term == 5 and not other.is_leader
 
 
 def test_a_disk_that_fails_makes_it_silent_until_it_is_written_anew():
-    one, kept = keeper()
+    one, kept = node()
     kept.fails = "no space left"
-    assert one.hear(0, "a", RequestVote(2, 1, 1, 0, False)) == [] and "no space" in one.mute
-    assert one.hear(0, "a", AppendEntries(2, 1, 1, 0, 0)) == [] and one.tick(one.due) == [] and one.mute
+    assert one.hear(0, "a", RequestVote(2, 1, 1, 0, False)) == [] and "no space" in one.storage_failure
+    assert (
+        one.hear(0, "a", AppendEntries(2, 1, 1, 0, 0)) == []
+        and one.tick(one.due) == []
+        and one.storage_failure
+    )
     kept.fails = None
     assert one.hear(one.due, "a", AppendEntries(2, 1, 1, 0, 0)) == []
     one.tick(one.due)
-    assert not one.mute and decode(kept.records[1]) == Voted(2, "a", 1)
+    assert not one.storage_failure and decode(kept.records[1]) == VoteRecord(2, "a", 1)
     assert one.hear(one.due, "c", RequestVote(2, 3, 9, 1, False)) == [
         ("c", RequestVoteResponse(2, 2, False, False))
     ]
@@ -196,21 +200,27 @@
     "came",
     [
         Lost("torn"),
-        [record(Identity("z", 9))],
+        [record(IdentityRecord("z", 9))],
         [b"noise"],
-        [record(Voted(3, "", 0))],
-        [record(Identity("b", 2)), record(Written(5, note(1)))],
-        [record(Identity("b", 2)), record(Voted(3, "", 0)), record(Voted(2, "", 0))],
-        [record(Identity("b", 2)), record(Voted(3, "", 0)), record(Snapshot(9, 2, ROLL, b"noise"))],
+        [record(VoteRecord(3, "", 0))],
+        [record(IdentityRecord("b", 2)), record(EntryRecord(5, note(1)))],
+        [record(IdentityRecord("b", 2)), record(VoteRecord(3, "", 0)), record(VoteRecord(2, "", 0))],
+        [
+            record(IdentityRecord("b", 2)),
+            record(VoteRecord(3, "", 0)),
+            record(SnapshotRecord(9, 2, MEMBERS, b"noise")),
+        ],
     ],
 )
 def test_a_disk_that_cannot_be_trusted_is_put_aside_and_the_keeper_is_another(came):
     kept = disk()
     kept.read = lambda: came
     one = RaftNode("b", NAMES, kept, Chance(1), 0)
-    assert kept.put_aside == [one.store.lost] and one.life not in (0, 2) and one.store.blank
-    assert [decode(each) for each in kept.records] == [Identity("b", one.life)]
-    assert one.tick(one.due) == [] and not one.member
+    assert (
+        kept.put_aside == [one.store.discard_reason] and one.incarnation not in (0, 2) and one.store.is_blank
+    )
+    assert [decode(each) for each in kept.records] == [IdentityRecord("b", one.incarnation)]
+    assert one.tick(one.due) == [] and not one.is_member
 
 
 def test_nothing_of_a_disk_that_cannot_be_used_comes_into_force():
@@ -221,10 +231,11 @@
     kept = disk()
     late = Entry(7, EntryKind.NOOP)
     kept.records = [
-        record(each) for each in (Identity("b", 2), Snapshot(9, 2, ROLL, state), Written(10, late))
+        record(each)
+        for each in (IdentityRecord("b", 2), SnapshotRecord(9, 2, MEMBERS, state), EntryRecord(10, late))
     ]
     one = RaftNode("b", NAMES, kept, Chance(1), 0)
-    assert kept.put_aside == ["entries of terms that it never entered"] and one.store.blank
+    assert kept.put_aside == ["entries of terms that it never entered"] and one.store.is_blank
     assert one.machine.permits == {} and one.machine.held == {} and one.machine.fence == 0
 
 
@@ -233,25 +244,25 @@
     kept.read = lambda: Disk.sync(kept)
     kept.fails = "input/output error"
     one = RaftNode("b", NAMES, kept, Chance(1), 0)
-    assert "not read" in one.mute and one.hear(0, "a", RequestVote(1, 1, 1, 0, False)) == []
+    assert "not read" in one.storage_failure and one.hear(0, "a", RequestVote(1, 1, 1, 0, False)) == []
     kept.read, kept.fails = lambda: good(kept), None
     one.tick(one.due)
-    assert not one.mute and one.life == 2
-    assert one.hear(one.again, "a", RequestVote(1, 1, 1, 0, False)) == [
+    assert not one.storage_failure and one.incarnation == 2
+    assert one.hear(one.storage_retry_at, "a", RequestVote(1, 1, 1, 0, False)) == [
         ("a", RequestVoteResponse(1, 2, False, False))
     ]
 
 
 def test_a_founder_needs_all_others_blank_in_answer_to_its_own_life():
     one = RaftNode("a", NAMES, Disk(), Chance(1), 0)
-    assert one.tick(one.due) == [(name, BootstrapProbe(one.life, 0, True)) for name in "bc"]
-    one.hear(0, "b", BootstrapProbe(2, one.life, True))
-    one.hear(0, "c", BootstrapProbe(3, one.life + 1, True))  # in answer to a life before
-    one.hear(0, "c", BootstrapProbe(3, one.life, False))  # remembers something
-    assert one.log.last == 0
-    one.hear(0, "c", BootstrapProbe(3, one.life, True))
-    assert one.members == (Member("a", one.life), Member("b", 2), Member("c", 3)) and one.due == 0
-    used, _ = keeper()
+    assert one.tick(one.due) == [(name, BootstrapProbe(one.incarnation, 0, True)) for name in "bc"]
+    one.hear(0, "b", BootstrapProbe(2, one.incarnation, True))
+    one.hear(0, "c", BootstrapProbe(3, one.incarnation + 1, True))  # in answer to a life before
+    one.hear(0, "c", BootstrapProbe(3, one.incarnation, False))  # remembers something
+    assert one.log.last_index == 0
+    one.hear(0, "c", BootstrapProbe(3, one.incarnation, True))
+    assert one.members == (Member("a", one.incarnation), Member("b", 2), Member("c", 3)) and one.due == 0
+    used, _ = node()
     assert used.hear(0, "a", BootstrapProbe(9, 0, True)) == [("a", BootstrapProbe(2, 9, False))]
 
 
@@ -264,26 +275,33 @@
     sent = [message for to, message in giver.hear(giver.due, "c", AppendEntriesResponse(2, 3, False, 0))] or [
         told["c"]
     ]
-    state = InstallSnapshot(2, 2, 3, 2, ROLL, giver.store.state)
+    state = InstallSnapshot(2, 2, 3, 2, MEMBERS, giver.store.snapshot)
     assert all(isinstance(message, (InstallSnapshot, AppendEntries)) for message in sent)
-    one, kept = keeper(name="c")
+    one, kept = node(name="c")
     assert (
         one.hear(0, "b", state) == [("b", AppendEntriesResponse(2, 3, True, 3))]
-        and one.commit == one.applied == 3
+        and one.commit_index == one.last_applied == 3
     )
     assert one.hear(0, "b", AppendEntries(2, 2, 1, 0, 3, (note(1), note(2), note(2)))) == [
         ("b", AppendEntriesResponse(2, 3, True, 4))
     ]
     again = RaftNode("c", NAMES, kept, Chance(1), 0)
-    assert (again.log.base, again.log.last, again.commit, again.members) == (3, 4, 3, ROLL)
-    assert one.hear(0, "b", state) == [("b", AppendEntriesResponse(2, 3, True, 3))] and one.log.last == 4
+    assert (again.log.snapshot_index, again.log.last_index, again.commit_index, again.members) == (
+        3,
+        4,
+        3,
+        MEMBERS,
+    )
+    assert (
+        one.hear(0, "b", state) == [("b", AppendEntriesResponse(2, 3, True, 3))] and one.log.last_index == 4
+    )
 
 
 def test_strangers_and_terms_from_the_far_future_are_counted_and_change_nothing():
-    one, kept = keeper()
+    one, kept = node()
     before = list(kept.records)
     assert one.hear(0, "z", AppendEntries(9, 1, 1, 0, 0)) == []
     assert one.hear(0, "a", AppendEntries(1 << 47, 1, 1, 0, 0)) == []
     assert one.hear(0, "a", "noise") == []
-    assert one.refused == {"stranger": 1, "term from far future": 1, "not for keepers": 1}
+    assert one.rejections == {"stranger": 1, "term from far future": 1, "not for keepers": 1}
     assert kept.records == before and one.term == 1
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -72,7 +72,7 @@
     @property
     def leader(self):
         return next(
-            (name for name in self.names if name in self.seats and self.seats[name].keeper.leading), None
+            (name for name in self.names if name in self.seats and self.seats[name].node.is_leader), None
         )
 
 
@@ -101,17 +101,17 @@
     group.until(lambda: wish.state == "held")
     assert wish.may(group.loop.now()) and wish.fence == 1
     gone = group.leader
-    agreed, life = group.seats[gone].keeper.commit, group.seats[gone].keeper.life
+    agreed, life = group.seats[gone].node.commit_index, group.seats[gone].node.incarnation
     group.end(gone)
     other = holder.take(group.loop.now(), "host-8", 10 * SECOND)
     group.seats["h"].act()
     group.until(lambda: other.state == "held")
     assert wish.may(group.loop.now()) and other.fence == 2
     group.start(gone)
-    keeper = group.seats[gone].keeper
-    assert keeper.life == life and keeper.log.last >= agreed - 1
-    group.until(lambda: len(keeper.machine.permits) == 2)
-    assert not any(seat.keeper.breaches for seat in group.seats.values() if seat.keeper)
+    node = group.seats[gone].node
+    assert node.incarnation == life and node.log.last_index >= agreed - 1
+    group.until(lambda: len(node.machine.permits) == 2)
+    assert not any(seat.node.breaches for seat in group.seats.values() if seat.node)
     assert "leader" in [
         told["now"] for _, what, told in group.seats[group.leader].record.events if what == "keeper"
     ]
@@ -121,7 +121,7 @@
 def test_a_file_that_cannot_be_trusted_is_kept_aside_and_the_keeper_learns_anew(group, harm):
     group.until(lambda: group.leader)
     name, other = [each for each in group.names if each != group.leader]
-    life = group.seats[name].keeper.life
+    life = group.seats[name].node.incarnation
     group.end(name)
     path = group.folder / name
     if harm == "torn":
@@ -132,10 +132,12 @@
         path.write_bytes((group.folder / other).read_bytes())
     group.start(name)
     seat = group.seats[name]
-    assert seat.keeper.life not in (life, group.seats[other].keeper.life) and seat.keeper.store.blank
+    assert (
+        seat.node.incarnation not in (life, group.seats[other].node.incarnation) and seat.node.store.is_blank
+    )
     assert [what for _, what, _ in seat.record.events] == ["keeper's memory set aside"]
     assert len(list(group.folder.glob(f"{name}.*"))) >= 2  # the lock, and what was set aside
-    group.until(lambda: seat.keeper.member)
+    group.until(lambda: seat.node.is_member)
 
 
 def test_bad_batches_are_counted_by_reason_and_change_nothing(group):
@@ -157,9 +159,9 @@
         before = seat.carrier.counts[f"refused: {reason}"]
         assert post(group, "a", body) == 400
         assert seat.carrier.counts[f"refused: {reason}"] == before + 1, body[:20]
-    term = seat.keeper.term
+    term = seat.node.term
     assert post(group, "a", wire.batch("h", [wire.pack(RequestVote(term + 1, 1, 99, 99, False))])) == 204
-    assert seat.keeper.refused["stranger"] == 1 and seat.keeper.term == term
+    assert seat.node.rejections["stranger"] == 1 and seat.node.term == term
     assert post(group, "h", wire.batch("b", [good])) == 204
     assert group.seats["h"].carrier.counts["refused: no keeper here"] == 1
 
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -41,7 +41,7 @@
 def elected(made):
     """After its election all that was agreed on is applied again."""
     now = 0
-    while not made.leading or made.commit < made.log.last:
+    while not made.is_leader or made.commit_index < made.log.last_index:
         now = made.due
         made.tick(now)
         assert now < 10 * SECOND
@@ -74,12 +74,16 @@
     path = copied(name)
     for opening in range(2):  # as it was written, and as this version wrote it anew
         made, disk, texts = node(path)
-        assert not made.store.lost and not made.mute and made.life == OWN_NUMBER
-        assert (made.term, made.store.voted) == (
+        assert not made.store.discard_reason and not made.storage_failure and made.incarnation == OWN_NUMBER
+        assert (made.term, made.store.voted_for) == (
             4 + opening,
-            ("k2", 12345) if not opening else ("k1", made.life),
+            ("k2", 12345) if not opening else ("k1", made.incarnation),
+        )
+        assert (made.log.snapshot_index, made.log.last_index, disk.torn) == (
+            base,
+            8 + opening,
+            0 if opening else torn,
         )
-        assert (made.log.base, made.log.last, disk.torn) == (base, 8 + opening, 0 if opening else torn)
         assert len(texts) == disk.torn and all("torn tail" in text for text in texts)
         elected(made)
         assert leases(made) == HELD and made.machine.pools == {"room:host-9": (6, 0)}
@@ -91,7 +95,11 @@
     path = copied("votes-middle-bad.bin")
     before = path.read_bytes()
     made, disk, texts = node(path)
-    assert "not what was written" in made.store.lost and made.life not in (0, OWN_NUMBER) and not made.term
+    assert (
+        "not what was written" in made.store.discard_reason
+        and made.incarnation not in (0, OWN_NUMBER)
+        and not made.term
+    )
     assert len(texts) == 1 and "set aside as" in texts[0]
     assert path.with_name(f"{path.name}.broken-17").read_bytes() == before
     disk.close()
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -71,7 +71,7 @@
     def start(self):
         record = SimpleNamespace(event=lambda level, what, **told: self.events.append((what, told)))
         self.strong = Strong(self.loop, "a", self.line, record, Chance(1))
-        return self.strong.seat.keeper
+        return self.strong.seat.node
 
     def run(self, span):
         end = self.loop.now() + span
@@ -89,9 +89,9 @@
     part = Strongly(tmp_path, *[("open", number, fault) for number in range(1, 4)])
     with part.disk.installed(files, votes_module):
         node = part.start()
-        assert node.mute and node.due > 0
+        assert node.storage_failure and node.due > 0
         part.run(12 * SECOND)
-        assert node.mute == "" and node.leading and len(part.disk.plan.log) == 3
+        assert node.storage_failure == "" and node.is_leader and len(part.disk.plan.log) == 3
         assert [what for what, _ in part.events].count("votes") == 1  # said once
         part.close()
     assert part.disk.open_descriptors == 0
@@ -111,14 +111,14 @@
     with part.disk.installed(files, votes_module):
         node = part.start()
         part.run(5 * SECOND)
-        assert node.leading
+        assert node.is_leader
         number = part.disk.counts["write"]
         part.disk.plan = FaultPlan(Script.of(*[("write", each, FULL) for each in range(1, 4)]))
         wish = part.strong.seat.holder.take(part.loop.now(), "host-7", SECOND)
         part.strong._act()
         part.run(SECOND)
-        assert node.mute and not node.leading and wish.state == "asked"
+        assert node.storage_failure and not node.is_leader and wish.state == "asked"
         part.run(20 * SECOND)
-        assert node.leading and wish.state == "held" and part.disk.counts["write"] > number + 3
+        assert node.is_leader and wish.state == "held" and part.disk.counts["write"] > number + 3
         part.close()
     assert part.disk.open_descriptors == 0 and not (tmp_path / "votes.new").exists()
--- a/tests/storage/test_votes.py
+++ b/tests/storage/test_votes.py
@@ -261,15 +261,19 @@
 def test_a_keepers_memory_from_this_file_and_none_from_anothers(votes):
     one = votes()
     store = Store("k1", one, Chance(1), lambda state: None)
-    store.vote(3, "k2", 5)
+    store.save_vote(3, "k2", 5)
     assert store.sync()
     one.close()
     two = votes()
     back = Store("k1", two, Chance(2), lambda state: None)
-    assert (back.term, back.voted, back.life) == (3, ("k2", 5), store.life)
+    assert (back.term, back.voted_for, back.incarnation) == (3, ("k2", 5), store.incarnation)
     two.close()
     other = Store("k9", votes(), Chance(3), lambda state: None)
-    assert other.term == 0 and other.life not in (0, store.life) and "another gateway" in other.lost
+    assert (
+        other.term == 0
+        and other.incarnation not in (0, store.incarnation)
+        and "another gateway" in other.discard_reason
+    )
 
 
 def test_the_simulated_disk_has_the_same_face():
--- a/tests/support/faulty_ledger.py
+++ b/tests/support/faulty_ledger.py
@@ -197,9 +197,9 @@
 
     def step(self):
         self.now += SECOND
-        if self.node.mute:
+        if self.node.storage_failure:
             self.node.tick(max(self.now, self.node.due))
-            self.now = max(self.now, self.node.again)
+            self.now = max(self.now, self.node.storage_retry_at)
             return
         if self.chance.randrange(3) == 0:
             self.candidate()
@@ -215,7 +215,7 @@
         for _, vote in self.node.hear(self.now, sender, ask):
             if isinstance(vote, RequestVoteResponse):
                 self.seen = max(self.seen, vote.term)
-                if vote.given:
+                if vote.vote_granted:
                     before = self.answered.setdefault(vote.term, (sender, 5))
                     if before != (sender, 5):
                         raise Broken(VOTE_UNSAID, f"term {vote.term}: {before}, then {sender}")
@@ -237,18 +237,18 @@
         for _, ack in self.node.hear(self.now, "b", message):
             if isinstance(ack, AppendEntriesResponse):
                 self.seen = max(self.seen, ack.term)
-                if ack.ok:
-                    self.log = entries[: max(ack.index, len(self.log))]
+                if ack.success:
+                    self.log = entries[: max(ack.match_index, len(self.log))]
 
     def judge(self):
         self.disk.kill = None
         with self.disk.plan.pause(), self.disk.installed(*MODULES):
             self.begin()
             store = self.node.store
-            if store.lost:
-                raise Broken(TAKEN_FOR_BAD, store.lost)
-            if store.broken:
-                raise Broken(NOT_RECOVERED, store.broken)
+            if store.discard_reason:
+                raise Broken(TAKEN_FOR_BAD, store.discard_reason)
+            if store.failure:
+                raise Broken(NOT_RECOVERED, store.failure)
             self.judge_store(store)
             self.disk_file.close()
 
@@ -256,10 +256,12 @@
         if store.term < self.seen:
             raise Broken(VOTE_UNSAID, f"term {store.term} after {self.seen} was told")
         owed = self.answered.get(store.term)
-        if owed is not None and store.voted != owed:
-            raise Broken(VOTE_UNSAID, f"{store.voted} in term {store.term} after {owed}")
+        if owed is not None and store.voted_for != owed:
+            raise Broken(VOTE_UNSAID, f"{store.voted_for} in term {store.term} after {owed}")
         for index, entry in enumerate(self.log, 1):
-            if index > store.log.last or (index >= store.log.base and store.log.term(index) != entry.term):
+            if index > store.log.last_index or (
+                index >= store.log.snapshot_index and store.log.term_at(index) != entry.term
+            ):
                 raise Broken(ENTRY_UNSAID, f"entry {index} of {len(self.log)}")
 
 
--- a/tests/support/ledger_mutants.py
+++ b/tests/support/ledger_mutants.py
@@ -152,7 +152,7 @@
 
 
 def an_answer_leaves_before_the_sync(patch):
-    patch(Store, "sync", lambda self: not self.broken)
+    patch(Store, "sync", lambda self: not self.failure)
 
 
 def a_node_goes_on_after_a_further_sync(patch):
@@ -161,9 +161,9 @@
         try:
             self.disk.sync()
         except OSError as fault:
-            self.broken = str(fault)
+            self.failure = str(fault)
             return False
-        self.broken, self.dirty = "", False
+        self.failure, self.dirty = "", False
         return True
 
     patch(Store, "rewrite", rewrite)
--- a/tests/support/raft_net.py
+++ b/tests/support/raft_net.py
@@ -55,18 +55,18 @@
         self.names = [f"k{n}" for n in range(keepers)]
         self.disks = {name: Disk() for name in self.names}
         self.cut, self.history = set(), History()
-        self.keepers = {}
+        self.nodes = {}
         for name in self.names:
             self.start(name)
         self.holders = {f"h{n}": Holder(f"h{n}", self.names, self.chance, 0) for n in range(holders)}
 
     def start(self, name):
-        self.keepers[name] = RaftNode(
+        self.nodes[name] = RaftNode(
             name, self.names, self.disks[name], self.chance, self.now, Permits(quiet=False)
         )
 
     def crash(self, name, lost=False):
-        if self.keepers.pop(name, None) is not None:
+        if self.nodes.pop(name, None) is not None:
             self.disks[name].crash(self.chance)
         if lost:
             self.disks[name] = Disk()
@@ -81,7 +81,7 @@
                 )
 
     def everyone(self):
-        return {**self.keepers, **self.holders}
+        return {**self.nodes, **self.holders}
 
     def step(self):
         """To the next message or tick."""
@@ -104,10 +104,10 @@
 
     def check(self):
         holders = [(each, self.now) for each in self.holders.values()]
-        assert check_all(list(self.keepers.values()), holders, self.history) == []
+        assert check_all(list(self.nodes.values()), holders, self.history) == []
 
     @property
     def leader(self):
         return max(
-            (each for each in self.keepers.values() if each.leading), key=lambda each: each.term, default=None
+            (each for each in self.nodes.values() if each.is_leader), key=lambda each: each.term, default=None
         )
