--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -8,7 +8,7 @@
 from gaproute.http1 import render
 from gaproute.peers.raft import wire
 from gaproute.peers.raft.carrier import TARGET
-from gaproute.shared.leases import Holder, Permits
+from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.simulation.plan import Plan
 from gaproute.simulation.world import World
@@ -55,11 +55,11 @@
 
     def keeper(self, name, disk, chance, now):
         """A member of the group."""
-        return RaftNode(name, GROUP, disk, chance, now, Permits(quiet=False))
+        return RaftNode(name, GROUP, disk, chance, now, LeaseTable(initial_wait=False))
 
     def holder(self, name, disk, chance, now):
         """A gateway that wants leases."""
-        return Holder(name, GROUP, chance, now)
+        return LeaseClient(name, GROUP, chance, now)
 
     def call(self, seat, what, *told):
         """As a World's, metered."""
@@ -83,7 +83,7 @@
         """The holder wants this lease from now on."""
 
         def ask(actor, now):
-            actor.take(now, resource, SPAN)
+            actor.acquire(now, resource, SPAN)
 
         self.ask(holder, ask)
 
@@ -107,7 +107,7 @@
     group.spent.clear()
     group.play(PLAYED)
     machine = group.seats[group.leading()].actor.machine
-    assert len(machine.permits) == holders * leases, len(machine.permits)
+    assert len(machine.leases) == holders * leases, len(machine.leases)
     return group
 
 
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -2,7 +2,7 @@
 
 from gaproute.hollow.parts import Part
 from gaproute.peers.raft import HostedNode
-from gaproute.shared.leases import Permits
+from gaproute.shared.leases import LeaseTable
 
 SECOND = 1_000_000_000
 SPAN = 30 * SECOND  # of the lease: renewed at half of it
@@ -29,7 +29,7 @@
             surroundings.chance(5),
             surroundings.open_votes(self.name) if self.name in line.names else None,
             surroundings.wall() // 1_000_000,
-            Permits(quiet=False),
+            LeaseTable(initial_wait=False),
             surroundings.open_carrier,
         )
         self.wish, self.refused, self.ended = None, 0, 0
@@ -38,7 +38,7 @@
     @property
     def held(self):
         """Whether the lease stands now."""
-        return self.wish is not None and self.wish.may(self.loop.now())
+        return self.wish is not None and self.wish.valid_at(self.loop.now())
 
     def tick(self, now):
         """Wishes for the lease again where it was refused or ran out."""
@@ -48,7 +48,7 @@
         if self.wish is not None:
             self.refused += self.wish.state == "refused"
             self.ended += self.wish.state == "over"
-        self.wish = self.seat.holder.take(now, f"gateway/{self.name}", SPAN)
+        self.wish = self.seat.holder.acquire(now, f"gateway/{self.name}", SPAN)
         self.seat.act()
 
     def listed(self, gateways):
@@ -62,7 +62,7 @@
         return {
             "messages": carrier.counts["sent"],
             "bytes": carrier.counts["bytes"],
-            "entries": 0 if node is None else len(node.machine.permits) + len(node.log.entries),
+            "entries": 0 if node is None else len(node.machine.leases) + len(node.log.entries),
             "held": int(self.held),
             "refused": self.refused,
             "ended": self.ended,
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -2,7 +2,7 @@
 choice."""
 
 from gaproute.peers.raft.carrier import Carrier
-from gaproute.shared.leases import Holder
+from gaproute.shared.leases import LeaseClient
 from gaproute.shared.raft import RaftNode
 from gaproute.shared.raft.invariants import replay
 from gaproute.shared.raft.messages import Reply
@@ -24,7 +24,7 @@
     ):
         self.loop, self.name, self.record = loop, name, record
         self.carrier = carrier(loop, name, peers, self.take)
-        self.holder = Holder(name, keepers, chance, loop.now())
+        self.holder = LeaseClient(name, keepers, chance, loop.now())
         self.node = None
         if disk is not None and name in keepers:
             self.node = RaftNode(name, keepers, disk, chance, loop.now(), machine, base)
@@ -38,7 +38,7 @@
 
     def set_configured_members(self, keepers):
         """The configuration names these keepers now."""
-        self.holder.named(self.loop.now(), keepers)
+        self.holder.set_configured_members(self.loop.now(), keepers)
         if self.node is not None:
             self.node.set_configured_members(self.loop.now(), keepers)
         self.act()
@@ -119,10 +119,12 @@
                 {
                     "resource": wish.resource,
                     "state": wish.state,
-                    "fence": wish.fence,
-                    "ms_left": None if wish.end is None else (wish.end - self.loop.now()) // MILLI,
+                    "fence": wish.fencing_token,
+                    "ms_left": None
+                    if wish.expires_at is None
+                    else (wish.expires_at - self.loop.now()) // MILLI,
                 }
-                for wish in self.holder.wishes
+                for wish in self.holder.requests
             ],
             "carried": dict(self.carrier.counts),
             "keeper": node
@@ -133,13 +135,13 @@
                 "agreed": node.commit_index,
                 "members": [each.name for each in node.members],
                 "silent": node.storage_failure,
-                "permits": len(node.machine.permits),
+                "permits": len(node.machine.leases),
             },
         }
 
     def stop(self):
         """Gives all permits back; `close` ends it."""
-        self.holder.leave(self.loop.now())
+        self.holder.release_all(self.loop.now())
         self.act()
 
     def close(self):
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gaproute.shared.leases.invariants import check_holders, check_permits
+from gaproute.shared.leases.invariants import check_clients, check_table
 from gaproute.shared.raft.messages import MAX_MEMBERS
 from gaproute.shared.raft.sessions import MAX_SESSIONS, MAX_SESSIONS_PER_CLIENT
 
@@ -20,7 +20,7 @@
     store, log, machine = node.store, node.log, node.machine
     came = []
     seen = node.last_check
-    now = store.incarnation, store.term, node.commit_index, machine.fence, store.voted_for
+    now = store.incarnation, store.term, node.commit_index, machine.last_token, store.voted_for
     if seen is not None and seen[0] == now[0]:
         for name, was, value in zip(
             ("term", "commit index", "fencing number"), seen[1:4], now[1:4], strict=True
@@ -58,7 +58,7 @@
         came.append(f"sessions have owners: {node.name}")
     if any(len(own) > MAX_SESSIONS_PER_CLIENT for own in owned.values()):
         came.append(f"session table bounded: {node.name}")
-    return came + check_permits(node.machine)
+    return came + check_table(node.machine)
 
 
 class History:
@@ -73,7 +73,7 @@
 
 
 def check_all(keepers, holders, history):
-    """`keepers`: those that live; `holders`: [(Holder, its own clock's time)]; `history`: a History."""
+    """`keepers`: those that live; `holders`: [(LeaseClient, its own clock's time)]; `history`: a History."""
     came = []
     for node in keepers:
         came += node.breaches + check_deep(node)
@@ -90,7 +90,7 @@
         default=None,
     )
     if latest is not None:
-        came += check_holders(latest.machine, holders)
+        came += check_clients(latest.machine, holders)
     return came
 
 
@@ -114,8 +114,8 @@
 
 def _fences(node, history):
     came = []
-    for fence, permit in node.machine.permits.items():
-        given = permit.resource, permit.holder
+    for fence, lease in node.machine.leases.items():
+        given = lease.resource, lease.holder
         if history.fences.setdefault(fence, given) != given:
             came.append(f"a fencing number is given once: {fence} to {history.fences[fence]} and {given}")
     return came
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -85,9 +85,9 @@
     if now - lead.elected_at >= QUORUM_TIMEOUT and not node.is_majority(answering_incarnations(node, now)):
         node.step_down(now)
         return
-    for fence, at in lead.clocks.over(now, MAX_EXPIRIES_A_TURN):
+    for fence, at in lead.clocks.pop_expired(now, MAX_EXPIRIES_A_TURN):
         if not node.propose_expiry(fence, at):
-            lead.clocks.note(now, fence, at, HEARTBEAT_INTERVAL)
+            lead.clocks.update(now, fence, at, HEARTBEAT_INTERVAL)
     if now >= lead.heartbeat_due:
         lead.heartbeat_due = now + HEARTBEAT_INTERVAL
         for name in [name for name in lead.followers if name not in node.peer_names()]:
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -2,8 +2,8 @@
 
 from collections import Counter
 
-from gaproute.shared.leases.clocks import Clocks
-from gaproute.shared.leases.machine import Permits
+from gaproute.shared.leases.expiry import ExpiryTimers
+from gaproute.shared.leases.table import LeaseTable
 from gaproute.shared.raft import bootstrap, election, follower, leader, requests
 from gaproute.shared.raft.invariants import MAX_BREACHES, check_one
 from gaproute.shared.raft.messages import (
@@ -40,7 +40,7 @@
 
     def __init__(self, name, keepers, disk, chance, now, machine=None, base=0):
         self.name, self.chance, self.fencing_base = name, chance, base
-        self.machine = Permits() if machine is None else machine
+        self.machine = LeaseTable() if machine is None else machine
         self.sessions = Sessions(self.machine)
         self.store = Store(name, disk, chance, self.sessions.unpack)
         self.storage_failure = self.store.failure  # why nothing is said, or ''
@@ -195,12 +195,12 @@
         while self.last_applied < self.commit_index:
             self.last_applied += 1
             entry = self.log.entry_at(self.last_applied)
-            self.machine.touched = None
+            self.machine.last_change = None
             answer = self.sessions.apply(self.last_applied, entry)
             if self.role != Role.LEADER:
                 continue
-            if self.machine.touched is not None:
-                self.leader_state.clocks.note(now, *self.machine.touched)
+            if self.machine.last_change is not None:
+                self.leader_state.clocks.update(now, *self.machine.last_change)
             requests.reply_to(self, self.last_applied, answer, out)
             if entry.kind == EntryKind.MEMBERSHIP and not self.is_member:
                 self.step_down(now)
@@ -208,7 +208,7 @@
     def become_leader(self, now):
         self.role, self.leader = Role.LEADER, self.name
         self.leader_state = leader.LeaderState(
-            now, self.log.last_index + 1, Clocks(now, self.machine.waits())
+            now, self.log.last_index + 1, ExpiryTimers(now, self.machine.expiry_waits())
         )
 
     def propose(self, kind, session=0, nonce=0, body=b""):
@@ -216,7 +216,7 @@
         return leader.propose(self, kind, session, nonce, body)
 
     def propose_expiry(self, fence, at):
-        return self.propose(EntryKind.COMMAND, body=self.machine.lapse(fence, at))
+        return self.propose(EntryKind.COMMAND, body=self.machine.expire_command(fence, at))
 
     def _compact_log(self, now):
         held = self.last_applied - self.log.snapshot_index
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -24,7 +24,7 @@
     def apply(self, index, entry):
         """(state of the reply, its body, the session opened or 0); the same at every node."""
         if entry.kind == EntryKind.MEMBERSHIP:
-            self.machine.found(decode_membership(entry.body).base)
+            self.machine.raise_last_token(decode_membership(entry.body).base)
         elif entry.kind == EntryKind.OPEN_SESSION:
             self._open(index, entry.body.decode("utf-8", "replace"))
             return "done", b"", index
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -7,8 +7,8 @@
 a holder is cut off.
 """
 
-from gaproute.shared.leases import Holder, Permits
-from gaproute.shared.leases.commands import BOUND
+from gaproute.shared.leases import LeaseClient, LeaseTable
+from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.shared.raft import RaftNode, log
 from gaproute.shared.raft import node as module
 from gaproute.simulation.chance import Chance
@@ -26,7 +26,7 @@
 EVERY = 20 * MILLI  # between requests
 KEEP = 12  # entries held before a snapshot, for the run to see many (the program: 1,024)
 TOGETHER = 3  # entries in one message, so that logs are caught up with in parts (the program: 64)
-RATE = BOUND * 1_000  # millionths: clocks go wrong up to what is promised
+RATE = CLOCK_ERROR * 1_000  # millionths: clocks go wrong up to what is promised
 NAMES = ("r1", "r2", "r3", "p1", "p2")
 POOLS = {"p1": (3, 4), "p2": (4, 6)}  # name: sizes that are told
 NARROW = 64  # in a third of the runs elections meet: timers differ by a 64th of what they should
@@ -72,11 +72,13 @@
     def keeper(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
         base = 1 + self.world.now // MILLI
-        return RaftNode(name, self.named, disk, chance, now, Permits(True, self.span), base)
+        return RaftNode(
+            name, self.named, disk, chance, now, LeaseTable(initial_wait=True, max_duration=self.span), base
+        )
 
     def holder(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
-        return Holder(name, self.named, chance, now)
+        return LeaseClient(name, self.named, chance, now)
 
     def leader(self, world):
         leading = [
@@ -93,8 +95,8 @@
         span = self.span // (chance.of((1, 1, 2, 4)) if self.kind == "common" else 1)
 
         def ask(actor, now):
-            if len(actor.wishes) < 4:
-                actor.take(now, resource, span, amount)
+            if len(actor.requests) < 4:
+                actor.acquire(now, resource, span, amount)
 
         world.ask(chance.of(self.holders), ask)
 
@@ -102,15 +104,15 @@
         place = chance.below(4)
 
         def ask(actor, now):
-            if place < len(actor.wishes):
-                actor.give(now, actor.wishes[place])
+            if place < len(actor.requests):
+                actor.release(now, actor.requests[place])
 
         world.ask(chance.of(self.holders), ask)
 
     def size(self, world, chance):
         resource = chance.of(list(POOLS))
         amount = chance.of(POOLS[resource])
-        world.ask(chance.of(self.holders), lambda actor, now: actor.size(now, resource, amount))
+        world.ask(chance.of(self.holders), lambda actor, now: actor.resize_pool(now, resource, amount))
 
     def change(self, world, chance):
         """One name of the configuration by another, once all have the one before; each hears it when it
@@ -130,14 +132,8 @@
             self.named = sorted([name for name in self.named if name != left] + [self.spare])
             self.spare = left
 
-    def _configure(self, actor, now):
-        if isinstance(actor, RaftNode):
-            actor.set_configured_members(now, self.named)
-        else:
-            actor.named(now, self.named)
-
     def tell(self, world, name):
-        if world.ask(name, self._configure):
+        if world.ask(name, lambda actor, now: actor.set_configured_members(now, self.named)):
             self.told[name] = tuple(self.named)
 
 
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -9,7 +9,7 @@
 from gaproute.loop.streams import address
 from gaproute.peers.raft import HostedNode, wire
 from gaproute.peers.raft.carrier import BURST
-from gaproute.shared.leases import Permits
+from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -46,7 +46,7 @@
             Record(),
             Chance(number),
             disk,
-            machine=Permits(quiet=False),
+            machine=LeaseTable(initial_wait=False),
         )
         seat.disk = disk
         self.peers[name] = seat.carrier.listen(self.peers.get(name, "127.0.0.1:0"))
@@ -96,21 +96,21 @@
 
 def test_a_permit_over_sockets_outlives_the_leader_and_a_restart(group):
     holder = group.seats["h"].holder
-    wish = holder.take(group.loop.now(), "host-7", 10 * SECOND)
+    wish = holder.acquire(group.loop.now(), "host-7", 10 * SECOND)
     group.seats["h"].act()
     group.until(lambda: wish.state == "held")
-    assert wish.may(group.loop.now()) and wish.fence == 1
+    assert wish.valid_at(group.loop.now()) and wish.fencing_token == 1
     gone = group.leader
     agreed, life = group.seats[gone].node.commit_index, group.seats[gone].node.incarnation
     group.end(gone)
-    other = holder.take(group.loop.now(), "host-8", 10 * SECOND)
+    other = holder.acquire(group.loop.now(), "host-8", 10 * SECOND)
     group.seats["h"].act()
     group.until(lambda: other.state == "held")
-    assert wish.may(group.loop.now()) and other.fence == 2
+    assert wish.valid_at(group.loop.now()) and other.fencing_token == 2
     group.start(gone)
     node = group.seats[gone].node
     assert node.incarnation == life and node.log.last_index >= agreed - 1
-    group.until(lambda: len(node.machine.permits) == 2)
+    group.until(lambda: len(node.machine.leases) == 2)
     assert not any(seat.node.breaches for seat in group.seats.values() if seat.node)
     assert "leader" in [
         told["now"] for _, what, told in group.seats[group.leader].record.events if what == "keeper"
--- a/tests/support/raft_net.py
+++ b/tests/support/raft_net.py
@@ -3,7 +3,7 @@
 import heapq
 import random
 
-from gaproute.shared.leases import Holder, Permits
+from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.shared.raft.invariants import History, check_all
 
@@ -58,11 +58,11 @@
         self.nodes = {}
         for name in self.names:
             self.start(name)
-        self.holders = {f"h{n}": Holder(f"h{n}", self.names, self.chance, 0) for n in range(holders)}
+        self.holders = {f"h{n}": LeaseClient(f"h{n}", self.names, self.chance, 0) for n in range(holders)}
 
     def start(self, name):
         self.nodes[name] = RaftNode(
-            name, self.names, self.disks[name], self.chance, self.now, Permits(quiet=False)
+            name, self.names, self.disks[name], self.chance, self.now, LeaseTable(initial_wait=False)
         )
 
     def crash(self, name, lost=False):
