--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -27,7 +27,7 @@
         self.holder = LeaseClient(name, keepers, chance, loop.now())
         self.node = None
         if disk is not None and name in keepers:
-            self.node = RaftNode(name, keepers, disk, chance, loop.now(), machine, base)
+            self.node = RaftNode(name, keepers, disk, chance, loop.now(), machine, fencing_base=base)
             if self.node.store.discard_reason:
                 record.event("error", "keeper's memory set aside", why=self.node.store.discard_reason)
         self.seen = {}
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from gaproute.shared.messages import NAME
-from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, MESSAGES
+from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, RaftMessage
 
 VERSION = 1
 MANY = 64  # messages in a batch: those of a few beats
@@ -23,7 +23,7 @@
     tuple[
         int,
         Annotated[str, Meta(min_length=1, max_length=NAME)],
-        Annotated[list[MESSAGES], Meta(min_length=1, max_length=MANY)],
+        Annotated[list[RaftMessage], Meta(min_length=1, max_length=MANY)],
     ]
 ).decode
 
--- /dev/null
+++ b/gaproute/shared/leases/group_invariants.py
@@ -0,0 +1,49 @@
+"""What must always hold of a whole Raft group whose state machine is a `LeaseTable`, and of its clients."""
+
+from collections.abc import Iterable, Sequence
+
+from gaproute.shared.leases.client import LeaseClient
+from gaproute.shared.leases.invariants import check_clients, check_table
+from gaproute.shared.leases.table import LeaseTable
+from gaproute.shared.raft import RaftNode
+from gaproute.shared.raft.invariants import History, check_all
+
+
+class GroupHistory(History):
+    """What was seen before, held by the driver for a whole play."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.given: dict[int, tuple[str, str]] = {}  # resource and holder by fencing token
+
+
+def table_of(node: RaftNode) -> LeaseTable:
+    """The node's state machine. Raises TypeError where it is another one."""
+    if not isinstance(node.machine, LeaseTable):
+        raise TypeError(f"the machine of {node.name} is a {type(node.machine).__name__}, not a LeaseTable")
+    return node.machine
+
+
+def check_group(
+    nodes: Sequence[RaftNode], clients: Iterable[tuple[LeaseClient, int]], history: GroupHistory
+) -> list[str]:
+    """The breaches at the nodes that are up. `clients`: each with its own clock's time."""
+    breaches = check_all(nodes, history)
+    for node in nodes:
+        table = table_of(node)
+        breaches += check_table(table) + _check_tokens(table, history)
+    working = [node for node in nodes if not node.storage_failure]
+    if working:
+        latest = max(working, key=lambda node: node.last_applied)
+        breaches += check_clients(table_of(latest), clients)
+    return breaches
+
+
+def _check_tokens(table: LeaseTable, history: GroupHistory) -> list[str]:
+    breaches: list[str] = []
+    for token, lease in table.leases.items():
+        given = lease.resource, lease.holder
+        first = history.given.setdefault(token, given)
+        if first != given:
+            breaches.append(f"a fencing number is given once: {token} to {first} and {given}")
+    return breaches
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -23,7 +23,7 @@
     encode,
     expiry_wait,
 )
-from gaproute.shared.leases.expiry import ExpiryUpdate
+from gaproute.shared.leases.expiry import ExpiryTimers, ExpiryUpdate
 from gaproute.shared.messages import Message
 
 MAX_LEASES = 4096  # at once: hosts out and room lent of a large fleet; 200 bytes each
@@ -199,6 +199,15 @@
             del self.amounts_held[lease.resource]
         self._update_excess(lease.resource)
 
+    def pop_change(self) -> ExpiryUpdate | None:
+        """What the entries since the last call changed last, if any; it is told once."""
+        change, self.last_change = self.last_change, None
+        return change
+
+    def start_timers(self, now: int) -> ExpiryTimers:
+        """Timers of a new leader for all leases, counted from now."""
+        return ExpiryTimers(now, self.expiry_waits())
+
     def expiry_waits(self) -> list[ExpiryUpdate]:
         """How long a leader waits, from when it became leader, before it lets each lease expire."""
         waits = [
--- a/gaproute/shared/raft/bootstrap.py
+++ b/gaproute/shared/raft/bootstrap.py
@@ -1,34 +1,41 @@
-"""How the first log comes to be without anybody's memory being taken for granted.
+"""How the first log begins without anybody's memory being taken for granted.
 
-Only the first by name of the configured keepers founds, and only when every other one has said, in answer
-to this very incarnation, that it never voted and never took an entry. So a node that lost its disk founds
-nothing while any other remembers anything; and while the founder is the one that lost it, no leader of an
-older log can have been elected, as that takes another's vote, and a vote ends being blank.
+Only the first by name of the configured members begins one, and only when every other one has said, in
+answer to this very incarnation, that it never voted and never took an entry. So a node that lost its disk
+begins nothing while any other remembers anything. And while the first one is the one that lost it, no leader
+of an older log can have been elected, as that takes another's vote, and a vote ends being blank.
 """
 
-import msgspec
+from __future__ import annotations
 
-from gaproute.shared.raft.messages import BootstrapProbe, Entry, EntryKind, Member, Membership
+from typing import TYPE_CHECKING
 
+from gaproute.shared.raft.log import encode_membership
+from gaproute.shared.raft.messages import BootstrapProbe, Entry, EntryKind, Member, Membership, Outbox
 
-def tick(node, now, out):
-    if not node.store.is_blank or node.name != node.configured_members[0]:
+if TYPE_CHECKING:
+    from gaproute.shared.raft.node import RaftNode
+
+
+def _may_bootstrap(node: RaftNode) -> bool:
+    return node.store.is_blank and node.name == node.configured_members[0]
+
+
+def tick(node: RaftNode, outbox: Outbox) -> None:
+    """Asks all others whether they are blank."""
+    if not _may_bootstrap(node):
         return
     others = node.peer_names()
     if not others:
         _bootstrap(node)
-    for name in others:
-        out.append((name, BootstrapProbe(node.incarnation, 0, True)))
+    outbox.extend((name, BootstrapProbe(node.incarnation, 0, True)) for name in others)
 
 
-def on_probe(node, now, sender, message, out):
+def on_probe(node: RaftNode, now: int, sender: str, message: BootstrapProbe, outbox: Outbox) -> None:
+    """Answers a probe, or takes the answer to an own one."""
     if not message.echoed_incarnation:
-        out.append((sender, BootstrapProbe(node.incarnation, message.incarnation, node.store.is_blank)))
-    elif (
-        message.echoed_incarnation != node.incarnation
-        or not node.store.is_blank
-        or node.name != node.configured_members[0]
-    ):
+        outbox.append((sender, BootstrapProbe(node.incarnation, message.incarnation, node.store.is_blank)))
+    elif message.echoed_incarnation != node.incarnation or not _may_bootstrap(node):
         node.reject("founding is over")
     else:
         node.blank_peers.pop(sender, None)
@@ -39,9 +46,8 @@
             node.election_due = now
 
 
-def _bootstrap(node):
+def _bootstrap(node: RaftNode) -> None:
     incarnations = {**node.blank_peers, node.name: node.incarnation}
     members = tuple(Member(name, incarnations[name]) for name in node.configured_members)
-    node.store.append(
-        1, Entry(0, EntryKind.MEMBERSHIP, body=msgspec.msgpack.encode(Membership(members, node.fencing_base)))
-    )
+    body = encode_membership(Membership(members, node.fencing_base))
+    node.store.append(1, Entry(0, EntryKind.MEMBERSHIP, body=body))
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -1,68 +1,82 @@
-"""Elections: who asks, who gives (Raft 5.2, 5.4.1; pre-vote and the leader's protection: dissertation 9.6,
-4.2.3).
+"""Elections (Raft 5.2, 5.4.1), with pre-vote and votes refused while a leader is heard.
 
-A vote is given once a term, to a log that knows at least what the own does, and is on disk before it is
-told.
+The latter two are of Ongaro's dissertation, 9.6 and 4.2.3. A vote is given once a term, to a log that is at
+least as up-to-date as the own one, and is durable before it is sent.
 """
 
-from gaproute.shared.raft.messages import EntryKind, RequestVote, RequestVoteResponse
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from gaproute.shared.raft.messages import EntryKind, Outbox, RequestVote, RequestVoteResponse
 from gaproute.shared.raft.role import Role
+from gaproute.shared.raft.store import NOBODY
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT
 
+if TYPE_CHECKING:
+    from gaproute.shared.raft.node import RaftNode
 
-def _request_votes(node, out, term, pre):
+
+def _request_votes(node: RaftNode, outbox: Outbox, term: int, *, pre_vote: bool) -> None:
     log = node.log
-    for name in node.peer_names():
-        out.append((name, RequestVote(term, node.incarnation, log.last_index, log.last_term, pre)))
+    request = RequestVote(term, node.incarnation, log.last_index, log.last_term, pre_vote)
+    outbox.extend((name, request) for name in node.peer_names())
+
 
+def start_pre_vote(node: RaftNode, outbox: Outbox) -> None:
+    """Asks whether a majority would vote for this node.
 
-def start_pre_vote(node, now, out):
-    """Would a majority vote? Only then is the term raised: one that was cut off disturbs nobody when it is
-    back."""
+    Only then is the term raised, so that a node which was cut off disturbs nobody when it is back.
+    """
     node.role, node.leader = Role.PRE_CANDIDATE, ""
     node.granted_votes = {node.name: node.incarnation}
-    _request_votes(node, out, node.term + 1, True)
+    _request_votes(node, outbox, node.term + 1, pre_vote=True)
 
 
-def on_majority(node, now, out):
-    """A majority: of the first asking, then it asks in earnest; of the votes, then it leads."""
-    if node.role == Role.PRE_CANDIDATE:
+def on_majority(node: RaftNode, now: int, outbox: Outbox) -> None:
+    """A majority granted the pre-vote: the election begins. Or it granted the vote: this node leads."""
+    if node.role is Role.PRE_CANDIDATE:
         node.role = Role.CANDIDATE
         node.store.save_vote(node.term + 1, node.name, node.incarnation)
         node.granted_votes = {node.name: node.incarnation}
-        _request_votes(node, out, node.term, False)
+        _request_votes(node, outbox, node.term, pre_vote=False)
         return
     node.become_leader(now)
     # Entries of past terms are committed by one of the own term only (5.4.2).
     node.propose(EntryKind.NOOP)
 
 
-def on_request_vote(node, now, sender, ask, out):
-    fresh = node.role == Role.LEADER or now - node.leader_heard_at < ELECTION_TIMEOUT
-    if fresh and ask.term > node.term:
+def on_request_vote(node: RaftNode, now: int, sender: str, request: RequestVote, outbox: Outbox) -> None:
+    """Grants the vote or not; no answer while a leader is heard."""
+    leader_heard = node.is_leader or now - node.leader_heard_at < ELECTION_TIMEOUT
+    if leader_heard and request.term > node.term:
         node.reject("asked while a leader is heard")
         return
-    known = node.log.is_up_to_date(ask.last_log_index, ask.last_log_term)
-    if ask.pre_vote:
-        out.append(
-            (sender, RequestVoteResponse(node.term, node.incarnation, True, ask.term > node.term and known))
-        )
+    known = node.log.is_up_to_date(request.last_log_index, request.last_log_term)
+    if request.pre_vote:
+        granted = request.term > node.term and known
+        outbox.append((sender, RequestVoteResponse(node.term, node.incarnation, True, granted)))
         return
-    if ask.term > node.term:
-        node.enter_term(now, ask.term)
-    given = ask.term == node.term and known and node.store.voted_for in (("", 0), (sender, ask.incarnation))
-    if given and node.store.voted_for == ("", 0):
-        node.store.save_vote(node.term, sender, ask.incarnation)
+    if request.term > node.term:
+        node.enter_term(now, request.term)
+    voted_for, candidate = node.store.voted_for, (sender, request.incarnation)
+    granted = request.term == node.term and known and voted_for in (NOBODY, candidate)
+    if granted and voted_for == NOBODY:
+        node.store.save_vote(node.term, sender, request.incarnation)
         node.reset_election_timer(now)
-    out.append((sender, RequestVoteResponse(node.term, node.incarnation, False, given)))
-
-
-def on_vote_response(node, now, sender, vote, out):
-    if vote.term > node.term:
-        node.enter_term(now, vote.term)
-    elif vote.vote_granted and (
-        node.role == Role.PRE_CANDIDATE
-        if vote.pre_vote
-        else node.role == Role.CANDIDATE and vote.term == node.term
-    ):
-        node.granted_votes[sender] = vote.incarnation
+    outbox.append((sender, RequestVoteResponse(node.term, node.incarnation, False, granted)))
+
+
+def on_vote_response(
+    node: RaftNode, now: int, sender: str, response: RequestVoteResponse, outbox: Outbox
+) -> None:
+    """Counts a vote of the election that is going on; `RaftNode` draws what a majority means."""
+    if response.term > node.term:
+        node.enter_term(now, response.term)
+        return
+    if response.pre_vote:
+        counts = node.role is Role.PRE_CANDIDATE
+    else:
+        counts = node.role is Role.CANDIDATE and response.term == node.term
+    if counts and response.vote_granted:
+        node.granted_votes[sender] = response.incarnation
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -1,17 +1,37 @@
 """The follower's side: entries and snapshots from the leader of the term (Raft 5.3, 7)."""
 
-from gaproute.shared.raft.messages import AppendEntriesResponse
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    InstallSnapshot,
+    Outbox,
+)
 from gaproute.shared.raft.role import Role
 
+if TYPE_CHECKING:
+    from gaproute.shared.raft.node import RaftNode
+
+
+def _respond(node: RaftNode, to: str, outbox: Outbox, match_index: int, *, success: bool) -> None:
+    outbox.append((to, AppendEntriesResponse(node.term, node.incarnation, success, match_index)))
 
-def _follow(node, now, sender, message, out):
+
+def _follow(
+    node: RaftNode, now: int, sender: str, message: AppendEntries | InstallSnapshot, outbox: Outbox
+) -> bool:
     """Whether the sender leads a term that is not over; then it is followed."""
     if message.term < node.term:
-        out.append((sender, AppendEntriesResponse(node.term, node.incarnation, False, 0)))
+        _respond(node, sender, outbox, 0, success=False)
         return False
     if message.term > node.term:
         node.enter_term(now, message.term)
-    if node.role == Role.LEADER:
+    if node.role is Role.LEADER:
         node.record_breaches([f"one leader a term: {sender} and {node.name} lead {node.term}"])
         return False
     node.step_down(now)
@@ -20,36 +40,43 @@
     return True
 
 
-def on_append_entries(node, now, sender, message, out):
-    if not _follow(node, now, sender, message, out):
+def on_append_entries(node: RaftNode, now: int, sender: str, message: AppendEntries, outbox: Outbox) -> None:
+    """Takes the leader's entries where they follow from what the log has."""
+    if not _follow(node, now, sender, message, outbox):
         return
     log, index, entries = node.log, message.prev_log_index, message.entries
     if index < log.snapshot_index:  # what the snapshot holds is committed: as the leader's
         entries = entries[log.snapshot_index - index :]
         index = log.snapshot_index
     elif log.term_at(index) != message.prev_log_term:
-        out.append(
-            (sender, AppendEntriesResponse(node.term, node.incarnation, False, _conflict_hint(log, index)))
-        )
+        _respond(node, sender, outbox, _conflict_hint(log, index), success=False)
+        return
+    if not _append(node, sender, index, entries):
         return
-    for at, entry in enumerate(entries, index + 1):
+    end = index + len(entries)
+    node.commit_index = max(node.commit_index, min(message.leader_commit, end))
+    _respond(node, sender, outbox, end, success=True)
+
+
+def _append(node: RaftNode, sender: str, prev_index: int, entries: tuple[Entry, ...]) -> bool:
+    """Puts those entries into the log that it does not have; False where that cannot be."""
+    log = node.log
+    for at, entry in enumerate(entries, prev_index + 1):
         if log.term_at(at) == entry.term:
             continue
         if at <= node.commit_index:
             node.record_breaches([f"never unsaid: {sender} replaces {at}, committed to {node.commit_index}"])
-            return
+            return False
         try:
             node.store.append(at, entry)
         except ValueError:
             node.reject("entry not understood")
-            return
-    end = index + len(entries)
-    node.commit_index = max(node.commit_index, min(message.leader_commit, end))
-    out.append((sender, AppendEntriesResponse(node.term, node.incarnation, True, end)))
+            return False
+    return True
 
 
-def _conflict_hint(log, index):
-    """Where to try next: before the term that differs, so that a leader skips it whole."""
+def _conflict_hint(log: Log, index: int) -> int:
+    """Where the leader is to try next: before the term that differs, so that it skips it whole."""
     if index > log.last_index:
         return log.last_index
     term, at = log.term_at(index), index
@@ -58,19 +85,19 @@
     return at
 
 
-def on_install_snapshot(node, now, sender, message, out):
-    if not _follow(node, now, sender, message, out):
+def on_install_snapshot(
+    node: RaftNode, now: int, sender: str, message: InstallSnapshot, outbox: Outbox
+) -> None:
+    """Takes the leader's state where it is ahead of what is committed here."""
+    if not _follow(node, now, sender, message, outbox):
         return
-    if message.last_included_index > node.commit_index:
+    index = message.last_included_index
+    if index > node.commit_index:
         try:
             node.sessions.unpack(message.state)
         except ValueError:
             node.reject("snapshot not understood")
             return
-        node.store.install(
-            message.last_included_index, message.last_included_term, message.members, message.state
-        )
-        node.commit_index = node.last_applied = message.last_included_index
-    out.append(
-        (sender, AppendEntriesResponse(node.term, node.incarnation, True, message.last_included_index))
-    )
+        node.store.install(index, message.last_included_term, message.members, message.state)
+        node.commit_index = node.last_applied = index
+    _respond(node, sender, outbox, index, success=True)
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -1,149 +1,173 @@
-"""What must always hold of keepers and permits; every check returns breaches as text, named first.
+"""What must always hold of the nodes of a group; every check returns breaches as text, named first.
 
-`check_one` looks at one node alone and is cheap: the node calls it after all that it hears.
-`check_all` looks at all at once, as only a driver can.
+`NodeCheck` looks at one node alone and is cheap: the node calls it after all that it hears. `check_all` looks
+at all nodes at once, as only a driver can. What must hold of the state machine is the machine's to say.
 """
 
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
 from hashlib import blake2b
+from itertools import combinations
+from typing import TYPE_CHECKING, NamedTuple
 
 import msgspec
 
-from gaproute.shared.leases.invariants import check_clients, check_table
-from gaproute.shared.raft.messages import MAX_MEMBERS
+from gaproute.shared.raft.messages import MAX_MEMBERS, Entry
 from gaproute.shared.raft.sessions import MAX_SESSIONS, MAX_SESSIONS_PER_CLIENT
-
-MAX_BREACHES = 16  # breaches held by a node: the first ones tell
-
-
-def check_one(node):
-    """Cheap: a few comparisons with what was seen last time."""
-    store, log, machine = node.store, node.log, node.machine
-    came = []
-    seen = node.last_check
-    now = store.incarnation, store.term, node.commit_index, machine.last_token, store.voted_for
-    if seen is not None and seen[0] == now[0]:
-        for name, was, value in zip(
-            ("term", "commit index", "fencing number"), seen[1:4], now[1:4], strict=True
-        ):
-            if value < was:
-                came.append(f"{name} only grows: {was} to {value} at {node.name}")
-        if seen[1] == now[1] and seen[4][0] and seen[4] != now[4]:
-            came.append(f"one vote a term: {seen[4]} to {now[4]} in {now[1]} at {node.name}")
-    node.last_check = now
-    if not log.snapshot_index <= node.last_applied <= node.commit_index <= log.last_index:
-        came.append(
-            f"applied after committed after held: {node.name} {log.snapshot_index} {node.last_applied} "
-            f"{node.commit_index} {log.last_index}"
+from gaproute.shared.raft.store import Candidate
+
+if TYPE_CHECKING:
+    from gaproute.shared.raft.node import RaftNode
+
+MAX_BREACHES = 16  # kept by a node: the first ones tell
+
+
+class _Seen(NamedTuple):
+    """What a node had at its last check."""
+
+    incarnation: int
+    term: int
+    commit_index: int
+    last_token: int
+    voted_for: Candidate
+
+
+class NodeCheck:
+    """A few comparisons with what was seen last time."""
+
+    def __init__(self) -> None:
+        self.seen: _Seen | None = None
+
+    def run(self, node: RaftNode) -> list[str]:
+        """The breaches at this node."""
+        store, log = node.store, node.log
+        breaches = self._compare(node)
+        if not log.snapshot_index <= node.last_applied <= node.commit_index <= log.last_index:
+            breaches.append(
+                f"applied after committed after held: {node.name} {log.snapshot_index} {node.last_applied} "
+                f"{node.commit_index} {log.last_index}"
+            )
+        if log.last_term > store.term:
+            breaches.append(f"no entry of a later term: {log.last_term} above {store.term} at {node.name}")
+        if node.is_leader is not (node.leader_state is not None):
+            breaches.append(f"who leads has a leader's state: {node.name}")
+        followers = node.leader_state.followers if node.leader_state is not None else {}
+        if len(node.sessions.table) > MAX_SESSIONS or len(followers) > 2 * MAX_MEMBERS:
+            breaches.append(f"maps are bounded: {node.name}")
+        return breaches
+
+    def _compare(self, node: RaftNode) -> list[str]:
+        store, before = node.store, self.seen
+        now = _Seen(
+            store.incarnation, store.term, node.commit_index, node.machine.last_token, store.voted_for
         )
-    if log.last_term > store.term:
-        came.append(f"no entry of a later term: {log.last_term} above {store.term} at {node.name}")
-    if node.is_leader is not (node.leader_state is not None):
-        came.append(f"who leads has a leader's state: {node.name}")
-    if (
-        len(node.sessions.table) > MAX_SESSIONS
-        or node.leader_state
-        and len(node.leader_state.followers) > 2 * MAX_MEMBERS
-    ):
-        came.append(f"maps are bounded: {node.name}")
-    return came
-
-
-def check_deep(node):
-    """Dear: walks the log and all tables."""
+        self.seen = now
+        if before is None or before.incarnation != now.incarnation:
+            return []
+        breaches = [
+            f"{name} only grows: {was} to {value} at {node.name}"
+            for name, was, value in (
+                ("term", before.term, now.term),
+                ("commit index", before.commit_index, now.commit_index),
+                ("fencing number", before.last_token, now.last_token),
+            )
+            if value < was
+        ]
+        if before.term == now.term and before.voted_for.name and before.voted_for != now.voted_for:
+            votes = f"{tuple(before.voted_for)} to {tuple(now.voted_for)}"
+            breaches.append(f"one vote a term: {votes} in {now.term} at {node.name}")
+        return breaches
+
+
+def check_deep(node: RaftNode) -> list[str]:
+    """Expensive: walks the log and all sessions."""
     log = node.log
     terms = [log.snapshot_term, *(entry.term for entry in log.entries)]
-    came = [] if terms == sorted(terms) else [f"terms grow along the log: {node.name}"]
+    breaches = [] if terms == sorted(terms) else [f"terms grow along the log: {node.name}"]
     table, owned = node.sessions.table, node.sessions.owned
-    if sorted(table) != sorted(session for own in owned.values() for session in own):
-        came.append(f"sessions have owners: {node.name}")
+    if sorted(table) != sorted(number for own in owned.values() for number in own):
+        breaches.append(f"sessions have owners: {node.name}")
     if any(len(own) > MAX_SESSIONS_PER_CLIENT for own in owned.values()):
-        came.append(f"session table bounded: {node.name}")
-    return came + check_table(node.machine)
+        breaches.append(f"session table bounded: {node.name}")
+    return breaches
 
 
 class History:
     """What was seen before, held by the driver for a whole play."""
 
-    def __init__(self):
-        self.leaders = {}  # term: (name, incarnation)
-        self.agreed = {}  # index: entry that some node had as committed
-        self.looked = {}  # (name, incarnation): index up to which that was compared
-        self.fences = {}  # fence: (resource, holder) that it was given to
-        self.states = {}  # applied: digest of the state of all that applied so much
+    def __init__(self) -> None:
+        self.leaders: dict[int, tuple[str, int]] = {}  # by term: name and incarnation
+        self.committed: dict[int, Entry] = {}  # by index: what some node had as committed
+        self.compared: dict[tuple[str, int], int] = {}  # by name and incarnation: up to which index
+        self.states: dict[int, bytes] = {}  # by last applied index: digest of the state
 
 
-def check_all(keepers, holders, history):
-    """`keepers`: those that live; `holders`: [(LeaseClient, its own clock's time)]; `history`: a History."""
-    came = []
-    for node in keepers:
-        came += node.breaches + check_deep(node)
+def check_all(nodes: Iterable[RaftNode], history: History) -> list[str]:
+    """Of the nodes that are up."""
+    up = list(nodes)
+    breaches: list[str] = []
+    for node in up:
+        breaches += node.breaches + check_deep(node)
         if node.is_leader:
-            was = history.leaders.setdefault(node.term, (node.name, node.incarnation))
-            if was != (node.name, node.incarnation):
-                came.append(f"one leader a term: {was[0]} and {node.name} in {node.term}")
-        came += _agreed(node, history)
-        came += _fences(node, history)
-    came += _matching(keepers)
-    latest = max(
-        (each for each in keepers if not each.storage_failure),
-        key=lambda each: each.last_applied,
-        default=None,
-    )
-    if latest is not None:
-        came += check_clients(latest.machine, holders)
-    return came
-
-
-def _agreed(node, history):
-    """Committed entries are the same for ever, at everyone."""
-    log, came = node.log, []
-    first = max(
-        log.snapshot_index, min(history.looked.get((node.name, node.incarnation), 0), node.commit_index)
-    )
+            itself = node.name, node.incarnation
+            first = history.leaders.setdefault(node.term, itself)
+            if first != itself:
+                breaches.append(f"one leader a term: {first[0]} and {node.name} in {node.term}")
+        breaches += _check_committed(node, history)
+    return breaches + _check_matching(up)
+
+
+def _check_committed(node: RaftNode, history: History) -> list[str]:
+    """Committed entries are the same for ever, at every node."""
+    log, itself = node.log, (node.name, node.incarnation)
+    breaches: list[str] = []
+    compared = history.compared.get(itself)
+    first = max(log.snapshot_index, min(compared or 0, node.commit_index))
     for index in range(first + 1, node.commit_index + 1):
         entry = log.entry_at(index)
-        if history.agreed.setdefault(index, entry) != entry:
-            came.append(f"never unsaid: entry {index} at {node.name}")
-    if node.last_applied == node.commit_index != history.looked.get((node.name, node.incarnation)):
+        if history.committed.setdefault(index, entry) != entry:
+            breaches.append(f"never unsaid: entry {index} at {node.name}")
+    if node.last_applied == node.commit_index != compared:
         state = blake2b(node.sessions.pack(), digest_size=16).digest()
         if history.states.setdefault(node.last_applied, state) != state:
-            came.append(f"same entries, same state: {node.name} after {node.last_applied}")
-    history.looked[node.name, node.incarnation] = node.commit_index
-    return came
+            breaches.append(f"same entries, same state: {node.name} after {node.last_applied}")
+    history.compared[itself] = node.commit_index
+    return breaches
+
 
+def _check_matching(nodes: Sequence[RaftNode]) -> list[str]:
+    """Log matching: the same term at an index, the same entries up to there."""
+    breaches: list[str] = []
+    for one, other in combinations(nodes, 2):
+        first = max(one.log.snapshot_index, other.log.snapshot_index)
+        last = min(one.log.last_index, other.log.last_index)
+        while last > first and one.log.term_at(last) != other.log.term_at(last):
+            last -= 1
+        if last > first and _entries(one, first, last) != _entries(other, first, last):
+            breaches.append(f"log matching: {one.name} and {other.name} up to {last}")
+    return breaches
 
-def _fences(node, history):
-    came = []
-    for fence, lease in node.machine.leases.items():
-        given = lease.resource, lease.holder
-        if history.fences.setdefault(fence, given) != given:
-            came.append(f"a fencing number is given once: {fence} to {history.fences[fence]} and {given}")
-    return came
 
+def _entries(node: RaftNode, after: int, last: int) -> list[Entry]:
+    base = node.log.snapshot_index
+    return node.log.entries[after - base : last - base]
 
-def _matching(keepers):
-    """Log matching: the same term at an index, the same entries up to there."""
-    came = []
-    for place, one in enumerate(keepers):
-        for other in keepers[place + 1 :]:
-            first = max(one.log.snapshot_index, other.log.snapshot_index)
-            same = min(one.log.last_index, other.log.last_index)
-            while same > first and one.log.term_at(same) != other.log.term_at(same):
-                same -= 1
-            mine = one.log.entries[first - one.log.snapshot_index : same - one.log.snapshot_index]
-            if (
-                same > first
-                and mine
-                != other.log.entries[first - other.log.snapshot_index : same - other.log.snapshot_index]
-            ):
-                came.append(f"log matching: {one.name} and {other.name} up to {same}")
-    return came
-
-
-def replay(node):
-    """A line with all that is needed to look into a breach."""
-    words = ("name", "incarnation", "term", "role", "leader", "commit", "applied", "members", "mute")
-    said = {word: getattr(node, word) for word in words}
+
+def replay(node: RaftNode) -> str:
+    """A line of JSON with all that is needed to look into a breach."""
     return msgspec.json.encode(
-        {**said, "role": node.role.value, "base": node.log.snapshot_index, "last": node.log.last_index}
+        {
+            "name": node.name,
+            "incarnation": node.incarnation,
+            "term": node.term,
+            "role": node.role.value,
+            "leader": node.leader,
+            "commit_index": node.commit_index,
+            "last_applied": node.last_applied,
+            "members": node.members,
+            "storage_failure": node.storage_failure,
+            "snapshot_index": node.log.snapshot_index,
+            "last_index": node.log.last_index,
+        }
     ).decode()
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -1,11 +1,26 @@
-"""The leader's side: entries to all, commits by majority (Raft 5.3, 5.4.2), and stepping down when a
-majority is not heard any more (dissertation 6.2), so that holders are sent elsewhere."""
-
-import msgspec
-
-from gaproute.shared.raft.membership import next_membership
-from gaproute.shared.raft.messages import AppendEntries, Entry, EntryKind, InstallSnapshot, Membership
+"""The leader's side: entries to all, and commits by majority (Raft 5.3, 5.4.2).
+
+A leader that does not hear a majority any more steps down (dissertation 6.2), so that clients go elsewhere.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from gaproute.shared.raft.log import encode_membership
+from gaproute.shared.raft.membership import MatchedLog, is_majority, next_membership
+from gaproute.shared.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    EntryKind,
+    InstallSnapshot,
+    Member,
+    Membership,
+    Outbox,
+)
 from gaproute.shared.raft.role import Role
+from gaproute.shared.raft.state_machine import DeadlineTimers
 from gaproute.shared.raft.timing import (
     HEARTBEAT_INTERVAL,
     MEMBERSHIP_CHANGE_INTERVAL,
@@ -13,45 +28,87 @@
     SNAPSHOT_RESEND_INTERVAL,
 )
 
-MAX_UNCOMMITTED = 512  # entries not yet agreed on: a megabyte at most; beyond it holders are told `busy`
-MAX_EXPIRIES_A_TURN = 64  # permits let go in one turn; a leader that was stopped may find many
+if TYPE_CHECKING:
+    from gaproute.shared.raft.node import RaftNode
+
+MAX_UNCOMMITTED = 512  # entries: a megabyte at most; beyond it clients are told that the leader is busy
+MAX_EXPIRIES_A_TURN = 64  # a leader that was stopped may find many
 
 
 class FollowerProgress:
-    """What is known of another node's log."""
+    """What the leader knows of another node's log."""
 
-    def __init__(self, following):
-        self.next_index, self.match_index = following, 0
+    def __init__(self, next_index: int) -> None:
+        self.next_index = next_index  # of the next entry to send
+        self.match_index = 0  # up to which the logs agree
         self.incarnation = 0  # by its last answer
-        self.answered_at = None  # when that came
+        self.answered_at: int | None = None  # when that came
         self.in_flight = False  # entries are on their way
-        self.snapshot_sent_at = None  # when a snapshot was sent
+        self.snapshot_sent_at: int | None = None
 
-    def restart(self, incarnation, last_index):
+    def restart(self, incarnation: int, last_index: int) -> None:
         """The name has another disk: what was known of the old one is nothing to this."""
         self.incarnation, self.match_index, self.next_index = incarnation, 0, last_index + 1
         self.snapshot_sent_at = None
 
+    def answered_lately(self, now: int) -> bool:
+        """Whether it counts as up."""
+        return self.answered_at is not None and now - self.answered_at < QUORUM_TIMEOUT
+
+    def snapshot_due(self, now: int) -> bool:
+        """Whether a snapshot may be sent, again or for the first time."""
+        return self.snapshot_sent_at is None or now - self.snapshot_sent_at >= SNAPSHOT_RESEND_INTERVAL
+
+
+class PendingReply(NamedTuple):
+    """The client and the request that an entry answers once it is committed."""
+
+    client: str
+    session: int
+    nonce: int
+
 
 class LeaderState:
-    def __init__(self, now, first, clocks):
-        self.elected_at, self.first_index, self.clocks = now, first, clocks
-        self.heartbeat_due = now  # when the next words are due
-        self.followers = {}  # name: FollowerProgress
-        self.pending_replies = {}  # index: (holder, session, nonce) to be answered
-        self.membership_changed_at = now  # when members last changed
-
-    def follower(self, name):
+    """What a node knows while it leads. `first_index`: of the entry with which its term begins."""
+
+    def __init__(self, now: int, first_index: int, timers: DeadlineTimers) -> None:
+        self.elected_at, self.first_index, self.timers = now, first_index, timers
+        self.heartbeat_due = now
+        self.followers: dict[str, FollowerProgress] = {}
+        self.pending_replies: dict[int, PendingReply] = {}  # by the entry's index
+        self.membership_changed_at = now
+
+    @property
+    def due(self) -> int:
+        """When `tick` is to be called next."""
+        deadline = self.timers.due
+        return self.heartbeat_due if deadline is None else min(self.heartbeat_due, deadline)
+
+    def follower(self, name: str) -> FollowerProgress:
+        """The progress of the node of this name."""
         if name not in self.followers:
             self.followers[name] = FollowerProgress(self.first_index)
         return self.followers[name]
 
+    def all_answering_have(self, now: int, index: int) -> bool:
+        """Whether all that answer have the entries up to `index`: then a snapshot makes nobody fetch it."""
+        return all(
+            progress.match_index >= index
+            for progress in self.followers.values()
+            if progress.answered_lately(now)
+        )
+
+    def keep_only(self, names: list[str]) -> None:
+        """Forgets the progress of all others."""
+        self.followers = {name: each for name, each in self.followers.items() if name in names}
 
-def propose(node, kind, session, nonce, body):
-    """Puts an entry into the leader's log; its index, or 0 where too many are not yet agreed on.
+
+def propose(node: RaftNode, kind: EntryKind, session: int, nonce: int, body: bytes) -> int:
+    """Puts an entry into the leader's log; its index, or 0 where too many are uncommitted.
 
     The entry with which a term begins is always taken: after a restart of all, nothing of a long log is
-    known to be agreed on, and it is this entry that brings the agreement (5.4.2)."""
+    known to be committed, and it is this entry that commits the others (5.4.2).
+    """
     index = node.log.last_index + 1
     if kind != EntryKind.NOOP and index - node.commit_index > MAX_UNCOMMITTED:
         return 0
@@ -59,144 +116,131 @@
     return index
 
 
-def answering_incarnations(node, now):
-    """name: incarnation of those who answered lately, itself among them."""
-    return {
-        node.name: node.incarnation,
-        **{
-            name: progress.incarnation
-            for name, progress in node.leader_state.followers.items()
-            if progress.answered_at is not None and now - progress.answered_at < QUORUM_TIMEOUT
-        },
+def _answering_incarnations(node: RaftNode, leader: LeaderState, now: int) -> dict[str, int]:
+    """Of those that answered lately, by name, itself among them."""
+    answering = {
+        name: progress.incarnation
+        for name, progress in leader.followers.items()
+        if progress.answered_lately(now)
     }
+    return {node.name: node.incarnation, **answering}
 
 
-def all_answering_have(node, now, index):
-    """Whether all that answer have the entries up to `index`: then a snapshot makes nobody fetch it."""
-    return all(
-        progress.match_index >= index
-        for progress in node.leader_state.followers.values()
-        if progress.answered_at is not None and now - progress.answered_at < QUORUM_TIMEOUT
-    )
-
-
-def tick(node, now, out):
-    lead = node.leader_state
-    if now - lead.elected_at >= QUORUM_TIMEOUT and not node.is_majority(answering_incarnations(node, now)):
+def tick(node: RaftNode, leader: LeaderState, now: int, outbox: Outbox) -> None:
+    """Heartbeats, deadlines, a change of the members, or the end of the leadership."""
+    answering = _answering_incarnations(node, leader, now)
+    if now - leader.elected_at >= QUORUM_TIMEOUT and not is_majority(node.members, answering):
         node.step_down(now)
         return
-    for fence, at in lead.clocks.pop_expired(now, MAX_EXPIRIES_A_TURN):
-        if not node.propose_expiry(fence, at):
-            lead.clocks.update(now, fence, at, HEARTBEAT_INTERVAL)
-    if now >= lead.heartbeat_due:
-        lead.heartbeat_due = now + HEARTBEAT_INTERVAL
-        for name in [name for name in lead.followers if name not in node.peer_names()]:
-            del lead.followers[name]
-        for name in node.peer_names():
-            lead.follower(name).in_flight = False
-            _send_entries(node, now, name, out)
-        _change_membership(node, now)
-
-
-def _change_membership(node, now):
-    """One step of the members towards the configuration, once the last one is agreed on and so is an entry
-    of the own term (the flaw of single-server changes that Ongaro published in 2015)."""
-    lead = node.leader_state
-    if (
-        node.log.membership_history[-1][0] > node.commit_index
-        or node.commit_index < lead.first_index
-        or now - lead.membership_changed_at < MEMBERSHIP_CHANGE_INTERVAL
-    ):
+    for token, log_index in leader.timers.pop_expired(now, MAX_EXPIRIES_A_TURN):
+        if not node.propose(EntryKind.COMMAND, body=node.machine.expire_command(token, log_index)):
+            leader.timers.update(now, token, log_index, HEARTBEAT_INTERVAL)
+    if now < leader.heartbeat_due:
+        return
+    leader.heartbeat_due = now + HEARTBEAT_INTERVAL
+    names = node.peer_names()
+    leader.keep_only(names)
+    for name in names:
+        leader.follower(name).in_flight = False
+        _send_entries(node, leader, now, name, outbox)
+    _change_membership(node, leader, now)
+
+
+def _change_membership(node: RaftNode, leader: LeaderState, now: int) -> None:
+    """One step of the members towards the configuration.
+
+    Not before the last one is committed and so is an entry of the own term: the flaw of single-server
+    changes that Ongaro published in 2015.
+    """
+    uncommitted = node.log.membership_history[-1].log_index > node.commit_index
+    if uncommitted or node.commit_index < leader.first_index:
+        return
+    if now - leader.membership_changed_at < MEMBERSHIP_CHANGE_INTERVAL:
         return
     matches = {
-        name: (progress.incarnation, progress.match_index) for name, progress in lead.followers.items()
+        name: MatchedLog(progress.incarnation, progress.match_index)
+        for name, progress in leader.followers.items()
     }
-    members = next_membership(
-        node.members, node.configured_members, answering_incarnations(node, now), matches, node.commit_index
-    )
-    if members is not None and node.propose(
-        EntryKind.MEMBERSHIP, body=msgspec.msgpack.encode(Membership(members))
-    ):
-        lead.membership_changed_at = now
+    answering = _answering_incarnations(node, leader, now)
+    members = next_membership(node.members, node.configured_members, answering, matches, node.commit_index)
+    if members is None:
+        return
+    if node.propose(EntryKind.MEMBERSHIP, body=encode_membership(Membership(members))):
+        leader.membership_changed_at = now
 
 
-def advance_commit_index(node, now, out):
+def advance_commit_index(node: RaftNode, leader: LeaderState) -> None:
     """Commits what a majority of the members has on disk, itself by what is synced."""
-    have = sorted((_match_index(node, member) for member in node.members), reverse=True)
-    index = have[len(have) // 2]
+    matched = sorted((_match_index(node, leader, member) for member in node.members), reverse=True)
+    index = matched[len(matched) // 2]
     if index > node.commit_index and node.log.term_at(index) == node.term:
         node.commit_index = index
 
 
-def _match_index(node, member):
+def _match_index(node: RaftNode, leader: LeaderState, member: Member) -> int:
     if member.name == node.name:
         return node.log.last_index if member.incarnation == node.incarnation else 0
-    progress = node.leader_state.followers.get(member.name)
-    return progress.match_index if progress is not None and progress.incarnation == member.incarnation else 0
+    progress = leader.followers.get(member.name)
+    known = progress is not None and progress.incarnation == member.incarnation
+    return progress.match_index if progress is not None and known else 0
 
 
-def replicate(node, now, out):
-    """New entries to all that are not busy with others."""
+def replicate(node: RaftNode, leader: LeaderState, now: int, outbox: Outbox) -> None:
+    """New entries to all that have none in flight."""
     for name in node.peer_names():
-        progress = node.leader_state.follower(name)
+        progress = leader.follower(name)
         if not progress.in_flight and node.log.snapshot_index < progress.next_index <= node.log.last_index:
-            _send_entries(node, now, name, out)
-
-
-def _snapshot_due(progress, now):
-    return progress.snapshot_sent_at is None or now - progress.snapshot_sent_at >= SNAPSHOT_RESEND_INTERVAL
-
-
-def _send_entries(node, now, name, out):
-    progress, log = node.leader_state.follower(name), node.log
-    if progress.next_index <= log.snapshot_index:
-        if _snapshot_due(progress, now):
-            progress.snapshot_sent_at = now
-            out.append(
-                (
-                    name,
-                    InstallSnapshot(
-                        node.term,
-                        node.incarnation,
-                        log.snapshot_index,
-                        log.snapshot_term,
-                        log.members_at(log.snapshot_index),
-                        node.store.snapshot,
-                    ),
-                )
-            )
-            return
-        entries, before = (), log.snapshot_index  # a heartbeat: it is not to run for office while it unpacks
-    else:
-        entries, before = log.entries_from(progress.next_index), progress.next_index - 1
+            _send_entries(node, leader, now, name, outbox)
+
+
+def _send_entries(node: RaftNode, leader: LeaderState, now: int, name: str, outbox: Outbox) -> None:
+    """What the follower lacks: a snapshot, entries, or nothing but a heartbeat."""
+    progress, log = leader.follower(name), node.log
+    entries: tuple[Entry, ...] = ()
+    if progress.next_index > log.snapshot_index:
+        entries, previous = log.entries_from(progress.next_index), progress.next_index - 1
         progress.in_flight = bool(entries)
-    out.append(
-        (
-            name,
-            AppendEntries(
-                node.term, node.incarnation, before, log.term_at(before), node.commit_index, entries
-            ),
-        )
+    elif progress.snapshot_due(now):
+        progress.snapshot_sent_at = now
+        outbox.append((name, _snapshot_message(node)))
+        return
+    else:
+        previous = log.snapshot_index  # it must not stand for election while it unpacks the snapshot
+    previous_term = log.term_at(previous) or 0
+    message = AppendEntries(node.term, node.incarnation, previous, previous_term, node.commit_index, entries)
+    outbox.append((name, message))
+
+
+def _snapshot_message(node: RaftNode) -> InstallSnapshot:
+    log, state = node.log, node.store.snapshot
+    members = log.members_at(log.snapshot_index)
+    return InstallSnapshot(
+        node.term, node.incarnation, log.snapshot_index, log.snapshot_term, members, state or b""
     )
 
 
-def on_append_response(node, now, sender, ack, out):
-    if ack.term > node.term:
-        node.enter_term(now, ack.term)
+def on_append_response(
+    node: RaftNode, now: int, sender: str, response: AppendEntriesResponse, outbox: Outbox
+) -> None:
+    """A follower took entries, or lacks what comes before them."""
+    leader = node.leader_state
+    if response.term > node.term:
+        node.enter_term(now, response.term)
         return
-    if node.role != Role.LEADER or ack.term < node.term:
+    if node.role is not Role.LEADER or leader is None or response.term < node.term:
         node.reject("late")
         return
-    progress = node.leader_state.follower(sender)
-    if progress.incarnation != ack.incarnation:
-        progress.restart(ack.incarnation, node.log.last_index)
+    progress = leader.follower(sender)
+    if progress.incarnation != response.incarnation:
+        progress.restart(response.incarnation, node.log.last_index)
     progress.answered_at, progress.in_flight = now, False
-    if ack.success and ack.match_index > node.log.last_index:
+    if response.success and response.match_index > node.log.last_index:
         node.reject("acknowledged what was not sent")
-    elif ack.success:
-        progress.match_index = max(progress.match_index, ack.match_index)
+    elif response.success:
+        progress.match_index = max(progress.match_index, response.match_index)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
     else:
-        progress.next_index = max(progress.match_index, min(progress.next_index - 1, ack.match_index)) + 1
-        if progress.next_index > node.log.snapshot_index or _snapshot_due(progress, now):
-            _send_entries(node, now, sender, out)
+        hint = min(progress.next_index - 1, response.match_index)
+        progress.next_index = max(progress.match_index, hint) + 1
+        if progress.next_index > node.log.snapshot_index or progress.snapshot_due(now):
+            _send_entries(node, leader, now, sender, outbox)
--- a/gaproute/shared/raft/log.py
+++ b/gaproute/shared/raft/log.py
@@ -1,85 +1,117 @@
 """The log of a node in memory: entries behind a snapshot, and who the members are by each of them."""
 
+from typing import NamedTuple
+
 import msgspec
 
-from gaproute.shared.raft.messages import MAX_ENTRIES, EntryKind, Membership
+from gaproute.shared.raft.messages import MAX_ENTRIES, Entry, EntryKind, Member, Membership
+
+# Of the bodies in one message: several turns of commands, far from a socket's buffer.
+MAX_BATCH_BYTES = 128 << 10
+
+_membership_decoder = msgspec.msgpack.Decoder(Membership)
+
+
+def decode_membership(body: bytes) -> Membership:
+    """The body of a membership entry. Raises ValueError where it is none."""
+    return _membership_decoder.decode(body)
+
 
-MAX_BATCH_BYTES = (
-    128 << 10
-)  # of the bodies in one message: several turns of commands, far from a socket's buffer
+def encode_membership(membership: Membership) -> bytes:
+    """The body of a membership entry."""
+    return msgspec.msgpack.encode(membership)
 
-decode_membership = msgspec.msgpack.Decoder(Membership).decode
+
+class MembersFrom(NamedTuple):
+    """The members by the entry at `log_index`, in force from its being logged on."""
+
+    log_index: int
+    members: tuple[Member, ...]
 
 
 class Log:
-    """Entries `snapshot_index` + 1 to `last_index`; indexes begin at 1. `membership_history`: [(index,
-    members)], the last one in force."""
+    """The entries `snapshot_index` + 1 to `last_index`; indexes begin at 1.
+
+    `membership_history`: the memberships that the log has, the last one in force.
+    """
 
-    def __init__(self, base=0, term=0, members=()):
-        self.snapshot_index, self.snapshot_term, self.entries = base, term, []
-        self.membership_history = [(base, members)]
+    def __init__(
+        self, snapshot_index: int = 0, snapshot_term: int = 0, members: tuple[Member, ...] = ()
+    ) -> None:
+        self.snapshot_index, self.snapshot_term = snapshot_index, snapshot_term
+        self.entries: list[Entry] = []
+        self.membership_history = [MembersFrom(snapshot_index, members)]
 
     @property
-    def last_index(self):
+    def last_index(self) -> int:
+        """The index of the last entry, or of the snapshot."""
         return self.snapshot_index + len(self.entries)
 
     @property
-    def last_term(self):
+    def last_term(self) -> int:
+        """The term of the last entry, or of the snapshot."""
         return self.entries[-1].term if self.entries else self.snapshot_term
 
     @property
-    def members(self):
-        return self.membership_history[-1][1]
+    def members(self) -> tuple[Member, ...]:
+        """The members in force."""
+        return self.membership_history[-1].members
 
-    def term_at(self, index):
-        """Of the entry there; None where the log does not hold it (any more)."""
+    def term_at(self, index: int) -> int | None:
+        """The term of the entry there; None where the log does not hold it, or no more."""
         if index == self.snapshot_index:
             return self.snapshot_term
-        return (
-            self.entries[index - self.snapshot_index - 1].term
-            if self.snapshot_index < index <= self.last_index
-            else None
-        )
+        if self.snapshot_index < index <= self.last_index:
+            return self.entry_at(index).term
+        return None
 
-    def entry_at(self, index):
+    def entry_at(self, index: int) -> Entry:
+        """The entry there, which the log must hold."""
         return self.entries[index - self.snapshot_index - 1]
 
-    def append(self, index, entry):
-        """The entry at `index`, just behind the last one or in place of one and all behind it.
-        Errors: ValueError where it would leave a gap or fall into the snapshot, or is no membership."""
+    def append(self, index: int, entry: Entry) -> None:
+        """Puts the entry behind the last one, or in place of one and all behind it.
+
+        Raises ValueError where it would leave a gap or fall into the snapshot, or is no membership.
+        """
         if not self.snapshot_index < index <= self.last_index + 1:
             raise ValueError(f"entry {index} does not follow {self.snapshot_index} to {self.last_index}")
         membership = decode_membership(entry.body) if entry.kind == EntryKind.MEMBERSHIP else None
         del self.entries[index - self.snapshot_index - 1 :]
-        while self.membership_history[-1][0] >= index:
+        while self.membership_history[-1].log_index >= index:
             self.membership_history.pop()
         self.entries.append(entry)
         if membership is not None:
-            self.membership_history.append((index, membership.members))
+            self.membership_history.append(MembersFrom(index, membership.members))
 
-    def entries_from(self, index):
+    def entries_from(self, index: int) -> tuple[Entry, ...]:
         """The entries from `index` on, as many as one message takes."""
-        came, size = [], 0
+        batch: list[Entry] = []
+        size = 0
         for entry in self.entries[index - self.snapshot_index - 1 :][:MAX_ENTRIES]:
             size += len(entry.body)
-            if came and size > MAX_BATCH_BYTES:
+            if batch and size > MAX_BATCH_BYTES:
                 break
-            came.append(entry)
-        return tuple(came)
+            batch.append(entry)
+        return tuple(batch)
+
+    def members_at(self, index: int) -> tuple[Member, ...]:
+        """The members as of the entry at `index`."""
+        return [each.members for each in self.membership_history if each.log_index <= index][-1]
 
-    def members_at(self, index):
-        return [members for at, members in self.membership_history if at <= index][-1]
+    def compact(self, index: int) -> None:
+        """Drops the entries up to `index`: a snapshot holds what they did.
 
-    def compact(self, index):
-        """Entries up to `index` are gone: a snapshot holds what they did."""
+        Raises ValueError where the log does not hold that one.
+        """
         members, term = self.members_at(index), self.term_at(index)
+        if term is None:
+            raise ValueError(f"entry {index} is not among {self.snapshot_index} to {self.last_index}")
         del self.entries[: index - self.snapshot_index]
         self.snapshot_index, self.snapshot_term = index, term
-        self.membership_history = [
-            (index, members),
-            *(membership for membership in self.membership_history if membership[0] > index),
-        ]
-
-    def is_up_to_date(self, index, term):
-        """Whether a log that ends with entry `index` of `term` knows at least what this one does."""
-        return (term, index) >= (self.last_term, self.last_index)
+        later = [each for each in self.membership_history if each.log_index > index]
+        self.membership_history = [MembersFrom(index, members), *later]
+
+    def is_up_to_date(self, last_log_index: int, last_log_term: int) -> bool:
+        """Whether a log that ends with this entry is at least as up-to-date as this one (Raft 5.4.1)."""
+        return (last_log_term, last_log_index) >= (self.last_term, self.last_index)
--- a/gaproute/shared/raft/membership.py
+++ b/gaproute/shared/raft/membership.py
@@ -1,33 +1,61 @@
-"""The next step of the members towards the configuration: one joins or one leaves, never both (Raft's
-single-server changes: any majority before and any after share a node)."""
+"""The next step of the members towards the configuration: one joins or one leaves, never both.
+
+These are Raft's single-server changes: any majority before and any after a step share a node.
+"""
+
+from collections.abc import Collection, Mapping
+from typing import NamedTuple
 
 from gaproute.shared.raft.messages import MAX_MEMBERS, Member
 
+Members = tuple[Member, ...]
+
+
+class MatchedLog(NamedTuple):
+    """How far the log of a node, under this incarnation, is known to be the leader's."""
+
+    incarnation: int
+    match_index: int
 
-def next_membership(members, named, incarnations, matches, commit):
+
+UNKNOWN_LOG = MatchedLog(0, 0)
+
+
+def next_membership(
+    members: Members,
+    configured: Collection[str],
+    incarnations: Mapping[str, int],
+    matches: Mapping[str, tuple[int, int]],
+    commit_index: int,
+) -> Members | None:
     """The members after the next step, or None where there is none to take.
 
-    `incarnations`: name: incarnation of those heard lately; `matches`: name: (incarnation, entries it
-    has); `commit`: what a newcomer must have, so that the majority that it enlarges can go on at once.
+    `incarnations`: of those that answered lately, by name; `matches`: a `MatchedLog` by name;
+    `commit_index`: what a newcomer must have, so that the majority that it enlarges can go on at once.
     """
     for member in members:  # a member that came back with another disk: the old one is no more
         if member.name in incarnations and incarnations[member.name] != member.incarnation:
             return _without(members, member, incarnations)
     known = {member.name for member in members}
-    for name in named:
-        incarnation, match = matches.get(name, (0, 0))
-        ready = incarnation and incarnations.get(name) == incarnation and match >= commit
+    for name in configured:
+        incarnation, match_index = matches.get(name, UNKNOWN_LOG)
+        ready = incarnation and incarnations.get(name) == incarnation and match_index >= commit_index
         if ready and name not in known and len(members) < MAX_MEMBERS:
             return tuple(sorted((*members, Member(name, incarnation)), key=lambda member: member.name))
     for member in members:
         # Not before whoever takes its place has joined: fewer members bear fewer losses meanwhile.
-        if member.name not in named and len(members) > len(named):
+        if member.name not in configured and len(members) > len(configured):
             return _without(members, member, incarnations)
     return None
 
 
-def _without(members, gone, incarnations):
+def _without(members: Members, gone: Member, incarnations: Mapping[str, int]) -> Members | None:
     """None where those that would be left could not agree on it: then it would stop all."""
     left = tuple(member for member in members if member != gone)
-    answer = sum(incarnations.get(member.name) == member.incarnation for member in left)
-    return left if 2 * answer > len(left) else None
+    return left if is_majority(left, incarnations) else None
+
+
+def is_majority(members: Members, incarnations: Mapping[str, int]) -> bool:
+    """Whether those of `incarnations` are a majority of the members, each under its own incarnation."""
+    present = sum(incarnations.get(member.name) == member.incarnation for member in members)
+    return 2 * present > len(members)
--- a/gaproute/shared/raft/messages.py
+++ b/gaproute/shared/raft/messages.py
@@ -1,21 +1,23 @@
-"""What keepers say to one another and to holders. Every message is an immutable value; all numbers are
-bounded here, so that a decoder refuses what no node could have said.
+"""The messages among the nodes of a group and between its clients and its leader.
 
-`incarnation` is the sender's: the number that its disk got when it was empty. A node is (name,
-incarnation); one that lost its disk is another node, whose votes and acks nobody takes for the old one's.
+Every message is an immutable value. All numbers are bounded here, so that a decoder refuses what no node
+could have sent. Tags and the order of the fields are the form on the wire and never change.
+
+`incarnation` is the sender's: the number that its disk got when it was empty. To the group a node is (name,
+incarnation); one that lost its disk is another node, whose votes and answers are not taken for the old one's.
 """
 
-from enum import IntEnum
-from typing import Annotated
+from enum import IntEnum, StrEnum
+from typing import Annotated, TypeAlias
 
 from msgspec import Meta
 
 from gaproute.shared.messages import Count, Message, Name
 
-MAX_ENTRIES = 64  # entries in one message: a heartbeat's worth of work, small next to a snapshot
-MAX_COMMAND_BYTES = 2048  # bytes of one command: names and a few numbers take a tenth of it
-MAX_SNAPSHOT_BYTES = 4 << 20  # bytes of a snapshot: all permits and sessions at their bounds take less
-MAX_MEMBERS = 9  # members at most: 3 or 5 are meant, one is added before another goes
+MAX_ENTRIES = 64  # in one message: a heartbeat's worth of work, small next to a snapshot
+MAX_COMMAND_BYTES = 2048  # of one command: names and a few numbers take a tenth of it
+MAX_SNAPSHOT_BYTES = 4 << 20  # of a snapshot: all leases and sessions at their bounds take less
+MAX_MEMBERS = 9  # of a group: 3 or 5 are meant, one is added before another goes
 
 Body = Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
 
@@ -29,7 +31,9 @@
     COMMAND = 3
 
 
-class Member(Message):
+class Member(Message, frozen=True):
+    """A member of the group. Part of a stored form."""
+
     name: Name
     incarnation: Count
 
@@ -37,16 +41,18 @@
 Members = Annotated[tuple[Member, ...], Meta(max_length=MAX_MEMBERS)]
 
 
-class Membership(Message):
-    """The body of an entry of kind MEMBERSHIP: who the members are from here on. `base`: where the founder
-    wants fencing numbers to begin (0: no wish)."""
+class Membership(Message, frozen=True):
+    """The body of an entry of kind MEMBERSHIP: who the members are from here on. A stored form.
+
+    `fencing_base`: the fencing tokens of a new log begin above it; 0 leaves them as they are.
+    """
 
     members: Members
-    base: Count = 0
+    fencing_base: Count = 0
 
 
-class Entry(Message):
-    """`session` and `nonce` name the holder's request; 0 where a node made the entry."""
+class Entry(Message, frozen=True):
+    """An entry of the log. `session` and `nonce`: of the client's request; 0 where a node made the entry."""
 
     term: Count
     kind: EntryKind
@@ -55,18 +61,20 @@
     body: Body = b""
 
 
-class BootstrapProbe(Message, tag=1):
-    """From a node with an empty memory that may found; the answer echoes the asker's incarnation, so that it
-    is from after that incarnation began. `blank`: never voted, never took an entry."""
+class BootstrapProbe(Message, frozen=True, tag=1):
+    """From a node with an empty disk that may begin a log, and the answer to it.
+
+    The answer echoes the asker's incarnation, so that it is from after that incarnation began. `blank`: the
+    sender never voted and never took an entry.
+    """
 
     incarnation: Count
     echoed_incarnation: Count
     blank: bool
 
 
-class RequestVote(Message, tag=2):
-    """RequestVote. `last_log_index`, `last_log_term`: of the candidate's last entry. `pre_vote`: only
-    whether it would be given."""
+class RequestVote(Message, frozen=True, tag=2):
+    """A candidate asks for a vote. `pre_vote`: only whether it would be granted."""
 
     term: Count
     incarnation: Count
@@ -75,15 +83,17 @@
     pre_vote: bool
 
 
-class RequestVoteResponse(Message, tag=3):
+class RequestVoteResponse(Message, frozen=True, tag=3):
+    """The answer to RequestVote."""
+
     term: Count
     incarnation: Count
     pre_vote: bool
     vote_granted: bool
 
 
-class AppendEntries(Message, tag=4):
-    """A heartbeat without entries. `prev_log_index`, `prev_log_term`: of the entry before them."""
+class AppendEntries(Message, frozen=True, tag=4):
+    """The leader's entries behind the entry `prev_log_index`; without entries a heartbeat."""
 
     term: Count
     incarnation: Count
@@ -93,9 +103,12 @@
     entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_ENTRIES)] = ()
 
 
-class AppendEntriesResponse(Message, tag=5):
-    """`success`: all up to `match_index` is as the leader's and on disk. Otherwise: try
-    behind `match_index`."""
+class AppendEntriesResponse(Message, frozen=True, tag=5):
+    """The answer to AppendEntries and InstallSnapshot.
+
+    `success`: all up to `match_index` is as the leader's and durable. Otherwise the leader is to try behind
+    `match_index`.
+    """
 
     term: Count
     incarnation: Count
@@ -103,9 +116,8 @@
     match_index: Count
 
 
-class InstallSnapshot(Message, tag=6):
-    """InstallSnapshot: the state after the entry `last_included_index` of `last_included_term`. An
-    AppendEntriesResponse answers."""
+class InstallSnapshot(Message, frozen=True, tag=6):
+    """The state after the entry `last_included_index`, for a follower that is too far behind."""
 
     term: Count
     incarnation: Count
@@ -115,19 +127,26 @@
     state: Annotated[bytes, Meta(max_length=MAX_SNAPSHOT_BYTES)]
 
 
-class Request(Message, tag=7):
-    """From a holder. Session 0 opens one (the body is empty). A nonce is used for one command of a
-    session."""
+class Request(Message, frozen=True, tag=7):
+    """From a client. Session 0 opens one, with an empty body. A nonce is of one command of a session."""
 
     session: Count
     nonce: Count
     body: Body
 
 
-class Reply(Message, tag=8):
-    """`state`: `done` (body: the machine's answer; for an opened session its number is in `session`),
-    `elsewhere` (not the leader; `leader` may name it), `busy`, `forgotten` (no such session), `refused`
-    (body: why, as text). `opened`: 0, or the session that was opened."""
+class ReplyStatus(StrEnum):
+    """What became of a request; the texts are those on the wire."""
+
+    DONE = "done"  # the body is the machine's result; `opened` is the session where one was asked for
+    NOT_LEADER = "elsewhere"  # `leader` may name it
+    BUSY = "busy"
+    UNKNOWN_SESSION = "forgotten"
+    REFUSED = "refused"  # the body says why, as text
+
+
+class Reply(Message, frozen=True, tag=8):
+    """To a client. `state`: a `ReplyStatus`. `opened`: 0, or the session that was opened."""
 
     session: Count
     nonce: Count
@@ -137,7 +156,7 @@
     opened: Count = 0
 
 
-MESSAGES = (
+RaftMessage: TypeAlias = (
     BootstrapProbe
     | RequestVote
     | RequestVoteResponse
@@ -147,3 +166,4 @@
     | Request
     | Reply
 )
+Outbox: TypeAlias = list[tuple[str, RaftMessage]]  # (receiver's name, message)
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -1,11 +1,18 @@
-"""One node: what comes in goes to the part that decides on it; nothing goes out before it is on disk."""
+"""A node of a Raft group, sans-I/O: what comes in goes to the module that decides on it.
+
+Nothing is sent before it is durable.
+"""
 
 from collections import Counter
+from collections.abc import Callable, Iterable
+from typing import Any
 
-from gaproute.shared.leases.expiry import ExpiryTimers
-from gaproute.shared.leases.table import LeaseTable
 from gaproute.shared.raft import bootstrap, election, follower, leader, requests
-from gaproute.shared.raft.invariants import MAX_BREACHES, check_one
+from gaproute.shared.raft.disk import Disk
+from gaproute.shared.raft.invariants import MAX_BREACHES, NodeCheck
+from gaproute.shared.raft.leader import LeaderState
+from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.membership import is_majority
 from gaproute.shared.raft.messages import (
     MAX_MEMBERS,
     AppendEntries,
@@ -14,18 +21,24 @@
     EntryKind,
     InstallSnapshot,
     Member,
+    Outbox,
+    RaftMessage,
     Request,
     RequestVote,
     RequestVoteResponse,
 )
 from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.sessions import Sessions
+from gaproute.shared.raft.state_machine import StateMachine
 from gaproute.shared.raft.store import Store
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT, STORAGE_RETRY_INTERVAL
+from gaproute.shared.randomness import RandomSource
 
 COMPACT_AFTER = 1024  # entries applied that the log holds before a snapshot takes their place
+COMPACT_ANYWAY = 4  # times that many: then also while a follower that answers lacks some of them
 MAX_TERM_JUMP = 1 << 30  # a term so far above the own is nonsense: an election a second for 30 years
-_HANDLERS = {
+
+_HANDLERS: dict[type, Callable[["RaftNode", int, str, Any, Outbox], None]] = {
     RequestVote: election.on_request_vote,
     RequestVoteResponse: election.on_vote_response,
     AppendEntries: follower.on_append_entries,
@@ -36,193 +49,240 @@
 
 
 class RaftNode:
-    """The face is in the package's first lines. Reasons in `refused` are a fixed few."""
+    """A node called `name` of the group of `configured_members`.
+
+    `now`: ns of its own monotonic clock, here and in all calls. `machine`: what the entries act on, a new one
+    for every node. `fencing_base`: where a node that begins a log lets fencing tokens begin, Unix time in
+    ms, so that they grow even when all disks were lost.
 
-    def __init__(self, name, keepers, disk, chance, now, machine=None, base=0):
-        self.name, self.chance, self.fencing_base = name, chance, base
-        self.machine = LeaseTable() if machine is None else machine
-        self.sessions = Sessions(self.machine)
+    After a failure of the disk the node is silent, as it may not promise what it cannot keep:
+    `storage_failure` says why. It writes all anew every few seconds until that succeeds. `rejections`:
+    messages that were rejected, by a fixed few reasons; `breaches`: what the invariants found, the first few.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        configured_members: Iterable[str],
+        disk: Disk,
+        chance: RandomSource,
+        now: int,
+        machine: StateMachine,
+        *,
+        fencing_base: int = 0,
+    ) -> None:
+        self.name, self.chance, self.fencing_base = name, chance, fencing_base
+        self.machine = machine
+        self.sessions = Sessions(machine)
         self.store = Store(name, disk, chance, self.sessions.unpack)
-        self.storage_failure = self.store.failure  # why nothing is said, or ''
+        self.storage_failure = self.store.failure
         self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
         self.role, self.leader, self.leader_heard_at = Role.FOLLOWER, "", now - 2 * ELECTION_TIMEOUT
-        self.granted_votes = {}  # name: incarnation, of those who gave this election
-        self.blank_peers = {}  # name: incarnation, of those that were as blank as a founder
-        self.commit_index = self.last_applied = (
-            self.log.snapshot_index
-        )  # a crash left what the store has, and nothing else
-        self.leader_state = None  # leader.LeaderState while it leads
-        self.rejections = Counter()
-        self.breaches, self.last_check = [], None  # what the invariants found as it went, the first few
-        self.set_configured_members(now, keepers)
+        self.granted_votes: dict[str, int] = {}  # in this election, incarnation by name
+        self.blank_peers: dict[str, int] = {}  # that may take part in a bootstrap, incarnation by name
+        # A crash left what the store has, and nothing else.
+        self.commit_index = self.last_applied = self.log.snapshot_index
+        self.leader_state: LeaderState | None = None  # while it leads
+        self.rejections: Counter[str] = Counter()
+        self.breaches: list[str] = []
+        self.check = NodeCheck()
+        self.configured_members: tuple[str, ...] = ()
+        self.set_configured_members(now, configured_members)
         self.reset_election_timer(now)
 
-    term = property(lambda self: self.store.term)
-    incarnation = property(lambda self: self.store.incarnation)
-    log = property(lambda self: self.store.log)
-    members = property(lambda self: self.log.members)
-    is_leader = property(lambda self: self.role == Role.LEADER)
+    @property
+    def term(self) -> int:
+        """The current term."""
+        return self.store.term
+
+    @property
+    def incarnation(self) -> int:
+        """The number of its disk; 0 while that was never read."""
+        return self.store.incarnation
 
     @property
-    def is_member(self):
-        """Whether it is in the last roll, under the life that its disk has."""
+    def log(self) -> Log:
+        """Its log."""
+        return self.store.log
+
+    @property
+    def members(self) -> tuple[Member, ...]:
+        """The members by its log."""
+        return self.log.members
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether it leads its term."""
+        return self.role is Role.LEADER
+
+    @property
+    def is_member(self) -> bool:
+        """Whether it is among the members, under the incarnation that its disk has."""
         return Member(self.name, self.incarnation) in self.members
 
     @property
-    def may_campaign(self):
-        """Whether it asks for votes: a member by a roll that may be in force, which is the one agreed on
-        and all behind it. One whose leaving is not agreed on may know more than all that stay
-        (dissertation 4.2.2); its own vote counts by the last roll only, as any."""
-        me = Member(self.name, self.incarnation)
-        return me in self.log.members_at(self.commit_index) or any(
-            me in members for at, members in self.log.membership_history if at > self.commit_index
+    def may_campaign(self) -> bool:
+        """Whether it asks for votes: a member by the last committed membership or by any behind it.
+
+        One whose leaving is not committed may know more than all that stay (dissertation 4.2.2); its own vote
+        counts by the last membership only, as any.
+        """
+        itself = Member(self.name, self.incarnation)
+        return itself in self.log.members_at(self.commit_index) or any(
+            itself in members for index, members in self.log.membership_history if index > self.commit_index
         )
 
-    def set_configured_members(self, now, keepers):
-        """The names that the configuration has now. Errors: ValueError."""
-        if not 1 <= len(set(keepers)) <= MAX_MEMBERS:
-            raise ValueError(f"1 to {MAX_MEMBERS} keepers are named, not {len(set(keepers))}")
-        self.configured_members = tuple(sorted(set(keepers)))
+    def set_configured_members(self, now: int, names: Iterable[str]) -> None:
+        """The names that the configuration has now; members follow one at a time.
 
-    def peer_names(self):
-        """Names of all that this one speaks with."""
-        return sorted({*self.configured_members, *(member.name for member in self.members)} - {self.name})
+        Raises ValueError where there are none or too many.
+        """
+        distinct = sorted(set(names))
+        if not 1 <= len(distinct) <= MAX_MEMBERS:
+            raise ValueError(f"1 to {MAX_MEMBERS} members are configured, not {len(distinct)}")
+        self.configured_members = tuple(distinct)
 
-    def is_majority(self, incarnations):
-        """Whether (name: incarnation) are a majority of the members, each under its own incarnation."""
-        return 2 * sum(incarnations.get(member.name) == member.incarnation for member in self.members) > len(
-            self.members
-        )
+    def peer_names(self) -> list[str]:
+        """The names of all that this one speaks with, sorted."""
+        return sorted({*self.configured_members, *(member.name for member in self.members)} - {self.name})
 
-    def reset_election_timer(self, now):
+    def reset_election_timer(self, now: int) -> None:
+        """No election begins for an election timeout."""
         self.election_due = now + ELECTION_TIMEOUT + self.chance.below(ELECTION_TIMEOUT)
 
-    def record_breaches(self, breaches):
+    def record_breaches(self, breaches: list[str]) -> None:
+        """Keeps the first few."""
         self.breaches += breaches[: MAX_BREACHES - len(self.breaches)]
 
-    def reject(self, reason):
+    def reject(self, reason: str) -> None:
+        """Counts a message that changed nothing."""
         self.rejections[reason] += 1
 
-    def enter_term(self, now, term):
-        """A term above its own: no leader, no vote given yet."""
+    def enter_term(self, now: int, term: int) -> None:
+        """Enters a term above its own: no leader is known, no vote given yet."""
         self.store.save_vote(term)
         self.step_down(now)
         self.leader = ""  # a follower's as well
 
-    def step_down(self, now):
-        if self.role != Role.FOLLOWER:
-            self.role, self.leader_state, self.leader = Role.FOLLOWER, None, ""
+    def step_down(self, now: int) -> None:
+        """Is a follower from here on."""
+        if self.role is not Role.FOLLOWER:
+            self._follow_nobody()
             self.reset_election_timer(now)
 
+    def _follow_nobody(self) -> None:
+        self.role, self.leader_state, self.leader = Role.FOLLOWER, None, ""
+
+    def become_leader(self, now: int) -> None:
+        """Leads its term from here on."""
+        self.role, self.leader = Role.LEADER, self.name
+        self.leader_state = LeaderState(now, self.log.last_index + 1, self.machine.start_timers(now))
+
+    def propose(self, kind: EntryKind, session: int = 0, nonce: int = 0, body: bytes = b"") -> int:
+        """The leader's next entry; its index, or 0 where too many are uncommitted."""
+        return leader.propose(self, kind, session, nonce, body)
+
     @property
-    def due(self):
+    def due(self) -> int:
+        """When `tick` is to be called next."""
         if self.storage_failure:
             return self.storage_retry_at
-        if self.role == Role.LEADER:
-            ends = self.leader_state.clocks.due
-            return (
-                self.leader_state.heartbeat_due
-                if ends is None
-                else min(self.leader_state.heartbeat_due, ends)
-            )
-        return self.election_due
-
-    def tick(self, now):
+        return self.election_due if self.leader_state is None else self.leader_state.due
+
+    def tick(self, now: int) -> Outbox:
+        """Does what is due; the messages to be sent."""
         if self.storage_failure:
-            return self._retry_storage(now)
-        out = []
-        if self.role == Role.LEADER:
-            leader.tick(self, now, out)
+            self._retry_storage(now)
+            return []
+        outbox: Outbox = []
+        if self.leader_state is not None:
+            leader.tick(self, self.leader_state, now, outbox)
         elif now >= self.election_due:
             self.reset_election_timer(now)
             if self.may_campaign:
-                election.start_pre_vote(self, now, out)
+                election.start_pre_vote(self, outbox)
             else:
-                bootstrap.tick(self, now, out)
-        return self._flush(now, out)
+                bootstrap.tick(self, outbox)
+        return self._flush(now, outbox)
 
-    def hear(self, now, sender, message):
+    def hear(self, now: int, sender: str, message: RaftMessage) -> Outbox:
+        """Takes a message; those to be sent."""
         if self.storage_failure:
             return []
-        out = []
+        outbox: Outbox = []
         if isinstance(message, Request):
-            requests.on_request(self, now, sender, message, out)
+            requests.on_request(self, sender, message, outbox)
         elif sender not in self.peer_names():
             self.reject("stranger")
         elif type(message) not in _HANDLERS:
-            self.reject("not for keepers")
+            self.reject("not a message of the group")
         elif getattr(message, "term", 0) > self.term + MAX_TERM_JUMP:
             self.reject("term from far future")
         else:
-            _HANDLERS[type(message)](self, now, sender, message, out)
-        return self._flush(now, out)
-
-    def _retry_storage(self, now):
-        """The disk failed. Nothing was told since, so what memory holds may go there as a whole."""
-        if now >= self.storage_retry_at:
-            self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
-            if not self.store.is_open:
-                self.store.open()
-                self.commit_index = self.last_applied = self.log.snapshot_index
-            elif self.store.rewrite():
-                self.reset_election_timer(now)
-            self.storage_failure = self.store.failure
-        return []
+            _HANDLERS[type(message)](self, now, sender, message, outbox)
+        return self._flush(now, outbox)
+
+    def _retry_storage(self, now: int) -> None:
+        """Nothing was sent since the disk failed, so what memory holds may go there as a whole."""
+        if now < self.storage_retry_at:
+            return
+        self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
+        if not self.store.is_open:
+            self.store.open()
+            self.commit_index = self.last_applied = self.log.snapshot_index
+        elif self.store.rewrite():
+            self.reset_election_timer(now)
+        self.storage_failure = self.store.failure
+
+    def _flush(self, now: int, outbox: Outbox) -> Outbox:
+        """Syncs, then draws what rests on it: a won election, commits, replies.
 
-    def _flush(self, now, out):
-        """Syncs, then draws what rests on it: a won election, commits, answers. [] where the disk
-        failed."""
+        Returns nothing to be sent where the disk failed.
+        """
         while self.store.sync():
-            if self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE) and self.is_majority(self.granted_votes):
-                election.on_majority(self, now, out)  # writes: has to be synced in its turn
+            campaigning = self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE)
+            if campaigning and is_majority(self.members, self.granted_votes):
+                election.on_majority(self, now, outbox)  # writes: has to be synced in its turn
                 continue
-            if self.role == Role.LEADER:
-                leader.advance_commit_index(self, now, out)
-            self._apply_committed(now, out)
+            if self.leader_state is not None:
+                leader.advance_commit_index(self, self.leader_state)
+            self._apply_committed(now, outbox)
             self._compact_log(now)
             if self.store.failure:
                 break
-            if self.role == Role.LEADER:
-                leader.replicate(self, now, out)
-            self.record_breaches(check_one(self))
-            return out
+            if self.leader_state is not None:
+                leader.replicate(self, self.leader_state, now, outbox)
+            self.record_breaches(self.check.run(self))
+            return outbox
         self.storage_failure, self.storage_retry_at = self.store.failure, now + STORAGE_RETRY_INTERVAL
-        self.role, self.leader_state, self.leader = Role.FOLLOWER, None, ""
+        self._follow_nobody()
         return []
 
-    def _apply_committed(self, now, out):
-        """What is committed and on disk here comes into force."""
+    def _apply_committed(self, now: int, outbox: Outbox) -> None:
+        """What is committed and durable here comes into force."""
         while self.last_applied < self.commit_index:
             self.last_applied += 1
             entry = self.log.entry_at(self.last_applied)
-            self.machine.last_change = None
-            answer = self.sessions.apply(self.last_applied, entry)
-            if self.role != Role.LEADER:
+            outcome = self.sessions.apply(self.last_applied, entry)
+            change = self.machine.pop_change()
+            if self.leader_state is None:
                 continue
-            if self.machine.last_change is not None:
-                self.leader_state.clocks.update(now, *self.machine.last_change)
-            requests.reply_to(self, self.last_applied, answer, out)
+            if change is not None:
+                self.leader_state.timers.update(now, *change)
+            requests.reply_to(self.leader_state, self.last_applied, outcome, outbox)
             if entry.kind == EntryKind.MEMBERSHIP and not self.is_member:
                 self.step_down(now)
 
-    def become_leader(self, now):
-        self.role, self.leader = Role.LEADER, self.name
-        self.leader_state = leader.LeaderState(
-            now, self.log.last_index + 1, ExpiryTimers(now, self.machine.expiry_waits())
-        )
+    def _compact_log(self, now: int) -> None:
+        """Puts a snapshot in place of what is applied once that is much.
 
-    def propose(self, kind, session=0, nonce=0, body=b""):
-        """The leader's next entry; its index, or 0 where too much waits to be agreed on."""
-        return leader.propose(self, kind, session, nonce, body)
-
-    def propose_expiry(self, fence, at):
-        return self.propose(EntryKind.COMMAND, body=self.machine.expire_command(fence, at))
-
-    def _compact_log(self, now):
-        held = self.last_applied - self.log.snapshot_index
-        if held >= COMPACT_AFTER and (
-            self.role != Role.LEADER
-            or held >= 4 * COMPACT_AFTER
-            or leader.all_answering_have(self, now, self.last_applied)
-        ):
+        Not while a follower that answers would have to fetch the snapshot, unless it is very much.
+        """
+        applied = self.last_applied - self.log.snapshot_index
+        if applied < COMPACT_AFTER:
+            return
+        waits = self.leader_state is not None and not self.leader_state.all_answering_have(
+            now, self.last_applied
+        )
+        if not waits or applied >= COMPACT_ANYWAY * COMPACT_AFTER:
             self.store.compact(self.last_applied, self.sessions.pack())
--- a/gaproute/shared/raft/records.py
+++ b/gaproute/shared/raft/records.py
@@ -1,6 +1,9 @@
-"""What a node writes to its disk, a record each, and how it is read back."""
+"""The records that a node writes to its disk, and how they are read back.
 
-from typing import NamedTuple
+Tags and the order of the fields are a stored form and never change.
+"""
+
+from typing import TypeAlias
 
 import msgspec
 
@@ -8,36 +11,30 @@
 from gaproute.shared.raft.messages import Entry, Members
 
 
-class Lost(NamedTuple):
-    """What `disk.read` returns where what was there cannot be trusted."""
-
-    why: str
-
-
-class IdentityRecord(Message, tag=1):
-    """The head of every disk: whose it is. A incarnation is drawn once for an empty disk."""
+class IdentityRecord(Message, frozen=True, tag=1):
+    """The first record of every disk: whose it is. The incarnation is drawn once for an empty disk."""
 
     name: Name
     incarnation: Count
 
 
-class VoteRecord(Message, tag=2):
-    """The term, and who got the vote in it (empty: nobody yet)."""
+class VoteRecord(Message, frozen=True, tag=2):
+    """The term, and the candidate that got the vote in it; an empty name: nobody yet."""
 
     term: Count
     name: Name
     incarnation: Count
 
 
-class EntryRecord(Message, tag=3):
+class EntryRecord(Message, frozen=True, tag=3):
     """An entry at its index; whatever was at this index and behind it is replaced."""
 
     index: Count
     entry: Entry
 
 
-class SnapshotRecord(Message, tag=4):
-    """The state after the entry `last_included_index` of `last_included_term`; entries up to it are gone."""
+class SnapshotRecord(Message, frozen=True, tag=4):
+    """The state after the entry `last_included_index`; entries up to it are gone."""
 
     last_included_index: Count
     last_included_term: Count
@@ -45,10 +42,16 @@
     state: bytes
 
 
-encode = msgspec.msgpack.encode
-_decode = msgspec.msgpack.Decoder(IdentityRecord | VoteRecord | EntryRecord | SnapshotRecord).decode
+Record: TypeAlias = IdentityRecord | VoteRecord | EntryRecord | SnapshotRecord
+
+_decoder = msgspec.msgpack.Decoder(Record)
+
+
+def encode(record: Record) -> bytes:
+    """The record as bytes."""
+    return msgspec.msgpack.encode(record)
 
 
-def decode(data):
-    """Errors: ValueError where it is none of ours (msgspec's errors are ValueErrors)."""
-    return _decode(data)
+def decode(data: bytes) -> Record:
+    """The record of these bytes. Raises ValueError where there is none (msgspec's errors are ValueErrors)."""
+    return _decoder.decode(data)
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -1,67 +1,82 @@
-"""What holders ask of the leader: checked, written down once, answered when it is agreed on."""
+"""What clients ask of the leader: checked, logged once, answered when it is committed."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
 
 from gaproute.shared.messages import NAME
-from gaproute.shared.raft.messages import EntryKind, Reply
-from gaproute.shared.raft.role import Role
+from gaproute.shared.raft.leader import LeaderState, PendingReply
+from gaproute.shared.raft.messages import EntryKind, Outbox, Reply, ReplyStatus, Request
+from gaproute.shared.raft.sessions import OLD_NONCE, Outcome
 
-MAX_PENDING_PER_CLIENT = 4  # requests of one holder that wait to be agreed on: it sends one at a time
+if TYPE_CHECKING:
+    from gaproute.shared.raft.node import RaftNode
 
+MAX_PENDING_PER_CLIENT = 4  # requests that wait to be committed: a client sends one at a time
+NOT_THE_OWNER = "not the holder's own"
 
-def on_request(node, now, sender, request, out):
-    def reply(state, body=b"", leader=""):
-        out.append((sender, Reply(request.session, request.nonce, state, body, leader)))
 
+def on_request(node: RaftNode, sender: str, request: Request, outbox: Outbox) -> None:
+    """Logs the request, or answers it at once."""
     if not 0 < len(sender) <= NAME or not request.nonce:
         node.reject("request not understood")
         return
-    if node.role != Role.LEADER:
-        reply("elsewhere", leader=node.leader)
+    leader = node.leader_state
+    if leader is None:
+        reply = Reply(request.session, request.nonce, ReplyStatus.NOT_LEADER, leader=node.leader)
+        outbox.append((sender, reply))
         return
-    lead = node.leader_state
-    if node.commit_index < lead.first_index:  # what was agreed before its term may not be known here yet
-        reply("busy")
-        return
-    if request.session:
-        row = node.sessions.table.get(request.session)
-        why = (
-            ""
-            if row is None
-            else "not the holder's own"
-            if row[0] != sender
-            else node.machine.check(sender, request.body)
-        )
-        if row is None:
-            reply("forgotten")
-            return
-        if why or request.nonce < row[1]:
-            node.reject("request refused")
-            reply("refused", (why or "an old nonce").encode())
-            return
-        if request.nonce == row[1]:
-            reply("done", row[2])
-            return
-    own = [(index, waits) for index, waits in lead.pending_replies.items() if waits[0] == sender]
-    if any(waits[1:] == (request.session, request.nonce) for _, waits in own):
-        return  # written down already: the answer is on its way
-    body = request.body if request.session else sender.encode()
+    outcome = _answer_at_once(node, leader, sender, request)
+    if outcome is None:
+        outcome = _log(node, leader, sender, request)
+    if outcome is not None:
+        status, body, _ = outcome
+        outbox.append((sender, Reply(request.session, request.nonce, status, body)))
+
+
+def _answer_at_once(node: RaftNode, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
+    """What needs no entry; None where one is needed."""
+    if node.commit_index < leader.first_index:  # what was committed before may not be known here yet
+        return Outcome(ReplyStatus.BUSY)
+    if not request.session:
+        return None
+    session = node.sessions.table.get(request.session)
+    if session is None:
+        return Outcome(ReplyStatus.UNKNOWN_SESSION)
+    why = NOT_THE_OWNER if session.owner != sender else node.machine.check(sender, request.body)
+    if not why and request.nonce < session.nonce:
+        why = OLD_NONCE
+    if why:
+        node.reject("request refused")
+        return Outcome(ReplyStatus.REFUSED, why.encode())
+    if request.nonce == session.nonce:
+        return Outcome(ReplyStatus.DONE, session.result)
+    return None
+
+
+def _log(node: RaftNode, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
+    """Puts the request into the log; None: it is answered once it is committed."""
+    pending = PendingReply(sender, request.session, request.nonce)
+    own = [each for each in leader.pending_replies.values() if each.client == sender]
+    if pending in own:
+        return None  # logged already: the answer is on its way
+    kind, body = EntryKind.COMMAND, request.body
+    if not request.session:
+        kind, body = EntryKind.OPEN_SESSION, sender.encode()
     index = 0
     if len(own) < MAX_PENDING_PER_CLIENT:
-        index = node.propose(
-            EntryKind.COMMAND if request.session else EntryKind.OPEN_SESSION,
-            request.session,
-            request.nonce,
-            body,
-        )
-    if index:
-        lead.pending_replies[index] = sender, request.session, request.nonce
-    else:
+        index = node.propose(kind, request.session, request.nonce, body)
+    if not index:
         node.reject("busy")
-        reply("busy")
+        return Outcome(ReplyStatus.BUSY)
+    leader.pending_replies[index] = pending
+    return None
 
 
-def reply_to(node, index, answer, out):
-    waits = node.leader_state.pending_replies.pop(index, None)
-    if waits is not None:
-        state, body, opened = answer
-        holder, session, nonce = waits
-        out.append((holder, Reply(session, nonce, state, body, "", opened)))
+def reply_to(leader: LeaderState, index: int, outcome: Outcome, outbox: Outbox) -> None:
+    """Answers the client whose request the entry at `index` was, if any."""
+    pending = leader.pending_replies.pop(index, None)
+    if pending is not None:
+        client, session, nonce = pending
+        status, body, opened = outcome
+        outbox.append((client, Reply(session, nonce, status, body, "", opened)))
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -1,76 +1,102 @@
-"""Exactly once (Ongaro's dissertation, 6.3): for each session the last nonce and what it was answered.
+"""Exactly-once commands (Ongaro's dissertation, 6.3): each session's last nonce and its result.
 
-The table is part of what is agreed, so every node knows after any change of leader what was done
+The table is part of the replicated state, so every node knows after any change of leader what was done
 already. A command of a session that the table has lost is refused: it may have been done.
 """
 
+from typing import NamedTuple
+
 import msgspec
 
 from gaproute.shared.raft.log import decode_membership
-from gaproute.shared.raft.messages import EntryKind
+from gaproute.shared.raft.messages import Entry, EntryKind, ReplyStatus
+from gaproute.shared.raft.state_machine import StateMachine
+
+MAX_SESSIONS = 4096  # a thousand gateways that restarted a few times; 200 bytes each
+MAX_SESSIONS_PER_CLIENT = 4  # a gateway needs one, lost openings make more of them
+OLD_NONCE = "an old nonce"
+
+_decoder = msgspec.msgpack.Decoder(tuple[list[tuple[int, str, int, bytes]], bytes])
+
 
-MAX_SESSIONS = 4096  # in all: a thousand gateways that restarted a few times; 200 bytes each
-MAX_SESSIONS_PER_CLIENT = 4  # of one holder: a gateway needs one, lost openings make more of them
+class Session(NamedTuple):
+    """A client's session: the last command's nonce and what it was answered."""
 
-_read = msgspec.msgpack.Decoder(tuple[list[tuple[int, str, int, bytes]], bytes]).decode
+    owner: str
+    nonce: int
+    result: bytes
+
+
+class Outcome(NamedTuple):
+    """What an entry came to. `opened`: the session that it opened, or 0."""
+
+    status: ReplyStatus
+    body: bytes = b""
+    opened: int = 0
 
 
 class Sessions:
-    """`table`: session: (owner, nonce, answer), the longest unused first."""
+    """The sessions and the machine on which their commands act, the same at every node.
+
+    `table`: by number, the longest unused first; `owned`: the numbers of a client's sessions.
+    """
 
-    def __init__(self, machine):
-        self.machine, self.table, self.owned = machine, {}, {}
+    def __init__(self, machine: StateMachine) -> None:
+        self.machine = machine
+        self.table: dict[int, Session] = {}
+        self.owned: dict[str, list[int]] = {}
 
-    def apply(self, index, entry):
-        """(state of the reply, its body, the session opened or 0); the same at every node."""
+    def apply(self, index: int, entry: Entry) -> Outcome:
+        """Applies a committed entry."""
         if entry.kind == EntryKind.MEMBERSHIP:
-            self.machine.raise_last_token(decode_membership(entry.body).base)
+            self.machine.raise_last_token(decode_membership(entry.body).fencing_base)
         elif entry.kind == EntryKind.OPEN_SESSION:
             self._open(index, entry.body.decode("utf-8", "replace"))
-            return "done", b"", index
+            return Outcome(ReplyStatus.DONE, opened=index)
         elif entry.kind == EntryKind.COMMAND and not entry.session:
-            self.machine.apply(index, entry.body)  # a keeper's own
+            self.machine.apply(index, entry.body)  # the leader's own
         elif entry.kind == EntryKind.COMMAND:
             return self._command(index, entry)
-        return "done", b"", 0
+        return Outcome(ReplyStatus.DONE)
 
-    def _command(self, index, entry):
-        row = self.table.get(entry.session)
-        if row is None:
-            return "forgotten", b"", 0
-        owner, nonce, answer = row
+    def _command(self, index: int, entry: Entry) -> Outcome:
+        session = self.table.get(entry.session)
+        if session is None:
+            return Outcome(ReplyStatus.UNKNOWN_SESSION)
+        owner, nonce, result = session
         if entry.nonce < nonce:
-            return "refused", b"an old nonce", 0
+            return Outcome(ReplyStatus.REFUSED, OLD_NONCE.encode())
         if entry.nonce > nonce:
-            answer = self.machine.apply(index, entry.body, owner)
+            result = self.machine.apply(index, entry.body, owner)
         del self.table[entry.session]
-        self.table[entry.session] = owner, entry.nonce, answer
-        return "done", answer, 0
+        self.table[entry.session] = Session(owner, entry.nonce, result)
+        return Outcome(ReplyStatus.DONE, result)
 
-    def _open(self, index, owner):
+    def _open(self, index: int, owner: str) -> None:
         own = self.owned.setdefault(owner, [])
         if len(own) >= MAX_SESSIONS_PER_CLIENT:
             self._drop(own[0])
         if len(self.table) >= MAX_SESSIONS:
             self._drop(next(iter(self.table)))
         self.owned.setdefault(owner, []).append(index)
-        self.table[index] = owner, 0, b""
+        self.table[index] = Session(owner, 0, b"")
 
-    def _drop(self, session):
-        owner = self.table.pop(session)[0]
-        self.owned[owner].remove(session)
+    def _drop(self, number: int) -> None:
+        owner = self.table.pop(number).owner
+        self.owned[owner].remove(number)
         if not self.owned[owner]:
             del self.owned[owner]
 
-    def pack(self):
-        rows = [(session, *row) for session, row in self.table.items()]
+    def pack(self) -> bytes:
+        """The whole state, for a snapshot. A stored form."""
+        rows = [(number, *session) for number, session in self.table.items()]
         return msgspec.msgpack.encode((rows, self.machine.pack()))
 
-    def unpack(self, data):
-        """Errors: ValueError."""
-        rows, state = _read(data)
+    def unpack(self, data: bytes) -> None:
+        """Takes on a packed state. Raises ValueError where `data` is none."""
+        rows, state = _decoder.decode(data)
         self.machine.unpack(state)
-        self.table = {session: (owner, nonce, answer) for session, owner, nonce, answer in rows}
+        self.table = {number: Session(owner, nonce, result) for number, owner, nonce, result in rows}
         self.owned = {}
-        for session in sorted(self.table):
-            self.owned.setdefault(self.table[session][0], []).append(session)
+        for number in sorted(self.table):
+            self.owned.setdefault(self.table[number].owner, []).append(number)
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -1,54 +1,71 @@
-"""What a node must not forget: incarnation, term, vote, log, snapshot; in memory and, record by record,
-on its disk.
+"""The persistent state of a node: incarnation, term, vote, log and snapshot, in memory and on its disk.
 
-Memory goes ahead of the disk until `sync` says that they agree; nothing may be told before. After an error
+Memory goes ahead of the disk until `sync` says that they agree; nothing may be sent before. After an error
 the disk is not written to any more until `rewrite` has put all of memory there anew: what lies there may
 end in the middle of a record, and a record behind a gap would be read as if nothing were missing.
 """
 
+from collections.abc import Callable, Sequence
+from typing import NamedTuple
+
 from gaproute.shared.messages import HIGHEST
+from gaproute.shared.raft.disk import Disk, UnusableDiskError
 from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.messages import Entry, Member
 from gaproute.shared.raft.records import (
     EntryRecord,
     IdentityRecord,
-    Lost,
+    Record,
     SnapshotRecord,
     VoteRecord,
     decode,
     encode,
 )
+from gaproute.shared.randomness import RandomSource
+
+
+class Candidate(NamedTuple):
+    """Who has a vote."""
+
+    name: str
+    incarnation: int
+
+
+NOBODY = Candidate("", 0)
 
 
 class Store:
-    """`restore(state)`: brings the machine to a snapshot's state. Errors: ValueError where it is none."""
+    """`restore(state)` brings the machine to a snapshot's state; it raises ValueError where it is none."""
 
-    def __init__(self, name, disk, chance, restore):
+    def __init__(self, name: str, disk: Disk, chance: RandomSource, restore: Callable[[bytes], None]) -> None:
         self.name, self.disk, self.chance, self.restore = name, disk, chance, restore
         self.incarnation = self.term = 0
-        self.voted_for = ("", 0)  # (name, incarnation) that has this term's vote
-        self.log, self.snapshot = Log(), None  # state: bytes of the machine at the log's base
+        self.voted_for = NOBODY  # in this term
+        self.log = Log()
+        self.snapshot: bytes | None = None  # the machine's state at the log's `snapshot_index`
         self.failure = ""  # why the disk cannot be written to
         self.discard_reason = ""  # why what was on the disk could not be used
         self.is_open = self.dirty = False
         self.open()
 
     @property
-    def is_blank(self):
-        """Never voted, never took an entry: the memory of a disk that was empty."""
+    def is_blank(self) -> bool:
+        """Whether it never voted and never took an entry: the memory of a disk that was empty."""
         return self.is_open and not (self.term or self.log.last_index)
 
-    def open(self):
+    def open(self) -> None:
+        """Reads the disk. `failure` says where it cannot be read or written at the moment."""
+        unusable = ""
         try:
-            came = self.disk.read()
+            self._load(self.disk.read())
+        except UnusableDiskError as fault:
+            unusable = self.discard_reason = fault.why
         except OSError as fault:
             self.failure = f"not read: {fault}"
             return
-        if not isinstance(came, Lost):
-            came = self._load(came)
         try:
-            if isinstance(came, Lost):
-                self.discard_reason = came.why
-                self.disk.aside(came.why)
+            if unusable:
+                self.disk.aside(unusable)
             if not self.incarnation:
                 # A new disk is a new node: whatever the name promised or voted before, it does not know it.
                 incarnation = 1 + self.chance.below(HIGHEST)
@@ -59,44 +76,24 @@
             return
         self.failure, self.is_open = "", True
 
-    def _load(self, records):
-        """None, or Lost; then nothing of them was taken."""
-        term, voted, log, state, incarnation = 0, ("", 0), Log(), None, 0
+    def _load(self, records: Sequence[bytes]) -> None:
+        """Takes on what the records say. Raises UnusableDiskError; then nothing of them was taken."""
+        loaded = LoadedState(self.name)
         try:
             for place, record in enumerate(map(decode, records)):
                 if isinstance(record, IdentityRecord) is not (place == 0):
-                    return Lost("its head is not where it belongs")
-                if isinstance(record, IdentityRecord):
-                    if record.name != self.name:
-                        return Lost(f"of another gateway: {record.name}")
-                    incarnation = record.incarnation
-                elif isinstance(record, VoteRecord):
-                    if record.term < term:
-                        return Lost("terms fall")
-                    term, voted = record.term, (record.name, record.incarnation)
-                elif isinstance(record, SnapshotRecord):
-                    log, state = (
-                        Log(record.last_included_index, record.last_included_term, record.members),
-                        record.state,
-                    )
-                else:
-                    log.append(record.index, record.entry)
-            if log.last_term > term:
-                return Lost("entries of terms that it never entered")
-            if state is not None:
-                self.restore(state)  # last: the machine of a disk that cannot be used stays empty
+                    raise UnusableDiskError("its head is not where it belongs")
+                loaded.take(record)
+            if loaded.log.last_term > loaded.term:
+                raise UnusableDiskError("entries of terms that it never entered")
+            if loaded.snapshot is not None:
+                self.restore(loaded.snapshot)  # last: the machine of a disk that cannot be used stays empty
         except ValueError as fault:
-            return Lost(f"not understood: {fault}")
-        self.incarnation, self.term, self.voted_for, self.log, self.snapshot = (
-            incarnation,
-            term,
-            voted,
-            log,
-            state,
-        )
-        return None
+            raise UnusableDiskError(f"not understood: {fault}") from fault
+        self.incarnation, self.term, self.voted_for = loaded.incarnation, loaded.term, loaded.voted_for
+        self.log, self.snapshot = loaded.log, loaded.snapshot
 
-    def _write(self, record):
+    def _write(self, record: Record) -> None:
         if self.failure:
             return
         self.dirty = True
@@ -105,16 +102,18 @@
         except OSError as fault:
             self.failure = f"not written: {fault}"
 
-    def save_vote(self, term, name="", incarnation=0):
-        self.term, self.voted_for = term, (name, incarnation)
+    def save_vote(self, term: int, name: str = "", incarnation: int = 0) -> None:
+        """Enters a term or votes in it; an empty name: no vote is given yet."""
+        self.term, self.voted_for = term, Candidate(name, incarnation)
         self._write(VoteRecord(term, name, incarnation))
 
-    def append(self, index, entry):
+    def append(self, index: int, entry: Entry) -> None:
+        """Puts an entry into the log. Raises ValueError as `Log.append` does."""
         self.log.append(index, entry)
         self._write(EntryRecord(index, entry))
 
-    def sync(self):
-        """Whether memory and disk agree."""
+    def sync(self) -> bool:
+        """Makes all durable; whether memory and disk agree."""
         if self.dirty and not self.failure:
             try:
                 self.disk.sync()
@@ -123,34 +122,36 @@
                 self.failure = f"not synced: {fault}"
         return not self.failure
 
-    def compact(self, index, state):
-        """`state`: after the entry `index`."""
+    def compact(self, index: int, state: bytes) -> None:
+        """Puts `state`, that after the entry at `index`, in place of the entries up to it."""
         self.log.compact(index)
         self.snapshot = state
         self.rewrite()
 
-    def install(self, index, last, members, state):
-        """A snapshot of the leader's. Entries behind it stay where they follow from it: the leader may
-        count on them already."""
-        if self.log.term_at(index) == last:
+    def install(self, index: int, term: int, members: tuple[Member, ...], state: bytes) -> None:
+        """Takes on a snapshot of the leader's: the state after the entry at `index` of `term`.
+
+        Entries behind it stay where they follow from it: the leader may count on them already.
+        """
+        if self.log.term_at(index) == term:
             self.log.compact(index)
         else:
-            self.log = Log(index, last, members)
+            self.log = Log(index, term, members)
         self.snapshot = state
         self.rewrite()
 
-    def rewrite(self):
+    def rewrite(self) -> bool:
         """Puts all of memory on the disk anew; whether that succeeded."""
         log = self.log
-        records = [IdentityRecord(self.name, self.incarnation), VoteRecord(self.term, *self.voted_for)]
+        records: list[Record] = [
+            IdentityRecord(self.name, self.incarnation),
+            VoteRecord(self.term, *self.voted_for),
+        ]
         if self.snapshot is not None:
-            records.append(
-                SnapshotRecord(
-                    log.snapshot_index, log.snapshot_term, log.members_at(log.snapshot_index), self.snapshot
-                )
-            )
+            members = log.members_at(log.snapshot_index)
+            records.append(SnapshotRecord(log.snapshot_index, log.snapshot_term, members, self.snapshot))
         records.extend(
-            EntryRecord(log.snapshot_index + place, entry) for place, entry in enumerate(log.entries, 1)
+            EntryRecord(index, entry) for index, entry in enumerate(log.entries, log.snapshot_index + 1)
         )
         try:
             self.disk.replace([encode(record) for record in records])
@@ -159,3 +160,28 @@
             return False
         self.failure, self.dirty = "", False
         return True
+
+
+class LoadedState:
+    """What the records read so far come to."""
+
+    def __init__(self, name: str) -> None:
+        self.name, self.incarnation, self.term, self.voted_for = name, 0, 0, NOBODY
+        self.log = Log()
+        self.snapshot: bytes | None = None
+
+    def take(self, record: Record) -> None:
+        """Raises UnusableDiskError, and ValueError for an entry that has no place in the log."""
+        if isinstance(record, IdentityRecord):
+            if record.name != self.name:
+                raise UnusableDiskError(f"of another gateway: {record.name}")
+            self.incarnation = record.incarnation
+        elif isinstance(record, VoteRecord):
+            if record.term < self.term:
+                raise UnusableDiskError("terms fall")
+            self.term, self.voted_for = record.term, Candidate(record.name, record.incarnation)
+        elif isinstance(record, SnapshotRecord):
+            self.log = Log(record.last_included_index, record.last_included_term, record.members)
+            self.snapshot = record.state
+        else:
+            self.log.append(record.index, record.entry)
--- a/gaproute/shared/raft/timing.py
+++ b/gaproute/shared/raft/timing.py
@@ -1,15 +1,17 @@
-"""The times of the agreement, ns. They decide how soon it acts, never what is safe."""
+"""The times of the group, in ns. They decide how soon it acts, never what is safe."""
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-HEARTBEAT_INTERVAL = 200 * MILLI  # between a leader's words: a fifth of what is waited for them at least
-ELECTION_TIMEOUT = SECOND  # without a leader's word until an election, at least, as long again by chance: far
-# above a late turn, a sync and a round trip, below any permit's span
-QUORUM_TIMEOUT = (
-    2 * SECOND
-)  # without a majority's answers a leader steps down: the longest wait for an election
-SNAPSHOT_RESEND_INTERVAL = 2 * SECOND  # until a snapshot that was not acknowledged is sent again: it is large
-MEMBERSHIP_CHANGE_INTERVAL = (
-    2 * SECOND
-)  # between changes of members: two that claim one name must not fill the log
-STORAGE_RETRY_INTERVAL = 5 * SECOND  # until a disk that failed is written anew
+# Between a leader's messages: a fifth of the shortest election timeout.
+HEARTBEAT_INTERVAL = 200 * MILLI
+# Without a leader's message until an election, at least; as long again by chance. Far above a late turn, a
+# sync and a round trip, below any lease's duration.
+ELECTION_TIMEOUT = SECOND
+# Without a majority's answers until a leader steps down: the longest wait for an election.
+QUORUM_TIMEOUT = 2 * SECOND
+# Until a snapshot that was not acknowledged is sent again: it is large.
+SNAPSHOT_RESEND_INTERVAL = 2 * SECOND
+# Between changes of the members: two nodes that claim one name must not fill the log.
+MEMBERSHIP_CHANGE_INTERVAL = 2 * SECOND
+# Until a disk that failed is written anew.
+STORAGE_RETRY_INTERVAL = 5 * SECOND
--- a/gaproute/simulation/campaigns.py
+++ b/gaproute/simulation/campaigns.py
@@ -88,9 +88,8 @@
         self.world = World(Plan(seed, end, case.faults(self), 0), makes, checks(self), script)
 
     def _keeper(self, name, disk, chance, now):
-        return RaftNode(
-            name, self.keepers, disk, chance, now, LeaseTable(initial_wait=False), 1 + self.world.now // MILLI
-        )
+        table, base = LeaseTable(initial_wait=False), 1 + self.world.now // MILLI
+        return RaftNode(name, self.keepers, disk, chance, now, table, fencing_base=base)
 
     # What actors ask
 
--- a/gaproute/simulation/disk.py
+++ b/gaproute/simulation/disk.py
@@ -10,7 +10,7 @@
 import errno
 import os
 
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 
 FULL, READONLY, FAILING = errno.ENOSPC, errno.EROFS, errno.EIO
 
@@ -64,11 +64,13 @@
             raise Crash
 
     def read(self):
-        """All records, those not synced as well, as a file is read; Lost where one that was synced went
-        bad."""
+        """All records, those not synced as well, as a file is read. Errors: UnusableDiskError
+        where one that was synced went bad."""
         if self.wrong == FAILING:
             raise OSError(FAILING, os.strerror(FAILING))
-        return Lost(self.bad) if self.bad else self.durable + self.pending
+        if self.bad:
+            raise UnusableDiskError(self.bad)
+        return self.durable + self.pending
 
     def append(self, record):
         self._before()
--- a/gaproute/simulation/keepchecks.py
+++ b/gaproute/simulation/keepchecks.py
@@ -2,7 +2,7 @@
 
 from itertools import pairwise
 
-from gaproute.shared.raft.invariants import History, check_all
+from gaproute.shared.leases.group_invariants import GroupHistory, check_group
 from gaproute.shared.raft.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -148,7 +148,7 @@
                     yield f"fencing numbers grow: {other.name}, {wish.resource} by {token} after {was}"
                 self.fences[wish.resource] = wish.fencing_token
             if leader is not None:
-                _, when = leader.actor.leader_state.clocks.deadlines.get(wish.fencing_token, (0, None))
+                _, when = leader.actor.leader_state.timers.deadlines.get(wish.fencing_token, (0, None))
                 if when is not None and leader.clock.true(when) < other.clock.true(wish.expires_at):
                     token = wish.fencing_token
                     yield f"the holder's end comes first: {other.name} after {leader.name}, {token}"
@@ -156,12 +156,12 @@
 
 def agreed(play):
     """All that the keepers' own invariants say."""
-    history = History()
+    history = GroupHistory()
 
     def check(world):
         keepers = [world.seats[name].actor for name in play.keepers]
         holders = [world.seats[name] for name in play.holders]
-        return check_all(
+        return check_group(
             [keeper for keeper in keepers if keeper is not None],
             [(seat.actor, seat.clock.own(world.now)) for seat in holders if seat.actor is not None],
             history,
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -72,9 +72,8 @@
     def keeper(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
         base = 1 + self.world.now // MILLI
-        return RaftNode(
-            name, self.named, disk, chance, now, LeaseTable(initial_wait=True, max_duration=self.span), base
-        )
+        table = LeaseTable(initial_wait=True, max_duration=self.span)
+        return RaftNode(name, self.named, disk, chance, now, table, fencing_base=base)
 
     def holder(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
--- a/gaproute/simulation/mutants.py
+++ b/gaproute/simulation/mutants.py
@@ -4,6 +4,8 @@
 as a mutant that changes nothing would be called caught by any breach.
 """
 
+import __future__
+
 import inspect
 import textwrap
 from contextlib import contextmanager
@@ -17,7 +19,7 @@
 from gaproute.shared.raft import bootstrap, election, follower, leader, membership, requests
 from gaproute.shared.raft.node import RaftNode
 from gaproute.shared.raft.sessions import Sessions
-from gaproute.shared.raft.store import Store
+from gaproute.shared.raft.store import LoadedState, Store
 
 TELLS, VOTE, LEADER = "on disk before it is told", "one vote a term", "one leader a term"
 REMEMBERED, TERM, WRITTEN = "a vote is remembered", "term only grows", "a vote is on disk before it is told"
@@ -58,7 +60,11 @@
     _m(
         "a restart forgets whom it voted for",
         (REMEMBERED, VOTE),
-        (Store._load, "term, voted = record.term, (record.name, record.incarnation)", "term = record.term"),
+        (
+            LoadedState.take,
+            "self.term, self.voted_for = record.term, Candidate(record.name, record.incarnation)",
+            "self.term = record.term",
+        ),
         seed=3,
     ),
     _m(
@@ -70,13 +76,13 @@
     _m(
         "a restart forgets the log",
         (UNSAID, LEADER, STATE, MATCH, STANDS, TERM, "words without end"),
-        (Store._load, "log.append(record.index, record.entry)", "pass"),
+        (LoadedState.take, "self.log.append(record.index, record.entry)", "pass"),
         seed=2,
     ),
     _m(
         "a vote is given twice",
         (WRITTEN, REMEMBERED, VOTE, LEADER),
-        (election.on_request_vote, ' and node.store.voted_for in (("", 0), (sender, ask.incarnation))', ""),
+        (election.on_request_vote, " and voted_for in (NOBODY, candidate)", ""),
         seed=25,
     ),
     _m(
@@ -84,7 +90,7 @@
         (UNSAID, MATCH, STATE),
         (
             election.on_request_vote,
-            "known = node.log.is_up_to_date(ask.last_log_index, ask.last_log_term)",
+            "known = node.log.is_up_to_date(request.last_log_index, request.last_log_term)",
             "known = True",
         ),
         seed=15,
@@ -93,7 +99,7 @@
         "votes of another life are counted",
         (MOST, LEADER, UNSAID, STATE, MATCH),
         (
-            RaftNode.is_majority,
+            membership.is_majority,
             "incarnations.get(member.name) == member.incarnation",
             "member.name in incarnations",
         ),
@@ -126,7 +132,7 @@
     _m(
         "an entry in conflict is not cut",
         (UNSAID, STATE, MATCH),
-        (follower.on_append_entries, "if log.term_at(at) == entry.term:", "if at <= log.last_index:"),
+        (follower._append, "if log.term_at(at) == entry.term:", "if at <= log.last_index:"),
         seed=9,
     ),
     _m(
@@ -148,7 +154,7 @@
     _m(
         "committed by a minority",
         (HAVE, UNSAID, STATE, MATCH, STANDS),
-        (leader.advance_commit_index, "have[len(have) // 2]", "have[0]"),
+        (leader.advance_commit_index, "matched[len(matched) // 2]", "matched[0]"),
         seed=1,
     ),
     _m(
@@ -162,8 +168,8 @@
         (HAVE, UNSAID, STATE, STANDS),
         (
             leader.on_append_response,
-            "progress.restart(ack.incarnation, node.log.last_index)",
-            "progress.incarnation = ack.incarnation",
+            "progress.restart(response.incarnation, node.log.last_index)",
+            "progress.incarnation = response.incarnation",
         ),
         (leader._match_index, " and progress.incarnation == member.incarnation", ""),
         seed=3,
@@ -178,7 +184,7 @@
         "a request is done twice",
         (ANSWER,),
         (Sessions._command, "if entry.nonce > nonce:", "if True:"),
-        (requests.on_request, "if request.nonce == row[1]:", "if False:"),
+        (requests._answer_at_once, "if request.nonce == session.nonce:", "if False:"),
         seed=2,
     ),
     _m(
@@ -279,8 +285,8 @@
             membership.next_membership,
             "known = {member.name for member in members}",
             "known = {member.name for member in members}\n"
-            "    if known != set(named) and set(named) <= set(incarnations):\n"
-            "        return tuple(Member(name, incarnations[name]) for name in sorted(named))",
+            "    if known != set(configured) and set(configured) <= set(incarnations):\n"
+            "        return tuple(Member(name, incarnations[name]) for name in sorted(configured))",
         ),
         seed=17,
     ),
@@ -297,7 +303,8 @@
             if words not in source:
                 raise ValueError(f"{mutant.name}: {function.__qualname__} has no {words!r}")
             made = {}
-            code = compile(source.replace(words, others), f"<{mutant.name}>", "exec")
+            changed = source.replace(words, others)
+            code = compile(changed, f"<{mutant.name}>", "exec", flags=__future__.annotations.compiler_flag)
             exec(code, function.__globals__, made)
             before.append((function, function.__code__))
             function.__code__ = made[function.__name__].__code__
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds.py
@@ -183,9 +183,8 @@
     # Actors
 
     def _keeper(self, name, disk, chance, now):
-        return RaftNode(
-            name, self.keepers, disk, chance, now, LeaseTable(initial_wait=False, max_duration=SPAN), 1
-        )
+        table = LeaseTable(initial_wait=False, max_duration=SPAN)
+        return RaftNode(name, self.keepers, disk, chance, now, table, fencing_base=1)
 
     def _scheduler(self, name, disk, chance, now):
         place = self.schedulers.index(name)
--- a/gaproute/storage/votes.py
+++ b/gaproute/storage/votes.py
@@ -21,7 +21,7 @@
 import time
 from pathlib import Path
 
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.storage import files
 from gaproute.storage.records import Bad, packed, parsed, whole
 
@@ -46,8 +46,9 @@
         return self
 
     def read(self):
-        """The records, as they were appended; Lost(why) where one in the middle is not what was written. A
-        torn tail is cut off. To be called before all else, and again after it failed. Errors: OSError.
+        """The records, as they were appended; raises UnusableDiskError where one in the middle is not what
+        was written. A torn tail is cut off. To be called before all else, and again after it failed. Errors:
+        OSError.
 
         All is written anew before it is handed out: what is read may be in memory only, left there as clean
         by a sync that failed in a process before this one."""
@@ -62,7 +63,7 @@
             try:
                 records, good, _ = parsed(data)
             except Bad as fault:
-                return Lost(str(fault))
+                raise UnusableDiskError(str(fault)) from fault
             self._put(records)
         if good < len(data):
             self.torn += 1
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -113,7 +113,7 @@
             self.chance,
             self.now,
             LeaseTable(initial_wait=False),
-            self.base,
+            fencing_base=self.base,
         )
 
 
--- a/tests/raft/test_node.py
+++ b/tests/raft/test_node.py
@@ -5,7 +5,7 @@
 from raft_net import SECOND, Chance, Disk
 
 from gaproute.shared.leases import LeaseTable, commands
-from gaproute.shared.raft import Lost, RaftNode
+from gaproute.shared.raft import RaftNode, UnusableDiskError
 from gaproute.shared.raft.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -46,7 +46,7 @@
 
 def node(*entries, now=0, **words):
     made = disk(entries=entries, **words)
-    return RaftNode(words.get("name", "b"), NAMES, made, Chance(1), now), made
+    return RaftNode(words.get("name", "b"), NAMES, made, Chance(1), now, LeaseTable()), made
 
 
 def note(term):
@@ -64,7 +64,7 @@
     assert one.hear(0, "c", RequestVote(2, 3, 9, 1, False)) == [
         ("c", RequestVoteResponse(2, 2, False, False))
     ]
-    again = RaftNode("b", NAMES, kept, Chance(1), 0)
+    again = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
     assert again.hear(0, "c", RequestVote(2, 3, 9, 1, False)) == [
         ("c", RequestVoteResponse(2, 2, False, False))
     ]
@@ -121,7 +121,7 @@
         ("a", AppendEntriesResponse(3, 2, True, 3))
     ]
     assert [entry.term for entry in one.log.entries] == [0, 2, 3] and one.commit_index == 2
-    again = RaftNode("b", NAMES, kept, Chance(1), 0)
+    again = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
     assert again.log.entries == one.log.entries
     assert one.hear(0, "a", AppendEntries(3, 1, 1, 0, 2, (note(1),))) == []
     assert "never unsaid" in one.breaches[0] and one.log.entry_at(2).term == 2
@@ -199,7 +199,7 @@
 @pytest.mark.parametrize(
     "came",
     [
-        Lost("torn"),
+        UnusableDiskError("torn"),
         [record(IdentityRecord("z", 9))],
         [b"noise"],
         [record(VoteRecord(3, "", 0))],
@@ -214,8 +214,14 @@
 )
 def test_a_disk_that_cannot_be_trusted_is_put_aside_and_the_keeper_is_another(came):
     kept = disk()
-    kept.read = lambda: came
-    one = RaftNode("b", NAMES, kept, Chance(1), 0)
+
+    def read():
+        if isinstance(came, UnusableDiskError):
+            raise came
+        return came
+
+    kept.read = read
+    one = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
     assert (
         kept.put_aside == [one.store.discard_reason] and one.incarnation not in (0, 2) and one.store.is_blank
     )
@@ -234,7 +240,7 @@
         record(each)
         for each in (IdentityRecord("b", 2), SnapshotRecord(9, 2, MEMBERS, state), EntryRecord(10, late))
     ]
-    one = RaftNode("b", NAMES, kept, Chance(1), 0)
+    one = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
     assert kept.put_aside == ["entries of terms that it never entered"] and one.store.is_blank
     assert one.machine.leases == {} and one.machine.amounts_held == {} and one.machine.last_token == 0
 
@@ -243,7 +249,7 @@
     kept, good = disk(vote=("c", 3)), Disk.read
     kept.read = lambda: Disk.sync(kept)
     kept.fails = "input/output error"
-    one = RaftNode("b", NAMES, kept, Chance(1), 0)
+    one = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
     assert "not read" in one.storage_failure and one.hear(0, "a", RequestVote(1, 1, 1, 0, False)) == []
     kept.read, kept.fails = lambda: good(kept), None
     one.tick(one.due)
@@ -254,7 +260,7 @@
 
 
 def test_a_founder_needs_all_others_blank_in_answer_to_its_own_life():
-    one = RaftNode("a", NAMES, Disk(), Chance(1), 0)
+    one = RaftNode("a", NAMES, Disk(), Chance(1), 0, LeaseTable())
     assert one.tick(one.due) == [(name, BootstrapProbe(one.incarnation, 0, True)) for name in "bc"]
     one.hear(0, "b", BootstrapProbe(2, one.incarnation, True))
     one.hear(0, "c", BootstrapProbe(3, one.incarnation + 1, True))  # in answer to a life before
@@ -285,7 +291,7 @@
     assert one.hear(0, "b", AppendEntries(2, 2, 1, 0, 3, (note(1), note(2), note(2)))) == [
         ("b", AppendEntriesResponse(2, 3, True, 4))
     ]
-    again = RaftNode("c", NAMES, kept, Chance(1), 0)
+    again = RaftNode("c", NAMES, kept, Chance(1), 0, LeaseTable())
     assert (again.log.snapshot_index, again.log.last_index, again.commit_index, again.members) == (
         3,
         4,
@@ -303,5 +309,5 @@
     assert one.hear(0, "z", AppendEntries(9, 1, 1, 0, 0)) == []
     assert one.hear(0, "a", AppendEntries(1 << 47, 1, 1, 0, 0)) == []
     assert one.hear(0, "a", "noise") == []
-    assert one.rejections == {"stranger": 1, "term from far future": 1, "not for keepers": 1}
+    assert one.rejections == {"stranger": 1, "term from far future": 1, "not a message of the group": 1}
     assert kept.records == before and one.term == 1
--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_world.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.simulation import (
     Breach,
     Chance,
@@ -180,6 +180,6 @@
     disk.replace([b"a"])
     disk.sync()
     disk.spoiled("bad")
-    assert disk.read() == Lost("bad")
+    assert disk.read() == UnusableDiskError("bad")
     disk.aside("bad")
     assert disk.read() == [] and disk.asides == [("bad", [b"a"])]
--- a/tests/storage/test_votes.py
+++ b/tests/storage/test_votes.py
@@ -9,7 +9,7 @@
 
 from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
 from gaproute.faultinjection.plan import FaultPlan, Script
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.shared.raft.store import Store
 from gaproute.simulation import Chance, Disk
 from gaproute.storage import Votes, files
@@ -88,7 +88,8 @@
             parsed(flipped(written, at))
     path.write_bytes(flipped(written, 40))
     one = votes()
-    assert isinstance(one.read(), Lost)
+    with pytest.raises(UnusableDiskError):
+        one.read()
     with pytest.raises(OSError, match="not read yet"):
         one.append(b"x")
     one.aside("a bad record")
@@ -235,7 +236,8 @@
     written = path.read_bytes()
     path.write_bytes(flipped(written, written.index(b"one")))
     one = votes()
-    assert isinstance(one.read(), Lost)
+    with pytest.raises(UnusableDiskError):
+        one.read()
     disk = faulty(tmp_path, ("fsync", 1, BROKEN))
     with disk.installed(module, files), pytest.raises(OSError, match="Input/output"):
         one.aside("a bad record")
--- a/tests/support/faulty_ledger.py
+++ b/tests/support/faulty_ledger.py
@@ -11,7 +11,7 @@
 from gaproute.faultinjection.disk import FAULTS, FaultyDisk, KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Chances, FaultPlan
 from gaproute.shared.leases import LeaseTable
-from gaproute.shared.raft import Lost, RaftNode
+from gaproute.shared.raft import RaftNode, UnusableDiskError
 from gaproute.shared.raft.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -113,9 +113,10 @@
 
     def opened(self):
         """The records. Errors: Broken where they are not what may stand."""
-        read = self.until_it_goes_well(self.votes.read)
-        if isinstance(read, Lost):
-            raise Broken(TAKEN_FOR_BAD, read.why)
+        try:
+            read = self.until_it_goes_well(self.votes.read)
+        except UnusableDiskError as fault:
+            raise Broken(TAKEN_FOR_BAD, fault.why) from fault
         if read not in self.possible:
             raise Broken(
                 RECORD_LOST if len(read) < len(self.acknowledged) else RECORD_INVENTED,
@@ -192,7 +193,7 @@
         self.lives += 1
         disk = Votes(f"{self.folder}/votes", lambda text: None, lambda: 17)
         chance = Chance(1 + self.lives)
-        self.node = RaftNode("a", ("a", "b", "c"), disk, chance, self.now, LeaseTable(initial_wait=False), 0)
+        self.node = RaftNode("a", ("a", "b", "c"), disk, chance, self.now, LeaseTable(initial_wait=False))
         self.disk_file = disk
 
     def step(self):
--- a/tests/support/ledger_mutants.py
+++ b/tests/support/ledger_mutants.py
@@ -20,7 +20,7 @@
     Tables,
 )
 
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.shared.raft.store import Store
 from gaproute.storage import files
 from gaproute.storage import votes as votes_module
@@ -71,7 +71,7 @@
         try:
             records, good, last = parsed(data)
         except Bad as fault:
-            return Lost(str(fault))
+            raise UnusableDiskError(str(fault)) from fault
         if good < len(data):
             votes_module.os.ftruncate(self.file, good)
         votes_module.os.fsync(self.file)
@@ -93,7 +93,7 @@
         try:
             records, _, last = parsed(files.read_whole(self.path))
         except Bad as fault:
-            return Lost(str(fault))
+            raise UnusableDiskError(str(fault)) from fault
         votes_module.os.fsync(self.file)
         files.sync_folder(self.path.parent)
         self.number = self.first = last + 1
--- a/tests/support/raft_net.py
+++ b/tests/support/raft_net.py
@@ -4,8 +4,8 @@
 import random
 
 from gaproute.shared.leases import LeaseClient, LeaseTable
+from gaproute.shared.leases.group_invariants import GroupHistory, check_group
 from gaproute.shared.raft import RaftNode
-from gaproute.shared.raft.invariants import History, check_all
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -54,7 +54,7 @@
         self.chance, self.now, self.flying, self.count = Chance(seed), 0, [], 0
         self.names = [f"k{n}" for n in range(keepers)]
         self.disks = {name: Disk() for name in self.names}
-        self.cut, self.history = set(), History()
+        self.cut, self.history = set(), GroupHistory()
         self.nodes = {}
         for name in self.names:
             self.start(name)
@@ -104,7 +104,7 @@
 
     def check(self):
         holders = [(each, self.now) for each in self.holders.values()]
-        assert check_all(list(self.nodes.values()), holders, self.history) == []
+        assert check_group(list(self.nodes.values()), holders, self.history) == []
 
     @property
     def leader(self):
