--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_world.py
@@ -180,6 +180,8 @@
     disk.replace([b"a"])
     disk.sync()
     disk.spoiled("bad")
-    assert disk.read() == UnusableDiskError("bad")
+    with pytest.raises(UnusableDiskError) as fault:
+        disk.read()
+    assert fault.value.why == "bad"
     disk.aside("bad")
     assert disk.read() == [] and disk.asides == [("bad", [b"a"])]
