--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -9,7 +9,7 @@
 from gaproute.peers.raft import wire
 from gaproute.peers.raft.carrier import TARGET
 from gaproute.shared.leases import LeaseClient, LeaseTable
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.simulation.plan import Plan
 from gaproute.simulation.world import World
 
@@ -55,7 +55,7 @@
 
     def keeper(self, name, disk, chance, now):
         """A member of the group."""
-        return Keeper(name, GROUP, disk, chance, now, LeaseTable(initial_wait=False))
+        return RaftNode(name, GROUP, disk, chance, now, LeaseTable(initial_wait=False))
 
     def holder(self, name, disk, chance, now):
         """A gateway that wants leases."""
@@ -89,7 +89,7 @@
 
     def leading(self):
         """The name of the group's leader."""
-        return next(name for name in GROUP if self.seats[name].actor.leading)
+        return next(name for name in GROUP if self.seats[name].actor.is_leader)
 
 
 def played(holders, leases, seed):
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from gaproute.peers.raft import Seat
+from gaproute.peers.raft import HostedNode
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.operator_requests import (
     OperatorCommand,
@@ -36,7 +36,7 @@
         self.loop = loop
         self.peers: dict[str, str] = {}  # addresses by name
         self.disk = self._open_votes(line.votes, record) if name in line.names else None
-        self.seat = Seat(
+        self.seat = HostedNode(
             loop,
             name,
             line.names,
@@ -59,7 +59,7 @@
         except OSError as error:
             if error.errno not in MOMENTARY:
                 raise
-            # the group's node opens it with its first read, which it repeats (`DISK_AGAIN`)
+            # the group's node opens it with its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
         return votes
 
     def listed(self, peers: dict[str, str]) -> None:
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -1,7 +1,7 @@
 """Leases as a part: the product's seat among keepers and holders; each gateway keeps one lease up."""
 
 from gaproute.hollow.parts import Part
-from gaproute.peers.raft import Seat
+from gaproute.peers.raft import HostedNode
 from gaproute.shared.leases import LeaseTable
 
 SECOND = 1_000_000_000
@@ -20,7 +20,7 @@
         self.loop, self.name = surroundings.loop, surroundings.name
         line = surroundings.charter.keepers
         self.peers = {}
-        self.seat = Seat(
+        self.seat = HostedNode(
             self.loop,
             self.name,
             line.names,
@@ -58,11 +58,11 @@
 
     def counters(self):
         """`entries`: a keeper's leases and log entries; `bytes`: counted by the simulated carrier alone."""
-        keeper, carrier = self.seat.keeper, self.seat.carrier
+        node, carrier = self.seat.node, self.seat.carrier
         return {
             "messages": carrier.counts["sent"],
             "bytes": carrier.counts["bytes"],
-            "entries": 0 if keeper is None else len(keeper.machine.leases) + len(keeper.log.entries),
+            "entries": 0 if node is None else len(node.machine.leases) + len(node.log.entries),
             "held": int(self.held),
             "refused": self.refused,
             "ended": self.ended,
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -10,12 +10,12 @@
 from msgspec import Meta
 
 from gaproute.shared.messages import NAME
-from gaproute.shared.raft.messages import MESSAGES, MOST_STATE
+from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, RaftMessage
 
 VERSION = 1
 MANY = 64  # messages in a batch: those of a few beats
 BATCH = 512 << 10  # bytes after which no further message joins a batch
-LONGEST = MOST_STATE + BATCH  # bytes of a batch: one snapshot and what went with it
+LONGEST = MAX_SNAPSHOT_BYTES + BATCH  # bytes of a batch: one snapshot and what went with it
 HEAD = b"\x93"  # MessagePack's mark of an array of three
 
 _one = msgspec.msgpack.Encoder().encode
@@ -23,7 +23,7 @@
     tuple[
         int,
         Annotated[str, Meta(min_length=1, max_length=NAME)],
-        Annotated[list[MESSAGES], Meta(min_length=1, max_length=MANY)],
+        Annotated[list[RaftMessage], Meta(min_length=1, max_length=MANY)],
     ]
 ).decode
 
--- /dev/null
+++ b/gaproute/shared/raft/bootstrap.py
@@ -0,0 +1,53 @@
+"""How the first log begins without anybody's memory being taken for granted.
+
+Only the first by name of the configured members begins one, and only when every other one has said, in
+answer to this very incarnation, that it never voted and never took an entry. So a node that lost its disk
+begins nothing while any other remembers anything. And while the first one is the one that lost it, no leader
+of an older log can have been elected, as that takes another's vote, and a vote ends being blank.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from gaproute.shared.raft.log import encode_membership
+from gaproute.shared.raft.messages import BootstrapProbe, Entry, EntryKind, Member, Membership, Outbox
+
+if TYPE_CHECKING:
+    from gaproute.shared.raft.node import RaftNode
+
+
+def _may_bootstrap(node: RaftNode) -> bool:
+    return node.store.is_blank and node.name == node.configured_members[0]
+
+
+def tick(node: RaftNode, outbox: Outbox) -> None:
+    """Asks all others whether they are blank."""
+    if not _may_bootstrap(node):
+        return
+    others = node.peer_names()
+    if not others:
+        _bootstrap(node)
+    outbox.extend((name, BootstrapProbe(node.incarnation, 0, True)) for name in others)
+
+
+def on_probe(node: RaftNode, now: int, sender: str, message: BootstrapProbe, outbox: Outbox) -> None:
+    """Answers a probe, or takes the answer to an own one."""
+    if not message.echoed_incarnation:
+        outbox.append((sender, BootstrapProbe(node.incarnation, message.incarnation, node.store.is_blank)))
+    elif message.echoed_incarnation != node.incarnation or not _may_bootstrap(node):
+        node.reject("founding is over")
+    else:
+        node.blank_peers.pop(sender, None)
+        if message.blank:
+            node.blank_peers[sender] = message.incarnation
+        if all(name in node.blank_peers for name in node.peer_names()):
+            _bootstrap(node)
+            node.election_due = now
+
+
+def _bootstrap(node: RaftNode) -> None:
+    incarnations = {**node.blank_peers, node.name: node.incarnation}
+    members = tuple(Member(name, incarnations[name]) for name in node.configured_members)
+    body = encode_membership(Membership(members, node.fencing_base))
+    node.store.append(1, Entry(0, EntryKind.MEMBERSHIP, body=body))
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -1,63 +1,82 @@
-"""Elections: who asks, who gives (Raft 5.2, 5.4.1; pre-vote and the leader's protection: dissertation 9.6,
-4.2.3).
+"""Elections (Raft 5.2, 5.4.1), with pre-vote and votes refused while a leader is heard.
 
-A vote is given once a term, to a log that knows at least what the own does, and is on disk before it is
-told.
+The latter two are of Ongaro's dissertation, 9.6 and 4.2.3. A vote is given once a term, to a log that is at
+least as up-to-date as the own one, and is durable before it is sent.
 """
 
-from gaproute.shared.raft.messages import NOTHING, Ask, Vote
-from gaproute.shared.raft.spans import ELECTION
+from __future__ import annotations
 
+from typing import TYPE_CHECKING
 
-def _ask(keeper, out, term, pre):
-    log = keeper.log
-    for name in keeper.others():
-        out.append((name, Ask(term, keeper.life, log.last, log.last_term, pre)))
+from gaproute.shared.raft.messages import EntryKind, Outbox, RequestVote, RequestVoteResponse
+from gaproute.shared.raft.role import Role
+from gaproute.shared.raft.store import NOBODY
+from gaproute.shared.raft.timing import ELECTION_TIMEOUT
 
+if TYPE_CHECKING:
+    from gaproute.shared.raft.node import RaftNode
 
-def ask_first(keeper, now, out):
-    """Would a majority vote? Only then is the term raised: one that was cut off disturbs nobody when it is
-    back."""
-    keeper.role, keeper.leader = "asking", ""
-    keeper.votes = {keeper.name: keeper.life}
-    _ask(keeper, out, keeper.term + 1, True)
 
+def _request_votes(node: RaftNode, outbox: Outbox, term: int, *, pre_vote: bool) -> None:
+    log = node.log
+    request = RequestVote(term, node.incarnation, log.last_index, log.last_term, pre_vote)
+    outbox.extend((name, request) for name in node.peer_names())
 
-def won(keeper, now, out):
-    """A majority: of the first asking, then it asks in earnest; of the votes, then it leads."""
-    if keeper.role == "asking":
-        keeper.role = "candidate"
-        keeper.store.vote(keeper.term + 1, keeper.name, keeper.life)
-        keeper.votes = {keeper.name: keeper.life}
-        _ask(keeper, out, keeper.term, False)
+
+def start_pre_vote(node: RaftNode, outbox: Outbox) -> None:
+    """Asks whether a majority would vote for this node.
+
+    Only then is the term raised, so that a node which was cut off disturbs nobody when it is back.
+    """
+    node.role, node.leader = Role.PRE_CANDIDATE, ""
+    node.granted_votes = {node.name: node.incarnation}
+    _request_votes(node, outbox, node.term + 1, pre_vote=True)
+
+
+def on_majority(node: RaftNode, now: int, outbox: Outbox) -> None:
+    """A majority granted the pre-vote: the election begins. Or it granted the vote: this node leads."""
+    if node.role is Role.PRE_CANDIDATE:
+        node.role = Role.CANDIDATE
+        node.store.save_vote(node.term + 1, node.name, node.incarnation)
+        node.granted_votes = {node.name: node.incarnation}
+        _request_votes(node, outbox, node.term, pre_vote=False)
         return
-    keeper.lead_now(now)
+    node.become_leader(now)
     # Entries of past terms are committed by one of the own term only (5.4.2).
-    keeper.propose(NOTHING)
+    node.propose(EntryKind.NOOP)
 
 
-def asked(keeper, now, sender, ask, out):
-    fresh = keeper.role == "leader" or now - keeper.heard < ELECTION
-    if fresh and ask.term > keeper.term:
-        keeper.refuse("asked while a leader is heard")
+def on_request_vote(node: RaftNode, now: int, sender: str, request: RequestVote, outbox: Outbox) -> None:
+    """Grants the vote or not; no answer while a leader is heard."""
+    leader_heard = node.is_leader or now - node.leader_heard_at < ELECTION_TIMEOUT
+    if leader_heard and request.term > node.term:
+        node.reject("asked while a leader is heard")
         return
-    known = keeper.log.after(ask.index, ask.last)
-    if ask.pre:
-        out.append((sender, Vote(keeper.term, keeper.life, True, ask.term > keeper.term and known)))
+    known = node.log.is_up_to_date(request.last_log_index, request.last_log_term)
+    if request.pre_vote:
+        granted = request.term > node.term and known
+        outbox.append((sender, RequestVoteResponse(node.term, node.incarnation, True, granted)))
+        return
+    if request.term > node.term:
+        node.enter_term(now, request.term)
+    voted_for, candidate = node.store.voted_for, (sender, request.incarnation)
+    granted = request.term == node.term and known and voted_for in (NOBODY, candidate)
+    if granted and voted_for == NOBODY:
+        node.store.save_vote(node.term, sender, request.incarnation)
+        node.reset_election_timer(now)
+    outbox.append((sender, RequestVoteResponse(node.term, node.incarnation, False, granted)))
+
+
+def on_vote_response(
+    node: RaftNode, now: int, sender: str, response: RequestVoteResponse, outbox: Outbox
+) -> None:
+    """Counts a vote of the election that is going on; `RaftNode` draws what a majority means."""
+    if response.term > node.term:
+        node.enter_term(now, response.term)
         return
-    if ask.term > keeper.term:
-        keeper.enter(now, ask.term)
-    given = ask.term == keeper.term and known and keeper.store.voted in (("", 0), (sender, ask.life))
-    if given and keeper.store.voted == ("", 0):
-        keeper.store.vote(keeper.term, sender, ask.life)
-        keeper.put_off(now)
-    out.append((sender, Vote(keeper.term, keeper.life, False, given)))
-
-
-def voted(keeper, now, sender, vote, out):
-    if vote.term > keeper.term:
-        keeper.enter(now, vote.term)
-    elif vote.given and (
-        keeper.role == "asking" if vote.pre else keeper.role == "candidate" and vote.term == keeper.term
-    ):
-        keeper.votes[sender] = vote.life
+    if response.pre_vote:
+        counts = node.role is Role.PRE_CANDIDATE
+    else:
+        counts = node.role is Role.CANDIDATE and response.term == node.term
+    if counts and response.vote_granted:
+        node.granted_votes[sender] = response.incarnation
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -9,8 +9,8 @@
 
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.leases.commands import CLOCK_ERROR
-from gaproute.shared.raft import Keeper, log
-from gaproute.shared.raft import keeper as module
+from gaproute.shared.raft import RaftNode, log
+from gaproute.shared.raft import node as module
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
 from gaproute.simulation.keepchecks import Held, Remembered, Told, agreed, came_right
@@ -72,9 +72,8 @@
     def keeper(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
         base = 1 + self.world.now // MILLI
-        return Keeper(
-            name, self.named, disk, chance, now, LeaseTable(initial_wait=True, max_duration=self.span), base
-        )
+        table = LeaseTable(initial_wait=True, max_duration=self.span)
+        return RaftNode(name, self.named, disk, chance, now, table, fencing_base=base)
 
     def holder(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
@@ -84,7 +83,7 @@
         leading = [
             seat
             for name in self.keepers
-            if (seat := world.seats[name]).actor is not None and seat.actor.leading
+            if (seat := world.seats[name]).actor is not None and seat.actor.is_leader
         ]
         return max(leading, key=lambda seat: seat.actor.term, default=None)
 
@@ -123,7 +122,7 @@
         elif (
             world.seats[self.named[0]].actor is not None
             and any(
-                seat.actor is not None and seat.name in self.keepers and seat.actor.commit > 1
+                seat.actor is not None and seat.name in self.keepers and seat.actor.commit_index > 1
                 for seat in world.places
             )
             and chance.below(6) == 0
@@ -133,13 +132,7 @@
             self.spare = left
 
     def tell(self, world, name):
-        def configure(actor, now):
-            if isinstance(actor, LeaseClient):
-                actor.set_configured_members(now, self.named)
-            else:
-                actor.named(now, self.named)
-
-        if world.ask(name, configure):
+        if world.ask(name, lambda actor, now: actor.set_configured_members(now, self.named)):
             self.told[name] = tuple(self.named)
 
 
@@ -186,12 +179,12 @@
 
 def play(plan, keepers=3, kind="common", **told):
     """(World, Breach or None)."""
-    made, before = Play(plan, keepers, kind, **told), (module.KEEP, log.MOST_ENTRIES)
-    module.KEEP, log.MOST_ENTRIES = KEEP, TOGETHER
+    made, before = Play(plan, keepers, kind, **told), (module.COMPACT_AFTER, log.MAX_ENTRIES)
+    module.COMPACT_AFTER, log.MAX_ENTRIES = KEEP, TOGETHER
     try:
         made.world.run()
     except Breach as breach:
         return made.world, breach
     finally:
-        module.KEEP, log.MOST_ENTRIES = before
+        module.COMPACT_AFTER, log.MAX_ENTRIES = before
     return made.world, None
--- a/gaproute/simulation/mutants.py
+++ b/gaproute/simulation/mutants.py
@@ -4,6 +4,8 @@
 as a mutant that changes nothing would be called caught by any breach.
 """
 
+import __future__
+
 import inspect
 import textwrap
 from contextlib import contextmanager
@@ -14,10 +16,10 @@
 from gaproute.shared.leases.expiry import ExpiryTimers
 from gaproute.shared.leases.requests import LeaseRequest
 from gaproute.shared.leases.table import LeaseTable
-from gaproute.shared.raft import election, following, founding, leading, members, requests
-from gaproute.shared.raft.keeper import Keeper
+from gaproute.shared.raft import bootstrap, election, follower, leader, membership, requests
+from gaproute.shared.raft.node import RaftNode
 from gaproute.shared.raft.sessions import Sessions
-from gaproute.shared.raft.store import Store
+from gaproute.shared.raft.store import LoadedState, Store
 
 TELLS, VOTE, LEADER = "on disk before it is told", "one vote a term", "one leader a term"
 REMEMBERED, TERM, WRITTEN = "a vote is remembered", "term only grows", "a vote is on disk before it is told"
@@ -51,109 +53,125 @@
     _m(
         "a vote is not written",
         (WRITTEN, REMEMBERED),
-        (Store.vote, "self._write(Voted(term, name, life))", "pass"),
+        (Store.save_vote, "self._write(VoteRecord(term, name, incarnation))", "pass"),
         seed=1,
     ),
     _m("told before it is synced", (TELLS,), (Store.sync, "self.disk.sync()", "pass"), seed=1),
     _m(
         "a restart forgets whom it voted for",
         (REMEMBERED, VOTE),
-        (Store._load, "term, voted = record.term, (record.name, record.life)", "term = record.term"),
+        (
+            LoadedState.take,
+            "self.term, self.voted_for = record.term, Candidate(record.name, record.incarnation)",
+            "self.term = record.term",
+        ),
         seed=3,
     ),
     _m(
         "a rewritten disk has no vote",
         (REMEMBERED, VOTE),
-        (Store.rewrite, "Voted(self.term, *self.voted)", 'Voted(self.term, "", 0)'),
+        (Store.rewrite, "VoteRecord(self.term, *self.voted_for)", 'VoteRecord(self.term, "", 0)'),
         seed=3,
     ),
     _m(
         "a restart forgets the log",
         (UNSAID, LEADER, STATE, MATCH, STANDS, TERM, "words without end"),
-        (Store._load, "log.put(record.index, record.entry)", "pass"),
+        (LoadedState.take, "self.log.append(record.index, record.entry)", "pass"),
         seed=2,
     ),
     _m(
         "a vote is given twice",
         (WRITTEN, REMEMBERED, VOTE, LEADER),
-        (election.asked, ' and keeper.store.voted in (("", 0), (sender, ask.life))', ""),
+        (election.on_request_vote, " and voted_for in (NOBODY, candidate)", ""),
         seed=25,
     ),
     _m(
         "a vote is given to a log that knows less",
         (UNSAID, MATCH, STATE),
-        (election.asked, "known = keeper.log.after(ask.index, ask.last)", "known = True"),
+        (
+            election.on_request_vote,
+            "known = node.log.is_up_to_date(request.last_log_index, request.last_log_term)",
+            "known = True",
+        ),
         seed=15,
     ),
     _m(
         "votes of another life are counted",
         (MOST, LEADER, UNSAID, STATE, MATCH),
-        (Keeper.most, "lives.get(member.name) == member.life", "member.name in lives"),
+        (
+            membership.is_majority,
+            "incarnations.get(member.name) == member.incarnation",
+            "member.name in incarnations",
+        ),
         seed=7,
     ),
     _m(
         "a lost disk comes back as if it remembered",
         (VOTE, TERM, REMEMBERED),
-        (Store.open, "life = 1 + self.chance.below(HIGHEST)", "life = 1"),
+        (Store.open, "incarnation = 1 + self.chance.below(HIGHEST)", "incarnation = 1"),
         seed=7,
     ),
     _m(
         "a keeper without memory founds anew",
         (LEADER, UNSAID, STATE, MATCH, VOTE, FENCES),
-        (founding.hello, "if message.blank:", "if True:"),
+        (bootstrap.on_probe, "if message.blank:", "if True:"),
         seed=3,
     ),
     _m(
         "a leader of an old term is followed",
         (UNSAID, MATCH, STATE, LEADER),
-        (following._leader, "if message.term < keeper.term:", "if False:"),
+        (follower._follow, "if message.term < node.term:", "if False:"),
         seed=13,
     ),
     _m(
         "a leader does not step down for a greater term",
         (MOST, LEADER, "no entry of a later term"),
-        (Keeper.enter, "self.step_down(now)", "pass"),
+        (RaftNode.enter_term, "self.step_down(now)", "pass"),
         seed=13,
     ),
     _m(
         "an entry in conflict is not cut",
         (UNSAID, STATE, MATCH),
-        (following.append, "if log.term(at) == entry.term:", "if at <= log.last:"),
+        (follower._append, "if log.term_at(at) == entry.term:", "if at <= log.last_index:"),
         seed=9,
     ),
     _m(
         "the entry before is not compared",
         (UNSAID, STATE, MATCH),
-        (following.append, "elif log.term(index) != message.last:", "elif index > log.last:"),
+        (
+            follower.on_append_entries,
+            "elif log.term_at(index) != message.prev_log_term:",
+            "elif index > log.last_index:",
+        ),
         seed=30,
     ),
     _m(
         "committed beyond what was compared",
         (UNSAID, STATE, "raised", "applied after committed after held"),
-        (following.append, "min(message.commit, end)", "message.commit"),
+        (follower.on_append_entries, "min(message.leader_commit, end)", "message.leader_commit"),
         seed=2,
     ),
     _m(
         "committed by a minority",
         (HAVE, UNSAID, STATE, MATCH, STANDS),
-        (leading.advance, "have[len(have) // 2]", "have[0]"),
+        (leader.advance_commit_index, "matched[len(matched) // 2]", "matched[0]"),
         seed=1,
     ),
     _m(
         "committed by an entry of an old term",
         (OWN_TERM, UNSAID, STATE, STANDS),
-        (leading.advance, " and keeper.log.term(index) == keeper.term", ""),
+        (leader.advance_commit_index, " and node.log.term_at(index) == node.term", ""),
         seed=15,
     ),
     _m(
         "what the old disk had is counted for the new one",
         (HAVE, UNSAID, STATE, STANDS),
         (
-            leading.acked,
-            "each.life, each.match, each.next, each.state_at = ack.life, 0, keeper.log.last + 1, None",
-            "each.life = ack.life",
+            leader.on_append_response,
+            "progress.restart(response.incarnation, node.log.last_index)",
+            "progress.incarnation = response.incarnation",
         ),
-        (leading._match, " and each.life == member.life", ""),
+        (leader._match_index, " and progress.incarnation == member.incarnation", ""),
         seed=3,
     ),
     _m(
@@ -166,13 +184,13 @@
         "a request is done twice",
         (ANSWER,),
         (Sessions._command, "if entry.nonce > nonce:", "if True:"),
-        (requests.take, "if request.nonce == row[1]:", "if False:"),
+        (requests._answer_at_once, "if request.nonce == session.nonce:", "if False:"),
         seed=2,
     ),
     _m(
         "sessions of one holder without end",
         ("session table bounded",),
-        (Sessions._open, "if len(own) >= OWN:", "if False:"),
+        (Sessions._open, "if len(own) >= MAX_SESSIONS_PER_CLIENT:", "if False:"),
         kind="tight",
         seed=11,
     ),
@@ -264,11 +282,11 @@
         "a keeper changes its members at once",
         (ONE, LEADER, UNSAID, STATE, MATCH),
         (
-            members.next_roll,
+            membership.next_membership,
             "known = {member.name for member in members}",
             "known = {member.name for member in members}\n"
-            "    if known != set(named) and set(named) <= set(lives):\n"
-            "        return tuple(Member(name, lives[name]) for name in sorted(named))",
+            "    if known != set(configured) and set(configured) <= set(incarnations):\n"
+            "        return tuple(Member(name, incarnations[name]) for name in sorted(configured))",
         ),
         seed=17,
     ),
@@ -285,7 +303,8 @@
             if words not in source:
                 raise ValueError(f"{mutant.name}: {function.__qualname__} has no {words!r}")
             made = {}
-            code = compile(source.replace(words, others), f"<{mutant.name}>", "exec")
+            changed = source.replace(words, others)
+            code = compile(changed, f"<{mutant.name}>", "exec", flags=__future__.annotations.compiler_flag)
             exec(code, function.__globals__, made)
             before.append((function, function.__code__))
             function.__code__ = made[function.__name__].__code__
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds.py
@@ -7,7 +7,7 @@
 from gaproute.maintenance import Round
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.commands import CLOCK_ERROR
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
 from gaproute.simulation.keepchecks import Held
@@ -183,9 +183,8 @@
     # Actors
 
     def _keeper(self, name, disk, chance, now):
-        return Keeper(
-            name, self.keepers, disk, chance, now, LeaseTable(initial_wait=False, max_duration=SPAN), 1
-        )
+        table = LeaseTable(initial_wait=False, max_duration=SPAN)
+        return RaftNode(name, self.keepers, disk, chance, now, table, fencing_base=1)
 
     def _scheduler(self, name, disk, chance, now):
         place = self.schedulers.index(name)
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,7 +1,7 @@
 """Leases: what each entry does, whose lease is valid by whose clock, and what is sent again to whom."""
 
 import pytest
-from keepers_net import MILLI, SECOND, Chance, Net
+from raft_net import MILLI, SECOND, Chance, Net
 
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.leases.commands import (
@@ -19,8 +19,8 @@
 )
 from gaproute.shared.leases.expiry import ExpiryTimers
 from gaproute.shared.leases.invariants import check_table
-from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Reply, Request
-from gaproute.shared.raft.sessions import OWN, Sessions
+from gaproute.shared.raft.messages import Entry, EntryKind, Reply, Request
+from gaproute.shared.raft.sessions import MAX_SESSIONS_PER_CLIENT, Sessions
 
 
 class Log:
@@ -129,22 +129,22 @@
 
 def test_a_command_is_done_once_and_a_forgotten_session_does_nothing():
     one = Sessions(LeaseTable(initial_wait=False))
-    one.apply(1, Entry(1, OPEN, body=b"a"))
-    take = Entry(1, COMMAND, 1, 1, encode(AcquireLease("room", "a", 1, SECOND)))
+    one.apply(1, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
+    take = Entry(1, EntryKind.COMMAND, 1, 1, encode(AcquireLease("room", "a", 1, SECOND)))
     first = one.apply(2, take)
     assert one.apply(3, take) == first
     assert one.machine.last_token == 1
-    assert one.apply(4, Entry(1, COMMAND, 1, 2, encode(ReleaseLease(1, "a"))))[0] == "done"
+    assert one.apply(4, Entry(1, EntryKind.COMMAND, 1, 2, encode(ReleaseLease(1, "a"))))[0] == "done"
     assert one.apply(5, take)[0] == "refused"
     assert not one.machine.leases
     other = Sessions(LeaseTable())
     other.unpack(one.pack())
     assert other.pack() == one.pack()
     assert other.table == one.table
-    for index in range(6, 6 + OWN):
-        one.apply(index, Entry(1, OPEN, body=b"a"))
+    for index in range(6, 6 + MAX_SESSIONS_PER_CLIENT):
+        one.apply(index, Entry(1, EntryKind.OPEN_SESSION, body=b"a"))
     assert one.apply(99, take)[0] == "forgotten"
-    assert len(one.table) == OWN
+    assert len(one.table) == MAX_SESSIONS_PER_CLIENT
 
 
 def client(now=0):
@@ -285,6 +285,6 @@
     assert states == ["busy"] * 5
     for number in range(2000):
         leader.hear(net.now, f"g{number}", Request(0, 1, b""))
-    assert leader.log.last - leader.commit <= 512
-    assert leader.refused["busy"] > 1000
+    assert leader.log.last_index - leader.commit_index <= 512
+    assert leader.rejections["busy"] > 1000
     assert leader.hear(net.now, "h", Request(77, 1, b"x"))[0][1].state == "forgotten"
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -2,15 +2,23 @@
 
 import msgspec
 import pytest
-from keepers_net import SECOND, Chance
+from raft_net import SECOND, Chance
 
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
-from gaproute.peers.raft import Seat, wire
+from gaproute.peers.raft import HostedNode, wire
 from gaproute.peers.raft.carrier import BURST
 from gaproute.shared.leases import LeaseTable
-from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Hello, Reply, Request
+from gaproute.shared.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    BootstrapProbe,
+    Entry,
+    Reply,
+    Request,
+    RequestVote,
+)
 from gaproute.storage.votes import Votes
 
 
@@ -30,7 +38,7 @@
 
     def start(self, name, number=9):
         disk = Votes(self.folder / name, lambda text: None).open() if name in self.names else None
-        seat = Seat(
+        seat = HostedNode(
             self.loop,
             name,
             self.names,
@@ -64,7 +72,7 @@
     @property
     def leader(self):
         return next(
-            (name for name in self.names if name in self.seats and self.seats[name].keeper.leading), None
+            (name for name in self.names if name in self.seats and self.seats[name].node.is_leader), None
         )
 
 
@@ -93,17 +101,17 @@
     group.until(lambda: wish.state == "held")
     assert wish.valid_at(group.loop.now()) and wish.fencing_token == 1
     gone = group.leader
-    agreed, life = group.seats[gone].keeper.commit, group.seats[gone].keeper.life
+    agreed, life = group.seats[gone].node.commit_index, group.seats[gone].node.incarnation
     group.end(gone)
     other = holder.acquire(group.loop.now(), "host-8", 10 * SECOND)
     group.seats["h"].act()
     group.until(lambda: other.state == "held")
     assert wish.valid_at(group.loop.now()) and other.fencing_token == 2
     group.start(gone)
-    keeper = group.seats[gone].keeper
-    assert keeper.life == life and keeper.log.last >= agreed - 1
-    group.until(lambda: len(keeper.machine.leases) == 2)
-    assert not any(seat.keeper.breaches for seat in group.seats.values() if seat.keeper)
+    node = group.seats[gone].node
+    assert node.incarnation == life and node.log.last_index >= agreed - 1
+    group.until(lambda: len(node.machine.leases) == 2)
+    assert not any(seat.node.breaches for seat in group.seats.values() if seat.node)
     assert "leader" in [
         told["now"] for _, what, told in group.seats[group.leader].record.events if what == "keeper"
     ]
@@ -113,7 +121,7 @@
 def test_a_file_that_cannot_be_trusted_is_kept_aside_and_the_keeper_learns_anew(group, harm):
     group.until(lambda: group.leader)
     name, other = [each for each in group.names if each != group.leader]
-    life = group.seats[name].keeper.life
+    life = group.seats[name].node.incarnation
     group.end(name)
     path = group.folder / name
     if harm == "torn":
@@ -124,16 +132,18 @@
         path.write_bytes((group.folder / other).read_bytes())
     group.start(name)
     seat = group.seats[name]
-    assert seat.keeper.life not in (life, group.seats[other].keeper.life) and seat.keeper.store.blank
+    assert (
+        seat.node.incarnation not in (life, group.seats[other].node.incarnation) and seat.node.store.is_blank
+    )
     assert [what for _, what, _ in seat.record.events] == ["keeper's memory set aside"]
     assert len(list(group.folder.glob(f"{name}.*"))) >= 2  # the lock, and what was set aside
-    group.until(lambda: seat.keeper.member)
+    group.until(lambda: seat.node.is_member)
 
 
 def test_bad_batches_are_counted_by_reason_and_change_nothing(group):
     group.until(lambda: group.leader)
     seat = group.seats["a"]
-    good = wire.pack(Ack(1, 1, True, 1))
+    good = wire.pack(AppendEntriesResponse(1, 1, True, 1))
     for body, reason in (
         (b"", "noise"),
         (b"\xff" * 65536, "noise"),
@@ -149,9 +159,9 @@
         before = seat.carrier.counts[f"refused: {reason}"]
         assert post(group, "a", body) == 400
         assert seat.carrier.counts[f"refused: {reason}"] == before + 1, body[:20]
-    term = seat.keeper.term
-    assert post(group, "a", wire.batch("h", [wire.pack(Ask(term + 1, 1, 99, 99, False))])) == 204
-    assert seat.keeper.refused["stranger"] == 1 and seat.keeper.term == term
+    term = seat.node.term
+    assert post(group, "a", wire.batch("h", [wire.pack(RequestVote(term + 1, 1, 99, 99, False))])) == 204
+    assert seat.node.rejections["stranger"] == 1 and seat.node.term == term
     assert post(group, "h", wire.batch("b", [good])) == 204
     assert group.seats["h"].carrier.counts["refused: no keeper here"] == 1
 
@@ -164,9 +174,9 @@
     carrier = group.seats["h"].carrier
     group.peers["dead"] = "127.0.0.1:1"
     for _ in range(1000):
-        carrier.send("dead", Hello(1, 0, True))
+        carrier.send("dead", BootstrapProbe(1, 0, True))
     assert len(carrier.table["dead"].queue) == 256 and carrier.counts["lost"] >= 744
-    large = Append(1, 1, 1, 1, 1, tuple(Entry(1, 0, body=b"x" * 2048) for _ in range(64)))
+    large = AppendEntries(1, 1, 1, 1, 1, tuple(Entry(1, 0, body=b"x" * 2048) for _ in range(64)))
     for _ in range(100):
         carrier.send("dead", large)
     assert carrier.table["dead"].held <= 2 * wire.LONGEST
@@ -174,8 +184,8 @@
 
 def test_every_message_comes_back_as_it_was():
     for message in (
-        Hello(1, 2, True),
-        Append(1, 2, 3, 4, 5, (Entry(1, 0, 2, 3, b"x"),)),
+        BootstrapProbe(1, 2, True),
+        AppendEntries(1, 2, 3, 4, 5, (Entry(1, 0, 2, 3, b"x"),)),
         Reply(1, 2, "done", b"y"),
     ):
         assert wire.read(wire.batch("a", [wire.pack(message)])) == ("a", [message])
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers.tables import encoding
 from gaproute.shared.leases import LeaseTable
-from gaproute.shared.raft import Keeper
+from gaproute.shared.raft import RaftNode
 from gaproute.storage import Memory, Votes
 from gaproute.storage.tables import TableFile
 
@@ -34,14 +34,15 @@
     """A node of the group on that file, and what its file told operators."""
     texts = []
     disk = Votes(path, texts.append, lambda: 17).open()
-    made = Keeper("k1", ["k1"], disk, Chance(3), 0, LeaseTable(initial_wait=False, max_duration=60 * SECOND))
+    table = LeaseTable(initial_wait=False, max_duration=60 * SECOND)
+    made = RaftNode("k1", ["k1"], disk, Chance(3), 0, table)
     return made, disk, texts
 
 
 def elected(made):
     """After its election all that was agreed on is applied again."""
     now = 0
-    while not made.leading or made.commit < made.log.last:
+    while not made.is_leader or made.commit_index < made.log.last_index:
         now = made.due
         made.tick(now)
         assert now < 10 * SECOND
@@ -74,12 +75,16 @@
     path = copied(name)
     for opening in range(2):  # as it was written, and as this version wrote it anew
         made, disk, texts = node(path)
-        assert not made.store.lost and not made.mute and made.life == OWN_NUMBER
-        assert (made.term, made.store.voted) == (
+        assert not made.store.discard_reason and not made.storage_failure and made.incarnation == OWN_NUMBER
+        assert (made.term, made.store.voted_for) == (
             4 + opening,
-            ("k2", 12345) if not opening else ("k1", made.life),
+            ("k2", 12345) if not opening else ("k1", made.incarnation),
+        )
+        assert (made.log.snapshot_index, made.log.last_index, disk.torn) == (
+            base,
+            8 + opening,
+            0 if opening else torn,
         )
-        assert (made.log.base, made.log.last, disk.torn) == (base, 8 + opening, 0 if opening else torn)
         assert len(texts) == disk.torn and all("torn tail" in text for text in texts)
         elected(made)
         assert leases(made) == HELD and made.machine.pools == {"room:host-9": (6, 0)}
@@ -91,7 +96,11 @@
     path = copied("votes-middle-bad.bin")
     before = path.read_bytes()
     made, disk, texts = node(path)
-    assert "not what was written" in made.store.lost and made.life not in (0, OWN_NUMBER) and not made.term
+    assert (
+        "not what was written" in made.store.discard_reason
+        and made.incarnation not in (0, OWN_NUMBER)
+        and not made.term
+    )
     assert len(texts) == 1 and "set aside as" in texts[0]
     assert path.with_name(f"{path.name}.broken-17").read_bytes() == before
     disk.close()
--- a/tests/storage/test_votes.py
+++ b/tests/storage/test_votes.py
@@ -9,7 +9,7 @@
 
 from gaproute.faultinjection.disk import BROKEN, FULL, FaultyDisk
 from gaproute.faultinjection.plan import FaultPlan, Script
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.shared.raft.store import Store
 from gaproute.simulation import Chance, Disk
 from gaproute.storage import Votes, files
@@ -88,7 +88,8 @@
             parsed(flipped(written, at))
     path.write_bytes(flipped(written, 40))
     one = votes()
-    assert isinstance(one.read(), Lost)
+    with pytest.raises(UnusableDiskError):
+        one.read()
     with pytest.raises(OSError, match="not read yet"):
         one.append(b"x")
     one.aside("a bad record")
@@ -235,7 +236,8 @@
     written = path.read_bytes()
     path.write_bytes(flipped(written, written.index(b"one")))
     one = votes()
-    assert isinstance(one.read(), Lost)
+    with pytest.raises(UnusableDiskError):
+        one.read()
     disk = faulty(tmp_path, ("fsync", 1, BROKEN))
     with disk.installed(module, files), pytest.raises(OSError, match="Input/output"):
         one.aside("a bad record")
@@ -261,15 +263,19 @@
 def test_a_keepers_memory_from_this_file_and_none_from_anothers(votes):
     one = votes()
     store = Store("k1", one, Chance(1), lambda state: None)
-    store.vote(3, "k2", 5)
+    store.save_vote(3, "k2", 5)
     assert store.sync()
     one.close()
     two = votes()
     back = Store("k1", two, Chance(2), lambda state: None)
-    assert (back.term, back.voted, back.life) == (3, ("k2", 5), store.life)
+    assert (back.term, back.voted_for, back.incarnation) == (3, ("k2", 5), store.incarnation)
     two.close()
     other = Store("k9", votes(), Chance(3), lambda state: None)
-    assert other.term == 0 and other.life not in (0, store.life) and "another gateway" in other.lost
+    assert (
+        other.term == 0
+        and other.incarnation not in (0, store.incarnation)
+        and "another gateway" in other.discard_reason
+    )
 
 
 def test_the_simulated_disk_has_the_same_face():
--- a/tests/support/faulty_ledger.py
+++ b/tests/support/faulty_ledger.py
@@ -11,8 +11,15 @@
 from gaproute.faultinjection.disk import FAULTS, FaultyDisk, KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Chances, FaultPlan
 from gaproute.shared.leases import LeaseTable
-from gaproute.shared.raft import Keeper, Lost
-from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Install, Vote
+from gaproute.shared.raft import RaftNode, UnusableDiskError
+from gaproute.shared.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    InstallSnapshot,
+    RequestVote,
+    RequestVoteResponse,
+)
 from gaproute.storage import files
 from gaproute.storage import tables as tables_module
 from gaproute.storage import votes as votes_module
@@ -106,9 +113,10 @@
 
     def opened(self):
         """The records. Errors: Broken where they are not what may stand."""
-        read = self.until_it_goes_well(self.votes.read)
-        if isinstance(read, Lost):
-            raise Broken(TAKEN_FOR_BAD, read.why)
+        try:
+            read = self.until_it_goes_well(self.votes.read)
+        except UnusableDiskError as fault:
+            raise Broken(TAKEN_FOR_BAD, fault.why) from fault
         if read not in self.possible:
             raise Broken(
                 RECORD_LOST if len(read) < len(self.acknowledged) else RECORD_INVENTED,
@@ -185,14 +193,14 @@
         self.lives += 1
         disk = Votes(f"{self.folder}/votes", lambda text: None, lambda: 17)
         chance = Chance(1 + self.lives)
-        self.node = Keeper("a", ("a", "b", "c"), disk, chance, self.now, LeaseTable(initial_wait=False), 0)
+        self.node = RaftNode("a", ("a", "b", "c"), disk, chance, self.now, LeaseTable(initial_wait=False))
         self.disk_file = disk
 
     def step(self):
         self.now += SECOND
-        if self.node.mute:
+        if self.node.storage_failure:
             self.node.tick(max(self.now, self.node.due))
-            self.now = max(self.now, self.node.again)
+            self.now = max(self.now, self.node.storage_retry_at)
             return
         if self.chance.randrange(3) == 0:
             self.candidate()
@@ -204,11 +212,11 @@
         self.term += self.chance.randrange(2)
         self.now += 10 * SECOND  # no leader was heard for long
         sender = self.chance.choice("bc")
-        ask = Ask(self.term, 5, 1 << 40, self.term - 1, False)
+        ask = RequestVote(self.term, 5, 1 << 40, self.term - 1, False)
         for _, vote in self.node.hear(self.now, sender, ask):
-            if isinstance(vote, Vote):
+            if isinstance(vote, RequestVoteResponse):
                 self.seen = max(self.seen, vote.term)
-                if vote.given:
+                if vote.vote_granted:
                     before = self.answered.setdefault(vote.term, (sender, 5))
                     if before != (sender, 5):
                         raise Broken(VOTE_UNSAID, f"term {vote.term}: {before}, then {sender}")
@@ -223,25 +231,25 @@
             entries.append(Entry(self.term, 0, body=body))
         at = min(len(self.log), len(entries))
         last = entries[at - 1].term if at else 0
-        message = Append(self.term, 5, at, last, 0, tuple(entries[at : at + 8]))
+        message = AppendEntries(self.term, 5, at, last, 0, tuple(entries[at : at + 8]))
         if self.chance.randrange(12) == 0 and entries:
             self.committed, state = list(entries), self.node.sessions.pack()
-            message = Install(self.term, 5, len(entries), entries[-1].term, (), state)
+            message = InstallSnapshot(self.term, 5, len(entries), entries[-1].term, (), state)
         for _, ack in self.node.hear(self.now, "b", message):
-            if isinstance(ack, Ack):
+            if isinstance(ack, AppendEntriesResponse):
                 self.seen = max(self.seen, ack.term)
-                if ack.ok:
-                    self.log = entries[: max(ack.index, len(self.log))]
+                if ack.success:
+                    self.log = entries[: max(ack.match_index, len(self.log))]
 
     def judge(self):
         self.disk.kill = None
         with self.disk.plan.pause(), self.disk.installed(*MODULES):
             self.begin()
             store = self.node.store
-            if store.lost:
-                raise Broken(TAKEN_FOR_BAD, store.lost)
-            if store.broken:
-                raise Broken(NOT_RECOVERED, store.broken)
+            if store.discard_reason:
+                raise Broken(TAKEN_FOR_BAD, store.discard_reason)
+            if store.failure:
+                raise Broken(NOT_RECOVERED, store.failure)
             self.judge_store(store)
             self.disk_file.close()
 
@@ -249,10 +257,12 @@
         if store.term < self.seen:
             raise Broken(VOTE_UNSAID, f"term {store.term} after {self.seen} was told")
         owed = self.answered.get(store.term)
-        if owed is not None and store.voted != owed:
-            raise Broken(VOTE_UNSAID, f"{store.voted} in term {store.term} after {owed}")
+        if owed is not None and store.voted_for != owed:
+            raise Broken(VOTE_UNSAID, f"{store.voted_for} in term {store.term} after {owed}")
         for index, entry in enumerate(self.log, 1):
-            if index > store.log.last or (index >= store.log.base and store.log.term(index) != entry.term):
+            if index > store.log.last_index or (
+                index >= store.log.snapshot_index and store.log.term_at(index) != entry.term
+            ):
                 raise Broken(ENTRY_UNSAID, f"entry {index} of {len(self.log)}")
 
 
--- a/tests/support/ledger_mutants.py
+++ b/tests/support/ledger_mutants.py
@@ -20,7 +20,7 @@
     Tables,
 )
 
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.shared.raft.store import Store
 from gaproute.storage import files
 from gaproute.storage import votes as votes_module
@@ -71,7 +71,7 @@
         try:
             records, good, last = parsed(data)
         except Bad as fault:
-            return Lost(str(fault))
+            raise UnusableDiskError(str(fault)) from fault
         if good < len(data):
             votes_module.os.ftruncate(self.file, good)
         votes_module.os.fsync(self.file)
@@ -93,7 +93,7 @@
         try:
             records, _, last = parsed(files.read_whole(self.path))
         except Bad as fault:
-            return Lost(str(fault))
+            raise UnusableDiskError(str(fault)) from fault
         votes_module.os.fsync(self.file)
         files.sync_folder(self.path.parent)
         self.number = self.first = last + 1
@@ -152,7 +152,7 @@
 
 
 def an_answer_leaves_before_the_sync(patch):
-    patch(Store, "sync", lambda self: not self.broken)
+    patch(Store, "sync", lambda self: not self.failure)
 
 
 def a_node_goes_on_after_a_further_sync(patch):
@@ -161,9 +161,9 @@
         try:
             self.disk.sync()
         except OSError as fault:
-            self.broken = str(fault)
+            self.failure = str(fault)
             return False
-        self.broken, self.dirty = "", False
+        self.failure, self.dirty = "", False
         return True
 
     patch(Store, "rewrite", rewrite)
