--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -6,10 +6,10 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes, once
 from gaproute.decisions.chance import Chance
-from gaproute.shared.leases import Permits
-from gaproute.shared.leases.commands import Renew, Take, encode, read_answer
-from gaproute.shared.raft import Keeper
-from gaproute.shared.raft.messages import COMMAND, OPEN, Entry, Request
+from gaproute.shared.leases import LeaseTable
+from gaproute.shared.leases.commands import AcquireLease, RenewLease, decode_result, encode
+from gaproute.shared.raft import RaftNode
+from gaproute.shared.raft.messages import Entry, EntryKind, Request
 from gaproute.shared.raft.sessions import Sessions
 from gaproute.storage.raft_log_file import RaftLogFile
 
@@ -24,19 +24,19 @@
 
 def machine_of(leases):
     """A state machine that holds so many leases, of a few holders each."""
-    machine = Permits(quiet=False)
+    machine = LeaseTable(initial_wait=False)
     for number in range(leases):
         holder = f"gate-{number // 4:04}"
-        answer = machine.apply(number + 1, encode(Take(f"host-{number:05}", holder, 1, SPAN)), holder)
-        assert not read_answer(answer).why
+        answer = machine.apply(number + 1, encode(AcquireLease(f"host-{number:05}", holder, 1, SPAN)), holder)
+        assert not decode_result(answer).error
     return machine
 
 
 def sessions_of(holders):
     """A table of sessions, one a holder."""
-    sessions = Sessions(Permits(quiet=False))
+    sessions = Sessions(LeaseTable(initial_wait=False))
     for number in range(holders):
-        sessions.apply(number + 1, Entry(1, OPEN, body=f"gate-{number:04}".encode()))
+        sessions.apply(number + 1, Entry(1, EntryKind.OPEN_SESSION, body=f"gate-{number:04}".encode()))
     return sessions
 
 
@@ -60,30 +60,30 @@
 
     def __init__(self, path, seed):
         self.disk = RaftLogFile(path).open()
-        self.keeper = Keeper(NAME, [NAME], self.disk, Chance(seed), 0, Permits(quiet=False))
+        self.node = RaftNode(NAME, [NAME], self.disk, Chance(seed), 0, LeaseTable(initial_wait=False))
         self.now = 0
 
     def settle(self):
         """Until it leads and has applied all that it has."""
         end = self.now + SETTLES
-        while not self.keeper.leading or self.keeper.applied < self.keeper.log.last:
+        while not self.node.is_leader or self.node.last_applied < self.node.log.last_index:
             assert self.now < end, "the log was not applied in time"
-            self.now = max(self.now, self.keeper.due)
-            assert not self.keeper.mute, self.keeper.mute
-            self.keeper.tick(self.now)
+            self.now = max(self.now, self.node.due)
+            assert not self.node.storage_failure, self.node.storage_failure
+            self.node.tick(self.now)
 
     def fill(self, entries):
         """One lease that is taken and renewed until the log has so many entries."""
-        self.keeper.hear(self.now, HOLDER, Request(0, 1, b""))
-        session, nonce = self.keeper.applied, 0
-        body = encode(Take("host-00001", HOLDER, 1, SPAN))
-        while self.keeper.log.last < entries:
+        self.node.hear(self.now, HOLDER, Request(0, 1, b""))
+        session, nonce = self.node.last_applied, 0
+        body = encode(AcquireLease("host-00001", HOLDER, 1, SPAN))
+        while self.node.log.last_index < entries:
             nonce += 1
-            self.keeper.propose(COMMAND, session, nonce, body)
-            body = encode(Renew(1, HOLDER, SPAN))
-            if nonce % BATCH == 0 or self.keeper.log.last == entries:
+            self.node.propose(EntryKind.COMMAND, session, nonce, body)
+            body = encode(RenewLease(1, HOLDER, SPAN))
+            if nonce % BATCH == 0 or self.node.log.last_index == entries:
                 self.settle()
-        assert self.keeper.log.base == 0 and len(self.keeper.machine.permits) == 1
+        assert self.node.log.snapshot_index == 0 and len(self.node.machine.leases) == 1
 
     def close(self):
         """Ends it as a stop of the process does."""
@@ -118,7 +118,7 @@
     """Milliseconds of CPU of a restart."""
     kept, members = KeptLog(entries, seed), []
     spent = once(lambda: members.append(kept.restarted()))
-    assert members[0].keeper.applied >= entries
+    assert members[0].node.last_applied >= entries
     members[0].close()
     return spent * MILLISECONDS
 
--- a/gaproute/config/words/fleet.py
+++ b/gaproute/config/words/fleet.py
@@ -7,8 +7,8 @@
 from gaproute.config.lines import Directive, Span, Yes
 from gaproute.config.words.kinds import Address, Name, Started
 from gaproute.decisions.cells.bounds import MAX_NAME
-from gaproute.shared.leases.commands import LONGEST, SHORTEST
-from gaproute.shared.raft.messages import KEEPERS
+from gaproute.shared.leases.commands import MAX_DURATION, MIN_DURATION
+from gaproute.shared.raft.messages import MAX_MEMBERS
 
 FROM = "from"  # what sources of host lists are named after, in place of a folder
 MAX_SOURCES = 16  # of host lists
@@ -122,14 +122,14 @@
         BeforeValidator(_split),
     ]
     votes: str | None = None  # what this keeper must not forget; others need none
-    longest: Span = Field(LONGEST, ge=SHORTEST, le=LONGEST)  # of a permit
+    longest: Span = Field(MAX_DURATION, ge=MIN_DURATION, le=MAX_DURATION)  # of a permit
 
     @model_validator(mode="after")
     def fits(self):
         if len(set(self.names)) < len(self.names):
             raise ValueError("a keeper is named twice")
-        if len(self.names) > KEEPERS:
-            raise ValueError(f"{KEEPERS} keepers at most, 3 or 5 are usual")
+        if len(self.names) > MAX_MEMBERS:
+            raise ValueError(f"{MAX_MEMBERS} keepers at most, 3 or 5 are usual")
         return self
 
 
--- a/gaproute/shared/leases/__init__.py
+++ b/gaproute/shared/leases/__init__.py
@@ -1,19 +1,12 @@
-"""Permits: what keepers agree on, and the holder's side, sans-I/O.
+"""Leases: what a Raft group agrees on, and the side that holds them, without I/O.
 
-Permits(quiet=True, longest=LONGEST)      the machine of a keeper; `quiet`: a founded log grants
-                                          nothing for the longest span (all disks may have been
-                                          lost); the same at all keepers
-Holder(name, keepers, chance, now)        the side that wants permits
-    .due, .tick(now), .hear(now, sender, message) -> [(to, message)]; as a keeper's
-    .take(now, resource, span, amount=1)  -> Wish; `span` ns; kept up by renewals until given back
-    .give(now, wish)                      from here on `wish.may` is false
-    .leave(now)                           gives all back
-    .size(now, resource, amount)          the pool's size (names without one: 1)
-    wish.may(now)                         whether the permit holds by the holder's own clock
-    wish.fence, .state ("asked", "held", "refused", "given", "over"), .why, .end
+`LeaseTable` is the state machine that every member of the group applies its log to. `LeaseClient` acquires
+leases for a gateway, renews them until they are released, and knows by its own clock which are valid. What is
+done under a lease carries its fencing token.
 """
 
-from gaproute.shared.leases.holder import Holder, Wish
-from gaproute.shared.leases.machine import Permits
+from gaproute.shared.leases.client import LeaseClient
+from gaproute.shared.leases.requests import LeaseRequest, LeaseRequestError, LeaseState
+from gaproute.shared.leases.table import LeaseTable
 
-__all__ = ["Holder", "Permits", "Wish"]
+__all__ = ["LeaseClient", "LeaseRequest", "LeaseRequestError", "LeaseState", "LeaseTable"]
--- /dev/null
+++ b/gaproute/shared/raft/node.py
@@ -0,0 +1,288 @@
+"""A node of a Raft group, sans-I/O: what comes in goes to the module that decides on it.
+
+Nothing is sent before it is durable.
+"""
+
+from collections import Counter
+from collections.abc import Callable, Iterable
+from typing import Any
+
+from gaproute.shared.raft import bootstrap, election, follower, leader, requests
+from gaproute.shared.raft.disk import Disk
+from gaproute.shared.raft.invariants import MAX_BREACHES, NodeCheck
+from gaproute.shared.raft.leader import LeaderState
+from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.membership import is_majority
+from gaproute.shared.raft.messages import (
+    MAX_MEMBERS,
+    AppendEntries,
+    AppendEntriesResponse,
+    BootstrapProbe,
+    EntryKind,
+    InstallSnapshot,
+    Member,
+    Outbox,
+    RaftMessage,
+    Request,
+    RequestVote,
+    RequestVoteResponse,
+)
+from gaproute.shared.raft.role import Role
+from gaproute.shared.raft.sessions import Sessions
+from gaproute.shared.raft.state_machine import StateMachine
+from gaproute.shared.raft.store import Store
+from gaproute.shared.raft.timing import ELECTION_TIMEOUT, STORAGE_RETRY_INTERVAL
+from gaproute.shared.randomness import RandomSource
+
+COMPACT_AFTER = 1024  # entries applied that the log holds before a snapshot takes their place
+COMPACT_ANYWAY = 4  # times that many: then also while a follower that answers lacks some of them
+MAX_TERM_JUMP = 1 << 30  # a term so far above the own is nonsense: an election a second for 30 years
+
+_HANDLERS: dict[type, Callable[["RaftNode", int, str, Any, Outbox], None]] = {
+    RequestVote: election.on_request_vote,
+    RequestVoteResponse: election.on_vote_response,
+    AppendEntries: follower.on_append_entries,
+    InstallSnapshot: follower.on_install_snapshot,
+    AppendEntriesResponse: leader.on_append_response,
+    BootstrapProbe: bootstrap.on_probe,
+}
+
+
+class RaftNode:
+    """A node called `name` of the group of `configured_members`.
+
+    `now`: ns of its own monotonic clock, here and in all calls. `machine`: what the entries act on, a new one
+    for every node. `fencing_base`: where a node that begins a log lets fencing tokens begin, Unix time in
+    ms, so that they grow even when all disks were lost.
+
+    After a failure of the disk the node is silent, as it may not promise what it cannot keep:
+    `storage_failure` says why. It writes all anew every few seconds until that succeeds. `rejections`:
+    messages that were rejected, by a fixed few reasons; `breaches`: what the invariants found, the first few.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        configured_members: Iterable[str],
+        disk: Disk,
+        chance: RandomSource,
+        now: int,
+        machine: StateMachine,
+        *,
+        fencing_base: int = 0,
+    ) -> None:
+        self.name, self.chance, self.fencing_base = name, chance, fencing_base
+        self.machine = machine
+        self.sessions = Sessions(machine)
+        self.store = Store(name, disk, chance, self.sessions.unpack)
+        self.storage_failure = self.store.failure
+        self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
+        self.role, self.leader, self.leader_heard_at = Role.FOLLOWER, "", now - 2 * ELECTION_TIMEOUT
+        self.granted_votes: dict[str, int] = {}  # in this election, incarnation by name
+        self.blank_peers: dict[str, int] = {}  # that may take part in a bootstrap, incarnation by name
+        # A crash left what the store has, and nothing else.
+        self.commit_index = self.last_applied = self.log.snapshot_index
+        self.leader_state: LeaderState | None = None  # while it leads
+        self.rejections: Counter[str] = Counter()
+        self.breaches: list[str] = []
+        self.check = NodeCheck()
+        self.configured_members: tuple[str, ...] = ()
+        self.set_configured_members(now, configured_members)
+        self.reset_election_timer(now)
+
+    @property
+    def term(self) -> int:
+        """The current term."""
+        return self.store.term
+
+    @property
+    def incarnation(self) -> int:
+        """The number of its disk; 0 while that was never read."""
+        return self.store.incarnation
+
+    @property
+    def log(self) -> Log:
+        """Its log."""
+        return self.store.log
+
+    @property
+    def members(self) -> tuple[Member, ...]:
+        """The members by its log."""
+        return self.log.members
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether it leads its term."""
+        return self.role is Role.LEADER
+
+    @property
+    def is_member(self) -> bool:
+        """Whether it is among the members, under the incarnation that its disk has."""
+        return Member(self.name, self.incarnation) in self.members
+
+    @property
+    def may_campaign(self) -> bool:
+        """Whether it asks for votes: a member by the last committed membership or by any behind it.
+
+        One whose leaving is not committed may know more than all that stay (dissertation 4.2.2); its own vote
+        counts by the last membership only, as any.
+        """
+        itself = Member(self.name, self.incarnation)
+        return itself in self.log.members_at(self.commit_index) or any(
+            itself in members for index, members in self.log.membership_history if index > self.commit_index
+        )
+
+    def set_configured_members(self, now: int, names: Iterable[str]) -> None:
+        """The names that the configuration has now; members follow one at a time.
+
+        Raises ValueError where there are none or too many.
+        """
+        distinct = sorted(set(names))
+        if not 1 <= len(distinct) <= MAX_MEMBERS:
+            raise ValueError(f"1 to {MAX_MEMBERS} members are configured, not {len(distinct)}")
+        self.configured_members = tuple(distinct)
+
+    def peer_names(self) -> list[str]:
+        """The names of all that this one speaks with, sorted."""
+        return sorted({*self.configured_members, *(member.name for member in self.members)} - {self.name})
+
+    def reset_election_timer(self, now: int) -> None:
+        """No election begins for an election timeout."""
+        self.election_due = now + ELECTION_TIMEOUT + self.chance.below(ELECTION_TIMEOUT)
+
+    def record_breaches(self, breaches: list[str]) -> None:
+        """Keeps the first few."""
+        self.breaches += breaches[: MAX_BREACHES - len(self.breaches)]
+
+    def reject(self, reason: str) -> None:
+        """Counts a message that changed nothing."""
+        self.rejections[reason] += 1
+
+    def enter_term(self, now: int, term: int) -> None:
+        """Enters a term above its own: no leader is known, no vote given yet."""
+        self.store.save_vote(term)
+        self.step_down(now)
+        self.leader = ""  # a follower's as well
+
+    def step_down(self, now: int) -> None:
+        """Is a follower from here on."""
+        if self.role is not Role.FOLLOWER:
+            self._follow_nobody()
+            self.reset_election_timer(now)
+
+    def _follow_nobody(self) -> None:
+        self.role, self.leader_state, self.leader = Role.FOLLOWER, None, ""
+
+    def become_leader(self, now: int) -> None:
+        """Leads its term from here on."""
+        self.role, self.leader = Role.LEADER, self.name
+        self.leader_state = LeaderState(now, self.log.last_index + 1, self.machine.start_timers(now))
+
+    def propose(self, kind: EntryKind, session: int = 0, nonce: int = 0, body: bytes = b"") -> int:
+        """The leader's next entry; its index, or 0 where too many are uncommitted."""
+        return leader.propose(self, kind, session, nonce, body)
+
+    @property
+    def due(self) -> int:
+        """When `tick` is to be called next."""
+        if self.storage_failure:
+            return self.storage_retry_at
+        return self.election_due if self.leader_state is None else self.leader_state.due
+
+    def tick(self, now: int) -> Outbox:
+        """Does what is due; the messages to be sent."""
+        if self.storage_failure:
+            self._retry_storage(now)
+            return []
+        outbox: Outbox = []
+        if self.leader_state is not None:
+            leader.tick(self, self.leader_state, now, outbox)
+        elif now >= self.election_due:
+            self.reset_election_timer(now)
+            if self.may_campaign:
+                election.start_pre_vote(self, outbox)
+            else:
+                bootstrap.tick(self, outbox)
+        return self._flush(now, outbox)
+
+    def hear(self, now: int, sender: str, message: RaftMessage) -> Outbox:
+        """Takes a message; those to be sent."""
+        if self.storage_failure:
+            return []
+        outbox: Outbox = []
+        if isinstance(message, Request):
+            requests.on_request(self, sender, message, outbox)
+        elif sender not in self.peer_names():
+            self.reject("stranger")
+        elif type(message) not in _HANDLERS:
+            self.reject("not a message of the group")
+        elif getattr(message, "term", 0) > self.term + MAX_TERM_JUMP:
+            self.reject("term from far future")
+        else:
+            _HANDLERS[type(message)](self, now, sender, message, outbox)
+        return self._flush(now, outbox)
+
+    def _retry_storage(self, now: int) -> None:
+        """Nothing was sent since the disk failed, so what memory holds may go there as a whole."""
+        if now < self.storage_retry_at:
+            return
+        self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
+        if not self.store.is_open:
+            self.store.open()
+            self.commit_index = self.last_applied = self.log.snapshot_index
+        elif self.store.rewrite():
+            self.reset_election_timer(now)
+        self.storage_failure = self.store.failure
+
+    def _flush(self, now: int, outbox: Outbox) -> Outbox:
+        """Syncs, then draws what rests on it: a won election, commits, replies.
+
+        Returns nothing to be sent where the disk failed.
+        """
+        while self.store.sync():
+            campaigning = self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE)
+            if campaigning and is_majority(self.members, self.granted_votes):
+                election.on_majority(self, now, outbox)  # writes: has to be synced in its turn
+                continue
+            if self.leader_state is not None:
+                leader.advance_commit_index(self, self.leader_state)
+            self._apply_committed(now, outbox)
+            self._compact_log(now)
+            if self.store.failure:
+                break
+            if self.leader_state is not None:
+                leader.replicate(self, self.leader_state, now, outbox)
+            self.record_breaches(self.check.run(self))
+            return outbox
+        self.storage_failure, self.storage_retry_at = self.store.failure, now + STORAGE_RETRY_INTERVAL
+        self._follow_nobody()
+        return []
+
+    def _apply_committed(self, now: int, outbox: Outbox) -> None:
+        """What is committed and durable here comes into force."""
+        while self.last_applied < self.commit_index:
+            self.last_applied += 1
+            entry = self.log.entry_at(self.last_applied)
+            outcome = self.sessions.apply(self.last_applied, entry)
+            change = self.machine.pop_change()
+            if self.leader_state is None:
+                continue
+            if change is not None:
+                self.leader_state.timers.update(now, *change)
+            requests.reply_to(self.leader_state, self.last_applied, outcome, outbox)
+            if entry.kind == EntryKind.MEMBERSHIP and not self.is_member:
+                self.step_down(now)
+
+    def _compact_log(self, now: int) -> None:
+        """Puts a snapshot in place of what is applied once that is much.
+
+        Not while a follower that answers would have to fetch the snapshot, unless it is very much.
+        """
+        applied = self.last_applied - self.log.snapshot_index
+        if applied < COMPACT_AFTER:
+            return
+        waits = self.leader_state is not None and not self.leader_state.all_answering_have(
+            now, self.last_applied
+        )
+        if not waits or applied >= COMPACT_ANYWAY * COMPACT_AFTER:
+            self.store.compact(self.last_applied, self.sessions.pack())
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -7,10 +7,10 @@
 a holder is cut off.
 """
 
-from gaproute.shared.leases import Holder, Permits
-from gaproute.shared.leases.commands import BOUND
-from gaproute.shared.raft import Keeper, log
-from gaproute.shared.raft import keeper as module
+from gaproute.shared.leases import LeaseClient, LeaseTable
+from gaproute.shared.leases.commands import CLOCK_ERROR
+from gaproute.shared.raft import RaftNode, log
+from gaproute.shared.raft import node as module
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
 from gaproute.simulation.keepchecks import Held, Remembered, Told, agreed, came_right
@@ -26,7 +26,7 @@
 EVERY = 20 * MILLI  # between requests
 KEEP = 12  # entries held before a snapshot, for the run to see many (the program: 1,024)
 TOGETHER = 3  # entries in one message, so that logs are caught up with in parts (the program: 64)
-RATE = BOUND * 1_000  # millionths: clocks go wrong up to what is promised
+RATE = CLOCK_ERROR * 1_000  # millionths: clocks go wrong up to what is promised
 NAMES = ("r1", "r2", "r3", "p1", "p2")
 POOLS = {"p1": (3, 4), "p2": (4, 6)}  # name: sizes that are told
 NARROW = 64  # in a third of the runs elections meet: timers differ by a 64th of what they should
@@ -72,17 +72,18 @@
     def keeper(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
         base = 1 + self.world.now // MILLI
-        return Keeper(name, self.named, disk, chance, now, Permits(True, self.span), base)
+        table = LeaseTable(initial_wait=True, max_duration=self.span)
+        return RaftNode(name, self.named, disk, chance, now, table, fencing_base=base)
 
     def holder(self, name, disk, chance, now):
         self.told[name] = tuple(self.named)
-        return Holder(name, self.named, chance, now)
+        return LeaseClient(name, self.named, chance, now)
 
     def leader(self, world):
         leading = [
             seat
             for name in self.keepers
-            if (seat := world.seats[name]).actor is not None and seat.actor.leading
+            if (seat := world.seats[name]).actor is not None and seat.actor.is_leader
         ]
         return max(leading, key=lambda seat: seat.actor.term, default=None)
 
@@ -93,8 +94,8 @@
         span = self.span // (chance.of((1, 1, 2, 4)) if self.kind == "common" else 1)
 
         def ask(actor, now):
-            if len(actor.wishes) < 4:
-                actor.take(now, resource, span, amount)
+            if len(actor.requests) < 4:
+                actor.acquire(now, resource, span, amount)
 
         world.ask(chance.of(self.holders), ask)
 
@@ -102,15 +103,15 @@
         place = chance.below(4)
 
         def ask(actor, now):
-            if place < len(actor.wishes):
-                actor.give(now, actor.wishes[place])
+            if place < len(actor.requests):
+                actor.release(now, actor.requests[place])
 
         world.ask(chance.of(self.holders), ask)
 
     def size(self, world, chance):
         resource = chance.of(list(POOLS))
         amount = chance.of(POOLS[resource])
-        world.ask(chance.of(self.holders), lambda actor, now: actor.size(now, resource, amount))
+        world.ask(chance.of(self.holders), lambda actor, now: actor.resize_pool(now, resource, amount))
 
     def change(self, world, chance):
         """One name of the configuration by another, once all have the one before; each hears it when it
@@ -121,7 +122,7 @@
         elif (
             world.seats[self.named[0]].actor is not None
             and any(
-                seat.actor is not None and seat.name in self.keepers and seat.actor.commit > 1
+                seat.actor is not None and seat.name in self.keepers and seat.actor.commit_index > 1
                 for seat in world.places
             )
             and chance.below(6) == 0
@@ -131,7 +132,7 @@
             self.spare = left
 
     def tell(self, world, name):
-        if world.ask(name, lambda actor, now: actor.named(now, self.named)):
+        if world.ask(name, lambda actor, now: actor.set_configured_members(now, self.named)):
             self.told[name] = tuple(self.named)
 
 
@@ -178,12 +179,12 @@
 
 def play(plan, keepers=3, kind="common", **told):
     """(World, Breach or None)."""
-    made, before = Play(plan, keepers, kind, **told), (module.KEEP, log.MOST_ENTRIES)
-    module.KEEP, log.MOST_ENTRIES = KEEP, TOGETHER
+    made, before = Play(plan, keepers, kind, **told), (module.COMPACT_AFTER, log.MAX_ENTRIES)
+    module.COMPACT_AFTER, log.MAX_ENTRIES = KEEP, TOGETHER
     try:
         made.world.run()
     except Breach as breach:
         return made.world, breach
     finally:
-        module.KEEP, log.MOST_ENTRIES = before
+        module.COMPACT_AFTER, log.MAX_ENTRIES = before
     return made.world, None
--- a/gaproute/storage/raft_log_file.py
+++ b/gaproute/storage/raft_log_file.py
@@ -23,7 +23,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.storage import files
 from gaproute.storage.log_records import (
     CorruptRecordError,
@@ -67,11 +67,11 @@
             raise
         return self
 
-    def read(self) -> list[bytes] | Lost:
+    def read(self) -> list[bytes]:
         """Return the records in the order they were appended, after cutting off a torn tail.
 
-        Lost(why) where a record that had been synced is not what was written. To be called before all else,
-        and again after it failed. Errors: OSError.
+        To be called before all else, and again after it failed. Errors: OSError; UnusableDiskError where a
+        record that had been synced is not what was written.
 
         Everything is written again before it is returned: what is read may be in the page cache only, marked
         clean by a sync that failed in an earlier process.
@@ -84,7 +84,7 @@
             try:
                 decoded = decode_records(data)
             except CorruptRecordError as error:
-                return Lost(str(error))
+                raise UnusableDiskError(str(error)) from error
             self._write_everything(decoded.payloads)
         self._report_torn_tail(decoded, len(data))
         return decoded.payloads
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -9,7 +9,7 @@
 from gaproute.faultinjection.disk import FaultyDisk
 from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.shared.raft.store import Store
 from gaproute.simulation import Chance, Disk
 from gaproute.storage import RaftLogFile, files
@@ -95,7 +95,8 @@
             decode_records(flipped(written, at))
     path.write_bytes(flipped(written, 40))
     one = log_file()
-    assert isinstance(one.read(), Lost)
+    with pytest.raises(UnusableDiskError):
+        one.read()
     with pytest.raises(OSError, match="not read yet"):
         one.append(b"x")
     one.quarantine("a bad record")
@@ -249,7 +250,8 @@
     written = path.read_bytes()
     path.write_bytes(flipped(written, written.index(b"one")))
     one = log_file()
-    assert isinstance(one.read(), Lost)
+    with pytest.raises(UnusableDiskError):
+        one.read()
     disk = faulty(tmp_path, ("fsync", 1, IO_ERROR))
     with disk.installed(module, files), pytest.raises(OSError, match="Input/output"):
         one.quarantine("a bad record")
@@ -276,17 +278,17 @@
 def test_a_nodes_state_is_read_from_its_own_file_and_not_from_anothers(log_file):
     one = log_file()
     store = Store("k1", one, Chance(1), lambda state: None)
-    store.vote(3, "k2", 5)
+    store.save_vote(3, "k2", 5)
     assert store.sync()
     one.close()
     two = log_file()
     back = Store("k1", two, Chance(2), lambda state: None)
-    assert (back.term, back.voted, back.life) == (3, ("k2", 5), store.life)
+    assert (back.term, back.voted_for, back.incarnation) == (3, ("k2", 5), store.incarnation)
     two.close()
     other = Store("k9", log_file(), Chance(3), lambda state: None)
     assert other.term == 0
-    assert other.life not in (0, store.life)
-    assert "another gateway" in other.lost
+    assert other.incarnation not in (0, store.incarnation)
+    assert "another gateway" in other.discard_reason
 
 
 def test_the_simulated_disk_has_the_same_methods():
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -9,8 +9,8 @@
 from gaproute.decisions.cells.table import Version
 from gaproute.decisions.chance import Chance
 from gaproute.peers.tables import encoding
-from gaproute.shared.leases import Permits
-from gaproute.shared.raft import Keeper
+from gaproute.shared.leases import LeaseTable
+from gaproute.shared.raft import RaftNode
 from gaproute.storage import ObservationStore, RaftLogFile
 from gaproute.storage.cell_table_file import CellTableFile
 
@@ -34,14 +34,15 @@
     """A node of the group on that file, and what its file told operators."""
     texts = []
     disk = RaftLogFile(path, texts.append, lambda: 17).open()
-    made = Keeper("k1", ["k1"], disk, Chance(3), 0, Permits(quiet=False, longest=60 * SECOND))
+    table = LeaseTable(initial_wait=False, max_duration=60 * SECOND)
+    made = RaftNode("k1", ["k1"], disk, Chance(3), 0, table)
     return made, disk, texts
 
 
 def elected(made):
     """After its election all that was agreed on is applied again."""
     now = 0
-    while not made.leading or made.commit < made.log.last:
+    while not made.is_leader or made.commit_index < made.log.last_index:
         now = made.due
         made.tick(now)
         assert now < 10 * SECOND
@@ -50,8 +51,8 @@
 
 def leases(made):
     return sorted(
-        (each.fence - FENCE, each.resource, each.holder, each.amount, each.span)
-        for each in made.machine.permits.values()
+        (each.fencing_token - FENCE, each.resource, each.holder, each.amount, each.duration)
+        for each in made.machine.leases.values()
     )
 
 
@@ -74,20 +75,24 @@
     path = copied(name)
     for opening in range(2):  # as it was written, and as this version wrote it anew
         made, disk, texts = node(path)
-        assert not made.store.lost
-        assert not made.mute
-        assert made.life == OWN_NUMBER
-        assert (made.term, made.store.voted) == (
+        assert not made.store.discard_reason
+        assert not made.storage_failure
+        assert made.incarnation == OWN_NUMBER
+        assert (made.term, made.store.voted_for) == (
             4 + opening,
-            ("k2", 12345) if not opening else ("k1", made.life),
+            ("k2", 12345) if not opening else ("k1", made.incarnation),
+        )
+        assert (made.log.snapshot_index, made.log.last_index, disk.torn_tails) == (
+            base,
+            8 + opening,
+            0 if opening else torn,
         )
-        assert (made.log.base, made.log.last, disk.torn_tails) == (base, 8 + opening, 0 if opening else torn)
         assert len(texts) == disk.torn_tails
         assert all("torn tail" in text for text in texts)
         elected(made)
         assert leases(made) == HELD
         assert made.machine.pools == {"room:host-9": (6, 0)}
-        assert made.machine.fence == FENCE + 3
+        assert made.machine.last_token == FENCE + 3
         assert made.sessions.table[3][:2] == ("gateway-1", 5)
         disk.close()
 
@@ -96,8 +101,8 @@
     path = copied("votes-middle-bad.bin")
     before = path.read_bytes()
     made, disk, texts = node(path)
-    assert "not what was written" in made.store.lost
-    assert made.life not in (0, OWN_NUMBER)
+    assert "not what was written" in made.store.discard_reason
+    assert made.incarnation not in (0, OWN_NUMBER)
     assert not made.term
     assert len(texts) == 1
     assert "quarantined as" in texts[0]
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -11,7 +11,7 @@
 from storage_mutants import STORAGE_MUTANTS
 from storage_scenario import BrokenGuaranteeError, play, play_all_kills
 
-from gaproute.appliance.strong import Strong
+from gaproute.appliance.leases import LeaseService
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import FaultyDisk
 from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
@@ -80,8 +80,8 @@
 
     def start(self):
         record = SimpleNamespace(event=lambda level, what, **told: self.events.append((what, told)))
-        self.strong = Strong(self.loop, "a", self.line, record, Chance(1))
-        return self.strong.seat.keeper
+        self.leases = LeaseService(self.loop, "a", self.line, record, Chance(1))
+        return self.leases.seat.node
 
     def run(self, span):
         end = self.loop.now() + span
@@ -90,7 +90,7 @@
             self.loop.turn()
 
     def close(self):
-        self.strong.close()
+        self.leases.close()
         self.loop.close()
 
 
@@ -99,11 +99,11 @@
     part = LeasesOfOneGateway(tmp_path, *[("open", number, fault) for number in range(1, 4)])
     with part.disk.installed(files, raft_log_module):
         node = part.start()
-        assert node.mute
+        assert node.storage_failure
         assert node.due > 0
         part.run(12 * SECOND)
-        assert node.mute == ""
-        assert node.leading
+        assert node.storage_failure == ""
+        assert node.is_leader
         assert len(part.disk.plan.log) == 3
         assert [what for what, _ in part.events].count("raft log") == 1  # said once
         part.close()
@@ -124,18 +124,18 @@
     with part.disk.installed(files, raft_log_module):
         node = part.start()
         part.run(5 * SECOND)
-        assert node.leading
+        assert node.is_leader
         number = part.disk.counts["write"]
         part.disk.plan = FaultPlan(Script.of(*[("write", each, DISK_FULL) for each in range(1, 4)]))
-        wish = part.strong.seat.holder.take(part.loop.now(), "host-7", SECOND)
-        part.strong._act()
+        request = part.leases.seat.holder.acquire(part.loop.now(), "host-7", SECOND)
+        part.leases._act()
         part.run(SECOND)
-        assert node.mute
-        assert not node.leading
-        assert wish.state == "asked"
+        assert node.storage_failure
+        assert not node.is_leader
+        assert request.state == "asked"
         part.run(20 * SECOND)
-        assert node.leading
-        assert wish.state == "held"
+        assert node.is_leader
+        assert request.state == "held"
         assert part.disk.counts["write"] > number + 3
         part.close()
     assert part.disk.open_descriptors == 0
--- a/tests/support/raft_node_scenario.py
+++ b/tests/support/raft_node_scenario.py
@@ -11,9 +11,16 @@
 )
 
 from gaproute.decisions.chance import Chance
-from gaproute.shared.leases import Permits
-from gaproute.shared.raft import Keeper
-from gaproute.shared.raft.messages import Ack, Append, Ask, Entry, Install, Vote
+from gaproute.shared.leases import LeaseTable
+from gaproute.shared.raft import RaftNode
+from gaproute.shared.raft.messages import (
+    AppendEntries,
+    AppendEntriesResponse,
+    Entry,
+    InstallSnapshot,
+    RequestVote,
+    RequestVoteResponse,
+)
 from gaproute.storage.raft_log_file import RaftLogFile
 
 SECOND = 1_000_000_000
@@ -39,14 +46,14 @@
         self.restarts += 1
         disk = RaftLogFile(f"{self.folder}/votes", lambda text: None, lambda: 17)
         chance = Chance(1 + self.restarts)
-        self.node = Keeper("a", ("a", "b", "c"), disk, chance, self.now, Permits(quiet=False), 0)
+        self.node = RaftNode("a", ("a", "b", "c"), disk, chance, self.now, LeaseTable(initial_wait=False))
         self.disk_file = disk
 
     def step(self):
         self.now += SECOND
-        if self.node.mute:
+        if self.node.storage_failure:
             self.node.tick(max(self.now, self.node.due))
-            self.now = max(self.now, self.node.again)
+            self.now = max(self.now, self.node.storage_retry_at)
             return
         if self.chance.randrange(3) == 0:
             self.candidate()
@@ -58,11 +65,11 @@
         self.term += self.chance.randrange(2)
         self.now += 10 * SECOND  # no leader was heard for long
         sender = self.chance.choice("bc")
-        ask = Ask(self.term, 5, 1 << 40, self.term - 1, False)
+        ask = RequestVote(self.term, 5, 1 << 40, self.term - 1, False)
         for _, vote in self.node.hear(self.now, sender, ask):
-            if isinstance(vote, Vote):
+            if isinstance(vote, RequestVoteResponse):
                 self.seen = max(self.seen, vote.term)
-                if vote.given:
+                if vote.vote_granted:
                     before = self.answered.setdefault(vote.term, (sender, 5))
                     if before != (sender, 5):
                         raise BrokenGuaranteeError(
@@ -79,25 +86,25 @@
             entries.append(Entry(self.term, 0, body=body))
         at = min(len(self.log), len(entries))
         last = entries[at - 1].term if at else 0
-        message = Append(self.term, 5, at, last, 0, tuple(entries[at : at + 8]))
+        message = AppendEntries(self.term, 5, at, last, 0, tuple(entries[at : at + 8]))
         if self.chance.randrange(12) == 0 and entries:
             self.committed, state = list(entries), self.node.sessions.pack()
-            message = Install(self.term, 5, len(entries), entries[-1].term, (), state)
+            message = InstallSnapshot(self.term, 5, len(entries), entries[-1].term, (), state)
         for _, ack in self.node.hear(self.now, "b", message):
-            if isinstance(ack, Ack):
+            if isinstance(ack, AppendEntriesResponse):
                 self.seen = max(self.seen, ack.term)
-                if ack.ok:
-                    self.log = entries[: max(ack.index, len(self.log))]
+                if ack.success:
+                    self.log = entries[: max(ack.match_index, len(self.log))]
 
     def check(self):
         self.disk.kill = None
         with self.disk.plan.pause(), self.disk.installed(*MODULES):
             self.begin()
             store = self.node.store
-            if store.lost:
-                raise BrokenGuaranteeError(SOUND_FILE_REFUSED, store.lost)
-            if store.broken:
-                raise BrokenGuaranteeError(NOT_RECOVERED, store.broken)
+            if store.discard_reason:
+                raise BrokenGuaranteeError(SOUND_FILE_REFUSED, store.discard_reason)
+            if store.failure:
+                raise BrokenGuaranteeError(NOT_RECOVERED, store.failure)
             self.check_store(store)
             self.disk_file.close()
 
@@ -105,8 +112,12 @@
         if store.term < self.seen:
             raise BrokenGuaranteeError(VOTE_FORGOTTEN, f"term {store.term} after {self.seen} was told")
         promised = self.answered.get(store.term)
-        if promised is not None and store.voted != promised:
-            raise BrokenGuaranteeError(VOTE_FORGOTTEN, f"{store.voted} in term {store.term} after {promised}")
+        if promised is not None and store.voted_for != promised:
+            raise BrokenGuaranteeError(
+                VOTE_FORGOTTEN, f"{store.voted_for} in term {store.term} after {promised}"
+            )
         for index, entry in enumerate(self.log, 1):
-            if index > store.log.last or (index >= store.log.base and store.log.term(index) != entry.term):
+            if index > store.log.last_index or (
+                index >= store.log.snapshot_index and store.log.term_at(index) != entry.term
+            ):
                 raise BrokenGuaranteeError(ENTRY_LOST, f"entry {index} of {len(self.log)}")
--- a/tests/support/storage_file_scenarios.py
+++ b/tests/support/storage_file_scenarios.py
@@ -11,7 +11,7 @@
     StorageScenario,
 )
 
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 from gaproute.storage.raft_log_file import RaftLogFile
 
@@ -34,9 +34,10 @@
 
     def opened(self):
         """The records. Errors: BrokenGuaranteeError where they are not what may stand."""
-        read = self.retried(self.log_file.read)
-        if isinstance(read, Lost):
-            raise BrokenGuaranteeError(SOUND_FILE_REFUSED, read.why)
+        try:
+            read = self.retried(self.log_file.read)
+        except UnusableDiskError as fault:
+            raise BrokenGuaranteeError(SOUND_FILE_REFUSED, fault.why) from fault
         if read not in self.possible:
             raise BrokenGuaranteeError(
                 RECORD_LOST if len(read) < len(self.acknowledged) else RECORD_INVENTED,
--- a/tests/support/storage_mutants.py
+++ b/tests/support/storage_mutants.py
@@ -21,7 +21,7 @@
     VOTE_FORGOTTEN,
 )
 
-from gaproute.shared.raft import Lost
+from gaproute.shared.raft import UnusableDiskError
 from gaproute.shared.raft.store import Store
 from gaproute.storage import files
 from gaproute.storage import raft_log_file as raft_log_module
@@ -70,7 +70,7 @@
         try:
             records, valid_length, last_number = decode_records(data)
         except CorruptRecordError as error:
-            return Lost(str(error))
+            raise UnusableDiskError(str(error)) from error
         if cut_torn_tail and valid_length < len(data):
             raft_log_module.os.ftruncate(self.descriptor, valid_length)
         raft_log_module.os.fsync(self.descriptor)
@@ -144,7 +144,7 @@
 
 
 def an_answer_leaves_before_the_sync(patch):
-    patch(Store, "sync", lambda self: not self.broken)
+    patch(Store, "sync", lambda self: not self.failure)
 
 
 def a_node_goes_on_after_a_further_sync(patch):
@@ -153,9 +153,9 @@
         try:
             self.disk.sync()
         except OSError as fault:
-            self.broken = str(fault)
+            self.failure = str(fault)
             return False
-        self.broken, self.dirty = "", False
+        self.failure, self.dirty = "", False
         return True
 
     patch(Store, "rewrite", rewrite)
