--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -24,7 +24,7 @@
 from benchmarks.rows import write
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership import decode, encode
-from gaproute.shared.membership import ALIVE, DEAD, LEFT
+from gaproute.shared.membership import MemberState
 from gaproute.shared.membership.invariants import check
 from gaproute.standins.net import LINK, Net
 
@@ -73,14 +73,18 @@
         "CPU, %": 100 * spent / CALM / size,
         "suspicions": sum(node.suspicions for node in nodes),
         "wrongly dead": sum(
-            member.state in (DEAD, LEFT) for node in nodes for member in node.members.values()
+            member.state in (MemberState.DEAD, MemberState.LEFT)
+            for node in nodes
+            for member in node.members.values()
         ),
     }
     net.down.add("g1")
     others = [node for name, node in net.nodes.items() if name != "g1"]
-    told["first knows, s"] = net.until(lambda: any(node.members["g1"].state == DEAD for node in others))
+    told["first knows, s"] = net.until(
+        lambda: any(node.members["g1"].state == MemberState.DEAD for node in others)
+    )
     told["all know, s"] = (told["first knows, s"] or 0) + net.until(
-        lambda: all(node.members["g1"].state == DEAD for node in others)
+        lambda: all(node.members["g1"].state == MemberState.DEAD for node in others)
     )
     net.start("new", 77 + seed, {"g2": "g2"})
     born = net.now
@@ -113,7 +117,11 @@
     return net.until(
         lambda: (
             net.whole()
-            and all(member.state == ALIVE for node in net.nodes.values() for member in node.members.values())
+            and all(
+                member.state == MemberState.ALIVE
+                for node in net.nodes.values()
+                for member in node.members.values()
+            )
         )
     )
 
--- a/benchmarks/scale/cell_faults.py
+++ b/benchmarks/scale/cell_faults.py
@@ -8,7 +8,7 @@
 from benchmarks.scale.base_rung import STEP
 from benchmarks.scale.watched import Watched
 from gaproute.hollow.cells import CELL_PARTS, CellFleet
-from gaproute.shared.membership import ALIVE
+from gaproute.shared.membership import MemberState
 
 FULL = 3  # cells played in full
 HOSTS = 256  # of a cell
@@ -39,7 +39,7 @@
         """Whether all in full hold the running gateways of their cell alive."""
         plan, running = self.fleet.plan, self.fleet.gateways
         return all(
-            other.name in held.members and held.members[other.name].state == ALIVE
+            other.name in held.members and held.members[other.name].state == MemberState.ALIVE
             for name, held in self.members().items()
             for other in plan.gateways(plan.cell_of(name))
             if other.name != name and other.name in running
--- a/benchmarks/scale/cell_rung.py
+++ b/benchmarks/scale/cell_rung.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.limits import MEGABYTE
 from benchmarks.scale.size import CHANGES_A_SECOND
 from gaproute.hollow.cells import CELL_PARTS, CellFleet
-from gaproute.shared.membership import DEAD
+from gaproute.shared.membership import MemberState
 
 SETTLE = 20  # simulated seconds before the counting: each has told each of its cell its demand
 KNOWN_CELL, KNOWN_PLACE = 1, 4  # the gateway that dies: of a cell played in full, none of its entries
@@ -120,7 +120,7 @@
         self.fleet.kill(name)
         cell = [gateway.parts["membership"].members for gateway in self.fleet.of_cell(KNOWN_CELL)]
         self.figures["death_known_s"] = self.until(
-            lambda: all(held.members[name].state >= DEAD for held in cell)
+            lambda: all(held.members[name].state >= MemberState.DEAD for held in cell)
         )
 
     def newcomer(self):
--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, UDP_HEADERS, held_bytes
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership import decode, encode
-from gaproute.shared.membership import ALIVE, DEAD, Members, News, Word
+from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
 
 SECOND = 1_000_000_000
 MEMBERS = (16, 64, 256, 1_024, 4_096)
@@ -48,19 +48,21 @@
 
     def start(self, name, seed):
         """A member that was told the whole list."""
-        made = Members(name, self.peers[name], Chance(seed), 0, SINCE_1970)
-        made.listed(0, self.peers)
+        made = Membership(name, self.peers[name], Chance(seed), 0, SINCE_1970)
+        made.configure(0, self.peers)
         return made
 
     def word_of(self, name, kind, number):
         """A message of another, with as much news as this gateway's own."""
-        word = self.mirror.teller.message(self.mirror.table, SINCE_1970, kind, number)
-        return encode(word._replace(sender=News(name, self.peers[name], ALIVE, SINCE_1970)))
+        word = self.mirror.builder.message(self.mirror.table, SINCE_1970, kind, number)
+        return encode(
+            word._replace(sender=MemberUpdate(name, self.peers[name], MemberState.ALIVE, SINCE_1970))
+        )
 
     def hear(self, data):
         """Takes a message; what it answers goes out."""
         begun = time.process_time()
-        self.send(self.member.hear(self.now, decode(data)), begun)
+        self.send(self.member.receive(self.now, decode(data)), begun)
 
     def send(self, words, begun):
         """Counts what goes out, and answers the probes among it."""
@@ -68,8 +70,8 @@
         self.spent += time.process_time() - begun
         for where, word, data in datagrams:
             self.out += len(data) + UDP_HEADERS
-            if word.kind == "ping":
-                self.hear(self.word_of(self.names[where], "ack", word.number))
+            if word.kind == MessageKind.PING:
+                self.hear(self.word_of(self.names[where], MessageKind.ACK, word.sequence))
 
     def second(self):
         """One second: an own probe, and one by another."""
@@ -78,7 +80,7 @@
         self.send(self.member.tick(self.now), begun)
         self.number += 1
         other = f"gate-{1 + self.chance.below(len(self.peers) - 1):04}"
-        self.hear(self.word_of(other, "ping", self.number))
+        self.hear(self.word_of(other, MessageKind.PING, self.number))
 
     def play(self):
         """Settles, then plays the span that is measured."""
@@ -106,10 +108,10 @@
     peers = members(count)
 
     def build():
-        made = Members("gate-0000", peers["gate-0000"], Chance(seed), 0, SINCE_1970)
+        made = Membership("gate-0000", peers["gate-0000"], Chance(seed), 0, SINCE_1970)
         for name, where in peers.items():
-            news = News(f"{name}", f"{where} "[:-1], ALIVE, SINCE_1970)
-            made.hear(0, decode(encode(Word("ack", 0, news))))
+            news = MemberUpdate(f"{name}", f"{where} "[:-1], MemberState.ALIVE, SINCE_1970)
+            made.receive(0, decode(encode(MembershipMessage(MessageKind.ACK, 0, news))))
         return made
 
     return held_bytes(build)
@@ -117,19 +119,22 @@
 
 def table_bytes(count, seed):
     """Bytes that go to and fro until a newcomer has the whole table."""
-    giver, newcomer = OneOfMany(count, seed).member, News("newcomer", address(9_000), ALIVE, SINCE_1970)
+    giver, newcomer = (
+        OneOfMany(count, seed).member,
+        MemberUpdate("newcomer", address(9_000), MemberState.ALIVE, SINCE_1970),
+    )
     place, moved, now = 0, 0, 0
     while True:
-        pull = encode(Word("pull", place, newcomer))
+        pull = encode(MembershipMessage(MessageKind.PULL, place, newcomer))
         moved += len(pull) + UDP_HEADERS
-        answers = giver.hear(now, decode(pull))
+        answers = giver.receive(now, decode(pull))
         if not answers:  # so many chunks a period: asked again in the next
             now += SECOND
             giver.tick(now)
             continue
         ((_, part),) = answers
         moved += len(encode(part)) + UDP_HEADERS
-        place = part.number
+        place = part.sequence
         if place == 0:
             return moved
 
@@ -139,7 +144,7 @@
     net = Bytes(size, seed)
     for node in net.nodes.values():
         for other in net.nodes.values():
-            node.claim(0, News(other.name, other.where, ALIVE, other.incarnation))
+            node.apply(0, MemberUpdate(other.name, other.address, MemberState.ALIVE, other.incarnation))
     net.run(SETTLED * SECOND)
     return net
 
@@ -149,7 +154,7 @@
     net = steady_fleet(size, seed)
     net.down.add("g1")
     others = [node for name, node in net.nodes.items() if name != "g1"]
-    return in_time(net.until(lambda: all(node.members["g1"].state == DEAD for node in others)))
+    return in_time(net.until(lambda: all(node.members["g1"].state == MemberState.DEAD for node in others)))
 
 
 def newcomer_seconds(size, seed):
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -16,9 +16,9 @@
 from gaproute.hollow.simulation.network import SimulatedDatagrams
 from gaproute.interface import State
 from gaproute.peers.membership import decode, encode
-from gaproute.shared.membership import ALIVE, News, Word
+from gaproute.shared.membership import MembershipMessage, MemberState, MemberUpdate, MessageKind
 from gaproute.shared.membership.invariants import check
-from gaproute.shared.membership.table import MEMBERS
+from gaproute.shared.membership.table import MAX_MEMBERS
 
 FILE = LADDERS / "ladder-faults.json"
 SECOND = 1_000_000_000
@@ -161,22 +161,24 @@
     fleet, figures = Fleet(1, seed, {"membership": PARTS["membership"]}), {}
     fleet.run(SETTLE)
     held = fleet.gateways["gateway-0"].parts["membership"].members
-    heard, senders = [], MEMBERS + size
+    heard, senders = [], MAX_MEMBERS + size
     for number in range(1, senders + 1):
         row = GatewayRow(f"gateway-{number}", fleet.address(number))
         loop = GatewayLoop(fleet.loop)
         line = SimulatedDatagrams(fleet.network, row.name, loop, row.where, heard.append)
-        ping = Word("ping", number, News(row.name, row.where, ALIVE, 1))
+        ping = MembershipMessage(
+            MessageKind.PING, number, MemberUpdate(row.name, row.where, MemberState.ALIVE, 1)
+        )
         fleet.loop.at(fleet.loop.time + number * PING_EVERY, line.send, encode(ping), fleet.rows[0].where)
     fleet.run(senders * PING_EVERY / SECOND + 1)
-    figures["senders"], figures["bound"] = senders, MEMBERS
-    figures["answered"] = sum(decode(data).kind == "ack" for data in heard)
-    figures["members_held"], figures["refused"] = len(held.members), held.refused
+    figures["senders"], figures["bound"] = senders, MAX_MEMBERS
+    figures["answered"] = sum(decode(data).kind == MessageKind.ACK for data in heard)
+    figures["members_held"], figures["refused"] = len(held.members), held.rejected
     row = GatewayRow(f"gateway-{senders + 1}", fleet.address(senders + 1))
     late = fleet.start(row, fleet.rows).parts["membership"].members
     fleet.run(30)
     figures["newcomer_is_held"] = row.name in held.members
-    figures["newcomer_counts_up"] = late.up()
+    figures["newcomer_counts_up"] = late.live_count()
     figures["breaches"] = [*check(held, True), *check(late, True)]
     fleet.close()
     return figures
--- a/benchmarks/scale/plain_rung.py
+++ b/benchmarks/scale/plain_rung.py
@@ -13,7 +13,7 @@
 from gaproute.hollow import PARTS
 from gaproute.hollow.simulation import Fleet
 from gaproute.interface import State
-from gaproute.shared.membership import ALIVE, DEAD
+from gaproute.shared.membership import MemberState
 
 SETTLE = 16  # simulated seconds before the counting, and
 ROUND = 1 / 20  # so much more for each gateway: until each has told each its demand
@@ -104,8 +104,12 @@
         self.fleet.kill(name)
         others = [table.members for table in self.tables(name)]
         began = self.fleet.loop.time
-        first = self.until(lambda: any(table[name].state >= DEAD for table in others if name in table))
-        last = self.until(lambda: all(table[name].state >= DEAD for table in others if name in table))
+        first = self.until(
+            lambda: any(table[name].state >= MemberState.DEAD for table in others if name in table)
+        )
+        last = self.until(
+            lambda: all(table[name].state >= MemberState.DEAD for table in others if name in table)
+        )
         self.figures["death_first_s"] = first
         self.figures["death_known_s"] = None if None in (first, last) else self.since(began)
 
@@ -123,5 +127,5 @@
         self.figures["newcomer_known_s"] = known
         self.figures["newcomer_known_share"] = len(knowing) / len(others)
         self.figures["newcomer_alive_share"] = sum(
-            table.members[comer.name].state == ALIVE for table in knowing
+            table.members[comer.name].state == MemberState.ALIVE for table in knowing
         ) / len(others)
--- a/benchmarks/scale/watched.py
+++ b/benchmarks/scale/watched.py
@@ -2,7 +2,7 @@
 
 from gaproute.hollow import PARTS
 from gaproute.hollow.simulation import Fleet
-from gaproute.shared.membership import ALIVE, DEAD
+from gaproute.shared.membership import MemberState
 from gaproute.shared.membership.invariants import check
 
 SECOND = 1_000_000_000
@@ -96,14 +96,16 @@
     def all_dead(self, names):
         """Whether all that run hold all of these dead."""
         return all(
-            members.members[name].state >= DEAD for members in self.members().values() for name in names
+            members.members[name].state >= MemberState.DEAD
+            for members in self.members().values()
+            for name in names
         )
 
     def whole(self):
         """Whether all that run hold one another alive."""
         tables = self.members()
         return all(
-            name == other or other in held.members and held.members[other].state == ALIVE
+            name == other or other in held.members and held.members[other].state == MemberState.ALIVE
             for name, held in tables.items()
             for other in tables
         )
@@ -112,7 +114,7 @@
         """Pairs of running gateways of which one holds the other dead."""
         tables = self.members()
         return sum(
-            other in held.members and held.members[other].state >= DEAD
+            other in held.members and held.members[other].state >= MemberState.DEAD
             for held in tables.values()
             for other in tables
         )
--- a/benchmarks/weak_bytes.py
+++ b/benchmarks/weak_bytes.py
@@ -23,7 +23,7 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
-from gaproute.peers.membership import MOST, Gossip
+from gaproute.peers.membership import MOST, MembershipTransport
 from gaproute.shared.gossip import Page, Weak, Word
 from gaproute.shared.gossip.facts import DEMAND, HANDS, WARM
 from gaproute.shared.gossip.facts import MOST as ENTRIES
@@ -106,7 +106,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind(("127.0.0.1", 0))
         where = f"127.0.0.1:{free.getsockname()[1]}"
-    gossip = Gossip(loop, "me", where, Chance(1), Record())
+    gossip = MembershipTransport(loop, "me", where, Chance(1), Record())
     weak = Weak("me", 1, Chance(1), 0)
     weak.peers(0, ["gate-117"])
     gossip.carry("weak", lambda sender, data: weak.hear(0, sender, lambda: decode(data)))
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -10,7 +10,7 @@
 from gaproute.discovery.listing import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop.streams import address
-from gaproute.peers import Giver, Gossip, Learner
+from gaproute.peers import Giver, Learner, MembershipTransport
 from gaproute.peers.giver import LIMITS
 from gaproute.peers.gossip import Carrier
 from gaproute.peers.raft.carrier import TARGET
@@ -50,7 +50,7 @@
             limits = forwarded_limits(limits, self.charter.clients)
         self.giver = Giver(self.loop, address(where), self.gateway, self.roll, self.tracks, limits)
         try:
-            self.gossip = Gossip(
+            self.gossip = MembershipTransport(
                 self.loop, self.charter.name, self.giver.address, Chance(self.seed + 2), self.record
             )
             if line is not None:
@@ -124,7 +124,7 @@
     def listed(self, peers):
         others = [peer for peer in peers if peer.name != self.charter.name]
         if self.gossip is not None:
-            self.gossip.listed(others)
+            self.gossip.configure(others)
         if self.strong is not None:
             self.strong.listed({peer.name: peer.where for peer in others})
         if self.cells is not None:
--- a/gaproute/hollow/cells/fixed.py
+++ b/gaproute/hollow/cells/fixed.py
@@ -7,10 +7,11 @@
 from gaproute.hollow.parts import DATAGRAM_HEADERS, Part
 from gaproute.peers import word_pb2
 from gaproute.peers.membership import CARRIED, VERSION
+from gaproute.shared.membership import MemberState, MemberUpdate
 
 
 class FixedGossip:
-    """Has the face of `gaproute.peers.Gossip` towards the parts that it carries."""
+    """Has the face of `gaproute.peers.MembershipTransport` towards the parts that it carries."""
 
     def __init__(self, surroundings):
         self.name, self.carried = surroundings.name, {}
@@ -59,7 +60,10 @@
 
     def listed(self, gateways):
         """These are the members."""
-        self.members.members = {gateway.name: gateway for gateway in gateways}
+        self.members.members = {
+            gateway.name: MemberUpdate(gateway.name, gateway.where, MemberState.ALIVE, 0)
+            for gateway in gateways
+        }
         self.members.table.alive = self.members.members
 
     def close(self):
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -1,7 +1,7 @@
 """Membership as a part: the product's gossip on the datagrams that the surroundings open."""
 
 from gaproute.hollow.parts import DATAGRAM_HEADERS, Part
-from gaproute.peers import Gossip
+from gaproute.peers import MembershipTransport
 
 
 class Membership(Part):
@@ -9,7 +9,7 @@
 
     def __init__(self, surroundings, parts):
         self.carried = self.carried_bytes = 0
-        self.gossip = Gossip(
+        self.gossip = MembershipTransport(
             surroundings.loop,
             surroundings.name,
             surroundings.address,
@@ -35,7 +35,7 @@
 
     def listed(self, gateways):
         """Configured members are never forgotten."""
-        self.gossip.listed(gateways)
+        self.gossip.configure(gateways)
 
     def counters(self):
         """`entries`: members held; `refused`: claims of strangers beyond the bound, and senseless ones."""
@@ -45,9 +45,9 @@
             "messages": messages,
             "bytes": gossip.bytes - self.carried_bytes + messages * DATAGRAM_HEADERS,
             "entries": len(members.members),
-            "news": len(members.table.fresh),
-            "refused": members.refused,
-            "flood": gossip.flood,
+            "news": len(members.table.pending_updates),
+            "refused": members.rejected,
+            "flood": gossip.rate_limited,
             "suspicions": members.suspicions,
         }
 
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -116,7 +116,7 @@
             for part, counters in gateway.counters().items():
                 for counter, value in counters.items():
                     totals[f"{part}.{counter}"] = totals.get(f"{part}.{counter}", 0) + value
-        ups = [gateway.parts["membership"].members.up() for gateway in self.gateways.values()]
+        ups = [gateway.parts["membership"].members.live_count() for gateway in self.gateways.values()]
         return {
             "gateways": len(self.gateways),
             "totals": totals,
--- a/gaproute/peers/__init__.py
+++ b/gaproute/peers/__init__.py
@@ -2,6 +2,6 @@
 
 from gaproute.peers.giver import Giver
 from gaproute.peers.learner import Learner
-from gaproute.peers.membership import Gossip
+from gaproute.peers.membership import MembershipTransport
 
-__all__ = ["Giver", "Gossip", "Learner"]
+__all__ = ["Giver", "MembershipTransport", "Learner"]
--- a/gaproute/peers/gossip/carrier.py
+++ b/gaproute/peers/gossip/carrier.py
@@ -50,7 +50,7 @@
         for name, word in self.weak.tick(now):
             member = members.members.get(name)
             if member is not None:
-                self.gossip.post(member.where, "weak", encode(word))
+                self.gossip.post(member.address, "weak", encode(word))
 
     def _look(self, now):
         for name, worker in self.gateway.workers.items():
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -7,25 +7,25 @@
 
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import word_pb2
-from gaproute.shared.membership import STATES, Members, News, Word
+from gaproute.shared.membership import Membership, MembershipMessage, MemberUpdate, MessageKind
 
 SECOND = 1_000_000_000
 VERSION = 1
-KINDS = ("", "ping", "ack", "ask", "pull", "part")  # a version that lacks one passes it over
+MESSAGE_KINDS = frozenset(MessageKind)  # a version that lacks one passes its messages over
 CARRIED = {"weak": 6, "table": 7}  # other parts' words by the same datagrams: the number of their kind
 MOST = 2000  # datagrams read in a second: 20 times what comes at 1,000 gateways. In a flood it
 #                          harms, as words of others are passed over with it
 
 
 def encode(word):
-    made = word_pb2.Word(version=VERSION, kind=KINDS.index(word.kind), number=word.number, target=word.target)
-    for message, news in [(made.sender, word.sender), *((made.news.add(), news) for news in word.news)]:
+    made = word_pb2.Word(version=VERSION, kind=word.kind, number=word.sequence, target=word.target)
+    for message, news in [(made.sender, word.sender), *((made.news.add(), news) for news in word.updates)]:
         message.name, message.where, message.state, message.incarnation = news
     return made.SerializeToString()
 
 
 def decode(data):
-    """The Word, or None where it is none that is understood."""
+    """The MembershipMessage, or None where it is none that is understood."""
     told = _read(data)
     return _word(told) if told is not None else None
 
@@ -39,32 +39,35 @@
 
 
 def _word(told):
-    if not 0 < told.kind < len(KINDS):
+    if told.kind not in MESSAGE_KINDS:
         return None
-    news = [News(each.name, each.where, each.state, each.incarnation) for each in (told.sender, *told.news)]
-    return Word(KINDS[told.kind], told.number, news[0], told.target, tuple(news[1:]))
+    news = [
+        MemberUpdate(each.name, each.where, each.state, each.incarnation)
+        for each in (told.sender, *told.news)
+    ]
+    return MembershipMessage(MessageKind(told.kind), told.number, news[0], told.target, tuple(news[1:]))
 
 
 def at(where):
     return where + ".words" if where.startswith("unix:") else where
 
 
-class Gossip:
+class MembershipTransport:
     """`datagrams(loop, where, heard)` makes the socket, `wall` tells ns since 1970: a simulation hands in its
     own."""
 
     def __init__(self, loop, name, where, chance, record, datagrams=Datagrams, wall=time.time_ns):
         self.loop, self.record = loop, record
-        self.members = Members(name, where, chance, loop.now(), wall() // 1_000_000)
+        self.members = Membership(name, where, chance, loop.now(), wall() // 1_000_000)
         self.datagrams = datagrams(loop, at(where), self._heard)
-        self.sent = self.bytes = self.strange = self.flood = 0
+        self.sent = self.bytes = self.undecodable = self.rate_limited = 0
         self.read, self.second = 0, 0  # datagrams read in this second
         self.carried = {}  # number of a kind: who takes it
         self.timer = None
         self._again()
 
-    def listed(self, peers):
-        self.members.listed(self.loop.now(), {peer.name: peer.where for peer in peers})
+    def configure(self, peers):
+        self.members.configure(self.loop.now(), {peer.name: peer.where for peer in peers})
         self._note()
 
     def _again(self):
@@ -86,7 +89,7 @@
             self.read, self.second = 0, now
         self.read += 1
         if self.read > MOST:
-            self.flood += 1
+            self.rate_limited += 1
             return
         told = _read(data)
         if told is not None and told.kind in self.carried:
@@ -94,9 +97,9 @@
             return
         word = _word(told) if told is not None else None
         if word is None:
-            self.strange += 1
+            self.undecodable += 1
             return
-        self._send(self.members.hear(now, word))
+        self._send(self.members.receive(now, word))
         self._note()
         self._again()
 
@@ -129,7 +132,7 @@
             member = self.members.members.get(name)
             if member is not None:
                 self.record.event(
-                    "info", "gateway", name=name, state=STATES[member.state], incarnation=member.incarnation
+                    "info", "gateway", name=name, state=member.state.label, incarnation=member.incarnation
                 )
         self.members.table.changed.clear()
 
@@ -138,12 +141,14 @@
         return [
             {
                 "name": member.name,
-                "where": member.where,
-                "state": STATES[member.state],
+                "where": member.address,
+                "state": member.state.label,
                 "incarnation": member.incarnation,
-                "since_ms": (now - member.since) // 1_000_000,
-                "heard_ms": None if member.heard is None else (self.loop.now() - member.heard) // 1_000_000,
-                "configured": member.fixed,
+                "since_ms": (now - member.state_since) // 1_000_000,
+                "heard_ms": None
+                if member.last_heard is None
+                else (self.loop.now() - member.last_heard) // 1_000_000,
+                "configured": member.configured,
             }
             for _, member in sorted(self.members.members.items())
         ]
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -155,7 +155,7 @@
         self.list_at = self.loop.now() + LIST_INTERVAL
         members = self.gossip.members
         up = [name for name in members.members if name in members.table.alive]
-        near = tuple(Peer(name, members.members[name].where) for name in sorted(up))
+        near = tuple(Peer(name, members.members[name].address) for name in sorted(up))
         listed_from = near, self.configured, self.holder.table
         if listed_from != self.listed_from:
             self.listed_from = listed_from
--- a/gaproute/shared/membership/__init__.py
+++ b/gaproute/shared/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Which gateways are up, after SWIM: `Members` is told of messages and of time, and says what to send."""
+"""Which gateways are up, after SWIM: `Membership` takes messages and the time, and returns what to send."""
 
-from gaproute.shared.membership.members import Members
-from gaproute.shared.membership.news import ALIVE, DEAD, LEFT, STATES, SUSPECT, News, Word
+from gaproute.shared.membership.membership import Membership
+from gaproute.shared.membership.messages import MembershipMessage, MemberState, MemberUpdate, MessageKind
 
-__all__ = ["ALIVE", "DEAD", "LEFT", "STATES", "SUSPECT", "Members", "News", "Word"]
+__all__ = ["MemberState", "MemberUpdate", "Membership", "MembershipMessage", "MessageKind"]
--- a/gaproute/shared/membership/telling.py
+++ b/gaproute/shared/membership/dissemination.py
@@ -1,16 +1,22 @@
 """Which news one message carries: the least told first, then a few entries in turn."""
 
-from gaproute.shared.membership.news import ALIVE, News, Word, size
+from gaproute.shared.membership.messages import (
+    MembershipMessage,
+    MemberState,
+    MemberUpdate,
+    MessageKind,
+    encoded_size,
+)
 
 TOLD = 3  # times that each piece of news is sent for every power of two of the members
-BYTES = 1200  # of one message: fits an unfragmented datagram everywhere
+MAX_MESSAGE_BYTES = 1200  # of one message: fits an unfragmented datagram everywhere
 HEAD = 32  # of them beside the sender's names, the target and the entries, at most
 FILL = 320  # bytes up to which a message with less news is filled with entries in turn: what was
 #                          lost or held back is mended unasked; more of it costs bytes only
 ASKED = 400  # bytes of an `ask`: three go out at once where a path is lossy
 
 
-class Queue:
+class UpdateQueue:
     """Names by how often their news was told; after so many times they leave it."""
 
     def __init__(self):
@@ -45,46 +51,56 @@
             self.rows[place + 1][name] = None
 
 
-class Teller:
+class MessageBuilder:
     def __init__(self, name, where):
-        self.name, self.where, self.turn = name, where, 0
+        self.name, self.address, self.turn = name, where, 0
 
     def message(self, table, incarnation, kind, number, target="", first=None):
         """A message with as much news as it holds: `first`, what its receiver must refute, then what is new,
         then entries in turn."""
-        me = News(self.name, self.where, ALIVE, incarnation)
-        left = (ASKED if kind == "ask" else BYTES) - HEAD - size(me) - len(target.encode())
-        chosen = {} if first is None else {first.name: first.news}
-        left -= sum(size(news) for news in chosen.values())
-        for name in table.fresh:
+        me = MemberUpdate(self.name, self.address, MemberState.ALIVE, incarnation)
+        left = (
+            (ASKED if kind == MessageKind.PING_REQUEST else MAX_MESSAGE_BYTES)
+            - HEAD
+            - encoded_size(me)
+            - len(target.encode())
+        )
+        chosen = {} if first is None else {first.name: first.update}
+        left -= sum(encoded_size(news) for news in chosen.values())
+        for name in table.pending_updates:
             member = table.members[name]
-            left -= size(member)
+            left -= encoded_size(member)
             if left < 0:
                 break
-            chosen[name] = member.news
+            chosen[name] = member.update
         most = table.scale(TOLD)
         for name in chosen:
-            table.fresh.told(name, most)
-        left -= BYTES - FILL
-        names = table.every.names
+            table.pending_updates.told(name, most)
+        left -= MAX_MESSAGE_BYTES - FILL
+        names = table.all_names.names
         for _ in range(min(len(names), FILL // 20)):
             member = table.members[names[self.turn % len(names)]]
-            left -= size(member)
+            left -= encoded_size(member)
             if left < 0:
                 break
-            chosen.setdefault(member.name, member.news)
+            chosen.setdefault(member.name, member.update)
             self.turn = (self.turn + 1) % len(names)
-        return Word(kind, number, me, target, tuple(chosen.values()))
+        return MembershipMessage(kind, number, me, target, tuple(chosen.values()))
 
     def part(self, table, incarnation, place):
         """A chunk of all that is held, from that place on."""
-        me = News(self.name, self.where, ALIVE, incarnation)
-        left, news, names, place = BYTES - HEAD - size(me), [], table.every.names, max(0, place)
+        me = MemberUpdate(self.name, self.address, MemberState.ALIVE, incarnation)
+        left, news, names, place = (
+            MAX_MESSAGE_BYTES - HEAD - encoded_size(me),
+            [],
+            table.all_names.names,
+            max(0, place),
+        )
         while place < len(names):
             member = table.members[names[place]]
-            left -= size(member)
+            left -= encoded_size(member)
             if left < 0:
                 break
-            news.append(member.news)
+            news.append(member.update)
             place += 1
-        return Word("part", place if place < len(names) else 0, me, "", tuple(news))
+        return MembershipMessage(MessageKind.CHUNK, place if place < len(names) else 0, me, "", tuple(news))
--- a/gaproute/shared/membership/pool.py
+++ b/gaproute/shared/membership/name_set.py
@@ -1,7 +1,7 @@
 """Names without order: one added, dropped or taken by chance in constant time, however many there are."""
 
 
-class Pool:
+class NameSet:
     def __init__(self):
         self.names, self.place = [], {}
 
--- a/gaproute/shared/membership/pulling.py
+++ b/gaproute/shared/membership/state_transfer.py
@@ -11,12 +11,12 @@
 NEVER = -(1 << 62)
 
 
-class Pulling:
+class StateTransfer:
     def __init__(self):
         self.of, self.place = None, 0  # the member asked, and the place asked for
         self.asked, self.tries = 0, 0
         self.begun, self.ended, self.called = NEVER, NEVER, True
-        self.given, self.whole = 0, 0  # chunks given in this period; pulls that came to their end
+        self.given, self.completed = 0, 0  # chunks given in this period; pulls that came to their end
 
     @property
     def due(self):
@@ -34,7 +34,7 @@
             return False
         if place == 0:
             self.of, self.called, self.ended = None, False, now
-            self.whole += 1
+            self.completed += 1
             return False
         self.place, self.asked, self.tries = place, now, 0
         return True
--- a/gaproute/shared/membership/table.py
+++ b/gaproute/shared/membership/table.py
@@ -7,85 +7,86 @@
 
 from math import ceil, log2
 
-from gaproute.shared.membership.news import ALIVE, DEAD, SUSPECT, Member, News, sound
-from gaproute.shared.membership.pool import Pool
-from gaproute.shared.membership.telling import Queue
+from gaproute.shared.membership.dissemination import UpdateQueue
+from gaproute.shared.membership.messages import Member, MemberState, MemberUpdate, is_valid
+from gaproute.shared.membership.name_set import NameSet
 
-MEMBERS = 4096  # strangers are refused beyond it: 8 MB with the longest names; lists know no cap
+MAX_MEMBERS = 4096  # strangers are refused beyond it: 8 MB with the longest names; lists know no cap
 
 
-class Table:
+class MemberTable:
     def __init__(self):
         self.members = {}  # name: Member, this gateway not among them
-        self.every, self.alive, self.dead = Pool(), Pool(), Pool()  # dead: or left
+        self.all_names, self.alive, self.dead = NameSet(), NameSet(), NameSet()  # dead: or left
         self.suspects = {}  # name: since when on the clock of `claim`, the longest first
-        self.buried = {}  # name: since when dead or left, the longest first
-        self.fresh = Queue()  # names whose state is news
+        self.departed = {}  # name: since when dead or left, the longest first
+        self.pending_updates = UpdateQueue()  # names whose state is news
         self.changed = {}  # names whose state is other than at the last look of the reader
         self.joined = {}  # names new among the living, for the rounds of probes
-        self.refused = 0  # messages or claims that cannot be
+        self.rejected = 0  # messages or claims that cannot be
 
     def scale(self, times):
         return times * max(1, ceil(log2(len(self.members) + 1)))
 
-    def listed(self, now, own, peers):
+    def configure(self, now, own, peers):
         """`peers`: {name: address} as configured now; the only ones that are never forgotten."""
         for name, where in peers.items():
             if name == own:
                 continue
             if name not in self.members:
-                self._add(now, News(name, where, ALIVE, 0), True)
-            self.members[name].where, self.members[name].fixed = where, True
+                self._add(now, MemberUpdate(name, where, MemberState.ALIVE, 0), True)
+            self.members[name].address, self.members[name].configured = where, True
         for name, member in self.members.items():
-            if member.fixed and name not in peers:
-                member.fixed = False
-                if member.state >= DEAD:
-                    self.buried[name] = now
+            if member.configured and name not in peers:
+                member.configured = False
+                if member.state >= MemberState.DEAD:
+                    self.departed[name] = now
 
-    def claim(self, now, news):
+    def apply(self, now, news):
         """Takes a claim where it beats what is held."""
-        if not sound(news):
-            self.refused += 1
+        if not is_valid(news):
+            self.rejected += 1
             return
         member = self.members.get(news.name)
         if member is None:
-            if len(self.members) >= MEMBERS:
-                self.refused += 1
-            elif news.state < DEAD:
+            if len(self.members) >= MAX_MEMBERS:
+                self.rejected += 1
+            elif news.state < MemberState.DEAD:
                 self._add(now, news, False)
-                self.fresh.put(news.name)
+                self.pending_updates.put(news.name)
             return
-        where = member.where if member.fixed else news.where
-        if (news.incarnation, news.state, where) <= (member.incarnation, member.state, member.where):
+        where = member.address if member.configured else news.address
+        if (news.incarnation, news.state, where) <= (member.incarnation, member.state, member.address):
             return
         before, first = member.state, not member.incarnation
-        member.state, member.incarnation, member.where = news.state, news.incarnation, where
+        member.state, member.incarnation = MemberState(news.state), news.incarnation
+        member.address = where
         if news.state != before or not first:  # a configured one's first word of itself tells nothing
-            self.fresh.put(news.name)
+            self.pending_updates.put(news.name)
         if news.state != before:
-            member.since = now
+            member.state_since = now
             self._file(now, member)
 
     def _add(self, now, news, fixed):
         member = self.members[news.name] = Member(news, now, fixed)
-        self.every.add(news.name)
+        self.all_names.add(news.name)
         self._file(now, member)
 
     def _file(self, now, member):
         name, state = member.name, member.state
         self.suspects.pop(name, None)
-        self.buried.pop(name, None)
-        (self.alive.add if state == ALIVE else self.alive.drop)(name)
-        (self.dead.add if state >= DEAD else self.dead.drop)(name)
-        if state == SUSPECT:
+        self.departed.pop(name, None)
+        (self.alive.add if state == MemberState.ALIVE else self.alive.drop)(name)
+        (self.dead.add if state >= MemberState.DEAD else self.dead.drop)(name)
+        if state == MemberState.SUSPECT:
             self.suspects[name] = now
-        elif state >= DEAD:
-            self.buried[name] = now
+        elif state >= MemberState.DEAD:
+            self.departed[name] = now
         else:
             self.joined[name] = None
         self.changed[name] = None
 
-    def overdue(self, now, span):
+    def expired_suspects(self, now, span):
         """The members that were suspects for so long."""
         found = []
         for name, since in self.suspects.items():
@@ -96,18 +97,18 @@
 
     def forget(self, now, span):
         """Drops those dead for longer than that which nobody configured."""
-        for name, since in list(self.buried.items())[:8]:
+        for name, since in list(self.departed.items())[:8]:
             if now - since <= span:
                 break
-            del self.buried[name]
-            if not self.members[name].fixed:
+            del self.departed[name]
+            if not self.members[name].configured:
                 self._drop(name)
 
     def _drop(self, name):
         del self.members[name]
-        for pool in (self.every, self.alive, self.dead, self.fresh):
+        for pool in (self.all_names, self.alive, self.dead, self.pending_updates):
             pool.drop(name)
         self.changed[name] = None
 
-    def up(self):
+    def live_count(self):
         return len(self.alive) + len(self.suspects)
--- a/gaproute/standins/net.py
+++ b/gaproute/standins/net.py
@@ -5,7 +5,7 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership import encode
-from gaproute.shared.membership import Members
+from gaproute.shared.membership import Membership
 
 MILLI = 1_000_000
 LINK = 5 * MILLI  # that a message takes
@@ -27,8 +27,8 @@
             )
 
     def start(self, name, seed, peers):
-        node = self.nodes[name] = Members(name, name, Chance(seed), self.now)
-        node.listed(self.now, peers)
+        node = self.nodes[name] = Membership(name, name, Chance(seed), self.now)
+        node.configure(self.now, peers)
         self.down.discard(name)
         self.push(node.due, "tick", name, node)
 
@@ -52,7 +52,7 @@
             if name in self.stopped:
                 self.push(self.now + 10 * MILLI, what, name, told)
             elif what == "hear":
-                self.send(name, node.hear(self.now, told))
+                self.send(name, node.receive(self.now, told))
             else:
                 self.send(name, node.tick(self.now))
                 self.push(max(node.due, self.now + MILLI), "tick", name, node)
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -5,11 +5,11 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.loop.datagrams import Datagrams
-from gaproute.peers.membership import Gossip
+from gaproute.peers.membership import MembershipTransport
 from gaproute.shared.gossip import Page, Weak, Word
 from gaproute.shared.gossip.facts import HANDS, LIFE, key
 from gaproute.shared.leases import Holder, Permits
-from gaproute.shared.membership import ALIVE, DEAD, Members
+from gaproute.shared.membership import Membership, MemberState
 from gaproute.shared.raft import Keeper
 from gaproute.standins.net import Net
 from gaproute.storage.tables import StoredTable, TableFile
@@ -28,8 +28,8 @@
 
     def start(self, name, seed, peers):
         incarnation = BEGUN_MS + self.now // 1_000_000 + self.ahead
-        node = self.nodes[name] = Members(name, name, Chance(seed), self.now, incarnation)
-        node.listed(self.now, peers)
+        node = self.nodes[name] = Membership(name, name, Chance(seed), self.now, incarnation)
+        node.configure(self.now, peers)
         self.down.discard(name)
         self.push(node.due, "tick", name, node)
 
@@ -45,18 +45,18 @@
     before = net.nodes["g2"].incarnation
     net.down.add("g2")
     net.run(away)
-    assert net.views("g2") == {ALIVE if away < SECOND else DEAD}
+    assert net.views("g2") == {MemberState.ALIVE if away < SECOND else MemberState.DEAD}
     net.ahead = step
     net.start("g2", 9, {f"g{number}": f"g{number}" for number in range(4)})
     net.run(3 * SECOND)
     now = net.nodes["g2"].incarnation
-    assert now > before and net.views("g2") == {ALIVE}
+    assert now > before and net.views("g2") == {MemberState.ALIVE}
     net.run(10 * SECOND)
     held = {net.nodes[name].members["g2"].incarnation for name in ("g0", "g1", "g3")}
-    assert held == {net.nodes["g2"].incarnation} and net.views("g2") == {ALIVE}
+    assert held == {net.nodes["g2"].incarnation} and net.views("g2") == {MemberState.ALIVE}
 
 
-# Gossip of demand and copies
+# MembershipTransport of demand and copies
 
 
 def hands(incarnation, counter, tasks):
@@ -81,7 +81,7 @@
     def wall():
         return (BEGUN_MS + ahead[0]) * 1_000_000 + made.loop.now()
 
-    monkeypatch.setattr(Gossip.__init__, "__defaults__", (Datagrams, wall))
+    monkeypatch.setattr(MembershipTransport.__init__, "__defaults__", (Datagrams, wall))
     second = start("second", "weak-word yes")
     at = second.others.giver.address
     third = start("third", f"peer second {at}\nweak-word yes")
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -32,7 +32,7 @@
         kept.sendto(noise.SerializeToString(), (host, int(port)))
     kept.sendto(b"\xff" * 1400, (host, int(port)))
     kept.close()
-    made.until(lambda: weak.refused["nonsense"] == 3 and second.others.gossip.strange == 1)
+    made.until(lambda: weak.refused["nonsense"] == 3 and second.others.gossip.undecodable == 1)
 
 
 def test_the_word_without_a_way_is_a_mistake():
--- a/tests/hollow/test_cells.py
+++ b/tests/hollow/test_cells.py
@@ -8,7 +8,7 @@
 from gaproute.hollow.cells.plan import GATEWAYS, HOSTS
 from gaproute.peers.tables.pulls import TARGET
 from gaproute.shared.dissemination import invariants as table_invariants
-from gaproute.shared.membership import DEAD
+from gaproute.shared.membership import MemberState
 
 SMALL, LARGE, SEED = 99, 297, 1
 FULL = 3  # cells of the large fleet whose gateways have all parts
@@ -129,7 +129,10 @@
     name = fleet.rows[4].name  # of the second cell
     fleet.kill(name)
     cell = [gateway.parts["membership"].members for gateway in fleet.of_cell(1)]
-    assert fleet.until(lambda: all(held.members[name].state >= DEAD for held in cell), 60) is not None
+    assert (
+        fleet.until(lambda: all(held.members[name].state >= MemberState.DEAD for held in cell), 60)
+        is not None
+    )
     for other in (0, 2):
         for gateway in fleet.of_cell(other):
             assert name not in gateway.parts["membership"].members.members
--- a/tests/hollow/test_hollow.py
+++ b/tests/hollow/test_hollow.py
@@ -5,7 +5,7 @@
 from benchmarks.scale import faults
 from gaproute.hollow import PARTS, Part
 from gaproute.hollow.simulation import Fleet
-from gaproute.shared.membership import ALIVE, DEAD, table
+from gaproute.shared.membership import MemberState, table
 from gaproute.shared.membership.invariants import check
 
 MEMBERSHIP = {"membership": PARTS["membership"]}
@@ -21,7 +21,7 @@
     fleet.run(3)
     fleet.kill("gateway-77")
     tables = [held.members["gateway-77"] for held in members(fleet).values()]
-    known = fleet.until(lambda: all(member.state >= DEAD for member in tables), 60)
+    known = fleet.until(lambda: all(member.state >= MemberState.DEAD for member in tables), 60)
     assert known is not None and known < 40
     assert sum(held.suspicions for held in members(fleet).values()) < 20
     assert not [breach for held in members(fleet).values() for breach in check(held, True)]
@@ -40,14 +40,14 @@
 
 
 def test_strangers_beyond_the_bound_are_refused_and_counted(monkeypatch):
-    monkeypatch.setattr(table, "MEMBERS", 30)
+    monkeypatch.setattr(table, "MAX_MEMBERS", 30)
     fleet = Fleet(60, 3, MEMBERSHIP, seeds=4)
     fleet.run(30)
     tables = members(fleet)
     assert max(len(held.members) for held in tables.values()) == 30
-    assert sum(held.refused for held in tables.values()) > 30 * 60
+    assert sum(held.rejected for held in tables.values()) > 30 * 60
     seeds = [tables[row.name] for row in fleet.rows[:4]]
-    alone = [name for name, held in tables.items() if held.up() == 1]
+    alone = [name for name, held in tables.items() if held.live_count() == 1]
     assert len(alone) == 1  # whom no seed has room for gets no answer, and holds all that it knows dead
     assert not any(name in seed.members for name in alone for seed in seeds)
     fleet.close()
@@ -60,12 +60,14 @@
     fleet.network.blocked = lambda sender, receiver: region(sender) != region(receiver)
     fleet.run(90)
     for name, held in members(fleet).items():
-        dead = {other for other, member in held.members.items() if member.state >= DEAD}
+        dead = {other for other, member in held.members.items() if member.state >= MemberState.DEAD}
         assert dead == {other for other in held.members if region(other) != region(name)}
     fleet.network.blocked = None
     healed = fleet.until(
         lambda: all(
-            member.state == ALIVE for held in members(fleet).values() for member in held.members.values()
+            member.state == MemberState.ALIVE
+            for held in members(fleet).values()
+            for member in held.members.values()
         ),
         60,
     )
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -6,24 +6,24 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership import decode, encode
-from gaproute.shared.membership import ALIVE, DEAD, LEFT, SUSPECT, Members, News, Word
+from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
+from gaproute.shared.membership.dissemination import MAX_MESSAGE_BYTES
 from gaproute.shared.membership.invariants import check
-from gaproute.shared.membership.members import ERRANDS
-from gaproute.shared.membership.news import HIGHEST, ROOM
-from gaproute.shared.membership.table import MEMBERS
-from gaproute.shared.membership.telling import BYTES
+from gaproute.shared.membership.membership import INDIRECT_PROBES
+from gaproute.shared.membership.messages import ENTRY_BYTES, MAX_INCARNATION
+from gaproute.shared.membership.table import MAX_MEMBERS
 from gaproute.standins.net import Net
 
 SECOND = 1_000_000_000
 
 
 def members(*names, now=0):
-    made = Members("me", "me", Chance(1), now)
-    made.listed(now, {name: name for name in names})
+    made = Membership("me", "me", Chance(1), now)
+    made.configure(now, {name: name for name in names})
     return made
 
 
-news = st.builds(News, st.sampled_from("ab"), st.just("w"), st.integers(0, 3), st.integers(0, 3))
+news = st.builds(MemberUpdate, st.sampled_from("ab"), st.just("w"), st.integers(0, 3), st.integers(0, 3))
 
 
 @given(st.lists(news, max_size=8).flatmap(lambda told: st.tuples(st.just(told), st.permutations(told))))
@@ -31,11 +31,11 @@
     told, other = orders
     one, two = members("a", "b"), members("a", "b")
     for claim in told:
-        one.claim(1, claim)
+        one.apply(1, claim)
     for claim in [*other, *told]:
-        two.claim(2, claim)
-    assert {name: member.news[2:] for name, member in one.members.items()} == {
-        name: member.news[2:] for name, member in two.members.items()
+        two.apply(2, claim)
+    assert {name: member.update[2:] for name, member in one.members.items()} == {
+        name: member.update[2:] for name, member in two.members.items()
     }
 
 
@@ -45,10 +45,10 @@
     net.run(3 * SECOND)
     net.down.add("g1")
     net.run((size + 3 * 6 + 12) * SECOND)
-    assert net.views("g1") == {DEAD}
-    assert all(net.views(name) == {ALIVE} for name in net.nodes if name != "g1" and size > 2)
-    assert net.nodes["g0"].up() == size - 1
-    assert max(net.sizes) <= BYTES
+    assert net.views("g1") == {MemberState.DEAD}
+    assert all(net.views(name) == {MemberState.ALIVE} for name in net.nodes if name != "g1" and size > 2)
+    assert net.nodes["g0"].live_count() == size - 1
+    assert max(net.sizes) <= MAX_MESSAGE_BYTES
 
 
 def test_lost_messages_make_suspects_that_refute_and_none_dead():
@@ -60,7 +60,7 @@
     assert sum(node.refutations for node in net.nodes.values()) > 0
     net.lost = lambda sender, to: False
     net.run(20 * SECOND)
-    assert all(net.views(name) == {ALIVE} for name in net.nodes)
+    assert all(net.views(name) == {MemberState.ALIVE} for name in net.nodes)
 
 
 def test_one_bad_path_between_two_makes_no_suspect_as_others_probe_for_them():
@@ -84,11 +84,14 @@
     half = {"g0", "g1", "g2"}
     net.lost = lambda sender, to: (sender in half) != (to in half)
     net.run(60 * SECOND)
-    assert {net.nodes["g0"].members[name].state for name in ("g3", "g4", "g5")} == {DEAD}
-    assert net.nodes["g0"].up() == net.nodes["g5"].up() == 3
+    assert {net.nodes["g0"].members[name].state for name in ("g3", "g4", "g5")} == {MemberState.DEAD}
+    assert net.nodes["g0"].live_count() == net.nodes["g5"].live_count() == 3
     net.lost = lambda sender, to: False
     net.run(40 * SECOND)
-    assert all(net.views(name) == {ALIVE} for name in net.nodes) and net.nodes["g0"].up() == 6
+    assert (
+        all(net.views(name) == {MemberState.ALIVE} for name in net.nodes)
+        and net.nodes["g0"].live_count() == 6
+    )
 
 
 def test_a_gateway_that_restarts_refutes_what_is_held_of_its_past_life():
@@ -96,10 +99,10 @@
     net.run(3 * SECOND)
     net.down.add("g2")
     net.run(40 * SECOND)
-    assert net.views("g2") == {DEAD}
+    assert net.views("g2") == {MemberState.DEAD}
     net.start("g2", 9, {f"g{number}": f"g{number}" for number in range(4)})
     net.run(15 * SECOND)
-    assert net.views("g2") == {ALIVE} and net.nodes["g2"].incarnation > 1
+    assert net.views("g2") == {MemberState.ALIVE} and net.nodes["g2"].incarnation > 1
 
 
 def test_a_gateway_that_was_stopped_judges_nobody_by_that_time():
@@ -107,11 +110,11 @@
     net.run(5 * SECOND)
     net.stopped.add("g0")
     net.run(40 * SECOND)
-    assert net.views("g0") == {DEAD}
+    assert net.views("g0") == {MemberState.DEAD}
     net.stopped.clear()
     net.run(20 * SECOND)
     assert net.nodes["g0"].suspicions == 0
-    assert all(net.views(name) == {ALIVE} for name in net.nodes)
+    assert all(net.views(name) == {MemberState.ALIVE} for name in net.nodes)
 
 
 def test_a_newcomer_that_knows_one_gateway_is_known_to_all_and_knows_all():
@@ -119,7 +122,7 @@
     net.run(5 * SECOND)
     net.start("new", 77, {"g4": "g4"})
     net.run(15 * SECOND)
-    assert net.views("new") == {ALIVE} and net.nodes["new"].up() == 11
+    assert net.views("new") == {MemberState.ALIVE} and net.nodes["new"].live_count() == 11
 
 
 def test_one_that_leaves_is_held_as_left_at_once_and_can_come_back():
@@ -128,17 +131,17 @@
     net.send("g3", net.nodes["g3"].leave())
     net.down.add("g3")
     net.run(5 * SECOND)
-    assert net.views("g3") == {LEFT} and net.nodes["g0"].up() == 3
+    assert net.views("g3") == {MemberState.LEFT} and net.nodes["g0"].live_count() == 3
     net.start("g3", 5, {"g0": "g0"})
     net.run(20 * SECOND)
-    assert net.views("g3") == {ALIVE}
+    assert net.views("g3") == {MemberState.ALIVE}
 
 
 def test_a_dead_one_that_nobody_configured_is_forgotten_and_a_configured_one_kept():
     made = members("kept")
     for name in ("kept", "stray"):
-        made.claim(0, News(name, "w", ALIVE, 1))
-        made.claim(0, News(name, "w", DEAD, 1))
+        made.apply(0, MemberUpdate(name, "w", MemberState.ALIVE, 1))
+        made.apply(0, MemberUpdate(name, "w", MemberState.DEAD, 1))
     now = 0
     while now < 700 * SECOND:
         now = max(made.due, now + 1)
@@ -148,58 +151,71 @@
 
 def test_nobody_dead_is_learnt_of_and_strangers_are_bounded():
     made = members("a")
-    made.claim(0, News("ghost", "w", DEAD, 5))
+    made.apply(0, MemberUpdate("ghost", "w", MemberState.DEAD, 5))
     assert "ghost" not in made.members
-    for number in range(2 * MEMBERS):
-        made.claim(0, News(f"n{number}", "w", ALIVE, 1))
-    assert len(made.members) == MEMBERS and made.refused == MEMBERS + 1
+    for number in range(2 * MAX_MEMBERS):
+        made.apply(0, MemberUpdate(f"n{number}", "w", MemberState.ALIVE, 1))
+    assert len(made.members) == MAX_MEMBERS and made.rejected == MAX_MEMBERS + 1
 
 
 @pytest.mark.parametrize(
     "sender",
     [
-        News("", "w", ALIVE, 1),
-        News("x" * 300, "w", ALIVE, 1),
-        News("a", "", ALIVE, 1),
-        News("a", "w", 9, 1),
-        News("a", "w", ALIVE, HIGHEST + 1),
-        News("a", "w", DEAD, 1),
-        News("me", "w", ALIVE, 1),
+        MemberUpdate("", "w", MemberState.ALIVE, 1),
+        MemberUpdate("x" * 300, "w", MemberState.ALIVE, 1),
+        MemberUpdate("a", "", MemberState.ALIVE, 1),
+        MemberUpdate("a", "w", 9, 1),
+        MemberUpdate("a", "w", MemberState.ALIVE, MAX_INCARNATION + 1),
+        MemberUpdate("a", "w", MemberState.DEAD, 1),
+        MemberUpdate("me", "w", MemberState.ALIVE, 1),
     ],
 )
 def test_a_message_whose_sender_cannot_be_is_refused(sender):
     made = members("a")
-    assert made.hear(1, Word("ping", 1, sender)) == [] and made.refused == 1
-    assert made.members["a"].heard is None
+    assert made.receive(1, MembershipMessage(MessageKind.PING, 1, sender)) == [] and made.rejected == 1
+    assert made.members["a"].last_heard is None
 
 
 def test_a_lie_about_this_gateway_is_refuted_and_an_absurd_one_refused():
     made = members("a")
-    made.claim(0, News("me", "me", DEAD, 7))
+    made.apply(0, MemberUpdate("me", "me", MemberState.DEAD, 7))
     assert made.incarnation == 8
-    made.claim(0, News("me", "me", DEAD, HIGHEST + 1))
-    assert made.incarnation == 8 and made.refused == 1
+    made.apply(0, MemberUpdate("me", "me", MemberState.DEAD, MAX_INCARNATION + 1))
+    assert made.incarnation == 8 and made.rejected == 1
 
 
 def test_probes_for_others_are_bounded():
     made = members("a", "b")
-    for number in range(2 * ERRANDS):
-        made.hear(0, Word("ask", number, News("a", "a", ALIVE, 1), "b"))
-    assert len(made.errands) == ERRANDS
+    for number in range(2 * INDIRECT_PROBES):
+        made.receive(
+            0,
+            MembershipMessage(
+                MessageKind.PING_REQUEST, number, MemberUpdate("a", "a", MemberState.ALIVE, 1), "b"
+            ),
+        )
+    assert len(made.indirect_probes) == INDIRECT_PROBES
 
 
 def test_a_message_holds_what_its_receiver_must_refute_and_no_more_than_fits():
     made = members("a")
     for number in range(200):
-        made.claim(0, News(f"gateway-with-a-long-name-{number}", "w" * 60, ALIVE, 1))
-    made.claim(0, News("a", "a", SUSPECT, 3))
-    ((_, word),) = made.hear(1, Word("ping", 4, News("a", "a", ALIVE, 1)))
-    assert word.news[0] == News("a", "a", SUSPECT, 3) and word.number == 4
-    assert 3 < len(word.news) < BYTES / ROOM and len(encode(word)) <= BYTES
+        made.apply(0, MemberUpdate(f"gateway-with-a-long-name-{number}", "w" * 60, MemberState.ALIVE, 1))
+    made.apply(0, MemberUpdate("a", "a", MemberState.SUSPECT, 3))
+    ((_, word),) = made.receive(
+        1, MembershipMessage(MessageKind.PING, 4, MemberUpdate("a", "a", MemberState.ALIVE, 1))
+    )
+    assert word.updates[0] == MemberUpdate("a", "a", MemberState.SUSPECT, 3) and word.sequence == 4
+    assert 3 < len(word.updates) < MAX_MESSAGE_BYTES / ENTRY_BYTES and len(encode(word)) <= MAX_MESSAGE_BYTES
 
 
 def test_words_come_back_as_they_were_and_nonsense_as_nothing():
-    word = Word("ask", 3, News("a", "unix:/x", ALIVE, 2), "b", (News("b", "1.2.3.4:5", SUSPECT, 9),))
+    word = MembershipMessage(
+        MessageKind.PING_REQUEST,
+        3,
+        MemberUpdate("a", "unix:/x", MemberState.ALIVE, 2),
+        "b",
+        (MemberUpdate("b", "1.2.3.4:5", MemberState.SUSPECT, 9),),
+    )
     assert decode(encode(word)) == word
     assert decode(b"\xff\xff") is None and decode(b"") is None
     future = bytearray(encode(word))
@@ -209,18 +225,20 @@
 
 @given(
     st.lists(
-        st.builds(News, st.sampled_from("ab"), st.sampled_from("vw"), st.integers(0, 3), st.integers(0, 3)),
+        st.builds(
+            MemberUpdate, st.sampled_from("ab"), st.sampled_from("vw"), st.integers(0, 3), st.integers(0, 3)
+        ),
         max_size=8,
     ).flatmap(lambda told: st.tuples(st.just(told), st.permutations(told)))
 )
 def test_claims_of_members_nobody_configured_end_in_one_address_in_any_order(orders):
     one, two = members(), members()
-    alive = [News(name, "u", ALIVE, 0) for name in "ab"]  # nobody dead is learnt of
+    alive = [MemberUpdate(name, "u", MemberState.ALIVE, 0) for name in "ab"]  # nobody dead is learnt of
     for claims, made in zip(orders, (one, two), strict=True):
         for claim in [*alive, *claims]:
-            made.claim(1, claim)
-    assert {name: member.news for name, member in one.members.items()} == {
-        name: member.news for name, member in two.members.items()
+            made.apply(1, claim)
+    assert {name: member.update for name, member in one.members.items()} == {
+        name: member.update for name, member in two.members.items()
     }
     assert check(one, True) == check(two, True) == []
 
@@ -230,8 +248,8 @@
     net.run(SECOND)
     net.start("new", 77, {"g4": "g4"})
     net.run(4 * SECOND)
-    assert len(net.nodes["new"].members) == 300 and net.nodes["new"].pulling.whole == 1
-    assert max(net.sizes) <= BYTES
+    assert len(net.nodes["new"].members) == 300 and net.nodes["new"].state_transfer.completed == 1
+    assert max(net.sizes) <= MAX_MESSAGE_BYTES
 
 
 def test_lost_chunks_are_asked_for_again():
@@ -244,31 +262,42 @@
 
 def test_only_the_next_chunk_of_who_was_asked_is_followed_by_another():
     made = members("a", "b")
-    made.pulling.begin(0, "a")
-    a, b = (News(name, name, ALIVE, 1) for name in "ab")
-    assert made.hear(1, Word("part", 5, b)) == []
-    ((where, word),) = made.hear(2, Word("part", 5, a))
-    assert (where, word.kind, word.number) == ("a", "pull", 5) and made.hear(3, Word("part", 5, a)) == []
-    assert made.hear(4, Word("part", 0, a)) == [] and made.pulling.whole == 1
+    made.state_transfer.begin(0, "a")
+    a, b = (MemberUpdate(name, name, MemberState.ALIVE, 1) for name in "ab")
+    assert made.receive(1, MembershipMessage(MessageKind.CHUNK, 5, b)) == []
+    ((where, word),) = made.receive(2, MembershipMessage(MessageKind.CHUNK, 5, a))
+    assert (where, word.kind, word.sequence) == ("a", MessageKind.PULL, 5) and made.receive(
+        3, MembershipMessage(MessageKind.CHUNK, 5, a)
+    ) == []
+    assert (
+        made.receive(4, MembershipMessage(MessageKind.CHUNK, 0, a)) == []
+        and made.state_transfer.completed == 1
+    )
 
 
 def test_chunks_are_given_at_a_bounded_rate():
     made = members("a")
-    asked = [made.hear(1, Word("pull", 0, News("a", "a", ALIVE, 1))) for _ in range(200)]
+    asked = [
+        made.receive(1, MembershipMessage(MessageKind.PULL, 0, MemberUpdate("a", "a", MemberState.ALIVE, 1)))
+        for _ in range(200)
+    ]
     assert sum(map(len, asked)) == 64
 
 
 def test_one_back_at_another_address_with_an_older_word_of_itself_is_answered_there_and_outbids():
-    made = Members("me", "me", Chance(1), 0)
-    made.claim(0, News("a", "old", ALIVE, 9))
-    back = Members("a", "new", Chance(2), 0)
-    back.listed(0, {"me": "me"})
-    ((where, word),) = made.hear(1, back.tick(SECOND)[0][1])
-    assert where == "new" and made.members["a"].where == "old"
-    back.hear(2, word)
+    made = Membership("me", "me", Chance(1), 0)
+    made.apply(0, MemberUpdate("a", "old", MemberState.ALIVE, 9))
+    back = Membership("a", "new", Chance(2), 0)
+    back.configure(0, {"me": "me"})
+    ((where, word),) = made.receive(1, back.tick(SECOND)[0][1])
+    assert where == "new" and made.members["a"].address == "old"
+    back.receive(2, word)
     assert back.incarnation == 10
-    made.hear(3, Word("ping", 5, News("a", "new", ALIVE, back.incarnation)))
-    assert made.members["a"].where == "new"
+    made.receive(
+        3,
+        MembershipMessage(MessageKind.PING, 5, MemberUpdate("a", "new", MemberState.ALIVE, back.incarnation)),
+    )
+    assert made.members["a"].address == "new"
 
 
 def test_halves_that_held_each_other_dead_hold_all_alive_soon_after_healing():
@@ -276,7 +305,7 @@
     half = {f"g{number}" for number in range(30)}
     net.lost = lambda sender, to: (sender in half) != (to in half)
     net.run(90 * SECOND)
-    assert all(node.up() == 30 for node in net.nodes.values())
+    assert all(node.live_count() == 30 for node in net.nodes.values())
     net.lost = lambda sender, to: False
     net.run(40 * SECOND)
     assert all(len(node.table.alive) == 59 and check(node, True) == [] for node in net.nodes.values())
@@ -297,9 +326,19 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(("ping", "ack", "ask", "pull", "part", "tick", "list")),
+            st.sampled_from(
+                (
+                    MessageKind.PING,
+                    MessageKind.ACK,
+                    MessageKind.PING_REQUEST,
+                    MessageKind.PULL,
+                    MessageKind.CHUNK,
+                    "tick",
+                    "list",
+                )
+            ),
             st.builds(
-                News,
+                MemberUpdate,
                 st.sampled_from(("a", "b", "c", "me", "")),
                 st.sampled_from("vw"),
                 st.integers(-1, 5),
@@ -318,14 +357,14 @@
         if kind == "tick":
             made.tick(now)
         elif kind == "list":
-            made.listed(now, {name: name for name in names})
+            made.configure(now, {name: name for name in names})
         else:
-            made.hear(now, Word(kind, number, sender, "".join(names[:1]), (sender,)))
+            made.receive(now, MembershipMessage(kind, number, sender, "".join(names[:1]), (sender,)))
         assert check(made, True) == []
 
 
 def test_a_breach_is_told():
     made = members("a")
-    made.members["a"].state = DEAD
-    made.errands = {number: ("a", 1, "a") for number in range(ERRANDS + 1)}
+    made.members["a"].state = MemberState.DEAD
+    made.indirect_probes = {number: ("a", 1, "a") for number in range(INDIRECT_PROBES + 1)}
     assert len(check(made, True)) == 2
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -32,9 +32,11 @@
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}")
     third = start("third", f"peer second {where(second)}")
-    made.until(lambda: [each.others.gossip.members.up() for each in (made.gate, second, third)] == [3, 3, 3])
+    made.until(
+        lambda: [each.others.gossip.members.live_count() for each in (made.gate, second, third)] == [3, 3, 3]
+    )
     third.others.gossip.stop()
-    made.until(lambda: made.gate.others.gossip.members.up() == 2)
+    made.until(lambda: made.gate.others.gossip.members.live_count() == 2)
     states = {row["name"]: row["state"] for row in peer_table(made.gate)}
     assert states == {"second": "alive", "third": "left"}
     assert status(made.gate)["gateways"] == 2
@@ -80,7 +82,7 @@
     fresh.write_text("peer g nowhere\n")
     fresh.replace(peers)
     made.until(lambda: any(what == "peer list refused" for what, _ in second.record.events))
-    assert second.others.gossip.members.members["g"].fixed
+    assert second.others.gossip.members.members["g"].configured
 
 
 def test_both_sides_started_at_once_learn_from_each_other_what_came_since(fleet):
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_carrier.py
@@ -16,7 +16,7 @@
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
 from gaproute.peers.giver import Giver
-from gaproute.peers.membership import CARRIED, Gossip
+from gaproute.peers.membership import CARRIED, MembershipTransport
 from gaproute.peers.tables import TableCarrier, wire
 from gaproute.peers.tables import carrier as carrier_module
 from gaproute.shared.dissemination import DocumentError, Peer
@@ -44,7 +44,7 @@
     def __init__(self, loop, name, seed, fleet=FLEET, path=None):
         self.record, self.name = Record(), name
         self.giver = Giver(loop, address("127.0.0.1:0"), None, None, ())
-        self.gossip = Gossip(loop, name, self.giver.address, Chance(seed), self.record)
+        self.gossip = MembershipTransport(loop, name, self.giver.address, Chance(seed), self.record)
         self.carrier = TableCarrier(
             loop, name, fleet, self.gossip, self.giver, Chance(seed + 100), self.record, path=path
         )
