--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,7 +23,7 @@
 
 from benchmarks.rows import write
 from gaproute.decisions.chance import Chance
-from gaproute.peers.membership import decode, encode
+from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import MemberState
 from gaproute.shared.membership.invariants import check
 from gaproute.standins.net import LINK, Net
@@ -91,7 +91,7 @@
     told["it knows, s"] = net.until(lambda: len(net.nodes["new"].table.alive) >= size * 0.99 - 1)
     known = net.until(lambda: all("new" in node.members for node in others))
     told["known, s"] = None if known is None else (net.now - born) / SECOND
-    assert not [breach for node in net.nodes.values() for breach in check(node, True)]
+    assert not [breach for node in net.nodes.values() for breach in check(node, thorough=True)]
     return told
 
 
--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -6,7 +6,7 @@
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, UDP_HEADERS, held_bytes
 from gaproute.decisions.chance import Chance
-from gaproute.peers.membership import decode, encode
+from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
 
 SECOND = 1_000_000_000
@@ -54,7 +54,7 @@
 
     def word_of(self, name, kind, number):
         """A message of another, with as much news as this gateway's own."""
-        word = self.mirror.builder.message(self.mirror.table, SINCE_1970, kind, number)
+        word = self.mirror.builder.message(kind, number)
         return encode(
             word._replace(sender=MemberUpdate(name, self.peers[name], MemberState.ALIVE, SINCE_1970))
         )
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -15,7 +15,7 @@
 from gaproute.hollow.simulation import Fleet, GatewayLoop, GatewayRow
 from gaproute.hollow.simulation.network import SimulatedDatagrams
 from gaproute.interface import State
-from gaproute.peers.membership import decode, encode
+from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import MembershipMessage, MemberState, MemberUpdate, MessageKind
 from gaproute.shared.membership.invariants import check
 from gaproute.shared.membership.table import MAX_MEMBERS
@@ -179,7 +179,7 @@
     fleet.run(30)
     figures["newcomer_is_held"] = row.name in held.members
     figures["newcomer_counts_up"] = late.live_count()
-    figures["breaches"] = [*check(held, True), *check(late, True)]
+    figures["breaches"] = [*check(held, thorough=True), *check(late, thorough=True)]
     fleet.close()
     return figures
 
--- a/benchmarks/scale/watched.py
+++ b/benchmarks/scale/watched.py
@@ -138,7 +138,7 @@
         for name in self.COUNTED:
             figures.setdefault(name.replace(".", "_"), totals[name])
         figures["breaches"] = [
-            breach for members in self.members().values() for breach in check(members, True)
+            breach for members in self.members().values() for breach in check(members, thorough=True)
         ]
         figures["simulated_s"] = round(self.now, 1)
         self.fleet.close()
--- a/benchmarks/weak_bytes.py
+++ b/benchmarks/weak_bytes.py
@@ -23,7 +23,8 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
-from gaproute.peers.membership import MOST, MembershipTransport
+from gaproute.peers.membership import MAX_DATAGRAMS, MembershipTransport
+from gaproute.peers.membership_wire import PayloadKind
 from gaproute.shared.gossip import Page, Weak, Word
 from gaproute.shared.gossip.facts import DEMAND, HANDS, WARM
 from gaproute.shared.gossip.facts import MOST as ENTRIES
@@ -109,14 +110,14 @@
     gossip = MembershipTransport(loop, "me", where, Chance(1), Record())
     weak = Weak("me", 1, Chance(1), 0)
     weak.peers(0, ["gate-117"])
-    gossip.carry("weak", lambda sender, data: weak.hear(0, sender, lambda: decode(data)))
+    gossip.register(PayloadKind.GOSSIP, lambda sender, data: weak.hear(0, sender, lambda: decode(data)))
     data, noise = wrapped(encode(words()["64 tasks in hand, warm"])), os.urandom(1200)
     stranger = data.replace(b"gate-117", b"gate-118")
 
     def heard(data, before):
         def call():
             gossip.read = before
-            gossip._heard(data)
+            gossip._received(data)
 
         return spent(call)
 
@@ -126,7 +127,7 @@
             ("over the sender's budget", data, 0),
             ("a stranger's", stranger, 0),
             ("noise", noise, 0),
-            ("beyond 2,000 a second", data, MOST),
+            ("beyond 2,000 a second", data, MAX_DATAGRAMS),
         )
     ]
     gossip.close()
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -31,7 +31,7 @@
             "kept_back": lot.admission.reserve,
         },
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
-        "gateways": others.gossip.members.live_count() if others.gossip else None,
+        "gateways": others.gossip.membership.live_count() if others.gossip else None,
         "cells": gate.cells and gate.cells.status(),
         "weak_word": others.weak and others.weak.weak.status(gate.loop.now()),
         "learnt": {
--- a/gaproute/hollow/cells/fixed.py
+++ b/gaproute/hollow/cells/fixed.py
@@ -2,11 +2,8 @@
 
 from types import SimpleNamespace
 
-from google.protobuf.message import DecodeError
-
 from gaproute.hollow.parts import DATAGRAM_HEADERS, Part
-from gaproute.peers import word_pb2
-from gaproute.peers.membership import CARRIED, VERSION
+from gaproute.peers.membership_wire import Payload, decode_datagram, encode_payload
 from gaproute.shared.membership import MemberState, MemberUpdate
 
 
@@ -14,33 +11,28 @@
     """Has the face of `gaproute.peers.MembershipTransport` towards the parts that it carries."""
 
     def __init__(self, surroundings):
-        self.name, self.carried = surroundings.name, {}
-        self.members = SimpleNamespace(members={}, table=SimpleNamespace(alive={}))
+        self.name, self.handlers = surroundings.name, {}
+        self.membership = SimpleNamespace(members={}, table=SimpleNamespace(alive={}))
         self.datagrams = surroundings.open_datagrams(surroundings.loop, surroundings.address, self._heard)
 
-    def carry(self, kind, heard):
+    def register(self, kind, heard):
         """`heard(sender's name, data)` for each datagram of that kind."""
-        self.carried[CARRIED[kind]] = heard
+        self.handlers[kind] = heard
 
-    def uncarry(self, kind):
+    def unregister(self, kind):
         """Datagrams of that kind are passed over again."""
-        self.carried.pop(CARRIED[kind], None)
+        self.handlers.pop(kind, None)
 
-    def post(self, where, kind, data):
+    def send_payload(self, where, kind, data):
         """Sends one datagram and returns its bytes."""
-        made = word_pb2.Word(version=VERSION, kind=CARRIED[kind], weak=data)
-        made.sender.name = self.name
-        encoded = made.SerializeToString()
+        encoded = encode_payload(kind, self.name, data)
         self.datagrams.send(encoded, where)
         return len(encoded)
 
     def _heard(self, data):
-        try:
-            told = word_pb2.Word.FromString(data)
-        except DecodeError:
-            return
-        if told.kind in self.carried:
-            self.carried[told.kind](told.sender.name, told.weak)
+        message = decode_datagram(data)
+        if isinstance(message, Payload) and message.kind in self.handlers:
+            self.handlers[message.kind](message.sender, message.data)
 
 
 class FixedMembership(Part):
@@ -52,11 +44,11 @@
     @property
     def members(self):
         """As of the membership's decisions: `members` by name, those up in `table.alive`."""
-        return self.gossip.members
+        return self.gossip.membership
 
     def post(self, where, kind, data):
         """Sends another part's datagram and returns its bytes with headers."""
-        return self.gossip.post(where, kind, data) + DATAGRAM_HEADERS
+        return self.gossip.send_payload(where, kind, data) + DATAGRAM_HEADERS
 
     def listed(self, gateways):
         """These are the members."""
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -11,9 +11,9 @@
 class TablePosts(CountedPosts):
     """The membership as the table's carrier sees it."""
 
-    def uncarry(self, kind):
+    def unregister(self, kind):
         """Datagrams of that kind are heard no more."""
-        self.membership.gossip.uncarry(kind)
+        self.part.gossip.unregister(kind)
 
 
 class Tables(Part):
--- a/gaproute/hollow/demand.py
+++ b/gaproute/hollow/demand.py
@@ -15,15 +15,15 @@
 class CountedPosts:
     """The membership as the carrier sees it, with what the carrier sends counted apart."""
 
-    def __init__(self, membership):
-        self.membership, self.members = membership, membership.members
-        self.carry = membership.gossip.carry
+    def __init__(self, part):
+        self.part, self.membership = part, part.members
+        self.register = part.gossip.register
         self.messages = self.bytes = 0
 
-    def post(self, where, kind, data):
+    def send_payload(self, where, kind, data):
         """Sends one datagram."""
         self.messages += 1
-        self.bytes += self.membership.post(where, kind, data)
+        self.bytes += self.part.post(where, kind, data)
 
 
 class Demand(Part):
--- a/gaproute/hollow/gateway.py
+++ b/gaproute/hollow/gateway.py
@@ -20,8 +20,8 @@
         for name, make in makers.items():
             self.parts[name] = make(surroundings, self.parts)
         for part in self.parts.values():
-            if part.kind:
-                self.parts["membership"].gossip.carry(part.kind, part.receive)
+            if part.kind is not None:
+                self.parts["membership"].gossip.register(part.kind, part.receive)
 
     def start(self, gateways=()):
         """Starts all parts; `gateways`: the configured ones, this one among them or not."""
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -22,12 +22,12 @@
     @property
     def members(self):
         """The membership's decisions."""
-        return self.gossip.members
+        return self.gossip.membership
 
     def post(self, where, kind, data):
         """Sends another part's datagram and returns its bytes with headers."""
         before = self.gossip.bytes
-        self.gossip.post(where, kind, data)
+        self.gossip.send_payload(where, kind, data)
         spent = self.gossip.bytes - before
         self.carried += 1
         self.carried_bytes += spent
@@ -39,7 +39,7 @@
 
     def counters(self):
         """`entries`: members held; `refused`: claims of strangers beyond the bound, and senseless ones."""
-        gossip, members = self.gossip, self.gossip.members
+        gossip, members = self.gossip, self.gossip.membership
         messages = gossip.sent - self.carried
         return {
             "messages": messages,
--- a/gaproute/hollow/parts.py
+++ b/gaproute/hollow/parts.py
@@ -50,12 +50,12 @@
 class Part:
     """One control part. `due` is the time of the next `tick`, None where the part keeps timers itself.
 
-    A part receives its datagrams through the gateway's membership socket: `kind` is its name in
-    `gaproute.peers.membership.CARRIED`, "" for a part without datagrams, or whose product class listens
-    itself.
+    A part receives its datagrams through the gateway's membership socket: `kind` is its
+    `gaproute.peers.membership_wire.PayloadKind`, None for a part without datagrams, or whose
+    product class listens itself.
     """
 
-    kind = ""
+    kind = None
     due = None
 
     def start(self):
--- a/gaproute/peers/gossip/carrier.py
+++ b/gaproute/peers/gossip/carrier.py
@@ -2,6 +2,7 @@
 what this gateway sees is looked up from its decisions at a pace, so that no task's path grows longer."""
 
 from gaproute.peers.gossip.wire import decode, encode
+from gaproute.peers.membership_wire import PayloadKind
 from gaproute.shared.gossip import Weak
 from gaproute.shared.gossip.told import RATE
 
@@ -18,10 +19,10 @@
     def __init__(self, loop, name, gossip, gateway, chance, rate=RATE):
         self.loop, self.gossip, self.gateway = loop, gossip, gateway
         now = loop.now()
-        self.weak = Weak(name, gossip.members.incarnation, chance, now, rate)
+        self.weak = Weak(name, gossip.membership.incarnation, chance, now, rate)
         self.hands = {}  # host: tasks in hand as told last
         self.looked, self.listed_at, self.mark = now - LOOK, now - LISTED, now
-        gossip.carry("weak", self._heard)
+        gossip.register(PayloadKind.GOSSIP, self._heard)
         self.timer = loop.at(now, self._tick)
 
     def arrived(self, now, function, track):
@@ -39,18 +40,18 @@
             self.timer = self.loop.at(max(self.weak.due, now + LEAST), self._tick)
 
     def _turn(self, now):
-        members = self.gossip.members
+        membership = self.gossip.membership
         if now - self.listed_at >= LISTED:
             self.listed_at = now
-            self.weak.renew(members.incarnation)
-            self.weak.peers(now, [*members.table.alive.names, *members.table.suspects])
+            self.weak.renew(membership.incarnation)
+            self.weak.peers(now, [*membership.table.alive.names, *membership.table.suspects])
         if now - self.looked >= LOOK:
             self.looked = now
             self._look(now)
         for name, word in self.weak.tick(now):
-            member = members.members.get(name)
+            member = membership.members.get(name)
             if member is not None:
-                self.gossip.post(member.address, "weak", encode(word))
+                self.gossip.send_payload(member.address, PayloadKind.GOSSIP, encode(word))
 
     def _look(self, now):
         for name, worker in self.gateway.workers.items():
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -1,162 +1,161 @@
-"""Membership on datagrams: beside the address at which a gateway tells what it knows, by the same address for
-UDP, by the path with `.words` added for Unix sockets."""
+"""Membership on datagrams, beside the address at which a gateway serves its peers: for UDP by the same
+address, for Unix sockets by the path with `.words` added."""
 
 import time
-
-from google.protobuf.message import DecodeError
+from collections.abc import Callable, Iterable
+from typing import Any, Protocol
 
 from gaproute.loop.datagrams import Datagrams
-from gaproute.peers import word_pb2
-from gaproute.shared.membership import Membership, MembershipMessage, MemberUpdate, MessageKind
-
-SECOND = 1_000_000_000
-VERSION = 1
-MESSAGE_KINDS = frozenset(MessageKind)  # a version that lacks one passes its messages over
-CARRIED = {"weak": 6, "table": 7}  # other parts' words by the same datagrams: the number of their kind
-MOST = 2000  # datagrams read in a second: 20 times what comes at 1,000 gateways. In a flood it
-#                          harms, as words of others are passed over with it
+from gaproute.peers.membership_wire import Payload, PayloadKind, decode_datagram, encode, encode_payload
+from gaproute.shared.membership import Membership, MembershipMessage
+from gaproute.shared.membership.dissemination import Outgoing
+from gaproute.shared.membership.messages import Member
+from gaproute.shared.randomness import RandomSource
 
+MILLI, SECOND = 1_000_000, 1_000_000_000
+MAX_DATAGRAMS = 2000  # read in a second: 20 times what comes at 1,000 gateways. In a flood it harms, as
+#                             other members' messages are dropped with it
+UNIX_SUFFIX = ".words"  # of the socket's path
 
-def encode(word):
-    made = word_pb2.Word(version=VERSION, kind=word.kind, number=word.sequence, target=word.target)
-    for message, news in [(made.sender, word.sender), *((made.news.add(), news) for news in word.updates)]:
-        message.name, message.where, message.state, message.incarnation = news
-    return made.SerializeToString()
+PayloadHandler = Callable[[str, bytes], None]  # takes the sender's name and the data
 
 
-def decode(data):
-    """The MembershipMessage, or None where it is none that is understood."""
-    told = _read(data)
-    return _word(told) if told is not None else None
+class Peer(Protocol):
+    """A configured gateway."""
 
+    name: str
+    where: str
 
-def _read(data):
-    try:
-        told = word_pb2.Word.FromString(data)
-    except DecodeError:
-        return None
-    return told if abs(told.version - VERSION) <= 1 else None
 
+class EventLog(Protocol):
+    """Where changes of members are logged."""
 
-def _word(told):
-    if told.kind not in MESSAGE_KINDS:
-        return None
-    news = [
-        MemberUpdate(each.name, each.where, each.state, each.incarnation)
-        for each in (told.sender, *told.news)
-    ]
-    return MembershipMessage(MessageKind(told.kind), told.number, news[0], told.target, tuple(news[1:]))
+    def event(self, level: str, name: str, /, **fields: object) -> None:
+        """Logs one event."""
 
 
-def at(where):
-    return where + ".words" if where.startswith("unix:") else where
+def datagram_address(address: str) -> str:
+    """Where the datagrams of the gateway with this peer address go."""
+    return address + UNIX_SUFFIX if address.startswith("unix:") else address
 
 
 class MembershipTransport:
-    """`datagrams(loop, where, heard)` makes the socket, `wall` tells ns since 1970: a simulation hands in its
-    own."""
-
-    def __init__(self, loop, name, where, chance, record, datagrams=Datagrams, wall=time.time_ns):
+    """Sends and receives what `Membership` decides, and carries the payloads of other parts.
+
+    `datagrams(loop, address, received)` opens the socket, `wall` returns ns since 1970: a simulation hands in
+    its own. Errors: OSError where the address cannot be bound.
+    """
+
+    def __init__(
+        self,
+        loop: Any,
+        name: str,
+        address: str,
+        random: RandomSource,
+        record: EventLog,
+        datagrams: Callable[..., Any] = Datagrams,
+        wall: Callable[[], int] = time.time_ns,
+    ) -> None:
         self.loop, self.record = loop, record
-        self.members = Membership(name, where, chance, loop.now(), wall() // 1_000_000)
-        self.datagrams = datagrams(loop, at(where), self._heard)
-        self.sent = self.bytes = self.undecodable = self.rate_limited = 0
-        self.read, self.second = 0, 0  # datagrams read in this second
-        self.carried = {}  # number of a kind: who takes it
-        self.timer = None
-        self._again()
-
-    def configure(self, peers):
-        self.members.configure(self.loop.now(), {peer.name: peer.where for peer in peers})
-        self._note()
-
-    def _again(self):
-        due = self.members.due
-        if self.timer is None or self.timer.call is None or self.timer.when != due:
-            if self.timer is not None:
-                self.timer.cancel()
-            self.timer = self.loop.at(due, self._tick)
-
-    def _tick(self):
-        self.timer = None
-        self._send(self.members.tick(self.loop.now()))
-        self._note()
-        self._again()
-
-    def _heard(self, data):
+        self.membership = Membership(name, address, random, loop.now(), wall() // MILLI)
+        self.datagrams = datagrams(loop, datagram_address(address), self._received)
+        self.sent = self.bytes = 0
+        self.undecodable = self.rate_limited = 0
+        self.read, self.second = 0, 0  # datagrams read in the second that began then, ns
+        self.handlers: dict[PayloadKind, PayloadHandler] = {}  # by the kind of payload
+        self._timer: Any = None
+        self._schedule()
+
+    def configure(self, peers: Iterable[Peer]) -> None:
+        """Takes the configured gateways; they are never forgotten."""
+        self.membership.configure(self.loop.now(), {peer.name: peer.where for peer in peers})
+        self._log_changes()
+
+    def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
+        """The handler gets each payload of that kind."""
+        self.handlers[kind] = handler
+
+    def unregister(self, kind: PayloadKind) -> None:
+        """Payloads of that kind count as undecodable again."""
+        self.handlers.pop(kind, None)
+
+    def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> None:
+        """Sends another part's payload to the gateway with that address."""
+        self._send_datagram(address, encode_payload(kind, self.membership.name, data))
+
+    def table(self) -> list[dict[str, object]]:
+        """All members, for operators."""
+        return [self._row(member) for _, member in sorted(self.membership.members.items())]
+
+    def stop(self) -> None:
+        """Tells a few members that this gateway shuts down."""
+        self._send(self.membership.leave())
+
+    def close(self) -> None:
+        """Closes the socket."""
+        if self._timer is not None:
+            self._timer.cancel()
+        self.datagrams.close()
+
+    def _schedule(self) -> None:
+        due, timer = self.membership.due, self._timer
+        if timer is not None and timer.call is not None and timer.when == due:
+            return
+        if timer is not None:
+            timer.cancel()
+        self._timer = self.loop.at(due, self._tick)
+
+    def _tick(self) -> None:
+        self._timer = None
+        self._send(self.membership.tick(self.loop.now()))
+        self._log_changes()
+        self._schedule()
+
+    def _received(self, data: bytes) -> None:
         now = self.loop.now()
         if now - self.second >= SECOND:
             self.read, self.second = 0, now
         self.read += 1
-        if self.read > MOST:
+        if self.read > MAX_DATAGRAMS:
             self.rate_limited += 1
             return
-        told = _read(data)
-        if told is not None and told.kind in self.carried:
-            self.carried[told.kind](told.sender.name, told.weak)
-            return
-        word = _word(told) if told is not None else None
-        if word is None:
+        message = decode_datagram(data)
+        if isinstance(message, Payload) and message.kind in self.handlers:
+            self.handlers[message.kind](message.sender, message.data)
+        elif isinstance(message, MembershipMessage):
+            self._send(self.membership.receive(now, message))
+            self._log_changes()
+            self._schedule()
+        else:
             self.undecodable += 1
-            return
-        self._send(self.members.receive(now, word))
-        self._note()
-        self._again()
-
-    def _send(self, words):
-        for where, word in words:
-            data = encode(word)
-            self.sent += 1
-            self.bytes += len(data)
-            self.datagrams.send(data, at(where))
-
-    def carry(self, kind, heard):
-        """`heard(sender's name, data)` for each word of that kind; see CARRIED."""
-        self.carried[CARRIED[kind]] = heard
-
-    def uncarry(self, kind):
-        """Words of that kind are strange again."""
-        self.carried.pop(CARRIED[kind], None)
-
-    def post(self, where, kind, data):
-        """Sends another part's word; its sender is told by name alone."""
-        made = word_pb2.Word(version=VERSION, kind=CARRIED[kind], weak=data)
-        made.sender.name = self.members.name
-        data = made.SerializeToString()
+
+    def _send(self, messages: Iterable[Outgoing]) -> None:
+        for address, message in messages:
+            self._send_datagram(address, encode(message))
+
+    def _send_datagram(self, address: str, data: bytes) -> None:
         self.sent += 1
         self.bytes += len(data)
-        self.datagrams.send(data, at(where))
+        self.datagrams.send(data, datagram_address(address))
 
-    def _note(self):
-        for name in self.members.table.changed:
-            member = self.members.members.get(name)
+    def _log_changes(self) -> None:
+        for name in self.membership.table.changed:
+            member = self.membership.members.get(name)
             if member is not None:
                 self.record.event(
                     "info", "gateway", name=name, state=member.state.label, incarnation=member.incarnation
                 )
-        self.members.table.changed.clear()
-
-    def table(self):
-        now = self.loop.now() - self.members.held
-        return [
-            {
-                "name": member.name,
-                "where": member.address,
-                "state": member.state.label,
-                "incarnation": member.incarnation,
-                "since_ms": (now - member.state_since) // 1_000_000,
-                "heard_ms": None
-                if member.last_heard is None
-                else (self.loop.now() - member.last_heard) // 1_000_000,
-                "configured": member.configured,
-            }
-            for _, member in sorted(self.members.members.items())
-        ]
-
-    def stop(self):
-        self._send(self.members.leave())
-
-    def close(self):
-        if self.timer is not None:
-            self.timer.cancel()
-        self.datagrams.close()
+        self.membership.table.changed.clear()
+
+    def _row(self, member: Member) -> dict[str, object]:
+        now = self.loop.now()
+        running_time = now - self.membership.stalled_time
+        return {
+            "name": member.name,
+            "where": member.address,
+            "state": member.state.label,
+            "incarnation": member.incarnation,
+            "since_ms": (running_time - member.state_since) // MILLI,
+            "heard_ms": None if member.last_heard is None else (now - member.last_heard) // MILLI,
+            "configured": member.configured,
+        }
--- /dev/null
+++ b/gaproute/peers/membership_wire.py
@@ -0,0 +1,77 @@
+"""The datagrams of membership as protobuf (`word.proto`), and other parts' payloads in the same envelope."""
+
+from enum import IntEnum
+from typing import NamedTuple
+
+from google.protobuf.message import DecodeError
+
+from gaproute.peers import word_pb2
+from gaproute.shared.membership import MembershipMessage, MemberUpdate, MessageKind
+
+VERSION = 1
+
+
+class PayloadKind(IntEnum):
+    """Other parts whose payloads go by the same datagrams; numbered as on the wire, after `MessageKind`."""
+
+    GOSSIP = 6
+    CELL_TABLE = 7
+
+
+# By their numbers: a look-up costs less than the call of an Enum.
+MESSAGE_KINDS = {kind.value: kind for kind in MessageKind}
+PAYLOAD_KINDS = {kind.value: kind for kind in PayloadKind}
+
+
+class Payload(NamedTuple):
+    """Bytes of another part."""
+
+    kind: PayloadKind
+    sender: str  # the name of a gateway
+    data: bytes
+
+
+def encode(message: MembershipMessage) -> bytes:
+    """The datagram of a message."""
+    envelope = word_pb2.Word(
+        version=VERSION, kind=message.kind, number=message.sequence, target=message.target
+    )
+    add = envelope.news.add
+    for target, update in [(envelope.sender, message.sender), *((add(), each) for each in message.updates)]:
+        target.name, target.where, target.state, target.incarnation = update
+    return bytes(envelope.SerializeToString())
+
+
+def encode_payload(kind: PayloadKind, sender: str, data: bytes) -> bytes:
+    """The datagram of another part's payload."""
+    envelope = word_pb2.Word(version=VERSION, kind=kind, weak=data)
+    envelope.sender.name = sender
+    return bytes(envelope.SerializeToString())
+
+
+def decode_datagram(data: bytes) -> MembershipMessage | Payload | None:
+    """What the datagram holds, None where it is not understood. A version one apart is, a kind unknown to
+    this one is not."""
+    try:
+        envelope = word_pb2.Word.FromString(data)
+    except DecodeError:
+        return None
+    if abs(envelope.version - VERSION) > 1:
+        return None
+    payload_kind = PAYLOAD_KINDS.get(envelope.kind)
+    if payload_kind is not None:
+        return Payload(payload_kind, envelope.sender.name, envelope.weak)
+    kind = MESSAGE_KINDS.get(envelope.kind)
+    if kind is None:
+        return None
+    sender, *updates = [
+        MemberUpdate(each.name, each.where, each.state, each.incarnation)
+        for each in (envelope.sender, *envelope.news)
+    ]
+    return MembershipMessage(kind, envelope.number, sender, envelope.target, tuple(updates))
+
+
+def decode(data: bytes) -> MembershipMessage | None:
+    """The message of membership in the datagram, None for any other."""
+    message = decode_datagram(data)
+    return message if isinstance(message, MembershipMessage) else None
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -6,6 +6,7 @@
 
 from gaproute.decisions.cells.change import TableChange, TableHolder
 from gaproute.decisions.cells.table import CellTable, Version
+from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encoded_change
 from gaproute.peers.tables.pulls import TARGET, Puller, answered
@@ -17,7 +18,6 @@
 from gaproute.shared.dissemination.view import Candidates
 from gaproute.storage.tables import StoredTable, TableFile
 
-KIND = "table"
 LEAST_TURN = SECOND // 200  # between two turns of the timer
 LIST_INTERVAL = 5 * SECOND  # between two looks at the members
 WRITE_INTERVAL = 60 * SECOND  # between two writes to disk: each waits for the disk
@@ -48,7 +48,7 @@
     def start(self):
         """Take the table kept on disk, then listen and tell."""
         self._restore()
-        self.gossip.carry(KIND, self._heard)
+        self.gossip.register(PayloadKind.CELL_TABLE, self._heard)
         self.giver.also[TARGET] = answered(self.loop, self.disseminator)
         self._list()
         self._after(())
@@ -59,7 +59,7 @@
             self.timer.cancel()
             self.timer = None
         self.puller.drop()
-        self.gossip.uncarry(KIND)
+        self.gossip.unregister(PayloadKind.CELL_TABLE)
         self.giver.also.pop(TARGET, None)
         self._write()
 
@@ -138,7 +138,9 @@
         if isinstance(message, Pull):
             self.puller.ask(to.where, message, lambda answer: self._pulled(to, answer))
         else:
-            self.gossip.post(to.where, KIND, wire.pack_datagram(message, self.where))
+            self.gossip.send_payload(
+                to.where, PayloadKind.CELL_TABLE, wire.pack_datagram(message, self.where)
+            )
 
     def _tell_table(self):
         table = self.holder.table
@@ -153,9 +155,9 @@
     def _list(self):
         """Whom to speak with, where that has changed."""
         self.list_at = self.loop.now() + LIST_INTERVAL
-        members = self.gossip.members
-        up = [name for name in members.members if name in members.table.alive]
-        near = tuple(Peer(name, members.members[name].address) for name in sorted(up))
+        membership = self.gossip.membership
+        up = [name for name in membership.members if name in membership.table.alive]
+        near = tuple(Peer(name, membership.members[name].address) for name in sorted(up))
         listed_from = near, self.configured, self.holder.table
         if listed_from != self.listed_from:
             self.listed_from = listed_from
--- a/gaproute/shared/membership/dissemination.py
+++ b/gaproute/shared/membership/dissemination.py
@@ -1,106 +1,127 @@
-"""Which news one message carries: the least told first, then a few entries in turn."""
+"""Makes messages, with the updates that ride on them: the least sent first, then entries of the table in
+turn."""
 
+from typing import NamedTuple
+
+from gaproute.shared.membership.identity import Identity
 from gaproute.shared.membership.messages import (
+    ENTRY_BYTES,
+    Member,
     MembershipMessage,
     MemberState,
     MemberUpdate,
     MessageKind,
     encoded_size,
 )
+from gaproute.shared.membership.table import MemberTable
 
-TOLD = 3  # times that each piece of news is sent for every power of two of the members
-MAX_MESSAGE_BYTES = 1200  # of one message: fits an unfragmented datagram everywhere
-HEAD = 32  # of them beside the sender's names, the target and the entries, at most
-FILL = 320  # bytes up to which a message with less news is filled with entries in turn: what was
-#                          lost or held back is mended unasked; more of it costs bytes only
-ASKED = 400  # bytes of an `ask`: three go out at once where a path is lossy
+SENDS = 3  # of each update, for every power of two of the members
+MAX_MESSAGE_BYTES = 1200  # fits an unfragmented datagram everywhere
+HEADER_BYTES = 32  # of a message beside the sender's names, the target and the updates, at most
+FILL_BYTES = (
+    320  # up to which a message with few updates is filled with entries in turn, which mends what was
+)
+#                          lost or held back; more of it costs bytes only
+PING_REQUEST_BYTES = 400  # at most: three go out at once where a path is lossy
 
 
-class UpdateQueue:
-    """Names by how often their news was told; after so many times they leave it."""
+class Outgoing(NamedTuple):
+    """A message to be sent and where to."""
 
-    def __init__(self):
-        self.rows, self.place = [{}], {}  # rows[k]: names told k times, the oldest first
+    address: str
+    message: MembershipMessage
 
-    def __len__(self):
-        return len(self.place)
 
-    def __iter__(self):
-        for row in self.rows:
-            yield from row
+class MessageBuilder:
+    """Makes the messages of one gateway from its table, and counts there what was sent."""
 
-    def put(self, name):
-        self.drop(name)
-        self.place[name] = 0
-        self.rows[0][name] = None
+    def __init__(self, identity: Identity, table: MemberTable) -> None:
+        self._identity, self._table = identity, table
+        self._turn = 0  # position in the table of the entry that is next in turn
 
-    def drop(self, name):
-        place = self.place.pop(name, None)
-        if place is not None:
-            del self.rows[place][name]
+    def ping(self, receiver: Member, sequence: int) -> Outgoing:
+        """Probes the receiver."""
+        return self._to(receiver, MessageKind.PING, sequence)
 
-    def told(self, name, most):
-        place = self.place.get(name)
-        if place is None:
-            return
-        self.drop(name)
-        if place + 1 < most:
-            while len(self.rows) <= place + 1:
-                self.rows.append({})
-            self.place[name] = place + 1
-            self.rows[place + 1][name] = None
+    def ping_request(self, receiver: Member, sequence: int, target: str) -> Outgoing:
+        """Asks the receiver to probe the target."""
+        return self._to(receiver, MessageKind.PING_REQUEST, sequence, target=target)
 
+    def ack(self, receiver: Member, sequence: int, target: str, *, stale: bool = False) -> Outgoing:
+        """Answers a probe. `stale`: the receiver must learn what is held of it, even where that is alive."""
+        return self._to(receiver, MessageKind.ACK, sequence, target=target, stale=stale)
 
-class MessageBuilder:
-    def __init__(self, name, where):
-        self.name, self.address, self.turn = name, where, 0
-
-    def message(self, table, incarnation, kind, number, target="", first=None):
-        """A message with as much news as it holds: `first`, what its receiver must refute, then what is new,
-        then entries in turn."""
-        me = MemberUpdate(self.name, self.address, MemberState.ALIVE, incarnation)
-        left = (
-            (ASKED if kind == MessageKind.PING_REQUEST else MAX_MESSAGE_BYTES)
-            - HEAD
-            - encoded_size(me)
-            - len(target.encode())
+    def leave(self, receiver: Member) -> Outgoing:
+        """Tells the receiver that this gateway shuts down."""
+        address, message = self._to(receiver, MessageKind.ACK, 0)
+        return Outgoing(address, message._replace(sender=self._identity.update(MemberState.LEFT)))
+
+    def pull(self, receiver: Member, position: int) -> Outgoing:
+        """Asks for the part of the receiver's table that begins at the position."""
+        return Outgoing(
+            receiver.address, MembershipMessage(MessageKind.PULL, position, self._identity.update())
         )
-        chosen = {} if first is None else {first.name: first.update}
-        left -= sum(encoded_size(news) for news in chosen.values())
-        for name in table.pending_updates:
-            member = table.members[name]
-            left -= encoded_size(member)
-            if left < 0:
+
+    def chunk(self, position: int) -> MembershipMessage:
+        """The part of the whole table that begins at the position."""
+        sender = self._identity.update()
+        bytes_left = MAX_MESSAGE_BYTES - HEADER_BYTES - encoded_size(sender)
+        updates: list[MemberUpdate] = []
+        names, position = self._table.all_names.names, max(0, position)
+        while position < len(names):
+            member = self._table.members[names[position]]
+            bytes_left -= encoded_size(member)
+            if bytes_left < 0:
+                break
+            updates.append(member.update)
+            position += 1
+        next_position = position if position < len(names) else 0
+        return MembershipMessage(MessageKind.CHUNK, next_position, sender, "", tuple(updates))
+
+    def message(
+        self, kind: MessageKind, sequence: int, *, target: str = "", first: Member | None = None
+    ) -> MembershipMessage:
+        """A message with as many updates as it holds. `first`: what its receiver must refute."""
+        sender = self._identity.update()
+        limit = PING_REQUEST_BYTES if kind is MessageKind.PING_REQUEST else MAX_MESSAGE_BYTES
+        bytes_left = limit - HEADER_BYTES - encoded_size(sender) - len(target.encode())
+        chosen: dict[str, MemberUpdate] = {}
+        if first is not None:
+            chosen[first.name] = first.update
+            bytes_left -= encoded_size(first)
+        bytes_left = self._add_pending(chosen, bytes_left)
+        self._fill(chosen, bytes_left - (MAX_MESSAGE_BYTES - FILL_BYTES))
+        return MembershipMessage(kind, sequence, sender, target, tuple(chosen.values()))
+
+    def _to(
+        self, receiver: Member, kind: MessageKind, sequence: int, *, target: str = "", stale: bool = False
+    ) -> Outgoing:
+        must_refute = stale or receiver.state is not MemberState.ALIVE
+        first = receiver if must_refute else None
+        return Outgoing(receiver.address, self.message(kind, sequence, target=target, first=first))
+
+    def _add_pending(self, chosen: dict[str, MemberUpdate], bytes_left: int) -> int:
+        """Adds pending updates, the least sent first. Returns the bytes left, under 0 where one more was
+        too long."""
+        pending = self._table.pending_updates
+        for name in pending:
+            member = self._table.members[name]
+            bytes_left -= encoded_size(member)
+            if bytes_left < 0:
                 break
             chosen[name] = member.update
-        most = table.scale(TOLD)
+        max_sends = self._table.scaled(SENDS)
         for name in chosen:
-            table.pending_updates.told(name, most)
-        left -= MAX_MESSAGE_BYTES - FILL
-        names = table.all_names.names
-        for _ in range(min(len(names), FILL // 20)):
-            member = table.members[names[self.turn % len(names)]]
-            left -= encoded_size(member)
-            if left < 0:
-                break
+            pending.sent(name, max_sends)
+        return bytes_left
+
+    def _fill(self, chosen: dict[str, MemberUpdate], bytes_left: int) -> None:
+        """Adds entries of the table in turn."""
+        names = self._table.all_names.names
+        for _ in range(min(len(names), FILL_BYTES // ENTRY_BYTES)):
+            member = self._table.members[names[self._turn % len(names)]]
+            bytes_left -= encoded_size(member)
+            if bytes_left < 0:
+                return
             chosen.setdefault(member.name, member.update)
-            self.turn = (self.turn + 1) % len(names)
-        return MembershipMessage(kind, number, me, target, tuple(chosen.values()))
-
-    def part(self, table, incarnation, place):
-        """A chunk of all that is held, from that place on."""
-        me = MemberUpdate(self.name, self.address, MemberState.ALIVE, incarnation)
-        left, news, names, place = (
-            MAX_MESSAGE_BYTES - HEAD - encoded_size(me),
-            [],
-            table.all_names.names,
-            max(0, place),
-        )
-        while place < len(names):
-            member = table.members[names[place]]
-            left -= encoded_size(member)
-            if left < 0:
-                break
-            news.append(member.update)
-            place += 1
-        return MembershipMessage(MessageKind.CHUNK, place if place < len(names) else 0, me, "", tuple(news))
+            self._turn = (self._turn + 1) % len(names)
--- /dev/null
+++ b/gaproute/shared/membership/identity.py
@@ -0,0 +1,22 @@
+"""This gateway as a member that others hear of."""
+
+from gaproute.shared.membership.messages import MemberState, MemberUpdate
+
+
+class Identity:
+    """The gateway's name, address and incarnation; only the gateway itself raises its incarnation."""
+
+    def __init__(self, name: str, address: str, incarnation: int) -> None:
+        self.name, self.address, self.incarnation = name, address, incarnation
+        self.refutations = 0
+
+    def update(self, state: MemberState = MemberState.ALIVE) -> MemberUpdate:
+        """What this gateway says of itself."""
+        return MemberUpdate(self.name, self.address, state, self.incarnation)
+
+    def refute(self, update: MemberUpdate) -> None:
+        """Raises the incarnation over an update about this gateway that is of an earlier start, or says that
+        it is not alive."""
+        if (update.incarnation, update.state) > (self.incarnation, MemberState.ALIVE):
+            self.refutations += update.state != MemberState.ALIVE
+            self.incarnation = update.incarnation + 1
--- a/gaproute/shared/membership/invariants.py
+++ b/gaproute/shared/membership/invariants.py
@@ -1,48 +1,54 @@
 """What must always hold of a gateway's membership: named checks that return breaches as text."""
 
-from gaproute.shared.membership.membership import INDIRECT_PROBES
+from collections.abc import Iterator
+
+from gaproute.shared.membership.membership import Membership
 from gaproute.shared.membership.messages import MAX_INCARNATION, MemberState
+from gaproute.shared.membership.prober import MAX_INDIRECT_PROBES
 from gaproute.shared.membership.table import MAX_MEMBERS
 
 
-def bounded(members):
+def sizes_are_bounded(membership: Membership) -> Iterator[str]:
     """Every map is bounded. Cheap: call it always."""
-    table = members.table
-    strangers = len(members.members) - MAX_MEMBERS
-    if strangers > 0 and strangers > sum(member.configured for member in members.members.values()):
-        yield f"{len(members.members)} members are known, over {MAX_MEMBERS} and those configured"
-    for name, size, most in (
-        ("errands", len(members.indirect_probes), INDIRECT_PROBES),
-        ("round", len(members.round), len(members.waiting)),
-        ("news", len(table.pending_updates), len(members.members)),
-        ("suspects and buried", len(table.suspects) + len(table.departed), len(members.members)),
+    table, prober, count = membership.table, membership.prober, len(membership.members)
+    unknown = count - MAX_MEMBERS
+    if unknown > 0 and unknown > sum(member.configured for member in membership.members.values()):
+        yield f"{count} members are known, over {MAX_MEMBERS} and those configured"
+    for name, size, limit in (
+        ("indirect probes", len(prober.indirect_probes), MAX_INDIRECT_PROBES),
+        ("names of the round", len(prober.order.remaining), len(prober.order.remaining_names)),
+        ("pending updates", len(table.pending_updates), count),
+        ("suspects and departed", len(table.suspects) + len(table.departed), count),
     ):
-        if size > most:
-            yield f"{size} {name}, {most} at most"
-
-
-def filed(members):
-    """Each member stands in the lists of its state and in no other. Dear: walks all."""
-    table = members.table
-    for name, member in members.members.items():
-        stands = (name in table.alive, name in table.suspects, name in table.dead, name in table.all_names)
-        if stands != (
-            member.state == MemberState.ALIVE,
-            member.state == MemberState.SUSPECT,
-            member.state >= MemberState.DEAD,
+        if size > limit:
+            yield f"{size} {name}, {limit} at most"
+
+
+def lists_match_states(membership: Membership) -> Iterator[str]:
+    """Each member is in the lists of its state and in no other. Expensive: walks all."""
+    table = membership.table
+    for name, member in membership.members.items():
+        found = (name in table.alive, name in table.suspects, name in table.dead, name in table.all_names)
+        state = member.state
+        if found != (
+            state == MemberState.ALIVE,
+            state == MemberState.SUSPECT,
+            state >= MemberState.DEAD,
             True,
         ):
-            yield f"{name} in state {member.state} stands in {stands}"
+            yield f"{name} in state {state} is in {found} of the alive, suspects, dead and all"
         if not 0 <= member.incarnation <= MAX_INCARNATION:
             yield f"{name} has incarnation {member.incarnation}"
-    if members.name in members.members:
+    if membership.name in membership.members:
         yield "this gateway is a member of its own list"
-    if len(table.all_names) != len(members.members) or any(
-        name not in members.members for name in table.pending_updates
-    ):
+    pending_unknown = any(name not in membership.members for name in table.pending_updates)
+    if len(table.all_names) != len(membership.members) or pending_unknown:
         yield "a list holds one that is no member"
 
 
-def check(members, dear=False):
-    """Breaches as text, none where all is well."""
-    return [*bounded(members), *(filed(members) if dear else ())]
+def check(membership: Membership, *, thorough: bool = False) -> list[str]:
+    """Breaches as text, none where all is well. `thorough`: the expensive checks as well."""
+    breaches = list(sizes_are_bounded(membership))
+    if thorough:
+        breaches += lists_match_states(membership)
+    return breaches
--- a/gaproute/shared/membership/messages.py
+++ b/gaproute/shared/membership/messages.py
@@ -22,6 +22,9 @@
         return self.name.lower()
 
 
+MEMBER_STATES = tuple(MemberState)  # by their numbers: an index costs less than the call of an Enum
+
+
 class MessageKind(IntEnum):
     """What a message asks for or brings; numbered as on the wire."""
 
@@ -57,9 +60,9 @@
 
     __slots__ = ("name", "address", "state", "incarnation", "state_since", "last_heard", "configured")
 
-    def __init__(self, update: MemberUpdate, now: int, configured: bool) -> None:
+    def __init__(self, update: MemberUpdate, now: int, *, configured: bool) -> None:
         self.name, self.address = update.name, update.address
-        self.state, self.incarnation = MemberState(update.state), update.incarnation
+        self.state, self.incarnation = MEMBER_STATES[update.state], update.incarnation
         self.state_since = now  # ns on the table's clock
         self.last_heard: int | None = None  # ns: when its last message came
         self.configured = configured
--- /dev/null
+++ b/gaproute/shared/membership/update_queue.py
@@ -0,0 +1,44 @@
+"""The names whose updates are still to be sent."""
+
+from collections.abc import Iterator
+
+
+class UpdateQueue:
+    """Names by how often their update was sent. Iterates over the least sent first, then the oldest."""
+
+    def __init__(self) -> None:
+        self._by_sends: list[dict[str, None]] = [{}]  # at index n: the names sent n times, the oldest first
+        self._sends: dict[str, int] = {}
+
+    def __len__(self) -> int:
+        return len(self._sends)
+
+    def __iter__(self) -> Iterator[str]:
+        for names in self._by_sends:
+            yield from names
+
+    def put(self, name: str) -> None:
+        """The name has a new update, which was never sent."""
+        self.discard(name)
+        self._insert(name, 0)
+
+    def discard(self, name: str) -> None:
+        """Removes the name if it is there."""
+        sends = self._sends.pop(name, None)
+        if sends is not None:
+            del self._by_sends[sends][name]
+
+    def sent(self, name: str, max_sends: int) -> None:
+        """The update went out once more; after `max_sends` times the name leaves the queue."""
+        sends = self._sends.get(name)
+        if sends is None:
+            return
+        self.discard(name)
+        if sends + 1 < max_sends:
+            self._insert(name, sends + 1)
+
+    def _insert(self, name: str, sends: int) -> None:
+        while len(self._by_sends) <= sends:
+            self._by_sends.append({})
+        self._sends[name] = sends
+        self._by_sends[sends][name] = None
--- /dev/null
+++ b/gaproute/shared/randomness.py
@@ -0,0 +1,20 @@
+"""What the shared parts need of a source of random numbers: it is handed in, so that runs can be repeated."""
+
+from collections.abc import MutableSequence
+from typing import Protocol, TypeVar
+
+Item = TypeVar("Item")
+
+
+class RandomSource(Protocol):
+    """A seeded generator, such as `gaproute.decisions.chance.Chance`."""
+
+    def below(self, bound: int, /) -> int:
+        """A number from 0 to `bound` - 1, each as likely as the others."""
+
+
+def shuffle(items: MutableSequence[Item], random: RandomSource) -> None:
+    """Puts the items in random order, in place (Fisher and Yates)."""
+    for position in range(len(items) - 1, 0, -1):
+        other = random.below(position + 1)
+        items[position], items[other] = items[other], items[position]
--- a/gaproute/standins/net.py
+++ b/gaproute/standins/net.py
@@ -4,7 +4,7 @@
 import heapq
 
 from gaproute.decisions.chance import Chance
-from gaproute.peers.membership import encode
+from gaproute.peers.membership_wire import encode
 from gaproute.shared.membership import Membership
 
 MILLI = 1_000_000
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -87,14 +87,14 @@
     third = start("third", f"peer second {at}\nweak-word yes")
     weak = third.others.weak.weak
     made.until(lambda: "second" in weak.store.tellers)
-    before = second.others.gossip.members.incarnation
+    before = second.others.gossip.membership.incarnation
     second.close()
     ahead[0] = -HOUR_MS
     lines = (f"listen peers {at}", f"peer third {third.others.giver.address}", "weak-word yes")
     again = start("second", *lines, listen=False)
-    assert again.others.gossip.members.incarnation < before
+    assert again.others.gossip.membership.incarnation < before
     made.until(lambda: weak.store.last("second") > before)
-    assert again.others.gossip.members.incarnation > before
+    assert again.others.gossip.membership.incarnation > before
 
 
 # Leases
--- a/tests/gossip/test_merge.py
+++ b/tests/gossip/test_merge.py
@@ -6,7 +6,7 @@
 
 from gaproute.peers.gossip import decode, encode
 from gaproute.peers.gossip.wire import code
-from gaproute.peers.membership import decode as decode_word
+from gaproute.peers.membership_wire import decode as decode_word
 from gaproute.shared.gossip import Page, Word
 from gaproute.shared.gossip.facts import DEMAND, HANDS, LIFE, MOST, ROOM, SCALE, WARM
 from gaproute.shared.gossip.merge import Store
--- a/tests/hollow/test_hollow.py
+++ b/tests/hollow/test_hollow.py
@@ -24,7 +24,7 @@
     known = fleet.until(lambda: all(member.state >= MemberState.DEAD for member in tables), 60)
     assert known is not None and known < 40
     assert sum(held.suspicions for held in members(fleet).values()) < 20
-    assert not [breach for held in members(fleet).values() for breach in check(held, True)]
+    assert not [breach for held in members(fleet).values() for breach in check(held, thorough=True)]
     fleet.close()
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -33,10 +33,12 @@
     second = start("second", f"peer g {where(made.gate)}")
     third = start("third", f"peer second {where(second)}")
     made.until(
-        lambda: [each.others.gossip.members.live_count() for each in (made.gate, second, third)] == [3, 3, 3]
+        lambda: (
+            [each.others.gossip.membership.live_count() for each in (made.gate, second, third)] == [3, 3, 3]
+        )
     )
     third.others.gossip.stop()
-    made.until(lambda: made.gate.others.gossip.members.live_count() == 2)
+    made.until(lambda: made.gate.others.gossip.membership.live_count() == 2)
     states = {row["name"]: row["state"] for row in peer_table(made.gate)}
     assert states == {"second": "alive", "third": "left"}
     assert status(made.gate)["gateways"] == 2
@@ -74,7 +76,7 @@
     peers = made.folder / "peers.list"
     peers.write_text("peer second 127.0.0.1:9\n")
     second = start("second", f"peers-file {peers} look 5ms")
-    assert second.others.gossip.members.members == {} and second.others.learner.state == {}
+    assert second.others.gossip.membership.members == {} and second.others.learner.state == {}
     fresh = made.folder / "fresh"
     fresh.write_text(f"peer second 127.0.0.1:9\npeer g {where(made.gate)}\n")
     fresh.replace(peers)
@@ -82,7 +84,7 @@
     fresh.write_text("peer g nowhere\n")
     fresh.replace(peers)
     made.until(lambda: any(what == "peer list refused" for what, _ in second.record.events))
-    assert second.others.gossip.members.members["g"].configured
+    assert second.others.gossip.membership.members["g"].configured
 
 
 def test_both_sides_started_at_once_learn_from_each_other_what_came_since(fleet):
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_carrier.py
@@ -16,7 +16,8 @@
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
 from gaproute.peers.giver import Giver
-from gaproute.peers.membership import CARRIED, MembershipTransport
+from gaproute.peers.membership import MembershipTransport
+from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.tables import TableCarrier, wire
 from gaproute.peers.tables import carrier as carrier_module
 from gaproute.shared.dissemination import DocumentError, Peer
@@ -160,14 +161,14 @@
     fleet.add("two")
     fleet.until_all_hold(held)
     two = fleet.gateways[1]
-    heard = two.gossip.carried.pop(CARRIED["table"])
+    heard = two.gossip.handlers.pop(PayloadKind.CELL_TABLE)
     for number in range(40):
         change = next_change(held, capacity=10.0 + number)
         held = changed(held, change)
         one.carrier.publish_change(change)
         fleet.loop.run(fleet.loop.sleep(2 * MILLI))
     assert two.carrier.table() == FIRST
-    two.gossip.carried[CARRIED["table"]] = heard
+    two.gossip.handlers[PayloadKind.CELL_TABLE] = heard
     fleet.until_all_hold(held)
     assert [snapshot.version for snapshot in one.carrier.disseminator.serving.snapshots] == [FIRST.version]
 
@@ -214,7 +215,7 @@
     host, port = two.giver.address.rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for body in (b"", b"noise" * 50, b"\x01" * 900) * 5:
-            word = word_pb2.Word(version=1, kind=CARRIED["table"], weak=body)
+            word = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=body)
             word.sender.name = "stranger"
             stranger.sendto(word.SerializeToString(), (host, int(port)))
     fleet.until(lambda: {"other fleet", "not understood"} <= set(two.refusals()))
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -12,7 +12,7 @@
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.table import Version
 from gaproute.peers import word_pb2
-from gaproute.peers.membership import CARRIED
+from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encoded_change
 from gaproute.shared.dissemination import Change, DocumentError
@@ -155,7 +155,7 @@
 
 def wire_length(message, name, where):
     """Bytes of a datagram on the wire, headers included."""
-    word = word_pb2.Word(version=1, kind=CARRIED["table"], weak=wire.pack_datagram(message, where))
+    word = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=wire.pack_datagram(message, where))
     word.sender.name = name
     return len(word.SerializeToString()) + DATAGRAM_HEADERS
 
