--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -13,7 +13,7 @@
         ("purses", len(weak.purses), peers),
         ("round", len(weak.told.round), max(peers, weak.told.longest)),
         ("tombstones", len(weak.store.tombs), TOMBS),
-        ("hosts' tombstones", len(weak.hosts.tombs), hosts.TOMBS),
+        ("hosts' tombstones", len(weak.hosts.tombstones), hosts.MAX_TOMBSTONES),
         ("keys", len(weak.own.keys), own.NAMES),
         ("steps", len(weak.own.demand.past), demand.STEPS),
         ("functions", len(weak.own.demand.now), demand.FUNCTIONS),
--- a/gaproute/shared/gossip/told.py
+++ b/gaproute/shared/gossip/told.py
@@ -5,6 +5,7 @@
 """
 
 from gaproute.shared.gossip.facts import DEMAND, HANDS, ROOM, SECOND, SLOTS, WARM, Word, size
+from gaproute.shared.randomness import shuffle
 
 RATE = 3_000  # bytes a second, headers included: under 4 kB with bursts and membership's beside it
 RATE_IN_CELLS = 2_200  # where the table of cells takes a share of the 4 kB: 0.9 kB at 46,000 changes a day
@@ -61,7 +62,5 @@
                 if name in self.peers:
                     return name
             self.round, self.longest = list(self.names), len(self.names)
-            for place in range(len(self.round) - 1, 0, -1):
-                other = self.chance.below(place + 1)
-                self.round[place], self.round[other] = self.round[other], self.round[place]
+            shuffle(self.round, self.chance)
         return None
--- a/gaproute/shared/gossip/weak.py
+++ b/gaproute/shared/gossip/weak.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from gaproute.shared.gossip.facts import DEMAND, HANDS, KINDS, LIFE, ROOM, SECOND, SLOTS, WARM
-from gaproute.shared.gossip.hosts import Hosts
+from gaproute.shared.gossip.hosts import ListedHosts
 from gaproute.shared.gossip.merge import TOMB_LIFE, Store
 from gaproute.shared.gossip.own import Own
 from gaproute.shared.gossip.reading import WITNESSES, Reading, Sums, median
@@ -23,7 +23,12 @@
 
     def __init__(self, name, incarnation, chance, now, rate=RATE):
         self.name, self.incarnation = name, incarnation
-        self.own, self.store, self.told, self.hosts = Own(now), Store(), Told(chance, now, rate), Hosts()
+        self.own, self.store, self.told, self.hosts = (
+            Own(now),
+            Store(),
+            Told(chance, now, rate),
+            ListedHosts(),
+        )
         self.purses = {}  # sender: (words it may still send, when that was so)
         self.sums = {}  # kind: (when made, Sums)
         self.turn = 0
@@ -68,7 +73,7 @@
 
     def listed(self, now, hosts):
         """{host: its start} as listed now; what was seen of a host before it went or started anew is void."""
-        gone = self.hosts.listed(now, hosts, self.own.key)
+        gone = self.hosts.update(now, hosts, self.own.key)
         if gone:
             self.own.forget(dict.fromkeys(gone))
             self.sums.clear()
@@ -88,7 +93,7 @@
         self.turn += 1
         for name in names:  # every few seconds: what faded goes, so that nothing grows
             self.store.fade(now, name)
-        self.hosts.fade(now, TOMB_LIFE)
+        self.hosts.expire(now, TOMB_LIFE)
         return self.told.tick(now, self.own, self.incarnation)
 
     def hear(self, now, sender, word):
@@ -139,7 +144,7 @@
         None where nobody tells. A median: beliefs of one thing do not add up."""
         name, found = self.own.key(host), []
         for _, held in self.store.fresh(now, ROOM):
-            if self.hosts.counts(name, held.seen):
+            if self.hosts.is_current(name, held.seen):
                 found += [(lanes, now - held.seen) for other, lanes in held.entries if other == name]
         if name in self.own.figures[ROOM]:
             found.append((self.own.figures[ROOM][name], 0))
@@ -162,7 +167,7 @@
         )
         for teller, at, entries in pages:
             for host, other, age in entries:
-                if other == name and now - at + age <= LIFE[WARM] and self.hosts.counts(host, at - age):
+                if other == name and now - at + age <= LIFE[WARM] and self.hosts.is_current(host, at - age):
                     found.setdefault(self.hosts.names[host], []).append((now - at + age, teller))
         return {
             host: (min(seen)[0], tuple(teller for _, teller in sorted(seen)[:WITNESSES]))
@@ -181,7 +186,7 @@
                     lambda entry: entry[1],
                     lambda entry: entry[0],
                     None,
-                    lambda held, entry: self.hosts.counts(entry[0], held.seen),
+                    lambda held, entry: self.hosts.is_current(entry[0], held.seen),
                 )
             else:
                 sums = Sums(
@@ -206,5 +211,5 @@
             "refused": dict(self.refused + self.store.refused),
             "tellers": {KINDS[kind]: len(self.store.fresh(now, kind)) for kind in (HANDS, ROOM, DEMAND)},
             "clipped": sum(sums.clipped for _, sums in self.sums.values()),
-            "alike": self.hosts.alike,
+            "alike": self.hosts.key_collisions,
         }
