--- /dev/null
+++ b/gaproute/shared/gossip/arrivals.py
@@ -0,0 +1,100 @@
+"""Own arrivals by function and request class: their rate over the last buckets, and how far these differ."""
+
+from collections import deque
+from math import sqrt
+from typing import NamedTuple
+
+from gaproute.shared.gossip.facts import DEMAND, MOST, SECOND
+
+BUCKET = 2 * SECOND  # arrivals are counted by it: a spread over shorter ones is that of chance alone
+BUCKETS = 10  # kept: 20 s, a burst shows within some seconds
+MAX_FUNCTIONS = 4096  # counted by name in a bucket; the arrivals of others count as the rest
+
+FunctionClass = tuple[int, int]  # the function's key, and the number of its request class
+
+
+class Bucket(NamedTuple):
+    """Arrivals of one span of time. `unnamed`: of functions beyond the bound."""
+
+    counts: dict[FunctionClass, int]
+    unnamed: int
+
+
+class Rate(NamedTuple):
+    """Arrivals a second, and the standard deviation of a bucket's rate."""
+
+    mean: float
+    deviation: float
+
+
+class ArrivalRates:
+    """Counts arrivals in buckets, and keeps sums over those that ended, so that nothing walks them all."""
+
+    def __init__(self, now: int) -> None:
+        self.counted_until = now  # ns: when the bucket that is being counted began
+        self.counts: dict[FunctionClass, int] = {}  # of the bucket that is being counted
+        self.unnamed = 0
+        self.past: deque[Bucket] = deque()
+        self.sums: dict[FunctionClass, int] = {}
+        self._squares: dict[FunctionClass, int] = {}
+        self._unnamed_sum = 0
+
+    def record(self, now: int, function: int, request_class: int, count: int = 1) -> None:
+        """Counts arrivals."""
+        if now - self.counted_until >= BUCKET:
+            self.advance(now)
+        name = function, request_class
+        if name in self.counts or len(self.counts) < MAX_FUNCTIONS:
+            self.counts[name] = self.counts.get(name, 0) + count
+        else:
+            self.unnamed += count
+
+    def advance(self, now: int) -> None:
+        """Ends the buckets that are over."""
+        ended = (now - self.counted_until) // BUCKET
+        for _ in range(min(BUCKETS + 1, ended)):
+            self._end_bucket()
+            if len(self.past) > BUCKETS:
+                self._drop_oldest()
+        self.counted_until += ended * BUCKET
+
+    def rate(self, name: FunctionClass) -> Rate:
+        """The rate of one function in one request class."""
+        buckets, seconds = len(self.past), BUCKET / SECOND
+        total = self.sums.get(name, 0)
+        if not buckets or not total:
+            return Rate(0.0, 0.0)
+        mean = total / buckets
+        variance = max(0.0, self._squares[name] / buckets - mean * mean) * buckets / max(1, buckets - 1)
+        return Rate(mean / seconds, sqrt(variance) / seconds)
+
+    def total(self) -> float:
+        """Arrivals a second of all functions."""
+        return (sum(self.sums.values()) + self._unnamed_sum) * SECOND / BUCKET / max(1, len(self.past))
+
+    def most_wanted(self, now: int) -> tuple[float, tuple[tuple[int, int, float, float], ...]]:
+        """(arrivals a second of all other functions together, the functions with the most arrivals as
+        (function, request class, mean, deviation))."""
+        self.advance(now)
+        if not self.past:
+            return 0.0, ()
+        names = sorted(self.sums, key=lambda name: (-self.sums[name], name))[: MOST[DEMAND]]
+        named = sum(self.sums[name] for name in names) * SECOND / BUCKET / len(self.past)
+        return max(0.0, self.total() - named), tuple([(*name, *self.rate(name)) for name in names])
+
+    def _end_bucket(self) -> None:
+        for name, count in self.counts.items():
+            self.sums[name] = self.sums.get(name, 0) + count
+            self._squares[name] = self._squares.get(name, 0) + count * count
+        self._unnamed_sum += self.unnamed
+        self.past.append(Bucket(self.counts, self.unnamed))
+        self.counts, self.unnamed = {}, 0
+
+    def _drop_oldest(self) -> None:
+        oldest = self.past.popleft()
+        self._unnamed_sum -= oldest.unnamed
+        for name, count in oldest.counts.items():
+            self.sums[name] -= count
+            self._squares[name] -= count * count
+            if not self.sums[name]:
+                del self.sums[name], self._squares[name]
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -1,6 +1,6 @@
 """What must always hold of a gateway's weak word: named checks that return breaches as text."""
 
-from gaproute.shared.gossip import demand, hosts, own
+from gaproute.shared.gossip import arrivals, hosts, own
 from gaproute.shared.gossip.facts import HIGHEST, SLOTS, sound
 from gaproute.shared.gossip.merge import TOMBS
 
@@ -15,9 +15,9 @@
         ("tombstones", len(weak.store.tombs), TOMBS),
         ("hosts' tombstones", len(weak.hosts.tombstones), hosts.MAX_TOMBSTONES),
         ("keys", len(weak.own.keys), own.NAMES),
-        ("steps", len(weak.own.demand.past), demand.STEPS),
-        ("functions", len(weak.own.demand.now), demand.FUNCTIONS),
-        ("summed functions", len(weak.own.demand.sums), demand.FUNCTIONS * demand.STEPS),
+        ("buckets", len(weak.own.arrivals.past), arrivals.BUCKETS),
+        ("functions", len(weak.own.arrivals.counts), arrivals.MAX_FUNCTIONS),
+        ("summed functions", len(weak.own.arrivals.sums), arrivals.MAX_FUNCTIONS * arrivals.BUCKETS),
         ("copies", max(map(len, weak.own.copies)), own.COPIES),
         ("hosts", max(map(len, weak.own.figures)), own.HOSTS),
     ):
@@ -81,7 +81,7 @@
             own = (
                 entry[0] in hosts_seen,
                 entry[0] in hosts_seen,
-                entry[:2] in weak.own.demand.sums,
+                entry[:2] in weak.own.arrivals.sums,
                 entry[:2] in copies,
             )[page.kind]
             if not own:
--- a/gaproute/shared/gossip/own.py
+++ b/gaproute/shared/gossip/own.py
@@ -1,6 +1,6 @@
 """What this gateway saw itself, made into pages: the only facts that it tells."""
 
-from gaproute.shared.gossip.demand import Demand
+from gaproute.shared.gossip.arrivals import ArrivalRates
 from gaproute.shared.gossip.facts import DEMAND, HANDS, LIFE, MOST, SCALE, SECOND, SLOTS, WARM, Page, key
 
 HOSTS = 8192  # hosts of which tasks in hand or room are kept
@@ -12,7 +12,7 @@
 
 class Own:
     def __init__(self, now):
-        self.demand = Demand(now)
+        self.arrivals = ArrivalRates(now)
         self.figures = ({}, {})  # tasks in hand, room: {host key: figure}
         self.copies = [{} for _ in range(SLOTS[WARM])]  # {(host, function): when seen}, the last last
         self.counters = {}  # (kind, slot): version of the page told last
@@ -66,7 +66,7 @@
     def _make(self, now, kind, slot):
         rest = 0.0
         if kind == DEMAND:
-            rest, entries = self.demand.page(now)
+            rest, entries = self.arrivals.most_wanted(now)
         elif kind == WARM:
             entries = []
             for (host, function), seen in reversed(self.copies[slot].items()):
--- a/gaproute/shared/gossip/weak.py
+++ b/gaproute/shared/gossip/weak.py
@@ -39,7 +39,7 @@
 
     def saw_arrival(self, now, function, track, count=1):
         """`track`: its place among the tracks, 0 to 255."""
-        self.own.demand.arrived(now, self.own.key(function), track & 255, count)
+        self.own.arrivals.record(now, self.own.key(function), track & 255, count)
 
     def saw_hands(self, now, host, tasks):
         """Own tasks in hand there now."""
@@ -128,8 +128,8 @@
         """Arrivals a second in the whole fleet, with their spread as if gateways' arrivals were independent.
         Of a function that few gateways have among their most it is a lower bound: see `rest`."""
         name = self.own.key(function), track
-        self.own.demand.roll(now)
-        own, spread = self.own.demand.rate(name)
+        self.own.arrivals.advance(now)
+        own, spread = self.own.arrivals.rate(name)
         return self._sums(now, DEMAND).reading(name, own, len(self.told.names), spread)
 
     def rest(self, now):
@@ -193,7 +193,7 @@
                     now,
                     kind,
                     self.store.fresh(now, kind),
-                    self.own.demand.total(),
+                    self.own.arrivals.total(),
                     lambda entry: entry[2],
                     lambda entry: entry[:2],
                     lambda entry: entry[3],
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -177,8 +177,8 @@
         made.saw_arrival(number * SECOND // 4000, f"f{number}", 0)
         made.saw_hands(0, f"x{number}", 1)
         made.saw_warm(0, "h1", f"f{number}")
-    assert check(made) == [] and made.own.demand.total() == pytest.approx(4000, rel=0.2)
-    assert [len(step) for step, _ in made.own.demand.past] == [4096, 4096]
+    assert check(made) == [] and made.own.arrivals.total() == pytest.approx(4000, rel=0.2)
+    assert [len(bucket.counts) for bucket in made.own.arrivals.past] == [4096, 4096]
     page = made.own.page(6 * SECOND, DEMAND)
     assert made.own.page(6 * SECOND + 7, DEMAND) == page._replace(age=7)
     assert len(page.entries) == MOST[DEMAND] and page.rest > 1000
