--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS
 from gaproute.http1 import render
 from gaproute.peers.raft import wire
-from gaproute.peers.raft.carrier import TARGET
+from gaproute.peers.raft.transport import TARGET
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.simulation.plan import Plan
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -13,14 +13,14 @@
 from gaproute.peers import Giver, Gossip, Learner
 from gaproute.peers.giver import LIMITS
 from gaproute.peers.gossip import Carrier
-from gaproute.peers.raft.carrier import TARGET
-from gaproute.peers.raft.wire import LONGEST
+from gaproute.peers.raft.transport import TARGET
+from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import Memory, NoMemory
 
 # Of those that ask at a gateway that takes part in the strong word: batches are long, and every gateway of
 # a large fleet may hold a connection to each keeper.
 FORWARDED_HEAD = 4096  # bytes of headers that a gateway adds to a client's
-ASKED = Limits(body=LONGEST, pipelined=1, connections=4096, buffered=4 * LONGEST)
+ASKED = Limits(body=MAX_BATCH_BYTES, pipelined=1, connections=4096, buffered=4 * MAX_BATCH_BYTES)
 
 
 def forwarded_limits(limits, clients):
--- a/gaproute/appliance/strong.py
+++ b/gaproute/appliance/strong.py
@@ -24,18 +24,18 @@
         if name in line.names:
             self.disk = Votes(line.votes, lambda text: record.event("warning", "votes", text=text))
             self._open()
-        self.seat = HostedNode(
+        self.hosted_node = HostedNode(
             loop,
             name,
             line.names,
             self.peers,
             record,
             chance,
-            self.disk,
-            base=time.time_ns() // MILLI,
+            disk=self.disk,
+            fencing_base=time.time_ns() // MILLI,
             machine=LeaseTable(max_duration=line.longest),
         )
-        self.errands = Errands(self.seat.holder, line.longest, secrets.randbits(LIVES) << 12)
+        self.errands = Errands(self.hosted_node.client, line.longest, secrets.randbits(LIVES) << 12)
         self.timer = None
 
     def _open(self):
@@ -53,7 +53,7 @@
         self.peers.update(peers)
 
     def handle(self, server, request):
-        self.seat.carrier.handle(server, request)
+        self.hosted_node.transport.handle(server, request)
 
     def ask(self, order):
         """What an operator's order comes to. Errors: ValueError."""
@@ -62,22 +62,22 @@
         return told
 
     def table(self):
-        return {"errands": self.errands.table(self.loop.now()), **self.seat.table()}
+        return {"errands": self.errands.table(self.loop.now()), **self.hosted_node.status()}
 
     def _act(self):
         self.errands.tick(self.loop.now())
-        self.seat.act()
+        self.hosted_node.run_due()
         if self.timer is not None:
             self.timer.cancel()
         due = self.errands.due
         self.timer = None if due is None else self.loop.at(max(due, self.loop.now() + MILLI), self._act)
 
     def stop(self):
-        self.seat.stop()
+        self.hosted_node.stop()
 
     def close(self):
         if self.timer is not None:
             self.timer.cancel()
-        self.seat.close()
+        self.hosted_node.close()
         if self.disk is not None:
             self.disk.close()
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -5,7 +5,7 @@
 from gaproute.hollow.parts import Part
 from gaproute.loop.streams import address
 from gaproute.peers import Giver
-from gaproute.peers.raft.carrier import TARGET
+from gaproute.peers.raft.transport import TARGET
 
 
 class Exchange(Part):
@@ -15,12 +15,12 @@
         tracks = [line.name for line in surroundings.charter.tracks]
         where = address(surroundings.address)
         self.giver = Giver(surroundings.loop, where, parts["hosts"].gateway, Roll(), tracks, ASKED)
-        self.carrier = parts["leases"].seat.carrier
+        self.transport = parts["leases"].hosted_node.transport
         self.giver.also[TARGET] = self.handle
 
     def handle(self, server, request):
         """A batch of a keeper's messages came."""
-        self.carrier.handle(server, request)
+        self.transport.handle(server, request)
 
     def counters(self):
         """What was told to others that ask, and how often they were put off."""
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -1,4 +1,4 @@
-"""Leases as a part: the product's seat among keepers and holders; each gateway keeps one lease up."""
+"""Leases as a part: the product's Raft node and lease client; each gateway keeps one lease up."""
 
 from gaproute.hollow.parts import Part
 from gaproute.peers.raft import HostedNode
@@ -20,17 +20,17 @@
         self.loop, self.name = surroundings.loop, surroundings.name
         line = surroundings.charter.keepers
         self.peers = {}
-        self.seat = HostedNode(
+        self.hosted_node = HostedNode(
             self.loop,
             self.name,
             line.names,
             self.peers,
             surroundings.record,
             surroundings.chance(5),
-            surroundings.open_votes(self.name) if self.name in line.names else None,
-            surroundings.wall() // 1_000_000,
-            LeaseTable(initial_wait=False),
-            surroundings.open_carrier,
+            disk=surroundings.open_votes(self.name) if self.name in line.names else None,
+            fencing_base=surroundings.wall() // 1_000_000,
+            machine=LeaseTable(initial_wait=False),
+            make_transport=surroundings.open_carrier,
         )
         self.wish, self.refused, self.ended = None, 0, 0
         self.due = self.loop.now() + surroundings.chance(6).below(WITHIN)
@@ -48,20 +48,20 @@
         if self.wish is not None:
             self.refused += self.wish.state == "refused"
             self.ended += self.wish.state == "over"
-        self.wish = self.seat.holder.acquire(now, f"gateway/{self.name}", SPAN)
-        self.seat.act()
+        self.wish = self.hosted_node.client.acquire(now, f"gateway/{self.name}", SPAN)
+        self.hosted_node.run_due()
 
     def listed(self, gateways):
-        """Changed in place, as the carrier holds it."""
+        """Changed in place, as the transport holds it."""
         self.peers.clear()
         self.peers.update({gateway.name: gateway.where for gateway in gateways})
 
     def counters(self):
         """`entries`: a keeper's leases and log entries; `bytes`: counted by the simulated carrier alone."""
-        node, carrier = self.seat.node, self.seat.carrier
+        node, transport = self.hosted_node.node, self.hosted_node.transport
         return {
-            "messages": carrier.counts["sent"],
-            "bytes": carrier.counts["bytes"],
+            "messages": transport.counts["sent"],
+            "bytes": transport.counts["bytes"],
             "entries": 0 if node is None else len(node.machine.leases) + len(node.log.entries),
             "held": int(self.held),
             "refused": self.refused,
@@ -70,4 +70,4 @@
 
     def close(self):
         """Gives nothing back: the lease runs out."""
-        self.seat.close()
+        self.hosted_node.close()
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -12,7 +12,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.loop import READ
-from gaproute.peers.raft import Carrier
+from gaproute.peers.raft import RaftTransport
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 BEAT = 20 * MILLI  # between looks at the process's own lateness
@@ -71,7 +71,7 @@
             charter=self.charter,
             seed=self.seed * 1_000_003 + number * 101,
             open_datagrams=Datagrams,
-            open_carrier=Carrier,
+            open_carrier=RaftTransport,
             open_votes=partial(open, os.devnull),
             wall=time.time_ns,
             record=self.changes,
--- a/gaproute/hollow/simulation/network.py
+++ b/gaproute/hollow/simulation/network.py
@@ -70,7 +70,7 @@
 
 
 class SimulatedCarrier:
-    """Has the face of `gaproute.peers.raft.Carrier`: one message in each exchange."""
+    """Has the face of `gaproute.peers.raft.RaftTransport`: one message in each exchange."""
 
     def __init__(self, network, loop, name, peers, take):
         self.network, self.loop, self.name, self.peers, self.take = network, loop, name, peers, take
--- a/gaproute/peers/raft/__init__.py
+++ b/gaproute/peers/raft/__init__.py
@@ -1,12 +1,10 @@
-"""Carries what keepers and holders say between gateways; nothing runs unless it is made.
+"""Raft messages and lease requests between gateways; nothing runs unless it is made.
 
-seat = HostedNode(loop, name, keepers, peers, record, disk=None, ...)   disk: this gateway is a keeper as well
-seat.holder.acquire(...), then seat.act()       the holder's side; `act` after every call on it
-seat.carrier.handle(server, request)         for a server that listens already: `POST /keepers`
-seat.carrier.listen(where)                   or an address of its own
+`HostedNode` runs a gateway's lease client and, where the configuration names it a member, its `RaftNode`.
+`RaftTransport` brings their messages to the other gateways and takes theirs.
 """
 
-from gaproute.peers.raft.carrier import Carrier
 from gaproute.peers.raft.hosted_node import HostedNode
+from gaproute.peers.raft.transport import RaftTransport
 
-__all__ = ["Carrier", "HostedNode"]
+__all__ = ["HostedNode", "RaftTransport"]
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -1,150 +1,179 @@
-"""A gateway's seat among keepers and holders: clock, sockets and log lines around the decisions, no
-choice."""
+"""A gateway's lease client and its node of the Raft group: clock, transport and log lines; no decisions."""
 
-from gaproute.peers.raft.carrier import Carrier
-from gaproute.shared.leases import LeaseClient
-from gaproute.shared.raft import RaftNode
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any
+
+from gaproute.peers.raft.transport import RaftTransport
+from gaproute.shared.leases import LeaseClient, LeaseTable
+from gaproute.shared.raft import Disk, RaftNode, Role
 from gaproute.shared.raft.invariants import replay
-from gaproute.shared.raft.messages import Reply
-from gaproute.shared.raft.role import Role
+from gaproute.shared.raft.messages import RaftMessage, Reply
+from gaproute.shared.randomness import RandomSource
 
 MILLI = 1_000_000
 
-SAY = 60_000 * MILLI  # between log lines of what was refused, so that a flood is no flood of lines
-SLOW = 50 * MILLI  # a turn of the keeper above it is told: its disk holds up the gateway's tasks
+REJECTIONS_INTERVAL = 60_000 * MILLI  # between log lines, so that a flood is no flood of lines
+SLOW_TURN = 50 * MILLI  # of the node; above it its disk holds up the gateway's requests
+NO_NODE = "refused: no keeper here"
 
 
 class HostedNode:
-    """`keepers`: names; `peers`: {name: address} of all gateways that may ask; `record.event(level, what,
-    ...)`. With a `disk` (an opened `ledger.votes.Votes`) and its own name among the keepers it keeps as
-    well. `carrier`: makes what carries the messages; a simulation hands in its own."""
+    """Runs the lease client `client` and, where there is a disk and `name` is a member, the `node`.
+
+    `members`: the configured names; `peers`: addresses of all gateways that may ask, by name;
+    `record.event(level, what, ...)` takes log lines; `disk`: opened; `machine`: the node's;
+    `fencing_base`: as of `RaftNode`; `make_transport(loop, name, peers, receive)`: a simulation hands in its
+    own.
+    """
 
     def __init__(
-        self, loop, name, keepers, peers, record, chance, disk=None, base=0, machine=None, carrier=Carrier
-    ):
-        self.loop, self.name, self.record = loop, name, record
-        self.carrier = carrier(loop, name, peers, self.take)
-        self.holder = LeaseClient(name, keepers, chance, loop.now())
-        self.node = None
-        if disk is not None and name in keepers:
-            self.node = RaftNode(name, keepers, disk, chance, loop.now(), machine, fencing_base=base)
+        self,
+        loop: Any,
+        name: str,
+        members: Iterable[str],
+        peers: Mapping[str, str],
+        record: Any,
+        chance: RandomSource,
+        *,
+        machine: LeaseTable,
+        disk: Disk | None = None,
+        fencing_base: int = 0,
+        make_transport: Callable[..., Any] = RaftTransport,
+    ) -> None:
+        self.loop, self.name, self.record, self.machine = loop, name, record, machine
+        members = tuple(members)
+        self.transport = make_transport(loop, name, peers, self.receive)
+        self.client = LeaseClient(name, members, chance, loop.now())
+        self.node: RaftNode | None = None
+        if disk is not None and name in members:
+            self.node = RaftNode(name, members, disk, chance, loop.now(), machine, fencing_base=fencing_base)
             if self.node.store.discard_reason:
-                record.event("error", "keeper's memory set aside", why=self.node.store.discard_reason)
-        self.seen = {}
-        self.told = loop.now()
-        self.breaches = 0
-        self.timer = None
-        self.arm()
-
-    def set_configured_members(self, keepers):
-        """The configuration names these keepers now."""
-        self.holder.set_configured_members(self.loop.now(), keepers)
-        if self.node is not None:
-            self.node.set_configured_members(self.loop.now(), keepers)
-        self.act()
+                record.event("error", "raft disk set aside", why=self.node.store.discard_reason)
+        self.log = NodeLog(record, loop.now())
+        self.timer: Any = None
+        self._schedule()
+
+    def _parts(self) -> list[LeaseClient | RaftNode]:
+        return [self.client] if self.node is None else [self.client, self.node]
 
-    def take(self, sender, message):
-        """One that came from a peer, or from here."""
-        part = self.holder if isinstance(message, Reply) else self.node
+    def set_configured_members(self, members: Iterable[str]) -> None:
+        """The names that the configuration has now."""
+        members = tuple(members)
+        for part in self._parts():
+            part.set_configured_members(self.loop.now(), members)
+        self.run_due()
+
+    def receive(self, sender: str, message: RaftMessage) -> None:
+        """Takes a message that came from a peer, or from here."""
+        part = self.client if isinstance(message, Reply) else self.node
         if part is None:
-            self.carrier.counts["refused: no keeper here"] += 1
+            self.transport.counts[NO_NODE] += 1
             return
         begun = self.loop.now()
-        self.send(part.hear(begun, sender, message))
-        self.note(begun)
+        self._send(part.hear(begun, sender, message))
+        self._after_turn(begun)
 
-    def act(self):
-        """What is due now, of both sides; to be called after every call on the holder."""
+    def run_due(self) -> None:
+        """Does what is due now; to be called after every call of the client."""
         begun = self.loop.now()
-        for part in (self.holder, self.node):
-            if part is not None and part.due is not None and part.due <= begun:
-                self.send(part.tick(begun))
-        self.note(begun)
+        for part in self._parts():
+            if part.due is not None and part.due <= begun:
+                self._send(part.tick(begun))
+        self._after_turn(begun)
 
-    def send(self, told):
-        for to, message in told:
+    def _send(self, messages: Iterable[tuple[str, RaftMessage]]) -> None:
+        for to, message in messages:
             if to == self.name:
-                self.loop.soon(self.take, to, message)
+                self.loop.soon(self.receive, to, message)
             else:
-                self.carrier.send(to, message)
+                self.transport.send(to, message)
 
-    def arm(self):
-        dues = [part.due for part in (self.holder, self.node) if part is not None and part.due is not None]
+    def _schedule(self) -> None:
+        times = [part.due for part in self._parts() if part.due is not None]
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.at(min(dues), self.act) if dues else None
+        self.timer = self.loop.at(min(times), self.run_due) if times else None
 
-    def note(self, begun):
-        """Log lines for what an operator wants to know, each change once."""
-        self.arm()
-        node, now = self.node, self.loop.now()
-        if node is None:
-            return
-        if now - begun > SLOW:
-            self.record.event("warning", "keeper slow", ms=(now - begun) // MILLI)
-        told = {
-            "keeper": node.role.value if node.role in (Role.LEADER, Role.FOLLOWER) else None,
-            "keeper silent": node.storage_failure,
-            "members": [member.name for member in node.members],
-        }
-        for what, value in told.items():
-            if value is not None and self.seen.get(what) != value:
-                self.seen[what] = value
-                if value:
-                    self.record.event(
-                        "error" if what == "keeper silent" else "info",
-                        what,
-                        now=value,
-                        term=node.term,
-                        leader=node.leader,
-                    )
-        for breach in node.breaches[self.breaches :]:
-            self.record.event("error", "breach", text=breach, replay=replay(node))
-        self.breaches = len(node.breaches)
-        refused = {
-            **node.rejections,
-            **{what: count for what, count in self.carrier.counts.items() if what.startswith("refused")},
-        }
-        if now - self.told >= SAY:
-            self.told = now
-            if refused != self.seen.get("refused", {}):
-                self.seen["refused"] = refused
-                self.record.event("warning", "keeper refused", **{"by_reason": refused})
-
-    def table(self):
-        """For the operators' address."""
-        node = self.node
+    def _after_turn(self, begun: int) -> None:
+        self._schedule()
+        if self.node is not None:
+            self.log.turn(self.node, begun, self.loop.now(), self.transport.counts)
+
+    def status(self) -> dict[str, Any]:
+        """For the operators' address, whose keys these are."""
         return {
             "holds": [
                 {
-                    "resource": wish.resource,
-                    "state": wish.state,
-                    "fence": wish.fencing_token,
+                    "resource": request.resource,
+                    "state": request.state,
+                    "fence": request.fencing_token,
                     "ms_left": None
-                    if wish.expires_at is None
-                    else (wish.expires_at - self.loop.now()) // MILLI,
+                    if request.expires_at is None
+                    else (request.expires_at - self.loop.now()) // MILLI,
                 }
-                for wish in self.holder.requests
+                for request in self.client.requests
             ],
-            "carried": dict(self.carrier.counts),
-            "keeper": node
-            and {
-                "role": node.role.value,
-                "term": node.term,
-                "leader": node.leader,
-                "agreed": node.commit_index,
-                "members": [each.name for each in node.members],
-                "silent": node.storage_failure,
-                "permits": len(node.machine.leases),
-            },
+            "carried": dict(self.transport.counts),
+            "keeper": self.node and self._node_status(self.node),
         }
 
-    def stop(self):
-        """Gives all permits back; `close` ends it."""
-        self.holder.release_all(self.loop.now())
-        self.act()
+    def _node_status(self, node: RaftNode) -> dict[str, Any]:
+        return {
+            "role": node.role.value,
+            "term": node.term,
+            "leader": node.leader,
+            "agreed": node.commit_index,
+            "members": [member.name for member in node.members],
+            "silent": node.storage_failure,
+            "permits": len(self.machine.leases),
+        }
+
+    def stop(self) -> None:
+        """Releases all leases; `close` ends it."""
+        self.client.release_all(self.loop.now())
+        self.run_due()
 
-    def close(self):
+    def close(self) -> None:
+        """Neither sends nor receives any more."""
         if self.timer is not None:
             self.timer.cancel()
-        self.carrier.close()
+        self.transport.close()
+
+
+class NodeLog:
+    """Log lines of a node for what an operator wants to know, each change once."""
+
+    def __init__(self, record: Any, now: int) -> None:
+        self.record = record
+        self.logged: dict[str, Any] = {}  # the last value, by what it is
+        self.rejections: dict[str, int] = {}
+        self.rejections_looked_at = now
+        self.breaches = 0  # logged so far
+
+    def turn(self, node: RaftNode, begun: int, now: int, counts: Mapping[str, int]) -> None:
+        """After a turn of the node from `begun` to `now`; `counts`: the transport's."""
+        if now - begun > SLOW_TURN:
+            self.record.event("warning", "raft slow", ms=(now - begun) // MILLI)
+        if node.role in (Role.LEADER, Role.FOLLOWER):
+            self._change(node, "info", "raft role", node.role.value)
+        self._change(node, "error", "raft storage failed", node.storage_failure)
+        self._change(node, "info", "members", [member.name for member in node.members])
+        for breach in node.breaches[self.breaches :]:
+            self.record.event("error", "breach", text=breach, replay=replay(node))
+        self.breaches = len(node.breaches)
+        if now - self.rejections_looked_at >= REJECTIONS_INTERVAL:
+            self.rejections_looked_at = now
+            refused = {what: count for what, count in counts.items() if what.startswith("refused")}
+            self._rejections({**node.rejections, **refused})
+
+    def _change(self, node: RaftNode, level: str, what: str, value: Any) -> None:
+        if self.logged.get(what) == value:
+            return
+        self.logged[what] = value
+        if value:
+            self.record.event(level, what, now=value, term=node.term, leader=node.leader)
+
+    def _rejections(self, by_reason: dict[str, int]) -> None:
+        if by_reason != self.rejections:
+            self.rejections = by_reason
+            self.record.event("warning", "raft rejected", by_reason=by_reason)
--- /dev/null
+++ b/gaproute/peers/raft/transport.py
@@ -0,0 +1,210 @@
+"""Batches of messages between gateways: `POST /keepers`.
+
+They go to the address where a gateway listens for its peers, or to one of their own. One exchange at a time
+with each peer, on a connection that stays open. A message that finds no room or nobody is lost, as Raft bears
+it.
+
+A sender is believed to be who it says, as in all exchange of peers (a private network, see
+docs/operators.md); a name that is no peer's is rejected.
+"""
+
+from collections import Counter, deque
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from gaproute.http1 import Exchange, Limits, Server
+from gaproute.loop.streams import address
+from gaproute.peers.raft import wire
+from gaproute.shared.raft.messages import RaftMessage
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+
+MAX_QUEUED = 256  # messages that wait for one peer; beyond it the oldest is dropped: it is the stalest
+MAX_QUEUED_BYTES = 2 * wire.MAX_BATCH_BYTES
+EXCHANGE_TIMEOUT = 2 * SECOND  # a snapshot over a slow link; a dead peer costs an attempt in that
+RETRY_DELAY = 200 * MILLI  # after a failed exchange: a heartbeat
+RATE = 500  # messages a second that one peer may send: a busy leader's share, ten times over
+BURST = 1000  # messages beyond that at once
+MAX_CONNECTIONS = 256
+MAX_RESPONSE_BYTES = 4096  # heads, and bodies
+TARGET = b"/keepers"
+
+
+class PeerState:
+    """What waits for one peer, the exchange with it, and the token bucket of what it sends."""
+
+    def __init__(self, now: int) -> None:
+        self.queue: deque[bytes] = deque()
+        self.queued_bytes = 0
+        self.connection: Any = None
+        self.exchange: Any = None
+        self.timer: Any = None  # of the next batch, or of the exchange's timeout
+        self.retry_at = now  # until then nothing is sent
+        self.tokens: float = BURST
+        self.refilled_at = now
+
+    def push(self, data: bytes) -> int:
+        """Queues a message; how many older ones were dropped for it."""
+        self.queue.append(data)
+        self.queued_bytes += len(data)
+        dropped = 0
+        while len(self.queue) > MAX_QUEUED or self.queued_bytes > MAX_QUEUED_BYTES:
+            self.queued_bytes -= len(self.queue.popleft())
+            dropped += 1
+        return dropped
+
+    def pop_batch(self) -> list[bytes]:
+        """The messages that go together next."""
+        packed: list[bytes] = []
+        size = 0
+        while self.queue and len(packed) < wire.MAX_MESSAGES:
+            if packed and size + len(self.queue[0]) >= wire.FULL_BATCH_BYTES:
+                break
+            packed.append(self.queue.popleft())
+            size += len(packed[-1])
+        self.queued_bytes -= size
+        return packed
+
+    def spend_tokens(self, now: int, messages: int) -> bool:
+        """Whether the peer may send so many messages now."""
+        self.tokens = min(BURST, self.tokens + (now - self.refilled_at) * RATE / SECOND)
+        self.refilled_at = now
+        if self.tokens < messages:
+            return False
+        self.tokens -= messages
+        return True
+
+    def close(self) -> None:
+        """Ends the exchange and the connection."""
+        if self.timer is not None:
+            self.timer.cancel()
+        if self.exchange is not None:
+            self.exchange.drop()
+        if self.connection is not None:
+            self.connection.drop()
+
+
+class RaftTransport:
+    """Sends messages to peers and hands on theirs.
+
+    `peers`: addresses as text by name, may be changed in place; `receive(sender, message)` is called for each
+    message that comes. `counts`: messages sent, heard, lost, and what was refused by reason.
+    """
+
+    def __init__(
+        self, loop: Any, name: str, peers: Mapping[str, str], receive: Callable[[str, RaftMessage], None]
+    ) -> None:
+        self.loop, self.name, self.peers, self.receive = loop, name, peers, receive
+        self.states: dict[str, PeerState] = {}  # by name
+        self.counts: Counter[str] = Counter()
+        self.server: Any = None
+        self.closed = False
+
+    # Receiving
+
+    def listen(self, where: str) -> Any:
+        """Listens on an address of its own, which is returned as text. Raises OSError."""
+        limits = Limits(
+            body=wire.MAX_BATCH_BYTES,
+            pipelined=1,
+            connections=MAX_CONNECTIONS,
+            buffered=4 * wire.MAX_BATCH_BYTES,
+        )
+        self.server = Server(
+            self.loop, address(where), lambda request: self.handle(self.server, request), limits
+        )
+        return self.server.address
+
+    def handle(self, server: Any, request: Any) -> None:
+        """Answers a request that a server took."""
+        if request.target != TARGET or request.method != b"POST":
+            server.answer(request, 404, (), b"POST /keepers\n")
+            return
+        try:
+            sender, messages = wire.read(request.body)
+        except ValueError as reason:
+            self.counts[f"refused: {reason}"] += 1
+            server.answer(request, 400, (), b"not understood\n")
+            return
+        if sender not in self.peers or sender == self.name:
+            self.counts["refused: stranger"] += 1
+            server.answer(request, 400, (), b"not a peer\n")
+            return
+        if not self._state(sender).spend_tokens(self.loop.now(), len(messages)):
+            self.counts["refused: flood"] += len(messages)
+            server.answer(request, 429, (), b"too much\n")
+            return
+        server.answer(request, 204, (), b"")
+        self.counts["heard"] += len(messages)
+        for message in messages:
+            self.receive(sender, message)
+
+    # Sending
+
+    def _state(self, name: str) -> PeerState:
+        if name not in self.states:
+            for gone in [each for each in self.states if each not in self.peers]:
+                self.states.pop(gone).close()
+            self.states[name] = PeerState(self.loop.now())
+        return self.states[name]
+
+    def send(self, to: str, message: RaftMessage) -> None:
+        """Queues a message for a peer."""
+        if to not in self.peers or self.closed:
+            self.counts["lost"] += 1
+            return
+        state = self._state(to)
+        self.counts["lost"] += state.push(wire.pack(message))
+        if state.exchange is None and state.timer is None:
+            # Behind what is at work now, so that all that one turn sends goes in one batch.
+            state.timer = self.loop.at(max(self.loop.now(), state.retry_at), self._flush, to, state)
+
+    def _flush(self, to: str, state: PeerState) -> None:
+        """Begins the next exchange."""
+        state.timer = None
+        if not state.queue or state.exchange is not None or to not in self.peers or self.closed:
+            return
+        packed = state.pop_batch()
+        body = wire.batch(self.name, packed)
+        data = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n%b" % (TARGET, len(body), body)
+        state.exchange = Exchange(
+            self.loop, data, lambda answer, fault: self._finish(to, state, len(packed), answer)
+        )
+        state.timer = self.loop.after(EXCHANGE_TIMEOUT, self._finish, to, state, len(packed), None)
+        if state.connection is not None and state.connection.open:
+            state.exchange.on(state.connection)
+            return
+        state.exchange.open(
+            address(self.peers[to]),
+            EXCHANGE_TIMEOUT,
+            MAX_RESPONSE_BYTES,
+            MAX_RESPONSE_BYTES,
+            lambda connection: setattr(state, "connection", connection),
+        )
+
+    def _finish(self, to: str, state: PeerState, messages: int, answer: Any) -> None:
+        """The exchange ended, or its time did (`answer` is None)."""
+        exchange, state.exchange = state.exchange, None
+        if state.timer is not None:
+            state.timer.cancel()
+            state.timer = None
+        now = self.loop.now()
+        if answer is None:
+            exchange.drop()
+            if state.connection is not None:
+                state.connection.drop()
+            state.connection = None
+        sent = answer is not None and answer.status == 204
+        self.counts["sent" if sent else "lost"] += messages
+        state.retry_at = now if sent else now + RETRY_DELAY
+        if state.queue and not self.closed:
+            state.timer = self.loop.at(state.retry_at, self._flush, to, state)
+
+    def close(self) -> None:
+        """Sends and listens no more."""
+        self.closed = True
+        for state in self.states.values():
+            state.close()
+        self.states.clear()
+        if self.server is not None:
+            self.server.close()
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -1,9 +1,10 @@
-"""Messages of keepers and holders as bytes and back: MessagePack, strict, bounded; no sockets, no choices.
+"""Messages of a Raft group and its clients as bytes and back: MessagePack, strict and bounded.
 
-A batch is [version, sender's name, [messages]]. One message that is none makes the whole batch none: no
+A batch is [version, sender's name, [messages]]. One malformed message makes the whole batch malformed: no
 peer that is in its right mind sends one.
 """
 
+from collections.abc import Sequence
 from typing import Annotated
 
 import msgspec
@@ -13,40 +14,41 @@
 from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, RaftMessage
 
 VERSION = 1
-MANY = 64  # messages in a batch: those of a few beats
-BATCH = 512 << 10  # bytes after which no further message joins a batch
-LONGEST = MAX_SNAPSHOT_BYTES + BATCH  # bytes of a batch: one snapshot and what went with it
-HEAD = b"\x93"  # MessagePack's mark of an array of three
+MAX_MESSAGES = 64  # in a batch: those of a few heartbeats
+FULL_BATCH_BYTES = 512 << 10  # after which no further message joins a batch
+MAX_BATCH_BYTES = MAX_SNAPSHOT_BYTES + FULL_BATCH_BYTES  # one snapshot and what went with it
+ARRAY_OF_THREE = b"\x93"  # MessagePack's mark
 
-_one = msgspec.msgpack.Encoder().encode
-_read = msgspec.msgpack.Decoder(
+_encoder = msgspec.msgpack.Encoder()
+_decoder = msgspec.msgpack.Decoder(
     tuple[
         int,
         Annotated[str, Meta(min_length=1, max_length=NAME)],
-        Annotated[list[RaftMessage], Meta(min_length=1, max_length=MANY)],
+        Annotated[list[RaftMessage], Meta(min_length=1, max_length=MAX_MESSAGES)],
     ]
-).decode
+)
 
 
-def pack(message):
-    return _one(message)
+def pack(message: RaftMessage) -> bytes:
+    """One message as bytes."""
+    return _encoder.encode(message)
 
 
-def batch(sender, packed):
-    """Bytes of a batch; `packed`: messages by `pack`."""
-    return _one((VERSION, sender, [msgspec.Raw(each) for each in packed]))
+def batch(sender: str, packed: Sequence[bytes]) -> bytes:
+    """The bytes of a batch; `packed`: messages by `pack`."""
+    return _encoder.encode((VERSION, sender, [msgspec.Raw(each) for each in packed]))
 
 
-def read(data):
-    """(sender, [messages]). Errors: ValueError whose text is the reason it is counted under."""
-    if len(data) > LONGEST:
+def read(data: bytes) -> tuple[str, list[RaftMessage]]:
+    """The sender and the messages. Raises ValueError whose text is the reason that it is counted under."""
+    if len(data) > MAX_BATCH_BYTES:
         raise ValueError("too long")
-    if data[:1] != HEAD:
+    if data[:1] != ARRAY_OF_THREE:
         raise ValueError("noise")
     if data[1:2] != bytes((VERSION,)):
         raise ValueError("version")
     try:
-        _, sender, messages = _read(data)
+        _, sender, messages = _decoder.decode(data)
     except (ValueError, RecursionError):
         raise ValueError("noise") from None
     return sender, messages
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -69,7 +69,7 @@
 
     def leader(self):
         def leaders():
-            return [name for name in "abc" if self.gates[name].others.strong.seat.node.is_leader]
+            return [name for name in "abc" if self.gates[name].others.strong.hosted_node.node.is_leader]
 
         self.made.until(leaders)
         return leaders()[0]
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -53,7 +53,8 @@
     net.crash(name, lost=True)
     net.run(SECOND)
     net.start(name)
-    assert net.nodes[name].incarnation != life and not net.nodes[name].is_member
+    assert net.nodes[name].incarnation != life
+    assert not net.nodes[name].is_member
     before = lead.commit_index
     third = next(each for each in net.names if each not in (name, lead.name))
     net.cut = {(third, lead.name)}  # only the one without memory answers
@@ -74,7 +75,8 @@
     net.run(5 * SECOND)
     net.start("k0")
     net.run(20 * SECOND)
-    assert net.nodes["k0"].is_member and net.nodes["k0"].log.entry_at(1) == agreed
+    assert net.nodes["k0"].is_member
+    assert net.nodes["k0"].log.entry_at(1) == agreed
 
 
 def test_two_of_three_without_their_disks_agree_on_nothing():
@@ -88,7 +90,8 @@
             net.start(name)
     before = net.nodes[left].commit_index
     net.run(30 * SECOND)
-    assert net.leader is None and net.nodes[left].commit_index == before
+    assert net.leader is None
+    assert net.nodes[left].commit_index == before
 
 
 def test_the_configuration_names_others_and_the_members_follow():
@@ -100,7 +103,8 @@
         net.nodes[name].set_configured_members(net.now, net.names)
     net.run(20 * SECOND)
     assert [member.name for member in net.leader.members] == net.names
-    assert net.leader.name != "k2" and not net.nodes["k2"].is_leader
+    assert net.leader.name != "k2"
+    assert not net.nodes["k2"].is_leader
     sizes = [len(members) for _, members in net.leader.log.membership_history]
     assert sizes == [0, 3, 4, 3]
 
@@ -123,7 +127,8 @@
     assert lead.log.last_index == last
     lead.leader_state.first_index = last
     lead.tick(now + SECOND)
-    assert lead.log.last_index == last + 1 and len(lead.members) == 2
+    assert lead.log.last_index == last + 1
+    assert len(lead.members) == 2
 
 
 def test_a_group_whose_members_all_restart_with_a_long_log_agrees_again():
@@ -134,7 +139,7 @@
             assert made.leader.propose(EntryKind.NOOP)
         made.run(SECOND)
     entries = made.leader.commit_index
-    assert MAX_UNCOMMITTED < entries
+    assert entries > MAX_UNCOMMITTED
     for name in made.names:
         made.crash(name)
     made.flying.clear()  # else what the old leader had sent would still tell how far all agreed
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -8,7 +8,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from gaproute.peers.raft import HostedNode, wire
-from gaproute.peers.raft.carrier import BURST
+from gaproute.peers.raft.transport import BURST
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft.messages import (
     AppendEntries,
@@ -32,31 +32,31 @@
 
 class Group:
     def __init__(self, folder, names=("a", "b", "c")):
-        self.folder, self.names, self.loop, self.peers, self.seats = folder, names, Loop(), {}, {}
+        self.folder, self.names, self.loop, self.peers, self.hosts = folder, names, Loop(), {}, {}
         for number, name in enumerate((*names, "h")):
             self.start(name, number)
 
     def start(self, name, number=9):
         disk = Votes(self.folder / name, lambda text: None).open() if name in self.names else None
-        seat = HostedNode(
+        host = HostedNode(
             self.loop,
             name,
             self.names,
             self.peers,
             Record(),
             Chance(number),
-            disk,
+            disk=disk,
             machine=LeaseTable(initial_wait=False),
         )
-        seat.disk = disk
-        self.peers[name] = seat.carrier.listen(self.peers.get(name, "127.0.0.1:0"))
-        self.seats[name] = seat
+        host.disk = disk
+        self.peers[name] = host.transport.listen(self.peers.get(name, "127.0.0.1:0"))
+        self.hosts[name] = host
 
     def end(self, name):
-        seat = self.seats.pop(name)
-        seat.close()
-        if seat.disk is not None:
-            seat.disk.close()
+        host = self.hosts.pop(name)
+        host.close()
+        if host.disk is not None:
+            host.disk.close()
 
     def until(self, done, within=20 * SECOND):
         end = self.loop.now() + within
@@ -65,14 +65,14 @@
             self.loop.turn()
 
     def close(self):
-        for name in list(self.seats):
+        for name in list(self.hosts):
             self.end(name)
         self.loop.close()
 
     @property
     def leader(self):
         return next(
-            (name for name in self.names if name in self.seats and self.seats[name].node.is_leader), None
+            (name for name in self.names if name in self.hosts and self.hosts[name].node.is_leader), None
         )
 
 
@@ -95,25 +95,28 @@
 
 
 def test_a_permit_over_sockets_outlives_the_leader_and_a_restart(group):
-    holder = group.seats["h"].holder
+    holder = group.hosts["h"].client
     wish = holder.acquire(group.loop.now(), "host-7", 10 * SECOND)
-    group.seats["h"].act()
+    group.hosts["h"].run_due()
     group.until(lambda: wish.state == "held")
-    assert wish.valid_at(group.loop.now()) and wish.fencing_token == 1
+    assert wish.valid_at(group.loop.now())
+    assert wish.fencing_token == 1
     gone = group.leader
-    agreed, life = group.seats[gone].node.commit_index, group.seats[gone].node.incarnation
+    agreed, life = group.hosts[gone].node.commit_index, group.hosts[gone].node.incarnation
     group.end(gone)
     other = holder.acquire(group.loop.now(), "host-8", 10 * SECOND)
-    group.seats["h"].act()
+    group.hosts["h"].run_due()
     group.until(lambda: other.state == "held")
-    assert wish.valid_at(group.loop.now()) and other.fencing_token == 2
+    assert wish.valid_at(group.loop.now())
+    assert other.fencing_token == 2
     group.start(gone)
-    node = group.seats[gone].node
-    assert node.incarnation == life and node.log.last_index >= agreed - 1
+    node = group.hosts[gone].node
+    assert node.incarnation == life
+    assert node.log.last_index >= agreed - 1
     group.until(lambda: len(node.machine.leases) == 2)
-    assert not any(seat.node.breaches for seat in group.seats.values() if seat.node)
+    assert not any(host.node.breaches for host in group.hosts.values() if host.node)
     assert "leader" in [
-        told["now"] for _, what, told in group.seats[group.leader].record.events if what == "keeper"
+        told["now"] for _, what, told in group.hosts[group.leader].record.events if what == "raft role"
     ]
 
 
@@ -121,7 +124,7 @@
 def test_a_file_that_cannot_be_trusted_is_kept_aside_and_the_keeper_learns_anew(group, harm):
     group.until(lambda: group.leader)
     name, other = [each for each in group.names if each != group.leader]
-    life = group.seats[name].node.incarnation
+    life = group.hosts[name].node.incarnation
     group.end(name)
     path = group.folder / name
     if harm == "torn":
@@ -131,18 +134,17 @@
     else:
         path.write_bytes((group.folder / other).read_bytes())
     group.start(name)
-    seat = group.seats[name]
-    assert (
-        seat.node.incarnation not in (life, group.seats[other].node.incarnation) and seat.node.store.is_blank
-    )
-    assert [what for _, what, _ in seat.record.events] == ["keeper's memory set aside"]
+    host = group.hosts[name]
+    assert host.node.incarnation not in (life, group.hosts[other].node.incarnation)
+    assert host.node.store.is_blank
+    assert [what for _, what, _ in host.record.events] == ["raft disk set aside"]
     assert len(list(group.folder.glob(f"{name}.*"))) >= 2  # the lock, and what was set aside
-    group.until(lambda: seat.node.is_member)
+    group.until(lambda: host.node.is_member)
 
 
 def test_bad_batches_are_counted_by_reason_and_change_nothing(group):
     group.until(lambda: group.leader)
-    seat = group.seats["a"]
+    host = group.hosts["a"]
     good = wire.pack(AppendEntriesResponse(1, 1, True, 1))
     for body, reason in (
         (b"", "noise"),
@@ -156,30 +158,33 @@
         (wire.batch("b", [wire.pack(Request(1, 1, b"x" * 4096))]), "noise"),
         (b"\x93\x01\xa1b" + b"\x91" * 5000, "noise"),
     ):
-        before = seat.carrier.counts[f"refused: {reason}"]
+        before = host.transport.counts[f"refused: {reason}"]
         assert post(group, "a", body) == 400
-        assert seat.carrier.counts[f"refused: {reason}"] == before + 1, body[:20]
-    term = seat.node.term
+        assert host.transport.counts[f"refused: {reason}"] == before + 1, body[:20]
+    term = host.node.term
     assert post(group, "a", wire.batch("h", [wire.pack(RequestVote(term + 1, 1, 99, 99, False))])) == 204
-    assert seat.node.rejections["stranger"] == 1 and seat.node.term == term
+    assert host.node.rejections["stranger"] == 1
+    assert host.node.term == term
     assert post(group, "h", wire.batch("b", [good])) == 204
-    assert group.seats["h"].carrier.counts["refused: no keeper here"] == 1
+    assert group.hosts["h"].transport.counts["refused: no keeper here"] == 1
 
 
 def test_a_flood_is_refused_and_the_queue_to_a_dead_peer_is_bounded(group):
     group.until(lambda: group.leader)
-    flood = wire.batch("h", [wire.pack(Reply(1, 1, "busy"))] * wire.MANY)
-    answers = [post(group, "a", flood) for _ in range(BURST // wire.MANY + 2)]
-    assert answers[0] == 204 and answers[-1] == 429
-    carrier = group.seats["h"].carrier
+    flood = wire.batch("h", [wire.pack(Reply(1, 1, "busy"))] * wire.MAX_MESSAGES)
+    answers = [post(group, "a", flood) for _ in range(BURST // wire.MAX_MESSAGES + 2)]
+    assert answers[0] == 204
+    assert answers[-1] == 429
+    transport = group.hosts["h"].transport
     group.peers["dead"] = "127.0.0.1:1"
     for _ in range(1000):
-        carrier.send("dead", BootstrapProbe(1, 0, True))
-    assert len(carrier.table["dead"].queue) == 256 and carrier.counts["lost"] >= 744
+        transport.send("dead", BootstrapProbe(1, 0, True))
+    assert len(transport.states["dead"].queue) == 256
+    assert transport.counts["lost"] >= 744
     large = AppendEntries(1, 1, 1, 1, 1, tuple(Entry(1, 0, body=b"x" * 2048) for _ in range(64)))
     for _ in range(100):
-        carrier.send("dead", large)
-    assert carrier.table["dead"].held <= 2 * wire.LONGEST
+        transport.send("dead", large)
+    assert transport.states["dead"].queued_bytes <= 2 * wire.MAX_BATCH_BYTES
 
 
 def test_every_message_comes_back_as_it_was():
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -71,7 +71,7 @@
     def start(self):
         record = SimpleNamespace(event=lambda level, what, **told: self.events.append((what, told)))
         self.strong = Strong(self.loop, "a", self.line, record, Chance(1))
-        return self.strong.seat.node
+        return self.strong.hosted_node.node
 
     def run(self, span):
         end = self.loop.now() + span
@@ -114,7 +114,7 @@
         assert node.is_leader
         number = part.disk.counts["write"]
         part.disk.plan = FaultPlan(Script.of(*[("write", each, FULL) for each in range(1, 4)]))
-        wish = part.strong.seat.holder.acquire(part.loop.now(), "host-7", SECOND)
+        wish = part.strong.hosted_node.client.acquire(part.loop.now(), "host-7", SECOND)
         part.strong._act()
         part.run(SECOND)
         assert node.storage_failure and not node.is_leader and wish.state == "asked"
