--- /dev/null
+++ b/gaproute/appliance/leases.py
@@ -0,0 +1,103 @@
+"""The leases of one gateway: its part in the Raft group, and the requests at the operators' address.
+
+Wires parts together and decides nothing.
+"""
+
+import secrets
+import time
+from typing import Any
+
+from gaproute.peers.raft import HostedNode
+from gaproute.shared.leases import LeaseTable
+from gaproute.shared.leases.operator_requests import (
+    OperatorCommand,
+    OperatorRequests,
+    PoolStatus,
+    RequestStatus,
+)
+from gaproute.shared.randomness import RandomSource
+from gaproute.storage.files import MOMENTARY
+from gaproute.storage.votes import Votes
+
+MILLI = 1_000_000
+# A run of the gateway draws where the numbers of its requests begin: with them, all fit JSON's 2^53.
+RUN_BITS = 40
+REQUEST_BITS = 12
+
+
+class LeaseService:
+    """A gateway's lease client, and its node of the group where `line` names it.
+
+    `line`: the configuration's `keepers`. Raises OSError where the file of votes cannot be had. A disk that
+    fails for a while is no such error: the node is silent until it answers.
+    """
+
+    def __init__(self, loop: Any, name: str, line: Any, record: Any, chance: RandomSource) -> None:
+        self.loop = loop
+        self.peers: dict[str, str] = {}  # addresses by name
+        self.disk = self._open_votes(line.votes, record) if name in line.names else None
+        self.hosted_node = HostedNode(
+            loop,
+            name,
+            line.names,
+            self.peers,
+            record,
+            chance,
+            disk=self.disk,
+            fencing_base=time.time_ns() // MILLI,
+            machine=LeaseTable(max_duration=line.longest),
+        )
+        last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
+        self.requests = OperatorRequests(self.hosted_node.client, line.longest, last_number)
+        self.timer: Any = None
+
+    @staticmethod
+    def _open_votes(path: str, record: Any) -> Votes:
+        votes = Votes(path, lambda text: record.event("warning", "votes", text=text))
+        try:
+            votes.open()
+        except OSError as error:
+            if error.errno not in MOMENTARY:
+                raise
+            # the group's node opens it with its first read, which it repeats (`DISK_AGAIN`)
+        return votes
+
+    def listed(self, peers: dict[str, str]) -> None:
+        """The addresses by name of all gateways that may ask. Changed in place, as the carrier holds it."""
+        for name in [name for name in self.peers if name not in peers]:
+            del self.peers[name]
+        self.peers.update(peers)
+
+    def handle(self, server: Any, request: Any) -> None:
+        """A batch of messages from another gateway."""
+        self.hosted_node.transport.handle(server, request)
+
+    def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
+        """Carries out an operator's command. Raises `LeaseRequestError`."""
+        status = self.requests.execute(self.loop.now(), command)
+        self._act()
+        return status
+
+    def table(self) -> dict[str, Any]:
+        """What the operators' address shows; the JSON keys are older than the names here."""
+        return {"errands": self.requests.table(self.loop.now()), **self.hosted_node.status()}
+
+    def _act(self) -> None:
+        self.requests.tick(self.loop.now())
+        self.hosted_node.run_due()
+        if self.timer is not None:
+            self.timer.cancel()
+        due = self.requests.due
+        self.timer = None if due is None else self.loop.at(max(due, self.loop.now() + MILLI), self._act)
+
+    def stop(self) -> None:
+        """Releases all leases; `close` ends it."""
+        self.hosted_node.stop()
+
+    def close(self) -> None:
+        """Ends it: timer, sockets, disk."""
+        if self.timer is not None:
+            self.timer.cancel()
+        self.hosted_node.close()
+        if self.disk is not None:
+            self.disk.close()
--- a/gaproute/shared/__init__.py
+++ b/gaproute/shared/__init__.py
@@ -1,3 +1,5 @@
-"""What processes share, decided without I/O: the weak word, which fades and only advises, and the strong
-word, a permit that few keepers agreed on (`keepers/`: the agreement, `permits/`: what is agreed and the
-holder's side)."""
+"""What processes share, decided without I/O.
+
+Gossip fades and only advises (`gossip/`, over `membership/`). Leases are what the members of a Raft group
+agreed on (`raft/`: the agreement; `leases/`: the state machine and the holder's side).
+"""
