--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -59,7 +59,7 @@
         except OSError as error:
             if error.errno not in MOMENTARY:
                 raise
-            # the group's node opens it with its first read, which it repeats (`DISK_AGAIN`)
+            # the group's node opens it with its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
         return votes
 
     def listed(self, peers: dict[str, str]) -> None:
--- a/gaproute/shared/raft/log.py
+++ b/gaproute/shared/raft/log.py
@@ -99,6 +99,11 @@
         """The members as of the entry at `index`."""
         return [each.members for each in self.membership_history if each.log_index <= index][-1]
 
+    def memberships_since(self, index: int) -> list[tuple[Member, ...]]:
+        """The members as of the entry at `index`, and by all memberships behind it."""
+        later = [each.members for each in self.membership_history if each.log_index > index]
+        return [self.members_at(index), *later]
+
     def compact(self, index: int) -> None:
         """Drops the entries up to `index`: a snapshot holds what they did.
 
--- a/gaproute/shared/raft/membership.py
+++ b/gaproute/shared/raft/membership.py
@@ -3,7 +3,7 @@
 These are Raft's single-server changes: any majority before and any after a step share a node.
 """
 
-from collections.abc import Collection, Mapping
+from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
 
 from gaproute.shared.raft.messages import MAX_MEMBERS, Member
@@ -21,6 +21,14 @@
 UNKNOWN_LOG = MatchedLog(0, 0)
 
 
+def distinct_names(names: Iterable[str]) -> tuple[str, ...]:
+    """The configured names, sorted. Raises ValueError where there are none or too many."""
+    distinct = tuple(sorted(set(names)))
+    if not 1 <= len(distinct) <= MAX_MEMBERS:
+        raise ValueError(f"1 to {MAX_MEMBERS} members are configured, not {len(distinct)}")
+    return distinct
+
+
 def next_membership(
     members: Members,
     configured: Collection[str],
--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -5,16 +5,14 @@
 
 from collections import Counter
 from collections.abc import Callable, Iterable
-from typing import Any
 
-from gaproute.shared.raft import bootstrap, election, follower, leader, requests
+from gaproute.shared.raft import bootstrap, committed, election, follower, leader, requests
 from gaproute.shared.raft.disk import Disk
 from gaproute.shared.raft.invariants import MAX_BREACHES, NodeCheck
 from gaproute.shared.raft.leader import LeaderState
 from gaproute.shared.raft.log import Log
-from gaproute.shared.raft.membership import is_majority
+from gaproute.shared.raft.membership import distinct_names, is_majority
 from gaproute.shared.raft.messages import (
-    MAX_MEMBERS,
     AppendEntries,
     AppendEntriesResponse,
     BootstrapProbe,
@@ -34,11 +32,9 @@
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT, STORAGE_RETRY_INTERVAL
 from gaproute.shared.randomness import RandomSource
 
-COMPACT_AFTER = 1024  # entries applied that the log holds before a snapshot takes their place
-COMPACT_ANYWAY = 4  # times that many: then also while a follower that answers lacks some of them
 MAX_TERM_JUMP = 1 << 30  # a term so far above the own is nonsense: an election a second for 30 years
 
-_HANDLERS: dict[type, Callable[["RaftNode", int, str, Any, Outbox], None]] = {
+_HANDLERS: dict[type, Callable[..., None]] = {
     RequestVote: election.on_request_vote,
     RequestVoteResponse: election.on_vote_response,
     AppendEntries: follower.on_append_entries,
@@ -128,19 +124,14 @@
         counts by the last membership only, as any.
         """
         itself = Member(self.name, self.incarnation)
-        return itself in self.log.members_at(self.commit_index) or any(
-            itself in members for index, members in self.log.membership_history if index > self.commit_index
-        )
+        return any(itself in members for members in self.log.memberships_since(self.commit_index))
 
     def set_configured_members(self, now: int, names: Iterable[str]) -> None:
         """The names that the configuration has now; members follow one at a time.
 
         Raises ValueError where there are none or too many.
         """
-        distinct = sorted(set(names))
-        if not 1 <= len(distinct) <= MAX_MEMBERS:
-            raise ValueError(f"1 to {MAX_MEMBERS} members are configured, not {len(distinct)}")
-        self.configured_members = tuple(distinct)
+        self.configured_members = distinct_names(names)
 
     def peer_names(self) -> list[str]:
         """The names of all that this one speaks with, sorted."""
@@ -246,8 +237,8 @@
                 continue
             if self.leader_state is not None:
                 leader.advance_commit_index(self, self.leader_state)
-            self._apply_committed(now, outbox)
-            self._compact_log(now)
+            committed.apply_entries(self, now, outbox)
+            committed.compact_log(self, now)
             if self.store.failure:
                 break
             if self.leader_state is not None:
@@ -257,32 +248,3 @@
         self.storage_failure, self.storage_retry_at = self.store.failure, now + STORAGE_RETRY_INTERVAL
         self._follow_nobody()
         return []
-
-    def _apply_committed(self, now: int, outbox: Outbox) -> None:
-        """What is committed and durable here comes into force."""
-        while self.last_applied < self.commit_index:
-            self.last_applied += 1
-            entry = self.log.entry_at(self.last_applied)
-            outcome = self.sessions.apply(self.last_applied, entry)
-            change = self.machine.pop_change()
-            if self.leader_state is None:
-                continue
-            if change is not None:
-                self.leader_state.timers.update(now, *change)
-            requests.reply_to(self.leader_state, self.last_applied, outcome, outbox)
-            if entry.kind == EntryKind.MEMBERSHIP and not self.is_member:
-                self.step_down(now)
-
-    def _compact_log(self, now: int) -> None:
-        """Puts a snapshot in place of what is applied once that is much.
-
-        Not while a follower that answers would have to fetch the snapshot, unless it is very much.
-        """
-        applied = self.last_applied - self.log.snapshot_index
-        if applied < COMPACT_AFTER:
-            return
-        waits = self.leader_state is not None and not self.leader_state.all_answering_have(
-            now, self.last_applied
-        )
-        if not waits or applied >= COMPACT_ANYWAY * COMPACT_AFTER:
-            self.store.compact(self.last_applied, self.sessions.pack())
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/keepers.py
@@ -9,8 +9,7 @@
 
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.leases.commands import CLOCK_ERROR
-from gaproute.shared.raft import RaftNode, log
-from gaproute.shared.raft import node as module
+from gaproute.shared.raft import RaftNode, committed, log
 from gaproute.simulation.chance import Chance
 from gaproute.simulation.checks import Breach, Checks
 from gaproute.simulation.keepchecks import Held, Remembered, Told, agreed, came_right
@@ -179,12 +178,12 @@
 
 def play(plan, keepers=3, kind="common", **told):
     """(World, Breach or None)."""
-    made, before = Play(plan, keepers, kind, **told), (module.COMPACT_AFTER, log.MAX_ENTRIES)
-    module.COMPACT_AFTER, log.MAX_ENTRIES = KEEP, TOGETHER
+    made, before = Play(plan, keepers, kind, **told), (committed.COMPACT_AFTER, log.MAX_ENTRIES)
+    committed.COMPACT_AFTER, log.MAX_ENTRIES = KEEP, TOGETHER
     try:
         made.world.run()
     except Breach as breach:
         return made.world, breach
     finally:
-        module.COMPACT_AFTER, log.MAX_ENTRIES = before
+        committed.COMPACT_AFTER, log.MAX_ENTRIES = before
     return made.world, None
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -1,7 +1,7 @@
 """The wall clock stepped by an hour over a restart: what begins at it, and what a step does to that."""
 
 import pytest
-from raft_net import Net as Keepers
+from raft_net import Net as RaftNet
 
 from gaproute.decisions.chance import Chance
 from gaproute.loop.datagrams import Datagrams
@@ -100,8 +100,8 @@
 # Leases
 
 
-class Voters(Keepers):
-    """Keepers whose fencing numbers begin at the wall clock `base`, in ms, as a founder has it."""
+class Voters(RaftNet):
+    """Nodes whose fencing tokens begin at the wall clock `base`, in ms, as a bootstrap has it."""
 
     base = BEGUN_MS
 
@@ -118,16 +118,16 @@
 
 
 @STEPS
-def test_keepers_that_restart_give_no_fence_and_no_session_a_second_time(step):
-    net = Voters(3, holders=1)
+def test_nodes_that_restart_give_no_token_and_no_session_a_second_time(step):
+    net = Voters(3, clients=1)
     held, sessions = [], []
     for life in range(3):
-        net.holders = {"h0": LeaseClient("h0", net.names, net.chance, net.now)}  # a new process each time
-        wish = net.holders["h0"].acquire(net.now, f"room-{life}", 30 * SECOND)
+        net.clients = {"h0": LeaseClient("h0", net.names, net.chance, net.now)}  # a new process each time
+        wish = net.clients["h0"].acquire(net.now, f"room-{life}", 30 * SECOND)
         net.run(10 * SECOND)
         assert wish.valid_at(net.now)
         held.append(wish.fencing_token)
-        sessions.append(net.holders["h0"].session)
+        sessions.append(net.clients["h0"].session)
         for name in net.names:
             net.crash(name)
         net.base += step
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -226,8 +226,8 @@
     assert again == Request(9, 1, encode(RenewLease(3, "h", 10 * SECOND)))
 
 
-def settled(holders=2):
-    net = Net(3, 3, holders)
+def settled(clients=2):
+    net = Net(3, 3, clients)
     net.run(5 * SECOND)
     return net
 
@@ -235,28 +235,28 @@
 def test_a_holder_that_stops_releases_all():
     net = settled()
     for name in ("host-1", "host-2"):
-        net.holders["h0"].acquire(net.now, name, 4 * SECOND)
+        net.clients["h0"].acquire(net.now, name, 4 * SECOND)
     net.run(SECOND)
     assert len(net.leader.machine.leases) == 2
-    net.holders["h0"].release_all(net.now)
+    net.clients["h0"].release_all(net.now)
     net.run(SECOND)
     assert not net.leader.machine.leases
-    assert net.holders["h0"].due is None
+    assert net.clients["h0"].due is None
 
 
 def test_a_dead_holders_lease_is_granted_again_only_after_it_expired():
     net = settled()
-    request = net.holders["h0"].acquire(net.now, "host", 4 * SECOND)
+    request = net.clients["h0"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
     assert request.valid_at(net.now)
     assert request.fencing_token == 1
-    del net.holders["h0"]
-    other = net.holders["h1"].acquire(net.now, "host", 4 * SECOND)
+    del net.clients["h0"]
+    other = net.clients["h1"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
     assert other.state == "refused"
     assert other.reason == "taken"
     net.run(6 * SECOND)
-    other = net.holders["h1"].acquire(net.now, "host", 4 * SECOND)
+    other = net.clients["h1"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
     assert other.valid_at(net.now)
     assert other.fencing_token == 2
@@ -264,9 +264,9 @@
 
 def test_a_new_leader_counts_anew():
     net = settled(1)
-    net.holders["h0"].acquire(net.now, "host", 4 * SECOND)
+    net.clients["h0"].acquire(net.now, "host", 4 * SECOND)
     net.run(SECOND)
-    del net.holders["h0"]
+    del net.clients["h0"]
     net.run(2 * SECOND)
     net.crash(net.leader.name)
     while net.leader is None:
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -1,4 +1,4 @@
-"""Who the keepers are: one joins or leaves at a time, and a lost disk makes another keeper."""
+"""Who the members are: one joins or leaves at a time, and a lost disk makes another node."""
 
 import pytest
 from raft_net import MILLI, SECOND, Disk, Net
@@ -11,29 +11,35 @@
 ALL = (A, B, C)
 
 
-def step(members=ALL, named=("a", "b", "c"), lives=None, matches=None, commit=9):
-    lives = {"a": 1, "b": 2, "c": 3} if lives is None else lives
-    return next_membership(members, named, lives, matches or {}, commit)
+def step(members=ALL, configured=("a", "b", "c"), incarnations=None, matches=None, commit_index=9):
+    incarnations = {"a": 1, "b": 2, "c": 3} if incarnations is None else incarnations
+    return next_membership(members, configured, incarnations, matches or {}, commit_index)
 
 
 def test_one_step_at_a_time_and_none_that_would_stop_all():
     assert step() is None
-    assert step(lives={"a": 1, "b": 2, "c": 4}) == (A, B)
-    assert step(lives={"a": 1, "c": 4}) is None  # a alone could not agree
-    assert step((A, B), lives={"a": 1, "b": 2, "c": 4}, matches={"c": (4, 9)}) == (A, B, Member("c", 4))
-    assert step((A, B), lives={"a": 1, "b": 2, "c": 4}, matches={"c": (4, 8)}) is None  # not caught up
-    assert step((A, B), lives={"a": 1, "b": 2, "c": 5}, matches={"c": (4, 9)}) is None  # of a life before
-    assert step(named=("a", "b", "d"), matches={"d": (4, 9)}, lives={"a": 1, "b": 2, "d": 4}) == (
+    assert step(incarnations={"a": 1, "b": 2, "c": 4}) == (A, B)
+    assert step(incarnations={"a": 1, "c": 4}) is None  # a alone could not agree
+    assert step((A, B), incarnations={"a": 1, "b": 2, "c": 4}, matches={"c": (4, 9)}) == (
+        A,
+        B,
+        Member("c", 4),
+    )
+    assert step((A, B), incarnations={"a": 1, "b": 2, "c": 4}, matches={"c": (4, 8)}) is None  # not caught up
+    assert (
+        step((A, B), incarnations={"a": 1, "b": 2, "c": 5}, matches={"c": (4, 9)}) is None
+    )  # of an incarnation before
+    assert step(configured=("a", "b", "d"), matches={"d": (4, 9)}, incarnations={"a": 1, "b": 2, "d": 4}) == (
         *ALL,
         Member("d", 4),
     )
-    assert step(named=("a", "b", "d")) is None  # d has not joined: c stays meanwhile
-    assert step((*ALL, Member("d", 4)), named=("a", "b", "d")) == (A, B, Member("d", 4))
-    assert step(named=("a", "b")) == (A, B)
+    assert step(configured=("a", "b", "d")) is None  # d has not joined: c stays meanwhile
+    assert step((*ALL, Member("d", 4)), configured=("a", "b", "d")) == (A, B, Member("d", 4))
+    assert step(configured=("a", "b")) == (A, B)
 
 
 @pytest.mark.parametrize("size", [1, 3, 5])
-def test_new_disks_found_a_log_and_elect_one(size):
+def test_new_disks_bootstrap_a_log_and_elect_a_leader(size):
     net = Net(1, size)
     net.run(10 * SECOND)
     assert [each.is_leader for each in net.nodes.values()].count(True) == 1
@@ -46,14 +52,14 @@
     return net
 
 
-def test_a_keeper_without_its_disk_votes_for_nobodys_past_and_is_a_member_again():
+def test_a_node_without_its_disk_votes_for_nobodys_past_and_is_a_member_again():
     net = settled()
     name = next(each for each in net.names if not net.nodes[each].is_leader)
-    life, lead = net.nodes[name].incarnation, net.leader
+    incarnation, lead = net.nodes[name].incarnation, net.leader
     net.crash(name, lost=True)
     net.run(SECOND)
     net.start(name)
-    assert net.nodes[name].incarnation != life
+    assert net.nodes[name].incarnation != incarnation
     assert not net.nodes[name].is_member
     before = lead.commit_index
     third = next(each for each in net.names if each not in (name, lead.name))
@@ -68,7 +74,7 @@
     assert all(each.members == net.leader.members for each in net.nodes.values())
 
 
-def test_the_founder_without_its_disk_founds_nothing_while_others_remember():
+def test_the_first_node_without_its_disk_bootstraps_nothing_while_others_remember():
     net = settled()
     agreed = net.leader.log.entry_at(1)
     net.crash("k0", lost=True)
@@ -79,7 +85,7 @@
     assert net.nodes["k0"].log.entry_at(1) == agreed
 
 
-def test_two_of_three_without_their_disks_agree_on_nothing():
+def test_two_of_three_without_their_disks_commit_nothing():
     net = settled()
     left = net.leader.name
     for name in net.names:
@@ -109,7 +115,7 @@
     assert sizes == [0, 3, 4, 3]
 
 
-def test_no_change_before_an_entry_of_the_own_term_is_agreed_on():
+def test_no_membership_change_before_an_entry_of_the_own_term_is_committed():
     net = settled()
     lead = net.leader
     other = next(each for each in net.names if each != lead.name)
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -1,4 +1,4 @@
-"""Keepers and holders on sockets and on disk; what a peer may not send."""
+"""Raft nodes and lease clients on sockets and on disk; what a peer may not send."""
 
 import msgspec
 import pytest
@@ -94,7 +94,7 @@
     return came[1].status
 
 
-def test_a_permit_over_sockets_outlives_the_leader_and_a_restart(group):
+def test_a_lease_over_sockets_outlives_the_leader_and_a_restart(group):
     holder = group.hosts["h"].client
     wish = holder.acquire(group.loop.now(), "host-7", 10 * SECOND)
     group.hosts["h"].run_due()
@@ -102,7 +102,7 @@
     assert wish.valid_at(group.loop.now())
     assert wish.fencing_token == 1
     gone = group.leader
-    agreed, life = group.hosts[gone].node.commit_index, group.hosts[gone].node.incarnation
+    agreed, incarnation = group.hosts[gone].node.commit_index, group.hosts[gone].node.incarnation
     group.end(gone)
     other = holder.acquire(group.loop.now(), "host-8", 10 * SECOND)
     group.hosts["h"].run_due()
@@ -111,7 +111,7 @@
     assert other.fencing_token == 2
     group.start(gone)
     node = group.hosts[gone].node
-    assert node.incarnation == life
+    assert node.incarnation == incarnation
     assert node.log.last_index >= agreed - 1
     group.until(lambda: len(node.machine.leases) == 2)
     assert not any(host.node.breaches for host in group.hosts.values() if host.node)
@@ -121,10 +121,10 @@
 
 
 @pytest.mark.parametrize("harm", ["of another gateway", "torn"])
-def test_a_file_that_cannot_be_trusted_is_kept_aside_and_the_keeper_learns_anew(group, harm):
+def test_a_file_that_cannot_be_trusted_is_set_aside_and_the_node_catches_up_anew(group, harm):
     group.until(lambda: group.leader)
     name, other = [each for each in group.names if each != group.leader]
-    life = group.hosts[name].node.incarnation
+    incarnation = group.hosts[name].node.incarnation
     group.end(name)
     path = group.folder / name
     if harm == "torn":
@@ -135,7 +135,7 @@
         path.write_bytes((group.folder / other).read_bytes())
     group.start(name)
     host = group.hosts[name]
-    assert host.node.incarnation not in (life, group.hosts[other].node.incarnation)
+    assert host.node.incarnation not in (incarnation, group.hosts[other].node.incarnation)
     assert host.node.store.is_blank
     assert [what for _, what, _ in host.record.events] == ["raft disk set aside"]
     assert len(list(group.folder.glob(f"{name}.*"))) >= 2  # the lock, and what was set aside
--- a/tests/support/raft_net.py
+++ b/tests/support/raft_net.py
@@ -1,4 +1,7 @@
-"""Keepers and holders on a net and a clock of the test's own; random faults are for `gaproute/simulation`."""
+"""Raft nodes and lease clients on a network and a clock of the test's own.
+
+Random faults are for `gaproute/simulation`.
+"""
 
 import heapq
 import random
@@ -50,15 +53,15 @@
 
 
 class Net:
-    def __init__(self, seed, keepers=3, holders=0):
+    def __init__(self, seed, nodes=3, clients=0):
         self.chance, self.now, self.flying, self.count = Chance(seed), 0, [], 0
-        self.names = [f"k{n}" for n in range(keepers)]
+        self.names = [f"k{n}" for n in range(nodes)]
         self.disks = {name: Disk() for name in self.names}
         self.cut, self.history = set(), GroupHistory()
         self.nodes = {}
         for name in self.names:
             self.start(name)
-        self.holders = {f"h{n}": LeaseClient(f"h{n}", self.names, self.chance, 0) for n in range(holders)}
+        self.clients = {f"h{n}": LeaseClient(f"h{n}", self.names, self.chance, 0) for n in range(clients)}
 
     def start(self, name):
         self.nodes[name] = RaftNode(
@@ -81,7 +84,7 @@
                 )
 
     def everyone(self):
-        return {**self.nodes, **self.holders}
+        return {**self.nodes, **self.clients}
 
     def step(self):
         """To the next message or tick."""
@@ -103,8 +106,8 @@
             self.check()
 
     def check(self):
-        holders = [(each, self.now) for each in self.holders.values()]
-        assert check_group(list(self.nodes.values()), holders, self.history) == []
+        clients = [(each, self.now) for each in self.clients.values()]
+        assert check_group(list(self.nodes.values()), clients, self.history) == []
 
     @property
     def leader(self):
