--- a/gaproute/simulation/campaigns_cases.py
+++ b/gaproute/simulation/campaigns_cases.py
@@ -81,7 +81,7 @@
     move(play, world)
     for name in play.keepers:
         seat = world.seats[name]
-        if seat.actor is not None and seat.actor.leading:
+        if seat.actor is not None and seat.actor.is_leader:
             world.crash(seat)
             world.push(world.now + 2 * SECOND, START, seat, None, None)
             return
