--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -36,19 +36,19 @@
         self.loop = loop
         self.peers: dict[str, str] = {}  # addresses by name
         self.disk = self._open_votes(line.votes, record) if name in line.names else None
-        self.seat = HostedNode(
+        self.hosted_node = HostedNode(
             loop,
             name,
             line.names,
             self.peers,
             record,
             chance,
-            self.disk,
-            base=time.time_ns() // MILLI,
+            disk=self.disk,
+            fencing_base=time.time_ns() // MILLI,
             machine=LeaseTable(max_duration=line.longest),
         )
         last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
-        self.requests = OperatorRequests(self.seat.holder, line.longest, last_number)
+        self.requests = OperatorRequests(self.hosted_node.client, line.longest, last_number)
         self.timer: Any = None
 
     @staticmethod
@@ -70,7 +70,7 @@
 
     def handle(self, server: Any, request: Any) -> None:
         """A batch of messages from another gateway."""
-        self.seat.carrier.handle(server, request)
+        self.hosted_node.transport.handle(server, request)
 
     def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
         """Carries out an operator's command. Raises `LeaseRequestError`."""
@@ -80,11 +80,11 @@
 
     def table(self) -> dict[str, Any]:
         """What the operators' address shows; the JSON keys are older than the names here."""
-        return {"errands": self.requests.table(self.loop.now()), **self.seat.table()}
+        return {"errands": self.requests.table(self.loop.now()), **self.hosted_node.status()}
 
     def _act(self) -> None:
         self.requests.tick(self.loop.now())
-        self.seat.act()
+        self.hosted_node.run_due()
         if self.timer is not None:
             self.timer.cancel()
         due = self.requests.due
@@ -92,12 +92,12 @@
 
     def stop(self) -> None:
         """Releases all leases; `close` ends it."""
-        self.seat.stop()
+        self.hosted_node.stop()
 
     def close(self) -> None:
         """Ends it: timer, sockets, disk."""
         if self.timer is not None:
             self.timer.cancel()
-        self.seat.close()
+        self.hosted_node.close()
         if self.disk is not None:
             self.disk.close()
--- a/gaproute/shared/raft/disk.py
+++ b/gaproute/shared/raft/disk.py
@@ -32,5 +32,5 @@
     def replace(self, records: Sequence[bytes], /) -> None:
         """Puts `records` in place of all, at once and durably: a crash leaves the old or the new ones."""
 
-    def aside(self, why: str, /) -> None:
+    def quarantine(self, why: str, /) -> None:
         """Keeps what is there under another name for the operator; then the disk is empty."""
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -1,4 +1,4 @@
-"""Who the keepers are: one joins or leaves at a time, and a lost disk makes another keeper."""
+"""Who the members are: one joins or leaves at a time, and a lost disk makes another node."""
 
 import pytest
 from raft_net import MILLI, SECOND, Disk, Net
@@ -11,29 +11,35 @@
 ALL = (A, B, C)
 
 
-def step(members=ALL, named=("a", "b", "c"), lives=None, matches=None, commit=9):
-    lives = {"a": 1, "b": 2, "c": 3} if lives is None else lives
-    return next_membership(members, named, lives, matches or {}, commit)
+def step(members=ALL, configured=("a", "b", "c"), incarnations=None, matches=None, commit_index=9):
+    incarnations = {"a": 1, "b": 2, "c": 3} if incarnations is None else incarnations
+    return next_membership(members, configured, incarnations, matches or {}, commit_index)
 
 
 def test_one_step_at_a_time_and_none_that_would_stop_all():
     assert step() is None
-    assert step(lives={"a": 1, "b": 2, "c": 4}) == (A, B)
-    assert step(lives={"a": 1, "c": 4}) is None  # a alone could not agree
-    assert step((A, B), lives={"a": 1, "b": 2, "c": 4}, matches={"c": (4, 9)}) == (A, B, Member("c", 4))
-    assert step((A, B), lives={"a": 1, "b": 2, "c": 4}, matches={"c": (4, 8)}) is None  # not caught up
-    assert step((A, B), lives={"a": 1, "b": 2, "c": 5}, matches={"c": (4, 9)}) is None  # of a life before
-    assert step(named=("a", "b", "d"), matches={"d": (4, 9)}, lives={"a": 1, "b": 2, "d": 4}) == (
+    assert step(incarnations={"a": 1, "b": 2, "c": 4}) == (A, B)
+    assert step(incarnations={"a": 1, "c": 4}) is None  # a alone could not agree
+    assert step((A, B), incarnations={"a": 1, "b": 2, "c": 4}, matches={"c": (4, 9)}) == (
+        A,
+        B,
+        Member("c", 4),
+    )
+    assert step((A, B), incarnations={"a": 1, "b": 2, "c": 4}, matches={"c": (4, 8)}) is None  # not caught up
+    assert (
+        step((A, B), incarnations={"a": 1, "b": 2, "c": 5}, matches={"c": (4, 9)}) is None
+    )  # of an incarnation before
+    assert step(configured=("a", "b", "d"), matches={"d": (4, 9)}, incarnations={"a": 1, "b": 2, "d": 4}) == (
         *ALL,
         Member("d", 4),
     )
-    assert step(named=("a", "b", "d")) is None  # d has not joined: c stays meanwhile
-    assert step((*ALL, Member("d", 4)), named=("a", "b", "d")) == (A, B, Member("d", 4))
-    assert step(named=("a", "b")) == (A, B)
+    assert step(configured=("a", "b", "d")) is None  # d has not joined: c stays meanwhile
+    assert step((*ALL, Member("d", 4)), configured=("a", "b", "d")) == (A, B, Member("d", 4))
+    assert step(configured=("a", "b")) == (A, B)
 
 
 @pytest.mark.parametrize("size", [1, 3, 5])
-def test_new_disks_found_a_log_and_elect_one(size):
+def test_new_disks_bootstrap_a_log_and_elect_a_leader(size):
     net = Net(1, size)
     net.run(10 * SECOND)
     assert [each.is_leader for each in net.nodes.values()].count(True) == 1
@@ -46,14 +52,15 @@
     return net
 
 
-def test_a_keeper_without_its_disk_votes_for_nobodys_past_and_is_a_member_again():
+def test_a_node_without_its_disk_votes_for_nobodys_past_and_is_a_member_again():
     net = settled()
     name = next(each for each in net.names if not net.nodes[each].is_leader)
-    life, lead = net.nodes[name].incarnation, net.leader
+    incarnation, lead = net.nodes[name].incarnation, net.leader
     net.crash(name, lost=True)
     net.run(SECOND)
     net.start(name)
-    assert net.nodes[name].incarnation != life and not net.nodes[name].is_member
+    assert net.nodes[name].incarnation != incarnation
+    assert not net.nodes[name].is_member
     before = lead.commit_index
     third = next(each for each in net.names if each not in (name, lead.name))
     net.cut = {(third, lead.name)}  # only the one without memory answers
@@ -67,17 +74,18 @@
     assert all(each.members == net.leader.members for each in net.nodes.values())
 
 
-def test_the_founder_without_its_disk_founds_nothing_while_others_remember():
+def test_the_first_node_without_its_disk_bootstraps_nothing_while_others_remember():
     net = settled()
     agreed = net.leader.log.entry_at(1)
     net.crash("k0", lost=True)
     net.run(5 * SECOND)
     net.start("k0")
     net.run(20 * SECOND)
-    assert net.nodes["k0"].is_member and net.nodes["k0"].log.entry_at(1) == agreed
+    assert net.nodes["k0"].is_member
+    assert net.nodes["k0"].log.entry_at(1) == agreed
 
 
-def test_two_of_three_without_their_disks_agree_on_nothing():
+def test_two_of_three_without_their_disks_commit_nothing():
     net = settled()
     left = net.leader.name
     for name in net.names:
@@ -88,7 +96,8 @@
             net.start(name)
     before = net.nodes[left].commit_index
     net.run(30 * SECOND)
-    assert net.leader is None and net.nodes[left].commit_index == before
+    assert net.leader is None
+    assert net.nodes[left].commit_index == before
 
 
 def test_the_configuration_names_others_and_the_members_follow():
@@ -100,12 +109,13 @@
         net.nodes[name].set_configured_members(net.now, net.names)
     net.run(20 * SECOND)
     assert [member.name for member in net.leader.members] == net.names
-    assert net.leader.name != "k2" and not net.nodes["k2"].is_leader
+    assert net.leader.name != "k2"
+    assert not net.nodes["k2"].is_leader
     sizes = [len(members) for _, members in net.leader.log.membership_history]
     assert sizes == [0, 3, 4, 3]
 
 
-def test_no_change_before_an_entry_of_the_own_term_is_agreed_on():
+def test_no_membership_change_before_an_entry_of_the_own_term_is_committed():
     net = settled()
     lead = net.leader
     other = next(each for each in net.names if each != lead.name)
@@ -123,7 +133,8 @@
     assert lead.log.last_index == last
     lead.leader_state.first_index = last
     lead.tick(now + SECOND)
-    assert lead.log.last_index == last + 1 and len(lead.members) == 2
+    assert lead.log.last_index == last + 1
+    assert len(lead.members) == 2
 
 
 def test_a_group_whose_members_all_restart_with_a_long_log_agrees_again():
@@ -134,7 +145,7 @@
             assert made.leader.propose(EntryKind.NOOP)
         made.run(SECOND)
     entries = made.leader.commit_index
-    assert MAX_UNCOMMITTED < entries
+    assert entries > MAX_UNCOMMITTED
     for name in made.names:
         made.crash(name)
     made.flying.clear()  # else what the old leader had sent would still tell how far all agreed
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -81,7 +81,7 @@
     def start(self):
         record = SimpleNamespace(event=lambda level, what, **told: self.events.append((what, told)))
         self.leases = LeaseService(self.loop, "a", self.line, record, Chance(1))
-        return self.leases.seat.node
+        return self.leases.hosted_node.node
 
     def run(self, span):
         end = self.loop.now() + span
@@ -127,7 +127,7 @@
         assert node.is_leader
         number = part.disk.counts["write"]
         part.disk.plan = FaultPlan(Script.of(*[("write", each, DISK_FULL) for each in range(1, 4)]))
-        request = part.leases.seat.holder.acquire(part.loop.now(), "host-7", SECOND)
+        request = part.leases.hosted_node.client.acquire(part.loop.now(), "host-7", SECOND)
         part.leases._act()
         part.run(SECOND)
         assert node.storage_failure
