--- a/gaproute/lobby/lot.py
+++ b/gaproute/lobby/lot.py
@@ -90,6 +90,7 @@
 
     def _idle(self):
         """Of a small house every parked one is looked at; of a large one those whose end is next."""
+        self.hear_unheard()
         some = range(len(self.state)) if self.parked <= 4 * SAMPLE else self.calendar.first(4 * SAMPLE)
         idle = [
             (fd, self.since[fd], self.tasks[fd])
@@ -180,6 +181,7 @@
         now = self.loop.now()
         while events := self.loop.lobby_events(LOBBY):  # each is told once: no more than are parked
             self.look(events, now)
+        self.hear_unheard()
         self.loop.waiting = True
         for listener in [
             listener for listener, whose in self.arriving.items() if whose is self.owners[owner]
--- a/gaproute/lobby/parking.py
+++ b/gaproute/lobby/parking.py
@@ -6,7 +6,7 @@
 
 import os
 from array import array
-from select import EPOLLIN, EPOLLONESHOT
+from select import EPOLLIN, EPOLLONESHOT, POLLIN, poll
 
 from gaproute.lobby.addresses import AddressCounts
 from gaproute.lobby.calendar import Calendar
@@ -21,7 +21,7 @@
 class Parking:
     """Parks connections by descriptor, closes them at their idle end, and counts clients' connections.
 
-    The base of the lot. An owner has `counted` and `lost()`.
+    The base of the lot, which gives `look(events, seen)`. An owner has `counted` and `lost()`.
     """
 
     def __init__(self, loop):
@@ -34,7 +34,7 @@
         self.address_counts = AddressCounts()
         self.held = self.parked = 0  # clients' connections in all; those parked
         self.expired = 0
-        self.unheard = []  # descriptors that the inner epoll did not take; some of them may be gone by now
+        self.unheard = {}  # descriptors that the inner epoll did not take, as keys; some may be gone by now
         self.hear_timer, self.hear_backoff = None, Backoff(REGISTER_FIRST, REGISTER_LONGEST)
 
     @property
@@ -70,6 +70,8 @@
                 self.loop.lobby.modify(fd, ONCE)
             else:
                 self.loop.lobby.register(fd, ONCE)
+        except FileNotFoundError:  # it spoke before the epoll took it
+            self._register(fd)
         except OSError as fault:
             self._put_off(fd, fault)
 
@@ -77,21 +79,21 @@
         if not is_momentary(fault):
             self._drop(fd)
             raise fault
-        self.unheard.append(fd)
+        self.unheard[fd] = None
         if self.hear_timer is None:
             self.hear_timer = self.loop.after(self.hear_backoff.next(), self._hear_again)
 
     def _hear_again(self):
         """One more try for each that the inner epoll did not take; a second failure is a shortage."""
         self.hear_timer = None
-        waiting, self.unheard = self.unheard, []
+        waiting, self.unheard = self.unheard, {}
         for fd in waiting:
             if self.state[fd] == PARKED:
                 self.loop.guard(self._register, fd)
         if not self.unheard:
             self.hear_backoff.reset()
         else:
-            self.loop.patient.make_room()
+            self.loop.patient.make_room()  # which hears those that have spoken
 
     def _register(self, fd):
         try:
@@ -102,6 +104,22 @@
         except OSError as fault:
             self._put_off(fd, fault)
 
+    def hear_unheard(self):
+        """Those that have spoken though the inner epoll could not tell it wait in line: none of them may be
+        taken for idle."""
+        if not self.unheard:
+            return
+        asked = poll()
+        for fd in self.unheard:
+            asked.register(fd, POLLIN)
+        try:
+            spoke = asked.poll(0)
+        except OSError:
+            spoke = []  # at the next look
+        if spoke:
+            self.look(spoke, self.loop.now())
+            self.loop.waiting = True
+
     def _enter(self, fd):
         """Into the calendar, where no entry of the descriptor comes up by its end."""
         due = self.due[fd]
@@ -119,6 +137,7 @@
 
     def _tick(self):
         self.timer = None
+        self.hear_unheard()
         now = self.loop.now()
         for fd, slot in self.calendar.take(now, EXPIRES):
             if self.slot[fd] != slot:
--- a/tests/test_syscalls_lobby.py
+++ b/tests/test_syscalls_lobby.py
@@ -76,8 +76,11 @@
 @pytest.mark.parametrize("code", EPOLL_SHORT)
 def test_a_new_connection_that_the_epoll_does_not_take_at_once_is_heard(house, code):
     failing = house.loop.lobby.fail("register", code, code)
-    client = house.client(HEAD)
-    assert house.answers(client) == 1 and failing.failed == 2 and not house.lot.unheard
+    client = house.client()
+    house.passes(20 * MILLI)
+    assert failing.failed == 2 and not house.lot.unheard
+    client.sendall(HEAD)
+    assert house.answers(client) == 1
 
 
 @pytest.mark.parametrize("code", EPOLL_SHORT)
@@ -95,14 +98,83 @@
     rooms = []
     monkeypatch.setattr(house.lot, "make_room", lambda: rooms.append(1))
     failing = house.loop.lobby.fail("register", *[errno.ENOSPC] * 999)
-    client = house.client(HEAD)
+    client = house.client()
     house.passes(2 * SECOND)
     assert 20 <= failing.failed <= 30 and len(rooms) == failing.failed - 1
     failing.codes.clear()
     house.passes(200 * MILLI)
+    client.sendall(HEAD)
     assert house.answers(client) == 1 and not house.lot.hear_backoff.begun
 
 
+@pytest.fixture
+def deaf(house):
+    """A house whose inner epoll takes nobody, with a client that has spoken and is not heard yet."""
+    failing = house.loop.lobby.fail("register", *[errno.ENOSPC] * 9999)
+    client = house.client()
+    house.passes(2 * MILLI)
+    assert failing.failed and house.lot.parked == 1
+    client.sendall(HEAD)
+    yield house, client, failing
+    failing.codes.clear()
+
+
+def test_one_that_spoke_unheard_is_served_though_the_epoll_never_takes_it(deaf):
+    house, client, failing = deaf
+    house.lot.admission.spare = 1 << 60  # nobody makes room
+    for _ in range(3):
+        house.passes(200 * MILLI)
+        assert house.answers(client) == 1
+        house.passes(3 * SECOND, 50 * MILLI)  # it is parked again meanwhile
+        assert house.lot.parked == 1 and failing.codes
+        client.sendall(HEAD)
+    house.passes(200 * MILLI)
+    assert house.answers(client) == 1
+
+
+def test_one_that_spoke_unheard_does_not_make_room_for_others(deaf):
+    house, client, _ = deaf
+    house.lot.admission.spare = 0
+    house.clock.now += SECOND
+    house.lot.make_room()
+    assert house.lot.held == 1 and house.answers(client) == 1
+
+
+def test_one_that_spoke_unheard_is_not_closed_as_idle(deaf):
+    house, client, _ = deaf
+    (fd,) = house.lot.unheard
+    house.clock.now = house.lot.due[fd] + SECOND
+    house.lot._tick()
+    assert house.lot.held == 1 and house.lot.expired == 0 and house.answers(client) == 1
+
+
+def test_one_that_spoke_unheard_is_not_closed_at_a_stop(deaf):
+    house, client, _ = deaf
+    house.lot.close(house.server.number)
+    assert house.lot.held == 1 and house.answers(client) == 1
+
+
+def test_a_look_for_the_unheard_that_is_interrupted_is_made_again(deaf, monkeypatch):
+    house, client, _ = deaf
+
+    class Interrupted:
+        calls = 0
+
+        def register(self, fd, events):
+            pass
+
+        def poll(self, span):
+            Interrupted.calls += 1
+            raise fault(errno.EINTR)
+
+    with monkeypatch.context() as patched:
+        patched.setattr(parking, "poll", Interrupted)
+        house.passes(10 * MILLI)
+        assert Interrupted.calls and house.lot.held == 1
+    house.passes(200 * MILLI)
+    assert house.answers(client) == 1
+
+
 def test_one_that_is_closed_meanwhile_is_not_watched_for_its_successor(house):
     house.loop.lobby.fail("register", *[errno.ENOSPC] * 3)
     client = house.client()
@@ -115,7 +187,7 @@
     house.loop.lobby.fail("register", *[errno.ENOSPC] * 3)
     house.client()
     house.passes(2 * MILLI)
-    house.lot._drop(house.lot.unheard[0])
+    house.lot._drop(next(iter(house.lot.unheard)))
     house.passes(20 * MILLI)
     assert house.faults == [] and house.server.held == 1 and not house.lot.unheard
 
