--- a/gaproute/lobby/parking.py
+++ b/gaproute/lobby/parking.py
@@ -84,13 +84,14 @@
             self.hear_timer = self.loop.after(self.hear_backoff.next(), self._hear_again)
 
     def _hear_again(self):
-        """One more try for each that the inner epoll did not take; a second failure is a shortage."""
+        """One more try for each that the inner epoll did not take; where it takes none of them there is a
+        shortage."""
         self.hear_timer = None
         waiting, self.unheard = self.unheard, {}
         for fd in waiting:
             if self.state[fd] == PARKED:
                 self.loop.guard(self._register, fd)
-        if not self.unheard:
+        if len(self.unheard) < len(waiting):
             self.hear_backoff.reset()
         else:
             self.loop.patient.make_room()  # which hears those that have spoken
--- a/gaproute/loop/connecting.py
+++ b/gaproute/loop/connecting.py
@@ -18,7 +18,7 @@
 ACCEPTS = 32  # connections accepted in one turn, so that tasks in flight get their share of it
 FAILED_ACCEPTS = 16  # connections in a row that failed before they were accepted, in one call
 BIND_ADDRESS_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT of Linux, which the socket module does not name
-ACCEPT_FIRST, ACCEPT_LONGEST = 2 * MILLI, 100 * MILLI  # for which accepting rests when descriptors run out
+ACCEPT_FIRST, ACCEPT_LONGEST = 2 * MILLI, 50 * MILLI  # for which accepting rests when descriptors run out
 DRAIN_AGAIN = 5 * MILLI  # until those that wait at a stop, and could not be accepted, are tried again
 DIAL_FIRST = 2 * MILLI  # until a dial that failed on this machine begins again; doubled with each failure
 DIALS = 5  # tries of one dial: some 30 ms in all, then whoever wants it hears of it
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -24,7 +24,7 @@
 IDLE = SECOND  # longest wait in one poll: a clock that jumps is noticed within it
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 GONE = select.EPOLLHUP | select.EPOLLERR
-REGISTER_FIRST, REGISTER_LONGEST = 2 * MILLI, 100 * MILLI  # between tries to register with the epoll
+REGISTER_FIRST, REGISTER_LONGEST = 2 * MILLI, 50 * MILLI  # between tries to register with the epoll
 
 
 class Promise:
@@ -237,7 +237,8 @@
             self.register_timer = self.after(self.register_backoff.next(), self._register_again)
 
     def _register_again(self):
-        """One more try for each descriptor that the epoll did not take; a second failure is a shortage."""
+        """One more try for each descriptor that the epoll did not take; where it takes none of them there is
+        a shortage."""
         self.register_timer = None
         waiting, self.unregistered = self.unregistered, {}
         for fd, events in waiting.items():
@@ -245,7 +246,7 @@
                 self._register(fd, events)
             except OSError as fault:
                 self.guard(self._put_off, fd, events, fault)
-        if not self.unregistered:
+        if len(self.unregistered) < len(waiting):
             self.register_backoff.reset()
         elif self.patient is not None:
             self.patient.make_room()
