--- a/gaproute/connections/lot.py
+++ b/gaproute/connections/lot.py
@@ -88,6 +88,7 @@
 
     def _idle(self):
         """Of a small house every parked one is looked at; of a large one those whose end is next."""
+        self.hear_unheard()
         some = range(len(self.state)) if self.parked <= 4 * SAMPLE else self.calendar.first(4 * SAMPLE)
         idle = [
             (fd, self.since[fd], self.tasks[fd])
@@ -196,6 +197,7 @@
         `first_by`: those that have brought no request yet stay parked, until that time at the latest.
         """
         self._catch_up()
+        self.hear_unheard()
         for listener in [
             listener for listener, whose in self.arriving.items() if whose is self.owners[owner]
         ]:
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -206,7 +206,7 @@
         Check.PEERS_RECOVER, Periodic(NetworkCall.RECV_DATAGRAM, NO_MEMORY, 3)
     ),
     client_that_left_not_noticed: Played(
-        Check.NOT_FOR_NOBODY, Periodic(NetworkCall.ACCEPT, FULL, 24, 6), conditions=HASTY
+        Check.NOT_FOR_NOBODY, Periodic(NetworkCall.ACCEPT, FULL, 30, 10), conditions=HASTY
     ),
     request_of_a_broken_connection_kept: Played(Check.HELD, Periodic(NetworkCall.RECV, BROKEN, 20)),
     final_answer_sent_late: Played(Check.IN_TIME, Periodic(NetworkCall.RECV, SHORT, 50)),
