--- a/benchmarks/scale/cell_rung.py
+++ b/benchmarks/scale/cell_rung.py
@@ -98,7 +98,7 @@
         """Of gateways in full, and of the process."""
         fleet = self.fleet
         shared = (fleet, fleet.loop, fleet.network, fleet.plan, fleet.plan.host_rows, fleet.rows)
-        shared += (fleet.shared_tables, fleet.shared_candidates, fleet.kept, *fleet.charters)
+        shared += (fleet.shared_tables, fleet.shared_candidates, fleet.kept, *fleet.configurations)
         held = [held_bytes(gateway, shared) / MEGABYTE for gateway in fleet.fully()[:WEIGHED]]
         self.figures["memory_mb"], self.figures["memory_most_mb"] = sum(held) / len(held), max(held)
         self.figures["resident_mb"] = self.resident()
--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes
 from gaproute.appliance import Appliance
-from gaproute.config import read_charter
+from gaproute.config import read_configuration
 from gaproute.discovery.changelog.events import Reader
 from gaproute.standins.platform.listing import Listing, member
 from gaproute.telemetry.logs import logger
@@ -79,7 +79,9 @@
             for place, cell in enumerate(names(KNOWN)):
                 (self.path / f"{cell}.hosts").write_text(lines(place, hosts, seed))
         text = TEXT.format(folder=self.folder.name, lists=lists)
-        self.appliance = Appliance(read_charter("g", text), seed=seed, log=logger(open(os.devnull, "w")))
+        self.appliance = Appliance(
+            read_configuration("g", text), seed=seed, log=logger(open(os.devnull, "w"))
+        )
         self.appliance.start()
         self.lists = self.appliance.cells.lists
         self.logs = [Listing() for _ in range(KNOWN)]
--- a/benchmarks/scale/costs/cell_hosts_rest.py
+++ b/benchmarks/scale/costs/cell_hosts_rest.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS
 from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.followed_lists import FollowedLists
-from gaproute.config.words.fleet import CellHosts
+from gaproute.config.directives.fleet import CellHosts
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
 from gaproute.standins.cell_source import CellSource
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -8,7 +8,7 @@
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, cpu_seconds
 from gaproute.appliance import Appliance
 from gaproute.appliance.operator import host_table, knowledge, status
-from gaproute.config import read_charter
+from gaproute.config import read_configuration
 from gaproute.http1 import render
 from gaproute.interface import Result
 from gaproute.loop import Loop
@@ -19,7 +19,7 @@
 FEW = 16  # hosts, where functions are varied
 MILLI = 1_000_000
 JSON = ((b"Content-Type", b"application/json"),)
-CHARTER = """
+CONFIGURATION = """
 name gate
 listen kserve 127.0.0.1:0
 track std pure contract 1s limit 4s earnings 3
@@ -32,10 +32,10 @@
 
     def __init__(self, hosts, functions=0):
         lines = [f"host host-{number:04} 127.0.0.1:9001 capacity 4" for number in range(hosts)]
-        charter = read_charter("status", CHARTER + "\n".join(lines) + "\n")
+        configuration = read_configuration("status", CONFIGURATION + "\n".join(lines) + "\n")
         self.lines = io.StringIO()
         self.loop = Loop()
-        self.gate = Appliance(charter, self.loop, 1, logger(self.lines))
+        self.gate = Appliance(configuration, self.loop, 1, logger(self.lines))
         self.gate.start()
         for number in range(hosts):
             self.gate.record.outcome(f"host-{number:04}", 0, Result.OK, 100 * MILLI)
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -27,19 +27,21 @@
     `core`. `enlisted(rows)` is called with all hosts known each time that they change, before the
     decisions."""
 
-    def __init__(self, loop, charter, record, seed, reach, run, enlisted):
-        self.loop, self.charter, self.line = loop, charter, charter.cells
+    def __init__(self, loop, configuration, record, seed, reach, run, enlisted):
+        self.loop, self.configuration, self.line = loop, configuration, configuration.cells
         self.record, self.enlisted = record, enlisted
-        place = Place(charter.name, self.line.region, self.line.zone)
-        self.gateway = CellularGateway(seed, charter.terms, loop.now(), place)
-        self.hosts = CellHosts(loop, Pooling(), reach, charter.name)
-        self.entries = Entries(loop, reach, charter.name)
-        self.core = CellularCore(loop, self.gateway, charter.terms, self.hosts, record, run, self.entries)
+        place = Place(configuration.name, self.line.region, self.line.zone)
+        self.gateway = CellularGateway(seed, configuration.terms, loop.now(), place)
+        self.hosts = CellHosts(loop, Pooling(), reach, configuration.name)
+        self.entries = Entries(loop, reach, configuration.name)
+        self.core = CellularCore(
+            loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
+        )
         # What gateways of one fleet tell each other of hosts is not told of cells: this one knows of none.
-        self.unused = Gateway(seed, charter.terms, loop.now())
-        self.rows = CellRows(loop, charter.sizes_told)
-        self.lists = self._lists(charter.cell_hosts, seed)
-        self.look_every = charter.cell_hosts.look
+        self.unused = Gateway(seed, configuration.terms, loop.now())
+        self.rows = CellRows(loop, configuration.sizes_told)
+        self.lists = self._lists(configuration.cell_hosts, seed)
+        self.look_every = configuration.cell_hosts.look
         self.told = {}  # cell: the host lines that the decisions were told last
         self.lists_refused = self.members_refused = 0
         self.seed, self.table, self.timer = seed, None, None
@@ -48,12 +50,12 @@
         """Take calls that other gateways forward, and the table that they tell, at the address of the peers.
         Returns the front of those calls."""
         giver = others.giver
-        front = EntryFront(self.loop, giver.server, self.core, self.charter, ready, self._report)
+        front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
         giver.calls = front.handle
         line = self.line
         carrier = TableCarrier(
             self.loop,
-            self.charter.name,
+            self.configuration.name,
             line.fleet,
             others.gossip,
             giver,
@@ -174,7 +176,7 @@
             "refused": self.table.refusals()
             | ({WRONG_LIST: self.lists_refused} if self.lists_refused else {})
             | ({WRONG_MEMBER: self.members_refused} if self.members_refused else {}),
-        } | ({"sources": self.lists.status()} if self.charter.cell_hosts.sources else {})
+        } | ({"sources": self.lists.status()} if self.configuration.cell_hosts.sources else {})
 
     def stop(self):
         """Neither tell nor hear of tables any more, nor follow the lists of other cells than now."""
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -33,25 +33,25 @@
 
 
 class Appliance:
-    def __init__(self, charter, loop=None, seed=None, log=None, inherited=()):
+    def __init__(self, configuration, loop=None, seed=None, log=None, inherited=()):
         """`inherited`: {address as configured: listening socket that a parent opened}."""
-        self.charter, self.inherited = charter, dict(inherited)
+        self.configuration, self.inherited = configuration, dict(inherited)
         self.loop = loop = loop or Loop()
-        self.log = log or logger(level=charter.log_level).bind(gateway=charter.name)
+        self.log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
         loop.on_error = lambda error: self.log.error("error", error=repr(error), exc_info=error)
         seed = secrets.randbits(64) if seed is None else seed
-        run = f"{charter.name}-{secrets.token_hex(3)}"  # task ids stay apart over restarts
-        self.record = Record(self.log, [line.name for line in charter.tracks])
-        line = charter.reach
+        run = f"{configuration.name}-{secrets.token_hex(3)}"  # task ids stay apart over restarts
+        self.record = Record(self.log, [line.name for line in configuration.tracks])
+        line = configuration.reach
         reach = Reach(line.connect, line.probe, line.order, line.connections, line.answer)
-        if charter.cells is None:
-            gateway = charter.decisions(seed, charter.terms, loop.now())
-            self.hosts, self.cells = Hosts(loop, Pooling(), reach, charter.name), None
-            self.core = Core(loop, gateway, charter.terms, self.hosts, self.record, run)
+        if configuration.cells is None:
+            gateway = configuration.decisions(seed, configuration.terms, loop.now())
+            self.hosts, self.cells = Hosts(loop, Pooling(), reach, configuration.name), None
+            self.core = Core(loop, gateway, configuration.terms, self.hosts, self.record, run)
         else:
-            self.cells = Cells(loop, charter, self.record, seed, reach, run, self.enlisted)
+            self.cells = Cells(loop, configuration, self.record, seed, reach, run, self.enlisted)
             self.hosts, self.core, gateway = self.cells.hosts, self.cells.core, self.cells.unused
-        self.listing = Listing(loop, sizes=charter.sizes_told)
+        self.listing = Listing(loop, sizes=configuration.sizes_told)
         self.rows = {}
         self.stopping = False
         self.shared = False  # other processes serve at the clients' addresses, also after this one's stop
@@ -59,24 +59,24 @@
         self.client_fronts = []
         self.fronts, self.watch, self.started = [], None, loop.now()
         self.lot = Lot.of(loop)
-        clients = charter.clients
+        clients = configuration.clients
         self.lot.admission = Admission(
             clients.connections, clients.per_address, descriptors(), Chance(seed + 3)
         )
-        self.make_others = partial(Others, loop, charter, gateway, self.record, seed, self.cells)
+        self.make_others = partial(Others, loop, configuration, gateway, self.record, seed, self.cells)
         self.others = self.make_others()
 
     def start(self):
         """Errors: OSError where an address cannot be listened on; nothing listens then, and it may be called
         again."""
         try:
-            for kind, where in self.charter.listens:
+            for kind, where in self.configuration.listens:
                 if kind == "kserve":
                     front = Front(
                         self.loop,
                         address(where),
                         self.core,
-                        self.charter,
+                        self.configuration,
                         self.address_ready,
                         self.inherited.get(where),
                     )
@@ -95,11 +95,11 @@
             raise OSError(fault.errno, f"{where}: {fault.strerror}") from fault
         if self.others.weak is not None:
             self.core.arrived = self.others.weak.arrived
-        source = self.charter.hosts_file
+        source = self.configuration.hosts_file
         if self.cells is not None:
             self.cells.start()
         elif source is None:
-            self.listed(self.charter.hosts)
+            self.listed(self.configuration.hosts)
         else:
             self.watch = FileWatch(self.loop, source.path, source.look, self.listed, self.list_refused)
         self.others.start()
@@ -169,12 +169,17 @@
         self.core.emptied = self._emptied
         for front in self.client_fronts:
             front.on_emptied(self._emptied)
-        self.loop.after(LAST_REQUEST + self.charter.longest + LAST_WORDS, self.loop.stop)
+        self.loop.after(LAST_REQUEST + self.configuration.longest + LAST_WORDS, self.loop.stop)
         self._emptied()
 
     def _granted(self):
         """For how long after a stop tasks are held: the process may be killed soon after that."""
-        return min(self.charter.longest, LONGEST_GRANTED) + GRANTED - AHEAD - self.charter.clients.way_back
+        return (
+            min(self.configuration.longest, LONGEST_GRANTED)
+            + GRANTED
+            - AHEAD
+            - self.configuration.clients.way_back
+        )
 
     def _emptied(self):
         """Ends the loop once no task is held and no client's connection is left."""
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -13,7 +13,7 @@
     counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
     giver, keeper, learner = others.giver, others.keeper, others.learner
     return {
-        "name": gate.charter.name,
+        "name": gate.configuration.name,
         "stopping": gate.stopping,
         "ready": gate.ready(),
         "up_ms": (gate.loop.now() - gate.started) // MILLI,
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -34,44 +34,52 @@
 
 
 class Others:
-    def __init__(self, loop, charter, gateway, record, seed, cells=None):
+    def __init__(self, loop, configuration, gateway, record, seed, cells=None):
         self.cells = cells
-        self.loop, self.charter, self.gateway, self.record, self.seed = loop, charter, gateway, record, seed
+        self.loop, self.configuration, self.gateway, self.record, self.seed = (
+            loop,
+            configuration,
+            gateway,
+            record,
+            seed,
+        )
         self.giver = self.learner = self.gossip = self.weak = self.keeper = self.watch = self.strong = None
         self.roll, self.lore = Roll(), Lore()
-        self.tracks = [line.name for line in charter.tracks]
+        self.tracks = [line.name for line in configuration.tracks]
         self.chance = Chance(seed + 1)
 
     def listen(self, where):
         """The front at which others ask. Errors: OSError."""
-        line = self.charter.keepers
+        line = self.configuration.keepers
         limits = LIMITS if line is None else ASKED
-        if self.charter.cells is not None:
-            limits = forwarded_limits(limits, self.charter.clients)
+        if self.configuration.cells is not None:
+            limits = forwarded_limits(limits, self.configuration.clients)
         self.giver = Giver(self.loop, address(where), self.gateway, self.roll, self.tracks, limits)
         try:
             self.gossip = Gossip(
-                self.loop, self.charter.name, self.giver.address, Chance(self.seed + 2), self.record
+                self.loop, self.configuration.name, self.giver.address, Chance(self.seed + 2), self.record
             )
             if line is not None:
-                self.strong = Strong(self.loop, self.charter.name, line, self.record, Chance(self.seed + 5))
+                self.strong = Strong(
+                    self.loop, self.configuration.name, line, self.record, Chance(self.seed + 5)
+                )
                 self.giver.also[TARGET] = self.strong.handle
         except OSError:
             self.giver.close()
             raise
-        if self.charter.weak_word:
+        if self.configuration.weak_word:
             self.weak = Carrier(
-                self.loop, self.charter.name, self.gossip, self.gateway, Chance(self.seed + 4)
+                self.loop, self.configuration.name, self.gossip, self.gateway, Chance(self.seed + 4)
             )
         return self.giver
 
     def start(self):
         self.remember()
-        if self.charter.peers or self.charter.peers_file:
+        if self.configuration.peers or self.configuration.peers_file:
             self.learner = Learner(self.loop, (), self.lore, self.follow, self.whole, self.record)
-            self.listed(self.charter.peers)
-        if self.charter.peers_file:
-            told = self.charter.peers_file
+            self.listed(self.configuration.peers)
+        if self.configuration.peers_file:
+            told = self.configuration.peers_file
             self.watch = FileWatch(self.loop, told.path, told.look, self.listed, self.refused, read_peers)
 
     def hosts_listed(self, lives):
@@ -83,9 +91,11 @@
     def remember(self):
         """Opens the memory on disk where there is one, and follows what it tells of the past life. One that
         cannot be opened is tried again while the gateway serves, and written to from then on."""
-        if self.charter.memory is None:
+        if self.configuration.memory is None:
             return
-        memory = Memory(self.charter.memory, lambda text: self.record.event("warning", "memory", text=text))
+        memory = Memory(
+            self.configuration.memory, lambda text: self.record.event("warning", "memory", text=text)
+        )
         try:
             memory.open()
             self._recall(memory)
@@ -112,7 +122,7 @@
             self.loop.now(),
             self.roll.lives(),
             tracks,
-            self.charter.terms.keep_alive,
+            self.configuration.terms.keep_alive,
             self.chance,
             subjects,
         )
@@ -122,7 +132,7 @@
         self.gateway.hint_mix(self.lore.mix())
 
     def listed(self, peers):
-        others = [peer for peer in peers if peer.name != self.charter.name]
+        others = [peer for peer in peers if peer.name != self.configuration.name]
         if self.gossip is not None:
             self.gossip.listed(others)
         if self.strong is not None:
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -13,7 +13,7 @@
 import subprocess
 import sys
 
-from gaproute.config import Mistakes, read_charter
+from gaproute.config import ConfigurationError, read_configuration
 from gaproute.decisions.admission.restarts import Restarts
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop, Promise
@@ -127,10 +127,10 @@
 class Parent:
     """`count` gateways by the configuration `file`; seats are numbered, one more than that for a roll."""
 
-    def __init__(self, file, charter, count, seed=None, loop=None, log=None):
-        self.file, self.charter, self.count, self.seed = file, charter, count, seed
+    def __init__(self, file, configuration, count, seed=None, loop=None, log=None):
+        self.file, self.configuration, self.count, self.seed = file, configuration, count, seed
         self.loop = loop or Loop()
-        self.log = log or logger(level=charter.log_level).bind(gateway=f"{charter.name}, parent")
+        self.log = log or logger(level=configuration.log_level).bind(gateway=f"{configuration.name}, parent")
         self.restarts = Restarts(Chance(os.getpid() if seed is None else seed))
         self.children = {}  # seat: Child
         self.sockets = {}  # address as configured: its listening socket
@@ -138,9 +138,9 @@
         self.again = False  # a reload was asked for while one was under way
         self.retry = None  # timer of a reload that failed for a moment
 
-    def open(self, charter):
-        """The listening sockets of a charter; those that stand already stay. Errors: OSError."""
-        wanted = [where for kind, where in charter.listens if kind == "kserve"]
+    def open(self, configuration):
+        """The listening sockets of a configuration; those that stand already stay. Errors: OSError."""
+        wanted = [where for kind, where in configuration.listens if kind == "kserve"]
         fresh = {}
         try:
             for where in wanted:
@@ -156,7 +156,7 @@
     def start(self):
         """Errors: OSError where an address cannot be listened on, or a child cannot be started; it may be
         called again then."""
-        self.open(self.charter)
+        self.open(self.configuration)
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
         self.loop.on_signal(signal.SIGHUP, self.reload)
@@ -168,7 +168,7 @@
         )
 
     def _start(self, seat):
-        sockets = self.open(self.charter)
+        sockets = self.open(self.configuration)
         command = [
             sys.executable,
             "-m",
@@ -228,20 +228,20 @@
         if self.rolling or self.stopping:
             return
         try:
-            charter = read_charter(self.file)
+            configuration = read_configuration(self.file)
             before = set(self.sockets)
-            self.open(charter)
-        except (Mistakes, OSError) as wrong:
+            self.open(configuration)
+        except (ConfigurationError, OSError) as wrong:
             if self.loop.now() + backoff.pause <= began + time_for(cause_of(wrong)):
                 self.retry = self.loop.after(backoff.next(), self._reload, backoff, began)
             else:
                 self._refuse(wrong)
             return
         self.rolling = True
-        self.loop.spawn(self._roll(charter, before))
+        self.loop.spawn(self._roll(configuration, before))
 
     def _refuse(self, wrong):
-        for mistake in wrong.mistakes if isinstance(wrong, Mistakes) else [wrong]:
+        for mistake in wrong.mistakes if isinstance(wrong, ConfigurationError) else [wrong]:
             self.log.error("configuration refused", mistake=str(mistake))
 
     def _started(self, seat):
@@ -257,9 +257,9 @@
                 break
         return None
 
-    def _roll(self, charter, before):
+    def _roll(self, configuration, before):
         """Each child in turn: a new one beside it, and only when that serves is the old one asked to end."""
-        was, self.charter = self.charter, charter
+        was, self.configuration = self.configuration, configuration
         for seat in sorted(self.children):
             if self.stopping:
                 break
@@ -268,7 +268,7 @@
             served = fresh is not None and (yield fresh.ready)
             if not served:
                 self.log.error("roll given up: the new configuration does not start", seat=free)
-                self.charter = was
+                self.configuration = was
                 break
             old = self.children.pop(seat, None)
             if old is not None:
@@ -276,7 +276,7 @@
                 yield old.ended
         else:
             self.log.info("rolled", processes=len(self.children))
-            wanted = {where for kind, where in charter.listens if kind == "kserve"}
+            wanted = {where for kind, where in configuration.listens if kind == "kserve"}
             for where in before - wanted:
                 self.sockets.pop(where).close()
         self.rolling = False
--- a/gaproute/cli/playing.py
+++ b/gaproute/cli/playing.py
@@ -7,7 +7,7 @@
 from rich.console import Console
 
 from gaproute.cli.common import json_option, show_table
-from gaproute.config import Mistakes
+from gaproute.config import ConfigurationError
 
 
 @click.command()
@@ -28,7 +28,7 @@
 
     try:
         told = read_script(script)
-    except Mistakes as wrong:
+    except ConfigurationError as wrong:
         click.echo(str(wrong), err=True)
         sys.exit(2)
     out = out or tempfile.mkdtemp(prefix="gaproute-trial-")
@@ -64,7 +64,7 @@
 
     try:
         told = read_load(script)
-    except Mistakes as wrong:
+    except ConfigurationError as wrong:
         click.echo(str(wrong), err=True)
         sys.exit(2)
     loop = Loop()
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -8,10 +8,10 @@
 
 from gaproute.cli.common import refuse
 from gaproute.config import (
-    Mistakes,
+    ConfigurationError,
     NotDurableError,
     move,
-    read_charter,
+    read_configuration,
     read_hosts,
     read_peers,
     read_text,
@@ -22,24 +22,24 @@
 from gaproute.loop.starting import Patience
 
 
-def charter_of(file, whole=False):
+def configuration_of(file, whole=False):
     """The configuration of a file, or exit 2. `whole`: the files of its cells are read as well; a gateway
     starts without them and waits."""
     try:
         return Patience().call(lambda: _read(file, whole))
-    except Mistakes as wrong:
+    except ConfigurationError as wrong:
         refuse(wrong, "nothing of it is used")
 
 
 def _read(file, whole):
-    charter = read_charter(file)
-    if charter.hosts_file is not None:
-        read_hosts(charter.hosts_file.path)
-    if charter.peers_file is not None:
-        read_peers(charter.peers_file.path)
-    if whole and charter.cells is not None:
-        check_cells(charter)
-    return charter
+    configuration = read_configuration(file)
+    if configuration.hosts_file is not None:
+        read_hosts(configuration.hosts_file.path)
+    if configuration.peers_file is not None:
+        read_peers(configuration.peers_file.path)
+    if whole and configuration.cells is not None:
+        check_cells(configuration)
+    return configuration
 
 
 def given(patience, step, failed="cannot start"):
@@ -62,11 +62,11 @@
 def serve(file, seed, processes, seat, inherited, life, ready):
     """Run a gateway by the configuration FILE until SIGTERM; with --processes several, under one parent that
     starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
-    charter, patience = charter_of(file), Patience()
+    configuration, patience = configuration_of(file), Patience()
     if processes is not None:
         from gaproute.appliance.parent import Parent
 
-        runs = Parent(file, charter, processes, seed, loop=given(patience, Loop))
+        runs = Parent(file, configuration, processes, seed, loop=given(patience, Loop))
     else:
         from gaproute.appliance import Appliance
 
@@ -75,8 +75,8 @@
             fd, _, where = each.partition("=")
             sockets[where] = socket.socket(fileno=int(fd))
         if seat is not None:
-            charter.seat(*seat)
-        runs = Appliance(charter, loop=given(patience, Loop), seed=seed, inherited=sockets)
+            configuration.seat(*seat)
+        runs = Appliance(configuration, loop=given(patience, Loop), seed=seed, inherited=sockets)
         given(patience, runs.heed_signals)
     given(patience, runs.start, "cannot listen")
     if life is not None:
@@ -91,10 +91,10 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file):
     """Check the configuration FILE and the files that it names; every mistake in one go."""
-    charter = charter_of(file, whole=True)
+    configuration = configuration_of(file, whole=True)
     click.echo(
-        f"{file}: well: {len(charter.tracks)} tracks, {len(charter.models)} models, "
-        f"{len(charter.hosts) or 'listed'} hosts"
+        f"{file}: well: {len(configuration.tracks)} tracks, {len(configuration.models)} models, "
+        f"{len(configuration.hosts) or 'listed'} hosts"
     )
 
 
@@ -116,7 +116,7 @@
     try:
         texts = [read_text(file) for file in (old, shape)]
         text, left = move(old, texts[0], shape, texts[1], new)
-    except Mistakes as wrong:
+    except ConfigurationError as wrong:
         refuse(wrong, "nothing is written")
     if dry_run:
         click.echo(text, nl=False)
--- a/gaproute/cluster/crews.py
+++ b/gaproute/cluster/crews.py
@@ -10,7 +10,7 @@
 from pydantic import Field
 
 from gaproute.cluster.asking import LOST, SILENT, ask
-from gaproute.config.lines import Directive, Span
+from gaproute.config.parsing import Directive, Span
 from gaproute.judge import permits
 from gaproute.standins.tap import read
 
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -9,7 +9,7 @@
 
 from gaproute.cluster import crews, sets
 from gaproute.cluster.platform import words
-from gaproute.config.lines import Directive, Mistake, Span, Yes
+from gaproute.config.parsing import Directive, Mistake, Span, Yes
 from gaproute.scenarios import script as trial
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -122,7 +122,7 @@
 
 def read_script(name):
     """A trial's or a cluster's script, by its name or its path; a cluster's has `cluster`, `faults`,
-    `strikes` and `lists`, a trial's `cluster` is None. Errors: `Mistakes`."""
+    `strikes` and `lists`, a trial's `cluster` is None. Errors: `ConfigurationError`."""
     script, found = trial.read_script(name, WORDS, check)
     lines = {kind: [line for word, line in found if word == kind] for kind in WORDS}
     script.cluster = next(iter(lines["cluster"]), None) or (ClusterLine() if any(lines.values()) else None)
--- a/gaproute/config/__init__.py
+++ b/gaproute/config/__init__.py
@@ -1,16 +1,16 @@
 """The configuration: line-based, checked by a schema, refused whole with every mistake in one go."""
 
-from gaproute.config.charter import Charter
-from gaproute.config.lines import Mistakes
-from gaproute.config.moving import NotDurableError, move, write_whole
-from gaproute.config.reading import read_charter, read_hosts, read_peers, read_text
+from gaproute.config.configuration import Configuration
+from gaproute.config.files import read_configuration, read_hosts, read_peers, read_text
+from gaproute.config.migration import NotDurableError, move, write_whole
+from gaproute.config.parsing import ConfigurationError
 
 __all__ = [
-    "Charter",
-    "Mistakes",
+    "Configuration",
+    "ConfigurationError",
     "NotDurableError",
     "move",
-    "read_charter",
+    "read_configuration",
     "read_hosts",
     "read_peers",
     "read_text",
--- a/gaproute/config/cell_files.py
+++ b/gaproute/config/cell_files.py
@@ -3,9 +3,9 @@
 import os
 from urllib.parse import quote
 
-from gaproute.config.cells import MAX_BYTES, read_cells
-from gaproute.config.lines import Mistake, Mistakes
-from gaproute.config.reading import read_hosts, read_text
+from gaproute.config.cell_table import MAX_BYTES, read_cells
+from gaproute.config.files import read_hosts, read_text
+from gaproute.config.parsing import ConfigurationError, Mistake
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 
 MAX_LIST_BYTES = 1 << 20  # of a host list: 1 KiB for each of the most hosts
@@ -13,12 +13,14 @@
 
 
 def read_table(path):
-    """The cell table of a file. Errors: `Mistakes`."""
+    """The cell table of a file. Errors: `ConfigurationError`."""
     text = _bounded_text(path, MAX_BYTES).rstrip()
     body, _, last = text.rpartition("\n")
     if last.strip() != END:
         cure = f"let the last line be: {END}"
-        raise Mistakes([Mistake(path, text.count("\n") + 1, "the table is torn: it has no end", cure)])
+        raise ConfigurationError(
+            [Mistake(path, text.count("\n") + 1, "the table is torn: it has no end", cure)]
+        )
     return read_cells(path, f"{body}\n")
 
 
@@ -28,7 +30,9 @@
     except OSError:
         size = 0  # said by whoever reads it
     if size > most:
-        raise Mistakes([Mistake(path, 0, f"{size} bytes are more than {most}", "is this the right file?")])
+        raise ConfigurationError(
+            [Mistake(path, 0, f"{size} bytes are more than {most}", "is this the right file?")]
+        )
     return read_text(path)
 
 
@@ -38,11 +42,11 @@
 
 
 def read_cell_hosts(path):
-    """The `host` lines of a cell's file. Errors: `Mistakes`."""
+    """The `host` lines of a cell's file. Errors: `ConfigurationError`."""
     lines = read_hosts(path, _bounded_text(path, MAX_LIST_BYTES))
     if len(lines) > MAX_HOSTS:
         mistake = f"{len(lines)} hosts are more than a cell may have"
-        raise Mistakes([Mistake(path, lines[MAX_HOSTS].line, mistake, f"{MAX_HOSTS} at most")])
+        raise ConfigurationError([Mistake(path, lines[MAX_HOSTS].line, mistake, f"{MAX_HOSTS} at most")])
     return lines
 
 
@@ -69,18 +73,21 @@
     return None
 
 
-def check_cells(charter):
-    """Read the table and the host lists that a charter names. Errors: `Mistakes` with all that is wrong."""
-    line, folder = charter.cells, charter.cell_hosts.folder
+def check_cells(configuration):
+    """Read the table and the host lists that a configuration names.
+
+    Errors: `ConfigurationError` with all that is wrong.
+    """
+    line, folder = configuration.cells, configuration.cell_hosts.folder
     table = read_table(line.file)
-    mistakes, lists, paths = list(_place_mistakes(charter.file, line, table)), {}, {}
+    mistakes, lists, paths = list(_place_mistakes(configuration.file, line, table)), {}, {}
     for cell in table.cells if folder is not None else ():
         paths[cell.name] = path_of(folder, cell.name)
         if not os.path.exists(paths[cell.name]):
             continue  # only the gateways that know a cell need its list
         try:
             lines = read_cell_hosts(paths[cell.name])
-        except Mistakes as wrong:
+        except ConfigurationError as wrong:
             mistakes += wrong.mistakes
             continue
         lists[cell.name] = lines
@@ -89,7 +96,7 @@
         mistakes.append(clash[1])
         del lists[clash[0]]
     if mistakes:
-        raise Mistakes(mistakes)
+        raise ConfigurationError(mistakes)
 
 
 def _place_mistakes(file, line, table):
--- a/gaproute/config/cells.py
+++ b/gaproute/config/cell_table.py
@@ -11,8 +11,8 @@
 from itertools import islice, pairwise
 from pathlib import Path
 
-from gaproute.config.lines import Mistake, Mistakes, read_lines
-from gaproute.config.words.cells import CELL_WORDS, CellLine, TableLine
+from gaproute.config.directives.cell_table import CELL_DIRECTIVES, CellLine, TableLine
+from gaproute.config.parsing import ConfigurationError, Mistake, read_lines
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.errors import RowError, TableError
 from gaproute.decisions.cells.table import Cell, CellTable, Version, check_cell, validate
@@ -25,12 +25,12 @@
 
 
 def read_cells(path, text: str | None = None) -> CellTable:
-    """The table of a file. Errors: `Mistakes` with all that is wrong, the first thousand at most."""
+    """The table of a file. Errors: `ConfigurationError` with all mistakes, the first thousand at most."""
     file = str(path)
     if text is None:
         text = _read_bounded(file)
     _check_size(file, text)
-    found, mistakes, first = read_lines(file, text, CELL_WORDS, MAX_MISTAKES)
+    found, mistakes, first = read_lines(file, text, CELL_DIRECTIVES, MAX_MISTAKES)
     if "table" not in first:
         mistakes.append(Mistake(file, 0, "no table line", f"right would be: {TableLine.example}"))
     lines = [line for word, line in found if word == "cell"]
@@ -42,7 +42,7 @@
         except TableError as fault:
             mistakes.append(_mistake_of(file, lines, fault))
     mistakes = sorted(mistakes, key=lambda mistake: mistake.line)[:MAX_MISTAKES]
-    raise Mistakes([mistake._replace(wrong=mistake.wrong[:MAX_TEXT]) for mistake in mistakes])
+    raise ConfigurationError([mistake._replace(wrong=mistake.wrong[:MAX_TEXT]) for mistake in mistakes])
 
 
 def _read_bounded(file):
@@ -50,19 +50,21 @@
         with Path(file).open(encoding="utf-8") as opened:
             return opened.read(MAX_BYTES + 1)
     except (OSError, UnicodeDecodeError) as fault:
-        raise Mistakes([Mistake(file, 0, f"cannot be read: {fault}", "name a readable text file")]) from fault
+        raise ConfigurationError(
+            [Mistake(file, 0, f"cannot be read: {fault}", "name a readable text file")]
+        ) from fault
 
 
 def _check_size(file, text):
     if len(text) > MAX_BYTES:
-        raise Mistakes([Mistake(file, 0, f"more than {MAX_BYTES} bytes", "a table is far smaller")])
+        raise ConfigurationError([Mistake(file, 0, f"more than {MAX_BYTES} bytes", "a table is far smaller")])
     if text.count("\n") > MAX_LINES:
         cure = f"a table has {bounds.MAX_CELLS} cells at most"
-        raise Mistakes([Mistake(file, 0, f"more than {MAX_LINES} lines", cure)])
+        raise ConfigurationError([Mistake(file, 0, f"more than {MAX_LINES} lines", cure)])
     long = [number for number, line in enumerate(text.splitlines(), 1) if len(line) > MAX_LINE]
     if long:
         told = [Mistake(file, number, f"more than {MAX_LINE} characters", "shorten it") for number in long]
-        raise Mistakes(told[:MAX_MISTAKES])
+        raise ConfigurationError(told[:MAX_MISTAKES])
 
 
 def _cell(line):
--- a/gaproute/config/charter.py
+++ b/gaproute/config/configuration.py
@@ -1,14 +1,14 @@
-"""The charter that a checked configuration becomes."""
+"""The configuration that a checked configuration becomes."""
 
 from gaproute import interface as face
-from gaproute.config.words import WORDS
-from gaproute.config.words.fleet import PeerLine
+from gaproute.config.directives import DIRECTIVES
+from gaproute.config.directives.fleet import PeerLine
 
 EFFECTS = {effect.value: effect for effect in face.Idempotency}
 GROUPS = {"all": face.Group.ALL, "zone": face.Group.ZONE, "rack": face.Group.CELL}
 
 
-class Charter:
+class Configuration:
     """A checked configuration: what the parts of the appliance are given when they start."""
 
     def __init__(self, file, found):
@@ -16,7 +16,7 @@
             return [directive for name, directive in found if name == word]
 
         def one(word):
-            return next(iter(all_of(word)), None) or WORDS[word].model_construct()
+            return next(iter(all_of(word)), None) or DIRECTIVES[word].model_construct()
 
         self.file = file
         self.name = one("name").name
@@ -77,8 +77,8 @@
         )
 
     def seat(self, number, count):
-        """Makes this the charter of one of `count` processes: a name, and addresses but the clients', of its
-        own; the others are its peers where it tells others at all."""
+        """Makes this the configuration of one of `count` processes: a name, and addresses but the clients',
+        of its own; the others are its peers where it tells others at all."""
         base = self.name
         self.name = f"{base}-{number}"
         peers = [where for kind, where in self.listens if kind == "peers"]
--- a/gaproute/config/across.py
+++ b/gaproute/config/consistency.py
@@ -1,8 +1,8 @@
 """Mistakes that only show between lines."""
 
-from gaproute.config.lines import Mistake
-from gaproute.config.words.fleet import CellHosts, CellsLine, HostLine, KeepersLine, Listen, Word
-from gaproute.config.words.tasks import ModelLine, TrackLine
+from gaproute.config.directives.fleet import CellHosts, CellsLine, HostLine, KeepersLine, Listen, Word
+from gaproute.config.directives.requests import ModelLine, TrackLine
+from gaproute.config.parsing import Mistake
 
 # What a fleet in cells cannot have: {word: cure}.
 WITHOUT_CELLS = {
--- a/gaproute/config/words/__init__.py
+++ b/gaproute/config/directives/__init__.py
@@ -1,6 +1,6 @@
 """What each line of the configuration may say: one schema a word."""
 
-from gaproute.config.words.fleet import (
+from gaproute.config.directives.fleet import (
     CellHosts,
     CellsLine,
     HostLine,
@@ -13,9 +13,8 @@
     WeakWord,
     Word,
 )
-from gaproute.config.words.kinds import Address, Name
-from gaproute.config.words.process import Clients, Decisions, Log, ReachLine
-from gaproute.config.words.tasks import (
+from gaproute.config.directives.process import Clients, Decisions, Log, ReachLine
+from gaproute.config.directives.requests import (
     Advice,
     Cold,
     Copies,
@@ -27,12 +26,13 @@
     TenantLine,
     TrackLine,
 )
+from gaproute.config.directives.values import Address, Name
 
-__all__ = ["HOST_WORDS", "PEER_WORDS", "WORDS", "Address", "Name"]
+__all__ = ["HOST_DIRECTIVES", "PEER_DIRECTIVES", "DIRECTIVES", "Address", "Name"]
 
-HOST_WORDS = {"host": HostLine}
-PEER_WORDS = {"peer": PeerLine}
-WORDS = HOST_WORDS | {
+HOST_DIRECTIVES = {"host": HostLine}
+PEER_DIRECTIVES = {"peer": PeerLine}
+DIRECTIVES = HOST_DIRECTIVES | {
     "name": Word,
     "listen": Listen,
     "hosts-file": HostsFile,
--- a/gaproute/config/words/cells.py
+++ b/gaproute/config/directives/cell_table.py
@@ -4,7 +4,7 @@
 
 from pydantic import BeforeValidator, Field
 
-from gaproute.config.lines import Directive
+from gaproute.config.parsing import Directive
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.table import Entry, Points
 
@@ -77,4 +77,4 @@
     entries: Annotated[tuple[Entry, ...], BeforeValidator(_entries)] = ()
 
 
-CELL_WORDS = {"table": TableLine, "cell": CellLine}
+CELL_DIRECTIVES = {"table": TableLine, "cell": CellLine}
--- a/gaproute/config/words/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -4,8 +4,8 @@
 
 from pydantic import BeforeValidator, Field, model_validator
 
-from gaproute.config.lines import Directive, Span, Yes
-from gaproute.config.words.kinds import Address, Name, Started
+from gaproute.config.directives.values import Address, Name, Started
+from gaproute.config.parsing import Directive, Span, Yes
 from gaproute.decisions.cells.bounds import MAX_NAME
 from gaproute.shared.leases.commands import LONGEST, SHORTEST
 from gaproute.shared.raft.messages import KEEPERS
--- a/gaproute/config/words/process.py
+++ b/gaproute/config/directives/process.py
@@ -5,7 +5,7 @@
 
 from pydantic import Field
 
-from gaproute.config.lines import Directive, Size, Span
+from gaproute.config.parsing import Directive, Size, Span
 
 
 class Clients(Directive):
--- a/gaproute/config/words/tasks.py
+++ b/gaproute/config/directives/requests.py
@@ -4,8 +4,8 @@
 
 from pydantic import BeforeValidator, Field, model_validator
 
-from gaproute.config.lines import Directive, Span, Yes
-from gaproute.config.words.kinds import Name
+from gaproute.config.directives.values import Name
+from gaproute.config.parsing import Directive, Span, Yes
 
 
 class TrackLine(Directive):
--- a/gaproute/config/moving.py
+++ b/gaproute/config/migration.py
@@ -11,10 +11,10 @@
 import shlex
 from typing import NamedTuple
 
-from gaproute.config.across import twice
-from gaproute.config.lines import Mistake, Mistakes, read_lines
-from gaproute.config.reading import read_charter
-from gaproute.config.words import WORDS
+from gaproute.config.consistency import twice
+from gaproute.config.directives import DIRECTIVES
+from gaproute.config.files import read_configuration
+from gaproute.config.parsing import ConfigurationError, Mistake, read_lines
 
 # What a deployment states; everything else is the operator's own and stays as it is.
 STATED = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
@@ -35,8 +35,8 @@
 
 
 def read_shape(file, text):
-    """{word: {name or "": (places, keywords)}} as the shape states them. Errors: `Mistakes`."""
-    found, mistakes, _ = read_lines(file, text, WORDS)
+    """{word: {name or "": (places, keywords)}} as the shape states them. Errors: `ConfigurationError`."""
+    found, mistakes, _ = read_lines(file, text, DIRECTIVES)
     mistakes += twice(file, found)
     for word, line in found:
         if word not in STATED:
@@ -51,7 +51,7 @@
     if not found and not mistakes:
         mistakes.append(Mistake(file, 0, "states nothing", "name what the new deployment states"))
     if mistakes:
-        raise Mistakes(sorted(mistakes, key=lambda mistake: mistake.line))
+        raise ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
     shape = {}
     for words in filter(None, _lines(text)):
         places, keywords = _parts(words)
@@ -60,18 +60,18 @@
 
 
 def move(old_file, old_text, shape_file, shape_text, new_file):
-    """(the new file's text, [Left]). Errors: `Mistakes` of the old file, the shape, or what they give."""
+    """(the new file's text, [Left]). Errors: `ConfigurationError` of either file or the result."""
     wrong, shape = [], {}
     try:
-        read_charter(old_file, old_text)
-    except Mistakes as mistakes:
+        read_configuration(old_file, old_text)
+    except ConfigurationError as mistakes:
         wrong += mistakes.mistakes
     try:
         shape = read_shape(shape_file, shape_text)
-    except Mistakes as mistakes:
+    except ConfigurationError as mistakes:
         wrong += mistakes.mistakes
     if wrong:
-        raise Mistakes(wrong)
+        raise ConfigurationError(wrong)
     lines, left, used = [], [], set()
 
     def leave(number, what, why):
@@ -116,7 +116,7 @@
     if rest:
         lines += ["", "# stated by the new deployment"] + rest
     text = "\n".join(lines) + "\n"
-    read_charter(new_file, text)
+    read_configuration(new_file, text)
     return text, left
 
 
@@ -127,7 +127,7 @@
 
 def _parts(words):
     """The words by place and {keyword: value} of a checked line."""
-    count = len(WORDS[words[0]].places)
+    count = len(DIRECTIVES[words[0]].places)
     places, rest = tuple(words[1 : count + 1]), words[count + 1 :]
     return places, dict(zip(rest[::2], rest[1::2], strict=True))
 
--- a/gaproute/config/lines.py
+++ b/gaproute/config/parsing.py
@@ -34,7 +34,7 @@
         return f"{self.file}:{self.line}: {self.wrong}; {self.cure}"
 
 
-class Mistakes(Exception):
+class ConfigurationError(Exception):
     """All that is wrong with a file."""
 
     def __init__(self, mistakes):
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -9,7 +9,7 @@
 
 from pydantic import ValidationError
 
-from gaproute.config.words.fleet import HostLine
+from gaproute.config.directives.fleet import HostLine
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 from gaproute.discovery.changelog.events import STATES, member_standing, read_member
 from gaproute.interface import State
--- a/gaproute/discovery/listing.py
+++ b/gaproute/discovery/listing.py
@@ -4,7 +4,7 @@
 import os
 import time
 
-from gaproute.config import Mistakes, read_hosts
+from gaproute.config import ConfigurationError, read_hosts
 from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.hosts.rows import Row
 from gaproute.interface import ListedHost, State
@@ -129,7 +129,7 @@
         read_at, self.good = self.loop.now(), False
         try:
             lines = self.reader(self.path)
-        except Mistakes as wrong:
+        except ConfigurationError as wrong:
             if self._is_told(wrong):
                 self.refused(wrong.mistakes)
             return
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -19,8 +19,8 @@
     """`server` listens already, and hands over what is for this front by `handle`; `report(cell)`: the cell's
     load as other gateways are told it, or None."""
 
-    def __init__(self, loop, server, core, charter, ready, report):
-        super().__init__(loop, server, core, charter, ready)
+    def __init__(self, loop, server, core, configuration, ready, report):
+        super().__init__(loop, server, core, configuration, ready)
         self.report = report
 
     def listen(self, where, limits, inherited):
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -51,13 +51,13 @@
     """One listening address. `core` takes the tasks; `models`, `tenants` and `tracks` are the
     configuration's."""
 
-    def __init__(self, loop, where, core, charter, ready, inherited=None):
+    def __init__(self, loop, where, core, configuration, ready, inherited=None):
         self.loop, self.core, self.ready = loop, core, ready
         self.version = VERSION
-        self.name = charter.name
-        self.models, self.tenants = charter.models, charter.tenants
-        self.tracks = {line.name: (place, line.limit) for place, line in enumerate(charter.tracks)}
-        clients = charter.clients
+        self.name = configuration.name
+        self.models, self.tenants = configuration.models, configuration.tenants
+        self.tracks = {line.name: (place, line.limit) for place, line in enumerate(configuration.tracks)}
+        clients = configuration.clients
         self.way_back = clients.way_back
         limits = Limits(
             clients.head,
--- a/gaproute/hollow/__main__.py
+++ b/gaproute/hollow/__main__.py
@@ -6,7 +6,7 @@
 
 import argparse
 
-from gaproute.config import read_charter, read_peers
+from gaproute.config import read_configuration, read_peers
 from gaproute.hollow.process import HollowProcess
 
 
@@ -18,12 +18,12 @@
     parser.add_argument("--count", type=int, required=True)
     parser.add_argument("--seed", type=int, default=1)
     told = parser.parse_args()
-    charter = read_charter(told.config)
-    rows = read_peers(charter.peers_file.path)
+    configuration = read_configuration(told.config)
+    rows = read_peers(configuration.peers_file.path)
     own = {row.name for row in rows[told.first : told.first + told.count]}
-    if own & set(charter.keepers.names):
+    if own & set(configuration.keepers.names):
         parser.error("a keeper is among the hollow gateways")
-    HollowProcess(charter, rows, told.first, told.count, told.seed).run()
+    HollowProcess(configuration, rows, told.first, told.count, told.seed).run()
 
 
 if __name__ == "__main__":
--- a/gaproute/hollow/cells/fleet.py
+++ b/gaproute/hollow/cells/fleet.py
@@ -94,7 +94,7 @@
             loop=self.make_loop(self.loop, self.lag(row.name)),
             name=row.name,
             address=row.where,
-            charter=self.charters[0],
+            configuration=self.configurations[0],
             seed=self.chance.below(1 << 30),
             open_datagrams=partial(SimulatedDatagrams, self.network, row.name),
             open_carrier=partial(SimulatedCarrier, self.network),
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -43,7 +43,7 @@
 
     def __init__(self, surroundings, parts):
         self.surroundings, self.loop, self.tables = surroundings, surroundings.loop, parts["tables"]
-        now, terms = self.loop.now(), surroundings.charter.terms
+        now, terms = self.loop.now(), surroundings.configuration.terms
         self.cellular = CellularGateway(surroundings.seed, terms, now, surroundings.place)
         self.gateway, self.followers = KnownHosts(self.cellular), []
         self.ways = Ways(surroundings, self.cellular)
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -12,7 +12,7 @@
     """Needs the parts `hosts` and `leases`, and a loop with real sockets."""
 
     def __init__(self, surroundings, parts):
-        tracks = [line.name for line in surroundings.charter.tracks]
+        tracks = [line.name for line in surroundings.configuration.tracks]
         where = address(surroundings.address)
         self.giver = Giver(surroundings.loop, where, parts["hosts"].gateway, Roll(), tracks, ASKED)
         self.carrier = parts["leases"].seat.carrier
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -9,16 +9,18 @@
     """The decisions' own `gateway` (`gaproute.decisions.routing`), fed the list and driven by no task."""
 
     def __init__(self, surroundings, parts):
-        self.loop, self.charter = surroundings.loop, surroundings.charter
-        self.listing = Listing(self.loop, surroundings.wall, self.charter.sizes_told)
-        self.gateway = self.charter.decisions(surroundings.seed, self.charter.terms, self.loop.now())
+        self.loop, self.configuration = surroundings.loop, surroundings.configuration
+        self.listing = Listing(self.loop, surroundings.wall, self.configuration.sizes_told)
+        self.gateway = self.configuration.decisions(
+            surroundings.seed, self.configuration.terms, self.loop.now()
+        )
         self.due = self.loop.now() + TIDY
         self.rows, self.watch, self.followers = {}, None, []
         self.lists = self.refused = 0
 
     def start(self):
         """Reads the list and watches it."""
-        source = self.charter.hosts_file
+        source = self.configuration.hosts_file
         self.watch = FileWatch(self.loop, source.path, source.look, self._told, self._refused)
 
     def tick(self, now):
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -18,7 +18,7 @@
 
     def __init__(self, surroundings, parts):
         self.loop, self.name = surroundings.loop, surroundings.name
-        line = surroundings.charter.keepers
+        line = surroundings.configuration.keepers
         self.peers = {}
         self.seat = Seat(
             self.loop,
--- a/gaproute/hollow/parts.py
+++ b/gaproute/hollow/parts.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from gaproute.config import Charter
+from gaproute.config import Configuration
 from gaproute.decisions.chance import Chance
 
 DATAGRAM_HEADERS = 28  # bytes of IPv4 and UDP around each datagram
@@ -26,7 +26,7 @@
 class Surroundings:
     """What one gateway's parts stand on.
 
-    `charter` holds the checked configuration, shared by all gateways of a process; `open_datagrams(loop,
+    `configuration` is checked, and shared by all gateways of a process; `open_datagrams(loop,
     where, heard)` and `open_carrier(loop, name, peers, take)` make what sends and receives; `wall` tells ns
     since 1970; `open_votes` makes a keeper's disk.
     """
@@ -34,7 +34,7 @@
     loop: Any
     name: str
     address: str
-    charter: Charter
+    configuration: Configuration
     seed: int
     open_datagrams: Callable
     open_carrier: Callable
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -39,10 +39,10 @@
 
 
 class HollowProcess:
-    """The gateways `rows[first : first + count]` of all `rows`; `charter` is shared by them."""
+    """The gateways `rows[first : first + count]` of all `rows`; `configuration` is shared by them."""
 
-    def __init__(self, charter, rows, first, count, seed=1):
-        self.loop, self.charter, self.rows, self.seed = Loop(), charter, rows, seed
+    def __init__(self, configuration, rows, first, count, seed=1):
+        self.loop, self.configuration, self.rows, self.seed = Loop(), configuration, rows, seed
         self.loop.on_error = self.failed
         self.changes, self.gateways = Changes(), {}
         self.errors, self.last_error, self.late, self.due = 0, "", 0, self.loop.now() + BEAT
@@ -68,7 +68,7 @@
             loop=self.loop,
             name=row.name,
             address=row.where,
-            charter=self.charter,
+            configuration=self.configuration,
             seed=self.seed * 1_000_003 + number * 101,
             open_datagrams=Datagrams,
             open_carrier=Carrier,
--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -4,7 +4,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from gaproute.config import read_charter
+from gaproute.config import read_configuration
 from gaproute.decisions.chance import Chance
 from gaproute.hollow.gateway import PARTS, HollowGateway
 from gaproute.hollow.parts import Surroundings
@@ -52,7 +52,7 @@
         self.rows = [GatewayRow(f"gateway-{number}", self.address(number)) for number in range(size)]
         self.known = self.rows if seeds is None else self.rows[:seeds]
         self.lag, self.list_of = lag or (lambda name: 0), list_of or (lambda name: 0)
-        self.charters = [self._charter(file.path) for file in self.lists.files]
+        self.configurations = [self._configuration(file.path) for file in self.lists.files]
         self.disks, self.gateways = {}, {}
         self.gone = Counter()  # counters of gateways that ended
         for row in self.rows:
@@ -63,9 +63,9 @@
         """An address as long as real ones are."""
         return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:7400"
 
-    def _charter(self, path):
+    def _configuration(self, path):
         keepers = ",".join(row.name for row in self.rows[:KEEPERS])
-        return read_charter("hollow.conf", CONFIGURATION.format(hosts=path, keepers=keepers))
+        return read_configuration("hollow.conf", CONFIGURATION.format(hosts=path, keepers=keepers))
 
     # Gateways come and go
 
@@ -77,7 +77,7 @@
             loop=GatewayLoop(self.loop, self.lag(row.name)),
             name=row.name,
             address=row.where,
-            charter=self.charters[self.list_of(row.name)],
+            configuration=self.configurations[self.list_of(row.name)],
             seed=self.chance.below(1 << 30),
             open_datagrams=partial(SimulatedDatagrams, self.network, row.name),
             open_carrier=partial(SimulatedCarrier, self.network),
--- a/gaproute/load/script.py
+++ b/gaproute/load/script.py
@@ -5,8 +5,8 @@
 
 from pydantic import BeforeValidator, Field
 
-from gaproute.config.lines import Directive, Mistake, Mistakes, Size, Span, Yes, read_lines
-from gaproute.config.words import Address, Name
+from gaproute.config.directives import Address, Name
+from gaproute.config.parsing import ConfigurationError, Directive, Mistake, Size, Span, Yes, read_lines
 
 
 class Target(Directive):
@@ -81,12 +81,12 @@
 
 
 def read_load(name, text=None):
-    """Errors: `Mistakes`."""
+    """Errors: `ConfigurationError`."""
     if text is None:
         try:
             text = Path(name).read_text()
         except (OSError, UnicodeDecodeError) as fault:
-            raise Mistakes(
+            raise ConfigurationError(
                 [Mistake(str(name), 0, f"cannot be read: {fault}", "name a readable text file")]
             ) from None
     found, mistakes, words = read_lines(str(name), text, WORDS)
@@ -112,5 +112,5 @@
         if word == "traffic":
             names.add(line.name)
     if mistakes:
-        raise Mistakes(sorted(mistakes, key=lambda mistake: mistake.line))
+        raise ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
     return Load(text, found)
--- a/gaproute/scenarios/script.py
+++ b/gaproute/scenarios/script.py
@@ -10,8 +10,8 @@
 
 from pydantic import Field
 
-from gaproute.config.lines import Directive, Mistake, Mistakes, Span, Yes, read_lines
-from gaproute.config.words import WORDS, Name
+from gaproute.config.directives import DIRECTIVES, Name
+from gaproute.config.parsing import ConfigurationError, Directive, Mistake, Span, Yes, read_lines
 
 AT_HOSTS = ("hang", "lost", "fail", "slow", "refuse", "cut", "reset", "shut", "heavy")
 AT_PROCESSES = ("vanish", "crash", "preempt", "deploy", "gateway-kill", "gateway-stall")
@@ -115,27 +115,30 @@
         self.day, self.store, self.life = one("day"), one("store"), one("host-life")
         self.kinds = all_of("kind") or [KindLine(name="std")]
         self.traffic, self.tracks, self.troubles = all_of("traffic"), all_of("track"), all_of("trouble")
-        self.copies = next(iter(all_of("copies")), None) or WORDS["copies"]()
+        self.copies = next(iter(all_of("copies")), None) or DIRECTIVES["copies"]()
         lines = text.splitlines()
         self.gateway_lines = [lines[directive.line - 1] for word, directive in found if word in GATEWAY_WORDS]
 
 
 def read_script(name, further=None, check=lambda file, found: []):
     """(Script, [(word, line)]) by the name of one that comes with the program, or by its path. `further`:
-    words beside a trial's own, `check(file, found)` the mistakes of their lines. Errors: `Mistakes`."""
+    words beside a trial's own, `check(file, found)` the mistakes of their lines.
+    Errors: `ConfigurationError`."""
     path = resources.files("gaproute.scenarios") / "scripts" / f"{name}.script"
     file = path if path.is_file() else Path(name)
     try:
         text = file.read_text()
     except OSError as fault:
-        raise Mistakes(
+        raise ConfigurationError(
             [Mistake(str(name), 0, f"no such script: {fault}", "name bad-day or a file")]
         ) from None
-    words = SCRIPT_WORDS | {word: WORDS[word] for word in GATEWAY_WORDS} | (further or {})
+    words = SCRIPT_WORDS | {word: DIRECTIVES[word] for word in GATEWAY_WORDS} | (further or {})
     found, mistakes, _ = read_lines(str(name), text, words)
     tracks = [line.name for word, line in found if word == "track"]
     if not tracks:
-        mistakes.append(Mistake(str(name), 0, "no track line", f"right would be: {WORDS['track'].example}"))
+        mistakes.append(
+            Mistake(str(name), 0, "no track line", f"right would be: {DIRECTIVES['track'].example}")
+        )
     mistakes += [
         Mistake(str(name), line.line, f"no track {line.track!r}", f"the tracks here: {', '.join(tracks)}")
         for word, line in found
@@ -143,5 +146,5 @@
     ]
     mistakes += check(str(name), found)
     if mistakes:
-        raise Mistakes(sorted(mistakes, key=lambda mistake: mistake.line))
+        raise ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
     return Script(text, found), found
--- a/tests/appliance/test_cell_lists.py
+++ b/tests/appliance/test_cell_lists.py
@@ -5,7 +5,7 @@
 from helpers import MILLI
 
 from gaproute.appliance.cell_lists import CellLists
-from gaproute.config.words.fleet import CellHosts
+from gaproute.config.directives.fleet import CellHosts
 from gaproute.loop import Loop
 
 HOSTS = {name: f"host {name} 127.0.0.1:{port}" for port, name in enumerate("wxyz", 1)}
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -4,9 +4,9 @@
 import time
 
 import pytest
-from helpers import CHARTER, MILLI, SECOND
+from helpers import CONFIGURATION, MILLI, SECOND
 
-from gaproute.config import Mistakes, read_charter
+from gaproute.config import ConfigurationError, read_configuration
 from gaproute.loop.streams import address
 from gaproute.shared.leases import Holder
 from gaproute.shared.leases.errands import Errands, Order
@@ -15,8 +15,8 @@
 
 
 def mistakes(*lines):
-    with pytest.raises(Mistakes) as wrong:
-        read_charter("f", CHARTER + "host h 127.0.0.1:9\n" + "\n".join(lines) + "\n")
+    with pytest.raises(ConfigurationError) as wrong:
+        read_configuration("f", CONFIGURATION + "host h 127.0.0.1:9\n" + "\n".join(lines) + "\n")
     return [str(mistake) for mistake in wrong.value.mistakes]
 
 
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 
 import pytest
-from helpers import CHARTER, SECOND
+from helpers import CONFIGURATION, SECOND
 
 from gaproute.cli.asking import ask
-from gaproute.config import read_charter
+from gaproute.config import read_configuration
 from gaproute.decisions.admission.restarts import APART, FIRST, MOST, SPREAD, WELL, Restarts
 from gaproute.decisions.chance import Chance
 from gaproute.loop.streams import address
@@ -46,9 +46,10 @@
 
 def test_a_seat_has_a_name_and_addresses_of_its_own_and_the_others_as_peers():
     text = (
-        f"{CHARTER}listen peers 127.0.0.1:8090\nlisten operator unix:/x/op\nmemory /x/m\nhost a 127.0.0.1:1"
+        f"{CONFIGURATION}listen peers 127.0.0.1:8090\nlisten operator unix:/x/op\n"
+        "memory /x/m\nhost a 127.0.0.1:1"
     )
-    made = read_charter("c", text)
+    made = read_configuration("c", text)
     made.seat(1, 2)
     assert made.name == "g-1" and made.memory == "/x/m.1"
     assert made.listens == [
@@ -69,7 +70,7 @@
     def __init__(self, folder, rig, count=2, told=""):
         self.file, self.log = folder / "g.conf", folder / "g.log"
         hosts = "\n".join(f"host {host.make.name} {host.address} capacity 4" for host in rig.hosts)
-        self.text = f"{CHARTER}{hosts}\nlisten operator unix:{folder}/op\n{told}"
+        self.text = f"{CONFIGURATION}{hosts}\nlisten operator unix:{folder}/op\n{told}"
         self.file.write_text(self.text)
         self.rig, self.folder, self.count = rig, folder, count
         self.errors = open(self.log, "wb")
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from helpers import CHARTER, MILLI, SECOND
+from helpers import CONFIGURATION, MILLI, SECOND
 
 from gaproute.appliance.gateway import LAST_REQUEST, LAST_WORDS
 from gaproute.http1.deadlines import QUIET
@@ -99,7 +99,7 @@
     made.gate.stop()
     lasted = run_out(made)
     assert rest_of(client) == b"" and made.gate.lot.held == 0
-    assert LAST_REQUEST <= lasted < LAST_REQUEST + LAST_WORDS + made.gate.charter.longest
+    assert LAST_REQUEST <= lasted < LAST_REQUEST + LAST_WORDS + made.gate.configuration.longest
 
 
 def test_half_a_request_at_the_stop_is_served_when_whole_and_refused_where_it_is_not(rig, clients):
@@ -112,7 +112,7 @@
     whole.sendall(ASK[40:])
     lasted = run_out(made)
     assert statuses(rest_of(whole)) == [200] and statuses(rest_of(never)) == [408]
-    assert lasted < LAST_REQUEST + LAST_WORDS + made.gate.charter.longest
+    assert lasted < LAST_REQUEST + LAST_WORDS + made.gate.configuration.longest
 
 
 def test_a_request_that_lies_unread_on_a_kept_connection_is_served(rig, clients, monkeypatch):
@@ -209,21 +209,21 @@
     "contract 1s limit 3s": "contract 200ms limit 300ms",
     "contract 600ms limit 1200ms": "contract 200ms limit 300ms",
 }
-SHORT = CHARTER
+SHORT = CONFIGURATION
 for words, shorter in SHORT_LIMITS.items():
     SHORT = SHORT.replace(words, shorter)
 
 
 @pytest.mark.parametrize(
-    "charter, killed",
+    "configuration, killed",
     [
         pytest.param(SHORT, SECOND, id="limits-of-0.3-s"),
-        pytest.param(CHARTER, 3700 * MILLI, id="limits-of-4-s-that-count-as-3"),
+        pytest.param(CONFIGURATION, 3700 * MILLI, id="limits-of-4-s-that-count-as-3"),
     ],
 )
-def test_what_is_held_has_its_answer_before_the_process_may_be_killed(rig, charter, killed):
+def test_what_is_held_has_its_answer_before_the_process_may_be_killed(rig, configuration, killed):
     """Requests go on coming on open connections, each with its whole limit; the host answers none."""
-    made = rig(hosts=1, charter=charter)
+    made = rig(hosts=1, configuration=configuration)
     made.hosts[0].command({"trouble": "hang"})
     early = made.ask("crew", "early")
     made.until(lambda: made.seen("task", id="early"))
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -12,13 +12,13 @@
 import pytest
 from click.testing import CliRunner
 from failing import Failing, fault, open_descriptors
-from helpers import CHARTER
+from helpers import CONFIGURATION
 from scripted import SECOND
 
 from gaproute.appliance import Appliance, parent
 from gaproute.appliance.parent import CHILD_TRIES, Child, Parent
 from gaproute.cli import serving
-from gaproute.config import Mistakes, read_charter, read_hosts
+from gaproute.config import ConfigurationError, read_configuration, read_hosts
 from gaproute.discovery.listing import TOLD_AT, FileWatch
 from gaproute.loop import Loop, Stepped, connecting
 from gaproute.loop.starting import Patience
@@ -94,8 +94,8 @@
     monkeypatch.setattr(parent, "Child", FakeChild)
     monkeypatch.setattr(FakeChild, "failing", None)
     file = tmp_path / "g.conf"
-    file.write_text(f"{CHARTER}host a 127.0.0.1:1\n")
-    made = Parent(str(file), read_charter(file), 2, 1, Loop(Stepped(now=SECOND)), Log())
+    file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\n")
+    made = Parent(str(file), read_configuration(file), 2, 1, Loop(Stepped(now=SECOND)), Log())
     made.text = file
     made.start()
     yield made
@@ -157,7 +157,7 @@
 def test_a_new_address_that_cannot_be_had_at_once_is_had_later(family, monkeypatch, code):
     before = dict(family.sockets)
     monkeypatch.setattr(parent, "listening", Failing(connecting.listening, code, code))
-    family.text.write_text(f"{CHARTER}host a 127.0.0.1:1\nlisten kserve 127.0.0.2:0\n")
+    family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 127.0.0.2:0\n")
     family.reload()
     assert family.sockets == before
     family.loop.run(until=family.loop.sleep(SECOND))
@@ -166,7 +166,7 @@
 
 def test_a_new_address_that_cannot_be_had_at_all_is_refused_soon_and_nothing_changes(family):
     before, children = dict(family.sockets), dict(family.children)
-    family.text.write_text(f"{CHARTER}host a 127.0.0.1:1\nlisten kserve 192.0.2.1:80\n")
+    family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 192.0.2.1:80\n")
     family.reload()
     family.loop.run(until=family.loop.sleep(3 * SECOND))
     assert family.log.lines.count(("error", "configuration refused")) == 1
@@ -190,10 +190,10 @@
 def test_a_gateway_whose_listeners_cannot_be_had_starts_at_the_next_try(tmp_path, monkeypatch, place):
     before = open_descriptors()
     text = (
-        f"{CHARTER}host a 127.0.0.1:1\nlisten peers 127.0.0.1:0\nlisten operator unix:{tmp_path}/op\n"
+        f"{CONFIGURATION}host a 127.0.0.1:1\nlisten peers 127.0.0.1:0\nlisten operator unix:{tmp_path}/op\n"
         "listen kserve 127.0.0.1:0\n"
     )
-    made = Appliance(read_charter("g", text), Loop(), 5, logger(io.StringIO()))
+    made = Appliance(read_configuration("g", text), Loop(), 5, logger(io.StringIO()))
     failing = Failing(socket.socket, *[None] * place, errno.ENFILE)
     with monkeypatch.context() as patched:
         patched.setattr(socket, "socket", failing)
@@ -213,7 +213,7 @@
 def serve(monkeypatch, tmp_path):
     """Runs `gaproute serve` up to the loop, with waits that take no time."""
     file, waits = tmp_path / "g.conf", []
-    file.write_text(f"{CHARTER}host a 127.0.0.1:1\n")
+    file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\n")
     made = []
 
     def patience():
@@ -256,7 +256,9 @@
 
 
 def test_a_ready_word_that_nobody_reads_does_not_end_the_gateway(monkeypatch):
-    made = Appliance(read_charter("g", f"{CHARTER}host a 127.0.0.1:1\n"), Loop(), 5, logger(io.StringIO()))
+    made = Appliance(
+        read_configuration("g", f"{CONFIGURATION}host a 127.0.0.1:1\n"), Loop(), 5, logger(io.StringIO())
+    )
     life, ends = os.pipe()
     reads, ready = os.pipe()
     os.close(reads)
@@ -314,6 +316,6 @@
 
 def test_a_file_that_cannot_be_read_says_why_in_what_it_is_raised_from(monkeypatch):
     monkeypatch.setattr(pathlib.Path, "read_text", Failing(pathlib.Path.read_text, errno.EMFILE))
-    with pytest.raises(Mistakes) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         read_hosts("x")
     assert wrong.value.__cause__.errno == fault(errno.EMFILE).errno
--- a/tests/cluster/test_permits.py
+++ b/tests/cluster/test_permits.py
@@ -6,7 +6,7 @@
 import pytest
 
 from gaproute.cluster.script import read_script
-from gaproute.config import Mistakes
+from gaproute.config import ConfigurationError
 from gaproute.judge import permits
 from gaproute.judge.permits import SECOND
 from gaproute.standins.tap import read
@@ -96,7 +96,7 @@
 def test_crews_that_cannot_be_are_named(tmp_path):
     path = tmp_path / "x.script"
     path.write_text("day gateways 2 length 3s\ntrack a\ntraffic a\ncrews keepers 3 span 2s longest 1s\n")
-    with pytest.raises(Mistakes) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         read_script(str(path))
     told = "\n".join(str(mistake) for mistake in wrong.value.mistakes)
     assert "3 keepers of 2 gateways" in told and "peers yes" in told and "not above longest" in told
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -9,7 +9,7 @@
 from gaproute.cluster.harness import ClusterHarness
 from gaproute.cluster.platform.play import NodeHarness, player
 from gaproute.cluster.script import read_script
-from gaproute.config import Mistakes
+from gaproute.config import ConfigurationError
 from gaproute.judge import Facts, judge
 from gaproute.loop import Loop
 from gaproute.standins.platform.listing import Listing, member
@@ -149,7 +149,7 @@
         "cluster kind platform\nday gateways 3 peers yes\ntrack a pure contract 1s limit 2s\n"
         "traffic a\ncrews keepers 3\nfault lose at 1s for 1s from lists to g0\n"
     )
-    with pytest.raises(Mistakes) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         read_script(str(path))
     told = "\n".join(str(mistake) for mistake in wrong.value.mistakes)
     assert "permits are off on the platform's sockets" in told and "when its news was told" in told
--- a/tests/cluster/test_script.py
+++ b/tests/cluster/test_script.py
@@ -10,7 +10,7 @@
 from gaproute.cluster.script import read_script
 from gaproute.cluster.table import Table
 from gaproute.cluster.wires import late, ways
-from gaproute.config import Mistakes
+from gaproute.config import ConfigurationError
 from gaproute.judge import Facts, judge
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -72,7 +72,7 @@
         "fault double at 1s for 1s what streams",
         "list late for 1s",
     ]
-    with pytest.raises(Mistakes) as told:
+    with pytest.raises(ConfigurationError) as told:
         script(tmp_path, *wrong)
     lines = [mistake.line for mistake in told.value.mistakes]
     assert sorted(set(lines)) == list(range(4, 4 + len(wrong)))
--- a/tests/config/test_cell_table_text.py
+++ b/tests/config/test_cell_table_text.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from gaproute.config.cells import MAX_LINE, MAX_LINES, MAX_MISTAKES, read_cells
-from gaproute.config.lines import Mistakes
+from gaproute.config.cell_table import MAX_LINE, MAX_LINES, MAX_MISTAKES, read_cells
+from gaproute.config.parsing import ConfigurationError
 from gaproute.decisions.cells.bounds import MAX_CELLS
 from gaproute.decisions.cells.table import Cell, Entry, Points, Version, validate
 
@@ -32,7 +32,7 @@
 
 
 def mistakes_of(text):
-    with pytest.raises(Mistakes) as caught:
+    with pytest.raises(ConfigurationError) as caught:
         read_cells("cells", text)
     return caught.value.mistakes
 
@@ -80,7 +80,7 @@
 def test_any_text_is_read_or_refused_by_its_mistakes(text):
     try:
         read_cells("cells", HEAD + text)
-    except Mistakes as mistakes:
+    except ConfigurationError as mistakes:
         assert mistakes.mistakes
 
 
@@ -131,7 +131,7 @@
     assert "no cells" in str(mistakes_of(HEAD)[0])
     (tmp_path / "noise").write_bytes(b"\xff\xfe\x00")
     for path in (tmp_path / "missing", tmp_path, tmp_path / "noise"):
-        with pytest.raises(Mistakes, match="cannot be read"):
+        with pytest.raises(ConfigurationError, match="cannot be read"):
             read_cells(path)
 
 
@@ -162,7 +162,7 @@
     tracemalloc.start()
     begun = time.process_time()
     try:
-        with pytest.raises(Mistakes) as caught:
+        with pytest.raises(ConfigurationError) as caught:
             read_cells(path)
         spent, (_, peak) = time.process_time() - begun, tracemalloc.get_traced_memory()
     finally:
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -2,12 +2,12 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import CHARTER
+from helpers import CONFIGURATION
 
 from gaproute.cli.main import main
-from gaproute.config import Mistakes, read_charter
+from gaproute.config import ConfigurationError, read_configuration
 from gaproute.config.cell_files import path_of, read_cell_hosts, read_table
-from gaproute.config.cells import MAX_BYTES
+from gaproute.config.cell_table import MAX_BYTES
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 from gaproute.decisions.cells.table import Entry, Points, Version
 
@@ -23,16 +23,16 @@
 
 def told(read, *given):
     """What is said of a mistake."""
-    with pytest.raises(Mistakes) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         read(*given)
     return [str(mistake) for mistake in wrong.value.mistakes]
 
 
 def test_a_gateway_of_a_fleet_in_cells_needs_no_host_of_its_own():
-    charter = read_charter("f", f"{CHARTER}{CELLS} gateways 12\n{LISTS}\n{PEERS}\n")
-    line = charter.cells
+    configuration = read_configuration("f", f"{CONFIGURATION}{CELLS} gateways 12\n{LISTS}\n{PEERS}\n")
+    line = configuration.cells
     assert (line.fleet, line.file, line.region, line.zone) == ("north", "t", "west", "west-a")
-    assert charter.terms.gateways == 12 and charter.cell_hosts.folder == "lists"
+    assert configuration.terms.gateways == 12 and configuration.cell_hosts.folder == "lists"
 
 
 @pytest.mark.parametrize(
@@ -65,20 +65,23 @@
     ],
 )
 def test_lines_that_are_wrong_or_contradict_each_other_are_named(lines, mistake):
-    said = told(read_charter, "f", CHARTER + "\n".join(lines) + "\n")
+    said = told(read_configuration, "f", CONFIGURATION + "\n".join(lines) + "\n")
     assert any(mistake in text for text in said), said
 
 
 def test_sources_stand_in_place_of_a_folder():
     sources = "cell-hosts from 10.0.0.1:7000,unix:/run/lists look 20ms"
-    line = read_charter("f", f"{CHARTER}{CELLS}\n{sources}\n{PEERS}\n").cell_hosts
+    line = read_configuration("f", f"{CONFIGURATION}{CELLS}\n{sources}\n{PEERS}\n").cell_hosts
     assert line.sources == ("10.0.0.1:7000", "unix:/run/lists") and line.folder is None
     assert line.look == 20_000_000
 
 
 def test_cells_without_a_name_are_refused():
-    charter = CHARTER.replace("name g\n", "")
-    assert "cells without a name line" in told(read_charter, "f", f"{charter}{CELLS}\n{LISTS}\n{PEERS}\n")[0]
+    configuration = CONFIGURATION.replace("name g\n", "")
+    assert (
+        "cells without a name line"
+        in told(read_configuration, "f", f"{configuration}{CELLS}\n{LISTS}\n{PEERS}\n")[0]
+    )
 
 
 # The table's text
@@ -168,7 +171,7 @@
         (folder / "lists" / f"{cell}.hosts").write_text(text)
     file = folder / "g.conf"
     where = f"{folder}/lists" if source is None else f"from {source}"
-    file.write_text(f"{CHARTER}cells north file {folder}/t {place}\ncell-hosts {where}\n{PEERS}\n")
+    file.write_text(f"{CONFIGURATION}cells north file {folder}/t {place}\ncell-hosts {where}\n{PEERS}\n")
     ran = CliRunner().invoke(main, ["check", str(file)])
     return ran.exit_code, ran.output.replace(f"{folder}/", "")
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.config import Mistakes, read_charter, read_hosts
-from gaproute.config.lines import PLAIN
-from gaproute.config.words.process import Decisions
+from gaproute.config import ConfigurationError, read_configuration, read_hosts
+from gaproute.config.directives.process import Decisions
+from gaproute.config.parsing import PLAIN
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Group, Idempotency
 
@@ -21,14 +21,14 @@
 
 
 def wrong(text):
-    with pytest.raises(Mistakes) as mistakes:
-        read_charter("f", text)
+    with pytest.raises(ConfigurationError) as mistakes:
+        read_configuration("f", text)
     return [(mistake.line, str(mistake)) for mistake in mistakes.value.mistakes]
 
 
 def test_a_good_file_becomes_terms_in_nanoseconds():
-    charter = read_charter("f", GOOD)
-    a, b = charter.terms.tracks
+    configuration = read_configuration("f", GOOD)
+    a, b = configuration.terms.tracks
     assert (a.effect, a.contract_time, a.hard_limit, a.earnings) == (
         Idempotency.IDEMPOTENT,
         1_200_000_000,
@@ -40,8 +40,8 @@
         Group.CELL,
         2_500_000_000,
     )
-    assert charter.models["m"].versions == ("1", "2") and charter.longest == 5_000_000_000
-    assert charter.hosts[0].started == 1767225600 * 10**9
+    assert configuration.models["m"].versions == ("1", "2") and configuration.longest == 5_000_000_000
+    assert configuration.hosts[0].started == 1767225600 * 10**9
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
 
 
 def test_a_host_list_with_a_twin_is_refused_whole():
-    with pytest.raises(Mistakes):
+    with pytest.raises(ConfigurationError):
         read_hosts("f", "host a 127.0.0.1:1\nhost a 127.0.0.1:2\n")
     assert [line.name for line in read_hosts("f", "host a 127.0.0.1:1 state draining\n")] == ["a"]
 
@@ -91,8 +91,8 @@
 def test_a_file_that_cannot_be_read_is_a_mistake_not_a_crash(tmp_path):
     (tmp_path / "bin").write_bytes(b"\xff\xfe\x00")
     for path in (tmp_path / "none", tmp_path / "bin", tmp_path):
-        with pytest.raises(Mistakes):
-            read_charter(path)
+        with pytest.raises(ConfigurationError):
+            read_configuration(path)
 
 
 @given(st.text(st.sampled_from("ab \t#'\"\\\x1f\x85\xa0=:,.-+/@%[]|&;<>()é"), max_size=20))
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -6,10 +6,10 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import CHARTER, MILLI, SECOND
+from helpers import CONFIGURATION, MILLI, SECOND
 
 from gaproute.cli.main import main
-from gaproute.config import Mistakes, move, moving, read_charter
+from gaproute.config import ConfigurationError, migration, move, read_configuration
 from gaproute.faultinjection.disk import FULL, FaultyDisk, KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import FaultPlan, Script
 
@@ -38,7 +38,7 @@
 
 
 def mistakes(old, shape):
-    with pytest.raises(Mistakes) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         moved(old, shape)
     return [str(each) for each in wrong.value.mistakes]
 
@@ -47,11 +47,15 @@
     text, _ = moved()
     assert text.splitlines()[:3] == OLD.splitlines()[:3]
     assert "copies keep 8s free 6 window 0s alike no notes no  # as the hosts are set" in text
-    charter = read_charter("new", text)
-    assert not charter.terms.probes_allowed and charter.terms.relay_limit == 6 and not charter.sizes_told
-    assert charter.terms.keep_alive == 8 * SECOND and charter.terms.order_window == 0
-    assert [track.contract_time for track in charter.terms.tracks] == [SECOND]
-    assert charter.terms.tracks[0].earnings == 1.0  # a track is stated whole
+    configuration = read_configuration("new", text)
+    assert (
+        not configuration.terms.probes_allowed
+        and configuration.terms.relay_limit == 6
+        and not configuration.sizes_told
+    )
+    assert configuration.terms.keep_alive == 8 * SECOND and configuration.terms.order_window == 0
+    assert [track.contract_time for track in configuration.terms.tracks] == [SECOND]
+    assert configuration.terms.tracks[0].earnings == 1.0  # a track is stated whole
 
 
 def test_each_line_left_behind_is_told_with_its_number_and_why():
@@ -66,12 +70,12 @@
 
 def test_a_shape_that_states_nothing_new_changes_no_terms():
     text, left = moved(shape="relays limit 4\n")
-    assert not left and read_charter("new", text).terms == read_charter("old", OLD).terms
+    assert not left and read_configuration("new", text).terms == read_configuration("old", OLD).terms
 
 
 def test_an_old_file_makes_the_terms_it_made_before():
-    terms = read_charter("old", OLD).terms
-    assert terms.probes_allowed and not terms.reports_by_probe and read_charter("old", OLD).sizes_told
+    terms = read_configuration("old", OLD).terms
+    assert terms.probes_allowed and not terms.reports_by_probe and read_configuration("old", OLD).sizes_told
 
 
 def test_mistakes_of_both_files_are_told_together_with_line_and_cure():
@@ -125,9 +129,9 @@
 
 def written_under(disk, path, replace):
     """Whether the new text was said to be written to the faulty disk."""
-    with disk.installed(moving):
+    with disk.installed(migration):
         try:
-            moving.write_whole(str(path), "new\n" * 50, replace, kept=())
+            migration.write_whole(str(path), "new\n" * 50, replace, kept=())
         except (OSError, ProcessKilled):
             return False
     return True
@@ -168,7 +172,7 @@
     def unsynced(folder):
         raise OSError(errno.EIO, "Input/output error")
 
-    monkeypatch.setattr(moving, "_sync_folder", unsynced)
+    monkeypatch.setattr(migration, "_sync_folder", unsynced)
     done = run(tmp_path)
     assert done.exit_code == 2 and "written, but a crash of the machine may undo it" in done.output
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
@@ -198,14 +202,14 @@
 
 
 def test_a_gateway_on_a_moved_configuration_serves_and_never_probes(rig):
-    charter, _ = move(
+    configuration, _ = move(
         "old",
-        CHARTER + "hosts-file none.list\n",
+        CONFIGURATION + "hosts-file none.list\n",
         "shape",
         "reports answer probes no\nsizes no\nrelays limit 2 twins no\n",
         "new",
     )
-    made = rig(charter=charter.replace("hosts-file none.list\n", ""))
+    made = rig(configuration=configuration.replace("hosts-file none.list\n", ""))
     seen = probes(made)
     assert made.wait(made.ask()).headers[b"gaproute-outcome"] == b"delivered"
     made.rest(800 * MILLI)
@@ -220,5 +224,5 @@
 
 
 def test_hosts_that_tell_by_probe_alone_cannot_forbid_them():
-    with pytest.raises(Mistakes, match="cannot go without probes"):
-        read_charter("f", OLD + "reports probe probes no\n")
+    with pytest.raises(ConfigurationError, match="cannot go without probes"):
+        read_configuration("f", OLD + "reports probe probes no\n")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,12 +3,12 @@
 import pytest
 from cell_fleet import CellFleet
 from followed_cells import FollowedCells
-from helpers import CHARTER, Rig, Steady, makers
+from helpers import CONFIGURATION, Rig, Steady, makers
 from hypothesis import settings
 from scripted import Gate
 
 from gaproute.appliance import Appliance
-from gaproute.config import read_charter
+from gaproute.config import read_configuration
 from gaproute.telemetry.logs import logger
 
 pytest_plugins = ["known_red", "pytester"]
@@ -40,9 +40,9 @@
     started = []
 
     def start(name, *lines, listen=True):
-        text = f"{CHARTER.replace('name g', f'name {name}')}hosts-file {made.list} look 5ms\n"
+        text = f"{CONFIGURATION.replace('name g', f'name {name}')}hosts-file {made.list} look 5ms\n"
         text += "\n".join(["listen peers 127.0.0.1:0"] * listen + list(lines)) + "\n"
-        other = Appliance(read_charter(name, text), made.loop, 9, logger(open("/dev/null", "w")))
+        other = Appliance(read_configuration(name, text), made.loop, 9, logger(open("/dev/null", "w")))
         other.start()
         started.append(other)
         return other
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as some
 
 from gaproute.appliance.cell_rows import CellRows
-from gaproute.config.words.fleet import HostLine
+from gaproute.config.directives.fleet import HostLine
 from gaproute.discovery.cell_members import CellMembers
 from gaproute.discovery.cells_in_force import CellsInForce
 from gaproute.discovery.changelog.events import Reader
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -15,7 +15,7 @@
 from gaproute.appliance.cell_rows import CellRows
 from gaproute.appliance.cells import Cells
 from gaproute.config import read_hosts
-from gaproute.config.words.fleet import CellHosts, HostLine
+from gaproute.config.directives.fleet import CellHosts, HostLine
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog import events, follow
 from gaproute.discovery.changelog.cell import CellFollower
@@ -391,7 +391,7 @@
 )
 ALLOWED = {  # lines that read it, by file; each has its row in docs/crossings.md
     "appliance/strong.py": 1,
-    "config/words/kinds.py": 1,
+    "config/directives/values.py": 1,
     "discovery/changelog/events.py": 1,
     "discovery/listing.py": 2,
     "storage/memory.py": 1,
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -2,10 +2,10 @@
 
 import socket
 
-from helpers import CHARTER
+from helpers import CONFIGURATION
 
 from gaproute.appliance.operator import status
-from gaproute.config import Mistakes, read_charter
+from gaproute.config import ConfigurationError, read_configuration
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
 
@@ -37,8 +37,8 @@
 
 def test_the_word_without_a_way_is_a_mistake():
     try:
-        read_charter("f", CHARTER + "\nweak-word yes\n")
-    except Mistakes as mistakes:
+        read_configuration("f", CONFIGURATION + "\nweak-word yes\n")
+    except ConfigurationError as mistakes:
         assert "weak-word without a listen peers line" in str(mistakes)
     else:
         raise AssertionError("taken")
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -3,7 +3,7 @@
 import socket
 
 import pytest
-from helpers import CHARTER, MILLI, SECOND
+from helpers import CONFIGURATION, MILLI, SECOND
 
 from gaproute.http1.connection import ServerLink
 from tests.appliance.test_stopping import ASK, asked_and_answered, clients, closes, rest_of, run_out, statuses
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("asks_first", [True, False])
 def test_a_client_that_finds_no_room_is_answered_whether_it_has_asked_or_not(rig, clients, asks_first):
-    made = rig(hosts=1, charter=CHARTER + "clients connections 1\n")
+    made = rig(hosts=1, configuration=CONFIGURATION + "clients connections 1\n")
     clients(made)
     late = socket.create_connection(made.at[1])
     late.settimeout(5)
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gaproute.config.lines import Mistakes
+from gaproute.config.parsing import ConfigurationError
 from gaproute.http1 import Server
 from gaproute.load import Crowd, compare, read_load, read_result
 from gaproute.load.results import Tally, write_result
@@ -123,12 +123,12 @@
     ],
 )
 def test_a_wrong_script_is_refused_with_line_and_cure(line, text):
-    with pytest.raises(Mistakes, match=text):
+    with pytest.raises(ConfigurationError, match=text):
         read_load("l", f"target 127.0.0.1:1\n{line}\n")
 
 
 def test_a_script_without_a_target_is_refused():
-    with pytest.raises(Mistakes, match="no target"):
+    with pytest.raises(ConfigurationError, match="no target"):
         read_load("l", "hold 5")
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -4,10 +4,10 @@
 import socket
 
 import pytest
-from helpers import CHARTER, MILLI, SECOND, gateway, row
+from helpers import CONFIGURATION, MILLI, SECOND, gateway, row
 
 from gaproute.appliance.operator import peer_table, status
-from gaproute.config import Mistakes, read_charter, read_peers
+from gaproute.config import ConfigurationError, read_configuration, read_peers
 from gaproute.decisions.reports.asking import CHUNK
 from gaproute.decisions.reports.lore import Lore
 from gaproute.decisions.reports.purse import Purse
@@ -205,7 +205,7 @@
 
 
 def test_a_list_of_gateways_that_is_wrong_is_refused_whole():
-    with pytest.raises(Mistakes) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         read_peers("peers", "peer a 127.0.0.1:1\npeer a 127.0.0.1:2\nhost b 127.0.0.1:3\n")
     assert len(wrong.value.mistakes) == 2
 
@@ -218,9 +218,9 @@
     ],
 )
 def test_lines_about_peers_that_do_not_fit_are_refused(lines, text):
-    charter = CHARTER.replace("name g\n", "") if "which" in text else CHARTER
-    with pytest.raises(Mistakes, match=text):
-        read_charter("c", f"{charter}host a 127.0.0.1:1\n{lines}\n")
+    configuration = CONFIGURATION.replace("name g\n", "") if "which" in text else CONFIGURATION
+    with pytest.raises(ConfigurationError, match=text):
+        read_configuration("c", f"{configuration}host a 127.0.0.1:1\n{lines}\n")
 
 
 # What telling costs
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -6,7 +6,7 @@
 from scripted import MILLI, SECOND, Handed
 
 from gaproute.appliance.followed_lists import FollowedLists
-from gaproute.config.words.fleet import CellHosts
+from gaproute.config.directives.fleet import CellHosts
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
 from gaproute.standins.cell_source import CellSource
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -9,7 +9,7 @@
 
 from gaproute import interface as face
 from gaproute.appliance import Appliance
-from gaproute.config import read_charter
+from gaproute.config import read_configuration
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.beliefs import MILLI, SECOND
 from gaproute.http1 import Exchange
@@ -173,7 +173,7 @@
 
 # A gateway, stand-in hosts and a store on one loop, on loopback sockets
 
-CHARTER = """
+CONFIGURATION = """
 name g
 listen kserve 127.0.0.1:0
 track check pure contract 1s limit 4s earnings 3
@@ -194,7 +194,7 @@
         self,
         hosts=2,
         told="",
-        charter=CHARTER,
+        configuration=CONFIGURATION,
         decisions=None,
         make=(),
         warm=True,
@@ -213,10 +213,10 @@
             lines.append(f"host h{number} {host.address} rack r{number} capacity 4")
         self.list = self.folder / "hosts.list"
         self.list.write_text("\n".join(lines) + "\n")
-        text = f"{charter}hosts-file {self.list} look 5ms\n{told}"
+        text = f"{configuration}hosts-file {self.list} look 5ms\n{told}"
         if decisions is not None:
             text += f"\ndecisions {decisions}\n"
-        self.gate = Appliance(read_charter("test", text), self.loop, 5, logger(io.StringIO()))
+        self.gate = Appliance(read_configuration("test", text), self.loop, 5, logger(io.StringIO()))
         self.gate.start()
         self.at = address(self.gate.fronts[0].address)
 
