--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -10,13 +10,15 @@
 from gaproute.config import (
     ConfigurationError,
     NotDurableError,
-    move,
     read_configuration,
     read_hosts,
     read_peers,
     read_text,
     write_whole,
 )
+from gaproute.config import (
+    migrate as migrated,
+)
 from gaproute.config.cell_files import check_cells
 from gaproute.loop import Loop
 from gaproute.loop.starting import Patience
@@ -75,7 +77,7 @@
             fd, _, where = each.partition("=")
             sockets[where] = socket.socket(fileno=int(fd))
         if seat is not None:
-            configuration.seat(*seat)
+            configuration.assign_process_slot(*seat)
         runs = Appliance(configuration, loop=given(patience, Loop), seed=seed, inherited=sockets)
         given(patience, runs.heed_signals)
     given(patience, runs.start, "cannot listen")
@@ -115,14 +117,14 @@
     is refused."""
     try:
         texts = [read_text(file) for file in (old, shape)]
-        text, left = move(old, texts[0], shape, texts[1], new)
+        text, left = migrated(old, texts[0], shape, texts[1], new)
     except ConfigurationError as wrong:
         refuse(wrong, "nothing is written")
     if dry_run:
         click.echo(text, nl=False)
     else:
         try:
-            write_whole(new, text, replace, kept=(old, shape))
+            write_whole(new, text, replace=replace, preserved=(old, shape))
         except FileExistsError:
             click.echo(
                 f"{new}: stands already; name another file or say --replace; nothing is written", err=True
--- a/gaproute/cluster/crews.py
+++ b/gaproute/cluster/crews.py
@@ -10,7 +10,8 @@
 from pydantic import Field
 
 from gaproute.cluster.asking import LOST, SILENT, ask
-from gaproute.config.parsing import Directive, Span
+from gaproute.config.parsing import Directive
+from gaproute.config.values import Duration
 from gaproute.judge import permits
 from gaproute.standins.tap import read
 
@@ -29,11 +30,11 @@
     count: int = Field(6, ge=1, le=256)
     resources: int = Field(3, ge=1, le=256)
     keepers: int = Field(3, ge=1, le=7)  # the first gateways; each with its votes in the run's folder
-    longest: Span = SECOND  # of a permit; a founded log grants nothing for so long
-    span: Span = 600 * MILLI
-    hold: Span = 700 * MILLI  # that a crew works, at most
-    fell_leader: Span = 0  # when the leader's process is killed; 0: never
-    back: Span = 500 * MILLI  # until it is started again, with its disk
+    longest: Duration = SECOND  # of a permit; a founded log grants nothing for so long
+    span: Duration = 600 * MILLI
+    hold: Duration = 700 * MILLI  # that a crew works, at most
+    fell_leader: Duration = 0  # when the leader's process is killed; 0: never
+    back: Duration = 500 * MILLI  # until it is started again, with its disk
 
 
 def wrong(line, day):
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -9,7 +9,9 @@
 
 from gaproute.cluster import crews, sets
 from gaproute.cluster.platform import words
-from gaproute.config.parsing import Directive, Mistake, Span, Yes
+from gaproute.config.errors import Mistake
+from gaproute.config.parsing import Directive
+from gaproute.config.values import Duration, YesNo
 from gaproute.scenarios import script as trial
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -22,53 +24,53 @@
     wires: int = Field(1, ge=1, le=16)  # processes that share the wire
     clients: int = Field(1, ge=1, le=32)  # processes that share the load
     batch: int = Field(0, ge=0, le=256)  # processes that start at a time; 0: as many as cores
-    crowded: Yes = False  # gateways go before the machine's other work as well
-    direct: Yes = False  # no wire: what it costs, and what it changes
-    ready: Span = 60 * SECOND  # for all to be up
-    late: Span = 100 * MILLI  # a wire, client or parent later than this voids the measurement
-    bound: Span = 600 * SECOND  # the run ends by then whatever happens
+    crowded: YesNo = False  # gateways go before the machine's other work as well
+    direct: YesNo = False  # no wire: what it costs, and what it changes
+    ready: Duration = 60 * SECOND  # for all to be up
+    late: Duration = 100 * MILLI  # a wire, client or parent later than this voids the measurement
+    bound: Duration = 600 * SECOND  # the run ends by then whatever happens
 
 
 class FaultLine(Directive):
-    places: ClassVar = ("kind",)
+    positional: ClassVar = ("kind",)
     example: ClassVar = "fault cut at 2s for 3s from 0.3:gateways to hosts/hall-1 both no what streams"
     kind: Literal["delay", "lose", "double", "reorder", "cut", "hold", "reset"]
-    at: Span
-    lasts: Span = Field(alias="for")
+    at: Duration
+    lasts: Duration = Field(alias="for")
     source: str = Field("*", alias="from")
     to: str = "*"
-    both: Yes = False
+    both: YesNo = False
     what: Literal["streams", "datagrams", "all"] = "all"
     share: float = Field(1.0, gt=0, le=1)
-    delay: Span = 0
-    jitter: Span = 0
+    delay: Duration = 0
+    jitter: Duration = 0
     bytes: float = Field(0, ge=0)  # a second, for each pair; 0: no limit
 
 
 class StrikeLine(Directive):
-    places: ClassVar = ("kind",)
+    positional: ClassVar = ("kind",)
     example: ClassVar = "strike restart at 4s on 0.7:gateways signal KILL back 500ms"
     kind: Literal["kill", "stop", "restart", "clock", "starve"]
     on: str = "gateways"
-    at: Span = 0
-    lasts: Span = Field(0, alias="for")
-    back: Span = 500 * MILLI  # until what ended is started again
+    at: Duration = 0
+    lasts: Duration = Field(0, alias="for")
+    back: Duration = 500 * MILLI  # until what ended is started again
     batch: int = Field(0, ge=0)  # restarted at a time; 0: all
     signal: Literal["TERM", "KILL"] = "TERM"
     rate: float = Field(1.0, ge=0.5, le=2)  # of the clock
-    offset: Span = 0  # of the clock, ahead
+    offset: Duration = 0  # of the clock, ahead
     duty: float = Field(0, ge=0, lt=1)  # of the CPU taken away: stopped for so much of each CYCLE
-    core: Yes = False  # all on one core, beside a process that never rests
+    core: YesNo = False  # all on one core, beside a process that never rests
 
 
 class ListLine(Directive):
-    places: ClassVar = ("kind",)
+    positional: ClassVar = ("kind",)
     example: ClassVar = "list late at 2s for 4s on 0.3:gateways back 800ms"
     kind: Literal["late", "deaf"]
     on: str = "gateways"
-    at: Span
-    lasts: Span = Field(alias="for")
-    back: Span = SECOND  # how late; of no use where they are deaf
+    at: Duration
+    lasts: Duration = Field(alias="for")
+    back: Duration = SECOND  # how late; of no use where they are deaf
 
 
 WORDS = {
@@ -113,7 +115,7 @@
     day = next((line for word, line in found if word == "day"), trial.DayLine())
     kind = next((line.kind for word, line in found if word == "cluster"), "appliance")
     return [
-        Mistake(file, line.line, f"{word}: {text}", f"right would be: {line.example}")
+        Mistake(file, line.line, word, text, f"right would be: {line.example}")
         for word, line in found
         if word in WORDS
         for text in (*wrong(word, line, day), *words.wrong(kind, word, line))
--- a/gaproute/config/__init__.py
+++ b/gaproute/config/__init__.py
@@ -1,15 +1,17 @@
-"""The configuration: line-based, checked by a schema, refused whole with every mistake in one go."""
+"""The configuration: lines of text, checked by a schema, refused whole with every mistake in one go."""
 
 from gaproute.config.configuration import Configuration
+from gaproute.config.durable import write_whole
+from gaproute.config.errors import ConfigurationError, Mistake, NotDurableError
 from gaproute.config.files import read_configuration, read_hosts, read_peers, read_text
-from gaproute.config.migration import NotDurableError, move, write_whole
-from gaproute.config.parsing import ConfigurationError
+from gaproute.config.migration import migrate
 
 __all__ = [
     "Configuration",
     "ConfigurationError",
+    "Mistake",
     "NotDurableError",
-    "move",
+    "migrate",
     "read_configuration",
     "read_hosts",
     "read_peers",
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -1,105 +1,148 @@
-"""The configuration that a checked configuration becomes."""
+"""What a checked configuration becomes: the settings that the parts of the appliance start with."""
 
-from gaproute import interface as face
+from collections.abc import Sequence
+from typing import Any
+
+from gaproute import interface
 from gaproute.config.directives import DIRECTIVES
-from gaproute.config.directives.fleet import PeerLine
+from gaproute.config.directives.fleet import (
+    CellHostsLine,
+    CellsLine,
+    HostLine,
+    HostsFileLine,
+    KeepersLine,
+    PeerLine,
+    PeersFileLine,
+)
+from gaproute.config.directives.process import ClientsLine, ReachLine
+from gaproute.config.directives.requests import ModelLine, TrackLine
+from gaproute.config.parsing import Found
 
-EFFECTS = {effect.value: effect for effect in face.Idempotency}
-GROUPS = {"all": face.Group.ALL, "zone": face.Group.ZONE, "rack": face.Group.CELL}
+IDEMPOTENCY = {kind.value: kind for kind in interface.Idempotency}
+GROUPS = {"all": interface.Group.ALL, "zone": interface.Group.ZONE, "rack": interface.Group.CELL}
 
 
 class Configuration:
-    """A checked configuration: what the parts of the appliance are given when they start."""
+    """A checked configuration: directives by their kind, and the terms that the decisions are given."""
 
-    def __init__(self, file, found):
-        def all_of(word):
-            return [directive for name, directive in found if name == word]
+    def __init__(self, file: str, found: Sequence[Found]) -> None:
+        """Errors: ImportError, AttributeError for a class of decisions that does not exist."""
+        lines = _Lines(found)
+        self.file = file
+        self.name: str = lines.one("name").name
+        self.listens: list[tuple[str, str]] = [(line.kind, line.where) for line in lines.all("listen")]
+        self.hosts: list[HostLine] = lines.all("host")
+        self.hosts_file: HostsFileLine | None = lines.first("hosts-file")
+        self.cells: CellsLine | None = lines.first("cells")
+        self.cell_hosts: CellHostsLine | None = lines.first("cell-hosts")
+        self.tracks: list[TrackLine] = lines.all("track")
+        self.models: dict[str, ModelLine] = {line.name: line for line in lines.all("model")}
+        self.tenants: dict[str, int] = {line.name: place for place, line in enumerate(lines.all("tenant"))}
+        self.peers: list[PeerLine] = lines.all("peer")
+        self.peers_file: PeersFileLine | None = lines.first("peers-file")
+        self.memory: str | None = next((line.path for line in lines.all("memory")), None)
+        self.keepers: KeepersLine | None = lines.first("keepers")
+        self.clients: ClientsLine = lines.one("clients")
+        self.reach: ReachLine = lines.one("reach")
+        self.log_level: str = lines.one("log").level
+        self.decisions: Any = lines.one("decisions").load()
+        self.longest: int = max(line.limit for line in self.tracks)  # ns that a request may take
+        self.sizes_told: bool = lines.one("sizes").told
+        self.weak_word: bool = lines.one("weak-word").told
+        self.terms = _terms(lines, self.tracks, self.cells)
 
-        def one(word):
-            return next(iter(all_of(word)), None) or DIRECTIVES[word].model_construct()
+    def assign_process_slot(self, number: int, count: int) -> None:
+        """Makes this the configuration of one of `count` processes behind the same addresses for clients.
 
-        self.file = file
-        self.name = one("name").name
-        self.listens = [(line.kind, line.where) for line in all_of("listen")]
-        self.hosts = all_of("host")
-        self.hosts_file = next(iter(all_of("hosts-file")), None)
-        self.cells = next(iter(all_of("cells")), None)
-        self.cell_hosts = next(iter(all_of("cell-hosts")), None)
-        self.tracks = all_of("track")
-        self.models = {line.name: line for line in all_of("model")}
-        self.tenants = {line.name: place for place, line in enumerate(all_of("tenant"))}
-        self.peers = all_of("peer")
-        self.peers_file = next(iter(all_of("peers-file")), None)
-        self.memory = next((line.path for line in all_of("memory")), None)
-        self.keepers = next(iter(all_of("keepers")), None)
-        self.clients, self.reach = one("clients"), one("reach")
-        self.log_level, self.decisions = one("log").level, one("decisions").load()
-        self.longest = max(line.limit for line in self.tracks)
-        copies, relays, cold, reports = one("copies"), one("relays"), one("cold"), one("reports")
-        self.sizes_told, self.weak_word = one("sizes").told, one("weak-word").told
-        self.terms = face.Terms(
-            tracks=tuple(
-                face.RequestClass(
-                    EFFECTS[line.effect],
-                    GROUPS[line.group],
-                    line.remembers,
-                    line.contract,
-                    line.limit,
-                    line.earnings,
-                )
-                for line in self.tracks
-            ),
-            tenant_shares=tuple(line.share for line in all_of("tenant")),
-            over_share_value=one("over-share").value,
-            keep_alive=copies.keep,
-            orders_allowed=copies.orders,
-            order_free=copies.free,
-            order_share=copies.share,
-            order_window=copies.window,
-            counts_alike=copies.alike,
-            notes_warmth=copies.notes,
-            probes_allowed=reports.probes,
-            reports_by_probe=reports.source == "probe",
-            reported=(),
-            probe_price=0.0,
-            peer_price=0.0,
-            peers_allowed=False,  # they tell each other more, by their own way
-            gateways=self.cells.gateways if self.cells else 1,
-            cancel_allowed=relays.cancel,
-            twins_allowed=relays.twins,
-            relay_limit=relays.limit,
-            advice_limit=one("advice").limit,
-            cold_share=cold.share,
-            cold_time=cold.time,
-            must_ask_list=False,
-            zone=-1,
-            crossing_price=0.0,
-        )
-
-    def seat(self, number, count):
-        """Makes this the configuration of one of `count` processes: a name, and addresses but the clients',
-        of its own; the others are its peers where it tells others at all."""
+        Its name, its other addresses and its files are its own; the other processes are its peers where it
+        has an address for peers at all.
+        """
         base = self.name
         self.name = f"{base}-{number}"
-        peers = [where for kind, where in self.listens if kind == "peers"]
+        peer_addresses = [where for kind, where in self.listens if kind == "peers"]
         self.listens = [
-            (kind, where if kind == "kserve" else _seated(where, number)) for kind, where in self.listens
+            (kind, where if kind == "kserve" else _address_of_slot(where, number))
+            for kind, where in self.listens
         ]
         if self.memory is not None:
             self.memory = f"{self.memory}.{number}"
         if self.cells is not None and self.cells.kept is not None:
             self.cells = self.cells.model_copy(update={"kept": f"{self.cells.kept}.{number}"})
-        if peers and not self.peers_file:
+        if peer_addresses and not self.peers_file:
             self.peers = self.peers + [
-                PeerLine(name=f"{base}-{other}", where=_seated(peers[0], other))
+                PeerLine(name=f"{base}-{other}", where=_address_of_slot(peer_addresses[0], other))
                 for other in range(count + 1)
                 if other != number
             ]
 
 
-def _seated(where, seat):
-    """The address of a seat beside others of the same configuration: the path or the port counted on."""
+class _Lines:
+    """The directives of a file by the word that they begin with."""
+
+    def __init__(self, found: Sequence[Found]) -> None:
+        self._by_word: dict[str, list[Any]] = {}
+        for word, directive in found:
+            self._by_word.setdefault(word, []).append(directive)
+
+    def all(self, word: str) -> list[Any]:
+        return list(self._by_word.get(word, ()))
+
+    def first(self, word: str) -> Any:
+        """The first directive of the word, or None."""
+        return next(iter(self._by_word.get(word, ())), None)
+
+    def one(self, word: str) -> Any:
+        """The directive of the word; its defaults where there is none."""
+        return self.first(word) or DIRECTIVES[word].model_construct()
+
+
+def _terms(lines: _Lines, tracks: list[TrackLine], cells: CellsLine | None) -> interface.Terms:
+    """The terms of the deployment, as the decisions take them."""
+    copies, relays, cold, reports = (lines.one(word) for word in ("copies", "relays", "cold", "reports"))
+    return interface.Terms(
+        tracks=tuple(map(_request_class, tracks)),
+        tenant_shares=tuple(line.share for line in lines.all("tenant")),
+        over_share_value=lines.one("over-share").value,
+        keep_alive=copies.keep,
+        orders_allowed=copies.orders,
+        order_free=copies.free,
+        order_share=copies.share,
+        order_window=copies.window,
+        counts_alike=copies.alike,
+        notes_warmth=copies.notes,
+        probes_allowed=reports.probes,
+        reports_by_probe=reports.source == "probe",
+        reported=(),
+        probe_price=0.0,
+        peer_price=0.0,
+        peers_allowed=False,  # gateways of the appliance exchange more, over their own protocol
+        gateways=cells.gateways if cells else 1,
+        cancel_allowed=relays.cancel,
+        twins_allowed=relays.twins,
+        relay_limit=relays.limit,
+        advice_limit=lines.one("advice").limit,
+        cold_share=cold.share,
+        cold_time=cold.time,
+        must_ask_list=False,
+        zone=-1,
+        crossing_price=0.0,
+    )
+
+
+def _request_class(line: TrackLine) -> interface.RequestClass:
+    return interface.RequestClass(
+        IDEMPOTENCY[line.effect],
+        GROUPS[line.group],
+        line.remembers,
+        line.contract,
+        line.limit,
+        line.earnings,
+    )
+
+
+def _address_of_slot(where: str, number: int) -> str:
+    """The address of one process beside the others: the path or the port, counted on."""
     if where.startswith("unix:"):
-        return f"{where}.{seat}"
+        return f"{where}.{number}"
     host, _, port = where.rpartition(":")
-    return f"{host}:{int(port) + seat if int(port) else 0}"
+    return f"{host}:{int(port) + number if int(port) else 0}"
--- a/gaproute/config/consistency.py
+++ b/gaproute/config/consistency.py
@@ -1,147 +1,140 @@
-"""Mistakes that only show between lines."""
+"""Mistakes that show only between the lines of a file."""
 
-from gaproute.config.directives.fleet import CellHosts, CellsLine, HostLine, KeepersLine, Listen, Word
+from collections.abc import Iterable, Iterator, Mapping, Sequence
+
+from gaproute.config.directives.fleet import (
+    CellHostsLine,
+    CellsLine,
+    HostLine,
+    KeepersLine,
+    ListenLine,
+    NameLine,
+)
 from gaproute.config.directives.requests import ModelLine, TrackLine
-from gaproute.config.parsing import Mistake
+from gaproute.config.errors import Mistake, example
+from gaproute.config.parsing import Found
+
+KEEP_ONE = "keep one of the two"
+NAMED = ("host", "track", "model", "tenant", "peer")  # directives whose names stand once each
+NEEDED = {"listen": ListenLine.example, "track": TrackLine.example, "model": ModelLine.example}
+EXCLUSIVE = (("host", "hosts-file"), ("peer", "peers-file"))
 
-# What a fleet in cells cannot have: {word: cure}.
-WITHOUT_CELLS = {
+# What a fleet in cells cannot have, and what to do about it.
+EXCLUDED_BY_CELLS = {
     "host": "the hosts of cells stand in the folder of cell-hosts",
     "hosts-file": "the hosts of cells stand in the folder of cell-hosts",
     "memory": "leave it out: what is known of cells is not kept on disk",
     "weak-word": "leave it out: gateways of cells do not tell each other of hosts",
     "decisions": "leave it out: cells have decisions of their own",
 }
+NEEDED_BESIDE_CELLS = (
+    ("cells", "cell-hosts", CellHostsLine.example),
+    ("cell-hosts", "cells", CellsLine.example),
+    ("cells", "name", NameLine.example),
+)
+
+
+def across_lines(file: str, found: Sequence[Found], first: Mapping[str, int]) -> Iterator[Mistake]:
+    """All that shows only between lines; `first` is the first line of each word."""
+    yield from named_twice(file, found)
+    yield from _missing(file, first)
+    yield from _exclusive(file, first)
+    yield from _without_peers_address(file, found)
+    yield from _raft_group(file, found)
+    yield from _unknown_tracks(file, found)
+    yield from _cells(file, found, first)
+    yield from _listened_on_twice(file, found)
+
+
+def named_twice(file: str, found: Iterable[Found]) -> Iterator[Mistake]:
+    """Names that stand a second time."""
+    first: dict[tuple[str, str], int] = {}
+    for word, line in found:
+        if word not in NAMED:
+            continue
+        before = first.setdefault((word, line.name), line.line)
+        if before != line.line:
+            stands = f"{word} {line.name} stands a second time"
+            yield Mistake(file, line.line, word, stands, f"keep line {before} or this")
+
 
+def _missing(file: str, first: Mapping[str, int]) -> Iterator[Mistake]:
+    for word, text in NEEDED.items():
+        if word not in first:
+            yield Mistake(file, 0, word, f"no {word} line", example(text))
+    if not first.keys() & {"host", "hosts-file", "cells"}:
+        yield Mistake(file, 0, "host", "no host and no hosts-file line", example(HostLine.example))
+    if "peers-file" in first and "name" not in first:
+        found = "a peers-file without a name line: which peer is this gateway?"
+        yield Mistake(file, 0, "name", found, example(NameLine.example))
 
-def twice(file, found):
-    """Mistakes for names that stand a second time."""
-    first, mistakes = {}, []
+
+def _exclusive(file: str, first: Mapping[str, int]) -> Iterator[Mistake]:
+    for word, list_file in EXCLUSIVE:
+        if word in first and list_file in first:
+            yield Mistake(file, first[word], word, f"{word}s stand here and in a {list_file}", KEEP_ONE)
+
+
+def _without_peers_address(file: str, found: Sequence[Found]) -> Iterator[Mistake]:
+    """Directives that need an address for the other gateways."""
+    if any(word == "listen" and line.kind == "peers" for word, line in found):
+        return
     for word, line in found:
-        if word in ("host", "track", "model", "tenant", "peer"):
-            if (word, line.name) in first:
-                mistakes.append(
-                    Mistake(
-                        file,
-                        line.line,
-                        f"{word} {line.name} stands a second time",
-                        f"keep line {first[word, line.name]} or this",
-                    )
-                )
-            first.setdefault((word, line.name), line.line)
-    return mistakes
-
-
-def keepers(file, line, found):
+        if word in ("keepers", "cells") or (word == "weak-word" and line.told):
+            expected = example("listen peers 127.0.0.1:8090")
+            yield Mistake(file, line.line, word, f"{word} without a listen peers line", expected)
+
+
+def _raft_group(file: str, found: Sequence[Found]) -> Iterator[Mistake]:
     """Mistakes of the `keepers` line beside the others."""
+    line = next((line for word, line in found if word == "keepers"), None)
+    if line is None:
+        return
     own = next((each.name for word, each in found if word == "name"), None)
     known = {own} | {each.name for word, each in found if word == "peer"}
     if own is None:
-        yield Mistake(
-            file,
-            line.line,
-            "keepers without a name line: which of them is this gateway?",
-            f"right would be: {Word.example}",
-        )
+        text = "keepers without a name line: which of them is this gateway?"
+        yield Mistake(file, line.line, "keepers", text, example(NameLine.example))
     if not any(word == "peers-file" for word, _ in found):
         for name in line.names:
             if name not in known:
-                yield Mistake(
-                    file,
-                    line.line,
-                    f"keeper {name} is no peer here",
-                    f"right would be: peer {name} 127.0.0.1:8091",
-                )
+                expected = example(f"peer {name} 127.0.0.1:8091")
+                yield Mistake(file, line.line, "keepers", f"keeper {name} is no peer here", expected)
     if own in line.names and line.votes is None:
+        text = "a keeper without a file for its votes"
+        yield Mistake(file, line.line, "keepers", text, example(KeepersLine.example))
+    if own is not None and own not in line.names and line.votes is not None:
         yield Mistake(
-            file, line.line, "a keeper without a file for its votes", f"right would be: {KeepersLine.example}"
+            file, line.line, "keepers", "votes at a gateway that is no keeper", "leave votes out here"
         )
-    if own is not None and own not in line.names and line.votes is not None:
-        yield Mistake(file, line.line, "votes at a gateway that is no keeper", "leave votes out here")
 
 
-def cells(file, found, words):
+def _unknown_tracks(file: str, found: Sequence[Found]) -> Iterator[Mistake]:
+    tracks = [line.name for word, line in found if word == "track"]
+    for word, line in found:
+        if word == "model" and line.track not in tracks:
+            expected = f"the tracks here: {', '.join(tracks) or 'none'}"
+            yield Mistake(file, line.line, f"model {line.name}", f"no track {line.track!r}", expected)
+
+
+def _cells(file: str, found: Sequence[Found], first: Mapping[str, int]) -> Iterator[Mistake]:
     """Mistakes of the `cells` and `cell-hosts` lines beside the others."""
-    for word, other, example in (
-        ("cells", "cell-hosts", CellHosts.example),
-        ("cell-hosts", "cells", CellsLine.example),
-        ("cells", "name", Word.example),
-    ):
-        if word in words and other not in words:
-            yield Mistake(file, words[word], f"{word} without a {other} line", f"right would be: {example}")
-    if "cells" not in words:
+    for word, other, text in NEEDED_BESIDE_CELLS:
+        if word in first and other not in first:
+            yield Mistake(file, first[word], word, f"{word} without a {other} line", example(text))
+    if "cells" not in first:
         return
     for word, line in found:
-        if word in WITHOUT_CELLS and (word != "weak-word" or line.told):
-            yield Mistake(file, line.line, f"{word} beside cells", WITHOUT_CELLS[word])
+        if word in EXCLUDED_BY_CELLS and (word != "weak-word" or line.told):
+            yield Mistake(file, line.line, word, f"{word} beside cells", EXCLUDED_BY_CELLS[word])
 
 
-def across(file, found, words):
-    """What only shows between lines."""
-    mistakes = twice(file, found)
-    tracks = [line.name for word, line in found if word == "track"]
-    for word, cure in (
-        ("listen", Listen.example),
-        ("track", TrackLine.example),
-        ("model", ModelLine.example),
-    ):
-        if word not in words:
-            mistakes.append(Mistake(file, 0, f"no {word} line", f"right would be: {cure}"))
-    if "host" not in words and "hosts-file" not in words and "cells" not in words:
-        mistakes.append(
-            Mistake(file, 0, "no host and no hosts-file line", f"right would be: {HostLine.example}")
-        )
-    if {"host", "hosts-file"} <= {word for word, _ in found}:
-        line = next(line for word, line in found if word == "host")
-        mistakes.append(
-            Mistake(file, line.line, "hosts stand here and in a hosts-file", "keep one of the two")
-        )
-    if {"peer", "peers-file"} <= words.keys():
-        line = next(line for word, line in found if word == "peer")
-        mistakes.append(
-            Mistake(file, line.line, "peers stand here and in a peers-file", "keep one of the two")
-        )
-    if "peers-file" in words and "name" not in words:
-        mistakes.append(
-            Mistake(
-                file,
-                0,
-                "a peers-file without a name line: which peer is this gateway?",
-                f"right would be: {Word.example}",
-            )
-        )
-    for word, line in found:
-        if (word in ("keepers", "cells") or word == "weak-word" and line.told) and not any(
-            other == "listen" and listen.kind == "peers" for other, listen in found
-        ):
-            mistakes.append(
-                Mistake(
-                    file,
-                    line.line,
-                    f"{word} without a listen peers line",
-                    "right would be: listen peers 127.0.0.1:8090",
-                )
-            )
-        if word == "keepers":
-            mistakes += keepers(file, line, found)
-        if word == "model" and line.track not in tracks:
-            mistakes.append(
-                Mistake(
-                    file,
-                    line.line,
-                    f"model {line.name}: no track {line.track!r}",
-                    f"the tracks here: {', '.join(tracks) or 'none'}",
-                )
-            )
-    mistakes += cells(file, found, words)
-    wheres = {}
+def _listened_on_twice(file: str, found: Sequence[Found]) -> Iterator[Mistake]:
+    first: dict[str, int] = {}
     for word, line in found:
-        if word == "listen" and line.where in wheres and not line.where.endswith(":0"):
-            mistakes.append(
-                Mistake(
-                    file, line.line, f"{line.where} is listened on twice", f"see line {wheres[line.where]}"
-                )
-            )
-        if word == "listen":
-            wheres.setdefault(line.where, line.line)
-    return mistakes
+        if word != "listen":
+            continue
+        if line.where in first and not line.where.endswith(":0"):
+            text = f"{line.where} is listened on twice"
+            yield Mistake(file, line.line, "listen", text, f"see line {first[line.where]}")
+        first.setdefault(line.where, line.line)
--- a/gaproute/config/directives/__init__.py
+++ b/gaproute/config/directives/__init__.py
@@ -1,60 +1,60 @@
-"""What each line of the configuration may say: one schema a word."""
+"""The directives of the configuration: one schema for each word that a line may begin with."""
 
 from gaproute.config.directives.fleet import (
-    CellHosts,
+    CellHostsLine,
     CellsLine,
     HostLine,
-    HostsFile,
+    HostsFileLine,
     KeepersLine,
-    Listen,
+    ListenLine,
     MemoryLine,
+    NameLine,
     PeerLine,
-    PeersFile,
-    WeakWord,
-    Word,
+    PeersFileLine,
+    WeakWordLine,
 )
-from gaproute.config.directives.process import Clients, Decisions, Log, ReachLine
+from gaproute.config.directives.process import ClientsLine, DecisionsLine, LogLine, ReachLine
 from gaproute.config.directives.requests import (
-    Advice,
-    Cold,
-    Copies,
+    AdviceLine,
+    ColdLine,
+    CopiesLine,
     ModelLine,
-    OverShare,
-    Relays,
-    Reports,
-    Sizes,
+    OverShareLine,
+    RelaysLine,
+    ReportsLine,
+    SizesLine,
     TenantLine,
     TrackLine,
 )
-from gaproute.config.directives.values import Address, Name
+from gaproute.config.parsing import Directive
 
-__all__ = ["HOST_DIRECTIVES", "PEER_DIRECTIVES", "DIRECTIVES", "Address", "Name"]
+__all__ = ["DIRECTIVES", "HOST_DIRECTIVES", "PEER_DIRECTIVES"]
 
-HOST_DIRECTIVES = {"host": HostLine}
-PEER_DIRECTIVES = {"peer": PeerLine}
-DIRECTIVES = HOST_DIRECTIVES | {
-    "name": Word,
-    "listen": Listen,
-    "hosts-file": HostsFile,
+HOST_DIRECTIVES: dict[str, type[Directive]] = {"host": HostLine}
+PEER_DIRECTIVES: dict[str, type[Directive]] = {"peer": PeerLine}
+DIRECTIVES: dict[str, type[Directive]] = HOST_DIRECTIVES | {
+    "name": NameLine,
+    "listen": ListenLine,
+    "hosts-file": HostsFileLine,
     "cells": CellsLine,
-    "cell-hosts": CellHosts,
+    "cell-hosts": CellHostsLine,
     "track": TrackLine,
     "model": ModelLine,
     "tenant": TenantLine,
     "peer": PeerLine,
-    "peers-file": PeersFile,
+    "peers-file": PeersFileLine,
     "memory": MemoryLine,
     "keepers": KeepersLine,
-    "copies": Copies,
-    "relays": Relays,
-    "reports": Reports,
-    "cold": Cold,
-    "sizes": Sizes,
-    "advice": Advice,
-    "over-share": OverShare,
-    "clients": Clients,
+    "copies": CopiesLine,
+    "relays": RelaysLine,
+    "reports": ReportsLine,
+    "cold": ColdLine,
+    "sizes": SizesLine,
+    "advice": AdviceLine,
+    "over-share": OverShareLine,
+    "clients": ClientsLine,
     "reach": ReachLine,
-    "weak-word": WeakWord,
-    "log": Log,
-    "decisions": Decisions,
+    "weak-word": WeakWordLine,
+    "log": LogLine,
+    "decisions": DecisionsLine,
 }
--- a/gaproute/config/directives/cell_table.py
+++ b/gaproute/config/directives/cell_table.py
@@ -1,6 +1,6 @@
 """Lines of a cell table."""
 
-from typing import Annotated, ClassVar
+from typing import Annotated, Any, ClassVar
 
 from pydantic import BeforeValidator, Field
 
@@ -14,7 +14,7 @@
 VersionPart = Annotated[int, Field(ge=0, le=LARGEST_VERSION)]
 
 
-def _parts(value, most, what):
+def _parts(value: Any, most: int, what: str) -> Any:
     """The parts between commas."""
     if not isinstance(value, str):
         return value
@@ -23,11 +23,11 @@
     return value.split(",")
 
 
-def _points(value):
+def _points(value: Any) -> tuple[Points, ...]:
     return tuple(_point(part) for part in _parts(value, bounds.MAX_RANGES, "ranges of ring points"))
 
 
-def _point(part):
+def _point(part: str) -> Points:
     origin, colon, numbers = part.rpartition(":")
     first, plus, count = numbers.partition("+")
     if not (origin and colon and plus and _is_number(first) and _is_number(count)):
@@ -35,15 +35,15 @@
     return Points(origin, int(first), int(count))
 
 
-def _is_number(text):
+def _is_number(text: str) -> bool:
     return text.isascii() and text.isdigit() and len(text) <= len(str(bounds.MAX_RING_POINTS))
 
 
-def _entries(value):
+def _entries(value: Any) -> tuple[Entry, ...]:
     return tuple(_entry(part) for part in _parts(value, bounds.MAX_ENTRIES, "entry gateways"))
 
 
-def _entry(part):
+def _entry(part: str) -> Entry:
     name, equals, address = part.partition("=")
     if not (name and equals and address):
         raise ValueError(f"{part!r:.80} is no entry gateway: NAME=ADDRESS")
@@ -53,7 +53,7 @@
 class TableLine(Directive):
     """Which fleet the table is of, and its version."""
 
-    places: ClassVar = ("fleet",)
+    positional: ClassVar = ("fleet",)
     example: ClassVar = "table north term 3 number 17"
     once: ClassVar = True
     fleet: Named
@@ -64,7 +64,7 @@
 class CellLine(Directive):
     """One cell."""
 
-    places: ClassVar = ("name",)
+    positional: ClassVar = ("name",)
     example: ClassVar = (
         "cell c1 region west zone west-a capacity 640 hosts 51 points c1:0+32 entries g1=10.0.0.1:8090"
     )
@@ -77,4 +77,4 @@
     entries: Annotated[tuple[Entry, ...], BeforeValidator(_entries)] = ()
 
 
-CELL_DIRECTIVES = {"table": TableLine, "cell": CellLine}
+CELL_DIRECTIVES: dict[str, type[Directive]] = {"table": TableLine, "cell": CellLine}
--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -1,11 +1,11 @@
 """Lines on this gateway, its hosts and the other gateways."""
 
-from typing import Annotated, ClassVar, Literal
+from typing import Annotated, ClassVar, Literal, Self
 
 from pydantic import BeforeValidator, Field, model_validator
 
-from gaproute.config.directives.values import Address, Name, Started
-from gaproute.config.parsing import Directive, Span, Yes
+from gaproute.config.parsing import Directive
+from gaproute.config.values import Address, Duration, Name, StartTime, YesNo, split_commas
 from gaproute.decisions.cells.bounds import MAX_NAME
 from gaproute.shared.leases.commands import LONGEST, SHORTEST
 from gaproute.shared.raft.messages import KEEPERS
@@ -14,34 +14,38 @@
 MAX_SOURCES = 16  # of host lists
 
 
-def _split(value):
-    return tuple(value.split(",")) if isinstance(value, str) else value
+class NameLine(Directive):
+    """The name of this gateway."""
 
-
-class Word(Directive):
-    places: ClassVar = ("name",)
+    positional: ClassVar = ("name",)
     example: ClassVar = "name gate-1"
     once: ClassVar = True
     name: Name = "gateway"
 
 
-class Listen(Directive):
-    places: ClassVar = ("kind", "where")
+class ListenLine(Directive):
+    """An address that is listened on, and for whom."""
+
+    positional: ClassVar = ("kind", "where")
     example: ClassVar = "listen kserve 127.0.0.1:8080"
     kind: Literal["kserve", "operator", "peers"]
     where: Address
 
 
-class HostsFile(Directive):
-    places: ClassVar = ("path",)
+class HostsFileLine(Directive):
+    """The file of the host list, looked at every `look` ns."""
+
+    positional: ClassVar = ("path",)
     example: ClassVar = "hosts-file hosts.list look 50ms"
     once: ClassVar = True
     path: str
-    look: Span = Field(50_000_000, ge=1_000_000, le=400_000_000)
+    look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
 
 
 class HostLine(Directive):
-    places: ClassVar = ("name", "where")
+    """One host; `started` is its start in ns since 1970."""
+
+    positional: ClassVar = ("name", "where")
     example: ClassVar = "host mh01 127.0.0.1:9001 zone hall-a rack r1 capacity 4 state active"
     name: Name
     where: Address
@@ -49,37 +53,42 @@
     rack: str = ""
     capacity: float = Field(1.0, gt=0, le=1e6)
     state: Literal["active", "draining", "gone"] = "active"
-    started: Started | None = None
+    started: StartTime | None = None
 
 
 class CellsLine(Directive):
-    places: ClassVar = ("fleet",)
+    """The fleet in cells, its table, and where in it this gateway stands."""
+
+    positional: ClassVar = ("fleet",)
     example: ClassVar = "cells north file cells.table look 50ms region west zone west-a gateways 12"
     once: ClassVar = True
     fleet: str = Field(min_length=1, max_length=MAX_NAME)
     file: str
-    look: Span = Field(50_000_000, ge=1_000_000, le=400_000_000)
+    look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
     region: str = Field(min_length=1, max_length=MAX_NAME)  # where this gateway stands
     zone: str = Field(min_length=1, max_length=MAX_NAME)
     gateways: int = Field(1, ge=1, le=100_000)  # of the whole fleet, about
     kept: str | None = None  # where the last good table is kept on disk
 
 
-class CellHosts(Directive):
-    places: ClassVar = ("folder",)
+class CellHostsLine(Directive):
+    """Where the host lists of the cells come from: a folder, or sources that are asked."""
+
+    positional: ClassVar = ("folder",)
     example: ClassVar = "cell-hosts /etc/gaproute/cells look 50ms, or: cell-hosts from 10.0.0.1:7000"
     once: ClassVar = True
     folder: str | None = None
-    sources: Annotated[tuple[Address, ...], BeforeValidator(_split)] = Field((), alias=FROM)
-    look: Span = Field(50_000_000, ge=1_000_000, le=400_000_000)
+    sources: Annotated[tuple[Address, ...], BeforeValidator(split_commas)] = Field((), alias="from")
+    look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
 
     @classmethod
-    def places_of(cls, words):
+    def positional_in(cls, words: list[str]) -> tuple[str, ...]:
         """Sources stand in place of a folder."""
-        return () if words[:1] == [FROM] else cls.places
+        return () if words[:1] == [FROM] else cls.positional
 
     @model_validator(mode="after")
-    def fits(self):
+    def fits(self) -> Self:
+        """Errors: ValueError for both, or sources that no connection can be made to."""
         if self.folder is not None and self.sources:
             raise ValueError("a folder and sources, keep one of the two")
         if len(set(self.sources)) < len(self.sources):
@@ -92,40 +101,46 @@
 
 
 class PeerLine(Directive):
-    places: ClassVar = ("name", "where")
+    """Another gateway."""
+
+    positional: ClassVar = ("name", "where")
     example: ClassVar = "peer gate-2 127.0.0.1:8090"
     name: Name
     where: Address
 
 
-class PeersFile(Directive):
-    places: ClassVar = ("path",)
+class PeersFileLine(Directive):
+    """The file of the other gateways, looked at every `look` ns."""
+
+    positional: ClassVar = ("path",)
     example: ClassVar = "peers-file peers.list look 1s"
     once: ClassVar = True
     path: str
-    look: Span = Field(1_000_000_000, ge=1_000_000, le=60_000_000_000)
+    look: Duration = Field(1_000_000_000, ge=1_000_000, le=60_000_000_000)
 
 
 class MemoryLine(Directive):
-    places: ClassVar = ("path",)
+    """The file in which learnt state outlasts a restart."""
+
+    positional: ClassVar = ("path",)
     example: ClassVar = "memory /var/lib/gaproute/gate-1.memory"
     once: ClassVar = True
     path: str
 
 
 class KeepersLine(Directive):
-    places: ClassVar = ("names",)
+    """The members of the Raft group, and the longest lease that it grants in ns."""
+
+    positional: ClassVar = ("names",)
     example: ClassVar = "keepers gate-1,gate-2,gate-3 votes /var/lib/gaproute/gate-1.votes longest 600s"
     once: ClassVar = True
-    names: Annotated[
-        tuple[Name, ...],
-        BeforeValidator(_split),
-    ]
-    votes: str | None = None  # what this keeper must not forget; others need none
-    longest: Span = Field(LONGEST, ge=SHORTEST, le=LONGEST)  # of a permit
+    names: Annotated[tuple[Name, ...], BeforeValidator(split_commas)]
+    votes: str | None = None  # the file of this member's term and vote; other gateways need none
+    longest: Duration = Field(LONGEST, ge=SHORTEST, le=LONGEST)  # of a lease
 
     @model_validator(mode="after")
-    def fits(self):
+    def fits(self) -> Self:
+        """Errors: ValueError for a member named twice, or too many of them."""
         if len(set(self.names)) < len(self.names):
             raise ValueError("a keeper is named twice")
         if len(self.names) > KEEPERS:
@@ -133,8 +148,10 @@
         return self
 
 
-class WeakWord(Directive):
-    places: ClassVar = ("told",)
+class WeakWordLine(Directive):
+    """Whether gateways exchange observations by gossip."""
+
+    positional: ClassVar = ("told",)
     example: ClassVar = "weak-word yes"
     once: ClassVar = True
-    told: Yes = False
+    told: YesNo = False
--- a/gaproute/config/directives/process.py
+++ b/gaproute/config/directives/process.py
@@ -1,32 +1,37 @@
 """Lines on the process: limits towards clients and hosts, its log, its decision module."""
 
 import importlib
-from typing import ClassVar, Literal
+from typing import Any, ClassVar, Literal
 
 from pydantic import Field
 
-from gaproute.config.parsing import Directive, Size, Span
+from gaproute.config.parsing import Directive
+from gaproute.config.values import Duration, Size
 
 
-class Clients(Directive):
+class ClientsLine(Directive):
+    """Limits towards clients: times in ns, sizes in bytes."""
+
     example: ClassVar = "clients way-back 25ms body 16m connections 10000"
     once: ClassVar = True
-    way_back: Span = 25_000_000
+    way_back: Duration = 25_000_000
     head: Size = Field(32768, ge=1024, le=1 << 20)
     body: Size = Field(16 << 20, ge=0, le=1 << 30)
     pipelined: int = Field(16, ge=1, le=1024)
-    read: Span = Field(20_000_000_000, gt=0)
-    idle: Span = Field(75_000_000_000, gt=0)
+    read: Duration = Field(20_000_000_000, gt=0)
+    idle: Duration = Field(75_000_000_000, gt=0)
     connections: int = Field(10_000, ge=1)
     per_address: int = Field(2_000, ge=1)
 
 
 class ReachLine(Directive):
+    """Limits towards hosts: times in ns, sizes in bytes."""
+
     example: ClassVar = "reach connect 250ms probe 250ms order 10s connections 256 answer 64m"
     once: ClassVar = True
-    connect: Span = Field(250_000_000, gt=0, le=400_000_000)
-    probe: Span = Field(250_000_000, gt=0)
-    order: Span = Field(10_000_000_000, gt=0)
+    connect: Duration = Field(250_000_000, gt=0, le=400_000_000)
+    probe: Duration = Field(250_000_000, gt=0)
+    order: Duration = Field(10_000_000_000, gt=0)
     connections: int = Field(256, ge=1)
     answer: Size = Field(64 << 20, ge=1024)
 
@@ -37,19 +42,24 @@
 }
 
 
-class Log(Directive):
-    places: ClassVar = ("level",)
+class LogLine(Directive):
+    """The lowest level that is logged."""
+
+    positional: ClassVar = ("level",)
     example: ClassVar = "log info"
     once: ClassVar = True
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
-class Decisions(Directive):
-    places: ClassVar = ("made_by",)
+class DecisionsLine(Directive):
+    """The class that decides, as `module:name`."""
+
+    positional: ClassVar = ("made_by",)
     example: ClassVar = "decisions gaproute.decisions.routing:Gateway"
     once: ClassVar = True
     made_by: str = Field("gaproute.decisions.routing:Gateway", pattern=r"^[\w.]+:\w+$")
 
-    def load(self):
+    def load(self) -> Any:
+        """The class. Errors: ImportError, AttributeError where there is none."""
         module, _, name = FORMER_DECISIONS.get(self.made_by, self.made_by).partition(":")
         return getattr(importlib.import_module(module), name)
--- a/gaproute/config/directives/requests.py
+++ b/gaproute/config/directives/requests.py
@@ -1,26 +1,29 @@
-"""Lines on tasks: tracks, models, tenants, and what relays of them may do."""
+"""Lines on requests: their classes, models, tenants, and what attempts at hosts may do."""
 
-from typing import Annotated, ClassVar, Literal
+from typing import Annotated, ClassVar, Literal, Self
 
 from pydantic import BeforeValidator, Field, model_validator
 
-from gaproute.config.directives.values import Name
-from gaproute.config.parsing import Directive, Span, Yes
+from gaproute.config.parsing import Directive
+from gaproute.config.values import Duration, Name, YesNo, split_commas
 
 
 class TrackLine(Directive):
-    places: ClassVar = ("name", "effect")
+    """A class of requests: its idempotency, times in ns, and what an answer in time is worth."""
+
+    positional: ClassVar = ("name", "effect")
     example: ClassVar = "track fault-check pure contract 1200ms limit 5s earnings 3"
     name: Name
     effect: Literal["pure", "receipted", "effectful"]
-    contract: Span = Field(gt=0)
-    limit: Span = Field(gt=0)
+    contract: Duration = Field(gt=0)
+    limit: Duration = Field(gt=0)
     earnings: float = Field(1.0, gt=0, le=1e6)
     group: Literal["all", "zone", "rack"] = "all"
-    remembers: Span = 0
+    remembers: Duration = 0
 
     @model_validator(mode="after")
-    def fits(self):
+    def fits(self) -> Self:
+        """Errors: ValueError for times that exclude each other."""
         if self.contract > self.limit:
             raise ValueError("the contract time is over the limit")
         if (self.effect == "receipted") != (self.remembers > 0):
@@ -29,81 +32,97 @@
 
 
 class ModelLine(Directive):
-    places: ClassVar = ("name",)
+    """A model and the class of its requests; `load` is how long loading takes, ns."""
+
+    positional: ClassVar = ("name",)
     example: ClassVar = "model lamp-07 track fault-check lanes 4 load 1200ms versions 1,2"
     name: Name
     track: str
     lanes: int = Field(1, ge=1, le=1024)
-    load: Span | None = None
-    versions: Annotated[
-        tuple[Name, ...],
-        BeforeValidator(lambda value: tuple(value.split(",")) if isinstance(value, str) else value),
-    ] = ()
+    load: Duration | None = None
+    versions: Annotated[tuple[Name, ...], BeforeValidator(split_commas)] = ()
 
 
 class TenantLine(Directive):
-    places: ClassVar = ("name",)
+    """A tenant and its share of the capacity."""
+
+    positional: ClassVar = ("name",)
     example: ClassVar = "tenant kati share 0.45"
     name: Name
     share: float = Field(gt=0, le=1)
 
 
-class Copies(Directive):
+class CopiesLine(Directive):
+    """Loaded copies of models: how long they are kept, and the rate limit of load orders."""
+
     example: ClassVar = "copies keep 10s orders yes free 6 share 0.3 window 10s"
     once: ClassVar = True
-    keep: Span = Field(10_000_000_000, gt=0)
-    orders: Yes = True
+    keep: Duration = Field(10_000_000_000, gt=0)
+    orders: YesNo = True
     free: float = Field(6, ge=0)
     share: float = Field(0.3, ge=0)
-    window: Span = 10_000_000_000
-    alike: Yes = True
-    notes: Yes = True
+    window: Duration = 10_000_000_000
+    alike: YesNo = True
+    notes: YesNo = True
+
 
+class RelaysLine(Directive):
+    """Attempts at hosts: how many a request may have, hedged requests, cancelling."""
 
-class Relays(Directive):
     example: ClassVar = "relays limit 4 twins yes cancel yes"
     once: ClassVar = True
     limit: int = Field(4, ge=1, le=64)
-    twins: Yes = True
-    cancel: Yes = True
+    twins: YesNo = True
+    cancel: YesNo = True
 
 
-class Reports(Directive):
-    places: ClassVar = ("source",)
+class ReportsLine(Directive):
+    """Where load reports of hosts come from."""
+
+    positional: ClassVar = ("source",)
     example: ClassVar = "reports answer probes no"
     once: ClassVar = True
     source: Literal["probe", "answer"] = "answer"
-    probes: Yes = True
+    probes: YesNo = True
 
     @model_validator(mode="after")
-    def fits(self):
+    def fits(self) -> Self:
+        """Errors: ValueError for reports that could not come."""
         if self.source == "probe" and not self.probes:
             raise ValueError("hosts whose load is told by probes alone cannot go without probes")
         return self
 
 
-class Cold(Directive):
+class ColdLine(Directive):
+    """Slow start of hosts: their share of the load at first, and its length in ns."""
+
     example: ClassVar = "cold share 0.17 time 18s"
     once: ClassVar = True
     share: float = Field(0.2, ge=0, le=1)
-    time: Span = 15_000_000_000
+    time: Duration = 15_000_000_000
+
 
+class SizesLine(Directive):
+    """Whether hosts report their capacity."""
 
-class Sizes(Directive):
-    places: ClassVar = ("told",)
+    positional: ClassVar = ("told",)
     example: ClassVar = "sizes no"
     once: ClassVar = True
-    told: Yes = True
+    told: YesNo = True
 
 
-class Advice(Directive):
+class AdviceLine(Directive):
+    """The longest Retry-After of a host that is heeded, ns."""
+
     example: ClassVar = "advice limit 1s"
     once: ClassVar = True
-    limit: Span = 1_000_000_000
+    limit: Duration = 1_000_000_000
+
 
+class OverShareLine(Directive):
+    """The priority weight of requests beyond a tenant's share."""
 
-class OverShare(Directive):
-    places: ClassVar = ("value",)
+    positional: ClassVar = ("value",)
     example: ClassVar = "over-share 0.1"
     once: ClassVar = True
     value: float = Field(0.1, ge=0, le=1)
--- a/gaproute/config/files.py
+++ b/gaproute/config/files.py
@@ -1,53 +1,58 @@
-"""Files read: the configuration, lists of hosts and of gateways; whole or not at all."""
+"""Files read whole or not at all: the configuration, lists of hosts and of gateways."""
 
+import os
+from collections.abc import Mapping
 from pathlib import Path
+from typing import Any
 
 from gaproute.config.configuration import Configuration
-from gaproute.config.consistency import across, twice
+from gaproute.config.consistency import across_lines, named_twice
 from gaproute.config.directives import DIRECTIVES, HOST_DIRECTIVES, PEER_DIRECTIVES
-from gaproute.config.directives.process import Decisions
-from gaproute.config.parsing import ConfigurationError, Mistake, read_lines
+from gaproute.config.directives.fleet import HostLine, PeerLine
+from gaproute.config.directives.process import DecisionsLine
+from gaproute.config.errors import ConfigurationError, Mistake, example, in_order_of_lines, unreadable
+from gaproute.config.parsing import Directive, read_lines
 
+FilePath = str | os.PathLike[str]
 
-def read_configuration(file, text=None):
+
+def read_configuration(path: FilePath, text: str | None = None) -> Configuration:
     """The configuration of a file. Errors: `ConfigurationError` with every mistake; nothing of it is used."""
-    file = str(file)
+    file = str(path)
     if text is None:
         text = read_text(file)
-    found, mistakes, words = read_lines(file, text, DIRECTIVES)
-    mistakes += across(file, found, words)
+    found, mistakes, first = read_lines(file, text, DIRECTIVES)
+    mistakes += across_lines(file, found, first)
     if not mistakes:
         try:
             return Configuration(file, found)
-        except (ImportError, AttributeError) as fault:
-            mistakes.append(Mistake(file, 0, f"decisions: {fault}", f"right would be: {Decisions.example}"))
-    raise ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
+        except (ImportError, AttributeError) as error:
+            mistakes.append(Mistake(file, 0, "decisions", str(error), example(DecisionsLine.example)))
+    raise in_order_of_lines(mistakes)
 
 
-def read_hosts(file, text=None):
+def read_hosts(path: FilePath, text: str | None = None) -> list[HostLine]:
     """The `host` lines of a host list. Errors: `ConfigurationError`."""
-    return _read_list(file, text, "host", HOST_DIRECTIVES)
+    return _read_list(path, text, HOST_DIRECTIVES)
 
 
-def read_peers(file, text=None):
+def read_peers(path: FilePath, text: str | None = None) -> list[PeerLine]:
     """The `peer` lines of a list of gateways. Errors: `ConfigurationError`."""
-    return _read_list(file, text, "peer", PEER_DIRECTIVES)
+    return _read_list(path, text, PEER_DIRECTIVES)
 
 
-def _read_list(file, text, word, words):
-    file = str(file)
-    found, mistakes, _ = read_lines(file, read_text(file) if text is None else text, words)
-    mistakes += twice(file, [(word, line) for _, line in found])
+def _read_list(path: FilePath, text: str | None, kinds: Mapping[str, type[Directive]]) -> list[Any]:
+    file = str(path)
+    found, mistakes, _ = read_lines(file, read_text(file) if text is None else text, kinds)
+    mistakes += named_twice(file, found)
     if mistakes:
         raise ConfigurationError(mistakes)
     return [line for _, line in found]
 
 
-def read_text(file):
+def read_text(path: FilePath) -> str:
     """The text of a file. Errors: `ConfigurationError`."""
     try:
-        return Path(file).read_text()
-    except (OSError, UnicodeDecodeError) as fault:
-        raise ConfigurationError(
-            [Mistake(file, 0, f"cannot be read: {fault}", "name a readable text file")]
-        ) from fault
+        return Path(path).read_text()
+    except (OSError, UnicodeDecodeError) as error:
+        raise unreadable(str(path), error) from error
--- a/gaproute/config/migration.py
+++ b/gaproute/config/migration.py
@@ -1,28 +1,29 @@
 """A configuration of one shape of deployment rewritten for another: what `gaproute migrate` does.
 
-The old file is kept line by line, with its comments. What the new deployment states stands in a file of the
-same syntax, the shape: its lines win keyword by keyword, and tracks and tenants that it names are all there
-are, each as stated there. What cannot be carried over is told with its line and why; the result is checked
-like any configuration.
+The old file is taken over line by line, with its comments. What the new deployment states is in a file of the
+same syntax, the shape: its lines win keyword by keyword, and the tracks and tenants that it names are all
+there are, each as stated there. What cannot be carried over is reported with its line and why; the result is
+checked like any configuration.
 """
 
-import os
-import secrets
 import shlex
+from collections.abc import Iterator
 from typing import NamedTuple
 
-from gaproute.config.consistency import twice
+from gaproute.config.consistency import named_twice
 from gaproute.config.directives import DIRECTIVES
+from gaproute.config.errors import ConfigurationError, Mistake, in_order_of_lines
 from gaproute.config.files import read_configuration
-from gaproute.config.parsing import ConfigurationError, Mistake, read_lines
+from gaproute.config.parsing import read_lines
 
 # What a deployment states; everything else is the operator's own and stays as it is.
 STATED = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
-NAMED = ("track", "tenant")
-READABLE = 0o644  # of the file written
+STATED_BY_NAME = ("track", "tenant")
+NO_SIZES = "no sizes of hosts are told there"
+NO_PROBES = "no probes are allowed there"
 
 
-class Left(NamedTuple):
+class LeftBehind(NamedTuple):
     """A line, or a part of one, that the new shape has no place for."""
 
     file: str
@@ -30,174 +31,179 @@
     text: str
     why: str
 
-    def __str__(self):
+    def __str__(self) -> str:
         return f"{self.file}:{self.line}: left behind: {self.text}; {self.why}"
 
 
-def read_shape(file, text):
-    """{word: {name or "": (places, keywords)}} as the shape states them. Errors: `ConfigurationError`."""
-    found, mistakes, _ = read_lines(file, text, DIRECTIVES)
-    mistakes += twice(file, found)
-    for word, line in found:
-        if word not in STATED:
-            mistakes.append(
-                Mistake(
-                    file,
-                    line.line,
-                    f"{word} is no statement of a deployment",
-                    f"a shape holds {', '.join(STATED)}; the rest stays in the old file",
-                )
-            )
-    if not found and not mistakes:
-        mistakes.append(Mistake(file, 0, "states nothing", "name what the new deployment states"))
-    if mistakes:
-        raise ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
-    shape = {}
-    for words in filter(None, _lines(text)):
-        places, keywords = _parts(words)
-        shape.setdefault(words[0], {})[places[0] if words[0] in NAMED else ""] = (places, keywords)
-    return shape
-
-
-def move(old_file, old_text, shape_file, shape_text, new_file):
-    """(the new file's text, [Left]). Errors: `ConfigurationError` of either file or the result."""
-    wrong, shape = [], {}
-    try:
-        read_configuration(old_file, old_text)
-    except ConfigurationError as mistakes:
-        wrong += mistakes.mistakes
-    try:
-        shape = read_shape(shape_file, shape_text)
-    except ConfigurationError as mistakes:
-        wrong += mistakes.mistakes
-    if wrong:
-        raise ConfigurationError(wrong)
-    lines, left, used = [], [], set()
-
-    def leave(number, what, why):
-        left.append(Left(old_file, number, what, why))
-
-    no_sizes = "sizes" in shape and shape["sizes"][""][0] == ("no",)
-    no_probes = "reports" in shape and shape["reports"][""][1].get("probes") == "no"
-    for number, (raw, words) in enumerate(zip(old_text.splitlines(), _lines(old_text), strict=True), 1):
-        if not words:
-            lines.append(raw)
-            continue
-        word, (places, keywords) = words[0], _parts(words)
-        key = places[0] if word in NAMED else ""
-        before = dict(keywords)
-        if word in shape and key not in shape[word]:
-            leave(number, " ".join(words), f"the new deployment has no {word} {key}")
-            continue
-        if word in shape:
-            used.add((word, key))
-            places, stated = shape[word][key]
-            keywords = stated if word in NAMED else keywords | stated  # a track is stated whole
-        if word == "model" and "track" in shape and keywords["track"] not in shape["track"]:
-            leave(number, " ".join(words), f"the new deployment has no track {keywords['track']}")
-            continue
-        if word == "host" and no_sizes and keywords.pop("capacity", None) is not None:
-            leave(
-                number, f"host {places[0]} capacity {before['capacity']}", "no sizes of hosts are told there"
-            )
-        if word == "hosts-file" and no_sizes:
-            leave(number, f"capacities in {places[0]}", "no sizes of hosts are told there: they count as 1")
-        if word == "reach" and no_probes and keywords.pop("probe", None) is not None:
-            leave(number, f"reach probe {before['probe']}", "no probes are allowed there")
-        if word in shape or keywords != before:
-            raw = _line(word, places, keywords) + _comment(raw, words)
-        lines.append(raw)
-    rest = [
-        _line(word, *parts)
-        for word, named in shape.items()
-        for key, parts in named.items()
-        if (word, key) not in used
-    ]
-    if rest:
-        lines += ["", "# stated by the new deployment"] + rest
-    text = "\n".join(lines) + "\n"
-    read_configuration(new_file, text)
-    return text, left
+class Migrated(NamedTuple):
+    """The text of the new file, and what it could not take over."""
 
+    text: str
+    left: list[LeftBehind]
 
-def _lines(text):
-    """The words of each line."""
-    return [shlex.split(raw, comments=True) for raw in text.splitlines()]
 
+class _Line(NamedTuple):
+    """A checked line in its parts."""
 
-def _parts(words):
-    """The words by place and {keyword: value} of a checked line."""
-    count = len(DIRECTIVES[words[0]].places)
-    places, rest = tuple(words[1 : count + 1]), words[count + 1 :]
-    return places, dict(zip(rest[::2], rest[1::2], strict=True))
+    word: str
+    positional: tuple[str, ...]
+    keywords: dict[str, str]
 
+    @property
+    def key(self) -> tuple[str, str]:
+        """The word, and the name where several such lines may stand in one file."""
+        return self.word, self.positional[0] if self.word in STATED_BY_NAME else ""
 
-def _comment(raw, words):
-    """The comment that ends a line, with the space before it."""
-    for place, letter in enumerate(raw):
-        try:
-            if letter == "#" and shlex.split(raw[:place]) == words:
-                return "  " + raw[place:]
-        except ValueError:
-            pass  # within quotes
-    return ""
+    def text(self) -> str:
+        words = [self.word, *self.positional]
+        for keyword, value in self.keywords.items():
+            words += [keyword, value]
+        return " ".join(shlex.quote(word) for word in words)
 
 
-def _line(word, places, keywords):
-    words = [word, *places]
-    for keyword, value in keywords.items():
-        words += [keyword, value]
-    return " ".join(shlex.quote(each) for each in words)
+class _Shape:
+    """What the new deployment states, by word and name."""
 
+    def __init__(self, lines: list[_Line]) -> None:
+        self.words = list(dict.fromkeys(line.word for line in lines))
+        self.lines = {line.key: line for word in self.words for line in lines if line.word == word}
+        sizes, reports = self.lines.get(("sizes", "")), self.lines.get(("reports", ""))
+        self.without_sizes = sizes is not None and sizes.positional == ("no",)
+        self.without_probes = reports is not None and reports.keywords.get("probes") == "no"
 
-class NotDurableError(OSError):
-    """The file is in its place, whole; whether its name outlasts a crash of the machine is not known."""
+    def lacks(self, word: str, name: str) -> bool:
+        """Whether the new deployment states such lines, but not this one."""
+        return word in self.words and (word, name) not in self.lines
 
 
-def write_whole(path, text, replace, kept):
-    """The file whole or not at all: written beside it, then put in its place. One that stands is written over
-    where `replace` says so, never one of the `kept`: the way back needs them. Errors: `OSError`; where the
-    file is in its place all the same, `NotDurableError`."""
-    if os.path.exists(path) and any(os.path.samefile(path, file) for file in kept):
-        raise FileExistsError
-    folder = os.path.dirname(os.path.abspath(path))
-    beside = os.path.join(folder, f".migrate-{secrets.token_hex(8)}")
-    file = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, READABLE)
+def migrate(old_file: str, old_text: str, shape_file: str, shape_text: str, new_file: str) -> Migrated:
+    """The old file by the new shape. Errors: `ConfigurationError` of either file or the result."""
+    mistakes: list[Mistake] = []
+    shape = _Shape([])
     try:
-        try:
-            _write_synced(file, text.encode())
-        finally:
-            os.close(file)
-        if replace:
-            os.replace(beside, path)
-        else:
-            os.link(beside, path)  # fails where the file stands, also if it came meanwhile
-    finally:
-        _discard(beside)
+        read_configuration(old_file, old_text)
+    except ConfigurationError as error:
+        mistakes += error.mistakes
     try:
-        _sync_folder(folder)
-    except OSError as fault:
-        raise NotDurableError(fault.errno, fault.strerror) from fault
+        shape = _read_shape(shape_file, shape_text)
+    except ConfigurationError as error:
+        mistakes += error.mistakes
+    if mistakes:
+        raise ConfigurationError(mistakes)
+    migration = _Migration(old_file, shape)
+    for number, raw in enumerate(old_text.splitlines(), 1):
+        migration.take_over(number, raw)
+    text = migration.text()
+    read_configuration(new_file, text)
+    return Migrated(text, migration.left)
 
 
-def _write_synced(file, data):
-    os.fchmod(file, READABLE)  # whatever the umask
-    left = memoryview(data)
-    while left:
-        left = left[os.write(file, left) :]
-    os.fsync(file)
+def _read_shape(file: str, text: str) -> _Shape:
+    """What a shape states. Errors: `ConfigurationError`."""
+    found, mistakes, _ = read_lines(file, text, DIRECTIVES)
+    mistakes += named_twice(file, found)
+    mistakes += _not_stated(file, [(word, line.line) for word, line in found])
+    if not found and not mistakes:
+        mistakes.append(Mistake(file, 0, "", "states nothing", "name what the new deployment states"))
+    if mistakes:
+        raise in_order_of_lines(mistakes)
+    return _Shape([_parts(words) for words in map(_split, text.splitlines()) if words])
 
 
-def _sync_folder(folder):
-    file = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-    try:
-        os.fsync(file)
-    finally:
-        os.close(file)
+def _not_stated(file: str, words: list[tuple[str, int]]) -> Iterator[Mistake]:
+    expected = f"a shape holds {', '.join(STATED)}; the rest stays in the old file"
+    for word, line in words:
+        if word not in STATED:
+            yield Mistake(file, line, word, f"{word} is no statement of a deployment", expected)
 
 
-def _discard(path):
-    try:
-        os.unlink(path)
-    except OSError:
-        pass  # it was put in its place, or stays as a file of no use beside it
+class _Migration:
+    """The new file while the lines of the old one are taken over."""
+
+    def __init__(self, file: str, shape: _Shape) -> None:
+        self.file, self.shape = file, shape
+        self.lines: list[str] = []
+        self.left: list[LeftBehind] = []
+        self.used: set[tuple[str, str]] = set()
+
+    def take_over(self, number: int, raw: str) -> None:
+        """One line of the old file."""
+        words = _split(raw)
+        if not words:
+            self.lines.append(raw)
+            return
+        old = _parts(words)
+        absent = self._absent(old)
+        if absent is not None:
+            self._leave(number, " ".join(words), f"the new deployment has no {absent}")
+            return
+        new = self._without_unknown(number, self._restated(old))
+        changed = old.word in self.shape.words or new.keywords != old.keywords
+        self.lines.append(new.text() + _comment(raw, words) if changed else raw)
+
+    def _absent(self, line: _Line) -> str | None:
+        """The track or tenant that the line needs and the new deployment lacks."""
+        word, name = line.key
+        if self.shape.lacks(word, name):
+            return f"{word} {name}"
+        if word == "model" and self.shape.lacks("track", line.keywords["track"]):
+            return f"track {line.keywords['track']}"
+        return None
+
+    def _restated(self, line: _Line) -> _Line:
+        """The line with what the shape states; a track or tenant is stated whole."""
+        stated = self.shape.lines.get(line.key)
+        if stated is None:
+            return line
+        self.used.add(line.key)
+        if line.word in STATED_BY_NAME:
+            return stated
+        return stated._replace(keywords=line.keywords | stated.keywords)
+
+    def _without_unknown(self, number: int, line: _Line) -> _Line:
+        """The line without what cannot be known or done in the new deployment."""
+        keywords = dict(line.keywords)
+        if line.word == "host" and self.shape.without_sizes and "capacity" in keywords:
+            capacity = keywords.pop("capacity")
+            self._leave(number, f"host {line.positional[0]} capacity {capacity}", NO_SIZES)
+        if line.word == "hosts-file" and self.shape.without_sizes:
+            self._leave(number, f"capacities in {line.positional[0]}", f"{NO_SIZES}: they count as 1")
+        if line.word == "reach" and self.shape.without_probes and "probe" in keywords:
+            self._leave(number, f"reach probe {keywords.pop('probe')}", NO_PROBES)
+        return line._replace(keywords=keywords)
+
+    def _leave(self, number: int, text: str, why: str) -> None:
+        self.left.append(LeftBehind(self.file, number, text, why))
+
+    def text(self) -> str:
+        """The new file: the lines taken over, then what the shape alone states."""
+        lines = list(self.lines)
+        rest = [line.text() for key, line in self.shape.lines.items() if key not in self.used]
+        if rest:
+            lines += ["", "# stated by the new deployment", *rest]
+        return "\n".join(lines) + "\n"
+
+
+def _split(raw: str) -> list[str]:
+    return shlex.split(raw, comments=True)
+
+
+def _parts(words: list[str]) -> _Line:
+    """A checked line in its parts."""
+    word, *rest = words
+    count = len(DIRECTIVES[word].positional_in(rest))
+    positional, pairs = tuple(rest[:count]), rest[count:]
+    return _Line(word, positional, dict(zip(pairs[::2], pairs[1::2], strict=True)))
+
+
+def _comment(raw: str, words: list[str]) -> str:
+    """The comment that ends a line, with the space before it."""
+    for place, letter in enumerate(raw):
+        if letter != "#":
+            continue
+        try:
+            if shlex.split(raw[:place]) == words:
+                return "  " + raw[place:]
+        except ValueError:
+            continue  # within quotes
+    return ""
--- a/gaproute/config/parsing.py
+++ b/gaproute/config/parsing.py
@@ -1,164 +1,164 @@
-"""Lines of words as checked directives. One directive a line; `#` begins a comment; quotes hold spaces
-together.
+"""Lines of text as checked directives: one a line, `#` begins a comment, quotes hold spaces together.
 
-A directive's class names its positional words in `places`; the rest come as `keyword value`. Checking is
-pydantic's; what it says is turned into: file, line, what is wrong, what would be right.
+A directive's class names its positional fields; the rest come as `keyword value`. pydantic checks the values;
+what it reports becomes a `Mistake` with the line, the field, what was found and what is expected.
 """
 
 import difflib
 import re
 import shlex
-from typing import Annotated, Any, ClassVar, NamedTuple
-
-from pydantic import BaseModel, BeforeValidator, ConfigDict, ValidationError
-
-UNITS = {
-    "ns": 1,
-    "us": 1_000,
-    "ms": 1_000_000,
-    "s": 1_000_000_000,
-    "m": 60_000_000_000,
-    "h": 3_600_000_000_000,
-}
-PLAIN = re.compile(r"[\w \t.:,=+/@%\[\]-]*", re.ASCII)  # lines without quotes or comments: split fast
-SIZES = {"": 1, "k": 1 << 10, "m": 1 << 20, "g": 1 << 30}
-
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any, ClassVar, NamedTuple
 
-class Mistake(NamedTuple):
-    file: str
-    line: int
-    wrong: str
-    cure: str
+from pydantic import BaseModel, ConfigDict, ValidationError
+from pydantic_core import ErrorDetails
 
-    def __str__(self):
-        return f"{self.file}:{self.line}: {self.wrong}; {self.cure}"
+from gaproute.config.errors import Mistake, example
 
+PLAIN = re.compile(r"[\w \t.:,=+/@%\[\]-]*", re.ASCII)  # lines without quotes or comments: split fast
+MAX_SHOWN = 80  # characters of a value in a mistake
 
-class ConfigurationError(Exception):
-    """All that is wrong with a file."""
 
-    def __init__(self, mistakes):
-        super().__init__("\n".join(map(str, mistakes)))
-        self.mistakes = mistakes
+class Directive(BaseModel):
+    """A checked line. `line` is its number in the file, 0 where a directive was not read from one."""
 
+    model_config = ConfigDict(extra="forbid", frozen=True)
+    positional: ClassVar[tuple[str, ...]] = ()  # fields given by their position
+    example: ClassVar[str] = ""
+    once: ClassVar[bool] = False  # at most one such line in a file
+    line: int = 0
 
-def _span(value: Any):
-    if not isinstance(value, str):
-        return value
-    number = value.rstrip("abcdefghijklmnopqrstuvwxyz")
-    unit = value[len(number) :]
-    try:
-        span = float(number) * UNITS[unit]
-    except (ValueError, KeyError):
-        raise ValueError(f"{value!r} is no time: a number with ms, s, m or h, such as 250ms") from None
-    if not 0 <= span < 1 << 62:
-        raise ValueError(f"{value!r} is out of range: 0 or more, and finite")
-    return round(span)
+    @classmethod
+    def positional_in(cls, words: list[str]) -> tuple[str, ...]:
+        """The fields that these words of a line give by their position."""
+        return cls.positional
 
+    @classmethod
+    def keywords(cls) -> dict[str, str]:
+        """The name of the field, as the constructor takes it, by keyword."""
+        return {
+            info.alias or name.replace("_", "-"): info.alias or name
+            for name, info in cls.model_fields.items()
+            if name not in cls.positional and name != "line"
+        }
 
-def _size(value: Any):
-    if not isinstance(value, str):
-        return value
-    number = value.rstrip("kmg")
-    if not number.isdigit() or value[len(number) :] not in SIZES:
-        raise ValueError(f"{value!r} is no size: a whole number with k, m or g, such as 16m")
-    return int(number) * SIZES[value[len(number) :]]
 
+class Found(NamedTuple):
+    """A directive with the word that its line begins with."""
 
-def _yes(value: Any):
-    if value in ("yes", "no"):
-        return value == "yes"
-    if isinstance(value, bool):
-        return value
-    raise ValueError(f"{value!r} is neither yes nor no")
+    word: str
+    directive: Any  # of the class that the word stands for
 
 
-Span = Annotated[int, BeforeValidator(_span)]
-Size = Annotated[int, BeforeValidator(_size)]
-Yes = Annotated[bool, BeforeValidator(_yes)]
+class ParsedLines(NamedTuple):
+    """What was read from a file: its directives, its mistakes, and the first line of each word."""
 
+    found: list[Found]
+    mistakes: list[Mistake]
+    first: dict[str, int]
 
-class Directive(BaseModel):
-    model_config = ConfigDict(extra="forbid", frozen=True)
-    places: ClassVar[tuple[str, ...]] = ()  # fields given by place
-    example: ClassVar[str] = ""
-    once: ClassVar[bool] = False
-    line: int = 0
 
-    @classmethod
-    def places_of(cls, words):
-        """The fields that these words of a line give by place."""
-        return cls.places
+def read_lines(
+    file: str, text: str, kinds: Mapping[str, type[Directive]], max_mistakes: int | None = None
+) -> ParsedLines:
+    """The directives of a text; `kinds` gives the class of each word. Ends at `max_mistakes` where given."""
+    parser = _Parser(file, kinds)
+    for number, raw in enumerate(text.splitlines(), 1):
+        if max_mistakes is not None and len(parser.mistakes) >= max_mistakes:
+            break
+        parser.read(number, raw)
+    return ParsedLines(parser.found, parser.mistakes, parser.first)
 
 
-def read_lines(file, text, kinds, most_mistakes=None):
-    """`kinds`: {word: Directive class}. Returns [(word, directive)], [Mistake], {word: its first line}.
+@dataclass
+class _Parser:
+    file: str
+    kinds: Mapping[str, type[Directive]]
+    found: list[Found] = field(default_factory=list)
+    mistakes: list[Mistake] = field(default_factory=list)
+    first: dict[str, int] = field(default_factory=dict)
 
-    Reading ends at `most_mistakes` where that is given.
-    """
-    found, mistakes, first = [], [], {}
-    for number, raw in enumerate(text.splitlines(), 1):
-        if most_mistakes is not None and len(mistakes) >= most_mistakes:
-            break
+    def read(self, number: int, raw: str) -> None:
+        """One line of the file."""
         try:
             words = raw.split() if PLAIN.fullmatch(raw) else shlex.split(raw, comments=True)
-        except ValueError as fault:
-            mistakes.append(Mistake(file, number, f"cannot be split into words: {fault}", "close the quote"))
-            continue
+        except ValueError as error:
+            self._refuse(number, "", f"cannot be split into words: {error}", "close the quote")
+            return
         if not words:
-            continue
+            return
         word, *rest = words
-        kind = kinds.get(word)
+        kind = self.kinds.get(word)
         if kind is None:
-            near = difflib.get_close_matches(word, kinds, 1)
-            cure = f"did you mean {near[0]}?" if near else f"the words known here: {', '.join(sorted(kinds))}"
-            mistakes.append(Mistake(file, number, f"unknown word {word!r}", cure))
-            continue
-        if kind.once and word in first:
-            mistakes.append(
-                Mistake(file, number, f"{word} stands a second time", f"keep line {first[word]} or this")
+            self._refuse(number, "", f"unknown word {word!r}", self._nearest(word))
+        elif kind.once and word in self.first:
+            self._refuse(
+                number, word, f"{word} stands a second time", f"keep line {self.first[word]} or this"
             )
-            continue
-        first.setdefault(word, number)
-        wrong, directive = _read(kind, rest, number)
-        cure = f"right would be: {kind.example}"
-        mistakes += [Mistake(file, number, f"{word}: {text}", cure) for text in wrong]
-        if directive is not None:
-            found.append((word, directive))
-    return found, mistakes, first
-
-
-def _read(kind, words, number):
-    """[what is wrong], directive or None."""
-    places = kind.places_of(words)
-    if len(words) < len(places):
-        return [f"{' '.join(place.upper() for place in places[len(words) :])} is missing"], None
-    given = dict(zip(places, words[: len(places)], strict=True))
-    rest = words[len(places) :]
+        else:
+            self.first.setdefault(word, number)
+            self._read_directive(word, kind, rest, number)
+
+    def _read_directive(self, word: str, kind: type[Directive], words: list[str], number: int) -> None:
+        given, wrong = _arguments(kind, words)
+        if not wrong:
+            try:
+                self.found.append(Found(word, kind(line=number, **given)))
+            except ValidationError as error:
+                wrong = [_reported(detail) for detail in error.errors()]
+        for field_name, found in wrong:
+            name = f"{word}: {field_name}" if field_name else word
+            self._refuse(number, name, found, example(kind.example))
+
+    def _nearest(self, word: str) -> str:
+        near = difflib.get_close_matches(word, self.kinds, 1)
+        return (
+            f"did you mean {near[0]}?" if near else f"the words known here: {', '.join(sorted(self.kinds))}"
+        )
+
+    def _refuse(self, number: int, field_name: str, found: str, expected: str) -> None:
+        self.mistakes.append(Mistake(self.file, number, field_name, found, expected))
+
+
+class _Wrong(NamedTuple):
+    """A field of a directive, empty for the line as a whole, and what is wrong with it."""
+
+    field: str
+    found: str
+
+
+def _arguments(kind: type[Directive], words: list[str]) -> tuple[dict[str, Any], list[_Wrong]]:
+    """The values of a line by field, and what is wrong with the line's form."""
+    positional = kind.positional_in(words)
+    if len(words) < len(positional):
+        missing = " ".join(name.upper() for name in positional[len(words) :])
+        return {}, [_Wrong("", f"{missing} is missing")]
+    given: dict[str, Any] = dict(zip(positional, words[: len(positional)], strict=True))
+    rest = words[len(positional) :]
+    keywords = kind.keywords()
     wrong = []
-    names = {
-        field.alias or name.replace("_", "-"): field.alias or name
-        for name, field in kind.model_fields.items()
-        if name not in kind.places and name != "line"
-    }
     for place in range(0, len(rest), 2):
-        key = rest[place]
-        if key not in names:
-            near = difflib.get_close_matches(key, names, 1)
-            wrong.append(f"unknown keyword {key!r}" + (f", perhaps {near[0]}" if near else ""))
-        elif names[key] in given:
-            wrong.append(f"{key} stands twice")
+        keyword = rest[place]
+        if keyword not in keywords:
+            near = difflib.get_close_matches(keyword, keywords, 1)
+            wrong.append(
+                _Wrong("", f"unknown keyword {keyword!r}" + (f", perhaps {near[0]}" if near else ""))
+            )
+        elif keywords[keyword] in given:
+            wrong.append(_Wrong("", f"{keyword} stands twice"))
         elif place + 1 == len(rest):
-            wrong.append(f"{key} has no value")
+            wrong.append(_Wrong("", f"{keyword} has no value"))
         else:
-            given[names[key]] = rest[place + 1]
-    if wrong:
-        return wrong, None
-    try:
-        return [], kind(line=number, **given)
-    except ValidationError as fault:
-        return [
-            f"{'.'.join(str(part) for part in error['loc']).replace('_', '-') or 'line'}: "
-            f"{error['msg'].removeprefix('Value error, ')}"
-            for error in fault.errors()
-        ], None
+            given[keywords[keyword]] = rest[place + 1]
+    return given, wrong
+
+
+def _reported(detail: ErrorDetails) -> _Wrong:
+    """What pydantic reports of one value, with the value."""
+    name = ".".join(str(part) for part in detail["loc"]).replace("_", "-") or "line"
+    found = detail["msg"].removeprefix("Value error, ")
+    value = detail["input"]
+    if isinstance(value, str) and repr(value) not in found:
+        found = f"{found}, not {value!r:.{MAX_SHOWN}}"
+    return _Wrong(name, found)
--- /dev/null
+++ b/gaproute/config/values.py
@@ -0,0 +1,87 @@
+"""Values that directives hold: durations, sizes, switches, names, addresses, times of a start."""
+
+import datetime
+from typing import Annotated, Any
+
+from pydantic import BeforeValidator, Field
+
+from gaproute.loop.streams import address
+
+NANOSECONDS = {
+    "ns": 1,
+    "us": 1_000,
+    "ms": 1_000_000,
+    "s": 1_000_000_000,
+    "m": 60_000_000_000,
+    "h": 3_600_000_000_000,
+}
+BYTES = {"": 1, "k": 1 << 10, "m": 1 << 20, "g": 1 << 30}
+DURATION_LIMIT = 1 << 62  # ns
+NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$"
+
+
+def _duration(value: Any) -> Any:
+    """A number with its unit as ns; what is no text is taken as it is."""
+    if not isinstance(value, str):
+        return value
+    number = value.rstrip("abcdefghijklmnopqrstuvwxyz")
+    unit = value[len(number) :]
+    try:
+        duration = float(number) * NANOSECONDS[unit]
+    except (ValueError, KeyError):
+        raise ValueError(f"{value!r} is no time: a number with ms, s, m or h, such as 250ms") from None
+    if not 0 <= duration < DURATION_LIMIT:
+        raise ValueError(f"{value!r} is out of range: 0 or more, and finite")
+    return round(duration)
+
+
+def _size(value: Any) -> Any:
+    """A number with its unit as bytes; what is no text is taken as it is."""
+    if not isinstance(value, str):
+        return value
+    number = value.rstrip("kmg")
+    unit = value[len(number) :]
+    if not number.isdigit() or unit not in BYTES:
+        raise ValueError(f"{value!r} is no size: a whole number with k, m or g, such as 16m")
+    return int(number) * BYTES[unit]
+
+
+def _yes_or_no(value: Any) -> bool:
+    if value in ("yes", "no"):
+        return bool(value == "yes")
+    if isinstance(value, bool):
+        return value
+    raise ValueError(f"{value!r} is neither yes nor no")
+
+
+def split_commas(value: Any) -> Any:
+    """The parts between commas; what is no text is taken as it is."""
+    return tuple(value.split(",")) if isinstance(value, str) else value
+
+
+def _address(value: str) -> str:
+    address(value)
+    return value
+
+
+def _start_time(value: str) -> int:
+    """Seconds since 1970, or ISO 8601 with its offset, as ns since 1970."""
+    try:
+        return round(float(value) * 1e9)
+    except ValueError:
+        pass  # it may be ISO 8601
+    try:
+        time = datetime.datetime.fromisoformat(value)
+    except ValueError:
+        raise ValueError(f"{value!r} is no time: 2026-12-01T18:00:00Z or seconds since 1970") from None
+    if time.tzinfo is None:
+        raise ValueError(f"{value!r} lacks its offset, such as Z")
+    return round(time.timestamp() * 1e9)
+
+
+Duration = Annotated[int, BeforeValidator(_duration)]  # ns
+Size = Annotated[int, BeforeValidator(_size)]  # bytes
+YesNo = Annotated[bool, BeforeValidator(_yes_or_no)]
+Name = Annotated[str, Field(pattern=NAME_PATTERN)]
+Address = Annotated[str, BeforeValidator(_address)]
+StartTime = Annotated[int, BeforeValidator(_start_time)]  # ns since 1970
--- a/gaproute/load/script.py
+++ b/gaproute/load/script.py
@@ -5,64 +5,65 @@
 
 from pydantic import BeforeValidator, Field
 
-from gaproute.config.directives import Address, Name
-from gaproute.config.parsing import ConfigurationError, Directive, Mistake, Size, Span, Yes, read_lines
+from gaproute.config.errors import ConfigurationError, Mistake
+from gaproute.config.parsing import Directive, read_lines
+from gaproute.config.values import Address, Duration, Name, Size, YesNo
 
 
 class Target(Directive):
-    places: ClassVar = ("where",)
+    positional: ClassVar = ("where",)
     example: ClassVar = "target 127.0.0.1:8080"
     where: Address
 
 
 class Length(Directive):
-    places: ClassVar = ("span",)
+    positional: ClassVar = ("span",)
     example: ClassVar = "length 30s"
     once: ClassVar = True
-    span: Span = Field(10_000_000_000, gt=0)
+    span: Duration = Field(10_000_000_000, gt=0)
 
 
 class Hold(Directive):
-    places: ClassVar = ("count",)
+    positional: ClassVar = ("count",)
     example: ClassVar = "hold 1000 over 2s addresses 50 tcp yes"
     once: ClassVar = True
     count: int = Field(100, ge=1, le=200_000)
-    over: Span = 1_000_000_000  # in which they are opened
+    over: Duration = 1_000_000_000  # in which they are opened
     addresses: int = Field(1, ge=1, le=60_000)  # loopback addresses that they come from, 127.1.0.1 upwards
-    again: Span = 1_000_000_000  # until one that was closed is opened again
+    again: Duration = 1_000_000_000  # until one that was closed is opened again
 
 
 class Traffic(Directive):
     """Open loop: tasks arrive at a rate whatever becomes of the ones before. Closed loop: each connection
     thinks for a time after each answer. One of `rate` and `think`."""
 
-    places: ClassVar = ("name",)
+    positional: ClassVar = ("name",)
     example: ClassVar = "traffic checks rate 200 path /v2/models/lamp/infer body 300"
     name: Name
     rate: float = Field(0, ge=0)
-    think: Span = 0
+    think: Duration = 0
     path: Annotated[tuple[str, ...], BeforeValidator(lambda value: tuple(value.split(",")))]
     method: Literal["POST", "GET"] = "POST"
     body: Size = Field(200, ge=0, le=16 << 20)
     pipeline: int = Field(1, ge=1, le=64)  # tasks sent back to back on one connection
-    patience: Span = Field(10_000_000_000, gt=0)
+    patience: Duration = Field(10_000_000_000, gt=0)
     share: float = Field(1.0, gt=0, le=1)  # of the connections that belong to it
 
 
 class Slow(Directive):
-    places: ClassVar = ("count",)
+    positional: ClassVar = ("count",)
     example: ClassVar = "slow 100 what head every 1s"
     count: int = Field(ge=1)
     what: Literal["head", "body", "read", "silent"] = "head"
-    every: Span = Field(1_000_000_000, gt=0)  # between bytes
-    again: Yes = True  # a new one where one is closed
+    every: Duration = Field(1_000_000_000, gt=0)  # between bytes
+    again: YesNo = True  # a new one where one is closed
 
 
 class Storm(Directive):
     example: ClassVar = "storm at 10s share 0.5 back 1s"
-    at: Span
+    at: Duration
     share: float = Field(0.5, gt=0, le=1)  # of the connections held: they are reset
-    back: Span = 1_000_000_000  # in which all are opened again, each with one task
+    back: Duration = 1_000_000_000  # in which all are opened again, each with one task
 
 
 WORDS = {"target": Target, "length": Length, "hold": Hold, "traffic": Traffic, "slow": Slow, "storm": Storm}
@@ -87,11 +88,11 @@
             text = Path(name).read_text()
         except (OSError, UnicodeDecodeError) as fault:
             raise ConfigurationError(
-                [Mistake(str(name), 0, f"cannot be read: {fault}", "name a readable text file")]
+                [Mistake(str(name), 0, "", f"cannot be read: {fault}", "name a readable text file")]
             ) from None
     found, mistakes, words = read_lines(str(name), text, WORDS)
     if "target" not in words:
-        mistakes.append(Mistake(str(name), 0, "no target line", f"right would be: {Target.example}"))
+        mistakes.append(Mistake(str(name), 0, "", "no target line", f"right would be: {Target.example}"))
     names = set()
     for word, line in found:
         if word == "traffic" and bool(line.rate) == bool(line.think):
@@ -99,6 +100,7 @@
                 Mistake(
                     str(name),
                     line.line,
+                    "traffic",
                     "traffic has either a rate or a time to think",
                     f"right would be: {Traffic.example}",
                 )
@@ -106,7 +108,11 @@
         if word == "traffic" and line.name in names:
             mistakes.append(
                 Mistake(
-                    str(name), line.line, f"traffic {line.name} stands a second time", "give it another name"
+                    str(name),
+                    line.line,
+                    "",
+                    f"traffic {line.name} stands a second time",
+                    "give it another name",
                 )
             )
         if word == "traffic":
--- a/tests/config/test_cell_table_text.py
+++ b/tests/config/test_cell_table_text.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
+from gaproute.config import ConfigurationError
 from gaproute.config.cell_table import MAX_LINE, MAX_LINES, MAX_MISTAKES, read_cells
-from gaproute.config.parsing import ConfigurationError
 from gaproute.decisions.cells.bounds import MAX_CELLS
 from gaproute.decisions.cells.table import Cell, Entry, Points, Version, validate
 
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gaproute.config.parsing import ConfigurationError
+from gaproute.config import ConfigurationError
 from gaproute.http1 import Server
 from gaproute.load import Crowd, compare, read_load, read_result
 from gaproute.load.results import Tally, write_result
