--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -18,7 +18,7 @@
 from gaproute.faultinjection.play.timeline import MICRO, MILLI, SECOND, FarLoop, PlayClock, arrives_soon
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
-from gaproute.platform import charter as charters
+from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 
@@ -97,7 +97,9 @@
         with plan.pause():
             self.loop = Loop(self.clock)
             log = Log(-1)
-            self.process = Process(str(self._path), charters.read(str(self._path)), loop=self.loop, log=log)
+            self.process = Process(
+                str(self._path), read_configuration(str(self._path)), loop=self.loop, log=log
+            )
         self.words_heard = 0  # of other gateways
         self.process.core.told = self._heard
         self.loop.on_error = self.errors.append
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -11,7 +11,7 @@
 
 from gaproute.loop import Loop
 from gaproute.loop.starting import Patience
-from gaproute.platform.charter import Refused, environment, read
+from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration, read_environment
 from gaproute.platform.process import Process
 from gaproute.telemetry.record import FOLLOWED
 
@@ -26,12 +26,12 @@
 def main():
     patience = Patience()
     try:
-        name, listen, path = environment()
-        told = patience.call(lambda: read(path))
+        name, listen, path = read_environment()
+        loaded = patience.call(lambda: read_configuration(path))
         loop = patience.call(Loop)
-        process = Process(path, told, name, listen, loop=loop, followed=followed())
+        process = Process(path, loaded, name, listen, loop=loop, followed=followed())
         patience.call(process.heed_signals)
-    except Refused as fault:
+    except ConfigurationRefusedError as fault:
         print(fault, file=sys.stderr)
         return 2
     except OSError as fault:
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -20,7 +20,11 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.faults import Backoff, is_momentary_read
 from gaproute.loop.streams import address
-from gaproute.platform import charter as charters
+from gaproute.platform.configuration import (
+    ConfigurationRefusedError,
+    ConfigurationUnreadableError,
+    read_configuration,
+)
 from gaproute.platform.log import Log
 from gaproute.telemetry.record import FOLLOWED, Record
 
@@ -36,18 +40,18 @@
 
 
 class Process:
-    def __init__(self, path, told, name=None, listen=None, loop=None, log=None, followed=FOLLOWED):
+    def __init__(self, path, loaded, name=None, listen=None, loop=None, log=None, followed=FOLLOWED):
         self.path = path
-        self.charter, self.terms, self.site = told
-        self.name, self.listen = name or self.charter.name, listen or self.charter.listen
+        self.configuration, self.terms, self.site = loaded
+        self.name, self.listen = name or self.configuration.name, listen or self.configuration.listen
         self.loop = loop = loop or Loop()
         self.log = log or Log()
         loop.on_error = lambda error: self.log.error(
             "error", error=repr(error), trace="".join(traceback.format_exception(error))[-2000:]
         )
-        seed = int(self.charter.seed, 16)
+        seed = int(self.configuration.seed, 16)
         self.record = Record(self.log, self.site.tracks, followed)
-        sockets = min(self.charter.limits.sockets, descriptors())
+        sockets = min(self.configuration.limits.sockets, descriptors())
         clients, to_hosts = share_out(sockets)
         self.hosts = Hosts(loop, Pooling(), self.site, to_hosts)
         self.hosts.forgotten = self.record.forget
@@ -79,13 +83,13 @@
             way_back(),
         )
         self.front.refused = lambda code, text: self.log.info("refused", code=code, text=text[:200])
-        if self.terms.peers_allowed and self.charter.peer_listen and self.charter.peers_all:
+        if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
             self.hear_peers()
-        last, known = events.known(self.charter.known)
+        last, known = events.known(self.configuration.known)
         for event in known:
             self.told(event)
         self.follower = Follower(
-            self.loop, self.charter.changelog, last, self.told, Chance(self.seed + 1), known
+            self.loop, self.configuration.changelog, last, self.told, Chance(self.seed + 1), known
         )
         self.log.info(
             "started",
@@ -95,9 +99,9 @@
             sockets=self.sockets,
             clients=Lot.of(self.loop).admission.most,
             to_hosts=self.hosts.room,
-            limits=self.charter.limits,
+            limits=self.configuration.limits,
             reported=self.site.reported,
-            prices=self.charter.settings.get("prices"),
+            prices=self.configuration.settings.get("prices"),
             gateways=self.terms.gateways,
         )
         self.status()
@@ -106,15 +110,15 @@
         """Without others a gateway serves by its own probes: no reason not to start. It goes on trying."""
         self.peers_timer = None
         try:
-            self.peers = Datagrams(self.loop, self.charter.peer_listen, self.core.told)
+            self.peers = Datagrams(self.loop, self.configuration.peer_listen, self.core.told)
         except OSError as fault:
             if not self.peers_backoff.begun:
-                self.log.warning("no peers", listen=self.charter.peer_listen, error=str(fault))
+                self.log.warning("no peers", listen=self.configuration.peer_listen, error=str(fault))
             self.peers_timer = self.loop.after(self.peers_backoff.next(), self.hear_peers)
             return
         if self.peers_backoff.begun:
-            self.log.info("peers", listen=self.charter.peer_listen)
-        self.core.tell = lambda words: self.peers.send(words, self.charter.peers_all)
+            self.log.info("peers", listen=self.configuration.peer_listen)
+        self.core.tell = lambda words: self.peers.send(words, self.configuration.peers_all)
 
     def told(self, event):
         absent_at = self.follower.current_at if self.follower is not None else None
@@ -150,18 +154,18 @@
             self.again.cancel()
             self.again = None
         try:
-            charter, _, _ = charters.read(self.path)
-        except charters.Refused as fault:
+            configuration = read_configuration(self.path).configuration
+        except ConfigurationRefusedError as fault:
             self._not_reloaded(fault)
             return
-        self.log.info("configuration", changelog=charter.changelog)
-        self.charter = charter
+        self.log.info("configuration", changelog=configuration.changelog)
+        self.configuration = configuration
         if self.follower is not None:
-            self.follower.move(charter.changelog)
+            self.follower.move(configuration.changelog)
 
     def _not_reloaded(self, fault):
-        if isinstance(fault, charters.Unread) and is_momentary_read(fault.fault):
-            short(self.loop, fault.fault)
+        if isinstance(fault, ConfigurationUnreadableError) and is_momentary_read(fault.cause):
+            short(self.loop, fault.cause)
             self.log.warning("configuration not read yet", text=str(fault))
             self.again = self.loop.after(self.reload_backoff.next(), self._reload)
         else:
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -16,7 +16,7 @@
 from gaproute.fronts.jsonrpc import link as links
 from gaproute.fronts.jsonrpc import messages
 from gaproute.loop.datagrams import Datagrams
-from gaproute.platform import charter as charters
+from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration
 from gaproute.platform.log import Log
 from gaproute.standins.platform import ChangeLog, arg, event, sse
 from gaproute.telemetry.record import Record
@@ -306,8 +306,8 @@
     made = gate()
     made.told.update(change)
     made.write()
-    with pytest.raises(charters.Refused, match=named):
-        charters.read(str(made.path))
+    with pytest.raises(ConfigurationRefusedError, match=named):
+        read_configuration(str(made.path))
 
 
 def test_a_process_starts_from_its_environment_and_leaves_on_sigterm(gate):
@@ -374,7 +374,7 @@
     heard = []
     other = Datagrams(made.loop, "127.0.0.1:0", heard.append)
     where = "127.0.0.1:%d"
-    made.process.charter.peers_all = where % other.sock.getsockname()[1]
+    made.process.configuration.peers_all = where % other.sock.getsockname()[1]
     made.client().ask(1)
     made.until(lambda: heard)
     worker = made.process.core.gateway.workers["s-0"]
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -224,7 +224,7 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    assert made.process.stopping and made.process.charter.changelog == "127.0.0.1:9"
+    assert made.process.stopping and made.process.configuration.changelog == "127.0.0.1:9"
     granted = made.process.granted
     os.kill(os.getpid(), signal.SIGTERM)
     made.passes(made.process.closing - made.loop.now() - MILLI)
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -20,7 +20,7 @@
 from gaproute.loop.faults import cause_of
 from gaproute.loop.starting import ADDRESS_TIME, START_TIME, Patience
 from gaproute.platform import __main__ as program
-from gaproute.platform import charter as charters
+from gaproute.platform import configuration as platform_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import AGAIN, AGAIN_LONGEST, PEERS_LONGEST, Process
 
@@ -193,7 +193,7 @@
 def test_a_configuration_that_cannot_be_read_at_once_is_read_a_moment_later(started, monkeypatch, code):
     real = builtins.open
     failing = Failing(real, code, code)
-    monkeypatch.setattr(charters, "open", failing, raising=False)
+    monkeypatch.setattr(platform_configuration, "open", failing, raising=False)
     assert started() == 0 and failing.failed == 2
 
 
@@ -222,7 +222,7 @@
     monkeypatch.setattr(connecting, "socket", sockets)
     monkeypatch.setattr(select, "epoll", flaky(select.epoll))
     monkeypatch.setattr(os, "pipe2", flaky(os.pipe2))
-    monkeypatch.setattr(charters, "open", flaky(builtins.open), raising=False)
+    monkeypatch.setattr(platform_configuration, "open", flaky(builtins.open), raising=False)
     assert started() == 0 and patience.clock() - began < START_TIME
 
 
@@ -309,7 +309,7 @@
     made.told["changelog"] = "127.0.0.1:9"
     made.write()
     failing = Failing(builtins.open, *[code] * 999)
-    monkeypatch.setattr(charters, "open", failing, raising=False)
+    monkeypatch.setattr(platform_configuration, "open", failing, raising=False)
     made.process.reload()
     made.passes(AGAIN)
     made.passes(2 * AGAIN)
@@ -320,7 +320,7 @@
     failing.codes.clear()
     made.passes(AGAIN_LONGEST)
     made.passes(AGAIN_LONGEST)
-    assert made.process.charter.changelog == "127.0.0.1:9" and made.process.again is None
+    assert made.process.configuration.changelog == "127.0.0.1:9" and made.process.again is None
 
 
 def test_a_reload_that_is_refused_is_not_tried_again(gate):
@@ -335,7 +335,7 @@
         try:
             raise fault(errno.EMFILE)
         except OSError as inner:
-            raise charters.Unread("text", inner) from inner
-    except charters.Unread as outer:
+            raise platform_configuration.ConfigurationUnreadableError("text", inner) from inner
+    except platform_configuration.ConfigurationUnreadableError as outer:
         assert cause_of(outer).errno == errno.EMFILE
     assert cause_of(ValueError()) is None
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -8,7 +8,7 @@
 
 from gaproute.loop import Loop, Stream, connect
 from gaproute.loop.streams import address
-from gaproute.platform import charter as node_charter
+from gaproute.platform import configuration as platform_configuration
 from gaproute.standins.host import Make, Model
 from gaproute.standins.platform import charter
 from gaproute.standins.platform.host import PlatformHost
@@ -214,7 +214,7 @@
             peers_all="127.0.0.1:4",
         ),
     )
-    made, terms, site = node_charter.read(environment["EDGE_CONFIG"])
+    made, terms, site = platform_configuration.read_configuration(environment["EDGE_CONFIG"])
     assert command[-1] == "gaproute.platform" and (made.name, made.peers_all) == ("g1", "127.0.0.1:4")
     assert (terms.gateways, terms.relay_limit, terms.cold_share, terms.peers_allowed) == (40, 3, 0.5, True)
     assert [track.effect.name for track in terms.tracks] == [
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -9,7 +9,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog.follow import Follower
 from gaproute.loop import Loop, connect
-from gaproute.platform import charter as charters
+from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 from gaproute.standins.platform import ChangeLog, Client, LineHost, event
@@ -163,7 +163,7 @@
         log = Log(-1)
         log.line = lambda level, what, told: self.lines.append((what, told))
         self.process = Process(
-            str(self.path), charters.read(str(self.path)), loop=self.loop, log=log, followed=followed
+            str(self.path), read_configuration(str(self.path)), loop=self.loop, log=log, followed=followed
         )
         self.process.start()
         self.where = self.process.front.address
