--- a/tests/config/test_cell_table_text.py
+++ b/tests/config/test_cell_table_text.py
@@ -78,10 +78,12 @@
 @settings(max_examples=200, deadline=None)
 @given(some.text(some.sampled_from(GOOD + HEAD + '\n"#,=+:'), max_size=300))
 def test_any_text_is_read_or_refused_by_its_mistakes(text):
+    refused = None
     try:
         read_cells("cells", HEAD + text)
-    except ConfigurationError as mistakes:
-        assert mistakes.mistakes
+    except ConfigurationError as error:
+        refused = error
+    assert refused is None or refused.mistakes
 
 
 WRONG_LINES = {
@@ -109,7 +111,9 @@
     (mistake,) = mistakes_of(
         f"{HEAD}# comment\n{line}\ncell z region a zone b capacity 1 hosts 1 points z:0+1\n"
     )[:1]
-    assert mistake.line == 3 and WRONG_LINES[line] in str(mistake) and len(str(mistake)) < 700
+    assert mistake.line == 3
+    assert WRONG_LINES[line] in str(mistake)
+    assert len(str(mistake)) < 700
 
 
 def test_every_mistake_is_named_at_once():
@@ -137,15 +141,17 @@
 
 def test_the_first_thousand_mistakes_are_told():
     told = mistakes_of(HEAD + "cell\n" * 3_000)
-    assert len(told) == MAX_MISTAKES and told[-1].line == MAX_MISTAKES + 1
+    assert len(told) == MAX_MISTAKES
+    assert told[-1].line == MAX_MISTAKES + 1
     cell = GOOD.replace("capacity 640", "capacity 0")
     told = mistakes_of(HEAD + "".join(f"{cell.replace('c1', f'c{number}')}\n" for number in range(1_500)))
-    assert len(told) == MAX_MISTAKES and told[-1].line == MAX_MISTAKES + 1
+    assert len(told) == MAX_MISTAKES
+    assert told[-1].line == MAX_MISTAKES + 1
 
 
 @pytest.mark.parametrize(
     "text",
-    (
+    [
         HEAD + "cell x\n" * 1_000_000,
         HEAD + "\n" * (MAX_LINES + 1),
         HEAD + "x" * (20 << 20),
@@ -153,7 +159,7 @@
         HEAD + f"cell {'x ' * (MAX_LINE // 2 - 10)}\n" * 900,
         HEAD + "".join(f"{GOOD.replace('c1', f'c{n}')}\n" for n in range(MAX_CELLS + 1)),
         HEAD + f"{GOOD}\n" * MAX_CELLS,
-    ),
+    ],
     ids=("lines", "empty lines", "bytes", "long line", "long lines", "cells", "the same cell"),
 )
 def test_what_is_beyond_the_bounds_is_refused_in_bounded_time_and_memory(text, tmp_path):
@@ -167,5 +173,7 @@
         spent, (_, peak) = time.process_time() - begun, tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    assert spent < 20 and peak < 150 << 20
-    assert len(caught.value.mistakes) <= MAX_MISTAKES and len(str(caught.value)) < 1 << 20
+    assert spent < 20
+    assert peak < 150 << 20
+    assert len(caught.value.mistakes) <= MAX_MISTAKES
+    assert len(str(caught.value)) < 1 << 20
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -32,11 +32,12 @@
     configuration = read_configuration("f", f"{CONFIGURATION}{CELLS} gateways 12\n{LISTS}\n{PEERS}\n")
     line = configuration.cells
     assert (line.fleet, line.file, line.region, line.zone) == ("north", "t", "west", "west-a")
-    assert configuration.terms.gateways == 12 and configuration.cell_hosts.folder == "lists"
+    assert configuration.terms.gateways == 12
+    assert configuration.cell_hosts.folder == "lists"
 
 
 @pytest.mark.parametrize(
-    "lines, mistake",
+    ("lines", "mistake"),
     [
         ((CELLS,), "f:11: cells without a cell-hosts line"),
         ((CELLS, LISTS), "f:11: cells without a listen peers line"),
@@ -72,7 +73,8 @@
 def test_sources_stand_in_place_of_a_folder():
     sources = "cell-hosts from 10.0.0.1:7000,unix:/run/lists look 20ms"
     line = read_configuration("f", f"{CONFIGURATION}{CELLS}\n{sources}\n{PEERS}\n").cell_hosts
-    assert line.sources == ("10.0.0.1:7000", "unix:/run/lists") and line.folder is None
+    assert line.sources == ("10.0.0.1:7000", "unix:/run/lists")
+    assert line.folder is None
     assert line.look == 20_000_000
 
 
@@ -108,11 +110,12 @@
     )
     a1, b1 = read.cells
     assert a1.entries == (Entry("ga", "127.0.0.1:1"), Entry("gb", "127.0.0.1:2"))
-    assert a1.points == (Points("a1", 0, 43),) and b1.points == (Points("a1", 100, 4), Points("b1", 0, 16))
+    assert a1.points == (Points("a1", 0, 43),)
+    assert b1.points == (Points("a1", 100, 4), Points("b1", 0, 16))
 
 
 @pytest.mark.parametrize(
-    "before, after, mistake",
+    ("before", "after", "mistake"),
     [
         ("table north term 1 number 3\n", "", "no table line"),
         ("b1:0+16\nend\n", "b1:0+1", ":3: the table is torn"),
@@ -139,7 +142,8 @@
         assert len(read_table(path).cells) == 2
     else:
         said = told(read_table, path)
-        assert len(said) == 1 and mistake in said[0], said
+        assert len(said) == 1, said
+        assert mistake in said[0]
 
 
 def test_a_table_that_is_gone_or_far_too_large_is_refused_unread(table, tmp_path):
@@ -154,7 +158,8 @@
 
 
 def test_a_cells_name_cannot_lead_out_of_the_folder():
-    assert path_of("lists", "../x") == "lists/..%2Fx.hosts" and path_of("lists", "a b") == "lists/a b.hosts"
+    assert path_of("lists", "../x") == "lists/..%2Fx.hosts"
+    assert path_of("lists", "a b") == "lists/a b.hosts"
 
 
 def test_a_list_of_more_hosts_than_a_cell_may_have_is_refused_by_line(tmp_path):
@@ -181,14 +186,15 @@
     assert check(tmp_path, lists)[0] == 0
 
 
-@pytest.mark.parametrize("source, code", [("127.0.0.1:7000", 0), ("localhost:7000", 2)])
+@pytest.mark.parametrize(("source", "code"), [("127.0.0.1:7000", 0), ("localhost:7000", 2)])
 def test_check_reads_no_lists_where_sources_tell_them(tmp_path, source, code):
     ended, said = check(tmp_path, {"a1": "no host list\n"}, source=source)
-    assert ended == code and len(said.splitlines()) == (1 if code == 0 else 2)
+    assert ended == code
+    assert len(said.splitlines()) == (1 if code == 0 else 2)
 
 
 @pytest.mark.parametrize(
-    "told, mistake",
+    ("told", "mistake"),
     [
         (
             {"lists": {"a1": "host x 127.0.0.1:1\n", "b1": "\nhost x 127.0.0.1:2\n"}},
@@ -211,4 +217,6 @@
 )
 def test_check_names_file_and_line_and_exits_2(tmp_path, told, mistake):
     code, said = check(tmp_path, **told)
-    assert code == 2 and mistake in said and "1 mistake;" in said, said
+    assert code == 2, said
+    assert mistake in said
+    assert "1 mistake;" in said
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -40,12 +40,13 @@
         Group.CELL,
         2_500_000_000,
     )
-    assert configuration.models["m"].versions == ("1", "2") and configuration.longest == 5_000_000_000
+    assert configuration.models["m"].versions == ("1", "2")
+    assert configuration.longest == 5_000_000_000
     assert configuration.hosts[0].started == 1767225600 * 10**9
 
 
 @pytest.mark.parametrize(
-    "line, says",
+    ("line", "says"),
     [
         ("modle x track a", "did you mean model?"),
         ("model x track nope", "no track 'nope'"),
@@ -73,7 +74,8 @@
 )
 def test_each_mistake_is_told_with_line_and_cure(line, says):
     told = wrong(GOOD + line + "\n")
-    assert any(says in text for _, text in told) and told[0][0] in (0, 8, 7), told
+    assert any(says in text for _, text in told), told
+    assert told[0][0] in (0, 8, 7)
     assert all("; " in text for _, text in told)
 
 
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -48,12 +48,11 @@
     assert text.splitlines()[:3] == OLD.splitlines()[:3]
     assert "copies keep 8s free 6 window 0s alike no notes no  # as the hosts are set" in text
     configuration = read_configuration("new", text)
-    assert (
-        not configuration.terms.probes_allowed
-        and configuration.terms.relay_limit == 6
-        and not configuration.sizes_told
-    )
-    assert configuration.terms.keep_alive == 8 * SECOND and configuration.terms.order_window == 0
+    assert not configuration.terms.probes_allowed
+    assert configuration.terms.relay_limit == 6
+    assert not configuration.sizes_told
+    assert configuration.terms.keep_alive == 8 * SECOND
+    assert configuration.terms.order_window == 0
     assert [track.contract_time for track in configuration.terms.tracks] == [SECOND]
     assert configuration.terms.tracks[0].earnings == 1.0  # a track is stated whole
 
@@ -77,12 +76,15 @@
 
 def test_a_shape_that_states_nothing_new_changes_no_terms():
     text, left = moved(shape="relays limit 4\n")
-    assert not left and read_configuration("new", text).terms == read_configuration("old", OLD).terms
+    assert not left
+    assert read_configuration("new", text).terms == read_configuration("old", OLD).terms
 
 
 def test_an_old_file_makes_the_terms_it_made_before():
     terms = read_configuration("old", OLD).terms
-    assert terms.probes_allowed and not terms.reports_by_probe and read_configuration("old", OLD).sizes_told
+    assert terms.probes_allowed
+    assert not terms.reports_by_probe
+    assert read_configuration("old", OLD).sizes_told
 
 
 def test_mistakes_of_both_files_are_told_together_with_line_and_cure():
@@ -110,7 +112,8 @@
 
 def test_the_command_writes_a_file_that_check_accepts_and_says_what_it_left(tmp_path):
     done = run(tmp_path)
-    assert done.exit_code == 1 and "4 left behind" in done.output
+    assert done.exit_code == 1
+    assert "4 left behind" in done.output
     assert CliRunner().invoke(main, ["check", str(tmp_path / "new")]).exit_code == 0
     assert run(tmp_path, "--replace", shape="relays limit 6\n").exit_code == 0
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
@@ -118,20 +121,23 @@
 
 def test_a_dry_run_prints_the_result_and_writes_nothing(tmp_path):
     done = run(tmp_path, "--dry-run")
-    assert done.exit_code == 1 and "reports answer probes no" in done.output
+    assert done.exit_code == 1
+    assert "reports answer probes no" in done.output
     assert sorted(os.listdir(tmp_path)) == ["old", "shape"]
 
 
 def test_a_file_that_stands_is_not_written_over(tmp_path):
     (tmp_path / "new").write_text("mine")
-    assert run(tmp_path).exit_code == 2 and (tmp_path / "new").read_text() == "mine"
+    assert run(tmp_path).exit_code == 2
+    assert (tmp_path / "new").read_text() == "mine"
     assert run(tmp_path, shape="nonsense\n").exit_code == 2
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
 
 
 def test_the_old_file_is_never_written_over(tmp_path):
     (tmp_path / "new").symlink_to(tmp_path / "old")
-    assert run(tmp_path, "--replace").exit_code == 2 and (tmp_path / "old").read_text() == OLD
+    assert run(tmp_path, "--replace").exit_code == 2
+    assert (tmp_path / "old").read_text() == OLD
 
 
 def written_under(disk, path, replace):
@@ -169,7 +175,8 @@
     (tmp_path / "new").write_text("old")
     disk = FaultyDisk(tmp_path, FaultPlan(Script.of((call, 1, FULL))))
     assert not written_under(disk, tmp_path / "new", True)
-    assert [path.name for path in tmp_path.iterdir()] == ["new"] and disk.open_descriptors == 0
+    assert [path.name for path in tmp_path.iterdir()] == ["new"]
+    assert disk.open_descriptors == 0
     assert (tmp_path / "new").read_text() == "old"
     assert written_under(FaultyDisk(tmp_path), tmp_path / "new", True)
     assert (tmp_path / "new").stat().st_mode & 0o777 == 0o644
@@ -181,7 +188,8 @@
 
     monkeypatch.setattr(durable, "_sync_folder", unsynced)
     done = run(tmp_path)
-    assert done.exit_code == 2 and "written, but a crash of the machine may undo it" in done.output
+    assert done.exit_code == 2
+    assert "written, but a crash of the machine may undo it" in done.output
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
 
 
@@ -191,7 +199,9 @@
     (tmp_path / "old").write_bytes(old)
     files = [str(tmp_path / name) for name in ("old", "other")]
     done = CliRunner().invoke(main, ["migrate", *files, "--shape", str(tmp_path / "shape")])
-    assert done.exit_code == 2 and isinstance(done.exception, SystemExit) and "old:" in done.output
+    assert done.exit_code == 2
+    assert isinstance(done.exception, SystemExit)
+    assert "old:" in done.output
     assert not (tmp_path / "other").exists()
 
 
@@ -220,7 +230,8 @@
     seen = probes(made)
     assert made.wait(made.ask()).headers[b"gaproute-outcome"] == b"delivered"
     made.rest(800 * MILLI)
-    assert not seen and [worker.capacity for worker in made.gate.core.gateway.fleet] == [1.0, 1.0]
+    assert not seen
+    assert [worker.capacity for worker in made.gate.core.gateway.fleet] == [1.0, 1.0]
 
 
 def test_the_same_hosts_are_probed_where_reports_come_by_probe(rig):
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, code",
+    ("told", "code"),
     [
         ({"method": "no-such-class"}, messages.NO_METHOD),
         ({"d": -1}, messages.NO_PARAMS),
@@ -67,8 +67,10 @@
     client.ask(1, **told)
     client.ask(2)
     made.until(lambda: len(client.answers) == 2)
-    assert client.answers[0]["error"]["code"] == code and "result" in client.answers[1]
-    assert made.came() == 1 and not made.hosts[0].seen("stage")
+    assert client.answers[0]["error"]["code"] == code
+    assert "result" in client.answers[1]
+    assert made.came() == 1
+    assert not made.hosts[0].seen("stage")
 
 
 @pytest.mark.parametrize(
@@ -107,7 +109,8 @@
     for stream, command in held:
         made.hosts[0].serve(stream, command)
     made.until(lambda: len(client.answers) == 3)
-    assert client.answers[2]["result"]["arg"] == arg(b"body 1") and made.came() == 1
+    assert client.answers[2]["result"]["arg"] == arg(b"body 1")
+    assert made.came() == 1
 
 
 def test_a_33rd_open_request_is_turned_away(gate):
@@ -127,7 +130,8 @@
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     made.until(lambda: made.hosts[0].seen("halt"))
     made.until(lambda: not made.process.core.held)
-    assert client.answers == [] and not made.process.front.marks
+    assert client.answers == []
+    assert not made.process.front.marks
 
 
 def test_a_client_that_goes_takes_its_requests_with_it(gate):
@@ -137,7 +141,8 @@
     made.until(lambda: made.came())
     client.stream.abort()
     made.until(lambda: not made.process.core.held)
-    assert not made.process.front.marks and not made.process.front.links
+    assert not made.process.front.marks
+    assert not made.process.front.links
 
 
 def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
@@ -188,7 +193,8 @@
     late = made.client()
     late.ask(1, i="f" * 16)
     made.until(lambda: late.answers)
-    assert "result" in late.answers[0] and sum(client.ended for client in first) == 1
+    assert "result" in late.answers[0]
+    assert sum(client.ended for client in first) == 1
 
 
 def test_a_house_full_of_connections_of_one_request_each_turns_none_away(gate):
@@ -201,7 +207,8 @@
         made.until(lambda: clients[-1].answers)
         end = made.loop.now() + 400 * MILLI // most
         made.until(lambda end=end: made.loop.now() >= end)
-    assert made.process.front.turned_away == 0 and made.process.front.lot.displaced >= most
+    assert made.process.front.turned_away == 0
+    assert made.process.front.lot.displaced >= most
 
 
 def test_at_a_full_house_at_work_arrivals_wait_and_are_served_when_one_leaves(gate):
@@ -235,7 +242,8 @@
     made.process.reload()
     made.process.reload()
     made.until(lambda: not made.process.hosts.hosts["s-0"].active)
-    assert other.came == [1] and made.process.follower.last == 2
+    assert other.came == [1]
+    assert made.process.follower.last == 2
     other.close()
 
 
@@ -255,12 +263,14 @@
     for each in held:
         made.hosts[0].serve(*each)
     made.until(lambda: client.answers and late.answers)
-    assert "result" in client.answers[0] and "result" in late.answers[0]
+    assert "result" in client.answers[0]
+    assert "result" in late.answers[0]
     client.ask(3)  # on a connection that is open
     made.until(lambda: made.came() == 3)
     made.hosts[0].serve(*[each for each in held if each[1]["type"] == "go"][2])
     made.until(lambda: len(client.answers) == 2)
-    assert "result" in client.answers[1] and made.loop.running
+    assert "result" in client.answers[1]
+    assert made.loop.running
     for each in (client, late):
         each.stream.close()
     made.until(lambda: not made.loop.running)  # no connection is left
@@ -277,7 +287,8 @@
     os.close(writer)
     with os.fdopen(reader) as file:
         lines = [json.loads(line) for line in file]
-    assert len(lines) == 201 and lines[-1]["left_out"] == 50
+    assert len(lines) == 201
+    assert lines[-1]["left_out"] == 50
 
 
 # As a process
@@ -292,7 +303,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, named",
+    ("change", "named"),
     [
         ({"listen": "nowhere"}, "listen"),
         ({"changelog": 5}, "changelog"),
@@ -314,7 +325,8 @@
     made = gate()
     process = start(made.path, EDGE_NAME="n7", EDGE_LISTEN="127.0.0.1:0")
     lines = [json.loads(process.stderr.readline()) for _ in range(2)]
-    assert lines[-1]["event"] == "started" and lines[-1]["name"] == "n7"
+    assert lines[-1]["event"] == "started"
+    assert lines[-1]["name"] == "n7"
     process.send_signal(signal.SIGTERM)
     assert process.wait(10) == 0
     process.stderr.close()
@@ -323,7 +335,9 @@
 def test_a_missing_configuration_exits_2_with_one_line(tmp_path):
     process = start(tmp_path / "none")
     _, said = process.communicate(timeout=10)
-    assert process.returncode == 2 and said.count(b"\n") == 1 and b"EDGE_CONFIG" in said
+    assert process.returncode == 2
+    assert said.count(b"\n") == 1
+    assert b"EDGE_CONFIG" in said
 
 
 def test_the_process_loads_nothing_of_what_it_does_not_use():
@@ -364,7 +378,8 @@
     began = time.monotonic()
     client.ask(1, d=200)
     made.until(lambda: client.answers)
-    assert "error" in client.answers[0] and 0.1 < time.monotonic() - began < 0.25
+    assert "error" in client.answers[0]
+    assert 0.1 < time.monotonic() - began < 0.25
 
 
 def test_gateways_tell_each_other_the_loads_that_they_probed(gate):
@@ -389,7 +404,8 @@
 def test_an_address_for_peers_that_cannot_be_had_is_no_reason_not_to_start(gate):
     settings = SETTINGS | {"balancers": 2, "limits": SETTINGS["limits"] | {"peers": True}}
     made = gate(settings=settings, peer_listen="192.0.2.1:1", peers_all="127.0.0.1:9")
-    assert made.process.peers is None and any(what == "no peers" for what, _ in made.lines)
+    assert made.process.peers is None
+    assert any(what == "no peers" for what, _ in made.lines)
     made.client().ask(1)
     made.until(lambda: made.clients[0].answers)
 
@@ -401,14 +417,16 @@
     made.until(lambda: client.answers)
     steps = [told for what, told in made.lines if what == "step"]
     assert [told["step"] for told in steps] == ["taken", "relay", "delivered", "outcome"]
-    assert len({told["mark"] for told in steps}) == 1 and steps[1]["worker"] == "s-0"
+    assert len({told["mark"] for told in steps}) == 1
+    assert steps[1]["worker"] == "s-0"
 
 
 def test_of_many_tasks_few_are_followed_and_the_same_ones_everywhere():
     marks = [f"{number:016x}" for number in range(6400)]
     followed = [mark for mark in marks if Record(None, ()).follows(mark)]
     again = [mark for mark in marks if Record(None, ()).follows(mark)]
-    assert 100 < len(followed) < 400 and followed == again
+    assert 100 < len(followed) < 400
+    assert followed == again
     assert not any(Record(None, (), 0).follows(mark) for mark in marks)
 
 
@@ -421,4 +439,5 @@
         _, (change,) = events.known({"seq": number, "results": [event(number, *rows, complete=True)]})
         made.process.told(change)
     took = (time.process_time() - began) / 10
-    assert len(made.process.core.gateway.fleet) == 1024 and took < 0.2
+    assert len(made.process.core.gateway.fleet) == 1024
+    assert took < 0.2
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -60,7 +60,8 @@
 def test_connections_are_closed_after_the_last_clients_came_and_well_before_sigkill(deadline):
     closing, granted = schedule([deadline * MILLI], 0, 0)
     assert 600 * MILLI < closing < granted < killed(deadline)
-    assert killed(deadline) - closing >= 50 * MILLI and granted - closing >= 25 * MILLI
+    assert killed(deadline) - closing >= 50 * MILLI
+    assert granted - closing >= 25 * MILLI
 
 
 @pytest.mark.parametrize("hangs", [False, True])
@@ -80,7 +81,9 @@
     made.turns()
     numbers = [each["id"] for each in client.answers]
     lasted = made.process.closing - began
-    assert asked >= lasted // STEP and client.ended and not made.loop.running
+    assert asked >= lasted // STEP
+    assert client.ended
+    assert not made.loop.running
     assert sorted(numbers) == list(range(1, len(numbers) + 1)), "one answer for each"
     assert len(numbers) >= asked, "only what was sent once the connection was closed has none"
     assert made.loop.now() - began < killed(deadline)
@@ -88,7 +91,7 @@
     assert served == 0 if hangs else served >= lasted // STEP - 8
 
 
-@pytest.mark.parametrize("method, code", [("fault-check", REFUSED), ("repair-order", FAILED)])
+@pytest.mark.parametrize(("method", "code"), [("fault-check", REFUSED), ("repair-order", FAILED)])
 def test_hosts_that_hang_through_the_whole_shutdown_leave_each_class_its_answer(gate, method, code):
     made = gate(nothing, clock=Handed())
     client = made.client()
@@ -99,7 +102,8 @@
     made.passes(made.process.closing - made.loop.now())
     assert [each["error"]["code"] for each in client.answers] == [code]
     made.passes(made.process.granted - made.loop.now() - MILLI)
-    assert not made.loop.running and made.loop.now() - began < killed(3000)
+    assert not made.loop.running
+    assert made.loop.now() - began < killed(3000)
 
 
 def test_what_lies_unread_when_connections_are_closed_is_answered_first(gate):
@@ -148,7 +152,8 @@
     late = made.client()
     late.ask(1, i="f" * 16)
     made.turns()
-    assert not late.answers and front.lot.held == front.lot.admission.most
+    assert not late.answers
+    assert front.lot.held == front.lot.admission.most
     front.shut()
     assert front.listener.sock.fileno() >= 0  # it waits for room, and is not reset
     front.stop()
@@ -166,7 +171,8 @@
     terminated(made)
     made.passes(STILL_COMING)
     made.passes(SECOND)
-    assert made.loop.running and made.process.front.parked == 1
+    assert made.loop.running
+    assert made.process.front.parked == 1
     client.stream.close()
     made.turns()
     assert not made.loop.running
@@ -224,13 +230,15 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    assert made.process.stopping and made.process.configuration.changelog == "127.0.0.1:9"
+    assert made.process.stopping
+    assert made.process.configuration.changelog == "127.0.0.1:9"
     granted = made.process.granted
     os.kill(os.getpid(), signal.SIGTERM)
     made.passes(made.process.closing - made.loop.now() - MILLI)
     client.ask(2)
     made.until(lambda: len(client.answers) == 2)
-    assert "result" in client.answers[0] and made.process.granted == granted
+    assert "result" in client.answers[0]
+    assert made.process.granted == granted
     made.passes(granted - made.loop.now())
     assert not made.loop.running
 
@@ -258,7 +266,8 @@
             made.until(lambda asked=asked: client.ended or len(client.answers) == asked)
         lasted = made.loop.now() - began
         assert process.wait(5) == 0
-        assert 600 * MILLI < lasted < killed(300) and len(client.answers) >= asked - 1
+        assert 600 * MILLI < lasted < killed(300)
+        assert len(client.answers) >= asked - 1
     finally:
         process.kill()
         process.stderr.close()
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -163,4 +163,6 @@
     os.close(writer)
     with os.fdopen(reader) as file:
         lines = [json.loads(line) for line in file]
-    assert len(lines) == BURST + 1 and lines[-1]["left_out"] == 50 and lines[-1]["at"] == 500
+    assert len(lines) == BURST + 1
+    assert lines[-1]["left_out"] == 50
+    assert lines[-1]["at"] == 500
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    "code, span",
+    ("code", "span"),
     [
         (errno.EMFILE, START_TIME),
         (errno.EADDRINUSE, ADDRESS_TIME),
@@ -86,15 +86,16 @@
 )
 def test_a_step_that_goes_on_failing_is_given_up_in_time(patience, code, span):
     began = patience.clock()
-    with pytest.raises(OSError) as told:
+    with pytest.raises(OSError, match=rf"Errno {code}\b") as told:
         patience.call(Failing(lambda: None, *[code] * 999))
-    assert told.value.errno == code and span - SECOND // 4 <= patience.clock() - began <= span + MILLI
+    assert told.value.errno == code
+    assert span - SECOND // 4 <= patience.clock() - began <= span + MILLI
 
 
 def test_all_steps_have_one_time_together_and_it_is_under_ten_seconds(patience):
     began = patience.clock()
     patience.call(Failing(lambda: None, *[errno.EMFILE] * 100))
-    with pytest.raises(OSError):
+    with pytest.raises(OSError, match=rf"Errno {errno.EMFILE}\b"):
         patience.call(Failing(lambda: None, *[errno.EMFILE] * 999))
     assert patience.clock() - began <= START_TIME < 10 * SECOND
 
@@ -144,14 +145,17 @@
 
 
 def test_a_start_without_failures_does_not_wait(started, patience):
-    assert started() == 0 and len(started.made) == 1 and not patience.waits
+    assert started() == 0
+    assert len(started.made) == 1
+    assert not patience.waits
 
 
 @pytest.mark.parametrize("code", SHORT)
 @pytest.mark.parametrize("name", ["socket", "bind", "listen", "getsockname"])
 def test_a_listener_that_cannot_be_had_at_once_is_had_a_moment_later(started, monkeypatch, name, code):
     monkeypatch.setattr(connecting, "socket", Sockets(name, code, code, code))
-    assert started() == 0 and started.made[0].front.address.startswith("127.0.0.1:")
+    assert started() == 0
+    assert started.made[0].front.address.startswith("127.0.0.1:")
     assert len(started.made[0].front.lot.owners) == 1
 
 
@@ -166,7 +170,8 @@
             taken.close()
 
     patience.sleep = sleep
-    assert started(listen=where) == 0 and started.made[0].front.address == where
+    assert started(listen=where) == 0
+    assert started.made[0].front.address == where
 
 
 @pytest.mark.parametrize("where", ["192.0.2.1:80", "taken"])
@@ -178,7 +183,8 @@
         where = f"127.0.0.1:{taken.getsockname()[1]}" if where == "taken" else where
         assert started(listen=where) == 3
     assert f"cannot listen on {where}" in capsys.readouterr().err
-    assert patience.clock() - began <= ADDRESS_TIME + MILLI and not started.made
+    assert patience.clock() - began <= ADDRESS_TIME + MILLI
+    assert not started.made
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOMEM])
@@ -186,7 +192,8 @@
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, code, None, code))
     monkeypatch.setattr(os, "pipe2", Failing(os.pipe2, code, code))
     assert started() == 0
-    assert select.epoll.failed == 2 and os.pipe2.failed == 2
+    assert select.epoll.failed == 2
+    assert os.pipe2.failed == 2
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EINTR, errno.EIO])
@@ -194,7 +201,8 @@
     real = builtins.open
     failing = Failing(real, code, code)
     monkeypatch.setattr(platform_configuration, "open", failing, raising=False)
-    assert started() == 0 and failing.failed == 2
+    assert started() == 0
+    assert failing.failed == 2
 
 
 @pytest.mark.parametrize("one_in", [8, 3])
@@ -223,18 +231,22 @@
     monkeypatch.setattr(select, "epoll", flaky(select.epoll))
     monkeypatch.setattr(os, "pipe2", flaky(os.pipe2))
     monkeypatch.setattr(platform_configuration, "open", flaky(builtins.open), raising=False)
-    assert started() == 0 and patience.clock() - began < START_TIME
+    assert started() == 0
+    assert patience.clock() - began < START_TIME
 
 
 def test_a_configuration_that_is_not_there_ends_the_start_at_once(started, monkeypatch, patience, capsys):
     monkeypatch.setenv("EDGE_CONFIG", "/nowhere/config.json")
-    assert started() == 2 and not patience.waits and "/nowhere" in capsys.readouterr().err
+    assert started() == 2
+    assert not patience.waits
+    assert "/nowhere" in capsys.readouterr().err
 
 
 def test_a_machine_that_gives_no_epoll_at_all_ends_the_start_in_time(started, monkeypatch, patience, capsys):
     began = patience.clock()
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, *[errno.EMFILE] * 999))
-    assert started() == 3 and "cannot start" in capsys.readouterr().err
+    assert started() == 3
+    assert "cannot start" in capsys.readouterr().err
     assert patience.clock() - began <= START_TIME
 
 
@@ -277,7 +289,8 @@
     assert made.process.peers is None
     for _ in range(30):
         made.passes(50 * MILLI)
-    assert made.process.peers is not None and made.process.peers_timer is None
+    assert made.process.peers is not None
+    assert made.process.peers_timer is None
     assert [what for what, _ in made.lines if "peers" in what] == ["no peers", "peers"]
     made.process.core.tell(b"x")
 
@@ -299,7 +312,8 @@
     monkeypatch.setattr(loop, "watch", Failing(loop.watch, errno.EPERM))
     with pytest.raises(PermissionError) as told:  # its traceback holds the socket, which is not left to the
         datagrams.Datagrams(loop, "127.0.0.1:0", lambda data: None)  # garbage collector
-    assert open_descriptors() == before and told.tb is not None
+    assert open_descriptors() == before
+    assert told.tb is not None
     loop.close()
 
 
@@ -320,22 +334,27 @@
     failing.codes.clear()
     made.passes(AGAIN_LONGEST)
     made.passes(AGAIN_LONGEST)
-    assert made.process.configuration.changelog == "127.0.0.1:9" and made.process.again is None
+    assert made.process.configuration.changelog == "127.0.0.1:9"
+    assert made.process.again is None
 
 
 def test_a_reload_that_is_refused_is_not_tried_again(gate):
     made = gate(clock=Handed())
     made.path.write_text("no JSON")
     made.process.reload()
-    assert made.lines[-1][0] == "configuration refused" and made.process.again is None
+    assert made.lines[-1][0] == "configuration refused"
+    assert made.process.again is None
 
 
-def test_a_cause_is_found_where_a_failure_was_raised_from_one():
+def _raise_from_a_cause():
     try:
-        try:
-            raise fault(errno.EMFILE)
-        except OSError as inner:
-            raise platform_configuration.ConfigurationUnreadableError("text", inner) from inner
-    except platform_configuration.ConfigurationUnreadableError as outer:
-        assert cause_of(outer).errno == errno.EMFILE
+        raise fault(errno.EMFILE)
+    except OSError as inner:
+        raise platform_configuration.ConfigurationUnreadableError("text", inner) from inner
+
+
+def test_a_cause_is_found_where_a_failure_was_raised_from_one():
+    with pytest.raises(platform_configuration.ConfigurationUnreadableError) as outer:
+        _raise_from_a_cause()
+    assert cause_of(outer.value).errno == errno.EMFILE
     assert cause_of(ValueError()) is None
