--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -17,7 +17,7 @@
     write_whole,
 )
 from gaproute.config import (
-    migrate as migrated,
+    migrate as migrate_configuration,
 )
 from gaproute.config.cell_files import check_cells
 from gaproute.loop import Loop
@@ -117,7 +117,7 @@
     is refused."""
     try:
         texts = [read_text(file) for file in (old, shape)]
-        text, left = migrated(old, texts[0], shape, texts[1], new)
+        text, left = migrate_configuration(old, texts[0], shape, texts[1], new)
     except ConfigurationError as wrong:
         refuse(wrong, "nothing is written")
     if dry_run:
