--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -39,7 +39,7 @@
         )
         # What gateways of one fleet tell each other of hosts is not told of cells: this one knows of none.
         self.unused = Gateway(seed, configuration.terms, loop.now())
-        self.rows = CellRows(loop, configuration.sizes_told)
+        self.rows = CellRows(loop, configuration.sizes_reported)
         self.lists = self._lists(configuration.cell_hosts, seed)
         self.look_every = configuration.cell_hosts.look
         self.told = {}  # cell: the host lines that the decisions were told last
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -51,7 +51,7 @@
         else:
             self.cells = Cells(loop, configuration, self.record, seed, reach, run, self.enlisted)
             self.hosts, self.core, gateway = self.cells.hosts, self.cells.core, self.cells.unused
-        self.listing = Listing(loop, sizes=configuration.sizes_told)
+        self.listing = Listing(loop, sizes=configuration.sizes_reported)
         self.rows = {}
         self.stopping = False
         self.shared = False  # other processes serve at the clients' addresses, also after this one's stop
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -67,7 +67,7 @@
         except OSError:
             self.giver.close()
             raise
-        if self.configuration.weak_word:
+        if self.configuration.gossip_enabled:
             self.weak = Carrier(
                 self.loop, self.configuration.name, self.gossip, self.gateway, Chance(self.seed + 4)
             )
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -47,8 +47,8 @@
         self.log_level: str = lines.one("log").level
         self.decisions: Any = lines.one("decisions").load()
         self.longest: int = max(line.limit for line in self.tracks)  # ns that a request may take
-        self.sizes_told: bool = lines.one("sizes").told
-        self.weak_word: bool = lines.one("weak-word").told
+        self.sizes_reported: bool = lines.one("sizes").enabled
+        self.gossip_enabled: bool = lines.one("weak-word").enabled
         self.terms = _terms(lines, self.tracks, self.cells)
 
     def assign_process_slot(self, number: int, count: int) -> None:
--- a/gaproute/config/consistency.py
+++ b/gaproute/config/consistency.py
@@ -24,7 +24,7 @@
     "host": "the hosts of cells stand in the folder of cell-hosts",
     "hosts-file": "the hosts of cells stand in the folder of cell-hosts",
     "memory": "leave it out: what is known of cells is not kept on disk",
-    "weak-word": "leave it out: gateways of cells do not tell each other of hosts",
+    "weak-word": "leave it out: gateways of cells do not gossip about hosts",
     "decisions": "leave it out: cells have decisions of their own",
 }
 NEEDED_BESIDE_CELLS = (
@@ -80,7 +80,7 @@
     if any(word == "listen" and line.kind == "peers" for word, line in found):
         return
     for word, line in found:
-        if word in ("keepers", "cells") or (word == "weak-word" and line.told):
+        if word in ("keepers", "cells") or (word == "weak-word" and line.enabled):
             expected = example("listen peers 127.0.0.1:8090")
             yield Mistake(file, line.line, word, f"{word} without a listen peers line", expected)
 
@@ -125,7 +125,7 @@
     if "cells" not in first:
         return
     for word, line in found:
-        if word in EXCLUDED_BY_CELLS and (word != "weak-word" or line.told):
+        if word in EXCLUDED_BY_CELLS and (word != "weak-word" or line.enabled):
             yield Mistake(file, line.line, word, f"{word} beside cells", EXCLUDED_BY_CELLS[word])
 
 
--- a/gaproute/config/directives/__init__.py
+++ b/gaproute/config/directives/__init__.py
@@ -3,6 +3,7 @@
 from gaproute.config.directives.fleet import (
     CellHostsLine,
     CellsLine,
+    GossipLine,
     HostLine,
     HostsFileLine,
     KeepersLine,
@@ -11,7 +12,6 @@
     NameLine,
     PeerLine,
     PeersFileLine,
-    WeakWordLine,
 )
 from gaproute.config.directives.process import ClientsLine, DecisionsLine, LogLine, ReachLine
 from gaproute.config.directives.requests import (
@@ -54,7 +54,7 @@
     "over-share": OverShareLine,
     "clients": ClientsLine,
     "reach": ReachLine,
-    "weak-word": WeakWordLine,
+    "weak-word": GossipLine,
     "log": LogLine,
     "decisions": DecisionsLine,
 }
--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -57,7 +57,7 @@
 
 
 class CellsLine(Directive):
-    """The fleet in cells, its table, and where in it this gateway stands."""
+    """The fleet in cells, its table, and where in it this gateway is."""
 
     positional: ClassVar = ("fleet",)
     example: ClassVar = "cells north file cells.table look 50ms region west zone west-a gateways 12"
@@ -65,7 +65,7 @@
     fleet: str = Field(min_length=1, max_length=MAX_NAME)
     file: str
     look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
-    region: str = Field(min_length=1, max_length=MAX_NAME)  # where this gateway stands
+    region: str = Field(min_length=1, max_length=MAX_NAME)  # where this gateway is
     zone: str = Field(min_length=1, max_length=MAX_NAME)
     gateways: int = Field(1, ge=1, le=100_000)  # of the whole fleet, about
     kept: str | None = None  # where the last good table is kept on disk
@@ -148,10 +148,10 @@
         return self
 
 
-class WeakWordLine(Directive):
+class GossipLine(Directive):
     """Whether gateways exchange observations by gossip."""
 
-    positional: ClassVar = ("told",)
+    positional: ClassVar = ("enabled",)
     example: ClassVar = "weak-word yes"
     once: ClassVar = True
-    told: YesNo = False
+    enabled: YesNo = False
--- a/gaproute/config/directives/requests.py
+++ b/gaproute/config/directives/requests.py
@@ -89,7 +89,7 @@
     def fits(self) -> Self:
         """Errors: ValueError for reports that could not come."""
         if self.source == "probe" and not self.probes:
-            raise ValueError("hosts whose load is told by probes alone cannot go without probes")
+            raise ValueError("hosts whose load is reported by probes alone cannot go without probes")
         return self
 
 
@@ -105,10 +105,10 @@
 class SizesLine(Directive):
     """Whether hosts report their capacity."""
 
-    positional: ClassVar = ("told",)
+    positional: ClassVar = ("enabled",)
     example: ClassVar = "sizes no"
     once: ClassVar = True
-    told: YesNo = True
+    enabled: YesNo = True
 
 
 class AdviceLine(Directive):
--- a/gaproute/config/parsing.py
+++ b/gaproute/config/parsing.py
@@ -48,7 +48,7 @@
     """A directive with the word that its line begins with."""
 
     word: str
-    directive: Any  # of the class that the word stands for
+    directive: Any  # of the class of the word
 
 
 class ParsedLines(NamedTuple):
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -10,7 +10,7 @@
 
     def __init__(self, surroundings, parts):
         self.loop, self.configuration = surroundings.loop, surroundings.configuration
-        self.listing = Listing(self.loop, surroundings.wall, self.configuration.sizes_told)
+        self.listing = Listing(self.loop, surroundings.wall, self.configuration.sizes_reported)
         self.gateway = self.configuration.decisions(
             surroundings.seed, self.configuration.terms, self.loop.now()
         )
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -50,7 +50,7 @@
     configuration = read_configuration("new", text)
     assert not configuration.terms.probes_allowed
     assert configuration.terms.relay_limit == 6
-    assert not configuration.sizes_told
+    assert not configuration.sizes_reported
     assert configuration.terms.keep_alive == 8 * SECOND
     assert configuration.terms.order_window == 0
     assert [track.contract_time for track in configuration.terms.tracks] == [SECOND]
@@ -84,7 +84,7 @@
     terms = read_configuration("old", OLD).terms
     assert terms.probes_allowed
     assert not terms.reports_by_probe
-    assert read_configuration("old", OLD).sizes_told
+    assert read_configuration("old", OLD).sizes_reported
 
 
 def test_mistakes_of_both_files_are_told_together_with_line_and_cure():
