--- a/gaproute/config/__init__.py
+++ b/gaproute/config/__init__.py
@@ -1,16 +1,18 @@
-"""The configuration: line-based, checked by a schema, refused whole with every mistake in one go."""
+"""The configuration: lines of text, checked by a schema, refused whole with every mistake in one go."""
 
-from gaproute.config.charter import Charter
-from gaproute.config.lines import Mistakes
-from gaproute.config.moving import NotDurableError, move, write_whole
-from gaproute.config.reading import read_charter, read_hosts, read_peers, read_text
+from gaproute.config.configuration import Configuration
+from gaproute.config.durable import write_whole
+from gaproute.config.errors import ConfigurationError, Mistake, NotDurableError
+from gaproute.config.files import read_configuration, read_hosts, read_peers, read_text
+from gaproute.config.migration import migrate
 
 __all__ = [
-    "Charter",
-    "Mistakes",
+    "Configuration",
+    "ConfigurationError",
+    "Mistake",
     "NotDurableError",
-    "move",
-    "read_charter",
+    "migrate",
+    "read_configuration",
     "read_hosts",
     "read_peers",
     "read_text",
--- /dev/null
+++ b/gaproute/config/parsing.py
@@ -0,0 +1,164 @@
+"""Lines of text as checked directives: one a line, `#` begins a comment, quotes hold spaces together.
+
+A directive's class names its positional fields; the rest come as `keyword value`. pydantic checks the values;
+what it reports becomes a `Mistake` with the line, the field, what was found and what is expected.
+"""
+
+import difflib
+import re
+import shlex
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import Any, ClassVar, NamedTuple
+
+from pydantic import BaseModel, ConfigDict, ValidationError
+from pydantic_core import ErrorDetails
+
+from gaproute.config.errors import Mistake, example
+
+PLAIN = re.compile(r"[\w \t.:,=+/@%\[\]-]*", re.ASCII)  # lines without quotes or comments: split fast
+MAX_SHOWN = 80  # characters of a value in a mistake
+
+
+class Directive(BaseModel):
+    """A checked line. `line` is its number in the file, 0 where a directive was not read from one."""
+
+    model_config = ConfigDict(extra="forbid", frozen=True)
+    positional: ClassVar[tuple[str, ...]] = ()  # fields given by their position
+    example: ClassVar[str] = ""
+    once: ClassVar[bool] = False  # at most one such line in a file
+    line: int = 0
+
+    @classmethod
+    def positional_in(cls, words: list[str]) -> tuple[str, ...]:
+        """The fields that these words of a line give by their position."""
+        return cls.positional
+
+    @classmethod
+    def keywords(cls) -> dict[str, str]:
+        """The name of the field, as the constructor takes it, by keyword."""
+        return {
+            info.alias or name.replace("_", "-"): info.alias or name
+            for name, info in cls.model_fields.items()
+            if name not in cls.positional and name != "line"
+        }
+
+
+class Found(NamedTuple):
+    """A directive with the word that its line begins with."""
+
+    word: str
+    directive: Any  # of the class of the word
+
+
+class ParsedLines(NamedTuple):
+    """What was read from a file: its directives, its mistakes, and the first line of each word."""
+
+    found: list[Found]
+    mistakes: list[Mistake]
+    first: dict[str, int]
+
+
+def read_lines(
+    file: str, text: str, kinds: Mapping[str, type[Directive]], max_mistakes: int | None = None
+) -> ParsedLines:
+    """The directives of a text; `kinds` gives the class of each word. Ends at `max_mistakes` where given."""
+    parser = _Parser(file, kinds)
+    for number, raw in enumerate(text.splitlines(), 1):
+        if max_mistakes is not None and len(parser.mistakes) >= max_mistakes:
+            break
+        parser.read(number, raw)
+    return ParsedLines(parser.found, parser.mistakes, parser.first)
+
+
+@dataclass
+class _Parser:
+    file: str
+    kinds: Mapping[str, type[Directive]]
+    found: list[Found] = field(default_factory=list)
+    mistakes: list[Mistake] = field(default_factory=list)
+    first: dict[str, int] = field(default_factory=dict)
+
+    def read(self, number: int, raw: str) -> None:
+        """One line of the file."""
+        try:
+            words = raw.split() if PLAIN.fullmatch(raw) else shlex.split(raw, comments=True)
+        except ValueError as error:
+            self._refuse(number, "", f"cannot be split into words: {error}", "close the quote")
+            return
+        if not words:
+            return
+        word, *rest = words
+        kind = self.kinds.get(word)
+        if kind is None:
+            self._refuse(number, "", f"unknown word {word!r}", self._nearest(word))
+        elif kind.once and word in self.first:
+            self._refuse(
+                number, word, f"{word} stands a second time", f"keep line {self.first[word]} or this"
+            )
+        else:
+            self.first.setdefault(word, number)
+            self._read_directive(word, kind, rest, number)
+
+    def _read_directive(self, word: str, kind: type[Directive], words: list[str], number: int) -> None:
+        given, wrong = _arguments(kind, words)
+        if not wrong:
+            try:
+                self.found.append(Found(word, kind(line=number, **given)))
+            except ValidationError as error:
+                wrong = [_reported(detail) for detail in error.errors()]
+        for field_name, found in wrong:
+            name = f"{word}: {field_name}" if field_name else word
+            self._refuse(number, name, found, example(kind.example))
+
+    def _nearest(self, word: str) -> str:
+        near = difflib.get_close_matches(word, self.kinds, 1)
+        return (
+            f"did you mean {near[0]}?" if near else f"the words known here: {', '.join(sorted(self.kinds))}"
+        )
+
+    def _refuse(self, number: int, field_name: str, found: str, expected: str) -> None:
+        self.mistakes.append(Mistake(self.file, number, field_name, found, expected))
+
+
+class _Wrong(NamedTuple):
+    """A field of a directive, empty for the line as a whole, and what is wrong with it."""
+
+    field: str
+    found: str
+
+
+def _arguments(kind: type[Directive], words: list[str]) -> tuple[dict[str, Any], list[_Wrong]]:
+    """The values of a line by field, and what is wrong with the line's form."""
+    positional = kind.positional_in(words)
+    if len(words) < len(positional):
+        missing = " ".join(name.upper() for name in positional[len(words) :])
+        return {}, [_Wrong("", f"{missing} is missing")]
+    given: dict[str, Any] = dict(zip(positional, words[: len(positional)], strict=True))
+    rest = words[len(positional) :]
+    keywords = kind.keywords()
+    wrong = []
+    for place in range(0, len(rest), 2):
+        keyword = rest[place]
+        if keyword not in keywords:
+            near = difflib.get_close_matches(keyword, keywords, 1)
+            wrong.append(
+                _Wrong("", f"unknown keyword {keyword!r}" + (f", perhaps {near[0]}" if near else ""))
+            )
+        elif keywords[keyword] in given:
+            wrong.append(_Wrong("", f"{keyword} stands twice"))
+        elif place + 1 == len(rest):
+            wrong.append(_Wrong("", f"{keyword} has no value"))
+        else:
+            given[keywords[keyword]] = rest[place + 1]
+    return given, wrong
+
+
+def _reported(detail: ErrorDetails) -> _Wrong:
+    """What pydantic reports of one value, with the value."""
+    name = ".".join(str(part) for part in detail["loc"]).replace("_", "-") or "line"
+    found = detail["msg"].removeprefix("Value error, ")
+    value = detail["input"]
+    if isinstance(value, str) and repr(value) not in found:
+        found = f"{found}, not {value!r:.{MAX_SHOWN}}"
+    return _Wrong(name, found)
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -18,7 +18,7 @@
 from gaproute.faultinjection.play.timeline import MICRO, MILLI, SECOND, FarLoop, PlayClock, arrives_soon
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
-from gaproute.platform import charter as charters
+from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 
@@ -97,7 +97,7 @@
         with plan.pause():
             self.loop = Loop(self.clock)
             log = Log(-1)
-            told = charters.read(str(self._path))
+            told = read_configuration(str(self._path))
             self.process: Any = Process(
                 str(self._path), told, loop=self.loop, log=log
             )  # its parts come at its start
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -2,12 +2,12 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import CHARTER
+from helpers import CONFIGURATION
 
 from gaproute.cli.main import main
-from gaproute.config import Mistakes, read_charter
+from gaproute.config import ConfigurationError, read_configuration
 from gaproute.config.cell_files import path_of, read_cell_hosts, read_table
-from gaproute.config.cells import MAX_BYTES
+from gaproute.config.cell_table import MAX_BYTES
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 from gaproute.decisions.cells.table import Entry, Points, Version
 
@@ -23,20 +23,21 @@
 
 def told(read, *given):
     """What is said of a mistake."""
-    with pytest.raises(Mistakes) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         read(*given)
     return [str(mistake) for mistake in wrong.value.mistakes]
 
 
 def test_a_gateway_of_a_fleet_in_cells_needs_no_host_of_its_own():
-    charter = read_charter("f", f"{CHARTER}{CELLS} gateways 12\n{LISTS}\n{PEERS}\n")
-    line = charter.cells
+    configuration = read_configuration("f", f"{CONFIGURATION}{CELLS} gateways 12\n{LISTS}\n{PEERS}\n")
+    line = configuration.cells
     assert (line.fleet, line.file, line.region, line.zone) == ("north", "t", "west", "west-a")
-    assert charter.terms.gateways == 12 and charter.cell_hosts.folder == "lists"
+    assert configuration.terms.gateways == 12
+    assert configuration.cell_hosts.folder == "lists"
 
 
 @pytest.mark.parametrize(
-    "lines, mistake",
+    ("lines", "mistake"),
     [
         ((CELLS,), "f:11: cells without a cell-hosts line"),
         ((CELLS, LISTS), "f:11: cells without a listen peers line"),
@@ -65,20 +66,24 @@
     ],
 )
 def test_lines_that_are_wrong_or_contradict_each_other_are_named(lines, mistake):
-    said = told(read_charter, "f", CHARTER + "\n".join(lines) + "\n")
+    said = told(read_configuration, "f", CONFIGURATION + "\n".join(lines) + "\n")
     assert any(mistake in text for text in said), said
 
 
 def test_sources_stand_in_place_of_a_folder():
     sources = "cell-hosts from 10.0.0.1:7000,unix:/run/lists look 20ms"
-    line = read_charter("f", f"{CHARTER}{CELLS}\n{sources}\n{PEERS}\n").cell_hosts
-    assert line.sources == ("10.0.0.1:7000", "unix:/run/lists") and line.folder is None
+    line = read_configuration("f", f"{CONFIGURATION}{CELLS}\n{sources}\n{PEERS}\n").cell_hosts
+    assert line.sources == ("10.0.0.1:7000", "unix:/run/lists")
+    assert line.folder is None
     assert line.look == 20_000_000
 
 
 def test_cells_without_a_name_are_refused():
-    charter = CHARTER.replace("name g\n", "")
-    assert "cells without a name line" in told(read_charter, "f", f"{charter}{CELLS}\n{LISTS}\n{PEERS}\n")[0]
+    configuration = CONFIGURATION.replace("name g\n", "")
+    assert (
+        "cells without a name line"
+        in told(read_configuration, "f", f"{configuration}{CELLS}\n{LISTS}\n{PEERS}\n")[0]
+    )
 
 
 # The table's text
@@ -105,11 +110,12 @@
     )
     a1, b1 = read.cells
     assert a1.entries == (Entry("ga", "127.0.0.1:1"), Entry("gb", "127.0.0.1:2"))
-    assert a1.points == (Points("a1", 0, 43),) and b1.points == (Points("a1", 100, 4), Points("b1", 0, 16))
+    assert a1.points == (Points("a1", 0, 43),)
+    assert b1.points == (Points("a1", 100, 4), Points("b1", 0, 16))
 
 
 @pytest.mark.parametrize(
-    "before, after, mistake",
+    ("before", "after", "mistake"),
     [
         ("table north term 1 number 3\n", "", "no table line"),
         ("b1:0+16\nend\n", "b1:0+1", ":3: the table is torn"),
@@ -123,7 +129,7 @@
         ),
         ("end\n", "end\n\ncell c1 region west zone west-a capacity 1 hosts 1\n", ":6: the table is torn"),
         ("50 hosts 2 points", "50 hosts 20000 points", ":3: cell: 20000 hosts are not"),
-        ("a1:100+4", "a1:0+4", ":3: ring point 0 of a1 is also in line 2"),
+        ("a1:100+4", "a1:0+4", ":3: points: ring point 0 of a1 is also in line 2"),
         ("a1:100+4", "a1:100", ":3: cell: points: 'a1:100' is no range of ring points"),
         ("capacity 50", "capacity nan", ":3: cell: the capacity nan is not above 0"),
         ("gb=", "ga=", ":2: cell: an entry gateway is named twice"),
@@ -136,7 +142,8 @@
         assert len(read_table(path).cells) == 2
     else:
         said = told(read_table, path)
-        assert len(said) == 1 and mistake in said[0], said
+        assert len(said) == 1, said
+        assert mistake in said[0]
 
 
 def test_a_table_that_is_gone_or_far_too_large_is_refused_unread(table, tmp_path):
@@ -151,7 +158,8 @@
 
 
 def test_a_cells_name_cannot_lead_out_of_the_folder():
-    assert path_of("lists", "../x") == "lists/..%2Fx.hosts" and path_of("lists", "a b") == "lists/a b.hosts"
+    assert path_of("lists", "../x") == "lists/..%2Fx.hosts"
+    assert path_of("lists", "a b") == "lists/a b.hosts"
 
 
 def test_a_list_of_more_hosts_than_a_cell_may_have_is_refused_by_line(tmp_path):
@@ -168,7 +176,7 @@
         (folder / "lists" / f"{cell}.hosts").write_text(text)
     file = folder / "g.conf"
     where = f"{folder}/lists" if source is None else f"from {source}"
-    file.write_text(f"{CHARTER}cells north file {folder}/t {place}\ncell-hosts {where}\n{PEERS}\n")
+    file.write_text(f"{CONFIGURATION}cells north file {folder}/t {place}\ncell-hosts {where}\n{PEERS}\n")
     ran = CliRunner().invoke(main, ["check", str(file)])
     return ran.exit_code, ran.output.replace(f"{folder}/", "")
 
@@ -178,14 +186,15 @@
     assert check(tmp_path, lists)[0] == 0
 
 
-@pytest.mark.parametrize("source, code", [("127.0.0.1:7000", 0), ("localhost:7000", 2)])
+@pytest.mark.parametrize(("source", "code"), [("127.0.0.1:7000", 0), ("localhost:7000", 2)])
 def test_check_reads_no_lists_where_sources_tell_them(tmp_path, source, code):
     ended, said = check(tmp_path, {"a1": "no host list\n"}, source=source)
-    assert ended == code and len(said.splitlines()) == (1 if code == 0 else 2)
+    assert ended == code
+    assert len(said.splitlines()) == (1 if code == 0 else 2)
 
 
 @pytest.mark.parametrize(
-    "told, mistake",
+    ("told", "mistake"),
     [
         (
             {"lists": {"a1": "host x 127.0.0.1:1\n", "b1": "\nhost x 127.0.0.1:2\n"}},
@@ -208,4 +217,6 @@
 )
 def test_check_names_file_and_line_and_exits_2(tmp_path, told, mistake):
     code, said = check(tmp_path, **told)
-    assert code == 2 and mistake in said and "1 mistake;" in said, said
+    assert code == 2, said
+    assert mistake in said
+    assert "1 mistake;" in said
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.config import Mistakes, read_charter, read_hosts
-from gaproute.config.lines import PLAIN
-from gaproute.config.words.process import Decisions
+from gaproute.config import ConfigurationError, read_configuration, read_hosts
+from gaproute.config.directives.process import DecisionsLine
+from gaproute.config.parsing import PLAIN
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Group, Idempotency
 
@@ -21,14 +21,14 @@
 
 
 def wrong(text):
-    with pytest.raises(Mistakes) as mistakes:
-        read_charter("f", text)
+    with pytest.raises(ConfigurationError) as mistakes:
+        read_configuration("f", text)
     return [(mistake.line, str(mistake)) for mistake in mistakes.value.mistakes]
 
 
 def test_a_good_file_becomes_terms_in_nanoseconds():
-    charter = read_charter("f", GOOD)
-    a, b = charter.terms.tracks
+    configuration = read_configuration("f", GOOD)
+    a, b = configuration.terms.tracks
     assert (a.effect, a.contract_time, a.hard_limit, a.earnings) == (
         Idempotency.IDEMPOTENT,
         1_200_000_000,
@@ -40,12 +40,13 @@
         Group.CELL,
         2_500_000_000,
     )
-    assert charter.models["m"].versions == ("1", "2") and charter.longest == 5_000_000_000
-    assert charter.hosts[0].started == 1767225600 * 10**9
+    assert configuration.models["m"].versions == ("1", "2")
+    assert configuration.longest == 5_000_000_000
+    assert configuration.hosts[0].started == 1767225600 * 10**9
 
 
 @pytest.mark.parametrize(
-    "line, says",
+    ("line", "says"),
     [
         ("modle x track a", "did you mean model?"),
         ("model x track nope", "no track 'nope'"),
@@ -73,17 +74,44 @@
 )
 def test_each_mistake_is_told_with_line_and_cure(line, says):
     told = wrong(GOOD + line + "\n")
-    assert any(says in text for _, text in told) and told[0][0] in (0, 8, 7), told
+    assert any(says in text for _, text in told), told
+    assert told[0][0] in (0, 8, 7)
     assert all("; " in text for _, text in told)
 
 
+@pytest.mark.parametrize(
+    ("line", "field", "found"),
+    [
+        ("model x track a lanes none", "model: lanes", "not 'none'"),
+        ("track c odd contract 1s limit 1s", "track: effect", "not 'odd'"),
+        ("clients body 3q", "clients: body", "'3q' is no size"),
+        ("model x track nope", "model x", "no track 'nope'"),
+        ("name again", "name", "a second time"),
+    ],
+)
+def test_a_mistake_holds_its_place_its_field_what_was_found_and_what_is_expected(line, field, found):
+    with pytest.raises(ConfigurationError) as error:
+        read_configuration("f", GOOD + line + "\n")
+    (mistake,) = error.value.mistakes
+    assert (mistake.file, mistake.line, mistake.field) == ("f", 8, field)
+    assert found in mistake.found
+    assert mistake.expected
+    assert str(mistake).startswith("f:8: ")
+
+
+def test_a_peer_line_that_is_wrong_beside_a_peers_file_is_a_mistake_not_a_crash():
+    told = [text for _, text in wrong(GOOD + "peers-file p.list\npeer g2\n")]
+    assert any("WHERE is missing" in text for text in told)
+    assert any("peers stand here and in a peers-file" in text for text in told)
+
+
 def test_all_mistakes_come_in_one_go_in_the_order_of_lines():
     told = wrong("modl\ntrack x\nlisten kserve y\n")
     assert [line for line, _ in told if line] == [1, 2, 3]
 
 
 def test_a_host_list_with_a_twin_is_refused_whole():
-    with pytest.raises(Mistakes):
+    with pytest.raises(ConfigurationError):
         read_hosts("f", "host a 127.0.0.1:1\nhost a 127.0.0.1:2\n")
     assert [line.name for line in read_hosts("f", "host a 127.0.0.1:1 state draining\n")] == ["a"]
 
@@ -91,8 +119,8 @@
 def test_a_file_that_cannot_be_read_is_a_mistake_not_a_crash(tmp_path):
     (tmp_path / "bin").write_bytes(b"\xff\xfe\x00")
     for path in (tmp_path / "none", tmp_path / "bin", tmp_path):
-        with pytest.raises(Mistakes):
-            read_charter(path)
+        with pytest.raises(ConfigurationError):
+            read_configuration(path)
 
 
 @given(st.text(st.sampled_from("ab \t#'\"\\\x1f\x85\xa0=:,.-+/@%[]|&;<>()é"), max_size=20))
@@ -103,4 +131,4 @@
 
 @pytest.mark.parametrize("former", ["gaproute.policy:Gateway", "gaproute.decisions.route:Gateway"])
 def test_a_configuration_that_names_the_decisions_by_a_former_name_loads_them(former):
-    assert Decisions(made_by=former).load() is Gateway
+    assert DecisionsLine(made_by=former).load() is Gateway
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -6,10 +6,10 @@
 
 import pytest
 from click.testing import CliRunner
-from helpers import CHARTER, MILLI, SECOND
+from helpers import CONFIGURATION, MILLI, SECOND
 
 from gaproute.cli.main import main
-from gaproute.config import Mistakes, move, moving, read_charter
+from gaproute.config import ConfigurationError, durable, migrate, read_configuration
 from gaproute.faultinjection.disk import FaultyDisk
 from gaproute.faultinjection.disk_faults import DISK_FULL
 from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
@@ -36,11 +36,11 @@
 
 
 def moved(old=OLD, shape=SHAPE):
-    return move("old", old, "shape", shape, "new")
+    return migrate("old", old, "shape", shape, "new")
 
 
 def mistakes(old, shape):
-    with pytest.raises(Mistakes) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         moved(old, shape)
     return [str(each) for each in wrong.value.mistakes]
 
@@ -49,11 +49,21 @@
     text, _ = moved()
     assert text.splitlines()[:3] == OLD.splitlines()[:3]
     assert "copies keep 8s free 6 window 0s alike no notes no  # as the hosts are set" in text
-    charter = read_charter("new", text)
-    assert not charter.terms.probes_allowed and charter.terms.relay_limit == 6 and not charter.sizes_told
-    assert charter.terms.keep_alive == 8 * SECOND and charter.terms.order_window == 0
-    assert [track.contract_time for track in charter.terms.tracks] == [SECOND]
-    assert charter.terms.tracks[0].earnings == 1.0  # a track is stated whole
+    configuration = read_configuration("new", text)
+    assert not configuration.terms.probes_allowed
+    assert configuration.terms.relay_limit == 6
+    assert not configuration.sizes_reported
+    assert configuration.terms.keep_alive == 8 * SECOND
+    assert configuration.terms.order_window == 0
+    assert [track.contract_time for track in configuration.terms.tracks] == [SECOND]
+    assert configuration.terms.tracks[0].earnings == 1.0  # a track is stated whole
+
+
+def test_sources_of_cell_hosts_are_taken_over_as_they_stand():
+    lines = "cells north file t region west zone w\ncell-hosts from 127.0.0.1:1  # two\n"
+    old = OLD.replace("host h1 127.0.0.1:1 zone z rack r capacity 4\n", lines + "listen peers 127.0.0.1:8\n")
+    text, _ = moved(old, "relays limit 4\n")
+    assert lines in text
 
 
 def test_each_line_left_behind_is_told_with_its_number_and_why():
@@ -68,12 +78,15 @@
 
 def test_a_shape_that_states_nothing_new_changes_no_terms():
     text, left = moved(shape="relays limit 4\n")
-    assert not left and read_charter("new", text).terms == read_charter("old", OLD).terms
+    assert not left
+    assert read_configuration("new", text).terms == read_configuration("old", OLD).terms
 
 
 def test_an_old_file_makes_the_terms_it_made_before():
-    terms = read_charter("old", OLD).terms
-    assert terms.probes_allowed and not terms.reports_by_probe and read_charter("old", OLD).sizes_told
+    terms = read_configuration("old", OLD).terms
+    assert terms.probes_allowed
+    assert not terms.reports_by_probe
+    assert read_configuration("old", OLD).sizes_reported
 
 
 def test_mistakes_of_both_files_are_told_together_with_line_and_cure():
@@ -101,7 +114,8 @@
 
 def test_the_command_writes_a_file_that_check_accepts_and_says_what_it_left(tmp_path):
     done = run(tmp_path)
-    assert done.exit_code == 1 and "4 left behind" in done.output
+    assert done.exit_code == 1
+    assert "4 left behind" in done.output
     assert CliRunner().invoke(main, ["check", str(tmp_path / "new")]).exit_code == 0
     assert run(tmp_path, "--replace", shape="relays limit 6\n").exit_code == 0
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
@@ -109,27 +123,30 @@
 
 def test_a_dry_run_prints_the_result_and_writes_nothing(tmp_path):
     done = run(tmp_path, "--dry-run")
-    assert done.exit_code == 1 and "reports answer probes no" in done.output
+    assert done.exit_code == 1
+    assert "reports answer probes no" in done.output
     assert sorted(os.listdir(tmp_path)) == ["old", "shape"]
 
 
 def test_a_file_that_stands_is_not_written_over(tmp_path):
     (tmp_path / "new").write_text("mine")
-    assert run(tmp_path).exit_code == 2 and (tmp_path / "new").read_text() == "mine"
+    assert run(tmp_path).exit_code == 2
+    assert (tmp_path / "new").read_text() == "mine"
     assert run(tmp_path, shape="nonsense\n").exit_code == 2
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
 
 
 def test_the_old_file_is_never_written_over(tmp_path):
     (tmp_path / "new").symlink_to(tmp_path / "old")
-    assert run(tmp_path, "--replace").exit_code == 2 and (tmp_path / "old").read_text() == OLD
+    assert run(tmp_path, "--replace").exit_code == 2
+    assert (tmp_path / "old").read_text() == OLD
 
 
 def written_under(disk, path, replace):
     """Whether the new text was said to be written to the faulty disk."""
-    with disk.installed(moving):
+    with disk.installed(durable):
         try:
-            moving.write_whole(str(path), "new\n" * 50, replace, kept=())
+            durable.write_whole(str(path), "new\n" * 50, replace=replace, preserved=())
         except (OSError, ProcessKilled):
             return False
     return True
@@ -160,7 +177,8 @@
     (tmp_path / "new").write_text("old")
     disk = FaultyDisk(tmp_path, FaultPlan(Script.of((call, 1, DISK_FULL))))
     assert not written_under(disk, tmp_path / "new", True)
-    assert [path.name for path in tmp_path.iterdir()] == ["new"] and disk.open_descriptors == 0
+    assert [path.name for path in tmp_path.iterdir()] == ["new"]
+    assert disk.open_descriptors == 0
     assert (tmp_path / "new").read_text() == "old"
     assert written_under(FaultyDisk(tmp_path), tmp_path / "new", True)
     assert (tmp_path / "new").stat().st_mode & 0o777 == 0o644
@@ -170,9 +188,10 @@
     def unsynced(folder):
         raise OSError(errno.EIO, "Input/output error")
 
-    monkeypatch.setattr(moving, "_sync_folder", unsynced)
+    monkeypatch.setattr(durable, "_sync_folder", unsynced)
     done = run(tmp_path)
-    assert done.exit_code == 2 and "written, but a crash of the machine may undo it" in done.output
+    assert done.exit_code == 2
+    assert "written, but a crash of the machine may undo it" in done.output
     assert sorted(os.listdir(tmp_path)) == ["new", "old", "shape"]
 
 
@@ -182,7 +201,9 @@
     (tmp_path / "old").write_bytes(old)
     files = [str(tmp_path / name) for name in ("old", "other")]
     done = CliRunner().invoke(main, ["migrate", *files, "--shape", str(tmp_path / "shape")])
-    assert done.exit_code == 2 and isinstance(done.exception, SystemExit) and "old:" in done.output
+    assert done.exit_code == 2
+    assert isinstance(done.exception, SystemExit)
+    assert "old:" in done.output
     assert not (tmp_path / "other").exists()
 
 
@@ -200,18 +221,19 @@
 
 
 def test_a_gateway_on_a_moved_configuration_serves_and_never_probes(rig):
-    charter, _ = move(
+    configuration, _ = migrate(
         "old",
-        CHARTER + "hosts-file none.list\n",
+        CONFIGURATION + "hosts-file none.list\n",
         "shape",
         "reports answer probes no\nsizes no\nrelays limit 2 twins no\n",
         "new",
     )
-    made = rig(charter=charter.replace("hosts-file none.list\n", ""))
+    made = rig(configuration=configuration.replace("hosts-file none.list\n", ""))
     seen = probes(made)
     assert made.wait(made.ask()).headers[b"gaproute-outcome"] == b"delivered"
     made.rest(800 * MILLI)
-    assert not seen and [worker.capacity for worker in made.gate.core.gateway.fleet] == [1.0, 1.0]
+    assert not seen
+    assert [worker.capacity for worker in made.gate.core.gateway.fleet] == [1.0, 1.0]
 
 
 def test_the_same_hosts_are_probed_where_reports_come_by_probe(rig):
@@ -222,5 +244,5 @@
 
 
 def test_hosts_that_tell_by_probe_alone_cannot_forbid_them():
-    with pytest.raises(Mistakes, match="cannot go without probes"):
-        read_charter("f", OLD + "reports probe probes no\n")
+    with pytest.raises(ConfigurationError, match="cannot go without probes"):
+        read_configuration("f", OLD + "reports probe probes no\n")
