--- a/gaproute/decisions/route/booked.py
+++ b/gaproute/decisions/route/booked.py
@@ -73,7 +73,8 @@
             worker.full_until = -1
             if warm:
                 self.answers.append(now)
-            if now < self.all_warm_at:
+            # After a stall all that waited comes at one moment: it does not say what warm ones do now.
+            if now < self.all_warm_at and (now < worker.warm_at or self.prompt(function, warm, outcome.took)):
                 self.spread_credit(now, worker)
             if sent >= worker.wiped:
                 function.seen[worker.id] = function.stands[worker.id] = function.answered = now
@@ -100,6 +101,11 @@
         if outcome.result is Result.RESET and not worker.out:
             worker.wiped = now  # a process that broke off, with all its relays, comes back empty
 
+    def prompt(self, function, warm, took):
+        """Whether an answer took no longer than one may that is not overdue."""
+        load = 0 if warm else LOAD_PATIENCE * self.load_usual(None)
+        return took <= PATIENCE * self.usual(function) + load
+
     def note(self, worker, now, report):
         if report is not None:
             worker.report, worker.reported, worker.memory = report, now, report.memory_busy
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,10 +1,11 @@
 """Cold hosts over a whole fleet: what each gateway may send, and what all together send."""
 
 import pytest
-from helpers import SECOND, gateway, row, task
+from helpers import SECOND, Drive, gateway, row, task
 
 from benchmarks.cold import HARD, Day, day, play
 from gaproute.decisions.route.beliefs import Trail
+from gaproute.interface import Result
 from gaproute.terms import terms
 
 
@@ -96,3 +97,28 @@
 def test_a_fleet_all_cold_does_not_fall_in_a_storm_of_clients_that_ask_again():
     found = hard("all cold, strong, a storm, in a fleet of 1", 0)
     assert not found["fallen"] and not found["broken"]
+
+
+@pytest.mark.parametrize("took, earns", [(1.3, True), (1.5, False)])
+def test_an_overdue_answer_of_a_warm_worker_earns_no_credit(took, earns):
+    """A load is waited for: four usual answer times and two usual loads are in time."""
+    made = gateway(row("warm"), row("cold", started=0))
+    made.function("f", 4).times.append(SECOND // 10)
+    made.loads.append(SECOND // 2)
+    drive = Drive(made, task())
+    drive.hears(int(took * SECOND), Result.OK, took=int(took * SECOND))
+    assert drive.sent == ["warm"] and (made.workers["cold"].credit > 0) is earns
+
+
+def test_a_cold_worker_that_has_left_with_all_others_may_still_answer():
+    made = gateway(row("cold", started=0))
+    made.workers["cold"].credit = 1.0
+    drive = Drive(made, task())
+    made.listed(1, [], True)
+    drive.hears(2, Result.OK)
+    assert drive.ended and not made.fleet
+
+
+def test_a_cold_host_does_not_fall_where_all_answers_come_at_once_after_a_stall():
+    found = hard("answers stall, in a fleet of 30", 1)
+    assert not found["fallen"] and not found["broken"] and found["served"] > 0.8
