--- a/gaproute/faultinjection/play/far_connection.py
+++ b/gaproute/faultinjection/play/far_connection.py
@@ -1,6 +1,6 @@
 """A connected socket and a listening one, plain ones, on the far ends' loop."""
 
-from __future__ import annotations
+from __future__ import contextlib
 
 import select
 import socket
@@ -69,10 +69,8 @@
 
     def half_close(self) -> None:
         """Sends no more, and reads on."""
-        try:
+        with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError:
-            pass
 
     def close(self) -> None:
         """Closes; `on_end` is not called."""
--- a/gaproute/faultinjection/play/timeline.py
+++ b/gaproute/faultinjection/play/timeline.py
@@ -32,6 +32,7 @@
         return self.now
 
     def wait(self, epoll: select.epoll, timeout: float | None, most: int) -> list[tuple[int, int]]:
+        """What a wait tells: the clock leaps over it where nothing comes."""
         """The events that are there now, in place of `epoll.poll`."""
         ready = epoll.poll(0, most)
         self.idle = self.idle and not ready
