--- a/gaproute/faultinjection/play/far_connection.py
+++ b/gaproute/faultinjection/play/far_connection.py
@@ -1,7 +1,8 @@
 """A connected socket and a listening one, plain ones, on the far ends' loop."""
 
-from __future__ import contextlib
+from __future__ import annotations
 
+import contextlib
 import select
 import socket
 import struct
--- a/gaproute/faultinjection/play/timeline.py
+++ b/gaproute/faultinjection/play/timeline.py
@@ -28,11 +28,11 @@
         self.idle = False
 
     def __call__(self) -> int:
+        """The time, ns."""
         self.now += MICRO
         return self.now
 
     def wait(self, epoll: select.epoll, timeout: float | None, most: int) -> list[tuple[int, int]]:
-        """What a wait tells: the clock leaps over it where nothing comes."""
         """The events that are there now, in place of `epoll.poll`."""
         ready = epoll.poll(0, most)
         self.idle = self.idle and not ready
