--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -15,7 +15,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.discovery.listing import FileWatch, Listing
-from gaproute.fronts.kserve import Front
+from gaproute.fronts.kserve import KServeFront
 from gaproute.hosts.fleet import Hosts, Reach
 from gaproute.interface import State
 from gaproute.loop import Loop
@@ -72,7 +72,7 @@
         try:
             for kind, where in self.configuration.listens:
                 if kind == "kserve":
-                    front = Front(
+                    front = KServeFront(
                         self.loop,
                         address(where),
                         self.core,
@@ -168,7 +168,7 @@
         self.core.end_by(self.loop.now() + self._granted())
         self.core.emptied = self._emptied
         for front in self.client_fronts:
-            front.on_emptied(self._emptied)
+            front.notify_when_emptied(self._emptied)
         self.loop.after(LAST_REQUEST + self.configuration.longest + LAST_WORDS, self.loop.stop)
         self._emptied()
 
@@ -183,7 +183,7 @@
 
     def _emptied(self):
         """Ends the loop once no task is held and no client's connection is left."""
-        if not self.core.held and not any(front.held for front in self.client_fronts):
+        if not self.core.held and not any(front.connection_count for front in self.client_fronts):
             self.loop.after(LAST_WORDS, self.loop.stop)
 
     def heed_signals(self):
@@ -214,7 +214,7 @@
         self.loop.unwatch(life)
         self.shared = False
         for front in self.client_fronts:
-            front.alone()
+            front.end_queue_sharing()
         self.stop()
 
     def run(self):
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -33,7 +33,7 @@
         "Core._woken",
         "Follower.ask",
         "Follower.quiet",
-        "Front._sweep",
+        "JsonRpcFront._sweep",
         "Hosts.sweep",
         "Parking._tick",
         "Process.status",
@@ -191,8 +191,8 @@
     core, front, lot = scene.process.core, scene.process.front, Lot.of(scene.loop)
     held = {
         "requests": len(core.held) + len(core.tasks),
-        "open ids": len(front.marks),
-        "clients' connections": front.held + lot.held + lot.parked,
+        "open ids": len(front.open_request_ids),
+        "clients' connections": front.connection_count + lot.held + lot.parked,
         "streams that close": len(scene.loop.leaving),
     }
     for host in scene.process.hosts.hosts.values():
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -15,21 +15,25 @@
 from gaproute.connections import Lot
 from gaproute.decisions.admission.admission import HOLD
 from gaproute.fronts.jsonrpc import messages
-from gaproute.fronts.jsonrpc.link import LATE, Link
-from gaproute.fronts.jsonrpc.messages import Fault
+from gaproute.fronts.jsonrpc.connection import LATE_ANSWER_TIME, ClientConnection
+from gaproute.fronts.jsonrpc.messages import ProtocolError
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Listener
 from gaproute.loop.connecting import DRAIN_AGAIN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-OPEN = 32  # requests of one connection at a time, by the protocol
-SWEEP = 100 * MILLI  # between looks for quiet, slow and deaf ones: one wake-up for all of them
-FIRST_WORD = 2 * SECOND  # for a new connection to send something: a useless one is to be closed within 3 s
-WEIGHT = 24 << 20  # bytes of all clients together, untaken answers and messages that have not come in
+MAX_OPEN_REQUESTS = 32  # requests of one connection at a time, by the protocol
+SWEEP_INTERVAL = (
+    100 * MILLI
+)  # between looks for quiet, slow and unresponsive ones: one wake-up for all of them
+FIRST_MESSAGE_TIMEOUT = (
+    2 * SECOND
+)  # for a new connection to send something: a useless one is to be closed within 3 s
+MAX_BUFFERED = 24 << 20  # bytes of all clients together, untaken answers and messages that have not come in
 #                          whole: an eighth of the memory of a usual gateway; the heaviest client goes then
 
 
-class Front:
+class JsonRpcFront:
     """One listening address. `core` takes the tasks; `tracks` are the names in the terms' order."""
 
     counted = True
@@ -40,19 +44,19 @@
             name: (place, track.hard_limit)
             for place, (name, track) in enumerate(zip(names, tracks, strict=True))
         }
-        self.links = {}  # those at work, as an ordered set
-        self.refused = lambda code, text: None  # what came wrong, for the log
-        self.parked = self.turned_away = self.faults = self.deaf = 0
-        self.marks = {}  # a task's mark, while it is open: its connection
+        self.connections = {}  # those at work, as an ordered set
+        self.on_protocol_error = lambda code, text: None  # what came wrong, for the log
+        self.parked = self.rejected_connections = self.protocol_errors = self.unresponsive = 0
+        self.open_request_ids = {}  # a task's mark, while it is open: its connection
         self.stopping = False  # connections close once nothing is owed on them
-        self.emptied = None  # call() when the last connection has closed, where somebody waits for that
-        self.drainer = None  # timer, where the kernel's queue could not be emptied at a stop
+        self.on_emptied = None  # call() when the last connection has closed, where somebody waits for that
+        self.drain_timer = None  # timer, where the kernel's queue could not be emptied at a stop
         self.family = where[0]
         self.lot = Lot.of(loop)
         self.listener = Listener(loop, where, None, on_ready=self._ready)  # first: it may fail
         self.address = self.listener.address
         self.number = self.lot.open(self)
-        self.sweeper = loop.after(SWEEP, self._sweep)
+        self.sweeper = loop.after(SWEEP_INTERVAL, self._sweep)
 
     def _ready(self):
         self.lot.arrive(self.listener, self)
@@ -62,51 +66,54 @@
         """A connection was accepted: it is parked, or closed where admission has no room."""
         place = self.lot.admit(address[0], True)
         if place is None:
-            self.turned_away += 1
+            self.rejected_connections += 1
             sock.close()
             return
         self.parked += 1
-        self.lot.park(sock.detach(), self.number, self.loop.now() + FIRST_WORD, place, 0, False)
+        self.lot.park(sock.detach(), self.number, self.loop.now() + FIRST_MESSAGE_TIMEOUT, place, 0, False)
 
     def woken(self, fd, data, place, tasks):
         """A parked connection spoke."""
         self.parked -= 1
-        link = Link(self, socket.socket(self.family, socket.SOCK_STREAM, 0, fd), place, tasks)
-        self.links[link] = None
-        link.bytes(data)
+        link = ClientConnection(self, socket.socket(self.family, socket.SOCK_STREAM, 0, fd), place, tasks)
+        self.connections[link] = None
+        link.receive(data)
 
     def lost(self):
         """A parked connection was closed."""
         self.parked -= 1
-        self.tell()
+        self.check_emptied()
 
     @property
-    def held(self):
+    def connection_count(self):
         """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
-        return len(self.links) + self.parked + (self.drainer is not None)
+        return len(self.connections) + self.parked + (self.drain_timer is not None)
 
-    def tell(self):
-        if self.emptied is not None and not self.held:
-            self.emptied()
+    def check_emptied(self):
+        if self.on_emptied is not None and not self.connection_count:
+            self.on_emptied()
 
     def _sweep(self):
-        self.sweeper = self.loop.after(SWEEP, self._sweep)  # first: an error must not end the looks
+        self.sweeper = self.loop.after(SWEEP_INTERVAL, self._sweep)  # first: an error must not end the looks
         now = self.loop.now()
-        for link in list(self.links):
-            self.loop.guard(link.look, now)
-        self.lighten()
+        for link in list(self.connections):
+            self.loop.guard(link.check_progress, now)
+        self.enforce_memory_limit()
 
-    def lighten(self):
+    def enforce_memory_limit(self):
         """Guards memory against thousands that send slowly or take no answers, each within its own bounds;
         harms the heaviest of them before its time, and first those to whom no answer is owed."""
         now = self.loop.now()
-        weights = [(not link.owes(now), link.weight(), place, link) for place, link in enumerate(self.links)]
-        over = sum([weight for _, weight, _, _ in weights]) - WEIGHT
+        weights = [
+            (not link.owes_answer(now), link.buffered_bytes(), place, link)
+            for place, link in enumerate(self.connections)
+        ]
+        over = sum([weight for _, weight, _, _ in weights]) - MAX_BUFFERED
         for _, weight, _, link in sorted(weights, reverse=True) if over > 0 else ():
             if over > 0:
                 over -= weight
-                self.deaf += 1
-                link.end()
+                self.unresponsive += 1
+                link.abort()
 
     # Requests
 
@@ -116,25 +123,29 @@
             if number is not None:
                 link.write(messages.pong(number, self.ready()))
         elif method == "abort":
-            link.withdraw(messages.withdrawn(params))
+            link.cancel_request(messages.withdrawn(params))
         else:
-            self.task(link, number, method, params)
+            self.start_request(link, number, method, params)
 
-    def task(self, link, number, method, params):
+    def start_request(self, link, number, method, params):
         if number is None:
-            raise Fault(messages.NO_REQUEST, "a request needs an id")
+            raise ProtocolError(messages.NO_REQUEST, "a request needs an id")
         if method not in self.tracks:
-            raise Fault(messages.NO_METHOD, "no such method", number if number not in link.open else None)
-        if number in link.open:
-            raise Fault(messages.NO_REQUEST, "a request with this id is open")
+            raise ProtocolError(
+                messages.NO_METHOD, "no such method", number if number not in link.open_requests else None
+            )
+        if number in link.open_requests:
+            raise ProtocolError(messages.NO_REQUEST, "a request with this id is open")
         track, longest = self.tracks[method]
         asked = messages.request(number, method, params, longest)
-        if asked.mark in self.marks:
-            raise Fault(messages.NO_PARAMS, "a request with this i is open", number)
-        if len(link.open) >= OPEN:
-            raise Fault(messages.REFUSED, f"{OPEN} requests are open on this connection", number)
+        if asked.mark in self.open_request_ids:
+            raise ProtocolError(messages.NO_PARAMS, "a request with this i is open", number)
+        if len(link.open_requests) >= MAX_OPEN_REQUESTS:
+            raise ProtocolError(
+                messages.REFUSED, f"{MAX_OPEN_REQUESTS} requests are open on this connection", number
+            )
         if self.stopping:
-            raise Fault(messages.REFUSED, "the gateway stops", number)
+            raise ProtocolError(messages.REFUSED, "the gateway stops", number)
         call = Call(
             asked.function,
             "",
@@ -143,15 +154,15 @@
             asked.mark,
             method,
             asked.receipt,
-            client_present=lambda: link.present(number, asked.mark),
+            client_present=lambda: link.is_waiting_for(number, asked.mark),
         )
-        self.marks[asked.mark] = link
+        self.open_request_ids[asked.mark] = link
         came = self.loop.now() - link.waited
         wait = min(asked.wait, longest)
         link.tasks += 1
-        link.owed_until = max(link.owed_until, came + wait + LATE)
-        link.open[number] = None
-        link.open[number] = (
+        link.owed_until = max(link.owed_until, came + wait + LATE_ANSWER_TIME)
+        link.open_requests[number] = None
+        link.open_requests[number] = (
             self.core.take(
                 call,
                 track,
@@ -160,43 +171,43 @@
                 asked.load_time,
                 came,
                 wait - self.way_back,
-                lambda final: self.final(link, asked, final),
+                lambda final: self.finish_request(link, asked, final),
             ),
             asked.mark,
         )
 
-    def final(self, link, asked, final):
-        held = link.open.get(asked.number)
+    def finish_request(self, link, asked, final):
+        held = link.open_requests.get(asked.number)
         if held is None or held[0] != final.task:  # its client left while this was on its way; another
             return  # request may bear its id by now
-        del link.open[asked.number], self.marks[asked.mark]
+        del link.open_requests[asked.number], self.open_request_ids[asked.mark]
         if final.ending is Ending.DELIVERED:
             link.write(messages.result(asked.number, final.answer.body))
         elif final.ending is Ending.REJECTED:
             link.write(messages.error(asked.number, messages.REFUSED, final.reason, final.stay_away))
         else:
             link.write(messages.error(asked.number, messages.FAILED, final.reason))
-        link.settled()
+        link.close_if_finished()
 
-    def left(self, key, mark):
-        self.marks.pop(mark, None)
+    def client_left(self, key, mark):
+        self.open_request_ids.pop(mark, None)
         self.core.client_left(key)
 
     # Stop
 
-    def shut(self):
+    def stop_accepting(self):
         """Accepts no more. What waits in the kernel's queue is taken in first, as it would be reset; those
         who rest make room for it. Tried again while there is no room, or accepting fails."""
-        self.drainer = None
+        self.drain_timer = None
         while (room := self.lot.has_room()) and (came := self.listener.accept()) is not None:
             self.admits(*came)
         if not room:
-            self.drainer = self.loop.after(HOLD, self.shut)
+            self.drain_timer = self.loop.after(HOLD, self.stop_accepting)
         elif not self.listener.drained:
-            self.drainer = self.loop.after(DRAIN_AGAIN, self.shut)
+            self.drain_timer = self.loop.after(DRAIN_AGAIN, self.stop_accepting)
         else:
             self.listener.close()
-            self.tell()
+            self.check_emptied()
 
     def stop(self):
         """Closes every connection once nothing is open on it and no half message has come. What has come
@@ -207,24 +218,24 @@
         self._cancel_drain()
         self.lot.close(self.number)
         self._take_in()
-        for link in list(self.links):
-            link.settled()
+        for link in list(self.connections):
+            link.close_if_finished()
 
     def _take_in(self):
         """The kernel's queue is emptied, room or not, then the address given up; tried again while accepting
         fails."""
-        self.drainer = None
+        self.drain_timer = None
         if not self.listener.drain(self.admits):
-            self.drainer = self.loop.after(DRAIN_AGAIN, self._take_in)
+            self.drain_timer = self.loop.after(DRAIN_AGAIN, self._take_in)
             return
         self.listener.close()
         self.lot.close(self.number)
-        self.tell()
+        self.check_emptied()
 
     def _cancel_drain(self):
-        if self.drainer is not None:
-            self.drainer.cancel()
-            self.drainer = None
+        if self.drain_timer is not None:
+            self.drain_timer.cancel()
+            self.drain_timer = None
 
     def close(self):
         self.stop()
@@ -232,8 +243,8 @@
         self.listener.close()
         self.sweeper.cancel()
         self.lot.close(self.number, True)
-        for link in list(self.links):
+        for link in list(self.connections):
             if link.closing:
                 link.stream.part()  # its last words are with the kernel
             else:
-                link.end()
+                link.abort()
--- a/gaproute/fronts/jsonrpc/messages.py
+++ b/gaproute/fronts/jsonrpc/messages.py
@@ -20,7 +20,7 @@
 _FIELD = re.compile(rb"[!-9;-~]+:[ -~\t]*").fullmatch
 
 
-class Fault(Exception):
+class ProtocolError(Exception):
     """What came breaks the protocol. `number` is the request it is to be told under, or None."""
 
     def __init__(self, code, text, number=None):
@@ -70,7 +70,7 @@
         self.buffer, self.length = bytearray(), None
 
     @property
-    def midway(self):
+    def mid_message(self):
         return bool(self.buffer) or self.length is not None
 
     def copy(self):
@@ -86,7 +86,7 @@
         try:
             while self._next(bodies):
                 pass
-        except Fault as fault:
+        except ProtocolError as fault:
             fault.bodies = bodies
             raise
         return bodies
@@ -96,7 +96,7 @@
             end = self.buffer.find(b"\r\n\r\n", 0, HEAD + 4)
             if end < 0:
                 if len(self.buffer) > HEAD:
-                    raise Fault(UNREADABLE, "the head is too long")
+                    raise ProtocolError(UNREADABLE, "the head is too long")
                 return False
             self.length = self._length(bytes(self.buffer[:end]))
             del self.buffer[: end + 4]
@@ -111,37 +111,37 @@
         lengths = []
         for line in head.split(b"\r\n"):
             if not _FIELD(line):
-                raise Fault(UNREADABLE, "a head is lines of NAME: VALUE")
+                raise ProtocolError(UNREADABLE, "a head is lines of NAME: VALUE")
             if line[:15].lower() == b"content-length:":
                 told = _LENGTH(line)
                 if told is None:
-                    raise Fault(UNREADABLE, "Content-Length is a whole number")
+                    raise ProtocolError(UNREADABLE, "Content-Length is a whole number")
                 lengths.append(int(told[1]))
         if len(lengths) != 1:
-            raise Fault(UNREADABLE, "a head has one Content-Length")
+            raise ProtocolError(UNREADABLE, "a head has one Content-Length")
         if not 0 < lengths[0] <= BODY:
-            raise Fault(UNREADABLE, f"a message has 1 to {BODY} bytes")
+            raise ProtocolError(UNREADABLE, f"a message has 1 to {BODY} bytes")
         return lengths[0]
 
 
 def envelope(body):
-    """(number or None, method, params) of a body. Errors: Fault."""
+    """(number or None, method, params) of a body. Errors: ProtocolError."""
     try:
         told = _envelope(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
         try:
             _any(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-            raise Fault(UNREADABLE, "the message is no JSON") from None
-        raise Fault(NO_REQUEST, f"the message is no request: {fault}") from None
+            raise ProtocolError(UNREADABLE, "the message is no JSON") from None
+        raise ProtocolError(NO_REQUEST, f"the message is no request: {fault}") from None
     number = None
     if told.id and bytes(told.id) != b"null":
         text = bytes(told.id)
         if not text.isdigit() or len(text) > 18 or int(text) < 1:
-            raise Fault(NO_REQUEST, "an id is a whole number from 1 up")
+            raise ProtocolError(NO_REQUEST, "an id is a whole number from 1 up")
         number = int(text)
     if told.jsonrpc != "2.0":
-        raise Fault(NO_REQUEST, "jsonrpc is 2.0", number)
+        raise ProtocolError(NO_REQUEST, "jsonrpc is 2.0", number)
     return number, told.method, told.params
 
 
@@ -149,21 +149,21 @@
     """The number of a body's request; None where none can be read."""
     try:
         return envelope(body)[0]
-    except Fault as fault:
+    except ProtocolError as fault:
         return fault.number
 
 
 def request(number, method, params, longest):
-    """A task's request; `longest`: ns that a client of the track waits at most. Errors: Fault."""
+    """A task's request; `longest`: ns that a client of the track waits at most. Errors: ProtocolError."""
 
     def check(holds, text):
         if not holds:
-            raise Fault(NO_PARAMS, text, number)
+            raise ProtocolError(NO_PARAMS, text, number)
 
     try:
         told = _params(params)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-        raise Fault(NO_PARAMS, f"params: {fault}", number) from None
+        raise ProtocolError(NO_PARAMS, f"params: {fault}", number) from None
     check(_ID(told.i), "i is 16 hex digits")
     check(_ID(told.o), "o is 16 hex digits")
     check(len(told.k) <= KEY and told.k.isprintable(), f"k is text of at most {KEY} characters")
@@ -181,7 +181,7 @@
         body = told.arg.encode("ascii")
         size = len(binascii.a2b_base64(body, strict_mode=True))
     except (UnicodeEncodeError, binascii.Error):
-        raise Fault(NO_PARAMS, "arg is base64", number) from None
+        raise ProtocolError(NO_PARAMS, "arg is base64", number) from None
     check(size <= ARG, f"arg has at most {ARG} bytes")
     return Request(
         number,
@@ -228,7 +228,7 @@
         return ()
     try:
         bodies = reader.feed(data)
-    except Fault as fault:
+    except ProtocolError as fault:
         bodies = fault.bodies
     return [named for body in bodies if b"abort" in body and (named := _aborted(body)) is not None]
 
@@ -237,7 +237,7 @@
     """What the body names where it is an abort; else None."""
     try:
         _, method, params = envelope(body)
-    except Fault:
+    except ProtocolError:
         return None
     return withdrawn(params) if method == "abort" else None
 
@@ -252,7 +252,7 @@
         try:
             number, method, params = envelope(body)
             named = withdrawn(params)
-        except Fault:
+        except ProtocolError:
             method = None
         if method == "abort" and named is not None and not any([named in each for each in opened]):
             place = next((place for place, told in enumerate(names) if named in told), None)
--- a/gaproute/fronts/kserve/__init__.py
+++ b/gaproute/fronts/kserve/__init__.py
@@ -1,5 +1,5 @@
 """KServe v2, the Open Inference Protocol, in its REST form."""
 
-from gaproute.fronts.kserve.front import Front
+from gaproute.fronts.kserve.front import KServeFront
 
-__all__ = ["Front"]
+__all__ = ["KServeFront"]
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from gaproute.fronts.kserve.front import Front
+from gaproute.fronts.kserve.front import KServeFront
 from gaproute.hosts import forwarded, orca
 from gaproute.interface import Found
 
 NEVER_RAN, NOT_KNOWN_HERE = 429, 404
 
 
-class EntryFront(Front):
+class EntryFront(KServeFront):
     """`server` listens already, and hands over what is for this front by `handle`; `report(cell)`: the cell's
     load as other gateways are told it, or None."""
 
@@ -42,10 +42,10 @@
             fields = (*fields, *self._metrics(told.cell, final.found))
         super().answer(request, final, status, fields, body)
 
-    def decline_status(self, request, final):
+    def rejected_status(self, request, final):
         """The status of a declined call."""
         if not final.never_ran or forwarded.read(request.headers) is None:
-            return super().decline_status(request, final)
+            return super().rejected_status(request, final)
         return NOT_KNOWN_HERE if final.cell_unknown else NEVER_RAN
 
     def _metrics(self, cell, found):
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -37,7 +37,7 @@
 STATUS = {Ending.REJECTED: 503, Ending.FAILED: 504}
 
 
-class Refused(Exception):
+class RequestError(Exception):
     def __init__(self, status, text):
         super().__init__(text)
         self.status, self.text = status, text
@@ -47,7 +47,7 @@
     return msgspec.json.encode({"error": text})
 
 
-class Front:
+class KServeFront:
     """One listening address. `core` takes the tasks; `models`, `tenants` and `tracks` are the
     configuration's."""
 
@@ -86,7 +86,7 @@
     def handle(self, request):
         try:
             self.route(request)
-        except Refused as refused:
+        except RequestError as refused:
             self.server.answer(request, refused.status, (JSON,), error(refused.text))
 
     def route(self, request):
@@ -94,17 +94,19 @@
         parts = [part.decode("utf-8", "replace") for part in map(unquote_to_bytes, parts[1:])]
         match parts:
             case ["v2"] | ["v2", ""]:
-                self.told(request, {"name": self.name, "version": self.version, "extensions": EXTENSIONS})
+                self.send_json(
+                    request, {"name": self.name, "version": self.version, "extensions": EXTENSIONS}
+                )
             case ["v2", "health", "live"]:
-                self.told(request, {"live": True})
+                self.send_json(request, {"live": True})
             case ["v2", "health", "ready"]:
-                self.told(request, {"ready": self.ready()}, 200 if self.ready() else 503)
+                self.send_json(request, {"ready": self.ready()}, 200 if self.ready() else 503)
             case ["v2", "models", name, "versions", version, *rest]:
                 self.model(request, name, version, rest)
             case ["v2", "models", name, *rest]:
                 self.model(request, name, "", rest)
             case _:
-                raise Refused(
+                raise RequestError(
                     404,
                     "no such path: /v2, /v2/health/live, /v2/health/ready, /v2/models/NAME, "
                     "/v2/models/NAME/ready, /v2/models/NAME/infer",
@@ -113,27 +115,27 @@
     def model(self, request, name, version, rest):
         model = self.models.get(name)
         if model is None or version and version not in model.versions:
-            raise Refused(
+            raise RequestError(
                 404, f"unknown model {name[:128]!r}" + (f" version {version[:128]!r}" if version else "")
             )
         match rest:
             case ["infer"] if request.method == b"POST":
                 self.infer(request, model, version)
             case ["infer"]:
-                raise Refused(405, "infer is a POST")
+                raise RequestError(405, "infer is a POST")
             case ["ready"]:
-                self.told(request, {"name": name, "ready": self.ready()}, 200 if self.ready() else 503)
+                self.send_json(request, {"name": name, "ready": self.ready()}, 200 if self.ready() else 503)
             case []:
                 versions = {"versions": list(model.versions)} if model.versions else {}
-                self.told(
+                self.send_json(
                     request, {"name": name, **versions, "platform": "gaproute", "inputs": [], "outputs": []}
                 )
             case _:
-                raise Refused(404, "a model has infer, ready and its metadata")
+                raise RequestError(404, "a model has infer, ready and its metadata")
 
-    def told(self, request, told, status=200):
+    def send_json(self, request, told, status=200):
         if request.method != b"GET":
-            raise Refused(405, "this is a GET")
+            raise RequestError(405, "this is a GET")
         self.server.answer(request, status, (JSON,), msgspec.json.encode(told))
 
     def infer(self, request, model, version):
@@ -142,39 +144,39 @@
         asked = headers.get(b"gaproute-limit-ms")
         if asked is not None:
             if not asked.isdigit() or len(asked) > 12 or int(asked) == 0:
-                raise Refused(400, "Gaproute-Limit-Ms is a whole number of milliseconds, 1 or more")
+                raise RequestError(400, "Gaproute-Limit-Ms is a whole number of milliseconds, 1 or more")
             limit = min(limit, int(asked) * MILLI)
         length = headers.get(b"inference-header-content-length")
         if length is not None and (
             not length.isdigit() or len(length) > 12 or int(length) > len(request.body)
         ):
-            raise Refused(400, "Inference-Header-Content-Length is at most the body's length")
+            raise RequestError(400, "Inference-Header-Content-Length is at most the body's length")
         tenant = len(self.tenants)
         if (named := headers.get(b"gaproute-tenant")) is not None and self.tenants:
             tenant = self.tenants.get(named.decode("latin-1"))
             if tenant is None:
-                raise Refused(400, "unknown Gaproute-Tenant")
+                raise RequestError(400, "unknown Gaproute-Tenant")
         if request.departed:
-            self.departed(request)
+            self.answer_half_closed(request)
             return
         call = self.call(request, model, version)
         left = []
 
         def finish(final):
             if not left:
-                self.final(request, final)
+                self.finish_request(request, final)
 
         def gone():
             left.append(True)
             self.core.client_left(key)
-            self.departed(request)
+            self.answer_half_closed(request)
 
         key = self.core.take(
             call, track, tenant, model.lanes, model.load, request.arrived, limit - self.way_back, finish
         )
         request.left = gone
 
-    def departed(self, request):
+    def answer_half_closed(self, request):
         """The answer for one that has closed its side and may still read."""
         self.server.answer(
             request,
@@ -199,11 +201,11 @@
         """The one answer to a request."""
         self.server.answer(request, status, fields, body)
 
-    def decline_status(self, request, final):
+    def rejected_status(self, request, final):
         """The status of a declined call."""
         return STATUS[Ending.REJECTED]
 
-    def decline(self, request, final):
+    def answer_rejected(self, request, final):
         """The answer to a declined call."""
         fields = (
             JSON,
@@ -212,9 +214,9 @@
             (b"Gaproute-Retry-After-Ms", b"%d" % -(-final.stay_away // MILLI)),
             (b"Gaproute-Task", final.task.encode()),
         )
-        self.answer(request, final, self.decline_status(request, final), fields, error(final.reason))
+        self.answer(request, final, self.rejected_status(request, final), fields, error(final.reason))
 
-    def final(self, request, final):
+    def finish_request(self, request, final):
         task = (b"Gaproute-Task", final.task.encode())
         relays = (b"Gaproute-Relays", b"%d" % final.relays)
         if final.ending is Ending.DELIVERED:
@@ -222,23 +224,23 @@
             fields = (*answer.fields, (b"Gaproute-Outcome", b"delivered"), task, relays)
             self.answer(request, final, answer.status, fields, answer.body)
         elif final.ending is Ending.REJECTED:
-            self.decline(request, final)
+            self.answer_rejected(request, final)
         else:
             fields = (JSON, (b"Gaproute-Outcome", b"scrapped"), task, relays)
             self.answer(request, final, STATUS[final.ending], fields, error(final.reason))
 
     @property
-    def held(self):
+    def connection_count(self):
         """Connections of clients, at work and parked."""
         return self.server.held
 
-    def alone(self):
+    def end_queue_sharing(self):
         """No other process accepts from the same queue any more: what waits there at the stop is taken in."""
         self.server.shared = False
 
-    def on_emptied(self, call):
-        """`call()` when the last connection is closed after a stop."""
-        self.server.emptied = call
+    def notify_when_emptied(self, callback):
+        """`callback()` when the last connection is closed after a stop."""
+        self.server.emptied = callback
 
     def stop(self, grace):
         """Accepts no more; `grace` as of `Server.stop`."""
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -13,7 +13,7 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.changelog import events
 from gaproute.discovery.changelog.follow import Follower
-from gaproute.fronts.jsonrpc.front import Front
+from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.fleet import Hosts
 from gaproute.loop import Loop
 from gaproute.loop.connecting import short
@@ -73,7 +73,7 @@
 
     def start(self):
         """Errors: OSError where the address cannot be listened on; it may be called again then."""
-        self.front = Front(
+        self.front = JsonRpcFront(
             self.loop,
             address(self.listen),
             self.core,
@@ -82,7 +82,7 @@
             self.ready,
             way_back(),
         )
-        self.front.refused = lambda code, text: self.log.info("refused", code=code, text=text[:200])
+        self.front.on_protocol_error = lambda code, text: self.log.info("refused", code=code, text=text[:200])
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
             self.hear_peers()
         last, known = events.known(self.configuration.known)
@@ -191,20 +191,20 @@
 
     def shut(self):
         """Accepts no new connections, and leaves once the last of the open ones is closed."""
-        self.core.emptied = self.front.emptied = self.leave
-        self.front.shut()
+        self.core.emptied = self.front.on_emptied = self.leave
+        self.front.stop_accepting()
         self.leave()
 
     def leave(self):
         """Ends the loop once all is answered and the answers are taken: each connection closes when the other
         side has read to its end."""
-        if not self.core.held and not self.front.held:
+        if not self.core.held and not self.front.connection_count:
             self.loop.stop()
 
     def run(self):
         self.loop.run()
         self.loop.guard(self.status)
-        self.log.info("stopped", held=len(self.core.held), connections=self.front.held)
+        self.log.info("stopped", held=len(self.core.held), connections=self.front.connection_count)
         for timer in (self.again, self.peers_timer):
             if timer is not None:
                 timer.cancel()
@@ -239,9 +239,9 @@
             believed=believed,
             clients=Lot.of(self.loop).held,
             parked=front.parked,
-            faults=front.faults,
-            turned_away=front.turned_away,
-            deaf=front.deaf,
+            faults=front.protocol_errors,
+            turned_away=front.rejected_connections,
+            deaf=front.unresponsive,
             displaced=Lot.of(self.loop).displaced,
             opened=hosts.opened,
             reused=hosts.reused,
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -284,7 +284,7 @@
     client.ask(1)
     made.process.stop()
     made.process.shut()
-    assert front.held  # neither connection nor end: one may wait
+    assert front.connection_count  # neither connection nor end: one may wait
     for _ in range(40):
         made.passes(5 * MILLI)
     assert len(client.answers) == 1 and front.listener.sock.fileno() < 0
@@ -295,12 +295,12 @@
     front = made.process.front
     front.listener.sock = FailingAccept(front.listener.sock, *[errno.EMFILE] * 99)
     front.stop()
-    timer = front.drainer
+    timer = front.drain_timer
     assert timer.call is not None
     front.close()
     assert (
         timer.call is None
-        and front.drainer is None
+        and front.drain_timer is None
         and front.listener.sock.fileno() < 0
         and front.listener.resting is None
     )
@@ -459,11 +459,11 @@
     client = made.client()
     client.message({"jsonrpc": "2.0", "id": 1, "method": "ping"})
     made.until(lambda: client.answers)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     link.stream.sock = FailingSocket(link.stream.sock)
     link.stream.sock.fail("recv", *[errno.ENOMEM] * 6)
     made.process.front.stop()
     assert not link.closing
     for _ in range(5):
         made.passes(50 * MILLI)
-    assert client.ended and not made.process.front.links
+    assert client.ended and not made.process.front.connections
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -361,4 +361,4 @@
     assert not client.answers
     made.hosts[0].serve(*held[1])
     made.until(lambda: client.answers)
-    assert client.answers[0]["result"]["arg"] == "bmV3" and not made.process.front.marks
+    assert client.answers[0]["result"]["arg"] == "bmV3" and not made.process.front.open_request_ids
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -13,7 +13,7 @@
 from gaproute.faultinjection.play.runner import play
 from gaproute.faultinjection.play.scene import EPOCH
 from gaproute.faultinjection.play.traffic import Conditions
-from gaproute.fronts.jsonrpc.front import Front
+from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts import proof
 from gaproute.interface import Result
 from gaproute.loop import Listener, Loop, Stream, connecting, unread
@@ -150,7 +150,7 @@
 
 
 def request_of_a_broken_connection_kept(patch):
-    patch.setattr(Front, "left", lambda front, key, mark: None)
+    patch.setattr(JsonRpcFront, "client_left", lambda front, key, mark: None)
 
 
 def final_answer_sent_late(patch):
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -176,18 +176,18 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: held)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     link.stream.pause()
     client.message(abort(id=1))
     made.turns()
     made.clock.now += LONG
     made.hosts[0].say(*held[0], "overload")
     made.turns()
-    assert made.came() == 1 and not made.process.core.held and not link.open
+    assert made.came() == 1 and not made.process.core.held and not link.open_requests
     client.ask(2)
     link.stream.resume()
     made.until(lambda: client.answers)
-    assert client.answers[0]["id"] == 2 and made.came() == 2 and made.process.front.faults == 0
+    assert client.answers[0]["id"] == 2 and made.came() == 2 and made.process.front.protocol_errors == 0
 
 
 # What has begun to be written and has not come whole
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -11,8 +11,8 @@
 
 from gaproute.decisions.admission.admission import SHORT
 from gaproute.decisions.connections.pooling import OWN
+from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.fronts.jsonrpc import link as links
 from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
 from gaproute.loop import connect
 from gaproute.loop.connecting import DIAL_FIRST
@@ -25,11 +25,11 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: made.came())
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     link.stream.pause()
     half_close(client.stream)
     made.until(lambda: not made.process.core.held)
-    assert not made.process.front.links and not made.process.front.marks
+    assert not made.process.front.connections and not made.process.front.open_request_ids
 
 
 def test_connections_that_say_farewell_count_and_make_room_in_a_full_house(gate):
@@ -64,9 +64,9 @@
         made.until(lambda: made.process.front.parked)
     client.ask(2)
     half_close(client.stream)
-    made.until(lambda: not made.process.front.held)
+    made.until(lambda: not made.process.front.connection_count)
     made.turns()
-    assert made.came() == at_work == made.process.core.count and not made.process.front.marks
+    assert made.came() == at_work == made.process.core.count and not made.process.front.open_request_ids
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,7 @@
     made.until(lambda: len(client.answers) == len(answered))
     made.turns()
     assert sorted(each["id"] for each in client.answers) == answered and made.came() == 1 + relayed
-    assert made.process.front.faults == 0 and not made.process.core.held
+    assert made.process.front.protocol_errors == 0 and not made.process.core.held
 
 
 def test_an_abort_reaches_no_request_of_another_connection_and_a_second_one_nothing(gate):
@@ -145,27 +145,33 @@
         flood()
         spoil()
         made.turns(2)
-        heaviest = max([heaviest, *[link.weight() for link in made.process.front.links]])
+        heaviest = max([heaviest, *[link.buffered_bytes() for link in made.process.front.connections]])
     served = made.client()
     served.ask(1)
     made.until(lambda: served.answers)
     front = made.process.front
-    assert "result" in served.answers[0] and heaviest < 3 * links.UNTAKEN and front.faults == links.FAULTS
-    made.passes(fronts.FIRST_WORD + 100 * MILLI)  # who said nothing, and who takes nothing, is gone
-    made.passes(fronts.SWEEP)
-    assert all(client.ended for client in silent) and front.deaf == 1 and front.held <= 1
+    assert (
+        "result" in served.answers[0]
+        and heaviest < 3 * connections.MAX_UNTAKEN
+        and front.protocol_errors == connections.MAX_PROTOCOL_ERRORS
+    )
+    made.passes(
+        fronts.FIRST_MESSAGE_TIMEOUT + 100 * MILLI
+    )  # who said nothing, and who takes nothing, is gone
+    made.passes(fronts.SWEEP_INTERVAL)
+    assert all(client.ended for client in silent) and front.unresponsive == 1 and front.connection_count <= 1
     pings.close()
     bad.close()
 
 
 def test_what_all_clients_together_may_hold_is_bounded_and_the_heaviest_goes_first(gate, monkeypatch):
-    monkeypatch.setattr(fronts, "WEIGHT", 60_000)
+    monkeypatch.setattr(fronts, "MAX_BUFFERED", 60_000)
     made = gate(clock=Handed())
     clients = [made.client() for _ in range(3)]
     for client, size in zip(clients, (10_000, 40_000, 20_000), strict=True):
         client.send(b"Content-Length: 45000\r\n\r\n" + b"x" * size)
-    made.until(lambda: sum(link.weight() for link in made.process.front.links) == 70_000)
-    made.passes(fronts.SWEEP)
+    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.connections) == 70_000)
+    made.passes(fronts.SWEEP_INTERVAL)
     assert [client.ended for client in clients] == [False, True, False]
 
 
@@ -174,12 +180,16 @@
     spoilt, half = made.client(), made.client()
     for client in (spoilt, half):
         client.send(b"Content-Length: 50\r\n\r\nhalf")
-    made.until(lambda: len(made.process.front.links) == 2)
-    first, look = next(iter(made.process.front.links)), links.Link.look
-    monkeypatch.setattr(links.Link, "look", lambda link, now: 1 / 0 if link is first else look(link, now))
-    made.passes(links.PROGRESS)
-    made.passes(fronts.SWEEP)
-    assert spoilt.ended + half.ended == 1 and made.process.front.held == 1
+    made.until(lambda: len(made.process.front.connections) == 2)
+    first, look = next(iter(made.process.front.connections)), connections.ClientConnection.check_progress
+    monkeypatch.setattr(
+        connections.ClientConnection,
+        "check_progress",
+        lambda link, now: 1 / 0 if link is first else look(link, now),
+    )
+    made.passes(connections.PROGRESS_TIMEOUT)
+    made.passes(fronts.SWEEP_INTERVAL)
+    assert spoilt.ended + half.ended == 1 and made.process.front.connection_count == 1
     made.loop.running = True
     monkeypatch.setattr(made.process.front, "stop", lambda: 1 / 0)
     made.process.stop()
@@ -244,18 +254,20 @@
 
 
 def test_what_only_waits_to_be_taken_gets_no_more_time_than_is_granted(gate, monkeypatch):
-    monkeypatch.setattr(links.Link, "look", lambda link, now: None)  # no deaf client's end before
+    monkeypatch.setattr(
+        connections.ClientConnection, "check_progress", lambda link, now: None
+    )  # no deaf client's end before
     made = gate(clock=Handed())
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     ended = stopped(made)
     monkeypatch.setattr(link.stream.__class__, "_send", lambda stream, data: 0)
     link.stream.out, link.stream.waiting = [b"x"], 1  # as where the client's window is shut
     made.passes(MILLI)
     made.passes(made.process.granted - made.loop.now() - MILLI)
-    assert not ended() and made.process.front.held == 1
+    assert not ended() and made.process.front.connection_count == 1
     made.passes(MILLI)
     assert ended() and made.process.granted < made.loop.now() + SECOND
 
@@ -264,7 +276,7 @@
     made = gate(clock=Handed())
     whole, never = made.client(), made.client()
     for client in (whole, never):
-        client.ask(1, i=f"{len(made.process.front.links) + 1:016x}")
+        client.ask(1, i=f"{len(made.process.front.connections) + 1:016x}")
         made.until(lambda client=client: client.answers)
     ended = stopped(made)
     made.passes(MILLI)
@@ -272,14 +284,14 @@
     said = spoken(whole, 2)
     whole.send(said[:40])
     never.send(said[:40])
-    made.until(lambda: sum(link.reader.midway for link in made.process.front.links) == 2)
+    made.until(lambda: sum(link.reader.mid_message for link in made.process.front.connections) == 2)
     at_closing(made)
     assert not ended()
     whole.send(said[40:])
     made.turns()
     assert whole.answers[1]["error"]["code"] == REFUSED and whole.ended and not never.ended
     made.passes(made.process.granted - made.loop.now())
-    assert ended() and made.process.front.held == 1
+    assert ended() and made.process.front.connection_count == 1
     made.process.front.close()
     made.until(lambda: never.ended)
 
@@ -334,12 +346,12 @@
     if not open_before:
         made.hosts[0].serve(*held[0])
         made.until(lambda: client.answers)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     client.ask(2)  # in the gateway's socket, not read by it
     made.process.front.stop()
     if open_before:
-        link.open.clear()  # as where the first is answered in this very turn
-        link.settled()
+        link.open_requests.clear()  # as where the first is answered in this very turn
+        link.close_if_finished()
     made.until(lambda: client.ended)
     assert client.answers[-1]["id"] == 2 and client.answers[-1]["error"]["code"] == REFUSED
 
--- a/tests/fronts/test_messages.py
+++ b/tests/fronts/test_messages.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from gaproute.fronts.jsonrpc import messages
-from gaproute.fronts.jsonrpc.messages import Fault
+from gaproute.fronts.jsonrpc.messages import ProtocolError
 
 GOOD = {
     "i": "9b1f03aa5c7e2d41",
@@ -27,7 +27,7 @@
     data = messages.framed(b'{"a":1}') + messages.framed(b"[2]")
     reader = messages.Reader()
     bodies = [body for at in range(0, len(data), cut) for body in reader.feed(data[at : at + cut])]
-    assert bodies == [b'{"a":1}', b"[2]"] and not reader.midway
+    assert bodies == [b'{"a":1}', b"[2]"] and not reader.mid_message
 
 
 @pytest.mark.parametrize(
@@ -46,13 +46,13 @@
     ],
 )
 def test_an_unreadable_head_is_a_fault_at_once(head):
-    with pytest.raises(Fault) as wrong:
+    with pytest.raises(ProtocolError) as wrong:
         messages.Reader().feed(head + b"\r\n\r\nbody")
     assert wrong.value.code == messages.UNREADABLE
 
 
 def test_whole_messages_before_a_fault_are_not_lost():
-    with pytest.raises(Fault) as wrong:
+    with pytest.raises(ProtocolError) as wrong:
         messages.Reader().feed(messages.framed(b"{}") + b"Content-Length: -1\r\n\r\n")
     assert wrong.value.bodies == [b"{}"]
 
@@ -91,7 +91,7 @@
     ],
 )
 def test_figures_that_cannot_be_are_refused_by_name(told):
-    with pytest.raises(Fault) as wrong:
+    with pytest.raises(ProtocolError) as wrong:
         asked(**told)
     assert wrong.value.code == messages.NO_PARAMS and wrong.value.number == 7
 
@@ -112,7 +112,7 @@
     ],
 )
 def test_what_is_no_request_is_told_so(body, code):
-    with pytest.raises(Fault) as wrong:
+    with pytest.raises(ProtocolError) as wrong:
         messages.envelope(body)
     assert wrong.value.code == code
 
@@ -135,7 +135,7 @@
         try:
             for body in reader.feed(piece):
                 messages.envelope(body)
-        except Fault:
+        except ProtocolError:
             return
         assert len(reader.buffer) <= messages.BODY + messages.HEAD + 200
 
@@ -145,6 +145,6 @@
     for read in (messages.envelope, lambda data: messages.request(1, "m", data, 10**9)):
         try:
             read(body)
-        except Fault:
+        except ProtocolError:
             pass
     messages.withdrawn(body)
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -4,9 +4,9 @@
 import pytest
 from scripted import MILLI, Handed
 
+from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.fronts.jsonrpc import link as links
-from gaproute.fronts.jsonrpc.front import OPEN
+from gaproute.fronts.jsonrpc.front import MAX_OPEN_REQUESTS
 from gaproute.fronts.jsonrpc.messages import FAILED, NO_PARAMS, NO_REQUEST, REFUSED, UNREADABLE
 from gaproute.loop.streams import Stream
 
@@ -41,7 +41,9 @@
 
 
 @pytest.mark.parametrize(
-    "bad, code", [(BAD, UNREADABLE), (EMPTY * links.FAULTS, NO_REQUEST)], ids=["unreadable", "many"]
+    "bad, code",
+    [(BAD, UNREADABLE), (EMPTY * connections.MAX_PROTOCOL_ERRORS, NO_REQUEST)],
+    ids=["unreadable", "many"],
 )
 def test_a_bad_message_leaves_those_before_it_their_answers_and_closes_after_the_last(gate, bad, code):
     made, held = holding(gate)
@@ -56,7 +58,7 @@
     made.passes(400 * MILLI)
     assert not client.ended and set(codes(client)[1]) == {code}
     made.hosts[0].serve(*held[1])
-    made.until(lambda: client.ended and not made.process.front.held)
+    made.until(lambda: client.ended and not made.process.front.connection_count)
     assert codes(client)[0] == {1: None, 2: None}
 
 
@@ -66,22 +68,22 @@
     said_in_one(
         client,
         lambda: client.ask(1),
-        lambda: client.send(EMPTY * (links.FAULTS + 5)),
+        lambda: client.send(EMPTY * (connections.MAX_PROTOCOL_ERRORS + 5)),
         lambda: client.ask(2),
         lambda: client.send(BAD),
     )
     made.until(lambda: client.ended)
     numbered, errors = codes(client)
-    assert numbered == {1: None, 2: None} and len(errors) == links.FAULTS
+    assert numbered == {1: None, 2: None} and len(errors) == connections.MAX_PROTOCOL_ERRORS
 
 
 def test_rejections_are_answers_and_no_faults_of_the_client(gate):
     made, held = holding(gate)
-    client, most = made.client(), OPEN + 2 * links.FAULTS
+    client, most = made.client(), MAX_OPEN_REQUESTS + 2 * connections.MAX_PROTOCOL_ERRORS
     for number in range(1, most + 1):
         client.ask(number)
-    made.until(lambda: len(client.answers) == most - OPEN)
-    assert set(codes(client)[0].values()) == {REFUSED} and made.process.front.faults == 0
+    made.until(lambda: len(client.answers) == most - MAX_OPEN_REQUESTS)
+    assert set(codes(client)[0].values()) == {REFUSED} and made.process.front.protocol_errors == 0
     for each in held:
         made.hosts[0].serve(*each)
     made.until(lambda: len(client.answers) == most)
@@ -98,8 +100,10 @@
 
 def test_an_error_of_the_gateway_over_one_request_is_told_and_spoils_no_other(gate, monkeypatch):
     made = gate(clock=Handed())
-    task = fronts.Front.task
-    monkeypatch.setattr(fronts.Front, "task", lambda *told: 1 / 0 if told[2] == 1 else task(*told))
+    task = fronts.JsonRpcFront.start_request
+    monkeypatch.setattr(
+        fronts.JsonRpcFront, "start_request", lambda *told: 1 / 0 if told[2] == 1 else task(*told)
+    )
     client = made.client()
     said_in_one(client, lambda: client.ask(1), lambda: client.ask(2))
     made.until(lambda: len(client.answers) == 2)
@@ -122,11 +126,11 @@
     client = made.client()
     first, rest = halves(client, 1)
     client.send(first)
-    made.until(lambda: made.process.front.links)
-    (link,) = made.process.front.links
-    made.clock.now += links.PROGRESS + MILLI
+    made.until(lambda: made.process.front.connections)
+    (link,) = made.process.front.connections
+    made.clock.now += connections.PROGRESS_TIMEOUT + MILLI
     client.send(rest)  # in the gateway's socket, not read by it
-    link.look(made.loop.now())
+    link.check_progress(made.loop.now())
     made.until(lambda: client.answers)
     assert codes(client)[0] == {1: None} and not client.ended
 
@@ -137,9 +141,9 @@
     client.ask(1, d=2900)
     made.until(lambda: held)
     client.send(halves(client, 2)[0])
-    made.until(lambda: next(iter(made.process.front.links)).reader.midway)
-    made.passes(links.PROGRESS + MILLI)
-    made.passes(fronts.SWEEP)
+    made.until(lambda: next(iter(made.process.front.connections)).reader.mid_message)
+    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    made.passes(fronts.SWEEP_INTERVAL)
     assert codes(client) == ({}, [UNREADABLE]) and not client.ended
     made.hosts[0].serve(*held[0])
     made.until(lambda: client.ended)
@@ -185,14 +189,14 @@
     client.ask(1, d=2900)
     client.ask(2, d=2900)
     made.until(lambda: len(held) == 2)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     reads = deaf(link, monkeypatch)
     made.hosts[0].serve(*held[0])
     made.until(lambda: link.stream.waiting)
-    made.passes(links.PROGRESS + MILLI)
-    made.passes(fronts.SWEEP)
+    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    made.passes(fronts.SWEEP_INTERVAL)
     made.hosts[0].serve(*held[1])
-    made.until(lambda: not link.open)
+    made.until(lambda: not link.open_requests)
     made.passes(700 * MILLI)
     assert not client.answers and not client.ended
     reads()
@@ -205,25 +209,25 @@
     client = made.client()
     client.ask(1, d=1000)
     made.until(lambda: client.answers)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     deaf(link, monkeypatch)
     client.ask(2, d=1000)
     made.until(lambda: link.stream.waiting)
-    made.passes(links.PROGRESS + MILLI)
-    made.passes(fronts.SWEEP)
-    assert client.ended and made.process.front.deaf == 1
+    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    made.passes(fronts.SWEEP_INTERVAL)
+    assert client.ended and made.process.front.unresponsive == 1
 
 
 def test_of_clients_that_hold_too_much_together_those_who_are_owed_nothing_go_first(gate, monkeypatch):
-    monkeypatch.setattr(fronts, "WEIGHT", 60_000)
+    monkeypatch.setattr(fronts, "MAX_BUFFERED", 60_000)
     made, held = holding(gate)
     clients = [made.client() for _ in range(2)]
     clients[0].ask(1)
     made.until(lambda: held)
     for client, size in zip(clients, (40_000, 30_000), strict=True):
         client.send(b"Content-Length: 45000\r\n\r\n" + b"x" * size)
-    made.until(lambda: sum(link.weight() for link in made.process.front.links) == 70_000)
-    made.passes(fronts.SWEEP)
+    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.connections) == 70_000)
+    made.passes(fronts.SWEEP_INTERVAL)
     assert [client.ended for client in clients] == [False, True]
     made.hosts[0].serve(*held[0])
     made.until(lambda: clients[0].answers)
--- a/tests/fronts/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -88,7 +88,7 @@
 
     lot._displace = all_have_spoken
     made.until(lambda: late.answers and all(client.answers for client in clients))
-    assert codes(late)[0] == {1: None} and made.process.front.turned_away == 0
+    assert codes(late)[0] == {1: None} and made.process.front.rejected_connections == 0
 
 
 def test_a_connection_whose_answers_are_on_their_way_makes_no_room(gate, monkeypatch):
@@ -96,7 +96,7 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     reads = deaf(link, monkeypatch)
     client.ask(2)
     made.until(lambda: link.stream.waiting)
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -7,7 +7,7 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Handed
 
-from gaproute.fronts.jsonrpc import link as client_links
+from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.hosts.jsonlines.link import WHOLE_WITHIN
 from gaproute.loop import unread
 from gaproute.loop.streams import address
@@ -57,12 +57,12 @@
 
 def test_a_request_that_lay_unread_as_its_client_takes_no_answers(gate, monkeypatch):
     """How old the bytes are that come in a pause is not known: they count from its begin."""
-    monkeypatch.setattr(client_links, "UNTAKEN", 10)
+    monkeypatch.setattr(connections, "MAX_UNTAKEN", 10)
     made = gate(clock=Handed())
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.connections
     clog = link.stream.sock = Clogged(link.stream.sock, 0)
     client.ask(2)
     made.until(lambda: link.stream.waiting)
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -122,7 +122,7 @@
     assert waits
     for client in clients:
         client.stream.abort()
-    made.until(lambda: not made.process.front.links or not made.process.front.marks)
+    made.until(lambda: not made.process.front.connections or not made.process.front.open_request_ids)
     for stream in made.hosts[0].streams:
         stream.resume()
     made.turns(200)
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -12,8 +12,8 @@
 
 from gaproute.benchlink import wire
 from gaproute.discovery.changelog import events
+from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.fronts.jsonrpc import link as links
 from gaproute.fronts.jsonrpc import messages
 from gaproute.loop.datagrams import Datagrams
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration
@@ -89,7 +89,7 @@
     client.send(data)
     made.until(lambda: client.ended)
     assert client.answers[0]["error"]["code"] == messages.UNREADABLE
-    made.until(lambda: not made.process.front.links)
+    made.until(lambda: not made.process.front.connections)
     assert made.process.front.lot.held == 0
 
 
@@ -131,7 +131,7 @@
     made.until(lambda: made.hosts[0].seen("halt"))
     made.until(lambda: not made.process.core.held)
     assert client.answers == []
-    assert not made.process.front.marks
+    assert not made.process.front.open_request_ids
 
 
 def test_a_client_that_goes_takes_its_requests_with_it(gate):
@@ -141,8 +141,8 @@
     made.until(lambda: made.came())
     client.stream.abort()
     made.until(lambda: not made.process.core.held)
-    assert not made.process.front.marks
-    assert not made.process.front.links
+    assert not made.process.front.open_request_ids
+    assert not made.process.front.connections
 
 
 def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
@@ -170,7 +170,7 @@
 
 def test_a_connection_that_sends_nothing_or_half_a_message_is_closed(gate, monkeypatch):
     monkeypatch.setattr(fronts, "FIRST_WORD", 30 * MILLI)
-    monkeypatch.setattr(links, "PROGRESS", 30 * MILLI)
+    monkeypatch.setattr(connections, "PROGRESS_TIMEOUT", 30 * MILLI)
     monkeypatch.setattr(fronts, "SWEEP", 10 * MILLI)
     made = gate()
     silent, half = made.client(), made.client()
@@ -180,7 +180,7 @@
 
 
 def test_resting_connections_make_room_and_those_at_work_stay(gate, monkeypatch):
-    monkeypatch.setattr(links, "QUIET", 0)
+    monkeypatch.setattr(connections, "QUIET_TIME", 0)
     monkeypatch.setattr(fronts, "SWEEP", 5 * MILLI)
     made = gate(sockets=90)
     made.process.front.lot.admission.spare = 0
@@ -207,7 +207,7 @@
         made.until(lambda: clients[-1].answers)
         end = made.loop.now() + 400 * MILLI // most
         made.until(lambda end=end: made.loop.now() >= end)
-    assert made.process.front.turned_away == 0
+    assert made.process.front.rejected_connections == 0
     assert made.process.front.lot.displaced >= most
 
 
@@ -227,7 +227,7 @@
     for each in held:
         made.hosts[0].serve(*each)
     made.until(lambda: all(client.answers for client in clients))
-    assert made.process.front.turned_away == 0
+    assert made.process.front.rejected_connections == 0
 
 
 def test_a_new_file_moves_the_log_and_a_bad_one_changes_nothing(gate):
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -148,13 +148,13 @@
     clients = [made.client() for _ in range(front.lot.admission.most)]
     for number, client in enumerate(clients):
         client.ask(1, i=f"{number:016x}")
-    made.until(lambda: len(front.links) == len(clients))
+    made.until(lambda: len(front.connections) == len(clients))
     late = made.client()
     late.ask(1, i="f" * 16)
     made.turns()
     assert not late.answers
     assert front.lot.held == front.lot.admission.most
-    front.shut()
+    front.stop_accepting()
     assert front.listener.sock.fileno() >= 0  # it waits for room, and is not reset
     front.stop()
     made.until(lambda: late.ended)
