--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -169,9 +169,9 @@
 
 
 def test_a_connection_that_sends_nothing_or_half_a_message_is_closed(gate, monkeypatch):
-    monkeypatch.setattr(fronts, "FIRST_WORD", 30 * MILLI)
+    monkeypatch.setattr(fronts, "FIRST_MESSAGE_TIMEOUT", 30 * MILLI)
     monkeypatch.setattr(connections, "PROGRESS_TIMEOUT", 30 * MILLI)
-    monkeypatch.setattr(fronts, "SWEEP", 10 * MILLI)
+    monkeypatch.setattr(fronts, "SWEEP_INTERVAL", 10 * MILLI)
     made = gate()
     silent, half = made.client(), made.client()
     half.send(b"Content-Length: 50\r\n\r\nhalf")
@@ -181,7 +181,7 @@
 
 def test_resting_connections_make_room_and_those_at_work_stay(gate, monkeypatch):
     monkeypatch.setattr(connections, "QUIET_TIME", 0)
-    monkeypatch.setattr(fronts, "SWEEP", 5 * MILLI)
+    monkeypatch.setattr(fronts, "SWEEP_INTERVAL", 5 * MILLI)
     made = gate(sockets=90)
     made.process.front.lot.admission.spare = 0
     most = made.process.front.lot.admission.most
