--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -79,7 +79,7 @@
 
     @property
     def held(self):
-        return self.server.held
+        return self.server.connection_count
 
     @property
     def idle(self):
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -57,7 +57,7 @@
     for _ in range(count):
 
         def handle(request):
-            request.link.server.answer(request, 200, headers, b"{}")
+            request.connection.server.answer(request, 200, headers, b"{}")
 
         servers.append(Server(loop, address("127.0.0.1:0"), handle, Limits(idle_time=idle_time)))
     print(json.dumps([server.address for server in servers]), flush=True)
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -88,7 +88,7 @@
         def came(answer, fault):
             times.append((loop.now() - at, answer is not None))
 
-        Exchange(loop, data, came).open((socket.AF_INET, ("127.0.0.1", port)), 10 * SECOND, 16384, 1 << 20)
+        Exchange(loop, data, came).connect((socket.AF_INET, ("127.0.0.1", port)), 10 * SECOND, 16384, 1 << 20)
 
     def arrivals():
         at, end = loop.now(), loop.now() + 6 * SECOND
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -22,7 +22,7 @@
 from rows import write
 
 from gaproute.decisions.routing import Gateway
-from gaproute.http1 import Exchange, Link, Server
+from gaproute.http1 import ClientConnection, Exchange, Server
 from gaproute.interface import Attempt, Wait
 from gaproute.loop import Loop, connect
 from gaproute.loop.streams import address
@@ -66,7 +66,7 @@
     for _ in range(count):
 
         def handle(request):
-            request.link.server.answer(request, 200, (metrics,), body)
+            request.connection.server.answer(request, 200, (metrics,), body)
 
         servers.append(Server(loop, address("127.0.0.1:0"), handle))
     print(json.dumps([server.address for server in servers]), flush=True)
@@ -99,7 +99,7 @@
                 send(link, loop.now())
 
         state["sent"] += 1
-        Exchange(loop, requests[state["sent"] % len(requests)], came).on(link)
+        Exchange(loop, requests[state["sent"] % len(requests)], came).send_on(link)
 
     def pace():
         at = loop.now()
@@ -114,7 +114,7 @@
                 state["bad"] += 1
 
     def ready(sock, error):
-        idle.append(Link(loop, sock, 65536, 1 << 20))
+        idle.append(ClientConnection(loop, sock, 65536, 1 << 20))
         if len(idle) == LINKS:
             state["begun"] = loop.now()
             state["end"] = loop.now() + round(seconds * SECOND)
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from math import ceil, sqrt
 
-from gaproute.http1 import Exchange, Link
+from gaproute.http1 import ClientConnection, Exchange
 from gaproute.loop import Loop, connect
 from gaproute.loop.streams import address
 
@@ -62,7 +62,7 @@
         def linked(sock, error):
             if error is not None:
                 raise OSError(error)
-            self.idle.append(Link(self.loop, sock, 65536, 1 << 20))
+            self.idle.append(ClientConnection(self.loop, sock, 65536, 1 << 20))
             if len(self.idle) == LINKS:
                 ready()
 
@@ -72,7 +72,7 @@
     def close(self):
         """Ends the connections that are idle; those at work end with the process."""
         while self.idle:
-            self.idle.pop().drop()
+            self.idle.pop().abort()
 
     def idle_link(self):
         """An idle connection that the gateway has not closed meanwhile, or None."""
@@ -80,7 +80,7 @@
             link = self.idle.pop()
             if link.open and link.stream.quiet():
                 return link
-            link.drop()
+            link.abort()
         return None
 
     def ask(self, meant):
@@ -112,7 +112,7 @@
         data = f"{head}Content-Length: {len(BODY)}\r\n\r\n{BODY}".encode()
         exchange = Exchange(self.loop, data, came)
         self.crowd.open[exchange] = function
-        exchange.on(link)
+        exchange.send_on(link)
 
     def pace(self):
         """Calls at the crowd's rate, by chance."""
@@ -162,7 +162,9 @@
         if self.error is not None:
             raise self.error
         for exchange, function in self.open.items():
-            self.fail(function, f"no answer, its connection {'open' if exchange.link.open else 'ended'}")
+            self.fail(
+                function, f"no answer, its connection {'open' if exchange.connection.open else 'ended'}"
+            )
         times = sorted(self.times)
         return {
             "calls": len(times),
--- a/gaproute/cluster/asking.py
+++ b/gaproute/cluster/asking.py
@@ -25,14 +25,14 @@
         if answer is None:
             promise.set(LOST)
             return
-        exchange.link.drop()
+        exchange.connection.abort()
         promise.set(msgspec.json.decode(answer.body))
 
     def late():
-        if not exchange.over:
-            exchange.drop()
+        if not exchange.finished:
+            exchange.cancel()
             promise.set(SILENT)
 
     exchange = Exchange(loop, head.encode() + body, came)
     timer = loop.after(ANSWER, late)
-    return exchange.open(address(where), CONNECT, HEAD, BODY) and promise
+    return exchange.connect(address(where), CONNECT, HEAD, BODY) and promise
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -192,7 +192,7 @@
         del front.connections[self]
         front.parked += 1
         due = front.lot.admission.idle_end(front.loop.now(), IDLE_TIMEOUT)
-        front.lot.park(self.stream.release(), front.number, due, self.place, self.tasks, True)
+        front.lot.park(self.stream.release(), front.owner_number, due, self.place, self.tasks, True)
 
     def close_if_finished(self):
         """A request is answered: one that ends closes after the last. At a stop each does, and not before
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -55,7 +55,7 @@
         self.lot = Lot.of(loop)
         self.listener = Listener(loop, where, None, on_ready=self._ready)  # first: it may fail
         self.address = self.listener.address
-        self.number = self.lot.open(self)
+        self.owner_number = self.lot.open(self)
         self.sweeper = loop.after(SWEEP_INTERVAL, self._sweep)
 
     def _ready(self):
@@ -70,7 +70,9 @@
             sock.close()
             return
         self.parked += 1
-        self.lot.park(sock.detach(), self.number, self.loop.now() + FIRST_MESSAGE_TIMEOUT, place, 0, False)
+        self.lot.park(
+            sock.detach(), self.owner_number, self.loop.now() + FIRST_MESSAGE_TIMEOUT, place, 0, False
+        )
 
     def woken(self, fd, data, place, tasks):
         """A parked connection spoke."""
@@ -216,7 +218,7 @@
             return
         self.stopping = True
         self._cancel_drain()
-        self.lot.close(self.number)
+        self.lot.close(self.owner_number)
         self._take_in()
         for link in list(self.connections):
             link.close_if_finished()
@@ -229,7 +231,7 @@
             self.drain_timer = self.loop.after(DRAIN_AGAIN, self._take_in)
             return
         self.listener.close()
-        self.lot.close(self.number)
+        self.lot.close(self.owner_number)
         self.check_emptied()
 
     def _cancel_drain(self):
@@ -242,7 +244,7 @@
         self._cancel_drain()
         self.listener.close()
         self.sweeper.cancel()
-        self.lot.close(self.number, True)
+        self.lot.close(self.owner_number, True)
         for link in list(self.connections):
             if link.closing:
                 link.stream.part()  # its last words are with the kernel
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -156,7 +156,7 @@
             tenant = self.tenants.get(named.decode("latin-1"))
             if tenant is None:
                 raise RequestError(400, "unknown Gaproute-Tenant")
-        if request.departed:
+        if request.client_closed:
             self.answer_half_closed(request)
             return
         call = self.call(request, model, version)
@@ -172,9 +172,9 @@
             self.answer_half_closed(request)
 
         key = self.core.take(
-            call, track, tenant, model.lanes, model.load, request.arrived, limit - self.way_back, finish
+            call, track, tenant, model.lanes, model.load, request.arrived_at, limit - self.way_back, finish
         )
-        request.left = gone
+        request.on_client_left = gone
 
     def answer_half_closed(self, request):
         """The answer for one that has closed its side and may still read."""
@@ -194,7 +194,7 @@
             tuple((name, headers[name]) for name in PASSED if name in headers),
             request.body,
             tenant=headers.get(b"gaproute-tenant", b""),
-            client_present=request.link.client_present,
+            client_present=request.connection.client_present,
         )
 
     def answer(self, request, final, status, fields, body):
@@ -232,15 +232,15 @@
     @property
     def connection_count(self):
         """Connections of clients, at work and parked."""
-        return self.server.held
+        return self.server.connection_count
 
     def end_queue_sharing(self):
         """No other process accepts from the same queue any more: what waits there at the stop is taken in."""
-        self.server.shared = False
+        self.server.shares_queue = False
 
     def notify_when_emptied(self, callback):
         """`callback()` when the last connection is closed after a stop."""
-        self.server.emptied = callback
+        self.server.on_emptied = callback
 
     def stop(self, grace):
         """Accepts no more; `grace` as of `Server.stop`."""
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/fleet.py
@@ -53,12 +53,12 @@
 
     @property
     def begun(self):
-        return self.exchange.link is not None
+        return self.exchange.connection is not None
 
     @property
     def withdrawable(self):
         """Whether it is taken back, though begun, where nobody waits for it any more."""
-        return self.forwards or not self.exchange.delivered
+        return self.forwards or not self.exchange.all_bytes_sent
 
     def give_up(self):
         self.hosts.give_up(self.host, self.exchange)
@@ -93,7 +93,7 @@
                 continue
             self.rest(host)
             for exchange in list(host.unsent):
-                exchange.abandon("the host drains or is gone")
+                exchange.fail_if_unsent("the host drains or is gone")
             host.unsent.clear()
             if complete and not host.open and host.name not in named:
                 del self.hosts[host.name]
@@ -101,7 +101,7 @@
 
     def rest(self, host):
         for link in host.idle:
-            link.drop()
+            link.abort()
             host.open.discard(link)
         host.idle = []
 
@@ -117,7 +117,7 @@
 
         def came(answer, undelivered):
             host.unsent.pop(exchange, None)
-            used = exchange.link
+            used = exchange.connection
             if used is not None:
                 if used.open:
                     used.on_idle_end = lambda link: self.idle_ended(host, link)
@@ -126,9 +126,9 @@
                     host.open.discard(used)
             if (
                 undelivered is not None
-                and undelivered.handed
+                and undelivered.any_byte_sent
                 and link is not None
-                and self.loop.now() - exchange.started < SECOND
+                and self.loop.now() - exchange.started_at < SECOND
             ):
                 self.raced += 1  # perhaps closed by the host just as it was used
             done(answer, undelivered)
@@ -136,7 +136,7 @@
         exchange = Exchange(self.loop, data, came, until, wanted)
         if link is not None:
             self.reused += 1
-            return exchange.on(link)
+            return exchange.send_on(link)
         if len(host.open) >= self.reach.connections:
             return None
         self.opened += 1
@@ -146,7 +146,7 @@
             host.open.add(link)
 
         host.unsent[exchange] = None
-        return exchange.open(
+        return exchange.connect(
             host.where, self.reach.connect_time, self.reach.head_limit, self.reach.answer_limit, linked
         )
 
@@ -154,8 +154,8 @@
         """The kept connection that rested least, where it may be used and shows no sign of an end."""
         while host.idle:
             link = host.idle[-1]
-            rested = now - link.used
-            if rested > self.pooling.safe_rest(now, host.name, effect, link.told_idle):
+            rested = now - link.last_used
+            if rested > self.pooling.safe_rest(now, host.name, effect, link.keep_alive_timeout):
                 return None
             host.idle.pop()
             link.on_idle_end = None
@@ -163,7 +163,7 @@
                 effect is Idempotency.IDEMPOTENT or link.stream.quiet()
             ):  # a pure one may go again; spares a system call
                 return link
-            link.drop()
+            link.abort()
             host.open.discard(link)
             self.pooling.closed(now, host.name, rested)
         return None
@@ -172,7 +172,7 @@
         if link in host.idle:
             host.idle.remove(link)
         host.open.discard(link)
-        self.pooling.closed(self.loop.now(), host.name, self.loop.now() - link.used)
+        self.pooling.closed(self.loop.now(), host.name, self.loop.now() - link.last_used)
 
     def sweep(self):
         """Connections that rested too long for any task are closed from this side, before the host does."""
@@ -180,21 +180,21 @@
         for host in self.hosts.values():
             keep = []
             for link in host.idle:
-                if now - link.used <= self.pooling.safe_rest(
-                    now, host.name, Idempotency.IDEMPOTENT, link.told_idle
+                if now - link.last_used <= self.pooling.safe_rest(
+                    now, host.name, Idempotency.IDEMPOTENT, link.keep_alive_timeout
                 ):
                     keep.append(link)
                 else:
-                    link.drop()
+                    link.abort()
                     host.open.discard(link)
             host.idle = keep
         self.sweeper = self.loop.after(SECOND, self.sweep)
 
     def give_up(self, host, exchange):
-        exchange.drop()
+        exchange.cancel()
         host.unsent.pop(exchange, None)
-        if exchange.link is not None:
-            host.open.discard(exchange.link)
+        if exchange.connection is not None:
+            host.open.discard(exchange.connection)
 
     # What the core wishes
 
@@ -277,6 +277,6 @@
         self.sweeper.cancel()
         for host in self.hosts.values():
             for link in list(host.open):
-                link.drop()
+                link.abort()
             host.open.clear()
             host.idle = []
--- a/gaproute/hosts/proof.py
+++ b/gaproute/hosts/proof.py
@@ -39,7 +39,7 @@
 
 def of_undelivered(undelivered):
     """As `of_end`, of a request for which no full answer came."""
-    return of_end(undelivered.handed, undelivered.error, False)
+    return of_end(undelivered.any_byte_sent, undelivered.error, False)
 
 
 def of_failure(handed):
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -1,17 +1,17 @@
 """The client side of HTTP/1.1: one exchange at a time on a kept connection; says what a failure proves."""
 
-from gaproute.http1.message import Fault, Reader
+from gaproute.http1.message import HttpError, Reader
 from gaproute.loop import Stream, connect
 
 
-class Undelivered(Exception):
-    """No full answer came. `handed` is whether the kernel took any byte of the request: if not, it never
-    ran. `error`: what the dial or the connection ended with, where it was an error."""
+class NoResponseError(Exception):
+    """No full answer came. `any_byte_sent` is whether the kernel took any byte of the request: if not, it
+    never ran. `error`: what the dial or the connection ended with, where it was an error."""
 
-    def __init__(self, handed, connected, text, error=None, *, lapsed=False):
+    def __init__(self, any_byte_sent, connected, text, error=None, *, lapsed=False):
         """`lapsed`: it was not to begin any more, which is no fault of the other side."""
         super().__init__(text)
-        self.handed, self.connected, self.error, self.lapsed = handed, connected, error, lapsed
+        self.any_byte_sent, self.connected, self.error, self.lapsed = any_byte_sent, connected, error, lapsed
 
     @property
     def reset(self):
@@ -19,7 +19,7 @@
         return isinstance(self.error, (ConnectionResetError, BrokenPipeError))
 
 
-class Link:
+class ClientConnection:
     """A kept connection to one server. Idle ones notice when the other side closes."""
 
     __slots__ = (
@@ -28,21 +28,22 @@
         "reader",
         "exchange",
         "mark",
-        "used",
+        "last_used",
         "on_idle_end",
-        "served",
-        "told_idle",
-        "stray",
+        "responses",
+        "keep_alive_timeout",
+        "unrequested_response",
     )
 
     def __init__(self, loop, sock, head_limit, body_limit):
         self.loop = loop
         self.reader = Reader(False, loop.clock, head_limit, body_limit)
         self.stream = Stream(loop, sock, self._bytes, self._end)
-        self.exchange, self.mark, self.used = None, 0, loop.now()
+        self.exchange, self.mark, self.last_used = None, 0, loop.now()
         self.on_idle_end = None
-        self.served, self.stray = 0, False  # stray: an answer came that nobody asked for
-        self.told_idle = None  # how long the server said it keeps an idle connection, ns
+        self.responses = 0
+        self.unrequested_response = False  # an answer came that nobody asked for
+        self.keep_alive_timeout = None  # how long the server said it keeps an idle connection, ns
 
     @property
     def open(self):
@@ -55,13 +56,13 @@
             self.loop.soon(self._fail, "the connection takes no bytes")
 
     @property
-    def handed(self):
+    def any_byte_sent(self):
         return self.stream.handed > self.mark
 
     def _bytes(self, data):
         try:
             done = self.reader.feed(data)
-        except Fault as fault:
+        except HttpError as fault:
             self._fail(f"the answer breaks the protocol: {fault.text}")
             return
         for answer in done:
@@ -72,15 +73,15 @@
                 return
             exchange, self.exchange = self.exchange, None
             if exchange is None:
-                self.stray = True
+                self.unrequested_response = True
                 self._fail("an answer that nobody asked for")
                 return
-            self.used = self.loop.now()
-            self.served += 1
-            self.told_idle = _told(answer.headers.get(b"keep-alive"))
-            if not answer.keep_alive or self.reader.midway or self.stream.waiting:
+            self.last_used = self.loop.now()
+            self.responses += 1
+            self.keep_alive_timeout = _told(answer.headers.get(b"keep-alive"))
+            if not answer.keep_alive or self.reader.mid_message or self.stream.waiting:
                 self.stream.close()
-            exchange.settle(answer, None)
+            exchange.finish(answer, None)
 
     def reader_framed(self, answer):
         return (
@@ -94,14 +95,14 @@
 
     def _fail(self, text, error=None):
         exchange, self.exchange = self.exchange, None
-        handed = self.handed
+        any_byte_sent = self.any_byte_sent
         self.stream.abort()
         if exchange is not None:
-            exchange.settle(None, Undelivered(handed, True, text, error))
+            exchange.finish(None, NoResponseError(any_byte_sent, True, text, error))
         elif self.on_idle_end is not None:
             self.on_idle_end(self)
 
-    def drop(self):
+    def abort(self):
         """Ends the connection and whatever is on its way; nothing is called."""
         self.exchange = None
         self.stream.abort()
@@ -120,37 +121,56 @@
     """One request on a link that exists or is opened for it; `done(answer, undelivered)` once, never at
     once."""
 
-    __slots__ = ("loop", "data", "done", "link", "on_link", "_give_up", "started", "over", "until", "wanted")
+    __slots__ = (
+        "loop",
+        "data",
+        "done",
+        "connection",
+        "on_link",
+        "_give_up",
+        "started_at",
+        "finished",
+        "start_before",
+        "still_wanted",
+    )
 
-    def __init__(self, loop, data, done, until=None, wanted=None):
-        """`data`: the request's bytes, or a call(now) that makes them as they are handed over; `until`: when
-        it may begin at the latest, `wanted()`: whether it still may; a connection that stands later is not
-        used for it, and it has `lapsed`."""
-        self.loop, self.data, self.done, self.until, self.wanted = loop, data, done, until, wanted
-        self.link = self._give_up = self.on_link = None
-        self.started, self.over = loop.now(), False
+    def __init__(self, loop, data, done, start_before=None, still_wanted=None):
+        """`data`: the request's bytes, or a call(now) that makes them as they are handed over;
+        `start_before`: when it may begin at the latest, `still_wanted()`: whether it still may; a connection
+        that stands later is not used for it, and it has `lapsed`."""
+        self.loop, self.data, self.done, self.start_before, self.still_wanted = (
+            loop,
+            data,
+            done,
+            start_before,
+            still_wanted,
+        )
+        self.connection = self._give_up = self.on_link = None
+        self.started_at, self.finished = loop.now(), False
 
-    def on(self, link):
-        self.link = link
+    def send_on(self, link):
+        self.connection = link
         link.send(self, self.data(self.loop.now()) if callable(self.data) else self.data)
         return self
 
-    def open(self, where, within, head_limit, body_limit, on_link=None):
+    def connect(self, where, within, head_limit, body_limit, on_link=None):
         """Connects first; `on_link(link)` when that has come about."""
 
         def connected(sock, error):
             self._give_up = None
             if error is None and self.lapsed:
                 sock.close()
-                self.settle(None, Undelivered(False, False, "the connection came up too late", lapsed=True))
+                self.finish(
+                    None, NoResponseError(False, False, "the connection came up too late", lapsed=True)
+                )
                 return
             if error is not None:
-                self.settle(None, Undelivered(False, False, f"no connection: {error}", error))
+                self.finish(None, NoResponseError(False, False, f"no connection: {error}", error))
                 return
-            link = Link(self.loop, sock, head_limit, body_limit)
+            link = ClientConnection(self.loop, sock, head_limit, body_limit)
             if on_link is not None:
                 on_link(link)
-            self.on(link)
+            self.send_on(link)
 
         self._give_up = connect(self.loop, where, within, connected)
         return self
@@ -158,42 +178,42 @@
     @property
     def lapsed(self):
         """Whether it may no longer begin."""
-        if self.until is not None and self.loop.now() >= self.until:
+        if self.start_before is not None and self.loop.now() >= self.start_before:
             return True
-        return self.wanted is not None and not self.wanted()
+        return self.still_wanted is not None and not self.still_wanted()
 
     @property
-    def handed(self):
+    def any_byte_sent(self):
         """Whether the kernel has taken any byte of the request."""
-        return self.link is not None and self.link.handed
+        return self.connection is not None and self.connection.any_byte_sent
 
     @property
-    def delivered(self):
+    def all_bytes_sent(self):
         """Whether the kernel has taken all of the request."""
-        return self.link is not None and not self.link.stream.waiting
+        return self.connection is not None and not self.connection.stream.waiting
 
-    def settle(self, answer, undelivered):
-        if not self.over:
-            self.over = True
+    def finish(self, answer, undelivered):
+        if not self.finished:
+            self.finished = True
             # a closure that holds this exchange: no cycle is left behind
             done, self.done = self.done, None
             done(answer, undelivered)
 
-    def abandon(self, text):
+    def fail_if_unsent(self, text):
         """Ends an exchange that still waits for its connection: it fails soon, and never ran."""
         if self._give_up is not None:
             self._give_up()
             self._give_up = None
-            self.loop.soon(self.settle, None, Undelivered(False, False, text))
+            self.loop.soon(self.finish, None, NoResponseError(False, False, text))
 
-    def drop(self):
+    def cancel(self):
         """Gives up: the connection is ended, `done` is not called. Returns whether any byte was handed
         over."""
-        handed = self.handed
-        self.over, self.done = True, None
+        any_byte_sent = self.any_byte_sent
+        self.finished, self.done = True, None
         if self._give_up is not None:
             self._give_up()
             self._give_up = None
-        elif self.link is not None and self.link.exchange is self:
-            self.link.drop()
-        return handed
+        elif self.connection is not None and self.connection.exchange is self:
+            self.connection.abort()
+        return any_byte_sent
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -6,45 +6,45 @@
 handed over as `departed`: the handler answers it and begins nothing for it.
 """
 
-from gaproute.http1.deadlines import DeadlineLink
-from gaproute.http1.message import Fault, Reader
+from gaproute.http1.deadlines import DeadlineConnection
+from gaproute.http1.message import HttpError, Reader
 from gaproute.http1.rendering import render
 from gaproute.loop import Stream
 from gaproute.loop.streams import FRESH, HIGH
 
 
-class ServerLink(DeadlineLink):
+class ServerConnection(DeadlineConnection):
     """A connection at work, from its first byte until it has been quiet for a while."""
 
-    __slots__ = ("ended", "place", "tasks", "weight", "looked", "waited")
+    __slots__ = ("ended", "place", "tasks", "buffered_bytes", "looked", "waited")
 
     def __init__(self, server, sock, place, tasks):
         self.server, self.place, self.tasks, self.idle_end = server, place, tasks, None
         self.resting = False  # in the server's line of those that may soon be parked
         self.looked = 0  # when the client was last seen not to have closed
-        self.weight = 0  # bytes held of a request that has not come in whole
+        self.buffered_bytes = 0  # bytes held of a request that has not come in whole
         self.waited = 0  # how long what is read may have lain unread, ns: requests count from when they came
         self.reader = Reader(
             True, lambda: server.loop.now() - self.waited, server.limits.head, server.limits.body
         )
         self.queue = []  # [request, rendered answer or None], in the order of the requests
         self.closing = self.ended = False
-        self.stream = Stream(server.loop, sock, self.bytes, self._end, hangup_first=True)
+        self.stream = Stream(server.loop, sock, self.receive, self._end, hangup_first=True)
         self.stream.on_half, self.stream.on_room = self._half, self._room
         self.timer = self.due = None
 
-    def bytes(self, data):
+    def receive(self, data):
         """Feeds received bytes to the parser and hands over the requests that they complete."""
         if self.closing:
             return
         self.waited = max(self.server.loop.behind, self.stream.waited())
         try:
             requests = self.reader.feed(data)
-        except Fault as fault:
+        except HttpError as fault:
             self._refuse(fault)
             return
         self._take_all(requests)
-        self._weigh(self.reader.size if self.reader.midway else 0)
+        self._weigh(self.reader.size if self.reader.mid_message else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
             if not self.queue:  # one that pipelines behind an answer still owed waits for it anyway
@@ -69,10 +69,10 @@
 
     def _weigh(self, weight):
         server = self.server
-        server.buffered += weight - self.weight
-        self.weight = weight
-        if server.buffered > server.limits.buffered:
-            server.lighten()
+        server.buffered_bytes += weight - self.buffered_bytes
+        self.buffered_bytes = weight
+        if server.buffered_bytes > server.limits.buffered:
+            server.enforce_memory_limit()
 
     def _crowded(self):
         """Whether nothing more is read: enough is in hand, or the client does not take its answers."""
@@ -89,25 +89,27 @@
         server = self.server
         if server.loop.now() >= self.idle_end or not self.stream.open or server.stopping:
             self.stream.look()
-            if not self.queue and not self.reader.midway:
-                self._shut()
+            if not self.queue and not self.reader.mid_message:
+                self.close_gracefully()
             return
         self._clear_deadline()
-        server.links.discard(self)
+        server.connections.discard(self)
         server.parked += 1
-        server.lot.park(self.stream.release(), server.number, self.idle_end, self.place, self.tasks, True)
+        server.lot.park(
+            self.stream.release(), server.owner_number, self.idle_end, self.place, self.tasks, True
+        )
 
-    def shed(self):
+    def refuse_unfinished(self):
         """Refuses the unfinished request, to free the memory that it takes up."""
         self._weigh(0)
-        self._refuse(Fault(408, "too much is coming in, and this request takes longest"))
+        self._refuse(HttpError(408, "too much is coming in, and this request takes longest"))
 
     def _refuse(self, fault):
         """Answers what cannot be read and closes; what was whole before it is answered first."""
-        self.server.faults += 1
+        self.server.protocol_errors += 1
         self._take_all(self.reader.done)
         self.reader.done = []
-        headers, body = self.server.explain(fault)
+        headers, body = self.server.render_error(fault)
         self.closing = True
         self.queue.append([None, render(fault.status, headers, body, True)])
         self._write()
@@ -117,12 +119,12 @@
         if requests and not departed:
             self.looked = self.server.loop.now()
         for request in requests:
-            request.departed = departed
+            request.client_closed = departed
             self._take(request)
 
     def _take(self, request):
-        request.link = self
-        if self.closing or request.departed and self.server.loop.behind and not self.server.counted:
+        request.connection = self
+        if self.closing or request.client_closed and self.server.loop.behind and not self.server.counted:
             return  # one that came and left while this process stood still is not taken
         self.tasks += 1
         if (
@@ -142,7 +144,7 @@
         entry = self.queue[place]
         if entry[1] is not None:
             raise RuntimeError("a second answer to one request")
-        request.left = None
+        request.on_client_left = None
         last = place == len(self.queue) - 1 and (self.closing or self.server.stopping) or self.ended
         if last:
             self.closing = True  # told with the answer: nothing more is taken
@@ -155,7 +157,7 @@
             wrote = True
             self.stream.write(self.queue.pop(0)[1])
         if not self.queue and (self.closing or self.ended or self.server.stopping):
-            self._shut()
+            self.close_gracefully()
         elif wrote and self.stream.open:
             self._room()
 
@@ -165,43 +167,43 @@
         With grace a quiet one is closed when it would be parked: the next request of a busy client, on its
         way already, is answered and the close told with that answer.
         """
-        if self.reader.midway:
+        if self.reader.mid_message:
             self._set_deadline()
-        elif self.server.last_request is None and not self.queue and self.stream.quiet():
-            self._shut()
+        elif self.server.last_request_by is None and not self.queue and self.stream.quiet():
+            self.close_gracefully()
 
     def _half(self):
         """The client closed its side: the tasks it waits for end now, with answers for one half closed."""
         self.ended = True
         self._leave()
         if not self.queue:
-            self._shut()
+            self.close_gracefully()
 
     def _end(self, error):
         self.ended = True
         self._leave()
-        self.gone()
+        self.unregister()
 
     def _leave(self):
         self._clear_deadline()
         for request, answer in list(self.queue):
-            if answer is None and request.left is not None:
-                left, request.left = request.left, None
+            if answer is None and request.on_client_left is not None:
+                left, request.on_client_left = request.on_client_left, None
                 left()
 
-    def _shut(self):
+    def close_gracefully(self):
         self._clear_deadline()
         self.closing = True
         self.stream.close(lambda error: self._lose())  # until its descriptor is given back it counts
 
-    def gone(self):
+    def unregister(self):
         """The socket is closed: cancels the timer and removes the connection from the server."""
         self._clear_deadline()
         self._lose()
 
     def _lose(self):
-        if self in self.server.links:
+        if self in self.server.connections:
             self._weigh(0)
-            self.server.links.discard(self)
+            self.server.connections.discard(self)
             self.server.lot.leave(self.place, self.server.counted)
             self.server.check_emptied()
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -1,13 +1,13 @@
 """The deadline of a connection at work: for a request to arrive, for a client to read, or for parking."""
 
-from gaproute.http1.message import Fault
+from gaproute.http1.message import HttpError
 
 SECOND = 1_000_000_000
-QUIET = SECOND  # after its last answer until a connection is parked: a busy one stays as it is
-SWEEP = SECOND // 4  # between looks for quiet ones: one wake-up for all of them, not one each
+QUIET_TIME = SECOND  # after its last answer until a connection is parked: a busy one stays as it is
+SWEEP_INTERVAL = SECOND // 4  # between looks for quiet ones: one wake-up for all of them, not one each
 
 
-class DeadlineLink:
+class DeadlineConnection:
     """The base of a server's connection: its one timer and what happens when it fires.
 
     A subclass sets all fields and defines `park()`, `_refuse(fault)` and `_end(error)`.
@@ -31,21 +31,21 @@
         always moved before.
         """
         limits, reader = self.server.limits, self.reader
-        if reader.midway:
-            self.due = reader.message.arrived + limits.read_time
-            if self.server.last_request is not None:
-                self.due = min(self.due, self.server.last_request)
+        if reader.mid_message:
+            self.due = reader.message.arrived_at + limits.read_time
+            if self.server.last_request_by is not None:
+                self.due = min(self.due, self.server.last_request_by)
         elif self.stream.waiting:
             self.due = self.server.loop.now() + limits.read_time
         elif not self.queue and not self.closing:
             now = self.server.loop.now()
-            if limits.idle_time > 2 * QUIET:
-                if not self.resting or now + QUIET - self.due > SWEEP:
-                    self.idle_end, self.due, self.resting = self.server.idle_end(now), now + QUIET, True
+            if limits.idle_time > 2 * QUIET_TIME:
+                if not self.resting or now + QUIET_TIME - self.due > SWEEP_INTERVAL:
+                    self.idle_end, self.due, self.resting = self.server.idle_end(now), now + QUIET_TIME, True
                     self.server.rest(self)
                 return
             self.idle_end = self.server.idle_end(now)
-            self.due = min(now + QUIET, self.idle_end)
+            self.due = min(now + QUIET_TIME, self.idle_end)
         else:
             self.due = None
         self.resting = False
@@ -66,19 +66,19 @@
         elif self.stream.waiting:
             self.stream.abort()
             self._end(None)
-        elif not self.reader.midway:
+        elif not self.reader.mid_message:
             self.park()
         elif self._came_meanwhile():
             return
         elif self.queue:
             self.closing = True  # the answers still owed go out first
         else:
-            self._refuse(Fault(408, "the request did not come in whole in time"))
+            self._refuse(HttpError(408, "the request did not come in whole in time"))
 
     def _came_meanwhile(self):
         """Whether the rest of the overdue request had come since the loop last looked: it is taken then."""
         self.stream.look()
-        return not self.stream.open or not self.reader.midway
+        return not self.stream.open or not self.reader.mid_message
 
     def _clear_deadline(self):
         self.due, self.resting = None, False
--- a/gaproute/http1/message.py
+++ b/gaproute/http1/message.py
@@ -20,7 +20,7 @@
 }
 
 
-class Fault(Exception):
+class HttpError(Exception):
     """What the other side sent breaks the protocol or a limit: `status` and `text` to answer it with."""
 
     def __init__(self, status, text):
@@ -31,15 +31,25 @@
 class Request:
     """One request as it came. Header names are lower case; a name that came twice is joined by a comma."""
 
-    __slots__ = ("method", "target", "headers", "body", "arrived", "keep_alive", "link", "left", "departed")
-
-    def __init__(self, arrived):
-        self.arrived = arrived  # when its first byte came, by the loop's clock
+    __slots__ = (
+        "method",
+        "target",
+        "headers",
+        "body",
+        "arrived_at",
+        "keep_alive",
+        "connection",
+        "on_client_left",
+        "client_closed",
+    )
+
+    def __init__(self, arrived_at):
+        self.arrived_at = arrived_at  # when its first byte came, by the loop's clock
         self.method, self.target, self.headers, self.body = b"", b"", {}, b""
         self.keep_alive = True
-        self.link = None
-        self.left = None  # call() when the client leaves before the answer
-        self.departed = False  # its client had closed its side when it was read
+        self.connection = None
+        self.on_client_left = None  # call() when the client leaves before the answer
+        self.client_closed = False  # its client had closed its side when it was read
 
 
 class Response:
@@ -63,11 +73,11 @@
         self.fault = None
 
     @property
-    def midway(self):
+    def mid_message(self):
         return self.message is not None
 
     def feed(self, data):
-        """Errors: `Fault`, after which nothing more may be fed; what was whole before it is in `done`."""
+        """Errors: `HttpError`, after which nothing more may be fed; what was whole before it is in `done`."""
         if self.in_head or self.message is None:
             self.head += len(data)
         try:
@@ -75,16 +85,16 @@
         except httptools.HttpParserCallbackError as error:
             raise self.fault or error from None
         except httptools.HttpParserUpgrade:
-            raise Fault(400, "an upgrade of the protocol is not offered") from None
+            raise HttpError(400, "an upgrade of the protocol is not offered") from None
         except httptools.HttpParserError as error:
-            raise Fault(400, f"not HTTP/1.1: {error}") from None
+            raise HttpError(400, f"not HTTP/1.1: {error}") from None
         if self.in_head and self.head > self.head_limit:
-            raise Fault(431, f"the head is over {self.head_limit} bytes")
+            raise HttpError(431, f"the head is over {self.head_limit} bytes")
         done, self.done = self.done, []
         return done
 
     def _refuse(self, status, text):
-        self.fault = Fault(status, text)
+        self.fault = HttpError(status, text)
         raise self.fault
 
     # What the parser calls
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -4,10 +4,10 @@
 from collections import deque
 
 from gaproute.connections import Lot
-from gaproute.http1.connection import ServerLink
-from gaproute.http1.deadlines import SWEEP
+from gaproute.http1.connection import ServerConnection
+from gaproute.http1.deadlines import SWEEP_INTERVAL
 from gaproute.http1.limits import LIMITS
-from gaproute.http1.message import Fault
+from gaproute.http1.message import HttpError
 from gaproute.http1.rendering import render
 from gaproute.loop import Listener
 from gaproute.loop.connecting import DRAIN_AGAIN
@@ -17,29 +17,29 @@
 class Server:
     """Listens on one address. `handle(request)` for each whole request, to be answered once by `answer`."""
 
-    def __init__(self, loop, where, handle, limits=LIMITS, explain=None, counted=False, inherited=None):
+    def __init__(self, loop, where, handle, limits=LIMITS, render_error=None, counted=False, inherited=None):
         self.loop, self.handle, self.limits, self.counted = loop, handle, limits, counted
         # headers, body of a refusal
-        self.explain = explain or (lambda fault: ((), fault.text.encode() + b"\n"))
-        self.links = set()
-        self.parked = self.buffered = 0
-        self.resting, self.sweep = deque(), None  # (when, link) that may be parked then
-        self.stopping, self.emptied = False, None  # call() after a stop, when no connection is left
-        self.drainer = None  # timer, where the kernel's queue could not be emptied at a stop
-        self.last_request = None  # after a stop with grace: when the last request must have come in whole
-        self.turned_away = self.faults = 0
+        self.render_error = render_error or (lambda fault: ((), fault.text.encode() + b"\n"))
+        self.connections = set()
+        self.parked = self.buffered_bytes = 0
+        self.quiet_connections, self.sweep_timer = deque(), None  # (when, link) that may be parked then
+        self.stopping, self.on_emptied = False, None  # call() after a stop, when no connection is left
+        self.drain_timer = None  # timer, where the kernel's queue could not be emptied at a stop
+        self.last_request_by = None  # after a stop with grace: when the last request must have come in whole
+        self.rejected_connections = self.protocol_errors = 0
         self.family = where[0]
         self.lot = Lot.of(loop)
-        self.shared = inherited is not None  # others accept from the same queue
+        self.shares_queue = inherited is not None  # others accept from the same queue
         # first: it may fail
         self.listener = Listener(loop, where, None, on_ready=self._ready, inherited=inherited)
         self.address = self.listener.address
-        self.number = self.lot.open(self)
+        self.owner_number = self.lot.open(self)
 
     @property
-    def held(self):
+    def connection_count(self):
         """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
-        return len(self.links) + self.parked + (self.drainer is not None)
+        return len(self.connections) + self.parked + (self.drain_timer is not None)
 
     def _ready(self):
         self.lot.arrive(self.listener, self)
@@ -48,20 +48,20 @@
     def admits(self, sock, address):
         """A connection was accepted: it is parked, or answered and closed where admission has no room."""
         place = None
-        if self.held < self.limits.connections:
+        if self.connection_count < self.limits.connections:
             place = self.lot.admit(address[0] if self.family != socket.AF_UNIX else "", self.counted)
         if place is None:
-            self.turned_away += 1
+            self.rejected_connections += 1
             self._turn_away(sock)
             return
         self.parked += 1
         now = self.loop.now()
-        self.lot.park(sock.detach(), self.number, self.idle_end(now), place, 0, False)
+        self.lot.park(sock.detach(), self.owner_number, self.idle_end(now), place, 0, False)
 
     def _turn_away(self, sock):
         """Answers what a connection that finds no room may ask, and closes it. What lies there is read first:
         a socket closed with bytes unread is reset, which can destroy the answer."""
-        headers, body = self.explain(Fault(503, "there is no room for one more connection"))
+        headers, body = self.render_error(HttpError(503, "there is no room for one more connection"))
         try:
             sock.send(render(503, headers, body, True))
             sock.shutdown(socket.SHUT_WR)
@@ -78,37 +78,37 @@
         """A parked connection spoke."""
         self.parked -= 1
         sock = socket.socket(self.family, socket.SOCK_STREAM, 0, fd)
-        link = ServerLink(self, sock, place, tasks)
-        self.links.add(link)
-        link.bytes(data)
+        link = ServerConnection(self, sock, place, tasks)
+        self.connections.add(link)
+        link.receive(data)
 
     def rest(self, link):
         """Queues a quiet connection for parking at its deadline."""
-        self.resting.append((link.due, link))
-        if self.sweep is None:
-            self.sweep = self.loop.after(SWEEP, self._sweep)
+        self.quiet_connections.append((link.due, link))
+        if self.sweep_timer is None:
+            self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self):
         """Parks those that have been quiet since they came into the line."""
         now = self.loop.now()
-        while self.resting and self.resting[0][0] <= now:
-            due, link = self.resting.popleft()
+        while self.quiet_connections and self.quiet_connections[0][0] <= now:
+            due, link = self.quiet_connections.popleft()
             if link.resting and link.due == due:
                 link.park()
-        self.sweep = self.loop.after(SWEEP, self._sweep) if self.resting else None
+        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep) if self.quiet_connections else None
 
-    def lighten(self):
+    def enforce_memory_limit(self):
         """More is held of unfinished requests than may be: the one that has been coming in longest ends.
 
         Guards against thousands that each send slowly; it harms one honest slow sender before its time.
         """
         longest = min(
-            (link for link in self.links if link.weight),
-            key=lambda link: link.reader.message.arrived,
+            (link for link in self.connections if link.buffered_bytes),
+            key=lambda link: link.reader.message.arrived_at,
             default=None,
         )
         if longest is not None:
-            longest.shed()
+            longest.refuse_unfinished()
 
     def lost(self):
         """A parked connection was closed."""
@@ -117,12 +117,12 @@
 
     def check_emptied(self):
         """After a stop: tells once no connection is left."""
-        if self.stopping and self.emptied is not None and not self.held:
-            self.emptied()
+        if self.stopping and self.on_emptied is not None and not self.connection_count:
+            self.on_emptied()
 
     def answer(self, request, status, headers, body):
         """The one answer to a request; what comes after the client left for good is dropped."""
-        request.link.answer(request, status, headers, body)
+        request.connection.answer(request, status, headers, body)
 
     def stop(self, grace=None):
         """Accepts no more; kept connections close after the answers they are owed. What has been sent
@@ -136,35 +136,35 @@
             return
         self.stopping = True
         if grace is not None:
-            self.last_request = self.loop.now() + grace
+            self.last_request_by = self.loop.now() + grace
         self._take_in()
-        for link in list(self.links):
+        for link in list(self.connections):
             link.stop()
 
     def _take_in(self):
         """What waits in the kernel's queue comes in, as the kernel would reset it, then the address is given
         up; tried again while accepting fails."""
-        self.drainer = None
-        if self.shared or self.listener.drain(self.admits):
+        self.drain_timer = None
+        if self.shares_queue or self.listener.drain(self.admits):
             self.listener.close()
         else:
-            self.drainer = self.loop.after(DRAIN_AGAIN, self._take_in)
-        self.lot.close(self.number, first_by=self.last_request)
+            self.drain_timer = self.loop.after(DRAIN_AGAIN, self._take_in)
+        self.lot.close(self.owner_number, first_by=self.last_request_by)
         self.check_emptied()
 
     def close(self):
         """Stops and ends every connection at once, without waiting for answers still owed."""
         self.stop()
-        if self.drainer is not None:
-            self.drainer.cancel()
-            self.drainer = None
+        if self.drain_timer is not None:
+            self.drain_timer.cancel()
+            self.drain_timer = None
         self.listener.close()
-        self.lot.close(self.number, True)
-        if self.sweep is not None:
-            self.sweep.cancel()
-        for link in list(self.links):
+        self.lot.close(self.owner_number, True)
+        if self.sweep_timer is not None:
+            self.sweep_timer.cancel()
+        for link in list(self.connections):
             if link.stream.closing:
                 link.stream.part()  # its last words are with the kernel
             else:
                 link.stream.abort()
-            link.gone()
+            link.unregister()
--- a/gaproute/load/member.py
+++ b/gaproute/load/member.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from gaproute.http1 import Fault, Reader
+from gaproute.http1 import HttpError, Reader
 from gaproute.loop import Stream
 
 MAX_HEAD, MAX_ANSWER = 65536, 64 << 20  # bytes
@@ -39,7 +39,7 @@
             return
         try:
             answers = self.reader.feed(data)
-        except Fault:
+        except HttpError:
             self.lose("broken")
             return
         for answer in answers:
@@ -53,7 +53,7 @@
             if not answer.keep_alive:
                 self.lose()
                 return
-        if not self.owed and not self.reader.midway:
+        if not self.owed and not self.reader.mid_message:
             self.reader = self.owed = None
             self.crowd.free(self)
 
--- a/gaproute/peers/learner.py
+++ b/gaproute/peers/learner.py
@@ -93,8 +93,8 @@
             body
         )
         exchange = Exchange(self.loop, data + body, lambda answer, fault: came.set((answer, False)))
-        exchange.open(address(peer.where), ANSWER_TIME, 16384, ANSWER)
-        timer = self.loop.after(ANSWER_TIME, lambda: (exchange.drop(), came.set((None, True))))
+        exchange.connect(address(peer.where), ANSWER_TIME, 16384, ANSWER)
+        timer = self.loop.after(ANSWER_TIME, lambda: (exchange.cancel(), came.set((None, True))))
         came.then(lambda promise: timer.cancel())
         return came
 
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -79,9 +79,9 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.exchange is not None:
-            self.exchange.drop()
+            self.exchange.cancel()
         if self.connection is not None:
-            self.connection.drop()
+            self.connection.abort()
 
 
 class RaftTransport:
@@ -172,9 +172,9 @@
         )
         state.timer = self.loop.after(EXCHANGE_TIMEOUT, self._finish, to, state, len(packed), None)
         if state.connection is not None and state.connection.open:
-            state.exchange.on(state.connection)
+            state.exchange.send_on(state.connection)
             return
-        state.exchange.open(
+        state.exchange.connect(
             address(self.peers[to]),
             EXCHANGE_TIMEOUT,
             MAX_RESPONSE_BYTES,
@@ -190,9 +190,9 @@
             state.timer = None
         now = self.loop.now()
         if answer is None:
-            exchange.drop()
+            exchange.cancel()
             if state.connection is not None:
-                state.connection.drop()
+                state.connection.abort()
             state.connection = None
         sent = answer is not None and answer.status == 204
         self.counts["sent" if sent else "lost"] += messages
--- a/gaproute/peers/tables/pulls.py
+++ b/gaproute/peers/tables/pulls.py
@@ -30,7 +30,7 @@
         exchange = Exchange(self.loop, data, lambda answer, fault: self._over(exchange, answer, done))
         self.exchange = exchange
         self.timer = self.loop.after(EXCHANGE_TIME, self._over, exchange, None, done)
-        exchange.open(target, EXCHANGE_TIME, HEAD_BYTES, wire.LONGEST_ANSWER)
+        exchange.connect(target, EXCHANGE_TIME, HEAD_BYTES, wire.LONGEST_ANSWER)
 
     def _over(self, exchange, answer, done):
         if self.exchange is not exchange:
@@ -44,7 +44,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.exchange is not None:
-            self.exchange.drop()
+            self.exchange.cancel()
         self.exchange = self.timer = None
 
 
--- a/gaproute/standins/clients.py
+++ b/gaproute/standins/clients.py
@@ -119,7 +119,7 @@
             self.open -= 1
             for timer in timers:
                 timer.cancel()
-            used = exchange.link
+            used = exchange.connection
             if answer is None and not undelivered.connected:
                 self.tap.note("refused", id=name, gateway=place)
                 self.ask(
@@ -128,7 +128,7 @@
                 return
             if answer is None:
                 spent = self.loop.now() - start
-                if link is not None and not undelivered.handed:
+                if link is not None and not undelivered.any_byte_sent:
                     self.ask(name, kind, model, limit, tries, first, refused)
                     return
                 if undelivered.reset and spent <= CROSS and not crossed:  # closed with the request unread
@@ -144,7 +144,7 @@
                 used.on_idle_end = ended
                 idle.append(used)
             elif used.open:
-                used.drop()
+                used.abort()
             again = outcome == "declined" or kind.pure and outcome == "scrapped"
             if again and tries < self.habits.retries:
                 wait = int(answer.headers.get(b"gaproute-retry-after-ms", b"0")) * MILLI
@@ -154,31 +154,31 @@
                     self.loop.after(wait, self.ask, f"{name}r", kind, model, left, tries + 1, first, ())
 
         def ended(link):
-            if link.stray:
+            if link.unrequested_response:
                 self.tap.note("stray", gateway=place)
             if link in idle:
                 idle.remove(link)
 
         def leave(what):
-            if not exchange.over:
+            if not exchange.finished:
                 self.open -= 1
-                exchange.drop()
+                exchange.cancel()
                 note(what)
 
         while idle and link is None:
             link = idle.pop()
             link.on_idle_end = None
             if not link.stream.quiet():
-                link.drop()
+                link.abort()
                 link = None
         exchange = Exchange(self.loop, head.encode() + body, came)
         timers.append(self.loop.after(patience, leave, "overdue"))
         if self.random.random() < self.habits.impatient:
             timers.append(self.loop.after(round(patience * self.random.random()), leave, "left"))
         if link is not None:
-            exchange.on(link)
+            exchange.send_on(link)
         else:
-            exchange.open(self.gateways[place], 250 * MILLI, 65536, 1 << 24)
+            exchange.connect(self.gateways[place], 250 * MILLI, 65536, 1 << 24)
 
     def tick(self):
         self.tap.flush()
--- a/gaproute/standins/host/fetch.py
+++ b/gaproute/standins/host/fetch.py
@@ -21,7 +21,7 @@
         data = b"GET /models/%s HTTP/1.1\r\nHost: store\r\nConnection: close\r\n\r\n" % model.name.encode()
         Exchange(
             loop, data, lambda answer, fault: came.set(answer is not None and answer.status == 200)
-        ).open(address(store), CONNECT, HEAD, BODY)
+        ).connect(address(store), CONNECT, HEAD, BODY)
         return came
 
     return fetch
--- a/gaproute/standins/host/kserve.py
+++ b/gaproute/standins/host/kserve.py
@@ -70,13 +70,13 @@
             name = request.headers.get(b"x-request-id", b"").decode("latin-1")
         mark = request.headers.get(b"gaproute-task", b"").decode("latin-1")
         work = self.machine.take(
-            name, mark, model, id(request.link), lambda work, end: self.answer(request, work, end)
+            name, mark, model, id(request.connection), lambda work, end: self.answer(request, work, end)
         )
         if work is not None:
-            request.left = lambda: self.machine.left(work)
+            request.on_client_left = lambda: self.machine.left(work)
 
     def answer(self, request, work, end):
-        request.left = None
+        request.on_client_left = None
         if end == machine.RESET:
             cut_off(request)
             return
@@ -94,13 +94,13 @@
             headers = TYPE + self.report(work)
         if end == machine.CUT:
             whole = render(200, headers, body, False)
-            request.link.stream.write(whole[: len(whole) // 2])
-            request.link._shut()
+            request.connection.stream.write(whole[: len(whole) // 2])
+            request.connection.close_gracefully()
             return
         self.tap.note("said", id=work.id, status=STATUS[end])
         self.server.answer(request, STATUS[end], headers, body)
         if "shut" in self.machine.troubles:
-            self.loop.soon(request.link._shut)
+            self.loop.soon(request.connection.close_gracefully)
 
     def order(self, request, name):
         try:
@@ -110,7 +110,7 @@
             self.server.answer(request, 400, (), b'{"error":"parameters.copies is a number"}')
             return
         gateway = request.headers.get(b"gaproute-gateway", b"").decode("latin-1")
-        stands = self.machine.order(name, count, gateway, id(request.link))
+        stands = self.machine.order(name, count, gateway, id(request.connection))
         if stands is None:
             self.server.answer(request, 409, (), b'{"error":"no room"}')
             return
@@ -120,5 +120,5 @@
 
 
 def cut_off(request):
-    request.link.stream.abort()
-    request.link.gone()
+    request.connection.stream.abort()
+    request.connection.unregister()
--- a/gaproute/standins/store.py
+++ b/gaproute/standins/store.py
@@ -32,7 +32,7 @@
         else:
             self.tap.note("fetch", model=request.target.decode("latin-1"))
             self.fetches[request] = 1.0
-            request.left = lambda: (self.advance(), self.fetches.pop(request, None), self.plan())
+            request.on_client_left = lambda: (self.advance(), self.fetches.pop(request, None), self.plan())
         self.plan()
 
     def advance(self):
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -60,7 +60,7 @@
     hold = way.forward()
     way.until(lambda: way.came)
     left = []
-    way.came[0].left = lambda: left.append(True)
+    way.came[0].on_client_left = lambda: left.append(True)
     assert hold.begun and hold.withdrawable
     hold.give_up()
     way.until(lambda: left)
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -190,7 +190,7 @@
         host.command({"trouble": "hang"})
     made.ask("lamp", "gone")
     made.until(lambda: made.seen("task", id="gone"))
-    made.last.drop()
+    made.last.cancel()
     made.until(lambda: not made.gate.core.held)
     sent = len(made.seen("task", id="gone"))
     made.rest(300 * MILLI)
@@ -263,7 +263,7 @@
     refused = Promise()
     Exchange(
         made.loop, b"GET /v2 HTTP/1.1\r\nHost: g\r\n\r\n", lambda answer, fault: refused.set(fault)
-    ).open(made.at, SECOND, 65536, 1 << 20)
+    ).connect(made.at, SECOND, 65536, 1 << 20)
     assert not made.wait(refused).connected
     assert outcome(made.wait(asked)) == "delivered"
     made.loop.run()  # the loop ends by itself
@@ -300,7 +300,7 @@
     assert outcome(made.wait(made.ask())) == "delivered"
     made.wait(done)
     flood.close()
-    made.until(lambda: made.gate.fronts[0].server.held <= 1)
+    made.until(lambda: made.gate.fronts[0].server.connection_count <= 1)
     assert len(made.gate.core.gateway.functions) == functions + 1 and not made.loop.errors
 
 
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -8,7 +8,7 @@
 from helpers import CONFIGURATION, MILLI, SECOND
 
 from gaproute.appliance.gateway import LAST_REQUEST, LAST_WORDS
-from gaproute.http1.deadlines import QUIET
+from gaproute.http1.deadlines import QUIET_TIME
 from gaproute.loop.streams import FAREWELL
 
 BODY = b'{"id": "t", "inputs": []}'
@@ -107,7 +107,7 @@
     whole, never = clients(made), clients(made)
     for client in (whole, never):
         client.sendall(ASK[:40])
-    made.until(lambda: len(made.gate.fronts[0].server.links) == 2)
+    made.until(lambda: len(made.gate.fronts[0].server.connections) == 2)
     made.gate.stop()
     whole.sendall(ASK[40:])
     lasted = run_out(made)
@@ -116,7 +116,7 @@
 
 
 def test_a_request_that_lies_unread_on_a_kept_connection_is_served(rig, clients, monkeypatch):
-    monkeypatch.setattr("gaproute.http1.deadlines.QUIET", 10 * SECOND)  # it is not parked meanwhile
+    monkeypatch.setattr("gaproute.http1.deadlines.QUIET_TIME", 10 * SECOND)  # it is not parked meanwhile
     made = rig(hosts=1)
     client = clients(made)
     asked_and_answered(made, client)
@@ -144,7 +144,7 @@
     asked_and_answered(made, client)
     made.gate.stop()
     lasted = run_out(made)
-    assert rest_of(client) == b"" and QUIET / 2 < lasted < LAST_REQUEST + LAST_WORDS + FAREWELL + SECOND
+    assert rest_of(client) == b"" and QUIET_TIME / 2 < lasted < LAST_REQUEST + LAST_WORDS + FAREWELL + SECOND
 
 
 def test_a_kept_connection_that_rests_is_closed_at_once(rig, clients):
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -169,22 +169,22 @@
     made = house()
     client = made.client()
     made.turns(lambda: made.lot.parked == 1)
-    assert not made.server.links and made.loop.watched.keys() == {made.server.listener.sock.fileno()}
+    assert not made.server.connections and made.loop.watched.keys() == {made.server.listener.sock.fileno()}
     for _ in range(3):
         assert b"200" in made.ask(client)
-        assert len(made.server.links) == 1 and made.lot.parked == 0
+        assert len(made.server.connections) == 1 and made.lot.parked == 0
         made.skew += 1300 * MILLI
         made.turns(lambda: made.lot.parked == 1)
-        assert not made.server.links and made.server.held == made.lot.held == 1
+        assert not made.server.connections and made.server.connection_count == made.lot.held == 1
 
 
 def test_one_that_speaks_at_once_again_is_not_parked_between(house):
     made = house()
     client = made.client()
     made.ask(client)
-    (link,) = made.server.links
+    (link,) = made.server.connections
     made.ask(client)
-    assert made.server.links == {link}
+    assert made.server.connections == {link}
 
 
 def test_a_parked_one_that_leaves_is_forgotten_with_its_address(house):
@@ -194,7 +194,7 @@
     assert "127.0.0.7" in made.lot.addresses
     client.close()
     made.turns(lambda: made.lot.held == 0)
-    assert made.lot.parked == made.server.held == 0 and made.lot.addresses == {}
+    assert made.lot.parked == made.server.connection_count == 0 and made.lot.addresses == {}
 
 
 def test_one_at_work_that_leaves_is_forgotten_too(house):
@@ -203,12 +203,12 @@
     client.sendall(HEAD)
     made.turns(lambda: made.asked)
     left = []
-    made.asked[0].left = lambda: left.append(True)
+    made.asked[0].on_client_left = lambda: left.append(True)
     client.close()
     made.turns(lambda: left)
     made.server.answer(made.asked[0], 200, (), b"")
     made.turns(lambda: made.lot.held == 0)
-    assert made.lot.addresses == {} and not made.server.links
+    assert made.lot.addresses == {} and not made.server.connections
 
 
 def test_an_idle_end_comes_on_time_and_is_moved_by_each_request(house):
@@ -235,7 +235,7 @@
     speaks.sendall(HEAD)
     made.skew += 60 * SECOND  # the process stood still: all are overdue, and one has spoken
     made.loop.turn()
-    assert len(made.asked) == 1 and made.asked[0].arrived < made.loop.now() - 40 * SECOND
+    assert len(made.asked) == 1 and made.asked[0].arrived_at < made.loop.now() - 40 * SECOND
     assert 0 < made.lot.expired <= EXPIRES
     made.turns(lambda: made.lot.held == 1)
     assert b"200" in speaks.recv(4096)
@@ -321,7 +321,7 @@
     second.sendall(HEAD)
     made.turns(lambda: len(made.asked) == 2)
     # The second waited while the first took 300 ms.
-    assert made.asked[1].arrived - made.asked[0].arrived < 100 * MILLI
+    assert made.asked[1].arrived_at - made.asked[0].arrived_at < 100 * MILLI
 
 
 def test_a_descriptor_used_again_in_the_same_turn_does_not_get_the_old_ones_event(house):
@@ -392,16 +392,16 @@
     slow, other, quick = made.client(), made.client(), made.client()
     for client in (slow, other):
         client.sendall(b"POST / HTTP/1.1\r\nHost: g\r\nContent-Length: 4000\r\n\r\n" + b"x" * 2000)
-        before = made.server.buffered
-        made.turns(lambda before=before: made.server.buffered > before)
+        before = made.server.buffered_bytes
+        made.turns(lambda before=before: made.server.buffered_bytes > before)
     quick.sendall(b"POST / HTTP/1.1\r\nHost: g\r\nContent-Length: 2000\r\n\r\n" + b"x" * 1500)
-    made.turns(lambda: made.server.faults == 1)
-    assert b"408" in slow.recv(4096) and made.server.buffered <= 5000
+    made.turns(lambda: made.server.protocol_errors == 1)
+    assert b"408" in slow.recv(4096) and made.server.buffered_bytes <= 5000
     for client, rest in ((quick, 500), (other, 2000)):
         client.sendall(b"x" * rest)
         made.turns(lambda: made.asked)
         assert b"200" in client.recv(4096) and made.asked.pop()
-    made.turns(lambda: made.server.buffered == 0)
+    made.turns(lambda: made.server.buffered_bytes == 0)
 
 
 def test_a_stop_closes_what_is_parked_and_accepts_no_more(house):
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -62,7 +62,12 @@
         self.passes(SECOND, 20 * MILLI)
         self.server.close()
         self.loop.close()
-        assert not self.lot.held and not self.lot.parked and not self.server.links and not self.loop.watched
+        assert (
+            not self.lot.held
+            and not self.lot.parked
+            and not self.server.connections
+            and not self.loop.watched
+        )
         assert self.faults == [] and open_descriptors() == self.before
 
 
@@ -150,7 +155,7 @@
 
 def test_one_that_spoke_unheard_is_not_closed_at_a_stop(deaf):
     house, client, _ = deaf
-    house.lot.close(house.server.number)
+    house.lot.close(house.server.owner_number)
     assert house.lot.held == 1 and house.answers(client) == 1
 
 
@@ -189,7 +194,7 @@
     house.passes(2 * MILLI)
     house.lot._drop(next(iter(house.lot.unheard)))
     house.passes(20 * MILLI)
-    assert house.faults == [] and house.server.held == 1 and not house.lot.unheard
+    assert house.faults == [] and house.server.connection_count == 1 and not house.lot.unheard
 
 
 def test_one_that_the_epoll_cannot_take_at_all_is_closed_and_told(house):
@@ -232,7 +237,7 @@
     monkeypatch.setattr(parking.os, "close", closing)
     client.close()
     house.passes(5 * MILLI)
-    assert not house.lot.held and not house.server.held
+    assert not house.lot.held and not house.server.connection_count
 
 
 def test_reads_of_one_byte_make_a_whole_request(house, monkeypatch):
@@ -263,14 +268,14 @@
     server.listener.sock = FailingAccept(server.listener.sock, *[code] * 20)
     client = house.client(HEAD)
     emptied = []
-    server.emptied = lambda: emptied.append(house.clock.now)
+    server.on_emptied = lambda: emptied.append(house.clock.now)
     server.stop(SECOND)
-    assert server.held and not emptied
+    assert server.connection_count and not emptied
     house.passes(200 * MILLI)
     assert house.answers(client) == 1
     client.close()
     house.passes(SECOND, 10 * MILLI)
-    assert emptied and server.listener.sock.fileno() < 0 and not server.held
+    assert emptied and server.listener.sock.fileno() < 0 and not server.connection_count
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -117,7 +117,7 @@
 
     def handle(self, request):
         self.came += 1
-        request.link.server.answer(request, 404, (), b"")
+        request.connection.server.answer(request, 404, (), b"")
 
 
 @pytest.mark.parametrize("others", [1, 0])
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -289,13 +289,13 @@
 def test_over_http_what_may_not_begin_on_a_connection_that_came_up_has_lapsed():
     loop, told = Loop(), []
     with socket.create_server(("127.0.0.1", 0)) as server:
-        exchange = Exchange(loop, b"x", lambda *each: told.append(each), wanted=lambda: False)
-        exchange.open((socket.AF_INET, server.getsockname()), SECOND, 1024, 1024)
+        exchange = Exchange(loop, b"x", lambda *each: told.append(each), still_wanted=lambda: False)
+        exchange.connect((socket.AF_INET, server.getsockname()), SECOND, 1024, 1024)
         while not told:
             loop.after(MILLI, lambda: None)
             loop.turn()
         came, _ = server.accept()
         assert came.recv(1) == b""
         came.close()
-    assert told[0][0] is None and told[0][1].lapsed and not told[0][1].handed
+    assert told[0][0] is None and told[0][1].lapsed and not told[0][1].any_byte_sent
     loop.close()
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -131,7 +131,7 @@
     while not came:
         loop.after(MILLI, lambda: None)
         loop.turn()
-    assert came[0].departed and len(came[0].body) == 150_000
+    assert came[0].client_closed and len(came[0].body) == 150_000
     server.answer(came[0], 504, (), b"late")
     assert sock.recv(65536).startswith(b"HTTP/1.1 504")
     sock.close()
--- a/tests/fronts/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -32,7 +32,7 @@
 
 
 def closed_by_its_owner(lot, made):
-    lot.close(made.process.front.number)
+    lot.close(made.process.front.owner_number)
 
 
 @pytest.mark.parametrize("close", [over_time, displaced, short_of_descriptors, closed_by_its_owner])
@@ -65,7 +65,7 @@
         drop(fd)
 
     said, lot._drop = [], slow_close
-    lot.close(made.process.front.number)
+    lot.close(made.process.front.owner_number)
     made.until(lambda: last.answers)
     assert codes(last)[0] == {1: None} and [client.ended for client in clients] == [True, True, False]
 
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -65,7 +65,7 @@
     clog.let()
     way.loop.run(until=way.loop.sleep(20 * MILLI))
     assert way.heard[1].result is Result.CONNECT_FAILED and len(way.came) == 1 and not link.open
-    assert not hold.exchange.handed
+    assert not hold.exchange.any_byte_sent
 
 
 @pytest.fixture
@@ -101,12 +101,12 @@
     assert len(held) == 2
     server.answer(held[0], 200, (), b"")
     until(loop, lambda: len(held) == 3)
-    assert loop.now() - held[2].arrived >= 280 * MILLI
+    assert loop.now() - held[2].arrived_at >= 280 * MILLI
     for request in held[1:]:
         server.answer(request, 200, (), b"")
     client.sendall(REQUEST)  # read as it comes
     until(loop, lambda: len(held) == 4)
-    assert loop.now() - held[3].arrived <= SLACK * MILLI
+    assert loop.now() - held[3].arrived_at <= SLACK * MILLI
 
 
 @pytest.mark.parametrize("waits", [0, 300])
@@ -115,4 +115,4 @@
     client.sendall(REQUEST)
     time.sleep(waits / 1000)
     until(loop, lambda: held)
-    assert (waits - 20) * MILLI <= loop.now() - held[0].arrived <= (waits + SLACK) * MILLI
+    assert (waits - 20) * MILLI <= loop.now() - held[0].arrived_at <= (waits + SLACK) * MILLI
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -15,7 +15,7 @@
 from gaproute.hosts import proof
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.rows import Row
-from gaproute.http1 import Undelivered
+from gaproute.http1 import NoResponseError
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Stepped, connecting
 from gaproute.platform import log as logs
@@ -76,9 +76,9 @@
 
 @pytest.mark.parametrize("code", OWN)
 def test_what_had_begun_may_have_run_whatever_ended_it(code):
-    assert proof.of_undelivered(Undelivered(True, True, "", fault(code))) is face.Result.RESET
-    assert proof.of_undelivered(Undelivered(False, True, "", fault(code))) is face.Result.MOOT
-    assert proof.of_undelivered(Undelivered(False, True, "closed")) is face.Result.CONNECT_FAILED
+    assert proof.of_undelivered(NoResponseError(True, True, "", fault(code))) is face.Result.RESET
+    assert proof.of_undelivered(NoResponseError(False, True, "", fault(code))) is face.Result.MOOT
+    assert proof.of_undelivered(NoResponseError(False, True, "closed")) is face.Result.CONNECT_FAILED
 
 
 def drop_all(made):
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from gaproute.http1 import Fault, Limits, Reader, Server
+from gaproute.http1 import HttpError, Limits, Reader, Server
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 
@@ -25,7 +25,7 @@
     for cut in range(1, len(data)):
         read = reader()
         got = read.feed(data[:cut]) + read.feed(data[cut:])
-        assert [request.body for request in got] == [b"abc", b"de"] and got[0].arrived == 5
+        assert [request.body for request in got] == [b"abc", b"de"] and got[0].arrived_at == 5
 
 
 def test_names_are_lower_case_and_repeats_are_joined():
@@ -58,7 +58,7 @@
     ],
 )
 def test_what_breaks_the_protocol_or_a_limit_is_a_clear_refusal(data, status):
-    with pytest.raises(Fault) as fault:
+    with pytest.raises(HttpError) as fault:
         read = reader(1024 if len(data) < 5000 else 20000)
         assert read.feed(data) == []
     assert fault.value.status == status
@@ -72,7 +72,7 @@
             noise[chance.randrange(len(noise))] = chance.randrange(256)
         try:
             reader().feed(bytes(noise))
-        except Fault as fault:
+        except HttpError as fault:
             assert 400 <= fault.status < 600
 
 
@@ -142,7 +142,7 @@
     client.sendall(HEAD + b"Content-Length: 1\r\n\r\na")
     turns(loop, lambda: held)
     left = []
-    held[0].left = lambda: (left.append(True), server.answer(held[0], 504, (), b"bye"))
+    held[0].on_client_left = lambda: (left.append(True), server.answer(held[0], 504, (), b"bye"))
     client.shutdown(socket.SHUT_WR)
     turns(loop, lambda: left)
     assert b"504" in client.recv(4096) and client.recv(1) == b""
@@ -155,22 +155,25 @@
         loop.run(until=loop.sleep(2_000_000))
     left = []
     for request in held:
-        request.left = lambda request=request: (left.append(True), server.answer(request, 504, (), b"bye"))
+        request.on_client_left = lambda request=request: (
+            left.append(True),
+            server.answer(request, 504, (), b"bye"),
+        )
     client.shutdown(socket.SHUT_WR)
     turns(loop, lambda: left)
     assert len(left) == len(held) == 2 and client.recv(4096).count(b"504") == 2 and client.recv(1) == b""
-    turns(loop, lambda: not server.held)
+    turns(loop, lambda: not server.connection_count)
 
 
 def test_a_slow_request_is_told_so_and_an_idle_connection_closed(served):
     loop, server, held, client = served
     client.sendall(HEAD)
-    turns(loop, lambda: server.held)
-    turns(loop, lambda: not server.held)
+    turns(loop, lambda: server.connection_count)
+    turns(loop, lambda: not server.connection_count)
     assert client.recv(4096).startswith(b"HTTP/1.1 408")
     with socket.create_connection(client.getpeername()) as idle:
-        turns(loop, lambda: server.held)
-        turns(loop, lambda: not server.held)
+        turns(loop, lambda: server.connection_count)
+        turns(loop, lambda: not server.connection_count)
         idle.settimeout(5)
         assert idle.recv(1) == b""
 
@@ -179,12 +182,12 @@
     loop, server, held, client = served
     client.sendall((HEAD + b"Content-Length: 0\r\n\r\n") * 2)
     turns(loop, lambda: len(held) == 2)
-    (link,) = server.links
+    (link,) = server.connections
     for request in held[:2]:
         server.answer(request, 200, (), b"x" * (8 << 20))
     assert link.stream.waiting > 8 << 20 and not link.stream.reading
     client.sendall(HEAD + b"Content-Length: 0\r\n\r\n")
-    turns(loop, lambda: not server.held)
+    turns(loop, lambda: not server.connection_count)
     assert len(held) == 2 and link.stream.waiting == 0
 
 
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import CONFIGURATION, MILLI, SECOND
 
-from gaproute.http1.connection import ServerLink
+from gaproute.http1.connection import ServerConnection
 from tests.appliance.test_stopping import ASK, asked_and_answered, clients, closes, rest_of, run_out, statuses
 
 __all__ = ["clients"]
@@ -37,11 +37,11 @@
 @pytest.mark.parametrize("stops", [True, False])
 def test_a_request_that_comes_as_a_quiet_connection_is_closed_is_answered(rig, clients, monkeypatch, stops):
     """At a stop, or as its idle time is over."""
-    monkeypatch.setattr("gaproute.http1.deadlines.QUIET", 10 * SECOND)  # it is not parked meanwhile
+    monkeypatch.setattr("gaproute.http1.deadlines.QUIET_TIME", 10 * SECOND)  # it is not parked meanwhile
     made = rig(hosts=1)
     client = clients(made)
     asked_and_answered(made, client)
-    (link,) = made.gate.fronts[0].server.links
+    (link,) = made.gate.fronts[0].server.connections
     if stops:
         made.gate.stop()
     link.idle_end = made.loop.now()
@@ -56,11 +56,11 @@
     made = rig(hosts=1)
     client = clients(made)
     client.sendall(ASK[:40])
-    made.until(lambda: made.gate.fronts[0].server.links)
-    (link,) = made.gate.fronts[0].server.links
+    made.until(lambda: made.gate.fronts[0].server.connections)
+    (link,) = made.gate.fronts[0].server.connections
     client.sendall(ASK[40:])
     link.due = made.loop.now() - 1
-    ServerLink._deadline_passed(link)
+    ServerConnection._deadline_passed(link)
     made.until(lambda: made.seen("task"))
     made.until(lambda: not made.gate.core.held)
     made.rest(10 * MILLI)
@@ -75,7 +75,7 @@
     late.settimeout(5)
     if asks_first:
         late.sendall(ASK)  # in the gateway's socket before it is accepted
-    made.until(lambda: made.gate.fronts[0].server.turned_away)
+    made.until(lambda: made.gate.fronts[0].server.rejected_connections)
     said = rest_of(late)
     late.close()
     assert statuses(said) == [503] and closes(said) == [True] and not made.seen("task")
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -25,7 +25,7 @@
 
     def handle(self, request):
         self.asked += 1
-        self.most = max(self.most, self.server.held)
+        self.most = max(self.most, self.server.connection_count)
         if self.delay is not None:
             headers = ((b"Gaproute-Outcome", b"delivered"),)
             self.loop.after(self.delay, self.server.answer, request, 200, headers, b"ok")
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -86,11 +86,11 @@
 def post(group, to, body):
     came = []
     data = b"POST /keepers HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-    Exchange(group.loop, data, lambda answer, fault: came.append(answer)).open(
+    Exchange(group.loop, data, lambda answer, fault: came.append(answer)).connect(
         address(group.peers[to]), SECOND, 4096, 4096, lambda link: came.append(link)
     )
     group.until(lambda: len(came) == 2)
-    came[0].drop()
+    came[0].abort()
     return came[1].status
 
 
--- a/tests/standins/test_kserve_clients.py
+++ b/tests/standins/test_kserve_clients.py
@@ -69,7 +69,7 @@
 
 def read_and_closed(played, request, name):
     """No answer, but an end that the client cannot take for a reset."""
-    request.link._shut()
+    request.connection.close_gracefully()
 
 
 def test_a_body_made_for_another_task_is_a_stray(play):
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -168,7 +168,7 @@
         """One request's answer, as a promise."""
         came = Promise()
         exchange = Exchange(self.loop, data, lambda answer, fault: came.set(answer))
-        exchange.open(address(where), SECOND, 65536, 1 << 24)
+        exchange.connect(address(where), SECOND, 65536, 1 << 24)
         return came
 
     def cell_status(self, name):
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -264,7 +264,7 @@
     def exchange(self, data):
         came = Promise()
         exchange = Exchange(self.loop, data, lambda answer, fault: came.set(answer))
-        exchange.open(self.at, SECOND, 65536, 1 << 24)
+        exchange.connect(self.at, SECOND, 65536, 1 << 24)
         self.last = exchange
         return came
 
