--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
-from gaproute.shared.gossip import Weak
+from gaproute.shared.gossip import GossipNode
 
 SECOND = 1_000_000_000
 GATEWAYS = (16, 64, 256, 1_024, 4_096)
@@ -38,9 +38,9 @@
     def __init__(self, fleet, seed):
         self.fleet, self.chance = fleet, Chance(seed)
         self.names = [f"gate-{number:04}" for number in range(1, fleet.gateways)]
-        self.weak = Weak("gate-0000", 1, Chance(seed), 0)
-        self.weak.peers(0, self.names)
-        self.weak.listed(0, dict.fromkeys(self.hosts(), 1))
+        self.node = GossipNode("gate-0000", 1, Chance(seed), 0)
+        self.node.peers(0, self.names)
+        self.node.listed(0, dict.fromkeys(self.hosts(), 1))
         self.now, self.out, self.spent, self.words, self.turn = 0, 0, 0.0, 0, 0
 
     def hosts(self):
@@ -51,15 +51,15 @@
         """What this gateway sees in a second: a task of each function, one in hand at each host."""
         for number in range(self.fleet.functions):
             function = f"model-{number:04}"
-            self.weak.saw_arrival(self.now, function, 0)
-            self.weak.saw_warm(self.now, f"host-{number % self.fleet.hosts:04}", function)
+            self.node.record_arrival(self.now, function, 0)
+            self.node.record_warm_instance(self.now, f"host-{number % self.fleet.hosts:04}", function)
         for number, host in enumerate(self.hosts()):
-            self.weak.saw_hands(self.now, host, 1 + (number + self.now // SECOND) % 8)
+            self.node.record_in_flight(self.now, host, 1 + (number + self.now // SECOND) % 8)
 
     def tick(self):
         """The next word, and one of the next peer that is alike."""
         begun = time.process_time()
-        words = [wrapped(encode(word)) for _, word in self.weak.tick(self.now)]
+        words = [wrapped(encode(word)) for _, word in self.node.tick(self.now)]
         self.spent += time.process_time() - begun
         for data in words:
             self.words += 1
@@ -72,7 +72,7 @@
         sender = self.names[self.turn % len(self.names)]
         begun = time.process_time()
         told = word_pb2.Word.FromString(data)
-        self.weak.hear(self.now, sender, lambda: decode(told.weak))
+        self.node.hear(self.now, sender, lambda: decode(told.weak))
         self.spent += time.process_time() - begun
 
     def play(self, seconds):
@@ -80,8 +80,8 @@
         for second in range(seconds):
             self.see()
             end = (second + 1) * SECOND
-            while self.weak.due < end:
-                self.now = max(self.now, self.weak.due)
+            while self.node.due < end:
+                self.now = max(self.now, self.node.due)
                 self.tick()
             self.now = end
         return self
@@ -114,11 +114,11 @@
     """Seconds until each other gateway was told once more."""
     one = OneOfMany(Fleet(gateways), seed)
     one.play(PLAYED)
-    one.weak.told.round = []  # a round begins
+    one.node.told.round = []  # a round begins
     first, told = one.now, set()
     while len(told) < gateways - 1:
-        one.now = max(one.now, one.weak.due)
-        told.update(name for name, _ in one.weak.tick(one.now))
+        one.now = max(one.now, one.node.due)
+        told.update(name for name, _ in one.node.tick(one.now))
     return (one.now - first) / SECOND
 
 
--- a/benchmarks/weak.py
+++ b/benchmarks/weak.py
@@ -34,9 +34,9 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
-from gaproute.shared.gossip import Page, Weak
-from gaproute.shared.gossip.facts import HANDS
+from gaproute.shared.gossip import EntrySet, GossipNode
 from gaproute.shared.gossip.invariants import check, own_alone
+from gaproute.shared.gossip.messages import HANDS
 
 SECOND = 1_000_000_000
 STEP = SECOND // 4  # in which tasks come
@@ -61,7 +61,7 @@
         self.dice, self.size, self.loss = random.Random(f"{size} {case} {seed}"), size, CASES[case]
         names = [f"gate-{number}" for number in range(size)]
         self.nodes = {
-            name: Weak(name, 1, Chance(seed * 10_000 + place), 0) for place, name in enumerate(names)
+            name: GossipNode(name, 1, Chance(seed * 10_000 + place), 0) for place, name in enumerate(names)
         }
         self.hosts = [f"host-{number:03}" for number in range(HOSTS)]
         self.functions = [f"model-{number:03}" for number in range(FUNCTIONS)]
@@ -93,7 +93,7 @@
             _, name, host = heapq.heappop(self.ends)
             self.hands[name][host] -= 1
             self.true[host] -= 1
-            self.nodes[name].saw_hands(self.now, host, self.hands[name][host])
+            self.nodes[name].record_in_flight(self.now, host, self.hands[name][host])
         for host in self.dice.sample(self.hosts, 3):
             self.busy[host] = self.dice.uniform(0.3, 1.7)
         for name, node in self.nodes.items():
@@ -102,12 +102,12 @@
                 homes = self.homes[place]
                 host = self.dice.choices(homes, [self.busy[home] for home in homes])[0]
                 function = self.functions[place]
-                node.saw_arrival(self.now, function, 0)
-                node.saw_warm(self.now, host, function)
+                node.record_arrival(self.now, function, 0)
+                node.record_warm_instance(self.now, host, function)
                 self.copies[host, function] = self.now
                 self.hands[name][host] += 1
                 self.true[host] += 1
-                node.saw_hands(self.now, host, self.hands[name][host])
+                node.record_in_flight(self.now, host, self.hands[name][host])
                 until = self.now + round(self.dice.expovariate(1 / HELD) * SECOND)
                 heapq.heappush(self.ends, (until, name, host))
         self.past = [*self.past, Counter(self.true)][-5 * SECOND // STEP :]
@@ -122,7 +122,7 @@
         sent = []
         for to, word in words:
             if name in self.liars:
-                lie = Page(
+                lie = EntrySet(
                     HANDS,
                     0,
                     word.pages[0].counter,
--- a/benchmarks/weak_bytes.py
+++ b/benchmarks/weak_bytes.py
@@ -25,9 +25,9 @@
 from gaproute.peers.gossip import decode, encode
 from gaproute.peers.membership import MAX_DATAGRAMS, MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
-from gaproute.shared.gossip import Page, Weak, Word
-from gaproute.shared.gossip.facts import DEMAND, HANDS, WARM
-from gaproute.shared.gossip.facts import MOST as ENTRIES
+from gaproute.shared.gossip import EntrySet, GossipMessage, GossipNode
+from gaproute.shared.gossip.messages import DEMAND, HANDS, WARM
+from gaproute.shared.gossip.messages import MOST as ENTRIES
 
 ROUNDS, TIMES = 21, 200
 
@@ -45,17 +45,17 @@
 
 def words():
     hands = [
-        Page(HANDS, 0, 1, 0, 0.0, tuple((number * 7919, 1.0) for number in range(count)))
+        EntrySet(HANDS, 0, 1, 0, 0.0, tuple((number * 7919, 1.0) for number in range(count)))
         for count in (5, ENTRIES[HANDS])
     ]
-    demand = Page(
+    demand = EntrySet(
         DEMAND, 0, 1, 0, 3.0, tuple((number * 7919, 0, 1.5, 0.5) for number in range(ENTRIES[DEMAND]))
     )
-    warm = Page(WARM, 0, 1, 0, 0.0, tuple((number * 7919, 8, 10**9) for number in range(ENTRIES[WARM])))
+    warm = EntrySet(WARM, 0, 1, 0, 0.0, tuple((number * 7919, 8, 10**9) for number in range(ENTRIES[WARM])))
     return {
-        "5 tasks in hand": Word(1, (hands[0],)),
-        "5 tasks in hand, demand": Word(1, (hands[0], demand)),
-        "64 tasks in hand, warm": Word(1, (hands[1], warm)),
+        "5 tasks in hand": GossipMessage(1, (hands[0],)),
+        "5 tasks in hand, demand": GossipMessage(1, (hands[0], demand)),
+        "64 tasks in hand, warm": GossipMessage(1, (hands[1], warm)),
     }
 
 
@@ -67,12 +67,12 @@
 
 def merging(word):
     """Microseconds to merge it where it is news, whatever the budget of its sender."""
-    weak, count = Weak("me", 1, Chance(1), 0), [1]
-    weak.peers(0, ["a"])
+    node, count = GossipNode("me", 1, Chance(1), 0), [1]
+    node.peers(0, ["a"])
 
     def call():
         count[0] += 1
-        weak.hear(
+        node.hear(
             count[0] * 10**9,
             "a",
             word._replace(pages=tuple([page._replace(counter=count[0]) for page in word.pages])),
@@ -108,9 +108,9 @@
         free.bind(("127.0.0.1", 0))
         where = f"127.0.0.1:{free.getsockname()[1]}"
     gossip = MembershipTransport(loop, "me", where, Chance(1), Record())
-    weak = Weak("me", 1, Chance(1), 0)
-    weak.peers(0, ["gate-117"])
-    gossip.register(PayloadKind.GOSSIP, lambda sender, data: weak.hear(0, sender, lambda: decode(data)))
+    node = GossipNode("me", 1, Chance(1), 0)
+    node.peers(0, ["gate-117"])
+    gossip.register(PayloadKind.GOSSIP, lambda sender, data: node.hear(0, sender, lambda: decode(data)))
     data, noise = wrapped(encode(words()["64 tasks in hand, warm"])), os.urandom(1200)
     stranger = data.replace(b"gate-117", b"gate-118")
 
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -57,7 +57,7 @@
             self.loop,
             self.configuration.name,
             line.fleet,
-            others.gossip,
+            others.membership_transport,
             giver,
             Chance(self.seed + CARRIER_SEED),
             self.record,
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -93,8 +93,8 @@
                 front.close()
             self.fronts, self.client_fronts, self.others = [], [], self.make_others()
             raise OSError(fault.errno, f"{where}: {fault.strerror}") from fault
-        if self.others.weak is not None:
-            self.core.arrived = self.others.weak.arrived
+        if self.others.gossip is not None:
+            self.core.arrived = self.others.gossip.arrived
         source = self.configuration.hosts_file
         if self.cells is not None:
             self.cells.start()
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -12,6 +12,7 @@
 def status(gate):
     counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
     giver, writer, learner = others.giver, others.observation_writer, others.learner
+    transport = others.membership_transport
     return {
         "name": gate.configuration.name,
         "stopping": gate.stopping,
@@ -31,9 +32,9 @@
             "kept_back": lot.admission.reserve,
         },
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
-        "gateways": others.gossip.membership.live_count() if others.gossip else None,
+        "gateways": transport.membership.live_count() if transport else None,
         "cells": gate.cells and gate.cells.status(),
-        "weak_word": others.weak and others.weak.weak.status(gate.loop.now()),
+        "weak_word": others.gossip and others.gossip.node.status(gate.loop.now()),
         "learnt": {
             "facts": len(others.lore.facts),
             "refused": dict(others.lore.refused),
@@ -103,8 +104,8 @@
 def peer_table(gate):
     """The gateways that are known: membership's view, and what each told at the start."""
     learnt = gate.others.learner.state if gate.others.learner else {}
-    gossip = gate.others.gossip
-    rows = gossip.table() if gossip else [{"name": name, "state": None} for name in learnt]
+    transport = gate.others.membership_transport
+    rows = transport.table() if transport else [{"name": name, "state": None} for name in learnt]
     return [row | {"learnt": learnt.get(row["name"])} for row in rows]
 
 
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -12,7 +12,7 @@
 from gaproute.loop.streams import address
 from gaproute.peers import Giver, Learner, MembershipTransport
 from gaproute.peers.giver import LIMITS
-from gaproute.peers.gossip import Carrier
+from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.raft.transport import TARGET
 from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import ObservationStore, ObservationStoreError
@@ -38,7 +38,7 @@
         self.cells = cells
         self.loop, self.configuration, self.gateway = loop, configuration, gateway
         self.record, self.seed = record, seed
-        self.giver = self.learner = self.gossip = self.weak = self.watch = self.leases = None
+        self.giver = self.learner = self.membership_transport = self.gossip = self.watch = self.leases = None
         self.observation_writer: ObservationWriter | None = None
         self.roll, self.lore = Roll(), Lore()
         self.tracks = [line.name for line in configuration.tracks]
@@ -52,7 +52,7 @@
             limits = forwarded_limits(limits, self.configuration.clients)
         self.giver = Giver(self.loop, address(where), self.gateway, self.roll, self.tracks, limits)
         try:
-            self.gossip = MembershipTransport(
+            self.membership_transport = MembershipTransport(
                 self.loop, self.configuration.name, self.giver.address, Chance(self.seed + 2), self.record
             )
             if line is not None:
@@ -64,8 +64,12 @@
             self.giver.close()
             raise
         if self.configuration.gossip_enabled:
-            self.weak = Carrier(
-                self.loop, self.configuration.name, self.gossip, self.gateway, Chance(self.seed + 4)
+            self.gossip = GossipTransport(
+                self.loop,
+                self.configuration.name,
+                self.membership_transport,
+                self.gateway,
+                Chance(self.seed + 4),
             )
         return self.giver
 
@@ -81,8 +85,8 @@
     def hosts_listed(self, lives):
         """`lives`: {host: (state, start, ns since 1970)} of the whole list."""
         self.roll.listed(self.loop.now(), lives)
-        if self.weak is not None:
-            self.weak.listed({name: told[1] for name, told in self.roll.told.items() if name in lives})
+        if self.gossip is not None:
+            self.gossip.listed({name: told[1] for name, told in self.roll.told.items() if name in lives})
 
     def remember(self):
         """Opens the memory on disk where there is one, and follows what it tells of the past life. One that
@@ -130,8 +134,8 @@
 
     def listed(self, peers):
         others = [peer for peer in peers if peer.name != self.configuration.name]
-        if self.gossip is not None:
-            self.gossip.configure(others)
+        if self.membership_transport is not None:
+            self.membership_transport.configure(others)
         if self.leases is not None:
             self.leases.listed({peer.name: peer.where for peer in others})
         if self.cells is not None:
@@ -147,13 +151,20 @@
         return sum(part.spent for part in (self.giver, self.observation_writer) if part is not None)
 
     def stop(self):
-        for part in (self.gossip, self.leases):
+        for part in (self.membership_transport, self.leases):
             if part is not None:
                 part.stop()
         if self.watch is not None:
             self.watch.close()
 
     def close(self):
-        for part in (self.watch, self.learner, self.weak, self.gossip, self.leases, self.observation_writer):
+        for part in (
+            self.watch,
+            self.learner,
+            self.gossip,
+            self.membership_transport,
+            self.leases,
+            self.observation_writer,
+        ):
             if part is not None:
                 part.close()
--- a/gaproute/hollow/demand.py
+++ b/gaproute/hollow/demand.py
@@ -1,8 +1,8 @@
 """Gossip of demand as a part: the product's carrier, fed the arrivals that clients would cause."""
 
 from gaproute.hollow.parts import Part
-from gaproute.peers.gossip import Carrier
-from gaproute.shared.gossip.told import RATE, RATE_IN_CELLS
+from gaproute.peers.gossip import GossipTransport
+from gaproute.shared.gossip.scheduler import RATE, RATE_IN_CELLS
 
 SECOND = 1_000_000_000
 EVERY = SECOND  # between two feeds
@@ -34,7 +34,7 @@
     def __init__(self, surroundings, parts):
         self.loop, self.chance = surroundings.loop, surroundings.chance(7)
         self.posts, self.hosts = CountedPosts(parts["membership"]), parts["hosts"]
-        self.carrier = Carrier(
+        self.carrier = GossipTransport(
             self.loop,
             surroundings.name,
             self.posts,
@@ -47,9 +47,9 @@
         self.due = self.loop.now()
 
     @property
-    def weak(self):
+    def node(self):
         """The decisions of this gossip."""
-        return self.carrier.weak
+        return self.carrier.node
 
     def tick(self, now):
         """Feeds the arrivals of one interval, and moves the tasks in hand to other hosts."""
@@ -60,21 +60,21 @@
         fleet = self.hosts.gateway.fleet
         chosen = [fleet[self.chance.below(len(fleet))].id for _ in range(BUSY_HOSTS)] if fleet else []
         for host in self.busy:
-            self.weak.saw_hands(now, host, 0)
+            self.node.record_in_flight(now, host, 0)
         for host in chosen:
-            self.weak.saw_hands(now, host, 1)
-            self.weak.saw_warm(now, host, f"model-{self.chance.below(FUNCTIONS):03}")
+            self.node.record_in_flight(now, host, 1)
+            self.node.record_warm_instance(now, host, f"model-{self.chance.below(FUNCTIONS):03}")
         self.busy = chosen
 
     def counters(self):
         """`entries`: entries of all pages held of others; `tellers`: gateways of which any page is held."""
-        pages = [held for pages in self.weak.store.tellers.values() for held in pages.values()]
+        pages = [held for pages in self.node.store.tellers.values() for held in pages.values()]
         return {
             "messages": self.posts.messages,
             "bytes": self.posts.bytes,
             "entries": sum(len(held.entries) for held in pages),
-            "tellers": len(self.weak.store.tellers),
-            "refused": sum(self.weak.refused.values()) + sum(self.weak.store.refused.values()),
+            "tellers": len(self.node.store.tellers),
+            "refused": sum(self.node.refused.values()) + sum(self.node.store.refused.values()),
         }
 
     def close(self):
--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -14,7 +14,7 @@
 from itertools import pairwise
 from struct import Struct, error
 
-from gaproute.shared.gossip.facts import (
+from gaproute.shared.gossip.messages import (
     DEMAND,
     HANDS,
     KINDS,
@@ -24,8 +24,8 @@
     SCALE,
     SLOTS,
     WARM,
-    Page,
-    Word,
+    EntrySet,
+    GossipMessage,
 )
 
 VERSION = 1
@@ -47,7 +47,7 @@
 
 
 def encode(word):
-    """Bytes of a Word."""
+    """Bytes of a GossipMessage."""
     parts = [HEAD.pack(VERSION, word.incarnation, len(word.pages))]
     for page in word.pages:
         kind, pack = page.kind, ENTRIES[page.kind].pack
@@ -68,7 +68,7 @@
 
 
 def decode(data):
-    """The Word, or None where it is none that is understood."""
+    """The GossipMessage, or None where it is none that is understood."""
     if len(data) > LONGEST:
         return None
     try:
@@ -85,7 +85,7 @@
             if end > len(data):
                 return None
             pages.append(
-                Page(
+                EntrySet(
                     kind,
                     slot,
                     counter,
@@ -97,7 +97,7 @@
             at = end
     except error:
         return None
-    return Word(incarnation, tuple(pages)) if at == len(data) else None
+    return GossipMessage(incarnation, tuple(pages)) if at == len(data) else None
 
 
 def _entries(kind, data):
--- a/gaproute/shared/gossip/__init__.py
+++ b/gaproute/shared/gossip/__init__.py
@@ -1,7 +1,7 @@
-"""The weak word: demand, tasks in hand, room, warm copies; seen by one, told to all, fading. Face: `Weak`."""
+"""Gossip: what each gateway observes of demand and hosts, sent to all others. Face: `GossipNode`."""
 
-from gaproute.shared.gossip.facts import Page, Word
-from gaproute.shared.gossip.reading import Reading
-from gaproute.shared.gossip.weak import Weak
+from gaproute.shared.gossip.estimates import Reading
+from gaproute.shared.gossip.messages import EntrySet, GossipMessage
+from gaproute.shared.gossip.node import GossipNode
 
-__all__ = ["Page", "Reading", "Weak", "Word"]
+__all__ = ["EntrySet", "Reading", "GossipNode", "GossipMessage"]
--- a/gaproute/shared/gossip/arrivals.py
+++ b/gaproute/shared/gossip/arrivals.py
@@ -4,7 +4,7 @@
 from math import sqrt
 from typing import NamedTuple
 
-from gaproute.shared.gossip.facts import DEMAND, MOST, SECOND
+from gaproute.shared.gossip.messages import DEMAND, MOST, SECOND
 
 BUCKET = 2 * SECOND  # arrivals are counted by it: a spread over shorter ones is that of chance alone
 BUCKETS = 10  # kept: 20 s, a burst shows within some seconds
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -1,8 +1,8 @@
 """What must always hold of a gateway's weak word: named checks that return breaches as text."""
 
-from gaproute.shared.gossip import arrivals, hosts, own
-from gaproute.shared.gossip.facts import HIGHEST, SLOTS, sound
-from gaproute.shared.gossip.merge import TOMBS
+from gaproute.shared.gossip import arrivals, hosts, local_observations
+from gaproute.shared.gossip.messages import HIGHEST, SLOTS, sound
+from gaproute.shared.gossip.table import TOMBS
 
 
 def bounded(weak):
@@ -14,12 +14,12 @@
         ("round", len(weak.told.round), max(peers, weak.told.longest)),
         ("tombstones", len(weak.store.tombs), TOMBS),
         ("hosts' tombstones", len(weak.hosts.tombstones), hosts.MAX_TOMBSTONES),
-        ("keys", len(weak.own.keys), own.NAMES),
+        ("keys", len(weak.own.keys), local_observations.NAMES),
         ("buckets", len(weak.own.arrivals.past), arrivals.BUCKETS),
         ("functions", len(weak.own.arrivals.counts), arrivals.MAX_FUNCTIONS),
         ("summed functions", len(weak.own.arrivals.sums), arrivals.MAX_FUNCTIONS * arrivals.BUCKETS),
-        ("copies", max(map(len, weak.own.copies)), own.COPIES),
-        ("hosts", max(map(len, weak.own.figures)), own.HOSTS),
+        ("copies", max(map(len, weak.own.copies)), local_observations.COPIES),
+        ("hosts", max(map(len, weak.own.figures)), local_observations.HOSTS),
     ):
         if size > most:
             yield f"{size} {name}, {most} at most"
--- a/gaproute/shared/gossip/own.py
+++ b/gaproute/shared/gossip/local_observations.py
@@ -1,7 +1,18 @@
 """What this gateway saw itself, made into pages: the only facts that it tells."""
 
 from gaproute.shared.gossip.arrivals import ArrivalRates
-from gaproute.shared.gossip.facts import DEMAND, HANDS, LIFE, MOST, SCALE, SECOND, SLOTS, WARM, Page, key
+from gaproute.shared.gossip.messages import (
+    DEMAND,
+    HANDS,
+    LIFE,
+    MOST,
+    SCALE,
+    SECOND,
+    SLOTS,
+    WARM,
+    EntrySet,
+    key,
+)
 
 HOSTS = 8192  # hosts of which tasks in hand or room are kept
 COPIES = 512  # copies kept of each page's functions, those seen last
@@ -80,4 +91,4 @@
             if kind == HANDS:
                 rest = max(0.0, sum(table.values()) - sum(figure for _, figure in entries))
         counter = self.counters[kind, slot] = self.counters.get((kind, slot), 0) + 1
-        return Page(kind, slot, counter, 0, min(rest, SCALE[-1]), tuple(entries))
+        return EntrySet(kind, slot, counter, 0, min(rest, SCALE[-1]), tuple(entries))
--- a/gaproute/shared/gossip/facts.py
+++ b/gaproute/shared/gossip/messages.py
@@ -27,7 +27,7 @@
 SCALE = tuple(2 ** (code / OCTAVE) - 1 for code in range(256))  # up to 2.4 million
 
 
-class Page(NamedTuple):
+class EntrySet(NamedTuple):
     """`entries`: (host, figure) of tasks in hand or lanes of room, (function, track, rate, spread) of demand,
     both a second, (host, function, age) of warm copies. `rest`: the sum of the figures left out."""
 
@@ -39,7 +39,7 @@
     entries: tuple
 
 
-class Word(NamedTuple):
+class GossipMessage(NamedTuple):
     """What its sender tells as seen by itself; it tells nothing of others."""
 
     incarnation: int
--- a/gaproute/shared/gossip/weak.py
+++ b/gaproute/shared/gossip/node.py
@@ -3,20 +3,20 @@
 
 from collections import Counter
 
-from gaproute.shared.gossip.facts import DEMAND, HANDS, KINDS, LIFE, ROOM, SECOND, SLOTS, WARM
+from gaproute.shared.gossip.estimates import WITNESSES, Reading, Sums, median
 from gaproute.shared.gossip.hosts import ListedHosts
-from gaproute.shared.gossip.merge import TOMB_LIFE, Store
-from gaproute.shared.gossip.own import Own
-from gaproute.shared.gossip.reading import WITNESSES, Reading, Sums, median
-from gaproute.shared.gossip.told import RATE, Told
+from gaproute.shared.gossip.local_observations import Own
+from gaproute.shared.gossip.messages import DEMAND, HANDS, KINDS, LIFE, ROOM, SECOND, SLOTS, WARM
+from gaproute.shared.gossip.scheduler import RATE, Told
+from gaproute.shared.gossip.table import TOMB_LIFE, Store
 
 REFRESH = SECOND // 2  # sums serve so long: a figure of the fleet is seconds old anyway
 WORDS = 8  # of one sender a second, four times what an honest one sends; BURST at once
 BURST = 16
 
 
-class Weak:
-    """`tick` at the time `due` returns [(peer, Word)]; `hear` takes each word that came from a peer.
+class GossipNode:
+    """`tick` at the time `due` returns [(peer, GossipMessage)]; `hear` takes each word that came from a peer.
 
     `rate`: bytes a second that it may tell.
     """
@@ -37,23 +37,23 @@
 
     # What this gateway sees
 
-    def saw_arrival(self, now, function, track, count=1):
+    def record_arrival(self, now, function, track, count=1):
         """`track`: its place among the tracks, 0 to 255."""
         self.own.arrivals.record(now, self.own.key(function), track & 255, count)
 
-    def saw_hands(self, now, host, tasks):
+    def record_in_flight(self, now, host, tasks):
         """Own tasks in hand there now."""
         self.own.figure(HANDS, host, tasks)
 
-    def saw_room(self, now, host, lanes):
+    def record_available_capacity(self, now, host, lanes):
         """Lanes believed spare there."""
         self.own.figure(ROOM, host, lanes)
 
-    def saw_warm(self, now, host, function):
+    def record_warm_instance(self, now, host, function):
         """An answer or a probe just showed a copy."""
         self.own.warm(now, host, function)
 
-    def saw_cold(self, now, host, function):
+    def record_unloaded_instance(self, now, host, function):
         self.own.cold(host, function)
 
     # Who is there
@@ -97,8 +97,8 @@
         return self.told.tick(now, self.own, self.incarnation)
 
     def hear(self, now, sender, word):
-        """`word`: a Word, or a function that decodes one (None where it is none), called only where the
-        sender may still speak. Returns how many pages were news."""
+        """`word`: a GossipMessage, or a function that decodes one (None where it is none), called only where
+        the sender may still speak. Returns how many pages were news."""
         if sender not in self.told.peers:
             self.refused["stranger"] += 1
             return 0
--- a/gaproute/shared/gossip/told.py
+++ b/gaproute/shared/gossip/scheduler.py
@@ -4,7 +4,7 @@
 fleet a round takes longer, and a reader holds a sample of the tellers by which it scales.
 """
 
-from gaproute.shared.gossip.facts import DEMAND, HANDS, ROOM, SECOND, SLOTS, WARM, Word, size
+from gaproute.shared.gossip.messages import DEMAND, HANDS, ROOM, SECOND, SLOTS, WARM, GossipMessage, size
 from gaproute.shared.randomness import shuffle
 
 RATE = 3_000  # bytes a second, headers included: under 4 kB with bursts and membership's beside it
@@ -31,7 +31,7 @@
         self.peers = dict.fromkeys(self.names)
 
     def tick(self, now, own, incarnation):
-        """[(peer, Word)]; `next` is the time of the next call."""
+        """[(peer, GossipMessage)]; `next` is the time of the next call."""
         if now < self.next:
             return []
         name = self._peer()
@@ -48,7 +48,7 @@
             page = own.page(now, kind, self.slot if kind == WARM else 0)
             if page.entries or page.rest:
                 pages.append(page)
-        word = Word(incarnation, tuple(pages))
+        word = GossipMessage(incarnation, tuple(pages))
         spent = size(word)
         self.sent += 1
         self.bytes += spent
--- a/gaproute/shared/gossip/merge.py
+++ b/gaproute/shared/gossip/table.py
@@ -7,7 +7,7 @@
 
 from collections import Counter
 
-from gaproute.shared.gossip.facts import HIGHEST, HOP, LIFE, sound
+from gaproute.shared.gossip.messages import HIGHEST, HOP, LIFE, sound
 
 TOMBS = 8192  # kept at most; a tombstone outlives all facts of its teller, then it may go
 TOMB_LIFE = 2 * max(LIFE)
--- a/gaproute/simulation/campaigns_gateway.py
+++ b/gaproute/simulation/campaigns_gateway.py
@@ -10,7 +10,7 @@
 from gaproute.rollouts.orders import Latest
 from gaproute.rollouts.spend import ASK, Spend
 from gaproute.rollouts.weights import Weights
-from gaproute.shared.gossip import Weak, Word
+from gaproute.shared.gossip import GossipMessage, GossipNode
 from gaproute.shared.leases import LeaseClient
 from gaproute.simulation.campaigns_planner import Planner
 
@@ -32,9 +32,9 @@
         self.groups = Groups(self.weights)
         self.loads = Loads(None, play.ration, 2 * SECOND)
         self.latest, self.planner = Latest(), Planner(self, now)
-        self.weak = Weak(name, 1 + play.number(), chance, now)
+        self.gossip = GossipNode(name, 1 + play.number(), chance, now)
         self.peers = [other for other in play.gateways if other != name]
-        self.weak.peers(now, self.peers)
+        self.gossip.peers(now, self.peers)
         self.asks, self.known = {}, {}  # number: (host, when); host: its last room
         self.heard = {}  # peer: when
         self.queues = {campaign: deque() for campaign in self.campaigns}  # (group, task, version)
@@ -46,10 +46,10 @@
 
     @property
     def due(self):
-        return min(self.ask_at, self.weak.due, *([self.holder.due] if self.holder.due is not None else []))
+        return min(self.ask_at, self.gossip.due, *([self.holder.due] if self.holder.due is not None else []))
 
     def tick(self, now):
-        out = self.holder.tick(now) + self.weak.tick(now)
+        out = self.holder.tick(now) + self.gossip.tick(now)
         if now >= self.ask_at:
             self.ask_at = now + ASK
             for number in [number for number, (_, when) in self.asks.items() if now - when > SECOND]:
@@ -75,9 +75,9 @@
         return out + self.fill(now)
 
     def hear(self, now, sender, message):
-        if isinstance(message, Word):
+        if isinstance(message, GossipMessage):
             self.heard[sender] = now
-            self.weak.hear(now, sender, message)
+            self.gossip.hear(now, sender, message)
             return []
         if not isinstance(message, tuple):
             return self.holder.hear(now, sender, message)
@@ -91,7 +91,7 @@
             return []
         self.known[host] = asked[1], copies, loading, room
         self.spend.report(now, host, asked[1], free, want, cold)
-        self.weak.saw_room(now, host, free)
+        self.gossip.record_available_capacity(now, host, free)
         out = [(host, ("cancel", task)) for task in self.spend.cancels(host, lacking)]
         if not want:
             self.wanted.pop(host, None)
@@ -253,7 +253,7 @@
     def produce(self, now):
         """A task of production comes: to the one of two hosts with fewer of the own. It does not look at
         campaigns, so that the same production is played with and without them."""
-        self.weak.saw_arrival(now, "p", 0)
+        self.gossip.record_arrival(now, "p", 0)
         hosts = self.play.up()
         chance = self.play.production  # the same with and without campaigns
         one, other = chance.of(hosts), chance.of(hosts)
--- a/gaproute/simulation/campaigns_planner.py
+++ b/gaproute/simulation/campaigns_planner.py
@@ -56,7 +56,7 @@
             gateway.holder.resize_pool(now, "rollouts/exchange", self.sized[""])
         if not hosts:
             return []
-        self.forecast.read(now, {"p": (gateway.weak.demand(now, "p", 0).total, 0.0, play.mean / SECOND)})
+        self.forecast.read(now, {"p": (gateway.gossip.demand(now, "p", 0).total, 0.0, play.mean / SECOND)})
         spare = self.forecast.spare(now, hosts, play.lent, 4)
         stand = sorted({(name, host) for host, told in known.items() for name, _ in told[1] | told[2]})
         # Of a host's room a campaign's old and new copy stand together while they are exchanged.
--- a/gaproute/simulation/rounds_actors.py
+++ b/gaproute/simulation/rounds_actors.py
@@ -9,7 +9,7 @@
 from gaproute.maintenance.drained import Bounds
 from gaproute.maintenance.invariants import check_belief, check_given, check_round
 from gaproute.maintenance.warm import Shown
-from gaproute.shared.gossip import Weak
+from gaproute.shared.gossip import GossipNode
 from gaproute.shared.leases import LeaseClient
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -128,17 +128,17 @@
 
     def __init__(self, play, name, chance, now, peers):
         self.play, self.name, self.chance = play, name, chance
-        self.weak = Weak(name, 1 + play.world.seats[name].life, chance, now)
-        self.weak.peers(now, peers)
+        self.gossip = GossipNode(name, 1 + play.world.seats[name].life, chance, now)
+        self.gossip.peers(now, peers)
         self.hosts, self.place, self.number = list(play.fleet), 0, 0
         self.asked, self.shown, self.starts = {}, {}, {}
         self.next = now
-        self.weak.listed(now, dict.fromkeys(self.hosts, 0))
+        self.gossip.listed(now, dict.fromkeys(self.hosts, 0))
 
     def tick(self, now):
         out = []
-        if now >= self.weak.due:
-            out += [(peer, ("word", word)) for peer, word in self.weak.tick(now)]
+        if now >= self.gossip.due:
+            out += [(peer, ("word", word)) for peer, word in self.gossip.tick(now)]
         if now >= self.next:
             self.next = now + PROBE // len(self.hosts)
             name = self.hosts[self.place % len(self.hosts)]
@@ -149,13 +149,13 @@
 
     def hear(self, now, sender, message):
         if message[0] == "word":
-            self.weak.hear(now, sender, message[1])
+            self.gossip.hear(now, sender, message[1])
         elif message[0] == "shown" and self.asked.get(sender, (0, 0))[0] == message[1]:
             asked = self.asked[sender][1]
             start, draining, mark, hands, power, free, loading, done = message[2]
             if self.starts.get(sender) != start:
                 self.starts[sender] = start
-                self.weak.listed(
+                self.gossip.listed(
                     now, self.starts | {name: 0 for name in self.hosts if name not in self.starts}
                 )
             self.shown[sender] = Shown(
@@ -163,9 +163,9 @@
             )
             for function in self.play.functions:
                 if function in message[3]:  # as of when it was asked: an answer may be long on its way
-                    self.weak.saw_warm(asked, sender, function)
+                    self.gossip.record_warm_instance(asked, sender, function)
                 else:
-                    self.weak.saw_cold(now, sender, function)
+                    self.gossip.record_unloaded_instance(now, sender, function)
 
 
 class Gateway(Eyes):
@@ -173,7 +173,7 @@
 
     @property
     def due(self):
-        return min(self.next, self.weak.due)
+        return min(self.next, self.gossip.due)
 
     def tick(self, now):
         out = super().tick(now)
@@ -210,14 +210,16 @@
 
     @property
     def due(self):
-        return min([self.next, self.weak.due, self.look] + [self.holder.due] * (self.holder.due is not None))
+        return min(
+            [self.next, self.gossip.due, self.look] + [self.holder.due] * (self.holder.due is not None)
+        )
 
     def view(self, now):
         peak = {function: max(lanes for lanes, _ in told) for function, told in self.demand.items()}
         return View(
             self.play.fleet,
             self.shown,
-            {function: self.weak.warm(now, function) for function in self.play.functions},
+            {function: self.gossip.warm(now, function) for function in self.play.functions},
             peak,
             now - self.told,
         )
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -6,8 +6,8 @@
 from gaproute.decisions.chance import Chance
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers.membership import MembershipTransport
-from gaproute.shared.gossip import Page, Weak, Word
-from gaproute.shared.gossip.facts import HANDS, LIFE, key
+from gaproute.shared.gossip import EntrySet, GossipMessage, GossipNode
+from gaproute.shared.gossip.messages import HANDS, LIFE, key
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.membership import Membership, MemberState
 from gaproute.shared.raft import RaftNode
@@ -60,11 +60,11 @@
 
 
 def hands(incarnation, counter, tasks):
-    return Word(incarnation, (Page(HANDS, 0, counter, 0, 0.0, ((key("h1"), tasks),)),))
+    return GossipMessage(incarnation, (EntrySet(HANDS, 0, counter, 0, 0.0, ((key("h1"), tasks),)),))
 
 
 def test_what_a_teller_says_under_a_lower_incarnation_waits_until_it_has_outbid_its_past_life():
-    made = Weak("me", BEGUN_MS, Chance(7), 0)
+    made = GossipNode("me", BEGUN_MS, Chance(7), 0)
     made.peers(0, ["a"])
     made.listed(0, {"h1": 1})
     made.hear(0, "a", hands(BEGUN_MS, 900, 4.0))
@@ -85,16 +85,16 @@
     second = start("second", "weak-word yes")
     at = second.others.giver.address
     third = start("third", f"peer second {at}\nweak-word yes")
-    weak = third.others.weak.weak
+    weak = third.others.gossip.node
     made.until(lambda: "second" in weak.store.tellers)
-    before = second.others.gossip.membership.incarnation
+    before = second.others.membership_transport.membership.incarnation
     second.close()
     ahead[0] = -HOUR_MS
     lines = (f"listen peers {at}", f"peer third {third.others.giver.address}", "weak-word yes")
     again = start("second", *lines, listen=False)
-    assert again.others.gossip.membership.incarnation < before
+    assert again.others.membership_transport.membership.incarnation < before
     made.until(lambda: weak.store.last("second") > before)
-    assert again.others.gossip.membership.incarnation > before
+    assert again.others.membership_transport.membership.incarnation > before
 
 
 # Leases
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_node.py
@@ -5,15 +5,15 @@
 import pytest
 
 from gaproute.decisions.chance import Chance
-from gaproute.shared.gossip import Page, Weak, Word
-from gaproute.shared.gossip.facts import DEMAND, HANDS, HIGHEST, LIFE, MOST, ROOM, SECOND, SLOTS, WARM, key
+from gaproute.shared.gossip import EntrySet, GossipMessage, GossipNode
 from gaproute.shared.gossip.invariants import Ages, check, own_alone
-from gaproute.shared.gossip.told import RATE
-from gaproute.shared.gossip.weak import BURST
+from gaproute.shared.gossip.messages import DEMAND, HANDS, HIGHEST, LIFE, MOST, ROOM, SECOND, SLOTS, WARM, key
+from gaproute.shared.gossip.node import BURST
+from gaproute.shared.gossip.scheduler import RATE
 
 
 def weak(name="me", peers=("a", "b", "c"), hosts=("h1", "h2")):
-    made = Weak(name, 1, Chance(7), 0)
+    made = GossipNode(name, 1, Chance(7), 0)
     made.peers(0, peers)
     made.listed(0, dict.fromkeys(hosts, 1))
     return made
@@ -30,7 +30,7 @@
         now += SECOND // 50
         for name, node in nodes.items():
             if now % (SECOND // 10) == 0:
-                node.saw_arrival(now, "f", 1)
+                node.record_arrival(now, "f", 1)
             for to, word in node.tick(now) if now >= node.due else ():
                 assert not list(own_alone(node, word))
                 words.append((name, to, word))
@@ -42,15 +42,15 @@
 
 
 def hands(counter, *entries, age=0, rest=0.0, incarnation=1):
-    return Word(incarnation, (Page(HANDS, 0, counter, age, rest, entries),))
+    return GossipMessage(incarnation, (EntrySet(HANDS, 0, counter, age, rest, entries),))
 
 
 def test_tasks_in_hand_demand_and_copies_of_all_are_read_by_each():
     nodes = fleet("abcd")
     for number, node in enumerate(nodes.values()):
-        node.saw_hands(0, "h1", number + 1)
-        node.saw_room(0, "h2", number)
-        node.saw_warm(20 * SECOND, "h1", "f")
+        node.record_in_flight(0, "h1", number + 1)
+        node.record_available_capacity(0, "h2", number)
+        node.record_warm_instance(20 * SECOND, "h1", "f")
     run(nodes, 20 * SECOND, 40 * SECOND)
     told = nodes["a"].hands(40 * SECOND, "h1")
     assert (told.own, told.heard, told.tellers, told.others) == (1, 9, 3, 3) and 0 < told.age < 2 * SECOND
@@ -68,7 +68,7 @@
 
 def test_nothing_heard_leaves_what_is_seen_here():
     made = weak()
-    made.saw_hands(0, "h1", 3)
+    made.record_in_flight(0, "h1", 3)
     assert made.hands(0, "h1").total == 3 and made.room(0, "h1") is None and made.warm(0, "f") == {}
 
 
@@ -99,8 +99,12 @@
 def test_what_was_seen_of_a_host_before_it_restarted_is_void_here_and_from_others():
     made = weak()
     made.hear(0, "a", hands(1, (key("h1"), 4.0)))
-    made.hear(0, "b", Word(1, (Page(WARM, key("f") % SLOTS[WARM], 1, 0, 0.0, ((key("h1"), key("f"), 0),)),)))
-    made.saw_warm(0, "h1", "f")
+    made.hear(
+        0,
+        "b",
+        GossipMessage(1, (EntrySet(WARM, key("f") % SLOTS[WARM], 1, 0, 0.0, ((key("h1"), key("f"), 0),)),)),
+    )
+    made.record_warm_instance(0, "h1", "f")
     assert made.warm(0, "f")["h1"][1] == ("me", "b")
     made.listed(SECOND, {"h1": 2, "h2": 1})
     assert made.hands(2 * SECOND, "h1").heard == 0 and made.warm(2 * SECOND, "f") == {}
@@ -126,7 +130,7 @@
 
 def test_one_liar_of_three_does_not_move_the_bound():
     made = weak(peers=["a", "b"])
-    made.saw_hands(0, "h1", 10)
+    made.record_in_flight(0, "h1", 10)
     made.hear(0, "a", hands(1, (key("h1"), 1e6)))
     made.hear(0, "b", hands(1, (key("h1"), 10.0)))
     assert made.hands(0, "h1").total <= 60
@@ -135,21 +139,21 @@
 @pytest.mark.parametrize(
     "page, reason",
     [
-        (Page(HANDS, 0, 1, 16 * SECOND, 0.0, ()), "old"),
-        (Page(HANDS, 0, 1, -1, 0.0, ()), "absurd"),
-        (Page(HANDS, 1, 1, 0, 0.0, ()), "absurd"),
-        (Page(9, 0, 1, 0, 0.0, ()), "absurd"),
-        (Page(HANDS, 0, 1, 0, 0.0, ((1, -4.0),)), "absurd"),
-        (Page(HANDS, 0, 1, 0, float("nan"), ()), "absurd"),
-        (Page(DEMAND, 0, 1, 0, 0.0, ((1, 0, float("inf"), 0.0),)), "absurd"),
-        (Page(HANDS, 0, -1, 0, 0.0, ()), "absurd"),
-        (Page(WARM, 0, 1, 0, 0.0, ((1, 2, -5),)), "absurd"),
-        (Page(HANDS, 0, 1, 0, 0.0, ((1, 1.0),) * 65), "large"),
+        (EntrySet(HANDS, 0, 1, 16 * SECOND, 0.0, ()), "old"),
+        (EntrySet(HANDS, 0, 1, -1, 0.0, ()), "absurd"),
+        (EntrySet(HANDS, 1, 1, 0, 0.0, ()), "absurd"),
+        (EntrySet(9, 0, 1, 0, 0.0, ()), "absurd"),
+        (EntrySet(HANDS, 0, 1, 0, 0.0, ((1, -4.0),)), "absurd"),
+        (EntrySet(HANDS, 0, 1, 0, float("nan"), ()), "absurd"),
+        (EntrySet(DEMAND, 0, 1, 0, 0.0, ((1, 0, float("inf"), 0.0),)), "absurd"),
+        (EntrySet(HANDS, 0, -1, 0, 0.0, ()), "absurd"),
+        (EntrySet(WARM, 0, 1, 0, 0.0, ((1, 2, -5),)), "absurd"),
+        (EntrySet(HANDS, 0, 1, 0, 0.0, ((1, 1.0),) * 65), "large"),
     ],
 )
 def test_a_page_that_cannot_be_is_refused_by_its_reason(page, reason):
     made = weak()
-    assert made.hear(0, "a", Word(1, (page,))) == 0
+    assert made.hear(0, "a", GossipMessage(1, (page,))) == 0
     assert made.store.refused == {reason: 1} and made.store.tellers.get("a", {}) == {}
 
 
@@ -174,9 +178,9 @@
 def test_a_million_functions_and_many_hosts_leave_bounded_maps():
     made = weak()
     for number in range(20_000):
-        made.saw_arrival(number * SECOND // 4000, f"f{number}", 0)
-        made.saw_hands(0, f"x{number}", 1)
-        made.saw_warm(0, "h1", f"f{number}")
+        made.record_arrival(number * SECOND // 4000, f"f{number}", 0)
+        made.record_in_flight(0, f"x{number}", 1)
+        made.record_warm_instance(0, "h1", f"f{number}")
     assert check(made) == [] and made.own.arrivals.total() == pytest.approx(4000, rel=0.2)
     assert [len(bucket.counts) for bucket in made.own.arrivals.past] == [4096, 4096]
     page = made.own.page(6 * SECOND, DEMAND)
@@ -189,8 +193,8 @@
     for size in (50, 400):
         made, now = weak(peers=[f"p{number}" for number in range(size)]), 0
         for number in range(600):
-            made.saw_hands(0, f"h{number}", 1)
-            made.saw_warm(0, f"h{number % 80}", f"f{number}")
+            made.record_in_flight(0, f"h{number}", 1)
+            made.record_warm_instance(0, f"h{number % 80}", f"f{number}")
         reached = set()
         while now < 30 * SECOND:
             now = made.due
@@ -202,7 +206,7 @@
 def test_spread_is_that_of_the_steps():
     made = weak()
     for step in range(10):
-        made.saw_arrival(step * 2 * SECOND, "f", 0, 10 if step % 2 else 30)
+        made.record_arrival(step * 2 * SECOND, "f", 0, 10 if step % 2 else 30)
     told = made.demand(20 * SECOND, "f", 0)
     assert told.own == 10 and told.spread == pytest.approx(5.27, abs=0.01)
 
@@ -210,7 +214,7 @@
 def test_loss_doubling_and_lateness_leave_the_same_facts():
     dice, nodes = random.Random(3), fleet("abc")
     for node in nodes.values():
-        node.saw_hands(0, "h1", 2)
+        node.record_in_flight(0, "h1", 2)
     words = run(nodes, 0, 10 * SECOND, lambda sender, to: dice.random() < 0.5)
     late = weak()
     mine = [(sender, word) for sender, to, word in words if sender == "a"] * 2
--- a/tests/gossip/test_merge.py
+++ b/tests/gossip/test_table.py
@@ -7,12 +7,12 @@
 from gaproute.peers.gossip import decode, encode
 from gaproute.peers.gossip.wire import code
 from gaproute.peers.membership_wire import decode as decode_word
-from gaproute.shared.gossip import Page, Word
-from gaproute.shared.gossip.facts import DEMAND, HANDS, LIFE, MOST, ROOM, SCALE, WARM
-from gaproute.shared.gossip.merge import Store
+from gaproute.shared.gossip import EntrySet, GossipMessage
+from gaproute.shared.gossip.messages import DEMAND, HANDS, LIFE, MOST, ROOM, SCALE, WARM
+from gaproute.shared.gossip.table import Store
 
 page = st.builds(
-    Page,
+    EntrySet,
     st.sampled_from((HANDS, ROOM)),
     st.just(0),
     st.integers(0, 3),
@@ -51,7 +51,7 @@
 
 @given(facts, st.permutations(range(3)))
 def test_no_fact_stands_after_its_tombstone_in_any_order(steps, order):
-    parts = [steps, [("bury", "a", 2, None)], [("take", "a", 2, Page(HANDS, 0, 9, 0, 0.0, ()))]]
+    parts = [steps, [("bury", "a", 2, None)], [("take", "a", 2, EntrySet(HANDS, 0, 9, 0, 0.0, ()))]]
     found = merged(*[parts[place] for place in order])
     assert all(version[0] > 2 for (teller, _), (version, _) in found.items() if teller == "a")
 
@@ -59,9 +59,9 @@
 def test_of_one_version_the_greater_age_holds():
     store = Store()
     for age in (3, 5, 1):
-        store.take(10, "a", 1, Page(HANDS, 0, 1, age, 0.0, ()))
+        store.take(10, "a", 1, EntrySet(HANDS, 0, 1, age, 0.0, ()))
     young = Store()
-    young.take(10, "a", 1, Page(HANDS, 0, 1, 5, 0.0, ()))
+    young.take(10, "a", 1, EntrySet(HANDS, 0, 1, 5, 0.0, ()))
     assert store.tellers["a"][HANDS, 0].seen == young.tellers["a"][HANDS, 0].seen
 
 
@@ -69,7 +69,7 @@
 number = st.integers(0, 2**32 - 1)
 pages = st.one_of(
     st.builds(
-        Page,
+        EntrySet,
         st.sampled_from((HANDS, ROOM)),
         st.just(0),
         number,
@@ -78,7 +78,7 @@
         st.lists(st.tuples(number, figure), max_size=MOST[HANDS]).map(tuple),
     ),
     st.builds(
-        Page,
+        EntrySet,
         st.just(DEMAND),
         st.just(0),
         number,
@@ -90,7 +90,7 @@
         ).map(tuple),
     ),
     st.builds(
-        Page,
+        EntrySet,
         st.just(WARM),
         st.integers(0, 7),
         number,
@@ -103,7 +103,7 @@
 
 @given(st.integers(1, 1 << 48), st.lists(pages, max_size=2))
 def test_words_come_back_within_the_scale_and_ages_never_younger(incarnation, told):
-    data = encode(Word(incarnation, tuple(told)))
+    data = encode(GossipMessage(incarnation, tuple(told)))
     back = decode(data)
     assert len(data) <= 1100 and back.incarnation == incarnation
     for one, other in zip(told, back.pages, strict=True):
@@ -139,7 +139,7 @@
     ],
 )
 def test_what_is_not_wholly_a_word_is_none(break_it):
-    data = encode(Word(1, (Page(HANDS, 0, 1, 0, 0.0, ((1, 1.0),)),)))
+    data = encode(GossipMessage(1, (EntrySet(HANDS, 0, 1, 0, 0.0, ((1, 1.0),)),)))
     assert decode(data) is not None and decode(break_it(data)) is None
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -34,11 +34,12 @@
     third = start("third", f"peer second {where(second)}")
     made.until(
         lambda: (
-            [each.others.gossip.membership.live_count() for each in (made.gate, second, third)] == [3, 3, 3]
+            [each.others.membership_transport.membership.live_count() for each in (made.gate, second, third)]
+            == [3, 3, 3]
         )
     )
-    third.others.gossip.stop()
-    made.until(lambda: made.gate.others.gossip.membership.live_count() == 2)
+    third.others.membership_transport.stop()
+    made.until(lambda: made.gate.others.membership_transport.membership.live_count() == 2)
     states = {row["name"]: row["state"] for row in peer_table(made.gate)}
     assert states == {"second": "alive", "third": "left"}
     assert status(made.gate)["gateways"] == 2
@@ -76,7 +77,7 @@
     peers = made.folder / "peers.list"
     peers.write_text("peer second 127.0.0.1:9\n")
     second = start("second", f"peers-file {peers} look 5ms")
-    assert second.others.gossip.membership.members == {} and second.others.learner.state == {}
+    assert second.others.membership_transport.membership.members == {} and second.others.learner.state == {}
     fresh = made.folder / "fresh"
     fresh.write_text(f"peer second 127.0.0.1:9\npeer g {where(made.gate)}\n")
     fresh.replace(peers)
@@ -84,7 +85,7 @@
     fresh.write_text("peer g nowhere\n")
     fresh.replace(peers)
     made.until(lambda: any(what == "peer list refused" for what, _ in second.record.events))
-    assert second.others.gossip.membership.members["g"].configured
+    assert second.others.membership_transport.membership.members["g"].configured
 
 
 def test_both_sides_started_at_once_learn_from_each_other_what_came_since(fleet):
