--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -39,8 +39,8 @@
         self.fleet, self.chance = fleet, Chance(seed)
         self.names = [f"gate-{number:04}" for number in range(1, fleet.gateways)]
         self.node = GossipNode("gate-0000", 1, Chance(seed), 0)
-        self.node.peers(0, self.names)
-        self.node.listed(0, dict.fromkeys(self.hosts(), 1))
+        self.node.set_peers(0, self.names)
+        self.node.set_hosts(0, dict.fromkeys(self.hosts(), 1))
         self.now, self.out, self.spent, self.words, self.turn = 0, 0, 0.0, 0, 0
 
     def hosts(self):
@@ -54,7 +54,7 @@
             self.node.record_arrival(self.now, function, 0)
             self.node.record_warm_instance(self.now, f"host-{number % self.fleet.hosts:04}", function)
         for number, host in enumerate(self.hosts()):
-            self.node.record_in_flight(self.now, host, 1 + (number + self.now // SECOND) % 8)
+            self.node.record_in_flight(host, 1 + (number + self.now // SECOND) % 8)
 
     def tick(self):
         """The next word, and one of the next peer that is alike."""
@@ -72,7 +72,7 @@
         sender = self.names[self.turn % len(self.names)]
         begun = time.process_time()
         told = word_pb2.Word.FromString(data)
-        self.node.hear(self.now, sender, lambda: decode(told.weak))
+        self.node.receive_encoded(self.now, sender, lambda: decode(told.weak))
         self.spent += time.process_time() - begun
 
     def play(self, seconds):
@@ -114,7 +114,7 @@
     """Seconds until each other gateway was told once more."""
     one = OneOfMany(Fleet(gateways), seed)
     one.play(PLAYED)
-    one.node.told.round = []  # a round begins
+    one.node.peers.remaining = []  # a round begins
     first, told = one.now, set()
     while len(told) < gateways - 1:
         one.now = max(one.now, one.node.due)
--- a/benchmarks/weak.py
+++ b/benchmarks/weak.py
@@ -34,9 +34,9 @@
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
-from gaproute.shared.gossip import EntrySet, GossipNode
-from gaproute.shared.gossip.invariants import check, own_alone
-from gaproute.shared.gossip.messages import HANDS
+from gaproute.shared.gossip import EntryKind, EntrySet, GossipNode
+from gaproute.shared.gossip.invariants import check, own_observations_alone
+from gaproute.shared.gossip.messages import HostEntry
 
 SECOND = 1_000_000_000
 STEP = SECOND // 4  # in which tasks come
@@ -77,8 +77,8 @@
         }
         self.liars = set(names[::20]) if case == "5% lie" else set()
         for node in self.nodes.values():
-            node.peers(0, names)
-            node.listed(0, dict.fromkeys(self.hosts, 1))
+            node.set_peers(0, names)
+            node.set_hosts(0, dict.fromkeys(self.hosts, 1))
         self.now, self.count, self.events = 0, 0, []
         self.hands = {name: Counter() for name in names}  # name: tasks in hand by host
         self.ends = []
@@ -93,7 +93,7 @@
             _, name, host = heapq.heappop(self.ends)
             self.hands[name][host] -= 1
             self.true[host] -= 1
-            self.nodes[name].record_in_flight(self.now, host, self.hands[name][host])
+            self.nodes[name].record_in_flight(host, self.hands[name][host])
         for host in self.dice.sample(self.hosts, 3):
             self.busy[host] = self.dice.uniform(0.3, 1.7)
         for name, node in self.nodes.items():
@@ -107,7 +107,7 @@
                 self.copies[host, function] = self.now
                 self.hands[name][host] += 1
                 self.true[host] += 1
-                node.record_in_flight(self.now, host, self.hands[name][host])
+                node.record_in_flight(host, self.hands[name][host])
                 until = self.now + round(self.dice.expovariate(1 / HELD) * SECOND)
                 heapq.heappush(self.ends, (until, name, host))
         self.past = [*self.past, Counter(self.true)][-5 * SECOND // STEP :]
@@ -123,21 +123,21 @@
         for to, word in words:
             if name in self.liars:
                 lie = EntrySet(
-                    HANDS,
+                    EntryKind.IN_FLIGHT,
                     0,
-                    word.pages[0].counter,
+                    word.sets[0].sequence,
                     0,
                     0.0,
-                    tuple([(node.own.key(host), 1e6) for host in self.hosts[:64]]),
+                    tuple([HostEntry(node.keys.key(host), 1e6) for host in self.hosts[:64]]),
                 )
-                word = word._replace(pages=(lie, *word.pages[1:]))
+                word = word._replace(sets=(lie, *word.sets[1:]))
             made = word_pb2.Word(version=1, kind=6, weak=encode(word))
             made.sender.name = name
             sent.append((to, made.SerializeToString()))
         self.spent += time.process_time() - begun
         if self.count % 64 == 0 and name not in self.liars:
             for _, word in words:
-                self.breaches += own_alone(node, word)
+                self.breaches += own_observations_alone(node, word)
         for to, data in sent:
             assert len(data) <= 1200
             self.words += 1
@@ -162,7 +162,7 @@
         self.came[name] += len(data) + 28
         begun = time.process_time()
         told = word_pb2.Word.FromString(data)
-        self.nodes[name].hear(self.now, told.sender.name, lambda: decode(told.weak))
+        self.nodes[name].receive_encoded(self.now, told.sender.name, lambda: decode(told.weak))
         self.spent += time.process_time() - begun
 
     def read(self, name):
@@ -175,7 +175,7 @@
             return 100 * mean(abs(figures[host] - smooth[host]) for host in self.hosts) / usual
 
         begun = time.process_time()
-        hands = {host: node.hands(now, host) for host in self.hosts}
+        hands = {host: node.in_flight(now, host) for host in self.hosts}
         spent = time.process_time() - begun
         one = hands[self.hosts[0]]
         rate, share = sum(self.rates.values()), sum(self.wanted)
@@ -183,16 +183,18 @@
         for place, function in enumerate(self.functions[:10]):
             told, true = node.demand(now, function, 0), rate * self.wanted[place] / share
             demand.append(100 * abs(told.total - true) / true)
-            spread.append(told.spread / (true / 2) ** 0.5)  # a step of 2 s: Poisson
+            spread.append(told.deviation / (true / 2) ** 0.5)  # a step of 2 s: Poisson
         lately = {copy for copy, used in self.copies.items() if now - used < 60 * SECOND}
-        named = {(host, function) for function in self.functions for host in node.warm(now, function)}
+        named = {
+            (host, function) for function in self.functions for host in node.warm_instances(now, function)
+        }
         return {
             "read, us": 1e6 * spent,
             "hands": error({host: each.total for host, each in hands.items()}),
             "alone": error({host: self.hands[name][host] * self.size for host in self.hosts}),
             "now": error(self.true),
             "age, s": one.age / SECOND,
-            "tellers": one.tellers,
+            "tellers": one.origins,
             "demand": mean(demand),
             "spread": mean(spread),
             "warm": 100 * len(named & lately) / len(lately),
@@ -213,7 +215,9 @@
     for at in range(FROM + EVERY, PLAY + 1, EVERY):
         fleet.run(at * SECOND)
         found += [fleet.read(name) for name in fleet.dice.sample(honest, min(READERS, len(honest)))]
-    breaches = fleet.breaches + [breach for node in fleet.nodes.values() for breach in check(node, True)]
+    breaches = fleet.breaches + [
+        breach for node in fleet.nodes.values() for breach in check(node, thorough=True)
+    ]
     assert not breaches, breaches[:3]
     span = PLAY - FROM
     return {
--- a/benchmarks/weak_bytes.py
+++ b/benchmarks/weak_bytes.py
@@ -25,9 +25,8 @@
 from gaproute.peers.gossip import decode, encode
 from gaproute.peers.membership import MAX_DATAGRAMS, MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
-from gaproute.shared.gossip import EntrySet, GossipMessage, GossipNode
-from gaproute.shared.gossip.messages import DEMAND, HANDS, WARM
-from gaproute.shared.gossip.messages import MOST as ENTRIES
+from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
+from gaproute.shared.gossip.messages import LIMITS, DemandEntry, HostEntry, WarmInstanceEntry
 
 ROUNDS, TIMES = 21, 200
 
@@ -43,19 +42,28 @@
     return round(median(found), 1)
 
 
+def keys(count):
+    """So many keys of names."""
+    return [number * 7919 for number in range(count)]
+
+
 def words():
-    hands = [
-        EntrySet(HANDS, 0, 1, 0, 0.0, tuple((number * 7919, 1.0) for number in range(count)))
-        for count in (5, ENTRIES[HANDS])
+    in_flight = [
+        EntrySet(EntryKind.IN_FLIGHT, 0, 1, 0, 0.0, tuple(HostEntry(key, 1.0) for key in keys(count)))
+        for count in (5, LIMITS[EntryKind.IN_FLIGHT].max_entries)
     ]
+    demanded = keys(LIMITS[EntryKind.DEMAND].max_entries)
     demand = EntrySet(
-        DEMAND, 0, 1, 0, 3.0, tuple((number * 7919, 0, 1.5, 0.5) for number in range(ENTRIES[DEMAND]))
+        EntryKind.DEMAND, 0, 1, 0, 3.0, tuple(DemandEntry(key, 0, 1.5, 0.5) for key in demanded)
+    )
+    instances = keys(LIMITS[EntryKind.WARM_INSTANCES].max_entries)
+    warm = EntrySet(
+        EntryKind.WARM_INSTANCES, 0, 1, 0, 0.0, tuple(WarmInstanceEntry(key, 8, 10**9) for key in instances)
     )
-    warm = EntrySet(WARM, 0, 1, 0, 0.0, tuple((number * 7919, 8, 10**9) for number in range(ENTRIES[WARM])))
     return {
-        "5 tasks in hand": GossipMessage(1, (hands[0],)),
-        "5 tasks in hand, demand": GossipMessage(1, (hands[0], demand)),
-        "64 tasks in hand, warm": GossipMessage(1, (hands[1], warm)),
+        "5 tasks in hand": GossipMessage(1, (in_flight[0],)),
+        "5 tasks in hand, demand": GossipMessage(1, (in_flight[0], demand)),
+        "64 tasks in hand, warm": GossipMessage(1, (in_flight[1], warm)),
     }
 
 
@@ -68,14 +76,14 @@
 def merging(word):
     """Microseconds to merge it where it is news, whatever the budget of its sender."""
     node, count = GossipNode("me", 1, Chance(1), 0), [1]
-    node.peers(0, ["a"])
+    node.set_peers(0, ["a"])
 
     def call():
         count[0] += 1
-        node.hear(
+        node.receive(
             count[0] * 10**9,
             "a",
-            word._replace(pages=tuple([page._replace(counter=count[0]) for page in word.pages])),
+            word._replace(sets=tuple([each._replace(sequence=count[0]) for each in word.sets])),
         )
 
     return spent(call)
@@ -109,8 +117,10 @@
         where = f"127.0.0.1:{free.getsockname()[1]}"
     gossip = MembershipTransport(loop, "me", where, Chance(1), Record())
     node = GossipNode("me", 1, Chance(1), 0)
-    node.peers(0, ["gate-117"])
-    gossip.register(PayloadKind.GOSSIP, lambda sender, data: node.hear(0, sender, lambda: decode(data)))
+    node.set_peers(0, ["gate-117"])
+    gossip.register(
+        PayloadKind.GOSSIP, lambda sender, data: node.receive_encoded(0, sender, lambda: decode(data))
+    )
     data, noise = wrapped(encode(words()["64 tasks in hand, warm"])), os.urandom(1200)
     stranger = data.replace(b"gate-117", b"gate-118")
 
--- a/gaproute/hollow/demand.py
+++ b/gaproute/hollow/demand.py
@@ -8,7 +8,7 @@
 EVERY = SECOND  # between two feeds
 ARRIVALS = 15  # a second
 FUNCTIONS = 100
-BUSY_HOSTS = 5  # with a task in hand at once: 15 arrivals a second of 0.3 s each
+BUSY_HOSTS = 5  # with a request in flight at once: 15 arrivals a second of 0.3 s each
 TRACK = 0
 
 
@@ -52,7 +52,7 @@
         return self.carrier.node
 
     def tick(self, now):
-        """Feeds the arrivals of one interval, and moves the tasks in hand to other hosts."""
+        """Feeds the arrivals of one interval, and moves the requests in flight to other hosts."""
         self.due = now + EVERY
         for _ in range(ARRIVALS):
             place = self.chance.below(FUNCTIONS) * self.chance.below(FUNCTIONS) // FUNCTIONS
@@ -60,21 +60,21 @@
         fleet = self.hosts.gateway.fleet
         chosen = [fleet[self.chance.below(len(fleet))].id for _ in range(BUSY_HOSTS)] if fleet else []
         for host in self.busy:
-            self.node.record_in_flight(now, host, 0)
+            self.node.record_in_flight(host, 0)
         for host in chosen:
-            self.node.record_in_flight(now, host, 1)
+            self.node.record_in_flight(host, 1)
             self.node.record_warm_instance(now, host, f"model-{self.chance.below(FUNCTIONS):03}")
         self.busy = chosen
 
     def counters(self):
-        """`entries`: entries of all pages held of others; `tellers`: gateways of which any page is held."""
-        pages = [held for pages in self.node.store.tellers.values() for held in pages.values()]
+        """`entries`: entries of all sets received; `tellers`: gateways of which any set is held."""
+        sets = [held for sets in self.node.table.received.values() for held in sets.values()]
         return {
             "messages": self.posts.messages,
             "bytes": self.posts.bytes,
-            "entries": sum(len(held.entries) for held in pages),
-            "tellers": len(self.node.store.tellers),
-            "refused": sum(self.node.refused.values()) + sum(self.node.store.refused.values()),
+            "entries": sum(len(held.entries) for held in sets),
+            "tellers": len(self.node.table.received),
+            "refused": self.node.table.rejections.total(),
         }
 
     def close(self):
--- a/gaproute/maintenance/warm.py
+++ b/gaproute/maintenance/warm.py
@@ -44,7 +44,7 @@
 
 def sight(now, me, function, seen, told, since):
     """Per mille that a copy counts. `seen`: what the host showed this gateway, from when it was asked that;
-    `told`: (age, tellers) by `GossipNode.warm`, or None; nothing seen before `since` counts."""
+    `told`: (age, tellers) by `GossipNode.warm_instances`, or None; nothing seen before `since` counts."""
     if function in seen.copies:
         return weight(now - seen.asked) if seen.asked > since else 0
     if told is None:
@@ -57,8 +57,8 @@
 
 def lanes(now, me, fleet, sights, shown, since):
     """{host: {function: lanes}} believed warm now. `sights`: {function: {host: (age, tellers)}} as
-    `GossipNode.warm` has them; `shown`: {host: Shown}; `since`: {host: ns before which nothing counts}, of
-    all hosts that count."""
+    `GossipNode.warm_instances` has them; `shown`: {host: Shown}; `since`: {host: ns before which nothing
+    counts}, of all hosts that count."""
     found = {name: {} for name in fleet}
     for name, host in fleet.items():
         seen = shown.get(name)
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -1,74 +1,123 @@
-"""The weak word carried by the membership's datagrams. Who is up is taken from there, once a second at most;
-what this gateway sees is looked up from its decisions at a pace, so that no task's path grows longer."""
+"""Gossip carried by the membership's datagrams.
+
+Who is up is taken from the membership, once a second at most; what this gateway observes is looked up from
+its decisions at a pace, so that no request's path grows longer.
+"""
+
+from collections.abc import Mapping
+from typing import Any, Protocol
 
 from gaproute.peers.gossip.wire import decode, encode
+from gaproute.peers.membership import PayloadHandler
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.shared.gossip import GossipNode
+from gaproute.shared.gossip.messages import SECOND
 from gaproute.shared.gossip.scheduler import RATE
+from gaproute.shared.membership import Membership
+from gaproute.shared.randomness import RandomSource
+
+OBSERVATION_INTERVAL = SECOND // 2  # between two looks at the decisions: as often as one peer is told at most
+MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
+PEERS_INTERVAL = SECOND  # between two takes of the members: a storm of updates must not be one of lists
+
+
+class PayloadTransport(Protocol):
+    """The part of `MembershipTransport` that gossip needs."""
 
-SECOND = 1_000_000_000
-LOOK = SECOND // 2  # between two looks at tasks in hand and copies: as often as one peer is told at most
-LEAST = SECOND // 200  # between two turns
-LISTED = SECOND  # between two takes of the list of members: a storm of news must not be one of lists
+    @property
+    def membership(self) -> Membership:
+        """Who is up."""
+
+    def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
+        """The handler gets each payload of that kind."""
+
+    def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> None:
+        """Sends a payload to the gateway with that address."""
 
 
 class GossipTransport:
-    """`gateway`: the decisions' state, whose `workers` hold tasks in hand and whose `known` tells copies.
-    `rate`: bytes a second that it may tell."""
-
-    def __init__(self, loop, name, gossip, gateway, chance, rate=RATE):
-        self.loop, self.gossip, self.gateway = loop, gossip, gateway
-        now = loop.now()
-        self.node = GossipNode(name, gossip.membership.incarnation, chance, now, rate)
-        self.hands = {}  # host: tasks in hand as told last
-        self.looked, self.listed_at, self.mark = now - LOOK, now - LISTED, now
-        gossip.register(PayloadKind.GOSSIP, self._heard)
-        self.timer = loop.at(now, self._tick)
-
-    def arrived(self, now, function, track):
-        self.node.record_arrival(now, function, track)
-
-    def listed(self, hosts):
-        """{host: its start} as listed now."""
-        self.node.listed(self.loop.now(), hosts)
-
-    def _tick(self):
+    """Feeds a `GossipNode` and carries its messages.
+
+    `gateway`: the decisions' state, whose `workers` hold requests in flight and whose `known` tells warm
+    instances. `rate`: bytes a second that may be sent.
+    """
+
+    def __init__(
+        self,
+        loop: Any,
+        name: str,
+        transport: PayloadTransport,
+        gateway: Any,
+        random: RandomSource,
+        rate: int = RATE,
+    ) -> None:
+        now: int = loop.now()
+        self.loop, self.transport, self.gateway = loop, transport, gateway
+        self.node = GossipNode(name, transport.membership.incarnation, random, now, rate)
+        self._in_flight: dict[str, int] = {}  # by host: requests as recorded last
+        self._observe_at = self._peers_at = now
+        self._observed_until = now  # warm instances seen until then are recorded
+        transport.register(PayloadKind.GOSSIP, self._received)
+        self._timer = loop.at(now, self._tick)
+
+    def arrived(self, now: int, function: str, request_class: int) -> None:
+        """A request came."""
+        self.node.record_arrival(now, function, request_class)
+
+    def listed(self, hosts: Mapping[str, object]) -> None:
+        """Takes the hosts that are listed now, by name their start."""
+        self.node.set_hosts(self.loop.now(), hosts)
+
+    def close(self) -> None:
+        """Sends no more."""
+        self._timer.cancel()
+
+    def _tick(self) -> None:
         now = self.loop.now()
         try:
             self._turn(now)
         finally:  # a fault in one turn is logged by the loop, and must not end all later ones
-            self.timer = self.loop.at(max(self.node.due, now + LEAST), self._tick)
-
-    def _turn(self, now):
-        membership = self.gossip.membership
-        if now - self.listed_at >= LISTED:
-            self.listed_at = now
-            self.node.renew(membership.incarnation)
-            self.node.peers(now, [*membership.table.alive.names, *membership.table.suspects])
-        if now - self.looked >= LOOK:
-            self.looked = now
-            self._look(now)
-        for name, word in self.node.tick(now):
-            member = membership.members.get(name)
-            if member is not None:
-                self.gossip.send_payload(member.address, PayloadKind.GOSSIP, encode(word))
-
-    def _look(self, now):
-        for name, worker in self.gateway.workers.items():
-            tasks = len(worker.out)
-            if tasks != self.hands.get(name, 0):
-                self.hands[name] = tasks
-                self.node.record_in_flight(now, name, tasks)
-        for name in [name for name in self.hands if name not in self.gateway.workers]:
-            del self.hands[name]
-            self.node.record_in_flight(now, name, 0)
-        for kind, names, _, at in self.gateway.known(now, self.mark):
+            self._timer = self.loop.at(max(self.node.due, now + MIN_TURN_INTERVAL), self._tick)
+
+    def _turn(self, now: int) -> None:
+        if now >= self._peers_at:
+            self._peers_at = now + PEERS_INTERVAL
+            self._update_peers(now)
+        if now >= self._observe_at:
+            self._observe_at = now + OBSERVATION_INTERVAL
+            self._observe_in_flight()
+            self._observe_warm_instances(now)
+        self._send(now)
+
+    def _update_peers(self, now: int) -> None:
+        membership = self.transport.membership
+        self.node.raise_incarnation(membership.incarnation)
+        self.node.set_peers(now, [*membership.table.alive.names, *membership.table.suspects])
+
+    def _observe_in_flight(self) -> None:
+        hosts = self.gateway.workers
+        for name, host in hosts.items():
+            requests = len(host.out)
+            if requests != self._in_flight.get(name, 0):
+                self._in_flight[name] = requests
+                self.node.record_in_flight(name, requests)
+        for name in [name for name in self._in_flight if name not in hosts]:
+            del self._in_flight[name]
+            self.node.record_in_flight(name, 0)
+
+    def _observe_warm_instances(self, now: int) -> None:
+        for kind, names, _, seen in self.gateway.known(now, self._observed_until):
             if kind == "warm":
-                self.node.record_warm_instance(at, *names[:2])
-        self.mark = now
+                host, function = names[:2]
+                self.node.record_warm_instance(seen, host, function)
+        self._observed_until = now
 
-    def _heard(self, sender, data):
-        self.node.hear(self.loop.now(), sender, lambda: decode(data))
+    def _send(self, now: int) -> None:
+        members = self.transport.membership.members
+        for peer, message in self.node.tick(now):
+            member = members.get(peer)
+            if member is not None:
+                self.transport.send_payload(member.address, PayloadKind.GOSSIP, encode(message))
 
-    def close(self):
-        self.timer.cancel()
+    def _received(self, sender: str, data: bytes) -> None:
+        self.node.receive_encoded(self.loop.now(), sender, lambda: decode(data))
--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -1,114 +1,164 @@
-"""The bytes of a weak word, little-endian, strict: what is not wholly one is none.
+"""The bytes of a gossip message, little-endian, strict: what is not wholly one is none.
 
-    word:  version u8 (1), incarnation u64, pages u8, then each page
-    page:  kind u8, slot u8, counter u32, age u16 (10 ms), rest u8 (scale), entries u16
-    entry: tasks in hand, room: host u32, figure u8 (scale)
-           demand: function u32, track u8, rate u8 (scale of hundredths), spread u16 (hundredths of the rate)
-           warm: host u32, function u32, age u16 (10 ms)
+    message: version u8 (1), incarnation u64, sets u8, then each set
+    set:     kind u8, partition u8, sequence u32, age u16 (10 ms), remainder u8 (scale), entries u16
+    entry:   requests in flight, available capacity: host u32, amount u8 (scale)
+             demand: function u32, request class u8, rate u8 (scale of hundredths),
+                     deviation u16 (hundredths of the rate)
+             warm instances: host u32, function u32, age u16 (10 ms)
 
-The scale: code c stands for 2^(c/12) - 1; rates and their rest are told in hundredths, so that three a second
-stays three.
+The scale: code c stands for 2^(c/12) - 1; rates and their remainder are told in hundredths, so that three a
+second stays three.
 """
 
+import struct
 from bisect import bisect
+from collections.abc import Iterable
 from itertools import pairwise
-from struct import Struct, error
+from struct import Struct
+from typing import cast
 
 from gaproute.shared.gossip.messages import (
-    DEMAND,
-    HANDS,
-    KINDS,
-    LIFE,
-    MOST,
-    ROOM,
-    SCALE,
-    SLOTS,
-    WARM,
+    AMOUNT_SCALE,
+    LIMITS,
+    MAX_SETS,
+    DemandEntry,
+    Entries,
+    EntryKind,
     EntrySet,
     GossipMessage,
+    HostEntry,
+    WarmInstanceEntry,
 )
 
 VERSION = 1
-TICK = 10_000_000  # ns of an age's unit: 655 s is the longest, twice what any page lives
-FINE = 100  # rates are told in hundredths of a task a second
-LONGEST = 1200  # bytes: fits an unfragmented datagram everywhere
-HEAD, PAGE = Struct("<BQB"), Struct("<BBIHBH")
-ENTRIES = {HANDS: Struct("<IB"), ROOM: Struct("<IB"), DEMAND: Struct("<IBBH"), WARM: Struct("<IIH")}
-BETWEEN = [(low * high) ** 0.5 if low else high / 2 for low, high in pairwise(SCALE)]
-
-
-def code(figure):
-    """The step of the scale nearest to it."""
-    return bisect(BETWEEN, figure)
-
-
-def _ticks(age):
-    return min(65535, -(-age // TICK))  # rounded up: ages only grow
-
-
-def encode(word):
-    """Bytes of a GossipMessage."""
-    parts = [HEAD.pack(VERSION, word.incarnation, len(word.pages))]
-    for page in word.pages:
-        kind, pack = page.kind, ENTRIES[page.kind].pack
-        rest = code(page.rest * FINE if kind == DEMAND else page.rest)
-        parts.append(PAGE.pack(kind, page.slot, page.counter, _ticks(page.age), rest, len(page.entries)))
-        if kind == DEMAND:
-            parts += [
-                pack(
-                    function, track, code(rate * FINE), round(min(655.0, spread / rate) * FINE) if rate else 0
-                )
-                for function, track, rate, spread in page.entries
-            ]
-        elif kind == WARM:
-            parts += [pack(host, function, _ticks(age)) for host, function, age in page.entries]
-        else:
-            parts += [pack(host, code(figure)) for host, figure in page.entries]
+AGE_UNIT = 10_000_000  # ns: 655 s is the longest age, twice what any set lives
+MAX_AGE_UNITS = 65_535
+RATE_UNITS = 100  # rates are told in hundredths of a request a second
+MAX_RELATIVE_DEVIATION = 655.0  # of the rate
+MAX_WARM_AGE = LIMITS[EntryKind.WARM_INSTANCES].max_age
+MAX_BYTES = 1200  # fits an unfragmented datagram everywhere
+
+MESSAGE_HEADER, SET_HEADER = Struct("<BQB"), Struct("<BBIHBH")
+HOST_ENTRY, DEMAND_ENTRY, WARM_ENTRY = Struct("<IB"), Struct("<IBBH"), Struct("<IIH")
+ENTRY_STRUCTS = (HOST_ENTRY, HOST_ENTRY, DEMAND_ENTRY, WARM_ENTRY)  # by kind
+
+# The amounts between two codes, from which on the greater code is the nearer.
+CODE_BOUNDS = [(low * high) ** 0.5 if low else high / 2 for low, high in pairwise(AMOUNT_SCALE)]
+
+
+class UndecodableError(ValueError):
+    """The bytes are no message."""
+
+
+def amount_code(amount: float) -> int:
+    """The code whose amount is the nearest."""
+    return bisect(CODE_BOUNDS, amount)
+
+
+def encode(message: GossipMessage) -> bytes:
+    """Bytes of a message."""
+    parts = [MESSAGE_HEADER.pack(VERSION, message.incarnation, len(message.sets))]
+    for entries in message.sets:
+        parts.append(_encode_set_header(entries))
+        parts += _encode_entries(entries)
     return b"".join(parts)
 
 
-def decode(data):
-    """The GossipMessage, or None where it is none that is understood."""
-    if len(data) > LONGEST:
-        return None
+def decode(data: bytes) -> GossipMessage | None:
+    """The message, or None where it is none that is understood."""
     try:
-        version, incarnation, count = HEAD.unpack_from(data)
-        if version != VERSION or count > sum(SLOTS):
-            return None
-        at, pages = HEAD.size, []
-        for _ in range(count):
-            kind, slot, counter, age, rest, entries = PAGE.unpack_from(data, at)
-            at += PAGE.size
-            if kind >= len(KINDS) or entries > MOST[kind]:
-                return None
-            end = at + entries * ENTRIES[kind].size
-            if end > len(data):
-                return None
-            pages.append(
-                EntrySet(
-                    kind,
-                    slot,
-                    counter,
-                    age * TICK,
-                    SCALE[rest] / (FINE if kind == DEMAND else 1),
-                    _entries(kind, data[at:end]),
-                )
-            )
-            at = end
-    except error:
+        return _decode_message(data)
+    except (struct.error, UndecodableError):
         return None
-    return GossipMessage(incarnation, tuple(pages)) if at == len(data) else None
 
 
-def _entries(kind, data):
-    found = ENTRIES[kind].iter_unpack(data)
-    if kind == DEMAND:
+def _encode_set_header(entries: EntrySet) -> bytes:
+    unit = RATE_UNITS if entries.kind == EntryKind.DEMAND else 1
+    return SET_HEADER.pack(
+        entries.kind,
+        entries.partition,
+        entries.sequence,
+        _age_units(entries.age),
+        amount_code(entries.remainder * unit),
+        len(entries.entries),
+    )
+
+
+def _encode_entries(entries: EntrySet) -> list[bytes]:
+    if entries.kind == EntryKind.DEMAND:
+        return [_encode_demand(entry) for entry in cast(tuple[DemandEntry, ...], entries.entries)]
+    if entries.kind == EntryKind.WARM_INSTANCES:
+        instances = cast(tuple[WarmInstanceEntry, ...], entries.entries)
+        return [WARM_ENTRY.pack(host, function, _age_units(age)) for host, function, age in instances]
+    hosts = cast(tuple[HostEntry, ...], entries.entries)
+    return [HOST_ENTRY.pack(host, amount_code(amount)) for host, amount in hosts]
+
+
+def _encode_demand(entry: DemandEntry) -> bytes:
+    relative = min(MAX_RELATIVE_DEVIATION, entry.deviation / entry.rate) if entry.rate else 0
+    return DEMAND_ENTRY.pack(
+        entry.function,
+        entry.request_class,
+        amount_code(entry.rate * RATE_UNITS),
+        round(relative * RATE_UNITS),
+    )
+
+
+def _age_units(age: int) -> int:
+    """Rounded up, as ages only grow."""
+    return min(MAX_AGE_UNITS, -(-age // AGE_UNIT))
+
+
+def _decode_message(data: bytes) -> GossipMessage:
+    if len(data) > MAX_BYTES:
+        raise UndecodableError("too long")
+    version, incarnation, count = MESSAGE_HEADER.unpack_from(data)
+    if version != VERSION or count > MAX_SETS:
+        raise UndecodableError("another version, or too many sets")
+    position, sets = MESSAGE_HEADER.size, []
+    for _ in range(count):
+        entries, position = _decode_set(data, position)
+        sets.append(entries)
+    if position != len(data):
+        raise UndecodableError("followed by something else")
+    return GossipMessage(incarnation, tuple(sets))
+
+
+def _decode_set(data: bytes, position: int) -> tuple[EntrySet, int]:
+    """The set that begins at the position, and where it ends."""
+    kind, partition, sequence, age, remainder, count = SET_HEADER.unpack_from(data, position)
+    if kind >= len(LIMITS) or count > LIMITS[kind].max_entries:
+        raise UndecodableError("another kind, or too many entries")
+    begin = position + SET_HEADER.size
+    end = begin + count * ENTRY_STRUCTS[kind].size
+    if end > len(data):
+        raise UndecodableError("cut short")
+    unit = RATE_UNITS if kind == EntryKind.DEMAND else 1
+    entries = _decode_entries(kind, data[begin:end])
+    decoded = EntrySet(kind, partition, sequence, age * AGE_UNIT, AMOUNT_SCALE[remainder] / unit, entries)
+    return decoded, end
+
+
+def _decode_entries(kind: int, data: bytes) -> Entries:
+    fields: Iterable[tuple[int, ...]] = ENTRY_STRUCTS[kind].iter_unpack(data)
+    if kind == EntryKind.DEMAND:
+        return tuple([_decode_demand(*each) for each in fields])
+    if kind == EntryKind.WARM_INSTANCES:
+        max_age = LIMITS[kind].max_age
         return tuple(
             [
-                (function, track, SCALE[rate] / FINE, SCALE[rate] / FINE * spread / FINE)
-                for function, track, rate, spread in found
+                WarmInstanceEntry(host, function, min(age * AGE_UNIT, max_age))
+                for host, function, age in fields
             ]
         )
-    if kind == WARM:
-        return tuple([(host, function, min(age * TICK, LIFE[WARM])) for host, function, age in found])
-    return tuple([(host, SCALE[figure]) for host, figure in found])
+    return tuple([HostEntry(host, AMOUNT_SCALE[code]) for host, code in fields])
+
+
+def _decode_warm_instance(host: int, function: int, age: int) -> WarmInstanceEntry:
+    return WarmInstanceEntry(host, function, min(age * AGE_UNIT, MAX_WARM_AGE))
+
+
+def _decode_demand(function: int, request_class: int, rate_code: int, deviation: int) -> DemandEntry:
+    rate = AMOUNT_SCALE[rate_code] / RATE_UNITS
+    return DemandEntry(function, request_class, rate, rate * deviation / RATE_UNITS)
--- a/gaproute/shared/dissemination/intake.py
+++ b/gaproute/shared/dissemination/intake.py
@@ -1,15 +1,15 @@
 """How much is listened to: what is beyond is dropped before it is decoded."""
 
 from gaproute.shared.dissemination.bounds import PEER_MESSAGES, STRANGER_MESSAGES
-from gaproute.shared.dissemination.budget import Budget
+from gaproute.shared.token_bucket import TokenBucket
 
 
 class Intake:
     """A budget of messages for each peer of the view, and one for all strangers together."""
 
     def __init__(self, now: int):
-        self.strangers = Budget(STRANGER_MESSAGES, STRANGER_MESSAGES, now)
-        self.peers = {}  # name: Budget
+        self.strangers = TokenBucket(STRANGER_MESSAGES, STRANGER_MESSAGES, now)
+        self.peers = {}  # name: TokenBucket
 
     def listed(self, names):
         """Peers of the view as they are now."""
@@ -21,5 +21,5 @@
             return self.strangers.take(now, 1)
         budget = self.peers.get(sender)
         if budget is None:
-            budget = self.peers[sender] = Budget(PEER_MESSAGES, PEER_MESSAGES, now)
+            budget = self.peers[sender] = TokenBucket(PEER_MESSAGES, PEER_MESSAGES, now)
         return budget.take(now, 1)
--- a/gaproute/shared/dissemination/serving.py
+++ b/gaproute/shared/dissemination/serving.py
@@ -15,8 +15,8 @@
     SNAPSHOT_TIME,
     SNAPSHOTS,
 )
-from gaproute.shared.dissemination.budget import Budget
 from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Version, size
+from gaproute.shared.token_bucket import TokenBucket
 
 
 @dataclass(frozen=True)
@@ -34,7 +34,7 @@
 
     def __init__(self, document, log, now):
         self.document, self.log = document, log
-        self.budget = Budget(SERVE_RATE, SERVE_BURST, now)
+        self.budget = TokenBucket(SERVE_RATE, SERVE_BURST, now)
         self.snapshots = []  # the latest last
         self.granted = 0  # bytes of parts that are paid for and were not asked for yet
         self.bytes = self.busy = 0
--- a/gaproute/shared/dissemination/telling.py
+++ b/gaproute/shared/dissemination/telling.py
@@ -2,8 +2,8 @@
 announcements of anti-entropy mend it."""
 
 from gaproute.shared.dissemination.bounds import FANOUT, MESSAGE_BURST, MESSAGE_RATE, PUSH_BYTES
-from gaproute.shared.dissemination.budget import Budget
 from gaproute.shared.dissemination.messages import Announcement, Push, Send, changes_size, size
+from gaproute.shared.token_bucket import TokenBucket
 
 
 class Telling:
@@ -11,7 +11,7 @@
 
     def __init__(self, document, view, now):
         self.document, self.view = document, view
-        self.budget = Budget(MESSAGE_RATE, MESSAGE_BURST, now)
+        self.budget = TokenBucket(MESSAGE_RATE, MESSAGE_BURST, now)
         self.sent = self.bytes = self.held_back = 0
 
     def announce(self, now, peer):
--- a/gaproute/shared/gossip/__init__.py
+++ b/gaproute/shared/gossip/__init__.py
@@ -1,7 +1,11 @@
-"""Gossip: what each gateway observes of demand and hosts, sent to all others. Face: `GossipNode`."""
+"""Gossip: what each gateway observes of demand and hosts, sent to all others. Face: `GossipNode`.
 
-from gaproute.shared.gossip.estimates import Reading
-from gaproute.shared.gossip.messages import EntrySet, GossipMessage
+Demand, requests in flight, available capacity and warm instances are seen by one gateway and told to all;
+what is told expires and only advises.
+"""
+
+from gaproute.shared.gossip.estimates import FleetEstimate
+from gaproute.shared.gossip.messages import EntryKind, EntrySet, GossipMessage
 from gaproute.shared.gossip.node import GossipNode
 
-__all__ = ["EntrySet", "Reading", "GossipNode", "GossipMessage"]
+__all__ = ["EntryKind", "EntrySet", "FleetEstimate", "GossipMessage", "GossipNode"]
--- a/gaproute/shared/gossip/arrivals.py
+++ b/gaproute/shared/gossip/arrivals.py
@@ -4,11 +4,12 @@
 from math import sqrt
 from typing import NamedTuple
 
-from gaproute.shared.gossip.messages import DEMAND, MOST, SECOND
+from gaproute.shared.gossip.messages import LIMITS, SECOND, DemandEntry, EntryKind
 
 BUCKET = 2 * SECOND  # arrivals are counted by it: a spread over shorter ones is that of chance alone
 BUCKETS = 10  # kept: 20 s, a burst shows within some seconds
 MAX_FUNCTIONS = 4096  # counted by name in a bucket; the arrivals of others count as the rest
+MAX_NAMED = LIMITS[EntryKind.DEMAND].max_entries
 
 FunctionClass = tuple[int, int]  # the function's key, and the number of its request class
 
@@ -27,6 +28,13 @@
     deviation: float
 
 
+class MostWanted(NamedTuple):
+    """The functions with the most arrivals; `remainder`: arrivals a second of all others together."""
+
+    remainder: float
+    entries: tuple[DemandEntry, ...]
+
+
 class ArrivalRates:
     """Counts arrivals in buckets, and keeps sums over those that ended, so that nothing walks them all."""
 
@@ -72,15 +80,15 @@
         """Arrivals a second of all functions."""
         return (sum(self.sums.values()) + self._unnamed_sum) * SECOND / BUCKET / max(1, len(self.past))
 
-    def most_wanted(self, now: int) -> tuple[float, tuple[tuple[int, int, float, float], ...]]:
-        """(arrivals a second of all other functions together, the functions with the most arrivals as
-        (function, request class, mean, deviation))."""
+    def most_wanted(self, now: int) -> MostWanted:
+        """The functions that have the most arrivals, ends the buckets that are over."""
         self.advance(now)
         if not self.past:
-            return 0.0, ()
-        names = sorted(self.sums, key=lambda name: (-self.sums[name], name))[: MOST[DEMAND]]
+            return MostWanted(0.0, ())
+        names = sorted(self.sums, key=lambda name: (-self.sums[name], name))[:MAX_NAMED]
         named = sum(self.sums[name] for name in names) * SECOND / BUCKET / len(self.past)
-        return max(0.0, self.total() - named), tuple([(*name, *self.rate(name)) for name in names])
+        entries = [DemandEntry(*name, *self.rate(name)) for name in names]
+        return MostWanted(max(0.0, self.total() - named), tuple(entries))
 
     def _end_bucket(self) -> None:
         for name, count in self.counts.items():
--- /dev/null
+++ b/gaproute/shared/gossip/entry_sets.py
@@ -0,0 +1,80 @@
+"""The sets of entries that this gateway sends, made from what it observed itself."""
+
+from typing import NamedTuple
+
+from gaproute.shared.gossip.local_observations import LocalObservations
+from gaproute.shared.gossip.messages import (
+    LIMITS,
+    MAX_AMOUNT,
+    SECOND,
+    Entries,
+    EntryKind,
+    EntrySet,
+    HostEntry,
+    WarmInstanceEntry,
+)
+
+# By kind, ns in which a set is sent again unchanged, only older: 25 messages a second must not sort a
+# thousand hosts 25 times.
+REUSE_TIME = (SECOND // 10, SECOND // 2, SECOND, 0)
+
+
+class CachedSet(NamedTuple):
+    """A set that is sent for a while."""
+
+    made_at: int
+    entries: EntrySet
+
+
+class LocalEntrySets:
+    """Makes the sets of local observations and numbers them."""
+
+    def __init__(self, observations: LocalObservations) -> None:
+        self.cached: dict[int, CachedSet] = {}  # by kind
+        self._observations = observations
+        self._sequences: dict[tuple[int, int], int] = {}  # by kind and partition: of the last set
+
+    def clear(self) -> None:
+        """Makes all sets anew when they are asked for."""
+        self.cached.clear()
+
+    def get(self, now: int, kind: EntryKind, partition: int = 0) -> EntrySet:
+        """The set to be sent: made now, or lately and older by that."""
+        cached = self.cached.get(kind)
+        if cached is None or now - cached.made_at >= REUSE_TIME[kind]:
+            cached = self.cached[kind] = CachedSet(now, self._make(now, kind, partition))
+        return cached.entries._replace(age=now - cached.made_at)
+
+    def _make(self, now: int, kind: EntryKind, partition: int) -> EntrySet:
+        remainder, entries = self._entries(now, kind, partition)
+        sequence = self._sequences[kind, partition] = self._sequences.get((kind, partition), 0) + 1
+        return EntrySet(kind, partition, sequence, 0, min(remainder, MAX_AMOUNT), entries)
+
+    def _entries(self, now: int, kind: EntryKind, partition: int) -> tuple[float, Entries]:
+        observations = self._observations
+        match kind:
+            case EntryKind.IN_FLIGHT:
+                entries = _greatest(observations.in_flight, LIMITS[kind].max_entries)
+                named = sum([entry.amount for entry in entries])
+                return max(0.0, sum(observations.in_flight.values()) - named), entries
+            case EntryKind.AVAILABLE_CAPACITY:
+                return 0.0, _greatest(observations.available_capacity, LIMITS[kind].max_entries)
+            case EntryKind.DEMAND:
+                return observations.arrivals.most_wanted(now)
+            case EntryKind.WARM_INSTANCES:
+                return 0.0, self._seen_last(now, partition)
+
+    def _seen_last(self, now: int, partition: int) -> tuple[WarmInstanceEntry, ...]:
+        limits = LIMITS[EntryKind.WARM_INSTANCES]
+        entries: list[WarmInstanceEntry] = []
+        for (host, function), seen in reversed(self._observations.warm_instances[partition].items()):
+            if len(entries) >= limits.max_entries or now - seen > limits.max_age:
+                break
+            entries.append(WarmInstanceEntry(host, function, now - seen))
+        return tuple(entries)
+
+
+def _greatest(amounts: dict[int, float], count: int) -> tuple[HostEntry, ...]:
+    """The hosts with the greatest amounts; of equal ones those with the lower keys."""
+    hosts = sorted(amounts, key=lambda host: (-amounts[host], host))[:count]
+    return tuple([HostEntry(host, amounts[host]) for host in hosts])
--- a/gaproute/shared/gossip/estimates.py
+++ b/gaproute/shared/gossip/estimates.py
@@ -1,69 +1,121 @@
-"""Figures of the whole fleet from what tellers told: sums scaled by how many were heard, medians, witnesses.
+"""Figures of the whole fleet from what origins sent: sums scaled by how many were heard.
 
-No teller is believed without bound. Its page may sum up to BOUND times the lower median of all pages, this
-gateway's own among them, and one subject of it to a part of that; what is above is scaled down. It harms
-where one gateway truly has more: its share is then told too small.
+No origin is believed without bound. Its set may sum up to `MEDIAN_MULTIPLE` times the lower median of all
+sets, this gateway's own among them, and one subject of it to a part of that; what is above is scaled down. It
+harms where one gateway truly has more: its share is then estimated too small.
 """
 
-from typing import NamedTuple
+from collections.abc import Callable, Sequence
+from typing import Generic, NamedTuple, TypeVar, cast
 
-BOUND = 16  # times the lower median of the tellers: ten times the mean is a day that was seen
-ONE = 4  # the part of that bound which one subject may take
-FLOOR = (32.0, 0.0, 50.0)  # by kind, tasks in hand and arrivals a second that are always believed: most
-#                                may rest while one works
-WITNESSES = 8  # tellers named for one copy
+from gaproute.shared.gossip.arrivals import FunctionClass
+from gaproute.shared.gossip.messages import DemandEntry, HostEntry
+from gaproute.shared.gossip.table import ReceivedSet
 
+MEDIAN_MULTIPLE = 16  # ten times the mean was seen on a real day
+SUBJECT_DIVISOR = 4  # one subject may take this part of an origin's bound
+MIN_IN_FLIGHT_BOUND = 32.0  # requests in flight that are always believed: most gateways may rest
+MIN_DEMAND_BOUND = 50.0  # arrivals a second that are always believed
 
-class Reading(NamedTuple):
-    """`own`: seen here; `heard`: the sum of what `tellers` others told, of `others` that are up; `age`: the
-    mean of what was heard, ns. With no teller `total` is what is seen here alone."""
 
-    own: float
-    heard: float
-    tellers: int
-    others: int
-    age: int
-    spread: float = 0.0  # standard deviation of the total, own part included
+Subject = TypeVar("Subject")
+
+
+class FleetEstimate(NamedTuple):
+    """A figure of the whole fleet. With no origin `total` is what is seen here alone."""
+
+    local: float  # seen here
+    received: float  # sum of what others told
+    origins: int  # how many others told
+    peers: int  # others that are up
+    age: int  # mean age of what was received, ns
+    deviation: float = 0.0  # standard deviation of the total, the local part included
 
     @property
-    def total(self):
-        return self.own + (self.heard * self.others / self.tellers if self.tellers else 0.0)
-
-
-class Sums:
-    """The sums of one kind at one moment."""
-
-    def __init__(self, now, kind, pages, own, figure, names, spread=None, counts=None):
-        """`own`: what this gateway's page sums up to; `figure(entry)` is an entry's
-        figure, `names(entry)` its subject, `spread(entry)` its spread; `counts(held, entry)`, where given,
-        says which entries count at all."""
-        self.tellers = len(pages)
-        self.age = sum(now - held.seen for _, held in pages) // max(1, self.tellers)
-        totals = [held.rest + sum(map(figure, held.entries)) for _, held in pages]
-        bound = max(FLOOR[kind], BOUND * sorted([*totals, own])[len(totals) // 2])
-        self.sums, self.variance, self.rest, self.clipped = {}, {}, 0.0, 0
-        for (_, held), total in zip(pages, totals, strict=True):
-            scale = min(1.0, bound / total) if total else 1.0
-            self.clipped += scale < 1
-            self.rest += held.rest * scale
-            for entry in held.entries:
-                if counts is not None and not counts(held, entry):
-                    continue
-                subject, value = names(entry), min(figure(entry) * scale, bound / ONE)
-                self.sums[subject] = self.sums.get(subject, 0.0) + value
-                if spread is not None:
-                    # A spread is believed up to what arrivals in a few great bursts would have.
-                    self.variance[subject] = (
-                        self.variance.get(subject, 0.0) + min(spread(entry) * scale, bound / ONE) ** 2
-                    )
-
-    def reading(self, subject, own, others, own_spread=0.0):
-        times = others / self.tellers if self.tellers else 0.0
-        variance = own_spread**2 + self.variance.get(subject, 0.0) * times
-        return Reading(own, self.sums.get(subject, 0.0), self.tellers, others, self.age, variance**0.5)
-
-
-def median(figures):
-    figures = sorted(figures)
-    middle = len(figures) // 2
-    return figures[middle] if len(figures) % 2 else (figures[middle - 1] + figures[middle]) / 2
+    def total(self) -> float:
+        """The local figure, and what was received scaled to all peers."""
+        return self.local + (self.received * self.peers / self.origins if self.origins else 0.0)
+
+
+class FleetSums(Generic[Subject]):
+    """Sums over the sets of one kind at one moment."""
+
+    def __init__(self, now: int, received: Sequence[ReceivedSet]) -> None:
+        self.origins = len(received)
+        self.age = sum(now - held.observed_at for held in received) // max(1, self.origins)
+        self.remainder = 0.0
+        self.clipped = 0  # sets that were scaled down
+        self._sums: dict[Subject, float] = {}
+        self._variances: dict[Subject, float] = {}
+
+    def add_remainder(self, remainder: float, total: float, bound: float) -> float:
+        """Begins an origin's set; the factor by which its figures are scaled down to the bound."""
+        scale = min(1.0, bound / total) if total else 1.0
+        self.clipped += scale < 1
+        self.remainder += remainder * scale
+        return scale
+
+    def add(self, subject: Subject, figure: float, deviation: float = 0.0) -> None:
+        """Adds an origin's figure of one subject."""
+        self._sums[subject] = self._sums.get(subject, 0.0) + figure
+        if deviation:
+            self._variances[subject] = self._variances.get(subject, 0.0) + deviation**2
+
+    def estimate(
+        self, subject: Subject, local: float, peers: int, local_deviation: float = 0.0
+    ) -> FleetEstimate:
+        """The figure of one subject; the deviation takes gateways' figures for independent."""
+        scale = peers / self.origins if self.origins else 0.0
+        variance = local_deviation**2 + self._variances.get(subject, 0.0) * scale
+        received = self._sums.get(subject, 0.0)
+        return FleetEstimate(local, received, self.origins, peers, self.age, variance**0.5)
+
+
+def sum_in_flight(
+    now: int,
+    received: Sequence[ReceivedSet],
+    local_total: float,
+    is_current: Callable[[int, int], bool],
+) -> FleetSums[int]:
+    """Sums requests in flight by host. `is_current(host, observed_at)`: whether an entry counts."""
+    sums: FleetSums[int] = FleetSums(now, received)
+    sets = [cast(tuple[HostEntry, ...], held.entries) for held in received]
+    totals = [
+        held.remainder + sum([entry.amount for entry in entries])
+        for held, entries in zip(received, sets, strict=True)
+    ]
+    bound = _bound(totals, local_total, MIN_IN_FLIGHT_BOUND)
+    for held, entries, total in zip(received, sets, totals, strict=True):
+        scale = sums.add_remainder(held.remainder, total, bound)
+        for host, amount in entries:
+            if is_current(host, held.observed_at):
+                sums.add(host, min(amount * scale, bound / SUBJECT_DIVISOR))
+    return sums
+
+
+def sum_demand(now: int, received: Sequence[ReceivedSet], local_total: float) -> FleetSums[FunctionClass]:
+    """Sums arrivals a second by function and request class."""
+    sums: FleetSums[FunctionClass] = FleetSums(now, received)
+    sets = [cast(tuple[DemandEntry, ...], held.entries) for held in received]
+    totals = [
+        held.remainder + sum([entry.rate for entry in entries])
+        for held, entries in zip(received, sets, strict=True)
+    ]
+    bound = _bound(totals, local_total, MIN_DEMAND_BOUND)
+    for held, entries, total in zip(received, sets, totals, strict=True):
+        scale = sums.add_remainder(held.remainder, total, bound)
+        for function, request_class, rate, deviation in entries:
+            # A deviation is believed up to what arrivals in a few great bursts would have.
+            sums.add(
+                (function, request_class),
+                min(rate * scale, bound / SUBJECT_DIVISOR),
+                min(deviation * scale, bound / SUBJECT_DIVISOR),
+            )
+    return sums
+
+
+def _bound(totals: list[float], local_total: float, floor: float) -> float:
+    """What one origin's set may sum up to."""
+    ordered = sorted([*totals, local_total])
+    lower_median = ordered[(len(ordered) - 1) // 2]
+    return max(floor, MEDIAN_MULTIPLE * lower_median)
--- /dev/null
+++ b/gaproute/shared/gossip/fleet_view.py
@@ -0,0 +1,147 @@
+"""Figures of the fleet as one gateway sees them: own observations with those that other gateways sent."""
+
+from statistics import median
+from typing import NamedTuple, cast
+
+from gaproute.shared.gossip.arrivals import FunctionClass
+from gaproute.shared.gossip.estimates import FleetEstimate, FleetSums, sum_demand, sum_in_flight
+from gaproute.shared.gossip.hosts import ListedHosts
+from gaproute.shared.gossip.local_observations import LocalObservations
+from gaproute.shared.gossip.messages import (
+    LIMITS,
+    SECOND,
+    WARM_PARTITIONS,
+    EntryKind,
+    HostEntry,
+    WarmInstanceEntry,
+)
+from gaproute.shared.gossip.name_keys import NameKeys
+from gaproute.shared.gossip.peer_rounds import PeerRounds
+from gaproute.shared.gossip.table import GossipTable
+
+REUSE_TIME = SECOND // 2  # ns that sums serve: a figure of the fleet is seconds old anyway
+MAX_WITNESSES = 8  # gateways named for one instance
+
+
+class CapacityEstimate(NamedTuple):
+    """What is believed available at a host: a median, as beliefs of one thing do not add up."""
+
+    median: float
+    origins: int  # how many believe something, this gateway among them
+    age: int  # mean, ns
+
+
+class WarmSighting(NamedTuple):
+    """A warm instance: how long ago it was seen last, ns, and by which gateways, the latest first."""
+
+    age: int
+    origins: tuple[str, ...]
+
+
+class FleetView:
+    """Reads what the other parts of a gateway's gossip own. Sums are cached for a moment."""
+
+    def __init__(
+        self,
+        name: str,
+        keys: NameKeys,
+        local: LocalObservations,
+        table: GossipTable,
+        hosts: ListedHosts,
+        peers: PeerRounds,
+    ) -> None:
+        self._name = name
+        self._keys, self._local, self._table = keys, local, table
+        self._hosts, self._peers = hosts, peers
+        self._in_flight_sums: tuple[int, FleetSums[int]] | None = None  # when made
+        self._demand_sums: tuple[int, FleetSums[FunctionClass]] | None = None
+
+    @property
+    def clipped(self) -> int:
+        """Sets that the sums at hand scale down."""
+        cached = (self._in_flight_sums, self._demand_sums)
+        return sum([entry[1].clipped for entry in cached if entry is not None])
+
+    def clear(self) -> None:
+        """Sums up anew what is asked for next."""
+        self._in_flight_sums = self._demand_sums = None
+
+    def in_flight(self, now: int, host: str) -> FleetEstimate:
+        """Requests in flight at the host, of the whole fleet."""
+        key = self._keys.key(host)
+        local = self._local.in_flight.get(key, 0.0)
+        return self._in_flight(now).estimate(key, local, len(self._peers))
+
+    def demand(self, now: int, function: str, request_class: int) -> FleetEstimate:
+        """Arrivals a second in the whole fleet, the deviation as if gateways' arrivals were independent.
+
+        Of a function that few gateways have among their most it is a lower bound: see `unnamed_demand`.
+        """
+        subject = self._keys.key(function), request_class
+        self._local.arrivals.advance(now)
+        local, deviation = self._local.arrivals.rate(subject)
+        return self._demand(now).estimate(subject, local, len(self._peers), deviation)
+
+    def unnamed_demand(self, now: int, local: float) -> FleetEstimate:
+        """Arrivals a second of functions that their origins do not name. `local`: those of this gateway."""
+        sums = self._demand(now)
+        return FleetEstimate(local, sums.remainder, sums.origins, len(self._peers), sums.age)
+
+    def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
+        """What is believed available at the host; None where nobody tells."""
+        key = self._keys.key(host)
+        beliefs: list[tuple[float, int]] = []  # capacity and age
+        for _, held in self._table.current(now, EntryKind.AVAILABLE_CAPACITY):
+            if self._hosts.is_current(key, held.observed_at):
+                entries = cast(tuple[HostEntry, ...], held.entries)
+                age = now - held.observed_at
+                beliefs += [(entry.amount, age) for entry in entries if entry.host == key]
+        if key in self._local.available_capacity:
+            beliefs.append((self._local.available_capacity[key], 0))
+        if not beliefs:
+            return None
+        mean_age = sum(age for _, age in beliefs) // len(beliefs)
+        return CapacityEstimate(median([capacity for capacity, _ in beliefs]), len(beliefs), mean_age)
+
+    def warm_instances(self, now: int, function: str) -> dict[str, WarmSighting]:
+        """By host: a lower bound of the instances that are warm, as gateways name only those seen last."""
+        key = self._keys.key(function)
+        sightings: dict[str, list[tuple[int, str]]] = {}  # by host: age and origin
+        partition = key % WARM_PARTITIONS
+        for origin, held in self._table.current(now, EntryKind.WARM_INSTANCES, partition):
+            for entry in cast(tuple[WarmInstanceEntry, ...], held.entries):
+                if entry.function == key:
+                    self._add_sighting(sightings, now, entry.host, held.observed_at - entry.age, origin)
+        for (host, other), seen in self._local.warm_instances[partition].items():
+            if other == key:
+                self._add_sighting(sightings, now, host, seen, self._name)
+        return {host: _sighting(seen) for host, seen in sightings.items()}
+
+    def _add_sighting(
+        self, sightings: dict[str, list[tuple[int, str]]], now: int, host: int, seen: int, origin: str
+    ) -> None:
+        max_age = LIMITS[EntryKind.WARM_INSTANCES].max_age
+        if now - seen <= max_age and self._hosts.is_current(host, seen):
+            sightings.setdefault(self._hosts.names[host], []).append((now - seen, origin))
+
+    def _in_flight(self, now: int) -> FleetSums[int]:
+        cached = self._in_flight_sums
+        if cached is None or now - cached[0] >= REUSE_TIME:
+            received = [held for _, held in self._table.current(now, EntryKind.IN_FLIGHT)]
+            local_total = sum(self._local.in_flight.values())
+            sums = sum_in_flight(now, received, local_total, self._hosts.is_current)
+            cached = self._in_flight_sums = now, sums
+        return cached[1]
+
+    def _demand(self, now: int) -> FleetSums[FunctionClass]:
+        cached = self._demand_sums
+        if cached is None or now - cached[0] >= REUSE_TIME:
+            received = [held for _, held in self._table.current(now, EntryKind.DEMAND)]
+            sums = sum_demand(now, received, self._local.arrivals.total())
+            cached = self._demand_sums = now, sums
+        return cached[1]
+
+
+def _sighting(seen: list[tuple[int, str]]) -> WarmSighting:
+    ordered = sorted(seen)
+    return WarmSighting(ordered[0][0], tuple([origin for _, origin in ordered[:MAX_WITNESSES]]))
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -1,99 +1,140 @@
-"""What must always hold of a gateway's weak word: named checks that return breaches as text."""
+"""What must always hold of a gateway's gossip: named checks that return violations as text."""
 
-from gaproute.shared.gossip import arrivals, hosts, local_observations
-from gaproute.shared.gossip.messages import HIGHEST, SLOTS, sound
-from gaproute.shared.gossip.table import TOMBS
+from collections.abc import Iterator, Sequence
+from typing import NamedTuple
 
+from gaproute.shared.gossip import arrivals, hosts, local_observations, name_keys, table
+from gaproute.shared.gossip.messages import (
+    LIMITS,
+    MAX_INCARNATION,
+    MAX_SETS,
+    DemandEntry,
+    EntrySet,
+    GossipMessage,
+    HostEntry,
+    WarmInstanceEntry,
+    rejection_reason,
+)
+from gaproute.shared.gossip.node import GossipNode
+from gaproute.shared.gossip.table import SetName, Version
 
-def bounded(weak):
+
+class Bound(NamedTuple):
+    """How many of something there are, and how many there may be."""
+
+    name: str
+    size: int
+    limit: int
+
+
+def bounded(node: GossipNode) -> Iterator[str]:
     """Every map is bounded. Cheap: call it always."""
-    peers = len(weak.told.peers)
-    for name, size, most in (
-        ("tellers", len(weak.store.tellers), peers),
-        ("purses", len(weak.purses), peers),
-        ("round", len(weak.told.round), max(peers, weak.told.longest)),
-        ("tombstones", len(weak.store.tombs), TOMBS),
-        ("hosts' tombstones", len(weak.hosts.tombstones), hosts.MAX_TOMBSTONES),
-        ("keys", len(weak.own.keys), local_observations.NAMES),
-        ("buckets", len(weak.own.arrivals.past), arrivals.BUCKETS),
-        ("functions", len(weak.own.arrivals.counts), arrivals.MAX_FUNCTIONS),
-        ("summed functions", len(weak.own.arrivals.sums), arrivals.MAX_FUNCTIONS * arrivals.BUCKETS),
-        ("copies", max(map(len, weak.own.copies)), local_observations.COPIES),
-        ("hosts", max(map(len, weak.own.figures)), local_observations.HOSTS),
-    ):
-        if size > most:
-            yield f"{size} {name}, {most} at most"
-
-
-def no_fact_after_its_tombstone(weak):
-    for teller, pages in weak.store.tellers.items():
-        ended = weak.store.tombs.get(teller, (0, 0))[0]
-        for name, held in pages.items():
-            if held.version[0] <= ended:
-                yield f"{teller} ended with incarnation {ended}, and {name} of {held.version} is held"
-
-
-def tellers_are_others(weak):
-    """Only own facts are told as own: nothing that was heard stands under this gateway's name, and nothing is
-    held of one that is no peer."""
-    if weak.name in weak.store.tellers:
-        yield "a page of this gateway's own was taken from another"
-    for teller in weak.store.tellers:
-        if teller not in weak.told.peers:
-            yield f"facts of {teller} are held, which is no peer"
-
-
-def pages_can_be(weak):
-    for teller, pages in weak.store.tellers.items():
-        if len(pages) > sum(SLOTS):
-            yield f"{len(pages)} pages of {teller}"
-        for (kind, slot), held in pages.items():
-            if not 0 < held.version[0] <= HIGHEST or slot >= SLOTS[kind]:
-                yield f"page {kind}/{slot} of {teller} has version {held.version}"
-
-
-class Ages:
-    """Ages only grow: of one version nothing is ever held as seen later than before. Keeps what it saw."""
-
-    def __init__(self):
-        self.seen = {}
-
-    def __call__(self, weak):
-        seen = {
-            (teller, name, held.version): held.seen
-            for teller, pages in weak.store.tellers.items()
-            for name, held in pages.items()
+    for name, size, limit in (*_peer_bounds(node), *_local_bounds(node)):
+        if size > limit:
+            yield f"{size} {name}, {limit} at most"
+
+
+def _peer_bounds(node: GossipNode) -> Sequence[Bound]:
+    peers = len(node.peers)
+    return (
+        Bound("origins", len(node.table.received), peers),
+        Bound("sender limits", len(node.sender_limits), peers),
+        Bound("round", len(node.peers.remaining), max(peers, node.peers.round_length)),
+        Bound("tombstones", len(node.table.tombstones), table.MAX_TOMBSTONES),
+        Bound("hosts' tombstones", len(node.hosts.tombstones), hosts.MAX_TOMBSTONES),
+    )
+
+
+def _local_bounds(node: GossipNode) -> Sequence[Bound]:
+    local, rates = node.local, node.local.arrivals
+    instances = max(map(len, local.warm_instances))
+    named_hosts = max(len(local.in_flight), len(local.available_capacity))
+    return (
+        Bound("keys", len(node.keys.keys), name_keys.MAX_NAMES),
+        Bound("buckets", len(rates.past), arrivals.BUCKETS),
+        Bound("functions", len(rates.counts), arrivals.MAX_FUNCTIONS),
+        Bound("summed functions", len(rates.sums), arrivals.MAX_FUNCTIONS * arrivals.BUCKETS),
+        Bound("warm instances", instances, local_observations.MAX_INSTANCES),
+        Bound("hosts", named_hosts, local_observations.MAX_HOSTS),
+    )
+
+
+def no_set_after_its_tombstone(node: GossipNode) -> Iterator[str]:
+    """What a tombstone bars is not held."""
+    for origin, sets in node.table.received.items():
+        tombstone = node.table.tombstones.get(origin)
+        ended = 0 if tombstone is None else tombstone.incarnation
+        for name, held in sets.items():
+            if held.version.incarnation <= ended:
+                yield f"{origin} ended with incarnation {ended}, and {name} of {held.version} is held"
+
+
+def origins_are_peers(node: GossipNode) -> Iterator[str]:
+    """Nothing received stands under this gateway's name, and nothing is held of one that is no peer."""
+    if node.name in node.table.received:
+        yield "a set of this gateway's own was taken from another"
+    for origin in node.table.received:
+        if origin not in node.peers:
+            yield f"sets of {origin} are held, which is no peer"
+
+
+def sets_are_plausible(node: GossipNode) -> Iterator[str]:
+    """Only sets that an origin can have are held."""
+    for origin, sets in node.table.received.items():
+        if len(sets) > MAX_SETS:
+            yield f"{len(sets)} sets of {origin}"
+        for (kind, partition), held in sets.items():
+            if not 0 < held.version.incarnation <= MAX_INCARNATION or partition >= LIMITS[kind].partitions:
+                yield f"set {kind}/{partition} of {origin} has version {held.version}"
+
+
+class AgesOnlyGrow:
+    """Of one version nothing is ever held as observed later than before. Keeps what it saw."""
+
+    def __init__(self) -> None:
+        self.observed: dict[tuple[str, SetName, Version], int] = {}
+
+    def __call__(self, node: GossipNode) -> Iterator[str]:
+        """Violations since the last call."""
+        observed = {
+            (origin, name, held.version): held.observed_at
+            for origin, sets in node.table.received.items()
+            for name, held in sets.items()
         }
-        for page, at in seen.items():
-            if at > self.seen.get(page, at):
-                yield f"{page} was seen at {self.seen[page]}, now at {at}"
-        self.seen = seen
-
-
-def own_alone(weak, word):
-    """A word that is to be sent holds own facts alone, of now or as a page was made lately."""
-    hosts_seen = {host for table in weak.own.figures for host in table}
-    copies = {copy for slot in weak.own.copies for copy in slot}
-    for page in word.pages:
-        made = weak.own.made.get(page.kind)
-        lately = made is not None and made[1].entries is page.entries
-        for entry in () if lately and page.age else page.entries:
-            own = (
-                entry[0] in hosts_seen,
-                entry[0] in hosts_seen,
-                entry[:2] in weak.own.arrivals.sums,
-                entry[:2] in copies,
-            )[page.kind]
-            if not own:
-                yield f"{entry} of kind {page.kind} is told and was not seen here"
-        if sound(page):
-            yield f"a page of kind {page.kind} is told that cannot be: {sound(page)}"
-
-
-def check(weak, dear=False):
-    """Breaches as text, none where all is well. The dear ones walk all that is held."""
-    found = [*bounded(weak)]
-    if dear:
-        for each in (no_fact_after_its_tombstone, tellers_are_others, pages_can_be):
-            found += each(weak)
+        for held_set, at in observed.items():
+            if at > self.observed.get(held_set, at):
+                yield f"{held_set} was observed at {self.observed[held_set]}, now at {at}"
+        self.observed = observed
+
+
+def own_observations_alone(node: GossipNode, message: GossipMessage) -> Iterator[str]:
+    """A message that is to be sent holds own observations alone, of now or as a set was made lately."""
+    for entries in message.sets:
+        for entry in () if _is_cached(node, entries) else entries.entries:
+            if not _was_observed(node, entry):
+                yield f"{entry} of kind {entries.kind} is sent and was not observed here"
+        reason = rejection_reason(entries)
+        if reason is not None:
+            yield f"a set of kind {entries.kind} is sent that cannot be: {reason}"
+
+
+def _is_cached(node: GossipNode, entries: EntrySet) -> bool:
+    cached = node.local_sets.cached.get(entries.kind)
+    return cached is not None and cached.entries.entries is entries.entries and entries.age > 0
+
+
+def _was_observed(node: GossipNode, entry: HostEntry | DemandEntry | WarmInstanceEntry) -> bool:
+    if isinstance(entry, HostEntry):
+        return entry.host in node.local.in_flight or entry.host in node.local.available_capacity
+    if isinstance(entry, DemandEntry):
+        return (entry.function, entry.request_class) in node.local.arrivals.sums
+    return any((entry.host, entry.function) in instances for instances in node.local.warm_instances)
+
+
+def check(node: GossipNode, *, thorough: bool = False) -> list[str]:
+    """Violations as text, none where all is well. The thorough ones walk all that is held."""
+    found = [*bounded(node)]
+    if thorough:
+        for each in (no_set_after_its_tombstone, origins_are_peers, sets_are_plausible):
+            found += each(node)
     return found
--- a/gaproute/shared/gossip/local_observations.py
+++ b/gaproute/shared/gossip/local_observations.py
@@ -1,94 +1,59 @@
-"""What this gateway saw itself, made into pages: the only facts that it tells."""
+"""What this gateway observed itself: the only content of the messages that it sends. Times are in ns."""
 
-from gaproute.shared.gossip.arrivals import ArrivalRates
-from gaproute.shared.gossip.messages import (
-    DEMAND,
-    HANDS,
-    LIFE,
-    MOST,
-    SCALE,
-    SECOND,
-    SLOTS,
-    WARM,
-    EntrySet,
-    key,
-)
-
-HOSTS = 8192  # hosts of which tasks in hand or room are kept
-COPIES = 512  # copies kept of each page's functions, those seen last
-NAMES = 65_536  # names whose keys are kept at hand
-SERVES = (SECOND // 10, SECOND // 2, SECOND, 0)  # a page is told again unchanged, only older, for so
-#                          long: 25 words a second must not sort a thousand hosts 25 times
-
-
-class Own:
-    def __init__(self, now):
-        self.arrivals = ArrivalRates(now)
-        self.figures = ({}, {})  # tasks in hand, room: {host key: figure}
-        self.copies = [{} for _ in range(SLOTS[WARM])]  # {(host, function): when seen}, the last last
-        self.counters = {}  # (kind, slot): version of the page told last
-        self.made = {}  # kind: (when, its page)
-        self.keys = {}
-
-    def key(self, name):
-        found = self.keys.get(name)
-        if found is None:
-            if len(self.keys) >= NAMES:
-                self.keys.clear()
-            found = self.keys[name] = key(name)
-        return found
+from collections.abc import Container
 
-    def figure(self, kind, host, figure):
-        table, host = self.figures[kind], self.key(host)
-        if kind == HANDS and figure <= 0:
-            table.pop(host, None)
-        elif host in table or len(table) < HOSTS:
-            table[host] = min(max(0.0, figure), SCALE[-1])
+from gaproute.shared.gossip.arrivals import ArrivalRates
+from gaproute.shared.gossip.messages import MAX_AMOUNT, WARM_PARTITIONS
 
-    def warm(self, now, host, function):
-        function = self.key(function)
-        copies, copy = self.copies[function % SLOTS[WARM]], (self.key(host), function)
-        copies.pop(copy, None)
-        copies[copy] = now
-        if len(copies) > COPIES:
-            del copies[next(iter(copies))]
+MAX_HOSTS = 8192  # hosts of which requests in flight or available capacity are held
+MAX_INSTANCES = 512  # warm instances held of each partition, those seen last
 
-    def cold(self, host, function):
-        function = self.key(function)
-        self.copies[function % SLOTS[WARM]].pop((self.key(host), function), None)
+Instance = tuple[int, int]  # keys of host and function
 
-    def forget(self, hosts):
-        """Drops all of these hosts (keys)."""
-        self.made.clear()
-        for table in self.figures:
-            for host in hosts:
-                table.pop(host, None)
-        for copies in self.copies:
-            for copy in [copy for copy in copies if copy[0] in hosts]:
-                del copies[copy]
 
-    def page(self, now, kind, slot=0):
-        """The page to be told: made now, or lately and older by that."""
-        made, page = self.made.get(kind, (now, None))
-        if page is None or now - made >= SERVES[kind]:
-            made, page = self.made[kind] = now, self._make(now, kind, slot)
-        return page._replace(age=now - made)
+class LocalObservations:
+    """Observations of this gateway by the keys of hosts and functions, each map bounded."""
 
-    def _make(self, now, kind, slot):
-        rest = 0.0
-        if kind == DEMAND:
-            rest, entries = self.arrivals.most_wanted(now)
-        elif kind == WARM:
-            entries = []
-            for (host, function), seen in reversed(self.copies[slot].items()):
-                if len(entries) >= MOST[WARM] or now - seen > LIFE[WARM]:
-                    break
-                entries.append((host, function, now - seen))
+    def __init__(self, now: int) -> None:
+        self.arrivals = ArrivalRates(now)
+        self.in_flight: dict[int, float] = {}  # by host: requests of this gateway; none that has no request
+        self.available_capacity: dict[int, float] = {}  # by host: capacity believed available
+        self.warm_instances: list[dict[Instance, int]] = [{} for _ in range(WARM_PARTITIONS)]
+        # by partition: when each was seen last, the latest last
+
+    def record_in_flight(self, host: int, requests: float) -> None:
+        """Requests of this gateway that are in flight at the host now."""
+        if requests <= 0:
+            self.in_flight.pop(host, None)
         else:
-            table = self.figures[kind]
-            hosts = sorted(table, key=lambda host: (-table[host], host))[: MOST[kind]]
-            entries = [(host, table[host]) for host in hosts]
-            if kind == HANDS:
-                rest = max(0.0, sum(table.values()) - sum(figure for _, figure in entries))
-        counter = self.counters[kind, slot] = self.counters.get((kind, slot), 0) + 1
-        return EntrySet(kind, slot, counter, 0, min(rest, SCALE[-1]), tuple(entries))
+            _put_bounded(self.in_flight, host, requests)
+
+    def record_available_capacity(self, host: int, capacity: float) -> None:
+        """Capacity that is believed available at the host."""
+        _put_bounded(self.available_capacity, host, capacity)
+
+    def record_warm_instance(self, now: int, host: int, function: int) -> None:
+        """The instance was just seen."""
+        instances, instance = self.warm_instances[function % WARM_PARTITIONS], (host, function)
+        instances.pop(instance, None)
+        instances[instance] = now
+        if len(instances) > MAX_INSTANCES:
+            del instances[next(iter(instances))]
+
+    def record_unloaded_instance(self, host: int, function: int) -> None:
+        """There is no instance of the function at the host."""
+        self.warm_instances[function % WARM_PARTITIONS].pop((host, function), None)
+
+    def forget_hosts(self, hosts: Container[int]) -> None:
+        """Drops what was observed of these hosts."""
+        for amounts in (self.in_flight, self.available_capacity):
+            for host in [host for host in amounts if host in hosts]:
+                del amounts[host]
+        for instances in self.warm_instances:
+            for instance in [instance for instance in instances if instance[0] in hosts]:
+                del instances[instance]
+
+
+def _put_bounded(amounts: dict[int, float], host: int, amount: float) -> None:
+    if host in amounts or len(amounts) < MAX_HOSTS:
+        amounts[host] = min(max(0.0, amount), MAX_AMOUNT)
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -1,78 +1,157 @@
-"""What is told: pages of facts that one gateway saw itself, each with a version and an age.
+"""The messages of gossip: sets of entries of one kind, which the sender observed itself.
 
-A page is told and replaced whole. Names travel as 32-bit keys: among 1,000 names two are alike once in 8,000
-fleets, and what is told only advises. Figures travel as one byte on a scale of twelfths of an octave.
+A set is sent and replaced whole; it has a version and an age. Names travel as 32-bit keys: among 1,000 names
+two are alike once in 8,000 fleets, and gossip only advises. Amounts travel as one byte on a logarithmic
+scale. Times and ages are in ns.
 """
 
+from enum import IntEnum, StrEnum
 from typing import NamedTuple
 
 from xxhash import xxh32_intdigest
 
+from gaproute.shared.messages import HIGHEST
+
 SECOND = 1_000_000_000
 
-HANDS, ROOM, DEMAND, WARM = range(4)
-KINDS = ("hands", "room", "demand", "warm")
-SLOTS = (1, 1, 1, 8)  # pages of a kind that one gateway tells: copies are dealt out by function
-MOST = (64, 64, 24, 32)  # entries of a page: the greatest, or those seen last
-ENTRY = (5, 5, 8, 10)  # bytes of an entry
-PAGE, HEAD = 11, 10  # bytes of a page and of a word beside that
-AROUND = 60  # bytes around a word: IP and UDP, the sender's name, the fields' marks
-LIFE = (15 * SECOND, 20 * SECOND, 120 * SECOND, 300 * SECOND)  # older facts count for nothing: tasks in
-#                                  hand end within seconds, demand holds for minutes, idle copies as long
-HOP = 5_000_000  # ns that a word travels, as nobody's clock tells
-HIGHEST = 1 << 48  # incarnations above it are refused
-COUNTERS = 1 << 32
-TRACKS = 256
-OCTAVE = 12  # steps: a figure is told within 3%
-SCALE = tuple(2 ** (code / OCTAVE) - 1 for code in range(256))  # up to 2.4 million
+HEADER_BYTES = 10  # of a message
+SET_HEADER_BYTES = 11  # of each set in it
+ENVELOPE_BYTES = 60  # around a message: IP and UDP, the sender's name, the marks of the envelope's fields
+TRAVEL_TIME = 5_000_000  # ns that a message takes, as nobody's clock tells it
+
+MAX_INCARNATION = HIGHEST
+MAX_SEQUENCE = (1 << 32) - 1
+REQUEST_CLASSES = 256  # that an entry can tell apart
+
+SCALE_STEPS = 12  # in an octave: an amount is told within 3%
+AMOUNT_SCALE = tuple(2 ** (code / SCALE_STEPS) - 1 for code in range(256))  # the amount of each byte
+MAX_AMOUNT = AMOUNT_SCALE[-1]  # 2.4 million
+
+
+class EntryKind(IntEnum):
+    """What the entries of a set tell; numbered as on the wire."""
+
+    IN_FLIGHT = 0
+    AVAILABLE_CAPACITY = 1
+    DEMAND = 2
+    WARM_INSTANCES = 3
+
+
+class KindLimits(NamedTuple):
+    """The bounds of the sets of one kind."""
+
+    label: str  # at the operators' address
+    partitions: int  # sets that one gateway sends; warm instances are divided by function
+    max_entries: int  # of a set: the greatest, or those seen last
+    entry_bytes: int
+    max_age: int  # ns after which a set counts for nothing
+
+
+LIMITS = (  # by kind. Requests end within seconds; demand holds for minutes, idle instances as long
+    KindLimits("hands", 1, 64, 5, 15 * SECOND),
+    KindLimits("room", 1, 64, 5, 20 * SECOND),
+    KindLimits("demand", 1, 24, 8, 120 * SECOND),
+    KindLimits("warm", 8, 32, 10, 300 * SECOND),
+)
+MAX_SETS = sum(limits.partitions for limits in LIMITS)  # of one gateway
+MAX_AGE = max(limits.max_age for limits in LIMITS)
+WARM_PARTITIONS = LIMITS[EntryKind.WARM_INSTANCES].partitions
+
+
+class HostEntry(NamedTuple):
+    """Requests in flight at a host, or the capacity believed available there."""
+
+    host: int  # key
+    amount: float
+
+
+class DemandEntry(NamedTuple):
+    """Arrivals a second of a function in a request class, and their standard deviation."""
+
+    function: int  # key
+    request_class: int
+    rate: float
+    deviation: float
+
+
+class WarmInstanceEntry(NamedTuple):
+    """A warm instance, and how long before the set was made it was seen."""
+
+    host: int  # key
+    function: int  # key
+    age: int
+
+
+Entries = tuple[HostEntry, ...] | tuple[DemandEntry, ...] | tuple[WarmInstanceEntry, ...]
 
 
 class EntrySet(NamedTuple):
-    """`entries`: (host, figure) of tasks in hand or lanes of room, (function, track, rate, spread) of demand,
-    both a second, (host, function, age) of warm copies. `rest`: the sum of the figures left out."""
+    """Entries of one kind."""
 
-    kind: int
-    slot: int
-    counter: int
+    kind: int  # an `EntryKind`, unless the sender errs
+    partition: int
+    sequence: int  # grows with each set of the kind and partition that its sender makes
     age: int
-    rest: float
-    entries: tuple
+    remainder: float  # sum of the amounts that found no place among the entries
+    entries: Entries
 
 
 class GossipMessage(NamedTuple):
-    """What its sender tells as seen by itself; it tells nothing of others."""
+    """What its sender observed itself; it tells nothing of others."""
 
     incarnation: int
-    pages: tuple
+    sets: tuple[EntrySet, ...]
+
+
+class RejectionReason(StrEnum):
+    """Why a message or a set was not used; the texts are those of the operators' page."""
+
+    UNKNOWN_SENDER = "stranger"
+    RATE_LIMITED = "flood"
+    UNDECODABLE = "nonsense"
+    INVALID = "absurd"
+    EXPIRED = "old"
+    TOO_LARGE = "large"
+    OBSOLETE_INCARNATION = "buried"
 
 
-def key(name):
+def name_key(name: str) -> int:
+    """The key by which a host or function is named."""
     return xxh32_intdigest(name.encode("utf-8", "backslashreplace"))
 
 
-def size(word):
-    """Bytes on the wire, with the headers below it."""
-    return AROUND + HEAD + sum(PAGE + ENTRY[page.kind] * len(page.entries) for page in word.pages)
-
-
-def sound(page):
-    """Whether a page can be true at all; `absurd` or `large` or `old` where it cannot, else an empty text."""
-    kind = page.kind
-    if not (0 <= kind < len(KINDS) and 0 <= page.slot < SLOTS[kind] and 0 <= page.counter < COUNTERS):
-        return "absurd"
-    if len(page.entries) > MOST[kind]:
-        return "large"
-    if page.age > LIFE[kind]:
-        return "old"
-    if page.age < 0 or not 0 <= page.rest <= SCALE[-1]:
-        return "absurd"
-    for entry in page.entries:
-        # NaN fails every comparison. A copy's age stands where the others have a figure.
-        if (
-            not all(0 <= figure <= SCALE[-1] for figure in (entry[2:] if kind == DEMAND else entry[1:]))
-            and kind != WARM
-            or kind == WARM
-            and not 0 <= entry[2] <= LIFE[WARM]
-        ):
-            return "absurd"
-    return ""
+def wire_size(message: GossipMessage) -> int:
+    """Bytes on the wire, with the headers below the message."""
+    sets = sum(SET_HEADER_BYTES + LIMITS[each.kind].entry_bytes * len(each.entries) for each in message.sets)
+    return ENVELOPE_BYTES + HEADER_BYTES + sets
+
+
+def rejection_reason(entries: EntrySet) -> RejectionReason | None:
+    """Why a set cannot be used; None where it can."""
+    if not 0 <= entries.kind < len(LIMITS):
+        return RejectionReason.INVALID
+    limits = LIMITS[entries.kind]
+    if not 0 <= entries.partition < limits.partitions or not 0 <= entries.sequence <= MAX_SEQUENCE:
+        return RejectionReason.INVALID
+    if len(entries.entries) > limits.max_entries:
+        return RejectionReason.TOO_LARGE
+    if entries.age > limits.max_age:
+        return RejectionReason.EXPIRED
+    if entries.age < 0 or not _is_amount(entries.remainder):
+        return RejectionReason.INVALID
+    if not all(map(_is_plausible, entries.entries)):
+        return RejectionReason.INVALID
+    return None
+
+
+def _is_plausible(entry: HostEntry | DemandEntry | WarmInstanceEntry) -> bool:
+    if isinstance(entry, HostEntry):
+        return _is_amount(entry.amount)
+    if isinstance(entry, DemandEntry):
+        return _is_amount(entry.rate) and _is_amount(entry.deviation)
+    return 0 <= entry.age <= LIMITS[EntryKind.WARM_INSTANCES].max_age
+
+
+def _is_amount(amount: float) -> bool:
+    """NaN is none: it fails every comparison."""
+    return 0 <= amount <= MAX_AMOUNT
--- /dev/null
+++ b/gaproute/shared/gossip/name_keys.py
@@ -0,0 +1,21 @@
+"""The keys of names that were used lately, so that a request does not hash the same names each time."""
+
+from gaproute.shared.gossip.messages import name_key
+
+MAX_NAMES = 65_536  # names whose keys are cached
+
+
+class NameKeys:
+    """A bounded cache of keys by name."""
+
+    def __init__(self) -> None:
+        self.keys: dict[str, int] = {}
+
+    def key(self, name: str) -> int:
+        """The key of a host or function."""
+        found = self.keys.get(name)
+        if found is None:
+            if len(self.keys) >= MAX_NAMES:
+                self.keys.clear()
+            found = self.keys[name] = name_key(name)
+        return found
--- /dev/null
+++ b/gaproute/shared/gossip/peer_rounds.py
@@ -0,0 +1,41 @@
+"""Which peer is sent the next message: each once in a round, in random order."""
+
+from collections.abc import Iterable
+
+from gaproute.shared.randomness import RandomSource, shuffle
+
+
+class PeerRounds:
+    """The other gateways that are up, and those that the round has not come to yet."""
+
+    def __init__(self, random: RandomSource) -> None:
+        self.names: list[str] = []
+        self.remaining: list[str] = []  # of this round; the last comes next
+        self.round_length = 0  # peers at the beginning of this round
+        self._random = random
+        self._members: dict[str, None] = {}
+
+    def __contains__(self, name: str) -> bool:
+        return name in self._members
+
+    def __len__(self) -> int:
+        return len(self.names)
+
+    def set_peers(self, names: Iterable[str]) -> None:
+        """Takes the peers that are up; the round goes on with those that still are."""
+        self.names = list(names)
+        self._members = dict.fromkeys(self.names)
+
+    def next(self) -> str | None:
+        """The next peer; None where there is none."""
+        for _ in range(2):
+            while self.remaining:
+                name = self.remaining.pop()
+                if name in self._members:
+                    return name
+            self._begin()
+        return None
+
+    def _begin(self) -> None:
+        self.remaining, self.round_length = list(self.names), len(self.names)
+        shuffle(self.remaining, self._random)
--- a/gaproute/shared/gossip/scheduler.py
+++ b/gaproute/shared/gossip/scheduler.py
@@ -1,66 +1,86 @@
-"""Whom to tell, when and what: each peer in rounds, by a budget of bytes that does not grow with the fleet.
+"""When a message is sent and which sets it holds, by a budget of bytes that does not grow with the fleet.
 
-A word holds the tasks in hand, which change fast, and at a slower pace one other page in turn. In a large
-fleet a round takes longer, and a reader holds a sample of the tellers by which it scales.
+A message holds the requests in flight, which change fast, and at a slower pace one other set in turn. In a
+large fleet a round takes longer, and a receiver holds a sample of the origins by which it scales.
 """
 
-from gaproute.shared.gossip.messages import DEMAND, HANDS, ROOM, SECOND, SLOTS, WARM, GossipMessage, size
-from gaproute.shared.randomness import shuffle
+from typing import NamedTuple
+
+from gaproute.shared.gossip.entry_sets import LocalEntrySets
+from gaproute.shared.gossip.messages import (
+    SECOND,
+    WARM_PARTITIONS,
+    EntryKind,
+    EntrySet,
+    GossipMessage,
+    wire_size,
+)
+from gaproute.shared.gossip.peer_rounds import PeerRounds
 
 RATE = 3_000  # bytes a second, headers included: under 4 kB with bursts and membership's beside it
 RATE_IN_CELLS = 2_200  # where the table of cells takes a share of the 4 kB: 0.9 kB at 46,000 changes a day
-EACH = SECOND // 2  # between two words to one peer at least: small fleets need not spend the budget
-SLOW = SECOND // 4  # between two pages other than the tasks in hand
-TURN = (DEMAND, WARM, DEMAND, WARM, ROOM, WARM, DEMAND, WARM)
+PEER_INTERVAL = SECOND // 2  # at least, between two messages to one peer: small fleets need not spend all
+SLOW_INTERVAL = SECOND // 4  # between two sets other than the requests in flight
+SLOW_KINDS = (
+    EntryKind.DEMAND,
+    EntryKind.WARM_INSTANCES,
+    EntryKind.DEMAND,
+    EntryKind.WARM_INSTANCES,
+    EntryKind.AVAILABLE_CAPACITY,
+    EntryKind.WARM_INSTANCES,
+    EntryKind.DEMAND,
+    EntryKind.WARM_INSTANCES,
+)
+
 
+class Outgoing(NamedTuple):
+    """A message and the peer that it is for."""
 
-class Told:
-    """Whom to tell, when and what. `rate`: bytes a second."""
+    peer: str
+    message: GossipMessage
 
-    def __init__(self, chance, now, rate=RATE):
-        self.chance, self.rate = chance, rate
-        self.peers = {}  # name: place in the list below
-        self.names = []
-        self.round, self.longest = [], 0  # names still to be told in this round, and how many it had
-        self.next, self.slow = now, now
-        self.turn = self.slot = 0
-        self.sent = self.bytes = 0
 
-    def listed(self, names):
-        self.names = list(names)
-        self.peers = dict.fromkeys(self.names)
+class MessageScheduler:
+    """Composes the messages in time. `rate`: bytes a second. Times are in ns."""
 
-    def tick(self, now, own, incarnation):
-        """[(peer, GossipMessage)]; `next` is the time of the next call."""
-        if now < self.next:
+    def __init__(self, peers: PeerRounds, now: int, rate: int = RATE) -> None:
+        self.due = now  # when the next message may be sent
+        self.sent = 0  # messages
+        self.bytes = 0
+        self._peers, self._rate = peers, rate
+        self._slow_due = now
+        self._slow_turn = 0
+        self._warm_partition = 0
+
+    def tick(self, now: int, incarnation: int, sets: LocalEntrySets) -> list[Outgoing]:
+        """The message that is due, if any; sets `due` anew."""
+        if now < self.due:
             return []
-        name = self._peer()
-        if name is None:
-            self.next = now + EACH
+        peer = self._peers.next()
+        if peer is None:
+            self.due = now + PEER_INTERVAL
             return []
-        pages = [own.page(now, HANDS)]
-        if now >= self.slow:
-            self.slow = now + SLOW
-            kind = TURN[self.turn % len(TURN)]
-            self.turn += 1
-            if kind == WARM:
-                self.slot = (self.slot + 1) % SLOTS[WARM]
-            page = own.page(now, kind, self.slot if kind == WARM else 0)
-            if page.entries or page.rest:
-                pages.append(page)
-        word = GossipMessage(incarnation, tuple(pages))
-        spent = size(word)
+        message = GossipMessage(incarnation, self._sets(now, sets))
+        size = wire_size(message)
         self.sent += 1
-        self.bytes += spent
-        self.next = now + max(EACH // len(self.names), spent * SECOND // self.rate)
-        return [(name, word)]
+        self.bytes += size
+        self.due = now + max(PEER_INTERVAL // len(self._peers), size * SECOND // self._rate)
+        return [Outgoing(peer, message)]
+
+    def _sets(self, now: int, sets: LocalEntrySets) -> tuple[EntrySet, ...]:
+        in_flight = sets.get(now, EntryKind.IN_FLIGHT)
+        if now < self._slow_due:
+            return (in_flight,)
+        self._slow_due = now + SLOW_INTERVAL
+        slow = self._next_slow_set(now, sets)
+        if slow.entries or slow.remainder:
+            return in_flight, slow
+        return (in_flight,)
 
-    def _peer(self):
-        for _ in range(2):
-            while self.round:
-                name = self.round.pop()
-                if name in self.peers:
-                    return name
-            self.round, self.longest = list(self.names), len(self.names)
-            shuffle(self.round, self.chance)
-        return None
+    def _next_slow_set(self, now: int, sets: LocalEntrySets) -> EntrySet:
+        kind = SLOW_KINDS[self._slow_turn % len(SLOW_KINDS)]
+        self._slow_turn += 1
+        if kind != EntryKind.WARM_INSTANCES:
+            return sets.get(now, kind)
+        self._warm_partition = (self._warm_partition + 1) % WARM_PARTITIONS
+        return sets.get(now, kind, self._warm_partition)
--- a/gaproute/shared/gossip/table.py
+++ b/gaproute/shared/gossip/table.py
@@ -1,83 +1,136 @@
-"""What all tell, merged: of each teller and page the newest version by (incarnation, counter).
+"""What other gateways sent, merged: of each origin and set the newest version by (incarnation, sequence).
 
-Taking the newest is commutative, associative and idempotent, so words may come in any order, twice or late.
-Of one version that came twice with two ages the greater age holds. A tombstone bars a teller's incarnations
-up to the one that ended; what is barred never comes back, in whatever order the tombstone and the facts come.
+Taking the newest is commutative, associative and idempotent, so messages may come in any order, twice or
+late. Of one version that came twice with two ages the greater age holds. A tombstone bars an origin's
+incarnations up to the one that ended; what is barred never comes back, in whatever order the tombstone and
+the sets come. Times are ns on this gateway's clock.
 """
 
 from collections import Counter
+from typing import NamedTuple
 
-from gaproute.shared.gossip.messages import HIGHEST, HOP, LIFE, sound
+from gaproute.shared.gossip.messages import (
+    LIMITS,
+    MAX_AGE,
+    MAX_INCARNATION,
+    TRAVEL_TIME,
+    Entries,
+    EntrySet,
+    RejectionReason,
+    rejection_reason,
+)
 
-TOMBS = 8192  # kept at most; a tombstone outlives all facts of its teller, then it may go
-TOMB_LIFE = 2 * max(LIFE)
+MAX_TOMBSTONES = 8192
+TOMBSTONE_TIME = 2 * MAX_AGE  # a tombstone outlives all sets of its origin, then it may go
 
+SetName = tuple[int, int]  # kind and partition
 
-class Held:
-    """One page as it is held; `seen`: when what it tells was so, by this gateway's clock."""
 
-    __slots__ = ("version", "seen", "rest", "entries")
+class Version(NamedTuple):
+    """Of a set: the newer is the greater."""
 
-    def __init__(self, version, seen, rest, entries):
-        self.version, self.seen, self.rest, self.entries = version, seen, rest, entries
+    incarnation: int
+    sequence: int
 
 
-class Store:
-    def __init__(self):
-        self.tellers = {}  # teller: {(kind, slot): Held}
-        self.tombs = {}  # teller: (the incarnation that ended, when it was told), the oldest first
-        self.refused = Counter()
+class Tombstone(NamedTuple):
+    """An incarnation of an origin that ended, and when that was known."""
 
-    def take(self, now, teller, incarnation, page):
-        """Merges one page; whether it changed anything."""
-        fault = sound(page) if 0 < incarnation <= HIGHEST else "absurd"
-        if not fault and incarnation <= self.tombs.get(teller, (0, 0))[0]:
-            fault = "buried"
-        if fault:
-            self.refused[fault] += 1
+    incarnation: int
+    created_at: int
+
+
+class ReceivedSet:
+    """One set as it is held; `observed_at`: when what it tells was so."""
+
+    __slots__ = ("version", "observed_at", "remainder", "entries")
+
+    def __init__(self, version: Version, observed_at: int, remainder: float, entries: Entries) -> None:
+        self.version = version
+        self.observed_at = observed_at
+        self.remainder = remainder
+        self.entries = entries
+
+
+class GossipTable:
+    """Owns the sets of all other gateways, their tombstones, and the counts of what was rejected."""
+
+    def __init__(self) -> None:
+        self.received: dict[str, dict[SetName, ReceivedSet]] = {}  # by origin
+        self.tombstones: dict[str, Tombstone] = {}  # by origin, the oldest first
+        self.rejections: Counter[RejectionReason] = Counter()
+
+    def merge(self, now: int, origin: str, incarnation: int, entries: EntrySet) -> bool:
+        """Merges one set; whether it was newer than what is held. What cannot be used is counted."""
+        reason = self._rejection_reason(origin, incarnation, entries)
+        if reason is not None:
+            self.rejections[reason] += 1
             return False
-        version, seen = (incarnation, page.counter), now - page.age - HOP
-        pages = self.tellers.setdefault(teller, {})
-        held = pages.get((page.kind, page.slot))
+        version = Version(incarnation, entries.sequence)
+        observed_at = now - entries.age - TRAVEL_TIME
+        sets = self.received.setdefault(origin, {})
+        held = sets.get((entries.kind, entries.partition))
         if held is None or version > held.version:
-            pages[page.kind, page.slot] = Held(version, seen, page.rest, page.entries)
+            sets[entries.kind, entries.partition] = ReceivedSet(
+                version, observed_at, entries.remainder, entries.entries
+            )
             return True
-        if version == held.version and seen < held.seen:
-            held.seen = seen
+        if version == held.version:
+            held.observed_at = min(held.observed_at, observed_at)
         return False
 
-    def bury(self, now, teller, incarnation):
-        """No fact of this incarnation or an older one counts from now on."""
-        incarnation = max(incarnation, self.tombs.pop(teller, (0, 0))[0])
-        self.tombs[teller] = incarnation, now
-        pages = self.tellers.get(teller, {})
-        for name in [name for name, held in pages.items() if held.version[0] <= incarnation]:
-            del pages[name]
-        if not pages:
-            self.tellers.pop(teller, None)
-        while len(self.tombs) > TOMBS:
-            del self.tombs[next(iter(self.tombs))]
-
-    def last(self, teller):
-        """The latest incarnation heard of the teller."""
-        return max([held.version[0] for held in self.tellers.get(teller, {}).values()], default=0)
-
-    def fade(self, now, teller):
-        """Drops what of this teller counts no more, and tombstones that have outlived all that they bar."""
-        pages = self.tellers.get(teller, {})
-        for name in [name for name, held in pages.items() if now - held.seen > LIFE[name[0]]]:
-            del pages[name]
-        if not pages:
-            self.tellers.pop(teller, None)
-        first = next(iter(self.tombs), None)
-        if first is not None and now - self.tombs[first][1] > TOMB_LIFE:
-            del self.tombs[first]
-
-    def fresh(self, now, kind, slots=(0,)):
-        """[(teller, Held)] of a kind that still count, in the order in which tellers became known."""
+    def add_tombstone(self, now: int, origin: str, incarnation: int) -> None:
+        """No set of this incarnation or an older one counts from now on."""
+        earlier = self.tombstones.pop(origin, None)
+        if earlier is not None:
+            incarnation = max(incarnation, earlier.incarnation)
+        self.tombstones[origin] = Tombstone(incarnation, now)
+        sets = self.received.get(origin, {})
+        for name in [name for name, held in sets.items() if held.version.incarnation <= incarnation]:
+            del sets[name]
+        if not sets:
+            self.received.pop(origin, None)
+        while len(self.tombstones) > MAX_TOMBSTONES:
+            del self.tombstones[next(iter(self.tombstones))]
+
+    def latest_incarnation(self, origin: str) -> int:
+        """The latest incarnation of which a set is held; 0 where none is."""
+        return max([held.version.incarnation for held in self.received.get(origin, {}).values()], default=0)
+
+    def expire(self, now: int) -> None:
+        """Drops sets that count no more, and for each origin at most one tombstone that outlived all sets."""
+        for origin in list(self.received):
+            self._expire_sets(now, origin)
+            self._expire_oldest_tombstone(now)
+
+    def current(self, now: int, kind: int, partition: int = 0) -> list[tuple[str, ReceivedSet]]:
+        """(origin, set) of a kind where it still counts, in the order in which origins became known."""
+        name, max_age = (kind, partition), LIMITS[kind].max_age
         return [
-            (teller, held)
-            for teller, pages in self.tellers.items()
-            for slot in slots
-            if (held := pages.get((kind, slot))) is not None and now - held.seen <= LIFE[kind]
+            (origin, held)
+            for origin, sets in self.received.items()
+            if (held := sets.get(name)) is not None and now - held.observed_at <= max_age
         ]
+
+    def _rejection_reason(self, origin: str, incarnation: int, entries: EntrySet) -> RejectionReason | None:
+        if not 0 < incarnation <= MAX_INCARNATION:
+            return RejectionReason.INVALID
+        reason = rejection_reason(entries)
+        if reason is not None:
+            return reason
+        tombstone = self.tombstones.get(origin)
+        if tombstone is not None and incarnation <= tombstone.incarnation:
+            return RejectionReason.OBSOLETE_INCARNATION
+        return None
+
+    def _expire_sets(self, now: int, origin: str) -> None:
+        sets = self.received[origin]
+        for name in [name for name, held in sets.items() if now - held.observed_at > LIMITS[name[0]].max_age]:
+            del sets[name]
+        if not sets:
+            del self.received[origin]
+
+    def _expire_oldest_tombstone(self, now: int) -> None:
+        oldest = next(iter(self.tombstones), None)
+        if oldest is not None and now - self.tombstones[oldest].created_at > TOMBSTONE_TIME:
+            del self.tombstones[oldest]
--- a/gaproute/shared/dissemination/budget.py
+++ b/gaproute/shared/token_bucket.py
@@ -1,17 +1,19 @@
-"""A token bucket: so much a second, a burst at most."""
+"""A token bucket: so much a second, a burst at most. Times are in ns."""
 
-from gaproute.shared.dissemination.bounds import SECOND
+SECOND = 1_000_000_000
 
 
-class Budget:
-    """`rate` tokens a second, `burst` at most at once."""
+class TokenBucket:
+    """`rate` tokens a second, `burst` at most at once; full at the beginning."""
 
-    def __init__(self, rate: int, burst: int, now: int):
+    __slots__ = ("rate", "burst", "tokens", "filled_at")
+
+    def __init__(self, rate: int, burst: int, now: int) -> None:
         self.rate, self.burst = rate, burst
-        self.tokens, self.filled = float(burst), now
+        self.tokens, self.filled_at = float(burst), now
 
     def take(self, now: int, tokens: int) -> bool:
-        """Whether there was room for them; they are spent then."""
+        """Whether there were so many; they are spent then."""
         self._fill(now)
         if self.tokens < tokens:
             return False
@@ -27,11 +29,11 @@
         return True
 
     def wait(self, now: int, tokens: int) -> int:
-        """Nanoseconds until there is room for them."""
+        """Nanoseconds until there are so many."""
         self._fill(now)
         return max(0, round((min(tokens, self.burst) - self.tokens) * SECOND / self.rate))
 
-    def _fill(self, now):
-        passed = max(0, now - self.filled)
+    def _fill(self, now: int) -> None:
+        passed = max(0, now - self.filled_at)
         self.tokens = min(self.burst, self.tokens + passed * self.rate / SECOND)
-        self.filled = now
+        self.filled_at = now
--- a/gaproute/simulation/campaigns_gateway.py
+++ b/gaproute/simulation/campaigns_gateway.py
@@ -34,7 +34,7 @@
         self.latest, self.planner = Latest(), Planner(self, now)
         self.gossip = GossipNode(name, 1 + play.number(), chance, now)
         self.peers = [other for other in play.gateways if other != name]
-        self.gossip.peers(now, self.peers)
+        self.gossip.set_peers(now, self.peers)
         self.asks, self.known = {}, {}  # number: (host, when); host: its last room
         self.heard = {}  # peer: when
         self.queues = {campaign: deque() for campaign in self.campaigns}  # (group, task, version)
@@ -77,7 +77,7 @@
     def hear(self, now, sender, message):
         if isinstance(message, GossipMessage):
             self.heard[sender] = now
-            self.gossip.hear(now, sender, message)
+            self.gossip.receive(now, sender, message)
             return []
         if not isinstance(message, tuple):
             return self.holder.hear(now, sender, message)
@@ -91,7 +91,7 @@
             return []
         self.known[host] = asked[1], copies, loading, room
         self.spend.report(now, host, asked[1], free, want, cold)
-        self.gossip.record_available_capacity(now, host, free)
+        self.gossip.record_available_capacity(host, free)
         out = [(host, ("cancel", task)) for task in self.spend.cancels(host, lacking)]
         if not want:
             self.wanted.pop(host, None)
--- a/gaproute/simulation/rounds_actors.py
+++ b/gaproute/simulation/rounds_actors.py
@@ -129,11 +129,11 @@
     def __init__(self, play, name, chance, now, peers):
         self.play, self.name, self.chance = play, name, chance
         self.gossip = GossipNode(name, 1 + play.world.seats[name].life, chance, now)
-        self.gossip.peers(now, peers)
+        self.gossip.set_peers(now, peers)
         self.hosts, self.place, self.number = list(play.fleet), 0, 0
         self.asked, self.shown, self.starts = {}, {}, {}
         self.next = now
-        self.gossip.listed(now, dict.fromkeys(self.hosts, 0))
+        self.gossip.set_hosts(now, dict.fromkeys(self.hosts, 0))
 
     def tick(self, now):
         out = []
@@ -149,13 +149,13 @@
 
     def hear(self, now, sender, message):
         if message[0] == "word":
-            self.gossip.hear(now, sender, message[1])
+            self.gossip.receive(now, sender, message[1])
         elif message[0] == "shown" and self.asked.get(sender, (0, 0))[0] == message[1]:
             asked = self.asked[sender][1]
             start, draining, mark, hands, power, free, loading, done = message[2]
             if self.starts.get(sender) != start:
                 self.starts[sender] = start
-                self.gossip.listed(
+                self.gossip.set_hosts(
                     now, self.starts | {name: 0 for name in self.hosts if name not in self.starts}
                 )
             self.shown[sender] = Shown(
@@ -165,7 +165,7 @@
                 if function in message[3]:  # as of when it was asked: an answer may be long on its way
                     self.gossip.record_warm_instance(asked, sender, function)
                 else:
-                    self.gossip.record_unloaded_instance(now, sender, function)
+                    self.gossip.record_unloaded_instance(sender, function)
 
 
 class Gateway(Eyes):
@@ -219,7 +219,7 @@
         return View(
             self.play.fleet,
             self.shown,
-            {function: self.gossip.warm(now, function) for function in self.play.functions},
+            {function: self.gossip.warm_instances(now, function) for function in self.play.functions},
             peak,
             now - self.told,
         )
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -6,8 +6,8 @@
 from gaproute.decisions.chance import Chance
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers.membership import MembershipTransport
-from gaproute.shared.gossip import EntrySet, GossipMessage, GossipNode
-from gaproute.shared.gossip.messages import HANDS, LIFE, key
+from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
+from gaproute.shared.gossip.messages import LIMITS, HostEntry, name_key
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.membership import Membership, MemberState
 from gaproute.shared.raft import RaftNode
@@ -59,19 +59,22 @@
 # MembershipTransport of demand and copies
 
 
-def hands(incarnation, counter, tasks):
-    return GossipMessage(incarnation, (EntrySet(HANDS, 0, counter, 0, 0.0, ((key("h1"), tasks),)),))
+def in_flight(incarnation, sequence, requests):
+    entries = (HostEntry(name_key("h1"), requests),)
+    return GossipMessage(incarnation, (EntrySet(EntryKind.IN_FLIGHT, 0, sequence, 0, 0.0, entries),))
 
 
-def test_what_a_teller_says_under_a_lower_incarnation_waits_until_it_has_outbid_its_past_life():
+def test_what_an_origin_sends_under_a_lower_incarnation_waits_until_it_has_outbid_its_past_one():
     made = GossipNode("me", BEGUN_MS, Chance(7), 0)
-    made.peers(0, ["a"])
-    made.listed(0, {"h1": 1})
-    made.hear(0, "a", hands(BEGUN_MS, 900, 4.0))
-    assert made.hear(SECOND, "a", hands(BEGUN_MS - HOUR_MS, 1, 2.0)) == 0
-    assert made.hands(SECOND, "h1").heard == pytest.approx(4.0, rel=0.03)
-    assert made.hands(LIFE[HANDS] + 2 * SECOND, "h1").tellers == 0  # what it said before fades as ever
-    assert made.hear(2 * SECOND, "a", hands(BEGUN_MS + 1, 1, 2.0)) == 1
+    made.set_peers(0, ["a"])
+    made.set_hosts(0, {"h1": 1})
+    made.receive(0, "a", in_flight(BEGUN_MS, 900, 4.0))
+    assert made.receive(SECOND, "a", in_flight(BEGUN_MS - HOUR_MS, 1, 2.0)) == 0
+    assert made.in_flight(SECOND, "h1").received == pytest.approx(4.0, rel=0.03)
+    assert (
+        made.in_flight(LIMITS[EntryKind.IN_FLIGHT].max_age + 2 * SECOND, "h1").origins == 0
+    )  # what it said before fades as ever
+    assert made.receive(2 * SECOND, "a", in_flight(BEGUN_MS + 1, 1, 2.0)) == 1
 
 
 def test_a_gateway_restarted_with_its_clock_an_hour_back_is_heard_again(fleet, monkeypatch):
@@ -85,15 +88,15 @@
     second = start("second", "weak-word yes")
     at = second.others.giver.address
     third = start("third", f"peer second {at}\nweak-word yes")
-    weak = third.others.gossip.node
-    made.until(lambda: "second" in weak.store.tellers)
+    node = third.others.gossip.node
+    made.until(lambda: "second" in node.table.received)
     before = second.others.membership_transport.membership.incarnation
     second.close()
     ahead[0] = -HOUR_MS
     lines = (f"listen peers {at}", f"peer third {third.others.giver.address}", "weak-word yes")
     again = start("second", *lines, listen=False)
     assert again.others.membership_transport.membership.incarnation < before
-    made.until(lambda: weak.store.last("second") > before)
+    made.until(lambda: node.table.latest_incarnation("second") > before)
     assert again.others.membership_transport.membership.incarnation > before
 
 
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -9,13 +9,13 @@
 from gaproute.decisions.chance import Chance
 from gaproute.shared.dissemination import Candidates, Peer, bounds
 from gaproute.shared.dissemination.bounds import SECOND
-from gaproute.shared.dissemination.budget import Budget
 from gaproute.shared.dissemination.cell_peers import candidates
 from gaproute.shared.dissemination.changelog import Changelog
 from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Pull
 from gaproute.shared.dissemination.serving import Serving
 from gaproute.shared.dissemination.sightings import Sightings
 from gaproute.shared.dissemination.view import View
+from gaproute.shared.token_bucket import TokenBucket
 
 
 def logged(count, data=b"x" * 200):
@@ -32,11 +32,11 @@
     return tuple(Peer(f"{prefix}{number}", f"127.0.0.1:{number}") for number in range(count))
 
 
-# Budget
+# TokenBucket
 
 
 def test_a_budget_gives_its_rate_and_a_burst():
-    budget, spent = Budget(100, 300, 0), 0
+    budget, spent = TokenBucket(100, 300, 0), 0
     for now in range(0, 10 * SECOND, SECOND // 50):
         while budget.take(now, 7):
             spent += 7
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -1,7 +1,8 @@
-"""The weak word between gateways on sockets: off unless configured, and noise on its way."""
+"""Gossip between gateways on sockets: off unless configured, and noise on its way."""
 
 import socket
 
+import pytest
 from helpers import CONFIGURATION
 
 from gaproute.appliance.operator import status
@@ -10,20 +11,23 @@
 from gaproute.peers import word_pb2
 
 
-def test_gateways_with_the_word_tell_each_other_and_one_without_is_left_as_it_is(fleet):
+def test_gateways_gossip_and_one_where_it_is_off_is_left_as_it_is(fleet):
     made, start = fleet
     second = start("second", f"peer g {made.gate.others.giver.address}\nweak-word yes")
     third = start("third", f"peer second {second.others.giver.address}\nweak-word yes")
     made.at = address(third.fronts[0].address)
     for number in range(4):
         assert made.wait(made.ask("lamp", f"w{number}")).status == 200
-    weak = second.others.gossip.node
-    made.until(lambda: "third" in weak.store.tellers and weak.warm(made.loop.now(), "lamp"))
-    ((host, (age, by)),) = weak.warm(made.loop.now(), "lamp").items()
-    assert host in third.rows and by == ("third",) and age >= 0
-    assert made.gate.others.gossip is None and status(made.gate)["weak_word"] is None
+    node = second.others.gossip.node
+    made.until(lambda: "third" in node.table.received and node.warm_instances(made.loop.now(), "lamp"))
+    ((host, (age, by)),) = node.warm_instances(made.loop.now(), "lamp").items()
+    assert host in third.rows
+    assert by == ("third",)
+    assert age >= 0
+    assert made.gate.others.gossip is None
+    assert status(made.gate)["weak_word"] is None
     assert status(third)["weak_word"]["sent"]
-    made.until(lambda: weak.demand(made.loop.now(), "lamp", 0).heard > 0)
+    made.until(lambda: node.demand(made.loop.now(), "lamp", 0).received > 0)
     kept = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     host, _, port = second.others.giver.address.rpartition(":")
     for body in (b"x" * 900, b"", b"\x01" * 64):
@@ -32,13 +36,11 @@
         kept.sendto(noise.SerializeToString(), (host, int(port)))
     kept.sendto(b"\xff" * 1400, (host, int(port)))
     kept.close()
-    made.until(lambda: weak.refused["nonsense"] == 3 and second.others.membership_transport.undecodable == 1)
+    made.until(
+        lambda: node.table.rejections["nonsense"] == 3 and second.others.membership_transport.undecodable == 1
+    )
 
 
-def test_the_word_without_a_way_is_a_mistake():
-    try:
+def test_gossip_without_an_address_for_peers_is_a_mistake():
+    with pytest.raises(ConfigurationError, match="weak-word without a listen peers line"):
         read_configuration("f", CONFIGURATION + "\nweak-word yes\n")
-    except ConfigurationError as mistakes:
-        assert "weak-word without a listen peers line" in str(mistakes)
-    else:
-        raise AssertionError("taken")
