--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -183,11 +183,11 @@
 
     def one(self, place, seed, rows):
         terms = fleet_world.terms(self.members)._replace(
-            cold_share=self.day.share,
-            cold_time=COLD,
-            cold_multiple=MULTIPLE,
+            warm_up_share=self.day.share,
+            warm_up_time=COLD,
+            warm_up_overload=MULTIPLE,
             probes_allowed=self.day.probes,
-            orders_allowed=self.day.probes,
+            load_orders_allowed=self.day.probes,
             probe_price=0.0 if self.day.free_probes else 0.025,
             peers_allowed=not self.day.free_probes,
         )
--- a/benchmarks/fleet/candidates.py
+++ b/benchmarks/fleet/candidates.py
@@ -53,7 +53,7 @@
     def pick(self, scored):
         best = max(each.score for each in scored)
         near = sorted(
-            [each.worker for each in scored if each.score >= best - self.slack],
+            [each.host for each in scored if each.score >= best - self.slack],
             key=lambda worker: worker.place,
         )
         rooms = [self.room(worker) for worker in near]
@@ -107,12 +107,12 @@
     def pick(self, scored):
         best = max(each.score for each in scored)
         near = sorted(
-            [each for each in scored if each.score >= best - self.slack], key=lambda each: each.worker.place
+            [each for each in scored if each.score >= best - self.slack], key=lambda each: each.host.place
         )
         weights = [exp((each.score - best) / self.heat) for each in near]
         drawn = self.chance.below(SECOND) / SECOND * sum(weights)
         for each, weight in zip(near, weights, strict=True):
             drawn -= weight
             if drawn < 0:
-                return each.worker
-        return near[-1].worker
+                return each.host
+        return near[-1].host
--- a/benchmarks/fleet/cold_hosts.py
+++ b/benchmarks/fleet/cold_hosts.py
@@ -116,9 +116,9 @@
         super().probe(worker)
         self.world.hosts[worker].reached(self.world.clock.now, PROBE_WORK, self.knows(worker))
 
-    def decline(self, key, stay_away, why):
+    def decline(self, key, retry_after, why):
         function = self.asked[key].function
-        super().decline(key, stay_away, why)
+        super().decline(key, retry_after, why)
         self.world.again(function, self.tries[key])
 
     def relay(self, key, number, worker, until, now):
@@ -127,7 +127,7 @@
         host.reached(now, work, self.knows(worker))
         if host.lost or host.full(now):
             found = face.Result.CONNECT_FAILED if host.lost else face.Result.FULL
-            world.clock.at(now + WAY, self.back, key, number, worker, found, WAY, face.Found.UNTOLD)
+            world.clock.at(now + WAY, self.back, key, number, worker, found, WAY, face.Found.UNKNOWN)
             return
         took, warm = host.take(now, self.asked[key].function, work)
         found = face.Found.WARM if warm else face.Found.BEGAN_LOAD
@@ -140,7 +140,7 @@
             self.world.clock.at(through, self.back, key, number, worker, result, took + held, found, life)
             return
         if life is not None and life != host.life:
-            result, found = face.Result.RESET, face.Found.UNTOLD
+            result, found = face.Result.RESET, face.Found.UNKNOWN
         elif life is not None:
             host.busy -= 1
         if self.gone:
--- a/benchmarks/fleet/follow.py
+++ b/benchmarks/fleet/follow.py
@@ -31,7 +31,7 @@
 
 def why(scored, chosen):
     """Which points decided, of `WHY`."""
-    mine = next(each for each in scored if each.worker.id == chosen)
+    mine = next(each for each in scored if each.host.id == chosen)
     if mine.warmth > 0 and sum(each.warmth > 0 for each in scored) == 1:
         return WHY[0]
     best = max(each.score + each.queue for each in scored)
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -37,7 +37,9 @@
         key = str(world.counts["tasks"])
         self.asked[key] = Asked(function, world.clock.now)
         began = process_time_ns()
-        self.take(world.clock.now, face.Task(key, 0, TRACKS[track].hard_limit, function, LANES, None, track))
+        self.take(
+            world.clock.now, face.Request(key, 0, TRACKS[track].hard_limit, function, LANES, None, track)
+        )
         world.cpu += process_time_ns() - began
 
     def wait(self, key, until, now):
@@ -88,7 +90,15 @@
             self.outcome(
                 self.world.clock.now,
                 face.Outcome(
-                    key, number, worker, face.Result.CONNECT_FAILED, WAY, False, face.Found.UNTOLD, None, None
+                    key,
+                    number,
+                    worker,
+                    face.Result.CONNECT_FAILED,
+                    WAY,
+                    False,
+                    face.Found.UNKNOWN,
+                    None,
+                    None,
                 ),
             )
 
@@ -98,7 +108,7 @@
             self.outcome(
                 world.clock.now,
                 face.Outcome(
-                    key, number, worker, face.Result.RESET, took, False, face.Found.UNTOLD, None, None
+                    key, number, worker, face.Result.RESET, took, False, face.Found.UNKNOWN, None, None
                 ),
             )
             return
@@ -144,7 +154,7 @@
     def listen(self):
         """The list was given."""
 
-    def decline(self, key, stay_away, why):
+    def decline(self, key, retry_after, why):
         self.world.lost(self.asked.pop(key))
 
     def scrap(self, key):
--- a/benchmarks/fleet/parted.py
+++ b/benchmarks/fleet/parted.py
@@ -12,9 +12,9 @@
 
 
 class Scored(NamedTuple):
-    """Points of one worker; `queue`, `memory` and `doubt` are taken off."""
+    """Points of one host; `queue`, `memory` and `doubt` are taken off."""
 
-    worker: Worker
+    host: Worker
     warmth: float
     copy: float
     queue: float
@@ -54,7 +54,7 @@
 
     def pick(self, scored):
         best = max(each.score for each in scored)
-        ties = [each.worker for each in scored if each.score == best]
+        ties = [each.host for each in scored if each.score == best]
         if len(ties) > 1:
             ties.sort(key=lambda worker: worker.place)
         return ties[self.chance.below(len(ties))]
@@ -70,7 +70,7 @@
         weight = self.queue_weight(heat)
         prior = policy.PRIOR + (policy.PRIOR_HOT - policy.PRIOR) * heat
         worth = policy.WARMTH * max(1.0, self.load_usual(None) / self.shortest)
-        doubts = {worker.id: self.doubt(worker, task.track, now) for worker in able if worker.bad}
+        doubts = {worker.id: self.doubt(worker, task.request_class, now) for worker in able if worker.bad}
         for zone, until in self.silent.items():
             if now < until or trail.failed:
                 doubts.update({worker.id: 1.0 for worker in able if worker.zone == zone})
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -22,31 +22,46 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MODELS = 300
 LAG = 40  # tasks in flight
+RENAMED = {  # fields of the terms, as revisions before called them
+    "load_orders_allowed": "orders_allowed",
+    "load_orders_free": "order_free",
+    "load_order_share": "order_share",
+    "load_order_window": "order_window",
+    "same_function_counted": "counts_alike",
+    "warmth_reported": "notes_warmth",
+    "reported_figures": "reported",
+    "hedging_allowed": "twins_allowed",
+    "attempt_limit": "relay_limit",
+    "retry_after_limit": "advice_limit",
+    "warm_up_share": "cold_share",
+    "warm_up_time": "cold_time",
+    "host_list_polled": "must_ask_list",
+}
 PLACES = (("gaproute.decisions.routing", "gaproute.decisions.chance"), ("gaproute.policy", "gaproute.policy"))
 TOLD = {
     "tenant_shares": (),
     "over_share_value": 1.0,
     "keep_alive": 10 * SECOND,
-    "orders_allowed": True,
-    "order_free": 6,
-    "order_share": 0.3,
-    "order_window": 10 * SECOND,
-    "counts_alike": True,
-    "notes_warmth": True,
+    "load_orders_allowed": True,
+    "load_orders_free": 6,
+    "load_order_share": 0.3,
+    "load_order_window": 10 * SECOND,
+    "same_function_counted": True,
+    "warmth_reported": True,
     "probes_allowed": True,
     "reports_by_probe": False,
-    "reported": (),
+    "reported_figures": (),
     "probe_price": 0.0,
     "peer_price": 0.0,
     "peers_allowed": False,
     "gateways": 1,
     "cancel_allowed": True,
-    "twins_allowed": True,
-    "relay_limit": 4,
-    "advice_limit": SECOND,
-    "cold_share": 0.2,
-    "cold_time": 10 * SECOND,
-    "must_ask_list": False,
+    "hedging_allowed": True,
+    "attempt_limit": 4,
+    "retry_after_limit": SECOND,
+    "warm_up_share": 0.2,
+    "warm_up_time": 10 * SECOND,
+    "host_list_polled": False,
     "zone": -1,
     "crossing_price": 0.0,
 }
@@ -62,12 +77,19 @@
     raise SystemExit("no decisions found in this revision")
 
 
+def known_terms(fields):
+    """The terms by the names that this revision has for them."""
+    told = TOLD | {old: TOLD[new] for new, old in RENAMED.items()}
+    return {name: told[name] for name in fields if name in told}
+
+
 def play(hosts, tasks):
     """Seconds of CPU for each task."""
     face = importlib.import_module("gaproute.interface")
     made, dice = decisions()
     tracks = (face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0),)
-    terms = face.Terms(tracks=tracks, **{name: TOLD[name] for name in face.Terms._fields if name in TOLD})
+    terms = face.Terms(tracks, **known_terms(face.Terms._fields))
+    request = getattr(face, "Request", None) or face.Task
     gateway, chance = made(7, terms, 0), dice(3)
     gateway.listed(
         0,
@@ -90,12 +112,12 @@
     begun = time.process_time()
     for number, name in enumerate(names):
         now += MILLI
-        serve = gateway.serve(now, face.Task(f"t{number}", 0, 4 * SECOND, name, 4, None, 0))
+        serve = gateway.serve(now, request(f"t{number}", 0, 4 * SECOND, name, 4, None, 0))
         wish = serve.send(None)
         worker = None
         while type(wish) is not wait:
             relay = type(wish) is face.Attempt
-            worker = wish.worker if relay else worker
+            worker = wish[0] if relay else worker
             try:
                 wish = serve.send(0 if relay else None)
             except StopIteration:
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -32,7 +32,7 @@
 
     def listed(self, now, rows, complete):
         """All hosts."""
-        self.rows = [row.worker for row in rows]
+        self.rows = [row.host for row in rows]
 
     def serve(self, now, task):
         """One relay, and as many again as fail."""
@@ -47,7 +47,7 @@
     def heard(self, now, outcome):
         """Keep the queue that the host told."""
         if outcome.report is not None:
-            self.told[outcome.worker] = outcome.report.in_hand
+            self.told[outcome.host] = outcome.report.in_hand
 
     def housekeep(self, now):
         """Nothing is to be done."""
--- a/benchmarks/scale/cells/meetings.py
+++ b/benchmarks/scale/cells/meetings.py
@@ -90,7 +90,7 @@
             return
         self.world.counts["serial"] += 1
         wish = Forward(entry, 0, Forwarded(names[0], 1))
-        task = face.Task(f"c{self.world.counts['serial']}>", 0, CALL_TIME, function, 1, None, IDEMPOTENT)
+        task = face.Request(f"c{self.world.counts['serial']}>", 0, CALL_TIME, function, 1, None, IDEMPOTENT)
         delay = self.world.delay(stands.zone, node.zone)
         self.world.clock.at(self.world.clock.now + delay, node.take, task, finish, wish.forwarded)
 
--- a/benchmarks/scale/cells/node.py
+++ b/benchmarks/scale/cells/node.py
@@ -76,21 +76,21 @@
                     self._end(held, "declined", why)
                 case face.Fail():
                     self._end(held, "scrapped", "")
-                case face.Order(worker, function, _):
+                case face.LoadOrder(worker, function, _):
                     self.gateway.stood(self.world.clock.now, worker, function, face.Result.OK, 1)
 
     def _relay(self, held, wish):
         relay = held.relays
         held.relays += 1
-        held.out[relay] = wish.worker, self.world.clock.now
+        held.out[relay] = wish.host, self.world.clock.now
         self.world.counts["relays"] += 1
         if isinstance(wish, Forward):
             self.world.forward(self, held, relay, wish)
         else:
-            self.world.to_host(self, held, relay, wish.worker)
+            self.world.to_host(self, held, relay, wish.host)
         return relay
 
-    def answered(self, held, relay, result, found=face.Found.UNTOLD, report=None):
+    def answered(self, held, relay, result, found=face.Found.UNKNOWN, report=None):
         """What came of a relay; a second answer of one, or one to a gateway that is down, is dropped."""
         if not self.up or relay not in held.out:
             return
@@ -119,7 +119,7 @@
             self._end(held, "scrapped", "time up")
         self._forget(held)
 
-    def _end(self, held, ending, why, found=face.Found.UNTOLD):
+    def _end(self, held, ending, why, found=face.Found.UNKNOWN):
         finish, held.finish = held.finish, None
         if finish is not None:
             finish(ending, why, found)
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -111,7 +111,7 @@
             self.clock.at(self.clock.now + delay, self._at_host, node, held, relay, host, delay)
 
     def _at_host(self, node, held, relay, host, delay):
-        def answer(result, found=face.Found.UNTOLD, report=None):
+        def answer(result, found=face.Found.UNKNOWN, report=None):
             if self.delay(node.zone, host.zone) is not None:
                 self.clock.at(self.clock.now + delay, node.answered, held, relay, result, found, report)
 
@@ -135,7 +135,7 @@
         self.clock.at(self.clock.now + span, done)
 
     def _run(self, task):
-        if task.track == NON_IDEMPOTENT:
+        if task.request_class == NON_IDEMPOTENT:
             call = task.id.split(">")[0]
             self.ran[call] = self.ran.get(call, 0) + 1
             if self.ran[call] > 1:
@@ -144,7 +144,7 @@
     def forward(self, node, held, relay, wish):
         """A relay to an entry gateway."""
         self.count("forwards")
-        entry = self.nodes.get(wish.worker)
+        entry = self.nodes.get(wish.host)
         if entry is None:
             self.clock.at(self.clock.now + MILLI, node.answered, held, relay, face.Result.CONNECT_FAILED)
             return
@@ -154,7 +154,7 @@
         self.clock.at(self.clock.now + delay, self._at_entry, node, held, relay, wish, entry, delay)
 
     def _at_entry(self, node, held, relay, wish, entry, delay):
-        def answer(result, found=face.Found.UNTOLD, report=None):
+        def answer(result, found=face.Found.UNKNOWN, report=None):
             if self.delay(node.zone, entry.zone) is not None:
                 self.clock.at(self.clock.now + delay, node.answered, held, relay, result, found, report)
 
@@ -166,7 +166,7 @@
             results = {
                 "delivered": face.Result.OK,
                 "declined": face.Result.FULL,
-                "unknown": face.Result.MISS,
+                "unknown": face.Result.NOT_LOADED,
             }
             report = entry.gateway.local.report(self.clock.now, wish.forwarded.cell)
             answer(results.get(ending, face.Result.ERROR), found, report)
@@ -195,7 +195,7 @@
             if done is not None:
                 done(ending, found)
 
-        task = face.Task(f"t{self.counts['serial']}", 0, time_left, function, 4, None, track)
+        task = face.Request(f"t{self.counts['serial']}", 0, time_left, function, 4, None, track)
         self.count("calls")
         node.take(task, finish)
 
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -44,7 +44,7 @@
 
 def task(number, function):
     """A call."""
-    return face.Task(f"t{number}", 0, CALL_TIME, function, 4, None, 0)
+    return face.Request(f"t{number}", 0, CALL_TIME, function, 4, None, 0)
 
 
 def serve(gateway, number, function, now, forwarded=None):
@@ -56,7 +56,7 @@
         return
     serving.send(0)
     outcome = face.Outcome(
-        asked.id, 0, wish.worker, face.Result.OK, SECOND // 20, True, face.Found.WARM, None, None
+        asked.id, 0, wish.host, face.Result.OK, SECOND // 20, True, face.Found.WARM, None, None
     )
     gateway.heard(now + SECOND // 20, outcome)
     serving.close()
--- a/benchmarks/scale/costs/sharing.py
+++ b/benchmarks/scale/costs/sharing.py
@@ -15,13 +15,13 @@
 PICKS = 20
 LATE = 4 * SECOND  # answers come so long after their calls at the most, in no order
 TELLING = TERMS._replace(
-    reported=("cpu_busy", "memory_busy"), probe_price=1e-6, peers_allowed=True, gateways=2
+    reported_figures=("cpu_busy", "memory_busy"), probe_price=1e-6, peers_allowed=True, gateways=2
 )
 
 
 def _full_ration(calls):
     """A ration whose window holds so many delivered calls; the time; the time between two calls."""
-    ration, gap = Ration(TERMS.order_free, TERMS.order_share, WINDOW), WINDOW // calls
+    ration, gap = Ration(TERMS.load_orders_free, TERMS.load_order_share, WINDOW), WINDOW // calls
     for number in range(calls):
         ration.delivered(number * gap, number * gap)
     return ration, WINDOW, gap
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -11,30 +11,32 @@
 TOOK = 100 * MILLI  # every answer's time
 GAP = MILLI // 10  # between two calls
 TERMS = face.Terms(
-    tracks=(face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0),),
+    request_classes=(
+        face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0),
+    ),
     tenant_shares=(),
     over_share_value=1.0,
     keep_alive=10 * SECOND,
-    orders_allowed=True,
-    order_free=6,
-    order_share=0.3,
-    order_window=10 * SECOND,
-    counts_alike=True,
-    notes_warmth=True,
+    load_orders_allowed=True,
+    load_orders_free=6,
+    load_order_share=0.3,
+    load_order_window=10 * SECOND,
+    same_function_counted=True,
+    warmth_reported=True,
     probes_allowed=True,
     reports_by_probe=False,
-    reported=(),
+    reported_figures=(),
     probe_price=0.0,
     peer_price=0.0,
     peers_allowed=False,
     gateways=1,
     cancel_allowed=True,
-    twins_allowed=True,
-    relay_limit=4,
-    advice_limit=SECOND,
-    cold_share=0.2,
-    cold_time=10 * SECOND,
-    must_ask_list=False,
+    hedging_allowed=True,
+    attempt_limit=4,
+    retry_after_limit=SECOND,
+    warm_up_share=0.2,
+    warm_up_time=10 * SECOND,
+    host_list_polled=False,
     zone=-1,
     crossing_price=0.0,
 )
@@ -73,19 +75,19 @@
         self.now += GAP
         self.calls += 1
         name = f"call-{self.calls}"
-        task = face.Task(name, 0, 4 * SECOND, function, LANES, None, 0)
+        task = face.Request(name, 0, 4 * SECOND, function, LANES, None, 0)
         serve = self.gateway.serve(self.now, task)
         relay = next(serve)
         if not isinstance(relay, face.Attempt):
             raise CallError(f"{name} of {function}: {relay!r} came in place of a relay")
         serve.send(0)
         outcome = face.Outcome(
-            name, 0, relay.worker, face.Result.OK, TOOK, True, face.Found.WARM, 0, self.report
+            name, 0, relay.host, face.Result.OK, TOOK, True, face.Found.WARM, 0, self.report
         )
         self.gateway.heard(self.now + TOOK, outcome)
         if next(_rest(serve, (self.now + TOOK, outcome)), None) is not None:
             raise CallError(f"{name} of {function} goes on after its answer")
-        return relay.worker
+        return relay.host
 
     def crowd_mix(self) -> None:
         """Fills the last calls' functions with others, as many calls of a large fleet's traffic would: the
--- a/gaproute/benchlink/drive.py
+++ b/gaproute/benchlink/drive.py
@@ -10,7 +10,7 @@
 
     def __init__(self, make, seed, terms, now):
         super().__init__(make(seed, terms, now))
-        self.counts = terms.counts_alike
+        self.counts = terms.same_function_counted
         self.waits = {}  # generator's key: number of its current wait
         self.alarms = 0
         self.lines = []
@@ -46,8 +46,8 @@
     def listen(self):
         self.lines.append("LISTEN 1")
 
-    def decline(self, key, stay_away, why):
-        self.lines.append(f"BOUNCE {key} {wire.millis(stay_away)}")
+    def decline(self, key, retry_after, why):
+        self.lines.append(f"BOUNCE {key} {wire.millis(retry_after)}")
 
     def scrap(self, key):
         self.lines.append(f"LOSE {key}")
--- a/gaproute/benchlink/wire.py
+++ b/gaproute/benchlink/wire.py
@@ -17,8 +17,8 @@
     "4": face.Result.CONNECT_FAILED,
     "5": face.Result.RESET,
     "6": face.Result.CANCELLED,
-    "7": face.Result.MOOT,
-    "8": face.Result.MISS,
+    "7": face.Result.NOT_SENT,
+    "8": face.Result.NOT_LOADED,
 }
 FIELDS = {
     "SYNC": 2,
@@ -131,7 +131,7 @@
 @reader
 def task(fields):
     lanes = whole(fields[6], 1)
-    return face.Task(
+    return face.Request(
         fields[0],
         whole(fields[1]),
         nanos(fields[2]) or 0,
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -23,7 +23,7 @@
         """Carry out a relay: to a host, or to an entry gateway of another cell."""
         if isinstance(wish, Forward):
             self.forwarded_out += 1
-            self.begin(self.entries.toward(wish), key, number, wish.worker, wish.until, now)
+            self.begin(self.entries.toward(wish), key, number, wish.host, wish.until, now)
         else:
             super().send(key, number, wish, now)
 
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -23,7 +23,7 @@
     def __init__(self, loop, gateway, terms, hosts, record, name):
         super().__init__(gateway)
         self.loop, self.hosts, self.record, self.name = loop, hosts, record, name
-        self.tracks = terms.tracks
+        self.tracks = terms.request_classes
         self.held = {}  # task id: Held
         self.timers = {}  # key: timer of its wait
         self.count = 0
@@ -48,11 +48,13 @@
         self.record.taken(track)
         if self.arrived is not None:
             self.arrived(now, call.function, track)
-        if self.record.follows(call.mark):
-            held.step = partial(self.record.step, call.mark)
-            held.step("taken", task=key, track=call.track, function=call.function, left_ms=left // MILLI)
+        if self.record.follows(call.request_id):
+            held.step = partial(self.record.step, call.request_id)
+            held.step(
+                "taken", task=key, track=call.request_class, function=call.function, left_ms=left // MILLI
+            )
         try:
-            super().take(now, face.Task(key, tenant, left, call.function, lanes, load_time, track))
+            super().take(now, face.Request(key, tenant, left, call.function, lanes, load_time, track))
         except Exception as error:
             self._broken(key, error)
         return key
@@ -100,7 +102,7 @@
                 result=heard.result.value,
                 took_ms=(now - sent) // MILLI,
                 found=heard.found.name,
-                alike=heard.alike,
+                alike=heard.same_function_requests,
             )
         outcome = face.Outcome(
             key,
@@ -110,7 +112,7 @@
             now - sent,
             held.finish is None,
             heard.found,
-            heard.alike,
+            heard.same_function_requests,
             heard.report,
         )
         self._guarded(key, self.outcome, now, outcome)
@@ -168,7 +170,7 @@
         hold = hosts.relay(
             worker,
             held.call,
-            self.tracks[held.track].effect,
+            self.tracks[held.track].idempotency,
             key,
             held.limit,
             min(until, held.limit),
@@ -193,9 +195,9 @@
     def listen(self):
         """The host list of a running gateway comes unasked."""
 
-    def decline(self, key, stay_away, why):
+    def decline(self, key, retry_after, why):
         self._final(
-            self.held[key], Ending.REJECTED, None, stay_away, "declined: it is safe to try again", why
+            self.held[key], Ending.REJECTED, None, retry_after, "declined: it is safe to try again", why
         )
 
     def scrap(self, key):
--- a/gaproute/core/drive.py
+++ b/gaproute/core/drive.py
@@ -10,7 +10,7 @@
     A derived class gives `wait(key, until, now)`, which may overwrite an earlier wait of the key and calls
     `late` when the time has come, and `relay(key, number, worker, until, now)`, `cancel(key, number)`,
     `order(worker, function, copies)`, `probe(worker)`, `tell(words)`, `listen()`,
-    `decline(key, stay_away, why)` and `scrap(key)`. The housekeeper's key is "".
+    `decline(key, retry_after, why)` and `scrap(key)`. The housekeeper's key is "".
     """
 
     def __init__(self, gateway):
@@ -45,15 +45,15 @@
 
     def outcome(self, now, outcome):
         self.gateway.heard(now, outcome)
-        self.resume(outcome.task, now, outcome)
+        self.resume(outcome.request, now, outcome)
 
     def send(self, key, number, wish, now):
         """Carry out a relay; who knows several kinds of them tells them apart here."""
-        self.relay(key, number, wish.worker, wish.until, now)
+        self.relay(key, number, wish.host, wish.until, now)
 
     def refuse(self, key, wish):
         """Carry out a decline; who knows several kinds of them tells them apart here."""
-        self.decline(key, wish.stay_away, wish.why)
+        self.decline(key, wish.retry_after, wish.reason)
 
     def departed(self, now, key):
         """The client left: the generator is told, and nothing more is owed."""
@@ -61,7 +61,7 @@
             self.resume(
                 key,
                 now,
-                face.Outcome(key, -1, "", face.Result.DEPARTED, 0, True, face.Found.UNTOLD, None, None),
+                face.Outcome(key, -1, "", face.Result.CLIENT_LEFT, 0, True, face.Found.UNKNOWN, None, None),
             )
             self.forget(key)
 
@@ -97,7 +97,7 @@
                     self.send(key, value, wish, now)
                 case face.Cancel(relay):
                     self.cancel(key, relay)
-                case face.Order(worker, function, copies):
+                case face.LoadOrder(worker, function, copies):
                     self.order(worker, function, copies)
                 case face.Probe(worker):
                     self.probe(worker)
@@ -105,7 +105,7 @@
                     self.refuse(key, wish)
                 case face.Fail():
                     self.scrap(key)
-                case face.Listen():
+                case face.PollHostList():
                     self.listen()
                 case _:
                     raise TypeError(f"unknown wish {wish!r}")
--- a/gaproute/core/final.py
+++ b/gaproute/core/final.py
@@ -11,7 +11,7 @@
 class Ends(Driver):
     """The part of the core by which tasks end."""
 
-    def _final(self, held, ending, answer, stay_away, reason, why=""):
+    def _final(self, held, ending, answer, retry_after, reason, why=""):
         """Guards the one final answer: a second one of the decision module's reaches nobody."""
         finish, held.finish = held.finish, None
         if finish is None:
@@ -25,7 +25,15 @@
             self.record.fault(f"answered {(now - held.limit) // MILLI} ms after the limit", held.id)
         never_ran = not held.ran and not any(hold.begun for _, _, hold in held.out.values())
         final = Final(
-            ending, answer, stay_away, held.id, held.relays, reason, never_ran, held.cell_unknown, held.found
+            ending,
+            answer,
+            retry_after,
+            held.id,
+            held.relays,
+            reason,
+            never_ran,
+            held.cell_unknown,
+            held.found,
         )
         self.loop.soon(finish, final)
         self._over(held)
@@ -37,7 +45,7 @@
         """
         held = self.held[key]
         for number, (_, _, hold) in list(held.out.items()):
-            result = face.Result.TIMEOUT if hold.begun else face.Result.MOOT
+            result = face.Result.TIMEOUT if hold.begun else face.Result.NOT_SENT
             hold.give_up()
             self._taken_back(key, number, result)
         if held.finish is not None:
@@ -93,7 +101,7 @@
     def _take_back(self, held, number, result):
         hold = held.out[number][2]
         if not hold.begun:
-            result = face.Result.MOOT
+            result = face.Result.NOT_SENT
         hold.give_up()
         self.loop.soon(self._taken_back, held.id, number, result)
 
--- a/gaproute/core/held.py
+++ b/gaproute/core/held.py
@@ -11,8 +11,8 @@
 
     result: face.Result
     answer: Answer | None  # with Result.OK
-    found: face.Found = face.Found.UNTOLD
-    alike: int | None = None
+    found: face.Found = face.Found.UNKNOWN
+    same_function_requests: int | None = None
     report: face.Report | None = None
 
 
@@ -30,6 +30,6 @@
         self.relays = 0
         self.ran = False  # a relay that ended may have run
         self.cell_unknown = False  # it was declined as this gateway does not know its cell
-        self.found = face.Found.UNTOLD  # what the relay that delivered it found
+        self.found = face.Found.UNKNOWN  # what the relay that delivered it found
         self.end = None  # timer at the client's limit
         self.step = None  # call(what, told) where the task is followed in the log
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -21,7 +21,7 @@
 from gaproute.decisions.cells.views import View
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Outcome, Task, Wait
+from gaproute.interface import Outcome, Request, Wait
 
 CHANCE_SALT = 0x63656C6C  # the chance that picks cells is another than that which picks hosts
 
@@ -115,7 +115,7 @@
 
     # Tasks
 
-    def serve(self, now: int, task: Task, forwarded: Forwarded | None = None):
+    def serve(self, now: int, task: Request, forwarded: Forwarded | None = None):
         """One task, from acceptance to its one final answer; `forwarded` where another gateway sent it."""
         if self.single is None:
             return self.travel(Journey(now, task, self.terms, forwarded), forwarded)
@@ -129,7 +129,7 @@
 
     def heard(self, now: int, outcome: Outcome):
         """Book one relay's outcome, whether or not its task is still held."""
-        hand = self.hands.pop((outcome.task, outcome.relay), None)
+        hand = self.hands.pop((outcome.request, outcome.attempt), None)
         if hand is not None:
             self.heard_in_cell(now, outcome, hand)
         elif (gateway := self.single or self.former) is not None:  # sent while there was one cell
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -52,7 +52,7 @@
 
 
 class Forward(Attempt):
-    """A relay to an entry gateway. `worker` is the entry's name."""
+    """A relay to an entry gateway. `host` is the entry's name."""
 
     def __new__(cls, entry, until, forwarded):
         """A wish as `Attempt`, with what the other gateway must be told."""
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -35,8 +35,8 @@
 SHORTEST_RETURN, LONGEST_RETURN = 5 * SECOND, 60 * SECOND  # over which functions come back
 RETURN_CHANCE = 0.1  # of the return, by which gateways differ for one function
 
-ANSWERS = (Result.OK, Result.ERROR, Result.BEGUN)
-REFUSALS = (Result.FULL, Result.MISS)
+ANSWERS = (Result.OK, Result.ERROR, Result.STREAM_STARTED)
+REFUSALS = (Result.FULL, Result.NOT_LOADED)
 FAILURES = (Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
 
 
--- a/gaproute/decisions/cells/invariants.py
+++ b/gaproute/decisions/cells/invariants.py
@@ -47,12 +47,12 @@
         cell = gateway.table.by_name.get(wish.forwarded.cell)
         if cell is None:
             yield f"forwarded to {wish.forwarded.cell}, which is not in the table"
-        elif wish.worker not in {entry.name for entry in cell.entries}:
-            yield f"forwarded to {wish.worker}, which is no entry of {cell.name}"
-    elif (owner := gateway.local.of_worker(wish.worker)) is None:
-        yield f"sent to {wish.worker}, which is in no cell known"
-    elif not owner.workers[wish.worker].active:
-        yield f"sent to {wish.worker}, which is not active"
+        elif wish.host not in {entry.name for entry in cell.entries}:
+            yield f"forwarded to {wish.host}, which is no entry of {cell.name}"
+    elif (owner := gateway.local.of_worker(wish.host)) is None:
+        yield f"sent to {wish.host}, which is in no cell known"
+    elif not owner.workers[wish.host].active:
+        yield f"sent to {wish.host}, which is not active"
 
 
 def hops_bounded(wish):
--- a/gaproute/decisions/cells/journey.py
+++ b/gaproute/decisions/cells/journey.py
@@ -16,10 +16,10 @@
     def __init__(self, now, task, terms, forwarded=None):
         self.task, self.now = task, now
         self.hops = forwarded.hops if forwarded is not None else 0
-        self.track = terms.tracks[task.track]
+        self.track = terms.request_classes[task.request_class]
         self.end = now + task.time_left
-        self.relay_limit = terms.relay_limit
-        self.advice = min(terms.advice_limit, self.track.contract_time)
+        self.attempt_limit = terms.attempt_limit
+        self.advice = min(terms.retry_after_limit, self.track.latency_objective)
         self.relays, self.first_sent = 0, None
         self.out = {}  # relay: (cell, worker, sent, due)
         self.late = set()  # relays that were found overdue
@@ -38,8 +38,8 @@
 
     def settle(self, outcome):
         """An outcome of one of the relays, or of the whole task."""
-        if outcome.result is not Result.BEGUN and self.out.pop(outcome.relay, None) is not None:
-            self.late.discard(outcome.relay)
+        if outcome.result is not Result.STREAM_STARTED and self.out.pop(outcome.attempt, None) is not None:
+            self.late.discard(outcome.attempt)
             self.may_have_run |= outcome.result not in NEVER_RAN
 
     def next_look(self):
@@ -57,11 +57,11 @@
 
     def may_leave(self):
         """Whether the task may go on in another cell."""
-        harmless = not self.may_have_run or self.track.effect is Idempotency.IDEMPOTENT
-        return harmless and not self.out and self.relays < self.relay_limit and self.now < self.end
+        harmless = not self.may_have_run or self.track.idempotency is Idempotency.IDEMPOTENT
+        return harmless and not self.out and self.relays < self.attempt_limit and self.now < self.end
 
     def ending(self, why):
         """The final answer where nothing more can be done."""
-        if self.track.effect is Idempotency.IDEMPOTENT or not (self.may_have_run or self.out):
+        if self.track.idempotency is Idempotency.IDEMPOTENT or not (self.may_have_run or self.out):
             return Reject(self.advice, why)
         return Fail()
--- a/gaproute/decisions/cells/local.py
+++ b/gaproute/decisions/cells/local.py
@@ -18,7 +18,7 @@
 
     def __init__(self, seed, terms):
         self.seed, self.terms = seed, terms
-        self.ration = Ration(terms.order_free, terms.order_share, terms.order_window)
+        self.ration = Ration(terms.load_orders_free, terms.load_order_share, terms.load_order_window)
         self.gateways = {}  # cell: Gateway
         self.loads = {}  # cell: (time, tasks in hand at its hosts)
         self.keepers = {}  # cell: [its housekeeping, when that wants to be resumed]
--- a/gaproute/decisions/cells/remote.py
+++ b/gaproute/decisions/cells/remote.py
@@ -58,9 +58,9 @@
 def _may_repeat(journey, result):
     """Whether the task may go to another entry of the cell after this result."""
     track = journey.track
-    if not journey.may_have_run or track.effect is Idempotency.IDEMPOTENT:
+    if not journey.may_have_run or track.idempotency is Idempotency.IDEMPOTENT:
         return True
-    dropped = track.effect is Idempotency.IDEMPOTENT_WITH_KEY and track.group is Group.ALL
+    dropped = track.idempotency is Idempotency.IDEMPOTENT_WITH_KEY and track.group is Group.ALL
     forgotten = journey.first_sent + track.repeat_window
     return dropped and result is Result.RESET and journey.end + TRANSIT <= forgotten
 
@@ -74,7 +74,7 @@
     cancelled = False
     while True:
         now, outcome = yield Wait(end() if journey.now < end() else journey.now + SECOND)
-        if outcome is not None and outcome.result is Result.BEGUN:
+        if outcome is not None and outcome.result is Result.STREAM_STARTED:
             yield from _await_end(now, outcome)
             return None
         if outcome is not None and outcome.ended:
@@ -83,7 +83,9 @@
             return None
         if outcome is not None:
             return outcome
-        given_up = now >= end() or _is_lost(cell, health) and journey.track.effect is Idempotency.IDEMPOTENT
+        given_up = (
+            now >= end() or _is_lost(cell, health) and journey.track.idempotency is Idempotency.IDEMPOTENT
+        )
         if given_up and cancel_allowed and not cancelled:
             cancelled = True
             yield Cancel(relay)
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -66,7 +66,9 @@
             return
         self.demand.arrived(journey.now, function)
         self.spill.arrived()
-        choices = self.chooser.cells(journey.now, function, journey.track.effect is Idempotency.IDEMPOTENT)
+        choices = self.chooser.cells(
+            journey.now, function, journey.track.idempotency is Idempotency.IDEMPOTENT
+        )
         for _, choice in zip(range(CELLS_TRIED), choices, strict=False):
             if choice.cell in self.table.by_name:  # a newer table may have come meanwhile
                 self.view.sent(journey.now, choice.cell)
@@ -79,7 +81,7 @@
                 yield Choice(name)
             return
         permit = self.health.permit(journey.now, name, journey.task.function)
-        pure = journey.track.effect is Idempotency.IDEMPOTENT
+        pure = journey.track.idempotency is Idempotency.IDEMPOTENT
         if permit is Permit.YES:
             yield Choice(name)
         elif permit is Permit.TRIAL and (pure or self.health.waits_for_trial(journey.now, name)):
@@ -87,7 +89,7 @@
 
     def _worth_leaving(self, now, ending):
         """What was refused for load goes elsewhere within a bounded share of calls: no wave."""
-        return ending.why in PROVEN_UNABLE or self.spill.may()
+        return ending.reason in PROVEN_UNABLE or self.spill.may()
 
     def _in_cell(self, journey, choice):
         """The task in one cell; returns its final wish there, or None where the task is over."""
@@ -106,7 +108,7 @@
             self.health.unreachable(journey.now, name)
             return CellUnknown(journey.advice, "no host")
         ending = yield from self._drive(journey, name, inner, gateway)
-        if gateway is not None and isinstance(ending, Reject) and ending.why in ("nobody", "full"):
+        if gateway is not None and isinstance(ending, Reject) and ending.reason in ("nobody", "full"):
             self.health.outcome(journey.now, name, Result.FULL)
         return ending
 
@@ -122,11 +124,11 @@
             if isinstance(wish, (Reject, Fail)):
                 return wish
             if isinstance(wish, Attempt):
-                if journey.relays >= journey.relay_limit:
+                if journey.relays >= journey.attempt_limit:
                     inner.close()
                     return journey.ending("relays")
                 value = yield wish
-                journey.sent(value, name, wish.worker, self._due(journey))
+                journey.sent(value, name, wish.host, self._due(journey))
                 hand = Hand(name, gateway, task.function, journey.now, journey.hops == 0)
                 self.hands[task.id, value] = hand
             elif isinstance(wish, Wait):
@@ -155,8 +157,8 @@
 
     def heard_in_cell(self, now, outcome, hand):
         """Book one relay's outcome, whether or not its task is still held."""
-        if outcome.result is Result.BEGUN:
-            self.hands[outcome.task, outcome.relay] = hand
+        if outcome.result is Result.STREAM_STARTED:
+            self.hands[outcome.request, outcome.attempt] = hand
         if hand.gateway is not None:
             hand.gateway.heard(now, outcome)
         self._book(now, outcome, hand)
@@ -168,19 +170,19 @@
             self._book_entry(now, outcome, hand)
         if _tells_of_cell(outcome.result, hand):
             self.health.outcome(now, hand.cell, outcome.result, pace)
-        if hand.own and outcome.result is Result.OK and outcome.found in (Found.WARM, Found.UNTOLD):
+        if hand.own and outcome.result is Result.OK and outcome.found in (Found.WARM, Found.UNKNOWN):
             self.demand.took(hand.function, outcome.took)
         self._book_load(now, outcome, hand.cell)
 
     def _book_entry(self, now, outcome, hand):
         if outcome.result in (Result.CONNECT_FAILED, Result.RESET):
-            self.entries.failed(now, outcome.worker)
+            self.entries.failed(now, outcome.host)
         elif outcome.result is Result.TIMEOUT:
-            self.entries.silent(now, outcome.worker, hand.sent)
-        elif outcome.result is Result.MISS:
-            self.entries.unknowing(now, outcome.worker, hand.cell)
-        elif outcome.result not in (Result.MOOT, Result.CANCELLED):
-            self.entries.answered(now, outcome.worker, hand.cell)
+            self.entries.silent(now, outcome.host, hand.sent)
+        elif outcome.result is Result.NOT_LOADED:
+            self.entries.unknowing(now, outcome.host, hand.cell)
+        elif outcome.result not in (Result.NOT_SENT, Result.CANCELLED):
+            self.entries.answered(now, outcome.host, hand.cell)
 
     def _book_load(self, now, outcome, name):
         cell = self.table.by_name.get(name)
@@ -195,4 +197,4 @@
 def _tells_of_cell(result, hand):
     """Whether a relay's result says something of its cell: a full host is no full cell, and an entry that
     does not know the cell says nothing of it."""
-    return result is not (Result.MISS if hand.gateway is None else Result.FULL)
+    return result is not (Result.NOT_LOADED if hand.gateway is None else Result.FULL)
--- a/gaproute/decisions/routing/allowed.py
+++ b/gaproute/decisions/routing/allowed.py
@@ -12,22 +12,22 @@
 class Allowed(Hints):
     def allowed(self, worker, track, trail, now):
         """The rules on further relays, strictly by track; a relay still out may have run."""
-        barred = trail.relays >= self.terms.relay_limit or trail.out and not self.terms.twins_allowed
+        barred = trail.relays >= self.terms.attempt_limit or trail.out and not self.terms.hedging_allowed
         if barred or not worker.active:
             return False
-        if trail.first is None or track.effect is Idempotency.IDEMPOTENT:
+        if trail.first is None or track.idempotency is Idempotency.IDEMPOTENT:
             return True
         first, of = trail.first[0], track.group.value  # a field of workers, but for ALL
         same = track.group is Group.ALL or getattr(worker, of) == getattr(first, of)
         return (
-            track.effect is Idempotency.IDEMPOTENT_WITH_KEY
+            track.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             and same
             and now < self.begin_by(track, trail, LONG)
         )
 
     def begin_by(self, track, trail, end):
         """When a relay may begin at the latest, should it wait for its connection."""
-        bound = trail.first is not None and track.effect is Idempotency.IDEMPOTENT_WITH_KEY
+        bound = trail.first is not None and track.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
         return min(end, trail.first[1] + track.repeat_window) if bound else end
 
     def spread_credit(self, now, by):
@@ -39,7 +39,10 @@
         none warm, and that one alone: nobody is told how each gains, but what it answers it can do. For the
         same reason none counts for more than what it surely bears."""
         cold, half = [worker for worker in self.fleet if now < worker.warm_at], len(self.fleet) / 2
-        warm, most = len(self.fleet) - len(cold), SAFE * self.terms.cold_multiple * self.terms.cold_share
+        warm, most = (
+            len(self.fleet) - len(cold),
+            SAFE * self.terms.warm_up_overload * self.terms.warm_up_share,
+        )
         if now < by.warm_at:
             by.earn(now, max(0.0, 1 - warm / half))
             return
@@ -49,7 +52,7 @@
     def spread_first_credit(self, now):
         """With none warm the first relays to each come of tasks, at most so many a second of all gateways
         together: tasks come as fast as clients wish, and the less is answered the more they ask again."""
-        share = FIRST * self.terms.cold_share / (len(self.fleet) / 2)
+        share = FIRST * self.terms.warm_up_share / (len(self.fleet) / 2)
         most = FIRST_PACE * (now - self.first_spread) / max(1, self.terms.gateways)
         self.first_spread = now
         for worker in self.fleet:
@@ -61,7 +64,7 @@
 
     def may_order(self, now, function):
         """Within the load ration; one open order for a function."""
-        return self.terms.orders_allowed and not function.ordered and self.ration.may(now)
+        return self.terms.load_orders_allowed and not function.ordered and self.ration.may(now)
 
     def ordered(self, now, function):
         function.ordered, function.since = True, now
--- a/gaproute/decisions/routing/beliefs.py
+++ b/gaproute/decisions/routing/beliefs.py
@@ -23,7 +23,7 @@
     """What this gateway knows of one worker."""
 
     def __init__(self, row, cold_time):
-        self.id, self.cold_time = row.worker, cold_time
+        self.id, self.cold_time = row.host, cold_time
         self.place, self.asked = 0, -LONG  # in the fleet; when last probed from here
         self.restart(row, -1, {})
 
@@ -81,5 +81,5 @@
         if result not in NEVER_RAN:
             self.ended.append((worker, sent))  # what is proven not to have run binds the task no longer
         self.first = min([*self.ended, *self.out.values()], key=lambda each: each[1], default=None)
-        if result is not Result.MISS:
+        if result is not Result.NOT_LOADED:
             self.failed.append(worker)
--- a/gaproute/decisions/routing/booked.py
+++ b/gaproute/decisions/routing/booked.py
@@ -39,11 +39,13 @@
         function = self.function(task.function, task.lanes)
         warm = self.warmth(function, worker, now) > 0 and function.stands.get(worker.id, -1) >= worker.wiped
         usual = self.usual(function)
-        due = now + min(PATIENCE * usual, max(2 * usual, self.tracks[task.track].contract_time - 2 * usual))
+        due = now + min(
+            PATIENCE * usual, max(2 * usual, self.tracks[task.request_class].latency_objective - 2 * usual)
+        )
         if not warm:
             due += LOAD_PATIENCE * self.load_usual(task.load_time)
         worker.out[task.id, relay] = now
-        self.hands[task.id, relay] = (worker.id, task.function, task.track, now, warm)
+        self.hands[task.id, relay] = (worker.id, task.function, task.request_class, now, warm)
         trail.out[relay] = (worker, now)
         trail.relays += 1
         trail.first = trail.first or (worker, now)
@@ -55,16 +57,16 @@
 
     def heard(self, now, outcome):
         """Book one relay's outcome, whether or not its task is still held."""
-        hand = self.hands.pop((outcome.task, outcome.relay), None)
-        worker = self.workers.get(outcome.worker)
+        hand = self.hands.pop((outcome.request, outcome.attempt), None)
+        worker = self.workers.get(outcome.host)
         if hand is None or worker is None:
             return
         _, name, track, sent, warm = hand
-        worker.out.pop((outcome.task, outcome.relay), None)
-        booked = worker.late.pop((outcome.task, outcome.relay), False)
+        worker.out.pop((outcome.request, outcome.attempt), None)
+        booked = worker.late.pop((outcome.request, outcome.attempt), False)
         function = self.function(name, 1)
         self.note(worker, now, outcome.report)
-        if outcome.result in (Result.OK, Result.ERROR, Result.FULL, Result.MISS):
+        if outcome.result in (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED):
             worker.heard[track] = self.zone_heard[worker.zone] = now
             self.silent.pop(worker.zone, None)
         self.refusals.append((now, outcome.result is Result.FULL))
@@ -79,7 +81,7 @@
             if sent >= worker.wiped:
                 function.seen[worker.id] = function.stands[worker.id] = function.answered = now
             self.verify(name, worker.id, outcome.found)
-            if outcome.found is Found.WARM or outcome.found is Found.UNTOLD and warm:
+            if outcome.found is Found.WARM or outcome.found is Found.UNKNOWN and warm:
                 if function.times:
                     worker.paces.append((now, outcome.took / max(1, median(function.times))))
                     worker.slow, worker.slow_until = self.pace(worker, now), now + RECENT
@@ -90,11 +92,13 @@
             else:
                 self.loads.append(outcome.took)
         elif outcome.result in FAILURES and not booked:
-            again = outcome.result is Result.ERROR and self.tracks[track].effect is Idempotency.IDEMPOTENT
+            again = (
+                outcome.result is Result.ERROR and self.tracks[track].idempotency is Idempotency.IDEMPOTENT
+            )
             self.book(worker, now, track, ERRED if again else 1.0)
         if outcome.result is Result.FULL:
             worker.full_until = now + self.usual(function)  # a lane frees about then
-        if outcome.result is Result.MISS or outcome.found is Found.LOAD_FAILED:
+        if outcome.result is Result.NOT_LOADED or outcome.found is Found.LOAD_FAILED:
             self.verify(name, worker.id, Found.LOAD_FAILED)
             function.seen.pop(worker.id, None)
             function.stands.pop(worker.id, None)
@@ -122,10 +126,10 @@
         """
         for relay, (worker, sent) in trail.out.items():
             key = task.id, relay
-            if worker.heard.get(task.track, -1) < sent and not worker.late.get(key, False):
+            if worker.heard.get(task.request_class, -1) < sent and not worker.late.get(key, False):
                 worker.late[key] = bool(worker.late)  # another is late there, or this one was before
                 if worker.late[key]:
-                    self.book(worker, now, task.track, 1.0)
+                    self.book(worker, now, task.request_class, 1.0)
         self.hear_zones(now)
         return now + PATIENCE * self.usual(function)
 
--- a/gaproute/decisions/routing/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -89,7 +89,7 @@
 
     def verify(self, name, worker_id, found):
         """An outcome shows whether a hint on trial was right."""
-        if self.trials.pop((name, worker_id), None) is None or found is Found.UNTOLD:
+        if self.trials.pop((name, worker_id), None) is None or found is Found.UNKNOWN:
             return
         if found is Found.WARM:
             self.right += 1
--- a/gaproute/decisions/routing/known.py
+++ b/gaproute/decisions/routing/known.py
@@ -14,14 +14,14 @@
 class Known:
     def __init__(self, seed, terms, now):
         self.chance, self.own = Chance(seed), seed  # which of the first choices that count alike is its own
-        self.terms, self.tracks = terms, terms.tracks
+        self.terms, self.tracks = terms, terms.request_classes
         self.keep_alive = max(terms.keep_alive, 1)
         self.zone, self.near = terms.zone, NEAR * terms.crossing_price
-        self.ration = Ration(terms.order_free, terms.order_share, terms.order_window)
+        self.ration = Ration(terms.load_orders_free, terms.load_order_share, terms.load_order_window)
         self.sharing = Sharing(terms)
-        self.probing, self.asks_list = terms.probes_allowed and terms.reports_by_probe, terms.must_ask_list
-        self.top_earnings = max((track.earnings for track in terms.tracks), default=1.0)
-        self.shortest = min((track.contract_time for track in terms.tracks), default=SECOND)
+        self.probing, self.asks_list = terms.probes_allowed and terms.reports_by_probe, terms.host_list_polled
+        self.top_earnings = max((track.priority_weight for track in terms.request_classes), default=1.0)
+        self.shortest = min((track.latency_objective for track in terms.request_classes), default=SECOND)
         self.workers, self.fleet = {}, []  # all that were ever listed; the active ones
         self.capacity, self.strongest, self.all_warm_at = 0, 1.0, -1  # in all, the most; when none is cold
         self.first_spread = -1  # when first credit last came of a task
@@ -40,13 +40,13 @@
 
     def listed(self, now, rows, complete):
         for row in rows:
-            if (worker := self.workers.get(row.worker)) is None:
-                self.workers[row.worker] = Worker(row, self.terms.cold_time)
+            if (worker := self.workers.get(row.host)) is None:
+                self.workers[row.host] = Worker(row, self.terms.warm_up_time)
             elif row.started is not None and row.started != worker.started:
                 worker.restart(row, now, worker.out)
             else:
                 worker.renew(row)
-        named = {row.worker for row in rows}
+        named = {row.host for row in rows}
         for worker in self.workers.values() if complete else ():
             worker.active = worker.active and worker.id in named
         fleet = [worker for worker in self.workers.values() if worker.active]
--- a/gaproute/decisions/routing/measures.py
+++ b/gaproute/decisions/routing/measures.py
@@ -39,8 +39,8 @@
 
     def power(self, worker, now):
         """Share of its capacity that a worker has at least, by the told cold share."""
-        left = max(0, worker.warm_at - now) / max(1, self.terms.cold_time)
-        return 1.0 - (1.0 - self.terms.cold_share) * left
+        left = max(0, worker.warm_at - now) / max(1, self.terms.warm_up_time)
+        return 1.0 - (1.0 - self.terms.warm_up_share) * left
 
     def pace(self, worker, now):
         """Times slower than usual a worker answers, beyond what machines and work explain; 1 if none.
--- a/gaproute/decisions/routing/score.py
+++ b/gaproute/decisions/routing/score.py
@@ -21,7 +21,7 @@
 class Score(Allowed):
     def able(self, now, task, trail, function, resting):
         """The workers that may get the task now; all of the fleet where nothing speaks against any."""
-        track, able = self.tracks[task.track], self.fleet
+        track, able = self.tracks[task.request_class], self.fleet
         if trail.relays or now < self.all_warm_at:
             held = [worker for worker, _ in trail.out.values()]
             able = [each for each in able if each not in held and self.allowed(each, track, trail, now)]
@@ -48,7 +48,7 @@
         queue_weight = QUEUE + (QUEUE_HOT - QUEUE) * heat
         prior = PRIOR + (PRIOR_HOT - PRIOR) * heat
         worth = WARMTH * max(1.0, self.load_usual(None) / self.shortest)
-        doubts = {worker.id: self.doubt(worker, task.track, now) for worker in able if worker.bad}
+        doubts = {worker.id: self.doubt(worker, task.request_class, now) for worker in able if worker.bad}
         for zone, until in self.silent.items():
             if now < until or trail.failed:
                 doubts.update({worker.id: 1.0 for worker in able if worker.zone == zone})
--- a/gaproute/decisions/routing/sharing.py
+++ b/gaproute/decisions/routing/sharing.py
@@ -17,7 +17,7 @@
 
 class Sharing:
     def __init__(self, terms):
-        self.words = Words(terms.reported)
+        self.words = Words(terms.reported_figures)
         self.tells = terms.peers_allowed and terms.gateways > 1 and bool(self.words.figures)
         telling = terms.peer_price * terms.gateways * self.words.size / MESSAGE
         price = terms.probe_price + (telling if self.tells else 0.0)
--- a/gaproute/decisions/routing/task.py
+++ b/gaproute/decisions/routing/task.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing.beliefs import MILLI, SECOND, Trail
 from gaproute.decisions.routing.booked import Booked
-from gaproute.interface import Attempt, Cancel, Fail, Idempotency, Order, Reject, Result, Wait
+from gaproute.interface import Attempt, Cancel, Fail, Idempotency, LoadOrder, Reject, Result, Wait
 
 MOST_COPIES = 16  # of one function that one order asks a worker for
 PAUSE = 100 * MILLI  # between looks while a task waits for a worker: half an answer time, spares the CPU
@@ -13,7 +13,7 @@
 class Serving(Booked):
     def serve(self, now, task):
         """One task, from acceptance to its one final answer."""
-        track, trail = self.tracks[task.track], Trail()
+        track, trail = self.tracks[task.request_class], Trail()
         function = self.function(task.function, task.lanes)
         function.lanes, function.used = task.lanes, now
         if function.told:
@@ -28,15 +28,15 @@
             yield Cancel(relay)
         if why is None:
             return
-        if trail.first is None or track.effect is Idempotency.IDEMPOTENT:
-            yield Reject(min(self.terms.advice_limit, int(STAY_AWAY * track.contract_time)), why)
+        if trail.first is None or track.idempotency is Idempotency.IDEMPOTENT:
+            yield Reject(min(self.terms.retry_after_limit, int(STAY_AWAY * track.latency_objective)), why)
         else:
             yield Fail()
 
     def attempts(self, now, task, track, function, trail):
         """Relays until the task has ended, then None, or until another would not help, then the reason."""
-        came, end, pure = now, now + task.time_left - ANSWER_BY, track.effect is Idempotency.IDEMPOTENT
-        give_up, look = now + track.contract_time, now  # and when to look for a worker again
+        came, end, pure = now, now + task.time_left - ANSWER_BY, track.idempotency is Idempotency.IDEMPOTENT
+        give_up, look = now + track.latency_objective, now  # and when to look for a worker again
         while now < min(end, self.end_by):
             if now >= look:
                 worker = self.choose(now, task, trail)
@@ -59,14 +59,14 @@
                 if trail.out and look <= now < end:
                     look = self.overdue(now, task, trail, function)
                 continue
-            if outcome.result is Result.BEGUN:
+            if outcome.result is Result.STREAM_STARTED:
                 while outcome is None or not outcome.ended:  # a stream has no deadline
                     now, outcome = yield Wait(now + SECOND)
                 trail.out.clear()  # it is not cancelled
                 return None
-            if outcome.relay in trail.out:
-                held, _ = trail.out[outcome.relay]
-                trail.settle(outcome.relay, outcome.result)
+            if outcome.attempt in trail.out:
+                held, _ = trail.out[outcome.attempt]
+                trail.settle(outcome.attempt, outcome.result)
                 if outcome.result is Result.OK:
                     self.ration.delivered(now, came)
                     self.sharing.task()
@@ -76,9 +76,9 @@
             look = now
             if outcome.result is Result.FULL and not trail.out and self.crowded(now, task, track):
                 return "full"  # one refusal in a full fleet is proof enough; the client is told at once
-            if outcome.result is Result.MISS and held.active and self.may_order(now, function):
+            if outcome.result is Result.NOT_LOADED and held.active and self.may_order(now, function):
                 self.ordered(now, function)
-                yield Order(held.id, task.function, 1)
+                yield LoadOrder(held.id, task.function, 1)
                 function.seen[held.id] = now
                 look = now + outcome.took  # the order is there once a round trip has passed
         return "nobody"
@@ -86,8 +86,8 @@
     def more_copies(self, now, task, function, worker, outcome):
         """Order one more copy where tasks of the function outnumber the lanes of those that stand: serves hot
         functions where only orders add copies; elsewhere it finds them standing (see `Ration.worth`)."""
-        alike = outcome.alike or 0
+        alike = outcome.same_function_requests or 0
         wanted = worker.active and alike >= task.lanes and self.ration.worth(self.chance)
         if wanted and self.may_order(now, function):
             self.ordered(now, function)
-            yield Order(worker.id, task.function, min(MOST_COPIES, alike // task.lanes + 1))
+            yield LoadOrder(worker.id, task.function, min(MOST_COPIES, alike // task.lanes + 1))
--- a/gaproute/decisions/routing/tidy.py
+++ b/gaproute/decisions/routing/tidy.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing.beliefs import MILLI, SECOND
 from gaproute.decisions.routing.task import PAUSE, Serving
-from gaproute.interface import Listen, Probe, Wait
+from gaproute.interface import PollHostList, Probe, Wait
 
 PROBE_EVERY = 700 * MILLI  # between probes of one worker where reports come by probe only
 TIDY = SECOND  # between looks for functions to forget: waking costs CPU, and they weigh little
@@ -23,7 +23,7 @@
         while True:
             if self.asks_list:
                 self.asks_list = False
-                yield Listen()
+                yield PollHostList()
             if self.probing and (worker := self.sharing.pick(now, self.fleet, PROBE_EVERY, self.chance)):
                 yield Probe(worker.id)
             if now - tidied >= TIDY:
--- a/gaproute/decisions/routing/wait.py
+++ b/gaproute/decisions/routing/wait.py
@@ -40,7 +40,7 @@
 
     def bearable(self, task, track):
         """The longest expected wait for which a task is taken: half of it where it earns nothing."""
-        value = track.earnings / self.top_earnings
+        value = track.priority_weight / self.top_earnings
         shares = self.terms.tenant_shares[task.tenant : task.tenant + 1]  # none where it is not known
         if shares and self.tenants.count(task.tenant) > shares[0] * len(self.tenants):
             value *= self.terms.over_share_value
--- a/gaproute/discovery/changelog/events.py
+++ b/gaproute/discovery/changelog/events.py
@@ -171,9 +171,7 @@
         rows = [row for row in read if row is not None]
         if fleet.complete:
             self.hosts = {
-                row.listed.worker: self.hosts[row.listed.worker]
-                for row in rows
-                if row.listed.worker in self.hosts
+                row.listed.host: self.hosts[row.listed.host] for row in rows if row.listed.host in self.hosts
             }
         return rows
 
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -167,13 +167,13 @@
 
     def final(self, link, asked, final):
         held = link.open.get(asked.number)
-        if held is None or held[0] != final.task:  # its client left while this was on its way; another
+        if held is None or held[0] != final.request:  # its client left while this was on its way; another
             return  # request may bear its id by now
         del link.open[asked.number], self.marks[asked.mark]
         if final.ending is Ending.DELIVERED:
             link.write(messages.result(asked.number, final.answer.body))
         elif final.ending is Ending.REJECTED:
-            link.write(messages.error(asked.number, messages.REFUSED, final.reason, final.stay_away))
+            link.write(messages.error(asked.number, messages.REFUSED, final.reason, final.retry_after))
         else:
             link.write(messages.error(asked.number, messages.FAILED, final.reason))
         link.settled()
--- a/gaproute/fronts/jsonrpc/messages.py
+++ b/gaproute/fronts/jsonrpc/messages.py
@@ -279,9 +279,9 @@
     return framed(b'{"jsonrpc":"2.0","id":%d,"result":{"up":%b}}' % (number, b"true" if up else b"false"))
 
 
-def error(number, code, text, stay_away=0):
-    """`stay_away`: ns, told with a refusal."""
+def error(number, code, text, retry_after=0):
+    """`retry_after`: ns, told with a refusal."""
     told = {"code": code, "message": text}
-    if stay_away:
-        told["data"] = {"w": -(-stay_away // 1_000_000)}
+    if retry_after:
+        told["data"] = {"w": -(-retry_after // 1_000_000)}
     return framed(msgspec.json.encode({"jsonrpc": "2.0", "id": number, "error": told}))
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -53,6 +53,6 @@
         report, named = self.report(cell), {}
         if report is not None and report.in_hand is not None:
             named["in_hand"] = report.in_hand
-        if found is not Found.UNTOLD:
+        if found is not Found.UNKNOWN:
             named["copy"] = found.value
         return ((orca.HEADER, b"JSON " + msgspec.json.encode({"named_metrics": named})),) if named else ()
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -208,15 +208,15 @@
         fields = (
             JSON,
             (b"Gaproute-Outcome", b"declined"),
-            (b"Retry-After", b"%d" % -(-final.stay_away // SECOND)),
-            (b"Gaproute-Retry-After-Ms", b"%d" % -(-final.stay_away // MILLI)),
-            (b"Gaproute-Task", final.task.encode()),
+            (b"Retry-After", b"%d" % -(-final.retry_after // SECOND)),
+            (b"Gaproute-Retry-After-Ms", b"%d" % -(-final.retry_after // MILLI)),
+            (b"Gaproute-Task", final.request.encode()),
         )
         self.answer(request, final, self.decline_status(request, final), fields, error(final.reason))
 
     def final(self, request, final):
-        task = (b"Gaproute-Task", final.task.encode())
-        relays = (b"Gaproute-Relays", b"%d" % final.relays)
+        task = (b"Gaproute-Task", final.request.encode())
+        relays = (b"Gaproute-Relays", b"%d" % final.attempts)
         if final.ending is Ending.DELIVERED:
             answer = final.answer
             fields = (*answer.fields, (b"Gaproute-Outcome", b"delivered"), task, relays)
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -65,7 +65,7 @@
             self.cellular.listed(self.loop.now(), listed, True, cell)
             self.lists += 1
         if changed:
-            lives = {row.worker: row.started for listed in rows.values() for row in listed}
+            lives = {row.host: row.started for listed in rows.values() for row in listed}
             for follower in self.followers:
                 follower(lives)
 
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -30,7 +30,7 @@
 
     def _told(self, lines):
         rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
-        self.rows = {row.listed.worker: row.listed for row in rows}
+        self.rows = {row.listed.host: row.listed for row in rows}
         self.gateway.listed(self.loop.now(), [row.listed for row in rows], True)
         self.lists += 1
         for follower in self.followers:
--- a/gaproute/hosts/entries.py
+++ b/gaproute/hosts/entries.py
@@ -94,7 +94,7 @@
     def relay(self, worker, call, effect, task, limit, until, done):
         """As `Hosts.relay`."""
         if self._gone(worker):
-            return Never(self.loop, done, Result.MOOT)
+            return Never(self.loop, done, Result.NOT_SENT)
         return super().relay(worker, call, effect, task, limit, until, done)
 
     def order(self, worker, function, copies, done):
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/fleet.py
@@ -77,15 +77,15 @@
         """The host list. From now on nothing more goes to hosts that drain or are gone, also what waits to be
         handed over; what they hold runs on."""
         for row in rows:
-            host = self.hosts.get(row.listed.worker)
+            host = self.hosts.get(row.listed.host)
             if host is None:
-                host = self.hosts[row.listed.worker] = Host(row.listed.worker, row.where)
+                host = self.hosts[row.listed.host] = Host(row.listed.host, row.where)
             elif row.where.encode() != host.text:
                 self.rest(host)
                 host.move(row.where)
             host.active = row.listed.state is State.ACTIVE
         if complete:
-            named = {row.listed.worker for row in rows}
+            named = {row.listed.host for row in rows}
             for host in self.hosts.values():
                 host.active = host.active and host.name in named
         for host in list(self.hosts.values()):
@@ -202,12 +202,12 @@
         """One relay; `done(heard)` once, never at once. It begins before `until`, while its client is there,
         or never. Returns what has `begun` and `give_up()`, after which `done` is not called."""
         if not call.client_present():
-            return Never(self.loop, done, Result.MOOT)
+            return Never(self.loop, done, Result.NOT_SENT)
         host = self.hosts[worker]
 
         def came(answer, undelivered):
             if answer is None:
-                result = Result.MOOT if undelivered.lapsed else proof.of_undelivered(undelivered)
+                result = Result.NOT_SENT if undelivered.lapsed else proof.of_undelivered(undelivered)
                 done(Heard(result, None))
                 return
             report, found, alike = orca.read(answer.headers)
@@ -260,7 +260,7 @@
         def came(answer, undelivered):
             if timer is not None:
                 timer.cancel()
-            if answer is None and proof.of_undelivered(undelivered) is Result.MOOT:
+            if answer is None and proof.of_undelivered(undelivered) is Result.NOT_SENT:
                 return
             good = answer is not None and answer.status == 200
             done(good, orca.read(answer.headers)[0] if good else None)
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/fleet.py
@@ -13,7 +13,7 @@
 
 class Host:
     def __init__(self, hosts, row):
-        self.hosts, self.name = hosts, row.listed.worker
+        self.hosts, self.name = hosts, row.listed.host
         self.links = Links()
         self.active = self.listed = True
         self.gone = False  # at the last look
@@ -44,7 +44,7 @@
         # The settings tell when hosts close an idle connection. Those that end sooner are reset by chance,
         # which says nothing of the next: learning from them opened one for nearly every relay.
         self.idle_time = site.idle_time or None
-        self.shared, self.counts, self.halts = site.shared, site.counts_alike, site.halts
+        self.shared, self.counts, self.halts = site.shared, site.same_function_counted, site.halts
         self.hosts, self.tags = {}, 0
         self.opened = self.reused = self.doubled = self.spoilt = self.strays = self.unread = 0
         self.sweep()
@@ -52,16 +52,16 @@
     def listed(self, rows, complete):
         """From now on nothing more goes to hosts that drain or are gone; what they hold runs on."""
         for row in rows:
-            host = self.hosts.get(row.listed.worker)
+            host = self.hosts.get(row.listed.host)
             if host is None:
-                host = self.hosts[row.listed.worker] = Host(self, row)
+                host = self.hosts[row.listed.host] = Host(self, row)
             elif (host.text, host.started) != (row.where, row.listed.started):
                 self.rest(host)  # what stands leads to what was there before
                 host.at(row)
             host.active = row.listed.state is State.ACTIVE
             host.listed = row.listed.state is not State.GONE
         if complete:
-            named = {row.listed.worker for row in rows}
+            named = {row.listed.host for row in rows}
             for host in self.hosts.values():
                 if host.name not in named:
                     host.active = host.listed = False
@@ -151,8 +151,8 @@
         def line(now):
             return lines.relay(call, limit - now)
 
-        asked = self.ask(host, call.mark, line, until, effect, came, call.client_present)
-        return asked or Never(self.loop, done, Result.MOOT)
+        asked = self.ask(host, call.request_id, line, until, effect, came, call.client_present)
+        return asked or Never(self.loop, done, Result.NOT_SENT)
 
     def order(self, worker, function, copies, done):
         """A load order; `done(result, copies that stand)` once, never at once."""
@@ -178,7 +178,7 @@
         sent for want of something here."""
 
         def read(reply, failure):
-            if failure is Result.MOOT:
+            if failure is Result.NOT_SENT:
                 return None
             return (reply is not None and lines.health(reply)) or (False, None)
 
@@ -211,7 +211,7 @@
 
         asked = self.ask(host, tag, lambda now: data, EVER, Idempotency.IDEMPOTENT, came)
         if asked is None:  # not one more connection can be had here
-            self.loop.soon(tell, None, Result.MOOT)
+            self.loop.soon(tell, None, Result.NOT_SENT)
             return
         timer = self.loop.after(within, overtime)
 
--- a/gaproute/hosts/jsonlines/lines.py
+++ b/gaproute/hosts/jsonlines/lines.py
@@ -17,10 +17,10 @@
 LINE = 128 * 1024  # bytes of one answer: a body of 16 KiB in base64 takes 22, and hosts add little
 RESULTS = {
     "served": Result.OK,
-    "not_here": Result.MISS,
+    "not_here": Result.NOT_LOADED,
     "overload": Result.FULL,
     "crashed": Result.ERROR,
-    "nobody": Result.MOOT,
+    "nobody": Result.NOT_SENT,
 }
 NOTES = {"w": Found.WARM, "c": Found.BEGAN_LOAD, "j": Found.AWAITED_LOAD, "f": Found.LOAD_FAILED}
 
@@ -72,10 +72,13 @@
 
 def relay(call, left):
     """`left`: how long the gateway will wait, ns."""
-    meta = {"cls": call.track, "item": call.model, "limit": max(1, left // 1_000_000)}
-    if call.receipt:
-        meta["nonce"] = call.receipt
-    return _encode({"type": "go", "req": call.mark, "meta": meta, "data": call.body.decode("ascii")}) + b"\n"
+    meta = {"cls": call.request_class, "item": call.model, "limit": max(1, left // 1_000_000)}
+    if call.idempotency_key:
+        meta["nonce"] = call.idempotency_key
+    return (
+        _encode({"type": "go", "req": call.request_id, "meta": meta, "data": call.body.decode("ascii")})
+        + b"\n"
+    )
 
 
 def halt(mark):
@@ -110,7 +113,7 @@
     alike = None
     if counts and result in (Result.OK, Result.FULL):
         alike = int(min(figure(reply.meta.get("queue_fn")) or 0, 1 << 20))
-    return Heard(result, answer, NOTES.get(reply.meta.get("tell"), Found.UNTOLD), alike, load(reply.meta))
+    return Heard(result, answer, NOTES.get(reply.meta.get("tell"), Found.UNKNOWN), alike, load(reply.meta))
 
 
 def health(reply):
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/link.py
@@ -84,7 +84,7 @@
         for asked in [asked for asked in self.open.values() if not asked.begun]:
             now = self.hosts.loop.now()
             if now >= asked.until or not asked.wanted():
-                self.never(asked, Result.MOOT)
+                self.never(asked, Result.NOT_SENT)
                 continue
             data = asked.line(now)
             if not self.stream.begin(data):
--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -52,7 +52,7 @@
     value = headers.get(HEADER)
     told = parse(value) if value is not None else None
     if told is None:
-        return None, Found.UNTOLD, None
+        return None, Found.UNKNOWN, None
     named = told.named_metrics
     report = Report(
         figure(named.get("in_hand")),
@@ -61,7 +61,7 @@
         figure(told.mem_utilization),
     )
     copy, alike = figure(named.get("copy")), figure(named.get("alike"))
-    found = Found(int(copy)) if copy in (1, 2, 3, 4) else Found.UNTOLD
+    found = Found(int(copy)) if copy in (1, 2, 3, 4) else Found.UNKNOWN
     return (
         report if any(part is not None for part in report) else None,
         found,
--- a/gaproute/hosts/proof.py
+++ b/gaproute/hosts/proof.py
@@ -23,7 +23,7 @@
     if status == 429:
         return Result.FULL
     if status == 404:
-        return Result.MISS
+        return Result.NOT_LOADED
     if 200 <= status < 300 or 400 <= status < 500 and status not in UNCLEAR:
         return Result.OK
     return Result.ERROR
@@ -33,7 +33,7 @@
     """What the end of its connection proves for a request. `begun`: whether the kernel took any byte of it;
     `spoilt`: the host answered on it, with what cannot be read."""
     if not begun and isinstance(error, OSError) and error.errno in SHORTAGES | NO_OWN_ADDRESS:
-        return Result.MOOT
+        return Result.NOT_SENT
     return Result.ERROR if begun and spoilt else of_failure(begun)
 
 
--- a/gaproute/interface/actions.py
+++ b/gaproute/interface/actions.py
@@ -1,39 +1,51 @@
-"""What the generators yield."""
+"""The actions that the generators of a gateway yield."""
 
 from typing import NamedTuple
 
 
 class Attempt(NamedTuple):
-    worker: str
+    """Send the request to this host; resumed with the attempt's number."""
+
+    host: str
     until: int = 1 << 62  # when it may begin at the latest, where it has to wait for its connection
 
 
 class Wait(NamedTuple):
+    """Resume the generator at the next outcome, or at this time."""
+
     until: int
 
 
 class Cancel(NamedTuple):
-    relay: int
+    """Nobody waits for the answer of this attempt of the request any more."""
+
+    attempt: int
 
 
-class Order(NamedTuple):
-    worker: str
+class LoadOrder(NamedTuple):
+    """Ask a host to load instances of a function."""
+
+    host: str
     function: str
-    copies: int
+    copies: int  # how many instances are to stand there
 
 
 class Probe(NamedTuple):
-    worker: str
+    """Ask a host for its load report."""
+
+    host: str
 
 
-class Listen(NamedTuple):
-    """Ask for the list and its changes."""
+class PollHostList(NamedTuple):
+    """Ask for the host list and its changes."""
 
 
 class Reject(NamedTuple):
-    stay_away: int  # advice to the client; 0: none
-    why: str = ""  # a word for whoever follows the task
+    """The final answer to a request that provably did not run, or that may run again."""
+
+    retry_after: int  # how long the client should wait before it tries again, ns; 0: it is not told
+    reason: str = ""  # a word for whoever follows the request in the log
 
 
 class Fail(NamedTuple):
-    pass
+    """The final answer to a request that may have run and must not run again."""
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -13,22 +13,23 @@
 
 
 class Call(NamedTuple):
-    """A task's content. The body and the fields pass through as they came."""
+    """The content of a request. The body and the fields pass through as they came."""
 
     model: str
     version: str  # "" where the client named none
     fields: tuple[tuple[bytes, bytes], ...]
     body: bytes
-    mark: str = ""  # the client's own id of the task, where hosts are to see it
-    track: str = ""  # the track's name, where hosts are told it
-    receipt: str = ""  # by which hosts know a repeat, where clients send one
+    request_id: str = ""  # the client's own id of the request, where hosts are to see it
+    request_class: str = ""  # the name of the request class, where hosts are told it
+    idempotency_key: str = ""  # by which hosts know a repeat, where clients send one
     tenant: bytes = b""  # as the client named it, where other gateways are told it
     origin: str = ""  # the id by which the first gateway sent it, where another one forwarded it
     forwarded: tuple | None = None  # (cell, hops) as `decisions.cells` has it, where another gateway sent it
     client_present: Callable[[], bool] = always  # whether its client still waits: asked as attempts begin
 
     @property
-    def function(self):
+    def function(self) -> str:
+        """The name by which the decisions know the model and its version."""
         return f"{self.model}/{self.version}" if self.version else self.model
 
 
@@ -41,20 +42,22 @@
 
 
 class Ending(Enum):
+    """How a request ended; the values are those of counters and log lines."""
+
     DELIVERED = "delivered"
     REJECTED = "declined"  # trying again is harmless
     FAILED = "scrapped"  # promises nothing
 
 
 class Final(NamedTuple):
-    """The one final answer of a task."""
+    """The one final answer of a request."""
 
     ending: Ending
     answer: Answer | None  # with DELIVERED
-    stay_away: int  # with REJECTED: advice, ns; 0: none
-    task: str  # the gateway's id for the task
-    relays: int  # relays that were started for it
+    retry_after: int  # with REJECTED: how long the client should wait, ns; 0: it is not told
+    request: str  # the gateway's id for the request
+    attempts: int  # how many were started for it
     reason: str  # a few words for a person
-    never_ran: bool = False  # every relay that was started provably did not run
+    never_ran: bool = False  # every attempt that was started provably did not run
     cell_unknown: bool = False  # with REJECTED: the call was forwarded here for a cell not known here
-    found: Found = Found.UNTOLD  # with DELIVERED: what the relay found at the host
+    found: Found = Found.UNKNOWN  # with DELIVERED: what the attempt found at the host
--- a/gaproute/interface/outcomes.py
+++ b/gaproute/interface/outcomes.py
@@ -1,10 +1,12 @@
-"""What came of a relay."""
+"""What became of an attempt."""
 
 from enum import Enum
 from typing import NamedTuple
 
 
 class Result(Enum):
+    """How an attempt ended; the values are those of counters and log lines."""
+
     OK = "ok"
     ERROR = "error"  # may have run
     FULL = "full"  # never ran
@@ -12,20 +14,20 @@
     CONNECT_FAILED = "connect failed"  # never ran
     RESET = "reset"  # may have run
     CANCELLED = "cancelled"  # may have run
-    MOOT = "moot"  # never sent
-    MISS = "miss"  # never ran: no copy there and none on its way
-    BEGUN = "begun"  # a streamed answer has begun; the relay's real outcome follows
-    DEPARTED = "departed"  # the client left; nothing more is owed
+    NOT_SENT = "moot"  # never ran
+    NOT_LOADED = "miss"  # never ran: no instance there and none on its way
+    STREAM_STARTED = "begun"  # a streamed answer has begun; the attempt's real outcome follows
+    CLIENT_LEFT = "departed"  # nothing more is owed
 
 
-# Results that prove that the worker never ran the task.
-NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT, Result.MISS)
+# Results that prove that the host never ran the request.
+NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.NOT_LOADED)
 
 
 class Found(Enum):
-    """What a delivered relay found at the worker, where that is told."""
+    """What a delivered attempt found at the host, where hosts report it."""
 
-    UNTOLD = 0
+    UNKNOWN = 0
     WARM = 1
     BEGAN_LOAD = 2
     AWAITED_LOAD = 3
@@ -33,21 +35,23 @@
 
 
 class Report(NamedTuple):
-    """A worker's own figures; what it did not tell is None."""
+    """A host's own figures; what it did not report is None."""
 
-    in_hand: float | None = None  # tasks at work or waiting
-    waiting: float | None = None  # tasks waiting
+    in_hand: float | None = None  # requests at work or waiting
+    waiting: float | None = None  # requests waiting
     cpu_busy: float | None = None  # share of its cores at work
     memory_busy: float | None = None  # share of its memory that cannot be freed
 
 
 class Outcome(NamedTuple):
-    task: str
-    relay: int
-    worker: str
+    """What became of one attempt."""
+
+    request: str
+    attempt: int
+    host: str
     result: Result
-    took: int
-    ended: bool  # the task is over, by this outcome or an earlier one
+    took: int  # from sending to outcome, ns
+    ended: bool  # the request is over, by this outcome or an earlier one
     found: Found
-    alike: int | None  # tasks of the same function that the worker held
+    same_function_requests: int | None  # requests of the same function that the host had in flight
     report: Report | None
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -70,7 +70,7 @@
     configuration = _decode(path, _read_bytes(path))
     _check_fields(path, configuration)
     loaded = _load(path, configuration)
-    if not loaded.terms.tracks:
+    if not loaded.terms.request_classes:
         raise ConfigurationRefusedError(f"{path}: settings: no classes of request are named")
     return loaded
 
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -78,7 +78,7 @@
             address(self.listen),
             self.core,
             self.site.tracks,
-            self.terms.tracks,
+            self.terms.request_classes,
             self.ready,
             way_back(),
         )
@@ -130,7 +130,7 @@
             "list",
             seq=event.seq,
             complete=complete,
-            rows=[[row.listed.worker, row.where, row.listed.state.value] for row in rows[:64]],
+            rows=[[row.listed.host, row.where, row.listed.state.value] for row in rows[:64]],
         )
 
     def ready(self):
@@ -183,7 +183,9 @@
         self.log.info("stopping", held=len(self.core.held))
         now = self.loop.now()
         began = now - self.loop.behind
-        self.closing, self.granted = schedule([track.hard_limit for track in self.terms.tracks], began, now)
+        self.closing, self.granted = schedule(
+            [track.hard_limit for track in self.terms.request_classes], began, now
+        )
         self.core.end_by(self.closing - way_back())
         self.loop.at(self.granted, self.loop.stop)  # first: an error must not keep the process
         self.loop.at(self.closing, self.front.stop)
--- a/gaproute/standins/baselines.py
+++ b/gaproute/standins/baselines.py
@@ -8,7 +8,7 @@
     """Keeps the rules as the module does and leaves out what its choice adds."""
 
     def choose(self, now, task, trail):
-        track = self.tracks[task.track]
+        track = self.tracks[task.request_class]
         able = [
             worker
             for worker in self.fleet
--- a/gaproute/standins/rogues.py
+++ b/gaproute/standins/rogues.py
@@ -2,7 +2,7 @@
 
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.beliefs import MILLI
-from gaproute.interface import Attempt, Order, Reject, State, Wait
+from gaproute.interface import Attempt, LoadOrder, Reject, State, Wait
 
 
 class SendsAfterTheEnd(Gateway):
@@ -48,7 +48,7 @@
 
     def serve(self, now, task):
         for worker in self.fleet[:3]:
-            yield Order(worker.id, task.function, 1)
+            yield LoadOrder(worker.id, task.function, 1)
         yield from super().serve(now, task)
 
 
--- a/gaproute/terms.py
+++ b/gaproute/terms.py
@@ -29,7 +29,7 @@
     idle_time: int  # after which hosts close an idle connection
     order_time: int
     shared: int  # relays on one connection at most
-    counts_alike: bool
+    same_function_counted: bool
     halts: bool = True  # hosts may be told that a relay is given up
 
 
@@ -57,19 +57,19 @@
     )
     source = (told.get("report") or {}).get("source")
     return face.Terms(
-        tracks=tracks,
+        request_classes=tracks,
         tenant_shares=tuple(float(tenant.get("share") or 0.0) for tenant in told.get("tenants") or ()),
         over_share_value=float(told.get("over_share_worth", 1.0)),
         keep_alive=span(info, "idle_life"),
-        orders_allowed=bool(info.get("placement_calls")),
-        order_free=float(info.get("loads_anyway") or 0),
-        order_share=float(info.get("load_part") or 0),
-        order_window=span(info, "loads_within"),
-        counts_alike=bool(info.get("counts_alike")),
-        notes_warmth=bool(info.get("warm_notes")),
+        load_orders_allowed=bool(info.get("placement_calls")),
+        load_orders_free=float(info.get("loads_anyway") or 0),
+        load_order_share=float(info.get("load_part") or 0),
+        load_order_window=span(info, "loads_within"),
+        same_function_counted=bool(info.get("counts_alike")),
+        warmth_reported=bool(info.get("warm_notes")),
         probes_allowed=bool(limits.get("probes")),
         reports_by_probe=source == "pull",
-        reported=tuple(
+        reported_figures=tuple(
             part
             for part, names in FIGURES.items()
             if set(names) & set((told.get("report") or {}).get("names") or ())
@@ -79,13 +79,13 @@
         peers_allowed=bool(limits.get("peers")),
         gateways=int(told.get("balancers") or 1),
         cancel_allowed=bool(limits.get("cancel")),
-        twins_allowed=bool(limits.get("may_duplicate")),
-        relay_limit=int(limits.get("send_cap") or 1),
-        advice_limit=span(limits, "max_retry_after") if limits.get("retry_after") else 0,
-        cold_share=float(rules.get("cold_from") or 0),
-        cold_time=span(rules, "cold"),
-        cold_multiple=float(rules.get("fall_multiple") or face.Terms._field_defaults["cold_multiple"]),
-        must_ask_list=told.get("membership_mode") == "on_request",
+        hedging_allowed=bool(limits.get("may_duplicate")),
+        attempt_limit=int(limits.get("send_cap") or 1),
+        retry_after_limit=span(limits, "max_retry_after") if limits.get("retry_after") else 0,
+        warm_up_share=float(rules.get("cold_from") or 0),
+        warm_up_time=span(rules, "cold"),
+        warm_up_overload=float(rules.get("fall_multiple") or face.Terms._field_defaults["warm_up_overload"]),
+        host_list_polled=told.get("membership_mode") == "on_request",
         zone=told["az"] if isinstance(told.get("az"), int) else -1,
         crossing_price=float(prices.get("cross_zone") or 0),
     )
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -187,7 +187,7 @@
     for number in range(20):
         caller.call(f"rare-{number}")
     assert functions._host_leaves(caller, 3) >= 0
-    assert sorted(caller.gateway.workers) == [each.worker for each in rows(50)]
+    assert sorted(caller.gateway.workers) == [each.host for each in rows(50)]
     assert len(caller.gateway.functions) == 20
 
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -28,14 +28,14 @@
 
 def test_a_good_file_becomes_terms_in_nanoseconds():
     configuration = read_configuration("f", GOOD)
-    a, b = configuration.terms.tracks
-    assert (a.effect, a.contract_time, a.hard_limit, a.earnings) == (
+    a, b = configuration.terms.request_classes
+    assert (a.idempotency, a.latency_objective, a.hard_limit, a.priority_weight) == (
         Idempotency.IDEMPOTENT,
         1_200_000_000,
         5_000_000_000,
         3,
     )
-    assert (b.effect, b.group, b.repeat_window) == (
+    assert (b.idempotency, b.group, b.repeat_window) == (
         Idempotency.IDEMPOTENT_WITH_KEY,
         Group.CELL,
         2_500_000_000,
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -51,12 +51,12 @@
     assert "copies keep 8s free 6 window 0s alike no notes no  # as the hosts are set" in text
     configuration = read_configuration("new", text)
     assert not configuration.terms.probes_allowed
-    assert configuration.terms.relay_limit == 6
+    assert configuration.terms.attempt_limit == 6
     assert not configuration.sizes_reported
     assert configuration.terms.keep_alive == 8 * SECOND
-    assert configuration.terms.order_window == 0
-    assert [track.contract_time for track in configuration.terms.tracks] == [SECOND]
-    assert configuration.terms.tracks[0].earnings == 1.0  # a track is stated whole
+    assert configuration.terms.load_order_window == 0
+    assert [track.latency_objective for track in configuration.terms.request_classes] == [SECOND]
+    assert configuration.terms.request_classes[0].priority_weight == 1.0  # a track is stated whole
 
 
 def test_sources_of_cell_hosts_are_taken_over_as_they_stand():
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -94,7 +94,7 @@
     made = core(serve)
     take(made)
     turns(made)
-    assert [final.ending for final in made.finals] == [Ending.REJECTED] and made.finals[0].stay_away == 5
+    assert [final.ending for final in made.finals] == [Ending.REJECTED] and made.finals[0].retry_after == 5
 
 
 @pytest.mark.parametrize("when", ["first", "later"])
@@ -132,7 +132,7 @@
     def serve(now, task):
         yield face.Attempt("w")
         _, outcome = yield face.Wait(now + SECOND)
-        assert outcome.result is face.Result.DEPARTED
+        assert outcome.result is face.Result.CLIENT_LEFT
         yield face.Cancel(0)
 
     made = core(serve)
@@ -171,7 +171,7 @@
     turns(made, 2 * MILLI)
     assert made.finals[0].ending is Ending.REJECTED
     assert made.hosts.taken_back == ["w"] and not made.held
-    assert made.gateway.told[0].result is face.Result.MOOT
+    assert made.gateway.told[0].result is face.Result.NOT_SENT
 
 
 def test_a_wait_is_resumed_at_its_time_and_moved_by_an_outcome():
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -29,7 +29,9 @@
 LEFT = 3 * SECOND  # that each client waits
 SPANS = (0, MILLI, 20 * MILLI, 100 * MILLI, 700 * MILLI)
 WINDOW = 300 * MILLI  # for which hosts know a repeat
-TRACKS = tuple(track._replace(repeat_window=WINDOW, contract_time=200 * MILLI) for track in TERMS.tracks)
+TRACKS = tuple(
+    track._replace(repeat_window=WINDOW, latency_objective=200 * MILLI) for track in TERMS.request_classes
+)
 NEVER_RAN = ("overload", "not_here", "nobody")
 ANSWERS = ("served", "served", "served", "crashed", "garbled", *NEVER_RAN)
 FULL = ("overload",)  # of hosts that turn all away
@@ -127,11 +129,11 @@
             connect_time=0,
             order_time=SECOND,
             shared=shared,
-            counts_alike=True,
+            same_function_counted=True,
             halts=cancel,
         )
         self.hosts = Hosts(self.loop, Pooling(), site, 64)
-        terms = TERMS._replace(tracks=TRACKS, cancel_allowed=cancel, twins_allowed=twins)
+        terms = TERMS._replace(request_classes=TRACKS, cancel_allowed=cancel, hedging_allowed=twins)
         self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
         self.hosts.forgotten = self.record.forget
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
@@ -148,7 +150,9 @@
             return
         now, task = self.loop.now(), self.named[command["req"]]
         life = wire.life
-        held = [each for each in self.core.held.values() if each.call.mark == command["req"] and each.finish]
+        held = [
+            each for each in self.core.held.values() if each.call.request_id == command["req"] and each.finish
+        ]
         assert held and not task.finals and not task.left, "begun for nobody"
         assert now < min(task.end, self.last), "begun too late"
         assert self.lives[life.name] is life and self.rows[life.name].state is face.State.ACTIVE
@@ -179,7 +183,7 @@
         over = [name for name, task in self.named.items() if task.finals or task.left]
         name = over[-1] if over and way == 0 else str(len(self.tasks))
         task = SimpleNamespace(
-            finals=[], left=False, effect=TRACKS[place % 3].effect, end=self.loop.now() + LEFT
+            finals=[], left=False, effect=TRACKS[place % 3].idempotency, end=self.loop.now() + LEFT
         )
         self.named[name] = task
         self.tasks.append(task)
--- a/tests/decisions/cells/test_all_slow.py
+++ b/tests/decisions/cells/test_all_slow.py
@@ -18,7 +18,7 @@
 @pytest.fixture
 def slow():
     """A gateway that found every cell slow a moment ago."""
-    made = CellularGateway(7, TERMS._replace(twins_allowed=False), 0, Place("gateway1", "region0", "zone0"))
+    made = CellularGateway(7, TERMS._replace(hedging_allowed=False), 0, Place("gateway1", "region0", "zone0"))
     made.adopt(0, table(cells(8, entries=2)))
     for name in made.table.by_name:
         for _ in range(OUTCOMES):
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -74,7 +74,7 @@
                 return
             if isinstance(wish, face.Attempt):
                 value, held[1] = held[1], held[1] + 1
-                self.out.append((name, value, wish.worker, self.now))
+                self.out.append((name, value, wish.host, self.now))
 
     def answer(self, step):
         if not self.out:
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_one_cell_is_the_same_as_no_cells_wish_by_wish(seed):
-    told = TERMS._replace(reports_by_probe=True, reported=("in_hand",), probe_price=0.0)
+    told = TERMS._replace(reports_by_probe=True, reported_figures=("in_hand",), probe_price=0.0)
     plain = Script(Gateway(7, told, 0), seed, False).play(2500)
     bare = Script(CellularGateway(7, told, 0), seed, False).play(2500)
     made = CellularGateway(7, told, 0, PLACE)
@@ -140,7 +140,7 @@
 
 def fleet(count=26, own=("cell0",), **terms):
     """A gateway of zone 0 that knows some cells' hosts."""
-    made = CellularGateway(7, TERMS._replace(**{"twins_allowed": False, **terms}), 0, PLACE)
+    made = CellularGateway(7, TERMS._replace(**{"hedging_allowed": False, **terms}), 0, PLACE)
     made.adopt(0, table(cells(count)))
     for name in made.wanted():
         if name in own:
@@ -171,7 +171,7 @@
     drive = Drive(made, task("t", function_of(made, "cell7")))
     wish = drive.wishes[0]
     assert isinstance(wish, Forward) and wish.forwarded == Forwarded("cell7", 1)
-    assert (wish.worker, wish.address) in made.table.by_name["cell7"].entries
+    assert (wish.host, wish.address) in made.table.by_name["cell7"].entries
     drive.hears(100 * MILLI, face.Result.OK)
     assert drive.ended
 
@@ -179,7 +179,7 @@
 def test_an_entry_serves_in_its_cell_and_nowhere_else():
     made = fleet()
     serve = made.serve(0, task("t", function_of(made, "cell7")), Forwarded("cell0", 1))
-    assert next(serve).worker.startswith("cell0-")
+    assert next(serve).host.startswith("cell0-")
     made.listed(0, [], True, "cell0")
     serve = made.serve(0, task("u"), Forwarded("cell0", 1))
     assert isinstance(next(serve), face.Reject)
@@ -189,9 +189,9 @@
     made = fleet()
     made.health.unreachable(0, "cell0")
     assert isinstance(next(made.serve(0, task("t"), Forwarded("cell0", 1))), face.Reject)
-    effectful = made.serve(2 * SECOND, task("e", track=NON_IDEMPOTENT), Forwarded("cell0", 1))
+    effectful = made.serve(2 * SECOND, task("e", request_class=NON_IDEMPOTENT), Forwarded("cell0", 1))
     assert isinstance(next(effectful), face.Reject)
-    assert next(made.serve(2 * SECOND, task("u"), Forwarded("cell0", 1))).worker.startswith("cell0-")
+    assert next(made.serve(2 * SECOND, task("u"), Forwarded("cell0", 1))).host.startswith("cell0-")
     assert isinstance(next(made.serve(2 * SECOND, task("v"), Forwarded("cell0", 1))), face.Reject)
 
 
@@ -295,12 +295,12 @@
 
 
 def test_relays_and_cells_for_one_task_are_bounded():
-    made = fleet(relay_limit=4)
+    made = fleet(attempt_limit=4)
     drive = Drive(made, task("t", function_of(made, "cell7")))
     for relay in range(4):
         drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, relay)
     assert drive.ended and isinstance(drive.wishes[-1], face.Reject) and len(drive.sent) == 4
-    made = fleet(relay_limit=50)
+    made = fleet(attempt_limit=50)
     drive = Drive(made, task("t", function_of(made, "cell7")))
     for relay in range(2 * CELLS_TRIED):
         drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, relay)
@@ -399,7 +399,7 @@
 
 
 def test_housekeeping_probes_the_hosts_of_all_known_cells():
-    made = fleet(reports_by_probe=True, reported=("in_hand",))
+    made = fleet(reports_by_probe=True, reported_figures=("in_hand",))
     for name in made.wanted():
         made.listed(0, [row(f"{name}-{host}") for host in "ab"], True, name)
     keeper, now, probed = made.housekeep(0), 0, set()
@@ -409,6 +409,6 @@
             now = max(now, wish.until)
             wish = keeper.send((now, None))
         else:
-            probed.add(wish.worker)
+            probed.add(wish.host)
             wish = keeper.send(None)
     assert {worker.rsplit("-", 1)[0] for worker in probed} == set(made.wanted())
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -15,12 +15,12 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2
-ADVICE = min(TERMS.advice_limit, TERMS.tracks[0].contract_time)
+ADVICE = min(TERMS.retry_after_limit, TERMS.request_classes[0].latency_objective)
 
 
 def bare(**told):
     """A gateway of zone 0 without a table; `told`: terms that differ."""
-    terms = TERMS._replace(twins_allowed=False, **told)
+    terms = TERMS._replace(hedging_allowed=False, **told)
     return CellularGateway(7, terms, 0, Place("gateway1", "region0", "zone0"))
 
 
@@ -56,7 +56,7 @@
     assert isinstance(forwarded(made, "only"), CellUnknown)  # its host list has not come
     made.listed(0, [row("a")], True, "only")
     assert isinstance(forwarded(made, "cell7"), CellUnknown)
-    assert forwarded(made, "only").worker == "a"
+    assert forwarded(made, "only").host == "a"
 
 
 def test_an_entry_says_whether_it_does_not_know_the_cell_or_refuses():
@@ -75,7 +75,7 @@
     ("track", "result", "unknown"),
     [
         (IDEMPOTENT, face.Result.CONNECT_FAILED, True),
-        (NON_IDEMPOTENT, face.Result.MISS, True),
+        (NON_IDEMPOTENT, face.Result.NOT_LOADED, True),
         (
             IDEMPOTENT,
             face.Result.RESET,
@@ -86,14 +86,14 @@
 )
 def test_an_entry_that_cannot_lead_on_does_not_know_the_cell_where_nothing_ran(track, result, unknown):
     made = fleet()
-    serve = made.serve(0, task("t", track=track), Forwarded("cell7", 1))
+    serve = made.serve(0, task("t", request_class=track), Forwarded("cell7", 1))
     wish, relays = next(serve), 0
     while isinstance(wish, face.Attempt):
         serve.send(relays)
-        outcome = face.Outcome("t", relays, wish.worker, result, MILLI, False, face.Found.UNTOLD, None, None)
+        outcome = face.Outcome("t", relays, wish.host, result, MILLI, False, face.Found.UNKNOWN, None, None)
         made.heard(MILLI, outcome)
         wish, relays = serve.send((MILLI, outcome)), relays + 1
-    assert isinstance(wish, CellUnknown) == unknown and wish.stay_away == ADVICE
+    assert isinstance(wish, CellUnknown) == unknown and wish.retry_after == ADVICE
 
 
 # The gateway that forwards
@@ -103,7 +103,7 @@
 def test_where_an_entry_does_not_know_the_cell_the_next_one_of_the_cell_is_asked(track):
     made = fleet()
     drive = Drive(made, task("t", homed(made, "cell7")[0], track))
-    drive.hears(10 * MILLI, face.Result.MISS)
+    drive.hears(10 * MILLI, face.Result.NOT_LOADED)
     assert drive.wishes[0].forwarded.cell == "cell7" and len(set(drive.sent)) == 2
     drive.hears(20 * MILLI, face.Result.OK, 1)
     assert drive.ended and not made.health.barred("cell7")
@@ -115,7 +115,7 @@
     made.adopt(0, table(rows, number=2))
     name, again = homed(made, "cell7", 2)
     drive = Drive(made, task("t", name))
-    drive.hears(10 * MILLI, face.Result.MISS)
+    drive.hears(10 * MILLI, face.Result.NOT_LOADED)
     ignorant, other = drive.sent
     drive.hears(20 * MILLI, face.Result.OK, 1)
     assert Drive(made, task("u", again), now=30 * MILLI).sent == [other]
@@ -133,7 +133,7 @@
     name = homed(made, "cell7")[0]
     drive = Drive(made, task("t", name, NON_IDEMPOTENT))
     for relay in range(2):
-        drive.hears(10 * MILLI, face.Result.MISS, relay)
+        drive.hears(10 * MILLI, face.Result.NOT_LOADED, relay)
     assert drive.wishes[0].forwarded.cell == made.homes.order(name, 2)[1]
     assert made.health.barred("cell7") and not made.health.records  # no way in; nothing was heard of it
 
@@ -143,7 +143,7 @@
     for number, name in enumerate(homed(made, "cell7", 12)):
         now = number * 100 * SECOND
         drive = Drive(made, task(f"t{number}", name), now)
-        drive.hears(now, face.Result.MISS)
+        drive.hears(now, face.Result.NOT_LOADED)
         drive.hears(now, face.Result.OK, 1)
         assert not made.health.barred("cell7")
 
@@ -157,7 +157,7 @@
     assert set(ways.lacking) == {(each.entries[0].name, each.name) for each in rows[:2]}
 
 
-@pytest.mark.parametrize("result", [face.Result.FULL, face.Result.MISS, face.Result.CONNECT_FAILED])
+@pytest.mark.parametrize("result", [face.Result.FULL, face.Result.NOT_LOADED, face.Result.CONNECT_FAILED])
 def test_a_call_that_all_cells_refused_ends_with_the_advice_of_its_track(result):
     made, relay = fleet(), 0
     drive = Drive(made, task("t", homed(made, "cell7")[0], NON_IDEMPOTENT))
@@ -165,14 +165,14 @@
         drive.hears(10 * MILLI, result, relay)
         relay += 1
     (ending,) = drive.wishes
-    assert isinstance(ending, face.Reject) and ending.stay_away == ADVICE > 0
+    assert isinstance(ending, face.Reject) and ending.retry_after == ADVICE > 0
 
 
 def test_a_call_that_no_cell_may_take_ends_with_the_advice_of_its_track():
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
         made.health.unreachable(0, name)
-    assert Drive(made, task("t", track=NON_IDEMPOTENT)).wishes == [face.Reject(ADVICE, "no cell")]
+    assert Drive(made, task("t", request_class=NON_IDEMPOTENT)).wishes == [face.Reject(ADVICE, "no cell")]
 
 
 def test_loads_of_forwarded_calls_are_no_usual_answer_times():
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -13,14 +13,14 @@
 
 MILLI = 1_000_000
 IDEMPOTENT_WITH_KEY = 1
-LIMIT = TERMS.tracks[IDEMPOTENT_WITH_KEY].repeat_window - TRANSIT
+LIMIT = TERMS.request_classes[IDEMPOTENT_WITH_KEY].repeat_window - TRANSIT
 
 
 def broken_off(result=face.Result.RESET, time_left=LIMIT, **told):
     """A deduplicated call whose first relay to an entry ended so; `told`: what differs in its track."""
-    tracks = list(TERMS.tracks)
+    tracks = list(TERMS.request_classes)
     tracks[IDEMPOTENT_WITH_KEY] = tracks[IDEMPOTENT_WITH_KEY]._replace(**told)
-    terms = TERMS._replace(twins_allowed=False, tracks=tuple(tracks))
+    terms = TERMS._replace(hedging_allowed=False, request_classes=tuple(tracks))
     made = CellularGateway(7, terms, 0, Place("gateway1", "region0", "zone0"))
     made.adopt(0, cells_tables.table(cells_tables.cells(26)))
     name = next(name for name in map("f{}".format, range(1_000)) if made.homes.first(name) == "cell7")
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(
-    "result", [face.Result.FULL, face.Result.MISS, face.Result.CONNECT_FAILED, face.Result.RESET]
+    "result", [face.Result.FULL, face.Result.NOT_LOADED, face.Result.CONNECT_FAILED, face.Result.RESET]
 )
 def test_a_deduplicated_call_that_broke_off_stays_in_its_cell_and_is_never_declined(result):
     drive = broken_off()
@@ -54,7 +54,7 @@
         {"group": face.Group.CELL},
         {"result": face.Result.ERROR},  # the entry answered: it tried again itself as far as that is allowed
         {"result": face.Result.TIMEOUT},
-        {"effect": face.Idempotency.NON_IDEMPOTENT},
+        {"idempotency": face.Idempotency.NON_IDEMPOTENT},
     ],
 )
 def test_else_a_call_that_broke_off_is_not_sent_again(told):
--- a/tests/decisions/reports/test_lore.py
+++ b/tests/decisions/reports/test_lore.py
@@ -227,7 +227,7 @@
         made = gateway()
         made.hint(name, "f", 4, 5 * SECOND)
         wish = made.serve(6 * SECOND, task()).send(None)
-        assert wish.worker == name
+        assert wish.host == name
 
 
 def trial(made, number, found=Found.WARM, told=None):
@@ -273,7 +273,7 @@
     made.consider(20 * SECOND, "f2", made.functions["f2"])
     assert ranked(made, "f2")[1].id in made.functions["f2"].seen and (made.right, made.wrong) == (0, 0)
     made = gateway()
-    assert trial(made, 0, Found.UNTOLD) and not made.trials and (made.right, made.wrong) == (0, 0)
+    assert trial(made, 0, Found.UNKNOWN) and not made.trials and (made.right, made.wrong) == (0, 0)
 
 
 def test_the_first_choice_of_the_hash_is_tried_where_it_was_told():
@@ -289,7 +289,7 @@
     made = gateway()
     made.hint("a", "f", 4, 5 * SECOND)
     made.listed(6 * SECOND, [row("b"), row("c")], True)
-    assert made.serve(6 * SECOND, task()).send(None).worker != "a"
+    assert made.serve(6 * SECOND, task()).send(None).host != "a"
     assert "a" not in made.functions["f"].seen
 
 
@@ -382,7 +382,7 @@
         told.follow(made, 60 * SECOND, lives, {}, KEEP, Chance(seeds.getrandbits(64)), told.facts)
         made.chance = Chance(seeds.getrandbits(64))
         made.mix.extend(told.mix())
-        sent[made.serve(60 * SECOND, task()).send(None).worker] += 1
+        sent[made.serve(60 * SECOND, task()).send(None).host] += 1
     assert max(sent.values()) <= 28 and len(sent) >= (2 if share < 0.1 else 4)
     assert sent.keys() <= set(others)
 
@@ -393,7 +393,7 @@
     for seed in range(10):
         made = gateway(*hosts)
         assert told.follow(made, 60 * SECOND, {"cold": 5}, {}, KEEP, Chance(seed), told.facts) == 1
-        sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).worker for number in range(20)]
+        sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
         assert "cold" not in sent and made.workers["cold"].credit == 0
 
 
--- a/tests/decisions/routing/test_determinism.py
+++ b/tests/decisions/routing/test_determinism.py
@@ -23,9 +23,9 @@
     face.Attempt: "A",
     face.Wait: "W",
     face.Cancel: "C",
-    face.Order: "O",
+    face.LoadOrder: "O",
     face.Probe: "P",
-    face.Listen: "L",
+    face.PollHostList: "L",
     face.Reject: "R",
     face.Fail: "F",
 }
@@ -108,7 +108,7 @@
         request_class = self.random.randrange(len(self.classes))
         load_time = self.random.choice([None, 300 * MILLI])
         hard_limit = self.classes[request_class][4]
-        request = face.Task(
+        request = face.Request(
             f"t{number}", number % 3, hard_limit, f"f{rank}", 1 + rank % 5, load_time, request_class
         )
         key = (which, request[0])
@@ -138,11 +138,11 @@
                 value = running[2] * 10 + attempts
                 attempts += 1
                 self.attempt(key, running[1], value, action[0])
-            elif isinstance(action, face.Order):
+            elif isinstance(action, face.LoadOrder):
                 self.order(key[0], action)
             elif isinstance(action, face.Probe):
                 self.at(self.now + 2 * MILLI, self.probe, key[0], action[0])
-            elif isinstance(action, face.Listen):
+            elif isinstance(action, face.PollHostList):
                 self.at(self.now + 3 * MILLI, self.list_comes, key[0])
 
     def time_came(self, key, turn):
@@ -161,9 +161,9 @@
             return
         result = self.random.choices(
             [
-                face.Result.OK, face.Result.FULL, face.Result.ERROR, face.Result.RESET, face.Result.MISS,
-                face.Result.MOOT, face.Result.CANCELLED, face.Result.TIMEOUT, face.Result.BEGUN,
-                face.Result.DEPARTED,
+                face.Result.OK, face.Result.FULL, face.Result.ERROR, face.Result.RESET,
+                face.Result.NOT_LOADED, face.Result.NOT_SENT, face.Result.CANCELLED, face.Result.TIMEOUT,
+                face.Result.STREAM_STARTED, face.Result.CLIENT_LEFT,
             ],
             [30, 200, 1, 1, 1, 0, 0, 0, 0, 0] if state == "full"
             else [30, 5, 100, 30, 3, 0, 0, 0, 0, 0] if state == "failing"
@@ -175,17 +175,17 @@
         self.at(self.now + took, self.outcome, key, number, host, result, took)
 
     def outcome(self, key, number, host, result, took):
-        found = face.Found.UNTOLD
+        found = face.Found.UNKNOWN
         if self.terms[8] and result is face.Result.OK:
             found = self.random.choices(list(face.Found), [1, 12, 2, 2, 1])[0]
         alike = self.random.randrange(12) if self.terms[7] else None
-        ends = (face.Result.OK, face.Result.DEPARTED)
+        ends = (face.Result.OK, face.Result.CLIENT_LEFT)
         outcome = face.Outcome(
             key[1], number, host, result, took, result in ends, found, alike, self.report(host)
         )
         self.gateways[key[0]].heard(self.now, outcome)
         self.advance(key, (self.now, outcome))
-        if result is face.Result.BEGUN:
+        if result is face.Result.STREAM_STARTED:
             ends_at = self.now + 3 * SECOND // 2
             self.at(ends_at, self.outcome, key, number, host, face.Result.OK, took + 3 * SECOND // 2)
 
--- a/tests/decisions/routing/test_ration.py
+++ b/tests/decisions/routing/test_ration.py
@@ -72,16 +72,16 @@
 def test_what_fails_or_leaves_is_no_task_for_the_ration():
     """A host answers bad clients' requests with an error, and the platform does not count them as taken."""
     made = gateway()
-    Drive(made, task("bad", track=2)).hears(SECOND, Result.ERROR)
-    Drive(made, task("late", track=2)).hears(SECOND, Result.TIMEOUT)
-    Drive(made, task("gone")).hears(SECOND, Result.DEPARTED, ended=True)
+    Drive(made, task("bad", request_class=2)).hears(SECOND, Result.ERROR)
+    Drive(made, task("late", request_class=2)).hears(SECOND, Result.TIMEOUT)
+    Drive(made, task("gone")).hears(SECOND, Result.CLIENT_LEFT, ended=True)
     assert made.ration.tasks == []
     Drive(made, task("good"), 5).hears(SECOND, Result.OK)
     assert made.ration.tasks == [5]
 
 
 def test_an_order_counts_until_a_window_after_its_end():
-    made = gateway(order_free=1, order_share=0, order_window=WINDOW)
+    made = gateway(load_orders_free=1, load_order_share=0, load_order_window=WINDOW)
     function = made.function("f", 4)
     made.ordered(0, function)
     assert not made.may_order(3 * WINDOW, made.function("g", 4))
@@ -96,8 +96,8 @@
     for number in range(tries):
         now += SECOND
         drive = Drive(made, task(str(number)), now)
-        drive.hears(now, Result.OK, alike=9)
-        if any(isinstance(wish, face.Order) for wish in drive.wishes):
+        drive.hears(now, Result.OK, same_function_requests=9)
+        if any(isinstance(wish, face.LoadOrder) for wish in drive.wishes):
             went += 1
             made.stood(now + answered_after, "a", "f", Result.OK, 3)
             assert not function.ordered
@@ -106,12 +106,12 @@
 
 def test_orders_that_find_their_copies_standing_are_made_seldom():
     """Each costs what a probe costs; hosts that add copies by themselves answer at once."""
-    made = gateway(order_window=0)
+    made = gateway(load_order_window=0)
     made.loads.append(SECOND)
     assert 3 < orders(made, SECOND // 100) < 40
 
 
 def test_orders_that_bring_copies_go_on():
-    made = gateway(order_window=0)
+    made = gateway(load_order_window=0)
     made.loads.append(SECOND)
     assert orders(made, SECOND // 2) == 200
--- a/tests/decisions/routing/test_routing.py
+++ b/tests/decisions/routing/test_routing.py
@@ -21,7 +21,7 @@
 from gaproute.interface import Result
 
 MAY_HAVE_RUN = [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED]
-NEVER_RAN = [Result.FULL, Result.CONNECT_FAILED, Result.MOOT, Result.MISS]
+NEVER_RAN = [Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.NOT_LOADED]
 
 
 def trail_with(made, result, sent=0, still_out=False):
@@ -87,7 +87,7 @@
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_effectful_never_goes_again_nor_is_declined_once_it_may_have_run(result):
     made = gateway()
-    drive = Drive(made, task(track=2))
+    drive = Drive(made, task(request_class=2))
     drive.hears(MILLI, result)
     assert drive.ended and drive.wishes == [face.Fail()] and len(drive.sent) == 1
 
@@ -110,7 +110,7 @@
     made = gateway(row("a"), row("b"), row("other", cell=1))
     track, trail = IDEMPOTENT_WITH_KEY._replace(group=face.Group.CELL), Trail()
     for relay, name in enumerate("ab"):
-        made.sent(relay, task(track=1), relay, made.workers[name], trail)
+        made.sent(relay, task(request_class=1), relay, made.workers[name], trail)
     trail.settle(1, result)
     trail.settle(0, Result.FULL)
     assert trail.first == (made.workers["b"], 1)
@@ -120,7 +120,7 @@
 def test_a_begun_stream_that_rests_for_over_a_second_goes_on():
     made = gateway()
     drive = Drive(made, task())
-    drive.hears(MILLI, Result.BEGUN)
+    drive.hears(MILLI, Result.STREAM_STARTED)
     drive.late(MILLI + SECOND)
     assert not drive.ended
     drive.hears(2 * SECOND, Result.OK)
@@ -128,7 +128,7 @@
 
 
 def test_no_second_relay_out_where_forbidden():
-    made = gateway(twins_allowed=False)
+    made = gateway(hedging_allowed=False)
     assert not made.allowed(made.workers["b"], IDEMPOTENT, trail_with(made, None, still_out=True), 1)
 
 
@@ -138,7 +138,7 @@
     while not drive.ended:
         drive.late(drive.wishes[-1].until)
     assert drive.wishes[-1][:1] == (SECOND,)
-    drive = Drive(made, task("u", track=2, time_left=0))
+    drive = Drive(made, task("u", request_class=2, time_left=0))
     assert drive.ended and not drive.sent
 
 
@@ -148,7 +148,7 @@
     drive.hears(MILLI, Result.OK)
     assert drive.ended and drive.wishes == []
     drive = Drive(made, task("u"))
-    drive.go((MILLI, face.Outcome("u", -1, "", Result.DEPARTED, 0, True, face.Found.UNTOLD, None, None)))
+    drive.go((MILLI, face.Outcome("u", -1, "", Result.CLIENT_LEFT, 0, True, face.Found.UNKNOWN, None, None)))
     assert drive.ended and drive.wishes == [face.Cancel(0)]
 
 
@@ -157,7 +157,9 @@
     made = gateway(row("a"))
     drive = Drive(made, task())
     made.listed(1, change, False)
-    assert not any(isinstance(wish, (face.Attempt, face.Order)) for wish in drive.hears(2, Result.MISS))
+    assert not any(
+        isinstance(wish, (face.Attempt, face.LoadOrder)) for wish in drive.hears(2, Result.NOT_LOADED)
+    )
     assert Drive(made, task("u"), 3).sent == []
 
 
@@ -216,7 +218,7 @@
 
 
 def test_one_open_order_for_a_function():
-    made = gateway(order_window=0)
+    made = gateway(load_order_window=0)
     function = made.function("f", 4)
     made.ordered(0, function)
     assert not made.may_order(0, function)
@@ -228,7 +230,7 @@
     made = gateway()
     drive = Drive(made, task())
     first = drive.sent[0]
-    assert face.Order(first, "f", 1) in drive.hears(MILLI, Result.MISS, took=MILLI)
+    assert face.LoadOrder(first, "f", 1) in drive.hears(MILLI, Result.NOT_LOADED, took=MILLI)
     drive.late(2 * MILLI)
     assert drive.sent == [first, first]
 
@@ -270,7 +272,7 @@
 
 def test_relays_twice_overdue_in_silence_count_against_their_worker_at_once():
     made = gateway()
-    drive = Drive(made, task(track=2))
+    drive = Drive(made, task(request_class=2))
     worker = made.workers[drive.sent[0]]
     while not worker.late:
         drive.late(drive.wishes[-1].until)
@@ -300,7 +302,7 @@
 @pytest.mark.parametrize("track, ended", [(0, True), (1, False), (2, False)])
 def test_late_pure_tasks_make_room_where_the_fleet_is_crowded(track, ended):
     made = gateway()
-    drive = Drive(made, task(track=track))
+    drive = Drive(made, task(request_class=track))
     made.refusals.extend([(SECOND, True)] * 5)
     drive.late(SECOND)
     assert drive.ended is ended and (drive.wishes == [face.Cancel(0), face.Reject(SECOND, "late")]) is ended
@@ -355,9 +357,9 @@
 
 
 def test_the_shortest_contract_time_sets_the_queue_and_least_earnings_go_first():
-    short = IDEMPOTENT._replace(contract_time=SECOND // 2, earnings=3.0)
+    short = IDEMPOTENT._replace(latency_objective=SECOND // 2, priority_weight=3.0)
     made = gateway()
-    made.shortest, made.top_earnings = short.contract_time, 3.0
+    made.shortest, made.top_earnings = short.latency_objective, 3.0
     made.answers.extend(range(0, 640 * MILLI, 10 * MILLI))
     made.hands = {(str(n), 0): ("a", "f", 0, n, True) for n in range(75)}
     assert made.crowded(640 * MILLI, task(), IDEMPOTENT) and not made.crowded(640 * MILLI, task(), short)
--- a/tests/decisions/routing/test_routing_deployments.py
+++ b/tests/decisions/routing/test_routing_deployments.py
@@ -180,7 +180,7 @@
     for name, track, weight in (("a", 0, 0.4), ("b", 2, 1.0)):
         made.hands["t", 0] = (name, "f", track, 0, True)
         made.heard(
-            SECOND, face.Outcome("t", 0, name, Result.ERROR, MILLI, False, face.Found.UNTOLD, None, None)
+            SECOND, face.Outcome("t", 0, name, Result.ERROR, MILLI, False, face.Found.UNKNOWN, None, None)
         )
         assert made.workers[name].results[-1] == (SECOND, track, weight)
 
--- a/tests/decisions/routing/test_sharing.py
+++ b/tests/decisions/routing/test_sharing.py
@@ -21,7 +21,7 @@
     "peer_price": 0.01,
     "peers_allowed": True,
     "gateways": 200,
-    "reported": ("cpu_busy", "memory_busy"),
+    "reported_figures": ("cpu_busy", "memory_busy"),
 }
 
 
@@ -35,7 +35,7 @@
     wish = keeper.send(None)
     while now < until:
         if isinstance(wish, face.Probe):
-            probed.append(wish.worker)
+            probed.append(wish.host)
             wish = keeper.send(None)
         else:
             now = wish.until
@@ -54,7 +54,7 @@
     assert worker.memory == pytest.approx(0.2, abs=0.01)
 
 
-@pytest.mark.parametrize("told", [{"peers_allowed": False}, {"gateways": 1}, {"reported": ()}])
+@pytest.mark.parametrize("told", [{"peers_allowed": False}, {"gateways": 1}, {"reported_figures": ()}])
 def test_nothing_is_told_where_there_is_no_way_nobody_or_nothing(told):
     assert shared(**told).probed(0, "a", True, Report(cpu_busy=0.5)) is None
 
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -39,8 +39,8 @@
     made = gateway(row("a"), row("cold", started=0))
     late = made.workers["cold"].warm_at - 1
     made.spread_credit(late, made.workers["a"])
-    bears = made.terms.cold_multiple * made.terms.cold_share
-    assert terms({"rules": {"fall_multiple": 3}}).cold_multiple == 3
+    bears = made.terms.warm_up_overload * made.terms.warm_up_share
+    assert terms({"rules": {"fall_multiple": 3}}).warm_up_overload == 3
     assert made.power(made.workers["cold"], late) > bears > made.workers["cold"].credit > bears / 2
 
 
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -166,7 +166,7 @@
     made.passes(SECOND)
     assert made.log.came == [1] and made.follower.last == 2
     rows = events.Lister(made.loop, []).rows(seen[0].fleet)
-    assert [row.listed.worker for row in rows] == ["s-2", "s-3"]
+    assert [row.listed.host for row in rows] == ["s-2", "s-3"]
 
 
 @pytest.mark.parametrize(
@@ -324,7 +324,7 @@
     change = event(1, *members, complete=complete)
     for member in change["fleet"]["members"]:
         member.update(told)
-    return {row.listed.worker: row for row in lister.rows(events.known({"results": [change]})[1][0].fleet)}
+    return {row.listed.host: row for row in lister.rows(events.known({"results": [change]})[1][0].fleet)}
 
 
 @pytest.fixture
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -77,7 +77,7 @@
 def told(lister, absent_at, *members):
     """{host: start by the loop's clock} of an event that tells of these members."""
     _, (change,) = events.known({"results": [{"seq": 1, "fleet": {"members": list(members)}}]})
-    return {row.listed.worker: row.listed.started for row in lister.rows(change.fleet, absent_at)}
+    return {row.listed.host: row.listed.started for row in lister.rows(change.fleet, absent_at)}
 
 
 @pytest.fixture
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -201,7 +201,7 @@
         call = Call("7f3a9c21e0b4d655", "", (), b"", f"{worker:>16}", "fault-check")
         hosts.relay(worker, call, Idempotency.IDEMPOTENT, worker, end, end, heard.append)
     made.turns()
-    assert made.dials.waiting == 1 and [each.result for each in heard] == [Result.MOOT]
+    assert made.dials.waiting == 1 and [each.result for each in heard] == [Result.NOT_SENT]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -23,7 +23,7 @@
     connect_time=250 * MILLI,
     order_time=SECOND,
     shared=100,
-    counts_alike=True,
+    same_function_counted=True,
     halts=True,
 )
 CALL = Call("7f3a9c21e0b4d655", "", (), b"Ym9keQ==", "9b1f03aa5c7e2d41", "fault-check")
@@ -76,10 +76,10 @@
     "kind, result",
     [
         ("served", Result.OK),
-        ("not_here", Result.MISS),
+        ("not_here", Result.NOT_LOADED),
         ("overload", Result.FULL),
         ("crashed", Result.ERROR),
-        ("nobody", Result.MOOT),
+        ("nobody", Result.NOT_SENT),
     ],
 )
 def test_what_an_answer_proves(kind, result):
@@ -88,15 +88,18 @@
 
 def test_notes_crowds_and_loads_reach_the_module_in_its_terms():
     heard = lines.heard(reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), True)
-    assert (heard.found, heard.alike) == (Found.AWAITED_LOAD, 3)
+    assert (heard.found, heard.same_function_requests) == (Found.AWAITED_LOAD, 3)
     assert (heard.report.cpu_busy, heard.report.memory_busy, heard.report.in_hand) == (0.61, 0.2, None)
-    assert lines.heard(reply(), True).alike == 0 and lines.heard(reply(), False).alike is None
+    assert (
+        lines.heard(reply(), True).same_function_requests == 0
+        and lines.heard(reply(), False).same_function_requests is None
+    )
     assert lines.load({"meter": "util:lots;inflight:7"}).in_hand == 7 and lines.load({"meter": "x"}) is None
 
 
 @pytest.mark.parametrize("data", ["%%%", "ab", "\u00e9", None])
 def test_a_body_that_is_missing_or_no_base64_ran_and_is_not_passed_on(data):
-    assert lines.heard(reply(data=data), True) == (Result.ERROR, None, Found.UNTOLD, None, None)
+    assert lines.heard(reply(data=data), True) == (Result.ERROR, None, Found.UNKNOWN, None, None)
     assert lines.heard(reply(data=""), True).answer.body == b""
 
 
@@ -114,10 +117,10 @@
     def list(self, state):
         self.hosts.listed([Row(row("h", state=state), self.host.address)], True)
 
-    def relay(self, effect=Idempotency.IDEMPOTENT, mark=CALL.mark, left=SECOND):
+    def relay(self, effect=Idempotency.IDEMPOTENT, mark=CALL.request_id, left=SECOND):
         return self.hosts.relay(
             "h",
-            CALL._replace(mark=mark),
+            CALL._replace(request_id=mark),
             effect,
             "t",
             self.loop.now() + left,
@@ -148,7 +151,7 @@
     made.relay()
     assert made.results(1) == [Result.OK] and made.heard[0].answer.body == CALL.body
     sent = made.host.came[0]
-    assert (sent["req"], sent["data"]) == (CALL.mark, "Ym9keQ==")
+    assert (sent["req"], sent["data"]) == (CALL.request_id, "Ym9keQ==")
     assert sent["meta"]["cls"] == "fault-check" and sent["meta"]["item"] == CALL.model
     assert 900 <= sent["meta"]["limit"] <= 1000
 
@@ -165,7 +168,7 @@
     made = bench(answer=lambda stream, command: None, room=1)
     made.relay()
     made.relay()
-    assert made.results(1) == [Result.MOOT] and made.hosts.doubled == 0  # and opens none beyond the room
+    assert made.results(1) == [Result.NOT_SENT] and made.hosts.doubled == 0  # and opens none beyond the room
     made.hosts.room = 2
     made.relay()
     made.until(lambda: len(made.host.came) == 2)
@@ -178,7 +181,7 @@
     made.until(lambda: late)
     take_back()
     made.until(lambda: len(late) == 2)
-    assert late[1][1] == {"type": "halt", "req": CALL.mark}
+    assert late[1][1] == {"type": "halt", "req": CALL.request_id}
     made.relay()  # the same id: on another connection
     made.until(lambda: len(late) == 3)
     assert late[2][0] is not late[0][0]
@@ -225,7 +228,7 @@
     made.results(2)
     made.host.serve(*held[0])
     assert sorted(result.value for result in made.results(3)) == ["connect failed", "connect failed", "ok"]
-    assert [command["req"] for _, command in held] == [CALL.mark]
+    assert [command["req"] for _, command in held] == [CALL.request_id]
 
 
 def test_a_gone_host_is_forgotten_with_its_connections_and_another_may_have_its_address(bench):
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -62,7 +62,7 @@
     made.order("a", "f", 1, lambda result, copies: told.append((result, copies)))
     made.probe("a", lambda good, report: told.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
-    assert sorted(told, key=len) == [(face.Result.MOOT, 0), Heard(face.Result.MOOT, None)]
+    assert sorted(told, key=len) == [(face.Result.NOT_SENT, 0), Heard(face.Result.NOT_SENT, None)]
     assert not made.hosts["a"].open and not made.hosts["a"].unsent
 
 
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("code", OWN)
 def test_what_had_begun_may_have_run_whatever_ended_it(code):
     assert proof.of_undelivered(Undelivered(True, True, "", fault(code))) is face.Result.RESET
-    assert proof.of_undelivered(Undelivered(False, True, "", fault(code))) is face.Result.MOOT
+    assert proof.of_undelivered(Undelivered(False, True, "", fault(code))) is face.Result.NOT_SENT
     assert proof.of_undelivered(Undelivered(False, True, "closed")) is face.Result.CONNECT_FAILED
 
 
@@ -117,13 +117,13 @@
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
     for _ in range(50):
         made.passes(MILLI)
-    assert told == [face.Result.MOOT]
+    assert told == [face.Result.NOT_SENT]
     drop_all(made)
     made.process.hosts.room = 0
     made.process.hosts.probe("s-0", lambda good, report: told.append(good))
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
     made.turns()
-    assert told == [face.Result.MOOT, face.Result.MOOT]
+    assert told == [face.Result.NOT_SENT, face.Result.NOT_SENT]
 
 
 # The log
--- a/tests/loop/test_syscalls_connecting.py
+++ b/tests/loop/test_syscalls_connecting.py
@@ -200,7 +200,7 @@
 
 @pytest.mark.parametrize("code", [*SHORT, errno.EADDRNOTAVAIL])
 def test_what_this_machine_lacks_is_held_against_no_host(code):
-    assert proof.of_end(False, fault(code), False) is Result.MOOT
+    assert proof.of_end(False, fault(code), False) is Result.NOT_SENT
     assert proof.of_end(True, fault(code), False) is Result.RESET
 
 
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -216,8 +216,13 @@
     )
     made, terms, site = platform_configuration.read_configuration(environment["EDGE_CONFIG"])
     assert command[-1] == "gaproute.platform" and (made.name, made.peers_all) == ("g1", "127.0.0.1:4")
-    assert (terms.gateways, terms.relay_limit, terms.cold_share, terms.peers_allowed) == (40, 3, 0.5, True)
-    assert [track.effect.name for track in terms.tracks] == [
+    assert (terms.gateways, terms.attempt_limit, terms.warm_up_share, terms.peers_allowed) == (
+        40,
+        3,
+        0.5,
+        True,
+    )
+    assert [track.idempotency.name for track in terms.request_classes] == [
         "IDEMPOTENT",
         "NON_IDEMPOTENT",
         "IDEMPOTENT_WITH_KEY",
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -22,9 +22,9 @@
 
 IDEMPOTENT = face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
 IDEMPOTENT_WITH_KEY = IDEMPOTENT._replace(
-    effect=face.Idempotency.IDEMPOTENT_WITH_KEY, repeat_window=2 * SECOND
+    idempotency=face.Idempotency.IDEMPOTENT_WITH_KEY, repeat_window=2 * SECOND
 )
-NON_IDEMPOTENT = IDEMPOTENT._replace(effect=face.Idempotency.NON_IDEMPOTENT)
+NON_IDEMPOTENT = IDEMPOTENT._replace(idempotency=face.Idempotency.NON_IDEMPOTENT)
 TERMS = face.Terms(
     (IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT),
     (),
@@ -72,8 +72,8 @@
     return made
 
 
-def task(name="t", function="f", track=0, time_left=4 * SECOND):
-    return face.Task(name, 0, time_left, function, 4, None, track)
+def task(name="t", function="f", request_class=0, time_left=4 * SECOND):
+    return face.Request(name, 0, time_left, function, 4, None, request_class)
 
 
 class Drive:
@@ -95,7 +95,7 @@
                     break
                 if isinstance(wish, face.Attempt):
                     value = len(self.sent)
-                    self.sent.append(wish.worker)
+                    self.sent.append(wish.host)
         except StopIteration:
             self.ended = True
         self.wishes = wishes
@@ -110,7 +110,7 @@
             told.get("took", 100 * MILLI),
             told.get("ended", result is face.Result.OK),
             told.get("found", face.Found.WARM),
-            told.get("alike"),
+            told.get("same_function_requests"),
             None,
         )
         self.gateway.heard(now, heard)
