--- a/gaproute/decisions/routing/booked.py
+++ b/gaproute/decisions/routing/booked.py
@@ -24,7 +24,7 @@
 
     def told(self, now, words):
         """Another gateway told of a worker's load."""
-        if (heard := self.sharing.words.read(words)) is not None:
+        if (heard := self.sharing.words.decode(words)) is not None:
             self.note(self.workers[heard[0]], now, heard[1])
 
     def stood(self, now, worker_id, name, result, copies):
--- a/gaproute/decisions/routing/known.py
+++ b/gaproute/decisions/routing/known.py
@@ -55,7 +55,7 @@
         for place, worker in enumerate(self.fleet):
             worker.place = place
         self.capacity = sum([worker.capacity for worker in self.fleet])
-        self.sharing.words.listed([worker.id for worker in self.fleet])
+        self.sharing.words.set_hosts([worker.id for worker in self.fleet])
         self.strongest = max([worker.capacity for worker in self.fleet], default=1.0)
         self.all_warm_at = max([worker.warm_at for worker in self.fleet], default=-1)
 
--- a/gaproute/decisions/routing/sharing.py
+++ b/gaproute/decisions/routing/sharing.py
@@ -6,7 +6,7 @@
 no credit, orders nothing and lifts no limit.
 """
 
-from gaproute.decisions.reports.words import Words
+from gaproute.decisions.reports.load_report_codec import LoadReportCodec
 
 WORTH = 0.006  # of the result: what probes and reports told may cost together
 SAVED = 4  # probes that tasks may save up: after a rest no burst, at a steady pace no gap
@@ -17,7 +17,7 @@
 
 class Sharing:
     def __init__(self, terms):
-        self.words = Words(terms.reported_figures)
+        self.words = LoadReportCodec(terms.reported_figures)
         self.tells = terms.peers_allowed and terms.gateways > 1 and bool(self.words.figures)
         telling = terms.peer_price * terms.gateways * self.words.size / MESSAGE
         price = terms.probe_price + (telling if self.tells else 0.0)
@@ -45,4 +45,4 @@
 
     def tell(self, name, report):
         """The words by which all others are told of it; None where they are not."""
-        return self.words.say(name, report) if self.tells and report is not None else None
+        return self.words.encode(name, report) if self.tells and report is not None else None
--- a/tests/decisions/routing/test_sharing.py
+++ b/tests/decisions/routing/test_sharing.py
@@ -7,8 +7,8 @@
 
 from gaproute import interface as face
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports import words as wording
-from gaproute.decisions.reports.words import mark
+from gaproute.decisions.reports import load_report_codec
+from gaproute.decisions.reports.load_report_codec import host_mark
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.sharing import SAVED, WORTH
 from gaproute.decisions.routing.tidy import PROBE_EVERY
@@ -66,7 +66,9 @@
 
 
 def test_two_workers_of_one_mark_are_neither_told_nor_heard(monkeypatch):
-    monkeypatch.setattr(wording, "mark", lambda name: b"zz" if name in "ab" else mark(name))
+    monkeypatch.setattr(
+        load_report_codec, "host_mark", lambda name: b"zz" if name in "ab" else host_mark(name)
+    )
     made = shared()
     assert made.probed(0, "a", True, Report(cpu_busy=0.5)) is None
     made.told(SECOND, b"zz\1\1")
@@ -77,7 +79,7 @@
 def test_any_bytes_are_heard_unharmed(words):
     made = shared()
     made.told(0, words)
-    made.told(0, mark("a") + words)
+    made.told(0, host_mark("a") + words)
 
 
 def test_a_worker_that_is_gone_is_no_longer_told_of():
