--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -4,12 +4,12 @@
 
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, once
-from gaproute.decisions.reports.lore import Lore
-from gaproute.decisions.reports.roll import Roll
+from gaproute.decisions.reports.host_history import HostHistory
+from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.http1 import render
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
-from gaproute.peers import Giver, Learner, wire
+from gaproute.peers import ObservationClient, PeerServer, observation_wire
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import Record
 
@@ -37,32 +37,36 @@
 
     def __init__(self, facts):
         self.facts, self.loop = facts, Loop()
-        self.giver = Giver(self.loop, address("127.0.0.1:0"), Known(facts), Roll(), ["std"], meter=lambda: 0)
+        self.peer_server = PeerServer(
+            self.loop, address("127.0.0.1:0"), Known(facts), HostHistory(), ["std"], meter=lambda: 0
+        )
         record = Record(logger(io.StringIO()), ["std"])
-        self.learner = Learner(self.loop, (), Lore(), lambda subjects: 0, lambda: None, record)
+        self.client = ObservationClient(
+            self.loop, (), SharedObservations(), lambda subjects: 0, lambda: None, record
+        )
         self.answers, self.asks = [], []
 
     def give(self):
         """Makes all answers of a snapshot."""
         cursor = 0
         while True:
-            self.asks.append(wire.ask(cursor, 0, 0))
-            body = self.giver.answer(self.loop.now(), wire.read_ask(self.asks[-1]), 0)
+            self.asks.append(observation_wire.ask(cursor, 0, 0))
+            body = self.peer_server.answer(self.loop.now(), observation_wire.read_ask(self.asks[-1]), 0)
             self.answers.append(body)
-            cursor = wire.read_told(body).next
+            cursor = observation_wire.read_told(body).next
             if not cursor:
                 return
 
     def learn(self):
         """Reads and merges all answers; the module's booking is not in."""
         for body in self.answers:
-            self.learner.take("peer", self.loop.now(), wire.read_told(body))
-        assert len(self.learner.lore.facts) == self.facts
+            self.client.take("peer", self.loop.now(), observation_wire.read_told(body))
+        assert len(self.client.lore.facts) == self.facts
 
     def close(self):
         """Ends both sides."""
-        self.learner.close()
-        self.giver.close()
+        self.client.close()
+        self.peer_server.close()
         self.loop.close()
 
 
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -22,7 +22,7 @@
 
 from gaproute.config import read_peers
 from gaproute.loop import Loop
-from gaproute.peers import Learner
+from gaproute.peers import ObservationClient
 
 SECOND = 1_000_000_000
 LEARNERS = 10
@@ -48,7 +48,7 @@
         state["whole"] += 1
 
     for _ in range(LEARNERS):
-        Learner(loop, peers, Nothing(), lambda subjects: 0, whole, Nothing())
+        ObservationClient(loop, peers, Nothing(), lambda subjects: 0, whole, Nothing())
     loop.after(round(seconds * SECOND), loop.stop)
     loop.run()
     print(json.dumps(state))
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -49,7 +49,7 @@
     def listen(self, others, ready):
         """Take calls that other gateways forward, and the table that they tell, at the address of the peers.
         Returns the front of those calls."""
-        giver = others.giver
+        giver = others.peer_server
         front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
         giver.calls = front.handle
         line = self.line
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -9,10 +9,10 @@
 from itertools import islice
 from typing import Any
 
-from gaproute.decisions.reports.asking import KEEP_EVERY, KEEP_WHOLE
-from gaproute.decisions.reports.facts import OLDEST
-from gaproute.decisions.reports.purse import SLICE, Purse
-from gaproute.decisions.reports.roll import Roll, own
+from gaproute.decisions.reports.cpu_budget import SLICE, CpuBudget
+from gaproute.decisions.reports.exchange_limits import KEEP_EVERY, KEEP_WHOLE
+from gaproute.decisions.reports.host_history import HostHistory, own_observations
+from gaproute.decisions.reports.observation_kinds import OLDEST
 from gaproute.storage import ObservationStore
 from gaproute.storage.observation_rows import Subject, Value
 
@@ -35,13 +35,13 @@
         loop: Any,
         store: ObservationStore,
         gateway: Any,
-        roll: Roll,
+        host_history: HostHistory,
         tracks: list[str],
         cpu_clock: Callable[[], int] = time.thread_time_ns,
     ) -> None:
         self.loop, self.store, self.cpu_clock = loop, store, cpu_clock
-        self.gateway, self.roll, self.tracks = gateway, roll, tracks
-        self.purse = Purse(loop.now())
+        self.gateway, self.host_history, self.tracks = gateway, host_history, tracks
+        self.cpu_budget = CpuBudget(loop.now())
         self.rounds = 0
         self.written_until = EVERYTHING  # ns: what was observed before is on disk
         self.round_written = True  # whether all slices of this round were written
@@ -51,14 +51,14 @@
     def write_slice(self, observations: Observations) -> bool:
         """Write some of the observations within the CPU budget. Returns whether those were the last."""
         now = self.loop.now()
-        if not self.purse.may(now):
+        if not self.cpu_budget.may(now):
             return False
         begun = self.cpu_clock()
         batch, exhausted = self._next_batch(observations, begun)
         self.round_written &= self.store.write(batch)
         spent = self.cpu_clock() - begun
         self.spent, self.longest = self.spent + spent, max(self.longest, spent)
-        self.purse.spend(now, spent)
+        self.cpu_budget.spend(now, spent)
         return exhausted
 
     def close(self) -> None:
@@ -81,7 +81,7 @@
         begun, self.round_written = self.loop.now(), True
         observations = self._observations(begun, EVERYTHING if whole else self.written_until)
         while not self.write_slice(observations):
-            yield self.loop.sleep(self.purse.wait(self.loop.now()))
+            yield self.loop.sleep(self.cpu_budget.wait(self.loop.now()))
         if whole:
             self.store.forget(OLDEST)
         self.written_until = begun if self.round_written else EVERYTHING
@@ -97,4 +97,4 @@
         return batch, True
 
     def _observations(self, now: int, since: int) -> Observations:
-        return iter(own(self.gateway, self.roll, self.tracks, now, since))
+        return iter(own_observations(self.gateway, self.host_history, self.tracks, now, since))
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -11,7 +11,7 @@
 
 def status(gate):
     counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
-    giver, writer, learner = others.giver, others.observation_writer, others.learner
+    server, writer, client = others.peer_server, others.observation_writer, others.observation_client
     transport = others.membership_transport
     return {
         "name": gate.configuration.name,
@@ -36,14 +36,15 @@
         "cells": gate.cells and gate.cells.status(),
         "weak_word": others.gossip and others.gossip.node.status(gate.loop.now()),
         "learnt": {
-            "facts": len(others.lore.facts),
-            "refused": dict(others.lore.refused),
-            "peers": learner.state if learner else {},
-            "booked": learner.booked if learner else 0,
+            "facts": len(others.observations.facts),
+            "refused": dict(others.observations.refused),
+            "peers": client.state if client else {},
+            "booked": client.booked if client else 0,
             "right": sum(each.right for each in decisions(gate)),
             "wrong": sum(each.wrong for each in decisions(gate)),
         },
-        "telling": giver and {"facts": giver.told, "put_off": giver.put_off, "cpu_ms": giver.spent / MILLI},
+        "telling": server
+        and {"facts": server.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
         "memory": writer
         and {
             "written": writer.store.written,
@@ -84,7 +85,7 @@
     for name, function in (pair for each in decisions(gate) for pair in each.functions.items()):
         for tried, table in ((True, function.seen), (False, function.told)):
             for worker, seen in table.items():
-                fact = gate.others.lore.facts.get(("warm", worker, name))
+                fact = gate.others.observations.facts.get(("warm", worker, name))
                 told.append(
                     {
                         "worker": worker,
@@ -103,7 +104,7 @@
 
 def peer_table(gate):
     """The gateways that are known: membership's view, and what each told at the start."""
-    learnt = gate.others.learner.state if gate.others.learner else {}
+    learnt = gate.others.observation_client.state if gate.others.observation_client else {}
     transport = gate.others.membership_transport
     rows = transport.table() if transport else [{"name": name, "state": None} for name in learnt]
     return [row | {"learnt": learnt.get(row["name"])} for row in rows]
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -4,15 +4,15 @@
 from gaproute.appliance.observation_writer import ObservationWriter
 from gaproute.config import read_peers
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.facts import Fact
-from gaproute.decisions.reports.lore import FACTS, Lore
-from gaproute.decisions.reports.roll import Roll
+from gaproute.decisions.reports.host_history import HostHistory
+from gaproute.decisions.reports.observation_kinds import SharedObservation
+from gaproute.decisions.reports.shared_observations import FACTS, SharedObservations
 from gaproute.discovery.listing import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop.streams import address
-from gaproute.peers import Giver, Learner, MembershipTransport
-from gaproute.peers.giver import LIMITS
+from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
+from gaproute.peers.peer_server import LIMITS
 from gaproute.peers.raft.transport import TARGET
 from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import ObservationStore, ObservationStoreError
@@ -38,9 +38,10 @@
         self.cells = cells
         self.loop, self.configuration, self.gateway = loop, configuration, gateway
         self.record, self.seed = record, seed
-        self.giver = self.learner = self.membership_transport = self.gossip = self.watch = self.leases = None
+        self.peer_server = self.observation_client = self.watch = None
+        self.membership_transport = self.gossip = self.leases = None
         self.observation_writer: ObservationWriter | None = None
-        self.roll, self.lore = Roll(), Lore()
+        self.host_history, self.observations = HostHistory(), SharedObservations()
         self.tracks = [line.name for line in configuration.tracks]
         self.chance = Chance(seed + 1)
 
@@ -50,18 +51,24 @@
         limits = LIMITS if line is None else ASKED
         if self.configuration.cells is not None:
             limits = forwarded_limits(limits, self.configuration.clients)
-        self.giver = Giver(self.loop, address(where), self.gateway, self.roll, self.tracks, limits)
+        self.peer_server = PeerServer(
+            self.loop, address(where), self.gateway, self.host_history, self.tracks, limits
+        )
         try:
             self.membership_transport = MembershipTransport(
-                self.loop, self.configuration.name, self.giver.address, Chance(self.seed + 2), self.record
+                self.loop,
+                self.configuration.name,
+                self.peer_server.address,
+                Chance(self.seed + 2),
+                self.record,
             )
             if line is not None:
                 self.leases = LeaseService(
                     self.loop, self.configuration.name, line, self.record, Chance(self.seed + 5)
                 )
-                self.giver.also[TARGET] = self.leases.handle
+                self.peer_server.also[TARGET] = self.leases.handle
         except OSError:
-            self.giver.close()
+            self.peer_server.close()
             raise
         if self.configuration.gossip_enabled:
             self.gossip = GossipTransport(
@@ -71,12 +78,14 @@
                 self.gateway,
                 Chance(self.seed + 4),
             )
-        return self.giver
+        return self.peer_server
 
     def start(self):
         self.remember()
         if self.configuration.peers or self.configuration.peers_file:
-            self.learner = Learner(self.loop, (), self.lore, self.follow, self.whole, self.record)
+            self.observation_client = ObservationClient(
+                self.loop, (), self.observations, self.follow, self.whole, self.record
+            )
             self.listed(self.configuration.peers)
         if self.configuration.peers_file:
             told = self.configuration.peers_file
@@ -84,9 +93,11 @@
 
     def hosts_listed(self, lives):
         """`lives`: {host: (state, start, ns since 1970)} of the whole list."""
-        self.roll.listed(self.loop.now(), lives)
+        self.host_history.listed(self.loop.now(), lives)
         if self.gossip is not None:
-            self.gossip.listed({name: told[1] for name, told in self.roll.told.items() if name in lives})
+            self.gossip.listed(
+                {name: told[1] for name, told in self.host_history.told.items() if name in lives}
+            )
 
     def remember(self):
         """Opens the memory on disk where there is one, and follows what it tells of the past life. One that
@@ -102,26 +113,32 @@
             self._recall(store)
         except ObservationStoreError as fault:
             self.record.event("warning", "observation store unavailable", text=str(fault))
-        self.observation_writer = ObservationWriter(self.loop, store, self.gateway, self.roll, self.tracks)
+        self.observation_writer = ObservationWriter(
+            self.loop, store, self.gateway, self.host_history, self.tracks
+        )
 
     def _recall(self, store):
         now = self.loop.now()
         for subject, value, age in store.read(FACTS):
-            at = self.lore.observed(now, age)
+            at = self.observations.observed(now, age)
             if at is not None:
-                self.lore.tell(subject, Fact(at, "past life", 0, value))
-        booked = self.follow(self.lore.facts)
+                self.observations.tell(subject, SharedObservation(at, "past life", 0, value))
+        booked = self.follow(self.observations.facts)
         self.whole()
         self.record.event(
-            "info", "remembered", facts=len(self.lore.facts), booked=booked, refused=dict(self.lore.refused)
+            "info",
+            "remembered",
+            facts=len(self.observations.facts),
+            booked=booked,
+            refused=dict(self.observations.refused),
         )
 
     def follow(self, subjects):
         tracks = {name: place for place, name in enumerate(self.tracks)}
-        return self.lore.follow(
+        return self.observations.follow(
             self.gateway,
             self.loop.now(),
-            self.roll.lives(),
+            self.host_history.lives(),
             tracks,
             self.configuration.terms.keep_alive,
             self.chance,
@@ -130,7 +147,7 @@
 
     def whole(self):
         """All that one source tells has come: the mix is known now."""
-        self.gateway.hint_mix(self.lore.mix())
+        self.gateway.hint_mix(self.observations.mix())
 
     def listed(self, peers):
         others = [peer for peer in peers if peer.name != self.configuration.name]
@@ -140,7 +157,7 @@
             self.leases.listed({peer.name: peer.where for peer in others})
         if self.cells is not None:
             self.cells.peers({peer.name: peer.where for peer in others})
-        self.learner.listed(others)
+        self.observation_client.listed(others)
 
     def refused(self, mistakes):
         for mistake in mistakes:
@@ -148,7 +165,7 @@
 
     def spent(self):
         """CPU that telling and writing down took, ns."""
-        return sum(part.spent for part in (self.giver, self.observation_writer) if part is not None)
+        return sum(part.spent for part in (self.peer_server, self.observation_writer) if part is not None)
 
     def stop(self):
         for part in (self.membership_transport, self.leases):
@@ -160,7 +177,7 @@
     def close(self):
         for part in (
             self.watch,
-            self.learner,
+            self.observation_client,
             self.gossip,
             self.membership_transport,
             self.leases,
--- a/gaproute/decisions/reports/purse.py
+++ b/gaproute/decisions/reports/cpu_budget.py
@@ -8,7 +8,7 @@
 REST = 5 * MILLI  # between two slices: several turns of a busy loop
 
 
-class Purse:
+class CpuBudget:
     """How much CPU telling may take: a share of the time that passes, a small burst at most, and never two
     slices on end, so that a task waits for one of them at most."""
 
--- a/gaproute/decisions/reports/roll.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -3,7 +3,7 @@
 GONE_KEPT = 1024  # hosts remembered as gone: more than a fleet replaces in a roll
 
 
-class Roll:
+class HostHistory:
     """What a gateway's own host list told of each host, and when; hosts that left it are gone."""
 
     def __init__(self):
@@ -26,7 +26,7 @@
         return {name: started for name, (state, started, _) in self.told.items() if state == "active"}
 
 
-def own(gateway, roll, tracks, now, since=-1):
+def own_observations(gateway, roll, tracks, now, since=-1):
     """What a gateway saw itself since then, one by one: (subject, value, when). `tracks`: their names."""
     for name, (state, started, at) in list(roll.told.items()):
         if at > since:
--- a/gaproute/decisions/reports/facts.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -7,7 +7,7 @@
 OLDEST = 300 * SECOND  # facts older than this are refused: no copy is kept so long, no clock is so right
 
 
-class Fact(NamedTuple):
+class SharedObservation(NamedTuple):
     at: int  # observed, by this gateway's clock, ns
     origin: str  # who observed it
     hops: int
--- a/gaproute/decisions/reports/lore.py
+++ b/gaproute/decisions/reports/shared_observations.py
@@ -3,20 +3,21 @@
 A fact has a subject, a value, the time of the observation on this gateway's clock, who observed it, and over
 how many hops it came: 0 for this gateway's own past life, 1 for a peer's own eyes. Only what a gateway saw
 itself is told on, so no fact travels further and none that a host's end has made void comes back by a third.
-`Lore` holds facts from many givers; merging takes the greater of two by one total order, so it is
-commutative, associative and idempotent. A host that is gone is remembered as such (a tombstone), never as an
-absence.
+`SharedObservations` holds facts from many givers; merging takes the greater of two by one total order, so it
+is commutative, associative and idempotent. A host that is gone is remembered as such (a tombstone), never
+as an absence.
 
 Subjects are tuples: ("warm", worker, function), ("listed", worker), ("doubt", worker, track), ("pace",
 worker), ("usual", function), ("load",), ("share", function). `KINDS` has their values.
 
-The host list of this gateway beats all of it, and whatever it saw itself beats every hint: see `Lore.hints`
-and the hints of `Gateway`. Nothing here orders a load, marks a host as active or lifts a limit of the rules.
+The host list of this gateway beats all of it, and whatever it saw itself beats every hint: see
+`SharedObservations.hints` and the hints of `Gateway`. Nothing here orders a load, marks a host as active or
+lifts a limit of the rules.
 """
 
 from collections import Counter
 
-from gaproute.decisions.reports.facts import KINDS, OLDEST
+from gaproute.decisions.reports.observation_kinds import KINDS, OLDEST
 
 FACTS = 50_000  # facts held: 300 hosts with 160 functions each; beyond it new subjects are refused
 NAME = 256  # characters of a name: what is longer was never a host or a model
@@ -31,9 +32,9 @@
 MIXED = 128  # names that stand for the mix told: half of what the module keeps of its own
 
 
-class Lore:
+class SharedObservations:
     def __init__(self):
-        self.facts = {}  # subject: Fact
+        self.facts = {}  # subject: SharedObservation
         self.copies = {}  # function: workers that somebody saw it warm at, in the order of coming
         self.refused = Counter()  # reason: facts refused, or not followed
 
--- a/gaproute/decisions/routing/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -1,7 +1,7 @@
 """What other gateways or a past life tell, as the module takes it and tells of its own: decisions only.
 
 Evidence that fades alike and gives way to any of one's own. It gives no credit, orders nothing and lifts no
-limit. Only a gateway that is told of others' copies (`gaproute.decisions.reports.lore`) comes here; elsewhere
+limit. Only a gateway that is told of others' copies (`reports/shared_observations.py`) comes here; elsewhere
 nothing is on trial.
 """
 
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -24,7 +24,7 @@
 
 
 class SimulatedGiver:
-    """Has what the table's carrier needs of `gaproute.peers.Giver`; stands in the network's `givers`."""
+    """Has what the table's carrier needs of `gaproute.peers.PeerServer`; stands in the network's `givers`."""
 
     def __init__(self, network, name, address):
         self.network, self.name, self.address, self.also = network, name, address, {}
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -22,13 +22,13 @@
     def __init__(self, surroundings, parts):
         self.surroundings = surroundings
         self.posts = TablePosts(parts["membership"])
-        self.giver = surroundings.open_giver(surroundings.address)
+        self.peer_server = surroundings.open_giver(surroundings.address)
         self.carrier = self.made(
             surroundings.loop,
             surroundings.name,
             surroundings.fleet_name,
             self.posts,
-            self.giver,
+            self.peer_server,
             surroundings.chance(6),
             surroundings.record,
         )
@@ -59,8 +59,8 @@
         disseminator, table = self.carrier.disseminator, self.carrier.table()
         rows = 0 if table is None else len(table.cells)
         return {
-            "messages": self.posts.messages + self.puller.pulls + self.giver.answers,
-            "bytes": self.posts.bytes + self.puller.bytes + self.giver.bytes,
+            "messages": self.posts.messages + self.puller.pulls + self.peer_server.answers,
+            "bytes": self.posts.bytes + self.puller.bytes + self.peer_server.bytes,
             "pulls": self.puller.pulls,
             "rows": rows,
             "entries": rows + len(disseminator.view.names) + len(disseminator.copy.log.changes),
@@ -70,7 +70,7 @@
     def close(self):
         """Stops, and keeps nothing."""
         self.carrier.stop()
-        self.giver.close()
+        self.peer_server.close()
 
 
 class SharedTables(Tables):
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -1,10 +1,10 @@
 """The address at which other gateways ask, as a part: the product's giver, and keepers' messages."""
 
 from gaproute.appliance.others import ASKED
-from gaproute.decisions.reports.roll import Roll
+from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.hollow.parts import Part
 from gaproute.loop.streams import address
-from gaproute.peers import Giver
+from gaproute.peers import PeerServer
 from gaproute.peers.raft.transport import TARGET
 
 
@@ -14,9 +14,11 @@
     def __init__(self, surroundings, parts):
         tracks = [line.name for line in surroundings.configuration.tracks]
         where = address(surroundings.address)
-        self.giver = Giver(surroundings.loop, where, parts["hosts"].gateway, Roll(), tracks, ASKED)
+        self.peer_server = PeerServer(
+            surroundings.loop, where, parts["hosts"].gateway, HostHistory(), tracks, ASKED
+        )
         self.transport = parts["leases"].hosted_node.transport
-        self.giver.also[TARGET] = self.handle
+        self.peer_server.also[TARGET] = self.handle
 
     def handle(self, server, request):
         """A batch of a keeper's messages came."""
@@ -24,8 +26,8 @@
 
     def counters(self):
         """What was told to others that ask, and how often they were put off."""
-        return {"told": self.giver.told, "put_off": self.giver.put_off}
+        return {"told": self.peer_server.told, "put_off": self.peer_server.put_off}
 
     def close(self):
         """Listens no more."""
-        self.giver.close()
+        self.peer_server.close()
--- a/gaproute/peers/__init__.py
+++ b/gaproute/peers/__init__.py
@@ -1,7 +1,7 @@
 """What gateways tell one another. Advice only: nothing that the rules rest on comes from here."""
 
-from gaproute.peers.giver import Giver
-from gaproute.peers.learner import Learner
 from gaproute.peers.membership import MembershipTransport
+from gaproute.peers.observation_client import ObservationClient
+from gaproute.peers.peer_server import PeerServer
 
-__all__ = ["Giver", "MembershipTransport", "Learner"]
+__all__ = ["PeerServer", "MembershipTransport", "ObservationClient"]
--- a/gaproute/peers/learner.py
+++ b/gaproute/peers/observation_client.py
@@ -5,7 +5,7 @@
 that the first chunk, which holds what was used last, helps while the rest is on its way.
 """
 
-from gaproute.decisions.reports.asking import (
+from gaproute.decisions.reports.exchange_limits import (
     ANSWER,
     ANSWER_TIME,
     ASKED,
@@ -15,16 +15,16 @@
     TRIES,
     TRY_AGAIN,
 )
-from gaproute.decisions.reports.lore import Lore
+from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.http1 import Exchange
 from gaproute.loop import Promise
 from gaproute.loop.streams import address
-from gaproute.peers import wire
+from gaproute.peers import observation_wire
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 
-class Learner:
+class ObservationClient:
     """`book(subjects)` hands the module what the lore now holds of them; `done()` at a snapshot's end."""
 
     def __init__(self, loop, peers, lore, book, done, record):
@@ -52,7 +52,7 @@
             if asked > self.ends:
                 self.state[peer.name] = f"told {came} facts" if mark else f"out of time after {came} facts"
                 return
-            answer, stalled = yield self.exchange(peer, wire.ask(cursor, life, mark))
+            answer, stalled = yield self.exchange(peer, observation_wire.ask(cursor, life, mark))
             if answer is not None and answer.status == 503:
                 wait = answer.headers.get(b"gaproute-retry-after-ms", b"")
                 yield self.loop.sleep(min(SECOND, int(wait) * MILLI) if wait.isdigit() else 100 * MILLI)
@@ -61,7 +61,11 @@
                 tries += 1  # not there: it may be starting as well
                 yield self.loop.sleep(TRY_AGAIN)
                 continue
-            told = wire.read_told(answer.body) if answer is not None and answer.status == 200 else None
+            told = (
+                observation_wire.read_told(answer.body)
+                if answer is not None and answer.status == 200
+                else None
+            )
             if told is None:
                 self.state[peer.name] = f"dropped after {came} facts"
                 self.record.event("warning", "peer dropped", peer=peer.name, facts=came)
@@ -100,8 +104,8 @@
 
     def take(self, origin, asked, told):
         """Merges an answer and books what it brought; how many facts it held."""
-        lore = Lore()
-        wire.put(told, asked, origin, lore)
+        lore = SharedObservations()
+        observation_wire.put(told, asked, origin, lore)
         self.lore.merge(lore)
         # Only this answer's subjects are looked at, by what all peers told of them: news of a host that is
         # gone holds whoever told it.
--- a/gaproute/peers/wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -4,8 +4,8 @@
 
 from google.protobuf.message import DecodeError
 
-from gaproute.decisions.reports.asking import ANSWER
-from gaproute.decisions.reports.facts import Fact
+from gaproute.decisions.reports.exchange_limits import ANSWER
+from gaproute.decisions.reports.observation_kinds import SharedObservation
 from gaproute.peers.lore_pb2 import Ask, Told
 
 VERSION = 2
@@ -55,7 +55,7 @@
     def tell(subject, value, age_us):
         at = lore.observed(asked, (age_us + told.held_us) * 1000)
         if at is not None:
-            lore.tell(subject, Fact(at, origin, 1, value))
+            lore.tell(subject, SharedObservation(at, origin, 1, value))
 
     for each in told.listed:
         tell(("listed", each.worker), (each.state, each.started_ns), each.age_us)
--- a/gaproute/peers/giver.py
+++ b/gaproute/peers/peer_server.py
@@ -10,11 +10,11 @@
 
 from google.protobuf.message import DecodeError
 
-from gaproute.decisions.reports.asking import CHUNK, CHUNK_BYTES
-from gaproute.decisions.reports.purse import MILLI, SLICE, Purse
-from gaproute.decisions.reports.roll import own
+from gaproute.decisions.reports.cpu_budget import MILLI, SLICE, CpuBudget
+from gaproute.decisions.reports.exchange_limits import CHUNK, CHUNK_BYTES
+from gaproute.decisions.reports.host_history import own_observations
 from gaproute.http1 import Limits, Server
-from gaproute.peers import wire
+from gaproute.peers import observation_wire
 from gaproute.peers.lore_pb2 import Told
 
 CALLS = b"/v2/"  # what the targets of calls begin with
@@ -33,7 +33,7 @@
         self.chunks, self.size, self.ended = [], 0, False  # chunks: (when built, bytes)
 
 
-class Giver:
+class PeerServer:
     """`gateway` tells what it knows, `roll` what its host list told; `tracks`: their names."""
 
     def __init__(self, loop, where, gateway, roll, tracks, limits=LIMITS, meter=time.thread_time_ns):
@@ -41,7 +41,7 @@
         self.also = {}  # target: handle(server, request), of what else is served here
         self.calls = None  # handle(request) of calls that other gateways forward
         self.loop, self.gateway, self.roll, self.tracks = loop, gateway, roll, tracks
-        self.purse = Purse(loop.now())
+        self.purse = CpuBudget(loop.now())
         self.life = secrets.randbits(63) | 1  # the clock's marks are this process's alone
         self.readings, self.count = {}, 0  # number: Reading
         self.told = self.put_off = self.spent = 0
@@ -66,7 +66,7 @@
             return
         begun = self.meter()
         try:
-            ask = wire.read_ask(request.body)
+            ask = observation_wire.read_ask(request.body)
         except DecodeError:
             self.server.answer(request, 400, (), b"not an Ask\n")
             return
@@ -103,7 +103,7 @@
                 return number
         self.count += 1
         self.readings[self.count] = Reading(
-            now, since < 0, own(self.gateway, self.roll, self.tracks, now, since)
+            now, since < 0, own_observations(self.gateway, self.roll, self.tracks, now, since)
         )
         while len(self.readings) > READINGS or sum(each.size for each in self.readings.values()) > HELD:
             if len(self.readings) == 1:
@@ -112,9 +112,9 @@
         return self.count
 
     def build(self, now, reading, begun):
-        told, size = Told(version=wire.VERSION, life=self.life, mark=reading.begun), 0
+        told, size = Told(version=observation_wire.VERSION, life=self.life, mark=reading.begun), 0
         for count, (subject, value, at) in enumerate(reading.facts, 1):
-            size += wire.add(told, subject, value, now - at)
+            size += observation_wire.add(told, subject, value, now - at)
             self.told += 1
             if count >= CHUNK or size > CHUNK_BYTES or self.meter() - begun > SLICE:
                 break
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -29,7 +29,7 @@
     table, None for none. `record` takes events for operators."""
 
     def __init__(self, loop, name, fleet, gossip, giver, chance, record, cell="", path=None):
-        self.loop, self.gossip, self.giver, self.record = loop, gossip, giver, record
+        self.loop, self.gossip, self.peer_server, self.record = loop, gossip, giver, record
         self.name, self.cell, self.where = name, cell, giver.address
         self.holder = TableHolder(fleet)
         self.disseminator = Disseminator(name, TableDocument(self.holder), chance, loop.now())
@@ -49,7 +49,7 @@
         """Take the table kept on disk, then listen and tell."""
         self._restore()
         self.gossip.register(PayloadKind.CELL_TABLE, self._heard)
-        self.giver.also[TARGET] = answered(self.loop, self.disseminator)
+        self.peer_server.also[TARGET] = answered(self.loop, self.disseminator)
         self._list()
         self._after(())
 
@@ -60,7 +60,7 @@
             self.timer = None
         self.puller.drop()
         self.gossip.unregister(PayloadKind.CELL_TABLE)
-        self.giver.also.pop(TARGET, None)
+        self.peer_server.also.pop(TARGET, None)
         self._write()
 
     def table(self) -> CellTable | None:
--- a/gaproute/storage/observation_rows.py
+++ b/gaproute/storage/observation_rows.py
@@ -17,7 +17,7 @@
 UNKNOWN_BOOT = ""  # equal to no boot: the wall clock is believed
 SIGNED_OFFSET = 1 << 63  # SQLite's integers are signed
 
-Subject = tuple[Any, ...]  # (kind, name, ...), see decisions/reports/facts.py
+Subject = tuple[Any, ...]  # (kind, name, ...), see decisions/reports/observation_kinds.py
 Value = tuple[Any, ...]
 
 
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -86,14 +86,14 @@
 
     monkeypatch.setattr(MembershipTransport.__init__, "__defaults__", (Datagrams, wall))
     second = start("second", "weak-word yes")
-    at = second.others.giver.address
+    at = second.others.peer_server.address
     third = start("third", f"peer second {at}\nweak-word yes")
     node = third.others.gossip.node
     made.until(lambda: "second" in node.table.received)
     before = second.others.membership_transport.membership.incarnation
     second.close()
     ahead[0] = -HOUR_MS
-    lines = (f"listen peers {at}", f"peer third {third.others.giver.address}", "weak-word yes")
+    lines = (f"listen peers {at}", f"peer third {third.others.peer_server.address}", "weak-word yes")
     again = start("second", *lines, listen=False)
     assert again.others.membership_transport.membership.incarnation < before
     made.until(lambda: node.table.latest_incarnation("second") > before)
--- a/tests/decisions/reports/test_lore.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -11,10 +11,10 @@
 
 from gaproute.appliance.operator import knowledge
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.facts import OLDEST, Fact
-from gaproute.decisions.reports.lore import FACTS, SLOWEST, Lore
-from gaproute.decisions.reports.purse import BURST, REST, SHARE, Purse
-from gaproute.decisions.reports.roll import GONE_KEPT, Roll, own
+from gaproute.decisions.reports.cpu_budget import BURST, REST, SHARE, CpuBudget
+from gaproute.decisions.reports.host_history import GONE_KEPT, HostHistory, own_observations
+from gaproute.decisions.reports.observation_kinds import OLDEST, SharedObservation
+from gaproute.decisions.reports.shared_observations import FACTS, SLOWEST, SharedObservations
 from gaproute.interface import Found, Outcome, Result, State
 from gaproute.peers.lore_pb2 import Told
 
@@ -33,29 +33,31 @@
 told = subject.flatmap(
     lambda names: st.tuples(
         st.just(names),
-        st.builds(Fact, st.integers(0, 5), st.sampled_from("ab"), st.integers(0, 1), VALUES[names[0]]),
+        st.builds(
+            SharedObservation, st.integers(0, 5), st.sampled_from("ab"), st.integers(0, 1), VALUES[names[0]]
+        ),
     )
 )
 facts = st.lists(told, max_size=8)
 
 
 def lore(*told):
-    made = Lore()
+    made = SharedObservations()
     for names, fact in told:
         made.tell(names, fact)
     return made
 
 
 def warm(worker="x", function="f", at=NOW, lanes=4, started=0, origin="a"):
-    return ("warm", worker, function), Fact(at, origin, 1, (lanes, started))
+    return ("warm", worker, function), SharedObservation(at, origin, 1, (lanes, started))
 
 
 def listed(worker, state, at, origin="b"):
-    return ("listed", worker), Fact(at, origin, 1, (state, 0))
+    return ("listed", worker), SharedObservation(at, origin, 1, (state, 0))
 
 
 def merged(*parts):
-    made = Lore()
+    made = SharedObservations()
     for part in parts:
         made.merge(part)
     return made
@@ -113,13 +115,13 @@
     many = [warm(name, at=NOW - place * MILLI) for place, name in enumerate("abcdefgh")]
     lives = dict.fromkeys("abcdefgh", 0)
     assert [hint[0] for hint in hints(lore(*many), lives)] == list("abcd")
-    hot = (("share", "f"), Fact(NOW, "a", 1, (0.3,)))
+    hot = (("share", "f"), SharedObservation(NOW, "a", 1, (0.3,)))
     assert [hint[0] for hint in hints(lore(*many, hot), lives)] == list("abcdef")
 
 
 @pytest.mark.parametrize("age", [-1, OLDEST + 1, 1 << 70])
 def test_an_age_that_cannot_be_is_refused(age):
-    made = Lore()
+    made = SharedObservations()
     assert made.observed(NOW, age) is None and made.refused["age"] == 1
     assert made.observed(NOW, SECOND) == NOW - SECOND
 
@@ -143,7 +145,7 @@
     ],
 )
 def test_a_fact_that_cannot_be_is_refused_with_one_counted_reason(names, value, reason):
-    made = lore((names, Fact(1, "a", 1, value)))
+    made = lore((names, SharedObservation(1, "a", 1, value)))
     assert made.facts == {} and made.refused == {reason: 1}
 
 
@@ -153,19 +155,22 @@
 
 
 def test_the_mix_told_stands_for_each_function_by_its_share():
-    made = lore((("share", "f"), Fact(1, "a", 1, (0.5,))), (("share", "g"), Fact(1, "a", 1, (0.25,))))
+    made = lore(
+        (("share", "f"), SharedObservation(1, "a", 1, (0.5,))),
+        (("share", "g"), SharedObservation(1, "a", 1, (0.25,))),
+    )
     mix = made.mix(128)
     assert (mix.count("f"), mix.count("g"), mix.count("")) == (64, 32, 32)
     assert 4 < mix[:16].count("f") < 12
 
 
 def test_shares_that_add_up_to_more_than_all_are_scaled():
-    made = lore(*[(("share", name), Fact(1, "a", 1, (1.0,))) for name in "fgh"])
+    made = lore(*[(("share", name), SharedObservation(1, "a", 1, (1.0,))) for name in "fgh"])
     assert sorted(map(made.mix(128).count, "fgh")) == [42, 43, 43]
 
 
 def test_a_host_that_left_the_list_is_told_as_gone_until_it_is_back():
-    roll = Roll()
+    roll = HostHistory()
     roll.listed(1, {"x": ("active", 5), "y": ("active", 0)})
     roll.listed(2, {"y": ("draining", 0)})
     assert roll.told == {"x": ("gone", 5, 2), "y": ("draining", 0, 2)} and roll.lives() == {}
@@ -174,7 +179,7 @@
 
 
 def test_the_roll_of_the_gone_is_bounded():
-    roll = Roll()
+    roll = HostHistory()
     roll.listed(1, {f"h{number}": ("active", 0) for number in range(2 * GONE_KEPT)})
     roll.listed(2, {})
     roll.listed(3, {})
@@ -182,20 +187,20 @@
 
 
 def test_telling_takes_a_share_of_the_time_and_a_small_burst():
-    purse = Purse(0)
+    purse = CpuBudget(0)
     assert purse.may(0)
     purse.spend(0, BURST + MILLI)
     assert not purse.may(0) and not purse.may(round(0.9 * MILLI / SHARE)) and purse.may(purse.wait(0) + MILLI)
 
 
 def test_two_slices_are_never_told_on_end():
-    purse = Purse(0)
+    purse = CpuBudget(0)
     purse.spend(0, MILLI)
     assert not purse.may(REST - 1) and purse.may(REST)
 
 
 def test_those_put_off_come_again_one_after_the_other():
-    purse = Purse(0)
+    purse = CpuBudget(0)
     purse.spend(0, MILLI)
     assert [purse.wait(0) for _ in range(3)] == [REST, 2 * REST, 3 * REST]
     purse.spend(0, 2 * BURST)
@@ -336,15 +341,15 @@
 
 
 def test_what_is_told_of_workers_comes_with_the_life_the_list_gave_them():
-    made, roll = gateway(row("a")), Roll()
+    made, roll = gateway(row("a")), HostHistory()
     roll.listed(SECOND, {"a": ("active", 77)})
     Drive(made, task(), 2 * SECOND).hears(3 * SECOND, Result.OK)
     Drive(made, task("u"), 3 * SECOND).hears(4 * SECOND, Result.ERROR)
-    told = list(own(made, roll, ("check", "plan", "order"), 5 * SECOND))
+    told = list(own_observations(made, roll, ("check", "plan", "order"), 5 * SECOND))
     assert (("listed", "a"), ("active", 77), SECOND) in told
     assert (("warm", "a", "f"), (4, 77), 3 * SECOND) in told
     assert (("doubt", "a", "check"), (0.4,), 4 * SECOND) in told
-    assert [names for names, _, _ in own(made, roll, ("check",), 5 * SECOND, 3 * SECOND)] == [
+    assert [names for names, _, _ in own_observations(made, roll, ("check",), 5 * SECOND, 3 * SECOND)] == [
         ("doubt", "a", "check")
     ]
 
@@ -353,7 +358,7 @@
     made = gateway(row("a"))
     told = lore(
         *[
-            (names, Fact(1, "g", 1, (value,)))
+            (names, SharedObservation(1, "g", 1, (value,)))
             for names, value in (
                 (("doubt", "z", "check"), 1.0),
                 (("doubt", "a", "no"), 1.0),
@@ -372,7 +377,7 @@
     others = [worker.id for worker in ranked(gateway(*map(row, hosts)), "f")][1:7]
     told = lore(
         *[warm(name, at=59 * SECOND) for name in others],
-        (("share", "f"), Fact(59 * SECOND, "g", 1, (share,))),
+        (("share", "f"), SharedObservation(59 * SECOND, "g", 1, (share,))),
     )
     sent = Counter()
     seeds = random.Random(1)
@@ -416,18 +421,20 @@
     warm_at = json.loads(made.wait(made.ask("lamp", "last")).body)["outputs"][0]["data"][0]
     loads = len(made.seen("loaded"))
     second = start()
-    made.until(lambda: second.others.learner.booked)
+    made.until(lambda: second.others.observation_client.booked)
     made.at = made.at[0], tuple([*made.at[1][:1], int(second.fronts[0].address.rpartition(":")[2])])
     answer = made.wait(made.ask("lamp", "first"))
     assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at and len(made.seen("loaded")) == loads
-    assert made.gate.others.giver.told >= 1 and second.others.learner.state["g"].startswith("told ")
+    assert made.gate.others.peer_server.told >= 1 and second.others.observation_client.state["g"].startswith(
+        "told "
+    )
     assert not second.core.gateway.ration.out and not second.core.gateway.ration.ends
 
 
 def test_an_operator_sees_what_is_known_and_by_what(beside):
     made, start = beside
     second = start()
-    made.until(lambda: second.others.learner.booked)
+    made.until(lambda: second.others.observation_client.booked)
     (own,), (hinted,) = knowledge(made.gate), knowledge(second)
     assert (own["by"], hinted["by"]) == ("an answer", "g")
     assert (own["worker"], own["function"]) == (hinted["worker"], hinted["function"])
@@ -441,8 +448,8 @@
     made.gate.watch.close()  # the giver's own list is late: it still believes in the host
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     second = start()
-    made.until(lambda: second.others.learner.state["g"].startswith("told"))
-    assert second.others.lore.refused["not listed"] and worker not in second.core.gateway.workers
+    made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
+    assert second.others.observations.refused["not listed"] and worker not in second.core.gateway.workers
     assert "lamp" not in second.core.gateway.functions
 
 
@@ -465,13 +472,13 @@
     second = start(where)
     made.at = made.at[0], ("127.0.0.1", int(second.fronts[0].address.rpartition(":")[2]))
     assert made.wait(made.ask("lamp", "meanwhile")).status == 200
-    made.until(lambda: second.others.learner.state["g"] == "dropped after 0 facts")
+    made.until(lambda: second.others.observation_client.state["g"] == "dropped after 0 facts")
     listener.close()
 
 
 def test_a_giver_out_of_budget_puts_off_and_still_tells(beside):
     made, start = beside
-    made.gate.others.giver.purse.spend(made.loop.now(), 11 * MILLI)
+    made.gate.others.peer_server.purse.spend(made.loop.now(), 11 * MILLI)
     second = start()
-    made.until(lambda: second.others.learner.state["g"].startswith("told"))
-    assert made.gate.others.giver.put_off >= 1 and second.others.learner.booked >= 1
+    made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
+    assert made.gate.others.peer_server.put_off >= 1 and second.others.observation_client.booked >= 1
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -13,8 +13,8 @@
 
 def test_gateways_gossip_and_one_where_it_is_off_is_left_as_it_is(fleet):
     made, start = fleet
-    second = start("second", f"peer g {made.gate.others.giver.address}\nweak-word yes")
-    third = start("third", f"peer second {second.others.giver.address}\nweak-word yes")
+    second = start("second", f"peer g {made.gate.others.peer_server.address}\nweak-word yes")
+    third = start("third", f"peer second {second.others.peer_server.address}\nweak-word yes")
     made.at = address(third.fronts[0].address)
     for number in range(4):
         assert made.wait(made.ask("lamp", f"w{number}")).status == 200
@@ -29,7 +29,7 @@
     assert status(third)["weak_word"]["sent"]
     made.until(lambda: node.demand(made.loop.now(), "lamp", 0).received > 0)
     kept = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    host, _, port = second.others.giver.address.rpartition(":")
+    host, _, port = second.others.peer_server.address.rpartition(":")
     for body in (b"x" * 900, b"", b"\x01" * 64):
         noise = word_pb2.Word(version=1, kind=6, weak=body)
         noise.sender.name = "third"
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -8,20 +8,20 @@
 
 from gaproute.appliance.operator import peer_table, status
 from gaproute.config import ConfigurationError, read_configuration, read_peers
-from gaproute.decisions.reports.asking import CHUNK
-from gaproute.decisions.reports.lore import Lore
-from gaproute.decisions.reports.purse import Purse
-from gaproute.decisions.reports.roll import Roll
+from gaproute.decisions.reports.cpu_budget import CpuBudget
+from gaproute.decisions.reports.exchange_limits import CHUNK
+from gaproute.decisions.reports.host_history import HostHistory
+from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.streams import address
-from gaproute.peers import Giver, wire
+from gaproute.peers import PeerServer, observation_wire
 from gaproute.peers.lore_pb2 import Ask, Told
 from tests.appliance.test_gateway import scripted_host
 
 
 def where(appliance):
-    return appliance.others.giver.address
+    return appliance.others.peer_server.address
 
 
 def front(appliance):
@@ -48,7 +48,7 @@
 def test_what_changes_after_the_snapshot_comes_as_well(fleet):
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.others.learner.state["g"].startswith("told"))
+    made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
     assert "lamp" not in second.core.gateway.functions
     assert made.wait(made.ask("lamp", "w1")).status == 200
     made.until(lambda: "lamp" in second.core.gateway.functions)
@@ -64,12 +64,12 @@
         late = f"127.0.0.1:{taken.getsockname()[1]}"
     second = start("second", f"peer late {late}")
     made.rest(100 * MILLI)
-    assert second.others.learner.state["late"] == "asked"
+    assert second.others.observation_client.state["late"] == "asked"
     told = made.gate.others
-    giver = Giver(made.loop, address(late), told.gateway, told.roll, told.tracks)
-    made.until(lambda: second.others.learner.state["late"].startswith("told"))
+    giver = PeerServer(made.loop, address(late), told.gateway, told.host_history, told.tracks)
+    made.until(lambda: second.others.observation_client.state["late"].startswith("told"))
     giver.close()
-    assert second.others.learner.booked
+    assert second.others.observation_client.booked
 
 
 def test_a_list_of_gateways_is_watched_and_names_this_one_without_harm(fleet):
@@ -77,11 +77,14 @@
     peers = made.folder / "peers.list"
     peers.write_text("peer second 127.0.0.1:9\n")
     second = start("second", f"peers-file {peers} look 5ms")
-    assert second.others.membership_transport.membership.members == {} and second.others.learner.state == {}
+    assert (
+        second.others.membership_transport.membership.members == {}
+        and second.others.observation_client.state == {}
+    )
     fresh = made.folder / "fresh"
     fresh.write_text(f"peer second 127.0.0.1:9\npeer g {where(made.gate)}\n")
     fresh.replace(peers)
-    made.until(lambda: second.others.learner.state.get("g", "").startswith("told"))
+    made.until(lambda: second.others.observation_client.state.get("g", "").startswith("told"))
     fresh.write_text("peer g nowhere\n")
     fresh.replace(peers)
     made.until(lambda: any(what == "peer list refused" for what, _ in second.record.events))
@@ -122,7 +125,7 @@
 
     listener = scripted_host(made.loop, act)
     second = start("second", f"peer half {listener.address}")
-    made.until(lambda: second.others.learner.state["half"] == "dropped after 1 facts")
+    made.until(lambda: second.others.observation_client.state["half"] == "dropped after 1 facts")
     listener.close()
     assert set(second.core.gateway.functions["lamp"].told) == {"h1"}
 
@@ -151,7 +154,7 @@
     made.until(lambda: "h1" not in other.rows)
     body = bodies.pop(0)
     held[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    made.until(lambda: other.others.lore.refused["not listed"])
+    made.until(lambda: other.others.observations.refused["not listed"])
     made.at = front(other)
     for model in ("lamp", "crew"):
         assert made.wait(made.ask(model, f"t-{model}")).status == 200
@@ -165,17 +168,19 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     (worker,) = made.gate.core.gateway.functions["lamp"].stands
     second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.others.learner.booked)
+    made.until(lambda: second.others.observation_client.booked)
     third = start("third", f"peer second {where(second)}")
-    made.until(lambda: third.others.learner.state["second"].startswith("told"))
+    made.until(lambda: third.others.observation_client.state["second"].startswith("told"))
     assert "lamp" not in third.core.gateway.functions, "a hint was told on"
     rows = made.list.read_text().splitlines()
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     made.until(lambda: all(worker not in each.rows for each in (made.gate, second, third)))
     fourth = start("fourth", f"peer g {where(made.gate)}", f"peer second {where(second)}")
-    made.until(lambda: all(state.startswith("told") for state in fourth.others.learner.state.values()))
+    made.until(
+        lambda: all(state.startswith("told") for state in fourth.others.observation_client.state.values())
+    )
     assert worker not in fourth.core.gateway.workers
-    made.until(lambda: fourth.others.lore.facts["listed", worker].value[0] == "gone")
+    made.until(lambda: fourth.others.observations.facts["listed", worker].value[0] == "gone")
 
 
 def test_a_host_back_with_a_new_start_does_not_inherit_its_old_copies(fleet):
@@ -186,27 +191,27 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     second = start("second")
     made.relist(*[f"{row} started 2000" for row in rows])
-    made.until(lambda: second.others.roll.lives()["h0"] == 2000 * SECOND)
+    made.until(lambda: second.others.host_history.lives()["h0"] == 2000 * SECOND)
     made.gate.watch.close()  # the giver's own list is late
     told = Told(version=2)
     told.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
-    lore = Lore()
-    wire.put(told, made.loop.now(), "g", lore)
-    second.others.lore.merge(lore)
-    assert second.others.follow(lore.facts) == 0 and second.others.lore.refused == {"another life": 1}
+    lore = SharedObservations()
+    observation_wire.put(told, made.loop.now(), "g", lore)
+    second.others.observations.merge(lore)
+    assert second.others.follow(lore.facts) == 0 and second.others.observations.refused == {"another life": 1}
 
 
 def test_versions_one_apart_understand_each_other():
     older = Told(version=1)
     older.warm.add(worker="x", function="f", lanes=4, age_us=5)
-    lore = Lore()
-    wire.put(wire.read_told(older.SerializeToString()), SECOND, "g", lore)
+    lore = SharedObservations()
+    observation_wire.put(observation_wire.read_told(older.SerializeToString()), SECOND, "g", lore)
     assert list(lore.facts) == [("warm", "x", "f")]
     newer = Told(version=3)
     newer.warm.add(worker="x", function="f", lanes=4, age_us=5)
     data = newer.SerializeToString() + b"\xfa\x01\x03abc"  # field 31, which nobody knows
-    wire.put(wire.read_told(data), SECOND, "g", lore)
-    assert lore.refused == {} and wire.read_told(Told(version=4).SerializeToString()) is None
+    observation_wire.put(observation_wire.read_told(data), SECOND, "g", lore)
+    assert lore.refused == {} and observation_wire.read_told(Told(version=4).SerializeToString()) is None
 
 
 def test_a_list_of_gateways_that_is_wrong_is_refused_whole():
@@ -252,7 +257,7 @@
         function = made.function(f"f{name}", 4)
         function.answered = loop.now() - name * MILLI
         function.stands = {f"w{number}": function.answered for number in range(50)}
-    giver = Giver(loop, address("127.0.0.1:0"), made, Roll(), ("t",))
+    giver = PeerServer(loop, address("127.0.0.1:0"), made, HostHistory(), ("t",))
     yield giver
     giver.close()
     loop.close()
@@ -261,7 +266,7 @@
 def test_a_snapshot_comes_in_chunks_that_take_no_more_than_a_slice(giver):
     facts, cursor, chunks = set(), 0, 0
     while cursor or not chunks:
-        giver.purse = Purse(giver.loop.now())
+        giver.purse = CpuBudget(giver.loop.now())
         told = asked(giver, cursor=cursor)
         assert len(told.warm) <= CHUNK
         facts |= {(each.worker, each.function) for each in told.warm}
@@ -272,14 +277,14 @@
 def test_learners_that_begin_at_one_moment_share_a_reading_and_its_ages_grow(giver):
     first, second = asked(giver), None
     told = giver.told
-    giver.purse = Purse(giver.loop.now())
+    giver.purse = CpuBudget(giver.loop.now())
     giver.readings[1].chunks[0] = (giver.loop.now() - 100 * MILLI, giver.readings[1].chunks[0][1])
     second = asked(giver)
     assert giver.told == told and second.next == first.next and len(giver.readings) == 1
     assert [each.worker for each in second.warm] == [each.worker for each in first.warm]
     assert second.held_us >= 100_000 > first.held_us
-    lore = Lore()
-    wire.put(second, 10 * SECOND, "g", lore)
+    lore = SharedObservations()
+    observation_wire.put(second, 10 * SECOND, "g", lore)
     assert {fact.at for fact in lore.facts.values()} == {
         10 * SECOND - (each.age_us + second.held_us) * 1000 for each in second.warm
     }
@@ -294,25 +299,25 @@
     first = asked(giver)
     giver.gateway.functions.clear()
     giver.gateway.listed(2 * SECOND, [row("w0")], True)
-    giver.purse = Purse(giver.loop.now())
+    giver.purse = CpuBudget(giver.loop.now())
     assert not asked(giver, cursor=first.next).next
 
 
 def test_a_mark_of_another_life_brings_the_whole(giver):
     told = asked(giver, life=giver.life ^ 1, mark=1 << 62)
     assert told.warm and told.life == giver.life
-    giver.purse = Purse(giver.loop.now())
+    giver.purse = CpuBudget(giver.loop.now())
     assert not asked(giver, life=giver.life, mark=1 << 62).warm
 
 
 def test_readings_in_hand_are_bounded(giver):
     for number in range(40):
-        giver.purse = Purse(giver.loop.now())
+        giver.purse = CpuBudget(giver.loop.now())
         asked(giver, life=giver.life, mark=number + 1)
     assert len(giver.readings) == 16
     for reading in giver.readings.values():
         reading.size = 3 << 20
-    giver.purse = Purse(giver.loop.now())
+    giver.purse = CpuBudget(giver.loop.now())
     asked(giver, life=giver.life, mark=41)
     assert len(giver.readings) == 2
 
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_carrier.py
@@ -16,9 +16,9 @@
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
-from gaproute.peers.giver import Giver
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
+from gaproute.peers.peer_server import PeerServer
 from gaproute.peers.tables import TableCarrier, wire
 from gaproute.peers.tables import carrier as carrier_module
 from gaproute.shared.dissemination import DocumentError, Peer
@@ -45,17 +45,17 @@
 
     def __init__(self, loop, name, seed, fleet=FLEET, path=None):
         self.record, self.name = Record(), name
-        self.giver = Giver(loop, address("127.0.0.1:0"), None, None, ())
-        self.gossip = MembershipTransport(loop, name, self.giver.address, Chance(seed), self.record)
+        self.peer_server = PeerServer(loop, address("127.0.0.1:0"), None, None, ())
+        self.gossip = MembershipTransport(loop, name, self.peer_server.address, Chance(seed), self.record)
         self.carrier = TableCarrier(
-            loop, name, fleet, self.gossip, self.giver, Chance(seed + 100), self.record, path=path
+            loop, name, fleet, self.gossip, self.peer_server, Chance(seed + 100), self.record, path=path
         )
         self.taken = []
         self.carrier.on_table(lambda taken: self.taken.append(taken.version))
 
     @property
     def peer(self):
-        return Peer(self.name, self.giver.address)
+        return Peer(self.name, self.peer_server.address)
 
     def refusals(self):
         return [told["reason"] for what, told in self.record.events if what == "cell table refused"]
@@ -63,7 +63,7 @@
     def close(self):
         self.carrier.stop()
         self.gossip.close()
-        self.giver.close()
+        self.peer_server.close()
 
 
 class Fleet:
@@ -213,7 +213,7 @@
     one.carrier.publish(FIRST)
     fleet.until(lambda: two.carrier.table() == FIRST)
     south.carrier.publish(replace(FIRST, fleet="south", version=Version(9, 9)))
-    host, port = two.giver.address.rsplit(":", 1)
+    host, port = two.peer_server.address.rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for body in (b"", b"noise" * 50, b"\x01" * 900) * 5:
             word = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=body)
@@ -241,7 +241,7 @@
             absurd = Announcement(FLEET, Version(1 << 40, 1), 7)
             word = word_pb2.Word(version=1, kind=7, weak=wire.pack_datagram(absurd, address_told))
             word.sender.name = f"liar-{address_told}"
-            host, port = two.giver.address.rsplit(":", 1)
+            host, port = two.peer_server.address.rsplit(":", 1)
             liar.sendto(word.SerializeToString(), (host, int(port)))
         fleet.until(lambda: two.carrier.disseminator.fetching.source is not None)
         change = next_change(FIRST, capacity=7.5)
@@ -254,7 +254,7 @@
     published(fleet)
     answers = []
     for pull in (Pull("south", Version(0, 1)), Pull(FLEET, Version(0, 1), True), Pull(FLEET, Version(0, 1))):
-        one.carrier.puller.ask(one.giver.address, pull, answers.append)
+        one.carrier.puller.ask(one.peer_server.address, pull, answers.append)
         fleet.until(lambda: one.carrier.puller.exchange is None)
     assert answers[0] is None and answers[1].version == Version(1, 1) and answers[2].changes == ()
 
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -10,8 +10,8 @@
 
 from gaproute.appliance.observation_writer import MAX_ROWS_PER_WRITE, ObservationWriter
 from gaproute.appliance.operator import knowledge
-from gaproute.decisions.reports.purse import REST, SLICE
-from gaproute.decisions.reports.roll import Roll
+from gaproute.decisions.reports.cpu_budget import REST, SLICE
+from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.faultinjection.disk import FaultyDisk
 from gaproute.faultinjection.disk_faults import IO_ERROR
 from gaproute.faultinjection.plan import FaultPlan, Script
@@ -74,12 +74,12 @@
 
 
 def test_an_observation_of_the_future_is_refused(store):
-    from gaproute.decisions.reports.lore import Lore
+    from gaproute.decisions.reports.shared_observations import SharedObservations
 
     written(store)
     ((_, _, age),) = store(Clocks(SECOND, 10**18 - 60 * SECOND), "b2").read(9)
     assert age < 0
-    assert Lore().observed(0, age) is None
+    assert SharedObservations().observed(0, age) is None
 
 
 def test_the_last_writing_of_a_subject_stands_and_the_latest_come_first(store):
@@ -357,7 +357,7 @@
     clock = Stepped()
     clock.wall = 10**18
     loop = Loop(clock)
-    made = ObservationWriter(loop, store(clock), gateway(), Roll(), ("t",), lambda: 0)
+    made = ObservationWriter(loop, store(clock), gateway(), HostHistory(), ("t",), lambda: 0)
 
     def run(span):
         end = clock.now + span
@@ -367,10 +367,10 @@
         return {subject[1] for subject, _, _ in made.store.read(9)}
 
     hosts = {"h1": ("active", 5)}
-    made.roll.listed(clock.now, hosts)
+    made.host_history.listed(clock.now, hosts)
     assert run(SECOND) == {"h1"}
     disk.fails(*OUTAGES[0])
-    made.roll.listed(clock.now + 1, hosts | {"h2": ("active", 6)})
+    made.host_history.listed(clock.now + 1, hosts | {"h2": ("active", 6)})
     assert run(2 * SECOND) == set()
     assert made.store.failed
     disk.fault = None
@@ -389,7 +389,7 @@
     first.close()
     loads = len(made.seen("loaded"))
     second = start("alone", line, listen=False)
-    assert second.others.lore.facts
+    assert second.others.observations.facts
     assert [row["by"] for row in knowledge(second)] == ["past life"]
     made.at = front(second)
     assert made.wait(made.ask("lamp", "w2")).status == 200
@@ -409,7 +409,7 @@
 def writer(store):
     """A writer whose clock and CPU stand still: `spends` is what each reading of the meter adds."""
     loop = Loop(Stepped())
-    made = ObservationWriter(loop, store(), gateway(), Roll(), ("t",), lambda: next(made.ticks))
+    made = ObservationWriter(loop, store(), gateway(), HostHistory(), ("t",), lambda: next(made.ticks))
     made.ticks = itertools.repeat(0)
     yield made
     made.close()
@@ -421,10 +421,10 @@
 
 
 def test_writing_takes_no_more_than_its_share(writer):
-    writer.purse.left = -5 * MILLI
+    writer.cpu_budget.left = -5 * MILLI
     assert writer.write_slice(facts(1)) is False
     assert writer.store.written == 0
-    writer.purse.left = 5 * MILLI
+    writer.cpu_budget.left = 5 * MILLI
     assert writer.write_slice(facts(1))
     assert writer.store.written == 1
 
