--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -71,12 +71,12 @@
     where = json.loads(sink.stdout.readline())
     loop, chance = Loop(), random.Random(1)
     hosts = Hosts(loop, pooling)
-    hosts.listed(
+    hosts.update(
         [
             Row(ListedHost(f"h{place}", 0, 0, State.ACTIVE, 1.0, None), each)
             for place, each in enumerate(where)
         ],
-        True,
+        complete=True,
     )
     call, results = Call("m", "", (), b"{}"), {}
     end = loop.now() + round(seconds * SECOND)
@@ -85,7 +85,7 @@
         yield loop.sleep(round(chance.random() * SECOND))
         while loop.now() < end:
             came = Promise()
-            hosts.relay(worker, call, effect, "t", 0, 1 << 62, came.set)
+            hosts.send(worker, call, effect, "t", 0, 1 << 62, came.set)
             heard = yield came
             results[heard.result] = results.get(heard.result, 0) + 1
             yield loop.sleep(SECOND + round(chance.uniform(-4, 4) * MILLI))
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -33,7 +33,7 @@
         self.hosts = Hosts(self.loop, Pooling())
         self.names = [f"host-{number:04}" for number in range(count)]
         rows = [Row(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where) for name in self.names]
-        self.hosts.listed(rows, True)
+        self.hosts.update(rows, complete=True)
 
     def probe_all(self):
         """Probes each host once, a few at a time."""
--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -59,7 +59,7 @@
     def listed(self, lines):
         """Takes a whole list."""
         self.lists += 1
-        self.connections.listed(self.listing.rows(lines), True)
+        self.connections.update(self.listing.rows(lines), complete=True)
 
     def refused(self, mistakes):
         """The list is this module's own: a mistake in it is one of the measurement."""
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -84,7 +84,7 @@
         """A newer table has come."""
         now = self.loop.now()
         self.gateway.adopt(now, table)
-        self.entries.adopt(table)
+        self.entries.apply_table(table)
         self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
         self._want()
         self.core.begin_housekeeping(now)
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -126,7 +126,7 @@
     def enlisted(self, rows):
         """All hosts known: to the connections and the log."""
         before, self.rows = self.rows, {row.listed.worker: row for row in rows}
-        self.hosts.listed(rows, True)
+        self.hosts.update(rows, complete=True)
         changed = [name for name, row in self.rows.items() if before.get(name) != row]
         for name in sorted(changed + [name for name in before if name not in self.rows]):
             new = self.rows.get(name)
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -30,7 +30,7 @@
             "descriptors": descriptors(),
             "kept_back": lot.admission.reserve,
         },
-        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
+        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
         "gateways": others.gossip.membership.live_count() if others.gossip else None,
         "cells": gate.cells and gate.cells.status(),
         "weak_word": others.weak and others.weak.weak.status(gate.loop.now()),
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -5,7 +5,7 @@
 
 
 class CellularCore(Core):
-    """`entries` gives `toward(forward)`: what relays by way of an entry gateway, as `hosts` does."""
+    """`entries` gives `client_for(forward)`: what sends by way of an entry gateway, as `hosts` does."""
 
     def __init__(self, loop, gateway, terms, hosts, record, name, entries):
         super().__init__(loop, gateway, terms, hosts, record, name)
@@ -23,7 +23,7 @@
         """Carry out a relay: to a host, or to an entry gateway of another cell."""
         if isinstance(wish, Forward):
             self.forwarded_out += 1
-            self.begin(self.entries.toward(wish), key, number, wish.worker, wish.until, now)
+            self.begin(self.entries.client_for(wish), key, number, wish.worker, wish.until, now)
         else:
             super().send(key, number, wish, now)
 
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -16,9 +16,9 @@
 
 
 class Core(Ends):
-    """`hosts` gives `relay(worker, call, effect, task, limit, until, done)`, `order(worker, function, copies,
-    done)` and `probe(worker, done)`; the first returns what has `begun`, where it has, whether it is
-    `withdrawable` once nobody waits for it, and `give_up()`."""
+    """`hosts` gives `send(worker, call, effect, task, limit, until, done)`, `order(worker, function, copies,
+    done)` and `probe(worker, done)`; the first returns what has `started`, where it has, whether it is
+    `cancellable` once nobody waits for it, and `cancel()`."""
 
     def __init__(self, loop, gateway, terms, hosts, record, name):
         super().__init__(gateway)
@@ -165,7 +165,7 @@
         held.relays += 1
         if held.step is not None:
             held.step("relay", relay=number, worker=worker)
-        hold = hosts.relay(
+        hold = hosts.send(
             worker,
             held.call,
             self.tracks[held.track].effect,
--- a/gaproute/core/final.py
+++ b/gaproute/core/final.py
@@ -23,7 +23,7 @@
             held.step(ending.value, why=why, after_ms=(now - held.taken) // MILLI, relays=held.relays)
         if now > held.limit:
             self.record.fault(f"answered {(now - held.limit) // MILLI} ms after the limit", held.id)
-        never_ran = not held.ran and not any(hold.begun for _, _, hold in held.out.values())
+        never_ran = not held.ran and not any(hold.started for _, _, hold in held.out.values())
         final = Final(
             ending, answer, stay_away, held.id, held.relays, reason, never_ran, held.cell_unknown, held.found
         )
@@ -37,8 +37,8 @@
         """
         held = self.held[key]
         for number, (_, _, hold) in list(held.out.items()):
-            result = face.Result.TIMEOUT if hold.begun else face.Result.MOOT
-            hold.give_up()
+            result = face.Result.TIMEOUT if hold.started else face.Result.MOOT
+            hold.cancel()
             self._taken_back(key, number, result)
         if held.finish is not None:
             self.record.fault("no final answer by the client's limit", key)
@@ -87,14 +87,14 @@
         connection is taken back whatever the settings say of cancelling: not to begin is none. So is what a
         host has not whole yet, and what another gateway has, which may not have begun it."""
         for number, (_, _, hold) in held.out.items():
-            if not hold.begun or hold.withdrawable:
+            if not hold.started or hold.cancellable:
                 self._take_back(held, number, face.Result.CANCELLED)
 
     def _take_back(self, held, number, result):
         hold = held.out[number][2]
-        if not hold.begun:
+        if not hold.started:
             result = face.Result.MOOT
-        hold.give_up()
+        hold.cancel()
         self.loop.soon(self._taken_back, held.id, number, result)
 
     def _taken_back(self, key, number, result):
--- a/gaproute/hosts/entries.py
+++ b/gaproute/hosts/entries.py
@@ -32,20 +32,20 @@
 
 
 class Toward:
-    """The way to one entry gateway for one call; relays as `Hosts` does."""
+    """The way to one entry gateway for one call; sends as `Hosts` does."""
 
     def __init__(self, entries, forward):
         self.entries, self.forward = entries, forward
 
-    def relay(self, worker, call, effect, task, limit, until, done):
-        """As `Hosts.relay`."""
+    def send(self, worker, call, effect, task, limit, until, done):
+        """As `Hosts.send`."""
         where, fields = self.forward.address, [forwarded.field(self.forward.forwarded)]
         if call.tenant:
             fields.append((b"Gaproute-Tenant", call.tenant))
         if not self.entries.known(where):
             return Never(self.entries.loop, done, Result.CONNECT_FAILED)
         call = call._replace(fields=(*call.fields, *fields))
-        return self.entries.hosts.relay(where, call, effect, task, limit, until, done)
+        return self.entries.hosts.send(where, call, effect, task, limit, until, done)
 
 
 class Entries:
@@ -55,7 +55,7 @@
     def __init__(self, loop, reach, gateway):
         self.loop, self.hosts = loop, EntryHosts(loop, Pooling(), reach, gateway)
 
-    def toward(self, forward):
+    def client_for(self, forward):
         """The way that a wish to forward a call asks for."""
         return Toward(self, forward)
 
@@ -67,13 +67,13 @@
             address(where)
         except (ValueError, OSError):
             return False
-        self.hosts.listed([_row(where)], False)
+        self.hosts.update([_row(where)], complete=False)
         return True
 
-    def adopt(self, table):
+    def apply_table(self, table):
         """Let go of those that a newer table does not name."""
         named = {entry.address for cell in table.cells for entry in cell.entries}
-        self.hosts.listed([_row(where) for where in self.hosts.hosts if where in named], True)
+        self.hosts.update([_row(where) for where in self.hosts.hosts if where in named], complete=True)
 
     def close(self):
         """End all connections."""
@@ -91,11 +91,11 @@
     def _gone(self, worker):
         return worker not in self.hosts or not self.hosts[worker].active
 
-    def relay(self, worker, call, effect, task, limit, until, done):
-        """As `Hosts.relay`."""
+    def send(self, worker, call, effect, task, limit, until, done):
+        """As `Hosts.send`."""
         if self._gone(worker):
             return Never(self.loop, done, Result.MOOT)
-        return super().relay(worker, call, effect, task, limit, until, done)
+        return super().send(worker, call, effect, task, limit, until, done)
 
     def order(self, worker, function, copies, done):
         """As `Hosts.order`."""
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/fleet.py
@@ -52,15 +52,15 @@
         self.hosts, self.host, self.exchange, self.forwards = hosts, host, exchange, forwards
 
     @property
-    def begun(self):
+    def started(self):
         return self.exchange.link is not None
 
     @property
-    def withdrawable(self):
+    def cancellable(self):
         """Whether it is taken back, though begun, where nobody waits for it any more."""
         return self.forwards or not self.exchange.delivered
 
-    def give_up(self):
+    def cancel(self):
         self.hosts.give_up(self.host, self.exchange)
 
 
@@ -70,10 +70,10 @@
     def __init__(self, loop, pooling, reach=REACH, gateway="gaproute"):
         self.loop, self.pooling, self.reach, self.gateway = loop, pooling, reach, gateway.encode()
         self.hosts = {}
-        self.opened = self.reused = self.raced = 0
+        self.opened = self.reused = self.reuse_races = 0
         self.sweep()
 
-    def listed(self, rows, complete):
+    def update(self, rows, *, complete):
         """The host list. From now on nothing more goes to hosts that drain or are gone, also what waits to be
         handed over; what they hold runs on."""
         for row in rows:
@@ -130,7 +130,7 @@
                 and link is not None
                 and self.loop.now() - exchange.started < SECOND
             ):
-                self.raced += 1  # perhaps closed by the host just as it was used
+                self.reuse_races += 1  # perhaps closed by the host just as it was used
             done(answer, undelivered)
 
         exchange = Exchange(self.loop, data, came, until, wanted)
@@ -198,9 +198,9 @@
 
     # What the core wishes
 
-    def relay(self, worker, call, effect, task, limit, until, done):
+    def send(self, worker, call, effect, task, limit, until, done):
         """One relay; `done(heard)` once, never at once. It begins before `until`, while its client is there,
-        or never. Returns what has `begun` and `give_up()`, after which `done` is not called."""
+        or never. Returns what has `started` and `cancel()`, after which `done` is not called."""
         if not call.client_present():
             return Never(self.loop, done, Result.MOOT)
         host = self.hosts[worker]
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/fleet.py
@@ -30,14 +30,14 @@
         if before and self.gone:
             del self.hosts.hosts[self.name]
             self.hosts.pooling.gone(self.name)
-            self.hosts.forgotten(self.name)
+            self.hosts.on_removed(self.name)
 
 
 class Hosts:
-    def __init__(self, loop, pooling, site, room):
-        """`room`: connections to all hosts together."""
-        self.loop, self.pooling, self.room = loop, pooling, room
-        self.forgotten = lambda name: None  # a host is gone for good
+    def __init__(self, loop, pooling, site, max_connections):
+        """`max_connections`: connections to all hosts together."""
+        self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
+        self.on_removed = lambda name: None  # a host is gone for good
         self.connect_time = site.connect_time or 250_000_000
         self.probe_time = self.connect_time
         self.order_time = site.order_time or 10 * SECOND
@@ -46,10 +46,10 @@
         self.idle_time = site.idle_time or None
         self.shared, self.counts, self.halts = site.shared, site.counts_alike, site.halts
         self.hosts, self.tags = {}, 0
-        self.opened = self.reused = self.doubled = self.spoilt = self.strays = self.unread = 0
+        self.opened = self.reused = self.multiplexed = self.malformed = self.unmatched = self.unread = 0
         self.sweep()
 
-    def listed(self, rows, complete):
+    def update(self, rows, *, complete):
         """From now on nothing more goes to hosts that drain or are gone; what they hold runs on."""
         for row in rows:
             host = self.hosts.get(row.listed.worker)
@@ -98,7 +98,7 @@
         elif link is None:
             return None
         elif link.open:
-            self.doubled += 1
+            self.multiplexed += 1
         else:
             self.reused += 1
         asked = Asked(link, name, line, until, done, now, wanted)
@@ -107,7 +107,7 @@
 
     def make_room(self):
         """Whether one more connection fits; an idle one of any host, the longest at rest, ends for it."""
-        if self.links() < self.room:
+        if self.links() < self.max_connections:
             return True
         idle = [link for host in self.hosts.values() for link in host.links if not link.open]
         if idle:
@@ -133,9 +133,9 @@
 
     # What the core wishes
 
-    def relay(self, worker, call, effect, task, limit, until, done):
+    def send(self, worker, call, effect, task, limit, until, done):
         """One relay; `done(heard)` once, never at once. It begins before `until`, while its client is there,
-        or never. Returns what has `begun` and `give_up()`, after which `done` is not called."""
+        or never. Returns what has `started` and `cancel()`, after which `done` is not called."""
         host = self.hosts.get(worker)
         if host is None or not host.active:
             return Never(self.loop, done, Result.CONNECT_FAILED)
@@ -204,7 +204,7 @@
 
         def overtime():
             link = asked.link
-            asked.give_up()
+            asked.cancel()
             if ends and link in host.links and (not link.served or link.heard < asked.sent):
                 link.fail(TimeoutError("nothing came back"))
             done(*late)
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/link.py
@@ -34,11 +34,11 @@
         self.stop = None  # bytes written on its connection up to its end; None: none of it yet
 
     @property
-    def begun(self):
+    def started(self):
         return self.stop is not None
 
     @property
-    def withdrawable(self):
+    def cancellable(self):
         """Whether it is taken back, though begun, where nobody waits for it any more: its host has it whole
         only with its last byte, and may not get that then."""
         return self.link.stream.open and not self.link.handed(self)
@@ -47,7 +47,7 @@
         done, self.done = self.done, None
         return done is not None and done(reply, failure)  # None: it was given up meanwhile
 
-    def give_up(self):
+    def cancel(self):
         """Nobody wants it any more; `done` is not called."""
         self.link.give_up(self)
 
@@ -81,7 +81,7 @@
 
     def begin(self):
         """What waits goes out while the kernel takes it; what may no longer begin never does."""
-        for asked in [asked for asked in self.open.values() if not asked.begun]:
+        for asked in [asked for asked in self.open.values() if not asked.started]:
             now = self.hosts.loop.now()
             if now >= asked.until or not asked.wanted():
                 self.never(asked, Result.MOOT)
@@ -106,7 +106,7 @@
 
     def handed(self, asked):
         """Whether the host may have all of it."""
-        return asked.begun and self.stream.handed >= asked.stop
+        return asked.started and self.stream.handed >= asked.stop
 
     def bytes(self, data):
         self.heard = self.hosts.loop.now()
@@ -118,7 +118,7 @@
         for reply in replies:
             asked = self.open.get(str(reply.req))
             if asked is None or not self.handed(asked):
-                self.hosts.strays += 1
+                self.hosts.unmatched += 1
                 continue
             del self.open[asked.id]
             self.carried.add(asked.id)  # it may go again, and a second answer to this may come yet
@@ -126,7 +126,7 @@
             if asked.end(reply, None):
                 self.carried.discard(asked.id)
         if spoilt is not None:
-            self.hosts.spoilt += 1
+            self.hosts.malformed += 1
             self.fail(spoilt)
         elif not self.open and not (
             self.trusted and self.hosts.pooling.keeps(self.heard, self.host.name, Idempotency.IDEMPOTENT)
@@ -137,7 +137,7 @@
         """The connection is at its end: each request on it has failed, by how far it got."""
         now, ended = self.hosts.loop.now(), []
         for asked in self.open.values():
-            ended.append((asked, proof.of_end(asked.begun, error, isinstance(error, lines.Spoilt))))
+            ended.append((asked, proof.of_end(asked.started, error, isinstance(error, lines.Spoilt))))
             if self.served and self.heard < asked.sent and not isinstance(error, (lines.Spoilt, Unfinished)):
                 self.hosts.pooling.ended(now, self.host.name, asked.sent - self.used, now - asked.sent)
         self.open = {}
@@ -147,7 +147,7 @@
 
     def rest(self):
         """Nothing more begins here: what is at work comes to its end, then the connection closes."""
-        for asked in [asked for asked in self.open.values() if not asked.begun]:
+        for asked in [asked for asked in self.open.values() if not asked.started]:
             self.never(asked, proof.of_end(False, None, False))
         self.trusted = False
         if not self.open:
@@ -161,7 +161,7 @@
         if self.open.get(asked.id) is not asked:
             return
         del self.open[asked.id]
-        if not asked.begun:
+        if not asked.started:
             if not self.open:
                 self.drop()
             return
--- a/gaproute/hosts/never.py
+++ b/gaproute/hosts/never.py
@@ -6,7 +6,7 @@
 class Never:
     """A relay that is not sent; `done` is told so, never at once."""
 
-    begun = False
+    started = False
 
     def __init__(self, loop, done, result):
         self.done = done
@@ -16,5 +16,5 @@
         if self.done is not None:
             self.done(heard)
 
-    def give_up(self):
+    def cancel(self):
         self.done = None
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -54,7 +54,7 @@
         sockets = min(self.configuration.limits.sockets, descriptors())
         clients, to_hosts = share_out(sockets)
         self.hosts = Hosts(loop, Pooling(), self.site, to_hosts)
-        self.hosts.forgotten = self.record.forget
+        self.hosts.on_removed = self.record.forget
         self.core = Core(
             loop, Gateway(seed, self.terms, loop.now()), self.terms, self.hosts, self.record, self.name
         )
@@ -98,7 +98,7 @@
             hosts=len(self.hosts.hosts),
             sockets=self.sockets,
             clients=Lot.of(self.loop).admission.most,
-            to_hosts=self.hosts.room,
+            to_hosts=self.hosts.max_connections,
             limits=self.configuration.limits,
             reported=self.site.reported,
             prices=self.configuration.settings.get("prices"),
@@ -124,7 +124,7 @@
         absent_at = self.follower.current_at if self.follower is not None else None
         rows = self.lister.rows(event.fleet, absent_at)
         complete = event.fleet.complete
-        self.hosts.listed(rows, complete)
+        self.hosts.update(rows, complete=complete)
         self.core.listed([row.listed for row in rows], complete)
         self.log.info(
             "list",
@@ -245,9 +245,9 @@
             displaced=Lot.of(self.loop).displaced,
             opened=hosts.opened,
             reused=hosts.reused,
-            doubled=hosts.doubled,
-            spoilt=hosts.spoilt,
-            strays=hosts.strays,
+            doubled=hosts.multiplexed,
+            spoilt=hosts.malformed,
+            strays=hosts.unmatched,
             late_turns=self.loop.late_turns,
             descriptors=had(lambda: len(os.listdir("/proc/self/fd"))),
             memory_mb=had(memory),
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -32,7 +32,7 @@
     def forward(self, call=CALL, within=SECOND):
         wish = Forward(Entry("gb", self.server.address), 0, Forwarded("b1", 1))
         now = self.loop.now()
-        return self.entries.toward(wish).relay(
+        return self.entries.client_for(wish).send(
             "gb", call, Idempotency.IDEMPOTENT, "t", now + within, now + within, self.heard.append
         )
 
@@ -61,21 +61,21 @@
     way.until(lambda: way.came)
     left = []
     way.came[0].left = lambda: left.append(True)
-    assert hold.begun and hold.withdrawable
-    hold.give_up()
+    assert hold.started and hold.cancellable
+    hold.cancel()
     way.until(lambda: left)
     assert not way.heard
 
 
-@pytest.mark.parametrize("withdrawable", [True, False])
-def test_what_may_not_have_begun_is_taken_back_with_its_client_and_what_runs_is_not(withdrawable):
+@pytest.mark.parametrize("cancellable", [True, False])
+def test_what_may_not_have_begun_is_taken_back_with_its_client_and_what_runs_is_not(cancellable):
     """The decisions here cancel nothing, as where the settings allow none."""
     made = core(relay_and_wait)
     key = take(made)
-    made.held[key].out[0][2].withdrawable = withdrawable
+    made.held[key].out[0][2].cancellable = cancellable
     made.client_left(key)
     turns(made)
-    assert made.hosts.taken_back == ["w"] * withdrawable and bool(made.held) is not withdrawable
+    assert made.hosts.taken_back == ["w"] * cancellable and bool(made.held) is not cancellable
 
 
 @pytest.mark.parametrize("way", ["fin", "reset", "half"])
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -32,21 +32,21 @@
 class Hold:
     """What the hosts give for a relay."""
 
-    withdrawable = False  # its host has it whole
+    cancellable = False  # its host has it whole
 
-    def __init__(self, give_up, begun):
-        self.give_up, self.begun = give_up, begun
+    def __init__(self, cancel, started):
+        self.cancel, self.started = cancel, started
 
 
 class Hosts:
-    begun = True
+    started = True
 
     def __init__(self):
         self.sent, self.taken_back = [], []
 
-    def relay(self, worker, call, effect, task, limit, until, done):
+    def send(self, worker, call, effect, task, limit, until, done):
         self.sent.append(done)
-        return Hold(lambda: self.taken_back.append(worker), self.begun)
+        return Hold(lambda: self.taken_back.append(worker), self.started)
 
 
 class Log:
@@ -166,7 +166,7 @@
         yield face.Reject(0)
 
     made = core(serve)
-    made.hosts.begun = False
+    made.hosts.started = False
     take(made)
     turns(made, 2 * MILLI)
     assert made.finals[0].ending is Ending.REJECTED
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -133,7 +133,7 @@
         self.hosts = Hosts(self.loop, Pooling(), site, 64)
         terms = TERMS._replace(tracks=TRACKS, cancel_allowed=cancel, twins_allowed=twins)
         self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
-        self.hosts.forgotten = self.record.forget
+        self.hosts.on_removed = self.record.forget
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
         self.rows = {name: row(name, started=0) for name in HOSTS}
         self.lives = {name: SimpleNamespace(world=self, name=name) for name in HOSTS}
@@ -260,7 +260,7 @@
         ]
         if way == 5:
             self.rows[name] = self.rows[name]._replace(state=face.State.GONE)
-        self.hosts.listed(shown, True)
+        self.hosts.update(shown, complete=True)
         self.core.listed([each.listed for each in shown], True)
         for host in self.hosts.hosts.values():
             host.where = self.lives[host.name]
@@ -284,7 +284,7 @@
             wire.take()
 
     def connections(self, place, way):
-        self.hosts.room = (1, 2, 64, 64)[way % 4]
+        self.hosts.max_connections = (1, 2, 64, 64)[way % 4]
 
     def end_by(self, place, way):
         if place < 3 and self.last > self.loop.now() + SECOND:
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -216,7 +216,7 @@
 def written_in_part(gate, method="fault-check", **told):
     """A gateway whose one connection to its host took the first half of a request; a client."""
     made = gate(hosts=1, settings=limits(**told), clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     known(made)
     (made.link,) = made.process.hosts.hosts["s-0"].links
     made.clog = made.link.stream.sock = Clogged(made.link.stream.sock, 500)
@@ -246,7 +246,7 @@
 def test_what_else_is_at_work_on_that_connection_may_have_run_and_nothing_is_left_of_it(gate):
     """The connection ends: its host gives up what is open on it."""
     made = gate(silent_at_requests, hosts=1, settings=limits(), clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     known(made)
     (link,) = made.process.hosts.hosts["s-0"].links
     other, client = made.client(), made.client()
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -450,5 +450,5 @@
 def test_what_clients_hosts_and_the_process_may_hold_is_never_more_than_the_limit(gate, sockets):
     process = gate(sockets=sockets).process
     most = process.front.lot.admission.most
-    assert most + process.hosts.room + OWN <= sockets and process.hosts.room > 0
+    assert most + process.hosts.max_connections + OWN <= sockets and process.hosts.max_connections > 0
     assert most >= sockets // 3 or sockets < 64  # what clients may hold by the protocol
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -129,7 +129,7 @@
 
 def test_a_probe_or_an_order_written_in_part_ends_no_connection(gate):
     made = gate(hosts=1, settings=SETTINGS, clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     known(made)
     (link,) = made.process.hosts.hosts["s-0"].links
     clog = link.stream.sock = Clogged(link.stream.sock, 10)
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -103,7 +103,7 @@
 def test_what_the_full_socket_has_taken_no_byte_of_never_begins_once_its_client_left(gate, monkeypatch):
     """One connection serves all, its host reads nothing: the last request waits here, not in a buffer."""
     made = gate(hosts=1, settings=settings(cancel=False), clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     first = made.client()
     first.ask(1)
     made.until(lambda: first.answers)
@@ -118,7 +118,7 @@
         for number in range(1, 9):
             clients[-1].ask(number, i=f"{len(clients):08x}{number:08x}", arg=arg(b"x" * 16000))
         made.turns(5)
-    waits = [each.id for each in link.open.values() if not each.begun]
+    waits = [each.id for each in link.open.values() if not each.started]
     assert waits
     for client in clients:
         client.stream.abort()
@@ -167,7 +167,7 @@
     client.ask(1)
     made.until(lambda: client.answers)
     assert came[0][0] is not came[1][0] and client.answers[0]["result"]["arg"] == arg(b"body 1")
-    assert made.process.hosts.strays == 1
+    assert made.process.hosts.unmatched == 1
 
 
 def test_an_answer_before_its_request_has_gone_out_is_no_answer(slow):
@@ -178,7 +178,7 @@
     (link,) = made.process.hosts.hosts["s-0"].links
     link.open["y"] = links.Asked(link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0)
     link.bytes(b'{"type":"served","req":"y","data":""}\n')
-    assert made.process.hosts.strays == 1 and len(link.open) == 2
+    assert made.process.hosts.unmatched == 1 and len(link.open) == 2
 
 
 def test_a_dial_for_which_there_is_no_descriptor_is_not_held_against_the_host(slow):
@@ -196,10 +196,10 @@
 def test_with_no_room_for_one_more_connection_a_request_is_not_sent_and_no_descriptor_is_taken(slow):
     made, heard = slow(hosts=2), []
     hosts, end = made.process.hosts, made.loop.now() + SECOND
-    hosts.room = 1
+    hosts.max_connections = 1
     for worker in ("s-0", "s-1"):
         call = Call("7f3a9c21e0b4d655", "", (), b"", f"{worker:>16}", "fault-check")
-        hosts.relay(worker, call, Idempotency.IDEMPOTENT, worker, end, end, heard.append)
+        hosts.send(worker, call, Idempotency.IDEMPOTENT, worker, end, end, heard.append)
     made.turns()
     assert made.dials.waiting == 1 and [each.result for each in heard] == [Result.MOOT]
 
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -112,10 +112,10 @@
         self.heard = []
 
     def list(self, state):
-        self.hosts.listed([Row(row("h", state=state), self.host.address)], True)
+        self.hosts.update([Row(row("h", state=state), self.host.address)], complete=True)
 
     def relay(self, effect=Idempotency.IDEMPOTENT, mark=CALL.mark, left=SECOND):
-        return self.hosts.relay(
+        return self.hosts.send(
             "h",
             CALL._replace(mark=mark),
             effect,
@@ -123,7 +123,7 @@
             self.loop.now() + left,
             self.loop.now() + left,
             self.heard.append,
-        ).give_up
+        ).cancel
 
     def until(self, condition):
         turn_until(self.loop, condition)
@@ -158,15 +158,15 @@
     for number in range(4):
         made.relay(mark=f"{number:016x}")
     made.until(lambda: len(made.host.came) == 4)
-    assert len(made.host.streams) == 2 and made.hosts.doubled == 2
+    assert len(made.host.streams) == 2 and made.hosts.multiplexed == 2
 
 
 def test_a_second_relay_of_a_task_never_shares_a_connection_with_the_first(bench):
     made = bench(answer=lambda stream, command: None, room=1)
     made.relay()
     made.relay()
-    assert made.results(1) == [Result.MOOT] and made.hosts.doubled == 0  # and opens none beyond the room
-    made.hosts.room = 2
+    assert made.results(1) == [Result.MOOT] and made.hosts.multiplexed == 0  # and opens none beyond the room
+    made.hosts.max_connections = 2
     made.relay()
     made.until(lambda: len(made.host.came) == 2)
     assert len(made.host.streams) == 2
@@ -185,7 +185,7 @@
     made.host.say(late[0][0], late[0][1], "served", data="b2xk")
     made.host.say(late[2][0], late[2][1], "served", data="bmV3")
     assert made.results(1) == [Result.OK] and made.heard[0].answer.body == b"bmV3"
-    made.until(lambda: made.hosts.strays == 1)
+    made.until(lambda: made.hosts.unmatched == 1)
 
 
 def test_a_copy_or_a_stranger_before_an_answer_harms_nothing(bench):
@@ -197,7 +197,7 @@
     made = bench(answer=answer)
     made.relay()
     assert made.results(1) == [Result.OK] and made.heard[0].answer.body == CALL.body
-    made.until(lambda: made.hosts.strays == 2)
+    made.until(lambda: made.hosts.unmatched == 2)
     made.relay(mark="1" * 16)
     assert made.results(2) == [Result.OK, Result.OK] and len(made.host.streams) == 1
 
@@ -232,9 +232,9 @@
     made = bench()
     made.relay()
     made.results(1)
-    made.hosts.listed([Row(row("h2"), made.host.address)], True)
+    made.hosts.update([Row(row("h2"), made.host.address)], complete=True)
     made.until(lambda: "h" not in made.hosts.hosts)
-    made.hosts.relay(
+    made.hosts.send(
         "h2", CALL, Idempotency.IDEMPOTENT, "t", made.loop.now() + SECOND, 1 << 62, made.heard.append
     )
     assert made.results(2) == [Result.OK, Result.OK]
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -45,7 +45,7 @@
         loops.append(loop)
         made = Hosts(loop, Pooling())
         listed = face.ListedHost("a", 0, 0, face.State.ACTIVE, 1.0, None)
-        made.listed([Row(listed, "127.0.0.1:9")], True)
+        made.update([Row(listed, "127.0.0.1:9")], complete=True)
         return made
 
     yield make
@@ -58,7 +58,7 @@
     made, told = hosts(code), []
     call = Call("f", "", (), b"")
     end = made.loop.now() + SECOND
-    made.relay("a", call, face.Idempotency.NON_IDEMPOTENT, "t", end, end, lambda heard: told.append(heard))
+    made.send("a", call, face.Idempotency.NON_IDEMPOTENT, "t", end, end, lambda heard: told.append(heard))
     made.order("a", "f", 1, lambda result, copies: told.append((result, copies)))
     made.probe("a", lambda good, report: told.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
@@ -119,7 +119,7 @@
         made.passes(MILLI)
     assert told == [face.Result.MOOT]
     drop_all(made)
-    made.process.hosts.room = 0
+    made.process.hosts.max_connections = 0
     made.process.hosts.probe("s-0", lambda good, report: told.append(good))
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
     made.turns()
