--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -19,8 +19,8 @@
 
 from benchmarks.rows import write
 from gaproute.decisions.connections.pooling import LONGEST, Pooling
-from gaproute.hosts.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import Limits, Server
 from gaproute.interface import Idempotency, ListedHost, Result, State
 from gaproute.interface.call import Call
@@ -70,10 +70,10 @@
     )
     where = json.loads(sink.stdout.readline())
     loop, chance = Loop(), random.Random(1)
-    hosts = Hosts(loop, pooling)
+    hosts = KServeClient(loop, pooling)
     hosts.update(
         [
-            Row(ListedHost(f"h{place}", 0, 0, State.ACTIVE, 1.0, None), each)
+            Endpoint(ListedHost(f"h{place}", 0, 0, State.ACTIVE, 1.0, None), each)
             for place, each in enumerate(where)
         ],
         complete=True,
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -8,9 +8,9 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes, once
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.hosts import kserve
-from gaproute.hosts.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.kserve import messages
+from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import render
 from gaproute.interface import ListedHost, State
 from gaproute.loop import Loop, Promise
@@ -30,9 +30,9 @@
         self.listener = subprocess.Popen(command, stdout=subprocess.PIPE)
         (where,) = json.loads(self.listener.stdout.readline())
         self.loop, self.good = Loop(), 0
-        self.hosts = Hosts(self.loop, Pooling())
+        self.hosts = KServeClient(self.loop, Pooling())
         self.names = [f"host-{number:04}" for number in range(count)]
-        rows = [Row(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where) for name in self.names]
+        rows = [Endpoint(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where) for name in self.names]
         self.hosts.update(rows, complete=True)
 
     def probe_all(self):
@@ -97,7 +97,7 @@
 
 def probe_bytes(count, seed):
     """Bytes of a probe of each and its answer."""
-    return count * (len(kserve.ready(WHERE)) + len(render(200, (), b"{}", False)))
+    return count * (len(messages.encode_ready(WHERE)) + len(render(200, (), b"{}", False)))
 
 
 LOOPBACK = "one listener in a process of its own, on loopback"
--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, once
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.discovery.listing import FileWatch, Listing
-from gaproute.hosts.fleet import Hosts
+from gaproute.hosts.kserve.client import KServeClient
 from gaproute.loop import Loop
 
 SIZES = (100, 400, 1_600, 6_400, 25_600)
@@ -43,7 +43,7 @@
         self.path.write_text(host_list(hosts, seed))
         self.loop = Loop()
         self.listing = Listing(self.loop)
-        self.connections = Hosts(self.loop, Pooling())
+        self.connections = KServeClient(self.loop, Pooling())
         self.lists = 0
         self.watch = None
 
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -12,7 +12,7 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve.entry import EntryFront
-from gaproute.hosts.entries import CellHosts, Entries
+from gaproute.hosts.entry_gateways import CellHostClient, EntryGateways
 from gaproute.peers.tables import TableCarrier
 from gaproute.shared.dissemination import Peer
 
@@ -32,8 +32,8 @@
         self.record, self.enlisted = record, enlisted
         place = Place(configuration.name, self.line.region, self.line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), place)
-        self.hosts = CellHosts(loop, Pooling(), reach, configuration.name)
-        self.entries = Entries(loop, reach, configuration.name)
+        self.hosts = CellHostClient(loop, Pooling(), reach, configuration.name)
+        self.entries = EntryGateways(loop, reach, configuration.name)
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
         )
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -16,7 +16,7 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.discovery.listing import FileWatch, Listing
 from gaproute.fronts.kserve import Front
-from gaproute.hosts.fleet import Hosts, Reach
+from gaproute.hosts.kserve.client import ClientSettings, KServeClient
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.loop.loop import READ
@@ -43,10 +43,10 @@
         run = f"{configuration.name}-{secrets.token_hex(3)}"  # task ids stay apart over restarts
         self.record = Record(self.log, [line.name for line in configuration.tracks])
         line = configuration.reach
-        reach = Reach(line.connect, line.probe, line.order, line.connections, line.answer)
+        reach = ClientSettings(line.connect, line.probe, line.order, line.connections, line.answer)
         if configuration.cells is None:
             gateway = configuration.decisions(seed, configuration.terms, loop.now())
-            self.hosts, self.cells = Hosts(loop, Pooling(), reach, configuration.name), None
+            self.hosts, self.cells = KServeClient(loop, Pooling(), reach, configuration.name), None
             self.core = Core(loop, gateway, configuration.terms, self.hosts, self.record, run)
         else:
             self.cells = Cells(loop, configuration, self.record, seed, reach, run, self.enlisted)
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -66,7 +66,7 @@
         told.append(
             {
                 "name": name,
-                "address": row.where,
+                "address": row.address,
                 "state": row.listed.state.value,
                 "capacity": row.listed.capacity,
                 "connections": len(host.open) if host else 0,
--- a/gaproute/discovery/changelog/events.py
+++ b/gaproute/discovery/changelog/events.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from gaproute.discovery.changelog.start_times import StartTimes
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
 from gaproute.interface import ListedHost, State
 from gaproute.loop.streams import address
 
@@ -199,7 +199,7 @@
         size = member.size if 0 < (member.size or 0) < math.inf else 1.0
         told = int(member.up_since_ms) if 0 < (member.up_since_ms or 0) < math.inf else 0
         started = self.started(member.id, told, absent_at)
-        row = Row(ListedHost(member.id, zone, cell, state, size, started), member.host_port)
+        row = Endpoint(ListedHost(member.id, zone, cell, state, size, started), member.host_port)
         self.hosts[member.id] = told, row
         if state is State.GONE:
             del self.hosts[member.id]
--- a/gaproute/discovery/listing.py
+++ b/gaproute/discovery/listing.py
@@ -6,7 +6,7 @@
 
 from gaproute.config import ConfigurationError, read_hosts
 from gaproute.discovery.changelog.start_times import StartTimes
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
 from gaproute.interface import ListedHost, State
 from gaproute.loop.faults import cause_of, is_momentary_read
 
@@ -72,7 +72,7 @@
         listed = ListedHost(
             line.name, zone, rack, STATES[line.state], capacity, self.started(line, absent_at)
         )
-        return Row(listed, line.where)
+        return Endpoint(listed, line.where)
 
     def started(self, line, absent_at):
         known = self.starts.get(line.name)
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -34,7 +34,7 @@
         "Follower.ask",
         "Follower.quiet",
         "Front._sweep",
-        "Hosts.sweep",
+        "JsonLinesClient.sweep",
         "Parking._tick",
         "Process.status",
     )
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -2,14 +2,14 @@
 
 It answers them as a client's, but that it tells the cell's load and what the call found at the host, and that
 a declined call that provably never ran is answered 404 where this gateway does not know the cell, else 429,
-in place of 503: by the proof table of the hosts (`gaproute.hosts.proof`) these two alone prove that. Any
+in place of 503: by the proof table of the hosts (`gaproute.hosts.results`) these two alone prove that. Any
 other declined call stays 503 and scrapped stays 504, which prove nothing.
 """
 
 import msgspec
 
 from gaproute.fronts.kserve.front import Front
-from gaproute.hosts import forwarded, orca
+from gaproute.hosts import forwarding, orca
 from gaproute.interface import Found
 
 NEVER_RAN, NOT_KNOWN_HERE = 429, 404
@@ -30,21 +30,21 @@
     def call(self, request, model, version):
         """A request as a call."""
         call = super().call(request, model, version)
-        told = forwarded.read(request.headers)
+        told = forwarding.decode(request.headers)
         if told is None:
             return call
-        return call._replace(forwarded=told, origin=forwarded.origin(request.headers))
+        return call._replace(forwarded=told, origin=forwarding.decode_origin(request.headers))
 
     def answer(self, request, final, status, fields, body):
         """The one answer to a request."""
-        told = forwarded.read(request.headers)
+        told = forwarding.decode(request.headers)
         if told is not None:
             fields = (*fields, *self._metrics(told.cell, final.found))
         super().answer(request, final, status, fields, body)
 
     def decline_status(self, request, final):
         """The status of a declined call."""
-        if not final.never_ran or forwarded.read(request.headers) is None:
+        if not final.never_ran or forwarding.decode(request.headers) is None:
             return super().decline_status(request, final)
         return NOT_KNOWN_HERE if final.cell_unknown else NEVER_RAN
 
--- a/gaproute/hosts/never.py
+++ b/gaproute/hosts/attempts.py
@@ -3,7 +3,7 @@
 from gaproute.core.core import Heard
 
 
-class Never:
+class UnsentAttempt:
     """A relay that is not sent; `done` is told so, never at once."""
 
     started = False
--- a/gaproute/hosts/rows.py
+++ b/gaproute/hosts/endpoints.py
@@ -5,8 +5,8 @@
 from gaproute.interface import ListedHost
 
 
-class Row(NamedTuple):
+class Endpoint(NamedTuple):
     """What the module is told of it, and where it answers."""
 
     listed: ListedHost
-    where: str
+    address: str
--- a/gaproute/hosts/forwarded.py
+++ b/gaproute/hosts/forwarding.py
@@ -15,19 +15,19 @@
 from gaproute.decisions.cells.entries import MAX_HOPS, Forwarded
 
 HEADER = b"gaproute-forwarded"
-ORIGIN_HEADER, ORIGIN = b"gaproute-task", re.compile(rb"[!-~]{1,256}")
-LONGEST = 3 + 12 * MAX_NAME  # bytes: each character takes 12 at most when it is percent-encoded
+ORIGIN_HEADER, ORIGIN_PATTERN = b"gaproute-task", re.compile(rb"[!-~]{1,256}")
+MAX_HEADER_BYTES = 3 + 12 * MAX_NAME  # bytes: each character takes 12 at most when it is percent-encoded
 
 
-def field(forwarded):
+def encode(forwarded):
     """The header that tells of it."""
     return b"Gaproute-Forwarded", f"{forwarded.hops} {quote(forwarded.cell, safe='')}".encode()
 
 
-def read(headers):
+def decode(headers):
     """What a call's headers tell of how it was forwarded; None where that is nothing, or malformed."""
     value = headers.get(HEADER)
-    if value is None or len(value) > LONGEST:
+    if value is None or len(value) > MAX_HEADER_BYTES:
         return None
     hops, _, cell = value.partition(b" ")
     if not hops.isdigit() or len(hops) > 2 or int(hops) < 1:
@@ -41,7 +41,7 @@
     return Forwarded(name, min(int(hops), MAX_HOPS))
 
 
-def origin(headers):
+def decode_origin(headers):
     """The first gateway's id of a forwarded call; "" where that is not told, or malformed."""
     value = headers.get(ORIGIN_HEADER, b"")
-    return value.decode("ascii") if ORIGIN.fullmatch(value) else ""
+    return value.decode("ascii") if ORIGIN_PATTERN.fullmatch(value) else ""
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -1,9 +1,9 @@
-"""The hosts as sockets that carry lines: relays, orders and probes, each on a connection (`link`)."""
+"""The hosts as sockets that carry lines: relays, orders and probes, each on a connection (`connection`)."""
 
 from gaproute.core.core import Heard
-from gaproute.hosts.jsonlines import lines
-from gaproute.hosts.jsonlines.link import EVER, Asked, Link, Links
-from gaproute.hosts.never import Never
+from gaproute.hosts.attempts import UnsentAttempt
+from gaproute.hosts.jsonlines import messages
+from gaproute.hosts.jsonlines.connection import NO_DEADLINE, Connection, ConnectionSet, PendingRequest
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import always
 from gaproute.loop.streams import address
@@ -14,14 +14,14 @@
 class Host:
     def __init__(self, hosts, row):
         self.hosts, self.name = hosts, row.listed.worker
-        self.links = Links()
+        self.links = ConnectionSet()
         self.active = self.listed = True
         self.gone = False  # at the last look
         self.at(row)
 
     def at(self, row):
         """It is to be found there, in the life that began then."""
-        self.text, self.where, self.started = row.where, address(row.where), row.listed.started
+        self.text, self.where, self.started = row.address, address(row.address), row.listed.started
 
     def forget(self):
         """Gone for good where it was so at the last look too: what its last relays came to is told after
@@ -33,7 +33,7 @@
             self.hosts.on_removed(self.name)
 
 
-class Hosts:
+class JsonLinesClient:
     def __init__(self, loop, pooling, site, max_connections):
         """`max_connections`: connections to all hosts together."""
         self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
@@ -55,7 +55,7 @@
             host = self.hosts.get(row.listed.worker)
             if host is None:
                 host = self.hosts[row.listed.worker] = Host(self, row)
-            elif (host.text, host.started) != (row.where, row.listed.started):
+            elif (host.text, host.started) != (row.address, row.listed.started):
                 self.rest(host)  # what stands leads to what was there before
                 host.at(row)
             host.active = row.listed.state is State.ACTIVE
@@ -93,7 +93,7 @@
             link.drop()  # it shows an end or a word not asked for: a pure task may go again
             link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
         if (link is None or link.open) and self.make_room():
-            link, self.opened = Link(host), self.opened + 1
+            link, self.opened = Connection(host), self.opened + 1
             host.links.add(link)
         elif link is None:
             return None
@@ -101,7 +101,7 @@
             self.multiplexed += 1
         else:
             self.reused += 1
-        asked = Asked(link, name, line, until, done, now, wanted)
+        asked = PendingRequest(link, name, line, until, done, now, wanted)
         link.ask(asked)
         return asked
 
@@ -138,10 +138,10 @@
         or never. Returns what has `started` and `cancel()`, after which `done` is not called."""
         host = self.hosts.get(worker)
         if host is None or not host.active:
-            return Never(self.loop, done, Result.CONNECT_FAILED)
+            return UnsentAttempt(self.loop, done, Result.CONNECT_FAILED)
 
         def came(reply, failure):
-            said = Heard(failure, None) if reply is None else lines.heard(reply, self.counts)
+            said = Heard(failure, None) if reply is None else messages.decode_attempt(reply, self.counts)
             if said is None:
                 self.unread += 1
                 said = Heard(Result.ERROR, None)
@@ -149,22 +149,22 @@
             return said.result is Result.OK
 
         def line(now):
-            return lines.relay(call, limit - now)
+            return messages.encode_attempt(call, limit - now)
 
         asked = self.ask(host, call.mark, line, until, effect, came, call.client_present)
-        return asked or Never(self.loop, done, Result.MOOT)
+        return asked or UnsentAttempt(self.loop, done, Result.MOOT)
 
     def order(self, worker, function, copies, done):
         """A load order; `done(result, copies that stand)` once, never at once."""
 
         def read(reply, failure):
-            return (failure, 0) if reply is None else lines.stands(reply) or (Result.ERROR, 0)
+            return (failure, 0) if reply is None else messages.decode_load_order(reply) or (Result.ERROR, 0)
 
         tag = self.tag()
         self.tagged(
             worker,
             tag,
-            lines.order(tag, function, copies),
+            messages.encode_load_order(tag, function, copies),
             self.order_time,
             read,
             done,
@@ -180,10 +180,12 @@
         def read(reply, failure):
             if failure is Result.MOOT:
                 return None
-            return (reply is not None and lines.health(reply)) or (False, None)
+            return (reply is not None and messages.decode_health(reply)) or (False, None)
 
         tag = self.tag()
-        self.tagged(worker, tag, lines.probe(tag), self.probe_time, read, done, (False, None), (False, None))
+        self.tagged(
+            worker, tag, messages.encode_probe(tag), self.probe_time, read, done, (False, None), (False, None)
+        )
 
     def tagged(self, worker, tag, data, within, read, done, unsent, late, ends=False):
         """`ends`: where nothing came since, the connection ends, so that the request never arrives later."""
@@ -209,7 +211,7 @@
                 link.fail(TimeoutError("nothing came back"))
             done(*late)
 
-        asked = self.ask(host, tag, lambda now: data, EVER, Idempotency.IDEMPOTENT, came)
+        asked = self.ask(host, tag, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, came)
         if asked is None:  # not one more connection can be had here
             self.loop.soon(tell, None, Result.MOOT)
             return
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -1,27 +1,27 @@
 """One connection to a host that carries lines, and the requests on it. What it sees it reports.
 
-Which connection a request goes out on is `decisions.links.pooling`'s choice, what an end proves `proof`'s
-table. A request begins with its first byte in the kernel: until then it waits here, never in a buffer, and
+`decisions.connections.pooling` chooses the connection of a request, `results` tells what an end proves.
+A request begins with its first byte in the kernel: until then it waits here, never in a buffer, and
 is judged when it is written, not when it was asked for.
 """
 
-from gaproute.hosts import proof
-from gaproute.hosts.jsonlines import lines
+from gaproute.hosts import results
+from gaproute.hosts.jsonlines import messages
 from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import always
 from gaproute.loop import Stream, connect
 
 # For a request that has begun to be with the kernel whole, ns: by no more is the limit told in it out when
 # its host can read it.
-WHOLE_WITHIN = 100_000_000
-EVER = 1 << 62  # a time that never comes: of requests whose answer has a time-out of its own
+WRITE_TIMEOUT = 100_000_000
+NO_DEADLINE = 1 << 62  # a time that never comes: of requests whose answer has a time-out of its own
 
 
-class Unfinished(Exception):
+class WriteAbandonedError(Exception):
     """This side ends the connection as a request on it is not to come whole any more."""
 
 
-class Asked:
+class PendingRequest:
     """One request on a connection. `done(reply or None, what its failure proves or None)` once, never at
     once; it returns whether nothing goes out under that id again. `line(now)` gives its bytes, and is asked
     when they are written; `until`: when it may begin at the latest; `wanted()`: whether it still may."""
@@ -52,14 +52,14 @@
         self.link.give_up(self)
 
 
-class Link:
+class Connection:
     """A connection to one host, from the moment it is opened; requests wait on it until it stands."""
 
     def __init__(self, host):
         self.host, self.hosts = host, host.hosts
         loop = self.hosts.loop
-        self.open, self.carried = {}, set()  # id: Asked; ids that may yet be answered once more
-        self.reader, self.stream = lines.Reader(), None
+        self.open, self.carried = {}, set()  # id: PendingRequest; ids that may yet be answered once more
+        self.reader, self.stream = messages.LineReader(), None
         self.written = 0
         self.used = self.heard = loop.now()
         self.trusted, self.served = True, 0
@@ -91,13 +91,13 @@
                 return  # `on_room` asks again
             self.written += len(data)
             asked.stop, asked.line = self.written, None
-            if self.stream.waiting and asked.until < EVER:
-                self.hosts.loop.after(WHOLE_WITHIN, self.look_whole, asked)
+            if self.stream.waiting and asked.until < NO_DEADLINE:
+                self.hosts.loop.after(WRITE_TIMEOUT, self.look_whole, asked)
 
     def look_whole(self, asked):
         """What a host has had in part for so long it gets no more of: the limit in it is no longer true."""
         if self.open.get(asked.id) is asked and not self.handed(asked):
-            self.fail(Unfinished("a request could not be written whole in time"))
+            self.fail(WriteAbandonedError("a request could not be written whole in time"))
 
     def never(self, asked, result):
         """It has not begun and never will."""
@@ -113,7 +113,7 @@
         spoilt = None
         try:
             replies = self.reader.feed(data)
-        except lines.Spoilt as fault:
+        except messages.MalformedLineError as fault:
             spoilt, replies = fault, fault.args[1]
         for reply in replies:
             asked = self.open.get(str(reply.req))
@@ -137,8 +137,19 @@
         """The connection is at its end: each request on it has failed, by how far it got."""
         now, ended = self.hosts.loop.now(), []
         for asked in self.open.values():
-            ended.append((asked, proof.of_end(asked.started, error, isinstance(error, lines.Spoilt))))
-            if self.served and self.heard < asked.sent and not isinstance(error, (lines.Spoilt, Unfinished)):
+            ended.append(
+                (
+                    asked,
+                    results.of_ended_connection(
+                        asked.started, error, isinstance(error, messages.MalformedLineError)
+                    ),
+                )
+            )
+            if (
+                self.served
+                and self.heard < asked.sent
+                and not isinstance(error, (messages.MalformedLineError, WriteAbandonedError))
+            ):
                 self.hosts.pooling.ended(now, self.host.name, asked.sent - self.used, now - asked.sent)
         self.open = {}
         self.drop()
@@ -148,7 +159,7 @@
     def rest(self):
         """Nothing more begins here: what is at work comes to its end, then the connection closes."""
         for asked in [asked for asked in self.open.values() if not asked.started]:
-            self.never(asked, proof.of_end(False, None, False))
+            self.never(asked, results.of_ended_connection(False, None, False))
         self.trusted = False
         if not self.open:
             self.drop()
@@ -165,8 +176,8 @@
             if not self.open:
                 self.drop()
             return
-        if asked.until < EVER and not self.handed(asked):
-            self.fail(Unfinished("a request is taken back before it was written whole"))
+        if asked.until < NO_DEADLINE and not self.handed(asked):
+            self.fail(WriteAbandonedError("a request is taken back before it was written whole"))
             return
         self.carried.add(asked.id)
         if self.hosts.pooling.silent(self.hosts.loop.now(), max(asked.sent, self.heard)):
@@ -175,7 +186,7 @@
             self.drop()
         elif self.hosts.halts:
             self.used = self.hosts.loop.now()
-            self.stream.write(data := lines.halt(asked.id))
+            self.stream.write(data := messages.encode_cancel(asked.id))
             self.written += len(data)
 
     def drop(self):
@@ -189,7 +200,7 @@
             self.stream.abort()
 
 
-class Links(dict):
+class ConnectionSet(dict):
     """An ordered set: what is chosen among them must not hang on addresses in memory."""
 
     def add(self, link):
--- a/gaproute/hosts/jsonlines/lines.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -14,7 +14,7 @@
 from gaproute.interface.call import Answer
 from gaproute.terms import report
 
-LINE = 128 * 1024  # bytes of one answer: a body of 16 KiB in base64 takes 22, and hosts add little
+MAX_LINE_BYTES = 128 * 1024  # bytes of one answer: a body of 16 KiB in base64 takes 22, and hosts add little
 RESULTS = {
     "served": Result.OK,
     "not_here": Result.MISS,
@@ -25,7 +25,7 @@
 NOTES = {"w": Found.WARM, "c": Found.BEGAN_LOAD, "j": Found.AWAITED_LOAD, "f": Found.LOAD_FAILED}
 
 
-class Spoilt(Exception):
+class MalformedLineError(Exception):
     """What came is no line of the protocol: nothing that follows on the connection can be trusted."""
 
 
@@ -40,10 +40,10 @@
 _encode = msgspec.json.encode
 
 
-class Reader:
+class LineReader:
     """Bytes in, whole replies out. Holds at most one unfinished line."""
 
-    def __init__(self, limit=LINE):
+    def __init__(self, limit=MAX_LINE_BYTES):
         self.limit, self.parts, self.held = limit, [], 0
 
     def feed(self, data):
@@ -54,23 +54,23 @@
             if self.parts:
                 line, self.parts, self.held = b"".join((*self.parts, line)), [], 0
             if len(line) > self.limit:
-                raise Spoilt("a line is too long", replies)
+                raise MalformedLineError("a line is too long", replies)
             try:
                 replies.append(_decode(line))
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-                raise Spoilt(f"no line of the protocol: {fault}", replies) from None
+                raise MalformedLineError(f"no line of the protocol: {fault}", replies) from None
         if rest:
             self.parts.append(rest)
             self.held += len(rest)
             if self.held > self.limit:
-                raise Spoilt("a line is too long", replies)
+                raise MalformedLineError("a line is too long", replies)
         return replies
 
 
 # Commands
 
 
-def relay(call, left):
+def encode_attempt(call, left):
     """`left`: how long the gateway will wait, ns."""
     meta = {"cls": call.track, "item": call.model, "limit": max(1, left // 1_000_000)}
     if call.receipt:
@@ -78,22 +78,22 @@
     return _encode({"type": "go", "req": call.mark, "meta": meta, "data": call.body.decode("ascii")}) + b"\n"
 
 
-def halt(mark):
+def encode_cancel(mark):
     return _encode({"type": "halt", "req": mark}) + b"\n"
 
 
-def probe(tag):
+def encode_probe(tag):
     return _encode({"type": "stat", "req": tag}) + b"\n"
 
 
-def order(tag, function, copies):
+def encode_load_order(tag, function, copies):
     return _encode({"type": "stage", "req": tag, "meta": {"item": function, "copies": copies}}) + b"\n"
 
 
 # Answers
 
 
-def heard(reply, counts):
+def decode_attempt(reply, counts):
     """What an answer to a relay proves; None where it is no answer to one. `counts`: whether hosts tell how
     many tasks of the same function they held."""
     result = RESULTS.get(reply.type)
@@ -109,34 +109,36 @@
         answer = Answer(200, (), data)
     alike = None
     if counts and result in (Result.OK, Result.FULL):
-        alike = int(min(figure(reply.meta.get("queue_fn")) or 0, 1 << 20))
-    return Heard(result, answer, NOTES.get(reply.meta.get("tell"), Found.UNTOLD), alike, load(reply.meta))
+        alike = int(min(valid_load(reply.meta.get("queue_fn")) or 0, 1 << 20))
+    return Heard(
+        result, answer, NOTES.get(reply.meta.get("tell"), Found.UNTOLD), alike, decode_load_report(reply.meta)
+    )
 
 
-def health(reply):
+def decode_health(reply):
     """(good, report) of an answer to a probe; None where it is no answer to one."""
     if reply.type not in ("green", "red"):
         return None
-    return reply.type == "green", load(reply.meta)
+    return reply.type == "green", decode_load_report(reply.meta)
 
 
-def stands(reply):
+def decode_load_order(reply):
     """(result, copies that stand) of an answer to an order; None where it is no answer to one."""
     result = RESULTS.get(reply.type)
-    return None if result is None else (result, int(min(figure(reply.meta.get("copies")) or 0, 1 << 20)))
+    return None if result is None else (result, int(min(valid_load(reply.meta.get("copies")) or 0, 1 << 20)))
 
 
-def load(meta):
+def decode_load_report(meta):
     """A load report such as `inflight:7;util:0.61`; what cannot be read was not told."""
     text = meta.get("meter")
     if not isinstance(text, str):
         return None
     pairs = (pair.partition(":") for pair in text.split(";"))
-    figures = {name: figure(value) for name, _, value in pairs}
+    figures = {name: valid_load(value) for name, _, value in pairs}
     return report({name: value for name, value in figures.items() if value is not None})
 
 
-def figure(value):
+def valid_load(value):
     """A finite number that is not negative, sent as a number or as text; else None."""
     try:
         value = float(value)
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/kserve/client.py
@@ -1,24 +1,25 @@
 """The hosts as sockets: kept connections, relays, orders and probes. What it sees it reports; it chooses
 nothing.
 
-Which kept connection is trusted is `decisions.links.pooling`'s choice, what an end proves `proof`'s table.
+`decisions.connections.pooling` chooses the kept connection, `results` tells what an end proves.
 """
 
 from typing import NamedTuple
 
 from gaproute.core.core import Heard
-from gaproute.hosts import kserve, orca, proof
-from gaproute.hosts.never import Never
+from gaproute.hosts import orca, results
+from gaproute.hosts.attempts import UnsentAttempt
+from gaproute.hosts.kserve import messages
 from gaproute.http1 import Exchange
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import Answer
 from gaproute.loop.streams import address
 
 SECOND = 1_000_000_000
-PASSED = (b"content-type", b"inference-header-content-length", b"content-encoding")
+PASSED_HEADERS = (b"content-type", b"inference-header-content-length", b"content-encoding")
 
 
-class Reach(NamedTuple):
+class ClientSettings(NamedTuple):
     """How hosts are reached."""
 
     connect_time: int = 250_000_000
@@ -29,10 +30,10 @@
     head_limit: int = 65536
 
 
-REACH = Reach()
+DEFAULT_SETTINGS = ClientSettings()
 
 
-class Host:
+class HostConnections:
     __slots__ = ("name", "where", "text", "idle", "open", "unsent", "active")
 
     def __init__(self, name, where):
@@ -45,7 +46,7 @@
         self.text, self.where = where.encode(), address(where)
 
 
-class Sent:
+class SentAttempt:
     """The core's hold of a relay. `forwards`: another gateway has it, and no host yet."""
 
     def __init__(self, hosts, host, exchange, forwards=False):
@@ -64,11 +65,11 @@
         self.hosts.give_up(self.host, self.exchange)
 
 
-class Hosts:
+class KServeClient:
     forwards = False  # whether what is reached are other gateways
 
-    def __init__(self, loop, pooling, reach=REACH, gateway="gaproute"):
-        self.loop, self.pooling, self.reach, self.gateway = loop, pooling, reach, gateway.encode()
+    def __init__(self, loop, pooling, settings=DEFAULT_SETTINGS, gateway="gaproute"):
+        self.loop, self.pooling, self.settings, self.gateway = loop, pooling, settings, gateway.encode()
         self.hosts = {}
         self.opened = self.reused = self.reuse_races = 0
         self.sweep()
@@ -79,10 +80,10 @@
         for row in rows:
             host = self.hosts.get(row.listed.worker)
             if host is None:
-                host = self.hosts[row.listed.worker] = Host(row.listed.worker, row.where)
-            elif row.where.encode() != host.text:
+                host = self.hosts[row.listed.worker] = HostConnections(row.listed.worker, row.address)
+            elif row.address.encode() != host.text:
                 self.rest(host)
-                host.move(row.where)
+                host.move(row.address)
             host.active = row.listed.state is State.ACTIVE
         if complete:
             named = {row.listed.worker for row in rows}
@@ -137,7 +138,7 @@
         if link is not None:
             self.reused += 1
             return exchange.on(link)
-        if len(host.open) >= self.reach.connections:
+        if len(host.open) >= self.settings.connections:
             return None
         self.opened += 1
 
@@ -147,7 +148,11 @@
 
         host.unsent[exchange] = None
         return exchange.open(
-            host.where, self.reach.connect_time, self.reach.head_limit, self.reach.answer_limit, linked
+            host.where,
+            self.settings.connect_time,
+            self.settings.head_limit,
+            self.settings.answer_limit,
+            linked,
         )
 
     def kept(self, host, effect, now):
@@ -202,30 +207,32 @@
         """One relay; `done(heard)` once, never at once. It begins before `until`, while its client is there,
         or never. Returns what has `started` and `cancel()`, after which `done` is not called."""
         if not call.client_present():
-            return Never(self.loop, done, Result.MOOT)
+            return UnsentAttempt(self.loop, done, Result.MOOT)
         host = self.hosts[worker]
 
         def came(answer, undelivered):
             if answer is None:
-                result = Result.MOOT if undelivered.lapsed else proof.of_undelivered(undelivered)
+                result = Result.MOOT if undelivered.lapsed else results.of_undelivered(undelivered)
                 done(Heard(result, None))
                 return
-            report, found, alike = orca.read(answer.headers)
-            result, told = proof.of_answer(answer.status), None
+            report, found, alike = orca.decode_headers(answer.headers)
+            result, told = results.of_status(answer.status), None
             if result is Result.OK:
-                fields = tuple((name, answer.headers[name]) for name in PASSED if name in answer.headers)
+                fields = tuple(
+                    (name, answer.headers[name]) for name in PASSED_HEADERS if name in answer.headers
+                )
                 told = Answer(answer.status, fields, answer.body)
             done(Heard(result, told, found, alike, report))
 
         request = self.request(call, task, host, until)
         exchange = self.exchange(host, request, effect, came, until, call.client_present)
         if exchange is None:
-            return Never(self.loop, done, Result.FULL)
-        return Sent(self, host, exchange, self.forwards)
+            return UnsentAttempt(self.loop, done, Result.FULL)
+        return SentAttempt(self, host, exchange, self.forwards)
 
     def request(self, call, task, host, until):
         """The bytes of a relay, or what makes them as they are handed over."""
-        return kserve.infer(call, task, host.text)
+        return messages.encode_infer(call, task, host.text)
 
     def order(self, worker, function, copies, done):
         """A load order; `done(result, copies that stand)` once, never at once."""
@@ -235,21 +242,24 @@
             if timer is not None:
                 timer.cancel()
             if answer is None:
-                done(proof.of_undelivered(undelivered), 0)
+                done(results.of_undelivered(undelivered), 0)
             elif answer.status == 200:
-                done(Result.OK, kserve.standing(answer.body))
+                done(Result.OK, messages.decode_load(answer.body))
             else:
                 done(Result.FULL if answer.status in (404, 409, 429) else Result.ERROR, 0)
 
         timer = None
         exchange = self.exchange(
-            host, kserve.load(function, copies, host.text, self.gateway), Idempotency.IDEMPOTENT, came
+            host,
+            messages.encode_load(function, copies, host.text, self.gateway),
+            Idempotency.IDEMPOTENT,
+            came,
         )
         if exchange is None:
             self.loop.soon(done, Result.FULL, 0)
             return
         timer = self.loop.after(
-            self.reach.order_time, lambda: (self.give_up(host, exchange), done(Result.TIMEOUT, 0))
+            self.settings.order_time, lambda: (self.give_up(host, exchange), done(Result.TIMEOUT, 0))
         )
 
     def probe(self, worker, done):
@@ -260,17 +270,17 @@
         def came(answer, undelivered):
             if timer is not None:
                 timer.cancel()
-            if answer is None and proof.of_undelivered(undelivered) is Result.MOOT:
+            if answer is None and results.of_undelivered(undelivered) is Result.MOOT:
                 return
             good = answer is not None and answer.status == 200
-            done(good, orca.read(answer.headers)[0] if good else None)
+            done(good, orca.decode_headers(answer.headers)[0] if good else None)
 
         timer = None
-        exchange = self.exchange(host, kserve.ready(host.text), Idempotency.IDEMPOTENT, came)
+        exchange = self.exchange(host, messages.encode_ready(host.text), Idempotency.IDEMPOTENT, came)
         if exchange is None:
             return
         timer = self.loop.after(
-            self.reach.probe_time, lambda: (self.give_up(host, exchange), done(False, None))
+            self.settings.probe_time, lambda: (self.give_up(host, exchange), done(False, None))
         )
 
     def close(self):
--- a/gaproute/hosts/kserve.py
+++ b/gaproute/hosts/kserve/messages.py
@@ -19,21 +19,21 @@
 
 
 @lru_cache(4096)
-def path(function):
+def model_path(function):
     """`lamp/2` as the path of version 2 of model lamp, in bytes; names are quoted."""
     model, _, version = function.partition("/")
     text = f"/v2/models/{quote(model, '')}" + (f"/versions/{quote(version, '')}" if version else "")
     return text.encode()
 
 
-def infer(call, task, host):
+def encode_infer(call, task, host):
     """The client's body and fields as they came; `Gaproute-Task` is the mark by which a repeat is known: the
     same by whichever gateways a call comes."""
-    fields = call.fields + ((b"Gaproute-Task", (call.origin or task).encode()), orca.ASK)
-    return _request(b"POST", path(call.function) + b"/infer", host, fields, call.body)
+    fields = call.fields + ((b"Gaproute-Task", (call.origin or task).encode()), orca.REQUEST_FIELD)
+    return _request(b"POST", model_path(call.function) + b"/infer", host, fields, call.body)
 
 
-def load(function, copies, host, gateway):
+def encode_load(function, copies, host, gateway):
     """An order to hold so many copies; 0 only asks."""
     model, _, version = function.partition("/")
     parameters = {"copies": copies} | ({"version": version} if version else {})
@@ -46,7 +46,7 @@
     )
 
 
-def standing(body):
+def decode_load(body):
     """Copies that stand, from an answer to `load`; 0 where it does not tell."""
     try:
         told = msgspec.json.decode(body, type=dict)
@@ -56,5 +56,5 @@
     return copies if isinstance(copies, int) and not isinstance(copies, bool) and copies >= 0 else 0
 
 
-def ready(host):
-    return _request(b"GET", b"/v2/health/ready", host, (orca.ASK,), None)
+def encode_ready(host):
+    return _request(b"GET", b"/v2/health/ready", host, (orca.REQUEST_FIELD,), None)
--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -15,26 +15,26 @@
 from gaproute.interface import Found, Report
 
 HEADER = b"endpoint-load-metrics"
-ASK = (b"endpoint-load-metrics-format", b"JSON")
+REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")
 
 
-class Load(msgspec.Struct):
+class LoadReport(msgspec.Struct):
     cpu_utilization: float | None = None
     mem_utilization: float | None = None
     named_metrics: dict[str, float] = {}
 
 
-_decode = msgspec.json.Decoder(Load).decode
+_decode = msgspec.json.Decoder(LoadReport).decode
 
 
-def parse(value):
-    """A header's value as `Load`, or None where it is not one."""
+def decode_value(value):
+    """A header's value as `LoadReport`, or None where it is not one."""
     form, _, text = value.strip().partition(b" ")
     try:
         if form == b"JSON":
             return _decode(text)
         if form == b"TEXT":
-            told = Load(named_metrics={})
+            told = LoadReport(named_metrics={})
             for pair in text.decode().split(","):
                 name, _, figure = pair.strip().partition("=")
                 if name.startswith("named_metrics."):
@@ -47,20 +47,20 @@
     return None
 
 
-def read(headers):
+def decode_headers(headers):
     """(report or None, found, alike or None) of an answer's headers."""
     value = headers.get(HEADER)
-    told = parse(value) if value is not None else None
+    told = decode_value(value) if value is not None else None
     if told is None:
         return None, Found.UNTOLD, None
     named = told.named_metrics
     report = Report(
-        figure(named.get("in_hand")),
-        figure(named.get("queue")),
-        figure(told.cpu_utilization),
-        figure(told.mem_utilization),
+        valid_load(named.get("in_hand")),
+        valid_load(named.get("queue")),
+        valid_load(told.cpu_utilization),
+        valid_load(told.mem_utilization),
     )
-    copy, alike = figure(named.get("copy")), figure(named.get("alike"))
+    copy, alike = valid_load(named.get("copy")), valid_load(named.get("alike"))
     found = Found(int(copy)) if copy in (1, 2, 3, 4) else Found.UNTOLD
     return (
         report if any(part is not None for part in report) else None,
@@ -69,6 +69,6 @@
     )
 
 
-def figure(value):
+def valid_load(value):
     """A load is a finite number that is not negative; anything else was not told."""
     return value if value is not None and math.isfinite(value) and value >= 0 else None
--- a/gaproute/hosts/proof.py
+++ b/gaproute/hosts/results.py
@@ -16,32 +16,32 @@
 from gaproute.interface import Result
 from gaproute.loop.faults import NO_OWN_ADDRESS, SHORTAGES
 
-UNCLEAR = (408, 425)  # time-out at the host, too early: neither says what became of the task
+AMBIGUOUS_STATUSES = (408, 425)  # time-out at the host, too early: neither says what became of the task
 
 
-def of_answer(status):
+def of_status(status):
     if status == 429:
         return Result.FULL
     if status == 404:
         return Result.MISS
-    if 200 <= status < 300 or 400 <= status < 500 and status not in UNCLEAR:
+    if 200 <= status < 300 or 400 <= status < 500 and status not in AMBIGUOUS_STATUSES:
         return Result.OK
     return Result.ERROR
 
 
-def of_end(begun, error, spoilt):
+def of_ended_connection(begun, error, spoilt):
     """What the end of its connection proves for a request. `begun`: whether the kernel took any byte of it;
     `spoilt`: the host answered on it, with what cannot be read."""
     if not begun and isinstance(error, OSError) and error.errno in SHORTAGES | NO_OWN_ADDRESS:
         return Result.MOOT
-    return Result.ERROR if begun and spoilt else of_failure(begun)
+    return Result.ERROR if begun and spoilt else of_unanswered(begun)
 
 
 def of_undelivered(undelivered):
-    """As `of_end`, of a request for which no full answer came."""
-    return of_end(undelivered.handed, undelivered.error, False)
+    """As `of_ended_connection`, of a request for which no full answer came."""
+    return of_ended_connection(undelivered.handed, undelivered.error, False)
 
 
-def of_failure(handed):
+def of_unanswered(handed):
     """No full answer came; `handed` is whether the kernel took any byte of the request."""
     return Result.RESET if handed else Result.CONNECT_FAILED
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -14,7 +14,7 @@
 from gaproute.discovery.changelog import events
 from gaproute.discovery.changelog.follow import Follower
 from gaproute.fronts.jsonrpc.front import Front
-from gaproute.hosts.jsonlines.fleet import Hosts
+from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
 from gaproute.loop.connecting import short
 from gaproute.loop.datagrams import Datagrams
@@ -53,7 +53,7 @@
         self.record = Record(self.log, self.site.tracks, followed)
         sockets = min(self.configuration.limits.sockets, descriptors())
         clients, to_hosts = share_out(sockets)
-        self.hosts = Hosts(loop, Pooling(), self.site, to_hosts)
+        self.hosts = JsonLinesClient(loop, Pooling(), self.site, to_hosts)
         self.hosts.on_removed = self.record.forget
         self.core = Core(
             loop, Gateway(seed, self.terms, loop.now()), self.terms, self.hosts, self.record, self.name
@@ -130,7 +130,7 @@
             "list",
             seq=event.seq,
             complete=complete,
-            rows=[[row.listed.worker, row.where, row.listed.state.value] for row in rows[:64]],
+            rows=[[row.listed.worker, row.address, row.listed.state.value] for row in rows[:64]],
         )
 
     def ready(self):
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -8,8 +8,8 @@
 
 from gaproute.decisions.cells.entries import Forward, Forwarded
 from gaproute.decisions.cells.table import Entry
-from gaproute.hosts.entries import Entries
-from gaproute.hosts.fleet import REACH
+from gaproute.hosts.entry_gateways import EntryGateways
+from gaproute.hosts.kserve.client import DEFAULT_SETTINGS
 from gaproute.http1 import Limits, Server
 from gaproute.interface import Idempotency
 from gaproute.interface.call import Call
@@ -27,7 +27,7 @@
     def __init__(self):
         self.loop, self.came, self.heard = Loop(), [], []
         self.server = Server(self.loop, address("127.0.0.1:0"), self.came.append, Limits())
-        self.entries = Entries(self.loop, REACH, "ga")
+        self.entries = EntryGateways(self.loop, DEFAULT_SETTINGS, "ga")
 
     def forward(self, call=CALL, within=SECOND):
         wish = Forward(Entry("gb", self.server.address), 0, Forwarded("b1", 1))
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -11,7 +11,7 @@
 from helpers import MILLI, SECOND
 
 from gaproute import interface as face
-from gaproute.hosts import orca, proof
+from gaproute.hosts import orca, results
 from gaproute.http1 import Exchange
 from gaproute.loop import Listener, Promise, Stream
 from gaproute.loop.streams import address
@@ -363,7 +363,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         assert heard_of(made, "{}:{}".format(*taken.getsockname())) is face.Result.CONNECT_FAILED
-    assert proof.of_failure(False) is face.Result.CONNECT_FAILED
+    assert results.of_unanswered(False) is face.Result.CONNECT_FAILED
 
 
 def heard_of(made, where):
@@ -404,4 +404,4 @@
     ],
 )
 def test_load_reports_in_the_published_forms(value, report, found, alike):
-    assert orca.read({orca.HEADER: value}) == (report, found, alike)
+    assert orca.decode_headers({orca.HEADER: value}) == (report, found, alike)
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -18,9 +18,9 @@
 from gaproute.core.core import Core
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
-from gaproute.hosts.jsonlines import link as links
-from gaproute.hosts.jsonlines.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.jsonlines import connection as connections
+from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Loop, Stepped
 from gaproute.telemetry.record import Record
@@ -116,8 +116,8 @@
 
 class World:
     def __init__(self, patch, cancel, twins, shared, answers):
-        patch.setattr(links, "connect", dials := HeldDials())
-        patch.setattr(links, "Stream", Wire)
+        patch.setattr(connections, "connect", dials := HeldDials())
+        patch.setattr(connections, "Stream", Wire)
         self.dials, self.wires, self.room, self.errors = dials, [], 1 << 20, []
         self.loop = Loop(Ticking(1000 * SECOND))
         self.loop.on_error = self.errors.append
@@ -130,7 +130,7 @@
             counts_alike=True,
             halts=cancel,
         )
-        self.hosts = Hosts(self.loop, Pooling(), site, 64)
+        self.hosts = JsonLinesClient(self.loop, Pooling(), site, 64)
         terms = TERMS._replace(tracks=TRACKS, cancel_allowed=cancel, twins_allowed=twins)
         self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
         self.hosts.on_removed = self.record.forget
@@ -254,7 +254,7 @@
             state = list(face.State)[way % 3]
             self.rows[name] = self.rows[name]._replace(state=state)
         shown = [
-            Row(self.rows[each], f"127.0.0.1:{self.place(each)}")
+            Endpoint(self.rows[each], f"127.0.0.1:{self.place(each)}")
             for each in HOSTS
             if way != 5 or each != name
         ]
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -9,7 +9,7 @@
 from gaproute.decisions.cells.bounds import MAX_NAME
 from gaproute.decisions.cells.entries import MAX_HOPS, Entries, Forwarded
 from gaproute.decisions.cells.table import Entry
-from gaproute.hosts import forwarded
+from gaproute.hosts import forwarding
 from gaproute.http1 import Server
 from gaproute.loop.streams import address
 
@@ -18,8 +18,8 @@
 
 @pytest.mark.parametrize("cell", ["a1", "a cell, 100%", "ħall/7", "x" * MAX_NAME, "\U0001f600" * MAX_NAME])
 def test_the_header_holds_every_name_of_a_cell(cell):
-    name, value = forwarded.field(Forwarded(cell, 2))
-    assert forwarded.read({name.lower(): value}) == Forwarded(cell, 2)
+    name, value = forwarding.encode(Forwarded(cell, 2))
+    assert forwarding.decode({name.lower(): value}) == Forwarded(cell, 2)
 
 
 @pytest.mark.parametrize(
@@ -41,11 +41,11 @@
     + [b"1 " + b"x" * (MAX_NAME + 1), b"1 " + b"%41" * 4096, b"1 a1, 1 a1" + b"x" * 4096],
 )
 def test_a_malformed_header_is_ignored(value):
-    assert forwarded.read({forwarded.HEADER: value}) is None
+    assert forwarding.decode({forwarding.HEADER: value}) is None
 
 
 def test_a_call_that_came_too_far_goes_no_further():
-    assert forwarded.read({forwarded.HEADER: b"9 a1"}) == Forwarded("a1", MAX_HOPS)
+    assert forwarding.decode({forwarding.HEADER: b"9 a1"}) == Forwarded("a1", MAX_HOPS)
 
 
 def test_the_status_of_a_forwarded_call_proves_that_it_never_ran_only_where_that_is_known(cells):
@@ -176,7 +176,7 @@
     ],
 )
 def test_the_mark_of_a_forwarded_call_is_passed_on_or_ignored_where_it_is_malformed(mark, told):
-    assert forwarded.origin({b"gaproute-task": mark}) == told
+    assert forwarding.decode_origin({b"gaproute-task": mark}) == told
 
 
 def test_only_a_gateway_names_the_mark_of_a_call(cells):
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -70,7 +70,7 @@
     told = event(1, ("s-1", "127.0.0.1:5", "Ready"), ("s-2", "nowhere", "Ready"), ("s-3", "127.0.0.1:6", "X"))
     told["fleet"]["members"][0]["up_since_ms"] = 990_000
     (row,) = lister.rows(events.known({"results": [told]})[1][0].fleet)
-    assert (row.listed.worker, row.listed.zone, row.listed.cell, row.where) == ("s-1", 1, 2, "127.0.0.1:5")
+    assert (row.listed.worker, row.listed.zone, row.listed.cell, row.address) == ("s-1", 1, 2, "127.0.0.1:5")
     assert (row.listed.state, row.listed.capacity, row.listed.started) == (State.ACTIVE, 4.0, 40 * SECOND)
     assert lister.refused == 2
     loop.close()
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -14,7 +14,7 @@
 from gaproute.faultinjection.play.scene import EPOCH
 from gaproute.faultinjection.play.traffic import Conditions
 from gaproute.fronts.jsonrpc.front import Front
-from gaproute.hosts import proof
+from gaproute.hosts import results
 from gaproute.interface import Result
 from gaproute.loop import Listener, Loop, Stream, connecting, unread
 from gaproute.loop import loop as loops
@@ -49,16 +49,16 @@
 
 
 def lack_at_connect_taken_for_what_may_have_run(patch):
-    honest = proof.of_end
+    honest = results.of_ended_connection
 
-    def of_end(begun, error, spoilt):
+    def of_ended_connection(begun, error, spoilt):
         return Result.RESET if isinstance(error, OSError) else honest(begun, error, spoilt)
 
-    patch.setattr(proof, "of_end", of_end)
+    patch.setattr(results, "of_ended_connection", of_ended_connection)
 
 
 def broken_connection_taken_for_what_never_ran(patch):
-    patch.setattr(proof, "of_end", lambda begun, error, spoilt: Result.CONNECT_FAILED)
+    patch.setattr(results, "of_ended_connection", lambda begun, error, spoilt: Result.CONNECT_FAILED)
 
 
 def wall_clock_used_for_waits(patch):
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -12,7 +12,7 @@
 from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, half_close
 
 from gaproute.fronts.jsonrpc.messages import FAILED
-from gaproute.hosts.jsonlines import link as links
+from gaproute.hosts.jsonlines import connection as connections
 from gaproute.http1 import client as http_clients
 from gaproute.http1.client import Exchange
 from gaproute.loop import Loop
@@ -66,7 +66,7 @@
 
 @leaves
 def test_a_dial_that_comes_up_in_the_long_turn_in_which_its_client_leaves(gate, monkeypatch, leave):
-    monkeypatch.setattr(links, "connect", dials := HeldDials())
+    monkeypatch.setattr(connections, "connect", dials := HeldDials())
     made = gate(clock=Handed(), settings=limits(probes=False, connect_timeout=1000.0))
     client = made.client()
     client.ask(1)
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -8,7 +8,7 @@
 from scripted import MILLI, SECOND, SETTINGS, Handed
 
 from gaproute.fronts.jsonrpc import link as client_links
-from gaproute.hosts.jsonlines.link import WHOLE_WITHIN
+from gaproute.hosts.jsonlines.connection import WRITE_TIMEOUT
 from gaproute.loop import unread
 from gaproute.loop.streams import address
 from tests.fronts.test_departed_attempts import Clogged, known, written_in_part
@@ -107,11 +107,11 @@
     other = made.client()
     other.ask(1, i="f" * 16, d=D)
     made.turns()
-    made.clock.now += WHOLE_WITHIN - 10 * MILLI
+    made.clock.now += WRITE_TIMEOUT - 10 * MILLI
     made.clog.let()
     made.until(lambda: made.came() == 2)
     told = {command["req"]: command["meta"]["limit"] for command in made.hosts[0].seen("go")}
-    assert told["f" * 16] <= D - WHOLE_WITHIN // MILLI + 20
+    assert told["f" * 16] <= D - WRITE_TIMEOUT // MILLI + 20
 
 
 @pytest.mark.parametrize("track", ["fault-check", "repair-order"])
@@ -135,7 +135,7 @@
     clog = link.stream.sock = Clogged(link.stream.sock, 10)
     told = []
     made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: told.append(each))
-    made.passes(WHOLE_WITHIN + 50 * MILLI)
+    made.passes(WRITE_TIMEOUT + 50 * MILLI)
     clog.let()
     made.until(lambda: told)
     assert link.stream.open and told[0][0].value == "ok", json.dumps(str(told))
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -9,7 +9,7 @@
 
 from gaproute.decisions.connections.pooling import CARRIED
 from gaproute.discovery.changelog import events
-from gaproute.hosts.jsonlines import link as links
+from gaproute.hosts.jsonlines import connection as connections
 from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import Call
 from gaproute.standins.platform import arg, event
@@ -41,7 +41,7 @@
 
     def make(*args, cancel=True, probes=False, **told):
         dials = HeldDials()
-        monkeypatch.setattr(links, "connect", dials)
+        monkeypatch.setattr(connections, "connect", dials)
         limits = SETTINGS["limits"] | {"cancel": cancel, "probes": probes, "connect_timeout": 1000.0}
         made = gate(*args, clock=Handed(), settings=settings() | {"limits": limits}, **told)
         made.dials = dials
@@ -135,7 +135,7 @@
     known, name = made.process.hosts.hosts, "s-0"
     made.until(lambda: any(link.served for link in known[name].links))  # a probe's
     old = next(iter(known[name].links))
-    old.open["x"] = links.Asked(old, "x", None, 0, None, 0)  # still at work there
+    old.open["x"] = connections.PendingRequest(old, "x", None, 0, None, 0)  # still at work there
     old.open["x"].stop = 0
     where = made.hosts[1 if change == "address" else 0].address
     told = event(2, (name, where, "Ready"))
@@ -176,7 +176,9 @@
     made.dials.let()
     made.until(made.came)
     (link,) = made.process.hosts.hosts["s-0"].links
-    link.open["y"] = links.Asked(link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0)
+    link.open["y"] = connections.PendingRequest(
+        link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0
+    )
     link.bytes(b'{"type":"served","req":"y","data":""}\n')
     assert made.process.hosts.unmatched == 1 and len(link.open) == 2
 
@@ -211,7 +213,9 @@
     client.ask(1)
     made.until(made.came)
     (other,) = [each for each in made.process.hosts.hosts["s-0"].links if f"{1:016x}" in each.open]
-    other.open["z"] = links.Asked(other, "z", None, 0, None, made.loop.now() + 9 * SECOND)  # keeps it in use
+    other.open["z"] = connections.PendingRequest(
+        other, "z", None, 0, None, made.loop.now() + 9 * SECOND
+    )  # keeps it in use
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     made.turns()
     made.passes(3 * SECOND)
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.hosts.jsonlines import lines
-from gaproute.hosts.jsonlines.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.jsonlines import messages
+from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface import Found, Idempotency, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
@@ -31,13 +31,13 @@
 
 def reply(**told):
     told = {"type": "served", "req": "a", "data": ""} | told
-    return lines.Reader().feed(json.dumps(told).encode() + b"\n")[0]
+    return messages.LineReader().feed(json.dumps(told).encode() + b"\n")[0]
 
 
 @pytest.mark.parametrize("cut", range(1, 50, 7))
 def test_lines_are_read_however_the_bytes_are_split(cut):
     data = b'{"type":"served","req":"a"}\n{"type":"green","req":7}\n'
-    reader = lines.Reader()
+    reader = messages.LineReader()
     got = [each for at in range(0, len(data), cut) for each in reader.feed(data[at : at + cut])]
     assert [(each.type, each.req) for each in got] == [("served", "a"), ("green", 7)]
 
@@ -50,25 +50,29 @@
         b'{"type":"served"}\n',
         b"\n",
         b"\xff\xfe\n",
-        b"x" * (lines.LINE + 1),
+        b"x" * (messages.MAX_LINE_BYTES + 1),
         b"[" * 5000 + b"\n",
     ],
 )
 def test_a_spoilt_or_endless_line_ends_the_connection_and_what_came_before_counts(data):
-    with pytest.raises(lines.Spoilt) as wrong:
-        lines.Reader().feed(b'{"type":"red","req":"a"}\n' + data)
+    with pytest.raises(messages.MalformedLineError) as wrong:
+        messages.LineReader().feed(b'{"type":"red","req":"a"}\n' + data)
     assert [each.type for each in wrong.value.args[1]] == ["red"]
 
 
 @given(st.lists(st.binary(max_size=100), max_size=20))
 def test_arbitrary_bytes_raise_nothing_else(pieces):
-    reader = lines.Reader(300)
+    reader = messages.LineReader(300)
     try:
         for piece in pieces:
             for each in reader.feed(piece):
-                lines.heard(each, True), lines.health(each), lines.stands(each)
+                (
+                    messages.decode_attempt(each, True),
+                    messages.decode_health(each),
+                    messages.decode_load_order(each),
+                )
             assert reader.held <= 300
-    except lines.Spoilt:
+    except messages.MalformedLineError:
         pass
 
 
@@ -83,21 +87,29 @@
     ],
 )
 def test_what_an_answer_proves(kind, result):
-    assert lines.heard(reply(type=kind), True).result is result
+    assert messages.decode_attempt(reply(type=kind), True).result is result
 
 
 def test_notes_crowds_and_loads_reach_the_module_in_its_terms():
-    heard = lines.heard(reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), True)
+    heard = messages.decode_attempt(
+        reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), True
+    )
     assert (heard.found, heard.alike) == (Found.AWAITED_LOAD, 3)
     assert (heard.report.cpu_busy, heard.report.memory_busy, heard.report.in_hand) == (0.61, 0.2, None)
-    assert lines.heard(reply(), True).alike == 0 and lines.heard(reply(), False).alike is None
-    assert lines.load({"meter": "util:lots;inflight:7"}).in_hand == 7 and lines.load({"meter": "x"}) is None
+    assert (
+        messages.decode_attempt(reply(), True).alike == 0
+        and messages.decode_attempt(reply(), False).alike is None
+    )
+    assert (
+        messages.decode_load_report({"meter": "util:lots;inflight:7"}).in_hand == 7
+        and messages.decode_load_report({"meter": "x"}) is None
+    )
 
 
 @pytest.mark.parametrize("data", ["%%%", "ab", "\u00e9", None])
 def test_a_body_that_is_missing_or_no_base64_ran_and_is_not_passed_on(data):
-    assert lines.heard(reply(data=data), True) == (Result.ERROR, None, Found.UNTOLD, None, None)
-    assert lines.heard(reply(data=""), True).answer.body == b""
+    assert messages.decode_attempt(reply(data=data), True) == (Result.ERROR, None, Found.UNTOLD, None, None)
+    assert messages.decode_attempt(reply(data=""), True).answer.body == b""
 
 
 # On sockets
@@ -107,12 +119,12 @@
     def __init__(self, answer=None, room=8):
         self.loop = Loop()
         self.host = LineHost(self.loop, answer)
-        self.hosts = Hosts(self.loop, Pooling(), SITE, room)
+        self.hosts = JsonLinesClient(self.loop, Pooling(), SITE, room)
         self.list(State.ACTIVE)
         self.heard = []
 
     def list(self, state):
-        self.hosts.update([Row(row("h", state=state), self.host.address)], complete=True)
+        self.hosts.update([Endpoint(row("h", state=state), self.host.address)], complete=True)
 
     def relay(self, effect=Idempotency.IDEMPOTENT, mark=CALL.mark, left=SECOND):
         return self.hosts.send(
@@ -232,7 +244,7 @@
     made = bench()
     made.relay()
     made.results(1)
-    made.hosts.update([Row(row("h2"), made.host.address)], complete=True)
+    made.hosts.update([Endpoint(row("h2"), made.host.address)], complete=True)
     made.until(lambda: "h" not in made.hosts.hosts)
     made.hosts.send(
         "h2", CALL, Idempotency.IDEMPOTENT, "t", made.loop.now() + SECOND, 1 << 62, made.heard.append
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -12,9 +12,9 @@
 from gaproute import interface as face
 from gaproute.core.core import Heard
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.hosts import proof
-from gaproute.hosts.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts import results
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import Undelivered
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Stepped, connecting
@@ -43,9 +43,9 @@
         monkeypatch.setattr(connecting, "socket", Sockets(code))
         loop = Loop(Stepped(now=7 * SECOND))
         loops.append(loop)
-        made = Hosts(loop, Pooling())
+        made = KServeClient(loop, Pooling())
         listed = face.ListedHost("a", 0, 0, face.State.ACTIVE, 1.0, None)
-        made.update([Row(listed, "127.0.0.1:9")], complete=True)
+        made.update([Endpoint(listed, "127.0.0.1:9")], complete=True)
         return made
 
     yield make
@@ -76,9 +76,9 @@
 
 @pytest.mark.parametrize("code", OWN)
 def test_what_had_begun_may_have_run_whatever_ended_it(code):
-    assert proof.of_undelivered(Undelivered(True, True, "", fault(code))) is face.Result.RESET
-    assert proof.of_undelivered(Undelivered(False, True, "", fault(code))) is face.Result.MOOT
-    assert proof.of_undelivered(Undelivered(False, True, "closed")) is face.Result.CONNECT_FAILED
+    assert results.of_undelivered(Undelivered(True, True, "", fault(code))) is face.Result.RESET
+    assert results.of_undelivered(Undelivered(False, True, "", fault(code))) is face.Result.MOOT
+    assert results.of_undelivered(Undelivered(False, True, "closed")) is face.Result.CONNECT_FAILED
 
 
 def drop_all(made):
--- a/tests/loop/test_syscalls_connecting.py
+++ b/tests/loop/test_syscalls_connecting.py
@@ -7,7 +7,7 @@
 import pytest
 from failing import Failing, FailingEpoll, fault, open_descriptors
 
-from gaproute.hosts import proof
+from gaproute.hosts import results
 from gaproute.interface import Result
 from gaproute.loop import Listener, Loop, Stepped, connect
 from gaproute.loop import connecting as module
@@ -200,14 +200,14 @@
 
 @pytest.mark.parametrize("code", [*SHORT, errno.EADDRNOTAVAIL])
 def test_what_this_machine_lacks_is_held_against_no_host(code):
-    assert proof.of_end(False, fault(code), False) is Result.MOOT
-    assert proof.of_end(True, fault(code), False) is Result.RESET
+    assert results.of_ended_connection(False, fault(code), False) is Result.MOOT
+    assert results.of_ended_connection(True, fault(code), False) is Result.RESET
 
 
 @pytest.mark.parametrize("code", [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT])
 def test_what_lies_on_the_way_to_a_host_counts_as_no_connection(code):
-    assert proof.of_end(False, fault(code), False) is Result.CONNECT_FAILED
-    assert proof.of_end(True, fault(code), False) is Result.RESET
+    assert results.of_ended_connection(False, fault(code), False) is Result.CONNECT_FAILED
+    assert results.of_ended_connection(True, fault(code), False) is Result.RESET
 
 
 def test_a_shortage_makes_room_only_when_it_repeats(loop, there, sockets):
