--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -95,7 +95,7 @@
     def send(self, worker, call, effect, task, limit, until, done):
         """As `KServeClient.send`."""
         if self._gone(worker):
-            return UnsentAttempt(self.loop, done, Result.MOOT)
+            return UnsentAttempt(self.loop, done, Result.NOT_SENT)
         return super().send(worker, call, effect, task, limit, until, done)
 
     def order(self, worker, function, copies, done):
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -78,15 +78,15 @@
         """The host list. From now on nothing more goes to hosts that drain or are gone, also what waits to be
         handed over; what they hold runs on."""
         for row in rows:
-            host = self.hosts.get(row.listed.worker)
+            host = self.hosts.get(row.listed.host)
             if host is None:
-                host = self.hosts[row.listed.worker] = HostConnections(row.listed.worker, row.address)
+                host = self.hosts[row.listed.host] = HostConnections(row.listed.host, row.address)
             elif row.address.encode() != host.text:
                 self.rest(host)
                 host.move(row.address)
             host.active = row.listed.state is State.ACTIVE
         if complete:
-            named = {row.listed.worker for row in rows}
+            named = {row.listed.host for row in rows}
             for host in self.hosts.values():
                 host.active = host.active and host.name in named
         for host in list(self.hosts.values()):
@@ -207,12 +207,12 @@
         """One relay; `done(heard)` once, never at once. It begins before `until`, while its client is there,
         or never. Returns what has `started` and `cancel()`, after which `done` is not called."""
         if not call.client_present():
-            return UnsentAttempt(self.loop, done, Result.MOOT)
+            return UnsentAttempt(self.loop, done, Result.NOT_SENT)
         host = self.hosts[worker]
 
         def came(answer, undelivered):
             if answer is None:
-                result = Result.MOOT if undelivered.lapsed else results.of_undelivered(undelivered)
+                result = Result.NOT_SENT if undelivered.lapsed else results.of_undelivered(undelivered)
                 done(Heard(result, None))
                 return
             report, found, alike = orca.decode_headers(answer.headers)
@@ -270,7 +270,7 @@
         def came(answer, undelivered):
             if timer is not None:
                 timer.cancel()
-            if answer is None and results.of_undelivered(undelivered) is Result.MOOT:
+            if answer is None and results.of_undelivered(undelivered) is Result.NOT_SENT:
                 return
             good = answer is not None and answer.status == 200
             done(good, orca.decode_headers(answer.headers)[0] if good else None)
--- a/gaproute/hosts/results.py
+++ b/gaproute/hosts/results.py
@@ -3,10 +3,10 @@
 | what was seen | result | proves |
 | --- | --- | --- |
 | no connection: refused, no route, time-out | CONNECT_FAILED | never ran |
-| no descriptor, memory or port here for it; it may no longer begin | MOOT | never ran, no fault of the host |
+| no descriptor, memory or port here; it may no longer begin | NOT_SENT | never ran, no fault of the host |
 | not one byte of the request accepted by the kernel | CONNECT_FAILED | never ran |
 | full answer 429 | FULL | never ran |
-| full answer 404: no such model, or not ready | MISS | never ran |
+| full answer 404: no such model, or not ready | NOT_LOADED | never ran |
 | full answer 2xx | OK | ran |
 | full answer 4xx, others but 408 and 425: what the client sent is at fault | OK, passed on | ran |
 | full answer 5xx, 408, 425, 3xx | ERROR | may have run |
@@ -23,7 +23,7 @@
     if status == 429:
         return Result.FULL
     if status == 404:
-        return Result.MISS
+        return Result.NOT_LOADED
     if 200 <= status < 300 or 400 <= status < 500 and status not in AMBIGUOUS_STATUSES:
         return Result.OK
     return Result.ERROR
@@ -33,7 +33,7 @@
     """What the end of its connection proves for a request. `begun`: whether the kernel took any byte of it;
     `spoilt`: the host answered on it, with what cannot be read."""
     if not begun and isinstance(error, OSError) and error.errno in SHORTAGES | NO_OWN_ADDRESS:
-        return Result.MOOT
+        return Result.NOT_SENT
     return Result.ERROR if begun and spoilt else of_unanswered(begun)
 
 
