--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes
 from gaproute.appliance import Appliance
 from gaproute.config import read_configuration
-from gaproute.discovery.changelog.events import Reader
+from gaproute.discovery.changelog.sse import EventReader
 from gaproute.standins.platform.listing import Listing, member
 from gaproute.telemetry.logs import logger
 
@@ -93,14 +93,14 @@
     def _begin(self, place):
         """The whole list of one cell, as though a connection brought it."""
         follower = self.lists.followed[names(KNOWN)[place]].follower
-        follower.cut()
-        follower.reader, follower.fresh = Reader(), True
+        follower.disconnect()
+        follower.reader, follower.awaits_first_event = EventReader(), True
         event = self.logs[place].change(*members(place, self.hosts, self.seed))
         self.feed(place, change_log.HEAD + change_log.sent(event))
 
     def feed(self, place, data):
         """Hands over bytes of one cell's log and puts in force what they tell."""
-        self.lists.followed[names(KNOWN)[place]].follower.bytes(data)
+        self.lists.followed[names(KNOWN)[place]].follower.on_bytes(data)
         if self.lists.timer is not None:
             self.lists.timer.cancel()
         self.lists._take_in()
--- a/benchmarks/scale/costs/change_log.py
+++ b/benchmarks/scale/costs/change_log.py
@@ -5,8 +5,9 @@
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, cpu_seconds, once
 from gaproute.decisions.chance import Chance
-from gaproute.discovery.changelog.events import Lister, Reader
-from gaproute.discovery.changelog.follow import Follower
+from gaproute.discovery.changelog.members import MemberConverter
+from gaproute.discovery.changelog.sse import EventReader
+from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.loop import Loop
 from gaproute.standins.platform.listing import Listing, member
 
@@ -43,23 +44,23 @@
 
     def __init__(self):
         self.loop = Loop()
-        self.lister = Lister(self.loop, ["hall-a"])
+        self.lister = MemberConverter(self.loop, ["hall-a"])
         self.rows = 0
-        self.follower = Follower(self.loop, NOWHERE, 0, self.told, Chance(1))
-        self.follower.cut()
-        self.follower.reader, self.follower.fresh = Reader(), True
+        self.follower = ChangeLogWatcher(self.loop, NOWHERE, 0, self.told, Chance(1))
+        self.follower.disconnect()
+        self.follower.reader, self.follower.awaits_first_event = EventReader(), True
         self.feed(HEAD)
 
     def told(self, event):
         """Takes an event's rows."""
-        self.rows += len(self.lister.rows(event.fleet))
+        self.rows += len(self.lister.endpoints(event.fleet))
 
     def feed(self, data):
         """Hands over what came, in pieces. Errors: RuntimeError where the follower would ask again."""
         for at in range(0, len(data), PIECE):
-            self.follower.bytes(data[at : at + PIECE])
-        if self.follower.fault:
-            raise RuntimeError(self.follower.fault)
+            self.follower.on_bytes(data[at : at + PIECE])
+        if self.follower.last_error:
+            raise RuntimeError(self.follower.last_error)
 
     def close(self):
         """Ends the follower."""
--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -6,7 +6,8 @@
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, once
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.discovery.listing import FileWatch, Listing
+from gaproute.discovery.file_watch import FileWatch
+from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.loop import Loop
 
@@ -42,7 +43,7 @@
         self.path = Path(self.folder.name, "hosts.list")
         self.path.write_text(host_list(hosts, seed))
         self.loop = Loop()
-        self.listing = Listing(self.loop)
+        self.listing = HostLineConverter(self.loop)
         self.connections = KServeClient(self.loop, Pooling())
         self.lists = 0
         self.watch = None
@@ -59,7 +60,7 @@
     def listed(self, lines):
         """Takes a whole list."""
         self.lists += 1
-        self.connections.update(self.listing.rows(lines), complete=True)
+        self.connections.update(self.listing.endpoints(lines), complete=True)
 
     def refused(self, mistakes):
         """The list is this module's own: a mistake in it is one of the measurement."""
--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -8,7 +8,7 @@
 from functools import partial
 
 from gaproute.config.cell_files import first_clash, path_of, read_cell_hosts, zone_mistakes
-from gaproute.discovery.listing import FileWatch
+from gaproute.discovery.file_watch import FileWatch
 
 
 class CellLists:
--- a/gaproute/appliance/cell_rows.py
+++ b/gaproute/appliance/cell_rows.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from gaproute.discovery.listing import Listing
+from gaproute.discovery.host_lines import HostLineConverter
 
 
 class MadeList(NamedTuple):
@@ -18,7 +18,7 @@
     """The rows of the lists in force."""
 
     def __init__(self, loop, sizes):
-        self.listing = Listing(loop, sizes=sizes)
+        self.listing = HostLineConverter(loop, use_capacities=sizes)
         self.made = {}  # by cell
 
     def of(self, lists, zones, current_at=None):
@@ -30,7 +30,7 @@
         self.made = {
             cell: self._made(cell, lines, zones[cell], current_at.get(cell)) for cell, lines in lists.items()
         }
-        self.listing.forget_others([line for lines in lists.values() for line in lines])
+        self.listing.retain([line for lines in lists.values() for line in lines])
         return {cell: made.rows for cell, made in self.made.items()}
 
     def _made(self, cell, lines, zone, current_at):
@@ -45,4 +45,4 @@
     def _row(self, line, zone, known, absent_at):
         if known is not None and (known[0] is line or known[0] == line):
             return known
-        return line, self.listing.row(line, zone, absent_at)
+        return line, self.listing.endpoint(line, zone, absent_at)
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -5,7 +5,7 @@
 from gaproute.config.cell_files import read_table
 from gaproute.decisions.cells.change import TableChange
 from gaproute.decisions.cells.errors import OtherFleet, StaleVersion, TableError
-from gaproute.discovery.listing import FileWatch
+from gaproute.discovery.file_watch import FileWatch
 from gaproute.shared.dissemination import DocumentError
 
 
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -8,9 +8,9 @@
 from functools import partial
 
 from gaproute.decisions.cells.bounds import MAX_HOSTS
-from gaproute.discovery.cell_members import CellMembers, Refused
-from gaproute.discovery.cells_in_force import CellsInForce
-from gaproute.discovery.changelog.cell import CellFollower, path_of
+from gaproute.discovery.cell_members import CellMembers, RejectedMember
+from gaproute.discovery.cell_reconciler import CellReconciler
+from gaproute.discovery.changelog.cell_watcher import CellWatcher, cell_path
 
 MAX_CELLS = 64  # followed at once; a view of 512 hosts has fewer, unless its cells are tiny
 MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS  # of all cells: four times what a view holds by its table
@@ -36,8 +36,8 @@
 
     def allowed(self, refused):
         """As many as may be told for this connection."""
-        if self.connection != self.follower.asked:
-            self.connection, self.told = self.follower.asked, 0
+        if self.connection != self.follower.connection_count:
+            self.connection, self.told = self.follower.connection_count, 0
         allowed = refused[: MAX_TOLD - self.told]
         self.told += len(allowed)
         return allowed
@@ -52,7 +52,7 @@
         self.loop, self.fleet, self.sources, self.pace = loop, fleet, line.sources, line.look
         self.told, self.refused, self.trouble, self.chance = told, refused, trouble, chance
         self.zones, self.good = {}, {}  # by cell; the lists in force
-        self.followed, self.force = {}, CellsInForce()  # by cell
+        self.followed, self.force = {}, CellReconciler()  # by cell
         self.timer, self.due = None, False
         loop.on_late.append(self._late)
 
@@ -69,10 +69,10 @@
 
     def _follow(self, cell):
         followed = self.followed[cell] = FollowedCell()
-        followed.follower = CellFollower(
+        followed.follower = CellWatcher(
             self.loop,
             self.sources,
-            path_of(self.fleet, cell),
+            cell_path(self.fleet, cell),
             partial(self._event, cell),
             partial(self._trouble, cell),
             partial(self._trouble, cell, None),
@@ -91,8 +91,8 @@
         followed = self.followed.get(cell)
         if followed is None:
             return  # let go by what an earlier event of the same bytes brought about
-        others = sum(len(each.members.offered) for name, each in self.followed.items() if name != cell)
-        refused = followed.members.take(event.fleet, MAX_HOSTS_FOLLOWED - others)
+        others = sum(len(each.members.reported) for name, each in self.followed.items() if name != cell)
+        refused = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - others)
         if refused:
             self.refused(cell, len(refused), followed.fresh(refused))
         self._news()
@@ -113,7 +113,7 @@
     def _late(self):
         """After a stop, news that waits comes before the calls that came meanwhile."""
         for each in list(self.followed.values()):
-            each.follower.look()
+            each.follower.read_now()
         if self.due:
             self.timer.cancel()
             self._take_in()
@@ -121,16 +121,16 @@
     def _settle(self):
         """Put in force what goes together."""
         offered = {
-            cell: each.members.offered
+            cell: each.members.reported
             for cell, each in self.followed.items()
-            if each.members.offered or cell in self.force.lists
+            if each.members.reported or cell in self.force.active
         }
-        before = self.force.lists
-        self.force.settle(offered, self.zones)
+        before = self.force.active
+        self.force.reconcile(offered, self.zones)
         self._tell_clashes()
         good = {
             cell: self.good[cell] if cell in self.good and before.get(cell) is lines else list(lines.values())
-            for cell, lines in self.force.lists.items()
+            for cell, lines in self.force.active.items()
             if lines or cell in self.good
         }
         if good != self.good:
@@ -139,8 +139,8 @@
 
     def _tell_clashes(self):
         for cell, followed in self.followed.items():
-            before, followed.clashes = followed.clashes, self.force.refused.get(cell, {})
-            fresh = [Refused(*each) for each in followed.clashes.items() if each not in before.items()]
+            before, followed.clashes = followed.clashes, self.force.rejected.get(cell, {})
+            fresh = [RejectedMember(*each) for each in followed.clashes.items() if each not in before.items()]
             if fresh:
                 self.refused(cell, len(fresh), followed.allowed(fresh))
 
@@ -155,8 +155,8 @@
         return {
             "followed": len(self.followed),
             "failing": sorted(cell for cell, each in self.followed.items() if each.failing),
-            "asked": sum(each.follower.asked for each in self.followed.values()),
-            "begun_anew": sum(each.follower.anew for each in self.followed.values()),
+            "asked": sum(each.follower.connection_count for each in self.followed.values()),
+            "begun_anew": sum(each.follower.restarts for each in self.followed.values()),
         }
 
     def close(self):
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -14,7 +14,8 @@
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.discovery.listing import FileWatch, Listing
+from gaproute.discovery.file_watch import FileWatch
+from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.fronts.kserve import Front
 from gaproute.hosts.kserve.client import ClientSettings, KServeClient
 from gaproute.interface import State
@@ -51,7 +52,7 @@
         else:
             self.cells = Cells(loop, configuration, self.record, seed, reach, run, self.enlisted)
             self.hosts, self.core, gateway = self.cells.hosts, self.cells.core, self.cells.unused
-        self.listing = Listing(loop, sizes=configuration.sizes_reported)
+        self.listing = HostLineConverter(loop, use_capacities=configuration.sizes_reported)
         self.rows = {}
         self.stopping = False
         self.shared = False  # other processes serve at the clients' addresses, also after this one's stop
@@ -113,7 +114,7 @@
 
     def listed(self, lines):
         """A whole host list. The host connections come first: the module may wish for a new host at once."""
-        rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
+        rows = self.listing.endpoints(lines, self.watch.current_at if self.watch is not None else None)
         self.enlisted(rows)
         self.core.listed([row.listed for row in rows], True)
         self.others.hosts_listed(
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -7,7 +7,7 @@
 from gaproute.decisions.reports.facts import Fact
 from gaproute.decisions.reports.lore import FACTS, Lore
 from gaproute.decisions.reports.roll import Roll
-from gaproute.discovery.listing import FileWatch
+from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop.streams import address
 from gaproute.peers import Giver, Learner, MembershipTransport
--- a/gaproute/discovery/cells_in_force.py
+++ b/gaproute/discovery/cell_reconciler.py
@@ -5,25 +5,27 @@
 force that is told draining is draining, also where what was told of it is refused.
 """
 
-from gaproute.discovery.cell_members import in_state
+from gaproute.discovery.cell_members import with_state
 
 
-class CellsInForce:
-    """`lists`: {cell: {host: line}} in force; `refused`: {cell: {host: why it is not}}."""
+class CellReconciler:
+    """`active`: {cell: {host: line}} in force; `rejected`: {cell: {host: why it is not}}."""
 
     def __init__(self):
-        self.lists, self.refused = {}, {}
-        # What `settle` was given last; by cell {name or address: the host that has it}.
-        self.offered, self.zones, self.owners = {}, {}, {}
+        self.active, self.rejected = {}, {}
+        # What `reconcile` was given last; by cell {name or address: the host that has it}.
+        self.reported, self.zones, self.owners = {}, {}, {}
 
-    def settle(self, offered, zones):
-        """Put in force what is offered, {cell: {host: line}}, without what clashes.
+    def reconcile(self, reported, zones):
+        """Put in force what is reported, {cell: {host: line}}, without what clashes.
 
-        A cell of which the same object is offered as before is not gone through again."""
-        moving = {cell: lines for cell, lines in offered.items() if not self._is_settled(cell, lines, zones)}
-        owners = {cell: {} if cell in moving else self.owners[cell] for cell in offered}
+        A cell of which the same object is reported as before is not gone through again."""
+        moving = {
+            cell: lines for cell, lines in reported.items() if not self._is_reconciled(cell, lines, zones)
+        }
+        owners = {cell: {} if cell in moving else self.owners[cell] for cell in reported}
         refused, chosen = {}, {cell: {} for cell in moving}
-        for cell, line, stays in _ordered(moving, self.lists):
+        for cell, line, stays in _ordered(moving, self.active):
             reason = _owned(cell, line, owners) or _misplaced(line, zones[cell])
             if reason is not None:
                 refused.setdefault(cell, {})[line.name] = reason
@@ -32,28 +34,28 @@
                     continue
             chosen[cell][line.name] = line
             owners[cell][line.name] = owners[cell][line.where] = line.name
-        self.lists = {
+        self.active = {
             cell: {name: chosen[cell][name] for name in lines if name in chosen[cell]}
             if cell in moving
-            else self.lists[cell]
-            for cell, lines in offered.items()
+            else self.active[cell]
+            for cell, lines in reported.items()
         }
-        self.refused, self.owners, self.offered, self.zones = refused, owners, dict(offered), dict(zones)
+        self.rejected, self.owners, self.reported, self.zones = refused, owners, dict(reported), dict(zones)
 
-    def _is_settled(self, cell, lines, zones):
-        """Whether all of the cell is in force as it is offered now."""
+    def _is_reconciled(self, cell, lines, zones):
+        """Whether all of the cell is in force as it is reported now."""
         return (
-            self.offered.get(cell) is lines
+            self.reported.get(cell) is lines
             and self.zones.get(cell) == zones[cell]
-            and cell not in self.refused
+            and cell not in self.rejected
         )
 
 
-def _ordered(offered, held):
+def _ordered(reported, held):
     """(cell, line, what stays of it where it is refused): first hosts that are where they were, then those in
     force that changed, then others."""
     same, changed, fresh = [], [], []
-    for cell, lines in offered.items():
+    for cell, lines in reported.items():
         before = held.get(cell, {})
         for name, line in lines.items():
             old = before.get(name)
@@ -62,7 +64,7 @@
             elif (old.where, old.zone) == (line.where, line.zone):
                 same.append((cell, line, line))
             else:
-                stays = old if line.state == "active" else in_state(old, line.state)
+                stays = old if line.state == "active" else with_state(old, line.state)
                 changed.append((cell, line, stays))
     return same + changed + fresh
 
--- a/gaproute/discovery/changelog/start_times.py
+++ b/gaproute/discovery/changelog/start_times.py
@@ -16,15 +16,15 @@
         self.loop, self.wall = loop, wall
         self.offset = wall() - loop.now()  # the lowest seen, ns
 
-    def convert(self, told, absent_at):
+    def convert(self, reported, absent_at):
         """When a host started, by the loop's clock; one in the future started just now.
 
-        `told`: ns since 1970. `absent_at`: when the list was last known to be without this start, by the
+        `reported`: ns since 1970. `absent_at`: when the list was last known to be without this start, by the
         loop's clock; None where it was never known before, or the host was in it with no start told.
         """
         now = self.loop.now()
         self.offset = min(self.offset, self.wall() - now)
-        started = told - self.offset
+        started = reported - self.offset
         if absent_at is not None:
             started = max(started, absent_at)
         return min(started, now)
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -31,8 +31,8 @@
 STANDING_TIMERS = frozenset(
     (
         "Core._woken",
-        "Follower.ask",
-        "Follower.quiet",
+        "ChangeLogWatcher.connect",
+        "ChangeLogWatcher.check_silence",
         "Front._sweep",
         "JsonLinesClient.sweep",
         "Parking._tick",
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -1,7 +1,8 @@
 """The host list as a part: the watched file, its rows, and the decisions' state that is fed with them."""
 
 from gaproute.decisions.routing.tidy import TIDY
-from gaproute.discovery.listing import FileWatch, Listing
+from gaproute.discovery.file_watch import FileWatch
+from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.hollow.parts import Part
 
 
@@ -10,7 +11,7 @@
 
     def __init__(self, surroundings, parts):
         self.loop, self.configuration = surroundings.loop, surroundings.configuration
-        self.listing = Listing(self.loop, surroundings.wall, self.configuration.sizes_reported)
+        self.listing = HostLineConverter(self.loop, surroundings.wall, self.configuration.sizes_reported)
         self.gateway = self.configuration.decisions(
             surroundings.seed, self.configuration.terms, self.loop.now()
         )
@@ -29,7 +30,7 @@
         self.gateway.forget()
 
     def _told(self, lines):
-        rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
+        rows = self.listing.endpoints(lines, self.watch.current_at if self.watch is not None else None)
         self.rows = {row.listed.host: row.listed for row in rows}
         self.gateway.listed(self.loop.now(), [row.listed for row in rows], True)
         self.lists += 1
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -111,7 +111,7 @@
         text = f"{path}: seed: {configuration.seed!r} is no hexadecimal number"
         raise ConfigurationRefusedError(text) from None
     try:
-        events.known(configuration.known)
+        events.decode_initial(configuration.known)
     except msgspec.ValidationError as error:
         raise ConfigurationRefusedError(f"{path}: known: {error}") from None
 
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -12,7 +12,8 @@
 from gaproute.decisions.connections.pooling import OWN, Pooling, share_out
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.changelog import events
-from gaproute.discovery.changelog.follow import Follower
+from gaproute.discovery.changelog.members import MemberConverter
+from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.fronts.jsonrpc.front import Front
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
@@ -63,7 +64,7 @@
         Lot.of(loop).admission = Admission(
             clients, clients + 1, sockets, Chance(seed + 3), RESTED, patient=True, reserve=to_hosts + OWN
         )
-        self.lister = events.Lister(loop, self.site.zones)
+        self.lister = MemberConverter(loop, self.site.zones)
         self.seed, self.sockets = seed, sockets
         self.front = self.follower = self.peers = None
         self.stopping = False
@@ -85,10 +86,10 @@
         self.front.refused = lambda code, text: self.log.info("refused", code=code, text=text[:200])
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
             self.hear_peers()
-        last, known = events.known(self.configuration.known)
+        last, known = events.decode_initial(self.configuration.known)
         for event in known:
             self.told(event)
-        self.follower = Follower(
+        self.follower = ChangeLogWatcher(
             self.loop, self.configuration.changelog, last, self.told, Chance(self.seed + 1), known
         )
         self.log.info(
@@ -122,7 +123,7 @@
 
     def told(self, event):
         absent_at = self.follower.current_at if self.follower is not None else None
-        rows = self.lister.rows(event.fleet, absent_at)
+        rows = self.lister.endpoints(event.fleet, absent_at)
         complete = event.fleet.complete
         self.hosts.update(rows, complete=complete)
         self.core.listed([row.listed for row in rows], complete)
@@ -161,7 +162,7 @@
         self.log.info("configuration", changelog=configuration.changelog)
         self.configuration = configuration
         if self.follower is not None:
-            self.follower.move(configuration.changelog)
+            self.follower.set_address(configuration.changelog)
 
     def _not_reloaded(self, fault):
         if isinstance(fault, ConfigurationUnreadableError) and is_momentary_read(fault.cause):
@@ -254,12 +255,12 @@
             descriptors=had(lambda: len(os.listdir("/proc/self/fd"))),
             memory_mb=had(memory),
             cpu_s=round(sum(os.times()[:2]), 2),
-            members_refused=self.lister.refused,
-            log_asked=self.follower.asked if self.follower else 0,
-            log_anew=self.follower.anew if self.follower else 0,
-            log_fault=self.follower.fault if self.follower else "",
-            log_seq=self.follower.last if self.follower else 0,
-            log_silent_ms=(self.loop.now() - self.follower.heard) // MILLI if self.follower else 0,
+            members_refused=self.lister.rejected,
+            log_asked=self.follower.connection_count if self.follower else 0,
+            log_anew=self.follower.restarts if self.follower else 0,
+            log_fault=self.follower.last_error if self.follower else "",
+            log_seq=self.follower.last_seq if self.follower else 0,
+            log_silent_ms=(self.loop.now() - self.follower.last_message_at) // MILLI if self.follower else 0,
         )
 
 
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -19,7 +19,7 @@
 from gaproute.appliance.parent import CHILD_TRIES, Child, Parent
 from gaproute.cli import serving
 from gaproute.config import ConfigurationError, read_configuration, read_hosts
-from gaproute.discovery.listing import TOLD_AT, FileWatch
+from gaproute.discovery.file_watch import FAILURES_BEFORE_REPORT, FileWatch
 from gaproute.loop import Loop, Stepped, connecting
 from gaproute.loop.starting import Patience
 from gaproute.telemetry.logs import logger
@@ -303,7 +303,7 @@
     monkeypatch.setattr(pathlib.Path, "read_text", lambda path: failing(path))
     watched.file.write_text("host b 127.0.0.1:1\n")
     watched.loop.run(until=watched.loop.sleep(500 * MILLI))
-    assert failing.failed == 20 > TOLD_AT
+    assert failing.failed == 20 > FAILURES_BEFORE_REPORT
     assert len(watched.wrong) == 1 and watched.heard == [["a"], ["b"]]
 
 
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -9,9 +9,9 @@
 from gaproute.appliance.cell_rows import CellRows
 from gaproute.config.directives.fleet import HostLine
 from gaproute.discovery.cell_members import CellMembers
-from gaproute.discovery.cells_in_force import CellsInForce
-from gaproute.discovery.changelog.events import Reader
-from gaproute.discovery.listing import MAX_NUMBERED, Listing
+from gaproute.discovery.cell_reconciler import CellReconciler
+from gaproute.discovery.changelog.sse import EventReader
+from gaproute.discovery.host_lines import MAX_NUMBERED_NAMES, HostLineConverter
 from gaproute.loop import Loop
 from gaproute.standins.cell_source import HEAD
 from gaproute.standins.platform.listing import member
@@ -36,21 +36,21 @@
     """A list of an event as it is read from a connection."""
     members = [member(name, f"127.0.0.1:{port}", state, zone) for name, port, state, zone in rows]
     told = {"seq": 1, "fleet": {"complete": complete, "members": members}}
-    reader = Reader()
+    reader = EventReader()
     return reader.feed(HEAD + b"data: %b\n\n" % json.dumps(told).encode())[0].fleet
 
 
 @settings(max_examples=150)
 @given(some.lists(CHANGES, max_size=12))
 def test_no_name_and_no_address_is_in_force_twice_and_no_drain_is_lost(changes):
-    cells, force, anew = {cell: CellMembers() for cell in ZONES}, CellsInForce(), CellsInForce()
+    cells, force, anew = {cell: CellMembers() for cell in ZONES}, CellReconciler(), CellReconciler()
     for cell, complete, rows in changes:
-        before = force.lists
-        cells[cell].take(fleet(complete, rows))
-        force.settle({name: each.offered for name, each in cells.items()}, ZONES)
-        anew.settle({name: dict(each.offered) for name, each in cells.items()}, ZONES)
-        assert (force.lists, force.refused) == (anew.lists, anew.refused)  # every cell gone through again
-        held, refused = force.lists, force.refused
+        before = force.active
+        cells[cell].apply(fleet(complete, rows))
+        force.reconcile({name: each.reported for name, each in cells.items()}, ZONES)
+        anew.reconcile({name: dict(each.reported) for name, each in cells.items()}, ZONES)
+        assert (force.active, force.rejected) == (anew.active, anew.rejected)  # every cell gone through again
+        held, refused = force.active, force.rejected
         lines = [line for of_cell in held.values() for line in of_cell.values()]
         assert len({line.name for line in lines}) == len({line.where for line in lines}) == len(lines)
         assert all(line.zone in ("", ZONES[name]) for name in held for line in held[name].values())
@@ -59,33 +59,33 @@
             if name in before.get(cell, {}):
                 assert state == "active" or name not in held[cell] or held[cell][name].state == state
         for name, each in cells.items():
-            assert set(held[name]) <= set(each.offered)
-            missing = set(each.offered) - set(held[name])
+            assert set(held[name]) <= set(each.reported)
+            missing = set(each.reported) - set(held[name])
             assert missing <= set(refused.get(name, {}))
 
 
 @settings(max_examples=80)
 @given(some.lists(CHANGES, max_size=6))
 def test_what_is_in_force_stays_while_nothing_is_told(changes):
-    cells, force = {cell: CellMembers() for cell in ZONES}, CellsInForce()
+    cells, force = {cell: CellMembers() for cell in ZONES}, CellReconciler()
     for cell, complete, rows in changes:
-        cells[cell].take(fleet(complete, rows))
-        force.settle({name: each.offered for name, each in cells.items()}, ZONES)
-        held = {name: list(lines.items()) for name, lines in force.lists.items()}
-        force.settle({name: dict(each.offered) for name, each in cells.items()}, ZONES)
-        assert {name: list(lines.items()) for name, lines in force.lists.items()} == held
+        cells[cell].apply(fleet(complete, rows))
+        force.reconcile({name: each.reported for name, each in cells.items()}, ZONES)
+        held = {name: list(lines.items()) for name, lines in force.active.items()}
+        force.reconcile({name: dict(each.reported) for name, each in cells.items()}, ZONES)
+        assert {name: list(lines.items()) for name, lines in force.active.items()} == held
 
 
 def test_an_address_goes_to_another_host_of_the_cell_once_it_is_let_go():
-    cell, force = CellMembers(), CellsInForce()
-    cell.take(fleet(True, [("u", 1, "active", ""), ("v", 2, "active", "")]))
-    force.settle({"a1": cell.offered}, ZONES)
-    cell.take(fleet(False, [("w", 1, "active", "")]))
-    force.settle({"a1": cell.offered}, ZONES)
-    assert set(force.lists["a1"]) == {"u", "v"} and list(force.refused["a1"]) == ["w"]
-    cell.take(fleet(False, [("u", 1, "gone", "")]))
-    force.settle({"a1": cell.offered}, ZONES)
-    assert set(force.lists["a1"]) == {"v", "w"} and force.refused == {}
+    cell, force = CellMembers(), CellReconciler()
+    cell.apply(fleet(True, [("u", 1, "active", ""), ("v", 2, "active", "")]))
+    force.reconcile({"a1": cell.reported}, ZONES)
+    cell.apply(fleet(False, [("w", 1, "active", "")]))
+    force.reconcile({"a1": cell.reported}, ZONES)
+    assert set(force.active["a1"]) == {"u", "v"} and list(force.rejected["a1"]) == ["w"]
+    cell.apply(fleet(False, [("u", 1, "gone", "")]))
+    force.reconcile({"a1": cell.reported}, ZONES)
+    assert set(force.active["a1"]) == {"v", "w"} and force.rejected == {}
 
 
 # Lines as rows
@@ -110,9 +110,9 @@
 
 
 def test_racks_that_no_host_has_any_more_are_forgotten_and_no_number_is_given_twice():
-    listing, given = Listing(Loop()), set()
-    for number in range(3 * MAX_NUMBERED):
-        stays, comes = listing.rows([line("u", 1, rack="old"), line("v", 2, rack=f"r{number}")])
+    listing, given = HostLineConverter(Loop()), set()
+    for number in range(3 * MAX_NUMBERED_NAMES):
+        stays, comes = listing.endpoints([line("u", 1, rack="old"), line("v", 2, rack=f"r{number}")])
         assert stays.listed.cell == 0 and comes.listed.cell not in given
         given.add(comes.listed.cell)
-        assert len(listing.racks.of) <= MAX_NUMBERED + 1
+        assert len(listing.racks.by_name) <= MAX_NUMBERED_NAMES + 1
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -4,7 +4,7 @@
 import pytest
 from followed_cells import MILLI, SECOND, event, host, hosts
 
-from gaproute.discovery.changelog.cell import FIRST_PAUSE, LONGEST_PAUSE
+from gaproute.discovery.changelog.cell_watcher import FIRST_BACKOFF, MAX_BACKOFF
 from gaproute.loop import Listener, Stream
 from gaproute.loop.streams import address
 from gaproute.standins.cell_source import HEAD, CellSource, Trouble
@@ -25,7 +25,7 @@
     made.sources.append(back)
     back.tell("a1", host("w", "draining"), host("v"))
     back.tell("b1", *hosts("y"))
-    made.until(lambda: made.told["a1"] == {"w": "draining", "v": "active"}, LONGEST_PAUSE + SECOND)
+    made.until(lambda: made.told["a1"] == {"w": "draining", "v": "active"}, MAX_BACKOFF + SECOND)
     made.until(lambda: made.lists.status()["failing"] == [])
     back.tell("b1", host("y", "draining"))  # number 2, which was never had, after a list that was
     made.until(lambda: made.told["b1"] == {"y": "draining"})
@@ -95,19 +95,19 @@
         began = made.clock.now
         for source in made.sources:
             source.cut()
-        made.until(lambda made=made: made.follower("a1").asked == 2)
+        made.until(lambda made=made: made.follower("a1").connection_count == 2)
         waits.append(made.clock.now - began)
         made.close()
     assert min(asked) >= 5, asked
-    assert FIRST_PAUSE // 2 <= min(waits) < 0.65 * FIRST_PAUSE < 0.85 * FIRST_PAUSE < max(waits)
-    assert max(waits) <= FIRST_PAUSE + 30 * MILLI
+    assert FIRST_BACKOFF // 2 <= min(waits) < 0.65 * FIRST_BACKOFF < 0.85 * FIRST_BACKOFF < max(waits)
+    assert max(waits) <= FIRST_BACKOFF + 30 * MILLI
 
 
 def test_while_no_source_answers_the_tries_become_few(followed_cells):
     made = followed_cells(wheres=["127.0.0.1:1"], zones={"a1": "a"})
     made.lists.want(made.zones)
     made.passes(60 * SECOND)
-    assert 8 <= made.follower("a1").asked <= 16 and len(made.troubles) == 1
+    assert 8 <= made.follower("a1").connection_count <= 16 and len(made.troubles) == 1
 
 
 # Hostile sources
@@ -158,7 +158,9 @@
     for _ in range(20):
         made.passes(SECOND, 50 * MILLI)
         reader = follower.reader
-        assert len(reader.data) + len(reader.rest) + reader.size <= 2 * (1 << 20) + (1 << 16)
+        assert len(reader.event_data) + len(reader.partial_line) + reader.unfinished_bytes <= 2 * (
+            1 << 20
+        ) + (1 << 16)
     assert made.names("a1") == "wx" and len(made.troubles) == 1
     assert 1 <= hostile.connections <= 12
     hostile.listener.close()
@@ -185,5 +187,5 @@
         if source.following("a1"):
             source.cut()
         made.passes(250 * MILLI)
-    assert len(made.troubles) == 1 and source.asked["a1"] <= 1 + 10 * SECOND // (FIRST_PAUSE // 2)
+    assert len(made.troubles) == 1 and source.asked["a1"] <= 1 + 10 * SECOND // (FIRST_BACKOFF // 2)
     made.until(lambda: made.troubles[-1] == ("a1", None), 5 * SECOND)
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -9,7 +9,9 @@
 from scripted import Followed
 
 from gaproute.discovery.changelog import events
-from gaproute.discovery.changelog import follow as following
+from gaproute.discovery.changelog import sse as sse_reader
+from gaproute.discovery.changelog import watcher as watching
+from gaproute.discovery.changelog.members import MemberConverter
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.standins.platform import ChangeLog, event, sse
@@ -31,48 +33,48 @@
             + b"Transfer-Encoding: chunked\r\n\r\n"
             + b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
         )
-    reader = events.Reader()
+    reader = sse_reader.EventReader()
     got = [each.seq for at in range(0, len(data), cut) for each in reader.feed(data[at : at + cut])]
     assert got == [1, 2]
 
 
 def test_half_an_event_is_no_event():
-    reader = events.Reader()
+    reader = sse_reader.EventReader()
     assert [each.seq for each in reader.feed(HEAD + b"\r\n" + sse(ONE) + sse(TWO)[:-1])] == [1]
 
 
 @pytest.mark.parametrize("data", [b"{", b'{"seq":"x"}', b'{"seq":1,"fleet":5}', b"\xff", b"[" * 9999])
 def test_what_is_no_event_is_told_and_those_behind_it_are_read(data):
-    one, two = events.Reader().feed(HEAD + b"\r\ndata: " + data + b"\n\n" + sse(TWO))
+    one, two = sse_reader.EventReader().feed(HEAD + b"\r\ndata: " + data + b"\n\n" + sse(TWO))
     assert one is None and two.seq == 2
 
 
 @pytest.mark.parametrize("data", [b"HTTP/1.1 503 No\r\n\r\n", b"noise\r\n\r\n"])
 def test_what_is_no_log_is_broken(data):
-    with pytest.raises(events.Broken):
-        events.Reader().feed(data)
+    with pytest.raises(sse_reader.ChangeLogError):
+        sse_reader.EventReader().feed(data)
 
 
 @given(st.lists(st.binary(max_size=80), max_size=10))
 def test_arbitrary_bytes_raise_nothing_else(pieces):
-    reader = events.Reader()
+    reader = sse_reader.EventReader()
     try:
         reader.feed(HEAD + b"\r\n")
         for piece in pieces:
             reader.feed(piece)
-    except events.Broken:
+    except sse_reader.ChangeLogError:
         pass
 
 
 def test_members_become_rows_in_the_modules_terms():
     loop = Loop(lambda: 50 * SECOND)
-    lister = events.Lister(loop, ["hall-b", "hall-a"], lambda: 1_000 * SECOND)
+    lister = MemberConverter(loop, ["hall-b", "hall-a"], lambda: 1_000 * SECOND)
     told = event(1, ("s-1", "127.0.0.1:5", "Ready"), ("s-2", "nowhere", "Ready"), ("s-3", "127.0.0.1:6", "X"))
     told["fleet"]["members"][0]["up_since_ms"] = 990_000
-    (row,) = lister.rows(events.known({"results": [told]})[1][0].fleet)
+    (row,) = lister.endpoints(events.decode_initial({"results": [told]})[1][0].fleet)
     assert (row.listed.host, row.listed.zone, row.listed.cell, row.address) == ("s-1", 1, 2, "127.0.0.1:5")
     assert (row.listed.state, row.listed.capacity, row.listed.started) == (State.ACTIVE, 4.0, 40 * SECOND)
-    assert lister.refused == 2
+    assert lister.rejected == 2
     loop.close()
 
 
@@ -85,7 +87,7 @@
     made = follow(
         lambda last: sse(ONE) + sse(TWO) + sse(TWO) + sse(ONE),
         last=1,
-        known=events.known({"results": [ONE]})[1],
+        known=events.decode_initial({"results": [ONE]})[1],
     )
     made.until(lambda: made.told)
     assert made.log.came == [1] and made.told == [2]
@@ -113,7 +115,7 @@
 
 
 def test_silence_beyond_the_comments_pace_is_asked_again(follow, monkeypatch):
-    monkeypatch.setattr(following, "SILENCE", 30 * MILLI)
+    monkeypatch.setattr(watching, "SILENCE_TIMEOUT", 30 * MILLI)
     made = follow(lambda last: b"" if len(made.log.came) == 1 else sse(ONE))
     made.until(lambda: made.told)
     assert made.log.came == [0, 0]
@@ -123,8 +125,8 @@
     made = follow(lambda last: sse(ONE) if last == 0 else b"")
     made.until(lambda: made.told)
     other = ChangeLog(made.loop, lambda last: sse(TWO))
-    made.follower.move(other.address)
-    made.follower.move(other.address)
+    made.follower.set_address(other.address)
+    made.follower.set_address(other.address)
     made.until(lambda: made.told == [1, 2])
     assert other.came == [1]
     other.close()
@@ -133,11 +135,13 @@
 def test_a_log_that_is_down_is_asked_less_and_less_often(follow):
     made = follow(lambda last: b"")
     made.log.close()
-    made.until(lambda: made.follower.asked >= 4)
-    assert made.follower.pause >= 8 * following.FIRST and made.follower.pause <= following.LONGEST
+    made.until(lambda: made.follower.connection_count >= 4)
+    assert (
+        made.follower.backoff >= 8 * watching.FIRST_BACKOFF and made.follower.backoff <= watching.MAX_BACKOFF
+    )
 
 
 def test_known_events_come_first():
-    last, told = events.known(json.loads(json.dumps({"seq": 3, "results": [ONE, TWO]})))
+    last, told = events.decode_initial(json.loads(json.dumps({"seq": 3, "results": [ONE, TWO]})))
     assert last == 3 and [each.seq for each in told] == [1, 2]
-    assert events.known({}) == (0, [])
+    assert events.decode_initial({}) == (0, [])
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -13,9 +13,11 @@
 from gaproute.config import read_hosts
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog import events
-from gaproute.discovery.changelog import follow as following
-from gaproute.discovery.changelog.follow import Follower
-from gaproute.discovery.listing import Listing
+from gaproute.discovery.changelog import sse as sse_reader
+from gaproute.discovery.changelog import watcher as watching
+from gaproute.discovery.changelog.members import MemberConverter
+from gaproute.discovery.changelog.watcher import ChangeLogWatcher
+from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.loop import Loop, connect
 from gaproute.standins.platform import ChangeLog, event, parties, sse
 
@@ -72,11 +74,11 @@
 
 
 def test_a_long_event_may_take_its_time(follow):
-    whole = sse(event(2) | {"more": "x" * 4 * following.PACE})
+    whole = sse(event(2) | {"more": "x" * 4 * watching.MIN_BYTES_PER_SECOND})
     made = follow(lambda last: b"", last=1)
     made.passes(100 * MILLI)
-    for at in range(0, len(whole), following.PACE):
-        made.log.streams[0].write(whole[at : at + following.PACE])
+    for at in range(0, len(whole), watching.MIN_BYTES_PER_SECOND):
+        made.log.streams[0].write(whole[at : at + watching.MIN_BYTES_PER_SECOND])
         made.passes(SECOND)
     assert made.told == [2] and made.log.came == [1]
 
@@ -102,9 +104,9 @@
 def test_answers_that_tell_nothing_are_asked_less_and_less_often_and_never_given_up(follow, head, why):
     made = follow(lambda last: b"", last=1, head=head)
     made.passes(4 * SECOND)
-    assert 8 <= len(made.log.came) <= 20 and why in made.follower.fault
+    assert 8 <= len(made.log.came) <= 20 and why in made.follower.last_error
     made.log.head, made.log.script = HEAD, lambda last: sse(TWO)
-    made.passes(following.LONGEST + 20 * MILLI)
+    made.passes(watching.MAX_BACKOFF + 20 * MILLI)
     assert made.told == [2]
 
 
@@ -138,14 +140,14 @@
 def test_an_error_in_what_is_told_costs_that_event_alone(follow):
     made = follow(lambda last: sse(TWO) + sse(THREE), last=1)
     made.loop.on_error = lambda error: None
-    tell = made.follower.told
+    tell = made.follower.on_event
 
     def told(each):
         if each.seq == 2:
             raise KeyError(2)
         tell(each)
 
-    made.follower.told = told
+    made.follower.on_event = told
     made.passes(100 * MILLI)
     assert made.told == [3]
 
@@ -162,10 +164,10 @@
     told["fleet"]["members"][1]["size"] = "4"
     seen = []
     made = follow(lambda last: sse(told) if last == 1 else b"", last=1)
-    made.follower.told = seen.append
+    made.follower.on_event = seen.append
     made.passes(SECOND)
-    assert made.log.came == [1] and made.follower.last == 2
-    rows = events.Lister(made.loop, []).rows(seen[0].fleet)
+    assert made.log.came == [1] and made.follower.last_seq == 2
+    rows = MemberConverter(made.loop, []).endpoints(seen[0].fleet)
     assert [row.listed.host for row in rows] == ["s-2", "s-3"]
 
 
@@ -182,16 +184,16 @@
     ids=["header", "headers", "lines", "line", "comments in an event", "chunk's extension"],
 )
 def test_an_answer_without_an_end_is_given_up_at_a_bounded_size(head, piece):
-    reader = events.Reader()
+    reader = sse_reader.EventReader()
     reader.feed(head)
-    with pytest.raises(events.Broken, match="too long"):
-        for _ in range(events.EVENT // 60_000 + 2):
+    with pytest.raises(sse_reader.ChangeLogError, match="too long"):
+        for _ in range(sse_reader.MAX_EVENT_BYTES // 60_000 + 2):
             reader.feed(piece * (60_000 // len(piece)))
 
 
 def test_a_list_of_a_thousand_hosts_costs_little_in_the_smallest_pieces():
     data = HEAD + sse(event(1, *[(f"s-{place}", "127.0.0.1:5", "Ready") for place in range(1024)]))
-    reader, began = events.Reader(), time.process_time()
+    reader, began = sse_reader.EventReader(), time.process_time()
     got = [each for at in range(len(data)) for each in reader.feed(data[at : at + 1])]
     assert len(got[0].fleet.members) == 1024
     assert time.process_time() - began < 2  # 0.2 s; looked through anew with each piece it took 6 s
@@ -211,21 +213,21 @@
 def test_an_address_that_moves_in_mid_dial_and_while_a_pause_runs_and_back_is_followed(other, monkeypatch):
     made, refuses, log = other
     dials = HeldDials()
-    monkeypatch.setattr(following, "connect", dials)
-    made.follower.move(log.address)
-    made.follower.move(refuses)
-    made.follower.move(made.log.address)
-    made.follower.move(log.address)
+    monkeypatch.setattr(watching, "connect", dials)
+    made.follower.set_address(log.address)
+    made.follower.set_address(refuses)
+    made.follower.set_address(made.log.address)
+    made.follower.set_address(log.address)
     assert dials.waiting == 1
     dials.passing = True
-    made.follower.move(refuses)
-    made.passes(following.SILENCE)
+    made.follower.set_address(refuses)
+    made.passes(watching.SILENCE_TIMEOUT)
     assert made.follower.stream is None and made.follower.timer.call is not None
-    made.follower.move(log.address)
+    made.follower.set_address(log.address)
     dials.let()
     made.passes(100 * MILLI)
     assert made.told == [1, 2] and log.came == [1]
-    made.follower.move(made.log.address)
+    made.follower.set_address(made.log.address)
     made.passes(100 * MILLI)
     assert made.log.came == [0, 2] and not any(stream.open for stream in log.streams)
 
@@ -235,10 +237,10 @@
     _, most = limits = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (3, most))
     try:
-        made.follower.move(refuses)
+        made.follower.set_address(refuses)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-    made.follower.move(log.address)
+    made.follower.set_address(log.address)
     made.passes(200 * MILLI)
     assert made.told == [1, 2] and log.came == [1]
 
@@ -248,11 +250,11 @@
     _, most = limits = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (3, most))
     try:
-        made.follower.move(log.address)
+        made.follower.set_address(log.address)
         made.passes(SECOND)
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-    made.passes(following.LONGEST)
+    made.passes(watching.MAX_BACKOFF)
     assert made.told == [1, 2]
 
 
@@ -260,10 +262,10 @@
     made, _, log = other
     made.loop.on_error = lambda error: None
     with monkeypatch.context() as patch:
-        patch.setattr(following, "Stream", None)
-        made.follower.move(log.address)
+        patch.setattr(watching, "Stream", None)
+        made.follower.set_address(log.address)
         made.passes(100 * MILLI)
-    made.passes(following.SILENCE)
+    made.passes(watching.SILENCE_TIMEOUT)
     assert made.told == [1, 2]
 
 
@@ -281,10 +283,10 @@
     ids=["a list that differs", "one had and then one", "a change and then one", "no whole list"],
 )
 def test_a_log_that_begins_anew_is_told_from_one_that_writes_twice(follow, first, told):
-    known = events.known({"results": [ONE]})[1]
+    known = events.decode_initial({"results": [ONE]})[1]
     made = follow(lambda last: first if last == 41 else b"", last=41, known=known)
     made.passes(SECOND)
-    assert made.told == told and made.follower.anew == told.count(1)
+    assert made.told == told and made.follower.restarts == told.count(1)
     made.log.streams[-1].abort()
     made.passes(SECOND)
     assert made.log.came[-1] == (told or [41])[-1] and made.told == told
@@ -294,11 +296,11 @@
     twice = event(1, ("s-2", "127.0.0.1:6", "Ready"), ("s-1", "127.0.0.1:5", "Ready"), complete=True)
     other = json.loads(json.dumps(twice, sort_keys=True))
     other["fleet"]["members"].reverse()
-    made = follow(lambda last: sse(other) if made.follower.last else sse(twice))
+    made = follow(lambda last: sse(other) if made.follower.last_seq else sse(twice))
     made.passes(SECOND)
     made.log.streams[-1].abort()
     made.passes(SECOND)
-    assert made.told == [1] and made.log.came == [0, 1] and made.follower.anew == 0
+    assert made.told == [1] and made.log.came == [0, 1] and made.follower.restarts == 0
 
 
 def test_three_dials_into_nothing_after_a_silence_leave_the_news_within_four_seconds(follow, monkeypatch):
@@ -314,7 +316,7 @@
             return connect(loop, where, within, done)
         return loop.after(within, done, None, TimeoutError()).cancel
 
-    monkeypatch.setattr(following, "connect", dial)
+    monkeypatch.setattr(watching, "connect", dial)
     made.passes(4 * SECOND - 20 * MILLI)
     assert made.told == [2] and len(dials) == 4
 
@@ -324,13 +326,16 @@
     change = event(1, *members, complete=complete)
     for member in change["fleet"]["members"]:
         member.update(told)
-    return {row.listed.host: row for row in lister.rows(events.known({"results": [change]})[1][0].fleet)}
+    return {
+        row.listed.host: row
+        for row in lister.endpoints(events.decode_initial({"results": [change]})[1][0].fleet)
+    }
 
 
 @pytest.fixture
 def lister():
     loop = Loop(lambda: 50 * SECOND)
-    yield events.Lister(loop, ["hall-a"], lambda: 1_000_000 * SECOND)
+    yield MemberConverter(loop, ["hall-a"], lambda: 1_000_000 * SECOND)
     loop.close()
 
 
@@ -369,7 +374,7 @@
     first = listed(lister, ("s-1", "127.0.0.1:1", "Ready"), complete=True)
     for wrong in (("s-1", 5, "Ready"), ("s-1", "nowhere", "Ready"), ("s-1", "127.0.0.1:1", "Odd")):
         assert listed(lister, wrong, ("s-7", "127.0.0.1:7", None), complete=True) == {"s-1": first["s-1"]}
-    assert lister.refused == 6
+    assert lister.rejected == 6
 
 
 def test_a_gateway_is_up_while_its_log_says_nothing_and_takes_one_that_begins_anew(gate):
@@ -378,22 +383,22 @@
     client = made.client()
     client.message({"jsonrpc": "2.0", "id": 1, "method": "ping"})
     made.until(lambda: client.answers)
-    assert client.answers[0]["result"] == {"up": True} and made.process.follower.last == 1
+    assert client.answers[0]["result"] == {"up": True} and made.process.follower.last_seq == 1
     made.log.head = HEAD + sse(event(1, ("s-1", made.hosts[1].address, "Ready"), complete=True))
-    made.passes(following.SILENCE)
-    made.passes(following.FIRST)
+    made.passes(watching.SILENCE_TIMEOUT)
+    made.passes(watching.FIRST_BACKOFF)
     assert [host.name for host in made.process.hosts.hosts.values() if host.listed] == ["s-1"]
-    assert made.process.follower.anew == 1
+    assert made.process.follower.restarts == 1
     made.process.status()
     assert made.lines[-1][1]["log_anew"] == 1 and made.lines[-1][1]["log_fault"] == "silent"
 
 
 def test_a_start_of_the_file_goes_with_its_line():
     loop = Loop(lambda: 50 * SECOND)
-    made = Listing(loop, lambda: 100 * SECOND)
+    made = HostLineConverter(loop, lambda: 100 * SECOND)
     lines = read_hosts("l", "".join(f"host {name} 127.0.0.1:1 zone z rack r started 90\n" for name in "ab"))
-    assert [row.listed.started for row in made.rows(lines)] == [40 * SECOND] * 2
-    made.rows(lines[1:])
+    assert [row.listed.started for row in made.endpoints(lines)] == [40 * SECOND] * 2
+    made.endpoints(lines[1:])
     assert list(made.starts) == ["b"]
     loop.close()
 
@@ -431,7 +436,7 @@
                 follower.loop.clock.now += step
                 follower.loop.turn()
             case tuple():
-                follower.move(step[0])
+                follower.set_address(step[0])
 
 
 STEPS = st.sampled_from(
@@ -453,8 +458,8 @@
         CHUNKED,
         0,
         30 * MILLI,
-        following.CONNECT,
-        following.SILENCE,
+        watching.CONNECT_TIMEOUT,
+        watching.SILENCE_TIMEOUT,
         ("127.0.0.1:1",),
         ("127.0.0.1:2",),
     ]
@@ -465,12 +470,15 @@
 def test_whatever_comes_a_timer_stands_that_asks_again(steps):
     fakes, clock = Fakes(), Handed()
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(following, "connect", fakes.connect)
-        patch.setattr(following, "Stream", fakes.stream)
+        patch.setattr(watching, "connect", fakes.connect)
+        patch.setattr(watching, "Stream", fakes.stream)
         loop = Loop(clock)
-        made = Follower(loop, "127.0.0.1:1", 0, lambda each: None, Chance(1))
+        made = ChangeLogWatcher(loop, "127.0.0.1:1", 0, lambda each: None, Chance(1))
         for step in steps:
             fakes.step(made, step)
-            assert made.timer.call is not None and made.timer.when <= clock.now + following.SILENCE + SECOND
+            assert (
+                made.timer.call is not None
+                and made.timer.when <= clock.now + watching.SILENCE_TIMEOUT + SECOND
+            )
             assert fakes.on_bytes is None or fakes.done is None
         loop.close()
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -17,9 +17,11 @@
 from gaproute.config import read_hosts
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
 from gaproute.decisions.chance import Chance
-from gaproute.discovery.changelog import events, follow
-from gaproute.discovery.changelog.cell import CellFollower
-from gaproute.discovery.listing import FileWatch, Listing
+from gaproute.discovery.changelog import events, watcher
+from gaproute.discovery.changelog.cell_watcher import CellWatcher
+from gaproute.discovery.changelog.members import MemberConverter
+from gaproute.discovery.file_watch import FileWatch
+from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.loop import Loop
 from gaproute.standins.platform import ChangeLog, event, sse
 
@@ -76,13 +78,13 @@
 
 def told(lister, absent_at, *members):
     """{host: start by the loop's clock} of an event that tells of these members."""
-    _, (change,) = events.known({"results": [{"seq": 1, "fleet": {"members": list(members)}}]})
-    return {row.listed.host: row.listed.started for row in lister.rows(change.fleet, absent_at)}
+    _, (change,) = events.decode_initial({"results": [{"seq": 1, "fleet": {"members": list(members)}}]})
+    return {row.listed.host: row.listed.started for row in lister.endpoints(change.fleet, absent_at)}
 
 
 @pytest.fixture
 def lister(loop, wall):
-    return events.Lister(loop, ["hall-a"], wall)
+    return MemberConverter(loop, ["hall-a"], wall)
 
 
 def test_a_first_list_is_believed_so_that_a_warm_fleet_stays_warm(lister, wall, clock):
@@ -108,7 +110,7 @@
 
 def test_a_clock_that_was_an_hour_ahead_from_the_start_makes_no_host_old_that_appears(loop, wall, clock):
     wall.ahead = HOUR
-    lister = events.Lister(loop, ["hall-a"], wall)
+    lister = MemberConverter(loop, ["hall-a"], wall)
     told(lister, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
@@ -184,11 +186,11 @@
 
 
 def test_comments_and_events_tell_that_the_list_is_as_told_and_a_head_alone_does_not(followed):
-    known = events.known({"results": [whole()]})[1]
+    known = events.decode_initial({"results": [whole()]})[1]
     made = followed(lambda last: b"", last=1, known=known)
     begun = made.follower.current_at
     seen = []
-    made.follower.told = lambda each: seen.append(made.follower.current_at)
+    made.follower.on_event = lambda each: seen.append(made.follower.current_at)
     made.passes(SECOND)
     assert made.log.came and made.follower.current_at == begun
     made.log.streams[0].write(b":\n\n")
@@ -202,11 +204,11 @@
 
 
 def test_while_a_log_is_away_the_list_is_as_old_as_its_last_sign_of_life(followed):
-    known = events.known({"results": [whole()]})[1]
+    known = events.decode_initial({"results": [whole()]})[1]
     made = followed(lambda last: b":\n\n" if len(made.log.came) == 1 else b"", last=1, known=known)
     made.passes(100 * MILLI)
     last = made.follower.current_at
-    made.passes(3 * follow.SILENCE)
+    made.passes(3 * watcher.SILENCE_TIMEOUT)
     assert len(made.log.came) > 1 and made.follower.current_at == last
 
 
@@ -215,7 +217,7 @@
     silent = ChangeLog(loop, lambda last: b":\n\n")
     seen, troubles = [], []
     sources = (first.address, silent.address)
-    made = CellFollower(loop, sources, b"/changes/f/c", seen.append, troubles.append, list, Chance(1))
+    made = CellWatcher(loop, sources, b"/changes/f/c", seen.append, troubles.append, list, Chance(1))
 
     def passes(span):
         end = clock.now + span
@@ -251,25 +253,25 @@
 
 @pytest.mark.parametrize("ahead", [0, HOUR, -HOUR])
 def test_a_line_that_appears_is_no_older_than_since_the_file_was_seen_without_it(loop, wall, clock, ahead):
-    listing = Listing(loop, wall)
+    listing = HostLineConverter(loop, wall)
     old = wall.true() - HOUR
-    (first,) = listing.rows(lines(a=old))
+    (first,) = listing.endpoints(lines(a=old))
     assert first.listed.started == clock.now - HOUR
     absent_at = clock.now
     clock.now += SECOND
     wall.ahead = ahead
-    known, fresh = listing.rows(lines(a=old, b=wall.true() - SECOND // 5), absent_at)
+    known, fresh = listing.endpoints(lines(a=old, b=wall.true() - SECOND // 5), absent_at)
     assert known.listed.started == first.listed.started
     assert absent_at <= fresh.listed.started <= clock.now
-    anew, _ = listing.rows(lines(a=wall.true(), b=wall.true() - SECOND // 5), clock.now)
+    anew, _ = listing.endpoints(lines(a=wall.true(), b=wall.true() - SECOND // 5), clock.now)
     assert anew.listed.started == clock.now
 
 
 def test_a_line_whose_start_is_told_only_later_is_as_old_as_told(loop, wall, clock):
-    listing = Listing(loop, wall)
-    (untold,) = listing.rows(read_hosts("l", "host a 127.0.0.1:1\n"))
+    listing = HostLineConverter(loop, wall)
+    (untold,) = listing.endpoints(read_hosts("l", "host a 127.0.0.1:1\n"))
     clock.now += SECOND
-    (known,) = listing.rows(lines(a=wall.true() - HOUR), clock.now)
+    (known,) = listing.endpoints(lines(a=wall.true() - HOUR), clock.now)
     assert untold.listed.started is None and known.listed.started == clock.now - HOUR
 
 
@@ -328,7 +330,7 @@
 
 def test_hosts_of_a_cell_are_bounded_by_the_list_of_that_cell_before(clock, wall):
     rows = CellRows(Loop(clock), True)
-    rows.listing = Listing(rows.listing.start_times.loop, wall)
+    rows.listing = HostLineConverter(rows.listing.start_times.loop, wall)
     wall.ahead = HOUR
     rows.listing.start_times.offset = BEGUN + HOUR
     zones = {"a1": "a", "b1": "b"}
@@ -392,8 +394,9 @@
 ALLOWED = {  # lines that read it, by file; each has its row in docs/crossings.md
     "appliance/leases.py": 1,
     "config/values.py": 1,
-    "discovery/changelog/events.py": 1,
-    "discovery/listing.py": 2,
+    "discovery/changelog/members.py": 1,
+    "discovery/file_watch.py": 1,
+    "discovery/host_lines.py": 1,
     "peers/membership.py": 1,
     "platform/log.py": 1,
     "storage/cell_table_file.py": 1,
--- a/tests/faultinjection/test_fault_network.py
+++ b/tests/faultinjection/test_fault_network.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gaproute.connections import lot
-from gaproute.discovery.changelog.events import Lister
+from gaproute.discovery.changelog.members import MemberConverter
 from gaproute.faultinjection.catalog import ERRNOS, FAULTS, SECOND, NetworkCall
 from gaproute.faultinjection.network import PACKAGES, NetworkFaults, modules_of
 from gaproute.faultinjection.plan import ClockStep, Failure, FaultPlan, Script, ShortTransfer
@@ -58,7 +58,7 @@
         )
         raise KeyError
     assert [getattr(module, name) for module, name in HOLDERS] == before
-    assert Lister.__init__.__defaults__ == (time.time_ns,)
+    assert MemberConverter.__init__.__defaults__ == (time.time_ns,)
 
 
 def test_a_second_installation_at_a_time_is_an_error(install):
@@ -235,7 +235,7 @@
 
 def test_the_wall_clock_is_stepped_where_modules_read_it_and_monotonic_time_is_not(install):
     faults = install((NetworkCall.WALL_CLOCK, 2, ClockStep(-3600 * SECOND)))
-    wall = Lister.__init__.__defaults__[0]
+    wall = MemberConverter.__init__.__defaults__[0]
     before, stepped = wall(), wall()
     assert -3600 * SECOND <= stepped - before < -3599 * SECOND
     faults.wall_clock.step(7200 * SECOND)
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -148,7 +148,7 @@
 def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
     made = gate()
     made.process.told(
-        events.known(
+        events.decode_initial(
             {
                 "seq": 2,
                 "results": [
@@ -243,7 +243,7 @@
     made.process.reload()
     made.until(lambda: not made.process.hosts.hosts["s-0"].active)
     assert other.came == [1]
-    assert made.process.follower.last == 2
+    assert made.process.follower.last_seq == 2
     other.close()
 
 
@@ -436,7 +436,9 @@
     made = gate(peers=[f"127.1.{number // 250}.{number % 250 + 1}:7946" for number in range(1024)])
     began = time.process_time()
     for number in range(2, 12):
-        _, (change,) = events.known({"seq": number, "results": [event(number, *rows, complete=True)]})
+        _, (change,) = events.decode_initial(
+            {"seq": number, "results": [event(number, *rows, complete=True)]}
+        )
         made.process.told(change)
     took = (time.process_time() - began) / 10
     assert len(made.process.core.gateway.fleet) == 1024
--- a/tests/standins/test_log.py
+++ b/tests/standins/test_log.py
@@ -5,7 +5,7 @@
 from helpers import makers
 
 from gaproute.decisions.chance import Chance
-from gaproute.discovery.changelog.follow import Follower
+from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.standins.platform.listing import Listing, member
 from gaproute.standins.platform.log import Log
 from tests.standins.test_platform import ANY, MILLI, Bench
@@ -19,7 +19,7 @@
 
 def follow(bench, where, last):
     told = []
-    follower = Follower(bench.loop, where, last, told.append, Chance(1))
+    follower = ChangeLogWatcher(bench.loop, where, last, told.append, Chance(1))
     bench.closing.append(follower.close)
     return follower, told
 
@@ -80,7 +80,7 @@
     made.command({"do": "move"})
     drain(made, listing)
     assert bench.said[-1]["address"] != bench.said[0]["address"]
-    follower.move(bench.said[-1]["address"])
+    follower.set_address(bench.said[-1]["address"])
     bench.until(lambda: told)
     assert [event.seq for event in told] == [2] and bench.seen("asked")[-1]["last"] == 1
 
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -7,7 +7,7 @@
 from helpers import turn_until
 
 from gaproute.decisions.chance import Chance
-from gaproute.discovery.changelog.follow import Follower
+from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.loop import Loop, connect
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
@@ -109,7 +109,7 @@
         self.clock = clock
         self.loop, self.told = Loop(clock) if clock else Loop(), []
         self.log = ChangeLog(self.loop, script, **log)
-        self.follower = Follower(
+        self.follower = ChangeLogWatcher(
             self.loop, self.log.address, last, lambda each: self.told.append(each.seq), Chance(1), known
         )
 
