--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -31,7 +31,7 @@
             "descriptors": descriptors(),
             "kept_back": lot.admission.reserve,
         },
-        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
+        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
         "gateways": transport.membership.live_count() if transport else None,
         "cells": gate.cells and gate.cells.status(),
         "weak_word": others.gossip and others.gossip.node.status(gate.loop.now()),
@@ -68,7 +68,7 @@
         told.append(
             {
                 "name": name,
-                "address": row.where,
+                "address": row.address,
                 "state": row.listed.state.value,
                 "capacity": row.listed.capacity,
                 "connections": len(host.open) if host else 0,
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -7,7 +7,7 @@
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 from gaproute.decisions.reports.shared_observations import FACTS, SharedObservations
-from gaproute.discovery.listing import FileWatch
+from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop.streams import address
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -31,10 +31,10 @@
 STANDING_TIMERS = frozenset(
     (
         "Core._woken",
-        "Follower.ask",
-        "Follower.quiet",
+        "ChangeLogWatcher.connect",
+        "ChangeLogWatcher.check_silence",
         "Front._sweep",
-        "Hosts.sweep",
+        "JsonLinesClient.sweep",
         "Parking._tick",
         "Process.status",
     )
