--- a/gaproute/decisions/routing/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -1,7 +1,7 @@
 """What other gateways or a past life tell, as the module takes it and tells of its own: decisions only.
 
 Evidence that fades alike and gives way to any of one's own. It gives no credit, orders nothing and lifts no
-limit. Only a gateway that is told of others' copies (`gaproute.decisions.reports.lore`) comes here; elsewhere
+limit. Only a gateway that is told of others' copies (`reports/shared_observations.py`) comes here; elsewhere
 nothing is on trial.
 """
 
@@ -89,7 +89,7 @@
 
     def verify(self, name, worker_id, found):
         """An outcome shows whether a hint on trial was right."""
-        if self.trials.pop((name, worker_id), None) is None or found is Found.UNTOLD:
+        if self.trials.pop((name, worker_id), None) is None or found is Found.UNKNOWN:
             return
         if found is Found.WARM:
             self.right += 1
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -70,7 +70,7 @@
     configuration = _decode(path, _read_bytes(path))
     _check_fields(path, configuration)
     loaded = _load(path, configuration)
-    if not loaded.terms.tracks:
+    if not loaded.terms.request_classes:
         raise ConfigurationRefusedError(f"{path}: settings: no classes of request are named")
     return loaded
 
@@ -111,7 +111,7 @@
         text = f"{path}: seed: {configuration.seed!r} is no hexadecimal number"
         raise ConfigurationRefusedError(text) from None
     try:
-        events.known(configuration.known)
+        events.decode_initial(configuration.known)
     except msgspec.ValidationError as error:
         raise ConfigurationRefusedError(f"{path}: known: {error}") from None
 
--- a/gaproute/shared/gossip/__init__.py
+++ b/gaproute/shared/gossip/__init__.py
@@ -1,7 +1,11 @@
-"""The weak word: demand, tasks in hand, room, warm copies; seen by one, told to all, fading. Face: `Weak`."""
+"""Gossip: what each gateway observes of demand and hosts, sent to all others. Face: `GossipNode`.
 
-from gaproute.shared.gossip.facts import Page, Word
-from gaproute.shared.gossip.reading import Reading
-from gaproute.shared.gossip.weak import Weak
+Demand, requests in flight, available capacity and warm instances are seen by one gateway and told to all;
+what is told expires and only advises.
+"""
 
-__all__ = ["Page", "Reading", "Weak", "Word"]
+from gaproute.shared.gossip.estimates import FleetEstimate
+from gaproute.shared.gossip.messages import EntryKind, EntrySet, GossipMessage
+from gaproute.shared.gossip.node import GossipNode
+
+__all__ = ["EntryKind", "EntrySet", "FleetEstimate", "GossipMessage", "GossipNode"]
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -11,7 +11,7 @@
 from helpers import MILLI, SECOND
 
 from gaproute import interface as face
-from gaproute.hosts import orca, proof
+from gaproute.hosts import orca, results
 from gaproute.http1 import Exchange
 from gaproute.loop import Listener, Promise, Stream
 from gaproute.loop.streams import address
@@ -329,7 +329,7 @@
         (reply(FULL.format(200)), face.Result.OK),
         (reply(FULL.format(400)), face.Result.OK),
         (reply(FULL.format(429)), face.Result.FULL),
-        (reply(FULL.format(404)), face.Result.MISS),
+        (reply(FULL.format(404)), face.Result.NOT_LOADED),
         (reply(FULL.format(500)), face.Result.ERROR),
         (reply(FULL.format(503)), face.Result.ERROR),
         (reply(FULL.format(408)), face.Result.ERROR),
@@ -363,7 +363,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         assert heard_of(made, "{}:{}".format(*taken.getsockname())) is face.Result.CONNECT_FAILED
-    assert proof.of_failure(False) is face.Result.CONNECT_FAILED
+    assert results.of_unanswered(False) is face.Result.CONNECT_FAILED
 
 
 def heard_of(made, where):
@@ -393,15 +393,15 @@
         (
             b"TEXT cpu_utilization=0.5, named_metrics.in_hand=7",
             face.Report(7, None, 0.5, None),
-            face.Found.UNTOLD,
+            face.Found.UNKNOWN,
             None,
         ),
-        (b'JSON {"cpu_utilization": -1}', None, face.Found.UNTOLD, None),
-        (b'JSON {"named_metrics": {"copy": 9}}', None, face.Found.UNTOLD, None),
-        (b"JSON {", None, face.Found.UNTOLD, None),
-        (b"TEXT cpu_utilization=nan,named_metrics.queue=inf", None, face.Found.UNTOLD, None),
-        (b"BIN xxxx", None, face.Found.UNTOLD, None),
+        (b'JSON {"cpu_utilization": -1}', None, face.Found.UNKNOWN, None),
+        (b'JSON {"named_metrics": {"copy": 9}}', None, face.Found.UNKNOWN, None),
+        (b"JSON {", None, face.Found.UNKNOWN, None),
+        (b"TEXT cpu_utilization=nan,named_metrics.queue=inf", None, face.Found.UNKNOWN, None),
+        (b"BIN xxxx", None, face.Found.UNKNOWN, None),
     ],
 )
 def test_load_reports_in_the_published_forms(value, report, found, alike):
-    assert orca.read({orca.HEADER: value}) == (report, found, alike)
+    assert orca.decode_headers({orca.HEADER: value}) == (report, found, alike)
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -18,9 +18,9 @@
 from gaproute.core.core import Core
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
-from gaproute.hosts.jsonlines import link as links
-from gaproute.hosts.jsonlines.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.jsonlines import connection as connections
+from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Loop, Stepped
 from gaproute.telemetry.record import Record
@@ -29,7 +29,9 @@
 LEFT = 3 * SECOND  # that each client waits
 SPANS = (0, MILLI, 20 * MILLI, 100 * MILLI, 700 * MILLI)
 WINDOW = 300 * MILLI  # for which hosts know a repeat
-TRACKS = tuple(track._replace(repeat_window=WINDOW, contract_time=200 * MILLI) for track in TERMS.tracks)
+TRACKS = tuple(
+    track._replace(repeat_window=WINDOW, latency_objective=200 * MILLI) for track in TERMS.request_classes
+)
 NEVER_RAN = ("overload", "not_here", "nobody")
 ANSWERS = ("served", "served", "served", "crashed", "garbled", *NEVER_RAN)
 FULL = ("overload",)  # of hosts that turn all away
@@ -116,8 +118,8 @@
 
 class World:
     def __init__(self, patch, cancel, twins, shared, answers):
-        patch.setattr(links, "connect", dials := HeldDials())
-        patch.setattr(links, "Stream", Wire)
+        patch.setattr(connections, "connect", dials := HeldDials())
+        patch.setattr(connections, "Stream", Wire)
         self.dials, self.wires, self.room, self.errors = dials, [], 1 << 20, []
         self.loop = Loop(Ticking(1000 * SECOND))
         self.loop.on_error = self.errors.append
@@ -127,13 +129,13 @@
             connect_time=0,
             order_time=SECOND,
             shared=shared,
-            counts_alike=True,
+            same_function_counted=True,
             halts=cancel,
         )
-        self.hosts = Hosts(self.loop, Pooling(), site, 64)
-        terms = TERMS._replace(tracks=TRACKS, cancel_allowed=cancel, twins_allowed=twins)
+        self.hosts = JsonLinesClient(self.loop, Pooling(), site, 64)
+        terms = TERMS._replace(request_classes=TRACKS, cancel_allowed=cancel, hedging_allowed=twins)
         self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
-        self.hosts.forgotten = self.record.forget
+        self.hosts.on_removed = self.record.forget
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
         self.rows = {name: row(name, started=0) for name in HOSTS}
         self.lives = {name: SimpleNamespace(world=self, name=name) for name in HOSTS}
@@ -148,7 +150,9 @@
             return
         now, task = self.loop.now(), self.named[command["req"]]
         life = wire.life
-        held = [each for each in self.core.held.values() if each.call.mark == command["req"] and each.finish]
+        held = [
+            each for each in self.core.held.values() if each.call.request_id == command["req"] and each.finish
+        ]
         assert held and not task.finals and not task.left, "begun for nobody"
         assert now < min(task.end, self.last), "begun too late"
         assert self.lives[life.name] is life and self.rows[life.name].state is face.State.ACTIVE
@@ -179,7 +183,7 @@
         over = [name for name, task in self.named.items() if task.finals or task.left]
         name = over[-1] if over and way == 0 else str(len(self.tasks))
         task = SimpleNamespace(
-            finals=[], left=False, effect=TRACKS[place % 3].effect, end=self.loop.now() + LEFT
+            finals=[], left=False, effect=TRACKS[place % 3].idempotency, end=self.loop.now() + LEFT
         )
         self.named[name] = task
         self.tasks.append(task)
@@ -254,13 +258,13 @@
             state = list(face.State)[way % 3]
             self.rows[name] = self.rows[name]._replace(state=state)
         shown = [
-            Row(self.rows[each], f"127.0.0.1:{self.place(each)}")
+            Endpoint(self.rows[each], f"127.0.0.1:{self.place(each)}")
             for each in HOSTS
             if way != 5 or each != name
         ]
         if way == 5:
             self.rows[name] = self.rows[name]._replace(state=face.State.GONE)
-        self.hosts.listed(shown, True)
+        self.hosts.update(shown, complete=True)
         self.core.listed([each.listed for each in shown], True)
         for host in self.hosts.hosts.values():
             host.where = self.lives[host.name]
@@ -284,7 +288,7 @@
             wire.take()
 
     def connections(self, place, way):
-        self.hosts.room = (1, 2, 64, 64)[way % 4]
+        self.hosts.max_connections = (1, 2, 64, 64)[way % 4]
 
     def end_by(self, place, way):
         if place < 3 and self.last > self.loop.now() + SECOND:
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -422,7 +422,7 @@
     assert made.lines[-2][1]["descriptors"] is made.lines[-2][1]["memory_mb"] is None
     assert [client.ended for client in clients] == [True] * SHORT + [False] * 2
     made.passes(AGAIN + MILLI)
-    assert made.lines[-1][0] == "configuration" and made.process.follower.where == address("127.0.0.1:9")
+    assert made.lines[-1][0] == "configuration" and made.process.follower.address == address("127.0.0.1:9")
     made.passes(STATUS)
     assert [what for what, _ in made.lines].count("status") == 4  # both go on
 
@@ -462,5 +462,5 @@
 def test_what_clients_hosts_and_the_process_may_hold_is_never_more_than_the_limit(gate, sockets):
     process = gate(sockets=sockets).process
     most = process.front.lot.admission.most
-    assert most + process.hosts.room + OWN <= sockets and process.hosts.room > 0
+    assert most + process.hosts.max_connections + OWN <= sockets and process.hosts.max_connections > 0
     assert most >= sockets // 3 or sockets < 64  # what clients may hold by the protocol
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -9,7 +9,7 @@
 
 from gaproute.decisions.connections.pooling import CARRIED
 from gaproute.discovery.changelog import events
-from gaproute.hosts.jsonlines import link as links
+from gaproute.hosts.jsonlines import connection as connections
 from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import Call
 from gaproute.standins.platform import arg, event
@@ -41,7 +41,7 @@
 
     def make(*args, cancel=True, probes=False, **told):
         dials = HeldDials()
-        monkeypatch.setattr(links, "connect", dials)
+        monkeypatch.setattr(connections, "connect", dials)
         limits = SETTINGS["limits"] | {"cancel": cancel, "probes": probes, "connect_timeout": 1000.0}
         made = gate(*args, clock=Handed(), settings=settings() | {"limits": limits}, **told)
         made.dials = dials
@@ -103,7 +103,7 @@
 def test_what_the_full_socket_has_taken_no_byte_of_never_begins_once_its_client_left(gate, monkeypatch):
     """One connection serves all, its host reads nothing: the last request waits here, not in a buffer."""
     made = gate(hosts=1, settings=settings(cancel=False), clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     first = made.client()
     first.ask(1)
     made.until(lambda: first.answers)
@@ -118,7 +118,7 @@
         for number in range(1, 9):
             clients[-1].ask(number, i=f"{len(clients):08x}{number:08x}", arg=arg(b"x" * 16000))
         made.turns(5)
-    waits = [each.id for each in link.open.values() if not each.begun]
+    waits = [each.id for each in link.open.values() if not each.started]
     assert waits
     for client in clients:
         client.stream.abort()
@@ -135,13 +135,13 @@
     known, name = made.process.hosts.hosts, "s-0"
     made.until(lambda: any(link.served for link in known[name].links))  # a probe's
     old = next(iter(known[name].links))
-    old.open["x"] = links.Asked(old, "x", None, 0, None, 0)  # still at work there
+    old.open["x"] = connections.PendingRequest(old, "x", None, 0, None, 0)  # still at work there
     old.open["x"].stop = 0
     where = made.hosts[1 if change == "address" else 0].address
     told = event(2, (name, where, "Ready"))
     if change == "start":
         told["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
-    made.process.told(events.known({"seq": 2, "results": [told]})[1][0])
+    made.process.told(events.decode_initial({"seq": 2, "results": [told]})[1][0])
     assert old in known[name].links and not old.trusted
     old.bytes(b'{"type":"served","req":"x","data":""}\n')
     assert old not in known[name].links
@@ -167,7 +167,7 @@
     client.ask(1)
     made.until(lambda: client.answers)
     assert came[0][0] is not came[1][0] and client.answers[0]["result"]["arg"] == arg(b"body 1")
-    assert made.process.hosts.strays == 1
+    assert made.process.hosts.unmatched == 1
 
 
 def test_an_answer_before_its_request_has_gone_out_is_no_answer(slow):
@@ -176,9 +176,11 @@
     made.dials.let()
     made.until(made.came)
     (link,) = made.process.hosts.hosts["s-0"].links
-    link.open["y"] = links.Asked(link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0)
+    link.open["y"] = connections.PendingRequest(
+        link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0
+    )
     link.bytes(b'{"type":"served","req":"y","data":""}\n')
-    assert made.process.hosts.strays == 1 and len(link.open) == 2
+    assert made.process.hosts.unmatched == 1 and len(link.open) == 2
 
 
 def test_a_dial_for_which_there_is_no_descriptor_is_not_held_against_the_host(slow):
@@ -196,12 +198,12 @@
 def test_with_no_room_for_one_more_connection_a_request_is_not_sent_and_no_descriptor_is_taken(slow):
     made, heard = slow(hosts=2), []
     hosts, end = made.process.hosts, made.loop.now() + SECOND
-    hosts.room = 1
+    hosts.max_connections = 1
     for worker in ("s-0", "s-1"):
         call = Call("7f3a9c21e0b4d655", "", (), b"", f"{worker:>16}", "fault-check")
-        hosts.relay(worker, call, Idempotency.IDEMPOTENT, worker, end, end, heard.append)
+        hosts.send(worker, call, Idempotency.IDEMPOTENT, worker, end, end, heard.append)
     made.turns()
-    assert made.dials.waiting == 1 and [each.result for each in heard] == [Result.MOOT]
+    assert made.dials.waiting == 1 and [each.result for each in heard] == [Result.NOT_SENT]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -211,7 +213,9 @@
     client.ask(1)
     made.until(made.came)
     (other,) = [each for each in made.process.hosts.hosts["s-0"].links if f"{1:016x}" in each.open]
-    other.open["z"] = links.Asked(other, "z", None, 0, None, made.loop.now() + 9 * SECOND)  # keeps it in use
+    other.open["z"] = connections.PendingRequest(
+        other, "z", None, 0, None, made.loop.now() + 9 * SECOND
+    )  # keeps it in use
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     made.turns()
     made.passes(3 * SECOND)
@@ -263,7 +267,7 @@
     (other,) = [each for each in made.process.hosts.hosts if each != name]
     where = made.process.hosts.hosts[other].text
     told = event(2, (other, where, "Ready"), complete=True)
-    made.process.told(events.known({"seq": 2, "results": [told]})[1][0])
+    made.process.told(events.decode_initial({"seq": 2, "results": [told]})[1][0])
     for host in made.hosts:
         for stream in host.streams:
             stream.abort()
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -12,9 +12,9 @@
 from gaproute import interface as face
 from gaproute.core.core import Heard
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.hosts import proof
-from gaproute.hosts.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts import results
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import NoResponseError
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Stepped, connecting
@@ -43,9 +43,9 @@
         monkeypatch.setattr(connecting, "socket", Sockets(code))
         loop = Loop(Stepped(now=7 * SECOND))
         loops.append(loop)
-        made = Hosts(loop, Pooling())
+        made = KServeClient(loop, Pooling())
         listed = face.ListedHost("a", 0, 0, face.State.ACTIVE, 1.0, None)
-        made.listed([Row(listed, "127.0.0.1:9")], True)
+        made.update([Endpoint(listed, "127.0.0.1:9")], complete=True)
         return made
 
     yield make
@@ -58,11 +58,11 @@
     made, told = hosts(code), []
     call = Call("f", "", (), b"")
     end = made.loop.now() + SECOND
-    made.relay("a", call, face.Idempotency.NON_IDEMPOTENT, "t", end, end, lambda heard: told.append(heard))
+    made.send("a", call, face.Idempotency.NON_IDEMPOTENT, "t", end, end, lambda heard: told.append(heard))
     made.order("a", "f", 1, lambda result, copies: told.append((result, copies)))
     made.probe("a", lambda good, report: told.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
-    assert sorted(told, key=len) == [(face.Result.MOOT, 0), Heard(face.Result.MOOT, None)]
+    assert sorted(told, key=len) == [(face.Result.NOT_SENT, 0), Heard(face.Result.NOT_SENT, None)]
     assert not made.hosts["a"].open and not made.hosts["a"].unsent
 
 
@@ -76,9 +76,9 @@
 
 @pytest.mark.parametrize("code", OWN)
 def test_what_had_begun_may_have_run_whatever_ended_it(code):
-    assert proof.of_undelivered(NoResponseError(True, True, "", fault(code))) is face.Result.RESET
-    assert proof.of_undelivered(NoResponseError(False, True, "", fault(code))) is face.Result.MOOT
-    assert proof.of_undelivered(NoResponseError(False, True, "closed")) is face.Result.CONNECT_FAILED
+    assert results.of_undelivered(NoResponseError(True, True, "", fault(code))) is face.Result.RESET
+    assert results.of_undelivered(NoResponseError(False, True, "", fault(code))) is face.Result.NOT_SENT
+    assert results.of_undelivered(NoResponseError(False, True, "closed")) is face.Result.CONNECT_FAILED
 
 
 def drop_all(made):
@@ -117,13 +117,13 @@
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
     for _ in range(50):
         made.passes(MILLI)
-    assert told == [face.Result.MOOT]
+    assert told == [face.Result.NOT_SENT]
     drop_all(made)
-    made.process.hosts.room = 0
+    made.process.hosts.max_connections = 0
     made.process.hosts.probe("s-0", lambda good, report: told.append(good))
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
     made.turns()
-    assert told == [face.Result.MOOT, face.Result.MOOT]
+    assert told == [face.Result.NOT_SENT, face.Result.NOT_SENT]
 
 
 # The log
