--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -83,6 +83,7 @@
     for number in range(1, most + 1):
         client.ask(number)
     made.until(lambda: len(client.answers) == most - MAX_OPEN_REQUESTS)
+    made.until(lambda: len(held) == MAX_OPEN_REQUESTS)  # which the host may read later
     assert set(codes(client)[0].values()) == {REFUSED} and made.process.front.protocol_errors == 0
     for each in held:
         made.hosts[0].serve(*each)
