--- /dev/null
+++ b/gaproute/connections/endpoint.py
@@ -0,0 +1,162 @@
+"""One listening address of any protocol: its connections are accepted, parked, resumed and drained."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from typing import Any, Generic, Protocol, TypeVar
+
+from gaproute.connections.lot import Lot
+from gaproute.loop import Listener
+from gaproute.loop.connecting import DRAIN_AGAIN
+
+
+class ActiveConnection(Protocol):
+    """A connection at work: one that has sent something and is not parked."""
+
+    def receive(self, data: bytes) -> None:
+        """Takes received bytes."""
+
+    def close_at_once(self) -> None:
+        """Ends the connection without waiting for answers still owed."""
+
+
+Connection = TypeVar("Connection", bound=ActiveConnection)
+
+
+class Endpoint(Generic[Connection]):
+    """A listening address and the connections accepted on it; the owner of those that are parked.
+
+    A subclass gives `_first_request_due`, `_make_connection` and `stop`, and overrides `_may_accept` and
+    `_reject` where it has a limit or an answer of its own. `counted`: whether its connections take of the
+    clients' share; operators and peers do not. `inherited`: a listening socket that other processes accept
+    from as well. Errors: OSError.
+    """
+
+    def __init__(self, loop: Any, address: Any, *, counted: bool, inherited: Any = None) -> None:
+        self.loop, self.counted = loop, counted
+        self.connections: dict[Connection, None] = {}  # those at work, as an ordered set
+        self.parked = 0
+        self.rejected_connections = 0  # that found no capacity
+        self.protocol_errors = 0  # of all connections
+        self.stopping = False
+        self.on_emptied: Callable[[], None] | None = None  # once no connection is left; set after a stop
+        self.drain_timer: Any = None  # where the kernel's queue could not be emptied at a stop
+        self.family = address[0]
+        self.lot = Lot.of(loop)
+        self.shares_queue = inherited is not None
+        self.listener = Listener(loop, address, None, on_ready=self._ready, inherited=inherited)
+        self.address = self.listener.address  # as text, with the port that the kernel picked
+        self.owner_number = self.lot.open(self)  # after the listener, which may fail
+
+    @property
+    def connection_count(self) -> int:
+        """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
+        return len(self.connections) + self.parked + (self.drain_timer is not None)
+
+    # What a protocol gives
+
+    def _first_request_due(self) -> int:
+        """When a new connection that has sent nothing is closed, by the loop's clock."""
+        raise NotImplementedError
+
+    def _make_connection(self, sock: socket.socket, address_index: int, request_count: int) -> Connection:
+        """The connection at work on a socket; `request_count`: requests that it has brought so far."""
+        raise NotImplementedError
+
+    def _reject(self, sock: socket.socket) -> None:
+        """Closes a connection that finds no capacity."""
+        sock.close()
+
+    def _may_accept(self) -> bool:
+        """Whether the endpoint's own limits permit one more connection."""
+        return True
+
+    def stop(self) -> None:
+        """Accepts no more, and closes connections once nothing is owed on them."""
+        raise NotImplementedError
+
+    # Accepting
+
+    def _ready(self) -> None:
+        self.lot.arrive(self.listener, self)
+        self.loop.waiting = True
+
+    def admits(self, sock: socket.socket, address: Any) -> None:
+        """A connection was accepted: it is parked, or rejected where there is no capacity for it."""
+        address_index = None
+        if self._may_accept():
+            source = address[0] if self.family != socket.AF_UNIX else ""
+            address_index = self.lot.admit(source, self.counted)
+        if address_index is None:
+            self.rejected_connections += 1
+            self._reject(sock)
+            return
+        self.parked += 1
+        due = self._first_request_due()
+        self.lot.park(sock.detach(), self.owner_number, due, address_index, 0, False)
+
+    def woken(self, fd: int, data: bytes, address_index: int, request_count: int) -> None:
+        """A parked connection has sent something."""
+        self.parked -= 1
+        sock = socket.socket(self.family, socket.SOCK_STREAM, 0, fd)
+        connection = self._make_connection(sock, address_index, request_count)
+        self.connections[connection] = None
+        connection.receive(data)
+
+    # Connections that leave
+
+    def park(self, connection: Any, due: int) -> None:
+        """Parks a quiet connection until it sends something, or is closed at `due`."""
+        del self.connections[connection]
+        self.parked += 1
+        self.lot.park(
+            connection.stream.release(),
+            self.owner_number,
+            due,
+            connection.address_index,
+            connection.request_count,
+            True,
+        )
+
+    def lost(self) -> None:
+        """A parked connection was closed."""
+        self.parked -= 1
+        self.check_emptied()
+
+    def unregister(self, connection: Any) -> None:
+        """A connection at work was closed."""
+        del self.connections[connection]
+        self.lot.leave(connection.address_index, self.counted)
+        self.check_emptied()
+
+    def check_emptied(self) -> None:
+        """Calls `on_emptied` where no connection is left."""
+        if self.on_emptied is not None and not self.connection_count:
+            self.on_emptied()
+
+    # The end
+
+    def _drain_accept_queue(self) -> bool:
+        """Takes in what waits in the kernel's queue, which would be reset, and gives the address up; tried
+        again while accepting fails. Returns whether it is done."""
+        self.drain_timer = None
+        if self.shares_queue or self.listener.drain(self.admits):
+            self.listener.close()
+            return True
+        self.drain_timer = self.loop.after(DRAIN_AGAIN, self._drain_accept_queue)
+        return False
+
+    def _cancel_drain(self) -> None:
+        if self.drain_timer is not None:
+            self.drain_timer.cancel()
+            self.drain_timer = None
+
+    def close(self) -> None:
+        """Stops, and ends every connection at once, without waiting for answers still owed."""
+        self.stop()
+        self._cancel_drain()
+        self.listener.close()
+        self.lot.close(self.owner_number, True)
+        for connection in list(self.connections):
+            connection.close_at_once()
--- /dev/null
+++ b/gaproute/fronts/jsonrpc/framing.py
@@ -0,0 +1,92 @@
+"""Frames of messages: a head with `Content-Length`, an empty line, a body. Bytes in, whole bodies out."""
+
+import re
+
+from gaproute.fronts.jsonrpc.errors import FramingError
+
+MAX_HEAD_BYTES = 512  # its one field takes 30
+MAX_BODY_BYTES = 48 * 1024  # a request's body of 16 KiB in base64 takes 22 KiB, and the rest little
+
+HEAD_END = b"\r\n\r\n"
+LENGTH_FIELD = b"content-length:"
+
+_match_length = re.compile(rb"content-length:[ \t]*([0-9]{1,9})[ \t]*", re.IGNORECASE).fullmatch
+_match_field = re.compile(rb"[!-9;-~]+:[ -~\t]*").fullmatch
+
+
+def frame(body: bytes) -> bytes:
+    """The message with that body."""
+    return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+
+
+class MessageReader:
+    """Reads the messages of one connection; buffers no more than one of them."""
+
+    __slots__ = ("buffer", "body_length")
+
+    def __init__(self) -> None:
+        self.buffer = bytearray()
+        self.body_length: int | None = None  # of the message whose head has been read
+
+    @property
+    def mid_message(self) -> bool:
+        """Whether a message has come in part."""
+        return bool(self.buffer) or self.body_length is not None
+
+    def copy(self) -> "MessageReader":
+        """A reader that has read the same so far, to look ahead with."""
+        ahead = MessageReader()
+        ahead.buffer, ahead.body_length = bytearray(self.buffer), self.body_length
+        return ahead
+
+    def feed(self, data: bytes) -> list[bytes]:
+        """The bodies that the bytes complete. Errors: FramingError, with the bodies before it."""
+        self.buffer += data
+        bodies: list[bytes] = []
+        try:
+            while self._read_next(bodies):
+                pass
+        except FramingError as error:
+            error.bodies = bodies
+            raise
+        return bodies
+
+    def _read_next(self, bodies: list[bytes]) -> bool:
+        """Reads the next message where it is whole; whether there may be one more."""
+        if self.body_length is None:
+            self.body_length = self._read_head()
+        if self.body_length is None or len(self.buffer) < self.body_length:
+            return False
+        bodies.append(bytes(self.buffer[: self.body_length]))
+        del self.buffer[: self.body_length]
+        self.body_length = None
+        return bool(self.buffer)
+
+    def _read_head(self) -> int | None:
+        """Takes the head out of the buffer: the length that it announces, None where it is not whole."""
+        end = self.buffer.find(HEAD_END, 0, MAX_HEAD_BYTES + len(HEAD_END))
+        if end < 0:
+            if len(self.buffer) > MAX_HEAD_BYTES:
+                raise FramingError("the head is too long")
+            return None
+        length = _decode_length(bytes(self.buffer[:end]))
+        del self.buffer[: end + len(HEAD_END)]
+        return length
+
+
+def _decode_length(head: bytes) -> int:
+    """The length of the body that the head announces. Errors: FramingError."""
+    lengths = []
+    for line in head.split(b"\r\n"):
+        if not _match_field(line):
+            raise FramingError("a head is lines of NAME: VALUE")
+        if line[: len(LENGTH_FIELD)].lower() == LENGTH_FIELD:
+            match = _match_length(line)
+            if match is None:
+                raise FramingError("Content-Length is a whole number")
+            lengths.append(int(match[1]))
+    if len(lengths) != 1:
+        raise FramingError("a head has one Content-Length")
+    if not 0 < lengths[0] <= MAX_BODY_BYTES:
+        raise FramingError(f"a message has 1 to {MAX_BODY_BYTES} bytes")
+    return lengths[0]
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -1,209 +1,213 @@
-"""Clients that call by JSON-RPC: requests become calls, finals become answers, bodies pass untouched.
+"""Clients that call by JSON-RPC: requests become calls, finals become responses, bodies pass untouched.
 
 | final answer | what the client reads |
 | --- | --- |
 | delivered | a result with the host's body |
-| declined | an error with the code for 'trying again is harmless', with how long to stay away |
-| scrapped | any other error |
+| rejected | an error with the code for 'trying again is harmless', with how long to wait |
+| failed | any other error |
 
 A message that cannot be read is told so and its connection closed; one that is no request, or a request with
 something wrong in it, gets an error, and the connection goes on.
 """
 
+from __future__ import annotations
+
 import socket
+from collections.abc import Callable, Sequence
+from typing import Any, NamedTuple
 
-from gaproute.connections import Lot
+from gaproute.connections.endpoint import Endpoint
 from gaproute.decisions.admission.admission import HOLD
-from gaproute.fronts.jsonrpc import messages
-from gaproute.fronts.jsonrpc.connection import LATE_ANSWER_TIME, ClientConnection
-from gaproute.fronts.jsonrpc.messages import ProtocolError
-from gaproute.interface.call import Call, Ending
-from gaproute.loop import Listener
+from gaproute.fronts.jsonrpc import cancellation, responses
+from gaproute.fronts.jsonrpc.connection import ClientConnection, OpenRequest
+from gaproute.fronts.jsonrpc.errors import ErrorCode, ProtocolError
+from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
+from gaproute.interface import RequestClass
+from gaproute.interface.call import Call, Ending, Final
 from gaproute.loop.connecting import DRAIN_AGAIN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-MAX_OPEN_REQUESTS = 32  # requests of one connection at a time, by the protocol
-SWEEP_INTERVAL = (
-    100 * MILLI
-)  # between looks for quiet, slow and unresponsive ones: one wake-up for all of them
-FIRST_MESSAGE_TIMEOUT = (
-    2 * SECOND
-)  # for a new connection to send something: a useless one is to be closed within 3 s
-MAX_BUFFERED = 24 << 20  # bytes of all clients together, untaken answers and messages that have not come in
-#                          whole: an eighth of the memory of a usual gateway; the heaviest client goes then
-
-
-class JsonRpcFront:
-    """One listening address. `core` takes the tasks; `tracks` are the names in the terms' order."""
-
-    counted = True
-
-    def __init__(self, loop, where, core, names, tracks, ready, way_back):
-        self.loop, self.core, self.ready, self.way_back = loop, core, ready, way_back
-        self.tracks = {
-            name: (place, track.hard_limit)
-            for place, (name, track) in enumerate(zip(names, tracks, strict=True))
+MAX_OPEN_REQUESTS = 32  # of one connection at a time, by the protocol
+SWEEP_INTERVAL = 100 * MILLI  # between looks for quiet and slow clients: one wake-up for all of them
+FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection: a useless one is to be closed within 3 s
+LATE_ANSWER_TIME = 500 * MILLI  # after its time in which an answer still counts as given: it is owed so long
+# Bytes of all clients together, untaken answers and messages that have not come in whole: an eighth of the
+# memory of a usual gateway; the heaviest client goes then.
+MAX_BUFFERED = 24 << 20
+
+
+class ClassLimit(NamedTuple):
+    """A request class as this front needs it."""
+
+    class_index: int  # in the terms' order
+    deadline: int  # ns that a client waits at most
+
+
+class JsonRpcFront(Endpoint[ClientConnection]):
+    """One listening address for clients. `core` takes the requests."""
+
+    def __init__(
+        self,
+        loop: Any,
+        address: Any,
+        core: Any,
+        class_names: Sequence[str],
+        request_classes: Sequence[RequestClass],
+        is_ready: Callable[[], bool],
+        return_time: int,
+    ) -> None:
+        """`class_names`: of the classes, in the same order; `is_ready()`: whether requests can be served;
+        `return_time`: how long an answer takes to its client, ns. Errors: OSError."""
+        super().__init__(loop, address, counted=True)
+        self.core, self.is_ready, self.return_time = core, is_ready, return_time
+        self.class_limits = {
+            name: ClassLimit(index, request_class.hard_limit)
+            for index, (name, request_class) in enumerate(zip(class_names, request_classes, strict=True))
         }
-        self.connections = {}  # those at work, as an ordered set
-        self.on_protocol_error = lambda code, text: None  # what came wrong, for the log
-        self.parked = self.rejected_connections = self.protocol_errors = self.unresponsive = 0
-        self.open_request_ids = {}  # a task's mark, while it is open: its connection
-        self.stopping = False  # connections close once nothing is owed on them
-        self.on_emptied = None  # call() when the last connection has closed, where somebody waits for that
-        self.drain_timer = None  # timer, where the kernel's queue could not be emptied at a stop
-        self.family = where[0]
-        self.lot = Lot.of(loop)
-        self.listener = Listener(loop, where, None, on_ready=self._ready)  # first: it may fail
-        self.address = self.listener.address
-        self.owner_number = self.lot.open(self)
-        self.sweeper = loop.after(SWEEP_INTERVAL, self._sweep)
-
-    def _ready(self):
-        self.lot.arrive(self.listener, self)
-        self.loop.waiting = True
-
-    def admits(self, sock, address):
-        """A connection was accepted: it is parked, or closed where admission has no room."""
-        place = self.lot.admit(address[0], True)
-        if place is None:
-            self.rejected_connections += 1
-            sock.close()
-            return
-        self.parked += 1
-        self.lot.park(
-            sock.detach(), self.owner_number, self.loop.now() + FIRST_MESSAGE_TIMEOUT, place, 0, False
-        )
+        self.open_request_ids: dict[str, ClientConnection] = {}  # by the client's id of an open request
+        self.unresponsive = 0  # clients that were ended as they took no answers
+        self.on_protocol_error: Callable[[ErrorCode, str], None] = _ignore_error
+        self.sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
+
+    def _first_request_due(self) -> int:
+        return int(self.loop.now()) + FIRST_MESSAGE_TIMEOUT
+
+    def _make_connection(
+        self, sock: socket.socket, address_index: int, request_count: int
+    ) -> ClientConnection:
+        return ClientConnection(self, sock, address_index, request_count)
 
-    def woken(self, fd, data, place, tasks):
-        """A parked connection spoke."""
-        self.parked -= 1
-        link = ClientConnection(self, socket.socket(self.family, socket.SOCK_STREAM, 0, fd), place, tasks)
-        self.connections[link] = None
-        link.receive(data)
-
-    def lost(self):
-        """A parked connection was closed."""
-        self.parked -= 1
-        self.check_emptied()
-
-    @property
-    def connection_count(self):
-        """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
-        return len(self.connections) + self.parked + (self.drain_timer is not None)
-
-    def check_emptied(self):
-        if self.on_emptied is not None and not self.connection_count:
-            self.on_emptied()
-
-    def _sweep(self):
-        self.sweeper = self.loop.after(SWEEP_INTERVAL, self._sweep)  # first: an error must not end the looks
+    # Limits
+
+    def _sweep(self) -> None:
+        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)  # first: an error must not end it
         now = self.loop.now()
-        for link in list(self.connections):
-            self.loop.guard(link.check_progress, now)
+        for connection in list(self.connections):
+            self.loop.guard(connection.check_progress, now)
         self.enforce_memory_limit()
 
-    def enforce_memory_limit(self):
-        """Guards memory against thousands that send slowly or take no answers, each within its own bounds;
-        harms the heaviest of them before its time, and first those to whom no answer is owed."""
+    def enforce_memory_limit(self) -> None:
+        """Ends the heaviest clients where all together take up too much, first those that are owed no answer.
+
+        Guards against thousands that send slowly or take no answers, each within its own bounds.
+        """
+        excess = sum([connection.buffered_bytes() for connection in self.connections]) - MAX_BUFFERED
+        if excess <= 0:
+            return
         now = self.loop.now()
-        weights = [
-            (not link.owes_answer(now), link.buffered_bytes(), place, link)
-            for place, link in enumerate(self.connections)
-        ]
-        over = sum([weight for _, weight, _, _ in weights]) - MAX_BUFFERED
-        for _, weight, _, link in sorted(weights, reverse=True) if over > 0 else ():
-            if over > 0:
-                over -= weight
-                self.unresponsive += 1
-                link.abort()
+        heaviest_first = sorted(
+            reversed(self.connections),
+            key=lambda connection: (not connection.owes_answer(now), connection.buffered_bytes()),
+            reverse=True,
+        )
+        for connection in heaviest_first:
+            if excess <= 0:
+                return
+            excess -= connection.buffered_bytes()
+            self.unresponsive += 1
+            connection.abort()
 
     # Requests
 
-    def take(self, link, body):
-        number, method, params = messages.envelope(body)
-        if method == "ping":
-            if number is not None:
-                link.write(messages.pong(number, self.ready()))
-        elif method == "abort":
-            link.cancel_request(messages.withdrawn(params))
+    def handle_message(self, connection: ClientConnection, body: bytes) -> None:
+        """Handles a message of a client. Errors: ProtocolError, which the client is to be told."""
+        message = decode_message(body)
+        if message.method == cancellation.PING_METHOD:
+            if message.number is not None:
+                connection.write(responses.encode_pong(message.number, ready=self.is_ready()))
+        elif message.method == cancellation.METHOD:
+            connection.cancel_request(cancellation.cancelled_request(message.params))
         else:
-            self.start_request(link, number, method, params)
+            self.start_request(connection, message)
+
+    def start_request(self, connection: ClientConnection, message: Message) -> None:
+        """Hands a request to the core. Errors: ProtocolError."""
+        number = self._check_number(connection, message)
+        limit = self.class_limits[message.method]
+        request = decode_request(number, message.method, message.params, limit.deadline)
+        self._check_capacity(connection, request)
+        self.open_request_ids[request.request_id] = connection
+        arrived_at = self.loop.now() - connection.read_delay
+        time_left = min(request.max_wait, limit.deadline)
+        connection.request_count += 1
+        connection.owes_until = max(connection.owes_until, arrived_at + time_left + LATE_ANSWER_TIME)
+        key = self.core.take(
+            self._call(connection, request),
+            limit.class_index,
+            0,
+            request.concurrency,
+            request.load_time,
+            arrived_at,
+            time_left - self.return_time,
+            lambda final: self.finish_request(connection, request, final),
+        )
+        connection.open_requests[number] = OpenRequest(key, request.request_id)
 
-    def start_request(self, link, number, method, params):
+    def _check_number(self, connection: ClientConnection, message: Message) -> int:
+        """The number of a request of a known class. Errors: ProtocolError."""
+        number = message.number
         if number is None:
-            raise ProtocolError(messages.NO_REQUEST, "a request needs an id")
-        if method not in self.tracks:
-            raise ProtocolError(
-                messages.NO_METHOD, "no such method", number if number not in link.open_requests else None
-            )
-        if number in link.open_requests:
-            raise ProtocolError(messages.NO_REQUEST, "a request with this id is open")
-        track, longest = self.tracks[method]
-        asked = messages.request(number, method, params, longest)
-        if asked.mark in self.open_request_ids:
-            raise ProtocolError(messages.NO_PARAMS, "a request with this i is open", number)
-        if len(link.open_requests) >= MAX_OPEN_REQUESTS:
-            raise ProtocolError(
-                messages.REFUSED, f"{MAX_OPEN_REQUESTS} requests are open on this connection", number
-            )
+            raise ProtocolError(ErrorCode.INVALID_REQUEST, "a request needs an id")
+        is_open = number in connection.open_requests
+        if message.method not in self.class_limits:
+            raise ProtocolError(ErrorCode.METHOD_NOT_FOUND, "no such method", None if is_open else number)
+        if is_open:
+            raise ProtocolError(ErrorCode.INVALID_REQUEST, "a request with this id is open")
+        return number
+
+    def _check_capacity(self, connection: ClientConnection, request: Request) -> None:
+        """Checks that the request can be begun beside those that are open. Errors: ProtocolError."""
+        if request.request_id in self.open_request_ids:
+            raise ProtocolError(ErrorCode.INVALID_PARAMS, "a request with this i is open", request.number)
+        if len(connection.open_requests) >= MAX_OPEN_REQUESTS:
+            text = f"{MAX_OPEN_REQUESTS} requests are open on this connection"
+            raise ProtocolError(ErrorCode.REJECTED, text, request.number)
         if self.stopping:
-            raise ProtocolError(messages.REFUSED, "the gateway stops", number)
-        call = Call(
-            asked.function,
+            raise ProtocolError(ErrorCode.REJECTED, "the gateway stops", request.number)
+
+    def _call(self, connection: ClientConnection, request: Request) -> Call:
+        """The call of a request; it asks its connection whether the client still waits."""
+        return Call(
+            request.function,
             "",
             (),
-            asked.body,
-            asked.mark,
-            method,
-            asked.receipt,
-            client_present=lambda: link.is_waiting_for(number, asked.mark),
-        )
-        self.open_request_ids[asked.mark] = link
-        came = self.loop.now() - link.waited
-        wait = min(asked.wait, longest)
-        link.tasks += 1
-        link.owed_until = max(link.owed_until, came + wait + LATE_ANSWER_TIME)
-        link.open_requests[number] = None
-        link.open_requests[number] = (
-            self.core.take(
-                call,
-                track,
-                0,
-                asked.lanes,
-                asked.load_time,
-                came,
-                wait - self.way_back,
-                lambda final: self.finish_request(link, asked, final),
-            ),
-            asked.mark,
+            request.body,
+            request.request_id,
+            request.method,
+            request.idempotency_key,
+            client_present=lambda: connection.presence.is_waiting_for(request.number, request.request_id),
         )
 
-    def finish_request(self, link, asked, final):
-        held = link.open_requests.get(asked.number)
-        if held is None or held[0] != final.request:  # its client left while this was on its way; another
-            return  # request may bear its id by now
-        del link.open_requests[asked.number], self.open_request_ids[asked.mark]
-        if final.ending is Ending.DELIVERED:
-            link.write(messages.result(asked.number, final.answer.body))
+    def finish_request(self, connection: ClientConnection, request: Request, final: Final) -> None:
+        """Sends the final answer of a request, unless its client has left while that was on its way."""
+        number = request.number
+        open_request = connection.open_requests.get(number)
+        if open_request is None or open_request.key != final.request:
+            return  # another request may bear its number by now
+        del connection.open_requests[number], self.open_request_ids[request.request_id]
+        if final.answer is not None and final.ending is Ending.DELIVERED:
+            connection.write(responses.encode_result(number, final.answer.body))
         elif final.ending is Ending.REJECTED:
-            link.write(messages.error(asked.number, messages.REFUSED, final.reason, final.retry_after))
+            code = ErrorCode.REJECTED
+            connection.write(responses.encode_error(number, code, final.reason, final.retry_after))
         else:
-            link.write(messages.error(asked.number, messages.FAILED, final.reason))
-        link.close_if_finished()
+            connection.write(responses.encode_error(number, ErrorCode.FAILED, final.reason))
+        connection.close_if_finished()
 
-    def client_left(self, key, mark):
-        self.open_request_ids.pop(mark, None)
-        self.core.client_left(key)
+    def client_left(self, request: OpenRequest) -> None:
+        """The client of a request waits no longer."""
+        self.open_request_ids.pop(request.request_id, None)
+        self.core.client_left(request.key)
 
     # Stop
 
-    def stop_accepting(self):
-        """Accepts no more. What waits in the kernel's queue is taken in first, as it would be reset; those
-        who rest make room for it. Tried again while there is no room, or accepting fails."""
+    def stop_accepting(self) -> None:
+        """Accepts no more. What waits in the kernel's queue is taken in first, as it would be reset; idle
+        connections give way to it. Tried again while there is no capacity, or accepting fails."""
         self.drain_timer = None
-        while (room := self.lot.has_room()) and (came := self.listener.accept()) is not None:
-            self.admits(*came)
-        if not room:
+        while (has_capacity := self.lot.has_room()) and (accepted := self.listener.accept()) is not None:
+            self.admits(*accepted)
+        if not has_capacity:
             self.drain_timer = self.loop.after(HOLD, self.stop_accepting)
         elif not self.listener.drained:
             self.drain_timer = self.loop.after(DRAIN_AGAIN, self.stop_accepting)
@@ -211,42 +215,30 @@
             self.listener.close()
             self.check_emptied()
 
-    def stop(self):
-        """Closes every connection once nothing is open on it and no half message has come. What has come
-        until then is answered first, and what it asks is declined."""
+    def stop(self) -> None:
+        """Closes every connection once nothing is open on it and no message has come in part. What has come
+        until then is answered first, and the requests among it are rejected."""
         if self.stopping:
             return
         self.stopping = True
         self._cancel_drain()
         self.lot.close(self.owner_number)
-        self._take_in()
-        for link in list(self.connections):
-            link.close_if_finished()
+        self._drain_accept_queue()
+        for connection in list(self.connections):
+            connection.close_if_finished()
+
+    def _drain_accept_queue(self) -> bool:
+        drained = super()._drain_accept_queue()
+        if drained:
+            self.lot.close(self.owner_number)
+            self.check_emptied()
+        return drained
 
-    def _take_in(self):
-        """The kernel's queue is emptied, room or not, then the address given up; tried again while accepting
-        fails."""
-        self.drain_timer = None
-        if not self.listener.drain(self.admits):
-            self.drain_timer = self.loop.after(DRAIN_AGAIN, self._take_in)
-            return
-        self.listener.close()
-        self.lot.close(self.owner_number)
-        self.check_emptied()
+    def close(self) -> None:
+        """Stops, and ends every connection at once."""
+        super().close()
+        self.sweep_timer.cancel()
 
-    def _cancel_drain(self):
-        if self.drain_timer is not None:
-            self.drain_timer.cancel()
-            self.drain_timer = None
 
-    def close(self):
-        self.stop()
-        self._cancel_drain()
-        self.listener.close()
-        self.sweeper.cancel()
-        self.lot.close(self.owner_number, True)
-        for link in list(self.connections):
-            if link.closing:
-                link.stream.part()  # its last words are with the kernel
-            else:
-                link.abort()
+def _ignore_error(code: ErrorCode, text: str) -> None:
+    """Stands for a log of protocol errors where there is none."""
--- /dev/null
+++ b/gaproute/fronts/jsonrpc/requests.py
@@ -0,0 +1,199 @@
+"""Requests of clients, decoded and checked; never touches a socket."""
+
+import binascii
+import math
+import re
+from typing import NamedTuple, NoReturn
+
+import msgspec
+
+from gaproute.fronts.jsonrpc.errors import ErrorCode, ProtocolError
+
+NS_PER_MS = 1_000_000
+
+MAX_ARGUMENT_BYTES = 16 * 1024  # of a request's `arg`, decoded
+MAX_KEY_LENGTH = 256  # characters of an idempotency key: it has 32
+MAX_REQUEST_NUMBER_DIGITS = 18
+# Figures beyond these mean nothing.
+MAX_MEMORY_MB = 1e9
+MAX_LOAD_TIME_MS = 1e9
+MAX_CONCURRENCY = 1024
+# By how much `d` may exceed the deadline of its class: clients' clocks add some ms. What is above the
+# deadline is cut to it; beyond this it is no such figure.
+MAX_WAIT_FACTOR = 2
+
+JSONRPC_VERSION = "2.0"
+NO_HINTS: dict[str, float] = {}
+
+UNDECODABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+
+_match_id = re.compile("[0-9a-f]{16}").fullmatch
+
+
+class Envelope(msgspec.Struct):
+    """What all messages have in common, as on the wire."""
+
+    method: str
+    id: msgspec.Raw = msgspec.Raw()
+    params: msgspec.Raw = msgspec.Raw()
+    jsonrpc: str = ""
+
+
+class Params(msgspec.Struct):
+    """The parameters of a request, as on the wire."""
+
+    i: str  # the client's id of the request
+    d: int | float  # how long the client waits, ms
+    o: str  # the function
+    arg: str = ""  # the body in base64
+    extras: str = ""  # NAME:FIGURE;NAME:FIGURE
+    k: str = ""  # the idempotency key
+
+
+class Message(NamedTuple):
+    """A message whose envelope has been checked."""
+
+    number: int | None  # of the request; None for a notification
+    method: str
+    params: msgspec.Raw
+
+
+class Request(msgspec.Struct):
+    """A request to run a function, checked."""
+
+    number: int
+    method: str  # the name of its request class
+    request_id: str  # the client's own
+    max_wait: int  # how long the client waits, ns
+    function: str
+    concurrency: int  # requests that one warm instance runs at a time
+    load_time: int | None  # usual time of a load, ns, where told
+    body: bytes  # base64, as it came
+    idempotency_key: str  # "" where the class has none
+
+
+_decode_envelope = msgspec.json.Decoder(Envelope).decode
+_decode_params = msgspec.json.Decoder(Params).decode
+decode_any = msgspec.json.Decoder().decode
+
+
+def decode_message(body: bytes) -> Message:
+    """The message in a body. Errors: ProtocolError."""
+    try:
+        envelope = _decode_envelope(body)
+    except UNDECODABLE as error:
+        _raise_undecodable(body, error)
+    number = _decode_number(bytes(envelope.id))
+    if envelope.jsonrpc != JSONRPC_VERSION:
+        raise ProtocolError(ErrorCode.INVALID_REQUEST, f"jsonrpc is {JSONRPC_VERSION}", number)
+    return Message(number, envelope.method, envelope.params)
+
+
+def _raise_undecodable(body: bytes, error: Exception) -> NoReturn:
+    """Tells bytes that are no JSON from JSON that is no request."""
+    try:
+        decode_any(body)
+    except UNDECODABLE:
+        raise ProtocolError(ErrorCode.PARSE_ERROR, "the message is no JSON") from None
+    raise ProtocolError(ErrorCode.INVALID_REQUEST, f"the message is no request: {error}") from None
+
+
+def _decode_number(text: bytes) -> int | None:
+    """The number of a request by the text of its `id`."""
+    if not text or text == b"null":
+        return None
+    if not text.isdigit() or len(text) > MAX_REQUEST_NUMBER_DIGITS or int(text) < 1:
+        raise ProtocolError(ErrorCode.INVALID_REQUEST, "an id is a whole number from 1 up")
+    return int(text)
+
+
+def request_number(body: bytes) -> int | None:
+    """The number of a body's request; None where none can be read."""
+    try:
+        return decode_message(body).number
+    except ProtocolError as error:
+        return error.request_number
+
+
+def decode_request(number: int, method: str, params: msgspec.Raw | bytes, class_deadline: int) -> Request:
+    """A checked request. `class_deadline`: ns that a client of the request class waits at most.
+
+    Errors: ProtocolError.
+    """
+    try:
+        fields = _decode_params(params)
+    except UNDECODABLE as error:
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, f"params: {error}", number) from None
+    _check_identity(fields, number)
+    max_wait = MAX_WAIT_FACTOR * class_deadline
+    if not 0 < fields.d * NS_PER_MS <= max_wait:  # an int of any size, or a finite float
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, f"d is 1 to {max_wait // NS_PER_MS} ms", number)
+    concurrency, load_time = _decode_hints(fields.extras, number)
+    return Request(
+        number,
+        method,
+        fields.i,
+        int(fields.d * NS_PER_MS),
+        fields.o,
+        concurrency,
+        load_time,
+        _check_argument(fields.arg, number),
+        fields.k,
+    )
+
+
+def _check_identity(fields: Params, number: int) -> None:
+    """Checks the ids and the key of a request."""
+    if not _match_id(fields.i):
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, "i is 16 hex digits", number)
+    if not _match_id(fields.o):
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, "o is 16 hex digits", number)
+    if len(fields.k) > MAX_KEY_LENGTH or not fields.k.isprintable():
+        text = f"k is text of at most {MAX_KEY_LENGTH} characters"
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, text, number)
+
+
+def _decode_hints(text: str, number: int) -> tuple[int, int | None]:
+    """(Concurrency of one instance, usual time of a load in ns or None) by the `extras` of a request."""
+    hints = _parse_hints(text)
+    if hints is None:
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, "extras is NAME:FIGURE;NAME:FIGURE", number)
+    concurrency, load_ms, memory = hints.get("lanes", 1), hints.get("load_ms"), hints.get("memory_mb", 1)
+    if concurrency != int(concurrency) or not 1 <= concurrency <= MAX_CONCURRENCY:
+        text = f"lanes is a whole number from 1 to {MAX_CONCURRENCY}"
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, text, number)
+    if load_ms is not None and not 0 <= load_ms <= MAX_LOAD_TIME_MS:
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, "load_ms is out of range", number)
+    if not 0 <= memory <= MAX_MEMORY_MB:
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, "memory_mb is out of range", number)
+    return int(concurrency), None if load_ms is None else int(load_ms * NS_PER_MS)
+
+
+def _parse_hints(text: str) -> dict[str, float] | None:
+    """The figures of `extras` by name; None where they cannot be read."""
+    if not text:
+        return NO_HINTS
+    hints = {}
+    for pair in text.split(";"):
+        name, colon, figure = pair.partition(":")
+        try:
+            value = float(figure)
+        except ValueError:
+            return None
+        if not colon or not math.isfinite(value):
+            return None
+        hints[name] = value
+    return hints
+
+
+def _check_argument(argument: str, number: int) -> bytes:
+    """The `arg` of a request as it came, once it has been found to be base64 of a bounded size."""
+    try:
+        encoded = argument.encode("ascii")
+        size = len(binascii.a2b_base64(encoded, strict_mode=True))
+    except (UnicodeEncodeError, binascii.Error):
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, "arg is base64", number) from None
+    if size > MAX_ARGUMENT_BYTES:
+        text = f"arg has at most {MAX_ARGUMENT_BYTES} bytes"
+        raise ProtocolError(ErrorCode.INVALID_PARAMS, text, number)
+    return encoded
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -11,7 +11,7 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, half_close
 
-from gaproute.fronts.jsonrpc.messages import FAILED
+from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.hosts.jsonlines import connection as connections
 from gaproute.http1 import client as http_clients
 from gaproute.http1.client import Exchange
@@ -258,7 +258,7 @@
     client.stream.abort()
     made.until(lambda: other.answers)
     made.turns()
-    assert other.answers[0]["error"]["code"] == FAILED and made.came() == 1
+    assert other.answers[0]["error"]["code"] == ErrorCode.FAILED and made.came() == 1
     assert not made.process.core.held and not link.open and not link.stream.open
 
 
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -13,7 +13,7 @@
 from gaproute.decisions.connections.pooling import OWN
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
+from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.loop import connect
 from gaproute.loop.connecting import DIAL_FIRST
 from gaproute.loop.streams import FAREWELL, address
@@ -242,7 +242,7 @@
     client.ask(2)
     made.until(lambda: len(held) == 2)
     at_closing(made)
-    assert client.answers[1]["error"]["code"] == REFUSED
+    assert client.answers[1]["error"]["code"] == ErrorCode.REJECTED
     made.passes(made.process.granted - made.loop.now() - MILLI)
     assert not ended()
     if closes:
@@ -289,7 +289,7 @@
     assert not ended()
     whole.send(said[40:])
     made.turns()
-    assert whole.answers[1]["error"]["code"] == REFUSED and whole.ended and not never.ended
+    assert whole.answers[1]["error"]["code"] == ErrorCode.REJECTED and whole.ended and not never.ended
     made.passes(made.process.granted - made.loop.now())
     assert ended() and made.process.front.connection_count == 1
     made.process.front.close()
@@ -333,7 +333,7 @@
     while not ended():
         made.passes(20 * MILLI)
     codes = {each["id"]: each["error"]["code"] for each in client.answers}
-    assert codes == {1: REFUSED, 2: FAILED} and made.loop.now() - began <= 3700 * MILLI
+    assert codes == {1: ErrorCode.REJECTED, 2: ErrorCode.FAILED} and made.loop.now() - began <= 3700 * MILLI
 
 
 @pytest.mark.parametrize("open_before", [False, True])
@@ -353,7 +353,7 @@
         link.open_requests.clear()  # as where the first is answered in this very turn
         link.close_if_finished()
     made.until(lambda: client.ended)
-    assert client.answers[-1]["id"] == 2 and client.answers[-1]["error"]["code"] == REFUSED
+    assert client.answers[-1]["id"] == 2 and client.answers[-1]["error"]["code"] == ErrorCode.REJECTED
 
 
 def test_signals_that_come_together_are_all_heeded_and_a_second_sigterm_changes_nothing(gate):
--- a/tests/fronts/test_messages.py
+++ b/tests/fronts/test_messages.py
@@ -6,8 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.fronts.jsonrpc import messages
-from gaproute.fronts.jsonrpc.messages import ProtocolError
+from gaproute.fronts.jsonrpc.cancellation import cancelled_request
+from gaproute.fronts.jsonrpc.errors import ErrorCode, FramingError, ProtocolError
+from gaproute.fronts.jsonrpc.framing import MAX_BODY_BYTES, MAX_HEAD_BYTES, MessageReader, frame
+from gaproute.fronts.jsonrpc.requests import decode_message, decode_request
+from gaproute.fronts.jsonrpc.responses import encode_error
 
 GOOD = {
     "i": "9b1f03aa5c7e2d41",
@@ -19,13 +22,13 @@
 
 
 def asked(**told):
-    return messages.request(7, "fault-check", json.dumps(GOOD | told).encode(), 5_000_000_000)
+    return decode_request(7, "fault-check", json.dumps(GOOD | told).encode(), 5_000_000_000)
 
 
 @pytest.mark.parametrize("cut", range(1, 60, 7))
 def test_messages_are_read_however_the_bytes_are_split(cut):
-    data = messages.framed(b'{"a":1}') + messages.framed(b"[2]")
-    reader = messages.Reader()
+    data = frame(b'{"a":1}') + frame(b"[2]")
+    reader = MessageReader()
     bodies = [body for at in range(0, len(data), cut) for body in reader.feed(data[at : at + cut])]
     assert bodies == [b'{"a":1}', b"[2]"] and not reader.mid_message
 
@@ -47,19 +50,19 @@
 )
 def test_an_unreadable_head_is_a_fault_at_once(head):
     with pytest.raises(ProtocolError) as wrong:
-        messages.Reader().feed(head + b"\r\n\r\nbody")
-    assert wrong.value.code == messages.UNREADABLE
+        MessageReader().feed(head + b"\r\n\r\nbody")
+    assert wrong.value.code == ErrorCode.PARSE_ERROR
 
 
 def test_whole_messages_before_a_fault_are_not_lost():
-    with pytest.raises(ProtocolError) as wrong:
-        messages.Reader().feed(messages.framed(b"{}") + b"Content-Length: -1\r\n\r\n")
+    with pytest.raises(FramingError) as wrong:
+        MessageReader().feed(frame(b"{}") + b"Content-Length: -1\r\n\r\n")
     assert wrong.value.bodies == [b"{}"]
 
 
 def test_a_request_is_read_in_the_modules_units():
     request = asked()
-    assert (request.wait, request.lanes, request.load_time) == (1_500_000_000, 2, 640_000_000)
+    assert (request.max_wait, request.concurrency, request.load_time) == (1_500_000_000, 2, 640_000_000)
     assert request.body == b"Ym9keQ==" and request.function == GOOD["o"]
 
 
@@ -93,58 +96,58 @@
 def test_figures_that_cannot_be_are_refused_by_name(told):
     with pytest.raises(ProtocolError) as wrong:
         asked(**told)
-    assert wrong.value.code == messages.NO_PARAMS and wrong.value.number == 7
+    assert wrong.value.code == ErrorCode.INVALID_PARAMS and wrong.value.request_number == 7
 
 
 @pytest.mark.parametrize(
     "body, code",
     [
-        (b"{", messages.UNREADABLE),
-        (b"\xff", messages.UNREADABLE),
-        (b"[1]", messages.NO_REQUEST),
-        (b"[" * 9000, messages.UNREADABLE),
-        (b'{"jsonrpc":"2.0","id":1}', messages.NO_REQUEST),
-        (b'{"jsonrpc":"1.0","id":1,"method":"x"}', messages.NO_REQUEST),
-        (b'{"jsonrpc":"2.0","id":0,"method":"x"}', messages.NO_REQUEST),
-        (b'{"jsonrpc":"2.0","id":"7","method":"x"}', messages.NO_REQUEST),
-        (b'{"jsonrpc":"2.0","id":true,"method":"x"}', messages.NO_REQUEST),
-        (b'{"jsonrpc":"2.0","id":1.5,"method":"x"}', messages.NO_REQUEST),
+        (b"{", ErrorCode.PARSE_ERROR),
+        (b"\xff", ErrorCode.PARSE_ERROR),
+        (b"[1]", ErrorCode.INVALID_REQUEST),
+        (b"[" * 9000, ErrorCode.PARSE_ERROR),
+        (b'{"jsonrpc":"2.0","id":1}', ErrorCode.INVALID_REQUEST),
+        (b'{"jsonrpc":"1.0","id":1,"method":"x"}', ErrorCode.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","id":0,"method":"x"}', ErrorCode.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","id":"7","method":"x"}', ErrorCode.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","id":true,"method":"x"}', ErrorCode.INVALID_REQUEST),
+        (b'{"jsonrpc":"2.0","id":1.5,"method":"x"}', ErrorCode.INVALID_REQUEST),
     ],
 )
 def test_what_is_no_request_is_told_so(body, code):
     with pytest.raises(ProtocolError) as wrong:
-        messages.envelope(body)
+        decode_message(body)
     assert wrong.value.code == code
 
 
 def test_an_abort_names_a_number_or_a_mark():
-    assert messages.withdrawn(b'{"id":7}') == 7 and messages.withdrawn(b'{"i":"ab"}') == "ab"
-    assert messages.withdrawn(b"[7]") is None and messages.withdrawn(b'{"id":true}') is None
-    assert messages.withdrawn(b"") is None
+    assert cancelled_request(b'{"id":7}') == 7 and cancelled_request(b'{"i":"ab"}') == "ab"
+    assert cancelled_request(b"[7]") is None and cancelled_request(b'{"id":true}') is None
+    assert cancelled_request(b"") is None
 
 
 def test_a_refusal_tells_when_to_come_back():
-    head, _, body = messages.error(7, messages.REFUSED, "no", 200_400_000).partition(b"\r\n\r\n")
+    head, _, body = encode_error(7, ErrorCode.REJECTED, "no", 200_400_000).partition(b"\r\n\r\n")
     assert json.loads(body)["error"]["data"] == {"w": 201} and head == b"Content-Length: %d" % len(body)
 
 
 @given(st.lists(st.binary(max_size=200), max_size=20))
 def test_arbitrary_bytes_raise_nothing_but_faults_and_are_bounded(pieces):
-    reader = messages.Reader()
+    reader = MessageReader()
     for piece in pieces:
         try:
             for body in reader.feed(piece):
-                messages.envelope(body)
+                decode_message(body)
         except ProtocolError:
             return
-        assert len(reader.buffer) <= messages.BODY + messages.HEAD + 200
+        assert len(reader.buffer) <= MAX_BODY_BYTES + MAX_HEAD_BYTES + 200
 
 
 @given(st.binary(max_size=300))
 def test_arbitrary_bodies_raise_nothing_but_faults(body):
-    for read in (messages.envelope, lambda data: messages.request(1, "m", data, 10**9)):
+    for read in (decode_message, lambda data: decode_request(1, "m", data, 10**9)):
         try:
             read(body)
         except ProtocolError:
             pass
-    messages.withdrawn(body)
+    cancelled_request(body)
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -6,8 +6,8 @@
 
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
+from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.fronts.jsonrpc.front import MAX_OPEN_REQUESTS
-from gaproute.fronts.jsonrpc.messages import FAILED, NO_PARAMS, NO_REQUEST, REFUSED, UNREADABLE
 from gaproute.loop.streams import Stream
 
 BAD = b"Content-Length: none\r\n\r\n"  # nothing behind it can be read
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize(
     "bad, code",
-    [(BAD, UNREADABLE), (EMPTY * connections.MAX_PROTOCOL_ERRORS, NO_REQUEST)],
+    [(BAD, ErrorCode.PARSE_ERROR), (EMPTY * connections.MAX_PROTOCOL_ERRORS, ErrorCode.INVALID_REQUEST)],
     ids=["unreadable", "many"],
 )
 def test_a_bad_message_leaves_those_before_it_their_answers_and_closes_after_the_last(gate, bad, code):
@@ -84,7 +84,7 @@
         client.ask(number)
     made.until(lambda: len(client.answers) == most - MAX_OPEN_REQUESTS)
     made.until(lambda: len(held) == MAX_OPEN_REQUESTS)  # which the host may read later
-    assert set(codes(client)[0].values()) == {REFUSED} and made.process.front.protocol_errors == 0
+    assert set(codes(client)[0].values()) == {ErrorCode.REJECTED} and made.process.front.protocol_errors == 0
     for each in held:
         made.hosts[0].serve(*each)
     made.until(lambda: len(client.answers) == most)
@@ -96,19 +96,19 @@
     client = made.client()
     said_in_one(client, lambda: client.ask(1, d=10**400), lambda: client.ask(2))
     made.until(lambda: len(client.answers) == 2)
-    assert codes(client)[0] == {1: NO_PARAMS, 2: None} and not made.loop.errors
+    assert codes(client)[0] == {1: ErrorCode.INVALID_PARAMS, 2: None} and not made.loop.errors
 
 
 def test_an_error_of_the_gateway_over_one_request_is_told_and_spoils_no_other(gate, monkeypatch):
     made = gate(clock=Handed())
     task = fronts.JsonRpcFront.start_request
     monkeypatch.setattr(
-        fronts.JsonRpcFront, "start_request", lambda *told: 1 / 0 if told[2] == 1 else task(*told)
+        fronts.JsonRpcFront, "start_request", lambda *told: 1 / 0 if told[2].number == 1 else task(*told)
     )
     client = made.client()
     said_in_one(client, lambda: client.ask(1), lambda: client.ask(2))
     made.until(lambda: len(client.answers) == 2)
-    assert codes(client)[0] == {1: FAILED, 2: None}
+    assert codes(client)[0] == {1: ErrorCode.FAILED, 2: None}
 
 
 # Slow clients
@@ -145,7 +145,7 @@
     made.until(lambda: next(iter(made.process.front.connections)).reader.mid_message)
     made.passes(connections.PROGRESS_TIMEOUT + MILLI)
     made.passes(fronts.SWEEP_INTERVAL)
-    assert codes(client) == ({}, [UNREADABLE]) and not client.ended
+    assert codes(client) == ({}, [ErrorCode.PARSE_ERROR]) and not client.ended
     made.hosts[0].serve(*held[0])
     made.until(lambda: client.ended)
     assert codes(client)[0] == {1: None}
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -14,7 +14,7 @@
 from gaproute.discovery.changelog import events
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.fronts.jsonrpc import messages
+from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.loop.datagrams import Datagrams
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration
 from gaproute.platform.log import Log
@@ -55,10 +55,10 @@
 @pytest.mark.parametrize(
     ("told", "code"),
     [
-        ({"method": "no-such-class"}, messages.NO_METHOD),
-        ({"d": -1}, messages.NO_PARAMS),
-        ({"extras": "lanes:x"}, messages.NO_PARAMS),
-        ({"i": "short"}, messages.NO_PARAMS),
+        ({"method": "no-such-class"}, ErrorCode.METHOD_NOT_FOUND),
+        ({"d": -1}, ErrorCode.INVALID_PARAMS),
+        ({"extras": "lanes:x"}, ErrorCode.INVALID_PARAMS),
+        ({"i": "short"}, ErrorCode.INVALID_PARAMS),
     ],
 )
 def test_bad_input_gets_an_error_and_reaches_no_host(gate, told, code):
@@ -88,7 +88,7 @@
     client = made.client()
     client.send(data)
     made.until(lambda: client.ended)
-    assert client.answers[0]["error"]["code"] == messages.UNREADABLE
+    assert client.answers[0]["error"]["code"] == ErrorCode.PARSE_ERROR
     made.until(lambda: not made.process.front.connections)
     assert made.process.front.lot.held == 0
 
@@ -103,8 +103,8 @@
     client.ask(1, i=f"{9:016x}")
     made.until(lambda: len(client.answers) == 2)
     assert [(each["id"], each["error"]["code"]) for each in client.answers] == [
-        (2, messages.NO_PARAMS),
-        (None, messages.NO_REQUEST),
+        (2, ErrorCode.INVALID_PARAMS),
+        (None, ErrorCode.INVALID_REQUEST),
     ]
     for stream, command in held:
         made.hosts[0].serve(stream, command)
@@ -119,7 +119,7 @@
     for number in range(1, 34):
         client.ask(number)
     made.until(lambda: client.answers)
-    assert [(each["id"], each["error"]["code"]) for each in client.answers] == [(33, messages.REFUSED)]
+    assert [(each["id"], each["error"]["code"]) for each in client.answers] == [(33, ErrorCode.REJECTED)]
 
 
 def test_an_abort_halts_the_relay_and_nothing_is_answered(gate):
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -10,7 +10,7 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Gate, Handed, nothing
 
-from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
+from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.loop.streams import address
 from gaproute.platform.process import GRANTED, LONGEST, STILL_COMING, schedule
 from tests.fronts.test_unanswered_requests import codes, holding
@@ -91,7 +91,9 @@
     assert served == 0 if hangs else served >= lasted // STEP - 8
 
 
-@pytest.mark.parametrize(("method", "code"), [("fault-check", REFUSED), ("repair-order", FAILED)])
+@pytest.mark.parametrize(
+    ("method", "code"), [("fault-check", ErrorCode.REJECTED), ("repair-order", ErrorCode.FAILED)]
+)
 def test_hosts_that_hang_through_the_whole_shutdown_leave_each_class_its_answer(gate, method, code):
     made = gate(nothing, clock=Handed())
     client = made.client()
@@ -123,7 +125,7 @@
     made.process.front.stop()
     made.until(lambda: resting.ended and busy.ended)
     assert [client.answers[-1]["id"] for client in (resting, busy)] == [10, 11]
-    assert all(client.answers[-1]["error"]["code"] == REFUSED for client in (resting, busy))
+    assert all(client.answers[-1]["error"]["code"] == ErrorCode.REJECTED for client in (resting, busy))
 
 
 @pytest.mark.parametrize("deadline", DEADLINES)
@@ -158,7 +160,7 @@
     assert front.listener.sock.fileno() >= 0  # it waits for room, and is not reset
     front.stop()
     made.until(lambda: late.ended)
-    assert codes(late)[0] == {1: REFUSED}
+    assert codes(late)[0] == {1: ErrorCode.REJECTED}
     for each in held:
         made.hosts[0].serve(*each)
 
