--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -6,7 +6,7 @@
 from benchmarks.fleet.hosts import LANES, WAY
 from benchmarks.fleet.traffic import TRACKS
 from gaproute import interface as face
-from gaproute.core.drive import Driver
+from gaproute.core.driver import Driver
 
 KEPT_LINK = 13 * SECOND  # rest of a connection after which a new one is opened
 
@@ -29,7 +29,7 @@
         self.world, self.place, self.gone = world, place, False
         self.waits, self.links, self.asked = {}, {}, {}
         self.gateway.listed(world.clock.now, rows, True)
-        self.begin_housekeeping(world.clock.now)
+        self.start_housekeeping(world.clock.now)
 
     def ask(self, function, track):
         world = self.world
@@ -37,20 +37,22 @@
         key = str(world.counts["tasks"])
         self.asked[key] = Asked(function, world.clock.now)
         began = process_time_ns()
-        self.take(world.clock.now, face.Task(key, 0, TRACKS[track].hard_limit, function, LANES, None, track))
+        self.start_request(
+            world.clock.now, face.Task(key, 0, TRACKS[track].hard_limit, function, LANES, None, track)
+        )
         world.cpu += process_time_ns() - began
 
     def wait(self, key, until, now):
         self.waits[key] = mark = object()
         self.world.clock.at(max(until, now + 1), self.woken, key, mark)
 
-    def unwait(self, key):
+    def cancel_wait(self, key):
         self.waits.pop(key, None)
 
     def woken(self, key, mark):
         if self.waits.get(key) is mark and not self.gone:
             began = process_time_ns()
-            self.late(key, self.world.clock.now)
+            self.wait_elapsed(key, self.world.clock.now)
             self.world.cpu += process_time_ns() - began
 
     def connect(self, worker):
@@ -85,7 +87,7 @@
 
     def refused(self, key, number, worker):
         if not self.gone:
-            self.outcome(
+            self.handle_outcome(
                 self.world.clock.now,
                 face.Outcome(
                     key, number, worker, face.Result.CONNECT_FAILED, WAY, False, face.Found.UNTOLD, None, None
@@ -95,7 +97,7 @@
     def answered(self, key, number, worker, took, found, life):
         world, host = self.world, self.world.hosts[worker]
         if host.life != life:
-            self.outcome(
+            self.handle_outcome(
                 world.clock.now,
                 face.Outcome(
                     key, number, worker, face.Result.RESET, took, False, face.Found.UNTOLD, None, None
@@ -105,11 +107,11 @@
         host.busy -= 1
         if self.gone:
             return
-        if key in self.tasks:
+        if key in self.generators:
             world.counts["delivered"] += 1
             world.answer(self.asked.pop(key))
         began = process_time_ns()
-        self.outcome(
+        self.handle_outcome(
             world.clock.now,
             face.Outcome(key, number, worker, face.Result.OK, took, True, found, host.busy, None),
         )
@@ -136,10 +138,10 @@
 
     def reported(self, worker, report):
         if not self.gone:
-            self.probed(self.world.clock.now, worker, report is not None, report)
+            self.probe_answered(self.world.clock.now, worker, report is not None, report)
 
-    def tell(self, words):
-        self.world.tell(self, words)
+    def broadcast(self, payload):
+        self.world.tell(self, payload)
 
     def listen(self):
         """The list was given."""
@@ -147,5 +149,5 @@
     def decline(self, key, stay_away, why):
         self.world.lost(self.asked.pop(key))
 
-    def scrap(self, key):
+    def fail(self, key):
         self.world.lost(self.asked.pop(key))
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -87,7 +87,7 @@
         self.entries.adopt(table)
         self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
         self._want()
-        self.core.begin_housekeeping(now)
+        self.core.start_housekeeping(now)
 
     # The host lists
 
@@ -147,7 +147,7 @@
         before, self.told = self.told, dict(lists)
         for cell, of_cell in rows.items():
             if before.get(cell) != lists[cell]:
-                self.core.cell_listed(cell, [row.listed for row in of_cell])
+                self.core.update_cell_hosts(cell, [row.listed for row in of_cell])
 
     # What others ask
 
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -94,7 +94,7 @@
             self.fronts, self.client_fronts, self.others = [], [], self.make_others()
             raise OSError(fault.errno, f"{where}: {fault.strerror}") from fault
         if self.others.weak is not None:
-            self.core.arrived = self.others.weak.arrived
+            self.core.on_arrival = self.others.weak.arrived
         source = self.configuration.hosts_file
         if self.cells is not None:
             self.cells.start()
@@ -115,7 +115,7 @@
         """A whole host list. The host connections come first: the module may wish for a new host at once."""
         rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
         self.enlisted(rows)
-        self.core.listed([row.listed for row in rows], True)
+        self.core.update_hosts([row.listed for row in rows], True)
         self.others.hosts_listed(
             {
                 name: (row.listed.state.value, (self.listing.starts.get(name) or (0,))[0])
@@ -156,7 +156,7 @@
         if self.stopping:
             return
         self.stopping = True
-        self.log.info("stopping", held=len(self.core.held))
+        self.log.info("stopping", held=len(self.core.in_flight))
         for front in self.client_fronts:
             front.stop(LAST_REQUEST)
         for front in self.fronts:
@@ -166,7 +166,7 @@
         if self.cells is not None:
             self.cells.stop()
         self.core.end_by(self.loop.now() + self._granted())
-        self.core.emptied = self._emptied
+        self.core.on_idle = self._emptied
         for front in self.client_fronts:
             front.on_emptied(self._emptied)
         self.loop.after(LAST_REQUEST + self.configuration.longest + LAST_WORDS, self.loop.stop)
@@ -183,7 +183,7 @@
 
     def _emptied(self):
         """Ends the loop once no task is held and no client's connection is left."""
-        if not self.core.held and not any(front.held for front in self.client_fronts):
+        if not self.core.in_flight and not any(front.held for front in self.client_fronts):
             self.loop.after(LAST_WORDS, self.loop.stop)
 
     def heed_signals(self):
@@ -222,7 +222,7 @@
         self.close()
         lived = max(1, self.loop.now() - self.started)
         self.log.info(
-            "stopped", held=len(self.core.held), telling_share=round(self.others.spent() / lived, 6)
+            "stopped", held=len(self.core.in_flight), telling_share=round(self.others.spent() / lived, 6)
         )
 
     def close(self):
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -17,7 +17,7 @@
         "stopping": gate.stopping,
         "ready": gate.ready(),
         "up_ms": (gate.loop.now() - gate.started) // MILLI,
-        "held": len(gate.core.held),
+        "held": len(gate.core.in_flight),
         "late_turns": gate.loop.late_turns,
         "counts": counts,
         "clients": {
--- a/gaproute/benchlink/__main__.py
+++ b/gaproute/benchlink/__main__.py
@@ -76,10 +76,10 @@
         gateway = instance.gateway
         match name:
             case "CALL":
-                instance.take(now, wire.task(fields))
+                instance.start_request(now, wire.task(fields))
             case "REPLY":
                 if (outcome := wire.outcome(fields, instance.counts)) is not None:
-                    instance.outcome(now, outcome)
+                    instance.handle_outcome(now, outcome)
             case "ACCEPTED":
                 instance.resume(
                     fields[0],
@@ -97,7 +97,7 @@
                     ),
                 )
             case "GONE":
-                instance.departed(now, fields[0])
+                instance.abandon(now, fields[0])
             case "ALARM":
                 instance.alarm(now, fields[0])
             case "TARGETS":
@@ -107,9 +107,9 @@
                     if fields[2] not in self.lists:
                         raise wire.WireFault(f"no list {fields[2]}")
                     gateway.listed(now, self.lists[fields[2]], fields[1] != "changes")
-                instance.begin_housekeeping(now)
+                instance.start_housekeeping(now)
             case "HEALTH_RESULT":
-                instance.probed(now, fields[0], fields[2] == "0", wire.report(fields[3]))
+                instance.probe_answered(now, fields[0], fields[2] == "0", wire.report(fields[3]))
             case "PEER_DATA":
                 gateway.told(now, wire.data(fields[1]))
             case "STANDS":
--- a/gaproute/benchlink/drive.py
+++ b/gaproute/benchlink/drive.py
@@ -1,7 +1,7 @@
 """Drives one gateway's generators by the wire's events and collects the actions to be written."""
 
 from gaproute.benchlink import wire
-from gaproute.core.drive import Driver
+from gaproute.core.driver import Driver
 
 
 class Instance(Driver):
@@ -18,9 +18,9 @@
     def alarm(self, now, tag):
         key, _, number = tag.rpartition("|")
         if self.waits.get(key) == number:
-            self.late(key, now)
+            self.wait_elapsed(key, now)
 
-    def unwait(self, key):
+    def cancel_wait(self, key):
         self.waits.pop(key, None)
 
     def wait(self, key, until, now):
@@ -40,8 +40,8 @@
     def probe(self, worker):
         self.lines.append(f"SAMPLE {worker}")
 
-    def tell(self, words):
-        self.lines.append(f"SAY all {words.hex()}")
+    def broadcast(self, payload):
+        self.lines.append(f"SAY all {payload.hex()}")
 
     def listen(self):
         self.lines.append("LISTEN 1")
@@ -49,5 +49,5 @@
     def decline(self, key, stay_away, why):
         self.lines.append(f"BOUNCE {key} {wire.millis(stay_away)}")
 
-    def scrap(self, key):
+    def fail(self, key):
         self.lines.append(f"LOSE {key}")
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -14,7 +14,7 @@
 
     def serve(self, now, task):
         """The task's generator."""
-        forwarded = self.held[task.id].call.forwarded
+        forwarded = self.in_flight[task.id].call.forwarded
         if forwarded is not None:
             self.forwarded_in += 1
         return self.gateway.serve(now, task, forwarded)
@@ -29,11 +29,11 @@
 
     def refuse(self, key, wish):
         """Carry out a decline; its final tells where this gateway did not know the cell."""
-        self.held[key].cell_unknown = isinstance(wish, CellUnknown)
+        self.in_flight[key].cell_unknown = isinstance(wish, CellUnknown)
         super().refuse(key, wish)
 
-    def cell_listed(self, cell, rows):
+    def update_cell_hosts(self, cell, rows):
         """The whole host list of a cell."""
         now = self.loop.now()
         self.gateway.listed(now, rows, True, cell=cell)
-        self.begin_housekeeping(now)
+        self.start_housekeeping(now)
--- a/gaproute/core/drive.py
+++ b/gaproute/core/driver.py
@@ -8,26 +8,26 @@
     """One gateway: its decision module and the tasks it holds. Whoever carries out wishes derives from it.
 
     A derived class gives `wait(key, until, now)`, which may overwrite an earlier wait of the key and calls
-    `late` when the time has come, and `relay(key, number, worker, until, now)`, `cancel(key, number)`,
-    `order(worker, function, copies)`, `probe(worker)`, `tell(words)`, `listen()`,
-    `decline(key, stay_away, why)` and `scrap(key)`. The housekeeper's key is "".
+    `wait_elapsed` when the time has come, and `relay(key, number, worker, until, now)`,
+    `cancel(key, number)`, `order(worker, function, copies)`, `probe(worker)`, `broadcast(payload)`,
+    `listen()`, `decline(key, stay_away, why)` and `fail(key)`. The housekeeper's key is "".
     """
 
     def __init__(self, gateway):
         self.gateway = gateway
-        self.tasks = {}  # task id: its generator
-        self.relays = {}  # task id: relays started so far
-        self.keeper = None
+        self.generators = {}  # task id: its generator
+        self.attempt_counts = {}  # task id: relays started so far
+        self.housekeeper = None
 
-    def begin_housekeeping(self, now):
-        if self.keeper is None:
-            self.keeper = self.gateway.housekeep(now)
-            self.advance("", self.keeper, None, now)
+    def start_housekeeping(self, now):
+        if self.housekeeper is None:
+            self.housekeeper = self.gateway.housekeep(now)
+            self.advance("", self.housekeeper, None, now)
 
-    def take(self, now, task):
+    def start_request(self, now, task):
         generator = self.serve(now, task)
-        self.tasks[task.id] = generator
-        self.relays[task.id] = 0
+        self.generators[task.id] = generator
+        self.attempt_counts[task.id] = 0
         self.advance(task.id, generator, None, now)
 
     def serve(self, now, task):
@@ -35,15 +35,15 @@
         return self.gateway.serve(now, task)
 
     def resume(self, key, now, outcome):
-        generator = self.keeper if key == "" else self.tasks.get(key)
+        generator = self.housekeeper if key == "" else self.generators.get(key)
         if generator is not None:
-            self.unwait(key)
+            self.cancel_wait(key)
             self.advance(key, generator, (now, outcome), now)
 
-    def late(self, key, now):
+    def wait_elapsed(self, key, now):
         self.resume(key, now, None)
 
-    def outcome(self, now, outcome):
+    def handle_outcome(self, now, outcome):
         self.gateway.heard(now, outcome)
         self.resume(outcome.task, now, outcome)
 
@@ -55,9 +55,9 @@
         """Carry out a decline; who knows several kinds of them tells them apart here."""
         self.decline(key, wish.stay_away, wish.why)
 
-    def departed(self, now, key):
+    def abandon(self, now, key):
         """The client left: the generator is told, and nothing more is owed."""
-        if key in self.tasks:
+        if key in self.generators:
             self.resume(
                 key,
                 now,
@@ -65,18 +65,18 @@
             )
             self.forget(key)
 
-    def probed(self, now, worker, good, report):
-        words = self.gateway.probed(now, worker, good, report)
-        if words is not None:
-            self.tell(words)
+    def probe_answered(self, now, worker, good, report):
+        payload = self.gateway.probed(now, worker, good, report)
+        if payload is not None:
+            self.broadcast(payload)
 
-    def unwait(self, key):
+    def cancel_wait(self, key):
         """The key's wait is over before its time."""
 
     def forget(self, key):
-        self.tasks.pop(key, None)
-        self.relays.pop(key, None)
-        self.unwait(key)
+        self.generators.pop(key, None)
+        self.attempt_counts.pop(key, None)
+        self.cancel_wait(key)
 
     def advance(self, key, generator, value, now):
         """Resume a generator and carry out its wishes until it waits or ends."""
@@ -92,8 +92,8 @@
                     self.wait(key, until, now)
                     return
                 case face.Attempt():
-                    value = self.relays[key]
-                    self.relays[key] += 1
+                    value = self.attempt_counts[key]
+                    self.attempt_counts[key] += 1
                     self.send(key, value, wish, now)
                 case face.Cancel(relay):
                     self.cancel(key, relay)
@@ -104,7 +104,7 @@
                 case face.Reject():
                     self.refuse(key, wish)
                 case face.Fail():
-                    self.scrap(key)
+                    self.fail(key)
                 case face.Listen():
                     self.listen()
                 case _:
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -190,7 +190,7 @@
     """Of a gateway that runs and that nobody has used for a while."""
     core, front, lot = scene.process.core, scene.process.front, Lot.of(scene.loop)
     held = {
-        "requests": len(core.held) + len(core.tasks),
+        "requests": len(core.in_flight) + len(core.generators),
         "open ids": len(front.marks),
         "clients' connections": front.held + lot.held + lot.parked,
         "streams that close": len(scene.loop.leaving),
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -115,7 +115,7 @@
 def _stopped(scene: Scene) -> Iterator[Finding]:
     scene.passes(STOP_TIME)
     if scene.loop.running:
-        yield Finding(Check.STOPS, f"it holds {len(scene.process.core.held)} requests")
+        yield Finding(Check.STOPS, f"it holds {len(scene.process.core.in_flight)} requests")
     scene.close_gateway()
     scene.loop.running = True  # the far ends' last timers
     scene.passes(RECOVERY_SPAN)
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -102,7 +102,7 @@
                 str(self._path), told, loop=self.loop, log=log
             )  # its parts come at its start
         self.words_heard = 0  # of other gateways
-        self.process.core.told = self._heard  # type: ignore[method-assign]
+        self.process.core.receive_broadcast = self._heard  # type: ignore[method-assign]
         self.loop.on_error = self.errors.append
         self.loop.running = True
 
@@ -139,7 +139,7 @@
 
     def _heard(self, words: bytes) -> None:
         self.words_heard += 1
-        type(self.process.core).told(self.process.core, words)
+        type(self.process.core).receive_broadcast(self.process.core, words)
 
     # Driving
 
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -152,7 +152,7 @@
         link.owed_until = max(link.owed_until, came + wait + LATE)
         link.open[number] = None
         link.open[number] = (
-            self.core.take(
+            self.core.submit(
                 call,
                 track,
                 0,
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -169,7 +169,7 @@
             self.core.client_left(key)
             self.departed(request)
 
-        key = self.core.take(
+        key = self.core.submit(
             call, track, tenant, model.lanes, model.load, request.arrived, limit - self.way_back, finish
         )
         request.left = gone
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/fleet.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts import kserve, orca, proof
 from gaproute.hosts.never import Never
 from gaproute.http1 import Exchange
@@ -208,14 +208,14 @@
         def came(answer, undelivered):
             if answer is None:
                 result = Result.MOOT if undelivered.lapsed else proof.of_undelivered(undelivered)
-                done(Heard(result, None))
+                done(AttemptResult(result, None))
                 return
             report, found, alike = orca.read(answer.headers)
             result, told = proof.of_answer(answer.status), None
             if result is Result.OK:
                 fields = tuple((name, answer.headers[name]) for name in PASSED if name in answer.headers)
                 told = Answer(answer.status, fields, answer.body)
-            done(Heard(result, told, found, alike, report))
+            done(AttemptResult(result, told, found, alike, report))
 
         request = self.request(call, task, host, until)
         exchange = self.exchange(host, request, effect, came, until, call.client_present)
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/fleet.py
@@ -1,6 +1,6 @@
 """The hosts as sockets that carry lines: relays, orders and probes, each on a connection (`link`)."""
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts.jsonlines import lines
 from gaproute.hosts.jsonlines.link import EVER, Asked, Link, Links
 from gaproute.hosts.never import Never
@@ -141,10 +141,10 @@
             return Never(self.loop, done, Result.CONNECT_FAILED)
 
         def came(reply, failure):
-            said = Heard(failure, None) if reply is None else lines.heard(reply, self.counts)
+            said = AttemptResult(failure, None) if reply is None else lines.heard(reply, self.counts)
             if said is None:
                 self.unread += 1
-                said = Heard(Result.ERROR, None)
+                said = AttemptResult(Result.ERROR, None)
             done(said)
             return said.result is Result.OK
 
--- a/gaproute/hosts/jsonlines/lines.py
+++ b/gaproute/hosts/jsonlines/lines.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.interface import Found, Result
 from gaproute.interface.call import Answer
 from gaproute.terms import report
@@ -105,12 +105,14 @@
             data = reply.data.encode("ascii")
             binascii.a2b_base64(data, strict_mode=True)
         except (AttributeError, UnicodeEncodeError, binascii.Error):  # an empty body is "", none is None
-            return Heard(Result.ERROR, None)  # it ran, but what it gave is lost
+            return AttemptResult(Result.ERROR, None)  # it ran, but what it gave is lost
         answer = Answer(200, (), data)
     alike = None
     if counts and result in (Result.OK, Result.FULL):
         alike = int(min(figure(reply.meta.get("queue_fn")) or 0, 1 << 20))
-    return Heard(result, answer, NOTES.get(reply.meta.get("tell"), Found.UNTOLD), alike, load(reply.meta))
+    return AttemptResult(
+        result, answer, NOTES.get(reply.meta.get("tell"), Found.UNTOLD), alike, load(reply.meta)
+    )
 
 
 def health(reply):
--- a/gaproute/hosts/never.py
+++ b/gaproute/hosts/never.py
@@ -1,6 +1,6 @@
 """A relay that no host gets."""
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 
 
 class Never:
@@ -10,7 +10,7 @@
 
     def __init__(self, loop, done, result):
         self.done = done
-        loop.soon(self.end, Heard(result, None))
+        loop.soon(self.end, AttemptResult(result, None))
 
     def end(self, heard):
         if self.done is not None:
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -110,7 +110,7 @@
         """Without others a gateway serves by its own probes: no reason not to start. It goes on trying."""
         self.peers_timer = None
         try:
-            self.peers = Datagrams(self.loop, self.configuration.peer_listen, self.core.told)
+            self.peers = Datagrams(self.loop, self.configuration.peer_listen, self.core.receive_broadcast)
         except OSError as fault:
             if not self.peers_backoff.begun:
                 self.log.warning("no peers", listen=self.configuration.peer_listen, error=str(fault))
@@ -118,14 +118,14 @@
             return
         if self.peers_backoff.begun:
             self.log.info("peers", listen=self.configuration.peer_listen)
-        self.core.tell = lambda words: self.peers.send(words, self.configuration.peers_all)
+        self.core.broadcast = lambda words: self.peers.send(words, self.configuration.peers_all)
 
     def told(self, event):
         absent_at = self.follower.current_at if self.follower is not None else None
         rows = self.lister.rows(event.fleet, absent_at)
         complete = event.fleet.complete
         self.hosts.listed(rows, complete)
-        self.core.listed([row.listed for row in rows], complete)
+        self.core.update_hosts([row.listed for row in rows], complete)
         self.log.info(
             "list",
             seq=event.seq,
@@ -180,7 +180,7 @@
         if self.stopping:
             return
         self.stopping = True
-        self.log.info("stopping", held=len(self.core.held))
+        self.log.info("stopping", held=len(self.core.in_flight))
         now = self.loop.now()
         began = now - self.loop.behind
         self.closing, self.granted = schedule([track.hard_limit for track in self.terms.tracks], began, now)
@@ -191,20 +191,20 @@
 
     def shut(self):
         """Accepts no new connections, and leaves once the last of the open ones is closed."""
-        self.core.emptied = self.front.emptied = self.leave
+        self.core.on_idle = self.front.emptied = self.leave
         self.front.shut()
         self.leave()
 
     def leave(self):
         """Ends the loop once all is answered and the answers are taken: each connection closes when the other
         side has read to its end."""
-        if not self.core.held and not self.front.held:
+        if not self.core.in_flight and not self.front.held:
             self.loop.stop()
 
     def run(self):
         self.loop.run()
         self.loop.guard(self.status)
-        self.log.info("stopped", held=len(self.core.held), connections=self.front.held)
+        self.log.info("stopped", held=len(self.core.in_flight), connections=self.front.held)
         for timer in (self.again, self.peers_timer):
             if timer is not None:
                 timer.cancel()
@@ -233,7 +233,7 @@
         }
         self.log.info(
             "status",
-            held=len(self.core.held),
+            held=len(self.core.in_flight),
             counts=self.record.table(),
             links=held,
             believed=believed,
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -191,7 +191,7 @@
     made.ask("lamp", "gone")
     made.until(lambda: made.seen("task", id="gone"))
     made.last.drop()
-    made.until(lambda: not made.gate.core.held)
+    made.until(lambda: not made.gate.core.in_flight)
     sent = len(made.seen("task", id="gone"))
     made.rest(300 * MILLI)
     assert len(made.seen("task", id="gone")) == sent == 1
@@ -267,7 +267,7 @@
     assert not made.wait(refused).connected
     assert outcome(made.wait(asked)) == "delivered"
     made.loop.run()  # the loop ends by itself
-    assert not made.gate.core.held
+    assert not made.gate.core.in_flight
 
 
 def test_floods_of_unknown_models_and_noise_leave_others_unharmed(rig):
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -67,7 +67,7 @@
 def asked_and_answered(made, client):
     client.sendall(ASK)
     made.until(lambda: made.seen("task", id="t"))
-    made.until(lambda: not made.gate.core.held)
+    made.until(lambda: not made.gate.core.in_flight)
     made.rest(10 * MILLI)  # the answer is on its way
     assert statuses(client.recv(65536)) == [200]
 
@@ -161,7 +161,7 @@
     made.hosts[0].command(SLOW)
     client = clients(made)
     client.sendall(ASK + ASK)
-    made.until(lambda: len(made.gate.core.held) == 2)
+    made.until(lambda: len(made.gate.core.in_flight) == 2)
     made.gate.stop()
     run_out(made)
     said = rest_of(client)
@@ -234,7 +234,7 @@
         made.rest(min(killed - 250 * MILLI, LAST_REQUEST - 200 * MILLI) // len(clients))
         client.sendall(ASK)
     made.rest(killed - (made.loop.now() - began))
-    assert early.ready and not made.gate.core.held
+    assert early.ready and not made.gate.core.in_flight
     for client in clients:
         assert statuses(client.recv(65536)) in ([503], [504])
         client.close()
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -4,13 +4,14 @@
 from helpers import TERMS
 
 from gaproute import interface as face
-from gaproute.core.core import Core, Heard
+from gaproute.core.core import Core
+from gaproute.core.in_flight import AttemptResult
 from gaproute.interface.call import Answer, Call, Ending
 from gaproute.loop import Loop, Stepped
 from gaproute.telemetry.record import Record
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-DONE = Heard(face.Result.OK, Answer(200, (), b"done"))
+DONE = AttemptResult(face.Result.OK, Answer(200, (), b"done"))
 
 
 class Scripted:
@@ -63,7 +64,7 @@
 
 
 def take(made, left=SECOND):
-    return made.take(Call("m", "", (), b""), 0, 0, 1, None, made.loop.now(), left, made.finals.append)
+    return made.submit(Call("m", "", (), b""), 0, 0, 1, None, made.loop.now(), left, made.finals.append)
 
 
 def turns(made, span=0):
@@ -83,7 +84,7 @@
     assert [final.ending for final in made.finals] == [Ending.DELIVERED] and made.finals[
         0
     ].answer.body == b"done"
-    assert made.gateway.told[0].ended and not made.held and not made.timers
+    assert made.gateway.told[0].ended and not made.in_flight and not made.wait_timers
 
 
 def test_a_second_final_answer_reaches_nobody():
@@ -125,7 +126,7 @@
     assert not made.finals
     turns(made, 2 * MILLI)
     assert [final.ending for final in made.finals] == [Ending.FAILED] and made.hosts.taken_back == ["w"]
-    assert made.gateway.told[0].result is face.Result.TIMEOUT and not made.held
+    assert made.gateway.told[0].result is face.Result.TIMEOUT and not made.in_flight
 
 
 def test_when_the_client_leaves_the_module_hears_of_it_and_nobody_is_answered():
@@ -139,7 +140,7 @@
     key = take(made)
     made.client_left(key)
     turns(made)
-    assert made.finals == [] and made.hosts.taken_back == ["w"] and not made.held
+    assert made.finals == [] and made.hosts.taken_back == ["w"] and not made.in_flight
     assert [outcome.result for outcome in made.gateway.told] == [face.Result.CANCELLED]
     made.client_left(key)  # a second time is nothing
 
@@ -152,11 +153,11 @@
     made = core(serve)
     take(made)
     turns(made)
-    assert len(made.finals) == 1 and made.held
+    assert len(made.finals) == 1 and made.in_flight
     emptied = []
-    made.emptied = lambda: emptied.append(True)
+    made.on_idle = lambda: emptied.append(True)
     turns(made, 2 * SECOND)
-    assert not made.held and emptied and made.gateway.told[0].result is face.Result.TIMEOUT
+    assert not made.in_flight and emptied and made.gateway.told[0].result is face.Result.TIMEOUT
 
 
 def test_what_has_not_begun_when_its_task_ends_never_does_whatever_the_settings_allow():
@@ -170,7 +171,7 @@
     take(made)
     turns(made, 2 * MILLI)
     assert made.finals[0].ending is Ending.REJECTED
-    assert made.hosts.taken_back == ["w"] and not made.held
+    assert made.hosts.taken_back == ["w"] and not made.in_flight
     assert made.gateway.told[0].result is face.Result.MOOT
 
 
@@ -186,7 +187,7 @@
 
     made = core(serve)
     take(made)
-    made.loop.after(15 * MILLI, lambda: made.hosts.sent[0](Heard(face.Result.FULL, None)))
+    made.loop.after(15 * MILLI, lambda: made.hosts.sent[0](AttemptResult(face.Result.FULL, None)))
     turns(made, 100 * MILLI)
     assert times == [(10 * MILLI, None), (15 * MILLI, face.Result.FULL), (25 * MILLI, None)]
 
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -148,7 +148,11 @@
             return
         now, task = self.loop.now(), self.named[command["req"]]
         life = wire.life
-        held = [each for each in self.core.held.values() if each.call.mark == command["req"] and each.finish]
+        held = [
+            each
+            for each in self.core.in_flight.values()
+            if each.call.mark == command["req"] and each.on_final
+        ]
         assert held and not task.finals and not task.left, "begun for nobody"
         assert now < min(task.end, self.last), "begun too late"
         assert self.lives[life.name] is life and self.rows[life.name].state is face.State.ACTIVE
@@ -184,13 +188,13 @@
         self.named[name] = task
         self.tasks.append(task)
         call = Call(f"m{place % 2}", "", (), b"", name, "x")
-        task.key = self.core.take(call, place % 3, 0, 1, None, self.loop.now(), LEFT, task.finals.append)
+        task.key = self.core.submit(call, place % 3, 0, 1, None, self.loop.now(), LEFT, task.finals.append)
 
     def leave(self, place, _):
         if waits := [task for task in self.tasks if not task.finals and not task.left]:
             task = waits[place % len(waits)]
-            held = self.core.held.get(task.key)
-            task.left = held is not None and held.finish is not None  # else its answer is on its way
+            held = self.core.in_flight.get(task.key)
+            task.left = held is not None and held.on_final is not None  # else its answer is on its way
             self.core.client_left(task.key)
 
     def dialled(self, place):
@@ -261,7 +265,7 @@
         if way == 5:
             self.rows[name] = self.rows[name]._replace(state=face.State.GONE)
         self.hosts.listed(shown, True)
-        self.core.listed([each.listed for each in shown], True)
+        self.core.update_hosts([each.listed for each in shown], True)
         for host in self.hosts.hosts.values():
             host.where = self.lives[host.name]
 
@@ -305,7 +309,12 @@
                     self.body(each) for each in self.attempts if each.task is task and each.said == "served"
                 ]
         core, gateway = self.core, self.core.gateway
-        assert not core.held and not core.tasks and not core.relays and set(core.timers) == {""}
+        assert (
+            not core.in_flight
+            and not core.generators
+            and not core.attempt_counts
+            and set(core.wait_timers) == {""}
+        )
         assert not gateway.hands and not gateway.ration.out
         assert not any(each.out or each.late for each in gateway.workers.values())
         self.passes(30 * SECOND)
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -69,13 +69,13 @@
 
 
 def wall_clock_used_for_deadlines(patch):
-    honest = Core.take
+    honest = Core.submit
 
-    def take(core, call, track, tenant, lanes, load_time, taken, *told):
+    def submit(core, call, track, tenant, lanes, load_time, taken, *told):
         taken += loops.time.time_ns() - EPOCH - core.loop.now()
         return honest(core, call, track, tenant, lanes, load_time, taken, *told)
 
-    patch.setattr(Core, "take", take)
+    patch.setattr(Core, "submit", submit)
 
 
 def short_write_taken_for_a_whole_one(patch):
@@ -154,12 +154,12 @@
 
 
 def final_answer_sent_late(patch):
-    honest = Core._final
+    honest = Core._finish
 
     def final(core, held, *told):
         core.loop.after(2 * SECOND, honest, core, held, *told)
 
-    patch.setattr(Core, "_final", final)
+    patch.setattr(Core, "_finish", final)
 
 
 BROKEN, LACK, SHORT = Failure(errno.ETIMEDOUT), Failure(errno.ENOBUFS), ShortTransfer(7)
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -77,7 +77,7 @@
     dials.held[0][3](dialled(made.hosts[0].address), None)
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == stays == len(client.answers) and not made.process.core.held
+    assert made.came() == stays == len(client.answers) and not made.process.core.in_flight
     assert not made.process.core.gateway.workers["s-0"].bad
 
 
@@ -107,7 +107,7 @@
     made.clock.now += LONG
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.held
+    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.in_flight
 
 
 @leaves
@@ -139,7 +139,7 @@
     made.clock.now += 100 * MILLI
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.held
+    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.in_flight
 
 
 def test_a_request_is_not_begun_whose_abort_lies_behind_more_than_one_read(gate):
@@ -155,7 +155,7 @@
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(data)
     told.waiting = []
-    made.until(lambda: not made.process.core.held and made.process.core.count)
+    made.until(lambda: not made.process.core.in_flight and made.process.core.submitted)
     made.turns()
     assert [command["req"] for command in made.hosts[0].seen("go")] == [f"{10:016x}"]
     sock.close()
@@ -183,7 +183,7 @@
     made.clock.now += LONG
     made.hosts[0].say(*held[0], "overload")
     made.turns()
-    assert made.came() == 1 and not made.process.core.held and not link.open
+    assert made.came() == 1 and not made.process.core.in_flight and not link.open
     client.ask(2)
     link.stream.resume()
     made.until(lambda: client.answers)
@@ -240,7 +240,7 @@
     leave(client)
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert reads_on(made) is stays and len(client.answers) == stays and not made.process.core.held
+    assert reads_on(made) is stays and len(client.answers) == stays and not made.process.core.in_flight
 
 
 def test_what_else_is_at_work_on_that_connection_may_have_run_and_nothing_is_left_of_it(gate):
@@ -259,7 +259,7 @@
     made.until(lambda: other.answers)
     made.turns()
     assert other.answers[0]["error"]["code"] == FAILED and made.came() == 1
-    assert not made.process.core.held and not link.open and not link.stream.open
+    assert not made.process.core.in_flight and not link.open and not link.stream.open
 
 
 # Over HTTP
@@ -271,7 +271,7 @@
     monkeypatch.setattr(http_clients, "connect", dials := HeldDials())
     sock = socket.create_connection(made.at[1])
     sock.sendall(b"POST /v2/models/lamp/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n{}")
-    made.until(lambda: made.gate.core.held)
+    made.until(lambda: made.gate.core.in_flight)
     (entry,) = [each for each in dials.held if each[4]][-1:]
     with socket.create_server(("127.0.0.1", 0)) as host:
         end(sock, way)
@@ -282,7 +282,7 @@
         came, _ = host.accept()
         with came:
             assert came.recv(1) == b""
-    assert not made.gate.core.held and not made.gate.core.gateway.workers["h0"].bad
+    assert not made.gate.core.in_flight and not made.gate.core.gateway.workers["h0"].bad
     sock.close()
 
 
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -56,7 +56,7 @@
     end(sock, way)
     made.until(lambda: not made.process.front.held)
     made.turns()
-    assert made.came() == 0 and made.process.core.count == 0 and not made.process.front.marks
+    assert made.came() == 0 and made.process.core.submitted == 0 and not made.process.front.marks
     sock.close()
 
 
@@ -70,8 +70,8 @@
     sock.sendall(requests(made, 11, 10_000, 2))
     end(sock, way)
     made.loop.turn()
-    assert not made.process.core.held or not any(
-        held.finish is not None for held in made.process.core.held.values()
+    assert not made.process.core.in_flight or not any(
+        request.on_final is not None for request in made.process.core.in_flight.values()
     )
     made.turns()
     assert made.came() == 1 and not made.process.front.links
@@ -109,7 +109,7 @@
         answers = read_to_end(made, sock)
         assert answers.count(b"HTTP/1.1 504") == 3 and answers.count(b"closed its side") == 3
     made.rest(50 * MILLI)
-    assert made.gate.core.count == 0 and not made.gate.fronts[0].held
+    assert made.gate.core.submitted == 0 and not made.gate.fronts[0].held
 
 
 def test_over_http_what_is_asked_of_the_gateway_itself_is_answered_to_one_that_closed_half(rig):
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -28,7 +28,7 @@
     (link,) = made.process.front.links
     link.stream.pause()
     half_close(client.stream)
-    made.until(lambda: not made.process.core.held)
+    made.until(lambda: not made.process.core.in_flight)
     assert not made.process.front.links and not made.process.front.marks
 
 
@@ -66,7 +66,7 @@
     half_close(client.stream)
     made.until(lambda: not made.process.front.held)
     made.turns()
-    assert made.came() == at_work == made.process.core.count and not made.process.front.marks
+    assert made.came() == at_work == made.process.core.submitted and not made.process.front.marks
 
 
 @pytest.mark.parametrize(
@@ -92,7 +92,7 @@
     made.until(lambda: len(client.answers) == len(answered))
     made.turns()
     assert sorted(each["id"] for each in client.answers) == answered and made.came() == 1 + relayed
-    assert made.process.front.faults == 0 and not made.process.core.held
+    assert made.process.front.faults == 0 and not made.process.core.in_flight
 
 
 def test_an_abort_reaches_no_request_of_another_connection_and_a_second_one_nothing(gate):
@@ -317,7 +317,7 @@
     client = made.client()
     client.ask(1, d=9000)
     client.ask(2, "repair-order", d=9000)
-    made.until(lambda: len(made.process.core.held) == 2)
+    made.until(lambda: len(made.process.core.in_flight) == 2)
     while not ended():
         made.passes(20 * MILLI)
     codes = {each["id"]: each["error"]["code"] for each in client.answers}
@@ -352,7 +352,7 @@
         made.process.heed_signals()
         client = made.client()
         client.ask(1)
-        made.until(lambda: made.process.core.held or client.answers)
+        made.until(lambda: made.process.core.in_flight or client.answers)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM):
             os.kill(os.getpid(), number)
         made.loop.running = True
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -62,10 +62,10 @@
     made = slow(cancel=False)
     client = asked(made, 1)
     client.stream.abort()
-    made.until(lambda: not made.process.core.held)
+    made.until(lambda: not made.process.core.in_flight)
     made.dials.let()
     made.turns()
-    assert not made.came() and not made.process.core.tasks
+    assert not made.came() and not made.process.core.generators
 
 
 def test_nothing_begins_after_the_final_answer_however_late_its_dial_comes_up(slow):
@@ -75,7 +75,7 @@
     made.until(lambda: client.answers)
     made.dials.let()
     made.turns()
-    assert "error" in client.answers[0] and not made.came() and not made.process.core.held
+    assert "error" in client.answers[0] and not made.came() and not made.process.core.in_flight
 
 
 def test_the_limit_told_to_a_host_is_what_is_left_when_the_request_is_written(slow):
@@ -215,7 +215,7 @@
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     made.turns()
     made.passes(3 * SECOND)
-    assert bool(made.hosts[0].seen("halt")) is cancel and not made.process.core.held
+    assert bool(made.hosts[0].seen("halt")) is cancel and not made.process.core.in_flight
 
 
 def test_a_connection_that_carried_many_failures_takes_no_further_request(gate):
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -10,7 +10,7 @@
 from scripted import MILLI, SECOND, Handed
 
 from gaproute import interface as face
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import proof
 from gaproute.hosts.fleet import Hosts
@@ -62,7 +62,7 @@
     made.order("a", "f", 1, lambda result, copies: told.append((result, copies)))
     made.probe("a", lambda good, report: told.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
-    assert sorted(told, key=len) == [(face.Result.MOOT, 0), Heard(face.Result.MOOT, None)]
+    assert sorted(told, key=len) == [(face.Result.MOOT, 0), AttemptResult(face.Result.MOOT, None)]
     assert not made.hosts["a"].open and not made.hosts["a"].unsent
 
 
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -47,7 +47,7 @@
     link.idle_end = made.loop.now()
     client.sendall(ASK)  # in the gateway's socket, not read by it
     link.park()
-    made.until(lambda: not made.gate.core.held)
+    made.until(lambda: not made.gate.core.in_flight)
     made.rest(10 * MILLI)
     assert statuses(client.recv(65536)) == [200]
 
@@ -62,7 +62,7 @@
     link.due = made.loop.now() - 1
     ServerLink._deadline_passed(link)
     made.until(lambda: made.seen("task"))
-    made.until(lambda: not made.gate.core.held)
+    made.until(lambda: not made.gate.core.in_flight)
     made.rest(10 * MILLI)
     assert statuses(client.recv(65536)) == [200]
 
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -129,7 +129,7 @@
     made.until(lambda: made.came())
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     made.until(lambda: made.hosts[0].seen("halt"))
-    made.until(lambda: not made.process.core.held)
+    made.until(lambda: not made.process.core.in_flight)
     assert client.answers == []
     assert not made.process.front.marks
 
@@ -140,7 +140,7 @@
     client.ask(1)
     made.until(lambda: made.came())
     client.stream.abort()
-    made.until(lambda: not made.process.core.held)
+    made.until(lambda: not made.process.core.in_flight)
     assert not made.process.front.marks
     assert not made.process.front.links
 
@@ -176,7 +176,7 @@
     silent, half = made.client(), made.client()
     half.send(b"Content-Length: 50\r\n\r\nhalf")
     made.until(lambda: silent.ended and half.ended)
-    assert made.process.core.held == {}
+    assert made.process.core.in_flight == {}
 
 
 def test_resting_connections_make_room_and_those_at_work_stay(gate, monkeypatch):
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -292,7 +292,7 @@
     assert made.process.peers is not None
     assert made.process.peers_timer is None
     assert [what for what, _ in made.lines if "peers" in what] == ["no peers", "peers"]
-    made.process.core.tell(b"x")
+    made.process.core.broadcast(b"x")
 
 
 def test_peers_that_can_never_be_heard_are_tried_less_and_less_often_and_logged_once(gate, monkeypatch):
