--- a/benchmarks/fleet/cold_hosts.py
+++ b/benchmarks/fleet/cold_hosts.py
@@ -116,12 +116,13 @@
         super().probe(worker)
         self.world.hosts[worker].reached(self.world.clock.now, PROBE_WORK, self.knows(worker))
 
-    def decline(self, key, stay_away, why):
+    def reject(self, key, rejection):
         function = self.asked[key].function
-        super().decline(key, stay_away, why)
+        super().reject(key, rejection)
         self.world.again(function, self.tries[key])
 
-    def relay(self, key, number, worker, until, now):
+    def start_attempt(self, key, number, attempt, now):
+        worker = attempt.worker
         world, host = self.world, self.world.hosts[worker]
         work = self.work(self.asked[key].function)
         host.reached(now, work, self.knows(worker))
@@ -146,8 +147,8 @@
         if self.gone:
             return
         good = result is face.Result.OK
-        if good and key in self.tasks:
+        if good and key in self.generators:
             self.world.counts["delivered"] += 1
             self.world.answer(self.asked.pop(key))
         report = face.Report(in_hand=host.busy) if good else None
-        self.outcome(now, face.Outcome(key, number, worker, result, took, good, found, None, report))
+        self.handle_outcome(now, face.Outcome(key, number, worker, result, took, good, found, None, report))
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -61,7 +61,8 @@
             self.world.counts["connections"] += 1
         self.links[worker] = now
 
-    def relay(self, key, number, worker, until, now):
+    def start_attempt(self, key, number, attempt, now):
+        worker = attempt.worker
         self.connect(worker)
         world, asked = self.world, self.asked[key]
         host = world.hosts[worker]
@@ -143,10 +144,10 @@
     def broadcast(self, payload):
         self.world.tell(self, payload)
 
-    def listen(self):
+    def watch_hosts(self):
         """The list was given."""
 
-    def decline(self, key, stay_away, why):
+    def reject(self, key, rejection):
         self.world.lost(self.asked.pop(key))
 
     def fail(self, key):
--- a/gaproute/benchlink/drive.py
+++ b/gaproute/benchlink/drive.py
@@ -28,8 +28,8 @@
         self.waits[key] = str(self.alarms)
         self.lines.append(f"WAKE_AT {wire.millis(max(0, until - now))} {key}|{self.alarms}")
 
-    def relay(self, key, number, worker, until, now):
-        self.lines.append(f"ATTEMPT {key} {worker} 0")
+    def start_attempt(self, key, number, attempt, now):
+        self.lines.append(f"ATTEMPT {key} {attempt.worker} 0")
 
     def cancel(self, key, number):
         self.lines.append(f"RECALL {key} {number}")
@@ -43,11 +43,11 @@
     def broadcast(self, payload):
         self.lines.append(f"SAY all {payload.hex()}")
 
-    def listen(self):
+    def watch_hosts(self):
         self.lines.append("LISTEN 1")
 
-    def decline(self, key, stay_away, why):
-        self.lines.append(f"BOUNCE {key} {wire.millis(stay_away)}")
+    def reject(self, key, rejection):
+        self.lines.append(f"BOUNCE {key} {wire.millis(rejection.stay_away)}")
 
     def fail(self, key):
         self.lines.append(f"LOSE {key}")
--- a/gaproute/core/__init__.py
+++ b/gaproute/core/__init__.py
@@ -1,1 +1,1 @@
-"""Drives the decision module's generators and carries out its wishes. Knows no protocol and no socket."""
+"""Drives the generators of the decision module and carries out their actions; knows no protocol or socket."""
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -1,39 +1,67 @@
-"""The core of a gateway in a fleet of cells: it forwards calls to other gateways and takes theirs."""
+"""The core of a gateway in a fleet of cells: it forwards requests to other gateways and takes theirs."""
 
+from collections.abc import Sequence
+from typing import Protocol, cast
+
+from gaproute import interface as face
 from gaproute.core.core import Core
-from gaproute.decisions.cells.entries import CellUnknown, Forward
+from gaproute.core.ports import Actions, Hosts
+from gaproute.decisions.cells.cellular import CellularGateway
+from gaproute.decisions.cells.entries import CellUnknown, Forward, Forwarded
+from gaproute.loop import Loop
+from gaproute.telemetry.record import Record
+
+
+class Entries(Protocol):
+    """The connections to entry gateways of other cells."""
+
+    def toward(self, forward: Forward, /) -> Hosts:
+        """What sends a request by way of an entry gateway."""
 
 
 class CellularCore(Core):
-    """`entries` gives `toward(forward)`: what relays by way of an entry gateway, as `hosts` does."""
+    """A core whose attempts may lead to other gateways."""
+
+    gateway: CellularGateway
 
-    def __init__(self, loop, gateway, terms, hosts, record, name, entries):
+    def __init__(
+        self,
+        loop: Loop,
+        gateway: CellularGateway,
+        terms: face.Terms,
+        hosts: Hosts,
+        record: Record,
+        name: str,
+        entries: Entries,
+    ) -> None:
         super().__init__(loop, gateway, terms, hosts, record, name)
         self.entries = entries
-        self.forwarded_in = self.forwarded_out = 0
+        self.forwarded_in = 0  # requests that other gateways forwarded here
+        self.forwarded_out = 0  # attempts at other gateways
 
-    def serve(self, now, task):
-        """The task's generator."""
-        forwarded = self.in_flight[task.id].call.forwarded
+    def serve(self, now: int, task: face.Task) -> Actions:
+        """A request's generator; it is told whether another gateway forwarded the request."""
+        forwarded = cast("Forwarded | None", self.in_flight[task.id].call.forwarded)
         if forwarded is not None:
             self.forwarded_in += 1
-        return self.gateway.serve(now, task, forwarded)
+        generator: Actions = self.gateway.serve(now, task, forwarded)
+        return generator
 
-    def send(self, key, number, wish, now):
-        """Carry out a relay: to a host, or to an entry gateway of another cell."""
-        if isinstance(wish, Forward):
+    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+        """Sends a request to a host, or to an entry gateway of another cell."""
+        if isinstance(attempt, Forward):
             self.forwarded_out += 1
-            self.begin(self.entries.toward(wish), key, number, wish.worker, wish.until, now)
+            self._send(self.entries.toward(attempt), key, number, attempt, now)
         else:
-            super().send(key, number, wish, now)
+            super().start_attempt(key, number, attempt, now)
 
-    def refuse(self, key, wish):
-        """Carry out a decline; its final tells where this gateway did not know the cell."""
-        self.in_flight[key].cell_unknown = isinstance(wish, CellUnknown)
-        super().refuse(key, wish)
+    def reject(self, key: str, rejection: face.Reject) -> None:
+        """Rejects a request; its final answer tells where this gateway does not know the cell."""
+        self.in_flight[key].cell_unknown = isinstance(rejection, CellUnknown)
+        super().reject(key, rejection)
 
-    def update_cell_hosts(self, cell, rows):
-        """The whole host list of a cell."""
+    def update_cell_hosts(self, cell: str, rows: Sequence[face.ListedHost]) -> None:
+        """Takes the whole host list of a cell."""
         now = self.loop.now()
         self.gateway.listed(now, rows, True, cell=cell)
         self.start_housekeeping(now)
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -1,35 +1,68 @@
-"""The end of each task: exactly one final answer, nothing that begins after it, nothing kept."""
+"""How requests end: one final answer each, no attempt that begins after it, no state left behind."""
+
+from abc import abstractmethod
+from collections.abc import Callable
+from typing import Any
 
 from gaproute import interface as face
-from gaproute.core.driver import Driver
-from gaproute.core.in_flight import AttemptResult
-from gaproute.interface.call import Ending, Final
+from gaproute.core.driver import HOUSEKEEPING, Driver
+from gaproute.core.in_flight import AttemptResult, RequestInFlight
+from gaproute.core.ports import DecisionModule
+from gaproute.interface.call import Answer, Ending, Final
+from gaproute.loop import Loop
+from gaproute.telemetry.record import Record
 
 MILLI = 1_000_000
 
+# The reasons that clients read.
+REJECTED = "declined: it is safe to try again"
+MAY_HAVE_RUN = "scrapped: it may have run, or may yet"
+DEADLINE_PASSED = "scrapped: the time was up"
+GATEWAY_ERROR = "scrapped: an error in the gateway"
+
 
 class RequestCompletion(Driver):
-    """The part of the core by which tasks end."""
+    """The requests in flight, and how each of them ends."""
+
+    def __init__(self, gateway: DecisionModule, loop: Loop, record: Record) -> None:
+        super().__init__(gateway)
+        self.loop, self.record = loop, record
+        self.in_flight: dict[str, RequestInFlight] = {}  # by id
+        self.on_idle: Callable[[], None] | None = None  # called when the last request is released
+
+    @abstractmethod
+    def _attempt_ended(self, key: str, number: int, attempt_result: AttemptResult) -> None:
+        """Accounts for an attempt in flight that has ended."""
+
+    # The final answer
 
-    def _finish(self, request, ending, answer, stay_away, reason, why=""):
-        """Guards the one final answer: a second one of the decision module's reaches nobody."""
-        finish, request.on_final = request.on_final, None
-        if finish is None:
+    def reject(self, key: str, rejection: face.Reject) -> None:
+        """Gives the final answer that nothing ran and a retry is harmless."""
+        request = self.in_flight[key]
+        self._finish(request, Ending.REJECTED, REJECTED, stay_away=rejection.stay_away, cause=rejection.why)
+
+    def fail(self, key: str) -> None:
+        """Gives the final answer that promises nothing."""
+        self._finish(self.in_flight[key], Ending.FAILED, MAY_HAVE_RUN)
+
+    def _finish(
+        self,
+        request: RequestInFlight,
+        ending: Ending,
+        reason: str,
+        *,
+        answer: Answer | None = None,
+        stay_away: int = 0,
+        cause: str = "",
+    ) -> None:
+        """Gives the one final answer; a second one is a fault of the decision module and reaches nobody."""
+        on_final, request.on_final = request.on_final, None
+        if on_final is None:
             self.record.fault("a second final answer was wished", request.id)
             return
-        now = self.loop.now()
-        self.record.ended(request.request_class, ending, now - request.first_byte_at)
-        if request.log_step is not None:
-            request.log_step(
-                ending.value,
-                why=why,
-                after_ms=(now - request.first_byte_at) // MILLI,
-                relays=request.attempt_count,
-            )
-        if now > request.deadline:
-            self.record.fault(f"answered {(now - request.deadline) // MILLI} ms after the limit", request.id)
+        self._record_end(request, ending, cause)
         never_ran = not request.may_have_run and not any(
-            hold.begun for _, _, hold in request.attempts.values()
+            attempt.handle.begun for attempt in request.attempts.values()
         )
         final = Final(
             ending,
@@ -42,76 +75,94 @@
             request.cell_unknown,
             request.found,
         )
-        self.loop.soon(finish, final)
+        self.loop.soon(on_final, final)
         self._withdraw_attempts(request)
 
-    def _deadline_passed(self, key):
-        """The client's limit: relays still out have timed out, and a task still unanswered is scrapped.
+    def _record_end(self, request: RequestInFlight, ending: Ending, cause: str) -> None:
+        now = self.loop.now()
+        took = now - request.first_byte_at
+        self.record.ended(request.request_class, ending, took)
+        if request.log_step is not None:
+            request.log_step(ending.value, why=cause, after_ms=took // MILLI, relays=request.attempt_count)
+        if now > request.deadline:
+            overdue = (now - request.deadline) // MILLI
+            self.record.fault(f"answered {overdue} ms after the limit", request.id)
+
+    def _deadline_passed(self, key: str) -> None:
+        """Ends a request at its deadline: its attempts have timed out, and it fails if it is unanswered.
 
         Guards against a decision module that is late; harms none that is in time.
         """
         request = self.in_flight[key]
-        for number, (_, _, hold) in list(request.attempts.items()):
-            result = face.Result.TIMEOUT if hold.begun else face.Result.MOOT
-            hold.give_up()
+        for number, attempt in list(request.attempts.items()):
+            result = face.Result.TIMEOUT if attempt.handle.begun else face.Result.MOOT
+            attempt.handle.give_up()
             self._attempt_withdrawn(key, number, result)
         if request.on_final is not None:
             self.record.fault("no final answer by the client's limit", key)
             self.forget(key)
-            self._finish(request, Ending.FAILED, None, 0, "scrapped: the time was up")
+            self._finish(request, Ending.FAILED, DEADLINE_PASSED)
         self._release_if_complete(request)
 
-    def _release_if_complete(self, request):
-        """Forgets a task that is answered and has no relay out."""
-        if (
-            request.on_final is None
-            and not request.attempts
-            and request.id not in self.generators
-            and self.in_flight.pop(request.id, None) is not None
-        ):
-            request.deadline_timer.cancel()
-            if not self.in_flight and self.on_idle is not None:
-                self.loop.soon(self.on_idle)
-
-    def forget(self, key):
+    # Attempts that nobody waits for
+
+    def _withdraw_attempts(self, request: RequestInFlight) -> None:
+        """Withdraws what must not begin once the request has its final answer or its client has left.
+
+        That is what waits for its connection, whatever the settings say of cancelling: not to begin is no
+        cancellation. It is also what a host has not got whole, and what another gateway has, which may not
+        have begun it.
+        """
+        for number, (_, _, handle) in request.attempts.items():
+            if not handle.begun or handle.withdrawable:
+                self._withdraw(request, number)
+
+    def _withdraw(self, request: RequestInFlight, number: int) -> None:
+        handle = request.attempts[number].handle
+        result = face.Result.CANCELLED if handle.begun else face.Result.MOOT
+        handle.give_up()
+        self.loop.soon(self._attempt_withdrawn, request.id, number, result)
+
+    def _attempt_withdrawn(self, key: str, number: int, result: face.Result) -> None:
+        request = self.in_flight.get(key)
+        if request is not None and number in request.attempts:
+            self._attempt_ended(key, number, AttemptResult(result, None))
+
+    # State
+
+    def forget(self, key: str) -> None:
+        """Drops a generator that has ended, and its request where that is complete."""
         super().forget(key)
         request = self.in_flight.get(key)
         if request is not None:
             self._release_if_complete(request)
 
-    def _guard(self, key, call, *args):
-        """An error in one task's decisions ends that task alone."""
+    def _release_if_complete(self, request: RequestInFlight) -> None:
+        """Releases a request that is answered, has no attempt in flight and no generator."""
+        if request.on_final is not None or request.attempts or request.id in self.generators:
+            return
+        if self.in_flight.pop(request.id, None) is None:
+            return
+        request.deadline_timer.cancel()
+        if not self.in_flight and self.on_idle is not None:
+            self.loop.soon(self.on_idle)
+
+    # Errors
+
+    def _guard(self, key: str, step: Callable[..., Any], *arguments: Any) -> None:
+        """Takes a step of one request's decisions; an error ends that request alone."""
         try:
-            call(*args)
-        except Exception as error:
-            self._decision_failed(key, error)
+            step(*arguments)
+        except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
+            self._decisions_failed(key, error)
 
-    def _decision_failed(self, key, error):
+    def _decisions_failed(self, key: str, error: Exception) -> None:
         self.loop.failed(error)
         self.record.fault(f"the decision module failed: {error!r}", key)
-        if key == "":
-            self.housekeeper = None  # begun anew with the next list
+        if key == HOUSEKEEPING:
+            self.housekeeper = None  # started again with the next host list
             return
         request = self.in_flight.get(key)
         if request is not None and request.on_final is not None:
-            self._finish(request, Ending.FAILED, None, 0, "scrapped: an error in the gateway")
+            self._finish(request, Ending.FAILED, GATEWAY_ERROR)
         self.forget(key)
-
-    def _withdraw_attempts(self, request):
-        """Nothing begins any more once a task has its final answer or its client has left. What waits for its
-        connection is taken back whatever the settings say of cancelling: not to begin is none. So is what a
-        host has not whole yet, and what another gateway has, which may not have begun it."""
-        for number, (_, _, hold) in request.attempts.items():
-            if not hold.begun or hold.withdrawable:
-                self._withdraw(request, number, face.Result.CANCELLED)
-
-    def _withdraw(self, request, number, result):
-        hold = request.attempts[number][2]
-        if not hold.begun:
-            result = face.Result.MOOT
-        hold.give_up()
-        self.loop.soon(self._attempt_withdrawn, request.id, number, result)
-
-    def _attempt_withdrawn(self, key, number, result):
-        if key in self.in_flight and number in self.in_flight[key].attempts:
-            self._attempt_ended(key, number, AttemptResult(result, None))
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -1,206 +1,243 @@
-"""The core of a running gateway: tasks from any front, wishes to the hosts, exactly one final answer for
-each.
+"""The core of a running gateway: requests from any front, actions to the hosts, one final answer for each.
 
-What a front gives is a `Call`; what it gets, once, is a `Final`. What the hosts give for each relay, once, is
-an `AttemptResult`. Neither side knows of the other.
+A front gives a `Call` and gets a `Final`, once; the hosts give an `AttemptResult` for each attempt, once.
+Neither side knows of the other.
 """
 
+from collections.abc import Callable, Sequence
 from functools import partial
 
 from gaproute import interface as face
 from gaproute.core.completion import MILLI, RequestCompletion
-from gaproute.core.in_flight import AttemptResult, RequestInFlight
-from gaproute.interface.call import Ending
-
-__all__ = ["Core", "AttemptResult"]
+from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
+from gaproute.core.ports import DecisionModule, Hosts
+from gaproute.interface.call import Call, Ending, Final
+from gaproute.loop import Loop
+from gaproute.loop.loop import Timer
+from gaproute.telemetry.record import Record
 
 
 class Core(RequestCompletion):
-    """`hosts` gives `relay(worker, call, effect, task, limit, until, done)`, `order(worker, function, copies,
-    done)` and `probe(worker, done)`; the first returns what has `begun`, where it has, whether it is
-    `withdrawable` once nobody waits for it, and `give_up()`."""
-
-    def __init__(self, loop, gateway, terms, hosts, record, name):
-        super().__init__(gateway)
-        self.loop, self.hosts, self.record, self.name = loop, hosts, record, name
-        self.tracks = terms.tracks
-        self.in_flight = {}  # task id: RequestInFlight
-        self.wait_timers = {}  # key: timer of its wait
-        self.submitted = 0
-        self.broadcast = lambda payload: None  # tells all other gateways, where there is a way
-        self.on_arrival = None  # call(now, function, track) of each task, where demand is told
-        self.on_idle = None  # call() when the last request in flight is accounted for
+    """One gateway's requests, its decisions and its hosts. Times are ns of the loop's clock."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        gateway: DecisionModule,
+        terms: face.Terms,
+        hosts: Hosts,
+        record: Record,
+        name: str,
+    ) -> None:
+        """`name` begins the ids of its requests: no two gateways have the same."""
+        super().__init__(gateway, loop, record)
+        self.hosts, self.name = hosts, name
+        self.request_classes = terms.tracks
+        self.wait_timers: dict[str, Timer] = {}  # by key
+        self.submitted = 0  # requests so far
+        self.send_to_peers: Callable[[bytes], None] | None = None  # where there is a way to other gateways
+        self.on_arrival: Callable[[int, str, int], None] | None = None  # (now, function, class) of each
 
     # From the fronts
 
-    def submit(self, call, track, tenant, lanes, load_time, taken, time_left, finish):
-        """A task; `finish(final)` once, never from within. `taken` is when its first byte came.
-
-        Returns the gateway's id for it.
+    def submit(
+        self,
+        call: Call,
+        request_class: int,
+        tenant: int,
+        lanes: int,
+        load_time: int | None,
+        first_byte_at: int,
+        time_left: int,
+        on_final: Callable[[Final], None],
+    ) -> str:
+        """Takes a request and returns the gateway's id for it.
+
+        `request_class` and `tenant` are indices in the terms; the client waits for `time_left` from the
+        first byte. `on_final` is called once, never from within.
         """
         self.submitted += 1
-        now = self.loop.now()
         key = f"{self.name}-{self.submitted:x}"
-        request = self.in_flight[key] = RequestInFlight(key, call, track, finish, taken)
-        left = max(0, taken + time_left - now)
-        request.deadline = now + left
-        request.deadline_timer = self.loop.at(request.deadline, self._deadline_passed, key)
-        self.record.taken(track)
+        now = self.loop.now()
+        left = max(0, first_byte_at + time_left - now)
+        deadline = now + left
+        deadline_timer = self.loop.at(deadline, self._deadline_passed, key)
+        request = RequestInFlight(key, call, request_class, on_final, first_byte_at, deadline, deadline_timer)
+        self.in_flight[key] = request
+        self._record_arrival(request, now, left)
+        try:
+            self.start_request(
+                now, face.Task(key, tenant, left, call.function, lanes, load_time, request_class)
+            )
+        except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
+            self._decisions_failed(key, error)
+        return key
+
+    def _record_arrival(self, request: RequestInFlight, now: int, left: int) -> None:
+        call = request.call
+        self.record.taken(request.request_class)
         if self.on_arrival is not None:
-            self.on_arrival(now, call.function, track)
+            self.on_arrival(now, call.function, request.request_class)
         if self.record.follows(call.mark):
             request.log_step = partial(self.record.step, call.mark)
             request.log_step(
-                "taken", task=key, track=call.track, function=call.function, left_ms=left // MILLI
+                "taken", task=request.id, track=call.track, function=call.function, left_ms=left // MILLI
             )
-        try:
-            super().start_request(now, face.Task(key, tenant, left, call.function, lanes, load_time, track))
-        except Exception as error:
-            self._decision_failed(key, error)
-        return key
 
-    def client_left(self, key):
-        """Nobody waits for the answer any more; nothing further is sent for the task."""
+    def client_left(self, key: str) -> None:
+        """Nobody waits for the answer any more; no attempt of the request begins from now on."""
         request = self.in_flight.get(key)
-        if request is not None and request.on_final is not None:
-            request.on_final = None
-            self.record.left(request.request_class)
-            if request.log_step is not None:
-                request.log_step("client left", relays=len(request.attempts))
-            self._guard(key, self.abandon, self.loop.now(), key)
-            self._withdraw_attempts(request)
-            self._release_if_complete(request)
-
-    def end_by(self, when):
-        """The process is about to be ended: what is in flight then has its final answer by then, as its class
-        allows."""
+        if request is None or request.on_final is None:
+            return
+        request.on_final = None
+        self.record.left(request.request_class)
+        if request.log_step is not None:
+            request.log_step("client left", relays=len(request.attempts))
+        self._guard(key, self.abandon, self.loop.now(), key)
+        self._withdraw_attempts(request)
+        self._release_if_complete(request)
+
+    def end_by(self, when: int) -> None:
+        """The process ends soon: each request gets its final answer by `when`, as its class allows."""
         self.gateway.end_by = when
         self.loop.at(when, self._end_all)
 
-    def _end_all(self):
+    def _end_all(self) -> None:
         for request in list(self.in_flight.values()):
             self._guard(request.id, self.wait_elapsed, request.id, self.loop.now())
             for number in request.attempts:
-                self._withdraw(request, number, face.Result.CANCELLED)
+                self._withdraw(request, number)
+
+    # Attempts
+
+    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+        """Sends a request to a host."""
+        self._send(self.hosts, key, number, attempt, now)
+
+    def _send(self, hosts: Hosts, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+        """Sends a request by way of these hosts."""
+        request = self.in_flight[key]
+        request.attempt_count += 1
+        worker, deadline = attempt.worker, request.deadline
+        if request.log_step is not None:
+            request.log_step("relay", relay=number, worker=worker)
+        handle = hosts.relay(
+            worker,
+            request.call,
+            self.request_classes[request.request_class].effect,
+            key,
+            deadline,
+            min(attempt.until, deadline),
+            partial(self._attempt_ended, key, number),
+        )
+        request.attempts[number] = AttemptInFlight(worker, now, handle)
 
-    # From the hosts
+    def cancel(self, key: str, number: int) -> None:
+        """Cancels an attempt, unless it has ended."""
+        request = self.in_flight.get(key)
+        if request is not None and number in request.attempts:
+            self._withdraw(request, number)
 
-    def _attempt_ended(self, key, number, heard):
+    def _attempt_ended(self, key: str, number: int, attempt_result: AttemptResult) -> None:
         request, now = self.in_flight[key], self.loop.now()
-        worker, sent, _ = request.attempts.pop(number)
-        if heard.result not in face.NEVER_RAN:
+        worker, sent_at, _ = request.attempts.pop(number)
+        result, took = attempt_result.result, now - sent_at
+        if result not in face.NEVER_RAN:
             request.may_have_run = True
-        if heard.result is face.Result.OK and request.on_final is not None:
-            request.found = heard.found
-            self._finish(request, Ending.DELIVERED, heard.answer, 0, "")
-        self.record.attemptscome(worker, request.request_class, heard.result, now - sent)
+        if result is face.Result.OK and request.on_final is not None:
+            request.found = attempt_result.found
+            self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
+        self.record.outcome(worker, request.request_class, result, took)
         if request.log_step is not None:
             request.log_step(
                 "outcome",
                 relay=number,
                 worker=worker,
-                result=heard.result.value,
-                took_ms=(now - sent) // MILLI,
-                found=heard.found.name,
-                alike=heard.alike,
+                result=result.value,
+                took_ms=took // MILLI,
+                found=attempt_result.found.name,
+                alike=attempt_result.alike,
             )
         outcome = face.Outcome(
             key,
             number,
             worker,
-            heard.result,
-            now - sent,
+            result,
+            took,
             request.on_final is None,
-            heard.found,
-            heard.alike,
-            heard.report,
+            attempt_result.found,
+            attempt_result.alike,
+            attempt_result.report,
         )
         self._guard(key, self.handle_outcome, now, outcome)
         self._release_if_complete(request)
 
-    def _order_answered(self, begun, worker, function, copies, result, stand):
-        now = self.loop.now()
-        if self.record.follows(function):
-            self.record.step(
-                function,
-                "order",
-                worker=worker,
-                copies=copies,
-                result=result.value,
-                stand=stand,
-                took_ms=(now - begun) // MILLI,
-            )
-        self.gateway.stood(now, worker, function, result, stand)
+    # Waits
 
-    def receive_broadcast(self, payload):
-        """From another gateway; what it cannot use is passed over."""
-        self.gateway.told(self.loop.now(), payload)
-
-    # From the host list
-
-    def update_hosts(self, rows, complete):
-        now = self.loop.now()
-        self.gateway.listed(now, rows, complete)
-        self.start_housekeeping(now)
-
-    # Wishes
-
-    def wait(self, key, until, now):
+    def wait(self, key: str, until: int, now: int) -> None:
+        """Resumes the key's generator at `until`, in place of any earlier wait."""
         self.cancel_wait(key)
         self.wait_timers[key] = self.loop.at(until, self._wait_elapsed, key)
 
-    def cancel_wait(self, key):
+    def cancel_wait(self, key: str) -> None:
+        """The key waits no more; it may not have waited."""
         timer = self.wait_timers.pop(key, None)
         if timer is not None:
             timer.cancel()
 
-    def _wait_elapsed(self, key):
+    def _wait_elapsed(self, key: str) -> None:
         self.wait_timers.pop(key, None)
         self._guard(key, self.wait_elapsed, key, self.loop.now())
 
-    def relay(self, key, number, worker, until, now):
-        self.begin(self.hosts, key, number, worker, until, now)
+    # Hosts
 
-    def begin(self, hosts, key, number, worker, until, now):
-        """A relay by way of these hosts."""
-        request = self.in_flight[key]
-        request.attempt_count += 1
-        if request.log_step is not None:
-            request.log_step("relay", relay=number, worker=worker)
-        hold = hosts.relay(
-            worker,
-            request.call,
-            self.tracks[request.request_class].effect,
-            key,
-            request.deadline,
-            min(until, request.deadline),
-            lambda heard: self._attempt_ended(key, number, heard),
-        )
-        request.attempts[number] = (worker, now, hold)
+    def update_hosts(self, rows: Sequence[face.ListedHost], complete: bool) -> None:
+        """Takes the host list (`complete`), or a change of it."""
+        now = self.loop.now()
+        self.gateway.listed(now, rows, complete)
+        self.start_housekeeping(now)
 
-    def cancel(self, key, number):
-        request = self.in_flight.get(key)
-        if request is not None and number in request.attempts:
-            self._withdraw(request, number, face.Result.CANCELLED)
+    def watch_hosts(self) -> None:
+        """Does nothing: the host list of a running gateway comes unasked."""
 
-    def order(self, worker, function, copies):
+    def order(self, worker: str, function: str, copies: int) -> None:
+        """Orders a host to load a function."""
         self.record.ordered(worker, function, copies)
+        ordered_at = self.loop.now()
         self.hosts.order(
-            worker, function, copies, partial(self._order_answered, self.loop.now(), worker, function, copies)
+            worker, function, copies, partial(self._order_answered, ordered_at, worker, function, copies)
         )
 
-    def probe(self, worker):
-        self.hosts.probe(
-            worker, lambda good, report: self.probe_answered(self.loop.now(), worker, good, report)
-        )
+    def _order_answered(
+        self, ordered_at: int, worker: str, function: str, copies: int, result: face.Result, standing: int
+    ) -> None:
+        now = self.loop.now()
+        if self.record.follows(function):
+            self.record.step(
+                function,
+                "order",
+                worker=worker,
+                copies=copies,
+                result=result.value,
+                stand=standing,
+                took_ms=(now - ordered_at) // MILLI,
+            )
+        self.gateway.stood(now, worker, function, result, standing)
 
-    def listen(self):
-        """The host list of a running gateway comes unasked."""
+    def probe(self, worker: str) -> None:
+        """Checks a host's health."""
+        self.hosts.probe(worker, partial(self._probe_answered, worker))
 
-    def decline(self, key, stay_away, why):
-        self._finish(
-            self.in_flight[key], Ending.REJECTED, None, stay_away, "declined: it is safe to try again", why
-        )
+    def _probe_answered(self, worker: str, good: bool, report: face.Report | None) -> None:
+        self.probe_answered(self.loop.now(), worker, good, report)
+
+    # Other gateways
 
-    def fail(self, key):
-        self._finish(self.in_flight[key], Ending.FAILED, None, 0, "scrapped: it may have run, or may yet")
+    def broadcast(self, payload: bytes) -> None:
+        """Sends a payload to all other gateways, where there is a way to them."""
+        if self.send_to_peers is not None:
+            self.send_to_peers(payload)
+
+    def receive_broadcast(self, payload: bytes, /) -> None:
+        """Takes what another gateway sent; what cannot be read is passed over."""
+        self.gateway.told(self.loop.now(), payload)
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -1,111 +1,161 @@
-"""Drives one gateway's generators: the one way to do it, for the bench's wire and the running gateway
-alike."""
+"""Drives the generators of one gateway's decisions, for a running gateway and for the bench's wire alike."""
+
+from abc import ABC, abstractmethod
 
 from gaproute import interface as face
+from gaproute.core.ports import Action, Actions, DecisionModule, Resumption
+
+HOUSEKEEPING = ""  # the key of the housekeeper's generator, beside the ids of requests
 
 
-class Driver:
-    """One gateway: its decision module and the tasks it holds. Whoever carries out wishes derives from it.
+class Driver(ABC):
+    """One gateway: its decision module and the generators of its requests.
 
-    A derived class gives `wait(key, until, now)`, which may overwrite an earlier wait of the key and calls
-    `wait_elapsed` when the time has come, and `relay(key, number, worker, until, now)`,
-    `cancel(key, number)`, `order(worker, function, copies)`, `probe(worker)`, `broadcast(payload)`,
-    `listen()`, `decline(key, stay_away, why)` and `fail(key)`. The housekeeper's key is "".
+    Whoever carries out the actions derives from it. A key is a request's id or `HOUSEKEEPING`; `now` is ns.
     """
 
-    def __init__(self, gateway):
+    def __init__(self, gateway: DecisionModule) -> None:
         self.gateway = gateway
-        self.generators = {}  # task id: its generator
-        self.attempt_counts = {}  # task id: relays started so far
-        self.housekeeper = None
+        self.generators: dict[str, Actions] = {}  # by the request's id
+        self.attempt_counts: dict[str, int] = {}  # attempts started, by the request's id
+        self.housekeeper: Actions | None = None
+
+    # Carried out by the derived class
+
+    @abstractmethod
+    def wait(self, key: str, until: int, now: int) -> None:
+        """Calls `wait_elapsed` at `until`, in place of any earlier wait of the key."""
+
+    @abstractmethod
+    def cancel_wait(self, key: str) -> None:
+        """The key waits no more; it may not have waited."""
+
+    @abstractmethod
+    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+        """Sends a request to a host as its attempt `number`."""
+
+    @abstractmethod
+    def cancel(self, key: str, number: int) -> None:
+        """Cancels an attempt, unless it has ended."""
+
+    @abstractmethod
+    def order(self, worker: str, function: str, copies: int) -> None:
+        """Orders a host to load a function."""
 
-    def start_housekeeping(self, now):
+    @abstractmethod
+    def probe(self, worker: str) -> None:
+        """Checks a host's health; `probe_answered` follows."""
+
+    @abstractmethod
+    def broadcast(self, payload: bytes) -> None:
+        """Sends a payload to all other gateways."""
+
+    @abstractmethod
+    def watch_hosts(self) -> None:
+        """Asks for the host list and its changes."""
+
+    @abstractmethod
+    def reject(self, key: str, rejection: face.Reject) -> None:
+        """Gives the final answer that nothing ran."""
+
+    @abstractmethod
+    def fail(self, key: str) -> None:
+        """Gives the final answer that promises nothing."""
+
+    # What happens
+
+    def start_housekeeping(self, now: int) -> None:
+        """Starts the housekeeper, once: with the first host list."""
         if self.housekeeper is None:
             self.housekeeper = self.gateway.housekeep(now)
-            self.advance("", self.housekeeper, None, now)
+            self.advance(HOUSEKEEPING, self.housekeeper, None, now)
 
-    def start_request(self, now, task):
+    def start_request(self, now: int, task: face.Task) -> None:
+        """Starts a request's generator."""
         generator = self.serve(now, task)
         self.generators[task.id] = generator
         self.attempt_counts[task.id] = 0
         self.advance(task.id, generator, None, now)
 
-    def serve(self, now, task):
-        """The task's generator."""
+    def serve(self, now: int, task: face.Task) -> Actions:
+        """A request's generator."""
         return self.gateway.serve(now, task)
 
-    def resume(self, key, now, outcome):
-        generator = self.housekeeper if key == "" else self.generators.get(key)
-        if generator is not None:
-            self.cancel_wait(key)
-            self.advance(key, generator, (now, outcome), now)
-
-    def wait_elapsed(self, key, now):
+    def wait_elapsed(self, key: str, now: int) -> None:
+        """The time came before any outcome."""
         self.resume(key, now, None)
 
-    def handle_outcome(self, now, outcome):
+    def handle_outcome(self, now: int, outcome: face.Outcome) -> None:
+        """An attempt has ended: the decisions account for it, then its request goes on."""
         self.gateway.heard(now, outcome)
         self.resume(outcome.task, now, outcome)
 
-    def send(self, key, number, wish, now):
-        """Carry out a relay; who knows several kinds of them tells them apart here."""
-        self.relay(key, number, wish.worker, wish.until, now)
-
-    def refuse(self, key, wish):
-        """Carry out a decline; who knows several kinds of them tells them apart here."""
-        self.decline(key, wish.stay_away, wish.why)
-
-    def abandon(self, now, key):
-        """The client left: the generator is told, and nothing more is owed."""
+    def abandon(self, now: int, key: str) -> None:
+        """The client has left: the request's generator is told, and no final answer is owed."""
         if key in self.generators:
-            self.resume(
-                key,
-                now,
-                face.Outcome(key, -1, "", face.Result.DEPARTED, 0, True, face.Found.UNTOLD, None, None),
-            )
+            self.resume(key, now, _departed(key))
             self.forget(key)
 
-    def probe_answered(self, now, worker, good, report):
+    def probe_answered(self, now: int, worker: str, good: bool, report: face.Report | None) -> None:
+        """A health check has ended; the other gateways are sent what the decisions make of it."""
         payload = self.gateway.probed(now, worker, good, report)
         if payload is not None:
             self.broadcast(payload)
 
-    def cancel_wait(self, key):
-        """The key's wait is over before its time."""
+    # Generators
 
-    def forget(self, key):
-        self.generators.pop(key, None)
-        self.attempt_counts.pop(key, None)
-        self.cancel_wait(key)
+    def resume(self, key: str, now: int, outcome: face.Outcome | None) -> None:
+        """Ends a generator's wait, by an outcome or by its time; nothing where there is no generator."""
+        generator = self.housekeeper if key == HOUSEKEEPING else self.generators.get(key)
+        if generator is not None:
+            self.cancel_wait(key)
+            self.advance(key, generator, (now, outcome), now)
 
-    def advance(self, key, generator, value, now):
-        """Resume a generator and carry out its wishes until it waits or ends."""
+    def advance(self, key: str, generator: Actions, value: Resumption, now: int) -> None:
+        """Resumes a generator and carries out its actions until it waits or ends."""
         while True:
             try:
-                wish = generator.send(value)
+                action = generator.send(value)
             except StopIteration:
                 self.forget(key)
                 return
             value = None
-            match wish:
+            match action:
                 case face.Wait(until):
                     self.wait(key, until, now)
                     return
                 case face.Attempt():
                     value = self.attempt_counts[key]
-                    self.attempt_counts[key] += 1
-                    self.send(key, value, wish, now)
-                case face.Cancel(relay):
-                    self.cancel(key, relay)
-                case face.Order(worker, function, copies):
-                    self.order(worker, function, copies)
-                case face.Probe(worker):
-                    self.probe(worker)
-                case face.Reject():
-                    self.refuse(key, wish)
-                case face.Fail():
-                    self.fail(key)
-                case face.Listen():
-                    self.listen()
+                    self.attempt_counts[key] = value + 1
+                    self.start_attempt(key, value, action, now)
                 case _:
-                    raise TypeError(f"unknown wish {wish!r}")
+                    self._carry_out(key, action)
+
+    def _carry_out(self, key: str, action: Action) -> None:
+        """Carries out an action that the generator does not wait for."""
+        match action:
+            case face.Cancel(number):
+                self.cancel(key, number)
+            case face.Order(worker, function, copies):
+                self.order(worker, function, copies)
+            case face.Probe(worker):
+                self.probe(worker)
+            case face.Reject():
+                self.reject(key, action)
+            case face.Fail():
+                self.fail(key)
+            case face.Listen():
+                self.watch_hosts()
+            case _:
+                raise TypeError(f"unknown action {action!r}")
+
+    def forget(self, key: str) -> None:
+        """Drops a generator that has ended, with its wait."""
+        self.generators.pop(key, None)
+        self.attempt_counts.pop(key, None)
+        self.cancel_wait(key)
+
+
+def _departed(request_id: str) -> face.Outcome:
+    """The outcome that says that the client has left."""
+    return face.Outcome(request_id, -1, "", face.Result.DEPARTED, 0, True, face.Found.UNTOLD, None, None)
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -1,13 +1,15 @@
-"""A task in hand, and what the hosts give for each of its relays."""
+"""A request in flight, its attempts, and what the hosts give for each of them."""
 
-from typing import NamedTuple
+from collections.abc import Callable
+from typing import Any, NamedTuple, Protocol
 
 from gaproute import interface as face
-from gaproute.interface.call import Answer
+from gaproute.interface.call import Answer, Call, Final
+from gaproute.loop.loop import Timer
 
 
 class AttemptResult(NamedTuple):
-    """What came of one relay, in the module's terms."""
+    """What an attempt came to, in the terms of the decision module."""
 
     result: face.Result
     answer: Answer | None  # with Result.OK
@@ -16,32 +18,68 @@
     report: face.Report | None = None
 
 
+class AttemptHandle(Protocol):
+    """The hosts' handle of an attempt that has not ended."""
+
+    @property
+    def begun(self) -> bool:
+        """Whether its host may have got any of it."""
+
+    @property
+    def withdrawable(self) -> bool:
+        """Whether it may be withdrawn though it has begun, as it cannot run yet; read only once it has."""
+
+    def give_up(self) -> None:
+        """Ends it: its result is not reported any more."""
+
+
+class AttemptInFlight(NamedTuple):
+    """An attempt that has not ended."""
+
+    host: str
+    sent_at: int
+    handle: AttemptHandle
+
+
 class RequestInFlight:
-    """A task in hand: until its final answer is given and the last of its relays is accounted for."""
+    """A request until it has its final answer and its last attempt has ended; times are ns of the loop."""
 
     __slots__ = (
-        "id",
-        "call",
-        "request_class",
-        "on_final",
-        "first_byte_at",
-        "attempts",
         "attempt_count",
-        "deadline_timer",
+        "attempts",
+        "call",
+        "cell_unknown",
         "deadline",
+        "deadline_timer",
+        "first_byte_at",
+        "found",
+        "id",
         "log_step",
         "may_have_run",
-        "cell_unknown",
-        "found",
+        "on_final",
+        "request_class",
     )
 
-    def __init__(self, name, call, request_class, on_final, first_byte_at):
-        self.id, self.call, self.request_class = name, call, request_class
-        self.on_final, self.first_byte_at = on_final, first_byte_at
-        self.attempts = {}  # attempt: (worker, when sent, the hosts' hold of it)
-        self.attempt_count = 0
-        self.may_have_run = False  # an attempt that ended may have run
-        self.cell_unknown = False  # it was rejected as this gateway does not know its cell
-        self.found = face.Found.UNTOLD  # what the attempt that delivered it found
-        self.deadline_timer = None
-        self.log_step = None  # call(what, told) where the request is followed in the log
+    def __init__(
+        self,
+        request_id: str,
+        call: Call,
+        request_class: int,
+        on_final: Callable[[Final], None],
+        first_byte_at: int,
+        deadline: int,
+        deadline_timer: Timer,
+    ) -> None:
+        self.id = request_id
+        self.call = call
+        self.request_class = request_class  # its index in the terms
+        self.on_final: Callable[[Final], None] | None = on_final  # None: answered, or its client has left
+        self.first_byte_at = first_byte_at
+        self.deadline = deadline
+        self.deadline_timer = deadline_timer
+        self.attempts: dict[int, AttemptInFlight] = {}  # by number
+        self.attempt_count = 0  # started so far
+        self.may_have_run = False  # by an attempt that has ended
+        self.cell_unknown = False  # rejected because this gateway does not know its cell
+        self.found = face.Found.UNTOLD  # by the attempt that delivered the answer
+        self.log_step: Callable[..., Any] | None = None  # where its steps are logged
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -30,7 +30,7 @@
 # Timers of a gateway that nobody uses, each at most once.
 STANDING_TIMERS = frozenset(
     (
-        "Core._woken",
+        "Core._wait_elapsed",
         "Follower.ask",
         "Follower.quiet",
         "Front._sweep",
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -118,7 +118,7 @@
             return
         if self.peers_backoff.begun:
             self.log.info("peers", listen=self.configuration.peer_listen)
-        self.core.broadcast = lambda words: self.peers.send(words, self.configuration.peers_all)
+        self.core.send_to_peers = lambda payload: self.peers.send(payload, self.configuration.peers_all)
 
     def told(self, event):
         absent_at = self.follower.current_at if self.follower is not None else None
