--- a/benchmarks/fleet/cold_hosts.py
+++ b/benchmarks/fleet/cold_hosts.py
@@ -122,13 +122,13 @@
         self.world.again(function, self.tries[key])
 
     def start_attempt(self, key, number, attempt, now):
-        worker = attempt.worker
+        worker = attempt.host
         world, host = self.world, self.world.hosts[worker]
         work = self.work(self.asked[key].function)
         host.reached(now, work, self.knows(worker))
         if host.lost or host.full(now):
             found = face.Result.CONNECT_FAILED if host.lost else face.Result.FULL
-            world.clock.at(now + WAY, self.back, key, number, worker, found, WAY, face.Found.UNTOLD)
+            world.clock.at(now + WAY, self.back, key, number, worker, found, WAY, face.Found.UNKNOWN)
             return
         took, warm = host.take(now, self.asked[key].function, work)
         found = face.Found.WARM if warm else face.Found.BEGAN_LOAD
@@ -141,7 +141,7 @@
             self.world.clock.at(through, self.back, key, number, worker, result, took + held, found, life)
             return
         if life is not None and life != host.life:
-            result, found = face.Result.RESET, face.Found.UNTOLD
+            result, found = face.Result.RESET, face.Found.UNKNOWN
         elif life is not None:
             host.busy -= 1
         if self.gone:
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -38,7 +38,7 @@
         self.asked[key] = Asked(function, world.clock.now)
         began = process_time_ns()
         self.start_request(
-            world.clock.now, face.Task(key, 0, TRACKS[track].hard_limit, function, LANES, None, track)
+            world.clock.now, face.Request(key, 0, TRACKS[track].hard_limit, function, LANES, None, track)
         )
         world.cpu += process_time_ns() - began
 
@@ -62,7 +62,7 @@
         self.links[worker] = now
 
     def start_attempt(self, key, number, attempt, now):
-        worker = attempt.worker
+        worker = attempt.host
         self.connect(worker)
         world, asked = self.world, self.asked[key]
         host = world.hosts[worker]
@@ -91,7 +91,15 @@
             self.handle_outcome(
                 self.world.clock.now,
                 face.Outcome(
-                    key, number, worker, face.Result.CONNECT_FAILED, WAY, False, face.Found.UNTOLD, None, None
+                    key,
+                    number,
+                    worker,
+                    face.Result.CONNECT_FAILED,
+                    WAY,
+                    False,
+                    face.Found.UNKNOWN,
+                    None,
+                    None,
                 ),
             )
 
@@ -101,7 +109,7 @@
             self.handle_outcome(
                 world.clock.now,
                 face.Outcome(
-                    key, number, worker, face.Result.RESET, took, False, face.Found.UNTOLD, None, None
+                    key, number, worker, face.Result.RESET, took, False, face.Found.UNKNOWN, None, None
                 ),
             )
             return
--- a/gaproute/benchlink/drive.py
+++ b/gaproute/benchlink/drive.py
@@ -10,7 +10,7 @@
 
     def __init__(self, make, seed, terms, now):
         super().__init__(make(seed, terms, now))
-        self.counts = terms.counts_alike
+        self.counts = terms.same_function_counted
         self.waits = {}  # generator's key: number of its current wait
         self.alarms = 0
         self.lines = []
@@ -29,7 +29,7 @@
         self.lines.append(f"WAKE_AT {wire.millis(max(0, until - now))} {key}|{self.alarms}")
 
     def start_attempt(self, key, number, attempt, now):
-        self.lines.append(f"ATTEMPT {key} {attempt.worker} 0")
+        self.lines.append(f"ATTEMPT {key} {attempt.host} 0")
 
     def cancel(self, key, number):
         self.lines.append(f"RECALL {key} {number}")
@@ -47,7 +47,7 @@
         self.lines.append("LISTEN 1")
 
     def reject(self, key, rejection):
-        self.lines.append(f"BOUNCE {key} {wire.millis(rejection.stay_away)}")
+        self.lines.append(f"BOUNCE {key} {wire.millis(rejection.retry_after)}")
 
     def fail(self, key):
         self.lines.append(f"LOSE {key}")
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -39,12 +39,12 @@
         self.forwarded_in = 0  # requests that other gateways forwarded here
         self.forwarded_out = 0  # attempts at other gateways
 
-    def serve(self, now: int, task: face.Task) -> Actions:
+    def serve(self, now: int, request: face.Request) -> Actions:
         """A request's generator; it is told whether another gateway forwarded the request."""
-        forwarded = cast("Forwarded | None", self.in_flight[task.id].call.forwarded)
+        forwarded = cast("Forwarded | None", self.in_flight[request.id].call.forwarded)
         if forwarded is not None:
             self.forwarded_in += 1
-        generator: Actions = self.gateway.serve(now, task, forwarded)
+        generator: Actions = self.gateway.serve(now, request, forwarded)
         return generator
 
     def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -39,7 +39,9 @@
     def reject(self, key: str, rejection: face.Reject) -> None:
         """Gives the final answer that nothing ran and a retry is harmless."""
         request = self.in_flight[key]
-        self._finish(request, Ending.REJECTED, REJECTED, stay_away=rejection.stay_away, cause=rejection.why)
+        self._finish(
+            request, Ending.REJECTED, REJECTED, retry_after=rejection.retry_after, cause=rejection.reason
+        )
 
     def fail(self, key: str) -> None:
         """Gives the final answer that promises nothing."""
@@ -52,7 +54,7 @@
         reason: str,
         *,
         answer: Answer | None = None,
-        stay_away: int = 0,
+        retry_after: int = 0,
         cause: str = "",
     ) -> None:
         """Gives the one final answer; a second one is a fault of the decision module and reaches nobody."""
@@ -67,7 +69,7 @@
         final = Final(
             ending,
             answer,
-            stay_away,
+            retry_after,
             request.id,
             request.attempt_count,
             reason,
@@ -95,7 +97,7 @@
         """
         request = self.in_flight[key]
         for number, attempt in list(request.attempts.items()):
-            result = face.Result.TIMEOUT if attempt.handle.begun else face.Result.MOOT
+            result = face.Result.TIMEOUT if attempt.handle.begun else face.Result.NOT_SENT
             attempt.handle.give_up()
             self._attempt_withdrawn(key, number, result)
         if request.on_final is not None:
@@ -119,7 +121,7 @@
 
     def _withdraw(self, request: RequestInFlight, number: int) -> None:
         handle = request.attempts[number].handle
-        result = face.Result.CANCELLED if handle.begun else face.Result.MOOT
+        result = face.Result.CANCELLED if handle.begun else face.Result.NOT_SENT
         handle.give_up()
         self.loop.soon(self._attempt_withdrawn, request.id, number, result)
 
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -32,7 +32,7 @@
         """`name` begins the ids of its requests: no two gateways have the same."""
         super().__init__(gateway, loop, record)
         self.hosts, self.name = hosts, name
-        self.request_classes = terms.tracks
+        self.request_classes = terms.request_classes
         self.wait_timers: dict[str, Timer] = {}  # by key
         self.submitted = 0  # requests so far
         self.send_to_peers: Callable[[bytes], None] | None = None  # where there is a way to other gateways
@@ -67,7 +67,7 @@
         self._record_arrival(request, now, left)
         try:
             self.start_request(
-                now, face.Task(key, tenant, left, call.function, lanes, load_time, request_class)
+                now, face.Request(key, tenant, left, call.function, lanes, load_time, request_class)
             )
         except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
             self._decisions_failed(key, error)
@@ -78,10 +78,14 @@
         self.record.taken(request.request_class)
         if self.on_arrival is not None:
             self.on_arrival(now, call.function, request.request_class)
-        if self.record.follows(call.mark):
-            request.log_step = partial(self.record.step, call.mark)
+        if self.record.follows(call.request_id):
+            request.log_step = partial(self.record.step, call.request_id)
             request.log_step(
-                "taken", task=request.id, track=call.track, function=call.function, left_ms=left // MILLI
+                "taken",
+                task=request.id,
+                track=call.request_class,
+                function=call.function,
+                left_ms=left // MILLI,
             )
 
     def client_left(self, key: str) -> None:
@@ -118,19 +122,19 @@
         """Sends a request by way of these hosts."""
         request = self.in_flight[key]
         request.attempt_count += 1
-        worker, deadline = attempt.worker, request.deadline
+        host, deadline = attempt.host, request.deadline
         if request.log_step is not None:
-            request.log_step("relay", relay=number, worker=worker)
+            request.log_step("relay", relay=number, worker=host)
         handle = hosts.relay(
-            worker,
+            host,
             request.call,
-            self.request_classes[request.request_class].effect,
+            self.request_classes[request.request_class].idempotency,
             key,
             deadline,
             min(attempt.until, deadline),
             partial(self._attempt_ended, key, number),
         )
-        request.attempts[number] = AttemptInFlight(worker, now, handle)
+        request.attempts[number] = AttemptInFlight(host, now, handle)
 
     def cancel(self, key: str, number: int) -> None:
         """Cancels an attempt, unless it has ended."""
@@ -140,33 +144,33 @@
 
     def _attempt_ended(self, key: str, number: int, attempt_result: AttemptResult) -> None:
         request, now = self.in_flight[key], self.loop.now()
-        worker, sent_at, _ = request.attempts.pop(number)
+        host, sent_at, _ = request.attempts.pop(number)
         result, took = attempt_result.result, now - sent_at
         if result not in face.NEVER_RAN:
             request.may_have_run = True
         if result is face.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
             self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
-        self.record.outcome(worker, request.request_class, result, took)
+        self.record.outcome(host, request.request_class, result, took)
         if request.log_step is not None:
             request.log_step(
                 "outcome",
                 relay=number,
-                worker=worker,
+                worker=host,
                 result=result.value,
                 took_ms=took // MILLI,
                 found=attempt_result.found.name,
-                alike=attempt_result.alike,
+                alike=attempt_result.same_function_requests,
             )
         outcome = face.Outcome(
             key,
             number,
-            worker,
+            host,
             result,
             took,
             request.on_final is None,
             attempt_result.found,
-            attempt_result.alike,
+            attempt_result.same_function_requests,
             attempt_result.report,
         )
         self._guard(key, self.handle_outcome, now, outcome)
@@ -200,36 +204,36 @@
     def watch_hosts(self) -> None:
         """Does nothing: the host list of a running gateway comes unasked."""
 
-    def order(self, worker: str, function: str, copies: int) -> None:
+    def order(self, host: str, function: str, copies: int) -> None:
         """Orders a host to load a function."""
-        self.record.ordered(worker, function, copies)
+        self.record.ordered(host, function, copies)
         ordered_at = self.loop.now()
         self.hosts.order(
-            worker, function, copies, partial(self._order_answered, ordered_at, worker, function, copies)
+            host, function, copies, partial(self._order_answered, ordered_at, host, function, copies)
         )
 
     def _order_answered(
-        self, ordered_at: int, worker: str, function: str, copies: int, result: face.Result, standing: int
+        self, ordered_at: int, host: str, function: str, copies: int, result: face.Result, standing: int
     ) -> None:
         now = self.loop.now()
         if self.record.follows(function):
             self.record.step(
                 function,
                 "order",
-                worker=worker,
+                worker=host,
                 copies=copies,
                 result=result.value,
                 stand=standing,
                 took_ms=(now - ordered_at) // MILLI,
             )
-        self.gateway.stood(now, worker, function, result, standing)
+        self.gateway.stood(now, host, function, result, standing)
 
-    def probe(self, worker: str) -> None:
+    def probe(self, host: str) -> None:
         """Checks a host's health."""
-        self.hosts.probe(worker, partial(self._probe_answered, worker))
+        self.hosts.probe(host, partial(self._probe_answered, host))
 
-    def _probe_answered(self, worker: str, good: bool, report: face.Report | None) -> None:
-        self.probe_answered(self.loop.now(), worker, good, report)
+    def _probe_answered(self, host: str, good: bool, report: face.Report | None) -> None:
+        self.probe_answered(self.loop.now(), host, good, report)
 
     # Other gateways
 
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -39,11 +39,11 @@
         """Cancels an attempt, unless it has ended."""
 
     @abstractmethod
-    def order(self, worker: str, function: str, copies: int) -> None:
+    def order(self, host: str, function: str, copies: int) -> None:
         """Orders a host to load a function."""
 
     @abstractmethod
-    def probe(self, worker: str) -> None:
+    def probe(self, host: str) -> None:
         """Checks a host's health; `probe_answered` follows."""
 
     @abstractmethod
@@ -70,16 +70,16 @@
             self.housekeeper = self.gateway.housekeep(now)
             self.advance(HOUSEKEEPING, self.housekeeper, None, now)
 
-    def start_request(self, now: int, task: face.Task) -> None:
+    def start_request(self, now: int, request: face.Request) -> None:
         """Starts a request's generator."""
-        generator = self.serve(now, task)
-        self.generators[task.id] = generator
-        self.attempt_counts[task.id] = 0
-        self.advance(task.id, generator, None, now)
+        generator = self.serve(now, request)
+        self.generators[request.id] = generator
+        self.attempt_counts[request.id] = 0
+        self.advance(request.id, generator, None, now)
 
-    def serve(self, now: int, task: face.Task) -> Actions:
+    def serve(self, now: int, request: face.Request) -> Actions:
         """A request's generator."""
-        return self.gateway.serve(now, task)
+        return self.gateway.serve(now, request)
 
     def wait_elapsed(self, key: str, now: int) -> None:
         """The time came before any outcome."""
@@ -88,7 +88,7 @@
     def handle_outcome(self, now: int, outcome: face.Outcome) -> None:
         """An attempt has ended: the decisions account for it, then its request goes on."""
         self.gateway.heard(now, outcome)
-        self.resume(outcome.task, now, outcome)
+        self.resume(outcome.request, now, outcome)
 
     def abandon(self, now: int, key: str) -> None:
         """The client has left: the request's generator is told, and no final answer is owed."""
@@ -96,9 +96,9 @@
             self.resume(key, now, _departed(key))
             self.forget(key)
 
-    def probe_answered(self, now: int, worker: str, good: bool, report: face.Report | None) -> None:
+    def probe_answered(self, now: int, host: str, good: bool, report: face.Report | None) -> None:
         """A health check has ended; the other gateways are sent what the decisions make of it."""
-        payload = self.gateway.probed(now, worker, good, report)
+        payload = self.gateway.probed(now, host, good, report)
         if payload is not None:
             self.broadcast(payload)
 
@@ -136,15 +136,15 @@
         match action:
             case face.Cancel(number):
                 self.cancel(key, number)
-            case face.Order(worker, function, copies):
-                self.order(worker, function, copies)
-            case face.Probe(worker):
-                self.probe(worker)
+            case face.LoadOrder(host, function, copies):
+                self.order(host, function, copies)
+            case face.Probe(host):
+                self.probe(host)
             case face.Reject():
                 self.reject(key, action)
             case face.Fail():
                 self.fail(key)
-            case face.Listen():
+            case face.PollHostList():
                 self.watch_hosts()
             case _:
                 raise TypeError(f"unknown action {action!r}")
@@ -158,4 +158,4 @@
 
 def _departed(request_id: str) -> face.Outcome:
     """The outcome that says that the client has left."""
-    return face.Outcome(request_id, -1, "", face.Result.DEPARTED, 0, True, face.Found.UNTOLD, None, None)
+    return face.Outcome(request_id, -1, "", face.Result.CLIENT_LEFT, 0, True, face.Found.UNKNOWN, None, None)
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -13,8 +13,8 @@
 
     result: face.Result
     answer: Answer | None  # with Result.OK
-    found: face.Found = face.Found.UNTOLD
-    alike: int | None = None
+    found: face.Found = face.Found.UNKNOWN
+    same_function_requests: int | None = None
     report: face.Report | None = None
 
 
@@ -81,5 +81,5 @@
         self.attempt_count = 0  # started so far
         self.may_have_run = False  # by an attempt that has ended
         self.cell_unknown = False  # rejected because this gateway does not know its cell
-        self.found = face.Found.UNTOLD  # by the attempt that delivered the answer
+        self.found = face.Found.UNKNOWN  # by the attempt that delivered the answer
         self.log_step: Callable[..., Any] | None = None  # where its steps are logged
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -8,7 +8,14 @@
 from gaproute.interface.call import Call
 
 Action = (
-    face.Attempt | face.Wait | face.Cancel | face.Order | face.Probe | face.Listen | face.Reject | face.Fail
+    face.Attempt
+    | face.Wait
+    | face.Cancel
+    | face.LoadOrder
+    | face.Probe
+    | face.PollHostList
+    | face.Reject
+    | face.Fail
 )
 # What a generator is resumed with: nothing, an attempt's number, or the time and what ended its wait.
 Resumption = tuple[int, face.Outcome | None] | int | None
@@ -20,7 +27,7 @@
 
     end_by: int | None
 
-    def serve(self, now: int, task: face.Task, /) -> Actions:
+    def serve(self, now: int, request: face.Request, /) -> Actions:
         """The generator of one request, up to its final answer."""
 
     def housekeep(self, now: int, /) -> Actions:
@@ -29,7 +36,7 @@
     def heard(self, now: int, outcome: face.Outcome, /) -> None:
         """Accounts for the outcome of an attempt."""
 
-    def probed(self, now: int, worker: str, good: bool, report: face.Report | None, /) -> bytes | None:
+    def probed(self, now: int, host: str, good: bool, report: face.Report | None, /) -> bytes | None:
         """Accounts for a health check. Returns what is to be sent to all other gateways, or None."""
 
     def told(self, now: int, payload: bytes, /) -> None:
@@ -38,7 +45,7 @@
     def listed(self, now: int, rows: Sequence[face.ListedHost], complete: bool, /) -> None:
         """Takes the host list (`complete`) or a change of it."""
 
-    def stood(self, now: int, worker: str, function: str, result: face.Result, copies: int, /) -> None:
+    def stood(self, now: int, host: str, function: str, result: face.Result, copies: int, /) -> None:
         """Accounts for the answer to a load order: so many copies stand."""
 
 
@@ -47,10 +54,10 @@
 
     def relay(
         self,
-        worker: str,
+        host: str,
         call: Call,
-        effect: face.Idempotency,
-        task: str,
+        idempotency: face.Idempotency,
+        request: str,
         limit: int,
         until: int,
         done: Callable[[AttemptResult], None],
@@ -59,9 +66,9 @@
         """Sends a request to one host, before `until` or never; its client waits until `limit`."""
 
     def order(
-        self, worker: str, function: str, copies: int, done: Callable[[face.Result, int], None], /
+        self, host: str, function: str, copies: int, done: Callable[[face.Result, int], None], /
     ) -> None:
         """Orders a host to load a function; `done` is given the copies that stand."""
 
-    def probe(self, worker: str, done: Callable[[bool, face.Report | None], None], /) -> None:
+    def probe(self, host: str, done: Callable[[bool, face.Report | None], None], /) -> None:
         """Checks a host's health; `done` is not called where the check could not be sent."""
