--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -38,7 +38,7 @@
         self.gate = Appliance(configuration, self.loop, 1, logger(self.lines))
         self.gate.start()
         for number in range(hosts):
-            self.gate.record.outcome(f"host-{number:04}", 0, Result.OK, 100 * MILLI)
+            self.gate.record.attempt_ended(f"host-{number:04}", 0, Result.OK, 100 * MILLI)
         gateway, now = self.gate.core.gateway, self.loop.now()
         for number in range(functions):
             gateway.hint(f"host-{number % hosts:04}", f"model-{number:04}", 4, now)
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -10,7 +10,7 @@
 
 
 def status(gate):
-    counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
+    counts, others, lot, hosts = gate.record.snapshot(), gate.others, gate.lot, gate.hosts
     giver, writer, learner = others.giver, others.observation_writer, others.learner
     return {
         "name": gate.configuration.name,
@@ -59,7 +59,7 @@
 
 
 def host_table(gate):
-    relays = gate.record.table().get("relay", {})
+    relays = gate.record.snapshot().get("relay", {})
     told = []
     for name, row in sorted(gate.rows.items()):
         host = gate.hosts.hosts.get(name)
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -75,11 +75,11 @@
 
     def _record_arrival(self, request: RequestInFlight, now: int, left: int) -> None:
         call = request.call
-        self.record.taken(request.request_class)
+        self.record.request_received(request.request_class)
         if self.on_arrival is not None:
             self.on_arrival(now, call.function, request.request_class)
-        if self.record.follows(call.request_id):
-            request.log_step = partial(self.record.step, call.request_id)
+        if self.record.is_traced(call.request_id):
+            request.log_step = partial(self.record.log_step, call.request_id)
             request.log_step(
                 "taken",
                 task=request.id,
@@ -94,7 +94,7 @@
         if request is None or request.on_final is None:
             return
         request.on_final = None
-        self.record.left(request.request_class)
+        self.record.client_left(request.request_class)
         if request.log_step is not None:
             request.log_step("client left", relays=len(request.attempts))
         self._guard(key, self.abandon, self.loop.now(), key)
@@ -151,7 +151,7 @@
         if result is face.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
             self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
-        self.record.outcome(host, request.request_class, result, took)
+        self.record.attempt_ended(host, request.request_class, result, took)
         if request.log_step is not None:
             request.log_step(
                 "outcome",
@@ -206,7 +206,7 @@
 
     def order(self, host: str, function: str, copies: int) -> None:
         """Orders a host to load a function."""
-        self.record.ordered(host, function, copies)
+        self.record.load_ordered(host, function, copies)
         ordered_at = self.loop.now()
         self.hosts.order(
             host, function, copies, partial(self._order_answered, ordered_at, host, function, copies)
@@ -216,8 +216,8 @@
         self, ordered_at: int, host: str, function: str, copies: int, result: face.Result, standing: int
     ) -> None:
         now = self.loop.now()
-        if self.record.follows(function):
-            self.record.step(
+        if self.record.is_traced(function):
+            self.record.log_step(
                 function,
                 "order",
                 worker=host,
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -13,14 +13,14 @@
 from gaproute.loop.starting import Patience
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration, read_environment
 from gaproute.platform.process import Process
-from gaproute.telemetry.record import FOLLOWED
+from gaproute.telemetry.record import TRACE_ONE_IN
 
 
 def followed():
     """GAPROUTE_FOLLOW=N: each Nth task has its steps in the log, 1 all, 0 none. A word that is no number is
     as if not set: a log is no reason not to start."""
     told = os.environ.get("GAPROUTE_FOLLOW", "")
-    return int(told) if told.isdigit() else FOLLOWED
+    return int(told) if told.isdigit() else TRACE_ONE_IN
 
 
 def main():
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -26,7 +26,7 @@
     read_configuration,
 )
 from gaproute.platform.log import Log
-from gaproute.telemetry.record import FOLLOWED, Record
+from gaproute.telemetry.record import TRACE_ONE_IN, Record
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 STATUS = 5 * SECOND  # between lines of status: a few of them in the shortest day
@@ -40,7 +40,7 @@
 
 
 class Process:
-    def __init__(self, path, loaded, name=None, listen=None, loop=None, log=None, followed=FOLLOWED):
+    def __init__(self, path, loaded, name=None, listen=None, loop=None, log=None, followed=TRACE_ONE_IN):
         self.path = path
         self.configuration, self.terms, self.site = loaded
         self.name, self.listen = name or self.configuration.name, listen or self.configuration.listen
@@ -54,7 +54,7 @@
         sockets = min(self.configuration.limits.sockets, descriptors())
         clients, to_hosts = share_out(sockets)
         self.hosts = Hosts(loop, Pooling(), self.site, to_hosts)
-        self.hosts.forgotten = self.record.forget
+        self.hosts.forgotten = self.record.forget_host
         self.core = Core(
             loop, Gateway(seed, self.terms, loop.now()), self.terms, self.hosts, self.record, self.name
         )
@@ -236,7 +236,7 @@
         self.log.info(
             "status",
             held=len(self.core.in_flight),
-            counts=self.record.table(),
+            counts=self.record.snapshot(),
             links=held,
             believed=believed,
             clients=Lot.of(self.loop).held,
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -135,7 +135,7 @@
         self.hosts = Hosts(self.loop, Pooling(), site, 64)
         terms = TERMS._replace(request_classes=TRACKS, cancel_allowed=cancel, hedging_allowed=twins)
         self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
-        self.hosts.forgotten = self.record.forget
+        self.hosts.forgotten = self.record.forget_host
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
         self.rows = {name: row(name, started=0) for name in HOSTS}
         self.lives = {name: SimpleNamespace(world=self, name=name) for name in HOSTS}
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -423,11 +423,11 @@
 
 def test_of_many_tasks_few_are_followed_and_the_same_ones_everywhere():
     marks = [f"{number:016x}" for number in range(6400)]
-    followed = [mark for mark in marks if Record(None, ()).follows(mark)]
-    again = [mark for mark in marks if Record(None, ()).follows(mark)]
+    followed = [mark for mark in marks if Record(None, ()).is_traced(mark)]
+    again = [mark for mark in marks if Record(None, ()).is_traced(mark)]
     assert 100 < len(followed) < 400
     assert followed == again
-    assert not any(Record(None, (), 0).follows(mark) for mark in marks)
+    assert not any(Record(None, (), 0).is_traced(mark) for mark in marks)
 
 
 def test_1024_hosts_and_peers_start_and_a_list_of_that_size_is_taken_in_time(gate):
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -13,7 +13,7 @@
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 from gaproute.standins.platform import ChangeLog, Client, LineHost, event
-from gaproute.telemetry.record import FOLLOWED
+from gaproute.telemetry.record import TRACE_ONE_IN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 SETTINGS = {
@@ -134,7 +134,7 @@
 class Gate:
     """`clock`: a `Handed` one where the test holds the time; `settings` stand in place of `SETTINGS`."""
 
-    def __init__(self, folder, answer=None, sockets=256, hosts=1, followed=FOLLOWED, clock=None, **told):
+    def __init__(self, folder, answer=None, sockets=256, hosts=1, followed=TRACE_ONE_IN, clock=None, **told):
         self.clock = clock
         self.loop = Loop(clock) if clock else Loop()
         self.hosts = [LineHost(self.loop, answer) for _ in range(hosts)]
