--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -17,7 +17,6 @@
 HOSTS = (16, 64, 256, 1_024)
 FUNCTIONS = (16, 64, 256, 1_024)
 FEW = 16  # hosts, where functions are varied
-MILLI = 1_000_000
 JSON = ((b"Content-Type", b"application/json"),)
 CONFIGURATION = """
 name gate
@@ -38,7 +37,7 @@
         self.gate = Appliance(configuration, self.loop, 1, logger(self.lines))
         self.gate.start()
         for number in range(hosts):
-            self.gate.record.attempt_ended(f"host-{number:04}", 0, Result.OK, 100 * MILLI)
+            self.gate.record.attempt_ended(f"host-{number:04}", 0, Result.OK)
         gateway, now = self.gate.core.gateway, self.loop.now()
         for number in range(functions):
             gateway.hint(f"host-{number % hosts:04}", f"model-{number:04}", 4, now)
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -83,7 +83,7 @@
     def _record_end(self, request: RequestInFlight, ending: Ending, cause: str) -> None:
         now = self.loop.now()
         took = now - request.first_byte_at
-        self.record.request_ended(request.request_class, ending, took)
+        self.record.request_ended(request.request_class, ending)
         if request.log_step is not None:
             request.log_step(ending.value, why=cause, after_ms=took // MILLI, relays=request.attempt_count)
         if now > request.deadline:
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -151,7 +151,7 @@
         if result is face.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
             self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
-        self.record.attempt_ended(host, request.request_class, result, took)
+        self.record.attempt_ended(host, request.request_class, result)
         if request.log_step is not None:
             request.log_step(
                 "outcome",
@@ -206,7 +206,7 @@
 
     def order(self, host: str, function: str, copies: int) -> None:
         """Orders a host to load a function."""
-        self.record.load_ordered(host, function, copies)
+        self.record.load_ordered(host)
         ordered_at = self.loop.now()
         self.hosts.order(
             host, function, copies, partial(self._order_answered, ordered_at, host, function, copies)
--- a/gaproute/telemetry/__init__.py
+++ b/gaproute/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What happened: counts, the last events and structured logs."""
+"""Counters, recent events and structured logs."""
--- a/gaproute/telemetry/logs.py
+++ b/gaproute/telemetry/logs.py
@@ -1,13 +1,18 @@
-"""The appliance's log: structlog's, a line of JSON each."""
+"""The log of the KServe gateway: lines of JSON by structlog."""
 
 import sys
+from typing import Any, TextIO
 
 import structlog
 
+LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
-def logger(stream=None, level="info"):
-    """A logger that writes lines of JSON to `stream` (standard error)."""
-    levels = {"debug": 10, "info": 20, "warning": 30, "error": 40}
+
+def logger(stream: TextIO | None = None, level: str = "info") -> Any:
+    """A structlog logger that writes lines of JSON to `stream`, by default standard error.
+
+    Lines below `level` are left out. Errors: KeyError for an unknown level.
+    """
     return structlog.wrap_logger(
         structlog.WriteLogger(stream or sys.stderr),
         processors=[
@@ -15,5 +20,5 @@
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.JSONRenderer(),
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(levels[level]),
+        wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
     )
--- a/gaproute/telemetry/record.py
+++ b/gaproute/telemetry/record.py
@@ -1,70 +1,97 @@
-"""Counts and the last events of one gateway."""
+"""Counters and recent events of one gateway, and the log steps of traced requests."""
 
 from collections import Counter, deque
+from typing import Any, Protocol
 from zlib import crc32
 
 from gaproute.interface import Result
+from gaproute.interface.call import Ending
 
-MAX_EVENTS = 256  # events kept for an operator's look
-MAX_DURATIONS = 512  # last answer times kept for each request class
-TRACE_ONE_IN = 32  # of so many requests one is traced, by its id: the same one at every gateway
+MAX_EVENTS = 256  # kept for the operators' address
+TRACE_ONE_IN = 32  # requests of which one is traced, by its id: the same one at every gateway
+
+
+class Log(Protocol):
+    """A structured log: one line for each event, with its fields."""
+
+    def info(self, event: str, /, **fields: Any) -> Any:
+        """Logs what happens in ordinary work."""
+
+    def warning(self, event: str, /, **fields: Any) -> Any:
+        """Logs what may need an operator's look."""
+
+    def error(self, event: str, /, **fields: Any) -> Any:
+        """Logs what went wrong."""
 
 
 class Record:
-    def __init__(self, log, class_names, trace_one_in=TRACE_ONE_IN):
-        self.trace_one_in = trace_one_in  # 1: each request; 0: none
-        self.log, self.class_names = log, class_names  # names of the request classes, in their order
-        self.counts = Counter()  # (event, class or host, ...): how often
-        self.durations = [
-            deque(maxlen=MAX_DURATIONS) for _ in class_names
-        ]  # ns from first byte to final answer
-        self.events = deque(maxlen=MAX_EVENTS)
-
-    def event(self, level, event, **fields):
+    """What has happened at one gateway since its start."""
+
+    def __init__(
+        self, log: Log, class_names: tuple[str, ...] | list[str], trace_one_in: int = TRACE_ONE_IN
+    ) -> None:
+        """`class_names`: of the request classes, by index; `trace_one_in`: 1 traces all requests, 0 none."""
+        self.log, self.class_names = log, class_names
+        self.trace_one_in = trace_one_in
+        self.counts: Counter[tuple[str, ...]] = Counter()  # (what, class or host, ...): how often
+        self.events: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MAX_EVENTS)
+
+    def event(self, level: str, event: str, /, **fields: Any) -> None:
+        """Logs an event and keeps it for the operators' address; `level` is a method of the log."""
         self.events.append((event, fields))
         getattr(self.log, level)(event, **fields)
 
-    def request_received(self, request_class):
+    def fault(self, text: str, request_id: str) -> None:
+        """Logs a fault of the gateway itself, met in a request."""
+        self.event("error", "fault", text=text, task=request_id)
+
+    # Counters
+
+    def request_received(self, request_class: int) -> None:
+        """Counts a request."""
         self.counts["taken", self.class_names[request_class]] += 1
 
-    def client_left(self, request_class):
+    def client_left(self, request_class: int) -> None:
+        """Counts a request whose client left before its final answer."""
         self.counts["left", self.class_names[request_class]] += 1
 
-    def request_ended(self, request_class, ending, duration):
+    def request_ended(self, request_class: int, ending: Ending) -> None:
+        """Counts a final answer."""
         self.counts[ending.value, self.class_names[request_class]] += 1
-        self.durations[request_class].append(duration)
 
-    def attempt_ended(self, host, request_class, result, duration):
+    def attempt_ended(self, host: str, request_class: int, result: Result) -> None:
+        """Counts the result of an attempt."""
         self.counts["relay", host, result.value] += 1
         if result is not Result.OK:
             self.counts["failed", self.class_names[request_class], host, result.value] += 1
 
-    def load_ordered(self, host, function, copies):
+    def load_ordered(self, host: str) -> None:
+        """Counts a load order."""
         self.counts["order", host] += 1
 
-    def forget_host(self, host):
-        """The host is gone for good: its counts go with it."""
+    def forget_host(self, host: str) -> None:
+        """Drops the counters of a host that has gone for good."""
         for key in [key for key in self.counts if host in key]:
             del self.counts[key]
 
-    def is_traced(self, request_id):
-        return (
-            bool(request_id) and self.trace_one_in > 0 and crc32(request_id.encode()) % self.trace_one_in == 0
-        )
+    def snapshot(self) -> dict[str, Any]:
+        """The counters as nested plain data: {what: {subject: count or {detail: count}}}."""
+        tree: dict[str, Any] = {}
+        for (what, *path), count in sorted(self.counts.items()):
+            node = tree.setdefault(what, {})
+            for part in path[:-1]:
+                node = node.setdefault(part, {})
+            node[path[-1]] = count
+        return tree
 
-    def log_step(self, request_id, event, **fields):
-        """One step of a request that is traced."""
-        self.log.info("step", mark=request_id, step=event, **fields)
+    # Traces
 
-    def fault(self, text, key):
-        self.event("error", "fault", text=text, task=key)
+    def is_traced(self, request_id: str) -> bool:
+        """Whether the steps of a request with this client's id are logged."""
+        if not request_id or self.trace_one_in <= 0:
+            return False
+        return crc32(request_id.encode()) % self.trace_one_in == 0
 
-    def snapshot(self):
-        """The counts as nested plain data: {event: {subject: count or {detail: count}}}."""
-        fields = {}
-        for (event, *path), count in sorted(self.counts.items()):
-            place = fields.setdefault(event, {})
-            for part in path[:-1]:
-                place = place.setdefault(part, {})
-            place[path[-1]] = count
-        return fields
+    def log_step(self, request_id: str, step: str, /, **fields: Any) -> None:
+        """Logs one step of a traced request."""
+        self.log.info("step", mark=request_id, step=step, **fields)
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -194,7 +194,7 @@
 
 def test_a_gone_workers_counts_are_forgotten():
     made = Record(None, ["check"])
-    made.attempt_ended("a", 0, face.Result.RESET, 1)
-    made.attempt_ended("b", 0, face.Result.OK, 1)
+    made.attempt_ended("a", 0, face.Result.RESET)
+    made.attempt_ended("b", 0, face.Result.OK)
     made.forget_host("a")
     assert made.snapshot() == {"relay": {"b": {"ok": 1}}}
