--- a/gaproute/benchlink/wire.py
+++ b/gaproute/benchlink/wire.py
@@ -4,7 +4,7 @@
 from functools import wraps
 
 from gaproute import interface as face
-from gaproute import terms as start
+from gaproute import settings
 
 MICRO, MILLI = 1_000, 1_000_000
 
@@ -166,4 +166,4 @@
 @reader
 def terms(text):
     """The start-up object as the module's terms."""
-    return start.terms(json.loads(text))
+    return settings.read_terms(json.loads(text))
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/fleet.py
@@ -44,7 +44,11 @@
         # The settings tell when hosts close an idle connection. Those that end sooner are reset by chance,
         # which says nothing of the next: learning from them opened one for nearly every relay.
         self.idle_time = site.idle_time or None
-        self.shared, self.counts, self.halts = site.shared, site.same_function_counted, site.halts
+        self.shared, self.counts, self.halts = (
+            site.requests_per_connection,
+            site.same_function_counted,
+            site.cancel_allowed,
+        )
         self.hosts, self.tags = {}, 0
         self.opened = self.reused = self.doubled = self.spoilt = self.strays = self.unread = 0
         self.sweep()
--- a/gaproute/hosts/jsonlines/lines.py
+++ b/gaproute/hosts/jsonlines/lines.py
@@ -12,7 +12,7 @@
 from gaproute.core.in_flight import AttemptResult
 from gaproute.interface import Found, Result
 from gaproute.interface.call import Answer
-from gaproute.terms import report
+from gaproute.settings import read_report
 
 LINE = 128 * 1024  # bytes of one answer: a body of 16 KiB in base64 takes 22, and hosts add little
 RESULTS = {
@@ -138,7 +138,7 @@
         return None
     pairs = (pair.partition(":") for pair in text.split(";"))
     figures = {name: figure(value) for name, _, value in pairs}
-    return report({name: value for name, value in figures.items() if value is not None})
+    return read_report({name: value for name, value in figures.items() if value is not None})
 
 
 def figure(value):
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from gaproute import interface, terms
+from gaproute import interface, settings
 from gaproute.discovery.changelog import events
 from gaproute.errors import GaprouteError
 from gaproute.loop.streams import address
@@ -54,7 +54,7 @@
 
     configuration: Configuration
     terms: interface.Terms
-    site: terms.Site
+    deployment: settings.DeploymentSettings
 
 
 class Environment(NamedTuple):
@@ -117,8 +117,8 @@
 
 
 def _load(path: str, configuration: Configuration) -> LoadedConfiguration:
-    settings = configuration.settings
+    given = configuration.settings
     try:
-        return LoadedConfiguration(configuration, terms.terms(settings), terms.site(settings))
+        return LoadedConfiguration(configuration, settings.read_terms(given), settings.read_deployment(given))
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
         raise ConfigurationRefusedError(f"{path}: settings: {error!r}") from None
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -42,7 +42,7 @@
 class Process:
     def __init__(self, path, loaded, name=None, listen=None, loop=None, log=None, followed=TRACE_ONE_IN):
         self.path = path
-        self.configuration, self.terms, self.site = loaded
+        self.configuration, self.terms, self.deployment = loaded
         self.name, self.listen = name or self.configuration.name, listen or self.configuration.listen
         self.loop = loop = loop or Loop()
         self.log = log or Log()
@@ -50,10 +50,10 @@
             "error", error=repr(error), trace="".join(traceback.format_exception(error))[-2000:]
         )
         seed = int(self.configuration.seed, 16)
-        self.record = Record(self.log, self.site.tracks, followed)
+        self.record = Record(self.log, self.deployment.class_names, followed)
         sockets = min(self.configuration.limits.sockets, descriptors())
         clients, to_hosts = share_out(sockets)
-        self.hosts = Hosts(loop, Pooling(), self.site, to_hosts)
+        self.hosts = Hosts(loop, Pooling(), self.deployment, to_hosts)
         self.hosts.forgotten = self.record.forget_host
         self.core = Core(
             loop, Gateway(seed, self.terms, loop.now()), self.terms, self.hosts, self.record, self.name
@@ -63,7 +63,7 @@
         Lot.of(loop).admission = Admission(
             clients, clients + 1, sockets, Chance(seed + 3), RESTED, patient=True, reserve=to_hosts + OWN
         )
-        self.lister = events.Lister(loop, self.site.zones)
+        self.lister = events.Lister(loop, self.deployment.zones)
         self.seed, self.sockets = seed, sockets
         self.front = self.follower = self.peers = None
         self.stopping = False
@@ -77,7 +77,7 @@
             self.loop,
             address(self.listen),
             self.core,
-            self.site.tracks,
+            self.deployment.class_names,
             self.terms.request_classes,
             self.ready,
             way_back(),
@@ -100,7 +100,7 @@
             clients=Lot.of(self.loop).admission.most,
             to_hosts=self.hosts.room,
             limits=self.configuration.limits,
-            reported=self.site.reported,
+            reported=self.deployment.report_names,
             prices=self.configuration.settings.get("prices"),
             gateways=self.terms.gateways,
         )
--- /dev/null
+++ b/gaproute/settings.py
@@ -0,0 +1,122 @@
+"""Reads the platform's settings object, for the bench's wire and for a gateway on sockets alike.
+
+The keys of the object are the platform's; they appear nowhere else. Unknown keys are passed over, and what is
+missing or null counts as 0, no or none. Errors of `read_terms` and `read_deployment`: KeyError, ValueError,
+TypeError, AttributeError, OverflowError.
+"""
+
+from collections.abc import Mapping
+from typing import Any, NamedTuple
+
+from gaproute import interface as face
+
+MICRO = 1_000
+MICROS_PER_MILLI = 1_000
+IDEMPOTENCY = {
+    "free": face.Idempotency.IDEMPOTENT,
+    "guarded": face.Idempotency.IDEMPOTENT_WITH_KEY,
+    "single_shot": face.Idempotency.NON_IDEMPOTENT,
+}
+# The fields of a load report, each with the names that it may have.
+FIGURES = {
+    "in_hand": ("busy_reqs", "inflight"),
+    "waiting": ("pending", "queue"),
+    "cpu_busy": ("cpu_share", "util"),
+    "memory_busy": ("x0",),
+}
+REPORTS_BY_PROBE = "pull"
+LIST_POLLED = "on_request"
+
+
+class DeploymentSettings(NamedTuple):
+    """What a gateway on sockets is given beside the terms; times are ns."""
+
+    class_names: tuple[str, ...]  # of the request classes, in the order of the terms
+    zones: tuple[str, ...]
+    report_names: tuple[str, ...]  # of the figures in a load report
+    connect_time: int
+    idle_time: int  # after which hosts close an idle connection
+    order_time: int
+    requests_per_connection: int  # in flight to a host at most
+    same_function_counted: bool
+    cancel_allowed: bool = True  # hosts may be told that a request is cancelled
+
+
+def read_terms(settings: Mapping[str, Any]) -> face.Terms:
+    """The terms of the decisions."""
+    family, limits = _section(settings, "family_info"), _section(settings, "limits")
+    rules, prices = _section(settings, "rules"), _section(settings, "prices")
+    report = _section(settings, "report")
+    report_names = set(report.get("names") or ())
+    return face.Terms(
+        request_classes=tuple(_request_class(each) for each in settings.get("lanes") or ()),
+        tenant_shares=tuple(float(each.get("share") or 0.0) for each in settings.get("tenants") or ()),
+        over_share_value=float(settings.get("over_share_worth", 1.0)),
+        keep_alive=_duration(family, "idle_life"),
+        load_orders_allowed=bool(family.get("placement_calls")),
+        load_orders_free=float(family.get("loads_anyway") or 0),
+        load_order_share=float(family.get("load_part") or 0),
+        load_order_window=_duration(family, "loads_within"),
+        same_function_counted=bool(family.get("counts_alike")),
+        warmth_reported=bool(family.get("warm_notes")),
+        probes_allowed=bool(limits.get("probes")),
+        reports_by_probe=report.get("source") == REPORTS_BY_PROBE,
+        reported_figures=tuple(field for field, names in FIGURES.items() if report_names & set(names)),
+        probe_price=float(prices.get("probe") or 0),
+        peer_price=float(prices.get("peer") or 0),
+        peers_allowed=bool(limits.get("peers")),
+        gateways=int(settings.get("balancers") or 1),
+        cancel_allowed=bool(limits.get("cancel")),
+        hedging_allowed=bool(limits.get("may_duplicate")),
+        attempt_limit=int(limits.get("send_cap") or 1),
+        retry_after_limit=_duration(limits, "max_retry_after") if limits.get("retry_after") else 0,
+        warm_up_share=float(rules.get("cold_from") or 0),
+        warm_up_time=_duration(rules, "cold"),
+        warm_up_overload=float(rules.get("fall_multiple") or face.Terms._field_defaults["warm_up_overload"]),
+        host_list_polled=settings.get("membership_mode") == LIST_POLLED,
+        zone=settings["az"] if isinstance(settings.get("az"), int) else -1,
+        crossing_price=float(prices.get("cross_zone") or 0),
+    )
+
+
+def read_deployment(settings: Mapping[str, Any]) -> DeploymentSettings:
+    """What a gateway on sockets is given beside the terms."""
+    family, limits = _section(settings, "family_info"), _section(settings, "limits")
+    return DeploymentSettings(
+        class_names=tuple(each["name"] for each in settings.get("lanes") or ()),
+        zones=tuple(settings.get("zones") or ()),
+        report_names=tuple(_section(settings, "report").get("names") or ()),
+        connect_time=_duration(limits, "connect_timeout"),
+        idle_time=_duration(limits, "conn_idle"),
+        order_time=_duration(family, "order_limit"),
+        requests_per_connection=int(limits.get("multiplex") or 1),
+        same_function_counted=bool(family.get("counts_alike")),
+        cancel_allowed=bool(limits.get("cancel")),
+    )
+
+
+def read_report(figures: Mapping[str, float | None]) -> face.Report | None:
+    """A load report by the names of its figures; None where none of them is known."""
+    fields = [next((figures[name] for name in names if name in figures), None) for names in FIGURES.values()]
+    return face.Report(*fields) if any(field is not None for field in fields) else None
+
+
+def _section(settings: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+    section: Mapping[str, Any] = settings.get(key) or {}
+    return section
+
+
+def _request_class(lane: Mapping[str, Any]) -> face.RequestClass:
+    return face.RequestClass(
+        idempotency=IDEMPOTENCY[lane["effect"]],
+        group=face.Group(lane.get("group") or "all"),
+        repeat_window=_duration(lane, "dedup_window"),
+        latency_objective=_duration(lane, "aim"),
+        hard_limit=_duration(lane, "deadline"),
+        priority_weight=float(lane.get("worth") or 1.0),
+    )
+
+
+def _duration(table: Mapping[str, Any], key: str) -> int:
+    """Milliseconds, rounded to whole microseconds, as ns; 0 where they are missing."""
+    return round(float(table.get(key) or 0) * MICROS_PER_MILLI) * MICRO
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -128,9 +128,9 @@
             idle_time=15 * SECOND,
             connect_time=0,
             order_time=SECOND,
-            shared=shared,
+            requests_per_connection=shared,
             same_function_counted=True,
-            halts=cancel,
+            cancel_allowed=cancel,
         )
         self.hosts = Hosts(self.loop, Pooling(), site, 64)
         terms = TERMS._replace(request_classes=TRACKS, cancel_allowed=cancel, hedging_allowed=twins)
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -6,7 +6,7 @@
 from benchmarks.cold import HARD, Day, day, play
 from gaproute.decisions.routing.beliefs import Trail
 from gaproute.interface import Result
-from gaproute.terms import terms
+from gaproute.settings import read_terms
 
 
 def test_a_fleet_all_cold_is_looked_through_once_a_choice():
@@ -40,7 +40,7 @@
     late = made.workers["cold"].warm_at - 1
     made.spread_credit(late, made.workers["a"])
     bears = made.terms.warm_up_overload * made.terms.warm_up_share
-    assert terms({"rules": {"fall_multiple": 3}}).warm_up_overload == 3
+    assert read_terms({"rules": {"fall_multiple": 3}}).warm_up_overload == 3
     assert made.power(made.workers["cold"], late) > bears > made.workers["cold"].credit > bears / 2
 
 
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -22,9 +22,9 @@
     idle_time=15 * SECOND,
     connect_time=250 * MILLI,
     order_time=SECOND,
-    shared=100,
+    requests_per_connection=100,
     same_function_counted=True,
-    halts=True,
+    cancel_allowed=True,
 )
 CALL = Call("7f3a9c21e0b4d655", "", (), b"Ym9keQ==", "9b1f03aa5c7e2d41", "fault-check")
 
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -18,15 +18,19 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration
 from gaproute.platform.log import Log
+from gaproute.settings import read_deployment, read_terms
 from gaproute.standins.platform import ChangeLog, arg, event, sse
 from gaproute.telemetry.record import Record
-from gaproute.terms import site, terms
 
 
 def test_the_start_object_is_read_alike_for_the_wire_and_for_the_node():
-    assert wire.terms(json.dumps(SETTINGS)) == terms(SETTINGS)
-    told = site(SETTINGS)
-    assert (told.tracks, told.shared, told.idle_time) == (("fault-check", "repair-order"), 100, 15 * SECOND)
+    assert wire.terms(json.dumps(SETTINGS)) == read_terms(SETTINGS)
+    told = read_deployment(SETTINGS)
+    assert (told.class_names, told.requests_per_connection, told.idle_time) == (
+        ("fault-check", "repair-order"),
+        100,
+        15 * SECOND,
+    )
 
 
 def test_a_task_goes_through_and_its_body_comes_back_unchanged(gate):
