--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -12,7 +12,7 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve.entry import EntryFront
-from gaproute.hosts.entries import CellHosts, Entries
+from gaproute.hosts.entry_gateways import CellHostClient, EntryGateways
 from gaproute.peers.tables import TableCarrier
 from gaproute.shared.dissemination import Peer
 
@@ -32,8 +32,8 @@
         self.record, self.enlisted = record, enlisted
         place = Place(configuration.name, self.line.region, self.line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), place)
-        self.hosts = CellHosts(loop, Pooling(), reach, configuration.name)
-        self.entries = Entries(loop, reach, configuration.name)
+        self.hosts = CellHostClient(loop, Pooling(), reach, configuration.name)
+        self.entries = EntryGateways(loop, reach, configuration.name)
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
         )
@@ -49,7 +49,7 @@
     def listen(self, others, ready):
         """Take calls that other gateways forward, and the table that they tell, at the address of the peers.
         Returns the front of those calls."""
-        giver = others.giver
+        giver = others.peer_server
         front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
         giver.calls = front.handle
         line = self.line
@@ -57,7 +57,7 @@
             self.loop,
             self.configuration.name,
             line.fleet,
-            others.gossip,
+            others.membership_transport,
             giver,
             Chance(self.seed + CARRIER_SEED),
             self.record,
@@ -84,7 +84,7 @@
         """A newer table has come."""
         now = self.loop.now()
         self.gateway.adopt(now, table)
-        self.entries.adopt(table)
+        self.entries.apply_table(table)
         self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
         self._want()
         self.core.start_housekeeping(now)
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -14,9 +14,10 @@
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.discovery.listing import FileWatch, Listing
+from gaproute.discovery.file_watch import FileWatch
+from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.fronts.kserve import Front
-from gaproute.hosts.fleet import Hosts, Reach
+from gaproute.hosts.kserve.client import ClientSettings, KServeClient
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.loop.loop import READ
@@ -43,15 +44,15 @@
         run = f"{configuration.name}-{secrets.token_hex(3)}"  # task ids stay apart over restarts
         self.record = Record(self.log, [line.name for line in configuration.tracks])
         line = configuration.reach
-        reach = Reach(line.connect, line.probe, line.order, line.connections, line.answer)
+        reach = ClientSettings(line.connect, line.probe, line.order, line.connections, line.answer)
         if configuration.cells is None:
             gateway = configuration.decisions(seed, configuration.terms, loop.now())
-            self.hosts, self.cells = Hosts(loop, Pooling(), reach, configuration.name), None
+            self.hosts, self.cells = KServeClient(loop, Pooling(), reach, configuration.name), None
             self.core = Core(loop, gateway, configuration.terms, self.hosts, self.record, run)
         else:
             self.cells = Cells(loop, configuration, self.record, seed, reach, run, self.enlisted)
             self.hosts, self.core, gateway = self.cells.hosts, self.cells.core, self.cells.unused
-        self.listing = Listing(loop, sizes=configuration.sizes_reported)
+        self.listing = HostLineConverter(loop, use_capacities=configuration.sizes_reported)
         self.rows = {}
         self.stopping = False
         self.shared = False  # other processes serve at the clients' addresses, also after this one's stop
@@ -93,8 +94,8 @@
                 front.close()
             self.fronts, self.client_fronts, self.others = [], [], self.make_others()
             raise OSError(fault.errno, f"{where}: {fault.strerror}") from fault
-        if self.others.weak is not None:
-            self.core.on_arrival = self.others.weak.arrived
+        if self.others.gossip is not None:
+            self.core.on_arrival = self.others.gossip.arrived
         source = self.configuration.hosts_file
         if self.cells is not None:
             self.cells.start()
@@ -113,7 +114,7 @@
 
     def listed(self, lines):
         """A whole host list. The host connections come first: the module may wish for a new host at once."""
-        rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
+        rows = self.listing.endpoints(lines, self.watch.current_at if self.watch is not None else None)
         self.enlisted(rows)
         self.core.update_hosts([row.listed for row in rows], True)
         self.others.hosts_listed(
@@ -126,7 +127,7 @@
     def enlisted(self, rows):
         """All hosts known: to the connections and the log."""
         before, self.rows = self.rows, {row.listed.host: row for row in rows}
-        self.hosts.listed(rows, True)
+        self.hosts.update(rows, complete=True)
         changed = [name for name, row in self.rows.items() if before.get(name) != row]
         for name in sorted(changed + [name for name in before if name not in self.rows]):
             new = self.rows.get(name)
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -15,7 +15,7 @@
 class Entries(Protocol):
     """The connections to entry gateways of other cells."""
 
-    def toward(self, forward: Forward, /) -> Hosts:
+    def client_for(self, forward: Forward, /) -> Hosts:
         """What sends a request by way of an entry gateway."""
 
 
@@ -51,7 +51,7 @@
         """Sends a request to a host, or to an entry gateway of another cell."""
         if isinstance(attempt, Forward):
             self.forwarded_out += 1
-            self._send(self.entries.toward(attempt), key, number, attempt, now)
+            self._send(self.entries.client_for(attempt), key, number, attempt, now)
         else:
             super().start_attempt(key, number, attempt, now)
 
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -64,7 +64,7 @@
             return
         self._record_end(request, ending, cause)
         never_ran = not request.may_have_run and not any(
-            attempt.handle.begun for attempt in request.attempts.values()
+            attempt.handle.started for attempt in request.attempts.values()
         )
         final = Final(
             ending,
@@ -97,8 +97,8 @@
         """
         request = self.in_flight[key]
         for number, attempt in list(request.attempts.items()):
-            result = face.Result.TIMEOUT if attempt.handle.begun else face.Result.NOT_SENT
-            attempt.handle.give_up()
+            result = face.Result.TIMEOUT if attempt.handle.started else face.Result.NOT_SENT
+            attempt.handle.cancel()
             self._attempt_withdrawn(key, number, result)
         if request.on_final is not None:
             self.record.fault("no final answer by the client's limit", key)
@@ -116,13 +116,13 @@
         have begun it.
         """
         for number, (_, _, handle) in request.attempts.items():
-            if not handle.begun or handle.withdrawable:
+            if not handle.started or handle.cancellable:
                 self._withdraw(request, number)
 
     def _withdraw(self, request: RequestInFlight, number: int) -> None:
         handle = request.attempts[number].handle
-        result = face.Result.CANCELLED if handle.begun else face.Result.NOT_SENT
-        handle.give_up()
+        result = face.Result.CANCELLED if handle.started else face.Result.NOT_SENT
+        handle.cancel()
         self.loop.soon(self._attempt_withdrawn, request.id, number, result)
 
     def _attempt_withdrawn(self, key: str, number: int, result: face.Result) -> None:
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -125,7 +125,7 @@
         host, deadline = attempt.host, request.deadline
         if request.log_step is not None:
             request.log_step("relay", relay=number, worker=host)
-        handle = hosts.relay(
+        handle = hosts.send(
             host,
             request.call,
             self.request_classes[request.request_class].idempotency,
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -22,14 +22,14 @@
     """The hosts' handle of an attempt that has not ended."""
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether its host may have got any of it."""
 
     @property
-    def withdrawable(self) -> bool:
+    def cancellable(self) -> bool:
         """Whether it may be withdrawn though it has begun, as it cannot run yet; read only once it has."""
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Ends it: its result is not reported any more."""
 
 
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -52,7 +52,7 @@
 class Hosts(Protocol):
     """Whatever reaches hosts. Each `done` is called once and never from within the call itself."""
 
-    def relay(
+    def send(
         self,
         host: str,
         call: Call,
--- /dev/null
+++ b/gaproute/shared/gossip/node.py
@@ -0,0 +1,186 @@
+"""One gateway's gossip: it observes, sends, receives and estimates; no I/O, clock and chance are handed in.
+
+Nothing in it raises on what others send; what cannot be used is counted by its reason. Times are in ns.
+"""
+
+from collections.abc import Callable, Iterable, Mapping
+
+from gaproute.shared.gossip.entry_sets import LocalEntrySets
+from gaproute.shared.gossip.estimates import FleetEstimate
+from gaproute.shared.gossip.fleet_view import CapacityEstimate, FleetView, WarmSighting
+from gaproute.shared.gossip.hosts import ListedHosts
+from gaproute.shared.gossip.local_observations import LocalObservations
+from gaproute.shared.gossip.messages import (
+    LIMITS,
+    MAX_SETS,
+    REQUEST_CLASSES,
+    EntryKind,
+    GossipMessage,
+    RejectionReason,
+)
+from gaproute.shared.gossip.name_keys import NameKeys
+from gaproute.shared.gossip.peer_rounds import PeerRounds
+from gaproute.shared.gossip.scheduler import RATE, MessageScheduler, Outgoing
+from gaproute.shared.gossip.table import TOMBSTONE_TIME, GossipTable
+from gaproute.shared.randomness import RandomSource
+from gaproute.shared.token_bucket import TokenBucket
+
+SENDER_RATE = 8  # messages of one sender a second, four times what an honest one sends
+SENDER_BURST = 16
+EXPIRY_TURNS = 64  # turns between two removals of what counts no more: every few seconds
+STATUS_KINDS = (EntryKind.IN_FLIGHT, EntryKind.AVAILABLE_CAPACITY, EntryKind.DEMAND)
+
+
+class GossipNode:
+    """`tick` at the time `due` returns the messages to be sent; `receive` takes each that a peer sent.
+
+    `rate`: bytes a second that it may send.
+    """
+
+    def __init__(self, name: str, incarnation: int, random: RandomSource, now: int, rate: int = RATE) -> None:
+        self.name, self.incarnation = name, incarnation
+        self.keys = NameKeys()
+        self.hosts = ListedHosts()
+        self.peers = PeerRounds(random)
+        self.local = LocalObservations(now)
+        self.local_sets = LocalEntrySets(self.local)
+        self.scheduler = MessageScheduler(self.peers, now, rate)
+        self.table = GossipTable()
+        self.view = FleetView(name, self.keys, self.local, self.table, self.hosts, self.peers)
+        self.sender_limits: dict[str, TokenBucket] = {}
+        self.received = 0  # messages
+        self._turns = 0
+
+    # What this gateway observes
+
+    def record_arrival(self, now: int, function: str, request_class: int, count: int = 1) -> None:
+        """Requests came. `request_class`: its number, 0 to 255."""
+        self.local.arrivals.record(now, self.keys.key(function), request_class % REQUEST_CLASSES, count)
+
+    def record_in_flight(self, host: str, requests: float) -> None:
+        """Requests of this gateway that are in flight at the host now."""
+        self.local.record_in_flight(self.keys.key(host), requests)
+
+    def record_available_capacity(self, host: str, capacity: float) -> None:
+        """Capacity that is believed available at the host."""
+        self.local.record_available_capacity(self.keys.key(host), capacity)
+
+    def record_warm_instance(self, now: int, host: str, function: str) -> None:
+        """An answer or a health check just showed an instance."""
+        self.local.record_warm_instance(now, self.keys.key(host), self.keys.key(function))
+
+    def record_unloaded_instance(self, host: str, function: str) -> None:
+        """There is no instance of the function at the host."""
+        self.local.record_unloaded_instance(self.keys.key(host), self.keys.key(function))
+
+    # Who is there
+
+    def set_peers(self, now: int, names: Iterable[str]) -> None:
+        """Takes the gateways that are up, with or without this one.
+
+        What one that went had sent counts no more; it counts again once it is back under a higher
+        incarnation.
+        """
+        others = [name for name in names if name != self.name]
+        present = frozenset(others)
+        for name in self.peers.names:
+            if name not in present:
+                self._forget_peer(now, name)
+        self.peers.set_peers(others)
+
+    def set_hosts(self, now: int, hosts: Mapping[str, object]) -> None:
+        """Takes the listed hosts, by name their start: what was seen before it is void."""
+        gone = self.hosts.update(now, hosts, self.keys.key)
+        if gone:
+            self.local.forget_hosts(frozenset(gone))
+            self.local_sets.clear()
+            self.view.clear()
+
+    def raise_incarnation(self, incarnation: int) -> None:
+        """This gateway goes on under another incarnation: others held it dead."""
+        self.incarnation = max(self.incarnation, incarnation)
+
+    # Sending and receiving
+
+    @property
+    def due(self) -> int:
+        """When `tick` is to be called."""
+        return self.scheduler.due
+
+    def tick(self, now: int) -> list[Outgoing]:
+        """The messages to be sent now."""
+        if self._turns % EXPIRY_TURNS == 0:
+            self.table.expire(now)
+        self._turns += 1
+        self.hosts.expire(now, TOMBSTONE_TIME)
+        return self.scheduler.tick(now, self.incarnation, self.local_sets)
+
+    def receive(self, now: int, sender: str, message: GossipMessage) -> int:
+        """Takes a peer's message; how many of its sets were news."""
+        return self.receive_encoded(now, sender, lambda: message)
+
+    def receive_encoded(self, now: int, sender: str, decode: Callable[[], GossipMessage | None]) -> int:
+        """The same for bytes, which are decoded only where the sender may still speak.
+
+        `decode` returns None where they are no message.
+        """
+        reason = self._sender_rejection(now, sender)
+        if reason is not None:
+            self.table.rejections[reason] += 1
+            return 0
+        message = decode()
+        if message is None or len(message.sets) > MAX_SETS:
+            self.table.rejections[RejectionReason.UNDECODABLE] += 1
+            return 0
+        self.received += 1
+        return sum([self.table.merge(now, sender, message.incarnation, each) for each in message.sets])
+
+    # Figures of the fleet
+
+    def in_flight(self, now: int, host: str) -> FleetEstimate:
+        """Requests in flight at the host, of the whole fleet."""
+        return self.view.in_flight(now, host)
+
+    def demand(self, now: int, function: str, request_class: int) -> FleetEstimate:
+        """Arrivals a second in the whole fleet, see `FleetView.demand`."""
+        return self.view.demand(now, function, request_class)
+
+    def unnamed_demand(self, now: int) -> FleetEstimate:
+        """Arrivals a second of functions that their origins do not name."""
+        return self.view.unnamed_demand(now, self.local_sets.get(now, EntryKind.DEMAND).remainder)
+
+    def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
+        """What is believed available at the host; None where nobody tells."""
+        return self.view.available_capacity(now, host)
+
+    def warm_instances(self, now: int, function: str) -> dict[str, WarmSighting]:
+        """By host: the instances of a function that were seen, a lower bound."""
+        return self.view.warm_instances(now, function)
+
+    def status(self, now: int) -> dict[str, object]:
+        """For operators: what is sent and received, and on how many origins each kind rests."""
+        origins = {LIMITS[kind].label: len(self.table.current(now, kind)) for kind in STATUS_KINDS}
+        return {
+            "peers": len(self.peers),
+            "sent": self.scheduler.sent,
+            "bytes": self.scheduler.bytes,
+            "heard": self.received,
+            "refused": {reason.value: count for reason, count in self.table.rejections.items()},
+            "tellers": origins,
+            "clipped": self.view.clipped,
+            "alike": self.hosts.key_collisions,
+        }
+
+    def _forget_peer(self, now: int, name: str) -> None:
+        self.sender_limits.pop(name, None)
+        incarnation = self.table.latest_incarnation(name)
+        if incarnation:
+            self.table.add_tombstone(now, name, incarnation)
+
+    def _sender_rejection(self, now: int, sender: str) -> RejectionReason | None:
+        if sender not in self.peers:
+            return RejectionReason.UNKNOWN_SENDER
+        limit = self.sender_limits.get(sender)
+        if limit is None:
+            limit = self.sender_limits[sender] = TokenBucket(SENDER_RATE, SENDER_BURST, now)
+        return None if limit.take(now, 1) else RejectionReason.RATE_LIMITED
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -18,9 +18,9 @@
 from gaproute.core.core import Core
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
-from gaproute.hosts.jsonlines import link as links
-from gaproute.hosts.jsonlines.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.jsonlines import connection as connections
+from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Loop, Stepped
 from gaproute.telemetry.record import Record
@@ -118,8 +118,8 @@
 
 class World:
     def __init__(self, patch, cancel, twins, shared, answers):
-        patch.setattr(links, "connect", dials := HeldDials())
-        patch.setattr(links, "Stream", Wire)
+        patch.setattr(connections, "connect", dials := HeldDials())
+        patch.setattr(connections, "Stream", Wire)
         self.dials, self.wires, self.room, self.errors = dials, [], 1 << 20, []
         self.loop = Loop(Ticking(1000 * SECOND))
         self.loop.on_error = self.errors.append
@@ -132,10 +132,10 @@
             same_function_counted=True,
             cancel_allowed=cancel,
         )
-        self.hosts = Hosts(self.loop, Pooling(), site, 64)
+        self.hosts = JsonLinesClient(self.loop, Pooling(), site, 64)
         terms = TERMS._replace(request_classes=TRACKS, cancel_allowed=cancel, hedging_allowed=twins)
         self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
-        self.hosts.forgotten = self.record.forget_host
+        self.hosts.on_removed = self.record.forget_host
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
         self.rows = {name: row(name, started=0) for name in HOSTS}
         self.lives = {name: SimpleNamespace(world=self, name=name) for name in HOSTS}
@@ -260,13 +260,13 @@
             state = list(face.State)[way % 3]
             self.rows[name] = self.rows[name]._replace(state=state)
         shown = [
-            Row(self.rows[each], f"127.0.0.1:{self.place(each)}")
+            Endpoint(self.rows[each], f"127.0.0.1:{self.place(each)}")
             for each in HOSTS
             if way != 5 or each != name
         ]
         if way == 5:
             self.rows[name] = self.rows[name]._replace(state=face.State.GONE)
-        self.hosts.listed(shown, True)
+        self.hosts.update(shown, complete=True)
         self.core.update_hosts([each.listed for each in shown], True)
         for host in self.hosts.hosts.values():
             host.where = self.lives[host.name]
@@ -290,7 +290,7 @@
             wire.take()
 
     def connections(self, place, way):
-        self.hosts.room = (1, 2, 64, 64)[way % 4]
+        self.hosts.max_connections = (1, 2, 64, 64)[way % 4]
 
     def end_by(self, place, way):
         if place < 3 and self.last > self.loop.now() + SECOND:
