--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -25,7 +25,7 @@
 class DecisionModule(Protocol):
     """The decisions of one gateway; `now` is ns of the monotonic clock."""
 
-    end_by: int | None
+    end_by: int  # when each request must have its final answer
 
     def serve(self, now: int, request: face.Request, /) -> Actions:
         """The generator of one request, up to its final answer."""
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -36,7 +36,7 @@
         "Front._sweep",
         "JsonLinesClient.sweep",
         "Parking._tick",
-        "Process.status",
+        "StatusLog.write",
     )
 )
 
@@ -213,10 +213,10 @@
 def _watched(scene: Scene) -> Iterator[Finding]:
     process = scene.process
     wanted = {process.front.listener.sock.fileno()}
-    if process.peers is not None:
-        wanted.add(process.peers.sock.fileno())
-    if process.follower.stream is not None:
-        wanted.add(process.follower.stream.fd)
+    if process.peers.datagrams is not None:
+        wanted.add(process.peers.datagrams.sock.fileno())
+    if process.host_list.watcher.stream is not None:
+        wanted.add(process.host_list.watcher.stream.fd)
     for host in process.hosts.hosts.values():
         wanted |= {link.stream.fd for link in host.links if link.stream is not None}
     watched = set(scene.loop.watched)
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -141,12 +141,12 @@
 
 
 def _hears_peers(scene: Scene) -> Iterator[Finding]:
-    peers, before = scene.process.peers, scene.words_heard
-    if peers is None:
+    datagrams, before = scene.process.peers.datagrams, scene.words_heard
+    if datagrams is None:
         yield Finding(Check.PEERS_RECOVER, "it listens for other gateways no more")
         return
     for words in scene.peer.heard[-1:]:
-        scene.peer.tell(words, peers.sock.getsockname())
+        scene.peer.tell(words, datagrams.sock.getsockname())
     scene.passes(100 * MILLI)
     if scene.words_heard == before:
         yield Finding(Check.PEERS_RECOVER, "it hears other gateways no more")
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -206,10 +206,7 @@
 
     def close_gateway(self) -> None:
         """As `Process.run` does at its end."""
-        process = self.process
-        for part in (process.front, process.follower, process.hosts, process.peers):
-            if part is not None:
-                self.loop.guard(part.close)
+        self.process.close()
 
     def close(self) -> None:
         """Gives all descriptors back and puts the real system calls in place again."""
--- a/gaproute/platform/__init__.py
+++ b/gaproute/platform/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway as a process of the platform: environment, configuration, wiring, signals. Decides nothing."""
+"""One gateway of the platform: JSON-RPC for clients, lines of JSON for hosts, the change log for the list."""
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -1,7 +1,7 @@
 """`python -m gaproute.platform`: one gateway of the platform, as the environment says.
 
 Exit codes: 0 stopped, 2 the environment or the configuration cannot be used, 3 the address cannot be listened
-on, or the operating system gives too little to start with. What may pass by itself is tried again first
+on, or the operating system gives too little to start with. What may pass by itself is retried first
 (`loop.starting`).
 """
 
@@ -15,37 +15,51 @@
 from gaproute.platform.process import Process
 from gaproute.telemetry.record import TRACE_ONE_IN
 
+EXIT_STOPPED, EXIT_UNUSABLE_CONFIGURATION, EXIT_CANNOT_START = 0, 2, 3
 
-def followed():
-    """GAPROUTE_FOLLOW=N: each Nth task has its steps in the log, 1 all, 0 none. A word that is no number is
-    as if not set: a log is no reason not to start."""
-    told = os.environ.get("GAPROUTE_FOLLOW", "")
-    return int(told) if told.isdigit() else TRACE_ONE_IN
 
+def trace_one_in() -> int:
+    """GAPROUTE_FOLLOW=N: one request in N has its steps in the log; 1 all, 0 none.
 
-def main():
+    Text that is no number is as if it were not set: a log is no reason not to start.
+    """
+    text = os.environ.get("GAPROUTE_FOLLOW", "")
+    return int(text) if text.isdigit() else TRACE_ONE_IN
+
+
+def main() -> int:
+    """Runs the gateway until it is stopped; returns the exit code."""
     patience = Patience()
     try:
-        name, listen, path = read_environment()
-        loaded = patience.call(lambda: read_configuration(path))
-        loop = patience.call(Loop)
-        process = Process(path, loaded, name, listen, loop=loop, followed=followed())
-        patience.call(process.heed_signals)
-    except ConfigurationRefusedError as fault:
-        print(fault, file=sys.stderr)
-        return 2
-    except OSError as fault:
-        print(f"cannot start: {fault.strerror}", file=sys.stderr)
-        return 3
+        process = make_process(patience)
+    except ConfigurationRefusedError as error:
+        print(error, file=sys.stderr)
+        return EXIT_UNUSABLE_CONFIGURATION
+    except OSError as error:
+        print(f"cannot start: {error.strerror}", file=sys.stderr)
+        return EXIT_CANNOT_START
     try:
         patience.call(process.start)
-    except OSError as fault:
-        print(f"cannot listen on {process.listen}: {fault.strerror}", file=sys.stderr)
-        return 3
+    except OSError as error:
+        print(f"cannot listen on {process.listen}: {error.strerror}", file=sys.stderr)
+        return EXIT_CANNOT_START
     gc.collect()
-    gc.freeze()  # what stands for good is not looked through again and again
+    gc.freeze()  # what stays for good is not examined again and again
     process.run()
-    return 0
+    return EXIT_STOPPED
+
+
+def make_process(patience: Patience) -> Process:
+    """The gateway that the environment names, with its signals handled.
+
+    Errors: ConfigurationRefusedError; OSError where the operating system gives too little.
+    """
+    name, listen, path = read_environment()
+    loaded = patience.call(lambda: read_configuration(path))
+    loop = patience.call(Loop)
+    process = Process(path, loaded, name=name, listen=listen, loop=loop, trace_one_in=trace_one_in())
+    patience.call(process.handle_signals)
+    return process
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/gaproute/platform/host_list.py
@@ -0,0 +1,59 @@
+"""The host list of the platform: events of the change log, handed to the connections and the decisions."""
+
+from typing import Any
+
+from gaproute.core.core import Core
+from gaproute.decisions.chance import Chance
+from gaproute.discovery.changelog import events
+from gaproute.discovery.changelog.members import MemberConverter
+from gaproute.discovery.changelog.watcher import ChangeLogWatcher
+from gaproute.hosts.jsonlines.client import JsonLinesClient
+from gaproute.loop import Loop
+from gaproute.platform.log import Log
+
+MAX_LOGGED_HOSTS = 64  # of an event
+
+
+class HostList:
+    """Applies the events that the configuration has, then those of the change log, in their order."""
+
+    def __init__(
+        self, loop: Loop, log: Log, zones: tuple[str, ...], hosts: JsonLinesClient, core: Core
+    ) -> None:
+        self.loop, self.log, self.hosts, self.core = loop, log, hosts, core
+        self.converter = MemberConverter(loop, zones)
+        self.watcher: ChangeLogWatcher | None = None  # None until `start` has applied the first events
+
+    def start(self, known: dict[str, Any], change_log: str, chance: Chance) -> None:
+        """Applies the events of the configuration (`known`) and follows the change log at its address."""
+        last_seq, initial = events.decode_initial(known)
+        for event in initial:
+            self.apply(event)
+        self.watcher = ChangeLogWatcher(self.loop, change_log, last_seq, self.apply, chance, initial)
+
+    def apply(self, event: events.Event) -> None:
+        """Takes over one event. The connections come first: the decisions may use a new host at once."""
+        absent_at = self.watcher.current_at if self.watcher is not None else None
+        endpoints = self.converter.endpoints(event.fleet, absent_at)
+        complete = event.fleet.complete
+        self.hosts.update(endpoints, complete=complete)
+        self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete)
+        self.log.info(
+            "list",
+            seq=event.seq,
+            complete=complete,
+            rows=[
+                [endpoint.listed.host, endpoint.address, endpoint.listed.state.value]
+                for endpoint in endpoints[:MAX_LOGGED_HOSTS]
+            ],
+        )
+
+    def set_address(self, change_log: str) -> None:
+        """Follows the change log at another address; its numbers go on."""
+        if self.watcher is not None:
+            self.watcher.set_address(change_log)
+
+    def close(self) -> None:
+        """Ends the connection to the change log."""
+        if self.watcher is not None:
+            self.watcher.close()
--- /dev/null
+++ b/gaproute/platform/peers.py
@@ -0,0 +1,62 @@
+"""Load reports between the platform's gateways: datagrams without an answer."""
+
+from collections.abc import Callable
+
+from gaproute.loop import Loop
+from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.faults import Backoff
+from gaproute.loop.loop import Timer
+from gaproute.platform.configuration import Configuration
+from gaproute.platform.log import Log
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+BIND_BACKOFF, MAX_BIND_BACKOFF = 50 * MILLI, 5 * SECOND
+
+
+class PeerReports:
+    """The socket on which this gateway's reports leave and the others' arrive.
+
+    Without it a gateway goes by its own health checks, so an address that cannot be bound is no reason not to
+    start: binding is retried.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        log: Log,
+        configuration: Callable[[], Configuration],
+        on_report: Callable[[bytes], None],
+    ) -> None:
+        """`configuration` gives the one in force, with the addresses to bind and to send to."""
+        self.loop, self.log = loop, log
+        self.configuration, self.on_report = configuration, on_report
+        self.datagrams: Datagrams | None = None  # None until the address is bound
+        self.retry_timer: Timer | None = None
+        self.backoff = Backoff(BIND_BACKOFF, MAX_BIND_BACKOFF)
+
+    def open(self) -> None:
+        """Binds the address, now or by a later retry."""
+        self.retry_timer = None
+        listen = self.configuration().peer_listen
+        try:
+            self.datagrams = Datagrams(self.loop, listen, self.on_report)
+        except OSError as error:
+            if not self.backoff.begun:
+                self.log.warning("no peers", listen=listen, error=str(error))
+            self.retry_timer = self.loop.after(self.backoff.next(), self.open)
+            return
+        if self.backoff.begun:
+            self.log.info("peers", listen=listen)
+
+    def send(self, payload: bytes) -> None:
+        """Sends a report to all other gateways; it may be lost."""
+        if self.datagrams is not None:
+            self.datagrams.send(payload, self.configuration().peers_all)
+
+    def close(self) -> None:
+        """Gives up the address and any retry."""
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
+        if self.datagrams is not None:
+            self.datagrams.close()
--- /dev/null
+++ b/gaproute/platform/reload.py
@@ -0,0 +1,56 @@
+"""Reads the configuration file again while the process runs."""
+
+from collections.abc import Callable
+
+from gaproute.loop import Loop
+from gaproute.loop.connecting import short
+from gaproute.loop.faults import Backoff, is_momentary_read
+from gaproute.loop.loop import Timer
+from gaproute.platform.configuration import (
+    Configuration,
+    ConfigurationRefusedError,
+    ConfigurationUnreadableError,
+    read_configuration,
+)
+from gaproute.platform.log import Log
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+READ_BACKOFF, MAX_READ_BACKOFF = 200 * MILLI, 5 * SECOND
+
+
+class ConfigurationReloader:
+    """A file that cannot be used changes nothing; one that cannot be read for a moment is read again."""
+
+    def __init__(self, loop: Loop, log: Log, path: str, on_reloaded: Callable[[Configuration], None]) -> None:
+        self.loop, self.log, self.path, self.on_reloaded = loop, log, path, on_reloaded
+        self.retry_timer: Timer | None = None
+        self.backoff = Backoff(READ_BACKOFF, MAX_READ_BACKOFF)
+
+    def reload(self) -> None:
+        """Reads the file, now or by a later retry."""
+        self.backoff.reset()
+        self._read()
+
+    def cancel(self) -> None:
+        """Gives up a retry."""
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
+
+    def _read(self) -> None:
+        self.cancel()
+        try:
+            configuration = read_configuration(self.path).configuration
+        except ConfigurationRefusedError as error:
+            self._failed(error)
+            return
+        self.log.info("configuration", changelog=configuration.changelog)
+        self.on_reloaded(configuration)
+
+    def _failed(self, error: ConfigurationRefusedError) -> None:
+        if isinstance(error, ConfigurationUnreadableError) and is_momentary_read(error.cause):
+            short(self.loop, error.cause)
+            self.log.warning("configuration not read yet", text=str(error))
+            self.retry_timer = self.loop.after(self.backoff.next(), self._read)
+        else:
+            self.log.error("configuration refused", text=str(error))
--- /dev/null
+++ b/gaproute/platform/shutdown.py
@@ -0,0 +1,81 @@
+"""Graceful shutdown: after SIGTERM the process serves on, answers all and leaves before SIGKILL may come."""
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from gaproute.core.core import Core
+from gaproute.decisions.admission.admission import way_back
+from gaproute.fronts.jsonrpc.front import Front
+from gaproute.loop import Loop
+from gaproute.platform.log import Log
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+CLIENTS_NOTICE = 600 * MILLI  # after SIGTERM, in which clients still open connections
+ACCEPT_TIME = CLIENTS_NOTICE + 200 * MILLI  # in which they are accepted: a turn or two more
+KILL_GRACE = 700 * MILLI  # beyond the longest deadline, until SIGKILL may come after SIGTERM
+MAX_COUNTED_DEADLINE = 3 * SECOND  # what a longer deadline counts as there
+CLOSE_MARGIN = 200 * MILLI  # before SIGKILL, by which connections are closed in order
+
+
+class ShutdownTimes(NamedTuple):
+    """ns of the loop's clock."""
+
+    close_at: int  # when open connections are closed
+    exit_at: int  # when the process ends, whatever is left
+
+
+def shutdown_times(deadlines: Iterable[int], signalled_at: int, now: int) -> ShutdownTimes:
+    """The times after a SIGTERM that came at `signalled_at` and is handled `now`; `deadlines` in ns.
+
+    SIGKILL may come after the longest of the deadlines and `KILL_GRACE`. With short deadlines that is soon
+    after the last clients have come: the closing then takes half of the time between.
+    """
+    kill_after = min(max(deadlines), MAX_COUNTED_DEADLINE) + KILL_GRACE
+    margin = min(CLOSE_MARGIN, (kill_after - CLIENTS_NOTICE) // 2)
+    close_at = max(now, signalled_at + kill_after - margin)
+    return ShutdownTimes(close_at, close_at + margin // 2)
+
+
+class GracefulShutdown:
+    """What happens from SIGTERM until the loop ends."""
+
+    def __init__(self, loop: Loop, log: Log, core: Core, deadlines: tuple[int, ...]) -> None:
+        """`deadlines`: of the request classes, ns."""
+        self.loop, self.log, self.core, self.deadlines = loop, log, core, deadlines
+        self.front: Front | None = None
+        self.times: ShutdownTimes | None = None  # None until it has begun
+
+    @property
+    def begun(self) -> bool:
+        """Whether SIGTERM was handled."""
+        return self.times is not None
+
+    def begin(self, front: Front) -> None:
+        """Serves on: new connections for `ACCEPT_TIME`, open ones until shortly before SIGKILL may come.
+
+        In a turn that finds itself late the signal may have come as long ago: the times count from then.
+        """
+        if self.begun:
+            return
+        self.front = front
+        self.log.info("stopping", held=len(self.core.in_flight))
+        now = self.loop.now()
+        signalled_at = now - self.loop.behind
+        close_at, exit_at = self.times = shutdown_times(self.deadlines, signalled_at, now)
+        self.core.end_by(close_at - way_back())
+        self.loop.at(exit_at, self.loop.stop)  # first: an error must not keep the process
+        self.loop.at(close_at, front.stop)
+        self.loop.at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
+
+    def stop_accepting(self) -> None:
+        """Accepts no new connections, and ends the loop once the last of the open ones is closed."""
+        if self.front is None:
+            return
+        self.core.on_idle = self.front.emptied = self._stop_if_idle
+        self.front.shut()
+        self._stop_if_idle()
+
+    def _stop_if_idle(self) -> None:
+        """Ends the loop once all is answered and each connection is closed, by the client's end of it."""
+        if self.front is not None and not self.core.in_flight and not self.front.held:
+            self.loop.stop()
--- /dev/null
+++ b/gaproute/platform/status.py
@@ -0,0 +1,132 @@
+"""The status line of the platform's process: what an operator sees of it every few seconds."""
+
+import os
+from collections.abc import Callable
+from typing import Any, TypeVar
+
+from gaproute.connections import Lot
+from gaproute.core.core import Core
+from gaproute.fronts.jsonrpc.front import Front
+from gaproute.hosts.jsonlines.client import JsonLinesClient
+from gaproute.loop import Loop
+from gaproute.platform.host_list import HostList
+from gaproute.platform.log import Log
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+MEBIBYTE = 1 << 20
+STATUS_INTERVAL = 5 * SECOND  # a few lines in the shortest day
+
+Figure = TypeVar("Figure")
+
+
+class StatusLog:
+    """Writes the status line at once and every `STATUS_INTERVAL`. Its keys are in `docs/platform.md`."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        log: Log,
+        *,
+        core: Core,
+        front: Front,
+        hosts: JsonLinesClient,
+        host_list: HostList,
+    ) -> None:
+        self.loop, self.log, self.core, self.front = loop, log, core, front
+        self.hosts, self.host_list = hosts, host_list
+
+    def write(self) -> None:
+        """Writes a line now, and the next one later."""
+        self.loop.after(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
+        self.log.info("status", **self._fields())
+
+    def _fields(self) -> dict[str, Any]:
+        return {
+            "held": len(self.core.in_flight),
+            "counts": self.core.record.snapshot(),
+            "links": self._connections_in_use(),
+            "believed": self._estimates(),
+            **self._client_fields(),
+            **self._host_fields(),
+            **self._process_fields(),
+            **self._list_fields(),
+        }
+
+    def _connections_in_use(self) -> dict[str, list[int]]:
+        """Connections and open requests by host, of hosts that have any."""
+        return {
+            name: [len(host.links), sum(len(link.open) for link in host.links)]
+            for name, host in self.hosts.hosts.items()
+            if host.links
+        }
+
+    def _estimates(self) -> dict[str, list[float]]:
+        """Queue, slowness and own attempts in flight, of hosts that are in use or slow."""
+        gateway: Any = self.core.gateway
+        now = self.loop.now()
+        return {
+            host.id: [round(gateway.queued(host, 1, now), 1), round(host.slow, 1), len(host.out)]
+            for host in gateway.fleet
+            if host.out or host.slow > 1
+        }
+
+    def _client_fields(self) -> dict[str, Any]:
+        front, lot = self.front, Lot.of(self.loop)
+        return {
+            "clients": lot.held,
+            "parked": front.parked,
+            "faults": front.faults,
+            "turned_away": front.turned_away,
+            "deaf": front.deaf,
+            "displaced": lot.displaced,
+        }
+
+    def _host_fields(self) -> dict[str, Any]:
+        hosts = self.hosts
+        return {
+            "opened": hosts.opened,
+            "reused": hosts.reused,
+            "doubled": hosts.multiplexed,
+            "spoilt": hosts.malformed,
+            "strays": hosts.unmatched,
+        }
+
+    def _process_fields(self) -> dict[str, Any]:
+        return {
+            "late_turns": self.loop.late_turns,
+            "descriptors": _if_readable(open_descriptors),
+            "memory_mb": _if_readable(resident_memory),
+            "cpu_s": round(sum(os.times()[:2]), 2),
+        }
+
+    def _list_fields(self) -> dict[str, Any]:
+        watcher, rejected = self.host_list.watcher, self.host_list.converter.rejected
+        if watcher is None:
+            return {"members_refused": rejected}
+        return {
+            "members_refused": rejected,
+            "log_asked": watcher.connection_count,
+            "log_anew": watcher.restarts,
+            "log_fault": watcher.last_error,
+            "log_seq": watcher.last_seq,
+            "log_silent_ms": (self.loop.now() - watcher.last_message_at) // MILLI,
+        }
+
+
+def open_descriptors() -> int:
+    """How many descriptors this process has open. Errors: OSError where none is free to count them with."""
+    return len(os.listdir("/proc/self/fd"))
+
+
+def resident_memory() -> float:
+    """MiB by the kernel's count. Errors: OSError where no descriptor is free to read it with."""
+    with open("/proc/self/statm") as file:
+        pages = int(file.read().split()[1])
+    return round(pages * os.sysconf("SC_PAGESIZE") / MEBIBYTE, 1)
+
+
+def _if_readable(read: Callable[[], Figure]) -> Figure | None:
+    try:
+        return read()
+    except OSError:
+        return None
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -283,7 +283,7 @@
     client = made.client()
     client.ask(1)
     made.process.stop()
-    made.process.shut()
+    made.process.shutdown.stop_accepting()
     assert front.held  # neither connection nor end: one may wait
     for _ in range(40):
         made.passes(5 * MILLI)
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -383,13 +383,13 @@
     client = made.client()
     client.message({"jsonrpc": "2.0", "id": 1, "method": "ping"})
     made.until(lambda: client.answers)
-    assert client.answers[0]["result"] == {"up": True} and made.process.follower.last_seq == 1
+    assert client.answers[0]["result"] == {"up": True} and made.process.host_list.watcher.last_seq == 1
     made.log.head = HEAD + sse(event(1, ("s-1", made.hosts[1].address, "Ready"), complete=True))
     made.passes(watching.SILENCE_TIMEOUT)
     made.passes(watching.FIRST_BACKOFF)
     assert [host.name for host in made.process.hosts.hosts.values() if host.listed] == ["s-1"]
-    assert made.process.follower.restarts == 1
-    made.process.status()
+    assert made.process.host_list.watcher.restarts == 1
+    made.process.status.write()
     assert made.lines[-1][1]["log_anew"] == 1 and made.lines[-1][1]["log_fault"] == "silent"
 
 
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -17,7 +17,9 @@
 from gaproute.loop import connect
 from gaproute.loop.connecting import DIAL_FIRST
 from gaproute.loop.streams import FAREWELL, address
-from gaproute.platform.process import AGAIN, STATUS, STILL_COMING
+from gaproute.platform.reload import READ_BACKOFF
+from gaproute.platform.shutdown import ACCEPT_TIME
+from gaproute.platform.status import STATUS_INTERVAL
 
 
 def test_a_client_that_takes_no_answers_is_seen_to_leave_though_nothing_is_read(gate):
@@ -183,8 +185,8 @@
     made.loop.running = True
     monkeypatch.setattr(made.process.front, "stop", lambda: 1 / 0)
     made.process.stop()
-    made.passes(STILL_COMING)
-    made.passes(made.process.granted - made.loop.now())
+    made.passes(ACCEPT_TIME)
+    made.passes(made.process.shutdown.times.exit_at - made.loop.now())
     assert not made.loop.running and dict(made.lines)["error"]
 
 
@@ -195,7 +197,7 @@
     """SIGTERM, and all but the last moment in which clients still come; whether the process has ended."""
     made.loop.running = True
     made.process.stop()
-    made.passes(STILL_COMING - MILLI)
+    made.passes(ACCEPT_TIME - MILLI)
     return lambda: not made.loop.running
 
 
@@ -209,7 +211,7 @@
 
 def at_closing(made):
     """The open connections are closed from now on."""
-    made.passes(made.process.closing - made.loop.now())
+    made.passes(made.process.shutdown.times.close_at - made.loop.now())
     assert made.process.front.stopping
 
 
@@ -228,12 +230,12 @@
     made.until(lambda: client.answers)
     made.passes(FAREWELL + MILLI)
     assert "result" in client.answers[0] and not ended() and not client.ended  # it may ask on
-    made.passes(made.process.closing - made.loop.now() - 30 * MILLI)
+    made.passes(made.process.shutdown.times.close_at - made.loop.now() - 30 * MILLI)
     client.ask(2)
     made.until(lambda: len(held) == 2)
     at_closing(made)
     assert client.answers[1]["error"]["code"] == REFUSED
-    made.passes(made.process.granted - made.loop.now() - MILLI)
+    made.passes(made.process.shutdown.times.exit_at - made.loop.now() - MILLI)
     assert not ended()
     if closes:
         client.stream.close()
@@ -254,10 +256,10 @@
     monkeypatch.setattr(link.stream.__class__, "_send", lambda stream, data: 0)
     link.stream.out, link.stream.waiting = [b"x"], 1  # as where the client's window is shut
     made.passes(MILLI)
-    made.passes(made.process.granted - made.loop.now() - MILLI)
+    made.passes(made.process.shutdown.times.exit_at - made.loop.now() - MILLI)
     assert not ended() and made.process.front.held == 1
     made.passes(MILLI)
-    assert ended() and made.process.granted < made.loop.now() + SECOND
+    assert ended() and made.process.shutdown.times.exit_at < made.loop.now() + SECOND
 
 
 def test_half_a_message_at_the_stop_is_answered_when_whole_and_ended_where_it_is_not(gate):
@@ -268,7 +270,7 @@
         made.until(lambda client=client: client.answers)
     ended = stopped(made)
     made.passes(MILLI)
-    made.passes(made.process.closing - made.loop.now() - MILLI)
+    made.passes(made.process.shutdown.times.close_at - made.loop.now() - MILLI)
     said = spoken(whole, 2)
     whole.send(said[:40])
     never.send(said[:40])
@@ -278,7 +280,7 @@
     whole.send(said[40:])
     made.turns()
     assert whole.answers[1]["error"]["code"] == REFUSED and whole.ended and not never.ended
-    made.passes(made.process.granted - made.loop.now())
+    made.passes(made.process.shutdown.times.exit_at - made.loop.now())
     assert ended() and made.process.front.held == 1
     made.process.front.close()
     made.until(lambda: never.ended)
@@ -349,21 +351,25 @@
     before = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)}
     made.process.reload = lambda: 1 / 0
     try:
-        made.process.heed_signals()
+        made.process.handle_signals()
         client = made.client()
         client.ask(1)
         made.until(lambda: made.process.core.in_flight or client.answers)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM):
             os.kill(os.getpid(), number)
         made.loop.running = True
-        made.until(lambda: made.process.stopping)
-        granted = made.process.granted
+        made.until(lambda: made.process.shutdown.begun)
+        granted = made.process.shutdown.times.exit_at
         made.clock.now += 100 * MILLI
         os.kill(os.getpid(), signal.SIGTERM)
         made.turns()
         for _ in range(40):
             made.passes(100 * MILLI)
-        assert made.process.granted == granted and not made.loop.running and "error" in client.answers[0]
+        assert (
+            made.process.shutdown.times.exit_at == granted
+            and not made.loop.running
+            and "error" in client.answers[0]
+        )
     finally:
         signal.set_wakeup_fd(-1)
         for number, call in before.items():
@@ -402,16 +408,18 @@
     made.told["changelog"] = "127.0.0.1:9"
     made.write()
     take()
-    made.process.status()
+    made.process.status.write()
     made.process.reload()
     made.turns()
     give()
     assert [what for what, _ in made.lines[-2:]] == ["status", "configuration not read yet"]
     assert made.lines[-2][1]["descriptors"] is made.lines[-2][1]["memory_mb"] is None
     assert [client.ended for client in clients] == [True] * SHORT + [False] * 2
-    made.passes(AGAIN + MILLI)
-    assert made.lines[-1][0] == "configuration" and made.process.follower.where == address("127.0.0.1:9")
-    made.passes(STATUS)
+    made.passes(READ_BACKOFF + MILLI)
+    assert made.lines[-1][0] == "configuration" and made.process.host_list.watcher.address == address(
+        "127.0.0.1:9"
+    )
+    made.passes(STATUS_INTERVAL)
     assert [what for what, _ in made.lines].count("status") == 4  # both go on
 
 
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -141,7 +141,7 @@
     told = event(2, (name, where, "Ready"))
     if change == "start":
         told["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
-    made.process.told(events.decode_initial({"seq": 2, "results": [told]})[1][0])
+    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [told]})[1][0])
     assert old in known[name].links and not old.trusted
     old.bytes(b'{"type":"served","req":"x","data":""}\n')
     assert old not in known[name].links
@@ -267,7 +267,7 @@
     (other,) = [each for each in made.process.hosts.hosts if each != name]
     where = made.process.hosts.hosts[other].text
     told = event(2, (other, where, "Ready"), complete=True)
-    made.process.told(events.decode_initial({"seq": 2, "results": [told]})[1][0])
+    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [told]})[1][0])
     for host in made.hosts:
         for stream in host.streams:
             stream.abort()
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -176,6 +176,6 @@
     log = Log(pipe[1])
     log.info("lost")
     log.info("lost")
-    assert log.rest == b""
+    assert log.unwritten == b""
     log.info("next")
     assert lines(pipe[0]) == ["next"]
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -151,7 +151,7 @@
 
 def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
     made = gate()
-    made.process.told(
+    made.process.host_list.apply(
         events.decode_initial(
             {
                 "seq": 2,
@@ -166,7 +166,7 @@
         )[1][0]
     )
     made.lines.clear()
-    made.process.status()
+    made.process.status.write()
     told = dict(made.lines)["status"]
     assert len(made.process.hosts.hosts) >= 1000
     assert len(told["believed"]) + len(told["links"]) <= 1
@@ -247,12 +247,12 @@
     made.process.reload()
     made.until(lambda: not made.process.hosts.hosts["s-0"].active)
     assert other.came == [1]
-    assert made.process.follower.last_seq == 2
+    assert made.process.host_list.watcher.last_seq == 2
     other.close()
 
 
 def test_a_stop_serves_on_for_a_while_then_ends_what_it_holds(gate, monkeypatch):
-    monkeypatch.setattr("gaproute.platform.process.STILL_COMING", 60 * MILLI)
+    monkeypatch.setattr("gaproute.platform.shutdown.ACCEPT_TIME", 60 * MILLI)
     held = []
     made = gate(lambda stream, command: held.append((stream, command)))
     client = made.client()
@@ -398,8 +398,8 @@
     made.until(lambda: heard)
     worker = made.process.core.gateway.workers["s-0"]
     at = worker.reported
-    other.send(b"noise", where % made.process.peers.sock.getsockname()[1])
-    other.send(heard[0], where % made.process.peers.sock.getsockname()[1])
+    other.send(b"noise", where % made.process.peers.datagrams.sock.getsockname()[1])
+    other.send(heard[0], where % made.process.peers.datagrams.sock.getsockname()[1])
     made.until(lambda: worker.reported > at)
     assert heard[0][2:] == bytes([64, 128])
     other.close()
@@ -408,7 +408,7 @@
 def test_an_address_for_peers_that_cannot_be_had_is_no_reason_not_to_start(gate):
     settings = SETTINGS | {"balancers": 2, "limits": SETTINGS["limits"] | {"peers": True}}
     made = gate(settings=settings, peer_listen="192.0.2.1:1", peers_all="127.0.0.1:9")
-    assert made.process.peers is None
+    assert made.process.peers.datagrams is None
     assert any(what == "no peers" for what, _ in made.lines)
     made.client().ask(1)
     made.until(lambda: made.clients[0].answers)
@@ -443,7 +443,7 @@
         _, (change,) = events.decode_initial(
             {"seq": number, "results": [event(number, *rows, complete=True)]}
         )
-        made.process.told(change)
+        made.process.host_list.apply(change)
     took = (time.process_time() - began) / 10
     assert len(made.process.core.gateway.fleet) == 1024
     assert took < 0.2
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -12,7 +12,7 @@
 
 from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
 from gaproute.loop.streams import address
-from gaproute.platform.process import GRANTED, LONGEST, STILL_COMING, schedule
+from gaproute.platform.shutdown import ACCEPT_TIME, KILL_GRACE, MAX_COUNTED_DEADLINE, shutdown_times
 from tests.fronts.test_unanswered_requests import codes, holding
 
 STEP = 20 * MILLI  # between two requests of a client
@@ -27,7 +27,7 @@
 
 def killed(deadline):
     """When SIGKILL may come after SIGTERM; ns."""
-    return min(deadline * MILLI, LONGEST) + GRANTED
+    return min(deadline * MILLI, MAX_COUNTED_DEADLINE) + KILL_GRACE
 
 
 def terminated(made):
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("deadline", DEADLINES)
 def test_connections_are_closed_after_the_last_clients_came_and_well_before_sigkill(deadline):
-    closing, granted = schedule([deadline * MILLI], 0, 0)
+    closing, granted = shutdown_times([deadline * MILLI], 0, 0)
     assert 600 * MILLI < closing < granted < killed(deadline)
     assert killed(deadline) - closing >= 50 * MILLI
     assert granted - closing >= 25 * MILLI
@@ -80,7 +80,7 @@
         made.clock.now += STEP
     made.turns()
     numbers = [each["id"] for each in client.answers]
-    lasted = made.process.closing - began
+    lasted = made.process.shutdown.times.close_at - began
     assert asked >= lasted // STEP
     assert client.ended
     assert not made.loop.running
@@ -96,12 +96,12 @@
     made = gate(nothing, clock=Handed())
     client = made.client()
     began = terminated(made)
-    made.passes(STILL_COMING + SECOND)
+    made.passes(ACCEPT_TIME + SECOND)
     client.ask(1, method, d=2500)  # it would end after SIGKILL
     made.until(lambda: made.came())
-    made.passes(made.process.closing - made.loop.now())
+    made.passes(made.process.shutdown.times.close_at - made.loop.now())
     assert [each["error"]["code"] for each in client.answers] == [code]
-    made.passes(made.process.granted - made.loop.now() - MILLI)
+    made.passes(made.process.shutdown.times.exit_at - made.loop.now() - MILLI)
     assert not made.loop.running
     assert made.loop.now() - began < killed(3000)
 
@@ -116,8 +116,8 @@
     busy.ask(2)
     made.until(lambda: busy.answers)
     terminated(made)
-    made.passes(STILL_COMING)
-    made.clock.now = made.process.closing
+    made.passes(ACCEPT_TIME)
+    made.clock.now = made.process.shutdown.times.close_at
     for place, client in enumerate((resting, busy)):
         client.ask(10 + place)  # in the gateway's socket as it closes its connections
     made.process.front.stop()
@@ -138,7 +138,7 @@
     late.ask(2, d=deadline)
     made.until(lambda: late.answers)
     assert "result" in late.answers[0]
-    made.passes(min(STILL_COMING, made.process.closing - began) - 600 * MILLI)
+    made.passes(min(ACCEPT_TIME, made.process.shutdown.times.close_at - began) - 600 * MILLI)
     assert refuses(made.where)
 
 
@@ -169,7 +169,7 @@
     client.ask(1)
     made.until(lambda: client.answers)
     terminated(made)
-    made.passes(STILL_COMING)
+    made.passes(ACCEPT_TIME)
     made.passes(SECOND)
     assert made.loop.running
     assert made.process.front.parked == 1
@@ -181,7 +181,7 @@
 def test_no_connection_at_all_leaves_the_process_once_nobody_new_is_accepted(gate):
     made = gate(clock=Handed())
     terminated(made)
-    made.passes(STILL_COMING - MILLI)
+    made.passes(ACCEPT_TIME - MILLI)
     assert made.loop.running
     made.passes(MILLI)
     assert not made.loop.running
@@ -191,7 +191,7 @@
 def test_a_signal_in_a_stalled_turn_counts_from_when_it_may_have_come(gate, signals, monkeypatch, stall):
     monkeypatch.setattr("gaproute.loop.loop.ADMISSION_TIME", 0)  # one of those who wait each turn
     made = gate(clock=Handed())
-    made.process.heed_signals()
+    made.process.handle_signals()
     clients = [made.client() for _ in range(20)]
     for number, client in enumerate(clients):
         client.ask(1, i=f"{number:016x}")
@@ -212,7 +212,7 @@
     time_passes()
     made.loop.run()
     late = 100 * MILLI  # a sweep is due by then: the first timer that tells of the stall
-    assert made.process.granted <= max(began + late + killed(3000), stalled + 200 * MILLI)
+    assert made.process.shutdown.times.exit_at <= max(began + late + killed(3000), stalled + 200 * MILLI)
     made.process.front.close()  # as the process does at its end
     made.turns()
     assert all([each["id"] for each in client.answers] == [1, 2] for client in clients)
@@ -221,7 +221,7 @@
 def test_sigterm_with_sighup_before_the_first_turn_serves_on_and_leaves(gate, signals):
     """As where both come while the process starts."""
     made = gate(clock=Handed())
-    made.process.heed_signals()
+    made.process.handle_signals()
     made.told["changelog"] = "127.0.0.1:9"
     made.write()
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
@@ -230,15 +230,15 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    assert made.process.stopping
+    assert made.process.shutdown.begun
     assert made.process.configuration.changelog == "127.0.0.1:9"
-    granted = made.process.granted
+    granted = made.process.shutdown.times.exit_at
     os.kill(os.getpid(), signal.SIGTERM)
-    made.passes(made.process.closing - made.loop.now() - MILLI)
+    made.passes(made.process.shutdown.times.close_at - made.loop.now() - MILLI)
     client.ask(2)
     made.until(lambda: len(client.answers) == 2)
     assert "result" in client.answers[0]
-    assert made.process.granted == granted
+    assert made.process.shutdown.times.exit_at == granted
     made.passes(granted - made.loop.now())
     assert not made.loop.running
 
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -11,7 +11,7 @@
 import pytest
 from scripted import MILLI, SECOND, Handed
 
-from gaproute.platform.log import BURST, Log
+from gaproute.platform.log import MAX_LINES_PER_SECOND, Log
 from gaproute.standins.platform import LineHost, event, sse
 
 HOUR = 3600 * SECOND
@@ -155,7 +155,7 @@
     reader, writer = os.pipe()
     clock, walls = [10.0], iter(range(1000, 0, -1))
     log = Log(writer, lambda: next(walls), lambda: clock[0])
-    for _ in range(BURST + 50):
+    for _ in range(MAX_LINES_PER_SECOND + 50):
         log.info("x")
     clock[0] = 11.0
     log.wall = lambda: 500
@@ -163,6 +163,6 @@
     os.close(writer)
     with os.fdopen(reader) as file:
         lines = [json.loads(line) for line in file]
-    assert len(lines) == BURST + 1
+    assert len(lines) == MAX_LINES_PER_SECOND + 1
     assert lines[-1]["left_out"] == 50
     assert lines[-1]["at"] == 500
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -22,7 +22,9 @@
 from gaproute.platform import __main__ as program
 from gaproute.platform import configuration as platform_configuration
 from gaproute.platform.log import Log
-from gaproute.platform.process import AGAIN, AGAIN_LONGEST, PEERS_LONGEST, Process
+from gaproute.platform.peers import MAX_BIND_BACKOFF
+from gaproute.platform.process import Process
+from gaproute.platform.reload import MAX_READ_BACKOFF, READ_BACKOFF
 
 SHORT = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
@@ -119,7 +121,7 @@
     monkeypatch.setattr(program, "Patience", lambda: patience)
     monkeypatch.setattr(program.gc, "freeze", lambda: None)
     monkeypatch.setattr(Process, "run", lambda process: made.append(process))
-    monkeypatch.setattr(Log, "line", lambda *_: None)
+    monkeypatch.setattr(Log, "write_line", lambda *_: None)
     before = open_descriptors()
 
     def run(**changes):
@@ -133,10 +135,9 @@
         signal.signal(number, signal.SIG_DFL if number != signal.SIGINT else signal.default_int_handler)
     for process in made:
         process.front.close()
-        process.follower.close()
+        process.host_list.close()
         process.hosts.close()
-        if process.peers is not None:
-            process.peers.close()
+        process.peers.close()
         (pipe,) = process.loop.watched
         process.loop.close()
         os.close(pipe)
@@ -285,12 +286,12 @@
 def test_peers_that_cannot_be_heard_at_the_start_are_heard_later(gate, monkeypatch, name, code):
     made = gate(clock=Handed(), peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
     monkeypatch.setattr(datagrams, "socket", Sockets(name, *[code] * 3))
-    made.process.hear_peers()
-    assert made.process.peers is None
+    made.process.peers.open()
+    assert made.process.peers.datagrams is None
     for _ in range(30):
         made.passes(50 * MILLI)
-    assert made.process.peers is not None
-    assert made.process.peers_timer is None
+    assert made.process.peers.datagrams is not None
+    assert made.process.peers.retry_timer is None
     assert [what for what, _ in made.lines if "peers" in what] == ["no peers", "peers"]
     made.process.core.broadcast(b"x")
 
@@ -299,9 +300,9 @@
     made = gate(clock=Handed(), peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
     sockets = Sockets("socket", *[errno.EMFILE] * 999)
     monkeypatch.setattr(datagrams, "socket", sockets)
-    made.process.hear_peers()
+    made.process.peers.open()
     for _ in range(60):
-        made.passes(PEERS_LONGEST // 5)
+        made.passes(MAX_BIND_BACKOFF // 5)
     assert 15 <= sockets.socket.failed <= 25
     assert [what for what, _ in made.lines].count("no peers") == 1
 
@@ -325,17 +326,17 @@
     failing = Failing(builtins.open, *[code] * 999)
     monkeypatch.setattr(platform_configuration, "open", failing, raising=False)
     made.process.reload()
-    made.passes(AGAIN)
-    made.passes(2 * AGAIN)
+    made.passes(READ_BACKOFF)
+    made.passes(2 * READ_BACKOFF)
     assert failing.failed == 3
-    for _ in range(AGAIN_LONGEST // AGAIN):
-        made.passes(AGAIN)
+    for _ in range(MAX_READ_BACKOFF // READ_BACKOFF):
+        made.passes(READ_BACKOFF)
     assert 4 <= failing.failed <= 6
     failing.codes.clear()
-    made.passes(AGAIN_LONGEST)
-    made.passes(AGAIN_LONGEST)
+    made.passes(MAX_READ_BACKOFF)
+    made.passes(MAX_READ_BACKOFF)
     assert made.process.configuration.changelog == "127.0.0.1:9"
-    assert made.process.again is None
+    assert made.process.reloader.retry_timer is None
 
 
 def test_a_reload_that_is_refused_is_not_tried_again(gate):
@@ -343,7 +344,7 @@
     made.path.write_text("no JSON")
     made.process.reload()
     assert made.lines[-1][0] == "configuration refused"
-    assert made.process.again is None
+    assert made.process.reloader.retry_timer is None
 
 
 def _raise_from_a_cause():
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -161,9 +161,9 @@
         } | told
         self.write()
         log = Log(-1)
-        log.line = lambda level, what, told: self.lines.append((what, told))
+        log.write_line = lambda level, what, told: self.lines.append((what, told))
         self.process = Process(
-            str(self.path), read_configuration(str(self.path)), loop=self.loop, log=log, followed=followed
+            str(self.path), read_configuration(str(self.path)), loop=self.loop, log=log, trace_one_in=followed
         )
         self.process.start()
         self.where = self.process.front.address
@@ -203,7 +203,7 @@
     def close(self):
         for part in (
             self.process.front,
-            self.process.follower,
+            self.process.host_list,
             self.process.hosts,
             self.process.peers,
             *self.hosts,
