--- a/gaproute/benchlink/__init__.py
+++ b/gaproute/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: `python -m gaproute.benchlink` reads batches on stdin and answers on stdout."""
+"""The adapter of the bench's simulator: `python -m gaproute.benchlink` answers batches of its wire."""
--- /dev/null
+++ b/gaproute/benchlink/decoding.py
@@ -0,0 +1,187 @@
+"""Fields of the simulator's lines as types of the decisions; the wire's words stop here.
+
+Every public function raises `ProtocolError` for what it cannot read: that is no error of the decisions.
+"""
+
+import json
+from collections.abc import Callable
+from functools import wraps
+from typing import TypeVar, cast
+
+from gaproute import interface as face
+from gaproute import settings
+from gaproute.benchlink.lines import (
+    ABSENT,
+    AttemptEnded,
+    ListRow,
+    PeerMessage,
+    ProbeAnswered,
+    ProtocolError,
+    RequestReceived,
+    StreamStarted,
+)
+
+MICRO = 1_000
+MICROS_PER_MILLI = 1_000
+STATES = {"active": face.State.ACTIVE, "leaving": face.State.DRAINING, "left": face.State.GONE}
+RESULTS = {
+    "0": face.Result.OK,
+    "1": face.Result.ERROR,
+    "2": face.Result.FULL,
+    "3": face.Result.TIMEOUT,
+    "4": face.Result.CONNECT_FAILED,
+    "5": face.Result.RESET,
+    "6": face.Result.CANCELLED,
+    "7": face.Result.NOT_SENT,
+    "8": face.Result.NOT_LOADED,
+}
+OK = "0"
+FLAGS = {"0": False, "1": True, ABSENT: False}
+# A remark: the lower bits say what the attempt found, the others count requests of the same function.
+FOUND_BITS = 3
+MAX_FOUND = 4
+
+Decode = TypeVar("Decode", bound=Callable[..., object])
+
+
+def decoder(decode: Decode) -> Decode:
+    """Makes `ProtocolError` of whatever a value that cannot be read raises."""
+
+    @wraps(decode)
+    def checked(*arguments: object) -> object:
+        try:
+            return decode(*arguments)
+        except ProtocolError:
+            raise
+        except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
+            raise ProtocolError(f"{decode.__name__}: {error}") from error
+
+    return cast(Decode, checked)
+
+
+@decoder
+def decode_clock(text: str) -> int:
+    """The clock of a batch, ns."""
+    return _nanoseconds(text) or 0
+
+
+@decoder
+def decode_integer(text: str) -> int:
+    """A whole number; 0 where it is absent."""
+    return _integer(text)
+
+
+@decoder
+def decode_terms(text: str) -> face.Terms:
+    """The settings of an instance."""
+    return settings.read_terms(json.loads(text))
+
+
+@decoder
+def decode_host(row: ListRow) -> face.ListedHost:
+    """A host of a list."""
+    if row.state not in STATES:
+        raise ProtocolError(f"unknown state {row.state!r}")
+    return face.ListedHost(
+        row.host,
+        _integer(row.zone),
+        _integer(row.cell),
+        STATES[row.state],
+        1.0 if row.capacity == ABSENT else float(row.capacity),
+        _nanoseconds(row.started) or None,
+    )
+
+
+@decoder
+def decode_request(line: RequestReceived) -> face.Request:
+    """A client's request."""
+    return face.Request(
+        line.id,
+        _integer(line.tenant),
+        _nanoseconds(line.time_left) or 0,
+        line.function,
+        max(1, _integer(line.lanes, absent=1)),
+        _nanoseconds(line.load_time),
+        _integer(line.request_class),
+    )
+
+
+@decoder
+def decode_outcome(line: AttemptEnded, same_function_counted: bool) -> face.Outcome | None:
+    """The outcome of an attempt; None where its result is unknown."""
+    result = RESULTS.get(line.result)
+    if result is None:
+        return None
+    remark = _integer(line.remark)
+    found = remark & ((1 << FOUND_BITS) - 1)
+    counted = same_function_counted and result in (face.Result.OK, face.Result.FULL)
+    return face.Outcome(
+        line.request,
+        _integer(line.attempt),
+        line.host,
+        result,
+        _nanoseconds(line.elapsed) or 0,
+        _flag(line.ended),
+        face.Found(found if found <= MAX_FOUND else 0),
+        remark >> FOUND_BITS if counted else None,
+        _report(line.report),
+    )
+
+
+@decoder
+def decode_stream_start(line: StreamStarted) -> face.Outcome:
+    """The outcome that says that a streamed answer has begun."""
+    return face.Outcome(
+        line.request,
+        _integer(line.attempt),
+        line.host,
+        face.Result.STREAM_STARTED,
+        _nanoseconds(line.elapsed) or 0,
+        False,
+        face.Found.UNKNOWN,
+        None,
+        None,
+    )
+
+
+@decoder
+def decode_probe_report(line: ProbeAnswered) -> face.Report | None:
+    """The load report in the answer to a health check."""
+    return _report(line.report)
+
+
+@decoder
+def decode_payload(line: PeerMessage) -> bytes:
+    """What another instance sent."""
+    return bytes.fromhex(line.payload)
+
+
+def encode_milliseconds(duration: int) -> str:
+    """A duration in ns as the wire's milliseconds, rounded up to its microseconds."""
+    return f"{-(-duration // MICRO) / MICROS_PER_MILLI:.3f}"
+
+
+def _nanoseconds(text: str) -> int | None:
+    """Milliseconds on the wire, rounded to its microseconds, as ns; None where they are absent."""
+    return None if text == ABSENT else round(float(text) * MICROS_PER_MILLI) * MICRO
+
+
+def _integer(text: str, *, absent: int = 0) -> int:
+    return absent if text == ABSENT else int(text)
+
+
+def _flag(text: str) -> bool:
+    if text not in FLAGS:
+        raise ProtocolError(f"{text!r} is no bool")
+    return FLAGS[text]
+
+
+def _report(text: str) -> face.Report | None:
+    if text in (ABSENT, ""):
+        return None
+    pairs = dict(pair.split(":", 1) for pair in text.split(","))
+
+    def figure(name: str) -> float | None:
+        return float(pairs[name]) if pairs.get(name, ABSENT) != ABSENT else None
+
+    return face.Report(figure("busy_reqs"), figure("pending"), figure("cpu_share"), figure("x0"))
--- /dev/null
+++ b/gaproute/benchlink/hub.py
@@ -0,0 +1,155 @@
+"""Hands the lines of the simulator's batches to its instances and gathers their replies."""
+
+import traceback
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from gaproute import interface as face
+from gaproute.benchlink import decoding, lines
+from gaproute.benchlink.events import EVENT_HANDLERS
+from gaproute.benchlink.instance import Instance, MakeGateway
+from gaproute.decisions.routing import Gateway
+
+WHOLE_LISTS = ("all", "remembered")
+CHANGES, REFUSED = "changes", "refused"
+
+
+class UnfinishedList(NamedTuple):
+    """A host list of which rows are still to come."""
+
+    number: str
+    missing: int
+
+
+class DueTimer(NamedTuple):
+    """A timer of an instance that is due in this batch."""
+
+    instance: int
+    line: lines.TimerFired
+
+
+class Hub:
+    """All instances of the process; they share nothing but the wire and its numbered host lists."""
+
+    def __init__(self, make_gateway: MakeGateway = Gateway) -> None:
+        self.make_gateway = make_gateway
+        self.instances: dict[int, Instance] = {}
+        self.host_lists: dict[str, list[face.ListedHost]] = {}  # by number
+        self.unfinished: UnfinishedList | None = None
+        self.now = 0
+        self.sequence = "0"  # of the batch
+        self.selected: int | None = None  # the instance that lines are for
+        self.failures: dict[int, str] = {}  # of the decisions in this batch, by instance
+        self.due_timers: list[DueTimer] = []  # they fire last, when all that came in is accounted for
+        self.batch_handlers: dict[type, Callable[[Any], None]] = {
+            lines.Sync: self._begin_batch,
+            lines.SelectInstance: self._select,
+            lines.DefineList: self._begin_list,
+            lines.ListRow: self._add_row,
+        }
+
+    def line(self, text: str) -> list[str] | None:
+        """Takes one line. Returns the reply's lines when it ends a batch, else None.
+
+        Errors: ValueError, `ProtocolError` among them, for a line that breaks the wire format.
+        """
+        name, line = lines.split_line(text)
+        kind = type(line)
+        if self.unfinished is not None and kind is not lines.ListRow:
+            raise lines.ProtocolError(f"{self.unfinished.missing} list rows missing")
+        if kind is lines.EndOfBatch:
+            return self._reply()
+        if (handle := self.batch_handlers.get(kind)) is not None:
+            handle(line)
+        elif self.selected is None:
+            raise lines.ProtocolError(f"{name} before any FOR")
+        elif isinstance(line, lines.TimerFired):
+            self.due_timers.append(DueTimer(self.selected, line))
+        else:
+            self._handle_event(self.selected, line)
+        return None
+
+    # Lines of no instance
+
+    def _begin_batch(self, line: lines.Sync) -> None:
+        self.now, self.sequence = decoding.decode_clock(line.clock), line.sequence
+        self.selected = None
+
+    def _select(self, line: lines.SelectInstance) -> None:
+        self.selected = int(line.instance)
+
+    def _begin_list(self, line: lines.DefineList) -> None:
+        self.host_lists[line.number] = []
+        self._await_rows(line.number, int(line.row_count))
+
+    def _add_row(self, line: lines.ListRow) -> None:
+        if self.unfinished is None:
+            raise lines.ProtocolError("list row outside a list")
+        number, missing = self.unfinished
+        self.host_lists[number].append(decoding.decode_host(line))
+        self._await_rows(number, missing - 1)
+
+    def _await_rows(self, number: str, missing: int) -> None:
+        self.unfinished = UnfinishedList(number, missing) if missing > 0 else None
+
+    # Events of an instance
+
+    def _handle_event(self, number: int, line: lines.Line) -> None:
+        """Hands an event to an instance; an error of its decisions is reported, and ends nothing else."""
+        try:
+            if isinstance(line, lines.OpenInstance):
+                self._open(number, line)
+            elif isinstance(line, lines.KillInstance):
+                self._kill(number)
+            elif (instance := self.instances.get(number)) is None:
+                return
+            elif isinstance(line, lines.HostListUpdate):
+                self._update_hosts(instance, line)
+            else:
+                EVENT_HANDLERS[type(line)](instance, self.now, line)
+        except lines.ProtocolError:
+            raise
+        except Exception as error:  # noqa: BLE001 - whatever it is, the simulator is told
+            self.failures[number] = _describe(error)
+
+    def _open(self, number: int, line: lines.OpenInstance) -> None:
+        seed, terms = decoding.decode_integer(line.seed), decoding.decode_terms(line.settings)
+        self.instances[number] = Instance(self.make_gateway, seed, terms, self.now)
+
+    def _kill(self, number: int) -> None:
+        self.instances.pop(number, None)
+        self.due_timers = [timer for timer in self.due_timers if timer.instance != number]
+
+    def _update_hosts(self, instance: Instance, line: lines.HostListUpdate) -> None:
+        if line.kind == REFUSED:
+            instance.gateway.list_refused(self.now)
+        elif line.kind == CHANGES or line.kind in WHOLE_LISTS:
+            if line.list_number not in self.host_lists:
+                raise lines.ProtocolError(f"no list {line.list_number}")
+            rows = self.host_lists[line.list_number]
+            instance.gateway.listed(self.now, rows, line.kind in WHOLE_LISTS)
+        instance.start_housekeeping(self.now)
+
+    # The reply
+
+    def _reply(self) -> list[str]:
+        due_timers, self.due_timers = self.due_timers, []
+        for timer in due_timers:
+            self._handle_event(timer.instance, timer.line)
+        reply: list[str] = []
+        for number, instance in self.instances.items():
+            if instance.lines:
+                reply += [f"SOURCE {number}", *instance.lines]
+                instance.lines = []
+        for number, text in self.failures.items():
+            reply += [f"SOURCE {number}", f"INTERNAL_ERROR {text}"]
+        self.failures = {}
+        reply.append(f"NEXT {self.sequence}")
+        return reply
+
+
+def _describe(error: Exception) -> str:
+    """Type, message and place of an error, in one line."""
+    place = traceback.extract_tb(error.__traceback__)[-1]
+    text = f"{type(error).__name__}: {error} at {place.name}, line {place.lineno}"
+    return text.replace("\n", " ")
--- /dev/null
+++ b/gaproute/benchlink/lines.py
@@ -0,0 +1,206 @@
+"""The lines that the simulator sends, split into their fields; values are still text."""
+
+from typing import NamedTuple
+
+ABSENT = "-"  # in place of a value
+
+
+class ProtocolError(ValueError):
+    """A line that breaks the wire format."""
+
+
+class Sync(NamedTuple):
+    """A batch begins."""
+
+    clock: str
+    sequence: str
+
+
+class EndOfBatch(NamedTuple):
+    """The batch is complete and wants its reply."""
+
+
+class SelectInstance(NamedTuple):
+    """The events that follow are for this instance."""
+
+    instance: str
+
+
+class OpenInstance(NamedTuple):
+    """An instance starts."""
+
+    seed: str
+    settings: str
+
+
+class KillInstance(NamedTuple):
+    """The instance is killed, with all that it knew."""
+
+
+class DefineList(NamedTuple):
+    """A host list begins; so many rows follow."""
+
+    number: str
+    row_count: str
+
+
+class ListRow(NamedTuple):
+    """A host of the list."""
+
+    host: str
+    zone: str
+    machine_type: str
+    cell: str
+    state: str
+    capacity: str
+    started: str
+
+
+class HostListUpdate(NamedTuple):
+    """The instance is given a host list, or its changes."""
+
+    revision: str
+    kind: str
+    list_number: str
+
+
+class RequestReceived(NamedTuple):
+    """A client's request."""
+
+    id: str
+    tenant: str
+    time_left: str
+    flags: str
+    function: str
+    work: str
+    lanes: str
+    load_time: str
+    memory: str
+    request_class: str
+
+
+class StreamStarted(NamedTuple):
+    """A streamed answer has begun."""
+
+    request: str
+    host: str
+    elapsed: str
+    attempt: str
+
+
+class AttemptEnded(NamedTuple):
+    """What became of an attempt."""
+
+    request: str
+    attempt: str
+    host: str
+    result: str
+    elapsed: str
+    ended: str
+    remark: str
+    report: str
+
+
+class ClientLeft(NamedTuple):
+    """The client has left, or its deadline is over."""
+
+    request: str
+
+
+class TimerFired(NamedTuple):
+    """A timer is due."""
+
+    tag: str
+
+
+class ProbeAnswered(NamedTuple):
+    """The answer to a health check."""
+
+    host: str
+    elapsed: str
+    result: str
+    report: str
+
+
+class PeerMessage(NamedTuple):
+    """What another instance sent."""
+
+    sender: str
+    payload: str
+
+
+class LoadOrderAnswered(NamedTuple):
+    """The answer to a load order."""
+
+    host: str
+    function: str
+    result: str
+    elapsed: str
+    copies: str
+
+
+Line = (
+    Sync
+    | EndOfBatch
+    | SelectInstance
+    | OpenInstance
+    | KillInstance
+    | DefineList
+    | ListRow
+    | HostListUpdate
+    | RequestReceived
+    | StreamStarted
+    | AttemptEnded
+    | ClientLeft
+    | TimerFired
+    | ProbeAnswered
+    | PeerMessage
+    | LoadOrderAnswered
+)
+LINES: dict[str, type[Line]] = {
+    "SYNC": Sync,
+    "OVER_TO_YOU": EndOfBatch,
+    "FOR": SelectInstance,
+    "OPEN_INSTANCE": OpenInstance,
+    "CRASH_NOW": KillInstance,
+    "LIST": DefineList,
+    "M": ListRow,
+    "TARGETS": HostListUpdate,
+    "CALL": RequestReceived,
+    "ACCEPTED": StreamStarted,
+    "REPLY": AttemptEnded,
+    "GONE": ClientLeft,
+    "ALARM": TimerFired,
+    "HEALTH_RESULT": ProbeAnswered,
+    "PEER_DATA": PeerMessage,
+    "STANDS": LoadOrderAnswered,
+}
+FREE_TEXT_LAST = frozenset(("OPEN_INSTANCE", "ALARM"))  # their last field goes on to the line's end
+
+
+class LineFormat(NamedTuple):
+    """How a line is split into fields."""
+
+    kind: type[Line]
+    field_count: int
+    max_splits: int  # -1: as many as there are
+
+
+def _format_of(name: str, kind: type[Line]) -> LineFormat:
+    count = len(kind._fields)
+    return LineFormat(kind, count, count - 1 if name in FREE_TEXT_LAST else -1)
+
+
+FORMATS = {name: _format_of(name, kind) for name, kind in LINES.items()}
+
+
+def split_line(text: str) -> tuple[str, Line]:
+    """Name and fields of one line. Errors: ProtocolError."""
+    name, _, rest = text.partition(" ")
+    if name not in FORMATS:
+        raise ProtocolError(f"unknown message {name!r}")
+    kind, field_count, max_splits = FORMATS[name]
+    fields = rest.split(" ", max_splits) if rest or name in FREE_TEXT_LAST else []
+    if len(fields) != field_count:
+        raise ProtocolError(f"{name} has {len(fields)} values, {field_count} expected")
+    return name, kind(*fields)
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -45,7 +45,10 @@
     def listed(self, now: int, rows: Sequence[face.ListedHost], complete: bool, /) -> None:
         """Takes the host list (`complete`) or a change of it."""
 
-    def stood(self, now: int, host: str, function: str, result: face.Result, copies: int, /) -> None:
+    def list_refused(self, now: int, /) -> None:
+        """The host list was asked for and did not come."""
+
+    def stood(self, now: int, host: str, function: str, result: face.Result | None, copies: int, /) -> None:
         """Accounts for the answer to a load order: so many copies stand."""
 
 
--- a/tests/benchlink/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -3,7 +3,8 @@
 import pytest
 
 from gaproute import interface as face
-from gaproute.benchlink import __main__ as link
+from gaproute.benchlink.__main__ import main
+from gaproute.benchlink.hub import Hub
 
 OPEN = (
     'OPEN_INSTANCE 5 {"lanes": [{"aim": 1000.0, "deadline": 4000.0, "effect": "free", "new": 1}], '
@@ -15,7 +16,7 @@
 
 def play(text):
     sink = io.StringIO()
-    return link.main(io.StringIO(text), sink), sink.getvalue()
+    return main(io.StringIO(text), sink), sink.getvalue()
 
 
 def test_a_task_is_relayed_and_late_events_are_passed_over():
@@ -60,7 +61,7 @@
 
 
 def test_an_exception_in_the_module_is_told_with_type_message_and_place():
-    hub = link.Hub(make=lambda *_: 1 / 0)
+    hub = Hub(make_gateway=lambda *_: 1 / 0)
     said = [hub.line(line) for line in ("SYNC 1 1", "FOR 3", OPEN, "OVER_TO_YOU")][-1]
     assert said[0] == "SOURCE 3" and said[1].startswith(
         "INTERNAL_ERROR ZeroDivisionError: division by zero at "
@@ -84,7 +85,7 @@
 
 
 def test_after_a_stall_what_came_in_is_booked_before_any_wait_is_over():
-    hub = link.Hub(make=Recorder)
+    hub = Hub(make_gateway=Recorder)
     other = CALL.replace("r1", "r2")
     late = "ALARM r2|2\nREPLY r1 0 h 0 7.5 1 0 -"
     for line in f"SYNC 1 1\nFOR 3\n{OPEN}\n{CALL}\n{other}\nOVER_TO_YOU\nSYNC 2000 2\nFOR 3\n{late}".split(
@@ -96,7 +97,7 @@
 
 
 def test_timers_of_an_instance_that_was_killed_do_not_wake_its_successor():
-    hub = link.Hub(make=Recorder)
+    hub = Hub(make_gateway=Recorder)
     for line in f"SYNC 1 1\nFOR 3\n{OPEN}\n{CALL}\nOVER_TO_YOU\nSYNC 9 2\nFOR 3\nALARM r1|1\nCRASH_NOW".split(
         "\n"
     ):
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -10,7 +10,7 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, nothing
 
-from gaproute.benchlink import wire
+from gaproute.benchlink.decoding import decode_terms
 from gaproute.discovery.changelog import events
 from gaproute.fronts.jsonrpc import front as fronts
 from gaproute.fronts.jsonrpc import link as links
@@ -24,7 +24,7 @@
 
 
 def test_the_start_object_is_read_alike_for_the_wire_and_for_the_node():
-    assert wire.terms(json.dumps(SETTINGS)) == read_terms(SETTINGS)
+    assert decode_terms(json.dumps(SETTINGS)) == read_terms(SETTINGS)
     told = read_deployment(SETTINGS)
     assert (told.class_names, told.requests_per_connection, told.idle_time) == (
         ("fault-check", "repair-order"),
