--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -1,6 +1,6 @@
 """The hosts as sockets that carry lines: relays, orders and probes, each on a connection (`connection`)."""
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts.attempts import UnsentAttempt
 from gaproute.hosts.jsonlines import messages
 from gaproute.hosts.jsonlines.connection import NO_DEADLINE, Connection, ConnectionSet, PendingRequest
@@ -44,7 +44,11 @@
         # The settings tell when hosts close an idle connection. Those that end sooner are reset by chance,
         # which says nothing of the next: learning from them opened one for nearly every relay.
         self.idle_time = site.idle_time or None
-        self.shared, self.counts, self.halts = site.shared, site.same_function_counted, site.halts
+        self.shared, self.counts, self.halts = (
+            site.requests_per_connection,
+            site.same_function_counted,
+            site.cancel_allowed,
+        )
         self.hosts, self.tags = {}, 0
         self.opened = self.reused = self.multiplexed = self.malformed = self.unmatched = self.unread = 0
         self.sweep()
@@ -141,10 +145,12 @@
             return UnsentAttempt(self.loop, done, Result.CONNECT_FAILED)
 
         def came(reply, failure):
-            said = Heard(failure, None) if reply is None else messages.decode_attempt(reply, self.counts)
+            said = (
+                AttemptResult(failure, None) if reply is None else messages.decode_attempt(reply, self.counts)
+            )
             if said is None:
                 self.unread += 1
-                said = Heard(Result.ERROR, None)
+                said = AttemptResult(Result.ERROR, None)
             done(said)
             return said.result is Result.OK
 
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.interface import Found, Result
 from gaproute.interface.call import Answer
-from gaproute.terms import report
+from gaproute.settings import read_report
 
 MAX_LINE_BYTES = 128 * 1024  # bytes of one answer: a body of 16 KiB in base64 takes 22, and hosts add little
 RESULTS = {
@@ -108,12 +108,12 @@
             data = reply.data.encode("ascii")
             binascii.a2b_base64(data, strict_mode=True)
         except (AttributeError, UnicodeEncodeError, binascii.Error):  # an empty body is "", none is None
-            return Heard(Result.ERROR, None)  # it ran, but what it gave is lost
+            return AttemptResult(Result.ERROR, None)  # it ran, but what it gave is lost
         answer = Answer(200, (), data)
     alike = None
     if counts and result in (Result.OK, Result.FULL):
         alike = int(min(valid_load(reply.meta.get("queue_fn")) or 0, 1 << 20))
-    return Heard(
+    return AttemptResult(
         result,
         answer,
         NOTES.get(reply.meta.get("tell"), Found.UNKNOWN),
@@ -142,7 +142,7 @@
         return None
     pairs = (pair.partition(":") for pair in text.split(";"))
     figures = {name: valid_load(value) for name, _, value in pairs}
-    return report({name: value for name, value in figures.items() if value is not None})
+    return read_report({name: value for name, value in figures.items() if value is not None})
 
 
 def valid_load(value):
