--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -10,7 +10,7 @@
 
 
 def status(gate):
-    counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
+    counts, others, lot, hosts = gate.record.snapshot(), gate.others, gate.lot, gate.hosts
     server, writer, client = others.peer_server, others.observation_writer, others.observation_client
     transport = others.membership_transport
     return {
@@ -18,7 +18,7 @@
         "stopping": gate.stopping,
         "ready": gate.ready(),
         "up_ms": (gate.loop.now() - gate.started) // MILLI,
-        "held": len(gate.core.held),
+        "held": len(gate.core.in_flight),
         "late_turns": gate.loop.late_turns,
         "counts": counts,
         "clients": {
@@ -61,7 +61,7 @@
 
 
 def host_table(gate):
-    relays = gate.record.table().get("relay", {})
+    relays = gate.record.snapshot().get("relay", {})
     told = []
     for name, row in sorted(gate.rows.items()):
         host = gate.hosts.hosts.get(name)
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -131,7 +131,7 @@
         time_left = min(request.max_wait, limit.deadline)
         connection.request_count += 1
         connection.owes_until = max(connection.owes_until, arrived_at + time_left + LATE_ANSWER_TIME)
-        key = self.core.take(
+        key = self.core.submit(
             self._call(connection, request),
             limit.class_index,
             0,
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -171,7 +171,7 @@
             self.core.client_left(key)
             self.answer_half_closed(request)
 
-        key = self.core.take(
+        key = self.core.submit(
             call, track, tenant, model.lanes, model.load, request.arrived_at, limit - self.way_back, finish
         )
         request.on_client_left = gone
