--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -22,7 +22,7 @@
 
 from rows import write
 
-from gaproute.http1 import Limits, Reader, Server, render
+from gaproute.http1 import Limits, RequestReader, Server, render
 from gaproute.load import Crowd, read_load
 from gaproute.loop import Listener, Loop, Promise, Stream
 from gaproute.loop.loop import READ
@@ -43,7 +43,7 @@
 
     def serve(self, sock):
         state = [Promise()]
-        reader = Reader(True, self.loop.now, 32768, 1 << 20)
+        reader = RequestReader(self.loop.now, 32768, 1 << 20)
         stream = Stream(self.loop, sock, lambda data: state[0].set(data), lambda error: state[0].set(b""))
         self.held += 1
         while True:
@@ -57,7 +57,7 @@
                 break
             state[0] = Promise()
             for _ in reader.feed(data):
-                stream.write(render(200, (), b"ok", False))
+                stream.write(render(200, (), b"ok", close=False))
         self.held -= 1
         stream.close()
 
--- a/benchmarks/parsers.py
+++ b/benchmarks/parsers.py
@@ -13,7 +13,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from gaproute.http1 import Reader
+from gaproute.http1 import RequestReader
 
 BODY = json.dumps(
     {"id": "x", "inputs": [{"name": "in", "shape": [1], "datatype": "BYTES", "data": ["x" * 200]}]}
@@ -25,7 +25,7 @@
 
 
 def with_httptools(parts, count):
-    reader = Reader(True, time.monotonic_ns, 32768, 1 << 20)
+    reader = RequestReader(time.monotonic_ns, 32768, 1 << 20)
     for _ in range(count):
         for part in parts:
             done = reader.feed(part)
@@ -59,8 +59,8 @@
                 taken.append((time.process_time() - begun) / 3000 * 1e6)
         ours, other = (median(taken) for taken in times.values())
         print(
-            f"{name}: httptools, all of Reader, {ours:.1f} us; h11, its answer's bookkeeping included, "
-            f"{other:.1f} us; {other / ours:.1f} times"
+            f"{name}: httptools, all of RequestReader, {ours:.1f} us; h11, its answer's bookkeeping "
+            f"included, {other:.1f} us; {other / ours:.1f} times"
         )
 
 
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -97,7 +97,7 @@
 
 def probe_bytes(count, seed):
     """Bytes of a probe of each and its answer."""
-    return count * (len(messages.encode_ready(WHERE)) + len(render(200, (), b"{}", False)))
+    return count * (len(messages.encode_ready(WHERE)) + len(render(200, (), b"{}", close=False)))
 
 
 LOOPBACK = "one listener in a process of its own, on loopback"
--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -41,7 +41,7 @@
 def posted(data):
     """Bytes of the exchange that carries a batch."""
     head = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n" % (TARGET, len(data))
-    return len(head) + len(data) + len(render(204, (), b"", False))
+    return len(head) + len(data) + len(render(204, (), b"", close=False))
 
 
 class Group(World):
--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -77,7 +77,7 @@
     told.close()
     head = b"POST /lore HTTP/1.1\r\nHost: peer\r\nConnection: close\r\nContent-Length: %d\r\n\r\n"
     asks = sum(len(head % len(ask)) + len(ask) for ask in told.asks)
-    return asks + sum(len(render(200, PROTOBUF, body, True)) for body in told.answers)
+    return asks + sum(len(render(200, PROTOBUF, body, close=True)) for body in told.answers)
 
 
 def giver_cpu(facts, seed):
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -44,7 +44,7 @@
 
     def body(self, table):
         """The bytes of an answer that tells the table."""
-        return render(200, JSON, msgspec.json.encode(table(self.gate)), False)
+        return render(200, JSON, msgspec.json.encode(table(self.gate)), close=False)
 
     def close(self):
         """Ends it."""
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -18,6 +18,7 @@
 
 from gaproute.decisions.admission.admission import JITTER
 from gaproute.http1 import Limits, Server
+from gaproute.http1.server import ErrorAnswer
 from gaproute.interface.call import Call, Ending
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -78,7 +79,7 @@
             where,
             self.handle,
             limits,
-            lambda fault: ((JSON,), error(fault.text)),
+            render_error=lambda fault: ErrorAnswer((JSON,), error(fault.text)),
             counted=True,
             inherited=inherited,
         )
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -1,167 +1,197 @@
 """A connection of the server at work: reads requests, writes the answers in the order of the requests.
 
 A client that closes its side has left: HTTP/1.1 cannot tell a half-closed client from a gone one before
-bytes are written to it, and a task that nobody waits for must end at once. What is answered then is still
+bytes are written to it, and a request that nobody waits for must end at once. What is answered then is still
 written, so that one that only closed half gets a clear answer. A request whose client has closed behind it is
-handed over as `departed`: the handler answers it and begins nothing for it.
+handed over as `client_closed`: the handler answers it and begins nothing for it.
 """
 
+from __future__ import annotations
+
+import socket
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
 from gaproute.http1.deadlines import DeadlineConnection
-from gaproute.http1.message import HttpError, Reader
-from gaproute.http1.rendering import render
+from gaproute.http1.errors import HttpError
+from gaproute.http1.message import PendingAnswer, Request
+from gaproute.http1.reader import RequestReader
+from gaproute.http1.rendering import Header, render
 from gaproute.loop import Stream
 from gaproute.loop.streams import FRESH, HIGH
 
+if TYPE_CHECKING:
+    from gaproute.http1.server import Server
+
+CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
 
 class ServerConnection(DeadlineConnection):
     """A connection at work, from its first byte until it has been quiet for a while."""
 
-    __slots__ = ("ended", "place", "tasks", "buffered_bytes", "looked", "waited")
-
-    def __init__(self, server, sock, place, tasks):
-        self.server, self.place, self.tasks, self.idle_end = server, place, tasks, None
-        self.resting = False  # in the server's line of those that may soon be parked
-        self.looked = 0  # when the client was last seen not to have closed
-        self.buffered_bytes = 0  # bytes held of a request that has not come in whole
-        self.waited = 0  # how long what is read may have lain unread, ns: requests count from when they came
-        self.reader = Reader(
-            True, lambda: server.loop.now() - self.waited, server.limits.head, server.limits.body
-        )
-        self.queue = []  # [request, rendered answer or None], in the order of the requests
-        self.closing = self.ended = False
-        self.stream = Stream(server.loop, sock, self.receive, self._end, hangup_first=True)
-        self.stream.on_half, self.stream.on_room = self._half, self._room
-        self.timer = self.due = None
-
-    def receive(self, data):
+    __slots__ = (
+        "address_index",
+        "request_count",
+        "client_closed",
+        "buffered_bytes",
+        "presence_checked_at",
+        "read_delay",
+    )
+
+    def __init__(self, server: Server, sock: socket.socket, address_index: int, request_count: int) -> None:
+        self.server, self.address_index, self.request_count = server, address_index, request_count
+        self.queue, self.closing, self.client_closed = [], False, False
+        self.timer, self.deadline, self.idle_end, self.in_quiet_queue = None, None, 0, False
+        self.presence_checked_at = 0  # when the client was last seen not to have closed
+        self.buffered_bytes = 0  # of a request that has not come in whole
+        self.read_delay = 0  # how long what is read may have lain unread, ns
+        limits = server.limits
+        self.reader = RequestReader(self._sent_at, limits.head, limits.body)
+        self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
+        self.stream.on_half, self.stream.on_room = self._on_client_closed, self._on_taken
+
+    def _sent_at(self) -> int:
+        """When what is read now came: requests count from then."""
+        return int(self.server.loop.now()) - self.read_delay
+
+    # Reading
+
+    def receive(self, data: bytes) -> None:
         """Feeds received bytes to the parser and hands over the requests that they complete."""
         if self.closing:
             return
-        self.waited = max(self.server.loop.behind, self.stream.waited())
+        self.read_delay = max(self.server.loop.behind, self.stream.waited())
         try:
             requests = self.reader.feed(data)
-        except HttpError as fault:
-            self._refuse(fault)
+        except HttpError as error:
+            self._refuse(error)
             return
         self._take_all(requests)
-        self._weigh(self.reader.size if self.reader.mid_message else 0)
+        self._note_buffered(self.reader.size if self.reader.mid_message else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
             if not self.queue:  # one that pipelines behind an answer still owed waits for it anyway
-                self.stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+                self.stream.write(CONTINUE)
         if self.stream.open:
             self._set_deadline()
-            if self._crowded():
+            if self._is_saturated():
                 self.stream.pause()
 
-    def client_present(self):
+    def _take_all(self, requests: Iterable[Request]) -> None:
+        """Takes whole requests, once it has been asked whether their client is still there."""
+        if not requests:
+            return
+        client_closed = self.stream.hung_up()
+        if not client_closed:
+            self.presence_checked_at = self.server.loop.now()
+        for request in requests:
+            request.client_closed = client_closed
+            self._take(request)
+
+    def _take(self, request: Request) -> None:
+        server = self.server
+        request.connection = self
+        if self.closing or request.client_closed and server.loop.behind and not server.counted:
+            return  # one that came and left while this process stood still is not taken
+        self.request_count += 1
+        if not request.keep_alive or server.says_close():
+            self.closing = True
+        self.queue.append(PendingAnswer(request))
+        server.handle(request)
+
+    def client_present(self) -> bool:
         """Whether the client has neither closed its side nor left, asked when something begins for it: a loop
         in a long turn reads of that later."""
-        if self.ended or not self.stream.open:
+        if self.client_closed or not self.stream.open:
             return False
         now = self.server.loop.now()
-        if now - self.looked >= FRESH:
+        if now - self.presence_checked_at >= FRESH:
             if self.stream.hung_up():
                 self.server.loop.soon(self.stream.hear_end)
                 return False
-            self.looked = now
+            self.presence_checked_at = now
         return True
 
-    def _weigh(self, weight):
+    def _note_buffered(self, size: int) -> None:
+        """So many bytes of a request that is not whole are held now."""
         server = self.server
-        server.buffered_bytes += weight - self.buffered_bytes
-        self.buffered_bytes = weight
+        server.buffered_bytes += size - self.buffered_bytes
+        self.buffered_bytes = size
         if server.buffered_bytes > server.limits.buffered:
             server.enforce_memory_limit()
 
-    def _crowded(self):
-        """Whether nothing more is read: enough is in hand, or the client does not take its answers."""
+    def _is_saturated(self) -> bool:
+        """Whether nothing more is read: enough requests are open, or the client takes no answers."""
         return len(self.queue) >= self.server.limits.pipelined or self.stream.waiting >= HIGH
 
-    def _room(self):
-        if not self.stream.reading and not self._crowded() and not self.ended:
-            self.stream.resume()
-        self._set_deadline()
-
-    def park(self):
-        """Gives the socket back to the lot; closes it where its idle time is over or the server stops, and
-        not before a request that lies unread has been answered."""
-        server = self.server
-        if server.loop.now() >= self.idle_end or not self.stream.open or server.stopping:
-            self.stream.look()
-            if not self.queue and not self.reader.mid_message:
-                self.close_gracefully()
-            return
-        self._clear_deadline()
-        server.connections.discard(self)
-        server.parked += 1
-        server.lot.park(
-            self.stream.release(), server.owner_number, self.idle_end, self.place, self.tasks, True
-        )
-
-    def refuse_unfinished(self):
-        """Refuses the unfinished request, to free the memory that it takes up."""
-        self._weigh(0)
-        self._refuse(HttpError(408, "too much is coming in, and this request takes longest"))
-
-    def _refuse(self, fault):
+    def _refuse(self, error: HttpError) -> None:
         """Answers what cannot be read and closes; what was whole before it is answered first."""
         self.server.protocol_errors += 1
-        self._take_all(self.reader.done)
-        self.reader.done = []
-        headers, body = self.server.render_error(fault)
+        self._take_all(self.reader.take_completed())
+        headers, body = self.server.render_error(error)
         self.closing = True
-        self.queue.append([None, render(fault.status, headers, body, True)])
-        self._write()
+        self.queue.append(PendingAnswer(None, render(error.status, headers, body, close=True)))
+        self._write_answers()
 
-    def _take_all(self, requests):
-        departed = bool(requests) and self.stream.hung_up()
-        if requests and not departed:
-            self.looked = self.server.loop.now()
-        for request in requests:
-            request.client_closed = departed
-            self._take(request)
+    def refuse_unfinished(self) -> None:
+        """Refuses the unfinished request, to free the memory that it takes up."""
+        self._note_buffered(0)
+        self._refuse(HttpError(408, "too much is coming in, and this request takes longest"))
 
-    def _take(self, request):
-        request.connection = self
-        if self.closing or request.client_closed and self.server.loop.behind and not self.server.counted:
-            return  # one that came and left while this process stood still is not taken
-        self.tasks += 1
-        if (
-            not request.keep_alive
-            or self.server.counted
-            and self.server.lot.admission.says_close(self.server.lot.held)
-        ):
-            self.closing = True
-        self.queue.append([request, None])
-        self.server.handle(request)
+    # Writing
+
+    def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
+        """Renders the answer to one request and writes all answers whose turn has come.
 
-    def answer(self, request, status, headers, body):
-        """Renders the answer to one request and writes all answers whose turn has come."""
-        place = next((place for place, entry in enumerate(self.queue) if entry[0] is request), None)
+        Errors: RuntimeError for a second answer to one request.
+        """
+        place = next((place for place, each in enumerate(self.queue) if each.request is request), None)
         if place is None:
             return
-        entry = self.queue[place]
-        if entry[1] is not None:
+        pending = self.queue[place]
+        if pending.data is not None:
             raise RuntimeError("a second answer to one request")
         request.on_client_left = None
-        last = place == len(self.queue) - 1 and (self.closing or self.server.stopping) or self.ended
-        if last:
+        is_last = place == len(self.queue) - 1 and (self.closing or self.server.stopping)
+        close = is_last or self.client_closed
+        if close:
             self.closing = True  # told with the answer: nothing more is taken
-        entry[1] = render(status, headers, body, last)
-        self._write()
+        pending.data = render(status, headers, body, close=close)
+        self._write_answers()
 
-    def _write(self):
+    def _write_answers(self) -> None:
+        """Writes the answers whose turn has come; the connection closes after the last where it is to."""
         wrote = False
-        while self.queue and self.queue[0][1] is not None:
+        while self.queue and (data := self.queue[0].data) is not None:
             wrote = True
-            self.stream.write(self.queue.pop(0)[1])
-        if not self.queue and (self.closing or self.ended or self.server.stopping):
+            self.queue.pop(0)
+            self.stream.write(data)
+        if not self.queue and (self.closing or self.client_closed or self.server.stopping):
             self.close_gracefully()
         elif wrote and self.stream.open:
-            self._room()
+            self._on_taken()
 
-    def stop(self):
+    def _on_taken(self) -> None:
+        """The client has taken answers: reading goes on."""
+        if not self.stream.reading and not self._is_saturated() and not self.client_closed:
+            self.stream.resume()
+        self._set_deadline()
+
+    # The end
+
+    def park(self) -> None:
+        """Parks the connection; closes it where its idle time is over or the server stops, and not before a
+        request that lies unread has been answered."""
+        server = self.server
+        if server.loop.now() < self.idle_end and self.stream.open and not server.stopping:
+            self._clear_deadline()
+            server.park(self, self.idle_end)
+            return
+        self.stream.look()
+        if not self.queue and not self.reader.mid_message:
+            self.close_gracefully()
+
+    def stop(self) -> None:
         """Closes a quiet connection; one on which a request lies unread or is coming in is answered first.
 
         With grace a quiet one is closed when it would be parked: the next request of a busy client, on its
@@ -172,38 +202,48 @@
         elif self.server.last_request_by is None and not self.queue and self.stream.quiet():
             self.close_gracefully()
 
-    def _half(self):
-        """The client closed its side: the tasks it waits for end now, with answers for one half closed."""
-        self.ended = True
-        self._leave()
+    def _on_client_closed(self) -> None:
+        """The client closed its side: its requests end now, with answers for one that closed half."""
+        self._abandon_requests()
         if not self.queue:
             self.close_gracefully()
 
-    def _end(self, error):
-        self.ended = True
-        self._leave()
+    def _on_closed(self, error: OSError | None) -> None:
+        self._abandon_requests()
         self.unregister()
 
-    def _leave(self):
+    def _abandon_requests(self) -> None:
+        """Tells the handlers of open requests that nobody waits for their answers."""
+        self.client_closed = True
         self._clear_deadline()
-        for request, answer in list(self.queue):
-            if answer is None and request.on_client_left is not None:
-                left, request.on_client_left = request.on_client_left, None
-                left()
-
-    def close_gracefully(self):
+        for pending in list(self.queue):
+            request = pending.request
+            if pending.data is None and request is not None and request.on_client_left is not None:
+                on_client_left, request.on_client_left = request.on_client_left, None
+                on_client_left()
+
+    def close_gracefully(self) -> None:
+        """Closes once what was written has been taken. Until its descriptor is given back it counts."""
         self._clear_deadline()
         self.closing = True
-        self.stream.close(lambda error: self._lose())  # until its descriptor is given back it counts
+        self.stream.close(lambda error: self.unregister())
+
+    def close_at_once(self) -> None:
+        """Ends the connection without waiting for answers still owed."""
+        if self.stream.closing:
+            self.stream.part()  # its last bytes are with the kernel
+            self.unregister()
+        else:
+            self.abort()
+
+    def abort(self) -> None:
+        """Resets the connection; nothing is called."""
+        self.stream.abort()
+        self.unregister()
 
-    def unregister(self):
+    def unregister(self) -> None:
         """The socket is closed: cancels the timer and removes the connection from the server."""
         self._clear_deadline()
-        self._lose()
-
-    def _lose(self):
         if self in self.server.connections:
-            self._weigh(0)
-            self.server.connections.discard(self)
-            self.server.lot.leave(self.place, self.server.counted)
-            self.server.check_emptied()
+            self._note_buffered(0)
+            self.server.unregister(self)
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -1,6 +1,16 @@
 """The deadline of a connection at work: for a request to arrive, for a client to read, or for parking."""
 
-from gaproute.http1.message import HttpError
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from gaproute.http1.errors import HttpError
+from gaproute.http1.reader import RequestReader
+from gaproute.loop import Stream
+
+if TYPE_CHECKING:
+    from gaproute.http1.message import PendingAnswer
+    from gaproute.http1.server import Server
 
 SECOND = 1_000_000_000
 QUIET_TIME = SECOND  # after its last answer until a connection is parked: a busy one stays as it is
@@ -10,7 +20,7 @@
 class DeadlineConnection:
     """The base of a server's connection: its one timer and what happens when it fires.
 
-    A subclass sets all fields and defines `park()`, `_refuse(fault)` and `_end(error)`.
+    A subclass sets all fields, and gives `park`, `_refuse` and `_on_closed`.
     """
 
     __slots__ = (
@@ -20,68 +30,98 @@
         "queue",
         "closing",
         "timer",
-        "due",
+        "deadline",
         "idle_end",
-        "resting",
+        "in_quiet_queue",
     )
 
-    def _set_deadline(self):
-        """When the request that is coming in or the client that takes no bytes is at its end, or the quiet
-        connection is parked; none while an answer is owed. One timer, moved only when it fires: it is nearly
-        always moved before.
+    server: Server
+    stream: Stream
+    reader: RequestReader
+    queue: list[PendingAnswer]  # in the order of the requests
+    closing: bool  # nothing more is taken; it closes after the answers that it is owed
+    timer: Any
+    deadline: int | None  # of the timer or of the queue of quiet ones, by the loop's clock
+    idle_end: int  # when it is closed where no more requests come
+    in_quiet_queue: bool  # of the server: it is parked at its deadline, where nothing comes until then
+
+    def park(self) -> None:
+        """Parks the connection, or closes it where its time is over."""
+        raise NotImplementedError
+
+    def _refuse(self, error: HttpError) -> None:
+        raise NotImplementedError
+
+    def _on_closed(self, error: OSError | None) -> None:
+        raise NotImplementedError
+
+    def _set_deadline(self) -> None:
+        """Sets until when the request that is coming in must be whole, or the client must take bytes, or the
+        quiet connection is parked; none while an answer is owed.
+
+        There is one timer, moved only when it fires: the deadline is nearly always moved before.
         """
-        limits, reader = self.server.limits, self.reader
-        if reader.mid_message:
-            self.due = reader.message.arrived_at + limits.read_time
-            if self.server.last_request_by is not None:
-                self.due = min(self.due, self.server.last_request_by)
+        server = self.server
+        read_time = server.limits.read_time
+        if self.reader.message is not None:
+            self.deadline = self.reader.message.arrived_at + read_time
+            if server.last_request_by is not None:
+                self.deadline = min(self.deadline, server.last_request_by)
         elif self.stream.waiting:
-            self.due = self.server.loop.now() + limits.read_time
+            self.deadline = server.loop.now() + read_time
         elif not self.queue and not self.closing:
-            now = self.server.loop.now()
-            if limits.idle_time > 2 * QUIET_TIME:
-                if not self.resting or now + QUIET_TIME - self.due > SWEEP_INTERVAL:
-                    self.idle_end, self.due, self.resting = self.server.idle_end(now), now + QUIET_TIME, True
-                    self.server.rest(self)
+            if self._wait_for_parking():
                 return
-            self.idle_end = self.server.idle_end(now)
-            self.due = min(now + QUIET_TIME, self.idle_end)
         else:
-            self.due = None
-        self.resting = False
-        if self.due is not None and (self.timer is None or self.timer.when > self.due):
-            self._arm_timer()
+            self.deadline = None
+        self.in_quiet_queue = False
+        if self.deadline is not None and (self.timer is None or self.timer.when > self.deadline):
+            self._start_timer()
+
+    def _wait_for_parking(self) -> bool:
+        """The connection is quiet: it waits to be parked; whether in the server's queue, without a timer."""
+        server = self.server
+        now = server.loop.now()
+        if server.limits.idle_time <= 2 * QUIET_TIME:
+            self.idle_end = server.idle_end(now)
+            self.deadline = min(now + QUIET_TIME, self.idle_end)
+            return False
+        deadline = now + QUIET_TIME
+        if not self.in_quiet_queue or self.deadline is None or deadline - self.deadline > SWEEP_INTERVAL:
+            self.idle_end, self.deadline, self.in_quiet_queue = server.idle_end(now), deadline, True
+            server.enqueue_quiet(self, deadline)
+        return True
 
-    def _arm_timer(self):
+    def _start_timer(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.server.loop.at(self.due, self._deadline_passed)
+        self.timer = self.server.loop.at(self.deadline, self._deadline_passed)
 
-    def _deadline_passed(self):
+    def _deadline_passed(self) -> None:
         self.timer = None
-        if self.due is None or self.resting:
+        if self.deadline is None or self.in_quiet_queue:
             return
-        if self.due > self.server.loop.now():
-            self._arm_timer()
+        if self.deadline > self.server.loop.now():
+            self._start_timer()
         elif self.stream.waiting:
             self.stream.abort()
-            self._end(None)
+            self._on_closed(None)
         elif not self.reader.mid_message:
             self.park()
-        elif self._came_meanwhile():
+        elif self._rest_has_come():
             return
         elif self.queue:
             self.closing = True  # the answers still owed go out first
         else:
             self._refuse(HttpError(408, "the request did not come in whole in time"))
 
-    def _came_meanwhile(self):
+    def _rest_has_come(self) -> bool:
         """Whether the rest of the overdue request had come since the loop last looked: it is taken then."""
         self.stream.look()
         return not self.stream.open or not self.reader.mid_message
 
-    def _clear_deadline(self):
-        self.due, self.resting = None, False
+    def _clear_deadline(self) -> None:
+        self.deadline, self.in_quiet_queue = None, False
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- /dev/null
+++ b/gaproute/http1/reader.py
@@ -0,0 +1,179 @@
+"""Bytes in, whole messages out; never touches a socket. Parsing is httptools' (llhttp, strict mode).
+
+httptools was picked over h11 by `benchmarks/parsers.py`: a typical request costs it 6 us, h11 about 100.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Generic, TypeVar
+
+import httptools
+
+from gaproute.http1.errors import HttpError
+from gaproute.http1.message import Request, Response
+
+MAX_TARGET_BYTES = 8192  # longer ones are no name of a model
+HEADER_OVERHEAD = 4  # bytes of a header line beside its name and value
+
+CONTENT_LENGTH, TRANSFER_ENCODING = b"content-length", b"transfer-encoding"
+
+MessageType = TypeVar("MessageType", Request, Response)
+
+
+class MessageReader(Generic[MessageType]):
+    """Reads the messages of one connection within limits of a head and a body, in bytes.
+
+    The methods whose names begin with `on_` are called by the parser.
+    """
+
+    UNSUPPORTED_CODING: int  # status for a transfer coding other than chunked
+
+    def __init__(self, parser: Any, head_limit: int, body_limit: int) -> None:
+        self.parser = parser
+        self.head_limit, self.body_limit = head_limit, body_limit
+        self.message: MessageType | None = None  # the one being read
+        self.headers: dict[bytes, bytes] = {}  # of it
+        self.in_head = False
+        self.head_bytes = 0  # received of heads that are not whole
+        self.size = 0  # bytes of the head's fields, then of the body
+        self.length_count = 0  # fields of the head that tell the body's length
+        self.parts: list[bytes] = []  # of the body
+        self.completed: list[MessageType] = []
+        self.wants_continue = False  # the head of a request asks for a 100 before its body is sent
+        self.error: HttpError | None = None  # raised within a callback, which the parser replaces
+
+    @property
+    def mid_message(self) -> bool:
+        """Whether a message has come in part."""
+        return self.message is not None
+
+    def feed(self, data: bytes) -> list[MessageType]:
+        """The messages that the bytes complete.
+
+        Errors: HttpError, after which nothing more may be fed; what was whole before it is in `completed`.
+        """
+        if self.in_head or self.message is None:
+            self.head_bytes += len(data)
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserCallbackError as error:
+            raise self.error or error from None
+        except httptools.HttpParserUpgrade:
+            raise HttpError(400, "an upgrade of the protocol is not offered") from None
+        except httptools.HttpParserError as error:
+            raise HttpError(400, f"not HTTP/1.1: {error}") from None
+        if self.in_head and self.head_bytes > self.head_limit:
+            raise HttpError(431, f"the head is over {self.head_limit} bytes")
+        completed, self.completed = self.completed, []
+        return completed
+
+    def take_completed(self) -> list[MessageType]:
+        """The messages that were whole before an error."""
+        completed, self.completed = self.completed, []
+        return completed
+
+    def _fail(self, status: int, text: str) -> None:
+        self.error = HttpError(status, text)
+        raise self.error
+
+    def _begin(self, message: MessageType) -> None:
+        self.message, self.headers = message, message.headers
+        self.in_head, self.size, self.length_count, self.parts = True, 0, 0, []
+        self.wants_continue = False
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A field of the head, or of the trailer."""
+        name = name.lower()
+        self.size += len(name) + len(value) + HEADER_OVERHEAD
+        if self.size > self.head_limit:
+            self._fail(431, f"the head is over {self.head_limit} bytes")
+        if name == CONTENT_LENGTH:
+            self._check_length(value)
+        elif name == TRANSFER_ENCODING and value.strip().lower() != b"chunked":
+            self._fail(self.UNSUPPORTED_CODING, "a transfer coding other than chunked")
+        headers = self.headers
+        headers[name] = headers[name] + b", " + value if name in headers else value
+
+    def _check_length(self, value: bytes) -> None:
+        self.length_count += 1
+        if self.length_count > 1:
+            self._fail(400, "two lengths")
+        if not value.isdigit() or int(value) > self.body_limit:
+            self._fail(413, f"the body is over {self.body_limit} bytes")
+
+    def on_headers_complete(self) -> None:
+        """The head is whole."""
+        assert self.message is not None
+        self.in_head, self.head_bytes, self.size = False, 0, 0
+        self.message.keep_alive = self.parser.should_keep_alive()
+
+    def on_body(self, body: bytes) -> None:
+        """A part of the body."""
+        self.wants_continue = False
+        self.size += len(body)
+        if self.size > self.body_limit:
+            self._fail(413, f"the body is over {self.body_limit} bytes")
+        self.parts.append(body)
+
+    def on_message_complete(self) -> None:
+        """The message is whole."""
+        message, self.message, self.wants_continue = self.message, None, False
+        assert message is not None
+        message.body = b"".join(self.parts) if len(self.parts) != 1 else self.parts[0]
+        self.parts = []
+        self.completed.append(message)
+
+
+class RequestReader(MessageReader[Request]):
+    """Reads requests. `clock()`: when the bytes that are fed came, ns."""
+
+    UNSUPPORTED_CODING = 501
+
+    def __init__(self, clock: Callable[[], int], head_limit: int, body_limit: int) -> None:
+        super().__init__(httptools.HttpRequestParser(self), head_limit, body_limit)
+        self.clock = clock
+
+    def on_message_begin(self) -> None:
+        """The first byte of a request."""
+        self._begin(Request(self.clock()))
+
+    def on_url(self, url: bytes) -> None:
+        """A part of the request's target."""
+        request = self.message
+        assert request is not None
+        request.target += url
+        if len(request.target) > MAX_TARGET_BYTES:
+            self._fail(414, f"the target is over {MAX_TARGET_BYTES} bytes")
+
+    def on_headers_complete(self) -> None:
+        """The head is whole: checks what a request must and must not have."""
+        super().on_headers_complete()
+        request = self.message
+        assert request is not None
+        request.method = self.parser.get_method()
+        headers = self.headers
+        if self.length_count and TRANSFER_ENCODING in headers:
+            self._fail(400, "a length and chunks at once")
+        if b"host" not in headers and self.parser.get_http_version() == "1.1":
+            self._fail(400, "no Host")
+        self.wants_continue = headers.get(b"expect", b"").lower() == b"100-continue"
+
+
+class ResponseReader(MessageReader[Response]):
+    """Reads responses."""
+
+    UNSUPPORTED_CODING = 502
+
+    def __init__(self, head_limit: int, body_limit: int) -> None:
+        super().__init__(httptools.HttpResponseParser(self), head_limit, body_limit)
+
+    def on_message_begin(self) -> None:
+        """The first byte of a response."""
+        self._begin(Response())
+
+    def on_headers_complete(self) -> None:
+        """The head is whole."""
+        super().on_headers_complete()
+        assert self.message is not None
+        self.message.status = self.parser.get_status_code()
--- a/gaproute/http1/rendering.py
+++ b/gaproute/http1/rendering.py
@@ -1,5 +1,9 @@
 """Responses as bytes, with the reason phrases of RFC 9110."""
 
+from collections.abc import Iterable
+
+Header = tuple[bytes, bytes]  # name, value
+
 REASONS = {
     100: "Continue",
     200: "OK",
@@ -19,11 +23,12 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
+UNKNOWN_REASON = "Other"
 
 
-def render(status, headers, body, close):
-    """An answer's bytes; `headers` are (name, value) pairs of bytes."""
-    lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, "Other").encode())]
-    lines += [b"%s: %s\r\n" % pair for pair in headers]
+def render(status: int, headers: Iterable[Header], body: bytes, *, close: bool) -> bytes:
+    """The bytes of a response; `close`: whether it says that the connection closes."""
+    lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, UNKNOWN_REASON).encode())]
+    lines += [b"%s: %s\r\n" % header for header in headers]
     lines.append(b"Content-Length: %d\r\n%s\r\n" % (len(body), b"Connection: close\r\n" if close else b""))
     return b"".join(lines) + body
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -1,170 +1,161 @@
 """The server side of HTTP/1.1: listens, wakes and parks connections, hands whole requests to a handler."""
 
+from __future__ import annotations
+
+import contextlib
 import socket
 from collections import deque
+from collections.abc import Callable, Iterable
+from typing import Any, NamedTuple
 
-from gaproute.connections import Lot
+from gaproute.connections.endpoint import Endpoint
 from gaproute.http1.connection import ServerConnection
-from gaproute.http1.deadlines import SWEEP_INTERVAL
-from gaproute.http1.limits import LIMITS
-from gaproute.http1.message import HttpError
-from gaproute.http1.rendering import render
-from gaproute.loop import Listener
-from gaproute.loop.connecting import DRAIN_AGAIN
+from gaproute.http1.deadlines import SWEEP_INTERVAL, DeadlineConnection
+from gaproute.http1.errors import HttpError
+from gaproute.http1.limits import LIMITS, Limits
+from gaproute.http1.message import Request
+from gaproute.http1.rendering import Header, render
 from gaproute.loop.streams import CHUNK
 
 
-class Server:
+class ErrorAnswer(NamedTuple):
+    """The headers and the body by which a client is told of an error."""
+
+    headers: tuple[Header, ...]
+    body: bytes
+
+
+class QuietConnection(NamedTuple):
+    """A connection that is parked at `due`, where that is still its deadline."""
+
+    due: int
+    connection: DeadlineConnection
+
+
+def plain_error(error: HttpError) -> ErrorAnswer:
+    """An error as a line of text."""
+    return ErrorAnswer((), error.text.encode() + b"\n")
+
+
+class Server(Endpoint[ServerConnection]):
     """Listens on one address. `handle(request)` for each whole request, to be answered once by `answer`."""
 
-    def __init__(self, loop, where, handle, limits=LIMITS, render_error=None, counted=False, inherited=None):
-        self.loop, self.handle, self.limits, self.counted = loop, handle, limits, counted
-        # headers, body of a refusal
-        self.render_error = render_error or (lambda fault: ((), fault.text.encode() + b"\n"))
-        self.connections = set()
-        self.parked = self.buffered_bytes = 0
-        self.quiet_connections, self.sweep_timer = deque(), None  # (when, link) that may be parked then
-        self.stopping, self.on_emptied = False, None  # call() after a stop, when no connection is left
-        self.drain_timer = None  # timer, where the kernel's queue could not be emptied at a stop
-        self.last_request_by = None  # after a stop with grace: when the last request must have come in whole
-        self.rejected_connections = self.protocol_errors = 0
-        self.family = where[0]
-        self.lot = Lot.of(loop)
-        self.shares_queue = inherited is not None  # others accept from the same queue
-        # first: it may fail
-        self.listener = Listener(loop, where, None, on_ready=self._ready, inherited=inherited)
-        self.address = self.listener.address
-        self.owner_number = self.lot.open(self)
-
-    @property
-    def connection_count(self):
-        """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
-        return len(self.connections) + self.parked + (self.drain_timer is not None)
-
-    def _ready(self):
-        self.lot.arrive(self.listener, self)
-        self.loop.waiting = True
-
-    def admits(self, sock, address):
-        """A connection was accepted: it is parked, or answered and closed where admission has no room."""
-        place = None
-        if self.connection_count < self.limits.connections:
-            place = self.lot.admit(address[0] if self.family != socket.AF_UNIX else "", self.counted)
-        if place is None:
-            self.rejected_connections += 1
-            self._turn_away(sock)
-            return
-        self.parked += 1
-        now = self.loop.now()
-        self.lot.park(sock.detach(), self.owner_number, self.idle_end(now), place, 0, False)
-
-    def _turn_away(self, sock):
-        """Answers what a connection that finds no room may ask, and closes it. What lies there is read first:
-        a socket closed with bytes unread is reset, which can destroy the answer."""
-        headers, body = self.render_error(HttpError(503, "there is no room for one more connection"))
-        try:
-            sock.send(render(503, headers, body, True))
+    def __init__(
+        self,
+        loop: Any,
+        address: Any,
+        handle: Callable[[Request], object],
+        limits: Limits = LIMITS,
+        *,
+        render_error: Callable[[HttpError], ErrorAnswer] = plain_error,
+        counted: bool = False,
+        inherited: Any = None,
+    ) -> None:
+        """`render_error(error)`: what a client is told that breaks the protocol or a limit; `counted` and
+        `inherited` as of `Endpoint`. Errors: OSError."""
+        super().__init__(loop, address, counted=counted, inherited=inherited)
+        self.handle, self.limits, self.render_error = handle, limits, render_error
+        self.buffered_bytes = 0  # of all requests that have not come in whole
+        self.quiet_connections: deque[QuietConnection] = deque()
+        self.sweep_timer: Any = None
+        self.last_request_by: int | None = None  # after a stop with grace: when the last one must be whole
+
+    # Accepting
+
+    def _may_accept(self) -> bool:
+        return self.connection_count < self.limits.connections
+
+    def _first_request_due(self) -> int:
+        return self.idle_end(self.loop.now())
+
+    def _make_connection(
+        self, sock: socket.socket, address_index: int, request_count: int
+    ) -> ServerConnection:
+        return ServerConnection(self, sock, address_index, request_count)
+
+    def _reject(self, sock: socket.socket) -> None:
+        """Answers what a connection that finds no capacity may ask, and closes it. What lies there is read
+        first: a socket closed with bytes unread is reset, which can destroy the answer."""
+        answer = self.render_error(HttpError(503, "there is no room for one more connection"))
+        with contextlib.suppress(OSError):  # nothing to be read, or its client has left
+            sock.send(render(503, answer.headers, answer.body, close=True))
             sock.shutdown(socket.SHUT_WR)
             sock.recv(CHUNK)
-        except OSError:
-            pass  # nothing to be read, or its client has left
         sock.close()
 
-    def idle_end(self, now):
+    def idle_end(self, now: int) -> int:
         """When a connection that is idle from `now` on is closed."""
-        return self.lot.admission.idle_end(now, self.limits.idle_time, self.limits.spread)
-
-    def woken(self, fd, data, place, tasks):
-        """A parked connection spoke."""
-        self.parked -= 1
-        sock = socket.socket(self.family, socket.SOCK_STREAM, 0, fd)
-        link = ServerConnection(self, sock, place, tasks)
-        self.connections.add(link)
-        link.receive(data)
-
-    def rest(self, link):
-        """Queues a quiet connection for parking at its deadline."""
-        self.quiet_connections.append((link.due, link))
+        return int(self.lot.admission.idle_end(now, self.limits.idle_time, self.limits.spread))
+
+    def says_close(self) -> bool:
+        """Whether answers say that the connection closes, as there are too many connections."""
+        return self.counted and bool(self.lot.admission.says_close(self.lot.held))
+
+    # Limits
+
+    def enqueue_quiet(self, connection: DeadlineConnection, due: int) -> None:
+        """Queues a quiet connection for parking."""
+        self.quiet_connections.append(QuietConnection(due, connection))
         if self.sweep_timer is None:
             self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
 
-    def _sweep(self):
-        """Parks those that have been quiet since they came into the line."""
+    def _sweep(self) -> None:
+        """Parks those that have been quiet since they were queued."""
         now = self.loop.now()
-        while self.quiet_connections and self.quiet_connections[0][0] <= now:
-            due, link = self.quiet_connections.popleft()
-            if link.resting and link.due == due:
-                link.park()
+        while self.quiet_connections and self.quiet_connections[0].due <= now:
+            due, connection = self.quiet_connections.popleft()
+            if connection.in_quiet_queue and connection.deadline == due:
+                connection.park()
         self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep) if self.quiet_connections else None
 
-    def enforce_memory_limit(self):
-        """More is held of unfinished requests than may be: the one that has been coming in longest ends.
+    def enforce_memory_limit(self) -> None:
+        """Ends the unfinished request that has been coming in longest: all together take up too much.
 
         Guards against thousands that each send slowly; it harms one honest slow sender before its time.
         """
-        longest = min(
-            (link for link in self.connections if link.buffered_bytes),
-            key=lambda link: link.reader.message.arrived_at,
-            default=None,
-        )
-        if longest is not None:
-            longest.refuse_unfinished()
-
-    def lost(self):
-        """A parked connection was closed."""
-        self.parked -= 1
-        self.check_emptied()
-
-    def check_emptied(self):
-        """After a stop: tells once no connection is left."""
-        if self.stopping and self.on_emptied is not None and not self.connection_count:
-            self.on_emptied()
-
-    def answer(self, request, status, headers, body):
+        slowest, arrived_at = None, 0
+        for connection in self.connections:
+            message = connection.reader.message
+            if not connection.buffered_bytes or message is None:
+                continue
+            if slowest is None or message.arrived_at < arrived_at:
+                slowest, arrived_at = connection, message.arrived_at
+        if slowest is not None:
+            slowest.refuse_unfinished()
+
+    # Answers
+
+    def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
         """The one answer to a request; what comes after the client left for good is dropped."""
         request.connection.answer(request, status, headers, body)
 
-    def stop(self, grace=None):
+    # Stop
+
+    def stop(self, grace: int | None = None) -> None:
         """Accepts no more; kept connections close after the answers they are owed. What has been sent
         already is still answered, and its connection closed then.
 
-        `grace`: for so long a connection that has brought no request yet may bring it, as no other process
-        can take it over, and a request may come in whole. One that has just been answered stays until it has
-        been quiet for a while.
+        `grace`: for so long, in ns, a connection that has brought no request yet may bring it, as no other
+        process can take it over, and a request may come in whole. One that has just been answered stays until
+        it has been quiet for a while.
         """
         if self.stopping:
             return
         self.stopping = True
         if grace is not None:
             self.last_request_by = self.loop.now() + grace
-        self._take_in()
-        for link in list(self.connections):
-            link.stop()
-
-    def _take_in(self):
-        """What waits in the kernel's queue comes in, as the kernel would reset it, then the address is given
-        up; tried again while accepting fails."""
-        self.drain_timer = None
-        if self.shares_queue or self.listener.drain(self.admits):
-            self.listener.close()
-        else:
-            self.drain_timer = self.loop.after(DRAIN_AGAIN, self._take_in)
+        self._drain_accept_queue()
+        for connection in list(self.connections):
+            connection.stop()
+
+    def _drain_accept_queue(self) -> bool:
+        drained = super()._drain_accept_queue()
         self.lot.close(self.owner_number, first_by=self.last_request_by)
         self.check_emptied()
+        return drained
 
-    def close(self):
-        """Stops and ends every connection at once, without waiting for answers still owed."""
-        self.stop()
-        if self.drain_timer is not None:
-            self.drain_timer.cancel()
-            self.drain_timer = None
-        self.listener.close()
-        self.lot.close(self.owner_number, True)
+    def close(self) -> None:
+        """Stops, and ends every connection at once."""
+        super().close()
         if self.sweep_timer is not None:
             self.sweep_timer.cancel()
-        for link in list(self.connections):
-            if link.stream.closing:
-                link.stream.part()  # its last words are with the kernel
-            else:
-                link.stream.abort()
-            link.unregister()
--- a/gaproute/load/member.py
+++ b/gaproute/load/member.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from gaproute.http1 import HttpError, Reader
+from gaproute.http1 import HttpError, ResponseReader
 from gaproute.loop import Stream
 
 MAX_HEAD, MAX_ANSWER = 65536, 64 << 20  # bytes
@@ -27,7 +27,7 @@
     def ask(self, meant, count):
         line = self.traffic
         if self.reader is None:
-            self.reader = Reader(False, self.crowd.loop.clock, MAX_HEAD, MAX_ANSWER)
+            self.reader = ResponseReader(MAX_HEAD, MAX_ANSWER)
         self.owed = deque((meant,) * count)
         self.stream.write(self.crowd.requests.of(line) * count)
         self.crowd.asked(self, meant + line.patience)
--- a/gaproute/standins/host/kserve.py
+++ b/gaproute/standins/host/kserve.py
@@ -93,7 +93,7 @@
             )
             headers = TYPE + self.report(work)
         if end == machine.CUT:
-            whole = render(200, headers, body, False)
+            whole = render(200, headers, body, close=False)
             request.connection.stream.write(whole[: len(whole) // 2])
             request.connection.close_gracefully()
             return
@@ -120,5 +120,4 @@
 
 
 def cut_off(request):
-    request.connection.stream.abort()
-    request.connection.unregister()
+    request.connection.abort()
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -184,7 +184,7 @@
     made.ask(client)
     (link,) = made.server.connections
     made.ask(client)
-    assert made.server.connections == {link}
+    assert set(made.server.connections) == {link}
 
 
 def test_a_parked_one_that_leaves_is_forgotten_with_its_address(house):
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -13,8 +13,8 @@
 
 from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.hosts.jsonlines import connection as connections
-from gaproute.http1 import client as http_clients
-from gaproute.http1.client import Exchange
+from gaproute.http1 import exchange as exchanges
+from gaproute.http1.exchange import Exchange
 from gaproute.loop import Loop
 from gaproute.loop.streams import CHUNK, address
 from gaproute.standins.platform import arg
@@ -268,7 +268,7 @@
 @only_ends
 def test_over_http_a_dial_that_comes_up_when_its_client_has_left_begins_nothing(rig, monkeypatch, way):
     made = rig(hosts=1)
-    monkeypatch.setattr(http_clients, "connect", dials := HeldDials())
+    monkeypatch.setattr(exchanges, "connect", dials := HeldDials())
     sock = socket.create_connection(made.at[1])
     sock.sendall(b"POST /v2/models/lamp/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n{}")
     made.until(lambda: made.gate.core.in_flight)
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -7,7 +7,7 @@
 from scripted import MILLI, SECOND, HeldDials
 
 from gaproute.http1 import Limits, Server
-from gaproute.http1 import client as http_clients
+from gaproute.http1 import exchange as exchanges
 from gaproute.interface import Result
 from gaproute.loop import Loop, connect
 from gaproute.loop.streams import address
@@ -30,7 +30,7 @@
 
 
 def test_a_forwarded_call_carries_what_is_left_after_its_dial(way, monkeypatch):
-    monkeypatch.setattr(http_clients, "connect", dials := HeldDials())
+    monkeypatch.setattr(exchanges, "connect", dials := HeldDials())
     way.forward(within=2 * SECOND)
     time.sleep(0.6)
     loop, where, within, done, _ = dials.held[0]
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -76,9 +76,18 @@
 
 @pytest.mark.parametrize("code", OWN)
 def test_what_had_begun_may_have_run_whatever_ended_it(code):
-    assert results.of_undelivered(NoResponseError(True, True, "", fault(code))) is face.Result.RESET
-    assert results.of_undelivered(NoResponseError(False, True, "", fault(code))) is face.Result.NOT_SENT
-    assert results.of_undelivered(NoResponseError(False, True, "closed")) is face.Result.CONNECT_FAILED
+    assert (
+        results.of_undelivered(NoResponseError("", any_byte_sent=True, connected=True, error=fault(code)))
+        is face.Result.RESET
+    )
+    assert (
+        results.of_undelivered(NoResponseError("", any_byte_sent=False, connected=True, error=fault(code)))
+        is face.Result.NOT_SENT
+    )
+    assert (
+        results.of_undelivered(NoResponseError("closed", any_byte_sent=False, connected=True))
+        is face.Result.CONNECT_FAILED
+    )
 
 
 def drop_all(made):
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from gaproute.http1 import HttpError, Limits, Reader, Server
+from gaproute.http1 import HttpError, Limits, RequestReader, Server
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 
@@ -12,7 +12,7 @@
 
 
 def reader(head=1024, body=100):
-    return Reader(True, lambda: 5, head, body)
+    return RequestReader(lambda: 5, head, body)
 
 
 def test_pipelined_requests_come_whole_however_the_bytes_are_cut():
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -59,7 +59,7 @@
     made.until(lambda: made.gate.fronts[0].server.connections)
     (link,) = made.gate.fronts[0].server.connections
     client.sendall(ASK[40:])
-    link.due = made.loop.now() - 1
+    link.deadline = made.loop.now() - 1
     ServerConnection._deadline_passed(link)
     made.until(lambda: made.seen("task"))
     made.until(lambda: not made.gate.core.in_flight)
