--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -38,7 +38,7 @@
     def __init__(self, facts):
         self.facts, self.loop = facts, Loop()
         self.peer_server = PeerServer(
-            self.loop, address("127.0.0.1:0"), Known(facts), HostHistory(), ["std"], meter=lambda: 0
+            self.loop, address("127.0.0.1:0"), Known(facts), HostHistory(), ["std"], cpu_clock=lambda: 0
         )
         record = Record(logger(io.StringIO()), ["std"])
         self.client = ObservationClient(
@@ -50,18 +50,20 @@
         """Makes all answers of a snapshot."""
         cursor = 0
         while True:
-            self.asks.append(observation_wire.ask(cursor, 0, 0))
-            body = self.peer_server.answer(self.loop.now(), observation_wire.read_ask(self.asks[-1]), 0)
+            self.asks.append(observation_wire.encode_request(cursor, 0, 0))
+            body = self.peer_server.transfers.answer(
+                self.loop.now(), observation_wire.decode_request(self.asks[-1]), 0
+            )
             self.answers.append(body)
-            cursor = observation_wire.read_told(body).next
+            cursor = observation_wire.decode_answer(body).next
             if not cursor:
                 return
 
     def learn(self):
         """Reads and merges all answers; the module's booking is not in."""
         for body in self.answers:
-            self.client.take("peer", self.loop.now(), observation_wire.read_told(body))
-        assert len(self.client.lore.facts) == self.facts
+            self.client.take("peer", self.loop.now(), observation_wire.decode_answer(body))
+        assert len(self.client.observations.by_subject) == self.facts
 
     def close(self):
         """Ends both sides."""
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -29,11 +29,12 @@
 
 
 class Nothing:
-    """A learner's lore and record, for which nothing matters but that the bytes came and were read."""
+    """A client's observations and record, for which nothing matters but that the bytes came and were read."""
 
-    refused = {}
+    def rejected(self):
+        return {}
 
-    def merge(self, lore):
+    def merge(self, observations):
         pass
 
     def event(self, level, what, **told):
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -51,7 +51,7 @@
         Returns the front of those calls."""
         giver = others.peer_server
         front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
-        giver.calls = front.handle
+        giver.forwarded = front.handle
         line = self.line
         carrier = TableCarrier(
             self.loop,
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from gaproute.decisions.reports.cpu_budget import SLICE, CpuBudget
-from gaproute.decisions.reports.exchange_limits import KEEP_EVERY, KEEP_WHOLE
+from gaproute.decisions.reports.exchange_limits import ROUNDS_PER_FULL_WRITE, WRITE_INTERVAL
 from gaproute.decisions.reports.host_history import HostHistory, own_observations
-from gaproute.decisions.reports.observation_kinds import OLDEST
+from gaproute.decisions.reports.observation_kinds import MAX_AGE
 from gaproute.storage import ObservationStore
 from gaproute.storage.observation_rows import Subject, Value
 
@@ -23,8 +23,8 @@
 
 
 class ObservationWriter:
-    """Writes what changed every KEEP_EVERY, and everything each KEEP_WHOLE rounds, so that figures that
-    change slowly are stored too.
+    """Writes what changed every WRITE_INTERVAL, and everything each ROUNDS_PER_FULL_WRITE rounds, so that
+    figures that change slowly are stored too.
 
     `tracks` are the names of the request classes. `spent` and `longest` are the CPU time (ns) of all slices
     and of the longest; `cpu_clock` is replaced by tests.
@@ -51,7 +51,7 @@
     def write_slice(self, observations: Observations) -> bool:
         """Write some of the observations within the CPU budget. Returns whether those were the last."""
         now = self.loop.now()
-        if not self.cpu_budget.may(now):
+        if not self.cpu_budget.may_spend(now):
             return False
         begun = self.cpu_clock()
         batch, exhausted = self._next_batch(observations, begun)
@@ -70,20 +70,20 @@
 
     def _run(self) -> Generator[Any, Any, None]:
         while True:
-            yield self.loop.sleep(KEEP_EVERY)
+            yield self.loop.sleep(WRITE_INTERVAL)
             if not self.store.ready():
                 self.written_until = EVERYTHING
                 continue
             yield from self._write_round()
 
     def _write_round(self) -> Generator[Any, Any, None]:
-        whole = self.rounds % KEEP_WHOLE == 0
+        whole = self.rounds % ROUNDS_PER_FULL_WRITE == 0
         begun, self.round_written = self.loop.now(), True
         observations = self._observations(begun, EVERYTHING if whole else self.written_until)
         while not self.write_slice(observations):
             yield self.loop.sleep(self.cpu_budget.wait(self.loop.now()))
         if whole:
-            self.store.forget(OLDEST)
+            self.store.forget(MAX_AGE)
         self.written_until = begun if self.round_written else EVERYTHING
         self.rounds += 1
 
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -36,15 +36,15 @@
         "cells": gate.cells and gate.cells.status(),
         "weak_word": others.gossip and others.gossip.node.status(gate.loop.now()),
         "learnt": {
-            "facts": len(others.observations.facts),
-            "refused": dict(others.observations.refused),
+            "facts": len(others.observations.by_subject),
+            "refused": others.observations.rejected(),
             "peers": client.state if client else {},
-            "booked": client.booked if client else 0,
+            "booked": client.hints_taken if client else 0,
             "right": sum(each.right for each in decisions(gate)),
             "wrong": sum(each.wrong for each in decisions(gate)),
         },
         "telling": server
-        and {"facts": server.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
+        and {"facts": server.transfers.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
         "memory": writer
         and {
             "written": writer.store.written,
@@ -85,7 +85,7 @@
     for name, function in (pair for each in decisions(gate) for pair in each.functions.items()):
         for tried, table in ((True, function.seen), (False, function.told)):
             for worker, seen in table.items():
-                fact = gate.others.observations.facts.get(("warm", worker, name))
+                observation = gate.others.observations.by_subject.get(("warm", worker, name))
                 told.append(
                     {
                         "worker": worker,
@@ -94,8 +94,8 @@
                         "tried": tried,
                         "by": "an answer"
                         if worker in function.stands
-                        else fact.origin
-                        if fact
+                        else observation.origin
+                        if observation
                         else "a task sent",
                     }
                 )
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -4,9 +4,10 @@
 from gaproute.appliance.observation_writer import ObservationWriter
 from gaproute.config import read_peers
 from gaproute.decisions.chance import Chance
+from gaproute.decisions.reports.follower import ObservationFollower
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.observation_kinds import SharedObservation
-from gaproute.decisions.reports.shared_observations import FACTS, SharedObservations
+from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
 from gaproute.discovery.listing import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop.streams import address
@@ -43,7 +44,12 @@
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = HostHistory(), SharedObservations()
         self.tracks = [line.name for line in configuration.tracks]
-        self.chance = Chance(seed + 1)
+        self.follower = ObservationFollower(
+            self.observations,
+            configuration.terms.keep_alive,
+            {name: number for number, name in enumerate(self.tracks)},
+            Chance(seed + 1),
+        )
 
     def listen(self, where):
         """The front at which others ask. Errors: OSError."""
@@ -66,7 +72,7 @@
                 self.leases = LeaseService(
                     self.loop, self.configuration.name, line, self.record, Chance(self.seed + 5)
                 )
-                self.peer_server.also[TARGET] = self.leases.handle
+                self.peer_server.routes[TARGET] = self.leases.handle
         except OSError:
             self.peer_server.close()
             raise
@@ -93,10 +99,10 @@
 
     def hosts_listed(self, lives):
         """`lives`: {host: (state, start, ns since 1970)} of the whole list."""
-        self.host_history.listed(self.loop.now(), lives)
+        self.host_history.update(self.loop.now(), lives)
         if self.gossip is not None:
             self.gossip.listed(
-                {name: told[1] for name, told in self.host_history.told.items() if name in lives}
+                {name: entry.started for name, entry in self.host_history.entries.items() if name in lives}
             )
 
     def remember(self):
@@ -119,35 +125,28 @@
 
     def _recall(self, store):
         now = self.loop.now()
-        for subject, value, age in store.read(FACTS):
-            at = self.observations.observed(now, age)
+        for subject, value, age in store.read(MAX_OBSERVATIONS):
+            at = self.observations.observed_at(now, age)
             if at is not None:
-                self.observations.tell(subject, SharedObservation(at, "past life", 0, value))
-        booked = self.follow(self.observations.facts)
+                self.observations.add(subject, SharedObservation(at, "past life", 0, value))
+        booked = self.follow(self.observations.by_subject)
         self.whole()
         self.record.event(
             "info",
             "remembered",
-            facts=len(self.observations.facts),
+            facts=len(self.observations.by_subject),
             booked=booked,
-            refused=dict(self.observations.refused),
+            refused=self.observations.rejected(),
         )
 
     def follow(self, subjects):
-        tracks = {name: place for place, name in enumerate(self.tracks)}
-        return self.observations.follow(
-            self.gateway,
-            self.loop.now(),
-            self.host_history.lives(),
-            tracks,
-            self.configuration.terms.keep_alive,
-            self.chance,
-            subjects,
-        )
+        """Tells the decisions of what was observed of the subjects; how many hints were taken."""
+        starts = self.host_history.active_starts()
+        return self.follower.follow(self.gateway, self.loop.now(), starts, subjects)
 
     def whole(self):
         """All that one source tells has come: the mix is known now."""
-        self.gateway.hint_mix(self.observations.mix())
+        self.gateway.hint_mix(self.observations.request_mix())
 
     def listed(self, peers):
         others = [peer for peer in peers if peer.name != self.configuration.name]
@@ -157,7 +156,7 @@
             self.leases.listed({peer.name: peer.where for peer in others})
         if self.cells is not None:
             self.cells.peers({peer.name: peer.where for peer in others})
-        self.observation_client.listed(others)
+        self.observation_client.set_peers(others)
 
     def refused(self, mistakes):
         for mistake in mistakes:
--- a/gaproute/decisions/reports/__init__.py
+++ b/gaproute/decisions/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other of what they saw, and how far it is believed."""
+"""What gateways tell each other of what they observed, and how far it is believed; no I/O."""
--- /dev/null
+++ b/gaproute/decisions/reports/follower.py
@@ -0,0 +1,154 @@
+"""Which shared observations are followed, and how the decisions are told of them.
+
+The host list of this gateway beats all of it, and whatever it observed itself beats every hint. Nothing here
+orders a load, marks a host as active or lifts a limit of the rules. Times are in ns.
+"""
+
+from collections.abc import Collection, Iterable, Mapping
+from typing import Any, NamedTuple
+
+from gaproute.decisions.reports.observation_kinds import (
+    ListedState,
+    ObservationKind,
+    RejectionReason,
+    SharedObservation,
+    Subject,
+)
+from gaproute.decisions.reports.shared_observations import SharedObservations
+from gaproute.shared.randomness import RandomSource
+
+MIN_AGE_SHARE = 0.35  # of the keep-alive: age that a hint has at least, whatever is told: another's word is
+#                       weaker than one's own eyes; the decay leaves it 0.985 of its weight
+RANDOM_AGE_SHARE = 0.35  # of the keep-alive: further age by chance, so that gateways that learn the same at
+#                          one moment rank the warm hosts differently and do not all send to one
+RANDOM_STEPS = 1000
+MIN_INSTANCES = 4  # of a function that are hinted at least, the freshest: the stable hash picks among them,
+#                    and origins that err mostly err differently
+INSTANCE_SPREAD = 2.5  # instances believed for each host that a function could fill, as the decisions spread
+MAX_SLOWDOWN = 8.0  # times slower than usual that a host is believed to be
+
+NOT_FOLLOWED_SINGLY = (
+    ObservationKind.WARM_INSTANCE,
+    ObservationKind.LISTED_STATE,
+    ObservationKind.REQUEST_SHARE,
+)
+
+Starts = Mapping[str, int]  # active hosts by this gateway's list, with their starts since 1970; 0: none told
+
+
+class WarmHint(NamedTuple):
+    """A warm instance that may be believed."""
+
+    host: str
+    function: str
+    lanes: int
+    seen: int  # taken for the time of its last use
+
+
+class _Candidate(NamedTuple):
+    observed_at: int
+    hint: WarmHint
+
+
+class ObservationFollower:
+    """Draws hints from shared observations.
+
+    `request_classes`: by name the number that the decisions know it by; `keep_alive`: how long an instance
+    stays warm unused.
+    """
+
+    def __init__(
+        self,
+        observations: SharedObservations,
+        keep_alive: int,
+        request_classes: Mapping[str, int],
+        random: RandomSource,
+    ) -> None:
+        self.observations = observations
+        self._keep_alive, self._request_classes, self._random = keep_alive, request_classes, random
+
+    def follow(self, gateway: Any, now: int, starts: Starts, subjects: Collection[Subject]) -> int:
+        """Tells the decisions what may be believed of the subjects that came; how many hints they took."""
+        functions = [subject[2] for subject in subjects if subject[0] == ObservationKind.WARM_INSTANCE]
+        taken = sum([int(gateway.hint(*hint)) for hint in self.warm_hints(now, starts, functions)])
+        for subject in subjects:
+            observation = self.observations.by_subject.get(subject)
+            if observation is not None and subject[0] not in NOT_FOLLOWED_SINGLY:
+                taken += self._follow_one(gateway, starts, subject, observation)
+        return taken
+
+    def warm_hints(self, now: int, starts: Starts, functions: Iterable[str] | None = None) -> list[WarmHint]:
+        """Instances that may be believed, of all functions where none are named.
+
+        Of each function only the freshest, as many as its share of the requests could fill and
+        `MIN_INSTANCES` at least.
+        """
+        warm_hosts = self.observations.warm_hosts
+        hints: list[WarmHint] = []
+        for function in sorted(warm_hosts if functions is None else warm_hosts.keys() & set(functions)):
+            candidates = self._candidates(now, starts, function)
+            candidates.sort(key=lambda candidate: (-candidate.observed_at, candidate.hint.host))
+            useful = round(INSTANCE_SPREAD * self.observations.share(function) * len(starts))
+            hints += [candidate.hint for candidate in candidates[: max(MIN_INSTANCES, useful)]]
+        return hints
+
+    def _candidates(self, now: int, starts: Starts, function: str) -> list[_Candidate]:
+        candidates = []
+        for host in sorted(self.observations.warm_hosts[function]):
+            subject = (ObservationKind.WARM_INSTANCE.value, host, function)
+            observation = self.observations.by_subject[subject]
+            lanes, started = observation.value
+            reason = self._void_reason(host, observation, started, starts)
+            seen = min(observation.observed_at, now - self._random_age())
+            if reason is None and now - seen >= self._keep_alive:
+                reason = RejectionReason.EXPIRED
+            if reason is None:
+                candidates.append(_Candidate(observation.observed_at, WarmHint(host, function, lanes, seen)))
+            else:
+                self.observations.rejections[reason] += 1
+        return candidates
+
+    def _random_age(self) -> int:
+        share = MIN_AGE_SHARE + RANDOM_AGE_SHARE * self._random.below(RANDOM_STEPS) / RANDOM_STEPS
+        return int(share * self._keep_alive)
+
+    def _void_reason(
+        self, host: str, observation: SharedObservation, started: int | None, starts: Starts
+    ) -> RejectionReason | None:
+        """Why an observation of a host is not to be followed, or None.
+
+        `started`: the host's start by the origin's list, None where the kind has none.
+        """
+        if host not in starts:
+            return RejectionReason.NOT_LISTED
+        if started is not None and starts[host] != started:
+            return RejectionReason.OTHER_INCARNATION
+        listed = self.observations.by_subject.get((ObservationKind.LISTED_STATE, host))
+        if (
+            listed is not None
+            and listed.value[0] != ListedState.ACTIVE
+            and listed.observed_at >= observation.observed_at
+        ):
+            return RejectionReason.GONE_SINCE
+        return None
+
+    def _follow_one(
+        self, gateway: Any, starts: Starts, subject: Subject, observation: SharedObservation
+    ) -> int:
+        """Follows one observation that is not of an instance; how many hints were taken."""
+        kind, *names = subject
+        value = observation.value[0]
+        if kind == ObservationKind.USUAL_TIME:
+            return int(gateway.hint_usual(names[0], value))
+        if kind == ObservationKind.LOAD_TIME:
+            return int(gateway.hint_usual(None, value))
+        reason = self._void_reason(names[0], observation, None, starts)
+        if reason is None and kind == ObservationKind.SLOWDOWN:
+            return int(gateway.hint_pace(names[0], min(value, MAX_SLOWDOWN), observation.observed_at))
+        if reason is None and names[1] not in self._request_classes:
+            reason = RejectionReason.REQUEST_CLASS
+        if reason is not None:
+            self.observations.rejections[reason] += 1
+            return 0
+        request_class = self._request_classes[names[1]]
+        return int(gateway.hint_doubt(names[0], request_class, value, observation.observed_at))
--- a/gaproute/decisions/reports/host_history.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -1,40 +1,82 @@
-"""What a gateway tells of its own: its host list and what it saw."""
+"""What a gateway tells of its own: its host list over time, and what it observed itself. Times are in ns."""
 
-GONE_KEPT = 1024  # hosts remembered as gone: more than a fleet replaces in a roll
+from collections.abc import Iterator, Mapping, Sequence
+from typing import Any, NamedTuple
+
+from gaproute.decisions.reports.observation_kinds import ListedState, ObservationKind, Subject, Value
+
+MAX_GONE = 1024  # hosts remembered as gone: more than a fleet replaces in a rolling restart
+EVERYTHING = -1  # as the time since when observations are wanted
+
+
+class HostEntry(NamedTuple):
+    """What the list told of a host."""
+
+    state: str  # a `ListedState`
+    started: int  # start of the host, ns since 1970; 0 where none was told
+    listed_at: int  # when that was told first
+
+
+class OwnObservation(NamedTuple):
+    """What this gateway observed itself of one subject."""
+
+    subject: Subject
+    value: Value
+    observed_at: int
 
 
 class HostHistory:
     """What a gateway's own host list told of each host, and when; hosts that left it are gone."""
 
-    def __init__(self):
-        self.told = {}  # worker: (state, start, when that was first told)
-
-    def listed(self, now, rows):
-        """`rows`: {worker: (state, start of its life, ns since 1970, 0: none told)}, the whole list."""
-        for name, row in rows.items():
-            if self.told.get(name, ())[:2] != row:
-                self.told.pop(name, None)
-                self.told[name] = (*row, now)
-        for name in [name for name, told in self.told.items() if name not in rows and told[0] != "gone"]:
-            started = self.told.pop(name)[1]
-            self.told[name] = ("gone", started, now)
-        gone = [name for name, told in self.told.items() if told[0] == "gone" and name not in rows]
-        for name in gone[:-GONE_KEPT]:
-            del self.told[name]
-
-    def lives(self):
-        return {name: started for name, (state, started, _) in self.told.items() if state == "active"}
-
-
-def own_observations(gateway, roll, tracks, now, since=-1):
-    """What a gateway saw itself since then, one by one: (subject, value, when). `tracks`: their names."""
-    for name, (state, started, at) in list(roll.told.items()):
-        if at > since:
-            yield ("listed", name), (state, started), at
-    for kind, names, value, at in gateway.known(now, since):
-        if kind == "warm":
-            told = roll.told.get(names[0])
-            value = (*value, told[1] if told else 0)
-        elif kind == "doubt":
-            names = (names[0], tracks[names[1]])
-        yield (kind, *names), value, at
+    def __init__(self) -> None:
+        self.entries: dict[str, HostEntry] = {}  # by host, those that changed last at the end
+
+    def update(self, now: int, hosts: Mapping[str, tuple[str, int]]) -> None:
+        """Takes the whole list: by host its state and start."""
+        for name, (state, started) in hosts.items():
+            entry = self.entries.get(name)
+            if entry is None or (entry.state, entry.started) != (state, started):
+                self._put(name, HostEntry(state, started, now))
+        for name, entry in list(self.entries.items()):
+            if name not in hosts and entry.state != ListedState.GONE:
+                self._put(name, HostEntry(ListedState.GONE.value, entry.started, now))
+        self._drop_oldest_gone(hosts)
+
+    def active_starts(self) -> dict[str, int]:
+        """The active hosts and their starts."""
+        return {
+            name: entry.started for name, entry in self.entries.items() if entry.state == ListedState.ACTIVE
+        }
+
+    def _put(self, name: str, entry: HostEntry) -> None:
+        self.entries.pop(name, None)
+        self.entries[name] = entry
+
+    def _drop_oldest_gone(self, hosts: Mapping[str, object]) -> None:
+        gone = [
+            name
+            for name, entry in self.entries.items()
+            if entry.state == ListedState.GONE and name not in hosts
+        ]
+        for name in gone[:-MAX_GONE]:
+            del self.entries[name]
+
+
+def own_observations(
+    gateway: Any, history: HostHistory, request_classes: Sequence[str], now: int, since: int = EVERYTHING
+) -> Iterator[OwnObservation]:
+    """What a gateway observed itself since then, one by one; it may be read over many turns.
+
+    `request_classes`: their names, by the numbers that the decisions know them by.
+    """
+    for name, entry in list(history.entries.items()):
+        if entry.listed_at > since:
+            subject = (ObservationKind.LISTED_STATE.value, name)
+            yield OwnObservation(subject, (entry.state, entry.started), entry.listed_at)
+    for kind, names, value, observed_at in gateway.known(now, since):
+        if kind == ObservationKind.WARM_INSTANCE:
+            listed = history.entries.get(names[0])
+            value = (*value, 0 if listed is None else listed.started)
+        elif kind == ObservationKind.FAILURE:
+            names = (names[0], request_classes[names[1]])
+        yield OwnObservation((kind, *names), value, observed_at)
--- a/gaproute/decisions/reports/observation_kinds.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -1,42 +1,115 @@
-"""Facts: what one gateway saw of a subject, and which are refused."""
+"""What gateways tell each other they observed: the kinds of observations, and which are rejected.
 
-from typing import NamedTuple
+A subject is a tuple of the kind and the names that it is about; subjects and values are stored on disk and
+sent as they are here. Times are in ns.
+"""
+
+from collections.abc import Callable, Mapping
+from enum import StrEnum
+from typing import Any, NamedTuple
 
 SECOND = 1_000_000_000
 
-OLDEST = 300 * SECOND  # facts older than this are refused: no copy is kept so long, no clock is so right
+MAX_AGE = 300 * SECOND  # older observations are rejected: no instance is kept so long, no clock is so right
+MAX_LANES = 1024  # requests that one instance serves at once
+
+Subject = tuple[str, ...]  # (kind, name, ...)
+Value = tuple[Any, ...]
+
+
+class ObservationKind(StrEnum):
+    """The kinds, by their texts in stored data; `KIND_RULES` has the names and values of each."""
+
+    WARM_INSTANCE = "warm"
+    LISTED_STATE = "listed"
+    FAILURE = "doubt"
+    SLOWDOWN = "pace"
+    USUAL_TIME = "usual"
+    LOAD_TIME = "load"
+    REQUEST_SHARE = "share"
+
+
+class ListedState(StrEnum):
+    """The state of a host by the list of who observed it."""
+
+    ACTIVE = "active"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class RejectionReason(StrEnum):
+    """Why an observation was not taken, or not followed; the texts are shown to operators."""
+
+    AGE = "age"
+    KIND = "kind"
+    NAME = "name"
+    TOO_MANY = "too many"
+    LANES = "lanes"
+    START = "start"
+    STATE = "state"
+    TIME = "time"
+    SHARE = "share"
+    SLOWDOWN = "pace"
+    NOT_LISTED = "not listed"
+    OTHER_INCARNATION = "another life"
+    GONE_SINCE = "gone since"
+    EXPIRED = "faded"
+    REQUEST_CLASS = "track"
 
 
 class SharedObservation(NamedTuple):
-    at: int  # observed, by this gateway's clock, ns
+    """An observation of one subject; the newer is the greater."""
+
+    observed_at: int  # by this gateway's clock
     origin: str  # who observed it
-    hops: int
-    value: tuple
+    hops: int  # 0: this gateway in its last run, 1: a peer itself
+    value: Value
+
+
+class KindRule(NamedTuple):
+    """How many names a subject of the kind has, and why a value cannot be; None where it can."""
+
+    names: int
+    invalid: Callable[..., RejectionReason | None]
+
+
+def _invalid_instance(lanes: int, started: int) -> RejectionReason | None:
+    if started < 0:
+        return RejectionReason.START
+    return None if 1 <= lanes <= MAX_LANES else RejectionReason.LANES
 
 
-def _warm(lanes, started):
-    return None if 1 <= lanes <= 1024 and started >= 0 else "lanes" if started >= 0 else "start"
+def _invalid_listed(state: str, started: int) -> RejectionReason | None:
+    if state not in tuple(ListedState):
+        return RejectionReason.STATE
+    return RejectionReason.START if started < 0 else None
 
 
-def _listed(state, started):
-    return "state" if state not in ("active", "draining", "gone") else "start" if started < 0 else None
+def _invalid_time(duration: float) -> RejectionReason | None:
+    return None if 0 < duration <= MAX_AGE else RejectionReason.TIME
 
 
-def _time(took):
-    return None if 0 < took <= OLDEST else "time"
+def _invalid_share(share: float) -> RejectionReason | None:
+    return None if 0 < share <= 1 else RejectionReason.SHARE
 
 
-def _part(part):
-    return None if 0 < part <= 1 else "share"
+def _invalid_slowdown(times: float) -> RejectionReason | None:
+    return None if 1 <= times < float("inf") else RejectionReason.SLOWDOWN
 
 
-# kind: (names in its subject, what is wrong with a value or None)
-KINDS = {
-    "warm": (2, _warm),  # (lanes, start of the worker's life by the giver's list as below)
-    "listed": (1, _listed),  # (state by the giver's list, start)
-    "doubt": (2, _part),  # (weight of the last bad result, 0 to 1)
-    "pace": (1, lambda slow: None if 1 <= slow < float("inf") else "pace"),  # (times slower than usual)
-    "usual": (1, _time),  # (answer time where a copy stands, ns)
-    "load": (0, _time),  # (answer time where a load is waited for, ns)
-    "share": (1, _part),  # (of the giver's last tasks)
+KIND_RULES: Mapping[str, KindRule] = {
+    # host, function: (lanes, start of the host by the origin's list)
+    ObservationKind.WARM_INSTANCE: KindRule(2, _invalid_instance),
+    # host: (state by the origin's list, start)
+    ObservationKind.LISTED_STATE: KindRule(1, _invalid_listed),
+    # host, request class: (weight of the last bad result, 0 to 1)
+    ObservationKind.FAILURE: KindRule(2, _invalid_share),
+    # host: (times slower than usual)
+    ObservationKind.SLOWDOWN: KindRule(1, _invalid_slowdown),
+    # function: (answer time where an instance is warm)
+    ObservationKind.USUAL_TIME: KindRule(1, _invalid_time),
+    # nothing: (answer time where a load is waited for)
+    ObservationKind.LOAD_TIME: KindRule(0, _invalid_time),
+    # function: (share of the origin's last requests)
+    ObservationKind.REQUEST_SHARE: KindRule(1, _invalid_share),
 }
--- a/gaproute/decisions/reports/shared_observations.py
+++ b/gaproute/decisions/reports/shared_observations.py
@@ -1,170 +1,104 @@
-"""What is told of the fleet by other gateways and by a past life, and how far it is trusted: decisions only.
+"""What other gateways and this gateway's last run observed of the fleet, merged.
 
-A fact has a subject, a value, the time of the observation on this gateway's clock, who observed it, and over
-how many hops it came: 0 for this gateway's own past life, 1 for a peer's own eyes. Only what a gateway saw
-itself is told on, so no fact travels further and none that a host's end has made void comes back by a third.
-`SharedObservations` holds facts from many givers; merging takes the greater of two by one total order, so it
-is commutative, associative and idempotent. A host that is gone is remembered as such (a tombstone), never
-as an absence.
-
-Subjects are tuples: ("warm", worker, function), ("listed", worker), ("doubt", worker, track), ("pace",
-worker), ("usual", function), ("load",), ("share", function). `KINDS` has their values.
-
-The host list of this gateway beats all of it, and whatever it saw itself beats every hint: see
-`SharedObservations.hints` and the hints of `Gateway`. Nothing here orders a load, marks a host as active or
-lifts a limit of the rules.
+An observation has a subject, a value, the time by this gateway's clock, who observed it, and over how many
+hops it came: 0 for this gateway's own last run, 1 for a peer. Only what a gateway observed itself is told, so
+nothing travels further, and nothing that a host's end has made void comes back by a third gateway. Merging
+takes the greater of two by one total order, so it is commutative, associative and idempotent. A host that is
+gone is remembered as such (a tombstone), never as an absence. Times are in ns.
 """
 
 from collections import Counter
+from collections.abc import Iterable
 
-from gaproute.decisions.reports.observation_kinds import KINDS, OLDEST
+from gaproute.decisions.reports.observation_kinds import (
+    KIND_RULES,
+    MAX_AGE,
+    ObservationKind,
+    RejectionReason,
+    SharedObservation,
+    Subject,
+)
 
-FACTS = 50_000  # facts held: 300 hosts with 160 functions each; beyond it new subjects are refused
-NAME = 256  # characters of a name: what is longer was never a host or a model
-FRESHEST = 0.35  # of the keep-alive: age that a hint has at least, whatever is told: a giver's word
-#                          is weaker than one's own eyes; the fade leaves it 0.985 of its warmth
-SPREAD = 0.35  # of the keep-alive: further age by chance, so that gateways that learn the same at
-#                          one moment rank the warm hosts differently and do not all send to one
-COPIES = 4  # copies of a function handed on at least, the freshest: the module's hash picks
-#                          among them, and givers that err mostly err differently
-WIDE = 2.5  # copies believed for each worker that a function could fill, as the module spreads
-SLOWEST = 8.0  # times slower than usual that a host is believed to be at most
-MIXED = 128  # names that stand for the mix told: half of what the module keeps of its own
+MAX_OBSERVATIONS = 50_000  # 300 hosts with 160 functions each; beyond it new subjects are rejected
+MAX_NAME = 256  # characters: what is longer was never a host or a model
+MIX_SIZE = 128  # names that stand for the mix of requests: half of what the decisions keep of their own
+MIX_STRIDE = 37  # shares no factor with a power of two: no function's requests stand together
 
 
 class SharedObservations:
-    def __init__(self):
-        self.facts = {}  # subject: SharedObservation
-        self.copies = {}  # function: workers that somebody saw it warm at, in the order of coming
-        self.refused = Counter()  # reason: facts refused, or not followed
-
-    def observed(self, asked, age):
-        """The earliest time that a fact of that age can be of, by the clock at which it was asked for; None:
-        refused. The answer was written after the asking, so a long round trip makes a fact older, never
-        younger."""
-        if not 0 <= age <= OLDEST:
-            self.refused["age"] += 1
+    """Observations of many origins, one of each subject. What cannot be is rejected and counted."""
+
+    def __init__(self) -> None:
+        self.by_subject: dict[Subject, SharedObservation] = {}
+        self.warm_hosts: dict[str, list[str]] = {}  # by function: hosts where an instance was seen
+        self.rejections: Counter[RejectionReason] = Counter()
+
+    def observed_at(self, asked: int, age: int) -> int | None:
+        """The earliest time that an observation of that age can be of; None where the age is rejected.
+
+        `asked`: when it was asked for. The answer was written after that, so a long round trip makes an
+        observation older, never younger.
+        """
+        if not 0 <= age <= MAX_AGE:
+            self.rejections[RejectionReason.AGE] += 1
             return None
         return asked - age
 
-    def tell(self, subject, fact):
-        """Takes a fact where it is newer than what is held; what cannot be is refused and counted."""
-        kind, *names = subject
-        count, wrong = KINDS.get(kind, (None, None))
-        reason = (
-            "kind"
-            if count is None
-            else "name"
-            if len(names) != count or not all(0 < len(name) <= NAME for name in names)
-            else wrong(*fact.value)
-        )
-        known = self.facts.get(subject)
-        if reason is None and known is None and len(self.facts) >= FACTS:
-            reason = "too many"
+    def add(self, subject: Subject, observation: SharedObservation) -> None:
+        """Takes an observation where it is newer than what is held."""
+        known = self.by_subject.get(subject)
+        reason = _rejection_reason(subject, observation)
+        if reason is None and known is None and len(self.by_subject) >= MAX_OBSERVATIONS:
+            reason = RejectionReason.TOO_MANY
         if reason is not None:
-            self.refused[reason] += 1
+            self.rejections[reason] += 1
             return
-        if known is None and kind == "warm":
-            self.copies.setdefault(names[1], []).append(names[0])
-        self.facts[subject] = fact if known is None else max(known, fact)
-
-    def merge(self, other):
-        self.refused.update(other.refused)
-        for subject, fact in other.facts.items():
-            self.tell(subject, fact)
-
-    def share(self, function):
-        fact = self.facts.get(("share", function))
-        return fact.value[0] if fact else 0.0
-
-    def void(self, worker, fact, started, lives):
-        """Why a fact of a worker is not to be followed, or None. `lives`: {active worker: start of its life
-        by this gateway's list, ns since 1970, 0: none told}; `started`: the start by the giver's, None where
-        the kind has none."""
-        listed = self.facts.get(("listed", worker))
-        if worker not in lives:
-            return "not listed"
-        if started is not None and lives[worker] != started:
-            return "another life"
-        if listed and listed.value[0] != "active" and listed.at >= fact.at:
-            return "gone since"
-        return None
-
-    def hints(self, now, lives, keep_alive, chance, functions=None):
-        """Copies that may be believed: [(worker, function, lanes, time of the last use)].
-
-        Of each function only the freshest, as many as its share of the work could fill and COPIES at least.
-        `functions`: those to look at; all where left out.
-        """
-        found = []
-        for function in sorted(self.copies if functions is None else self.copies.keys() & set(functions)):
-            usable = []
-            for worker in sorted(self.copies[function]):
-                fact = self.facts["warm", worker, function]
-                reason = self.void(worker, fact, fact.value[1], lives)
-                floor = FRESHEST + SPREAD * chance.below(1000) / 1000
-                seen = min(fact.at, now - int(floor * keep_alive))
-                if reason is None and now - seen >= keep_alive:
-                    reason = "faded"
-                if reason is None:
-                    usable.append((fact.at, worker, fact.value[0], seen))
-                else:
-                    self.refused[reason] += 1
-            usable.sort(key=lambda copy: (-copy[0], copy[1]))
-            most = max(COPIES, round(WIDE * self.share(function) * len(lives)))
-            found += [(worker, function, lanes, seen) for _, worker, lanes, seen in usable[:most]]
-        return found
-
-    def follow(self, gateway, now, lives, tracks, keep_alive, chance, subjects):
-        """Hands the gateway what may be believed of the subjects that came; how many hints it took.
-
-        `tracks`: {name: place in the terms}.
-        """
-        took = sum(
-            [
-                gateway.hint(*hint)
-                for hint in self.hints(
-                    now,
-                    lives,
-                    keep_alive,
-                    chance,
-                    [subject[2] for subject in subjects if subject[0] == "warm"],
-                )
-            ]
-        )
-        for subject in subjects:
-            kind, *names = subject
-            fact = self.facts.get(subject)
-            if fact is None or kind in ("warm", "listed", "share"):
-                continue
-            value = fact.value[0]
-            if kind == "usual":
-                took += gateway.hint_usual(names[0], value)
-            elif kind == "load":
-                took += gateway.hint_usual(None, value)
-            elif reason := self.void(names[0], fact, None, lives):
-                self.refused[reason] += 1
-            elif kind == "pace":
-                took += gateway.hint_pace(names[0], min(value, SLOWEST), fact.at)
-            elif names[1] in tracks:
-                took += gateway.hint_doubt(names[0], tracks[names[1]], value, fact.at)
-            else:
-                self.refused["track"] += 1
-        return took
-
-    def mix(self, size=MIXED):
+        if known is not None:
+            self.by_subject[subject] = max(known, observation)
+            return
+        self.by_subject[subject] = observation
+        if subject[0] == ObservationKind.WARM_INSTANCE:
+            _, host, function = subject
+            self.warm_hosts.setdefault(function, []).append(host)
+
+    def merge(self, other: "SharedObservations") -> None:
+        """Takes all that another one holds, and its counts."""
+        self.rejections.update(other.rejections)
+        for subject, observation in other.by_subject.items():
+            self.add(subject, observation)
+
+    def rejected(self) -> dict[str, int]:
+        """How many were rejected or not followed, by the reason's text."""
+        return {reason.value: count for reason, count in self.rejections.items()}
+
+    def share(self, function: str) -> float:
+        """The function's share of the requests; 0 where nobody told."""
+        observation = self.by_subject.get((ObservationKind.REQUEST_SHARE, function))
+        return observation.value[0] if observation else 0.0
+
+    def request_mix(self, size: int = MIX_SIZE) -> list[str]:
         """`size` names that stand for the mix of functions told, "" for those not told, evenly mixed."""
-        shares = sorted(
-            (name, fact.value[0])
-            for (kind, *rest), fact in self.facts.items()
-            if kind == "share"
-            for name in rest
-        )
+        shares = sorted(self._shares())
         total = max(1.0, sum(share for _, share in shares))
-        names, reached = [], 0.0
+        names: list[str] = []
+        reached = 0.0
         for name, share in shares:
             reached += share / total * size
             names += [name] * (round(reached) - len(names))
         names += [""] * (size - len(names))
-        # A stride that shares no factor with a power of two: no function's tasks stand together.
-        return [names[place * 37 % size] for place in range(size)]
+        return [names[position * MIX_STRIDE % size] for position in range(size)]
+
+    def _shares(self) -> Iterable[tuple[str, float]]:
+        for subject, observation in self.by_subject.items():
+            if subject[0] == ObservationKind.REQUEST_SHARE:
+                yield subject[1], observation.value[0]
+
+
+def _rejection_reason(subject: Subject, observation: SharedObservation) -> RejectionReason | None:
+    kind, *names = subject
+    rule = KIND_RULES.get(kind)
+    if rule is None:
+        return RejectionReason.KIND
+    if len(names) != rule.names or not all(0 < len(name) <= MAX_NAME for name in names):
+        return RejectionReason.NAME
+    return rule.invalid(*observation.value)
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -27,13 +27,13 @@
     """Has what the table's carrier needs of `gaproute.peers.PeerServer`; stands in the network's `givers`."""
 
     def __init__(self, network, name, address):
-        self.network, self.name, self.address, self.also = network, name, address, {}
+        self.network, self.name, self.address, self.routes = network, name, address, {}
         self.answers = self.bytes = 0
         network.givers[address] = self
 
     def ask(self, body):
         """The answer's status and body."""
-        handle = self.also.get(TARGET)
+        handle = self.routes.get(TARGET)
         if handle is None:
             return 404, b""
         handle(self, SimpleNamespace(method=b"POST", body=body))
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -18,7 +18,7 @@
             surroundings.loop, where, parts["hosts"].gateway, HostHistory(), tracks, ASKED
         )
         self.transport = parts["leases"].hosted_node.transport
-        self.peer_server.also[TARGET] = self.handle
+        self.peer_server.routes[TARGET] = self.handle
 
     def handle(self, server, request):
         """A batch of a keeper's messages came."""
@@ -26,7 +26,7 @@
 
     def counters(self):
         """What was told to others that ask, and how often they were put off."""
-        return {"told": self.peer_server.told, "put_off": self.peer_server.put_off}
+        return {"told": self.peer_server.transfers.told, "put_off": self.peer_server.put_off}
 
     def close(self):
         """Listens no more."""
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -1,117 +1,187 @@
-"""The learning side: at its start a gateway asks its peers, chunk by chunk, then for what changed, and books
-the hints.
+"""Asks peers for what they observed: at the start chunk by chunk, then for what changed.
 
-What has come from a peer that dies or stalls in the middle stays usable. Answers are booked as they come, so
-that the first chunk, which holds what was used last, helps while the rest is on its way.
+What has come from a peer that dies or stalls in the middle stays usable. Answers are followed as they come,
+so that the first chunk, which holds what was used last, helps while the rest is on its way. Times are in ns.
 """
 
+from collections.abc import Callable, Collection, Generator, Iterable
+from dataclasses import dataclass
+from typing import Any
+
 from gaproute.decisions.reports.exchange_limits import (
-    ANSWER,
-    ANSWER_TIME,
-    ASKED,
-    CHANGES,
-    CHUNKS,
-    LEARN_TIME,
-    TRIES,
-    TRY_AGAIN,
+    ANSWER_TIMEOUT,
+    LEARNING_TIME,
+    MAX_ANSWER_BYTES,
+    MAX_CHUNKS,
+    MAX_PEERS,
+    MAX_RETRIES,
+    POLL_INTERVAL,
+    RETRY_INTERVAL,
 )
+from gaproute.decisions.reports.observation_kinds import Subject
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.http1 import Exchange
 from gaproute.loop import Promise
 from gaproute.loop.streams import address
 from gaproute.peers import observation_wire
+from gaproute.peers.membership import EventLog, Peer
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
+PUT_OFF = 503  # HTTP status of a peer that has no CPU to spare
+DEFAULT_PAUSE = 100 * MILLI  # where it does not say when to ask again
+MAX_PAUSE = SECOND
+RETRY_AFTER_HEADER = b"gaproute-retry-after-ms"
+MAX_HEAD_BYTES = 16_384  # of an answer
+ASKED = "asked"  # state of a peer that has not told all yet, as operators see it
+
+
+@dataclass
+class PeerProgress:
+    """How far one peer was asked."""
+
+    cursor: int = 0  # of the next chunk; 0 before the first and after the last
+    run_id: int = 0  # of the peer's process, by which it knows its marks
+    mark: int = 0  # after which changes are asked for; 0 before the snapshot has come whole
+    received: int = 0  # observations
+    retries: int = 0
+
 
 class ObservationClient:
-    """`book(subjects)` hands the module what the lore now holds of them; `done()` at a snapshot's end."""
-
-    def __init__(self, loop, peers, lore, book, done, record):
-        self.loop, self.lore, self.book, self.done, self.record = loop, lore, book, done, record
-        self.booked = 0
-        self.ends = loop.now() + LEARN_TIME
-        self.state, self.routines = {}, []
-        self.listed(peers)
-
-    def listed(self, peers):
-        """Peers as they are listed now: those not asked yet are asked, while there is time and there are not
-        too many."""
+    """Learns from peers.
+
+    `follow(subjects)` tells the decisions of what the observations now hold of them and returns how many
+    hints were taken; `completed()` is called at the end of each snapshot.
+    """
+
+    def __init__(
+        self,
+        loop: Any,
+        peers: Iterable[Peer],
+        observations: SharedObservations,
+        follow: Callable[[Collection[Subject]], int],
+        completed: Callable[[], None],
+        record: EventLog,
+    ) -> None:
+        self.observations = observations
+        self.hints_taken = 0
+        self.state: dict[str, str] = {}  # by peer, for operators
+        self._loop, self._record = loop, record
+        self._follow, self._completed = follow, completed
+        self._ends_at = loop.now() + LEARNING_TIME
+        self._tasks: list[Any] = []
+        self.set_peers(peers)
+
+    def set_peers(self, peers: Iterable[Peer]) -> None:
+        """Takes the peers as they are configured now.
+
+        Those not asked yet are asked, while there is time and there are not too many.
+        """
         for peer in peers:
-            if peer.name not in self.state and self.loop.now() < self.ends:
-                asked = sum(state == "asked" for state in self.state.values())
-                if asked >= ASKED:
-                    break
-                self.state[peer.name] = "asked"
-                self.routines.append(self.loop.spawn(self.ask(peer)))
-
-    def ask(self, peer):
-        cursor, life, mark, came, tries = 0, 0, 0, 0, 0
-        for _ in range(CHUNKS):
-            asked = self.loop.now()
-            if asked > self.ends:
-                self.state[peer.name] = f"told {came} facts" if mark else f"out of time after {came} facts"
-                return
-            answer, stalled = yield self.exchange(peer, observation_wire.ask(cursor, life, mark))
-            if answer is not None and answer.status == 503:
-                wait = answer.headers.get(b"gaproute-retry-after-ms", b"")
-                yield self.loop.sleep(min(SECOND, int(wait) * MILLI) if wait.isdigit() else 100 * MILLI)
+            if peer.name in self.state or self._loop.now() >= self._ends_at:
                 continue
-            if answer is None and not came and not stalled and tries < TRIES:
-                tries += 1  # not there: it may be starting as well
-                yield self.loop.sleep(TRY_AGAIN)
+            if list(self.state.values()).count(ASKED) >= MAX_PEERS:
+                break
+            self.state[peer.name] = ASKED
+            self._tasks.append(self._loop.spawn(self._learn(peer)))
+
+    def close(self) -> None:
+        """Asks no more."""
+        for task in self._tasks:
+            task.cancel()
+
+    def take(self, origin: str, asked: int, answer: observation_wire.Answer) -> int:
+        """Merges an answer and follows what it brought; how many observations it held."""
+        received = SharedObservations()
+        observation_wire.read_observations(answer, asked, origin, received)
+        self.observations.merge(received)
+        # Only this answer's subjects are looked at, by what all peers told of them: that a host is gone holds
+        # whoever told it.
+        self.hints_taken += self._follow(received.by_subject)
+        return len(received.by_subject)
+
+    def _learn(self, peer: Peer) -> Generator[Any, Any, None]:
+        """Asks one peer until there is nothing more to learn from it."""
+        progress = PeerProgress()
+        for _ in range(MAX_CHUNKS):
+            asked = self._loop.now()
+            if asked > self._ends_at:
+                self.state[peer.name] = _end_state(progress)
+                return
+            response, timed_out = yield self._exchange(peer, progress)
+            pause = _pause(progress, response, timed_out=timed_out)
+            if pause is not None:
+                yield self._loop.sleep(pause)
                 continue
-            told = (
-                observation_wire.read_told(answer.body)
-                if answer is not None and answer.status == 200
-                else None
-            )
-            if told is None:
-                self.state[peer.name] = f"dropped after {came} facts"
-                self.record.event("warning", "peer dropped", peer=peer.name, facts=came)
+            answer = _decoded(response)
+            if answer is None:
+                self._drop(peer, progress)
                 return
-            came += self.take(peer.name, asked, told)
-            cursor = told.next
-            if cursor:
+            progress.received += self.take(peer.name, asked, answer)
+            progress.cursor = answer.next
+            if progress.cursor:
                 continue
-            if not mark:
-                self.done()
-                self.record.event(
-                    "info",
-                    "learnt",
-                    peer=peer.name,
-                    facts=came,
-                    booked=self.booked,
-                    refused=dict(self.lore.refused),
-                )
-            self.state[peer.name] = f"told {came} facts"
-            life, mark = told.life, told.mark
-            if not mark:
+            self._end_round(peer, progress, answer)
+            if not progress.mark:
                 return  # version 1 tells no changes
-            yield self.loop.sleep(CHANGES)
-
-    def exchange(self, peer, body):
-        """A promise of (answer or None, whether the time was up)."""
-        came = Promise()
-        data = b"POST /lore HTTP/1.1\r\nHost: peer\r\nConnection: close\r\nContent-Length: %d\r\n\r\n" % len(
-            body
-        )
-        exchange = Exchange(self.loop, data + body, lambda answer, fault: came.set((answer, False)))
-        exchange.open(address(peer.where), ANSWER_TIME, 16384, ANSWER)
-        timer = self.loop.after(ANSWER_TIME, lambda: (exchange.drop(), came.set((None, True))))
-        came.then(lambda promise: timer.cancel())
-        return came
-
-    def take(self, origin, asked, told):
-        """Merges an answer and books what it brought; how many facts it held."""
-        lore = SharedObservations()
-        observation_wire.put(told, asked, origin, lore)
-        self.lore.merge(lore)
-        # Only this answer's subjects are looked at, by what all peers told of them: news of a host that is
-        # gone holds whoever told it.
-        self.booked += self.book(lore.facts)
-        return len(lore.facts)
-
-    def close(self):
-        for routine in self.routines:
-            routine.cancel()
+            yield self._loop.sleep(POLL_INTERVAL)
+
+    def _end_round(self, peer: Peer, progress: PeerProgress, answer: observation_wire.Answer) -> None:
+        """The last chunk of a snapshot or of changes has come."""
+        if not progress.mark:
+            self._completed()
+            self._record.event(
+                "info",
+                "learnt",
+                peer=peer.name,
+                facts=progress.received,
+                booked=self.hints_taken,
+                refused=self.observations.rejected(),
+            )
+        self.state[peer.name] = f"told {progress.received} facts"
+        progress.run_id, progress.mark = answer.life, answer.mark
+
+    def _drop(self, peer: Peer, progress: PeerProgress) -> None:
+        self.state[peer.name] = f"dropped after {progress.received} facts"
+        self._record.event("warning", "peer dropped", peer=peer.name, facts=progress.received)
+
+    def _exchange(self, peer: Peer, progress: PeerProgress) -> Promise:
+        """A promise of (response or None, whether the time was up)."""
+        body = observation_wire.encode_request(progress.cursor, progress.run_id, progress.mark)
+        head = b"POST /lore HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n"
+        data = head + b"Content-Length: %d\r\n\r\n" % len(body) + body
+        promise = Promise()
+        exchange = Exchange(self._loop, data, lambda response, fault: promise.set((response, False)))
+
+        def time_up() -> None:
+            exchange.drop()
+            promise.set((None, True))
+
+        exchange.open(address(peer.where), ANSWER_TIMEOUT, MAX_HEAD_BYTES, MAX_ANSWER_BYTES)
+        timer = self._loop.after(ANSWER_TIMEOUT, time_up)
+        promise.then(lambda _: timer.cancel())
+        return promise
+
+
+def _pause(progress: PeerProgress, response: Any, *, timed_out: bool) -> int | None:
+    """How long to wait before the peer is asked the same again; None where it is not."""
+    if response is not None and response.status == PUT_OFF:
+        wait_ms = response.headers.get(RETRY_AFTER_HEADER, b"")
+        return min(MAX_PAUSE, int(wait_ms) * MILLI) if wait_ms.isdigit() else DEFAULT_PAUSE
+    absent = response is None and not timed_out and not progress.received
+    if absent and progress.retries < MAX_RETRIES:
+        progress.retries += 1  # it may be starting as well
+        return RETRY_INTERVAL
+    return None
+
+
+def _decoded(response: Any) -> observation_wire.Answer | None:
+    if response is None or response.status != 200:
+        return None
+    return observation_wire.decode_answer(response.body)
+
+
+def _end_state(progress: PeerProgress) -> str:
+    if progress.mark:
+        return f"told {progress.received} facts"
+    return f"out of time after {progress.received} facts"
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -1,71 +1,112 @@
-"""Facts as protobuf messages and back: no sockets, no choices. Ages are told in microseconds."""
+"""Shared observations as protobuf messages (`lore.proto`) and back; no I/O. Ages are sent in microseconds."""
 
 import math
+from collections.abc import Callable
+from typing import Any
 
 from google.protobuf.message import DecodeError
 
-from gaproute.decisions.reports.exchange_limits import ANSWER
-from gaproute.decisions.reports.observation_kinds import SharedObservation
-from gaproute.peers.lore_pb2 import Ask, Told
+from gaproute.decisions.reports.exchange_limits import MAX_ANSWER_BYTES
+from gaproute.decisions.reports.observation_kinds import (
+    ListedState,
+    ObservationKind,
+    SharedObservation,
+    Subject,
+    Value,
+)
+from gaproute.decisions.reports.shared_observations import SharedObservations
+from gaproute.peers import lore_pb2
 
 VERSION = 2
-FIGURES = ("doubt", "pace", "usual", "load", "share")
-WHOLE = ("usual", "load")
+MICROSECOND = 1000  # ns
+PEER_HOPS = 1
+NOT_FINITE = -1  # stands for a time that is no number: it is rejected as any that cannot be
+FIGURES = (  # kinds that are sent as names and one number
+    ObservationKind.FAILURE,
+    ObservationKind.SLOWDOWN,
+    ObservationKind.USUAL_TIME,
+    ObservationKind.LOAD_TIME,
+    ObservationKind.REQUEST_SHARE,
+)
+TIMES = (ObservationKind.USUAL_TIME, ObservationKind.LOAD_TIME)  # whole ns
 
+Answer = Any  # lore_pb2.Told
+Request = Any  # lore_pb2.Ask
+AddObservation = Callable[[Subject, Value, int], None]  # takes subject, value and age in microseconds
 
-def ask(cursor=0, life=0, mark=0):
-    """Bytes of an Ask."""
-    return Ask(version=VERSION, cursor=cursor, life=life, mark=mark).SerializeToString()
 
+def encode_request(cursor: int = 0, run_id: int = 0, mark: int = 0) -> bytes:
+    """Bytes of a request, see `lore.proto`."""
+    request = lore_pb2.Ask(version=VERSION, cursor=cursor, life=run_id, mark=mark)
+    return bytes(request.SerializeToString())
 
-def read_ask(data):
-    """Errors: DecodeError."""
-    return Ask.FromString(data)
 
+def decode_request(data: bytes) -> Request:
+    """The request. Errors: DecodeError."""
+    return lore_pb2.Ask.FromString(data)
 
-def read_told(data):
-    """The message, or None where it is none of a version that is understood."""
-    if len(data) > ANSWER:
+
+def decode_answer(data: bytes) -> Answer | None:
+    """The answer, or None where it is none of a version that is understood."""
+    if len(data) > MAX_ANSWER_BYTES:
         return None
     try:
-        told = Told.FromString(data)
+        answer = lore_pb2.Told.FromString(data)
     except DecodeError:
         return None
-    return told if abs(told.version - VERSION) <= 1 else None
+    return answer if abs(answer.version - VERSION) <= 1 else None
 
 
-def add(told, subject, value, age):
-    """Appends one fact to the message; `age` in ns. Returns the bytes of its names."""
+def add_observation(answer: Answer, subject: Subject, value: Value, age: int) -> int:
+    """Appends one observation to the answer; `age` in ns. Returns the length of its names."""
     kind, *names = subject
-    age = max(0, age) // 1000
-    if kind == "warm":
-        told.warm.add(worker=names[0], function=names[1], lanes=value[0], started_ns=value[1], age_us=age)
-    elif kind == "listed" and value[0] == "gone":
-        told.gone.add(worker=names[0], age_us=age)
-    elif kind == "listed":
-        told.listed.add(worker=names[0], state=value[0], started_ns=value[1], age_us=age)
+    age_us = max(0, age) // MICROSECOND
+    if kind == ObservationKind.WARM_INSTANCE:
+        lanes, started = value
+        answer.warm.add(worker=names[0], function=names[1], lanes=lanes, started_ns=started, age_us=age_us)
+    elif kind == ObservationKind.LISTED_STATE:
+        _add_listed(answer, names[0], value, age_us)
     else:
-        getattr(told, kind).add(names=names, value=value[0], age_us=age)
+        getattr(answer, kind).add(names=names, value=value[0], age_us=age_us)
     return sum([len(name) for name in names])
 
 
-def put(told, asked, origin, lore):
-    """Tells the lore every fact of the message, observed by the giver `origin`."""
+def _add_listed(answer: Answer, host: str, value: Value, age_us: int) -> None:
+    state, started = value
+    if state == ListedState.GONE:
+        answer.gone.add(worker=host, age_us=age_us)
+    else:
+        answer.listed.add(worker=host, state=state, started_ns=started, age_us=age_us)
+
+
+def read_observations(answer: Answer, asked: int, origin: str, observations: SharedObservations) -> None:
+    """Adds every observation of the answer, which was asked for at `asked` (ns) of the peer `origin`."""
+
+    def add(subject: Subject, value: Value, age_us: int) -> None:
+        observed_at = observations.observed_at(asked, (age_us + answer.held_us) * MICROSECOND)
+        if observed_at is not None:
+            observations.add(subject, SharedObservation(observed_at, origin, PEER_HOPS, value))
 
-    def tell(subject, value, age_us):
-        at = lore.observed(asked, (age_us + told.held_us) * 1000)
-        if at is not None:
-            lore.tell(subject, SharedObservation(at, origin, 1, value))
+    _read_hosts(answer, add)
+    _read_figures(answer, add)
 
-    for each in told.listed:
-        tell(("listed", each.worker), (each.state, each.started_ns), each.age_us)
-    for each in told.gone:
-        tell(("listed", each.worker), ("gone", 0), each.age_us)
-    for each in told.warm:
-        tell(("warm", each.worker, each.function), (each.lanes, each.started_ns), each.age_us)
+
+def _read_hosts(answer: Answer, add: AddObservation) -> None:
+    listed, warm = ObservationKind.LISTED_STATE.value, ObservationKind.WARM_INSTANCE.value
+    for each in answer.listed:
+        add((listed, each.worker), (each.state, each.started_ns), each.age_us)
+    for each in answer.gone:
+        add((listed, each.worker), (ListedState.GONE.value, 0), each.age_us)
+    for each in answer.warm:
+        add((warm, each.worker, each.function), (each.lanes, each.started_ns), each.age_us)
+
+
+def _read_figures(answer: Answer, add: AddObservation) -> None:
     for kind in FIGURES:
-        for each in getattr(told, kind):
-            value = each.value
-            if kind in WHOLE:
-                value = int(value) if math.isfinite(value) else -1
-            tell((kind, *each.names), (value,), each.age_us)
+        for each in getattr(answer, kind):
+            value = _whole(each.value) if kind in TIMES else each.value
+            add((kind.value, *each.names), (value,), each.age_us)
+
+
+def _whole(duration: float) -> int:
+    return int(duration) if math.isfinite(duration) else NOT_FINITE
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/carrier.py
@@ -49,7 +49,7 @@
         """Take the table kept on disk, then listen and tell."""
         self._restore()
         self.gossip.register(PayloadKind.CELL_TABLE, self._heard)
-        self.peer_server.also[TARGET] = answered(self.loop, self.disseminator)
+        self.peer_server.routes[TARGET] = answered(self.loop, self.disseminator)
         self._list()
         self._after(())
 
@@ -60,7 +60,7 @@
             self.timer = None
         self.puller.drop()
         self.gossip.unregister(PayloadKind.CELL_TABLE)
-        self.peer_server.also.pop(TARGET, None)
+        self.peer_server.routes.pop(TARGET, None)
         self._write()
 
     def table(self) -> CellTable | None:
--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -11,10 +11,11 @@
 
 from gaproute.appliance.operator import knowledge
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.cpu_budget import BURST, REST, SHARE, CpuBudget
-from gaproute.decisions.reports.host_history import GONE_KEPT, HostHistory, own_observations
-from gaproute.decisions.reports.observation_kinds import OLDEST, SharedObservation
-from gaproute.decisions.reports.shared_observations import FACTS, SLOWEST, SharedObservations
+from gaproute.decisions.reports.cpu_budget import CPU_BURST, CPU_SHARE, REST, CpuBudget
+from gaproute.decisions.reports.follower import MAX_SLOWDOWN, ObservationFollower
+from gaproute.decisions.reports.host_history import MAX_GONE, HostHistory, own_observations
+from gaproute.decisions.reports.observation_kinds import MAX_AGE, SharedObservation
+from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
 from gaproute.interface import Found, Outcome, Result, State
 from gaproute.peers.lore_pb2 import Told
 
@@ -41,13 +42,17 @@
 facts = st.lists(told, max_size=8)
 
 
-def lore(*told):
+def observed(*observations):
     made = SharedObservations()
-    for names, fact in told:
-        made.tell(names, fact)
+    for subject, observation in observations:
+        made.add(subject, observation)
     return made
 
 
+def follower(observations, chance, request_classes=()):
+    return ObservationFollower(observations, KEEP, dict(request_classes), chance)
+
+
 def warm(worker="x", function="f", at=NOW, lanes=4, started=0, origin="a"):
     return ("warm", worker, function), SharedObservation(at, origin, 1, (lanes, started))
 
@@ -65,16 +70,16 @@
 
 @given(facts, facts, facts)
 def test_merging_is_commutative_associative_and_idempotent(a, b, c):
-    a, b, c = lore(*a), lore(*b), lore(*c)
-    assert merged(a, b).facts == merged(b, a).facts and merged(a, a).facts == a.facts
-    assert merged(merged(a, b), c).facts == merged(a, merged(b, c)).facts
+    a, b, c = observed(*a), observed(*b), observed(*c)
+    assert merged(a, b).by_subject == merged(b, a).by_subject and merged(a, a).by_subject == a.by_subject
+    assert merged(merged(a, b), c).by_subject == merged(a, merged(b, c)).by_subject
 
 
 @given(facts, facts)
 def test_what_is_hinted_does_not_depend_on_the_order_of_coming(a, b):
-    one, other = merged(lore(*a), lore(*b)), merged(lore(*b), lore(*a))
+    one, other = merged(observed(*a), observed(*b)), merged(observed(*b), observed(*a))
     lives = {"x": 0, "y": 1}
-    assert one.hints(10, lives, KEEP, Chance(1)) == other.hints(10, lives, KEEP, Chance(1))
+    assert hints(one, lives, 10) == hints(other, lives, 10)
 
 
 def outcome(name, worker, found=Found.WARM):
@@ -82,12 +87,12 @@
 
 
 def hints(made, lives, now=NOW):
-    return made.hints(now, lives, KEEP, Chance(1))
+    return follower(made, Chance(1)).warm_hints(now, lives)
 
 
 def test_a_hint_is_older_than_told_and_differs_between_learners():
-    made = lore(warm(at=NOW - MILLI))
-    seen = {made.hints(NOW, {"x": 0}, KEEP, Chance(seed))[0][3] for seed in range(20)}
+    made = observed(warm(at=NOW - MILLI))
+    seen = {follower(made, Chance(seed)).warm_hints(NOW, {"x": 0})[0][3] for seed in range(20)}
     assert len(seen) > 10 and all(0.34 * KEEP < NOW - at < 0.71 * KEEP for at in seen)
 
 
@@ -102,28 +107,28 @@
     ],
 )
 def test_a_hint_that_a_newer_fact_or_the_list_gainsays_is_void(fact, gone, lives, reason):
-    made = lore(fact, *gone)
-    assert hints(made, lives) == [] and made.refused[reason] == 1
+    made = observed(fact, *gone)
+    assert hints(made, lives) == [] and made.rejections[reason] == 1
 
 
 def test_a_copy_seen_after_a_host_was_told_gone_counts_again():
-    assert hints(lore(warm(), listed("x", "gone", NOW - SECOND)), {"x": 0})
-    assert hints(lore(warm(), listed("x", "gone", NOW), listed("x", "active", NOW + 1)), {"x": 0})
+    assert hints(observed(warm(), listed("x", "gone", NOW - SECOND)), {"x": 0})
+    assert hints(observed(warm(), listed("x", "gone", NOW), listed("x", "active", NOW + 1)), {"x": 0})
 
 
 def test_of_a_function_only_the_freshest_copies_are_believed_and_more_of_a_hot_one():
     many = [warm(name, at=NOW - place * MILLI) for place, name in enumerate("abcdefgh")]
     lives = dict.fromkeys("abcdefgh", 0)
-    assert [hint[0] for hint in hints(lore(*many), lives)] == list("abcd")
+    assert [hint[0] for hint in hints(observed(*many), lives)] == list("abcd")
     hot = (("share", "f"), SharedObservation(NOW, "a", 1, (0.3,)))
-    assert [hint[0] for hint in hints(lore(*many, hot), lives)] == list("abcdef")
+    assert [hint[0] for hint in hints(observed(*many, hot), lives)] == list("abcdef")
 
 
-@pytest.mark.parametrize("age", [-1, OLDEST + 1, 1 << 70])
+@pytest.mark.parametrize("age", [-1, MAX_AGE + 1, 1 << 70])
 def test_an_age_that_cannot_be_is_refused(age):
     made = SharedObservations()
-    assert made.observed(NOW, age) is None and made.refused["age"] == 1
-    assert made.observed(NOW, SECOND) == NOW - SECOND
+    assert made.observed_at(NOW, age) is None and made.rejections["age"] == 1
+    assert made.observed_at(NOW, SECOND) == NOW - SECOND
 
 
 @pytest.mark.parametrize(
@@ -145,66 +150,74 @@
     ],
 )
 def test_a_fact_that_cannot_be_is_refused_with_one_counted_reason(names, value, reason):
-    made = lore((names, SharedObservation(1, "a", 1, value)))
-    assert made.facts == {} and made.refused == {reason: 1}
+    made = observed((names, SharedObservation(1, "a", 1, value)))
+    assert made.by_subject == {} and made.rejections == {reason: 1}
 
 
 def test_givers_that_tell_without_end_are_bounded():
-    made = lore(*[warm(function=f"f{number}") for number in range(FACTS + 10)])
-    assert len(made.facts) == FACTS and made.refused == {"too many": 10}
+    made = observed(*[warm(function=f"f{number}") for number in range(MAX_OBSERVATIONS + 10)])
+    assert len(made.by_subject) == MAX_OBSERVATIONS and made.rejections == {"too many": 10}
 
 
 def test_the_mix_told_stands_for_each_function_by_its_share():
-    made = lore(
+    made = observed(
         (("share", "f"), SharedObservation(1, "a", 1, (0.5,))),
         (("share", "g"), SharedObservation(1, "a", 1, (0.25,))),
     )
-    mix = made.mix(128)
+    mix = made.request_mix(128)
     assert (mix.count("f"), mix.count("g"), mix.count("")) == (64, 32, 32)
     assert 4 < mix[:16].count("f") < 12
 
 
 def test_shares_that_add_up_to_more_than_all_are_scaled():
-    made = lore(*[(("share", name), SharedObservation(1, "a", 1, (1.0,))) for name in "fgh"])
-    assert sorted(map(made.mix(128).count, "fgh")) == [42, 43, 43]
+    made = observed(*[(("share", name), SharedObservation(1, "a", 1, (1.0,))) for name in "fgh"])
+    assert sorted(map(made.request_mix(128).count, "fgh")) == [42, 43, 43]
 
 
 def test_a_host_that_left_the_list_is_told_as_gone_until_it_is_back():
-    roll = HostHistory()
-    roll.listed(1, {"x": ("active", 5), "y": ("active", 0)})
-    roll.listed(2, {"y": ("draining", 0)})
-    assert roll.told == {"x": ("gone", 5, 2), "y": ("draining", 0, 2)} and roll.lives() == {}
-    roll.listed(3, {"x": ("active", 9), "y": ("draining", 0)})
-    assert roll.told["x"] == ("active", 9, 3) and roll.told["y"][2] == 2 and roll.lives() == {"x": 9}
+    history = HostHistory()
+    history.update(1, {"x": ("active", 5), "y": ("active", 0)})
+    history.update(2, {"y": ("draining", 0)})
+    assert history.entries == {"x": ("gone", 5, 2), "y": ("draining", 0, 2)} and history.active_starts() == {}
+    history.update(3, {"x": ("active", 9), "y": ("draining", 0)})
+    assert (
+        history.entries["x"] == ("active", 9, 3)
+        and history.entries["y"][2] == 2
+        and history.active_starts() == {"x": 9}
+    )
 
 
 def test_the_roll_of_the_gone_is_bounded():
-    roll = HostHistory()
-    roll.listed(1, {f"h{number}": ("active", 0) for number in range(2 * GONE_KEPT)})
-    roll.listed(2, {})
-    roll.listed(3, {})
-    assert len(roll.told) == GONE_KEPT
+    history = HostHistory()
+    history.update(1, {f"h{number}": ("active", 0) for number in range(2 * MAX_GONE)})
+    history.update(2, {})
+    history.update(3, {})
+    assert len(history.entries) == MAX_GONE
 
 
 def test_telling_takes_a_share_of_the_time_and_a_small_burst():
-    purse = CpuBudget(0)
-    assert purse.may(0)
-    purse.spend(0, BURST + MILLI)
-    assert not purse.may(0) and not purse.may(round(0.9 * MILLI / SHARE)) and purse.may(purse.wait(0) + MILLI)
+    budget = CpuBudget(0)
+    assert budget.may_spend(0)
+    budget.spend(0, CPU_BURST + MILLI)
+    assert (
+        not budget.may_spend(0)
+        and not budget.may_spend(round(0.9 * MILLI / CPU_SHARE))
+        and budget.may_spend(budget.wait(0) + MILLI)
+    )
 
 
 def test_two_slices_are_never_told_on_end():
-    purse = CpuBudget(0)
-    purse.spend(0, MILLI)
-    assert not purse.may(REST - 1) and purse.may(REST)
+    budget = CpuBudget(0)
+    budget.spend(0, MILLI)
+    assert not budget.may_spend(REST - 1) and budget.may_spend(REST)
 
 
 def test_those_put_off_come_again_one_after_the_other():
-    purse = CpuBudget(0)
-    purse.spend(0, MILLI)
-    assert [purse.wait(0) for _ in range(3)] == [REST, 2 * REST, 3 * REST]
-    purse.spend(0, 2 * BURST)
-    waits = [purse.wait(0) for _ in range(3)]
+    budget = CpuBudget(0)
+    budget.spend(0, MILLI)
+    assert [budget.wait(0) for _ in range(3)] == [REST, 2 * REST, 3 * REST]
+    budget.spend(0, 2 * CPU_BURST)
+    waits = [budget.wait(0) for _ in range(3)]
     assert waits[0] > 1000 * MILLI and waits[2] - waits[1] == waits[1] - waits[0] == 100 * MILLI
 
 
@@ -341,22 +354,22 @@
 
 
 def test_what_is_told_of_workers_comes_with_the_life_the_list_gave_them():
-    made, roll = gateway(row("a")), HostHistory()
-    roll.listed(SECOND, {"a": ("active", 77)})
+    made, history = gateway(row("a")), HostHistory()
+    history.update(SECOND, {"a": ("active", 77)})
     Drive(made, task(), 2 * SECOND).hears(3 * SECOND, Result.OK)
     Drive(made, task("u"), 3 * SECOND).hears(4 * SECOND, Result.ERROR)
-    told = list(own_observations(made, roll, ("check", "plan", "order"), 5 * SECOND))
+    told = list(own_observations(made, history, ("check", "plan", "order"), 5 * SECOND))
     assert (("listed", "a"), ("active", 77), SECOND) in told
     assert (("warm", "a", "f"), (4, 77), 3 * SECOND) in told
     assert (("doubt", "a", "check"), (0.4,), 4 * SECOND) in told
-    assert [names for names, _, _ in own_observations(made, roll, ("check",), 5 * SECOND, 3 * SECOND)] == [
+    assert [names for names, _, _ in own_observations(made, history, ("check",), 5 * SECOND, 3 * SECOND)] == [
         ("doubt", "a", "check")
     ]
 
 
 def test_following_leaves_out_hosts_not_listed_and_tracks_not_known():
     made = gateway(row("a"))
-    told = lore(
+    told = observed(
         *[
             (names, SharedObservation(1, "g", 1, (value,)))
             for names, value in (
@@ -367,15 +380,15 @@
             )
         ]
     )
-    assert told.follow(made, 2, {"a": 0}, {"check": 0}, KEEP, Chance(1), told.facts) == 2
-    assert told.refused == {"not listed": 1, "track": 1} and made.workers["a"].slow == SLOWEST
+    assert follower(told, Chance(1), {"check": 0}).follow(made, 2, {"a": 0}, told.by_subject) == 2
+    assert told.rejections == {"not listed": 1, "track": 1} and made.workers["a"].slow == MAX_SLOWDOWN
 
 
 @pytest.mark.parametrize("share", [0.02, 0.3])
 def test_gateways_that_learn_the_same_at_one_moment_do_not_all_send_to_one_host(share):
     hosts = [f"h{number}" for number in range(10)]
     others = [worker.id for worker in ranked(gateway(*map(row, hosts)), "f")][1:7]
-    told = lore(
+    told = observed(
         *[warm(name, at=59 * SECOND) for name in others],
         (("share", "f"), SharedObservation(59 * SECOND, "g", 1, (share,))),
     )
@@ -384,9 +397,10 @@
     for _ in range(40):
         made = gateway(*map(row, hosts))
         lives = dict.fromkeys(hosts, 0)
-        told.follow(made, 60 * SECOND, lives, {}, KEEP, Chance(seeds.getrandbits(64)), told.facts)
+        chance = Chance(seeds.getrandbits(64))
+        follower(told, chance).follow(made, 60 * SECOND, lives, told.by_subject)
         made.chance = Chance(seeds.getrandbits(64))
-        made.mix.extend(told.mix())
+        made.mix.extend(told.request_mix())
         sent[made.serve(60 * SECOND, task()).send(None).host] += 1
     assert max(sent.values()) <= 28 and len(sent) >= (2 if share < 0.1 else 4)
     assert sent.keys() <= set(others)
@@ -394,10 +408,10 @@
 
 def test_a_hint_sends_nothing_to_a_cold_host_beyond_its_credit():
     hosts = [row(f"h{number}") for number in range(5)] + [row("cold", started=59 * SECOND)]
-    told = lore(warm("cold", at=60 * SECOND, started=5))
+    told = observed(warm("cold", at=60 * SECOND, started=5))
     for seed in range(10):
         made = gateway(*hosts)
-        assert told.follow(made, 60 * SECOND, {"cold": 5}, {}, KEEP, Chance(seed), told.facts) == 1
+        assert follower(told, Chance(seed)).follow(made, 60 * SECOND, {"cold": 5}, told.by_subject) == 1
         sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
         assert "cold" not in sent and made.workers["cold"].credit == 0
 
@@ -421,20 +435,20 @@
     warm_at = json.loads(made.wait(made.ask("lamp", "last")).body)["outputs"][0]["data"][0]
     loads = len(made.seen("loaded"))
     second = start()
-    made.until(lambda: second.others.observation_client.booked)
+    made.until(lambda: second.others.observation_client.hints_taken)
     made.at = made.at[0], tuple([*made.at[1][:1], int(second.fronts[0].address.rpartition(":")[2])])
     answer = made.wait(made.ask("lamp", "first"))
     assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at and len(made.seen("loaded")) == loads
-    assert made.gate.others.peer_server.told >= 1 and second.others.observation_client.state["g"].startswith(
-        "told "
-    )
+    assert made.gate.others.peer_server.transfers.told >= 1 and second.others.observation_client.state[
+        "g"
+    ].startswith("told ")
     assert not second.core.gateway.ration.out and not second.core.gateway.ration.ends
 
 
 def test_an_operator_sees_what_is_known_and_by_what(beside):
     made, start = beside
     second = start()
-    made.until(lambda: second.others.observation_client.booked)
+    made.until(lambda: second.others.observation_client.hints_taken)
     (own,), (hinted,) = knowledge(made.gate), knowledge(second)
     assert (own["by"], hinted["by"]) == ("an answer", "g")
     assert (own["worker"], own["function"]) == (hinted["worker"], hinted["function"])
@@ -449,7 +463,7 @@
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     second = start()
     made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
-    assert second.others.observations.refused["not listed"] and worker not in second.core.gateway.workers
+    assert second.others.observations.rejections["not listed"] and worker not in second.core.gateway.workers
     assert "lamp" not in second.core.gateway.functions
 
 
@@ -478,7 +492,7 @@
 
 def test_a_giver_out_of_budget_puts_off_and_still_tells(beside):
     made, start = beside
-    made.gate.others.peer_server.purse.spend(made.loop.now(), 11 * MILLI)
+    made.gate.others.peer_server.cpu_budget.spend(made.loop.now(), 11 * MILLI)
     second = start()
     made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
-    assert made.gate.others.peer_server.put_off >= 1 and second.others.observation_client.booked >= 1
+    assert made.gate.others.peer_server.put_off >= 1 and second.others.observation_client.hints_taken >= 1
--- a/tests/hollow/test_cells.py
+++ b/tests/hollow/test_cells.py
@@ -160,7 +160,7 @@
     assert fleet.until(lambda: fleet.all_hold(version), 5) is not None
     tables = {id(gateway.parts["tables"].carrier.table()) for gateway in fleet.gateways.values()}
     assert len(tables) == 1 and len(fleet.shared_tables) == 2
-    assert all(TARGET in gateway.parts["tables"].peer_server.also for gateway in fleet.gateways.values())
+    assert all(TARGET in gateway.parts["tables"].peer_server.routes for gateway in fleet.gateways.values())
     fleet.close()
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -9,7 +9,7 @@
 from gaproute.appliance.operator import peer_table, status
 from gaproute.config import ConfigurationError, read_configuration, read_peers
 from gaproute.decisions.reports.cpu_budget import CpuBudget
-from gaproute.decisions.reports.exchange_limits import CHUNK
+from gaproute.decisions.reports.exchange_limits import MAX_CHUNK_OBSERVATIONS
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.loop import Loop
@@ -66,10 +66,10 @@
     made.rest(100 * MILLI)
     assert second.others.observation_client.state["late"] == "asked"
     told = made.gate.others
-    giver = PeerServer(made.loop, address(late), told.gateway, told.host_history, told.tracks)
+    server = PeerServer(made.loop, address(late), told.gateway, told.host_history, told.tracks)
     made.until(lambda: second.others.observation_client.state["late"].startswith("told"))
-    giver.close()
-    assert second.others.observation_client.booked
+    server.close()
+    assert second.others.observation_client.hints_taken
 
 
 def test_a_list_of_gateways_is_watched_and_names_this_one_without_harm(fleet):
@@ -109,7 +109,7 @@
     assert len(made.seen("loaded")) == loads
 
 
-def test_a_giver_that_dies_in_the_middle_leaves_what_came(fleet):
+def test_a_peer_that_dies_in_the_middle_leaves_what_came(fleet):
     made, start = fleet
     told = Told(version=2, next=5, life=1, mark=1)
     told.warm.add(worker="h1", function="lamp", lanes=4, age_us=1000)
@@ -154,7 +154,7 @@
     made.until(lambda: "h1" not in other.rows)
     body = bodies.pop(0)
     held[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    made.until(lambda: other.others.observations.refused["not listed"])
+    made.until(lambda: other.others.observations.rejections["not listed"])
     made.at = front(other)
     for model in ("lamp", "crew"):
         assert made.wait(made.ask(model, f"t-{model}")).status == 200
@@ -168,7 +168,7 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     (worker,) = made.gate.core.gateway.functions["lamp"].stands
     second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.others.observation_client.booked)
+    made.until(lambda: second.others.observation_client.hints_taken)
     third = start("third", f"peer second {where(second)}")
     made.until(lambda: third.others.observation_client.state["second"].startswith("told"))
     assert "lamp" not in third.core.gateway.functions, "a hint was told on"
@@ -180,7 +180,7 @@
         lambda: all(state.startswith("told") for state in fourth.others.observation_client.state.values())
     )
     assert worker not in fourth.core.gateway.workers
-    made.until(lambda: fourth.others.observations.facts["listed", worker].value[0] == "gone")
+    made.until(lambda: fourth.others.observations.by_subject["listed", worker].value[0] == "gone")
 
 
 def test_a_host_back_with_a_new_start_does_not_inherit_its_old_copies(fleet):
@@ -191,27 +191,34 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     second = start("second")
     made.relist(*[f"{row} started 2000" for row in rows])
-    made.until(lambda: second.others.host_history.lives()["h0"] == 2000 * SECOND)
-    made.gate.watch.close()  # the giver's own list is late
+    made.until(lambda: second.others.host_history.active_starts()["h0"] == 2000 * SECOND)
+    made.gate.watch.close()  # the peer's own list is late
     told = Told(version=2)
     told.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
-    lore = SharedObservations()
-    observation_wire.put(told, made.loop.now(), "g", lore)
-    second.others.observations.merge(lore)
-    assert second.others.follow(lore.facts) == 0 and second.others.observations.refused == {"another life": 1}
+    observations = SharedObservations()
+    observation_wire.read_observations(told, made.loop.now(), "g", observations)
+    second.others.observations.merge(observations)
+    assert second.others.follow(observations.by_subject) == 0 and second.others.observations.rejections == {
+        "another life": 1
+    }
 
 
 def test_versions_one_apart_understand_each_other():
     older = Told(version=1)
     older.warm.add(worker="x", function="f", lanes=4, age_us=5)
-    lore = SharedObservations()
-    observation_wire.put(observation_wire.read_told(older.SerializeToString()), SECOND, "g", lore)
-    assert list(lore.facts) == [("warm", "x", "f")]
+    observations = SharedObservations()
+    observation_wire.read_observations(
+        observation_wire.decode_answer(older.SerializeToString()), SECOND, "g", observations
+    )
+    assert list(observations.by_subject) == [("warm", "x", "f")]
     newer = Told(version=3)
     newer.warm.add(worker="x", function="f", lanes=4, age_us=5)
     data = newer.SerializeToString() + b"\xfa\x01\x03abc"  # field 31, which nobody knows
-    observation_wire.put(observation_wire.read_told(data), SECOND, "g", lore)
-    assert lore.refused == {} and observation_wire.read_told(Told(version=4).SerializeToString()) is None
+    observation_wire.read_observations(observation_wire.decode_answer(data), SECOND, "g", observations)
+    assert (
+        observations.rejections == {}
+        and observation_wire.decode_answer(Told(version=4).SerializeToString()) is None
+    )
 
 
 def test_a_list_of_gateways_that_is_wrong_is_refused_whole():
@@ -236,90 +243,97 @@
 # What telling costs
 
 
-def asked(giver, **told):
+def asked(server, **told):
     answers = []
-    giver.server.answer = lambda request, status, headers, body: answers.append((status, body))
+    server.server.answer = lambda request, status, headers, body: answers.append((status, body))
     request = type(
         "Request",
         (),
         {"target": b"/lore", "method": b"POST", "body": Ask(version=2, **told).SerializeToString()},
     )
-    giver.handle(request)
+    server.handle(request)
     ((status, body),) = answers
     return Told.FromString(body) if status == 200 else None
 
 
+def refill(server):
+    server.cpu_budget = CpuBudget(server.loop.now())
+
+
 @pytest.fixture
-def giver():
+def server():
     loop = Loop()
     made = gateway(*[row(f"w{number}") for number in range(50)])
     for name in range(60):
         function = made.function(f"f{name}", 4)
         function.answered = loop.now() - name * MILLI
         function.stands = {f"w{number}": function.answered for number in range(50)}
-    giver = PeerServer(loop, address("127.0.0.1:0"), made, HostHistory(), ("t",))
-    yield giver
-    giver.close()
+    server = PeerServer(loop, address("127.0.0.1:0"), made, HostHistory(), ("t",))
+    yield server
+    server.close()
     loop.close()
 
 
-def test_a_snapshot_comes_in_chunks_that_take_no_more_than_a_slice(giver):
-    facts, cursor, chunks = set(), 0, 0
+def test_a_snapshot_comes_in_chunks_that_take_no_more_than_a_slice(server):
+    instances, cursor, chunks = set(), 0, 0
     while cursor or not chunks:
-        giver.purse = CpuBudget(giver.loop.now())
-        told = asked(giver, cursor=cursor)
-        assert len(told.warm) <= CHUNK
-        facts |= {(each.worker, each.function) for each in told.warm}
+        refill(server)
+        told = asked(server, cursor=cursor)
+        assert len(told.warm) <= MAX_CHUNK_OBSERVATIONS
+        instances |= {(each.worker, each.function) for each in told.warm}
         cursor, chunks = told.next, chunks + 1
-    assert len(facts) == 3000 and chunks >= 12
+    assert len(instances) == 3000 and chunks >= 12
 
 
-def test_learners_that_begin_at_one_moment_share_a_reading_and_its_ages_grow(giver):
-    first, second = asked(giver), None
-    told = giver.told
-    giver.purse = CpuBudget(giver.loop.now())
-    giver.readings[1].chunks[0] = (giver.loop.now() - 100 * MILLI, giver.readings[1].chunks[0][1])
-    second = asked(giver)
-    assert giver.told == told and second.next == first.next and len(giver.readings) == 1
+def test_clients_that_begin_at_one_moment_share_a_transfer_and_its_ages_grow(server):
+    first, second = asked(server), None
+    told = server.transfers.told
+    refill(server)
+    chunks = server.transfers.transfers[1].chunks
+    chunks[0] = chunks[0]._replace(built_at=server.loop.now() - 100 * MILLI)
+    second = asked(server)
+    assert (
+        server.transfers.told == told and second.next == first.next and len(server.transfers.transfers) == 1
+    )
     assert [each.worker for each in second.warm] == [each.worker for each in first.warm]
     assert second.held_us >= 100_000 > first.held_us
-    lore = SharedObservations()
-    observation_wire.put(second, 10 * SECOND, "g", lore)
-    assert {fact.at for fact in lore.facts.values()} == {
+    observations = SharedObservations()
+    observation_wire.read_observations(second, 10 * SECOND, "g", observations)
+    assert {each.observed_at for each in observations.by_subject.values()} == {
         10 * SECOND - (each.age_us + second.held_us) * 1000 for each in second.warm
     }
 
 
-def test_who_comes_back_for_a_reading_that_is_no_more_begins_anew(giver):
-    told = asked(giver, cursor=77 << 20)
+def test_who_comes_back_for_a_transfer_that_is_no_more_begins_anew(server):
+    told = asked(server, cursor=77 << 20)
     assert told.warm and told.next >> 20 == 1
 
 
-def test_a_snapshot_goes_on_while_functions_and_hosts_come_and_go(giver):
-    first = asked(giver)
-    giver.gateway.functions.clear()
-    giver.gateway.listed(2 * SECOND, [row("w0")], True)
-    giver.purse = CpuBudget(giver.loop.now())
-    assert not asked(giver, cursor=first.next).next
+def test_a_snapshot_goes_on_while_functions_and_hosts_come_and_go(server):
+    first = asked(server)
+    server.transfers.gateway.functions.clear()
+    server.transfers.gateway.listed(2 * SECOND, [row("w0")], True)
+    refill(server)
+    assert not asked(server, cursor=first.next).next
 
 
-def test_a_mark_of_another_life_brings_the_whole(giver):
-    told = asked(giver, life=giver.life ^ 1, mark=1 << 62)
-    assert told.warm and told.life == giver.life
-    giver.purse = CpuBudget(giver.loop.now())
-    assert not asked(giver, life=giver.life, mark=1 << 62).warm
+def test_a_mark_of_another_run_brings_the_whole(server):
+    told = asked(server, life=server.transfers.run_id ^ 1, mark=1 << 62)
+    assert told.warm and told.life == server.transfers.run_id
+    refill(server)
+    assert not asked(server, life=server.transfers.run_id, mark=1 << 62).warm
 
 
-def test_readings_in_hand_are_bounded(giver):
+def test_transfers_are_bounded(server):
     for number in range(40):
-        giver.purse = CpuBudget(giver.loop.now())
-        asked(giver, life=giver.life, mark=number + 1)
-    assert len(giver.readings) == 16
-    for reading in giver.readings.values():
-        reading.size = 3 << 20
-    giver.purse = CpuBudget(giver.loop.now())
-    asked(giver, life=giver.life, mark=41)
-    assert len(giver.readings) == 2
+        refill(server)
+        asked(server, life=server.transfers.run_id, mark=number + 1)
+    assert len(server.transfers.transfers) == 16
+    for transfer in server.transfers.transfers.values():
+        transfer.bytes = 3 << 20
+    refill(server)
+    asked(server, life=server.transfers.run_id, mark=41)
+    assert len(server.transfers.transfers) == 2
 
 
 # Datagrams
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -79,7 +79,7 @@
     written(store)
     ((_, _, age),) = store(Clocks(SECOND, 10**18 - 60 * SECOND), "b2").read(9)
     assert age < 0
-    assert SharedObservations().observed(0, age) is None
+    assert SharedObservations().observed_at(0, age) is None
 
 
 def test_the_last_writing_of_a_subject_stands_and_the_latest_come_first(store):
@@ -367,10 +367,10 @@
         return {subject[1] for subject, _, _ in made.store.read(9)}
 
     hosts = {"h1": ("active", 5)}
-    made.host_history.listed(clock.now, hosts)
+    made.host_history.update(clock.now, hosts)
     assert run(SECOND) == {"h1"}
     disk.fails(*OUTAGES[0])
-    made.host_history.listed(clock.now + 1, hosts | {"h2": ("active", 6)})
+    made.host_history.update(clock.now + 1, hosts | {"h2": ("active", 6)})
     assert run(2 * SECOND) == set()
     assert made.store.failed
     disk.fault = None
@@ -389,7 +389,7 @@
     first.close()
     loads = len(made.seen("loaded"))
     second = start("alone", line, listen=False)
-    assert second.others.observations.facts
+    assert second.others.observations.by_subject
     assert [row["by"] for row in knowledge(second)] == ["past life"]
     made.at = front(second)
     assert made.wait(made.ask("lamp", "w2")).status == 200
@@ -421,10 +421,10 @@
 
 
 def test_writing_takes_no_more_than_its_share(writer):
-    writer.cpu_budget.left = -5 * MILLI
+    writer.cpu_budget.available = -5 * MILLI
     assert writer.write_slice(facts(1)) is False
     assert writer.store.written == 0
-    writer.cpu_budget.left = 5 * MILLI
+    writer.cpu_budget.available = 5 * MILLI
     assert writer.write_slice(facts(1))
     assert writer.store.written == 1
 
