--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.observation_kinds import SharedObservation
 from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
-from gaproute.discovery.listing import FileWatch
+from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop.streams import address
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -1,9 +1,9 @@
-"""The hosts as sockets that carry lines: relays, orders and probes, each on a connection (`link`)."""
+"""The hosts as sockets that carry lines: relays, orders and probes, each on a connection (`connection`)."""
 
 from gaproute.core.core import Heard
-from gaproute.hosts.jsonlines import lines
-from gaproute.hosts.jsonlines.link import EVER, Asked, Link, Links
-from gaproute.hosts.never import Never
+from gaproute.hosts.attempts import UnsentAttempt
+from gaproute.hosts.jsonlines import messages
+from gaproute.hosts.jsonlines.connection import NO_DEADLINE, Connection, ConnectionSet, PendingRequest
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import always
 from gaproute.loop.streams import address
@@ -14,14 +14,14 @@
 class Host:
     def __init__(self, hosts, row):
         self.hosts, self.name = hosts, row.listed.host
-        self.links = Links()
+        self.links = ConnectionSet()
         self.active = self.listed = True
         self.gone = False  # at the last look
         self.at(row)
 
     def at(self, row):
         """It is to be found there, in the life that began then."""
-        self.text, self.where, self.started = row.where, address(row.where), row.listed.started
+        self.text, self.where, self.started = row.address, address(row.address), row.listed.started
 
     def forget(self):
         """Gone for good where it was so at the last look too: what its last relays came to is told after
@@ -30,14 +30,14 @@
         if before and self.gone:
             del self.hosts.hosts[self.name]
             self.hosts.pooling.gone(self.name)
-            self.hosts.forgotten(self.name)
+            self.hosts.on_removed(self.name)
 
 
-class Hosts:
-    def __init__(self, loop, pooling, site, room):
-        """`room`: connections to all hosts together."""
-        self.loop, self.pooling, self.room = loop, pooling, room
-        self.forgotten = lambda name: None  # a host is gone for good
+class JsonLinesClient:
+    def __init__(self, loop, pooling, site, max_connections):
+        """`max_connections`: connections to all hosts together."""
+        self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
+        self.on_removed = lambda name: None  # a host is gone for good
         self.connect_time = site.connect_time or 250_000_000
         self.probe_time = self.connect_time
         self.order_time = site.order_time or 10 * SECOND
@@ -46,16 +46,16 @@
         self.idle_time = site.idle_time or None
         self.shared, self.counts, self.halts = site.shared, site.same_function_counted, site.halts
         self.hosts, self.tags = {}, 0
-        self.opened = self.reused = self.doubled = self.spoilt = self.strays = self.unread = 0
+        self.opened = self.reused = self.multiplexed = self.malformed = self.unmatched = self.unread = 0
         self.sweep()
 
-    def listed(self, rows, complete):
+    def update(self, rows, *, complete):
         """From now on nothing more goes to hosts that drain or are gone; what they hold runs on."""
         for row in rows:
             host = self.hosts.get(row.listed.host)
             if host is None:
                 host = self.hosts[row.listed.host] = Host(self, row)
-            elif (host.text, host.started) != (row.where, row.listed.started):
+            elif (host.text, host.started) != (row.address, row.listed.started):
                 self.rest(host)  # what stands leads to what was there before
                 host.at(row)
             host.active = row.listed.state is State.ACTIVE
@@ -93,21 +93,21 @@
             link.drop()  # it shows an end or a word not asked for: a pure task may go again
             link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
         if (link is None or link.open) and self.make_room():
-            link, self.opened = Link(host), self.opened + 1
+            link, self.opened = Connection(host), self.opened + 1
             host.links.add(link)
         elif link is None:
             return None
         elif link.open:
-            self.doubled += 1
+            self.multiplexed += 1
         else:
             self.reused += 1
-        asked = Asked(link, name, line, until, done, now, wanted)
+        asked = PendingRequest(link, name, line, until, done, now, wanted)
         link.ask(asked)
         return asked
 
     def make_room(self):
         """Whether one more connection fits; an idle one of any host, the longest at rest, ends for it."""
-        if self.links() < self.room:
+        if self.links() < self.max_connections:
             return True
         idle = [link for host in self.hosts.values() for link in host.links if not link.open]
         if idle:
@@ -133,15 +133,15 @@
 
     # What the core wishes
 
-    def relay(self, worker, call, effect, task, limit, until, done):
+    def send(self, worker, call, effect, task, limit, until, done):
         """One relay; `done(heard)` once, never at once. It begins before `until`, while its client is there,
-        or never. Returns what has `begun` and `give_up()`, after which `done` is not called."""
+        or never. Returns what has `started` and `cancel()`, after which `done` is not called."""
         host = self.hosts.get(worker)
         if host is None or not host.active:
-            return Never(self.loop, done, Result.CONNECT_FAILED)
+            return UnsentAttempt(self.loop, done, Result.CONNECT_FAILED)
 
         def came(reply, failure):
-            said = Heard(failure, None) if reply is None else lines.heard(reply, self.counts)
+            said = Heard(failure, None) if reply is None else messages.decode_attempt(reply, self.counts)
             if said is None:
                 self.unread += 1
                 said = Heard(Result.ERROR, None)
@@ -149,22 +149,22 @@
             return said.result is Result.OK
 
         def line(now):
-            return lines.relay(call, limit - now)
+            return messages.encode_attempt(call, limit - now)
 
         asked = self.ask(host, call.request_id, line, until, effect, came, call.client_present)
-        return asked or Never(self.loop, done, Result.NOT_SENT)
+        return asked or UnsentAttempt(self.loop, done, Result.NOT_SENT)
 
     def order(self, worker, function, copies, done):
         """A load order; `done(result, copies that stand)` once, never at once."""
 
         def read(reply, failure):
-            return (failure, 0) if reply is None else lines.stands(reply) or (Result.ERROR, 0)
+            return (failure, 0) if reply is None else messages.decode_load_order(reply) or (Result.ERROR, 0)
 
         tag = self.tag()
         self.tagged(
             worker,
             tag,
-            lines.order(tag, function, copies),
+            messages.encode_load_order(tag, function, copies),
             self.order_time,
             read,
             done,
@@ -180,10 +180,12 @@
         def read(reply, failure):
             if failure is Result.NOT_SENT:
                 return None
-            return (reply is not None and lines.health(reply)) or (False, None)
+            return (reply is not None and messages.decode_health(reply)) or (False, None)
 
         tag = self.tag()
-        self.tagged(worker, tag, lines.probe(tag), self.probe_time, read, done, (False, None), (False, None))
+        self.tagged(
+            worker, tag, messages.encode_probe(tag), self.probe_time, read, done, (False, None), (False, None)
+        )
 
     def tagged(self, worker, tag, data, within, read, done, unsent, late, ends=False):
         """`ends`: where nothing came since, the connection ends, so that the request never arrives later."""
@@ -204,12 +206,12 @@
 
         def overtime():
             link = asked.link
-            asked.give_up()
+            asked.cancel()
             if ends and link in host.links and (not link.served or link.heard < asked.sent):
                 link.fail(TimeoutError("nothing came back"))
             done(*late)
 
-        asked = self.ask(host, tag, lambda now: data, EVER, Idempotency.IDEMPOTENT, came)
+        asked = self.ask(host, tag, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, came)
         if asked is None:  # not one more connection can be had here
             self.loop.soon(tell, None, Result.NOT_SENT)
             return
