--- a/benchmarks/scale/fleet_net.py
+++ b/benchmarks/scale/fleet_net.py
@@ -81,7 +81,7 @@
     def _list_cell(self, cell, peers, entries):
         listed = Candidates(peers, entries, (), len(self.nodes))
         for peer in peers:
-            self.node(peer).disseminator.listed(listed)
+            self.node(peer).disseminator.set_candidates(listed)
 
     def node(self, peer):
         """The gateway of that name."""
@@ -187,7 +187,7 @@
     def _deliver(self, sender, node, message):
         self._count_received(node, size(message))
         if node.alive and node.disseminator.admits(self.now, sender.peer.name):
-            self._version_step(node, node.disseminator.hear, sender.peer, message)
+            self._version_step(node, node.disseminator.receive, sender.peer, message)
 
     def _retries(self, timeout, segments):
         """What lost segments add; those that were lost are sent again until none is."""
@@ -222,7 +222,7 @@
     def _pulled(self, node, target, answer):
         if answer is not None:
             self._count_received(node, size(answer))
-        self._version_step(node, node.disseminator.pulled, target.peer, answer)
+        self._version_step(node, node.disseminator.receive_answer, target.peer, answer)
 
     # States that would take long to play
 
@@ -233,7 +233,7 @@
             log.append(change_from(version))
             version = log[-1].version
         for node in nodes:
-            copy = node.disseminator.copy
+            copy = node.disseminator.replica
             copy.document.version, copy.document.digest = version, log[-1].digest
             for change in log[-LOG_CHANGES:]:
                 copy.log.append(change)
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -88,7 +88,7 @@
 
     def refusals(self):
         """{reason: how often}, of the file and of what other gateways sent."""
-        sent = {f"sent: {reason}": count for reason, count in self.carrier.disseminator.refused.items()}
+        sent = {f"sent: {reason}": count for reason, count in self.carrier.disseminator.rejections.items()}
         return dict(self.refused) | sent
 
     def stop(self):
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -13,7 +13,7 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve.entry import EntryFront
 from gaproute.hosts.entry_gateways import CellHostClient, EntryGateways
-from gaproute.peers.tables import TableCarrier
+from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Peer
 
 CARRIER_SEED = 6  # the chance that draws whom to tell is another than those of other parts
@@ -53,7 +53,7 @@
         front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
         giver.forwarded = front.handle
         line = self.line
-        carrier = TableCarrier(
+        carrier = CellTableTransport(
             self.loop,
             self.configuration.name,
             line.fleet,
--- a/gaproute/hollow/cells/fleet.py
+++ b/gaproute/hollow/cells/fleet.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.cells.change import TableChange
 from gaproute.hollow.cells.makers import CELL_PARTS, TABLE_PARTS
 from gaproute.hollow.cells.plan import FLEET, HOSTS, REGIONS, ZONES, CellPlan
-from gaproute.hollow.cells.pulls import SimulatedGiver, SimulatedPuller
+from gaproute.hollow.cells.pulls import SimulatedGiver, SimulatedPullClient
 from gaproute.hollow.cells.surroundings import CellSurroundings
 from gaproute.hollow.gateway import HollowGateway
 from gaproute.hollow.simulation import Fleet, GatewayLoop, GatewayRow, Network
@@ -105,7 +105,7 @@
             seeds=tuple(Peer(*self.rows[self.chance.below(len(self.rows))]) for _ in range(SEEDS)),
             kept=self.kept if kept else None,
             open_giver=partial(SimulatedGiver, self.network, row.name),
-            open_puller=partial(SimulatedPuller, self.network),
+            open_puller=partial(SimulatedPullClient, self.network),
             host_rows=partial(self.rows_for, self.plan, row.name),
             reach=self.reach,
             shared_tables=self.shared_tables,
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 from gaproute.peers.tables import wire
-from gaproute.peers.tables.pulls import TARGET
+from gaproute.peers.tables.pull_exchange import TARGET
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
 
 HEADERS, SEGMENT = 52, 1_448  # bytes of a TCP segment
@@ -52,8 +52,8 @@
             del self.network.givers[self.address]
 
 
-class SimulatedPuller:
-    """Has the face of `gaproute.peers.tables.pulls.Puller`."""
+class SimulatedPullClient:
+    """Has the face of `gaproute.peers.tables.pull_exchange.PullClient`."""
 
     def __init__(self, network, loop, name):
         self.network, self.loop, self.name = network, loop, name
@@ -63,7 +63,7 @@
     def ask(self, where, pull, done):
         """`done(answer)` once, None where none came; a dropped question calls nothing."""
         self.drop()
-        question, body = self.question, wire.pack_pull(pull)
+        question, body = self.question, wire.encode_pull(pull)
         self.pulls += 1
         self.bytes += transferred(HTTP_REQUEST + len(body))
         giver = self.network.givers.get(where)
@@ -75,7 +75,7 @@
 
     def _arrived(self, question, giver, body, way, done):
         status, data = giver.ask(body)
-        answer = wire.read_answer(data) if status == GOOD else None
+        answer = wire.decode_answer(data) if status == GOOD else None
         self.loop.after(way, self._over, question, answer, done)
 
     def _over(self, question, answer, done):
--- a/gaproute/hollow/cells/shared.py
+++ b/gaproute/hollow/cells/shared.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from gaproute.peers.tables import TableCarrier
+from gaproute.peers.tables import CellTableTransport
 from gaproute.peers.tables.document import TableDocument
 from gaproute.shared.dissemination.cell_peers import candidates
 
@@ -36,7 +36,7 @@
         self.tables[self.version, self.digest] = self.holder.table
 
 
-class SharedTableCarrier(TableCarrier):
+class SharedCellTableTransport(CellTableTransport):
     """`named`: {(version, digest): candidates that the table names}, of all gateways that share them."""
 
     def __init__(self, named, *surroundings):
@@ -44,7 +44,7 @@
         self.named = named
 
     def candidates(self, near):
-        """As of `TableCarrier`."""
+        """As of `CellTableTransport`."""
         table, document = self.holder.table, self.disseminator.document
         if table is None or self.cell:
             return super().candidates(near)
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -1,10 +1,10 @@
 """The cell table's carrier as a part: the product's class, on the membership's datagrams and on pulls."""
 
 from gaproute.decisions.cells.table import Version
-from gaproute.hollow.cells.shared import SharedTableCarrier, SharedTableDocument
+from gaproute.hollow.cells.shared import SharedCellTableTransport, SharedTableDocument
 from gaproute.hollow.demand import CountedPosts
 from gaproute.hollow.parts import Part
-from gaproute.peers.tables import TableCarrier
+from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Disseminator
 
 
@@ -36,7 +36,7 @@
 
     def made(self, *told):
         """The table's carrier."""
-        return TableCarrier(*told)
+        return CellTableTransport(*told)
 
     def start(self):
         """Takes the table of the own disk, then listens and tells."""
@@ -63,8 +63,8 @@
             "bytes": self.posts.bytes + self.puller.bytes + self.peer_server.bytes,
             "pulls": self.puller.pulls,
             "rows": rows,
-            "entries": rows + len(disseminator.view.names) + len(disseminator.copy.log.changes),
-            "refused": sum(disseminator.refused.values()),
+            "entries": rows + len(disseminator.view.names) + len(disseminator.replica.log.changes),
+            "refused": sum(disseminator.rejections.values()),
         }
 
     def close(self):
@@ -78,7 +78,7 @@
 
     def made(self, *told):
         """The table's carrier."""
-        return SharedTableCarrier(self.surroundings.shared_candidates, *told)
+        return SharedCellTableTransport(self.surroundings.shared_candidates, *told)
 
     def __init__(self, surroundings, parts):
         super().__init__(surroundings, parts)
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -60,7 +60,7 @@
         self.digest = digest
 
 
-def encoded_change(document: TableDocument, change: TableChange) -> Change:
+def encode_table_change(document: TableDocument, change: TableChange) -> Change:
     """A change of the table held, as it is sent. Errors: TableError where it cannot be applied."""
     held = document.holder.table
     changed(held, change)
--- a/gaproute/peers/tables/pulls.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -9,7 +9,7 @@
 HEAD_BYTES = 4_096
 
 
-class Puller:
+class PullClient:
     """Asks one peer at a time; a new question drops the one before."""
 
     def __init__(self, loop):
@@ -19,7 +19,7 @@
     def ask(self, where: str, pull, done):
         """`done(answer)` once, None where none came; never at once. A dropped question calls nothing."""
         self.drop()
-        body = wire.pack_pull(pull)
+        body = wire.encode_pull(pull)
         head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % TARGET
         data = head + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
         try:
@@ -37,7 +37,7 @@
             return
         self.drop()
         good = answer is not None and answer.status == 200
-        done(wire.read_answer(answer.body) if good else None)
+        done(wire.decode_answer(answer.body) if good else None)
 
     def drop(self):
         """End the question that is open."""
@@ -58,11 +58,11 @@
         elif not disseminator.admits(now, ""):
             server.answer(request, 503, (), b"")
         else:
-            answer = disseminator.answer(now, wire.read_pull(request.body))
+            answer = disseminator.answer(now, wire.decode_pull(request.body))
             if answer is None:
                 server.answer(request, 400, (), b"not a pull of this fleet\n")
             else:
                 kind = (b"Content-Type", b"application/msgpack")
-                server.answer(request, 200, (kind,), wire.pack_answer(answer))
+                server.answer(request, 200, (kind,), wire.encode_answer(answer))
 
     return handle
--- a/gaproute/peers/tables/carrier.py
+++ b/gaproute/peers/tables/transport.py
@@ -8,14 +8,14 @@
 from gaproute.decisions.cells.table import CellTable, Version
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.tables import encoding, wire
-from gaproute.peers.tables.document import TableDocument, encoded_change
-from gaproute.peers.tables.pulls import TARGET, Puller, answered
+from gaproute.peers.tables.document import TableDocument, encode_table_change
+from gaproute.peers.tables.pull_exchange import TARGET, PullClient, answered
 from gaproute.shared.dissemination import Disseminator, DocumentError, Peer
 from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.cell_peers import candidates
 from gaproute.shared.dissemination.messages import NOTHING, Pull
-from gaproute.shared.dissemination.sightings import Standing
-from gaproute.shared.dissemination.view import Candidates
+from gaproute.shared.dissemination.partial_view import Candidates
+from gaproute.shared.dissemination.version_reports import Propagation
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 
 LEAST_TURN = SECOND // 200  # between two turns of the timer
@@ -24,7 +24,7 @@
 RETRY_INTERVAL = 5 * SECOND  # until a read or write that failed is tried again
 
 
-class TableCarrier:
+class CellTableTransport:
     """`gossip` and `giver` are the gateway's membership and peers' address; `path`: the file that keeps the
     table, None for none. `record` takes events for operators."""
 
@@ -35,7 +35,7 @@
         self.disseminator = Disseminator(name, TableDocument(self.holder), chance, loop.now())
         self.configured = ()
         self.callbacks = []
-        self.puller = Puller(loop)
+        self.puller = PullClient(loop)
         self.file = None if path is None else CellTableFile(path, fleet, self._tell)
         self.told = NOTHING  # the version that the callbacks were told
         self.written, self.write_at = NOTHING, loop.now()
@@ -87,12 +87,12 @@
 
     def publish_change(self, change: TableChange):
         """A change made here of the table held. Errors: TableError, DocumentError."""
-        encoded = encoded_change(self.disseminator.document, change)
+        encoded = encode_table_change(self.disseminator.document, change)
         self._after(self.disseminator.publish(self.loop.now(), encoded))
 
-    def standing(self, version: Version) -> Standing:
+    def propagation(self, version: Version) -> Propagation:
         """How far that version has come, as far as this gateway heard."""
-        return self.disseminator.sightings.standing(self.loop.now(), version)
+        return self.disseminator.version_reports.propagation(self.loop.now(), version)
 
     # What comes
 
@@ -100,12 +100,12 @@
         now = self.loop.now()
         if sender == self.name or not self.disseminator.admits(now, sender):
             return
-        told = wire.read_datagram(data)
+        told = wire.decode_datagram(data)
         where, message = told if told is not None else ("", None)
-        self._after(self.disseminator.hear(now, Peer(sender, where), message))
+        self._after(self.disseminator.receive(now, Peer(sender, where), message))
 
     def _pulled(self, peer, answer):
-        self._after(self.disseminator.pulled(self.loop.now(), peer, answer))
+        self._after(self.disseminator.receive_answer(self.loop.now(), peer, answer))
 
     def _turn(self):
         self.timer = None
@@ -139,7 +139,7 @@
             self.puller.ask(to.where, message, lambda answer: self._pulled(to, answer))
         else:
             self.gossip.send_payload(
-                to.where, PayloadKind.CELL_TABLE, wire.pack_datagram(message, self.where)
+                to.where, PayloadKind.CELL_TABLE, wire.encode_datagram(message, self.where)
             )
 
     def _tell_table(self):
@@ -161,14 +161,14 @@
         listed_from = near, self.configured, self.holder.table
         if listed_from != self.listed_from:
             self.listed_from = listed_from
-            self.disseminator.listed(self.candidates(near))
+            self.disseminator.set_candidates(self.candidates(near))
 
     def candidates(self, near: tuple[Peer, ...]) -> Candidates:
         """Whom to speak with, by the table held; `near`: members that are up."""
         return candidates(self.holder.table, self.cell, near, self.configured)
 
     def _note_refusals(self):
-        for reason in self.disseminator.refused:
+        for reason in self.disseminator.rejections:
             if reason not in self.refusals:
                 self.refusals.add(reason)
                 self.record.event("warning", "cell table refused", reason=reason)
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -79,14 +79,14 @@
 _answer = msgspec.msgpack.Decoder(_Changes | _Part | _Busy).decode
 
 
-def pack_datagram(message: Announcement | Push, where: str) -> bytes:
+def encode_datagram(message: Announcement | Push, where: str) -> bytes:
     """Bytes of a datagram; `where`: the address at which its sender is reached."""
     if isinstance(message, Push):
         return _encode(_Push(message.fleet, where, _packed(message.changes)))
     return _encode(_Announcement(message.fleet, where, message.version, message.digest))
 
 
-def read_datagram(data: bytes) -> tuple[str, Announcement | Push] | None:
+def decode_datagram(data: bytes) -> tuple[str, Announcement | Push] | None:
     """The sender's address and the message; None where it is none."""
     told = _read(_datagram, data, LONGEST_DATAGRAM)
     if isinstance(told, _Push):
@@ -96,12 +96,12 @@
     return None
 
 
-def pack_pull(pull: Pull) -> bytes:
+def encode_pull(pull: Pull) -> bytes:
     """Bytes of a pull."""
     return _encode(_Pull(pull.fleet, pull.held, pull.whole, pull.wanted, pull.place))
 
 
-def read_pull(data: bytes) -> Pull | None:
+def decode_pull(data: bytes) -> Pull | None:
     """The pull; None where it is none."""
     told = _read(_pull, data, LONGEST_DATAGRAM)
     if told is None:
@@ -109,7 +109,7 @@
     return Pull(told.fleet, Version(*told.held), told.whole, Version(*told.wanted), told.place)
 
 
-def pack_answer(answer: Changes | Part | Busy) -> bytes:
+def encode_answer(answer: Changes | Part | Busy) -> bytes:
     """Bytes of an answer to a pull."""
     if isinstance(answer, Changes):
         return _encode(_Changes(answer.fleet, _packed(answer.changes)))
@@ -119,7 +119,7 @@
     return _encode(_Busy(answer.fleet, answer.wait))
 
 
-def read_answer(data: bytes) -> Changes | Part | Busy | None:
+def decode_answer(data: bytes) -> Changes | Part | Busy | None:
     """The answer; None where it is none."""
     told = _read(_answer, data, LONGEST_ANSWER)
     if isinstance(told, _Changes):
--- a/gaproute/shared/dissemination/__init__.py
+++ b/gaproute/shared/dissemination/__init__.py
@@ -10,6 +10,6 @@
 from gaproute.shared.dissemination.disseminator import Disseminator
 from gaproute.shared.dissemination.document import Document, DocumentError
 from gaproute.shared.dissemination.messages import Change, Peer, Send
-from gaproute.shared.dissemination.view import Candidates
+from gaproute.shared.dissemination.partial_view import Candidates
 
 __all__ = ["Candidates", "Change", "Disseminator", "Document", "DocumentError", "Peer", "Send"]
--- a/gaproute/shared/dissemination/bounds.py
+++ b/gaproute/shared/dissemination/bounds.py
@@ -2,18 +2,18 @@
 
 MILLISECOND, SECOND = 1_000_000, 1_000_000_000
 
-# Telling
+# MessageSender
 FANOUT = 4  # peers that a newer version is pushed to: pushes miss 1 in 50 without loss
 ANNOUNCE_INTERVAL = SECOND  # between two announcements at rest
 EAGER_INTERVAL = 200 * MILLISECOND  # between two while a version is new
 EAGER_TIME = 2 * SECOND  # that a version is new: what pushes missed is told within that
 PUSH_BYTES = 1_100  # of changes in one datagram: unfragmented everywhere
 
-# Fetching
+# Fetch
 NEAR = 4  # versions behind, up to which changes are asked for by datagram
 REPLY_TIME = 300 * MILLISECOND  # for a datagram that was asked for: the longest round trip and a half
 EXCHANGE_TIME = 3 * SECOND  # for one exchange: a lost segment or two
-REST = 250 * MILLISECOND  # after an exchange that failed
+FAILURE_PAUSE = 250 * MILLISECOND  # after an exchange that failed
 CHANGES_TRIES = 4  # failures after which the whole document is asked for
 PART_TRIES = 3  # further ones of a source that gave parts of a whole document
 TRIES = 8  # for one fetch; the next announcement begins another
@@ -22,7 +22,7 @@
 BUSY_REST = 500 * MILLISECOND  # before another source is asked where one was busy
 MAX_WHOLE = 4 << 20  # of a whole document, encoded
 
-# Serving
+# PullServer
 LOG_CHANGES = 64  # changes kept for those a little behind: two minutes at 46,000 a day
 LOG_BYTES = 64 << 10
 ANSWER_BYTES = 8 << 10  # of changes in one answer to a pull
@@ -42,7 +42,7 @@
 VIEW_CONFIGURED = 8
 LEAST_OUTSIDE = 8  # pushes for each change that leave a cell at least, of all its gateways together
 
-# Intake
+# ReceiveLimits
 REASONS = 32  # of refusal that are counted apart
 PEER_MESSAGES = 20  # a second from one peer of the view, as many again at once
 STRANGER_MESSAGES = 100  # a second from all others together, as many again at once
--- a/gaproute/shared/dissemination/cell_peers.py
+++ b/gaproute/shared/dissemination/cell_peers.py
@@ -4,7 +4,7 @@
 
 from gaproute.decisions.cells.table import CellTable
 from gaproute.shared.dissemination.messages import Peer
-from gaproute.shared.dissemination.view import Candidates
+from gaproute.shared.dissemination.partial_view import Candidates
 
 
 def candidates(
--- a/gaproute/shared/dissemination/fetching.py
+++ b/gaproute/shared/dissemination/fetch.py
@@ -11,23 +11,23 @@
     BUSY_REST,
     CHANGES_TRIES,
     EXCHANGE_TIME,
+    FAILURE_PAUSE,
     LOG_CHANGES,
     LONGEST_WAIT,
     NEAR,
     PART_TRIES,
     REPLY_TIME,
-    REST,
     SOURCES,
     TRIES,
 )
 from gaproute.shared.dissemination.messages import NOTHING
 
 
-class Fetching:
+class Fetch:
     """`source` is the peer asked, None while nothing is fetched."""
 
     def __init__(self, copy):
-        self.copy = copy  # the document held: whether changes can mend it
+        self.replica = copy  # the document held: whether changes can mend it
         self.source, self.target = None, NOTHING
         self.others = {}  # name: peer, of further ones that hold the target or nearly so
         self.by_exchange = self.waiting = False  # waiting: told to, no question is open
@@ -40,7 +40,7 @@
 
     def wants_whole(self, held):
         """Whether to ask for the whole document: what others' logs hold does not do, or did not."""
-        if self.copy.needs_whole or held == NOTHING or self.tries >= CHANGES_TRIES:
+        if self.replica.needs_whole or held == NOTHING or self.tries >= CHANGES_TRIES:
             return True
         return held.term == self.target.term and self.target.number - held.number > LOG_CHANGES
 
@@ -89,7 +89,7 @@
         self.tries = 0
         self._open(now, by_exchange=True)
 
-    def failed(self, now, pause=REST, amid_parts=False):
+    def failed(self, now, pause=FAILURE_PAUSE, amid_parts=False):
         """The question came to nothing: the next source is asked after a pause.
 
         Amid the parts of a whole document the same source is asked a few times more: another one most
@@ -115,7 +115,7 @@
     def is_near(self, held):
         """Whether a datagram can hold what is lacking."""
         few = held.term == self.target.term and self.target.number - held.number <= NEAR
-        return few and not self.copy.needs_whole
+        return few and not self.replica.needs_whole
 
     def _next_source(self, now, pause):
         """The peer that announced last is next; the one that failed comes after all others."""
--- a/gaproute/shared/dissemination/invariants.py
+++ b/gaproute/shared/dissemination/invariants.py
@@ -8,19 +8,19 @@
 
 def bounded(disseminator):
     """Every collection is bounded."""
-    fetching, serving = disseminator.fetching, disseminator.serving
+    fetching, serving = disseminator.fetch, disseminator.pull_server
     for name, count, most in (
         ("peers", len(disseminator.view.names), MOST_PEERS),
-        ("intake budgets", len(disseminator.intake.peers), MOST_PEERS),
-        ("changes", len(disseminator.copy.log.changes), bounds.LOG_CHANGES),
-        ("bytes of changes", disseminator.copy.log.bytes, bounds.LOG_BYTES),
-        ("sightings", len(disseminator.sightings.by_name), bounds.SIGHTINGS),
-        ("versions heard of", len(disseminator.sightings.times), bounds.SIGHTING_VERSIONS),
+        ("intake budgets", len(disseminator.receive_limits.peers), MOST_PEERS),
+        ("changes", len(disseminator.replica.log.changes), bounds.LOG_CHANGES),
+        ("bytes of changes", disseminator.replica.log.bytes, bounds.LOG_BYTES),
+        ("sightings", len(disseminator.version_reports.by_name), bounds.SIGHTINGS),
+        ("versions heard of", len(disseminator.version_reports.times), bounds.SIGHTING_VERSIONS),
         ("further sources", len(fetching.others), bounds.SOURCES),
         ("tries", fetching.tries, bounds.TRIES),
         ("bytes of a whole document", len(disseminator.assembly.data), bounds.MAX_WHOLE),
         ("snapshots", len(serving.snapshots), bounds.SNAPSHOTS),
-        ("reasons of refusal", len(disseminator.refused), bounds.REASONS),
+        ("reasons of refusal", len(disseminator.rejections), bounds.REASONS),
     ):
         if count > most:
             yield f"{count} {name}, {most} at most"
@@ -28,19 +28,19 @@
 
 def chained(disseminator):
     """The log is one chain that ends at the version held."""
-    changes = list(disseminator.copy.log.changes)
+    changes = list(disseminator.replica.log.changes)
     for earlier, later in zip(changes, changes[1:], strict=False):
         if later.base != earlier.version:
             yield f"a change from {later.base} follows one to {earlier.version}"
     if changes and changes[-1].version != disseminator.document.version:
         yield f"the log ends at {changes[-1].version}, held is {disseminator.document.version}"
-    if changes_size(changes) != disseminator.copy.log.bytes:
-        yield f"the log counts {disseminator.copy.log.bytes} bytes of {changes_size(changes)}"
+    if changes_size(changes) != disseminator.replica.log.bytes:
+        yield f"the log counts {disseminator.replica.log.bytes} bytes of {changes_size(changes)}"
 
 
 def settled(disseminator):
     """A fetch is open only towards a version above that held."""
-    fetching = disseminator.fetching
+    fetching = disseminator.fetch
     if fetching.source is not None and fetching.target <= disseminator.document.version:
         yield f"{fetching.target} is fetched, held is {disseminator.document.version}"
 
--- a/gaproute/shared/dissemination/telling.py
+++ b/gaproute/shared/dissemination/message_sender.py
@@ -6,7 +6,7 @@
 from gaproute.shared.token_bucket import TokenBucket
 
 
-class Telling:
+class MessageSender:
     """Each method returns the messages to send: none where the budget is spent."""
 
     def __init__(self, document, view, now):
--- a/gaproute/shared/dissemination/view.py
+++ b/gaproute/shared/dissemination/partial_view.py
@@ -29,7 +29,7 @@
     gateways: int = 0
 
 
-class View:
+class PartialView:
     """Draws peers by chance from a bounded sample of the candidates."""
 
     def __init__(self, name: str, chance):
--- a/gaproute/shared/dissemination/serving.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -29,7 +29,7 @@
     made: int
 
 
-class Serving:
+class PullServer:
     """Serves from the document and the log, which its owner changes."""
 
     def __init__(self, document, log, now):
--- a/gaproute/shared/dissemination/intake.py
+++ b/gaproute/shared/dissemination/receive_limits.py
@@ -4,7 +4,7 @@
 from gaproute.shared.token_bucket import TokenBucket
 
 
-class Intake:
+class ReceiveLimits:
     """A budget of messages for each peer of the view, and one for all strangers together."""
 
     def __init__(self, now: int):
--- a/gaproute/shared/dissemination/changelog.py
+++ b/gaproute/shared/dissemination/recent_changes.py
@@ -9,7 +9,7 @@
 from gaproute.shared.dissemination.messages import changes_size
 
 
-class Changelog:
+class RecentChanges:
     """A bounded run of changes, the oldest first."""
 
     def __init__(self):
--- a/gaproute/shared/dissemination/copy.py
+++ b/gaproute/shared/dissemination/replica.py
@@ -6,17 +6,17 @@
 from collections import Counter
 
 from gaproute.shared.dissemination.bounds import REASONS
-from gaproute.shared.dissemination.changelog import Changelog
 from gaproute.shared.dissemination.document import Document, DocumentError
 from gaproute.shared.dissemination.messages import Change
+from gaproute.shared.dissemination.recent_changes import RecentChanges
 
 
-class Copy:
+class Replica:
     """`needs_whole`: a change did not fit, only a whole document of a higher version can mend it."""
 
     def __init__(self, document: Document):
         self.document = document
-        self.log = Changelog()
+        self.log = RecentChanges()
         self.needs_whole = False
         self.refused = Counter()  # by reason
 
--- a/gaproute/shared/dissemination/sightings.py
+++ b/gaproute/shared/dissemination/version_reports.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class Propagation:
     """How far one version has come.
 
     `heard` gateways announced within the last seconds, versions from `oldest` to `newest`; `behind` of them
@@ -27,7 +27,7 @@
     agreed_for: int | None
 
 
-class Sightings:
+class VersionReports:
     """The last announcement of each gateway heard, and when each version was heard first and last."""
 
     def __init__(self):
@@ -45,13 +45,13 @@
         if len(self.times) > SIGHTING_VERSIONS:
             del self.times[min(self.times)]
 
-    def standing(self, now: int, version: Version) -> Standing:
+    def propagation(self, now: int, version: Version) -> Propagation:
         """How far that version has come, as far as is known here."""
         fresh = [held for held, when in self.by_name.values() if now - when <= SIGHTING_TIME]
         behind = sum(held < version for held in fresh)
         agreed_since = None if behind else self._agreed_since(version)
         agreed_for = None if agreed_since is None else now - agreed_since
-        return Standing(len(fresh), behind, min(fresh, default=None), max(fresh, default=None), agreed_for)
+        return Propagation(len(fresh), behind, min(fresh, default=None), max(fresh, default=None), agreed_for)
 
     def _agreed_since(self, version):
         held = [first for other, (first, _) in self.times.items() if other >= version]
--- a/tests/dissemination/test_asking.py
+++ b/tests/dissemination/test_asking.py
@@ -6,8 +6,8 @@
 from gaproute.shared.dissemination import Change, DocumentError, Peer, bounds
 from gaproute.shared.dissemination.assembly import Assembly
 from gaproute.shared.dissemination.bounds import SECOND
-from gaproute.shared.dissemination.copy import Copy
 from gaproute.shared.dissemination.messages import NOTHING, Announcement, Busy, Part, Pull, Push
+from gaproute.shared.dissemination.replica import Replica
 
 HELD, NEXT = Version(1, 1), Version(1, 2)
 
@@ -29,9 +29,9 @@
         (None, "not understood"),
         (Pull(FLEET, held), "not understood"),
     ):
-        before = node.refused[reason]
-        assert node.hear(mesh.now, peer, message) == []
-        assert node.refused[reason] == before + 1 and node.document.version == held
+        before = node.rejections[reason]
+        assert node.receive(mesh.now, peer, message) == []
+        assert node.rejections[reason] == before + 1 and node.document.version == held
     assert node.answer(mesh.now, Pull("south", held)) is None and node.answer(mesh.now, b"") is None
     mesh.check()
 
@@ -41,11 +41,11 @@
     mesh.publish(0)
     mesh.flight.clear()
     wrong = Change(Version(1, 1), Version(1, 2), 1234, b"")
-    sends = mesh.nodes[1].hear(mesh.now, mesh.peers[0], Push(FLEET, (wrong,)))
-    assert mesh.nodes[1].refused["digest"] == 1 and sends[0].message.whole
+    sends = mesh.nodes[1].receive(mesh.now, mesh.peers[0], Push(FLEET, (wrong,)))
+    assert mesh.nodes[1].rejections["digest"] == 1 and sends[0].message.whole
     mesh.send(1, sends)
     mesh.settle()
-    assert mesh.versions() == [Version(1, 2)] * 2 and not mesh.nodes[1].copy.needs_whole
+    assert mesh.versions() == [Version(1, 2)] * 2 and not mesh.nodes[1].replica.needs_whole
 
 
 def test_two_contradicting_writers_are_told_and_a_higher_version_mends_it():
@@ -56,7 +56,7 @@
     mesh.nodes[0].document.digest = mesh.nodes[2].document.digest = digest_of(Version(1, 5))
     mesh.nodes[2].document.version = Version(1, 5)
     mesh.settle(5)
-    assert mesh.nodes[0].refused["contradiction"] and mesh.nodes[1].refused["contradiction"]
+    assert mesh.nodes[0].rejections["contradiction"] and mesh.nodes[1].rejections["contradiction"]
     mesh.publish(0)
     mesh.settle(5)
     assert len({(node.document.version, node.document.digest) for node in mesh.nodes}) == 1
@@ -82,13 +82,13 @@
             continue
         read += 1
         absurd = Announcement(FLEET, Version(1 << 60, number), number)
-        sent += len(node.hear(mesh.now, Peer(name, "127.0.0.1:1"), absurd))
+        sent += len(node.receive(mesh.now, Peer(name, "127.0.0.1:1"), absurd))
         if mesh.now >= node.due:
             sent += len(node.tick(mesh.now))
         mesh.check()
     assert read <= 11 * bounds.STRANGER_MESSAGES + 100
-    assert node.telling.bytes <= 11 * bounds.MESSAGE_RATE + bounds.MESSAGE_BURST
-    assert node.refused["flood"] >= 18_000
+    assert node.message_sender.bytes <= 11 * bounds.MESSAGE_RATE + bounds.MESSAGE_BURST
+    assert node.rejections["flood"] >= 18_000
     mesh.publish(1)
     mesh.settle(10)
     assert mesh.versions() == [Version(1, 2)] * 2
@@ -106,7 +106,7 @@
 
 
 def test_changes_of_which_the_first_are_held_are_taken_from_there_on():
-    copy, changes = Copy(StubDocument(Version(1, 1))), chain(4)
+    copy, changes = Replica(StubDocument(Version(1, 1))), chain(4)
     assert copy.take(changes[:2]) == changes[:2]
     assert copy.take(changes) == changes[2:] and copy.document.version == Version(1, 5)
     assert copy.take(changes) == () and copy.take(chain(1, Version(1, 9))) == ()
@@ -115,7 +115,7 @@
 
 def test_a_whole_document_that_is_not_above_what_is_held_is_refused():
     document = StubDocument(Version(1, 5))
-    copy = Copy(document)
+    copy = Replica(document)
     for version in (Version(1, 5), Version(1, 4), Version(0, 9)):
         with pytest.raises(DocumentError, match="not above"):
             copy.replace(version, digest_of(version), document.data)
@@ -147,75 +147,75 @@
     mesh = Mesh(4)
     node, newer = mesh.nodes[0], Announcement(FLEET, Version(1, 2), digest_of(Version(1, 2)))
     for peer in mesh.peers[1:]:
-        (send,) = node.hear(mesh.now, peer, newer)
+        (send,) = node.receive(mesh.now, peer, newer)
         assert send == (peer, Announcement(FLEET, Version(1, 1), digest_of(Version(1, 1))))
 
 
 def test_who_announces_again_instead_of_pushing_is_not_answered_without_end():
     mesh = Mesh(3)
     node, newer = mesh.nodes[0], Announcement(FLEET, Version(1, 2), digest_of(Version(1, 2)))
-    assert node.hear(mesh.now, mesh.peers[1], newer)
-    assert node.hear(mesh.now, mesh.peers[2], newer)
-    assert node.hear(mesh.now, mesh.peers[2], newer) == []
-    (pull,) = node.hear(mesh.now, mesh.peers[1], newer)  # the source holds no changes: by an exchange
+    assert node.receive(mesh.now, mesh.peers[1], newer)
+    assert node.receive(mesh.now, mesh.peers[2], newer)
+    assert node.receive(mesh.now, mesh.peers[2], newer) == []
+    (pull,) = node.receive(mesh.now, mesh.peers[1], newer)  # the source holds no changes: by an exchange
     assert isinstance(pull.message, Pull)
-    assert node.hear(mesh.now, mesh.peers[1], newer) == []
+    assert node.receive(mesh.now, mesh.peers[1], newer) == []
 
 
 def test_a_pull_that_failed_is_asked_again_of_another_after_a_pause():
     mesh = Mesh(3)
     node, far = mesh.nodes[0], Announcement(FLEET, Version(1, 90), 0)
-    (pull,) = node.hear(mesh.now, mesh.peers[1], far)
+    (pull,) = node.receive(mesh.now, mesh.peers[1], far)
     assert pull.to == mesh.peers[1] and pull.message.whole
-    assert node.hear(mesh.now, mesh.peers[2], far) == []
-    assert node.pulled(mesh.now, mesh.peers[1], None) == []
-    assert node.fetching.due == mesh.now + bounds.REST
-    (again,) = [send for send in node.tick(node.fetching.due) if isinstance(send.message, Pull)]
+    assert node.receive(mesh.now, mesh.peers[2], far) == []
+    assert node.receive_answer(mesh.now, mesh.peers[1], None) == []
+    assert node.fetch.due == mesh.now + bounds.FAILURE_PAUSE
+    (again,) = [send for send in node.tick(node.fetch.due) if isinstance(send.message, Pull)]
     assert again.to == mesh.peers[2]
-    assert node.pulled(mesh.now, mesh.peers[1], Busy(FLEET, 0)) == []  # too late: another was asked
-    assert node.fetching.source == mesh.peers[2] and not node.fetching.waiting
+    assert node.receive_answer(mesh.now, mesh.peers[1], Busy(FLEET, 0)) == []  # too late: another was asked
+    assert node.fetch.source == mesh.peers[2] and not node.fetch.waiting
 
 
 def test_who_is_busy_is_left_for_another_and_asked_again_when_there_is_none():
     mesh = Mesh(3)
     node, far = mesh.nodes[0], Announcement(FLEET, Version(1, 90), 0)
-    node.hear(mesh.now, mesh.peers[1], far)
-    node.pulled(mesh.now, mesh.peers[1], Busy(FLEET, 3 * SECOND))
-    assert node.fetching.due == mesh.now + 3 * SECOND and node.fetching.source == mesh.peers[1]
-    (pull,) = [send for send in node.tick(node.fetching.due) if isinstance(send.message, Pull)]
+    node.receive(mesh.now, mesh.peers[1], far)
+    node.receive_answer(mesh.now, mesh.peers[1], Busy(FLEET, 3 * SECOND))
+    assert node.fetch.due == mesh.now + 3 * SECOND and node.fetch.source == mesh.peers[1]
+    (pull,) = [send for send in node.tick(node.fetch.due) if isinstance(send.message, Pull)]
     assert pull.to == mesh.peers[1]
-    node.hear(mesh.now, mesh.peers[2], far)
-    node.pulled(mesh.now, mesh.peers[1], Busy(FLEET, 1 << 62))
-    assert node.fetching.source == mesh.peers[2] and node.fetching.due == mesh.now + bounds.BUSY_REST
-    assert node.fetching.tries == 0
+    node.receive(mesh.now, mesh.peers[2], far)
+    node.receive_answer(mesh.now, mesh.peers[1], Busy(FLEET, 1 << 62))
+    assert node.fetch.source == mesh.peers[2] and node.fetch.due == mesh.now + bounds.BUSY_REST
+    assert node.fetch.tries == 0
 
 
 def test_amid_the_parts_the_same_source_is_asked_again_and_each_part_has_its_time():
     mesh = Mesh(3, versions=[Version(1, 1), Version(1, 90), Version(1, 90)], whole_bytes=30_000)
     node, source = mesh.nodes[0], mesh.peers[1]
-    (pull,) = node.hear(mesh.now, source, Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
-    node.hear(mesh.now, mesh.peers[2], Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
+    (pull,) = node.receive(mesh.now, source, Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
+    node.receive(mesh.now, mesh.peers[2], Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
     for _ in range(3):  # of four parts; after each one the next answer is lost once
         mesh.now += bounds.EXCHANGE_TIME - 1
-        (pull,) = node.pulled(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
-        assert node.fetching.due == mesh.now + bounds.EXCHANGE_TIME
-        node.pulled(mesh.now, source, None)
-        mesh.now = node.fetching.due
+        (pull,) = node.receive_answer(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
+        assert node.fetch.due == mesh.now + bounds.EXCHANGE_TIME
+        node.receive_answer(mesh.now, source, None)
+        mesh.now = node.fetch.due
         (pull,) = [send for send in node.tick(mesh.now) if isinstance(send.message, Pull)]
         assert pull.to == source and pull.message.place == len(node.assembly.data) > 0
-    node.pulled(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
+    node.receive_answer(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
     assert node.document.version == Version(1, 90)
 
 
 def test_a_source_that_fails_amid_the_parts_for_good_is_left():
     mesh = Mesh(3, versions=[Version(1, 1), Version(1, 90), Version(1, 90)], whole_bytes=30_000)
     node, source = mesh.nodes[0], mesh.peers[1]
-    (pull,) = node.hear(mesh.now, source, Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
-    node.hear(mesh.now, mesh.peers[2], Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
-    node.pulled(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
+    (pull,) = node.receive(mesh.now, source, Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
+    node.receive(mesh.now, mesh.peers[2], Announcement(FLEET, Version(1, 90), digest_of(Version(1, 90))))
+    node.receive_answer(mesh.now, source, mesh.nodes[1].answer(mesh.now, pull.message))
     asked = []
     for _ in range(bounds.PART_TRIES + 1):
-        node.pulled(mesh.now, node.fetching.source, None)
-        mesh.now = node.fetching.due
+        node.receive_answer(mesh.now, node.fetch.source, None)
+        mesh.now = node.fetch.due
         asked += [send.to for send in node.tick(mesh.now) if isinstance(send.message, Pull)]
     assert asked == [source] * bounds.PART_TRIES + [mesh.peers[2]]
--- a/tests/dissemination/test_dissemination.py
+++ b/tests/dissemination/test_dissemination.py
@@ -69,7 +69,7 @@
     seconds = (net.now - start) / SECOND
     assert max(net.sent) / seconds < bounds.MESSAGE_RATE
     assert (max(net.sent) + max(net.received)) / seconds < 4_000
-    assert not any(node.disseminator.refused["lower version"] for node in net.nodes)
+    assert not any(node.disseminator.rejections["lower version"] for node in net.nodes)
 
 
 def test_at_rest_a_gateway_says_one_short_thing_a_second():
@@ -121,10 +121,10 @@
     play_until_all_hold(net, version, 3)
     net.run(net.now + 12 * SECOND)
     for node in net.nodes:
-        standing = node.disseminator.sightings.standing(net.now, version)
+        standing = node.disseminator.version_reports.propagation(net.now, version)
         assert standing.heard > 0 and standing.behind == 0
         assert standing.agreed_for > 8 * SECOND
-        assert node.disseminator.sightings.standing(net.now, Version(2, 0)).behind == standing.heard
+        assert node.disseminator.version_reports.propagation(net.now, Version(2, 0)).behind == standing.heard
     assert net.nodes[0].disseminator.document.fleet == FLEET
 
 
@@ -136,5 +136,5 @@
     while not newcomer.assembly.data:
         net.run(net.now + SECOND // 100)
     assert net.now - start < 3 * SECOND
-    net.node(newcomer.fetching.source).alive = False
+    net.node(newcomer.fetch.source).alive = False
     play_until_all_hold(net, Version(1, 1), 20)
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -10,17 +10,17 @@
 from gaproute.shared.dissemination import Candidates, Peer, bounds
 from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.cell_peers import candidates
-from gaproute.shared.dissemination.changelog import Changelog
 from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Pull
-from gaproute.shared.dissemination.serving import Serving
-from gaproute.shared.dissemination.sightings import Sightings
-from gaproute.shared.dissemination.view import View
+from gaproute.shared.dissemination.partial_view import PartialView
+from gaproute.shared.dissemination.pull_server import PullServer
+from gaproute.shared.dissemination.recent_changes import RecentChanges
+from gaproute.shared.dissemination.version_reports import VersionReports
 from gaproute.shared.token_bucket import TokenBucket
 
 
 def logged(count, data=b"x" * 200):
     """A log of so many changes that follow 1.1, and the version it ends at."""
-    log, version = Changelog(), Version(1, 1)
+    log, version = RecentChanges(), Version(1, 1)
     for _ in range(count):
         change = change_from(version, data)
         log.append(change)
@@ -65,11 +65,11 @@
     assert log.bytes <= bounds.LOG_BYTES
 
 
-# View
+# PartialView
 
 
 def test_a_view_is_bounded_and_spread_over_the_zones():
-    view = View("peer0", Chance(3))
+    view = PartialView("peer0", Chance(3))
     entries = {f"zone{zone}": peers(100 + zone * 50, f"zone{zone}-") for zone in range(13)}
     view.listed(Candidates(peers(200), entries, peers(20, "configured"), 16_000))
     assert len(view.inside) == bounds.VIEW_NEIGHBOURS
@@ -80,7 +80,7 @@
 
 def test_few_messages_leave_a_large_cell_and_all_of_a_gateway_alone():
     entries = {"zone1": peers(1470, "entry")}
-    view = View("peer0", Chance(5))
+    view = PartialView("peer0", Chance(5))
     view.listed(Candidates(peers(33), entries, (), 16_000))
     drawn = [peer.name for _ in range(4_000) for peer in view.draw(1)]
     outside = sum(name.startswith("entry") for name in drawn) / len(drawn)
@@ -92,7 +92,7 @@
 
 
 def test_a_draw_names_each_once_and_not_the_one_left_out():
-    view = View("peer0", Chance(9))
+    view = PartialView("peer0", Chance(9))
     view.listed(Candidates(peers(4)))
     for _ in range(100):
         names = [peer.name for peer in view.draw(5, "peer2")]
@@ -111,13 +111,13 @@
     assert candidates(None, own.name, peers(5), ()).entries == {}
 
 
-# Serving
+# PullServer
 
 
 def serving(count, whole_bytes=20_000):
     log, version = logged(count)
     document = StubDocument(version, whole_bytes)
-    return Serving(document, log, 0), document, log
+    return PullServer(document, log, 0), document, log
 
 
 def test_changes_are_served_where_the_log_reaches_and_the_whole_where_it_is_asked_for():
@@ -200,22 +200,22 @@
 
 
 def test_a_standing_says_who_is_behind_and_for_how_long_nobody_was():
-    seen = Sightings()
-    assert seen.standing(0, Version(1, 2)).agreed_for is None
+    seen = VersionReports()
+    assert seen.propagation(0, Version(1, 2)).agreed_for is None
     for second in range(5):
         seen.saw(second * SECOND, "a", Version(1, 1 + (second > 1)))
         seen.saw(second * SECOND, "b", Version(1, 2))
-    standing = seen.standing(6 * SECOND, Version(1, 2))
+    standing = seen.propagation(6 * SECOND, Version(1, 2))
     assert (standing.heard, standing.behind, standing.oldest) == (2, 0, Version(1, 2))
     assert standing.agreed_for == 5 * SECOND  # a was behind in second 1 for the last time
     seen.saw(7 * SECOND, "c", Version(1, 1))
-    standing = seen.standing(7 * SECOND, Version(1, 2))
+    standing = seen.propagation(7 * SECOND, Version(1, 2))
     assert (standing.behind, standing.agreed_for, standing.oldest) == (1, None, Version(1, 1))
-    assert seen.standing(60 * SECOND, Version(1, 2)).heard == 0
+    assert seen.propagation(60 * SECOND, Version(1, 2)).heard == 0
 
 
 def test_sightings_are_bounded():
-    seen = Sightings()
+    seen = VersionReports()
     for number in range(5_000):
         seen.saw(number, f"gateway{number}", Version(1, number))
     assert len(seen.by_name) == bounds.SIGHTINGS and len(seen.times) == bounds.SIGHTING_VERSIONS
--- a/tests/hollow/test_cells.py
+++ b/tests/hollow/test_cells.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.cells import invariants as cell_invariants
 from gaproute.hollow.cells import CELL_PARTS, CellFleet
 from gaproute.hollow.cells.plan import GATEWAYS, HOSTS
-from gaproute.peers.tables.pulls import TARGET
+from gaproute.peers.tables.pull_exchange import TARGET
 from gaproute.shared.dissemination import invariants as table_invariants
 from gaproute.shared.membership import MemberState
 
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -14,7 +14,7 @@
 from gaproute.peers import word_pb2
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.tables import encoding, wire
-from gaproute.peers.tables.document import TableDocument, encoded_change
+from gaproute.peers.tables.document import TableDocument, encode_table_change
 from gaproute.shared.dissemination import Change, DocumentError
 from gaproute.shared.dissemination.bounds import PUSH_BYTES
 from gaproute.shared.dissemination.messages import (
@@ -77,7 +77,7 @@
 
 def test_a_document_takes_a_change_and_a_whole_table_and_nothing_wrong():
     one, other = document(), document(None)
-    change = encoded_change(one, CHANGE)
+    change = encode_table_change(one, CHANGE)
     with pytest.raises(DocumentError, match="without a table"):
         other.apply(change)
     other.replace(one.version, one.digest, one.whole())
@@ -132,21 +132,21 @@
 
 @given(DATAGRAMS, PULLS, ANSWERS)
 def test_messages_come_back_as_they_were(datagram, pull, answer):
-    data = wire.pack_datagram(datagram, "127.0.0.1:80")
+    data = wire.encode_datagram(datagram, "127.0.0.1:80")
     if len(data) <= wire.LONGEST_DATAGRAM:
-        assert wire.read_datagram(data) == ("127.0.0.1:80", datagram)
-    assert wire.read_pull(wire.pack_pull(pull)) == pull
-    assert wire.read_answer(wire.pack_answer(answer)) == answer
+        assert wire.decode_datagram(data) == ("127.0.0.1:80", datagram)
+    assert wire.decode_pull(wire.encode_pull(pull)) == pull
+    assert wire.decode_answer(wire.encode_answer(answer)) == answer
 
 
 @settings(max_examples=300)
 @given(some.binary(max_size=200), DATAGRAMS, some.integers(0, 100))
 def test_noise_is_no_message(noise, datagram, place):
-    data = wire.pack_datagram(datagram, "127.0.0.1:80")
+    data = wire.encode_datagram(datagram, "127.0.0.1:80")
     for text in (noise, data[:place] + noise + data[place:], data[:place]):
-        for read in (wire.read_datagram, wire.read_pull, wire.read_answer):
+        for read in (wire.decode_datagram, wire.decode_pull, wire.decode_answer):
             read(text)  # nothing is raised
-    assert wire.read_datagram(b"x" * 5_000) is None and wire.read_answer(b"x" * 50_000) is None
+    assert wire.decode_datagram(b"x" * 5_000) is None and wire.decode_answer(b"x" * 50_000) is None
 
 
 USUAL = some.builds(Version, some.integers(0, 60_000), some.integers(0, 60_000))
@@ -155,7 +155,7 @@
 
 def wire_length(message, name, where):
     """Bytes of a datagram on the wire, headers included."""
-    word = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=wire.pack_datagram(message, where))
+    word = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=wire.encode_datagram(message, where))
     word.sender.name = name
     return len(word.SerializeToString()) + DATAGRAM_HEADERS
 
@@ -172,4 +172,4 @@
 
 def test_the_longest_push_fits_an_unfragmented_datagram():
     change = Change(Version(1, 1), Version(1, 2), 1, bytes(PUSH_BYTES))
-    assert len(wire.pack_datagram(Push("f" * 60, (change,)), "255.255.255.255:65535")) < 1_300
+    assert len(wire.encode_datagram(Push("f" * 60, (change,)), "255.255.255.255:65535")) < 1_300
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_transport.py
@@ -19,8 +19,8 @@
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.peer_server import PeerServer
-from gaproute.peers.tables import TableCarrier, wire
-from gaproute.peers.tables import carrier as carrier_module
+from gaproute.peers.tables import CellTableTransport, wire
+from gaproute.peers.tables import transport as transport_module
 from gaproute.shared.dissemination import DocumentError, Peer
 from gaproute.shared.dissemination.bounds import PART_BYTES
 from gaproute.shared.dissemination.messages import Announcement, Pull
@@ -47,7 +47,7 @@
         self.record, self.name = Record(), name
         self.peer_server = PeerServer(loop, address("127.0.0.1:0"), None, None, ())
         self.gossip = MembershipTransport(loop, name, self.peer_server.address, Chance(seed), self.record)
-        self.carrier = TableCarrier(
+        self.carrier = CellTableTransport(
             loop, name, fleet, self.gossip, self.peer_server, Chance(seed + 100), self.record, path=path
         )
         self.taken = []
@@ -128,8 +128,8 @@
     fleet.until_all_hold(changed(FIRST, change))
     assert one.taken == two.taken == [Version(1, 1), Version(1, 2)]
     assert not one.refusals() and not two.refusals()
-    fleet.until(lambda: one.carrier.standing(Version(1, 2)).agreed_for is not None)
-    assert one.carrier.standing(Version(1, 3)).behind == 1
+    fleet.until(lambda: one.carrier.propagation(Version(1, 2)).agreed_for is not None)
+    assert one.carrier.propagation(Version(1, 3)).behind == 1
 
 
 def test_three_gateways_hold_what_any_of_them_publishes(fleet):
@@ -152,7 +152,7 @@
     one.carrier.publish(large)
     fleet.add("two")
     fleet.until_all_hold(large)
-    assert one.carrier.disseminator.serving.bytes > 2 * PART_BYTES
+    assert one.carrier.disseminator.pull_server.bytes > 2 * PART_BYTES
 
 
 def test_one_that_was_away_while_many_changes_came_catches_up(fleet):
@@ -171,7 +171,9 @@
     assert two.carrier.table() == FIRST
     two.gossip.handlers[PayloadKind.CELL_TABLE] = heard
     fleet.until_all_hold(held)
-    assert [snapshot.version for snapshot in one.carrier.disseminator.serving.snapshots] == [FIRST.version]
+    assert [snapshot.version for snapshot in one.carrier.disseminator.pull_server.snapshots] == [
+        FIRST.version
+    ]
 
 
 def test_the_table_serves_on_when_all_others_are_gone_and_survives_a_restart(fleet, tmp_path):
@@ -239,11 +241,11 @@
         where = f"127.0.0.1:{silent.getsockname()[1]}"
         for address_told in (where, "127.0.0.1:1", "nowhere", "127.0.0.1:99999"):
             absurd = Announcement(FLEET, Version(1 << 40, 1), 7)
-            word = word_pb2.Word(version=1, kind=7, weak=wire.pack_datagram(absurd, address_told))
+            word = word_pb2.Word(version=1, kind=7, weak=wire.encode_datagram(absurd, address_told))
             word.sender.name = f"liar-{address_told}"
             host, port = two.peer_server.address.rsplit(":", 1)
             liar.sendto(word.SerializeToString(), (host, int(port)))
-        fleet.until(lambda: two.carrier.disseminator.fetching.source is not None)
+        fleet.until(lambda: two.carrier.disseminator.fetch.source is not None)
         change = next_change(FIRST, capacity=7.5)
         one.carrier.publish_change(change)
         fleet.until_all_hold(changed(FIRST, change))
@@ -274,7 +276,7 @@
     fleet, tmp_path, monkeypatch
 ):
     """Others know an older table only: this gateway was the one to which the newer one was given."""
-    monkeypatch.setattr(carrier_module, "RETRY_INTERVAL", 100 * MILLI)
+    monkeypatch.setattr(transport_module, "RETRY_INTERVAL", 100 * MILLI)
     path = tmp_path / "cells.table"
     newer = table(cells(26, entries=0), number=5)
     before = fleet.add("one", path=path)
@@ -291,7 +293,7 @@
 
 
 def test_a_table_is_served_while_the_disk_fails_and_written_once_it_does_not(fleet, tmp_path, monkeypatch):
-    monkeypatch.setattr(carrier_module, "RETRY_INTERVAL", 100 * MILLI)
+    monkeypatch.setattr(transport_module, "RETRY_INTERVAL", 100 * MILLI)
     path = tmp_path / "cells.table"
     faults = [("fsync", each, IO_ERROR) for each in range(1, 4)] + [("write", 4, DISK_FULL)]
     disk = FaultyDisk(tmp_path, FaultPlan(Script.of(*faults)))
--- a/tests/support/dissemination_mesh.py
+++ b/tests/support/dissemination_mesh.py
@@ -31,7 +31,7 @@
             version = versions[index] if index < len(versions) else FIRST
             document = StubDocument(version, whole_bytes)
             self.nodes.append(Disseminator(self.peers[index].name, document, Chance(seed + index), self.now))
-            self.nodes[-1].listed(Candidates(tuple(self.peers), {}, (), count))
+            self.nodes[-1].set_candidates(Candidates(tuple(self.peers), {}, (), count))
         self.watches = [Watch(node) for node in self.nodes]
 
     def versions(self):
@@ -62,9 +62,9 @@
             del self.flight[place]
         if isinstance(message, Pull):
             answer = None if drop else self.nodes[receiver].answer(self.now, message)
-            self.send(sender, self.nodes[sender].pulled(self.now, self.peers[receiver], answer))
+            self.send(sender, self.nodes[sender].receive_answer(self.now, self.peers[receiver], answer))
         elif not drop:
-            self.send(receiver, self.nodes[receiver].hear(self.now, self.peers[sender], message))
+            self.send(receiver, self.nodes[receiver].receive(self.now, self.peers[sender], message))
 
     def pass_time(self, span):
         """Time passes; each gateway whose timer is due ticks."""
