--- a/tests/support/failing.py
+++ b/tests/support/failing.py
@@ -42,7 +42,7 @@
 def open_descriptors():
     """The numbers of this process's open descriptors.
 
-    What earlier tests left to the garbage collector is collected first: it may be freed at any time otherwise.
+    What earlier tests left to the garbage collector is collected first, as it may be freed at any time.
     """
     gc.collect()
     listing = os.open("/proc/self/fd", os.O_RDONLY | os.O_DIRECTORY)
