--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -50,7 +50,7 @@
         """Take calls that other gateways forward, and the table that they tell, at the address of the peers.
         Returns the front of those calls."""
         giver = others.peer_server
-        front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
+        front = EntryFront(giver.server, self.core, self.configuration, ready, self._report)
         giver.forwarded = front.handle
         line = self.line
         carrier = CellTableTransport(
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -1,58 +1,69 @@
 """The front at which other gateways forward calls to this one: the clients' form at the address of its peers.
 
 It answers them as a client's, but that it tells the cell's load and what the call found at the host, and that
-a declined call that provably never ran is answered 404 where this gateway does not know the cell, else 429,
-in place of 503: by the proof table of the hosts (`gaproute.hosts.results`) these two alone prove that. Any
-other declined call stays 503 and scrapped stays 504, which prove nothing.
+a rejected call that provably never ran is answered 404 where this gateway does not know the cell, else 429,
+in place of 503: by the results of the hosts (`gaproute.hosts.results`) these two alone prove that. Any other
+rejected call stays 503 and a failed one stays 504, which prove nothing.
 """
 
+from collections.abc import Callable
+from typing import Any
+
 import msgspec
 
-from gaproute.fronts.kserve.front import KServeFront
+from gaproute.config.configuration import Configuration
+from gaproute.fronts.kserve.rest import RestFront
 from gaproute.hosts import forwarding, orca
-from gaproute.interface import Found
-
-NEVER_RAN, NOT_KNOWN_HERE = 429, 404
+from gaproute.http1 import Request, Server
+from gaproute.http1.rendering import Header
+from gaproute.interface import Found, Report
+from gaproute.interface.call import Answer, Call, Final
 
+NEVER_RAN, CELL_UNKNOWN = 429, 404  # status codes
 
-class EntryFront(KServeFront):
-    """`server` listens already, and hands over what is for this front by `handle`; `report(cell)`: the cell's
-    load as other gateways are told it, or None."""
 
-    def __init__(self, loop, server, core, configuration, ready, report):
-        super().__init__(loop, server, core, configuration, ready)
-        self.report = report
+class EntryFront(RestFront):
+    """Serves other gateways on a server that hands over by `handle` what is for this front."""
 
-    def listen(self, where, limits, inherited):
-        """The server that was given in place of an address."""
-        return where
+    def __init__(
+        self,
+        server: Server,
+        core: Any,
+        configuration: Configuration,
+        is_ready: Callable[[], bool],
+        load_report: Callable[[str], Report | None],
+    ) -> None:
+        """`load_report(cell)`: the cell's load as other gateways are told it, where it is known."""
+        super().__init__(server, core, configuration, is_ready)
+        self.load_report = load_report
 
-    def call(self, request, model, version):
-        """A request as a call."""
-        call = super().call(request, model, version)
-        told = forwarding.decode(request.headers)
-        if told is None:
+    def _call(self, request: Request, model: str, version: str) -> Call:
+        call = super()._call(request, model, version)
+        forwarded = forwarding.decode(request.headers)
+        if forwarded is None:
             return call
-        return call._replace(forwarded=told, origin=forwarding.decode_origin(request.headers))
+        return call._replace(forwarded=forwarded, origin=forwarding.decode_origin(request.headers))
 
-    def answer(self, request, final, status, fields, body):
-        """The one answer to a request."""
-        told = forwarding.decode(request.headers)
-        if told is not None:
-            fields = (*fields, *self._metrics(told.cell, final.found))
-        super().answer(request, final, status, fields, body)
+    def _answer(self, request: Request, final: Final, answer: Answer) -> None:
+        forwarded = forwarding.decode(request.headers)
+        if forwarded is not None:
+            fields = (*answer.fields, *self._metrics(forwarded.cell, final.found))
+            answer = answer._replace(fields=fields)
+        super()._answer(request, final, answer)
 
-    def rejected_status(self, request, final):
-        """The status of a declined call."""
+    def _rejected_status(self, request: Request, final: Final) -> int:
         if not final.never_ran or forwarding.decode(request.headers) is None:
-            return super().rejected_status(request, final)
-        return NOT_KNOWN_HERE if final.cell_unknown else NEVER_RAN
+            return super()._rejected_status(request, final)
+        return CELL_UNKNOWN if final.cell_unknown else NEVER_RAN
 
-    def _metrics(self, cell, found):
+    def _metrics(self, cell: str, found: Found) -> tuple[Header, ...]:
         """The header that tells the cell's load and what the call found, as far as they are known."""
-        report, named = self.report(cell), {}
+        report = self.load_report(cell)
+        metrics: dict[str, float] = {}
         if report is not None and report.in_hand is not None:
-            named["in_hand"] = report.in_hand
+            metrics["in_hand"] = report.in_hand
         if found is not Found.UNKNOWN:
-            named["copy"] = found.value
-        return ((orca.HEADER, b"JSON " + msgspec.json.encode({"named_metrics": named})),) if named else ()
+            metrics["copy"] = found.value
+        if not metrics:
+            return ()
+        return ((orca.HEADER, b"JSON " + msgspec.json.encode({"named_metrics": metrics})),)
