--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -103,13 +103,18 @@
         if not self.keeps(now, worker, effect):
             told = 0
         for link in links:
-            if not link.trusted or name in link.open or name in link.carried or len(link.carried) >= CARRIED:
+            if (
+                not link.reusable
+                or name in link.pending
+                or name in link.retired_ids
+                or len(link.retired_ids) >= CARRIED
+            ):
                 continue
-            if not link.open:
-                if (free is None or link.used > free.used) and now - link.used <= self.safe_rest(
-                    now, worker, effect, told
-                ):
+            if not link.pending:
+                if (
+                    free is None or link.last_used > free.last_used
+                ) and now - link.last_used <= self.safe_rest(now, worker, effect, told):
                     free = link
-            elif len(link.open) < most and (shared is None or len(link.open) < len(shared.open)):
+            elif len(link.pending) < most and (shared is None or len(link.pending) < len(shared.pending)):
                 shared = link
         return free or shared
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -196,7 +196,7 @@
         "streams that close": len(scene.loop.leaving),
     }
     for host in scene.process.hosts.hosts.values():
-        held[f"connections to {host.name} beside its probes'"] = max(0, len(host.links) - PROBING)
+        held[f"connections to {host.name} beside its probes'"] = max(0, len(host.connections) - PROBING)
     for name, count in held.items():
         if count:
             yield Finding(Check.HELD, f"{name}: {count}")
@@ -218,7 +218,7 @@
     if process.follower.stream is not None:
         wanted.add(process.follower.stream.fd)
     for host in process.hosts.hosts.values():
-        wanted |= {link.stream.fd for link in host.links if link.stream is not None}
+        wanted |= {link.stream.fd for link in host.connections if link.stream is not None}
     watched = set(scene.loop.watched)
     if watched - wanted:
         yield Finding(Check.WATCHED, f"{len(watched - wanted)} for nobody")
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -27,7 +27,7 @@
         def made(now):
             left = max(1, (until - now) // MILLI)
             timed = call._replace(fields=(*call.fields, (b"Gaproute-Limit-Ms", b"%d" % left)))
-            return messages.encode_infer(timed, task, host.text)
+            return messages.encode_infer(timed, task, host.address_text)
 
         return made
 
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -6,7 +6,7 @@
 from gaproute.hosts.jsonlines.connection import NO_DEADLINE, Connection, ConnectionSet, PendingRequest
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import always
-from gaproute.loop.streams import address
+from gaproute.loop.streams import address as parse_address
 
 SECOND = 1_000_000_000
 
@@ -14,19 +14,20 @@
 class Host:
     def __init__(self, hosts, row):
         self.hosts, self.name = hosts, row.listed.host
-        self.links = ConnectionSet()
+        self.connections = ConnectionSet()
         self.active = self.listed = True
         self.gone = False  # at the last look
-        self.at(row)
+        self.set_endpoint(row)
 
-    def at(self, row):
+    def set_endpoint(self, row):
         """It is to be found there, in the life that began then."""
-        self.text, self.where, self.started = row.address, address(row.address), row.listed.started
+        self.address_text, self.address = row.address, parse_address(row.address)
+        self.started = row.listed.started
 
     def forget(self):
         """Gone for good where it was so at the last look too: what its last relays came to is told after
         their connections have ended, and would be kept for ever if it were told after this."""
-        before, self.gone = self.gone, not self.listed and not self.links
+        before, self.gone = self.gone, not self.listed and not self.connections
         if before and self.gone:
             del self.hosts.hosts[self.name]
             self.hosts.pooling.gone(self.name)
@@ -55,9 +56,9 @@
             host = self.hosts.get(row.listed.host)
             if host is None:
                 host = self.hosts[row.listed.host] = Host(self, row)
-            elif (host.text, host.started) != (row.address, row.listed.started):
-                self.rest(host)  # what stands leads to what was there before
-                host.at(row)
+            elif (host.address_text, host.started) != (row.address, row.listed.started):
+                self.drain(host)  # what stands leads to what was there before
+                host.set_endpoint(row)
             host.active = row.listed.state is State.ACTIVE
             host.listed = row.listed.state is not State.GONE
         if complete:
@@ -67,51 +68,53 @@
                     host.active = host.listed = False
         for host in list(self.hosts.values()):
             if not host.active:
-                self.rest(host)
+                self.drain(host)
 
-    def rest(self, host):
+    def drain(self, host):
         """What has not begun never does; connections end once nothing is at work on them."""
-        for link in list(host.links):
-            link.rest()
+        for link in list(host.connections):
+            link.drain()
 
     # Connections
 
-    def links(self):
-        return sum(len(host.links) for host in self.hosts.values())
+    def connection_count(self):
+        return sum(len(host.connections) for host in self.hosts.values())
 
     def ask(self, host, name, line, until, effect, done, wanted=always):
         """A request on the connection that pooling picks, else on a new one, else on one it shares; None
         where not one more connection can be had."""
         now = self.loop.now()
-        link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
+        link = self.pooling.pick(now, host.name, effect, host.connections, name, self.shared, self.idle_time)
         while (
             link is not None
-            and not link.open
+            and not link.pending
             and effect is not Idempotency.IDEMPOTENT
             and not link.stream.quiet()
         ):
             link.drop()  # it shows an end or a word not asked for: a pure task may go again
-            link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
-        if (link is None or link.open) and self.make_room():
+            link = self.pooling.pick(
+                now, host.name, effect, host.connections, name, self.shared, self.idle_time
+            )
+        if (link is None or link.pending) and self.make_room():
             link, self.opened = Connection(host), self.opened + 1
-            host.links.add(link)
+            host.connections.add(link)
         elif link is None:
             return None
-        elif link.open:
+        elif link.pending:
             self.multiplexed += 1
         else:
             self.reused += 1
         asked = PendingRequest(link, name, line, until, done, now, wanted)
-        link.ask(asked)
+        link.submit(asked)
         return asked
 
     def make_room(self):
         """Whether one more connection fits; an idle one of any host, the longest at rest, ends for it."""
-        if self.links() < self.max_connections:
+        if self.connection_count() < self.max_connections:
             return True
-        idle = [link for host in self.hosts.values() for link in host.links if not link.open]
+        idle = [link for host in self.hosts.values() for link in host.connections if not link.pending]
         if idle:
-            min(idle, key=lambda link: link.used).drop()
+            min(idle, key=lambda link: link.last_used).drop()
         return bool(idle)
 
     def sweep(self):
@@ -119,8 +122,8 @@
         hosts that are gone are forgotten."""
         now = self.loop.now()
         for host in list(self.hosts.values()):
-            for link in list(host.links):
-                if not link.open and now - link.used > self.pooling.safe_rest(
+            for link in list(host.connections):
+                if not link.pending and now - link.last_used > self.pooling.safe_rest(
                     now, host.name, Idempotency.IDEMPOTENT, self.idle_time
                 ):
                     link.drop()
@@ -205,9 +208,9 @@
             return True
 
         def overtime():
-            link = asked.link
+            link = asked.connection
             asked.cancel()
-            if ends and link in host.links and (not link.served or link.heard < asked.sent):
+            if ends and link in host.connections and (not link.answered or link.last_read < asked.created_at):
                 link.fail(TimeoutError("nothing came back"))
             done(*late)
 
@@ -220,6 +223,6 @@
     def close(self):
         self.sweeper.cancel()
         for host in list(self.hosts.values()):
-            for link in list(host.links):
-                link.open = {}
+            for link in list(host.connections):
+                link.pending = {}
                 link.drop()
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -13,7 +13,7 @@
 from gaproute.http1 import Exchange
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import Answer
-from gaproute.loop.streams import address
+from gaproute.loop.streams import address as parse_address
 
 SECOND = 1_000_000_000
 PASSED_HEADERS = (b"content-type", b"inference-header-content-length", b"content-encoding")
@@ -22,28 +22,28 @@
 class ClientSettings(NamedTuple):
     """How hosts are reached."""
 
-    connect_time: int = 250_000_000
-    probe_time: int = 250_000_000
-    order_time: int = 10 * SECOND
-    connections: int = 256  # to one host; a relay beyond them is not sent and counts as full
-    answer_limit: int = 64 << 20  # bytes of one answer
-    head_limit: int = 65536
+    connect_timeout: int = 250_000_000
+    probe_timeout: int = 250_000_000
+    order_timeout: int = 10 * SECOND
+    max_connections: int = 256  # to one host; a relay beyond them is not sent and counts as full
+    max_answer_bytes: int = 64 << 20  # bytes of one answer
+    max_head_bytes: int = 65536
 
 
 DEFAULT_SETTINGS = ClientSettings()
 
 
 class HostConnections:
-    __slots__ = ("name", "where", "text", "idle", "open", "unsent", "active")
+    __slots__ = ("name", "address", "address_text", "idle", "open", "connecting", "active")
 
-    def __init__(self, name, where):
+    def __init__(self, name, address_text):
         self.name, self.active = name, True
         self.idle, self.open = [], set()  # links at rest, the longest first; all links
-        self.unsent = {}  # exchanges of which no byte has been handed over, as keys
-        self.move(where)
+        self.connecting = {}  # exchanges of which no byte has been handed over, as keys
+        self.set_address(address_text)
 
-    def move(self, where):
-        self.text, self.where = where.encode(), address(where)
+    def set_address(self, address_text):
+        self.address_text, self.address = address_text.encode(), parse_address(address_text)
 
 
 class SentAttempt:
@@ -81,9 +81,9 @@
             host = self.hosts.get(row.listed.host)
             if host is None:
                 host = self.hosts[row.listed.host] = HostConnections(row.listed.host, row.address)
-            elif row.address.encode() != host.text:
-                self.rest(host)
-                host.move(row.address)
+            elif row.address.encode() != host.address_text:
+                self.close_idle(host)
+                host.set_address(row.address)
             host.active = row.listed.state is State.ACTIVE
         if complete:
             named = {row.listed.host for row in rows}
@@ -92,15 +92,15 @@
         for host in list(self.hosts.values()):
             if host.active:
                 continue
-            self.rest(host)
-            for exchange in list(host.unsent):
+            self.close_idle(host)
+            for exchange in list(host.connecting):
                 exchange.abandon("the host drains or is gone")
-            host.unsent.clear()
+            host.connecting.clear()
             if complete and not host.open and host.name not in named:
                 del self.hosts[host.name]
                 self.pooling.gone(host.name)
 
-    def rest(self, host):
+    def close_idle(self, host):
         for link in host.idle:
             link.drop()
             host.open.discard(link)
@@ -117,7 +117,7 @@
         link = self.kept(host, effect, now)
 
         def came(answer, undelivered):
-            host.unsent.pop(exchange, None)
+            host.connecting.pop(exchange, None)
             used = exchange.link
             if used is not None:
                 if used.open:
@@ -138,20 +138,20 @@
         if link is not None:
             self.reused += 1
             return exchange.on(link)
-        if len(host.open) >= self.settings.connections:
+        if len(host.open) >= self.settings.max_connections:
             return None
         self.opened += 1
 
         def linked(link):
-            host.unsent.pop(exchange, None)
+            host.connecting.pop(exchange, None)
             host.open.add(link)
 
-        host.unsent[exchange] = None
+        host.connecting[exchange] = None
         return exchange.open(
-            host.where,
-            self.settings.connect_time,
-            self.settings.head_limit,
-            self.settings.answer_limit,
+            host.address,
+            self.settings.connect_timeout,
+            self.settings.max_head_bytes,
+            self.settings.max_answer_bytes,
             linked,
         )
 
@@ -197,7 +197,7 @@
 
     def give_up(self, host, exchange):
         exchange.drop()
-        host.unsent.pop(exchange, None)
+        host.connecting.pop(exchange, None)
         if exchange.link is not None:
             host.open.discard(exchange.link)
 
@@ -232,7 +232,7 @@
 
     def request(self, call, task, host, until):
         """The bytes of a relay, or what makes them as they are handed over."""
-        return messages.encode_infer(call, task, host.text)
+        return messages.encode_infer(call, task, host.address_text)
 
     def order(self, worker, function, copies, done):
         """A load order; `done(result, copies that stand)` once, never at once."""
@@ -251,7 +251,7 @@
         timer = None
         exchange = self.exchange(
             host,
-            messages.encode_load(function, copies, host.text, self.gateway),
+            messages.encode_load(function, copies, host.address_text, self.gateway),
             Idempotency.IDEMPOTENT,
             came,
         )
@@ -259,7 +259,7 @@
             self.loop.soon(done, Result.FULL, 0)
             return
         timer = self.loop.after(
-            self.settings.order_time, lambda: (self.give_up(host, exchange), done(Result.TIMEOUT, 0))
+            self.settings.order_timeout, lambda: (self.give_up(host, exchange), done(Result.TIMEOUT, 0))
         )
 
     def probe(self, worker, done):
@@ -276,11 +276,11 @@
             done(good, orca.decode_headers(answer.headers)[0] if good else None)
 
         timer = None
-        exchange = self.exchange(host, messages.encode_ready(host.text), Idempotency.IDEMPOTENT, came)
+        exchange = self.exchange(host, messages.encode_ready(host.address_text), Idempotency.IDEMPOTENT, came)
         if exchange is None:
             return
         timer = self.loop.after(
-            self.settings.probe_time, lambda: (self.give_up(host, exchange), done(False, None))
+            self.settings.probe_timeout, lambda: (self.give_up(host, exchange), done(False, None))
         )
 
     def close(self):
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -221,9 +221,9 @@
         self.loop.after(STATUS, self.status)  # first: a line that fails must not be the last
         hosts, front, gateway = self.hosts, self.front, self.core.gateway
         held = {
-            name: [len(host.links), sum(len(link.open) for link in host.links)]
+            name: [len(host.connections), sum(len(link.pending) for link in host.connections)]
             for name, host in hosts.hosts.items()
-            if host.links
+            if host.connections
         }
         believed = {
             worker.id: [
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -226,7 +226,7 @@
         made.relist(row)
         made.until(lambda: "slow" in made.gate.rows)
         asked = made.ask("crew", "w")
-        made.until(lambda: made.gate.hosts.hosts["slow"].unsent)
+        made.until(lambda: made.gate.hosts.hosts["slow"].connecting)
         begun = made.loop.now()
         made.relist(row + " state draining")
         answer = made.wait(asked)
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -267,7 +267,7 @@
         self.hosts.update(shown, complete=True)
         self.core.listed([each.listed for each in shown], True)
         for host in self.hosts.hosts.values():
-            host.where = self.lives[host.name]
+            host.address = self.lives[host.name]
 
     def place(self, name):
         return 1000 + self.rows[name].cell
@@ -313,8 +313,8 @@
         assert not gateway.hands and not gateway.ration.out
         assert not any(each.out or each.late for each in gateway.workers.values())
         self.passes(30 * SECOND)
-        assert not any(link.open for host in self.hosts.hosts.values() for link in host.links)
-        assert not self.hosts.links() and not any(entry[4] for entry in self.dials.held)
+        assert not any(link.pending for host in self.hosts.hosts.values() for link in host.connections)
+        assert not self.hosts.connection_count() and not any(entry[4] for entry in self.dials.held)
         named = {name for name in HOSTS if self.rows[name].state is not face.State.GONE}
         assert set(self.hosts.hosts) == named
         assert {key[1] for key in self.record.counts if key[0] in ("relay", "order")} <= named
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -61,7 +61,7 @@
     for name in made.process.hosts.hosts:
         made.process.hosts.probe(name, lambda *report: told.append(report))
     made.until(lambda: len(told) == len(made.hosts))
-    assert all(host.links for host in made.process.hosts.hosts.values())
+    assert all(host.connections for host in made.process.hosts.hosts.values())
 
 
 @leaves
@@ -218,7 +218,7 @@
     made = gate(hosts=1, settings=limits(**told), clock=Handed())
     made.process.hosts.max_connections = 1
     known(made)
-    (made.link,) = made.process.hosts.hosts["s-0"].links
+    (made.link,) = made.process.hosts.hosts["s-0"].connections
     made.clog = made.link.stream.sock = Clogged(made.link.stream.sock, 500)
     client = made.client()
     client.ask(1, method, arg=arg(b"x" * 1000), d=2000)
@@ -248,7 +248,7 @@
     made = gate(silent_at_requests, hosts=1, settings=limits(), clock=Handed())
     made.process.hosts.max_connections = 1
     known(made)
-    (link,) = made.process.hosts.hosts["s-0"].links
+    (link,) = made.process.hosts.hosts["s-0"].connections
     other, client = made.client(), made.client()
     other.ask(1, "repair-order", i="f" * 16)
     made.until(made.came)
@@ -259,7 +259,7 @@
     made.until(lambda: other.answers)
     made.turns()
     assert other.answers[0]["error"]["code"] == FAILED and made.came() == 1
-    assert not made.process.core.held and not link.open and not link.stream.open
+    assert not made.process.core.held and not link.pending and not link.stream.open
 
 
 # Over HTTP
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -131,7 +131,7 @@
     made = gate(hosts=1, settings=SETTINGS, clock=Handed())
     made.process.hosts.max_connections = 1
     known(made)
-    (link,) = made.process.hosts.hosts["s-0"].links
+    (link,) = made.process.hosts.hosts["s-0"].connections
     clog = link.stream.sock = Clogged(link.stream.sock, 10)
     told = []
     made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: told.append(each))
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -107,7 +107,7 @@
     first = made.client()
     first.ask(1)
     made.until(lambda: first.answers)
-    (link,) = made.process.hosts.hosts["s-0"].links
+    (link,) = made.process.hosts.hosts["s-0"].connections
     link.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     for stream in made.hosts[0].streams:
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -118,7 +118,7 @@
         for number in range(1, 9):
             clients[-1].ask(number, i=f"{len(clients):08x}{number:08x}", arg=arg(b"x" * 16000))
         made.turns(5)
-    waits = [each.id for each in link.open.values() if not each.started]
+    waits = [each.id for each in link.pending.values() if not each.started]
     assert waits
     for client in clients:
         client.stream.abort()
@@ -133,18 +133,18 @@
 def test_a_host_back_under_its_id_is_not_sent_to_on_connections_of_its_life_before(gate, change):
     made = gate(hosts=2)
     known, name = made.process.hosts.hosts, "s-0"
-    made.until(lambda: any(link.served for link in known[name].links))  # a probe's
-    old = next(iter(known[name].links))
-    old.open["x"] = connections.PendingRequest(old, "x", None, 0, None, 0)  # still at work there
-    old.open["x"].stop = 0
+    made.until(lambda: any(link.answered for link in known[name].connections))  # a probe's
+    old = next(iter(known[name].connections))
+    old.pending["x"] = connections.PendingRequest(old, "x", None, 0, None, 0)  # still at work there
+    old.pending["x"].end_offset = 0
     where = made.hosts[1 if change == "address" else 0].address
     told = event(2, (name, where, "Ready"))
     if change == "start":
         told["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
     made.process.told(events.decode_initial({"seq": 2, "results": [told]})[1][0])
-    assert old in known[name].links and not old.trusted
-    old.bytes(b'{"type":"served","req":"x","data":""}\n')
-    assert old not in known[name].links
+    assert old in known[name].connections and not old.reusable
+    old.on_bytes(b'{"type":"served","req":"x","data":""}\n')
+    assert old not in known[name].connections
 
 
 @pytest.mark.parametrize("first", [("crashed", {}), ("served", {"data": "?"})])
@@ -175,12 +175,12 @@
     asked(made, 1)
     made.dials.let()
     made.until(made.came)
-    (link,) = made.process.hosts.hosts["s-0"].links
-    link.open["y"] = connections.PendingRequest(
+    (link,) = made.process.hosts.hosts["s-0"].connections
+    link.pending["y"] = connections.PendingRequest(
         link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0
     )
-    link.bytes(b'{"type":"served","req":"y","data":""}\n')
-    assert made.process.hosts.unmatched == 1 and len(link.open) == 2
+    link.on_bytes(b'{"type":"served","req":"y","data":""}\n')
+    assert made.process.hosts.unmatched == 1 and len(link.pending) == 2
 
 
 def test_a_dial_for_which_there_is_no_descriptor_is_not_held_against_the_host(slow):
@@ -212,8 +212,8 @@
     client = made.client()
     client.ask(1)
     made.until(made.came)
-    (other,) = [each for each in made.process.hosts.hosts["s-0"].links if f"{1:016x}" in each.open]
-    other.open["z"] = connections.PendingRequest(
+    (other,) = [each for each in made.process.hosts.hosts["s-0"].connections if f"{1:016x}" in each.pending]
+    other.pending["z"] = connections.PendingRequest(
         other, "z", None, 0, None, made.loop.now() + 9 * SECOND
     )  # keeps it in use
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
@@ -229,7 +229,7 @@
         client = made.client()
         client.ask(1, "repair-order", i=f"{number:016x}")
         made.until(lambda client=client: client.answers)
-    held = [len(link.carried) for host in made.process.hosts.hosts.values() for link in host.links]
+    held = [len(link.retired_ids) for host in made.process.hosts.hosts.values() for link in host.connections]
     assert max(held) <= CARRIED and len(made.hosts[0].seen("go")) == CARRIED + 3
 
 
@@ -265,7 +265,7 @@
     made.until(made.came)
     name = "s-0" if made.hosts[0].seen("go") else "s-1"
     (other,) = [each for each in made.process.hosts.hosts if each != name]
-    where = made.process.hosts.hosts[other].text
+    where = made.process.hosts.hosts[other].address_text
     told = event(2, (other, where, "Ready"), complete=True)
     made.process.told(events.decode_initial({"seq": 2, "results": [told]})[1][0])
     for host in made.hosts:
@@ -281,10 +281,10 @@
 def test_probes_and_orders_wear_no_connection_out(gate):
     """Their ids never come again, so none of them needs to be remembered."""
     made = gate()
-    made.until(lambda: any(link.served for link in made.process.hosts.hosts["s-0"].links))
+    made.until(lambda: any(link.answered for link in made.process.hosts.hosts["s-0"].connections))
     done = []
     made.process.hosts.order("s-0", "m", 1, lambda *told: done.append(told))
     made.until(lambda: done)
     assert made.hosts[0].seen("stat") and not any(
-        link.carried for link in made.process.hosts.hosts["s-0"].links
+        link.retired_ids for link in made.process.hosts.hosts["s-0"].connections
     )
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -260,7 +260,7 @@
     take_back = made.relay()
     made.until(lambda: made.host.came)
     take_back()
-    assert not made.hosts.links()
+    assert not made.hosts.connection_count()
 
 
 def test_an_effectful_relay_leaves_a_kept_connection_that_shows_a_word_not_asked_for(bench):
@@ -297,7 +297,7 @@
         made.relay(mark=f"{number:016x}")
         made.results(number + 1)
         made.host.streams[-1].close()
-        made.until(lambda: not made.hosts.links())
+        made.until(lambda: not made.hosts.connection_count())
     made.relay(mark="a" * 16)
     made.results(4)
     made.relay(mark="b" * 16)
@@ -357,7 +357,7 @@
     made.hosts.order_time = 20 * MILLI
     made.hosts.order("h", "f", 1, lambda result, copies: ends.append(result))
     made.until(lambda: ends)
-    assert ends == [Result.TIMEOUT] and made.hosts.links() == 0
+    assert ends == [Result.TIMEOUT] and made.hosts.connection_count() == 0
 
 
 def test_an_order_under_way_at_a_host_that_talks_leaves_its_connection(bench):
@@ -372,4 +372,4 @@
     made.relay()
     assert made.results(1) == [Result.OK]
     made.until(lambda: ends)
-    assert made.hosts.links() == 1
+    assert made.hosts.connection_count() == 1
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -63,7 +63,7 @@
     made.probe("a", lambda good, report: told.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
     assert sorted(told, key=len) == [(face.Result.NOT_SENT, 0), Heard(face.Result.NOT_SENT, None)]
-    assert not made.hosts["a"].open and not made.hosts["a"].unsent
+    assert not made.hosts["a"].open and not made.hosts["a"].connecting
 
 
 def test_a_network_that_is_not_there_counts_as_no_connection_to_the_host(hosts):
@@ -84,7 +84,7 @@
 def drop_all(made):
     """No connection to a host is left, so that the next request needs a dial."""
     for host in made.process.hosts.hosts.values():
-        for link in list(host.links):
+        for link in list(host.connections):
             link.drop()
 
 
