--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -12,7 +12,8 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve.entry import EntryFront
-from gaproute.hosts.entry_gateways import CellHostClient, EntryGateways
+from gaproute.hosts.cell_hosts import CellHostClient
+from gaproute.hosts.entry_gateways import EntryGateways
 from gaproute.peers.tables import TableCarrier
 from gaproute.shared.dissemination import Peer
 
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -17,7 +17,8 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.fronts.kserve import Front
-from gaproute.hosts.kserve.client import ClientSettings, KServeClient
+from gaproute.hosts.kserve.client import KServeClient
+from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.loop.loop import READ
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -34,7 +34,7 @@
         "ChangeLogWatcher.connect",
         "ChangeLogWatcher.check_silence",
         "Front._sweep",
-        "JsonLinesClient.sweep",
+        "ConnectionPool.sweep",
         "Parking._tick",
         "Process.status",
     )
--- a/gaproute/hosts/__init__.py
+++ b/gaproute/hosts/__init__.py
@@ -1,1 +1,1 @@
-"""Everything that goes out to hosts: relays, load orders, probes; and what their answers prove."""
+"""Everything that goes out to hosts: attempts, load orders and probes, and what their answers prove."""
--- a/gaproute/hosts/endpoints.py
+++ b/gaproute/hosts/endpoints.py
@@ -1,4 +1,4 @@
-"""A host of the list, whatever protocol lists it and whatever protocol it speaks."""
+"""A host of the endpoint list, whichever protocol lists it and whichever it speaks."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class Endpoint(NamedTuple):
-    """What the module is told of it, and where it answers."""
+    """What the decisions are told of a host, and where it answers."""
 
     listed: ListedHost
-    address: str
+    address: str  # as `loop.streams.address` reads it
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -1,111 +1,110 @@
-"""Calls forwarded to the entry gateways of other cells, and the hosts of cells that come and go.
+"""Calls forwarded to the entry gateways of other cells.
 
-An entry is reached as a host is, by the KServe form; it is told the time left as a client tells it, counted
-when the request is handed over, so that it does not answer after that.
+An entry gateway is reached as a host is, by the KServe form. It is told the time left as a client tells it,
+counted when the request is handed over, so that it does not answer after that.
 """
 
+from collections.abc import Callable
+
+from gaproute.decisions.cells.entries import Forward, Forwarded
+from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import forwarding
-from gaproute.hosts.attempts import UnsentAttempt
+from gaproute.hosts.attempts import AttemptHandle, OnAttemptEnded, UnsentAttempt
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve import messages
 from gaproute.hosts.kserve.client import KServeClient
-from gaproute.interface import ListedHost, Result, State
-from gaproute.loop.streams import address
+from gaproute.hosts.kserve.host_connections import HostConnections
+from gaproute.hosts.kserve.settings import ClientSettings
+from gaproute.interface import Idempotency, ListedHost, Result, State
+from gaproute.interface.call import Call
+from gaproute.loop import Loop
+from gaproute.loop.streams import address as parse_address
 
 MILLI = 1_000_000
 
 
 class EntryGatewayClient(KServeClient):
-    """Entry gateways as hosts, each by its address in place of a name."""
+    """Entry gateways as hosts, each named by its address."""
 
     forwards = True
 
-    def request(self, call, task, host, until):
-        """The bytes of a relay, made as they are handed over; the answer must be here by `until`."""
+    def encode_attempt(
+        self, call: Call, request: str, host: HostConnections, until: int
+    ) -> Callable[[int], bytes]:
+        """What makes the bytes of an attempt as they are handed over; it must be answered by `until`."""
 
-        def made(now):
+        def encode(now: int) -> bytes:
             left = max(1, (until - now) // MILLI)
-            timed = call._replace(fields=(*call.fields, (b"Gaproute-Limit-Ms", b"%d" % left)))
-            return messages.encode_infer(timed, task, host.address_text)
+            limit = (b"Gaproute-Limit-Ms", b"%d" % left)
+            limited = call._replace(fields=(*call.fields, limit))
+            return messages.encode_infer(limited, request, host.address_text)
 
-        return made
+        return encode
 
 
 class ForwardingClient:
-    """The way to one entry gateway for one call; sends as `KServeClient` does."""
-
-    def __init__(self, entries, forward):
-        self.entries, self.forward = entries, forward
-
-    def send(self, worker, call, effect, task, limit, until, done):
-        """As `KServeClient.send`."""
-        where, fields = self.forward.address, [forwarding.encode(self.forward.forwarded)]
+    """Sends one call to one entry gateway, as `KServeClient` sends to a host."""
+
+    __slots__ = ("gateways", "forward")
+
+    def __init__(self, gateways: "EntryGateways", forward: Forward) -> None:
+        self.gateways, self.forward = gateways, forward
+
+    def send(
+        self,
+        host_name: str,
+        call: Call,
+        idempotency: Idempotency,
+        request: str,
+        limit: int,
+        until: int,
+        on_ended: OnAttemptEnded,
+    ) -> AttemptHandle:
+        """As `KServeClient.send`, to the entry gateway whatever the host's name."""
+        address: str = self.forward.address  # type: ignore[attr-defined]
+        if not self.gateways.add(address):
+            return UnsentAttempt(self.gateways.loop, on_ended, Result.CONNECT_FAILED)
+        forwarded: Forwarded = self.forward.forwarded  # type: ignore[attr-defined]
+        fields = [*call.fields, forwarding.encode(forwarded)]
         if call.tenant:
             fields.append((b"Gaproute-Tenant", call.tenant))
-        if not self.entries.known(where):
-            return UnsentAttempt(self.entries.loop, done, Result.CONNECT_FAILED)
-        call = call._replace(fields=(*call.fields, *fields))
-        return self.entries.hosts.send(where, call, effect, task, limit, until, done)
+        call = call._replace(fields=tuple(fields))
+        return self.gateways.hosts.send(address, call, idempotency, request, limit, until, on_ended)
 
 
 class EntryGateways:
-    """The entry gateways in use: one is known from the first call to it, for as long as the cell table names
-    it."""
+    """The entry gateways in use: each from the first call to it, for as long as the cell table names it."""
 
-    def __init__(self, loop, reach, gateway):
-        self.loop, self.hosts = loop, EntryGatewayClient(loop, Pooling(), reach, gateway)
+    def __init__(self, loop: Loop, settings: ClientSettings, gateway: str) -> None:
+        self.loop = loop
+        self.hosts = EntryGatewayClient(loop, Pooling(), settings, gateway)
 
-    def client_for(self, forward):
-        """The way that a wish to forward a call asks for."""
+    def client_for(self, forward: Forward) -> ForwardingClient:
+        """What sends the call that is to be forwarded."""
         return ForwardingClient(self, forward)
 
-    def known(self, where):
-        """Whether calls can go to the address; from now on it is known."""
-        if where in self.hosts.hosts:
+    def add(self, address: str) -> bool:
+        """Have the entry gateway at that address in use; False where it is no address."""
+        if address in self.hosts.hosts:
             return True
         try:
-            address(where)
+            parse_address(address)
         except (ValueError, OSError):
             return False
-        self.hosts.update([_endpoint(where)], complete=False)
+        self.hosts.update([_endpoint(address)], complete=False)
         return True
 
-    def apply_table(self, table):
+    def apply_table(self, table: CellTable) -> None:
         """Let go of those that a newer table does not name."""
         named = {entry.address for cell in table.cells for entry in cell.entries}
-        self.hosts.update([_endpoint(where) for where in self.hosts.hosts if where in named], complete=True)
+        still_named = [address for address in self.hosts.hosts if address in named]
+        self.hosts.update([_endpoint(address) for address in still_named], complete=True)
 
-    def close(self):
-        """End all connections."""
+    def close(self) -> None:
+        """Close all connections."""
         self.hosts.close()
 
 
-def _endpoint(where):
-    return Endpoint(ListedHost(where, 0, 0, State.ACTIVE, 1.0, None), where)
-
-
-class CellHostClient(KServeClient):
-    """Hosts of the cells known. A cell may be let go while a task is at work in it: what is wished then of
-    hosts that went with it does not begin."""
-
-    def _gone(self, worker):
-        return worker not in self.hosts or not self.hosts[worker].active
-
-    def send(self, worker, call, effect, task, limit, until, done):
-        """As `KServeClient.send`."""
-        if self._gone(worker):
-            return UnsentAttempt(self.loop, done, Result.NOT_SENT)
-        return super().send(worker, call, effect, task, limit, until, done)
-
-    def order(self, worker, function, copies, done):
-        """As `KServeClient.order`."""
-        if self._gone(worker):
-            self.loop.soon(done, Result.FULL, 0)
-        else:
-            super().order(worker, function, copies, done)
-
-    def probe(self, worker, done):
-        """As `KServeClient.probe`."""
-        if not self._gone(worker):
-            super().probe(worker, done)
+def _endpoint(address: str) -> Endpoint:
+    return Endpoint(ListedHost(address, 0, 0, State.ACTIVE, 1.0, None), address)
--- a/gaproute/hosts/forwarding.py
+++ b/gaproute/hosts/forwarding.py
@@ -1,14 +1,15 @@
-"""What a call that one gateway forwards to another says beside a client's: one header more.
+"""The header fields by which one gateway tells another that it forwards a client's call.
 
 `Gaproute-Forwarded: HOPS CELL` says how often the call has been forwarded, this time included, and the cell
 that its first gateway chose, percent-encoded. What is malformed is ignored: the call is then a client's own.
 More hops than a gateway may make count as the most, so that such a call is not forwarded again.
 
-`Gaproute-Task` is the first gateway's id of the call, as hosts are told it: an entry passes it on to them, so
-that they know a repeat that comes by another entry.
+`Gaproute-Task` is the first gateway's id of the call, as hosts are told it: an entry gateway passes it on to
+them, so that they know a repeat that comes by another entry.
 """
 
 import re
+from collections.abc import Mapping
 from urllib.parse import quote, unquote
 
 from gaproute.decisions.cells.bounds import MAX_NAME
@@ -16,21 +17,22 @@
 
 HEADER = b"gaproute-forwarded"
 ORIGIN_HEADER, ORIGIN_PATTERN = b"gaproute-task", re.compile(rb"[!-~]{1,256}")
-MAX_HEADER_BYTES = 3 + 12 * MAX_NAME  # bytes: each character takes 12 at most when it is percent-encoded
+MAX_HEADER_BYTES = 3 + 12 * MAX_NAME  # each character takes 12 at most when it is percent-encoded
+MAX_HOP_DIGITS = 2
 
 
-def encode(forwarded):
-    """The header that tells of it."""
+def encode(forwarded: Forwarded) -> tuple[bytes, bytes]:
+    """The header field of a forwarded call."""
     return b"Gaproute-Forwarded", f"{forwarded.hops} {quote(forwarded.cell, safe='')}".encode()
 
 
-def decode(headers):
-    """What a call's headers tell of how it was forwarded; None where that is nothing, or malformed."""
+def decode(headers: Mapping[bytes, bytes]) -> Forwarded | None:
+    """How a call was forwarded, by its headers; None where it was not, or the field is malformed."""
     value = headers.get(HEADER)
     if value is None or len(value) > MAX_HEADER_BYTES:
         return None
     hops, _, cell = value.partition(b" ")
-    if not hops.isdigit() or len(hops) > 2 or int(hops) < 1:
+    if not hops.isdigit() or len(hops) > MAX_HOP_DIGITS or int(hops) < 1:
         return None
     try:
         name = unquote(cell.decode("ascii"), errors="strict")
@@ -41,7 +43,7 @@
     return Forwarded(name, min(int(hops), MAX_HOPS))
 
 
-def decode_origin(headers):
-    """The first gateway's id of a forwarded call; "" where that is not told, or malformed."""
+def decode_origin(headers: Mapping[bytes, bytes]) -> str:
+    """The first gateway's id of a forwarded call; "" where the field is missing or malformed."""
     value = headers.get(ORIGIN_HEADER, b"")
     return value.decode("ascii") if ORIGIN_PATTERN.fullmatch(value) else ""
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -1,228 +1,171 @@
-"""The hosts as sockets that carry lines: relays, orders and probes, each on a connection (`connection`)."""
+"""The client of hosts that take lines of JSON: attempts, load orders and probes, many on one connection.
+
+It reports what it sees and chooses nothing: the pool's `submit` finds a connection for a request,
+`gaproute.hosts.results` says what an end proves. `update` brings the endpoint list.
+"""
+
+from collections.abc import Callable
+from functools import partial
 
 from gaproute.core.core import Heard
-from gaproute.hosts.attempts import UnsentAttempt
+from gaproute.decisions.connections.pooling import Pooling
+from gaproute.hosts.attempts import (
+    AttemptHandle,
+    OnAttemptEnded,
+    OnLoadOrderEnded,
+    OnProbeEnded,
+    UnsentAttempt,
+)
 from gaproute.hosts.jsonlines import messages
-from gaproute.hosts.jsonlines.connection import NO_DEADLINE, Connection, ConnectionSet, PendingRequest
-from gaproute.interface import Idempotency, Result, State
-from gaproute.interface.call import always
-from gaproute.loop.streams import address as parse_address
-
-SECOND = 1_000_000_000
-
-
-class Host:
-    def __init__(self, hosts, row):
-        self.hosts, self.name = hosts, row.listed.host
-        self.connections = ConnectionSet()
-        self.active = self.listed = True
-        self.gone = False  # at the last look
-        self.set_endpoint(row)
-
-    def set_endpoint(self, row):
-        """It is to be found there, in the life that began then."""
-        self.address_text, self.address = row.address, parse_address(row.address)
-        self.started = row.listed.started
-
-    def forget(self):
-        """Gone for good where it was so at the last look too: what its last relays came to is told after
-        their connections have ended, and would be kept for ever if it were told after this."""
-        before, self.gone = self.gone, not self.listed and not self.connections
-        if before and self.gone:
-            del self.hosts.hosts[self.name]
-            self.hosts.pooling.gone(self.name)
-            self.hosts.on_removed(self.name)
-
-
-class JsonLinesClient:
-    def __init__(self, loop, pooling, site, max_connections):
-        """`max_connections`: connections to all hosts together."""
-        self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
-        self.on_removed = lambda name: None  # a host is gone for good
-        self.connect_time = site.connect_time or 250_000_000
-        self.probe_time = self.connect_time
-        self.order_time = site.order_time or 10 * SECOND
-        # The settings tell when hosts close an idle connection. Those that end sooner are reset by chance,
-        # which says nothing of the next: learning from them opened one for nearly every relay.
-        self.idle_time = site.idle_time or None
-        self.shared, self.counts, self.halts = site.shared, site.same_function_counted, site.halts
-        self.hosts, self.tags = {}, 0
-        self.opened = self.reused = self.multiplexed = self.malformed = self.unmatched = self.unread = 0
-        self.sweep()
-
-    def update(self, rows, *, complete):
-        """From now on nothing more goes to hosts that drain or are gone; what they hold runs on."""
-        for row in rows:
-            host = self.hosts.get(row.listed.host)
-            if host is None:
-                host = self.hosts[row.listed.host] = Host(self, row)
-            elif (host.address_text, host.started) != (row.address, row.listed.started):
-                self.drain(host)  # what stands leads to what was there before
-                host.set_endpoint(row)
-            host.active = row.listed.state is State.ACTIVE
-            host.listed = row.listed.state is not State.GONE
-        if complete:
-            named = {row.listed.host for row in rows}
-            for host in self.hosts.values():
-                if host.name not in named:
-                    host.active = host.listed = False
-        for host in list(self.hosts.values()):
-            if not host.active:
-                self.drain(host)
-
-    def drain(self, host):
-        """What has not begun never does; connections end once nothing is at work on them."""
-        for link in list(host.connections):
-            link.drain()
-
-    # Connections
-
-    def connection_count(self):
-        return sum(len(host.connections) for host in self.hosts.values())
-
-    def ask(self, host, name, line, until, effect, done, wanted=always):
-        """A request on the connection that pooling picks, else on a new one, else on one it shares; None
-        where not one more connection can be had."""
-        now = self.loop.now()
-        link = self.pooling.pick(now, host.name, effect, host.connections, name, self.shared, self.idle_time)
-        while (
-            link is not None
-            and not link.pending
-            and effect is not Idempotency.IDEMPOTENT
-            and not link.stream.quiet()
-        ):
-            link.drop()  # it shows an end or a word not asked for: a pure task may go again
-            link = self.pooling.pick(
-                now, host.name, effect, host.connections, name, self.shared, self.idle_time
-            )
-        if (link is None or link.pending) and self.make_room():
-            link, self.opened = Connection(host), self.opened + 1
-            host.connections.add(link)
-        elif link is None:
-            return None
-        elif link.pending:
-            self.multiplexed += 1
-        else:
-            self.reused += 1
-        asked = PendingRequest(link, name, line, until, done, now, wanted)
-        link.submit(asked)
-        return asked
-
-    def make_room(self):
-        """Whether one more connection fits; an idle one of any host, the longest at rest, ends for it."""
-        if self.connection_count() < self.max_connections:
-            return True
-        idle = [link for host in self.hosts.values() for link in host.connections if not link.pending]
-        if idle:
-            min(idle, key=lambda link: link.last_used).drop()
-        return bool(idle)
-
-    def sweep(self):
-        """Connections that rested too long for any task are closed from this side, before the host does, and
-        hosts that are gone are forgotten."""
-        now = self.loop.now()
-        for host in list(self.hosts.values()):
-            for link in list(host.connections):
-                if not link.pending and now - link.last_used > self.pooling.safe_rest(
-                    now, host.name, Idempotency.IDEMPOTENT, self.idle_time
-                ):
-                    link.drop()
-            host.forget()
-        self.sweeper = self.loop.after(SECOND, self.sweep)
-
-    def tag(self):
-        self.tags += 1
-        return f"g{self.tags}"
-
-    # What the core wishes
-
-    def send(self, worker, call, effect, task, limit, until, done):
-        """One relay; `done(heard)` once, never at once. It begins before `until`, while its client is there,
-        or never. Returns what has `started` and `cancel()`, after which `done` is not called."""
-        host = self.hosts.get(worker)
+from gaproute.hosts.jsonlines.connection_pool import SECOND, ConnectionPool
+from gaproute.hosts.jsonlines.host import Host
+from gaproute.hosts.jsonlines.messages import Reply
+from gaproute.hosts.jsonlines.pending_request import NO_DEADLINE, PendingRequest
+from gaproute.interface import Idempotency, Result
+from gaproute.interface.call import Call
+from gaproute.loop import Loop
+from gaproute.terms import Site
+
+DEFAULT_ORDER_TIMEOUT = 10 * SECOND  # where the settings have none
+
+
+class JsonLinesClient(ConnectionPool):
+    """Sends to hosts by name, on the connections of the pool."""
+
+    def __init__(self, loop: Loop, pooling: Pooling, site: Site, max_connections: int) -> None:
+        super().__init__(loop, pooling, site, max_connections)
+        self.probe_timeout = self.connect_timeout
+        self.order_timeout = site.order_time or DEFAULT_ORDER_TIMEOUT
+        self.counts_reported = site.same_function_counted
+        self.last_tag = 0
+        self.unexpected = 0  # replies of another kind than their request
+
+    def send(
+        self,
+        host_name: str,
+        call: Call,
+        idempotency: Idempotency,
+        request: str,
+        limit: int,
+        until: int,
+        on_ended: OnAttemptEnded,
+    ) -> AttemptHandle:
+        """Send one attempt of the request with that id; `on_ended(heard)` once, never at once.
+
+        It begins before `until`, by the loop's clock, while its client is present, or never. `limit`: when
+        the request's final answer is owed.
+        """
+        host = self.hosts.get(host_name)
         if host is None or not host.active:
-            return UnsentAttempt(self.loop, done, Result.CONNECT_FAILED)
+            return UnsentAttempt(self.loop, on_ended, Result.CONNECT_FAILED)
 
-        def came(reply, failure):
-            said = Heard(failure, None) if reply is None else messages.decode_attempt(reply, self.counts)
-            if said is None:
-                self.unread += 1
-                said = Heard(Result.ERROR, None)
-            done(said)
-            return said.result is Result.OK
+        def ended(outcome: Reply | Result) -> bool:
+            heard = Heard(outcome, None) if isinstance(outcome, Result) else self._heard(outcome)
+            on_ended(heard)
+            return heard.result is Result.OK
 
-        def line(now):
+        def encode(now: int) -> bytes:
             return messages.encode_attempt(call, limit - now)
 
-        asked = self.ask(host, call.request_id, line, until, effect, came, call.client_present)
-        return asked or UnsentAttempt(self.loop, done, Result.NOT_SENT)
+        pending = self.submit(host, call.request_id, encode, until, idempotency, ended, call.client_present)
+        return pending or UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
+
+    def _heard(self, reply: Reply) -> Heard:
+        heard = messages.decode_attempt(reply, with_count=self.counts_reported)
+        if heard is None:
+            self.unexpected += 1
+            return Heard(Result.ERROR, None)
+        return heard
+
+    def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
+        """Send a load order; `on_ended(result, instances that are loaded)` once, never at once.
 
-    def order(self, worker, function, copies, done):
-        """A load order; `done(result, copies that stand)` once, never at once."""
+        Where the host says nothing in time the connection ends, so that the order never arrives later.
+        """
 
-        def read(reply, failure):
-            return (failure, 0) if reply is None else messages.decode_load_order(reply) or (Result.ERROR, 0)
+        def ended(outcome: Reply | Result) -> None:
+            if isinstance(outcome, Result):
+                on_ended(outcome, 0)
+            else:
+                on_ended(*(messages.decode_load_order(outcome) or (Result.ERROR, 0)))
 
-        tag = self.tag()
-        self.tagged(
-            worker,
+        tag = self._next_tag()
+        self._submit_tagged(
+            host_name,
             tag,
             messages.encode_load_order(tag, function, copies),
-            self.order_time,
-            read,
-            done,
-            (Result.CONNECT_FAILED, 0),
-            (Result.TIMEOUT, 0),
-            True,
+            ended,
+            unavailable=partial(on_ended, Result.CONNECT_FAILED, 0),
+            timeout=self.order_timeout,
+            overdue=partial(on_ended, Result.TIMEOUT, 0),
+            end_silent=True,
         )
 
-    def probe(self, worker, done):
-        """Readiness and load; `done(good, report)` once, never at once; not where nothing of it came to be
-        sent for want of something here."""
+    def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
+        """Ask for readiness and load; `on_ended(ready, load report)` once, never at once.
 
-        def read(reply, failure):
-            if failure is Result.NOT_SENT:
-                return None
-            return (reply is not None and messages.decode_health(reply)) or (False, None)
+        It is not called where this machine had no connection or descriptor for the probe: that says nothing
+        of the host.
+        """
 
-        tag = self.tag()
-        self.tagged(
-            worker, tag, messages.encode_probe(tag), self.probe_time, read, done, (False, None), (False, None)
+        def ended(outcome: Reply | Result) -> None:
+            if outcome is Result.NOT_SENT:
+                return
+            health = None if isinstance(outcome, Result) else messages.decode_health(outcome)
+            on_ended(*(health or (False, None)))
+
+        tag, not_ready = self._next_tag(), partial(on_ended, False, None)
+        self._submit_tagged(
+            host_name,
+            tag,
+            messages.encode_probe(tag),
+            ended,
+            unavailable=not_ready,
+            timeout=self.probe_timeout,
+            overdue=not_ready,
         )
 
-    def tagged(self, worker, tag, data, within, read, done, unsent, late, ends=False):
-        """`ends`: where nothing came since, the connection ends, so that the request never arrives later."""
-        host = self.hosts.get(worker)
+    def _next_tag(self) -> str:
+        self.last_tag += 1
+        return f"g{self.last_tag}"
+
+    def _submit_tagged(
+        self,
+        host_name: str,
+        tag: str,
+        data: bytes,
+        on_ended: Callable[[Reply | Result], object],
+        *,
+        unavailable: Callable[[], object],
+        timeout: int,
+        overdue: Callable[[], object],
+        end_silent: bool = False,
+    ) -> None:
+        """Submit a request of the gateway's own, under an id that is used once.
+
+        Calls, once and never at once, `unavailable()` where the host takes no requests, `overdue()` after
+        `timeout` ns, else `on_ended`. `end_silent`: end the connection where nothing came on it since.
+        """
+        host = self.hosts.get(host_name)
         if host is None or not host.active:
-            self.loop.soon(done, *unsent)
+            self.loop.soon(unavailable)
             return
 
-        def tell(reply, failure):
-            told = read(reply, failure)
-            if told is not None:
-                done(*told)
-
-        def came(reply, failure):
+        def ended(outcome: Reply | Result) -> bool:
             timer.cancel()
-            tell(reply, failure)
+            on_ended(outcome)
             return True
 
-        def overtime():
-            link = asked.connection
-            asked.cancel()
-            if ends and link in host.connections and (not link.answered or link.last_read < asked.created_at):
-                link.fail(TimeoutError("nothing came back"))
-            done(*late)
-
-        asked = self.ask(host, tag, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, came)
-        if asked is None:  # not one more connection can be had here
-            self.loop.soon(tell, None, Result.NOT_SENT)
+        def timed_out(host: Host, request: PendingRequest) -> None:
+            connection = request.connection
+            request.cancel()
+            silent = connection.is_silent_since(request.created_at)
+            if end_silent and silent and connection in host.connections:
+                connection.fail(TimeoutError("nothing came back"))
+            overdue()
+
+        request = self.submit(host, tag, lambda now: data, NO_DEADLINE, Idempotency.IDEMPOTENT, ended)
+        if request is None:  # no further connection can be had here
+            self.loop.soon(on_ended, Result.NOT_SENT)
             return
-        timer = self.loop.after(within, overtime)
-
-    def close(self):
-        self.sweeper.cancel()
-        for host in list(self.hosts.values()):
-            for link in list(host.connections):
-                link.pending = {}
-                link.drop()
+        timer = self.loop.after(timeout, timed_out, host, request)
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -1,222 +1,217 @@
-"""One connection to a host that carries lines, and the requests on it. What it sees it reports.
+"""One connection to a host that carries lines, and the requests on it. It reports what it sees.
 
-`decisions.connections.pooling` chooses the connection of a request, `results` tells what an end proves.
-A request begins with its first byte in the kernel: until then it waits here, never in a buffer, and
-is judged when it is written, not when it was asked for.
+`decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` tells what an
+end proves. A request begins with its first byte in the kernel: until then it waits here, never in a buffer,
+and is judged when it is written, not when it was submitted.
 """
 
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+
+from gaproute.errors import GaprouteError
 from gaproute.hosts import results
 from gaproute.hosts.jsonlines import messages
+from gaproute.hosts.jsonlines.host import Host
+from gaproute.hosts.jsonlines.line_reader import LineReader, MalformedLineError
+from gaproute.hosts.jsonlines.messages import Reply
+from gaproute.hosts.jsonlines.pending_request import NO_DEADLINE, PendingRequest, already_written
 from gaproute.interface import Idempotency, Result
-from gaproute.interface.call import always
 from gaproute.loop import Stream, connect
 
-# For a request that has begun to be with the kernel whole, ns: by no more is the limit told in it out when
-# its host can read it.
+# Within which the kernel must have taken a whole request that has begun, ns: by no more is the limit told in
+# the request wrong when its host can read it.
 WRITE_TIMEOUT = 100_000_000
-NO_DEADLINE = 1 << 62  # a time that never comes: of requests whose answer has a time-out of its own
-
-
-class WriteAbandonedError(Exception):
-    """This side ends the connection as a request on it is not to come whole any more."""
 
 
-class PendingRequest:
-    """One request on a connection. `done(reply or None, what its failure proves or None)` once, never at
-    once; it returns whether nothing goes out under that id again. `line(now)` gives its bytes, and is asked
-    when they are written; `until`: when it may begin at the latest; `wanted()`: whether it still may."""
-
-    __slots__ = ("id", "line", "until", "done", "created_at", "end_offset", "connection", "wanted")
-
-    def __init__(self, connection, name, line, until, done, now, wanted=always):
-        self.connection, self.id, self.line, self.until, self.done, self.created_at = (
-            connection,
-            name,
-            line,
-            until,
-            done,
-            now,
-        )
-        self.wanted = wanted
-        self.end_offset = None  # bytes written on its connection up to its end; None: none of it yet
-
-    @property
-    def started(self):
-        return self.end_offset is not None
-
-    @property
-    def cancellable(self):
-        """Whether it is taken back, though begun, where nobody waits for it any more: its host has it whole
-        only with its last byte, and may not get that then."""
-        return self.connection.stream.open and not self.connection.is_written(self)
-
-    def end(self, reply, failure):
-        done, self.done = self.done, None
-        return done is not None and done(reply, failure)  # None: it was given up meanwhile
-
-    def cancel(self):
-        """Nobody wants it any more; `done` is not called."""
-        self.connection.cancel(self)
+class WriteAbandonedError(GaprouteError):
+    """This side ends the connection, as a request on it is not to come whole any more."""
 
 
 class Connection:
-    """A connection to one host, from the moment it is opened; requests wait on it until it stands."""
-
-    def __init__(self, host):
-        self.host, self.hosts = host, host.hosts
-        loop = self.hosts.loop
-        self.pending, self.retired_ids = (
-            {},
-            set(),
-        )  # id: PendingRequest; ids that may yet be answered once more
-        self.reader, self.stream = messages.LineReader(), None
-        self.written = 0
+    """A connection to one host, from the moment it is opened; requests wait until it is there."""
+
+    __slots__ = (
+        "host",
+        "pool",
+        "pending",
+        "retired_ids",
+        "reader",
+        "stream",
+        "written",
+        "last_used",
+        "last_read",
+        "reusable",
+        "answered",
+        "cancel_connect",
+    )
+
+    def __init__(self, host: Host) -> None:
+        self.host, self.pool = host, host.pool
+        loop = self.pool.loop
+        self.pending: dict[str, PendingRequest] = {}  # by id
+        self.retired_ids: set[str] = set()  # ids for which one more reply may come
+        self.reader = LineReader()
+        self.stream: Stream | None = None  # None until it is connected
+        self.written = 0  # bytes
         self.last_used = self.last_read = loop.now()
-        self.reusable, self.answered = True, 0
-        self.stop_connecting = connect(loop, host.address, self.hosts.connect_time, self.on_connected)
+        self.reusable = True  # takes further requests
+        self.answered = 0  # requests
+        self.cancel_connect: Callable[[], object] | None = connect(
+            loop, host.address, self.pool.connect_timeout, self._connected
+        )
 
-    def on_connected(self, sock, error):
+    def _connected(self, sock: socket.socket | None, error: OSError | None) -> None:
         if error is not None:
             self.fail(error)
             return
-        self.stop_connecting = None
-        self.stream = Stream(self.hosts.loop, sock, self.on_bytes, self.fail)
+        self.cancel_connect = None
+        self.stream = Stream(self.pool.loop, sock, self.on_bytes, self.fail)
         self.stream.on_room = self.write_pending
         self.write_pending()
 
-    def submit(self, asked):
-        self.pending[asked.id] = asked
-        if self.stream is not None:
-            self.write_pending()
-
-    def write_pending(self):
-        """What waits goes out while the kernel takes it; what may no longer begin never does."""
-        for asked in [asked for asked in self.pending.values() if not asked.started]:
-            now = self.hosts.loop.now()
-            if now >= asked.until or not asked.wanted():
-                self.fail_unsent(asked, Result.NOT_SENT)
+    def submit(self, request: PendingRequest) -> None:
+        """Write the request as soon as the kernel takes a byte of it."""
+        self.pending[request.id] = request
+        self.write_pending()
+
+    def write_pending(self) -> None:
+        """Write what waits while the kernel takes it; fail what may no longer begin."""
+        stream, loop = self.stream, self.pool.loop
+        if stream is None:  # not connected yet
+            return
+        for request in [request for request in self.pending.values() if request.end_offset is None]:
+            now = loop.now()
+            if now >= request.until or not request.wanted():
+                self._fail_unsent(request, Result.NOT_SENT)
                 continue
-            data = asked.line(now)
-            if not self.stream.begin(data):
-                return  # `on_room` asks again
+            data = request.encode(now)
+            if not stream.begin(data):
+                return  # `on_room` calls this again
             self.written += len(data)
-            asked.end_offset, asked.line = self.written, None
-            if self.stream.waiting and asked.until < NO_DEADLINE:
-                self.hosts.loop.after(WRITE_TIMEOUT, self.check_written, asked)
+            request.end_offset, request.encode = self.written, already_written
+            if stream.waiting and request.until < NO_DEADLINE:
+                loop.after(WRITE_TIMEOUT, self._check_written, request)
 
-    def check_written(self, asked):
-        """What a host has had in part for so long it gets no more of: the limit in it is no longer true."""
-        if self.pending.get(asked.id) is asked and not self.is_written(asked):
+    def _check_written(self, request: PendingRequest) -> None:
+        """A host that has had a part for so long gets no more of it: the limit in it is no longer true."""
+        if self.pending.get(request.id) is request and not self.is_written(request):
             self.fail(WriteAbandonedError("a request could not be written whole in time"))
 
-    def fail_unsent(self, asked, result):
-        """It has not begun and never will."""
-        del self.pending[asked.id]
-        self.hosts.loop.soon(asked.end, None, result)
+    def _fail_unsent(self, request: PendingRequest, result: Result) -> None:
+        """The request has not begun and never will."""
+        del self.pending[request.id]
+        self.pool.loop.soon(request.end, result)
+
+    def is_written(self, request: PendingRequest) -> bool:
+        """Whether the host may have all of the request."""
+        stream, end_offset = self.stream, request.end_offset
+        return stream is not None and end_offset is not None and stream.handed >= end_offset
 
-    def is_written(self, asked):
-        """Whether the host may have all of it."""
-        return asked.started and self.stream.handed >= asked.end_offset
+    def is_silent_since(self, time: int) -> bool:
+        """Whether nothing came since then, or no reply ever."""
+        return not self.answered or self.last_read < time
 
-    def on_bytes(self, data):
-        self.last_read = self.hosts.loop.now()
-        spoilt = None
+    def is_quiet(self) -> bool:
+        """Whether it shows neither its end nor bytes that nobody asked for: one system call."""
+        return self.stream is not None and bool(self.stream.quiet())
+
+    def on_bytes(self, data: bytes) -> None:
+        """Take what the host sent."""
+        self.last_read = self.pool.loop.now()
+        malformed = None
         try:
             replies = self.reader.feed(data)
-        except messages.MalformedLineError as fault:
-            spoilt, replies = fault, fault.args[1]
+        except MalformedLineError as error:
+            malformed, replies = error, error.replies
         for reply in replies:
-            asked = self.pending.get(str(reply.req))
-            if asked is None or not self.is_written(asked):
-                self.hosts.unmatched += 1
-                continue
-            del self.pending[asked.id]
-            self.retired_ids.add(asked.id)  # it may go again, and a second answer to this may come yet
-            self.last_used, self.answered = self.last_read, self.answered + 1
-            if asked.end(reply, None):
-                self.retired_ids.discard(asked.id)
-        if spoilt is not None:
-            self.hosts.malformed += 1
-            self.fail(spoilt)
-        elif not self.pending and not (
-            self.reusable and self.hosts.pooling.keeps(self.last_read, self.host.name, Idempotency.IDEMPOTENT)
-        ):
+            self._take_reply(reply)
+        if malformed is not None:
+            self.pool.malformed += 1
+            self.fail(malformed)
+        elif not self.pending and not self._may_be_kept():
             self.drop()
 
-    def fail(self, error):
-        """The connection is at its end: each request on it has failed, by how far it got."""
-        now, ended = self.hosts.loop.now(), []
-        for asked in self.pending.values():
-            ended.append(
-                (
-                    asked,
-                    results.of_ended_connection(
-                        asked.started, error, isinstance(error, messages.MalformedLineError)
-                    ),
-                )
-            )
-            if (
-                self.answered
-                and self.last_read < asked.created_at
-                and not isinstance(error, (messages.MalformedLineError, WriteAbandonedError))
-            ):
-                self.hosts.pooling.ended(
-                    now, self.host.name, asked.created_at - self.last_used, now - asked.created_at
-                )
+    def _take_reply(self, reply: Reply) -> None:
+        request = self.pending.get(str(reply.req))
+        if request is None or not self.is_written(request):
+            self.pool.unmatched += 1
+            return
+        del self.pending[request.id]
+        self.retired_ids.add(request.id)  # it may go again, and a second reply to this may come yet
+        self.last_used = self.last_read
+        self.answered += 1
+        if request.end(reply):
+            self.retired_ids.discard(request.id)
+
+    def _may_be_kept(self) -> bool:
+        return self.reusable and self.pool.pooling.keeps(
+            self.last_read, self.host.name, Idempotency.IDEMPOTENT
+        )
+
+    def fail(self, error: BaseException | None) -> None:
+        """The connection has ended: each request on it has failed, by how far it got."""
+        malformed = isinstance(error, MalformedLineError)
+        by_host = not malformed and not isinstance(error, WriteAbandonedError)
+        now, ended = self.pool.loop.now(), []
+        for request in self.pending.values():
+            result = results.of_ended_connection(error, started=request.started, malformed=malformed)
+            ended.append((request, result))
+            if by_host and self.answered and self.last_read < request.created_at:
+                idle_time = request.created_at - self.last_used
+                self.pool.pooling.ended(now, self.host.name, idle_time, now - request.created_at)
         self.pending = {}
         self.drop()
-        for asked, result in ended:
-            self.hosts.loop.soon(asked.end, None, result)
+        for request, result in ended:
+            self.pool.loop.soon(request.end, result)
 
-    def drain(self):
-        """Nothing more begins here: what is at work comes to its end, then the connection closes."""
-        for asked in [asked for asked in self.pending.values() if not asked.started]:
-            self.fail_unsent(asked, results.of_ended_connection(False, None, False))
+    def drain(self) -> None:
+        """Begin nothing more; close once nothing is in flight."""
+        for request in [request for request in self.pending.values() if not request.started]:
+            self._fail_unsent(request, results.of_ended_connection(None, started=False))
         self.reusable = False
         if not self.pending:
             self.drop()
 
-    def cancel(self, asked):
-        """One that has not begun never does. One of which the host has a part never comes whole: its
-        connection ends. One that it has is halted where the settings allow it, and its connection ends where
-        that was silent."""
-        asked.done = None
-        if self.pending.get(asked.id) is not asked:
+    def cancel(self, request: PendingRequest) -> None:
+        """End a request whose reply nobody waits for; its callback is not called.
+
+        One that has not begun never does. One of which the host has a part never comes whole: its connection
+        ends. Of one that it has the host is told where the settings allow it, and its connection ends where
+        that was silent.
+        """
+        request.on_ended = None
+        if self.pending.get(request.id) is not request:
             return
-        del self.pending[asked.id]
-        if not asked.started:
+        del self.pending[request.id]
+        if not request.started:
             if not self.pending:
                 self.drop()
-            return
-        if asked.until < NO_DEADLINE and not self.is_written(asked):
-            self.fail(WriteAbandonedError("a request is taken back before it was written whole"))
-            return
-        self.retired_ids.add(asked.id)
-        if self.hosts.pooling.silent(self.hosts.loop.now(), max(asked.created_at, self.last_read)):
+        elif request.until < NO_DEADLINE and not self.is_written(request):
+            self.fail(WriteAbandonedError("a request is cancelled before it was written whole"))
+        elif self.stream is not None:
+            self._cancel_at_host(request, self.stream)
+
+    def _cancel_at_host(self, request: PendingRequest, stream: Stream) -> None:
+        self.retired_ids.add(request.id)
+        now = self.pool.loop.now()
+        if self.pool.pooling.silent(now, max(request.created_at, self.last_read)):
             self.reusable = False
-        if not self.pending and (not self.reusable or self.stream.waiting):
+        if not self.pending and (not self.reusable or stream.waiting):
             self.drop()
-        elif self.hosts.halts:
-            self.last_used = self.hosts.loop.now()
-            self.stream.write(data := messages.encode_cancel(asked.id))
+        elif self.pool.cancel_allowed:
+            self.last_used = now
+            data = messages.encode_cancel(request.id)
+            stream.write(data)
             self.written += len(data)
 
-    def drop(self):
-        """Ends the connection; nothing is called."""
+    def drop(self) -> None:
+        """Close the connection; nothing is called."""
         self.host.connections.discard(self)
         self.reusable = False
-        if self.stop_connecting is not None:
-            self.stop_connecting()
-            self.stop_connecting = None
+        if self.cancel_connect is not None:
+            self.cancel_connect()
+            self.cancel_connect = None
         if self.stream is not None:
             self.stream.abort()
-
-
-class ConnectionSet(dict):
-    """An ordered set: what is chosen among them must not hang on addresses in memory."""
-
-    def add(self, link):
-        self[link] = None
-
-    def discard(self, link):
-        self.pop(link, None)
--- /dev/null
+++ b/gaproute/hosts/jsonlines/line_reader.py
@@ -0,0 +1,51 @@
+"""Bytes of a connection as replies of the host."""
+
+import msgspec
+
+from gaproute.errors import GaprouteError
+from gaproute.hosts.jsonlines.messages import Reply, decode_reply
+
+MAX_LINE_BYTES = 128 * 1024  # of one reply: a body of 16 KiB in base64 takes 22, and hosts add little
+
+
+class MalformedLineError(GaprouteError):
+    """What came is no line of the protocol: nothing that follows on the connection can be trusted.
+
+    `replies`: those of the lines before it.
+    """
+
+    def __init__(self, reason: str, replies: list[Reply]) -> None:
+        super().__init__(reason)
+        self.replies = replies
+
+
+class LineReader:
+    """Takes bytes and gives whole replies; holds one unfinished line at most."""
+
+    __slots__ = ("max_line_bytes", "parts", "unfinished_bytes")
+
+    def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
+        self.max_line_bytes = max_line_bytes
+        self.parts: list[bytes] = []  # of the unfinished line
+        self.unfinished_bytes = 0
+
+    def feed(self, data: bytes) -> list[Reply]:
+        """The replies that the bytes completed. Errors: MalformedLineError."""
+        replies: list[Reply] = []
+        *lines, rest = data.split(b"\n")
+        for line in lines:
+            if self.parts:
+                line = b"".join((*self.parts, line))
+                self.parts, self.unfinished_bytes = [], 0
+            if len(line) > self.max_line_bytes:
+                raise MalformedLineError("a line is too long", replies)
+            try:
+                replies.append(decode_reply(line))
+            except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+                raise MalformedLineError(f"no line of the protocol: {error}", replies) from None
+        if rest:
+            self.parts.append(rest)
+            self.unfinished_bytes += len(rest)
+            if self.unfinished_bytes > self.max_line_bytes:
+                raise MalformedLineError("a line is too long", replies)
+        return replies
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -1,20 +1,21 @@
-"""Lines of JSON to and from hosts; never touches a socket. The protocol's words stand here and nowhere else.
+"""Lines of JSON to and from hosts; the protocol's words stand here and nowhere else.
 
-Relays, orders and probes go out each under an id; an answer carries it back. Ids of relays are the clients'
-own, so a second relay of a task bears the same one.
+Attempts, load orders and probes go out each under an id; a reply carries it back. The ids of attempts are the
+clients' own, so a retry bears the same one.
 """
 
 import binascii
-import math
 
 import msgspec
 
 from gaproute.core.core import Heard
-from gaproute.interface import Found, Result
-from gaproute.interface.call import Answer
+from gaproute.hosts.load_figures import bounded_count, parse_figure
+from gaproute.interface import Found, Report, Result
+from gaproute.interface.call import Answer, Call
 from gaproute.terms import report
 
-MAX_LINE_BYTES = 128 * 1024  # bytes of one answer: a body of 16 KiB in base64 takes 22, and hosts add little
+MILLI = 1_000_000
+OK_STATUS = 200  # of an answer's body, which comes without one
 RESULTS = {
     "served": Result.OK,
     "not_here": Result.NOT_LOADED,
@@ -22,133 +23,108 @@
     "crashed": Result.ERROR,
     "nobody": Result.NOT_SENT,
 }
-NOTES = {"w": Found.WARM, "c": Found.BEGAN_LOAD, "j": Found.AWAITED_LOAD, "f": Found.LOAD_FAILED}
+FOUND = {"w": Found.WARM, "c": Found.BEGAN_LOAD, "j": Found.AWAITED_LOAD, "f": Found.LOAD_FAILED}
+READY, NOT_READY = "green", "red"
 
-
-class MalformedLineError(Exception):
-    """What came is no line of the protocol: nothing that follows on the connection can be trusted."""
+Meta = dict[str, str | int | float]
 
 
 class Reply(msgspec.Struct):
+    """A line that a host sends; the fields' names are those on the wire."""
+
     type: str
     req: str | int | float
-    meta: dict[str, str | int | float] = {}
+    meta: Meta = {}
     data: str | None = None
 
 
-_decode = msgspec.json.Decoder(Reply).decode
-_encode = msgspec.json.encode
-
-
-class LineReader:
-    """Bytes in, whole replies out. Holds at most one unfinished line."""
+decode_reply = msgspec.json.Decoder(Reply).decode
+_encode_json = msgspec.json.encode
 
-    def __init__(self, limit=MAX_LINE_BYTES):
-        self.limit, self.parts, self.held = limit, [], 0
 
-    def feed(self, data):
-        """The replies that the bytes completed; those before a spoilt line are in the error's `args[1]`."""
-        replies = []
-        *whole, rest = data.split(b"\n")
-        for line in whole:
-            if self.parts:
-                line, self.parts, self.held = b"".join((*self.parts, line)), [], 0
-            if len(line) > self.limit:
-                raise MalformedLineError("a line is too long", replies)
-            try:
-                replies.append(_decode(line))
-            except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as fault:
-                raise MalformedLineError(f"no line of the protocol: {fault}", replies) from None
-        if rest:
-            self.parts.append(rest)
-            self.held += len(rest)
-            if self.held > self.limit:
-                raise MalformedLineError("a line is too long", replies)
-        return replies
+def _line(command: dict[str, object]) -> bytes:
+    return _encode_json(command) + b"\n"
 
 
-# Commands
-
-
-def encode_attempt(call, left):
-    """`left`: how long the gateway will wait, ns."""
-    meta = {"cls": call.request_class, "item": call.model, "limit": max(1, left // 1_000_000)}
+def encode_attempt(call: Call, left: int) -> bytes:
+    """An attempt; `left`: how long the gateway will wait, ns."""
+    meta: Meta = {"cls": call.request_class, "item": call.model, "limit": max(1, left // MILLI)}
     if call.idempotency_key:
         meta["nonce"] = call.idempotency_key
-    return (
-        _encode({"type": "go", "req": call.request_id, "meta": meta, "data": call.body.decode("ascii")})
-        + b"\n"
-    )
+    return _line({"type": "go", "req": call.request_id, "meta": meta, "data": call.body.decode("ascii")})
 
 
-def encode_cancel(mark):
-    return _encode({"type": "halt", "req": mark}) + b"\n"
+def encode_cancel(request_id: str) -> bytes:
+    """Nobody waits for that request any more."""
+    return _line({"type": "halt", "req": request_id})
 
 
-def encode_probe(tag):
-    return _encode({"type": "stat", "req": tag}) + b"\n"
+def encode_probe(tag: str) -> bytes:
+    """A probe under an id of the gateway's own."""
+    return _line({"type": "stat", "req": tag})
 
 
-def encode_load_order(tag, function, copies):
-    return _encode({"type": "stage", "req": tag, "meta": {"item": function, "copies": copies}}) + b"\n"
+def encode_load_order(tag: str, function: str, copies: int) -> bytes:
+    """An order to have so many instances loaded."""
+    return _line({"type": "stage", "req": tag, "meta": {"item": function, "copies": copies}})
 
 
-# Answers
+def decode_attempt(reply: Reply, *, with_count: bool) -> Heard | None:
+    """What the reply to an attempt proves; None where it is none.
 
-
-def decode_attempt(reply, counts):
-    """What an answer to a relay proves; None where it is no answer to one. `counts`: whether hosts tell how
-    many tasks of the same function they held."""
+    `with_count`: whether hosts report how many requests of the same function they have in flight.
+    """
     result = RESULTS.get(reply.type)
     if result is None:
         return None
     answer = None
     if result is Result.OK:
-        try:
-            data = reply.data.encode("ascii")
-            binascii.a2b_base64(data, strict_mode=True)
-        except (AttributeError, UnicodeEncodeError, binascii.Error):  # an empty body is "", none is None
-            return Heard(Result.ERROR, None)  # it ran, but what it gave is lost
-        answer = Answer(200, (), data)
-    alike = None
-    if counts and result in (Result.OK, Result.FULL):
-        alike = int(min(valid_load(reply.meta.get("queue_fn")) or 0, 1 << 20))
-    return Heard(
-        result,
-        answer,
-        NOTES.get(reply.meta.get("tell"), Found.UNKNOWN),
-        alike,
-        decode_load_report(reply.meta),
-    )
-
-
-def decode_health(reply):
-    """(good, report) of an answer to a probe; None where it is no answer to one."""
-    if reply.type not in ("green", "red"):
+        body = _decode_body(reply.data)
+        if body is None:
+            return Heard(Result.ERROR, None)  # it ran, but its answer is lost
+        answer = Answer(OK_STATUS, (), body)
+    count = None
+    if with_count and result in (Result.OK, Result.FULL):
+        count = bounded_count(parse_figure(reply.meta.get("queue_fn"))) or 0
+    found = FOUND.get(reply.meta.get("tell"), Found.UNKNOWN)  # type: ignore[arg-type]
+    return Heard(result, answer, found, count, decode_load_report(reply.meta))
+
+
+def _decode_body(data: str | None) -> bytes | None:
+    """The body as it came, in base64, in which an empty one is ""; None where it is missing or malformed."""
+    if data is None:
+        return None
+    try:
+        body = data.encode("ascii")
+        binascii.a2b_base64(body, strict_mode=True)
+    except (UnicodeEncodeError, binascii.Error):
+        return None
+    return body
+
+
+def decode_health(reply: Reply) -> tuple[bool, Report | None] | None:
+    """(ready, load report) of the reply to a probe; None where it is none."""
+    if reply.type not in (READY, NOT_READY):
         return None
-    return reply.type == "green", decode_load_report(reply.meta)
+    return reply.type == READY, decode_load_report(reply.meta)
 
 
-def decode_load_order(reply):
-    """(result, copies that stand) of an answer to an order; None where it is no answer to one."""
+def decode_load_order(reply: Reply) -> tuple[Result, int] | None:
+    """(result, instances that are loaded) of the reply to a load order; None where it is none."""
     result = RESULTS.get(reply.type)
-    return None if result is None else (result, int(min(valid_load(reply.meta.get("copies")) or 0, 1 << 20)))
+    return None if result is None else (result, bounded_count(parse_figure(reply.meta.get("copies"))) or 0)
 
 
-def decode_load_report(meta):
-    """A load report such as `inflight:7;util:0.61`; what cannot be read was not told."""
+def decode_load_report(meta: Meta) -> Report | None:
+    """A load report such as `inflight:7;util:0.61`; what cannot be read counts as not reported."""
     text = meta.get("meter")
     if not isinstance(text, str):
         return None
-    pairs = (pair.partition(":") for pair in text.split(";"))
-    figures = {name: valid_load(value) for name, _, value in pairs}
-    return report({name: value for name, value in figures.items() if value is not None})
-
-
-def valid_load(value):
-    """A finite number that is not negative, sent as a number or as text; else None."""
-    try:
-        value = float(value)
-    except (TypeError, ValueError):
-        return None
-    return value if math.isfinite(value) and value >= 0 else None
+    figures = {}
+    for pair in text.split(";"):
+        name, _, value = pair.partition(":")
+        figure = parse_figure(value)
+        if figure is not None:
+            figures[name] = figure
+    known: Report | None = report(figures)
+    return known
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -1,292 +1,239 @@
-"""The hosts as sockets: kept connections, relays, orders and probes. What it sees it reports; it chooses
-nothing.
+"""The client of hosts that speak KServe v2: attempts, load orders and probes on kept connections.
 
-`decisions.connections.pooling` chooses the kept connection, `results` tells what an end proves.
+It reports what it sees and chooses nothing: `decisions.connections.pooling` says which kept connection may be
+used, `gaproute.hosts.results` what an end proves. `update` brings the endpoint list.
 """
 
-from typing import NamedTuple
+from collections.abc import Callable, Iterable
+from functools import partial
+from typing import TypeAlias
 
-from gaproute.core.core import Heard
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import orca, results
-from gaproute.hosts.attempts import UnsentAttempt
+from gaproute.hosts.attempts import (
+    AttemptHandle,
+    OnAttemptEnded,
+    OnLoadOrderEnded,
+    OnProbeEnded,
+    UnsentAttempt,
+)
+from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve import messages
-from gaproute.http1 import Exchange
+from gaproute.hosts.kserve.attempts import SentAttempt, heard_of
+from gaproute.hosts.kserve.host_connections import HostConnections
+from gaproute.hosts.kserve.settings import DEFAULT_SETTINGS, SECOND, ClientSettings
+from gaproute.http1 import Exchange, Response, Undelivered
 from gaproute.interface import Idempotency, Result, State
-from gaproute.interface.call import Answer
-from gaproute.loop.streams import address as parse_address
+from gaproute.interface.call import Call
+from gaproute.loop import Loop
 
-SECOND = 1_000_000_000
-PASSED_HEADERS = (b"content-type", b"inference-header-content-length", b"content-encoding")
+OK_STATUS = 200
+REFUSED_STATUSES = (404, 409, 429)  # of a load order: there is no space for it, or no such model
+SWEEP_INTERVAL = SECOND
+REUSE_RACE_WINDOW = SECOND  # a kept connection that ends within it was perhaps closed just as it was used
 
-
-class ClientSettings(NamedTuple):
-    """How hosts are reached."""
-
-    connect_timeout: int = 250_000_000
-    probe_timeout: int = 250_000_000
-    order_timeout: int = 10 * SECOND
-    max_connections: int = 256  # to one host; a relay beyond them is not sent and counts as full
-    max_answer_bytes: int = 64 << 20  # bytes of one answer
-    max_head_bytes: int = 65536
-
-
-DEFAULT_SETTINGS = ClientSettings()
-
-
-class HostConnections:
-    __slots__ = ("name", "address", "address_text", "idle", "open", "connecting", "active")
-
-    def __init__(self, name, address_text):
-        self.name, self.active = name, True
-        self.idle, self.open = [], set()  # links at rest, the longest first; all links
-        self.connecting = {}  # exchanges of which no byte has been handed over, as keys
-        self.set_address(address_text)
-
-    def set_address(self, address_text):
-        self.address_text, self.address = address_text.encode(), parse_address(address_text)
-
-
-class SentAttempt:
-    """The core's hold of a relay. `forwards`: another gateway has it, and no host yet."""
-
-    def __init__(self, hosts, host, exchange, forwards=False):
-        self.hosts, self.host, self.exchange, self.forwards = hosts, host, exchange, forwards
-
-    @property
-    def started(self):
-        return self.exchange.link is not None
-
-    @property
-    def cancellable(self):
-        """Whether it is taken back, though begun, where nobody waits for it any more."""
-        return self.forwards or not self.exchange.delivered
-
-    def cancel(self):
-        self.hosts.give_up(self.host, self.exchange)
+OnExchangeEnded: TypeAlias = Callable[[Response | Undelivered], object]
+RequestBytes: TypeAlias = bytes | Callable[[int], bytes]  # or what makes them at a time of the loop's clock
 
 
 class KServeClient:
+    """All hosts by name, with their connections."""
+
     forwards = False  # whether what is reached are other gateways
 
-    def __init__(self, loop, pooling, settings=DEFAULT_SETTINGS, gateway="gaproute"):
+    def __init__(
+        self,
+        loop: Loop,
+        pooling: Pooling,
+        settings: ClientSettings = DEFAULT_SETTINGS,
+        gateway: str = "gaproute",
+    ) -> None:
         self.loop, self.pooling, self.settings, self.gateway = loop, pooling, settings, gateway.encode()
-        self.hosts = {}
+        self.hosts: dict[str, HostConnections] = {}
         self.opened = self.reused = self.reuse_races = 0
         self.sweep()
 
-    def update(self, rows, *, complete):
-        """The host list. From now on nothing more goes to hosts that drain or are gone, also what waits to be
-        handed over; what they hold runs on."""
-        for row in rows:
-            host = self.hosts.get(row.listed.host)
-            if host is None:
-                host = self.hosts[row.listed.host] = HostConnections(row.listed.host, row.address)
-            elif row.address.encode() != host.address_text:
-                self.close_idle(host)
-                host.set_address(row.address)
-            host.active = row.listed.state is State.ACTIVE
-        if complete:
-            named = {row.listed.host for row in rows}
-            for host in self.hosts.values():
-                host.active = host.active and host.name in named
+    def update(self, endpoints: Iterable[Endpoint], *, complete: bool) -> None:
+        """Take over the endpoint list, or with `complete` False changes of it.
+
+        From now on nothing more goes to hosts that drain or are gone, also what waits for its connection;
+        what they have in flight runs on.
+        """
+        named = set()
+        for endpoint in endpoints:
+            named.add(endpoint.listed.host)
+            self._update_host(endpoint)
         for host in list(self.hosts.values()):
+            missing = complete and host.name not in named
+            if missing:
+                host.active = False
             if host.active:
                 continue
-            self.close_idle(host)
-            for exchange in list(host.connecting):
-                exchange.abandon("the host drains or is gone")
-            host.connecting.clear()
-            if complete and not host.open and host.name not in named:
+            host.close_idle()
+            host.abandon_connecting("the host drains or is gone")
+            if missing and not host.open:
                 del self.hosts[host.name]
                 self.pooling.gone(host.name)
 
-    def close_idle(self, host):
-        for link in host.idle:
-            link.drop()
-            host.open.discard(link)
-        host.idle = []
-
-    # Connections
-
-    def exchange(self, host, data, effect, done, until=None, wanted=None):
-        """One request on a connection that may be trusted with it, else on a new one; None: too many stand.
-
-        `done(answer, undelivered)`, never at once.
+    def _update_host(self, endpoint: Endpoint) -> None:
+        name = endpoint.listed.host
+        host = self.hosts.get(name)
+        if host is None:
+            host = self.hosts[name] = HostConnections(self.loop, self.pooling, name, endpoint.address)
+        elif endpoint.address.encode() != host.address_text:
+            host.close_idle()
+            host.set_address(endpoint.address)
+        host.active = endpoint.listed.state is State.ACTIVE
+
+    def sweep(self) -> None:
+        """Close connections that have been idle too long, and go on doing so."""
+        for host in self.hosts.values():
+            host.close_expired()
+        self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self.sweep)
+
+    def send(
+        self,
+        host_name: str,
+        call: Call,
+        idempotency: Idempotency,
+        request: str,
+        limit: int,
+        until: int,
+        on_ended: OnAttemptEnded,
+    ) -> AttemptHandle:
+        """Send one attempt of the request with that id; `on_ended(heard)` once, never at once.
+
+        It begins before `until`, by the loop's clock, while its client is present, or never. `limit`: when
+        the request's final answer is owed.
         """
-        now = self.loop.now()
-        link = self.kept(host, effect, now)
-
-        def came(answer, undelivered):
-            host.connecting.pop(exchange, None)
-            used = exchange.link
-            if used is not None:
-                if used.open:
-                    used.on_idle_end = lambda link: self.idle_ended(host, link)
-                    host.idle.append(used)
-                else:
-                    host.open.discard(used)
-            if (
-                undelivered is not None
-                and undelivered.handed
-                and link is not None
-                and self.loop.now() - exchange.started < SECOND
-            ):
-                self.reuse_races += 1  # perhaps closed by the host just as it was used
-            done(answer, undelivered)
-
-        exchange = Exchange(self.loop, data, came, until, wanted)
-        if link is not None:
-            self.reused += 1
-            return exchange.on(link)
-        if len(host.open) >= self.settings.max_connections:
-            return None
-        self.opened += 1
+        if not call.client_present():
+            return UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
+        host = self.hosts[host_name]
 
-        def linked(link):
-            host.connecting.pop(exchange, None)
-            host.open.add(link)
+        def ended(outcome: Response | Undelivered) -> None:
+            on_ended(heard_of(outcome))
 
-        host.connecting[exchange] = None
-        return exchange.open(
-            host.address,
-            self.settings.connect_timeout,
-            self.settings.max_head_bytes,
-            self.settings.max_answer_bytes,
-            linked,
-        )
-
-    def kept(self, host, effect, now):
-        """The kept connection that rested least, where it may be used and shows no sign of an end."""
-        while host.idle:
-            link = host.idle[-1]
-            rested = now - link.used
-            if rested > self.pooling.safe_rest(now, host.name, effect, link.told_idle):
-                return None
-            host.idle.pop()
-            link.on_idle_end = None
-            if (
-                effect is Idempotency.IDEMPOTENT or link.stream.quiet()
-            ):  # a pure one may go again; spares a system call
-                return link
-            link.drop()
-            host.open.discard(link)
-            self.pooling.closed(now, host.name, rested)
-        return None
-
-    def idle_ended(self, host, link):
-        if link in host.idle:
-            host.idle.remove(link)
-        host.open.discard(link)
-        self.pooling.closed(self.loop.now(), host.name, self.loop.now() - link.used)
-
-    def sweep(self):
-        """Connections that rested too long for any task are closed from this side, before the host does."""
-        now = self.loop.now()
-        for host in self.hosts.values():
-            keep = []
-            for link in host.idle:
-                if now - link.used <= self.pooling.safe_rest(
-                    now, host.name, Idempotency.IDEMPOTENT, link.told_idle
-                ):
-                    keep.append(link)
-                else:
-                    link.drop()
-                    host.open.discard(link)
-            host.idle = keep
-        self.sweeper = self.loop.after(SECOND, self.sweep)
-
-    def give_up(self, host, exchange):
-        exchange.drop()
-        host.connecting.pop(exchange, None)
-        if exchange.link is not None:
-            host.open.discard(exchange.link)
-
-    # What the core wishes
-
-    def send(self, worker, call, effect, task, limit, until, done):
-        """One relay; `done(heard)` once, never at once. It begins before `until`, while its client is there,
-        or never. Returns what has `started` and `cancel()`, after which `done` is not called."""
-        if not call.client_present():
-            return UnsentAttempt(self.loop, done, Result.NOT_SENT)
-        host = self.hosts[worker]
-
-        def came(answer, undelivered):
-            if answer is None:
-                result = Result.NOT_SENT if undelivered.lapsed else results.of_undelivered(undelivered)
-                done(Heard(result, None))
-                return
-            report, found, alike = orca.decode_headers(answer.headers)
-            result, told = results.of_status(answer.status), None
-            if result is Result.OK:
-                fields = tuple(
-                    (name, answer.headers[name]) for name in PASSED_HEADERS if name in answer.headers
-                )
-                told = Answer(answer.status, fields, answer.body)
-            done(Heard(result, told, found, alike, report))
-
-        request = self.request(call, task, host, until)
-        exchange = self.exchange(host, request, effect, came, until, call.client_present)
+        data = self.encode_attempt(call, request, host, until)
+        exchange = self._start_exchange(host, data, idempotency, ended, until, call.client_present)
         if exchange is None:
-            return UnsentAttempt(self.loop, done, Result.FULL)
-        return SentAttempt(self, host, exchange, self.forwards)
+            return UnsentAttempt(self.loop, on_ended, Result.FULL)
+        return SentAttempt(host, exchange, forwards=self.forwards)
+
+    def encode_attempt(self, call: Call, request: str, host: HostConnections, until: int) -> RequestBytes:
+        """The bytes of an attempt, or what makes them as they are handed over."""
+        return messages.encode_infer(call, request, host.address_text)
+
+    def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
+        """Send a load order; `on_ended(result, instances that are loaded)` once, never at once."""
+        host = self.hosts[host_name]
+
+        def ended(outcome: Response | Undelivered) -> None:
+            if isinstance(outcome, Undelivered):
+                on_ended(results.of_undelivered(outcome), 0)
+            elif outcome.status == OK_STATUS:
+                on_ended(Result.OK, messages.decode_load(outcome.body))
+            else:
+                on_ended(Result.FULL if outcome.status in REFUSED_STATUSES else Result.ERROR, 0)
 
-    def request(self, call, task, host, until):
-        """The bytes of a relay, or what makes them as they are handed over."""
-        return messages.encode_infer(call, task, host.address_text)
+        data = messages.encode_load(function, copies, host.address_text, self.gateway)
+        timeout = self.settings.order_timeout
+        if not self._exchange_within(host, data, timeout, ended, partial(on_ended, Result.TIMEOUT, 0)):
+            self.loop.soon(on_ended, Result.FULL, 0)
 
-    def order(self, worker, function, copies, done):
-        """A load order; `done(result, copies that stand)` once, never at once."""
-        host = self.hosts[worker]
+    def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
+        """Ask for readiness and load; `on_ended(ready, load report)` once, never at once.
 
-        def came(answer, undelivered):
-            if timer is not None:
-                timer.cancel()
-            if answer is None:
-                done(results.of_undelivered(undelivered), 0)
-            elif answer.status == 200:
-                done(Result.OK, messages.decode_load(answer.body))
+        It is not called where this machine had no connection or descriptor for the probe: that says nothing
+        of the host.
+        """
+        host = self.hosts[host_name]
+
+        def ended(outcome: Response | Undelivered) -> None:
+            if isinstance(outcome, Undelivered):
+                if results.of_undelivered(outcome) is not Result.NOT_SENT:
+                    on_ended(False, None)
+            elif outcome.status == OK_STATUS:
+                on_ended(True, orca.decode_headers(outcome.headers).report)
             else:
-                done(Result.FULL if answer.status in (404, 409, 429) else Result.ERROR, 0)
+                on_ended(False, None)
 
-        timer = None
-        exchange = self.exchange(
-            host,
-            messages.encode_load(function, copies, host.address_text, self.gateway),
-            Idempotency.IDEMPOTENT,
-            came,
-        )
-        if exchange is None:
-            self.loop.soon(done, Result.FULL, 0)
-            return
-        timer = self.loop.after(
-            self.settings.order_timeout, lambda: (self.give_up(host, exchange), done(Result.TIMEOUT, 0))
-        )
+        data = messages.encode_ready(host.address_text)
+        timeout = self.settings.probe_timeout
+        self._exchange_within(host, data, timeout, ended, partial(on_ended, False, None))
 
-    def probe(self, worker, done):
-        """Readiness and load; `done(good, report)` once, never at once; not where nothing of it came to be
-        sent for want of something here."""
-        host = self.hosts[worker]
+    def close(self) -> None:
+        """Close every connection, and sweep no more."""
+        self.sweep_timer.cancel()
+        for host in self.hosts.values():
+            host.close()
+
+    def _exchange_within(
+        self,
+        host: HostConnections,
+        data: bytes,
+        timeout: int,
+        on_ended: OnExchangeEnded,
+        on_timeout: Callable[[], object],
+    ) -> bool:
+        """An idempotent exchange that is cancelled after `timeout` ns; False where it cannot be sent."""
+        timer = None
 
-        def came(answer, undelivered):
+        def ended(outcome: Response | Undelivered) -> None:
             if timer is not None:
                 timer.cancel()
-            if answer is None and results.of_undelivered(undelivered) is Result.NOT_SENT:
-                return
-            good = answer is not None and answer.status == 200
-            done(good, orca.decode_headers(answer.headers)[0] if good else None)
+            on_ended(outcome)
 
-        timer = None
-        exchange = self.exchange(host, messages.encode_ready(host.address_text), Idempotency.IDEMPOTENT, came)
+        def overdue(exchange: Exchange) -> None:
+            host.cancel(exchange)
+            on_timeout()
+
+        exchange = self._start_exchange(host, data, Idempotency.IDEMPOTENT, ended)
         if exchange is None:
-            return
-        timer = self.loop.after(
-            self.settings.probe_timeout, lambda: (self.give_up(host, exchange), done(False, None))
+            return False
+        timer = self.loop.after(timeout, overdue, exchange)
+        return True
+
+    def _start_exchange(
+        self,
+        host: HostConnections,
+        data: RequestBytes,
+        idempotency: Idempotency,
+        on_ended: OnExchangeEnded,
+        until: int | None = None,
+        wanted: Callable[[], bool] | None = None,
+    ) -> Exchange | None:
+        """Send a request on a kept connection that may be trusted with it, else on a new one.
+
+        None where the host has as many connections as it may. `on_ended` is called once, never at once.
+        """
+        reused = host.take_idle(idempotency)
+
+        def ended(answer: Response, undelivered: Undelivered | None) -> None:  # one of them is None
+            host.connecting.pop(exchange, None)
+            if exchange.link is not None:
+                host.release(exchange.link)
+            if undelivered is not None and undelivered.handed and reused is not None:
+                self._count_reuse_race(exchange)
+            on_ended(answer if undelivered is None else undelivered)
+
+        exchange = Exchange(self.loop, data, ended, until, wanted)
+        if reused is not None:
+            self.reused += 1
+            exchange.on(reused)
+            return exchange
+        if len(host.open) >= self.settings.max_connections:
+            return None
+        self.opened += 1
+        host.connecting[exchange] = None
+        exchange.open(
+            host.address,
+            self.settings.connect_timeout,
+            self.settings.max_head_bytes,
+            self.settings.max_answer_bytes,
+            partial(host.connected, exchange),
         )
+        return exchange
 
-    def close(self):
-        self.sweeper.cancel()
-        for host in self.hosts.values():
-            for link in list(host.open):
-                link.drop()
-            host.open.clear()
-            host.idle = []
+    def _count_reuse_race(self, exchange: Exchange) -> None:
+        if self.loop.now() - exchange.started < REUSE_RACE_WINDOW:
+            self.reuse_races += 1
--- /dev/null
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -0,0 +1,118 @@
+"""The connections to one host: which of them are idle, and which idle one may be used."""
+
+from gaproute.decisions.connections.pooling import Pooling
+from gaproute.http1 import Exchange, Link
+from gaproute.interface import Idempotency
+from gaproute.loop import Loop
+from gaproute.loop.streams import address as parse_address
+
+
+class HostConnections:
+    """One host, its connections, and the exchanges that wait for a new one.
+
+    `decisions.connections.pooling` says how long a connection may have been idle to be used.
+    """
+
+    __slots__ = (
+        "loop",
+        "pooling",
+        "name",
+        "address",
+        "address_text",
+        "idle",
+        "open",
+        "connecting",
+        "active",
+    )
+
+    def __init__(self, loop: Loop, pooling: Pooling, name: str, address_text: str) -> None:
+        self.loop, self.pooling, self.name = loop, pooling, name
+        self.active = True  # by the endpoint list
+        self.idle: list[Link] = []  # the one that has been idle longest first
+        self.open: set[Link] = set()  # idle or in use
+        self.connecting: dict[Exchange, None] = {}  # in order; no byte of these has been handed over
+        self.set_address(address_text)
+
+    def set_address(self, address_text: str) -> None:
+        """The host answers at that address from now on. Errors: ValueError."""
+        self.address_text, self.address = address_text.encode(), parse_address(address_text)
+
+    def take_idle(self, idempotency: Idempotency) -> Link | None:
+        """The connection that has been idle least, if it may be used and shows no sign of an end."""
+        now = self.loop.now()
+        while self.idle:
+            link = self.idle[-1]
+            idle_time = now - link.used
+            if idle_time > self.pooling.safe_rest(now, self.name, idempotency, link.told_idle):
+                return None
+            self.idle.pop()
+            link.on_idle_end = None
+            # An idempotent request may be sent again: for it the look, a system call, is spared.
+            if idempotency is Idempotency.IDEMPOTENT or link.stream.quiet():
+                return link
+            link.drop()
+            self.open.discard(link)
+            self.pooling.closed(now, self.name, idle_time)
+        return None
+
+    def release(self, link: Link) -> None:
+        """An exchange on the connection has ended: it is idle, or at its end."""
+        if link.open:
+            link.on_idle_end = self._idle_ended
+            self.idle.append(link)
+        else:
+            self.open.discard(link)
+
+    def connected(self, exchange: Exchange, link: Link) -> None:
+        """The connection that an exchange waits for is there."""
+        self.connecting.pop(exchange, None)
+        self.open.add(link)
+
+    def cancel(self, exchange: Exchange) -> None:
+        """End an exchange and the connection that it is on; its callback is not called."""
+        exchange.drop()
+        self.connecting.pop(exchange, None)
+        if exchange.link is not None:
+            self.open.discard(exchange.link)
+
+    def abandon_connecting(self, reason: str) -> None:
+        """End what waits for a new connection as never run."""
+        for exchange in list(self.connecting):
+            exchange.abandon(reason)
+        self.connecting.clear()
+
+    def close_idle(self) -> None:
+        """Close every idle connection."""
+        for link in self.idle:
+            self._close(link)
+        self.idle = []
+
+    def close_expired(self) -> None:
+        """Close connections that have been idle too long for any request, before the host does."""
+        now, kept = self.loop.now(), []
+        for link in self.idle:
+            longest = self.pooling.safe_rest(now, self.name, Idempotency.IDEMPOTENT, link.told_idle)
+            if now - link.used <= longest:
+                kept.append(link)
+            else:
+                self._close(link)
+        self.idle = kept
+
+    def close(self) -> None:
+        """Close every connection."""
+        for link in list(self.open):
+            link.drop()
+        self.open.clear()
+        self.idle = []
+
+    def _close(self, link: Link) -> None:
+        link.drop()
+        self.open.discard(link)
+
+    def _idle_ended(self, link: Link) -> None:
+        """The host has closed an idle connection."""
+        if link in self.idle:
+            self.idle.remove(link)
+        self.open.discard(link)
+        now = self.loop.now()
+        self.pooling.closed(now, self.name, now - link.used)
--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -3,72 +3,88 @@
 
 `JSON {"cpu_utilization": 0.4, "named_metrics": {"queue": 2}}` or `TEXT
 cpu_utilization=0.4,named_metrics.queue=2`. Standard fields used: `cpu_utilization`, `mem_utilization`
-(shares). Named metrics used: `queue` (tasks waiting), `in_hand` (tasks at work or waiting), `copy` (what the
-task found: 1 a copy stood, 2 it began a load, 3 it waited for one), `alike` (tasks of the same model held
-when it came). What cannot be read counts as not told.
+(shares). Named metrics used: `queue` (requests waiting), `in_hand` (requests at work or waiting), `copy`
+(what the request found: 1 a warm instance, 2 it began a load, 3 it waited for one), `alike` (requests of the
+same model in flight when it came). What cannot be read counts as not reported.
 """
 
-import math
+from collections.abc import Mapping
+from typing import NamedTuple
 
 import msgspec
 
+from gaproute.hosts.load_figures import bounded_count, valid_figure
 from gaproute.interface import Found, Report
 
 HEADER = b"endpoint-load-metrics"
-REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")
+REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # by which hosts are asked for a report
+NAMED_PREFIX = "named_metrics."
+FOUND: dict[float | None, Found] = {found.value: found for found in Found if found is not Found.UNKNOWN}
+NO_FIGURES = Report()
 
 
 class LoadReport(msgspec.Struct):
+    """The fields of the header that are used."""
+
     cpu_utilization: float | None = None
     mem_utilization: float | None = None
     named_metrics: dict[str, float] = {}
 
 
-_decode = msgspec.json.Decoder(LoadReport).decode
+class ReportedLoad(NamedTuple):
+    """What the headers of one answer report."""
+
+    report: Report | None
+    found: Found
+    same_function_requests: int | None
+
+
+NOTHING_REPORTED = ReportedLoad(None, Found.UNKNOWN, None)
+
+_decode_json = msgspec.json.Decoder(LoadReport).decode
 
 
-def decode_value(value):
-    """A header's value as `LoadReport`, or None where it is not one."""
+def decode_value(value: bytes) -> LoadReport | None:
+    """The header's value, or None where it is not of the form."""
     form, _, text = value.strip().partition(b" ")
     try:
         if form == b"JSON":
-            return _decode(text)
+            return _decode_json(text)
         if form == b"TEXT":
-            told = LoadReport(named_metrics={})
-            for pair in text.decode().split(","):
-                name, _, figure = pair.strip().partition("=")
-                if name.startswith("named_metrics."):
-                    told.named_metrics[name[14:]] = float(figure)
-                elif name in ("cpu_utilization", "mem_utilization"):
-                    setattr(told, name, float(figure))
-            return told
+            return _decode_text(text.decode())
     except (msgspec.MsgspecError, ValueError):
         pass
     return None
 
 
-def decode_headers(headers):
-    """(report or None, found, alike or None) of an answer's headers."""
+def _decode_text(text: str) -> LoadReport:
+    report = LoadReport(named_metrics={})
+    for pair in text.split(","):
+        name, _, figure = pair.strip().partition("=")
+        if name.startswith(NAMED_PREFIX):
+            report.named_metrics[name.removeprefix(NAMED_PREFIX)] = float(figure)
+        elif name == "cpu_utilization":
+            report.cpu_utilization = float(figure)
+        elif name == "mem_utilization":
+            report.mem_utilization = float(figure)
+    return report
+
+
+def decode_headers(headers: Mapping[bytes, bytes]) -> ReportedLoad:
+    """What an answer's headers, by lower-case name, report of the host's load."""
     value = headers.get(HEADER)
-    told = decode_value(value) if value is not None else None
-    if told is None:
-        return None, Found.UNKNOWN, None
-    named = told.named_metrics
+    reported = decode_value(value) if value is not None else None
+    if reported is None:
+        return NOTHING_REPORTED
+    named = reported.named_metrics
     report = Report(
-        valid_load(named.get("in_hand")),
-        valid_load(named.get("queue")),
-        valid_load(told.cpu_utilization),
-        valid_load(told.mem_utilization),
+        valid_figure(named.get("in_hand")),
+        valid_figure(named.get("queue")),
+        valid_figure(reported.cpu_utilization),
+        valid_figure(reported.mem_utilization),
     )
-    copy, alike = valid_load(named.get("copy")), valid_load(named.get("alike"))
-    found = Found(int(copy)) if copy in (1, 2, 3, 4) else Found.UNKNOWN
-    return (
-        report if any(part is not None for part in report) else None,
-        found,
-        None if alike is None else min(int(alike), 1 << 20),
+    return ReportedLoad(
+        report if report != NO_FIGURES else None,
+        FOUND.get(named.get("copy"), Found.UNKNOWN),
+        bounded_count(valid_figure(named.get("alike"))),
     )
-
-
-def valid_load(value):
-    """A load is a finite number that is not negative; anything else was not told."""
-    return value if value is not None and math.isfinite(value) and value >= 0 else None
--- a/gaproute/hosts/results.py
+++ b/gaproute/hosts/results.py
@@ -1,4 +1,4 @@
-"""What each end of a relay proves. Rule 2 rests on this table; it stands here and nowhere else.
+"""What each end of an attempt proves. That nothing runs twice rests on this table alone.
 
 | what was seen | result | proves |
 | --- | --- | --- |
@@ -13,13 +13,22 @@
 | any byte handed over, then reset, close, half an answer, nonsense | RESET | may have run |
 """
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from gaproute.interface import Result
 from gaproute.loop.faults import NO_OWN_ADDRESS, SHORTAGES
 
-AMBIGUOUS_STATUSES = (408, 425)  # time-out at the host, too early: neither says what became of the task
+if TYPE_CHECKING:  # the platform process loads no HTTP
+    from gaproute.http1 import Undelivered
 
+LOCAL_SHORTAGES = SHORTAGES | NO_OWN_ADDRESS  # errors of this machine, which are held against no host
+AMBIGUOUS_STATUSES = (408, 425)  # time-out at the host, too early: neither says whether the request ran
 
-def of_status(status):
+
+def of_status(status: int) -> Result:
+    """What a full answer of that HTTP status proves."""
     if status == 429:
         return Result.FULL
     if status == 404:
@@ -29,19 +38,24 @@
     return Result.ERROR
 
 
-def of_ended_connection(begun, error, spoilt):
-    """What the end of its connection proves for a request. `begun`: whether the kernel took any byte of it;
-    `spoilt`: the host answered on it, with what cannot be read."""
-    if not begun and isinstance(error, OSError) and error.errno in SHORTAGES | NO_OWN_ADDRESS:
+def of_ended_connection(error: BaseException | None, *, started: bool, malformed: bool = False) -> Result:
+    """What the end of its connection proves for a request.
+
+    `started`: whether the kernel took any byte of it; `malformed`: the host answered on the connection with
+    what cannot be read.
+    """
+    if not started and isinstance(error, OSError) and error.errno in LOCAL_SHORTAGES:
         return Result.NOT_SENT
-    return Result.ERROR if begun and spoilt else of_unanswered(begun)
+    if started and malformed:
+        return Result.ERROR
+    return of_unanswered(started=started)
 
 
-def of_undelivered(undelivered):
-    """As `of_ended_connection`, of a request for which no full answer came."""
-    return of_ended_connection(undelivered.handed, undelivered.error, False)
+def of_undelivered(undelivered: Undelivered) -> Result:
+    """As `of_ended_connection`, of an HTTP request for which no full answer came."""
+    return of_ended_connection(undelivered.error, started=undelivered.handed)
 
 
-def of_unanswered(handed):
-    """No full answer came; `handed` is whether the kernel took any byte of the request."""
-    return Result.RESET if handed else Result.CONNECT_FAILED
+def of_unanswered(*, started: bool) -> Result:
+    """What it proves that no full answer came."""
+    return Result.RESET if started else Result.CONNECT_FAILED
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -60,7 +60,7 @@
             loop, Gateway(seed, self.terms, loop.now()), self.terms, self.hosts, self.record, self.name
         )
         if self.core.gateway.ration.travel:
-            self.hosts.order_time = min(self.hosts.order_time, self.core.gateway.ration.travel)
+            self.hosts.order_timeout = min(self.hosts.order_timeout, self.core.gateway.ration.travel)
         Lot.of(loop).admission = Admission(
             clients, clients + 1, sockets, Chance(seed + 3), RESTED, patient=True, reserve=to_hosts + OWN
         )
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -9,7 +9,7 @@
 from gaproute.decisions.cells.entries import Forward, Forwarded
 from gaproute.decisions.cells.table import Entry
 from gaproute.hosts.entry_gateways import EntryGateways
-from gaproute.hosts.kserve.client import DEFAULT_SETTINGS
+from gaproute.hosts.kserve.settings import DEFAULT_SETTINGS
 from gaproute.http1 import Limits, Server
 from gaproute.interface import Idempotency
 from gaproute.interface.call import Call
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -363,7 +363,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         assert heard_of(made, "{}:{}".format(*taken.getsockname())) is face.Result.CONNECT_FAILED
-    assert results.of_unanswered(False) is face.Result.CONNECT_FAILED
+    assert results.of_unanswered(started=False) is face.Result.CONNECT_FAILED
 
 
 def heard_of(made, where):
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -51,14 +51,14 @@
 def lack_at_connect_taken_for_what_may_have_run(patch):
     honest = results.of_ended_connection
 
-    def of_ended_connection(begun, error, spoilt):
-        return Result.RESET if isinstance(error, OSError) else honest(begun, error, spoilt)
+    def of_ended_connection(error, **told):
+        return Result.RESET if isinstance(error, OSError) else honest(error, **told)
 
     patch.setattr(results, "of_ended_connection", of_ended_connection)
 
 
 def broken_connection_taken_for_what_never_ran(patch):
-    patch.setattr(results, "of_ended_connection", lambda begun, error, spoilt: Result.CONNECT_FAILED)
+    patch.setattr(results, "of_ended_connection", lambda error, **told: Result.CONNECT_FAILED)
 
 
 def wall_clock_used_for_waits(patch):
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -10,7 +10,7 @@
 
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.hosts.jsonlines import messages
+from gaproute.hosts.jsonlines import line_reader, messages
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface import Found, Idempotency, Result, State
 from gaproute.interface.call import Call
@@ -31,13 +31,13 @@
 
 def reply(**told):
     told = {"type": "served", "req": "a", "data": ""} | told
-    return messages.LineReader().feed(json.dumps(told).encode() + b"\n")[0]
+    return line_reader.LineReader().feed(json.dumps(told).encode() + b"\n")[0]
 
 
 @pytest.mark.parametrize("cut", range(1, 50, 7))
 def test_lines_are_read_however_the_bytes_are_split(cut):
     data = b'{"type":"served","req":"a"}\n{"type":"green","req":7}\n'
-    reader = messages.LineReader()
+    reader = line_reader.LineReader()
     got = [each for at in range(0, len(data), cut) for each in reader.feed(data[at : at + cut])]
     assert [(each.type, each.req) for each in got] == [("served", "a"), ("green", 7)]
 
@@ -50,29 +50,29 @@
         b'{"type":"served"}\n',
         b"\n",
         b"\xff\xfe\n",
-        b"x" * (messages.MAX_LINE_BYTES + 1),
+        b"x" * (line_reader.MAX_LINE_BYTES + 1),
         b"[" * 5000 + b"\n",
     ],
 )
 def test_a_spoilt_or_endless_line_ends_the_connection_and_what_came_before_counts(data):
-    with pytest.raises(messages.MalformedLineError) as wrong:
-        messages.LineReader().feed(b'{"type":"red","req":"a"}\n' + data)
-    assert [each.type for each in wrong.value.args[1]] == ["red"]
+    with pytest.raises(line_reader.MalformedLineError) as wrong:
+        line_reader.LineReader().feed(b'{"type":"red","req":"a"}\n' + data)
+    assert [each.type for each in wrong.value.replies] == ["red"]
 
 
 @given(st.lists(st.binary(max_size=100), max_size=20))
 def test_arbitrary_bytes_raise_nothing_else(pieces):
-    reader = messages.LineReader(300)
+    reader = line_reader.LineReader(300)
     try:
         for piece in pieces:
             for each in reader.feed(piece):
                 (
-                    messages.decode_attempt(each, True),
+                    messages.decode_attempt(each, with_count=True),
                     messages.decode_health(each),
                     messages.decode_load_order(each),
                 )
-            assert reader.held <= 300
-    except messages.MalformedLineError:
+            assert reader.unfinished_bytes <= 300
+    except line_reader.MalformedLineError:
         pass
 
 
@@ -87,18 +87,18 @@
     ],
 )
 def test_what_an_answer_proves(kind, result):
-    assert messages.decode_attempt(reply(type=kind), True).result is result
+    assert messages.decode_attempt(reply(type=kind), with_count=True).result is result
 
 
 def test_notes_crowds_and_loads_reach_the_module_in_its_terms():
     heard = messages.decode_attempt(
-        reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), True
+        reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), with_count=True
     )
     assert (heard.found, heard.same_function_requests) == (Found.AWAITED_LOAD, 3)
     assert (heard.report.cpu_busy, heard.report.memory_busy, heard.report.in_hand) == (0.61, 0.2, None)
     assert (
-        messages.decode_attempt(reply(), True).same_function_requests == 0
-        and messages.decode_attempt(reply(), False).same_function_requests is None
+        messages.decode_attempt(reply(), with_count=True).same_function_requests == 0
+        and messages.decode_attempt(reply(), with_count=False).same_function_requests is None
     )
     assert (
         messages.decode_load_report({"meter": "util:lots;inflight:7"}).in_hand == 7
@@ -108,8 +108,14 @@
 
 @pytest.mark.parametrize("data", ["%%%", "ab", "\u00e9", None])
 def test_a_body_that_is_missing_or_no_base64_ran_and_is_not_passed_on(data):
-    assert messages.decode_attempt(reply(data=data), True) == (Result.ERROR, None, Found.UNKNOWN, None, None)
-    assert messages.decode_attempt(reply(data=""), True).answer.body == b""
+    assert messages.decode_attempt(reply(data=data), with_count=True) == (
+        Result.ERROR,
+        None,
+        Found.UNKNOWN,
+        None,
+        None,
+    )
+    assert messages.decode_attempt(reply(data=""), with_count=True).answer.body == b""
 
 
 # On sockets
@@ -285,7 +291,7 @@
 
 def test_a_lost_order_ends_once_as_timed_out(bench):
     made, said = bench(answer=lambda stream, command: None), []
-    made.hosts.order_time = 20 * MILLI
+    made.hosts.order_timeout = 20 * MILLI
     made.hosts.order("h", CALL.model, 2, lambda *told: said.append(told))
     made.until(lambda: said)
     assert said == [(Result.TIMEOUT, 0)]
@@ -354,7 +360,7 @@
 def test_an_order_that_a_silent_host_may_still_get_never_arrives(bench):
     """The ration counts on it: an order comes within a bound or not at all."""
     made, ends = bench(lambda stream, command: None), []
-    made.hosts.order_time = 20 * MILLI
+    made.hosts.order_timeout = 20 * MILLI
     made.hosts.order("h", "f", 1, lambda result, copies: ends.append(result))
     made.until(lambda: ends)
     assert ends == [Result.TIMEOUT] and made.hosts.connection_count() == 0
@@ -366,7 +372,7 @@
             made.host.serve(stream, command)
 
     made, ends = bench(answer, room=1), []
-    made.hosts.order_time = 100 * MILLI
+    made.hosts.order_timeout = 100 * MILLI
     made.hosts.order("h", "f", 1, lambda result, copies: ends.append(result))
     made.until(lambda: made.host.seen("stage"))
     made.relay()
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -360,8 +360,11 @@
         "gaproute.benchlink",
         "gaproute.decisions.cells",
         "gaproute.core.cellular",
+        "gaproute.hosts.cell_hosts",
         "gaproute.hosts.entry_gateways",
         "gaproute.hosts.forwarding",
+        "gaproute.hosts.kserve",
+        "gaproute.hosts.orca",
     }
     code = "import sys, gaproute.platform.__main__; print(*sys.modules)"
     loaded = set(
