--- /dev/null
+++ b/gaproute/shared/gossip/local_observations.py
@@ -0,0 +1,59 @@
+"""What this gateway observed itself: the only content of the messages that it sends. Times are in ns."""
+
+from collections.abc import Container
+
+from gaproute.shared.gossip.arrivals import ArrivalRates
+from gaproute.shared.gossip.messages import MAX_AMOUNT, WARM_PARTITIONS
+
+MAX_HOSTS = 8192  # hosts of which requests in flight or available capacity are held
+MAX_INSTANCES = 512  # warm instances held of each partition, those seen last
+
+Instance = tuple[int, int]  # keys of host and function
+
+
+class LocalObservations:
+    """Observations of this gateway by the keys of hosts and functions, each map bounded."""
+
+    def __init__(self, now: int) -> None:
+        self.arrivals = ArrivalRates(now)
+        self.in_flight: dict[int, float] = {}  # by host: requests of this gateway; none that has no request
+        self.available_capacity: dict[int, float] = {}  # by host: capacity believed available
+        self.warm_instances: list[dict[Instance, int]] = [{} for _ in range(WARM_PARTITIONS)]
+        # by partition: when each was seen last, the latest last
+
+    def record_in_flight(self, host: int, requests: float) -> None:
+        """Requests of this gateway that are in flight at the host now."""
+        if requests <= 0:
+            self.in_flight.pop(host, None)
+        else:
+            _put_bounded(self.in_flight, host, requests)
+
+    def record_available_capacity(self, host: int, capacity: float) -> None:
+        """Capacity that is believed available at the host."""
+        _put_bounded(self.available_capacity, host, capacity)
+
+    def record_warm_instance(self, now: int, host: int, function: int) -> None:
+        """The instance was just seen."""
+        instances, instance = self.warm_instances[function % WARM_PARTITIONS], (host, function)
+        instances.pop(instance, None)
+        instances[instance] = now
+        if len(instances) > MAX_INSTANCES:
+            del instances[next(iter(instances))]
+
+    def record_unloaded_instance(self, host: int, function: int) -> None:
+        """There is no instance of the function at the host."""
+        self.warm_instances[function % WARM_PARTITIONS].pop((host, function), None)
+
+    def forget_hosts(self, hosts: Container[int]) -> None:
+        """Drops what was observed of these hosts."""
+        for amounts in (self.in_flight, self.available_capacity):
+            for host in [host for host in amounts if host in hosts]:
+                del amounts[host]
+        for instances in self.warm_instances:
+            for instance in [instance for instance in instances if instance[0] in hosts]:
+                del instances[instance]
+
+
+def _put_bounded(amounts: dict[int, float], host: int, amount: float) -> None:
+    if host in amounts or len(amounts) < MAX_HOSTS:
+        amounts[host] = min(max(0.0, amount), MAX_AMOUNT)
