--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -120,7 +120,7 @@
         self.core.listed([row.listed for row in rows], True)
         self.others.hosts_listed(
             {
-                name: (row.listed.state.value, (self.listing.starts.get(name) or (0,))[0])
+                name: (row.listed.state.value, self.listing.start_times.reported(name) or 0)
                 for name, row in self.rows.items()
             }
         )
--- a/gaproute/discovery/__init__.py
+++ b/gaproute/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of hosts comes from."""
+"""Where the endpoint list comes from: a watched file, or a change log that is followed."""
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -1,89 +1,107 @@
-"""The hosts of a cell as a change log tells them: each member is judged by itself; never touches a socket.
+"""The hosts of a cell as a change log reports them: each member is judged by itself.
 
-A member that is refused leaves its host as it was; but a host that is told draining is draining, whatever
-else is wrong with what was told.
+A member that is rejected leaves its host as it was; but a host that is reported draining is draining,
+whatever else is wrong with its member.
 """
 
 import math
 from typing import NamedTuple
 
+import msgspec
 from pydantic import ValidationError
 
 from gaproute.config.directives.fleet import HostLine
 from gaproute.decisions.cells.bounds import MAX_HOSTS
-from gaproute.discovery.changelog.members import STATES, decode_member, decode_member_state
+from gaproute.discovery.changelog.events import FleetUpdate
+from gaproute.discovery.changelog.members import (
+    DECODING_ERRORS,
+    STATES,
+    Member,
+    capacity_of,
+    decode_member,
+    decode_member_state,
+)
 from gaproute.interface import State
 
-MAX_REASON_CHARS = 200  # characters of what is said to be wrong
-UNKNOWN_NAME = "?"  # a member that does not even tell its name
+MILLIS_PER_SECOND = 1_000
+MAX_REASON_CHARS = 200
+UNKNOWN_NAME = "?"  # of a member that does not even say its name
 EMPTY_LIST = "a whole list without hosts"
-GONE, DRAINING = (
-    next(phase for phase, state in STATES.items() if state is wanted)
-    for wanted in (State.GONE, State.DRAINING)
-)
+PHASES = {state: phase for phase, state in STATES.items()}
+GONE, DRAINING = PHASES[State.GONE], PHASES[State.DRAINING]
 
 
 class RejectedMember(NamedTuple):
-    """A member that is not taken, or a host that is not in force, and why."""
+    """A member that is not taken over, or a host that is not in force, and why."""
 
     host: str
     reason: str
 
 
 class CellMembers:
-    """What the log of one cell tells: `reported`, {host: its line}, of which not all need be in force."""
+    """What the log of one cell reports: `reported`, {host: its line}, of which not all need be in force."""
+
+    __slots__ = ("reported",)
 
-    def __init__(self):
-        self.reported = {}
+    def __init__(self) -> None:
+        self.reported: dict[str, HostLine] = {}
 
-    def apply(self, fleet, room=MAX_HOSTS):
-        """Take an event, by which the cell has at most `room` hosts. Returns the members refused."""
-        if fleet.complete and not fleet.members:
+    def apply(self, update: FleetUpdate, max_hosts: int = MAX_HOSTS) -> list[RejectedMember]:
+        """Take over an event, by which the cell has at most `max_hosts` hosts; the members rejected."""
+        if update.complete and not update.members:
             return [RejectedMember(UNKNOWN_NAME, EMPTY_LIST)]
-        before, refused = self.reported, []
-        after = {} if fleet.complete else dict(before)
-        for raw in fleet.members:
-            name, phase = UNKNOWN_NAME, None
-            try:
-                name, phase = decode_member_state(raw)
-                if phase == GONE:
-                    after.pop(name, None)
-                    continue
-                if name not in before and name not in after and len(after) >= min(room, MAX_HOSTS):
-                    raise ValueError(f"more than {min(room, MAX_HOSTS)} hosts")
-                after[name] = _line(decode_member(raw))
-            except (ValueError, RecursionError) as wrong:
-                refused.append(RejectedMember(name[:MAX_REASON_CHARS], _reason(wrong)))
-                known = after.get(name) or before.get(name)
-                if known is not None:
-                    after[name] = with_state(known, "draining") if phase == DRAINING else known
+        after = {} if update.complete else dict(self.reported)
+        max_hosts = min(max_hosts, MAX_HOSTS)
+        applied = [self._apply_member(raw, after, max_hosts) for raw in update.members]
         self.reported = after
-        return refused
-
-
-def _line(member):
+        return [rejected for rejected in applied if rejected is not None]
+
+    def _apply_member(
+        self, raw: msgspec.Raw, after: dict[str, HostLine], max_hosts: int
+    ) -> RejectedMember | None:
+        name, phase = UNKNOWN_NAME, None
+        try:
+            name, phase = decode_member_state(raw)
+            if phase == GONE:
+                after.pop(name, None)
+                return None
+            if name not in self.reported and name not in after and len(after) >= max_hosts:
+                raise ValueError(f"more than {max_hosts} hosts")
+            after[name] = _host_line(decode_member(raw))
+        except DECODING_ERRORS as error:
+            known = after.get(name) or self.reported.get(name)
+            if known is not None:
+                after[name] = with_state(known, State.DRAINING.value) if phase == DRAINING else known
+            return RejectedMember(name[:MAX_REASON_CHARS], _reason(error))
+        return None
+
+
+def _host_line(member: Member) -> HostLine:
     """The member as a line of a host list. Errors: ValueError."""
     state = STATES.get(member.phase)
     if state is None:
         raise ValueError(f"unknown phase {member.phase!r}")
+    start = member.up_since_ms
+    seconds = start / MILLIS_PER_SECOND if start is not None and 0 < start < math.inf else None
     return HostLine(
         name=member.id,
         where=member.host_port,
         zone=str(member.locality),
         rack=str(member.cell)[:MAX_REASON_CHARS],
-        capacity=member.size if 0 < (member.size or 0) < math.inf else 1.0,
+        capacity=capacity_of(member),
         state=state.value,
-        started=member.up_since_ms / 1_000 if 0 < (member.up_since_ms or 0) < math.inf else None,
+        started=seconds,  # type: ignore[arg-type]  # which the line makes ns
     )
 
 
-def _reason(wrong):
-    if isinstance(wrong, ValidationError):
-        first = wrong.errors()[0]
-        wrong = f"{'.'.join(map(str, first['loc']))}: {first['msg'].removeprefix('Value error, ')}"
-    return str(wrong)[:MAX_REASON_CHARS]
+def _reason(error: Exception) -> str:
+    text = str(error)
+    if isinstance(error, ValidationError):
+        first = error.errors()[0]
+        text = f"{'.'.join(map(str, first['loc']))}: {first['msg'].removeprefix('Value error, ')}"
+    return text[:MAX_REASON_CHARS]
 
 
-def with_state(line, state):
+def with_state(line: HostLine, state: str) -> HostLine:
     """The line with that state."""
     return line if line.state == state else line.model_copy(update={"state": state})
--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -1,34 +1,35 @@
 """Follows the log of one cell's hosts, which several sources tell, each in its own numbers.
 
-The log is that of a whole fleet (`follow`), at a path of its own: `/changes/FLEET/CELL`. Sources are tried in
-turn, in an order drawn by chance, so that gateways spread over them. The first whole list of a connection is
-the list as it stands; what is missing or cannot be read is mended by asking for a whole list. A source whose
-connection broke is asked for what follows, but for a whole list where it was not there at all meanwhile.
+The log is that of a whole fleet (`watcher`), at a path of its own: `/changes/FLEET/CELL`. Sources are asked
+in turn, in an order drawn by chance, so that gateways spread over them. The first whole list of a connection
+is the list as it stands; what is missing or cannot be read is mended by asking for a whole list. A source
+whose connection broke is asked for what follows, but for a whole list where it was not there at all
+meanwhile.
 """
 
+import socket
+from collections.abc import Callable, Iterable
 from urllib.parse import quote
 
+from gaproute.discovery.changelog.events import Event
 from gaproute.discovery.changelog.watcher import SECOND, SILENCE_TIMEOUT, ChangeLogWatcher
+from gaproute.loop import Loop
 from gaproute.loop.streams import address as parse_address
+from gaproute.shared.randomness import RandomSource
 
-FIRST_BACKOFF = (
-    SECOND  # ns before it is asked again: half of it at least, so that a source that dies or comes
-)
-#                       back meets its gateways over half a second
-MAX_BACKOFF = 8 * SECOND  # ns between tries while no source answers
-SOURCE_ENDED = (
-    ConnectionRefusedError,
-    FileNotFoundError,
-)  # the source has ended: it may begin in other numbers
-MAX_CELL_EVENT_BYTES = 1 << 20  # bytes: 1 KiB for each of the most hosts
+# Half of it at least, so that a source that ends or comes back meets its gateways over half a second.
+FIRST_BACKOFF = SECOND
+MAX_BACKOFF = 8 * SECOND  # while no source answers
+MAX_CELL_EVENT_BYTES = 1 << 20  # 1 KiB for each of the most hosts
+SOURCE_ENDED = (ConnectionRefusedError, FileNotFoundError)  # it may begin again in other numbers
 
 
-def cell_path(fleet, cell):
+def cell_path(fleet: str, cell: str) -> bytes:
     """The path of a cell's log."""
     return f"/changes/{quote(fleet, safe='')}/{quote(cell, safe='')}".encode()
 
 
-def shuffled(sources, chance):
+def shuffled(sources: Iterable[str], chance: RandomSource) -> list[str]:
     """The sources in an order drawn by chance."""
     left, order = list(sources), []
     while left:
@@ -37,71 +38,82 @@
 
 
 class CellWatcher(ChangeLogWatcher):
-    """`on_event(event)` for each event in order. `on_lost(reason)` once the sources fail, however often they
-    are tried; `on_found()` once one has been alive for longer than the bound on silence."""
+    """Calls `on_event(event)` for each event in order; `on_lost(reason)` once the sources fail, however often
+    they are asked, and `on_found()` once one has been alive for longer than the bound on silence."""
 
     first_backoff, max_backoff = FIRST_BACKOFF, MAX_BACKOFF
     max_event_bytes = MAX_CELL_EVENT_BYTES
 
-    def __init__(self, loop, sources, path, on_event, on_lost, on_found, chance):
+    def __init__(
+        self,
+        loop: Loop,
+        sources: Iterable[str],
+        path: bytes,
+        on_event: Callable[[Event], object],
+        on_lost: Callable[[str], object],
+        on_found: Callable[[], object],
+        chance: RandomSource,
+    ) -> None:
+        """`sources`: their addresses; `path`: as `cell_path` gives it."""
         self.sources, self.path = shuffled(sources, chance), path
         self.on_lost, self.on_found = on_lost, on_found
-        self.source_index = 0  # of the source asked, among the sources
+        self.source_index = 0  # of the source that is asked
         self.has_base = False  # a whole list of this source has come
         self.failing = False
         super().__init__(loop, self.sources[0], 0, on_event, chance)
 
-    def on_connected(self, number, sock, error):
+    def on_connected(self, number: int, sock: socket.socket | None, error: OSError | None) -> None:
+        """As `ChangeLogWatcher.on_connected`; a source that has ended is asked for a whole list."""
         if isinstance(error, SOURCE_ENDED):
             self._forget()
         super().on_connected(number, sock, error)
 
-    def read_now(self):
+    def read_now(self) -> None:
         """Read what waits of the log."""
         if self.stream is not None:
             self.stream.look()
 
-    def reconnect_later(self, why):
-        """Asks once more in a moment, the next source where there are several."""
+    def reconnect_later(self, reason: object) -> None:
+        """Connect once more after the backoff, to the next source where there are several."""
         if not self.failing:
             self.failing = True
-            self.loop.guard(self.on_lost, f"{self.address_text}: {why}")
+            self.loop.guard(self.on_lost, f"{self.address_text}: {reason}")
         if len(self.sources) > 1:
             self.source_index = (self.source_index + 1) % len(self.sources)
             self.address_text = self.sources[self.source_index]
             self.address = parse_address(self.address_text)
             self._forget()
-        super().reconnect_later(why)
+        super().reconnect_later(reason)
 
-    def connection_proved(self):
+    def connection_proved(self) -> None:
         """The connection has been alive for a while."""
         super().connection_proved()
         if self.failing and self.last_message_at >= self.connecting_since + SILENCE_TIMEOUT:
             self.failing = False
             self.loop.guard(self.on_found)
 
-    def follows_on(self, event):
+    def follows_on(self, event: Event) -> bool:
         """Whether the event is a whole list, or one of those that follow it."""
         return event.fleet.complete or self.has_base and event.seq <= self.last_seq + 1
 
-    def has_list(self):
+    def has_list(self) -> bool:
         """Whether a whole list has come of this source."""
         return self.has_base
 
-    def request_missing(self):
+    def request_missing(self) -> bool:
         """Something is missing: a whole list is asked for."""
-        why = f"something is missing after {self.last_seq}"
+        reason = f"something is missing after {self.last_seq}"
         self._forget()
-        self.reconnect_later(why)
+        self.reconnect_later(reason)
         return True
 
-    def is_restart(self, event):
+    def is_restart(self, event: Event) -> bool:
         """A whole list that comes first on a connection is the list as it stands, whatever its number."""
         return event.fleet.complete
 
-    def remember(self, event):
+    def remember(self, event: Event) -> None:
         """Whole lists need not be known again: `is_restart` takes each."""
         self.has_base = True
 
-    def _forget(self):
+    def _forget(self) -> None:
         self.last_seq, self.has_base = 0, False
--- a/gaproute/discovery/changelog/sse.py
+++ b/gaproute/discovery/changelog/sse.py
@@ -1,19 +1,21 @@
-"""Server-sent events out of an HTTP answer; never touches a socket."""
+"""Server-sent events out of an HTTP answer."""
 
 import httptools
 import msgspec
 
-from gaproute.discovery.changelog.events import decode_event
+from gaproute.discovery.changelog.events import Event, decode_event
+from gaproute.errors import GaprouteError
 
-MAX_EVENT_BYTES = 4 << 20  # bytes of one event: a host takes some 200
+MAX_EVENT_BYTES = 4 << 20  # a host takes some 200
+OK_STATUS = 200
 
 
-class ChangeLogError(Exception):
-    """What came is no log: ask again."""
+class ChangeLogError(GaprouteError):
+    """What came is no change log, or its end: the log is to be asked again."""
 
 
 class EventReader:
-    """Feed bytes of the answer; take the events that became whole, None for one that cannot be read. A
+    """Takes bytes of the answer and gives the events that became whole, None for one that cannot be read. A
     comment is a sign of life alone.
 
     `completed` counts what came to its end: the head, a comment, an event. `unfinished_bytes` is the bytes
@@ -21,37 +23,61 @@
     life.
     """
 
-    def __init__(self, max_event_bytes=MAX_EVENT_BYTES):
-        self.max_event_bytes = max_event_bytes  # bytes of one event
+    def __init__(self, max_event_bytes: int = MAX_EVENT_BYTES) -> None:
+        self.max_event_bytes = max_event_bytes
         self.parser = httptools.HttpResponseParser(self)
         self.partial_line, self.event_data = bytearray(), bytearray()
         self.completed = self.unfinished_bytes = 0
-        self.events = []
+        self.events: list[Event | None] = []
 
-    def on_headers_complete(self):
-        if self.parser.get_status_code() != 200:
-            raise ChangeLogError(f"status {self.parser.get_status_code()}")
+    def feed(self, data: bytes) -> list[Event | None]:
+        """The events that the bytes completed. Errors: ChangeLogError, with those before it in `events`."""
+        completed_before = self.completed
+        self.unfinished_bytes += len(data)
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            cause = error.__context__  # what a callback raised
+            raise ChangeLogError(str(cause if isinstance(cause, ChangeLogError) else error)) from None
+        if self.completed != completed_before:
+            self.unfinished_bytes = 0
+        if self.unfinished_bytes > self.max_event_bytes:
+            raise ChangeLogError("an event is too long")
+        events, self.events = self.events, []
+        return events
+
+    # Callbacks of the parser
+
+    def on_headers_complete(self) -> None:
+        """The head has come. Errors: ChangeLogError."""
+        status = self.parser.get_status_code()
+        if status != OK_STATUS:
+            raise ChangeLogError(f"status {status}")
         self.completed += 1
 
-    def on_message_complete(self):
+    def on_message_complete(self) -> None:
+        """The answer, which should have no end, has ended. Errors: ChangeLogError."""
         raise ChangeLogError("the answer has ended")
 
-    def on_body(self, body):
+    def on_body(self, body: bytes) -> None:
+        """A piece of the answer's body, split anywhere."""
         self.partial_line += body
         if b"\n" not in body:  # a long line in many pieces is not looked through again with each
             return
         *lines, self.partial_line = self.partial_line.split(b"\n")
         for line in lines:
-            line = line.removesuffix(b"\r")
-            name, _, value = line.partition(b":")
-            if not line:
-                self.end_event()
-            elif name == b"data":
-                self.event_data += value + b"\n"
-            elif not name and not self.event_data:
-                self.completed += 1
-
-    def end_event(self):
+            self._take_line(line.removesuffix(b"\r"))
+
+    def _take_line(self, line: bytearray) -> None:
+        name, _, value = line.partition(b":")
+        if not line:
+            self._end_event()
+        elif name == b"data":
+            self.event_data += value + b"\n"
+        elif not name and not self.event_data:  # a comment
+            self.completed += 1
+
+    def _end_event(self) -> None:
         data, self.event_data = self.event_data, bytearray()
         if data:
             try:
@@ -59,19 +85,3 @@
             except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
                 self.events.append(None)
         self.completed += 1
-
-    def feed(self, data):
-        """Errors: ChangeLogError; what was whole before it stays in `events`."""
-        before = self.completed
-        self.unfinished_bytes += len(data)
-        try:
-            self.parser.feed_data(data)
-        except httptools.HttpParserError as fault:
-            cause = fault.__context__
-            raise ChangeLogError(str(cause if isinstance(cause, ChangeLogError) else fault)) from None
-        if self.completed != before:
-            self.unfinished_bytes = 0
-        if self.unfinished_bytes > self.max_event_bytes:
-            raise ChangeLogError("an event is too long")
-        events, self.events = self.events, []
-        return events
--- a/gaproute/discovery/changelog/start_times.py
+++ b/gaproute/discovery/changelog/start_times.py
@@ -1,4 +1,19 @@
-"""Start times of hosts: told by the wall clock, used by the loop's monotonic clock."""
+"""Start times of hosts: reported by the wall clock, used by the loop's monotonic clock."""
+
+from collections.abc import Callable, Collection
+from typing import NamedTuple
+
+from gaproute.loop import Loop
+
+
+class HostStart(NamedTuple):
+    """When a host started: ns since 1970 as reported, and by the loop's clock."""
+
+    reported: int | None  # None where it is not
+    converted: int | None
+
+
+NO_START = HostStart(None, None)
 
 
 class StartTimes:
@@ -9,20 +24,54 @@
     seen since the gateway began counts: a step can only make a host younger. So a wrong clock costs a warm
     host at most its time of slow start; at the first list, of which nothing earlier is known, a clock that is
     ahead is believed.
+
+    The start of a host is converted once, so that a wall clock that is set does not look like a restart.
     """
 
-    def __init__(self, loop, wall):
+    def __init__(self, loop: Loop, wall: Callable[[], int]) -> None:
         """`wall`: ns since 1970."""
         self.loop, self.wall = loop, wall
-        self.offset = wall() - loop.now()  # the lowest seen, ns
+        self.offset: int = wall() - loop.now()  # the lowest seen, ns
+        self.by_host: dict[str, HostStart] = {}
+
+    def start_of(self, host: str, reported: int | None, absent_at: int | None) -> int | None:
+        """When a listed host started, by the loop's clock; None where that is not reported.
+
+        `reported`: ns since 1970. `absent_at`: when the list was last known before
+        this news, by the loop's clock; None where it was never known.
+        """
+        known = self.by_host.get(host)
+        if reported is None:
+            self.by_host[host] = NO_START
+            return None
+        if known is not None and known.reported == reported:
+            return known.converted
+        if known is NO_START:  # the host was there before, its start is only reported now
+            absent_at = None
+        converted = self.convert(reported, absent_at)
+        self.by_host[host] = HostStart(reported, converted)
+        return converted
+
+    def reported(self, host: str) -> int | None:
+        """The host's start as it was reported, ns since 1970; None where it was not."""
+        known = self.by_host.get(host)
+        return None if known is None else known.reported
+
+    def retain(self, hosts: Collection[str]) -> None:
+        """Forget all hosts but these."""
+        self.by_host = {host: start for host, start in self.by_host.items() if host in hosts}
+
+    def forget(self, host: str) -> None:
+        """Forget a host that is gone."""
+        self.by_host.pop(host, None)
 
-    def convert(self, reported, absent_at):
+    def convert(self, reported: int, absent_at: int | None) -> int:
         """When a host started, by the loop's clock; one in the future started just now.
 
         `reported`: ns since 1970. `absent_at`: when the list was last known to be without this start, by the
-        loop's clock; None where it was never known before, or the host was in it with no start told.
+        loop's clock; None where it was never known before, or the host was in it with no start reported.
         """
-        now = self.loop.now()
+        now: int = self.loop.now()
         self.offset = min(self.offset, self.wall() - now)
         started = reported - self.offset
         if absent_at is not None:
--- /dev/null
+++ b/gaproute/discovery/name_numbers.py
@@ -0,0 +1,29 @@
+"""Numbers for names, such as those of zones and racks."""
+
+from collections.abc import Iterable
+
+MAX_NUMBERED_NAMES = 4096  # above it those that no line has any more are forgotten
+
+
+class NameNumbers:
+    """Numbers names in the order in which they are first named; no number is given twice."""
+
+    __slots__ = ("by_name", "next")
+
+    def __init__(self) -> None:
+        self.by_name: dict[str, int] = {}
+        self.next = 0
+
+    def number(self, name: str) -> int:
+        """The name's number."""
+        number = self.by_name.get(name)
+        if number is None:
+            number = self.by_name[name] = self.next
+            self.next += 1
+        return number
+
+    def retain(self, names: Iterable[str]) -> None:
+        """Above the bound, forget all other names."""
+        if len(self.by_name) > MAX_NUMBERED_NAMES:
+            named = set(names)
+            self.by_name = {name: number for name, number in self.by_name.items() if name in named}
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -11,7 +11,8 @@
 from gaproute.discovery.cell_members import CellMembers
 from gaproute.discovery.cell_reconciler import CellReconciler
 from gaproute.discovery.changelog.sse import EventReader
-from gaproute.discovery.host_lines import MAX_NUMBERED_NAMES, HostLineConverter
+from gaproute.discovery.host_lines import HostLineConverter
+from gaproute.discovery.name_numbers import MAX_NUMBERED_NAMES
 from gaproute.loop import Loop
 from gaproute.standins.cell_source import HEAD
 from gaproute.standins.platform.listing import member
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -399,7 +399,7 @@
     lines = read_hosts("l", "".join(f"host {name} 127.0.0.1:1 zone z rack r started 90\n" for name in "ab"))
     assert [row.listed.started for row in made.endpoints(lines)] == [40 * SECOND] * 2
     made.endpoints(lines[1:])
-    assert list(made.starts) == ["b"]
+    assert list(made.start_times.by_host) == ["b"]
     loop.close()
 
 
