--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -14,7 +14,7 @@
 from gaproute.fronts.kserve.entry import EntryFront
 from gaproute.hosts.cell_hosts import CellHostClient
 from gaproute.hosts.entry_gateways import EntryGateways
-from gaproute.peers.tables import TableCarrier
+from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Peer
 
 CARRIER_SEED = 6  # the chance that draws whom to tell is another than those of other parts
@@ -52,9 +52,9 @@
         Returns the front of those calls."""
         giver = others.peer_server
         front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
-        giver.calls = front.handle
+        giver.forwarded = front.handle
         line = self.line
-        carrier = TableCarrier(
+        carrier = CellTableTransport(
             self.loop,
             self.configuration.name,
             line.fleet,
@@ -88,7 +88,7 @@
         self.entries.apply_table(table)
         self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
         self._want()
-        self.core.begin_housekeeping(now)
+        self.core.start_housekeeping(now)
 
     # The host lists
 
@@ -148,7 +148,7 @@
         before, self.told = self.told, dict(lists)
         for cell, of_cell in rows.items():
             if before.get(cell) != lists[cell]:
-                self.core.cell_listed(cell, [row.listed for row in of_cell])
+                self.core.update_cell_hosts(cell, [row.listed for row in of_cell])
 
     # What others ask
 
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -10,7 +10,7 @@
 
 
 def status(gate):
-    counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
+    counts, others, lot, hosts = gate.record.snapshot(), gate.others, gate.lot, gate.hosts
     server, writer, client = others.peer_server, others.observation_writer, others.observation_client
     transport = others.membership_transport
     return {
@@ -18,7 +18,7 @@
         "stopping": gate.stopping,
         "ready": gate.ready(),
         "up_ms": (gate.loop.now() - gate.started) // MILLI,
-        "held": len(gate.core.held),
+        "held": len(gate.core.in_flight),
         "late_turns": gate.loop.late_turns,
         "counts": counts,
         "clients": {
@@ -36,15 +36,15 @@
         "cells": gate.cells and gate.cells.status(),
         "weak_word": others.gossip and others.gossip.node.status(gate.loop.now()),
         "learnt": {
-            "facts": len(others.observations.facts),
-            "refused": dict(others.observations.refused),
+            "facts": len(others.observations.by_subject),
+            "refused": others.observations.rejected(),
             "peers": client.state if client else {},
-            "booked": client.booked if client else 0,
+            "booked": client.hints_taken if client else 0,
             "right": sum(each.right for each in decisions(gate)),
             "wrong": sum(each.wrong for each in decisions(gate)),
         },
         "telling": server
-        and {"facts": server.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
+        and {"facts": server.transfers.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
         "memory": writer
         and {
             "written": writer.store.written,
@@ -61,7 +61,7 @@
 
 
 def host_table(gate):
-    relays = gate.record.table().get("relay", {})
+    relays = gate.record.snapshot().get("relay", {})
     told = []
     for name, row in sorted(gate.rows.items()):
         host = gate.hosts.hosts.get(name)
@@ -85,7 +85,7 @@
     for name, function in (pair for each in decisions(gate) for pair in each.functions.items()):
         for tried, table in ((True, function.seen), (False, function.told)):
             for worker, seen in table.items():
-                fact = gate.others.observations.facts.get(("warm", worker, name))
+                observation = gate.others.observations.by_subject.get(("warm", worker, name))
                 told.append(
                     {
                         "worker": worker,
@@ -94,8 +94,8 @@
                         "tried": tried,
                         "by": "an answer"
                         if worker in function.stands
-                        else fact.origin
-                        if fact
+                        else observation.origin
+                        if observation
                         else "a task sent",
                     }
                 )
--- a/gaproute/hosts/attempts.py
+++ b/gaproute/hosts/attempts.py
@@ -1,32 +1,17 @@
-"""What a client of hosts returns for an attempt, and an attempt that no host gets."""
+"""An attempt that no host gets, and the callbacks of those that call a client of hosts."""
 
 from collections.abc import Callable
-from typing import Protocol, TypeAlias
+from typing import TypeAlias
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.interface import Report, Result
 from gaproute.loop import Loop
 
-OnAttemptEnded: TypeAlias = Callable[[Heard], object]
+OnAttemptEnded: TypeAlias = Callable[[AttemptResult], object]
 OnLoadOrderEnded: TypeAlias = Callable[[Result, int], object]  # (result, instances that are loaded)
 OnProbeEnded: TypeAlias = Callable[[bool, Report | None], object]  # (ready, load report)
 
 
-class AttemptHandle(Protocol):
-    """An attempt that was handed to a client of hosts."""
-
-    @property
-    def started(self) -> bool:
-        """Whether the kernel has taken a byte of it."""
-
-    @property
-    def cancellable(self) -> bool:
-        """Whether it is cancelled, though it started, once nobody waits for its answer."""
-
-    def cancel(self) -> None:
-        """End the attempt; its callback is not called any more."""
-
-
 class UnsentAttempt:
     """An attempt that is not sent; `on_ended` is called with the result, never at once."""
 
@@ -37,9 +22,9 @@
 
     def __init__(self, loop: Loop, on_ended: OnAttemptEnded, result: Result) -> None:
         self.on_ended: OnAttemptEnded | None = on_ended
-        loop.soon(self._end, Heard(result, None))
+        loop.soon(self._end, AttemptResult(result, None))
 
-    def _end(self, heard: Heard) -> None:
+    def _end(self, heard: AttemptResult) -> None:
         if self.on_ended is not None:
             self.on_ended(heard)
 
--- a/gaproute/hosts/cell_hosts.py
+++ b/gaproute/hosts/cell_hosts.py
@@ -1,7 +1,7 @@
 """Hosts of cells that come and go: a cell may be let go while a request is in flight there."""
 
+from gaproute.core.in_flight import AttemptHandle
 from gaproute.hosts.attempts import (
-    AttemptHandle,
     OnAttemptEnded,
     OnLoadOrderEnded,
     OnProbeEnded,
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -6,11 +6,12 @@
 
 from collections.abc import Callable
 
+from gaproute.core.in_flight import AttemptHandle
 from gaproute.decisions.cells.entries import Forward, Forwarded
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import forwarding
-from gaproute.hosts.attempts import AttemptHandle, OnAttemptEnded, UnsentAttempt
+from gaproute.hosts.attempts import OnAttemptEnded, UnsentAttempt
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve import messages
 from gaproute.hosts.kserve.client import KServeClient
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -7,10 +7,9 @@
 from collections.abc import Callable
 from functools import partial
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptHandle, AttemptResult
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts.attempts import (
-    AttemptHandle,
     OnAttemptEnded,
     OnLoadOrderEnded,
     OnProbeEnded,
@@ -24,7 +23,7 @@
 from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
-from gaproute.terms import Site
+from gaproute.settings import DeploymentSettings
 
 DEFAULT_ORDER_TIMEOUT = 10 * SECOND  # where the settings have none
 
@@ -32,11 +31,13 @@
 class JsonLinesClient(ConnectionPool):
     """Sends to hosts by name, on the connections of the pool."""
 
-    def __init__(self, loop: Loop, pooling: Pooling, site: Site, max_connections: int) -> None:
-        super().__init__(loop, pooling, site, max_connections)
+    def __init__(
+        self, loop: Loop, pooling: Pooling, deployment: DeploymentSettings, max_connections: int
+    ) -> None:
+        super().__init__(loop, pooling, deployment, max_connections)
         self.probe_timeout = self.connect_timeout
-        self.order_timeout = site.order_time or DEFAULT_ORDER_TIMEOUT
-        self.counts_reported = site.same_function_counted
+        self.order_timeout = deployment.order_time or DEFAULT_ORDER_TIMEOUT
+        self.counts_reported = deployment.same_function_counted
         self.last_tag = 0
         self.unexpected = 0  # replies of another kind than their request
 
@@ -50,7 +51,7 @@
         until: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
-        """Send one attempt of the request with that id; `on_ended(heard)` once, never at once.
+        """Send one attempt of the request with that id; `on_ended(result)` once, never at once.
 
         It begins before `until`, by the loop's clock, while its client is present, or never. `limit`: when
         the request's final answer is owed.
@@ -60,9 +61,12 @@
             return UnsentAttempt(self.loop, on_ended, Result.CONNECT_FAILED)
 
         def ended(outcome: Reply | Result) -> bool:
-            heard = Heard(outcome, None) if isinstance(outcome, Result) else self._heard(outcome)
-            on_ended(heard)
-            return heard.result is Result.OK
+            if isinstance(outcome, Result):
+                attempt = AttemptResult(outcome, None)
+            else:
+                attempt = self._attempt_result(outcome)
+            on_ended(attempt)
+            return attempt.result is Result.OK
 
         def encode(now: int) -> bytes:
             return messages.encode_attempt(call, limit - now)
@@ -70,12 +74,12 @@
         pending = self.submit(host, call.request_id, encode, until, idempotency, ended, call.client_present)
         return pending or UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
 
-    def _heard(self, reply: Reply) -> Heard:
-        heard = messages.decode_attempt(reply, with_count=self.counts_reported)
-        if heard is None:
+    def _attempt_result(self, reply: Reply) -> AttemptResult:
+        result = messages.decode_attempt(reply, with_count=self.counts_reported)
+        if result is None:
             self.unexpected += 1
-            return Heard(Result.ERROR, None)
-        return heard
+            return AttemptResult(Result.ERROR, None)
+        return result
 
     def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
         """Send a load order; `on_ended(result, instances that are loaded)` once, never at once.
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -13,7 +13,7 @@
 from gaproute.interface import Idempotency, State
 from gaproute.interface.call import always
 from gaproute.loop import Loop
-from gaproute.terms import Site
+from gaproute.settings import DeploymentSettings
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 DEFAULT_CONNECT_TIMEOUT = 250 * MILLI  # where the settings have none
@@ -23,16 +23,18 @@
 class ConnectionPool:
     """The hosts by name, and what finds a connection for a request."""
 
-    def __init__(self, loop: Loop, pooling: Pooling, site: Site, max_connections: int) -> None:
+    def __init__(
+        self, loop: Loop, pooling: Pooling, deployment: DeploymentSettings, max_connections: int
+    ) -> None:
         """`max_connections`: to all hosts together."""
         self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
         self.on_removed: Callable[[str], object] = lambda name: None  # a host is gone for good
-        self.connect_timeout = site.connect_time or DEFAULT_CONNECT_TIMEOUT
+        self.connect_timeout = deployment.connect_time or DEFAULT_CONNECT_TIMEOUT
         # The settings say when hosts close an idle connection. Those that end sooner are reset by chance,
         # which says nothing of the next: learning from them opened one for nearly every attempt.
-        self.idle_timeout = site.idle_time or None
-        self.max_requests = site.shared  # on one connection
-        self.cancel_allowed = site.halts
+        self.idle_timeout = deployment.idle_time or None
+        self.max_requests = deployment.requests_per_connection  # on one connection
+        self.cancel_allowed = deployment.cancel_allowed
         self.hosts: dict[str, Host] = {}
         self.opened = self.reused = self.multiplexed = 0  # requests by the kind of connection they went on
         self.malformed = 0  # connections that ended for what the host sent
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts.load_figures import bounded_count, parse_figure
 from gaproute.interface import Found, Report, Result
 from gaproute.interface.call import Answer, Call
-from gaproute.terms import report
+from gaproute.settings import read_report
 
 MILLI = 1_000_000
 OK_STATUS = 200  # of an answer's body, which comes without one
@@ -69,7 +69,7 @@
     return _line({"type": "stage", "req": tag, "meta": {"item": function, "copies": copies}})
 
 
-def decode_attempt(reply: Reply, *, with_count: bool) -> Heard | None:
+def decode_attempt(reply: Reply, *, with_count: bool) -> AttemptResult | None:
     """What the reply to an attempt proves; None where it is none.
 
     `with_count`: whether hosts report how many requests of the same function they have in flight.
@@ -81,13 +81,13 @@
     if result is Result.OK:
         body = _decode_body(reply.data)
         if body is None:
-            return Heard(Result.ERROR, None)  # it ran, but its answer is lost
+            return AttemptResult(Result.ERROR, None)  # it ran, but its answer is lost
         answer = Answer(OK_STATUS, (), body)
     count = None
     if with_count and result in (Result.OK, Result.FULL):
         count = bounded_count(parse_figure(reply.meta.get("queue_fn"))) or 0
     found = FOUND.get(reply.meta.get("tell"), Found.UNKNOWN)  # type: ignore[arg-type]
-    return Heard(result, answer, found, count, decode_load_report(reply.meta))
+    return AttemptResult(result, answer, found, count, decode_load_report(reply.meta))
 
 
 def _decode_body(data: str | None) -> bytes | None:
@@ -126,5 +126,5 @@
         figure = parse_figure(value)
         if figure is not None:
             figures[name] = figure
-    known: Report | None = report(figures)
+    known: Report | None = read_report(figures)
     return known
--- a/gaproute/hosts/kserve/attempts.py
+++ b/gaproute/hosts/kserve/attempts.py
@@ -1,6 +1,6 @@
 """An attempt that was handed to a host's connections, and what its end says."""
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts import orca, results
 from gaproute.hosts.kserve.host_connections import HostConnections
 from gaproute.http1 import Exchange, Response, Undelivered
@@ -36,14 +36,14 @@
         self.host.cancel(self.exchange)
 
 
-def heard_of(outcome: Response | Undelivered) -> Heard:
+def attempt_result(outcome: Response | Undelivered) -> AttemptResult:
     """What the answer, or the failure, of an exchange says of its attempt."""
     if isinstance(outcome, Undelivered):
-        return Heard(Result.NOT_SENT if outcome.lapsed else results.of_undelivered(outcome), None)
+        return AttemptResult(Result.NOT_SENT if outcome.lapsed else results.of_undelivered(outcome), None)
     answer = outcome
     reported = orca.decode_headers(answer.headers)
     result, passed = results.of_status(answer.status), None
     if result is Result.OK:
         fields = tuple((name, answer.headers[name]) for name in PASSED_HEADERS if name in answer.headers)
         passed = Answer(answer.status, fields, answer.body)
-    return Heard(result, passed, reported.found, reported.same_function_requests, reported.report)
+    return AttemptResult(result, passed, reported.found, reported.same_function_requests, reported.report)
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -8,10 +8,10 @@
 from functools import partial
 from typing import TypeAlias
 
+from gaproute.core.in_flight import AttemptHandle
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import orca, results
 from gaproute.hosts.attempts import (
-    AttemptHandle,
     OnAttemptEnded,
     OnLoadOrderEnded,
     OnProbeEnded,
@@ -19,7 +19,7 @@
 )
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve import messages
-from gaproute.hosts.kserve.attempts import SentAttempt, heard_of
+from gaproute.hosts.kserve.attempts import SentAttempt, attempt_result
 from gaproute.hosts.kserve.host_connections import HostConnections
 from gaproute.hosts.kserve.settings import DEFAULT_SETTINGS, SECOND, ClientSettings
 from gaproute.http1 import Exchange, Response, Undelivered
@@ -101,7 +101,7 @@
         until: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
-        """Send one attempt of the request with that id; `on_ended(heard)` once, never at once.
+        """Send one attempt of the request with that id; `on_ended(result)` once, never at once.
 
         It begins before `until`, by the loop's clock, while its client is present, or never. `limit`: when
         the request's final answer is owed.
@@ -111,7 +111,7 @@
         host = self.hosts[host_name]
 
         def ended(outcome: Response | Undelivered) -> None:
-            on_ended(heard_of(outcome))
+            on_ended(attempt_result(outcome))
 
         data = self.encode_attempt(call, request, host, until)
         exchange = self._start_exchange(host, data, idempotency, ended, until, call.client_present)
