--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -226,7 +226,7 @@
         made.relist(row)
         made.until(lambda: "slow" in made.gate.rows)
         asked = made.ask("crew", "w")
-        made.until(lambda: made.gate.hosts.hosts["slow"].unsent)
+        made.until(lambda: made.gate.hosts.hosts["slow"].connecting)
         begun = made.loop.now()
         made.relist(row + " state draining")
         answer = made.wait(asked)
@@ -363,7 +363,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         assert heard_of(made, "{}:{}".format(*taken.getsockname())) is face.Result.CONNECT_FAILED
-    assert results.of_unanswered(False) is face.Result.CONNECT_FAILED
+    assert results.of_unanswered(started=False) is face.Result.CONNECT_FAILED
 
 
 def heard_of(made, where):
