--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -30,13 +30,13 @@
 # Timers of a gateway that nobody uses, each at most once.
 STANDING_TIMERS = frozenset(
     (
-        "Core._woken",
+        "Core._wait_elapsed",
         "ChangeLogWatcher.connect",
         "ChangeLogWatcher.check_silence",
         "Front._sweep",
         "JsonLinesClient.sweep",
         "Parking._tick",
-        "Process.status",
+        "StatusLog.write",
     )
 )
 
@@ -190,7 +190,7 @@
     """Of a gateway that runs and that nobody has used for a while."""
     core, front, lot = scene.process.core, scene.process.front, Lot.of(scene.loop)
     held = {
-        "requests": len(core.held) + len(core.tasks),
+        "requests": len(core.in_flight) + len(core.generators),
         "open ids": len(front.marks),
         "clients' connections": front.held + lot.held + lot.parked,
         "streams that close": len(scene.loop.leaving),
@@ -213,10 +213,10 @@
 def _watched(scene: Scene) -> Iterator[Finding]:
     process = scene.process
     wanted = {process.front.listener.sock.fileno()}
-    if process.peers is not None:
-        wanted.add(process.peers.sock.fileno())
-    if process.follower.stream is not None:
-        wanted.add(process.follower.stream.fd)
+    if process.peers.datagrams is not None:
+        wanted.add(process.peers.datagrams.sock.fileno())
+    if process.host_list.watcher.stream is not None:
+        wanted.add(process.host_list.watcher.stream.fd)
     for host in process.hosts.hosts.values():
         wanted |= {link.stream.fd for link in host.links if link.stream is not None}
     watched = set(scene.loop.watched)
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from gaproute.core.core import Heard
+from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts import orca, results
 from gaproute.hosts.attempts import UnsentAttempt
 from gaproute.hosts.kserve import messages
@@ -213,7 +213,7 @@
         def came(answer, undelivered):
             if answer is None:
                 result = Result.NOT_SENT if undelivered.lapsed else results.of_undelivered(undelivered)
-                done(Heard(result, None))
+                done(AttemptResult(result, None))
                 return
             report, found, alike = orca.decode_headers(answer.headers)
             result, told = results.of_status(answer.status), None
@@ -222,7 +222,7 @@
                     (name, answer.headers[name]) for name in PASSED_HEADERS if name in answer.headers
                 )
                 told = Answer(answer.status, fields, answer.body)
-            done(Heard(result, told, found, alike, report))
+            done(AttemptResult(result, told, found, alike, report))
 
         request = self.request(call, task, host, until)
         exchange = self.exchange(host, request, effect, came, until, call.client_present)
