--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -64,19 +64,7 @@
         self.tell(seat, False)
 
     def one(self, seat, process, warm):
-        life, kind = self.script.life, seat.kind
-        make = {
-            "name": seat.name,
-            "cores": kind.cores,
-            "speed": kind.speed,
-            "copies": kind.copies,
-            "keep": life.keep,
-            "cold_share": life.cold_share,
-            "cold_time": life.cold_time,
-            "fall_multiple": life.fall,
-            "tip": life.tip,
-            "idle_close": life.idle_close,
-        }
+        make = seat.properties(self.script.life)
         seat.runs += 1
         process.say(
             {"host": seat.name, "do": "start", "seat": {"listen": seat.where, "make": make, "warm": warm}}
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -21,6 +21,7 @@
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
+from gaproute.standins.platform.sample_settings import sample_settings
 
 EPOCH = 1_800_000_000 * SECOND  # that the wall clock is ahead of the play's monotonic one
 HOSTS_AGE = 86_400 * SECOND  # more than the wall clock is stepped: the hosts are warm
@@ -30,8 +31,8 @@
 
 FREE, SINGLE_SHOT, GUARDED = "fault-check", "repair-order", "plan"
 LANES = (FREE, SINGLE_SHOT, GUARDED)
-SETTINGS: dict[str, Any] = {
-    "lanes": [
+SETTINGS: dict[str, Any] = sample_settings(
+    [
         {"name": FREE, "effect": "free", "aim": 500.0, "deadline": 3000.0, "worth": 3.0},
         {"name": SINGLE_SHOT, "effect": "single_shot", "aim": 500.0, "deadline": 3000.0},
         {
@@ -43,34 +44,8 @@
             "deadline": 3000.0,
         },
     ],
-    "limits": {
-        "cancel": True,
-        "probes": True,
-        "peers": True,
-        "send_cap": 6,
-        "retry_after": True,
-        "max_retry_after": 1000.0,
-        "conn_idle": 15000.0,
-        "connect_timeout": 250.0,
-        "multiplex": 100,
-        "may_duplicate": True,
-    },
-    "family_info": {
-        "counts_alike": True,
-        "idle_life": 9800.0,
-        "warm_notes": True,
-        "placement_calls": True,
-        "loads_anyway": 6,
-        "load_part": 0.3,
-        "loads_within": 10000.0,
-        "order_limit": 10000.0,
-    },
-    "report": {"names": ["cpu_share", "x0"], "source": "pull"},
-    "rules": {"cold": 18000.0, "cold_from": 0.17},
-    "zones": ["hall-a"],
-    "membership_mode": "pushed",
-    "balancers": 2,
-}
+    peers=True,
+) | {"balancers": 2}
 
 
 class StuckError(Exception):
--- a/gaproute/scenarios/seats.py
+++ b/gaproute/scenarios/seats.py
@@ -14,6 +14,21 @@
         self.where, self.state, self.started = ANYWHERE, "active", None
         self.process, self.runs, self.busy = None, 0, False
 
+    def properties(self, life):
+        """What a stand-in host is made of; `life`: the script's line on all hosts."""
+        return {
+            "name": self.name,
+            "cores": self.kind.cores,
+            "speed": self.kind.speed,
+            "copies": self.kind.copies,
+            "keep": life.keep,
+            "cold_share": life.cold_share,
+            "cold_time": life.cold_time,
+            "fall_multiple": life.fall,
+            "tip": life.tip,
+            "idle_close": life.idle_close,
+        }
+
     def line(self, where=None):
         started = f" started {self.started / 1e9:.6f}" if self.started else ""
         return (
@@ -60,26 +75,13 @@
 
     def start(self, seat, warm):
         """A coroutine: the host's process, at the address it had before, if any."""
-        life, kind = self.script.life, seat.kind
-        make = {
-            "name": seat.name,
-            "cores": kind.cores,
-            "speed": kind.speed,
-            "copies": kind.copies,
-            "keep": life.keep,
-            "cold_share": life.cold_share,
-            "cold_time": life.cold_time,
-            "fall_multiple": life.fall,
-            "tip": life.tip,
-            "idle_close": life.idle_close,
-        }
         seat.runs += 1
         seat.process = self.processes.standin(
             "host",
             f"{seat.name}.{seat.runs}",
             {
                 "listen": seat.where,
-                "make": make,
+                "make": seat.properties(self.script.life),
                 "models": self.models,
                 "store": self.store_at,
                 "warm": warm,
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -214,7 +214,7 @@
             peers_all="127.0.0.1:4",
         ),
     )
-    made, terms, site = platform_configuration.read_configuration(environment["EDGE_CONFIG"])
+    made, terms, deployment = platform_configuration.read_configuration(environment["EDGE_CONFIG"])
     assert command[-1] == "gaproute.platform" and (made.name, made.peers_all) == ("g1", "127.0.0.1:4")
     assert (terms.gateways, terms.attempt_limit, terms.warm_up_share, terms.peers_allowed) == (
         40,
@@ -227,4 +227,4 @@
         "NON_IDEMPOTENT",
         "IDEMPOTENT_WITH_KEY",
     ]
-    assert site.tracks == ("p", "e", "r")
+    assert deployment.class_names == ("p", "e", "r")
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -13,40 +13,16 @@
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 from gaproute.standins.platform import ChangeLog, Client, LineHost, event
+from gaproute.standins.platform.sample_settings import sample_settings
 from gaproute.telemetry.record import TRACE_ONE_IN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-SETTINGS = {
-    "lanes": [
+SETTINGS = sample_settings(
+    [
         {"name": "fault-check", "effect": "free", "aim": 500.0, "deadline": 3000.0, "worth": 3.0},
         {"name": "repair-order", "effect": "single_shot", "aim": 500.0, "deadline": 3000.0},
-    ],
-    "limits": {
-        "cancel": True,
-        "probes": True,
-        "send_cap": 6,
-        "retry_after": True,
-        "max_retry_after": 1000.0,
-        "conn_idle": 15000.0,
-        "connect_timeout": 250.0,
-        "multiplex": 100,
-        "may_duplicate": True,
-    },
-    "family_info": {
-        "counts_alike": True,
-        "idle_life": 9800.0,
-        "warm_notes": True,
-        "placement_calls": True,
-        "loads_anyway": 6,
-        "load_part": 0.3,
-        "loads_within": 10000.0,
-        "order_limit": 10000.0,
-    },
-    "report": {"names": ["cpu_share", "x0"], "source": "pull"},
-    "rules": {"cold": 18000.0, "cold_from": 0.17},
-    "zones": ["hall-a"],
-    "membership_mode": "pushed",
-}
+    ]
+)
 
 
 def nothing(stream, command):
