--- a/tests/benchlink/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -19,14 +19,17 @@
     return main(io.StringIO(text), sink), sink.getvalue()
 
 
-def test_a_task_is_relayed_and_late_events_are_passed_over():
+def test_a_request_is_sent_and_late_events_are_passed_over():
     code, said = play(
         f"SYNC 1.5 1\nFOR 2\n{OPEN}\n{LIST}\n{CALL}\nOVER_TO_YOU\n"
         "SYNC 9 2\nFOR 2\nREPLY r1 0 10.0.0.1:80 0 7.5 1 9 odd:1,x0:-\nGONE r1\nREPLY r9 0 h 77 - - - -\n"
         "TARGETS 2 refused -\nOVER_TO_YOU\n"
     )
-    assert code == 0 and "ATTEMPT r1 10.0.0.1:80 0" in said and said.endswith("NEXT 2\n")
-    assert said.startswith("SOURCE 2\n") and "BOUNCE" not in said
+    assert code == 0
+    assert "ATTEMPT r1 10.0.0.1:80 0" in said
+    assert said.endswith("NEXT 2\n")
+    assert said.startswith("SOURCE 2\n")
+    assert "BOUNCE" not in said
 
 
 def test_a_list_number_used_again_in_a_batch_resolves_in_order():
@@ -34,7 +37,8 @@
         f"SYNC 1 1\nFOR 1\n{OPEN}\n{LIST}\n{CALL}\nLIST 0 0\nTARGETS 2 all 0\n"
         f"{CALL.replace('r1', 'r2')}\nOVER_TO_YOU\n"
     )
-    assert "ATTEMPT r1" in said and "ATTEMPT r2" not in said
+    assert "ATTEMPT r1" in said
+    assert "ATTEMPT r2" not in said
 
 
 @pytest.mark.parametrize(
@@ -43,7 +47,9 @@
 )
 def test_a_malformed_line_stops_the_adapter(line, capsys):
     code, said = play(f"SYNC 1 1\n{line}\n")
-    assert code == 2 and said == "" and capsys.readouterr().err.count("\n") == 1
+    assert code == 2
+    assert said == ""
+    assert capsys.readouterr().err.count("\n") == 1
 
 
 @pytest.mark.parametrize(
@@ -57,34 +63,34 @@
 )
 def test_a_value_that_cannot_be_read_stops_the_adapter_too(line):
     code, said = play(f"SYNC 1 1\nFOR 1\n{OPEN}\n{LIST}\n{line}\nOVER_TO_YOU\n")
-    assert code == 2 and said == ""
+    assert code == 2
+    assert said == ""
 
 
-def test_an_exception_in_the_module_is_told_with_type_message_and_place():
+def test_an_error_of_the_decisions_is_reported_with_type_message_and_place():
     hub = Hub(make_gateway=lambda *_: 1 / 0)
     said = [hub.line(line) for line in ("SYNC 1 1", "FOR 3", OPEN, "OVER_TO_YOU")][-1]
-    assert said[0] == "SOURCE 3" and said[1].startswith(
-        "INTERNAL_ERROR ZeroDivisionError: division by zero at "
-    )
+    assert said[0] == "SOURCE 3"
+    assert said[1].startswith("INTERNAL_ERROR ZeroDivisionError: division by zero at ")
 
 
 class Recorder:
-    """A decision module that notes what it is told, in order."""
+    """Decisions that note what they are told, in order."""
 
     def __init__(self, *_):
-        self.told = []
+        self.steps = []
 
-    def serve(self, now, task):
+    def serve(self, now, request):
         yield face.Attempt("h")
         while True:
             _, outcome = yield face.Wait(now + 1)
-            self.told.append("wait over" if outcome is None else "outcome seen")
+            self.steps.append("wait elapsed" if outcome is None else "outcome seen")
 
     def heard(self, now, outcome):
-        self.told.append("booked")
+        self.steps.append("accounted for")
 
 
-def test_after_a_stall_what_came_in_is_booked_before_any_wait_is_over():
+def test_after_a_stall_what_came_in_is_accounted_for_before_any_wait_is_over():
     hub = Hub(make_gateway=Recorder)
     other = CALL.replace("r1", "r2")
     late = "ALARM r2|2\nREPLY r1 0 h 0 7.5 1 0 -"
@@ -93,7 +99,7 @@
     ):
         hub.line(line)
     hub.line("OVER_TO_YOU")
-    assert hub.instances[3].gateway.told == ["booked", "outcome seen", "wait over"]
+    assert hub.instances[3].gateway.steps == ["accounted for", "outcome seen", "wait elapsed"]
 
 
 def test_timers_of_an_instance_that_was_killed_do_not_wake_its_successor():
@@ -104,4 +110,4 @@
         hub.line(line)
     for line in f"{OPEN}\n{CALL}\nOVER_TO_YOU".split("\n"):
         hub.line(line)
-    assert hub.instances[3].gateway.told == []
+    assert hub.instances[3].gateway.steps == []
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -15,13 +15,13 @@
 
 
 class Scripted:
-    """A decision module whose `serve` is the test's."""
+    """Decisions whose `serve` is the test's."""
 
     def __init__(self, serve):
-        self.serve, self.told = serve, []
+        self.serve, self.outcomes = serve, []
 
     def heard(self, now, outcome):
-        self.told.append(outcome)
+        self.outcomes.append(outcome)
 
     def housekeep(self, now):
         yield face.Wait(now + SECOND)
@@ -30,8 +30,8 @@
         pass
 
 
-class Hold:
-    """What the hosts give for a relay."""
+class Handle:
+    """The hosts' handle of an attempt."""
 
     cancellable = False  # its host has it whole
 
@@ -43,11 +43,11 @@
     started = True
 
     def __init__(self):
-        self.sent, self.taken_back = [], []
+        self.sent, self.cancelled = [], []
 
-    def send(self, worker, call, effect, task, limit, until, done):
+    def send(self, host, call, idempotency, request, limit, until, done):
         self.sent.append(done)
-        return Hold(lambda: self.taken_back.append(worker), self.started)
+        return Handle(lambda: self.cancelled.append(host), self.started)
 
 
 class Log:
@@ -63,44 +63,46 @@
     return made
 
 
-def take(made, left=SECOND):
+def submit(made, left=SECOND):
     return made.submit(Call("m", "", (), b""), 0, 0, 1, None, made.loop.now(), left, made.finals.append)
 
 
-def turns(made, span=0):
+def run(made, span=0):
     made.loop.run(until=made.loop.sleep(span))
 
 
-def relay_and_wait(now, task):
+def attempt_and_wait(now, request):
     yield face.Attempt("w")
     _, outcome = yield face.Wait(now + 10 * SECOND)
 
 
-def test_a_delivered_answer_is_final_and_the_module_is_told_that_it_ended():
-    made = core(relay_and_wait)
-    take(made)
+def test_a_delivered_answer_is_final_and_the_decisions_are_told_that_it_ended():
+    made = core(attempt_and_wait)
+    submit(made)
     made.hosts.sent[0](DONE)
-    turns(made)
-    assert [final.ending for final in made.finals] == [Ending.DELIVERED] and made.finals[
-        0
-    ].answer.body == b"done"
-    assert made.gateway.told[0].ended and not made.in_flight and not made.wait_timers
+    run(made)
+    assert [final.ending for final in made.finals] == [Ending.DELIVERED]
+    assert made.finals[0].answer.body == b"done"
+    assert made.gateway.outcomes[0].ended
+    assert not made.in_flight
+    assert not made.wait_timers
 
 
 def test_a_second_final_answer_reaches_nobody():
-    def serve(now, task):
+    def serve(now, request):
         yield face.Reject(5)
         yield face.Fail()
 
     made = core(serve)
-    take(made)
-    turns(made)
-    assert [final.ending for final in made.finals] == [Ending.REJECTED] and made.finals[0].retry_after == 5
+    submit(made)
+    run(made)
+    assert [final.ending for final in made.finals] == [Ending.REJECTED]
+    assert made.finals[0].retry_after == 5
 
 
 @pytest.mark.parametrize("when", ["first", "later"])
-def test_an_error_in_the_module_ends_that_task_alone(when):
-    def serve(now, task):
+def test_an_error_of_the_decisions_ends_that_request_alone(when):
+    def serve(now, request):
         if when == "later":
             yield face.Attempt("w")
             yield face.Wait(now + MILLI)
@@ -108,77 +110,85 @@
         yield
 
     made = core(serve)
-    take(made)
-    turns(made, 2 * MILLI)
+    submit(made)
+    run(made, 2 * MILLI)
     assert [final.ending for final in made.finals] == [Ending.FAILED]
-    made.gateway.serve = relay_and_wait
-    take(made)
+    made.gateway.serve = attempt_and_wait
+    submit(made)
     made.hosts.sent[-1](DONE)
-    turns(made)
+    run(made)
     assert made.finals[-1].ending is Ending.DELIVERED
 
 
-def test_a_module_that_never_answers_is_answered_for_at_the_limit():
-    made = core(lambda now, task: iter([face.Wait(now + 100 * SECOND)]))
-    made.gateway.serve = relay_and_wait
-    take(made, left=300 * MILLI)
-    turns(made, 299 * MILLI)
+def test_a_request_that_the_decisions_never_end_fails_at_its_deadline():
+    made = core(lambda now, request: iter([face.Wait(now + 100 * SECOND)]))
+    made.gateway.serve = attempt_and_wait
+    submit(made, left=300 * MILLI)
+    run(made, 299 * MILLI)
     assert not made.finals
-    turns(made, 2 * MILLI)
-    assert [final.ending for final in made.finals] == [Ending.FAILED] and made.hosts.taken_back == ["w"]
-    assert made.gateway.told[0].result is face.Result.TIMEOUT and not made.in_flight
+    run(made, 2 * MILLI)
+    assert [final.ending for final in made.finals] == [Ending.FAILED]
+    assert made.hosts.cancelled == ["w"]
+    assert made.gateway.outcomes[0].result is face.Result.TIMEOUT
+    assert not made.in_flight
 
 
-def test_when_the_client_leaves_the_module_hears_of_it_and_nobody_is_answered():
-    def serve(now, task):
+def test_when_the_client_leaves_the_decisions_are_told_and_nobody_is_answered():
+    def serve(now, request):
         yield face.Attempt("w")
         _, outcome = yield face.Wait(now + SECOND)
         assert outcome.result is face.Result.CLIENT_LEFT
         yield face.Cancel(0)
 
     made = core(serve)
-    key = take(made)
+    key = submit(made)
     made.client_left(key)
-    turns(made)
-    assert made.finals == [] and made.hosts.taken_back == ["w"] and not made.in_flight
-    assert [outcome.result for outcome in made.gateway.told] == [face.Result.CANCELLED]
+    run(made)
+    assert made.finals == []
+    assert made.hosts.cancelled == ["w"]
+    assert not made.in_flight
+    assert [outcome.result for outcome in made.gateway.outcomes] == [face.Result.CANCELLED]
     made.client_left(key)  # a second time is nothing
 
 
-def test_a_relay_still_out_after_the_final_answer_is_accounted_for_at_the_limit():
-    def serve(now, task):
+def test_an_attempt_in_flight_after_the_final_answer_is_accounted_for_at_the_deadline():
+    def serve(now, request):
         yield face.Attempt("w")
         yield face.Fail()
 
     made = core(serve)
-    take(made)
-    turns(made)
-    assert len(made.finals) == 1 and made.in_flight
+    submit(made)
+    run(made)
+    assert len(made.finals) == 1
+    assert made.in_flight
     emptied = []
     made.on_idle = lambda: emptied.append(True)
-    turns(made, 2 * SECOND)
-    assert not made.in_flight and emptied and made.gateway.told[0].result is face.Result.TIMEOUT
+    run(made, 2 * SECOND)
+    assert not made.in_flight
+    assert emptied
+    assert made.gateway.outcomes[0].result is face.Result.TIMEOUT
 
 
-def test_what_has_not_begun_when_its_task_ends_never_does_whatever_the_settings_allow():
-    def serve(now, task):
+def test_an_attempt_not_begun_when_its_request_ends_never_begins_whatever_the_settings_allow():
+    def serve(now, request):
         yield face.Attempt("w")
         yield face.Wait(now + MILLI)
         yield face.Reject(0)
 
     made = core(serve)
     made.hosts.started = False
-    take(made)
-    turns(made, 2 * MILLI)
+    submit(made)
+    run(made, 2 * MILLI)
     assert made.finals[0].ending is Ending.REJECTED
-    assert made.hosts.taken_back == ["w"] and not made.in_flight
-    assert made.gateway.told[0].result is face.Result.NOT_SENT
+    assert made.hosts.cancelled == ["w"]
+    assert not made.in_flight
+    assert made.gateway.outcomes[0].result is face.Result.NOT_SENT
 
 
 def test_a_wait_is_resumed_at_its_time_and_moved_by_an_outcome():
     times = []
 
-    def serve(now, task):
+    def serve(now, request):
         yield face.Attempt("w")
         for _ in range(3):
             now, outcome = yield face.Wait(now + 10 * MILLI)
@@ -186,15 +196,43 @@
         yield face.Fail()
 
     made = core(serve)
-    take(made)
+    submit(made)
     made.loop.after(15 * MILLI, lambda: made.hosts.sent[0](AttemptResult(face.Result.FULL, None)))
-    turns(made, 100 * MILLI)
+    run(made, 100 * MILLI)
     assert times == [(10 * MILLI, None), (15 * MILLI, face.Result.FULL), (25 * MILLI, None)]
 
 
-def test_a_gone_workers_counts_are_forgotten():
+def test_the_counts_of_a_host_that_is_gone_are_forgotten():
     made = Record(None, ["check"])
     made.attempt_ended("a", 0, face.Result.RESET)
     made.attempt_ended("b", 0, face.Result.OK)
     made.forget_host("a")
     assert made.snapshot() == {"relay": {"b": {"ok": 1}}}
+
+
+def test_the_housekeeper_starts_again_with_the_next_host_list_after_an_error():
+    started = []
+
+    def housekeep(now):
+        started.append(now)
+        yield face.Wait(now + MILLI)
+        raise KeyError("odd")
+
+    made = core(attempt_and_wait)
+    made.gateway.housekeep = housekeep
+    made.update_hosts([], True)
+    run(made, 2 * MILLI)
+    made.update_hosts([], True)
+    made.update_hosts([], True)
+    assert len(started) == 2
+
+
+def test_an_action_that_is_none_ends_its_request():
+    def serve(now, request):
+        yield "odd"
+
+    made = core(serve)
+    submit(made)
+    run(made)
+    assert [final.ending for final in made.finals] == [Ending.FAILED]
+    assert not made.in_flight
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -1,4 +1,4 @@
-"""Any order of events before, at and after a relay: the core, the real decisions and the hosts that speak
+"""Any order of events before, at and after an attempt: the core, the real decisions and the hosts that speak
 lines, on streams of memory whose room, bytes and ends the test gives, with the time standing still between.
 
 What is judged is what a host was handed, at the moment at which it was.
@@ -155,9 +155,12 @@
             for each in self.core.in_flight.values()
             if each.call.request_id == command["req"] and each.on_final
         ]
-        assert held and not task.finals and not task.left, "begun for nobody"
+        assert held, "begun for nobody"
+        assert not task.finals, "begun after the final answer"
+        assert not task.left, "begun for a client that left"
         assert now < min(task.end, self.last), "begun too late"
-        assert self.lives[life.name] is life and self.rows[life.name].state is face.State.ACTIVE
+        assert self.lives[life.name] is life
+        assert self.rows[life.name].state is face.State.ACTIVE
         before = [each for each in self.attempts if each.task is task]
         unclear = [each for each in before if each.said not in NEVER_RAN]
         if task.effect is face.Idempotency.NON_IDEMPOTENT:
@@ -311,17 +314,17 @@
                     self.body(each) for each in self.attempts if each.task is task and each.said == "served"
                 ]
         core, gateway = self.core, self.core.gateway
-        assert (
-            not core.in_flight
-            and not core.generators
-            and not core.attempt_counts
-            and set(core.wait_timers) == {""}
-        )
-        assert not gateway.hands and not gateway.ration.out
+        assert not core.in_flight
+        assert not core.generators
+        assert not core.attempt_counts
+        assert set(core.wait_timers) == {""}
+        assert not gateway.hands
+        assert not gateway.ration.out
         assert not any(each.out or each.late for each in gateway.workers.values())
         self.passes(30 * SECOND)
         assert not any(link.open for host in self.hosts.hosts.values() for link in host.links)
-        assert not self.hosts.links() and not any(entry[4] for entry in self.dials.held)
+        assert not self.hosts.links()
+        assert not any(entry[4] for entry in self.dials.held)
         named = {name for name in HOSTS if self.rows[name].state is not face.State.GONE}
         assert set(self.hosts.hosts) == named
         assert {key[1] for key in self.record.counts if key[0] in ("relay", "order")} <= named
@@ -348,7 +351,7 @@
         st.booleans(), st.booleans(), st.sampled_from((1, 4)), st.sampled_from((ANSWERS, ANSWERS, FULL))
     ),
 )
-def test_in_any_order_each_task_has_one_answer_and_nothing_begins_that_may_not(events, site):
+def test_in_any_order_each_request_has_one_answer_and_nothing_begins_that_may_not(events, site):
     with pytest.MonkeyPatch.context() as patch:
         world = World(patch, *site)
         for kind, place, way, turns in events:
@@ -372,4 +375,5 @@
     assert not client.answers
     made.hosts[0].serve(*held[1])
     made.until(lambda: client.answers)
-    assert client.answers[0]["result"]["arg"] == "bmV3" and not made.process.front.marks
+    assert client.answers[0]["result"]["arg"] == "bmV3"
+    assert not made.process.front.marks
