--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -75,7 +75,7 @@
     made.in_flight[key].attempts[0].handle.cancellable = cancellable
     made.client_left(key)
     run(made)
-    assert made.hosts.taken_back == ["w"] * cancellable and bool(made.in_flight) is not cancellable
+    assert made.hosts.cancelled == ["w"] * cancellable and bool(made.in_flight) is not cancellable
 
 
 @pytest.mark.parametrize("way", ["fin", "reset", "half"])
