--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -17,7 +17,8 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.fronts.kserve import KServeFront
-from gaproute.hosts.kserve.client import ClientSettings, KServeClient
+from gaproute.hosts.kserve.client import KServeClient
+from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.loop.loop import READ
@@ -119,7 +120,7 @@
         self.core.update_hosts([row.listed for row in rows], True)
         self.others.hosts_listed(
             {
-                name: (row.listed.state.value, (self.listing.starts.get(name) or (0,))[0])
+                name: (row.listed.state.value, self.listing.start_times.reported(name) or 0)
                 for name, row in self.rows.items()
             }
         )
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -82,7 +82,7 @@
     def _make_core(self) -> None:
         gateway = Gateway(self.seed, self.terms, self.loop.now())
         if gateway.ration.travel:
-            self.hosts.order_time = min(self.hosts.order_time, gateway.ration.travel)
+            self.hosts.order_timeout = min(self.hosts.order_timeout, gateway.ration.travel)
         self.core = Core(self.loop, gateway, self.terms, self.hosts, self.record, self.name)
 
     # Start
