--- a/gaproute/connections/endpoint.py
+++ b/gaproute/connections/acceptor.py
@@ -24,7 +24,7 @@
 Connection = TypeVar("Connection", bound=ActiveConnection)
 
 
-class Endpoint(Generic[Connection]):
+class Acceptor(Generic[Connection]):
     """A listening address and the connections accepted on it; the owner of those that are parked.
 
     A subclass gives `_first_request_due`, `_make_connection` and `stop`, and overrides `_may_accept` and
@@ -69,7 +69,7 @@
         sock.close()
 
     def _may_accept(self) -> bool:
-        """Whether the endpoint's own limits permit one more connection."""
+        """Whether the acceptor's own limits permit one more connection."""
         return True
 
     def stop(self) -> None:
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
-from gaproute.connections.endpoint import Endpoint
+from gaproute.connections.acceptor import Acceptor
 from gaproute.decisions.admission.admission import HOLD
 from gaproute.fronts.jsonrpc import cancellation, responses
 from gaproute.fronts.jsonrpc.connection import ClientConnection, OpenRequest
@@ -43,7 +43,7 @@
     deadline: int  # ns that a client waits at most
 
 
-class JsonRpcFront(Endpoint[ClientConnection]):
+class JsonRpcFront(Acceptor[ClientConnection]):
     """One listening address for clients. `core` takes the requests."""
 
     def __init__(
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple
 
-from gaproute.connections.endpoint import Endpoint
+from gaproute.connections.acceptor import Acceptor
 from gaproute.http1.connection import ServerConnection
 from gaproute.http1.deadlines import SWEEP_INTERVAL, DeadlineConnection
 from gaproute.http1.errors import HttpError
@@ -37,7 +37,7 @@
     return ErrorAnswer((), error.text.encode() + b"\n")
 
 
-class Server(Endpoint[ServerConnection]):
+class Server(Acceptor[ServerConnection]):
     """Listens on one address. `handle(request)` for each whole request, to be answered once by `answer`."""
 
     def __init__(
@@ -52,7 +52,7 @@
         inherited: Any = None,
     ) -> None:
         """`render_error(error)`: what a client is told that breaks the protocol or a limit; `counted` and
-        `inherited` as of `Endpoint`. Errors: OSError."""
+        `inherited` as of `Acceptor`. Errors: OSError."""
         super().__init__(loop, address, counted=counted, inherited=inherited)
         self.handle, self.limits, self.render_error = handle, limits, render_error
         self.buffered_bytes = 0  # of all requests that have not come in whole
