--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -4,6 +4,7 @@
 import socket
 
 import pytest
+from request_scenarios import end
 from scripted import MILLI, SECOND
 
 from gaproute.decisions.cells.entries import Forward, Forwarded
@@ -16,7 +17,6 @@
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from tests.core.test_core import attempt_and_wait, core, run, submit
-from tests.fronts.test_departed_ends import end
 
 CALL = Call("lamp", "", (), b"{}")
 
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -3,13 +3,22 @@
 In each test the client leaves while the loop is in a long turn, and what makes an attempt begin comes first.
 """
 
-import errno
 import json
 import socket
 import time
 
 import pytest
-from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, half_close
+from request_scenarios import (
+    ENDS,
+    connect_hosts,
+    end,
+    fill_after,
+    first_request_held,
+    one_connection,
+    with_limits,
+    written_in_part,
+)
+from scripted import MILLI, SECOND, Handed, HeldDials, half_close
 
 from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.hosts.jsonlines import connection as connections
@@ -18,7 +27,6 @@
 from gaproute.loop import Loop
 from gaproute.loop.streams import CHUNK, address
 from gaproute.standins.platform import arg
-from tests.fronts.test_departed_ends import end
 
 LONG = 300 * MILLI  # a turn in which the client leaves and nothing of it is heard
 LEAVES = {
@@ -30,17 +38,13 @@
     "stays": lambda client: None,
 }
 leaves = pytest.mark.parametrize("leave", LEAVES.values(), ids=LEAVES)
-only_ends = pytest.mark.parametrize("way", ["fin", "reset", "half"])
+only_ends = pytest.mark.parametrize("way", ENDS)
 
 
 def abort(**named):
     return {"jsonrpc": "2.0", "method": "abort", "params": named}
 
 
-def limits(**told):
-    return SETTINGS | {"limits": SETTINGS["limits"] | told}
-
-
 def dialled(where):
     """A connection that has come up, as `connect` hands it over."""
     sock = socket.create_connection(address(where)[1])
@@ -55,19 +59,10 @@
         stream.write(json.dumps(told).encode() + b"\n")
 
 
-def known(made):
-    """Connections stand to all hosts."""
-    told = []
-    for name in made.process.hosts.hosts:
-        made.process.hosts.probe(name, lambda *report: told.append(report))
-    made.until(lambda: len(told) == len(made.hosts))
-    assert all(host.connections for host in made.process.hosts.hosts.values())
-
-
 @leaves
 def test_a_dial_that_comes_up_in_the_long_turn_in_which_its_client_leaves(gate, monkeypatch, leave):
     monkeypatch.setattr(connections, "connect", dials := HeldDials())
-    made = gate(clock=Handed(), settings=limits(probes=False, connect_timeout=1000.0))
+    made = gate(clock=Handed(), settings=with_limits(probes=False, connect_timeout=1000.0))
     client = made.client()
     client.ask(1)
     made.until(lambda: dials.waiting)
@@ -85,21 +80,7 @@
 @leaves
 def test_a_retry_whose_cause_is_read_before_its_client_has_left(gate, leave, stopping):
     """Also after SIGTERM. The host's answer lay there first; both are read after a long turn."""
-    held = []
-
-    def answer(stream, command):
-        if command["type"] != "go":
-            made.hosts[0].serve(stream, command)
-        elif held:
-            made.hosts[0].serve(stream, command)
-        else:
-            held.append((stream, command))
-
-    made = gate(answer, hosts=2, clock=Handed())
-    known(made)
-    client = made.client()
-    client.ask(1)
-    made.until(lambda: held)
+    made, client, held = first_request_held(gate)
     if stopping:
         made.process.stop()
     made.hosts[0].say(*held[0], "overload")
@@ -122,7 +103,7 @@
             made.hosts[0].serve(stream, command)
 
     made = gate(answer, clock=Handed())
-    known(made)
+    connect_hosts(made)
     client = made.client()
     client.ask(1)
     made.until(lambda: held)
@@ -163,19 +144,7 @@
 
 def test_an_abort_that_lies_unread_on_a_connection_that_is_not_read_ends_its_request(gate):
     """Its client takes no answers. The next attempt asks; the request that follows is not touched by it."""
-    held = []
-
-    def answer(stream, command):
-        if command["type"] == "go" and not held:
-            held.append((stream, command))
-        else:
-            made.hosts[0].serve(stream, command)
-
-    made = gate(answer, hosts=2, clock=Handed())
-    known(made)
-    client = made.client()
-    client.ask(1)
-    made.until(lambda: held)
+    made, client, held = first_request_held(gate)
     (link,) = made.process.front.connections
     link.stream.pause()
     client.message(abort(id=1))
@@ -193,42 +162,9 @@
 # What has begun to be written and has not come whole
 
 
-class Clogged:
-    """Stands for a socket that takes so many bytes and then no more, until it is `let`."""
-
-    def __init__(self, sock, room):
-        self.sock, self.room = sock, room
-
-    def send(self, data):
-        if not self.room:
-            raise BlockingIOError(errno.EAGAIN, "no room")
-        sent = self.sock.send(bytes(data[: self.room]))
-        self.room -= sent
-        return sent
-
-    def let(self):
-        self.room = 1 << 30
-
-    def __getattr__(self, name):
-        return getattr(self.sock, name)
-
-
-def written_in_part(gate, method="fault-check", **told):
-    """A gateway whose one connection to its host took the first half of a request; a client."""
-    made = gate(hosts=1, settings=limits(**told), clock=Handed())
-    made.process.hosts.max_connections = 1
-    known(made)
-    (made.link,) = made.process.hosts.hosts["s-0"].connections
-    made.clog = made.link.stream.sock = Clogged(made.link.stream.sock, 500)
-    client = made.client()
-    client.ask(1, method, arg=arg(b"x" * 1000), d=2000)
-    made.until(lambda: made.link.stream.waiting)
-    return made, client
-
-
 def reads_on(made):
     """The connection takes all there is; whether the host got the request."""
-    made.clog.let()
+    made.clog.emptied()
     made.turns()
     return bool(made.came())
 
@@ -245,14 +181,11 @@
 
 def test_what_else_is_at_work_on_that_connection_may_have_run_and_nothing_is_left_of_it(gate):
     """The connection ends: its host gives up what is open on it."""
-    made = gate(silent_at_requests, hosts=1, settings=limits(), clock=Handed())
-    made.process.hosts.max_connections = 1
-    known(made)
-    (link,) = made.process.hosts.hosts["s-0"].connections
+    made, link = one_connection(gate, silent_at_requests)
     other, client = made.client(), made.client()
     other.ask(1, "repair-order", i="f" * 16)
     made.until(made.came)
-    link.stream.sock = Clogged(link.stream.sock, 500)
+    fill_after(link, 500)
     client.ask(1, arg=arg(b"x" * 1000))
     made.until(lambda: link.stream.waiting)
     client.stream.abort()
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -1,54 +1,20 @@
 """A client's end is heard although bytes lie unread before it: as FIN, as a reset, as half a close."""
 
 import socket
-import struct
 
 import pytest
+from request_scenarios import ENDS, buffers_much, connected, end, requests
 from scripted import MILLI, Handed, nothing
 
 from gaproute.http1 import Limits, Server
 from gaproute.loop import Loop
 from gaproute.loop.streams import CHUNK, address
-from gaproute.standins.platform import arg
-
-ENDS = ["fin", "reset", "half"]
-ROOM = 1 << 20  # asked for as a receive buffer: all that a test sends lies there
-
-
-def end(sock, way):
-    """The client ends its connection in one of the three ways."""
-    if way == "half":
-        sock.shutdown(socket.SHUT_WR)
-        return
-    if way == "reset":
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    sock.close()
-
-
-def roomy(listener):
-    """What the listener accepts takes much before it is read."""
-    listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, ROOM)
-
-
-def connected(where):
-    sock = socket.create_connection(address(where)[1])
-    sock.settimeout(5)
-    return sock
-
-
-def requests(made, count, size, first=1):
-    """The bytes of so many requests of the protocol."""
-    told = made.client()
-    for number in range(first, first + count):
-        told.ask(number, arg=arg(b"x" * size))
-    data, told.waiting = b"".join(told.waiting), []
-    return data
 
 
 @pytest.mark.parametrize("way", ENDS)
 def test_nothing_begins_for_requests_whose_client_had_closed_behind_more_than_one_read(gate, way):
     made = gate(clock=Handed())
-    roomy(made.process.front.listener)
+    buffers_much(made.process.front.listener)
     data = requests(made, 10, 10_000)
     assert len(data) > 2 * CHUNK
     sock = connected(made.where)
@@ -63,7 +29,7 @@
 @pytest.mark.parametrize("way", ENDS)
 def test_an_end_behind_many_unread_bytes_is_heard_in_the_turn_in_which_it_comes(gate, way):
     made = gate(nothing, clock=Handed())
-    roomy(made.process.front.listener)
+    buffers_much(made.process.front.listener)
     sock = connected(made.where)
     sock.sendall(requests(made, 1, 10))
     made.until(made.came)
@@ -124,7 +90,7 @@
     """The end is heard in the turn in which the first bytes are read, and the request is read whole."""
     loop, came = Loop(), []
     server = Server(loop, address("127.0.0.1:0"), came.append, Limits())
-    roomy(server.listener)
+    buffers_much(server.listener)
     sock = connected(server.address)
     sock.sendall(b"POST /a HTTP/1.1\r\nHost: g\r\nContent-Length: 150000\r\n\r\n" + b"x" * 150_000)
     sock.shutdown(socket.SHUT_WR)
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -2,31 +2,18 @@
 for: a bad message behind it, its client's slowness, a full house, a shortage of descriptors."""
 
 import pytest
+from request_scenarios import codes, holding, takes_nothing
 from scripted import MILLI, Handed
 
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
 from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.fronts.jsonrpc.front import MAX_OPEN_REQUESTS
-from gaproute.loop.streams import Stream
 
 BAD = b"Content-Length: none\r\n\r\n"  # nothing behind it can be read
 EMPTY = b"Content-Length: 2\r\n\r\n{}"  # no request, and what is behind it can be read
 
 
-def holding(gate, **told):
-    """A gateway whose host answers when the test says so, and what the host holds."""
-    held = []
-    made = gate(lambda *each: each[1]["type"] == "go" and held.append(each), clock=Handed(), **told)
-    return made, held
-
-
-def codes(client):
-    """What each number was answered: a code, or None for a result; the errors without a number apart."""
-    named = {each["id"]: each.get("error", {}).get("code") for each in client.answers if each["id"]}
-    return named, [each["error"]["code"] for each in client.answers if each["id"] is None]
-
-
 def said_in_one(client, *said):
     """Sends all that the calls say as one piece."""
     pieces = []
@@ -170,20 +157,6 @@
 # Clients that take no answers
 
 
-def deaf(link, monkeypatch):
-    """The client of this connection takes nothing from now on; a call that makes it read again."""
-    send, away = Stream._send, [True]
-    monkeypatch.setattr(
-        Stream, "_send", lambda stream, data: 0 if away[0] and stream is link.stream else send(stream, data)
-    )
-
-    def reads():
-        away[0] = False
-        link.stream._flush()
-
-    return reads
-
-
 def test_a_client_that_takes_nothing_for_a_while_still_gets_the_answers_it_waits_for(gate, monkeypatch):
     made, held = holding(gate)
     client = made.client()
@@ -191,7 +164,7 @@
     client.ask(2, d=2900)
     made.until(lambda: len(held) == 2)
     (link,) = made.process.front.connections
-    reads = deaf(link, monkeypatch)
+    reads = takes_nothing(link, monkeypatch)
     made.hosts[0].serve(*held[0])
     made.until(lambda: link.stream.waiting)
     made.passes(connections.PROGRESS_TIMEOUT + MILLI)
@@ -211,7 +184,7 @@
     client.ask(1, d=1000)
     made.until(lambda: client.answers)
     (link,) = made.process.front.connections
-    deaf(link, monkeypatch)
+    takes_nothing(link, monkeypatch)
     client.ask(2, d=1000)
     made.until(lambda: link.stream.waiting)
     made.passes(connections.PROGRESS_TIMEOUT + MILLI)
--- a/tests/fronts/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -2,9 +2,10 @@
 is over, where a full house or a shortage of descriptors asks for room, and at the end of the process."""
 
 import pytest
+from request_scenarios import codes, takes_nothing
 from scripted import MILLI, SECOND, Handed
 
-from tests.fronts.test_unanswered_requests import BAD, codes, deaf
+from tests.fronts.test_unanswered_requests import BAD
 
 
 def resting(made, asks=1):
@@ -97,7 +98,7 @@
     client.ask(1)
     made.until(lambda: client.answers)
     (link,) = made.process.front.connections
-    reads = deaf(link, monkeypatch)
+    reads = takes_nothing(link, monkeypatch)
     client.ask(2)
     made.until(lambda: link.stream.waiting)
     client.send(BAD)
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -4,6 +4,7 @@
 import time
 
 import pytest
+from request_scenarios import fill_after
 from scripted import MILLI, SECOND, HeldDials
 
 from gaproute.http1 import Limits, Server
@@ -12,7 +13,6 @@
 from gaproute.loop import Loop, connect
 from gaproute.loop.streams import address
 from tests.appliance.test_departed_forwarded import CALL, Way
-from tests.fronts.test_departed_attempts import Clogged
 from tests.http1.test_http1 import HEAD
 
 SLACK = 150  # ms, by the operators' terms
@@ -59,10 +59,10 @@
     way.server.answer(way.came[0], 200, (), b"")
     way.until(lambda: way.heard)
     ((link,),) = [host.idle for host in way.entries.hosts.hosts.values()]
-    link.stream.sock = clog = Clogged(link.stream.sock, 0)
+    full = fill_after(link, 0)
     hold = way.forward()
     way.until(lambda: len(way.heard) == 2)
-    clog.let()
+    full.emptied()
     way.loop.run(until=way.loop.sleep(20 * MILLI))
     assert way.heard[1].result is Result.CONNECT_FAILED and len(way.came) == 1 and not link.open
     assert not hold.exchange.any_byte_sent
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -5,14 +5,13 @@
 import time
 
 import pytest
-from scripted import MILLI, SECOND, SETTINGS, Handed
+from request_scenarios import fill_after, first_request_held, one_connection, requests, written_in_part
+from scripted import MILLI, SECOND, Handed
 
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.hosts.jsonlines.connection import WRITE_TIMEOUT
 from gaproute.loop import unread
 from gaproute.loop.streams import address
-from tests.fronts.test_departed_attempts import Clogged, known, written_in_part
-from tests.fronts.test_departed_ends import requests
 
 SLACK = 150  # ms, by the operators' terms
 D = 2000  # ms that a client waits, told with its request
@@ -63,7 +62,7 @@
     client.ask(1)
     made.until(lambda: client.answers)
     (link,) = made.process.front.connections
-    clog = link.stream.sock = Clogged(link.stream.sock, 0)
+    full = fill_after(link, 0)
     client.ask(2)
     made.until(lambda: link.stream.waiting)
     client.ask(3)  # the last one that is read
@@ -72,7 +71,7 @@
     client.ask(5, d=D)
     made.passes(SECOND)
     assert made.came() == 3
-    clog.let()
+    full.emptied()
     made.until(lambda: made.came() == 5)
     assert all(limit <= D - 1000 + SLACK for limit in limits(made)[3:])
     made.until(lambda: len(client.answers) == 5)
@@ -82,19 +81,7 @@
 
 
 def test_a_retry_carries_what_is_left_then(gate):
-    held = []
-
-    def answer(stream, command):
-        if command["type"] == "go" and not held:
-            held.append((stream, command))
-        else:
-            made.hosts[0].serve(stream, command)
-
-    made = gate(answer, hosts=2, clock=Handed())
-    known(made)
-    client = made.client()
-    client.ask(1, d=D)
-    made.until(lambda: held)
+    made, client, held = first_request_held(gate, d=D)
     made.passes(900 * MILLI)
     made.hosts[0].say(*held[0], "overload")
     made.until(lambda: client.answers)
@@ -108,7 +95,7 @@
     other.ask(1, i="f" * 16, d=D)
     made.turns()
     made.clock.now += WRITE_TIMEOUT - 10 * MILLI
-    made.clog.let()
+    made.clog.emptied()
     made.until(lambda: made.came() == 2)
     told = {command["req"]: command["meta"]["limit"] for command in made.hosts[0].seen("go")}
     assert told["f" * 16] <= D - WRITE_TIMEOUT // MILLI + 20
@@ -120,7 +107,7 @@
     """An idempotent one goes again then, on another connection."""
     made, client = written_in_part(gate, method=track)
     made.passes(span * MILLI)
-    made.clog.let()
+    made.clog.emptied()
     made.turns()
     assert all(limit <= D - span + SLACK for limit in limits(made))
     assert made.came() == (span == 90 or track == "fault-check") and len(client.answers) == 1
@@ -128,15 +115,12 @@
 
 
 def test_a_probe_or_an_order_written_in_part_ends_no_connection(gate):
-    made = gate(hosts=1, settings=SETTINGS, clock=Handed())
-    made.process.hosts.max_connections = 1
-    known(made)
-    (link,) = made.process.hosts.hosts["s-0"].connections
-    clog = link.stream.sock = Clogged(link.stream.sock, 10)
+    made, link = one_connection(gate)
+    full = fill_after(link, 10)
     told = []
     made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: told.append(each))
     made.passes(WRITE_TIMEOUT + 50 * MILLI)
-    clog.let()
+    full.emptied()
     made.until(lambda: told)
     assert link.stream.open and told[0][0].value == "ok", json.dumps(str(told))
 
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -8,12 +8,12 @@
 import sys
 
 import pytest
+from request_scenarios import codes, holding
 from scripted import MILLI, SECOND, SETTINGS, Gate, Handed, nothing
 
 from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.loop.streams import address
 from gaproute.platform.shutdown import ACCEPT_TIME, KILL_GRACE, MAX_COUNTED_DEADLINE, shutdown_times
-from tests.fronts.test_unanswered_requests import codes, holding
 
 STEP = 20 * MILLI  # between two requests of a client
 DEADLINES = (20, 100, 300, 3000, 10_000)  # ms
