--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -78,7 +78,7 @@
         """An idle connection that the gateway has not closed meanwhile, or None."""
         while self.idle:
             link = self.idle.pop()
-            if link.open and link.stream.quiet():
+            if link.open and link.stream.is_quiet():
                 return link
             link.drop()
         return None
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -54,7 +54,7 @@
         self.zones, self.good = {}, {}  # by cell; the lists in force
         self.followed, self.force = {}, CellsInForce()  # by cell
         self.timer, self.due = None, False
-        loop.on_late.append(self._late)
+        loop.on_late_turn.append(self._late)
 
     def want(self, zones):
         """Have the lists of these cells and no others; `zones`: {cell: its zone}."""
@@ -161,8 +161,8 @@
 
     def close(self):
         """Follow nothing any more."""
-        if self._late in self.loop.on_late:
-            self.loop.on_late.remove(self._late)
+        if self._late in self.loop.on_late_turn:
+            self.loop.on_late_turn.remove(self._late)
         for each in self.followed.values():
             each.follower.close()
         if self.timer is not None:
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -20,7 +20,7 @@
 from gaproute.loop.connecting import listening
 from gaproute.loop.faults import Backoff, cause_of
 from gaproute.loop.loop import READ
-from gaproute.loop.starting import time_for
+from gaproute.loop.starting import retry_time
 from gaproute.loop.streams import address
 from gaproute.telemetry.logs import logger
 
@@ -232,8 +232,8 @@
             before = set(self.sockets)
             self.open(configuration)
         except (ConfigurationError, OSError) as wrong:
-            if self.loop.now() + backoff.pause <= began + time_for(cause_of(wrong)):
-                self.retry = self.loop.after(backoff.next(), self._reload, backoff, began)
+            if self.loop.now() + backoff.pause <= began + retry_time(cause_of(wrong)):
+                self.retry = self.loop.after(backoff.next_pause(), self._reload, backoff, began)
             else:
                 self._refuse(wrong)
             return
@@ -252,7 +252,7 @@
                 return self._start(seat)
             except OSError as fault:
                 self.log.warning("child not started", seat=seat, error=str(fault))
-            yield self.loop.sleep(backoff.next())
+            yield self.loop.sleep(backoff.next_pause())
             if self.stopping:
                 break
         return None
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -21,14 +21,14 @@
 )
 from gaproute.config.cell_files import check_cells
 from gaproute.loop import Loop
-from gaproute.loop.starting import Patience
+from gaproute.loop.starting import StartupRetries
 
 
 def configuration_of(file, whole=False):
     """The configuration of a file, or exit 2. `whole`: the files of its cells are read as well; a gateway
     starts without them and waits."""
     try:
-        return Patience().call(lambda: _read(file, whole))
+        return StartupRetries().call(lambda: _read(file, whole))
     except ConfigurationError as wrong:
         refuse(wrong, "nothing of it is used")
 
@@ -64,7 +64,7 @@
 def serve(file, seed, processes, seat, inherited, life, ready):
     """Run a gateway by the configuration FILE until SIGTERM; with --processes several, under one parent that
     starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
-    configuration, patience = configuration_of(file), Patience()
+    configuration, patience = configuration_of(file), StartupRetries()
     if processes is not None:
         from gaproute.appliance.parent import Parent
 
--- a/gaproute/cluster/wire/ends.py
+++ b/gaproute/cluster/wire/ends.py
@@ -11,7 +11,7 @@
 from collections import deque
 
 from gaproute.cluster.wire.weather import HELD
-from gaproute.loop.loop import GONE, READ, WRITE
+from gaproute.loop.loop import HANGUP, READ, WRITE
 
 CHUNK = 65536  # bytes read in one call
 HIGH, LOW = 1 << 18, 1 << 16  # bytes under way in one direction: reading stops above, goes on below
@@ -60,13 +60,13 @@
     def _ready(self, events):
         if events & WRITE and self.out:
             self._flush()
-        if not self.open or not events & (READ | GONE):
+        if not self.open or not events & (READ | HANGUP):
             return
         if not self.paused and not self.finished:
             self._read()
         elif events & select.EPOLLERR or self.broken:
             self._gone()
-        elif events & GONE:  # both ways are shut, and something lies unread: no news until it is read
+        elif events & HANGUP:  # both ways are shut, and something lies unread: no news until it is read
             self.loop.unwatch(self.fd)
             self.mask = None
 
--- a/gaproute/cluster/wires.py
+++ b/gaproute/cluster/wires.py
@@ -4,7 +4,7 @@
 import os
 
 from gaproute.cluster import sets
-from gaproute.loop.loop import GONE, READ
+from gaproute.loop.loop import HANGUP, READ
 from gaproute.scenarios.processes import MILLI, SECOND, NotReady
 
 ANSWER = 5 * SECOND  # for a wire to say its counts: one that takes longer ran late anyway
@@ -42,7 +42,7 @@
         fd, rest = wire.child.stdout.fileno(), bytearray()
 
         def heard(events):
-            data = os.read(fd, 1 << 16) if events & (READ | GONE) else b""
+            data = os.read(fd, 1 << 16) if events & (READ | HANGUP) else b""
             rest.extend(data)
             *lines, last = bytes(rest).split(b"\n")
             rest[:] = last
--- a/gaproute/connections/lot.py
+++ b/gaproute/connections/lot.py
@@ -21,7 +21,7 @@
     Admission,
 )
 from gaproute.decisions.chance import Chance
-from gaproute.loop.faults import is_momentary
+from gaproute.loop.faults import is_transient
 from gaproute.loop.loop import LOBBY
 
 CHUNK = 65536  # bytes read from one that wakes
@@ -40,12 +40,12 @@
         self.known, self.fresh = deque(), deque()  # (descriptor, when seen)
         self.arriving = {}  # listener: its owner
         self.displaced = self.turned_away = 0
-        loop.patient = self
+        loop.connections = self
 
     @classmethod
     def of(cls, loop):
         """The loop's lot, made where it has none."""
-        return loop.patient or cls(loop)
+        return loop.connections or cls(loop)
 
     # Coming
 
@@ -57,7 +57,7 @@
         listener, owner = next(iter(self.arriving.items()))
         del self.arriving[listener]
         if self.admission.patient and owner.counted and not self.has_room():
-            listener.rest(HOLD)
+            listener.pause(HOLD)
             return
         came = listener.accept()
         if came is None:
@@ -107,17 +107,17 @@
         """The connection that has said farewell longest of those whose answers were taken, where that is long
         enough; it too is counted."""
         now = self.loop.now()
-        for stream, since in self.loop.leaving.items():
+        for stream, since in self.loop.closing_streams.items():
             if self.admission.victim(now, [(stream, since, 0)]) is None:
                 return None  # nor are those behind it long enough
-            if stream.taken():
+            if stream.is_acknowledged():
                 return stream
         return None
 
     def _displace(self):
         parting = self._parting()
         if parting is not None:
-            parting.cut()
+            parting.reset()
             return True
         while (fd := self._victim()) is not None:
             if self._retire(fd):
@@ -136,9 +136,9 @@
 
     def _catch_up(self):
         """Puts in line whoever has spoken by now. Each is told once: a look that is not full is the last."""
-        self.loop.waiting = True
+        self.loop.admission_pending = True
         while True:
-            events = self.loop.lobby_events(LOBBY)
+            events = self.loop.poll_parked(LOBBY)
             self.look(events, self.loop.now())
             if len(events) < LOBBY:
                 return
@@ -171,7 +171,7 @@
         try:
             data = os.read(fd, CHUNK)
         except OSError as fault:
-            if is_momentary(fault):  # nothing there after all, or it cannot be read now: it waits on
+            if is_transient(fault):  # nothing there after all, or it cannot be read now: it waits on
                 self.state[fd] = PARKED
                 self._enter(fd)
                 self._await(fd, True)
@@ -183,11 +183,11 @@
         self.state[fd] = NONE
         self.parked -= 1
         waited = self.loop.now() - seen
-        self.loop.behind = waited if waited > WAITED else 0
+        self.loop.read_delay = waited if waited > WAITED else 0
         try:
             self.owners[self.owner[fd]].woken(fd, data, self.place[fd], self.tasks[fd])
         finally:
-            self.loop.behind = 0
+            self.loop.read_delay = 0
 
     # Leaving
 
--- a/gaproute/connections/parking.py
+++ b/gaproute/connections/parking.py
@@ -10,7 +10,7 @@
 
 from gaproute.connections.addresses import AddressCounts
 from gaproute.connections.calendar import Calendar
-from gaproute.loop.faults import Backoff, is_momentary
+from gaproute.loop.faults import Backoff, is_transient
 from gaproute.loop.loop import REGISTER_FIRST, REGISTER_LONGEST
 
 EXPIRES = 256  # idle ends looked at in one turn: after a stop they must not all fall into one
@@ -68,21 +68,21 @@
         watches for a moment, it is tried again."""
         try:
             if listed:
-                self.loop.lobby.modify(fd, ONCE)
+                self.loop.parked_epoll.modify(fd, ONCE)
             else:
-                self.loop.lobby.register(fd, ONCE)
+                self.loop.parked_epoll.register(fd, ONCE)
         except FileNotFoundError:  # it spoke before the epoll took it
             self._register(fd)
         except OSError as fault:
             self._put_off(fd, fault)
 
     def _put_off(self, fd, fault):
-        if not is_momentary(fault):
+        if not is_transient(fault):
             self._drop(fd)
             raise fault
         self.unheard[fd] = None
         if self.hear_timer is None:
-            self.hear_timer = self.loop.after(self.hear_backoff.next(), self._hear_again)
+            self.hear_timer = self.loop.after(self.hear_backoff.next_pause(), self._hear_again)
 
     def _hear_again(self):
         """One more try for each that the inner epoll did not take; where it takes none of them there is a
@@ -95,14 +95,14 @@
         if len(self.unheard) < len(waiting):
             self.hear_backoff.reset()
         else:
-            self.loop.patient.make_room()  # which hears those that have spoken
+            self.loop.connections.make_room()  # which hears those that have spoken
 
     def _register(self, fd):
         try:
             try:
-                self.loop.lobby.register(fd, ONCE)
+                self.loop.parked_epoll.register(fd, ONCE)
             except FileExistsError:
-                self.loop.lobby.modify(fd, ONCE)
+                self.loop.parked_epoll.modify(fd, ONCE)
         except OSError as fault:
             self._put_off(fd, fault)
 
@@ -120,7 +120,7 @@
             spoke = []  # at the next look
         if spoke:
             self.look(spoke, self.loop.now())
-            self.loop.waiting = True
+            self.loop.admission_pending = True
 
     def _enter(self, fd):
         """Into the calendar, where no entry of the descriptor comes up by its end."""
--- a/gaproute/discovery/changelog/cell.py
+++ b/gaproute/discovery/changelog/cell.py
@@ -54,7 +54,7 @@
     def look(self):
         """Read what waits of the log."""
         if self.stream is not None:
-            self.stream.look()
+            self.stream.read_now()
 
     def again(self, why):
         """Asks once more in a moment, the next source where there are several."""
--- a/gaproute/discovery/listing.py
+++ b/gaproute/discovery/listing.py
@@ -8,7 +8,7 @@
 from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.hosts.rows import Row
 from gaproute.interface import ListedHost, State
-from gaproute.loop.faults import cause_of, is_momentary_read
+from gaproute.loop.faults import cause_of, is_transient_read
 
 STATES = {state.value: state for state in State}
 
@@ -103,7 +103,7 @@
         self.good = False  # whether the file as it was last read was told
         self.unread = 0  # reads in a row that failed for a moment
         # after a stop the list is read before the tasks that came meanwhile
-        loop.on_late.append(self.look)
+        loop.on_late_turn.append(self.look)
         self.again()
 
     def again(self):
@@ -116,7 +116,7 @@
             state = os.stat(self.path)
             mark = (state.st_mtime_ns, state.st_ino, state.st_size)
         except OSError as fault:
-            if is_momentary_read(fault):
+            if is_transient_read(fault):
                 return
             mark = fault.errno
         if mark != self.mark:
@@ -140,7 +140,7 @@
     def _is_told(self, wrong):
         """Whether these mistakes are to be told; what may pass by itself is looked at again first."""
         fault = cause_of(wrong)
-        if fault is None or not is_momentary_read(fault):
+        if fault is None or not is_transient_read(fault):
             self.unread = 0
             return True
         self.mark = None
@@ -149,5 +149,5 @@
 
     def close(self):
         self.timer.cancel()
-        if self.look in self.loop.on_late:
-            self.loop.on_late.remove(self.look)
+        if self.look in self.loop.on_late_turn:
+            self.loop.on_late_turn.remove(self.look)
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -193,7 +193,7 @@
         "requests": len(core.held) + len(core.tasks),
         "open ids": len(front.marks),
         "clients' connections": front.held + lot.held + lot.parked,
-        "streams that close": len(scene.loop.leaving),
+        "streams that close": len(scene.loop.closing_streams),
     }
     for host in scene.process.hosts.hosts.values():
         held[f"connections to {host.name} beside its probes'"] = max(0, len(host.links) - PROBING)
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -177,7 +177,7 @@
         except Exception as error:  # noqa: BLE001 - whatever it is, it would have ended the gateway
             self.errors.append(error)
             return
-        if worked or not self.clock.idle or self.loop.queue or self.loop.waiting:
+        if worked or not self.clock.idle or self.loop.callbacks or self.loop.admission_pending:
             return
         if arrives_soon(self.loop.epoll.fileno(), self.far.epoll.fileno()):
             return
@@ -199,7 +199,7 @@
         """Open descriptors that belong to nobody known."""
         lot = Lot.of(self.loop)
         parked = {descriptor for descriptor, state in enumerate(lot.state) if state != NONE}
-        known = parked | set(self.loop.watched) | {self.loop.epoll.fileno(), self.loop.lobby.fileno()}
+        known = parked | set(self.loop.watched) | {self.loop.epoll.fileno(), self.loop.parked_epoll.fileno()}
         return open_descriptors() - self.before - known - self.far.descriptors()
 
     # The end
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -19,7 +19,7 @@
 from gaproute.fronts.jsonrpc.messages import Fault
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Listener
-from gaproute.loop.connecting import DRAIN_AGAIN
+from gaproute.loop.connecting import ACCEPT_RETRY_PAUSE
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 OPEN = 32  # requests of one connection at a time, by the protocol
@@ -56,7 +56,7 @@
 
     def _ready(self):
         self.lot.arrive(self.listener, self)
-        self.loop.waiting = True
+        self.loop.admission_pending = True
 
     def admits(self, sock, address):
         """A connection was accepted: it is parked, or closed where admission has no room."""
@@ -192,8 +192,8 @@
             self.admits(*came)
         if not room:
             self.drainer = self.loop.after(HOLD, self.shut)
-        elif not self.listener.drained:
-            self.drainer = self.loop.after(DRAIN_AGAIN, self.shut)
+        elif not self.listener.backlog_empty:
+            self.drainer = self.loop.after(ACCEPT_RETRY_PAUSE, self.shut)
         else:
             self.listener.close()
             self.tell()
@@ -214,8 +214,8 @@
         """The kernel's queue is emptied, room or not, then the address given up; tried again while accepting
         fails."""
         self.drainer = None
-        if not self.listener.drain(self.admits):
-            self.drainer = self.loop.after(DRAIN_AGAIN, self._take_in)
+        if not self.listener.accept_all(self.admits):
+            self.drainer = self.loop.after(ACCEPT_RETRY_PAUSE, self._take_in)
             return
         self.listener.close()
         self.lot.close(self.number)
@@ -234,6 +234,6 @@
         self.lot.close(self.number, True)
         for link in list(self.links):
             if link.closing:
-                link.stream.part()  # its last words are with the kernel
+                link.stream.finish_close()  # its last words are with the kernel
             else:
                 link.end()
--- a/gaproute/fronts/jsonrpc/link.py
+++ b/gaproute/fronts/jsonrpc/link.py
@@ -3,7 +3,7 @@
 from gaproute.fronts.jsonrpc import messages
 from gaproute.fronts.jsonrpc.messages import Fault
 from gaproute.loop import Stream
-from gaproute.loop.streams import CHUNK, FRESH
+from gaproute.loop.streams import HANGUP_CHECK_INTERVAL, READ_SIZE
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 QUIET = 100 * MILLI  # without a request until a connection is parked: only parked ones can make room, and
@@ -53,7 +53,7 @@
         self.waited = 0  # how long what was read last may have lain unread, ns
         self.withdrawn = ()  # what the aborts name that lay unread then
         self.stream = Stream(front.loop, sock, self.bytes, self.ended, hangup_first=True)
-        self.stream.on_room = self.room
+        self.stream.on_writable = self.room
 
     def bytes(self, data):
         if self.ending or self.closing or self.departed:
@@ -71,15 +71,15 @@
             self.departed = self.stream.hung_up()  # behind what it sent, maybe while that waited at admission
             if self.departed:  # or lay unread: nothing begins
                 return
-            self.waited = max(self.front.loop.behind, self.stream.waited())
-            self.looked, self.withdrawn = now if len(data) < CHUNK else 0, ()
+            self.waited = max(self.front.loop.read_delay, self.stream.unread_age())
+            self.looked, self.withdrawn = now if len(data) < READ_SIZE else 0, ()
         for body in messages.wanted(bodies, self.open, self.front.marks):
             self.take(body)
             if not self.stream.open:
                 return
         if fault is not None:
             self.refuse(fault)  # what a reader finds wrong is unreadable: that closes
-        elif self.stream.waiting >= UNTAKEN:
+        elif self.stream.bytes_unsent >= UNTAKEN:
             self.stream.pause()
         self.settled()
 
@@ -137,10 +137,10 @@
         if self.closing or not self.stream.open:
             return False
         now = loop.now()
-        if now - self.looked >= FRESH:
+        if now - self.looked >= HANGUP_CHECK_INTERVAL:
             pending = self.stream.pending()
             if pending.hung_up:
-                loop.soon(self.stream.hear_end)
+                loop.soon(self.stream.read_to_end)
                 return False
             self.looked = now
             self.withdrawn = (
@@ -153,18 +153,23 @@
 
     def look(self, now):
         """What a glance now and then is enough for."""
-        if self.stream.waiting and now - self.told > PROGRESS and not self.owes(now):
+        if self.stream.bytes_unsent and now - self.told > PROGRESS and not self.owes(now):
             self.front.deaf += 1
             self.end()
         elif self.ending or self.closing:
             return
         elif self.late(now):
-            self.stream.look()  # its rest may have come since the loop last looked
+            self.stream.read_now()  # its rest may have come since the loop last looked
             if self.stream.open and not self.ending and self.late(now):
                 self.refuse(Fault(messages.UNREADABLE, "the message did not come in whole in time"))
         elif self.front.stopping:
             self.settled()  # where it could not be seen before whether something lies there
-        elif not self.open and not self.stream.waiting and not self.reader.midway and now - self.told > QUIET:
+        elif (
+            not self.open
+            and not self.stream.bytes_unsent
+            and not self.reader.midway
+            and now - self.told > QUIET
+        ):
             self.park()
 
     def late(self, now):
@@ -176,7 +181,7 @@
         return now <= self.owed_until
 
     def weight(self):
-        return self.stream.waiting + len(self.reader.buffer)
+        return self.stream.bytes_unsent + len(self.reader.buffer)
 
     def park(self):
         front = self.front
@@ -190,7 +195,7 @@
         what already lies there has been read and answered."""
         if self.open or self.closing:
             return
-        if self.ending or self.front.stopping and not self.reader.midway and self.stream.quiet():
+        if self.ending or self.front.stopping and not self.reader.midway and self.stream.is_quiet():
             self.shut()
 
     def shut(self):
--- a/gaproute/hollow/simulation/loop.py
+++ b/gaproute/hollow/simulation/loop.py
@@ -41,10 +41,10 @@
 class GatewayLoop:
     """What one gateway sees of the loop; `lag`: ns by which its process runs late."""
 
-    __slots__ = ("shared", "lag", "on_late")
+    __slots__ = ("shared", "lag", "on_late_turn")
 
     def __init__(self, shared, lag=0):
-        self.shared, self.lag, self.on_late = shared, lag, []
+        self.shared, self.lag, self.on_late_turn = shared, lag, []
 
     def now(self):
         """Simulated nanoseconds."""
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/fleet.py
@@ -160,7 +160,7 @@
             host.idle.pop()
             link.on_idle_end = None
             if (
-                effect is Idempotency.IDEMPOTENT or link.stream.quiet()
+                effect is Idempotency.IDEMPOTENT or link.stream.is_quiet()
             ):  # a pure one may go again; spares a system call
                 return link
             link.drop()
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/fleet.py
@@ -88,7 +88,7 @@
             link is not None
             and not link.open
             and effect is not Idempotency.IDEMPOTENT
-            and not link.stream.quiet()
+            and not link.stream.is_quiet()
         ):
             link.drop()  # it shows an end or a word not asked for: a pure task may go again
             link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/link.py
@@ -71,7 +71,7 @@
             return
         self.stop_connecting = None
         self.stream = Stream(self.hosts.loop, sock, self.bytes, self.fail)
-        self.stream.on_room = self.begin
+        self.stream.on_writable = self.begin
         self.begin()
 
     def ask(self, asked):
@@ -87,11 +87,11 @@
                 self.never(asked, Result.MOOT)
                 continue
             data = asked.line(now)
-            if not self.stream.begin(data):
-                return  # `on_room` asks again
+            if not self.stream.try_begin(data):
+                return  # `on_writable` asks again
             self.written += len(data)
             asked.stop, asked.line = self.written, None
-            if self.stream.waiting and asked.until < EVER:
+            if self.stream.bytes_unsent and asked.until < EVER:
                 self.hosts.loop.after(WHOLE_WITHIN, self.look_whole, asked)
 
     def look_whole(self, asked):
@@ -106,7 +106,7 @@
 
     def handed(self, asked):
         """Whether the host may have all of it."""
-        return asked.begun and self.stream.handed >= asked.stop
+        return asked.begun and self.stream.bytes_sent >= asked.stop
 
     def bytes(self, data):
         self.heard = self.hosts.loop.now()
@@ -171,7 +171,7 @@
         self.carried.add(asked.id)
         if self.hosts.pooling.silent(self.hosts.loop.now(), max(asked.sent, self.heard)):
             self.trusted = False
-        if not self.open and (not self.trusted or self.stream.waiting):
+        if not self.open and (not self.trusted or self.stream.bytes_unsent):
             self.drop()
         elif self.hosts.halts:
             self.used = self.hosts.loop.now()
--- a/gaproute/hosts/proof.py
+++ b/gaproute/hosts/proof.py
@@ -14,7 +14,7 @@
 """
 
 from gaproute.interface import Result
-from gaproute.loop.faults import NO_OWN_ADDRESS, SHORTAGES
+from gaproute.loop.faults import LOCAL_ADDRESS_ERRNOS, SHORTAGE_ERRNOS
 
 UNCLEAR = (408, 425)  # time-out at the host, too early: neither says what became of the task
 
@@ -32,7 +32,7 @@
 def of_end(begun, error, spoilt):
     """What the end of its connection proves for a request. `begun`: whether the kernel took any byte of it;
     `spoilt`: the host answered on it, with what cannot be read."""
-    if not begun and isinstance(error, OSError) and error.errno in SHORTAGES | NO_OWN_ADDRESS:
+    if not begun and isinstance(error, OSError) and error.errno in SHORTAGE_ERRNOS | LOCAL_ADDRESS_ERRNOS:
         return Result.MOOT
     return Result.ERROR if begun and spoilt else of_failure(begun)
 
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -50,13 +50,13 @@
 
     def send(self, exchange, data):
         """The request begins now, with what is true now, or its exchange fails soon and never ran."""
-        self.exchange, self.mark = exchange, self.stream.handed
-        if not self.stream.begin(data):
+        self.exchange, self.mark = exchange, self.stream.bytes_sent
+        if not self.stream.try_begin(data):
             self.loop.soon(self._fail, "the connection takes no bytes")
 
     @property
     def handed(self):
-        return self.stream.handed > self.mark
+        return self.stream.bytes_sent > self.mark
 
     def _bytes(self, data):
         try:
@@ -78,7 +78,7 @@
             self.used = self.loop.now()
             self.served += 1
             self.told_idle = _told(answer.headers.get(b"keep-alive"))
-            if not answer.keep_alive or self.reader.midway or self.stream.waiting:
+            if not answer.keep_alive or self.reader.midway or self.stream.bytes_unsent:
                 self.stream.close()
             exchange.settle(answer, None)
 
@@ -170,7 +170,7 @@
     @property
     def delivered(self):
         """Whether the kernel has taken all of the request."""
-        return self.link is not None and not self.link.stream.waiting
+        return self.link is not None and not self.link.stream.bytes_unsent
 
     def settle(self, answer, undelivered):
         if not self.over:
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -10,7 +10,7 @@
 from gaproute.http1.message import Fault, Reader
 from gaproute.http1.rendering import render
 from gaproute.loop import Stream
-from gaproute.loop.streams import FRESH, HIGH
+from gaproute.loop.streams import HANGUP_CHECK_INTERVAL, WRITE_HIGH_WATER
 
 
 class ServerLink(DeadlineLink):
@@ -30,14 +30,14 @@
         self.queue = []  # [request, rendered answer or None], in the order of the requests
         self.closing = self.ended = False
         self.stream = Stream(server.loop, sock, self.bytes, self._end, hangup_first=True)
-        self.stream.on_half, self.stream.on_room = self._half, self._room
+        self.stream.on_half_close, self.stream.on_writable = self._half, self._room
         self.timer = self.due = None
 
     def bytes(self, data):
         """Feeds received bytes to the parser and hands over the requests that they complete."""
         if self.closing:
             return
-        self.waited = max(self.server.loop.behind, self.stream.waited())
+        self.waited = max(self.server.loop.read_delay, self.stream.unread_age())
         try:
             requests = self.reader.feed(data)
         except Fault as fault:
@@ -60,9 +60,9 @@
         if self.ended or not self.stream.open:
             return False
         now = self.server.loop.now()
-        if now - self.looked >= FRESH:
+        if now - self.looked >= HANGUP_CHECK_INTERVAL:
             if self.stream.hung_up():
-                self.server.loop.soon(self.stream.hear_end)
+                self.server.loop.soon(self.stream.read_to_end)
                 return False
             self.looked = now
         return True
@@ -76,7 +76,7 @@
 
     def _crowded(self):
         """Whether nothing more is read: enough is in hand, or the client does not take its answers."""
-        return len(self.queue) >= self.server.limits.pipelined or self.stream.waiting >= HIGH
+        return len(self.queue) >= self.server.limits.pipelined or self.stream.bytes_unsent >= WRITE_HIGH_WATER
 
     def _room(self):
         if not self.stream.reading and not self._crowded() and not self.ended:
@@ -88,7 +88,7 @@
         not before a request that lies unread has been answered."""
         server = self.server
         if server.loop.now() >= self.idle_end or not self.stream.open or server.stopping:
-            self.stream.look()
+            self.stream.read_now()
             if not self.queue and not self.reader.midway:
                 self._shut()
             return
@@ -122,7 +122,7 @@
 
     def _take(self, request):
         request.link = self
-        if self.closing or request.departed and self.server.loop.behind and not self.server.counted:
+        if self.closing or request.departed and self.server.loop.read_delay and not self.server.counted:
             return  # one that came and left while this process stood still is not taken
         self.tasks += 1
         if (
@@ -167,7 +167,7 @@
         """
         if self.reader.midway:
             self._set_deadline()
-        elif self.server.last_request is None and not self.queue and self.stream.quiet():
+        elif self.server.last_request is None and not self.queue and self.stream.is_quiet():
             self._shut()
 
     def _half(self):
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -35,7 +35,7 @@
             self.due = reader.message.arrived + limits.read_time
             if self.server.last_request is not None:
                 self.due = min(self.due, self.server.last_request)
-        elif self.stream.waiting:
+        elif self.stream.bytes_unsent:
             self.due = self.server.loop.now() + limits.read_time
         elif not self.queue and not self.closing:
             now = self.server.loop.now()
@@ -63,7 +63,7 @@
             return
         if self.due > self.server.loop.now():
             self._arm_timer()
-        elif self.stream.waiting:
+        elif self.stream.bytes_unsent:
             self.stream.abort()
             self._end(None)
         elif not self.reader.midway:
@@ -77,7 +77,7 @@
 
     def _came_meanwhile(self):
         """Whether the rest of the overdue request had come since the loop last looked: it is taken then."""
-        self.stream.look()
+        self.stream.read_now()
         return not self.stream.open or not self.reader.midway
 
     def _clear_deadline(self):
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -10,8 +10,8 @@
 from gaproute.http1.message import Fault
 from gaproute.http1.rendering import render
 from gaproute.loop import Listener
-from gaproute.loop.connecting import DRAIN_AGAIN
-from gaproute.loop.streams import CHUNK
+from gaproute.loop.connecting import ACCEPT_RETRY_PAUSE
+from gaproute.loop.streams import READ_SIZE
 
 
 class Server:
@@ -43,7 +43,7 @@
 
     def _ready(self):
         self.lot.arrive(self.listener, self)
-        self.loop.waiting = True
+        self.loop.admission_pending = True
 
     def admits(self, sock, address):
         """A connection was accepted: it is parked, or answered and closed where admission has no room."""
@@ -65,7 +65,7 @@
         try:
             sock.send(render(503, headers, body, True))
             sock.shutdown(socket.SHUT_WR)
-            sock.recv(CHUNK)
+            sock.recv(READ_SIZE)
         except OSError:
             pass  # nothing to be read, or its client has left
         sock.close()
@@ -145,10 +145,10 @@
         """What waits in the kernel's queue comes in, as the kernel would reset it, then the address is given
         up; tried again while accepting fails."""
         self.drainer = None
-        if self.shared or self.listener.drain(self.admits):
+        if self.shared or self.listener.accept_all(self.admits):
             self.listener.close()
         else:
-            self.drainer = self.loop.after(DRAIN_AGAIN, self._take_in)
+            self.drainer = self.loop.after(ACCEPT_RETRY_PAUSE, self._take_in)
         self.lot.close(self.number, first_by=self.last_request)
         self.check_emptied()
 
@@ -164,7 +164,7 @@
             self.sweep.cancel()
         for link in list(self.links):
             if link.stream.closing:
-                link.stream.part()  # its last words are with the kernel
+                link.stream.finish_close()  # its last words are with the kernel
             else:
                 link.stream.abort()
             link.gone()
--- a/gaproute/loop/connecting.py
+++ b/gaproute/loop/connecting.py
@@ -6,31 +6,31 @@
 import stat
 
 from gaproute.loop.faults import (
-    CONNECTION_FAILED,
-    NO_OWN_ADDRESS,
-    NO_OWN_NETWORK,
-    SHORTAGES,
+    FAILED_CONNECTION_ERRNOS,
+    LOCAL_ADDRESS_ERRNOS,
+    LOCAL_NETWORK_ERRNOS,
+    SHORTAGE_ERRNOS,
     Backoff,
-    is_momentary,
+    is_transient,
 )
 from gaproute.loop.loop import MILLI, READ, WRITE
 
 ACCEPTS = 32  # connections accepted in one turn, so that tasks in flight get their share of it
-FAILED_ACCEPTS = 16  # connections in a row that failed before they were accepted, in one call
+MAX_FAILED_ACCEPTS = 16  # connections in a row that failed before they were accepted, in one call
 BIND_ADDRESS_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT of Linux, which the socket module does not name
 ACCEPT_FIRST, ACCEPT_LONGEST = 2 * MILLI, 50 * MILLI  # for which accepting rests when descriptors run out
-DRAIN_AGAIN = 5 * MILLI  # until those that wait at a stop, and could not be accepted, are tried again
-DIAL_FIRST = 2 * MILLI  # until a dial that failed on this machine begins again; doubled with each failure
-DIALS = 5  # tries of one dial: some 30 ms in all, then whoever wants it hears of it
+ACCEPT_RETRY_PAUSE = 5 * MILLI  # until those that wait at a stop, and could not be accepted, are tried again
+FIRST_DIAL_PAUSE = 2 * MILLI  # until a dial that failed on this machine is retried; doubled with each failure
+MAX_DIAL_ATTEMPTS = 5  # tries of one dial: some 30 ms in all, then whoever wants it hears of it
 CONNECTS = 8  # calls of connect(2) that were interrupted, in one try
 
 
 def short(loop, fault):
     """Whether no descriptor was to be had: some who rest at admission then go, for the next try."""
-    if fault.errno not in SHORTAGES:
+    if fault.errno not in SHORTAGE_ERRNOS:
         return False
-    if loop.patient is not None:
-        loop.patient.make_room()
+    if loop.connections is not None:
+        loop.connections.make_room()
     return True
 
 
@@ -88,7 +88,7 @@
         self.loop, self.done, self.source = loop, done, source
         self.family, self.target = where
         self.sock = self.retry = self.fault = None
-        self.backoff, self.tries = Backoff(DIAL_FIRST, within), 0
+        self.backoff, self.tries = Backoff(FIRST_DIAL_PAUSE, within), 0
         self.timer = loop.after(within, self._time_up)
         self._begin()
 
@@ -134,7 +134,7 @@
         try:
             code = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as fault:
-            if is_momentary(fault):
+            if is_transient(fault):
                 return  # the next turn tells it again
             code = fault.errno
         self._settle(OSError(code, os.strerror(code)) if code else None)
@@ -145,8 +145,8 @@
         self._close()
         if self.tries > 1:
             short(self.loop, fault)  # a second failure is a shortage
-        if self.tries < DIALS and self._is_own(fault):
-            self.retry = self.loop.after(self.backoff.next(), self._begin)
+        if self.tries < MAX_DIAL_ATTEMPTS and self._is_own(fault):
+            self.retry = self.loop.after(self.backoff.next_pause(), self._begin)
         else:
             self.loop.soon(self._settle, fault)
 
@@ -155,7 +155,7 @@
         EAGAIN: it is refused like any other."""
         if self.family == socket.AF_UNIX and fault.errno == errno.EAGAIN:
             return False
-        return is_momentary(fault) or fault.errno in NO_OWN_ADDRESS or fault.errno in NO_OWN_NETWORK
+        return is_transient(fault) or fault.errno in LOCAL_ADDRESS_ERRNOS | LOCAL_NETWORK_ERRNOS
 
     def _settle(self, error):
         done, sock = self.done, self.sock
@@ -214,11 +214,11 @@
     """
 
     def __init__(self, loop, where, on_socket, backlog=4096, on_ready=None, inherited=None):
-        self.loop, self.on_socket, self.on_ready, self.rests = loop, on_socket, on_ready, 0
+        self.loop, self.on_socket, self.on_ready, self.pauses = loop, on_socket, on_ready, 0
         self.backoff = Backoff(ACCEPT_FIRST, ACCEPT_LONGEST)
         self.empty = False  # whether the last `accept` found nobody waiting
-        self.resting = None  # timer of the end of a rest
-        self.waiting_since = None  # since when connections may wait that were not accepted yet
+        self.pause_timer = None  # timer of the end of a rest
+        self.backlog_since = None  # since when connections may wait that were not accepted yet
         family, target = where
         self.path = target if family == socket.AF_UNIX and inherited is None else None
         self.sock = listening(where, backlog) if inherited is None else inherited
@@ -232,8 +232,8 @@
             raise
 
     def _ready(self, events):
-        if self.waiting_since is None:
-            self.waiting_since = self.loop.polled_before
+        if self.backlog_since is None:
+            self.backlog_since = self.loop.previous_poll_at
         if self.on_ready is not None:
             self.on_ready()
             return
@@ -247,76 +247,76 @@
         """(socket, its client's address) of one that waits, or None: nobody waits (`empty`), or none can be
         had now."""
         self.empty = False
-        for _ in range(FAILED_ACCEPTS):
+        for _ in range(MAX_FAILED_ACCEPTS):
             if self.sock.fileno() < 0:
                 return None
             try:
                 sock, address = self.sock.accept()
             except BlockingIOError:
                 self.empty = True
-                self.waiting_since = None
+                self.backlog_since = None
                 return None
             except OSError as fault:
-                if fault.errno in CONNECTION_FAILED:
+                if fault.errno in FAILED_CONNECTION_ERRNOS:
                     continue  # that one is gone: the next
                 self._give_way(fault)
                 return None
             self.backoff.reset()
             self._note_wait(sock.fileno())
             return _tuned(sock), address
-        self.rest(self.backoff.next())  # perhaps it is always the same one
+        self.pause(self.backoff.next_pause())  # perhaps it is always the same one
         return None
 
     def _note_wait(self, fd):
         """How long the connection may have waited here: its first bytes may be as old."""
-        if self.waiting_since is None:
-            self.loop.accepted_late.pop(fd, None)
+        if self.backlog_since is None:
+            self.loop.backlogged_since.pop(fd, None)
         else:
-            self.loop.accepted_late[fd] = self.waiting_since
+            self.loop.backlogged_since[fd] = self.backlog_since
 
     def _give_way(self, fault):
         """Nothing can be accepted for a while. A second failure in a row is a shortage."""
-        repeated = self.backoff.begun
-        self.rest(self.backoff.next())
-        if fault.errno not in SHORTAGES:
+        repeated = self.backoff.has_failed
+        self.pause(self.backoff.next_pause())
+        if fault.errno not in SHORTAGE_ERRNOS:
             raise fault
         if repeated:
             short(self.loop, fault)
 
-    def drain(self, take):
+    def accept_all(self, take):
         """`take(socket, address)` of each that waits; whether nobody waits any more."""
         while (came := self.accept()) is not None:
             take(*came)
-        return self.drained
+        return self.backlog_empty
 
     @property
-    def drained(self):
+    def backlog_empty(self):
         """Whether the last `accept` found nobody waiting, or nobody can wait any more."""
         return self.empty or self.sock.fileno() < 0
 
-    def rest(self, span):
+    def pause(self, span):
         """Accepts nothing for a while; what comes waits in the kernel."""
-        self.rests += 1
-        if self.waiting_since is None:
-            self.waiting_since = self.loop.now()
+        self.pauses += 1
+        if self.backlog_since is None:
+            self.backlog_since = self.loop.now()
         self.loop.unwatch(self.sock.fileno())
-        self._end_rest()
-        self.resting = self.loop.after(span, self._again)
+        self._cancel_pause()
+        self.pause_timer = self.loop.after(span, self._resume)
 
-    def _end_rest(self):
-        if self.resting is not None:
-            self.resting.cancel()
-            self.resting = None
+    def _cancel_pause(self):
+        if self.pause_timer is not None:
+            self.pause_timer.cancel()
+            self.pause_timer = None
 
-    def _again(self):
-        self.resting = None
+    def _resume(self):
+        self.pause_timer = None
         fd = self.sock.fileno()
         if fd >= 0 and fd not in self.loop.watched:
             self.loop.watch(fd, READ, self._ready)
 
     def close(self):
         """Gives the address up; what waits in the kernel's queue is reset."""
-        self._end_rest()
+        self._cancel_pause()
         if self.sock.fileno() >= 0:
             self.loop.unwatch(self.sock.fileno())
             close_quietly(self.sock)
--- a/gaproute/loop/faults.py
+++ b/gaproute/loop/faults.py
@@ -5,21 +5,23 @@
 
 # socket(2), accept(2), pipe2(2), epoll_create(2), epoll_ctl(2), open(2), send(2): nothing is left of what the
 # call needs. ENOSPC is epoll_ctl's, for the watches of one user.
-SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC))
-INTERRUPTIONS = frozenset((errno.EINTR, errno.EAGAIN))
-MOMENTARY = SHORTAGES | INTERRUPTIONS
+SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC))
+INTERRUPTION_ERRNOS = frozenset((errno.EINTR, errno.EAGAIN))
+TRANSIENT_ERRNOS = SHORTAGE_ERRNOS | INTERRUPTION_ERRNOS
 
 # bind(2): the port is still held by a process that ends, or the interface is only coming up. A wrong address
 # fails alike, so that these are worth fewer tries.
-ADDRESS_NOT_FREE = frozenset((errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN, errno.ENETUNREACH))
+ADDRESS_UNAVAILABLE_ERRNOS = frozenset(
+    (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN, errno.ENETUNREACH)
+)
 
 # connect(2): no port of its own is left, or its network is away for a moment: this machine's trouble.
-NO_OWN_ADDRESS = frozenset((errno.EADDRNOTAVAIL,))
-NO_OWN_NETWORK = frozenset((errno.ENETDOWN, errno.ENETUNREACH))
+LOCAL_ADDRESS_ERRNOS = frozenset((errno.EADDRNOTAVAIL,))
+LOCAL_NETWORK_ERRNOS = frozenset((errno.ENETDOWN, errno.ENETUNREACH))
 
 # accept(2): the connection that was next has failed, which says nothing of the one behind it. The network
 # errors are those that Linux hands on from the new socket; the last four are named by its page as well.
-CONNECTION_FAILED = frozenset(
+FAILED_CONNECTION_ERRNOS = frozenset(
     (
         errno.EINTR,
         errno.ECONNABORTED,
@@ -40,14 +42,14 @@
 )
 
 
-def is_momentary(fault):
+def is_transient(fault):
     """Whether the same call may succeed in a moment with nothing changed by the caller."""
-    return fault.errno in MOMENTARY
+    return fault.errno in TRANSIENT_ERRNOS
 
 
-def is_momentary_read(fault):
+def is_transient_read(fault):
     """Whether a file that could not be opened or read may be so in a moment: open(2), read(2)."""
-    return fault.errno in MOMENTARY or fault.errno == errno.EIO
+    return fault.errno in TRANSIENT_ERRNOS or fault.errno == errno.EIO
 
 
 def cause_of(fault):
@@ -65,13 +67,13 @@
         self.first, self.longest = first, longest
         self.pause = first
 
-    def next(self):
+    def next_pause(self):
         """The pause until the next try."""
         pause, self.pause = self.pause, min(2 * self.pause, self.longest)
         return pause
 
     @property
-    def begun(self):
+    def has_failed(self):
         """Whether a try has failed since the last reset."""
         return self.pause > self.first
 
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -15,7 +15,7 @@
 from collections import deque
 
 from gaproute.decisions.admission.admission import ADMISSION_TIME
-from gaproute.loop.faults import Backoff, is_momentary
+from gaproute.loop.faults import Backoff, is_transient
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LATE = 50 * MILLI  # a turn this late was stopped, not busy: a busy one lasts some milliseconds
@@ -23,7 +23,7 @@
 LOOKS = 8  # looks for bytes in a late turn: a flood must not keep timers from firing for ever
 IDLE = SECOND  # longest wait in one poll: a clock that jumps is noticed within it
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
-GONE = select.EPOLLHUP | select.EPOLLERR
+HANGUP = select.EPOLLHUP | select.EPOLLERR
 REGISTER_FIRST, REGISTER_LONGEST = 2 * MILLI, 50 * MILLI  # between tries to register with the epoll
 
 
@@ -138,20 +138,24 @@
         self.watched = {}  # descriptor: call(events)
         self.unregistered = {}  # watched descriptor that the epoll has not with these events yet: events
         self.register_timer, self.register_backoff = None, Backoff(REGISTER_FIRST, REGISTER_LONGEST)
-        self.leaving = {}  # stream that says farewell (`Stream.close`): since when; the oldest first
-        self.fresh = set()  # watched since the last poll: what that told is of an earlier life of them
-        self.lobby = select.epoll()  # of what is parked; one event of the outer one
-        self.inner = self.lobby.fileno()
+        self.closing_streams = {}  # stream that says farewell (`Stream.close`): since when; the oldest first
+        self.newly_watched = (
+            set()
+        )  # watched since the last poll: what that told is of an earlier life of them
+        self.parked_epoll = select.epoll()  # of what is parked; one event of the outer one
+        self.inner = self.parked_epoll.fileno()
         self.epoll.register(self.inner, READ)
-        self.patient, self.waiting = None, False  # the lot; whether somebody waits at admission
+        self.connections, self.admission_pending = None, False  # the lot; whether somebody waits at admission
         self.timers, self.dead, self.count = [], 0, 0
-        self.queue = deque()
+        self.callbacks = deque()
         self.running = False
         self.turns = self.late_turns = 0
-        self.behind = 0  # in a late turn: how long ago what is read now may have come
-        self.polled_at = self.polled_before = self.clock()  # the last poll's return, and the one's before it
-        self.accepted_late = {}  # descriptor: since when its connection may have waited to be accepted
-        self.on_late = []  # calls made first in a late turn: other news that waits to be read
+        self.read_delay = 0  # in a late turn: how long ago what is read now may have come
+        self.polled_at = self.previous_poll_at = (
+            self.clock()
+        )  # the last poll's return, and the one's before it
+        self.backlogged_since = {}  # descriptor: since when its connection may have waited to be accepted
+        self.on_late_turn = []  # calls made first in a late turn: other news that waits to be read
         self.errors = []  # the last few errors that escaped a callback
         self.on_error = None  # call(error), where somebody wants to log them
         self.signals = {}
@@ -175,7 +179,7 @@
         return self.at(self.clock() + span, call, *args)
 
     def soon(self, call, *args):
-        self.queue.append((call, args))
+        self.callbacks.append((call, args))
 
     def sleep(self, span):
         promise = Promise()
@@ -193,7 +197,7 @@
         """`call(events)` from now on. Where the epoll is short of memory or of watches for a moment, it is
         tried again until `unwatch`. Other errors: OSError, and it is not watched."""
         self.watched[fd] = call
-        self.fresh.add(fd)
+        self.newly_watched.add(fd)
         try:
             self._register(fd, events)
         except OSError as fault:
@@ -223,7 +227,7 @@
         What came before the last poll but one was told then, unless the connection waited to be accepted,
         which counts once: for the first bytes that are read.
         """
-        return min(self.polled_before, self.accepted_late.pop(fd, self.polled_before))
+        return min(self.previous_poll_at, self.backlogged_since.pop(fd, self.previous_poll_at))
 
     def _register(self, fd, events):
         try:
@@ -239,12 +243,12 @@
 
     def _put_off(self, fd, events, fault):
         """The epoll did not take the descriptor: a momentary failure is tried again."""
-        if not is_momentary(fault) and fd not in self.unregistered:
+        if not is_transient(fault) and fd not in self.unregistered:
             self.watched.pop(fd, None)
             raise fault
         self.unregistered[fd] = events
         if self.register_timer is None:
-            self.register_timer = self.after(self.register_backoff.next(), self._register_again)
+            self.register_timer = self.after(self.register_backoff.next_pause(), self._register_again)
 
     def _register_again(self):
         """One more try for each descriptor that the epoll did not take; where it takes none of them there is
@@ -258,8 +262,8 @@
                 self.guard(self._put_off, fd, events, fault)
         if len(self.unregistered) < len(waiting):
             self.register_backoff.reset()
-        elif self.patient is not None:
-            self.patient.make_room()
+        elif self.connections is not None:
+            self.connections.make_room()
 
     def on_signal(self, number, call):
         """`call()` in a turn of the loop, never inside the handler; through a wake-up descriptor. Errors:
@@ -312,20 +316,22 @@
             heapq.heappop(self.timers)
             self.dead -= 1
         due = self.timers[0][0] - self.clock() if self.timers else IDLE
-        ready = self.poll(self.epoll, 0 if self.queue or self.waiting else min(max(0, due), IDLE))
-        self.polled_before, self.polled_at = self.polled_at, self.clock()
+        ready = self.poll(
+            self.epoll, 0 if self.callbacks or self.admission_pending else min(max(0, due), IDLE)
+        )
+        self.previous_poll_at, self.polled_at = self.polled_at, self.clock()
         late = self.polled_at - self.timers[0][0] if self.timers else 0
-        self.behind = late if late > LATE else 0
-        if self.behind:
+        self.read_delay = late if late > LATE else 0
+        if self.read_delay:
             self.late_turns += 1
-            for call in self.on_late:
+            for call in self.on_late_turn:
                 self.guard(call)
         self._bytes(ready)
-        looks = LOOKS if self.behind else 0
+        looks = LOOKS if self.read_delay else 0
         while looks and (ready := self.poll(self.epoll, 0)):
             looks -= 1
             self._bytes(ready)
-        self.behind = 0
+        self.read_delay = 0
         now, newest = self.clock(), self.count  # one set for no later than now has its turn in the next
         while self.timers and self.timers[0][0] <= now and self.timers[0][1] <= newest:
             timer = heapq.heappop(self.timers)[2]
@@ -335,35 +341,35 @@
             call, args = timer.call, timer.args
             timer.call = timer.args = None
             self.guard(call, *args)
-        self._queued()
-        if self.waiting:
-            self.waiting = self.patient.work(self.clock() + ADMISSION_TIME)
+        self._run_callbacks()
+        if self.admission_pending:
+            self.admission_pending = self.connections.work(self.clock() + ADMISSION_TIME)
 
     def _bytes(self, ready):
-        self.fresh.clear()
+        self.newly_watched.clear()
         for fd, events in ready:
             if fd == self.inner:
-                self.patient.look(self.lobby_events(), self.clock() - self.behind)
-                self.waiting = True
+                self.connections.look(self.poll_parked(), self.clock() - self.read_delay)
+                self.admission_pending = True
                 continue
             call = self.watched.get(fd)
             if call is None:  # an earlier callback of this turn has closed it, or unregistering it failed
                 self._unregister(fd)
-            elif fd not in self.fresh:
+            elif fd not in self.newly_watched:
                 self.guard(call, events)
-        self._queued()
+        self._run_callbacks()
 
-    def lobby_events(self, most=LOBBY):
+    def poll_parked(self, most=LOBBY):
         """What the inner epoll has to tell now, so many events of it."""
         while True:
             try:
-                return self.lobby.poll(0, most)
+                return self.parked_epoll.poll(0, most)
             except InterruptedError:
                 continue
 
-    def _queued(self):
-        for _ in range(len(self.queue)):
-            call, args = self.queue.popleft()
+    def _run_callbacks(self):
+        for _ in range(len(self.callbacks)):
+            call, args = self.callbacks.popleft()
             self.guard(call, *args)
 
     def run(self, until=None):
@@ -382,4 +388,4 @@
 
     def close(self):
         self.epoll.close()
-        self.lobby.close()
+        self.parked_epoll.close()
--- a/gaproute/loop/starting.py
+++ b/gaproute/loop/starting.py
@@ -2,7 +2,7 @@
 
 import time
 
-from gaproute.loop.faults import ADDRESS_NOT_FREE, Backoff, cause_of, is_momentary_read
+from gaproute.loop.faults import ADDRESS_UNAVAILABLE_ERRNOS, Backoff, cause_of, is_transient_read
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 START_TIME = 6 * SECOND  # for all steps together: a process is to serve, or to have told why not, within 10 s
@@ -11,7 +11,7 @@
 #                          calls of which one in three fails
 
 
-class Patience:
+class StartupRetries:
     """Calls the steps of a start; a step that fails for a moment is called again, and so has to leave nothing
     behind when it fails. Waits for real: nothing else is to be done meanwhile."""
 
@@ -26,15 +26,15 @@
             try:
                 return step()
             except Exception as fault:
-                if self.clock() + backoff.pause > self.began + time_for(cause_of(fault)):
+                if self.clock() + backoff.pause > self.began + retry_time(cause_of(fault)):
                     raise
-            self.sleep(backoff.next() / SECOND)
+            self.sleep(backoff.next_pause() / SECOND)
 
 
-def time_for(fault):
+def retry_time(fault):
     """How long after its begin a start waits for the end of such a failure, ns."""
     if fault is None:
         return 0
-    if is_momentary_read(fault):
+    if is_transient_read(fault):
         return START_TIME
-    return ADDRESS_TIME if fault.errno in ADDRESS_NOT_FREE else 0
+    return ADDRESS_TIME if fault.errno in ADDRESS_UNAVAILABLE_ERRNOS else 0
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -7,18 +7,18 @@
 import termios
 
 from gaproute.loop import unread
-from gaproute.loop.faults import is_momentary
-from gaproute.loop.loop import GONE, MILLI, READ, WRITE
+from gaproute.loop.faults import is_transient
+from gaproute.loop.loop import HANGUP, MILLI, READ, WRITE
 from gaproute.loop.unread import END, Pending
 
-CHUNK = 65536  # bytes read in one call: a large socket buffer in few calls, small next to a body
+READ_SIZE = 65536  # bytes read in one call: a large socket buffer in few calls, small next to a body
 READS = 128  # of what lies unread before an end: more than any receive buffer holds
 # For so long after a look nobody looks again whether a client has closed: well within what may pass between
 # its leaving and the last attempt that begins for it.
-FRESH = 20 * MILLI
-HIGH = 1 << 20  # bytes waiting to be written above which the writer is told to hold back
-LINGER = 30_000 * MILLI  # for the last bytes to be taken after a close; then the connection is reset
-FAREWELL = 300 * MILLI  # for the other side to close too, once all is written: some round trips; what one
+HANGUP_CHECK_INTERVAL = 20 * MILLI
+WRITE_HIGH_WATER = 1 << 20  # bytes waiting to be written above which the writer is told to hold back
+CLOSE_TIMEOUT = 30_000 * MILLI  # for the last bytes to be taken after a close; then the connection is reset
+CLOSE_WAIT = 300 * MILLI  # for the other side to close too, once all is written: some round trips; what one
 #                          that does not sends later meets a closed socket, as ever
 PEEK = socket.MSG_PEEK | socket.MSG_DONTWAIT
 PEEKS = 4  # looks at what lies unread that failed, until nothing is known of it
@@ -47,11 +47,11 @@
 class Stream:
     """A connected socket. `on_bytes(data)`, `on_end(error or None)` once; writes are buffered.
 
-    With `on_half` set, the other side's end of sending calls it instead of ending the stream: writing goes
-    on. With `hangup_first` the other side's end is heard in the turn in which it comes, however many bytes
-    lie unread before it: for the side that works for a client, who may have left behind what it sent.
+    With `on_half_close` set, the other side's end of sending calls it instead of ending the stream: writing
+    goes on. With `hangup_first` the other side's end is heard in the turn in which it comes, however many
+    bytes lie unread before it: for the side that works for a client, who may have left behind what it sent.
 
-    `handed` counts the bytes that the kernel accepted: what a failure proves rests on it.
+    `bytes_sent` counts the bytes that the kernel accepted: what a failure proves rests on it.
     """
 
     __slots__ = (
@@ -60,12 +60,12 @@
         "fd",
         "on_bytes",
         "on_end",
-        "on_room",
-        "on_half",
+        "on_writable",
+        "on_half_close",
         "hangup_first",
-        "out",
-        "waiting",
-        "handed",
+        "outgoing",
+        "bytes_unsent",
+        "bytes_sent",
         "closing",
         "reading",
         "wanted",
@@ -79,11 +79,11 @@
 
     def __init__(self, loop, sock, on_bytes, on_end, *, hangup_first=False):
         self.loop, self.sock, self.fd = loop, sock, sock.fileno()
-        self.on_bytes, self.on_end, self.on_room = on_bytes, on_end, None
-        self.on_half, self.hangup_first = None, hangup_first
-        self.out, self.waiting, self.handed = [], 0, 0
+        self.on_bytes, self.on_end, self.on_writable = on_bytes, on_end, None
+        self.on_half_close, self.hangup_first = None, hangup_first
+        self.outgoing, self.bytes_unsent, self.bytes_sent = [], 0, 0
         self.closing, self.reading, self.open = False, True, True
-        self.wanted = False  # `begin` found no room: told by `on_room`
+        self.wanted = False  # `try_begin` found no room: told by `on_writable`
         self.paused_at = None  # where it was: what came since then has not been read to its end yet
         self.unread_since = None  # what was read last came after that, where it was paused
         self.halved = False  # its end of sending was told: not to be told again and again
@@ -93,12 +93,12 @@
     def _ready(self, events):
         if events & WRITE:
             self._flush()
-        if self.open and events & (READ | GONE | END):
+        if self.open and events & (READ | HANGUP | END):
             if self.reading:
                 self._read()
                 if self.hangup_first and events & END:
                     self._read_to_end()
-            elif events & GONE:
+            elif events & HANGUP:
                 self._finish(ConnectionResetError(errno.ECONNRESET, "closed by the other side"))
             else:
                 self._half()
@@ -112,20 +112,20 @@
 
     def _read(self):
         try:
-            data = self.sock.recv(CHUNK)
+            data = self.sock.recv(READ_SIZE)
         except OSError as fault:
-            if not is_momentary(fault):
+            if not is_transient(fault):
                 self._finish(fault)
             return
         if data:
             self.unread_since = self.paused_at
-            if len(data) < CHUNK and self.reading:
+            if len(data) < READ_SIZE and self.reading:
                 self.paused_at = None
             self.on_bytes(data)
         else:
             self._half()
 
-    def waited(self):
+    def unread_age(self):
         """How long what was read last may have lain unread, ns: one system call.
 
         The kernel tells when the last bytes came. What came before them in a pause may be as old as that.
@@ -136,44 +136,44 @@
         bound = now - self.loop.unread_since(self.fd)
         return max(paused, min(unread.age_of_last_bytes(self.sock), bound))
 
-    def look(self):
+    def read_now(self):
         """Read what waits before the loop comes to it."""
         if self.open and self.reading:
             self._read()
 
     def _half(self):
         """The other side sends no more; what lies unread of a paused stream is not read any more."""
-        if self.on_half is None:
+        if self.on_half_close is None:
             self._finish(None)
         elif not self.halved:
             self.halved = True
             self.pause()
-            self.on_half()
+            self.on_half_close()
 
     def write(self, data):
         """Queue bytes; what the kernel takes at once goes at once. Returns whether there is room for more."""
         if not self.open or self.closing:
             return False
-        if self.out:
-            self.out.append(data)
-            self.waiting += len(data)
+        if self.outgoing:
+            self.outgoing.append(data)
+            self.bytes_unsent += len(data)
         else:
             sent = self._send(data)
             if sent is not None and sent < len(data):
-                self.out.append(memoryview(data)[sent:])
-                self.waiting += len(data) - sent
+                self.outgoing.append(memoryview(data)[sent:])
+                self.bytes_unsent += len(data) - sent
                 self._watch()
-        return self.waiting < HIGH
+        return self.bytes_unsent < WRITE_HIGH_WATER
 
-    def begin(self, data):
+    def try_begin(self, data):
         """As `write`, but what has not begun never waits here: False where the kernel took no byte of it.
-        `on_room` then says when to try again."""
+        `on_writable` then says when to try again."""
         if not self.open or self.closing:
             return False
-        sent = 0 if self.out else self._send(data)
+        sent = 0 if self.outgoing else self._send(data)
         if sent and sent < len(data):
-            self.out.append(memoryview(data)[sent:])
-            self.waiting += len(data) - sent
+            self.outgoing.append(memoryview(data)[sent:])
+            self.bytes_unsent += len(data) - sent
         self.wanted = sent == 0
         self._watch()
         return bool(sent)
@@ -182,22 +182,22 @@
         try:
             sent = self.sock.send(data)
         except OSError as fault:
-            if is_momentary(fault):
+            if is_transient(fault):
                 return 0
             self.loop.soon(self._broken, fault)
             return None
-        self.handed += sent
+        self.bytes_sent += sent
         return sent
 
     def _broken(self, fault):
         """Writing failed: what the other side had said before its end counts, and is read first."""
         for _ in range(READS if self.reading else 0):
             try:
-                data = self.sock.recv(CHUNK) if self.open else b""
+                data = self.sock.recv(READ_SIZE) if self.open else b""
             except BlockingIOError:
                 break
             except OSError as wrong:
-                if is_momentary(wrong):
+                if is_transient(wrong):
                     continue
                 break
             if not data:
@@ -206,29 +206,29 @@
         self._finish(fault)
 
     def _flush(self):
-        while self.out:
-            sent = self._send(self.out[0])
+        while self.outgoing:
+            sent = self._send(self.outgoing[0])
             if sent is None:
                 return
-            self.waiting -= sent
-            if sent < len(self.out[0]):
-                self.out[0] = memoryview(self.out[0])[sent:]
+            self.bytes_unsent -= sent
+            if sent < len(self.outgoing[0]):
+                self.outgoing[0] = memoryview(self.outgoing[0])[sent:]
                 return
-            self.out.pop(0)
+            self.outgoing.pop(0)
         if self.closing:
             self._farewell()
             return
         self.wanted = False
         self._watch()
-        if self.on_room is not None:
-            self.on_room()
+        if self.on_writable is not None:
+            self.on_writable()
 
     def _watch(self):
         if self.reading:
             mask = READ | END if self.hangup_first and not self.halved else READ
         else:
             mask = 0 if self.halved else END
-        mask |= WRITE if self.out or self.wanted else 0
+        mask |= WRITE if self.outgoing or self.wanted else 0
         if self.open and mask != self.mask:
             self.mask = mask
             self.loop.rewatch(self.fd, mask)
@@ -243,7 +243,7 @@
         self.reading = True
         self._watch()
 
-    def quiet(self):
+    def is_quiet(self):
         """Whether nothing lies unread and the other side has not closed: one system call."""
         try:
             self.sock.recv(1, PEEK)
@@ -265,7 +265,7 @@
         """What lies unread, a bounded part of it; it stays there."""
         return unread.peek(self.sock)
 
-    def hear_end(self):
+    def read_to_end(self):
         """The other side has closed: what lies before that is read now, also where nothing was to be read."""
         if self.open and self.reading:
             self._read_to_end()
@@ -275,7 +275,7 @@
     def _peek_again(self, fault):
         """What lies unread where a look at it failed: None for nothing, b"" for the end."""
         for _ in range(PEEKS):
-            if not is_momentary(fault):
+            if not is_transient(fault):
                 return b""
             try:
                 return self.sock.recv(1, PEEK)
@@ -296,20 +296,21 @@
         a while. `closed(error)` once the descriptor is given back; no other callbacks.
 
         Guards the last answer: a socket closed with bytes unread, or written to after its close, is reset,
-        and a reset can destroy what is in flight. Harms by the descriptors held: `loop.leaving` has them.
+        and a reset can destroy what is in flight. It costs the
+        descriptors of `loop.closing_streams` for as long.
         """
         if self.closing or not self.open:
             return
-        self.on_bytes, self.on_end, self.on_half = _nothing, closed or _nothing, None
-        if not self.out and not self.handed:
+        self.on_bytes, self.on_end, self.on_half_close = _nothing, closed or _nothing, None
+        if not self.outgoing and not self.bytes_sent:
             self._finish(None)  # nothing of ours is in flight
             return
         self.closing = True
-        self.loop.leaving[self] = self.loop.now()
-        if self.out:  # nothing is read meanwhile: an end read now would end it
+        self.loop.closing_streams[self] = self.loop.now()
+        if self.outgoing:  # nothing is read meanwhile: an end read now would end it
             self.halved = True
             self.pause()
-            self.timer = self.loop.after(LINGER, self.cut)
+            self.timer = self.loop.after(CLOSE_TIMEOUT, self.reset)
         else:
             self._farewell()
 
@@ -320,32 +321,32 @@
             pass  # reset already: reading tells
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.after(FAREWELL, self.part, self.loop.now() + LINGER)
+        self.timer = self.loop.after(CLOSE_WAIT, self.finish_close, self.loop.now() + CLOSE_TIMEOUT)
         self.resume()
         self._read()
 
-    def part(self, until=0):
+    def finish_close(self, until=0):
         """The other side has not closed: left to the kernel, by then at the latest, once that has nothing of
         ours unacknowledged."""
-        if not self.taken() and self.loop.now() < until:
-            self.timer = self.loop.after(FAREWELL, self.part, until)
+        if not self.is_acknowledged() and self.loop.now() < until:
+            self.timer = self.loop.after(CLOSE_WAIT, self.finish_close, until)
         else:
             self._finish(None)
 
-    def taken(self):
+    def is_acknowledged(self):
         """Whether the other side has acknowledged all that was written."""
         try:
             held = int.from_bytes(fcntl.ioctl(self.fd, termios.TIOCOUTQ, bytes(4)), "little")
         except OSError:  # no such figure here: taken
             held = 0
-        return not self.out and not held
+        return not self.outgoing and not held
 
     def abort(self):
         """Closes at once with a reset; no further callbacks."""
         self.on_end = _nothing
-        self.cut()
+        self.reset()
 
-    def cut(self):
+    def reset(self):
         """Closes at once with a reset."""
         if self.open:
             try:
@@ -362,8 +363,8 @@
     def _shut(self):
         if self.open:
             self.open = False
-            self.out, self.waiting = [], 0
-            self.loop.leaving.pop(self, None)
+            self.outgoing, self.bytes_unsent = [], 0
+            self.loop.closing_streams.pop(self, None)
             if self.timer is not None:
                 self.timer.cancel()
             self.loop.unwatch(self.fd)
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -10,7 +10,7 @@
 import sys
 
 from gaproute.loop import Loop
-from gaproute.loop.starting import Patience
+from gaproute.loop.starting import StartupRetries
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration, read_environment
 from gaproute.platform.process import Process
 from gaproute.telemetry.record import FOLLOWED
@@ -24,7 +24,7 @@
 
 
 def main():
-    patience = Patience()
+    patience = StartupRetries()
     try:
         name, listen, path = read_environment()
         loaded = patience.call(lambda: read_configuration(path))
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -18,7 +18,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.connecting import short
 from gaproute.loop.datagrams import Datagrams
-from gaproute.loop.faults import Backoff, is_momentary_read
+from gaproute.loop.faults import Backoff, is_transient_read
 from gaproute.loop.streams import address
 from gaproute.platform.configuration import (
     ConfigurationRefusedError,
@@ -112,11 +112,11 @@
         try:
             self.peers = Datagrams(self.loop, self.configuration.peer_listen, self.core.told)
         except OSError as fault:
-            if not self.peers_backoff.begun:
+            if not self.peers_backoff.has_failed:
                 self.log.warning("no peers", listen=self.configuration.peer_listen, error=str(fault))
-            self.peers_timer = self.loop.after(self.peers_backoff.next(), self.hear_peers)
+            self.peers_timer = self.loop.after(self.peers_backoff.next_pause(), self.hear_peers)
             return
-        if self.peers_backoff.begun:
+        if self.peers_backoff.has_failed:
             self.log.info("peers", listen=self.configuration.peer_listen)
         self.core.tell = lambda words: self.peers.send(words, self.configuration.peers_all)
 
@@ -164,10 +164,10 @@
             self.follower.move(configuration.changelog)
 
     def _not_reloaded(self, fault):
-        if isinstance(fault, ConfigurationUnreadableError) and is_momentary_read(fault.cause):
+        if isinstance(fault, ConfigurationUnreadableError) and is_transient_read(fault.cause):
             short(self.loop, fault.cause)
             self.log.warning("configuration not read yet", text=str(fault))
-            self.again = self.loop.after(self.reload_backoff.next(), self._reload)
+            self.again = self.loop.after(self.reload_backoff.next_pause(), self._reload)
         else:
             self.log.error("configuration refused", text=str(fault))
 
@@ -182,7 +182,7 @@
         self.stopping = True
         self.log.info("stopping", held=len(self.core.held))
         now = self.loop.now()
-        began = now - self.loop.behind
+        began = now - self.loop.read_delay
         self.closing, self.granted = schedule([track.hard_limit for track in self.terms.tracks], began, now)
         self.core.end_by(self.closing - way_back())
         self.loop.at(self.granted, self.loop.stop)  # first: an error must not keep the process
--- a/gaproute/scenarios/processes.py
+++ b/gaproute/scenarios/processes.py
@@ -5,7 +5,7 @@
 import sys
 
 from gaproute.loop import Promise
-from gaproute.loop.loop import GONE, READ
+from gaproute.loop.loop import HANGUP, READ
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 # not 127.0.0.1, from which all connect: a port of a killed process stays free for it
@@ -85,7 +85,7 @@
         promise, fd = Promise(), process.child.stdout.fileno()
 
         def ready(events):
-            line = process.child.stdout.readline() if events & (READ | GONE) else b""
+            line = process.child.stdout.readline() if events & (READ | HANGUP) else b""
             self.loop.unwatch(fd)
             if line:
                 promise.set(json.loads(line))
--- a/gaproute/standins/__main__.py
+++ b/gaproute/standins/__main__.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from gaproute.loop import Loop
-from gaproute.loop.loop import GONE, READ
+from gaproute.loop.loop import HANGUP, READ
 from gaproute.loop.streams import address
 from gaproute.standins import clients
 from gaproute.standins.beat import beat
@@ -118,7 +118,7 @@
     rest = [b""]
 
     def command(events):
-        data = os.read(0, 65536) if events & (READ | GONE) else b""
+        data = os.read(0, 65536) if events & (READ | HANGUP) else b""
         if not data:
             loop.stop()
             return
--- a/gaproute/standins/clients.py
+++ b/gaproute/standins/clients.py
@@ -168,7 +168,7 @@
         while idle and link is None:
             link = idle.pop()
             link.on_idle_end = None
-            if not link.stream.quiet():
+            if not link.stream.is_quiet():
                 link.drop()
                 link = None
         exchange = Exchange(self.loop, head.encode() + body, came)
--- a/gaproute/standins/platform/rpc.py
+++ b/gaproute/standins/platform/rpc.py
@@ -79,7 +79,7 @@
         return self.count
 
     def write(self, number, asked):
-        asked.mark, asked.sent = self.stream.handed + self.stream.waiting, self.loop.now()
+        asked.mark, asked.sent = self.stream.bytes_sent + self.stream.bytes_unsent, self.loop.now()
         self.used = asked.sent
         self.stream.write(framed({"jsonrpc": "2.0", "id": number} | asked.told))
 
@@ -126,7 +126,7 @@
         self.closed(self)
         for asked in opened.values():
             how = what
-            if what == "broken" and (asked.mark is None or self.stream.handed <= asked.mark):
+            if what == "broken" and (asked.mark is None or self.stream.bytes_sent <= asked.mark):
                 how = "unsent"
             elif what == "broken" and len(opened) == 1 and self.loop.now() - asked.sent <= self.CROSS:
                 how = "crossed" if self.answered or reset else "broken"
@@ -141,4 +141,4 @@
 
     def quiet(self):
         """Whether an idle connection can be used once more."""
-        return self.stream is None or self.stream.open and self.stream.quiet()
+        return self.stream is None or self.stream.open and self.stream.is_quiet()
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -9,7 +9,7 @@
 
 from gaproute.appliance.gateway import LAST_REQUEST, LAST_WORDS
 from gaproute.http1.deadlines import QUIET
-from gaproute.loop.streams import FAREWELL
+from gaproute.loop.streams import CLOSE_WAIT
 
 BODY = b'{"id": "t", "inputs": []}'
 ASK = b"POST /v2/models/lamp/infer HTTP/1.1\r\nHost: g\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
@@ -144,7 +144,7 @@
     asked_and_answered(made, client)
     made.gate.stop()
     lasted = run_out(made)
-    assert rest_of(client) == b"" and QUIET / 2 < lasted < LAST_REQUEST + LAST_WORDS + FAREWELL + SECOND
+    assert rest_of(client) == b"" and QUIET / 2 < lasted < LAST_REQUEST + LAST_WORDS + CLOSE_WAIT + SECOND
 
 
 def test_a_kept_connection_that_rests_is_closed_at_once(rig, clients):
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -21,7 +21,7 @@
 from gaproute.config import ConfigurationError, read_configuration, read_hosts
 from gaproute.discovery.listing import TOLD_AT, FileWatch
 from gaproute.loop import Loop, Stepped, connecting
-from gaproute.loop.starting import Patience
+from gaproute.loop.starting import StartupRetries
 from gaproute.telemetry.logs import logger
 
 MILLI = 1_000_000
@@ -217,14 +217,14 @@
     made = []
 
     def patience():
-        return Patience(sleep=waits.append)
+        return StartupRetries(sleep=waits.append)
 
     def run(*options):
         result = CliRunner().invoke(serving.serve, [str(file), *options])
         result.waits, result.made = waits, made
         return result
 
-    monkeypatch.setattr(serving, "Patience", patience)
+    monkeypatch.setattr(serving, "StartupRetries", patience)
     monkeypatch.setattr(Appliance, "run", lambda runs: made.append(runs))
     monkeypatch.setattr(serving.gc, "freeze", lambda: None)
     monkeypatch.setattr(serving.gc, "set_threshold", lambda *_: None)
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -26,7 +26,7 @@
         self.clock, self.faults, self.clients, self.taken = Handed(), [], [], []
         self.loop = Loop(self.clock)
         self.loop.on_error = self.faults.append
-        self.loop.lobby = FailingEpoll(self.loop.lobby)
+        self.loop.parked_epoll = FailingEpoll(self.loop.parked_epoll)
         self.server = Server(self.loop, address("127.0.0.1:0"), self.handle, counted=True)
         self.lot = self.server.lot
 
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("code", EPOLL_SHORT)
 def test_a_new_connection_that_the_epoll_does_not_take_at_once_is_heard(house, code):
-    failing = house.loop.lobby.fail("register", code, code)
+    failing = house.loop.parked_epoll.fail("register", code, code)
     client = house.client()
     house.passes(20 * MILLI)
     assert failing.failed == 2 and not house.lot.unheard
@@ -87,7 +87,7 @@
 def test_a_connection_that_is_parked_again_is_heard_though_the_epoll_fails(house, code):
     client = house.client(HEAD)
     assert house.answers(client) == 1
-    failing = house.loop.lobby.fail("modify", code, code)
+    failing = house.loop.parked_epoll.fail("modify", code, code)
     house.passes(3 * SECOND, 10 * MILLI)
     assert house.lot.parked == 1 and failing.failed == 2
     client.sendall(HEAD)
@@ -97,20 +97,20 @@
 def test_the_pauses_grow_and_room_is_made_while_the_shortage_lasts(house, monkeypatch):
     rooms = []
     monkeypatch.setattr(house.lot, "make_room", lambda: rooms.append(1))
-    failing = house.loop.lobby.fail("register", *[errno.ENOSPC] * 999)
+    failing = house.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 999)
     client = house.client()
     house.passes(2 * SECOND)
     assert 40 <= failing.failed <= 50 and len(rooms) == failing.failed - 1
     failing.codes.clear()
     house.passes(200 * MILLI)
     client.sendall(HEAD)
-    assert house.answers(client) == 1 and not house.lot.hear_backoff.begun
+    assert house.answers(client) == 1 and not house.lot.hear_backoff.has_failed
 
 
 @pytest.fixture
 def deaf(house):
     """A house whose inner epoll takes nobody, with a client that has spoken and is not heard yet."""
-    failing = house.loop.lobby.fail("register", *[errno.ENOSPC] * 9999)
+    failing = house.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 9999)
     client = house.client()
     house.passes(2 * MILLI)
     assert failing.failed and house.lot.parked == 1
@@ -176,7 +176,7 @@
 
 
 def test_one_that_is_closed_meanwhile_is_not_watched_for_its_successor(house):
-    house.loop.lobby.fail("register", *[errno.ENOSPC] * 3)
+    house.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 3)
     client = house.client()
     house.passes(2 * MILLI)
     (fd,) = house.lot.unheard
@@ -184,7 +184,7 @@
     successor = house.client(HEAD)
     assert house.answers(successor) == 1 and house.lot.held == 1 and not house.lot.unheard
     client.close()
-    house.loop.lobby.fail("register", *[errno.ENOSPC] * 3)
+    house.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 3)
     house.client()
     house.passes(2 * MILLI)
     house.lot._drop(next(iter(house.lot.unheard)))
@@ -193,7 +193,7 @@
 
 
 def test_one_that_the_epoll_cannot_take_at_all_is_closed_and_told(house):
-    house.loop.lobby.fail("register", errno.EPERM)
+    house.loop.parked_epoll.fail("register", errno.EPERM)
     house.client(HEAD)
     house.passes(10 * MILLI)
     assert not house.lot.held and [error.errno for error in house.faults] == [errno.EPERM]
@@ -302,7 +302,7 @@
         timer.call is None
         and front.drainer is None
         and front.listener.sock.fileno() < 0
-        and front.listener.resting is None
+        and front.listener.pause_timer is None
     )
 
 
@@ -357,19 +357,19 @@
 @pytest.mark.parametrize("code", MEMORY)
 def test_a_write_that_fails_for_a_moment_goes_out_and_counts_once(stream, code):
     stream.sock.fail("send", code, code)
-    assert stream.write(b"first") and stream.handed == 0
+    assert stream.write(b"first") and stream.bytes_sent == 0
     stream.loop.run(until=stream.loop.sleep(MILLI))
-    assert stream.there.recv(99) == b"first" and stream.handed == 5 and stream.waiting == 0
+    assert stream.there.recv(99) == b"first" and stream.bytes_sent == 5 and stream.bytes_unsent == 0
 
 
 @pytest.mark.parametrize("code", MEMORY)
 def test_what_a_momentary_failure_kept_from_being_sent_has_not_begun(stream, code):
     stream.sock.fail("send", code)
     rooms = []
-    stream.on_room = lambda: rooms.append(1)
-    assert not stream.begin(b"relay") and stream.handed == 0 and not stream.out
+    stream.on_writable = lambda: rooms.append(1)
+    assert not stream.try_begin(b"relay") and stream.bytes_sent == 0 and not stream.outgoing
     stream.loop.turn()
-    assert rooms == [1] and stream.begin(b"relay") and stream.there.recv(99) == b"relay"
+    assert rooms == [1] and stream.try_begin(b"relay") and stream.there.recv(99) == b"relay"
 
 
 @pytest.mark.parametrize("code", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EPIPE])
@@ -389,7 +389,7 @@
     stream.write(b"some bytes")
     stream.write(b" and more")
     stream.loop.run(until=stream.loop.sleep(MILLI))
-    assert stream.there.recv(99) == b"some bytes and more" and stream.handed == 19
+    assert stream.there.recv(99) == b"some bytes and more" and stream.bytes_sent == 19
 
 
 @pytest.mark.parametrize("code", MEMORY)
@@ -398,23 +398,23 @@
     stream.sock.fail("send", errno.ECONNRESET)
     stream.sock.fail("recv", code)
     stream.write(b"out")
-    stream.loop._queued()
+    stream.loop._run_callbacks()
     assert stream.told[0] == b"answer" and stream.told[1].errno == errno.ECONNRESET
 
 
 @pytest.mark.parametrize("code", MEMORY)
 def test_a_look_that_fails_for_a_moment_takes_nobody_for_gone(stream, code):
     stream.sock.fail("recv", code, code)
-    assert stream.quiet()
+    assert stream.is_quiet()
     stream.there.send(b"x")
     stream.sock.fail("recv", code)
-    assert not stream.quiet() and not stream.hung_up()
+    assert not stream.is_quiet() and not stream.hung_up()
 
 
 @pytest.mark.parametrize("code", MEMORY)
 def test_where_no_look_succeeds_nothing_is_taken_for_known(stream, code):
     stream.sock.fail("recv", *[code] * 99)
-    assert not stream.quiet()
+    assert not stream.is_quiet()
 
 
 @pytest.mark.parametrize("code", [errno.ENOMEM, errno.EINTR])
@@ -436,9 +436,9 @@
 
 def test_a_look_at_a_broken_connection_shows_its_end(stream):
     stream.sock.fail("recv", errno.ENOMEM, errno.ETIMEDOUT, errno.ETIMEDOUT)
-    assert not stream.quiet()
+    assert not stream.is_quiet()
     stream.sock.fail("recv", errno.ETIMEDOUT)
-    assert not stream.quiet()
+    assert not stream.is_quiet()
 
 
 def test_a_stream_whose_close_tells_an_error_has_ended_all_the_same(stream):
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -77,11 +77,11 @@
 
     def __init__(self, loop, life, on_bytes, on_end):
         self.world, self.life, self.on_bytes, self.on_end = life.world, life, on_bytes, on_end
-        self.on_room, self.handed, self.waiting, self.open = None, 0, 0, True
+        self.on_writable, self.bytes_sent, self.bytes_unsent, self.open = None, 0, 0, True
         self.world.wires.append(self)
 
-    def begin(self, data):
-        if not self.open or self.waiting or not self.world.room:
+    def try_begin(self, data):
+        if not self.open or self.bytes_unsent or not self.world.room:
             return False
         self.world.begins(self, json.loads(data), len(data))
         self.write(data)
@@ -89,20 +89,20 @@
 
     def write(self, data):
         if self.open:
-            sent = 0 if self.waiting else min(len(data), self.world.room)
-            self.handed, self.waiting = self.handed + sent, self.waiting + len(data) - sent
+            sent = 0 if self.bytes_unsent else min(len(data), self.world.room)
+            self.bytes_sent, self.bytes_unsent = self.bytes_sent + sent, self.bytes_unsent + len(data) - sent
 
     def take(self):
         """The kernel takes what waits."""
-        self.handed, self.waiting = self.handed + self.waiting, 0
+        self.bytes_sent, self.bytes_unsent = self.bytes_sent + self.bytes_unsent, 0
         if self.open:
-            self.on_room()
+            self.on_writable()
 
     def say(self, kind, name, **told):
         if self.open:
             self.on_bytes(json.dumps({"type": kind, "req": name} | told).encode() + b"\n")
 
-    def quiet(self):
+    def is_quiet(self):
         return True
 
     def end(self, error):
@@ -160,7 +160,7 @@
             assert now < unclear[0].at + WINDOW, "no host knows the repeat any more"
         if not self.twins:
             assert all(each.said or not each.wire.open for each in before), "two are out"
-        stop = wire.handed + size
+        stop = wire.bytes_sent + size
         self.attempts.append(
             SimpleNamespace(
                 task=task,
@@ -168,7 +168,7 @@
                 at=now,
                 said=None,
                 name=command["req"],
-                whole=lambda: wire.handed >= stop,
+                whole=lambda: wire.bytes_sent >= stop,
             )
         )
 
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -109,7 +109,7 @@
 def failed_registration_forgotten(patch):
     def watch(loop, descriptor, events, call):
         loop.watched[descriptor] = call
-        loop.fresh.add(descriptor)
+        loop.newly_watched.add(descriptor)
         try:
             loop.epoll.register(descriptor, events)
         except OSError:
@@ -119,7 +119,7 @@
 
 
 def listener_never_resumes(patch):
-    patch.setattr(Listener, "_again", lambda listener: None)
+    patch.setattr(Listener, "_resume", lambda listener: None)
 
 
 def timer_left_behind(patch):
@@ -127,7 +127,7 @@
 
     def finish(stream, error):
         if error is not None:
-            stream.loop.after(HOUR, stream.cut)
+            stream.loop.after(HOUR, stream.reset)
         honest(stream, error)
 
     patch.setattr(Stream, "_finish", finish)
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -16,7 +16,7 @@
 from gaproute.http1 import client as http_clients
 from gaproute.http1.client import Exchange
 from gaproute.loop import Loop
-from gaproute.loop.streams import CHUNK, address
+from gaproute.loop.streams import READ_SIZE, address
 from gaproute.standins.platform import arg
 from tests.fronts.test_departed_ends import end
 
@@ -151,7 +151,7 @@
     for number in range(1, 10):
         told.message(abort(id=number))
     data = b"".join(told.waiting)
-    assert len(data) > 2 * CHUNK
+    assert len(data) > 2 * READ_SIZE
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(data)
     told.waiting = []
@@ -222,7 +222,7 @@
     made.clog = made.link.stream.sock = Clogged(made.link.stream.sock, 500)
     client = made.client()
     client.ask(1, method, arg=arg(b"x" * 1000), d=2000)
-    made.until(lambda: made.link.stream.waiting)
+    made.until(lambda: made.link.stream.bytes_unsent)
     return made, client
 
 
@@ -254,7 +254,7 @@
     made.until(made.came)
     link.stream.sock = Clogged(link.stream.sock, 500)
     client.ask(1, arg=arg(b"x" * 1000))
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     client.stream.abort()
     made.until(lambda: other.answers)
     made.turns()
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -8,7 +8,7 @@
 
 from gaproute.http1 import Limits, Server
 from gaproute.loop import Loop
-from gaproute.loop.streams import CHUNK, address
+from gaproute.loop.streams import READ_SIZE, address
 from gaproute.standins.platform import arg
 
 ENDS = ["fin", "reset", "half"]
@@ -50,7 +50,7 @@
     made = gate(clock=Handed())
     roomy(made.process.front.listener)
     data = requests(made, 10, 10_000)
-    assert len(data) > 2 * CHUNK
+    assert len(data) > 2 * READ_SIZE
     sock = connected(made.where)
     sock.sendall(data)
     end(sock, way)
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -15,8 +15,8 @@
 from gaproute.fronts.jsonrpc import link as links
 from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
 from gaproute.loop import connect
-from gaproute.loop.connecting import DIAL_FIRST
-from gaproute.loop.streams import FAREWELL, address
+from gaproute.loop.connecting import FIRST_DIAL_PAUSE
+from gaproute.loop.streams import CLOSE_WAIT, address
 from gaproute.platform.process import AGAIN, STATUS, STILL_COMING
 
 
@@ -38,8 +38,10 @@
     deaf = [socket.create_connection(address(made.where)[1]) for _ in range(lot.admission.most)]
     for each in deaf:  # an error is owed to each, and none of them closes then
         each.sendall(b"noise" * 200)
-    made.until(lambda: len(made.loop.leaving) == len(deaf))
-    made.until(lambda: all(stream.taken() for stream in made.loop.leaving))  # the kernel may take 40 ms
+    made.until(lambda: len(made.loop.closing_streams) == len(deaf))
+    made.until(
+        lambda: all(stream.is_acknowledged() for stream in made.loop.closing_streams)
+    )  # the kernel may take 40 ms
     late = made.client()
     late.ask(1)
     made.turns()
@@ -47,7 +49,9 @@
     made.passes(110 * MILLI)
     made.passes(20 * MILLI)
     made.until(lambda: late.answers)
-    assert "result" in late.answers[0] and lot.held == lot.admission.most == len(made.loop.leaving) + 1
+    assert (
+        "result" in late.answers[0] and lot.held == lot.admission.most == len(made.loop.closing_streams) + 1
+    )
     for each in deaf:
         each.close()
 
@@ -221,12 +225,12 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: held)
-    client.stream.on_half = lambda: None  # reads the end of sending, and closes when the test says so
+    client.stream.on_half_close = lambda: None  # reads the end of sending, and closes when the test says so
     ended = stopped(made)
     made.passes(MILLI)
     made.hosts[0].serve(*held[0])
     made.until(lambda: client.answers)
-    made.passes(FAREWELL + MILLI)
+    made.passes(CLOSE_WAIT + MILLI)
     assert "result" in client.answers[0] and not ended() and not client.ended  # it may ask on
     made.passes(made.process.closing - made.loop.now() - 30 * MILLI)
     client.ask(2)
@@ -252,7 +256,7 @@
     (link,) = made.process.front.links
     ended = stopped(made)
     monkeypatch.setattr(link.stream.__class__, "_send", lambda stream, data: 0)
-    link.stream.out, link.stream.waiting = [b"x"], 1  # as where the client's window is shut
+    link.stream.outgoing, link.stream.bytes_unsent = [b"x"], 1  # as where the client's window is shut
     made.passes(MILLI)
     made.passes(made.process.granted - made.loop.now() - MILLI)
     assert not ended() and made.process.front.held == 1
@@ -425,8 +429,8 @@
     connect(made.loop, address(made.hosts[0].address), SECOND, lambda sock, error: told.append((sock, error)))
     made.turns()
     assert not told and not idle.ended  # one failure may be a moment's
-    made.passes(DIAL_FIRST)
-    made.passes(2 * DIAL_FIRST)
+    made.passes(FIRST_DIAL_PAUSE)
+    made.passes(2 * FIRST_DIAL_PAUSE)
     give()
     made.until(lambda: told and idle.ended)
     sock, error = told[0]
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -188,7 +188,7 @@
     (link,) = made.process.front.links
     reads = deaf(link, monkeypatch)
     made.hosts[0].serve(*held[0])
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     made.passes(links.PROGRESS + MILLI)
     made.passes(fronts.SWEEP)
     made.hosts[0].serve(*held[1])
@@ -208,7 +208,7 @@
     (link,) = made.process.front.links
     deaf(link, monkeypatch)
     client.ask(2, d=1000)
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     made.passes(links.PROGRESS + MILLI)
     made.passes(fronts.SWEEP)
     assert client.ended and made.process.front.deaf == 1
--- a/tests/fronts/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -99,9 +99,9 @@
     (link,) = made.process.front.links
     reads = deaf(link, monkeypatch)
     client.ask(2)
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     client.send(BAD)
-    made.until(lambda: made.loop.leaving)
+    made.until(lambda: made.loop.closing_streams)
     made.passes(200 * MILLI)
     lot = made.process.front.lot
     assert lot._parting() is None and not lot._displace()
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -65,7 +65,7 @@
     (link,) = made.process.front.links
     clog = link.stream.sock = Clogged(link.stream.sock, 0)
     client.ask(2)
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     client.ask(3)  # the last one that is read
     made.until(lambda: made.came() == 3)
     client.ask(4, d=D)
@@ -157,7 +157,7 @@
     kernels = unread.age_of_last_bytes
     monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: max(age, kernels(sock)))
     made = gate()
-    made.process.front.listener.rest(600 * MILLI)
+    made.process.front.listener.pause(600 * MILLI)
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D))
     made.until(made.came)
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -182,10 +182,10 @@
     (link,) = server.links
     for request in held[:2]:
         server.answer(request, 200, (), b"x" * (8 << 20))
-    assert link.stream.waiting > 8 << 20 and not link.stream.reading
+    assert link.stream.bytes_unsent > 8 << 20 and not link.stream.reading
     client.sendall(HEAD + b"Content-Length: 0\r\n\r\n")
     turns(loop, lambda: not server.held)
-    assert len(held) == 2 and link.stream.waiting == 0
+    assert len(held) == 2 and link.stream.bytes_unsent == 0
 
 
 def test_what_was_whole_before_a_fault_is_still_answered(served):
--- a/tests/loop/test_loop.py
+++ b/tests/loop/test_loop.py
@@ -94,8 +94,8 @@
 def test_after_a_stop_news_and_bytes_come_before_overdue_timers():
     clock = Stepped()
     loop, order = Loop(clock), []
-    stream, there = pair(loop, lambda data: order.append(("bytes", loop.behind)))
-    loop.on_late.append(lambda: order.append("news"))
+    stream, there = pair(loop, lambda data: order.append(("bytes", loop.read_delay)))
+    loop.on_late_turn.append(lambda: order.append("news"))
     loop.after(10 * MILLI, order.append, "timer")
     there.send(b"x")
     clock.now += 2 * SECOND  # as if the process had been stopped
@@ -121,7 +121,7 @@
 
 
 def test_a_turn_in_time_is_not_late(loop):
-    loop.on_late.append(lambda: pytest.fail("told late"))
+    loop.on_late_turn.append(lambda: pytest.fail("told late"))
     loop.after(10 * MILLI, lambda: None)
     loop.run(until=loop.sleep(20 * MILLI))
     assert loop.late_turns == 0
@@ -130,8 +130,8 @@
 def test_what_the_kernel_does_not_take_waits_and_the_writer_is_told(real):
     stream, there = pair(real)
     room, got = Promise(), []
-    stream.on_room = room.set
-    assert stream.write(b"a" * (4 << 20)) is False and 0 < stream.handed < 4 << 20
+    stream.on_writable = room.set
+    assert stream.write(b"a" * (4 << 20)) is False and 0 < stream.bytes_sent < 4 << 20
     there.setblocking(False)
 
     def drain():
@@ -143,7 +143,7 @@
 
     real.run(until=real.spawn(drain()).done)
     real.run(until=room)
-    assert stream.handed == 4 << 20 and stream.waiting == 0
+    assert stream.bytes_sent == 4 << 20 and stream.bytes_unsent == 0
 
 
 def test_a_paused_stream_leaves_bytes_with_the_sender(loop):
@@ -163,7 +163,7 @@
     told = []
     stream, there = pair(loop, on_end=told.append)
     if half:
-        stream.on_half = lambda: told.append(None)
+        stream.on_half_close = lambda: told.append(None)
     stream.pause()
     there.send(b"unread")
     there.shutdown(socket.SHUT_WR)
@@ -218,12 +218,12 @@
         except BlockingIOError:
             pass
     there.setblocking(True)
-    assert there.recv(1) == b"" and stream.open and list(real.leaving) == [stream]
+    assert there.recv(1) == b"" and stream.open and list(real.closing_streams) == [stream]
     there.send(b"after the end")
     there.close()
     while not closed:
         real.turn()
-    assert closed == [None] and not stream.open and not real.leaving
+    assert closed == [None] and not stream.open and not real.closing_streams
 
 
 def test_who_does_not_close_is_waited_for_a_while_and_who_takes_nothing_is_reset(loop):
@@ -236,9 +236,9 @@
     deaf.write(b"x" * (4 << 20))
     deaf.close(lambda error: closed.append("deaf"))
     loop.run(until=loop.sleep(SECOND))
-    assert closed == [None] and list(loop.leaving) == [deaf]
+    assert closed == [None] and list(loop.closing_streams) == [deaf]
     loop.run(until=loop.sleep(40 * SECOND))
-    assert closed == [None, "deaf"] and not loop.leaving
+    assert closed == [None, "deaf"] and not loop.closing_streams
 
 
 @pytest.mark.parametrize("where", ["127.0.0.1:0", "[::1]:0", "unix"])
@@ -304,7 +304,7 @@
     listener.sock = Short()
     with socket.create_connection(inner.getsockname()):
         real.run(until=came).close()
-    assert listener.rests == 2 and Short.calls < 10  # it rested, it did not spin
+    assert listener.pauses == 2 and Short.calls < 10  # it rested, it did not spin
     inner.close()
 
 
--- a/tests/loop/test_syscalls_connecting.py
+++ b/tests/loop/test_syscalls_connecting.py
@@ -11,8 +11,8 @@
 from gaproute.interface import Result
 from gaproute.loop import Listener, Loop, Stepped, connect
 from gaproute.loop import connecting as module
-from gaproute.loop.connecting import DIALS, FAILED_ACCEPTS, listening
-from gaproute.loop.faults import CONNECTION_FAILED
+from gaproute.loop.connecting import MAX_DIAL_ATTEMPTS, MAX_FAILED_ACCEPTS, listening
+from gaproute.loop.faults import FAILED_CONNECTION_ERRNOS
 from gaproute.loop.streams import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -211,11 +211,11 @@
 
 
 def test_a_shortage_makes_room_only_when_it_repeats(loop, there, sockets):
-    loop.patient = Patient()
+    loop.connections = Patient()
     sockets("socket", errno.EMFILE)
-    assert dial(loop, there) is None and loop.patient.rooms == 0
+    assert dial(loop, there) is None and loop.connections.rooms == 0
     sockets("socket", *[errno.EMFILE] * 9)
-    assert dial(loop, there).errno == errno.EMFILE and loop.patient.rooms == DIALS - 1
+    assert dial(loop, there).errno == errno.EMFILE and loop.connections.rooms == MAX_DIAL_ATTEMPTS - 1
 
 
 # Accepting
@@ -232,19 +232,19 @@
     made.close()
 
 
-@pytest.mark.parametrize("code", sorted(CONNECTION_FAILED))
+@pytest.mark.parametrize("code", sorted(FAILED_CONNECTION_ERRNOS))
 def test_a_connection_that_failed_before_it_was_accepted_leaves_the_next_alone(loop, listener, code):
     failing = listener.sock.fail("accept", code, code, code)
     with socket.create_connection(listener.sock.getsockname()):
         loop.turn()
-        assert len(listener.came) == 1 and failing.failed == 3 and listener.rests == 0
+        assert len(listener.came) == 1 and failing.failed == 3 and listener.pauses == 0
 
 
 def test_many_that_failed_in_a_row_do_not_hold_up_the_loop(loop, listener):
     failing = listener.sock.fail("accept", *[errno.ECONNABORTED] * 40)
     with socket.create_connection(listener.sock.getsockname()):
         loop.turn()
-        assert failing.failed == FAILED_ACCEPTS and not listener.came and listener.rests == 1
+        assert failing.failed == MAX_FAILED_ACCEPTS and not listener.came and listener.pauses == 1
         loop.run(until=loop.sleep(20 * MILLI))
         assert len(listener.came) == 1
         failing.codes += [errno.EPERM] * 10_000  # as a filter that forbids it: nothing leaves the queue
@@ -268,19 +268,19 @@
         assert 190 <= failing.failed <= 220 and len(listener.came) == 1
         failing.codes.clear()
         loop.run(until=loop.sleep(SECOND))
-        assert len(listener.came) == 2 and not listener.backoff.begun
+        assert len(listener.came) == 2 and not listener.backoff.has_failed
 
 
 def test_accepting_makes_room_when_a_shortage_repeats(loop, listener):
-    loop.patient = Patient()
+    loop.connections = Patient()
     failing = listener.sock.fail("accept", errno.EMFILE)
     with socket.create_connection(listener.sock.getsockname()):
         loop.run(until=loop.sleep(SECOND))
-        assert len(listener.came) == 1 and loop.patient.rooms == 0
+        assert len(listener.came) == 1 and loop.connections.rooms == 0
     failing.codes += [errno.EMFILE] * 3
     with socket.create_connection(listener.sock.getsockname()):
         loop.run(until=loop.sleep(SECOND))
-        assert len(listener.came) == 2 and loop.patient.rooms == 2
+        assert len(listener.came) == 2 and loop.connections.rooms == 2
 
 
 def test_an_error_of_the_listener_itself_is_logged_and_does_not_spin(loop, listener):
@@ -312,7 +312,7 @@
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.ENOMEM])
 def test_a_listener_that_rested_accepts_again_though_the_epoll_did_not_take_it_at_once(loop, listener, code):
     loop.epoll = FailingEpoll(loop.epoll)
-    listener.rest(10 * MILLI)
+    listener.pause(10 * MILLI)
     loop.epoll.fail("register", code, code, code)
     with socket.create_connection(listener.sock.getsockname()):
         loop.run(until=loop.sleep(SECOND))
@@ -326,8 +326,8 @@
         socket.create_connection(listener.sock.getsockname()),
         socket.create_connection(listener.sock.getsockname()),
     ):
-        assert not listener.drain(lambda sock, where: taken.append(sock)) and len(taken) == 1
-        assert listener.drain(lambda sock, where: taken.append(sock)) and len(taken) == 2
+        assert not listener.accept_all(lambda sock, where: taken.append(sock)) and len(taken) == 1
+        assert listener.accept_all(lambda sock, where: taken.append(sock)) and len(taken) == 2
     for sock in taken:
         sock.close()
 
--- a/tests/loop/test_syscalls_loop.py
+++ b/tests/loop/test_syscalls_loop.py
@@ -55,7 +55,7 @@
     assert 190 <= failing.failed <= 220
     failing.codes.clear()
     loop.run(until=loop.sleep(SECOND))
-    assert not loop.unregistered and not loop.register_backoff.begun
+    assert not loop.unregistered and not loop.register_backoff.has_failed
     loop.unwatch(pair[0].fileno())
 
 
@@ -154,10 +154,10 @@
 
 def test_waits_that_are_interrupted_are_taken_up_again(monkeypatch):
     loop = Loop()
-    loop.epoll, loop.lobby = FailingEpoll(loop.epoll), FailingEpoll(loop.lobby)
-    outer, inner = loop.epoll.fail("poll", *[errno.EINTR] * 3), loop.lobby.fail("poll", errno.EINTR)
+    loop.epoll, loop.parked_epoll = FailingEpoll(loop.epoll), FailingEpoll(loop.parked_epoll)
+    outer, inner = loop.epoll.fail("poll", *[errno.EINTR] * 3), loop.parked_epoll.fail("poll", errno.EINTR)
     loop.run(until=loop.sleep(5 * MILLI))
-    assert loop.lobby_events() == [] and outer.failed == 3 and inner.failed == 1
+    assert loop.poll_parked() == [] and outer.failed == 3 and inner.failed == 1
     loop.close()
 
 
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -18,7 +18,7 @@
 
 from gaproute.loop import Loop, connecting, datagrams
 from gaproute.loop.faults import cause_of
-from gaproute.loop.starting import ADDRESS_TIME, START_TIME, Patience
+from gaproute.loop.starting import ADDRESS_TIME, START_TIME, StartupRetries
 from gaproute.platform import __main__ as program
 from gaproute.platform import configuration as platform_configuration
 from gaproute.platform.log import Log
@@ -60,12 +60,12 @@
         made.waits.append(span)
         clock.now += int(span * SECOND)
 
-    made = Patience(clock, sleep)
+    made = StartupRetries(clock, sleep)
     made.waits = []
     return made
 
 
-# Patience
+# StartupRetries
 
 
 def test_a_step_is_called_again_with_pauses_that_grow(patience):
@@ -116,7 +116,7 @@
     told = {"name": "n1", "listen": "127.0.0.1:0", "changelog": "127.0.0.1:9", "settings": SETTINGS}
     path.write_text(json.dumps(told))
     monkeypatch.setenv("EDGE_CONFIG", str(path))
-    monkeypatch.setattr(program, "Patience", lambda: patience)
+    monkeypatch.setattr(program, "StartupRetries", lambda: patience)
     monkeypatch.setattr(program.gc, "freeze", lambda: None)
     monkeypatch.setattr(Process, "run", lambda process: made.append(process))
     monkeypatch.setattr(Log, "line", lambda *_: None)
