--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -25,8 +25,8 @@
 from gaproute.http1 import Limits, Reader, Server, render
 from gaproute.load import Crowd, read_load
 from gaproute.loop import Listener, Loop, Promise, Stream
-from gaproute.loop.loop import READ
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
+from gaproute.loop.descriptors import READ
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 IDLE = 60 * SECOND
@@ -68,14 +68,14 @@
         limits = Limits(idle_time=IDLE, connections=10**6)
         self.server = Server(loop, where, self.handle, limits, counted=True)
         self.address = self.server.address
-        drop = self.server.lot._drop
+        drop = self.server.connections._close_parked
 
         def timed(fd):
-            if sys._getframe(1).f_code.co_name == "_tick":
-                self.late.append(loop.now() - self.server.lot.due[fd])
+            if sys._getframe(1).f_code.co_name == "_close_expired":
+                self.late.append(loop.now() - self.server.connections.idle_until[fd])
             drop(fd)
 
-        self.server.lot._drop = timed
+        self.server.connections._close_parked = timed
 
     @property
     def held(self):
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -18,14 +18,14 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from benchmarks.rows import write
-from gaproute.decisions.connections.pooling import LONGEST, Pooling
+from gaproute.decisions.connections.pooling import MAX_IDLE, Pooling
 from gaproute.hosts.fleet import Hosts
 from gaproute.hosts.rows import Row
 from gaproute.http1 import Limits, Server
 from gaproute.interface import Idempotency, ListedHost, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Promise
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -33,22 +33,22 @@
 class AnyRest(Pooling):
     """The common way: a kept connection is used as long as it looks open."""
 
-    def safe_rest(self, now, worker, effect, told):
-        return LONGEST
+    def max_idle(self, now, worker, effect, told):
+        return MAX_IDLE
 
 
 class AlwaysNew(Pooling):
     """A new connection for every effectful task."""
 
-    def safe_rest(self, now, worker, effect, told):
-        return LONGEST if effect is Idempotency.IDEMPOTENT else -1
+    def max_idle(self, now, worker, effect, told):
+        return MAX_IDLE if effect is Idempotency.IDEMPOTENT else -1
 
 
 class SeenOnly(Pooling):
     """Half the shortest rest after which the host was seen to close one, and nothing known beforehand."""
 
-    def safe_rest(self, now, worker, effect, told):
-        return super().safe_rest(now, worker, Idempotency.IDEMPOTENT, told)
+    def max_idle(self, now, worker, effect, told):
+        return super().max_idle(now, worker, Idempotency.IDEMPOTENT, told)
 
 
 def listeners(count, tells, idle_time=SECOND):
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -25,7 +25,7 @@
 from gaproute.http1 import Exchange, Link, Server
 from gaproute.interface import Attempt, Wait
 from gaproute.loop import Loop, connect
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
 MODELS = 300
--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.reports.roll import Roll
 from gaproute.http1 import render
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import Giver, Learner, wire
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import Record
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -12,7 +12,7 @@
 
 from gaproute.http1 import Exchange, Link
 from gaproute.loop import Loop, connect
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
 LINKS = 128  # connections to each gateway
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -45,18 +45,18 @@
 
 def serve(file, form):
     if form == "one line":
-        from gaproute.connections import Lot
-        from gaproute.decisions.admission.admission import ARRIVING, FRESH, Admission
+        from gaproute.connections import AcceptedConnections
+        from gaproute.decisions.admission.admission import Admission, AdmissionQueue
 
-        def look(lot, events, seen):
+        def look(connections, events, seen):
             for fd, _ in events:
-                if lot.state[fd] == 1:
-                    lot.state[fd] = 2
-                    lot.fresh.append((fd, seen))
+                if connections.states[fd] == 1:
+                    connections.states[fd] = 2
+                    connections.new_queue.append((fd, seen))
 
-        Lot.look = look
-        Admission.next = lambda self, known, fresh, arriving: (
-            ARRIVING if arriving else FRESH if fresh else None
+        AcceptedConnections.enqueue_events = look
+        Admission.next_queue = lambda self, returning, new, arriving: (
+            AdmissionQueue.ARRIVING if arriving else AdmissionQueue.NEW if new else None
         )
     from gaproute.cli.main import main
 
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -95,7 +95,7 @@
 
 
 class Lazy:
-    """The calendar as the lot uses it."""
+    """The calendar as parked connections use it."""
 
     def __init__(self, count):
         self.calendar, self.due = Calendar(), [0] * count
@@ -109,7 +109,7 @@
 
     def step(self, now):
         fired = 0
-        for thing, _ in self.calendar.take(now, MOST):
+        for thing, _ in self.calendar.take_due(now, MOST):
             if self.due[thing] > now:
                 self.calendar.add(thing, self.due[thing])
             else:
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -27,7 +27,7 @@
 from gaproute.cluster.addresses import between
 from gaproute.loop import Listener, Loop, Stream
 from gaproute.loop.datagrams import READS
-from gaproute.loop.loop import READ
+from gaproute.loop.descriptors import READ
 
 SECOND = 1_000_000_000
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -8,7 +8,7 @@
 from gaproute.appliance.cells import Cells
 from gaproute.appliance.operator import Operator
 from gaproute.appliance.others import Others
-from gaproute.connections import Lot
+from gaproute.connections import AcceptedConnections
 from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import Admission
@@ -19,8 +19,8 @@
 from gaproute.hosts.fleet import Hosts, Reach
 from gaproute.interface import State
 from gaproute.loop import Loop
-from gaproute.loop.loop import READ
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
+from gaproute.loop.descriptors import READ
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import Record
 
@@ -58,9 +58,9 @@
         self.seed = seed
         self.client_fronts = []
         self.fronts, self.watch, self.started = [], None, loop.now()
-        self.lot = Lot.of(loop)
+        self.connections = AcceptedConnections.of(loop)
         clients = configuration.clients
-        self.lot.admission = Admission(
+        self.connections.admission = Admission(
             clients.connections, clients.per_address, descriptors(), Chance(seed + 3)
         )
         self.make_others = partial(Others, loop, configuration, gateway, self.record, seed, self.cells)
@@ -108,7 +108,7 @@
             listens=[front.address for front in self.fronts],
             hosts=len(self.rows),
             descriptors=descriptors(),
-            clients=self.lot.admission.most,
+            clients=self.connections.admission.max_connections,
         )
 
     def listed(self, lines):
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -10,7 +10,7 @@
 
 
 def status(gate):
-    counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
+    counts, others, connections, hosts = gate.record.table(), gate.others, gate.connections, gate.hosts
     giver, writer, learner = others.giver, others.observation_writer, others.learner
     return {
         "name": gate.configuration.name,
@@ -21,14 +21,14 @@
         "late_turns": gate.loop.late_turns,
         "counts": counts,
         "clients": {
-            "connections": lot.held,
-            "most": lot.admission.most,
-            "parked": lot.parked,
-            "displaced": lot.displaced,
-            "turned_away": lot.turned_away,
-            "idle_ended": lot.expired,
+            "connections": connections.client_count,
+            "most": connections.admission.max_connections,
+            "parked": connections.parked_count,
+            "displaced": connections.evicted,
+            "turned_away": connections.rejected,
+            "idle_ended": connections.expired,
             "descriptors": descriptors(),
-            "kept_back": lot.admission.reserve,
+            "kept_back": connections.admission.reserved_descriptors,
         },
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
         "gateways": others.gossip.membership.live_count() if others.gossip else None,
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -9,7 +9,7 @@
 from gaproute.decisions.reports.roll import Roll
 from gaproute.discovery.listing import FileWatch
 from gaproute.http1 import Limits
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import Giver, Learner, MembershipTransport
 from gaproute.peers.giver import LIMITS
 from gaproute.peers.gossip import Carrier
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -14,14 +14,14 @@
 import sys
 
 from gaproute.config import ConfigurationError, read_configuration
-from gaproute.decisions.admission.restarts import Restarts
+from gaproute.decisions.admission.restarts import RestartBackoff
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop, Promise
-from gaproute.loop.connecting import listening
+from gaproute.loop.addresses import address
+from gaproute.loop.descriptors import READ
 from gaproute.loop.faults import Backoff, cause_of
-from gaproute.loop.loop import READ
+from gaproute.loop.listening import open_listening_socket
 from gaproute.loop.starting import retry_time
-from gaproute.loop.streams import address
 from gaproute.telemetry.logs import logger
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -131,7 +131,7 @@
         self.file, self.configuration, self.count, self.seed = file, configuration, count, seed
         self.loop = loop or Loop()
         self.log = log or logger(level=configuration.log_level).bind(gateway=f"{configuration.name}, parent")
-        self.restarts = Restarts(Chance(os.getpid() if seed is None else seed))
+        self.restarts = RestartBackoff(Chance(os.getpid() if seed is None else seed))
         self.children = {}  # seat: Child
         self.sockets = {}  # address as configured: its listening socket
         self.stopping = self.rolling = False
@@ -145,7 +145,7 @@
         try:
             for where in wanted:
                 if where not in self.sockets:
-                    fresh[where] = listening(address(where))
+                    fresh[where] = open_listening_socket(address(where))
         except OSError:
             for sock in fresh.values():
                 sock.close()
@@ -196,7 +196,7 @@
                 self.loop.stop()
             return
         now = self.loop.now()
-        when = self.restarts.died(now, seat, now - child.started)
+        when = self.restarts.schedule_restart(now, seat, now - child.started)
         self.log.warning("child died", seat=seat, code=code, again_ms=(when - now) // MILLI)
         self.loop.at(when, self._back, seat)
 
@@ -207,7 +207,7 @@
             self._start(seat)
         except OSError as fault:
             now = self.loop.now()
-            when = self.restarts.died(now, seat, 0)
+            when = self.restarts.schedule_restart(now, seat, 0)
             self.log.warning("child not started", seat=seat, error=str(fault), again_ms=(when - now) // MILLI)
             self.loop.at(when, self._back, seat)
 
--- a/gaproute/cli/asking.py
+++ b/gaproute/cli/asking.py
@@ -9,7 +9,7 @@
 from rich.table import Table
 
 from gaproute.cli.common import json_option, show_table
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 at_option = click.option("--at", "where", required=True, help="Its `listen operator` address.")
 
--- a/gaproute/cluster/asking.py
+++ b/gaproute/cluster/asking.py
@@ -4,7 +4,7 @@
 
 from gaproute.http1 import Exchange
 from gaproute.loop import Promise
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI = 1_000_000
 CONNECT, ANSWER = 200 * MILLI, 400 * MILLI  # a gateway that stands still answers nothing: then again
--- a/gaproute/cluster/wire/__main__.py
+++ b/gaproute/cluster/wire/__main__.py
@@ -23,7 +23,7 @@
 from gaproute.cluster.wire.weather import Weather
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
-from gaproute.loop.loop import READ
+from gaproute.loop.descriptors import READ
 
 BACKLOG = 4096  # connections that the kernel opens before the wire takes them
 
--- a/gaproute/cluster/wire/datagrams.py
+++ b/gaproute/cluster/wire/datagrams.py
@@ -5,8 +5,8 @@
 
 from gaproute.cluster.addresses import between, pair
 from gaproute.cluster.wire.weather import HELD
-from gaproute.loop.loop import READ
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
+from gaproute.loop.descriptors import READ
 
 LONGEST = 65535  # bytes of a message: UDP's own limit
 READS = 64  # messages taken in one turn, so that streams get their share of it
--- a/gaproute/cluster/wire/ends.py
+++ b/gaproute/cluster/wire/ends.py
@@ -11,7 +11,7 @@
 from collections import deque
 
 from gaproute.cluster.wire.weather import HELD
-from gaproute.loop.loop import HANGUP, READ, WRITE
+from gaproute.loop.descriptors import HANGUP, READ, WRITE
 
 CHUNK = 65536  # bytes read in one call
 HIGH, LOW = 1 << 18, 1 << 16  # bytes under way in one direction: reading stops above, goes on below
--- a/gaproute/cluster/wire/faults.py
+++ b/gaproute/cluster/wire/faults.py
@@ -23,7 +23,7 @@
 from socket import AF_INET
 from typing import NamedTuple
 
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI = 1_000_000
 KINDS = ("delay", "lose", "double", "reorder", "cut", "hold", "reset")
--- a/gaproute/cluster/wire/refusals.py
+++ b/gaproute/cluster/wire/refusals.py
@@ -14,7 +14,7 @@
 from gaproute.cluster.wire import gate
 from gaproute.cluster.wire.datagrams import PKTINFO
 from gaproute.cluster.wire.weather import HELD
-from gaproute.loop.loop import READ
+from gaproute.loop.descriptors import READ
 
 READS = 64  # packets taken in one turn
 FLAGS, PORT = 33, 22  # in a packet without IP options, as loopback's are: TCP's flags and port called
--- a/gaproute/cluster/wire/streams.py
+++ b/gaproute/cluster/wire/streams.py
@@ -16,7 +16,7 @@
 from gaproute.cluster.wire.refusals import Refusals
 from gaproute.cluster.wire.weather import HELD
 from gaproute.loop import Listener, connect
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 WITHIN = 130_000_000_000  # ns: as long as Linux tries to connect; then the caller's end is reset
 GIVEN_UP = select.EPOLLRDHUP  # and errors, which epoll always tells
--- a/gaproute/cluster/wires.py
+++ b/gaproute/cluster/wires.py
@@ -4,7 +4,7 @@
 import os
 
 from gaproute.cluster import sets
-from gaproute.loop.loop import HANGUP, READ
+from gaproute.loop.descriptors import HANGUP, READ
 from gaproute.scenarios.processes import MILLI, SECOND, NotReady
 
 ANSWER = 5 * SECOND  # for a wire to say its counts: one that takes longer ran late anyway
--- a/gaproute/config/values.py
+++ b/gaproute/config/values.py
@@ -5,7 +5,7 @@
 
 from pydantic import BeforeValidator, Field
 
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 NANOSECONDS = {
     "ns": 1,
--- a/gaproute/connections/__init__.py
+++ b/gaproute/connections/__init__.py
@@ -1,6 +1,6 @@
-"""Connections between their requests: parked without frame, buffer, parser or timer of their own."""
+"""Accepted connections between their requests: parked without buffer, parser or timer of their own."""
 
+from gaproute.connections.accepted import AcceptedConnections
 from gaproute.connections.calendar import Calendar
-from gaproute.connections.lot import Lot
 
-__all__ = ["Calendar", "Lot"]
+__all__ = ["AcceptedConnections", "Calendar"]
--- /dev/null
+++ b/gaproute/connections/accepted.py
@@ -0,0 +1,243 @@
+"""The accepted connections of a loop: accepting, reading parked ones that send, and evicting idle ones.
+
+Parked descriptors are watched by an epoll of their own inside the loop's, each until its first event. So many
+connections that send at once are one event to the loop: requests in flight and their timers go first, and
+what waits is served by the decisions on admission in the time that is left. A request counts from when it was
+seen to wait.
+"""
+
+from __future__ import annotations
+
+import os
+from collections import deque
+from collections.abc import Iterable, Iterator
+
+from gaproute.connections.descriptors import descriptors
+from gaproute.connections.owner import ConnectionOwner
+from gaproute.connections.parked import NOT_PARKED, PARKED, QUEUED, ParkedConnections
+from gaproute.decisions.admission.admission import (
+    EVICTION_SAMPLE,
+    FULL_RETRY_PAUSE,
+    Admission,
+    AdmissionQueue,
+    IdleConnection,
+    Verdict,
+)
+from gaproute.decisions.chance import Chance
+from gaproute.loop.faults import is_transient
+from gaproute.loop.listening import Listener
+from gaproute.loop.loop import MAX_PARKED_EVENTS, Loop
+from gaproute.loop.streams import Stream
+
+READ_SIZE = 65536  # bytes read from a connection that is resumed
+MIN_READ_DELAY = 5_000_000  # ns of waiting that count: less is within any turn
+MAX_SCANNED = 4 * EVICTION_SAMPLE  # entries looked at to find a sample of idle connections
+UNLIMITED = 1 << 30
+
+Waiting = tuple[int, int]  # a parked connection that has sent something: its descriptor, when that was seen
+
+
+class AcceptedConnections(ParkedConnections):
+    """The accepted connections of a loop and the queues of those that wait to be served; one for a loop."""
+
+    def __init__(self, loop: Loop, admission: Admission | None = None) -> None:
+        super().__init__(loop)
+        self.admission = admission or Admission(UNLIMITED, UNLIMITED, descriptors(), Chance(1))
+        self.returning_queue: deque[Waiting] = deque()
+        self.new_queue: deque[Waiting] = deque()
+        self.ready_listeners: dict[Listener, ConnectionOwner] = {}  # in the order in which they accept
+        self.evicted = self.rejected = 0
+        loop.connections = self
+
+    @classmethod
+    def of(cls, loop: Loop) -> AcceptedConnections:
+        """Those of the loop, made where it has none."""
+        return loop.connections if isinstance(loop.connections, cls) else cls(loop)
+
+    # Accepting
+
+    def enqueue_listener(self, listener: Listener, owner: ConnectionOwner) -> None:
+        """The listener has connections to accept."""
+        self.ready_listeners[listener] = owner
+        self.loop.admission_pending = True
+
+    def _accept_one(self) -> None:
+        listener, owner = next(iter(self.ready_listeners.items()))
+        del self.ready_listeners[listener]
+        if self.admission.queue_when_full and owner.counted and not self.has_capacity():
+            listener.pause(FULL_RETRY_PAUSE)
+            return
+        accepted = listener.accept()
+        if accepted is None:
+            return
+        self.ready_listeners[listener] = owner  # behind the others, until it has none left
+        owner.accept_connection(accepted.sock, accepted.address)
+
+    def has_capacity(self) -> bool:
+        """Whether one more client can be accepted, at the cost of an idle connection where it is full."""
+        if self.client_count < self.admission.max_connections:
+            return True
+        return self._evictable_stream() is not None or self._eviction_candidate() is not None
+
+    def admit(self, address: str, counted: bool) -> int | None:
+        """The id of an arrival's address, or None where it is rejected.
+
+        `counted`: whether it takes of the clients' share of connections; operators and peers do not.
+        """
+        if counted:
+            if not self._admits_client(address):
+                self.rejected += 1
+                return None
+            self.client_count += 1
+        return self.address_counts.add(address)
+
+    def _admits_client(self, address: str) -> bool:
+        address_count = self.address_counts.count(address)
+        verdict = self.admission.admit(self.client_count, address_count, can_evict=True)
+        if verdict is not Verdict.EVICT:
+            return verdict is Verdict.ACCEPT
+        # With `queue_when_full` capacity was asked for before the accept: who was idle then has just sent.
+        return self._evict_one() or self.admission.queue_when_full
+
+    # Evicting
+
+    def evict_idle(self) -> None:
+        """Closes some idle connections, the oldest first, as no descriptor was to be had."""
+        self._poll_all()  # one that has just sent something is not idle
+        for fd in self.admission.oldest_idle(self.loop.now(), self._idle_sample()):
+            self.evicted += self._close_idle(fd)
+
+    def _evict_one(self) -> bool:
+        stream = self._evictable_stream()
+        if stream is not None:
+            stream.reset()
+            return True
+        while (fd := self._eviction_candidate()) is not None:
+            if self._close_idle(fd):
+                self.evicted += 1
+                return True
+        return False
+
+    def _evictable_stream(self) -> Stream | None:
+        """The stream that has been closing longest, of those whose answers were taken, where that is long
+        enough; it too counts as a connection."""
+        now = self.loop.now()
+        for stream, since in self.loop.closing_streams.items():
+            if not self.admission.is_evictable(now, since):
+                return None  # nor are those behind it
+            if stream.is_acknowledged():
+                return stream
+        return None
+
+    def _eviction_candidate(self) -> int | None:
+        return self.admission.eviction_candidate(self.loop.now(), self._idle_sample())
+
+    def _idle_sample(self) -> list[IdleConnection]:
+        """All parked connections where they are few, else those whose idle deadline is next."""
+        self.poll_unregistered()
+        scan_all = self.parked_count <= MAX_SCANNED
+        scanned = range(len(self.states)) if scan_all else self.calendar.earliest(MAX_SCANNED)
+        idle = [
+            IdleConnection(self.request_counts[fd], self.idle_since[fd], fd)
+            for fd in scanned
+            if self.states[fd] == PARKED and self.owners[self.owner_ids[fd]].counted
+        ]
+        return idle if scan_all else idle[:EVICTION_SAMPLE]
+
+    def _close_idle(self, fd: int) -> bool:
+        """Closes a parked connection unless it has sent something by now, which a close would reset."""
+        self._poll_all()
+        if self.states[fd] != PARKED:
+            return False
+        self._close_parked(fd)
+        return True
+
+    def _poll_all(self) -> None:
+        """Queues those that have sent something by now."""
+        self.loop.admission_pending = True
+        while True:
+            events = self.loop.poll_parked(MAX_PARKED_EVENTS)
+            self.enqueue_events(events, self.loop.now())
+            if len(events) < MAX_PARKED_EVENTS:  # each is told once
+                return
+
+    # Serving
+
+    def enqueue_events(self, events: Iterable[tuple[int, int]], seen: int) -> None:
+        """What the inner epoll told: they wait in a queue from `seen` on."""
+        for fd, _ in events:
+            if self.states[fd] == PARKED:
+                self.states[fd] = QUEUED
+                queue = self.returning_queue if self.request_counts[fd] else self.new_queue
+                queue.append((fd, seen))
+
+    def serve(self, until: int) -> bool:
+        """Serves the queues until that time, one connection at least; whether some still wait."""
+        while True:
+            queue = self.admission.next_queue(
+                len(self.returning_queue), len(self.new_queue), bool(self.ready_listeners)
+            )
+            if queue is None:
+                return bool(self.ready_listeners)
+            if queue is AdmissionQueue.ARRIVING:
+                self.loop.guard(self._accept_one)
+            else:
+                is_returning = queue is AdmissionQueue.RETURNING
+                fd, seen = (self.returning_queue if is_returning else self.new_queue).popleft()
+                if self.states[fd] == QUEUED:
+                    self.loop.guard(self._resume, fd, seen)
+            if self.loop.now() >= until:
+                return bool(self.returning_queue or self.new_queue or self.ready_listeners)
+
+    def _resume(self, fd: int, seen: int) -> None:
+        """Reads a queued connection and gives it back to its owner."""
+        try:
+            data = os.read(fd, READ_SIZE)
+        except OSError as fault:
+            if is_transient(fault):  # nothing there after all, or it cannot be read now: it is parked again
+                self.states[fd] = PARKED
+                self._schedule_expiry(fd)
+                self._watch_parked(fd, registered=True)
+                return
+            data = b""
+        if not data:
+            self._close_parked(fd)
+            return
+        self.states[fd] = NOT_PARKED
+        self.parked_count -= 1
+        owner = self.owners[self.owner_ids[fd]]
+        delay = self.loop.now() - seen
+        self.loop.read_delay = delay if delay > MIN_READ_DELAY else 0
+        try:
+            owner.resume_connection(fd, data, self.address_ids[fd], self.request_counts[fd])
+        finally:
+            self.loop.read_delay = 0
+
+    def close_owned(
+        self, owner_id: int, *, include_queued: bool = False, first_request_by: int | None = None
+    ) -> None:
+        """Closes what the owner has parked; those that have sent something only with `include_queued`.
+
+        `first_request_by`: those that have brought no request yet stay parked, until then at the latest.
+        """
+        self._poll_all()
+        self.poll_unregistered()
+        owner = self.owners[owner_id]
+        for listener in [each for each, whose in self.ready_listeners.items() if whose is owner]:
+            del self.ready_listeners[listener]
+        for fd in self._owned(owner_id):
+            if self.states[fd] == QUEUED and not include_queued:
+                continue
+            if first_request_by is not None and not self.request_counts[fd]:
+                self.idle_until[fd] = min(self.idle_until[fd], first_request_by)
+                self._schedule_expiry(fd)
+            elif include_queued:
+                self._close_parked(fd)
+            else:
+                self._close_idle(fd)
+
+    def _owned(self, owner_id: int) -> Iterator[int]:
+        """The descriptors that the owner has parked, each as it stands when it is its turn."""
+        for fd in range(len(self.states)):
+            if self.owner_ids[fd] == owner_id and self.states[fd] != NOT_PARKED:
+                yield fd
--- a/gaproute/connections/addresses.py
+++ b/gaproute/connections/addresses.py
@@ -1,43 +1,48 @@
-"""How many connections each client address has, under small numbers that parked connections can keep."""
+"""How many connections each client address has, under small numbers that parked connections can store."""
 
 from array import array
 
 
 class AddressCounts:
-    """Counts connections by address; an address has a number, its place, while it has any connection."""
+    """Counts connections by address; an address has an id while it has any connection."""
 
-    def __init__(self):
-        self.places, self.free = {}, []  # address: its place below; places to be given out again
-        self.counts, self.names = array("i"), []
+    def __init__(self) -> None:
+        self.ids: dict[str, int] = {}  # by address
+        self._free_ids: list[int] = []
+        self._counts = array("i")  # by id
+        self._addresses: list[str | None] = []  # by id
 
-    def count(self, address):
+    def count(self, address: str) -> int:
         """The connections of that address."""
-        place = self.places.get(address)
-        return self.counts[place] if place is not None else 0
-
-    def enter(self, address):
-        """Counts one more connection of that address and returns the address's place."""
-        place = self.places.get(address)
-        if place is None:
-            place = self._new_place(address)
-        self.counts[place] += 1
-        return place
-
-    def _new_place(self, address):
-        if self.free:
-            place = self.free.pop()
-            self.names[place] = address
+        address_id = self.ids.get(address)
+        return self._counts[address_id] if address_id is not None else 0
+
+    def add(self, address: str) -> int:
+        """Counts one more connection of that address and returns the address's id."""
+        address_id = self.ids.get(address)
+        if address_id is None:
+            address_id = self._new_id(address)
+        self._counts[address_id] += 1
+        return address_id
+
+    def _new_id(self, address: str) -> int:
+        if self._free_ids:
+            address_id = self._free_ids.pop()
+            self._addresses[address_id] = address
         else:
-            place = len(self.names)
-            self.names.append(address)
-            self.counts.append(0)
-        self.places[address] = place
-        return place
-
-    def leave(self, place):
-        """Counts one connection less; the place of an address without any is free for another."""
-        self.counts[place] -= 1
-        if not self.counts[place]:
-            del self.places[self.names[place]]
-            self.names[place] = None
-            self.free.append(place)
+            address_id = len(self._addresses)
+            self._addresses.append(address)
+            self._counts.append(0)
+        self.ids[address] = address_id
+        return address_id
+
+    def remove(self, address_id: int) -> None:
+        """Counts one connection less; the id of an address without any is free for another."""
+        self._counts[address_id] -= 1
+        if self._counts[address_id]:
+            return
+        address = self._addresses[address_id]
+        if address is not None:
+            del self.ids[address]
+        self._addresses[address_id] = None
+        self._free_ids.append(address_id)
--- a/gaproute/connections/calendar.py
+++ b/gaproute/connections/calendar.py
@@ -1,59 +1,74 @@
-"""Times of very many things that nearly always move before they come: slots of 10 ms, found by a heap of
-slots.
+"""A calendar queue for very many deadlines that nearly always move before they come.
 
-Picked by `benchmarks/timers.py` against a heap of timers and a hierarchical wheel. An entry is moved lazily:
-it stays in its slot, and whoever takes it there puts it in again where it is not yet due.
+Items lie in slots of 10 ms, and a heap of slot numbers finds the next one. `benchmarks/timers.py` compares it
+with a heap of timers and with a hierarchical wheel. An entry is moved lazily: it stays in its slot, and
+whoever takes it there adds it again where it is not yet due.
 """
 
 import heapq
+from typing import Generic, NamedTuple, TypeVar
 
-WIDTH = 10_000_000  # ns of a slot: what is due fires up to so much late, and never early
+SLOT_WIDTH = 10_000_000  # ns: what is due comes up to so much late, and never early
 
+Item = TypeVar("Item")
 
-class Calendar:
-    def __init__(self):
-        self.slots, self.heap = {}, []  # number: things; the numbers in use
 
-    def slot(self, due):
-        """The first slot that begins at or after the time."""
-        return -(-due // WIDTH)
+class DueItem(NamedTuple, Generic[Item]):
+    """An item that was taken, and the number of the slot that it was in."""
 
-    def add(self, thing, due):
-        """Returns the number of the slot that holds it."""
-        number = self.slot(due)
-        held = self.slots.get(number)
-        if held is None:
-            self.slots[number] = [thing]
-            heapq.heappush(self.heap, number)
+    item: Item
+    slot: int
+
+
+class Calendar(Generic[Item]):
+    """Items by the slot in which they are due."""
+
+    def __init__(self) -> None:
+        self.slots: dict[int, list[Item]] = {}  # by slot number
+        self._heap: list[int] = []  # the numbers of `slots`
+
+    def slot_of(self, due: int) -> int:
+        """The first slot that begins at or after that time, ns."""
+        return -(-due // SLOT_WIDTH)
+
+    def add(self, item: Item, due: int) -> int:
+        """Returns the number of the slot that the item is in."""
+        number = self.slot_of(due)
+        items = self.slots.get(number)
+        if items is None:
+            self.slots[number] = [item]
+            heapq.heappush(self._heap, number)
         else:
-            held.append(thing)
+            items.append(item)
         return number
 
-    def next(self):
+    def next_due(self) -> int | None:
         """When the first slot is due, or None."""
-        return self.heap[0] * WIDTH if self.heap else None
-
-    def take(self, now, most):
-        """[(thing, its slot)] of what is due, the earliest slots first, about `most` at a time."""
-        found = []
-        while self.heap and self.heap[0] * WIDTH <= now and len(found) < most:
-            number = self.heap[0]
-            held = self.slots[number]
-            room = most - len(found)
-            found += [(thing, number) for thing in held[:room]]
-            if room < len(held):
-                del held[:room]
+        return self._heap[0] * SLOT_WIDTH if self._heap else None
+
+    def take_due(self, now: int, limit: int) -> list[DueItem[Item]]:
+        """Removes and returns what is due, the earliest slots first, at most `limit` items."""
+        found: list[DueItem[Item]] = []
+        while self._heap and self._heap[0] * SLOT_WIDTH <= now and len(found) < limit:
+            number = self._heap[0]
+            items = self.slots[number]
+            remaining = limit - len(found)
+            found += [DueItem(item, number) for item in items[:remaining]]
+            if remaining < len(items):
+                del items[:remaining]
             else:
-                del self.slots[heapq.heappop(self.heap)]
+                del self.slots[heapq.heappop(self._heap)]
         return found
 
-    def first(self, most):
-        """Up to `most` things of the earliest slots, which stay where they are."""
-        found, heads = [], [(self.heap[0], 0)] if self.heap else []
-        while heads and len(found) < most:
-            number, place = heapq.heappop(heads)
+    def earliest(self, limit: int) -> list[Item]:
+        """Up to `limit` items of the earliest slots, which stay where they are."""
+        found: list[Item] = []
+        # Walks the heap in the order of its numbers: (slot number, position in the heap).
+        frontier = [(self._heap[0], 0)] if self._heap else []
+        while frontier and len(found) < limit:
+            number, position = heapq.heappop(frontier)
             found += self.slots[number]
-            for child in (2 * place + 1, 2 * place + 2):
-                if child < len(self.heap):
-                    heapq.heappush(heads, (self.heap[child], child))
-        return found[:most]
+            for child in (2 * position + 1, 2 * position + 2):
+                if child < len(self._heap):
+                    heapq.heappush(frontier, (self._heap[child], child))
+        return found[:limit]
--- a/gaproute/connections/descriptors.py
+++ b/gaproute/connections/descriptors.py
@@ -1,8 +1,8 @@
-"""The operating system's bound on open descriptors."""
+"""The operating system's limit on open descriptors."""
 
 import resource
 
 
-def descriptors():
-    """The process's limit on open descriptors."""
+def descriptors() -> int:
+    """The process's soft limit on open descriptors."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[0]
--- a/gaproute/decisions/admission/__init__.py
+++ b/gaproute/decisions/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who comes in at admission and must leave it; when a process that died comes back."""
+"""Decisions on connections of clients and on restarts, without I/O: clock and randomness are handed in."""
--- a/gaproute/decisions/admission/admission.py
+++ b/gaproute/decisions/admission/admission.py
@@ -1,93 +1,158 @@
-"""Who comes in at admission and who must leave: decisions only, no sockets, the clock and the chance handed
-in.
+"""Which connections of clients are accepted, served next, and closed to free capacity.
 
-Connections of clients wait in three lines: those that speak and spoke before (known), those that speak for
-the first time (fresh), and those that ask to be accepted (arriving). Work in hand comes before all three;
-what is left of each turn is shared here.
+Decisions only: no sockets; clock and randomness are handed in, times are int nanoseconds.
+
+Connections of clients wait in three queues: those that send and have sent a request before (returning), those
+that send for the first time (new), and those that wait to be accepted (arriving). Requests in flight come
+before all three; what is left of each turn of the event loop is divided here.
 """
 
+from collections.abc import Sequence
+from enum import Enum
+from typing import NamedTuple
+
+from gaproute.decisions.chance import Chance
+
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-ADMISSION_TIME = 3 * MILLI  # of each turn at most for what waits there: tasks in hand wait no longer
-KNOWN_SHARE = 3  # of each 4 turns at admission go to the known while others wait: after a power cut
-#                          the district that comes back is fresh; those that stayed must not wait behind
-FRESH_MOST = 512  # fresh ones that wait before no more are accepted: the kernel's queue holds the
-#                          rest, and what is accepted is served within a second
-SPARE = 2 * SECOND  # idle for less, none is closed for another's sake: newcomers must not close
-#                          each other
-SAMPLE = 64  # of the idle longest, among which the least valuable is picked
-FULL = 0.95  # of the connections allowed from which on answers say that the connection closes
-JITTER = 0.1  # of the idle time, added by chance: what came at one moment must not close at one
-RESERVE = 64  # descriptors that clients can never take: lists, logs, operators, peers, taking over
-HOSTS_SHARE = 0.03  # of all descriptors kept for connections to hosts: 600 of the usual 20,000
+# At most, of each turn of the loop, for what waits here: requests in flight wait no longer than that.
+ADMISSION_TIME = 3 * MILLI
+# Of each 4 turns, for returning connections while others wait: after a power cut all that come back are new,
+# and those that stayed must not wait behind them.
+RETURNING_SHARE = 3
+# New connections that wait before no more are accepted: the kernel's backlog holds the rest, and what is
+# accepted is served within a second.
+MAX_NEW_WAITING = 512
+# Idle for less, none is closed for another's sake: arrivals must not close each other.
+MIN_IDLE = 2 * SECOND
+EVICTION_SAMPLE = 64  # of the longest idle, among which the least valuable is picked
+NEARLY_FULL = 0.95  # of the connections allowed, from which on answers announce the connection's close
+# Of the idle time, added at random: what came at one moment must not close at one.
+IDLE_JITTER = 0.1
+# Descriptors that clients can never take: host lists, logs, operators, peers, handover.
+RESERVED_DESCRIPTORS = 64
+HOST_DESCRIPTOR_SHARE = 0.03  # of all descriptors, for connections to hosts: 600 of the usual 20,000
+
+# Idle connections closed each time that descriptors run out: what failed is retried some 100 ms later, and as
+# many may come meanwhile.
+EVICTIONS_PER_SHORTAGE = 8
+# As `MIN_IDLE`, where clients send again what crosses a close: capacity must serve those that send, and an
+# idle connection gives way to a request that is there.
+MIN_IDLE_WITH_RETRIES = 100 * MILLI
+# Until a full gateway looks again for an idle connection: a tenth of that minimum.
+FULL_RETRY_PAUSE = 10 * MILLI
+# Of a client's deadline, kept for the final answer: a turn of a busy loop and the network.
+RESPONSE_MARGIN = 12 * MILLI
+
+_JITTER_STEPS = 1 << 20
+
+
+class Verdict(Enum):
+    """What is done with a connection that arrives."""
+
+    ACCEPT = "accept"
+    EVICT = "evict"  # accept it in place of an idle one
+    REJECT = "reject"
+
+
+class AdmissionQueue(Enum):
+    """What connections wait for: to be read, or to be accepted."""
 
-SHORT = 8  # idle ones closed each time that no descriptor is to be had: what failed is tried
-#                          again some 100 ms later, and as many may come meanwhile
-RESTED = 100 * MILLI  # the same where clients send once more what crosses a close: the house must hold
-#                          those at work, and one that rests makes room for a request that is there
-HOLD = 10 * MILLI  # until a full house looks again for one that rests: a tenth of the rest asked for
-WAY_BACK = 12 * MILLI  # of a client's time kept for the final answer: a turn of a busy loop and the way
+    RETURNING = "returning"
+    NEW = "new"
+    ARRIVING = "arriving"
 
-TAKE, DISPLACE, TURN_AWAY = "take", "displace", "turn away"
-KNOWN, FRESH, ARRIVING = "known", "fresh", "arriving"
 
+class IdleConnection(NamedTuple):
+    """A parked connection. The order of the fields is that of eviction: the least valuable first."""
 
-def way_back():
-    """How much of a client's time is kept for its final answer to leave and arrive."""
-    return WAY_BACK
+    request_count: int
+    idle_since: int
+    descriptor: int
+
+
+def response_margin() -> int:
+    """How much of a client's deadline is kept for its final answer to leave and arrive, ns."""
+    return RESPONSE_MARGIN
 
 
 class Admission:
-    """`most`: connections of clients that the operator allows; `descriptors`: the process's limit."""
-
-    def __init__(self, most, per_address, descriptors, chance, spare=SPARE, patient=False, reserve=None):
-        """`reserve`: descriptors that clients can never take, where others have shares of their own.
-        `spare`: rest from which a parked connection may make room; less where clients ask again.
-        `patient`: arrivals at a full house wait in the kernel's queue, where no rested one makes room."""
-        self.spare, self.patient = spare, patient
-        self.reserve = RESERVE + int(HOSTS_SHARE * descriptors) if reserve is None else reserve
-        self.most = max(1, min(most, descriptors - self.reserve))
-        self.per_address, self.chance = per_address, chance
-        self.turn = 0
-
-    def next(self, known, fresh, arriving):
-        """Whose turn it is, by how many wait in each line; None: nobody waits."""
-        arriving = arriving and fresh < FRESH_MOST
-        self.turn = (self.turn + 1) % (KNOWN_SHARE + 1)
-        if known and (self.turn or not (fresh or arriving)):
-            return KNOWN
+    """Admission control for the connections of one event loop."""
+
+    def __init__(
+        self,
+        max_connections: int,
+        max_per_address: int,
+        descriptors: int,
+        chance: Chance,
+        *,
+        min_idle: int = MIN_IDLE,
+        queue_when_full: bool = False,
+        reserved_descriptors: int | None = None,
+    ) -> None:
+        """`max_connections`: those of clients that the operator allows; `descriptors`: the process's limit.
+
+        `min_idle`: ns from which on a parked connection may be closed for another; less where clients retry.
+        `queue_when_full`: arrivals wait in the kernel's backlog while no idle connection can be closed.
+        `reserved_descriptors`: those that clients can never take, where others have shares of their own.
+        """
+        if reserved_descriptors is None:
+            reserved_descriptors = RESERVED_DESCRIPTORS + int(HOST_DESCRIPTOR_SHARE * descriptors)
+        self.reserved_descriptors = reserved_descriptors
+        self.max_connections = max(1, min(max_connections, descriptors - reserved_descriptors))
+        self.max_per_address = max_per_address
+        self.min_idle = min_idle
+        self.queue_when_full = queue_when_full
+        self._chance = chance
+        self._turn = 0
+
+    def next_queue(self, returning: int, new: int, arriving: bool) -> AdmissionQueue | None:
+        """Which queue is served now, by how many wait in each; None where nobody waits."""
+        accepting = arriving and new < MAX_NEW_WAITING
+        self._turn = (self._turn + 1) % (RETURNING_SHARE + 1)
+        if returning and (self._turn or not (new or accepting)):
+            return AdmissionQueue.RETURNING
         # Those already accepted before new ones, in turn with them: an accept costs less than an answer.
-        if fresh and (not arriving or self.chance.below(2)):
-            return FRESH
-        return ARRIVING if arriving else KNOWN if known else None
-
-    def admit(self, held, of_address, spare):
-        """Of an arrival, with `held` connections of clients, so many of its address; `spare`: whether one
-        may be displaced."""
-        if of_address >= self.per_address:
-            return TURN_AWAY
-        if held < self.most:
-            return TAKE
-        return DISPLACE if spare else TURN_AWAY
-
-    def victim(self, now, idle):
-        """Which idle connection goes, of [(descriptor, idle since, tasks it brought)]; None: none may.
-
-        The least valuable: the fewest tasks, then the longest idle.
+        if new and (not accepting or self._chance.below(2)):
+            return AdmissionQueue.NEW
+        if accepting:
+            return AdmissionQueue.ARRIVING
+        return AdmissionQueue.RETURNING if returning else None
+
+    def admit(self, client_count: int, address_count: int, *, can_evict: bool) -> Verdict:
+        """Decides on an arrival, with so many connections of clients in all and of its address.
+
+        `can_evict`: whether an idle one may be closed for it.
+        """
+        if address_count >= self.max_per_address:
+            return Verdict.REJECT
+        if client_count < self.max_connections:
+            return Verdict.ACCEPT
+        return Verdict.EVICT if can_evict else Verdict.REJECT
+
+    def is_evictable(self, now: int, idle_since: int) -> bool:
+        """Whether a connection has been idle for long enough to be closed for another."""
+        return now - idle_since >= self.min_idle
+
+    def eviction_candidate(self, now: int, idle: Sequence[IdleConnection]) -> int | None:
+        """The descriptor of the connection to be closed for another; None where none may be.
+
+        It is the least valuable: the one with the fewest requests, then the longest idle.
         """
-        spare = [(tasks, since, fd) for fd, since, tasks in idle if now - since >= self.spare]
-        return min(spare)[2] if spare else None
-
-    def oldest(self, now, idle):
-        """Those that go where no descriptor is to be had, of [(descriptor, idle since, tasks it brought)]."""
-        return [
-            fd for _, fd in sorted((since, fd) for fd, since, _ in idle if now - since >= self.spare)[:SHORT]
-        ]
-
-    def says_close(self, held):
-        """Whether answers say that the connection closes: so that a full house empties where that is safe."""
-        return held >= FULL * self.most
-
-    def idle_end(self, now, idle, spread=JITTER):
-        """When a connection that is idle from now on is closed; never before its idle time."""
-        return now + idle + int(idle * spread * self.chance.below(1 << 20) / (1 << 20))
+        evictable = [each for each in idle if now - each.idle_since >= self.min_idle]
+        return min(evictable).descriptor if evictable else None
+
+    def oldest_idle(self, now: int, idle: Sequence[IdleConnection]) -> list[int]:
+        """The descriptors to be closed where the process has run out of them, the longest idle first."""
+        evictable = sorted(
+            (each.idle_since, each.descriptor) for each in idle if now - each.idle_since >= self.min_idle
+        )
+        return [descriptor for _, descriptor in evictable[:EVICTIONS_PER_SHORTAGE]]
+
+    def announces_close(self, client_count: int) -> bool:
+        """Whether answers announce that the connection closes: a full gateway empties where that is safe."""
+        return client_count >= NEARLY_FULL * self.max_connections
+
+    def idle_deadline(self, now: int, idle: int, jitter: float = IDLE_JITTER) -> int:
+        """When a connection that is idle from now on is closed: never before the idle time `idle`, ns."""
+        return now + idle + int(idle * jitter * self._chance.below(_JITTER_STEPS) / _JITTER_STEPS)
--- a/gaproute/decisions/connections/__init__.py
+++ b/gaproute/decisions/connections/__init__.py
@@ -1,1 +1,1 @@
-"""On connections to hosts: which is kept, trusted and used again."""
+"""Decisions on connections to hosts, without I/O: their reuse, and their share of descriptors."""
--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -1,115 +1,167 @@
-"""Which kept connection a relay may go out on: decisions only, no sockets, the clock handed in.
-
-A host may close an idle connection at the very moment at which a task goes out on it. The bytes are handed
-over then, so nothing proves that the task did not run: a pure one goes again, an effectful one must be
-scrapped. A connection that rested only a moment is safe, as hosts close what has rested long. So a task that
-must not run twice takes a connection that rested much less than any host was seen or told to close after,
-else a new one, which costs a handshake. `docs/connections.md` has the other ways considered and the
-measurement.
+"""Which kept connection a request may go out on: decisions only, no sockets, the clock handed in.
+
+A host may close an idle connection at the very moment at which a request goes out on it. The kernel has taken
+the bytes then, so nothing proves that the request did not run: an idempotent one is retried, a non-idempotent
+one fails. A connection that was idle for only a moment is safe, as hosts close what has long been idle. So a
+request that must not run twice takes a connection that was idle for much less than any host was observed or
+announced to close after, else a new one, which costs a handshake. `docs/connections.md` has the alternatives
+and the measurement.
 """
 
 from collections import deque
+from collections.abc import Collection, Iterable
+from typing import NamedTuple, Protocol, TypeVar
 
 from gaproute.interface import Idempotency
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-CALM = 500 * MILLI  # rest after which a connection is not trusted with an effectful task: shorter than
-#                          the idle time of any common server (1 s and more), long beside gaps under load
-LONGEST = 20 * SECOND  # rest after which none is used: most servers close between 5 and 75 s
-SHARE = 0.5  # of the shortest rest after which this host closed one, unasked
-TOLD_SHARE = 0.9  # of the rest that the host says it keeps one for, for a pure task: one that crosses
-#                          the close goes again; a handshake saved is worth more
-TOLD_CALM = 0.25  # the same for an effectful one: far from the close, whatever the clocks and loads
-SEEN = 8  # closings remembered for each host
-SILENCE = SECOND  # nothing heard on a connection for so long when a request on it is given up: answers
-#                          take a few tenths, loads longer; a false one costs a handshake
-AT_USE = 50 * MILLI  # within it after a request was sent, unanswered, a connection ended as it was stale:
-#                          a process that dies at work ends all of them at any time
-STALE_LIFE = 10 * SECOND  # such an end says nothing after it: kept connections are tried again
-STALE_MOST = 1  # of the last SEEN kept ones at a host: above it, pure tasks too take new connections
-CARRIED = 64  # requests of a connection that may yet be answered once more, until it takes no
-#                          further one: a long life would hold all their ids. A handshake for 64 is little
-FORGET = 300 * SECOND  # a closing seen so long ago says nothing: the host may have been set up anew
+# Idle time after which no connection is used: most servers close between 5 and 75 s.
+MAX_IDLE = 20 * SECOND
+# The same for a non-idempotent request: shorter than the idle time of any common server (1 s and more), long
+# beside the gaps under load.
+MAX_IDLE_NON_IDEMPOTENT = 500 * MILLI
+OBSERVED_IDLE_SHARE = 0.5  # of the shortest idle time after which this host closed a connection, unasked
+# Of the idle time that the host announces, for an idempotent request: one that crosses the close is retried,
+# and a handshake saved is worth more.
+ANNOUNCED_IDLE_SHARE = 0.9
+# The same for a non-idempotent one: far from the close, whatever the clocks and loads.
+ANNOUNCED_IDLE_SHARE_NON_IDEMPOTENT = 0.25
+OBSERVATIONS = 8  # closes and stale ends remembered for each host
+CLOSE_MEMORY = 300 * SECOND  # after which a close says nothing: the host may have been set up anew
 
+# Nothing received on a connection for so long when a request on it is abandoned: answers take a few tenths,
+# loads longer; a false alarm costs a handshake.
+SILENCE_TIMEOUT = SECOND
+# After a request was sent; a connection that ends unanswered within it was stale. A process that dies at work
+# ends all of its connections at any time.
+STALE_END_TIME = 50 * MILLI
+STALE_MEMORY = 10 * SECOND  # after which such an end says nothing: kept connections are tried again
+# Of the last `OBSERVATIONS` at a host; above it, idempotent requests too take new connections.
+MAX_STALE_ENDS = 1
+# Requests of a connection that may yet be answered once more, until it takes no further one: a long-lived
+# connection would hold all their ids. A handshake for 64 is little.
+MAX_CARRIED_IDS = 64
 
-CLIENTS_SHARE = 0.5  # of the descriptors for clients' connections: they hold a third, and open others
-#                          while the last ones have not ended; hosts were seen to need a quarter at most
-OWN = 24  # descriptors for the log, the epolls, the listener, signals and a few to spare
 
+class ObservedClose(NamedTuple):
+    """A connection that the host closed, unasked."""
 
-def share_out(descriptors):
-    """(connections of clients, connections to hosts) that the descriptors allow."""
-    clients = int(CLIENTS_SHARE * descriptors)
-    return clients, max(1, descriptors - clients - OWN)
+    at: int
+    idle: int  # ns for which it had been idle
+
+
+class PooledConnection(Protocol):
+    """What is read of a kept connection that carries several requests at once."""
+
+    @property
+    def trusted(self) -> bool:
+        """Whether it may take further requests."""
+
+    @property
+    def open(self) -> Collection[str]:
+        """The ids of the requests on it."""
+
+    @property
+    def carried(self) -> Collection[str]:
+        """The ids that may yet be answered once more."""
+
+    @property
+    def used(self) -> int:
+        """When it was last in use."""
+
+
+Connection = TypeVar("Connection", bound=PooledConnection)
 
 
 class Pooling:
-    def __init__(self):
-        self.closings = {}  # worker: (time, how long the connection had rested)
-        self.stale = {}  # worker: when kept connections ended at their next use
+    """What was observed of hosts that close connections, and which connection a request may use."""
 
-    def closed(self, now, worker, rested):
-        """The host closed a connection that had rested so long."""
-        self.closings.setdefault(worker, deque(maxlen=SEEN)).append((now, rested))
+    def __init__(self) -> None:
+        self._closes: dict[str, deque[ObservedClose]] = {}  # by host
+        self._stale_ends: dict[str, deque[int]] = {}  # by host: when kept connections ended at their next use
 
-    def gone(self, worker):
-        self.closings.pop(worker, None)
-        self.stale.pop(worker, None)
+    def record_close(self, now: int, host: str, idle: int) -> None:
+        """The host closed a connection that had been idle for that long, ns."""
+        closes = self._closes.setdefault(host, deque(maxlen=OBSERVATIONS))
+        closes.append(ObservedClose(now, idle))
 
-    def ended(self, now, worker, rested, since):
-        """A kept connection ended under a request that nothing had answered, so long after it was sent."""
-        if rested >= 0 and since < AT_USE:
-            self.stale.setdefault(worker, deque(maxlen=SEEN)).append(now)
+    def forget_host(self, host: str) -> None:
+        """The host has left the endpoint list."""
+        self._closes.pop(host, None)
+        self._stale_ends.pop(host, None)
 
-    def keeps(self, now, worker, effect):
-        """Whether kept connections to that worker may be used at all.
+    def record_stale_end(self, now: int, host: str, idle: int, since_sent: int) -> None:
+        """A connection ended under a request that nothing had answered, `since_sent` ns after it was sent.
 
-        Guards against hosts, and what stands before them, that end a kept connection at its next use: a pure
-        task loses a round trip there and an effectful one all. Harms, by a handshake a task, where a few died
-        by chance.
+        `idle`: for how long the connection had been idle before, negative for one in use.
         """
-        if (
-            effect is not Idempotency.IDEMPOTENT
-        ):  # one host's is enough: what ends them stands before all hosts
-            return not any(times and now - times[-1] < STALE_LIFE for times in self.stale.values())
-        return sum([now - at < STALE_LIFE for at in self.stale.get(worker, ())]) <= STALE_MOST
-
-    def safe_rest(self, now, worker, effect, told):
-        """How long a connection may have rested to be used; `told` is what the host says it keeps one, or
-        None."""
-        seen = [rested for at, rested in self.closings.get(worker, ()) if now - at < FORGET]
-        longest = LONGEST if effect is Idempotency.IDEMPOTENT else CALM
-        if told is not None:
-            longest = min(
-                LONGEST, int(told * (TOLD_SHARE if effect is Idempotency.IDEMPOTENT else TOLD_CALM))
+        if idle >= 0 and since_sent < STALE_END_TIME:
+            self._stale_ends.setdefault(host, deque(maxlen=OBSERVATIONS)).append(now)
+
+    def allows_reuse(self, now: int, host: str, idempotency: Idempotency) -> bool:
+        """Whether kept connections to that host may be used at all.
+
+        Guards against hosts, and what stands before them, that end a kept connection at its next use: an
+        idempotent request loses a round trip there and a non-idempotent one all. It costs a handshake a
+        request where a few connections died by chance.
+        """
+        if idempotency is not Idempotency.IDEMPOTENT:
+            # One host's is enough: what ends them stands before all hosts.
+            return not any(ends and now - ends[-1] < STALE_MEMORY for ends in self._stale_ends.values())
+        return sum([now - at < STALE_MEMORY for at in self._stale_ends.get(host, ())]) <= MAX_STALE_ENDS
+
+    def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
+        """For how long a connection may have been idle to be used, ns.
+
+        `announced`: the idle time after which the host says that it closes, None where it says nothing.
+        """
+        observed = [close.idle for close in self._closes.get(host, ()) if now - close.at < CLOSE_MEMORY]
+        longest = MAX_IDLE if idempotency is Idempotency.IDEMPOTENT else MAX_IDLE_NON_IDEMPOTENT
+        if announced is not None:
+            share = (
+                ANNOUNCED_IDLE_SHARE
+                if idempotency is Idempotency.IDEMPOTENT
+                else ANNOUNCED_IDLE_SHARE_NON_IDEMPOTENT
             )
-        return min(longest, int(min(seen) * SHARE)) if seen else longest
+            longest = min(MAX_IDLE, int(announced * share))
+        return min(longest, int(min(observed) * OBSERVED_IDLE_SHARE)) if observed else longest
 
     # Connections that carry several requests at once
 
-    def silent(self, now, since):
-        """Whether a request given up was met by a silence that says that its connection is dead."""
-        return now - since > SILENCE
-
-    def pick(self, now, worker, effect, links, name, most, told):
-        """The connection for a request of that id, or None for a new one; one with requests open is only a
+    def is_silent(self, now: int, last_received: int) -> bool:
+        """Whether a request that is abandoned shows its connection to be dead."""
+        return now - last_received > SILENCE_TIMEOUT
+
+    def choose(
+        self,
+        now: int,
+        host: str,
+        idempotency: Idempotency,
+        connections: Iterable[Connection],
+        request_id: str,
+        max_open: int,
+        announced: int | None,
+    ) -> Connection | None:
+        """The connection for a request of that id, None for a new one; one with requests open is only a
         second choice, for where no new one can be had.
 
-        One relay a connection as long as they last: a spoilt answer or a reset ends all that is on it. Never
-        one that has carried the id before: a late answer to that would be taken for this one's.
+        One attempt a connection as long as they last: a broken answer or a reset ends all that is on it.
+        Never one that has carried the id before: a late answer to that would be taken for this one's.
         """
-        free, shared = None, None
-        if not self.keeps(now, worker, effect):
-            told = 0
-        for link in links:
-            if not link.trusted or name in link.open or name in link.carried or len(link.carried) >= CARRIED:
+        free: Connection | None = None
+        shared: Connection | None = None
+        if not self.allows_reuse(now, host, idempotency):
+            announced = 0
+        for link in connections:
+            if not link.trusted or request_id in link.open or request_id in link.carried:
+                continue
+            if len(link.carried) >= MAX_CARRIED_IDS:
                 continue
             if not link.open:
-                if (free is None or link.used > free.used) and now - link.used <= self.safe_rest(
-                    now, worker, effect, told
-                ):
+                is_latest = free is None or link.used > free.used
+                if is_latest and now - link.used <= self.max_idle(now, host, idempotency, announced):
                     free = link
-            elif len(link.open) < most and (shared is None or len(link.open) < len(shared.open)):
+            elif len(link.open) < max_open and (shared is None or len(link.open) < len(shared.open)):
                 shared = link
         return free or shared
--- a/gaproute/discovery/changelog/cell.py
+++ b/gaproute/discovery/changelog/cell.py
@@ -9,7 +9,7 @@
 from urllib.parse import quote
 
 from gaproute.discovery.changelog.follow import SECOND, SILENCE, Follower
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 FIRST_PAUSE = SECOND  # ns before it is asked again: half of it at least, so that a source that dies or comes
 #                       back meets its gateways over half a second
--- a/gaproute/discovery/changelog/events.py
+++ b/gaproute/discovery/changelog/events.py
@@ -11,7 +11,7 @@
 from gaproute.discovery.changelog.start_times import StartTimes
 from gaproute.hosts.rows import Row
 from gaproute.interface import ListedHost, State
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 EVENT = 4 << 20  # bytes of one event: a host takes some 200
 MILLI = 1_000_000
--- a/gaproute/discovery/changelog/follow.py
+++ b/gaproute/discovery/changelog/follow.py
@@ -4,7 +4,7 @@
 
 from gaproute.discovery.changelog.events import EVENT, Broken, Reader
 from gaproute.loop import Stream, connect
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 SILENCE = 2 * SECOND  # two of its comments missing: what it has to tell counts as told after 4 s
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -11,12 +11,12 @@
 from enum import Enum
 from pathlib import Path
 
-from gaproute.connections import Lot
+from gaproute.connections import AcceptedConnections
 from gaproute.faultinjection.play.far_client import FarClient, Request
 from gaproute.faultinjection.play.far_host import NEVER_RAN, Attempt
 from gaproute.faultinjection.play.scene import GUARDED, REPEAT_WINDOW, SINGLE_SHOT, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 PACKAGE = "faultinjection"  # frames of these files are not the gateway's
 GRACE = 50 * MILLI  # by which an answer may be late
@@ -35,7 +35,7 @@
         "Follower.quiet",
         "Front._sweep",
         "Hosts.sweep",
-        "Parking._tick",
+        "ParkedConnections._close_expired",
         "Process.status",
     )
 )
@@ -188,11 +188,11 @@
 
 def judge_rest(scene: Scene) -> Iterator[Finding]:
     """Of a gateway that runs and that nobody has used for a while."""
-    core, front, lot = scene.process.core, scene.process.front, Lot.of(scene.loop)
+    core, front, connections = scene.process.core, scene.process.front, AcceptedConnections.of(scene.loop)
     held = {
         "requests": len(core.held) + len(core.tasks),
         "open ids": len(front.marks),
-        "clients' connections": front.held + lot.held + lot.parked,
+        "clients' connections": front.held + connections.client_count + connections.parked_count,
         "streams that close": len(scene.loop.closing_streams),
     }
     for host in scene.process.hosts.hosts.values():
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from gaproute.connections import Lot
-from gaproute.connections.parking import NONE
+from gaproute.connections import AcceptedConnections
+from gaproute.connections.parked import NOT_PARKED
 from gaproute.faultinjection.network import NetworkFaults
 from gaproute.faultinjection.plan import FaultPlan
 from gaproute.faultinjection.play.far_client import FarClient
@@ -17,7 +17,7 @@
 from gaproute.faultinjection.play.far_others import FarChangeLog, FarPeer
 from gaproute.faultinjection.play.timeline import MICRO, MILLI, SECOND, FarLoop, PlayClock, arrives_soon
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
@@ -197,8 +197,8 @@
 
     def unaccounted_descriptors(self) -> set[int]:
         """Open descriptors that belong to nobody known."""
-        lot = Lot.of(self.loop)
-        parked = {descriptor for descriptor, state in enumerate(lot.state) if state != NONE}
+        connections = AcceptedConnections.of(self.loop)
+        parked = {descriptor for descriptor, state in enumerate(connections.states) if state != NOT_PARKED}
         known = parked | set(self.loop.watched) | {self.loop.epoll.fileno(), self.loop.parked_epoll.fileno()}
         return open_descriptors() - self.before - known - self.far.descriptors()
 
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -12,14 +12,14 @@
 
 import socket
 
-from gaproute.connections import Lot
-from gaproute.decisions.admission.admission import HOLD
+from gaproute.connections import AcceptedConnections
+from gaproute.decisions.admission.admission import FULL_RETRY_PAUSE
 from gaproute.fronts.jsonrpc import messages
 from gaproute.fronts.jsonrpc.link import LATE, Link
 from gaproute.fronts.jsonrpc.messages import Fault
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Listener
-from gaproute.loop.connecting import ACCEPT_RETRY_PAUSE
+from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 OPEN = 32  # requests of one connection at a time, by the protocol
@@ -48,34 +48,40 @@
         self.emptied = None  # call() when the last connection has closed, where somebody waits for that
         self.drainer = None  # timer, where the kernel's queue could not be emptied at a stop
         self.family = where[0]
-        self.lot = Lot.of(loop)
+        self.connections = AcceptedConnections.of(loop)
         self.listener = Listener(loop, where, None, on_ready=self._ready)  # first: it may fail
         self.address = self.listener.address
-        self.number = self.lot.open(self)
+        self.number = self.connections.add_owner(self)
         self.sweeper = loop.after(SWEEP, self._sweep)
 
     def _ready(self):
-        self.lot.arrive(self.listener, self)
-        self.loop.admission_pending = True
+        self.connections.enqueue_listener(self.listener, self)
 
-    def admits(self, sock, address):
+    def accept_connection(self, sock, address):
         """A connection was accepted: it is parked, or closed where admission has no room."""
-        place = self.lot.admit(address[0], True)
+        place = self.connections.admit(address[0], True)
         if place is None:
             self.turned_away += 1
             sock.close()
             return
         self.parked += 1
-        self.lot.park(sock.detach(), self.number, self.loop.now() + FIRST_WORD, place, 0, False)
+        self.connections.park(
+            sock.detach(),
+            self.number,
+            idle_until=self.loop.now() + FIRST_WORD,
+            address_id=place,
+            request_count=0,
+            registered=False,
+        )
 
-    def woken(self, fd, data, place, tasks):
+    def resume_connection(self, fd, data, place, tasks):
         """A parked connection spoke."""
         self.parked -= 1
         link = Link(self, socket.socket(self.family, socket.SOCK_STREAM, 0, fd), place, tasks)
         self.links[link] = None
         link.bytes(data)
 
-    def lost(self):
+    def connection_closed(self):
         """A parked connection was closed."""
         self.parked -= 1
         self.tell()
@@ -188,10 +194,10 @@
         """Accepts no more. What waits in the kernel's queue is taken in first, as it would be reset; those
         who rest make room for it. Tried again while there is no room, or accepting fails."""
         self.drainer = None
-        while (room := self.lot.has_room()) and (came := self.listener.accept()) is not None:
-            self.admits(*came)
+        while (room := self.connections.has_capacity()) and (came := self.listener.accept()) is not None:
+            self.accept_connection(*came)
         if not room:
-            self.drainer = self.loop.after(HOLD, self.shut)
+            self.drainer = self.loop.after(FULL_RETRY_PAUSE, self.shut)
         elif not self.listener.backlog_empty:
             self.drainer = self.loop.after(ACCEPT_RETRY_PAUSE, self.shut)
         else:
@@ -205,7 +211,7 @@
             return
         self.stopping = True
         self._cancel_drain()
-        self.lot.close(self.number)
+        self.connections.close_owned(self.number)
         self._take_in()
         for link in list(self.links):
             link.settled()
@@ -214,11 +220,11 @@
         """The kernel's queue is emptied, room or not, then the address given up; tried again while accepting
         fails."""
         self.drainer = None
-        if not self.listener.accept_all(self.admits):
+        if not self.listener.accept_all(self.accept_connection):
             self.drainer = self.loop.after(ACCEPT_RETRY_PAUSE, self._take_in)
             return
         self.listener.close()
-        self.lot.close(self.number)
+        self.connections.close_owned(self.number)
         self.tell()
 
     def _cancel_drain(self):
@@ -231,7 +237,7 @@
         self._cancel_drain()
         self.listener.close()
         self.sweeper.cancel()
-        self.lot.close(self.number, True)
+        self.connections.close_owned(self.number, include_queued=True)
         for link in list(self.links):
             if link.closing:
                 link.stream.finish_close()  # its last words are with the kernel
--- a/gaproute/fronts/jsonrpc/link.py
+++ b/gaproute/fronts/jsonrpc/link.py
@@ -187,8 +187,15 @@
         front = self.front
         del front.links[self]
         front.parked += 1
-        due = front.lot.admission.idle_end(front.loop.now(), IDLE)
-        front.lot.park(self.stream.release(), front.number, due, self.place, self.tasks, True)
+        due = front.connections.admission.idle_deadline(front.loop.now(), IDLE)
+        front.connections.park(
+            self.stream.release(),
+            front.number,
+            idle_until=due,
+            address_id=self.place,
+            request_count=self.tasks,
+            registered=True,
+        )
 
     def settled(self):
         """A request is answered: one that ends closes after the last. At a stop each does, and not before
@@ -220,5 +227,5 @@
     def gone(self):
         if self in self.front.links:
             del self.front.links[self]
-            self.front.lot.leave(self.place, True)
+            self.front.connections.release(self.place, True)
             self.front.tell()
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from gaproute.decisions.admission.admission import JITTER
+from gaproute.decisions.admission.admission import IDLE_JITTER
 from gaproute.http1 import Limits, Server
 from gaproute.interface.call import Call, Ending
 
@@ -66,7 +66,7 @@
             clients.read,
             clients.idle,
             clients.connections,
-            JITTER,
+            IDLE_JITTER,
         )
         self.server = self.listen(where, limits, inherited)
         self.address = self.server.address
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -3,7 +3,7 @@
 from gaproute.appliance.others import ASKED
 from gaproute.decisions.reports.roll import Roll
 from gaproute.hollow.parts import Part
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import Giver
 from gaproute.peers.raft.transport import TARGET
 
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -11,7 +11,7 @@
 from gaproute.hollow.parts import EventCounter, Surroundings
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
-from gaproute.loop.loop import READ
+from gaproute.loop.descriptors import READ
 from gaproute.peers.raft import RaftTransport
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/hollow/simulation/loop.py
+++ b/gaproute/hollow/simulation/loop.py
@@ -2,7 +2,7 @@
 
 import heapq
 
-from gaproute.loop.loop import Timer
+from gaproute.loop.timers import Timer
 
 
 class SimulatedLoop:
@@ -10,7 +10,7 @@
 
     def __init__(self, now=0):
         self.time, self.timers = now, []
-        self.count = self.done = self.dead = 0
+        self.timer_count = self.done = self.cancelled_count = 0
 
     def now(self):
         """Simulated nanoseconds."""
@@ -19,8 +19,8 @@
     def at(self, when, call, *args):
         """Calls it then, or as the next event where that has passed."""
         timer = Timer(self, when, call, args)
-        self.count += 1
-        heapq.heappush(self.timers, (when, self.count, timer))
+        self.timer_count += 1
+        heapq.heappush(self.timers, (when, self.timer_count, timer))
         return timer
 
     def run(self, span):
--- a/gaproute/hosts/entries.py
+++ b/gaproute/hosts/entries.py
@@ -10,7 +10,7 @@
 from gaproute.hosts.never import Never
 from gaproute.hosts.rows import Row
 from gaproute.interface import ListedHost, Result, State
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI = 1_000_000
 
--- a/gaproute/hosts/fleet.py
+++ b/gaproute/hosts/fleet.py
@@ -12,7 +12,7 @@
 from gaproute.http1 import Exchange
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import Answer
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
 PASSED = (b"content-type", b"inference-header-content-length", b"content-encoding")
@@ -97,7 +97,7 @@
             host.unsent.clear()
             if complete and not host.open and host.name not in named:
                 del self.hosts[host.name]
-                self.pooling.gone(host.name)
+                self.pooling.forget_host(host.name)
 
     def rest(self, host):
         for link in host.idle:
@@ -155,7 +155,7 @@
         while host.idle:
             link = host.idle[-1]
             rested = now - link.used
-            if rested > self.pooling.safe_rest(now, host.name, effect, link.told_idle):
+            if rested > self.pooling.max_idle(now, host.name, effect, link.told_idle):
                 return None
             host.idle.pop()
             link.on_idle_end = None
@@ -165,14 +165,14 @@
                 return link
             link.drop()
             host.open.discard(link)
-            self.pooling.closed(now, host.name, rested)
+            self.pooling.record_close(now, host.name, rested)
         return None
 
     def idle_ended(self, host, link):
         if link in host.idle:
             host.idle.remove(link)
         host.open.discard(link)
-        self.pooling.closed(self.loop.now(), host.name, self.loop.now() - link.used)
+        self.pooling.record_close(self.loop.now(), host.name, self.loop.now() - link.used)
 
     def sweep(self):
         """Connections that rested too long for any task are closed from this side, before the host does."""
@@ -180,7 +180,7 @@
         for host in self.hosts.values():
             keep = []
             for link in host.idle:
-                if now - link.used <= self.pooling.safe_rest(
+                if now - link.used <= self.pooling.max_idle(
                     now, host.name, Idempotency.IDEMPOTENT, link.told_idle
                 ):
                     keep.append(link)
--- a/gaproute/hosts/jsonlines/fleet.py
+++ b/gaproute/hosts/jsonlines/fleet.py
@@ -6,7 +6,7 @@
 from gaproute.hosts.never import Never
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import always
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
 
@@ -29,7 +29,7 @@
         before, self.gone = self.gone, not self.listed and not self.links
         if before and self.gone:
             del self.hosts.hosts[self.name]
-            self.hosts.pooling.gone(self.name)
+            self.hosts.pooling.forget_host(self.name)
             self.hosts.forgotten(self.name)
 
 
@@ -83,7 +83,7 @@
         """A request on the connection that pooling picks, else on a new one, else on one it shares; None
         where not one more connection can be had."""
         now = self.loop.now()
-        link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
+        link = self.pooling.choose(now, host.name, effect, host.links, name, self.shared, self.idle_time)
         while (
             link is not None
             and not link.open
@@ -91,7 +91,7 @@
             and not link.stream.is_quiet()
         ):
             link.drop()  # it shows an end or a word not asked for: a pure task may go again
-            link = self.pooling.pick(now, host.name, effect, host.links, name, self.shared, self.idle_time)
+            link = self.pooling.choose(now, host.name, effect, host.links, name, self.shared, self.idle_time)
         if (link is None or link.open) and self.make_room():
             link, self.opened = Link(host), self.opened + 1
             host.links.add(link)
@@ -120,7 +120,7 @@
         now = self.loop.now()
         for host in list(self.hosts.values()):
             for link in list(host.links):
-                if not link.open and now - link.used > self.pooling.safe_rest(
+                if not link.open and now - link.used > self.pooling.max_idle(
                     now, host.name, Idempotency.IDEMPOTENT, self.idle_time
                 ):
                     link.drop()
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/link.py
@@ -129,7 +129,8 @@
             self.hosts.spoilt += 1
             self.fail(spoilt)
         elif not self.open and not (
-            self.trusted and self.hosts.pooling.keeps(self.heard, self.host.name, Idempotency.IDEMPOTENT)
+            self.trusted
+            and self.hosts.pooling.allows_reuse(self.heard, self.host.name, Idempotency.IDEMPOTENT)
         ):
             self.drop()
 
@@ -139,7 +140,9 @@
         for asked in self.open.values():
             ended.append((asked, proof.of_end(asked.begun, error, isinstance(error, lines.Spoilt))))
             if self.served and self.heard < asked.sent and not isinstance(error, (lines.Spoilt, Unfinished)):
-                self.hosts.pooling.ended(now, self.host.name, asked.sent - self.used, now - asked.sent)
+                self.hosts.pooling.record_stale_end(
+                    now, self.host.name, asked.sent - self.used, now - asked.sent
+                )
         self.open = {}
         self.drop()
         for asked, result in ended:
@@ -169,7 +172,7 @@
             self.fail(Unfinished("a request is taken back before it was written whole"))
             return
         self.carried.add(asked.id)
-        if self.hosts.pooling.silent(self.hosts.loop.now(), max(asked.sent, self.heard)):
+        if self.hosts.pooling.is_silent(self.hosts.loop.now(), max(asked.sent, self.heard)):
             self.trusted = False
         if not self.open and (not self.trusted or self.stream.bytes_unsent):
             self.drop()
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -84,8 +84,8 @@
         self._set_deadline()
 
     def park(self):
-        """Gives the socket back to the lot; closes it where its idle time is over or the server stops, and
-        not before a request that lies unread has been answered."""
+        """Parks the connection; closes it where its idle time is over or the server stops, and not before a
+        request that lies unread has been answered."""
         server = self.server
         if server.loop.now() >= self.idle_end or not self.stream.open or server.stopping:
             self.stream.read_now()
@@ -95,7 +95,14 @@
         self._clear_deadline()
         server.links.discard(self)
         server.parked += 1
-        server.lot.park(self.stream.release(), server.number, self.idle_end, self.place, self.tasks, True)
+        server.connections.park(
+            self.stream.release(),
+            server.number,
+            idle_until=self.idle_end,
+            address_id=self.place,
+            request_count=self.tasks,
+            registered=True,
+        )
 
     def shed(self):
         """Refuses the unfinished request, to free the memory that it takes up."""
@@ -128,7 +135,7 @@
         if (
             not request.keep_alive
             or self.server.counted
-            and self.server.lot.admission.says_close(self.server.lot.held)
+            and self.server.connections.admission.announces_close(self.server.connections.client_count)
         ):
             self.closing = True
         self.queue.append([request, None])
@@ -203,5 +210,5 @@
         if self in self.server.links:
             self._weigh(0)
             self.server.links.discard(self)
-            self.server.lot.leave(self.place, self.server.counted)
+            self.server.connections.release(self.place, self.server.counted)
             self.server.check_emptied()
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -3,14 +3,14 @@
 import socket
 from collections import deque
 
-from gaproute.connections import Lot
+from gaproute.connections import AcceptedConnections
 from gaproute.http1.connection import ServerLink
 from gaproute.http1.deadlines import SWEEP
 from gaproute.http1.limits import LIMITS
 from gaproute.http1.message import Fault
 from gaproute.http1.rendering import render
 from gaproute.loop import Listener
-from gaproute.loop.connecting import ACCEPT_RETRY_PAUSE
+from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
 from gaproute.loop.streams import READ_SIZE
 
 
@@ -29,12 +29,12 @@
         self.last_request = None  # after a stop with grace: when the last request must have come in whole
         self.turned_away = self.faults = 0
         self.family = where[0]
-        self.lot = Lot.of(loop)
+        self.connections = AcceptedConnections.of(loop)
         self.shared = inherited is not None  # others accept from the same queue
         # first: it may fail
         self.listener = Listener(loop, where, None, on_ready=self._ready, inherited=inherited)
         self.address = self.listener.address
-        self.number = self.lot.open(self)
+        self.number = self.connections.add_owner(self)
 
     @property
     def held(self):
@@ -42,21 +42,27 @@
         return len(self.links) + self.parked + (self.drainer is not None)
 
     def _ready(self):
-        self.lot.arrive(self.listener, self)
-        self.loop.admission_pending = True
+        self.connections.enqueue_listener(self.listener, self)
 
-    def admits(self, sock, address):
+    def accept_connection(self, sock, address):
         """A connection was accepted: it is parked, or answered and closed where admission has no room."""
         place = None
         if self.held < self.limits.connections:
-            place = self.lot.admit(address[0] if self.family != socket.AF_UNIX else "", self.counted)
+            place = self.connections.admit(address[0] if self.family != socket.AF_UNIX else "", self.counted)
         if place is None:
             self.turned_away += 1
             self._turn_away(sock)
             return
         self.parked += 1
         now = self.loop.now()
-        self.lot.park(sock.detach(), self.number, self.idle_end(now), place, 0, False)
+        self.connections.park(
+            sock.detach(),
+            self.number,
+            idle_until=self.idle_end(now),
+            address_id=place,
+            request_count=0,
+            registered=False,
+        )
 
     def _turn_away(self, sock):
         """Answers what a connection that finds no room may ask, and closes it. What lies there is read first:
@@ -72,9 +78,9 @@
 
     def idle_end(self, now):
         """When a connection that is idle from `now` on is closed."""
-        return self.lot.admission.idle_end(now, self.limits.idle_time, self.limits.spread)
+        return self.connections.admission.idle_deadline(now, self.limits.idle_time, self.limits.spread)
 
-    def woken(self, fd, data, place, tasks):
+    def resume_connection(self, fd, data, place, tasks):
         """A parked connection spoke."""
         self.parked -= 1
         sock = socket.socket(self.family, socket.SOCK_STREAM, 0, fd)
@@ -110,7 +116,7 @@
         if longest is not None:
             longest.shed()
 
-    def lost(self):
+    def connection_closed(self):
         """A parked connection was closed."""
         self.parked -= 1
         self.check_emptied()
@@ -145,11 +151,11 @@
         """What waits in the kernel's queue comes in, as the kernel would reset it, then the address is given
         up; tried again while accepting fails."""
         self.drainer = None
-        if self.shared or self.listener.accept_all(self.admits):
+        if self.shared or self.listener.accept_all(self.accept_connection):
             self.listener.close()
         else:
             self.drainer = self.loop.after(ACCEPT_RETRY_PAUSE, self._take_in)
-        self.lot.close(self.number, first_by=self.last_request)
+        self.connections.close_owned(self.number, first_request_by=self.last_request)
         self.check_emptied()
 
     def close(self):
@@ -159,7 +165,7 @@
             self.drainer.cancel()
             self.drainer = None
         self.listener.close()
-        self.lot.close(self.number, True)
+        self.connections.close_owned(self.number, include_queued=True)
         if self.sweep is not None:
             self.sweep.cancel()
         for link in list(self.links):
--- a/gaproute/load/crowd.py
+++ b/gaproute/load/crowd.py
@@ -11,7 +11,7 @@
 from gaproute.load.requests import Requests
 from gaproute.load.results import Tally
 from gaproute.loop import Stream, connect
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 OPENING = 200  # connects on their way at once: the other side's accept queue holds the rest
--- a/gaproute/loop/__init__.py
+++ b/gaproute/loop/__init__.py
@@ -1,8 +1,10 @@
-"""One small event loop on `select.epoll`: timers, coroutines, streams, listeners, signals. Knows nothing of
-tasks."""
+"""A small event loop on `select.epoll`: timers, coroutines, streams, listeners, signals."""
 
-from gaproute.loop.connecting import Listener, connect
-from gaproute.loop.loop import Loop, Promise, Stepped
+from gaproute.loop.dialing import connect
+from gaproute.loop.listening import Listener
+from gaproute.loop.loop import Loop
+from gaproute.loop.polling import Stepped
+from gaproute.loop.promises import Promise
 from gaproute.loop.streams import Stream
 
 __all__ = ["Listener", "Loop", "Promise", "Stepped", "Stream", "connect"]
--- /dev/null
+++ b/gaproute/loop/addresses.py
@@ -0,0 +1,45 @@
+"""Addresses of sockets as text: TCP and UDP over IPv4 and IPv6, and Unix sockets."""
+
+import socket
+from typing import NamedTuple
+
+SocketAddress = str | tuple[str, int] | tuple[str, int, int, int]  # a path, or as the socket module has it
+
+UNIX_PREFIX = "unix:"
+MAX_UNIX_PATH = 107
+MAX_PORT = 65535
+
+
+class Endpoint(NamedTuple):
+    """An address that can be listened on or connected to."""
+
+    family: int
+    target: SocketAddress
+
+
+def address(text: str) -> Endpoint:
+    """Parses `127.0.0.1:80`, `[::1]:80` or `unix:/path`. Errors: ValueError."""
+    if text.startswith(UNIX_PREFIX):
+        path = text.removeprefix(UNIX_PREFIX)
+        if not 1 <= len(path) <= MAX_UNIX_PATH:
+            raise ValueError(f"a Unix socket path has 1 to {MAX_UNIX_PATH} characters")
+        return Endpoint(socket.AF_UNIX, path)
+    host, _, port = text.rpartition(":")
+    if not port.isdigit() or not 0 <= int(port) <= MAX_PORT or not host:
+        raise ValueError("an address is HOST:PORT, [IPV6]:PORT or unix:PATH")
+    if host.startswith("[") and host.endswith("]"):
+        socket.inet_pton(socket.AF_INET6, host[1:-1])
+        return Endpoint(socket.AF_INET6, (host[1:-1], int(port)))
+    try:
+        socket.inet_pton(socket.AF_INET, host)
+    except OSError as fault:
+        raise ValueError(f"{host!r} is no IPv4 address") from fault
+    return Endpoint(socket.AF_INET, (host, int(port)))
+
+
+def address_of(sock: socket.socket) -> str:
+    """Where a socket is bound, as text. Errors: OSError."""
+    if sock.family == socket.AF_UNIX:
+        return f"{UNIX_PREFIX}{sock.getsockname()}"
+    host, port = sock.getsockname()[:2]
+    return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/gaproute/loop/datagrams.py
+++ b/gaproute/loop/datagrams.py
@@ -1,30 +1,32 @@
-"""Datagrams over UDP (IPv4, IPv6) and Unix sockets. A message that finds no room or nobody is lost, as
-ever."""
+"""Datagrams over UDP (IPv4, IPv6) and Unix sockets. What cannot be sent or finds nobody is dropped."""
 
 import errno
 import os
 import socket
+from collections.abc import Callable
 
-from gaproute.loop.loop import READ
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
+from gaproute.loop.descriptors import READ
+from gaproute.loop.loop import Loop
 
-READS = 64  # messages taken in one turn, so that tasks in flight get their share of it
-LONGEST = 2048  # bytes of a message; what is longer is cut and then refused by its reader
+READS = 64  # messages read in one turn, so that requests in flight get their share of it
+MAX_SIZE = 2048  # bytes of a message; what is longer is cut and then rejected by its reader
 
 
 class Datagrams:
-    """`heard(data)` for each message. Errors: OSError where the address cannot be bound."""
+    """A datagram socket; `on_datagram(data)` for each message. Errors: OSError where the address cannot be
+    bound."""
 
-    def __init__(self, loop, where, heard):
-        self.loop, self.heard = loop, heard
-        self.lost = 0
+    def __init__(self, loop: Loop, where: str, on_datagram: Callable[[bytes], object]) -> None:
+        self.loop, self.on_datagram = loop, on_datagram
+        self.dropped = 0  # messages that could not be sent
         try:
             family, target = address(where)
         except ValueError as fault:  # a path that the name added to it made too long
             raise OSError(errno.ENAMETOOLONG, str(fault)) from None
-        self.path = target if family == socket.AF_UNIX else None
+        self.path = target if isinstance(target, str) else None
         if self.path and os.path.exists(self.path):
-            os.unlink(self.path)  # of a past life: nobody can be connected to a datagram socket's name
+            os.unlink(self.path)  # of a past process: nobody can be connected to a datagram socket's name
         self.sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
             self.sock.bind(target)
@@ -33,26 +35,29 @@
             self.sock.close()
             raise
 
-    def _ready(self, events):
+    def _ready(self, events: int) -> None:
         for _ in range(READS):
             try:
-                data = self.sock.recv(LONGEST)
+                data = self.sock.recv(MAX_SIZE)
             except OSError:  # nothing more, or an error that a message of ours brought back
                 return
-            self.heard(data)
+            self.on_datagram(data)
 
-    def send(self, data, where):
+    def send(self, data: bytes, where: str) -> None:
+        """Sends one message, or counts it as dropped."""
         try:
             family, target = address(where)
             if family != self.sock.family:
                 raise OSError("another family of addresses")
             self.sock.sendto(data, target)
         except (OSError, ValueError):
-            self.lost += 1
-
-    def close(self):
-        if self.sock.fileno() >= 0:
-            self.loop.unwatch(self.sock.fileno())
-            self.sock.close()
-            if self.path and os.path.exists(self.path):
-                os.unlink(self.path)
+            self.dropped += 1
+
+    def close(self) -> None:
+        """Gives the address up."""
+        if self.sock.fileno() < 0:
+            return
+        self.loop.unwatch(self.sock.fileno())
+        self.sock.close()
+        if self.path and os.path.exists(self.path):
+            os.unlink(self.path)
--- /dev/null
+++ b/gaproute/loop/descriptors.py
@@ -0,0 +1,100 @@
+"""Descriptors watched by epoll; registrations that fail for a transient reason are retried by a timer."""
+
+import select
+from abc import ABC, abstractmethod
+from collections.abc import Callable
+
+from gaproute.loop.faults import Backoff, is_transient
+from gaproute.loop.timers import Callback, Clock, Timer, TimerQueue
+
+MILLI = 1_000_000
+READ, WRITE = select.EPOLLIN, select.EPOLLOUT
+HANGUP = select.EPOLLHUP | select.EPOLLERR
+FIRST_REGISTER_PAUSE, MAX_REGISTER_PAUSE = 2 * MILLI, 50 * MILLI  # between attempts to register
+
+EventHandler = Callable[[int], object]  # called with the mask of events
+
+
+class DescriptorWatcher(TimerQueue, ABC):
+    """Which descriptors are watched, for what, and what is called."""
+
+    def __init__(self, clock: Clock) -> None:
+        super().__init__(clock)
+        self.epoll = select.epoll()
+        self.watched: dict[int, EventHandler] = {}
+        # Watched since the last poll: what that told is of an earlier use of their numbers.
+        self.newly_watched: set[int] = set()
+        self.unregistered: dict[int, int] = {}  # watched, but the epoll has not these events yet
+        self.register_timer: Timer | None = None
+        self.register_backoff = Backoff(FIRST_REGISTER_PAUSE, MAX_REGISTER_PAUSE)
+
+    @abstractmethod
+    def guard(self, call: Callback, *args: object) -> None:
+        """Calls, and reports an error in place of raising it."""
+
+    @abstractmethod
+    def relieve_shortage(self) -> None:
+        """The kernel has no descriptor or memory left: gives some back where that is possible."""
+
+    def watch(self, fd: int, events: int, call: EventHandler) -> None:
+        """`call(events)` from now on. Where the epoll is short of memory or of watches for a moment, it is
+        retried until `unwatch`. Other errors: OSError, and it is not watched."""
+        self.watched[fd] = call
+        self.newly_watched.add(fd)
+        try:
+            self._register(fd, events)
+        except OSError as fault:
+            self._put_off(fd, events, fault)
+
+    def rewatch(self, fd: int, events: int) -> None:
+        """Other events of a watched descriptor. Errors: as `watch`."""
+        try:
+            self.epoll.modify(fd, events)
+        except OSError as fault:
+            self._put_off(fd, events, fault)
+        else:
+            if self.unregistered:
+                self.unregistered.pop(fd, None)
+
+    def unwatch(self, fd: int) -> None:
+        """Nothing more is called for the descriptor."""
+        if self.watched.pop(fd, None) is None:
+            return
+        if self.unregistered:
+            self.unregistered.pop(fd, None)
+        self._unregister(fd)
+
+    def _register(self, fd: int, events: int) -> None:
+        try:
+            self.epoll.register(fd, events)
+        except FileExistsError:  # it could not be unregistered before
+            self.epoll.modify(fd, events)
+
+    def _unregister(self, fd: int) -> None:
+        try:  # noqa: SIM105 - on the way of each connection
+            self.epoll.unregister(fd)
+        except OSError:
+            pass  # not registered yet; or it stays until it is closed or has an event
+
+    def _put_off(self, fd: int, events: int, fault: OSError) -> None:
+        """The epoll did not take the descriptor: a transient failure is retried."""
+        if not is_transient(fault) and fd not in self.unregistered:
+            self.watched.pop(fd, None)
+            raise fault
+        self.unregistered[fd] = events
+        if self.register_timer is None:
+            self.register_timer = self.after(self.register_backoff.next_pause(), self._register_again)
+
+    def _register_again(self) -> None:
+        """Retries each descriptor that the epoll did not take; where it takes none there is a shortage."""
+        self.register_timer = None
+        waiting, self.unregistered = self.unregistered, {}
+        for fd, events in waiting.items():
+            try:
+                self._register(fd, events)
+            except OSError as fault:
+                self.guard(self._put_off, fd, events, fault)
+        if len(self.unregistered) < len(waiting):
+            self.register_backoff.reset()
+        else:
+            self.relieve_shortage()
--- /dev/null
+++ b/gaproute/loop/listening.py
@@ -0,0 +1,190 @@
+"""Listening sockets, and accepting that pauses while descriptors are short."""
+
+import os
+import socket
+import stat
+from collections.abc import Callable
+from contextlib import suppress
+from typing import NamedTuple
+
+from gaproute.loop import sockets
+from gaproute.loop.addresses import SocketAddress, address_of
+from gaproute.loop.descriptors import READ
+from gaproute.loop.faults import FAILED_CONNECTION_ERRNOS, SHORTAGE_ERRNOS, Backoff
+from gaproute.loop.loop import MILLI, Loop
+from gaproute.loop.timers import Timer
+
+BACKLOG = 4096  # connections that wait in the kernel to be accepted
+MAX_ACCEPTS_PER_TURN = 32  # so that requests in flight get their share of the turn
+MAX_FAILED_ACCEPTS = 16  # connections in a row that failed before they were accepted, in one call
+FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE = 2 * MILLI, 50 * MILLI  # of accepting while descriptors are short
+ACCEPT_RETRY_PAUSE = 5 * MILLI  # until accepting is retried at a stop, for those that wait in the backlog
+
+
+class Accepted(NamedTuple):
+    """A connection that was accepted, and its client's address."""
+
+    sock: socket.socket
+    address: SocketAddress
+
+
+def open_listening_socket(where: tuple[int, SocketAddress], backlog: int = BACKLOG) -> socket.socket:
+    """A socket that listens. Errors: OSError."""
+    family, target = where
+    sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
+    try:
+        if isinstance(target, str):
+            _remove_stale(target)
+        else:
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            if family == socket.AF_INET6:
+                sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 1)
+        sock.bind(target)
+        sock.listen(backlog)
+    except OSError:
+        sockets.close_quietly(sock)
+        raise
+    return sock
+
+
+def _remove_stale(path: str) -> None:
+    """Removes a socket file that nobody listens on; a live one is never stolen (bind then fails)."""
+    try:
+        if not stat.S_ISSOCK(os.stat(path).st_mode):
+            return
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as trial:
+            trial.connect(path)
+    except ConnectionRefusedError:
+        os.unlink(path)
+    except FileNotFoundError:
+        pass
+
+
+class Listener:
+    """Accepts at one address; `on_socket(sock)` for each connection.
+
+    With `on_ready` in its place, that is called while connections wait, and `accept` takes them.
+    `inherited`: a listening socket that another process opened and goes on owning.
+    `address`: where it listens, as text, with the port that the kernel picked. Errors: OSError.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        where: tuple[int, SocketAddress],
+        on_socket: Callable[[socket.socket], object] | None,
+        backlog: int = BACKLOG,
+        *,
+        on_ready: Callable[[], object] | None = None,
+        inherited: socket.socket | None = None,
+    ) -> None:
+        self.loop, self.on_socket, self.on_ready = loop, on_socket, on_ready
+        self.pauses = 0
+        self.pause_timer: Timer | None = None  # ends a pause
+        self.backoff = Backoff(FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE)
+        self.backlog_seen_empty = False  # by the last `accept`
+        self.backlog_since: int | None = None  # since when connections may wait that were not accepted yet
+        target = where[1]
+        self.path = target if isinstance(target, str) and inherited is None else None
+        self.sock = open_listening_socket(where, backlog) if inherited is None else inherited
+        try:
+            self.sock.setblocking(False)
+            self.address = address_of(self.sock)
+            loop.watch(self.sock.fileno(), READ, self._ready)
+        except OSError:
+            if inherited is None:
+                self.close()
+            raise
+
+    def _ready(self, events: int) -> None:
+        if self.backlog_since is None:
+            self.backlog_since = self.loop.previous_poll_at
+        if self.on_ready is not None:
+            self.on_ready()
+        elif self.on_socket is not None:
+            for _ in range(MAX_ACCEPTS_PER_TURN):
+                accepted = self.accept()
+                if accepted is None:
+                    return
+                self.on_socket(accepted.sock)
+
+    def accept(self) -> Accepted | None:
+        """One connection that waits, or None: nobody waits (`backlog_empty`), or none can be had now."""
+        self.backlog_seen_empty = False
+        for _ in range(MAX_FAILED_ACCEPTS):
+            if self.sock.fileno() < 0:
+                return None
+            try:
+                sock, address = self.sock.accept()
+            except BlockingIOError:
+                self.backlog_seen_empty = True
+                self.backlog_since = None
+                return None
+            except OSError as fault:
+                if fault.errno in FAILED_CONNECTION_ERRNOS:
+                    continue  # that one is gone: the next
+                self._back_off(fault)
+                return None
+            self.backoff.reset()
+            self._note_wait(sock.fileno())
+            return Accepted(sockets.configure(sock), address)
+        self.pause(self.backoff.next_pause())  # perhaps it is always the same one
+        return None
+
+    def _note_wait(self, fd: int) -> None:
+        """How long the connection may have waited here: its first bytes may be as old."""
+        if self.backlog_since is None:
+            self.loop.backlogged_since.pop(fd, None)
+        else:
+            self.loop.backlogged_since[fd] = self.backlog_since
+
+    def _back_off(self, fault: OSError) -> None:
+        """Nothing can be accepted for a while. A second failure in a row is a shortage."""
+        repeated = self.backoff.has_failed
+        self.pause(self.backoff.next_pause())
+        if fault.errno not in SHORTAGE_ERRNOS:
+            raise fault
+        if repeated:
+            self.loop.relieve_shortage()
+
+    def accept_all(self, take: Callable[[socket.socket, SocketAddress], object]) -> bool:
+        """`take(socket, address)` of each connection that waits; whether nobody waits any more."""
+        while (accepted := self.accept()) is not None:
+            take(accepted.sock, accepted.address)
+        return self.backlog_empty
+
+    @property
+    def backlog_empty(self) -> bool:
+        """Whether the last `accept` found nobody waiting, or nobody can wait any more."""
+        return self.backlog_seen_empty or self.sock.fileno() < 0
+
+    def pause(self, span: int) -> None:
+        """Accepts nothing for so many ns; what comes waits in the kernel."""
+        self.pauses += 1
+        if self.backlog_since is None:
+            self.backlog_since = self.loop.now()
+        self.loop.unwatch(self.sock.fileno())
+        self._cancel_pause()
+        self.pause_timer = self.loop.after(span, self._resume)
+
+    def _cancel_pause(self) -> None:
+        if self.pause_timer is not None:
+            self.pause_timer.cancel()
+            self.pause_timer = None
+
+    def _resume(self) -> None:
+        self.pause_timer = None
+        fd = self.sock.fileno()
+        if fd >= 0 and fd not in self.loop.watched:
+            self.loop.watch(fd, READ, self._ready)
+
+    def close(self) -> None:
+        """Gives the address up; what waits in the kernel's backlog is reset."""
+        self._cancel_pause()
+        if self.sock.fileno() < 0:
+            return
+        self.loop.unwatch(self.sock.fileno())
+        sockets.close_quietly(self.sock)
+        if self.path is not None:
+            with suppress(FileNotFoundError):
+                os.unlink(self.path)
--- /dev/null
+++ b/gaproute/loop/stream_writer.py
@@ -0,0 +1,139 @@
+"""The writing half of a stream: what the kernel does not take at once is queued."""
+
+from __future__ import annotations
+
+import socket
+from abc import ABC, abstractmethod
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from gaproute.loop.descriptors import READ, WRITE
+from gaproute.loop.faults import is_transient
+from gaproute.loop.unread import END
+
+if TYPE_CHECKING:
+    from gaproute.loop.loop import Loop
+    from gaproute.loop.timers import Timer
+
+WRITE_HIGH_WATER = 1 << 20  # bytes waiting to be written above which the writer is told to hold back
+
+Data = bytes | bytearray | memoryview
+
+
+class StreamWriter(ABC):
+    """A connected socket and what waits to be written to it.
+
+    `bytes_sent` counts the bytes that the kernel accepted: what a failure proves rests on it. `on_writable()`
+    is called when all that waited has been written.
+    """
+
+    __slots__ = (
+        "loop",
+        "sock",
+        "fd",
+        "open",
+        "closing",
+        "close_timer",
+        "reading",
+        "half_closed",
+        "hangup_first",
+        "events",
+        "on_writable",
+        "outgoing",
+        "bytes_unsent",
+        "bytes_sent",
+        "wants_writable",
+    )
+
+    def __init__(self, loop: Loop, sock: socket.socket, *, hangup_first: bool) -> None:
+        self.loop, self.sock, self.fd = loop, sock, sock.fileno()
+        self.open = True
+        self.closing = False  # `close` was called
+        self.close_timer: Timer | None = None  # of a close that is under way
+        self.reading = True
+        self.half_closed = False  # the other side's end of sending was told: not to be told again
+        self.hangup_first = hangup_first
+        self.events = READ | END if hangup_first else READ  # that the loop watches for
+        self.on_writable: Callable[[], object] | None = None
+        self.outgoing: list[Data] = []
+        self.bytes_unsent = self.bytes_sent = 0
+        self.wants_writable = False  # `try_begin` failed: `on_writable` is called once it may succeed
+
+    @abstractmethod
+    def _write_failed(self, fault: OSError) -> None:
+        """The connection is broken."""
+
+    @abstractmethod
+    def _shut_down_writing(self) -> None:
+        """All was written of a stream that closes."""
+
+    def write(self, data: Data) -> bool:
+        """Writes or queues bytes; what the kernel takes at once goes at once. Whether more may be written
+        before what waits has been taken."""
+        if not self.open or self.closing:
+            return False
+        if self.outgoing:
+            self.outgoing.append(data)
+            self.bytes_unsent += len(data)
+        else:
+            sent = self._send(data)
+            if sent is not None and sent < len(data):
+                self.outgoing.append(memoryview(data)[sent:])
+                self.bytes_unsent += len(data) - sent
+                self._update_events()
+        return self.bytes_unsent < WRITE_HIGH_WATER
+
+    def try_begin(self, data: Data) -> bool:
+        """As `write`, but what has not begun is never queued: False where the kernel took no byte of it.
+        `on_writable` then says when to try again."""
+        if not self.open or self.closing:
+            return False
+        sent = 0 if self.outgoing else self._send(data)
+        if sent and sent < len(data):
+            self.outgoing.append(memoryview(data)[sent:])
+            self.bytes_unsent += len(data) - sent
+        self.wants_writable = sent == 0
+        self._update_events()
+        return bool(sent)
+
+    def _send(self, data: Data) -> int | None:
+        """How many bytes the kernel took; None where the connection is broken."""
+        try:
+            sent = self.sock.send(data)
+        except OSError as fault:
+            if is_transient(fault):
+                return 0
+            self.loop.soon(self._write_failed, fault)
+            return None
+        self.bytes_sent += sent
+        return sent
+
+    def _flush(self) -> None:
+        while self.outgoing:
+            sent = self._send(self.outgoing[0])
+            if sent is None:
+                return
+            self.bytes_unsent -= sent
+            if sent < len(self.outgoing[0]):
+                self.outgoing[0] = memoryview(self.outgoing[0])[sent:]
+                return
+            self.outgoing.pop(0)
+        if self.closing:
+            self._shut_down_writing()
+            return
+        self.wants_writable = False
+        self._update_events()
+        if self.on_writable is not None:
+            self.on_writable()
+
+    def _update_events(self) -> None:
+        """Has the loop watch for what is of use now."""
+        if self.reading:
+            events = READ | END if self.hangup_first and not self.half_closed else READ
+        else:
+            events = 0 if self.half_closed else END
+        if self.outgoing or self.wants_writable:
+            events |= WRITE
+        if self.open and events != self.events:
+            self.events = events
+            self.loop.rewatch(self.fd, events)
--- a/gaproute/peers/learner.py
+++ b/gaproute/peers/learner.py
@@ -18,7 +18,7 @@
 from gaproute.decisions.reports.lore import Lore
 from gaproute.http1 import Exchange
 from gaproute.loop import Promise
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import wire
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from gaproute.http1 import Exchange, Limits, Server
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers.raft import wire
 from gaproute.shared.raft.messages import RaftMessage
 
--- a/gaproute/peers/tables/pulls.py
+++ b/gaproute/peers/tables/pulls.py
@@ -1,7 +1,7 @@
 """Pulls by `POST /tables` at the peers' address: the asking side, one at a time, and the answering side."""
 
 from gaproute.http1 import Exchange
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers.tables import wire
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
 
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -8,7 +8,7 @@
 from gaproute import interface, terms
 from gaproute.discovery.changelog import events
 from gaproute.errors import GaprouteError
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 ADDRESS_FIELDS = ("listen", "changelog")
 SEED_BASE = 16
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -4,22 +4,22 @@
 import signal
 import traceback
 
-from gaproute.connections import Lot
+from gaproute.connections import AcceptedConnections
 from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
-from gaproute.decisions.admission.admission import RESTED, Admission, way_back
+from gaproute.decisions.admission.admission import MIN_IDLE_WITH_RETRIES, Admission, response_margin
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.connections.pooling import OWN, Pooling, share_out
+from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS, split_descriptors
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.changelog import events
 from gaproute.discovery.changelog.follow import Follower
 from gaproute.fronts.jsonrpc.front import Front
 from gaproute.hosts.jsonlines.fleet import Hosts
 from gaproute.loop import Loop
-from gaproute.loop.connecting import short
+from gaproute.loop.addresses import address
 from gaproute.loop.datagrams import Datagrams
-from gaproute.loop.faults import Backoff, is_transient_read
-from gaproute.loop.streams import address
+from gaproute.loop.faults import SHORTAGE_ERRNOS, Backoff, is_transient_read
 from gaproute.platform.configuration import (
     ConfigurationRefusedError,
     ConfigurationUnreadableError,
@@ -52,16 +52,22 @@
         seed = int(self.configuration.seed, 16)
         self.record = Record(self.log, self.site.tracks, followed)
         sockets = min(self.configuration.limits.sockets, descriptors())
-        clients, to_hosts = share_out(sockets)
-        self.hosts = Hosts(loop, Pooling(), self.site, to_hosts)
+        shares = split_descriptors(sockets)
+        self.hosts = Hosts(loop, Pooling(), self.site, shares.hosts)
         self.hosts.forgotten = self.record.forget
         self.core = Core(
             loop, Gateway(seed, self.terms, loop.now()), self.terms, self.hosts, self.record, self.name
         )
         if self.core.gateway.ration.travel:
             self.hosts.order_time = min(self.hosts.order_time, self.core.gateway.ration.travel)
-        Lot.of(loop).admission = Admission(
-            clients, clients + 1, sockets, Chance(seed + 3), RESTED, patient=True, reserve=to_hosts + OWN
+        AcceptedConnections.of(loop).admission = Admission(
+            shares.clients,
+            shares.clients + 1,
+            sockets,
+            Chance(seed + 3),
+            min_idle=MIN_IDLE_WITH_RETRIES,
+            queue_when_full=True,
+            reserved_descriptors=shares.hosts + PROCESS_DESCRIPTORS,
         )
         self.lister = events.Lister(loop, self.site.zones)
         self.seed, self.sockets = seed, sockets
@@ -80,7 +86,7 @@
             self.site.tracks,
             self.terms.request_classes,
             self.ready,
-            way_back(),
+            response_margin(),
         )
         self.front.refused = lambda code, text: self.log.info("refused", code=code, text=text[:200])
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
@@ -97,7 +103,7 @@
             listen=self.front.address,
             hosts=len(self.hosts.hosts),
             sockets=self.sockets,
-            clients=Lot.of(self.loop).admission.most,
+            clients=AcceptedConnections.of(self.loop).admission.max_connections,
             to_hosts=self.hosts.room,
             limits=self.configuration.limits,
             reported=self.site.reported,
@@ -165,7 +171,8 @@
 
     def _not_reloaded(self, fault):
         if isinstance(fault, ConfigurationUnreadableError) and is_transient_read(fault.cause):
-            short(self.loop, fault.cause)
+            if fault.cause.errno in SHORTAGE_ERRNOS:
+                self.loop.relieve_shortage()
             self.log.warning("configuration not read yet", text=str(fault))
             self.again = self.loop.after(self.reload_backoff.next_pause(), self._reload)
         else:
@@ -186,7 +193,7 @@
         self.closing, self.granted = schedule(
             [track.hard_limit for track in self.terms.request_classes], began, now
         )
-        self.core.end_by(self.closing - way_back())
+        self.core.end_by(self.closing - response_margin())
         self.loop.at(self.granted, self.loop.stop)  # first: an error must not keep the process
         self.loop.at(self.closing, self.front.stop)
         self.loop.at(min(began + STILL_COMING, self.closing), self.shut)
@@ -239,12 +246,12 @@
             counts=self.record.table(),
             links=held,
             believed=believed,
-            clients=Lot.of(self.loop).held,
+            clients=AcceptedConnections.of(self.loop).client_count,
             parked=front.parked,
             faults=front.faults,
             turned_away=front.turned_away,
             deaf=front.deaf,
-            displaced=Lot.of(self.loop).displaced,
+            displaced=AcceptedConnections.of(self.loop).evicted,
             opened=hosts.opened,
             reused=hosts.reused,
             doubled=hosts.doubled,
--- a/gaproute/scenarios/processes.py
+++ b/gaproute/scenarios/processes.py
@@ -5,7 +5,7 @@
 import sys
 
 from gaproute.loop import Promise
-from gaproute.loop.loop import HANGUP, READ
+from gaproute.loop.descriptors import HANGUP, READ
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 # not 127.0.0.1, from which all connect: a port of a killed process stays free for it
--- a/gaproute/standins/__main__.py
+++ b/gaproute/standins/__main__.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from gaproute.loop import Loop
-from gaproute.loop.loop import HANGUP, READ
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
+from gaproute.loop.descriptors import HANGUP, READ
 from gaproute.standins import clients
 from gaproute.standins.beat import beat
 from gaproute.standins.host import Host, Make, Model
--- a/gaproute/standins/cell_source.py
+++ b/gaproute/standins/cell_source.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from gaproute.loop import Listener, Stream
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.standins.platform.listing import Listing
 
 SECOND = 1_000_000_000
--- a/gaproute/standins/clients.py
+++ b/gaproute/standins/clients.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from gaproute.http1 import Exchange
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LINKS = 64  # kept connections to one gateway
--- a/gaproute/standins/host/fetch.py
+++ b/gaproute/standins/host/fetch.py
@@ -2,7 +2,7 @@
 
 from gaproute.http1 import Exchange
 from gaproute.loop import Promise
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
 CONNECT = SECOND  # for a connection to the store
--- a/gaproute/standins/platform/hosts.py
+++ b/gaproute/standins/platform/hosts.py
@@ -2,7 +2,7 @@
 
 from pathlib import Path
 
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.standins.host import Make, Model
 from gaproute.standins.platform.host import PlatformHost
 from gaproute.standins.tap import Tap
--- a/gaproute/standins/platform/log.py
+++ b/gaproute/standins/platform/log.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from gaproute.loop import Listener, Stream
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.standins.platform import invariants
 from gaproute.standins.platform.listing import STATES
 
--- a/gaproute/standins/platform/parties.py
+++ b/gaproute/standins/platform/parties.py
@@ -5,7 +5,7 @@
 import json
 
 from gaproute.loop import Listener, Promise, Stream, connect
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"  # of the change log's answer
--- a/gaproute/standins/platform/places.py
+++ b/gaproute/standins/platform/places.py
@@ -4,7 +4,7 @@
 dead, or when the front is told that it will be restarted.
 """
 
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.standins.platform.rpc import Link
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/standins/platform/spread.py
+++ b/gaproute/standins/platform/spread.py
@@ -3,8 +3,8 @@
 
 import socket
 
-from gaproute.loop.loop import READ
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
+from gaproute.loop.descriptors import READ
 
 READS = 64  # messages taken in one turn
 LONGEST = 2048  # bytes of a message
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -14,7 +14,7 @@
 from gaproute.interface import Idempotency
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from tests.core.test_core import core, relay_and_wait, take, turns
 from tests.fronts.test_departed_ends import end
 
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -14,7 +14,7 @@
 from gaproute.hosts import orca, proof
 from gaproute.http1 import Exchange
 from gaproute.loop import Listener, Promise, Stream
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 TRITON = """
 import sys, numpy, tritonclient.http as http
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -7,7 +7,7 @@
 from helpers import CONFIGURATION, MILLI, SECOND
 
 from gaproute.config import ConfigurationError, read_configuration
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.operator_requests import OperatorCommand, OperatorRequests
 
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -15,9 +15,16 @@
 
 from gaproute.cli.asking import ask
 from gaproute.config import read_configuration
-from gaproute.decisions.admission.restarts import APART, FIRST, MOST, SPREAD, WELL, Restarts
+from gaproute.decisions.admission.restarts import (
+    DELAY_JITTER,
+    FIRST_DELAY,
+    HEALTHY_UPTIME,
+    MAX_DELAY,
+    MIN_SPACING,
+    RestartBackoff,
+)
 from gaproute.decisions.chance import Chance
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 BODY = b'{"id": "t", "inputs": []}'
 ASK = (
@@ -29,19 +36,25 @@
 
 
 def test_one_that_lived_well_comes_back_soon_and_one_that_dies_at_once_ever_later():
-    made, now, waits = Restarts(Chance(1)), 0, []
+    made, now, waits = RestartBackoff(Chance(1)), 0, []
     for _ in range(12):
-        when = made.died(now, 0, SECOND)
+        when = made.schedule_restart(now, 0, SECOND)
         waits.append(when - now)
         now = when
-    assert waits[:6] == sorted(waits[:6]) and waits[0] >= 2 * FIRST and waits[-1] <= MOST * (1 + SPREAD)
-    assert made.died(now, 0, WELL) - now <= max(APART, FIRST * (1 + SPREAD))
+    assert (
+        waits[:6] == sorted(waits[:6])
+        and waits[0] >= 2 * FIRST_DELAY
+        and waits[-1] <= MAX_DELAY * (1 + DELAY_JITTER)
+    )
+    assert made.schedule_restart(now, 0, HEALTHY_UPTIME) - now <= max(
+        MIN_SPACING, FIRST_DELAY * (1 + DELAY_JITTER)
+    )
 
 
 def test_many_that_die_at_one_moment_are_started_apart():
-    made = Restarts(Chance(1))
-    starts = sorted(made.died(0, seat, WELL) for seat in range(8))
-    assert all(later - earlier >= APART for earlier, later in pairwise(starts))
+    made = RestartBackoff(Chance(1))
+    starts = sorted(made.schedule_restart(0, seat, HEALTHY_UPTIME) for seat in range(8))
+    assert all(later - earlier >= MIN_SPACING for earlier, later in pairwise(starts))
 
 
 def test_a_seat_has_a_name_and_addresses_of_its_own_and_the_others_as_peers():
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -23,11 +23,11 @@
     opened = []
 
     def accepted(made):
-        before = made.gate.lot.held
+        before = made.gate.connections.client_count
         client = socket.create_connection(made.at[1])
         client.settimeout(5)
         opened.append(client)
-        made.until(lambda: made.gate.lot.held > before)
+        made.until(lambda: made.gate.connections.client_count > before)
         return client
 
     yield accepted
@@ -98,7 +98,7 @@
     client = clients(made)
     made.gate.stop()
     lasted = run_out(made)
-    assert rest_of(client) == b"" and made.gate.lot.held == 0
+    assert rest_of(client) == b"" and made.gate.connections.client_count == 0
     assert LAST_REQUEST <= lasted < LAST_REQUEST + LAST_WORDS + made.gate.configuration.longest
 
 
@@ -153,7 +153,7 @@
     asked_and_answered(made, client)
     made.until(lambda: made.gate.fronts[0].server.parked)
     made.gate.stop()
-    assert made.gate.lot.held == 0 and rest_of(client) == b""
+    assert made.gate.connections.client_count == 0 and rest_of(client) == b""
 
 
 def test_of_requests_in_line_at_the_stop_only_the_last_answer_says_close(rig, clients):
@@ -242,8 +242,8 @@
 
 def accepted_by(made):
     """A connection that the gateway has accepted."""
-    before = made.gate.lot.held
+    before = made.gate.connections.client_count
     client = socket.create_connection(made.at[1])
     client.setblocking(False)
-    made.until(lambda: made.gate.lot.held > before)
+    made.until(lambda: made.gate.connections.client_count > before)
     return client
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -20,7 +20,7 @@
 from gaproute.cli import serving
 from gaproute.config import ConfigurationError, read_configuration, read_hosts
 from gaproute.discovery.listing import TOLD_AT, FileWatch
-from gaproute.loop import Loop, Stepped, connecting
+from gaproute.loop import Loop, Stepped, listening
 from gaproute.loop.starting import StartupRetries
 from gaproute.telemetry.logs import logger
 
@@ -156,7 +156,7 @@
 @pytest.mark.parametrize("code", [*SHORT, errno.ENOBUFS, errno.EADDRINUSE])
 def test_a_new_address_that_cannot_be_had_at_once_is_had_later(family, monkeypatch, code):
     before = dict(family.sockets)
-    monkeypatch.setattr(parent, "listening", Failing(connecting.listening, code, code))
+    monkeypatch.setattr(parent, "open_listening_socket", Failing(listening.open_listening_socket, code, code))
     family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 127.0.0.2:0\n")
     family.reload()
     assert family.sockets == before
@@ -244,7 +244,9 @@
     monkeypatch.setattr(pathlib.Path, "read_text", lambda path: read(path))
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, code, code))
     monkeypatch.setattr(os, "pipe2", Failing(os.pipe2, code))
-    monkeypatch.setattr(connecting, "listening", Failing(connecting.listening, code, code))
+    monkeypatch.setattr(
+        listening, "open_listening_socket", Failing(listening.open_listening_socket, code, code)
+    )
     result = serve()
     assert result.exit_code == 0 and len(result.made) == 1 and len(result.waits) == 6, result.output
 
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -8,7 +8,7 @@
 from benchmarks.scale.forwarding import Fleet
 from benchmarks.scale.forwarding_clients import LINKS, SECOND, Crowd, arrivals, most_calls
 from gaproute.http1 import Server
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 
 @pytest.fixture
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -11,27 +11,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.connections import Calendar, Lot, lot
-from gaproute.connections.calendar import WIDTH
-from gaproute.connections.parking import EXPIRES
+from gaproute.connections import AcceptedConnections, Calendar, accepted
+from gaproute.connections.calendar import SLOT_WIDTH
+from gaproute.connections.parked import MAX_EXPIRIES_PER_TURN
 from gaproute.decisions.admission.admission import (
-    ARRIVING,
-    DISPLACE,
-    FRESH,
-    FRESH_MOST,
-    HOSTS_SHARE,
-    JITTER,
-    KNOWN,
-    RESERVE,
-    SPARE,
-    TAKE,
-    TURN_AWAY,
+    HOST_DESCRIPTOR_SHARE,
+    IDLE_JITTER,
+    MAX_NEW_WAITING,
+    MIN_IDLE,
+    RESERVED_DESCRIPTORS,
     Admission,
+    AdmissionQueue,
+    IdleConnection,
+    Verdict,
 )
 from gaproute.decisions.chance import Chance
 from gaproute.http1 import Limits, Server
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
@@ -46,37 +43,60 @@
 
 
 def test_clients_can_never_take_what_is_kept_for_hosts_and_operators():
-    assert admission(most=10**6, descriptors=20_000).most == 20_000 - RESERVE - int(20_000 * HOSTS_SHARE)
-    assert admission(most=100).most == 100 and admission(descriptors=10).most == 1
+    assert admission(most=10**6, descriptors=20_000).max_connections == 20_000 - RESERVED_DESCRIPTORS - int(
+        20_000 * HOST_DESCRIPTOR_SHARE
+    )
+    assert admission(most=100).max_connections == 100
+    assert admission(descriptors=10).max_connections == 1
 
 
 @pytest.mark.parametrize(
-    "held, of_address, spare, said",
-    [(9, 0, False, TAKE), (10, 0, True, DISPLACE), (10, 0, False, TURN_AWAY), (5, 10, True, TURN_AWAY)],
+    ("held", "of_address", "spare", "said"),
+    [
+        (9, 0, False, Verdict.ACCEPT),
+        (10, 0, True, Verdict.EVICT),
+        (10, 0, False, Verdict.REJECT),
+        (5, 10, True, Verdict.REJECT),
+    ],
 )
 def test_an_arrival_is_taken_displaces_or_is_turned_away(held, of_address, spare, said):
-    assert admission().admit(held, of_address, spare) is said
+    assert admission().admit(held, of_address, can_evict=spare) is said
 
 
 def test_the_least_valuable_goes_then_the_longest_idle_and_none_that_was_busy_just_now():
     now = 100 * SECOND
-    assert admission().victim(now, [(1, 10 * SECOND, 5), (2, 20 * SECOND, 0), (3, 30 * SECOND, 0)]) == 2
-    assert admission().victim(now, [(1, now - SPARE + 1, 0)]) is None and admission().victim(now, []) is None
+    assert (
+        admission().eviction_candidate(
+            now,
+            [
+                IdleConnection(5, 10 * SECOND, 1),
+                IdleConnection(0, 20 * SECOND, 2),
+                IdleConnection(0, 30 * SECOND, 3),
+            ],
+        )
+        == 2
+    )
+    assert admission().eviction_candidate(now, [IdleConnection(0, now - MIN_IDLE + 1, 1)]) is None
+    assert admission().eviction_candidate(now, []) is None
 
 
 def test_those_that_spoke_before_get_most_of_the_turns_and_fresh_ones_are_never_starved():
     made = admission()
-    turns = [made.next(1000, 100, True) for _ in range(4000)]
-    assert turns.count(KNOWN) == 3000 and 300 < turns.count(FRESH) < 700 and 300 < turns.count(ARRIVING) < 700
-    assert made.next(0, 0, False) is None
-    assert {made.next(1, 0, False) for _ in range(8)} == {KNOWN}
-    assert {made.next(0, FRESH_MOST, True) for _ in range(50)} == {FRESH}  # no more are accepted
+    turns = [made.next_queue(1000, 100, True) for _ in range(4000)]
+    assert turns.count(AdmissionQueue.RETURNING) == 3000
+    assert 300 < turns.count(AdmissionQueue.NEW) < 700
+    assert 300 < turns.count(AdmissionQueue.ARRIVING) < 700
+    assert made.next_queue(0, 0, False) is None
+    assert {made.next_queue(1, 0, False) for _ in range(8)} == {AdmissionQueue.RETURNING}
+    assert {made.next_queue(0, MAX_NEW_WAITING, True) for _ in range(50)} == {
+        AdmissionQueue.NEW
+    }  # no more are accepted
 
 
 @given(st.integers(1, 10**12), st.integers(0, 10**12))
 def test_an_idle_time_is_never_shortened_and_spreads(idle, now):
-    ends = {admission().idle_end(now, idle) for _ in range(5)}
-    assert all(now + idle <= end <= now + idle * (1 + JITTER) + 1 for end in ends)
+    ends = {admission().idle_deadline(now, idle) for _ in range(5)}
+    assert all(now + idle <= end <= now + idle * (1 + IDLE_JITTER) + 1 for end in ends)
 
 
 # The calendar
@@ -89,19 +109,21 @@
         calendar.add(number, due)
     for step in [*steps, 2 * 10**9]:
         now += step
-        for thing, _ in calendar.take(now, 1000):
+        for thing, _ in calendar.take_due(now, 1000):
             assert dues[thing] <= now
             taken.append(thing)
-        assert all(due + WIDTH > now for number, due in enumerate(dues) if number not in taken)
-    assert sorted(taken) == list(range(len(dues))) and calendar.next() is None and not calendar.slots
+        assert all(due + SLOT_WIDTH > now for number, due in enumerate(dues) if number not in taken)
+    assert sorted(taken) == list(range(len(dues)))
+    assert calendar.next_due() is None
+    assert not calendar.slots
 
 
 def test_no_more_are_taken_at_once_than_asked_for_and_the_rest_come_next():
     calendar = Calendar()
     for number in range(10):
         calendar.add(number, 5)
-    assert [thing for thing, _ in calendar.take(SECOND, 4)] == [0, 1, 2, 3]
-    assert len(calendar.take(SECOND, 100)) == 6
+    assert [thing for thing, _ in calendar.take_due(SECOND, 4)] == [0, 1, 2, 3]
+    assert len(calendar.take_due(SECOND, 100)) == 6
 
 
 @given(st.lists(st.integers(1, 10**9), min_size=1, max_size=60))
@@ -109,10 +131,10 @@
     calendar = Calendar()
     for number, due in enumerate(dues):
         calendar.add(number, due)
-    first = calendar.first(5)
-    slots = sorted(calendar.slot(due) for due in dues)
-    assert sorted(calendar.slot(dues[thing]) for thing in first) == slots[:5]
-    assert len(calendar.take(2 * 10**9, 1000)) == len(dues)
+    first = calendar.earliest(5)
+    slots = sorted(calendar.slot_of(due) for due in dues)
+    assert sorted(calendar.slot_of(dues[thing]) for thing in first) == slots[:5]
+    assert len(calendar.take_due(2 * 10**9, 1000)) == len(dues)
 
 
 # Parked connections on sockets
@@ -124,7 +146,7 @@
     def __init__(self, limits=LIMITS, made=None, answer=True):
         self.skew = 0
         self.loop = Loop(lambda: time.monotonic_ns() + self.skew)
-        self.lot = Lot(self.loop, made)
+        self.connections = AcceptedConnections(self.loop, made)
         self.asked, self.clients, self.answers = [], [], answer
         self.server = Server(self.loop, address("127.0.0.1:0"), self.handle, limits, counted=True)
         self.at = address(self.server.address)[1]
@@ -168,14 +190,17 @@
 def test_a_connection_is_parked_until_it_speaks_and_again_when_it_is_quiet(house):
     made = house()
     client = made.client()
-    made.turns(lambda: made.lot.parked == 1)
-    assert not made.server.links and made.loop.watched.keys() == {made.server.listener.sock.fileno()}
+    made.turns(lambda: made.connections.parked_count == 1)
+    assert not made.server.links
+    assert made.loop.watched.keys() == {made.server.listener.sock.fileno()}
     for _ in range(3):
         assert b"200" in made.ask(client)
-        assert len(made.server.links) == 1 and made.lot.parked == 0
+        assert len(made.server.links) == 1
+        assert made.connections.parked_count == 0
         made.skew += 1300 * MILLI
-        made.turns(lambda: made.lot.parked == 1)
-        assert not made.server.links and made.server.held == made.lot.held == 1
+        made.turns(lambda: made.connections.parked_count == 1)
+        assert not made.server.links
+        assert made.server.held == made.connections.client_count == 1
 
 
 def test_one_that_speaks_at_once_again_is_not_parked_between(house):
@@ -190,11 +215,12 @@
 def test_a_parked_one_that_leaves_is_forgotten_with_its_address(house):
     made = house()
     client = made.client("127.0.0.7")
-    made.turns(lambda: made.lot.parked == 1)
-    assert "127.0.0.7" in made.lot.addresses
+    made.turns(lambda: made.connections.parked_count == 1)
+    assert "127.0.0.7" in made.connections.addresses
     client.close()
-    made.turns(lambda: made.lot.held == 0)
-    assert made.lot.parked == made.server.held == 0 and made.lot.addresses == {}
+    made.turns(lambda: made.connections.client_count == 0)
+    assert made.connections.parked_count == made.server.held == 0
+    assert made.connections.addresses == {}
 
 
 def test_one_at_work_that_leaves_is_forgotten_too(house):
@@ -207,37 +233,41 @@
     client.close()
     made.turns(lambda: left)
     made.server.answer(made.asked[0], 200, (), b"")
-    made.turns(lambda: made.lot.held == 0)
-    assert made.lot.addresses == {} and not made.server.links
+    made.turns(lambda: made.connections.client_count == 0)
+    assert made.connections.addresses == {}
+    assert not made.server.links
 
 
 def test_an_idle_end_comes_on_time_and_is_moved_by_each_request(house):
     made = house(Limits(idle_time=10 * SECOND))
     client = made.client()
-    made.turns(lambda: made.lot.parked == 1)
+    made.turns(lambda: made.connections.parked_count == 1)
     made.skew += 9 * SECOND
     made.ask(client)
     made.skew += 2 * SECOND
-    made.turns(lambda: made.lot.parked == 1)
+    made.turns(lambda: made.connections.parked_count == 1)
     made.skew += 7 * SECOND  # 9 s after its last request, 18 s after it came
     made.loop.run(until=made.loop.sleep(20 * MILLI))
-    assert made.lot.held == 1 and made.lot.expired == 0
+    assert made.connections.client_count == 1
+    assert made.connections.expired == 0
     made.skew += 1100 * MILLI
-    made.turns(lambda: made.lot.held == 0)
-    assert made.lot.expired == 1 and client.recv(1) == b""
+    made.turns(lambda: made.connections.client_count == 0)
+    assert made.connections.expired == 1
+    assert client.recv(1) == b""
 
 
 def test_after_a_stop_bytes_are_seen_before_an_idle_end_and_ends_do_not_fall_into_one_turn(house):
     made = house(Limits(idle_time=10 * SECOND))
     speaks = made.client()
-    quiet = [made.client() for _ in range(EXPIRES + 40)]
-    made.turns(lambda: made.lot.parked == len(quiet) + 1)
+    quiet = [made.client() for _ in range(MAX_EXPIRIES_PER_TURN + 40)]
+    made.turns(lambda: made.connections.parked_count == len(quiet) + 1)
     speaks.sendall(HEAD)
     made.skew += 60 * SECOND  # the process stood still: all are overdue, and one has spoken
     made.loop.turn()
-    assert len(made.asked) == 1 and made.asked[0].arrived < made.loop.now() - 40 * SECOND
-    assert 0 < made.lot.expired <= EXPIRES
-    made.turns(lambda: made.lot.held == 1)
+    assert len(made.asked) == 1
+    assert made.asked[0].arrived < made.loop.now() - 40 * SECOND
+    assert 0 < made.connections.expired <= MAX_EXPIRIES_PER_TURN
+    made.turns(lambda: made.connections.client_count == 1)
     assert b"200" in speaks.recv(4096)
 
 
@@ -251,52 +281,55 @@
 
 def test_a_full_house_displaces_the_idle_and_turns_away_where_none_is(house):
     made = house(made=admission(most=3))
-    made.lot.admission.says_close = lambda held: False
+    made.connections.admission.announces_close = lambda held: False
     worthy, idle, busy = made.client(), made.client(), made.client()
-    made.turns(lambda: made.lot.parked == 3)
+    made.turns(lambda: made.connections.parked_count == 3)
     made.ask(worthy)
     made.skew += 1300 * MILLI
-    made.turns(lambda: made.lot.parked == 3)
+    made.turns(lambda: made.connections.parked_count == 3)
     late = made.client()
-    made.turns(lambda: made.lot.turned_away == 1)  # all were busy or came just now
+    made.turns(lambda: made.connections.rejected == 1)  # all were busy or came just now
     assert turned_away(late)
-    made.skew += SPARE
+    made.skew += MIN_IDLE
     made.ask(busy)
     fresh = made.client()
-    made.turns(lambda: made.lot.displaced == 1)
-    assert idle.recv(1) == b"" and made.lot.held == 3 and b"200" in made.ask(fresh)
+    made.turns(lambda: made.connections.evicted == 1)
+    assert idle.recv(1) == b""
+    assert made.connections.client_count == 3
+    assert b"200" in made.ask(fresh)
     assert b"200" in made.ask(worthy)
 
 
 def test_one_address_cannot_take_the_house(house):
     made = house(made=admission(per_address=2))
     kept = [made.client("127.0.0.9") for _ in range(2)]
-    made.turns(lambda: made.lot.held == 2)
+    made.turns(lambda: made.connections.client_count == 2)
     third = made.client("127.0.0.9")
-    made.turns(lambda: made.lot.turned_away == 1)
+    made.turns(lambda: made.connections.rejected == 1)
     assert turned_away(third)
     other = made.client("127.0.0.8")
-    made.turns(lambda: made.lot.held == 3)
+    made.turns(lambda: made.connections.client_count == 3)
     kept.pop().close()
-    made.turns(lambda: made.lot.held == 2)
+    made.turns(lambda: made.connections.client_count == 2)
     again = made.client("127.0.0.9")
-    made.turns(lambda: made.lot.held == 3)
-    assert b"200" in made.ask(again) and b"200" in made.ask(other)
+    made.turns(lambda: made.connections.client_count == 3)
+    assert b"200" in made.ask(again)
+    assert b"200" in made.ask(other)
 
 
 def test_in_a_nearly_full_house_answers_say_that_the_connection_closes(house):
     made = house(made=admission(most=2))
     one, two = made.client(), made.client()
-    made.turns(lambda: made.lot.held == 2)
+    made.turns(lambda: made.connections.client_count == 2)
     assert b"Connection: close" in made.ask(one)
-    made.turns(lambda: made.lot.held == 1)
+    made.turns(lambda: made.connections.client_count == 1)
     assert b"Connection: close" not in made.ask(two)
 
 
 def test_tasks_in_hand_go_before_what_waits_at_admission(house):
     made = house()
     crowd = [made.client() for _ in range(200)]
-    made.turns(lambda: made.lot.parked == 200)
+    made.turns(lambda: made.connections.parked_count == 200)
     order = []
     made.server.handle = lambda request: (order.append("served"), made.server.answer(request, 200, (), b""))
     here, there = socket.socketpair()
@@ -305,7 +338,8 @@
         client.sendall(HEAD)
     there.send(b"x")
     made.loop.turn()
-    assert order[0] == "in hand" and "served" in order
+    assert order[0] == "in hand"
+    assert "served" in order
     made.turns(lambda: order.count("served") == 200)
     made.loop.unwatch(here.fileno())
     here.close(), there.close()
@@ -314,7 +348,7 @@
 def test_a_request_counts_from_when_it_was_seen_to_wait(house):
     made = house()
     first, second = made.client(), made.client()
-    made.turns(lambda: made.lot.parked == 2)
+    made.turns(lambda: made.connections.parked_count == 2)
     handle = made.server.handle
     made.server.handle = lambda request: (setattr(made, "skew", made.skew + 300 * MILLI), handle(request))
     first.sendall(HEAD)
@@ -355,24 +389,26 @@
 def test_a_parked_descriptor_closed_and_used_again_keeps_nothing_of_the_old(house):
     made = house(Limits(idle_time=10 * SECOND))
     old = made.client()
-    made.turns(lambda: made.lot.parked == 1)
-    fd = next(fd for fd, state in enumerate(made.lot.state) if state)
+    made.turns(lambda: made.connections.parked_count == 1)
+    fd = next(fd for fd, state in enumerate(made.connections.states) if state)
     made.skew += 8 * SECOND
     old.sendall(HEAD)
     old.close()
-    made.turns(lambda: made.lot.held == 0)
+    made.turns(lambda: made.connections.client_count == 0)
     new = made.client()
-    made.turns(lambda: made.lot.parked == 1)
-    assert made.lot.state[fd] and made.lot.tasks[fd] == 0
+    made.turns(lambda: made.connections.parked_count == 1)
+    assert made.connections.states[fd]
+    assert made.connections.request_counts[fd] == 0
     made.skew += 5 * SECOND  # over the old one's end, not the new one's
     made.loop.run(until=made.loop.sleep(20 * MILLI))
-    assert made.lot.held == 1 and b"200" in made.ask(new)
+    assert made.connections.client_count == 1
+    assert b"200" in made.ask(new)
 
 
 def test_running_out_of_descriptors_in_accept_rests_and_goes_on(house):
     made = house()
     made.client()
-    made.turns(lambda: made.lot.held == 1)
+    made.turns(lambda: made.connections.client_count == 1)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     waiting = made.client()
     free = os.dup(0)
@@ -380,10 +416,10 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (free, hard))  # nothing can be opened any more
     try:
         made.turns(lambda: made.server.listener.pauses >= 1)
-        assert made.lot.held == 1
+        assert made.connections.client_count == 1
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    made.turns(lambda: made.lot.held == 2)
+    made.turns(lambda: made.connections.client_count == 2)
     assert b"200" in made.ask(waiting)
 
 
@@ -396,20 +432,23 @@
         made.turns(lambda before=before: made.server.buffered > before)
     quick.sendall(b"POST / HTTP/1.1\r\nHost: g\r\nContent-Length: 2000\r\n\r\n" + b"x" * 1500)
     made.turns(lambda: made.server.faults == 1)
-    assert b"408" in slow.recv(4096) and made.server.buffered <= 5000
+    assert b"408" in slow.recv(4096)
+    assert made.server.buffered <= 5000
     for client, rest in ((quick, 500), (other, 2000)):
         client.sendall(b"x" * rest)
         made.turns(lambda: made.asked)
-        assert b"200" in client.recv(4096) and made.asked.pop()
+        assert b"200" in client.recv(4096)
+        assert made.asked.pop()
     made.turns(lambda: made.server.buffered == 0)
 
 
 def test_a_stop_closes_what_is_parked_and_accepts_no_more(house):
     made = house()
     client = made.client()
-    made.turns(lambda: made.lot.parked == 1)
+    made.turns(lambda: made.connections.parked_count == 1)
     made.server.stop()
-    assert made.lot.held == made.lot.parked == 0 and client.recv(1) == b""
+    assert made.connections.client_count == made.connections.parked_count == 0
+    assert client.recv(1) == b""
     with pytest.raises(ConnectionRefusedError):
         made.client()
 
@@ -417,7 +456,7 @@
 def test_what_was_sent_before_a_stop_is_answered_and_its_connection_closed(house):
     made = house()
     parked = made.client()
-    made.turns(lambda: made.lot.parked == 1)
+    made.turns(lambda: made.connections.parked_count == 1)
     arriving = made.client()  # not yet accepted
     for client in (parked, arriving):
         client.sendall(HEAD)
@@ -425,16 +464,18 @@
     made.turns(lambda: len(made.asked) == 2)
     for client in (parked, arriving):
         answer = client.recv(4096)
-        assert b"200" in answer and b"Connection: close" in answer and client.recv(1) == b""
+        assert b"200" in answer
+        assert b"Connection: close" in answer
+        assert client.recv(1) == b""
         client.close()
-    made.turns(lambda: made.lot.held == 0)
+    made.turns(lambda: made.connections.client_count == 0)
 
 
 def test_all_who_have_spoken_before_a_stop_are_answered_though_one_look_tells_of_few(house, monkeypatch):
-    monkeypatch.setattr(lot, "LOBBY", 1)
+    monkeypatch.setattr(accepted, "MAX_PARKED_EVENTS", 1)
     made = house()
     clients = [made.client() for _ in range(3)]
-    made.turns(lambda: made.lot.parked == 3)
+    made.turns(lambda: made.connections.parked_count == 3)
     for client in clients:
         client.sendall(HEAD)
     made.server.stop()
@@ -445,25 +486,26 @@
 def test_a_client_that_resets_while_it_waits_at_admission_harms_nobody(house):
     made = house()
     gone, stays = made.client(), made.client()
-    made.turns(lambda: made.lot.parked == 2)
+    made.turns(lambda: made.connections.parked_count == 2)
     gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     gone.sendall(HEAD)
     gone.close()
     assert b"200" in made.ask(stays)
-    made.turns(lambda: made.lot.held == 1)
+    made.turns(lambda: made.connections.client_count == 1)
 
 
 def test_an_address_whose_last_connection_makes_room_for_itself_is_counted_on():
     loop = Loop()
-    lot = Lot(loop, Admission(1, 10, 1000, Chance(1)))
-    first = lot.admit("a", True)
+    connections = AcceptedConnections(loop, Admission(1, 10, 1000, Chance(1)))
+    first = connections.admit("a", True)
 
     def displace():
-        lot.leave(first, True)
+        connections.release(first, True)
         return True
 
-    lot._displace = displace
-    place = lot.admit("a", True)
-    lot.leave(place, True)
-    assert lot.held == 0 and not lot.addresses
+    connections._evict_one = displace
+    place = connections.admit("a", True)
+    connections.release(place, True)
+    assert connections.client_count == 0
+    assert not connections.addresses
     loop.close()
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -5,14 +5,13 @@
 import socket
 
 import pytest
-from failing import Failing, FailingEpoll, fault, open_descriptors
+from failing import Failing, FailingEpoll, FailingSocket, fault, open_descriptors
 from scripted import MILLI, SECOND, Handed, nothing
 
-from gaproute.connections import lot as lots
-from gaproute.connections import parking
+from gaproute.connections import accepted, parked
 from gaproute.http1 import Server
 from gaproute.loop import Loop, Stepped, Stream, unread
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
 EPOLL_SHORT = [errno.ENOSPC, errno.ENOMEM]
@@ -28,7 +27,7 @@
         self.loop.on_error = self.faults.append
         self.loop.parked_epoll = FailingEpoll(self.loop.parked_epoll)
         self.server = Server(self.loop, address("127.0.0.1:0"), self.handle, counted=True)
-        self.lot = self.server.lot
+        self.connections = self.server.connections
 
     def handle(self, request):
         self.taken.append(request)
@@ -62,8 +61,12 @@
         self.passes(SECOND, 20 * MILLI)
         self.server.close()
         self.loop.close()
-        assert not self.lot.held and not self.lot.parked and not self.server.links and not self.loop.watched
-        assert self.faults == [] and open_descriptors() == self.before
+        assert not self.connections.client_count
+        assert not self.connections.parked_count
+        assert not self.server.links
+        assert not self.loop.watched
+        assert self.faults == []
+        assert open_descriptors() == self.before
 
 
 @pytest.fixture
@@ -78,7 +81,8 @@
     failing = house.loop.parked_epoll.fail("register", code, code)
     client = house.client()
     house.passes(20 * MILLI)
-    assert failing.failed == 2 and not house.lot.unheard
+    assert failing.failed == 2
+    assert not house.connections.unregistered
     client.sendall(HEAD)
     assert house.answers(client) == 1
 
@@ -89,22 +93,25 @@
     assert house.answers(client) == 1
     failing = house.loop.parked_epoll.fail("modify", code, code)
     house.passes(3 * SECOND, 10 * MILLI)
-    assert house.lot.parked == 1 and failing.failed == 2
+    assert house.connections.parked_count == 1
+    assert failing.failed == 2
     client.sendall(HEAD)
     assert house.answers(client) == 1
 
 
 def test_the_pauses_grow_and_room_is_made_while_the_shortage_lasts(house, monkeypatch):
     rooms = []
-    monkeypatch.setattr(house.lot, "make_room", lambda: rooms.append(1))
+    monkeypatch.setattr(house.connections, "evict_idle", lambda: rooms.append(1))
     failing = house.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 999)
     client = house.client()
     house.passes(2 * SECOND)
-    assert 40 <= failing.failed <= 50 and len(rooms) == failing.failed - 1
+    assert 40 <= failing.failed <= 50
+    assert len(rooms) == failing.failed - 1
     failing.codes.clear()
     house.passes(200 * MILLI)
     client.sendall(HEAD)
-    assert house.answers(client) == 1 and not house.lot.hear_backoff.has_failed
+    assert house.answers(client) == 1
+    assert not house.connections.register_backoff.has_failed
 
 
 @pytest.fixture
@@ -113,7 +120,8 @@
     failing = house.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 9999)
     client = house.client()
     house.passes(2 * MILLI)
-    assert failing.failed and house.lot.parked == 1
+    assert failing.failed
+    assert house.connections.parked_count == 1
     client.sendall(HEAD)
     yield house, client, failing
     failing.codes.clear()
@@ -121,12 +129,13 @@
 
 def test_one_that_spoke_unheard_is_served_though_the_epoll_never_takes_it(deaf):
     house, client, failing = deaf
-    house.lot.admission.spare = 1 << 60  # nobody makes room
+    house.connections.admission.min_idle = 1 << 60  # nobody makes room
     for _ in range(3):
         house.passes(200 * MILLI)
         assert house.answers(client) == 1
         house.passes(3 * SECOND, 50 * MILLI)  # it is parked again meanwhile
-        assert house.lot.parked == 1 and failing.codes
+        assert house.connections.parked_count == 1
+        assert failing.codes
         client.sendall(HEAD)
     house.passes(200 * MILLI)
     assert house.answers(client) == 1
@@ -134,24 +143,28 @@
 
 def test_one_that_spoke_unheard_does_not_make_room_for_others(deaf):
     house, client, _ = deaf
-    house.lot.admission.spare = 0
+    house.connections.admission.min_idle = 0
     house.clock.now += SECOND
-    house.lot.make_room()
-    assert house.lot.held == 1 and house.answers(client) == 1
+    house.connections.evict_idle()
+    assert house.connections.client_count == 1
+    assert house.answers(client) == 1
 
 
 def test_one_that_spoke_unheard_is_not_closed_as_idle(deaf):
     house, client, _ = deaf
-    (fd,) = house.lot.unheard
-    house.clock.now = house.lot.due[fd] + SECOND
-    house.lot._tick()
-    assert house.lot.held == 1 and house.lot.expired == 0 and house.answers(client) == 1
+    (fd,) = house.connections.unregistered
+    house.clock.now = house.connections.idle_until[fd] + SECOND
+    house.connections._close_expired()
+    assert house.connections.client_count == 1
+    assert house.connections.expired == 0
+    assert house.answers(client) == 1
 
 
 def test_one_that_spoke_unheard_is_not_closed_at_a_stop(deaf):
     house, client, _ = deaf
-    house.lot.close(house.server.number)
-    assert house.lot.held == 1 and house.answers(client) == 1
+    house.connections.close_owned(house.server.number)
+    assert house.connections.client_count == 1
+    assert house.answers(client) == 1
 
 
 def test_a_look_for_the_unheard_that_is_interrupted_is_made_again(deaf, monkeypatch):
@@ -168,9 +181,10 @@
             raise fault(errno.EINTR)
 
     with monkeypatch.context() as patched:
-        patched.setattr(parking, "poll", Interrupted)
+        patched.setattr(parked, "poll", Interrupted)
         house.passes(10 * MILLI)
-        assert Interrupted.calls and house.lot.held == 1
+        assert Interrupted.calls
+        assert house.connections.client_count == 1
     house.passes(200 * MILLI)
     assert house.answers(client) == 1
 
@@ -179,24 +193,29 @@
     house.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 3)
     client = house.client()
     house.passes(2 * MILLI)
-    (fd,) = house.lot.unheard
-    house.lot._drop(fd)
+    (fd,) = house.connections.unregistered
+    house.connections._close_parked(fd)
     successor = house.client(HEAD)
-    assert house.answers(successor) == 1 and house.lot.held == 1 and not house.lot.unheard
+    assert house.answers(successor) == 1
+    assert house.connections.client_count == 1
+    assert not house.connections.unregistered
     client.close()
     house.loop.parked_epoll.fail("register", *[errno.ENOSPC] * 3)
     house.client()
     house.passes(2 * MILLI)
-    house.lot._drop(next(iter(house.lot.unheard)))
+    house.connections._close_parked(next(iter(house.connections.unregistered)))
     house.passes(20 * MILLI)
-    assert house.faults == [] and house.server.held == 1 and not house.lot.unheard
+    assert house.faults == []
+    assert house.server.held == 1
+    assert not house.connections.unregistered
 
 
 def test_one_that_the_epoll_cannot_take_at_all_is_closed_and_told(house):
     house.loop.parked_epoll.fail("register", errno.EPERM)
     house.client(HEAD)
     house.passes(10 * MILLI)
-    assert not house.lot.held and [error.errno for error in house.faults] == [errno.EPERM]
+    assert not house.connections.client_count
+    assert [error.errno for error in house.faults] == [errno.EPERM]
     house.faults.clear()
 
 
@@ -204,7 +223,7 @@
 def test_a_parked_one_that_cannot_be_read_at_once_is_read_later(house, monkeypatch, code):
     client = house.client()
     house.passes(5 * MILLI)
-    monkeypatch.setattr(lots.os, "read", Failing(os.read, code, code))
+    monkeypatch.setattr(accepted.os, "read", Failing(os.read, code, code))
     client.sendall(HEAD)
     assert house.answers(client) == 1
 
@@ -213,10 +232,11 @@
 def test_a_parked_one_whose_connection_is_broken_is_closed(house, monkeypatch, code):
     client = house.client()
     house.passes(5 * MILLI)
-    monkeypatch.setattr(lots.os, "read", Failing(os.read, code))
+    monkeypatch.setattr(accepted.os, "read", Failing(os.read, code))
     client.sendall(HEAD)
     house.passes(5 * MILLI)
-    assert not house.lot.held and not house.taken
+    assert not house.connections.client_count
+    assert not house.taken
 
 
 @pytest.mark.parametrize("code", [errno.EINTR, errno.EIO])
@@ -229,15 +249,16 @@
         close(fd)
         raise fault(code)
 
-    monkeypatch.setattr(parking.os, "close", closing)
+    monkeypatch.setattr(parked.os, "close", closing)
     client.close()
     house.passes(5 * MILLI)
-    assert not house.lot.held and not house.server.held
+    assert not house.connections.client_count
+    assert not house.server.held
 
 
 def test_reads_of_one_byte_make_a_whole_request(house, monkeypatch):
     read = os.read
-    monkeypatch.setattr(lots.os, "read", lambda fd, most: read(fd, 1))
+    monkeypatch.setattr(accepted.os, "read", lambda fd, most: read(fd, 1))
     client = house.client(HEAD)
     assert house.answers(client) == 1
 
@@ -245,14 +266,11 @@
 # Stops while accepting fails
 
 
-class FailingAccept:
-    """Stands for a listening socket."""
-
-    def __init__(self, sock, *codes):
-        self.sock, self.accept = sock, Failing(sock.accept, *codes)
-
-    def __getattr__(self, name):
-        return getattr(self.sock, name)
+def failing_accept(sock, *codes):
+    """Stands for a listening socket whose next accepts fail."""
+    made = FailingSocket(sock)
+    made.fail("accept", *codes)
+    return made
 
 
 @pytest.mark.parametrize(
@@ -260,17 +278,20 @@
 )
 def test_who_waits_in_the_queue_at_a_stop_is_answered_though_accepting_fails(house, code):
     server = house.server
-    server.listener.sock = FailingAccept(server.listener.sock, *[code] * 20)
+    server.listener.sock = failing_accept(server.listener.sock, *[code] * 20)
     client = house.client(HEAD)
     emptied = []
     server.emptied = lambda: emptied.append(house.clock.now)
     server.stop(SECOND)
-    assert server.held and not emptied
+    assert server.held
+    assert not emptied
     house.passes(200 * MILLI)
     assert house.answers(client) == 1
     client.close()
     house.passes(SECOND, 10 * MILLI)
-    assert emptied and server.listener.sock.fileno() < 0 and not server.held
+    assert emptied
+    assert server.listener.sock.fileno() < 0
+    assert not server.held
 
 
 @pytest.mark.parametrize(
@@ -279,7 +300,7 @@
 def test_the_platforms_front_takes_in_who_waits_at_a_stop_though_accepting_fails(gate, code):
     made = gate(clock=Handed())
     front = made.process.front
-    front.listener.sock = FailingAccept(front.listener.sock, *[code] * 20)
+    front.listener.sock = failing_accept(front.listener.sock, *[code] * 20)
     client = made.client()
     client.ask(1)
     made.process.stop()
@@ -287,42 +308,27 @@
     assert front.held  # neither connection nor end: one may wait
     for _ in range(40):
         made.passes(5 * MILLI)
-    assert len(client.answers) == 1 and front.listener.sock.fileno() < 0
+    assert len(client.answers) == 1
+    assert front.listener.sock.fileno() < 0
 
 
 def test_a_front_that_is_closed_while_it_takes_in_leaves_no_timer(gate):
     made = gate(clock=Handed())
     front = made.process.front
-    front.listener.sock = FailingAccept(front.listener.sock, *[errno.EMFILE] * 99)
+    front.listener.sock = failing_accept(front.listener.sock, *[errno.EMFILE] * 99)
     front.stop()
     timer = front.drainer
     assert timer.call is not None
     front.close()
-    assert (
-        timer.call is None
-        and front.drainer is None
-        and front.listener.sock.fileno() < 0
-        and front.listener.pause_timer is None
-    )
+    assert timer.call is None
+    assert front.drainer is None
+    assert front.listener.sock.fileno() < 0
+    assert front.listener.pause_timer is None
 
 
 # Streams
 
 
-class FailingSocket:
-    """Stands for a connected socket of which some calls fail."""
-
-    def __init__(self, sock):
-        self.sock = sock
-
-    def __getattr__(self, name):
-        return getattr(self.sock, name)
-
-    def fail(self, name, *codes):
-        setattr(self, name, failing := Failing(getattr(self.sock, name), *codes))
-        return failing
-
-
 @pytest.fixture
 def stream():
     loop = Loop(Stepped(now=7 * SECOND))
@@ -351,15 +357,19 @@
     stream.sock.fail("recv", code, code)
     stream.there.send(b"x")
     stream.loop.run(until=stream.loop.sleep(MILLI))
-    assert stream.told == [b"x"] and stream.open
+    assert stream.told == [b"x"]
+    assert stream.open
 
 
 @pytest.mark.parametrize("code", MEMORY)
 def test_a_write_that_fails_for_a_moment_goes_out_and_counts_once(stream, code):
     stream.sock.fail("send", code, code)
-    assert stream.write(b"first") and stream.bytes_sent == 0
+    assert stream.write(b"first")
+    assert stream.bytes_sent == 0
     stream.loop.run(until=stream.loop.sleep(MILLI))
-    assert stream.there.recv(99) == b"first" and stream.bytes_sent == 5 and stream.bytes_unsent == 0
+    assert stream.there.recv(99) == b"first"
+    assert stream.bytes_sent == 5
+    assert stream.bytes_unsent == 0
 
 
 @pytest.mark.parametrize("code", MEMORY)
@@ -367,9 +377,13 @@
     stream.sock.fail("send", code)
     rooms = []
     stream.on_writable = lambda: rooms.append(1)
-    assert not stream.try_begin(b"relay") and stream.bytes_sent == 0 and not stream.outgoing
+    assert not stream.try_begin(b"relay")
+    assert stream.bytes_sent == 0
+    assert not stream.outgoing
     stream.loop.turn()
-    assert rooms == [1] and stream.try_begin(b"relay") and stream.there.recv(99) == b"relay"
+    assert rooms == [1]
+    assert stream.try_begin(b"relay")
+    assert stream.there.recv(99) == b"relay"
 
 
 @pytest.mark.parametrize("code", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN, errno.EPIPE])
@@ -380,16 +394,18 @@
     if name == "send":
         stream.write(b"out")
     stream.loop.run(until=stream.loop.sleep(SECOND))
-    assert [each.errno for each in stream.told if each != b"x"] == [code] and not stream.open
+    assert [each.errno for each in stream.told if each != b"x"] == [code]
+    assert not stream.open
 
 
 def test_writes_of_one_byte_send_all_of_it(stream):
-    send = stream.sock.sock.send
+    send = stream.sock.real.send
     stream.sock.send = lambda data: send(bytes(data[:1]))
     stream.write(b"some bytes")
     stream.write(b" and more")
     stream.loop.run(until=stream.loop.sleep(MILLI))
-    assert stream.there.recv(99) == b"some bytes and more" and stream.bytes_sent == 19
+    assert stream.there.recv(99) == b"some bytes and more"
+    assert stream.bytes_sent == 19
 
 
 @pytest.mark.parametrize("code", MEMORY)
@@ -399,7 +415,8 @@
     stream.sock.fail("recv", code)
     stream.write(b"out")
     stream.loop._run_callbacks()
-    assert stream.told[0] == b"answer" and stream.told[1].errno == errno.ECONNRESET
+    assert stream.told[0] == b"answer"
+    assert stream.told[1].errno == errno.ECONNRESET
 
 
 @pytest.mark.parametrize("code", MEMORY)
@@ -408,7 +425,8 @@
     assert stream.is_quiet()
     stream.there.send(b"x")
     stream.sock.fail("recv", code)
-    assert not stream.is_quiet() and not stream.hung_up()
+    assert not stream.is_quiet()
+    assert not stream.hung_up()
 
 
 @pytest.mark.parametrize("code", MEMORY)
@@ -442,7 +460,7 @@
 
 
 def test_a_stream_whose_close_tells_an_error_has_ended_all_the_same(stream):
-    close = stream.sock.sock.close
+    close = stream.sock.real.close
 
     def closing():
         close()
@@ -451,7 +469,8 @@
     stream.sock.close = closing
     stream.there.shutdown(socket.SHUT_WR)
     stream.loop.run(until=stream.loop.sleep(MILLI))
-    assert stream.told == [None] and not stream.open
+    assert stream.told == [None]
+    assert not stream.open
 
 
 def test_one_that_could_not_be_looked_at_when_the_process_stopped_is_closed_a_moment_later(gate):
@@ -466,4 +485,5 @@
     assert not link.closing
     for _ in range(5):
         made.passes(50 * MILLI)
-    assert client.ended and not made.process.front.links
+    assert client.ended
+    assert not made.process.front.links
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.cells.table import Entry
 from gaproute.hosts import forwarded
 from gaproute.http1 import Server
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 CELLS = {"a1": ("a1", ("ga", "gx")), "b1": ("b1", ("gb",))}
 
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -6,7 +6,7 @@
 
 from gaproute.discovery.changelog.cell import FIRST_PAUSE, LONGEST_PAUSE
 from gaproute.loop import Listener, Stream
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.standins.cell_source import HEAD, CellSource, Trouble
 
 
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -9,7 +9,7 @@
 from followed_fleet import GRACE, FollowedFleet
 from helpers import MILLI, SECOND, makers
 
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.standins.cell_source import CellSource, Trouble
 
 PAIR = {"a1": ("a1", ("ga",)), "b1": ("b1", ("gb",))}
--- a/tests/faultinjection/test_fault_network.py
+++ b/tests/faultinjection/test_fault_network.py
@@ -8,15 +8,24 @@
 
 import pytest
 
-from gaproute.connections import lot
+from gaproute.connections import accepted
 from gaproute.discovery.changelog.events import Lister
 from gaproute.faultinjection.catalog import ERRNOS, FAULTS, SECOND, NetworkCall
 from gaproute.faultinjection.network import PACKAGES, NetworkFaults, modules_of
 from gaproute.faultinjection.plan import ClockStep, Failure, FaultPlan, Script, ShortTransfer
 from gaproute.fronts.jsonrpc import front
-from gaproute.loop import Loop, connecting, datagrams, loop, streams
-
-HOLDERS = ((loop, "select"), (loop, "os"), (streams, "socket"), (connecting, "socket"), (connecting, "os"))
+from gaproute.loop import Loop, datagrams, descriptors, dialing, listening, loop, signals, streams
+
+HOLDERS = (
+    (loop, "select"),
+    (descriptors, "select"),
+    (signals, "os"),
+    (streams, "socket"),
+    (dialing, "socket"),
+    (dialing, "os"),
+    (listening, "socket"),
+    (listening, "os"),
+)
 
 
 @pytest.fixture
@@ -39,7 +48,7 @@
     opened = []
 
     def make():
-        listener = connecting.listening((socket.AF_INET, ("127.0.0.1", 0)))
+        listener = listening.open_listening_socket((socket.AF_INET, ("127.0.0.1", 0)))
         far = socket.create_connection(listener.getsockname())
         near, _ = listener.accept()
         opened.extend((listener, far, near))
@@ -78,18 +87,18 @@
     ]
     assert not left
     assert front.socket.socket is streams.socket.socket is datagrams.socket.socket
-    assert lot.os.read is loop.os.read is not os.read
+    assert accepted.os.read is signals.os.read is not os.read
 
 
 @pytest.mark.parametrize(
     "call, act",
     [
-        (NetworkCall.SOCKET, lambda: connecting.socket.socket(socket.AF_INET, socket.SOCK_STREAM)),
-        (NetworkCall.BIND, lambda: connecting.listening((socket.AF_INET, ("127.0.0.1", 0)))),
-        (NetworkCall.LISTEN, lambda: connecting.listening((socket.AF_INET, ("127.0.0.1", 0)))),
-        (NetworkCall.SETSOCKOPT, lambda: connecting.listening((socket.AF_INET, ("127.0.0.1", 0)))),
+        (NetworkCall.SOCKET, lambda: dialing.socket.socket(socket.AF_INET, socket.SOCK_STREAM)),
+        (NetworkCall.BIND, lambda: listening.open_listening_socket((socket.AF_INET, ("127.0.0.1", 0)))),
+        (NetworkCall.LISTEN, lambda: listening.open_listening_socket((socket.AF_INET, ("127.0.0.1", 0)))),
+        (NetworkCall.SETSOCKOPT, lambda: listening.open_listening_socket((socket.AF_INET, ("127.0.0.1", 0)))),
         (NetworkCall.EPOLL_CREATE, lambda: loop.select.epoll()),
-        (NetworkCall.PIPE, lambda: loop.os.pipe2(os.O_CLOEXEC)),
+        (NetworkCall.PIPE, lambda: signals.os.pipe2(os.O_CLOEXEC)),
     ],
 )
 def test_each_errno_of_a_call_is_raised_by_it_and_nothing_is_left_open(install, call, act):
@@ -106,7 +115,7 @@
     install((NetworkCall.ACCEPT, 1, Failure(errno.EMFILE)))
     with pytest.raises(OSError, match="Too many open files"):
         pair()
-    listener = connecting.listening((socket.AF_INET, ("127.0.0.1", 0)))
+    listener = listening.open_listening_socket((socket.AF_INET, ("127.0.0.1", 0)))
     with socket.create_connection(listener.getsockname()):
         accepted, _ = listener.accept()
         assert isinstance(accepted, streams.socket.socket)  # the accepted one is faulty as well
@@ -118,7 +127,7 @@
 def test_connect_tells_the_errno_and_after_an_interruption_it_comes_about(install, number):
     install((NetworkCall.CONNECT, 1, Failure(number)))
     far = socket.create_server(("127.0.0.1", 0))
-    sock = connecting.socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+    sock = dialing.socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     assert sock.connect_ex(far.getsockname()) == number
     came = select.select([far], [], [], 0.05)[0]
     assert bool(came) == (number == errno.EINTR)
@@ -149,10 +158,10 @@
     install((NetworkCall.RECV, 1, ShortTransfer(1)), (NetworkCall.RECV, 2, Failure(errno.ETIMEDOUT)))
     near, far = pair()
     far.send(b"ab")
-    assert lot.os.read(near.fileno(), 100) == b"a"
+    assert accepted.os.read(near.fileno(), 100) == b"a"
     with pytest.raises(TimeoutError):
-        lot.os.read(near.fileno(), 100)
-    assert lot.os.read(near.fileno(), 100) == b""
+        accepted.os.read(near.fileno(), 100)
+    assert accepted.os.read(near.fileno(), 100) == b""
 
 
 @pytest.mark.parametrize("number", [errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH])
@@ -206,12 +215,12 @@
 
 def test_a_wake_up_pipe_has_faults_of_its_own_and_never_breaks(install):
     install((NetworkCall.PIPE_READ, 1, Failure(errno.EAGAIN)))
-    reader, writer = loop.os.pipe2(os.O_NONBLOCK)
+    reader, writer = signals.os.pipe2(os.O_NONBLOCK)
     os.write(writer, b"x")
     with pytest.raises(BlockingIOError):
-        loop.os.read(reader, 9)
-    assert loop.os.read(reader, 9) == b"x"
-    loop.os.close(reader)
+        signals.os.read(reader, 9)
+    assert signals.os.read(reader, 9) == b"x"
+    signals.os.close(reader)
     os.close(writer)
 
 
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -16,9 +16,10 @@
 from gaproute.fronts.jsonrpc.front import Front
 from gaproute.hosts import proof
 from gaproute.interface import Result
-from gaproute.loop import Listener, Loop, Stream, connecting, unread
+from gaproute.loop import Listener, Loop, Stream, sockets, unread
 from gaproute.loop import loop as loops
 from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.listening import Accepted
 
 HOUR = 3600 * SECOND
 
@@ -29,7 +30,7 @@
             sock, address = listener.sock.accept()
         except BlockingIOError:
             return None
-        return connecting._tuned(sock), address
+        return Accepted(sockets.configure(sock), address)
 
     patch.setattr(Listener, "accept", accept)
 
@@ -37,15 +38,15 @@
 def descriptor_leaked_when_setsockopt_fails(patch):
     leaked = []
 
-    def tuned(sock):
+    def configure(sock):
         sock.setblocking(False)
         try:
-            sock.setsockopt(connecting.socket.IPPROTO_TCP, connecting.socket.TCP_NODELAY, 1)
+            sock.setsockopt(sockets.socket.IPPROTO_TCP, sockets.socket.TCP_NODELAY, 1)
         except OSError:
             leaked.append(sock.dup())
         return sock
 
-    patch.setattr(connecting, "_tuned", tuned)
+    patch.setattr(sockets, "configure", configure)
 
 
 def lack_at_connect_taken_for_what_may_have_run(patch):
@@ -136,7 +137,7 @@
 def peers_given_up_at_one_failure(patch):
     def ready(datagrams, events):
         try:
-            datagrams.heard(datagrams.sock.recv(2048))
+            datagrams.on_datagram(datagrams.sock.recv(2048))
         except BlockingIOError:
             pass
         except OSError:
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -16,7 +16,8 @@
 from gaproute.http1 import client as http_clients
 from gaproute.http1.client import Exchange
 from gaproute.loop import Loop
-from gaproute.loop.streams import READ_SIZE, address
+from gaproute.loop.addresses import address
+from gaproute.loop.streams import READ_SIZE
 from gaproute.standins.platform import arg
 from tests.fronts.test_departed_ends import end
 
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -8,7 +8,8 @@
 
 from gaproute.http1 import Limits, Server
 from gaproute.loop import Loop
-from gaproute.loop.streams import READ_SIZE, address
+from gaproute.loop.addresses import address
+from gaproute.loop.streams import READ_SIZE
 from gaproute.standins.platform import arg
 
 ENDS = ["fin", "reset", "half"]
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -9,14 +9,15 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Handed, half_close, nothing
 
-from gaproute.decisions.admission.admission import SHORT
-from gaproute.decisions.connections.pooling import OWN
+from gaproute.decisions.admission.admission import EVICTIONS_PER_SHORTAGE
+from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS
 from gaproute.fronts.jsonrpc import front as fronts
 from gaproute.fronts.jsonrpc import link as links
 from gaproute.fronts.jsonrpc.messages import FAILED, REFUSED
 from gaproute.loop import connect
-from gaproute.loop.connecting import FIRST_DIAL_PAUSE
-from gaproute.loop.streams import CLOSE_WAIT, address
+from gaproute.loop.addresses import address
+from gaproute.loop.dialing import FIRST_DIAL_PAUSE
+from gaproute.loop.streams import CLOSE_WAIT
 from gaproute.platform.process import AGAIN, STATUS, STILL_COMING
 
 
@@ -34,24 +35,25 @@
 
 def test_connections_that_say_farewell_count_and_make_room_in_a_full_house(gate):
     made = gate(sockets=70, clock=Handed())
-    lot = made.process.front.lot
-    deaf = [socket.create_connection(address(made.where)[1]) for _ in range(lot.admission.most)]
+    connections = made.process.front.connections
+    deaf = [
+        socket.create_connection(address(made.where)[1]) for _ in range(connections.admission.max_connections)
+    ]
     for each in deaf:  # an error is owed to each, and none of them closes then
         each.sendall(b"noise" * 200)
     made.until(lambda: len(made.loop.closing_streams) == len(deaf))
-    made.until(
-        lambda: all(stream.is_acknowledged() for stream in made.loop.closing_streams)
-    )  # the kernel may take 40 ms
+    # The kernel may take 40 ms.
+    made.until(lambda: all(stream.is_acknowledged() for stream in made.loop.closing_streams))
     late = made.client()
     late.ask(1)
     made.turns()
-    assert lot.held == lot.admission.most and not late.answers
+    assert connections.client_count == connections.admission.max_connections and not late.answers
     made.passes(110 * MILLI)
     made.passes(20 * MILLI)
     made.until(lambda: late.answers)
-    assert (
-        "result" in late.answers[0] and lot.held == lot.admission.most == len(made.loop.closing_streams) + 1
-    )
+    assert "result" in late.answers[0]
+    assert connections.client_count == connections.admission.max_connections
+    assert connections.client_count == len(made.loop.closing_streams) + 1
     for each in deaf:
         each.close()
 
@@ -291,7 +293,7 @@
 def test_who_waits_in_the_kernels_queue_at_the_stop_is_answered_though_the_house_is_full(gate):
     made = gate(sockets=70, clock=Handed())
     front = made.process.front
-    rest = [made.client() for _ in range(front.lot.admission.most)]
+    rest = [made.client() for _ in range(front.connections.admission.max_connections)]
     for place, client in enumerate(rest):
         client.ask(1, i=f"{place:016x}")
     made.until(lambda: all(client.answers for client in rest))
@@ -398,7 +400,7 @@
     take, give = exhausted
     made = gate(clock=Handed())
     clients = []
-    for _ in range(SHORT + 2):  # each idle for a little longer than the next
+    for _ in range(EVICTIONS_PER_SHORTAGE + 2):  # each idle for a little longer than the next
         clients.append(made.client())
         made.turns(5)
         made.passes(10 * MILLI)
@@ -412,7 +414,7 @@
     give()
     assert [what for what, _ in made.lines[-2:]] == ["status", "configuration not read yet"]
     assert made.lines[-2][1]["descriptors"] is made.lines[-2][1]["memory_mb"] is None
-    assert [client.ended for client in clients] == [True] * SHORT + [False] * 2
+    assert [client.ended for client in clients] == [True] * EVICTIONS_PER_SHORTAGE + [False] * 2
     made.passes(AGAIN + MILLI)
     assert made.lines[-1][0] == "configuration" and made.process.follower.where == address("127.0.0.1:9")
     made.passes(STATUS)
@@ -453,6 +455,6 @@
 @pytest.mark.parametrize("sockets", [32, 64, 90, 256, 1024])
 def test_what_clients_hosts_and_the_process_may_hold_is_never_more_than_the_limit(gate, sockets):
     process = gate(sockets=sockets).process
-    most = process.front.lot.admission.most
-    assert most + process.hosts.room + OWN <= sockets and process.hosts.room > 0
+    most = process.front.connections.admission.max_connections
+    assert most + process.hosts.room + PROCESS_DESCRIPTORS <= sockets and process.hosts.room > 0
     assert most >= sockets // 3 or sockets < 64  # what clients may hold by the protocol
--- a/tests/fronts/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -18,21 +18,21 @@
     return client
 
 
-def over_time(lot, made):
+def over_time(connections, made):
     made.clock.now += 60 * SECOND
-    lot._tick()
+    connections._close_expired()
 
 
-def displaced(lot, made):
-    lot._displace()
+def displaced(connections, made):
+    connections._evict_one()
 
 
-def short_of_descriptors(lot, made):
-    lot.make_room()
+def short_of_descriptors(connections, made):
+    connections.evict_idle()
 
 
-def closed_by_its_owner(lot, made):
-    lot.close(made.process.front.number)
+def closed_by_its_owner(connections, made):
+    connections.close_owned(made.process.front.number)
 
 
 @pytest.mark.parametrize("close", [over_time, displaced, short_of_descriptors, closed_by_its_owner])
@@ -44,7 +44,7 @@
     made.until(lambda: made.process.front.parked == 2)
     made.passes(300 * MILLI)
     client.ask(asks + 1)
-    close(made.process.front.lot, made)
+    close(made.process.front.connections, made)
     made.until(lambda: len(client.answers) == asks + 1)
     assert set(codes(client)[0].values()) == {None} and not client.ended
     made.turns()
@@ -55,8 +55,8 @@
     made = gate(clock=Handed())
     clients = [made.client() for _ in range(3)]
     made.until(lambda: made.process.front.parked == 3)
-    lot, last = made.process.front.lot, clients[-1]
-    drop = lot._drop
+    connections, last = made.process.front.connections, clients[-1]
+    drop = connections._close_parked
 
     def slow_close(fd):
         if not last.buffer and not said:
@@ -64,29 +64,29 @@
             last.ask(1)
         drop(fd)
 
-    said, lot._drop = [], slow_close
-    lot.close(made.process.front.number)
+    said, connections._close_parked = [], slow_close
+    connections.close_owned(made.process.front.number)
     made.until(lambda: last.answers)
     assert codes(last)[0] == {1: None} and [client.ended for client in clients] == [True, True, False]
 
 
 def test_who_was_accepted_for_one_who_rested_stays_although_that_one_has_just_spoken(gate):
     made = gate(sockets=70, clock=Handed())
-    lot = made.process.front.lot
-    clients = [made.client() for _ in range(lot.admission.most)]
+    connections = made.process.front.connections
+    clients = [made.client() for _ in range(connections.admission.max_connections)]
     made.until(lambda: made.process.front.parked == len(clients))
     made.passes(200 * MILLI)
     late = made.client()
     late.ask(1, i="f" * 16)
-    displace = lot._displace
+    displace = connections._evict_one
 
     def all_have_spoken():
         for number, client in enumerate(clients):
             client.ask(1, i=f"{number:016x}")
-        lot._displace = displace
+        connections._evict_one = displace
         return displace()
 
-    lot._displace = all_have_spoken
+    connections._evict_one = all_have_spoken
     made.until(lambda: late.answers and all(client.answers for client in clients))
     assert codes(late)[0] == {1: None} and made.process.front.turned_away == 0
 
@@ -103,8 +103,8 @@
     client.send(BAD)
     made.until(lambda: made.loop.closing_streams)
     made.passes(200 * MILLI)
-    lot = made.process.front.lot
-    assert lot._parting() is None and not lot._displace()
+    connections = made.process.front.connections
+    assert connections._evictable_stream() is None and not connections._evict_one()
     reads()
     made.until(lambda: client.ended)
     assert codes(client)[0] == {1: None, 2: None}
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -6,7 +6,7 @@
 
 from gaproute.appliance.operator import status
 from gaproute.config import ConfigurationError, read_configuration
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import word_pb2
 
 
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -10,7 +10,7 @@
 from gaproute.http1 import client as http_clients
 from gaproute.interface import Result
 from gaproute.loop import Loop, connect
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from tests.appliance.test_departed_forwarded import CALL, Way
 from tests.fronts.test_departed_attempts import Clogged
 from tests.http1.test_http1 import HEAD
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -10,7 +10,7 @@
 from gaproute.fronts.jsonrpc import link as client_links
 from gaproute.hosts.jsonlines.link import WHOLE_WITHIN
 from gaproute.loop import unread
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from tests.fronts.test_departed_attempts import Clogged, known, written_in_part
 from tests.fronts.test_departed_ends import requests
 
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -7,7 +7,7 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, nothing
 
-from gaproute.decisions.connections.pooling import CARRIED
+from gaproute.decisions.connections.pooling import MAX_CARRIED_IDS
 from gaproute.discovery.changelog import events
 from gaproute.hosts.jsonlines import link as links
 from gaproute.interface import Idempotency, Result
@@ -221,12 +221,12 @@
 def test_a_connection_that_carried_many_failures_takes_no_further_request(gate):
     """Ids that may be answered once more are remembered; a long life must not hold them all."""
     made = gate(lambda stream, command: made.hosts[0].say(stream, command, "crashed"))
-    for number in range(CARRIED + 3):
+    for number in range(MAX_CARRIED_IDS + 3):
         client = made.client()
         client.ask(1, "repair-order", i=f"{number:016x}")
         made.until(lambda client=client: client.answers)
     held = [len(link.carried) for host in made.process.hosts.hosts.values() for link in host.links]
-    assert max(held) <= CARRIED and len(made.hosts[0].seen("go")) == CARRIED + 3
+    assert max(held) <= MAX_CARRIED_IDS and len(made.hosts[0].seen("go")) == MAX_CARRIED_IDS + 3
 
 
 def test_before_the_process_is_ended_what_it_holds_is_answered_as_its_class_allows(gate):
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -245,7 +245,7 @@
 
 def test_a_connection_that_was_silent_when_a_relay_was_given_up_is_not_used_again(bench):
     made = bench(answer=lambda stream, command: None)
-    made.hosts.pooling.silent = lambda now, since: True
+    made.hosts.pooling.is_silent = lambda now, since: True
     take_back = made.relay()
     made.until(lambda: made.host.came)
     take_back()
@@ -315,29 +315,29 @@
 
 def test_kept_connections_are_tried_again_after_a_while_and_one_end_matters_to_effectful_tasks_alone():
     pooling = Pooling()
-    pooling.ended(0, "h", 100 * MILLI, MILLI)
-    assert pooling.keeps(SECOND, "h", Idempotency.IDEMPOTENT) and not pooling.keeps(
+    pooling.record_stale_end(0, "h", 100 * MILLI, MILLI)
+    assert pooling.allows_reuse(SECOND, "h", Idempotency.IDEMPOTENT) and not pooling.allows_reuse(
         SECOND, "h", Idempotency.NON_IDEMPOTENT
     )
-    pooling.ended(0, "h", 100 * MILLI, MILLI)
-    assert not pooling.keeps(SECOND, "h", Idempotency.IDEMPOTENT) and pooling.keeps(
+    pooling.record_stale_end(0, "h", 100 * MILLI, MILLI)
+    assert not pooling.allows_reuse(SECOND, "h", Idempotency.IDEMPOTENT) and pooling.allows_reuse(
         SECOND, "other", Idempotency.IDEMPOTENT
     )
-    assert pooling.keeps(11 * SECOND, "h", Idempotency.NON_IDEMPOTENT)
-    assert not pooling.keeps(
+    assert pooling.allows_reuse(11 * SECOND, "h", Idempotency.NON_IDEMPOTENT)
+    assert not pooling.allows_reuse(
         SECOND, "other", Idempotency.NON_IDEMPOTENT
     )  # what ends them stands before all hosts
     pooling = Pooling()
-    pooling.ended(0, "i", 100 * MILLI, SECOND)  # at work for a while: not for its rest
-    assert pooling.keeps(SECOND, "i", Idempotency.NON_IDEMPOTENT)
+    pooling.record_stale_end(0, "i", 100 * MILLI, SECOND)  # at work for a while: not for its rest
+    assert pooling.allows_reuse(SECOND, "i", Idempotency.NON_IDEMPOTENT)
 
 
 @pytest.mark.parametrize("effect, rest", [(Idempotency.IDEMPOTENT, 13.5), (Idempotency.NON_IDEMPOTENT, 3.75)])
 def test_a_connection_rests_as_long_as_the_host_says_it_keeps_one_and_far_less_where_nothing_may_go_twice(
     effect, rest
 ):
-    assert Pooling().safe_rest(0, "h", effect, 15 * SECOND) == rest * SECOND
-    assert Pooling().safe_rest(0, "h", effect, 0) == 0
+    assert Pooling().max_idle(0, "h", effect, 15 * SECOND) == rest * SECOND
+    assert Pooling().max_idle(0, "h", effect, 0) == 0
 
 
 def test_an_order_that_a_silent_host_may_still_get_never_arrives(bench):
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -17,7 +17,7 @@
 from gaproute.hosts.rows import Row
 from gaproute.http1 import Undelivered
 from gaproute.interface.call import Call
-from gaproute.loop import Loop, Stepped, connecting
+from gaproute.loop import Loop, Stepped, dialing
 from gaproute.platform import log as logs
 from gaproute.platform.log import Log
 
@@ -40,7 +40,7 @@
     loops = []
 
     def make(code):
-        monkeypatch.setattr(connecting, "socket", Sockets(code))
+        monkeypatch.setattr(dialing, "socket", Sockets(code))
         loop = Loop(Stepped(now=7 * SECOND))
         loops.append(loop)
         made = Hosts(loop, Pooling())
@@ -96,14 +96,14 @@
     client = made.client()
     made.turns()
     drop_all(made)
-    real, failing = connecting.socket, Sockets(code)
-    monkeypatch.setattr(connecting, "socket", failing)
+    real, failing = dialing.socket, Sockets(code)
+    monkeypatch.setattr(dialing, "socket", failing)
     client.ask(1)
     for _ in range(20):
         made.passes(MILLI)
     worker = made.process.core.gateway.workers["s-0"]
     assert failing.socket.failed > 1 and not worker.bad and not made.came()
-    monkeypatch.setattr(connecting, "socket", real)
+    monkeypatch.setattr(dialing, "socket", real)
     for _ in range(20):
         made.passes(10 * MILLI)
     assert "result" in client.answers[0] and made.came() == 1
@@ -112,7 +112,7 @@
 def test_a_probe_that_could_not_be_sent_from_here_says_nothing_of_the_host(gate, monkeypatch):
     made, told = gate(clock=Handed()), []
     drop_all(made)
-    monkeypatch.setattr(connecting, "socket", Sockets(errno.EMFILE))
+    monkeypatch.setattr(dialing, "socket", Sockets(errno.EMFILE))
     made.process.hosts.probe("s-0", lambda good, report: told.append(good))
     made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
     for _ in range(50):
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -5,7 +5,7 @@
 
 from gaproute.http1 import Fault, Limits, Reader, Server
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 HEAD = b"POST /x HTTP/1.1\r\nHost: h\r\n"
 SECOND = 1_000_000_000
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -17,8 +17,8 @@
     for client in kept:
         asked_and_answered(made, client)
     made.until(lambda: made.gate.fronts[0].server.parked == 3)
-    lot, said = made.gate.lot, []
-    drop = lot._drop
+    connections, said = made.gate.connections, []
+    drop = connections._close_parked
 
     def slow_close(fd):
         if not said:
@@ -26,7 +26,7 @@
             kept[-1].sendall(ASK)
         drop(fd)
 
-    lot._drop = slow_close
+    connections._close_parked = slow_close
     made.gate.stop()
     run_out(made)
     assert [rest_of(client) for client in kept[:2]] == [b"", b""]
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -11,7 +11,7 @@
 from gaproute.load import Crowd, compare, read_load, read_result
 from gaproute.load.results import Tally, write_result
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -96,8 +96,11 @@
 
 def test_silent_connections_are_held_and_come_from_many_addresses(answers):
     seen = set()
-    admits = answers.server.admits
-    answers.server.admits = lambda sock, source: (seen.add(source[0]), admits(sock, source))
+    accept_connection = answers.server.accept_connection
+    answers.server.accept_connection = lambda sock, source: (
+        seen.add(source[0]),
+        accept_connection(sock, source),
+    )
     crowd = played(answers, "length 100ms\nhold 30 over 10ms addresses 10")
     assert crowd.counts["connected"] == 30 and seen == {f"127.1.0.{number}" for number in range(1, 11)}
 
