--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -22,18 +22,19 @@
 
 from gaproute.config import read_peers
 from gaproute.loop import Loop
-from gaproute.peers import Learner
+from gaproute.peers import ObservationClient
 
 SECOND = 1_000_000_000
 LEARNERS = 10
 
 
 class Nothing:
-    """A learner's lore and record, for which nothing matters but that the bytes came and were read."""
+    """A client's observations and record, for which nothing matters but that the bytes came and were read."""
 
-    refused = {}
+    def rejected(self):
+        return {}
 
-    def merge(self, lore):
+    def merge(self, observations):
         pass
 
     def event(self, level, what, **told):
@@ -48,7 +49,7 @@
         state["whole"] += 1
 
     for _ in range(LEARNERS):
-        Learner(loop, peers, Nothing(), lambda subjects: 0, whole, Nothing())
+        ObservationClient(loop, peers, Nothing(), lambda subjects: 0, whole, Nothing())
     loop.after(round(seconds * SECOND), loop.stop)
     loop.run()
     print(json.dumps(state))
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -10,14 +10,15 @@
 
 
 def status(gate):
-    counts, others, connections, hosts = gate.record.table(), gate.others, gate.connections, gate.hosts
-    giver, writer, learner = others.giver, others.observation_writer, others.learner
+    counts, others, connections, hosts = gate.record.snapshot(), gate.others, gate.connections, gate.hosts
+    server, writer, client = others.peer_server, others.observation_writer, others.observation_client
+    transport = others.membership_transport
     return {
         "name": gate.configuration.name,
         "stopping": gate.stopping,
         "ready": gate.ready(),
         "up_ms": (gate.loop.now() - gate.started) // MILLI,
-        "held": len(gate.core.held),
+        "held": len(gate.core.in_flight),
         "late_turns": gate.loop.late_turns,
         "counts": counts,
         "clients": {
@@ -30,19 +31,20 @@
             "descriptors": descriptors(),
             "kept_back": connections.admission.reserved_descriptors,
         },
-        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
-        "gateways": others.gossip.membership.live_count() if others.gossip else None,
+        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
+        "gateways": transport.membership.live_count() if transport else None,
         "cells": gate.cells and gate.cells.status(),
-        "weak_word": others.weak and others.weak.weak.status(gate.loop.now()),
+        "weak_word": others.gossip and others.gossip.node.status(gate.loop.now()),
         "learnt": {
-            "facts": len(others.lore.facts),
-            "refused": dict(others.lore.refused),
-            "peers": learner.state if learner else {},
-            "booked": learner.booked if learner else 0,
+            "facts": len(others.observations.by_subject),
+            "refused": others.observations.rejected(),
+            "peers": client.state if client else {},
+            "booked": client.hints_taken if client else 0,
             "right": sum(each.right for each in decisions(gate)),
             "wrong": sum(each.wrong for each in decisions(gate)),
         },
-        "telling": giver and {"facts": giver.told, "put_off": giver.put_off, "cpu_ms": giver.spent / MILLI},
+        "telling": server
+        and {"facts": server.transfers.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
         "memory": writer
         and {
             "written": writer.store.written,
@@ -59,14 +61,14 @@
 
 
 def host_table(gate):
-    relays = gate.record.table().get("relay", {})
+    relays = gate.record.snapshot().get("relay", {})
     told = []
     for name, row in sorted(gate.rows.items()):
         host = gate.hosts.hosts.get(name)
         told.append(
             {
                 "name": name,
-                "address": row.where,
+                "address": row.address,
                 "state": row.listed.state.value,
                 "capacity": row.listed.capacity,
                 "connections": len(host.open) if host else 0,
@@ -83,7 +85,7 @@
     for name, function in (pair for each in decisions(gate) for pair in each.functions.items()):
         for tried, table in ((True, function.seen), (False, function.told)):
             for worker, seen in table.items():
-                fact = gate.others.lore.facts.get(("warm", worker, name))
+                observation = gate.others.observations.by_subject.get(("warm", worker, name))
                 told.append(
                     {
                         "worker": worker,
@@ -92,8 +94,8 @@
                         "tried": tried,
                         "by": "an answer"
                         if worker in function.stands
-                        else fact.origin
-                        if fact
+                        else observation.origin
+                        if observation
                         else "a task sent",
                     }
                 )
@@ -102,9 +104,9 @@
 
 def peer_table(gate):
     """The gateways that are known: membership's view, and what each told at the start."""
-    learnt = gate.others.learner.state if gate.others.learner else {}
-    gossip = gate.others.gossip
-    rows = gossip.table() if gossip else [{"name": name, "state": None} for name in learnt]
+    learnt = gate.others.observation_client.state if gate.others.observation_client else {}
+    transport = gate.others.membership_transport
+    rows = transport.table() if transport else [{"name": name, "state": None} for name in learnt]
     return [row | {"learnt": learnt.get(row["name"])} for row in rows]
 
 
--- a/gaproute/hosts/jsonlines/link.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -1,27 +1,27 @@
 """One connection to a host that carries lines, and the requests on it. What it sees it reports.
 
-Which connection a request goes out on is `decisions.links.pooling`'s choice, what an end proves `proof`'s
-table. A request begins with its first byte in the kernel: until then it waits here, never in a buffer, and
+`decisions.connections.pooling` chooses the connection of a request, `results` tells what an end proves.
+A request begins with its first byte in the kernel: until then it waits here, never in a buffer, and
 is judged when it is written, not when it was asked for.
 """
 
-from gaproute.hosts import proof
-from gaproute.hosts.jsonlines import lines
+from gaproute.hosts import results
+from gaproute.hosts.jsonlines import messages
 from gaproute.interface import Idempotency, Result
 from gaproute.interface.call import always
 from gaproute.loop import Stream, connect
 
 # For a request that has begun to be with the kernel whole, ns: by no more is the limit told in it out when
 # its host can read it.
-WHOLE_WITHIN = 100_000_000
-EVER = 1 << 62  # a time that never comes: of requests whose answer has a time-out of its own
+WRITE_TIMEOUT = 100_000_000
+NO_DEADLINE = 1 << 62  # a time that never comes: of requests whose answer has a time-out of its own
 
 
-class Unfinished(Exception):
+class WriteAbandonedError(Exception):
     """This side ends the connection as a request on it is not to come whole any more."""
 
 
-class Asked:
+class PendingRequest:
     """One request on a connection. `done(reply or None, what its failure proves or None)` once, never at
     once; it returns whether nothing goes out under that id again. `line(now)` gives its bytes, and is asked
     when they are written; `until`: when it may begin at the latest; `wanted()`: whether it still may."""
@@ -34,11 +34,11 @@
         self.stop = None  # bytes written on its connection up to its end; None: none of it yet
 
     @property
-    def begun(self):
+    def started(self):
         return self.stop is not None
 
     @property
-    def withdrawable(self):
+    def cancellable(self):
         """Whether it is taken back, though begun, where nobody waits for it any more: its host has it whole
         only with its last byte, and may not get that then."""
         return self.link.stream.open and not self.link.handed(self)
@@ -47,19 +47,19 @@
         done, self.done = self.done, None
         return done is not None and done(reply, failure)  # None: it was given up meanwhile
 
-    def give_up(self):
+    def cancel(self):
         """Nobody wants it any more; `done` is not called."""
         self.link.give_up(self)
 
 
-class Link:
+class Connection:
     """A connection to one host, from the moment it is opened; requests wait on it until it stands."""
 
     def __init__(self, host):
         self.host, self.hosts = host, host.hosts
         loop = self.hosts.loop
-        self.open, self.carried = {}, set()  # id: Asked; ids that may yet be answered once more
-        self.reader, self.stream = lines.Reader(), None
+        self.open, self.carried = {}, set()  # id: PendingRequest; ids that may yet be answered once more
+        self.reader, self.stream = messages.LineReader(), None
         self.written = 0
         self.used = self.heard = loop.now()
         self.trusted, self.served = True, 0
@@ -81,7 +81,7 @@
 
     def begin(self):
         """What waits goes out while the kernel takes it; what may no longer begin never does."""
-        for asked in [asked for asked in self.open.values() if not asked.begun]:
+        for asked in [asked for asked in self.open.values() if not asked.started]:
             now = self.hosts.loop.now()
             if now >= asked.until or not asked.wanted():
                 self.never(asked, Result.NOT_SENT)
@@ -91,13 +91,13 @@
                 return  # `on_writable` asks again
             self.written += len(data)
             asked.stop, asked.line = self.written, None
-            if self.stream.bytes_unsent and asked.until < EVER:
-                self.hosts.loop.after(WHOLE_WITHIN, self.look_whole, asked)
+            if self.stream.bytes_unsent and asked.until < NO_DEADLINE:
+                self.hosts.loop.after(WRITE_TIMEOUT, self.look_whole, asked)
 
     def look_whole(self, asked):
         """What a host has had in part for so long it gets no more of: the limit in it is no longer true."""
         if self.open.get(asked.id) is asked and not self.handed(asked):
-            self.fail(Unfinished("a request could not be written whole in time"))
+            self.fail(WriteAbandonedError("a request could not be written whole in time"))
 
     def never(self, asked, result):
         """It has not begun and never will."""
@@ -106,19 +106,19 @@
 
     def handed(self, asked):
         """Whether the host may have all of it."""
-        return asked.begun and self.stream.bytes_sent >= asked.stop
+        return asked.started and self.stream.bytes_sent >= asked.stop
 
     def bytes(self, data):
         self.heard = self.hosts.loop.now()
         spoilt = None
         try:
             replies = self.reader.feed(data)
-        except lines.Spoilt as fault:
+        except messages.MalformedLineError as fault:
             spoilt, replies = fault, fault.args[1]
         for reply in replies:
             asked = self.open.get(str(reply.req))
             if asked is None or not self.handed(asked):
-                self.hosts.strays += 1
+                self.hosts.unmatched += 1
                 continue
             del self.open[asked.id]
             self.carried.add(asked.id)  # it may go again, and a second answer to this may come yet
@@ -126,7 +126,7 @@
             if asked.end(reply, None):
                 self.carried.discard(asked.id)
         if spoilt is not None:
-            self.hosts.spoilt += 1
+            self.hosts.malformed += 1
             self.fail(spoilt)
         elif not self.open and not (
             self.trusted
@@ -138,8 +138,19 @@
         """The connection is at its end: each request on it has failed, by how far it got."""
         now, ended = self.hosts.loop.now(), []
         for asked in self.open.values():
-            ended.append((asked, proof.of_end(asked.begun, error, isinstance(error, lines.Spoilt))))
-            if self.served and self.heard < asked.sent and not isinstance(error, (lines.Spoilt, Unfinished)):
+            ended.append(
+                (
+                    asked,
+                    results.of_ended_connection(
+                        asked.started, error, isinstance(error, messages.MalformedLineError)
+                    ),
+                )
+            )
+            if (
+                self.served
+                and self.heard < asked.sent
+                and not isinstance(error, (messages.MalformedLineError, WriteAbandonedError))
+            ):
                 self.hosts.pooling.record_stale_end(
                     now, self.host.name, asked.sent - self.used, now - asked.sent
                 )
@@ -150,8 +161,8 @@
 
     def rest(self):
         """Nothing more begins here: what is at work comes to its end, then the connection closes."""
-        for asked in [asked for asked in self.open.values() if not asked.begun]:
-            self.never(asked, proof.of_end(False, None, False))
+        for asked in [asked for asked in self.open.values() if not asked.started]:
+            self.never(asked, results.of_ended_connection(False, None, False))
         self.trusted = False
         if not self.open:
             self.drop()
@@ -164,12 +175,12 @@
         if self.open.get(asked.id) is not asked:
             return
         del self.open[asked.id]
-        if not asked.begun:
+        if not asked.started:
             if not self.open:
                 self.drop()
             return
-        if asked.until < EVER and not self.handed(asked):
-            self.fail(Unfinished("a request is taken back before it was written whole"))
+        if asked.until < NO_DEADLINE and not self.handed(asked):
+            self.fail(WriteAbandonedError("a request is taken back before it was written whole"))
             return
         self.carried.add(asked.id)
         if self.hosts.pooling.is_silent(self.hosts.loop.now(), max(asked.sent, self.heard)):
@@ -178,7 +189,7 @@
             self.drop()
         elif self.hosts.halts:
             self.used = self.hosts.loop.now()
-            self.stream.write(data := lines.halt(asked.id))
+            self.stream.write(data := messages.encode_cancel(asked.id))
             self.written += len(data)
 
     def drop(self):
@@ -192,7 +203,7 @@
             self.stream.abort()
 
 
-class Links(dict):
+class ConnectionSet(dict):
     """An ordered set: what is chosen among them must not hang on addresses in memory."""
 
     def add(self, link):
--- a/gaproute/shared/dissemination/telling.py
+++ b/gaproute/shared/dissemination/message_sender.py
@@ -2,16 +2,16 @@
 announcements of anti-entropy mend it."""
 
 from gaproute.shared.dissemination.bounds import FANOUT, MESSAGE_BURST, MESSAGE_RATE, PUSH_BYTES
-from gaproute.shared.dissemination.budget import Budget
 from gaproute.shared.dissemination.messages import Announcement, Push, Send, changes_size, size
+from gaproute.shared.token_bucket import TokenBucket
 
 
-class Telling:
+class MessageSender:
     """Each method returns the messages to send: none where the budget is spent."""
 
     def __init__(self, document, view, now):
         self.document, self.view = document, view
-        self.budget = Budget(MESSAGE_RATE, MESSAGE_BURST, now)
+        self.budget = TokenBucket(MESSAGE_RATE, MESSAGE_BURST, now)
         self.sent = self.bytes = self.held_back = 0
 
     def announce(self, now, peer):
--- /dev/null
+++ b/gaproute/shared/gossip/table.py
@@ -0,0 +1,136 @@
+"""What other gateways sent, merged: of each origin and set the newest version by (incarnation, sequence).
+
+Taking the newest is commutative, associative and idempotent, so messages may come in any order, twice or
+late. Of one version that came twice with two ages the greater age holds. A tombstone bars an origin's
+incarnations up to the one that ended; what is barred never comes back, in whatever order the tombstone and
+the sets come. Times are ns on this gateway's clock.
+"""
+
+from collections import Counter
+from typing import NamedTuple
+
+from gaproute.shared.gossip.messages import (
+    LIMITS,
+    MAX_AGE,
+    MAX_INCARNATION,
+    TRAVEL_TIME,
+    Entries,
+    EntrySet,
+    RejectionReason,
+    rejection_reason,
+)
+
+MAX_TOMBSTONES = 8192
+TOMBSTONE_TIME = 2 * MAX_AGE  # a tombstone outlives all sets of its origin, then it may go
+
+SetName = tuple[int, int]  # kind and partition
+
+
+class Version(NamedTuple):
+    """Of a set: the newer is the greater."""
+
+    incarnation: int
+    sequence: int
+
+
+class Tombstone(NamedTuple):
+    """An incarnation of an origin that ended, and when that was known."""
+
+    incarnation: int
+    created_at: int
+
+
+class ReceivedSet:
+    """One set as it is held; `observed_at`: when what it tells was so."""
+
+    __slots__ = ("version", "observed_at", "remainder", "entries")
+
+    def __init__(self, version: Version, observed_at: int, remainder: float, entries: Entries) -> None:
+        self.version = version
+        self.observed_at = observed_at
+        self.remainder = remainder
+        self.entries = entries
+
+
+class GossipTable:
+    """Owns the sets of all other gateways, their tombstones, and the counts of what was rejected."""
+
+    def __init__(self) -> None:
+        self.received: dict[str, dict[SetName, ReceivedSet]] = {}  # by origin
+        self.tombstones: dict[str, Tombstone] = {}  # by origin, the oldest first
+        self.rejections: Counter[RejectionReason] = Counter()
+
+    def merge(self, now: int, origin: str, incarnation: int, entries: EntrySet) -> bool:
+        """Merges one set; whether it was newer than what is held. What cannot be used is counted."""
+        reason = self._rejection_reason(origin, incarnation, entries)
+        if reason is not None:
+            self.rejections[reason] += 1
+            return False
+        version = Version(incarnation, entries.sequence)
+        observed_at = now - entries.age - TRAVEL_TIME
+        sets = self.received.setdefault(origin, {})
+        held = sets.get((entries.kind, entries.partition))
+        if held is None or version > held.version:
+            sets[entries.kind, entries.partition] = ReceivedSet(
+                version, observed_at, entries.remainder, entries.entries
+            )
+            return True
+        if version == held.version:
+            held.observed_at = min(held.observed_at, observed_at)
+        return False
+
+    def add_tombstone(self, now: int, origin: str, incarnation: int) -> None:
+        """No set of this incarnation or an older one counts from now on."""
+        earlier = self.tombstones.pop(origin, None)
+        if earlier is not None:
+            incarnation = max(incarnation, earlier.incarnation)
+        self.tombstones[origin] = Tombstone(incarnation, now)
+        sets = self.received.get(origin, {})
+        for name in [name for name, held in sets.items() if held.version.incarnation <= incarnation]:
+            del sets[name]
+        if not sets:
+            self.received.pop(origin, None)
+        while len(self.tombstones) > MAX_TOMBSTONES:
+            del self.tombstones[next(iter(self.tombstones))]
+
+    def latest_incarnation(self, origin: str) -> int:
+        """The latest incarnation of which a set is held; 0 where none is."""
+        return max([held.version.incarnation for held in self.received.get(origin, {}).values()], default=0)
+
+    def expire(self, now: int) -> None:
+        """Drops sets that count no more, and for each origin at most one tombstone that outlived all sets."""
+        for origin in list(self.received):
+            self._expire_sets(now, origin)
+            self._expire_oldest_tombstone(now)
+
+    def current(self, now: int, kind: int, partition: int = 0) -> list[tuple[str, ReceivedSet]]:
+        """(origin, set) of a kind where it still counts, in the order in which origins became known."""
+        name, max_age = (kind, partition), LIMITS[kind].max_age
+        return [
+            (origin, held)
+            for origin, sets in self.received.items()
+            if (held := sets.get(name)) is not None and now - held.observed_at <= max_age
+        ]
+
+    def _rejection_reason(self, origin: str, incarnation: int, entries: EntrySet) -> RejectionReason | None:
+        if not 0 < incarnation <= MAX_INCARNATION:
+            return RejectionReason.INVALID
+        reason = rejection_reason(entries)
+        if reason is not None:
+            return reason
+        tombstone = self.tombstones.get(origin)
+        if tombstone is not None and incarnation <= tombstone.incarnation:
+            return RejectionReason.OBSOLETE_INCARNATION
+        return None
+
+    def _expire_sets(self, now: int, origin: str) -> None:
+        sets = self.received[origin]
+        for name in [name for name, held in sets.items() if now - held.observed_at > LIMITS[name[0]].max_age]:
+            del sets[name]
+        if not sets:
+            del self.received[origin]
+
+    def _expire_oldest_tombstone(self, now: int) -> None:
+        oldest = next(iter(self.tombstones), None)
+        if oldest is not None and now - self.tombstones[oldest].created_at > TOMBSTONE_TIME:
+            del self.tombstones[oldest]
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -11,7 +11,7 @@
 from helpers import MILLI, SECOND
 
 from gaproute import interface as face
-from gaproute.hosts import orca, proof
+from gaproute.hosts import orca, results
 from gaproute.http1 import Exchange
 from gaproute.loop import Listener, Promise, Stream
 from gaproute.loop.addresses import address
@@ -191,7 +191,7 @@
     made.ask("lamp", "gone")
     made.until(lambda: made.seen("task", id="gone"))
     made.last.drop()
-    made.until(lambda: not made.gate.core.held)
+    made.until(lambda: not made.gate.core.in_flight)
     sent = len(made.seen("task", id="gone"))
     made.rest(300 * MILLI)
     assert len(made.seen("task", id="gone")) == sent == 1
@@ -267,7 +267,7 @@
     assert not made.wait(refused).connected
     assert outcome(made.wait(asked)) == "delivered"
     made.loop.run()  # the loop ends by itself
-    assert not made.gate.core.held
+    assert not made.gate.core.in_flight
 
 
 def test_floods_of_unknown_models_and_noise_leave_others_unharmed(rig):
@@ -363,7 +363,7 @@
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         assert heard_of(made, "{}:{}".format(*taken.getsockname())) is face.Result.CONNECT_FAILED
-    assert proof.of_failure(False) is face.Result.CONNECT_FAILED
+    assert results.of_unanswered(False) is face.Result.CONNECT_FAILED
 
 
 def heard_of(made, where):
@@ -404,4 +404,4 @@
     ],
 )
 def test_load_reports_in_the_published_forms(value, report, found, alike):
-    assert orca.read({orca.HEADER: value}) == (report, found, alike)
+    assert orca.decode_headers({orca.HEADER: value}) == (report, found, alike)
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -18,9 +18,9 @@
 from gaproute.core.core import Core
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
-from gaproute.hosts.jsonlines import link as links
-from gaproute.hosts.jsonlines.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.jsonlines import connection as connections
+from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface.call import Call, Ending
 from gaproute.loop import Loop, Stepped
 from gaproute.telemetry.record import Record
@@ -118,8 +118,8 @@
 
 class World:
     def __init__(self, patch, cancel, twins, shared, answers):
-        patch.setattr(links, "connect", dials := HeldDials())
-        patch.setattr(links, "Stream", Wire)
+        patch.setattr(connections, "connect", dials := HeldDials())
+        patch.setattr(connections, "Stream", Wire)
         self.dials, self.wires, self.room, self.errors = dials, [], 1 << 20, []
         self.loop = Loop(Ticking(1000 * SECOND))
         self.loop.on_error = self.errors.append
@@ -128,14 +128,14 @@
             idle_time=15 * SECOND,
             connect_time=0,
             order_time=SECOND,
-            shared=shared,
+            requests_per_connection=shared,
             same_function_counted=True,
-            halts=cancel,
+            cancel_allowed=cancel,
         )
-        self.hosts = Hosts(self.loop, Pooling(), site, 64)
+        self.hosts = JsonLinesClient(self.loop, Pooling(), site, 64)
         terms = TERMS._replace(request_classes=TRACKS, cancel_allowed=cancel, hedging_allowed=twins)
         self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
-        self.hosts.forgotten = self.record.forget
+        self.hosts.on_removed = self.record.forget_host
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
         self.rows = {name: row(name, started=0) for name in HOSTS}
         self.lives = {name: SimpleNamespace(world=self, name=name) for name in HOSTS}
@@ -151,7 +151,9 @@
         now, task = self.loop.now(), self.named[command["req"]]
         life = wire.life
         held = [
-            each for each in self.core.held.values() if each.call.request_id == command["req"] and each.finish
+            each
+            for each in self.core.in_flight.values()
+            if each.call.request_id == command["req"] and each.on_final
         ]
         assert held and not task.finals and not task.left, "begun for nobody"
         assert now < min(task.end, self.last), "begun too late"
@@ -188,13 +190,13 @@
         self.named[name] = task
         self.tasks.append(task)
         call = Call(f"m{place % 2}", "", (), b"", name, "x")
-        task.key = self.core.take(call, place % 3, 0, 1, None, self.loop.now(), LEFT, task.finals.append)
+        task.key = self.core.submit(call, place % 3, 0, 1, None, self.loop.now(), LEFT, task.finals.append)
 
     def leave(self, place, _):
         if waits := [task for task in self.tasks if not task.finals and not task.left]:
             task = waits[place % len(waits)]
-            held = self.core.held.get(task.key)
-            task.left = held is not None and held.finish is not None  # else its answer is on its way
+            held = self.core.in_flight.get(task.key)
+            task.left = held is not None and held.on_final is not None  # else its answer is on its way
             self.core.client_left(task.key)
 
     def dialled(self, place):
@@ -258,14 +260,14 @@
             state = list(face.State)[way % 3]
             self.rows[name] = self.rows[name]._replace(state=state)
         shown = [
-            Row(self.rows[each], f"127.0.0.1:{self.place(each)}")
+            Endpoint(self.rows[each], f"127.0.0.1:{self.place(each)}")
             for each in HOSTS
             if way != 5 or each != name
         ]
         if way == 5:
             self.rows[name] = self.rows[name]._replace(state=face.State.GONE)
-        self.hosts.listed(shown, True)
-        self.core.listed([each.listed for each in shown], True)
+        self.hosts.update(shown, complete=True)
+        self.core.update_hosts([each.listed for each in shown], True)
         for host in self.hosts.hosts.values():
             host.where = self.lives[host.name]
 
@@ -288,7 +290,7 @@
             wire.take()
 
     def connections(self, place, way):
-        self.hosts.room = (1, 2, 64, 64)[way % 4]
+        self.hosts.max_connections = (1, 2, 64, 64)[way % 4]
 
     def end_by(self, place, way):
         if place < 3 and self.last > self.loop.now() + SECOND:
@@ -309,7 +311,12 @@
                     self.body(each) for each in self.attempts if each.task is task and each.said == "served"
                 ]
         core, gateway = self.core, self.core.gateway
-        assert not core.held and not core.tasks and not core.relays and set(core.timers) == {""}
+        assert (
+            not core.in_flight
+            and not core.generators
+            and not core.attempt_counts
+            and set(core.wait_timers) == {""}
+        )
         assert not gateway.hands and not gateway.ration.out
         assert not any(each.out or each.late for each in gateway.workers.values())
         self.passes(30 * SECOND)
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -12,7 +12,7 @@
 from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, half_close
 
 from gaproute.fronts.jsonrpc.messages import FAILED
-from gaproute.hosts.jsonlines import link as links
+from gaproute.hosts.jsonlines import connection as connections
 from gaproute.http1 import client as http_clients
 from gaproute.http1.client import Exchange
 from gaproute.loop import Loop
@@ -67,7 +67,7 @@
 
 @leaves
 def test_a_dial_that_comes_up_in_the_long_turn_in_which_its_client_leaves(gate, monkeypatch, leave):
-    monkeypatch.setattr(links, "connect", dials := HeldDials())
+    monkeypatch.setattr(connections, "connect", dials := HeldDials())
     made = gate(clock=Handed(), settings=limits(probes=False, connect_timeout=1000.0))
     client = made.client()
     client.ask(1)
@@ -78,7 +78,7 @@
     dials.held[0][3](dialled(made.hosts[0].address), None)
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == stays == len(client.answers) and not made.process.core.held
+    assert made.came() == stays == len(client.answers) and not made.process.core.in_flight
     assert not made.process.core.gateway.workers["s-0"].bad
 
 
@@ -108,7 +108,7 @@
     made.clock.now += LONG
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.held
+    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.in_flight
 
 
 @leaves
@@ -140,7 +140,7 @@
     made.clock.now += 100 * MILLI
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.held
+    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.in_flight
 
 
 def test_a_request_is_not_begun_whose_abort_lies_behind_more_than_one_read(gate):
@@ -156,7 +156,7 @@
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(data)
     told.waiting = []
-    made.until(lambda: not made.process.core.held and made.process.core.count)
+    made.until(lambda: not made.process.core.in_flight and made.process.core.submitted)
     made.turns()
     assert [command["req"] for command in made.hosts[0].seen("go")] == [f"{10:016x}"]
     sock.close()
@@ -184,7 +184,7 @@
     made.clock.now += LONG
     made.hosts[0].say(*held[0], "overload")
     made.turns()
-    assert made.came() == 1 and not made.process.core.held and not link.open
+    assert made.came() == 1 and not made.process.core.in_flight and not link.open
     client.ask(2)
     link.stream.resume()
     made.until(lambda: client.answers)
@@ -217,7 +217,7 @@
 def written_in_part(gate, method="fault-check", **told):
     """A gateway whose one connection to its host took the first half of a request; a client."""
     made = gate(hosts=1, settings=limits(**told), clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     known(made)
     (made.link,) = made.process.hosts.hosts["s-0"].links
     made.clog = made.link.stream.sock = Clogged(made.link.stream.sock, 500)
@@ -241,13 +241,13 @@
     leave(client)
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert reads_on(made) is stays and len(client.answers) == stays and not made.process.core.held
+    assert reads_on(made) is stays and len(client.answers) == stays and not made.process.core.in_flight
 
 
 def test_what_else_is_at_work_on_that_connection_may_have_run_and_nothing_is_left_of_it(gate):
     """The connection ends: its host gives up what is open on it."""
     made = gate(silent_at_requests, hosts=1, settings=limits(), clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     known(made)
     (link,) = made.process.hosts.hosts["s-0"].links
     other, client = made.client(), made.client()
@@ -260,7 +260,7 @@
     made.until(lambda: other.answers)
     made.turns()
     assert other.answers[0]["error"]["code"] == FAILED and made.came() == 1
-    assert not made.process.core.held and not link.open and not link.stream.open
+    assert not made.process.core.in_flight and not link.open and not link.stream.open
 
 
 # Over HTTP
@@ -272,7 +272,7 @@
     monkeypatch.setattr(http_clients, "connect", dials := HeldDials())
     sock = socket.create_connection(made.at[1])
     sock.sendall(b"POST /v2/models/lamp/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n{}")
-    made.until(lambda: made.gate.core.held)
+    made.until(lambda: made.gate.core.in_flight)
     (entry,) = [each for each in dials.held if each[4]][-1:]
     with socket.create_server(("127.0.0.1", 0)) as host:
         end(sock, way)
@@ -283,7 +283,7 @@
         came, _ = host.accept()
         with came:
             assert came.recv(1) == b""
-    assert not made.gate.core.held and not made.gate.core.gateway.workers["h0"].bad
+    assert not made.gate.core.in_flight and not made.gate.core.gateway.workers["h0"].bad
     sock.close()
 
 
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_transport.py
@@ -16,11 +16,11 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 from gaproute.peers import word_pb2
-from gaproute.peers.giver import Giver
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.membership_wire import PayloadKind
-from gaproute.peers.tables import TableCarrier, wire
-from gaproute.peers.tables import carrier as carrier_module
+from gaproute.peers.peer_server import PeerServer
+from gaproute.peers.tables import CellTableTransport, wire
+from gaproute.peers.tables import transport as transport_module
 from gaproute.shared.dissemination import DocumentError, Peer
 from gaproute.shared.dissemination.bounds import PART_BYTES
 from gaproute.shared.dissemination.messages import Announcement, Pull
@@ -45,17 +45,17 @@
 
     def __init__(self, loop, name, seed, fleet=FLEET, path=None):
         self.record, self.name = Record(), name
-        self.giver = Giver(loop, address("127.0.0.1:0"), None, None, ())
-        self.gossip = MembershipTransport(loop, name, self.giver.address, Chance(seed), self.record)
-        self.carrier = TableCarrier(
-            loop, name, fleet, self.gossip, self.giver, Chance(seed + 100), self.record, path=path
+        self.peer_server = PeerServer(loop, address("127.0.0.1:0"), None, None, ())
+        self.gossip = MembershipTransport(loop, name, self.peer_server.address, Chance(seed), self.record)
+        self.carrier = CellTableTransport(
+            loop, name, fleet, self.gossip, self.peer_server, Chance(seed + 100), self.record, path=path
         )
         self.taken = []
         self.carrier.on_table(lambda taken: self.taken.append(taken.version))
 
     @property
     def peer(self):
-        return Peer(self.name, self.giver.address)
+        return Peer(self.name, self.peer_server.address)
 
     def refusals(self):
         return [told["reason"] for what, told in self.record.events if what == "cell table refused"]
@@ -63,7 +63,7 @@
     def close(self):
         self.carrier.stop()
         self.gossip.close()
-        self.giver.close()
+        self.peer_server.close()
 
 
 class Fleet:
@@ -128,8 +128,8 @@
     fleet.until_all_hold(changed(FIRST, change))
     assert one.taken == two.taken == [Version(1, 1), Version(1, 2)]
     assert not one.refusals() and not two.refusals()
-    fleet.until(lambda: one.carrier.standing(Version(1, 2)).agreed_for is not None)
-    assert one.carrier.standing(Version(1, 3)).behind == 1
+    fleet.until(lambda: one.carrier.propagation(Version(1, 2)).agreed_for is not None)
+    assert one.carrier.propagation(Version(1, 3)).behind == 1
 
 
 def test_three_gateways_hold_what_any_of_them_publishes(fleet):
@@ -152,7 +152,7 @@
     one.carrier.publish(large)
     fleet.add("two")
     fleet.until_all_hold(large)
-    assert one.carrier.disseminator.serving.bytes > 2 * PART_BYTES
+    assert one.carrier.disseminator.pull_server.bytes > 2 * PART_BYTES
 
 
 def test_one_that_was_away_while_many_changes_came_catches_up(fleet):
@@ -171,7 +171,9 @@
     assert two.carrier.table() == FIRST
     two.gossip.handlers[PayloadKind.CELL_TABLE] = heard
     fleet.until_all_hold(held)
-    assert [snapshot.version for snapshot in one.carrier.disseminator.serving.snapshots] == [FIRST.version]
+    assert [snapshot.version for snapshot in one.carrier.disseminator.pull_server.snapshots] == [
+        FIRST.version
+    ]
 
 
 def test_the_table_serves_on_when_all_others_are_gone_and_survives_a_restart(fleet, tmp_path):
@@ -213,7 +215,7 @@
     one.carrier.publish(FIRST)
     fleet.until(lambda: two.carrier.table() == FIRST)
     south.carrier.publish(replace(FIRST, fleet="south", version=Version(9, 9)))
-    host, port = two.giver.address.rsplit(":", 1)
+    host, port = two.peer_server.address.rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for body in (b"", b"noise" * 50, b"\x01" * 900) * 5:
             word = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=body)
@@ -239,11 +241,11 @@
         where = f"127.0.0.1:{silent.getsockname()[1]}"
         for address_told in (where, "127.0.0.1:1", "nowhere", "127.0.0.1:99999"):
             absurd = Announcement(FLEET, Version(1 << 40, 1), 7)
-            word = word_pb2.Word(version=1, kind=7, weak=wire.pack_datagram(absurd, address_told))
+            word = word_pb2.Word(version=1, kind=7, weak=wire.encode_datagram(absurd, address_told))
             word.sender.name = f"liar-{address_told}"
-            host, port = two.giver.address.rsplit(":", 1)
+            host, port = two.peer_server.address.rsplit(":", 1)
             liar.sendto(word.SerializeToString(), (host, int(port)))
-        fleet.until(lambda: two.carrier.disseminator.fetching.source is not None)
+        fleet.until(lambda: two.carrier.disseminator.fetch.source is not None)
         change = next_change(FIRST, capacity=7.5)
         one.carrier.publish_change(change)
         fleet.until_all_hold(changed(FIRST, change))
@@ -254,7 +256,7 @@
     published(fleet)
     answers = []
     for pull in (Pull("south", Version(0, 1)), Pull(FLEET, Version(0, 1), True), Pull(FLEET, Version(0, 1))):
-        one.carrier.puller.ask(one.giver.address, pull, answers.append)
+        one.carrier.puller.ask(one.peer_server.address, pull, answers.append)
         fleet.until(lambda: one.carrier.puller.exchange is None)
     assert answers[0] is None and answers[1].version == Version(1, 1) and answers[2].changes == ()
 
@@ -274,7 +276,7 @@
     fleet, tmp_path, monkeypatch
 ):
     """Others know an older table only: this gateway was the one to which the newer one was given."""
-    monkeypatch.setattr(carrier_module, "RETRY_INTERVAL", 100 * MILLI)
+    monkeypatch.setattr(transport_module, "RETRY_INTERVAL", 100 * MILLI)
     path = tmp_path / "cells.table"
     newer = table(cells(26, entries=0), number=5)
     before = fleet.add("one", path=path)
@@ -291,7 +293,7 @@
 
 
 def test_a_table_is_served_while_the_disk_fails_and_written_once_it_does_not(fleet, tmp_path, monkeypatch):
-    monkeypatch.setattr(carrier_module, "RETRY_INTERVAL", 100 * MILLI)
+    monkeypatch.setattr(transport_module, "RETRY_INTERVAL", 100 * MILLI)
     path = tmp_path / "cells.table"
     faults = [("fsync", each, IO_ERROR) for each in range(1, 4)] + [("write", 4, DISK_FULL)]
     disk = FaultyDisk(tmp_path, FaultPlan(Script.of(*faults)))
