--- a/tests/support/failing.py
+++ b/tests/support/failing.py
@@ -1,5 +1,6 @@
 """System calls that fail as a test tells them: stand-ins for a call, a socket, a listener and an epoll."""
 
+import gc
 import os
 
 
@@ -48,7 +49,11 @@
 
 
 def open_descriptors():
-    """The numbers of this process's open descriptors."""
+    """The numbers of this process's open descriptors.
+
+    What earlier tests left to the garbage collector is collected first, as it may be freed at any time.
+    """
+    gc.collect()
     listing = os.open("/proc/self/fd", os.O_RDONLY | os.O_DIRECTORY)
     try:
         return {int(name) for name in os.listdir(listing)} - {listing}
