--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -158,13 +158,13 @@
         while True:
             events = self.loop.poll_parked(MAX_PARKED_EVENTS)
             self.enqueue_events(events, self.loop.now())
-            if len(events) < MAX_PARKED_EVENTS:  # each is told once
+            if len(events) < MAX_PARKED_EVENTS:  # each is reported once
                 return
 
     # Serving
 
     def enqueue_events(self, events: Iterable[tuple[int, int]], seen: int) -> None:
-        """What the inner epoll told: they wait in a queue from `seen` on."""
+        """Queues what the inner epoll reported; they wait from `seen` on."""
         for fd, _ in events:
             if self.states[fd] == PARKED:
                 self.states[fd] = QUEUED
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -121,7 +121,7 @@
         self.states[fd] = NOT_PARKED
         self.parked_count -= 1
         owner = self.owners[self.owner_ids[fd]]
-        with suppress(OSError):  # Linux gives the descriptor back whatever error close(2) tells
+        with suppress(OSError):  # Linux gives the descriptor back whatever error close(2) returns
             os.close(fd)
         self.release(self.address_ids[fd], owner.counted)
         owner.connection_closed()
@@ -129,7 +129,7 @@
     # Registration with the inner epoll
 
     def _watch_parked(self, fd: int, *, registered: bool) -> None:
-        """The inner epoll tells the next event of a parked connection; retried after a transient failure."""
+        """Has the inner epoll report the connection's next event; a transient failure is retried."""
         try:
             if registered:
                 self.loop.parked_epoll.modify(fd, NEXT_EVENT)
@@ -171,7 +171,7 @@
             self.evict_idle()  # which first reads of those that have sent something
 
     def poll_unregistered(self) -> None:
-        """Queues those that have sent something though the inner epoll could not tell: they are not idle."""
+        """Queues those that have sent something that the inner epoll could not report: they are not idle."""
         if not self.unregistered:
             return
         poller = poll()
@@ -180,7 +180,7 @@
         try:
             events = poller.poll(0)
         except OSError:
-            return  # at the next look
+            return  # at the next call
         if events:
             self.enqueue_events(events, self.loop.now())
             self.loop.admission_pending = True
--- a/gaproute/loop/descriptors.py
+++ b/gaproute/loop/descriptors.py
@@ -22,7 +22,7 @@
         super().__init__(clock)
         self.epoll = select.epoll()
         self.watched: dict[int, EventHandler] = {}
-        # Watched since the last poll: what that told is of an earlier use of their numbers.
+        # Watched since the last poll: its events are of an earlier use of their numbers.
         self.newly_watched: set[int] = set()
         self.unregistered: dict[int, int] = {}  # watched, but the epoll has not these events yet
         self.register_timer: Timer | None = None
--- a/gaproute/loop/dialing.py
+++ b/gaproute/loop/dialing.py
@@ -20,7 +20,7 @@
 
 BIND_ADDRESS_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT of Linux, which the socket module does not name
 FIRST_DIAL_PAUSE = 2 * MILLI  # until a dial that failed on this machine is retried; doubled with each failure
-MAX_DIAL_ATTEMPTS = 5  # of one dial: some 30 ms in all, then its caller is told
+MAX_DIAL_ATTEMPTS = 5  # of one dial: some 30 ms in all, then its caller is notified
 MAX_CONNECT_CALLS = 8  # of connect(2) that were interrupted, in one attempt
 # What a connect(2) that was interrupted and goes on says when it is called again.
 CONNECT_CODES = {errno.EALREADY: errno.EINPROGRESS, errno.EISCONN: 0}
@@ -130,7 +130,7 @@
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         except OSError as fault:
             if is_transient(fault):
-                return  # the next turn tells it again
+                return  # the next turn reports it again
             self._settle(fault)
             return
         self._settle(OSError(code, os.strerror(code)) if code else None)
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -121,13 +121,13 @@
     def unread_since(self, fd: int) -> int:
         """The earliest time at which bytes of a watched descriptor that are read in this turn may have come.
 
-        What came before the last poll but one was told then, unless the connection waited to be accepted,
+        What came before the last poll but one was reported then, unless the connection waited to be accepted,
         which counts once: for the first bytes that are read.
         """
         return min(self.previous_poll_at, self.backlogged_since.pop(fd, self.previous_poll_at))
 
     def poll_parked(self, limit: int = MAX_PARKED_EVENTS) -> Events:
-        """What the inner epoll has to tell now, so many events of it."""
+        """What the inner epoll has to report now, at most `limit` events."""
         while True:
             try:
                 return self.parked_epoll.poll(0, limit)
--- a/gaproute/loop/polling.py
+++ b/gaproute/loop/polling.py
@@ -4,7 +4,7 @@
 
 SECOND = 1_000_000_000
 
-Events = list[tuple[int, int]]  # (descriptor, mask of events), as epoll tells them
+Events = list[tuple[int, int]]  # (descriptor, mask of events), as epoll reports them
 
 
 def wait(epoll: select.epoll, span: int) -> Events:
--- a/gaproute/loop/sockets.py
+++ b/gaproute/loop/sockets.py
@@ -19,6 +19,6 @@
 
 
 def close_quietly(sock: socket.socket) -> None:
-    """Closes a socket; Linux gives the descriptor back whatever error close(2) tells."""
+    """Closes a socket; Linux gives the descriptor back whatever error close(2) returns."""
     with suppress(OSError):
         sock.close()
--- a/gaproute/loop/stream_reader.py
+++ b/gaproute/loop/stream_reader.py
@@ -145,7 +145,7 @@
     def unread_age(self) -> int:
         """How long what was read last may have lain unread, ns: one system call.
 
-        The kernel tells when the last bytes came. What came before them in a pause may be as old as that.
+        The kernel knows when the last bytes came. What came before them in a pause may be as old as that.
         The kernel's clock need not be the loop's: no age counts that the loop's own polls rule out.
         """
         now = self.loop.now()
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -15,7 +15,7 @@
     from gaproute.loop.loop import Loop
     from gaproute.loop.timers import Timer
 
-WRITE_HIGH_WATER = 1 << 20  # bytes waiting to be written above which the writer is told to hold back
+WRITE_HIGH_WATER = 1 << 20  # bytes waiting to be written above which `write` asks its caller to hold back
 
 Data = bytes | bytearray | memoryview
 
@@ -51,7 +51,7 @@
         self.closing = False  # `close` was called
         self.close_timer: Timer | None = None  # of a close that is under way
         self.reading = True
-        self.half_closed = False  # the other side's end of sending was told: not to be told again
+        self.half_closed = False  # the other side's end of sending was reported: not to be reported again
         self.hangup_first = hangup_first
         self.events = READ | END if hangup_first else READ  # that the loop watches for
         self.on_writable: Callable[[], object] | None = None
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -61,7 +61,7 @@
             self._shut_down_writing()
 
     def _shut_down_writing(self) -> None:
-        with suppress(OSError):  # reset already: reading tells
+        with suppress(OSError):  # reset already: reading shows it
             self.sock.shutdown(socket.SHUT_WR)
         if self.close_timer is not None:
             self.close_timer.cancel()
--- a/gaproute/loop/unread.py
+++ b/gaproute/loop/unread.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 MILLI = 1_000_000
-END = select.EPOLLRDHUP  # the other side sends no more: told also while bytes lie unread before that
+END = select.EPOLLRDHUP  # the other side sends no more: reported also while bytes lie unread before that
 LAST_DATA_RECEIVED = slice(52, 56)  # of `struct tcp_info`: ms since the last bytes came
 MAX_PEEK = 2 << 20  # bytes looked at before they are read: more than one client may have open at a time
 
