--- /dev/null
+++ b/tests/connections/test_admission.py
@@ -0,0 +1,79 @@
+"""The decisions on admission: who is accepted, served next and evicted."""
+
+import pytest
+from client_admission import admission
+from hypothesis import given
+from hypothesis import strategies as st
+
+from gaproute.decisions.admission.admission import (
+    HOST_DESCRIPTOR_SHARE,
+    IDLE_JITTER,
+    MAX_NEW_WAITING,
+    MIN_IDLE,
+    RESERVED_DESCRIPTORS,
+    AdmissionQueue,
+    IdleConnection,
+    Verdict,
+)
+from gaproute.http1 import Limits
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+HEAD = b"GET / HTTP/1.1\r\nHost: g\r\n\r\n"
+LIMITS = Limits(idle_time=60 * SECOND)
+
+
+def test_clients_can_never_take_what_is_kept_for_hosts_and_operators():
+    assert admission(most=10**6, descriptors=20_000).max_connections == 20_000 - RESERVED_DESCRIPTORS - int(
+        20_000 * HOST_DESCRIPTOR_SHARE
+    )
+    assert admission(most=100).max_connections == 100
+    assert admission(descriptors=10).max_connections == 1
+
+
+@pytest.mark.parametrize(
+    ("client_count", "address_count", "can_evict", "verdict"),
+    [
+        (9, 0, False, Verdict.ACCEPT),
+        (10, 0, True, Verdict.EVICT),
+        (10, 0, False, Verdict.REJECT),
+        (5, 10, True, Verdict.REJECT),
+    ],
+)
+def test_an_arrival_is_accepted_evicts_or_is_rejected(client_count, address_count, can_evict, verdict):
+    assert admission().admit(client_count, address_count, can_evict=can_evict) is verdict
+
+
+def test_the_least_valuable_goes_then_the_longest_idle_and_none_that_was_busy_just_now():
+    now = 100 * SECOND
+    assert (
+        admission().eviction_candidate(
+            now,
+            [
+                IdleConnection(5, 10 * SECOND, 1),
+                IdleConnection(0, 20 * SECOND, 2),
+                IdleConnection(0, 30 * SECOND, 3),
+            ],
+        )
+        == 2
+    )
+    assert admission().eviction_candidate(now, [IdleConnection(0, now - MIN_IDLE + 1, 1)]) is None
+    assert admission().eviction_candidate(now, []) is None
+
+
+def test_returning_connections_get_most_of_the_turns_and_new_ones_are_never_starved():
+    made = admission()
+    turns = [made.next_queue(1000, 100, True) for _ in range(4000)]
+    assert turns.count(AdmissionQueue.RETURNING) == 3000
+    assert 300 < turns.count(AdmissionQueue.NEW) < 700
+    assert 300 < turns.count(AdmissionQueue.ARRIVING) < 700
+    assert made.next_queue(0, 0, False) is None
+    assert {made.next_queue(1, 0, False) for _ in range(8)} == {AdmissionQueue.RETURNING}
+    assert {made.next_queue(0, MAX_NEW_WAITING, True) for _ in range(50)} == {
+        AdmissionQueue.NEW
+    }  # no more are accepted
+
+
+@given(st.integers(1, 10**12), st.integers(0, 10**12))
+def test_an_idle_time_is_never_shortened_and_spreads(idle, now):
+    ends = {admission().idle_deadline(now, idle) for _ in range(5)}
+    assert all(now + idle <= end <= now + idle * (1 + IDLE_JITTER) + 1 for end in ends)
