--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -33,6 +33,8 @@
 MIN_READ_DELAY = 5_000_000  # ns of waiting that count: less is within any turn
 MAX_SCANNED = 4 * EVICTION_SAMPLE  # entries looked at to find a sample of idle connections
 UNLIMITED = 1 << 30
+# Looked up once: they are compared for each connection, and a member of an enum is slow to reach.
+RETURNING, ARRIVING, ACCEPT = AdmissionQueue.RETURNING, AdmissionQueue.ARRIVING, Verdict.ACCEPT
 
 Waiting = tuple[int, int]  # a parked connection that has sent something: its descriptor, when that was seen
 
@@ -94,8 +96,10 @@
     def _admits_client(self, address: str) -> bool:
         address_count = self.address_counts.count(address)
         verdict = self.admission.admit(self.client_count, address_count, can_evict=True)
-        if verdict is not Verdict.EVICT:
-            return verdict is Verdict.ACCEPT
+        if verdict is ACCEPT:
+            return True
+        if verdict is Verdict.REJECT:
+            return False
         # With `queue_when_full` capacity was asked for before the accept: who was idle then has just sent.
         return self._evict_one() or self.admission.queue_when_full
 
@@ -179,11 +183,10 @@
             )
             if queue is None:
                 return bool(self.ready_listeners)
-            if queue is AdmissionQueue.ARRIVING:
+            if queue is ARRIVING:
                 self.loop.guard(self._accept_one)
             else:
-                is_returning = queue is AdmissionQueue.RETURNING
-                fd, seen = (self.returning_queue if is_returning else self.new_queue).popleft()
+                fd, seen = (self.returning_queue if queue is RETURNING else self.new_queue).popleft()
                 if self.states[fd] == QUEUED:
                     self.loop.guard(self._resume, fd, seen)
             if self.loop.now() >= until:
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -8,7 +8,6 @@
 from abc import ABC, abstractmethod
 from array import array
 from collections.abc import Iterable
-from contextlib import suppress
 from select import EPOLLIN, EPOLLONESHOT, POLLIN, poll
 
 from gaproute.connections.addresses import AddressCounts
@@ -121,8 +120,10 @@
         self.states[fd] = NOT_PARKED
         self.parked_count -= 1
         owner = self.owners[self.owner_ids[fd]]
-        with suppress(OSError):  # Linux gives the descriptor back whatever error close(2) returns
+        try:  # noqa: SIM105 - for each connection, where `suppress` costs as much as the call
             os.close(fd)
+        except OSError:
+            pass  # Linux gives the descriptor back whatever error close(2) returns
         self.release(self.address_ids[fd], owner.counted)
         owner.connection_closed()
 
--- a/gaproute/decisions/admission/admission.py
+++ b/gaproute/decisions/admission/admission.py
@@ -63,6 +63,11 @@
     ARRIVING = "arriving"
 
 
+# Looked up once: these are compared for each connection, and a member of an enum is slow to reach.
+_RETURNING, _NEW, _ARRIVING = AdmissionQueue.RETURNING, AdmissionQueue.NEW, AdmissionQueue.ARRIVING
+_ACCEPT = Verdict.ACCEPT
+
+
 class IdleConnection(NamedTuple):
     """A parked connection. The order of the fields is that of eviction: the least valuable first."""
 
@@ -111,13 +116,13 @@
         accepting = arriving and new < MAX_NEW_WAITING
         self._turn = (self._turn + 1) % (RETURNING_SHARE + 1)
         if returning and (self._turn or not (new or accepting)):
-            return AdmissionQueue.RETURNING
+            return _RETURNING
         # Those already accepted before new ones, in turn with them: an accept costs less than an answer.
         if new and (not accepting or self._chance.below(2)):
-            return AdmissionQueue.NEW
+            return _NEW
         if accepting:
-            return AdmissionQueue.ARRIVING
-        return AdmissionQueue.RETURNING if returning else None
+            return _ARRIVING
+        return _RETURNING if returning else None
 
     def admit(self, client_count: int, address_count: int, *, can_evict: bool) -> Verdict:
         """Decides on an arrival, with so many connections of clients in all and of its address.
@@ -127,7 +132,7 @@
         if address_count >= self.max_per_address:
             return Verdict.REJECT
         if client_count < self.max_connections:
-            return Verdict.ACCEPT
+            return _ACCEPT
         return Verdict.EVICT if can_evict else Verdict.REJECT
 
     def is_evictable(self, now: int, idle_since: int) -> bool:
--- a/gaproute/loop/descriptors.py
+++ b/gaproute/loop/descriptors.py
@@ -71,7 +71,7 @@
             self.epoll.modify(fd, events)
 
     def _unregister(self, fd: int) -> None:
-        try:  # noqa: SIM105 - on the way of each connection
+        try:  # noqa: SIM105 - for each connection, where `suppress` costs as much as the call
             self.epoll.unregister(fd)
         except OSError:
             pass  # not registered yet; or it stays until it is closed or has an event
--- a/gaproute/loop/sockets.py
+++ b/gaproute/loop/sockets.py
@@ -1,13 +1,14 @@
 """Options and closing of sockets, where what fails must not spoil the connection."""
 
 import socket
-from contextlib import suppress
 
 
 def set_option(sock: socket.socket, level: int, option: int) -> None:
     """Switches on an option that a connection is better with and can be without."""
-    with suppress(OSError):
+    try:  # noqa: SIM105 - for each connection, where `suppress` costs as much as the call
         sock.setsockopt(level, option, 1)
+    except OSError:
+        pass
 
 
 def configure(sock: socket.socket) -> socket.socket:
@@ -20,5 +21,7 @@
 
 def close_quietly(sock: socket.socket) -> None:
     """Closes a socket; Linux gives the descriptor back whatever error close(2) returns."""
-    with suppress(OSError):
+    try:  # noqa: SIM105 - as above
         sock.close()
+    except OSError:
+        pass
