--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -41,7 +41,7 @@
 MAX_STALE_ENDS = 1
 # Requests of a connection that may yet be answered once more, until it takes no further one: a long-lived
 # connection would hold all their ids. A handshake for 64 is little.
-MAX_CARRIED_IDS = 64
+MAX_RETIRED_IDS = 64
 
 
 class ObservedClose(NamedTuple):
@@ -55,19 +55,19 @@
     """What is read of a kept connection that carries several requests at once."""
 
     @property
-    def trusted(self) -> bool:
+    def reusable(self) -> bool:
         """Whether it may take further requests."""
 
     @property
-    def open(self) -> Collection[str]:
+    def pending(self) -> Collection[str]:
         """The ids of the requests on it."""
 
     @property
-    def carried(self) -> Collection[str]:
+    def retired_ids(self) -> Collection[str]:
         """The ids that may yet be answered once more."""
 
     @property
-    def used(self) -> int:
+    def last_used(self) -> int:
         """When it was last in use."""
 
 
@@ -154,14 +154,14 @@
         if not self.allows_reuse(now, host, idempotency):
             announced = 0
         for link in connections:
-            if not link.trusted or request_id in link.open or request_id in link.carried:
+            if not link.reusable or request_id in link.pending or request_id in link.retired_ids:
                 continue
-            if len(link.carried) >= MAX_CARRIED_IDS:
+            if len(link.retired_ids) >= MAX_RETIRED_IDS:
                 continue
-            if not link.open:
-                is_latest = free is None or link.used > free.used
-                if is_latest and now - link.used <= self.max_idle(now, host, idempotency, announced):
+            if not link.pending:
+                is_latest = free is None or link.last_used > free.last_used
+                if is_latest and now - link.last_used <= self.max_idle(now, host, idempotency, announced):
                     free = link
-            elif len(link.open) < max_open and (shared is None or len(link.open) < len(shared.open)):
+            elif len(link.pending) < max_open and (shared is None or len(link.pending) < len(shared.pending)):
                 shared = link
         return free or shared
--- a/gaproute/loop/addresses.py
+++ b/gaproute/loop/addresses.py
@@ -10,31 +10,31 @@
 MAX_PORT = 65535
 
 
-class Endpoint(NamedTuple):
-    """An address that can be listened on or connected to."""
+class Address(NamedTuple):
+    """A parsed address, which can be listened on or connected to."""
 
     family: int
     target: SocketAddress
 
 
-def address(text: str) -> Endpoint:
+def address(text: str) -> Address:
     """Parses `127.0.0.1:80`, `[::1]:80` or `unix:/path`. Errors: ValueError."""
     if text.startswith(UNIX_PREFIX):
         path = text.removeprefix(UNIX_PREFIX)
         if not 1 <= len(path) <= MAX_UNIX_PATH:
             raise ValueError(f"a Unix socket path has 1 to {MAX_UNIX_PATH} characters")
-        return Endpoint(socket.AF_UNIX, path)
+        return Address(socket.AF_UNIX, path)
     host, _, port = text.rpartition(":")
     if not port.isdigit() or not 0 <= int(port) <= MAX_PORT or not host:
         raise ValueError("an address is HOST:PORT, [IPV6]:PORT or unix:PATH")
     if host.startswith("[") and host.endswith("]"):
         socket.inet_pton(socket.AF_INET6, host[1:-1])
-        return Endpoint(socket.AF_INET6, (host[1:-1], int(port)))
+        return Address(socket.AF_INET6, (host[1:-1], int(port)))
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError as fault:
         raise ValueError(f"{host!r} is no IPv4 address") from fault
-    return Endpoint(socket.AF_INET, (host, int(port)))
+    return Address(socket.AF_INET, (host, int(port)))
 
 
 def address_of(sock: socket.socket) -> str:
