--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/others.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.peer_server import LIMITS
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -13,7 +13,7 @@
 from gaproute.core.ports import DecisionModule, Hosts
 from gaproute.interface.call import Call, Ending, Final
 from gaproute.loop import Loop
-from gaproute.loop.loop import Timer
+from gaproute.loop.timers import Timer
 from gaproute.telemetry.record import Record
 
 
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -8,8 +8,8 @@
 from gaproute.discovery.changelog.events import Event
 from gaproute.discovery.changelog.sse import MAX_EVENT_BYTES, ChangeLogError, EventReader
 from gaproute.loop import Loop, Stream, connect
-from gaproute.loop.loop import Timer
-from gaproute.loop.streams import address as parse_address
+from gaproute.loop.addresses import address as parse_address
+from gaproute.loop.timers import Timer
 from gaproute.shared.randomness import RandomSource
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -48,7 +48,6 @@
         known: Iterable[Event] = (),
     ) -> None:
         self.loop, self.on_event, self.last_seq, self.chance = loop, on_event, last_seq, chance
-        self.address: object = None
         self.address_text = ""
         self.stream: Stream | None = None
         self.cancel_connect: Callable[[], object] | None = None
@@ -87,7 +86,7 @@
         if number != self.connection_count or self.cancel_connect is None:
             return  # it was given up meanwhile
         self.cancel_connect = None
-        if error is not None:
+        if sock is None:
             self.reconnect_later(error)
             return
         self.reader, self.awaits_first_event = EventReader(self.max_event_bytes), True
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -63,12 +63,12 @@
         )
 
     def _connected(self, sock: socket.socket | None, error: OSError | None) -> None:
-        if error is not None:
+        if sock is None:
             self.fail(error)
             return
         self.cancel_connect = None
         self.stream = Stream(self.pool.loop, sock, self.on_bytes, self.fail)
-        self.stream.on_room = self.write_pending
+        self.stream.on_writable = self.write_pending
         self.write_pending()
 
     def submit(self, request: PendingRequest) -> None:
@@ -87,11 +87,11 @@
                 self._fail_unsent(request, Result.NOT_SENT)
                 continue
             data = request.encode(now)
-            if not stream.begin(data):
-                return  # `on_room` calls this again
+            if not stream.try_begin(data):
+                return  # `on_writable` calls this again
             self.written += len(data)
             request.end_offset, request.encode = self.written, already_written
-            if stream.waiting and request.until < NO_DEADLINE:
+            if stream.bytes_unsent and request.until < NO_DEADLINE:
                 loop.after(WRITE_TIMEOUT, self._check_written, request)
 
     def _check_written(self, request: PendingRequest) -> None:
@@ -107,7 +107,7 @@
     def is_written(self, request: PendingRequest) -> bool:
         """Whether the host may have all of the request."""
         stream, end_offset = self.stream, request.end_offset
-        return stream is not None and end_offset is not None and stream.handed >= end_offset
+        return stream is not None and end_offset is not None and stream.bytes_sent >= end_offset
 
     def is_silent_since(self, time: int) -> bool:
         """Whether nothing came since then, or no reply ever."""
@@ -115,7 +115,7 @@
 
     def is_quiet(self) -> bool:
         """Whether it shows neither its end nor bytes that nobody asked for: one system call."""
-        return self.stream is not None and bool(self.stream.quiet())
+        return self.stream is not None and bool(self.stream.is_quiet())
 
     def on_bytes(self, data: bytes) -> None:
         """Take what the host sent."""
@@ -146,7 +146,7 @@
             self.retired_ids.discard(request.id)
 
     def _may_be_kept(self) -> bool:
-        return self.reusable and self.pool.pooling.keeps(
+        return self.reusable and self.pool.pooling.allows_reuse(
             self.last_read, self.host.name, Idempotency.IDEMPOTENT
         )
 
@@ -160,7 +160,7 @@
             ended.append((request, result))
             if by_host and self.answered and self.last_read < request.created_at:
                 idle_time = request.created_at - self.last_used
-                self.pool.pooling.ended(now, self.host.name, idle_time, now - request.created_at)
+                self.pool.pooling.record_stale_end(now, self.host.name, idle_time, now - request.created_at)
         self.pending = {}
         self.drop()
         for request, result in ended:
@@ -196,9 +196,9 @@
     def _cancel_at_host(self, request: PendingRequest, stream: Stream) -> None:
         self.retired_ids.add(request.id)
         now = self.pool.loop.now()
-        if self.pool.pooling.silent(now, max(request.created_at, self.last_read)):
+        if self.pool.pooling.is_silent(now, max(request.created_at, self.last_read)):
             self.reusable = False
-        if not self.pending and (not self.reusable or stream.waiting):
+        if not self.pending and (not self.reusable or stream.bytes_unsent):
             self.drop()
         elif self.pool.cancel_allowed:
             self.last_used = now
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -101,7 +101,7 @@
         """The connection that pooling picks; an idle one that shows its end, or bytes that nobody asked for,
         is closed first, unless the request may be sent again."""
         while True:
-            connection: Connection | None = self.pooling.pick(
+            connection: Connection | None = self.pooling.choose(
                 now,
                 host.name,
                 idempotency,
@@ -142,7 +142,7 @@
         now = self.loop.now()
         for host in list(self.hosts.values()):
             for connection in list(host.connections):
-                if not connection.pending and now - connection.last_used > self.pooling.safe_rest(
+                if not connection.pending and now - connection.last_used > self.pooling.max_idle(
                     now, host.name, Idempotency.IDEMPOTENT, self.idle_timeout
                 ):
                     connection.drop()
@@ -158,7 +158,7 @@
         gone_before, host.gone_at_last_sweep = host.gone_at_last_sweep, host.is_gone()
         if gone_before and host.gone_at_last_sweep:
             del self.hosts[host.name]
-            self.pooling.gone(host.name)
+            self.pooling.forget_host(host.name)
             self.on_removed(host.name)
 
     def close(self) -> None:
--- a/gaproute/hosts/results.py
+++ b/gaproute/hosts/results.py
@@ -18,12 +18,12 @@
 from typing import TYPE_CHECKING
 
 from gaproute.interface import Result
-from gaproute.loop.faults import NO_OWN_ADDRESS, SHORTAGES
+from gaproute.loop.faults import LOCAL_ADDRESS_ERRNOS, SHORTAGE_ERRNOS
 
 if TYPE_CHECKING:  # the platform process loads no HTTP
     from gaproute.http1 import Undelivered
 
-LOCAL_SHORTAGES = SHORTAGES | NO_OWN_ADDRESS  # errors of this machine, which are held against no host
+LOCAL_SHORTAGES = SHORTAGE_ERRNOS | LOCAL_ADDRESS_ERRNOS  # of this machine, held against no host
 AMBIGUOUS_STATUSES = (408, 425)  # time-out at the host, too early: neither says whether the request ran
 
 
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -22,7 +22,7 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.http1 import Exchange
 from gaproute.loop import Promise
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import observation_wire
 from gaproute.peers.membership import EventLog, Peer
 
--- a/gaproute/platform/reload.py
+++ b/gaproute/platform/reload.py
@@ -3,9 +3,8 @@
 from collections.abc import Callable
 
 from gaproute.loop import Loop
-from gaproute.loop.connecting import short
-from gaproute.loop.faults import Backoff, is_momentary_read
-from gaproute.loop.loop import Timer
+from gaproute.loop.faults import SHORTAGE_ERRNOS, Backoff, is_transient_read
+from gaproute.loop.timers import Timer
 from gaproute.platform.configuration import (
     Configuration,
     ConfigurationRefusedError,
@@ -48,9 +47,10 @@
         self.on_reloaded(configuration)
 
     def _failed(self, error: ConfigurationRefusedError) -> None:
-        if isinstance(error, ConfigurationUnreadableError) and is_momentary_read(error.cause):
-            short(self.loop, error.cause)
+        if isinstance(error, ConfigurationUnreadableError) and is_transient_read(error.cause):
+            if error.cause.errno in SHORTAGE_ERRNOS:
+                self.loop.relieve_shortage()
             self.log.warning("configuration not read yet", text=str(error))
-            self.retry_timer = self.loop.after(self.backoff.next(), self._read)
+            self.retry_timer = self.loop.after(self.backoff.next_pause(), self._read)
         else:
             self.log.error("configuration refused", text=str(error))
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -13,8 +13,8 @@
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.loop import Loop
+from gaproute.loop.addresses import address
 from gaproute.loop.datagrams import Datagrams
-from gaproute.loop.streams import address
 from gaproute.peers import PeerServer, observation_wire
 from gaproute.peers.lore_pb2 import Ask, Told
 from tests.appliance.test_gateway import scripted_host
@@ -354,7 +354,7 @@
     while len(heard) < 2:
         loop.turn()
     assert heard == [b"one", b"two"]
-    assert ends[0].lost == 1
+    assert ends[0].dropped == 1
     for end in ends:
         end.close()
     again = Datagrams(loop, place, heard.append)  # the place is free again
