--- /dev/null
+++ b/gaproute/core/attempts.py
@@ -0,0 +1,128 @@
+"""The attempts of requests: sent to hosts, cancelled, withdrawn, and accounted for when they end."""
+
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from gaproute import interface as face
+from gaproute.core.completion import MILLI, RequestCompletion
+from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
+from gaproute.core.ports import DecisionModule, Hosts
+from gaproute.interface.call import Ending
+from gaproute.loop import Loop
+from gaproute.telemetry.record import Record
+
+
+class AttemptRunner(RequestCompletion):
+    """Carries out attempts by way of the hosts."""
+
+    def __init__(
+        self,
+        gateway: DecisionModule,
+        loop: Loop,
+        record: Record,
+        hosts: Hosts,
+        request_classes: tuple[face.RequestClass, ...],
+    ) -> None:
+        super().__init__(gateway, loop, record)
+        self.hosts, self.request_classes = hosts, request_classes
+
+    # Start
+
+    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+        """Sends a request to a host."""
+        self._send(self.hosts, key, number, attempt, now)
+
+    def _send(self, hosts: Hosts, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+        """Sends a request by way of these hosts."""
+        request = self.in_flight[key]
+        request.attempt_count += 1
+        host, deadline = attempt.host, request.deadline
+        if request.log_step is not None:
+            request.log_step("relay", relay=number, worker=host)
+        handle = hosts.send(
+            host,
+            request.call,
+            self.request_classes[request.request_class].idempotency,
+            key,
+            deadline,
+            min(attempt.until, deadline),
+            partial(self._attempt_ended, key, number),
+        )
+        request.attempts[number] = AttemptInFlight(host, now, handle)
+
+    def cancel(self, key: str, number: int) -> None:
+        """Cancels an attempt, unless it has ended."""
+        request = self.in_flight.get(key)
+        if request is not None and number in request.attempts:
+            self._withdraw(request, number)
+
+    # The end
+
+    def _attempt_ended(self, key: str, number: int, attempt_result: AttemptResult) -> None:
+        """Accounts for an attempt in flight that has ended; an answer ends its request."""
+        request, now = self.in_flight[key], self.loop.now()
+        host, sent_at, _ = request.attempts.pop(number)
+        result, took = attempt_result.result, now - sent_at
+        if result not in face.NEVER_RAN:
+            request.may_have_run = True
+        if result is face.Result.OK and request.on_final is not None:
+            request.found = attempt_result.found
+            self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
+        self.record.attempt_ended(host, request.request_class, result)
+        outcome = face.Outcome(
+            key,
+            number,
+            host,
+            result,
+            took,
+            request.on_final is None,
+            attempt_result.found,
+            attempt_result.same_function_requests,
+            attempt_result.report,
+        )
+        if request.log_step is not None:
+            _log_outcome(request.log_step, outcome)
+        self._guard(key, self.handle_outcome, now, outcome)
+        self._release_if_complete(request)
+
+    def _time_out_attempts(self, request: RequestInFlight) -> None:
+        for number, (_, _, handle) in list(request.attempts.items()):
+            result = face.Result.TIMEOUT if handle.started else face.Result.NOT_SENT
+            handle.cancel()
+            self._attempt_withdrawn(request.id, number, result)
+
+    def _withdraw_attempts(self, request: RequestInFlight) -> None:
+        """Withdraws what must not begin once the request has its final answer or its client has left.
+
+        That is what waits for its connection, whatever the settings say of cancelling: not to begin is no
+        cancellation. It is also what a host has not got whole, and what another gateway has, which may not
+        have begun it.
+        """
+        for number, (_, _, handle) in request.attempts.items():
+            if not handle.started or handle.cancellable:
+                self._withdraw(request, number)
+
+    def _withdraw(self, request: RequestInFlight, number: int) -> None:
+        handle = request.attempts[number].handle
+        result = face.Result.CANCELLED if handle.started else face.Result.NOT_SENT
+        handle.cancel()
+        self.loop.soon(self._attempt_withdrawn, request.id, number, result)
+
+    def _attempt_withdrawn(self, key: str, number: int, result: face.Result) -> None:
+        request = self.in_flight.get(key)
+        if request is not None and number in request.attempts:
+            self._attempt_ended(key, number, AttemptResult(result, None))
+
+
+def _log_outcome(log_step: Callable[..., Any], outcome: face.Outcome) -> None:
+    """Logs the outcome of an attempt of a traced request."""
+    log_step(
+        "outcome",
+        relay=outcome.attempt,
+        worker=outcome.host,
+        result=outcome.result.value,
+        took_ms=outcome.took // MILLI,
+        found=outcome.found.name,
+        alike=outcome.same_function_requests,
+    )
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -6,7 +6,7 @@
 
 from gaproute import interface as face
 from gaproute.core.driver import HOUSEKEEPING, Driver
-from gaproute.core.in_flight import AttemptResult, RequestInFlight
+from gaproute.core.in_flight import RequestInFlight
 from gaproute.core.ports import DecisionModule
 from gaproute.interface.call import Answer, Ending, Final
 from gaproute.loop import Loop
@@ -31,8 +31,12 @@
         self.on_idle: Callable[[], None] | None = None  # called when the last request is released
 
     @abstractmethod
-    def _attempt_ended(self, key: str, number: int, attempt_result: AttemptResult) -> None:
-        """Accounts for an attempt in flight that has ended."""
+    def _withdraw_attempts(self, request: RequestInFlight) -> None:
+        """Withdraws what must not begin once the request has its final answer or its client has left."""
+
+    @abstractmethod
+    def _time_out_attempts(self, request: RequestInFlight) -> None:
+        """Ends all attempts of a request whose deadline has passed."""
 
     # The final answer
 
@@ -96,40 +100,13 @@
         Guards against a decision module that is late; harms none that is in time.
         """
         request = self.in_flight[key]
-        for number, attempt in list(request.attempts.items()):
-            result = face.Result.TIMEOUT if attempt.handle.started else face.Result.NOT_SENT
-            attempt.handle.cancel()
-            self._attempt_withdrawn(key, number, result)
+        self._time_out_attempts(request)
         if request.on_final is not None:
             self.record.fault("no final answer by the client's limit", key)
             self.forget(key)
             self._finish(request, Ending.FAILED, DEADLINE_PASSED)
         self._release_if_complete(request)
 
-    # Attempts that nobody waits for
-
-    def _withdraw_attempts(self, request: RequestInFlight) -> None:
-        """Withdraws what must not begin once the request has its final answer or its client has left.
-
-        That is what waits for its connection, whatever the settings say of cancelling: not to begin is no
-        cancellation. It is also what a host has not got whole, and what another gateway has, which may not
-        have begun it.
-        """
-        for number, (_, _, handle) in request.attempts.items():
-            if not handle.started or handle.cancellable:
-                self._withdraw(request, number)
-
-    def _withdraw(self, request: RequestInFlight, number: int) -> None:
-        handle = request.attempts[number].handle
-        result = face.Result.CANCELLED if handle.started else face.Result.NOT_SENT
-        handle.cancel()
-        self.loop.soon(self._attempt_withdrawn, request.id, number, result)
-
-    def _attempt_withdrawn(self, key: str, number: int, result: face.Result) -> None:
-        request = self.in_flight.get(key)
-        if request is not None and number in request.attempts:
-            self._attempt_ended(key, number, AttemptResult(result, None))
-
     # State
 
     def forget(self, key: str) -> None:
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -8,16 +8,17 @@
 from functools import partial
 
 from gaproute import interface as face
-from gaproute.core.completion import MILLI, RequestCompletion
-from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
+from gaproute.core.attempts import AttemptRunner
+from gaproute.core.completion import MILLI
+from gaproute.core.in_flight import RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts
-from gaproute.interface.call import Call, Ending, Final
+from gaproute.interface.call import Call, Final
 from gaproute.loop import Loop
 from gaproute.loop.loop import Timer
 from gaproute.telemetry.record import Record
 
 
-class Core(RequestCompletion):
+class Core(AttemptRunner):
     """One gateway's requests, its decisions and its hosts. Times are ns of the loop's clock."""
 
     def __init__(
@@ -30,9 +31,8 @@
         name: str,
     ) -> None:
         """`name` begins the ids of its requests: no two gateways have the same."""
-        super().__init__(gateway, loop, record)
-        self.hosts, self.name = hosts, name
-        self.request_classes = terms.request_classes
+        super().__init__(gateway, loop, record, hosts, terms.request_classes)
+        self.name = name
         self.wait_timers: dict[str, Timer] = {}  # by key
         self.submitted = 0  # requests so far
         self.send_to_peers: Callable[[bytes], None] | None = None  # where there is a way to other gateways
@@ -112,70 +112,6 @@
             for number in request.attempts:
                 self._withdraw(request, number)
 
-    # Attempts
-
-    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
-        """Sends a request to a host."""
-        self._send(self.hosts, key, number, attempt, now)
-
-    def _send(self, hosts: Hosts, key: str, number: int, attempt: face.Attempt, now: int) -> None:
-        """Sends a request by way of these hosts."""
-        request = self.in_flight[key]
-        request.attempt_count += 1
-        host, deadline = attempt.host, request.deadline
-        if request.log_step is not None:
-            request.log_step("relay", relay=number, worker=host)
-        handle = hosts.send(
-            host,
-            request.call,
-            self.request_classes[request.request_class].idempotency,
-            key,
-            deadline,
-            min(attempt.until, deadline),
-            partial(self._attempt_ended, key, number),
-        )
-        request.attempts[number] = AttemptInFlight(host, now, handle)
-
-    def cancel(self, key: str, number: int) -> None:
-        """Cancels an attempt, unless it has ended."""
-        request = self.in_flight.get(key)
-        if request is not None and number in request.attempts:
-            self._withdraw(request, number)
-
-    def _attempt_ended(self, key: str, number: int, attempt_result: AttemptResult) -> None:
-        request, now = self.in_flight[key], self.loop.now()
-        host, sent_at, _ = request.attempts.pop(number)
-        result, took = attempt_result.result, now - sent_at
-        if result not in face.NEVER_RAN:
-            request.may_have_run = True
-        if result is face.Result.OK and request.on_final is not None:
-            request.found = attempt_result.found
-            self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
-        self.record.attempt_ended(host, request.request_class, result)
-        if request.log_step is not None:
-            request.log_step(
-                "outcome",
-                relay=number,
-                worker=host,
-                result=result.value,
-                took_ms=took // MILLI,
-                found=attempt_result.found.name,
-                alike=attempt_result.same_function_requests,
-            )
-        outcome = face.Outcome(
-            key,
-            number,
-            host,
-            result,
-            took,
-            request.on_final is None,
-            attempt_result.found,
-            attempt_result.same_function_requests,
-            attempt_result.report,
-        )
-        self._guard(key, self.handle_outcome, now, outcome)
-        self._release_if_complete(request)
-
     # Waits
 
     def wait(self, key: str, until: int, now: int) -> None:
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -15,7 +15,7 @@
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
-from tests.core.test_core import core, relay_and_wait, take, turns
+from tests.core.test_core import attempt_and_wait, core, run, submit
 from tests.fronts.test_departed_ends import end
 
 CALL = Call("lamp", "", (), b"{}")
@@ -70,12 +70,12 @@
 @pytest.mark.parametrize("cancellable", [True, False])
 def test_what_may_not_have_begun_is_taken_back_with_its_client_and_what_runs_is_not(cancellable):
     """The decisions here cancel nothing, as where the settings allow none."""
-    made = core(relay_and_wait)
-    key = take(made)
+    made = core(attempt_and_wait)
+    key = submit(made)
     made.in_flight[key].attempts[0].handle.cancellable = cancellable
     made.client_left(key)
-    turns(made)
-    assert made.hosts.taken_back == ["w"] * cancellable and bool(made.in_flight) is not cancellable
+    run(made)
+    assert made.hosts.cancelled == ["w"] * cancellable and bool(made.in_flight) is not cancellable
 
 
 @pytest.mark.parametrize("way", ["fin", "reset", "half"])
