--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -12,7 +12,8 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve.entry import EntryFront
-from gaproute.hosts.entry_gateways import CellHostClient, EntryGateways
+from gaproute.hosts.cell_hosts import CellHostClient
+from gaproute.hosts.entry_gateways import EntryGateways
 from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Peer
 
@@ -73,7 +74,7 @@
 
     def peers(self, peers):
         """The other gateways of the configuration, {name: address}."""
-        self.table.carrier.peers(tuple(Peer(name, where) for name, where in peers.items()))
+        self.table.carrier.set_peers(tuple(Peer(name, where) for name, where in peers.items()))
 
     def read(self):
         """Read all files at once."""
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -55,9 +55,9 @@
     def _connections_in_use(self) -> dict[str, list[int]]:
         """Connections and open requests by host, of hosts that have any."""
         return {
-            name: [len(host.links), sum(len(link.open) for link in host.links)]
+            name: [len(host.connections), sum(len(connection.pending) for connection in host.connections)]
             for name, host in self.hosts.hosts.items()
-            if host.links
+            if host.connections
         }
 
     def _estimates(self) -> dict[str, list[float]]:
