--- a/gaproute/benchlink/hub.py
+++ b/gaproute/benchlink/hub.py
@@ -109,7 +109,7 @@
                 EVENT_HANDLERS[type(line)](instance, self.now, line)
         except lines.ProtocolError:
             raise
-        except Exception as error:  # noqa: BLE001 - whatever it is, the simulator is told
+        except Exception as error:  # noqa: BLE001 - whatever it is, it is reported
             self.failures[number] = _describe(error)
 
     def _open(self, number: int, line: lines.OpenInstance) -> None:
@@ -149,7 +149,7 @@
 
 
 def _describe(error: Exception) -> str:
-    """Type, message and place of an error, in one line."""
-    place = traceback.extract_tb(error.__traceback__)[-1]
-    text = f"{type(error).__name__}: {error} at {place.name}, line {place.lineno}"
+    """Type, message and function of an error, in one line."""
+    frame = traceback.extract_tb(error.__traceback__)[-1]
+    text = f"{type(error).__name__}: {error} at {frame.name}, line {frame.lineno}"
     return text.replace("\n", " ")
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -14,7 +14,7 @@
 
 
 class AttemptRunner(RequestCompletion):
-    """Carries out attempts by way of the hosts."""
+    """Carries out attempts through the hosts."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._send(self.hosts, key, number, attempt, now)
 
     def _send(self, hosts: Hosts, key: str, number: int, attempt: face.Attempt, now: int) -> None:
-        """Sends a request by way of these hosts."""
+        """Sends a request through these hosts."""
         request = self.in_flight[key]
         request.attempt_count += 1
         host, deadline = attempt.host, request.deadline
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -16,7 +16,7 @@
     """The connections to entry gateways of other cells."""
 
     def client_for(self, forward: Forward, /) -> Hosts:
-        """What sends a request by way of an entry gateway."""
+        """What sends a request through an entry gateway."""
 
 
 class CellularCore(Core):
@@ -40,7 +40,7 @@
         self.forwarded_out = 0  # attempts at other gateways
 
     def serve(self, now: int, request: face.Request) -> Actions:
-        """A request's generator; it is told whether another gateway forwarded the request."""
+        """A request's generator, by whether another gateway forwarded the request."""
         forwarded = cast("Forwarded | None", self.in_flight[request.id].call.forwarded)
         if forwarded is not None:
             self.forwarded_in += 1
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -35,7 +35,7 @@
         self.name = name
         self.wait_timers: dict[str, Timer] = {}  # by key
         self.submitted = 0  # requests so far
-        self.send_to_peers: Callable[[bytes], None] | None = None  # where there is a way to other gateways
+        self.send_to_peers: Callable[[bytes], None] | None = None  # None: no other gateways
         self.on_arrival: Callable[[int, str, int], None] | None = None  # (now, function, class) of each
 
     # From the fronts
@@ -174,7 +174,7 @@
     # Other gateways
 
     def broadcast(self, payload: bytes) -> None:
-        """Sends a payload to all other gateways, where there is a way to them."""
+        """Sends a payload to all other gateways, where there are any."""
         if self.send_to_peers is not None:
             self.send_to_peers(payload)
 
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -91,7 +91,7 @@
         self.resume(outcome.request, now, outcome)
 
     def abandon(self, now: int, key: str) -> None:
-        """The client has left: the request's generator is told, and no final answer is owed."""
+        """The client has left: the request's generator is notified, and no final answer is owed."""
         if key in self.generators:
             self.resume(key, now, _departed(key))
             self.forget(key)
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -39,7 +39,7 @@
     order_time: int
     requests_per_connection: int  # in flight to a host at most
     same_function_counted: bool
-    cancel_allowed: bool = True  # hosts may be told that a request is cancelled
+    cancel_allowed: bool = True  # hosts may be notified of a cancelled request
 
 
 def read_terms(settings: Mapping[str, Any]) -> face.Terms:
