--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -44,7 +44,7 @@
             "wrong": sum(each.wrong for each in decisions(gate)),
         },
         "telling": server
-        and {"facts": server.transfers.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
+        and {"facts": server.transfers.encoded, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
         "memory": writer
         and {
             "written": writer.store.written,
--- a/gaproute/decisions/reports/cpu_budget.py
+++ b/gaproute/decisions/reports/cpu_budget.py
@@ -34,7 +34,7 @@
         """How long one that is put off should wait.
 
         Each comes after the one before, so that many that wait do not all come at once and cost more by
-        asking than by being told.
+        asking than by being answered.
         """
         refill = round(max(0, -self.available) / CPU_SHARE)
         ready = max(self._next_slice_at, now + refill)
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -1,4 +1,4 @@
-"""Which shared observations are followed, and how the decisions are told of them.
+"""Which shared observations are followed, and how they reach the decisions.
 
 The host list of this gateway beats all of it, and whatever it observed itself beats every hint. Nothing here
 orders a load, marks a host as active or lifts a limit of the rules. Times are in ns.
@@ -17,10 +17,12 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.shared.randomness import RandomSource
 
-MIN_AGE_SHARE = 0.35  # of the keep-alive: age that a hint has at least, whatever is told: another's word is
-#                       weaker than one's own eyes; the decay leaves it 0.985 of its weight
-RANDOM_AGE_SHARE = 0.35  # of the keep-alive: further age by chance, so that gateways that learn the same at
-#                          one moment rank the warm hosts differently and do not all send to one
+# Ages that a hint has, as shares of the keep-alive. At least, however fresh it is: another's word is weaker
+# than one's own eyes; the decay leaves it 0.985 of its weight.
+MIN_AGE_SHARE = 0.35
+# Further, by chance: gateways that learn the same at one moment rank the warm hosts differently, and do not
+# all send to one.
+RANDOM_AGE_SHARE = 0.35
 RANDOM_STEPS = 1000
 MIN_INSTANCES = 4  # of a function that are hinted at least, the freshest: the stable hash picks among them,
 #                    and origins that err mostly err differently
@@ -33,7 +35,7 @@
     ObservationKind.REQUEST_SHARE,
 )
 
-Starts = Mapping[str, int]  # active hosts by this gateway's list, with their starts since 1970; 0: none told
+Starts = Mapping[str, int]  # active hosts by this gateway's list, with their starts since 1970; 0: none known
 
 
 class WarmHint(NamedTuple):
--- a/gaproute/decisions/reports/host_history.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -6,15 +6,15 @@
 from gaproute.decisions.reports.observation_kinds import ListedState, ObservationKind, Subject, Value
 
 MAX_GONE = 1024  # hosts remembered as gone: more than a fleet replaces in a rolling restart
-EVERYTHING = -1  # as the time since when observations are wanted
+EVERYTHING = -1  # as the time since when observations are asked for
 
 
 class HostEntry(NamedTuple):
-    """What the list told of a host."""
+    """What the list says of a host."""
 
     state: str  # a `ListedState`
-    started: int  # start of the host, ns since 1970; 0 where none was told
-    listed_at: int  # when that was told first
+    started: int  # start of the host, ns since 1970; 0 where the list has none
+    listed_at: int  # when that was listed first
 
 
 class OwnObservation(NamedTuple):
@@ -26,7 +26,7 @@
 
 
 class HostHistory:
-    """What a gateway's own host list told of each host, and when; hosts that left it are gone."""
+    """What a gateway's own host list said of each host, and when; hosts that left it are gone."""
 
     def __init__(self) -> None:
         self.entries: dict[str, HostEntry] = {}  # by host, those that changed last at the end
--- a/gaproute/decisions/reports/shared_observations.py
+++ b/gaproute/decisions/reports/shared_observations.py
@@ -1,7 +1,7 @@
 """What other gateways and this gateway's last run observed of the fleet, merged.
 
 An observation has a subject, a value, the time by this gateway's clock, who observed it, and over how many
-hops it came: 0 for this gateway's own last run, 1 for a peer. Only what a gateway observed itself is told, so
+hops it came: 0 for this gateway's own last run, 1 for a peer. Only what a gateway observed itself is sent, so
 nothing travels further, and nothing that a host's end has made void comes back by a third gateway. Merging
 takes the greater of two by one total order, so it is commutative, associative and idempotent. A host that is
 gone is remembered as such (a tombstone), never as an absence. Times are in ns.
@@ -45,7 +45,7 @@
         return asked - age
 
     def add(self, subject: Subject, observation: SharedObservation) -> None:
-        """Takes an observation where it is newer than what is held."""
+        """Takes an observation where it is newer than what is known."""
         known = self.by_subject.get(subject)
         reason = _rejection_reason(subject, observation)
         if reason is None and known is None and len(self.by_subject) >= MAX_OBSERVATIONS:
@@ -72,12 +72,12 @@
         return {reason.value: count for reason, count in self.rejections.items()}
 
     def share(self, function: str) -> float:
-        """The function's share of the requests; 0 where nobody told."""
+        """The function's share of the requests; 0 where it is not known."""
         observation = self.by_subject.get((ObservationKind.REQUEST_SHARE, function))
         return observation.value[0] if observation else 0.0
 
     def request_mix(self, size: int = MIX_SIZE) -> list[str]:
-        """`size` names that stand for the mix of functions told, "" for those not told, evenly mixed."""
+        """`size` names that stand for the mix of functions, "" for those not known, evenly mixed."""
         shares = sorted(self._shares())
         total = max(1.0, sum(share for _, share in shares))
         names: list[str] = []
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -26,7 +26,7 @@
 
     def counters(self):
         """What was told to others that ask, and how often they were put off."""
-        return {"told": self.peer_server.transfers.told, "put_off": self.peer_server.put_off}
+        return {"told": self.peer_server.transfers.encoded, "put_off": self.peer_server.put_off}
 
     def close(self):
         """Listens no more."""
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -5,36 +5,21 @@
 """
 
 from collections.abc import Mapping
-from typing import Any, Protocol
+from typing import Any
 
 from gaproute.peers.gossip.wire import decode, encode
-from gaproute.peers.membership import PayloadHandler
 from gaproute.peers.membership_wire import PayloadKind
+from gaproute.peers.payload_transport import PayloadTransport
 from gaproute.shared.gossip import GossipNode
 from gaproute.shared.gossip.messages import SECOND
 from gaproute.shared.gossip.scheduler import RATE
-from gaproute.shared.membership import Membership
 from gaproute.shared.randomness import RandomSource
 
-OBSERVATION_INTERVAL = SECOND // 2  # between two looks at the decisions: as often as one peer is told at most
+OBSERVATION_INTERVAL = SECOND // 2  # between two looks at the decisions: as often as one peer is sent to
 MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
 PEERS_INTERVAL = SECOND  # between two takes of the members: a storm of updates must not be one of lists
 
 
-class PayloadTransport(Protocol):
-    """The part of `MembershipTransport` that gossip needs."""
-
-    @property
-    def membership(self) -> Membership:
-        """Who is up."""
-
-    def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
-        """The handler gets each payload of that kind."""
-
-    def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> None:
-        """Sends a payload to the gateway with that address."""
-
-
 class GossipTransport:
     """Feeds a `GossipNode` and carries its messages.
 
--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -7,7 +7,7 @@
                      deviation u16 (hundredths of the rate)
              warm instances: host u32, function u32, age u16 (10 ms)
 
-The scale: code c stands for 2^(c/12) - 1; rates and their remainder are told in hundredths, so that three a
+The scale: code c stands for 2^(c/12) - 1; rates and their remainder are sent in hundredths, so that three a
 second stays three.
 """
 
@@ -34,7 +34,7 @@
 VERSION = 1
 AGE_UNIT = 10_000_000  # ns: 655 s is the longest age, twice what any set lives
 MAX_AGE_UNITS = 65_535
-RATE_UNITS = 100  # rates are told in hundredths of a request a second
+RATE_UNITS = 100  # rates are sent in hundredths of a request a second
 MAX_RELATIVE_DEVIATION = 655.0  # of the rate
 MAX_WARM_AGE = LIMITS[EntryKind.WARM_INSTANCES].max_age
 MAX_BYTES = 1200  # fits an unfragmented datagram everywhere
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -33,7 +33,7 @@
 MAX_PAUSE = SECOND
 RETRY_AFTER_HEADER = b"gaproute-retry-after-ms"
 MAX_HEAD_BYTES = 16_384  # of an answer
-ASKED = "asked"  # state of a peer that has not told all yet, as operators see it
+ASKED = "asked"  # state of a peer that has not sent all yet, as operators see it
 
 
 @dataclass
@@ -50,7 +50,7 @@
 class ObservationClient:
     """Learns from peers.
 
-    `follow(subjects)` tells the decisions of what the observations now hold of them and returns how many
+    `follow(subjects)` tells the decisions of what is now known of them and returns how many
     hints were taken; `completed()` is called at the end of each snapshot.
     """
 
@@ -91,12 +91,12 @@
             task.cancel()
 
     def take(self, origin: str, asked: int, answer: observation_wire.Answer) -> int:
-        """Merges an answer and follows what it brought; how many observations it held."""
+        """Merges an answer and follows what it brought; how many observations it had."""
         received = SharedObservations()
         observation_wire.read_observations(answer, asked, origin, received)
         self.observations.merge(received)
-        # Only this answer's subjects are looked at, by what all peers told of them: that a host is gone holds
-        # whoever told it.
+        # Only this answer's subjects are looked at, by what all peers sent of them: that a host is gone is
+        # true whoever sent it.
         self.hints_taken += self._follow(received.by_subject)
         return len(received.by_subject)
 
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -1,4 +1,4 @@
-"""What this gateway observed, told to others in chunks.
+"""What this gateway observed, sent to others in chunks.
 
 A snapshot is read on from where the last answer stopped, function by function, so that no answer takes longer
 than its slice however much is known. What changed since is asked for by the mark of the snapshot's answer.
@@ -75,7 +75,7 @@
     ) -> None:
         self.run_id = secrets.randbits(RUN_ID_BITS) | 1  # the marks are of this process's clock alone
         self.transfers: dict[int, Transfer] = {}  # by number
-        self.told = 0  # observations that were encoded
+        self.encoded = 0  # observations
         self.gateway, self._history, self._request_classes = gateway, history, request_classes
         self._cpu_clock = cpu_clock
         self._last_number = 0
@@ -136,7 +136,7 @@
         names = 0
         for count, (subject, value, observed_at) in enumerate(transfer.observations, 1):
             names += observation_wire.add_observation(answer, subject, value, now - observed_at)
-            self.told += 1
+            self.encoded += 1
             if count >= MAX_CHUNK_OBSERVATIONS or names > MAX_CHUNK_NAME_BYTES:
                 break
             if self._cpu_clock() - begun > SLICE:
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -12,7 +12,7 @@
     """Keeps the holder's table; nothing else may change that.
 
     The holder must not trim: others are served from it, and all digests are of whole rows. Whoever wants less
-    takes it from the tables that it is told.
+    takes it from the tables of the callbacks.
     """
 
     def __init__(self, holder: TableHolder) -> None:
@@ -26,18 +26,18 @@
 
     @property
     def version(self) -> Version:
-        """The version held."""
+        """The current version."""
         return NOTHING if self.holder.table is None else self.holder.table.version
 
     def apply(self, change: Change) -> None:
         """Takes a change. Errors: DocumentError."""
-        held = self.holder.table
-        if held is None:
+        current = self.holder.table
+        if current is None:
             raise DocumentError("a change without a table")
         try:
             decoded = encoding.decode_change(self.fleet, change.base, change.version, change.data)
-            table = changed(held, decoded)
-            self._take(table, encoding.digest_after(self.digest, held, decoded), change.digest)
+            table = changed(current, decoded)
+            self._take(table, encoding.digest_after(self.digest, current, decoded), change.digest)
         except TableError as fault:
             raise DocumentError("invalid change") from fault
 
@@ -50,7 +50,7 @@
             raise DocumentError("invalid table") from fault
 
     def whole(self) -> bytes:
-        """The whole table, encoded. Errors: DocumentError where none is held."""
+        """The whole table, encoded. Errors: DocumentError where there is none."""
         if self.holder.table is None:
             raise DocumentError("no table")
         return encoding.encode_table(self.holder.table)
@@ -62,13 +62,13 @@
         self.digest = digest
 
 
-def encode_table_change(held: CellTable | None, digest: int, change: TableChange) -> Change:
-    """A change of the table held, which has that digest, as it is sent.
+def encode_table_change(current: CellTable | None, digest: int, change: TableChange) -> Change:
+    """A change of the current table, which has that digest, as it is sent.
 
     Errors: TableError where it cannot be applied.
     """
-    if held is None:
+    if current is None:
         raise TableError("a change without a table")
-    changed(held, change)
-    digest_after = encoding.digest_after(digest, held, change)
+    changed(current, change)
+    digest_after = encoding.digest_after(digest, current, change)
     return Change(change.base, change.version, digest_after, encoding.encode_change(change))
--- a/gaproute/peers/tables/encoding.py
+++ b/gaproute/peers/tables/encoding.py
@@ -91,7 +91,7 @@
 
 
 def decode_change(fleet: str, base: Version, version: Version, data: bytes) -> TableChange:
-    """A change, not yet held against a table. Errors: TableError."""
+    """A change, not yet checked against a table. Errors: TableError."""
     try:
         body = _decode_change(data)
     except (msgspec.DecodeError, RecursionError) as fault:
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -35,7 +35,7 @@
             self._take(disseminator, stored)
 
     def write(self, disseminator: Disseminator) -> None:
-        """Writes the table held, if it is newer than that on disk.
+        """Writes the current table, if it is newer than that on disk.
 
         A file that could not be read at the start is read before it is written over.
         """
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -1,6 +1,6 @@
 """The cell table on sockets: the dissemination's messages by the membership's datagrams and by pulls.
 
-Nothing of the gateway rests on it: while nobody is heard the last table serves on. The members that the
+Nothing of the gateway rests on it: while no peer is heard the last table serves on. The members that the
 membership knows are taken for the gateways of the own cell. Times are in ns.
 """
 
@@ -12,6 +12,8 @@
 from gaproute.decisions.cells.table import CellTable, Version
 from gaproute.peers.membership import EventLog
 from gaproute.peers.membership_wire import PayloadKind
+from gaproute.peers.payload_transport import PayloadTransport
+from gaproute.peers.peer_server import PeerServer
 from gaproute.peers.tables import encoding, wire
 from gaproute.peers.tables.document import TableDocument, encode_table_change
 from gaproute.peers.tables.pull_exchange import TARGET, PullClient, pull_route
@@ -50,8 +52,8 @@
         loop: Any,
         name: str,
         fleet: str,
-        transport: Any,
-        peer_server: Any,
+        transport: PayloadTransport,
+        peer_server: PeerServer,
         random: RandomSource,
         record: EventLog,
         cell: str = "",
@@ -66,7 +68,7 @@
         self.storage = TableStorage(loop.now, path, fleet, self._report_storage)
         self.timer: Any = None
         self._callbacks: list[TableCallback] = []
-        self._reported_version = NOTHING  # of the table that the callbacks were told
+        self._reported_version = NOTHING  # of the table that the callbacks were called with
         self._listed: _Listed | None = None
         self._list_at: int = loop.now()
         self._logged_rejections: set[str] = set()
@@ -74,7 +76,7 @@
     # For the gateway
 
     def start(self) -> None:
-        """Takes the table kept on disk, then receives and sends."""
+        """Takes the table that is on disk, then receives and sends."""
         self.storage.restore(self.disseminator)
         self.transport.register(PayloadKind.CELL_TABLE, self._received)
         self.peer_server.routes[TARGET] = pull_route(self.loop, self.disseminator)
@@ -105,7 +107,7 @@
         self._list_candidates()
 
     def publish(self, table: CellTable) -> None:
-        """A whole table made here. Errors: DocumentError, as where its version is not above that held."""
+        """A whole table made here. Errors: DocumentError, also where its version is not above the current."""
         if table.fleet != self.holder.fleet:
             raise DocumentError("other fleet")
         digest = encoding.cells_digest(table.cells)
@@ -113,7 +115,7 @@
         self._finish_turn(self.disseminator.publish_whole(self.loop.now(), table.version, digest, data))
 
     def publish_change(self, change: TableChange) -> None:
-        """A change made here of the table held. Errors: TableError, DocumentError."""
+        """A change made here of the current table. Errors: TableError, DocumentError."""
         encoded = encode_table_change(self.holder.table, self.disseminator.document.digest, change)
         self._finish_turn(self.disseminator.publish(self.loop.now(), encoded))
 
@@ -122,7 +124,7 @@
         return self.disseminator.version_reports.propagation(self.loop.now(), version)
 
     def candidates(self, near: tuple[Peer, ...]) -> Candidates:
-        """Whom to speak with, by the table held; `near`: members that are up."""
+        """Whom to speak with, by the current table; `near`: members that are up."""
         return candidates(self.holder.table, self.cell, near, self.configured)
 
     # What comes
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -54,9 +54,9 @@
 
 
 class _Pull(_Message, tag=3):
-    held: WireVersion
+    current: WireVersion
     whole: bool
-    wanted: WireVersion
+    target: WireVersion
     offset: Offset
 
 
@@ -101,7 +101,7 @@
 
 def encode_pull(pull: Pull) -> bytes:
     """Bytes of a pull."""
-    return _encode(_Pull(pull.fleet, pull.held, pull.whole, pull.wanted, pull.offset))
+    return _encode(_Pull(pull.fleet, pull.current, pull.whole, pull.target, pull.offset))
 
 
 def decode_pull(data: bytes) -> Pull | None:
@@ -109,8 +109,8 @@
     decoded = _read(_pull, data, MAX_DATAGRAM_BYTES)
     if decoded is None:
         return None
-    held, wanted = Version(*decoded.held), Version(*decoded.wanted)
-    return Pull(decoded.fleet, held, decoded.whole, wanted, decoded.offset)
+    current, target = Version(*decoded.current), Version(*decoded.target)
+    return Pull(decoded.fleet, current, decoded.whole, target, decoded.offset)
 
 
 def encode_answer(answer: Changes | Part | Busy) -> bytes:
@@ -147,7 +147,7 @@
 
 
 def _read(decode: Callable[[bytes], Decoded], data: bytes, max_bytes: int) -> Decoded | None:
-    """What the bytes hold, None where they are too long or hold nothing that is understood."""
+    """What the bytes say, None where they are too long or have nothing that is understood."""
     if len(data) > max_bytes:
         return None
     try:
--- a/gaproute/shared/dissemination/bounds.py
+++ b/gaproute/shared/dissemination/bounds.py
@@ -17,7 +17,7 @@
 MAX_CHANGES_FAILURES = 4  # after which the whole document is asked for
 MAX_PART_FAILURES = 3  # of a source that gave parts of a whole document
 MAX_FAILURES = 8  # of one fetch; the next announcement begins another
-MAX_SOURCES = 4  # further peers remembered that hold the newer version
+MAX_SOURCES = 4  # further peers remembered that have the newer version
 MAX_WAIT = 5 * SECOND  # for which a busy source may put a fetch off
 BUSY_PAUSE = 500 * MILLISECOND  # before another source is asked where one was busy
 MAX_WHOLE = 4 << 20  # of a whole document, encoded
@@ -27,14 +27,14 @@
 LOG_BYTES = 64 << 10
 ANSWER_BYTES = 8 << 10  # of changes in one answer to a pull
 PART_BYTES = 8 << 10  # of a whole document in one answer
-MAX_SNAPSHOTS = 2  # whole documents held for those that fetch them in parts
+MAX_SNAPSHOTS = 2  # whole documents cached for those that fetch them in parts
 SNAPSHOT_TIME = 30 * SECOND  # that one is given to further askers
 
 # Budgets: 4 KB/s hold both
 MESSAGE_RATE = 2_000  # a second, for datagrams and pulls
 MESSAGE_BURST = 8_000
 SERVE_RATE = 2_000  # a second, for answers to pulls
-SERVE_BURST = 48_000  # two whole tables of 490 cells: holders double each time in a part cut off for long
+SERVE_BURST = 48_000  # two whole tables of 490 cells: after a long cut those who have it double each time
 
 # Views
 VIEW_NEIGHBOURS = 24  # gateways of the own cell
--- a/gaproute/shared/dissemination/disseminator.py
+++ b/gaproute/shared/dissemination/disseminator.py
@@ -1,6 +1,6 @@
 """One gateway's part in the dissemination: what it sends, to whom, and what it does with what it receives.
 
-Invariants: the version held only grows; whatever is received costs bounded memory, CPU and bytes; what is
+Invariants: the current version only grows; whatever is received costs bounded memory, CPU and bytes; what is
 rejected is counted by its reason and leaves the document as it was. Times are in ns.
 """
 
@@ -117,12 +117,12 @@
 
     def _receive_announcement(self, now: int, sender: Peer, message: Announcement) -> list[Send]:
         self.version_reports.record(now, sender.name, message.version)
-        held = self.document.version
-        if message.version == held:
+        current = self.document.version
+        if message.version == current:
             if message.digest != self.document.digest:
                 self.replica.reject(RejectionReason.CONTRADICTION)
             return []
-        if message.version > held:
+        if message.version > current:
             return self._fetch_from(now, sender, message.version)
         changes = self.replica.log.since(message.version, PUSH_BYTES)
         if changes:
@@ -130,13 +130,13 @@
         return self.message_sender.announce(now, sender)
 
     def _fetch_from(self, now: int, sender: Peer, version: Version) -> list[Send]:
-        """The sender holds a newer version."""
-        held, known = self.document.version, self.fetch.knows(sender)
-        if self.fetch.announced(now, sender, version, held):
+        """The sender has a newer version."""
+        current, known = self.document.version, self.fetch.knows(sender)
+        if self.fetch.announced(now, sender, version, current):
             return self._ask(now)
         # Its push may come where the source's was lost. Asked once: who holds no changes to push announces
         # again, and two that answer each other's announcements would never end.
-        if not known and self.fetch.is_near(held):
+        if not known and self.fetch.is_near(current):
             return self.message_sender.announce(now, sender)
         return []
 
@@ -152,9 +152,9 @@
         return sends
 
     def _check_held(self, change: Change) -> None:
-        """A change that is not news: whether it contradicts what is held."""
-        held = self.document.version
-        if change.version < held:
+        """A change that is not news: whether it contradicts the current document."""
+        current = self.document.version
+        if change.version < current:
             self.replica.reject(RejectionReason.LOWER_VERSION)
         elif change.digest != self.document.digest:
             self.replica.reject(RejectionReason.CONTRADICTION)
@@ -214,7 +214,7 @@
     # Sending
 
     def _taken(self, now: int, sender: str, changes: tuple[Change, ...]) -> list[Send]:
-        """A newer version is held: fetches on where there is more, and tells others."""
+        """A newer version was taken: fetches on where there is more, and tells others."""
         more = self.fetch.progressed(now, self.document.version)
         sends = self._ask(now) if more else []
         self._eager_until = now + EAGER_TIME
@@ -231,11 +231,11 @@
 
     def _ask(self, now: int) -> list[Send]:
         """The open question, to the source."""
-        source, held = self.fetch.source, self.document.version
+        source, current = self.fetch.source, self.document.version
         if source is None:
             return []
         if not self.fetch.by_exchange:
             return self.message_sender.announce(now, source)
-        whole, assembly = self.fetch.wants_whole(held), self.assembly
-        pull = Pull(self.document.fleet, held, whole, assembly.version, len(assembly.data))
+        whole, assembly = self.fetch.wants_whole(current), self.assembly
+        pull = Pull(self.document.fleet, current, whole, assembly.version, len(assembly.data))
         return self.message_sender.send(now, source, pull)
--- a/gaproute/shared/dissemination/document.py
+++ b/gaproute/shared/dissemination/document.py
@@ -7,11 +7,14 @@
 
 
 class DocumentError(ValueError):
-    """A change or a whole document that cannot be taken; what is held stands. The text is a short reason."""
+    """A change or a whole document that cannot be taken; the text is a short reason.
+
+    The current document stays.
+    """
 
 
 class Document(Protocol):
-    """The one copy that a gateway holds. `version` is `NOTHING` before the first; it only grows.
+    """The one copy that a gateway has. `version` is `NOTHING` before the first; it only grows.
 
     Equal documents have equal digests; others of the same version have not.
     """
@@ -21,10 +24,10 @@
 
     @property
     def version(self) -> Version:
-        """The version held."""
+        """The current version."""
 
     def apply(self, change: Change) -> None:
-        """Takes a change whose base is held. Errors: DocumentError."""
+        """Takes a change whose base is the current version. Errors: DocumentError."""
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
         """Takes a whole document of a higher version. Errors: DocumentError."""
--- a/gaproute/shared/dissemination/fetch.py
+++ b/gaproute/shared/dissemination/fetch.py
@@ -33,7 +33,7 @@
     def __init__(self, replica: Replica) -> None:
         self.source: Peer | None = None
         self.target = NOTHING  # the newest version that was announced
-        self.other_sources: dict[str, Peer] = {}  # by name; they hold the target or nearly so
+        self.other_sources: dict[str, Peer] = {}  # by name; they have the target or nearly so
         self.by_exchange = False  # the open question is a pull, not an announcement
         self.waiting = False  # for the time to ask; no question is open
         self.failures = 0
@@ -45,27 +45,27 @@
         """When `deadline_passed` is to be called, None while nothing is fetched."""
         return None if self.source is None else self._deadline
 
-    def wants_whole(self, held: Version) -> bool:
-        """Whether to ask for the whole document: what others' logs hold does not do, or did not."""
-        if self._replica.needs_whole or held == NOTHING or self.failures >= MAX_CHANGES_FAILURES:
+    def wants_whole(self, current: Version) -> bool:
+        """Whether to ask for the whole document: others' logs do not reach back so far, or did not help."""
+        if self._replica.needs_whole or current == NOTHING or self.failures >= MAX_CHANGES_FAILURES:
             return True
-        return held.term == self.target.term and self.target.number - held.number > LOG_CHANGES
+        return current.term == self.target.term and self.target.number - current.number > LOG_CHANGES
 
-    def is_near(self, held: Version) -> bool:
+    def is_near(self, current: Version) -> bool:
         """Whether a datagram can hold what is lacking."""
-        few = held.term == self.target.term and self.target.number - held.number <= MAX_DATAGRAM_GAP
+        few = current.term == self.target.term and self.target.number - current.number <= MAX_DATAGRAM_GAP
         return few and not self._replica.needs_whole
 
     def knows(self, peer: Peer) -> bool:
         """Whether the peer announced a newer version since this fetch began."""
         return self.source is not None and (peer.name == self.source.name or peer.name in self.other_sources)
 
-    def announced(self, now: int, peer: Peer, version: Version, held: Version) -> bool:
-        """A peer announced a version above that held. Returns whether to ask the source now."""
+    def announced(self, now: int, peer: Peer, version: Version, current: Version) -> bool:
+        """A peer announced a version above the current one. Returns whether to ask the source now."""
         self.target = max(self.target, version)
         if self.source is None:
             self.failures, self.source = 0, peer
-            self._open(now, by_exchange=not self.is_near(held))
+            self._open(now, by_exchange=not self.is_near(current))
             return True
         if peer.name == self.source.name:
             if self.by_exchange or self.waiting:
@@ -75,15 +75,15 @@
         self._remember(peer)
         return False
 
-    def progressed(self, now: int, held: Version) -> bool:
+    def progressed(self, now: int, current: Version) -> bool:
         """Something was taken. Returns whether to ask the source on."""
         if self.source is None:
             return False
-        if held >= self.target:
+        if current >= self.target:
             self._end()
             return False
         self.failures = 0
-        self._open(now, by_exchange=not self.is_near(held))
+        self._open(now, by_exchange=not self.is_near(current))
         return True
 
     def busy(self, now: int, wait: int) -> None:
@@ -112,13 +112,13 @@
         else:
             self._next_source(now, pause)
 
-    def deadline_passed(self, now: int, held: Version, *, amid_parts: bool = False) -> bool:
+    def deadline_passed(self, now: int, current: Version, *, amid_parts: bool = False) -> bool:
         """The time `due` has come. Returns whether to ask the source now."""
         if not self.waiting:
             self.failed(now, 0, amid_parts=amid_parts)
             if self.source is None:
                 return False
-        self._open(now, by_exchange=self.failures > DATAGRAM_FAILURES or not self.is_near(held))
+        self._open(now, by_exchange=self.failures > DATAGRAM_FAILURES or not self.is_near(current))
         return True
 
     def _remember(self, peer: Peer) -> None:
--- a/gaproute/shared/dissemination/invariants.py
+++ b/gaproute/shared/dissemination/invariants.py
@@ -49,23 +49,23 @@
 
 
 def chained(disseminator: Disseminator) -> Iterator[str]:
-    """The log is one chain that ends at the version held."""
+    """The log is one chain that ends at the current version."""
     log = disseminator.replica.log
     changes = list(log.changes)
     for earlier, later in zip(changes, changes[1:], strict=False):
         if later.base != earlier.version:
             yield f"a change from {later.base} follows one to {earlier.version}"
     if changes and changes[-1].version != disseminator.document.version:
-        yield f"the log ends at {changes[-1].version}, held is {disseminator.document.version}"
+        yield f"the log ends at {changes[-1].version}, current is {disseminator.document.version}"
     if changes_size(changes) != log.bytes:
         yield f"the log counts {log.bytes} bytes of {changes_size(changes)}"
 
 
 def settled(disseminator: Disseminator) -> Iterator[str]:
-    """A fetch is open only towards a version above that held."""
-    fetch, held = disseminator.fetch, disseminator.document.version
-    if fetch.source is not None and fetch.target <= held:
-        yield f"{fetch.target} is fetched, held is {held}"
+    """A fetch is open only towards a version above the current one."""
+    fetch, current = disseminator.fetch, disseminator.document.version
+    if fetch.source is not None and fetch.target <= current:
+        yield f"{fetch.target} is fetched, current is {current}"
 
 
 def check(disseminator: Disseminator) -> list[str]:
@@ -74,7 +74,7 @@
 
 
 class Watch:
-    """Calls `check` again and again, and sees that the version held never falls."""
+    """Calls `check` again and again, and sees that the current version never falls."""
 
     def __init__(self, disseminator: Disseminator) -> None:
         self._disseminator = disseminator
--- a/gaproute/shared/dissemination/message_sender.py
+++ b/gaproute/shared/dissemination/message_sender.py
@@ -27,7 +27,7 @@
         self.dropped = 0  # messages that found no room
 
     def announce(self, now: int, peer: Peer) -> list[Send]:
-        """The version held."""
+        """The current version."""
         document = self.document
         return self.send(now, peer, Announcement(document.fleet, document.version, document.digest))
 
--- a/gaproute/shared/dissemination/messages.py
+++ b/gaproute/shared/dissemination/messages.py
@@ -6,7 +6,7 @@
 
 from gaproute.decisions.cells.table import Version
 
-NOTHING = Version(-1, -1)  # the version of one that holds no document: below every other
+NOTHING = Version(-1, -1)  # the version of one that has no document: below every other
 
 DATAGRAM_HEADERS = 28  # IPv4 and UDP
 ENVELOPE_BYTES = 40  # beside a body: kind, lengths, sender's name and address where they are as long as usual
@@ -50,21 +50,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """By an exchange: the changes that follow version `held`, or the `whole` document.
+    """By an exchange: the changes that follow version `current`, or the `whole` document.
 
-    `offset`: where to go on in the whole document of version `wanted`.
+    `offset`: where to go on in the whole document of version `target`.
     """
 
     fleet: str
-    held: Version
+    current: Version
     whole: bool = False
-    wanted: Version = NOTHING
+    target: Version = NOTHING
     offset: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Answer to a pull: changes that follow what is held, none where the log does not lead on from it."""
+    """Answer to a pull: changes that follow the asker's version, none where the log has none."""
 
     fleet: str
     changes: tuple[Change, ...]
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -45,15 +45,15 @@
 
     def answer(self, now: int, pull: Pull) -> Changes | Part | Busy:
         """The answer to a pull."""
-        fleet, held = self._document.fleet, self._document.version
-        if held == NOTHING or pull.held >= held:
+        fleet, current = self._document.fleet, self._document.version
+        if current == NOTHING or pull.current >= current:
             return Changes(fleet, ())
         answer: Changes | Part
         if pull.whole:
             answer = self._part(now, pull)
             wait = self._pay_part(now, answer)
         else:
-            answer = Changes(fleet, self._log.since(pull.held, ANSWER_BYTES))
+            answer = Changes(fleet, self._log.since(pull.current, ANSWER_BYTES))
             wait = self._pay(now, wire_size(answer))
         if wait:
             self.busy += 1
@@ -81,7 +81,7 @@
 
     def _part(self, now: int, pull: Pull) -> Part:
         snapshot = self._snapshot(now, pull)
-        offset = pull.offset if pull.wanted == snapshot.version else 0
+        offset = pull.offset if pull.target == snapshot.version else 0
         if not 0 <= offset < len(snapshot.data):
             offset = 0
         data = snapshot.data[offset : offset + PART_BYTES]
@@ -91,7 +91,7 @@
     def _snapshot(self, now: int, pull: Pull) -> Snapshot:
         """One that the asker has begun with, else one from which the log leads on."""
         for snapshot in self.snapshots:
-            if pull.offset > 0 and snapshot.version == pull.wanted:
+            if pull.offset > 0 and snapshot.version == pull.target:
                 return snapshot
         if self.snapshots and self._serves(now, pull, self.snapshots[-1]):
             return self.snapshots[-1]
@@ -101,8 +101,8 @@
         return self.snapshots[-1]
 
     def _serves(self, now: int, pull: Pull, latest: Snapshot) -> bool:
-        """Whether the latest snapshot brings the asker to the version held."""
+        """Whether the latest snapshot leads the asker to the current version."""
         if latest.version == self._document.version:
             return True
         fresh = now - latest.made_at <= SNAPSHOT_TIME
-        return fresh and self._log.reaches(latest.version) and latest.version > pull.held
+        return fresh and self._log.reaches(latest.version) and latest.version > pull.current
--- a/gaproute/shared/dissemination/recent_changes.py
+++ b/gaproute/shared/dissemination/recent_changes.py
@@ -1,6 +1,6 @@
 """The last changes of the document, for those who are a little behind.
 
-Invariants: each change begins where the one before ended; the last one leads to the version held.
+Invariants: each change begins where the one before ended; the last one leads to the current version.
 """
 
 from collections import deque
@@ -46,7 +46,7 @@
         return tuple(found)
 
     def reaches(self, version: Version) -> bool:
-        """Whether the changes lead from that version to the one held."""
+        """Whether the changes lead from that version to the current one."""
         if not self.changes:
             return False
         return self.changes[-1].version == version or any(change.base == version for change in self.changes)
--- a/gaproute/shared/dissemination/replica.py
+++ b/gaproute/shared/dissemination/replica.py
@@ -1,4 +1,4 @@
-"""The replica of the document that a gateway holds, and the changes that were applied to it last.
+"""The replica of the document that a gateway has, and the changes that were applied to it last.
 
 Invariants: the version only grows; what is rejected leaves the replica as it was and is counted by its
 reason.
@@ -42,7 +42,7 @@
         self.log.append(change)
 
     def apply_following(self, changes: tuple[Change, ...]) -> tuple[Change, ...]:
-        """Applies the changes that follow what is held; returns those."""
+        """Applies the changes that follow the current version; returns those."""
         applied = []
         for change in changes:
             if change.version <= self.document.version:
--- a/gaproute/shared/dissemination/version_reports.py
+++ b/gaproute/shared/dissemination/version_reports.py
@@ -1,7 +1,7 @@
-"""Which versions other gateways announced to hold, and for how long.
+"""Which versions other gateways announced to have, and for how long.
 
 This is a sample: the gateways that happened to announce to this one within the last seconds, at most
-`MAX_REPORTERS`. That all of them hold a version makes it likely, and does not prove, that all of the fleet
+`MAX_REPORTERS`. That all of them have a version makes it likely, and does not prove, that all of the fleet
 do; of a gateway that is cut off or that speaks with others only, it says nothing. Each is taken at its word.
 Times are in ns.
 """
@@ -17,12 +17,12 @@
 class Propagation:
     """How far one version has come.
 
-    `heard` gateways announced within the last seconds, versions from `oldest` to `newest`; `behind` of them
-    hold less than the version asked about. `agreed_for`: the time in which each announcement was of that
+    `reporters` gateways announced within the last seconds, versions from `oldest` to `newest`; `behind` of
+    them have less than the version asked about. `agreed_for`: the time in which each announcement was of that
     version or above; None where there was none, or while one who is behind still counts.
     """
 
-    heard: int
+    reporters: int
     behind: int
     oldest: Version | None
     newest: Version | None
@@ -65,7 +65,7 @@
         """How far that version has come, as far as is known here."""
         reports = self.by_name.values()
         current = [report.version for report in reports if now - report.received_at <= REPORT_TIME]
-        behind = sum(held < version for held in current)
+        behind = sum(each < version for each in current)
         agreed_since = None if behind else self._agreed_since(version)
         agreed_for = None if agreed_since is None else now - agreed_since
         oldest, newest = min(current, default=None), max(current, default=None)
--- a/gaproute/shared/gossip/__init__.py
+++ b/gaproute/shared/gossip/__init__.py
@@ -1,7 +1,7 @@
 """Gossip: what each gateway observes of demand and hosts, sent to all others. Face: `GossipNode`.
 
-Demand, requests in flight, available capacity and warm instances are seen by one gateway and told to all;
-what is told expires and only advises.
+Demand, requests in flight, available capacity and warm instances are observed by one gateway and sent to all;
+what is received expires and only advises.
 """
 
 from gaproute.shared.gossip.estimates import FleetEstimate
--- a/gaproute/shared/gossip/estimates.py
+++ b/gaproute/shared/gossip/estimates.py
@@ -1,4 +1,4 @@
-"""Figures of the whole fleet from what origins sent: sums scaled by how many were heard.
+"""Figures of the whole fleet from what origins sent: sums scaled by how many origins are known.
 
 No origin is believed without bound. Its set may sum up to `MEDIAN_MULTIPLE` times the lower median of all
 sets, this gateway's own among them, and one subject of it to a part of that; what is above is scaled down. It
@@ -25,8 +25,8 @@
     """A figure of the whole fleet. With no origin `total` is what is seen here alone."""
 
     local: float  # seen here
-    received: float  # sum of what others told
-    origins: int  # how many others told
+    received: float  # sum of what others sent
+    origins: int  # how many others sent something
     peers: int  # others that are up
     age: int  # mean age of what was received, ns
     deviation: float = 0.0  # standard deviation of the total, the local part included
@@ -42,7 +42,7 @@
 
     def __init__(self, now: int, received: Sequence[ReceivedSet]) -> None:
         self.origins = len(received)
-        self.age = sum(now - held.observed_at for held in received) // max(1, self.origins)
+        self.age = sum(now - each.observed_at for each in received) // max(1, self.origins)
         self.remainder = 0.0
         self.clipped = 0  # sets that were scaled down
         self._sums: dict[Subject, float] = {}
@@ -79,16 +79,16 @@
 ) -> FleetSums[int]:
     """Sums requests in flight by host. `is_current(host, observed_at)`: whether an entry counts."""
     sums: FleetSums[int] = FleetSums(now, received)
-    sets = [cast(tuple[HostEntry, ...], held.entries) for held in received]
+    sets = [cast(tuple[HostEntry, ...], each.entries) for each in received]
     totals = [
-        held.remainder + sum([entry.amount for entry in entries])
-        for held, entries in zip(received, sets, strict=True)
+        each.remainder + sum([entry.amount for entry in entries])
+        for each, entries in zip(received, sets, strict=True)
     ]
     bound = _bound(totals, local_total, MIN_IN_FLIGHT_BOUND)
-    for held, entries, total in zip(received, sets, totals, strict=True):
-        scale = sums.add_remainder(held.remainder, total, bound)
+    for each, entries, total in zip(received, sets, totals, strict=True):
+        scale = sums.add_remainder(each.remainder, total, bound)
         for host, amount in entries:
-            if is_current(host, held.observed_at):
+            if is_current(host, each.observed_at):
                 sums.add(host, min(amount * scale, bound / SUBJECT_DIVISOR))
     return sums
 
@@ -96,14 +96,14 @@
 def sum_demand(now: int, received: Sequence[ReceivedSet], local_total: float) -> FleetSums[FunctionClass]:
     """Sums arrivals a second by function and request class."""
     sums: FleetSums[FunctionClass] = FleetSums(now, received)
-    sets = [cast(tuple[DemandEntry, ...], held.entries) for held in received]
+    sets = [cast(tuple[DemandEntry, ...], each.entries) for each in received]
     totals = [
-        held.remainder + sum([entry.rate for entry in entries])
-        for held, entries in zip(received, sets, strict=True)
+        each.remainder + sum([entry.rate for entry in entries])
+        for each, entries in zip(received, sets, strict=True)
     ]
     bound = _bound(totals, local_total, MIN_DEMAND_BOUND)
-    for held, entries, total in zip(received, sets, totals, strict=True):
-        scale = sums.add_remainder(held.remainder, total, bound)
+    for each, entries, total in zip(received, sets, totals, strict=True):
+        scale = sums.add_remainder(each.remainder, total, bound)
         for function, request_class, rate, deviation in entries:
             # A deviation is believed up to what arrivals in a few great bursts would have.
             sums.add(
--- a/gaproute/shared/gossip/fleet_view.py
+++ b/gaproute/shared/gossip/fleet_view.py
@@ -91,10 +91,10 @@
         """What is believed available at the host; None where nobody tells."""
         key = self._keys.key(host)
         beliefs: list[tuple[float, int]] = []  # capacity and age
-        for _, held in self._table.current(now, EntryKind.AVAILABLE_CAPACITY):
-            if self._hosts.is_current(key, held.observed_at):
-                entries = cast(tuple[HostEntry, ...], held.entries)
-                age = now - held.observed_at
+        for _, received in self._table.current(now, EntryKind.AVAILABLE_CAPACITY):
+            if self._hosts.is_current(key, received.observed_at):
+                entries = cast(tuple[HostEntry, ...], received.entries)
+                age = now - received.observed_at
                 beliefs += [(entry.amount, age) for entry in entries if entry.host == key]
         if key in self._local.available_capacity:
             beliefs.append((self._local.available_capacity[key], 0))
@@ -108,10 +108,10 @@
         key = self._keys.key(function)
         sightings: dict[str, list[tuple[int, str]]] = {}  # by host: age and origin
         partition = key % WARM_PARTITIONS
-        for origin, held in self._table.current(now, EntryKind.WARM_INSTANCES, partition):
-            for entry in cast(tuple[WarmInstanceEntry, ...], held.entries):
+        for origin, received in self._table.current(now, EntryKind.WARM_INSTANCES, partition):
+            for entry in cast(tuple[WarmInstanceEntry, ...], received.entries):
                 if entry.function == key:
-                    self._add_sighting(sightings, now, entry.host, held.observed_at - entry.age, origin)
+                    self._add_sighting(sightings, now, entry.host, received.observed_at - entry.age, origin)
         for (host, other), seen in self._local.warm_instances[partition].items():
             if other == key:
                 self._add_sighting(sightings, now, host, seen, self._name)
@@ -127,7 +127,7 @@
     def _in_flight(self, now: int) -> FleetSums[int]:
         cached = self._in_flight_sums
         if cached is None or now - cached[0] >= REUSE_TIME:
-            received = [held for _, held in self._table.current(now, EntryKind.IN_FLIGHT)]
+            received = [each for _, each in self._table.current(now, EntryKind.IN_FLIGHT)]
             local_total = sum(self._local.in_flight.values())
             sums = sum_in_flight(now, received, local_total, self._hosts.is_current)
             cached = self._in_flight_sums = now, sums
@@ -136,7 +136,7 @@
     def _demand(self, now: int) -> FleetSums[FunctionClass]:
         cached = self._demand_sums
         if cached is None or now - cached[0] >= REUSE_TIME:
-            received = [held for _, held in self._table.current(now, EntryKind.DEMAND)]
+            received = [each for _, each in self._table.current(now, EntryKind.DEMAND)]
             sums = sum_demand(now, received, self._local.arrivals.total())
             cached = self._demand_sums = now, sums
         return cached[1]
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -60,36 +60,37 @@
 
 
 def no_set_after_its_tombstone(node: GossipNode) -> Iterator[str]:
-    """What a tombstone bars is not held."""
+    """What a tombstone bars is not stored."""
     for origin, sets in node.table.received.items():
         tombstone = node.table.tombstones.get(origin)
         ended = 0 if tombstone is None else tombstone.incarnation
-        for name, held in sets.items():
-            if held.version.incarnation <= ended:
-                yield f"{origin} ended with incarnation {ended}, and {name} of {held.version} is held"
+        for name, received in sets.items():
+            if received.version.incarnation <= ended:
+                yield f"{origin} ended with incarnation {ended}, and {name} of {received.version} is stored"
 
 
 def origins_are_peers(node: GossipNode) -> Iterator[str]:
-    """Nothing received stands under this gateway's name, and nothing is held of one that is no peer."""
+    """Nothing received stands under this gateway's name, and nothing is stored of one that is no peer."""
     if node.name in node.table.received:
         yield "a set of this gateway's own was taken from another"
     for origin in node.table.received:
         if origin not in node.peers:
-            yield f"sets of {origin} are held, which is no peer"
+            yield f"sets of {origin} are stored, which is no peer"
 
 
 def sets_are_plausible(node: GossipNode) -> Iterator[str]:
-    """Only sets that an origin can have are held."""
+    """Only sets that an origin can have are stored."""
     for origin, sets in node.table.received.items():
         if len(sets) > MAX_SETS:
             yield f"{len(sets)} sets of {origin}"
-        for (kind, partition), held in sets.items():
-            if not 0 < held.version.incarnation <= MAX_INCARNATION or partition >= LIMITS[kind].partitions:
-                yield f"set {kind}/{partition} of {origin} has version {held.version}"
+        for (kind, partition), received in sets.items():
+            incarnation = received.version.incarnation
+            if not 0 < incarnation <= MAX_INCARNATION or partition >= LIMITS[kind].partitions:
+                yield f"set {kind}/{partition} of {origin} has version {received.version}"
 
 
 class AgesOnlyGrow:
-    """Of one version nothing is ever held as observed later than before. Keeps what it saw."""
+    """Of one version nothing is ever stored as observed later than before. Remembers the last call."""
 
     def __init__(self) -> None:
         self.observed: dict[tuple[str, SetName, Version], int] = {}
@@ -97,9 +98,9 @@
     def __call__(self, node: GossipNode) -> Iterator[str]:
         """Violations since the last call."""
         observed = {
-            (origin, name, held.version): held.observed_at
+            (origin, name, received.version): received.observed_at
             for origin, sets in node.table.received.items()
-            for name, held in sets.items()
+            for name, received in sets.items()
         }
         for held_set, at in observed.items():
             if at > self.observed.get(held_set, at):
@@ -132,7 +133,7 @@
 
 
 def check(node: GossipNode, *, thorough: bool = False) -> list[str]:
-    """Violations as text, none where all is well. The thorough ones walk all that is held."""
+    """Violations as text, none where all is well. The thorough ones walk all that is stored."""
     found = [*bounded(node)]
     if thorough:
         for each in (no_set_after_its_tombstone, origins_are_peers, sets_are_plausible):
--- a/gaproute/shared/gossip/local_observations.py
+++ b/gaproute/shared/gossip/local_observations.py
@@ -5,8 +5,8 @@
 from gaproute.shared.gossip.arrivals import ArrivalRates
 from gaproute.shared.gossip.messages import MAX_AMOUNT, WARM_PARTITIONS
 
-MAX_HOSTS = 8192  # hosts of which requests in flight or available capacity are held
-MAX_INSTANCES = 512  # warm instances held of each partition, those seen last
+MAX_HOSTS = 8192  # hosts of which requests in flight or available capacity are stored
+MAX_INSTANCES = 512  # warm instances stored of each partition, those seen last
 
 Instance = tuple[int, int]  # keys of host and function
 
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -23,7 +23,7 @@
 MAX_SEQUENCE = (1 << 32) - 1
 REQUEST_CLASSES = 256  # that an entry can tell apart
 
-SCALE_STEPS = 12  # in an octave: an amount is told within 3%
+SCALE_STEPS = 12  # in an octave: an amount is exact within 3%
 AMOUNT_SCALE = tuple(2 ** (code / SCALE_STEPS) - 1 for code in range(256))  # the amount of each byte
 MAX_AMOUNT = AMOUNT_SCALE[-1]  # 2.4 million
 
@@ -92,7 +92,7 @@
     partition: int
     sequence: int  # grows with each set of the kind and partition that its sender makes
     age: int
-    remainder: float  # sum of the amounts that found no place among the entries
+    remainder: float  # sum of the amounts of subjects beyond the bound of entries
     entries: Entries
 
 
--- a/gaproute/shared/gossip/node.py
+++ b/gaproute/shared/gossip/node.py
@@ -97,7 +97,7 @@
             self.view.clear()
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """This gateway goes on under another incarnation: others held it dead."""
+        """This gateway goes on under another incarnation: others took it for dead."""
         self.incarnation = max(self.incarnation, incarnation)
 
     # Sending and receiving
--- a/gaproute/shared/gossip/table.py
+++ b/gaproute/shared/gossip/table.py
@@ -41,7 +41,7 @@
 
 
 class ReceivedSet:
-    """One set as it is held; `observed_at`: when what it tells was so."""
+    """One set as it is stored; `observed_at`: when what it tells was so."""
 
     __slots__ = ("version", "observed_at", "remainder", "entries")
 
@@ -61,7 +61,7 @@
         self.rejections: Counter[RejectionReason] = Counter()
 
     def merge(self, now: int, origin: str, incarnation: int, entries: EntrySet) -> bool:
-        """Merges one set; whether it was newer than what is held. What cannot be used is counted."""
+        """Merges one set; whether it was newer than what is stored. What cannot be used is counted."""
         reason = self._rejection_reason(origin, incarnation, entries)
         if reason is not None:
             self.rejections[reason] += 1
@@ -69,14 +69,14 @@
         version = Version(incarnation, entries.sequence)
         observed_at = now - entries.age - TRAVEL_TIME
         sets = self.received.setdefault(origin, {})
-        held = sets.get((entries.kind, entries.partition))
-        if held is None or version > held.version:
+        stored = sets.get((entries.kind, entries.partition))
+        if stored is None or version > stored.version:
             sets[entries.kind, entries.partition] = ReceivedSet(
                 version, observed_at, entries.remainder, entries.entries
             )
             return True
-        if version == held.version:
-            held.observed_at = min(held.observed_at, observed_at)
+        if version == stored.version:
+            stored.observed_at = min(stored.observed_at, observed_at)
         return False
 
     def add_tombstone(self, now: int, origin: str, incarnation: int) -> None:
@@ -86,7 +86,7 @@
             incarnation = max(incarnation, earlier.incarnation)
         self.tombstones[origin] = Tombstone(incarnation, now)
         sets = self.received.get(origin, {})
-        for name in [name for name, held in sets.items() if held.version.incarnation <= incarnation]:
+        for name in [name for name, stored in sets.items() if stored.version.incarnation <= incarnation]:
             del sets[name]
         if not sets:
             self.received.pop(origin, None)
@@ -94,8 +94,9 @@
             del self.tombstones[next(iter(self.tombstones))]
 
     def latest_incarnation(self, origin: str) -> int:
-        """The latest incarnation of which a set is held; 0 where none is."""
-        return max([held.version.incarnation for held in self.received.get(origin, {}).values()], default=0)
+        """The latest incarnation of which a set is stored; 0 where none is."""
+        sets = self.received.get(origin, {})
+        return max([stored.version.incarnation for stored in sets.values()], default=0)
 
     def expire(self, now: int) -> None:
         """Drops sets that count no more, and for each origin at most one tombstone that outlived all sets."""
@@ -107,9 +108,9 @@
         """(origin, set) of a kind where it still counts, in the order in which origins became known."""
         name, max_age = (kind, partition), LIMITS[kind].max_age
         return [
-            (origin, held)
+            (origin, stored)
             for origin, sets in self.received.items()
-            if (held := sets.get(name)) is not None and now - held.observed_at <= max_age
+            if (stored := sets.get(name)) is not None and now - stored.observed_at <= max_age
         ]
 
     def _rejection_reason(self, origin: str, incarnation: int, entries: EntrySet) -> RejectionReason | None:
@@ -125,8 +126,10 @@
 
     def _expire_sets(self, now: int, origin: str) -> None:
         sets = self.received[origin]
-        for name in [name for name, held in sets.items() if now - held.observed_at > LIMITS[name[0]].max_age]:
-            del sets[name]
+        for name, stored in list(sets.items()):
+            kind, _ = name
+            if now - stored.observed_at > LIMITS[kind].max_age:
+                del sets[name]
         if not sets:
             del self.received[origin]
 
--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -470,7 +470,7 @@
     answer = made.wait(made.ask("lamp", "first"))
     assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at
     assert len(made.seen("loaded")) == loads
-    assert made.gate.others.peer_server.transfers.told >= 1
+    assert made.gate.others.peer_server.transfers.encoded >= 1
     assert second.others.observation_client.state["g"].startswith("told ")
     assert not second.core.gateway.ration.out
     assert not second.core.gateway.ration.ends
--- a/tests/dissemination/test_dissemination.py
+++ b/tests/dissemination/test_dissemination.py
@@ -123,12 +123,11 @@
     net.run(net.now + 12 * SECOND)
     for node in net.nodes:
         propagation = node.disseminator.version_reports.propagation(net.now, version)
-        assert propagation.heard > 0
+        assert propagation.reporters > 0
         assert propagation.behind == 0
         assert propagation.agreed_for > 8 * SECOND
-        assert (
-            node.disseminator.version_reports.propagation(net.now, Version(2, 0)).behind == propagation.heard
-        )
+        later = node.disseminator.version_reports.propagation(net.now, Version(2, 0))
+        assert later.behind == propagation.reporters
     assert net.nodes[0].disseminator.document.fleet == FLEET
 
 
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -218,12 +218,12 @@
         seen.record(second * SECOND, "a", Version(1, 1 + (second > 1)))
         seen.record(second * SECOND, "b", Version(1, 2))
     propagation = seen.propagation(6 * SECOND, Version(1, 2))
-    assert (propagation.heard, propagation.behind, propagation.oldest) == (2, 0, Version(1, 2))
+    assert (propagation.reporters, propagation.behind, propagation.oldest) == (2, 0, Version(1, 2))
     assert propagation.agreed_for == 5 * SECOND  # a was behind in second 1 for the last time
     seen.record(7 * SECOND, "c", Version(1, 1))
     propagation = seen.propagation(7 * SECOND, Version(1, 2))
     assert (propagation.behind, propagation.agreed_for, propagation.oldest) == (1, None, Version(1, 1))
-    assert seen.propagation(60 * SECOND, Version(1, 2)).heard == 0
+    assert seen.propagation(60 * SECOND, Version(1, 2)).reporters == 0
 
 
 def test_sightings_are_bounded():
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -283,12 +283,12 @@
 
 def test_clients_that_begin_at_one_moment_share_a_transfer_and_its_ages_grow(server):
     first, second = asked(server), None
-    told = server.transfers.told
+    told = server.transfers.encoded
     refill(server)
     chunks = server.transfers.transfers[1].chunks
     chunks[0] = chunks[0]._replace(built_at=server.loop.now() - 100 * MILLI)
     second = asked(server)
-    assert server.transfers.told == told
+    assert server.transfers.encoded == told
     assert second.next == first.next
     assert len(server.transfers.transfers) == 1
     assert [each.worker for each in second.warm] == [each.worker for each in first.warm]
