--- a/benchmarks/weak.py
+++ b/benchmarks/gossip.py
@@ -1,6 +1,6 @@
-"""The weak word at scale, simulated: bytes and CPU a gateway, and how far figures of the fleet are from true.
+"""Gossip at scale, simulated: bytes and CPU a gateway, and how far figures of the fleet are from true.
 
-    python benchmarks/weak.py [--sizes 3,20,60,230,1000] [--seeds 1,2,3] [--jobs 4] [--out docs/measured]
+    python benchmarks/gossip.py [--sizes 3,20,60,230,1000] [--seeds 1,2,3] [--jobs 4] [--out docs/measured]
 
 Gateways on a simulated clock and network; decisions and bytes are the product's own. Each gateway takes 15
 tasks a second on the average (some a thirtieth, some ten times as many) of 100 functions, the most wanted
@@ -253,7 +253,7 @@
             runs = [plays[size, case, seed].result() for seed in seeds]
             rows.append({"gateways": size, "faults": case} | {name: told_of(runs, name) for name in runs[0]})
             print(rows[-1], flush=True)
-            write(told.out, "weak", rows, plays=len(seeds))
+            write(told.out, "gossip", rows, plays=len(seeds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/weak_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -1,6 +1,6 @@
-"""What one weak word costs: bytes, and microseconds to make, read, merge or refuse it.
+"""What one gossip message costs: bytes, and microseconds to make, read, merge or refuse it.
 
-    python benchmarks/weak_bytes.py [--out docs/measured]
+    python benchmarks/gossip_bytes.py [--out docs/measured]
 
 Each row is the median of 21 rounds of 200, on the product's own code; on a machine shared with other work the
 figures are too high rather than too low. `refused`: a word of a sender whose budget is spent, a stranger's, a
@@ -167,7 +167,7 @@
     for row in refusals():
         rows.append({name: row.get(name, "-") for name in rows[0]})
         print(rows[-1])
-    write(arguments.parse_args().out, "weak-bytes", rows, rounds=ROUNDS)
+    write(arguments.parse_args().out, "gossip-bytes", rows, rounds=ROUNDS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -3,10 +3,10 @@
 import time
 from dataclasses import dataclass
 
+from benchmarks.gossip import FUNCTIONS, HOSTS
+from benchmarks.gossip_bytes import wrapped
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, UDP_HEADERS, held_bytes
-from benchmarks.weak import FUNCTIONS, HOSTS
-from benchmarks.weak_bytes import wrapped
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
--- a/benchmarks/scale/costs/gossip_content.py
+++ b/benchmarks/scale/costs/gossip_content.py
@@ -1,9 +1,9 @@
 """Gossip of demand: what one gateway tells and hears, by the hosts and the functions that it tells of."""
 
+from benchmarks.gossip import FUNCTIONS, HOSTS
 from benchmarks.scale.costs.gossip import PLAYED, SOME, SPENT, Fleet, played
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import MILLISECONDS, TRACED, held_bytes
-from benchmarks.weak import FUNCTIONS, HOSTS
 
 WORD_HOSTS = (4, 16, 32, 64)  # a page holds 64; more does not make it longer
 WORD_FUNCTIONS = (4, 16, 64, 256)  # 24 of demand and 256 copies; more does not make it longer
