--- a/benchmarks/fleet/faults.py
+++ b/benchmarks/fleet/faults.py
@@ -58,7 +58,7 @@
     def tell():
         teller = world.gateways[0]
         name = f"h{chance.below(len(world.hosts))}"
-        words = teller.gateway.sharing.words.say(
+        words = teller.gateway.sharing.words.encode(
             name, face.Report(cpu_busy=float(chance.below(2)), memory_busy=0.2)
         )
         if words is not None:
