--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -94,7 +94,7 @@
     followed = FollowedList(hosts, seed)
     followed.read_first()
     followed.change_one()
-    spent = once(followed.watch.look)
+    spent = once(followed.watch.check)
     assert followed.lists == 2
     followed.close()
     return spent * MILLISECONDS
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -1,4 +1,4 @@
-"""The hosts of a cell as a change log reports them: each member is judged by itself.
+"""The hosts of a cell as a change log reports them: each member is checked by itself.
 
 A member that is rejected leaves its host as it was; but a host that is reported draining is draining,
 whatever else is wrong with its member.
--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -1,10 +1,9 @@
-"""Follows the log of one cell's hosts, which several sources tell, each in its own numbers.
+"""Follows the log of one cell's hosts, which several sources publish, each in its own numbers.
 
-The log is that of a whole fleet (`watcher`), at a path of its own: `/changes/FLEET/CELL`. Sources are asked
-in turn, in an order drawn by chance, so that gateways spread over them. The first whole list of a connection
-is the list as it stands; what is missing or cannot be read is mended by asking for a whole list. A source
-whose connection broke is asked for what follows, but for a whole list where it was not there at all
-meanwhile.
+The log is that of a whole fleet (`watcher`), at a path of its own: `/changes/FLEET/CELL`. Sources are tried
+in turn, in random order, so that gateways spread over them. The first whole list of a connection is the
+current one; where something is missing or cannot be read, a whole list is requested. From a source whose
+connection broke the events that follow are requested, but a whole list where it had ended meanwhile.
 """
 
 import socket
@@ -30,7 +29,7 @@
 
 
 def shuffled(sources: Iterable[str], chance: RandomSource) -> list[str]:
-    """The sources in an order drawn by chance."""
+    """The sources in random order."""
     left, order = list(sources), []
     while left:
         order.append(left.pop(chance.below(len(left))))
@@ -39,7 +38,7 @@
 
 class CellWatcher(ChangeLogWatcher):
     """Calls `on_event(event)` for each event in order; `on_lost(reason)` once the sources fail, however often
-    they are asked, and `on_found()` once one has been alive for longer than the bound on silence."""
+    they are tried, and `on_found()` once one has been alive for longer than `SILENCE_TIMEOUT`."""
 
     first_backoff, max_backoff = FIRST_BACKOFF, MAX_BACKOFF
     max_event_bytes = MAX_CELL_EVENT_BYTES
@@ -57,13 +56,13 @@
         """`sources`: their addresses; `path`: as `cell_path` gives it."""
         self.sources, self.path = shuffled(sources, chance), path
         self.on_lost, self.on_found = on_lost, on_found
-        self.source_index = 0  # of the source that is asked
+        self.source_index = 0  # of the source in use
         self.has_base = False  # a whole list of this source has come
         self.failing = False
         super().__init__(loop, self.sources[0], 0, on_event, chance)
 
     def on_connected(self, number: int, sock: socket.socket | None, error: OSError | None) -> None:
-        """As `ChangeLogWatcher.on_connected`; a source that has ended is asked for a whole list."""
+        """As `ChangeLogWatcher.on_connected`; from a source that has ended a whole list is requested."""
         if isinstance(error, SOURCE_ENDED):
             self._forget()
         super().on_connected(number, sock, error)
@@ -101,18 +100,18 @@
         return self.has_base
 
     def request_missing(self) -> bool:
-        """Something is missing: a whole list is asked for."""
+        """Something is missing: request a whole list."""
         reason = f"something is missing after {self.last_seq}"
         self._forget()
         self.reconnect_later(reason)
         return True
 
     def is_restart(self, event: Event) -> bool:
-        """A whole list that comes first on a connection is the list as it stands, whatever its number."""
+        """A whole list that comes first on a connection is the current one, whatever its number."""
         return event.fleet.complete
 
     def remember(self, event: Event) -> None:
-        """Whole lists need not be known again: `is_restart` takes each."""
+        """Whole lists need not be recognized: `is_restart` accepts each."""
         self.has_base = True
 
     def _forget(self) -> None:
--- a/gaproute/discovery/changelog/sse.py
+++ b/gaproute/discovery/changelog/sse.py
@@ -11,16 +11,16 @@
 
 
 class ChangeLogError(GaprouteError):
-    """What came is no change log, or its end: the log is to be asked again."""
+    """What came is no change log, or its end: the log is to be requested again."""
 
 
 class EventReader:
     """Takes bytes of the answer and gives the events that became whole, None for one that cannot be read. A
-    comment is a sign of life alone.
+    comment only shows that the log is alive.
 
     `completed` counts what came to its end: the head, a comment, an event. `unfinished_bytes` is the bytes
-    since then, of what has not: an answer without an end must neither fill the memory nor pass for a sign of
-    life.
+    since then, of what has not: an answer without an end must neither fill the memory nor make the log seem
+    alive.
     """
 
     def __init__(self, max_event_bytes: int = MAX_EVENT_BYTES) -> None:
--- a/gaproute/discovery/changelog/watcher.py
+++ b/gaproute/discovery/changelog/watcher.py
@@ -13,25 +13,26 @@
 from gaproute.shared.randomness import RandomSource
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-SILENCE_TIMEOUT = 2 * SECOND  # two of its comments missing: what it has counts as told after 4 s
+SILENCE_TIMEOUT = 2 * SECOND  # two of its comments missing; an event counts as delivered 4 s after it
 MIN_BYTES_PER_SECOND = 64 << 10  # of what has not ended: 1,024 hosts come over 50 kB/s
 CONNECT_TIMEOUT = 500 * MILLI  # many round trips, and several attempts within the time above
 FIRST_BACKOFF = 20 * MILLI  # doubled with each connection that brought nothing
-MAX_BACKOFF = 500 * MILLI  # whether it is told or not, its news counts as told soon after
+MAX_BACKOFF = 500 * MILLI  # short beside the 4 s after which an event counts as delivered
 JITTER_STEPS = 1024
-HEAD_ONLY = 1  # what is complete of an answer that has its head alone: no word of the list yet
+HEAD_ONLY = 1  # what is complete of an answer that has its head alone: nothing of the list
 MAX_DIGESTS = 1024  # whole lists that are known again, by some bytes each: usually there is one
 
 
 class ChangeLogWatcher:
     """Calls `on_event(event)` for each new event, in order; `known`: the events up to `last_seq`.
 
-    `restarts` counts how often the log began anew: what it told would be passed over for ever as had before.
-    An event written twice must not pass for that: only a whole list does, first on a connection, that is not
-    the one had under its number. A log that begins anew with less is not noticed.
+    `restarts` counts how often the log restarted with lower numbers: its events would be skipped for ever as
+    duplicates. An event written twice must not be taken for that: only a whole list is, first on a
+    connection, that differs from the one known under its number. A log that restarts with less goes
+    unnoticed.
 
-    `current_at`: when the list was last known to be as it was told, by an event or a comment; None before the
-    first whole list. While an event is told it is still the time before that.
+    `current_at`: when the list was last known to be up to date, by an event or a comment; None before the
+    first whole list. During `on_event` it is still the time before that event.
     """
 
     path = b"/changes"
@@ -55,7 +56,7 @@
         self.timer: Timer | None = None
         self.reader: EventReader | None = None
         self.backoff, self.connection_count = self.first_backoff, 0
-        self.gap_after: int | None = None  # number after which something missing was asked for
+        self.gap_after: int | None = None  # number after which missing events were requested
         self.digests: dict[int, int] = {}  # of whole lists, by number
         self.awaits_first_event, self.restarts = False, 0
         self.last_error = ""  # why the connection before this one ended
@@ -74,7 +75,7 @@
             self.connect()
 
     def connect(self) -> None:
-        """Open a connection, in place of the one there is, and ask for what follows the last number."""
+        """Open a connection, in place of the present one, and request what follows the last number."""
         self.disconnect()
         self.connection_count += 1
         self.connecting_since = self.last_progress_at = self.loop.now()
@@ -122,7 +123,7 @@
             self.current_at = self.loop.now()
 
     def _take(self, event: Event | None) -> bool:
-        """Tell the event where it is new; False where what is missing before it is asked for first."""
+        """Pass the event on if it is new; False where what is missing before it is requested first."""
         first, self.awaits_first_event = self.awaits_first_event, False
         if event is None or not self.follows_on(event):
             if self.request_missing():
@@ -131,7 +132,7 @@
                 return True
         elif event.seq <= self.last_seq:
             if not (first and self.is_restart(event)):
-                return True  # written twice
+                return True  # a duplicate
             self.restarts += 1
         self.last_seq, self.backoff = event.seq, self.first_backoff
         self.remember(event)
@@ -153,7 +154,7 @@
         return event.fleet.complete or event.seq <= self.last_seq + 1
 
     def request_missing(self) -> bool:
-        """An event is missing, or cannot be read: ask for it once, then do without. Whether it is asked."""
+        """Request a missing or unreadable event once, then do without. Whether it is requested."""
         if self.gap_after == self.last_seq:
             return False
         self.gap_after = self.last_seq
@@ -161,11 +162,11 @@
         return True
 
     def is_restart(self, event: Event) -> bool:
-        """Whether the log has begun anew with this event, the first on a connection and of a number had."""
+        """Whether the log has restarted with this event, the first on a connection and of a known number."""
         return event.fleet.complete and self.digests.get(event.seq) != event.fleet.digest()
 
     def remember(self, event: Event) -> None:
-        """Keep what tells a whole list from one written again."""
+        """Remember a whole list, to recognize it when it is written again."""
         if event.fleet.complete:
             self.digests[event.seq] = event.fleet.digest()
             if len(self.digests) > MAX_DIGESTS:
@@ -174,9 +175,9 @@
     # Ends of connections
 
     def check_silence(self) -> None:
-        """Connect anew where nothing became whole for too long.
+        """Reconnect where nothing was completed for too long.
 
-        Bytes alone are no sign of life: a trickle without an end would keep the connection for ever.
+        Bytes alone do not count: a trickle without an end would keep the connection for ever.
         """
         unfinished = (
             self.reader.unfinished_bytes if self.stream is not None and self.reader is not None else 0
@@ -189,7 +190,7 @@
             self.timer = self.loop.after(left, self.check_silence)
 
     def reconnect_later(self, reason: object) -> None:
-        """Connect once more after the backoff, with jitter so that gateways do not all ask at once."""
+        """Connect once more after the backoff, with jitter so that gateways do not all connect at once."""
         self.disconnect()
         self.last_error = str(reason)
         jitter = self.backoff * self.chance.below(JITTER_STEPS) // (2 * JITTER_STEPS)
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -23,15 +23,15 @@
 
 
 class FileWatch:
-    """Looks at a file at an interval, and reads it when it has changed.
+    """Checks a file at an interval, and reads it when it has changed.
 
     `on_change(content)` is called at once when it has. A wrong or missing file is rejected whole:
-    `on_rejected(mistakes)` is called once for it, and the content last told stays. A file that cannot be read
-    for a transient reason is read at the next look; that is reported once too, when it lasts.
+    `on_rejected(mistakes)` is called once for it, and the content accepted last stays in force. A file that
+    cannot be read for a transient reason is read at the next check; that is reported once too, when it lasts.
 
-    `current_at`: when the file was last seen to be as it was told; None before the first. While content is
-    told it is still the time before that. Changes are known by the file's time being another, not a later
-    one, so a wall clock that is set back hides none.
+    `current_at`: when the file was last seen to be as `on_change` got it; None before the first. During
+    `on_change` it is still the time before that. A change is recognized by the file's time being another, not
+    a later one, so a wall clock that is set back hides none.
     """
 
     def __init__(
@@ -46,22 +46,22 @@
         """`interval`: ns; `reader(path)` gives the file's content. Errors of it: ConfigurationError."""
         self.loop, self.path, self.interval = loop, path, interval
         self.on_change, self.on_rejected, self.reader = on_change, on_rejected, reader
-        self.stamp: FileStamp | int | None = None  # or the error number of the last look
+        self.stamp: FileStamp | int | None = None  # or the error number of the last check
         self.current_at: int | None = None
-        self.accepted = False  # whether the content as it was last read was told
+        self.accepted = False  # whether the content last read was accepted
         self.failed_reads = 0  # in a row, for a transient reason
         self.timer: Timer | None = None
         # After a stop the file is read before the requests that came meanwhile.
-        loop.on_late.append(self.look)
-        self._look_again()
+        loop.on_late.append(self.check)
+        self._check_again()
 
-    def _look_again(self) -> None:
-        self.timer = self.loop.after(self.interval, self._look_again)
-        self.look()
+    def _check_again(self) -> None:
+        self.timer = self.loop.after(self.interval, self._check_again)
+        self.check()
 
-    def look(self) -> None:
-        """Read the file if it has changed since the last look."""
-        looked_at = self.loop.now()
+    def check(self) -> None:
+        """Read the file if it has changed since the last check."""
+        checked_at = self.loop.now()
         stamp: FileStamp | int | None
         try:
             state = os.stat(self.path)
@@ -74,7 +74,7 @@
             self.stamp = stamp
             self.read()
         elif self.accepted:
-            self.current_at = looked_at
+            self.current_at = checked_at
 
     def read(self) -> None:
         """Read the file, whether or not it has changed."""
@@ -90,7 +90,7 @@
         self.accepted, self.current_at = True, read_at
 
     def _is_reported(self, error: ConfigurationError) -> bool:
-        """Whether the error is to be reported; what may pass by itself is looked at again first."""
+        """Whether the error is to be reported; what may pass by itself is checked again first."""
         cause = cause_of(error)
         if cause is None or not is_momentary_read(cause):
             self.failed_reads = 0
@@ -100,8 +100,8 @@
         return self.failed_reads == FAILURES_BEFORE_REPORT
 
     def close(self) -> None:
-        """Look no more."""
+        """Check no more."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.look in self.loop.on_late:
-            self.loop.on_late.remove(self.look)
+        if self.check in self.loop.on_late:
+            self.loop.on_late.remove(self.check)
--- a/gaproute/hosts/attempts.py
+++ b/gaproute/hosts/attempts.py
@@ -24,9 +24,9 @@
         self.on_ended: OnAttemptEnded | None = on_ended
         loop.soon(self._end, AttemptResult(result, None))
 
-    def _end(self, heard: AttemptResult) -> None:
+    def _end(self, result: AttemptResult) -> None:
         if self.on_ended is not None:
-            self.on_ended(heard)
+            self.on_ended(result)
 
     def cancel(self) -> None:
         """Call nothing any more."""
--- a/gaproute/hosts/endpoints.py
+++ b/gaproute/hosts/endpoints.py
@@ -6,7 +6,7 @@
 
 
 class Endpoint(NamedTuple):
-    """What the decisions are told of a host, and where it answers."""
+    """What the decisions get to know of a host, and its address."""
 
     listed: ListedHost
     address: str  # as `loop.streams.address` reads it
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -1,7 +1,7 @@
 """Calls forwarded to the entry gateways of other cells.
 
-An entry gateway is reached as a host is, by the KServe form. It is told the time left as a client tells it,
-counted when the request is handed over, so that it does not answer after that.
+An entry gateway is reached as a host is, by the KServe form. It gets the time left in the same field as from
+a client, counted when the request is sent, so that it does not answer after that.
 """
 
 from collections.abc import Callable
@@ -33,7 +33,7 @@
     def encode_attempt(
         self, call: Call, request: str, host: HostConnections, until: int
     ) -> Callable[[int], bytes]:
-        """What makes the bytes of an attempt as they are handed over; it must be answered by `until`."""
+        """What makes the bytes of an attempt when they are sent; it must be answered by `until`."""
 
         def encode(now: int) -> bytes:
             left = max(1, (until - now) // MILLI)
--- a/gaproute/hosts/forwarding.py
+++ b/gaproute/hosts/forwarding.py
@@ -1,11 +1,11 @@
-"""The header fields by which one gateway tells another that it forwards a client's call.
+"""The header fields by which one gateway marks a call that it forwards to another.
 
 `Gaproute-Forwarded: HOPS CELL` says how often the call has been forwarded, this time included, and the cell
 that its first gateway chose, percent-encoded. What is malformed is ignored: the call is then a client's own.
 More hops than a gateway may make count as the most, so that such a call is not forwarded again.
 
-`Gaproute-Task` is the first gateway's id of the call, as hosts are told it: an entry gateway passes it on to
-them, so that they know a repeat that comes by another entry.
+`Gaproute-Task` is the first gateway's id of the call, as hosts get it: an entry gateway passes it on to them,
+so that they recognize a repeat that comes by another entry.
 """
 
 import re
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -1,8 +1,8 @@
 """One connection to a host that carries lines, and the requests on it. It reports what it sees.
 
-`decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` tells what an
-end proves. A request begins with its first byte in the kernel: until then it waits here, never in a buffer,
-and is judged when it is written, not when it was submitted.
+`decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` says what an
+end proves. A request begins with its first byte in the kernel: until then it waits here, never in a buffer.
+Whether it may still begin is checked when it is written, not when it was submitted.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from gaproute.interface import Idempotency, Result
 from gaproute.loop import Stream, connect
 
-# Within which the kernel must have taken a whole request that has begun, ns: by no more is the limit told in
-# the request wrong when its host can read it.
+# Within which the kernel must have taken a whole request that has begun, ns: by no more is the limit in the
+# request wrong when its host can read it.
 WRITE_TIMEOUT = 100_000_000
 
 
@@ -95,7 +95,7 @@
                 loop.after(WRITE_TIMEOUT, self._check_written, request)
 
     def _check_written(self, request: PendingRequest) -> None:
-        """A host that has had a part for so long gets no more of it: the limit in it is no longer true."""
+        """End a request that is written only in part after so long: the limit in it is no longer true."""
         if self.pending.get(request.id) is request and not self.is_written(request):
             self.fail(WriteAbandonedError("a request could not be written whole in time"))
 
@@ -114,7 +114,7 @@
         return not self.answered or self.last_read < time
 
     def is_quiet(self) -> bool:
-        """Whether it shows neither its end nor bytes that nobody asked for: one system call."""
+        """Whether neither its end nor unrequested bytes have come: one system call."""
         return self.stream is not None and bool(self.stream.quiet())
 
     def on_bytes(self, data: bytes) -> None:
@@ -177,9 +177,9 @@
     def cancel(self, request: PendingRequest) -> None:
         """End a request whose reply nobody waits for; its callback is not called.
 
-        One that has not begun never does. One of which the host has a part never comes whole: its connection
-        ends. Of one that it has the host is told where the settings allow it, and its connection ends where
-        that was silent.
+        One that has not begun never does. One that is written in part is never completed: its connection
+        ends. For one that is written the host gets a cancel where the settings allow it, and the connection
+        ends where it was silent.
         """
         request.on_ended = None
         if self.pending.get(request.id) is not request:
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -98,8 +98,8 @@
         return request
 
     def _pick(self, now: int, host: Host, request_id: str, idempotency: Idempotency) -> Connection | None:
-        """The connection that pooling picks; an idle one that shows its end, or bytes that nobody asked for,
-        is closed first, unless the request may be sent again."""
+        """The connection that pooling picks. An idle one on which an end or unrequested bytes have come is
+        closed first, unless the request may be sent again."""
         while True:
             connection: Connection | None = self.pooling.pick(
                 now,
@@ -153,7 +153,7 @@
         """Forget a host that was gone at the last sweep too.
 
         The ends of its last attempts are counted after their connections have ended; counts that come after
-        its removal would be kept for ever.
+        its removal would never be freed.
         """
         gone_before, host.gone_at_last_sweep = host.gone_at_last_sweep, host.is_gone()
         if gone_before and host.gone_at_last_sweep:
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -52,7 +52,7 @@
         self.started = endpoint.listed.started
 
     def is_at(self, endpoint: Endpoint) -> bool:
-        """Whether it is still there and has not started anew."""
+        """Whether it is still there and has not restarted."""
         return (self.address_text, self.started) == (endpoint.address, endpoint.listed.started)
 
     def drain(self) -> None:
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -1,4 +1,4 @@
-"""Lines of JSON to and from hosts; the protocol's words stand here and nowhere else.
+"""Lines of JSON to and from hosts; the protocol's names are used here and nowhere else.
 
 Attempts, load orders and probes go out each under an id; a reply carries it back. The ids of attempts are the
 clients' own, so a retry bears the same one.
--- a/gaproute/hosts/jsonlines/pending_request.py
+++ b/gaproute/hosts/jsonlines/pending_request.py
@@ -19,7 +19,7 @@
 
 
 def already_written(now: int) -> bytes:
-    """Stands for `PendingRequest.encode` once the request is written, so that its content is not kept."""
+    """Takes the place of `PendingRequest.encode` once that is done, so that the content can be freed."""
     return b""
 
 
--- a/gaproute/hosts/kserve/attempts.py
+++ b/gaproute/hosts/kserve/attempts.py
@@ -1,4 +1,4 @@
-"""An attempt that was handed to a host's connections, and what its end says."""
+"""An attempt on a connection to a host, and what its end says."""
 
 from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts import orca, results
@@ -11,7 +11,7 @@
 
 
 class SentAttempt:
-    """An attempt that was handed to a host's connections.
+    """An attempt on a connection to a host, or waiting for one.
 
     `forwards`: it went to another gateway, which may not have sent it to a host yet.
     """
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -120,7 +120,7 @@
         return SentAttempt(host, exchange, forwards=self.forwards)
 
     def encode_attempt(self, call: Call, request: str, host: HostConnections, until: int) -> RequestBytes:
-        """The bytes of an attempt, or what makes them as they are handed over."""
+        """The bytes of an attempt, or what makes them when they are sent."""
         return messages.encode_infer(call, request, host.address_text)
 
     def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -30,7 +30,7 @@
         self.active = True  # by the endpoint list
         self.idle: list[Link] = []  # the one that has been idle longest first
         self.open: set[Link] = set()  # idle or in use
-        self.connecting: dict[Exchange, None] = {}  # in order; no byte of these has been handed over
+        self.connecting: dict[Exchange, None] = {}  # in order; no byte of these is sent
         self.set_address(address_text)
 
     def set_address(self, address_text: str) -> None:
@@ -47,7 +47,7 @@
                 return None
             self.idle.pop()
             link.on_idle_end = None
-            # An idempotent request may be sent again: for it the look, a system call, is spared.
+            # An idempotent request may be sent again: for it the system call is spared.
             if idempotency is Idempotency.IDEMPOTENT or link.stream.quiet():
                 return link
             link.drop()
@@ -89,14 +89,14 @@
 
     def close_expired(self) -> None:
         """Close connections that have been idle too long for any request, before the host does."""
-        now, kept = self.loop.now(), []
+        now, remaining = self.loop.now(), []
         for link in self.idle:
             longest = self.pooling.safe_rest(now, self.name, Idempotency.IDEMPOTENT, link.told_idle)
             if now - link.used <= longest:
-                kept.append(link)
+                remaining.append(link)
             else:
                 self._close(link)
-        self.idle = kept
+        self.idle = remaining
 
     def close(self) -> None:
         """Close every connection."""
--- a/gaproute/hosts/kserve/messages.py
+++ b/gaproute/hosts/kserve/messages.py
@@ -37,14 +37,14 @@
 def encode_infer(call: Call, request: str, host: bytes) -> bytes:
     """The client's body and fields as they came, for the host with that `Host` field.
 
-    `Gaproute-Task` is the id by which hosts know a repeat: the same by whichever gateways a call comes.
+    `Gaproute-Task` is the id by which hosts recognize a repeat: the same by whichever gateways a call comes.
     """
     fields = call.fields + ((b"Gaproute-Task", (call.origin or request).encode()), orca.REQUEST_FIELD)
     return _encode(b"POST", model_path(call.function) + b"/infer", host, fields, call.body)
 
 
 def encode_load(function: str, copies: int, host: bytes, gateway: bytes) -> bytes:
-    """An order to have so many instances loaded; 0 only asks."""
+    """An order to have so many instances loaded; 0 only queries how many are."""
     model, _, version = function.partition("/")
     parameters: dict[str, str | int] = {"copies": copies}
     if version:
--- a/gaproute/hosts/orca.py
+++ b/gaproute/hosts/orca.py
@@ -17,7 +17,7 @@
 from gaproute.interface import Found, Report
 
 HEADER = b"endpoint-load-metrics"
-REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # by which hosts are asked for a report
+REQUEST_FIELD = (b"endpoint-load-metrics-format", b"JSON")  # requests a report
 NAMED_PREFIX = "named_metrics."
 FOUND: dict[float | None, Found] = {found.value: found for found in Found if found is not Found.UNKNOWN}
 NO_FIGURES = Report()
--- a/gaproute/hosts/results.py
+++ b/gaproute/hosts/results.py
@@ -10,7 +10,7 @@
 | full answer 2xx | OK | ran |
 | full answer 4xx, others but 408 and 425: what the client sent is at fault | OK, passed on | ran |
 | full answer 5xx, 408, 425, 3xx | ERROR | may have run |
-| any byte handed over, then reset, close, half an answer, nonsense | RESET | may have run |
+| any byte sent, then reset, close, half an answer, nonsense | RESET | may have run |
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:  # the platform process loads no HTTP
     from gaproute.http1 import Undelivered
 
-LOCAL_SHORTAGES = SHORTAGES | NO_OWN_ADDRESS  # errors of this machine, which are held against no host
+LOCAL_SHORTAGES = SHORTAGES | NO_OWN_ADDRESS  # errors of this machine, which say nothing of the host
 AMBIGUOUS_STATUSES = (408, 425)  # time-out at the host, too early: neither says whether the request ran
 
 
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -283,16 +283,16 @@
     first = clock.now
     assert seen == [None] and watch.current_at <= first
     clock.now += HOUR
-    watch.look()
+    watch.check()
     looked = watch.current_at
     assert looked >= first + HOUR
     path.write_text("host a nowhere\n")  # refused: the list in force is not the file any more
     for _ in range(2):
         clock.now += SECOND
-        watch.look()
+        watch.check()
     assert watch.current_at == looked
     path.write_text("host b 127.0.0.1:1\n")
-    watch.look()
+    watch.check()
     assert seen[0] is None and seen[-1] == looked and watch.current_at > looked
     watch.close()
 
@@ -304,7 +304,7 @@
     path.write_text("host b 127.0.0.1:1\n")
     before = os.stat(path).st_mtime_ns - HOUR
     os.utime(path, ns=(before, before))
-    watch.look()
+    watch.check()
     assert seen == ["a", "b"]
     watch.close()
 
@@ -372,7 +372,7 @@
     known = lists.current_at()["a1"]
     assert seen == [{}] and known <= loop.now()
     (tmp_path / "a1.hosts").write_text("host w 127.0.0.1:1\nhost x 127.0.0.1:2\n")
-    lists.watches["a1"].look()
+    lists.watches["a1"].check()
     assert seen[1] == {"a1": known} and lists.current_at()["a1"] > known
     lists.close()
     loop.close()
