--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -83,10 +83,12 @@
     force.reconcile({"a1": cell.reported}, ZONES)
     cell.apply(fleet(False, [("w", 1, "active", "")]))
     force.reconcile({"a1": cell.reported}, ZONES)
-    assert set(force.active["a1"]) == {"u", "v"} and list(force.rejected["a1"]) == ["w"]
+    assert set(force.active["a1"]) == {"u", "v"}
+    assert list(force.rejected["a1"]) == ["w"]
     cell.apply(fleet(False, [("u", 1, "gone", "")]))
     force.reconcile({"a1": cell.reported}, ZONES)
-    assert set(force.active["a1"]) == {"v", "w"} and force.rejected == {}
+    assert set(force.active["a1"]) == {"v", "w"}
+    assert force.rejected == {}
 
 
 # Lines as rows
@@ -103,17 +105,20 @@
     before = rows.of(lists, ZONES)
     lists = {"a1": [line("u", 1), line("v", 2, state="draining")], "b1": lists["b1"]}
     after = rows.of(lists, ZONES)
-    assert after["b1"] is before["b1"] and after["a1"][0] is before["a1"][0]
+    assert after["b1"] is before["b1"]
+    assert after["a1"][0] is before["a1"][0]
     assert [row.listed.state.value for row in after["a1"]] == ["active", "draining"]
     moved = rows.of(lists, ZONES | {"b1": "a"})  # a newer table has the cell in another zone
     assert moved["b1"][0].listed.zone == before["a1"][0].listed.zone != before["b1"][0].listed.zone
-    assert rows.of({"b1": lists["b1"]}, ZONES) == {"b1": before["b1"]} and list(rows.made) == ["b1"]
+    assert rows.of({"b1": lists["b1"]}, ZONES) == {"b1": before["b1"]}
+    assert list(rows.made) == ["b1"]
 
 
 def test_racks_that_no_host_has_any_more_are_forgotten_and_no_number_is_given_twice():
     listing, given = HostLineConverter(Loop()), set()
     for number in range(3 * MAX_NUMBERED_NAMES):
         stays, comes = listing.endpoints([line("u", 1, rack="old"), line("v", 2, rack=f"r{number}")])
-        assert stays.listed.cell == 0 and comes.listed.cell not in given
+        assert stays.listed.cell == 0
+        assert comes.listed.cell not in given
         given.add(comes.listed.cell)
         assert len(listing.racks.by_name) <= MAX_NUMBERED_NAMES + 1
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -18,7 +18,8 @@
     source.tell("a1", host("w", "draining"))
     source.close()
     made.passes(12 * SECOND)
-    assert made.names("a1") == "wx" and made.names("b1") == "y"
+    assert made.names("a1") == "wx"
+    assert made.names("b1") == "y"
     assert sorted(cell for cell, why in made.troubles) == ["a1", "b1"]
     assert made.lists.status()["failing"] == ["a1", "b1"]
     back = CellSource(made.loop, "north", source.address)
@@ -29,7 +30,8 @@
     made.until(lambda: made.lists.status()["failing"] == [])
     back.tell("b1", host("y", "draining"))  # number 2, which was never had, after a list that was
     made.until(lambda: made.told["b1"] == {"y": "draining"})
-    assert len(made.troubles) == 4 and made.count == 0
+    assert len(made.troubles) == 4
+    assert made.count == 0
 
 
 def test_a_source_that_kept_its_numbers_tells_only_what_was_missed(followed_cells):
@@ -81,8 +83,10 @@
     made.sources[0].tell("a1", *hosts("wx"))
     made.lists.want(made.zones)
     made.passes(10 * SECOND)
-    assert made.told == {} and made.lists.status()["failing"] == ["a1"]
-    assert len(made.troubles) == 1 and made.troubles[0][1].endswith("status 404")
+    assert made.told == {}
+    assert made.lists.status()["failing"] == ["a1"]
+    assert len(made.troubles) == 1
+    assert made.troubles[0][1].endswith("status 404")
 
 
 def test_gateways_of_one_seed_each_spread_over_sources_and_over_time(followed_cells):
@@ -107,7 +111,8 @@
     made = followed_cells(wheres=["127.0.0.1:1"], zones={"a1": "a"})
     made.lists.want(made.zones)
     made.passes(60 * SECOND)
-    assert 8 <= made.follower("a1").connection_count <= 16 and len(made.troubles) == 1
+    assert 8 <= made.follower("a1").connection_count <= 16
+    assert len(made.troubles) == 1
 
 
 # Hostile sources
@@ -161,7 +166,8 @@
         assert len(reader.event_data) + len(reader.partial_line) + reader.unfinished_bytes <= 2 * (
             1 << 20
         ) + (1 << 16)
-    assert made.names("a1") == "wx" and len(made.troubles) == 1
+    assert made.names("a1") == "wx"
+    assert len(made.troubles) == 1
     assert 1 <= hostile.connections <= 12
     hostile.listener.close()
 
@@ -187,5 +193,6 @@
         if source.following("a1"):
             source.cut()
         made.passes(250 * MILLI)
-    assert len(made.troubles) == 1 and source.asked["a1"] <= 1 + 10 * SECOND // (FIRST_BACKOFF // 2)
+    assert len(made.troubles) == 1
+    assert source.asked["a1"] <= 1 + 10 * SECOND // (FIRST_BACKOFF // 2)
     made.until(lambda: made.troubles[-1] == ("a1", None), 5 * SECOND)
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -38,7 +38,8 @@
     assert calls.end() == {200}
     for host in ("a1-h0", "b1-h1"):
         assert fleet.attempts(host, told + GRACE) == []
-    assert fleet.attempts("a1-h1", told + GRACE) and fleet.attempts("b1-h0", told + GRACE)
+    assert fleet.attempts("a1-h1", told + GRACE)
+    assert fleet.attempts("b1-h0", told + GRACE)
     assert fleet.listed("ga") == {"a1-h0": "draining", "a1-h1": "active"}
     assert fleet.listed("gb") == {"b1-h0": "active"}
 
@@ -63,7 +64,8 @@
     back.tell("b1", fleet.member("b1-h0", "gone"))
     fleet.rest(SECOND)
     assert calls.end() == {200}
-    assert fleet.attempts("a1-h0", told + GRACE) == [] and fleet.attempts("b1-h0", told + GRACE) == []
+    assert fleet.attempts("a1-h0", told + GRACE) == []
+    assert fleet.attempts("b1-h0", told + GRACE) == []
     assert len(fleet.events("ga", "cell source lost")) == 1
 
 
@@ -80,7 +82,8 @@
     left.tell("a1", fleet.member("a1-h1", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h1"] == "draining")
     fleet.rest(GRACE)
-    assert calls.end() == {200} and fleet.attempts("a1-h1", told + GRACE) == []
+    assert calls.end() == {200}
+    assert fleet.attempts("a1-h1", told + GRACE) == []
 
 
 def test_a_source_that_is_late_by_two_seconds(followed):
@@ -95,7 +98,8 @@
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
     assert fleet.loop.now() - sent < 400 * MILLI
     fleet.rest(GRACE)
-    assert calls.end() == {200} and fleet.attempts("a1-h0", sent + GRACE) == []
+    assert calls.end() == {200}
+    assert fleet.attempts("a1-h0", sent + GRACE) == []
     assert fleet.cell_status("ga")["sources"]["failing"] == []  # it is late, not silent
 
 
@@ -111,7 +115,8 @@
     resumed = fleet.loop.now()
     process.send_signal(signal.SIGCONT)
     assert {fleet.wait(answer).status for answer in answers} == {200}
-    assert fleet.attempts("a1-h0", resumed) == [] and len(fleet.attempts("a1-h1", resumed)) >= 20
+    assert fleet.attempts("a1-h0", resumed) == []
+    assert len(fleet.attempts("a1-h1", resumed)) >= 20
 
 
 def test_a_gateway_that_stops_still_hears_that_a_host_drains(followed):
@@ -143,7 +148,8 @@
     fleet.until(lambda: min(len(calls.statuses) for calls in both) > 60)
     assert [calls.end() for calls in both] == [{200}, {200}]
     reached = fleet.attempts("a1-h0", told)
-    assert reached and all(event["id"].startswith("a") for event in reached if event["what"] == "task")
+    assert reached
+    assert all(event["id"].startswith("a") for event in reached if event["what"] == "task")
     fleet.sources[0].tell("a1", fleet.member("a1-h0", "gone"))
     fleet.until(lambda: fleet.listed("ga") == fleet.listed("gb") == {"a1-h1": "active"})
 
@@ -183,10 +189,12 @@
     told = fleet.loop.now()
     fleet.write_table()
     fleet.until(lambda: fleet.cell_status("ga")["known"] == ["a1", "a2"])
-    assert fleet.listed("ga")["a2-h0"] == "draining" and source.asked == {"a1": 1, "a2": 2}
+    assert fleet.listed("ga")["a2-h0"] == "draining"
+    assert source.asked == {"a1": 1, "a2": 2}
     calls = fleet.calls("ga")
     fleet.until(lambda: fleet.attempts("a2-h1", told))
-    assert calls.end() == {200} and fleet.attempts("a2-h0", told) == []
+    assert calls.end() == {200}
+    assert fleet.attempts("a2-h0", told) == []
 
 
 HOSTILE = [
@@ -214,7 +222,8 @@
     source.tell("a1", fleet.member("a1-h0", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
     fleet.rest(GRACE)
-    assert calls.end() == {200} and fleet.attempts("a1-h0", told + GRACE) == []
+    assert calls.end() == {200}
+    assert fleet.attempts("a1-h0", told + GRACE) == []
     assert len(fleet.events("ga", "cell source lost")) <= 2
     assert fleet.events("ga", "error") == []
 
--- a/tests/discovery/test_cells_followed.py
+++ b/tests/discovery/test_cells_followed.py
@@ -26,7 +26,9 @@
     source.tell("a1", host("w", "gone"))
     made.lists.want({"a1": "a", "b1": "b"})
     made.until(lambda: made.names("a1") == "x")
-    assert source.asked == {"a1": 2, "b1": 1} and made.troubles == [] and made.count == 0
+    assert source.asked == {"a1": 2, "b1": 1}
+    assert made.troubles == []
+    assert made.count == 0
 
 
 def test_a_change_is_told_by_host_and_nothing_is_told_that_changes_nothing(followed_cells):
@@ -60,8 +62,10 @@
         made.sources[0].tell(cell, *told)
     made.passes(SECOND)
     sizes = [len(made.told.get(cell, ())) for cell in cells[:3]]
-    assert sizes[0] == 1_024 and sum(map(len, made.told.values())) <= MAX_HOSTS_FOLLOWED
-    assert made.count > 1_000 and len(made.refused) <= 4 * MAX_TOLD + MAX_CELLS
+    assert sizes[0] == 1_024
+    assert sum(map(len, made.told.values())) <= MAX_HOSTS_FOLLOWED
+    assert made.count > 1_000
+    assert len(made.refused) <= 4 * MAX_TOLD + MAX_CELLS
 
 
 # Hosts that do not go together
@@ -73,12 +77,14 @@
     source = made.sources[0]
     source.tell("b1", host("x"), host("z"))
     made.until(lambda: made.names("b1") == "yz")
-    assert made.names("a1") == "wx" and [(each.cell, each.host) for each in made.refused] == [("b1", "x")]
+    assert made.names("a1") == "wx"
+    assert [(each.cell, each.host) for each in made.refused] == [("b1", "x")]
     source.tell("a1", host("x", "draining"))
     made.until(lambda: made.told["a1"]["x"] == "draining")
     source.tell("a1", host("x", "gone"))
     made.until(lambda: made.names("b1") == "xyz")
-    assert made.names("a1") == "w" and made.count == 1
+    assert made.names("a1") == "w"
+    assert made.count == 1
 
 
 def test_a_drain_is_heard_of_a_host_that_is_refused_otherwise(followed_cells):
@@ -89,7 +95,8 @@
     source.tell("a1", host("x", "draining") | {"host_port": "nowhere"})
     source.tell("b1", host("y", "draining") | {"size": "large"})
     made.until(lambda: made.told["b1"] == {"y": "draining"})
-    assert made.told["a1"] == {"w": "draining", "x": "draining"} and made.count == 3
+    assert made.told["a1"] == {"w": "draining", "x": "draining"}
+    assert made.count == 3
     source.tell("a1", host("w", "gone", zone="moon"), {"id": "x", "phase": "Gone"})
     made.until(lambda: made.names("a1") == "")
 
@@ -116,7 +123,9 @@
         members = [wrong, host("w", state), host("v")]
         made.sources[0].send("a1", event(seq, members, complete=False))
         made.until(lambda state=state: made.told["a1"]["w"] == state)
-    assert made.names("a1") == "vwx" and len(made.refused) == 1 and made.count >= 1
+    assert made.names("a1") == "vwx"
+    assert len(made.refused) == 1
+    assert made.count >= 1
     made.passes(SECOND)
     assert made.troubles == []
 
@@ -126,7 +135,8 @@
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     made.sources[0].send("a1", event(9, []))
     made.until(lambda: made.count == 1)
-    assert made.names("a1") == "wx" and made.refused[0].reason == "a whole list without hosts"
+    assert made.names("a1") == "wx"
+    assert made.refused[0].reason == "a whole list without hosts"
 
 
 def test_after_a_stop_news_of_hosts_comes_before_the_calls_that_came_meanwhile(followed_cells):
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -46,7 +46,8 @@
 @pytest.mark.parametrize("data", [b"{", b'{"seq":"x"}', b'{"seq":1,"fleet":5}', b"\xff", b"[" * 9999])
 def test_what_is_no_event_is_told_and_those_behind_it_are_read(data):
     one, two = sse_reader.EventReader().feed(HEAD + b"\r\ndata: " + data + b"\n\n" + sse(TWO))
-    assert one is None and two.seq == 2
+    assert one is None
+    assert two.seq == 2
 
 
 @pytest.mark.parametrize("data", [b"HTTP/1.1 503 No\r\n\r\n", b"noise\r\n\r\n"])
@@ -90,7 +91,8 @@
         known=events.decode_initial({"results": [ONE]})[1],
     )
     made.until(lambda: made.told)
-    assert made.log.came == [1] and made.told == [2]
+    assert made.log.came == [1]
+    assert made.told == [2]
 
 
 def test_a_break_in_an_event_is_asked_again_and_nothing_is_lost(follow):
@@ -98,20 +100,23 @@
     made.until(lambda: made.log.streams and made.log.came)
     made.log.streams[0].abort()
     made.until(lambda: made.told)
-    assert made.told == [2] and made.log.came == [1, 1]
+    assert made.told == [2]
+    assert made.log.came == [1, 1]
 
 
 def test_an_unreadable_event_is_asked_again(follow):
     made = follow(lambda last: b"data: {broken\n\n" if len(made.log.came) == 1 else sse(TWO), last=1)
     made.until(lambda: made.told)
-    assert made.told == [2] and made.log.came == [1, 1]
+    assert made.told == [2]
+    assert made.log.came == [1, 1]
 
 
 def test_a_gap_is_asked_for_once_and_then_taken_as_it_is(follow):
     three = event(3, ("s-1", "127.0.0.1:5", "Gone"))
     made = follow(lambda last: sse(three), last=1)
     made.until(lambda: made.told)
-    assert made.told == [3] and made.log.came == [1, 1]
+    assert made.told == [3]
+    assert made.log.came == [1, 1]
 
 
 def test_silence_beyond_the_comments_pace_is_asked_again(follow, monkeypatch):
@@ -136,12 +141,12 @@
     made = follow(lambda last: b"")
     made.log.close()
     made.until(lambda: made.follower.connection_count >= 4)
-    assert (
-        made.follower.backoff >= 8 * watching.FIRST_BACKOFF and made.follower.backoff <= watching.MAX_BACKOFF
-    )
+    assert made.follower.backoff >= 8 * watching.FIRST_BACKOFF
+    assert made.follower.backoff <= watching.MAX_BACKOFF
 
 
 def test_known_events_come_first():
     last, told = events.decode_initial(json.loads(json.dumps({"seq": 3, "results": [ONE, TWO]})))
-    assert last == 3 and [each.seq for each in told] == [1, 2]
+    assert last == 3
+    assert [each.seq for each in told] == [1, 2]
     assert events.decode_initial({}) == (0, [])
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    "head,first,later",
+    ("head", "first", "later"),
     [
         (b"", b"", b""),
         (ENDLESS, b"", b"a"),
@@ -80,7 +80,8 @@
     for at in range(0, len(whole), watching.MIN_BYTES_PER_SECOND):
         made.log.streams[0].write(whole[at : at + watching.MIN_BYTES_PER_SECOND])
         made.passes(SECOND)
-    assert made.told == [2] and made.log.came == [1]
+    assert made.told == [2]
+    assert made.log.came == [1]
 
 
 def test_comments_alone_keep_a_connection(follow):
@@ -91,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "head,why",
+    ("head", "why"),
     [
         (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "status 503"),
         (b"HTTP/1.1 404 No\r\nContent-Length: 2\r\n\r\nno", "status 404"),
@@ -104,7 +105,8 @@
 def test_answers_that_tell_nothing_are_asked_less_and_less_often_and_never_given_up(follow, head, why):
     made = follow(lambda last: b"", last=1, head=head)
     made.passes(4 * SECOND)
-    assert 8 <= len(made.log.came) <= 20 and why in made.follower.last_error
+    assert 8 <= len(made.log.came) <= 20
+    assert why in made.follower.last_error
     made.log.head, made.log.script = HEAD, lambda last: sse(TWO)
     made.passes(watching.MAX_BACKOFF + 20 * MILLI)
     assert made.told == [2]
@@ -116,7 +118,8 @@
         lambda last: b"%x\r\n%b\r\n0\r\n\r\n" % (len(part), part) if last == 1 else b"", last=1, head=CHUNKED
     )
     made.passes(100 * MILLI)
-    assert made.told == [2] and made.log.came[:2] == [1, 2]
+    assert made.told == [2]
+    assert made.log.came[:2] == [1, 2]
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
@@ -134,7 +137,8 @@
     assert made.told == [3]
     made.log.streams[-1].write(sse(event(6)))
     made.passes(100 * MILLI)
-    assert made.told == [3, 6] and made.log.came == [1, 1, 3]
+    assert made.told == [3, 6]
+    assert made.log.came == [1, 1, 3]
 
 
 def test_an_error_in_what_is_told_costs_that_event_alone(follow):
@@ -155,7 +159,8 @@
 def test_an_event_that_nobody_can_read_is_asked_for_once_and_passed_over(follow):
     made = follow(lambda last: (b"data: {broken\n\n" + sse(THREE)) if last == 1 else b"", last=1)
     made.passes(SECOND)
-    assert made.told == [3] and made.log.came == [1, 1]
+    assert made.told == [3]
+    assert made.log.came == [1, 1]
 
 
 def test_one_wrong_member_spoils_neither_the_others_nor_the_number(follow):
@@ -166,13 +171,14 @@
     made = follow(lambda last: sse(told) if last == 1 else b"", last=1)
     made.follower.on_event = seen.append
     made.passes(SECOND)
-    assert made.log.came == [1] and made.follower.last_seq == 2
+    assert made.log.came == [1]
+    assert made.follower.last_seq == 2
     rows = MemberConverter(made.loop, []).endpoints(seen[0].fleet)
     assert [row.listed.host for row in rows] == ["s-2", "s-3"]
 
 
 @pytest.mark.parametrize(
-    "head,piece",
+    ("head", "piece"),
     [
         (ENDLESS, b"a"),
         (b"HTTP/1.1 200 OK\r\n", b"A: b\r\n"),
@@ -186,9 +192,9 @@
 def test_an_answer_without_an_end_is_given_up_at_a_bounded_size(head, piece):
     reader = sse_reader.EventReader()
     reader.feed(head)
+    pieces = [piece * (60_000 // len(piece))] * (sse_reader.MAX_EVENT_BYTES // 60_000 + 2)
     with pytest.raises(sse_reader.ChangeLogError, match="too long"):
-        for _ in range(sse_reader.MAX_EVENT_BYTES // 60_000 + 2):
-            reader.feed(piece * (60_000 // len(piece)))
+        list(map(reader.feed, pieces))
 
 
 def test_a_list_of_a_thousand_hosts_costs_little_in_the_smallest_pieces():
@@ -222,14 +228,17 @@
     dials.passing = True
     made.follower.set_address(refuses)
     made.passes(watching.SILENCE_TIMEOUT)
-    assert made.follower.stream is None and made.follower.timer.call is not None
+    assert made.follower.stream is None
+    assert made.follower.timer.call is not None
     made.follower.set_address(log.address)
     dials.let()
     made.passes(100 * MILLI)
-    assert made.told == [1, 2] and log.came == [1]
+    assert made.told == [1, 2]
+    assert log.came == [1]
     made.follower.set_address(made.log.address)
     made.passes(100 * MILLI)
-    assert made.log.came == [0, 2] and not any(stream.open for stream in log.streams)
+    assert made.log.came == [0, 2]
+    assert not any(stream.open for stream in log.streams)
 
 
 def test_no_descriptor_for_a_dial_that_is_given_up_leaves_one_connection(other):
@@ -242,7 +251,8 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, limits)
     made.follower.set_address(log.address)
     made.passes(200 * MILLI)
-    assert made.told == [1, 2] and log.came == [1]
+    assert made.told == [1, 2]
+    assert log.came == [1]
 
 
 def test_no_descriptor_is_asked_again(other):
@@ -273,7 +283,7 @@
 
 
 @pytest.mark.parametrize(
-    "first,told",
+    ("first", "told"),
     [
         (sse(AGAIN) + sse(TWO), [1, 2]),
         (sse(ONE) + sse(AGAIN) + sse(event(42)), [42]),
@@ -286,10 +296,12 @@
     known = events.decode_initial({"results": [ONE]})[1]
     made = follow(lambda last: first if last == 41 else b"", last=41, known=known)
     made.passes(SECOND)
-    assert made.told == told and made.follower.restarts == told.count(1)
+    assert made.told == told
+    assert made.follower.restarts == told.count(1)
     made.log.streams[-1].abort()
     made.passes(SECOND)
-    assert made.log.came[-1] == (told or [41])[-1] and made.told == told
+    assert made.log.came[-1] == (told or [41])[-1]
+    assert made.told == told
 
 
 def test_a_list_had_before_is_known_again_however_it_is_written(follow):
@@ -300,7 +312,9 @@
     made.passes(SECOND)
     made.log.streams[-1].abort()
     made.passes(SECOND)
-    assert made.told == [1] and made.log.came == [0, 1] and made.follower.restarts == 0
+    assert made.told == [1]
+    assert made.log.came == [0, 1]
+    assert made.follower.restarts == 0
 
 
 def test_three_dials_into_nothing_after_a_silence_leave_the_news_within_four_seconds(follow, monkeypatch):
@@ -318,7 +332,8 @@
 
     monkeypatch.setattr(watching, "connect", dial)
     made.passes(4 * SECOND - 20 * MILLI)
-    assert made.told == [2] and len(dials) == 4
+    assert made.told == [2]
+    assert len(dials) == 4
 
 
 def listed(lister, *members, complete=False, **told):
@@ -340,7 +355,7 @@
 
 
 @pytest.mark.parametrize(
-    "since,started",
+    ("since", "started"),
     [
         (0, None),
         (-5, None),
@@ -383,14 +398,16 @@
     client = made.client()
     client.message({"jsonrpc": "2.0", "id": 1, "method": "ping"})
     made.until(lambda: client.answers)
-    assert client.answers[0]["result"] == {"up": True} and made.process.host_list.watcher.last_seq == 1
+    assert client.answers[0]["result"] == {"up": True}
+    assert made.process.host_list.watcher.last_seq == 1
     made.log.head = HEAD + sse(event(1, ("s-1", made.hosts[1].address, "Ready"), complete=True))
     made.passes(watching.SILENCE_TIMEOUT)
     made.passes(watching.FIRST_BACKOFF)
     assert [host.name for host in made.process.hosts.hosts.values() if host.listed] == ["s-1"]
     assert made.process.host_list.watcher.restarts == 1
     made.process.status.write()
-    assert made.lines[-1][1]["log_anew"] == 1 and made.lines[-1][1]["log_fault"] == "silent"
+    assert made.lines[-1][1]["log_anew"] == 1
+    assert made.lines[-1][1]["log_fault"] == "silent"
 
 
 def test_a_start_of_the_file_goes_with_its_line():
@@ -476,9 +493,7 @@
         made = ChangeLogWatcher(loop, "127.0.0.1:1", 0, lambda each: None, Chance(1))
         for step in steps:
             fakes.step(made, step)
-            assert (
-                made.timer.call is not None
-                and made.timer.when <= clock.now + watching.SILENCE_TIMEOUT + SECOND
-            )
+            assert made.timer.call is not None
+            assert made.timer.when <= clock.now + watching.SILENCE_TIMEOUT + SECOND
             assert fakes.on_bytes is None or fakes.done is None
         loop.close()
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -179,7 +179,8 @@
 def test_a_log_that_has_told_no_list_yet_is_never_known_whatever_it_says(followed):
     made = followed(lambda last: b":\n\n")
     made.passes(100 * MILLI)
-    assert made.log.came and made.follower.current_at is None
+    assert made.log.came
+    assert made.follower.current_at is None
     made.log.streams[0].write(sse(whole()))
     made.until(lambda: made.told)
     assert made.follower.current_at is not None
@@ -192,7 +193,8 @@
     seen = []
     made.follower.on_event = lambda each: seen.append(made.follower.current_at)
     made.passes(SECOND)
-    assert made.log.came and made.follower.current_at == begun
+    assert made.log.came
+    assert made.follower.current_at == begun
     made.log.streams[0].write(b":\n\n")
     made.passes(100 * MILLI)
     by_comment = made.follower.current_at
@@ -200,7 +202,8 @@
     made.passes(SECOND)
     made.log.streams[0].write(sse(event(2, ("s-2", "127.0.0.1:6", ACTIVE))))
     made.passes(100 * MILLI)
-    assert seen == [by_comment] and made.follower.current_at > by_comment + SECOND // 2
+    assert seen == [by_comment]
+    assert made.follower.current_at > by_comment + SECOND // 2
 
 
 def test_while_a_log_is_away_the_list_is_as_old_as_its_last_sign_of_life(followed):
@@ -209,7 +212,8 @@
     made.passes(100 * MILLI)
     last = made.follower.current_at
     made.passes(3 * watcher.SILENCE_TIMEOUT)
-    assert len(made.log.came) > 1 and made.follower.current_at == last
+    assert len(made.log.came) > 1
+    assert made.follower.current_at == last
 
 
 def test_another_source_says_nothing_of_the_list_before_it_has_told_its_own(loop, clock):
@@ -233,7 +237,8 @@
     last, asked = made.current_at, len(silent.came)
     first.streams[-1].abort()
     passes(2 * SECOND)
-    assert len(silent.came) > asked and made.current_at == last
+    assert len(silent.came) > asked
+    assert made.current_at == last
     made.close()
     first.close()
     silent.close()
@@ -272,7 +277,8 @@
     (untold,) = listing.endpoints(read_hosts("l", "host a 127.0.0.1:1\n"))
     clock.now += SECOND
     (known,) = listing.endpoints(lines(a=wall.true() - HOUR), clock.now)
-    assert untold.listed.started is None and known.listed.started == clock.now - HOUR
+    assert untold.listed.started is None
+    assert known.listed.started == clock.now - HOUR
 
 
 def test_a_file_is_known_by_each_look_that_finds_it_unchanged_and_by_no_other(loop, clock, tmp_path):
@@ -281,7 +287,8 @@
     watch = None
     watch = FileWatch(loop, path, look, lambda told: seen.append(watch and watch.current_at), seen.append)
     first = clock.now
-    assert seen == [None] and watch.current_at <= first
+    assert seen == [None]
+    assert watch.current_at <= first
     clock.now += HOUR
     watch.check()
     looked = watch.current_at
@@ -293,7 +300,9 @@
     assert watch.current_at == looked
     path.write_text("host b 127.0.0.1:1\n")
     watch.check()
-    assert seen[0] is None and seen[-1] == looked and watch.current_at > looked
+    assert seen[0] is None
+    assert seen[-1] == looked
+    assert watch.current_at > looked
     watch.close()
 
 
@@ -370,10 +379,12 @@
     )
     lists.want({"a1": "a"})
     known = lists.current_at()["a1"]
-    assert seen == [{}] and known <= loop.now()
+    assert seen == [{}]
+    assert known <= loop.now()
     (tmp_path / "a1.hosts").write_text("host w 127.0.0.1:1\nhost x 127.0.0.1:2\n")
     lists.watches["a1"].check()
-    assert seen[1] == {"a1": known} and lists.current_at()["a1"] > known
+    assert seen[1] == {"a1": known}
+    assert lists.current_at()["a1"] > known
     lists.close()
     loop.close()
 
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -49,7 +49,8 @@
     time.sleep(0.3)
     way.forward(call, within=now + 2 * SECOND - way.loop.now())
     way.until(lambda: len(way.came) == 2)
-    assert 1900 <= first <= 2000 and limit(way) <= 1700
+    assert 1900 <= first <= 2000
+    assert limit(way) <= 1700
 
 
 def test_a_forwarded_call_waits_in_no_connections_buffer(way, monkeypatch):
@@ -64,7 +65,9 @@
     way.until(lambda: len(way.heard) == 2)
     clog.let()
     way.loop.run(until=way.loop.sleep(20 * MILLI))
-    assert way.heard[1].result is Result.CONNECT_FAILED and len(way.came) == 1 and not link.open
+    assert way.heard[1].result is Result.CONNECT_FAILED
+    assert len(way.came) == 1
+    assert not link.open
     assert not hold.exchange.handed
 
 
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -99,7 +99,8 @@
     made.hosts[0].say(*held[0], "overload")
     made.until(lambda: client.answers)
     first, second = sorted(limits(made))
-    assert D - SLACK <= second <= D and first <= D - 900 + SLACK
+    assert D - SLACK <= second <= D
+    assert first <= D - 900 + SLACK
 
 
 def test_what_waits_for_room_in_a_full_socket_carries_what_is_left_when_it_is_written(gate):
@@ -123,7 +124,8 @@
     made.clog.let()
     made.turns()
     assert all(limit <= D - span + SLACK for limit in limits(made))
-    assert made.came() == (span == 90 or track == "fault-check") and len(client.answers) == 1
+    assert made.came() == (span == 90 or track == "fault-check")
+    assert len(client.answers) == 1
     assert made.link.stream.open is (span == 90)
 
 
@@ -138,7 +140,8 @@
     made.passes(WRITE_TIMEOUT + 50 * MILLI)
     clog.let()
     made.until(lambda: told)
-    assert link.stream.open and told[0][0].value == "ok", json.dumps(str(told))
+    assert link.stream.open
+    assert told[0][0].value == "ok", json.dumps(str(told))
 
 
 def test_a_kernel_clock_that_runs_otherwise_than_the_loops_makes_no_request_old(gate, monkeypatch):
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -65,7 +65,8 @@
     made.until(lambda: not made.process.core.in_flight)
     made.dials.let()
     made.turns()
-    assert not made.came() and not made.process.core.generators
+    assert not made.came()
+    assert not made.process.core.generators
 
 
 def test_nothing_begins_after_the_final_answer_however_late_its_dial_comes_up(slow):
@@ -75,7 +76,9 @@
     made.until(lambda: client.answers)
     made.dials.let()
     made.turns()
-    assert "error" in client.answers[0] and not made.came() and not made.process.core.in_flight
+    assert "error" in client.answers[0]
+    assert not made.came()
+    assert not made.process.core.in_flight
 
 
 def test_the_limit_told_to_a_host_is_what_is_left_when_the_request_is_written(slow):
@@ -97,7 +100,8 @@
     made.dials.let()
     made.until(lambda: client.answers)
     made.turns()
-    assert made.came() == 1 and "error" in client.answers[0]
+    assert made.came() == 1
+    assert "error" in client.answers[0]
 
 
 def test_what_the_full_socket_has_taken_no_byte_of_never_begins_once_its_client_left(gate, monkeypatch):
@@ -142,7 +146,8 @@
     if change == "start":
         told["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
     made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [told]})[1][0])
-    assert old in known[name].connections and not old.reusable
+    assert old in known[name].connections
+    assert not old.reusable
     old.on_bytes(b'{"type":"served","req":"x","data":""}\n')
     assert old not in known[name].connections
 
@@ -166,7 +171,8 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    assert came[0][0] is not came[1][0] and client.answers[0]["result"]["arg"] == arg(b"body 1")
+    assert came[0][0] is not came[1][0]
+    assert client.answers[0]["result"]["arg"] == arg(b"body 1")
     assert made.process.hosts.unmatched == 1
 
 
@@ -180,7 +186,8 @@
         link, "y", None, 0, lambda *_: pytest.fail("taken for an answer"), 0
     )
     link.on_bytes(b'{"type":"served","req":"y","data":""}\n')
-    assert made.process.hosts.unmatched == 1 and len(link.pending) == 2
+    assert made.process.hosts.unmatched == 1
+    assert len(link.pending) == 2
 
 
 def test_a_dial_for_which_there_is_no_descriptor_is_not_held_against_the_host(slow):
@@ -190,7 +197,8 @@
         entry[3](None, OSError(errno.EMFILE, "too many open files"))
     made.turns()
     worker = made.process.core.gateway.workers["s-0"]
-    assert not worker.bad and not made.came()
+    assert not worker.bad
+    assert not made.came()
     made.passes(4 * SECOND)
     made.until(lambda: client.answers)
 
@@ -203,7 +211,8 @@
         call = Call("7f3a9c21e0b4d655", "", (), b"", f"{worker:>16}", "fault-check")
         hosts.send(worker, call, Idempotency.IDEMPOTENT, worker, end, end, heard.append)
     made.turns()
-    assert made.dials.waiting == 1 and [each.result for each in heard] == [Result.NOT_SENT]
+    assert made.dials.waiting == 1
+    assert [each.result for each in heard] == [Result.NOT_SENT]
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -219,7 +228,8 @@
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     made.turns()
     made.passes(3 * SECOND)
-    assert bool(made.hosts[0].seen("halt")) is cancel and not made.process.core.in_flight
+    assert bool(made.hosts[0].seen("halt")) is cancel
+    assert not made.process.core.in_flight
 
 
 def test_a_connection_that_carried_many_failures_takes_no_further_request(gate):
@@ -230,7 +240,8 @@
         client.ask(1, "repair-order", i=f"{number:016x}")
         made.until(lambda client=client: client.answers)
     held = [len(link.retired_ids) for host in made.process.hosts.hosts.values() for link in host.connections]
-    assert max(held) <= CARRIED and len(made.hosts[0].seen("go")) == CARRIED + 3
+    assert max(held) <= CARRIED
+    assert len(made.hosts[0].seen("go")) == CARRIED + 3
 
 
 def test_before_the_process_is_ended_what_it_holds_is_answered_as_its_class_allows(gate):
@@ -285,6 +296,5 @@
     done = []
     made.process.hosts.order("s-0", "m", 1, lambda *told: done.append(told))
     made.until(lambda: done)
-    assert made.hosts[0].seen("stat") and not any(
-        link.retired_ids for link in made.process.hosts.hosts["s-0"].connections
-    )
+    assert made.hosts[0].seen("stat")
+    assert not any(link.retired_ids for link in made.process.hosts.hosts["s-0"].connections)
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    "kind, result",
+    ("kind", "result"),
     [
         ("served", Result.OK),
         ("not_here", Result.NOT_LOADED),
@@ -96,14 +96,10 @@
     )
     assert (heard.found, heard.same_function_requests) == (Found.AWAITED_LOAD, 3)
     assert (heard.report.cpu_busy, heard.report.memory_busy, heard.report.in_hand) == (0.61, 0.2, None)
-    assert (
-        messages.decode_attempt(reply(), with_count=True).same_function_requests == 0
-        and messages.decode_attempt(reply(), with_count=False).same_function_requests is None
-    )
-    assert (
-        messages.decode_load_report({"meter": "util:lots;inflight:7"}).in_hand == 7
-        and messages.decode_load_report({"meter": "x"}) is None
-    )
+    assert messages.decode_attempt(reply(), with_count=True).same_function_requests == 0
+    assert messages.decode_attempt(reply(), with_count=False).same_function_requests is None
+    assert messages.decode_load_report({"meter": "util:lots;inflight:7"}).in_hand == 7
+    assert messages.decode_load_report({"meter": "x"}) is None
 
 
 @pytest.mark.parametrize("data", ["%%%", "ab", "\u00e9", None])
@@ -164,10 +160,12 @@
 def test_a_relay_passes_id_class_function_and_body_unchanged(bench):
     made = bench()
     made.relay()
-    assert made.results(1) == [Result.OK] and made.heard[0].answer.body == CALL.body
+    assert made.results(1) == [Result.OK]
+    assert made.heard[0].answer.body == CALL.body
     sent = made.host.came[0]
     assert (sent["req"], sent["data"]) == (CALL.request_id, "Ym9keQ==")
-    assert sent["meta"]["cls"] == "fault-check" and sent["meta"]["item"] == CALL.model
+    assert sent["meta"]["cls"] == "fault-check"
+    assert sent["meta"]["item"] == CALL.model
     assert 900 <= sent["meta"]["limit"] <= 1000
 
 
@@ -176,16 +174,16 @@
     for number in range(4):
         made.relay(mark=f"{number:016x}")
     made.until(lambda: len(made.host.came) == 4)
-    assert len(made.host.streams) == 2 and made.hosts.multiplexed == 2
+    assert len(made.host.streams) == 2
+    assert made.hosts.multiplexed == 2
 
 
 def test_a_second_relay_of_a_task_never_shares_a_connection_with_the_first(bench):
     made = bench(answer=lambda stream, command: None, room=1)
     made.relay()
     made.relay()
-    assert (
-        made.results(1) == [Result.NOT_SENT] and made.hosts.multiplexed == 0
-    )  # and opens none beyond the room
+    assert made.results(1) == [Result.NOT_SENT]
+    assert made.hosts.multiplexed == 0
     made.hosts.max_connections = 2
     made.relay()
     made.until(lambda: len(made.host.came) == 2)
@@ -204,7 +202,8 @@
     assert late[2][0] is not late[0][0]
     made.host.say(late[0][0], late[0][1], "served", data="b2xk")
     made.host.say(late[2][0], late[2][1], "served", data="bmV3")
-    assert made.results(1) == [Result.OK] and made.heard[0].answer.body == b"bmV3"
+    assert made.results(1) == [Result.OK]
+    assert made.heard[0].answer.body == b"bmV3"
     made.until(lambda: made.hosts.unmatched == 1)
 
 
@@ -216,10 +215,12 @@
 
     made = bench(answer=answer)
     made.relay()
-    assert made.results(1) == [Result.OK] and made.heard[0].answer.body == CALL.body
+    assert made.results(1) == [Result.OK]
+    assert made.heard[0].answer.body == CALL.body
     made.until(lambda: made.hosts.unmatched == 2)
     made.relay(mark="1" * 16)
-    assert made.results(2) == [Result.OK, Result.OK] and len(made.host.streams) == 1
+    assert made.results(2) == [Result.OK, Result.OK]
+    assert len(made.host.streams) == 1
 
 
 def test_spoilt_lines_and_resets_may_have_run_and_a_refused_connection_never_ran(bench):
@@ -275,7 +276,8 @@
     made.results(1)
     made.host.streams[0].sock.send(b"x")  # unread: this loop has had no turn
     made.relay(Idempotency.NON_IDEMPOTENT, "1" * 16)
-    assert made.results(2) == [Result.OK, Result.OK] and len(made.host.streams) == 2
+    assert made.results(2) == [Result.OK, Result.OK]
+    assert len(made.host.streams) == 2
 
 
 def test_orders_and_probes_under_tags_of_their_own(bench):
@@ -283,9 +285,8 @@
     made.hosts.order("h", CALL.model, 2, lambda *told: said.append(told))
     made.hosts.probe("h", lambda *told: said.append(told))
     made.until(lambda: len(said) == 2)
-    assert (Result.OK, 2) in said and any(
-        good is True and report.cpu_busy == 0.25 for good, report in said if good is True
-    )
+    assert (Result.OK, 2) in said
+    assert any(good is True and report.cpu_busy == 0.25 for good, report in said if good is True)
     assert len({command["req"] for command in made.host.came}) == 2
 
 
@@ -308,7 +309,8 @@
     made.results(4)
     made.relay(mark="b" * 16)
     made.results(5)
-    assert made.hosts.opened == 4 and made.hosts.reused == 1
+    assert made.hosts.opened == 4
+    assert made.hosts.reused == 1
 
 
 def test_hosts_that_end_kept_connections_at_their_next_use_get_new_ones_for_a_while(bench):
@@ -325,7 +327,8 @@
         made.results(number + 1)
     made.relay(Idempotency.NON_IDEMPOTENT, "e" * 16)
     results = made.results(5)
-    assert results.count(Result.RESET) == 2 and results[4] is Result.OK
+    assert results.count(Result.RESET) == 2
+    assert results[4] is Result.OK
     made.relay(mark="f" * 16)
     assert made.results(6)[5] is Result.OK
 
@@ -333,13 +336,11 @@
 def test_kept_connections_are_tried_again_after_a_while_and_one_end_matters_to_effectful_tasks_alone():
     pooling = Pooling()
     pooling.ended(0, "h", 100 * MILLI, MILLI)
-    assert pooling.keeps(SECOND, "h", Idempotency.IDEMPOTENT) and not pooling.keeps(
-        SECOND, "h", Idempotency.NON_IDEMPOTENT
-    )
+    assert pooling.keeps(SECOND, "h", Idempotency.IDEMPOTENT)
+    assert not pooling.keeps(SECOND, "h", Idempotency.NON_IDEMPOTENT)
     pooling.ended(0, "h", 100 * MILLI, MILLI)
-    assert not pooling.keeps(SECOND, "h", Idempotency.IDEMPOTENT) and pooling.keeps(
-        SECOND, "other", Idempotency.IDEMPOTENT
-    )
+    assert not pooling.keeps(SECOND, "h", Idempotency.IDEMPOTENT)
+    assert pooling.keeps(SECOND, "other", Idempotency.IDEMPOTENT)
     assert pooling.keeps(11 * SECOND, "h", Idempotency.NON_IDEMPOTENT)
     assert not pooling.keeps(
         SECOND, "other", Idempotency.NON_IDEMPOTENT
@@ -349,7 +350,9 @@
     assert pooling.keeps(SECOND, "i", Idempotency.NON_IDEMPOTENT)
 
 
-@pytest.mark.parametrize("effect, rest", [(Idempotency.IDEMPOTENT, 13.5), (Idempotency.NON_IDEMPOTENT, 3.75)])
+@pytest.mark.parametrize(
+    ("effect", "rest"), [(Idempotency.IDEMPOTENT, 13.5), (Idempotency.NON_IDEMPOTENT, 3.75)]
+)
 def test_a_connection_rests_as_long_as_the_host_says_it_keeps_one_and_far_less_where_nothing_may_go_twice(
     effect, rest
 ):
@@ -363,7 +366,8 @@
     made.hosts.order_timeout = 20 * MILLI
     made.hosts.order("h", "f", 1, lambda result, copies: ends.append(result))
     made.until(lambda: ends)
-    assert ends == [Result.TIMEOUT] and made.hosts.connection_count() == 0
+    assert ends == [Result.TIMEOUT]
+    assert made.hosts.connection_count() == 0
 
 
 def test_an_order_under_way_at_a_host_that_talks_leaves_its_connection(bench):
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -63,7 +63,8 @@
     made.probe("a", lambda good, report: told.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
     assert sorted(told, key=len) == [(face.Result.NOT_SENT, 0), AttemptResult(face.Result.NOT_SENT, None)]
-    assert not made.hosts["a"].open and not made.hosts["a"].connecting
+    assert not made.hosts["a"].open
+    assert not made.hosts["a"].connecting
 
 
 def test_a_network_that_is_not_there_counts_as_no_connection_to_the_host(hosts):
@@ -102,11 +103,14 @@
     for _ in range(20):
         made.passes(MILLI)
     worker = made.process.core.gateway.workers["s-0"]
-    assert failing.socket.failed > 1 and not worker.bad and not made.came()
+    assert failing.socket.failed > 1
+    assert not worker.bad
+    assert not made.came()
     monkeypatch.setattr(connecting, "socket", real)
     for _ in range(20):
         made.passes(10 * MILLI)
-    assert "result" in client.answers[0] and made.came() == 1
+    assert "result" in client.answers[0]
+    assert made.came() == 1
 
 
 def test_a_probe_that_could_not_be_sent_from_here_says_nothing_of_the_host(gate, monkeypatch):
