--- a/gaproute/connections/acceptor.py
+++ b/gaproute/connections/acceptor.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any, Generic, Protocol, TypeVar
 
-from gaproute.connections.lot import Lot
+from gaproute.connections.accepted import AcceptedConnections
 from gaproute.loop import Listener
-from gaproute.loop.connecting import DRAIN_AGAIN
+from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
 
 
 class ActiveConnection(Protocol):
@@ -35,7 +35,7 @@
 
     def __init__(self, loop: Any, address: Any, *, counted: bool, inherited: Any = None) -> None:
         self.loop, self.counted = loop, counted
-        self.connections: dict[Connection, None] = {}  # those at work, as an ordered set
+        self.active_connections: dict[Connection, None] = {}  # those at work, as an ordered set
         self.parked = 0
         self.rejected_connections = 0  # that found no capacity
         self.protocol_errors = 0  # of all connections
@@ -43,16 +43,16 @@
         self.on_emptied: Callable[[], None] | None = None  # once no connection is left; set after a stop
         self.drain_timer: Any = None  # where the kernel's queue could not be emptied at a stop
         self.family = address[0]
-        self.lot = Lot.of(loop)
+        self.connections = AcceptedConnections.of(loop)
         self.shares_queue = inherited is not None
         self.listener = Listener(loop, address, None, on_ready=self._ready, inherited=inherited)
         self.address = self.listener.address  # as text, with the port that the kernel picked
-        self.owner_number = self.lot.open(self)  # after the listener, which may fail
+        self.owner_id = self.connections.add_owner(self)  # after the listener, which may fail
 
     @property
     def connection_count(self) -> int:
         """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
-        return len(self.connections) + self.parked + (self.drain_timer is not None)
+        return len(self.active_connections) + self.parked + (self.drain_timer is not None)
 
     # What a protocol gives
 
@@ -60,7 +60,7 @@
         """When a new connection that has sent nothing is closed, by the loop's clock."""
         raise NotImplementedError
 
-    def _make_connection(self, sock: socket.socket, address_index: int, request_count: int) -> Connection:
+    def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> Connection:
         """The connection at work on a socket; `request_count`: requests that it has brought so far."""
         raise NotImplementedError
 
@@ -79,55 +79,60 @@
     # Accepting
 
     def _ready(self) -> None:
-        self.lot.arrive(self.listener, self)
-        self.loop.waiting = True
+        self.connections.enqueue_listener(self.listener, self)
 
-    def admits(self, sock: socket.socket, address: Any) -> None:
+    def accept_connection(self, sock: socket.socket, address: Any) -> None:
         """A connection was accepted: it is parked, or rejected where there is no capacity for it."""
-        address_index = None
+        address_id = None
         if self._may_accept():
             source = address[0] if self.family != socket.AF_UNIX else ""
-            address_index = self.lot.admit(source, self.counted)
-        if address_index is None:
+            address_id = self.connections.admit(source, self.counted)
+        if address_id is None:
             self.rejected_connections += 1
             self._reject(sock)
             return
         self.parked += 1
-        due = self._first_request_due()
-        self.lot.park(sock.detach(), self.owner_number, due, address_index, 0, False)
+        self.connections.park(
+            sock.detach(),
+            self.owner_id,
+            idle_until=self._first_request_due(),
+            address_id=address_id,
+            request_count=0,
+            registered=False,
+        )
 
-    def woken(self, fd: int, data: bytes, address_index: int, request_count: int) -> None:
+    def resume_connection(self, fd: int, data: bytes, address_id: int, request_count: int) -> None:
         """A parked connection has sent something."""
         self.parked -= 1
         sock = socket.socket(self.family, socket.SOCK_STREAM, 0, fd)
-        connection = self._make_connection(sock, address_index, request_count)
-        self.connections[connection] = None
+        connection = self._make_connection(sock, address_id, request_count)
+        self.active_connections[connection] = None
         connection.receive(data)
 
     # Connections that leave
 
     def park(self, connection: Any, due: int) -> None:
         """Parks a quiet connection until it sends something, or is closed at `due`."""
-        del self.connections[connection]
+        del self.active_connections[connection]
         self.parked += 1
-        self.lot.park(
+        self.connections.park(
             connection.stream.release(),
-            self.owner_number,
-            due,
-            connection.address_index,
-            connection.request_count,
-            True,
+            self.owner_id,
+            idle_until=due,
+            address_id=connection.address_id,
+            request_count=connection.request_count,
+            registered=True,
         )
 
-    def lost(self) -> None:
+    def connection_closed(self) -> None:
         """A parked connection was closed."""
         self.parked -= 1
         self.check_emptied()
 
     def unregister(self, connection: Any) -> None:
         """A connection at work was closed."""
-        del self.connections[connection]
-        self.lot.leave(connection.address_index, self.counted)
+        del self.active_connections[connection]
+        self.connections.release(connection.address_id, self.counted)
         self.check_emptied()
 
     def check_emptied(self) -> None:
@@ -141,10 +146,10 @@
         """Takes in what waits in the kernel's queue, which would be reset, and gives the address up; tried
         again while accepting fails. Returns whether it is done."""
         self.drain_timer = None
-        if self.shares_queue or self.listener.drain(self.admits):
+        if self.shares_queue or self.listener.accept_all(self.accept_connection):
             self.listener.close()
             return True
-        self.drain_timer = self.loop.after(DRAIN_AGAIN, self._drain_accept_queue)
+        self.drain_timer = self.loop.after(ACCEPT_RETRY_PAUSE, self._drain_accept_queue)
         return False
 
     def _cancel_drain(self) -> None:
@@ -157,6 +162,6 @@
         self.stop()
         self._cancel_drain()
         self.listener.close()
-        self.lot.close(self.owner_number, True)
-        for connection in list(self.connections):
+        self.connections.close_owned(self.owner_id, include_queued=True)
+        for connection in list(self.active_connections):
             connection.close_at_once()
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -46,7 +46,7 @@
         "front",
         "stream",
         "reader",
-        "address_index",
+        "address_id",
         "request_count",
         "open_requests",
         "message_started",
@@ -60,10 +60,8 @@
         "read_delay",
     )
 
-    def __init__(
-        self, front: JsonRpcFront, sock: socket.socket, address_index: int, request_count: int
-    ) -> None:
-        self.front, self.address_index, self.request_count = front, address_index, request_count
+    def __init__(self, front: JsonRpcFront, sock: socket.socket, address_id: int, request_count: int) -> None:
+        self.front, self.address_id, self.request_count = front, address_id, request_count
         self.reader = MessageReader()
         self.open_requests: dict[int, OpenRequest] = {}  # by the client's number
         self.message_started = front.loop.now()  # when the first byte of a message came that is not whole
@@ -73,7 +71,7 @@
         self.presence = ClientPresence(self)
         self.read_delay = 0  # how long what was read last may have lain unread, ns
         self.stream = Stream(front.loop, sock, self.receive, self._on_closed, hangup_first=True)
-        self.stream.on_room = self._on_taken
+        self.stream.on_writable = self._on_taken
 
     # Reading
 
@@ -98,7 +96,7 @@
                 return
         if error is not None:
             self.report_error(error)
-        elif self.stream.waiting >= MAX_UNTAKEN:
+        elif self.stream.bytes_unsent >= MAX_UNTAKEN:
             self.stream.pause()
         self.close_if_finished()
 
@@ -111,7 +109,7 @@
         self.client_closed = self.stream.hung_up()
         if self.client_closed:
             return False
-        self.read_delay = max(self.front.loop.behind, self.stream.waited())
+        self.read_delay = max(self.front.loop.read_delay, self.stream.unread_age())
         self.presence.note_read(now, size)
         return True
 
@@ -178,13 +176,17 @@
     def check_progress(self, now: int) -> None:
         """Ends a client that takes no answers or sends too slowly, and parks a quiet one; called now and
         then."""
-        if self.stream.waiting and now - self.last_activity > PROGRESS_TIMEOUT and not self.owes_answer(now):
+        if (
+            self.stream.bytes_unsent
+            and now - self.last_activity > PROGRESS_TIMEOUT
+            and not self.owes_answer(now)
+        ):
             self.front.unresponsive += 1
             self.abort()
         elif self.reading_ended or self.closing:
             return
         elif self._message_overdue(now):
-            self.stream.look()  # its rest may have come since the loop last looked
+            self.stream.read_now()  # its rest may have come since the loop last looked
             if self.stream.open and not self.reading_ended and self._message_overdue(now):
                 text = "the message did not come in whole in time"
                 self.report_error(ProtocolError(ErrorCode.PARSE_ERROR, text))
@@ -199,15 +201,15 @@
 
     def _is_quiet(self, now: int) -> bool:
         """Whether nothing is open on it, coming in or to be taken, and that for a while."""
-        at_work = self.open_requests or self.stream.waiting or self.reader.mid_message
+        at_work = self.open_requests or self.stream.bytes_unsent or self.reader.mid_message
         return not at_work and now - self.last_activity > QUIET_TIME
 
     def _park(self, now: int) -> None:
-        self.front.park(self, self.front.lot.admission.idle_end(now, IDLE_TIMEOUT))
+        self.front.park(self, self.front.connections.admission.idle_deadline(now, IDLE_TIMEOUT))
 
     def buffered_bytes(self) -> int:
         """Bytes that it takes up: answers that were not taken, and a message that has come in part."""
-        return int(self.stream.waiting) + len(self.reader.buffer)
+        return int(self.stream.bytes_unsent) + len(self.reader.buffer)
 
     # The end
 
@@ -216,7 +218,12 @@
         before what lies there has been read and answered."""
         if self.open_requests or self.closing:
             return
-        if self.reading_ended or self.front.stopping and not self.reader.mid_message and self.stream.quiet():
+        if (
+            self.reading_ended
+            or self.front.stopping
+            and not self.reader.mid_message
+            and self.stream.is_quiet()
+        ):
             self._close()
 
     def _close(self) -> None:
@@ -227,7 +234,7 @@
     def close_at_once(self) -> None:
         """Ends the connection without waiting for answers still owed."""
         if self.closing:
-            self.stream.part()  # its last bytes are with the kernel
+            self.stream.finish_close()  # its last bytes are with the kernel
         else:
             self.abort()
 
@@ -241,5 +248,5 @@
         abandoned, self.open_requests = self.open_requests, {}
         for request in abandoned.values():
             self.front.client_left(request)
-        if self in self.front.connections:
+        if self in self.front.active_connections:
             self.front.unregister(self)
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -17,14 +17,14 @@
 from typing import Any, NamedTuple
 
 from gaproute.connections.acceptor import Acceptor
-from gaproute.decisions.admission.admission import HOLD
+from gaproute.decisions.admission.admission import FULL_RETRY_PAUSE
 from gaproute.fronts.jsonrpc import cancellation, responses
 from gaproute.fronts.jsonrpc.connection import ClientConnection, OpenRequest
 from gaproute.fronts.jsonrpc.errors import ErrorCode, ProtocolError
 from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
 from gaproute.interface import RequestClass
 from gaproute.interface.call import Call, Ending, Final
-from gaproute.loop.connecting import DRAIN_AGAIN
+from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MAX_OPEN_REQUESTS = 32  # of one connection at a time, by the protocol
@@ -72,17 +72,15 @@
     def _first_request_due(self) -> int:
         return int(self.loop.now()) + FIRST_MESSAGE_TIMEOUT
 
-    def _make_connection(
-        self, sock: socket.socket, address_index: int, request_count: int
-    ) -> ClientConnection:
-        return ClientConnection(self, sock, address_index, request_count)
+    def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> ClientConnection:
+        return ClientConnection(self, sock, address_id, request_count)
 
     # Limits
 
     def _sweep(self) -> None:
         self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)  # first: an error must not end it
         now = self.loop.now()
-        for connection in list(self.connections):
+        for connection in list(self.active_connections):
             self.loop.guard(connection.check_progress, now)
         self.enforce_memory_limit()
 
@@ -91,12 +89,12 @@
 
         Guards against thousands that send slowly or take no answers, each within its own bounds.
         """
-        excess = sum([connection.buffered_bytes() for connection in self.connections]) - MAX_BUFFERED
+        excess = sum([connection.buffered_bytes() for connection in self.active_connections]) - MAX_BUFFERED
         if excess <= 0:
             return
         now = self.loop.now()
         heaviest_first = sorted(
-            reversed(self.connections),
+            reversed(self.active_connections),
             key=lambda connection: (not connection.owes_answer(now), connection.buffered_bytes()),
             reverse=True,
         )
@@ -205,12 +203,14 @@
         """Accepts no more. What waits in the kernel's queue is taken in first, as it would be reset; idle
         connections give way to it. Tried again while there is no capacity, or accepting fails."""
         self.drain_timer = None
-        while (has_capacity := self.lot.has_room()) and (accepted := self.listener.accept()) is not None:
-            self.admits(*accepted)
+        while (has_capacity := self.connections.has_capacity()) and (
+            accepted := self.listener.accept()
+        ) is not None:
+            self.accept_connection(*accepted)
         if not has_capacity:
-            self.drain_timer = self.loop.after(HOLD, self.stop_accepting)
-        elif not self.listener.drained:
-            self.drain_timer = self.loop.after(DRAIN_AGAIN, self.stop_accepting)
+            self.drain_timer = self.loop.after(FULL_RETRY_PAUSE, self.stop_accepting)
+        elif not self.listener.backlog_empty:
+            self.drain_timer = self.loop.after(ACCEPT_RETRY_PAUSE, self.stop_accepting)
         else:
             self.listener.close()
             self.check_emptied()
@@ -222,15 +222,15 @@
             return
         self.stopping = True
         self._cancel_drain()
-        self.lot.close(self.owner_number)
+        self.connections.close_owned(self.owner_id)
         self._drain_accept_queue()
-        for connection in list(self.connections):
+        for connection in list(self.active_connections):
             connection.close_if_finished()
 
     def _drain_accept_queue(self) -> bool:
         drained = super()._drain_accept_queue()
         if drained:
-            self.lot.close(self.owner_number)
+            self.connections.close_owned(self.owner_id)
             self.check_emptied()
         return drained
 
--- a/gaproute/fronts/jsonrpc/presence.py
+++ b/gaproute/fronts/jsonrpc/presence.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from gaproute.fronts.jsonrpc.cancellation import RequestName, cancelled_in
-from gaproute.loop.streams import CHUNK, FRESH
+from gaproute.loop.streams import HANGUP_CHECK_INTERVAL, READ_SIZE
 
 if TYPE_CHECKING:
     from gaproute.fronts.jsonrpc.connection import ClientConnection
@@ -28,7 +28,7 @@
 
     def note_read(self, now: int, size: int) -> None:
         """So many bytes have been read, and the client had not closed behind them."""
-        self.checked_at = now if size < CHUNK else 0
+        self.checked_at = now if size < READ_SIZE else 0
         self.unread_cancellations = ()
 
     def is_waiting_for(self, number: int, request_id: str) -> bool:
@@ -38,8 +38,8 @@
         if connection.closing or not connection.stream.open:
             return False
         now = loop.now()
-        if now - self.checked_at >= FRESH and not self._check(now):
-            loop.soon(connection.stream.hear_end)
+        if now - self.checked_at >= HANGUP_CHECK_INTERVAL and not self._check(now):
+            loop.soon(connection.stream.read_to_end)
             return False
         if number in self.unread_cancellations or request_id in self.unread_cancellations:
             loop.soon(connection.cancel_request, request_id)
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -5,7 +5,7 @@
 
 from gaproute.config.configuration import Configuration
 from gaproute.config.directives.process import ClientsLine
-from gaproute.decisions.admission.admission import JITTER
+from gaproute.decisions.admission.admission import IDLE_JITTER
 from gaproute.fronts.kserve.responses import JSON_TYPE, encode_error
 from gaproute.fronts.kserve.rest import RestFront
 from gaproute.http1 import HttpError, Limits, Server
@@ -45,7 +45,7 @@
         read_time=clients.read,
         idle_time=clients.idle,
         connections=clients.connections,
-        spread=JITTER,
+        spread=IDLE_JITTER,
     )
 
 
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -98,10 +98,10 @@
         return request
 
     def _pick(self, now: int, host: Host, request_id: str, idempotency: Idempotency) -> Connection | None:
-        """The connection that pooling picks; an idle one that shows its end, or bytes that nobody asked for,
-        is closed first, unless the request may be sent again."""
+        """The connection that pooling picks. An idle one on which an end or unrequested bytes have come is
+        closed first, unless the request may be sent again."""
         while True:
-            connection: Connection | None = self.pooling.pick(
+            connection: Connection | None = self.pooling.choose(
                 now,
                 host.name,
                 idempotency,
@@ -142,7 +142,7 @@
         now = self.loop.now()
         for host in list(self.hosts.values()):
             for connection in list(host.connections):
-                if not connection.pending and now - connection.last_used > self.pooling.safe_rest(
+                if not connection.pending and now - connection.last_used > self.pooling.max_idle(
                     now, host.name, Idempotency.IDEMPOTENT, self.idle_timeout
                 ):
                     connection.drop()
@@ -153,12 +153,12 @@
         """Forget a host that was gone at the last sweep too.
 
         The ends of its last attempts are counted after their connections have ended; counts that come after
-        its removal would be kept for ever.
+        its removal would never be freed.
         """
         gone_before, host.gone_at_last_sweep = host.gone_at_last_sweep, host.is_gone()
         if gone_before and host.gone_at_last_sweep:
             del self.hosts[host.name]
-            self.pooling.gone(host.name)
+            self.pooling.forget_host(host.name)
             self.on_removed(host.name)
 
     def close(self) -> None:
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.loop.streams import address as parse_address
+from gaproute.loop.addresses import address as parse_address
 
 if TYPE_CHECKING:
     from gaproute.hosts.jsonlines.connection import Connection
@@ -52,7 +52,7 @@
         self.started = endpoint.listed.started
 
     def is_at(self, endpoint: Endpoint) -> bool:
-        """Whether it is still there and has not started anew."""
+        """Whether it is still there and has not restarted."""
         return (self.address_text, self.started) == (endpoint.address, endpoint.listed.started)
 
     def drain(self) -> None:
--- a/gaproute/hosts/kserve/host_connections.py
+++ b/gaproute/hosts/kserve/host_connections.py
@@ -4,7 +4,7 @@
 from gaproute.http1 import ClientConnection, Exchange
 from gaproute.interface import Idempotency
 from gaproute.loop import Loop
-from gaproute.loop.streams import address as parse_address
+from gaproute.loop.addresses import address as parse_address
 
 
 class HostConnections:
@@ -30,7 +30,7 @@
         self.active = True  # by the endpoint list
         self.idle: list[ClientConnection] = []  # the one that has been idle longest first
         self.open: set[ClientConnection] = set()  # idle or in use
-        self.connecting: dict[Exchange, None] = {}  # in order; no byte of these has been handed over
+        self.connecting: dict[Exchange, None] = {}  # in order; no byte of these is sent
         self.set_address(address_text)
 
     def set_address(self, address_text: str) -> None:
@@ -43,16 +43,16 @@
         while self.idle:
             link = self.idle[-1]
             idle_time = now - link.last_used
-            if idle_time > self.pooling.safe_rest(now, self.name, idempotency, link.keep_alive_timeout):
+            if idle_time > self.pooling.max_idle(now, self.name, idempotency, link.keep_alive_timeout):
                 return None
             self.idle.pop()
             link.on_idle_end = None
-            # An idempotent request may be sent again: for it the look, a system call, is spared.
-            if idempotency is Idempotency.IDEMPOTENT or link.stream.quiet():
+            # An idempotent request may be sent again: for it the system call is spared.
+            if idempotency is Idempotency.IDEMPOTENT or link.stream.is_quiet():
                 return link
             link.abort()
             self.open.discard(link)
-            self.pooling.closed(now, self.name, idle_time)
+            self.pooling.record_close(now, self.name, idle_time)
         return None
 
     def release(self, link: ClientConnection) -> None:
@@ -89,14 +89,14 @@
 
     def close_expired(self) -> None:
         """Close connections that have been idle too long for any request, before the host does."""
-        now, kept = self.loop.now(), []
+        now, remaining = self.loop.now(), []
         for link in self.idle:
-            longest = self.pooling.safe_rest(now, self.name, Idempotency.IDEMPOTENT, link.keep_alive_timeout)
+            longest = self.pooling.max_idle(now, self.name, Idempotency.IDEMPOTENT, link.keep_alive_timeout)
             if now - link.last_used <= longest:
-                kept.append(link)
+                remaining.append(link)
             else:
                 self._close(link)
-        self.idle = kept
+        self.idle = remaining
 
     def close(self) -> None:
         """Close every connection."""
@@ -115,4 +115,4 @@
             self.idle.remove(link)
         self.open.discard(link)
         now = self.loop.now()
-        self.pooling.closed(now, self.name, now - link.last_used)
+        self.pooling.record_close(now, self.name, now - link.last_used)
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -56,12 +56,12 @@
     @property
     def any_byte_sent(self) -> bool:
         """Whether the kernel has taken any byte of the present request."""
-        return bool(self.stream.handed > self.sent_before)
+        return bool(self.stream.bytes_sent > self.sent_before)
 
     def send(self, exchange: Exchange, data: bytes) -> None:
         """The request begins now, with what is true now, or its exchange fails soon and never ran."""
-        self.exchange, self.sent_before = exchange, self.stream.handed
-        if not self.stream.begin(data):
+        self.exchange, self.sent_before = exchange, self.stream.bytes_sent
+        if not self.stream.try_begin(data):
             self.loop.soon(self._fail, "the connection takes no bytes")
 
     def _receive(self, data: bytes) -> None:
@@ -87,7 +87,7 @@
         self.last_used = self.loop.now()
         self.responses += 1
         self.keep_alive_timeout = _keep_alive_timeout(response.headers.get(b"keep-alive"))
-        if not response.keep_alive or self.reader.mid_message or self.stream.waiting:
+        if not response.keep_alive or self.reader.mid_message or self.stream.bytes_unsent:
             self.stream.close()
         exchange.finish(response, None)
         return True
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -18,7 +18,7 @@
 from gaproute.http1.reader import RequestReader
 from gaproute.http1.rendering import Header, render
 from gaproute.loop import Stream
-from gaproute.loop.streams import FRESH, HIGH
+from gaproute.loop.streams import HANGUP_CHECK_INTERVAL, WRITE_HIGH_WATER
 
 if TYPE_CHECKING:
     from gaproute.http1.server import Server
@@ -30,7 +30,7 @@
     """A connection at work, from its first byte until it has been quiet for a while."""
 
     __slots__ = (
-        "address_index",
+        "address_id",
         "request_count",
         "client_closed",
         "buffered_bytes",
@@ -38,8 +38,8 @@
         "read_delay",
     )
 
-    def __init__(self, server: Server, sock: socket.socket, address_index: int, request_count: int) -> None:
-        self.server, self.address_index, self.request_count = server, address_index, request_count
+    def __init__(self, server: Server, sock: socket.socket, address_id: int, request_count: int) -> None:
+        self.server, self.address_id, self.request_count = server, address_id, request_count
         self.queue, self.closing, self.client_closed = [], False, False
         self.timer, self.deadline, self.idle_end, self.in_quiet_queue = None, None, 0, False
         self.presence_checked_at = 0  # when the client was last seen not to have closed
@@ -48,7 +48,7 @@
         limits = server.limits
         self.reader = RequestReader(self._sent_at, limits.head, limits.body)
         self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
-        self.stream.on_half, self.stream.on_room = self._on_client_closed, self._on_taken
+        self.stream.on_half_close, self.stream.on_writable = self._on_client_closed, self._on_taken
 
     def _sent_at(self) -> int:
         """When what is read now came: requests count from then."""
@@ -60,7 +60,7 @@
         """Feeds received bytes to the parser and hands over the requests that they complete."""
         if self.closing:
             return
-        self.read_delay = max(self.server.loop.behind, self.stream.waited())
+        self.read_delay = max(self.server.loop.read_delay, self.stream.unread_age())
         try:
             requests = self.reader.feed(data)
         except HttpError as error:
@@ -91,7 +91,7 @@
     def _take(self, request: Request) -> None:
         server = self.server
         request.connection = self
-        if self.closing or request.client_closed and server.loop.behind and not server.counted:
+        if self.closing or request.client_closed and server.loop.read_delay and not server.counted:
             return  # one that came and left while this process stood still is not taken
         self.request_count += 1
         if not request.keep_alive or server.says_close():
@@ -105,9 +105,9 @@
         if self.client_closed or not self.stream.open:
             return False
         now = self.server.loop.now()
-        if now - self.presence_checked_at >= FRESH:
+        if now - self.presence_checked_at >= HANGUP_CHECK_INTERVAL:
             if self.stream.hung_up():
-                self.server.loop.soon(self.stream.hear_end)
+                self.server.loop.soon(self.stream.read_to_end)
                 return False
             self.presence_checked_at = now
         return True
@@ -122,7 +122,7 @@
 
     def _is_saturated(self) -> bool:
         """Whether nothing more is read: enough requests are open, or the client takes no answers."""
-        return len(self.queue) >= self.server.limits.pipelined or self.stream.waiting >= HIGH
+        return len(self.queue) >= self.server.limits.pipelined or self.stream.bytes_unsent >= WRITE_HIGH_WATER
 
     def _refuse(self, error: HttpError) -> None:
         """Answers what cannot be read and closes; what was whole before it is answered first."""
@@ -187,7 +187,7 @@
             self._clear_deadline()
             server.park(self, self.idle_end)
             return
-        self.stream.look()
+        self.stream.read_now()
         if not self.queue and not self.reader.mid_message:
             self.close_gracefully()
 
@@ -199,7 +199,7 @@
         """
         if self.reader.mid_message:
             self._set_deadline()
-        elif self.server.last_request_by is None and not self.queue and self.stream.quiet():
+        elif self.server.last_request_by is None and not self.queue and self.stream.is_quiet():
             self.close_gracefully()
 
     def _on_client_closed(self) -> None:
@@ -231,7 +231,7 @@
     def close_at_once(self) -> None:
         """Ends the connection without waiting for answers still owed."""
         if self.stream.closing:
-            self.stream.part()  # its last bytes are with the kernel
+            self.stream.finish_close()  # its last bytes are with the kernel
             self.unregister()
         else:
             self.abort()
@@ -244,6 +244,6 @@
     def unregister(self) -> None:
         """The socket is closed: cancels the timer and removes the connection from the server."""
         self._clear_deadline()
-        if self in self.server.connections:
+        if self in self.server.active_connections:
             self._note_buffered(0)
             self.server.unregister(self)
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -67,7 +67,7 @@
             self.deadline = self.reader.message.arrived_at + read_time
             if server.last_request_by is not None:
                 self.deadline = min(self.deadline, server.last_request_by)
-        elif self.stream.waiting:
+        elif self.stream.bytes_unsent:
             self.deadline = server.loop.now() + read_time
         elif not self.queue and not self.closing:
             if self._wait_for_parking():
@@ -103,7 +103,7 @@
             return
         if self.deadline > self.server.loop.now():
             self._start_timer()
-        elif self.stream.waiting:
+        elif self.stream.bytes_unsent:
             self.stream.abort()
             self._on_closed(None)
         elif not self.reader.mid_message:
@@ -117,7 +117,7 @@
 
     def _rest_has_come(self) -> bool:
         """Whether the rest of the overdue request had come since the loop last looked: it is taken then."""
-        self.stream.look()
+        self.stream.read_now()
         return not self.stream.open or not self.reader.mid_message
 
     def _clear_deadline(self) -> None:
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -107,7 +107,7 @@
     @property
     def all_bytes_sent(self) -> bool:
         """Whether the kernel has taken all of the request."""
-        return self.connection is not None and not self.connection.stream.waiting
+        return self.connection is not None and not self.connection.stream.bytes_unsent
 
     # Ends
 
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -15,7 +15,7 @@
 from gaproute.http1.limits import LIMITS, Limits
 from gaproute.http1.message import Request
 from gaproute.http1.rendering import Header, render
-from gaproute.loop.streams import CHUNK
+from gaproute.loop.streams import READ_SIZE
 
 
 class ErrorAnswer(NamedTuple):
@@ -68,10 +68,8 @@
     def _first_request_due(self) -> int:
         return self.idle_end(self.loop.now())
 
-    def _make_connection(
-        self, sock: socket.socket, address_index: int, request_count: int
-    ) -> ServerConnection:
-        return ServerConnection(self, sock, address_index, request_count)
+    def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> ServerConnection:
+        return ServerConnection(self, sock, address_id, request_count)
 
     def _reject(self, sock: socket.socket) -> None:
         """Answers what a connection that finds no capacity may ask, and closes it. What lies there is read
@@ -80,16 +78,18 @@
         with contextlib.suppress(OSError):  # nothing to be read, or its client has left
             sock.send(render(503, answer.headers, answer.body, close=True))
             sock.shutdown(socket.SHUT_WR)
-            sock.recv(CHUNK)
+            sock.recv(READ_SIZE)
         sock.close()
 
     def idle_end(self, now: int) -> int:
         """When a connection that is idle from `now` on is closed."""
-        return int(self.lot.admission.idle_end(now, self.limits.idle_time, self.limits.spread))
+        return int(self.connections.admission.idle_deadline(now, self.limits.idle_time, self.limits.spread))
 
     def says_close(self) -> bool:
         """Whether answers say that the connection closes, as there are too many connections."""
-        return self.counted and bool(self.lot.admission.says_close(self.lot.held))
+        return self.counted and bool(
+            self.connections.admission.announces_close(self.connections.client_count)
+        )
 
     # Limits
 
@@ -114,7 +114,7 @@
         Guards against thousands that each send slowly; it harms one honest slow sender before its time.
         """
         slowest, arrived_at = None, 0
-        for connection in self.connections:
+        for connection in self.active_connections:
             message = connection.reader.message
             if not connection.buffered_bytes or message is None:
                 continue
@@ -145,12 +145,12 @@
         if grace is not None:
             self.last_request_by = self.loop.now() + grace
         self._drain_accept_queue()
-        for connection in list(self.connections):
+        for connection in list(self.active_connections):
             connection.stop()
 
     def _drain_accept_queue(self) -> bool:
         drained = super()._drain_accept_queue()
-        self.lot.close(self.owner_number, first_by=self.last_request_by)
+        self.connections.close_owned(self.owner_id, first_request_by=self.last_request_by)
         self.check_emptied()
         return drained
 
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -15,7 +15,7 @@
 from gaproute.interface import Idempotency
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from tests.core.test_core import attempt_and_wait, core, run, submit
 
 CALL = Call("lamp", "", (), b"{}")
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -16,9 +16,10 @@
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts import results
 from gaproute.interface import Result
-from gaproute.loop import Listener, Loop, Stream, connecting, unread
+from gaproute.loop import Listener, Loop, Stream, sockets, unread
 from gaproute.loop import loop as loops
 from gaproute.loop.datagrams import Datagrams
+from gaproute.loop.listening import Accepted
 
 HOUR = 3600 * SECOND
 
@@ -29,7 +30,7 @@
             sock, address = listener.sock.accept()
         except BlockingIOError:
             return None
-        return connecting._tuned(sock), address
+        return Accepted(sockets.configure(sock), address)
 
     patch.setattr(Listener, "accept", accept)
 
@@ -37,15 +38,15 @@
 def descriptor_leaked_when_setsockopt_fails(patch):
     leaked = []
 
-    def tuned(sock):
+    def configure(sock):
         sock.setblocking(False)
         try:
-            sock.setsockopt(connecting.socket.IPPROTO_TCP, connecting.socket.TCP_NODELAY, 1)
+            sock.setsockopt(sockets.socket.IPPROTO_TCP, sockets.socket.TCP_NODELAY, 1)
         except OSError:
             leaked.append(sock.dup())
         return sock
 
-    patch.setattr(connecting, "_tuned", tuned)
+    patch.setattr(sockets, "configure", configure)
 
 
 def lack_at_connect_taken_for_what_may_have_run(patch):
@@ -109,7 +110,7 @@
 def failed_registration_forgotten(patch):
     def watch(loop, descriptor, events, call):
         loop.watched[descriptor] = call
-        loop.fresh.add(descriptor)
+        loop.newly_watched.add(descriptor)
         try:
             loop.epoll.register(descriptor, events)
         except OSError:
@@ -119,7 +120,7 @@
 
 
 def listener_never_resumes(patch):
-    patch.setattr(Listener, "_again", lambda listener: None)
+    patch.setattr(Listener, "_resume", lambda listener: None)
 
 
 def timer_left_behind(patch):
@@ -127,7 +128,7 @@
 
     def finish(stream, error):
         if error is not None:
-            stream.loop.after(HOUR, stream.cut)
+            stream.loop.after(HOUR, stream.reset)
         honest(stream, error)
 
     patch.setattr(Stream, "_finish", finish)
@@ -136,7 +137,7 @@
 def peers_given_up_at_one_failure(patch):
     def ready(datagrams, events):
         try:
-            datagrams.heard(datagrams.sock.recv(2048))
+            datagrams.on_datagram(datagrams.sock.recv(2048))
         except BlockingIOError:
             pass
         except OSError:
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -25,7 +25,8 @@
 from gaproute.http1 import exchange as exchanges
 from gaproute.http1.exchange import Exchange
 from gaproute.loop import Loop
-from gaproute.loop.streams import CHUNK, address
+from gaproute.loop.addresses import address
+from gaproute.loop.streams import READ_SIZE
 from gaproute.standins.platform import arg
 
 LONG = 300 * MILLI  # a turn in which the client leaves and nothing of it is heard
@@ -138,7 +139,7 @@
     for number in range(1, 10):
         told.message(abort(id=number))
     data = b"".join(told.waiting)
-    assert len(data) > 2 * CHUNK
+    assert len(data) > 2 * READ_SIZE
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(data)
     told.waiting = []
@@ -151,7 +152,7 @@
 def test_an_abort_that_lies_unread_on_a_connection_that_is_not_read_ends_its_request(gate):
     """Its client takes no answers. The next attempt asks; the request that follows is not touched by it."""
     made, client, held = first_request_held(gate)
-    (link,) = made.process.front.connections
+    (link,) = made.process.front.active_connections
     link.stream.pause()
     client.message(abort(id=1))
     made.turns()
@@ -199,7 +200,7 @@
     made.until(made.came)
     fill_after(link, 500)
     client.ask(1, arg=arg(b"x" * 1000))
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     client.stream.abort()
     made.until(lambda: other.answers)
     made.turns()
--- a/tests/fronts/test_departed_ends.py
+++ b/tests/fronts/test_departed_ends.py
@@ -8,7 +8,8 @@
 
 from gaproute.http1 import Limits, Server
 from gaproute.loop import Loop
-from gaproute.loop.streams import CHUNK, address
+from gaproute.loop.addresses import address
+from gaproute.loop.streams import READ_SIZE
 
 
 @pytest.mark.parametrize("way", ENDS)
@@ -16,7 +17,7 @@
     made = gate(clock=Handed())
     buffers_much(made.process.front.listener)
     data = requests(made, 10, 10_000)
-    assert len(data) > 2 * CHUNK
+    assert len(data) > 2 * READ_SIZE
     sock = connected(made.where)
     sock.sendall(data)
     end(sock, way)
@@ -43,7 +44,7 @@
     )
     made.turns()
     assert made.came() == 1
-    assert not made.process.front.connections
+    assert not made.process.front.active_connections
     sock.close()
 
 
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -9,14 +9,15 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, Handed, half_close, nothing
 
-from gaproute.decisions.admission.admission import SHORT
-from gaproute.decisions.connections.pooling import OWN
+from gaproute.decisions.admission.admission import EVICTIONS_PER_SHORTAGE
+from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS
 from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
 from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.loop import connect
-from gaproute.loop.connecting import DIAL_FIRST
-from gaproute.loop.streams import FAREWELL, address
+from gaproute.loop.addresses import address
+from gaproute.loop.dialing import FIRST_DIAL_PAUSE
+from gaproute.loop.streams import CLOSE_WAIT
 from gaproute.platform.reload import READ_BACKOFF
 from gaproute.platform.shutdown import ACCEPT_TIME
 from gaproute.platform.status import STATUS_INTERVAL
@@ -27,32 +28,39 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: made.came())
-    (link,) = made.process.front.connections
+    (link,) = made.process.front.active_connections
     link.stream.pause()
     half_close(client.stream)
     made.until(lambda: not made.process.core.in_flight)
-    assert not made.process.front.connections
+    assert not made.process.front.active_connections
     assert not made.process.front.open_request_ids
 
 
 def test_connections_that_say_farewell_count_and_make_room_in_a_full_house(gate):
     made = gate(sockets=70, clock=Handed())
-    lot = made.process.front.lot
-    deaf = [socket.create_connection(address(made.where)[1]) for _ in range(lot.admission.most)]
+    connections = made.process.front.connections
+    deaf = [
+        socket.create_connection(address(made.where)[1]) for _ in range(connections.admission.max_connections)
+    ]
     for each in deaf:  # an error is owed to each, and none of them closes then
         each.sendall(b"noise" * 200)
-    made.until(lambda: len(made.loop.leaving) == len(deaf))
-    made.until(lambda: all(stream.taken() for stream in made.loop.leaving))  # the kernel may take 40 ms
+    made.until(lambda: len(made.loop.closing_streams) == len(deaf))
+    # The kernel may take 40 ms.
+    made.until(lambda: all(stream.is_acknowledged() for stream in made.loop.closing_streams))
     late = made.client()
     late.ask(1)
     made.turns()
-    assert lot.held == lot.admission.most
+    assert connections.client_count == connections.admission.max_connections
     assert not late.answers
     made.passes(110 * MILLI)
     made.passes(20 * MILLI)
     made.until(lambda: late.answers)
     assert "result" in late.answers[0]
-    assert lot.held == lot.admission.most == len(made.loop.leaving) + 1
+    assert (
+        connections.client_count
+        == connections.admission.max_connections
+        == len(made.loop.closing_streams) + 1
+    )
     for each in deaf:
         each.close()
 
@@ -155,7 +163,7 @@
         flood()
         spoil()
         made.turns(2)
-        heaviest = max([heaviest, *[link.buffered_bytes() for link in made.process.front.connections]])
+        heaviest = max([heaviest, *[link.buffered_bytes() for link in made.process.front.active_connections]])
     served = made.client()
     served.ask(1)
     made.until(lambda: served.answers)
@@ -180,7 +188,7 @@
     clients = [made.client() for _ in range(3)]
     for client, size in zip(clients, (10_000, 40_000, 20_000), strict=True):
         client.send(b"Content-Length: 45000\r\n\r\n" + b"x" * size)
-    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.connections) == 70_000)
+    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.active_connections) == 70_000)
     made.passes(fronts.SWEEP_INTERVAL)
     assert [client.ended for client in clients] == [False, True, False]
 
@@ -190,8 +198,11 @@
     spoilt, half = made.client(), made.client()
     for client in (spoilt, half):
         client.send(b"Content-Length: 50\r\n\r\nhalf")
-    made.until(lambda: len(made.process.front.connections) == 2)
-    first, look = next(iter(made.process.front.connections)), connections.ClientConnection.check_progress
+    made.until(lambda: len(made.process.front.active_connections) == 2)
+    first, look = (
+        next(iter(made.process.front.active_connections)),
+        connections.ClientConnection.check_progress,
+    )
     monkeypatch.setattr(
         connections.ClientConnection,
         "check_progress",
@@ -243,12 +254,12 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: held)
-    client.stream.on_half = lambda: None  # reads the end of sending, and closes when the test says so
+    client.stream.on_half_close = lambda: None  # reads the end of sending, and closes when the test says so
     ended = stopped(made)
     made.passes(MILLI)
     made.hosts[0].serve(*held[0])
     made.until(lambda: client.answers)
-    made.passes(FAREWELL + MILLI)
+    made.passes(CLOSE_WAIT + MILLI)
     assert "result" in client.answers[0]
     assert not ended()
     assert not client.ended
@@ -275,10 +286,10 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    (link,) = made.process.front.connections
+    (link,) = made.process.front.active_connections
     ended = stopped(made)
     monkeypatch.setattr(link.stream.__class__, "_send", lambda stream, data: 0)
-    link.stream.out, link.stream.waiting = [b"x"], 1  # as where the client's window is shut
+    link.stream.outgoing, link.stream.bytes_unsent = [b"x"], 1  # as where the client's window is shut
     made.passes(MILLI)
     made.passes(made.process.shutdown.times.exit_at - made.loop.now() - MILLI)
     assert not ended()
@@ -292,7 +303,7 @@
     made = gate(clock=Handed())
     whole, never = made.client(), made.client()
     for client in (whole, never):
-        client.ask(1, i=f"{len(made.process.front.connections) + 1:016x}")
+        client.ask(1, i=f"{len(made.process.front.active_connections) + 1:016x}")
         made.until(lambda client=client: client.answers)
     ended = stopped(made)
     made.passes(MILLI)
@@ -300,7 +311,7 @@
     said = spoken(whole, 2)
     whole.send(said[:40])
     never.send(said[:40])
-    made.until(lambda: sum(link.reader.mid_message for link in made.process.front.connections) == 2)
+    made.until(lambda: sum(link.reader.mid_message for link in made.process.front.active_connections) == 2)
     at_closing(made)
     assert not ended()
     whole.send(said[40:])
@@ -318,7 +329,7 @@
 def test_who_waits_in_the_kernels_queue_at_the_stop_is_answered_though_the_house_is_full(gate):
     made = gate(sockets=70, clock=Handed())
     front = made.process.front
-    rest = [made.client() for _ in range(front.lot.admission.most)]
+    rest = [made.client() for _ in range(front.connections.admission.max_connections)]
     for place, client in enumerate(rest):
         client.ask(1, i=f"{place:016x}")
     made.until(lambda: all(client.answers for client in rest))
@@ -367,7 +378,7 @@
     if not open_before:
         made.hosts[0].serve(*held[0])
         made.until(lambda: client.answers)
-    (link,) = made.process.front.connections
+    (link,) = made.process.front.active_connections
     client.ask(2)  # in the gateway's socket, not read by it
     made.process.front.stop()
     if open_before:
@@ -430,7 +441,7 @@
     take, give = exhausted
     made = gate(clock=Handed())
     clients = []
-    for _ in range(SHORT + 2):  # each idle for a little longer than the next
+    for _ in range(EVICTIONS_PER_SHORTAGE + 2):  # each idle for a little longer than the next
         clients.append(made.client())
         made.turns(5)
         made.passes(10 * MILLI)
@@ -444,7 +455,7 @@
     give()
     assert [what for what, _ in made.lines[-2:]] == ["status", "configuration not read yet"]
     assert made.lines[-2][1]["descriptors"] is made.lines[-2][1]["memory_mb"] is None
-    assert [client.ended for client in clients] == [True] * SHORT + [False] * 2
+    assert [client.ended for client in clients] == [True] * EVICTIONS_PER_SHORTAGE + [False] * 2
     made.passes(READ_BACKOFF + MILLI)
     assert made.lines[-1][0] == "configuration"
     assert made.process.host_list.watcher.address == address("127.0.0.1:9")
@@ -463,8 +474,8 @@
     made.turns()
     assert not told
     assert not idle.ended
-    made.passes(DIAL_FIRST)
-    made.passes(2 * DIAL_FIRST)
+    made.passes(FIRST_DIAL_PAUSE)
+    made.passes(2 * FIRST_DIAL_PAUSE)
     give()
     made.until(lambda: told and idle.ended)
     sock, error = told[0]
@@ -487,7 +498,7 @@
 @pytest.mark.parametrize("sockets", [32, 64, 90, 256, 1024])
 def test_what_clients_hosts_and_the_process_may_hold_is_never_more_than_the_limit(gate, sockets):
     process = gate(sockets=sockets).process
-    most = process.front.lot.admission.most
-    assert most + process.hosts.max_connections + OWN <= sockets
+    most = process.front.connections.admission.max_connections
+    assert most + process.hosts.max_connections + PROCESS_DESCRIPTORS <= sockets
     assert process.hosts.max_connections > 0
     assert most >= sockets // 3 or sockets < 64  # what clients may hold by the protocol
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -119,8 +119,8 @@
     client = made.client()
     first, rest = halves(client, 1)
     client.send(first)
-    made.until(lambda: made.process.front.connections)
-    (link,) = made.process.front.connections
+    made.until(lambda: made.process.front.active_connections)
+    (link,) = made.process.front.active_connections
     made.clock.now += connections.PROGRESS_TIMEOUT + MILLI
     client.send(rest)  # in the gateway's socket, not read by it
     link.check_progress(made.loop.now())
@@ -135,7 +135,7 @@
     client.ask(1, d=2900)
     made.until(lambda: held)
     client.send(halves(client, 2)[0])
-    made.until(lambda: next(iter(made.process.front.connections)).reader.mid_message)
+    made.until(lambda: next(iter(made.process.front.active_connections)).reader.mid_message)
     made.passes(connections.PROGRESS_TIMEOUT + MILLI)
     made.passes(fronts.SWEEP_INTERVAL)
     assert codes(client) == ({}, [ErrorCode.PARSE_ERROR])
@@ -170,10 +170,10 @@
     client.ask(1, d=2900)
     client.ask(2, d=2900)
     made.until(lambda: len(held) == 2)
-    (link,) = made.process.front.connections
+    (link,) = made.process.front.active_connections
     reads = takes_nothing(link, monkeypatch)
     made.hosts[0].serve(*held[0])
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     made.passes(connections.PROGRESS_TIMEOUT + MILLI)
     made.passes(fronts.SWEEP_INTERVAL)
     made.hosts[0].serve(*held[1])
@@ -191,10 +191,10 @@
     client = made.client()
     client.ask(1, d=1000)
     made.until(lambda: client.answers)
-    (link,) = made.process.front.connections
+    (link,) = made.process.front.active_connections
     takes_nothing(link, monkeypatch)
     client.ask(2, d=1000)
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     made.passes(connections.PROGRESS_TIMEOUT + MILLI)
     made.passes(fronts.SWEEP_INTERVAL)
     assert client.ended
@@ -209,7 +209,7 @@
     made.until(lambda: held)
     for client, size in zip(clients, (40_000, 30_000), strict=True):
         client.send(b"Content-Length: 45000\r\n\r\n" + b"x" * size)
-    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.connections) == 70_000)
+    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.active_connections) == 70_000)
     made.passes(fronts.SWEEP_INTERVAL)
     assert [client.ended for client in clients] == [False, True]
     made.hosts[0].serve(*held[0])
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -12,7 +12,7 @@
 from scripted import MILLI, SECOND, SETTINGS, Gate, Handed, nothing
 
 from gaproute.fronts.jsonrpc.errors import ErrorCode
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.platform.shutdown import ACCEPT_TIME, KILL_GRACE, MAX_COUNTED_DEADLINE, shutdown_times
 
 STEP = 20 * MILLI  # between two requests of a client
@@ -147,15 +147,15 @@
 def test_a_full_house_at_work_at_the_end_answers_who_still_waits_to_be_accepted(gate):
     made, held = holding(gate, sockets=70)
     front = made.process.front
-    clients = [made.client() for _ in range(front.lot.admission.most)]
+    clients = [made.client() for _ in range(front.connections.admission.max_connections)]
     for number, client in enumerate(clients):
         client.ask(1, i=f"{number:016x}")
-    made.until(lambda: len(front.connections) == len(clients))
+    made.until(lambda: len(front.active_connections) == len(clients))
     late = made.client()
     late.ask(1, i="f" * 16)
     made.turns()
     assert not late.answers
-    assert front.lot.held == front.lot.admission.most
+    assert front.connections.client_count == front.connections.admission.max_connections
     front.stop_accepting()
     assert front.listener.sock.fileno() >= 0  # it waits for room, and is not reset
     front.stop()
--- a/tests/support/request_scenarios.py
+++ b/tests/support/request_scenarios.py
@@ -9,7 +9,8 @@
 
 from scripted import SETTINGS, Handed
 
-from gaproute.loop.streams import Stream, address
+from gaproute.loop.addresses import address
+from gaproute.loop.streams import Stream
 from gaproute.standins.platform import arg
 
 LARGE_BUFFER = 1 << 20  # asked for as a receive buffer: all that a test sends lies there
@@ -158,5 +159,5 @@
     made.clog = fill_after(made.link, 500)
     client = made.client()
     client.ask(1, method, arg=arg(b"x" * 1000), d=2000)
-    made.until(lambda: made.link.stream.waiting)
+    made.until(lambda: made.link.stream.bytes_unsent)
     return made, client
