--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -243,10 +243,11 @@
     def tell_list(self, place):
         gateway = self.gateways[place].gateway
         gateway.listed(self.clock.now, self.rows(), True)
-        for worker in [worker for worker in gateway.fleet if self.named and self.clock.now < worker.warm_at]:
-            gateway.note(worker, self.clock.now, face.Report(in_hand=0))
+        now = self.clock.now
+        for host in [host for host in gateway.active_hosts if self.named and now < host.warm_at]:
+            gateway.loads.record(host, now, face.Report(in_hand=0))
             for number in range(FUNCTIONS):
-                gateway.hint(worker.id, f"f{number}", LANES, self.clock.now)
+                gateway.hint(host.id, f"f{number}", LANES, now)
 
     def back_cold(self, names):
         for name in names:
--- a/benchmarks/fleet/candidates.py
+++ b/benchmarks/fleet/candidates.py
@@ -4,31 +4,31 @@
 from zlib import crc32
 
 from benchmarks.fleet.parted import Alike
-from gaproute.decisions.routing.beliefs import LOAD_LIFE, MILLI, SECOND
+from gaproute.decisions.routing.parameters import MILLI, REPORT_LIFETIME, SECOND
 
 NEAR_TIE = 0.3  # points: less than from one choice of the hash to the next
 WORK_TIME = 100 * MILLI  # over which what a report told of has been answered
-SOFT = 0.1  # points by which a worker is chosen e times as often
+SOFT = 0.1  # points by which a host is chosen e times as often
 
 
 class Aged(Alike):
     """(a) A report fades to the usual one within an answer time: what all others send comes in between."""
 
-    def queue(self, worker, task, now):
-        told = super().queue(worker, task, now)
-        age = now - worker.reported
-        if worker.report is None or age > LOAD_LIFE or worker.report.cpu_busy is None:
+    def queue(self, host, request, now):
+        told = super().queue(host, request, now)
+        age = now - host.reported_at
+        if host.report is None or age > REPORT_LIFETIME or host.report.cpu_busy is None:
             return told
-        usual = self.usual_share(now) * task.lanes
+        usual = self.usual_share(now) * request.lanes
         fresh = exp(-age / WORK_TIME)
-        return max(usual + (worker.report.cpu_busy * task.lanes - usual) * fresh, len(worker.out))
+        return max(usual + (host.report.cpu_busy * request.lanes - usual) * fresh, len(host.in_flight))
 
     def usual_share(self, now):
         if now - getattr(self, "shared_at", -SECOND) > 40 * MILLI:
             shares = [
-                worker.report.cpu_busy
-                for worker in self.fleet
-                if worker.report is not None and now - worker.reported <= LOAD_LIFE
+                host.report.cpu_busy
+                for host in self.hosts.active
+                if host.report is not None and now - host.reported_at <= REPORT_LIFETIME
             ]
             self.shared, self.shared_at = sum(shares) / len(shares) if shares else 0.0, now
         return self.shared
@@ -46,42 +46,42 @@
 
     slack = NEAR_TIE
 
-    def room(self, worker):
-        busy = worker.report.cpu_busy if worker.report is not None else 0.0
-        return max(1, int(1000 * worker.capacity * (1 - busy)))
+    def room(self, host):
+        busy = host.report.cpu_busy if host.report is not None else 0.0
+        return max(1, int(1000 * host.capacity * (1 - busy)))
 
     def pick(self, scored):
         best = max(each.score for each in scored)
         near = sorted(
             [each.host for each in scored if each.score >= best - self.slack],
-            key=lambda worker: worker.place,
+            key=lambda host: host.index,
         )
-        rooms = [self.room(worker) for worker in near]
+        rooms = [self.room(host) for host in near]
         drawn = self.chance.below(sum(rooms))
-        for worker, room in zip(near, rooms, strict=True):
+        for host, room in zip(near, rooms, strict=True):
             drawn -= room
             if drawn < 0:
-                return worker
+                return host
         raise AssertionError("drawn beyond all room")
 
 
 class Firsts(Alike):
     """(d) Of the first choices that count alike each gateway has its own."""
 
-    def prior(self, name, worker, rank, width, prior):
+    def prior(self, name, host, rank, width, prior):
         mine = (self.number + crc32(name.encode())) % width
-        return super().prior(name, worker, rank, width, prior) * (
+        return super().prior(name, host, rank, width, prior) * (
             1.0 if rank >= width or rank == mine else 0.93
         )
 
 
 class Coarse(Alike):
-    """(c) A queue counts in whole steps alone, so that the workers of one step share by chance."""
+    """(c) A queue counts in whole steps alone, so that the hosts of one step share by chance."""
 
     step = 1  # task, of those that a share of CPU stands for: a quarter of the share
 
-    def queue(self, worker, task, now):
-        return super().queue(worker, task, now) // self.step * self.step
+    def queue(self, host, request, now):
+        return super().queue(host, request, now) // self.step * self.step
 
 
 class Coarser(Coarse):
@@ -91,12 +91,14 @@
 
 
 class Steps(Alike):
-    """(c) As `Coarser`, of the share of CPU alone: own tasks in hand count each."""
+    """(c) As `Coarser`, of the share of CPU alone: own attempts in flight count each."""
 
-    def queued(self, worker, lanes, now):
-        super().queued(worker, lanes, now)
-        told, share, own = worker.tally
-        return max(told + share * lanes // Coarser.step * Coarser.step, own)
+    def queue(self, host, request, now):
+        report, own = host.report, len(host.in_flight)
+        if report is None or report.cpu_busy is None or now > host.reported_at + REPORT_LIFETIME:
+            return own
+        since = sum([sent > host.reported_at for sent in host.in_flight.values()])
+        return max(since + report.cpu_busy * request.lanes // Coarser.step * Coarser.step, own)
 
 
 class Soft(Alike):
@@ -107,7 +109,7 @@
     def pick(self, scored):
         best = max(each.score for each in scored)
         near = sorted(
-            [each for each in scored if each.score >= best - self.slack], key=lambda each: each.host.place
+            [each for each in scored if each.score >= best - self.slack], key=lambda each: each.host.index
         )
         weights = [exp((each.score - best) / self.heat) for each in near]
         drawn = self.chance.below(SECOND) / SECOND * sum(weights)
--- a/benchmarks/fleet/cold_hosts.py
+++ b/benchmarks/fleet/cold_hosts.py
@@ -100,7 +100,7 @@
         super().ask(function, track)
 
     def knows(self, worker):
-        return self.gateway.workers[worker].started == self.world.hosts[worker].started
+        return self.gateway.hosts_by_id[worker].started == self.world.hosts[worker].started
 
     def work(self, function):
         """Of a request: by chance, or all of one function alike where the day says so."""
--- a/benchmarks/fleet/follow.py
+++ b/benchmarks/fleet/follow.py
@@ -14,8 +14,8 @@
 from benchmarks.fleet.variants import VARIANTS
 from benchmarks.fleet.world import World
 from benchmarks.rows import table, write
-from gaproute.decisions.routing.beliefs import LOAD_LIFE
-from gaproute.decisions.routing.score import NIL
+from gaproute.decisions.routing.parameters import REPORT_LIFETIME
+from gaproute.decisions.routing.scorer import ROUNDING
 
 WHY = (
     "only copy known",
@@ -35,10 +35,10 @@
     if mine.warmth > 0 and sum(each.warmth > 0 for each in scored) == 1:
         return WHY[0]
     best = max(each.score + each.queue for each in scored)
-    alike = [each for each in scored if each.score + each.queue >= best - NIL]
+    alike = [each for each in scored if each.score + each.queue >= best - ROUNDING]
     if len(alike) == 1 and alike[0] is mine:
         return WHY[1] if mine.warmth > 0 else WHY[3]
-    if sum(each.score >= mine.score - NIL for each in alike) > 1 and mine in alike:
+    if sum(each.score >= mine.score - ROUNDING for each in alike) > 1 and mine in alike:
         return WHY[6]
     return WHY[2] if mine.warmth > 0 else WHY[4] if mine in alike else WHY[5]
 
@@ -50,14 +50,14 @@
 
     def relayed(self, now, one, function, worker, host):
         super().relayed(now, one, function, worker, host)
-        if now < self.since or not one.gateway.latest:
+        if now < self.since or not one.gateway.selector.latest:
             return
-        known = one.gateway.workers[worker]
-        age = now - known.reported if known.report is not None else LOAD_LIFE + 1
-        since = len(host.came) - bisect_right(host.came, known.reported) if age <= LOAD_LIFE else 0
-        own = sum(sent > known.reported for sent in known.out.values())
+        known = one.gateway.hosts_by_id[worker]
+        age = now - known.reported_at if known.report is not None else REPORT_LIFETIME + 1
+        since = len(host.came) - bisect_right(host.came, known.reported_at) if age <= REPORT_LIFETIME else 0
+        own = sum(sent > known.reported_at for sent in known.in_flight.values())
         others = mean(each.busy for each in self.world.hosts.values())
-        self.each[why(one.gateway.latest, worker)].append(
+        self.each[why(one.gateway.selector.latest, worker)].append(
             (age, since, own, host.busy / others if others else 0.0, function in host.copies)
         )
 
@@ -68,7 +68,7 @@
         for name, some in self.each.items():
             if not some:
                 continue
-            fresh = [each for each in some if each[0] <= LOAD_LIFE]
+            fresh = [each for each in some if each[0] <= REPORT_LIFETIME]
             rows.append(
                 {
                     "decided by": name,
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -22,7 +22,7 @@
 
 
 class One(Driver):
-    """`decisions`: its `route.Gateway`, or what stands in for it."""
+    """`decisions`: its `routing.Gateway`, or what stands in for it."""
 
     def __init__(self, world, place, decisions, rows):
         super().__init__(decisions)
--- a/benchmarks/fleet/measures.py
+++ b/benchmarks/fleet/measures.py
@@ -41,7 +41,7 @@
         )
 
     def told(self, now, teller, words):
-        heard = teller.gateway.sharing.words.read(words)
+        heard = teller.gateway.sharing.decode(words)
         if heard is not None and now >= self.since:
             self.reports.append((now, heard[0], heard[1].cpu_busy))
 
--- a/benchmarks/fleet/parted.py
+++ b/benchmarks/fleet/parted.py
@@ -1,20 +1,25 @@
 """The policy's choice taken apart, so that each part of a score can be followed and changed alone.
 
-`Parted` chooses as `routing.Gateway` does (`tests/benchmarks/test_benchmark_fleet.py` holds it to that) and
-keeps the scores of its last choice. What a candidate changes is one of the methods under "Parts".
+`PartedSelector` chooses as `routing.host_selector.HostSelector` does (tests hold it to that: see
+`tests/benchmarks/test_benchmark_fleet.py`) and keeps the scores of its last choice. What a candidate changes
+is one of the methods under "Parts".
 """
 
 from typing import NamedTuple
 
-from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing import score as policy
-from gaproute.decisions.routing.beliefs import SECOND, WIDE, Worker
+from gaproute.decisions.routing import Gateway, candidates
+from gaproute.decisions.routing import scorer as policy
+from gaproute.decisions.routing.function_mix import FunctionMix
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.host_loads import HostLoads
+from gaproute.decisions.routing.host_selector import HostSelector
+from gaproute.decisions.routing.parameters import SECOND
 
 
 class Scored(NamedTuple):
     """Points of one host; `queue`, `memory` and `doubt` are taken off."""
 
-    host: Worker
+    host: Host
     warmth: float
     copy: float
     queue: float
@@ -28,99 +33,109 @@
         return self.copy - self.queue - self.memory + self.prior + self.near - self.doubt
 
 
-class Parted(Gateway):
-    slack = 0.0  # points below the best up to which a worker is still scored
+class PartedSelector(HostSelector):
+    """`world` and `number`, of its gateway, are set by `PartedGateway`."""
 
-    def __init__(self, world, place, terms, now):
-        super().__init__(place, terms, now)
-        self.world, self.number, self.latest = world, place, []
+    slack = 0.0  # points below the best up to which a host is still scored
+    loads_type, mix_type = HostLoads, FunctionMix
+    world, number = None, 0
+
+    def __init__(self, *parts):
+        super().__init__(*parts)
+        self.latest = []
 
     # Parts
 
-    def queue(self, worker, task, now):
-        """Tasks taken to be at the worker."""
-        return self.queued(worker, task.lanes, now)
+    def queue(self, host, request, now):
+        """Requests taken to be at the host."""
+        return self.scorer.loads.queued(host, request.lanes, now)
 
     def queue_weight(self, heat):
-        return policy.QUEUE + (policy.QUEUE_HOT - policy.QUEUE) * heat
+        return policy.QUEUE_POINTS + (policy.QUEUE_POINTS_HOT - policy.QUEUE_POINTS) * heat
 
-    def prior(self, name, worker, rank, width, prior):
-        """At most prior * PRIOR_FALL ** (rank // width)."""
-        return prior * policy.PRIOR_FALL ** (rank // width or policy.OTHERS * (rank != self.own % width))
+    def prior(self, name, host, rank, width, prior):
+        """At most prior * HASH_FALL ** (rank // width)."""
+        others = policy.OTHERS_FALL * (rank != self.scorer.own_choice % width)
+        return prior * candidates.HASH_FALL ** (rank // width or others)
 
-    def copy(self, name, worker, rank, width, warmth):
-        """Warmth of the worker's copy, by what this gateway believes."""
+    def copy(self, name, host, rank, width, warmth):
+        """Warmth of the host's instance, by what this gateway believes."""
         return warmth
 
     def pick(self, scored):
         best = max(each.score for each in scored)
         ties = [each.host for each in scored if each.score == best]
         if len(ties) > 1:
-            ties.sort(key=lambda worker: worker.place)
+            ties.sort(key=lambda host: host.index)
         return ties[self.chance.below(len(ties))]
 
     # The whole
 
-    def scores(self, now, task, trail, function, able):
-        capacity = self.capacity if able is self.fleet else sum([worker.capacity for worker in able])
-        usual_memory = None
-        lanes = max(task.lanes, policy.ROOM) * len(able) / capacity
-        breadth = self.breadth(task.function)
-        heat, width = min(1.0, breadth), max(1, int(WIDE * breadth))
-        weight = self.queue_weight(heat)
-        prior = policy.PRIOR + (policy.PRIOR_HOT - policy.PRIOR) * heat
-        worth = policy.WARMTH * max(1.0, self.load_usual(None) / self.shortest)
-        doubts = {worker.id: self.doubt(worker, task.request_class, now) for worker in able if worker.bad}
-        for zone, until in self.silent.items():
-            if now < until or trail.failed:
-                doubts.update({worker.id: 1.0 for worker in able if worker.zone == zone})
+    def scores(self, now, request, attempts, function, able):
+        scorer, name = self.scorer, request.function
+        weights = scorer.weights(request, able)
+        lanes, width = weights.lanes, weights.width
+        queue_weight = self.queue_weight(min(1.0, scorer.mix.breadth(name)))
+        doubts = scorer.doubts(now, request, attempts, able)
+        usual_memory = scorer.usual_memory()
         best, scored = None, []
-        least = self.near - policy.QUEUE / (lanes * self.strongest) + self.slack
-        for worker, warmth, rank, most in self.contenders(now, task.function, function, able, prior, width):
-            if best is not None and most + least < best - policy.NIL:
+        most_capacity = self.hosts.largest_capacity
+        least = scorer.near_points - policy.QUEUE_POINTS / (lanes * most_capacity) + self.slack
+        for host, warmth, rank, most in scorer.order.candidates(
+            now, name, function, able, weights.hash, width
+        ):
+            if best is not None and most + least < best - policy.ROUNDING:
                 break
-            pace = worker.slow if now < worker.slow_until else 1.0
-            strength = worker.capacity / pace
-            if now < worker.warm_at:
-                strength *= self.power(worker, now)
-            if worker.memory is None and usual_memory is None:
-                memories = [worker.memory for worker in self.fleet if worker.memory is not None]
-                usual_memory = sum(memories) / len(memories) if memories else 0.0
-            warmth = self.copy(task.function, worker, rank, width, warmth) / pace
+            slowdown = host.slowdown if now < host.slowdown_until else 1.0
+            strength = host.capacity / slowdown
+            if now < host.warm_at:
+                strength *= scorer.slow_start.available_share(host, now)
+            memory = usual_memory if host.memory_busy is None else host.memory_busy
+            warmth = self.copy(name, host, rank, width, warmth) / slowdown
             scored.append(
                 Scored(
-                    worker,
+                    host,
                     warmth,
-                    worth * warmth,
-                    weight * (self.queue(worker, task, now) + 1) / (lanes * strength),
-                    policy.MEMORY * (usual_memory if worker.memory is None else worker.memory),
-                    self.prior(task.function, worker, rank, width, prior) * (1 - warmth),
-                    self.near if worker.zone == self.zone else 0.0,
-                    policy.SHUN * doubts.get(worker.id, 0.0),
+                    weights.warmth * warmth,
+                    queue_weight * (self.queue(host, request, now) + 1) / (lanes * strength),
+                    policy.MEMORY_POINTS * memory,
+                    self.prior(name, host, rank, width, weights.hash) * (1 - warmth),
+                    scorer.near_points if host.zone == scorer.zone else 0.0,
+                    policy.DOUBT_POINTS * doubts.get(host.id, 0.0),
                 )
             )
             best = scored[-1].score if best is None else max(best, scored[-1].score)
         return scored
 
-    def choose(self, now, task, trail):
-        function = self.function(task.function, task.lanes)
-        resting = now < function.rests_until and not trail.failed
-        able = self.able(now, task, trail, function, resting)
+    def choose(self, now, request, attempts):
+        function = self.functions.find_or_add(request.function, request.lanes)
+        paused = now < function.paused_until and not attempts.failed_hosts
+        able = self.able_hosts(now, request, attempts, function, paused=paused)
         if not able:
             return None
-        self.latest = self.scores(now, task, trail, function, able)
-        worker = self.pick(self.latest)
-        if now < worker.warm_at and self.chance.below(SECOND) >= worker.credit * SECOND:
-            worker.credit = 0.0
-            return self.choose(now, task, trail)
-        if now < worker.full_until and not resting and not trail.failed:
-            function.rests_until = worker.full_until
-            return self.choose(now, task, trail)
-        return worker if now >= worker.full_until else None
-
-
-class Alike(Parted):
+        self.latest = self.scores(now, request, attempts, function, able)
+        host = self.pick(self.latest)
+        if now < host.warm_at and self.chance.below(SECOND) >= host.credit * SECOND:
+            host.credit = 0.0
+            return self.choose(now, request, attempts)
+        if now < host.full_until and not paused and not attempts.failed_hosts:
+            function.paused_until = host.full_until
+            return self.choose(now, request, attempts)
+        return host if now >= host.full_until else None
+
+
+class PartedGateway(Gateway):
+    """Chooses by a `PartedSelector`, which may see the whole world."""
+
+    def __init__(self, world, number, terms, now, selector_type=PartedSelector):
+        self.selector_type = selector_type
+        self.loads_type, self.mix_type = selector_type.loads_type, selector_type.mix_type
+        super().__init__(number, terms, now)
+        self.selector.world, self.selector.number = world, number
+
+
+class Alike(PartedSelector):
     """As it was when the candidates were measured: first choices that count alike have all of the prior."""
 
-    def prior(self, name, worker, rank, width, prior):
-        return prior * policy.PRIOR_FALL ** (rank // width)
+    def prior(self, name, host, rank, width, prior):
+        return prior * candidates.HASH_FALL ** (rank // width)
--- a/benchmarks/fleet/seers.py
+++ b/benchmarks/fleet/seers.py
@@ -1,8 +1,7 @@
 """Comparisons that see what no gateway can: true queues, as they are or were, and true copies."""
 
 from benchmarks.fleet.parted import Alike
-from gaproute.decisions.routing import score as policy
-from gaproute.decisions.routing.beliefs import MILLI
+from gaproute.decisions.routing.parameters import MILLI, USUAL_CONCURRENCY
 
 POINT = 0.5  # points a task in hand, where queues are true: a copy is worth twelve
 
@@ -12,14 +11,13 @@
 
     lag = 0
 
-    def true(self, worker):
-        host = self.world.hosts[worker.id]
+    def true(self, host):
         if not self.lag:
-            return host.busy
-        return self.world.past.busy(worker.id, self.lag)
+            return self.world.hosts[host.id].busy
+        return self.world.past.busy(host.id, self.lag)
 
-    def queue(self, worker, task, now):
-        return self.true(worker)
+    def queue(self, host, request, now):
+        return self.true(host)
 
 
 class Level(Sees):
@@ -28,16 +26,16 @@
     slack = 100.0  # all are scored
 
     def queue_weight(self, heat):
-        return POINT * policy.ROOM
+        return POINT * USUAL_CONCURRENCY
 
-    def copy(self, name, worker, rank, width, warmth):
-        return 1.0 if name in self.world.hosts[worker.id].copies else 0.0
+    def copy(self, name, host, rank, width, warmth):
+        return 1.0 if name in self.world.hosts[host.id].copies else 0.0
 
 
 class Least(Level):
     """True queues and nothing else: the least load, whatever it costs in loads."""
 
-    def copy(self, name, worker, rank, width, warmth):
+    def copy(self, name, host, rank, width, warmth):
         return 1.0
 
 
--- a/benchmarks/fleet/variants.py
+++ b/benchmarks/fleet/variants.py
@@ -1,12 +1,13 @@
 """Who chooses, by name: the policy as it is, some that see all, and the candidates (docs/evenness.md)."""
 
+from functools import partial
+
 from benchmarks.fleet import candidates, seers, smoothed
-from benchmarks.fleet.parted import Alike, Parted
+from benchmarks.fleet.parted import Alike, PartedGateway, PartedSelector
 from gaproute.decisions.routing import Gateway
 
-VARIANTS = {
-    "today": lambda world, seed, terms, now: Gateway(seed, terms, now),
-    "parted": Parted,
+SELECTORS = {
+    "parted": PartedSelector,
     "alike": Alike,
     **{
         each.__name__.lower(): each
@@ -36,3 +37,7 @@
         )
     },
 }
+VARIANTS = {
+    "today": lambda world, seed, terms, now: Gateway(seed, terms, now),
+    **{name: partial(PartedGateway, selector_type=selector) for name, selector in SELECTORS.items()},
+}
--- a/benchmarks/scale/cell_faults.py
+++ b/benchmarks/scale/cell_faults.py
@@ -48,7 +48,7 @@
     def alike(self):
         """Whether the gateways in full have all hosts of the cells that they know."""
         return all(
-            len(decisions.workers) == HOSTS
+            len(decisions.hosts_by_id) == HOSTS
             for gateway in self.gateways().values()
             for decisions in gateway.parts["hosts"].gateway.gateways()
         )
--- a/benchmarks/scale/costs/sharing.py
+++ b/benchmarks/scale/costs/sharing.py
@@ -5,8 +5,8 @@
 from benchmarks.scale.gateways import MILLI, SECOND, TERMS, Caller
 from benchmarks.scale.plays import CPU, cpu_ms, grown
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.routing.ration import Ration
-from gaproute.decisions.routing.sharing import Sharing
+from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
+from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
 
 WINDOW = 10 * SECOND
 CALLS = (100, 1_000, 10_000, 100_000, 1_000_000)
@@ -19,38 +19,40 @@
 )
 
 
-def _full_ration(calls):
-    """A ration whose window holds so many delivered calls; the time; the time between two calls."""
-    ration, gap = Ration(TERMS.load_orders_free, TERMS.load_order_share, WINDOW), WINDOW // calls
+def _full_limiter(calls):
+    """A limiter whose window holds so many delivered calls; the time; the time between two calls."""
+    limiter = LoadOrderLimiter(TERMS.load_orders_free, TERMS.load_order_share, WINDOW)
+    gap = WINDOW // calls
     for number in range(calls):
-        ration.delivered(number * gap, number * gap)
-    return ration, WINDOW, gap
+        limiter.delivered(number * gap, number * gap)
+    return limiter, WINDOW, gap
 
 
 def may_order(calls: int, seed: int) -> float:
     """Milliseconds of asking whether an order may go out."""
-    ration, now, _ = _full_ration(calls)
-    return cpu_ms(lambda: ration.may(now), REPEATS)
+    limiter, now, _ = _full_limiter(calls)
+    return cpu_ms(lambda: limiter.allows(now), REPEATS)
 
 
 def delivered(calls: int, seed: int) -> float:
     """Milliseconds of counting one delivered call, the window moving on."""
-    ration, now, gap = _full_ration(calls)
+    limiter, now, gap = _full_limiter(calls)
     chance = Chance(seed)
     times = iter([(now + number * gap, now + number * gap - chance.below(LATE)) for number in range(REPEATS)])
-    return cpu_ms(lambda: ration.delivered(*next(times)), REPEATS)
+    return cpu_ms(lambda: limiter.delivered(*next(times)), REPEATS)
 
 
 def pick(hosts: int, seed: int) -> float:
     """Milliseconds of choosing the host to probe."""
-    fleet, sharing, chance = Caller(hosts, seed).gateway.fleet, Sharing(TELLING), Chance(seed)
+    active, chance = Caller(hosts, seed).gateway.active_hosts, Chance(seed)
+    sharing = LoadReportSharing(TELLING)
     for _ in range(PICKS):
-        sharing.task()
+        sharing.request_delivered()
     times = iter(range(SECOND, 2 * SECOND, MILLI))
 
     def choose():
-        sharing.task()
-        if sharing.pick(next(times), fleet, 0, chance) is None:
+        sharing.request_delivered()
+        if sharing.host_to_probe(next(times), active, 0, chance) is None:
             raise RuntimeError("no host was chosen")
 
     return cpu_ms(choose, PICKS)
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -2,7 +2,7 @@
 
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.beliefs import MIX
+from gaproute.decisions.routing.parameters import MIX_SIZE
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 ZONES, CELLS = 13, 640
@@ -92,7 +92,7 @@
     def crowd_mix(self) -> None:
         """Fills the last calls' functions with others, as many calls of a large fleet's traffic would: the
         function called next is then rare."""
-        self.gateway.mix.extend(f"other-{number}" for number in range(MIX))
+        self.gateway.mix.recent.extend(f"other-{number}" for number in range(MIX_SIZE))
 
 
 def _rest(serve, heard):
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -39,8 +39,8 @@
             "refused": dict(others.lore.refused),
             "peers": learner.state if learner else {},
             "booked": learner.booked if learner else 0,
-            "right": sum(each.right for each in decisions(gate)),
-            "wrong": sum(each.wrong for each in decisions(gate)),
+            "right": sum(each.hints.right for each in decisions(gate)),
+            "wrong": sum(each.hints.wrong for each in decisions(gate)),
         },
         "telling": giver and {"facts": giver.told, "put_off": giver.put_off, "cpu_ms": giver.spent / MILLI},
         "memory": writer
@@ -80,8 +80,8 @@
     """Copies that are believed to stand, the latest use first, with what speaks for each: an answer, a task
     sent there, or who told of it; `tried`: whether that was followed yet."""
     now, told = gate.loop.now(), []
-    for name, function in (pair for each in decisions(gate) for pair in each.functions.items()):
-        for tried, table in ((True, function.seen), (False, function.told)):
+    for name, function in (pair for each in decisions(gate) for pair in each.functions_by_name.items()):
+        for tried, table in ((True, function.last_used), (False, function.hinted_at)):
             for worker, seen in table.items():
                 fact = gate.others.lore.facts.get(("warm", worker, name))
                 told.append(
@@ -91,7 +91,7 @@
                         "age_ms": (now - seen) // MILLI,
                         "tried": tried,
                         "by": "an answer"
-                        if worker in function.stands
+                        if worker in function.proven_at
                         else fact.origin
                         if fact
                         else "a task sent",
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -4,7 +4,7 @@
 table has at most one cell: the calls go straight through. With several cells it has a `routing.Gateway`
 for each cell that it knows, and forwards the calls of all others to their entry gateways.
 
-Invariant: all cells known share one load ration.
+Invariant: all cells known share one limit on load orders.
 """
 
 from gaproute.decisions.cells.choice import Chooser
@@ -94,15 +94,15 @@
         """From one cell to several. Its gateway goes on where its cell is still there and in view."""
         if self.table is not None and self.table.cells[0].name in table.by_name:
             self.local.add(self.table.cells[0].name, self.single)
-            self.local.ration = self.single.ration
+            self.local.load_order_limiter = self.single.load_order_limiter
         self.former, self.single = self.single, None
 
     def _unite(self, now, table):
         """From several cells to one."""
         self.single = self.local.gateways.get(table.cells[0].name)
         if self.single is None:
-            self.single = Gateway(self.local.seed, self.terms, now)
-            self.single.ration = self.local.ration
+            limiter = self.local.load_order_limiter
+            self.single = Gateway(self.local.seed, self.terms, now, limiter)
             if self.local.end_by is not None:
                 self.single.end_by = self.local.end_by
         self.former = self.homes = self.chooser = None
@@ -125,7 +125,7 @@
 
     def _leads_into(self, cell):
         """Whether, with one cell at most, that is the cell and a host of it is known."""
-        return self.table is not None and cell in self.table.by_name and bool(self.single.fleet)
+        return self.table is not None and cell in self.table.by_name and bool(self.single.active_hosts)
 
     def heard(self, now: int, outcome: Outcome):
         """Book one relay's outcome, whether or not its task is still held."""
@@ -137,12 +137,12 @@
 
     def probed(self, now, worker, good, report):
         """A probe's answer; returns what all other gateways are to be told, or None."""
-        gateway = self.single or self.local.of_worker(worker)
+        gateway = self.single or self.local.of_host(worker)
         return gateway.probed(now, worker, good, report) if gateway is not None else None
 
     def stood(self, now, worker, function, result, copies):
         """A load order's answer."""
-        gateway = self.single or self.local.of_worker(worker)
+        gateway = self.single or self.local.of_host(worker)
         if gateway is not None:
             gateway.stood(now, worker, function, result, copies)
 
--- a/gaproute/decisions/cells/invariants.py
+++ b/gaproute/decisions/cells/invariants.py
@@ -49,9 +49,9 @@
             yield f"forwarded to {wish.forwarded.cell}, which is not in the table"
         elif wish.host not in {entry.name for entry in cell.entries}:
             yield f"forwarded to {wish.host}, which is no entry of {cell.name}"
-    elif (owner := gateway.local.of_worker(wish.host)) is None:
+    elif (owner := gateway.local.of_host(wish.host)) is None:
         yield f"sent to {wish.host}, which is in no cell known"
-    elif not owner.workers[wish.host].active:
+    elif not owner.hosts_by_id[wish.host].active:
         yield f"sent to {wish.host}, which is not active"
 
 
--- a/gaproute/decisions/cells/journey.py
+++ b/gaproute/decisions/cells/journey.py
@@ -4,7 +4,7 @@
 that must not run twice leaves a cell only when every relay of it provably did not run.
 """
 
-from gaproute.decisions.routing.beliefs import LONG, MILLI
+from gaproute.decisions.routing.parameters import MILLI, NEVER
 from gaproute.interface import NEVER_RAN, Fail, Idempotency, Reject, Result
 
 LOOK = 500 * MILLI  # between looks at a task with an overdue relay
@@ -46,7 +46,7 @@
         """When to look again at the relays that are out: when one is overdue, and then now and then."""
         if self.late:
             return self.now + LOOK
-        return min((due for *_, due in self.out.values()), default=LONG)
+        return min((due for *_, due in self.out.values()), default=NEVER)
 
     def overdue(self):
         """Relays that have just become overdue, as (cell, worker, sent)."""
--- a/gaproute/decisions/cells/local.py
+++ b/gaproute/decisions/cells/local.py
@@ -1,11 +1,11 @@
-"""The cells of which this gateway knows the hosts: a `route.Gateway` for each.
+"""The cells of which this gateway knows the hosts: a `routing.Gateway` for each.
 
-Invariants: all of them share one load ration, so that knowing more cells orders no more loads; what came of
-a relay goes to the gateway that sent it, also after its cell has left the view.
+Invariants: all of them share one limit on load orders, so that knowing more cells orders no more loads; what
+came of a relay goes to the gateway that sent it, also after its cell has left the view.
 """
 
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.ration import Ration
+from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
 from gaproute.interface import Report, Wait
 
 SECOND = 1_000_000_000
@@ -18,7 +18,7 @@
 
     def __init__(self, seed, terms):
         self.seed, self.terms = seed, terms
-        self.ration = Ration(terms.load_orders_free, terms.load_order_share, terms.load_order_window)
+        self.load_order_limiter = LoadOrderLimiter.of(terms)
         self.gateways = {}  # cell: Gateway
         self.loads = {}  # cell: (time, tasks in hand at its hosts)
         self.keepers = {}  # cell: [its housekeeping, when that wants to be resumed]
@@ -37,8 +37,7 @@
         if gateway is None:
             if not complete:
                 return
-            gateway = Gateway(self.seed, self.terms, now)
-            gateway.ration = self.ration
+            gateway = Gateway(self.seed, self.terms, now, self.load_order_limiter)
             if self.end_by is not None:
                 gateway.end_by = self.end_by
             self.add(name, gateway)
@@ -54,10 +53,10 @@
         for gateway in self.gateways.values():
             gateway.end_by = when
 
-    def of_worker(self, worker):
+    def of_host(self, host):
         """The gateway that knows the host, or None."""
         for gateway in self.gateways.values():
-            if worker in gateway.workers:
+            if host in gateway.hosts_by_id:
                 return gateway
         return None
 
@@ -66,7 +65,7 @@
         at, load = self.loads.get(name, (None, 0.0))
         if at is None or now - at >= LOAD_KEPT:
             gateway = self.gateways[name]
-            load = float(sum(gateway.queued(worker, 1, now) for worker in gateway.fleet))
+            load = float(sum(gateway.queued(host, 1, now) for host in gateway.active_hosts))
             self.loads[name] = now, load
         return load
 
--- a/gaproute/decisions/cells/remote.py
+++ b/gaproute/decisions/cells/remote.py
@@ -12,7 +12,7 @@
 """
 
 from gaproute.decisions.cells.entries import MAX_HOPS, CellUnknown, Forward, Forwarded
-from gaproute.decisions.routing.task import ANSWER_BY
+from gaproute.decisions.routing.request_router import ANSWER_BY
 from gaproute.interface import Cancel, Group, Idempotency, Result, Wait
 
 ENTRIES_TRIED = 2  # of one cell, for one task
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -102,7 +102,7 @@
             inner = serve_remote(
                 journey, cell, self.entries, self.health, self.terms.cancel_allowed, lambda: self.end_by
             )
-        elif gateway.fleet:
+        elif gateway.active_hosts:
             inner = gateway.serve(journey.now, journey.rest() if journey.relays else journey.task)
         else:
             self.health.unreachable(journey.now, name)
--- /dev/null
+++ b/gaproute/decisions/routing/attempt_tracker.py
@@ -0,0 +1,89 @@
+"""The attempts in flight, and those that are overdue."""
+
+from typing import NamedTuple
+
+from gaproute.decisions.routing.answer_times import AnswerTimes
+from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.host import AttemptKey, Host
+from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.request_attempts import RequestAttempts
+from gaproute.decisions.routing.silent_zones import SilentZones
+from gaproute.interface import Request, RequestClass
+
+PATIENCE = 4  # usual answer times before an attempt counts as overdue,
+LEAST_PATIENCE = 2  # and at least so many where the latency objective is short
+LOAD_PATIENCE = 2  # usual load times more where a load is expected
+UNANSWERED = 1.0  # weight of a result that is no answer
+
+
+class InFlightAttempt(NamedTuple):
+    """What is to be known of an attempt when its outcome comes."""
+
+    host: str
+    function: str
+    request_class: int
+    sent_at: int  # ns
+    warm: bool  # whether an instance was taken to be loaded
+
+
+class AttemptTracker:
+    """Owns the attempts in flight of all requests."""
+
+    def __init__(
+        self,
+        request_classes: tuple[RequestClass, ...],
+        functions: FunctionTable,
+        answer_times: AnswerTimes,
+        outliers: OutlierDetector,
+        silent_zones: SilentZones,
+    ) -> None:
+        self.request_classes, self.functions = request_classes, functions
+        self.answer_times, self.outliers, self.silent_zones = answer_times, outliers, silent_zones
+        self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
+
+    def sent(self, now: int, request: Request, attempt: int, host: Host, attempts: RequestAttempts) -> float:
+        """An attempt was sent; returns when it counts as overdue (ns)."""
+        function = self.functions.find_or_add(request.function, request.lanes)
+        proven = function.proven_at.get(host.id, -1) >= host.instances_lost_at
+        warm = proven and self.functions.warmth(function, host, now) > 0
+        due = self._due(now, request, function, warm=warm)
+        key = request.id, attempt
+        host.in_flight[key] = now
+        self.in_flight[key] = InFlightAttempt(host.id, request.function, request.request_class, now, warm)
+        attempts.sent(attempt, host, now)
+        self.silent_zones.attempt_sent(host.zone, now)
+        function.used(host.id, now)
+        host.spend_credit()
+        return due
+
+    def _due(self, now: int, request: Request, function: Function, *, warm: bool) -> float:
+        usual = self.answer_times.usual(function)
+        objective = self.request_classes[request.request_class].latency_objective
+        due = now + min(PATIENCE * usual, max(LEAST_PATIENCE * usual, objective - 2 * usual))
+        if not warm:
+            due += LOAD_PATIENCE * self.answer_times.usual_load(request.load_time)
+        return due
+
+    def in_time(self, function: Function, took: int, *, warm: bool) -> bool:
+        """Whether an answer took no longer than one may that is not overdue."""
+        load = 0 if warm else LOAD_PATIENCE * self.answer_times.usual_load()
+        return took <= PATIENCE * self.answer_times.usual(function) + load
+
+    def hold_overdue_against_hosts(
+        self, now: int, request: Request, attempts: RequestAttempts, function: Function
+    ) -> float:
+        """Hold overdue attempts in silence against their hosts at once; returns when to look again (ns).
+
+        Silence, nothing of the class heard since, shows hosts that hang, vanish or are cut off, and one class
+        unanswered alone. It needs two such attempts or one for twice the patience, as one slow request proves
+        little. The request keeps its place: what is sent again is late and twice the work.
+        """
+        for attempt, (host, sent_at) in attempts.in_flight.items():
+            key = request.id, attempt
+            silent = host.answered_at.get(request.request_class, -1) < sent_at
+            if silent and not host.overdue.get(key, False):
+                host.overdue[key] = bool(host.overdue)  # another is overdue there, or this one was before
+                if host.overdue[key]:
+                    self.outliers.record(host, now, request.request_class, UNANSWERED)
+        self.silent_zones.check(now)
+        return now + PATIENCE * self.answer_times.usual(function)
--- /dev/null
+++ b/gaproute/decisions/routing/gateway.py
@@ -0,0 +1,257 @@
+"""A gateway's decisions: the parts, and the one face that callers use."""
+
+from collections.abc import Generator, Iterator, Mapping, Sequence
+from typing import Any
+
+from gaproute.decisions.chance import Chance
+from gaproute.decisions.routing.answer_times import AnswerTimes
+from gaproute.decisions.routing.attempt_tracker import AttemptTracker
+from gaproute.decisions.routing.candidates import CandidateOrder
+from gaproute.decisions.routing.function_mix import FunctionMix
+from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.hints import Hints
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.host_loads import HostLoads
+from gaproute.decisions.routing.host_selector import HostSelector
+from gaproute.decisions.routing.host_table import HostTable
+from gaproute.decisions.routing.housekeeping import Housekeeping
+from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
+from gaproute.decisions.routing.load_orders import LoadOrders
+from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
+from gaproute.decisions.routing.load_shedder import LoadShedder
+from gaproute.decisions.routing.observations import BEFORE_ALL, Observation, Observations
+from gaproute.decisions.routing.outcome_recorder import OutcomeRecorder
+from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.parameters import SECOND
+from gaproute.decisions.routing.ranking import Ranking
+from gaproute.decisions.routing.request_router import RequestRouter
+from gaproute.decisions.routing.retry_rules import RetryRules
+from gaproute.decisions.routing.scorer import Scorer
+from gaproute.decisions.routing.silent_zones import SilentZones
+from gaproute.decisions.routing.slow_start import SlowStart
+from gaproute.decisions.routing.throughput import Throughput
+from gaproute.interface import Action, ListedHost, Outcome, Report, Request, Result, Terms
+
+UNANSWERED_PROBE = 1.0  # weight of a probe that failed among a host's results
+
+
+class Gateway:
+    """Makes the parts, each of which owns its state, and passes on to them what callers hand in.
+
+    Subclasses may replace parts by naming other types. `load_order_limiter`: where several gateways of one
+    process share a limit.
+    """
+
+    retry_rules_type: type[RetryRules] = RetryRules
+    selector_type: type[HostSelector] = HostSelector
+    mix_type: type[FunctionMix] = FunctionMix
+    loads_type: type[HostLoads] = HostLoads
+
+    def __init__(
+        self, seed: int, terms: Terms, now: int, load_order_limiter: LoadOrderLimiter | None = None
+    ) -> None:
+        self.terms, self.chance = terms, Chance(seed)
+        self._make_tables(terms)
+        self._make_measurements(terms)
+        self._make_limits(terms, load_order_limiter)
+        self._make_choice(terms, own_choice=seed)
+        self._make_request_path(terms)
+        self.housekeeping = Housekeeping(terms, self.hosts, self.functions, self.sharing, self.chance)
+        self.observations = Observations(self.hosts, self.functions, self.mix, self.answer_times)
+
+    def _make_tables(self, terms: Terms) -> None:
+        self.hosts = HostTable(terms.warm_up_time)
+        self.functions = FunctionTable(max(terms.keep_alive, 1))
+        self.mix = self.mix_type(self.hosts)
+        self.ranking = Ranking(self.hosts)
+
+    def _make_measurements(self, terms: Terms) -> None:
+        objectives = [request_class.latency_objective for request_class in terms.request_classes]
+        self.answer_times = AnswerTimes(min(objectives, default=SECOND))
+        self.loads = self.loads_type()
+        self.outliers = OutlierDetector()
+        self.silent_zones = SilentZones(self.hosts)
+        self.throughput = Throughput()
+        self.tracker = AttemptTracker(
+            terms.request_classes, self.functions, self.answer_times, self.outliers, self.silent_zones
+        )
+
+    def _make_limits(self, terms: Terms, load_order_limiter: LoadOrderLimiter | None) -> None:
+        self.retry_rules = self.retry_rules_type(terms)
+        self.slow_start = SlowStart(terms, self.hosts)
+        self.load_order_limiter = load_order_limiter or LoadOrderLimiter.of(terms)
+        self.load_orders = LoadOrders(
+            self.load_order_limiter, self.answer_times, self.chance, allowed=terms.load_orders_allowed
+        )
+        self.sharing = LoadReportSharing(terms)
+        self.shedder = LoadShedder(
+            terms,
+            self.hosts,
+            self.tracker,
+            self.answer_times,
+            self.loads,
+            self.outliers,
+            self.throughput,
+            self.chance,
+        )
+
+    def _make_choice(self, terms: Terms, own_choice: int) -> None:
+        self.scorer = Scorer(
+            terms,
+            self.hosts,
+            CandidateOrder(self.hosts, self.functions, self.ranking),
+            self.mix,
+            self.answer_times,
+            self.loads,
+            self.outliers,
+            self.silent_zones,
+            self.slow_start,
+            own_choice,
+        )
+        self.selector = self.selector_type(
+            terms.request_classes, self.hosts, self.functions, self.retry_rules, self.scorer, self.chance
+        )
+
+    def _make_request_path(self, terms: Terms) -> None:
+        self.hints = Hints(
+            self.hosts,
+            self.functions,
+            self.mix,
+            self.ranking,
+            self.answer_times,
+            self.outliers,
+            self.chance,
+        )
+        self.recorder = OutcomeRecorder(
+            self.hosts,
+            self.functions,
+            self.tracker,
+            self.answer_times,
+            self.loads,
+            self.outliers,
+            self.silent_zones,
+            self.slow_start,
+            self.throughput,
+            self.hints,
+        )
+        self.router = RequestRouter(
+            terms,
+            self.functions,
+            self.mix,
+            self.answer_times,
+            self.tracker,
+            self.retry_rules,
+            self.selector,
+            self.shedder,
+            self.slow_start,
+            self.load_orders,
+            self.sharing,
+            self.hints,
+        )
+
+    # What others may read
+
+    @property
+    def hosts_by_id(self) -> Mapping[str, Host]:
+        """All hosts that are listed or have attempts in flight."""
+        return self.hosts.by_id
+
+    @property
+    def active_hosts(self) -> Sequence[Host]:
+        """The hosts that may get requests, by the host list."""
+        return self.hosts.active
+
+    @property
+    def functions_by_name(self) -> Mapping[str, Function]:
+        """The functions that are known."""
+        return self.functions.by_name
+
+    def queued(self, host: Host, lanes: int, now: int) -> float:
+        """Requests at the host, as far as this gateway knows."""
+        return self.loads.queued(host, lanes, now)
+
+    # Requests
+
+    def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
+        """One request, from acceptance to its one final answer."""
+        return self.router.serve(now, request)
+
+    def heard(self, now: int, outcome: Outcome) -> None:
+        """An attempt has ended, whether or not its request is still waiting."""
+        self.recorder.record(now, outcome)
+
+    @property
+    def end_by(self) -> int:
+        """When every request must have its final answer, as the process stops (ns)."""
+        return self.router.end_by
+
+    @end_by.setter
+    def end_by(self, when: int) -> None:
+        self.router.end_by = when
+
+    # The host list, probes and load orders
+
+    def listed(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
+        """A host list has come; `complete`: hosts that it does not name are gone."""
+        self.hosts.update(now, rows, complete=complete)
+        self.sharing.hosts_listed([host.id for host in self.hosts.active])
+
+    def list_refused(self, now: int) -> None:
+        """A poll of the host list was refused: it is asked for once more."""
+        self.housekeeping.host_list_wanted = True
+
+    def housekeep(self, now: int) -> Generator[Action, Any, None]:
+        """Polls, probes and cleanup, for as long as the gateway lives."""
+        return self.housekeeping.run(now)
+
+    def probed(self, now: int, host_id: str, good: bool, report: Report | None) -> bytes | None:
+        """A probe has ended; returns the message for all other gateways, or None."""
+        host = self.hosts.by_id.get(host_id)
+        if host is not None:
+            self.loads.record(host, now, report)
+            if not good:
+                self.outliers.record(host, now, None, UNANSWERED_PROBE)
+        return self.sharing.encode(host_id, report) if good else None
+
+    def told(self, now: int, message: bytes) -> None:
+        """Another gateway's message about a host's load."""
+        decoded = self.sharing.decode(message)
+        if decoded is not None:
+            host_id, report = decoded
+            self.loads.record(self.hosts.by_id[host_id], now, report)
+
+    def stood(self, now: int, host_id: str, name: str, result: Result, copies: int) -> None:
+        """A load order has ended; `copies`: instances that are loaded there now."""
+        function = self.functions.by_name.get(name)
+        if function is not None:
+            self.load_orders.end(now, function, self.hosts.by_id.get(host_id), result)
+
+    def forget_departed_hosts(self) -> None:
+        """Cleanup of hosts that left the list, where no housekeeping runs."""
+        self.housekeeping.forget_departed()
+
+    # What others observed, and what this gateway did
+
+    def hint(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
+        """An instance was seen there; returns whether the hint counts."""
+        return self.hints.instance(host_id, name, lanes, seen)
+
+    def hint_doubt(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
+        """Attempts of the class failed there; returns whether the hint counts."""
+        return self.hints.failure(host_id, request_class, harm, seen)
+
+    def hint_pace(self, host_id: str, slowdown: float, seen: int) -> bool:
+        """It answered so many times slower than usual; returns whether the hint counts."""
+        return self.hints.slowdown(host_id, slowdown, seen)
+
+    def hint_usual(self, name: str | None, took: int) -> bool:
+        """A function's usual answer time (ns), of loads where `name` is None; whether the hint counts."""
+        return self.hints.usual_time(name, took)
+
+    def hint_mix(self, names: Sequence[str]) -> None:
+        """Functions of requests that others served last."""
+        self.hints.set_mix(names)
+
+    def known(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
+        """What this gateway itself saw since then, one by one."""
+        return self.observations.since(now, since)
--- a/gaproute/decisions/routing/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -1,132 +1,145 @@
-"""What other gateways or a past life tell, as the module takes it and tells of its own: decisions only.
+"""What other gateways or an earlier run of this one observed, and how far it is followed.
 
 Evidence that fades alike and gives way to any of one's own. It gives no credit, orders nothing and lifts no
-limit. Only a gateway that is told of others' copies (`gaproute.decisions.reports.lore`) comes here; elsewhere
-nothing is on trial.
+limit. Only a gateway that is told of others' instances (`gaproute.decisions.reports.lore`) gets hints;
+elsewhere nothing is on trial.
 """
 
-from statistics import median
-
-from gaproute.decisions.routing.beliefs import ERRED, MIX, RECENT, WIDE
-from gaproute.decisions.routing.measures import Measures
+from collections.abc import Sequence
+
+from gaproute.decisions.chance import Chance
+from gaproute.decisions.routing.answer_times import AnswerTimes
+from gaproute.decisions.routing.function_mix import FunctionMix
+from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.host_table import HostTable
+from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.parameters import (
+    ERROR_WEIGHT,
+    EVIDENCE_LIFETIME,
+    MIX_SIZE,
+    SPREAD_FACTOR,
+)
+from gaproute.decisions.routing.ranking import Ranking, rendezvous_keys
 from gaproute.interface import Found
 
-MISLED = 2  # wrong hints after which none is followed: one may be a copy that has just gone
-TRIALS = 2  # hints on trial at a time: an answer takes a tenth of a second, a wrong one a load
-PROVEN = 8  # right hints, and none wrong, before the mix told is taken
-
+WRONG_LIMIT = 2  # wrong hints after which none is followed: one may be an instance that has just gone
+TRIAL_LIMIT = 2  # hints on trial at a time: an answer takes a tenth of a second, a wrong one a load
+PROVEN_HINTS = 8  # right hints, and none wrong, before the mix of others is taken
+LEAST_CHOICES = 2  # hosts among which one is drawn where the first choice of the hash was not hinted
+
+
+class Hints:
+    """Takes hints and follows some on trial, until they prove wrong."""
+
+    def __init__(
+        self,
+        hosts: HostTable,
+        functions: FunctionTable,
+        mix: FunctionMix,
+        ranking: Ranking,
+        answer_times: AnswerTimes,
+        outliers: OutlierDetector,
+        chance: Chance,
+    ) -> None:
+        self.hosts, self.functions, self.mix, self.ranking = hosts, functions, mix, ranking
+        self.answer_times, self.outliers, self.chance = answer_times, outliers, chance
+        self.trials: dict[tuple[str, str], int] = {}  # (function, host): when a hint was first followed
+        self.right, self.wrong = 0, 0  # hints that proved so
+        self.hinted_mix: Sequence[str] | None = None  # see `set_mix`
+
+    def instance(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
+        """An instance was seen there. It is considered when a request of the function comes."""
+        host = self.hosts.by_id.get(host_id)
+        if host is None or not host.active or seen <= host.instances_lost_at:
+            return False
+        function = self.functions.find_or_add(name, lanes)
+        function.used_at = max(function.used_at, seen)
+        if function.proven_at or function.hinted_at.get(host_id, -1) >= seen:
+            return False
+        function.hinted_at[host_id] = seen
+        return True
 
-class Hints(Measures):
-    """The part of the gateway that hears and tells."""
+    def failure(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
+        """Attempts of the class failed there: counts as one quick failure, where nothing is known."""
+        host = self._unknown_since(host_id, seen)
+        if host is None or host.results:
+            return False
+        self.outliers.record(host, seen, request_class, ERROR_WEIGHT * harm)
+        return True
 
-    def __init__(self, seed, terms, now):
-        super().__init__(seed, terms, now)
-        self.trials = {}  # (function, worker): when a hint was first followed; not yet known if right
-        self.right, self.wrong, self.told_mix = 0, 0, None  # hints that proved so; see `hint_mix`
+    def slowdown(self, host_id: str, slowdown: float, seen: int) -> bool:
+        """It answered so many times slower than usual."""
+        host = self._unknown_since(host_id, seen)
+        if host is None or host.paces:
+            return False
+        host.slowdown, host.slowdown_until = slowdown, seen + EVIDENCE_LIFETIME
+        return True
 
-    def hint(self, worker_id, name, lanes, seen):
-        """A copy was seen to stand there. It is considered when a task of the function comes."""
-        worker = self.workers.get(worker_id)
-        if worker is None or not worker.active or seen <= worker.wiped:
+    def _unknown_since(self, host_id: str, seen: int) -> Host | None:
+        """The host, where it is active and has run since before that time."""
+        host = self.hosts.by_id.get(host_id)
+        return host if host is not None and host.active and seen > host.instances_lost_at else None
+
+    def usual_time(self, name: str | None, took: int) -> bool:
+        """A function's usual answer time (ns); of loads where `name` is None."""
+        if name is None:
+            times = self.answer_times.loads
+        elif name in self.functions.by_name:
+            times = self.functions.by_name[name].answer_times
+        else:
             return False
-        function = self.function(name, lanes)
-        function.used = max(function.used, seen)
-        if function.stands or function.told.get(worker_id, -1) >= seen:
+        if times:
             return False
-        function.told[worker_id] = seen
+        times.append(took)
         return True
 
-    def consider(self, now, name, function):
-        """Follow what was told of a function's copies, where nothing was seen oneself.
+    def set_mix(self, names: Sequence[str]) -> None:
+        """Functions of requests that others served last.
+
+        Taken once hints have proved right: a mix spreads the hot functions over hosts of which only hints
+        can tell whether instances are loaded there.
+        """
+        self.hinted_mix = names[: MIX_SIZE // 2]
+
+    def consider(self, now: int, name: str, function: Function) -> None:
+        """Follow what was hinted of a function's instances, where nothing was seen oneself.
 
         A wrong hint costs a load that the stable hash would have spared, so hints go on trial, two functions
-        at a time, until two proved wrong. Right ones do not make up for them: a hot function's copies stand
-        nearly everywhere, so that any hint of it proves right. The hash's first choice is tried where it was
-        told, else one of its next.
+        at a time, until two proved wrong. Right ones do not make up for them: a hot function's instances
+        stand nearly everywhere, so that any hint of it proves right. The hash's first choice is tried where
+        it was hinted, else one of its next.
         """
-        told, function.told = function.told, {}
-        held = [self.workers[worker] for worker in told if worker in self.workers]
-        order = [worker for _, worker in sorted(self.keys(name, [each for each in held if each.active]))]
-        if function.stands or not order or self.wrong >= MISLED:
+        hinted, function.hinted_at = function.hinted_at, {}
+        order = self._ranked(name, hinted)
+        if function.proven_at or not order or self.wrong >= WRONG_LIMIT:
             return
-        self.trials = {key: at for key, at in self.trials.items() if now - at < RECENT}
-        if len(self.trials) >= TRIALS:
-            function.told = told  # its turn comes with a later task
+        self.trials = {key: at for key, at in self.trials.items() if now - at < EVIDENCE_LIFETIME}
+        if len(self.trials) >= TRIAL_LIMIT:
+            function.hinted_at = hinted  # its turn comes with a later request
             return
-        some = 1 if self.ranks(name, function).get(order[0]) == 0 else max(2, int(WIDE * self.breadth(name)))
-        worker = order[self.chance.below(min(some, len(order)))]  # not all gateways try the same
-        self.trials[name, worker] = now
-        function.seen.setdefault(worker, told[worker])
-
-    def hint_doubt(self, worker_id, track, harm, seen):
-        """Relays of the track failed there: as one quick failure, where nothing is known."""
-        worker = self.workers.get(worker_id)
-        told = worker is not None and worker.active and not worker.results and seen > worker.wiped
-        if told:
-            self.book(worker, seen, track, ERRED * harm)
-        return told
-
-    def hint_pace(self, worker_id, slow, seen):
-        """It answered so many times slower than usual."""
-        worker = self.workers.get(worker_id)
-        told = worker is not None and worker.active and not worker.paces and seen > worker.wiped
-        if told:
-            worker.slow, worker.slow_until = slow, seen + RECENT
-        return told
-
-    def hint_usual(self, name, took):
-        """A function's usual answer time; of loads where `name` is None."""
-        times = self.loads if name is None else self.functions[name].times if name in self.functions else None
-        if times is None or times:
-            return False
-        times.append(took)
-        return True
-
-    def hint_mix(self, names):
-        """Functions of tasks that others served last. Taken once hints have proved right: a mix spreads the
-        hot functions over hosts of which only hints can tell whether copies stand there."""
-        self.told_mix = names[: MIX // 2]
-
-    def verify(self, name, worker_id, found):
+        choices = max(LEAST_CHOICES, int(SPREAD_FACTOR * self.mix.breadth(name)))
+        if self.ranking.ranks(name, function).get(order[0]) == 0:
+            choices = 1
+        host_id = order[self.chance.below(min(choices, len(order)))]  # not all gateways try the same
+        self.trials[name, host_id] = now
+        function.last_used.setdefault(host_id, hinted[host_id])
+
+    def _ranked(self, name: str, host_ids: Sequence[str] | dict[str, int]) -> list[str]:
+        """The active ones of these hosts, by the stable hash."""
+        known = [self.hosts.by_id[host_id] for host_id in host_ids if host_id in self.hosts.by_id]
+        keys = rendezvous_keys(name, [host for host in known if host.active])
+        return [host_id for _, host_id in sorted(keys)]
+
+    def verify(self, name: str, host_id: str, found: Found) -> None:
         """An outcome shows whether a hint on trial was right."""
-        if self.trials.pop((name, worker_id), None) is None or found is Found.UNKNOWN:
+        if self.trials.pop((name, host_id), None) is None or found is Found.UNKNOWN:
             return
-        if found is Found.WARM:
-            self.right += 1
-            if self.told_mix and self.right >= PROVEN and not self.wrong and len(self.mix) < MIX // 2:
-                self.mix.extendleft(self.told_mix)  # own tasks push them out
-                self.told_mix = None
-        else:
+        if found is not Found.WARM:
             self.wrong += 1
-
-    def known(self, now, since=-1):
-        """What this gateway itself saw since then, one by one: (kind, names, value, when).
-
-        Of workers first, then of functions, the latest used first. It may be read over many turns, with
-        lists and tasks coming in between.
-        """
-        for worker in list(self.workers.values()):
-            bad = {
-                track: (at, harm)
-                for at, track, harm in worker.results
-                if harm > 0 and track is not None and now - at < RECENT
-            }
-            for track, (at, harm) in bad.items() if worker.active else ():
-                if at > since:
-                    yield "doubt", (worker.id, track), (harm,), at
-            if worker.active and worker.slow > 1 and now < worker.slow_until > since + RECENT:
-                yield "pace", (worker.id,), (worker.slow,), worker.slow_until - RECENT
-        if self.loads and since < 0:
-            yield "load", (), (int(median(self.loads)),), now
-        for name in sorted(self.functions, key=lambda name: -self.functions[name].used):
-            function = self.functions.get(name)
-            if function is None or function.answered <= since:
-                continue
-            for worker, seen in list(function.stands.items()):
-                held = self.workers.get(worker)  # gone meanwhile: this is read over many turns
-                if seen > since and held is not None and held.active and seen >= held.wiped:
-                    yield "warm", (worker, name), (function.lanes,), seen
-            if function.times:
-                yield "usual", (name,), (int(median(function.times)),), function.answered
-            if since < 0 and name in self.mix:
-                yield "share", (name,), (self.mix.count(name) / max(len(self.mix), MIX // 4),), now
+            return
+        self.right += 1
+        proven = self.right >= PROVEN_HINTS and not self.wrong
+        if self.hinted_mix and proven and len(self.mix.recent) < MIX_SIZE // 2:
+            self.mix.prepend(self.hinted_mix)
+            self.hinted_mix = None
--- /dev/null
+++ b/gaproute/decisions/routing/host_loads.py
@@ -0,0 +1,47 @@
+"""How many requests hosts have, by their load reports and own attempts."""
+
+from collections import deque
+from statistics import median
+
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.parameters import JUDGEMENT_INTERVAL, RATE_SAMPLES, REPORT_LIFETIME
+from gaproute.decisions.routing.samples import Sample
+from gaproute.interface import Report
+
+
+class HostLoads:
+    """The loads of hosts, and the usual one."""
+
+    def __init__(self) -> None:
+        self.reported: deque[Sample] = deque(maxlen=RATE_SAMPLES)  # load over capacity of the last reports
+        self.usual, self.usual_at = 0.0, -JUDGEMENT_INTERVAL
+
+    def record(self, host: Host, now: int, report: Report | None) -> None:
+        """Take a host's load report."""
+        if report is None:
+            return
+        host.report, host.reported_at, host.memory_busy = report, now, report.memory_busy
+        load = report.waiting if report.in_hand is None else report.in_hand
+        if load is not None:
+            self.reported.append((now, load / host.capacity))
+
+    def queued(self, host: Host, lanes: int, now: int) -> float:
+        """Requests at the host: by its report and what was sent since, else own ones in flight."""
+        report, in_flight = host.report, host.in_flight
+        if report is None or now > host.reported_at + REPORT_LIFETIME:
+            return len(in_flight)
+        reported_at = host.reported_at
+        sent_since = sum([sent > reported_at for sent in in_flight.values()])
+        if report.in_hand is not None:
+            return max(report.in_hand + sent_since, 0)
+        if report.waiting is not None:  # tells nothing of requests at work: own ones stand for them
+            return max(report.waiting, 0) + len(in_flight)
+        return max(sent_since + (report.cpu_busy or 0.0) * lanes, len(in_flight))
+
+    def usual_load(self, now: int) -> float:
+        """Median load over capacity by the last reports: stands for a host without a fresh report."""
+        if now - self.usual_at >= JUDGEMENT_INTERVAL:
+            recent = [load for at, load in self.reported if now - at < REPORT_LIFETIME]
+            self.usual = median(recent) if recent else 0.0
+            self.usual_at = now
+        return self.usual
--- /dev/null
+++ b/gaproute/decisions/routing/host_selector.py
@@ -0,0 +1,92 @@
+"""The choice of a host for a request."""
+
+from bisect import bisect_left
+
+from gaproute.decisions.chance import Chance
+from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.host_table import HostTable
+from gaproute.decisions.routing.parameters import NEVER, SECOND
+from gaproute.decisions.routing.request_attempts import RequestAttempts
+from gaproute.decisions.routing.retry_rules import RetryRules
+from gaproute.decisions.routing.scorer import RankedScore, Scorer
+from gaproute.interface import Request, RequestClass
+
+
+class HostSelector:
+    """Picks the host with the highest score among those that may get the request; ties break by chance."""
+
+    def __init__(
+        self,
+        request_classes: tuple[RequestClass, ...],
+        hosts: HostTable,
+        functions: FunctionTable,
+        retry_rules: RetryRules,
+        scorer: Scorer,
+        chance: Chance,
+    ) -> None:
+        self.request_classes, self.hosts, self.functions = request_classes, hosts, functions
+        self.retry_rules, self.scorer, self.chance = retry_rules, scorer, chance
+
+    def choose(self, now: int, request: Request, attempts: RequestAttempts) -> Host | None:
+        """The host that gets the request now; None: none yet."""
+        function = self.functions.find_or_add(request.function, request.lanes)
+        paused = now < function.paused_until and not attempts.failed_hosts
+        able = self.able_hosts(now, request, attempts, function, paused=paused)
+        if not able:
+            return None
+        scored = self.scorer.scores(now, request, attempts, function, able)
+        host = self._best(now, scored)
+        if host is None:
+            return self.choose(now, request, attempts)  # all passed over: those not scored so far
+        # One that rejected a request as full just now gets none for a moment: refusals come fast and look
+        # like ease; what goes round full hosts or loads elsewhere feeds the jam. What it rejected moves on.
+        if now < host.full_until and not paused and not attempts.failed_hosts:
+            function.paused_until = host.full_until
+            return self.choose(now, request, attempts)
+        return host if now >= host.full_until else None
+
+    def able_hosts(
+        self, now: int, request: Request, attempts: RequestAttempts, function: Function, *, paused: bool
+    ) -> list[Host]:
+        """The hosts that may get the request now; the table's own list where nothing speaks against any."""
+        able = self.hosts.active
+        if attempts.started or now < self.hosts.all_warm_at:
+            able = self.allowed_hosts(now, request, attempts, able)
+        if attempts.failed_hosts:
+            able = [host for host in able if host not in attempts.failed_hosts] or able
+            # What a full host rejected goes to an instance that is loaded: a load would feed the jam.
+            able = [host for host in able if self.functions.warmth(function, host, now) > 0] or able
+        if paused:
+            able = [
+                host
+                for host in able
+                if now >= host.full_until and self.functions.warmth(function, host, now) > 0
+            ]
+        return able
+
+    def allowed_hosts(
+        self, now: int, request: Request, attempts: RequestAttempts, hosts: list[Host]
+    ) -> list[Host]:
+        """Those that the rules on retries and on hosts that warm up allow."""
+        request_class = self.request_classes[request.request_class]
+        tried = [sent.host for sent in attempts.in_flight.values()]
+        allowed = self.retry_rules.allowed
+        able = [host for host in hosts if host not in tried and allowed(host, request_class, attempts, now)]
+        # One that warms up gets no more than its credit (see `SlowStart`): it must not fall over.
+        return [host for host in able if now >= host.warm_at or host.credit > 0]
+
+    def _best(self, now: int, scored: list[RankedScore]) -> Host | None:
+        """The first by score that is not passed over, as hosts that warm up are by chance."""
+        while scored:
+            ties = bisect_left(scored, (scored[0][0], NEVER))
+            host = self.hosts.active[scored.pop(self.chance.below(ties))[1]]
+            if now >= host.warm_at or self.chance.below(SECOND) < host.credit * SECOND:
+                return host
+            host.credit = 0.0
+        return None
+
+    def any_allowed(self, now: int, request_class: RequestClass, attempts: RequestAttempts) -> bool:
+        """Whether the rules allow any host, now or later."""
+        allowed = self.retry_rules.allowed
+        return any(allowed(host, request_class, attempts, now) for host in self.hosts.active)
--- /dev/null
+++ b/gaproute/decisions/routing/host_table.py
@@ -0,0 +1,62 @@
+"""The hosts by the host list."""
+
+from collections.abc import Sequence
+
+from gaproute.decisions.routing.host import Host
+from gaproute.interface import ListedHost
+
+
+class HostTable:
+    """All hosts that are listed or have attempts in flight, and figures of the active ones."""
+
+    def __init__(self, warm_up_time: int) -> None:
+        self.warm_up_time = warm_up_time
+        self.by_id: dict[str, Host] = {}
+        self.active: list[Host] = []
+        self.version = 0  # grows when the active hosts are others than before
+        self.total_capacity, self.largest_capacity = 0.0, 1.0  # of the active hosts
+        self.all_warm_at = -1  # when none of the active hosts warms up any more
+
+    def update(self, now: int, rows: Sequence[ListedHost], *, complete: bool) -> None:
+        """Take a host list; `complete`: hosts that it does not name are gone."""
+        for row in rows:
+            self._update_host(now, row)
+        if complete:
+            named = {row.host for row in rows}
+            for host in self.by_id.values():
+                host.active = host.active and host.id in named
+        self._collect_active()
+
+    def _update_host(self, now: int, row: ListedHost) -> None:
+        host = self.by_id.get(row.host)
+        if host is None:
+            self.by_id[row.host] = Host(row, self.warm_up_time)
+        elif row.started is not None and row.started != host.started:
+            host.restart(row, now, host.in_flight)
+        else:
+            host.renew(row)
+
+    def _collect_active(self) -> None:
+        active = [host for host in self.by_id.values() if host.active]
+        if active != self.active:  # news of the same hosts leaves their ranks as they are
+            self.active = active
+            self.version += 1
+        for index, host in enumerate(self.active):
+            host.index = index
+        self.total_capacity = sum([host.capacity for host in self.active])
+        self.largest_capacity = max([host.capacity for host in self.active], default=1.0)
+        self.all_warm_at = max([host.warm_at for host in self.active], default=-1)
+
+    def relative_capacity(self, host: Host) -> float:
+        """Of the mean capacity, one at most."""
+        return min(1.0, host.capacity * len(self.active) / self.total_capacity)
+
+    def remove_departed(self) -> list[str]:
+        """Forget hosts that left the list with no attempt in flight; returns their ids.
+
+        A process that lives long would else hold each host that ever was.
+        """
+        departed = [host.id for host in self.by_id.values() if not (host.active or host.in_flight)]
+        for host_id in departed:
+            del self.by_id[host_id]
+        return departed
--- /dev/null
+++ b/gaproute/decisions/routing/housekeeping.py
@@ -0,0 +1,59 @@
+"""What a gateway does beside its requests: polls, probes and cleanup."""
+
+from collections.abc import Generator
+from typing import Any
+
+from gaproute.decisions.chance import Chance
+from gaproute.decisions.routing.functions import FunctionTable
+from gaproute.decisions.routing.host_table import HostTable
+from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
+from gaproute.decisions.routing.parameters import MILLI, SECOND
+from gaproute.interface import Action, PollHostList, Probe, Terms, Wait
+
+PROBE_INTERVAL = 700 * MILLI  # between probes of one host where load reports come by probe only
+UNPAID_INTERVAL = 100 * MILLI  # between looks whether a probe is paid for
+CLEANUP_INTERVAL = SECOND  # between looks for functions to forget: waking costs CPU, and they weigh little
+
+
+class Housekeeping:
+    """Asks for the host list where it must be asked for, probes where reports come no other way, forgets."""
+
+    def __init__(
+        self,
+        terms: Terms,
+        hosts: HostTable,
+        functions: FunctionTable,
+        sharing: LoadReportSharing,
+        chance: Chance,
+    ) -> None:
+        self.hosts, self.functions, self.sharing, self.chance = hosts, functions, sharing, chance
+        self.probing = terms.probes_allowed and terms.reports_by_probe
+        self.host_list_wanted = terms.host_list_polled
+
+    def run(self, now: int) -> Generator[Action, Any, None]:
+        """One generator for each gateway, for as long as it lives."""
+        cleaned_at = now
+        while True:
+            if self.host_list_wanted:
+                self.host_list_wanted = False
+                yield PollHostList()
+            if self.probing:
+                host = self.sharing.host_to_probe(now, self.hosts.active, PROBE_INTERVAL, self.chance)
+                if host is not None:
+                    yield Probe(host.id)
+            if now - cleaned_at >= CLEANUP_INTERVAL:
+                cleaned_at = now
+                self.forget_departed()
+                self.functions.forget_unused(now)
+            now, _ = yield Wait(now + self._interval())
+
+    def _interval(self) -> int:
+        if not self.probing:
+            return CLEANUP_INTERVAL
+        if not self.sharing.may_probe():
+            return UNPAID_INTERVAL
+        return PROBE_INTERVAL // max(1, len(self.hosts.active))
+
+    def forget_departed(self) -> None:
+        """Forget the hosts that left the list."""
+        self.functions.forget_hosts(self.hosts.remove_departed())
--- /dev/null
+++ b/gaproute/decisions/routing/load_orders.py
@@ -0,0 +1,63 @@
+"""When hosts are ordered to load instances."""
+
+from gaproute.decisions.chance import Chance
+from gaproute.decisions.routing.answer_times import AnswerTimes
+from gaproute.decisions.routing.functions import Function
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
+from gaproute.interface import LoadOrder, Outcome, Request, Result
+
+MOST_INSTANCES = 16  # of one function that one order asks a host for
+
+
+class LoadOrders:
+    """Orders within the limit, one open order a function."""
+
+    def __init__(
+        self, limiter: LoadOrderLimiter, answer_times: AnswerTimes, chance: Chance, *, allowed: bool
+    ) -> None:
+        self.limiter, self.answer_times, self.chance = limiter, answer_times, chance
+        self.allowed = allowed
+
+    def may_order(self, now: int, function: Function) -> bool:
+        """Whether an order for the function may be sent."""
+        return self.allowed and not function.load_order_open and self.limiter.allows(now)
+
+    def start(self, now: int, function: Function) -> None:
+        """An order for the function is sent."""
+        function.load_order_open, function.load_ordered_at = True, now
+        self.limiter.sent()
+
+    def end(self, now: int, function: Function, host: Host | None, result: Result) -> None:
+        """The open order for the function has ended; `host`: None where it is not known any more."""
+        if not function.load_order_open:
+            return
+        function.load_order_open = False
+        good = result is Result.OK
+        took = (now - function.load_ordered_at) / self.answer_times.usual_load()
+        self.limiter.ended(now, good=good, took=took)
+        if good and host is not None:
+            function.used(host.id, now)
+
+    def after_miss(self, now: int, request: Request, function: Function, host: Host) -> LoadOrder | None:
+        """An order for an instance at a host that had none of the function."""
+        if not host.active or not self.may_order(now, function):
+            return None
+        self.start(now, function)
+        return LoadOrder(host.id, request.function, 1)
+
+    def for_crowd(
+        self, now: int, request: Request, function: Function, host: Host, outcome: Outcome
+    ) -> LoadOrder | None:
+        """An order for one more instance where requests of the function outnumber the lanes of those loaded.
+
+        It serves hot functions where only orders add instances; elsewhere it finds them loaded (see
+        `LoadOrderLimiter.likely_useful`).
+        """
+        requests = outcome.same_function_requests or 0
+        if not host.active or requests < request.lanes or not self.limiter.likely_useful(self.chance):
+            return None
+        if not self.may_order(now, function):
+            return None
+        self.start(now, function)
+        return LoadOrder(host.id, request.function, min(MOST_INSTANCES, requests // request.lanes + 1))
--- /dev/null
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -0,0 +1,114 @@
+"""Which requests are rejected early, as they would wait too long."""
+
+from collections import deque
+
+from gaproute.decisions.chance import Chance
+from gaproute.decisions.routing.answer_times import AnswerTimes
+from gaproute.decisions.routing.attempt_tracker import AttemptTracker, InFlightAttempt
+from gaproute.decisions.routing.host import AttemptKey, Host
+from gaproute.decisions.routing.host_loads import HostLoads
+from gaproute.decisions.routing.host_table import HostTable
+from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.parameters import (
+    JUDGEMENT_INTERVAL,
+    RATE_SAMPLES,
+    REPORT_LIFETIME,
+    SECOND,
+    USUAL_CONCURRENCY,
+)
+from gaproute.decisions.routing.throughput import Throughput
+from gaproute.interface import Request, RequestClass, Terms
+
+BEARABLE_WAIT = 2.0  # of the shortest latency objective: expected wait to reject at; half for no worth
+BEARABLE_QUEUE = 0.3  # of it, the wait in a host's queue: answers that come have waited least
+SHED_POWER = 3  # of bearable over expected wait: at twice the bearable one in eight is taken
+LEAST_IN_FLIGHT = 8  # requests below which nothing is rejected: fewer say nothing of a rate
+DOUBTED = 0.5  # doubt from which on a host does not answer as usual
+
+
+class LoadShedder:
+    """Judges how long a request would wait, by its worth."""
+
+    def __init__(
+        self,
+        terms: Terms,
+        hosts: HostTable,
+        tracker: AttemptTracker,
+        answer_times: AnswerTimes,
+        loads: HostLoads,
+        outliers: OutlierDetector,
+        throughput: Throughput,
+        chance: Chance,
+    ) -> None:
+        self.hosts, self.tracker, self.answer_times = hosts, tracker, answer_times
+        self.loads, self.outliers, self.throughput, self.chance = loads, outliers, throughput, chance
+        self.tenant_shares, self.over_share_value = terms.tenant_shares, terms.over_share_value
+        weights = [request_class.priority_weight for request_class in terms.request_classes]
+        self.top_priority_weight = max(weights, default=1.0)
+        self.tenants: deque[int] = deque(maxlen=RATE_SAMPLES)  # of the last requests
+        self.waiting, self.counted_at = 0, -JUDGEMENT_INTERVAL  # see `_count_waiting`
+
+    def request_came(self, tenant: int) -> None:
+        """One more request of the tenant."""
+        self.tenants.append(tenant)
+
+    def crowded(self, now: int, request: Request, request_class: RequestClass) -> bool:
+        """Whether to reject at once: requests in flight over the rate of answers promise too long a wait.
+
+        Only attempts at loaded instances count on both sides: waits for loads are no sign of too much work.
+        All classes share the queues, so the shortest latency objective sets how long they may get, and what
+        is worth least goes first.
+        """
+        if self.throughput.mostly_refused(now):
+            return True
+        rate = self.throughput.answer_rate(now)
+        if rate is None:
+            return False
+        if now - self.counted_at >= JUDGEMENT_INTERVAL:
+            self.counted_at = now
+            self.waiting = self._count_waiting(now)
+        if self.waiting < LEAST_IN_FLIGHT:
+            return False
+        return self.waiting / rate > self._bearable_wait(request, request_class)
+
+    def _count_waiting(self, now: int) -> int:
+        """Attempts in flight that wait for loaded instances, at hosts that answer as usual."""
+        in_flight = self.tracker.in_flight
+        return sum([self._waits_as_usual(now, key, attempt) for key, attempt in in_flight.items()])
+
+    def _waits_as_usual(self, now: int, key: AttemptKey, attempt: InFlightAttempt) -> bool:
+        host = self.hosts.by_id[attempt.host]
+        if not attempt.warm or key in host.overdue:
+            return False
+        if host.slowdown > 1 and now < host.slowdown_until:
+            return False
+        return self.outliers.doubt(host, attempt.request_class, now) < DOUBTED
+
+    def _bearable_wait(self, request: Request, request_class: RequestClass) -> float:
+        """The longest expected wait for which a request is taken (ns): half of it where it has no worth."""
+        value = request_class.priority_weight / self.top_priority_weight
+        shares = self.tenant_shares[request.tenant : request.tenant + 1]  # none where it is not known
+        if shares and self.tenants.count(request.tenant) > shares[0] * len(self.tenants):
+            value *= self.over_share_value
+        return BEARABLE_WAIT * self.answer_times.shortest_objective * (0.5 + 0.5 * value)
+
+    def sheds(self, now: int, request: Request, request_class: RequestClass, host: Host) -> bool:
+        """Whether to reject since the queue at the best host promises a wait: the longer the likelier.
+
+        By chance, so that one goes on learning. The wait is the host's load, else the usual one, times what a
+        unit of load took lately. It serves where a gateway sees too few requests for a rate of its own; harms
+        where one host's queue is of light work.
+        """
+        load = self.loads.queued(host, request.lanes, now) / host.capacity
+        if host.report is None or host.reported_at < now - REPORT_LIFETIME:
+            load = max(load, self.loads.usual_load(now))
+        if load * host.capacity < USUAL_CONCURRENCY:
+            return False
+        drain_time = self.throughput.drain_time(now)
+        if drain_time is None:
+            return False
+        wait = drain_time * load
+        bearable = BEARABLE_QUEUE * self._bearable_wait(request, request_class)
+        if wait <= bearable:
+            return False
+        return self.chance.below(SECOND) > (bearable / wait) ** SHED_POWER * SECOND
--- /dev/null
+++ b/gaproute/decisions/routing/observations.py
@@ -0,0 +1,76 @@
+"""What this gateway itself saw, for other gateways and for its next run."""
+
+from collections.abc import Iterator
+from statistics import median
+from typing import Any, NamedTuple
+
+from gaproute.decisions.routing.answer_times import AnswerTimes
+from gaproute.decisions.routing.function_mix import FunctionMix
+from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.host_table import HostTable
+from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME
+
+BEFORE_ALL = -1  # a time before every observation
+
+
+class Observation(NamedTuple):
+    """One fact that this gateway saw; kinds and values are those of `gaproute.decisions.reports.facts`."""
+
+    kind: str
+    names: tuple[Any, ...]  # what it is about: hosts, functions, request classes
+    value: tuple[Any, ...]
+    at: int  # ns
+
+
+class Observations:
+    """Reads the tables of a gateway."""
+
+    def __init__(
+        self, hosts: HostTable, functions: FunctionTable, mix: FunctionMix, answer_times: AnswerTimes
+    ) -> None:
+        self.hosts, self.functions, self.mix = hosts, functions, mix
+        self.answer_times = answer_times
+
+    def since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
+        """What was seen since then, one by one.
+
+        Of hosts first, then of functions, the latest used first. It may be read over many turns, with lists
+        and requests coming in between.
+        """
+        for host in list(self.hosts.by_id.values()):
+            yield from _of_host(host, now, since)
+        loads = self.answer_times.loads
+        if loads and since < 0:
+            yield Observation("load", (), (int(median(loads)),), now)
+        by_name = self.functions.by_name
+        for name in sorted(by_name, key=lambda name: -by_name[name].used_at):
+            function = self.functions.by_name.get(name)  # gone meanwhile: this is read over many turns
+            if function is not None and function.answered_at > since:
+                yield from self._of_function(name, function, now, since)
+
+    def _of_function(self, name: str, function: Function, now: int, since: int) -> Iterator[Observation]:
+        for host_id, seen in list(function.proven_at.items()):
+            host = self.hosts.by_id.get(host_id)  # gone meanwhile, as above
+            if seen > since and host is not None and host.active and seen >= host.instances_lost_at:
+                yield Observation("warm", (host_id, name), (function.lanes,), seen)
+        if function.answer_times:
+            usual = int(median(function.answer_times))
+            yield Observation("usual", (name,), (usual,), function.answered_at)
+        if since < 0 and name in self.mix.recent:
+            yield Observation("share", (name,), (self.mix.share(name),), now)
+
+
+def _of_host(host: Host, now: int, since: int) -> Iterator[Observation]:
+    last_failures = {
+        result.request_class: result
+        for result in host.results
+        if result.harm > 0 and result.request_class is not None and now - result.at < EVIDENCE_LIFETIME
+    }
+    if host.active:
+        for request_class, result in last_failures.items():
+            if result.at > since:
+                yield Observation("doubt", (host.id, request_class), (result.harm,), result.at)
+    if host.active and host.slowdown > 1 and now < host.slowdown_until > since + EVIDENCE_LIFETIME:
+        seen = host.slowdown_until - EVIDENCE_LIFETIME
+        yield Observation("pace", (host.id,), (host.slowdown,), seen)
--- /dev/null
+++ b/gaproute/decisions/routing/outcome_recorder.py
@@ -0,0 +1,107 @@
+"""What each outcome of an attempt shows of its host, its function and the fleet."""
+
+from statistics import median
+
+from gaproute.decisions.routing.answer_times import AnswerTimes
+from gaproute.decisions.routing.attempt_tracker import UNANSWERED, AttemptTracker, InFlightAttempt
+from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.hints import Hints
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.host_loads import HostLoads
+from gaproute.decisions.routing.host_table import HostTable
+from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.parameters import ERROR_WEIGHT, EVIDENCE_LIFETIME, USUAL_CONCURRENCY
+from gaproute.decisions.routing.silent_zones import SilentZones
+from gaproute.decisions.routing.slow_start import SlowStart
+from gaproute.decisions.routing.throughput import Throughput
+from gaproute.interface import Found, Idempotency, Outcome, Result
+
+ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED)  # the host spoke
+FAILURES = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
+GOOD = 0.0  # harm of a result
+
+
+class OutcomeRecorder:
+    """Books outcomes, whether or not their requests are still waiting."""
+
+    def __init__(
+        self,
+        hosts: HostTable,
+        functions: FunctionTable,
+        tracker: AttemptTracker,
+        answer_times: AnswerTimes,
+        loads: HostLoads,
+        outliers: OutlierDetector,
+        silent_zones: SilentZones,
+        slow_start: SlowStart,
+        throughput: Throughput,
+        hints: Hints,
+    ) -> None:
+        self.hosts, self.functions, self.tracker = hosts, functions, tracker
+        self.answer_times, self.loads, self.throughput = answer_times, loads, throughput
+        self.outliers, self.silent_zones, self.slow_start = outliers, silent_zones, slow_start
+        self.hints = hints
+
+    def record(self, now: int, outcome: Outcome) -> None:
+        """One attempt has ended."""
+        key, result = (outcome.request, outcome.attempt), outcome.result
+        attempt = self.tracker.in_flight.pop(key, None)
+        host = self.hosts.by_id.get(outcome.host)
+        if attempt is None or host is None:
+            return
+        host.in_flight.pop(key, None)
+        counted_as_failure = host.overdue.pop(key, False)
+        function = self.functions.find_or_add(attempt.function, 1)
+        self.loads.record(host, now, outcome.report)
+        if result in ANSWERS:
+            host.answered_at[attempt.request_class] = now
+            self.silent_zones.heard(host.zone, now)
+        self.throughput.record_outcome(now, refused=result is Result.FULL)
+        if result is Result.OK:
+            self._answered(now, outcome, attempt, host, function)
+        elif result in FAILURES and not counted_as_failure:
+            self._failed(now, result, attempt, host)
+        if result is Result.FULL:
+            host.full_until = now + self.answer_times.usual(function)  # a lane frees about then
+        if result is Result.NOT_LOADED or outcome.found is Found.LOAD_FAILED:
+            self.hints.verify(attempt.function, host.id, Found.LOAD_FAILED)
+            function.not_loaded(host.id)
+        if result is Result.RESET and not host.in_flight:
+            host.instances_lost_at = now  # a process that broke off, with all attempts, comes back empty
+
+    def _answered(
+        self, now: int, outcome: Outcome, attempt: InFlightAttempt, host: Host, function: Function
+    ) -> None:
+        self.outliers.record(host, now, attempt.request_class, GOOD)
+        host.full_until = -1
+        if attempt.warm:
+            self.throughput.record_answer(now)
+        if now < self.hosts.all_warm_at:
+            # After a stall all that waited comes at one moment: it does not say what warm hosts do now.
+            in_time = self.tracker.in_time(function, outcome.took, warm=attempt.warm)
+            if now < host.warm_at or in_time:
+                self.slow_start.answered(now, host)
+        if attempt.sent_at >= host.instances_lost_at:
+            function.answered(host.id, now)
+        self.hints.verify(attempt.function, host.id, outcome.found)
+        if outcome.found is Found.WARM or outcome.found is Found.UNKNOWN and attempt.warm:
+            self._warm_answer(now, outcome.took, host, function)
+        else:
+            self.answer_times.loads.append(outcome.took)
+
+    def _warm_answer(self, now: int, took: int, host: Host, function: Function) -> None:
+        """An instance that was loaded has answered: how fast the host is."""
+        if function.answer_times:
+            host.paces.append((now, took / max(1, median(function.answer_times))))
+            host.slowdown = self.outliers.slowdown(host, now)
+            host.slowdown_until = now + EVIDENCE_LIFETIME
+        function.answer_times.append(took)
+        queued = self.loads.queued(host, 1, now)
+        if queued >= USUAL_CONCURRENCY and host.slowdown <= 1:
+            self.throughput.record_drain_time(now, took * host.capacity / queued)
+
+    def _failed(self, now: int, result: Result, attempt: InFlightAttempt, host: Host) -> None:
+        request_class = self.tracker.request_classes[attempt.request_class]
+        may_run_again = request_class.idempotency is Idempotency.IDEMPOTENT
+        harm = ERROR_WEIGHT if result is Result.ERROR and may_run_again else UNANSWERED
+        self.outliers.record(host, now, attempt.request_class, harm)
--- /dev/null
+++ b/gaproute/decisions/routing/ranking.py
@@ -0,0 +1,43 @@
+"""The stable hash: the order of hosts for each function, the same at every gateway."""
+
+from collections.abc import Iterable
+from hashlib import blake2b
+from heapq import nsmallest
+
+from gaproute.decisions.routing.functions import Function
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.host_table import HostTable
+
+FIRST_DEPTH = 32  # hosts ranked at first,
+FIRST_PART = 16  # or one in so many: those of lower ranks are seldom asked for
+KEY_BYTES = 8
+
+
+def rendezvous_keys(name: str, hosts: Iterable[Host]) -> list[tuple[bytes, str]]:
+    """(key, id) of each host by rendezvous hashing: their order is the same at every gateway and restart."""
+    hasher = blake2b(f"{name} ".encode(), digest_size=KEY_BYTES)
+    keys = []
+    for host in hosts:
+        key = hasher.copy()
+        key.update(host.id.encode())
+        keys.append((key.digest(), host.id))
+    return keys
+
+
+class Ranking:
+    """Ranks the active hosts for functions; the ranks are kept with each function."""
+
+    def __init__(self, hosts: HostTable) -> None:
+        self.hosts = hosts
+
+    def ranks(self, name: str, function: Function, depth: int = FIRST_DEPTH) -> dict[str, int]:
+        """Ranks of a function's first hosts, `depth` of them or more: few are needed in a large fleet."""
+        hosts = self.hosts
+        ranked = len(function.ranked_hosts)
+        if function.ranked_version != hosts.version or ranked < min(depth, len(hosts.active)):
+            depth = max(depth, len(hosts.active) // FIRST_PART, ranked)
+            first = nsmallest(depth, rendezvous_keys(name, hosts.active))
+            function.ranked_hosts = [hosts.by_id[host_id] for _, host_id in first]
+            function.ranks = {host_id: rank for rank, (_, host_id) in enumerate(first)}
+            function.ranked_version = hosts.version
+        return function.ranks
--- /dev/null
+++ b/gaproute/decisions/routing/request_attempts.py
@@ -0,0 +1,43 @@
+"""What the attempts of one request prove so far."""
+
+from typing import NamedTuple
+
+from gaproute.decisions.routing.host import Host
+from gaproute.interface import NEVER_RAN, Result
+
+
+class SentAttempt(NamedTuple):
+    """An attempt that was sent."""
+
+    host: Host
+    sent_at: int  # ns
+
+
+class RequestAttempts:
+    """The attempts of one request."""
+
+    __slots__ = ("in_flight", "may_have_run", "first_run", "failed_hosts", "started")
+
+    def __init__(self) -> None:
+        self.in_flight: dict[int, SentAttempt] = {}
+        self.may_have_run: list[SentAttempt] = []  # those that have ended and may have run
+        self.first_run: SentAttempt | None = None  # the first that may have run or may yet
+        self.failed_hosts: list[Host] = []
+        self.started = 0
+
+    def sent(self, attempt: int, host: Host, now: int) -> None:
+        """One more attempt is in flight."""
+        sent = self.in_flight[attempt] = SentAttempt(host, now)
+        self.started += 1
+        self.first_run = self.first_run or sent
+
+    def settle(self, attempt: int, result: Result) -> None:
+        """An attempt in flight has ended: what is proven not to have run binds the request no longer."""
+        sent = self.in_flight.pop(attempt)
+        if result not in NEVER_RAN:
+            self.may_have_run.append(sent)
+        self.first_run = min(
+            [*self.may_have_run, *self.in_flight.values()], key=lambda each: each.sent_at, default=None
+        )
+        if result is not Result.NOT_LOADED:
+            self.failed_hosts.append(sent.host)
--- /dev/null
+++ b/gaproute/decisions/routing/request_router.py
@@ -0,0 +1,226 @@
+"""One request, from acceptance to its one final answer."""
+
+from collections.abc import Generator
+from typing import Any
+
+from gaproute.decisions.routing.answer_times import AnswerTimes
+from gaproute.decisions.routing.attempt_tracker import AttemptTracker
+from gaproute.decisions.routing.function_mix import FunctionMix
+from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.hints import Hints
+from gaproute.decisions.routing.host import Host
+from gaproute.decisions.routing.host_selector import HostSelector
+from gaproute.decisions.routing.load_orders import LoadOrders
+from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
+from gaproute.decisions.routing.load_shedder import LoadShedder
+from gaproute.decisions.routing.parameters import MILLI, NEVER, SECOND
+from gaproute.decisions.routing.request_attempts import RequestAttempts
+from gaproute.decisions.routing.retry_rules import RetryRules
+from gaproute.decisions.routing.slow_start import SlowStart
+from gaproute.interface import (
+    Action,
+    Attempt,
+    Cancel,
+    Fail,
+    Idempotency,
+    Outcome,
+    Reject,
+    Request,
+    Result,
+    Terms,
+    Wait,
+)
+
+PAUSE = 100 * MILLI  # between looks while a request waits for a host: half an answer time, spares the CPU
+RETRY_AFTER_SHARE = 1.0  # of the latency objective: what a rejected client is told to wait
+ANSWER_BY = 4 * MILLI  # before the time is up: the final answer leaves a tick early
+
+# Why a request is rejected: words of the log.
+CROWDED = "crowded"  # it would wait too long for an answer,
+QUEUE = "queue"  # or in the queue of the best host
+FULL = "full"  # a host rejected it in a crowded fleet
+LATE = "late"  # it took too long, and the fleet is crowded
+NO_HOST = "nobody"  # no host may get it
+
+Steps = Generator[Action, Any, str | None]  # ends with the reason to reject, or None: the request is over
+
+
+class RequestRouter:
+    """Holds what all requests need, and serves each by a generator."""
+
+    def __init__(
+        self,
+        terms: Terms,
+        functions: FunctionTable,
+        mix: FunctionMix,
+        answer_times: AnswerTimes,
+        tracker: AttemptTracker,
+        retry_rules: RetryRules,
+        selector: HostSelector,
+        shedder: LoadShedder,
+        slow_start: SlowStart,
+        load_orders: LoadOrders,
+        sharing: LoadReportSharing,
+        hints: Hints,
+    ) -> None:
+        self.request_classes = terms.request_classes
+        self.cancel_allowed, self.retry_after_limit = terms.cancel_allowed, terms.retry_after_limit
+        self.functions, self.mix, self.answer_times = functions, mix, answer_times
+        self.tracker, self.retry_rules, self.selector = tracker, retry_rules, selector
+        self.shedder, self.slow_start = shedder, slow_start
+        self.load_orders, self.sharing, self.hints = load_orders, sharing, hints
+        self.end_by = NEVER  # when every request must have its answer: the process stops
+
+    def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
+        """One request, from acceptance to its one final answer."""
+        function = self.functions.find_or_add(request.function, request.lanes)
+        function.lanes, function.used_at = request.lanes, now
+        if function.hinted_at:
+            self.hints.consider(now, request.function, function)
+        self.mix.add(request.function)
+        self.shedder.request_came(request.tenant)
+        self.slow_start.request_came(now)
+        request_class = self.request_classes[request.request_class]
+        attempts = RequestAttempts()
+        reason: str | None = CROWDED
+        if not self.shedder.crowded(now, request, request_class):
+            reason = yield from _RequestRun(self, now, request, function, attempts).steps()
+        if self.cancel_allowed:
+            for attempt in attempts.in_flight:
+                yield Cancel(attempt)
+        if reason is None:
+            return
+        if attempts.first_run is None or request_class.idempotency is Idempotency.IDEMPOTENT:
+            retry_after = int(RETRY_AFTER_SHARE * request_class.latency_objective)
+            yield Reject(min(self.retry_after_limit, retry_after), reason)
+        else:
+            yield Fail()
+
+
+class _RequestRun:
+    """The attempts of one request, until it is over or another attempt would not help."""
+
+    __slots__ = (
+        "router",
+        "request",
+        "request_class",
+        "function",
+        "attempts",
+        "arrived_at",
+        "end",
+        "give_up_at",
+        "look_at",
+        "now",
+        "reason",
+    )
+
+    def __init__(
+        self,
+        router: RequestRouter,
+        now: int,
+        request: Request,
+        function: Function,
+        attempts: RequestAttempts,
+    ) -> None:
+        self.router, self.request, self.function, self.attempts = router, request, function, attempts
+        self.request_class = router.request_classes[request.request_class]
+        self.arrived_at = self.now = now
+        self.end = now + request.time_left - ANSWER_BY
+        self.give_up_at = now + self.request_class.latency_objective  # looking for a first host
+        self.look_at: float = now  # when to look for a host again
+        self.reason: str | None = None  # to reject the request
+
+    def steps(self) -> Steps:
+        """Attempts until the request is over, then None, or until no other would help, then the reason."""
+        router, request, attempts = self.router, self.request, self.attempts
+        while self.reason is None and self.now < min(self.end, router.end_by):
+            if self.now >= self.look_at:
+                host = self._choose_host()
+                if host is not None:
+                    begin_by = router.retry_rules.begin_by(self.request_class, attempts, self.end)
+                    attempt = yield Attempt(host.id, begin_by)
+                    self.look_at = router.tracker.sent(self.now, request, attempt, host, attempts)
+                elif self.reason is not None:
+                    break
+            give_up_at = self.give_up_at if self.now < self.give_up_at else self.end
+            self.now, outcome = yield Wait(min(self.look_at, self.end, give_up_at))
+            if outcome is None:
+                self._time_came()
+            elif outcome.result is Result.STREAM_STARTED:
+                yield from self._follow_stream(outcome)
+                return None
+            else:
+                host = self._settle(outcome)
+                if host is not None and outcome.result is Result.OK:
+                    yield from self._delivered(host, outcome)
+                if outcome.ended:
+                    return None
+                yield from self._not_delivered(host, outcome)
+        return self.reason or NO_HOST
+
+    def _crowded(self) -> bool:
+        return self.router.shedder.crowded(self.now, self.request, self.request_class)
+
+    def _choose_host(self) -> Host | None:
+        """The host that gets the request now; None: wait, or reject where there is a `reason`."""
+        router, now, attempts = self.router, self.now, self.attempts
+        host = router.selector.choose(now, self.request, attempts)
+        if host is not None:
+            if attempts.started or not router.shedder.sheds(now, self.request, self.request_class, host):
+                return host
+            self.reason = QUEUE
+        elif attempts.in_flight:
+            self.look_at = now + router.answer_times.usual(self.function)
+        elif now < self.give_up_at and router.selector.any_allowed(now, self.request_class, attempts):
+            self.look_at = now + PAUSE
+        else:
+            self.reason = NO_HOST
+        return None
+
+    def _time_came(self) -> None:
+        """No outcome came in time: holds overdue attempts against their hosts, or rejects."""
+        now, attempts = self.now, self.attempts
+        if not attempts.in_flight:
+            return
+        # Late work holds up the rest of a crowded fleet and is worth little: it makes room where it may.
+        idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
+        if now >= self.give_up_at and idempotent and self._crowded():
+            self.reason = LATE
+        elif self.look_at <= now < self.end:
+            tracker = self.router.tracker
+            self.look_at = tracker.hold_overdue_against_hosts(now, self.request, attempts, self.function)
+
+    def _follow_stream(self, outcome: Outcome | None) -> Generator[Action, Any, None]:
+        """Wait for the end of a streamed answer, which has no deadline."""
+        while outcome is None or not outcome.ended:
+            self.now, outcome = yield Wait(self.now + SECOND)
+        self.attempts.in_flight.clear()  # it is not cancelled
+
+    def _settle(self, outcome: Outcome) -> Host | None:
+        """Account for an attempt's end; returns its host, where it was in flight."""
+        sent = self.attempts.in_flight.get(outcome.attempt)
+        if sent is None:
+            return None
+        self.attempts.settle(outcome.attempt, outcome.result)
+        return sent.host
+
+    def _delivered(self, host: Host, outcome: Outcome) -> Generator[Action, Any, None]:
+        """Count the answer; order one more instance where the host has many requests of the function."""
+        load_orders = self.router.load_orders
+        load_orders.limiter.delivered(self.now, self.arrived_at)
+        self.router.sharing.request_delivered()
+        order = load_orders.for_crowd(self.now, self.request, self.function, host, outcome)
+        if order is not None:
+            yield order
+
+    def _not_delivered(self, host: Host | None, outcome: Outcome) -> Generator[Action, Any, None]:
+        """Look for another host at once, or reject; order an instance where there was none."""
+        now = self.look_at = self.now
+        if outcome.result is Result.FULL and not self.attempts.in_flight and self._crowded():
+            self.reason = FULL  # one refusal in a full fleet is proof enough; the client is told at once
+        elif outcome.result is Result.NOT_LOADED and host is not None:
+            order = self.router.load_orders.after_miss(now, self.request, self.function, host)
+            if order is not None:
+                yield order
+                self.function.used(host.id, now)
+                self.look_at = now + outcome.took  # a round trip has passed by then
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -4,7 +4,7 @@
 """
 
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.routing.tidy import TIDY
+from gaproute.decisions.routing.housekeeping import CLEANUP_INTERVAL
 from gaproute.hollow.cells.ways import Ways
 from gaproute.hollow.parts import Part
 
@@ -23,14 +23,14 @@
         return list(self.cellular.local.gateways.values())
 
     @property
-    def fleet(self):
+    def active_hosts(self):
         """The hosts that take calls."""
-        return [worker for gateway in self.gateways() for worker in gateway.fleet]
+        return [host for gateway in self.gateways() for host in gateway.active_hosts]
 
     @property
-    def workers(self):
+    def hosts_by_id(self):
         """{name: host}"""
-        return {name: worker for gateway in self.gateways() for name, worker in gateway.workers.items()}
+        return {name: host for gateway in self.gateways() for name, host in gateway.hosts_by_id.items()}
 
     def known(self, now, since):
         """What was seen of copies since then."""
@@ -48,7 +48,7 @@
         self.gateway, self.followers = KnownHosts(self.cellular), []
         self.ways = Ways(surroundings, self.cellular)
         self.given, self.lists = {}, 0  # cell: the rows that the decisions were given last
-        self.due, self.tidy_at = now, now + TIDY
+        self.due, self.tidy_at = now, now + CLEANUP_INTERVAL
         self.tables.carrier.on_table(self._adopted)
 
     def _adopted(self, table):
@@ -79,9 +79,9 @@
             self.cellular.local.keep(self.cellular.view.names())
         self._feed()
         if now >= self.tidy_at:
-            self.tidy_at = now + TIDY
+            self.tidy_at = now + CLEANUP_INTERVAL
             for gateway in self.gateway.gateways():
-                gateway.forget()
+                gateway.forget_departed_hosts()
 
     @property
     def ready(self):
@@ -93,7 +93,7 @@
         """`entries`: hosts listed and held; beside them the counts of `Ways`."""
         known = self.gateway.gateways()
         return {
-            "entries": sum(map(len, self.given.values())) + sum(len(each.workers) for each in known),
+            "entries": sum(map(len, self.given.values())) + sum(len(each.hosts_by_id) for each in known),
             "lists": self.lists,
             "cells": len(known),
         } | self.ways.counts
--- a/gaproute/hollow/demand.py
+++ b/gaproute/hollow/demand.py
@@ -57,7 +57,7 @@
         for _ in range(ARRIVALS):
             place = self.chance.below(FUNCTIONS) * self.chance.below(FUNCTIONS) // FUNCTIONS
             self.carrier.arrived(now, f"model-{place:03}", TRACK)
-        fleet = self.hosts.gateway.fleet
+        fleet = self.hosts.gateway.active_hosts
         chosen = [fleet[self.chance.below(len(fleet))].id for _ in range(BUSY_HOSTS)] if fleet else []
         for host in self.busy:
             self.weak.saw_hands(now, host, 0)
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -1,6 +1,6 @@
 """The host list as a part: the watched file, its rows, and the decisions' state that is fed with them."""
 
-from gaproute.decisions.routing.tidy import TIDY
+from gaproute.decisions.routing.housekeeping import CLEANUP_INTERVAL
 from gaproute.discovery.listing import FileWatch, Listing
 from gaproute.hollow.parts import Part
 
@@ -14,7 +14,7 @@
         self.gateway = self.configuration.decisions(
             surroundings.seed, self.configuration.terms, self.loop.now()
         )
-        self.due = self.loop.now() + TIDY
+        self.due = self.loop.now() + CLEANUP_INTERVAL
         self.rows, self.watch, self.followers = {}, None, []
         self.lists = self.refused = 0
 
@@ -25,8 +25,8 @@
 
     def tick(self, now):
         """Forgets hosts that left the list, as the decisions' own housekeeping does."""
-        self.due = now + TIDY
-        self.gateway.forget()
+        self.due = now + CLEANUP_INTERVAL
+        self.gateway.forget_departed_hosts()
 
     def _told(self, lines):
         rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
@@ -40,9 +40,9 @@
         self.refused += len(mistakes)
 
     def counters(self):
-        """`entries`: hosts of the list, and workers that the decisions still hold."""
+        """`entries`: hosts of the list, and hosts that the decisions still hold."""
         return {
-            "entries": len(self.rows) + len(self.gateway.workers),
+            "entries": len(self.rows) + len(self.gateway.hosts_by_id),
             "lists": self.lists,
             "refused": self.refused,
         }
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -16,12 +16,23 @@
 come is resumed: a gateway that stalled must not judge as overdue what has been answered meanwhile.
 """
 
-from gaproute.interface.actions import Attempt, Cancel, Fail, LoadOrder, PollHostList, Probe, Reject, Wait
+from gaproute.interface.actions import (
+    Action,
+    Attempt,
+    Cancel,
+    Fail,
+    LoadOrder,
+    PollHostList,
+    Probe,
+    Reject,
+    Wait,
+)
 from gaproute.interface.outcomes import NEVER_RAN, Found, Outcome, Report, Result
 from gaproute.interface.terms import Group, Idempotency, ListedHost, Request, RequestClass, State, Terms
 
 __all__ = [
     "NEVER_RAN",
+    "Action",
     "Attempt",
     "Cancel",
     "Fail",
--- a/gaproute/interface/actions.py
+++ b/gaproute/interface/actions.py
@@ -13,7 +13,7 @@
 class Wait(NamedTuple):
     """Resume the generator at the next outcome, or at this time."""
 
-    until: int
+    until: float  # ns; whole but where it comes of a median
 
 
 class Cancel(NamedTuple):
@@ -49,3 +49,6 @@
 
 class Fail(NamedTuple):
     """The final answer to a request that may have run and must not run again."""
+
+
+Action = Attempt | Wait | Cancel | LoadOrder | Probe | PollHostList | Reject | Fail
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -24,7 +24,8 @@
     idempotency_key: str = ""  # by which hosts know a repeat, where clients send one
     tenant: bytes = b""  # as the client named it, where other gateways are told it
     origin: str = ""  # the id by which the first gateway sent it, where another one forwarded it
-    forwarded: tuple | None = None  # (cell, hops) as `decisions.cells` has it, where another gateway sent it
+    forwarded: tuple[str, int] | None = None  # (cell, hops) as `decisions.cells` has it, where another
+    #                                           gateway sent it
     client_present: Callable[[], bool] = always  # whether its client still waits: asked as attempts begin
 
     @property
--- a/gaproute/peers/gossip/carrier.py
+++ b/gaproute/peers/gossip/carrier.py
@@ -13,8 +13,8 @@
 
 
 class Carrier:
-    """`gateway`: the decisions' state, whose `workers` hold tasks in hand and whose `known` tells copies.
-    `rate`: bytes a second that it may tell."""
+    """`gateway`: the decisions' state, whose `hosts_by_id` hold the attempts in flight and whose `known`
+    tells copies. `rate`: bytes a second that it may tell."""
 
     def __init__(self, loop, name, gossip, gateway, chance, rate=RATE):
         self.loop, self.gossip, self.gateway = loop, gossip, gateway
@@ -54,12 +54,12 @@
                 self.gossip.send_payload(member.address, PayloadKind.GOSSIP, encode(word))
 
     def _look(self, now):
-        for name, worker in self.gateway.workers.items():
-            tasks = len(worker.out)
+        for name, host in self.gateway.hosts_by_id.items():
+            tasks = len(host.in_flight)
             if tasks != self.hands.get(name, 0):
                 self.hands[name] = tasks
                 self.weak.saw_hands(now, name, tasks)
-        for name in [name for name in self.hands if name not in self.gateway.workers]:
+        for name in [name for name in self.hands if name not in self.gateway.hosts_by_id]:
             del self.hands[name]
             self.weak.saw_hands(now, name, 0)
         for kind, names, _, at in self.gateway.known(now, self.mark):
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -58,8 +58,10 @@
         self.core = Core(
             loop, Gateway(seed, self.terms, loop.now()), self.terms, self.hosts, self.record, self.name
         )
-        if self.core.gateway.ration.travel:
-            self.hosts.order_time = min(self.hosts.order_time, self.core.gateway.ration.travel)
+        if self.core.gateway.load_order_limiter.travel_time:
+            self.hosts.order_time = min(
+                self.hosts.order_time, self.core.gateway.load_order_limiter.travel_time
+            )
         Lot.of(loop).admission = Admission(
             clients, clients + 1, sockets, Chance(seed + 3), RESTED, patient=True, reserve=to_hosts + OWN
         )
@@ -225,13 +227,13 @@
             if host.links
         }
         believed = {
-            worker.id: [
-                round(gateway.queued(worker, 1, self.loop.now()), 1),
-                round(worker.slow, 1),
-                len(worker.out),
+            host.id: [
+                round(gateway.queued(host, 1, self.loop.now()), 1),
+                round(host.slowdown, 1),
+                len(host.in_flight),
             ]
-            for worker in gateway.fleet
-            if worker.out or worker.slow > 1
+            for host in gateway.active_hosts
+            if host.in_flight or host.slowdown > 1
         }
         self.log.info(
             "status",
--- a/gaproute/standins/baselines.py
+++ b/gaproute/standins/baselines.py
@@ -1,35 +1,42 @@
-"""Choices to measure beside the module's own: the same rules, tasks and guards, another way to pick a
+"""Choices to measure beside the module's own: the same rules, requests and guards, another way to pick a
 host."""
 
 from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.host_selector import HostSelector
 
 
-class Plain(Gateway):
+class PlainSelector(HostSelector):
     """Keeps the rules as the module does and leaves out what its choice adds."""
 
-    def choose(self, now, task, trail):
-        track = self.tracks[task.request_class]
+    def choose(self, now, request, attempts):
         able = [
-            worker
-            for worker in self.fleet
-            if self.allowed(worker, track, trail, now)
-            and (now >= worker.warm_at or worker.credit > 0)
-            and worker not in trail.failed
-            and all(worker is not held for held, _ in trail.out.values())
+            host
+            for host in self.allowed_hosts(now, request, attempts, self.hosts.active)
+            if host not in attempts.failed_hosts
         ]
         return self.pick(able) if able else None
 
-
-class RandomChoice(Plain):
     def pick(self, able):
+        """One of these hosts by chance."""
         return able[self.chance.below(len(able))]
 
 
-class LeastQueue(Plain):
-    """Fewest own tasks in flight for its capacity; ties by chance."""
+class LeastQueueSelector(PlainSelector):
+    """Fewest own requests in flight for its capacity; ties by chance."""
 
     def pick(self, able):
-        least = min(len(worker.out) / worker.capacity for worker in able)
-        return RandomChoice.pick(
-            self, [worker for worker in able if len(worker.out) / worker.capacity == least]
-        )
+        """One of those with the fewest."""
+        least = min(len(host.in_flight) / host.capacity for host in able)
+        return super().pick([host for host in able if len(host.in_flight) / host.capacity == least])
+
+
+class RandomChoice(Gateway):
+    """Picks by chance."""
+
+    selector_type = PlainSelector
+
+
+class LeastQueue(Gateway):
+    """Picks the host with the shortest queue."""
+
+    selector_type = LeastQueueSelector
--- a/gaproute/standins/liars.py
+++ b/gaproute/standins/liars.py
@@ -8,7 +8,7 @@
     SHARE = 1.0
 
     def known(self, now, since=-1):
-        active = [worker.id for worker in self.fleet]
+        active = [host.id for host in self.active_hosts]
         for kind, names, value, at in super().known(now, since):
             if kind == "warm" and len(active) > 1 and self.chance.below(1000) < 1000 * self.SHARE:
                 others = [name for name in active if name != names[0]]
--- a/gaproute/standins/rogues.py
+++ b/gaproute/standins/rogues.py
@@ -1,29 +1,37 @@
 """Decision modules that break one rule each on purpose: the judge that does not catch them is no judge."""
 
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.beliefs import MILLI
+from gaproute.decisions.routing.host_selector import HostSelector
+from gaproute.decisions.routing.parameters import MILLI
+from gaproute.decisions.routing.retry_rules import RetryRules
 from gaproute.interface import Attempt, LoadOrder, Reject, State, Wait
 
 
 class SendsAfterTheEnd(Gateway):
-    """Rule 1: relays a task after its final answer."""
+    """Rule 1: sends a request after its final answer."""
 
-    def serve(self, now, task):
+    def serve(self, now, request):
         if self.chance.below(10):
-            yield from super().serve(now, task)
+            yield from super().serve(now, request)
             return
         yield Reject(0)
         now, _ = yield Wait(now + 200 * MILLI)
-        if self.fleet:
-            yield Attempt(self.fleet[0].id)
+        if self.active_hosts:
+            yield Attempt(self.active_hosts[0].id)
             yield Wait(now + 200 * MILLI)
 
 
+class AllowsAllRetries(RetryRules):
+    """Allows every attempt at an active host."""
+
+    def allowed(self, host, request_class, attempts, now):
+        return host.active
+
+
 class RepeatsEverything(Gateway):
-    """Rule 2: sends tasks again whatever their track."""
+    """Rule 2: sends requests again whatever their class."""
 
-    def allowed(self, worker, track, trail, now):
-        return worker.active
+    retry_rules_type = AllowsAllRetries
 
 
 class IgnoresDrains(Gateway):
@@ -33,23 +41,29 @@
         super().listed(now, [row._replace(state=State.ACTIVE) for row in rows], False)
 
 
+class ChoosesLastStarted(HostSelector):
+    """Chooses the host that started last, whatever it can do."""
+
+    def choose(self, now, request, attempts):
+        started = [host for host in self.hosts.active if host.started is not None]
+        if not started or attempts.started:
+            return super().choose(now, request, attempts)
+        return max(started, key=lambda host: host.started)
+
+
 class CrowdsTheCold(Gateway):
     """Rule 4: sends everything to the host that started last."""
 
-    def choose(self, now, task, trail):
-        cold = [worker for worker in self.fleet if worker.started is not None]
-        if not cold or trail.relays:
-            return super().choose(now, task, trail)
-        return max(cold, key=lambda worker: worker.started)
+    selector_type = ChoosesLastStarted
 
 
 class OrdersWithoutEnd(Gateway):
-    """Rule 5: an order for a load with every task."""
+    """Rule 5: an order for a load with every request."""
 
-    def serve(self, now, task):
-        for worker in self.fleet[:3]:
-            yield LoadOrder(worker.id, task.function, 1)
-        yield from super().serve(now, task)
+    def serve(self, now, request):
+        for host in self.active_hosts[:3]:
+            yield LoadOrder(host.id, request.function, 1)
+        yield from super().serve(now, request)
 
 
 ROGUES = {1: SendsAfterTheEnd, 2: RepeatsEverything, 3: IgnoresDrains, 4: CrowdsTheCold, 5: OrdersWithoutEnd}
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -272,7 +272,7 @@
 
 def test_floods_of_unknown_models_and_noise_leave_others_unharmed(rig):
     made, chance = rig(hosts=1), random.Random(4)
-    functions = len(made.gate.core.gateway.functions)
+    functions = len(made.gate.core.gateway.functions_by_name)
     lines = b"".join(
         b"POST /v2/models/x%d/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 0\r\n\r\n" % number
         for number in range(10_000)
@@ -301,7 +301,7 @@
     made.wait(done)
     flood.close()
     made.until(lambda: made.gate.fronts[0].server.held <= 1)
-    assert len(made.gate.core.gateway.functions) == functions + 1 and not made.loop.errors
+    assert len(made.gate.core.gateway.functions_by_name) == functions + 1 and not made.loop.errors
 
 
 # What each end of a relay proves: every row of the proof table, on sockets
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.measurement import UNITS, Measurement, MeasurementError, Point, measure
 from benchmarks.scale.meters import held_bytes
 from benchmarks.scale.plays import cpu_ms, grown
-from gaproute.decisions.routing import measures
+from gaproute.decisions.routing import ranking
 
 SIZES = (100, 400, 1_600, 6_400, 25_600)
 CURVES = {
@@ -133,9 +133,9 @@
     caller = Caller(20, 1)
     host = caller.call("f")
     assert caller.call("f") == host  # the copy that was seen to stand
-    assert list(caller.gateway.functions) == ["f"]
-    assert not caller.gateway.hands
-    assert not any(worker.out for worker in caller.gateway.workers.values())
+    assert list(caller.gateway.functions_by_name) == ["f"]
+    assert not caller.gateway.tracker.in_flight
+    assert not any(worker.in_flight for worker in caller.gateway.hosts_by_id.values())
 
 
 def test_a_call_that_no_host_can_take_is_no_measurement():
@@ -149,18 +149,18 @@
     caller = Caller(100, 1)
     caller.crowd_mix()
     caller.call("f")
-    assert caller.gateway.breadth("f") < 1
+    assert caller.gateway.mix.breadth("f") < 1
 
 
 def count_hashes(monkeypatch):
     """The hosts hashed for functions from now on, as a list that grows."""
-    counted, hashing = [], measures.blake2b
+    counted, hashing = [], ranking.blake2b
 
     def counting(data, **told):
         counted.append(data)
         return hashing(data, **told)
 
-    monkeypatch.setattr(measures, "blake2b", counting)
+    monkeypatch.setattr(ranking, "blake2b", counting)
     return counted
 
 
@@ -176,10 +176,10 @@
 
 def test_one_changed_line_keeps_the_other_hosts():
     caller = Caller(50, 1)
-    before = dict(caller.gateway.workers)
+    before = dict(caller.gateway.hosts_by_id)
     decisions.change(caller, 1.0)
-    assert caller.gateway.workers == before
-    assert caller.gateway.workers["host-000000"].capacity == 1.0
+    assert caller.gateway.hosts_by_id == before
+    assert caller.gateway.hosts_by_id["host-000000"].capacity == 1.0
 
 
 def test_a_host_that_leaves_is_forgotten_in_one_round_and_comes_back():
@@ -187,8 +187,8 @@
     for number in range(20):
         caller.call(f"rare-{number}")
     assert functions._host_leaves(caller, 3) >= 0
-    assert sorted(caller.gateway.workers) == [each.host for each in rows(50)]
-    assert len(caller.gateway.functions) == 20
+    assert sorted(caller.gateway.hosts_by_id) == [each.host for each in rows(50)]
+    assert len(caller.gateway.functions_by_name) == 20
 
 
 def test_every_measurement_is_named_as_it_is_registered(monkeypatch):
@@ -231,5 +231,5 @@
 def test_a_cold_host_is_cold_for_the_gateway():
     caller = Caller(10, 1)
     caller.gateway.listed(caller.now, [row(0, started=caller.now)], False)
-    assert caller.gateway.all_warm_at > caller.now
-    assert caller.gateway.workers["host-000000"].warm_at == caller.gateway.all_warm_at
+    assert caller.gateway.hosts.all_warm_at > caller.now
+    assert caller.gateway.hosts_by_id["host-000000"].warm_at == caller.gateway.hosts.all_warm_at
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -310,8 +310,8 @@
                 ]
         core, gateway = self.core, self.core.gateway
         assert not core.held and not core.tasks and not core.relays and set(core.timers) == {""}
-        assert not gateway.hands and not gateway.ration.out
-        assert not any(each.out or each.late for each in gateway.workers.values())
+        assert not gateway.tracker.in_flight and not gateway.load_order_limiter.open_orders
+        assert not any(each.in_flight or each.overdue for each in gateway.hosts_by_id.values())
         self.passes(30 * SECOND)
         assert not any(link.open for host in self.hosts.hosts.values() for link in host.links)
         assert not self.hosts.links() and not any(entry[4] for entry in self.dials.held)
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -133,7 +133,7 @@
 def test_what_carriers_ask_of_one_cell_is_answered():
     made = CellularGateway(7, TERMS, 0)
     made.listed(0, [row("a"), row("b")], True)
-    assert made.fleet == made.single.fleet and made.hint("a", "f", 4, 5)
+    assert made.active_hosts == made.single.active_hosts and made.hint("a", "f", 4, 5)
     with pytest.raises(ValueError):
         made.adopt(0, table(cells(2)))
 
@@ -387,15 +387,15 @@
     made.adopt(0, table(cells(26), number=2))
     assert "cell0" in made.local.gateways or "cell0" not in made.wanted()
     drive.hears(MILLI, face.Result.OK)
-    assert drive.ended and not made.former.hands
+    assert drive.ended and not made.former.tracker.in_flight
 
 
 def test_all_known_cells_share_one_ration():
     made = fleet(own=("cell0", "cell13"))
     made.listed(0, [row("x")], True, made.wanted()[0])
     made.listed(0, [row("y")], True, made.wanted()[1])
-    rations = {id(gateway.ration) for gateway in made.local.gateways.values()}
-    assert len(made.local.gateways) == 2 and rations == {id(made.local.ration)}
+    limiters = {id(gateway.load_order_limiter) for gateway in made.local.gateways.values()}
+    assert len(made.local.gateways) == 2 and limiters == {id(made.local.load_order_limiter)}
 
 
 def test_housekeeping_probes_the_hosts_of_all_known_cells():
--- a/tests/decisions/reports/test_lore.py
+++ b/tests/decisions/reports/test_lore.py
@@ -209,9 +209,9 @@
 def test_a_hint_gives_way_to_what_was_seen_and_is_void_for_hosts_not_active_or_wiped():
     made = gateway(row("a"), row("b", state=State.DRAINING))
     assert made.hint("a", "f", 4, 5 * SECOND) and not made.hint("a", "f", 4, 4 * SECOND)
-    assert made.hint("a", "f", 4, 6 * SECOND) and made.functions["f"].told == {"a": 6 * SECOND}
+    assert made.hint("a", "f", 4, 6 * SECOND) and made.functions_by_name["f"].hinted_at == {"a": 6 * SECOND}
     assert not made.hint("b", "f", 4, 5 * SECOND) and not made.hint("nobody", "f", 4, 5 * SECOND)
-    made.workers["a"].wiped = 6 * SECOND
+    made.hosts_by_id["a"].instances_lost_at = 6 * SECOND
     assert not made.hint("a", "g", 4, 5 * SECOND)
 
 
@@ -219,7 +219,7 @@
     made = gateway(row("a"))
     driven = Drive(made, task(), 0)
     driven.hears(SECOND, Result.OK)
-    assert not made.hint("a", "f", 4, 5 * SECOND) and made.functions["f"].seen == {"a": SECOND}
+    assert not made.hint("a", "f", 4, 5 * SECOND) and made.functions_by_name["f"].last_used == {"a": SECOND}
 
 
 def test_a_hinted_host_is_chosen_before_hosts_of_which_nothing_is_known():
@@ -242,8 +242,8 @@
 
 
 def ranked(made, name):
-    made.ranks(name, made.function(name, 4))
-    return made.functions[name].order
+    made.ranking.ranks(name, made.functions.find_or_add(name, 4))
+    return made.functions_by_name[name].ranked_hosts
 
 
 def test_two_hints_are_on_trial_at_a_time():
@@ -256,9 +256,9 @@
     made = gateway()
     assert trial(made, 0, None) and trial(made, 1, None) and not trial(made, 2, None)
     made.heard(7 * SECOND, outcome("t0", ranked(made, "f0")[1].id))
-    assert made.functions["f2"].told
-    made.consider(8 * SECOND, "f2", made.functions["f2"])
-    assert ranked(made, "f2")[1].id in made.functions["f2"].seen
+    assert made.functions_by_name["f2"].hinted_at
+    made.hints.consider(8 * SECOND, "f2", made.functions_by_name["f2"])
+    assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used
 
 
 def test_two_wrong_hints_end_it_however_many_were_right():
@@ -270,10 +270,17 @@
 def test_a_trial_of_which_nothing_is_told_holds_up_the_others_for_a_while_only():
     made = gateway()
     assert trial(made, 0, None) and trial(made, 1, None) and not trial(made, 2, None)
-    made.consider(20 * SECOND, "f2", made.functions["f2"])
-    assert ranked(made, "f2")[1].id in made.functions["f2"].seen and (made.right, made.wrong) == (0, 0)
+    made.hints.consider(20 * SECOND, "f2", made.functions_by_name["f2"])
+    assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used and (
+        made.hints.right,
+        made.hints.wrong,
+    ) == (0, 0)
     made = gateway()
-    assert trial(made, 0, Found.UNKNOWN) and not made.trials and (made.right, made.wrong) == (0, 0)
+    assert (
+        trial(made, 0, Found.UNKNOWN)
+        and not made.hints.trials
+        and (made.hints.right, made.hints.wrong) == (0, 0)
+    )
 
 
 def test_the_first_choice_of_the_hash_is_tried_where_it_was_told():
@@ -281,8 +288,10 @@
     first, second = (worker.id for worker in ranked(made, "f")[:2])
     made.hint(second, "f", 4, 5 * SECOND)
     made.hint(first, "f", 4, 4 * SECOND)
-    made.consider(6 * SECOND, "f", made.functions["f"])
-    assert made.functions["f"].seen == {first: 4 * SECOND} and set(made.trials) == {("f", first)}
+    made.hints.consider(6 * SECOND, "f", made.functions_by_name["f"])
+    assert made.functions_by_name["f"].last_used == {first: 4 * SECOND} and set(made.hints.trials) == {
+        ("f", first)
+    }
 
 
 def test_hints_of_hosts_that_left_the_list_meanwhile_are_not_followed():
@@ -290,15 +299,17 @@
     made.hint("a", "f", 4, 5 * SECOND)
     made.listed(6 * SECOND, [row("b"), row("c")], True)
     assert made.serve(6 * SECOND, task()).send(None).host != "a"
-    assert "a" not in made.functions["f"].seen
+    assert "a" not in made.functions_by_name["f"].last_used
 
 
 def test_a_suspicion_told_weighs_less_than_one_good_answer():
     made = gateway(row("a"), row("b"))
     assert made.hint_doubt("a", 0, 1.0, 5 * SECOND) and not made.hint_doubt("nobody", 0, 1.0, 5 * SECOND)
-    assert 0 < made.doubt(made.workers["a"], 0, 6 * SECOND) < 0.3
-    made.book(made.workers["a"], 6 * SECOND, 0, 0.0)
-    assert made.doubt(made.workers["a"], 0, 7 * SECOND) == 0 and not made.hint_doubt("a", 0, 1.0, 7 * SECOND)
+    assert 0 < made.outliers.doubt(made.hosts_by_id["a"], 0, 6 * SECOND) < 0.3
+    made.outliers.record(made.hosts_by_id["a"], 6 * SECOND, 0, 0.0)
+    assert made.outliers.doubt(made.hosts_by_id["a"], 0, 7 * SECOND) == 0 and not made.hint_doubt(
+        "a", 0, 1.0, 7 * SECOND
+    )
 
 
 def test_usual_times_and_pace_are_taken_only_where_nothing_is_known():
@@ -307,30 +318,30 @@
     made.hint("a", "f", 4, SECOND)
     assert made.hint_usual("f", MILLI) and not made.hint_usual("f", 2 * MILLI)
     assert made.hint_usual(None, SECOND) and not made.hint_usual(None, 2 * SECOND)
-    assert made.hint_pace("a", 3.0, SECOND) and made.workers["a"].slow == 3.0
+    assert made.hint_pace("a", 3.0, SECOND) and made.hosts_by_id["a"].slowdown == 3.0
 
 
 @pytest.mark.parametrize("wrong, taken", [(0, 64), (1, 0)])
 def test_the_mix_told_is_taken_once_eight_hints_proved_right_and_none_wrong(wrong, taken):
     made = gateway()
     made.hint_mix(["f"] * 64 + [""] * 64)
-    assert all(trial(made, number) for number in range(7)) and made.mix.count("f") == 0
-    made.wrong = wrong
-    assert trial(made, 7) and made.mix.count("f") == taken
+    assert all(trial(made, number) for number in range(7)) and made.mix.recent.count("f") == 0
+    made.hints.wrong = wrong
+    assert trial(made, 7) and made.mix.recent.count("f") == taken
 
 
 def test_the_mix_told_is_not_taken_after_own_tasks_have_made_one():
     made = gateway()
-    made.mix.extend(["own"] * 128)
+    made.mix.recent.extend(["own"] * 128)
     made.hint_mix(["f"] * 128)
-    assert all(trial(made, number) for number in range(9)) and made.mix.count("f") == 0
+    assert all(trial(made, number) for number in range(9)) and made.mix.recent.count("f") == 0
 
 
 def test_only_what_was_answered_is_told_on():
     made = gateway()
     made.hint("a", "f", 4, 5 * SECOND)
     assert [fact for fact in made.known(8 * SECOND) if fact[0] == "warm"] == []
-    made.functions["f"].stands["b"] = made.functions["f"].answered = 7 * SECOND
+    made.functions_by_name["f"].proven_at["b"] = made.functions_by_name["f"].answered_at = 7 * SECOND
     assert list(made.known(8 * SECOND)) == [("warm", ("b", "f"), (4,), 7 * SECOND)]
     assert list(made.known(8 * SECOND, 7 * SECOND)) == []
 
@@ -363,7 +374,7 @@
         ]
     )
     assert told.follow(made, 2, {"a": 0}, {"check": 0}, KEEP, Chance(1), told.facts) == 2
-    assert told.refused == {"not listed": 1, "track": 1} and made.workers["a"].slow == SLOWEST
+    assert told.refused == {"not listed": 1, "track": 1} and made.hosts_by_id["a"].slowdown == SLOWEST
 
 
 @pytest.mark.parametrize("share", [0.02, 0.3])
@@ -380,8 +391,8 @@
         made = gateway(*map(row, hosts))
         lives = dict.fromkeys(hosts, 0)
         told.follow(made, 60 * SECOND, lives, {}, KEEP, Chance(seeds.getrandbits(64)), told.facts)
-        made.chance = Chance(seeds.getrandbits(64))
-        made.mix.extend(told.mix())
+        made.chance.state = Chance(seeds.getrandbits(64)).state
+        made.mix.recent.extend(told.mix())
         sent[made.serve(60 * SECOND, task()).send(None).host] += 1
     assert max(sent.values()) <= 28 and len(sent) >= (2 if share < 0.1 else 4)
     assert sent.keys() <= set(others)
@@ -394,7 +405,7 @@
         made = gateway(*hosts)
         assert told.follow(made, 60 * SECOND, {"cold": 5}, {}, KEEP, Chance(seed), told.facts) == 1
         sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
-        assert "cold" not in sent and made.workers["cold"].credit == 0
+        assert "cold" not in sent and made.hosts_by_id["cold"].credit == 0
 
 
 # Two gateways
@@ -421,7 +432,10 @@
     answer = made.wait(made.ask("lamp", "first"))
     assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at and len(made.seen("loaded")) == loads
     assert made.gate.others.giver.told >= 1 and second.others.learner.state["g"].startswith("told ")
-    assert not second.core.gateway.ration.out and not second.core.gateway.ration.ends
+    assert (
+        not second.core.gateway.load_order_limiter.open_orders
+        and not second.core.gateway.load_order_limiter.ends
+    )
 
 
 def test_an_operator_sees_what_is_known_and_by_what(beside):
@@ -437,13 +451,13 @@
 def test_news_of_a_host_that_is_gone_from_the_list_is_void(beside):
     made, start = beside
     rows = made.list.read_text().splitlines()
-    (worker,) = made.gate.core.gateway.functions["lamp"].stands
+    (worker,) = made.gate.core.gateway.functions_by_name["lamp"].proven_at
     made.gate.watch.close()  # the giver's own list is late: it still believes in the host
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     second = start()
     made.until(lambda: second.others.learner.state["g"].startswith("told"))
-    assert second.others.lore.refused["not listed"] and worker not in second.core.gateway.workers
-    assert "lamp" not in second.core.gateway.functions
+    assert second.others.lore.refused["not listed"] and worker not in second.core.gateway.hosts_by_id
+    assert "lamp" not in second.core.gateway.functions_by_name
 
 
 @pytest.mark.parametrize("act", ["stalls", "nonsense", "future"])
--- a/tests/decisions/routing/test_determinism.py
+++ b/tests/decisions/routing/test_determinism.py
@@ -270,7 +270,7 @@
         self.observations(which, gateway, draw.choice([-1, self.now - SECOND]))
 
     def observations(self, which, gateway, since):
-        self.note(which, "observations", list(gateway.known(self.now, since)))
+        self.note(which, "observations", [tuple(each) for each in gateway.known(self.now, since)])
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/routing/test_ration.py
+++ b/tests/decisions/routing/test_load_order_limiter.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from gaproute import interface as face
-from gaproute.decisions.routing.ration import TRAVEL, Ration
+from gaproute.decisions.routing.load_order_limiter import TRAVEL_SHARE, LoadOrderLimiter
 from gaproute.interface import Result
 
 WINDOW = 10 * SECOND
-WAY = int(TRAVEL * WINDOW)
+WAY = int(TRAVEL_SHARE * WINDOW)
 at = st.integers(0, 50).map(lambda half: half * SECOND // 2)
 
 
@@ -28,7 +28,7 @@
     how many)."""
     tasks = [(came, took, real) for came, took, real, count in bursts for _ in range(count)]
     wishes = [(when, way, took) for when, way, took, count in orders for _ in range(count)]
-    made, share = Ration(free, 0.3, WINDOW), 0.3
+    made, share = LoadOrderLimiter(free, 0.3, WINDOW), 0.3
     happened = sorted(
         [(came + took, 0, came) for came, took, real in tasks if real]
         + [(when, 1, (way, took)) for when, way, took in wishes],
@@ -41,8 +41,8 @@
         ends = [end for end in ends if end > now]
         if kind == 0:
             made.delivered(now, told)
-        elif made.may(now):
-            made.ordered()
+        elif made.allows(now):
+            made.sent()
             arrivals.append(now + told[0])
             ends.append(now + told[0] + told[1])
     taken = [came for came, _, real in tasks if real]
@@ -52,21 +52,21 @@
 
 
 def test_the_ration_is_not_kept_tighter_than_it_must():
-    made = Ration(2, 0.3, WINDOW)
+    made = LoadOrderLimiter(2, 0.3, WINDOW)
     for _ in range(10):
         made.delivered(SECOND, SECOND)
     for _ in range(5):
-        assert made.may(SECOND)
-        made.ordered()
+        assert made.allows(SECOND)
+        made.sent()
         made.ended(SECOND)
-    assert not made.may(SECOND) and not made.may(SECOND + WINDOW)
-    assert made.may(SECOND + WINDOW + 1)
+    assert not made.allows(SECOND) and not made.allows(SECOND + WINDOW)
+    assert made.allows(SECOND + WINDOW + 1)
 
 
 def test_without_a_window_every_order_may_go():
-    made = Ration(0, 0, 0)
+    made = LoadOrderLimiter(0, 0, 0)
     made.delivered(1, 1)
-    assert made.may(1) and not made.tasks
+    assert made.allows(1) and not made.arrivals
 
 
 def test_what_fails_or_leaves_is_no_task_for_the_ration():
@@ -75,24 +75,24 @@
     Drive(made, task("bad", request_class=2)).hears(SECOND, Result.ERROR)
     Drive(made, task("late", request_class=2)).hears(SECOND, Result.TIMEOUT)
     Drive(made, task("gone")).hears(SECOND, Result.CLIENT_LEFT, ended=True)
-    assert made.ration.tasks == []
+    assert made.load_order_limiter.arrivals == []
     Drive(made, task("good"), 5).hears(SECOND, Result.OK)
-    assert made.ration.tasks == [5]
+    assert made.load_order_limiter.arrivals == [5]
 
 
 def test_an_order_counts_until_a_window_after_its_end():
     made = gateway(load_orders_free=1, load_order_share=0, load_order_window=WINDOW)
-    function = made.function("f", 4)
-    made.ordered(0, function)
-    assert not made.may_order(3 * WINDOW, made.function("g", 4))
+    function = made.functions.find_or_add("f", 4)
+    made.load_orders.start(0, function)
+    assert not made.load_orders.may_order(3 * WINDOW, made.functions.find_or_add("g", 4))
     made.stood(3 * WINDOW, "a", "f", Result.TIMEOUT, 0)
-    assert not made.may_order(4 * WINDOW, function)
-    assert made.may_order(4 * WINDOW + 1, function)
+    assert not made.load_orders.may_order(4 * WINDOW, function)
+    assert made.load_orders.may_order(4 * WINDOW + 1, function)
 
 
 def orders(made, answered_after, tries=200):
     """Orders that go out as tasks crowd at a worker, each answered so long after."""
-    function, went, now = made.function("f", 4), 0, 0
+    function, went, now = made.functions.find_or_add("f", 4), 0, 0
     for number in range(tries):
         now += SECOND
         drive = Drive(made, task(str(number)), now)
@@ -100,18 +100,18 @@
         if any(isinstance(wish, face.LoadOrder) for wish in drive.wishes):
             went += 1
             made.stood(now + answered_after, "a", "f", Result.OK, 3)
-            assert not function.ordered
+            assert not function.load_order_open
     return went
 
 
 def test_orders_that_find_their_copies_standing_are_made_seldom():
     """Each costs what a probe costs; hosts that add copies by themselves answer at once."""
     made = gateway(load_order_window=0)
-    made.loads.append(SECOND)
+    made.answer_times.loads.append(SECOND)
     assert 3 < orders(made, SECOND // 100) < 40
 
 
 def test_orders_that_bring_copies_go_on():
     made = gateway(load_order_window=0)
-    made.loads.append(SECOND)
+    made.answer_times.loads.append(SECOND)
     assert orders(made, SECOND // 2) == 200
--- a/tests/decisions/routing/test_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -10,8 +10,8 @@
 from gaproute.decisions.reports import words as wording
 from gaproute.decisions.reports.words import mark
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.sharing import SAVED, WORTH
-from gaproute.decisions.routing.tidy import PROBE_EVERY
+from gaproute.decisions.routing.housekeeping import PROBE_INTERVAL
+from gaproute.decisions.routing.load_report_sharing import COST_SHARE, SAVED_PROBES
 from gaproute.interface import Report, Result
 
 TOLD = {
@@ -48,10 +48,10 @@
     words = one.probed(0, "a", True, Report(cpu_busy=0.5, memory_busy=0.2))
     assert len(words) == 4
     other.told(SECOND, words)
-    worker = other.workers["a"]
-    assert worker.reported == SECOND and worker.report.in_hand is None
+    worker = other.hosts_by_id["a"]
+    assert worker.reported_at == SECOND and worker.report.in_hand is None
     assert worker.report.cpu_busy == pytest.approx(0.5, abs=0.01)
-    assert worker.memory == pytest.approx(0.2, abs=0.01)
+    assert worker.memory_busy == pytest.approx(0.2, abs=0.01)
 
 
 @pytest.mark.parametrize("told", [{"peers_allowed": False}, {"gateways": 1}, {"reported_figures": ()}])
@@ -70,7 +70,7 @@
     made = shared()
     assert made.probed(0, "a", True, Report(cpu_busy=0.5)) is None
     made.told(SECOND, b"zz\1\1")
-    assert made.workers["a"].reported < SECOND and made.workers["b"].reported < SECOND
+    assert made.hosts_by_id["a"].reported_at < SECOND and made.hosts_by_id["b"].reported_at < SECOND
 
 
 @given(st.binary(max_size=300))
@@ -85,7 +85,7 @@
     words = made.probed(0, "a", True, Report(cpu_busy=0.5))
     made.listed(0, [row("a", state=face.State.GONE)], False)
     made.told(1, words)
-    assert made.workers["a"].reported < 1 and made.probed(1, "a", True, Report(cpu_busy=0.5)) is None
+    assert made.hosts_by_id["a"].reported_at < 1 and made.probed(1, "a", True, Report(cpu_busy=0.5)) is None
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
@@ -96,7 +96,7 @@
         Drive(made, task(str(number)), number * SECOND).hears(number * SECOND, Result.OK)
         probes += len(play(made, (number + 1) * SECOND, number * SECOND))
     cost = 0.025 + 0.01 * gateways * 4 / 256
-    assert 0.9 * WORTH * tasks <= probes * cost <= WORTH * tasks + SAVED * cost
+    assert 0.9 * COST_SHARE * tasks <= probes * cost <= COST_SHARE * tasks + SAVED_PROBES * cost
 
 
 def test_probes_that_cost_nothing_are_made_without_tasks():
@@ -109,9 +109,9 @@
     for name in "abc":
         made.probed(SECOND, name, True, Report(cpu_busy=0.5))
     made.probed(SECOND + 5, "a", True, Report(cpu_busy=0.5))
-    pick = made.sharing.pick
-    assert pick(SECOND + PROBE_EVERY - 1, made.fleet, PROBE_EVERY, Chance(1)) is None
-    assert pick(SECOND + PROBE_EVERY, made.fleet, PROBE_EVERY, Chance(1)).id == "b"
+    pick = made.sharing.host_to_probe
+    assert pick(SECOND + PROBE_INTERVAL - 1, made.active_hosts, PROBE_INTERVAL, Chance(1)) is None
+    assert pick(SECOND + PROBE_INTERVAL, made.active_hosts, PROBE_INTERVAL, Chance(1)).id == "b"
 
 
 def test_gateways_that_hear_the_same_do_not_all_probe_the_same_worker():
@@ -120,6 +120,6 @@
     for seed in range(40):
         one = Gateway(seed * 7919, TERMS._replace(**TOLD), 0)
         one.listed(0, rows, True)
-        one.sharing.due = 1
-        picked.add(one.sharing.pick(SECOND, one.fleet, PROBE_EVERY, one.chance).id)
+        one.sharing.paid_probes = 1
+        picked.add(one.sharing.host_to_probe(SECOND, one.active_hosts, PROBE_INTERVAL, one.chance).id)
     assert len(picked) > 4
--- a/tests/decisions/routing/test_routing.py
+++ b/tests/decisions/routing/test_routing.py
@@ -14,54 +14,65 @@
 
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.beliefs import LOOK, ROOM, WIDE, Function, Trail
-from gaproute.decisions.routing.measures import FADE
-from gaproute.decisions.routing.score import MEMORY, PRIOR, PRIOR_HOT, QUEUE, QUEUE_HOT, WARMTH
-from gaproute.decisions.routing.wait import REFUSAL_LIFE
+from gaproute.decisions.routing.attempt_tracker import InFlightAttempt
+from gaproute.decisions.routing.functions import FADE_POWER, Function
+from gaproute.decisions.routing.parameters import JUDGEMENT_INTERVAL, SPREAD_FACTOR, USUAL_CONCURRENCY
+from gaproute.decisions.routing.request_attempts import RequestAttempts, SentAttempt
+from gaproute.decisions.routing.scorer import (
+    HASH_POINTS,
+    HASH_POINTS_HOT,
+    MEMORY_POINTS,
+    QUEUE_POINTS,
+    QUEUE_POINTS_HOT,
+    WARMTH_POINTS,
+)
+from gaproute.decisions.routing.throughput import REFUSAL_LIFETIME
 from gaproute.interface import Result
 
 MAY_HAVE_RUN = [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED]
 NEVER_RAN = [Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.NOT_LOADED]
 
 
-def trail_with(made, result, sent=0, still_out=False):
-    trail = Trail()
-    trail.out[0] = (made.workers["a"], sent)
-    trail.first = trail.out[0]
-    trail.relays = 1
+def attempts_with(made, result, sent=0, still_out=False):
+    attempts = RequestAttempts()
+    attempts.in_flight[0] = SentAttempt(made.hosts_by_id["a"], sent)
+    attempts.first_run = attempts.in_flight[0]
+    attempts.started = 1
     if not still_out:
-        trail.settle(0, result)
-    return trail
+        attempts.settle(0, result)
+    return attempts
 
 
 @pytest.mark.parametrize("age", [0, 4 * SECOND, 7.5 * SECOND])
 def test_warm_with_a_free_lane_beats_cold_idle_at_any_memory_gap(age):
     made = gateway()
-    warm, cold = made.workers["a"], made.workers["b"]
-    function = made.function("f", 4)
-    function.ranks, function.ranked_for = {"b": 0, "c": 1, "a": 2}, made.list_version
-    function.order = [made.workers[name] for name in function.ranks]
-    function.seen["a"] = 0
+    warm, cold = made.hosts_by_id["a"], made.hosts_by_id["b"]
+    function = made.functions.find_or_add("f", 4)
+    function.ranks, function.ranked_version = {"b": 0, "c": 1, "a": 2}, made.hosts.version
+    function.ranked_hosts = [made.hosts_by_id[name] for name in function.ranks]
+    function.last_used["a"] = 0
     now = int(age)
     for number in range(3):
-        warm.out["x", number] = now
-    made.note(warm, now, face.Report(memory_busy=1.0))
-    made.note(cold, now, face.Report(memory_busy=0.0))
-    assert made.choose(now, task(), Trail()) is warm
+        warm.in_flight["x", number] = now
+    made.loads.record(warm, now, face.Report(memory_busy=1.0))
+    made.loads.record(cold, now, face.Report(memory_busy=0.0))
+    assert made.selector.choose(now, task(), RequestAttempts()) is warm
 
 
 def test_warmth_is_nought_at_the_end_of_the_keep_alive():
     made, function = gateway(), Function(4)
-    function.seen["a"] = 0
-    assert made.warmth(function, made.workers["a"], 0) == 1
-    assert made.warmth(function, made.workers["a"], made.keep_alive) == 0
+    function.last_used["a"] = 0
+    assert made.functions.warmth(function, made.hosts_by_id["a"], 0) == 1
+    assert made.functions.warmth(function, made.hosts_by_id["a"], made.functions.keep_alive) == 0
 
 
 @pytest.mark.parametrize("track", [0, 1, 2])
 @pytest.mark.parametrize("result", NEVER_RAN)
 def test_a_proof_that_nothing_ran_frees_every_track(track, result):
     made = gateway(row("a"), row("b", cell=1))
-    assert made.allowed(made.workers["b"], made.tracks[track], trail_with(made, result), SECOND)
+    assert made.retry_rules.allowed(
+        made.hosts_by_id["b"], made.terms.request_classes[track], attempts_with(made, result), SECOND
+    )
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
@@ -81,7 +92,12 @@
     made = gateway(row("a"), row("same"), row("near", cell=1), row("far", zone=1, cell=2))
     track = IDEMPOTENT_WITH_KEY._replace(group=group)
     for still_out in (True, False):
-        assert made.allowed(made.workers[other], track, trail_with(made, result, 0, still_out), now) is lawful
+        assert (
+            made.retry_rules.allowed(
+                made.hosts_by_id[other], track, attempts_with(made, result, 0, still_out), now
+            )
+            is lawful
+        )
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
@@ -94,27 +110,29 @@
 
 def test_effectful_never_goes_again_while_a_relay_is_out():
     made = gateway()
-    assert not made.allowed(made.workers["b"], NON_IDEMPOTENT, trail_with(made, None, still_out=True), 1)
+    assert not made.retry_rules.allowed(
+        made.hosts_by_id["b"], NON_IDEMPOTENT, attempts_with(made, None, still_out=True), 1
+    )
 
 
 def test_first_possible_run_is_the_earliest_relay_not_disproved():
     made = gateway()
-    trail = trail_with(made, Result.FULL, 0, still_out=True)
-    trail.out[1] = (made.workers["b"], 5)
-    trail.settle(0, Result.FULL)
-    assert trail.first == (made.workers["b"], 5)
+    attempts = attempts_with(made, Result.FULL, 0, still_out=True)
+    attempts.in_flight[1] = SentAttempt(made.hosts_by_id["b"], 5)
+    attempts.settle(0, Result.FULL)
+    assert attempts.first_run == (made.hosts_by_id["b"], 5)
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
 def test_a_relay_that_may_have_run_binds_the_task_after_an_earlier_one_is_disproved(result):
     made = gateway(row("a"), row("b"), row("other", cell=1))
-    track, trail = IDEMPOTENT_WITH_KEY._replace(group=face.Group.CELL), Trail()
+    track, attempts = IDEMPOTENT_WITH_KEY._replace(group=face.Group.CELL), RequestAttempts()
     for relay, name in enumerate("ab"):
-        made.sent(relay, task(request_class=1), relay, made.workers[name], trail)
-    trail.settle(1, result)
-    trail.settle(0, Result.FULL)
-    assert trail.first == (made.workers["b"], 1)
-    assert not made.allowed(made.workers["other"], track, trail, 2)
+        made.tracker.sent(relay, task(request_class=1), relay, made.hosts_by_id[name], attempts)
+    attempts.settle(1, result)
+    attempts.settle(0, Result.FULL)
+    assert attempts.first_run == (made.hosts_by_id["b"], 1)
+    assert not made.retry_rules.allowed(made.hosts_by_id["other"], track, attempts, 2)
 
 
 def test_a_begun_stream_that_rests_for_over_a_second_goes_on():
@@ -129,7 +147,9 @@
 
 def test_no_second_relay_out_where_forbidden():
     made = gateway(hedging_allowed=False)
-    assert not made.allowed(made.workers["b"], IDEMPOTENT, trail_with(made, None, still_out=True), 1)
+    assert not made.retry_rules.allowed(
+        made.hosts_by_id["b"], IDEMPOTENT, attempts_with(made, None, still_out=True), 1
+    )
 
 
 def test_final_answer_before_the_time_is_up_and_nothing_after():
@@ -166,14 +186,16 @@
 def test_a_worker_missing_from_a_whole_list_is_gone():
     made = gateway()
     made.listed(1, [row("a")], True)
-    assert [worker.id for worker in made.workers.values() if worker.active] == ["a"]
+    assert [worker.id for worker in made.hosts_by_id.values() if worker.active] == ["a"]
 
 
 def test_cold_workers_get_their_share_of_the_mean_per_warm_peer():
     made = gateway(row("a"), row("b"), row("cold", started=0))
     sent = []
     for number in range(200):
-        made.function("f", 4).seen = {"cold": 10 * number}  # every task wants the copy there
+        made.functions.find_or_add("f", 4).last_used = {
+            "cold": 10 * number
+        }  # every task wants the copy there
         drive = Drive(made, task(str(number)), 10 * number)
         sent += drive.sent
         drive.hears(10 * number + 5, Result.OK)
@@ -182,15 +204,15 @@
 
 def test_unspent_credit_fades_so_that_many_gateways_save_up_no_burst():
     made = gateway(row("a"), row("cold", started=0))
-    cold = made.workers["cold"]
+    cold = made.hosts_by_id["cold"]
     for now in range(0, 5 * SECOND, SECOND // 10):
-        made.spread_credit(now, made.workers["a"])
-    last = made.power(cold, now)
+        made.slow_start.answered(now, made.hosts_by_id["a"])
+    last = made.slow_start.available_share(cold, now)
     assert last <= cold.credit <= 10 * last  # no more than the last second's answers earned
-    made.spread_credit(8 * SECOND, made.workers["a"])
+    made.slow_start.answered(8 * SECOND, made.hosts_by_id["a"])
     fresh = gateway(row("a"), row("cold", started=0))
-    fresh.spread_credit(8 * SECOND, fresh.workers["a"])
-    assert cold.credit == fresh.workers["cold"].credit > 0
+    fresh.slow_start.answered(8 * SECOND, fresh.hosts_by_id["a"])
+    assert cold.credit == fresh.hosts_by_id["cold"].credit > 0
 
 
 def test_credit_below_one_is_a_chance_tried_once():
@@ -198,9 +220,9 @@
     for seed in range(200):
         made = gateway(row("cold", started=0))
         made.chance.state = seed << 40
-        made.workers["cold"].credit = 0.25
-        picks.append(made.choose(0, task(), Trail()))
-        assert picks[-1] or made.workers["cold"].credit == 0
+        made.hosts_by_id["cold"].credit = 0.25
+        picks.append(made.selector.choose(0, task(), RequestAttempts()))
+        assert picks[-1] or made.hosts_by_id["cold"].credit == 0
     assert 20 < sum(pick is not None for pick in picks) < 80
 
 
@@ -208,7 +230,7 @@
     made = gateway(row("a"), row("cold", started=0))
     drive = Drive(made, task())
     drive.hears(1, Result.FULL)
-    assert drive.sent == ["a"] and made.workers["cold"].credit == 0
+    assert drive.sent == ["a"] and made.hosts_by_id["cold"].credit == 0
 
 
 def test_a_fresh_gateway_does_not_burst_on_cold_workers():
@@ -219,11 +241,11 @@
 
 def test_one_open_order_for_a_function():
     made = gateway(load_order_window=0)
-    function = made.function("f", 4)
-    made.ordered(0, function)
-    assert not made.may_order(0, function)
+    function = made.functions.find_or_add("f", 4)
+    made.load_orders.start(0, function)
+    assert not made.load_orders.may_order(0, function)
     made.stood(1, "a", "f", Result.OK, 1)
-    assert made.may_order(1, function)
+    assert made.load_orders.may_order(1, function)
 
 
 def test_a_miss_orders_one_copy_there_and_returns():
@@ -237,8 +259,8 @@
 
 def hands(made, worker, sent, relay=0, track=0):
     """A relay out at the worker, in the gateway's books."""
-    made.workers[worker].out[f"t{sent}", relay] = sent
-    made.hands[f"t{sent}", relay] = (worker, "f", track, sent, True)
+    made.hosts_by_id[worker].in_flight[f"t{sent}", relay] = sent
+    made.tracker.in_flight[f"t{sent}", relay] = InFlightAttempt(worker, "f", track, sent, True)
 
 
 def answered(made, worker, now, sent, result=Result.OK, track=0):
@@ -252,33 +274,38 @@
     made = gateway()
     for sent in range(2):
         answered(made, "a", 9, sent, result)
-    assert made.doubt(made.workers["a"], 0, LOOK) > 0.2
-    assert made.choose(LOOK, task(), Trail()).id != "a"
-    assert made.doubt(made.workers["a"], 0, 10 * SECOND) == 0
+    assert made.outliers.doubt(made.hosts_by_id["a"], 0, JUDGEMENT_INTERVAL) > 0.2
+    assert made.selector.choose(JUDGEMENT_INTERVAL, task(), RequestAttempts()).id != "a"
+    assert made.outliers.doubt(made.hosts_by_id["a"], 0, 10 * SECOND) == 0
 
 
 def test_refusals_are_no_mark_of_illness():
     made = gateway()
     answered(made, "a", 9, 0, Result.FULL)
-    assert made.doubt(made.workers["a"], 0, LOOK) == 0
+    assert made.outliers.doubt(made.hosts_by_id["a"], 0, JUDGEMENT_INTERVAL) == 0
 
 
 def test_a_track_that_fails_is_doubted_apart_from_one_that_goes_well():
     made = gateway()
     for sent in range(4):
         answered(made, "a", 9, sent, Result.ERROR if sent % 2 else Result.OK, track=sent % 2)
-    assert made.doubt(made.workers["a"], 1, LOOK) > 0.2 > 0.1 > made.doubt(made.workers["a"], 0, LOOK)
+    assert (
+        made.outliers.doubt(made.hosts_by_id["a"], 1, JUDGEMENT_INTERVAL)
+        > 0.2
+        > 0.1
+        > made.outliers.doubt(made.hosts_by_id["a"], 0, JUDGEMENT_INTERVAL)
+    )
 
 
 def test_relays_twice_overdue_in_silence_count_against_their_worker_at_once():
     made = gateway()
     drive = Drive(made, task(request_class=2))
-    worker = made.workers[drive.sent[0]]
-    while not worker.late:
+    worker = made.hosts_by_id[drive.sent[0]]
+    while not worker.overdue:
         drive.late(drive.wishes[-1].until)
-    assert worker.bad == 0
+    assert worker.bad_results == 0
     drive.late(drive.wishes[-1].until)
-    assert worker.bad == 1
+    assert worker.bad_results == 1
 
 
 def test_an_overdue_relay_keeps_its_place_and_nothing_else_goes_out():
@@ -295,84 +322,92 @@
     for sent in range(2):
         answered(made, "a", 9, sent, Result.ERROR)
         answered(made, "b", 9, 10 + sent, Result.TIMEOUT)
-    assert made.workers["a"].bad == made.workers["b"].bad == 2
-    assert 0 < made.doubt(made.workers["a"], 0, LOOK) < made.doubt(made.workers["b"], 0, LOOK)
+    assert made.hosts_by_id["a"].bad_results == made.hosts_by_id["b"].bad_results == 2
+    assert (
+        0
+        < made.outliers.doubt(made.hosts_by_id["a"], 0, JUDGEMENT_INTERVAL)
+        < made.outliers.doubt(made.hosts_by_id["b"], 0, JUDGEMENT_INTERVAL)
+    )
 
 
 @pytest.mark.parametrize("track, ended", [(0, True), (1, False), (2, False)])
 def test_late_pure_tasks_make_room_where_the_fleet_is_crowded(track, ended):
     made = gateway()
     drive = Drive(made, task(request_class=track))
-    made.refusals.extend([(SECOND, True)] * 5)
+    made.throughput.refusals.extend([(SECOND, True)] * 5)
     drive.late(SECOND)
     assert drive.ended is ended and (drive.wishes == [face.Cancel(0), face.Reject(SECOND, "late")]) is ended
 
 
-@pytest.mark.parametrize("weight, prior", [(QUEUE, PRIOR), (QUEUE_HOT, PRIOR_HOT)])
+@pytest.mark.parametrize("weight, prior", [(QUEUE_POINTS, HASH_POINTS), (QUEUE_POINTS_HOT, HASH_POINTS_HOT)])
 def test_weights_keep_warm_with_a_free_lane_ahead_for_three_quarters_of_the_keep_alive(weight, prior):
-    warmth = 1 - 0.75**FADE
-    assert WARMTH * warmth + prior * (1 - warmth) > weight * 3 / ROOM + MEMORY + prior
+    warmth = 1 - 0.75**FADE_POWER
+    assert (
+        WARMTH_POINTS * warmth + prior * (1 - warmth) > weight * 3 / USUAL_CONCURRENCY + MEMORY_POINTS + prior
+    )
 
 
 def test_hot_functions_spill_where_rare_ones_wait():
     made = gateway(row("a"), row("b"))
-    function = made.function("f", 4)
-    function.seen["a"] = 10 * SECOND
-    made.workers["a"].out = {("x", n): 10 * SECOND for n in range(34)}
-    made.mix.extend(["f"] * 2 + ["g"] * 254)
-    assert made.choose(10 * SECOND, task(), Trail()).id == "a"
-    made.mix.extend(["f"] * 160)
-    assert made.choose(10 * SECOND, task(), Trail()).id == "b"
+    function = made.functions.find_or_add("f", 4)
+    function.last_used["a"] = 10 * SECOND
+    made.hosts_by_id["a"].in_flight = {("x", n): 10 * SECOND for n in range(34)}
+    made.mix.recent.extend(["f"] * 2 + ["g"] * 254)
+    assert made.selector.choose(10 * SECOND, task(), RequestAttempts()).id == "a"
+    made.mix.recent.extend(["f"] * 160)
+    assert made.selector.choose(10 * SECOND, task(), RequestAttempts()).id == "b"
 
 
 def test_a_function_spreads_over_workers_in_proportion_to_its_share():
     def firsts(seed, name):
         made = Gateway(seed, TERMS, 0)
         made.listed(0, list(map(row, "abcdefgh")), True)
-        made.mix.extend((["f"] + ["g"] * 7) * 32)
-        assert made.breadth("f") == 1
-        ranks = made.ranks(name, made.function(name, 4))
-        return {ranks[made.choose(0, task(function=name), Trail()).id] for _ in range(9)}
+        made.mix.recent.extend((["f"] + ["g"] * 7) * 32)
+        assert made.mix.breadth("f") == 1
+        ranks = made.ranking.ranks(name, made.functions.find_or_add(name, 4))
+        return {ranks[made.selector.choose(0, task(function=name), RequestAttempts()).id] for _ in range(9)}
 
     each = [firsts(seed, "f") for seed in range(9)]
     assert all(len(own) == 1 for own in each), "each gateway has its own"
-    assert set.union(*each) == set(range(int(WIDE)))
+    assert set.union(*each) == set(range(int(SPREAD_FACTOR)))
     assert [firsts(seed, "rare") for seed in range(9)] == [{0}] * 9
 
 
 def test_a_small_difference_of_reports_does_not_draw_all_gateways_to_one_worker():
     made = gateway(*map(row, "abcdefgh"))
-    made.mix.extend((["f"] + ["g"] * 7) * 32)
-    function = made.function("f", 4)
-    made.ranks("f", function)
-    own = function.order[made.own % 2]
-    other = function.order[1 - made.own % 2]
-    for worker in made.fleet:
-        made.note(worker, 0, face.Report(cpu_busy=0.3, memory_busy=0.2))
-    made.note(other, 0, face.Report(cpu_busy=0.1, memory_busy=0.2))
-    assert made.choose(0, task(), Trail()) is own
-    made.note(own, 0, face.Report(cpu_busy=1.0, memory_busy=0.2))
-    own.out = {("x", number): 1 for number in range(6)}
-    assert made.choose(1, task(), Trail()) is other
+    made.mix.recent.extend((["f"] + ["g"] * 7) * 32)
+    function = made.functions.find_or_add("f", 4)
+    made.ranking.ranks("f", function)
+    own = function.ranked_hosts[made.scorer.own_choice % 2]
+    other = function.ranked_hosts[1 - made.scorer.own_choice % 2]
+    for worker in made.active_hosts:
+        made.loads.record(worker, 0, face.Report(cpu_busy=0.3, memory_busy=0.2))
+    made.loads.record(other, 0, face.Report(cpu_busy=0.1, memory_busy=0.2))
+    assert made.selector.choose(0, task(), RequestAttempts()) is own
+    made.loads.record(own, 0, face.Report(cpu_busy=1.0, memory_busy=0.2))
+    own.in_flight = {("x", number): 1 for number in range(6)}
+    assert made.selector.choose(1, task(), RequestAttempts()) is other
 
 
 def test_the_shortest_contract_time_sets_the_queue_and_least_earnings_go_first():
     short = IDEMPOTENT._replace(latency_objective=SECOND // 2, priority_weight=3.0)
     made = gateway()
-    made.shortest, made.top_earnings = short.latency_objective, 3.0
-    made.answers.extend(range(0, 640 * MILLI, 10 * MILLI))
-    made.hands = {(str(n), 0): ("a", "f", 0, n, True) for n in range(75)}
-    assert made.crowded(640 * MILLI, task(), IDEMPOTENT) and not made.crowded(640 * MILLI, task(), short)
-    made.hands = {(str(n), 0): ("a", "f", 0, n, True) for n in range(70)}
-    assert made.crowded(SECOND, task(), short)
+    made.answer_times.shortest_objective, made.shedder.top_priority_weight = short.latency_objective, 3.0
+    made.throughput.answers.extend(range(0, 640 * MILLI, 10 * MILLI))
+    made.tracker.in_flight = {(str(n), 0): InFlightAttempt("a", "f", 0, n, True) for n in range(75)}
+    assert made.shedder.crowded(640 * MILLI, task(), IDEMPOTENT) and not made.shedder.crowded(
+        640 * MILLI, task(), short
+    )
+    made.tracker.in_flight = {(str(n), 0): InFlightAttempt("a", "f", 0, n, True) for n in range(70)}
+    assert made.shedder.crowded(SECOND, task(), short)
 
 
 def test_a_full_fleet_declines_at_once():
     made = gateway()
-    made.refusals.extend([(0, True)] * 5 + [(0, False)] * 3)
+    made.throughput.refusals.extend([(0, True)] * 5 + [(0, False)] * 3)
     assert Drive(made, task()).wishes == [face.Reject(SECOND, "crowded")]
-    assert Drive(made, task("u"), REFUSAL_LIFE).sent  # nothing may come any more: refusals age
-    made.refusals.append((1, False))
+    assert Drive(made, task("u"), REFUSAL_LIFETIME).sent  # nothing may come any more: refusals age
+    made.throughput.refusals.append((1, False))
     assert Drive(made, task("v"), 1).sent
 
 
@@ -380,20 +415,19 @@
     rows = [row("far", zone=0), row("near", zone=1)]
     for price, seen in ((0.03, {"near"}), (0.0, {"near", "far"})):
         made = gateway(*rows, zone=1, crossing_price=price)
-        made.function("f", 4).seen.update(far=0, near=0)
-        assert {made.choose(0, task(), Trail()).id for _ in range(30)} == seen
+        made.functions.find_or_add("f", 4).last_used.update(far=0, near=0)
+        assert {made.selector.choose(0, task(), RequestAttempts()).id for _ in range(30)} == seen
 
 
 def test_the_own_zone_outweighs_neither_a_copy_nor_a_queue():
     rows = [row("far", zone=0), row("near", zone=1)]
     made = gateway(*rows, zone=1, crossing_price=0.03)
-    made.function("f", 4).seen["far"] = 0
-    assert made.choose(0, task(), Trail()).id == "far"
-    made.function("f", 4).seen["near"] = 0
+    made.functions.find_or_add("f", 4).last_used["far"] = 0
+    assert made.selector.choose(0, task(), RequestAttempts()).id == "far"
+    made.functions.find_or_add("f", 4).last_used["near"] = 0
     for number in range(9):
-        made.workers["near"].out["x", number] = 0
-    made.workers["near"].tally = None
-    assert made.choose(0, task(), Trail()).id == "far"
+        made.hosts_by_id["near"].in_flight["x", number] = 0
+    assert made.selector.choose(0, task(), RequestAttempts()).id == "far"
 
 
 def test_a_worker_that_left_the_list_is_forgotten_once_nothing_is_out_to_it():
@@ -401,12 +435,17 @@
     drive = Drive(made, task())
     held = drive.sent[0]
     made.listed(1, [row("a" if held == "b" else "b")], True)
-    made.forget()
-    assert held in made.workers and held in made.functions["f"].seen, "its answer is still to be booked"
+    made.forget_departed_hosts()
+    assert held in made.hosts_by_id and held in made.functions_by_name["f"].last_used, (
+        "its answer is still to be booked"
+    )
     drive.hears(2, Result.OK)
-    made.forget()
-    assert held not in made.workers
-    assert held not in made.functions["f"].seen and held not in made.functions["f"].stands
+    made.forget_departed_hosts()
+    assert held not in made.hosts_by_id
+    assert (
+        held not in made.functions_by_name["f"].last_used
+        and held not in made.functions_by_name["f"].proven_at
+    )
     assert Drive(made, task("u")).sent[0] != held
 
 
@@ -414,5 +453,5 @@
     made = gateway(row("a"))
     for number in range(1000):
         made.listed(number, [row(f"h{number}")], True)
-        made.forget()
-    assert list(made.workers) == ["h999"]
+        made.forget_departed_hosts()
+    assert list(made.hosts_by_id) == ["h999"]
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -4,17 +4,17 @@
 from helpers import SECOND, Drive, gateway, row, task
 
 from benchmarks.cold import HARD, Day, day, play
-from gaproute.decisions.routing.beliefs import Trail
+from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.interface import Result
 from gaproute.terms import terms
 
 
 def test_a_fleet_all_cold_is_looked_through_once_a_choice():
     made = gateway(*[row(f"h{number}", started=0) for number in range(1200)])
-    for worker in made.fleet:
+    for worker in made.active_hosts:
         worker.credit = 1 / SECOND  # each is passed over
-    assert made.choose(0, task(), Trail()) is None
-    assert not any(worker.credit for worker in made.fleet)
+    assert made.selector.choose(0, task(), RequestAttempts()) is None
+    assert not any(worker.credit for worker in made.active_hosts)
 
 
 @pytest.mark.parametrize("kind, gateways", [("all", 3), ("all", 30), ("all", 200), ("join", 30)])
@@ -26,22 +26,27 @@
 
 def test_with_few_warm_answers_of_cold_workers_earn_so_that_none_starve():
     made = gateway(row("a"), *[row(f"c{number}", started=0) for number in range(9)])
-    cold = [worker for worker in made.fleet if worker.id != "a"]
-    made.spread_credit(1, cold[0])
+    cold = [worker for worker in made.active_hosts if worker.id != "a"]
+    made.slow_start.answered(1, cold[0])
     assert sum([worker.credit for worker in cold]) == pytest.approx(0.8)  # one warm, five would do
     half = gateway(row("a"), row("b", started=0))
-    half.spread_credit(1, half.workers["b"])
-    assert half.workers["b"].credit == 0
+    half.slow_start.answered(1, half.hosts_by_id["b"])
+    assert half.hosts_by_id["b"].credit == 0
 
 
 def test_a_cold_worker_counts_for_no_more_than_it_surely_bears():
     """How it gains is not told: it may have nothing but its first share until the last moment."""
     made = gateway(row("a"), row("cold", started=0))
-    late = made.workers["cold"].warm_at - 1
-    made.spread_credit(late, made.workers["a"])
+    late = made.hosts_by_id["cold"].warm_at - 1
+    made.slow_start.answered(late, made.hosts_by_id["a"])
     bears = made.terms.warm_up_overload * made.terms.warm_up_share
     assert terms({"rules": {"fall_multiple": 3}}).warm_up_overload == 3
-    assert made.power(made.workers["cold"], late) > bears > made.workers["cold"].credit > bears / 2
+    assert (
+        made.slow_start.available_share(made.hosts_by_id["cold"], late)
+        > bears
+        > made.hosts_by_id["cold"].credit
+        > bears / 2
+    )
 
 
 def test_a_host_of_six_in_ten_new_ones_does_not_fall_late_in_its_cold_time():
@@ -60,8 +65,8 @@
         row("small", capacity=1.0, started=0),
         row("large", capacity=4.0, started=0),
     )
-    made.spread_credit(1, made.workers["a"])
-    small, large = made.workers["small"], made.workers["large"]
+    made.slow_start.answered(1, made.hosts_by_id["a"])
+    small, large = made.hosts_by_id["small"], made.hosts_by_id["large"]
     assert small.credit == pytest.approx(
         large.credit / 3
     )  # a third of the mean; the large one gets the mean's
@@ -74,9 +79,9 @@
 
 def test_an_answer_of_a_cold_worker_earns_that_one_alone():
     made = gateway(*[row(f"c{number}", started=0) for number in range(4)])
-    quick, slow = made.workers["c0"], made.workers["c1"]
+    quick, slow = made.hosts_by_id["c0"], made.hosts_by_id["c1"]
     for now in range(10):
-        made.spread_credit(now, quick)
+        made.slow_start.answered(now, quick)
     assert quick.credit == pytest.approx(10) and slow.credit == 0  # it answered nothing
 
 
@@ -87,9 +92,9 @@
 
 def test_a_storm_of_tasks_earns_cold_workers_no_more_than_calls_a_second():
     made = gateway(*[row(f"c{number}", started=0) for number in range(4)], gateways=2)
-    worker, earned = made.workers["c0"], 0.0
+    worker, earned = made.hosts_by_id["c0"], 0.0
     for now in range(0, SECOND, SECOND // 1000):
-        made.spread_first_credit(now)
+        made.slow_start.request_came(now)
         earned, worker.credit = earned + worker.credit, 0.0  # spent at once
     assert 0.4 < earned <= 0.5  # half of one: the other gateway earns as much
 
@@ -103,20 +108,20 @@
 def test_an_overdue_answer_of_a_warm_worker_earns_no_credit(took, earns):
     """A load is waited for: four usual answer times and two usual loads are in time."""
     made = gateway(row("warm"), row("cold", started=0))
-    made.function("f", 4).times.append(SECOND // 10)
-    made.loads.append(SECOND // 2)
+    made.functions.find_or_add("f", 4).answer_times.append(SECOND // 10)
+    made.answer_times.loads.append(SECOND // 2)
     drive = Drive(made, task())
     drive.hears(int(took * SECOND), Result.OK, took=int(took * SECOND))
-    assert drive.sent == ["warm"] and (made.workers["cold"].credit > 0) is earns
+    assert drive.sent == ["warm"] and (made.hosts_by_id["cold"].credit > 0) is earns
 
 
 def test_a_cold_worker_that_has_left_with_all_others_may_still_answer():
     made = gateway(row("cold", started=0))
-    made.workers["cold"].credit = 1.0
+    made.hosts_by_id["cold"].credit = 1.0
     drive = Drive(made, task())
     made.listed(1, [], True)
     drive.hears(2, Result.OK)
-    assert drive.ended and not made.fleet
+    assert drive.ended and not made.active_hosts
 
 
 def test_a_cold_host_does_not_fall_where_all_answers_come_at_once_after_a_stall():
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -320,7 +320,7 @@
     made.relist(both[0], f"{both[1]} started {began:.6f}")
     made.until(lambda: set(made.gate.rows) == {"h0", "h1"})
     assert made.gate.rows["h1"].listed.started >= without - SECOND
-    assert made.loop.now() < made.gate.core.gateway.workers["h1"].warm_at
+    assert made.loop.now() < made.gate.core.gateway.hosts_by_id["h1"].warm_at
 
 
 # Lists of cells
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -78,7 +78,7 @@
     made.turns()
     stays = leave is LEAVES["stays"]
     assert made.came() == stays == len(client.answers) and not made.process.core.held
-    assert not made.process.core.gateway.workers["s-0"].bad
+    assert not made.process.core.gateway.hosts_by_id["s-0"].bad_results
 
 
 @pytest.mark.parametrize("stopping", [False, True])
@@ -282,7 +282,7 @@
         came, _ = host.accept()
         with came:
             assert came.recv(1) == b""
-    assert not made.gate.core.held and not made.gate.core.gateway.workers["h0"].bad
+    assert not made.gate.core.held and not made.gate.core.gateway.hosts_by_id["h0"].bad_results
     sock.close()
 
 
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -187,8 +187,8 @@
     for entry in list(made.dials.held):
         entry[3](None, OSError(errno.EMFILE, "too many open files"))
     made.turns()
-    worker = made.process.core.gateway.workers["s-0"]
-    assert not worker.bad and not made.came()
+    worker = made.process.core.gateway.hosts_by_id["s-0"]
+    assert not worker.bad_results and not made.came()
     made.passes(4 * SECOND)
     made.until(lambda: client.answers)
 
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -101,8 +101,8 @@
     client.ask(1)
     for _ in range(20):
         made.passes(MILLI)
-    worker = made.process.core.gateway.workers["s-0"]
-    assert failing.socket.failed > 1 and not worker.bad and not made.came()
+    worker = made.process.core.gateway.hosts_by_id["s-0"]
+    assert failing.socket.failed > 1 and not worker.bad_results and not made.came()
     monkeypatch.setattr(connecting, "socket", real)
     for _ in range(20):
         made.passes(10 * MILLI)
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -48,10 +48,10 @@
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}")
     made.until(lambda: second.others.learner.state["g"].startswith("told"))
-    assert "lamp" not in second.core.gateway.functions
+    assert "lamp" not in second.core.gateway.functions_by_name
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    made.until(lambda: "lamp" in second.core.gateway.functions)
-    assert second.core.gateway.functions["lamp"].told
+    made.until(lambda: "lamp" in second.core.gateway.functions_by_name)
+    assert second.core.gateway.functions_by_name["lamp"].hinted_at
 
 
 def test_a_peer_that_comes_up_late_is_asked_again(fleet):
@@ -98,7 +98,12 @@
     two = start("two", f"listen peers {ports[1]}", f"peer one {ports[0]}", listen=False)
     made.at = front(one)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    made.until(lambda: "lamp" in two.core.gateway.functions and two.core.gateway.functions["lamp"].told)
+    made.until(
+        lambda: (
+            "lamp" in two.core.gateway.functions_by_name
+            and two.core.gateway.functions_by_name["lamp"].hinted_at
+        )
+    )
     loads = len(made.seen("loaded"))
     made.at = front(two)
     assert made.wait(made.ask("lamp", "w2")).status == 200
@@ -123,7 +128,7 @@
     second = start("second", f"peer half {listener.address}")
     made.until(lambda: second.others.learner.state["half"] == "dropped after 1 facts")
     listener.close()
-    assert set(second.core.gateway.functions["lamp"].told) == {"h1"}
+    assert set(second.core.gateway.functions_by_name["lamp"].hinted_at) == {"h1"}
 
 
 def test_a_host_gone_between_two_chunks_gets_nothing(fleet):
@@ -162,18 +167,18 @@
 def test_a_third_gateway_that_still_believes_in_a_host_does_not_bring_it_back(fleet):
     made, start = fleet
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    (worker,) = made.gate.core.gateway.functions["lamp"].stands
+    (worker,) = made.gate.core.gateway.functions_by_name["lamp"].proven_at
     second = start("second", f"peer g {where(made.gate)}")
     made.until(lambda: second.others.learner.booked)
     third = start("third", f"peer second {where(second)}")
     made.until(lambda: third.others.learner.state["second"].startswith("told"))
-    assert "lamp" not in third.core.gateway.functions, "a hint was told on"
+    assert "lamp" not in third.core.gateway.functions_by_name, "a hint was told on"
     rows = made.list.read_text().splitlines()
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     made.until(lambda: all(worker not in each.rows for each in (made.gate, second, third)))
     fourth = start("fourth", f"peer g {where(made.gate)}", f"peer second {where(second)}")
     made.until(lambda: all(state.startswith("told") for state in fourth.others.learner.state.values()))
-    assert worker not in fourth.core.gateway.workers
+    assert worker not in fourth.core.gateway.hosts_by_id
     made.until(lambda: fourth.others.lore.facts["listed", worker].value[0] == "gone")
 
 
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -392,11 +392,11 @@
     made.process.configuration.peers_all = where % other.sock.getsockname()[1]
     made.client().ask(1)
     made.until(lambda: heard)
-    worker = made.process.core.gateway.workers["s-0"]
-    at = worker.reported
+    worker = made.process.core.gateway.hosts_by_id["s-0"]
+    at = worker.reported_at
     other.send(b"noise", where % made.process.peers.sock.getsockname()[1])
     other.send(heard[0], where % made.process.peers.sock.getsockname()[1])
-    made.until(lambda: worker.reported > at)
+    made.until(lambda: worker.reported_at > at)
     assert heard[0][2:] == bytes([64, 128])
     other.close()
 
@@ -439,5 +439,5 @@
         _, (change,) = events.known({"seq": number, "results": [event(number, *rows, complete=True)]})
         made.process.told(change)
     took = (time.process_time() - began) / 10
-    assert len(made.process.core.gateway.fleet) == 1024
+    assert len(made.process.core.gateway.active_hosts) == 1024
     assert took < 0.2
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -74,13 +74,13 @@
     def __init__(self):
         self.left = 1
 
-    def may(self, now):
+    def allows(self, now):
         return self.left > 0
 
-    def ordered(self):
+    def sent(self):
         self.left -= 1
 
-    def ended(self, now, good):
+    def ended(self, now, *, good):
         pass
 
 
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -11,7 +11,7 @@
 from gaproute.appliance import Appliance
 from gaproute.config import read_configuration
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.beliefs import MILLI, SECOND
+from gaproute.decisions.routing.parameters import MILLI, SECOND
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
 from gaproute.loop.streams import address
