--- a/gaproute/decisions/routing/load_report_sharing.py
+++ b/gaproute/decisions/routing/load_report_sharing.py
@@ -9,7 +9,7 @@
 from collections.abc import Sequence
 
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.words import Words
+from gaproute.decisions.reports.load_report_codec import LoadReportCodec
 from gaproute.decisions.routing.host import Host
 from gaproute.interface import Report, Terms
 
@@ -24,9 +24,9 @@
     """Chooses the hosts to probe, within what the requests pay for, and encodes reports for the others."""
 
     def __init__(self, terms: Terms) -> None:
-        self.words = Words(terms.reported_figures)
-        self.shares = terms.peers_allowed and terms.gateways > 1 and bool(self.words.figures)
-        sharing_price = terms.peer_price * terms.gateways * self.words.size / MESSAGE_BYTES
+        self.codec = LoadReportCodec(terms.reported_figures)
+        self.shares = terms.peers_allowed and terms.gateways > 1 and bool(self.codec.figures)
+        sharing_price = terms.peer_price * terms.gateways * self.codec.size / MESSAGE_BYTES
         price = terms.probe_price + (sharing_price if self.shares else 0.0)
         self.free = price <= 0
         self.probes_per_request = COST_SHARE / price if price > 0 else 0.0
@@ -34,7 +34,7 @@
 
     def hosts_listed(self, host_ids: Sequence[str]) -> None:
         """These are the active hosts."""
-        self.words.listed(host_ids)
+        self.codec.set_hosts(host_ids)
 
     def request_delivered(self) -> None:
         """A request pays its part of a probe."""
@@ -61,10 +61,8 @@
         """The message by which all others are told of it; None where they are not."""
         if not self.shares or report is None:
             return None
-        message: bytes | None = self.words.say(host_id, report)
-        return message
+        return self.codec.encode(host_id, report)
 
     def decode(self, message: bytes) -> tuple[str, Report] | None:
         """(host, report) of a message of another gateway; None where it cannot be used."""
-        decoded: tuple[str, Report] | None = self.words.read(message)
-        return decoded
+        return self.codec.decode(message)
--- a/gaproute/decisions/routing/observations.py
+++ b/gaproute/decisions/routing/observations.py
@@ -15,7 +15,7 @@
 
 
 class Observation(NamedTuple):
-    """One fact that this gateway saw; kinds and values are those of `gaproute.decisions.reports.facts`."""
+    """One fact that this gateway saw; kinds and values as in `decisions/reports/observation_kinds.py`."""
 
     kind: str
     names: tuple[Any, ...]  # what it is about: hosts, functions, request classes
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -12,9 +12,10 @@
 from gaproute.decisions.connections.pooling import OWN, Pooling, share_out
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.changelog import events
-from gaproute.discovery.changelog.follow import Follower
+from gaproute.discovery.changelog.members import MemberConverter
+from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.fronts.jsonrpc.front import Front
-from gaproute.hosts.jsonlines.fleet import Hosts
+from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
 from gaproute.loop.connecting import short
 from gaproute.loop.datagrams import Datagrams
@@ -53,8 +54,8 @@
         self.record = Record(self.log, self.site.tracks, followed)
         sockets = min(self.configuration.limits.sockets, descriptors())
         clients, to_hosts = share_out(sockets)
-        self.hosts = Hosts(loop, Pooling(), self.site, to_hosts)
-        self.hosts.forgotten = self.record.forget
+        self.hosts = JsonLinesClient(loop, Pooling(), self.site, to_hosts)
+        self.hosts.on_removed = self.record.forget
         self.core = Core(
             loop, Gateway(seed, self.terms, loop.now()), self.terms, self.hosts, self.record, self.name
         )
@@ -65,7 +66,7 @@
         Lot.of(loop).admission = Admission(
             clients, clients + 1, sockets, Chance(seed + 3), RESTED, patient=True, reserve=to_hosts + OWN
         )
-        self.lister = events.Lister(loop, self.site.zones)
+        self.lister = MemberConverter(loop, self.site.zones)
         self.seed, self.sockets = seed, sockets
         self.front = self.follower = self.peers = None
         self.stopping = False
@@ -87,10 +88,10 @@
         self.front.refused = lambda code, text: self.log.info("refused", code=code, text=text[:200])
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
             self.hear_peers()
-        last, known = events.known(self.configuration.known)
+        last, known = events.decode_initial(self.configuration.known)
         for event in known:
             self.told(event)
-        self.follower = Follower(
+        self.follower = ChangeLogWatcher(
             self.loop, self.configuration.changelog, last, self.told, Chance(self.seed + 1), known
         )
         self.log.info(
@@ -100,7 +101,7 @@
             hosts=len(self.hosts.hosts),
             sockets=self.sockets,
             clients=Lot.of(self.loop).admission.most,
-            to_hosts=self.hosts.room,
+            to_hosts=self.hosts.max_connections,
             limits=self.configuration.limits,
             reported=self.site.reported,
             prices=self.configuration.settings.get("prices"),
@@ -124,15 +125,15 @@
 
     def told(self, event):
         absent_at = self.follower.current_at if self.follower is not None else None
-        rows = self.lister.rows(event.fleet, absent_at)
+        rows = self.lister.endpoints(event.fleet, absent_at)
         complete = event.fleet.complete
-        self.hosts.listed(rows, complete)
+        self.hosts.update(rows, complete=complete)
         self.core.listed([row.listed for row in rows], complete)
         self.log.info(
             "list",
             seq=event.seq,
             complete=complete,
-            rows=[[row.listed.host, row.where, row.listed.state.value] for row in rows[:64]],
+            rows=[[row.listed.host, row.address, row.listed.state.value] for row in rows[:64]],
         )
 
     def ready(self):
@@ -163,7 +164,7 @@
         self.log.info("configuration", changelog=configuration.changelog)
         self.configuration = configuration
         if self.follower is not None:
-            self.follower.move(configuration.changelog)
+            self.follower.set_address(configuration.changelog)
 
     def _not_reloaded(self, fault):
         if isinstance(fault, ConfigurationUnreadableError) and is_momentary_read(fault.cause):
@@ -249,19 +250,19 @@
             displaced=Lot.of(self.loop).displaced,
             opened=hosts.opened,
             reused=hosts.reused,
-            doubled=hosts.doubled,
-            spoilt=hosts.spoilt,
-            strays=hosts.strays,
+            doubled=hosts.multiplexed,
+            spoilt=hosts.malformed,
+            strays=hosts.unmatched,
             late_turns=self.loop.late_turns,
             descriptors=had(lambda: len(os.listdir("/proc/self/fd"))),
             memory_mb=had(memory),
             cpu_s=round(sum(os.times()[:2]), 2),
-            members_refused=self.lister.refused,
-            log_asked=self.follower.asked if self.follower else 0,
-            log_anew=self.follower.anew if self.follower else 0,
-            log_fault=self.follower.fault if self.follower else "",
-            log_seq=self.follower.last if self.follower else 0,
-            log_silent_ms=(self.loop.now() - self.follower.heard) // MILLI if self.follower else 0,
+            members_refused=self.lister.rejected,
+            log_asked=self.follower.connection_count if self.follower else 0,
+            log_anew=self.follower.restarts if self.follower else 0,
+            log_fault=self.follower.last_error if self.follower else "",
+            log_seq=self.follower.last_seq if self.follower else 0,
+            log_silent_ms=(self.loop.now() - self.follower.last_message_at) // MILLI if self.follower else 0,
         )
 
 
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -12,7 +12,7 @@
 from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, half_close
 
 from gaproute.fronts.jsonrpc.messages import FAILED
-from gaproute.hosts.jsonlines import link as links
+from gaproute.hosts.jsonlines import connection as connections
 from gaproute.http1 import client as http_clients
 from gaproute.http1.client import Exchange
 from gaproute.loop import Loop
@@ -66,7 +66,7 @@
 
 @leaves
 def test_a_dial_that_comes_up_in_the_long_turn_in_which_its_client_leaves(gate, monkeypatch, leave):
-    monkeypatch.setattr(links, "connect", dials := HeldDials())
+    monkeypatch.setattr(connections, "connect", dials := HeldDials())
     made = gate(clock=Handed(), settings=limits(probes=False, connect_timeout=1000.0))
     client = made.client()
     client.ask(1)
@@ -216,7 +216,7 @@
 def written_in_part(gate, method="fault-check", **told):
     """A gateway whose one connection to its host took the first half of a request; a client."""
     made = gate(hosts=1, settings=limits(**told), clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     known(made)
     (made.link,) = made.process.hosts.hosts["s-0"].links
     made.clog = made.link.stream.sock = Clogged(made.link.stream.sock, 500)
@@ -246,7 +246,7 @@
 def test_what_else_is_at_work_on_that_connection_may_have_run_and_nothing_is_left_of_it(gate):
     """The connection ends: its host gives up what is open on it."""
     made = gate(silent_at_requests, hosts=1, settings=limits(), clock=Handed())
-    made.process.hosts.room = 1
+    made.process.hosts.max_connections = 1
     known(made)
     (link,) = made.process.hosts.hosts["s-0"].links
     other, client = made.client(), made.client()
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.hosts.jsonlines import lines
-from gaproute.hosts.jsonlines.fleet import Hosts
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.jsonlines import messages
+from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.interface import Found, Idempotency, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
@@ -31,13 +31,13 @@
 
 def reply(**told):
     told = {"type": "served", "req": "a", "data": ""} | told
-    return lines.Reader().feed(json.dumps(told).encode() + b"\n")[0]
+    return messages.LineReader().feed(json.dumps(told).encode() + b"\n")[0]
 
 
 @pytest.mark.parametrize("cut", range(1, 50, 7))
 def test_lines_are_read_however_the_bytes_are_split(cut):
     data = b'{"type":"served","req":"a"}\n{"type":"green","req":7}\n'
-    reader = lines.Reader()
+    reader = messages.LineReader()
     got = [each for at in range(0, len(data), cut) for each in reader.feed(data[at : at + cut])]
     assert [(each.type, each.req) for each in got] == [("served", "a"), ("green", 7)]
 
@@ -50,25 +50,29 @@
         b'{"type":"served"}\n',
         b"\n",
         b"\xff\xfe\n",
-        b"x" * (lines.LINE + 1),
+        b"x" * (messages.MAX_LINE_BYTES + 1),
         b"[" * 5000 + b"\n",
     ],
 )
 def test_a_spoilt_or_endless_line_ends_the_connection_and_what_came_before_counts(data):
-    with pytest.raises(lines.Spoilt) as wrong:
-        lines.Reader().feed(b'{"type":"red","req":"a"}\n' + data)
+    with pytest.raises(messages.MalformedLineError) as wrong:
+        messages.LineReader().feed(b'{"type":"red","req":"a"}\n' + data)
     assert [each.type for each in wrong.value.args[1]] == ["red"]
 
 
 @given(st.lists(st.binary(max_size=100), max_size=20))
 def test_arbitrary_bytes_raise_nothing_else(pieces):
-    reader = lines.Reader(300)
+    reader = messages.LineReader(300)
     try:
         for piece in pieces:
             for each in reader.feed(piece):
-                lines.heard(each, True), lines.health(each), lines.stands(each)
+                (
+                    messages.decode_attempt(each, True),
+                    messages.decode_health(each),
+                    messages.decode_load_order(each),
+                )
             assert reader.held <= 300
-    except lines.Spoilt:
+    except messages.MalformedLineError:
         pass
 
 
@@ -83,24 +87,29 @@
     ],
 )
 def test_what_an_answer_proves(kind, result):
-    assert lines.heard(reply(type=kind), True).result is result
+    assert messages.decode_attempt(reply(type=kind), True).result is result
 
 
 def test_notes_crowds_and_loads_reach_the_module_in_its_terms():
-    heard = lines.heard(reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), True)
+    heard = messages.decode_attempt(
+        reply(meta={"tell": "j", "queue_fn": 3, "meter": "util:0.61;x0:0.2"}, data=""), True
+    )
     assert (heard.found, heard.same_function_requests) == (Found.AWAITED_LOAD, 3)
     assert (heard.report.cpu_busy, heard.report.memory_busy, heard.report.in_hand) == (0.61, 0.2, None)
     assert (
-        lines.heard(reply(), True).same_function_requests == 0
-        and lines.heard(reply(), False).same_function_requests is None
+        messages.decode_attempt(reply(), True).same_function_requests == 0
+        and messages.decode_attempt(reply(), False).same_function_requests is None
+    )
+    assert (
+        messages.decode_load_report({"meter": "util:lots;inflight:7"}).in_hand == 7
+        and messages.decode_load_report({"meter": "x"}) is None
     )
-    assert lines.load({"meter": "util:lots;inflight:7"}).in_hand == 7 and lines.load({"meter": "x"}) is None
 
 
 @pytest.mark.parametrize("data", ["%%%", "ab", "\u00e9", None])
 def test_a_body_that_is_missing_or_no_base64_ran_and_is_not_passed_on(data):
-    assert lines.heard(reply(data=data), True) == (Result.ERROR, None, Found.UNKNOWN, None, None)
-    assert lines.heard(reply(data=""), True).answer.body == b""
+    assert messages.decode_attempt(reply(data=data), True) == (Result.ERROR, None, Found.UNKNOWN, None, None)
+    assert messages.decode_attempt(reply(data=""), True).answer.body == b""
 
 
 # On sockets
@@ -110,15 +119,15 @@
     def __init__(self, answer=None, room=8):
         self.loop = Loop()
         self.host = LineHost(self.loop, answer)
-        self.hosts = Hosts(self.loop, Pooling(), SITE, room)
+        self.hosts = JsonLinesClient(self.loop, Pooling(), SITE, room)
         self.list(State.ACTIVE)
         self.heard = []
 
     def list(self, state):
-        self.hosts.listed([Row(row("h", state=state), self.host.address)], True)
+        self.hosts.update([Endpoint(row("h", state=state), self.host.address)], complete=True)
 
     def relay(self, effect=Idempotency.IDEMPOTENT, mark=CALL.request_id, left=SECOND):
-        return self.hosts.relay(
+        return self.hosts.send(
             "h",
             CALL._replace(request_id=mark),
             effect,
@@ -126,7 +135,7 @@
             self.loop.now() + left,
             self.loop.now() + left,
             self.heard.append,
-        ).give_up
+        ).cancel
 
     def until(self, condition):
         turn_until(self.loop, condition)
@@ -161,15 +170,17 @@
     for number in range(4):
         made.relay(mark=f"{number:016x}")
     made.until(lambda: len(made.host.came) == 4)
-    assert len(made.host.streams) == 2 and made.hosts.doubled == 2
+    assert len(made.host.streams) == 2 and made.hosts.multiplexed == 2
 
 
 def test_a_second_relay_of_a_task_never_shares_a_connection_with_the_first(bench):
     made = bench(answer=lambda stream, command: None, room=1)
     made.relay()
     made.relay()
-    assert made.results(1) == [Result.NOT_SENT] and made.hosts.doubled == 0  # and opens none beyond the room
-    made.hosts.room = 2
+    assert (
+        made.results(1) == [Result.NOT_SENT] and made.hosts.multiplexed == 0
+    )  # and opens none beyond the room
+    made.hosts.max_connections = 2
     made.relay()
     made.until(lambda: len(made.host.came) == 2)
     assert len(made.host.streams) == 2
@@ -188,7 +199,7 @@
     made.host.say(late[0][0], late[0][1], "served", data="b2xk")
     made.host.say(late[2][0], late[2][1], "served", data="bmV3")
     assert made.results(1) == [Result.OK] and made.heard[0].answer.body == b"bmV3"
-    made.until(lambda: made.hosts.strays == 1)
+    made.until(lambda: made.hosts.unmatched == 1)
 
 
 def test_a_copy_or_a_stranger_before_an_answer_harms_nothing(bench):
@@ -200,7 +211,7 @@
     made = bench(answer=answer)
     made.relay()
     assert made.results(1) == [Result.OK] and made.heard[0].answer.body == CALL.body
-    made.until(lambda: made.hosts.strays == 2)
+    made.until(lambda: made.hosts.unmatched == 2)
     made.relay(mark="1" * 16)
     assert made.results(2) == [Result.OK, Result.OK] and len(made.host.streams) == 1
 
@@ -235,9 +246,9 @@
     made = bench()
     made.relay()
     made.results(1)
-    made.hosts.listed([Row(row("h2"), made.host.address)], True)
+    made.hosts.update([Endpoint(row("h2"), made.host.address)], complete=True)
     made.until(lambda: "h" not in made.hosts.hosts)
-    made.hosts.relay(
+    made.hosts.send(
         "h2", CALL, Idempotency.IDEMPOTENT, "t", made.loop.now() + SECOND, 1 << 62, made.heard.append
     )
     assert made.results(2) == [Result.OK, Result.OK]
