--- a/gaproute/decisions/routing/attempt_tracker.py
+++ b/gaproute/decisions/routing/attempt_tracker.py
@@ -2,12 +2,10 @@
 
 from typing import NamedTuple
 
-from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.functions import Function, FunctionTable
 from gaproute.decisions.routing.host import AttemptKey, Host
-from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.measurements import Measurements
 from gaproute.decisions.routing.request_attempts import RequestAttempts
-from gaproute.decisions.routing.silent_zones import SilentZones
 from gaproute.interface import Request, RequestClass
 
 PATIENCE = 4  # usual answer times before an attempt counts as overdue,
@@ -33,12 +31,11 @@
         self,
         request_classes: tuple[RequestClass, ...],
         functions: FunctionTable,
-        answer_times: AnswerTimes,
-        outliers: OutlierDetector,
-        silent_zones: SilentZones,
+        measurements: Measurements,
     ) -> None:
         self.request_classes, self.functions = request_classes, functions
-        self.answer_times, self.outliers, self.silent_zones = answer_times, outliers, silent_zones
+        self.answer_times, self.outliers = measurements.answer_times, measurements.outliers
+        self.silent_zones = measurements.silent_zones
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
 
     def sent(self, now: int, request: Request, attempt: int, host: Host, attempts: RequestAttempts) -> float:
--- a/gaproute/decisions/routing/candidates.py
+++ b/gaproute/decisions/routing/candidates.py
@@ -2,11 +2,10 @@
 
 from collections.abc import Iterator, Sequence
 
-from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import NEVER
-from gaproute.decisions.routing.ranking import Ranking
+from gaproute.decisions.routing.tables import Tables
 
 HASH_FALL = 0.85  # of the points of the stable hash, from each choice to the next: gateways agree on where
 #                   to spill, ten deep
@@ -20,8 +19,8 @@
 class CandidateOrder:
     """Yields the hosts that are able to get a request, the likeliest first."""
 
-    def __init__(self, hosts: HostTable, functions: FunctionTable, ranking: Ranking) -> None:
-        self.hosts, self.functions, self.ranking = hosts, functions, ranking
+    def __init__(self, tables: Tables) -> None:
+        self.hosts, self.functions, self.ranking = tables.hosts, tables.functions, tables.ranking
 
     def candidates(
         self,
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -19,6 +19,7 @@
 from gaproute.decisions.routing.load_orders import LoadOrders
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
 from gaproute.decisions.routing.load_shedder import LoadShedder
+from gaproute.decisions.routing.measurements import Measurements
 from gaproute.decisions.routing.observations import BEFORE_ALL, Observation, Observations
 from gaproute.decisions.routing.outcome_recorder import OutcomeRecorder
 from gaproute.decisions.routing.outlier_detector import OutlierDetector
@@ -29,6 +30,7 @@
 from gaproute.decisions.routing.scorer import Scorer
 from gaproute.decisions.routing.silent_zones import SilentZones
 from gaproute.decisions.routing.slow_start import SlowStart
+from gaproute.decisions.routing.tables import Tables
 from gaproute.decisions.routing.throughput import Throughput
 from gaproute.interface import Action, ListedHost, Outcome, Report, Request, Result, Terms
 
@@ -56,14 +58,15 @@
         self._make_limits(terms, load_order_limiter)
         self._make_choice(terms, own_choice=seed)
         self._make_request_path(terms)
-        self.housekeeping = Housekeeping(terms, self.hosts, self.functions, self.sharing, self.chance)
-        self.observations = Observations(self.hosts, self.functions, self.mix, self.answer_times)
+        self.housekeeping = Housekeeping(terms, self.tables, self.sharing, self.chance)
+        self.observations = Observations(self.tables, self.answer_times)
 
     def _make_tables(self, terms: Terms) -> None:
         self.hosts = HostTable(terms.warm_up_time)
         self.functions = FunctionTable(max(terms.keep_alive, 1))
         self.mix = self.mix_type(self.hosts)
         self.ranking = Ranking(self.hosts)
+        self.tables = Tables(self.hosts, self.functions, self.mix, self.ranking)
 
     def _make_measurements(self, terms: Terms) -> None:
         objectives = [request_class.latency_objective for request_class in terms.request_classes]
@@ -72,9 +75,10 @@
         self.outliers = OutlierDetector()
         self.silent_zones = SilentZones(self.hosts)
         self.throughput = Throughput()
-        self.tracker = AttemptTracker(
-            terms.request_classes, self.functions, self.answer_times, self.outliers, self.silent_zones
+        self.measurements = Measurements(
+            self.answer_times, self.loads, self.outliers, self.silent_zones, self.throughput
         )
+        self.tracker = AttemptTracker(terms.request_classes, self.functions, self.measurements)
 
     def _make_limits(self, terms: Terms, load_order_limiter: LoadOrderLimiter | None) -> None:
         self.retry_rules = self.retry_rules_type(terms)
@@ -84,60 +88,23 @@
             self.load_order_limiter, self.answer_times, self.chance, allowed=terms.load_orders_allowed
         )
         self.sharing = LoadReportSharing(terms)
-        self.shedder = LoadShedder(
-            terms,
-            self.hosts,
-            self.tracker,
-            self.answer_times,
-            self.loads,
-            self.outliers,
-            self.throughput,
-            self.chance,
-        )
+        self.shedder = LoadShedder(terms, self.hosts, self.measurements, self.tracker, self.chance)
 
     def _make_choice(self, terms: Terms, own_choice: int) -> None:
-        self.scorer = Scorer(
-            terms,
-            self.hosts,
-            CandidateOrder(self.hosts, self.functions, self.ranking),
-            self.mix,
-            self.answer_times,
-            self.loads,
-            self.outliers,
-            self.silent_zones,
-            self.slow_start,
-            own_choice,
-        )
+        order = CandidateOrder(self.tables)
+        self.scorer = Scorer(terms, self.tables, self.measurements, order, self.slow_start, own_choice)
         self.selector = self.selector_type(
-            terms.request_classes, self.hosts, self.functions, self.retry_rules, self.scorer, self.chance
+            terms.request_classes, self.tables, self.retry_rules, self.scorer, self.chance
         )
 
     def _make_request_path(self, terms: Terms) -> None:
-        self.hints = Hints(
-            self.hosts,
-            self.functions,
-            self.mix,
-            self.ranking,
-            self.answer_times,
-            self.outliers,
-            self.chance,
-        )
+        self.hints = Hints(self.tables, self.measurements, self.chance)
         self.recorder = OutcomeRecorder(
-            self.hosts,
-            self.functions,
-            self.tracker,
-            self.answer_times,
-            self.loads,
-            self.outliers,
-            self.silent_zones,
-            self.slow_start,
-            self.throughput,
-            self.hints,
+            self.tables, self.measurements, self.tracker, self.slow_start, self.hints
         )
         self.router = RequestRouter(
             terms,
-            self.functions,
-            self.mix,
+            self.tables,
             self.answer_times,
             self.tracker,
             self.retry_rules,
--- a/gaproute/decisions/routing/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -8,19 +8,17 @@
 from collections.abc import Sequence
 
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.routing.answer_times import AnswerTimes
-from gaproute.decisions.routing.function_mix import FunctionMix
-from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.host_table import HostTable
-from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.measurements import Measurements
 from gaproute.decisions.routing.parameters import (
     ERROR_WEIGHT,
     EVIDENCE_LIFETIME,
     MIX_SIZE,
     SPREAD_FACTOR,
 )
-from gaproute.decisions.routing.ranking import Ranking, rendezvous_keys
+from gaproute.decisions.routing.ranking import rendezvous_keys
+from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Found
 
 WRONG_LIMIT = 2  # wrong hints after which none is followed: one may be an instance that has just gone
@@ -32,18 +30,10 @@
 class Hints:
     """Takes hints and follows some on trial, until they prove wrong."""
 
-    def __init__(
-        self,
-        hosts: HostTable,
-        functions: FunctionTable,
-        mix: FunctionMix,
-        ranking: Ranking,
-        answer_times: AnswerTimes,
-        outliers: OutlierDetector,
-        chance: Chance,
-    ) -> None:
-        self.hosts, self.functions, self.mix, self.ranking = hosts, functions, mix, ranking
-        self.answer_times, self.outliers, self.chance = answer_times, outliers, chance
+    def __init__(self, tables: Tables, measurements: Measurements, chance: Chance) -> None:
+        self.hosts, self.functions, self.mix, self.ranking = tables
+        self.answer_times, self.outliers = measurements.answer_times, measurements.outliers
+        self.chance = chance
         self.trials: dict[tuple[str, str], int] = {}  # (function, host): when a hint was first followed
         self.right, self.wrong = 0, 0  # hints that proved so
         self.hinted_mix: Sequence[str] | None = None  # see `set_mix`
--- a/gaproute/decisions/routing/host_selector.py
+++ b/gaproute/decisions/routing/host_selector.py
@@ -3,13 +3,13 @@
 from bisect import bisect_left
 
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import NEVER, SECOND
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.retry_rules import RetryRules
 from gaproute.decisions.routing.scorer import RankedScore, Scorer
+from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Request, RequestClass
 
 
@@ -19,13 +19,13 @@
     def __init__(
         self,
         request_classes: tuple[RequestClass, ...],
-        hosts: HostTable,
-        functions: FunctionTable,
+        tables: Tables,
         retry_rules: RetryRules,
         scorer: Scorer,
         chance: Chance,
     ) -> None:
-        self.request_classes, self.hosts, self.functions = request_classes, hosts, functions
+        self.request_classes = request_classes
+        self.hosts, self.functions = tables.hosts, tables.functions
         self.retry_rules, self.scorer, self.chance = retry_rules, scorer, chance
 
     def choose(self, now: int, request: Request, attempts: RequestAttempts) -> Host | None:
--- a/gaproute/decisions/routing/housekeeping.py
+++ b/gaproute/decisions/routing/housekeeping.py
@@ -4,10 +4,9 @@
 from typing import Any
 
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.routing.functions import FunctionTable
-from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
 from gaproute.decisions.routing.parameters import MILLI, SECOND
+from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Action, PollHostList, Probe, Terms, Wait
 
 PROBE_INTERVAL = 700 * MILLI  # between probes of one host where load reports come by probe only
@@ -21,12 +20,12 @@
     def __init__(
         self,
         terms: Terms,
-        hosts: HostTable,
-        functions: FunctionTable,
+        tables: Tables,
         sharing: LoadReportSharing,
         chance: Chance,
     ) -> None:
-        self.hosts, self.functions, self.sharing, self.chance = hosts, functions, sharing, chance
+        self.hosts, self.functions = tables.hosts, tables.functions
+        self.sharing, self.chance = sharing, chance
         self.probing = terms.probes_allowed and terms.reports_by_probe
         self.host_list_wanted = terms.host_list_polled
 
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -3,12 +3,10 @@
 from collections import deque
 
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.attempt_tracker import AttemptTracker, InFlightAttempt
 from gaproute.decisions.routing.host import AttemptKey, Host
-from gaproute.decisions.routing.host_loads import HostLoads
 from gaproute.decisions.routing.host_table import HostTable
-from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.measurements import Measurements
 from gaproute.decisions.routing.parameters import (
     JUDGEMENT_INTERVAL,
     RATE_SAMPLES,
@@ -16,7 +14,6 @@
     SECOND,
     USUAL_CONCURRENCY,
 )
-from gaproute.decisions.routing.throughput import Throughput
 from gaproute.interface import Request, RequestClass, Terms
 
 BEARABLE_WAIT = 2.0  # of the shortest latency objective: expected wait to reject at; half for no worth
@@ -33,15 +30,13 @@
         self,
         terms: Terms,
         hosts: HostTable,
+        measurements: Measurements,
         tracker: AttemptTracker,
-        answer_times: AnswerTimes,
-        loads: HostLoads,
-        outliers: OutlierDetector,
-        throughput: Throughput,
         chance: Chance,
     ) -> None:
-        self.hosts, self.tracker, self.answer_times = hosts, tracker, answer_times
-        self.loads, self.outliers, self.throughput, self.chance = loads, outliers, throughput, chance
+        self.hosts, self.tracker, self.chance = hosts, tracker, chance
+        self.answer_times, self.loads = measurements.answer_times, measurements.loads
+        self.outliers, self.throughput = measurements.outliers, measurements.throughput
         self.tenant_shares, self.over_share_value = terms.tenant_shares, terms.over_share_value
         weights = [request_class.priority_weight for request_class in terms.request_classes]
         self.top_priority_weight = max(weights, default=1.0)
--- a/gaproute/decisions/routing/observations.py
+++ b/gaproute/decisions/routing/observations.py
@@ -5,11 +5,10 @@
 from typing import Any, NamedTuple
 
 from gaproute.decisions.routing.answer_times import AnswerTimes
-from gaproute.decisions.routing.function_mix import FunctionMix
-from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME
+from gaproute.decisions.routing.tables import Tables
 
 BEFORE_ALL = -1  # a time before every observation
 
@@ -26,10 +25,8 @@
 class Observations:
     """Reads the tables of a gateway."""
 
-    def __init__(
-        self, hosts: HostTable, functions: FunctionTable, mix: FunctionMix, answer_times: AnswerTimes
-    ) -> None:
-        self.hosts, self.functions, self.mix = hosts, functions, mix
+    def __init__(self, tables: Tables, answer_times: AnswerTimes) -> None:
+        self.hosts, self.functions, self.mix = tables.hosts, tables.functions, tables.mix
         self.answer_times = answer_times
 
     def since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
--- a/gaproute/decisions/routing/outcome_recorder.py
+++ b/gaproute/decisions/routing/outcome_recorder.py
@@ -2,18 +2,14 @@
 
 from statistics import median
 
-from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.attempt_tracker import UNANSWERED, AttemptTracker, InFlightAttempt
-from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.hints import Hints
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.host_loads import HostLoads
-from gaproute.decisions.routing.host_table import HostTable
-from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.measurements import Measurements
 from gaproute.decisions.routing.parameters import ERROR_WEIGHT, EVIDENCE_LIFETIME, USUAL_CONCURRENCY
-from gaproute.decisions.routing.silent_zones import SilentZones
 from gaproute.decisions.routing.slow_start import SlowStart
-from gaproute.decisions.routing.throughput import Throughput
+from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Found, Idempotency, Outcome, Result
 
 ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED)  # the host spoke
@@ -26,21 +22,15 @@
 
     def __init__(
         self,
-        hosts: HostTable,
-        functions: FunctionTable,
+        tables: Tables,
+        measurements: Measurements,
         tracker: AttemptTracker,
-        answer_times: AnswerTimes,
-        loads: HostLoads,
-        outliers: OutlierDetector,
-        silent_zones: SilentZones,
         slow_start: SlowStart,
-        throughput: Throughput,
         hints: Hints,
     ) -> None:
-        self.hosts, self.functions, self.tracker = hosts, functions, tracker
-        self.answer_times, self.loads, self.throughput = answer_times, loads, throughput
-        self.outliers, self.silent_zones, self.slow_start = outliers, silent_zones, slow_start
-        self.hints = hints
+        self.hosts, self.functions = tables.hosts, tables.functions
+        self.answer_times, self.loads, self.outliers, self.silent_zones, self.throughput = measurements
+        self.tracker, self.slow_start, self.hints = tracker, slow_start, hints
 
     def record(self, now: int, outcome: Outcome) -> None:
         """One attempt has ended."""
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -5,8 +5,7 @@
 
 from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.attempt_tracker import AttemptTracker
-from gaproute.decisions.routing.function_mix import FunctionMix
-from gaproute.decisions.routing.functions import Function, FunctionTable
+from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.hints import Hints
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_selector import HostSelector
@@ -17,12 +16,14 @@
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.retry_rules import RetryRules
 from gaproute.decisions.routing.slow_start import SlowStart
+from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import (
     Action,
     Attempt,
     Cancel,
     Fail,
     Idempotency,
+    LoadOrder,
     Outcome,
     Reject,
     Request,
@@ -51,8 +52,7 @@
     def __init__(
         self,
         terms: Terms,
-        functions: FunctionTable,
-        mix: FunctionMix,
+        tables: Tables,
         answer_times: AnswerTimes,
         tracker: AttemptTracker,
         retry_rules: RetryRules,
@@ -65,7 +65,7 @@
     ) -> None:
         self.request_classes = terms.request_classes
         self.cancel_allowed, self.retry_after_limit = terms.cancel_allowed, terms.retry_after_limit
-        self.functions, self.mix, self.answer_times = functions, mix, answer_times
+        self.functions, self.mix, self.answer_times = tables.functions, tables.mix, answer_times
         self.tracker, self.retry_rules, self.selector = tracker, retry_rules, selector
         self.shedder, self.slow_start = shedder, slow_start
         self.load_orders, self.sharing, self.hints = load_orders, sharing, hints
@@ -112,6 +112,7 @@
         "look_at",
         "now",
         "reason",
+        "settled_host",
     )
 
     def __init__(
@@ -129,6 +130,7 @@
         self.give_up_at = now + self.request_class.latency_objective  # looking for a first host
         self.look_at: float = now  # when to look for a host again
         self.reason: str | None = None  # to reject the request
+        self.settled_host: Host | None = None  # of the attempt that ended last, where it was in flight
 
     def steps(self) -> Steps:
         """Attempts until the request is over, then None, or until no other would help, then the reason."""
@@ -150,12 +152,12 @@
                 yield from self._follow_stream(outcome)
                 return None
             else:
-                host = self._settle(outcome)
-                if host is not None and outcome.result is Result.OK:
-                    yield from self._delivered(host, outcome)
+                order = self._settle(outcome)
+                if order is not None:
+                    yield order
                 if outcome.ended:
                     return None
-                yield from self._not_delivered(host, outcome)
+                yield from self._not_delivered(outcome)
         return self.reason or NO_HOST
 
     def _crowded(self) -> bool:
@@ -196,26 +198,29 @@
             self.now, outcome = yield Wait(self.now + SECOND)
         self.attempts.in_flight.clear()  # it is not cancelled
 
-    def _settle(self, outcome: Outcome) -> Host | None:
-        """Account for an attempt's end; returns its host, where it was in flight."""
+    def _settle(self, outcome: Outcome) -> LoadOrder | None:
+        """Account for an attempt's end.
+
+        Returns an order for one more instance where the request was delivered by a host that has many
+        requests of the function.
+        """
         sent = self.attempts.in_flight.get(outcome.attempt)
+        self.settled_host = None
         if sent is None:
             return None
+        host = self.settled_host = sent.host
         self.attempts.settle(outcome.attempt, outcome.result)
-        return sent.host
-
-    def _delivered(self, host: Host, outcome: Outcome) -> Generator[Action, Any, None]:
-        """Count the answer; order one more instance where the host has many requests of the function."""
+        if outcome.result is not Result.OK:
+            return None
         load_orders = self.router.load_orders
         load_orders.limiter.delivered(self.now, self.arrived_at)
         self.router.sharing.request_delivered()
-        order = load_orders.for_crowd(self.now, self.request, self.function, host, outcome)
-        if order is not None:
-            yield order
+        return load_orders.for_crowd(self.now, self.request, self.function, host, outcome)
 
-    def _not_delivered(self, host: Host | None, outcome: Outcome) -> Generator[Action, Any, None]:
+    def _not_delivered(self, outcome: Outcome) -> Generator[Action, Any, None]:
         """Look for another host at once, or reject; order an instance where there was none."""
-        now = self.look_at = self.now
+        now, host = self.now, self.settled_host
+        self.look_at = now
         if outcome.result is Result.FULL and not self.attempts.in_flight and self._crowded():
             self.reason = FULL  # one refusal in a full fleet is proof enough; the client is told at once
         elif outcome.result is Result.NOT_LOADED and host is not None:
--- a/gaproute/decisions/routing/scorer.py
+++ b/gaproute/decisions/routing/scorer.py
@@ -3,18 +3,14 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.candidates import HASH_FALL, CandidateOrder
-from gaproute.decisions.routing.function_mix import FunctionMix
 from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.host import Host
-from gaproute.decisions.routing.host_loads import HostLoads
-from gaproute.decisions.routing.host_table import HostTable
-from gaproute.decisions.routing.outlier_detector import OutlierDetector
+from gaproute.decisions.routing.measurements import Measurements
 from gaproute.decisions.routing.parameters import NEVER, SPREAD_FACTOR, USUAL_CONCURRENCY
 from gaproute.decisions.routing.request_attempts import RequestAttempts
-from gaproute.decisions.routing.silent_zones import SilentZones
 from gaproute.decisions.routing.slow_start import SlowStart
+from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Request, Terms
 
 WARMTH_POINTS = 6.0  # for a fresh instance: it outweighs a free lane, all memory and the stable hash
@@ -50,20 +46,16 @@
     def __init__(
         self,
         terms: Terms,
-        hosts: HostTable,
+        tables: Tables,
+        measurements: Measurements,
         order: CandidateOrder,
-        mix: FunctionMix,
-        answer_times: AnswerTimes,
-        loads: HostLoads,
-        outliers: OutlierDetector,
-        silent_zones: SilentZones,
         slow_start: SlowStart,
         own_choice: int,
     ) -> None:
-        self.hosts, self.order, self.mix = hosts, order, mix
-        self.answer_times, self.loads = answer_times, loads
-        self.outliers, self.silent_zones, self.slow_start = outliers, silent_zones, slow_start
-        self.own_choice = own_choice
+        self.hosts, self.mix = tables.hosts, tables.mix
+        self.answer_times, self.loads = measurements.answer_times, measurements.loads
+        self.outliers, self.silent_zones = measurements.outliers, measurements.silent_zones
+        self.order, self.slow_start, self.own_choice = order, slow_start, own_choice
         self.zone, self.near_points = terms.zone, NEAR_POINTS * terms.crossing_price
 
     def weights(self, request: Request, able: Sequence[Host]) -> Weights:
--- /dev/null
+++ b/gaproute/decisions/routing/tables.py
@@ -0,0 +1,17 @@
+"""The tables of a gateway, as the parts beside them are given them."""
+
+from typing import NamedTuple
+
+from gaproute.decisions.routing.function_mix import FunctionMix
+from gaproute.decisions.routing.functions import FunctionTable
+from gaproute.decisions.routing.host_table import HostTable
+from gaproute.decisions.routing.ranking import Ranking
+
+
+class Tables(NamedTuple):
+    """What is known of hosts and functions."""
+
+    hosts: HostTable
+    functions: FunctionTable
+    mix: FunctionMix
+    ranking: Ranking
--- a/tests/decisions/routing/test_ranking.py
+++ b/tests/decisions/routing/test_ranking.py
@@ -109,7 +109,7 @@
 
 def plain_order(made):
     """The plain order of what the gateway knows."""
-    return PlainOrder(made.hosts, made.functions, made.ranking)
+    return PlainOrder(made.tables)
 
 
 def plain_selector(made):
