--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -12,8 +12,9 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve.entry import EntryFront
-from gaproute.hosts.entry_gateways import CellHostClient, EntryGateways
-from gaproute.peers.tables import TableCarrier
+from gaproute.hosts.cell_hosts import CellHostClient
+from gaproute.hosts.entry_gateways import EntryGateways
+from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Peer
 
 CARRIER_SEED = 6  # the chance that draws whom to tell is another than those of other parts
@@ -51,9 +52,9 @@
         Returns the front of those calls."""
         giver = others.peer_server
         front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
-        giver.calls = front.handle
+        giver.forwarded = front.handle
         line = self.line
-        carrier = TableCarrier(
+        carrier = CellTableTransport(
             self.loop,
             self.configuration.name,
             line.fleet,
@@ -73,7 +74,7 @@
 
     def peers(self, peers):
         """The other gateways of the configuration, {name: address}."""
-        self.table.carrier.peers(tuple(Peer(name, where) for name, where in peers.items()))
+        self.table.carrier.set_peers(tuple(Peer(name, where) for name, where in peers.items()))
 
     def read(self):
         """Read all files at once."""
@@ -87,7 +88,7 @@
         self.entries.apply_table(table)
         self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
         self._want()
-        self.core.begin_housekeeping(now)
+        self.core.start_housekeeping(now)
 
     # The host lists
 
@@ -147,7 +148,7 @@
         before, self.told = self.told, dict(lists)
         for cell, of_cell in rows.items():
             if before.get(cell) != lists[cell]:
-                self.core.cell_listed(cell, [row.listed for row in of_cell])
+                self.core.update_cell_hosts(cell, [row.listed for row in of_cell])
 
     # What others ask
 
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -17,7 +17,8 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.fronts.kserve import Front
-from gaproute.hosts.kserve.client import ClientSettings, KServeClient
+from gaproute.hosts.kserve.client import KServeClient
+from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.loop.loop import READ
@@ -95,7 +96,7 @@
             self.fronts, self.client_fronts, self.others = [], [], self.make_others()
             raise OSError(fault.errno, f"{where}: {fault.strerror}") from fault
         if self.others.gossip is not None:
-            self.core.arrived = self.others.gossip.arrived
+            self.core.on_arrival = self.others.gossip.arrived
         source = self.configuration.hosts_file
         if self.cells is not None:
             self.cells.start()
@@ -116,10 +117,10 @@
         """A whole host list. The host connections come first: the module may wish for a new host at once."""
         rows = self.listing.endpoints(lines, self.watch.current_at if self.watch is not None else None)
         self.enlisted(rows)
-        self.core.listed([row.listed for row in rows], True)
+        self.core.update_hosts([row.listed for row in rows], True)
         self.others.hosts_listed(
             {
-                name: (row.listed.state.value, (self.listing.starts.get(name) or (0,))[0])
+                name: (row.listed.state.value, self.listing.start_times.reported(name) or 0)
                 for name, row in self.rows.items()
             }
         )
@@ -157,7 +158,7 @@
         if self.stopping:
             return
         self.stopping = True
-        self.log.info("stopping", held=len(self.core.held))
+        self.log.info("stopping", held=len(self.core.in_flight))
         for front in self.client_fronts:
             front.stop(LAST_REQUEST)
         for front in self.fronts:
@@ -167,7 +168,7 @@
         if self.cells is not None:
             self.cells.stop()
         self.core.end_by(self.loop.now() + self._granted())
-        self.core.emptied = self._emptied
+        self.core.on_idle = self._emptied
         for front in self.client_fronts:
             front.on_emptied(self._emptied)
         self.loop.after(LAST_REQUEST + self.configuration.longest + LAST_WORDS, self.loop.stop)
@@ -184,7 +185,7 @@
 
     def _emptied(self):
         """Ends the loop once no task is held and no client's connection is left."""
-        if not self.core.held and not any(front.held for front in self.client_fronts):
+        if not self.core.in_flight and not any(front.held for front in self.client_fronts):
             self.loop.after(LAST_WORDS, self.loop.stop)
 
     def heed_signals(self):
@@ -223,7 +224,7 @@
         self.close()
         lived = max(1, self.loop.now() - self.started)
         self.log.info(
-            "stopped", held=len(self.core.held), telling_share=round(self.others.spent() / lived, 6)
+            "stopped", held=len(self.core.in_flight), telling_share=round(self.others.spent() / lived, 6)
         )
 
     def close(self):
--- /dev/null
+++ b/gaproute/core/driver.py
@@ -0,0 +1,161 @@
+"""Drives the generators of one gateway's decisions, for a running gateway and for the bench's wire alike."""
+
+from abc import ABC, abstractmethod
+
+from gaproute import interface as face
+from gaproute.core.ports import Action, Actions, DecisionModule, Resumption
+
+HOUSEKEEPING = ""  # the key of the housekeeper's generator, beside the ids of requests
+
+
+class Driver(ABC):
+    """One gateway: its decision module and the generators of its requests.
+
+    Whoever carries out the actions derives from it. A key is a request's id or `HOUSEKEEPING`; `now` is ns.
+    """
+
+    def __init__(self, gateway: DecisionModule) -> None:
+        self.gateway = gateway
+        self.generators: dict[str, Actions] = {}  # by the request's id
+        self.attempt_counts: dict[str, int] = {}  # attempts started, by the request's id
+        self.housekeeper: Actions | None = None
+
+    # Carried out by the derived class
+
+    @abstractmethod
+    def wait(self, key: str, until: float, now: int) -> None:
+        """Calls `wait_elapsed` at `until`, in place of any earlier wait of the key."""
+
+    @abstractmethod
+    def cancel_wait(self, key: str) -> None:
+        """The key waits no more; it may not have waited."""
+
+    @abstractmethod
+    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+        """Sends a request to a host as its attempt `number`."""
+
+    @abstractmethod
+    def cancel(self, key: str, number: int) -> None:
+        """Cancels an attempt, unless it has ended."""
+
+    @abstractmethod
+    def order(self, host: str, function: str, copies: int) -> None:
+        """Orders a host to load a function."""
+
+    @abstractmethod
+    def probe(self, host: str) -> None:
+        """Checks a host's health; `probe_answered` follows."""
+
+    @abstractmethod
+    def broadcast(self, payload: bytes) -> None:
+        """Sends a payload to all other gateways."""
+
+    @abstractmethod
+    def watch_hosts(self) -> None:
+        """Asks for the host list and its changes."""
+
+    @abstractmethod
+    def reject(self, key: str, rejection: face.Reject) -> None:
+        """Gives the final answer that nothing ran."""
+
+    @abstractmethod
+    def fail(self, key: str) -> None:
+        """Gives the final answer that promises nothing."""
+
+    # What happens
+
+    def start_housekeeping(self, now: int) -> None:
+        """Starts the housekeeper, once: with the first host list."""
+        if self.housekeeper is None:
+            self.housekeeper = self.gateway.housekeep(now)
+            self.advance(HOUSEKEEPING, self.housekeeper, None, now)
+
+    def start_request(self, now: int, request: face.Request) -> None:
+        """Starts a request's generator."""
+        generator = self.serve(now, request)
+        self.generators[request.id] = generator
+        self.attempt_counts[request.id] = 0
+        self.advance(request.id, generator, None, now)
+
+    def serve(self, now: int, request: face.Request) -> Actions:
+        """A request's generator."""
+        return self.gateway.serve(now, request)
+
+    def wait_elapsed(self, key: str, now: int) -> None:
+        """The time came before any outcome."""
+        self.resume(key, now, None)
+
+    def handle_outcome(self, now: int, outcome: face.Outcome) -> None:
+        """An attempt has ended: the decisions account for it, then its request goes on."""
+        self.gateway.heard(now, outcome)
+        self.resume(outcome.request, now, outcome)
+
+    def abandon(self, now: int, key: str) -> None:
+        """The client has left: the request's generator is told, and no final answer is owed."""
+        if key in self.generators:
+            self.resume(key, now, _departed(key))
+            self.forget(key)
+
+    def probe_answered(self, now: int, host: str, good: bool, report: face.Report | None) -> None:
+        """A health check has ended; the other gateways are sent what the decisions make of it."""
+        payload = self.gateway.probed(now, host, good, report)
+        if payload is not None:
+            self.broadcast(payload)
+
+    # Generators
+
+    def resume(self, key: str, now: int, outcome: face.Outcome | None) -> None:
+        """Ends a generator's wait, by an outcome or by its time; nothing where there is no generator."""
+        generator = self.housekeeper if key == HOUSEKEEPING else self.generators.get(key)
+        if generator is not None:
+            self.cancel_wait(key)
+            self.advance(key, generator, (now, outcome), now)
+
+    def advance(self, key: str, generator: Actions, value: Resumption, now: int) -> None:
+        """Resumes a generator and carries out its actions until it waits or ends."""
+        while True:
+            try:
+                action = generator.send(value)
+            except StopIteration:
+                self.forget(key)
+                return
+            value = None
+            match action:
+                case face.Wait(until):
+                    self.wait(key, until, now)
+                    return
+                case face.Attempt():
+                    value = self.attempt_counts[key]
+                    self.attempt_counts[key] = value + 1
+                    self.start_attempt(key, value, action, now)
+                case _:
+                    self._carry_out(key, action)
+
+    def _carry_out(self, key: str, action: Action) -> None:
+        """Carries out an action that the generator does not wait for."""
+        match action:
+            case face.Cancel(number):
+                self.cancel(key, number)
+            case face.LoadOrder(host, function, copies):
+                self.order(host, function, copies)
+            case face.Probe(host):
+                self.probe(host)
+            case face.Reject():
+                self.reject(key, action)
+            case face.Fail():
+                self.fail(key)
+            case face.PollHostList():
+                self.watch_hosts()
+            case _:
+                raise TypeError(f"unknown action {action!r}")
+
+    def forget(self, key: str) -> None:
+        """Drops a generator that has ended, with its wait."""
+        self.generators.pop(key, None)
+        self.attempt_counts.pop(key, None)
+        self.cancel_wait(key)
+
+
+def _departed(request_id: str) -> face.Outcome:
+    """The outcome that says that the client has left."""
+    return face.Outcome(request_id, -1, "", face.Result.CLIENT_LEFT, 0, True, face.Found.UNKNOWN, None, None)
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -187,8 +187,9 @@
             host_id, report = decoded
             self.loads.record(self.hosts.by_id[host_id], now, report)
 
-    def stood(self, now: int, host_id: str, name: str, result: Result, copies: int) -> None:
-        """A load order has ended; `copies`: instances that are loaded there now."""
+    def stood(self, now: int, host_id: str, name: str, result: Result | None, copies: int) -> None:
+        """A load order has ended; `result`: None where its answer cannot be read; `copies`: instances that
+        are loaded there now."""
         function = self.functions.by_name.get(name)
         if function is not None:
             self.load_orders.end(now, function, self.hosts.by_id.get(host_id), result)
--- a/gaproute/decisions/routing/load_orders.py
+++ b/gaproute/decisions/routing/load_orders.py
@@ -28,7 +28,7 @@
         function.load_order_open, function.load_ordered_at = True, now
         self.limiter.sent()
 
-    def end(self, now: int, function: Function, host: Host | None, result: Result) -> None:
+    def end(self, now: int, function: Function, host: Host | None, result: Result | None) -> None:
         """The open order for the function has ended; `host`: None where it is not known any more."""
         if not function.load_order_open:
             return
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -1,10 +1,10 @@
 """The cell table's carrier as a part: the product's class, on the membership's datagrams and on pulls."""
 
 from gaproute.decisions.cells.table import Version
-from gaproute.hollow.cells.shared import SharedTableCarrier, SharedTableDocument
+from gaproute.hollow.cells.shared import SharedCellTableTransport, SharedTableDocument
 from gaproute.hollow.demand import CountedPosts
 from gaproute.hollow.parts import Part
-from gaproute.peers.tables import TableCarrier
+from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Disseminator
 
 
@@ -32,11 +32,12 @@
             surroundings.chance(6),
             surroundings.record,
         )
-        self.puller = self.carrier.puller = surroundings.open_puller(surroundings.loop, surroundings.name)
+        self.puller = surroundings.open_puller(surroundings.loop, surroundings.name)
+        self.carrier.pull_client = self.puller
 
     def made(self, *told):
         """The table's carrier."""
-        return TableCarrier(*told)
+        return CellTableTransport(*told)
 
     def start(self):
         """Takes the table of the own disk, then listens and tells."""
@@ -45,7 +46,7 @@
             version = Version(kept.term, kept.number)
             now = self.surroundings.loop.now()
             self.carrier.disseminator.publish_whole(now, version, kept.digest, kept.data)
-        self.carrier.peers(self.surroundings.seeds)
+        self.carrier.set_peers(self.surroundings.seeds)
         self.carrier.start()
 
     @property
@@ -63,8 +64,8 @@
             "bytes": self.posts.bytes + self.puller.bytes + self.peer_server.bytes,
             "pulls": self.puller.pulls,
             "rows": rows,
-            "entries": rows + len(disseminator.view.names) + len(disseminator.copy.log.changes),
-            "refused": sum(disseminator.refused.values()),
+            "entries": rows + len(disseminator.view.names) + len(disseminator.replica.log.changes),
+            "refused": sum(disseminator.rejections.values()),
         }
 
     def close(self):
@@ -78,7 +79,7 @@
 
     def made(self, *told):
         """The table's carrier."""
-        return SharedTableCarrier(self.surroundings.shared_candidates, *told)
+        return SharedCellTableTransport(self.surroundings.shared_candidates, *told)
 
     def __init__(self, surroundings, parts):
         super().__init__(surroundings, parts)
--- /dev/null
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -0,0 +1,77 @@
+"""Pulls by `POST /tables` at the peers' address: the asking side, one at a time, and the answering side."""
+
+from collections.abc import Callable
+from typing import Any
+
+from gaproute.http1 import Exchange
+from gaproute.loop.streams import address
+from gaproute.peers.tables import wire
+from gaproute.shared.dissemination import Disseminator
+from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
+from gaproute.shared.dissemination.messages import Busy, Changes, Part, Pull
+
+TARGET = b"/tables"
+MAX_HEAD_BYTES = 4_096
+MESSAGE_PACK = (b"Content-Type", b"application/msgpack")
+
+Answer = Changes | Part | Busy
+AnswerCallback = Callable[[Answer | None], object]
+
+
+class PullClient:
+    """Asks one peer at a time; a new question drops the one before."""
+
+    def __init__(self, loop: Any) -> None:
+        self.loop = loop
+        self.exchange: Any = None  # that is open
+        self._timer: Any = None
+
+    def ask(self, where: str, pull: Pull, done: AnswerCallback) -> None:
+        """`done(answer)` once, None where none came; never at once. A dropped question calls nothing."""
+        self.drop()
+        body = wire.encode_pull(pull)
+        head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % TARGET
+        data = head + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+        try:
+            target = address(where)
+        except ValueError:
+            self._timer = self.loop.after(0, done, None)
+            return
+        exchange: Any = Exchange(self.loop, data, lambda response, fault: self._end(exchange, response, done))
+        self.exchange = exchange
+        self._timer = self.loop.after(EXCHANGE_TIME, self._end, exchange, None, done)
+        exchange.open(target, EXCHANGE_TIME, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
+
+    def drop(self) -> None:
+        """Ends the question that is open."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self.exchange is not None:
+            self.exchange.drop()
+        self.exchange = self._timer = None
+
+    def _end(self, exchange: Any, response: Any, done: AnswerCallback) -> None:
+        if self.exchange is not exchange:
+            return
+        self.drop()
+        answered = response is not None and response.status == 200
+        done(wire.decode_answer(response.body) if answered else None)
+
+
+def pull_route(loop: Any, disseminator: Disseminator) -> Callable[[Any, Any], None]:
+    """The route of pulls for the peers' address."""
+
+    def handle(server: Any, request: Any) -> None:
+        now = loop.now()
+        if request.method != b"POST":
+            server.answer(request, 405, (), b"POST /tables\n")
+        elif not disseminator.admits(now, ""):
+            server.answer(request, 503, (), b"")
+        else:
+            answer = disseminator.answer(now, wire.decode_pull(request.body))
+            if answer is None:
+                server.answer(request, 400, (), b"not a pull of this fleet\n")
+            else:
+                server.answer(request, 200, (MESSAGE_PACK,), wire.encode_answer(answer))
+
+    return handle
--- /dev/null
+++ b/gaproute/peers/tables/transport.py
@@ -0,0 +1,204 @@
+"""The cell table on sockets: the dissemination's messages by the membership's datagrams and by pulls.
+
+Nothing of the gateway rests on it: while nobody is heard the last table serves on. The members that the
+membership knows are taken for the gateways of the own cell. Times are in ns.
+"""
+
+from collections.abc import Callable, Iterable
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from gaproute.decisions.cells.change import TableChange, TableHolder
+from gaproute.decisions.cells.table import CellTable, Version
+from gaproute.peers.membership import EventLog
+from gaproute.peers.membership_wire import PayloadKind
+from gaproute.peers.tables import encoding, wire
+from gaproute.peers.tables.document import TableDocument, encode_table_change
+from gaproute.peers.tables.pull_exchange import TARGET, PullClient, pull_route
+from gaproute.peers.tables.table_storage import TableStorage
+from gaproute.shared.dissemination import Disseminator, DocumentError, Peer, Send
+from gaproute.shared.dissemination.bounds import SECOND
+from gaproute.shared.dissemination.cell_peers import candidates
+from gaproute.shared.dissemination.messages import NOTHING, Busy, Changes, Part, Pull
+from gaproute.shared.dissemination.partial_view import Candidates
+from gaproute.shared.dissemination.version_reports import Propagation
+from gaproute.shared.randomness import RandomSource
+
+MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
+LIST_INTERVAL = 5 * SECOND  # between two looks at the members
+
+TableCallback = Callable[[CellTable], object]
+
+
+class _Listed(NamedTuple):
+    """What the candidates were made of."""
+
+    neighbours: tuple[Peer, ...]
+    configured: tuple[Peer, ...]
+    table: CellTable | None
+
+
+class CellTableTransport:
+    """Disseminates the cell table of `fleet`.
+
+    `transport` and `peer_server` are the gateway's membership and peers' address; `cell`: the own one;
+    `path`: the file that keeps the table, None for none. `record` takes events for operators.
+    """
+
+    def __init__(
+        self,
+        loop: Any,
+        name: str,
+        fleet: str,
+        transport: Any,
+        peer_server: Any,
+        random: RandomSource,
+        record: EventLog,
+        cell: str = "",
+        path: str | Path | None = None,
+    ) -> None:
+        self.loop, self.transport, self.peer_server, self.record = loop, transport, peer_server, record
+        self.name, self.cell = name, cell
+        self.holder = TableHolder(fleet)
+        self.disseminator = Disseminator(name, TableDocument(self.holder), random, loop.now())
+        self.configured: tuple[Peer, ...] = ()
+        self.pull_client = PullClient(loop)
+        self.storage = TableStorage(loop.now, path, fleet, self._report_storage)
+        self.timer: Any = None
+        self._callbacks: list[TableCallback] = []
+        self._reported_version = NOTHING  # of the table that the callbacks were told
+        self._listed: _Listed | None = None
+        self._list_at: int = loop.now()
+        self._logged_rejections: set[str] = set()
+
+    # For the gateway
+
+    def start(self) -> None:
+        """Takes the table kept on disk, then receives and sends."""
+        self.storage.restore(self.disseminator)
+        self.transport.register(PayloadKind.CELL_TABLE, self._received)
+        self.peer_server.routes[TARGET] = pull_route(self.loop, self.disseminator)
+        self._list_candidates()
+        self._finish_turn(())
+
+    def stop(self) -> None:
+        """Neither receives nor sends any more; a newer table than that on disk is written."""
+        if self.timer is not None:
+            self.timer.cancel()
+            self.timer = None
+        self.pull_client.drop()
+        self.transport.unregister(PayloadKind.CELL_TABLE)
+        self.peer_server.routes.pop(TARGET, None)
+        self.storage.write(self.disseminator)
+
+    def table(self) -> CellTable | None:
+        """The last good table, None before the first."""
+        return self.holder.table
+
+    def on_table(self, callback: TableCallback) -> None:
+        """Calls back with each newer table from now on."""
+        self._callbacks.append(callback)
+
+    def set_peers(self, configured: Iterable[Peer]) -> None:
+        """Takes the peers to speak with besides the members and those that the table names."""
+        self.configured = tuple(configured)
+        self._list_candidates()
+
+    def publish(self, table: CellTable) -> None:
+        """A whole table made here. Errors: DocumentError, as where its version is not above that held."""
+        if table.fleet != self.holder.fleet:
+            raise DocumentError("other fleet")
+        digest = encoding.cells_digest(table.cells)
+        data = encoding.encode_table(table)
+        self._finish_turn(self.disseminator.publish_whole(self.loop.now(), table.version, digest, data))
+
+    def publish_change(self, change: TableChange) -> None:
+        """A change made here of the table held. Errors: TableError, DocumentError."""
+        encoded = encode_table_change(self.holder.table, self.disseminator.document.digest, change)
+        self._finish_turn(self.disseminator.publish(self.loop.now(), encoded))
+
+    def propagation(self, version: Version) -> Propagation:
+        """How far that version has come, as far as this gateway heard."""
+        return self.disseminator.version_reports.propagation(self.loop.now(), version)
+
+    def candidates(self, near: tuple[Peer, ...]) -> Candidates:
+        """Whom to speak with, by the table held; `near`: members that are up."""
+        return candidates(self.holder.table, self.cell, near, self.configured)
+
+    # What comes
+
+    def _received(self, sender: str, data: bytes) -> None:
+        now = self.loop.now()
+        if sender == self.name or not self.disseminator.admits(now, sender):
+            return
+        datagram = wire.decode_datagram(data)
+        address, message = datagram if datagram is not None else ("", None)
+        self._finish_turn(self.disseminator.receive(now, Peer(sender, address), message))
+
+    def _receive_answer(self, peer: Peer, answer: Changes | Part | Busy | None) -> None:
+        self._finish_turn(self.disseminator.receive_answer(self.loop.now(), peer, answer))
+
+    def _tick(self) -> None:
+        self.timer = None
+        now = self.loop.now()
+        sends: Iterable[Send] = ()
+        try:
+            if now >= self._list_at:
+                self._list_candidates()
+            if now >= self.storage.write_at:
+                self.storage.write(self.disseminator)
+            sends = self.disseminator.tick(now)
+        finally:  # a fault in one turn is logged by the loop, and must not end all later ones
+            self._finish_turn(sends)
+
+    # What follows
+
+    def _finish_turn(self, sends: Iterable[Send]) -> None:
+        """Sends what is to be sent, reports what is new, sets the timer."""
+        for send in sends:
+            self._send(send)
+        self._log_rejections()
+        due = max(self.disseminator.due, self.loop.now() + MIN_TURN_INTERVAL)
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer = self.loop.at(due, self._tick)
+        self._report_table()
+
+    def _send(self, send: Send) -> None:
+        to, message = send
+        if isinstance(message, Pull):
+            self.pull_client.ask(to.address, message, lambda answer: self._receive_answer(to, answer))
+        else:
+            data = wire.encode_datagram(message, self.peer_server.address)
+            self.transport.send_payload(to.address, PayloadKind.CELL_TABLE, data)
+
+    def _report_table(self) -> None:
+        table = self.holder.table
+        if table is None or table.version <= self._reported_version:
+            return
+        if self._reported_version == NOTHING:
+            self._list_candidates()  # of later tables by the timer alone: it costs a millisecond
+        self._reported_version = table.version
+        for callback in self._callbacks:
+            callback(table)
+
+    def _list_candidates(self) -> None:
+        """Whom to speak with, where that has changed."""
+        self._list_at = self.loop.now() + LIST_INTERVAL
+        membership = self.transport.membership
+        up = sorted([name for name in membership.members if name in membership.table.alive])
+        neighbours = tuple([Peer(name, membership.members[name].address) for name in up])
+        listed = _Listed(neighbours, self.configured, self.holder.table)
+        if listed != self._listed:
+            self._listed = listed
+            self.disseminator.set_candidates(self.candidates(neighbours))
+
+    def _log_rejections(self) -> None:
+        """Each reason once."""
+        for reason in self.disseminator.rejections:
+            if reason not in self._logged_rejections:
+                self._logged_rejections.add(reason)
+                self.record.event("warning", "cell table refused", reason=reason)
+
+    def _report_storage(self, text: str) -> None:
+        self.record.event("warning", "cell table on disk", text=text)
--- /dev/null
+++ b/gaproute/shared/dissemination/receive_limits.py
@@ -0,0 +1,27 @@
+"""How much is read of whom: what is beyond is dropped before it is decoded."""
+
+from collections.abc import Iterable
+
+from gaproute.shared.dissemination.bounds import PEER_RATE, UNKNOWN_SENDER_RATE
+from gaproute.shared.token_bucket import TokenBucket
+
+
+class ReceiveLimits:
+    """A bucket of messages for each peer of the view, and one for all unknown senders together."""
+
+    def __init__(self, now: int) -> None:
+        self.unknown_senders = TokenBucket(UNKNOWN_SENDER_RATE, UNKNOWN_SENDER_RATE, now)
+        self.peers: dict[str, TokenBucket] = {}
+
+    def set_peers(self, names: Iterable[str]) -> None:
+        """Takes the peers of the view as they are now."""
+        self.peers = {name: self.peers[name] for name in names if name in self.peers}
+
+    def allows(self, now: int, sender: str, *, is_peer: bool) -> bool:
+        """Whether a message of that sender is to be read."""
+        if not is_peer:
+            return self.unknown_senders.take(now, 1)
+        bucket = self.peers.get(sender)
+        if bucket is None:
+            bucket = self.peers[sender] = TokenBucket(PEER_RATE, PEER_RATE, now)
+        return bucket.take(now, 1)
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -1,4 +1,4 @@
-"""Any order of events before, at and after a relay: the core, the real decisions and the hosts that speak
+"""Any order of events before, at and after an attempt: the core, the real decisions and the hosts that speak
 lines, on streams of memory whose room, bytes and ends the test gives, with the time standing still between.
 
 What is judged is what a host was handed, at the moment at which it was.
@@ -128,14 +128,14 @@
             idle_time=15 * SECOND,
             connect_time=0,
             order_time=SECOND,
-            shared=shared,
+            requests_per_connection=shared,
             same_function_counted=True,
-            halts=cancel,
+            cancel_allowed=cancel,
         )
         self.hosts = JsonLinesClient(self.loop, Pooling(), site, 64)
         terms = TERMS._replace(request_classes=TRACKS, cancel_allowed=cancel, hedging_allowed=twins)
         self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
-        self.hosts.on_removed = self.record.forget
+        self.hosts.on_removed = self.record.forget_host
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
         self.rows = {name: row(name, started=0) for name in HOSTS}
         self.lives = {name: SimpleNamespace(world=self, name=name) for name in HOSTS}
@@ -151,11 +151,16 @@
         now, task = self.loop.now(), self.named[command["req"]]
         life = wire.life
         held = [
-            each for each in self.core.held.values() if each.call.request_id == command["req"] and each.finish
+            each
+            for each in self.core.in_flight.values()
+            if each.call.request_id == command["req"] and each.on_final
         ]
-        assert held and not task.finals and not task.left, "begun for nobody"
+        assert held, "begun for nobody"
+        assert not task.finals, "begun after the final answer"
+        assert not task.left, "begun for a client that left"
         assert now < min(task.end, self.last), "begun too late"
-        assert self.lives[life.name] is life and self.rows[life.name].state is face.State.ACTIVE
+        assert self.lives[life.name] is life
+        assert self.rows[life.name].state is face.State.ACTIVE
         before = [each for each in self.attempts if each.task is task]
         unclear = [each for each in before if each.said not in NEVER_RAN]
         if task.effect is face.Idempotency.NON_IDEMPOTENT:
@@ -188,13 +193,13 @@
         self.named[name] = task
         self.tasks.append(task)
         call = Call(f"m{place % 2}", "", (), b"", name, "x")
-        task.key = self.core.take(call, place % 3, 0, 1, None, self.loop.now(), LEFT, task.finals.append)
+        task.key = self.core.submit(call, place % 3, 0, 1, None, self.loop.now(), LEFT, task.finals.append)
 
     def leave(self, place, _):
         if waits := [task for task in self.tasks if not task.finals and not task.left]:
             task = waits[place % len(waits)]
-            held = self.core.held.get(task.key)
-            task.left = held is not None and held.finish is not None  # else its answer is on its way
+            held = self.core.in_flight.get(task.key)
+            task.left = held is not None and held.on_final is not None  # else its answer is on its way
             self.core.client_left(task.key)
 
     def dialled(self, place):
@@ -265,9 +270,9 @@
         if way == 5:
             self.rows[name] = self.rows[name]._replace(state=face.State.GONE)
         self.hosts.update(shown, complete=True)
-        self.core.listed([each.listed for each in shown], True)
+        self.core.update_hosts([each.listed for each in shown], True)
         for host in self.hosts.hosts.values():
-            host.where = self.lives[host.name]
+            host.address = self.lives[host.name]
 
     def place(self, name):
         return 1000 + self.rows[name].cell
@@ -309,12 +314,17 @@
                     self.body(each) for each in self.attempts if each.task is task and each.said == "served"
                 ]
         core, gateway = self.core, self.core.gateway
-        assert not core.held and not core.tasks and not core.relays and set(core.timers) == {""}
-        assert not gateway.tracker.in_flight and not gateway.load_order_limiter.open_orders
+        assert not core.in_flight
+        assert not core.generators
+        assert not core.attempt_counts
+        assert set(core.wait_timers) == {""}
+        assert not gateway.tracker.in_flight
+        assert not gateway.load_order_limiter.open_orders
         assert not any(each.in_flight or each.overdue for each in gateway.hosts_by_id.values())
         self.passes(30 * SECOND)
-        assert not any(link.open for host in self.hosts.hosts.values() for link in host.links)
-        assert not self.hosts.links() and not any(entry[4] for entry in self.dials.held)
+        assert not any(link.pending for host in self.hosts.hosts.values() for link in host.connections)
+        assert not self.hosts.connection_count()
+        assert not any(entry[4] for entry in self.dials.held)
         named = {name for name in HOSTS if self.rows[name].state is not face.State.GONE}
         assert set(self.hosts.hosts) == named
         assert {key[1] for key in self.record.counts if key[0] in ("relay", "order")} <= named
@@ -341,7 +351,7 @@
         st.booleans(), st.booleans(), st.sampled_from((1, 4)), st.sampled_from((ANSWERS, ANSWERS, FULL))
     ),
 )
-def test_in_any_order_each_task_has_one_answer_and_nothing_begins_that_may_not(events, site):
+def test_in_any_order_each_request_has_one_answer_and_nothing_begins_that_may_not(events, site):
     with pytest.MonkeyPatch.context() as patch:
         world = World(patch, *site)
         for kind, place, way, turns in events:
@@ -365,4 +375,5 @@
     assert not client.answers
     made.hosts[0].serve(*held[1])
     made.until(lambda: client.answers)
-    assert client.answers[0]["result"]["arg"] == "bmV3" and not made.process.front.marks
+    assert client.answers[0]["result"]["arg"] == "bmV3"
+    assert not made.process.front.marks
--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -11,10 +11,11 @@
 
 from gaproute.appliance.operator import knowledge
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.cpu_budget import BURST, REST, SHARE, CpuBudget
-from gaproute.decisions.reports.host_history import GONE_KEPT, HostHistory, own_observations
-from gaproute.decisions.reports.observation_kinds import OLDEST, SharedObservation
-from gaproute.decisions.reports.shared_observations import FACTS, SLOWEST, SharedObservations
+from gaproute.decisions.reports.cpu_budget import CPU_BURST, CPU_SHARE, REST, CpuBudget
+from gaproute.decisions.reports.follower import MAX_SLOWDOWN, ObservationFollower
+from gaproute.decisions.reports.host_history import MAX_GONE, HostHistory, own_observations
+from gaproute.decisions.reports.observation_kinds import MAX_AGE, SharedObservation
+from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
 from gaproute.interface import Found, Outcome, Result, State
 from gaproute.peers.lore_pb2 import Told
 
@@ -41,13 +42,17 @@
 facts = st.lists(told, max_size=8)
 
 
-def lore(*told):
+def observed(*observations):
     made = SharedObservations()
-    for names, fact in told:
-        made.tell(names, fact)
+    for subject, observation in observations:
+        made.add(subject, observation)
     return made
 
 
+def follower(observations, chance, request_classes=()):
+    return ObservationFollower(observations, KEEP, dict(request_classes), chance)
+
+
 def warm(worker="x", function="f", at=NOW, lanes=4, started=0, origin="a"):
     return ("warm", worker, function), SharedObservation(at, origin, 1, (lanes, started))
 
@@ -65,16 +70,17 @@
 
 @given(facts, facts, facts)
 def test_merging_is_commutative_associative_and_idempotent(a, b, c):
-    a, b, c = lore(*a), lore(*b), lore(*c)
-    assert merged(a, b).facts == merged(b, a).facts and merged(a, a).facts == a.facts
-    assert merged(merged(a, b), c).facts == merged(a, merged(b, c)).facts
+    a, b, c = observed(*a), observed(*b), observed(*c)
+    assert merged(a, b).by_subject == merged(b, a).by_subject
+    assert merged(a, a).by_subject == a.by_subject
+    assert merged(merged(a, b), c).by_subject == merged(a, merged(b, c)).by_subject
 
 
 @given(facts, facts)
 def test_what_is_hinted_does_not_depend_on_the_order_of_coming(a, b):
-    one, other = merged(lore(*a), lore(*b)), merged(lore(*b), lore(*a))
+    one, other = merged(observed(*a), observed(*b)), merged(observed(*b), observed(*a))
     lives = {"x": 0, "y": 1}
-    assert one.hints(10, lives, KEEP, Chance(1)) == other.hints(10, lives, KEEP, Chance(1))
+    assert hints(one, lives, 10) == hints(other, lives, 10)
 
 
 def outcome(name, worker, found=Found.WARM):
@@ -82,17 +88,18 @@
 
 
 def hints(made, lives, now=NOW):
-    return made.hints(now, lives, KEEP, Chance(1))
+    return follower(made, Chance(1)).warm_hints(now, lives)
 
 
 def test_a_hint_is_older_than_told_and_differs_between_learners():
-    made = lore(warm(at=NOW - MILLI))
-    seen = {made.hints(NOW, {"x": 0}, KEEP, Chance(seed))[0][3] for seed in range(20)}
-    assert len(seen) > 10 and all(0.34 * KEEP < NOW - at < 0.71 * KEEP for at in seen)
+    made = observed(warm(at=NOW - MILLI))
+    seen = {follower(made, Chance(seed)).warm_hints(NOW, {"x": 0})[0][3] for seed in range(20)}
+    assert len(seen) > 10
+    assert all(0.34 * KEEP < NOW - at < 0.71 * KEEP for at in seen)
 
 
 @pytest.mark.parametrize(
-    "fact, gone, lives, reason",
+    ("fact", "gone", "lives", "reason"),
     [
         (warm(), [], {}, "not listed"),
         (warm(started=7), [], {"x": 8}, "another life"),
@@ -102,32 +109,34 @@
     ],
 )
 def test_a_hint_that_a_newer_fact_or_the_list_gainsays_is_void(fact, gone, lives, reason):
-    made = lore(fact, *gone)
-    assert hints(made, lives) == [] and made.refused[reason] == 1
+    made = observed(fact, *gone)
+    assert hints(made, lives) == []
+    assert made.rejections[reason] == 1
 
 
 def test_a_copy_seen_after_a_host_was_told_gone_counts_again():
-    assert hints(lore(warm(), listed("x", "gone", NOW - SECOND)), {"x": 0})
-    assert hints(lore(warm(), listed("x", "gone", NOW), listed("x", "active", NOW + 1)), {"x": 0})
+    assert hints(observed(warm(), listed("x", "gone", NOW - SECOND)), {"x": 0})
+    assert hints(observed(warm(), listed("x", "gone", NOW), listed("x", "active", NOW + 1)), {"x": 0})
 
 
 def test_of_a_function_only_the_freshest_copies_are_believed_and_more_of_a_hot_one():
     many = [warm(name, at=NOW - place * MILLI) for place, name in enumerate("abcdefgh")]
     lives = dict.fromkeys("abcdefgh", 0)
-    assert [hint[0] for hint in hints(lore(*many), lives)] == list("abcd")
+    assert [hint[0] for hint in hints(observed(*many), lives)] == list("abcd")
     hot = (("share", "f"), SharedObservation(NOW, "a", 1, (0.3,)))
-    assert [hint[0] for hint in hints(lore(*many, hot), lives)] == list("abcdef")
+    assert [hint[0] for hint in hints(observed(*many, hot), lives)] == list("abcdef")
 
 
-@pytest.mark.parametrize("age", [-1, OLDEST + 1, 1 << 70])
+@pytest.mark.parametrize("age", [-1, MAX_AGE + 1, 1 << 70])
 def test_an_age_that_cannot_be_is_refused(age):
     made = SharedObservations()
-    assert made.observed(NOW, age) is None and made.refused["age"] == 1
-    assert made.observed(NOW, SECOND) == NOW - SECOND
+    assert made.observed_at(NOW, age) is None
+    assert made.rejections["age"] == 1
+    assert made.observed_at(NOW, SECOND) == NOW - SECOND
 
 
 @pytest.mark.parametrize(
-    "names, value, reason",
+    ("names", "value", "reason"),
     [
         (("warm", "x" * 300, "f"), (1, 0), "name"),
         (("warm", "x", ""), (1, 0), "name"),
@@ -145,67 +154,76 @@
     ],
 )
 def test_a_fact_that_cannot_be_is_refused_with_one_counted_reason(names, value, reason):
-    made = lore((names, SharedObservation(1, "a", 1, value)))
-    assert made.facts == {} and made.refused == {reason: 1}
+    made = observed((names, SharedObservation(1, "a", 1, value)))
+    assert made.by_subject == {}
+    assert made.rejections == {reason: 1}
 
 
 def test_givers_that_tell_without_end_are_bounded():
-    made = lore(*[warm(function=f"f{number}") for number in range(FACTS + 10)])
-    assert len(made.facts) == FACTS and made.refused == {"too many": 10}
+    made = observed(*[warm(function=f"f{number}") for number in range(MAX_OBSERVATIONS + 10)])
+    assert len(made.by_subject) == MAX_OBSERVATIONS
+    assert made.rejections == {"too many": 10}
 
 
 def test_the_mix_told_stands_for_each_function_by_its_share():
-    made = lore(
+    made = observed(
         (("share", "f"), SharedObservation(1, "a", 1, (0.5,))),
         (("share", "g"), SharedObservation(1, "a", 1, (0.25,))),
     )
-    mix = made.mix(128)
+    mix = made.request_mix(128)
     assert (mix.count("f"), mix.count("g"), mix.count("")) == (64, 32, 32)
     assert 4 < mix[:16].count("f") < 12
 
 
 def test_shares_that_add_up_to_more_than_all_are_scaled():
-    made = lore(*[(("share", name), SharedObservation(1, "a", 1, (1.0,))) for name in "fgh"])
-    assert sorted(map(made.mix(128).count, "fgh")) == [42, 43, 43]
+    made = observed(*[(("share", name), SharedObservation(1, "a", 1, (1.0,))) for name in "fgh"])
+    assert sorted(map(made.request_mix(128).count, "fgh")) == [42, 43, 43]
 
 
 def test_a_host_that_left_the_list_is_told_as_gone_until_it_is_back():
-    roll = HostHistory()
-    roll.listed(1, {"x": ("active", 5), "y": ("active", 0)})
-    roll.listed(2, {"y": ("draining", 0)})
-    assert roll.told == {"x": ("gone", 5, 2), "y": ("draining", 0, 2)} and roll.lives() == {}
-    roll.listed(3, {"x": ("active", 9), "y": ("draining", 0)})
-    assert roll.told["x"] == ("active", 9, 3) and roll.told["y"][2] == 2 and roll.lives() == {"x": 9}
+    history = HostHistory()
+    history.update(1, {"x": ("active", 5), "y": ("active", 0)})
+    history.update(2, {"y": ("draining", 0)})
+    assert history.entries == {"x": ("gone", 5, 2), "y": ("draining", 0, 2)}
+    assert history.active_starts() == {}
+    history.update(3, {"x": ("active", 9), "y": ("draining", 0)})
+    assert history.entries["x"] == ("active", 9, 3)
+    assert history.entries["y"][2] == 2
+    assert history.active_starts() == {"x": 9}
 
 
 def test_the_roll_of_the_gone_is_bounded():
-    roll = HostHistory()
-    roll.listed(1, {f"h{number}": ("active", 0) for number in range(2 * GONE_KEPT)})
-    roll.listed(2, {})
-    roll.listed(3, {})
-    assert len(roll.told) == GONE_KEPT
+    history = HostHistory()
+    history.update(1, {f"h{number}": ("active", 0) for number in range(2 * MAX_GONE)})
+    history.update(2, {})
+    history.update(3, {})
+    assert len(history.entries) == MAX_GONE
 
 
 def test_telling_takes_a_share_of_the_time_and_a_small_burst():
-    purse = CpuBudget(0)
-    assert purse.may(0)
-    purse.spend(0, BURST + MILLI)
-    assert not purse.may(0) and not purse.may(round(0.9 * MILLI / SHARE)) and purse.may(purse.wait(0) + MILLI)
+    budget = CpuBudget(0)
+    assert budget.may_spend(0)
+    budget.spend(0, CPU_BURST + MILLI)
+    assert not budget.may_spend(0)
+    assert not budget.may_spend(round(0.9 * MILLI / CPU_SHARE))
+    assert budget.may_spend(budget.wait(0) + MILLI)
 
 
 def test_two_slices_are_never_told_on_end():
-    purse = CpuBudget(0)
-    purse.spend(0, MILLI)
-    assert not purse.may(REST - 1) and purse.may(REST)
+    budget = CpuBudget(0)
+    budget.spend(0, MILLI)
+    assert not budget.may_spend(REST - 1)
+    assert budget.may_spend(REST)
 
 
 def test_those_put_off_come_again_one_after_the_other():
-    purse = CpuBudget(0)
-    purse.spend(0, MILLI)
-    assert [purse.wait(0) for _ in range(3)] == [REST, 2 * REST, 3 * REST]
-    purse.spend(0, 2 * BURST)
-    waits = [purse.wait(0) for _ in range(3)]
-    assert waits[0] > 1000 * MILLI and waits[2] - waits[1] == waits[1] - waits[0] == 100 * MILLI
+    budget = CpuBudget(0)
+    budget.spend(0, MILLI)
+    assert [budget.wait(0) for _ in range(3)] == [REST, 2 * REST, 3 * REST]
+    budget.spend(0, 2 * CPU_BURST)
+    waits = [budget.wait(0) for _ in range(3)]
+    assert waits[0] > 1000 * MILLI
+    assert waits[2] - waits[1] == waits[1] - waits[0] == 100 * MILLI
 
 
 # What the decision module makes of a hint
@@ -213,9 +231,12 @@
 
 def test_a_hint_gives_way_to_what_was_seen_and_is_void_for_hosts_not_active_or_wiped():
     made = gateway(row("a"), row("b", state=State.DRAINING))
-    assert made.hint("a", "f", 4, 5 * SECOND) and not made.hint("a", "f", 4, 4 * SECOND)
-    assert made.hint("a", "f", 4, 6 * SECOND) and made.functions_by_name["f"].hinted_at == {"a": 6 * SECOND}
-    assert not made.hint("b", "f", 4, 5 * SECOND) and not made.hint("nobody", "f", 4, 5 * SECOND)
+    assert made.hint("a", "f", 4, 5 * SECOND)
+    assert not made.hint("a", "f", 4, 4 * SECOND)
+    assert made.hint("a", "f", 4, 6 * SECOND)
+    assert made.functions_by_name["f"].hinted_at == {"a": 6 * SECOND}
+    assert not made.hint("b", "f", 4, 5 * SECOND)
+    assert not made.hint("nobody", "f", 4, 5 * SECOND)
     made.hosts_by_id["a"].instances_lost_at = 6 * SECOND
     assert not made.hint("a", "g", 4, 5 * SECOND)
 
@@ -224,7 +245,8 @@
     made = gateway(row("a"))
     driven = Drive(made, task(), 0)
     driven.hears(SECOND, Result.OK)
-    assert not made.hint("a", "f", 4, 5 * SECOND) and made.functions_by_name["f"].last_used == {"a": SECOND}
+    assert not made.hint("a", "f", 4, 5 * SECOND)
+    assert made.functions_by_name["f"].last_used == {"a": SECOND}
 
 
 def test_a_hinted_host_is_chosen_before_hosts_of_which_nothing_is_known():
@@ -259,7 +281,9 @@
 
 def test_a_hint_that_waits_for_its_trial_has_its_turn_with_a_later_task():
     made = gateway()
-    assert trial(made, 0, None) and trial(made, 1, None) and not trial(made, 2, None)
+    assert trial(made, 0, None)
+    assert trial(made, 1, None)
+    assert not trial(made, 2, None)
     made.heard(7 * SECOND, outcome("t0", ranked(made, "f0")[1].id))
     assert made.functions_by_name["f2"].hinted_at
     made.hints.consider(8 * SECOND, "f2", made.functions_by_name["f2"])
@@ -269,23 +293,23 @@
 def test_two_wrong_hints_end_it_however_many_were_right():
     made = gateway()
     assert all(trial(made, number) for number in range(20))
-    assert trial(made, 20, Found.BEGAN_LOAD) and trial(made, 21, Found.LOAD_FAILED) and not trial(made, 22)
+    assert trial(made, 20, Found.BEGAN_LOAD)
+    assert trial(made, 21, Found.LOAD_FAILED)
+    assert not trial(made, 22)
 
 
 def test_a_trial_of_which_nothing_is_told_holds_up_the_others_for_a_while_only():
     made = gateway()
-    assert trial(made, 0, None) and trial(made, 1, None) and not trial(made, 2, None)
+    assert trial(made, 0, None)
+    assert trial(made, 1, None)
+    assert not trial(made, 2, None)
     made.hints.consider(20 * SECOND, "f2", made.functions_by_name["f2"])
-    assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used and (
-        made.hints.right,
-        made.hints.wrong,
-    ) == (0, 0)
+    assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used
+    assert (made.hints.right, made.hints.wrong) == (0, 0)
     made = gateway()
-    assert (
-        trial(made, 0, Found.UNKNOWN)
-        and not made.hints.trials
-        and (made.hints.right, made.hints.wrong) == (0, 0)
-    )
+    assert trial(made, 0, Found.UNKNOWN)
+    assert not made.hints.trials
+    assert (made.hints.right, made.hints.wrong) == (0, 0)
 
 
 def test_the_first_choice_of_the_hash_is_tried_where_it_was_told():
@@ -294,9 +318,8 @@
     made.hint(second, "f", 4, 5 * SECOND)
     made.hint(first, "f", 4, 4 * SECOND)
     made.hints.consider(6 * SECOND, "f", made.functions_by_name["f"])
-    assert made.functions_by_name["f"].last_used == {first: 4 * SECOND} and set(made.hints.trials) == {
-        ("f", first)
-    }
+    assert made.functions_by_name["f"].last_used == {first: 4 * SECOND}
+    assert set(made.hints.trials) == {("f", first)}
 
 
 def test_hints_of_hosts_that_left_the_list_meanwhile_are_not_followed():
@@ -309,37 +332,43 @@
 
 def test_a_suspicion_told_weighs_less_than_one_good_answer():
     made = gateway(row("a"), row("b"))
-    assert made.hint_doubt("a", 0, 1.0, 5 * SECOND) and not made.hint_doubt("nobody", 0, 1.0, 5 * SECOND)
+    assert made.hint_doubt("a", 0, 1.0, 5 * SECOND)
+    assert not made.hint_doubt("nobody", 0, 1.0, 5 * SECOND)
     assert 0 < made.outliers.doubt(made.hosts_by_id["a"], 0, 6 * SECOND) < 0.3
     made.outliers.record(made.hosts_by_id["a"], 6 * SECOND, 0, 0.0)
-    assert made.outliers.doubt(made.hosts_by_id["a"], 0, 7 * SECOND) == 0 and not made.hint_doubt(
-        "a", 0, 1.0, 7 * SECOND
-    )
+    assert made.outliers.doubt(made.hosts_by_id["a"], 0, 7 * SECOND) == 0
+    assert not made.hint_doubt("a", 0, 1.0, 7 * SECOND)
 
 
 def test_usual_times_and_pace_are_taken_only_where_nothing_is_known():
     made = gateway(row("a"))
     assert not made.hint_usual("f", MILLI)
     made.hint("a", "f", 4, SECOND)
-    assert made.hint_usual("f", MILLI) and not made.hint_usual("f", 2 * MILLI)
-    assert made.hint_usual(None, SECOND) and not made.hint_usual(None, 2 * SECOND)
-    assert made.hint_pace("a", 3.0, SECOND) and made.hosts_by_id["a"].slowdown == 3.0
+    assert made.hint_usual("f", MILLI)
+    assert not made.hint_usual("f", 2 * MILLI)
+    assert made.hint_usual(None, SECOND)
+    assert not made.hint_usual(None, 2 * SECOND)
+    assert made.hint_pace("a", 3.0, SECOND)
+    assert made.hosts_by_id["a"].slowdown == 3.0
 
 
-@pytest.mark.parametrize("wrong, taken", [(0, 64), (1, 0)])
+@pytest.mark.parametrize(("wrong", "taken"), [(0, 64), (1, 0)])
 def test_the_mix_told_is_taken_once_eight_hints_proved_right_and_none_wrong(wrong, taken):
     made = gateway()
     made.hint_mix(["f"] * 64 + [""] * 64)
-    assert all(trial(made, number) for number in range(7)) and made.mix.recent.count("f") == 0
+    assert all(trial(made, number) for number in range(7))
+    assert made.mix.recent.count("f") == 0
     made.hints.wrong = wrong
-    assert trial(made, 7) and made.mix.recent.count("f") == taken
+    assert trial(made, 7)
+    assert made.mix.recent.count("f") == taken
 
 
 def test_the_mix_told_is_not_taken_after_own_tasks_have_made_one():
     made = gateway()
     made.mix.recent.extend(["own"] * 128)
     made.hint_mix(["f"] * 128)
-    assert all(trial(made, number) for number in range(9)) and made.mix.recent.count("f") == 0
+    assert all(trial(made, number) for number in range(9))
+    assert made.mix.recent.count("f") == 0
 
 
 def test_only_what_was_answered_is_told_on():
@@ -352,22 +381,22 @@
 
 
 def test_what_is_told_of_workers_comes_with_the_life_the_list_gave_them():
-    made, roll = gateway(row("a")), HostHistory()
-    roll.listed(SECOND, {"a": ("active", 77)})
+    made, history = gateway(row("a")), HostHistory()
+    history.update(SECOND, {"a": ("active", 77)})
     Drive(made, task(), 2 * SECOND).hears(3 * SECOND, Result.OK)
     Drive(made, task("u"), 3 * SECOND).hears(4 * SECOND, Result.ERROR)
-    told = list(own_observations(made, roll, ("check", "plan", "order"), 5 * SECOND))
+    told = list(own_observations(made, history, ("check", "plan", "order"), 5 * SECOND))
     assert (("listed", "a"), ("active", 77), SECOND) in told
     assert (("warm", "a", "f"), (4, 77), 3 * SECOND) in told
     assert (("doubt", "a", "check"), (0.4,), 4 * SECOND) in told
-    assert [names for names, _, _ in own_observations(made, roll, ("check",), 5 * SECOND, 3 * SECOND)] == [
+    assert [names for names, _, _ in own_observations(made, history, ("check",), 5 * SECOND, 3 * SECOND)] == [
         ("doubt", "a", "check")
     ]
 
 
 def test_following_leaves_out_hosts_not_listed_and_tracks_not_known():
     made = gateway(row("a"))
-    told = lore(
+    told = observed(
         *[
             (names, SharedObservation(1, "g", 1, (value,)))
             for names, value in (
@@ -378,15 +407,16 @@
             )
         ]
     )
-    assert told.follow(made, 2, {"a": 0}, {"check": 0}, KEEP, Chance(1), told.facts) == 2
-    assert told.refused == {"not listed": 1, "track": 1} and made.hosts_by_id["a"].slowdown == SLOWEST
+    assert follower(told, Chance(1), {"check": 0}).follow(made, 2, {"a": 0}, told.by_subject) == 2
+    assert told.rejections == {"not listed": 1, "track": 1}
+    assert made.hosts_by_id["a"].slowdown == MAX_SLOWDOWN
 
 
 @pytest.mark.parametrize("share", [0.02, 0.3])
 def test_gateways_that_learn_the_same_at_one_moment_do_not_all_send_to_one_host(share):
     hosts = [f"h{number}" for number in range(10)]
     others = [worker.id for worker in ranked(gateway(*map(row, hosts)), "f")][1:7]
-    told = lore(
+    told = observed(
         *[warm(name, at=59 * SECOND) for name in others],
         (("share", "f"), SharedObservation(59 * SECOND, "g", 1, (share,))),
     )
@@ -395,22 +425,25 @@
     for _ in range(40):
         made = gateway(*map(row, hosts))
         lives = dict.fromkeys(hosts, 0)
-        told.follow(made, 60 * SECOND, lives, {}, KEEP, Chance(seeds.getrandbits(64)), told.facts)
+        chance = Chance(seeds.getrandbits(64))
+        follower(told, chance).follow(made, 60 * SECOND, lives, told.by_subject)
         made.chance.state = Chance(seeds.getrandbits(64)).state
-        made.mix.recent.extend(told.mix())
+        made.mix.recent.extend(told.request_mix())
         sent[made.serve(60 * SECOND, task()).send(None).host] += 1
-    assert max(sent.values()) <= 28 and len(sent) >= (2 if share < 0.1 else 4)
+    assert max(sent.values()) <= 28
+    assert len(sent) >= (2 if share < 0.1 else 4)
     assert sent.keys() <= set(others)
 
 
 def test_a_hint_sends_nothing_to_a_cold_host_beyond_its_credit():
     hosts = [row(f"h{number}") for number in range(5)] + [row("cold", started=59 * SECOND)]
-    told = lore(warm("cold", at=60 * SECOND, started=5))
+    told = observed(warm("cold", at=60 * SECOND, started=5))
     for seed in range(10):
         made = gateway(*hosts)
-        assert told.follow(made, 60 * SECOND, {"cold": 5}, {}, KEEP, Chance(seed), told.facts) == 1
+        assert follower(told, Chance(seed)).follow(made, 60 * SECOND, {"cold": 5}, told.by_subject) == 1
         sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
-        assert "cold" not in sent and made.hosts_by_id["cold"].credit == 0
+        assert "cold" not in sent
+        assert made.hosts_by_id["cold"].credit == 0
 
 
 # Two gateways
@@ -432,21 +465,21 @@
     warm_at = json.loads(made.wait(made.ask("lamp", "last")).body)["outputs"][0]["data"][0]
     loads = len(made.seen("loaded"))
     second = start()
-    made.until(lambda: second.others.observation_client.booked)
+    made.until(lambda: second.others.observation_client.hints_taken)
     made.at = made.at[0], tuple([*made.at[1][:1], int(second.fronts[0].address.rpartition(":")[2])])
     answer = made.wait(made.ask("lamp", "first"))
-    assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at and len(made.seen("loaded")) == loads
-    assert made.gate.others.peer_server.told >= 1 and second.others.observation_client.state["g"].startswith(
-        "told "
-    )
-    limiter = second.core.gateway.load_order_limiter
-    assert not limiter.open_orders and not limiter.ends
+    assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at
+    assert len(made.seen("loaded")) == loads
+    assert made.gate.others.peer_server.transfers.told >= 1
+    assert second.others.observation_client.state["g"].startswith("told ")
+    assert not second.core.gateway.load_order_limiter.open_orders
+    assert not second.core.gateway.load_order_limiter.ends
 
 
 def test_an_operator_sees_what_is_known_and_by_what(beside):
     made, start = beside
     second = start()
-    made.until(lambda: second.others.observation_client.booked)
+    made.until(lambda: second.others.observation_client.hints_taken)
     (own,), (hinted,) = knowledge(made.gate), knowledge(second)
     assert (own["by"], hinted["by"]) == ("an answer", "g")
     assert (own["worker"], own["function"]) == (hinted["worker"], hinted["function"])
@@ -461,7 +494,8 @@
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     second = start()
     made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
-    assert second.others.observations.refused["not listed"] and worker not in second.core.gateway.hosts_by_id
+    assert second.others.observations.rejections["not listed"]
+    assert worker not in second.core.gateway.hosts_by_id
     assert "lamp" not in second.core.gateway.functions_by_name
 
 
@@ -490,7 +524,8 @@
 
 def test_a_giver_out_of_budget_puts_off_and_still_tells(beside):
     made, start = beside
-    made.gate.others.peer_server.purse.spend(made.loop.now(), 11 * MILLI)
+    made.gate.others.peer_server.cpu_budget.spend(made.loop.now(), 11 * MILLI)
     second = start()
     made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
-    assert made.gate.others.peer_server.put_off >= 1 and second.others.observation_client.booked >= 1
+    assert made.gate.others.peer_server.put_off >= 1
+    assert second.others.observation_client.hints_taken >= 1
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -51,14 +51,14 @@
 def lack_at_connect_taken_for_what_may_have_run(patch):
     honest = results.of_ended_connection
 
-    def of_ended_connection(begun, error, spoilt):
-        return Result.RESET if isinstance(error, OSError) else honest(begun, error, spoilt)
+    def of_ended_connection(error, **told):
+        return Result.RESET if isinstance(error, OSError) else honest(error, **told)
 
     patch.setattr(results, "of_ended_connection", of_ended_connection)
 
 
 def broken_connection_taken_for_what_never_ran(patch):
-    patch.setattr(results, "of_ended_connection", lambda begun, error, spoilt: Result.CONNECT_FAILED)
+    patch.setattr(results, "of_ended_connection", lambda error, **told: Result.CONNECT_FAILED)
 
 
 def wall_clock_used_for_waits(patch):
@@ -69,13 +69,13 @@
 
 
 def wall_clock_used_for_deadlines(patch):
-    honest = Core.take
+    honest = Core.submit
 
-    def take(core, call, track, tenant, lanes, load_time, taken, *told):
+    def submit(core, call, track, tenant, lanes, load_time, taken, *told):
         taken += loops.time.time_ns() - EPOCH - core.loop.now()
         return honest(core, call, track, tenant, lanes, load_time, taken, *told)
 
-    patch.setattr(Core, "take", take)
+    patch.setattr(Core, "submit", submit)
 
 
 def short_write_taken_for_a_whole_one(patch):
@@ -154,12 +154,12 @@
 
 
 def final_answer_sent_late(patch):
-    honest = Core._final
+    honest = Core._finish
 
     def final(core, held, *told):
         core.loop.after(2 * SECOND, honest, core, held, *told)
 
-    patch.setattr(Core, "_final", final)
+    patch.setattr(Core, "_finish", final)
 
 
 BROKEN, LACK, SHORT = Failure(errno.ETIMEDOUT), Failure(errno.ENOBUFS), ShortTransfer(7)
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -13,40 +13,16 @@
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 from gaproute.standins.platform import ChangeLog, Client, LineHost, event
-from gaproute.telemetry.record import FOLLOWED
+from gaproute.standins.platform.sample_settings import sample_settings
+from gaproute.telemetry.record import TRACE_ONE_IN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-SETTINGS = {
-    "lanes": [
+SETTINGS = sample_settings(
+    [
         {"name": "fault-check", "effect": "free", "aim": 500.0, "deadline": 3000.0, "worth": 3.0},
         {"name": "repair-order", "effect": "single_shot", "aim": 500.0, "deadline": 3000.0},
-    ],
-    "limits": {
-        "cancel": True,
-        "probes": True,
-        "send_cap": 6,
-        "retry_after": True,
-        "max_retry_after": 1000.0,
-        "conn_idle": 15000.0,
-        "connect_timeout": 250.0,
-        "multiplex": 100,
-        "may_duplicate": True,
-    },
-    "family_info": {
-        "counts_alike": True,
-        "idle_life": 9800.0,
-        "warm_notes": True,
-        "placement_calls": True,
-        "loads_anyway": 6,
-        "load_part": 0.3,
-        "loads_within": 10000.0,
-        "order_limit": 10000.0,
-    },
-    "report": {"names": ["cpu_share", "x0"], "source": "pull"},
-    "rules": {"cold": 18000.0, "cold_from": 0.17},
-    "zones": ["hall-a"],
-    "membership_mode": "pushed",
-}
+    ]
+)
 
 
 def nothing(stream, command):
@@ -134,7 +110,7 @@
 class Gate:
     """`clock`: a `Handed` one where the test holds the time; `settings` stand in place of `SETTINGS`."""
 
-    def __init__(self, folder, answer=None, sockets=256, hosts=1, followed=FOLLOWED, clock=None, **told):
+    def __init__(self, folder, answer=None, sockets=256, hosts=1, followed=TRACE_ONE_IN, clock=None, **told):
         self.clock = clock
         self.loop = Loop(clock) if clock else Loop()
         self.hosts = [LineHost(self.loop, answer) for _ in range(hosts)]
@@ -161,9 +137,9 @@
         } | told
         self.write()
         log = Log(-1)
-        log.line = lambda level, what, told: self.lines.append((what, told))
+        log.write_line = lambda level, what, told: self.lines.append((what, told))
         self.process = Process(
-            str(self.path), read_configuration(str(self.path)), loop=self.loop, log=log, followed=followed
+            str(self.path), read_configuration(str(self.path)), loop=self.loop, log=log, trace_one_in=followed
         )
         self.process.start()
         self.where = self.process.front.address
@@ -203,7 +179,7 @@
     def close(self):
         for part in (
             self.process.front,
-            self.process.follower,
+            self.process.host_list,
             self.process.hosts,
             self.process.peers,
             *self.hosts,
