--- a/tests/decisions/routing/test_load_order_limiter.py
+++ b/tests/decisions/routing/test_load_order_limiter.py
@@ -23,7 +23,7 @@
     ),
     free=st.integers(0, 1),
 )
-def test_no_arrival_is_over_the_ration_whatever_waits_travels_is_lost_or_faulty(bursts, orders, free):
+def test_no_arrival_is_over_the_limit_whatever_waits_travels_is_lost_or_faulty(bursts, orders, free):
     """`bursts`: (came, served after, whether real ones, how many); `orders`: (wished, way, answered after it,
     how many)."""
     tasks = [(came, took, real) for came, took, real, count in bursts for _ in range(count)]
@@ -51,7 +51,7 @@
         assert count <= free + share * sum(arrival - WINDOW < came <= arrival for came in taken)
 
 
-def test_the_ration_is_not_kept_tighter_than_it_must():
+def test_the_limit_is_not_kept_tighter_than_it_must():
     made = LoadOrderLimiter(2, 0.3, WINDOW)
     for _ in range(10):
         made.delivered(SECOND, SECOND)
@@ -69,7 +69,7 @@
     assert made.allows(1) and not made.arrivals
 
 
-def test_what_fails_or_leaves_is_no_task_for_the_ration():
+def test_what_fails_or_leaves_is_no_request_for_the_limit():
     """A host answers bad clients' requests with an error, and the platform does not count them as taken."""
     made = gateway()
     Drive(made, task("bad", request_class=2)).hears(SECOND, Result.ERROR)
@@ -104,14 +104,14 @@
     return went
 
 
-def test_orders_that_find_their_copies_standing_are_made_seldom():
+def test_orders_that_find_their_instances_standing_are_made_seldom():
     """Each costs what a probe costs; hosts that add copies by themselves answer at once."""
     made = gateway(load_order_window=0)
     made.answer_times.loads.append(SECOND)
     assert 3 < orders(made, SECOND // 100) < 40
 
 
-def test_orders_that_bring_copies_go_on():
+def test_orders_that_bring_instances_go_on():
     made = gateway(load_order_window=0)
     made.answer_times.loads.append(SECOND)
     assert orders(made, SECOND // 2) == 200
--- a/tests/decisions/routing/test_load_report_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -59,13 +59,13 @@
     assert shared(**told).probed(0, "a", True, Report(cpu_busy=0.5)) is None
 
 
-def test_a_failed_probe_and_an_unknown_worker_are_not_told():
+def test_a_failed_probe_and_an_unknown_host_are_not_told():
     made = shared()
     assert made.probed(0, "a", False, Report(cpu_busy=0.5)) is None
     assert made.probed(0, "x", True, Report(cpu_busy=0.5)) is None
 
 
-def test_two_workers_of_one_mark_are_neither_told_nor_heard(monkeypatch):
+def test_two_hosts_of_one_mark_are_neither_told_nor_heard(monkeypatch):
     monkeypatch.setattr(
         load_report_codec, "host_mark", lambda name: b"zz" if name in "ab" else host_mark(name)
     )
@@ -82,7 +82,7 @@
     made.told(0, host_mark("a") + words)
 
 
-def test_a_worker_that_is_gone_is_no_longer_told_of():
+def test_a_host_that_is_gone_is_no_longer_told_of():
     made = shared()
     words = made.probed(0, "a", True, Report(cpu_busy=0.5))
     made.listed(0, [row("a", state=face.State.GONE)], False)
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
-def test_probes_and_reports_cost_no_more_than_their_worth_of_the_tasks(gateways):
+def test_probes_and_reports_cost_no_more_than_their_worth_of_the_requests(gateways):
     made, tasks = shared(gateways=gateways), 400
     probes = 0
     for number in range(tasks):
@@ -101,12 +101,12 @@
     assert 0.9 * COST_SHARE * tasks <= probes * cost <= COST_SHARE * tasks + SAVED_PROBES * cost
 
 
-def test_probes_that_cost_nothing_are_made_without_tasks():
+def test_probes_that_cost_nothing_are_made_without_requests():
     made = shared(probe_price=0.0, peer_price=0.0)
     assert len(play(made, SECOND)) >= 3
 
 
-def test_a_worker_heard_of_lately_is_not_probed_and_the_longest_unheard_is_first():
+def test_a_host_heard_of_lately_is_not_probed_and_the_longest_unheard_is_first():
     made = shared(probe_price=0.0, peer_price=0.0, peers_allowed=False)
     for name in "abc":
         made.probed(SECOND, name, True, Report(cpu_busy=0.5))
@@ -116,7 +116,7 @@
     assert pick(SECOND + PROBE_INTERVAL, made.active_hosts, PROBE_INTERVAL, Chance(1)).id == "b"
 
 
-def test_gateways_that_hear_the_same_do_not_all_probe_the_same_worker():
+def test_gateways_that_hear_the_same_do_not_all_probe_the_same_host():
     rows = [row(str(number)) for number in range(40)]
     picked = set()
     for seed in range(40):
--- a/tests/decisions/routing/test_ranking.py
+++ b/tests/decisions/routing/test_ranking.py
@@ -74,7 +74,7 @@
         assert ranks == {host.id: rank for rank, host in enumerate(function.ranked_hosts)}
 
 
-def test_few_workers_of_a_large_fleet_are_ranked():
+def test_few_hosts_of_a_large_fleet_are_ranked():
     made = fleet_of(range(MOST))
     function = made.functions.find_or_add("f", 4)
     assert len(made.ranking.ranks("f", function)) == FIRST_DEPTH < len(made.active_hosts)
--- /dev/null
+++ b/tests/decisions/routing/test_request_attempts.py
@@ -0,0 +1,37 @@
+"""What the attempts of one request prove."""
+
+import pytest
+from helpers import (
+    IDEMPOTENT_WITH_KEY,
+    gateway,
+    row,
+    task,
+)
+from routing_scenes import (
+    MAY_HAVE_RUN,
+    attempts_with,
+)
+
+from gaproute import interface as face
+from gaproute.decisions.routing.request_attempts import RequestAttempts, SentAttempt
+from gaproute.interface import Result
+
+
+def test_first_possible_run_is_the_earliest_attempt_not_disproved():
+    made = gateway()
+    attempts = attempts_with(made, Result.FULL, 0, still_out=True)
+    attempts.in_flight[1] = SentAttempt(made.hosts_by_id["b"], 5)
+    attempts.settle(0, Result.FULL)
+    assert attempts.first_run == (made.hosts_by_id["b"], 5)
+
+
+@pytest.mark.parametrize("result", MAY_HAVE_RUN)
+def test_a_attempt_that_may_have_run_binds_the_request_after_an_earlier_one_is_disproved(result):
+    made = gateway(row("a"), row("b"), row("other", cell=1))
+    track, attempts = IDEMPOTENT_WITH_KEY._replace(group=face.Group.CELL), RequestAttempts()
+    for relay, name in enumerate("ab"):
+        made.tracker.sent(relay, task(request_class=1), relay, made.hosts_by_id[name], attempts)
+    attempts.settle(1, result)
+    attempts.settle(0, Result.FULL)
+    assert attempts.first_run == (made.hosts_by_id["b"], 1)
+    assert not made.retry_rules.allowed(made.hosts_by_id["other"], track, attempts, 2)
--- /dev/null
+++ b/tests/decisions/routing/test_scorer.py
@@ -0,0 +1,24 @@
+"""The weights of the score."""
+
+import pytest
+
+from gaproute.decisions.routing.functions import FADE_POWER
+from gaproute.decisions.routing.parameters import (
+    USUAL_CONCURRENCY,
+)
+from gaproute.decisions.routing.scorer import (
+    HASH_POINTS,
+    HASH_POINTS_HOT,
+    MEMORY_POINTS,
+    QUEUE_POINTS,
+    QUEUE_POINTS_HOT,
+    WARMTH_POINTS,
+)
+
+
+@pytest.mark.parametrize("weight, prior", [(QUEUE_POINTS, HASH_POINTS), (QUEUE_POINTS_HOT, HASH_POINTS_HOT)])
+def test_weights_keep_warm_with_a_free_lane_ahead_for_three_quarters_of_the_keep_alive(weight, prior):
+    warmth = 1 - 0.75**FADE_POWER
+    assert (
+        WARMTH_POINTS * warmth + prior * (1 - warmth) > weight * 3 / USUAL_CONCURRENCY + MEMORY_POINTS + prior
+    )
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -24,7 +24,7 @@
     assert not found["broken"] and found["served"] > (0.2 if kind == "all" else 0.8)
 
 
-def test_with_few_warm_answers_of_cold_workers_earn_so_that_none_starve():
+def test_with_few_warm_answers_of_cold_hosts_earn_so_that_none_starve():
     made = gateway(row("a"), *[row(f"c{number}", started=0) for number in range(9)])
     cold = [worker for worker in made.active_hosts if worker.id != "a"]
     made.slow_start.answered(1, cold[0])
@@ -34,7 +34,7 @@
     assert half.hosts_by_id["b"].credit == 0
 
 
-def test_a_cold_worker_counts_for_no_more_than_it_surely_bears():
+def test_a_cold_host_counts_for_no_more_than_it_surely_bears():
     """How it gains is not told: it may have nothing but its first share until the last moment."""
     made = gateway(row("a"), row("cold", started=0))
     late = made.hosts_by_id["cold"].warm_at - 1
@@ -58,7 +58,7 @@
     return play(day(seed)._replace(**HARD[case]), seed)
 
 
-def test_a_small_cold_worker_earns_its_share_of_what_a_worker_of_its_size_does():
+def test_a_small_cold_host_earns_its_share_of_what_a_host_of_its_size_does():
     made = gateway(
         row("a", capacity=4.0),
         row("b", capacity=3.0),
@@ -77,7 +77,7 @@
     assert not found["fallen"] and not found["broken"] and found["served"] > 0.6
 
 
-def test_an_answer_of_a_cold_worker_earns_that_one_alone():
+def test_an_answer_of_a_cold_host_earns_that_one_alone():
     made = gateway(*[row(f"c{number}", started=0) for number in range(4)])
     quick, slow = made.hosts_by_id["c0"], made.hosts_by_id["c1"]
     for now in range(10):
@@ -90,7 +90,7 @@
     assert not found["fallen"] and not found["broken"] and found["served"] > 0.5
 
 
-def test_a_storm_of_tasks_earns_cold_workers_no_more_than_calls_a_second():
+def test_a_storm_of_requests_earns_cold_hosts_no_more_than_calls_a_second():
     made = gateway(*[row(f"c{number}", started=0) for number in range(4)], gateways=2)
     worker, earned = made.hosts_by_id["c0"], 0.0
     for now in range(0, SECOND, SECOND // 1000):
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("took, earns", [(1.3, True), (1.5, False)])
-def test_an_overdue_answer_of_a_warm_worker_earns_no_credit(took, earns):
+def test_an_overdue_answer_of_a_warm_host_earns_no_credit(took, earns):
     """A load is waited for: four usual answer times and two usual loads are in time."""
     made = gateway(row("warm"), row("cold", started=0))
     made.functions.find_or_add("f", 4).answer_times.append(SECOND // 10)
@@ -115,7 +115,7 @@
     assert drive.sent == ["warm"] and (made.hosts_by_id["cold"].credit > 0) is earns
 
 
-def test_a_cold_worker_that_has_left_with_all_others_may_still_answer():
+def test_a_cold_host_that_has_left_with_all_others_may_still_answer():
     made = gateway(row("cold", started=0))
     made.hosts_by_id["cold"].credit = 1.0
     drive = Drive(made, task())
@@ -127,3 +127,42 @@
 def test_a_cold_host_does_not_fall_where_all_answers_come_at_once_after_a_stall():
     found = hard("answers stall, in a fleet of 30", 1)
     assert not found["fallen"] and not found["broken"] and found["served"] > 0.8
+
+
+def test_cold_hosts_get_their_share_of_the_mean_per_warm_peer():
+    made = gateway(row("a"), row("b"), row("cold", started=0))
+    sent = []
+    for number in range(200):
+        made.functions.find_or_add("f", 4).last_used = {
+            "cold": 10 * number
+        }  # every task wants the copy there
+        drive = Drive(made, task(str(number)), 10 * number)
+        sent += drive.sent
+        drive.hears(10 * number + 5, Result.OK)
+    assert 0 < sent.count("cold") <= 1.5 * 0.21 * 200 / 2  # by chance, so about its share
+
+
+def test_unspent_credit_fades_so_that_many_gateways_save_up_no_burst():
+    made = gateway(row("a"), row("cold", started=0))
+    cold = made.hosts_by_id["cold"]
+    for now in range(0, 5 * SECOND, SECOND // 10):
+        made.slow_start.answered(now, made.hosts_by_id["a"])
+    last = made.slow_start.available_share(cold, now)
+    assert last <= cold.credit <= 10 * last  # no more than the last second's answers earned
+    made.slow_start.answered(8 * SECOND, made.hosts_by_id["a"])
+    fresh = gateway(row("a"), row("cold", started=0))
+    fresh.slow_start.answered(8 * SECOND, fresh.hosts_by_id["a"])
+    assert cold.credit == fresh.hosts_by_id["cold"].credit > 0
+
+
+def test_refusals_earn_a_cold_host_nothing_and_give_the_full_host_rest():
+    made = gateway(row("a"), row("cold", started=0))
+    drive = Drive(made, task())
+    drive.hears(1, Result.FULL)
+    assert drive.sent == ["a"] and made.hosts_by_id["cold"].credit == 0
+
+
+def test_a_fresh_gateway_does_not_burst_on_cold_hosts():
+    made = gateway(row("a"), row("cold", started=0))
+    sent = [worker for number in range(8) for worker in Drive(made, task(str(number), str(number)), 1).sent]
+    assert sent.count("cold") <= 2
--- /dev/null
+++ b/tests/support/routing_scenes.py
@@ -0,0 +1,58 @@
+"""Scenes for the tests of routing: hosts with a queue, attempts in flight, ranks set by hand."""
+
+from helpers import (
+    MILLI,
+    task,
+)
+
+from gaproute import interface as face
+from gaproute.decisions.routing.attempt_tracker import InFlightAttempt
+from gaproute.decisions.routing.request_attempts import RequestAttempts, SentAttempt
+from gaproute.interface import Result
+
+MAY_HAVE_RUN = [Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED]
+NEVER_RAN = [Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.NOT_LOADED]
+
+
+def attempts_with(made, result, sent=0, still_out=False):
+    attempts = RequestAttempts()
+    attempts.in_flight[0] = SentAttempt(made.hosts_by_id["a"], sent)
+    attempts.first_run = attempts.in_flight[0]
+    attempts.started = 1
+    if not still_out:
+        attempts.settle(0, result)
+    return attempts
+
+
+def hands(made, worker, sent, relay=0, track=0):
+    """A relay out at the worker, in the gateway's books."""
+    made.hosts_by_id[worker].in_flight[f"t{sent}", relay] = sent
+    made.tracker.in_flight[f"t{sent}", relay] = InFlightAttempt(worker, "f", track, sent, True)
+
+
+def answered(made, worker, now, sent, result=Result.OK, track=0):
+    hands(made, worker, sent, track=track)
+    took, warm = now - sent, face.Found.WARM
+    made.heard(now, face.Outcome(f"t{sent}", 0, worker, result, took, True, warm, None, None))
+
+
+def ranked(made, *order, function="f"):
+    """The hash's order set by hand."""
+    known = made.functions.find_or_add(function, 1)
+    known.ranked_hosts = [made.hosts_by_id[name] for name in order]
+    known.ranks = {name: rank for rank, name in enumerate(order)}
+    known.ranked_version = made.hosts.version
+    return known
+
+
+def single(name="t"):
+    return task(name)._replace(lanes=1)
+
+
+def crowd(made, name, count, now=0):
+    made.loads.record(made.hosts_by_id[name], now, face.Report(in_hand=count))
+
+
+def heard(made, name, now, sent, result=Result.OK, took=100 * MILLI, of="t", found=face.Found.WARM):
+    made.tracker.in_flight[of, sent] = InFlightAttempt(name, "f", 0, sent, True)
+    made.heard(now, face.Outcome(of, sent, name, result, took, True, found, None, None))
