--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -10,7 +10,7 @@
 
 
 def status(gate):
-    counts, others, lot, hosts = gate.record.snapshot(), gate.others, gate.lot, gate.hosts
+    counts, others, connections, hosts = gate.record.snapshot(), gate.others, gate.connections, gate.hosts
     server, writer, client = others.peer_server, others.observation_writer, others.observation_client
     transport = others.membership_transport
     return {
@@ -22,14 +22,14 @@
         "late_turns": gate.loop.late_turns,
         "counts": counts,
         "clients": {
-            "connections": lot.held,
-            "most": lot.admission.most,
-            "parked": lot.parked,
-            "displaced": lot.displaced,
-            "turned_away": lot.turned_away,
-            "idle_ended": lot.expired,
+            "connections": connections.client_count,
+            "most": connections.admission.max_connections,
+            "parked": connections.parked_count,
+            "displaced": connections.evicted,
+            "turned_away": connections.rejected,
+            "idle_ended": connections.expired,
             "descriptors": descriptors(),
-            "kept_back": lot.admission.reserve,
+            "kept_back": connections.admission.reserved_descriptors,
         },
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
         "gateways": transport.membership.live_count() if transport else None,
@@ -44,7 +44,7 @@
             "wrong": sum(each.hints.wrong for each in decisions(gate)),
         },
         "telling": server
-        and {"facts": server.transfers.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
+        and {"facts": server.transfers.encoded, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
         "memory": writer
         and {
             "written": writer.store.written,
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -156,7 +156,7 @@
     return bytes.fromhex(line.payload)
 
 
-def encode_milliseconds(duration: float) -> str:
+def encode_milliseconds(duration: int) -> str:
     """A duration in ns as the wire's milliseconds, rounded up to its microseconds."""
     return f"{-(-duration // MICRO) / MICROS_PER_MILLI:.3f}"
 
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -26,7 +26,7 @@
         if self.wait_numbers.get(key) == number:
             self.wait_elapsed(key, now)
 
-    def wait(self, key: str, until: float, now: int) -> None:
+    def wait(self, key: str, until: int, now: int) -> None:
         """Sets a timer."""
         self.timer_count += 1
         self.wait_numbers[key] = str(self.timer_count)
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -23,7 +23,7 @@
     # Carried out by the derived class
 
     @abstractmethod
-    def wait(self, key: str, until: float, now: int) -> None:
+    def wait(self, key: str, until: int, now: int) -> None:
         """Calls `wait_elapsed` at `until`, in place of any earlier wait of the key."""
 
     @abstractmethod
@@ -91,7 +91,7 @@
         self.resume(outcome.request, now, outcome)
 
     def abandon(self, now: int, key: str) -> None:
-        """The client has left: the request's generator is told, and no final answer is owed."""
+        """The client has left: the request's generator is notified, and no final answer is owed."""
         if key in self.generators:
             self.resume(key, now, _departed(key))
             self.forget(key)
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -128,7 +128,7 @@
         self.arrived_at = self.now = now
         self.end = now + request.time_left - ANSWER_BY
         self.give_up_at = now + self.request_class.latency_objective  # looking for a first host
-        self.look_at: float = now  # when to look for a host again
+        self.look_at: Any = now  # when to look for a host again; ns, a fraction where it comes of a median
         self.reason: str | None = None  # to reject the request
         self.settled_host: Host | None = None  # of the attempt that ended last, where it was in flight
 
--- a/gaproute/discovery/changelog/members.py
+++ b/gaproute/discovery/changelog/members.py
@@ -13,7 +13,7 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.interface import ListedHost, State
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 if TYPE_CHECKING:
     from gaproute.discovery.changelog.events import FleetUpdate
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -1,8 +1,8 @@
 """One connection to a host that carries lines, and the requests on it. It reports what it sees.
 
-`decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` tells what an
-end proves. A request begins with its first byte in the kernel: until then it waits here, never in a buffer,
-and is judged when it is written, not when it was submitted.
+`decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` says what an
+end proves. A request begins with its first byte in the kernel: until then it waits here, never in a buffer.
+Whether it may still begin is checked when it is written, not when it was submitted.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from gaproute.interface import Idempotency, Result
 from gaproute.loop import Stream, connect
 
-# Within which the kernel must have taken a whole request that has begun, ns: by no more is the limit told in
-# the request wrong when its host can read it.
+# Within which the kernel must have taken a whole request that has begun, ns: by no more is the limit in the
+# request wrong when its host can read it.
 WRITE_TIMEOUT = 100_000_000
 
 
@@ -63,12 +63,12 @@
         )
 
     def _connected(self, sock: socket.socket | None, error: OSError | None) -> None:
-        if error is not None:
+        if sock is None:
             self.fail(error)
             return
         self.cancel_connect = None
         self.stream = Stream(self.pool.loop, sock, self.on_bytes, self.fail)
-        self.stream.on_room = self.write_pending
+        self.stream.on_writable = self.write_pending
         self.write_pending()
 
     def submit(self, request: PendingRequest) -> None:
@@ -87,15 +87,15 @@
                 self._fail_unsent(request, Result.NOT_SENT)
                 continue
             data = request.encode(now)
-            if not stream.begin(data):
-                return  # `on_room` calls this again
+            if not stream.try_begin(data):
+                return  # `on_writable` calls this again
             self.written += len(data)
             request.end_offset, request.encode = self.written, already_written
-            if stream.waiting and request.until < NO_DEADLINE:
+            if stream.bytes_unsent and request.until < NO_DEADLINE:
                 loop.after(WRITE_TIMEOUT, self._check_written, request)
 
     def _check_written(self, request: PendingRequest) -> None:
-        """A host that has had a part for so long gets no more of it: the limit in it is no longer true."""
+        """End a request that is written only in part after so long: the limit in it is no longer true."""
         if self.pending.get(request.id) is request and not self.is_written(request):
             self.fail(WriteAbandonedError("a request could not be written whole in time"))
 
@@ -107,15 +107,15 @@
     def is_written(self, request: PendingRequest) -> bool:
         """Whether the host may have all of the request."""
         stream, end_offset = self.stream, request.end_offset
-        return stream is not None and end_offset is not None and stream.handed >= end_offset
+        return stream is not None and end_offset is not None and stream.bytes_sent >= end_offset
 
     def is_silent_since(self, time: int) -> bool:
         """Whether nothing came since then, or no reply ever."""
         return not self.answered or self.last_read < time
 
     def is_quiet(self) -> bool:
-        """Whether it shows neither its end nor bytes that nobody asked for: one system call."""
-        return self.stream is not None and bool(self.stream.quiet())
+        """Whether neither its end nor unrequested bytes have come: one system call."""
+        return self.stream is not None and bool(self.stream.is_quiet())
 
     def on_bytes(self, data: bytes) -> None:
         """Take what the host sent."""
@@ -146,7 +146,7 @@
             self.retired_ids.discard(request.id)
 
     def _may_be_kept(self) -> bool:
-        return self.reusable and self.pool.pooling.keeps(
+        return self.reusable and self.pool.pooling.allows_reuse(
             self.last_read, self.host.name, Idempotency.IDEMPOTENT
         )
 
@@ -160,7 +160,7 @@
             ended.append((request, result))
             if by_host and self.answered and self.last_read < request.created_at:
                 idle_time = request.created_at - self.last_used
-                self.pool.pooling.ended(now, self.host.name, idle_time, now - request.created_at)
+                self.pool.pooling.record_stale_end(now, self.host.name, idle_time, now - request.created_at)
         self.pending = {}
         self.drop()
         for request, result in ended:
@@ -177,9 +177,9 @@
     def cancel(self, request: PendingRequest) -> None:
         """End a request whose reply nobody waits for; its callback is not called.
 
-        One that has not begun never does. One of which the host has a part never comes whole: its connection
-        ends. Of one that it has the host is told where the settings allow it, and its connection ends where
-        that was silent.
+        One that has not begun never does. One that is written in part is never completed: its connection
+        ends. For one that is written the host gets a cancel where the settings allow it, and the connection
+        ends where it was silent.
         """
         request.on_ended = None
         if self.pending.get(request.id) is not request:
@@ -196,9 +196,9 @@
     def _cancel_at_host(self, request: PendingRequest, stream: Stream) -> None:
         self.retired_ids.add(request.id)
         now = self.pool.loop.now()
-        if self.pool.pooling.silent(now, max(request.created_at, self.last_read)):
+        if self.pool.pooling.is_silent(now, max(request.created_at, self.last_read)):
             self.reusable = False
-        if not self.pending and (not self.reusable or stream.waiting):
+        if not self.pending and (not self.reusable or stream.bytes_unsent):
             self.drop()
         elif self.pool.cancel_allowed:
             self.last_used = now
--- a/gaproute/interface/actions.py
+++ b/gaproute/interface/actions.py
@@ -13,7 +13,7 @@
 class Wait(NamedTuple):
     """Resume the generator at the next outcome, or at this time."""
 
-    until: float  # ns; whole but where it comes of a median
+    until: int  # ns; a fraction where it comes of a median
 
 
 class Cancel(NamedTuple):
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from gaproute.http1 import Exchange
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers.tables import wire
 from gaproute.shared.dissemination import Disseminator
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -14,7 +14,7 @@
 from gaproute.interface import Idempotency
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from tests.core.test_core import attempt_and_wait, core, run, submit
 from tests.fronts.test_departed_ends import end
 
@@ -75,7 +75,7 @@
     made.in_flight[key].attempts[0].handle.cancellable = cancellable
     made.client_left(key)
     run(made)
-    assert made.hosts.taken_back == ["w"] * cancellable and bool(made.in_flight) is not cancellable
+    assert made.hosts.cancelled == ["w"] * cancellable and bool(made.in_flight) is not cancellable
 
 
 @pytest.mark.parametrize("way", ["fin", "reset", "half"])
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -10,7 +10,7 @@
 from gaproute.fronts.jsonrpc import link as client_links
 from gaproute.hosts.jsonlines.connection import WRITE_TIMEOUT
 from gaproute.loop import unread
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from tests.fronts.test_departed_attempts import Clogged, known, written_in_part
 from tests.fronts.test_departed_ends import requests
 
@@ -65,7 +65,7 @@
     (link,) = made.process.front.links
     clog = link.stream.sock = Clogged(link.stream.sock, 0)
     client.ask(2)
-    made.until(lambda: link.stream.waiting)
+    made.until(lambda: link.stream.bytes_unsent)
     client.ask(3)  # the last one that is read
     made.until(lambda: made.came() == 3)
     client.ask(4, d=D)
@@ -99,7 +99,8 @@
     made.hosts[0].say(*held[0], "overload")
     made.until(lambda: client.answers)
     first, second = sorted(limits(made))
-    assert D - SLACK <= second <= D and first <= D - 900 + SLACK
+    assert D - SLACK <= second <= D
+    assert first <= D - 900 + SLACK
 
 
 def test_what_waits_for_room_in_a_full_socket_carries_what_is_left_when_it_is_written(gate):
@@ -123,7 +124,8 @@
     made.clog.let()
     made.turns()
     assert all(limit <= D - span + SLACK for limit in limits(made))
-    assert made.came() == (span == 90 or track == "fault-check") and len(client.answers) == 1
+    assert made.came() == (span == 90 or track == "fault-check")
+    assert len(client.answers) == 1
     assert made.link.stream.open is (span == 90)
 
 
@@ -138,7 +140,8 @@
     made.passes(WRITE_TIMEOUT + 50 * MILLI)
     clog.let()
     made.until(lambda: told)
-    assert link.stream.open and told[0][0].value == "ok", json.dumps(str(told))
+    assert link.stream.open
+    assert told[0][0].value == "ok", json.dumps(str(told))
 
 
 def test_a_kernel_clock_that_runs_otherwise_than_the_loops_makes_no_request_old(gate, monkeypatch):
@@ -157,7 +160,7 @@
     kernels = unread.age_of_last_bytes
     monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: max(age, kernels(sock)))
     made = gate()
-    made.process.front.listener.rest(600 * MILLI)
+    made.process.front.listener.pause(600 * MILLI)
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D))
     made.until(made.came)
