--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -23,8 +23,8 @@
 class GossipTransport:
     """Feeds a `GossipNode` and carries its messages.
 
-    `gateway`: the decisions' state, whose `workers` hold requests in flight and whose `known` tells warm
-    instances. `rate`: bytes a second that may be sent.
+    `gateway`: the decisions' state, whose `hosts_by_id` hold the attempts in flight and whose `known`
+    tells warm instances. `rate`: bytes a second that may be sent.
     """
 
     def __init__(
@@ -80,9 +80,9 @@
         self.node.set_peers(now, [*membership.table.alive.names, *membership.table.suspects])
 
     def _observe_in_flight(self) -> None:
-        hosts = self.gateway.workers
+        hosts = self.gateway.hosts_by_id
         for name, host in hosts.items():
-            requests = len(host.out)
+            requests = len(host.in_flight)
             if requests != self._in_flight.get(name, 0):
                 self._in_flight[name] = requests
                 self.node.record_in_flight(name, requests)
--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -234,10 +234,10 @@
     assert made.hint("a", "f", 4, 5 * SECOND)
     assert not made.hint("a", "f", 4, 4 * SECOND)
     assert made.hint("a", "f", 4, 6 * SECOND)
-    assert made.functions["f"].told == {"a": 6 * SECOND}
+    assert made.functions_by_name["f"].hinted_at == {"a": 6 * SECOND}
     assert not made.hint("b", "f", 4, 5 * SECOND)
     assert not made.hint("nobody", "f", 4, 5 * SECOND)
-    made.workers["a"].wiped = 6 * SECOND
+    made.hosts_by_id["a"].instances_lost_at = 6 * SECOND
     assert not made.hint("a", "g", 4, 5 * SECOND)
 
 
@@ -246,7 +246,7 @@
     driven = Drive(made, task(), 0)
     driven.hears(SECOND, Result.OK)
     assert not made.hint("a", "f", 4, 5 * SECOND)
-    assert made.functions["f"].seen == {"a": SECOND}
+    assert made.functions_by_name["f"].last_used == {"a": SECOND}
 
 
 def test_a_hinted_host_is_chosen_before_hosts_of_which_nothing_is_known():
@@ -269,8 +269,8 @@
 
 
 def ranked(made, name):
-    made.ranks(name, made.function(name, 4))
-    return made.functions[name].order
+    made.ranking.ranks(name, made.functions.find_or_add(name, 4))
+    return made.functions_by_name[name].ranked_hosts
 
 
 def test_two_hints_are_on_trial_at_a_time():
@@ -285,9 +285,9 @@
     assert trial(made, 1, None)
     assert not trial(made, 2, None)
     made.heard(7 * SECOND, outcome("t0", ranked(made, "f0")[1].id))
-    assert made.functions["f2"].told
-    made.consider(8 * SECOND, "f2", made.functions["f2"])
-    assert ranked(made, "f2")[1].id in made.functions["f2"].seen
+    assert made.functions_by_name["f2"].hinted_at
+    made.hints.consider(8 * SECOND, "f2", made.functions_by_name["f2"])
+    assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used
 
 
 def test_two_wrong_hints_end_it_however_many_were_right():
@@ -303,13 +303,13 @@
     assert trial(made, 0, None)
     assert trial(made, 1, None)
     assert not trial(made, 2, None)
-    made.consider(20 * SECOND, "f2", made.functions["f2"])
-    assert ranked(made, "f2")[1].id in made.functions["f2"].seen
-    assert (made.right, made.wrong) == (0, 0)
+    made.hints.consider(20 * SECOND, "f2", made.functions_by_name["f2"])
+    assert ranked(made, "f2")[1].id in made.functions_by_name["f2"].last_used
+    assert (made.hints.right, made.hints.wrong) == (0, 0)
     made = gateway()
     assert trial(made, 0, Found.UNKNOWN)
-    assert not made.trials
-    assert (made.right, made.wrong) == (0, 0)
+    assert not made.hints.trials
+    assert (made.hints.right, made.hints.wrong) == (0, 0)
 
 
 def test_the_first_choice_of_the_hash_is_tried_where_it_was_told():
@@ -317,9 +317,9 @@
     first, second = (worker.id for worker in ranked(made, "f")[:2])
     made.hint(second, "f", 4, 5 * SECOND)
     made.hint(first, "f", 4, 4 * SECOND)
-    made.consider(6 * SECOND, "f", made.functions["f"])
-    assert made.functions["f"].seen == {first: 4 * SECOND}
-    assert set(made.trials) == {("f", first)}
+    made.hints.consider(6 * SECOND, "f", made.functions_by_name["f"])
+    assert made.functions_by_name["f"].last_used == {first: 4 * SECOND}
+    assert set(made.hints.trials) == {("f", first)}
 
 
 def test_hints_of_hosts_that_left_the_list_meanwhile_are_not_followed():
@@ -327,16 +327,16 @@
     made.hint("a", "f", 4, 5 * SECOND)
     made.listed(6 * SECOND, [row("b"), row("c")], True)
     assert made.serve(6 * SECOND, task()).send(None).host != "a"
-    assert "a" not in made.functions["f"].seen
+    assert "a" not in made.functions_by_name["f"].last_used
 
 
 def test_a_suspicion_told_weighs_less_than_one_good_answer():
     made = gateway(row("a"), row("b"))
     assert made.hint_doubt("a", 0, 1.0, 5 * SECOND)
     assert not made.hint_doubt("nobody", 0, 1.0, 5 * SECOND)
-    assert 0 < made.doubt(made.workers["a"], 0, 6 * SECOND) < 0.3
-    made.book(made.workers["a"], 6 * SECOND, 0, 0.0)
-    assert made.doubt(made.workers["a"], 0, 7 * SECOND) == 0
+    assert 0 < made.outliers.doubt(made.hosts_by_id["a"], 0, 6 * SECOND) < 0.3
+    made.outliers.record(made.hosts_by_id["a"], 6 * SECOND, 0, 0.0)
+    assert made.outliers.doubt(made.hosts_by_id["a"], 0, 7 * SECOND) == 0
     assert not made.hint_doubt("a", 0, 1.0, 7 * SECOND)
 
 
@@ -349,7 +349,7 @@
     assert made.hint_usual(None, SECOND)
     assert not made.hint_usual(None, 2 * SECOND)
     assert made.hint_pace("a", 3.0, SECOND)
-    assert made.workers["a"].slow == 3.0
+    assert made.hosts_by_id["a"].slowdown == 3.0
 
 
 @pytest.mark.parametrize(("wrong", "taken"), [(0, 64), (1, 0)])
@@ -357,25 +357,25 @@
     made = gateway()
     made.hint_mix(["f"] * 64 + [""] * 64)
     assert all(trial(made, number) for number in range(7))
-    assert made.mix.count("f") == 0
-    made.wrong = wrong
+    assert made.mix.recent.count("f") == 0
+    made.hints.wrong = wrong
     assert trial(made, 7)
-    assert made.mix.count("f") == taken
+    assert made.mix.recent.count("f") == taken
 
 
 def test_the_mix_told_is_not_taken_after_own_tasks_have_made_one():
     made = gateway()
-    made.mix.extend(["own"] * 128)
+    made.mix.recent.extend(["own"] * 128)
     made.hint_mix(["f"] * 128)
     assert all(trial(made, number) for number in range(9))
-    assert made.mix.count("f") == 0
+    assert made.mix.recent.count("f") == 0
 
 
 def test_only_what_was_answered_is_told_on():
     made = gateway()
     made.hint("a", "f", 4, 5 * SECOND)
     assert [fact for fact in made.known(8 * SECOND) if fact[0] == "warm"] == []
-    made.functions["f"].stands["b"] = made.functions["f"].answered = 7 * SECOND
+    made.functions_by_name["f"].proven_at["b"] = made.functions_by_name["f"].answered_at = 7 * SECOND
     assert list(made.known(8 * SECOND)) == [("warm", ("b", "f"), (4,), 7 * SECOND)]
     assert list(made.known(8 * SECOND, 7 * SECOND)) == []
 
@@ -409,7 +409,7 @@
     )
     assert follower(told, Chance(1), {"check": 0}).follow(made, 2, {"a": 0}, told.by_subject) == 2
     assert told.rejections == {"not listed": 1, "track": 1}
-    assert made.workers["a"].slow == MAX_SLOWDOWN
+    assert made.hosts_by_id["a"].slowdown == MAX_SLOWDOWN
 
 
 @pytest.mark.parametrize("share", [0.02, 0.3])
@@ -427,8 +427,8 @@
         lives = dict.fromkeys(hosts, 0)
         chance = Chance(seeds.getrandbits(64))
         follower(told, chance).follow(made, 60 * SECOND, lives, told.by_subject)
-        made.chance = Chance(seeds.getrandbits(64))
-        made.mix.extend(told.request_mix())
+        made.chance.state = Chance(seeds.getrandbits(64)).state
+        made.mix.recent.extend(told.request_mix())
         sent[made.serve(60 * SECOND, task()).send(None).host] += 1
     assert max(sent.values()) <= 28
     assert len(sent) >= (2 if share < 0.1 else 4)
@@ -443,7 +443,7 @@
         assert follower(told, Chance(seed)).follow(made, 60 * SECOND, {"cold": 5}, told.by_subject) == 1
         sent = [made.serve(60 * SECOND, task(f"t{number}")).send(None).host for number in range(20)]
         assert "cold" not in sent
-        assert made.workers["cold"].credit == 0
+        assert made.hosts_by_id["cold"].credit == 0
 
 
 # Two gateways
@@ -472,8 +472,8 @@
     assert len(made.seen("loaded")) == loads
     assert made.gate.others.peer_server.transfers.encoded >= 1
     assert second.others.observation_client.state["g"].startswith("told ")
-    assert not second.core.gateway.ration.out
-    assert not second.core.gateway.ration.ends
+    assert not second.core.gateway.load_order_limiter.open_orders
+    assert not second.core.gateway.load_order_limiter.ends
 
 
 def test_an_operator_sees_what_is_known_and_by_what(beside):
@@ -489,14 +489,14 @@
 def test_news_of_a_host_that_is_gone_from_the_list_is_void(beside):
     made, start = beside
     rows = made.list.read_text().splitlines()
-    (worker,) = made.gate.core.gateway.functions["lamp"].stands
+    (worker,) = made.gate.core.gateway.functions_by_name["lamp"].proven_at
     made.gate.watch.close()  # the giver's own list is late: it still believes in the host
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     second = start()
     made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
     assert second.others.observations.rejections["not listed"]
-    assert worker not in second.core.gateway.workers
-    assert "lamp" not in second.core.gateway.functions
+    assert worker not in second.core.gateway.hosts_by_id
+    assert "lamp" not in second.core.gateway.functions_by_name
 
 
 @pytest.mark.parametrize("act", ["stalls", "nonsense", "future"])
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -394,7 +394,8 @@
     made.at = front(second)
     assert made.wait(made.ask("lamp", "w2")).status == 200
     assert len(made.seen("loaded")) == loads
-    assert second.core.gateway.loads or second.core.gateway.functions["lamp"].times
+    known = second.core.gateway
+    assert known.answer_times.loads or known.functions_by_name["lamp"].answer_times
 
 
 def test_a_gateway_without_a_place_for_its_store_serves_all_the_same(fleet):
