--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -128,7 +128,7 @@
         if followed:
             known.feed(0, data)
         else:
-            known.lists.watches["c0"].look()
+            known.lists.watches["c0"].check()
         spent += time.process_time() - begun
         assert known.state() == state
     known.close()
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -69,13 +69,13 @@
 
 def test_members_become_rows_in_the_modules_terms():
     loop = Loop(lambda: 50 * SECOND)
-    lister = MemberConverter(loop, ["hall-b", "hall-a"], lambda: 1_000 * SECOND)
+    converter = MemberConverter(loop, ["hall-b", "hall-a"], lambda: 1_000 * SECOND)
     told = event(1, ("s-1", "127.0.0.1:5", "Ready"), ("s-2", "nowhere", "Ready"), ("s-3", "127.0.0.1:6", "X"))
     told["fleet"]["members"][0]["up_since_ms"] = 990_000
-    (row,) = lister.endpoints(events.decode_initial({"results": [told]})[1][0].fleet)
+    (row,) = converter.endpoints(events.decode_initial({"results": [told]})[1][0].fleet)
     assert (row.listed.host, row.listed.zone, row.listed.cell, row.address) == ("s-1", 1, 2, "127.0.0.1:5")
     assert (row.listed.state, row.listed.capacity, row.listed.started) == (State.ACTIVE, 4.0, 40 * SECOND)
-    assert lister.rejected == 2
+    assert converter.rejected == 2
     loop.close()
 
 
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -336,19 +336,19 @@
     assert len(dials) == 4
 
 
-def listed(lister, *members, complete=False, **told):
-    """What the lister makes of members, by id; `told` is in each of them."""
+def listed(converter, *members, complete=False, **told):
+    """What the converter makes of members, by id; `told` is in each of them."""
     change = event(1, *members, complete=complete)
     for member in change["fleet"]["members"]:
         member.update(told)
     return {
         row.listed.host: row
-        for row in lister.endpoints(events.decode_initial({"results": [change]})[1][0].fleet)
+        for row in converter.endpoints(events.decode_initial({"results": [change]})[1][0].fleet)
     }
 
 
 @pytest.fixture
-def lister():
+def converter():
     loop = Loop(lambda: 50 * SECOND)
     yield MemberConverter(loop, ["hall-a"], lambda: 1_000_000 * SECOND)
     loop.close()
@@ -369,27 +369,27 @@
     ],
     ids=str,
 )
-def test_a_start_that_makes_no_sense_does_no_harm(lister, since, started):
-    row = listed(lister, ("s-1", "127.0.0.1:5", "Ready"), up_since_ms=since)["s-1"]
+def test_a_start_that_makes_no_sense_does_no_harm(converter, since, started):
+    row = listed(converter, ("s-1", "127.0.0.1:5", "Ready"), up_since_ms=since)["s-1"]
     assert row.listed.started == started
 
 
-def test_what_is_kept_of_a_host_goes_with_it(lister):
+def test_what_is_kept_of_a_host_goes_with_it(converter):
     hosts = [(f"s-{place}", f"127.0.0.1:{place}", "Ready") for place in range(1, 4)]
-    first = listed(lister, *hosts, up_since_ms=999_999_000)
-    lister.start_times.wall = lambda: 2_000_000 * SECOND  # a step: no time has passed
-    assert listed(lister, *hosts, up_since_ms=999_999_000) == first
-    assert listed(lister, hosts[0], up_since_ms=1_999_999_000)["s-1"].listed.started == 50 * SECOND
-    listed(lister, ("s-1", "127.0.0.1:1", "Gone"))
-    listed(lister, hosts[1], complete=True)
-    assert list(lister.hosts) == ["s-2"]
+    first = listed(converter, *hosts, up_since_ms=999_999_000)
+    converter.start_times.wall = lambda: 2_000_000 * SECOND  # a step: no time has passed
+    assert listed(converter, *hosts, up_since_ms=999_999_000) == first
+    assert listed(converter, hosts[0], up_since_ms=1_999_999_000)["s-1"].listed.started == 50 * SECOND
+    listed(converter, ("s-1", "127.0.0.1:1", "Gone"))
+    listed(converter, hosts[1], complete=True)
+    assert list(converter.hosts) == ["s-2"]
 
 
-def test_a_member_that_cannot_be_read_leaves_its_host_as_it_was(lister):
-    first = listed(lister, ("s-1", "127.0.0.1:1", "Ready"), complete=True)
+def test_a_member_that_cannot_be_read_leaves_its_host_as_it_was(converter):
+    first = listed(converter, ("s-1", "127.0.0.1:1", "Ready"), complete=True)
     for wrong in (("s-1", 5, "Ready"), ("s-1", "nowhere", "Ready"), ("s-1", "127.0.0.1:1", "Odd")):
-        assert listed(lister, wrong, ("s-7", "127.0.0.1:7", None), complete=True) == {"s-1": first["s-1"]}
-    assert lister.rejected == 6
+        assert listed(converter, wrong, ("s-7", "127.0.0.1:7", None), complete=True) == {"s-1": first["s-1"]}
+    assert converter.rejected == 6
 
 
 def test_a_gateway_is_up_while_its_log_says_nothing_and_takes_one_that_begins_anew(gate):
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -76,33 +76,35 @@
     return made | {"up_since_ms": started // MILLI}
 
 
-def told(lister, absent_at, *members):
+def told(converter, absent_at, *members):
     """{host: start by the loop's clock} of an event that tells of these members."""
     _, (change,) = events.decode_initial({"results": [{"seq": 1, "fleet": {"members": list(members)}}]})
-    return {row.listed.host: row.listed.started for row in lister.endpoints(change.fleet, absent_at)}
+    return {row.listed.host: row.listed.started for row in converter.endpoints(change.fleet, absent_at)}
 
 
 @pytest.fixture
-def lister(loop, wall):
+def converter(loop, wall):
     return MemberConverter(loop, ["hall-a"], wall)
 
 
-def test_a_first_list_is_believed_so_that_a_warm_fleet_stays_warm(lister, wall, clock):
+def test_a_first_list_is_believed_so_that_a_warm_fleet_stays_warm(converter, wall, clock):
     starts = [wall.true() - HOUR, wall.true() - SECOND]
-    assert list(told(lister, None, *map(member, "ab", starts)).values()) == [
+    assert list(told(converter, None, *map(member, "ab", starts)).values()) == [
         clock.now - HOUR,
         clock.now - SECOND,
     ]
 
 
 @pytest.mark.parametrize("ahead", [0, HOUR, 5 * SECOND, -5 * SECOND, -HOUR])
-def test_a_host_that_appears_is_no_older_than_since_the_list_was_known_without_it(lister, wall, clock, ahead):
-    told(lister, None, member("a", wall.true() - HOUR))
+def test_a_host_that_appears_is_no_older_than_since_the_list_was_known_without_it(
+    converter, wall, clock, ahead
+):
+    told(converter, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
     started = wall.true() - SECOND // 5
     wall.ahead = ahead
-    made = told(lister, absent_at, member("b", started))["b"]
+    made = told(converter, absent_at, member("b", started))["b"]
     assert absent_at <= made <= clock.now
     if ahead == 0:
         assert made == clock.now - SECOND // 5
@@ -110,58 +112,58 @@
 
 def test_a_clock_that_was_an_hour_ahead_from_the_start_makes_no_host_old_that_appears(loop, wall, clock):
     wall.ahead = HOUR
-    lister = MemberConverter(loop, ["hall-a"], wall)
-    told(lister, None, member("a", wall.true() - HOUR))
+    converter = MemberConverter(loop, ["hall-a"], wall)
+    told(converter, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
-    assert told(lister, absent_at, member("b", wall.true()))["b"] == absent_at
+    assert told(converter, absent_at, member("b", wall.true()))["b"] == absent_at
 
 
 @pytest.mark.parametrize("age", [49 * HOUR, 23 * HOUR])
-def test_a_host_that_appears_is_no_older_however_far_back_its_start_is_told(lister, wall, clock, age):
-    told(lister, None, member("a", wall.true() - HOUR))
+def test_a_host_that_appears_is_no_older_however_far_back_its_start_is_told(converter, wall, clock, age):
+    told(converter, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
-    assert told(lister, absent_at, member("b", wall.true() - age))["b"] == absent_at
+    assert told(converter, absent_at, member("b", wall.true() - age))["b"] == absent_at
 
 
-def test_a_host_whose_start_is_told_only_later_is_as_old_as_told(lister, wall, clock):
-    assert told(lister, None, member("a", 0))["a"] is None
+def test_a_host_whose_start_is_told_only_later_is_as_old_as_told(converter, wall, clock):
+    assert told(converter, None, member("a", 0))["a"] is None
     age = 23 * HOUR
     clock.now += SECOND
-    assert told(lister, clock.now, member("a", wall.true() - age))["a"] == clock.now - age
+    assert told(converter, clock.now, member("a", wall.true() - age))["a"] == clock.now - age
 
 
 def test_a_known_host_that_started_anew_is_no_older_than_since_its_earlier_start_was_in_the_list(
-    lister, wall, clock
+    converter, wall, clock
 ):
-    told(lister, None, member("a", wall.true() - HOUR))
+    told(converter, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
     wall.ahead = HOUR
-    assert told(lister, absent_at, member("a", wall.true()))["a"] == clock.now
-    lister.start_times.offset = BEGUN + HOUR  # ahead from the start: only the list bounds it
+    assert told(converter, absent_at, member("a", wall.true()))["a"] == clock.now
+    converter.start_times.offset = BEGUN + HOUR  # ahead from the start: only the list bounds it
     clock.now += SECOND
-    assert told(lister, clock.now - SECOND, member("a", wall.true()))["a"] == clock.now - SECOND
+    assert told(converter, clock.now - SECOND, member("a", wall.true()))["a"] == clock.now - SECOND
 
 
 @pytest.mark.parametrize("ahead", [HOUR, -HOUR])
-def test_an_event_on_a_known_host_does_not_convert_its_start_anew_after_a_step(lister, wall, clock, ahead):
+def test_an_event_on_a_known_host_does_not_convert_its_start_anew_after_a_step(converter, wall, clock, ahead):
     started = wall.true() - SECOND
-    first = told(lister, None, member("a", started))
+    first = told(converter, None, member("a", started))
     clock.now += SECOND
     wall.ahead = ahead
-    assert told(lister, clock.now, member("a", started) | {"phase": "Terminating"}) == first
-    assert told(lister, clock.now, member("a", started)) == first
+    assert told(converter, clock.now, member("a", started) | {"phase": "Terminating"}) == first
+    assert told(converter, clock.now, member("a", started)) == first
 
 
-def test_a_step_ahead_while_no_list_was_had_for_long_is_not_believed(lister, wall, clock):
+def test_a_step_ahead_while_no_list_was_had_for_long_is_not_believed(converter, wall, clock):
     """The bound by the last list is an hour old then; the offset seen before the step still holds."""
     absent_at = clock.now
     clock.now += HOUR
     wall.ahead = HOUR
     started = wall.true() - SECOND
-    assert told(lister, absent_at, member("b", started))["b"] == clock.now - SECOND
+    assert told(converter, absent_at, member("b", started))["b"] == clock.now - SECOND
 
 
 # When the log was last known to be as told
@@ -258,25 +260,25 @@
 
 @pytest.mark.parametrize("ahead", [0, HOUR, -HOUR])
 def test_a_line_that_appears_is_no_older_than_since_the_file_was_seen_without_it(loop, wall, clock, ahead):
-    listing = HostLineConverter(loop, wall)
+    converter = HostLineConverter(loop, wall)
     old = wall.true() - HOUR
-    (first,) = listing.endpoints(lines(a=old))
+    (first,) = converter.endpoints(lines(a=old))
     assert first.listed.started == clock.now - HOUR
     absent_at = clock.now
     clock.now += SECOND
     wall.ahead = ahead
-    known, fresh = listing.endpoints(lines(a=old, b=wall.true() - SECOND // 5), absent_at)
+    known, fresh = converter.endpoints(lines(a=old, b=wall.true() - SECOND // 5), absent_at)
     assert known.listed.started == first.listed.started
     assert absent_at <= fresh.listed.started <= clock.now
-    anew, _ = listing.endpoints(lines(a=wall.true(), b=wall.true() - SECOND // 5), clock.now)
+    anew, _ = converter.endpoints(lines(a=wall.true(), b=wall.true() - SECOND // 5), clock.now)
     assert anew.listed.started == clock.now
 
 
 def test_a_line_whose_start_is_told_only_later_is_as_old_as_told(loop, wall, clock):
-    listing = HostLineConverter(loop, wall)
-    (untold,) = listing.endpoints(read_hosts("l", "host a 127.0.0.1:1\n"))
+    converter = HostLineConverter(loop, wall)
+    (untold,) = converter.endpoints(read_hosts("l", "host a 127.0.0.1:1\n"))
     clock.now += SECOND
-    (known,) = listing.endpoints(lines(a=wall.true() - HOUR), clock.now)
+    (known,) = converter.endpoints(lines(a=wall.true() - HOUR), clock.now)
     assert untold.listed.started is None
     assert known.listed.started == clock.now - HOUR
 
@@ -320,9 +322,9 @@
 
 def test_the_gateway_hands_on_when_its_file_was_last_seen(rig):
     made = rig(hosts=2)
-    listing = made.gate.listing
-    listing.start_times.wall = lambda: BEGUN + HOUR + made.loop.now()
-    listing.start_times.offset = BEGUN + HOUR  # ahead from the start: no step to be seen
+    converter = made.gate.listing
+    converter.start_times.wall = lambda: BEGUN + HOUR + made.loop.now()
+    converter.start_times.offset = BEGUN + HOUR  # ahead from the start: no step to be seen
     both = made.list.read_text().splitlines()
     made.relist(both[0])
     made.until(lambda: set(made.gate.rows) == {"h0"})
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -128,7 +128,7 @@
     def list(self, state):
         self.hosts.update([Endpoint(row("h", state=state), self.host.address)], complete=True)
 
-    def relay(self, effect=Idempotency.IDEMPOTENT, mark=CALL.request_id, left=SECOND):
+    def send(self, effect=Idempotency.IDEMPOTENT, mark=CALL.request_id, left=SECOND):
         return self.hosts.send(
             "h",
             CALL._replace(request_id=mark),
@@ -159,7 +159,7 @@
 
 def test_a_relay_passes_id_class_function_and_body_unchanged(bench):
     made = bench()
-    made.relay()
+    made.send()
     assert made.results(1) == [Result.OK]
     assert made.heard[0].answer.body == CALL.body
     sent = made.host.came[0]
@@ -172,7 +172,7 @@
 def test_each_relay_has_a_connection_of_its_own_while_there_is_room_then_they_share(bench):
     made = bench(answer=lambda stream, command: None, room=2)
     for number in range(4):
-        made.relay(mark=f"{number:016x}")
+        made.send(mark=f"{number:016x}")
     made.until(lambda: len(made.host.came) == 4)
     assert len(made.host.streams) == 2
     assert made.hosts.multiplexed == 2
@@ -180,24 +180,24 @@
 
 def test_a_second_relay_of_a_task_never_shares_a_connection_with_the_first(bench):
     made = bench(answer=lambda stream, command: None, room=1)
-    made.relay()
-    made.relay()
+    made.send()
+    made.send()
     assert made.results(1) == [Result.NOT_SENT]
     assert made.hosts.multiplexed == 0
     made.hosts.max_connections = 2
-    made.relay()
+    made.send()
     made.until(lambda: len(made.host.came) == 2)
     assert len(made.host.streams) == 2
 
 
 def test_a_late_answer_to_a_halted_relay_is_passed_over(bench):
     made, late = bench(answer=lambda stream, command: late.append((stream, command))), []
-    take_back = made.relay()
+    take_back = made.send()
     made.until(lambda: late)
     take_back()
     made.until(lambda: len(late) == 2)
     assert late[1][1] == {"type": "halt", "req": CALL.request_id}
-    made.relay()  # the same id: on another connection
+    made.send()  # the same id: on another connection
     made.until(lambda: len(late) == 3)
     assert late[2][0] is not late[0][0]
     made.host.say(late[0][0], late[0][1], "served", data="b2xk")
@@ -214,35 +214,35 @@
         made.host.serve(stream, command)
 
     made = bench(answer=answer)
-    made.relay()
+    made.send()
     assert made.results(1) == [Result.OK]
     assert made.heard[0].answer.body == CALL.body
     made.until(lambda: made.hosts.unmatched == 2)
-    made.relay(mark="1" * 16)
+    made.send(mark="1" * 16)
     assert made.results(2) == [Result.OK, Result.OK]
     assert len(made.host.streams) == 1
 
 
 def test_spoilt_lines_and_resets_may_have_run_and_a_refused_connection_never_ran(bench):
     made = bench(answer=lambda stream, command: stream.write(b"noise\n"))
-    made.relay()
+    made.send()
     assert made.results(1) == [Result.ERROR]
     made.host.answer = lambda stream, command: stream.abort()
-    made.relay()
+    made.send()
     assert made.results(2)[1] is Result.RESET
     made.host.close()
-    made.relay()
+    made.send()
     assert made.results(3)[2] is Result.CONNECT_FAILED
 
 
 def test_nothing_more_goes_to_a_host_that_drains_and_what_it_holds_runs_on(bench):
     held = []
     made = bench(answer=lambda stream, command: held.append((stream, command)))
-    made.relay()
+    made.send()
     made.until(lambda: held)
-    made.relay(mark="1" * 16)  # its connection is still being opened
+    made.send(mark="1" * 16)  # its connection is still being opened
     made.list(State.DRAINING)
-    made.relay(mark="2" * 16)
+    made.send(mark="2" * 16)
     made.results(2)
     made.host.serve(*held[0])
     assert sorted(result.value for result in made.results(3)) == ["connect failed", "connect failed", "ok"]
@@ -251,7 +251,7 @@
 
 def test_a_gone_host_is_forgotten_with_its_connections_and_another_may_have_its_address(bench):
     made = bench()
-    made.relay()
+    made.send()
     made.results(1)
     made.hosts.update([Endpoint(row("h2"), made.host.address)], complete=True)
     made.until(lambda: "h" not in made.hosts.hosts)
@@ -264,7 +264,7 @@
 def test_a_connection_that_was_silent_when_a_relay_was_given_up_is_not_used_again(bench):
     made = bench(answer=lambda stream, command: None)
     made.hosts.pooling.silent = lambda now, since: True
-    take_back = made.relay()
+    take_back = made.send()
     made.until(lambda: made.host.came)
     take_back()
     assert not made.hosts.connection_count()
@@ -272,10 +272,10 @@
 
 def test_an_effectful_relay_leaves_a_kept_connection_that_shows_a_word_not_asked_for(bench):
     made = bench()
-    made.relay()
+    made.send()
     made.results(1)
     made.host.streams[0].sock.send(b"x")  # unread: this loop has had no turn
-    made.relay(Idempotency.NON_IDEMPOTENT, "1" * 16)
+    made.send(Idempotency.NON_IDEMPOTENT, "1" * 16)
     assert made.results(2) == [Result.OK, Result.OK]
     assert len(made.host.streams) == 2
 
@@ -301,13 +301,13 @@
 def test_connections_that_end_at_rest_do_not_make_the_next_ones_distrusted(bench):
     made = bench()
     for number in range(3):
-        made.relay(mark=f"{number:016x}")
+        made.send(mark=f"{number:016x}")
         made.results(number + 1)
         made.host.streams[-1].close()
         made.until(lambda: not made.hosts.connection_count())
-    made.relay(mark="a" * 16)
+    made.send(mark="a" * 16)
     made.results(4)
-    made.relay(mark="b" * 16)
+    made.send(mark="b" * 16)
     made.results(5)
     assert made.hosts.opened == 4
     assert made.hosts.reused == 1
@@ -323,13 +323,13 @@
 
     used, made = [], bench(answer=answer)
     for number in range(4):  # the first is served, the next ends a kept connection
-        made.relay(mark=f"{number:016x}")
+        made.send(mark=f"{number:016x}")
         made.results(number + 1)
-    made.relay(Idempotency.NON_IDEMPOTENT, "e" * 16)
+    made.send(Idempotency.NON_IDEMPOTENT, "e" * 16)
     results = made.results(5)
     assert results.count(Result.RESET) == 2
     assert results[4] is Result.OK
-    made.relay(mark="f" * 16)
+    made.send(mark="f" * 16)
     assert made.results(6)[5] is Result.OK
 
 
@@ -379,7 +379,7 @@
     made.hosts.order_timeout = 100 * MILLI
     made.hosts.order("h", "f", 1, lambda result, copies: ends.append(result))
     made.until(lambda: made.host.seen("stage"))
-    made.relay()
+    made.send()
     assert made.results(1) == [Result.OK]
     made.until(lambda: ends)
     assert made.hosts.connection_count() == 1
