--- a/gaproute/discovery/changelog/cell_watcher.py
+++ b/gaproute/discovery/changelog/cell_watcher.py
@@ -13,7 +13,7 @@
 from gaproute.discovery.changelog.events import Event
 from gaproute.discovery.changelog.watcher import SECOND, SILENCE_TIMEOUT, ChangeLogWatcher
 from gaproute.loop import Loop
-from gaproute.loop.streams import address as parse_address
+from gaproute.loop.addresses import address as parse_address
 from gaproute.shared.randomness import RandomSource
 
 # Half of it at least, so that a source that ends or comes back meets its gateways over half a second.
@@ -70,7 +70,7 @@
     def read_now(self) -> None:
         """Read what waits of the log."""
         if self.stream is not None:
-            self.stream.look()
+            self.stream.read_now()
 
     def reconnect_later(self, reason: object) -> None:
         """Connect once more after the backoff, to the next source where there are several."""
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -8,8 +8,8 @@
 from gaproute.config import ConfigurationError, read_hosts
 from gaproute.config.errors import Mistake
 from gaproute.loop import Loop
-from gaproute.loop.faults import cause_of, is_momentary_read
-from gaproute.loop.loop import Timer
+from gaproute.loop.faults import cause_of, is_transient_read
+from gaproute.loop.timers import Timer
 
 FAILURES_BEFORE_REPORT = 2  # reads in a row that failed for a transient reason
 
@@ -52,7 +52,7 @@
         self.failed_reads = 0  # in a row, for a transient reason
         self.timer: Timer | None = None
         # After a stop the file is read before the requests that came meanwhile.
-        loop.on_late.append(self.check)
+        loop.on_late_turn.append(self.check)
         self._check_again()
 
     def _check_again(self) -> None:
@@ -67,7 +67,7 @@
             state = os.stat(self.path)
             stamp = FileStamp(state.st_mtime_ns, state.st_ino, state.st_size)
         except OSError as error:
-            if is_momentary_read(error):
+            if is_transient_read(error):
                 return
             stamp = error.errno
         if stamp != self.stamp:
@@ -92,7 +92,7 @@
     def _is_reported(self, error: ConfigurationError) -> bool:
         """Whether the error is to be reported; what may pass by itself is checked again first."""
         cause = cause_of(error)
-        if cause is None or not is_momentary_read(cause):
+        if cause is None or not is_transient_read(cause):
             self.failed_reads = 0
             return True
         self.stamp = None
@@ -103,5 +103,5 @@
         """Check no more."""
         if self.timer is not None:
             self.timer.cancel()
-        if self.check in self.loop.on_late:
-            self.loop.on_late.remove(self.check)
+        if self.check in self.loop.on_late_turn:
+            self.loop.on_late_turn.remove(self.check)
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.loop.streams import address as parse_address
+from gaproute.loop.addresses import address as parse_address
 
 if TYPE_CHECKING:
     from gaproute.hosts.jsonlines.connection import Connection
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -73,7 +73,7 @@
             host.abandon_connecting("the host drains or is gone")
             if missing and not host.open:
                 del self.hosts[host.name]
-                self.pooling.gone(host.name)
+                self.pooling.forget_host(host.name)
 
     def _update_host(self, endpoint: Endpoint) -> None:
         name = endpoint.listed.host
--- a/gaproute/platform/peers.py
+++ b/gaproute/platform/peers.py
@@ -5,7 +5,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.faults import Backoff
-from gaproute.loop.loop import Timer
+from gaproute.loop.timers import Timer
 from gaproute.platform.configuration import Configuration
 from gaproute.platform.log import Log
 
@@ -41,11 +41,11 @@
         try:
             self.datagrams = Datagrams(self.loop, listen, self.on_report)
         except OSError as error:
-            if not self.backoff.begun:
+            if not self.backoff.has_failed:
                 self.log.warning("no peers", listen=listen, error=str(error))
-            self.retry_timer = self.loop.after(self.backoff.next(), self.open)
+            self.retry_timer = self.loop.after(self.backoff.next_pause(), self.open)
             return
-        if self.backoff.begun:
+        if self.backoff.has_failed:
             self.log.info("peers", listen=listen)
 
     def send(self, payload: bytes) -> None:
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -3,17 +3,18 @@
 import signal
 import traceback
 
-from gaproute.connections import Lot
+from gaproute.connections import AcceptedConnections
 from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
-from gaproute.decisions.admission.admission import RESTED, Admission, way_back
+from gaproute.decisions.admission.admission import MIN_IDLE_WITH_RETRIES, Admission, response_margin
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.connections.pooling import OWN, Pooling, share_out
+from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS, split_descriptors
+from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
 from gaproute.fronts.jsonrpc.front import Front
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.platform.configuration import Configuration, LoadedConfiguration
 from gaproute.platform.host_list import HostList
 from gaproute.platform.log import Log
@@ -66,17 +67,17 @@
 
     def _share_sockets(self) -> None:
         """Shares the descriptors out between the clients and the hosts."""
-        clients, to_hosts = share_out(self.sockets)
-        self.hosts = JsonLinesClient(self.loop, Pooling(), self.deployment, to_hosts)
+        shares = split_descriptors(self.sockets)
+        self.hosts = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
         self.hosts.on_removed = self.record.forget_host
-        Lot.of(self.loop).admission = Admission(
-            clients,
-            clients + 1,
+        AcceptedConnections.of(self.loop).admission = Admission(
+            shares.clients,
+            shares.clients + 1,
             self.sockets,
             Chance(self.seed + ADMISSION_SEED),
-            RESTED,
-            patient=True,
-            reserve=to_hosts + OWN,
+            min_idle=MIN_IDLE_WITH_RETRIES,
+            queue_when_full=True,
+            reserved_descriptors=shares.hosts + PROCESS_DESCRIPTORS,
         )
 
     def _make_core(self) -> None:
@@ -116,7 +117,7 @@
             self.deployment.class_names,
             self.terms.request_classes,
             self.ready,
-            way_back(),
+            response_margin(),
         )
         front.refused = self._log_refusal
         return front
@@ -176,7 +177,7 @@
             listen=front.address,
             hosts=len(self.hosts.hosts),
             sockets=self.sockets,
-            clients=Lot.of(self.loop).admission.most,
+            clients=AcceptedConnections.of(self.loop).admission.max_connections,
             to_hosts=self.hosts.max_connections,
             limits=self.configuration.limits,
             reported=self.deployment.report_names,
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -20,8 +20,8 @@
 from gaproute.cli import serving
 from gaproute.config import ConfigurationError, read_configuration, read_hosts
 from gaproute.discovery.file_watch import FAILURES_BEFORE_REPORT, FileWatch
-from gaproute.loop import Loop, Stepped, connecting
-from gaproute.loop.starting import Patience
+from gaproute.loop import Loop, Stepped, listening
+from gaproute.loop.starting import StartupRetries
 from gaproute.telemetry.logs import logger
 
 MILLI = 1_000_000
@@ -156,7 +156,7 @@
 @pytest.mark.parametrize("code", [*SHORT, errno.ENOBUFS, errno.EADDRINUSE])
 def test_a_new_address_that_cannot_be_had_at_once_is_had_later(family, monkeypatch, code):
     before = dict(family.sockets)
-    monkeypatch.setattr(parent, "listening", Failing(connecting.listening, code, code))
+    monkeypatch.setattr(parent, "open_listening_socket", Failing(listening.open_listening_socket, code, code))
     family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 127.0.0.2:0\n")
     family.reload()
     assert family.sockets == before
@@ -217,14 +217,14 @@
     made = []
 
     def patience():
-        return Patience(sleep=waits.append)
+        return StartupRetries(sleep=waits.append)
 
     def run(*options):
         result = CliRunner().invoke(serving.serve, [str(file), *options])
         result.waits, result.made = waits, made
         return result
 
-    monkeypatch.setattr(serving, "Patience", patience)
+    monkeypatch.setattr(serving, "StartupRetries", patience)
     monkeypatch.setattr(Appliance, "run", lambda runs: made.append(runs))
     monkeypatch.setattr(serving.gc, "freeze", lambda: None)
     monkeypatch.setattr(serving.gc, "set_threshold", lambda *_: None)
@@ -244,7 +244,9 @@
     monkeypatch.setattr(pathlib.Path, "read_text", lambda path: read(path))
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, code, code))
     monkeypatch.setattr(os, "pipe2", Failing(os.pipe2, code))
-    monkeypatch.setattr(connecting, "listening", Failing(connecting.listening, code, code))
+    monkeypatch.setattr(
+        listening, "open_listening_socket", Failing(listening.open_listening_socket, code, code)
+    )
     result = serve()
     assert result.exit_code == 0 and len(result.made) == 1 and len(result.waits) == 6, result.output
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -13,8 +13,8 @@
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.loop import Loop
+from gaproute.loop.addresses import address
 from gaproute.loop.datagrams import Datagrams
-from gaproute.loop.streams import address
 from gaproute.peers import PeerServer, observation_wire
 from gaproute.peers.lore_pb2 import Ask, Told
 from tests.appliance.test_gateway import scripted_host
@@ -283,12 +283,12 @@
 
 def test_clients_that_begin_at_one_moment_share_a_transfer_and_its_ages_grow(server):
     first, second = asked(server), None
-    told = server.transfers.told
+    told = server.transfers.encoded
     refill(server)
     chunks = server.transfers.transfers[1].chunks
     chunks[0] = chunks[0]._replace(built_at=server.loop.now() - 100 * MILLI)
     second = asked(server)
-    assert server.transfers.told == told
+    assert server.transfers.encoded == told
     assert second.next == first.next
     assert len(server.transfers.transfers) == 1
     assert [each.worker for each in second.warm] == [each.worker for each in first.warm]
@@ -354,7 +354,7 @@
     while len(heard) < 2:
         loop.turn()
     assert heard == [b"one", b"two"]
-    assert ends[0].lost == 1
+    assert ends[0].dropped == 1
     for end in ends:
         end.close()
     again = Datagrams(loop, place, heard.append)  # the place is free again
