--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -40,8 +40,8 @@
             "refused": others.observations.rejected(),
             "peers": client.state if client else {},
             "booked": client.hints_taken if client else 0,
-            "right": sum(each.right for each in decisions(gate)),
-            "wrong": sum(each.wrong for each in decisions(gate)),
+            "right": sum(each.hints.right for each in decisions(gate)),
+            "wrong": sum(each.hints.wrong for each in decisions(gate)),
         },
         "telling": server
         and {"facts": server.transfers.encoded, "put_off": server.put_off, "cpu_ms": server.spent / MILLI},
@@ -82,8 +82,8 @@
     """Copies that are believed to stand, the latest use first, with what speaks for each: an answer, a task
     sent there, or who told of it; `tried`: whether that was followed yet."""
     now, told = gate.loop.now(), []
-    for name, function in (pair for each in decisions(gate) for pair in each.functions.items()):
-        for tried, table in ((True, function.seen), (False, function.told)):
+    for name, function in (pair for each in decisions(gate) for pair in each.functions_by_name.items()):
+        for tried, table in ((True, function.last_used), (False, function.hinted_at)):
             for worker, seen in table.items():
                 observation = gate.others.observations.by_subject.get(("warm", worker, name))
                 told.append(
@@ -93,7 +93,7 @@
                         "age_ms": (now - seen) // MILLI,
                         "tried": tried,
                         "by": "an answer"
-                        if worker in function.stands
+                        if worker in function.proven_at
                         else observation.origin
                         if observation
                         else "a task sent",
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -82,8 +82,9 @@
 
     def _make_core(self) -> None:
         gateway = Gateway(self.seed, self.terms, self.loop.now())
-        if gateway.ration.travel:
-            self.hosts.order_timeout = min(self.hosts.order_timeout, gateway.ration.travel)
+        longest = gateway.load_order_limiter.travel_time
+        if longest:
+            self.hosts.order_timeout = min(self.hosts.order_timeout, longest)
         self.core = Core(self.loop, gateway, self.terms, self.hosts, self.record, self.name)
 
     # Start
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -65,9 +65,9 @@
         gateway: Any = self.core.gateway
         now = self.loop.now()
         return {
-            host.id: [round(gateway.queued(host, 1, now), 1), round(host.slow, 1), len(host.out)]
-            for host in gateway.fleet
-            if host.out or host.slow > 1
+            host.id: [round(gateway.queued(host, 1, now), 1), round(host.slowdown, 1), len(host.in_flight)]
+            for host in gateway.active_hosts
+            if host.in_flight or host.slowdown > 1
         }
 
     def _client_fields(self) -> dict[str, Any]:
