--- a/gaproute/connections/acceptor.py
+++ b/gaproute/connections/acceptor.py
@@ -4,16 +4,22 @@
 
 import socket
 from collections.abc import Callable
-from typing import Any, Generic, Protocol, TypeVar
+from typing import Generic, Protocol, TypeVar
 
 from gaproute.connections.accepted import AcceptedConnections
-from gaproute.loop import Listener
+from gaproute.loop import Listener, Loop, Stream
+from gaproute.loop.addresses import Address, SocketAddress
 from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
+from gaproute.loop.timers import Timer
 
 
 class ActiveConnection(Protocol):
     """A connection at work: one that has sent something and is not parked."""
 
+    stream: Stream
+    address_id: int  # of its client's address
+    request_count: int  # requests that it has brought so far
+
     def receive(self, data: bytes) -> None:
         """Takes received bytes."""
 
@@ -33,7 +39,9 @@
     from as well. Errors: OSError.
     """
 
-    def __init__(self, loop: Any, address: Any, *, counted: bool, inherited: Any = None) -> None:
+    def __init__(
+        self, loop: Loop, address: Address, *, counted: bool, inherited: socket.socket | None = None
+    ) -> None:
         self.loop, self.counted = loop, counted
         self.active_connections: dict[Connection, None] = {}  # those at work, as an ordered set
         self.parked = 0
@@ -41,7 +49,7 @@
         self.protocol_errors = 0  # of all connections
         self.stopping = False
         self.on_emptied: Callable[[], None] | None = None  # once no connection is left; set after a stop
-        self.drain_timer: Any = None  # where the kernel's queue could not be emptied at a stop
+        self.drain_timer: Timer | None = None  # where the kernel's queue could not be emptied at a stop
         self.family = address[0]
         self.connections = AcceptedConnections.of(loop)
         self.shares_queue = inherited is not None
@@ -81,7 +89,7 @@
     def _ready(self) -> None:
         self.connections.enqueue_listener(self.listener, self)
 
-    def accept_connection(self, sock: socket.socket, address: Any) -> None:
+    def accept_connection(self, sock: socket.socket, address: SocketAddress) -> None:
         """A connection was accepted: it is parked, or rejected where there is no capacity for it."""
         address_id = None
         if self._may_accept():
@@ -111,7 +119,7 @@
 
     # Connections that leave
 
-    def park(self, connection: Any, due: int) -> None:
+    def park(self, connection: Connection, due: int) -> None:
         """Parks a quiet connection until it sends something, or is closed at `due`."""
         del self.active_connections[connection]
         self.parked += 1
@@ -129,7 +137,7 @@
         self.parked -= 1
         self.check_emptied()
 
-    def unregister(self, connection: Any) -> None:
+    def unregister(self, connection: Connection) -> None:
         """A connection at work was closed."""
         del self.active_connections[connection]
         self.connections.release(connection.address_id, self.counted)
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -193,7 +193,7 @@
         elif self.front.stopping:
             self.close_if_finished()  # where it could not be seen before whether something lies there
         elif self._is_quiet(now):
-            self._park(now)
+            self.front.park(self, self.front.connections.admission.idle_deadline(now, IDLE_TIMEOUT))
 
     def _message_overdue(self, now: int) -> bool:
         """Whether a message has been coming in for too long."""
@@ -204,12 +204,9 @@
         at_work = self.open_requests or self.stream.bytes_unsent or self.reader.mid_message
         return not at_work and now - self.last_activity > QUIET_TIME
 
-    def _park(self, now: int) -> None:
-        self.front.park(self, self.front.connections.admission.idle_deadline(now, IDLE_TIMEOUT))
-
     def buffered_bytes(self) -> int:
         """Bytes that it takes up: answers that were not taken, and a message that has come in part."""
-        return int(self.stream.bytes_unsent) + len(self.reader.buffer)
+        return self.stream.bytes_unsent + len(self.reader.buffer)
 
     # The end
 
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -14,9 +14,10 @@
 
 import socket
 from collections.abc import Callable, Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.connections.acceptor import Acceptor
+from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import FULL_RETRY_PAUSE
 from gaproute.fronts.jsonrpc import cancellation, responses
 from gaproute.fronts.jsonrpc.connection import ClientConnection, OpenRequest
@@ -24,6 +25,8 @@
 from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
 from gaproute.interface import RequestClass
 from gaproute.interface.call import Call, Ending, Final
+from gaproute.loop import Loop
+from gaproute.loop.addresses import Address
 from gaproute.loop.listening import ACCEPT_RETRY_PAUSE
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -48,9 +51,9 @@
 
     def __init__(
         self,
-        loop: Any,
-        address: Any,
-        core: Any,
+        loop: Loop,
+        address: Address,
+        core: Core,
         class_names: Sequence[str],
         request_classes: Sequence[RequestClass],
         is_ready: Callable[[], bool],
@@ -70,7 +73,7 @@
         self.sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
 
     def _first_request_due(self) -> int:
-        return int(self.loop.now()) + FIRST_MESSAGE_TIMEOUT
+        return self.loop.now() + FIRST_MESSAGE_TIMEOUT
 
     def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> ClientConnection:
         return ClientConnection(self, sock, address_id, request_count)
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -7,11 +7,11 @@
 """
 
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
 from gaproute.config.configuration import Configuration
+from gaproute.core.core import Core
 from gaproute.fronts.kserve.rest import RestFront
 from gaproute.hosts import forwarding, orca
 from gaproute.http1 import Request, Server
@@ -28,7 +28,7 @@
     def __init__(
         self,
         server: Server,
-        core: Any,
+        core: Core,
         configuration: Configuration,
         is_ready: Callable[[], bool],
         load_report: Callable[[str], Report | None],
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -1,15 +1,18 @@
 """The front for clients: an address of its own."""
 
+import socket
 from collections.abc import Callable
-from typing import Any
 
 from gaproute.config.configuration import Configuration
 from gaproute.config.directives.process import ClientsLine
+from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import IDLE_JITTER
 from gaproute.fronts.kserve.responses import JSON_TYPE, encode_error
 from gaproute.fronts.kserve.rest import RestFront
 from gaproute.http1 import HttpError, Limits, Server
 from gaproute.http1.server import ErrorAnswer
+from gaproute.loop import Loop
+from gaproute.loop.addresses import Address
 
 
 class KServeFront(RestFront):
@@ -17,12 +20,12 @@
 
     def __init__(
         self,
-        loop: Any,
-        address: Any,
-        core: Any,
+        loop: Loop,
+        address: Address,
+        core: Core,
         configuration: Configuration,
         is_ready: Callable[[], bool],
-        inherited: Any = None,
+        inherited: socket.socket | None = None,
     ) -> None:
         """`inherited`: a listening socket that other processes accept from as well. Errors: OSError."""
         server = Server(
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -4,13 +4,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 from urllib.parse import unquote_to_bytes
 
 import msgspec
 
 from gaproute.config.configuration import Configuration
 from gaproute.config.directives.requests import ModelLine
+from gaproute.core.core import Core
 from gaproute.fronts.kserve import inference, responses
 from gaproute.fronts.kserve.responses import (
     JSON_TYPE,
@@ -44,7 +45,7 @@
     configuration's."""
 
     def __init__(
-        self, server: Server, core: Any, configuration: Configuration, is_ready: Callable[[], bool]
+        self, server: Server, core: Core, configuration: Configuration, is_ready: Callable[[], bool]
     ) -> None:
         """`is_ready()`: whether requests can be served."""
         self.server, self.core, self.is_ready = server, core, is_ready
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -4,12 +4,12 @@
 
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from gaproute.http1.errors import HttpError, NoResponseError
 from gaproute.http1.message import Response
 from gaproute.http1.reader import CONTENT_LENGTH, TRANSFER_ENCODING, ResponseReader
-from gaproute.loop import Stream
+from gaproute.loop import Loop, Stream
 
 if TYPE_CHECKING:
     from gaproute.http1.exchange import Exchange
@@ -35,7 +35,7 @@
         "unrequested_response",
     )
 
-    def __init__(self, loop: Any, sock: socket.socket, head_limit: int, body_limit: int) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, head_limit: int, body_limit: int) -> None:
         """`head_limit`, `body_limit`: of a response, bytes."""
         self.loop = loop
         self.reader = ResponseReader(head_limit, body_limit)
@@ -51,12 +51,12 @@
     @property
     def open(self) -> bool:
         """Whether it can be used."""
-        return bool(self.stream.open)
+        return self.stream.open
 
     @property
     def any_byte_sent(self) -> bool:
         """Whether the kernel has taken any byte of the present request."""
-        return bool(self.stream.bytes_sent > self.sent_before)
+        return self.stream.bytes_sent > self.sent_before
 
     def send(self, exchange: Exchange, data: bytes) -> None:
         """The request begins now, with what is true now, or its exchange fails soon and never ran."""
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -52,7 +52,7 @@
 
     def _sent_at(self) -> int:
         """When what is read now came: requests count from then."""
-        return int(self.server.loop.now()) - self.read_delay
+        return self.server.loop.now() - self.read_delay
 
     # Reading
 
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from gaproute.http1.errors import HttpError
 from gaproute.http1.reader import RequestReader
 from gaproute.loop import Stream
+from gaproute.loop.timers import Timer
 
 if TYPE_CHECKING:
     from gaproute.http1.message import PendingAnswer
@@ -40,7 +41,7 @@
     reader: RequestReader
     queue: list[PendingAnswer]  # in the order of the requests
     closing: bool  # nothing more is taken; it closes after the answers that it is owed
-    timer: Any
+    timer: Timer | None
     deadline: int | None  # of the timer or of the queue of quiet ones, by the loop's clock
     idle_end: int  # when it is closed where no more requests come
     in_quiet_queue: bool  # of the server: it is parked at its deadline, where nothing comes until then
@@ -76,7 +77,7 @@
             self.deadline = None
         self.in_quiet_queue = False
         if self.deadline is not None and (self.timer is None or self.timer.when > self.deadline):
-            self._start_timer()
+            self._start_timer(self.deadline)
 
     def _wait_for_parking(self) -> bool:
         """The connection is quiet: it waits to be parked; whether in the server's queue, without a timer."""
@@ -92,17 +93,17 @@
             server.enqueue_quiet(self, deadline)
         return True
 
-    def _start_timer(self) -> None:
+    def _start_timer(self, deadline: int) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.server.loop.at(self.deadline, self._deadline_passed)
+        self.timer = self.server.loop.at(deadline, self._deadline_passed)
 
     def _deadline_passed(self) -> None:
         self.timer = None
         if self.deadline is None or self.in_quiet_queue:
             return
         if self.deadline > self.server.loop.now():
-            self._start_timer()
+            self._start_timer(self.deadline)
         elif self.stream.bytes_unsent:
             self.stream.abort()
             self._on_closed(None)
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -10,7 +10,8 @@
 from gaproute.http1.client import ClientConnection
 from gaproute.http1.errors import NoResponseError
 from gaproute.http1.message import Response
-from gaproute.loop import connect
+from gaproute.loop import Loop, connect
+from gaproute.loop.addresses import Address
 
 OnDone = Callable[[Any, Any], object]  # (Response or None, NoResponseError or None)
 OnConnection = Callable[[ClientConnection], object]
@@ -33,7 +34,7 @@
 
     def __init__(
         self,
-        loop: Any,
+        loop: Loop,
         request: bytes | Callable[[int], bytes],
         on_done: OnDone,
         start_before: int | None = None,
@@ -60,7 +61,7 @@
 
     def connect(
         self,
-        address: Any,
+        address: Address,
         timeout: int,
         head_limit: int,
         body_limit: int,
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -6,7 +6,7 @@
 import socket
 from collections import deque
 from collections.abc import Callable, Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.connections.acceptor import Acceptor
 from gaproute.http1.connection import ServerConnection
@@ -15,7 +15,10 @@
 from gaproute.http1.limits import LIMITS, Limits
 from gaproute.http1.message import Request
 from gaproute.http1.rendering import Header, render
+from gaproute.loop import Loop
+from gaproute.loop.addresses import Address
 from gaproute.loop.streams import READ_SIZE
+from gaproute.loop.timers import Timer
 
 
 class ErrorAnswer(NamedTuple):
@@ -42,14 +45,14 @@
 
     def __init__(
         self,
-        loop: Any,
-        address: Any,
+        loop: Loop,
+        address: Address,
         handle: Callable[[Request], object],
         limits: Limits = LIMITS,
         *,
         render_error: Callable[[HttpError], ErrorAnswer] = plain_error,
         counted: bool = False,
-        inherited: Any = None,
+        inherited: socket.socket | None = None,
     ) -> None:
         """`render_error(error)`: what a client is told that breaks the protocol or a limit; `counted` and
         `inherited` as of `Acceptor`. Errors: OSError."""
@@ -57,7 +60,7 @@
         self.handle, self.limits, self.render_error = handle, limits, render_error
         self.buffered_bytes = 0  # of all requests that have not come in whole
         self.quiet_connections: deque[QuietConnection] = deque()
-        self.sweep_timer: Any = None
+        self.sweep_timer: Timer | None = None
         self.last_request_by: int | None = None  # after a stop with grace: when the last one must be whole
 
     # Accepting
@@ -83,13 +86,11 @@
 
     def idle_end(self, now: int) -> int:
         """When a connection that is idle from `now` on is closed."""
-        return int(self.connections.admission.idle_deadline(now, self.limits.idle_time, self.limits.spread))
+        return self.connections.admission.idle_deadline(now, self.limits.idle_time, self.limits.spread)
 
     def says_close(self) -> bool:
         """Whether answers say that the connection closes, as there are too many connections."""
-        return self.counted and bool(
-            self.connections.admission.announces_close(self.connections.client_count)
-        )
+        return self.counted and self.connections.admission.announces_close(self.connections.client_count)
 
     # Limits
 
