--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -16,7 +16,7 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
-from gaproute.fronts.kserve import Front
+from gaproute.fronts.kserve import KServeFront
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.interface import State
@@ -74,7 +74,7 @@
         try:
             for kind, where in self.configuration.listens:
                 if kind == "kserve":
-                    front = Front(
+                    front = KServeFront(
                         self.loop,
                         address(where),
                         self.core,
@@ -170,7 +170,7 @@
         self.core.end_by(self.loop.now() + self._granted())
         self.core.on_idle = self._emptied
         for front in self.client_fronts:
-            front.on_emptied(self._emptied)
+            front.notify_when_emptied(self._emptied)
         self.loop.after(LAST_REQUEST + self.configuration.longest + LAST_WORDS, self.loop.stop)
         self._emptied()
 
@@ -185,7 +185,7 @@
 
     def _emptied(self):
         """Ends the loop once no task is held and no client's connection is left."""
-        if not self.core.in_flight and not any(front.held for front in self.client_fronts):
+        if not self.core.in_flight and not any(front.connection_count for front in self.client_fronts):
             self.loop.after(LAST_WORDS, self.loop.stop)
 
     def heed_signals(self):
@@ -216,7 +216,7 @@
         self.loop.unwatch(life)
         self.shared = False
         for front in self.client_fronts:
-            front.alone()
+            front.end_queue_sharing()
         self.stop()
 
     def run(self):
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -33,7 +33,7 @@
         "Core._wait_elapsed",
         "ChangeLogWatcher.connect",
         "ChangeLogWatcher.check_silence",
-        "Front._sweep",
+        "JsonRpcFront._sweep",
         "ConnectionPool.sweep",
         "ParkedConnections._close_expired",
         "StatusLog.write",
@@ -191,8 +191,8 @@
     core, front, connections = scene.process.core, scene.process.front, AcceptedConnections.of(scene.loop)
     held = {
         "requests": len(core.in_flight) + len(core.generators),
-        "open ids": len(front.marks),
-        "clients' connections": front.held + connections.client_count + connections.parked_count,
+        "open ids": len(front.open_request_ids),
+        "clients' connections": front.connection_count + connections.client_count + connections.parked_count,
         "streams that close": len(scene.loop.closing_streams),
     }
     for host in scene.process.hosts.hosts.values():
--- a/gaproute/hosts/kserve/attempts.py
+++ b/gaproute/hosts/kserve/attempts.py
@@ -3,7 +3,7 @@
 from gaproute.core.in_flight import AttemptResult
 from gaproute.hosts import orca, results
 from gaproute.hosts.kserve.host_connections import HostConnections
-from gaproute.http1 import Exchange, Response, Undelivered
+from gaproute.http1 import Exchange, NoResponseError, Response
 from gaproute.interface import Result
 from gaproute.interface.call import Answer
 
@@ -24,21 +24,21 @@
     @property
     def started(self) -> bool:
         """Whether it has a connection."""
-        return self.exchange.link is not None
+        return self.exchange.connection is not None
 
     @property
     def cancellable(self) -> bool:
         """Whether it is cancelled, though it started, once nobody waits for its answer."""
-        return self.forwards or not self.exchange.delivered
+        return self.forwards or not self.exchange.all_bytes_sent
 
     def cancel(self) -> None:
         """End it and its connection; its callback is not called any more."""
         self.host.cancel(self.exchange)
 
 
-def attempt_result(outcome: Response | Undelivered) -> AttemptResult:
+def attempt_result(outcome: Response | NoResponseError) -> AttemptResult:
     """What the answer, or the failure, of an exchange says of its attempt."""
-    if isinstance(outcome, Undelivered):
+    if isinstance(outcome, NoResponseError):
         return AttemptResult(Result.NOT_SENT if outcome.lapsed else results.of_undelivered(outcome), None)
     answer = outcome
     reported = orca.decode_headers(answer.headers)
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -22,7 +22,7 @@
 from gaproute.hosts.kserve.attempts import SentAttempt, attempt_result
 from gaproute.hosts.kserve.host_connections import HostConnections
 from gaproute.hosts.kserve.settings import DEFAULT_SETTINGS, SECOND, ClientSettings
-from gaproute.http1 import Exchange, Response, Undelivered
+from gaproute.http1 import Exchange, NoResponseError, Response
 from gaproute.interface import Idempotency, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
@@ -32,7 +32,7 @@
 SWEEP_INTERVAL = SECOND
 REUSE_RACE_WINDOW = SECOND  # a kept connection that ends within it was perhaps closed just as it was used
 
-OnExchangeEnded: TypeAlias = Callable[[Response | Undelivered], object]
+OnExchangeEnded: TypeAlias = Callable[[Response | NoResponseError], object]
 RequestBytes: TypeAlias = bytes | Callable[[int], bytes]  # or what makes them at a time of the loop's clock
 
 
@@ -110,7 +110,7 @@
             return UnsentAttempt(self.loop, on_ended, Result.NOT_SENT)
         host = self.hosts[host_name]
 
-        def ended(outcome: Response | Undelivered) -> None:
+        def ended(outcome: Response | NoResponseError) -> None:
             on_ended(attempt_result(outcome))
 
         data = self.encode_attempt(call, request, host, until)
@@ -127,8 +127,8 @@
         """Send a load order; `on_ended(result, instances that are loaded)` once, never at once."""
         host = self.hosts[host_name]
 
-        def ended(outcome: Response | Undelivered) -> None:
-            if isinstance(outcome, Undelivered):
+        def ended(outcome: Response | NoResponseError) -> None:
+            if isinstance(outcome, NoResponseError):
                 on_ended(results.of_undelivered(outcome), 0)
             elif outcome.status == OK_STATUS:
                 on_ended(Result.OK, messages.decode_load(outcome.body))
@@ -148,8 +148,8 @@
         """
         host = self.hosts[host_name]
 
-        def ended(outcome: Response | Undelivered) -> None:
-            if isinstance(outcome, Undelivered):
+        def ended(outcome: Response | NoResponseError) -> None:
+            if isinstance(outcome, NoResponseError):
                 if results.of_undelivered(outcome) is not Result.NOT_SENT:
                     on_ended(False, None)
             elif outcome.status == OK_STATUS:
@@ -178,7 +178,7 @@
         """An idempotent exchange that is cancelled after `timeout` ns; False where it cannot be sent."""
         timer = None
 
-        def ended(outcome: Response | Undelivered) -> None:
+        def ended(outcome: Response | NoResponseError) -> None:
             if timer is not None:
                 timer.cancel()
             on_ended(outcome)
@@ -208,24 +208,24 @@
         """
         reused = host.take_idle(idempotency)
 
-        def ended(answer: Response, undelivered: Undelivered | None) -> None:  # one of them is None
+        def ended(answer: Response, undelivered: NoResponseError | None) -> None:  # one of them is None
             host.connecting.pop(exchange, None)
-            if exchange.link is not None:
-                host.release(exchange.link)
-            if undelivered is not None and undelivered.handed and reused is not None:
+            if exchange.connection is not None:
+                host.release(exchange.connection)
+            if undelivered is not None and undelivered.any_byte_sent and reused is not None:
                 self._count_reuse_race(exchange)
             on_ended(answer if undelivered is None else undelivered)
 
         exchange = Exchange(self.loop, data, ended, until, wanted)
         if reused is not None:
             self.reused += 1
-            exchange.on(reused)
+            exchange.send_on(reused)
             return exchange
         if len(host.open) >= self.settings.max_connections:
             return None
         self.opened += 1
         host.connecting[exchange] = None
-        exchange.open(
+        exchange.connect(
             host.address,
             self.settings.connect_timeout,
             self.settings.max_head_bytes,
@@ -235,5 +235,5 @@
         return exchange
 
     def _count_reuse_race(self, exchange: Exchange) -> None:
-        if self.loop.now() - exchange.started < REUSE_RACE_WINDOW:
+        if self.loop.now() - exchange.started_at < REUSE_RACE_WINDOW:
             self.reuse_races += 1
--- a/gaproute/hosts/results.py
+++ b/gaproute/hosts/results.py
@@ -21,7 +21,7 @@
 from gaproute.loop.faults import LOCAL_ADDRESS_ERRNOS, SHORTAGE_ERRNOS
 
 if TYPE_CHECKING:  # the platform process loads no HTTP
-    from gaproute.http1 import Undelivered
+    from gaproute.http1 import NoResponseError
 
 LOCAL_SHORTAGES = (
     SHORTAGE_ERRNOS | LOCAL_ADDRESS_ERRNOS
@@ -53,9 +53,9 @@
     return of_unanswered(started=started)
 
 
-def of_undelivered(undelivered: Undelivered) -> Result:
+def of_undelivered(undelivered: NoResponseError) -> Result:
     """As `of_ended_connection`, of an HTTP request for which no full answer came."""
-    return of_ended_connection(undelivered.error, started=undelivered.handed)
+    return of_ended_connection(undelivered.error, started=undelivered.any_byte_sent)
 
 
 def of_unanswered(*, started: bool) -> Result:
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -154,10 +154,10 @@
         exchange = Exchange(self._loop, data, lambda response, fault: promise.set((response, False)))
 
         def time_up() -> None:
-            exchange.drop()
+            exchange.cancel()
             promise.set((None, True))
 
-        exchange.open(address(peer.where), ANSWER_TIMEOUT, MAX_HEAD_BYTES, MAX_ANSWER_BYTES)
+        exchange.connect(address(peer.where), ANSWER_TIMEOUT, MAX_HEAD_BYTES, MAX_ANSWER_BYTES)
         timer = self._loop.after(ANSWER_TIMEOUT, time_up)
         promise.then(lambda _: timer.cancel())
         return promise
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -40,14 +40,14 @@
         exchange: Any = Exchange(self.loop, data, lambda response, fault: self._end(exchange, response, done))
         self.exchange = exchange
         self._timer = self.loop.after(EXCHANGE_TIME, self._end, exchange, None, done)
-        exchange.open(target, EXCHANGE_TIME, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
+        exchange.connect(target, EXCHANGE_TIME, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
 
     def drop(self) -> None:
         """Ends the question that is open."""
         if self._timer is not None:
             self._timer.cancel()
         if self.exchange is not None:
-            self.exchange.drop()
+            self.exchange.cancel()
         self.exchange = self._timer = None
 
     def _end(self, exchange: Any, response: Any, done: AnswerCallback) -> None:
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -11,7 +11,7 @@
 from gaproute.decisions.connections.descriptor_shares import PROCESS_DESCRIPTORS, split_descriptors
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
-from gaproute.fronts.jsonrpc.front import Front
+from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
@@ -62,7 +62,7 @@
         self.reloader = ConfigurationReloader(self.loop, self.log, path, self._apply)
         deadlines = tuple(each.hard_limit for each in self.terms.request_classes)
         self.shutdown = GracefulShutdown(self.loop, self.log, self.core, deadlines)
-        self.front: Front | None = None  # these two come with `start`
+        self.front: JsonRpcFront | None = None  # these two come with `start`
         self.status: StatusLog | None = None
 
     def _share_sockets(self) -> None:
@@ -110,8 +110,8 @@
         )
         self.status.write()
 
-    def _listen(self) -> Front:
-        front = Front(
+    def _listen(self) -> JsonRpcFront:
+        front = JsonRpcFront(
             self.loop,
             address(self.listen),
             self.core,
@@ -120,7 +120,7 @@
             self.ready,
             response_margin(),
         )
-        front.refused = self._log_refusal
+        front.on_protocol_error = self._log_refusal
         return front
 
     def ready(self) -> bool:
@@ -158,7 +158,7 @@
         self.loop.run()
         if self.status is not None:
             self.loop.guard(self.status.write)
-        connections = self.front.held if self.front is not None else 0
+        connections = self.front.connection_count if self.front is not None else 0
         self.log.info("stopped", held=len(self.core.in_flight), connections=connections)
         self.reloader.cancel()
         self.close()
@@ -171,7 +171,7 @@
 
     # Log
 
-    def _log_start(self, front: Front) -> None:
+    def _log_start(self, front: JsonRpcFront) -> None:
         self.log.info(
             "started",
             name=self.name,
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -5,7 +5,7 @@
 
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import response_margin
-from gaproute.fronts.jsonrpc.front import Front
+from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.loop import Loop
 from gaproute.platform.log import Log
 
@@ -42,7 +42,7 @@
     def __init__(self, loop: Loop, log: Log, core: Core, deadlines: tuple[int, ...]) -> None:
         """`deadlines`: of the request classes, ns."""
         self.loop, self.log, self.core, self.deadlines = loop, log, core, deadlines
-        self.front: Front | None = None
+        self.front: JsonRpcFront | None = None
         self.times: ShutdownTimes | None = None  # None until it has begun
 
     @property
@@ -50,7 +50,7 @@
         """Whether SIGTERM was handled."""
         return self.times is not None
 
-    def begin(self, front: Front) -> None:
+    def begin(self, front: JsonRpcFront) -> None:
         """Serves on: new connections for `ACCEPT_TIME`, open ones until shortly before SIGKILL may come.
 
         In a turn that finds itself late the signal may have come as long ago: the times count from then.
@@ -71,11 +71,11 @@
         """Accepts no new connections, and ends the loop once the last of the open ones is closed."""
         if self.front is None:
             return
-        self.core.on_idle = self.front.emptied = self._stop_if_idle
-        self.front.shut()
+        self.core.on_idle = self.front.on_emptied = self._stop_if_idle
+        self.front.stop_accepting()
         self._stop_if_idle()
 
     def _stop_if_idle(self) -> None:
         """Ends the loop once all is answered and each connection is closed, by the client's end of it."""
-        if self.front is not None and not self.core.in_flight and not self.front.held:
+        if self.front is not None and not self.core.in_flight and not self.front.connection_count:
             self.loop.stop()
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -6,7 +6,7 @@
 
 from gaproute.connections import AcceptedConnections
 from gaproute.core.core import Core
-from gaproute.fronts.jsonrpc.front import Front
+from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
 from gaproute.platform.host_list import HostList
@@ -28,7 +28,7 @@
         log: Log,
         *,
         core: Core,
-        front: Front,
+        front: JsonRpcFront,
         hosts: JsonLinesClient,
         host_list: HostList,
     ) -> None:
@@ -75,9 +75,9 @@
         return {
             "clients": connections.client_count,
             "parked": front.parked,
-            "faults": front.faults,
-            "turned_away": front.turned_away,
-            "deaf": front.deaf,
+            "faults": front.protocol_errors,
+            "turned_away": front.rejected_connections,
+            "deaf": front.unresponsive,
             "displaced": connections.evicted,
         }
 
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -4,6 +4,7 @@
 import socket
 
 import pytest
+from request_scenarios import end
 from scripted import MILLI, SECOND
 
 from gaproute.decisions.cells.entries import Forward, Forwarded
@@ -16,7 +17,6 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 from tests.core.test_core import attempt_and_wait, core, run, submit
-from tests.fronts.test_departed_ends import end
 
 CALL = Call("lamp", "", (), b"{}")
 
@@ -60,7 +60,7 @@
     hold = way.forward()
     way.until(lambda: way.came)
     left = []
-    way.came[0].left = lambda: left.append(True)
+    way.came[0].on_client_left = lambda: left.append(True)
     assert hold.started and hold.cancellable
     hold.cancel()
     way.until(lambda: left)
--- a/tests/connections/conftest.py
+++ b/tests/connections/conftest.py
@@ -111,7 +111,7 @@
         self.loop.close()
         assert not self.connections.client_count
         assert not self.connections.parked_count
-        assert not self.server.links
+        assert not self.server.active_connections
         assert not self.loop.watched
         assert self.faults == []
         assert open_descriptors() == self.before
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -18,25 +18,25 @@
     made = serving()
     client = made.client()
     made.turns(lambda: made.connections.parked_count == 1)
-    assert not made.server.links
+    assert not made.server.active_connections
     assert made.loop.watched.keys() == {made.server.listener.sock.fileno()}
     for _ in range(3):
         assert b"200" in made.ask(client)
-        assert len(made.server.links) == 1
+        assert len(made.server.active_connections) == 1
         assert made.connections.parked_count == 0
         made.skew += 1300 * MILLI
         made.turns(lambda: made.connections.parked_count == 1)
-        assert not made.server.links
-        assert made.server.held == made.connections.client_count == 1
+        assert not made.server.active_connections
+        assert made.server.connection_count == made.connections.client_count == 1
 
 
 def test_one_that_speaks_at_once_again_is_not_parked_between(serving):
     made = serving()
     client = made.client()
     made.ask(client)
-    (link,) = made.server.links
+    (link,) = made.server.active_connections
     made.ask(client)
-    assert made.server.links == {link}
+    assert set(made.server.active_connections) == {link}
 
 
 def test_a_parked_one_that_leaves_is_forgotten_with_its_address(serving):
@@ -46,7 +46,7 @@
     assert "127.0.0.7" in made.connections.addresses
     client.close()
     made.turns(lambda: made.connections.client_count == 0)
-    assert made.connections.parked_count == made.server.held == 0
+    assert made.connections.parked_count == made.server.connection_count == 0
     assert made.connections.addresses == {}
 
 
@@ -56,13 +56,13 @@
     client.sendall(HEAD)
     made.turns(lambda: made.asked)
     left = []
-    made.asked[0].left = lambda: left.append(True)
+    made.asked[0].on_client_left = lambda: left.append(True)
     client.close()
     made.turns(lambda: left)
     made.server.answer(made.asked[0], 200, (), b"")
     made.turns(lambda: made.connections.client_count == 0)
     assert made.connections.addresses == {}
-    assert not made.server.links
+    assert not made.server.active_connections
 
 
 def test_an_idle_end_comes_on_time_and_is_moved_by_each_request(serving):
@@ -92,7 +92,7 @@
     made.skew += 60 * SECOND  # the process stood still: all are overdue, and one has spoken
     made.loop.turn()
     assert len(made.asked) == 1
-    assert made.asked[0].arrived < made.loop.now() - 40 * SECOND
+    assert made.asked[0].arrived_at < made.loop.now() - 40 * SECOND
     assert 0 < made.connections.expired <= MAX_EXPIRIES_PER_TURN
     made.turns(lambda: made.connections.client_count == 1)
     assert b"200" in speaks.recv(4096)
@@ -127,7 +127,7 @@
     second.sendall(HEAD)
     made.turns(lambda: len(made.asked) == 2)
     # The second waited while the first took 300 ms.
-    assert made.asked[1].arrived - made.asked[0].arrived < 100 * MILLI
+    assert made.asked[1].arrived_at - made.asked[0].arrived_at < 100 * MILLI
 
 
 def test_a_descriptor_used_again_in_the_same_turn_does_not_get_the_old_ones_event(serving):
@@ -200,18 +200,18 @@
     slow, other, quick = made.client(), made.client(), made.client()
     for client in (slow, other):
         client.sendall(b"POST / HTTP/1.1\r\nHost: g\r\nContent-Length: 4000\r\n\r\n" + b"x" * 2000)
-        before = made.server.buffered
-        made.turns(lambda before=before: made.server.buffered > before)
+        before = made.server.buffered_bytes
+        made.turns(lambda before=before: made.server.buffered_bytes > before)
     quick.sendall(b"POST / HTTP/1.1\r\nHost: g\r\nContent-Length: 2000\r\n\r\n" + b"x" * 1500)
-    made.turns(lambda: made.server.faults == 1)
+    made.turns(lambda: made.server.protocol_errors == 1)
     assert b"408" in slow.recv(4096)
-    assert made.server.buffered <= 5000
+    assert made.server.buffered_bytes <= 5000
     for client, rest in ((quick, 500), (other, 2000)):
         client.sendall(b"x" * rest)
         made.turns(lambda: made.asked)
         assert b"200" in client.recv(4096)
         assert made.asked.pop()
-    made.turns(lambda: made.server.buffered == 0)
+    made.turns(lambda: made.server.buffered_bytes == 0)
 
 
 def test_a_client_that_resets_while_it_waits_at_admission_harms_nobody(serving):
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -99,7 +99,7 @@
 
 def test_one_that_spoke_unheard_is_not_closed_at_a_stop(deaf):
     stepped, client, _ = deaf
-    stepped.connections.close_owned(stepped.server.number)
+    stepped.connections.close_owned(stepped.server.owner_id)
     assert stepped.connections.client_count == 1
     assert stepped.answers(client) == 1
 
@@ -143,7 +143,7 @@
     stepped.connections._close_parked(next(iter(stepped.connections.unregistered)))
     stepped.passes(20 * MILLI)
     assert stepped.faults == []
-    assert stepped.server.held == 1
+    assert stepped.server.connection_count == 1
     assert not stepped.connections.unregistered
 
 
@@ -190,7 +190,7 @@
     client.close()
     stepped.passes(5 * MILLI)
     assert not stepped.connections.client_count
-    assert not stepped.server.held
+    assert not stepped.server.connection_count
 
 
 def test_reads_of_one_byte_make_a_whole_request(stepped, monkeypatch):
--- a/tests/connections/test_syscalls_stop.py
+++ b/tests/connections/test_syscalls_stop.py
@@ -25,9 +25,9 @@
     server.listener.sock = failing_accept(server.listener.sock, *[code] * 20)
     client = stepped.client(HEAD)
     emptied = []
-    server.emptied = lambda: emptied.append(stepped.clock.now)
+    server.on_emptied = lambda: emptied.append(stepped.clock.now)
     server.stop(SECOND)
-    assert server.held
+    assert server.connection_count
     assert not emptied
     stepped.passes(200 * MILLI)
     assert stepped.answers(client) == 1
@@ -35,7 +35,7 @@
     stepped.passes(SECOND, 10 * MILLI)
     assert emptied
     assert server.listener.sock.fileno() < 0
-    assert not server.held
+    assert not server.connection_count
 
 
 @pytest.mark.parametrize(
@@ -49,7 +49,7 @@
     client.ask(1)
     made.process.stop()
     made.process.shutdown.stop_accepting()
-    assert front.held  # neither connection nor end: one may wait
+    assert front.connection_count  # neither connection nor end: one may wait
     for _ in range(40):
         made.passes(5 * MILLI)
     assert len(client.answers) == 1
@@ -61,11 +61,11 @@
     front = made.process.front
     front.listener.sock = failing_accept(front.listener.sock, *[errno.EMFILE] * 99)
     front.stop()
-    timer = front.drainer
+    timer = front.drain_timer
     assert timer.call is not None
     front.close()
     assert timer.call is None
-    assert front.drainer is None
+    assert front.drain_timer is None
     assert front.listener.sock.fileno() < 0
     assert front.listener.pause_timer is None
 
@@ -75,7 +75,7 @@
     client = made.client()
     client.message({"jsonrpc": "2.0", "id": 1, "method": "ping"})
     made.until(lambda: client.answers)
-    (link,) = made.process.front.links
+    (link,) = made.process.front.active_connections
     link.stream.sock = FailingSocket(link.stream.sock)
     link.stream.sock.fail("recv", *[errno.ENOMEM] * 6)
     made.process.front.stop()
@@ -83,4 +83,4 @@
     for _ in range(5):
         made.passes(50 * MILLI)
     assert client.ended
-    assert not made.process.front.links
+    assert not made.process.front.active_connections
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -3,23 +3,31 @@
 In each test the client leaves while the loop is in a long turn, and what makes an attempt begin comes first.
 """
 
-import errno
 import json
 import socket
 import time
 
 import pytest
-from scripted import MILLI, SECOND, SETTINGS, Handed, HeldDials, half_close
-
-from gaproute.fronts.jsonrpc.messages import FAILED
+from request_scenarios import (
+    ENDS,
+    connect_hosts,
+    end,
+    fill_after,
+    first_request_held,
+    one_connection,
+    with_limits,
+    written_in_part,
+)
+from scripted import MILLI, SECOND, Handed, HeldDials, half_close
+
+from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.hosts.jsonlines import connection as connections
-from gaproute.http1 import client as http_clients
-from gaproute.http1.client import Exchange
+from gaproute.http1 import exchange as exchanges
+from gaproute.http1.exchange import Exchange
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 from gaproute.loop.streams import READ_SIZE
 from gaproute.standins.platform import arg
-from tests.fronts.test_departed_ends import end
 
 LONG = 300 * MILLI  # a turn in which the client leaves and nothing of it is heard
 LEAVES = {
@@ -31,17 +39,13 @@
     "stays": lambda client: None,
 }
 leaves = pytest.mark.parametrize("leave", LEAVES.values(), ids=LEAVES)
-only_ends = pytest.mark.parametrize("way", ["fin", "reset", "half"])
+only_ends = pytest.mark.parametrize("way", ENDS)
 
 
 def abort(**named):
     return {"jsonrpc": "2.0", "method": "abort", "params": named}
 
 
-def limits(**told):
-    return SETTINGS | {"limits": SETTINGS["limits"] | told}
-
-
 def dialled(where):
     """A connection that has come up, as `connect` hands it over."""
     sock = socket.create_connection(address(where)[1])
@@ -56,19 +60,10 @@
         stream.write(json.dumps(told).encode() + b"\n")
 
 
-def known(made):
-    """Connections stand to all hosts."""
-    told = []
-    for name in made.process.hosts.hosts:
-        made.process.hosts.probe(name, lambda *report: told.append(report))
-    made.until(lambda: len(told) == len(made.hosts))
-    assert all(host.connections for host in made.process.hosts.hosts.values())
-
-
 @leaves
 def test_a_dial_that_comes_up_in_the_long_turn_in_which_its_client_leaves(gate, monkeypatch, leave):
     monkeypatch.setattr(connections, "connect", dials := HeldDials())
-    made = gate(clock=Handed(), settings=limits(probes=False, connect_timeout=1000.0))
+    made = gate(clock=Handed(), settings=with_limits(probes=False, connect_timeout=1000.0))
     client = made.client()
     client.ask(1)
     made.until(lambda: dials.waiting)
@@ -78,7 +73,8 @@
     dials.held[0][3](dialled(made.hosts[0].address), None)
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == stays == len(client.answers) and not made.process.core.in_flight
+    assert made.came() == stays == len(client.answers)
+    assert not made.process.core.in_flight
     assert not made.process.core.gateway.hosts_by_id["s-0"].bad_results
 
 
@@ -86,21 +82,7 @@
 @leaves
 def test_a_retry_whose_cause_is_read_before_its_client_has_left(gate, leave, stopping):
     """Also after SIGTERM. The host's answer lay there first; both are read after a long turn."""
-    held = []
-
-    def answer(stream, command):
-        if command["type"] != "go":
-            made.hosts[0].serve(stream, command)
-        elif held:
-            made.hosts[0].serve(stream, command)
-        else:
-            held.append((stream, command))
-
-    made = gate(answer, hosts=2, clock=Handed())
-    known(made)
-    client = made.client()
-    client.ask(1)
-    made.until(lambda: held)
+    made, client, held = first_request_held(gate)
     if stopping:
         made.process.stop()
     made.hosts[0].say(*held[0], "overload")
@@ -108,7 +90,9 @@
     made.clock.now += LONG
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.in_flight
+    assert made.came() == 1 + stays
+    assert len(client.answers) == stays
+    assert not made.process.core.in_flight
 
 
 @leaves
@@ -123,14 +107,15 @@
             made.hosts[0].serve(stream, command)
 
     made = gate(answer, clock=Handed())
-    known(made)
+    connect_hosts(made)
     client = made.client()
     client.ask(1)
     made.until(lambda: held)
     made.clock.now += 50 * MILLI
     made.hosts[0].say(*held[0], "not_here")
     made.until(lambda: made.hosts[0].seen("stage"))
-    assert made.came() == 1 and not client.answers
+    assert made.came() == 1
+    assert not client.answers
 
     def long_turn():
         leave(client)
@@ -140,7 +125,9 @@
     made.clock.now += 100 * MILLI
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert made.came() == 1 + stays and len(client.answers) == stays and not made.process.core.in_flight
+    assert made.came() == 1 + stays
+    assert len(client.answers) == stays
+    assert not made.process.core.in_flight
 
 
 def test_a_request_is_not_begun_whose_abort_lies_behind_more_than_one_read(gate):
@@ -164,72 +151,31 @@
 
 def test_an_abort_that_lies_unread_on_a_connection_that_is_not_read_ends_its_request(gate):
     """Its client takes no answers. The next attempt asks; the request that follows is not touched by it."""
-    held = []
-
-    def answer(stream, command):
-        if command["type"] == "go" and not held:
-            held.append((stream, command))
-        else:
-            made.hosts[0].serve(stream, command)
-
-    made = gate(answer, hosts=2, clock=Handed())
-    known(made)
-    client = made.client()
-    client.ask(1)
-    made.until(lambda: held)
-    (link,) = made.process.front.links
+    made, client, held = first_request_held(gate)
+    (link,) = made.process.front.active_connections
     link.stream.pause()
     client.message(abort(id=1))
     made.turns()
     made.clock.now += LONG
     made.hosts[0].say(*held[0], "overload")
     made.turns()
-    assert made.came() == 1 and not made.process.core.in_flight and not link.open
+    assert made.came() == 1
+    assert not made.process.core.in_flight
+    assert not link.open_requests
     client.ask(2)
     link.stream.resume()
     made.until(lambda: client.answers)
-    assert client.answers[0]["id"] == 2 and made.came() == 2 and made.process.front.faults == 0
+    assert client.answers[0]["id"] == 2
+    assert made.came() == 2
+    assert made.process.front.protocol_errors == 0
 
 
 # What has begun to be written and has not come whole
 
 
-class Clogged:
-    """Stands for a socket that takes so many bytes and then no more, until it is `let`."""
-
-    def __init__(self, sock, room):
-        self.sock, self.room = sock, room
-
-    def send(self, data):
-        if not self.room:
-            raise BlockingIOError(errno.EAGAIN, "no room")
-        sent = self.sock.send(bytes(data[: self.room]))
-        self.room -= sent
-        return sent
-
-    def let(self):
-        self.room = 1 << 30
-
-    def __getattr__(self, name):
-        return getattr(self.sock, name)
-
-
-def written_in_part(gate, method="fault-check", **told):
-    """A gateway whose one connection to its host took the first half of a request; a client."""
-    made = gate(hosts=1, settings=limits(**told), clock=Handed())
-    made.process.hosts.max_connections = 1
-    known(made)
-    (made.link,) = made.process.hosts.hosts["s-0"].connections
-    made.clog = made.link.stream.sock = Clogged(made.link.stream.sock, 500)
-    client = made.client()
-    client.ask(1, method, arg=arg(b"x" * 1000), d=2000)
-    made.until(lambda: made.link.stream.bytes_unsent)
-    return made, client
-
-
 def reads_on(made):
     """The connection takes all there is; whether the host got the request."""
-    made.clog.let()
+    made.clog.emptied()
     made.turns()
     return bool(made.came())
 
@@ -241,26 +187,28 @@
     leave(client)
     made.turns()
     stays = leave is LEAVES["stays"]
-    assert reads_on(made) is stays and len(client.answers) == stays and not made.process.core.in_flight
+    assert reads_on(made) is stays
+    assert len(client.answers) == stays
+    assert not made.process.core.in_flight
 
 
 def test_what_else_is_at_work_on_that_connection_may_have_run_and_nothing_is_left_of_it(gate):
     """The connection ends: its host gives up what is open on it."""
-    made = gate(silent_at_requests, hosts=1, settings=limits(), clock=Handed())
-    made.process.hosts.max_connections = 1
-    known(made)
-    (link,) = made.process.hosts.hosts["s-0"].connections
+    made, link = one_connection(gate, silent_at_requests)
     other, client = made.client(), made.client()
     other.ask(1, "repair-order", i="f" * 16)
     made.until(made.came)
-    link.stream.sock = Clogged(link.stream.sock, 500)
+    fill_after(link, 500)
     client.ask(1, arg=arg(b"x" * 1000))
     made.until(lambda: link.stream.bytes_unsent)
     client.stream.abort()
     made.until(lambda: other.answers)
     made.turns()
-    assert other.answers[0]["error"]["code"] == FAILED and made.came() == 1
-    assert not made.process.core.in_flight and not link.pending and not link.stream.open
+    assert other.answers[0]["error"]["code"] == ErrorCode.FAILED
+    assert made.came() == 1
+    assert not made.process.core.in_flight
+    assert not link.pending
+    assert not link.stream.open
 
 
 # Over HTTP
@@ -269,7 +217,7 @@
 @only_ends
 def test_over_http_a_dial_that_comes_up_when_its_client_has_left_begins_nothing(rig, monkeypatch, way):
     made = rig(hosts=1)
-    monkeypatch.setattr(http_clients, "connect", dials := HeldDials())
+    monkeypatch.setattr(exchanges, "connect", dials := HeldDials())
     sock = socket.create_connection(made.at[1])
     sock.sendall(b"POST /v2/models/lamp/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n{}")
     made.until(lambda: made.gate.core.in_flight)
@@ -283,20 +231,23 @@
         came, _ = host.accept()
         with came:
             assert came.recv(1) == b""
-    assert not made.gate.core.in_flight and not made.gate.core.gateway.hosts_by_id["h0"].bad_results
+    assert not made.gate.core.in_flight
+    assert not made.gate.core.gateway.hosts_by_id["h0"].bad_results
     sock.close()
 
 
 def test_over_http_what_may_not_begin_on_a_connection_that_came_up_has_lapsed():
     loop, told = Loop(), []
     with socket.create_server(("127.0.0.1", 0)) as server:
-        exchange = Exchange(loop, b"x", lambda *each: told.append(each), wanted=lambda: False)
-        exchange.open((socket.AF_INET, server.getsockname()), SECOND, 1024, 1024)
+        exchange = Exchange(loop, b"x", lambda *each: told.append(each), still_wanted=lambda: False)
+        exchange.connect((socket.AF_INET, server.getsockname()), SECOND, 1024, 1024)
         while not told:
             loop.after(MILLI, lambda: None)
             loop.turn()
         came, _ = server.accept()
         assert came.recv(1) == b""
         came.close()
-    assert told[0][0] is None and told[0][1].lapsed and not told[0][1].handed
+    assert told[0][0] is None
+    assert told[0][1].lapsed
+    assert not told[0][1].any_byte_sent
     loop.close()
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -2,31 +2,18 @@
 for: a bad message behind it, its client's slowness, a full house, a shortage of descriptors."""
 
 import pytest
+from request_scenarios import codes, holding, takes_nothing
 from scripted import MILLI, Handed
 
+from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.fronts.jsonrpc import link as links
-from gaproute.fronts.jsonrpc.front import OPEN
-from gaproute.fronts.jsonrpc.messages import FAILED, NO_PARAMS, NO_REQUEST, REFUSED, UNREADABLE
-from gaproute.loop.streams import Stream
+from gaproute.fronts.jsonrpc.errors import ErrorCode
+from gaproute.fronts.jsonrpc.front import MAX_OPEN_REQUESTS
 
 BAD = b"Content-Length: none\r\n\r\n"  # nothing behind it can be read
 EMPTY = b"Content-Length: 2\r\n\r\n{}"  # no request, and what is behind it can be read
 
 
-def holding(gate, **told):
-    """A gateway whose host answers when the test says so, and what the host holds."""
-    held = []
-    made = gate(lambda *each: each[1]["type"] == "go" and held.append(each), clock=Handed(), **told)
-    return made, held
-
-
-def codes(client):
-    """What each number was answered: a code, or None for a result; the errors without a number apart."""
-    named = {each["id"]: each.get("error", {}).get("code") for each in client.answers if each["id"]}
-    return named, [each["error"]["code"] for each in client.answers if each["id"] is None]
-
-
 def said_in_one(client, *said):
     """Sends all that the calls say as one piece."""
     pieces = []
@@ -41,7 +28,9 @@
 
 
 @pytest.mark.parametrize(
-    "bad, code", [(BAD, UNREADABLE), (EMPTY * links.FAULTS, NO_REQUEST)], ids=["unreadable", "many"]
+    ("bad", "code"),
+    [(BAD, ErrorCode.PARSE_ERROR), (EMPTY * connections.MAX_PROTOCOL_ERRORS, ErrorCode.INVALID_REQUEST)],
+    ids=["unreadable", "many"],
 )
 def test_a_bad_message_leaves_those_before_it_their_answers_and_closes_after_the_last(gate, bad, code):
     made, held = holding(gate)
@@ -54,9 +43,10 @@
     made.hosts[0].serve(*held[0])
     made.until(lambda: codes(client)[0] == {1: None})
     made.passes(400 * MILLI)
-    assert not client.ended and set(codes(client)[1]) == {code}
+    assert not client.ended
+    assert set(codes(client)[1]) == {code}
     made.hosts[0].serve(*held[1])
-    made.until(lambda: client.ended and not made.process.front.held)
+    made.until(lambda: client.ended and not made.process.front.connection_count)
     assert codes(client)[0] == {1: None, 2: None}
 
 
@@ -66,26 +56,30 @@
     said_in_one(
         client,
         lambda: client.ask(1),
-        lambda: client.send(EMPTY * (links.FAULTS + 5)),
+        lambda: client.send(EMPTY * (connections.MAX_PROTOCOL_ERRORS + 5)),
         lambda: client.ask(2),
         lambda: client.send(BAD),
     )
     made.until(lambda: client.ended)
     numbered, errors = codes(client)
-    assert numbered == {1: None, 2: None} and len(errors) == links.FAULTS
+    assert numbered == {1: None, 2: None}
+    assert len(errors) == connections.MAX_PROTOCOL_ERRORS
 
 
 def test_rejections_are_answers_and_no_faults_of_the_client(gate):
     made, held = holding(gate)
-    client, most = made.client(), OPEN + 2 * links.FAULTS
+    client, most = made.client(), MAX_OPEN_REQUESTS + 2 * connections.MAX_PROTOCOL_ERRORS
     for number in range(1, most + 1):
         client.ask(number)
-    made.until(lambda: len(client.answers) == most - OPEN)
-    assert set(codes(client)[0].values()) == {REFUSED} and made.process.front.faults == 0
+    made.until(lambda: len(client.answers) == most - MAX_OPEN_REQUESTS)
+    made.until(lambda: len(held) == MAX_OPEN_REQUESTS)  # which the host may read later
+    assert set(codes(client)[0].values()) == {ErrorCode.REJECTED}
+    assert made.process.front.protocol_errors == 0
     for each in held:
         made.hosts[0].serve(*each)
     made.until(lambda: len(client.answers) == most)
-    assert len(codes(client)[0]) == most and not client.ended
+    assert len(codes(client)[0]) == most
+    assert not client.ended
 
 
 def test_a_figure_beyond_all_figures_is_refused_and_spoils_no_request_behind_it(gate):
@@ -93,17 +87,20 @@
     client = made.client()
     said_in_one(client, lambda: client.ask(1, d=10**400), lambda: client.ask(2))
     made.until(lambda: len(client.answers) == 2)
-    assert codes(client)[0] == {1: NO_PARAMS, 2: None} and not made.loop.errors
+    assert codes(client)[0] == {1: ErrorCode.INVALID_PARAMS, 2: None}
+    assert not made.loop.errors
 
 
 def test_an_error_of_the_gateway_over_one_request_is_told_and_spoils_no_other(gate, monkeypatch):
     made = gate(clock=Handed())
-    task = fronts.Front.task
-    monkeypatch.setattr(fronts.Front, "task", lambda *told: 1 / 0 if told[2] == 1 else task(*told))
+    task = fronts.JsonRpcFront.start_request
+    monkeypatch.setattr(
+        fronts.JsonRpcFront, "start_request", lambda *told: 1 / 0 if told[2].number == 1 else task(*told)
+    )
     client = made.client()
     said_in_one(client, lambda: client.ask(1), lambda: client.ask(2))
     made.until(lambda: len(client.answers) == 2)
-    assert codes(client)[0] == {1: FAILED, 2: None}
+    assert codes(client)[0] == {1: ErrorCode.FAILED, 2: None}
 
 
 # Slow clients
@@ -122,13 +119,14 @@
     client = made.client()
     first, rest = halves(client, 1)
     client.send(first)
-    made.until(lambda: made.process.front.links)
-    (link,) = made.process.front.links
-    made.clock.now += links.PROGRESS + MILLI
+    made.until(lambda: made.process.front.active_connections)
+    (link,) = made.process.front.active_connections
+    made.clock.now += connections.PROGRESS_TIMEOUT + MILLI
     client.send(rest)  # in the gateway's socket, not read by it
-    link.look(made.loop.now())
+    link.check_progress(made.loop.now())
     made.until(lambda: client.answers)
-    assert codes(client)[0] == {1: None} and not client.ended
+    assert codes(client)[0] == {1: None}
+    assert not client.ended
 
 
 def test_a_message_that_stays_half_is_swept_and_what_was_asked_before_it_is_answered(gate):
@@ -137,10 +135,11 @@
     client.ask(1, d=2900)
     made.until(lambda: held)
     client.send(halves(client, 2)[0])
-    made.until(lambda: next(iter(made.process.front.links)).reader.midway)
-    made.passes(links.PROGRESS + MILLI)
-    made.passes(fronts.SWEEP)
-    assert codes(client) == ({}, [UNREADABLE]) and not client.ended
+    made.until(lambda: next(iter(made.process.front.active_connections)).reader.mid_message)
+    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    made.passes(fronts.SWEEP_INTERVAL)
+    assert codes(client) == ({}, [ErrorCode.PARSE_ERROR])
+    assert not client.ended
     made.hosts[0].serve(*held[0])
     made.until(lambda: client.ended)
     assert codes(client)[0] == {1: None}
@@ -165,36 +164,23 @@
 # Clients that take no answers
 
 
-def deaf(link, monkeypatch):
-    """The client of this connection takes nothing from now on; a call that makes it read again."""
-    send, away = Stream._send, [True]
-    monkeypatch.setattr(
-        Stream, "_send", lambda stream, data: 0 if away[0] and stream is link.stream else send(stream, data)
-    )
-
-    def reads():
-        away[0] = False
-        link.stream._flush()
-
-    return reads
-
-
 def test_a_client_that_takes_nothing_for_a_while_still_gets_the_answers_it_waits_for(gate, monkeypatch):
     made, held = holding(gate)
     client = made.client()
     client.ask(1, d=2900)
     client.ask(2, d=2900)
     made.until(lambda: len(held) == 2)
-    (link,) = made.process.front.links
-    reads = deaf(link, monkeypatch)
+    (link,) = made.process.front.active_connections
+    reads = takes_nothing(link, monkeypatch)
     made.hosts[0].serve(*held[0])
     made.until(lambda: link.stream.bytes_unsent)
-    made.passes(links.PROGRESS + MILLI)
-    made.passes(fronts.SWEEP)
+    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    made.passes(fronts.SWEEP_INTERVAL)
     made.hosts[0].serve(*held[1])
-    made.until(lambda: not link.open)
+    made.until(lambda: not link.open_requests)
     made.passes(700 * MILLI)
-    assert not client.answers and not client.ended
+    assert not client.answers
+    assert not client.ended
     reads()
     made.until(lambda: len(client.answers) == 2)
     assert codes(client)[0] == {1: None, 2: None}
@@ -205,25 +191,26 @@
     client = made.client()
     client.ask(1, d=1000)
     made.until(lambda: client.answers)
-    (link,) = made.process.front.links
-    deaf(link, monkeypatch)
+    (link,) = made.process.front.active_connections
+    takes_nothing(link, monkeypatch)
     client.ask(2, d=1000)
     made.until(lambda: link.stream.bytes_unsent)
-    made.passes(links.PROGRESS + MILLI)
-    made.passes(fronts.SWEEP)
-    assert client.ended and made.process.front.deaf == 1
+    made.passes(connections.PROGRESS_TIMEOUT + MILLI)
+    made.passes(fronts.SWEEP_INTERVAL)
+    assert client.ended
+    assert made.process.front.unresponsive == 1
 
 
 def test_of_clients_that_hold_too_much_together_those_who_are_owed_nothing_go_first(gate, monkeypatch):
-    monkeypatch.setattr(fronts, "WEIGHT", 60_000)
+    monkeypatch.setattr(fronts, "MAX_BUFFERED", 60_000)
     made, held = holding(gate)
     clients = [made.client() for _ in range(2)]
     clients[0].ask(1)
     made.until(lambda: held)
     for client, size in zip(clients, (40_000, 30_000), strict=True):
         client.send(b"Content-Length: 45000\r\n\r\n" + b"x" * size)
-    made.until(lambda: sum(link.weight() for link in made.process.front.links) == 70_000)
-    made.passes(fronts.SWEEP)
+    made.until(lambda: sum(link.buffered_bytes() for link in made.process.front.active_connections) == 70_000)
+    made.passes(fronts.SWEEP_INTERVAL)
     assert [client.ended for client in clients] == [False, True]
     made.hosts[0].serve(*held[0])
     made.until(lambda: clients[0].answers)
--- a/tests/fronts/test_unanswered_resting.py
+++ b/tests/fronts/test_unanswered_resting.py
@@ -2,9 +2,10 @@
 is over, where a full house or a shortage of descriptors asks for room, and at the end of the process."""
 
 import pytest
+from request_scenarios import codes, takes_nothing
 from scripted import MILLI, SECOND, Handed
 
-from tests.fronts.test_unanswered_requests import BAD, codes, deaf
+from tests.fronts.test_unanswered_requests import BAD
 
 
 def resting(made, asks=1):
@@ -32,7 +33,7 @@
 
 
 def closed_by_its_owner(connections, made):
-    connections.close_owned(made.process.front.number)
+    connections.close_owned(made.process.front.owner_id)
 
 
 @pytest.mark.parametrize("close", [over_time, displaced, short_of_descriptors, closed_by_its_owner])
@@ -46,7 +47,8 @@
     client.ask(asks + 1)
     close(made.process.front.connections, made)
     made.until(lambda: len(client.answers) == asks + 1)
-    assert set(codes(client)[0].values()) == {None} and not client.ended
+    assert set(codes(client)[0].values()) == {None}
+    assert not client.ended
     made.turns()
     assert quiet.ended
 
@@ -65,9 +67,10 @@
         drop(fd)
 
     said, connections._close_parked = [], slow_close
-    connections.close_owned(made.process.front.number)
+    connections.close_owned(made.process.front.owner_id)
     made.until(lambda: last.answers)
-    assert codes(last)[0] == {1: None} and [client.ended for client in clients] == [True, True, False]
+    assert codes(last)[0] == {1: None}
+    assert [client.ended for client in clients] == [True, True, False]
 
 
 def test_who_was_accepted_for_one_who_rested_stays_although_that_one_has_just_spoken(gate):
@@ -88,7 +91,8 @@
 
     connections._evict_one = all_have_spoken
     made.until(lambda: late.answers and all(client.answers for client in clients))
-    assert codes(late)[0] == {1: None} and made.process.front.turned_away == 0
+    assert codes(late)[0] == {1: None}
+    assert made.process.front.rejected_connections == 0
 
 
 def test_a_connection_whose_answers_are_on_their_way_makes_no_room(gate, monkeypatch):
@@ -96,15 +100,16 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    (link,) = made.process.front.links
-    reads = deaf(link, monkeypatch)
+    (link,) = made.process.front.active_connections
+    reads = takes_nothing(link, monkeypatch)
     client.ask(2)
     made.until(lambda: link.stream.bytes_unsent)
     client.send(BAD)
     made.until(lambda: made.loop.closing_streams)
     made.passes(200 * MILLI)
     connections = made.process.front.connections
-    assert connections._evictable_stream() is None and not connections._evict_one()
+    assert connections._evictable_stream() is None
+    assert not connections._evict_one()
     reads()
     made.until(lambda: client.ended)
     assert codes(client)[0] == {1: None, 2: None}
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -4,15 +4,15 @@
 import time
 
 import pytest
+from request_scenarios import fill_after
 from scripted import MILLI, SECOND, HeldDials
 
 from gaproute.http1 import Limits, Server
-from gaproute.http1 import client as http_clients
+from gaproute.http1 import exchange as exchanges
 from gaproute.interface import Result
 from gaproute.loop import Loop, connect
 from gaproute.loop.addresses import address
 from tests.appliance.test_departed_forwarded import CALL, Way
-from tests.fronts.test_departed_attempts import Clogged
 from tests.http1.test_http1 import HEAD
 
 SLACK = 150  # ms, by the operators' terms
@@ -30,7 +30,7 @@
 
 
 def test_a_forwarded_call_carries_what_is_left_after_its_dial(way, monkeypatch):
-    monkeypatch.setattr(http_clients, "connect", dials := HeldDials())
+    monkeypatch.setattr(exchanges, "connect", dials := HeldDials())
     way.forward(within=2 * SECOND)
     time.sleep(0.6)
     loop, where, within, done, _ = dials.held[0]
@@ -60,15 +60,15 @@
     way.server.answer(way.came[0], 200, (), b"")
     way.until(lambda: way.heard)
     ((link,),) = [host.idle for host in way.entries.hosts.hosts.values()]
-    link.stream.sock = clog = Clogged(link.stream.sock, 0)
+    full = fill_after(link, 0)
     hold = way.forward()
     way.until(lambda: len(way.heard) == 2)
-    clog.let()
+    full.emptied()
     way.loop.run(until=way.loop.sleep(20 * MILLI))
     assert way.heard[1].result is Result.CONNECT_FAILED
     assert len(way.came) == 1
     assert not link.open
-    assert not hold.exchange.handed
+    assert not hold.exchange.any_byte_sent
 
 
 @pytest.fixture
@@ -104,12 +104,12 @@
     assert len(held) == 2
     server.answer(held[0], 200, (), b"")
     until(loop, lambda: len(held) == 3)
-    assert loop.now() - held[2].arrived >= 280 * MILLI
+    assert loop.now() - held[2].arrived_at >= 280 * MILLI
     for request in held[1:]:
         server.answer(request, 200, (), b"")
     client.sendall(REQUEST)  # read as it comes
     until(loop, lambda: len(held) == 4)
-    assert loop.now() - held[3].arrived <= SLACK * MILLI
+    assert loop.now() - held[3].arrived_at <= SLACK * MILLI
 
 
 @pytest.mark.parametrize("waits", [0, 300])
@@ -118,4 +118,4 @@
     client.sendall(REQUEST)
     time.sleep(waits / 1000)
     until(loop, lambda: held)
-    assert (waits - 20) * MILLI <= loop.now() - held[0].arrived <= (waits + SLACK) * MILLI
+    assert (waits - 20) * MILLI <= loop.now() - held[0].arrived_at <= (waits + SLACK) * MILLI
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from gaproute.http1 import Fault, Limits, Reader, Server
+from gaproute.http1 import HttpError, Limits, RequestReader, Server
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 
@@ -12,7 +12,7 @@
 
 
 def reader(head=1024, body=100):
-    return Reader(True, lambda: 5, head, body)
+    return RequestReader(lambda: 5, head, body)
 
 
 def test_pipelined_requests_come_whole_however_the_bytes_are_cut():
@@ -25,16 +25,19 @@
     for cut in range(1, len(data)):
         read = reader()
         got = read.feed(data[:cut]) + read.feed(data[cut:])
-        assert [request.body for request in got] == [b"abc", b"de"] and got[0].arrived == 5
+        assert [request.body for request in got] == [b"abc", b"de"]
+        assert got[0].arrived_at == 5
 
 
 def test_names_are_lower_case_and_repeats_are_joined():
     (request,) = reader().feed(HEAD + b"X-A: 1\r\nx-a: 2\r\nContent-Length: 0\r\n\r\n")
-    assert request.headers[b"x-a"] == b"1, 2" and request.target == b"/x" and request.method == b"POST"
+    assert request.headers[b"x-a"] == b"1, 2"
+    assert request.target == b"/x"
+    assert request.method == b"POST"
 
 
 @pytest.mark.parametrize(
-    "data, status",
+    ("data", "status"),
     [
         (HEAD + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", 400),
         (HEAD + b"Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400),
@@ -58,22 +61,30 @@
     ],
 )
 def test_what_breaks_the_protocol_or_a_limit_is_a_clear_refusal(data, status):
-    with pytest.raises(Fault) as fault:
-        read = reader(1024 if len(data) < 5000 else 20000)
-        assert read.feed(data) == []
-    assert fault.value.status == status
+    read = reader(1024 if len(data) < 5000 else 20000)
+    with pytest.raises(HttpError) as refused:
+        read.feed(data)
+    assert refused.value.status == status
 
 
 def test_random_bytes_are_refused_or_waited_for_and_never_an_error():
-    chance = random.Random(1)
+    chance, statuses = random.Random(1), []
     for _ in range(2000):
         noise = bytearray(HEAD + b"Content-Length: 3\r\n\r\nabc")
         for _ in range(chance.randrange(1, 6)):
             noise[chance.randrange(len(noise))] = chance.randrange(256)
-        try:
-            reader().feed(bytes(noise))
-        except Fault as fault:
-            assert 400 <= fault.status < 600
+        statuses += statuses_of(bytes(noise))
+    assert statuses
+    assert all(400 <= status < 600 for status in statuses)
+
+
+def statuses_of(data):
+    """The status by which the bytes are refused, in a list; none where they are whole or waited for."""
+    try:
+        reader().feed(data)
+    except HttpError as refused:
+        return [refused.status]
+    return []
 
 
 @pytest.fixture
@@ -142,10 +153,11 @@
     client.sendall(HEAD + b"Content-Length: 1\r\n\r\na")
     turns(loop, lambda: held)
     left = []
-    held[0].left = lambda: (left.append(True), server.answer(held[0], 504, (), b"bye"))
+    held[0].on_client_left = lambda: (left.append(True), server.answer(held[0], 504, (), b"bye"))
     client.shutdown(socket.SHUT_WR)
     turns(loop, lambda: left)
-    assert b"504" in client.recv(4096) and client.recv(1) == b""
+    assert b"504" in client.recv(4096)
+    assert client.recv(1) == b""
 
 
 def test_one_that_closes_its_side_while_more_of_it_is_left_unread_has_left_too(served):
@@ -155,22 +167,27 @@
         loop.run(until=loop.sleep(2_000_000))
     left = []
     for request in held:
-        request.left = lambda request=request: (left.append(True), server.answer(request, 504, (), b"bye"))
+        request.on_client_left = lambda request=request: (
+            left.append(True),
+            server.answer(request, 504, (), b"bye"),
+        )
     client.shutdown(socket.SHUT_WR)
     turns(loop, lambda: left)
-    assert len(left) == len(held) == 2 and client.recv(4096).count(b"504") == 2 and client.recv(1) == b""
-    turns(loop, lambda: not server.held)
+    assert len(left) == len(held) == 2
+    assert client.recv(4096).count(b"504") == 2
+    assert client.recv(1) == b""
+    turns(loop, lambda: not server.connection_count)
 
 
 def test_a_slow_request_is_told_so_and_an_idle_connection_closed(served):
     loop, server, held, client = served
     client.sendall(HEAD)
-    turns(loop, lambda: server.held)
-    turns(loop, lambda: not server.held)
+    turns(loop, lambda: server.connection_count)
+    turns(loop, lambda: not server.connection_count)
     assert client.recv(4096).startswith(b"HTTP/1.1 408")
     with socket.create_connection(client.getpeername()) as idle:
-        turns(loop, lambda: server.held)
-        turns(loop, lambda: not server.held)
+        turns(loop, lambda: server.connection_count)
+        turns(loop, lambda: not server.connection_count)
         idle.settimeout(5)
         assert idle.recv(1) == b""
 
@@ -179,13 +196,15 @@
     loop, server, held, client = served
     client.sendall((HEAD + b"Content-Length: 0\r\n\r\n") * 2)
     turns(loop, lambda: len(held) == 2)
-    (link,) = server.links
+    (link,) = server.active_connections
     for request in held[:2]:
         server.answer(request, 200, (), b"x" * (8 << 20))
-    assert link.stream.bytes_unsent > 8 << 20 and not link.stream.reading
+    assert link.stream.bytes_unsent > 8 << 20
+    assert not link.stream.reading
     client.sendall(HEAD + b"Content-Length: 0\r\n\r\n")
-    turns(loop, lambda: not server.held)
-    assert len(held) == 2 and link.stream.bytes_unsent == 0
+    turns(loop, lambda: not server.connection_count)
+    assert len(held) == 2
+    assert link.stream.bytes_unsent == 0
 
 
 def test_what_was_whole_before_a_fault_is_still_answered(served):
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -12,9 +12,9 @@
 
 from gaproute.benchlink.decoding import decode_terms
 from gaproute.discovery.changelog import events
+from gaproute.fronts.jsonrpc import connection as connections
 from gaproute.fronts.jsonrpc import front as fronts
-from gaproute.fronts.jsonrpc import link as links
-from gaproute.fronts.jsonrpc import messages
+from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.loop.datagrams import Datagrams
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration
 from gaproute.platform.log import Log
@@ -59,10 +59,10 @@
 @pytest.mark.parametrize(
     ("told", "code"),
     [
-        ({"method": "no-such-class"}, messages.NO_METHOD),
-        ({"d": -1}, messages.NO_PARAMS),
-        ({"extras": "lanes:x"}, messages.NO_PARAMS),
-        ({"i": "short"}, messages.NO_PARAMS),
+        ({"method": "no-such-class"}, ErrorCode.METHOD_NOT_FOUND),
+        ({"d": -1}, ErrorCode.INVALID_PARAMS),
+        ({"extras": "lanes:x"}, ErrorCode.INVALID_PARAMS),
+        ({"i": "short"}, ErrorCode.INVALID_PARAMS),
     ],
 )
 def test_bad_input_gets_an_error_and_reaches_no_host(gate, told, code):
@@ -92,8 +92,8 @@
     client = made.client()
     client.send(data)
     made.until(lambda: client.ended)
-    assert client.answers[0]["error"]["code"] == messages.UNREADABLE
-    made.until(lambda: not made.process.front.links)
+    assert client.answers[0]["error"]["code"] == ErrorCode.PARSE_ERROR
+    made.until(lambda: not made.process.front.active_connections)
     assert made.process.front.connections.client_count == 0
 
 
@@ -107,8 +107,8 @@
     client.ask(1, i=f"{9:016x}")
     made.until(lambda: len(client.answers) == 2)
     assert [(each["id"], each["error"]["code"]) for each in client.answers] == [
-        (2, messages.NO_PARAMS),
-        (None, messages.NO_REQUEST),
+        (2, ErrorCode.INVALID_PARAMS),
+        (None, ErrorCode.INVALID_REQUEST),
     ]
     for stream, command in held:
         made.hosts[0].serve(stream, command)
@@ -123,7 +123,7 @@
     for number in range(1, 34):
         client.ask(number)
     made.until(lambda: client.answers)
-    assert [(each["id"], each["error"]["code"]) for each in client.answers] == [(33, messages.REFUSED)]
+    assert [(each["id"], each["error"]["code"]) for each in client.answers] == [(33, ErrorCode.REJECTED)]
 
 
 def test_an_abort_halts_the_relay_and_nothing_is_answered(gate):
@@ -135,7 +135,7 @@
     made.until(lambda: made.hosts[0].seen("halt"))
     made.until(lambda: not made.process.core.in_flight)
     assert client.answers == []
-    assert not made.process.front.marks
+    assert not made.process.front.open_request_ids
 
 
 def test_a_client_that_goes_takes_its_requests_with_it(gate):
@@ -145,8 +145,8 @@
     made.until(lambda: made.came())
     client.stream.abort()
     made.until(lambda: not made.process.core.in_flight)
-    assert not made.process.front.marks
-    assert not made.process.front.links
+    assert not made.process.front.open_request_ids
+    assert not made.process.front.active_connections
 
 
 def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
@@ -173,9 +173,9 @@
 
 
 def test_a_connection_that_sends_nothing_or_half_a_message_is_closed(gate, monkeypatch):
-    monkeypatch.setattr(fronts, "FIRST_WORD", 30 * MILLI)
-    monkeypatch.setattr(links, "PROGRESS", 30 * MILLI)
-    monkeypatch.setattr(fronts, "SWEEP", 10 * MILLI)
+    monkeypatch.setattr(fronts, "FIRST_MESSAGE_TIMEOUT", 30 * MILLI)
+    monkeypatch.setattr(connections, "PROGRESS_TIMEOUT", 30 * MILLI)
+    monkeypatch.setattr(fronts, "SWEEP_INTERVAL", 10 * MILLI)
     made = gate()
     silent, half = made.client(), made.client()
     half.send(b"Content-Length: 50\r\n\r\nhalf")
@@ -184,8 +184,8 @@
 
 
 def test_resting_connections_make_room_and_those_at_work_stay(gate, monkeypatch):
-    monkeypatch.setattr(links, "QUIET", 0)
-    monkeypatch.setattr(fronts, "SWEEP", 5 * MILLI)
+    monkeypatch.setattr(connections, "QUIET_TIME", 0)
+    monkeypatch.setattr(fronts, "SWEEP_INTERVAL", 5 * MILLI)
     made = gate(sockets=90)
     made.process.front.connections.admission.min_idle = 0
     most = made.process.front.connections.admission.max_connections
@@ -211,7 +211,7 @@
         made.until(lambda: clients[-1].answers)
         end = made.loop.now() + 400 * MILLI // most
         made.until(lambda end=end: made.loop.now() >= end)
-    assert made.process.front.turned_away == 0
+    assert made.process.front.rejected_connections == 0
     assert made.process.front.connections.evicted >= most
 
 
@@ -231,7 +231,7 @@
     for each in held:
         made.hosts[0].serve(*each)
     made.until(lambda: all(client.answers for client in clients))
-    assert made.process.front.turned_away == 0
+    assert made.process.front.rejected_connections == 0
 
 
 def test_a_new_file_moves_the_log_and_a_bad_one_changes_nothing(gate):
