--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -9,12 +9,12 @@
 from gaproute.shared.dissemination import DocumentError
 
 
-class Contradiction(TableError):
+class ContradictionError(TableError):
     """A table of the version that is held, but with other content."""
 
 
 # Why a table of the file is refused, as the status counts it.
-REASONS = {OtherFleet: "other fleet", StaleVersion: "older", Contradiction: "contradicts"}
+REASONS = {OtherFleet: "other fleet", StaleVersion: "older", ContradictionError: "contradicts"}
 WRONG_FILE = "wrong file"
 
 
@@ -25,7 +25,7 @@
     return TableChange(after.fleet, before.version, after.version, rows, removed)
 
 
-class Table:
+class CellTableSource:
     """`adopted(table)` for each newer one, wherever it came from. `carrier`: what tells it to other gateways
     and hears it from them."""
 
@@ -74,7 +74,7 @@
         if table.fleet != self.line.fleet:
             raise OtherFleet(self.line.fleet, table.fleet)
         if held is not None and table.version == held.version:
-            raise Contradiction(f"version {table.version} is held with other content")
+            raise ContradictionError(f"version {table.version} is held with other content")
         if held is not None and table.version < held.version:
             raise StaleVersion(held.version, table.version)
 
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -3,7 +3,7 @@
 
 from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.cell_rows import CellRows
-from gaproute.appliance.cell_table import Table
+from gaproute.appliance.cell_table import CellTableSource
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.core.cellular import CellularCore
 from gaproute.decisions.cells.cellular import CellularGateway
@@ -22,14 +22,14 @@
 WRONG_MEMBER = "wrong host of a source"
 
 
-class Cells:
+class CellServices:
     """The parts that a gateway in a fleet of cells has in place of a whole fleet's: `gateway`, `hosts`,
-    `core`. `enlisted(rows)` is called with all hosts known each time that they change, before the
+    `core`. `hosts_changed(rows)` is called with all hosts known each time that they change, before the
     decisions."""
 
-    def __init__(self, loop, configuration, record, seed, reach, run, enlisted):
+    def __init__(self, loop, configuration, record, seed, reach, run, hosts_changed):
         self.loop, self.configuration, self.line = loop, configuration, configuration.cells
-        self.record, self.enlisted = record, enlisted
+        self.record, self.hosts_changed = record, hosts_changed
         place = Place(configuration.name, self.line.region, self.line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), place)
         self.hosts = CellHosts(loop, Pooling(), reach, configuration.name)
@@ -38,7 +38,7 @@
             loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
         )
         # What gateways of one fleet tell each other of hosts is not told of cells: this one knows of none.
-        self.unused = Gateway(seed, configuration.terms, loop.now())
+        self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
         self.rows = CellRows(loop, configuration.sizes_reported)
         self.lists = self._lists(configuration.cell_hosts, seed)
         self.look_every = configuration.cell_hosts.look
@@ -46,10 +46,10 @@
         self.lists_refused = self.members_refused = 0
         self.seed, self.table, self.timer = seed, None, None
 
-    def listen(self, others, ready):
+    def listen(self, peer_services, ready):
         """Take calls that other gateways forward, and the table that they tell, at the address of the peers.
         Returns the front of those calls."""
-        giver = others.giver
+        giver = peer_services.observation_server
         front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
         giver.calls = front.handle
         line = self.line
@@ -57,13 +57,13 @@
             self.loop,
             self.configuration.name,
             line.fleet,
-            others.gossip,
+            peer_services.membership_transport,
             giver,
             Chance(self.seed + CARRIER_SEED),
             self.record,
             path=line.kept,
         )
-        self.table = Table(self.loop, line, self.record, carrier, self._adopted)
+        self.table = CellTableSource(self.loop, line, self.record, carrier, self._table_adopted)
         return front
 
     def start(self):
@@ -71,7 +71,7 @@
         self.table.start()
         self._look()
 
-    def peers(self, peers):
+    def update_peers(self, peers):
         """The other gateways of the configuration, {name: address}."""
         self.table.carrier.peers(tuple(Peer(name, where) for name, where in peers.items()))
 
@@ -80,7 +80,7 @@
         self.table.read()
         self.lists.read()
 
-    def _adopted(self, table):
+    def _table_adopted(self, table):
         """A newer table has come."""
         now = self.loop.now()
         self.gateway.adopt(now, table)
@@ -94,12 +94,12 @@
     def _lists(self, line, seed):
         """The host lists, from files or from sources."""
         if line.folder is not None:
-            return CellLists(self.loop, line, self._listed, self._list_refused)
+            return CellLists(self.loop, line, self._apply_lists, self._list_refused)
         return FollowedLists(
             self.loop,
             self.line.fleet,
             line,
-            self._listed,
+            self._apply_lists,
             self._members_refused,
             self._source_trouble,
             Chance(seed + SOURCES_SEED),
@@ -137,13 +137,13 @@
             known = self.gateway.local.gateways
             if any(cell not in known for cell in self.told):  # let go and wanted again meanwhile
                 self.told = {cell: lines for cell, lines in self.told.items() if cell in known}
-                self._listed(self.lists.good)
+                self._apply_lists(self.lists.good)
 
-    def _listed(self, lists):
+    def _apply_lists(self, lists):
         """All lists in force. The host connections come first: the decisions may wish for a new host at
         once."""
         rows = self.rows.of(lists, self.lists.zones, self.lists.current_at())
-        self.enlisted([row for of_cell in rows.values() for row in of_cell])
+        self.hosts_changed([row for of_cell in rows.values() for row in of_cell])
         before, self.told = self.told, dict(lists)
         for cell, of_cell in rows.items():
             if before.get(cell) != lists[cell]:
@@ -159,7 +159,7 @@
         single = self.gateway.single
         return [single] if single is not None else list(self.gateway.local.gateways.values())
 
-    def leads_on(self):
+    def can_forward(self):
         """Whether calls can be forwarded to another gateway."""
         table = self.table.held
         return table is not None and any(self.gateway.entries.order(cell) for cell in table.cells)
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -5,9 +5,9 @@
 import signal
 from functools import partial
 
-from gaproute.appliance.cells import Cells
+from gaproute.appliance.cells import CellServices
 from gaproute.appliance.operator import Operator
-from gaproute.appliance.others import Others
+from gaproute.appliance.peer_services import PeerServices
 from gaproute.connections import Lot
 from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
@@ -24,12 +24,12 @@
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import Record
 
-LAST_REQUEST = 1_500_000_000  # ns after a stop, for requests on connections accepted before to come in:
+LATE_REQUEST_TIME = 1_500_000_000  # ns after a stop, for requests on connections accepted before to come in:
 #                               more than until a connection that was at work is parked
-LONGEST_GRANTED = 3_000_000_000  # ns, as which longer deadlines count for the time of a SIGKILL
-GRANTED = 700_000_000  # ns beyond the longest deadline, after SIGTERM, from which on SIGKILL may come
-AHEAD = 100_000_000  # ns before that, by which what is held has its answer
-LAST_WORDS = 200_000_000  # ns, after the last client's connection, for words to other gateways to leave
+MAX_COUNTED_DEADLINE = 3_000_000_000  # ns, as which longer deadlines count for the time of a SIGKILL
+KILL_GRACE = 700_000_000  # ns beyond the longest deadline, after SIGTERM, from which on SIGKILL may come
+ANSWER_MARGIN = 100_000_000  # ns before that, by which what is held has its answer
+LEAVE_TIME = 200_000_000  # ns, after the last client's connection, for words to other gateways to leave
 
 
 class Appliance:
@@ -49,22 +49,26 @@
             self.hosts, self.cells = Hosts(loop, Pooling(), reach, configuration.name), None
             self.core = Core(loop, gateway, configuration.terms, self.hosts, self.record, run)
         else:
-            self.cells = Cells(loop, configuration, self.record, seed, reach, run, self.enlisted)
-            self.hosts, self.core, gateway = self.cells.hosts, self.cells.core, self.cells.unused
+            self.cells = CellServices(loop, configuration, self.record, seed, reach, run, self.hosts_changed)
+            self.hosts, self.core, gateway = self.cells.hosts, self.cells.core, self.cells.placeholder_gateway
         self.listing = Listing(loop, sizes=configuration.sizes_reported)
         self.rows = {}
         self.stopping = False
-        self.shared = False  # other processes serve at the clients' addresses, also after this one's stop
+        self.address_shared = (
+            False  # other processes serve at the clients' addresses, also after this one's stop
+        )
         self.seed = seed
         self.client_fronts = []
-        self.fronts, self.watch, self.started = [], None, loop.now()
+        self.fronts, self.host_list_watch, self.started = [], None, loop.now()
         self.lot = Lot.of(loop)
         clients = configuration.clients
         self.lot.admission = Admission(
             clients.connections, clients.per_address, descriptors(), Chance(seed + 3)
         )
-        self.make_others = partial(Others, loop, configuration, gateway, self.record, seed, self.cells)
-        self.others = self.make_others()
+        self.make_peer_services = partial(
+            PeerServices, loop, configuration, gateway, self.record, seed, self.cells
+        )
+        self.peer_services = self.make_peer_services()
 
     def start(self):
         """Errors: OSError where an address cannot be listened on; nothing listens then, and it may be called
@@ -83,26 +87,28 @@
                     self.fronts.append(front)
                     self.client_fronts.append(front)
                 elif kind == "peers":
-                    self.fronts.append(self.others.listen(where))
+                    self.fronts.append(self.peer_services.listen(where))
                     if self.cells is not None:
-                        self.client_fronts.append(self.cells.listen(self.others, self.ready))
+                        self.client_fronts.append(self.cells.listen(self.peer_services, self.ready))
                 else:
                     self.fronts.append(Operator(self.loop, address(where), self))
         except OSError as fault:
-            for front in [*self.fronts, self.others]:
+            for front in [*self.fronts, self.peer_services]:
                 front.close()
-            self.fronts, self.client_fronts, self.others = [], [], self.make_others()
+            self.fronts, self.client_fronts, self.peer_services = [], [], self.make_peer_services()
             raise OSError(fault.errno, f"{where}: {fault.strerror}") from fault
-        if self.others.weak is not None:
-            self.core.arrived = self.others.weak.arrived
+        if self.peer_services.gossip_carrier is not None:
+            self.core.arrived = self.peer_services.gossip_carrier.arrived
         source = self.configuration.hosts_file
         if self.cells is not None:
             self.cells.start()
         elif source is None:
-            self.listed(self.configuration.hosts)
+            self.update_hosts(self.configuration.hosts)
         else:
-            self.watch = FileWatch(self.loop, source.path, source.look, self.listed, self.list_refused)
-        self.others.start()
+            self.host_list_watch = FileWatch(
+                self.loop, source.path, source.look, self.update_hosts, self.host_list_rejected
+            )
+        self.peer_services.start()
         self.log.info(
             "started",
             listens=[front.address for front in self.fronts],
@@ -111,19 +117,21 @@
             clients=self.lot.admission.most,
         )
 
-    def listed(self, lines):
+    def update_hosts(self, lines):
         """A whole host list. The host connections come first: the module may wish for a new host at once."""
-        rows = self.listing.rows(lines, self.watch.current_at if self.watch is not None else None)
-        self.enlisted(rows)
+        rows = self.listing.rows(
+            lines, self.host_list_watch.current_at if self.host_list_watch is not None else None
+        )
+        self.hosts_changed(rows)
         self.core.listed([row.listed for row in rows], True)
-        self.others.hosts_listed(
+        self.peer_services.update_hosts(
             {
                 name: (row.listed.state.value, (self.listing.starts.get(name) or (0,))[0])
                 for name, row in self.rows.items()
             }
         )
 
-    def enlisted(self, rows):
+    def hosts_changed(self, rows):
         """All hosts known: to the connections and the log."""
         before, self.rows = self.rows, {row.listed.worker: row for row in rows}
         self.hosts.listed(rows, True)
@@ -132,7 +140,7 @@
             new = self.rows.get(name)
             self.record.event("info", "host", name=name, state=new.listed.state.value if new else "gone")
 
-    def list_refused(self, mistakes):
+    def host_list_rejected(self, mistakes):
         for mistake in mistakes:
             self.record.event("error", "host list refused", mistake=str(mistake))
 
@@ -142,11 +150,11 @@
     def address_ready(self):
         """Whether the clients' addresses are served: where others accept there too, also while this process
         stops."""
-        return (self.shared or not self.stopping) and self._has_active()
+        return (self.address_shared or not self.stopping) and self._has_active()
 
     def _has_active(self):
         active = any(row.listed.state is State.ACTIVE for row in self.rows.values())
-        return active or self.cells is not None and self.cells.leads_on()
+        return active or self.cells is not None and self.cells.can_forward()
 
     # Stop
 
@@ -158,61 +166,61 @@
         self.stopping = True
         self.log.info("stopping", held=len(self.core.held))
         for front in self.client_fronts:
-            front.stop(LAST_REQUEST)
+            front.stop(LATE_REQUEST_TIME)
         for front in self.fronts:
             if front not in self.client_fronts:
                 front.stop()
-        self.others.stop()
+        self.peer_services.stop()
         if self.cells is not None:
             self.cells.stop()
-        self.core.end_by(self.loop.now() + self._granted())
+        self.core.end_by(self.loop.now() + self._answer_time())
         self.core.emptied = self._emptied
         for front in self.client_fronts:
             front.on_emptied(self._emptied)
-        self.loop.after(LAST_REQUEST + self.configuration.longest + LAST_WORDS, self.loop.stop)
+        self.loop.after(LATE_REQUEST_TIME + self.configuration.longest + LEAVE_TIME, self.loop.stop)
         self._emptied()
 
-    def _granted(self):
+    def _answer_time(self):
         """For how long after a stop tasks are held: the process may be killed soon after that."""
         return (
-            min(self.configuration.longest, LONGEST_GRANTED)
-            + GRANTED
-            - AHEAD
+            min(self.configuration.longest, MAX_COUNTED_DEADLINE)
+            + KILL_GRACE
+            - ANSWER_MARGIN
             - self.configuration.clients.way_back
         )
 
     def _emptied(self):
         """Ends the loop once no task is held and no client's connection is left."""
         if not self.core.held and not any(front.held for front in self.client_fronts):
-            self.loop.after(LAST_WORDS, self.loop.stop)
+            self.loop.after(LEAVE_TIME, self.loop.stop)
 
-    def heed_signals(self):
+    def handle_signals(self):
         """SIGTERM and SIGINT stop, SIGHUP reads the host list again. Before `start`, so that none is
         missed."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
-        self.loop.on_signal(signal.SIGHUP, self.read)
+        self.loop.on_signal(signal.SIGHUP, self.reload_host_lists)
 
-    def read(self):
+    def reload_host_lists(self):
         """Read the host list again."""
-        watch = self.watch or self.cells
+        watch = self.host_list_watch or self.cells
         if watch is not None:
             watch.read()
 
-    def under(self, life, ready):
+    def attach_to_parent(self, life, ready):
         """Stands under a parent: says that it serves on the descriptor `ready`, stops when `life` ends, which
         is the end of all. A stop before that is this process's alone."""
-        self.shared = True
-        self.loop.watch(life, READ, lambda events: self._parent_gone(life))
+        self.address_shared = True
+        self.loop.watch(life, READ, lambda events: self._parent_ended(life))
         try:
             os.write(ready, b"ready")
         except OSError:
             pass  # nobody reads: the parent is gone, which `life` tells
         os.close(ready)
 
-    def _parent_gone(self, life):
+    def _parent_ended(self, life):
         self.loop.unwatch(life)
-        self.shared = False
+        self.address_shared = False
         for front in self.client_fronts:
             front.alone()
         self.stop()
@@ -222,13 +230,15 @@
         self.close()
         lived = max(1, self.loop.now() - self.started)
         self.log.info(
-            "stopped", held=len(self.core.held), telling_share=round(self.others.spent() / lived, 6)
+            "stopped",
+            held=len(self.core.held),
+            telling_share=round(self.peer_services.cpu_spent() / lived, 6),
         )
 
     def close(self):
         for front in self.fronts:
             front.close()
-        for part in (self.watch, self.cells, self.others):
+        for part in (self.host_list_watch, self.cells, self.peer_services):
             if part is not None:
                 part.close()
         self.hosts.close()
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -10,8 +10,12 @@
 
 
 def status(gate):
-    counts, others, lot, hosts = gate.record.table(), gate.others, gate.lot, gate.hosts
-    giver, writer, learner = others.giver, others.observation_writer, others.learner
+    counts, peer_services, lot, hosts = gate.record.table(), gate.peer_services, gate.lot, gate.hosts
+    giver, writer, learner = (
+        peer_services.observation_server,
+        peer_services.observation_writer,
+        peer_services.observation_fetcher,
+    )
     return {
         "name": gate.configuration.name,
         "stopping": gate.stopping,
@@ -31,12 +35,15 @@
             "kept_back": lot.admission.reserve,
         },
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
-        "gateways": others.gossip.membership.live_count() if others.gossip else None,
+        "gateways": peer_services.membership_transport.membership.live_count()
+        if peer_services.membership_transport
+        else None,
         "cells": gate.cells and gate.cells.status(),
-        "weak_word": others.weak and others.weak.weak.status(gate.loop.now()),
+        "weak_word": peer_services.gossip_carrier
+        and peer_services.gossip_carrier.weak.status(gate.loop.now()),
         "learnt": {
-            "facts": len(others.lore.facts),
-            "refused": dict(others.lore.refused),
+            "facts": len(peer_services.observations.facts),
+            "refused": dict(peer_services.observations.refused),
             "peers": learner.state if learner else {},
             "booked": learner.booked if learner else 0,
             "right": sum(each.right for each in decisions(gate)),
@@ -83,7 +90,7 @@
     for name, function in (pair for each in decisions(gate) for pair in each.functions.items()):
         for tried, table in ((True, function.seen), (False, function.told)):
             for worker, seen in table.items():
-                fact = gate.others.lore.facts.get(("warm", worker, name))
+                fact = gate.peer_services.observations.facts.get(("warm", worker, name))
                 told.append(
                     {
                         "worker": worker,
@@ -102,15 +109,15 @@
 
 def peer_table(gate):
     """The gateways that are known: membership's view, and what each told at the start."""
-    learnt = gate.others.learner.state if gate.others.learner else {}
-    gossip = gate.others.gossip
+    learnt = gate.peer_services.observation_fetcher.state if gate.peer_services.observation_fetcher else {}
+    gossip = gate.peer_services.membership_transport
     rows = gossip.table() if gossip else [{"name": name, "state": None} for name in learnt]
     return [row | {"learnt": learnt.get(row["name"])} for row in rows]
 
 
 def leases(gate):
     """The leases of this gateway, and its part in the Raft group."""
-    return gate.others.leases and gate.others.leases.table()
+    return gate.peer_services.leases and gate.peer_services.leases.table()
 
 
 def events(gate):
@@ -148,7 +155,7 @@
 
     def execute(self, request):
         """A lease requested, extended or released for whoever asks (`docs/leases.md`)."""
-        service, status = self.gate.others.leases, 200
+        service, status = self.gate.peer_services.leases, 200
         try:
             if service is None:
                 raise ValueError("no keepers line in the configuration")
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -25,19 +25,19 @@
 from gaproute.telemetry.logs import logger
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-RELOAD_FIRST, RELOAD_LONGEST = 50 * MILLI, SECOND  # between tries to reload, or to start a child
-CHILD_TRIES = 8  # to start a child of a new configuration, some 4 s in all
-READY_TIME = 30 * SECOND  # for a child to start, on a crowded machine
+MIN_BACKOFF, MAX_BACKOFF = 50 * MILLI, SECOND  # between tries to reload, or to start a child
+MAX_START_ATTEMPTS = 8  # to start a child of a new configuration, some 4 s in all
+MAX_START_TIME = 30 * SECOND  # for a child to start, on a crowded machine
 
 
-class Child:
+class ChildProcess:
     """One process. `ready` is settled with True when it serves, with False when it ended before; `ended` when
     it is no more."""
 
     def __init__(self, loop, command, descriptors):
         self.loop, self.started = loop, loop.now()
         self.ready, self.ended = Promise(), Promise()
-        self.process = self.life = self.told = self.pid = self.timer = None
+        self.process = self.liveness_pipe = self.ready_pipe = self.pidfd = self.timer = None
         try:
             self._start(command, descriptors)
         except OSError:
@@ -45,10 +45,10 @@
             raise
 
     def _start(self, command, descriptors):
-        life, self.life = os.pipe2(os.O_CLOEXEC)  # its end tells the child that the parent is gone
+        life, self.liveness_pipe = os.pipe2(os.O_CLOEXEC)  # its end tells the child that the parent is gone
         says = None
         try:
-            self.told, says = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
+            self.ready_pipe, says = os.pipe2(os.O_CLOEXEC | os.O_NONBLOCK)
             for fd in (life, says, *descriptors):
                 os.set_inheritable(fd, True)
             self.process = subprocess.Popen(
@@ -58,64 +58,64 @@
             os.close(life)
             if says is not None:
                 os.close(says)
-        self.pid = os.pidfd_open(self.process.pid)
-        self.loop.watch(self.pid, READ, self._over)
-        self.loop.watch(self.told, READ, self._said)
-        self.timer = self.loop.after(READY_TIME, self.kill)
+        self.pidfd = os.pidfd_open(self.process.pid)
+        self.loop.watch(self.pidfd, READ, self._on_exit)
+        self.loop.watch(self.ready_pipe, READ, self._on_ready)
+        self.timer = self.loop.after(MAX_START_TIME, self.kill)
 
     def _clear(self):
         """It could not be started: nothing of it is left."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
-        self._forget_pid()
-        self._end_life()
-        self._hush()
+        self._close_pidfd()
+        self._close_liveness_pipe()
+        self._close_ready_pipe()
 
-    def _said(self, events):
+    def _on_ready(self, events):
         try:
-            said = os.read(self.told, 16)
+            said = os.read(self.ready_pipe, 16)
         except (BlockingIOError, InterruptedError):
             return
-        self._hush()
+        self._close_ready_pipe()
         if said:
             self.timer.cancel()
             self.ready.set(True)
 
-    def _hush(self):
-        if self.told is not None:
-            self.loop.unwatch(self.told)
-            os.close(self.told)
-            self.told = None
+    def _close_ready_pipe(self):
+        if self.ready_pipe is not None:
+            self.loop.unwatch(self.ready_pipe)
+            os.close(self.ready_pipe)
+            self.ready_pipe = None
 
-    def _over(self, events):
+    def _on_exit(self, events):
         self.process.wait()
-        self._forget_pid()
-        self._end_life()
-        self._hush()
+        self._close_pidfd()
+        self._close_liveness_pipe()
+        self._close_ready_pipe()
         self.timer.cancel()
         self.ready.set(False)
         self.ended.set(self.process.returncode)
 
-    def _forget_pid(self):
-        if self.pid is not None:
-            self.loop.unwatch(self.pid)
-            os.close(self.pid)
-            self.pid = None
+    def _close_pidfd(self):
+        if self.pidfd is not None:
+            self.loop.unwatch(self.pidfd)
+            os.close(self.pidfd)
+            self.pidfd = None
 
-    def _end_life(self):
-        if self.life is not None:
-            os.close(self.life)
-            self.life = None
+    def _close_liveness_pipe(self):
+        if self.liveness_pipe is not None:
+            os.close(self.liveness_pipe)
+            self.liveness_pipe = None
 
     def stop(self):
         """It ends alone: the others go on accepting clients."""
         if not self.ended.ready:
             self.process.send_signal(signal.SIGTERM)
 
-    def stop_last(self):
+    def stop_with_all(self):
         """It ends with all others, so that nobody else takes the clients in the queue."""
-        self._end_life()
+        self._close_liveness_pipe()
         if not self.ready.ready:
             self.stop()  # it does not look at its life yet, and has accepted nobody
 
@@ -132,11 +132,11 @@
         self.loop = loop or Loop()
         self.log = log or logger(level=configuration.log_level).bind(gateway=f"{configuration.name}, parent")
         self.restarts = Restarts(Chance(os.getpid() if seed is None else seed))
-        self.children = {}  # seat: Child
+        self.children = {}  # slot: ChildProcess
         self.sockets = {}  # address as configured: its listening socket
         self.stopping = self.rolling = False
-        self.again = False  # a reload was asked for while one was under way
-        self.retry = None  # timer of a reload that failed for a moment
+        self.reload_requested = False  # a reload was asked for while one was under way
+        self.reload_timer = None  # timer of a reload that failed for a moment
 
     def open(self, configuration):
         """The listening sockets of a configuration; those that stand already stay. Errors: OSError."""
@@ -160,14 +160,16 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
         self.loop.on_signal(signal.SIGHUP, self.reload)
-        for seat in range(self.count):
-            if seat not in self.children:
-                self._start(seat)
+        for slot in range(self.count):
+            if slot not in self.children:
+                self._start(slot)
         self.log.info(
-            "parent started", processes=self.count, listens=[told(sock) for sock in self.sockets.values()]
+            "parent started",
+            processes=self.count,
+            listens=[displayed_address(sock) for sock in self.sockets.values()],
         )
 
-    def _start(self, seat):
+    def _start(self, slot):
         sockets = self.open(self.configuration)
         command = [
             sys.executable,
@@ -176,40 +178,42 @@
             "serve",
             str(self.file),
             "--seat",
-            str(seat),
+            str(slot),
             str(self.count),
         ]
         for where, sock in sockets.items():
             command += ["--inherited", f"{sock.fileno()}={where}"]
         if self.seed is not None:
-            command += ["--seed", str(self.seed * 1000 + seat)]
-        child = self.children[seat] = Child(self.loop, command, [sock.fileno() for sock in sockets.values()])
-        child.ended.then(lambda promise: self._ended(seat, child, promise.value))
+            command += ["--seed", str(self.seed * 1000 + slot)]
+        child = self.children[slot] = ChildProcess(
+            self.loop, command, [sock.fileno() for sock in sockets.values()]
+        )
+        child.ended.then(lambda promise: self._child_ended(slot, child, promise.value))
         return child
 
-    def _ended(self, seat, child, code):
-        if self.children.get(seat) is not child:
+    def _child_ended(self, slot, child, code):
+        if self.children.get(slot) is not child:
             return  # rolled out: its place is taken
-        del self.children[seat]
+        del self.children[slot]
         if self.stopping:
             if not self.children:
                 self.loop.stop()
             return
         now = self.loop.now()
-        when = self.restarts.died(now, seat, now - child.started)
-        self.log.warning("child died", seat=seat, code=code, again_ms=(when - now) // MILLI)
-        self.loop.at(when, self._back, seat)
+        when = self.restarts.died(now, slot, now - child.started)
+        self.log.warning("child died", seat=slot, code=code, again_ms=(when - now) // MILLI)
+        self.loop.at(when, self._restart, slot)
 
-    def _back(self, seat):
-        if self.stopping or seat in self.children or len(self.children) >= self.count:
+    def _restart(self, slot):
+        if self.stopping or slot in self.children or len(self.children) >= self.count:
             return
         try:
-            self._start(seat)
+            self._start(slot)
         except OSError as fault:
             now = self.loop.now()
-            when = self.restarts.died(now, seat, 0)
-            self.log.warning("child not started", seat=seat, error=str(fault), again_ms=(when - now) // MILLI)
-            self.loop.at(when, self._back, seat)
+            when = self.restarts.died(now, slot, 0)
+            self.log.warning("child not started", seat=slot, error=str(fault), again_ms=(when - now) // MILLI)
+            self.loop.at(when, self._restart, slot)
 
     # Reload
 
@@ -217,14 +221,14 @@
         """Reads the configuration again; a wrong one is logged and nothing changes. What may pass by itself
         is tried again for a while first."""
         if self.rolling:
-            self.again = True
+            self.reload_requested = True
             return
-        self._reload(Backoff(RELOAD_FIRST, RELOAD_LONGEST), self.loop.now())
+        self._reload(Backoff(MIN_BACKOFF, MAX_BACKOFF), self.loop.now())
 
     def _reload(self, backoff, began):
-        if self.retry is not None:
-            self.retry.cancel()
-            self.retry = None
+        if self.reload_timer is not None:
+            self.reload_timer.cancel()
+            self.reload_timer = None
         if self.rolling or self.stopping:
             return
         try:
@@ -233,25 +237,25 @@
             self.open(configuration)
         except (ConfigurationError, OSError) as wrong:
             if self.loop.now() + backoff.pause <= began + time_for(cause_of(wrong)):
-                self.retry = self.loop.after(backoff.next(), self._reload, backoff, began)
+                self.reload_timer = self.loop.after(backoff.next(), self._reload, backoff, began)
             else:
-                self._refuse(wrong)
+                self._log_rejection(wrong)
             return
         self.rolling = True
         self.loop.spawn(self._roll(configuration, before))
 
-    def _refuse(self, wrong):
+    def _log_rejection(self, wrong):
         for mistake in wrong.mistakes if isinstance(wrong, ConfigurationError) else [wrong]:
             self.log.error("configuration refused", mistake=str(mistake))
 
-    def _started(self, seat):
-        """A new child of the seat, tried again where that fails; None in the end."""
-        backoff = Backoff(RELOAD_FIRST, RELOAD_LONGEST)
-        for _ in range(CHILD_TRIES):
+    def _start_with_retries(self, slot):
+        """A new child of the slot, tried again where that fails; None in the end."""
+        backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
+        for _ in range(MAX_START_ATTEMPTS):
             try:
-                return self._start(seat)
+                return self._start(slot)
             except OSError as fault:
-                self.log.warning("child not started", seat=seat, error=str(fault))
+                self.log.warning("child not started", seat=slot, error=str(fault))
             yield self.loop.sleep(backoff.next())
             if self.stopping:
                 break
@@ -260,17 +264,17 @@
     def _roll(self, configuration, before):
         """Each child in turn: a new one beside it, and only when that serves is the old one asked to end."""
         was, self.configuration = self.configuration, configuration
-        for seat in sorted(self.children):
+        for slot in sorted(self.children):
             if self.stopping:
                 break
             free = next(number for number in range(self.count + 1) if number not in self.children)
-            fresh = yield from self._started(free)
+            fresh = yield from self._start_with_retries(free)
             served = fresh is not None and (yield fresh.ready)
             if not served:
                 self.log.error("roll given up: the new configuration does not start", seat=free)
                 self.configuration = was
                 break
-            old = self.children.pop(seat, None)
+            old = self.children.pop(slot, None)
             if old is not None:
                 old.stop()
                 yield old.ended
@@ -280,8 +284,8 @@
             for where in before - wanted:
                 self.sockets.pop(where).close()
         self.rolling = False
-        if self.again and not self.stopping:
-            self.again = False
+        if self.reload_requested and not self.stopping:
+            self.reload_requested = False
             self.reload()
 
     # Stop
@@ -294,7 +298,7 @@
         for sock in self.sockets.values():
             sock.close()
         for child in self.children.values():
-            child.stop_last()
+            child.stop_with_all()
         if not self.children:
             self.loop.stop()
 
@@ -311,6 +315,6 @@
         self.log.info("parent stopped")
 
 
-def told(sock):
+def displayed_address(sock):
     name = sock.getsockname()
     return f"unix:{name}" if sock.family == socket.AF_UNIX else f"{name[0]}:{name[1]}"
--- a/gaproute/appliance/others.py
+++ b/gaproute/appliance/peer_services.py
@@ -19,72 +19,95 @@
 
 # Of those that ask at a gateway that takes part in leases: batches are long, and every gateway of
 # a large fleet may hold a connection to each keeper.
-FORWARDED_HEAD = 4096  # bytes of headers that a gateway adds to a client's
-ASKED = Limits(body=MAX_BATCH_BYTES, pipelined=1, connections=4096, buffered=4 * MAX_BATCH_BYTES)
+FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
+LEASE_PEER_LIMITS = Limits(body=MAX_BATCH_BYTES, pipelined=1, connections=4096, buffered=4 * MAX_BATCH_BYTES)
 
 
 def forwarded_limits(limits, clients):
     """Limits where other gateways also forward calls: as large as those of clients, on many connections."""
     return limits._replace(
-        head=clients.head + FORWARDED_HEAD,
+        head=clients.head + FORWARDED_HEADER_BYTES,
         body=max(limits.body, clients.body),
         pipelined=max(limits.pipelined, clients.pipelined),
         connections=max(limits.connections, clients.connections),
     )
 
 
-class Others:
+class PeerServices:
     def __init__(self, loop, configuration, gateway, record, seed, cells=None):
         self.cells = cells
         self.loop, self.configuration, self.gateway = loop, configuration, gateway
         self.record, self.seed = record, seed
-        self.giver = self.learner = self.gossip = self.weak = self.watch = self.leases = None
+        self.observation_server = self.observation_fetcher = self.membership_transport = (
+            self.gossip_carrier
+        ) = self.peer_list_watch = self.leases = None
         self.observation_writer: ObservationWriter | None = None
-        self.roll, self.lore = Roll(), Lore()
+        self.host_history, self.observations = Roll(), Lore()
         self.tracks = [line.name for line in configuration.tracks]
         self.chance = Chance(seed + 1)
 
     def listen(self, where):
         """The front at which others ask. Errors: OSError."""
         line = self.configuration.keepers
-        limits = LIMITS if line is None else ASKED
+        limits = LIMITS if line is None else LEASE_PEER_LIMITS
         if self.configuration.cells is not None:
             limits = forwarded_limits(limits, self.configuration.clients)
-        self.giver = Giver(self.loop, address(where), self.gateway, self.roll, self.tracks, limits)
+        self.observation_server = Giver(
+            self.loop, address(where), self.gateway, self.host_history, self.tracks, limits
+        )
         try:
-            self.gossip = MembershipTransport(
-                self.loop, self.configuration.name, self.giver.address, Chance(self.seed + 2), self.record
+            self.membership_transport = MembershipTransport(
+                self.loop,
+                self.configuration.name,
+                self.observation_server.address,
+                Chance(self.seed + 2),
+                self.record,
             )
             if line is not None:
                 self.leases = LeaseService(
                     self.loop, self.configuration.name, line, self.record, Chance(self.seed + 5)
                 )
-                self.giver.also[TARGET] = self.leases.handle
+                self.observation_server.also[TARGET] = self.leases.handle
         except OSError:
-            self.giver.close()
+            self.observation_server.close()
             raise
         if self.configuration.gossip_enabled:
-            self.weak = Carrier(
-                self.loop, self.configuration.name, self.gossip, self.gateway, Chance(self.seed + 4)
+            self.gossip_carrier = Carrier(
+                self.loop,
+                self.configuration.name,
+                self.membership_transport,
+                self.gateway,
+                Chance(self.seed + 4),
             )
-        return self.giver
+        return self.observation_server
 
     def start(self):
-        self.remember()
+        self.open_observation_store()
         if self.configuration.peers or self.configuration.peers_file:
-            self.learner = Learner(self.loop, (), self.lore, self.follow, self.whole, self.record)
-            self.listed(self.configuration.peers)
+            self.observation_fetcher = Learner(
+                self.loop,
+                (),
+                self.observations,
+                self.apply_observations,
+                self.observations_complete,
+                self.record,
+            )
+            self.update_peers(self.configuration.peers)
         if self.configuration.peers_file:
             told = self.configuration.peers_file
-            self.watch = FileWatch(self.loop, told.path, told.look, self.listed, self.refused, read_peers)
+            self.peer_list_watch = FileWatch(
+                self.loop, told.path, told.look, self.update_peers, self.peer_list_rejected, read_peers
+            )
 
-    def hosts_listed(self, lives):
+    def update_hosts(self, lives):
         """`lives`: {host: (state, start, ns since 1970)} of the whole list."""
-        self.roll.listed(self.loop.now(), lives)
-        if self.weak is not None:
-            self.weak.listed({name: told[1] for name, told in self.roll.told.items() if name in lives})
+        self.host_history.listed(self.loop.now(), lives)
+        if self.gossip_carrier is not None:
+            self.gossip_carrier.listed(
+                {name: told[1] for name, told in self.host_history.told.items() if name in lives}
+            )
 
-    def remember(self):
+    def open_observation_store(self):
         """Opens the memory on disk where there is one, and follows what it tells of the past life. One that
         cannot be opened is tried again while the gateway serves, and written to from then on."""
         if self.configuration.memory is None:
@@ -98,62 +121,77 @@
             self._recall(store)
         except ObservationStoreError as fault:
             self.record.event("warning", "observation store unavailable", text=str(fault))
-        self.observation_writer = ObservationWriter(self.loop, store, self.gateway, self.roll, self.tracks)
+        self.observation_writer = ObservationWriter(
+            self.loop, store, self.gateway, self.host_history, self.tracks
+        )
 
     def _recall(self, store):
         now = self.loop.now()
         for subject, value, age in store.read(FACTS):
-            at = self.lore.observed(now, age)
+            at = self.observations.observed(now, age)
             if at is not None:
-                self.lore.tell(subject, Fact(at, "past life", 0, value))
-        booked = self.follow(self.lore.facts)
-        self.whole()
+                self.observations.tell(subject, Fact(at, "past life", 0, value))
+        booked = self.apply_observations(self.observations.facts)
+        self.observations_complete()
         self.record.event(
-            "info", "remembered", facts=len(self.lore.facts), booked=booked, refused=dict(self.lore.refused)
+            "info",
+            "remembered",
+            facts=len(self.observations.facts),
+            booked=booked,
+            refused=dict(self.observations.refused),
         )
 
-    def follow(self, subjects):
+    def apply_observations(self, subjects):
         tracks = {name: place for place, name in enumerate(self.tracks)}
-        return self.lore.follow(
+        return self.observations.follow(
             self.gateway,
             self.loop.now(),
-            self.roll.lives(),
+            self.host_history.lives(),
             tracks,
             self.configuration.terms.keep_alive,
             self.chance,
             subjects,
         )
 
-    def whole(self):
+    def observations_complete(self):
         """All that one source tells has come: the mix is known now."""
-        self.gateway.hint_mix(self.lore.mix())
+        self.gateway.hint_mix(self.observations.mix())
 
-    def listed(self, peers):
+    def update_peers(self, peers):
         others = [peer for peer in peers if peer.name != self.configuration.name]
-        if self.gossip is not None:
-            self.gossip.configure(others)
+        if self.membership_transport is not None:
+            self.membership_transport.configure(others)
         if self.leases is not None:
             self.leases.listed({peer.name: peer.where for peer in others})
         if self.cells is not None:
-            self.cells.peers({peer.name: peer.where for peer in others})
-        self.learner.listed(others)
+            self.cells.update_peers({peer.name: peer.where for peer in others})
+        self.observation_fetcher.listed(others)
 
-    def refused(self, mistakes):
+    def peer_list_rejected(self, mistakes):
         for mistake in mistakes:
             self.record.event("error", "peer list refused", mistake=str(mistake))
 
-    def spent(self):
+    def cpu_spent(self):
         """CPU that telling and writing down took, ns."""
-        return sum(part.spent for part in (self.giver, self.observation_writer) if part is not None)
+        return sum(
+            part.spent for part in (self.observation_server, self.observation_writer) if part is not None
+        )
 
     def stop(self):
-        for part in (self.gossip, self.leases):
+        for part in (self.membership_transport, self.leases):
             if part is not None:
                 part.stop()
-        if self.watch is not None:
-            self.watch.close()
+        if self.peer_list_watch is not None:
+            self.peer_list_watch.close()
 
     def close(self):
-        for part in (self.watch, self.learner, self.weak, self.gossip, self.leases, self.observation_writer):
+        for part in (
+            self.peer_list_watch,
+            self.observation_fetcher,
+            self.gossip_carrier,
+            self.membership_transport,
+            self.leases,
+            self.observation_writer,
+        ):
             if part is not None:
                 part.close()
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -79,10 +79,10 @@
         if seat is not None:
             configuration.assign_process_slot(*seat)
         runs = Appliance(configuration, loop=given(patience, Loop), seed=seed, inherited=sockets)
-        given(patience, runs.heed_signals)
+        given(patience, runs.handle_signals)
     given(patience, runs.start, "cannot listen")
     if life is not None:
-        runs.under(life, ready)
+        runs.attach_to_parent(life, ready)
     gc.collect()
     gc.freeze()  # what stands for good is not looked through again and again: pauses of 20 ms and more
     gc.set_threshold(10_000, 50, 100)  # a task leaves no cycles behind
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -1,6 +1,6 @@
 """The address at which other gateways ask, as a part: the product's giver, and keepers' messages."""
 
-from gaproute.appliance.others import ASKED
+from gaproute.appliance.peer_services import LEASE_PEER_LIMITS
 from gaproute.decisions.reports.roll import Roll
 from gaproute.hollow.parts import Part
 from gaproute.loop.streams import address
@@ -14,7 +14,9 @@
     def __init__(self, surroundings, parts):
         tracks = [line.name for line in surroundings.configuration.tracks]
         where = address(surroundings.address)
-        self.giver = Giver(surroundings.loop, where, parts["hosts"].gateway, Roll(), tracks, ASKED)
+        self.giver = Giver(
+            surroundings.loop, where, parts["hosts"].gateway, Roll(), tracks, LEASE_PEER_LIMITS
+        )
         self.transport = parts["leases"].hosted_node.transport
         self.giver.also[TARGET] = self.handle
 
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -64,12 +64,16 @@
 
     def request(self, name, number):
         return next(
-            each for each in self.gates[name].others.leases.table()["errands"] if each["errand"] == number
+            each
+            for each in self.gates[name].peer_services.leases.table()["errands"]
+            if each["errand"] == number
         )
 
     def leader(self):
         def leaders():
-            return [name for name in "abc" if self.gates[name].others.leases.hosted_node.node.is_leader]
+            return [
+                name for name in "abc" if self.gates[name].peer_services.leases.hosted_node.node.is_leader
+            ]
 
         self.made.until(leaders)
         return leaders()[0]
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -44,7 +44,7 @@
     assert all(later - earlier >= APART for earlier, later in pairwise(starts))
 
 
-def test_a_seat_has_a_name_and_addresses_of_its_own_and_the_others_as_peers():
+def test_a_process_slot_has_a_name_and_addresses_of_its_own_and_the_others_as_peers():
     text = (
         f"{CONFIGURATION}listen peers 127.0.0.1:8090\nlisten operator unix:/x/op\n"
         "memory /x/m\nhost a 127.0.0.1:1"
@@ -259,7 +259,7 @@
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         port = taken.getsockname()[1]
-        # The third seat's address is taken.
+        # The third slot's address is taken.
         made.file.write_text(made.text + f"listen peers 127.0.0.1:{port - 2}\n")
         made.process.send_signal(signal.SIGHUP)
         made.until(lambda: made.events("roll given up: the new configuration does not start"))
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -83,18 +83,22 @@
 
     monkeypatch.setattr(MembershipTransport.__init__, "__defaults__", (Datagrams, wall))
     second = start("second", "weak-word yes")
-    at = second.others.giver.address
+    at = second.peer_services.observation_server.address
     third = start("third", f"peer second {at}\nweak-word yes")
-    weak = third.others.weak.weak
+    weak = third.peer_services.gossip_carrier.weak
     made.until(lambda: "second" in weak.store.tellers)
-    before = second.others.gossip.membership.incarnation
+    before = second.peer_services.membership_transport.membership.incarnation
     second.close()
     ahead[0] = -HOUR_MS
-    lines = (f"listen peers {at}", f"peer third {third.others.giver.address}", "weak-word yes")
+    lines = (
+        f"listen peers {at}",
+        f"peer third {third.peer_services.observation_server.address}",
+        "weak-word yes",
+    )
     again = start("second", *lines, listen=False)
-    assert again.others.gossip.membership.incarnation < before
+    assert again.peer_services.membership_transport.membership.incarnation < before
     made.until(lambda: weak.store.last("second") > before)
-    assert again.others.gossip.membership.incarnation > before
+    assert again.peer_services.membership_transport.membership.incarnation > before
 
 
 # Leases
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -7,14 +7,14 @@
 import pytest
 from helpers import CONFIGURATION, MILLI, SECOND
 
-from gaproute.appliance.gateway import LAST_REQUEST, LAST_WORDS
+from gaproute.appliance.gateway import LATE_REQUEST_TIME, LEAVE_TIME
 from gaproute.http1.deadlines import QUIET
 from gaproute.loop.streams import FAREWELL
 
 BODY = b'{"id": "t", "inputs": []}'
 ASK = b"POST /v2/models/lamp/infer HTTP/1.1\r\nHost: g\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
 READY = b"GET /v2/health/ready HTTP/1.1\r\nHost: g\r\n\r\n"
-SLOW = {"trouble": "slow", "factor": 40}  # an answer takes longer than LAST_WORDS
+SLOW = {"trouble": "slow", "factor": 40}  # an answer takes longer than LEAVE_TIME
 
 
 @pytest.fixture
@@ -99,7 +99,7 @@
     made.gate.stop()
     lasted = run_out(made)
     assert rest_of(client) == b"" and made.gate.lot.held == 0
-    assert LAST_REQUEST <= lasted < LAST_REQUEST + LAST_WORDS + made.gate.configuration.longest
+    assert LATE_REQUEST_TIME <= lasted < LATE_REQUEST_TIME + LEAVE_TIME + made.gate.configuration.longest
 
 
 def test_half_a_request_at_the_stop_is_served_when_whole_and_refused_where_it_is_not(rig, clients):
@@ -112,7 +112,7 @@
     whole.sendall(ASK[40:])
     lasted = run_out(made)
     assert statuses(rest_of(whole)) == [200] and statuses(rest_of(never)) == [408]
-    assert lasted < LAST_REQUEST + LAST_WORDS + made.gate.configuration.longest
+    assert lasted < LATE_REQUEST_TIME + LEAVE_TIME + made.gate.configuration.longest
 
 
 def test_a_request_that_lies_unread_on_a_kept_connection_is_served(rig, clients, monkeypatch):
@@ -144,7 +144,7 @@
     asked_and_answered(made, client)
     made.gate.stop()
     lasted = run_out(made)
-    assert rest_of(client) == b"" and QUIET / 2 < lasted < LAST_REQUEST + LAST_WORDS + FAREWELL + SECOND
+    assert rest_of(client) == b"" and QUIET / 2 < lasted < LATE_REQUEST_TIME + LEAVE_TIME + FAREWELL + SECOND
 
 
 def test_a_kept_connection_that_rests_is_closed_at_once(rig, clients):
@@ -173,7 +173,7 @@
     made = rig(hosts=1)
     life, parent = os.pipe()
     ready, says = os.pipe()
-    made.gate.under(life, says)
+    made.gate.attach_to_parent(life, says)
     client = clients(made)
     if others:
         made.gate.stop()
@@ -231,7 +231,7 @@
     began = made.loop.now()
     made.gate.stop()
     for client in clients:
-        made.rest(min(killed - 250 * MILLI, LAST_REQUEST - 200 * MILLI) // len(clients))
+        made.rest(min(killed - 250 * MILLI, LATE_REQUEST_TIME - 200 * MILLI) // len(clients))
         client.sendall(ASK)
     made.rest(killed - (made.loop.now() - began))
     assert early.ready and not made.gate.core.held
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -16,7 +16,7 @@
 from scripted import SECOND
 
 from gaproute.appliance import Appliance, parent
-from gaproute.appliance.parent import CHILD_TRIES, Child, Parent
+from gaproute.appliance.parent import MAX_START_ATTEMPTS, ChildProcess, Parent
 from gaproute.cli import serving
 from gaproute.config import ConfigurationError, read_configuration, read_hosts
 from gaproute.discovery.listing import TOLD_AT, FileWatch
@@ -66,7 +66,7 @@
     monkeypatch.setattr(module, name, Failing(getattr(module, name), *[None] * calls, errno.EMFILE))
     before = open_descriptors()
     with pytest.raises(OSError) as told:
-        Child(loop, ["sleep", "60"], [])
+        ChildProcess(loop, ["sleep", "60"], [])
     assert told.value.errno == errno.EMFILE and open_descriptors() == before and not loop.watched
     assert all(process.returncode is not None for process in begun)
 
@@ -91,7 +91,7 @@
 @pytest.fixture
 def family(monkeypatch, tmp_path):
     """A parent of two stand-in children on a loop that waits for nothing."""
-    monkeypatch.setattr(parent, "Child", FakeChild)
+    monkeypatch.setattr(parent, "ChildProcess", FakeChild)
     monkeypatch.setattr(FakeChild, "failing", None)
     file = tmp_path / "g.conf"
     file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\n")
@@ -127,7 +127,7 @@
 
 def test_a_roll_whose_children_cannot_be_started_is_given_up_and_the_next_one_is_not_held_up(family):
     before = set(family.children.values())
-    FakeChild.failing = Failing(lambda: None, *[errno.EMFILE] * CHILD_TRIES)
+    FakeChild.failing = Failing(lambda: None, *[errno.EMFILE] * MAX_START_ATTEMPTS)
     family.reload()
     family.loop.run(until=family.loop.sleep(20 * SECOND))
     assert set(family.children.values()) == before and not family.rolling and not family.loop.errors
@@ -144,13 +144,13 @@
     family.reload()
     family.loop.run(until=family.loop.sleep(SECOND))
     assert failing.failed == 2 and not before & set(family.children.values())
-    assert ("error", "configuration refused") not in family.log.lines and family.retry is None
+    assert ("error", "configuration refused") not in family.log.lines and family.reload_timer is None
 
 
 def test_a_new_configuration_that_is_wrong_is_refused_at_once(family):
     family.text.write_text("nonsense\n")
     family.reload()
-    assert ("error", "configuration refused") in family.log.lines and family.retry is None
+    assert ("error", "configuration refused") in family.log.lines and family.reload_timer is None
 
 
 @pytest.mark.parametrize("code", [*SHORT, errno.ENOBUFS, errno.EADDRINUSE])
@@ -262,7 +262,7 @@
     life, ends = os.pipe()
     reads, ready = os.pipe()
     os.close(reads)
-    made.under(life, ready)
+    made.attach_to_parent(life, ready)
     with pytest.raises(OSError):
         os.fstat(ready)
     os.close(ends)
--- a/tests/decisions/reports/test_lore.py
+++ b/tests/decisions/reports/test_lore.py
@@ -416,18 +416,21 @@
     warm_at = json.loads(made.wait(made.ask("lamp", "last")).body)["outputs"][0]["data"][0]
     loads = len(made.seen("loaded"))
     second = start()
-    made.until(lambda: second.others.learner.booked)
+    made.until(lambda: second.peer_services.observation_fetcher.booked)
     made.at = made.at[0], tuple([*made.at[1][:1], int(second.fronts[0].address.rpartition(":")[2])])
     answer = made.wait(made.ask("lamp", "first"))
     assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at and len(made.seen("loaded")) == loads
-    assert made.gate.others.giver.told >= 1 and second.others.learner.state["g"].startswith("told ")
+    assert (
+        made.gate.peer_services.observation_server.told >= 1
+        and second.peer_services.observation_fetcher.state["g"].startswith("told ")
+    )
     assert not second.core.gateway.ration.out and not second.core.gateway.ration.ends
 
 
 def test_an_operator_sees_what_is_known_and_by_what(beside):
     made, start = beside
     second = start()
-    made.until(lambda: second.others.learner.booked)
+    made.until(lambda: second.peer_services.observation_fetcher.booked)
     (own,), (hinted,) = knowledge(made.gate), knowledge(second)
     assert (own["by"], hinted["by"]) == ("an answer", "g")
     assert (own["worker"], own["function"]) == (hinted["worker"], hinted["function"])
@@ -438,11 +441,13 @@
     made, start = beside
     rows = made.list.read_text().splitlines()
     (worker,) = made.gate.core.gateway.functions["lamp"].stands
-    made.gate.watch.close()  # the giver's own list is late: it still believes in the host
+    made.gate.host_list_watch.close()  # the giver's own list is late: it still believes in the host
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     second = start()
-    made.until(lambda: second.others.learner.state["g"].startswith("told"))
-    assert second.others.lore.refused["not listed"] and worker not in second.core.gateway.workers
+    made.until(lambda: second.peer_services.observation_fetcher.state["g"].startswith("told"))
+    assert (
+        second.peer_services.observations.refused["not listed"] and worker not in second.core.gateway.workers
+    )
     assert "lamp" not in second.core.gateway.functions
 
 
@@ -465,13 +470,16 @@
     second = start(where)
     made.at = made.at[0], ("127.0.0.1", int(second.fronts[0].address.rpartition(":")[2]))
     assert made.wait(made.ask("lamp", "meanwhile")).status == 200
-    made.until(lambda: second.others.learner.state["g"] == "dropped after 0 facts")
+    made.until(lambda: second.peer_services.observation_fetcher.state["g"] == "dropped after 0 facts")
     listener.close()
 
 
 def test_a_giver_out_of_budget_puts_off_and_still_tells(beside):
     made, start = beside
-    made.gate.others.giver.purse.spend(made.loop.now(), 11 * MILLI)
+    made.gate.peer_services.observation_server.purse.spend(made.loop.now(), 11 * MILLI)
     second = start()
-    made.until(lambda: second.others.learner.state["g"].startswith("told"))
-    assert made.gate.others.giver.put_off >= 1 and second.others.learner.booked >= 1
+    made.until(lambda: second.peer_services.observation_fetcher.state["g"].startswith("told"))
+    assert (
+        made.gate.peer_services.observation_server.put_off >= 1
+        and second.peer_services.observation_fetcher.booked >= 1
+    )
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -13,7 +13,7 @@
 import gaproute
 from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.cell_rows import CellRows
-from gaproute.appliance.cells import Cells
+from gaproute.appliance.cells import CellServices
 from gaproute.config import read_hosts
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
 from gaproute.decisions.chance import Chance
@@ -353,7 +353,7 @@
     given = []
     rows = SimpleNamespace(of=lambda *told: given.append(told) or {})
     lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
-    Cells._listed(SimpleNamespace(rows=rows, lists=lists, enlisted=list, told={}), {})
+    CellServices._apply_lists(SimpleNamespace(rows=rows, lists=lists, hosts_changed=list, told={}), {})
     assert given == [({}, {"a1": "a"}, {"a1": 5})]
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -21,7 +21,7 @@
 
 
 def where(appliance):
-    return appliance.others.giver.address
+    return appliance.peer_services.observation_server.address
 
 
 def front(appliance):
@@ -34,11 +34,15 @@
     third = start("third", f"peer second {where(second)}")
     made.until(
         lambda: (
-            [each.others.gossip.membership.live_count() for each in (made.gate, second, third)] == [3, 3, 3]
+            [
+                each.peer_services.membership_transport.membership.live_count()
+                for each in (made.gate, second, third)
+            ]
+            == [3, 3, 3]
         )
     )
-    third.others.gossip.stop()
-    made.until(lambda: made.gate.others.gossip.membership.live_count() == 2)
+    third.peer_services.membership_transport.stop()
+    made.until(lambda: made.gate.peer_services.membership_transport.membership.live_count() == 2)
     states = {row["name"]: row["state"] for row in peer_table(made.gate)}
     assert states == {"second": "alive", "third": "left"}
     assert status(made.gate)["gateways"] == 2
@@ -47,7 +51,7 @@
 def test_what_changes_after_the_snapshot_comes_as_well(fleet):
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.others.learner.state["g"].startswith("told"))
+    made.until(lambda: second.peer_services.observation_fetcher.state["g"].startswith("told"))
     assert "lamp" not in second.core.gateway.functions
     assert made.wait(made.ask("lamp", "w1")).status == 200
     made.until(lambda: "lamp" in second.core.gateway.functions)
@@ -63,12 +67,12 @@
         late = f"127.0.0.1:{taken.getsockname()[1]}"
     second = start("second", f"peer late {late}")
     made.rest(100 * MILLI)
-    assert second.others.learner.state["late"] == "asked"
-    told = made.gate.others
-    giver = Giver(made.loop, address(late), told.gateway, told.roll, told.tracks)
-    made.until(lambda: second.others.learner.state["late"].startswith("told"))
+    assert second.peer_services.observation_fetcher.state["late"] == "asked"
+    told = made.gate.peer_services
+    giver = Giver(made.loop, address(late), told.gateway, told.host_history, told.tracks)
+    made.until(lambda: second.peer_services.observation_fetcher.state["late"].startswith("told"))
     giver.close()
-    assert second.others.learner.booked
+    assert second.peer_services.observation_fetcher.booked
 
 
 def test_a_list_of_gateways_is_watched_and_names_this_one_without_harm(fleet):
@@ -76,15 +80,18 @@
     peers = made.folder / "peers.list"
     peers.write_text("peer second 127.0.0.1:9\n")
     second = start("second", f"peers-file {peers} look 5ms")
-    assert second.others.gossip.membership.members == {} and second.others.learner.state == {}
+    assert (
+        second.peer_services.membership_transport.membership.members == {}
+        and second.peer_services.observation_fetcher.state == {}
+    )
     fresh = made.folder / "fresh"
     fresh.write_text(f"peer second 127.0.0.1:9\npeer g {where(made.gate)}\n")
     fresh.replace(peers)
-    made.until(lambda: second.others.learner.state.get("g", "").startswith("told"))
+    made.until(lambda: second.peer_services.observation_fetcher.state.get("g", "").startswith("told"))
     fresh.write_text("peer g nowhere\n")
     fresh.replace(peers)
     made.until(lambda: any(what == "peer list refused" for what, _ in second.record.events))
-    assert second.others.gossip.membership.members["g"].configured
+    assert second.peer_services.membership_transport.membership.members["g"].configured
 
 
 def test_both_sides_started_at_once_learn_from_each_other_what_came_since(fleet):
@@ -121,7 +128,7 @@
 
     listener = scripted_host(made.loop, act)
     second = start("second", f"peer half {listener.address}")
-    made.until(lambda: second.others.learner.state["half"] == "dropped after 1 facts")
+    made.until(lambda: second.peer_services.observation_fetcher.state["half"] == "dropped after 1 facts")
     listener.close()
     assert set(second.core.gateway.functions["lamp"].told) == {"h1"}
 
@@ -150,7 +157,7 @@
     made.until(lambda: "h1" not in other.rows)
     body = bodies.pop(0)
     held[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    made.until(lambda: other.others.lore.refused["not listed"])
+    made.until(lambda: other.peer_services.observations.refused["not listed"])
     made.at = front(other)
     for model in ("lamp", "crew"):
         assert made.wait(made.ask(model, f"t-{model}")).status == 200
@@ -164,17 +171,21 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     (worker,) = made.gate.core.gateway.functions["lamp"].stands
     second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.others.learner.booked)
+    made.until(lambda: second.peer_services.observation_fetcher.booked)
     third = start("third", f"peer second {where(second)}")
-    made.until(lambda: third.others.learner.state["second"].startswith("told"))
+    made.until(lambda: third.peer_services.observation_fetcher.state["second"].startswith("told"))
     assert "lamp" not in third.core.gateway.functions, "a hint was told on"
     rows = made.list.read_text().splitlines()
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     made.until(lambda: all(worker not in each.rows for each in (made.gate, second, third)))
     fourth = start("fourth", f"peer g {where(made.gate)}", f"peer second {where(second)}")
-    made.until(lambda: all(state.startswith("told") for state in fourth.others.learner.state.values()))
+    made.until(
+        lambda: all(
+            state.startswith("told") for state in fourth.peer_services.observation_fetcher.state.values()
+        )
+    )
     assert worker not in fourth.core.gateway.workers
-    made.until(lambda: fourth.others.lore.facts["listed", worker].value[0] == "gone")
+    made.until(lambda: fourth.peer_services.observations.facts["listed", worker].value[0] == "gone")
 
 
 def test_a_host_back_with_a_new_start_does_not_inherit_its_old_copies(fleet):
@@ -185,14 +196,16 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     second = start("second")
     made.relist(*[f"{row} started 2000" for row in rows])
-    made.until(lambda: second.others.roll.lives()["h0"] == 2000 * SECOND)
-    made.gate.watch.close()  # the giver's own list is late
+    made.until(lambda: second.peer_services.host_history.lives()["h0"] == 2000 * SECOND)
+    made.gate.host_list_watch.close()  # the giver's own list is late
     told = Told(version=2)
     told.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
     lore = Lore()
     wire.put(told, made.loop.now(), "g", lore)
-    second.others.lore.merge(lore)
-    assert second.others.follow(lore.facts) == 0 and second.others.lore.refused == {"another life": 1}
+    second.peer_services.observations.merge(lore)
+    assert second.peer_services.apply_observations(
+        lore.facts
+    ) == 0 and second.peer_services.observations.refused == {"another life": 1}
 
 
 def test_versions_one_apart_understand_each_other():
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -345,7 +345,7 @@
     alone = start("alone", f"memory {tmp_path / 'g.memory'}", listen=False)
     made.at = front(alone)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    kept = alone.others.observation_writer.store
+    kept = alone.peer_services.observation_writer.store
     made.until(lambda: kept.backoff > MIN_BACKOFF)  # a second attempt has failed
     disk.fault = None
     assert made.wait(made.ask("lamp", "w2")).status == 200
@@ -385,11 +385,11 @@
     first = start("alone", line, listen=False)
     made.at = front(first)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    made.until(lambda: first.others.observation_writer.store.written >= 1)
+    made.until(lambda: first.peer_services.observation_writer.store.written >= 1)
     first.close()
     loads = len(made.seen("loaded"))
     second = start("alone", line, listen=False)
-    assert second.others.lore.facts
+    assert second.peer_services.observations.facts
     assert [row["by"] for row in knowledge(second)] == ["past life"]
     made.at = front(second)
     assert made.wait(made.ask("lamp", "w2")).status == 200
