--- /dev/null
+++ b/gaproute/appliance/child_processes.py
@@ -0,0 +1,121 @@
+"""The children of a parent by process slot: started, and started again after they died."""
+
+import os
+import socket
+import sys
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+
+from structlog.typing import FilteringBoundLogger
+
+from gaproute.appliance.child_process import ChildProcess
+from gaproute.appliance.listening_sockets import ListeningSockets
+from gaproute.config.configuration import Configuration
+from gaproute.decisions.admission.restarts import Restarts
+from gaproute.decisions.chance import Chance
+from gaproute.loop import Loop
+
+MILLI = 1_000_000
+SEEDS_PER_PARENT = 1000  # so that the children of parents with neighbouring seeds have seeds of their own
+
+
+@dataclass(frozen=True, slots=True)
+class ServeCommand:
+    """The command line of a child, but for its slot and its sockets."""
+
+    file: str  # the configuration
+    count: int  # children at once
+    seed: int | None  # of the decisions' chance; None: each child draws its own
+
+    def arguments(self, slot: int, sockets: Mapping[str, socket.socket]) -> list[str]:
+        """The whole command line; `sockets` by address."""
+        serve = [sys.executable, "-m", "gaproute", "serve", self.file]
+        arguments = [*serve, "--seat", str(slot), str(self.count)]
+        for where, sock in sockets.items():
+            arguments += ["--inherited", f"{sock.fileno()}={where}"]
+        if self.seed is not None:
+            arguments += ["--seed", str(self.seed * SEEDS_PER_PARENT + slot)]
+        return arguments
+
+
+class ChildProcesses:
+    """The children `by_slot`. Slots are numbered from 0, one more than children for a roll.
+
+    `configuration`: the one that new children are started with. `on_all_ended`: called once none is left
+    after `stop`.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        log: FilteringBoundLogger,
+        command: ServeCommand,
+        configuration: Configuration,
+        listeners: ListeningSockets,
+        on_all_ended: Callable[[], None],
+    ) -> None:
+        self.loop, self.log = loop, log
+        self.command, self.configuration, self.listeners = command, configuration, listeners
+        self.on_all_ended = on_all_ended
+        self.by_slot: dict[int, ChildProcess] = {}
+        self.restarts = Restarts(Chance(os.getpid() if command.seed is None else command.seed))
+        self.stopping = False
+
+    def start(self, slot: int) -> ChildProcess:
+        """Starts a child. Raises OSError where that, or one of its sockets, cannot be had."""
+        sockets = self.listeners.open(self.configuration)
+        descriptors = [sock.fileno() for sock in sockets.values()]
+        child = ChildProcess(self.loop, self.command.arguments(slot, sockets), descriptors)
+        self.by_slot[slot] = child
+        child.ended.then(lambda promise: self._on_ended(slot, child, promise.value))
+        return child
+
+    def start_missing(self) -> None:
+        """Starts a child in each slot that has none. Raises OSError; it may be called again then."""
+        for slot in range(self.command.count):
+            if slot not in self.by_slot:
+                self.start(slot)
+
+    def free_slot(self) -> int:
+        """The first slot without a child."""
+        return next(slot for slot in range(self.command.count + 1) if slot not in self.by_slot)
+
+    def stop(self) -> None:
+        """Asks all to end together."""
+        self.stopping = True
+        for child in self.by_slot.values():
+            child.stop_with_all()
+        if not self.by_slot:
+            self.on_all_ended()
+
+    def kill(self) -> None:
+        """Ends at once what is left."""
+        for child in self.by_slot.values():
+            child.kill()
+
+    def _on_ended(self, slot: int, child: ChildProcess, code: int) -> None:
+        if self.by_slot.get(slot) is not child:
+            return  # replaced in a roll
+        del self.by_slot[slot]
+        if self.stopping:
+            if not self.by_slot:
+                self.on_all_ended()
+            return
+        wait = self._schedule_restart(slot, self.loop.now() - child.started)
+        self.log.warning("child died", seat=slot, code=code, again_ms=wait // MILLI)
+
+    def _schedule_restart(self, slot: int, lived: int) -> int:
+        """Has the slot filled again after a backoff, its child having lived so long; how long that is, ns."""
+        now = self.loop.now()
+        restart_at = self.restarts.died(now, slot, lived)
+        self.loop.at(restart_at, self._restart, slot)
+        return int(restart_at - now)
+
+    def _restart(self, slot: int) -> None:
+        if self.stopping or slot in self.by_slot or len(self.by_slot) >= self.command.count:
+            return
+        try:
+            self.start(slot)
+        except OSError as error:
+            wait = self._schedule_restart(slot, 0)
+            self.log.warning("child not started", seat=slot, error=str(error), again_ms=wait // MILLI)
--- /dev/null
+++ b/gaproute/appliance/listening_sockets.py
@@ -0,0 +1,70 @@
+"""The clients' listening sockets of a parent, which all its children accept from.
+
+Considered: SO_REUSEPORT, a queue for each child. A child that stands still would then keep its share of the
+new clients, and one that ends would reset those in its queue; with one queue the others take them.
+`benchmarks/processes.py` has both.
+"""
+
+import os
+import socket
+
+from gaproute.config.configuration import Configuration
+from gaproute.loop.connecting import listening
+from gaproute.loop.streams import address
+
+CLIENT_PROTOCOL = "kserve"  # the kind of `listen` line whose addresses the children share
+
+
+class ListeningSockets:
+    """Open listening sockets, `by_address` as the configuration names it."""
+
+    def __init__(self) -> None:
+        self.by_address: dict[str, socket.socket] = {}
+
+    def open(self, configuration: Configuration) -> dict[str, socket.socket]:
+        """The sockets of a configuration, by address; those that are open already stay.
+
+        Raises OSError where an address cannot be listened on; nothing has changed then.
+        """
+        wanted = _client_addresses(configuration)
+        opened: dict[str, socket.socket] = {}
+        try:
+            for where in wanted:
+                if where not in self.by_address:
+                    opened[where] = listening(address(where))
+        except OSError:
+            for sock in opened.values():
+                sock.close()
+            raise
+        self.by_address |= opened
+        return {where: self.by_address[where] for where in wanted}
+
+    def close_unused(self, configuration: Configuration) -> None:
+        """Closes those that the configuration does not name."""
+        for where in self.by_address.keys() - set(_client_addresses(configuration)):
+            self.by_address.pop(where).close()
+
+    def close(self) -> None:
+        """Accepts nobody here any more; what the children inherited stays open there."""
+        for sock in self.by_address.values():
+            sock.close()
+
+    def unlink_paths(self) -> None:
+        """Removes the files of Unix sockets."""
+        for where in self.by_address:
+            family, target = address(where)
+            if family == socket.AF_UNIX and os.path.exists(target):
+                os.unlink(target)
+
+    def displayed_addresses(self) -> list[str]:
+        """The addresses that are bound, as an operator reads them."""
+        return [_displayed_address(sock) for sock in self.by_address.values()]
+
+
+def _client_addresses(configuration: Configuration) -> list[str]:
+    return [where for kind, where in configuration.listens if kind == CLIENT_PROTOCOL]
+
+
+def _displayed_address(sock: socket.socket) -> str:
+    name = sock.getsockname()
+    return f"unix:{name}" if sock.family == socket.AF_UNIX else f"{name[0]}:{name[1]}"
--- /dev/null
+++ b/gaproute/appliance/rolling_reload.py
@@ -0,0 +1,122 @@
+"""A new configuration brought to all children of a parent, one after the other, so that no request is lost.
+
+A configuration that is wrong changes nothing. Failures that may pass by themselves are tried again for a
+bounded time.
+"""
+
+from collections.abc import Generator
+from typing import Any
+
+from structlog.typing import FilteringBoundLogger
+
+from gaproute.appliance.child_process import ChildProcess
+from gaproute.appliance.child_processes import ChildProcesses
+from gaproute.appliance.listening_sockets import ListeningSockets
+from gaproute.config import ConfigurationError, read_configuration
+from gaproute.config.configuration import Configuration
+from gaproute.loop import Loop, Promise
+from gaproute.loop.faults import Backoff, cause_of
+from gaproute.loop.loop import Timer
+from gaproute.loop.starting import time_for
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+MIN_BACKOFF, MAX_BACKOFF = 50 * MILLI, SECOND  # between attempts to reload, or to start a child
+MAX_START_ATTEMPTS = 8  # to start a child of a new configuration, some 4 s in all
+
+
+class RollingReload:
+    """Reads the configuration `file` again when asked to and rolls it through the children.
+
+    `rolling`: whether children are being replaced now; `retry_timer`: of a reload that failed for a moment.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        log: FilteringBoundLogger,
+        file: str,
+        children: ChildProcesses,
+        listeners: ListeningSockets,
+    ) -> None:
+        self.loop, self.log, self.file = loop, log, file
+        self.children, self.listeners = children, listeners
+        self.rolling = False
+        self.requested = False  # a reload was asked for while one was under way
+        self.retry_timer: Timer | None = None
+
+    def reload(self) -> None:
+        """Reads the configuration and begins to roll it; after the roll that is under way, if one is."""
+        if self.rolling:
+            self.requested = True
+            return
+        self._attempt(Backoff(MIN_BACKOFF, MAX_BACKOFF), self.loop.now())
+
+    def _attempt(self, backoff: Backoff, began: int) -> None:
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
+        if self.rolling or self.children.stopping:
+            return
+        try:
+            configuration = read_configuration(self.file)
+            self.listeners.open(configuration)
+        except (ConfigurationError, OSError) as error:
+            self._failed(error, backoff, began)
+            return
+        self.rolling = True
+        self.loop.spawn(self._roll(configuration))
+
+    def _failed(self, error: ConfigurationError | OSError, backoff: Backoff, began: int) -> None:
+        """Tries it again where the failure may pass within its time, and else logs it."""
+        if self.loop.now() + backoff.pause <= began + time_for(cause_of(error)):
+            self.retry_timer = self.loop.after(backoff.next(), self._attempt, backoff, began)
+            return
+        for mistake in error.mistakes if isinstance(error, ConfigurationError) else [error]:
+            self.log.error("configuration refused", mistake=str(mistake))
+
+    def _roll(self, configuration: Configuration) -> Generator[Promise, Any, None]:
+        previous, self.children.configuration = self.children.configuration, configuration
+        for slot in sorted(self.children.by_slot):
+            if self.children.stopping:
+                break
+            replaced = yield from self._replace(slot)
+            if not replaced:
+                self.children.configuration = previous
+                break
+        else:
+            self.log.info("rolled", processes=len(self.children.by_slot))
+            self.listeners.close_unused(configuration)
+        self.rolling = False
+        if self.requested and not self.children.stopping:
+            self.requested = False
+            self.reload()
+
+    def _replace(self, slot: int) -> Generator[Promise, Any, bool]:
+        """Starts a new child beside the one of the slot, which is asked to end only when the new one serves.
+
+        Returns whether it does.
+        """
+        free_slot = self.children.free_slot()
+        replacement = yield from self._start(free_slot)
+        serves = replacement is not None and (yield replacement.ready)
+        if not serves:
+            self.log.error("roll given up: the new configuration does not start", seat=free_slot)
+            return False
+        old = self.children.by_slot.pop(slot, None)
+        if old is not None:
+            old.stop()
+            yield old.ended
+        return True
+
+    def _start(self, slot: int) -> Generator[Promise, Any, ChildProcess | None]:
+        """A new child of the slot, tried again where that fails; None in the end."""
+        backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
+        for _ in range(MAX_START_ATTEMPTS):
+            try:
+                return self.children.start(slot)
+            except OSError as error:
+                self.log.warning("child not started", seat=slot, error=str(error))
+            yield self.loop.sleep(backoff.next())
+            if self.children.stopping:
+                break
+        return None
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -15,8 +15,10 @@
 from helpers import CONFIGURATION
 from scripted import SECOND
 
-from gaproute.appliance import Appliance, parent
-from gaproute.appliance.parent import MAX_START_ATTEMPTS, ChildProcess, Parent
+from gaproute.appliance import Appliance, child_processes, listening_sockets
+from gaproute.appliance.child_process import ChildProcess
+from gaproute.appliance.parent import Parent
+from gaproute.appliance.rolling_reload import MAX_START_ATTEMPTS
 from gaproute.cli import serving
 from gaproute.config import ConfigurationError, read_configuration, read_hosts
 from gaproute.discovery.listing import TOLD_AT, FileWatch
@@ -91,7 +93,7 @@
 @pytest.fixture
 def family(monkeypatch, tmp_path):
     """A parent of two stand-in children on a loop that waits for nothing."""
-    monkeypatch.setattr(parent, "ChildProcess", FakeChild)
+    monkeypatch.setattr(child_processes, "ChildProcess", FakeChild)
     monkeypatch.setattr(FakeChild, "failing", None)
     file = tmp_path / "g.conf"
     file.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\n")
@@ -103,84 +105,88 @@
     for number in (signal.SIGTERM, signal.SIGHUP):
         signal.signal(number, signal.SIG_DFL)
     signal.signal(signal.SIGINT, signal.default_int_handler)
-    for sock in made.sockets.values():
+    for sock in made.listeners.by_address.values():
         sock.close()
     made.loop.close()
 
 
 def test_a_child_that_cannot_be_started_again_at_once_is_started_later(family):
     FakeChild.failing = failing = Failing(lambda: None, *[errno.EAGAIN] * 3)
-    family.children[0].ended.set(1)
+    family.children.by_slot[0].ended.set(1)
     family.loop.run(until=family.loop.sleep(60 * SECOND))
-    assert failing.failed == 3 and sorted(family.children) == [0, 1] and not family.loop.errors
+    assert failing.failed == 3 and sorted(family.children.by_slot) == [0, 1] and not family.loop.errors
     assert family.log.lines.count(("warning", "child not started")) == 3
 
 
 def test_a_roll_goes_on_though_a_child_cannot_be_started_at_once(family):
-    before = set(family.children.values())
+    before = set(family.children.by_slot.values())
     FakeChild.failing = failing = Failing(lambda: None, *[errno.EMFILE] * 3)
-    family.reload()
+    family.reloads.reload()
     family.loop.run(until=family.loop.sleep(10 * SECOND))
-    assert failing.failed == 3 and not family.rolling and not family.loop.errors
-    assert len(family.children) == 2 and not before & set(family.children.values())
+    assert failing.failed == 3 and not family.reloads.rolling and not family.loop.errors
+    assert len(family.children.by_slot) == 2 and not before & set(family.children.by_slot.values())
 
 
 def test_a_roll_whose_children_cannot_be_started_is_given_up_and_the_next_one_is_not_held_up(family):
-    before = set(family.children.values())
+    before = set(family.children.by_slot.values())
     FakeChild.failing = Failing(lambda: None, *[errno.EMFILE] * MAX_START_ATTEMPTS)
-    family.reload()
+    family.reloads.reload()
     family.loop.run(until=family.loop.sleep(20 * SECOND))
-    assert set(family.children.values()) == before and not family.rolling and not family.loop.errors
-    family.reload()
+    assert (
+        set(family.children.by_slot.values()) == before
+        and not family.reloads.rolling
+        and not family.loop.errors
+    )
+    family.reloads.reload()
     family.loop.run(until=family.loop.sleep(20 * SECOND))
-    assert not before & set(family.children.values())
+    assert not before & set(family.children.by_slot.values())
 
 
 @pytest.mark.parametrize("code", [*SHORT, errno.EINTR, errno.EIO])
 def test_a_new_configuration_that_cannot_be_read_at_once_is_read_later(family, monkeypatch, code):
-    before = set(family.children.values())
+    before = set(family.children.by_slot.values())
     failing = Failing(pathlib.Path.read_text, code, code)
     monkeypatch.setattr(pathlib.Path, "read_text", lambda path: failing(path))
-    family.reload()
+    family.reloads.reload()
     family.loop.run(until=family.loop.sleep(SECOND))
-    assert failing.failed == 2 and not before & set(family.children.values())
-    assert ("error", "configuration refused") not in family.log.lines and family.reload_timer is None
+    assert failing.failed == 2 and not before & set(family.children.by_slot.values())
+    assert ("error", "configuration refused") not in family.log.lines and family.reloads.retry_timer is None
 
 
 def test_a_new_configuration_that_is_wrong_is_refused_at_once(family):
     family.text.write_text("nonsense\n")
-    family.reload()
-    assert ("error", "configuration refused") in family.log.lines and family.reload_timer is None
+    family.reloads.reload()
+    assert ("error", "configuration refused") in family.log.lines and family.reloads.retry_timer is None
 
 
 @pytest.mark.parametrize("code", [*SHORT, errno.ENOBUFS, errno.EADDRINUSE])
 def test_a_new_address_that_cannot_be_had_at_once_is_had_later(family, monkeypatch, code):
-    before = dict(family.sockets)
-    monkeypatch.setattr(parent, "listening", Failing(connecting.listening, code, code))
+    before = dict(family.listeners.by_address)
+    monkeypatch.setattr(listening_sockets, "listening", Failing(connecting.listening, code, code))
     family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 127.0.0.2:0\n")
-    family.reload()
-    assert family.sockets == before
+    family.reloads.reload()
+    assert family.listeners.by_address == before
     family.loop.run(until=family.loop.sleep(SECOND))
-    assert len(family.sockets) == 2 and not family.rolling
+    assert len(family.listeners.by_address) == 2 and not family.reloads.rolling
 
 
 def test_a_new_address_that_cannot_be_had_at_all_is_refused_soon_and_nothing_changes(family):
-    before, children = dict(family.sockets), dict(family.children)
+    before, children = dict(family.listeners.by_address), dict(family.children.by_slot)
     family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 192.0.2.1:80\n")
-    family.reload()
+    family.reloads.reload()
     family.loop.run(until=family.loop.sleep(3 * SECOND))
     assert family.log.lines.count(("error", "configuration refused")) == 1
-    assert family.sockets == before and family.children == children
+    assert family.listeners.by_address == before and family.children.by_slot == children
 
 
 def test_the_start_of_a_parent_may_be_called_again(monkeypatch, family):
-    del family.children[1]
+    del family.children.by_slot[1]
     FakeChild.failing = Failing(lambda: None, errno.EAGAIN, None)
-    kept = family.children[0]
+    kept = family.children.by_slot[0]
     with pytest.raises(OSError):
         family.start()
     family.start()
-    assert sorted(family.children) == [0, 1] and family.children[0] is kept
+    assert sorted(family.children.by_slot) == [0, 1] and family.children.by_slot[0] is kept
 
 
 # One gateway
