--- a/benchmarks/scale/cells/evenness.py
+++ b/benchmarks/scale/cells/evenness.py
@@ -14,11 +14,11 @@
 
 from benchmarks.fleet.clock import MILLI, SECOND
 from benchmarks.scale.cells.fleet import Shape, place, table
-from gaproute.decisions.cells.choice import Chooser
-from gaproute.decisions.cells.demand import Demand, Scope
-from gaproute.decisions.cells.health import Health
-from gaproute.decisions.cells.homes import Homes
-from gaproute.decisions.cells.loads import Loads
+from gaproute.decisions.cells.choice import CellSelector
+from gaproute.decisions.cells.demand import Demand, FleetScope
+from gaproute.decisions.cells.health import CellHealth
+from gaproute.decisions.cells.homes import HomeCells
+from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.chance import Chance
 
 FUNCTIONS = 390_000
@@ -54,18 +54,18 @@
         self.each = []
         for number in range(played):
             stands = place(number, shape)
-            homes = self.homes.setdefault(stands.region, Homes(made, 65_536, (stands.region,)))
+            homes = self.homes.setdefault(stands.region, HomeCells(made, 65_536, (stands.region,)))
             regional = max(1, shape.gateways // shape.regions)
-            demand = Demand(0, Scope(shape.gateways, regional, KEEP_ALIVE))
+            demand = Demand(0, FleetScope(shape.gateways, regional, KEEP_ALIVE))
             chance = Chance(chance_seed + number)
-            loads = draw() if draw else Loads()
+            loads = draw() if draw else CellLoads()
             self.each.append(
-                Chooser(stands, homes, demand, loads, Health(stands.name, chance, stands), chance)
+                CellSelector(stands, homes, demand, loads, CellHealth(stands.name, chance, stands), chance)
             )
             self.each[-1].health.adopt(made)
 
 
-class CellLoads:
+class ReportedLoads:
     """Loads of the cells as their hosts would report them."""
 
     def __init__(self, made, weight):
@@ -104,7 +104,7 @@
     random = Random(seed)
     popularity, made = Popularity(functions, exponent, random), table(shape)
     choosers = Choosers(shape, made, played, seed, draw)
-    loads = CellLoads(made, shape.gateways / played)
+    loads = ReportedLoads(made, shape.gateways / played)
     works = {}
     step = SECOND / (rate * played)
     now, ticked = 0.0, 0
@@ -119,11 +119,11 @@
         chooser = choosers.each[random.randrange(played)]
         function, at = popularity.draw(), int(now)
         span = works.get(function) or works.setdefault(function, work(function))
-        chooser.demand.arrived(at, function)
+        chooser.demand.record_arrival(at, function)
         choice = next(chooser.cells(at, function))
         loads.add(choice.cell, span)
-        chooser.demand.took(function, int(span))
-        chooser.loads.heard(at, choice.cell, loads.told[choice.cell])
+        chooser.demand.record_duration(function, int(span))
+        chooser.loads.record(at, choice.cell, loads.told[choice.cell])
         calls += 1
         regional += chooser.demand.functions[function].placement.regional
     over = [loads.total[name] / loads.capacity[name] for name in loads.capacity]
--- a/benchmarks/scale/cells/fleet.py
+++ b/benchmarks/scale/cells/fleet.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
-from gaproute.decisions.cells.place import Place
-from gaproute.decisions.cells.table import Cell, Entry, Version, own_points, validate
-from gaproute.decisions.cells.views import View
+from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.table import Cell, EntryGateway, Version, initial_points, validate
+from gaproute.decisions.cells.views import CellView
 
 SIZES = (0.5, 1.0, 1.5)  # of hosts, over the mean; a cell has hosts of one size, as bought together
 
@@ -30,14 +30,14 @@
 def place(number, shape):
     """Where the gateway of that number stands."""
     zone = number % shape.zones
-    return Place(f"gateway{number}", region_of(zone, shape), f"zone{zone}")
+    return GatewayLocation(f"gateway{number}", region_of(zone, shape), f"zone{zone}")
 
 
 def bare_cell(number, shape):
     """The cell of that number, without entries."""
     zone = number % shape.zones
     capacity = shape.hosts * shape.host_capacity * shape.sizes[number // shape.zones % len(shape.sizes)]
-    points = own_points(f"cell{number}", capacity, shape.hosts * shape.host_capacity)
+    points = initial_points(f"cell{number}", capacity, shape.hosts * shape.host_capacity)
     return Cell(f"cell{number}", region_of(zone, shape), f"zone{zone}", capacity, shape.hosts, points)
 
 
@@ -47,11 +47,11 @@
     entries = {cell.name: [] for cell in cells}
     for number in range(shape.gateways):
         stands = place(number, shape)
-        view = View(0, stands)
+        view = CellView(0, stands)
         view.adopt(bare)
-        for name in view.attended:
+        for name in view.assigned:
             if len(entries[name]) < shape.entries:
-                entries[name].append(Entry(stands.name, f"{stands.name}.address"))
+                entries[name].append(EntryGateway(stands.name, f"{stands.name}.address"))
     return [
         Cell(
             cell.name,
--- a/benchmarks/scale/cells/meetings.py
+++ b/benchmarks/scale/cells/meetings.py
@@ -11,17 +11,17 @@
 from benchmarks.scale.cells.fleet import Shape, bare_cell, place, table, with_entries
 from benchmarks.scale.cells.world import CALL_TIME, IDEMPOTENT, World
 from gaproute import interface as face
-from gaproute.decisions.cells.choice import Chooser
-from gaproute.decisions.cells.demand import Demand, Scope
-from gaproute.decisions.cells.entries import Entries, Forward, Forwarded
-from gaproute.decisions.cells.health import Health
-from gaproute.decisions.cells.homes import Homes
-from gaproute.decisions.cells.loads import Loads
-from gaproute.decisions.cells.table import split
+from gaproute.decisions.cells.choice import CellSelector
+from gaproute.decisions.cells.demand import Demand, FleetScope
+from gaproute.decisions.cells.entries import EntrySelector, ForwardAttempt, Forwarded
+from gaproute.decisions.cells.health import CellHealth
+from gaproute.decisions.cells.homes import HomeCells
+from gaproute.decisions.cells.loads import CellLoads
+from gaproute.decisions.cells.table import split_cell
 from gaproute.decisions.chance import Chance
 
 RARE_EVERY = 60 * SECOND  # between two calls of a rare function in the whole fleet
-CELLS_TRIED = 3
+MAX_CELLS_TRIED = 3
 
 
 class Callers:
@@ -31,8 +31,8 @@
         self.world, self.random = world, random or Random(1)
         self.tables = [made, old_made or made]
         self.old_share = old_share
-        self.choosers = {}  # (region, which table): Chooser, whose demand is that of the caller at hand
-        self.callers = {}  # number: (Demand, Entries, which table)
+        self.choosers = {}  # (region, which table): CellSelector, whose demand is that of the caller at hand
+        self.callers = {}  # number: (Demand, EntrySelector, which table)
 
     def call(self, number, function, done):
         """A call that comes to the gateway of that number; `done(found)` once, None where it failed."""
@@ -45,9 +45,9 @@
         demand, entries, which = self._caller(number, stands)
         chooser = self._chooser(stands, which)
         chooser.demand = demand
-        demand.arrived(now, function)
+        demand.record_arrival(now, function)
         choices = [
-            choice for _, choice in zip(range(CELLS_TRIED), chooser.cells(now, function), strict=False)
+            choice for _, choice in zip(range(MAX_CELLS_TRIED), chooser.cells(now, function), strict=False)
         ]
         self._forward(
             stands, entries, self.tables[which], function, [choice.cell for choice in choices], done
@@ -56,18 +56,20 @@
     def _caller(self, number, stands):
         if number not in self.callers:
             shape = self.world.shape
-            scope = Scope(shape.gateways, shape.gateways // shape.regions, self.world.keep_alive)
+            scope = FleetScope(shape.gateways, shape.gateways // shape.regions, self.world.keep_alive)
             which = int(self.random.random() < self.old_share)
-            self.callers[number] = Demand(0, scope), Entries(stands.name), which
+            self.callers[number] = Demand(0, scope), EntrySelector(stands.name), which
         return self.callers[number]
 
     def _chooser(self, stands, which):
         key = stands.region, which
         if key not in self.choosers:
-            homes = Homes(self.tables[which], regions=(stands.region,))
-            health = Health(stands.name, Chance(1), stands)
+            homes = HomeCells(self.tables[which], regions=(stands.region,))
+            health = CellHealth(stands.name, Chance(1), stands)
             health.adopt(self.tables[which])
-            self.choosers[key] = Chooser(stands, homes, None, Loads(), health, Chance(len(self.choosers)))
+            self.choosers[key] = CellSelector(
+                stands, homes, None, CellLoads(), health, Chance(len(self.choosers))
+            )
         return self.choosers[key]
 
     def _forward(self, stands, entries, made, function, names, done):
@@ -89,7 +91,7 @@
             self._forward(stands, entries, made, function, names[1:], done)
             return
         self.world.counts["serial"] += 1
-        wish = Forward(entry, 0, Forwarded(names[0], 1))
+        wish = ForwardAttempt(entry, 0, Forwarded(names[0], 1))
         task = face.Task(f"c{self.world.counts['serial']}>", 0, CALL_TIME, function, 1, None, IDEMPOTENT)
         delay = self.world.delay(stands.zone, node.zone)
         self.world.clock.at(self.world.clock.now + delay, node.take, task, finish, wish.forwarded)
@@ -125,7 +127,7 @@
     rows = with_entries([bare_cell(number, shape) for number in range(shape.cells + 1)], shape)
     before = table(shape, 1, rows[:-1])
     *kept, old = rows[1:]
-    return before, table(shape, 2, [*kept[1:], old, *split(kept[0], "split", kept[0].entries)])
+    return before, table(shape, 2, [*kept[1:], old, *split_cell(kept[0], "split", kept[0].entries)])
 
 
 def play(shape, functions, keep_alive, seconds, warm_up, old_share=0.0, background=0.0, seed=1):
--- a/benchmarks/scale/cells/moves.py
+++ b/benchmarks/scale/cells/moves.py
@@ -7,8 +7,8 @@
 from xxhash import xxh3_64_intdigest
 
 from benchmarks.scale.cells.fleet import Shape, bare_cell, table
-from gaproute.decisions.cells.homes import Homes
-from gaproute.decisions.cells.table import split
+from gaproute.decisions.cells.homes import HomeCells
+from gaproute.decisions.cells.table import split_cell
 
 FUNCTIONS = 100_000
 CELLS = 490
@@ -34,7 +34,7 @@
     shape = Shape(cells, 51, 0)
     rows = [bare_cell(number, shape) for number in range(cells + 1)]
     before = rows[:-1]
-    halves = split(before[7], "split")
+    halves = split_cell(before[7], "split")
     return {
         "before": table(shape, 1, before),
         "added": table(shape, 2, rows),
@@ -55,7 +55,7 @@
 
 def play(way, cells=CELLS, functions=FUNCTIONS):
     """Figures of one way, "multi-probe" or "rendezvous"."""
-    kind = {"multi-probe": Homes, "rendezvous": Rendezvous}[way]
+    kind = {"multi-probe": HomeCells, "rendezvous": Rendezvous}[way]
     made = tables(cells)
     names = [f"function{number}" for number in range(functions)]
     orders, begun = kind(made["before"]), process_time_ns()
--- a/benchmarks/scale/cells/node.py
+++ b/benchmarks/scale/cells/node.py
@@ -1,7 +1,7 @@
 """One gateway of a play: drives its decisions and carries out their wishes on the play's net."""
 
 from gaproute import interface as face
-from gaproute.decisions.cells.entries import CellUnknown, Forward
+from gaproute.decisions.cells.entries import CellUnknown, ForwardAttempt
 
 
 class Held:
@@ -84,7 +84,7 @@
         held.relays += 1
         held.out[relay] = wish.worker, self.world.clock.now
         self.world.counts["relays"] += 1
-        if isinstance(wish, Forward):
+        if isinstance(wish, ForwardAttempt):
             self.world.forward(self, held, relay, wish)
         else:
             self.world.to_host(self, held, relay, wish.worker)
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -14,7 +14,7 @@
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.change import TableChange, TableHolder
-from gaproute.decisions.cells.entries import Forwarded, trim
+from gaproute.decisions.cells.entries import Forwarded, trim_entries
 from gaproute.decisions.cells.table import Version
 
 HOSTS = 51  # in a cell
@@ -31,8 +31,8 @@
     shape = Shape(cells, HOSTS, gateways, entries)
     gateway = CellularGateway(7, terms(gateways, KEEP_ALIVE), 0, place(1, shape))
     stands = place(1, shape)
-    holder = TableHolder("play", lambda cell: trim(cell, stands.name))
-    holder.take(table(shape))
+    holder = TableHolder("play", lambda cell: trim_entries(cell, stands.name))
+    holder.replace(table(shape))
     gateway.adopt(0, holder.table)
     for name in gateway.wanted():
         rows = [
@@ -89,7 +89,7 @@
 
 
 def _take(gateway, holder, change):
-    holder.change(change)
+    holder.apply(change)
     gateway.adopt(0, holder.table)
 
 
--- a/benchmarks/scale/forwarding.py
+++ b/benchmarks/scale/forwarding.py
@@ -15,7 +15,7 @@
 
 from benchmarks.scale import forwarding_clients
 from gaproute.config.cell_files import read_table
-from gaproute.decisions.cells.homes import Homes
+from gaproute.decisions.cells.homes import HomeCells
 
 ADDRESS = "127.0.0.2"  # of gateways: nobody connects from there, so that a port found free stays free
 RELAY = Path(__file__).parents[1] / "relay.py"  # which has the hosts
@@ -64,7 +64,7 @@
         self.gateways = {cell: self._gateway(cell, seed) for cell in CELLS}
         for gateway in self.gateways.values():
             _wait_started(gateway)
-        homes = Homes(read_table(self.path / "cells.table"))
+        homes = HomeCells(read_table(self.path / "cells.table"))
         self.functions = {cell: [] for cell in CELLS}
         for number in range(self.models):
             self.functions[homes.first(f"m{number}")].append(f"m{number}")
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -4,7 +4,7 @@
 
 from gaproute.config.cell_files import read_table
 from gaproute.decisions.cells.change import TableChange
-from gaproute.decisions.cells.errors import OtherFleet, StaleVersion, TableError
+from gaproute.decisions.cells.errors import OtherFleetError, StaleVersionError, TableError
 from gaproute.discovery.listing import FileWatch
 from gaproute.shared.dissemination import DocumentError
 
@@ -14,7 +14,7 @@
 
 
 # Why a table of the file is refused, as the status counts it.
-REASONS = {OtherFleet: "other fleet", StaleVersion: "older", ContradictionError: "contradicts"}
+REASONS = {OtherFleetError: "other fleet", StaleVersionError: "older", ContradictionError: "contradicts"}
 WRONG_FILE = "wrong file"
 
 
@@ -72,11 +72,11 @@
     def _check(self, table):
         held = self.held
         if table.fleet != self.line.fleet:
-            raise OtherFleet(self.line.fleet, table.fleet)
+            raise OtherFleetError(self.line.fleet, table.fleet)
         if held is not None and table.version == held.version:
             raise ContradictionError(f"version {table.version} is held with other content")
         if held is not None and table.version < held.version:
-            raise StaleVersion(held.version, table.version)
+            raise StaleVersionError(held.version, table.version)
 
     def _file_refused(self, mistakes):
         self._refuse(WRONG_FILE, mistakes)
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -7,7 +7,7 @@
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.core.cellular import CellularCore
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.place import Place
+from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
@@ -30,7 +30,7 @@
     def __init__(self, loop, configuration, record, seed, reach, run, hosts_changed):
         self.loop, self.configuration, self.line = loop, configuration, configuration.cells
         self.record, self.hosts_changed = record, hosts_changed
-        place = Place(configuration.name, self.line.region, self.line.zone)
+        place = GatewayLocation(configuration.name, self.line.region, self.line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), place)
         self.hosts = CellHosts(loop, Pooling(), reach, configuration.name)
         self.entries = Entries(loop, reach, configuration.name)
--- a/gaproute/config/directives/cell_table.py
+++ b/gaproute/config/directives/cell_table.py
@@ -6,7 +6,7 @@
 
 from gaproute.config.parsing import Directive
 from gaproute.decisions.cells import bounds
-from gaproute.decisions.cells.table import Entry, Points
+from gaproute.decisions.cells.table import EntryGateway, PointRange
 
 LARGEST_VERSION = (1 << 63) - 1
 
@@ -23,31 +23,31 @@
     return value.split(",")
 
 
-def _points(value: Any) -> tuple[Points, ...]:
+def _points(value: Any) -> tuple[PointRange, ...]:
     return tuple(_point(part) for part in _parts(value, bounds.MAX_RANGES, "ranges of ring points"))
 
 
-def _point(part: str) -> Points:
+def _point(part: str) -> PointRange:
     origin, colon, numbers = part.rpartition(":")
     first, plus, count = numbers.partition("+")
     if not (origin and colon and plus and _is_number(first) and _is_number(count)):
         raise ValueError(f"{part!r:.80} is no range of ring points: ORIGIN:FIRST+COUNT")
-    return Points(origin, int(first), int(count))
+    return PointRange(origin, int(first), int(count))
 
 
 def _is_number(text: str) -> bool:
     return text.isascii() and text.isdigit() and len(text) <= len(str(bounds.MAX_RING_POINTS))
 
 
-def _entries(value: Any) -> tuple[Entry, ...]:
+def _entries(value: Any) -> tuple[EntryGateway, ...]:
     return tuple(_entry(part) for part in _parts(value, bounds.MAX_ENTRIES, "entry gateways"))
 
 
-def _entry(part: str) -> Entry:
+def _entry(part: str) -> EntryGateway:
     name, equals, address = part.partition("=")
     if not (name and equals and address):
         raise ValueError(f"{part!r:.80} is no entry gateway: NAME=ADDRESS")
-    return Entry(name, address)
+    return EntryGateway(name, address)
 
 
 class TableLine(Directive):
@@ -73,8 +73,8 @@
     zone: Named
     capacity: float
     hosts: int
-    points: Annotated[tuple[Points, ...], BeforeValidator(_points)]
-    entries: Annotated[tuple[Entry, ...], BeforeValidator(_entries)] = ()
+    points: Annotated[tuple[PointRange, ...], BeforeValidator(_points)]
+    entries: Annotated[tuple[EntryGateway, ...], BeforeValidator(_entries)] = ()
 
 
 CELL_DIRECTIVES: dict[str, type[Directive]] = {"table": TableLine, "cell": CellLine}
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -1,7 +1,7 @@
 """The core of a gateway in a fleet of cells: it forwards calls to other gateways and takes theirs."""
 
 from gaproute.core.core import Core
-from gaproute.decisions.cells.entries import CellUnknown, Forward
+from gaproute.decisions.cells.entries import CellUnknown, ForwardAttempt
 
 
 class CellularCore(Core):
@@ -21,7 +21,7 @@
 
     def send(self, key, number, wish, now):
         """Carry out a relay: to a host, or to an entry gateway of another cell."""
-        if isinstance(wish, Forward):
+        if isinstance(wish, ForwardAttempt):
             self.forwarded_out += 1
             self.begin(self.entries.toward(wish), key, number, wish.worker, wish.until, now)
         else:
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -7,18 +7,18 @@
 Invariant: all cells known share one load ration.
 """
 
-from gaproute.decisions.cells.choice import Chooser
-from gaproute.decisions.cells.demand import Demand, Scope
-from gaproute.decisions.cells.entries import Entries, Forwarded
-from gaproute.decisions.cells.health import Health
-from gaproute.decisions.cells.homes import Homes
+from gaproute.decisions.cells.choice import CellSelector
+from gaproute.decisions.cells.demand import Demand, FleetScope
+from gaproute.decisions.cells.entries import EntrySelector, Forwarded
+from gaproute.decisions.cells.health import CellHealth
+from gaproute.decisions.cells.homes import HomeCells
 from gaproute.decisions.cells.journey import Journey
-from gaproute.decisions.cells.loads import Loads
+from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.cells.local import LocalCells
-from gaproute.decisions.cells.place import Place
-from gaproute.decisions.cells.spill import Spill
+from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.spill import SpillBudget
 from gaproute.decisions.cells.tasks import CellTasks
-from gaproute.decisions.cells.views import View
+from gaproute.decisions.cells.views import CellView
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Outcome, Task, Wait
@@ -29,19 +29,19 @@
 class CellularGateway(CellTasks):
     """See the module. `place`: this gateway's name, region and zone; None: it never has several cells."""
 
-    def __init__(self, seed, terms, now, place: Place | None = None):
+    def __init__(self, seed, terms, now, place: GatewayLocation | None = None):
         self.terms, self.place = terms, place
         self.single = Gateway(seed, terms, now)  # used while there is at most one cell
-        self.former = None  # the gateway used before the fleet had several cells
+        self.previous_single = None  # the gateway used before the fleet had several cells
         self.table = None
-        self.hands = {}  # (task, relay): Hand
+        self.attempts = {}  # (task, relay): CellAttempt
         self.local = LocalCells(seed, terms)
-        self.entries = Entries(place.name if place else "")
+        self.entries = EntrySelector(place.name if place else "")
         self.chance = Chance(seed ^ CHANCE_SALT)
-        self.view = View(now, place) if place else None
-        self.demand = Demand(now, Scope(terms.gateways, terms.gateways, max(1, terms.keep_alive)))
-        self.health = Health(self.entries.own_name, self.chance, place)
-        self.loads, self.spill = Loads(), Spill()
+        self.view = CellView(now, place) if place else None
+        self.demand = Demand(now, FleetScope(terms.gateways, terms.gateways, max(1, terms.keep_alive)))
+        self.health = CellHealth(self.entries.own_name, self.chance, place)
+        self.loads, self.spill = CellLoads(), SpillBudget()
         self.homes = self.chooser = None
 
     def __getattr__(self, name):
@@ -66,15 +66,17 @@
                 self._unite(now, table)
             return
         if self.homes is None:
-            self.homes = Homes(table, regions=(self.place.region,))
-            self.chooser = Chooser(self.place, self.homes, self.demand, self.loads, self.health, self.chance)
+            self.homes = HomeCells(table, regions=(self.place.region,))
+            self.chooser = CellSelector(
+                self.place, self.homes, self.demand, self.loads, self.health, self.chance
+            )
         self.homes.adopt(table)
         self.chooser.adopt(table)
         self.health.adopt(table)
         self.entries.adopt(table)
         self.loads.adopt(table.by_name)
         self.view.adopt(table)
-        self.local.keep(self.view.names())
+        self.local.retain(self.view.names())
         self._rescope()
 
     def wanted(self) -> tuple[str, ...]:
@@ -95,7 +97,7 @@
         if self.table is not None and self.table.cells[0].name in table.by_name:
             self.local.add(self.table.cells[0].name, self.single)
             self.local.ration = self.single.ration
-        self.former, self.single = self.single, None
+        self.previous_single, self.single = self.single, None
 
     def _unite(self, now, table):
         """From several cells to one."""
@@ -105,13 +107,15 @@
             self.single.ration = self.local.ration
             if self.local.end_by is not None:
                 self.single.end_by = self.local.end_by
-        self.former = self.homes = self.chooser = None
-        self.local.keep(())
+        self.previous_single = self.homes = self.chooser = None
+        self.local.retain(())
 
     def _rescope(self):
         share = self.chooser.regional_cells / len(self.table.cells)
         gateways = self.terms.gateways
-        self.demand.scope = Scope(gateways, max(1, round(gateways * share)), max(1, self.terms.keep_alive))
+        self.demand.scope = FleetScope(
+            gateways, max(1, round(gateways * share)), max(1, self.terms.keep_alive)
+        )
 
     # Tasks
 
@@ -120,7 +124,7 @@
         if self.single is None:
             return self.travel(Journey(now, task, self.terms, forwarded), forwarded)
         if forwarded is not None and not self._leads_into(forwarded.cell):
-            return self.decline_unknown(Journey(now, task, self.terms, forwarded))
+            return self.reject_unknown(Journey(now, task, self.terms, forwarded))
         return self.single.serve(now, task)
 
     def _leads_into(self, cell):
@@ -129,10 +133,10 @@
 
     def heard(self, now: int, outcome: Outcome):
         """Book one relay's outcome, whether or not its task is still held."""
-        hand = self.hands.pop((outcome.task, outcome.relay), None)
+        hand = self.attempts.pop((outcome.task, outcome.relay), None)
         if hand is not None:
             self.heard_in_cell(now, outcome, hand)
-        elif (gateway := self.single or self.former) is not None:  # sent while there was one cell
+        elif (gateway := self.single or self.previous_single) is not None:  # sent while there was one cell
             gateway.heard(now, outcome)
 
     def probed(self, now, worker, good, report):
@@ -163,7 +167,7 @@
     def end_by(self, when):
         if self.single is not None:
             self.single.end_by = when
-        self.local.stop_by(when)
+        self.local.set_end(when)
 
     def housekeep(self, now):
         """Probes, lists and what is forgotten, of all cells known, and the review of the view."""
@@ -183,5 +187,5 @@
                 held = None
                 due = yield from self.local.housekeep(now)
                 if self.view.review(now):
-                    self.local.keep(self.view.names())
+                    self.local.retain(self.view.names())
             now, _ = yield Wait(due)
--- a/gaproute/decisions/cells/change.py
+++ b/gaproute/decisions/cells/change.py
@@ -9,12 +9,12 @@
 
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.errors import (
-    OtherFleet,
+    FullTableNeededError,
+    OtherFleetError,
     RowError,
-    StaleVersion,
+    StaleVersionError,
     TableError,
-    TooManyCells,
-    WholeTableNeeded,
+    TooManyCellsError,
 )
 from gaproute.decisions.cells.table import (
     Cell,
@@ -38,21 +38,23 @@
     removed: tuple[str, ...] = ()
 
 
-def changed(table: CellTable, change: TableChange, trim: Callable[[Cell], Cell] | None = None) -> CellTable:
+def apply_change(
+    table: CellTable, change: TableChange, trim: Callable[[Cell], Cell] | None = None
+) -> CellTable:
     """The table after the change; raises `TableError` where it cannot be applied as a whole."""
     if change.fleet != table.fleet:
-        raise OtherFleet(table.fleet, change.fleet)
+        raise OtherFleetError(table.fleet, change.fleet)
     if change.version <= table.version:
-        raise StaleVersion(table.version, change.version)
+        raise StaleVersionError(table.version, change.version)
     if change.base != table.version:
-        raise WholeTableNeeded(table.version, change.base)
+        raise FullTableNeededError(table.version, change.base)
     cells = dict(table.by_name)
     _remove(cells, change)
     places = _set(cells, change)
     if not cells:
         raise TableError("the change removes every cell")
     if len(cells) > bounds.MAX_CELLS:
-        raise TooManyCells(bounds.MAX_CELLS)
+        raise TooManyCellsError(bounds.MAX_CELLS)
     regions = {cell.zone: cell.region for cell in table.cells if cells.get(cell.name) is cell}
     check_zones(places, change.rows, regions)
     origins = {points.origin for cell in change.rows for points in cell.points}
@@ -64,7 +66,7 @@
 
 def _remove(cells, change):
     if len(change.removed) > bounds.MAX_CELLS:
-        raise TooManyCells(bounds.MAX_CELLS)
+        raise TooManyCellsError(bounds.MAX_CELLS)
     for name in change.removed:
         if cells.pop(name, None) is None:
             raise TableError(f"the change removes cell {name!r:.80}, which is not in the table")
@@ -73,7 +75,7 @@
 def _set(cells, change):
     """Put the change's rows in place; returns where each stands in the change, from 1 on."""
     if len(change.rows) > bounds.MAX_CELLS:
-        raise TooManyCells(bounds.MAX_CELLS)
+        raise TooManyCellsError(bounds.MAX_CELLS)
     places = {}
     for place, cell in enumerate(change.rows, start=1):
         check_cell(place, cell)
@@ -92,30 +94,33 @@
         """`trim` makes of a checked row what is held of it."""
         self.fleet, self.trim = fleet, trim
         self.table: CellTable | None = None
-        self.needs_whole = True  # nothing was taken yet, or a change did not fit
+        self.needs_full_table = True  # nothing was taken yet, or a change did not fit
 
-    def take(self, table: CellTable):
+    def replace(self, table: CellTable):
         """Take a whole table, as `validate` made it; raises `TableError` where it is refused."""
         if table.fleet != self.fleet:
-            raise OtherFleet(self.fleet, table.fleet)
+            raise OtherFleetError(self.fleet, table.fleet)
         if self.table is not None and table.version <= self.table.version:
-            raise StaleVersion(self.table.version, table.version)
+            raise StaleVersionError(self.table.version, table.version)
         if self.trim is not None:
             cells = {cell.name: self.trim(cell) for cell in table.cells}
             table = make_table(table.fleet, table.version, cells)
-        self.table, self.needs_whole = table, False
+        self.table, self.needs_full_table = table, False
 
-    def change(self, change: TableChange):
-        """Apply a change; raises `TableError`, `WholeTableNeeded` where the whole table must be asked for."""
+    def apply(self, change: TableChange):
+        """Apply a change.
+
+        Raises `TableError`; `FullTableNeededError` where the whole table must be asked for.
+        """
         if change.fleet != self.fleet:
-            raise OtherFleet(self.fleet, change.fleet)
+            raise OtherFleetError(self.fleet, change.fleet)
         if self.table is None:
-            self.needs_whole = True
-            raise WholeTableNeeded(None, change.base)
+            self.needs_full_table = True
+            raise FullTableNeededError(None, change.base)
         try:
-            self.table = changed(self.table, change, self.trim)
-        except StaleVersion:
+            self.table = apply_change(self.table, change, self.trim)
+        except StaleVersionError:
             raise
         except TableError:
-            self.needs_whole = True
+            self.needs_full_table = True
             raise
--- a/gaproute/decisions/cells/choice.py
+++ b/gaproute/decisions/cells/choice.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-from gaproute.decisions.cells.illness import Permit
+from gaproute.decisions.cells.faults import CircuitState
 
 
 class Choice(NamedTuple):
@@ -20,7 +20,7 @@
     trial: bool = False
 
 
-class Chooser:
+class CellSelector:
     """Puts together homes, demand, loads and health, which all go by one table."""
 
     def __init__(self, place, homes, demand, loads, health, chance):
@@ -45,36 +45,38 @@
 
     def cut_off(self, now, function):
         """Whether most other regions are silent: then the own one serves all functions alone."""
-        if self.regional_cells <= 0 or not self.health.ill:
+        if self.regional_cells <= 0 or not self.health.faults:
             return False
         others = [region for region in self.regions if region != self.place.region]
-        barred = sum(not self.health.region_open(now, region, function) for region in others)
+        barred = sum(not self.health.region_usable(now, region, function) for region in others)
         return 2 * barred > len(others) > 0
 
-    def cells(self, now, function, may_try=True):
-        """Yields each `Choice` for a call of the function, in turn. `may_try`: it may be sent again."""
+    def cells(self, now, function, may_repeat=True):
+        """Yields each `Choice` for a call of the function, in turn. `may_repeat`: it may be sent again."""
         regional, count = self.placement(now, function)
         region = self.place.region if regional else None
         homes = self.homes.order(function, count, region)[:count]
-        first = self._first(now, function, homes, may_try)
+        first = self._first(now, function, homes, may_repeat)
         given = set()
         if first is not None:
             given.add(first.cell)
             yield first
-        yield from self._next(now, function, region, given, may_try)
+        yield from self._next(now, function, region, given, may_repeat)
         if regional:
-            yield from self._next(now, function, None, given, may_try)
+            yield from self._next(now, function, None, given, may_repeat)
         if not given:
             yield from self._last_resort(function, region)
 
-    def _first(self, now, function, homes, may_try):
+    def _first(self, now, function, homes, may_repeat):
         """One of the homes that may be sent to, drawn by load; a trial goes before; None: all are ill."""
-        if not self.health.all_well():
-            permits = [(name, self.health.permit(now, name, function, may_try)) for name in homes]
+        if not self.health.is_fault_free():
+            permits = [(name, self.health.circuit_state(now, name, function, may_repeat)) for name in homes]
             for name, permit in permits:
-                if permit is Permit.TRIAL and (may_try or self.health.waits_for_trial(now, name)):
+                if permit is CircuitState.HALF_OPEN and (
+                    may_repeat or self.health.accepts_any_trial(now, name)
+                ):
                     return Choice(name, True)
-            homes = [name for name, permit in permits if permit is Permit.YES]
+            homes = [name for name, permit in permits if permit is CircuitState.CLOSED]
         if not homes:
             return None
         return Choice(self.loads.draw(now, homes, self.capacities, self.chance))
@@ -86,21 +88,24 @@
         for name in self.homes.order(function, len(self.capacities), region):
             if name not in self.health.cells:
                 continue
-            if not self.health.barred(name):
+            if not self.health.is_faulty(name):
                 yield Choice(name)
                 return
-            if slow is None and self.health.only_slow(name):
+            if slow is None and self.health.is_only_slow(name):
                 slow = name
         if slow is not None:
             yield Choice(slow)
 
-    def _next(self, now, function, region, given, may_try):
+    def _next(self, now, function, region, given, may_repeat):
         """The cells of the order that may be sent to, but for those already given."""
         count, place = 4, 0
         while True:
             order = self.homes.order(function, count, region)
             for name in order[place:]:
-                if name not in given and self.health.permit(now, name, function, may_try) is Permit.YES:
+                if (
+                    name not in given
+                    and self.health.circuit_state(now, name, function, may_repeat) is CircuitState.CLOSED
+                ):
                     given.add(name)
                     yield Choice(name)
             if len(order) < count:
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -15,8 +15,8 @@
 
 SECOND = 1_000_000_000
 
-FAST = 60 * SECOND  # memory of the short count: it follows a function that becomes hot
-SLOW = 1_800 * SECOND  # memory of the long one: tells what is called often from what is called rarely
+SHORT_MEMORY = 60 * SECOND  # memory of the short count: it follows a function that becomes hot
+LONG_MEMORY = 1_800 * SECOND  # memory of the long one: tells what is called often from what is called rarely
 CAUTION = 1.5  # deviations by which a count is taken low: three arrivals at the least are evidence
 HOME_SHARE = 0.01  # of a mean cell's work that one home of a function may make
 SHRINK = 4  # times fewer homes needed than held before they are halved
@@ -24,10 +24,10 @@
 HOLD = 60 * SECOND  # between two changes of one placement, but for more homes
 FIRST_WORK = SECOND // 10  # work of a call before any was seen
 WORK_WEIGHT = 0.1  # of the newest call in the mean work of a function
-FUNCTIONS_KEPT = 32_768  # remembered; the one seen longest ago goes first
+MAX_FUNCTIONS = 32_768  # remembered; the one seen longest ago goes first
 
 
-class Scope(NamedTuple):
+class FleetScope(NamedTuple):
     """What a gateway is told of the fleet that it is part of."""
 
     gateways: int  # in the whole fleet
@@ -45,7 +45,7 @@
 RARE = Placement(False, 1)
 
 
-class Count:
+class DecayingCount:
     """Arrivals, or their work, with decay over two times."""
 
     __slots__ = ("fast", "slow", "at")
@@ -57,12 +57,12 @@
     def add(self, now, amount):
         """Decay to now and add."""
         passed = now - self.at
-        self.fast = self.fast * exp(-passed / FAST) + amount
-        self.slow = self.slow * exp(-passed / SLOW) + amount
+        self.fast = self.fast * exp(-passed / SHORT_MEMORY) + amount
+        self.slow = self.slow * exp(-passed / LONG_MEMORY) + amount
         self.at = now
 
 
-class Seen(Count):
+class FunctionDemand(DecayingCount):
     """What is remembered of one function."""
 
     __slots__ = ("work", "placement", "changed")
@@ -76,29 +76,29 @@
 class Demand:
     """Own arrivals by function. `now` at making is when this gateway began to count."""
 
-    def __init__(self, now: int, scope: Scope, functions_kept: int = FUNCTIONS_KEPT):
-        self.began, self.scope, self.functions_kept = now, scope, functions_kept
+    def __init__(self, now: int, scope: FleetScope, max_functions: int = MAX_FUNCTIONS):
+        self.began, self.scope, self.max_functions = now, scope, max_functions
         self.functions = {}  # name: Seen; the one seen last comes last
-        self.total = Count(now)  # of work
+        self.total = DecayingCount(now)  # of work
         self.usual_work = float(FIRST_WORK)
 
-    def arrived(self, now: int, function: str):
+    def record_arrival(self, now: int, function: str):
         """A call of the function came from a client of this gateway."""
-        seen = self.functions.pop(function, None) or Seen(now)
+        seen = self.functions.pop(function, None) or FunctionDemand(now)
         self.functions[function] = seen
         seen.add(now, 1.0)
         self.total.add(now, self._work(seen))
-        if len(self.functions) > self.functions_kept:
+        if len(self.functions) > self.max_functions:
             del self.functions[next(iter(self.functions))]
 
-    def took(self, function: str, span: int):
+    def record_duration(self, function: str, span: int):
         """A call was answered after that time."""
         self.usual_work += WORK_WEIGHT / 10 * (span - self.usual_work)
         seen = self.functions.get(function)
         if seen is not None:
             seen.work = seen.work + WORK_WEIGHT * (span - seen.work) if seen.work else float(span)
 
-    def usual(self, function: str) -> float:
+    def mean_duration(self, function: str) -> float:
         """The mean time that a call of the function takes, ns."""
         seen = self.functions.get(function)
         return self._work(seen) if seen is not None else self.usual_work
@@ -127,20 +127,20 @@
 
     def _regional(self, now, seen):
         """Whether the region's own calls keep a copy loaded: cautious to enter, patient to leave."""
-        count = seen.slow * exp((seen.at - now) / SLOW)
-        calls = self.scope.regional_gateways * self.scope.keep_alive / self._counted(now, SLOW)
+        count = seen.slow * exp((seen.at - now) / LONG_MEMORY)
+        calls = self.scope.regional_gateways * self.scope.keep_alive / self._counted(now, LONG_MEMORY)
         if seen.placement.regional:
             return count >= 1 and count * calls >= WARM_CALLS
-        return _cautious(count) * calls >= WARM_CALLS
+        return _lower_estimate(count) * calls >= WARM_CALLS
 
     def _homes(self, now, seen, held, cells):
         """How many homes the work asks for, of those that its calls keep loaded."""
         share, rate = 0.0, 0.0  # of all own work; calls in a nanosecond
         for count, total, memory in (
-            (seen.fast, self.total.fast, FAST),
-            (seen.slow, self.total.slow, SLOW),
+            (seen.fast, self.total.fast, SHORT_MEMORY),
+            (seen.slow, self.total.slow, LONG_MEMORY),
         ):
-            count = _cautious(count * exp((seen.at - now) / memory))
+            count = _lower_estimate(count * exp((seen.at - now) / memory))
             total *= exp((self.total.at - now) / memory)
             share = max(share, count * self._work(seen) / max(total, 1.0))
             rate = max(rate, count / self._counted(now, memory))
@@ -160,5 +160,5 @@
         return memory * (1 - exp(-age / memory))
 
 
-def _cautious(count):
+def _lower_estimate(count):
     return max(0.0, count - CAUTION * sqrt(count))
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -19,21 +19,21 @@
 SECOND = 1_000_000_000
 
 MAX_HOPS = 2  # from the gateway that took the call to an entry, and once more where that knows the cell not
-ENTRIES_HELD = 4  # of a cell, in this gateway's order: two are tried for one call
-KEPT_PER_CELL = 4  # entries remembered for each cell before those that the table lacks are sought out
-FIRST_DOUBT, LONGEST_DOUBT = SECOND, 30 * SECOND  # for which an entry is passed over
+MAX_ENTRIES_PER_CELL = 4  # of a cell, in this gateway's order: two are tried for one call
+ENTRIES_KEPT_PER_CELL = 4  # entries remembered for each cell before those that the table lacks are sought out
+MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # for which an entry is passed over
 
 
-def trim(cell: Cell, own_name: str) -> Cell:
+def trim_entries(cell: Cell, own_name: str) -> Cell:
     """The row with the entries that this gateway may come to use, and itself where it is one.
 
     For `TableHolder`, in a fleet whose gateways do not hand the table on to each other: most of a table is
     entries, and their number grows with the gateways.
     """
-    if len(cell.entries) <= ENTRIES_HELD:
+    if len(cell.entries) <= MAX_ENTRIES_PER_CELL:
         return cell
     own = [entry for entry in cell.entries if entry.name == own_name]
-    return replace(cell, entries=tuple(own + _ordered(own_name, cell)[:ENTRIES_HELD]))
+    return replace(cell, entries=tuple(own + _ordered(own_name, cell)[:MAX_ENTRIES_PER_CELL]))
 
 
 def _ordered(own_name, cell):
@@ -51,7 +51,7 @@
     hops: int  # times that it has been forwarded
 
 
-class Forward(Attempt):
+class ForwardAttempt(Attempt):
     """A relay to an entry gateway. `worker` is the entry's name."""
 
     def __new__(cls, entry, until, forwarded):
@@ -66,31 +66,33 @@
 
 
 @dataclass(slots=True)
-class Doubt:
+class EntryBackoff:
     """An entry that failed, or does not know a cell: passed over until then."""
 
-    until: int
-    span: int
+    retry_at: int
+    duration: int
 
 
-class Entries:
+class EntrySelector:
     """Which entry of a cell to use."""
 
     def __init__(self, own_name):
         self.own_name = own_name
-        self.doubts = {}  # entry: Doubt
-        self.lacking = {}  # (entry, cell that it does not know): Doubt
-        self.heard = {}  # entry: when it last answered
+        self.backoffs = {}  # entry: EntryBackoff
+        self.unknown_cells = {}  # (entry, cell that it does not know): EntryBackoff
+        self.last_answered = {}  # entry: when it last answered
         self.orders = {}  # cell: (its row, entries in order)
 
     def adopt(self, table):
         """Forget what the table has no more."""
         self.orders = {name: held for name, held in self.orders.items() if name in table.by_name}
-        self.lacking = {key: doubt for key, doubt in self.lacking.items() if _named(table, *key)}
-        if len(self.doubts) + len(self.heard) > KEPT_PER_CELL * len(table.cells):
+        self.unknown_cells = {
+            key: backoff for key, backoff in self.unknown_cells.items() if _named(table, *key)
+        }
+        if len(self.backoffs) + len(self.last_answered) > ENTRIES_KEPT_PER_CELL * len(table.cells):
             named = {entry.name for cell in table.cells for entry in cell.entries}
-            self.doubts = {name: doubt for name, doubt in self.doubts.items() if name in named}
-            self.heard = {name: at for name, at in self.heard.items() if name in named}
+            self.backoffs = {name: backoff for name, backoff in self.backoffs.items() if name in named}
+            self.last_answered = {name: at for name, at in self.last_answered.items() if name in named}
 
     def order(self, cell):
         """The cell's entries in this gateway's order, without itself."""
@@ -101,50 +103,50 @@
         return order
 
     def pick(self, now, cell, tried=()):
-        """The entry to use, or None: all are in doubt or were tried."""
+        """The entry to use, or None: all are in backoff or were tried."""
         for entry in self.order(cell):
             if entry.name not in tried and self._usable(now, entry.name, cell.name):
                 return entry
         return None
 
-    def all_in_doubt(self, now, cell):
+    def none_available(self, now, cell):
         """Whether no entry of the cell can be used for now."""
         return self.pick(now, cell) is None
 
-    def failed(self, now, name):
+    def record_failure(self, now, name):
         """The entry could not be reached, broke off, or is silent."""
-        _doubt(self.doubts, name, now)
+        _back_off(self.backoffs, name, now)
 
-    def unknowing(self, now, name, cell):
+    def record_cell_unknown(self, now, name, cell):
         """The entry is well, but does not know the cell of that name."""
-        self.answered(now, name)
-        _doubt(self.lacking, (name, cell), now)
+        self.record_answer(now, name)
+        _back_off(self.unknown_cells, (name, cell), now)
 
-    def silent(self, now, name, sent):
+    def record_overdue(self, now, name, sent):
         """A call sent then has no answer yet, or none came in time: proof if it answered no other since."""
-        if self.heard.get(name, -1) < sent:
-            self.failed(now, name)
+        if self.last_answered.get(name, -1) < sent:
+            self.record_failure(now, name)
 
-    def answered(self, now, name, cell=None):
+    def record_answer(self, now, name, cell=None):
         """The entry is well; `cell`: one that it thereby showed to know."""
-        self.heard[name] = now
-        self.doubts.pop(name, None)
-        self.lacking.pop((name, cell), None)
+        self.last_answered[name] = now
+        self.backoffs.pop(name, None)
+        self.unknown_cells.pop((name, cell), None)
 
     def _usable(self, now, name, cell):
         """Whether nothing speaks against the entry as a way into the cell."""
-        doubts = self.doubts.get(name), self.lacking.get((name, cell))
-        return all(doubt is None or now >= doubt.until for doubt in doubts)
+        backoffs = self.backoffs.get(name), self.unknown_cells.get((name, cell))
+        return all(backoff is None or now >= backoff.retry_at for backoff in backoffs)
 
 
-def _doubt(doubts, key, now):
+def _back_off(backoffs, key, now):
     """Pass over what the key names, for longer each time."""
-    doubt = doubts.get(key)
-    if doubt is None:
-        doubts[key] = Doubt(now + FIRST_DOUBT, FIRST_DOUBT)
-    elif now >= doubt.until:
-        span = min(2 * doubt.span, LONGEST_DOUBT)
-        doubts[key] = Doubt(now + span, span)
+    backoff = backoffs.get(key)
+    if backoff is None:
+        backoffs[key] = EntryBackoff(now + MIN_BACKOFF, MIN_BACKOFF)
+    elif now >= backoff.retry_at:
+        span = min(2 * backoff.duration, MAX_BACKOFF)
+        backoffs[key] = EntryBackoff(now + span, span)
 
 
 def _named(table, name, cell):
--- a/gaproute/decisions/cells/errors.py
+++ b/gaproute/decisions/cells/errors.py
@@ -13,7 +13,7 @@
         self.row, self.cell, self.reason = row, cell, reason
 
 
-class TooManyCells(TableError):
+class TooManyCellsError(TableError):
     """More rows than a table may hold; reading stopped at the first one too many."""
 
     def __init__(self, bound):
@@ -21,7 +21,7 @@
         self.bound = bound
 
 
-class OtherFleet(TableError):
+class OtherFleetError(TableError):
     """The table or change is of another fleet."""
 
     def __init__(self, own, other):
@@ -29,7 +29,7 @@
         self.own, self.other = own, other
 
 
-class StaleVersion(TableError):
+class StaleVersionError(TableError):
     """The version is not above the one held: of an earlier term, or seen before."""
 
     def __init__(self, held, offered):
@@ -37,7 +37,7 @@
         self.held, self.offered = held, offered
 
 
-class WholeTableNeeded(TableError):
+class FullTableNeededError(TableError):
     """The change starts from a version that is not the one held: only the whole table can help."""
 
     def __init__(self, held, base):
--- a/gaproute/decisions/cells/illness.py
+++ b/gaproute/decisions/cells/faults.py
@@ -7,15 +7,15 @@
 OUTCOMES = 8  # the last ones of a cell, by which refusals and slowness are judged
 
 
-class Permit(Enum):
+class CircuitState(Enum):
     """Whether a function's call may go to a cell now."""
 
-    YES = "yes"
-    TRIAL = "trial"  # as the one trial of an ill place
-    NO = "no"
+    CLOSED = "closed"
+    HALF_OPEN = "half-open"  # as the one trial of an ill place
+    OPEN = "open"
 
 
-class Illness(Enum):
+class FaultKind(Enum):
     """The proof by which a place is ill."""
 
     UNREACHABLE = "unreachable"
@@ -24,7 +24,7 @@
     SLOW = "slow"
 
 
-class Area(Enum):
+class FaultScope(Enum):
     """The kinds of places: by the field of `Cell` that names them, and all that lies outside the own one."""
 
     REGION = "region"
@@ -35,23 +35,23 @@
 
 
 @dataclass(slots=True)
-class Ill:
+class Fault:
     """A place that is ill, or whose functions are coming back."""
 
-    illness: Illness
+    kind: FaultKind
     since: int
-    rest: int
-    until: int  # when the next trial may go
-    trial: int | None = None  # when the one that is out was sent
-    healed: int | None = None  # when a trial succeeded
-    spread: int = 0  # over which the functions come back
+    backoff: int
+    next_trial_at: int  # when the next trial may go
+    trial_sent_at: int | None = None  # when the one that is out was sent
+    recovered_at: int | None = None  # when a trial succeeded
+    ramp: int = 0  # over which the functions come back
 
 
 @dataclass(slots=True)
-class Record:
+class CellRecord:
     """What was heard of a cell of late."""
 
-    heard: int = -1
+    last_heard: int = -1
     overdue: dict[str, int] = field(default_factory=dict)  # host or entry: when the call overdue was sent
     outcomes: deque = field(default_factory=lambda: deque(maxlen=OUTCOMES))  # (time, whether a refusal)
     paces: deque = field(default_factory=lambda: deque(maxlen=OUTCOMES))  # (time, took over usual)
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -9,20 +9,20 @@
 from gaproute.decisions.cells.ring import Ring
 from gaproute.decisions.cells.table import CellTable
 
-ORDERS_KEPT = 8_192  # orders held: a first call's order is computed in far less than a millisecond
-LEAST_KEPT = 4  # homes in an order that is held: one for each of the usual reasons to go on to the next
+MAX_ORDERS = 8_192  # orders held: a first call's order is computed in far less than a millisecond
+MIN_ORDER_LENGTH = 4  # homes in an order that is held: one for each of the usual reasons to go on to the next
 
 
-class Homes:
+class HomeCells:
     """Orders by one table, over the whole fleet or within one region; a bounded number is held.
 
     `regions`: those that will be asked for; the ring of any other is made when it first is.
     """
 
-    def __init__(self, table: CellTable, orders_kept: int = ORDERS_KEPT, regions: Iterable[str] = ()):
+    def __init__(self, table: CellTable, max_orders: int = MAX_ORDERS, regions: Iterable[str] = ()):
         self.table = table
-        self.orders_kept = orders_kept
-        self._held = {}  # (function, region): (version, order); the one used last comes last
+        self.max_orders = max_orders
+        self._orders = {}  # (function, region): (version, order); the one used last comes last
         self._rings = {None: Ring(table.cells)}  # region: its ring; None: the whole fleet
         for region in regions:
             self._ring(region)
@@ -41,13 +41,13 @@
     def order(self, function: str, count: int, region: str | None = None) -> tuple[str, ...]:
         """The first `count` homes, or more where more are held; fewer where there are no more cells."""
         key = function, region
-        version, order = self._held.pop(key, (None, ()))
+        version, order = self._orders.pop(key, (None, ()))
         ring = self._ring(region)
         if version != self.table.version or len(order) < min(count, len(ring.cells)):
-            order = self._compute(ring, function, max(count, LEAST_KEPT))
-        self._held[key] = self.table.version, order
-        if len(self._held) > self.orders_kept:
-            del self._held[next(iter(self._held))]
+            order = self._compute(ring, function, max(count, MIN_ORDER_LENGTH))
+        self._orders[key] = self.table.version, order
+        if len(self._orders) > self.max_orders:
+            del self._orders[next(iter(self._orders))]
         return order
 
     def first(self, function: str, region: str | None = None) -> str | None:
@@ -79,7 +79,7 @@
         return tuple(order[:count])
 
 
-def moved_share(before: Homes, after: Homes, functions: Iterable[str]) -> float:
+def moved_share(before: HomeCells, after: HomeCells, functions: Iterable[str]) -> float:
     """The share of the functions whose first home differs."""
     functions = list(functions)
     return sum(before.first(name) != after.first(name) for name in functions) / max(1, len(functions))
--- a/gaproute/decisions/cells/loads.py
+++ b/gaproute/decisions/cells/loads.py
@@ -5,7 +5,7 @@
 slope for loads that are old). Bounded loads (Mirrokni and others, 2018) would need a count of the calls at
 each home that all gateways share.
 
-Invariant: a load is forgotten `LOAD_LIFE` after it was heard, and then counts as the mean.
+Invariant: a load is forgotten `LOAD_MAX_AGE` after it was heard, and then counts as the mean.
 """
 
 from math import exp
@@ -13,10 +13,10 @@
 SECOND = 1_000_000_000
 
 LOAD_MEMORY = 10 * SECOND  # over which reports of a cell are averaged
-LOAD_LIFE = 60 * SECOND  # a load heard longer ago says nothing
-GAIN = 12.0  # of the chance by the difference of two loads over the mean: a tenth shifts it by 0.6
-LEAST_CHANCE = 0.05  # of the more loaded one: it is still heard of
-TRIES = 8  # draws until one passes by its capacity
+LOAD_MAX_AGE = 60 * SECOND  # a load heard longer ago says nothing
+SLOPE = 12.0  # of the chance by the difference of two loads over the mean: a tenth shifts it by 0.6
+MIN_PROBABILITY = 0.05  # of the more loaded one: it is still heard of
+MAX_DRAWS = 8  # draws until one passes by its capacity
 
 
 class Load:
@@ -28,7 +28,7 @@
         self.value, self.at = value, now
 
 
-class Loads:
+class CellLoads:
     """Loads by cell, for cells of one table."""
 
     def __init__(self):
@@ -39,7 +39,7 @@
         """Forget cells that the table has no more."""
         self.cells = {name: load for name, load in self.cells.items() if name in names}
 
-    def heard(self, now, name, value):
+    def record(self, now, name, value):
         """A report told the cell's load, in any unit that is the same for all cells."""
         load = self.cells.get(name)
         if load is None:
@@ -50,10 +50,10 @@
             load.at = now
         self.mean += (load.value - self.mean) / 256
 
-    def of(self, now, name):
+    def relative_load(self, now, name):
         """The cell's load over the mean: 1 where nothing is known."""
         load = self.cells.get(name)
-        if load is None or now - load.at > LOAD_LIFE or self.mean <= 0:
+        if load is None or now - load.at > LOAD_MAX_AGE or self.mean <= 0:
             return 1.0
         return load.value / self.mean
 
@@ -61,19 +61,19 @@
         """One of the cells named. `capacities`: {name: capacity}."""
         if len(names) == 1:
             return names[0]
-        most = max(capacities[name] for name in names[:TRIES])
+        most = max(capacities[name] for name in names[:MAX_DRAWS])
         first = _by_capacity(names, capacities, most, chance)
         second = _by_capacity(names, capacities, most, chance)
         if first == second:
             return first
-        shift = GAIN * (self.of(now, second) - self.of(now, first)) / 2
-        part = min(1 - LEAST_CHANCE, max(LEAST_CHANCE, 0.5 + shift))
+        shift = SLOPE * (self.relative_load(now, second) - self.relative_load(now, first)) / 2
+        part = min(1 - MIN_PROBABILITY, max(MIN_PROBABILITY, 0.5 + shift))
         return first if chance.below(SECOND) < part * SECOND else second
 
 
 def _by_capacity(names, capacities, most, chance):
     """A cell drawn about in proportion to its capacity; `most` is that of the largest of a few."""
-    for _ in range(TRIES):
+    for _ in range(MAX_DRAWS):
         name = names[chance.below(len(names))]
         if chance.below(SECOND) * most < capacities[name] * SECOND:
             break
--- a/gaproute/decisions/cells/local.py
+++ b/gaproute/decisions/cells/local.py
@@ -10,7 +10,7 @@
 
 SECOND = 1_000_000_000
 
-LOAD_KEPT = SECOND  # for which the sum over a cell's hosts is kept
+LOAD_MAX_AGE = SECOND  # for which the sum over a cell's hosts is kept
 
 
 class LocalCells:
@@ -21,14 +21,14 @@
         self.ration = Ration(terms.order_free, terms.order_share, terms.order_window)
         self.gateways = {}  # cell: Gateway
         self.loads = {}  # cell: (time, tasks in hand at its hosts)
-        self.keepers = {}  # cell: [its housekeeping, when that wants to be resumed]
+        self.housekeepers = {}  # cell: [its housekeeping, when that wants to be resumed]
         self.end_by = None
 
-    def keep(self, names):
+    def retain(self, names):
         """Let go of all other cells."""
         for name in [name for name in self.gateways if name not in names]:
             del self.gateways[name]
-            self.keepers.pop(name, None)
+            self.housekeepers.pop(name, None)
             self.loads.pop(name, None)
 
     def listed(self, now, name, rows, complete):
@@ -48,7 +48,7 @@
         """Know a cell by a gateway that was made for it."""
         self.gateways[name] = gateway
 
-    def stop_by(self, when):
+    def set_end(self, when):
         """The process ends: every task has its answer by then."""
         self.end_by = when
         for gateway in self.gateways.values():
@@ -64,7 +64,7 @@
     def load(self, now, name):
         """Tasks in hand at a known cell's hosts, as far as this gateway knows."""
         at, load = self.loads.get(name, (None, 0.0))
-        if at is None or now - at >= LOAD_KEPT:
+        if at is None or now - at >= LOAD_MAX_AGE:
             gateway = self.gateways[name]
             load = float(sum(gateway.queued(worker, 1, now) for worker in gateway.fleet))
             self.loads[name] = now, load
@@ -78,18 +78,18 @@
         """Advance every cell's housekeeping that is due; yields its wishes, returns when it is due again."""
         due = now + SECOND
         for name, gateway in list(self.gateways.items()):
-            keeper = self.keepers.get(name)
-            if keeper is None:
-                keeper = self.keepers[name] = [gateway.housekeep(now), now]
-                wish = next(keeper[0])
-            elif now >= keeper[1]:
-                wish = keeper[0].send((now, None))
+            housekeeper = self.housekeepers.get(name)
+            if housekeeper is None:
+                housekeeper = self.housekeepers[name] = [gateway.housekeep(now), now]
+                wish = next(housekeeper[0])
+            elif now >= housekeeper[1]:
+                wish = housekeeper[0].send((now, None))
             else:
-                due = min(due, keeper[1])
+                due = min(due, housekeeper[1])
                 continue
             while not isinstance(wish, Wait):
                 yield wish
-                wish = keeper[0].send(None)
-            keeper[1] = wish.until
+                wish = housekeeper[0].send(None)
+            housekeeper[1] = wish.until
             due = min(due, wish.until)
         return due
--- a/gaproute/decisions/cells/place.py
+++ b/gaproute/decisions/cells/location.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 
-class Place(NamedTuple):
+class GatewayLocation(NamedTuple):
     """A gateway's own name, and where it stands."""
 
     name: str
--- a/gaproute/decisions/cells/remote.py
+++ b/gaproute/decisions/cells/remote.py
@@ -11,7 +11,7 @@
 racks, and tables that differ may have it in two zones.
 """
 
-from gaproute.decisions.cells.entries import MAX_HOPS, CellUnknown, Forward, Forwarded
+from gaproute.decisions.cells.entries import MAX_HOPS, CellUnknown, ForwardAttempt, Forwarded
 from gaproute.decisions.routing.task import ANSWER_BY
 from gaproute.interface import Cancel, Group, Idempotency, Result, Wait
 
@@ -40,17 +40,17 @@
         if entry is None:
             break
         tried.add(entry.name)
-        relay = yield Forward(entry, end(), Forwarded(cell.name, journey.hops + 1))
+        relay = yield ForwardAttempt(entry, end(), Forwarded(cell.name, journey.hops + 1))
         outcome = yield from _await(journey, relay, end, cell, health, cancel_allowed)
         if outcome is None:
             return
         if outcome.result is Result.FULL:
             yield journey.ending("refused")
             return
-        if health.barred(cell.name) or not _may_repeat(journey, outcome.result):
+        if health.is_faulty(cell.name) or not _may_repeat(journey, outcome.result):
             break
-    if entries.all_in_doubt(journey.now, cell):
-        health.unreachable(journey.now, cell.name)
+    if entries.none_available(journey.now, cell):
+        health.record_unreachable(journey.now, cell.name)
     ending = journey.ending("unreachable")
     yield ending if journey.may_have_run or journey.out else CellUnknown(*ending)
 
@@ -94,7 +94,7 @@
 
 def _is_lost(cell, health):
     """Whether no answer is to be awaited from the cell."""
-    return health.barred(cell.name) and not health.only_slow(cell.name)
+    return health.is_faulty(cell.name) and not health.is_only_slow(cell.name)
 
 
 def _await_end(now, outcome):
--- a/gaproute/decisions/cells/silence.py
+++ b/gaproute/decisions/cells/silence.py
@@ -15,60 +15,62 @@
 
 from collections.abc import Iterator
 
-from gaproute.decisions.cells.illness import Area, Record
-from gaproute.decisions.cells.place import Place
+from gaproute.decisions.cells.faults import CellRecord, FaultScope
+from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import Cell
 
 SECOND = 1_000_000_000
 
 SUSPICION = 10 * SECOND  # after an overdue call: it ends also where no call may show that the place is well
-PLACES_KEPT = 256  # of which a sign of life is remembered before those that the table lacks are sought out
-SILENT_PARTS = 2  # ways into a cell, cells of a zone, zones of a region: one alone may be slow work
-SILENT_OTHER_ZONES = 3  # by which the own zone or region is cut off: a region that is lost has two or three
+MAX_SCOPES = 256  # of which a sign of life is remembered before those that the table lacks are sought out
+MIN_SILENT_PARTS = 2  # ways into a cell, cells of a zone, zones of a region: one alone may be slow work
+MIN_SILENT_ZONES = 3  # by which the own zone or region is cut off: a region that is lost has two or three
 
 
-class Silence:
+class SilenceDetector:
     """Judges places by the records of their cells. `own`: where this gateway stands, if that is told."""
 
-    def __init__(self, own: Place | None):
+    def __init__(self, own: GatewayLocation | None):
         self.own = own
         self.cells: dict[str, Cell] = {}
-        self.last_heard: dict[tuple[Area, str], int] = {}  # wide place: its last sign of life
-        self.suspected: dict[tuple[Area, str], int] = {}  # wide place: when a call was found overdue
-        self._zones: dict[tuple[Area, str], set[str]] | None = None  # wide place: its zones, once asked for
+        self.last_heard: dict[tuple[FaultScope, str], int] = {}  # wide place: its last sign of life
+        self.suspected: dict[tuple[FaultScope, str], int] = {}  # wide place: when a call was found overdue
+        self._zones: dict[tuple[FaultScope, str], set[str]] | None = (
+            None  # wide place: its zones, once asked for
+        )
 
     def adopt(self, cells: dict[str, Cell]):
         """Go by a newer table. Costs nothing by its cells but where something is suspected."""
         self.cells, self._zones = cells, None
-        if self.suspected or len(self.last_heard) > PLACES_KEPT:
+        if self.suspected or len(self.last_heard) > MAX_SCOPES:
             known = self._zones_by_place()
             self.last_heard = {place: at for place, at in self.last_heard.items() if place in known}
             self.suspected = {place: at for place, at in self.suspected.items() if place in known}
 
-    def outside(self, region: str, zone: str) -> tuple[tuple[Area, str], ...]:
+    def outside(self, region: str, zone: str) -> tuple[tuple[FaultScope, str], ...]:
         """The places outside the own zone and outside the own region that a zone belongs to."""
         if self.own is None or zone == self.own.zone:
             return ()
-        return self.outside_by_region(region) or ((Area.OTHER_ZONES, self.own.zone),)
+        return self.outside_by_region(region) or ((FaultScope.OTHER_ZONES, self.own.zone),)
 
-    def outside_by_region(self, region: str) -> tuple[tuple[Area, str], ...]:
+    def outside_by_region(self, region: str) -> tuple[tuple[FaultScope, str], ...]:
         """The same for all zones of a region; none for those of the own one."""
         if self.own is None or region == self.own.region:
             return ()
-        return (Area.OTHER_ZONES, self.own.zone), (Area.OTHER_REGIONS, self.own.region)
+        return (FaultScope.OTHER_ZONES, self.own.zone), (FaultScope.OTHER_REGIONS, self.own.region)
 
-    def places(self, cell: Cell) -> tuple[tuple[Area, str], ...]:
+    def places(self, cell: Cell) -> tuple[tuple[FaultScope, str], ...]:
         """All that a cell belongs to, and the cell itself."""
-        around = (Area.REGION, cell.region), (Area.ZONE, cell.zone), (Area.CELL, cell.name)
+        around = (FaultScope.REGION, cell.region), (FaultScope.ZONE, cell.zone), (FaultScope.CELL, cell.name)
         return *self.outside(cell.region, cell.zone), *around
 
-    def heard(self, now: int, cell: Cell):
+    def record_answer(self, now: int, cell: Cell):
         """A sign of life from the cell."""
         for place in self._wide_places(cell):
             self.last_heard[place] = now
             self.suspected.pop(place, None)
 
-    def overdue(self, now: int, cell: Cell, sent: int):
+    def record_overdue(self, now: int, cell: Cell, sent: int):
         """A call to the cell, sent at that time, is overdue."""
         for place in self._wide_places(cell):
             if sent > self.last_heard.get(place, -1):
@@ -81,25 +83,28 @@
         found = [self.suspected[place] for place in self._wide_places(cell) if place in self.suspected]
         return any(now - at < SUSPICION for at in found)
 
-    def silent_around(self, cell: Cell, records: dict[str, Record]) -> Iterator[tuple[Area, str]]:
+    def silent_around(self, cell: Cell, records: dict[str, CellRecord]) -> Iterator[tuple[FaultScope, str]]:
         """The places around a cell with an overdue call that are shown to be silent."""
         for place in self.outside(cell.region, cell.zone):
             if self._cut_off_from(place, records):
                 yield place
-        zone = self._known_cells(Area.ZONE, cell.zone, records)
-        if _silent_cells(zone, _last_heard(zone)) < SILENT_PARTS:
+        zone = self._known_cells(FaultScope.ZONE, cell.zone, records)
+        if _silent_cells(zone, _last_heard(zone)) < MIN_SILENT_PARTS:
             return
-        yield Area.ZONE, cell.zone
+        yield FaultScope.ZONE, cell.zone
         zones = {}
-        for other, record in self._known_cells(Area.REGION, cell.region, records):
+        for other, record in self._known_cells(FaultScope.REGION, cell.region, records):
             zones.setdefault(other.zone, []).append((other, record))
         heard = max(_last_heard(known) for known in zones.values())
-        if sum(_silent_cells(known, heard) >= SILENT_PARTS for known in zones.values()) >= SILENT_PARTS:
-            yield Area.REGION, cell.region
+        if (
+            sum(_silent_cells(known, heard) >= MIN_SILENT_PARTS for known in zones.values())
+            >= MIN_SILENT_PARTS
+        ):
+            yield FaultScope.REGION, cell.region
 
     def _wide_places(self, cell):
         """The cell's zone, and the places outside the own zone and region that it belongs to."""
-        return *self.outside(cell.region, cell.zone), (Area.ZONE, cell.zone)
+        return *self.outside(cell.region, cell.zone), (FaultScope.ZONE, cell.zone)
 
     def _zones_by_place(self):
         if self._zones is None:
@@ -116,7 +121,7 @@
             cell = self.cells[name]
             if record.awaited_since(heard) and place in self.outside(cell.region, cell.zone):
                 zones.add(cell.zone)
-        return len(zones) >= max(SILENT_PARTS, min(SILENT_OTHER_ZONES, len(self._zones_by_place()[place])))
+        return len(zones) >= max(MIN_SILENT_PARTS, min(MIN_SILENT_ZONES, len(self._zones_by_place()[place])))
 
     def _known_cells(self, area, name, records):
         """The cells of a place of which anything was heard or is overdue, with their records."""
@@ -125,7 +130,7 @@
 
 
 def _last_heard(known):
-    return max(record.heard for _, record in known)
+    return max(record.last_heard for _, record in known)
 
 
 def _silent_cells(known, heard):
--- a/gaproute/decisions/cells/spill.py
+++ b/gaproute/decisions/cells/spill.py
@@ -10,19 +10,19 @@
 BURST = 20.0  # calls saved up
 
 
-class Spill:
+class SpillBudget:
     """A budget that arrivals fill."""
 
     def __init__(self):
-        self.left = BURST
+        self.tokens = BURST
 
-    def arrived(self):
+    def record_arrival(self):
         """One more call came from a client."""
-        self.left = min(BURST, self.left + SHARE)
+        self.tokens = min(BURST, self.tokens + SHARE)
 
-    def may(self):
+    def try_spend(self):
         """Whether a refused call may go on to another cell; takes it out of the budget."""
-        if self.left < 1:
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from gaproute.decisions.cells import bounds
-from gaproute.decisions.cells.errors import RowError, TableError, TooManyCells
+from gaproute.decisions.cells.errors import RowError, TableError, TooManyCellsError
 
 
 class Version(NamedTuple):
@@ -24,7 +24,7 @@
         return f"{self.term}.{self.number}"
 
 
-class Points(NamedTuple):
+class PointRange(NamedTuple):
     """`count` ring points from `first` on, of those that the name `origin` gives.
 
     A cell begins with points of its own name; the origin stays when a split hands points to a new cell, so
@@ -36,7 +36,7 @@
     count: int
 
 
-class Entry(NamedTuple):
+class EntryGateway(NamedTuple):
     """A gateway that knows the hosts of a cell and takes calls for it from others."""
 
     name: str
@@ -52,8 +52,8 @@
     zone: str
     capacity: float
     hosts: int
-    points: tuple[Points, ...]
-    entries: tuple[Entry, ...] = ()
+    points: tuple[PointRange, ...]
+    entries: tuple[EntryGateway, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,13 +66,13 @@
     by_name: MappingProxyType
 
 
-def own_points(name: str, capacity: float, mean_capacity: float) -> tuple[Points, ...]:
+def initial_points(name: str, capacity: float, mean_capacity: float) -> tuple[PointRange, ...]:
     """Ring points of a new cell, in proportion to its capacity."""
     count = round(bounds.POINTS_PER_MEAN_CELL * capacity / mean_capacity)
-    return (Points(name, 0, min(max(1, count), bounds.MAX_CELL_POINTS)),)
+    return (PointRange(name, 0, min(max(1, count), bounds.MAX_CELL_POINTS)),)
 
 
-def split(cell: Cell, name: str, entries: tuple[Entry, ...] = ()) -> tuple[Cell, Cell]:
+def split_cell(cell: Cell, name: str, entries: tuple[EntryGateway, ...] = ()) -> tuple[Cell, Cell]:
     """The cell and a new one that takes half of its ring points, hosts and capacity.
 
     Functions move from the old cell to the new one only, and about half of them do.
@@ -87,7 +87,7 @@
         if stay:
             kept.append(points._replace(count=stay))
         if stay < points.count:
-            given.append(Points(points.origin, points.first + stay, points.count - stay))
+            given.append(PointRange(points.origin, points.first + stay, points.count - stay))
     half = cell.hosts // 2
     capacity = cell.capacity * half / cell.hosts
     old = replace(cell, points=tuple(kept), hosts=cell.hosts - half, capacity=cell.capacity - capacity)
@@ -101,7 +101,7 @@
     cells, places = {}, {}
     for place, cell in enumerate(rows, start=1):
         if place > bounds.MAX_CELLS:
-            raise TooManyCells(bounds.MAX_CELLS)
+            raise TooManyCellsError(bounds.MAX_CELLS)
         check_cell(place, cell)
         if cell.name in cells:
             raise RowError(place, cell.name, f"the cell is also in row {places[cell.name]}")
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -8,22 +8,24 @@
 
 from gaproute.decisions.cells.choice import Choice
 from gaproute.decisions.cells.entries import CellUnknown
-from gaproute.decisions.cells.illness import Permit
+from gaproute.decisions.cells.faults import CircuitState
 from gaproute.decisions.cells.remote import serve_remote
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Attempt, Fail, Found, Idempotency, Reject, Result, Wait
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-CELLS_TRIED = 3  # for one task: what three cells refused, a fourth would refuse as well
-PATIENCE = 4  # usual answer times before a call is overdue,
-LEAST_USUAL = 25 * MILLI  # usual answer time by which paces are taken: stalls of a gateway are no slow cell
-LOAD_PATIENCE = 2  # and usual load times
-FIRST_LOAD = SECOND  # load time where none is told
-PROVEN_UNABLE = ("nobody", "unreachable", "no host")  # why a cell declined other than for its load
+MAX_CELLS_TRIED = 3  # for one task: what three cells refused, a fourth would refuse as well
+OVERDUE_FACTOR = 4  # usual answer times before a call is overdue,
+MIN_MEAN_DURATION = (
+    25 * MILLI
+)  # usual answer time by which paces are taken: stalls of a gateway are no slow cell
+OVERDUE_LOADS = 2  # and usual load times
+DEFAULT_LOAD_TIME = SECOND  # load time where none is told
+UNABLE_REASONS = ("nobody", "unreachable", "no host")  # why a cell declined other than for its load
 
 
-class Hand(NamedTuple):
+class CellAttempt(NamedTuple):
     """A relay that is out."""
 
     cell: str
@@ -48,7 +50,7 @@
         if ending is not None:
             yield ending
 
-    def decline_unknown(self, journey):
+    def reject_unknown(self, journey):
         """A task that was forwarded here for a cell which this gateway does not know."""
         yield CellUnknown(journey.advice, "cell not known")
 
@@ -64,12 +66,12 @@
         if forwarded is not None:
             yield from self._forwarded_choice(journey, forwarded.cell)
             return
-        self.demand.arrived(journey.now, function)
-        self.spill.arrived()
+        self.demand.record_arrival(journey.now, function)
+        self.spill.record_arrival()
         choices = self.chooser.cells(journey.now, function, journey.track.effect is Idempotency.IDEMPOTENT)
-        for _, choice in zip(range(CELLS_TRIED), choices, strict=False):
+        for _, choice in zip(range(MAX_CELLS_TRIED), choices, strict=False):
             if choice.cell in self.table.by_name:  # a newer table may have come meanwhile
-                self.view.sent(journey.now, choice.cell)
+                self.view.record_use(journey.now, choice.cell)
                 yield choice
 
     def _forwarded_choice(self, journey, name):
@@ -78,22 +80,22 @@
             if name in self.table.by_name:
                 yield Choice(name)
             return
-        permit = self.health.permit(journey.now, name, journey.task.function)
+        permit = self.health.circuit_state(journey.now, name, journey.task.function)
         pure = journey.track.effect is Idempotency.IDEMPOTENT
-        if permit is Permit.YES:
+        if permit is CircuitState.CLOSED:
             yield Choice(name)
-        elif permit is Permit.TRIAL and (pure or self.health.waits_for_trial(journey.now, name)):
+        elif permit is CircuitState.HALF_OPEN and (pure or self.health.accepts_any_trial(journey.now, name)):
             yield Choice(name, True)
 
     def _worth_leaving(self, now, ending):
         """What was refused for load goes elsewhere within a bounded share of calls: no wave."""
-        return ending.why in PROVEN_UNABLE or self.spill.may()
+        return ending.why in UNABLE_REASONS or self.spill.try_spend()
 
     def _in_cell(self, journey, choice):
         """The task in one cell; returns its final wish there, or None where the task is over."""
         name = choice.cell
         if choice.trial:
-            self.health.tried(journey.now, name)
+            self.health.trial_sent(journey.now, name)
         gateway = self.local.gateways.get(name)
         if gateway is None:
             cell = self.table.by_name[name]
@@ -103,11 +105,11 @@
         elif gateway.fleet:
             inner = gateway.serve(journey.now, journey.rest() if journey.relays else journey.task)
         else:
-            self.health.unreachable(journey.now, name)
+            self.health.record_unreachable(journey.now, name)
             return CellUnknown(journey.advice, "no host")
         ending = yield from self._drive(journey, name, inner, gateway)
         if gateway is not None and isinstance(ending, Reject) and ending.why in ("nobody", "full"):
-            self.health.outcome(journey.now, name, Result.FULL)
+            self.health.record_outcome(journey.now, name, Result.FULL)
         return ending
 
     def _drive(self, journey, name, inner, gateway):
@@ -127,8 +129,8 @@
                     return journey.ending("relays")
                 value = yield wish
                 journey.sent(value, name, wish.worker, self._due(journey))
-                hand = Hand(name, gateway, task.function, journey.now, journey.hops == 0)
-                self.hands[task.id, value] = hand
+                hand = CellAttempt(name, gateway, task.function, journey.now, journey.hops == 0)
+                self.attempts[task.id, value] = hand
             elif isinstance(wish, Wait):
                 value = yield from self._wait(journey, wish)
             else:
@@ -142,54 +144,60 @@
         for cell, worker, sent in journey.overdue():
             way = worker
             if cell not in self.local.gateways:
-                self.entries.silent(journey.now, worker, sent)
-                if self.entries.heard.get(worker, -1) >= sent:  # it answers for others: the cell is silent
+                self.entries.record_overdue(journey.now, worker, sent)
+                if (
+                    self.entries.last_answered.get(worker, -1) >= sent
+                ):  # it answers for others: the cell is silent
                     way = f"{worker} at {sent}"
-            self.health.overdue(journey.now, cell, sent, way)
+            self.health.record_overdue(journey.now, cell, sent, way)
         return journey.now, outcome
 
     def _due(self, journey):
-        load = journey.task.load_time or FIRST_LOAD
-        usual = self.demand.usual(journey.task.function)
-        return journey.now + int(PATIENCE * usual) + LOAD_PATIENCE * load
+        load = journey.task.load_time or DEFAULT_LOAD_TIME
+        usual = self.demand.mean_duration(journey.task.function)
+        return journey.now + int(OVERDUE_FACTOR * usual) + OVERDUE_LOADS * load
 
     def heard_in_cell(self, now, outcome, hand):
         """Book one relay's outcome, whether or not its task is still held."""
         if outcome.result is Result.BEGUN:
-            self.hands[outcome.task, outcome.relay] = hand
+            self.attempts[outcome.task, outcome.relay] = hand
         if hand.gateway is not None:
             hand.gateway.heard(now, outcome)
         self._book(now, outcome, hand)
 
     def _book(self, now, outcome, hand):
         standing = outcome.result is Result.OK and outcome.found is Found.WARM
-        pace = outcome.took / max(LEAST_USUAL, self.demand.usual(hand.function)) if standing else None
+        pace = (
+            outcome.took / max(MIN_MEAN_DURATION, self.demand.mean_duration(hand.function))
+            if standing
+            else None
+        )
         if hand.gateway is None:
             self._book_entry(now, outcome, hand)
         if _tells_of_cell(outcome.result, hand):
-            self.health.outcome(now, hand.cell, outcome.result, pace)
+            self.health.record_outcome(now, hand.cell, outcome.result, pace)
         if hand.own and outcome.result is Result.OK and outcome.found in (Found.WARM, Found.UNTOLD):
-            self.demand.took(hand.function, outcome.took)
+            self.demand.record_duration(hand.function, outcome.took)
         self._book_load(now, outcome, hand.cell)
 
     def _book_entry(self, now, outcome, hand):
         if outcome.result in (Result.CONNECT_FAILED, Result.RESET):
-            self.entries.failed(now, outcome.worker)
+            self.entries.record_failure(now, outcome.worker)
         elif outcome.result is Result.TIMEOUT:
-            self.entries.silent(now, outcome.worker, hand.sent)
+            self.entries.record_overdue(now, outcome.worker, hand.sent)
         elif outcome.result is Result.MISS:
-            self.entries.unknowing(now, outcome.worker, hand.cell)
+            self.entries.record_cell_unknown(now, outcome.worker, hand.cell)
         elif outcome.result not in (Result.MOOT, Result.CANCELLED):
-            self.entries.answered(now, outcome.worker, hand.cell)
+            self.entries.record_answer(now, outcome.worker, hand.cell)
 
     def _book_load(self, now, outcome, name):
         cell = self.table.by_name.get(name)
         if cell is None:
             return
         if name in self.local.gateways:
-            self.loads.heard(now, name, self.local.load(now, name) / cell.capacity)
+            self.loads.record(now, name, self.local.load(now, name) / cell.capacity)
         elif outcome.report is not None and outcome.report.in_hand is not None:
-            self.loads.heard(now, name, outcome.report.in_hand / cell.capacity)
+            self.loads.record(now, name, outcome.report.in_hand / cell.capacity)
 
 
 def _tells_of_cell(result, hand):
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -76,7 +76,7 @@
             return
         self.ways.call(now)
         if self.cellular.view.review(now):
-            self.cellular.local.keep(self.cellular.view.names())
+            self.cellular.local.retain(self.cellular.view.names())
         self._feed()
         if now >= self.tidy_at:
             self.tidy_at = now + TIDY
--- a/gaproute/hollow/cells/plan.py
+++ b/gaproute/hollow/cells/plan.py
@@ -2,8 +2,8 @@
 
 from functools import cache
 
-from gaproute.decisions.cells.place import Place
-from gaproute.decisions.cells.table import Cell, Entry, Version, own_points, validate
+from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.table import Cell, EntryGateway, Version, initial_points, validate
 from gaproute.interface import ListedHost, State
 
 FLEET = "hollow"
@@ -33,7 +33,7 @@
     def place(self, name):
         """Where the gateway stands."""
         zone = self.cell_of(name) % ZONES
-        return Place(name, f"region{zone % REGIONS}", f"zone{zone}")
+        return GatewayLocation(name, f"region{zone % REGIONS}", f"zone{zone}")
 
     @staticmethod
     def name(cell):
@@ -43,9 +43,9 @@
     def row(self, cell, hosts=None):
         """The cell's row in the table; `hosts`: another number than planned."""
         zone, name = cell % ZONES, self.name(cell)
-        entries = tuple(Entry(row.name, row.where) for row in self.gateways(cell)[:ENTRIES])
+        entries = tuple(EntryGateway(row.name, row.where) for row in self.gateways(cell)[:ENTRIES])
         hosts = self.hosts if hosts is None else hosts
-        points = own_points(name, 1.0, 1.0)
+        points = initial_points(name, 1.0, 1.0)
         capacity = CAPACITY * hosts
         return Cell(name, f"region{zone % REGIONS}", f"zone{zone}", capacity, hosts, points, entries)
 
--- a/gaproute/hollow/cells/surroundings.py
+++ b/gaproute/hollow/cells/surroundings.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from gaproute.decisions.cells.place import Place
+from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.hollow.parts import Surroundings
 from gaproute.shared.dissemination import Peer
 from gaproute.storage.cell_table_file import StoredTable
@@ -20,7 +20,7 @@
     digest for those that share them.
     """
 
-    place: Place
+    place: GatewayLocation
     fleet_name: str
     seeds: tuple[Peer, ...]
     kept: StoredTable | None
--- a/gaproute/hollow/cells/ways.py
+++ b/gaproute/hollow/cells/ways.py
@@ -36,8 +36,8 @@
                 break
             tried.add(entry.name)
             if self.reach(entry, name):
-                entries.answered(now, entry.name)
+                entries.record_answer(now, entry.name)
                 return "entered"
-            entries.failed(now, entry.name)
+            entries.record_failure(now, entry.name)
             self.counts["unreached"] += 1
         return "failed"
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -1,6 +1,6 @@
 """The cell table as the document that is disseminated."""
 
-from gaproute.decisions.cells.change import TableChange, TableHolder, changed
+from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.table import CellTable, Version
 from gaproute.peers.tables import encoding
@@ -36,7 +36,7 @@
             raise DocumentError("a change without a table")
         try:
             told = encoding.decode_change(self.fleet, change.base, change.version, change.data)
-            table = changed(held, told)
+            table = apply_change(held, told)
             self._take(table, encoding.digest_after(self.digest, held, told), change.digest)
         except TableError as fault:
             raise DocumentError("invalid change") from fault
@@ -56,13 +56,13 @@
     def _take(self, table: CellTable, digest, told):
         if digest != told:
             raise DocumentError("digest")
-        self.holder.take(table)
+        self.holder.replace(table)
         self.digest = digest
 
 
 def encoded_change(document: TableDocument, change: TableChange) -> Change:
     """A change of the table held, as it is sent. Errors: TableError where it cannot be applied."""
     held = document.holder.table
-    changed(held, change)
+    apply_change(held, change)
     digest = encoding.digest_after(document.digest, held, change)
     return Change(change.base, change.version, digest, encoding.encode_change(change))
--- a/gaproute/peers/tables/encoding.py
+++ b/gaproute/peers/tables/encoding.py
@@ -13,7 +13,7 @@
 from gaproute.decisions.cells.bounds import MAX_CELLS
 from gaproute.decisions.cells.change import TableChange
 from gaproute.decisions.cells.errors import TableError
-from gaproute.decisions.cells.table import Cell, CellTable, Entry, Points, Version, validate
+from gaproute.decisions.cells.table import Cell, CellTable, EntryGateway, PointRange, Version, validate
 
 MAX_TABLE = 16 << 20  # bytes of a table, uncompressed
 MODULUS = 1 << 64
@@ -49,8 +49,8 @@
 
 
 def _cell(row):
-    points = tuple(Points(*points) for points in row.points)
-    entries = tuple(Entry(*entry) for entry in row.entries)
+    points = tuple(PointRange(*points) for points in row.points)
+    entries = tuple(EntryGateway(*entry) for entry in row.entries)
     return Cell(row.name, row.region, row.zone, row.capacity, row.hosts, points, entries)
 
 
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -6,8 +6,8 @@
 import pytest
 from scripted import MILLI, SECOND
 
-from gaproute.decisions.cells.entries import Forward, Forwarded
-from gaproute.decisions.cells.table import Entry
+from gaproute.decisions.cells.entries import ForwardAttempt, Forwarded
+from gaproute.decisions.cells.table import EntryGateway
 from gaproute.hosts.entries import Entries
 from gaproute.hosts.fleet import REACH
 from gaproute.http1 import Limits, Server
@@ -30,7 +30,7 @@
         self.entries = Entries(self.loop, REACH, "ga")
 
     def forward(self, call=CALL, within=SECOND):
-        wish = Forward(Entry("gb", self.server.address), 0, Forwarded("b1", 1))
+        wish = ForwardAttempt(EntryGateway("gb", self.server.address), 0, Forwarded("b1", 1))
         now = self.loop.now()
         return self.entries.toward(wish).relay(
             "gb", call, Idempotency.IDEMPOTENT, "t", now + within, now + within, self.heard.append
--- a/tests/benchmarks/test_cells_world.py
+++ b/tests/benchmarks/test_cells_world.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.cells.fleet import Shape, bare_cell, table, with_entries
 from benchmarks.scale.cells.world import CALL_TIME, World
 from gaproute.decisions.cells import invariants
-from gaproute.decisions.cells.table import Entry, split
+from gaproute.decisions.cells.table import EntryGateway, split_cell
 
 
 def tables(shape, random):
@@ -27,7 +27,7 @@
             case 1:
                 old = random.choice([row for row in rows if row.hosts > 1])
                 rows.remove(old)
-                rows += split(old, f"split{number}", old.entries)
+                rows += split_cell(old, f"split{number}", old.entries)
             case 2:
                 rows += with_entries([bare_cell(100 + number, shape)], shape)
             case _:
@@ -98,13 +98,13 @@
     for node in nodes:
         assert not invariants.check(node.gateway, ["f1", "f2"])
         if node.name not in ever_down:
-            assert ended[node.name] == asked[node.name] and not node.held and not node.gateway.hands
+            assert ended[node.name] == asked[node.name] and not node.held and not node.gateway.attempts
 
 
 def test_entries_that_do_not_know_the_cell_cannot_make_a_loop():
     """The table names two gateways as the entries of all cells; neither lies in the zone of any."""
     shape = Shape(cells=2, hosts=3, gateways=6, zones=3, regions=3)
-    entries = (Entry("gateway2", "address"), Entry("gateway5", "address"))
+    entries = (EntryGateway("gateway2", "address"), EntryGateway("gateway5", "address"))
     rows = [replace(bare_cell(number, shape), entries=entries) for number in range(2)]
     world = World(shape, table(shape, 1, rows), range(6), 20 * SECOND, checking=True)
     ended = []
--- a/tests/config/test_cell_table_text.py
+++ b/tests/config/test_cell_table_text.py
@@ -12,7 +12,7 @@
 from gaproute.config import ConfigurationError
 from gaproute.config.cell_table import MAX_LINE, MAX_LINES, MAX_MISTAKES, read_cells
 from gaproute.decisions.cells.bounds import MAX_CELLS
-from gaproute.decisions.cells.table import Cell, Entry, Points, Version, validate
+from gaproute.decisions.cells.table import Cell, EntryGateway, PointRange, Version, validate
 
 HEAD = "table north term 3 number 17\n"
 GOOD = "cell c1 region west zone west-a capacity 640 hosts 51 points c1:0+32 entries g1=10.0.0.1:8090"
@@ -45,7 +45,7 @@
     made = read_cells(path)
     assert (made.fleet, made.version) == ("north", Version(3, 17))
     assert made.by_name["c1"] == Cell(
-        "c1", "west", "west-a", 640.0, 51, (Points("c1", 0, 32),), (Entry("g1", "10.0.0.1:8090"),)
+        "c1", "west", "west-a", 640.0, 51, (PointRange("c1", 0, 32),), (EntryGateway("g1", "10.0.0.1:8090"),)
     )
     assert made.by_name["c2"].entries == ()
 
@@ -68,7 +68,7 @@
 )
 def test_any_table_comes_back_as_it_was(rows):
     made = [
-        Cell(f"{name}{number}", "r", zone, capacity, count, (Points(f"{name}:{number}", 3, count),))
+        Cell(f"{name}{number}", "r", zone, capacity, count, (PointRange(f"{name}:{number}", 3, count),))
         for number, (name, zone, capacity, count) in enumerate(rows)
     ]
     made = validate(FLEET, Version(1, 2), made)
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -9,7 +9,7 @@
 from gaproute.config.cell_files import path_of, read_cell_hosts, read_table
 from gaproute.config.cell_table import MAX_BYTES
 from gaproute.decisions.cells.bounds import MAX_HOSTS
-from gaproute.decisions.cells.table import Entry, Points, Version
+from gaproute.decisions.cells.table import EntryGateway, PointRange, Version
 
 CELLS = "cells north file t look 50ms region west zone west-a"
 LISTS = "cell-hosts lists"
@@ -109,9 +109,9 @@
         ["a1", "b1"],
     )
     a1, b1 = read.cells
-    assert a1.entries == (Entry("ga", "127.0.0.1:1"), Entry("gb", "127.0.0.1:2"))
-    assert a1.points == (Points("a1", 0, 43),)
-    assert b1.points == (Points("a1", 100, 4), Points("b1", 0, 16))
+    assert a1.entries == (EntryGateway("ga", "127.0.0.1:1"), EntryGateway("gb", "127.0.0.1:2"))
+    assert a1.points == (PointRange("a1", 0, 43),)
+    assert b1.points == (PointRange("a1", 100, 4), PointRange("b1", 0, 16))
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/cells/test_all_slow.py
+++ b/tests/decisions/cells/test_all_slow.py
@@ -6,8 +6,8 @@
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.illness import OUTCOMES, Area, Illness
-from gaproute.decisions.cells.place import Place
+from gaproute.decisions.cells.faults import OUTCOMES, FaultKind, FaultScope
+from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.interface import Result
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -18,35 +18,39 @@
 @pytest.fixture
 def slow():
     """A gateway that found every cell slow a moment ago."""
-    made = CellularGateway(7, TERMS._replace(twins_allowed=False), 0, Place("gateway1", "region0", "zone0"))
+    made = CellularGateway(
+        7, TERMS._replace(twins_allowed=False), 0, GatewayLocation("gateway1", "region0", "zone0")
+    )
     made.adopt(0, table(cells(8, entries=2)))
     for name in made.table.by_name:
         for _ in range(OUTCOMES):
-            made.health.outcome(NOW, name, Result.OK, pace=9.0)
-    assert all(made.health.ill[Area.CELL, name].illness is Illness.SLOW for name in made.table.by_name)
+            made.health.record_outcome(NOW, name, Result.OK, pace=9.0)
+    assert all(
+        made.health.faults[FaultScope.CELL, name].kind is FaultKind.SLOW for name in made.table.by_name
+    )
     return made
 
 
-def choices(made, function="f", may_try=False):
-    return [choice.cell for choice in made.chooser.cells(NOW, function, may_try)]
+def choices(made, function="f", may_repeat=False):
+    return [choice.cell for choice in made.chooser.cells(NOW, function, may_repeat)]
 
 
-@pytest.mark.parametrize("may_try", (True, False))
-def test_a_call_goes_to_its_first_home(slow, may_try):
-    assert choices(slow, may_try=may_try) == [slow.homes.first("f")]
+@pytest.mark.parametrize("may_repeat", (True, False))
+def test_a_call_goes_to_its_first_home(slow, may_repeat):
+    assert choices(slow, may_repeat=may_repeat) == [slow.homes.first("f")]
 
 
 def test_a_silent_cell_is_passed_over_for_a_slow_one(slow):
     first, second = slow.homes.order("f", 2)[:2]
     for way in ("one", "two"):
-        slow.health.overdue(NOW + SECOND, first, NOW + 1, way)
-    slow.health.ill[Area.CELL, first].illness = Illness.SILENT
+        slow.health.record_overdue(NOW + SECOND, first, NOW + 1, way)
+    slow.health.faults[FaultScope.CELL, first].kind = FaultKind.SILENT
     assert choices(slow) == [second]
 
 
 def test_a_call_is_declined_where_all_cells_are_silent(slow):
-    for ill in slow.health.ill.values():
-        ill.illness = Illness.SILENT
+    for fault in slow.health.faults.values():
+        fault.kind = FaultKind.SILENT
     assert choices(slow) == []
 
 
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -9,15 +9,15 @@
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.entries import MAX_HOPS, Forward, Forwarded
-from gaproute.decisions.cells.health import PURE_WAIT
-from gaproute.decisions.cells.place import Place
-from gaproute.decisions.cells.tasks import CELLS_TRIED
+from gaproute.decisions.cells.entries import MAX_HOPS, ForwardAttempt, Forwarded
+from gaproute.decisions.cells.health import IDEMPOTENT_TRIAL_WAIT
+from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.tasks import MAX_CELLS_TRIED
 from gaproute.decisions.routing import Gateway
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2
-PLACE = Place("gateway1", "region0", "zone0")
+PLACE = GatewayLocation("gateway1", "region0", "zone0")
 
 
 class Script:
@@ -163,14 +163,14 @@
     drive = Drive(made, task("t", function_of(made, "cell0")))
     assert drive.sent[0].startswith("cell0-")
     drive.hears(100 * MILLI, face.Result.OK)
-    assert drive.ended and not made.hands
+    assert drive.ended and not made.attempts
 
 
 def test_an_unknown_cell_is_reached_by_an_entry_that_is_told_cell_and_hops():
     made = fleet()
     drive = Drive(made, task("t", function_of(made, "cell7")))
     wish = drive.wishes[0]
-    assert isinstance(wish, Forward) and wish.forwarded == Forwarded("cell7", 1)
+    assert isinstance(wish, ForwardAttempt) and wish.forwarded == Forwarded("cell7", 1)
     assert (wish.worker, wish.address) in made.table.by_name["cell7"].entries
     drive.hears(100 * MILLI, face.Result.OK)
     assert drive.ended
@@ -187,7 +187,7 @@
 
 def test_an_entry_that_found_its_cell_ill_declines_at_once_but_for_the_trial():
     made = fleet()
-    made.health.unreachable(0, "cell0")
+    made.health.record_unreachable(0, "cell0")
     assert isinstance(next(made.serve(0, task("t"), Forwarded("cell0", 1))), face.Reject)
     effectful = made.serve(2 * SECOND, task("e", track=NON_IDEMPOTENT), Forwarded("cell0", 1))
     assert isinstance(next(effectful), face.Reject)
@@ -198,7 +198,7 @@
 def test_an_entry_that_knows_the_cell_no_more_forwards_once():
     made = fleet()
     wish = next(made.serve(0, task("t"), Forwarded("cell7", 1)))
-    assert isinstance(wish, Forward) and wish.forwarded == Forwarded("cell7", MAX_HOPS)
+    assert isinstance(wish, ForwardAttempt) and wish.forwarded == Forwarded("cell7", MAX_HOPS)
     assert isinstance(next(made.serve(0, task("u"), Forwarded("cell7", MAX_HOPS))), face.Reject)
     assert isinstance(next(made.serve(0, task("v"), Forwarded("nowhere", 1))), face.Reject)
 
@@ -220,7 +220,7 @@
     made = fleet()
     made.end_by = 2 * SECOND
     wish = Drive(made, task("t", function_of(made, "cell7")), now=SECOND).wishes[0]
-    assert isinstance(wish, Forward) and wish.until < 2 * SECOND
+    assert isinstance(wish, ForwardAttempt) and wish.until < 2 * SECOND
     late = Drive(made, task("u", function_of(made, "cell7")), now=2 * SECOND)
     assert isinstance(late.wishes[-1], face.Reject) and late.sent == []
 
@@ -235,7 +235,7 @@
         drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, relay)
     second = made.homes.order(name, 2)[1]
     assert drive.wishes[0].forwarded.cell == second and len(set(drive.sent)) == 3
-    assert made.health.barred("cell7")  # both of its entries failed
+    assert made.health.is_faulty("cell7")  # both of its entries failed
 
 
 @pytest.mark.parametrize("track", [IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
@@ -262,7 +262,7 @@
         drive = Drive(made, task(f"t{number}", name), now)
         drive.hears(now, face.Result.FULL)
         moved += len(drive.sent) > 1
-        made.health.ill.clear()
+        made.health.faults.clear()
         while not drive.ended:
             drive.hears(now, face.Result.OK, len(drive.sent) - 1)
     assert 20 <= moved <= 20 + 30
@@ -283,11 +283,11 @@
 def test_a_trial_is_not_made_of_what_must_not_run_twice():
     made = fleet()
     name = function_of(made, "cell7")
-    made.health.unreachable(0, "cell7")
+    made.health.record_unreachable(0, "cell7")
     drive = Drive(made, task("t", name, NON_IDEMPOTENT), now=2 * SECOND)
     assert drive.wishes[0].forwarded.cell != "cell7"
     # But where no pure call comes for long, any call is better than none: the cell would stay out for good.
-    late = 2 * SECOND + PURE_WAIT
+    late = 2 * SECOND + IDEMPOTENT_TRIAL_WAIT
     drive = Drive(made, task("u", name, NON_IDEMPOTENT), now=late)
     assert drive.wishes[0].forwarded.cell == "cell7"
     drive = Drive(made, task("v", name, NON_IDEMPOTENT), now=late)
@@ -302,9 +302,9 @@
     assert drive.ended and isinstance(drive.wishes[-1], face.Reject) and len(drive.sent) == 4
     made = fleet(relay_limit=50)
     drive = Drive(made, task("t", function_of(made, "cell7")))
-    for relay in range(2 * CELLS_TRIED):
+    for relay in range(2 * MAX_CELLS_TRIED):
         drive.hears(10 * MILLI, face.Result.CONNECT_FAILED, relay)
-    assert drive.ended and len(drive.sent) == 2 * CELLS_TRIED
+    assert drive.ended and len(drive.sent) == 2 * MAX_CELLS_TRIED
 
 
 def test_a_known_cell_without_hosts_sends_its_calls_to_the_next_home():
@@ -313,18 +313,18 @@
     made.listed(0, [], True, "cell0")
     drive = Drive(made, task("t", name))
     assert drive.wishes[0].forwarded.cell == made.homes.order(name, 2)[1]
-    assert made.health.barred("cell0")
+    assert made.health.is_faulty("cell0")
 
 
 def test_where_nothing_else_is_left_a_home_that_is_well_again_is_used():
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
-        made.health.unreachable(0, name)
+        made.health.record_unreachable(0, name)
     drive = Drive(made, task("t", "f", NON_IDEMPOTENT), now=SECOND)
     assert drive.ended and not drive.sent
     for name in ("cell0", "cell1"):  # the trial of the other has no answer yet
-        made.health.tried(600 * SECOND, name)
-    made.health.outcome(600 * SECOND, "cell1", face.Result.OK)
+        made.health.trial_sent(600 * SECOND, name)
+    made.health.record_outcome(600 * SECOND, "cell1", face.Result.OK)
     for number in range(20):
         drive = Drive(made, task(f"t{number}", f"f{number}", NON_IDEMPOTENT), now=600 * SECOND)
         assert drive.wishes[0].forwarded.cell == "cell1"
@@ -336,9 +336,9 @@
     drives = [Drive(made, task("t0", first), now=0)]
     drives[0].late(4 * SECOND - 100 * MILLI)  # overdue: its entry is in doubt
     drives += [Drive(made, task(f"u{n}", name), now=4 * SECOND) for n, name in enumerate(rest)]
-    assert drives[1].sent != drives[0].sent and not made.health.barred("cell7")
+    assert drives[1].sent != drives[0].sent and not made.health.is_faulty("cell7")
     wishes = drives[1].late(7 * SECOND)
-    assert made.health.barred("cell7")
+    assert made.health.is_faulty("cell7")
     assert wishes[0] == face.Cancel(0)
     wishes = drives[1].hears(7 * SECOND, face.Result.CANCELLED)
     assert wishes[0].forwarded.cell != "cell7"
@@ -353,7 +353,7 @@
     made.adopt(0, table(rows, number=2))
     for turn, name in enumerate(functions(made, ("cell7",), 2)):
         now = 10 * turn * SECOND
-        assert not made.health.barred("cell7")
+        assert not made.health.is_faulty("cell7")
         drive = Drive(made, task(f"t{turn}", name, time_left=8 * SECOND), now)
         entry = drive.sent[0]
         for number, other in enumerate(functions(made, ("cell20",), 3)):
@@ -361,7 +361,7 @@
             if beside.sent[0] == entry:
                 beside.hears(now + 2 * SECOND, face.Result.OK)
         drive.late(now + 4 * SECOND)
-    assert made.health.barred("cell7") and not made.entries.doubts
+    assert made.health.is_faulty("cell7") and not made.entries.backoffs
 
 
 def test_the_table_changes_under_tasks_in_hand():
@@ -387,7 +387,7 @@
     made.adopt(0, table(cells(26), number=2))
     assert "cell0" in made.local.gateways or "cell0" not in made.wanted()
     drive.hears(MILLI, face.Result.OK)
-    assert drive.ended and not made.former.hands
+    assert drive.ended and not made.previous_single.hands
 
 
 def test_all_known_cells_share_one_ration():
--- a/tests/decisions/cells/test_cut_off.py
+++ b/tests/decisions/cells/test_cut_off.py
@@ -2,19 +2,19 @@
 
 from cells_tables import cells, table
 
-from gaproute.decisions.cells.health import LONGEST_RETURN, SECOND, Health
-from gaproute.decisions.cells.illness import Area, Permit
-from gaproute.decisions.cells.place import Place
+from gaproute.decisions.cells.faults import CircuitState, FaultScope
+from gaproute.decisions.cells.health import MAX_RECOVERY_RAMP, SECOND, CellHealth
+from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.chance import Chance
 from gaproute.interface import Result
 
-OWN = Place("gateway0", "region0", "zone0")  # zones 5 and 10 lie in region 0 too
-OTHER_ZONES, OTHER_REGIONS = (Area.OTHER_ZONES, "zone0"), (Area.OTHER_REGIONS, "region0")
+OWN = GatewayLocation("gateway0", "region0", "zone0")  # zones 5 and 10 lie in region 0 too
+OTHER_ZONES, OTHER_REGIONS = (FaultScope.OTHER_ZONES, "zone0"), (FaultScope.OTHER_REGIONS, "region0")
 NOW = 10 * SECOND
 
 
 def made(rows=None, own=OWN):
-    health = Health("gateway0", Chance(5), own)
+    health = CellHealth("gateway0", Chance(5), own)
     health.adopt(table(rows or cells(65)))
     return health
 
@@ -22,7 +22,7 @@
 def overdue(health, *zones, sent=8 * SECOND):
     """One call to a cell of each zone is overdue."""
     for zone in zones:
-        health.overdue(NOW, f"cell{zone}", sent, "way")
+        health.record_overdue(NOW, f"cell{zone}", sent, "way")
 
 
 def cut_off(*zones):
@@ -34,96 +34,98 @@
 def test_three_silent_zones_and_nothing_heard_show_that_the_own_zone_is_cut_off():
     health = made()
     overdue(health, 5, 10)
-    assert not health.ill
+    assert not health.faults
     overdue(health, 1)
-    assert set(health.ill) == {OTHER_ZONES}
+    assert set(health.faults) == {OTHER_ZONES}
     for zone in range(1, 13):
-        assert health.permit(NOW, f"cell{zone}", "f") is Permit.NO
-    assert health.permit(NOW, "cell0", "f") is Permit.YES
-    assert health.permit(NOW, "cell13", "f") is Permit.YES
+        assert health.circuit_state(NOW, f"cell{zone}", "f") is CircuitState.OPEN
+    assert health.circuit_state(NOW, "cell0", "f") is CircuitState.CLOSED
+    assert health.circuit_state(NOW, "cell13", "f") is CircuitState.CLOSED
 
 
 def test_three_calls_to_one_zone_do_not():
     health = made()
     for name in ("cell5", "cell18", "cell31"):
-        health.overdue(NOW, name, 8 * SECOND, "way")
-    assert set(health.ill) == {(Area.ZONE, "zone5")}
+        health.record_overdue(NOW, name, 8 * SECOND, "way")
+    assert set(health.faults) == {(FaultScope.ZONE, "zone5")}
 
 
 def test_any_sign_of_life_from_outside_disproves_it():
     for result in (Result.OK, Result.ERROR, Result.FULL):
         health = made()
         overdue(health, 5, 10)
-        health.outcome(9 * SECOND, "cell7", result)
+        health.record_outcome(9 * SECOND, "cell7", result)
         overdue(health, 1)
-        assert not health.ill
+        assert not health.faults
         overdue(health, 2, 3, 4, sent=9 * SECOND + 1)
-        assert set(health.ill) == {OTHER_ZONES, OTHER_REGIONS}
+        assert set(health.faults) == {OTHER_ZONES, OTHER_REGIONS}
 
 
 def test_the_own_zone_says_nothing_of_the_others():
     health = made()
     overdue(health, 5, 10)
-    health.outcome(9 * SECOND, "cell0", Result.OK)
+    health.record_outcome(9 * SECOND, "cell0", Result.OK)
     overdue(health, 1)
-    assert OTHER_ZONES in health.ill
+    assert OTHER_ZONES in health.faults
 
 
 def test_a_region_that_is_cut_off_keeps_its_own_zones():
     health = made()
     overdue(health, 1, 2)
-    health.outcome(9 * SECOND, "cell5", Result.OK)
+    health.record_outcome(9 * SECOND, "cell5", Result.OK)
     overdue(health, 3)
-    assert set(health.ill) == {OTHER_REGIONS}
-    assert health.permit(NOW, "cell10", "f") is Permit.YES
-    assert health.permit(NOW, "cell4", "f") is Permit.NO
-    assert health.region_open(NOW, "region0", "f") and not health.region_open(NOW, "region4", "f")
+    assert set(health.faults) == {OTHER_REGIONS}
+    assert health.circuit_state(NOW, "cell10", "f") is CircuitState.CLOSED
+    assert health.circuit_state(NOW, "cell4", "f") is CircuitState.OPEN
+    assert health.region_usable(NOW, "region0", "f") and not health.region_usable(NOW, "region4", "f")
 
 
 def test_with_two_other_zones_both_must_be_silent():
     health = made(cells(3, zones=3, regions=1))
     overdue(health, 1)
-    assert not health.ill
+    assert not health.faults
     overdue(health, 2)
-    assert OTHER_ZONES in health.ill
+    assert OTHER_ZONES in health.faults
 
 
 def test_one_other_zone_is_judged_by_its_own_cells():
     health = made(cells(4, zones=2, regions=1))
     overdue(health, 1)
-    assert not health.ill
+    assert not health.faults
     overdue(health, 3)
-    assert set(health.ill) == {(Area.ZONE, "zone1")}
+    assert set(health.faults) == {(FaultScope.ZONE, "zone1")}
 
 
 def test_one_trial_for_all_that_lies_outside():
     health = cut_off(1, 2, 3)
     later = NOW + 2 * SECOND
-    assert health.permit(later, "cell5", "f") is Permit.TRIAL
-    health.tried(later, "cell5")
-    assert health.permit(later, "cell6", "f") is Permit.NO
+    assert health.circuit_state(later, "cell5", "f") is CircuitState.HALF_OPEN
+    health.trial_sent(later, "cell5")
+    assert health.circuit_state(later, "cell6", "f") is CircuitState.OPEN
 
 
 def test_the_first_answer_ends_it_and_functions_come_back_one_by_one():
     health = cut_off(1, 2, 3)
     healed = NOW + 600 * SECOND
-    health.outcome(healed, "cell7", Result.OK)
+    health.record_outcome(healed, "cell7", Result.OK)
     functions = [f"f{number}" for number in range(400)]
     for part in range(11):
-        at = healed + part * LONGEST_RETURN // 10
-        back = [health.permit(at, "cell8", function) for function in functions].count(Permit.YES)
+        at = healed + part * MAX_RECOVERY_RAMP // 10
+        back = [health.circuit_state(at, "cell8", function) for function in functions].count(
+            CircuitState.CLOSED
+        )
         assert abs(back / len(functions) - part / 10) < 0.1
-        assert back == [health.region_open(at, "region3", function) for function in functions].count(True)
-    assert not health.ill
+        assert back == [health.region_usable(at, "region3", function) for function in functions].count(True)
+    assert not health.faults
 
 
 def test_without_a_place_nothing_is_outside():
     health = made(own=None)
     overdue(health, 1, 2, 3, 4, 5)
-    assert not health.ill
+    assert not health.faults
 
 
 def test_what_the_table_lacks_is_no_longer_outside():
     health = cut_off(1, 2, 3)
     health.adopt(table(cells(65)[::13], number=2))
-    assert not health.ill
+    assert not health.faults
--- a/tests/decisions/cells/test_demand.py
+++ b/tests/decisions/cells/test_demand.py
@@ -2,11 +2,11 @@
 
 from random import Random
 
-from gaproute.decisions.cells.demand import HOLD, RARE, SECOND, Demand, Placement, Scope
-from gaproute.decisions.cells.loads import Loads
+from gaproute.decisions.cells.demand import HOLD, RARE, SECOND, Demand, FleetScope, Placement
+from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.chance import Chance
 
-SCOPE = Scope(16_000, 3_200, 600 * SECOND)
+SCOPE = FleetScope(16_000, 3_200, 600 * SECOND)
 CELLS, REGIONAL = 490, 98.0
 MILLI = 1_000_000
 
@@ -20,7 +20,7 @@
             events.append((int(at * SECOND), name))
             at += random.expovariate(rate)
     for now, name in sorted(events):
-        demand.arrived(demand.began + now, name)
+        demand.record_arrival(demand.began + now, name)
         if each is not None:
             each(demand.began + now, name)
     return demand.began + seconds * SECOND
@@ -33,10 +33,10 @@
 def test_what_was_seen_once_has_one_home_in_the_fleet():
     demand = Demand(0, SCOPE)
     assert placed(demand, SECOND) == RARE
-    demand.arrived(5 * SECOND, "f")
+    demand.record_arrival(5 * SECOND, "f")
     for now in (5 * SECOND, 6 * SECOND, 11 * 86_400 * SECOND):
         assert placed(demand, now) == RARE
-    demand.arrived(11 * 86_400 * SECOND, "f")
+    demand.record_arrival(11 * 86_400 * SECOND, "f")
     assert placed(demand, 11 * 86_400 * SECOND) == RARE
 
 
@@ -50,7 +50,7 @@
 
 def test_a_small_fleet_knows_what_is_rare():
     """Four gateways that each see it four times an hour: the region's calls keep no copy loaded."""
-    demand = Demand(0, Scope(4, 1, 600 * SECOND))
+    demand = Demand(0, FleetScope(4, 1, 600 * SECOND))
     seen = set()
     play(demand, {"f": 4 / 3600, "g": 1.0}, 20_000, each=lambda now, name: seen.add(placed(demand, now)))
     assert seen == {RARE}
@@ -67,7 +67,7 @@
     now = play(demand, {"hot": 20.0, "warm": 1.0, "cool": 0.02, "rest": 173.0}, 300)
     for name in ("hot", "warm", "cool"):
         for _ in range(30):
-            demand.took(name, 100 * MILLI)
+            demand.record_duration(name, 100 * MILLI)
     hot, warm, cool = [placed(demand, now, name) for name in ("hot", "warm", "cool")]
     assert hot.homes == int(REGIONAL) and hot.regional
     assert 16 <= warm.homes <= 64 and warm.homes.bit_count() == 1
@@ -78,9 +78,9 @@
     demand = Demand(0, SCOPE)
     now = play(demand, {"long": 0.1, "short": 0.1, "rest": 100.0}, 600)
     for _ in range(50):
-        demand.took("long", SECOND)
-        demand.took("short", 100 * MILLI)
-        demand.took("rest", 100 * MILLI)
+        demand.record_duration("long", SECOND)
+        demand.record_duration("short", 100 * MILLI)
+        demand.record_duration("rest", 100 * MILLI)
     assert placed(demand, now, "long").homes >= 4 * placed(demand, now, "short").homes
 
 
@@ -110,7 +110,7 @@
     before, steps = (now, homes), 0
     for second in range(1, 20_000, 5):
         at = now + second * SECOND
-        demand.arrived(at, "g")
+        demand.record_arrival(at, "g")
         found = placed(demand, at).homes
         if found != before[1]:
             assert found == before[1] // 2 and (steps == 0 or at - before[0] >= HOLD)
@@ -122,20 +122,20 @@
     demand = Demand(0, SCOPE)
     now = play(demand, {"g": 190.0}, 1800)
     for arrival in range(200):
-        demand.arrived(now + arrival * SECOND // 20, "f")
+        demand.record_arrival(now + arrival * SECOND // 20, "f")
     assert placed(demand, now + 10 * SECOND).homes >= 32
 
 
 def test_functions_remembered_are_bounded():
-    demand = Demand(0, SCOPE, functions_kept=100)
+    demand = Demand(0, SCOPE, max_functions=100)
     for number in range(1000):
-        demand.arrived(number, f"f{number}")
+        demand.record_arrival(number, f"f{number}")
     assert len(demand.functions) == 100 and "f999" in demand.functions
 
 
 def test_the_draw_goes_by_capacity():
     capacities = {"a": 100.0, "b": 50.0, "c": 150.0}
-    loads, chance = Loads(), Chance(3)
+    loads, chance = CellLoads(), Chance(3)
     counts = dict.fromkeys(capacities, 0)
     for _ in range(6000):
         counts[loads.draw(0, tuple(capacities), capacities, chance)] += 1
@@ -145,14 +145,14 @@
 
 def test_the_draw_shifts_from_the_loaded_and_hears_of_it_still():
     capacities = dict.fromkeys("abcd", 100.0)
-    loads, chance = Loads(), Chance(3)
+    loads, chance = CellLoads(), Chance(3)
     for now in range(0, 60 * SECOND, SECOND):
         for name in "abcd":
-            loads.heard(now, name, 2.0 if name == "a" else 1.0)
+            loads.record(now, name, 2.0 if name == "a" else 1.0)
     counts = dict.fromkeys(capacities, 0)
     for _ in range(4000):
         counts[loads.draw(60 * SECOND, "abcd", capacities, chance)] += 1
     assert 4000 * 0.02 < counts["a"] < 4000 * 0.15
-    assert loads.of(300 * SECOND, "a") == 1.0  # told too long ago
+    assert loads.relative_load(300 * SECOND, "a") == 1.0  # told too long ago
     loads.adopt({"b", "c"})
     assert set(loads.cells) == {"b", "c"}
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -9,9 +9,9 @@
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.entries import MAX_HOPS, CellUnknown, Entries, Forwarded
-from gaproute.decisions.cells.place import Place
-from gaproute.decisions.cells.tasks import LEAST_USUAL
+from gaproute.decisions.cells.entries import MAX_HOPS, CellUnknown, EntrySelector, Forwarded
+from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.tasks import MIN_MEAN_DURATION
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2
@@ -21,7 +21,7 @@
 def bare(**told):
     """A gateway of zone 0 without a table; `told`: terms that differ."""
     terms = TERMS._replace(twins_allowed=False, **told)
-    return CellularGateway(7, terms, 0, Place("gateway1", "region0", "zone0"))
+    return CellularGateway(7, terms, 0, GatewayLocation("gateway1", "region0", "zone0"))
 
 
 def fleet(count=26, entries=2, **told):
@@ -63,11 +63,11 @@
     made = fleet()
     assert isinstance(forwarded(made, "nowhere"), CellUnknown)
     assert isinstance(forwarded(made, "cell7", MAX_HOPS), CellUnknown)
-    made.health.unreachable(0, "cell0")
+    made.health.record_unreachable(0, "cell0")
     refused = forwarded(made, "cell0")
     assert isinstance(refused, face.Reject) and not isinstance(refused, CellUnknown)
     made.listed(0, [], True, "cell0")
-    made.health.ill.clear()
+    made.health.faults.clear()
     assert isinstance(forwarded(made, "cell0"), CellUnknown)  # no host to send it to
 
 
@@ -106,7 +106,7 @@
     drive.hears(10 * MILLI, face.Result.MISS)
     assert drive.wishes[0].forwarded.cell == "cell7" and len(set(drive.sent)) == 2
     drive.hears(20 * MILLI, face.Result.OK, 1)
-    assert drive.ended and not made.health.barred("cell7")
+    assert drive.ended and not made.health.is_faulty("cell7")
 
 
 def test_an_entry_that_does_not_know_a_cell_is_passed_over_for_that_cell_alone():
@@ -124,18 +124,18 @@
     assert late.sent == [made.entries.order(rows[7])[0].name]
     if late.sent == [ignorant]:
         late.hears(2 * SECOND, face.Result.OK)
-        assert not made.entries.lacking
+        assert not made.entries.unknown_cells
 
 
 def test_a_cell_that_no_entry_knows_has_no_way_in_and_its_calls_move_at_once():
     made = fleet()
-    made.spill.left = 0  # nothing may move that was refused for load
+    made.spill.tokens = 0  # nothing may move that was refused for load
     name = homed(made, "cell7")[0]
     drive = Drive(made, task("t", name, NON_IDEMPOTENT))
     for relay in range(2):
         drive.hears(10 * MILLI, face.Result.MISS, relay)
     assert drive.wishes[0].forwarded.cell == made.homes.order(name, 2)[1]
-    assert made.health.barred("cell7") and not made.health.records  # no way in; nothing was heard of it
+    assert made.health.is_faulty("cell7") and not made.health.records  # no way in; nothing was heard of it
 
 
 def test_entries_that_do_not_know_the_cell_are_no_refusals_of_it():
@@ -145,16 +145,16 @@
         drive = Drive(made, task(f"t{number}", name), now)
         drive.hears(now, face.Result.MISS)
         drive.hears(now, face.Result.OK, 1)
-        assert not made.health.barred("cell7")
+        assert not made.health.is_faulty("cell7")
 
 
 def test_what_is_remembered_of_entries_that_do_not_know_cells_is_bounded_by_the_table():
-    ways, rows = Entries("gateway1"), cells(3)
+    ways, rows = EntrySelector("gateway1"), cells(3)
     for each in rows:
-        ways.unknowing(0, each.entries[0].name, each.name)
-        ways.unknowing(0, "another", each.name)
+        ways.record_cell_unknown(0, each.entries[0].name, each.name)
+        ways.record_cell_unknown(0, "another", each.name)
     ways.adopt(table(rows[:2]))
-    assert set(ways.lacking) == {(each.entries[0].name, each.name) for each in rows[:2]}
+    assert set(ways.unknown_cells) == {(each.entries[0].name, each.name) for each in rows[:2]}
 
 
 @pytest.mark.parametrize("result", [face.Result.FULL, face.Result.MISS, face.Result.CONNECT_FAILED])
@@ -171,7 +171,7 @@
 def test_a_call_that_no_cell_may_take_ends_with_the_advice_of_its_track():
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
-        made.health.unreachable(0, name)
+        made.health.record_unreachable(0, name)
     assert Drive(made, task("t", track=NON_IDEMPOTENT)).wishes == [face.Reject(ADVICE, "no cell")]
 
 
@@ -182,21 +182,21 @@
     for number in range(20):
         drive = Drive(made, task(f"t{number}", name), number * SECOND)
         drive.hears(number * SECOND, face.Result.OK, found=face.Found.WARM, took=50 * MILLI)
-    usual = made.demand.usual(name)
+    usual = made.demand.mean_duration(name)
     for number in range(20, 40):
         drive = Drive(made, task(f"t{number}", name), number * SECOND)
         drive.hears(number * SECOND, face.Result.OK, found=face.Found.BEGAN_LOAD, took=2 * SECOND)
-    assert made.demand.usual(name) == usual and not made.health.barred("cell7")
+    assert made.demand.mean_duration(name) == usual and not made.health.is_faulty("cell7")
 
 
-@pytest.mark.parametrize(("took", "slow"), [(4 * LEAST_USUAL, False), (40 * LEAST_USUAL, True)])
+@pytest.mark.parametrize(("took", "slow"), [(4 * MIN_MEAN_DURATION, False), (40 * MIN_MEAN_DURATION, True)])
 def test_a_stall_of_some_milliseconds_is_no_slow_cell_where_answers_are_quick(took, slow):
     """Eight answers that came in one stall of this gateway would else show each cell as slow."""
     made = fleet()
     for _ in range(2_000):
-        made.demand.took("any", MILLI)
+        made.demand.record_duration("any", MILLI)
     for number, name in enumerate(homed(made, "cell7", 8)):
         now = number * SECOND // 10
         drive = Drive(made, task(f"t{number}", name), now)
         drive.hears(now, face.Result.OK, found=face.Found.WARM, took=took)
-    assert made.health.barred("cell7") == slow
+    assert made.health.is_faulty("cell7") == slow
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -7,8 +7,8 @@
 from cells_tables import cell
 
 from gaproute.decisions.cells.bounds import MAX_NAME
-from gaproute.decisions.cells.entries import MAX_HOPS, Entries, Forwarded
-from gaproute.decisions.cells.table import Entry
+from gaproute.decisions.cells.entries import MAX_HOPS, EntrySelector, Forwarded
+from gaproute.decisions.cells.table import EntryGateway
 from gaproute.hosts import forwarded
 from gaproute.http1 import Server
 from gaproute.loop.streams import address
@@ -141,8 +141,8 @@
 
 def ranks_before(gateway, one, other):
     """Whether the gateway asks the one entry before the other."""
-    ways = (Entry(one, ""), Entry(other, ""))
-    return Entries(gateway).order(replace(cell("b1"), entries=ways))[0].name == one
+    ways = (EntryGateway(one, ""), EntryGateway(other, ""))
+    return EntrySelector(gateway).order(replace(cell("b1"), entries=ways))[0].name == one
 
 
 def test_forwarded_answers_tell_what_the_call_found_at_the_host(cells):
--- a/tests/decisions/cells/test_homes.py
+++ b/tests/decisions/cells/test_homes.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from gaproute.decisions.cells.change import TableChange, changed
-from gaproute.decisions.cells.homes import Homes, moved_share
-from gaproute.decisions.cells.table import Version, split
+from gaproute.decisions.cells.change import TableChange, apply_change
+from gaproute.decisions.cells.homes import HomeCells, moved_share
+from gaproute.decisions.cells.table import Version, split_cell
 
 FUNCTIONS = [f"function{place}" for place in range(20_000)]
 MILLI = 1_000_000
@@ -20,7 +20,7 @@
 def after(before, rows=(), removed=()):
     """The next table after a change."""
     number = before.version.number + 1
-    return changed(
+    return apply_change(
         before, TableChange(FLEET, before.version, Version(1, number), tuple(rows), tuple(removed))
     )
 
@@ -31,7 +31,7 @@
     """One computes from the whole table, the other went through random changes; a third held few orders."""
     random = Random(seed)
     now = table(cells(random.randrange(2, 30)))
-    changing, forgetful = Homes(now), Homes(now, orders_kept=2)
+    changing, forgetful = HomeCells(now), HomeCells(now, max_orders=2)
     functions = FUNCTIONS[:20]
     for _ in range(random.randrange(1, 5)):
         for name in functions:
@@ -42,7 +42,7 @@
         rows = list({row.name: row for row in rows if row.name not in removed}.values())
         now = after(now, rows, removed)
         changing.adopt(now), forgetful.adopt(now)
-    fresh = Homes(table(list(now.cells)[::-1], number=now.version.number))
+    fresh = HomeCells(table(list(now.cells)[::-1], number=now.version.number))
     for name in functions:
         for region in (None, "region0", "region1"):
             orders = {homes.order(name, 5, region)[:5] for homes in (changing, forgetful, fresh)}
@@ -50,7 +50,7 @@
 
 
 def test_the_second_home_lies_in_another_zone():
-    homes = Homes(table(cells(40)))
+    homes = HomeCells(table(cells(40)))
     zones = {row.name: row.zone for row in homes.table.cells}
     for name in FUNCTIONS[:2000]:
         first, second, *_ = homes.order(name, 2)
@@ -59,27 +59,27 @@
 
 def test_an_order_names_each_cell_once_and_ends_with_the_last():
     for count in (1, 2, 13, 60):
-        homes = Homes(table(cells(count)))
+        homes = HomeCells(table(cells(count)))
         for name in FUNCTIONS[:50]:
             assert sorted(homes.order(name, 10_000)) == sorted(homes.table.by_name)
 
 
 def test_one_zone_alone_has_an_order_too():
-    homes = Homes(table([cell(f"cell{n}") for n in range(9)]))
+    homes = HomeCells(table([cell(f"cell{n}") for n in range(9)]))
     assert len(set(homes.order("f", 9))) == 9
 
 
 def test_a_region_has_homes_of_its_own():
-    homes = Homes(table(cells(65)))
+    homes = HomeCells(table(cells(65)))
     assert all(homes.table.by_name[name].region == "region2" for name in homes.order("f", 99, "region2"))
     assert homes.order("f", 3, "nowhere") == () and homes.first("f", "nowhere") is None
 
 
 def test_orders_held_are_bounded():
-    homes = Homes(table(cells(13)), orders_kept=100)
+    homes = HomeCells(table(cells(13)), max_orders=100)
     for name in FUNCTIONS[:1000]:
         homes.order(name, 2)
-    assert len(homes._held) == 100
+    assert len(homes._orders) == 100
 
 
 @pytest.mark.parametrize("region", [None, "region2"])
@@ -88,7 +88,7 @@
 
     A cell's share is about 800 of them (chance alone: 3.5%, four deviations 14%).
     """
-    homes = Homes(table(cells(490, SIZES)), orders_kept=1)
+    homes = HomeCells(table(cells(490, SIZES)), max_orders=1)
     capacity = {row.name: row.capacity for row in homes.table.cells if region in (None, row.region)}
     functions = 390_000 if region is None else 80_000
     counts = dict.fromkeys(capacity, 0)
@@ -101,16 +101,16 @@
 
 
 def test_a_cell_added_takes_its_share_and_nothing_else_moves():
-    before = Homes(table(cells(100)))
-    now = Homes(after(before.table, [cell("new", zone=3)]))
+    before = HomeCells(table(cells(100)))
+    now = HomeCells(after(before.table, [cell("new", zone=3)]))
     ideal = 1 / 101
     assert moved_share(before, now, FUNCTIONS) <= 1.25 * ideal
     assert all(now.first(name) in (before.first(name), "new") for name in FUNCTIONS)
 
 
 def test_a_cell_lost_gives_up_its_share_and_nothing_else_moves():
-    before = Homes(table(cells(100)))
-    now = Homes(after(before.table, removed=["cell7"]))
+    before = HomeCells(table(cells(100)))
+    now = HomeCells(after(before.table, removed=["cell7"]))
     lost = [name for name in FUNCTIONS if before.first(name) == "cell7"]
     assert len(lost) / len(FUNCTIONS) <= 1.25 / 100
     assert moved_share(before, now, FUNCTIONS) == len(lost) / len(FUNCTIONS)
@@ -120,18 +120,18 @@
 
 
 def test_a_split_moves_half_of_one_cell():
-    before = Homes(table(cells(100)))
-    old, new = split(before.table.by_name["cell7"], "new")
-    now = Homes(after(before.table, [old, new]))
+    before = HomeCells(table(cells(100)))
+    old, new = split_cell(before.table.by_name["cell7"], "new")
+    now = HomeCells(after(before.table, [old, new]))
     moved = [name for name in FUNCTIONS if before.first(name) != now.first(name)]
     assert all(before.first(name) == "cell7" and now.first(name) == "new" for name in moved)
     assert len(moved) / len(FUNCTIONS) <= 1.25 * 0.5 / 100
 
 
 def test_what_is_no_place_on_the_ring_moves_nothing():
-    before = Homes(table(cells(50)))
+    before = HomeCells(table(cells(50)))
     row = replace(before.table.by_name["cell3"], capacity=1.0, hosts=3, entries=())
-    assert moved_share(before, Homes(after(before.table, [row])), FUNCTIONS[:3000]) == 0
+    assert moved_share(before, HomeCells(after(before.table, [row])), FUNCTIONS[:3000]) == 0
 
 
 def cpu(act, times):
@@ -146,7 +146,7 @@
 
 def test_a_first_call_costs_the_same_at_any_number_of_cells():
     """The sizes are timed in turn, so that other work on the machine strikes all of them."""
-    played = {count: (Homes(table(cells(count))), iter(FUNCTIONS)) for count in (100, 500, 4000)}
+    played = {count: (HomeCells(table(cells(count))), iter(FUNCTIONS)) for count in (100, 500, 4000)}
     costs = dict.fromkeys(played, MILLI)
     for _ in range(20):
         for count, (homes, names) in played.items():
@@ -157,7 +157,7 @@
 
 
 def test_one_changed_line_costs_less_than_a_millisecond():
-    homes = Homes(table(cells(490)))
+    homes = HomeCells(table(cells(490)))
     homes.order("f", 2, "region1")
     costs = []
     for turn in range(20):
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -8,7 +8,7 @@
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.place import Place
+from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.remote import TRANSIT
 
 MILLI = 1_000_000
@@ -21,7 +21,7 @@
     tracks = list(TERMS.tracks)
     tracks[IDEMPOTENT_WITH_KEY] = tracks[IDEMPOTENT_WITH_KEY]._replace(**told)
     terms = TERMS._replace(twins_allowed=False, tracks=tuple(tracks))
-    made = CellularGateway(7, terms, 0, Place("gateway1", "region0", "zone0"))
+    made = CellularGateway(7, terms, 0, GatewayLocation("gateway1", "region0", "zone0"))
     made.adopt(0, cells_tables.table(cells_tables.cells(26)))
     name = next(name for name in map("f{}".format, range(1_000)) if made.homes.first(name) == "cell7")
     asked = task("t", name, IDEMPOTENT_WITH_KEY, time_left=time_left)
--- a/tests/decisions/cells/test_suspicion.py
+++ b/tests/decisions/cells/test_suspicion.py
@@ -6,14 +6,14 @@
 
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.health import SECOND, Health
-from gaproute.decisions.cells.illness import Permit
-from gaproute.decisions.cells.place import Place
+from gaproute.decisions.cells.faults import CircuitState
+from gaproute.decisions.cells.health import SECOND, CellHealth
+from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.silence import SUSPICION
 from gaproute.decisions.chance import Chance
 from gaproute.interface import Result
 
-OWN = Place("gateway0", "region0", "zone0")
+OWN = GatewayLocation("gateway0", "region0", "zone0")
 NOW = 10 * SECOND
 LONG = 30 * SECOND  # that a call may take
 IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2  # places of the tracks
@@ -21,19 +21,19 @@
 
 def overdue(*names, heard=None):
     """Health in zone 0 with a call overdue to each of the cells; `heard`: a cell that answered before."""
-    health = Health("gateway0", Chance(5), OWN)
+    health = CellHealth("gateway0", Chance(5), OWN)
     health.adopt(table(cells(65)))
     if heard is not None:
-        health.outcome(NOW - SECOND, heard, Result.OK)
+        health.record_outcome(NOW - SECOND, heard, Result.OK)
     for name in names:
-        health.overdue(NOW, name, NOW - 2 * SECOND, "way")
+        health.record_overdue(NOW, name, NOW - 2 * SECOND, "way")
     return health
 
 
 def suspected(health, name, function="f"):
     """Whether calls that must not run twice pass the cell over, and others do not."""
-    assert health.permit(NOW, name, function) is Permit.YES
-    return health.permit(NOW, name, function, may_try=False) is Permit.NO
+    assert health.circuit_state(NOW, name, function) is CircuitState.CLOSED
+    return health.circuit_state(NOW, name, function, may_repeat=False) is CircuitState.OPEN
 
 
 def test_one_overdue_call_makes_its_zone_and_all_outside_suspected():
@@ -44,28 +44,28 @@
 
 def test_what_was_heard_since_from_another_zone_leaves_the_one_suspected():
     health = overdue("cell1")
-    health.outcome(NOW, "cell2", Result.OK)
+    health.record_outcome(NOW, "cell2", Result.OK)
     assert suspected(health, "cell1") and suspected(health, "cell14")
     assert not suspected(health, "cell2") and not suspected(health, "cell3")
-    health.outcome(NOW, "cell14", Result.ERROR)
-    assert health.all_well()
+    health.record_outcome(NOW, "cell14", Result.ERROR)
+    assert health.is_fault_free()
 
 
 def test_what_was_heard_before_it_was_overdue_leaves_nothing_suspected():
     health = overdue("cell1", heard="cell14")
-    assert health.all_well()
+    assert health.is_fault_free()
 
 
 def test_a_suspicion_ends_by_itself():
     health = overdue("cell1")
-    assert health.permit(NOW + SUSPICION - 1, "cell1", "f", may_try=False) is Permit.NO
-    assert health.permit(NOW + SUSPICION, "cell1", "f", may_try=False) is Permit.YES
+    assert health.circuit_state(NOW + SUSPICION - 1, "cell1", "f", may_repeat=False) is CircuitState.OPEN
+    assert health.circuit_state(NOW + SUSPICION, "cell1", "f", may_repeat=False) is CircuitState.CLOSED
 
 
 def test_suspicions_go_with_the_table():
     health = overdue("cell1")
     health.adopt(table(cells(65)[::13], number=2))
-    assert health.all_well()
+    assert health.is_fault_free()
 
 
 def gateway():
@@ -98,8 +98,8 @@
 def test_where_all_is_suspected_the_home_is_used():
     made = gateway()
     for zone in range(13):
-        made.health.overdue(SECOND, f"cell{zone}", 0, "way")
-    made.health.ill.clear()
+        made.health.record_overdue(SECOND, f"cell{zone}", 0, "way")
+    made.health.faults.clear()
     (function,) = functions(made, ("cell7",), 1)
     drive = Drive(made, task("t", function, NON_IDEMPOTENT), now=SECOND)
     assert drive.wishes[0].forwarded.cell == "cell7"
@@ -114,4 +114,4 @@
     assert face.Cancel(0) not in drive.late(4 * SECOND)
     assert face.Cancel(0) not in drive.late(20 * SECOND)
     drive.hears(21 * SECOND, face.Result.OK)
-    assert drive.ended and len(drive.sent) == 1 and made.health.all_well()
+    assert drive.ended and len(drive.sent) == 1 and made.health.is_fault_free()
--- a/tests/decisions/cells/test_table.py
+++ b/tests/decisions/cells/test_table.py
@@ -8,16 +8,16 @@
 from hypothesis import strategies as some
 
 from gaproute.decisions.cells import bounds
-from gaproute.decisions.cells.change import TableChange, TableHolder, changed
+from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import (
-    OtherFleet,
+    FullTableNeededError,
+    OtherFleetError,
     RowError,
-    StaleVersion,
+    StaleVersionError,
     TableError,
-    TooManyCells,
-    WholeTableNeeded,
+    TooManyCellsError,
 )
-from gaproute.decisions.cells.table import Entry, Points, Version, split, validate
+from gaproute.decisions.cells.table import EntryGateway, PointRange, Version, split_cell, validate
 
 
 def test_cells_come_in_a_stable_order():
@@ -53,15 +53,15 @@
     "endless capacity": replace(cell("x"), capacity=float("inf")),
     "capacity as text": replace(cell("x"), capacity="9"),
     "no points": replace(cell("x"), points=()),
-    "points of another": replace(cell("x"), points=(Points("cell0", 15, 2),)),
-    "its points twice": replace(cell("x"), points=(Points("x", 0, 9), Points("x", 8, 2))),
-    "negative points": replace(cell("x"), points=(Points("x", -1, 9),)),
-    "a range of none": replace(cell("x"), points=(Points("x", 0, 0),)),
-    "too many points": replace(cell("x"), points=(Points("x", 0, bounds.MAX_CELL_POINTS + 1),)),
-    "too many ranges": replace(cell("x"), points=tuple(Points("x", n, 1) for n in range(99))),
-    "too many entries": replace(cell("x"), entries=tuple(Entry(f"g{n}", "a") for n in range(33))),
-    "an entry twice": replace(cell("x"), entries=(Entry("g", "a"), Entry("g", "b"))),
-    "an entry nowhere": replace(cell("x"), entries=(Entry("g", ""),)),
+    "points of another": replace(cell("x"), points=(PointRange("cell0", 15, 2),)),
+    "its points twice": replace(cell("x"), points=(PointRange("x", 0, 9), PointRange("x", 8, 2))),
+    "negative points": replace(cell("x"), points=(PointRange("x", -1, 9),)),
+    "a range of none": replace(cell("x"), points=(PointRange("x", 0, 0),)),
+    "too many points": replace(cell("x"), points=(PointRange("x", 0, bounds.MAX_CELL_POINTS + 1),)),
+    "too many ranges": replace(cell("x"), points=tuple(PointRange("x", n, 1) for n in range(99))),
+    "too many entries": replace(cell("x"), entries=tuple(EntryGateway(f"g{n}", "a") for n in range(33))),
+    "an entry twice": replace(cell("x"), entries=(EntryGateway("g", "a"), EntryGateway("g", "b"))),
+    "an entry nowhere": replace(cell("x"), entries=(EntryGateway("g", ""),)),
 }
 
 
@@ -76,14 +76,14 @@
 def test_a_wrong_row_of_a_change_leaves_the_table(wrong):
     before = table(cells(3))
     if wrong.name == "cell0":
-        wrong = replace(wrong, points=(Points("cell1", 0, 1),))
+        wrong = replace(wrong, points=(PointRange("cell1", 0, 1),))
     change = TableChange(FLEET, before.version, Version(1, 2), (cell("new"), wrong))
     holder = TableHolder(FLEET)
-    holder.take(before)
+    holder.replace(before)
     with pytest.raises(RowError) as error:
-        holder.change(change)
+        holder.apply(change)
     assert error.value.row == 2
-    assert holder.table is before and holder.needs_whole
+    assert holder.table is before and holder.needs_full_table
 
 
 def test_a_million_rows_are_refused_after_the_bound():
@@ -94,44 +94,44 @@
             read.append(place)
             yield cell(f"cell{place}", entries=0, capacity=1.0)
 
-    with pytest.raises(TooManyCells):
+    with pytest.raises(TooManyCellsError):
         table(rows())
     assert len(read) == bounds.MAX_CELLS + 1
 
 
 def test_ring_points_are_bounded_in_all():
-    rows = [replace(cell(f"c{n}"), points=(Points(f"c{n}", 0, 1024),)) for n in range(257)]
+    rows = [replace(cell(f"c{n}"), points=(PointRange(f"c{n}", 0, 1024),)) for n in range(257)]
     with pytest.raises(TableError, match="ring points in all"):
         table(rows)
 
 
 def test_the_holder_takes_higher_versions_of_its_fleet_only():
     holder = TableHolder(FLEET)
-    with pytest.raises(WholeTableNeeded):
-        holder.change(TableChange(FLEET, Version(1, 1), Version(1, 2)))
-    holder.take(table(cells(3), number=5, term=2))
+    with pytest.raises(FullTableNeededError):
+        holder.apply(TableChange(FLEET, Version(1, 1), Version(1, 2)))
+    holder.replace(table(cells(3), number=5, term=2))
     held = holder.table
     for offered in (table(cells(4), number=5, term=2), table(cells(4), number=9, term=1)):
-        with pytest.raises(StaleVersion):
-            holder.take(offered)
-    with pytest.raises(OtherFleet):
-        holder.take(replace(table(cells(4), number=9, term=9), fleet="south"))
-    with pytest.raises(OtherFleet):
-        holder.change(TableChange("south", held.version, Version(9, 9)))
-    with pytest.raises(StaleVersion):
-        holder.change(TableChange(FLEET, Version(2, 4), Version(2, 5)))
-    assert holder.table is held and not holder.needs_whole
-    with pytest.raises(WholeTableNeeded):
-        holder.change(TableChange(FLEET, Version(2, 4), Version(2, 6)))
-    assert holder.table is held and holder.needs_whole
-    holder.take(table(cells(4), number=0, term=3))
-    assert len(holder.table.cells) == 4 and not holder.needs_whole
+        with pytest.raises(StaleVersionError):
+            holder.replace(offered)
+    with pytest.raises(OtherFleetError):
+        holder.replace(replace(table(cells(4), number=9, term=9), fleet="south"))
+    with pytest.raises(OtherFleetError):
+        holder.apply(TableChange("south", held.version, Version(9, 9)))
+    with pytest.raises(StaleVersionError):
+        holder.apply(TableChange(FLEET, Version(2, 4), Version(2, 5)))
+    assert holder.table is held and not holder.needs_full_table
+    with pytest.raises(FullTableNeededError):
+        holder.apply(TableChange(FLEET, Version(2, 4), Version(2, 6)))
+    assert holder.table is held and holder.needs_full_table
+    holder.replace(table(cells(4), number=0, term=3))
+    assert len(holder.table.cells) == 4 and not holder.needs_full_table
 
 
 def test_a_change_is_the_same_as_the_whole_table():
     before = table(cells(30))
     rows = (replace(cell("cell3", zone=3), capacity=7.0), cell("new", zone=4))
-    after = changed(before, TableChange(FLEET, before.version, Version(1, 2), rows, ("cell8",)))
+    after = apply_change(before, TableChange(FLEET, before.version, Version(1, 2), rows, ("cell8",)))
     whole = [row for row in cells(30) if row.name not in ("cell3", "cell8")]
     assert after == table([*whole, *rows], number=2)
     assert before == table(cells(30))
@@ -141,22 +141,22 @@
     before = table(cells(2))
     for removed in (("cell9",), ("cell0", "cell0"), ("cell0", "cell1")):
         with pytest.raises(TableError):
-            changed(before, TableChange(FLEET, before.version, Version(1, 2), (), removed))
+            apply_change(before, TableChange(FLEET, before.version, Version(1, 2), (), removed))
     with pytest.raises(RowError, match="set and removed"):
-        changed(before, TableChange(FLEET, before.version, Version(1, 2), (cell("cell0"),), ("cell0",)))
+        apply_change(before, TableChange(FLEET, before.version, Version(1, 2), (cell("cell0"),), ("cell0",)))
 
 
 def test_a_split_halves_points_hosts_and_capacity():
-    whole = replace(cell("a", hosts=101), points=(Points("a", 0, 5), Points("b", 3, 4)))
-    old, new = split(whole, "c", (Entry("g", "x"),))
-    assert old.points == (Points("a", 0, 5),) and new.points == (Points("b", 3, 4),)
+    whole = replace(cell("a", hosts=101), points=(PointRange("a", 0, 5), PointRange("b", 3, 4)))
+    old, new = split_cell(whole, "c", (EntryGateway("g", "x"),))
+    assert old.points == (PointRange("a", 0, 5),) and new.points == (PointRange("b", 3, 4),)
     assert old.hosts + new.hosts == 101 and new.hosts == 50
     assert old.capacity + new.capacity == pytest.approx(whole.capacity)
     before = table([whole])
-    after = changed(before, TableChange(FLEET, before.version, Version(1, 2), (old, new)))
+    after = apply_change(before, TableChange(FLEET, before.version, Version(1, 2), (old, new)))
     assert set(after.by_name) == {"a", "c"}
     with pytest.raises(TableError):
-        split(replace(whole, points=(Points("a", 0, 1),)), "c")
+        split_cell(replace(whole, points=(PointRange("a", 0, 1),)), "c")
 
 
 @settings(max_examples=60, deadline=None)
@@ -164,7 +164,7 @@
 def test_any_row_of_changes_leads_to_the_same_table_as_the_whole(data):
     """Random changes, good and bad: the holder always has a table that `validate` takes as it is."""
     holder, number = TableHolder(FLEET), 1
-    holder.take(table(cells(5)))
+    holder.replace(table(cells(5)))
     for _ in range(data.draw(some.integers(1, 8))):
         number += 1
         names = some.sampled_from([f"cell{n}" for n in range(9)])
@@ -177,10 +177,10 @@
         base = data.draw(some.sampled_from([holder.table.version, Version(1, number - 2)]))
         held = holder.table
         try:
-            holder.change(TableChange(FLEET, base, Version(1, number), rows, removed))
+            holder.apply(TableChange(FLEET, base, Version(1, number), rows, removed))
         except TableError:
             assert holder.table is held
-            holder.needs_whole = False
+            holder.needs_full_table = False
         else:
             assert holder.table.version > held.version
         again = validate(FLEET, holder.table.version, holder.table.cells)
--- a/tests/decisions/cells/test_views.py
+++ b/tests/decisions/cells/test_views.py
@@ -6,14 +6,20 @@
 from cells_tables import FLEET, cell, cells, table
 
 from gaproute.decisions.cells.change import TableChange, TableHolder
-from gaproute.decisions.cells.entries import ENTRIES_HELD, FIRST_DOUBT, LONGEST_DOUBT, Entries, trim
-from gaproute.decisions.cells.place import Place
-from gaproute.decisions.cells.table import Entry, Version
-from gaproute.decisions.cells.views import ADOPT_RATE, ATTENDED, HOSTS_BOUND, SECOND, View
+from gaproute.decisions.cells.entries import (
+    MAX_BACKOFF,
+    MAX_ENTRIES_PER_CELL,
+    MIN_BACKOFF,
+    EntrySelector,
+    trim_entries,
+)
+from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.table import EntryGateway, Version
+from gaproute.decisions.cells.views import ADD_RATE, ASSIGNED_CELLS, MAX_HOSTS_IN_VIEW, SECOND, CellView
 
 
 def view(name="gateway1", zone=0, **told):
-    made = View(0, Place(name, f"region{zone % 5}", f"zone{zone}"), **told)
+    made = CellView(0, GatewayLocation(name, f"region{zone % 5}", f"zone{zone}"), **told)
     made.adopt(table(cells(490)))
     return made
 
@@ -28,42 +34,42 @@
     changed = 0
     for number in range(200):
         made = view(f"gateway{number}")
-        before = set(made.attended)
+        before = set(made.assigned)
         made.adopt(table(cells(489), number=2))
-        changed += len(before - set(made.attended))
-    assert changed <= 200 * ATTENDED * 1.5 / 38 + 10
+        changed += len(before - set(made.assigned))
+    assert changed <= 200 * ASSIGNED_CELLS * 1.5 / 38 + 10
 
 
 def test_an_entry_attends_to_its_cell():
     rows = cells(490)
-    rows[26] = replace(rows[26], entries=(Entry("gateway1", "a"),))
+    rows[26] = replace(rows[26], entries=(EntryGateway("gateway1", "a"),))
     made = view()
     made.adopt(table(rows, number=2))
-    assert "cell26" in made.attended
+    assert "cell26" in made.assigned
 
 
 def send(made, name, rate, begin, seconds):
     for step in range(int(rate * seconds)):
         now = int((begin + step / rate) * SECOND)
-        made.sent(now, name)
+        made.record_use(now, name)
         made.review(now)
 
 
 def test_steady_demand_adopts_and_disuse_lets_go():
     made = view()
-    send(made, "cell1", 2 * ADOPT_RATE, 0, 120)
-    assert made.adopted == ("cell1",) and made.names() == made.attended + ("cell1",)
+    send(made, "cell1", 2 * ADD_RATE, 0, 120)
+    assert made.extra == ("cell1",) and made.names() == made.assigned + ("cell1",)
     send(made, "cell2", 0.5, 120, 200)  # reviews go on
-    assert made.adopted == ("cell1",)  # the long count still tells of use
+    assert made.extra == ("cell1",)  # the long count still tells of use
     send(made, "cell2", 0.5, 320, 7200)
-    assert made.adopted == ()
+    assert made.extra == ()
 
 
 def test_a_rate_at_the_threshold_does_not_flap():
     made, seen = view(), []
     for step in range(40_000):
-        now = int(step / ADOPT_RATE * SECOND) + (step * 7919 % 50) * SECOND // 100
-        made.sent(now, "cell1")
+        now = int(step / ADD_RATE * SECOND) + (step * 7919 % 50) * SECOND // 100
+        made.record_use(now, "cell1")
         if made.review(now):
             seen.append(now)
     assert len(seen) <= 2
@@ -73,101 +79,101 @@
     made = view()
     for step in range(60_000):
         now = step * SECOND // 400
-        made.sent(now, f"cell{1 + step % 20}")
+        made.record_use(now, f"cell{1 + step % 20}")
         made.review(now)
-    assert HOSTS_BOUND - 51 < made.hosts() <= HOSTS_BOUND
+    assert MAX_HOSTS_IN_VIEW - 51 < made.hosts() <= MAX_HOSTS_IN_VIEW
 
 
 def test_one_cell_larger_than_the_bound_is_attended_to():
-    made = View(0, Place("g", "region0", "zone0"), hosts_bound=100)
+    made = CellView(0, GatewayLocation("g", "region0", "zone0"), max_hosts=100)
     made.adopt(table([cell("a", hosts=900), cell("b", hosts=900)]))
     assert len(made.names()) == 1
 
 
 def test_a_cell_that_left_the_table_leaves_the_view():
     made = view()
-    send(made, "cell1", 2 * ADOPT_RATE, 0, 120)
+    send(made, "cell1", 2 * ADD_RATE, 0, 120)
     made.adopt(table([row for row in cells(490) if row.name != "cell1"], number=2))
-    assert made.adopted == () and "cell1" not in made.used
+    assert made.extra == () and "cell1" not in made.used
 
 
-WAYS = tuple(Entry(f"entry{number}", f"address{number}") for number in range(32))
+WAYS = tuple(EntryGateway(f"entry{number}", f"address{number}") for number in range(32))
 CELL = replace(cell("cell0"), entries=WAYS)
 
 
 def test_gateways_spread_over_the_entries_and_keep_to_their_own():
-    counts = Counter(Entries(f"gateway{number}").pick(0, CELL).name for number in range(16_000))
+    counts = Counter(EntrySelector(f"gateway{number}").pick(0, CELL).name for number in range(16_000))
     assert len(counts) == 32 and max(counts.values()) <= 1.2 * 500
-    ways = Entries("gateway1")
+    ways = EntrySelector("gateway1")
     assert len({ways.pick(now, CELL).name for now in range(100)}) == 1
 
 
 def test_an_entry_lost_moves_only_its_own_gateways():
     less = replace(CELL, entries=WAYS[1:])
     for number in range(500):
-        ways = Entries(f"gateway{number}")
+        ways = EntrySelector(f"gateway{number}")
         before = ways.pick(0, CELL)
-        assert before is WAYS[0] or Entries(f"gateway{number}").pick(0, less) == before
+        assert before is WAYS[0] or EntrySelector(f"gateway{number}").pick(0, less) == before
 
 
 def test_an_entry_in_doubt_is_passed_over_for_a_while():
-    ways = Entries("gateway1")
+    ways = EntrySelector("gateway1")
     first, second = ways.order(CELL)[:2]
-    ways.failed(0, first.name)
-    assert ways.pick(0, CELL) == second and ways.pick(FIRST_DOUBT, CELL) == first
-    now = FIRST_DOUBT
+    ways.record_failure(0, first.name)
+    assert ways.pick(0, CELL) == second and ways.pick(MIN_BACKOFF, CELL) == first
+    now = MIN_BACKOFF
     for _ in range(9):
-        ways.failed(now, first.name)
-        now = ways.doubts[first.name].until
-    assert ways.doubts[first.name].span == LONGEST_DOUBT
-    ways.answered(now, first.name)
+        ways.record_failure(now, first.name)
+        now = ways.backoffs[first.name].retry_at
+    assert ways.backoffs[first.name].duration == MAX_BACKOFF
+    ways.record_answer(now, first.name)
     assert ways.pick(now, CELL) == first
 
 
 def test_late_answers_are_no_proof_against_an_entry_that_answers_others():
-    ways = Entries("gateway1")
-    ways.answered(5, "entry1")
-    ways.silent(9, "entry1", sent=4)
-    assert not ways.doubts
-    ways.silent(9, "entry1", sent=6)
-    assert "entry1" in ways.doubts
+    ways = EntrySelector("gateway1")
+    ways.record_answer(5, "entry1")
+    ways.record_overdue(9, "entry1", sent=4)
+    assert not ways.backoffs
+    ways.record_overdue(9, "entry1", sent=6)
+    assert "entry1" in ways.backoffs
 
 
 def test_no_entry_left_is_told():
-    ways = Entries("entry0")
+    ways = EntrySelector("entry0")
     one = replace(CELL, entries=WAYS[:1])
-    assert ways.pick(0, one) is None and ways.all_in_doubt(0, one)  # it is itself the only one
+    assert ways.pick(0, one) is None and ways.none_available(0, one)  # it is itself the only one
     for way in WAYS:
-        ways.failed(0, way.name)
+        ways.record_failure(0, way.name)
     assert ways.pick(0, CELL) is None
 
 
 def test_what_is_remembered_of_entries_is_bounded_by_the_table():
-    ways = Entries("gateway1")
+    ways = EntrySelector("gateway1")
     for number in range(10_000):
-        ways.failed(0, f"gone{number}")
-        ways.answered(0, f"other{number}")
+        ways.record_failure(0, f"gone{number}")
+        ways.record_answer(0, f"other{number}")
     ways.adopt(table([CELL, cell("cell1")]))
-    assert not ways.doubts and not ways.heard
+    assert not ways.backoffs and not ways.last_answered
 
 
 def test_a_trimmed_row_has_the_entries_that_would_be_used():
-    whole, less = Entries("gateway1").order(CELL), trim(CELL, "gateway1")
-    assert Entries("gateway1").order(less) == whole[:ENTRIES_HELD]
-    own = trim(CELL, "entry7")
+    whole, less = EntrySelector("gateway1").order(CELL), trim_entries(CELL, "gateway1")
+    assert EntrySelector("gateway1").order(less) == whole[:MAX_ENTRIES_PER_CELL]
+    own = trim_entries(CELL, "entry7")
     assert (
         WAYS[7] in own.entries
-        and Entries("entry7").order(own) == Entries("entry7").order(CELL)[:ENTRIES_HELD]
+        and EntrySelector("entry7").order(own) == EntrySelector("entry7").order(CELL)[:MAX_ENTRIES_PER_CELL]
     )
-    assert trim(less, "gateway1") is less
+    assert trim_entries(less, "gateway1") is less
 
 
 def test_a_holder_that_trims_takes_changes_as_the_whole_table():
-    holder = TableHolder(FLEET, lambda cell: trim(cell, "gateway1"))
-    holder.take(table([CELL, cell("cell1")]))
+    holder = TableHolder(FLEET, lambda cell: trim_entries(cell, "gateway1"))
+    holder.replace(table([CELL, cell("cell1")]))
     row = replace(cell("cell2"), entries=WAYS)
-    holder.change(TableChange(FLEET, holder.table.version, Version(1, 2), (row,)))
-    assert all(len(each.entries) <= ENTRIES_HELD for each in holder.table.cells)
-    again = TableHolder(FLEET, lambda cell: trim(cell, "gateway1"))
-    again.take(table([CELL, cell("cell1"), row], number=2))
+    holder.apply(TableChange(FLEET, holder.table.version, Version(1, 2), (row,)))
+    assert all(len(each.entries) <= MAX_ENTRIES_PER_CELL for each in holder.table.cells)
+    again = TableHolder(FLEET, lambda cell: trim_entries(cell, "gateway1"))
+    again.replace(table([CELL, cell("cell1"), row], number=2))
     assert again.table == holder.table
--- a/tests/peers/test_tables_carrier.py
+++ b/tests/peers/test_tables_carrier.py
@@ -6,7 +6,7 @@
 import pytest
 from cells_tables import FLEET, cells, table
 
-from gaproute.decisions.cells.change import TableChange, changed
+from gaproute.decisions.cells.change import TableChange, apply_change
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.table import Version
 from gaproute.decisions.chance import Chance
@@ -125,7 +125,7 @@
     published(fleet)
     change = next_change(FIRST, capacity=7.5)
     one.carrier.publish_change(change)
-    fleet.until_all_hold(changed(FIRST, change))
+    fleet.until_all_hold(apply_change(FIRST, change))
     assert one.taken == two.taken == [Version(1, 1), Version(1, 2)]
     assert not one.refusals() and not two.refusals()
     fleet.until(lambda: one.carrier.standing(Version(1, 2)).agreed_for is not None)
@@ -138,7 +138,7 @@
     held = FIRST
     for number in range(30):
         change = next_change(held, capacity=10.0 + number)
-        held = changed(held, change)
+        held = apply_change(held, change)
         gateways[number % 3].carrier.publish_change(change)
         fleet.until_all_hold(held)
     assert held.version == Version(1, 31)
@@ -165,7 +165,7 @@
     heard = two.gossip.handlers.pop(PayloadKind.CELL_TABLE)
     for number in range(40):
         change = next_change(held, capacity=10.0 + number)
-        held = changed(held, change)
+        held = apply_change(held, change)
         one.carrier.publish_change(change)
         fleet.loop.run(fleet.loop.sleep(2 * MILLI))
     assert two.carrier.table() == FIRST
@@ -246,7 +246,7 @@
         fleet.until(lambda: two.carrier.disseminator.fetching.source is not None)
         change = next_change(FIRST, capacity=7.5)
         one.carrier.publish_change(change)
-        fleet.until_all_hold(changed(FIRST, change))
+        fleet.until_all_hold(apply_change(FIRST, change))
 
 
 def test_pulls_that_are_none_are_answered_by_an_error(fleet):
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from gaproute.decisions.cells.change import TableChange, TableHolder, changed
+from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.table import Version
 from gaproute.peers import word_pb2
@@ -38,7 +38,7 @@
 def document(held=BASE):
     holder = TableHolder(FLEET)
     if held is not None:
-        holder.take(held)
+        holder.replace(held)
     return TableDocument(holder)
 
 
@@ -50,7 +50,7 @@
 
 
 def test_the_digest_follows_the_rows_whichever_way_they_came():
-    after = changed(BASE, CHANGE)
+    after = apply_change(BASE, CHANGE)
     before = encoding.cells_digest(BASE.cells)
     assert encoding.digest_after(before, BASE, CHANGE) == encoding.cells_digest(after.cells)
     assert encoding.cells_digest(reversed(BASE.cells)) == before != encoding.cells_digest(after.cells)
@@ -92,7 +92,7 @@
         assert (other.version, other.digest) == (one.version, one.digest)
     one.apply(change)
     other.apply(change)
-    assert one.digest == other.digest and one.holder.table == other.holder.table == changed(BASE, CHANGE)
+    assert one.digest == other.digest and one.holder.table == other.holder.table == apply_change(BASE, CHANGE)
     with pytest.raises(DocumentError):
         other.replace(Version(1, 6), 0, one.whole())
     with pytest.raises(DocumentError):
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -11,7 +11,7 @@
 
 from benchmarks.scale.forwarding import free_ports
 from gaproute.config.cell_files import read_table
-from gaproute.decisions.cells.homes import Homes
+from gaproute.decisions.cells.homes import HomeCells
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
 from gaproute.loop.streams import address
@@ -98,7 +98,7 @@
         """The first home of a model by the table written last."""
         path = self.folder / "last.table"
         path.write_text(self.written)
-        return Homes(read_table(path)).first(model)
+        return HomeCells(read_table(path)).first(model)
 
     def homed(self, track, cell):
         """A model of the track that has its home in that cell."""
--- a/tests/support/cells_tables.py
+++ b/tests/support/cells_tables.py
@@ -1,6 +1,6 @@
 """Cell tables for tests and simulations: made by a few numbers, the same every time."""
 
-from gaproute.decisions.cells.table import Cell, Entry, Version, own_points, validate
+from gaproute.decisions.cells.table import Cell, EntryGateway, Version, initial_points, validate
 
 FLEET = "north"
 SIZES = (0.5, 1.0, 1.5)  # capacities of cells, over the mean
@@ -8,9 +8,9 @@
 
 def cell(name, zone=0, capacity=100.0, mean=100.0, zones=13, regions=5, hosts=51, entries=2):
     """One cell in a zone by number; zone z lies in region z mod 5."""
-    ways = tuple(Entry(f"{name}-gateway{way}", f"127.0.0.1:{9000 + way}") for way in range(entries))
+    ways = tuple(EntryGateway(f"{name}-gateway{way}", f"127.0.0.1:{9000 + way}") for way in range(entries))
     zone %= zones
-    points = own_points(name, capacity, mean)
+    points = initial_points(name, capacity, mean)
     return Cell(name, f"region{zone % regions}", f"zone{zone}", capacity, hosts, points, ways)
 
 
