--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -37,8 +37,8 @@
 MIN_RECOVERY_RAMP, MAX_RECOVERY_RAMP = 5 * SECOND, 60 * SECOND  # over which functions come back
 RAMP_JITTER = 0.1  # of the return, by which gateways differ for one function
 
-ANSWERS = (Result.OK, Result.ERROR, Result.BEGUN)
-REFUSALS = (Result.FULL, Result.MISS)
+ANSWERS = (Result.OK, Result.ERROR, Result.STREAM_STARTED)
+REFUSALS = (Result.FULL, Result.NOT_LOADED)
 FAILURES = (Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
 
 
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -68,7 +68,9 @@
             return
         self.demand.record_arrival(journey.now, function)
         self.spill.record_arrival()
-        choices = self.chooser.cells(journey.now, function, journey.track.effect is Idempotency.IDEMPOTENT)
+        choices = self.chooser.cells(
+            journey.now, function, journey.track.idempotency is Idempotency.IDEMPOTENT
+        )
         for _, choice in zip(range(MAX_CELLS_TRIED), choices, strict=False):
             if choice.cell in self.table.by_name:  # a newer table may have come meanwhile
                 self.view.record_use(journey.now, choice.cell)
@@ -81,7 +83,7 @@
                 yield Choice(name)
             return
         permit = self.health.circuit_state(journey.now, name, journey.task.function)
-        pure = journey.track.effect is Idempotency.IDEMPOTENT
+        pure = journey.track.idempotency is Idempotency.IDEMPOTENT
         if permit is CircuitState.CLOSED:
             yield Choice(name)
         elif permit is CircuitState.HALF_OPEN and (pure or self.health.accepts_any_trial(journey.now, name)):
@@ -89,7 +91,7 @@
 
     def _worth_leaving(self, now, ending):
         """What was refused for load goes elsewhere within a bounded share of calls: no wave."""
-        return ending.why in UNABLE_REASONS or self.spill.try_spend()
+        return ending.reason in UNABLE_REASONS or self.spill.try_spend()
 
     def _in_cell(self, journey, choice):
         """The task in one cell; returns its final wish there, or None where the task is over."""
@@ -108,7 +110,7 @@
             self.health.record_unreachable(journey.now, name)
             return CellUnknown(journey.advice, "no host")
         ending = yield from self._drive(journey, name, inner, gateway)
-        if gateway is not None and isinstance(ending, Reject) and ending.why in ("nobody", "full"):
+        if gateway is not None and isinstance(ending, Reject) and ending.reason in ("nobody", "full"):
             self.health.record_outcome(journey.now, name, Result.FULL)
         return ending
 
@@ -124,11 +126,11 @@
             if isinstance(wish, (Reject, Fail)):
                 return wish
             if isinstance(wish, Attempt):
-                if journey.relays >= journey.relay_limit:
+                if journey.relays >= journey.attempt_limit:
                     inner.close()
                     return journey.ending("relays")
                 value = yield wish
-                journey.sent(value, name, wish.worker, self._due(journey))
+                journey.sent(value, name, wish.host, self._due(journey))
                 hand = CellAttempt(name, gateway, task.function, journey.now, journey.hops == 0)
                 self.attempts[task.id, value] = hand
             elif isinstance(wish, Wait):
@@ -159,8 +161,8 @@
 
     def heard_in_cell(self, now, outcome, hand):
         """Book one relay's outcome, whether or not its task is still held."""
-        if outcome.result is Result.BEGUN:
-            self.attempts[outcome.task, outcome.relay] = hand
+        if outcome.result is Result.STREAM_STARTED:
+            self.attempts[outcome.request, outcome.attempt] = hand
         if hand.gateway is not None:
             hand.gateway.heard(now, outcome)
         self._book(now, outcome, hand)
@@ -176,19 +178,19 @@
             self._book_entry(now, outcome, hand)
         if _tells_of_cell(outcome.result, hand):
             self.health.record_outcome(now, hand.cell, outcome.result, pace)
-        if hand.own and outcome.result is Result.OK and outcome.found in (Found.WARM, Found.UNTOLD):
+        if hand.own and outcome.result is Result.OK and outcome.found in (Found.WARM, Found.UNKNOWN):
             self.demand.record_duration(hand.function, outcome.took)
         self._book_load(now, outcome, hand.cell)
 
     def _book_entry(self, now, outcome, hand):
         if outcome.result in (Result.CONNECT_FAILED, Result.RESET):
-            self.entries.record_failure(now, outcome.worker)
+            self.entries.record_failure(now, outcome.host)
         elif outcome.result is Result.TIMEOUT:
-            self.entries.record_overdue(now, outcome.worker, hand.sent)
-        elif outcome.result is Result.MISS:
-            self.entries.record_cell_unknown(now, outcome.worker, hand.cell)
-        elif outcome.result not in (Result.MOOT, Result.CANCELLED):
-            self.entries.record_answer(now, outcome.worker, hand.cell)
+            self.entries.record_overdue(now, outcome.host, hand.sent)
+        elif outcome.result is Result.NOT_LOADED:
+            self.entries.record_cell_unknown(now, outcome.host, hand.cell)
+        elif outcome.result not in (Result.NOT_SENT, Result.CANCELLED):
+            self.entries.record_answer(now, outcome.host, hand.cell)
 
     def _book_load(self, now, outcome, name):
         cell = self.table.by_name.get(name)
@@ -203,4 +205,4 @@
 def _tells_of_cell(result, hand):
     """Whether a relay's result says something of its cell: a full host is no full cell, and an entry that
     does not know the cell says nothing of it."""
-    return result is not (Result.MISS if hand.gateway is None else Result.FULL)
+    return result is not (Result.NOT_LOADED if hand.gateway is None else Result.FULL)
