--- a/benchmarks/scale/costs/cell_hosts_rest.py
+++ b/benchmarks/scale/costs/cell_hosts_rest.py
@@ -42,7 +42,7 @@
         for place, cell in enumerate(names(cells)):
             Path(folder, f"{cell}.hosts").write_text(lines(place, HOSTS, seed))
         lists = CellLists(loop, _line(folder=folder), told.append, lambda *wrong: None)
-        lists.want(dict.fromkeys(names(cells), "z"))
+        lists.set_cells(dict.fromkeys(names(cells), "z"))
         spent = _resting(loop, seconds)
         lists.close()
     assert len(told[-1]) == cells
@@ -79,7 +79,7 @@
         line = _line(**{"from": where})
         nothing = [lambda *wrong: None] * 2
         lists = FollowedLists(loop, "north", line, told.append, *nothing, Chance(seed))
-        lists.want(dict.fromkeys(names(cells), "z"))
+        lists.set_cells(dict.fromkeys(names(cells), "z"))
         while not told or len(told[-1]) < cells:
             loop.run(until=loop.sleep(SECOND // 20))
         spent = _resting(loop, seconds)
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, cpu_seconds
 from gaproute.appliance import Appliance
-from gaproute.appliance.operator import host_table, knowledge, status
+from gaproute.appliance.status import host_table, status, warm_instances
 from gaproute.config import read_configuration
 from gaproute.http1 import render
 from gaproute.interface import Result
@@ -86,7 +86,7 @@
 
 def knows_bytes(functions, seed):
     """Bytes of /knows."""
-    return answer_bytes(knowledge, FEW, functions)
+    return answer_bytes(warm_instances, FEW, functions)
 
 
 def log_bytes(hosts, seed):
--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -1,92 +1,123 @@
-"""The host lists of the cells that a gateway knows: files `CELL.hosts` of one folder, watched while wanted.
+"""The host lists of the cells that a gateway knows: files `CELL.hosts` of one folder, watched while needed.
 
 Invariants: the lists in force never name a host twice, nor one in another zone than its cell's; a list that
-does is refused and the cell's last good one stays. Lists are judged together, so that a host may move from
+does is rejected and the cell's last good one stays. Lists are judged together, so that a host may move from
 one cell to another whichever file changes first.
 """
 
+from collections.abc import Callable, Mapping, Sequence
 from functools import partial
 
 from gaproute.config.cell_files import first_clash, path_of, read_cell_hosts, zone_mistakes
+from gaproute.config.directives.fleet import CellHostsLine, HostLine
+from gaproute.config.errors import Mistake
 from gaproute.discovery.listing import FileWatch
+from gaproute.loop import Loop
+
+Lists = dict[str, list[HostLine]]  # by cell
 
 
 class CellLists:
-    """`told({cell: lines})` of all lists in force, each time that they change; `refused(cell, mistakes)`."""
+    """Follows the files of the cells given by `set_cells`; `in_force` are the lists that are used now.
+
+    `on_change(lists)` is called with all lists in force each time that they change, `on_rejected(cell,
+    mistakes)` for each list that is not used.
+    """
 
-    def __init__(self, loop, line, told, refused):
-        self.loop, self.folder, self.look_every = loop, line.folder, line.look
-        self.told, self.refused = told, refused
-        self.zones, self.watches = {}, {}  # by cell
-        self.offered, self.good = {}, {}  # cell: lines as last read, and those in force
-        self.clashes = {}  # cell: the mistake for which what it offers is not in force
+    def __init__(
+        self,
+        loop: Loop,
+        line: CellHostsLine,
+        on_change: Callable[[Lists], None],
+        on_rejected: Callable[[str, Sequence[Mistake]], None],
+    ) -> None:
+        """Raises ValueError where the line names no folder."""
+        if line.folder is None:
+            raise ValueError("host lists of files need a folder")
+        self.loop, self.folder, self.poll_interval = loop, line.folder, line.look
+        self.on_change, self.on_rejected = on_change, on_rejected
+        self.zones: dict[str, str] = {}  # by cell
+        self.watches: dict[str, FileWatch] = {}  # by cell
+        self.last_read: Lists = {}
+        self.in_force: Lists = {}
+        self.conflicts: dict[str, Mistake] = {}  # cell: why the list read last is not in force
 
-    def want(self, zones):
-        """Have the lists of these cells and no others; `zones`: {cell: its zone}."""
+    def set_cells(self, zones: Mapping[str, str]) -> None:
+        """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
         dropped = [cell for cell in self.watches if cell not in zones]
         for cell in dropped:
-            self.watches.pop(cell).close()
-            for table in (self.offered, self.good, self.clashes):
-                table.pop(cell, None)
-        moved = [cell for cell in self.zones if self.zones[cell] != zones.get(cell)]
+            self._forget(cell)
+        rezoned = [cell for cell in self.zones if self.zones[cell] != zones.get(cell)]
         self.zones = dict(zones)
-        fresh = [cell for cell in zones if cell not in self.watches]
-        for cell in fresh:
+        for cell in [cell for cell in zones if cell not in self.watches]:
             self._watch(cell)
-        for cell in moved:
+        for cell in rezoned:
             if cell in self.watches:
                 self.watches[cell].read()
         if dropped:
-            self._settle(changed=True)
+            self._put_in_force(changed=True)
+
+    def reload(self) -> None:
+        """Reads every file at once."""
+        for watch in list(self.watches.values()):
+            watch.read()
 
-    def _watch(self, cell):
-        # A watch looks as it is made, before it can be stored.
+    def current_at(self) -> dict[str, int | None]:
+        """{cell: when its file was last seen to be as it is in force, before the change at hand}, ns."""
+        return {cell: watch.current_at for cell, watch in self.watches.items()}
+
+    def close(self) -> None:
+        """Watches nothing any more."""
+        for watch in self.watches.values():
+            watch.close()
+
+    def _watch(self, cell: str) -> None:
+        # A watch reads its file as it is made, before it can be stored.
         self.watches[cell] = FileWatch(
             self.loop,
             path_of(self.folder, cell),
-            self.look_every,
+            self.poll_interval,
             partial(self._read, cell),
-            partial(self.refused, cell),
+            partial(self.on_rejected, cell),
             read_cell_hosts,
         )
 
-    def read(self):
-        """Look into every file at once."""
-        for watch in list(self.watches.values()):
-            watch.read()
-
-    def current_at(self):
-        """{cell: when its file was last seen to be as it was told}, of each known before the news at hand."""
-        return {cell: watch.current_at for cell, watch in self.watches.items()}
+    def _forget(self, cell: str) -> None:
+        self.watches.pop(cell).close()
+        self.last_read.pop(cell, None)
+        self.in_force.pop(cell, None)
+        self.conflicts.pop(cell, None)
 
-    def _read(self, cell, lines):
+    def _read(self, cell: str, lines: list[HostLine]) -> None:
         mistakes = zone_mistakes(path_of(self.folder, cell), lines, self.zones[cell])
         if mistakes:
-            self.refused(cell, mistakes)
+            self.on_rejected(cell, mistakes)
             return
-        self.offered[cell] = lines
-        self._settle()
+        self.last_read[cell] = lines
+        self._put_in_force()
+
+    def _put_in_force(self, *, changed: bool = False) -> None:
+        """Uses the newest lists that go together; `changed`: they differ from those told last in any case."""
+        lists, conflicts = self._consistent()
+        for cell, mistake in conflicts.items():
+            if self.conflicts.get(cell) != mistake:
+                self.on_rejected(cell, [mistake])
+        self.conflicts = conflicts
+        if changed or lists != self.in_force:
+            self.in_force = lists
+            self.on_change(lists)
 
-    def _settle(self, changed=False):
-        """Put in force the newest lists that go together; in place of one that clashes, its last good one."""
-        lists = {cell: lines for cell, lines in self.offered.items() if self.good.get(cell) == lines}
-        lists |= self.offered  # those in force come first: the newer of two that clash is refused
+    def _consistent(self) -> tuple[Lists, dict[str, Mistake]]:
+        """The newest lists that go together, and why others do not: these stay as they are in force."""
+        unchanged = {
+            cell: lines for cell, lines in self.last_read.items() if self.in_force.get(cell) == lines
+        }
+        lists = unchanged | self.last_read  # those in force come first: the newer of two is rejected
         paths = {cell: path_of(self.folder, cell) for cell in lists}
-        clashes = {}
-        while (clash := first_clash(paths, lists)) is not None:
-            cell, clashes[cell] = clash
+        conflicts: dict[str, Mistake] = {}
+        while (conflict := first_clash(paths, lists)) is not None:
+            cell, conflicts[cell] = conflict
             del lists[cell]
-            if cell in self.good:
-                lists = {cell: self.good[cell]} | lists
-        for cell, mistake in clashes.items():
-            if self.clashes.get(cell) != mistake:
-                self.refused(cell, [mistake])
-        self.clashes = clashes
-        if changed or lists != self.good:
-            self.good = lists
-            self.told(lists)
-
-    def close(self):
-        """Watch nothing any more."""
-        for watch in self.watches.values():
-            watch.close()
+            if cell in self.in_force:
+                lists = {cell: self.in_force[cell]} | lists
+        return lists, conflicts
--- a/gaproute/appliance/cell_rows.py
+++ b/gaproute/appliance/cell_rows.py
@@ -1,48 +1,65 @@
 """Host lines of cells as rows; of a list that changes, only the lines that did are made rows anew."""
 
+from collections.abc import Mapping
 from typing import NamedTuple
 
+from gaproute.config.directives.fleet import HostLine
 from gaproute.discovery.listing import Listing
+from gaproute.hosts.rows import Row
+from gaproute.loop import Loop
 
 
-class MadeList(NamedTuple):
-    """A cell's list as it was made rows."""
+class LineRow(NamedTuple):
+    """A line of a list, and the row that was made of it."""
+
+    line: HostLine
+    row: Row
+
+
+class CellList(NamedTuple):
+    """A cell's list with its rows."""
 
     zone: str
-    lines: list
-    by_host: dict  # {host: (line, row)}
-    rows: list
+    lines: list[HostLine]
+    by_host: dict[str, LineRow]
+    rows: list[Row]
 
 
 class CellRows:
-    """The rows of the lists in force."""
+    """The rows of the lists in force. `sizes`: whether the capacities of the lines count."""
 
-    def __init__(self, loop, sizes):
+    def __init__(self, loop: Loop, sizes: bool) -> None:
         self.listing = Listing(loop, sizes=sizes)
-        self.made = {}  # by cell
+        self.lists: dict[str, CellList] = {}  # by cell
 
-    def of(self, lists, zones, current_at=None):
-        """{cell: rows} of {cell: lines}; a host whose line names no zone stands in that of its cell.
+    def of(
+        self,
+        lists: Mapping[str, list[HostLine]],
+        zones: Mapping[str, str],
+        current_at: Mapping[str, int | None] | None = None,
+    ) -> dict[str, list[Row]]:
+        """{cell: rows} of {cell: lines}; a host whose line names no zone is in that of its cell.
 
-        `current_at`: {cell: when its list before was last known to be in force, by the loop's clock}.
+        `current_at`: {cell: when its list before was last known to be in force, ns of the loop's clock}.
         """
         current_at = current_at or {}
-        self.made = {
-            cell: self._made(cell, lines, zones[cell], current_at.get(cell)) for cell, lines in lists.items()
+        self.lists = {
+            cell: self._list_of(cell, lines, zones[cell], current_at.get(cell))
+            for cell, lines in lists.items()
         }
         self.listing.forget_others([line for lines in lists.values() for line in lines])
-        return {cell: made.rows for cell, made in self.made.items()}
+        return {cell: cell_list.rows for cell, cell_list in self.lists.items()}
 
-    def _made(self, cell, lines, zone, current_at):
-        before = self.made.get(cell)
+    def _list_of(self, cell: str, lines: list[HostLine], zone: str, current_at: int | None) -> CellList:
+        before = self.lists.get(cell)
         absent_at = current_at if before is not None else None  # a cell's first list has none before it
         if before is not None and before.zone == zone and before.lines is lines:
             return before
         known = before.by_host if before is not None and before.zone == zone else {}
         by_host = {line.name: self._row(line, zone, known.get(line.name), absent_at) for line in lines}
-        return MadeList(zone, lines, by_host, [row for _, row in by_host.values()])
+        return CellList(zone, lines, by_host, [line_row.row for line_row in by_host.values()])
 
-    def _row(self, line, zone, known, absent_at):
-        if known is not None and (known[0] is line or known[0] == line):
+    def _row(self, line: HostLine, zone: str, known: LineRow | None, absent_at: int | None) -> LineRow:
+        if known is not None and (known.line is line or known.line == line):
             return known
-        return line, self.listing.row(line, zone, absent_at)
+        return LineRow(line, self.listing.row(line, zone, absent_at))
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -1,192 +1,237 @@
-"""The cells of a running gateway: its table, the host lists that it wants by that table, and its part in
+"""The cells of a running gateway: its table, the host lists that it needs by that table, and its part in
 forwarding. Parts wired, nothing decided."""
 
-from gaproute.appliance.cell_lists import CellLists
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any
+
+from gaproute.appliance.cell_lists import CellLists, Lists
 from gaproute.appliance.cell_rows import CellRows
 from gaproute.appliance.cell_table import CellTableSource
 from gaproute.appliance.followed_lists import FollowedLists
+from gaproute.appliance.peer_services import PeerServices
+from gaproute.config.configuration import Configuration
+from gaproute.config.directives.fleet import CellHostsLine, CellsLine
+from gaproute.config.errors import Mistake
 from gaproute.core.cellular import CellularCore
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
+from gaproute.discovery.cell_members import Refused
 from gaproute.fronts.kserve.entry import EntryFront
 from gaproute.hosts.entries import CellHosts, Entries
+from gaproute.hosts.fleet import Reach
+from gaproute.hosts.rows import Row
+from gaproute.loop import Loop
+from gaproute.loop.loop import Timer
 from gaproute.peers.tables import TableCarrier
 from gaproute.shared.dissemination import Peer
+from gaproute.telemetry.record import Record
 
-CARRIER_SEED = 6  # the chance that draws whom to tell is another than those of other parts
-SOURCES_SEED = 8  # and this one the order of sources and the waits between tries
-WRONG_LIST = "wrong host list"
+# Added to the seed: each part draws from a chance of its own.
+CARRIER_SEED = 6  # which gateways are told of a table
+SOURCES_SEED = 8  # the order of sources and the waits between attempts
+WRONG_LIST = "wrong host list"  # as operators read it
 WRONG_MEMBER = "wrong host of a source"
 
 
 class CellServices:
-    """The parts that a gateway in a fleet of cells has in place of a whole fleet's: `gateway`, `hosts`,
-    `core`. `hosts_changed(rows)` is called with all hosts known each time that they change, before the
-    decisions."""
-
-    def __init__(self, loop, configuration, record, seed, reach, run, hosts_changed):
-        self.loop, self.configuration, self.line = loop, configuration, configuration.cells
-        self.record, self.hosts_changed = record, hosts_changed
-        place = GatewayLocation(configuration.name, self.line.region, self.line.zone)
-        self.gateway = CellularGateway(seed, configuration.terms, loop.now(), place)
+    """The parts that a gateway in a fleet of cells has in place of a whole fleet's.
+
+    `gateway`, `hosts` and `core` are the decisions, the connections to hosts and the request driver.
+    `hosts_changed(rows)` is called with all hosts known each time that they change, before the decisions.
+    `placeholder_gateway` knows no host: what gateways of a fleet without cells tell each other of hosts is
+    not told of cells.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        configuration: Configuration,
+        record: Record,
+        seed: int,
+        reach: Reach,
+        run: str,
+        hosts_changed: Callable[[Sequence[Row]], None],
+    ) -> None:
+        """`run`: the name of this run of the process. Raises ValueError without cells configured."""
+        if configuration.cells is None or configuration.cell_hosts is None:
+            raise ValueError("the configuration has no cells")
+        self.loop, self.configuration, self.record, self.seed = loop, configuration, record, seed
+        self.line: CellsLine = configuration.cells
+        self.hosts_line: CellHostsLine = configuration.cell_hosts
+        self.hosts_changed = hosts_changed
+        location = GatewayLocation(configuration.name, self.line.region, self.line.zone)
+        self.gateway = CellularGateway(seed, configuration.terms, loop.now(), location)
+        self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
         self.hosts = CellHosts(loop, Pooling(), reach, configuration.name)
         self.entries = Entries(loop, reach, configuration.name)
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
         )
-        # What gateways of one fleet tell each other of hosts is not told of cells: this one knows of none.
-        self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
         self.rows = CellRows(loop, configuration.sizes_reported)
-        self.lists = self._lists(configuration.cell_hosts, seed)
-        self.look_every = configuration.cell_hosts.look
-        self.told = {}  # cell: the host lines that the decisions were told last
-        self.lists_refused = self.members_refused = 0
-        self.seed, self.table, self.timer = seed, None, None
-
-    def listen(self, peer_services, ready):
-        """Take calls that other gateways forward, and the table that they tell, at the address of the peers.
-        Returns the front of those calls."""
-        giver = peer_services.observation_server
-        front = EntryFront(self.loop, giver.server, self.core, self.configuration, ready, self._report)
-        giver.calls = front.handle
-        line = self.line
+        self.lists = self._make_lists()
+        self.lists_given: Lists = {}  # what the decisions were given last
+        self.lists_rejected = self.members_rejected = 0
+        self.table: CellTableSource | None = None  # None until `listen`
+        self.timer: Timer | None = None
+
+    def listen(self, peer_services: PeerServices, ready: Callable[[], bool]) -> EntryFront:
+        """Takes requests that other gateways forward, and the table that they send, at the peers' address.
+
+        Returns the front of those requests.
+        """
+        server = peer_services.observation_server
+        if server is None:
+            raise ValueError("the address of the peers is not listened on")
+        front = EntryFront(self.loop, server.server, self.core, self.configuration, ready, self._load_report)
+        server.calls = front.handle
         carrier = TableCarrier(
             self.loop,
             self.configuration.name,
-            line.fleet,
+            self.line.fleet,
             peer_services.membership_transport,
-            giver,
+            server,
             Chance(self.seed + CARRIER_SEED),
             self.record,
-            path=line.kept,
+            path=self.line.kept,
         )
-        self.table = CellTableSource(self.loop, line, self.record, carrier, self._table_adopted)
+        self.table = CellTableSource(self.loop, self.line, self.record, carrier, self._table_adopted)
         return front
 
-    def start(self):
-        """Read the table and the lists, and go on looking."""
-        self.table.start()
+    def start(self) -> None:
+        """Reads the table and the lists, and goes on looking."""
+        if self.table is not None:
+            self.table.start()
         self._look()
 
-    def update_peers(self, peers):
-        """The other gateways of the configuration, {name: address}."""
-        self.table.carrier.peers(tuple(Peer(name, where) for name, where in peers.items()))
+    def update_peers(self, addresses: Mapping[str, str]) -> None:
+        """Takes the other gateways of the configuration, {name: address}."""
+        if self.table is not None:
+            peers = tuple(Peer(name, where) for name, where in addresses.items())
+            self.table.carrier.peers(peers)
 
-    def read(self):
-        """Read all files at once."""
-        self.table.read()
-        self.lists.read()
+    def reload(self) -> None:
+        """Reads all files at once."""
+        if self.table is not None:
+            self.table.reload()
+        self.lists.reload()
 
-    def _table_adopted(self, table):
-        """A newer table has come."""
-        now = self.loop.now()
-        self.gateway.adopt(now, table)
-        self.entries.adopt(table)
-        self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
-        self._want()
-        self.core.begin_housekeeping(now)
+    def gateways(self) -> list[Any]:
+        """The decisions of each cell known."""
+        single = self.gateway.single
+        return [single] if single is not None else list(self.gateway.local.gateways.values())
 
-    # The host lists
+    def can_forward(self) -> bool:
+        """Whether requests can be forwarded to another gateway."""
+        table = self._held_table()
+        return table is not None and any(self.gateway.entries.order(cell) for cell in table.cells)
 
-    def _lists(self, line, seed):
-        """The host lists, from files or from sources."""
-        if line.folder is not None:
-            return CellLists(self.loop, line, self._apply_lists, self._list_refused)
-        return FollowedLists(
-            self.loop,
-            self.line.fleet,
-            line,
-            self._apply_lists,
-            self._members_refused,
-            self._source_trouble,
-            Chance(seed + SOURCES_SEED),
-        )
+    def status(self) -> dict[str, Any]:
+        """What an operator reads; the keys are older than the names here."""
+        table = self._held_table()
+        status: dict[str, Any] = {
+            "version": str(table.version) if table else None,
+            "cells": len(table.cells) if table else 0,
+            "known": sorted(self.lists.in_force),
+            "forwarded_in": self.core.forwarded_in,
+            "forwarded_out": self.core.forwarded_out,
+            "refused": self._rejections(),
+        }
+        if isinstance(self.lists, FollowedLists) and self.hosts_line.sources:
+            status["sources"] = self.lists.status()
+        return status
+
+    def stop(self) -> None:
+        """Neither sends nor takes tables any more, nor follows the lists of other cells than now."""
+        if self.table is not None:
+            self.table.stop()
+        if self.timer is not None:
+            self.timer.cancel()
 
-    def _members_refused(self, cell, count, members):
-        self.members_refused += count
-        for host, reason in members:
-            self.record.event("error", "cell host refused", cell=cell, host=host, mistake=reason)
+    def close(self) -> None:
+        """Ends all connections to entry gateways; those to hosts are the appliance's."""
+        self.stop()
+        self.lists.close()
+        self.entries.close()
 
-    def _source_trouble(self, cell, why):
-        if why is None:
-            self.record.event("info", "cell source back", cell=cell)
-        else:
-            self.record.event("error", "cell source lost", cell=cell, fault=why)
+    def _held_table(self) -> CellTable | None:
+        return None if self.table is None else self.table.table
 
-    def _list_refused(self, cell, mistakes):
-        self.lists_refused += 1
-        for mistake in mistakes:
-            self.record.event("error", "host list refused", cell=cell, mistake=str(mistake))
+    def _table_adopted(self, table: CellTable) -> None:
+        now = self.loop.now()
+        self.gateway.adopt(now, table)
+        self.entries.adopt(table)
+        self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
+        self._follow_wanted_cells()
+        self.core.begin_housekeeping(now)
 
-    def _look(self):
-        """The decisions want other cells now and then, by what is called."""
-        self.timer = self.loop.after(self.look_every, self._look)
-        self._want()
+    def _look(self) -> None:
+        """The decisions need other cells now and then, by the functions that are requested."""
+        self.timer = self.loop.after(self.hosts_line.look, self._look)
+        self._follow_wanted_cells()
 
-    def _want(self):
-        table = self.table.held
+    def _follow_wanted_cells(self) -> None:
+        table = self._held_table()
         if table is None:
             return
         zones = {name: table.by_name[name].zone for name in self.gateway.wanted()}
         if zones != self.lists.zones:
-            self.lists.want(zones)
+            self.lists.set_cells(zones)
         if self.gateway.single is None:
             known = self.gateway.local.gateways
-            if any(cell not in known for cell in self.told):  # let go and wanted again meanwhile
-                self.told = {cell: lines for cell, lines in self.told.items() if cell in known}
-                self._apply_lists(self.lists.good)
+            if any(cell not in known for cell in self.lists_given):  # let go and wanted again meanwhile
+                self.lists_given = {cell: lines for cell, lines in self.lists_given.items() if cell in known}
+                self._apply_lists(self.lists.in_force)
 
-    def _apply_lists(self, lists):
-        """All lists in force. The host connections come first: the decisions may wish for a new host at
-        once."""
+    def _apply_lists(self, lists: Lists) -> None:
+        """Takes all lists in force. The connections come first: the decisions may use a new host at once."""
         rows = self.rows.of(lists, self.lists.zones, self.lists.current_at())
         self.hosts_changed([row for of_cell in rows.values() for row in of_cell])
-        before, self.told = self.told, dict(lists)
+        before, self.lists_given = self.lists_given, dict(lists)
         for cell, of_cell in rows.items():
             if before.get(cell) != lists[cell]:
                 self.core.cell_listed(cell, [row.listed for row in of_cell])
 
-    # What others ask
-
-    def _report(self, cell):
-        return self.gateway.local.report(self.loop.now(), cell)
+    def _make_lists(self) -> CellLists | FollowedLists:
+        """The host lists, from files or from sources."""
+        if self.hosts_line.folder is not None:
+            return CellLists(self.loop, self.hosts_line, self._apply_lists, self._list_rejected)
+        return FollowedLists(
+            self.loop,
+            self.line.fleet,
+            self.hosts_line,
+            self._apply_lists,
+            self._members_rejected,
+            self._source_changed,
+            Chance(self.seed + SOURCES_SEED),
+        )
 
-    def gateways(self):
-        """The decisions of each cell known."""
-        single = self.gateway.single
-        return [single] if single is not None else list(self.gateway.local.gateways.values())
+    def _list_rejected(self, cell: str, mistakes: Sequence[Mistake]) -> None:
+        self.lists_rejected += 1
+        for mistake in mistakes:
+            self.record.event("error", "host list refused", cell=cell, mistake=str(mistake))
 
-    def can_forward(self):
-        """Whether calls can be forwarded to another gateway."""
-        table = self.table.held
-        return table is not None and any(self.gateway.entries.order(cell) for cell in table.cells)
+    def _members_rejected(self, cell: str, count: int, members: Sequence[Refused]) -> None:
+        self.members_rejected += count
+        for host, reason in members:
+            self.record.event("error", "cell host refused", cell=cell, host=host, mistake=reason)
 
-    def status(self):
-        """What an operator is told."""
-        table = self.table.held
-        return {
-            "version": str(table.version) if table else None,
-            "cells": len(table.cells) if table else 0,
-            "known": sorted(self.lists.good),
-            "forwarded_in": self.core.forwarded_in,
-            "forwarded_out": self.core.forwarded_out,
-            "refused": self.table.refusals()
-            | ({WRONG_LIST: self.lists_refused} if self.lists_refused else {})
-            | ({WRONG_MEMBER: self.members_refused} if self.members_refused else {}),
-        } | ({"sources": self.lists.status()} if self.configuration.cell_hosts.sources else {})
+    def _source_changed(self, cell: str, error: str | None) -> None:
+        if error is None:
+            self.record.event("info", "cell source back", cell=cell)
+        else:
+            self.record.event("error", "cell source lost", cell=cell, fault=error)
 
-    def stop(self):
-        """Neither tell nor hear of tables any more, nor follow the lists of other cells than now."""
-        if self.table is not None:
-            self.table.stop()
-        if self.timer is not None:
-            self.timer.cancel()
+    def _rejections(self) -> dict[str, int]:
+        rejections = {} if self.table is None else self.table.rejections()
+        if self.lists_rejected:
+            rejections[WRONG_LIST] = self.lists_rejected
+        if self.members_rejected:
+            rejections[WRONG_MEMBER] = self.members_rejected
+        return rejections
 
-    def close(self):
-        """End all connections to entry gateways; those to hosts are the appliance's."""
-        self.stop()
-        self.lists.close()
-        self.entries.close()
+    def _load_report(self, cell: str) -> Any:
+        return self.gateway.local.report(self.loop.now(), cell)
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -1,169 +1,207 @@
-"""The host lists of the cells that a gateway knows, each followed by a change log while wanted.
+"""The host lists of the cells that a gateway knows, each followed by a change log while needed.
 
 One connection for each cell, opened when the cell is first needed and closed when it is let go. Whatever
 the sources do, the last good list of a cell serves on. Bounded: cells followed, hosts of all of them, bytes
-of an event, how often news is taken in, and lines logged for each connection.
+of an event, how often events are taken in, and lines logged for each connection.
 """
 
+from collections.abc import Callable, Mapping, Sequence
 from functools import partial
+from typing import Any
 
+from gaproute.config.directives.fleet import CellHostsLine, HostLine
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 from gaproute.discovery.cell_members import CellMembers, Refused
 from gaproute.discovery.cells_in_force import CellsInForce
 from gaproute.discovery.changelog.cell import CellFollower, path_of
+from gaproute.discovery.changelog.events import Event
+from gaproute.loop import Loop
+from gaproute.loop.loop import Timer
+from gaproute.shared.randomness import RandomSource
 
 MAX_CELLS = 64  # followed at once; a view of 512 hosts has fewer, unless its cells are tiny
-MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS  # of all cells: four times what a view holds by its table
-MAX_TOLD = 16  # refusals told for each cell and connection; all are counted
+MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS  # of all cells: four times what a view has by its table
+MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; all are counted
+
+Lists = dict[str, list[HostLine]]  # by cell
 
 
 class FollowedCell:
-    """One cell: who follows its log, and what that told."""
+    """One cell: who follows its log, what that told, and which rejections were logged."""
+
+    follower: CellFollower  # set as soon as it is made: it may call back while it is
 
-    def __init__(self):
-        self.follower, self.members = None, CellMembers()
-        self.refused, self.clashes = {}, {}  # {host: reason} of members, and of hosts not in force
-        self.told, self.connection = 0, 0  # refusals told, and of which connection
+    def __init__(self) -> None:
+        self.members = CellMembers()
+        self.rejected: dict[str, str] = {}  # {host: reason} of members
+        self.conflicts: dict[str, str] = {}  # {host: reason} of hosts not in force
+        self.logged, self.connection = 0, 0  # rejections logged, and of which connection
         self.failing = False
 
-    def fresh(self, members):
-        """Those of the refused members that were not told yet, as many as may be told now."""
-        fresh = [member for member in members if self.refused.get(member.host) != member.reason]
-        if len(self.refused) + len(fresh) > MAX_HOSTS:
-            self.refused = {}
-        self.refused.update(fresh[:MAX_HOSTS])
-        return self.allowed(fresh)
+    def to_log(self, rejected: Sequence[Refused]) -> Sequence[Refused]:
+        """Those of the rejected members that are to be logged: once each, and so many for a connection."""
+        unlogged = [member for member in rejected if self.rejected.get(member.host) != member.reason]
+        if len(self.rejected) + len(unlogged) > MAX_HOSTS:
+            self.rejected = {}
+        self.rejected.update(unlogged[:MAX_HOSTS])
+        return self.within_limit(unlogged)
 
-    def allowed(self, refused):
-        """As many as may be told for this connection."""
+    def within_limit(self, rejected: Sequence[Refused]) -> Sequence[Refused]:
+        """As many as may still be logged for this connection."""
         if self.connection != self.follower.asked:
-            self.connection, self.told = self.follower.asked, 0
-        allowed = refused[: MAX_TOLD - self.told]
-        self.told += len(allowed)
+            self.connection, self.logged = self.follower.asked, 0
+        allowed = rejected[: MAX_LOGGED_REJECTIONS - self.logged]
+        self.logged += len(allowed)
         return allowed
 
+    def close(self) -> None:
+        """Ends the connection."""
+        self.follower.close()
+
 
 class FollowedLists:
-    """As `CellLists`: `told({cell: lines})` of all lists in force, each time that they change.
-    `refused(cell, count, members)`: so many refused, of which these are to be logged. `trouble(cell, why)`
-    when a cell's sources begin to fail, `why` None when one is back."""
-
-    def __init__(self, loop, fleet, line, told, refused, trouble, chance):
-        self.loop, self.fleet, self.sources, self.pace = loop, fleet, line.sources, line.look
-        self.told, self.refused, self.trouble, self.chance = told, refused, trouble, chance
-        self.zones, self.good = {}, {}  # by cell; the lists in force
-        self.followed, self.force = {}, CellsInForce()  # by cell
-        self.timer, self.due = None, False
-        loop.on_late.append(self._late)
-
-    def want(self, zones):
-        """Have the lists of these cells and no others; `zones`: {cell: its zone}."""
+    """As `CellLists`: `on_change(lists)` with all lists in force, each time that they change.
+
+    `on_rejected(cell, count, members)`: so many were rejected, of which these are to be logged.
+    `on_source(cell, error)`: a cell's sources begin to fail; `error` None: one is back.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        fleet: str,
+        line: CellHostsLine,
+        on_change: Callable[[Lists], None],
+        on_rejected: Callable[[str, int, Sequence[Refused]], None],
+        on_source: Callable[[str, str | None], None],
+        chance: RandomSource,
+    ) -> None:
+        self.loop, self.fleet, self.sources, self.interval = loop, fleet, line.sources, line.look
+        self.on_change, self.on_rejected, self.on_source = on_change, on_rejected, on_source
+        self.chance = chance
+        self.zones: dict[str, str] = {}  # by cell
+        self.in_force: Lists = {}
+        self.followed: dict[str, FollowedCell] = {}  # by cell
+        self.cells_in_force = CellsInForce()
+        self.timer: Timer | None = None
+        self.pending = False  # events came that are not in force yet
+        loop.on_late.append(self._take_in_late)
+
+    def set_cells(self, zones: Mapping[str, str]) -> None:
+        """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
         self.zones = dict(zones)
         chosen = list(zones)[:MAX_CELLS]
         for cell in [cell for cell in self.followed if cell not in chosen]:
-            self.followed.pop(cell).follower.close()
+            self.followed.pop(cell).close()
         for cell in chosen:
             if cell not in self.followed:
                 self._follow(cell)
-        self._settle()
+        self._put_in_force()
+
+    def reload(self) -> None:
+        """Nothing to do: a log tells by itself, where files would be read anew."""
+
+    def current_at(self) -> dict[str, int | None]:
+        """{cell: when its list was last known to be as it is in force, before the change at hand}, ns."""
+        return {cell: followed.follower.current_at for cell, followed in self.followed.items()}
+
+    def status(self) -> dict[str, Any]:
+        """What an operator reads: cells followed, those whose sources fail, connections tried."""
+        followed = self.followed.values()
+        return {
+            "followed": len(self.followed),
+            "failing": sorted(cell for cell, each in self.followed.items() if each.failing),
+            "asked": sum(each.follower.asked for each in followed),
+            "begun_anew": sum(each.follower.anew for each in followed),
+        }
+
+    def close(self) -> None:
+        """Follows nothing any more."""
+        if self._take_in_late in self.loop.on_late:
+            self.loop.on_late.remove(self._take_in_late)
+        for followed in self.followed.values():
+            followed.close()
+        if self.timer is not None:
+            self.timer.cancel()
 
-    def _follow(self, cell):
+    def _follow(self, cell: str) -> None:
         followed = self.followed[cell] = FollowedCell()
         followed.follower = CellFollower(
             self.loop,
             self.sources,
             path_of(self.fleet, cell),
-            partial(self._event, cell),
-            partial(self._trouble, cell),
-            partial(self._trouble, cell, None),
+            partial(self._on_event, cell),
+            partial(self._source_changed, cell),
+            partial(self._source_changed, cell, None),
             self.chance,
         )
 
-    def read(self):
-        """Nothing to do: a log tells by itself, where files would be read anew."""
-
-    def current_at(self):
-        """{cell: when its list was last known to be as it was told}, of each known before the news at
-        hand."""
-        return {cell: each.follower.current_at for cell, each in self.followed.items()}
-
-    def _event(self, cell, event):
+    def _on_event(self, cell: str, event: Event) -> None:
         followed = self.followed.get(cell)
         if followed is None:
             return  # let go by what an earlier event of the same bytes brought about
         others = sum(len(each.members.offered) for name, each in self.followed.items() if name != cell)
-        refused = followed.members.take(event.fleet, MAX_HOSTS_FOLLOWED - others)
-        if refused:
-            self.refused(cell, len(refused), followed.fresh(refused))
-        self._news()
-
-    def _news(self):
-        """News is taken in at once, but no more often than the pace: a flood costs no more than that."""
-        self.due = True
+        rejected = followed.members.take(event.fleet, MAX_HOSTS_FOLLOWED - others)
+        if rejected:
+            self.on_rejected(cell, len(rejected), followed.to_log(rejected))
+        self._schedule()
+
+    def _schedule(self) -> None:
+        """Events are taken in at once, but no more often than the interval: a flood costs no more."""
+        self.pending = True
         if self.timer is None:
             self._take_in()
 
-    def _take_in(self):
+    def _take_in(self) -> None:
         self.timer = None
-        if self.due:
-            self.due = False
-            self.timer = self.loop.after(self.pace, self._take_in)
-            self._settle()
-
-    def _late(self):
-        """After a stop, news that waits comes before the calls that came meanwhile."""
-        for each in list(self.followed.values()):
-            each.follower.look()
-        if self.due:
-            self.timer.cancel()
+        if self.pending:
+            self.pending = False
+            self.timer = self.loop.after(self.interval, self._take_in)
+            self._put_in_force()
+
+    def _take_in_late(self) -> None:
+        """After a stall, events that wait come before the requests that came meanwhile."""
+        for followed in list(self.followed.values()):
+            followed.follower.look()
+        if self.pending:
+            if self.timer is not None:
+                self.timer.cancel()
             self._take_in()
 
-    def _settle(self):
-        """Put in force what goes together."""
+    def _put_in_force(self) -> None:
+        """Uses the hosts that go together."""
         offered = {
-            cell: each.members.offered
-            for cell, each in self.followed.items()
-            if each.members.offered or cell in self.force.lists
+            cell: followed.members.offered
+            for cell, followed in self.followed.items()
+            if followed.members.offered or cell in self.cells_in_force.lists
         }
-        before = self.force.lists
-        self.force.settle(offered, self.zones)
-        self._tell_clashes()
-        good = {
-            cell: self.good[cell] if cell in self.good and before.get(cell) is lines else list(lines.values())
-            for cell, lines in self.force.lists.items()
-            if lines or cell in self.good
+        before = self.cells_in_force.lists
+        self.cells_in_force.settle(offered, self.zones)
+        self._report_conflicts()
+        in_force = {
+            cell: self._lines(cell, lines, unchanged=before.get(cell) is lines)
+            for cell, lines in self.cells_in_force.lists.items()
+            if lines or cell in self.in_force
         }
-        if good != self.good:
-            self.good = good
-            self.told(good)
+        if in_force != self.in_force:
+            self.in_force = in_force
+            self.on_change(in_force)
 
-    def _tell_clashes(self):
+    def _lines(self, cell: str, lines: Mapping[str, HostLine], *, unchanged: bool) -> list[HostLine]:
+        """The list object of before where nothing has changed, so that it is not compared."""
+        if unchanged and cell in self.in_force:
+            return self.in_force[cell]
+        return list(lines.values())
+
+    def _report_conflicts(self) -> None:
         for cell, followed in self.followed.items():
-            before, followed.clashes = followed.clashes, self.force.refused.get(cell, {})
-            fresh = [Refused(*each) for each in followed.clashes.items() if each not in before.items()]
-            if fresh:
-                self.refused(cell, len(fresh), followed.allowed(fresh))
+            before, followed.conflicts = followed.conflicts, self.cells_in_force.refused.get(cell, {})
+            new = [Refused(*each) for each in followed.conflicts.items() if each not in before.items()]
+            if new:
+                self.on_rejected(cell, len(new), followed.within_limit(new))
 
-    def _trouble(self, cell, why):
+    def _source_changed(self, cell: str, error: str | None) -> None:
         followed = self.followed.get(cell)
         if followed is not None:
-            followed.failing = why is not None
-            self.trouble(cell, why)
-
-    def status(self):
-        """What an operator is told: cells followed, those whose sources fail, connections tried."""
-        return {
-            "followed": len(self.followed),
-            "failing": sorted(cell for cell, each in self.followed.items() if each.failing),
-            "asked": sum(each.follower.asked for each in self.followed.values()),
-            "begun_anew": sum(each.follower.anew for each in self.followed.values()),
-        }
-
-    def close(self):
-        """Follow nothing any more."""
-        if self._late in self.loop.on_late:
-            self.loop.on_late.remove(self._late)
-        for each in self.followed.values():
-            each.follower.close()
-        if self.timer is not None:
-            self.timer.cancel()
+            followed.failing = error is not None
+            self.on_source(cell, error)
--- /dev/null
+++ b/gaproute/appliance/host_list.py
@@ -0,0 +1,71 @@
+"""The hosts that a gateway knows, and the file or the configuration that lists them."""
+
+from collections.abc import Callable, Iterable, Sequence
+
+from gaproute.config.configuration import Configuration
+from gaproute.config.directives.fleet import HostLine
+from gaproute.config.errors import Mistake
+from gaproute.discovery.listing import FileWatch, Listing
+from gaproute.hosts.rows import Row
+from gaproute.loop import Loop
+from gaproute.telemetry.record import Record
+
+NO_START = 0  # ns since 1970, of a host whose start the list does not tell
+
+
+class HostList:
+    """All hosts known: `rows` by name. `watch` follows the file of hosts, where there is one.
+
+    A gateway in a fleet of cells gives it the rows of all cells that it knows, and follows no file here.
+    """
+
+    def __init__(self, loop: Loop, configuration: Configuration, record: Record) -> None:
+        self.loop, self.configuration, self.record = loop, configuration, record
+        self.listing = Listing(loop, sizes=configuration.sizes_reported)
+        self.rows: dict[str, Row] = {}
+        self.watch: FileWatch | None = None
+
+    def follow(self, on_list: Callable[[Sequence[Row]], None]) -> None:
+        """Calls `on_list` with the whole list, now and each time that its file has changed."""
+
+        def take(lines: Sequence[HostLine]) -> None:
+            known_at = self.watch.current_at if self.watch is not None else None
+            on_list(self.listing.rows(lines, known_at))
+
+        source = self.configuration.hosts_file
+        if source is None:
+            take(self.configuration.hosts)
+        else:
+            self.watch = FileWatch(self.loop, source.path, source.look, take, self.log_rejected)
+
+    def replace(self, rows: Iterable[Row]) -> None:
+        """Takes all hosts that are known now, and logs those that have changed."""
+        before, self.rows = self.rows, {row.listed.host: row for row in rows}
+        changed = [name for name, row in self.rows.items() if before.get(name) != row]
+        gone = [name for name in before if name not in self.rows]
+        for name in sorted(changed + gone):
+            row = self.rows.get(name)
+            self.record.event("info", "host", name=name, state=row.listed.state.value if row else "gone")
+
+    def states(self) -> dict[str, tuple[str, int]]:
+        """Of each host its state, and its start as the list tells it, ns since 1970 or `NO_START`."""
+        starts = self.listing.starts
+        return {
+            name: (row.listed.state.value, starts[name][0] if starts.get(name) else NO_START)
+            for name, row in self.rows.items()
+        }
+
+    def log_rejected(self, mistakes: Iterable[Mistake]) -> None:
+        """Logs why the list that was read last is not used."""
+        for mistake in mistakes:
+            self.record.event("error", "host list refused", mistake=str(mistake))
+
+    def reload(self) -> None:
+        """Reads the file again, where there is one."""
+        if self.watch is not None:
+            self.watch.read()
+
+    def close(self) -> None:
+        """Follows the file no more."""
+        if self.watch is not None:
+            self.watch.close()
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -7,6 +7,10 @@
 import time
 from typing import Any
 
+from gaproute.config.directives.fleet import KeepersLine
+from gaproute.http1 import Request, Server
+from gaproute.loop import Loop
+from gaproute.loop.loop import Timer
 from gaproute.peers.raft import HostedNode
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.operator_requests import (
@@ -18,6 +22,7 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.storage.files import TRANSIENT_ERRNOS
 from gaproute.storage.raft_log_file import RaftLogFile
+from gaproute.telemetry.record import Record
 
 MILLI = 1_000_000
 # A run of the gateway draws where the numbers of its requests begin: with them, all fit JSON's 2^53.
@@ -28,14 +33,18 @@
 class LeaseService:
     """A gateway's lease client, and its node of the group where `line` names it.
 
-    `line`: the configuration's `keepers`. Raises OSError where the file of votes cannot be had. A disk that
+    `line`: the configuration's `keepers`. Raises OSError where the Raft log file cannot be had. A disk that
     fails for a while is no such error: the node is silent until it answers.
     """
 
-    def __init__(self, loop: Any, name: str, line: Any, record: Any, chance: RandomSource) -> None:
+    def __init__(
+        self, loop: Loop, name: str, line: KeepersLine, record: Record, chance: RandomSource
+    ) -> None:
         self.loop = loop
         self.peers: dict[str, str] = {}  # addresses by name
-        self.disk = self._open_votes(line.votes, record) if name in line.names else None
+        self.disk: RaftLogFile | None = None
+        if name in line.names and line.votes is not None:
+            self.disk = self._open_raft_log(line.votes, record)
         self.hosted_node = HostedNode(
             loop,
             name,
@@ -49,26 +58,26 @@
         )
         last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
         self.requests = OperatorRequests(self.hosted_node.client, line.longest, last_number)
-        self.timer: Any = None
+        self.timer: Timer | None = None
 
     @staticmethod
-    def _open_votes(path: str, record: Any) -> RaftLogFile:
-        votes = RaftLogFile(path, lambda text: record.event("warning", "raft log", text=text))
+    def _open_raft_log(path: str, record: Record) -> RaftLogFile:
+        log_file = RaftLogFile(path, lambda text: record.event("warning", "raft log", text=text))
         try:
-            votes.open()
+            log_file.open()
         except OSError as error:
             if error.errno not in TRANSIENT_ERRNOS:
                 raise
             # the group's node opens it with its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
-        return votes
+        return log_file
 
-    def listed(self, peers: dict[str, str]) -> None:
+    def update_peers(self, peers: dict[str, str]) -> None:
         """The addresses by name of all gateways that may ask. Changed in place, as the carrier holds it."""
         for name in [name for name in self.peers if name not in peers]:
             del self.peers[name]
         self.peers.update(peers)
 
-    def handle(self, server: Any, request: Any) -> None:
+    def handle(self, server: Server, request: Request) -> None:
         """A batch of messages from another gateway."""
         self.hosted_node.transport.handle(server, request)
 
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -5,7 +5,7 @@
 """
 
 import time
-from collections.abc import Callable, Generator, Iterator
+from collections.abc import Callable, Generator, Iterator, Sequence
 from itertools import islice
 from typing import Any
 
@@ -13,6 +13,7 @@
 from gaproute.decisions.reports.facts import OLDEST
 from gaproute.decisions.reports.purse import SLICE, Purse
 from gaproute.decisions.reports.roll import Roll, own
+from gaproute.loop import Loop
 from gaproute.storage import ObservationStore
 from gaproute.storage.observation_rows import Subject, Value
 
@@ -26,27 +27,27 @@
     """Writes what changed every KEEP_EVERY, and everything each KEEP_WHOLE rounds, so that figures that
     change slowly are stored too.
 
-    `tracks` are the names of the request classes. `spent` and `longest` are the CPU time (ns) of all slices
-    and of the longest; `cpu_clock` is replaced by tests.
+    `request_classes`: their names. `spent` and `longest_slice`: the CPU time (ns) of all slices and of the
+    longest one; `cpu_clock` is replaced by tests.
     """
 
     def __init__(
         self,
-        loop: Any,
+        loop: Loop,
         store: ObservationStore,
         gateway: Any,
-        roll: Roll,
-        tracks: list[str],
+        host_history: Roll,
+        request_classes: Sequence[str],
         cpu_clock: Callable[[], int] = time.thread_time_ns,
     ) -> None:
         self.loop, self.store, self.cpu_clock = loop, store, cpu_clock
-        self.gateway, self.roll, self.tracks = gateway, roll, tracks
+        self.gateway, self.host_history, self.request_classes = gateway, host_history, request_classes
         self.purse = Purse(loop.now())
         self.rounds = 0
         self.written_until = EVERYTHING  # ns: what was observed before is on disk
         self.round_written = True  # whether all slices of this round were written
-        self.spent = self.longest = 0
-        self.task = loop.spawn(self._run())
+        self.spent = self.longest_slice = 0
+        self.routine = loop.spawn(self._run())
 
     def write_slice(self, observations: Observations) -> bool:
         """Write some of the observations within the CPU budget. Returns whether those were the last."""
@@ -57,13 +58,13 @@
         batch, exhausted = self._next_batch(observations, begun)
         self.round_written &= self.store.write(batch)
         spent = self.cpu_clock() - begun
-        self.spent, self.longest = self.spent + spent, max(self.longest, spent)
+        self.spent, self.longest_slice = self.spent + spent, max(self.longest_slice, spent)
         self.purse.spend(now, spent)
         return exhausted
 
     def close(self) -> None:
         """Stop; what changed since the last round is written in one last slice."""
-        self.task.cancel()
+        self.routine.cancel()
         changed = self._observations(self.loop.now(), self.written_until)
         self.store.write(islice(changed, MAX_ROWS_PER_WRITE))
         self.store.close()
@@ -97,4 +98,4 @@
         return batch, True
 
     def _observations(self, now: int, since: int) -> Observations:
-        return iter(own(self.gateway, self.roll, self.tracks, now, since))
+        return iter(own(self.gateway, self.host_history, self.request_classes, now, since))
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -1,14 +1,28 @@
-"""What one gateway has to do with the others and with its own past life: parts wired, nothing decided."""
+"""What one gateway has to do with the other gateways and with its own last run: parts wired, nothing decided.
+
+Through the address of the peers go the membership, the gossip, observations that others ask for, leases and
+forwarded requests. Observations also come from the store that this gateway wrote in its last run.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping, Sequence
+from typing import TYPE_CHECKING, Any
 
 from gaproute.appliance.leases import LeaseService
 from gaproute.appliance.observation_writer import ObservationWriter
 from gaproute.config import read_peers
+from gaproute.config.configuration import Configuration
+from gaproute.config.directives.fleet import KeepersLine, PeerLine
+from gaproute.config.directives.process import ClientsLine
+from gaproute.config.errors import Mistake
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.reports.facts import Fact
 from gaproute.decisions.reports.lore import FACTS, Lore
 from gaproute.decisions.reports.roll import Roll
 from gaproute.discovery.listing import FileWatch
 from gaproute.http1 import Limits
+from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from gaproute.peers import Giver, Learner, MembershipTransport
 from gaproute.peers.giver import LIMITS
@@ -16,72 +30,77 @@
 from gaproute.peers.raft.transport import TARGET
 from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import ObservationStore, ObservationStoreError
+from gaproute.telemetry.record import Record
 
-# Of those that ask at a gateway that takes part in leases: batches are long, and every gateway of
-# a large fleet may hold a connection to each keeper.
-FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
-LEASE_PEER_LIMITS = Limits(body=MAX_BATCH_BYTES, pipelined=1, connections=4096, buffered=4 * MAX_BATCH_BYTES)
-
+if TYPE_CHECKING:
+    from gaproute.appliance.cells import CellServices
 
-def forwarded_limits(limits, clients):
-    """Limits where other gateways also forward calls: as large as those of clients, on many connections."""
-    return limits._replace(
-        head=clients.head + FORWARDED_HEADER_BYTES,
-        body=max(limits.body, clients.body),
-        pipelined=max(limits.pipelined, clients.pipelined),
-        connections=max(limits.connections, clients.connections),
-    )
+# Added to the seed: each part draws from a chance of its own.
+OBSERVATIONS_SEED, MEMBERSHIP_SEED, GOSSIP_SEED, LEASES_SEED = 1, 2, 4, 5
+LAST_RUN = "past life"  # the origin of what the store tells, as operators read it
+FORWARDED_HEADER_BYTES = 4096  # of headers that a gateway adds to a client's
+# Of those that ask at a gateway that takes part in leases: batches are long, and every gateway of a large
+# fleet may have a connection to each member of the group.
+LEASE_PEER_LIMITS = Limits(body=MAX_BATCH_BYTES, pipelined=1, connections=4096, buffered=4 * MAX_BATCH_BYTES)
 
 
 class PeerServices:
-    def __init__(self, loop, configuration, gateway, record, seed, cells=None):
-        self.cells = cells
+    """The parts that speak with other gateways; those that the configuration does not ask for are None.
+
+    `gateway`: the decisions, which are given and asked for observations. `cells`: told who the peers are.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        configuration: Configuration,
+        gateway: Any,
+        record: Record,
+        seed: int,
+        cells: CellServices | None = None,
+    ) -> None:
         self.loop, self.configuration, self.gateway = loop, configuration, gateway
-        self.record, self.seed = record, seed
-        self.observation_server = self.observation_fetcher = self.membership_transport = (
-            self.gossip_carrier
-        ) = self.peer_list_watch = self.leases = None
+        self.record, self.seed, self.cells = record, seed, cells
+        self.observation_server: Giver | None = None
+        self.observation_fetcher: Learner | None = None
+        self.membership_transport: MembershipTransport | None = None
+        self.gossip_carrier: Carrier | None = None
+        self.peer_list_watch: FileWatch | None = None
+        self.leases: LeaseService | None = None
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = Roll(), Lore()
-        self.tracks = [line.name for line in configuration.tracks]
-        self.chance = Chance(seed + 1)
-
-    def listen(self, where):
-        """The front at which others ask. Errors: OSError."""
-        line = self.configuration.keepers
-        limits = LIMITS if line is None else LEASE_PEER_LIMITS
-        if self.configuration.cells is not None:
-            limits = forwarded_limits(limits, self.configuration.clients)
-        self.observation_server = Giver(
-            self.loop, address(where), self.gateway, self.host_history, self.tracks, limits
+        self.request_classes = [line.name for line in configuration.tracks]  # names of the request classes
+        self.chance = Chance(seed + OBSERVATIONS_SEED)
+
+    def listen(self, where: str) -> Giver:
+        """The front at which other gateways ask. Raises OSError."""
+        server = Giver(
+            self.loop, address(where), self.gateway, self.host_history, self.request_classes, self._limits()
         )
+        self.observation_server = server
         try:
             self.membership_transport = MembershipTransport(
                 self.loop,
                 self.configuration.name,
-                self.observation_server.address,
-                Chance(self.seed + 2),
+                server.address,
+                Chance(self.seed + MEMBERSHIP_SEED),
                 self.record,
             )
-            if line is not None:
-                self.leases = LeaseService(
-                    self.loop, self.configuration.name, line, self.record, Chance(self.seed + 5)
-                )
-                self.observation_server.also[TARGET] = self.leases.handle
+            if self.configuration.keepers is not None:
+                self.leases = self._lease_service(self.configuration.keepers)
+                server.also[TARGET] = self.leases.handle
         except OSError:
-            self.observation_server.close()
+            server.close()
             raise
         if self.configuration.gossip_enabled:
+            chance = Chance(self.seed + GOSSIP_SEED)
             self.gossip_carrier = Carrier(
-                self.loop,
-                self.configuration.name,
-                self.membership_transport,
-                self.gateway,
-                Chance(self.seed + 4),
+                self.loop, self.configuration.name, self.membership_transport, self.gateway, chance
             )
-        return self.observation_server
+        return server
 
-    def start(self):
+    def start(self) -> None:
+        """Takes over the observations of the last run, then asks the peers for theirs."""
         self.open_observation_store()
         if self.configuration.peers or self.configuration.peers_file:
             self.observation_fetcher = Learner(
@@ -93,98 +112,87 @@
                 self.record,
             )
             self.update_peers(self.configuration.peers)
-        if self.configuration.peers_file:
-            told = self.configuration.peers_file
+        source = self.configuration.peers_file
+        if source is not None:
             self.peer_list_watch = FileWatch(
-                self.loop, told.path, told.look, self.update_peers, self.peer_list_rejected, read_peers
+                self.loop, source.path, source.look, self.update_peers, self.peer_list_rejected, read_peers
             )
 
-    def update_hosts(self, lives):
-        """`lives`: {host: (state, start, ns since 1970)} of the whole list."""
-        self.host_history.listed(self.loop.now(), lives)
+    def update_hosts(self, states: Mapping[str, tuple[str, int]]) -> None:
+        """Takes the whole host list, {host: (state, its start in ns since 1970)}."""
+        self.host_history.listed(self.loop.now(), states)
         if self.gossip_carrier is not None:
-            self.gossip_carrier.listed(
-                {name: told[1] for name, told in self.host_history.told.items() if name in lives}
-            )
+            history = self.host_history.told
+            self.gossip_carrier.listed({name: told[1] for name, told in history.items() if name in states})
+
+    def update_peers(self, peers: Sequence[PeerLine]) -> None:
+        """Takes the whole list of gateways, this one among them or not."""
+        others = [peer for peer in peers if peer.name != self.configuration.name]
+        addresses = {peer.name: peer.where for peer in others}
+        if self.membership_transport is not None:
+            self.membership_transport.configure(others)
+        if self.leases is not None:
+            self.leases.update_peers(addresses)
+        if self.cells is not None:
+            self.cells.update_peers(addresses)
+        if self.observation_fetcher is not None:
+            self.observation_fetcher.listed(others)
+
+    def peer_list_rejected(self, mistakes: Iterable[Mistake]) -> None:
+        """Logs why the list of peers that was read last is not used."""
+        for mistake in mistakes:
+            self.record.event("error", "peer list refused", mistake=str(mistake))
+
+    def open_observation_store(self) -> None:
+        """Opens the store on disk, where there is one, and applies what it holds of the last run.
 
-    def open_observation_store(self):
-        """Opens the memory on disk where there is one, and follows what it tells of the past life. One that
-        cannot be opened is tried again while the gateway serves, and written to from then on."""
+        One that cannot be opened is tried again while the gateway serves, and written to from then on.
+        """
         if self.configuration.memory is None:
             return
-        store = ObservationStore(
-            self.configuration.memory,
-            lambda text: self.record.event("warning", "observation store", text=text),
-        )
+        store = ObservationStore(self.configuration.memory, self._log_store)
         try:
             store.open()
-            self._recall(store)
-        except ObservationStoreError as fault:
-            self.record.event("warning", "observation store unavailable", text=str(fault))
+            self._restore(store)
+        except ObservationStoreError as error:
+            self.record.event("warning", "observation store unavailable", text=str(error))
         self.observation_writer = ObservationWriter(
-            self.loop, store, self.gateway, self.host_history, self.tracks
-        )
-
-    def _recall(self, store):
-        now = self.loop.now()
-        for subject, value, age in store.read(FACTS):
-            at = self.observations.observed(now, age)
-            if at is not None:
-                self.observations.tell(subject, Fact(at, "past life", 0, value))
-        booked = self.apply_observations(self.observations.facts)
-        self.observations_complete()
-        self.record.event(
-            "info",
-            "remembered",
-            facts=len(self.observations.facts),
-            booked=booked,
-            refused=dict(self.observations.refused),
+            self.loop, store, self.gateway, self.host_history, self.request_classes
         )
 
-    def apply_observations(self, subjects):
-        tracks = {name: place for place, name in enumerate(self.tracks)}
-        return self.observations.follow(
+    def apply_observations(self, subjects: Iterable[Any]) -> int:
+        """Hands the observations of these subjects to the decisions, as hints; how many were of use."""
+        request_classes = {name: number for number, name in enumerate(self.request_classes)}
+        applied: int = self.observations.follow(
             self.gateway,
             self.loop.now(),
             self.host_history.lives(),
-            tracks,
+            request_classes,
             self.configuration.terms.keep_alive,
             self.chance,
             subjects,
         )
+        return applied
 
-    def observations_complete(self):
-        """All that one source tells has come: the mix is known now."""
+    def observations_complete(self) -> None:
+        """All that one source tells has come: the mix of functions is known now."""
         self.gateway.hint_mix(self.observations.mix())
 
-    def update_peers(self, peers):
-        others = [peer for peer in peers if peer.name != self.configuration.name]
-        if self.membership_transport is not None:
-            self.membership_transport.configure(others)
-        if self.leases is not None:
-            self.leases.listed({peer.name: peer.where for peer in others})
-        if self.cells is not None:
-            self.cells.update_peers({peer.name: peer.where for peer in others})
-        self.observation_fetcher.listed(others)
+    def cpu_spent(self) -> int:
+        """CPU that giving and storing observations took, ns."""
+        parts = (self.observation_server, self.observation_writer)
+        return sum(part.spent for part in parts if part is not None)
 
-    def peer_list_rejected(self, mistakes):
-        for mistake in mistakes:
-            self.record.event("error", "peer list refused", mistake=str(mistake))
-
-    def cpu_spent(self):
-        """CPU that telling and writing down took, ns."""
-        return sum(
-            part.spent for part in (self.observation_server, self.observation_writer) if part is not None
-        )
-
-    def stop(self):
+    def stop(self) -> None:
+        """Leaves the membership and releases all leases; others are still answered until `close`."""
         for part in (self.membership_transport, self.leases):
             if part is not None:
                 part.stop()
         if self.peer_list_watch is not None:
             self.peer_list_watch.close()
 
-    def close(self):
+    def close(self) -> None:
+        """Ends all but the front of `listen`."""
         for part in (
             self.peer_list_watch,
             self.observation_fetcher,
@@ -195,3 +203,42 @@
         ):
             if part is not None:
                 part.close()
+
+    def _limits(self) -> Limits:
+        limits = LIMITS if self.configuration.keepers is None else LEASE_PEER_LIMITS
+        if self.configuration.cells is None:
+            return limits
+        return _with_forwarded_requests(limits, self.configuration.clients)
+
+    def _lease_service(self, line: KeepersLine) -> LeaseService:
+        chance = Chance(self.seed + LEASES_SEED)
+        return LeaseService(self.loop, self.configuration.name, line, self.record, chance)
+
+    def _restore(self, store: ObservationStore) -> None:
+        now = self.loop.now()
+        for subject, value, age in store.read(FACTS):
+            observed_at = self.observations.observed(now, age)
+            if observed_at is not None:
+                self.observations.tell(subject, Fact(observed_at, LAST_RUN, 0, value))
+        applied = self.apply_observations(self.observations.facts)
+        self.observations_complete()
+        self.record.event(
+            "info",
+            "remembered",
+            facts=len(self.observations.facts),
+            booked=applied,
+            refused=dict(self.observations.refused),
+        )
+
+    def _log_store(self, text: str) -> None:
+        self.record.event("warning", "observation store", text=text)
+
+
+def _with_forwarded_requests(limits: Limits, clients: ClientsLine) -> Limits:
+    """Limits where other gateways also forward requests: as large as those of clients."""
+    return limits._replace(
+        head=clients.head + FORWARDED_HEADER_BYTES,
+        body=max(limits.body, clients.body),
+        pipelined=max(limits.pipelined, clients.pipelined),
+        connections=max(limits.connections, clients.connections),
+    )
--- /dev/null
+++ b/gaproute/appliance/shutdown.py
@@ -0,0 +1,70 @@
+"""The graceful shutdown of a gateway process, and its times in ns after SIGTERM.
+
+The process may be killed `KILL_GRACE` after the longest deadline of its requests; by then every request has
+had its final answer.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from gaproute.config.configuration import Configuration
+
+if TYPE_CHECKING:
+    from gaproute.appliance.gateway import Appliance
+
+MILLI = 1_000_000
+
+LATE_REQUEST_TIME = 1_500 * MILLI  # in which requests on connections accepted before may still come in:
+#                                    more than until a connection that was at work is parked
+LEAVE_TIME = 200 * MILLI  # after the last client's connection, for messages to other gateways to leave
+MAX_COUNTED_DEADLINE = 3_000 * MILLI  # as which longer deadlines count for the time of a SIGKILL
+KILL_GRACE = 700 * MILLI  # after the longest deadline, from which on SIGKILL may come
+ANSWER_MARGIN = 100 * MILLI  # before that, by which every request in flight has its answer
+
+
+def answer_time(configuration: Configuration) -> int:
+    """For how long requests are in flight at most: what then has no answer gets one at once."""
+    deadline = min(configuration.longest, MAX_COUNTED_DEADLINE)
+    return deadline + KILL_GRACE - ANSWER_MARGIN - configuration.clients.way_back
+
+
+def max_duration(configuration: Configuration) -> int:
+    """After which the process ends whatever is still open."""
+    return LATE_REQUEST_TIME + configuration.longest + LEAVE_TIME
+
+
+class GracefulShutdown:
+    """Accepts nothing new, and brings what is in flight and what comes in on connections accepted before to a
+    final answer; then ends the loop. Host lists are followed to the end: a host may drain meanwhile."""
+
+    def __init__(self, appliance: Appliance) -> None:
+        self.appliance, self.loop = appliance, appliance.loop
+
+    def begin(self) -> None:
+        """Stops all parts; the loop ends once nothing is left."""
+        appliance = self.appliance
+        self._stop_fronts()
+        appliance.peer_services.stop()
+        if appliance.cells is not None:
+            appliance.cells.stop()
+        appliance.core.end_by(self.loop.now() + answer_time(appliance.configuration))
+        appliance.core.emptied = self._end_if_empty
+        for front in appliance.client_fronts:
+            front.on_emptied(self._end_if_empty)
+        self.loop.after(max_duration(appliance.configuration), self.loop.stop)
+        self._end_if_empty()
+
+    def _stop_fronts(self) -> None:
+        client_fronts = self.appliance.client_fronts
+        for front in client_fronts:
+            front.stop(LATE_REQUEST_TIME)
+        for front in self.appliance.fronts:
+            if front not in client_fronts:
+                front.stop()
+
+    def _end_if_empty(self) -> None:
+        """Ends the loop once no request is in flight and no client's connection is left."""
+        if self.appliance.core.held or any(front.held for front in self.appliance.client_fronts):
+            return
+        self.loop.after(LEAVE_TIME, self.loop.stop)
--- /dev/null
+++ b/gaproute/appliance/status.py
@@ -0,0 +1,169 @@
+"""The tables of a running gateway that operators read, as plain data for JSON.
+
+The keys are older than the names in the code, and stay.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import TYPE_CHECKING, Any
+
+from gaproute.connections.descriptors import descriptors
+
+if TYPE_CHECKING:
+    from gaproute.appliance.gateway import Appliance
+    from gaproute.appliance.peer_services import PeerServices
+
+MILLI = 1_000_000
+
+JsonObject = dict[str, Any]
+
+
+def status(appliance: Appliance) -> JsonObject:
+    """The gateway as a whole: its state and its counts."""
+    peer_services, hosts = appliance.peer_services, appliance.hosts
+    membership_transport, carrier = peer_services.membership_transport, peer_services.gossip_carrier
+    return {
+        "name": appliance.configuration.name,
+        "stopping": appliance.stopping,
+        "ready": appliance.ready(),
+        "up_ms": (appliance.loop.now() - appliance.started) // MILLI,
+        "held": len(appliance.core.held),
+        "late_turns": appliance.loop.late_turns,
+        "counts": appliance.record.table(),
+        "clients": _clients(appliance),
+        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
+        "gateways": membership_transport and membership_transport.membership.live_count(),
+        "cells": appliance.cells and appliance.cells.status(),
+        "weak_word": carrier and carrier.weak.status(appliance.loop.now()),
+        "learnt": _observations_taken(appliance),
+        "telling": _observations_given(peer_services),
+        "memory": _observation_store(peer_services),
+    }
+
+
+def host_table(appliance: Appliance) -> list[JsonObject]:
+    """The hosts of the list, by name."""
+    attempts = appliance.record.table().get("relay", {})
+    table = []
+    for name, row in sorted(appliance.rows.items()):
+        host = appliance.hosts.hosts.get(name)
+        table.append(
+            {
+                "name": name,
+                "address": row.where,
+                "state": row.listed.state.value,
+                "capacity": row.listed.capacity,
+                "connections": len(host.open) if host else 0,
+                "relays": attempts.get(name, {}),
+            }
+        )
+    return table
+
+
+def warm_instances(appliance: Appliance) -> list[JsonObject]:
+    """Warm instances as they are believed to be, the latest use first.
+
+    `by`: what speaks for each: an answer, a request sent there, or the gateway that told of it; `tried`:
+    whether that was followed yet.
+    """
+    functions = (pair for gateway in decisions(appliance) for pair in gateway.functions.items())
+    rows = [row for name, function in functions for row in _instances(appliance, name, function)]
+    return sorted(rows, key=lambda row: int(row["age_ms"]))
+
+
+def peer_table(appliance: Appliance) -> list[JsonObject]:
+    """The gateways that are known: membership's view, and what each told at the start."""
+    fetcher = appliance.peer_services.observation_fetcher
+    fetched = fetcher.state if fetcher else {}
+    membership_transport = appliance.peer_services.membership_transport
+    if membership_transport is not None:
+        rows = membership_transport.table()
+    else:
+        rows = [{"name": name, "state": None} for name in fetched]
+    return [row | {"learnt": fetched.get(row["name"])} for row in rows]
+
+
+def lease_table(appliance: Appliance) -> JsonObject | None:
+    """The leases of this gateway, and its part in the Raft group; None where it has none."""
+    leases = appliance.peer_services.leases
+    return None if leases is None else leases.table()
+
+
+def event_table(appliance: Appliance) -> list[JsonObject]:
+    """The last events of the log."""
+    return [{"what": what, **details} for what, details in appliance.record.events]
+
+
+def decisions(appliance: Appliance) -> list[Any]:
+    """The decisions of the whole fleet, or of each cell known."""
+    return [appliance.core.gateway] if appliance.cells is None else appliance.cells.gateways()
+
+
+def _clients(appliance: Appliance) -> JsonObject:
+    lot = appliance.lot
+    return {
+        "connections": lot.held,
+        "most": lot.admission.most,
+        "parked": lot.parked,
+        "displaced": lot.displaced,
+        "turned_away": lot.turned_away,
+        "idle_ended": lot.expired,
+        "descriptors": descriptors(),
+        "kept_back": lot.admission.reserve,
+    }
+
+
+def _observations_taken(appliance: Appliance) -> JsonObject:
+    """What was taken over from other gateways and the last run, and how much of it proved right."""
+    observations = appliance.peer_services.observations
+    fetcher = appliance.peer_services.observation_fetcher
+    return {
+        "facts": len(observations.facts),
+        "refused": dict(observations.refused),
+        "peers": fetcher.state if fetcher else {},
+        "booked": fetcher.booked if fetcher else 0,
+        "right": sum(gateway.right for gateway in decisions(appliance)),
+        "wrong": sum(gateway.wrong for gateway in decisions(appliance)),
+    }
+
+
+def _observations_given(peer_services: PeerServices) -> JsonObject | None:
+    """What other gateways were told when they asked."""
+    server = peer_services.observation_server
+    if server is None:
+        return None
+    return {"facts": server.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
+
+
+def _observation_store(peer_services: PeerServices) -> JsonObject | None:
+    writer = peer_services.observation_writer
+    if writer is None:
+        return None
+    return {
+        "written": writer.store.written,
+        "failed": writer.store.failed,
+        "cpu_ms": writer.spent / MILLI,
+        "longest_ms": writer.longest_slice / MILLI,
+    }
+
+
+def _instances(appliance: Appliance, name: str, function: Any) -> Iterator[JsonObject]:
+    """Those of one function: of own attempts, then those that others told of."""
+    now = appliance.loop.now()
+    for tried, last_used in ((True, function.seen), (False, function.told)):
+        for host, used_at in last_used.items():
+            yield {
+                "worker": host,
+                "function": name,
+                "age_ms": (now - used_at) // MILLI,
+                "tried": tried,
+                "by": _evidence(appliance, host, name, function),
+            }
+
+
+def _evidence(appliance: Appliance, host: str, name: str, function: Any) -> str:
+    if host in function.stands:
+        return "an answer"
+    fact = appliance.peer_services.observations.facts.get(("warm", host, name))
+    return fact.origin if fact else "a task sent"
--- a/gaproute/telemetry/record.py
+++ b/gaproute/telemetry/record.py
@@ -18,7 +18,7 @@
         self.times = [deque(maxlen=TIMES) for _ in tracks]  # ns from first byte to final answer
         self.events = deque(maxlen=LAST)
 
-    def event(self, level, what, **told):
+    def event(self, level, what, /, **told):
         self.events.append((what, told))
         getattr(self.log, level)(what, **told)
 
--- a/tests/appliance/test_cell_lists.py
+++ b/tests/appliance/test_cell_lists.py
@@ -50,11 +50,11 @@
 def test_only_the_files_of_wanted_cells_are_read(watched):
     watched.write("a1", "wx")
     watched.write("b1", "yz")
-    watched.lists.want({"a1": "a"})
+    watched.lists.set_cells({"a1": "a"})
     assert watched.told == {"a1": "wx"} and watched.refused == []
-    watched.lists.want(ZONES)
+    watched.lists.set_cells(ZONES)
     assert watched.told == {"a1": "wx", "b1": "yz"}
-    watched.lists.want({"b1": "b"})
+    watched.lists.set_cells({"b1": "b"})
     assert watched.told == {"b1": "yz"}
     watched.write("a1", "w")
     watched.looks()
@@ -62,7 +62,7 @@
 
 
 def test_a_wanted_cell_without_a_file_is_refused_once_and_known_when_the_file_comes(watched):
-    watched.lists.want(ZONES)
+    watched.lists.set_cells(ZONES)
     watched.looks()
     assert watched.refused == [("a1", 0), ("b1", 0)] and watched.told == {}
     watched.write("b1", "y")
@@ -73,7 +73,7 @@
 def test_a_host_of_two_cells_is_refused_where_it_came_last(watched):
     watched.write("a1", "wx")
     watched.write("b1", "y")
-    watched.lists.want(ZONES)
+    watched.lists.set_cells(ZONES)
     watched.write("b1", "yx")
     watched.looks()
     assert watched.told == {"a1": "wx", "b1": "y"} and watched.refused == [("b1", 2)]
@@ -87,7 +87,7 @@
     after = {"a1": "wy", "b1": "xz"}
     watched.write("a1", "wx")
     watched.write("b1", "yz")
-    watched.lists.want(ZONES)
+    watched.lists.set_cells(ZONES)
     watched.write(first, after[first])
     watched.looks()
     assert watched.told == {"a1": "wx", "b1": "yz"}
@@ -98,17 +98,17 @@
 
 def test_a_host_in_another_zone_than_its_cell_is_refused_by_line(watched):
     watched.write("a1", "w")
-    watched.lists.want({"a1": "a"})
+    watched.lists.set_cells({"a1": "a"})
     watched.write("a1", "wx", more=" zone moon")
     watched.looks()
     assert watched.told == {"a1": "w"} and watched.refused == [("a1", 1), ("a1", 2)]
-    watched.lists.want({"a1": "moon"})  # a newer table says that the cell lies there
+    watched.lists.set_cells({"a1": "moon"})  # a newer table says that the cell lies there
     assert watched.told == {"a1": "wx"}
 
 
 def test_a_torn_list_leaves_the_last_good_one(watched):
     watched.write("a1", "wx")
-    watched.lists.want({"a1": "a"})
+    watched.lists.set_cells({"a1": "a"})
     (watched.folder / "a1.hosts").write_text(f"{HOSTS['w']}\nhost x 127.0")
     watched.looks()
     assert watched.told == {"a1": "wx"} and watched.refused == [("a1", 2)]
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import CONFIGURATION, MILLI, SECOND
 
-from gaproute.appliance.gateway import LATE_REQUEST_TIME, LEAVE_TIME
+from gaproute.appliance.shutdown import LATE_REQUEST_TIME, LEAVE_TIME
 from gaproute.http1.deadlines import QUIET
 from gaproute.loop.streams import FAREWELL
 
--- a/tests/decisions/reports/test_lore.py
+++ b/tests/decisions/reports/test_lore.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.appliance.operator import knowledge
+from gaproute.appliance.status import warm_instances
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.reports.facts import OLDEST, Fact
 from gaproute.decisions.reports.lore import FACTS, SLOWEST, Lore
@@ -431,7 +431,7 @@
     made, start = beside
     second = start()
     made.until(lambda: second.peer_services.observation_fetcher.booked)
-    (own,), (hinted,) = knowledge(made.gate), knowledge(second)
+    (own,), (hinted,) = warm_instances(made.gate), warm_instances(second)
     assert (own["by"], hinted["by"]) == ("an answer", "g")
     assert (own["worker"], own["function"]) == (hinted["worker"], hinted["function"])
     assert hinted["age_ms"] >= 3500 > own["age_ms"]
@@ -441,7 +441,7 @@
     made, start = beside
     rows = made.list.read_text().splitlines()
     (worker,) = made.gate.core.gateway.functions["lamp"].stands
-    made.gate.host_list_watch.close()  # the giver's own list is late: it still believes in the host
+    made.gate.host_list.watch.close()  # the giver's own list is late: it still believes in the host
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     second = start()
     made.until(lambda: second.peer_services.observation_fetcher.state["g"].startswith("told"))
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -106,7 +106,7 @@
     assert [row.listed.state.value for row in after["a1"]] == ["active", "draining"]
     moved = rows.of(lists, ZONES | {"b1": "a"})  # a newer table has the cell in another zone
     assert moved["b1"][0].listed.zone == before["a1"][0].listed.zone != before["b1"][0].listed.zone
-    assert rows.of({"b1": lists["b1"]}, ZONES) == {"b1": before["b1"]} and list(rows.made) == ["b1"]
+    assert rows.of({"b1": lists["b1"]}, ZONES) == {"b1": before["b1"]} and list(rows.lists) == ["b1"]
 
 
 def test_racks_that_no_host_has_any_more_are_forgotten_and_no_number_is_given_twice():
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -67,7 +67,7 @@
             source.tell("a1", *hosts("wx"))
     if silent:
         made.sources[0].trouble = made.sources[1].trouble = Trouble.SILENT
-    made.lists.want(made.zones)
+    made.lists.set_cells(made.zones)
     if silent:
         made.passes(SECOND)
         assert made.told == {}
@@ -79,7 +79,7 @@
     made = followed_cells(zones={"a1": "a"})
     made.sources[0].fleet = "south"
     made.sources[0].tell("a1", *hosts("wx"))
-    made.lists.want(made.zones)
+    made.lists.set_cells(made.zones)
     made.passes(10 * SECOND)
     assert made.told == {} and made.lists.status()["failing"] == ["a1"]
     assert len(made.troubles) == 1 and made.troubles[0][1].endswith("status 404")
@@ -105,7 +105,7 @@
 
 def test_while_no_source_answers_the_tries_become_few(followed_cells):
     made = followed_cells(wheres=["127.0.0.1:1"], zones={"a1": "a"})
-    made.lists.want(made.zones)
+    made.lists.set_cells(made.zones)
     made.passes(60 * SECOND)
     assert 8 <= made.follower("a1").asked <= 16 and len(made.troubles) == 1
 
--- a/tests/discovery/test_cells_followed.py
+++ b/tests/discovery/test_cells_followed.py
@@ -5,7 +5,7 @@
 import pytest
 from followed_cells import SECOND, event, host, hosts
 
-from gaproute.appliance.followed_lists import MAX_CELLS, MAX_HOSTS_FOLLOWED, MAX_TOLD
+from gaproute.appliance.followed_lists import MAX_CELLS, MAX_HOSTS_FOLLOWED, MAX_LOGGED_REJECTIONS
 from gaproute.loop import Stream
 from gaproute.standins.platform.listing import member
 
@@ -18,13 +18,13 @@
     source.tell("b1", *hosts("yz"))
     made.begin(a1=hosts("wx"))
     assert (made.names("a1"), made.names("b1"), source.asked) == ("wx", "", {"a1": 1})
-    made.lists.want({"a1": "a", "b1": "b"})
+    made.lists.set_cells({"a1": "a", "b1": "b"})
     made.until(lambda: made.names("b1") == "yz")
-    made.lists.want({"b1": "b"})
+    made.lists.set_cells({"b1": "b"})
     made.until(lambda: source.following("a1") == 0)
     assert made.told == {"b1": {"y": "active", "z": "active"}}
     source.tell("a1", host("w", "gone"))
-    made.lists.want({"a1": "a", "b1": "b"})
+    made.lists.set_cells({"a1": "a", "b1": "b"})
     made.until(lambda: made.names("a1") == "x")
     assert source.asked == {"a1": 2, "b1": 1} and made.troubles == [] and made.count == 0
 
@@ -48,7 +48,7 @@
     made = followed_cells(zones=dict.fromkeys(cells, "a"))
     for number, cell in enumerate(cells):
         made.sources[0].tell(cell, member(f"h{number}", f"127.0.0.1:{number + 1}", zone=""))
-    made.lists.want(made.zones)
+    made.lists.set_cells(made.zones)
     made.until(lambda: len(made.told) == MAX_CELLS)
     assert set(made.lists.followed) == set(made.told) == set(cells[:MAX_CELLS])
     many = [member(f"n{number}", f"127.0.1.1:{number + 1}", zone="a") for number in range(1_200)]
@@ -61,7 +61,7 @@
     made.passes(SECOND)
     sizes = [len(made.told.get(cell, ())) for cell in cells[:3]]
     assert sizes[0] == 1_024 and sum(map(len, made.told.values())) <= MAX_HOSTS_FOLLOWED
-    assert made.count > 1_000 and len(made.refused) <= 4 * MAX_TOLD + MAX_CELLS
+    assert made.count > 1_000 and len(made.refused) <= 4 * MAX_LOGGED_REJECTIONS + MAX_CELLS
 
 
 # Hosts that do not go together
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -309,7 +309,7 @@
 
 def test_the_gateway_hands_on_when_its_file_was_last_seen(rig):
     made = rig(hosts=2)
-    listing = made.gate.listing
+    listing = made.gate.host_list.listing
     listing.start_times.wall = lambda: BEGUN + HOUR + made.loop.now()
     listing.start_times.offset = BEGUN + HOUR  # ahead from the start: no step to be seen
     both = made.list.read_text().splitlines()
@@ -353,7 +353,7 @@
     given = []
     rows = SimpleNamespace(of=lambda *told: given.append(told) or {})
     lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
-    CellServices._apply_lists(SimpleNamespace(rows=rows, lists=lists, hosts_changed=list, told={}), {})
+    CellServices._apply_lists(SimpleNamespace(rows=rows, lists=lists, hosts_changed=list, lists_given={}), {})
     assert given == [({}, {"a1": "a"}, {"a1": 5})]
 
 
@@ -366,7 +366,7 @@
         lambda told: seen.append(lists.current_at()),
         seen.append,
     )
-    lists.want({"a1": "a"})
+    lists.set_cells({"a1": "a"})
     known = lists.current_at()["a1"]
     assert seen == [{}] and known <= loop.now()
     (tmp_path / "a1.hosts").write_text("host w 127.0.0.1:1\nhost x 127.0.0.1:2\n")
@@ -376,7 +376,7 @@
     loop.close()
 
     made = followed_cells()
-    made.lists.want(made.zones)
+    made.lists.set_cells(made.zones)
     assert set(made.lists.current_at().values()) == {None}
     made.begin(a1=hosts("uv"), b1=hosts("w"))
     made.passes(3 * SECOND)
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -4,7 +4,7 @@
 
 from helpers import CONFIGURATION
 
-from gaproute.appliance.operator import status
+from gaproute.appliance.status import status
 from gaproute.config import ConfigurationError, read_configuration
 from gaproute.loop.streams import address
 from gaproute.peers import word_pb2
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import CONFIGURATION, MILLI, SECOND, gateway, row
 
-from gaproute.appliance.operator import peer_table, status
+from gaproute.appliance.status import peer_table, status
 from gaproute.config import ConfigurationError, read_configuration, read_peers
 from gaproute.decisions.reports.asking import CHUNK
 from gaproute.decisions.reports.lore import Lore
@@ -69,7 +69,7 @@
     made.rest(100 * MILLI)
     assert second.peer_services.observation_fetcher.state["late"] == "asked"
     told = made.gate.peer_services
-    giver = Giver(made.loop, address(late), told.gateway, told.host_history, told.tracks)
+    giver = Giver(made.loop, address(late), told.gateway, told.host_history, told.request_classes)
     made.until(lambda: second.peer_services.observation_fetcher.state["late"].startswith("told"))
     giver.close()
     assert second.peer_services.observation_fetcher.booked
@@ -197,7 +197,7 @@
     second = start("second")
     made.relist(*[f"{row} started 2000" for row in rows])
     made.until(lambda: second.peer_services.host_history.lives()["h0"] == 2000 * SECOND)
-    made.gate.host_list_watch.close()  # the giver's own list is late
+    made.gate.host_list.watch.close()  # the giver's own list is late
     told = Told(version=2)
     told.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
     lore = Lore()
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -9,7 +9,7 @@
 from helpers import MILLI, SECOND, gateway
 
 from gaproute.appliance.observation_writer import MAX_ROWS_PER_WRITE, ObservationWriter
-from gaproute.appliance.operator import knowledge
+from gaproute.appliance.status import warm_instances
 from gaproute.decisions.reports.purse import REST, SLICE
 from gaproute.decisions.reports.roll import Roll
 from gaproute.faultinjection.disk import FaultyDisk
@@ -367,10 +367,10 @@
         return {subject[1] for subject, _, _ in made.store.read(9)}
 
     hosts = {"h1": ("active", 5)}
-    made.roll.listed(clock.now, hosts)
+    made.host_history.listed(clock.now, hosts)
     assert run(SECOND) == {"h1"}
     disk.fails(*OUTAGES[0])
-    made.roll.listed(clock.now + 1, hosts | {"h2": ("active", 6)})
+    made.host_history.listed(clock.now + 1, hosts | {"h2": ("active", 6)})
     assert run(2 * SECOND) == set()
     assert made.store.failed
     disk.fault = None
@@ -390,7 +390,7 @@
     loads = len(made.seen("loaded"))
     second = start("alone", line, listen=False)
     assert second.peer_services.observations.facts
-    assert [row["by"] for row in knowledge(second)] == ["past life"]
+    assert [row["by"] for row in warm_instances(second)] == ["past life"]
     made.at = front(second)
     assert made.wait(made.ask("lamp", "w2")).status == 200
     assert len(made.seen("loaded")) == loads
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -63,7 +63,7 @@
         for source in self.sources:
             for cell, members in lists.items():
                 source.tell(cell, *members)
-        self.lists.want(self.zones)
+        self.lists.set_cells(self.zones)
         self.until(lambda: all(cell in self.told for cell in lists))
 
     def names(self, cell):
