--- a/gaproute/cli/common.py
+++ b/gaproute/cli/common.py
@@ -6,10 +6,10 @@
 from rich.console import Console
 from rich.table import Table
 
-json_option = click.option("--json", "plain", is_flag=True, help="As JSON.")
+json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
 
-def refuse(wrong, what):
+def reject(wrong, what):
     """Tells every mistake, and exits 2."""
     for mistake in wrong.mistakes:
         click.echo(str(mistake), err=True)
--- a/gaproute/cli/playing.py
+++ b/gaproute/cli/experiments.py
@@ -18,7 +18,7 @@
 )
 @click.option("--out", type=click.Path(file_okay=False), help="Folder for taps, logs and result.json.")
 @json_option
-def trial(script, seed, decisions, out, plain):
+def trial(script, seed, decisions, out, as_json):
     """Play the scripted day SCRIPT (a name that comes with the program, or a file) on loopback and judge
     it. A cluster script (docs/cluster.md) that could not be measured in time is void: exit 3."""
     import tempfile
@@ -40,10 +40,10 @@
     else:
         from gaproute.scenarios.run import Trial as Play
         from gaproute.scenarios.tables import show
-    result = Play(told, out, seed, decisions, None if plain else click.echo).run()
+    result = Play(told, out, seed, decisions, None if as_json else click.echo).run()
     if told.cluster is None:
         Path(out, "result.json").write_text(json.dumps(result.plain(), indent=1))
-    if plain:
+    if as_json:
         click.echo(json.dumps(result.plain()))
     else:
         show(result, Console(width=80))
@@ -56,7 +56,7 @@
 @click.option("--seed", default=1, help="Seed of the load's chance.")
 @click.option("--out", type=click.Path(dir_okay=False), help="File for the result.")
 @json_option
-def load(script, seed, out, plain):
+def load(script, seed, out, as_json):
     """Play the load SCRIPT (docs/load.md) against its targets. Exits 1 where a task did not end well."""
     from gaproute.load import Crowd, read_load
     from gaproute.load.results import write_result
@@ -68,7 +68,7 @@
         click.echo(str(wrong), err=True)
         sys.exit(2)
     loop = Loop()
-    crowd = Crowd(loop, told, seed, None if plain else lambda text: click.echo(text, err=True))
+    crowd = Crowd(loop, told, seed, None if as_json else lambda text: click.echo(text, err=True))
     loop.run(until=loop.spawn(crowd.play()).done)
     if out:
         write_result(out, told, seed, crowd.tallies, crowd.counts)
@@ -80,7 +80,7 @@
         }
         for name, tally in crowd.tallies.items()
     ]
-    if plain:
+    if as_json:
         click.echo(json.dumps({"traffic": rows, "counts": dict(crowd.counts)}))
     else:
         show_load(rows)
@@ -91,7 +91,7 @@
 @click.command("load-report")
 @click.argument("results", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @json_option
-def load_report(results, plain):
+def load_report(results, as_json):
     """The results of one or more loads side by side."""
     from gaproute.load import compare
 
@@ -100,7 +100,7 @@
     except (OSError, ValueError) as fault:
         click.echo(str(fault), err=True)
         sys.exit(2)
-    click.echo(json.dumps(rows)) if plain else show_load(rows)
+    click.echo(json.dumps(rows)) if as_json else show_load(rows)
 
 
 def show_load(rows):
--- a/gaproute/cli/main.py
+++ b/gaproute/cli/main.py
@@ -4,20 +4,20 @@
 
 import click
 
-from gaproute.cli import asking, playing, serving
+from gaproute.cli import experiments, queries, serving
 
 COMMANDS = (
     serving.serve,
     serving.check,
     serving.migrate,
-    asking.status,
-    asking.hosts,
-    asking.knows,
-    asking.peers,
-    playing.trial,
-    playing.load,
-    playing.load_report,
-    playing.day_script,
+    queries.status,
+    queries.hosts,
+    queries.knows,
+    queries.peers,
+    experiments.trial,
+    experiments.load,
+    experiments.load_report,
+    experiments.day_script,
 )
 
 
--- a/gaproute/cli/asking.py
+++ b/gaproute/cli/queries.py
@@ -32,10 +32,10 @@
         sys.exit(3)
 
 
-def listing(where, path, plain, columns, cells):
+def listing(where, path, as_json, columns, cells):
     """What the operator address tells at the path: as JSON, or a row of `cells(each)` for each."""
     told = ask(where, path)
-    if plain:
+    if as_json:
         click.echo(json.dumps(told))
     else:
         show_table(columns, map(cells, told))
@@ -44,10 +44,10 @@
 @click.command()
 @at_option
 @json_option
-def status(where, plain):
+def status(where, as_json):
     """What a running gateway holds and has answered. Exits 1 where it is not ready."""
     told = ask(where, b"/status")
-    if plain:
+    if as_json:
         click.echo(json.dumps(told))
     else:
         state = "stopping" if told["stopping"] else "ready" if told["ready"] else "not ready: no active host"
@@ -71,12 +71,12 @@
 @click.command()
 @at_option
 @json_option
-def hosts(where, plain):
+def hosts(where, as_json):
     """The hosts that a running gateway knows."""
     listing(
         where,
         b"/hosts",
-        plain,
+        as_json,
         ("host", "address", "state", "capacity", "connections", "relays by outcome"),
         lambda host: (
             host["name"],
@@ -92,12 +92,12 @@
 @click.command()
 @at_option
 @json_option
-def knows(where, plain):
+def knows(where, as_json):
     """The copies that a running gateway believes to stand, the latest use first."""
     listing(
         where,
         b"/knows",
-        plain,
+        as_json,
         ("host", "function", "last use", "known by"),
         lambda copy: (
             copy["worker"],
@@ -111,7 +111,7 @@
 @click.command()
 @at_option
 @json_option
-def peers(where, plain):
+def peers(where, as_json):
     """The other gateways that a running one knows: who is up, and what each told at the start."""
 
     def cells(peer):
@@ -128,7 +128,7 @@
     listing(
         where,
         b"/peers",
-        plain,
+        as_json,
         ("gateway", "address", "state", "for", "last heard", "told at the start"),
         cells,
     )
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -6,7 +6,7 @@
 
 import click
 
-from gaproute.cli.common import refuse
+from gaproute.cli.common import reject
 from gaproute.config import (
     ConfigurationError,
     NotDurableError,
@@ -24,13 +24,13 @@
 from gaproute.loop.starting import Patience
 
 
-def configuration_of(file, whole=False):
+def load_configuration(file, whole=False):
     """The configuration of a file, or exit 2. `whole`: the files of its cells are read as well; a gateway
     starts without them and waits."""
     try:
         return Patience().call(lambda: _read(file, whole))
     except ConfigurationError as wrong:
-        refuse(wrong, "nothing of it is used")
+        reject(wrong, "nothing of it is used")
 
 
 def _read(file, whole):
@@ -44,7 +44,7 @@
     return configuration
 
 
-def given(patience, step, failed="cannot start"):
+def attempt(patience, step, failed="cannot start"):
     """What a step of the start returns, or exit 3 where the operating system does not let it."""
     try:
         return patience.call(step)
@@ -64,11 +64,11 @@
 def serve(file, seed, processes, seat, inherited, life, ready):
     """Run a gateway by the configuration FILE until SIGTERM; with --processes several, under one parent that
     starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
-    configuration, patience = configuration_of(file), Patience()
+    configuration, patience = load_configuration(file), Patience()
     if processes is not None:
         from gaproute.appliance.parent import Parent
 
-        runs = Parent(file, configuration, processes, seed, loop=given(patience, Loop))
+        runs = Parent(file, configuration, processes, seed, loop=attempt(patience, Loop))
     else:
         from gaproute.appliance import Appliance
 
@@ -78,9 +78,9 @@
             sockets[where] = socket.socket(fileno=int(fd))
         if seat is not None:
             configuration.assign_process_slot(*seat)
-        runs = Appliance(configuration, loop=given(patience, Loop), seed=seed, inherited=sockets)
-        given(patience, runs.handle_signals)
-    given(patience, runs.start, "cannot listen")
+        runs = Appliance(configuration, loop=attempt(patience, Loop), seed=seed, inherited=sockets)
+        attempt(patience, runs.handle_signals)
+    attempt(patience, runs.start, "cannot listen")
     if life is not None:
         runs.attach_to_parent(life, ready)
     gc.collect()
@@ -93,7 +93,7 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def check(file):
     """Check the configuration FILE and the files that it names; every mistake in one go."""
-    configuration = configuration_of(file, whole=True)
+    configuration = load_configuration(file, whole=True)
     click.echo(
         f"{file}: well: {len(configuration.tracks)} tracks, {len(configuration.models)} models, "
         f"{len(configuration.hosts) or 'listed'} hosts"
@@ -119,7 +119,7 @@
         texts = [read_text(file) for file in (old, shape)]
         text, left = migrate_configuration(old, texts[0], shape, texts[1], new)
     except ConfigurationError as wrong:
-        refuse(wrong, "nothing is written")
+        reject(wrong, "nothing is written")
     if dry_run:
         click.echo(text, nl=False)
     else:
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -13,7 +13,7 @@
 import pytest
 from helpers import CONFIGURATION, SECOND
 
-from gaproute.cli.asking import ask
+from gaproute.cli.queries import ask
 from gaproute.config import read_configuration
 from gaproute.decisions.admission.restarts import APART, FIRST, MOST, SPREAD, WELL, Restarts
 from gaproute.decisions.chance import Chance
