--- a/gaproute/cli/common.py
+++ b/gaproute/cli/common.py
@@ -1,23 +1,43 @@
-"""What several commands share: how mistakes are told, tables, the options of more than one command."""
+"""What several commands share: exit codes, errors for a person, tables, the options of more than one."""
 
 import sys
+from collections.abc import Iterable, Sequence
+from enum import IntEnum
+from typing import NoReturn
 
 import click
 from rich.console import Console
 from rich.table import Table
 
+from gaproute.config import ConfigurationError
+
 json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
 
-def reject(wrong, what):
-    """Tells every mistake, and exits 2."""
-    for mistake in wrong.mistakes:
+class ExitCode(IntEnum):
+    """What a command ends with."""
+
+    OK = 0
+    NOT_WELL = 1  # what was asked about: a broken rule, a gateway that is not ready
+    WRONG_INPUT = 2  # arguments or configuration
+    IMPOSSIBLE = 3  # it could not be done
+
+
+def fail(message: str, code: ExitCode = ExitCode.WRONG_INPUT) -> NoReturn:
+    """Ends the command with the message."""
+    click.echo(message, err=True)
+    sys.exit(code)
+
+
+def reject(error: ConfigurationError, consequence: str) -> NoReturn:
+    """Ends the command with every mistake, and what follows of them."""
+    for mistake in error.mistakes:
         click.echo(str(mistake), err=True)
-    click.echo(f"{len(wrong.mistakes)} mistake{'s' * (len(wrong.mistakes) != 1)}; {what}", err=True)
-    sys.exit(2)
+    count = len(error.mistakes)
+    fail(f"{count} mistake{'' if count == 1 else 's'}; {consequence}")
 
 
-def show_table(columns, rows):
+def show_table(columns: Sequence[str], rows: Iterable[Iterable[str]]) -> None:
     """Prints rows of texts under their columns' names."""
     table = Table()
     for column in columns:
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -1,14 +1,31 @@
-"""Commands that play: scripted days on loopback, and load against a gateway."""
+"""Commands that play: scripted days on loopback, and load against a gateway.
+
+What they play with is imported by each of them: the other commands should not wait for it.
+"""
+
+from __future__ import annotations
 
 import json
 import sys
+import tempfile
+from collections.abc import Callable
+from pathlib import Path
+from typing import IO, TYPE_CHECKING, Any
 
 import click
 from rich.console import Console
 
-from gaproute.cli.common import json_option, show_table
+from gaproute.cli.common import ExitCode, fail, json_option, show_table
 from gaproute.config import ConfigurationError
 
+if TYPE_CHECKING:
+    from gaproute.load import Crowd
+
+WIDTH = 80  # columns of a verdict
+DELIVERED = "delivered"  # the one end of a request that is well
+
+Row = dict[str, Any]
+
 
 @click.command()
 @click.argument("script", default="bad-day")
@@ -18,37 +35,45 @@
 )
 @click.option("--out", type=click.Path(file_okay=False), help="Folder for taps, logs and result.json.")
 @json_option
-def trial(script, seed, decisions, out, as_json):
+def trial(script: str, seed: int, decisions: str, out: str | None, as_json: bool) -> None:
     """Play the scripted day SCRIPT (a name that comes with the program, or a file) on loopback and judge
     it. A cluster script (docs/cluster.md) that could not be measured in time is void: exit 3."""
-    import tempfile
-    from pathlib import Path
-
     from gaproute.cluster.script import read_script
 
     try:
-        told = read_script(script)
-    except ConfigurationError as wrong:
-        click.echo(str(wrong), err=True)
-        sys.exit(2)
+        parsed = read_script(script)
+    except ConfigurationError as error:
+        fail(str(error))
     out = out or tempfile.mkdtemp(prefix="gaproute-trial-")
-    if told.cluster is not None:
-        from gaproute.cluster.platform.play import player
-        from gaproute.cluster.show import show
-
-        Play = player(told)
-    else:
-        from gaproute.scenarios.run import Trial as Play
-        from gaproute.scenarios.tables import show
-    result = Play(told, out, seed, decisions, None if as_json else click.echo).run()
-    if told.cluster is None:
+    is_cluster = parsed.cluster is not None
+    play, show = _cluster_play(parsed) if is_cluster else _day_play()
+    result = play(parsed, out, seed, decisions, None if as_json else click.echo).run()
+    if not is_cluster:
         Path(out, "result.json").write_text(json.dumps(result.plain(), indent=1))
     if as_json:
         click.echo(json.dumps(result.plain()))
     else:
-        show(result, Console(width=80))
+        show(result, Console(width=WIDTH))
         click.echo(f"all of it: {out}")
-    sys.exit(0 if result.well else 3 if told.cluster is not None and result.void else 1)
+    if result.well:
+        sys.exit(ExitCode.OK)
+    sys.exit(ExitCode.IMPOSSIBLE if is_cluster and result.void else ExitCode.NOT_WELL)
+
+
+def _cluster_play(parsed: Any) -> tuple[Callable[..., Any], Callable[..., None]]:
+    """What plays a cluster script, and what shows its verdict."""
+    from gaproute.cluster.platform.play import player
+    from gaproute.cluster.show import show
+
+    return player(parsed), show
+
+
+def _day_play() -> tuple[Callable[..., Any], Callable[..., None]]:
+    """The same of a scripted day."""
+    from gaproute.scenarios.run import Trial
+    from gaproute.scenarios.tables import show
+
+    return Trial, show
 
 
 @click.command()
@@ -56,62 +81,73 @@
 @click.option("--seed", default=1, help="Seed of the load's chance.")
 @click.option("--out", type=click.Path(dir_okay=False), help="File for the result.")
 @json_option
-def load(script, seed, out, as_json):
+def load(script: str, seed: int, out: str | None, as_json: bool) -> None:
     """Play the load SCRIPT (docs/load.md) against its targets. Exits 1 where a task did not end well."""
     from gaproute.load import Crowd, read_load
     from gaproute.load.results import write_result
     from gaproute.loop import Loop
 
     try:
-        told = read_load(script)
-    except ConfigurationError as wrong:
-        click.echo(str(wrong), err=True)
-        sys.exit(2)
+        parsed = read_load(script)
+    except ConfigurationError as error:
+        fail(str(error))
     loop = Loop()
-    crowd = Crowd(loop, told, seed, None if as_json else lambda text: click.echo(text, err=True))
+    crowd = Crowd(loop, parsed, seed, None if as_json else _echo_progress)
     loop.run(until=loop.spawn(crowd.play()).done)
     if out:
-        write_result(out, told, seed, crowd.tallies, crowd.counts)
-    rows = [
+        write_result(out, parsed, seed, crowd.tallies, crowd.counts)
+    rows = _load_rows(crowd)
+    if as_json:
+        click.echo(json.dumps({"traffic": rows, "counts": dict(crowd.counts)}))
+    else:
+        _show_load(rows)
+        click.echo(", ".join(f"{what}: {count}" for what, count in sorted(crowd.counts.items())))
+    sys.exit(ExitCode.NOT_WELL if any(row["not well"] for row in rows) else ExitCode.OK)
+
+
+def _echo_progress(text: str) -> None:
+    click.echo(text, err=True)
+
+
+def _load_rows(crowd: Crowd) -> list[Row]:
+    """The figures of each traffic."""
+    return [
         {
             "traffic": name,
             **tally.figures(),
-            "not well": {end: count for end, count in tally.ends.items() if end != "delivered"},
+            "not well": {end: count for end, count in tally.ends.items() if end != DELIVERED},
         }
         for name, tally in crowd.tallies.items()
     ]
-    if as_json:
-        click.echo(json.dumps({"traffic": rows, "counts": dict(crowd.counts)}))
-    else:
-        show_load(rows)
-        click.echo(", ".join(f"{what}: {count}" for what, count in sorted(crowd.counts.items())))
-    sys.exit(0 if all(not row["not well"] for row in rows) else 1)
 
 
 @click.command("load-report")
 @click.argument("results", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @json_option
-def load_report(results, as_json):
+def load_report(results: tuple[str, ...], as_json: bool) -> None:
     """The results of one or more loads side by side."""
     from gaproute.load import compare
 
     try:
         rows = compare(results)
-    except (OSError, ValueError) as fault:
-        click.echo(str(fault), err=True)
-        sys.exit(2)
-    click.echo(json.dumps(rows)) if as_json else show_load(rows)
+    except (OSError, ValueError) as error:
+        fail(str(error))
+    if as_json:
+        click.echo(json.dumps(rows))
+    else:
+        _show_load(rows)
 
 
-def show_load(rows):
+def _show_load(rows: list[Row]) -> None:
     """Prints a load's rows as a table."""
+    columns = list(rows[0]) if rows else []
+    show_table(columns, (map(_load_cell, row.values()) for row in rows))
 
-    def cell(value):
-        if isinstance(value, dict):
-            return ", ".join(f"{key} {n}" for key, n in value.items())
-        return f"{value:g}" if isinstance(value, float) else str(value)
 
-    show_table(rows[0] if rows else (), (map(cell, row.values()) for row in rows))
+def _load_cell(value: Any) -> str:
+    if isinstance(value, dict):
+        return ", ".join(f"{key} {count}" for key, count in value.items())
+    return f"{value:g}" if isinstance(value, float) else str(value)
 
 
 @click.command("day-script")
@@ -119,15 +155,14 @@
 @click.option("--hosts", default=9)
 @click.option("--gateways", default=3)
 @click.option("--scale", default=1.0, help="Shortens all times.")
-def day_script(day, hosts, gateways, scale):
+def day_script(day: IO[str], hosts: int, gateways: int, scale: float) -> None:
     """Print a trial script with the troubles of a bench's DAY file (JSON)."""
     from gaproute.scenarios.daybook import script_of
 
     try:
         text, left_out = script_of(json.load(day), hosts, gateways, scale)
-    except (ValueError, KeyError, TypeError) as fault:
-        click.echo(f"{day.name}: no day file: {fault!r}", err=True)
-        sys.exit(2)
+    except (ValueError, KeyError, TypeError) as error:
+        fail(f"{day.name}: no day file: {error!r}")
     click.echo(text, nl=False)
     for kind in left_out:
         click.echo(f"left out: {kind} has no counterpart on sockets", err=True)
--- a/gaproute/cli/main.py
+++ b/gaproute/cli/main.py
@@ -1,15 +1,14 @@
-"""`gaproute serve|check|migrate|status|hosts|knows|peers|trial|day-script`. Exit codes: 0 well, 1 the thing
-asked about is not well (a broken rule, a gateway that is not ready), 2 wrong arguments or configuration, 3 it
-could not be done."""
+"""The group of all commands. The exit codes are those of `ExitCode`: 0 well, 1 the thing asked about is not
+well, 2 wrong arguments or configuration, 3 it could not be done."""
 
 import click
 
-from gaproute.cli import experiments, queries, serving
+from gaproute.cli import experiments, migration, queries, serving
 
 COMMANDS = (
     serving.serve,
     serving.check,
-    serving.migrate,
+    migration.migrate,
     queries.status,
     queries.hosts,
     queries.knows,
@@ -23,7 +22,7 @@
 
 @click.group()
 @click.version_option("0.2.0")
-def main():
+def main() -> None:
     """A gateway that runs calls on workers which load functions or models on demand."""
 
 
--- /dev/null
+++ b/gaproute/cli/migration.py
@@ -0,0 +1,54 @@
+"""The command that moves a configuration to another deployment."""
+
+import sys
+
+import click
+
+from gaproute.cli.common import ExitCode, fail, reject
+from gaproute.config import ConfigurationError, NotDurableError, read_text, write_whole
+from gaproute.config import migrate as migrate_configuration
+
+
+@click.command()
+@click.argument("old", type=click.Path(dir_okay=False))
+@click.argument("new", type=click.Path(dir_okay=False))
+@click.option(
+    "--shape",
+    required=True,
+    type=click.Path(dir_okay=False),
+    help="What the new deployment states, as lines of a configuration.",
+)
+@click.option("--dry-run", is_flag=True, help="Print the result; write nothing.")
+@click.option("--replace", is_flag=True, help="Write NEW even where such a file stands.")
+def migrate(old: str, new: str, shape: str, dry_run: bool, replace: bool) -> None:
+    """Write NEW, the counterpart of the configuration OLD for a deployment of another shape, and tell each
+    line that could not be carried over. Exits 0 with all carried over, 1 with lines left behind, 2 where it
+    is refused."""
+    try:
+        text, left_behind = migrate_configuration(old, read_text(old), shape, read_text(shape), new)
+    except ConfigurationError as error:
+        reject(error, "nothing is written")
+    if dry_run:
+        click.echo(text, nl=False)
+    else:
+        _write(new, text, (old, shape), replace=replace)
+    for line in left_behind:
+        click.echo(str(line), err=True)
+    done = "nothing is written" if dry_run else f"written: {new}"
+    click.echo(f"{len(left_behind)} left behind; {done}", err=True)
+    sys.exit(ExitCode.NOT_WELL if left_behind else ExitCode.OK)
+
+
+def _write(path: str, text: str, preserved: tuple[str, ...], *, replace: bool) -> None:
+    """Writes the file, or ends the command with what to do about it."""
+    try:
+        write_whole(path, text, replace=replace, preserved=preserved)
+    except FileExistsError:
+        fail(f"{path}: stands already; name another file or say --replace; nothing is written")
+    except NotDurableError as error:
+        fail(
+            f"{path}: written, but a crash of the machine may undo it ({error.strerror}); "
+            "write it again with --replace"
+        )
+    except OSError as error:
+        fail(f"{path}: {error.strerror}; name a file that can be written; nothing is written")
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -1,149 +1,139 @@
-"""Commands about a configuration file: run a gateway by it, check it, move it to another deployment."""
+"""Commands about a configuration file: run a gateway by it, check it."""
+
+from __future__ import annotations
 
 import gc
 import socket
-import sys
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING, TypeVar
 
 import click
 
-from gaproute.cli.common import reject
-from gaproute.config import (
-    ConfigurationError,
-    NotDurableError,
-    read_configuration,
-    read_hosts,
-    read_peers,
-    read_text,
-    write_whole,
-)
-from gaproute.config import (
-    migrate as migrate_configuration,
-)
+from gaproute.cli.common import ExitCode, fail, reject
+from gaproute.config import ConfigurationError, read_configuration, read_hosts, read_peers
 from gaproute.config.cell_files import check_cells
+from gaproute.config.configuration import Configuration
 from gaproute.loop import Loop
 from gaproute.loop.starting import Patience
 
+if TYPE_CHECKING:
+    from gaproute.appliance import Appliance
+
+MAX_PROCESSES = 64
+GC_THRESHOLDS = (10_000, 50, 100)  # a request leaves no cycles behind
 
-def load_configuration(file, whole=False):
-    """The configuration of a file, or exit 2. `whole`: the files of its cells are read as well; a gateway
-    starts without them and waits."""
+Result = TypeVar("Result")
+
+
+def load_configuration(file: str, *, with_cells: bool = False) -> Configuration:
+    """The configuration of a file; ends the command where it cannot be used.
+
+    `with_cells`: the files of its cells are read as well; a gateway starts without them and waits.
+    """
     try:
-        return Patience().call(lambda: _read(file, whole))
-    except ConfigurationError as wrong:
-        reject(wrong, "nothing of it is used")
+        configuration: Configuration = Patience().call(lambda: _read(file, with_cells=with_cells))
+    except ConfigurationError as error:
+        reject(error, "nothing of it is used")
+    return configuration
 
 
-def _read(file, whole):
+def _read(file: str, *, with_cells: bool) -> Configuration:
+    """Raises `ConfigurationError` for any of the files."""
     configuration = read_configuration(file)
     if configuration.hosts_file is not None:
         read_hosts(configuration.hosts_file.path)
     if configuration.peers_file is not None:
         read_peers(configuration.peers_file.path)
-    if whole and configuration.cells is not None:
+    if with_cells and configuration.cells is not None:
         check_cells(configuration)
     return configuration
 
 
-def attempt(patience, step, failed="cannot start"):
-    """What a step of the start returns, or exit 3 where the operating system does not let it."""
+def attempt(patience: Patience, step: Callable[[], Result], failed: str = "cannot start") -> Result:
+    """What a step of the start returns; ends the command where the operating system does not let it."""
     try:
-        return patience.call(step)
-    except OSError as fault:
-        click.echo(f"{failed}: {fault}", err=True)
-        sys.exit(3)
+        result: Result = patience.call(step)
+    except OSError as error:
+        fail(f"{failed}: {error}", ExitCode.IMPOSSIBLE)
+    return result
 
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--seed", type=int, help="Seed of the decisions' chance; drawn at start where not given.")
-@click.option("--processes", type=click.IntRange(1, 64), help="So many gateways behind the same addresses.")
-@click.option("--seat", type=(int, int), hidden=True)
+@click.option(
+    "--processes",
+    type=click.IntRange(1, MAX_PROCESSES),
+    help="So many gateways behind the same addresses.",
+)
+@click.option("--seat", "process_slot", type=(int, int), hidden=True)
 @click.option("--inherited", multiple=True, hidden=True)
-@click.option("--life", type=int, hidden=True)
-@click.option("--ready", type=int, hidden=True)
-def serve(file, seed, processes, seat, inherited, life, ready):
+@click.option("--life", "liveness_pipe", type=int, hidden=True)
+@click.option("--ready", "ready_pipe", type=int, hidden=True)
+def serve(
+    file: str,
+    seed: int | None,
+    processes: int | None,
+    process_slot: tuple[int, int] | None,
+    inherited: tuple[str, ...],
+    liveness_pipe: int | None,
+    ready_pipe: int | None,
+) -> None:
     """Run a gateway by the configuration FILE until SIGTERM; with --processes several, under one parent that
     starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
     configuration, patience = load_configuration(file), Patience()
     if processes is not None:
-        from gaproute.appliance.parent import Parent
-
-        runs = Parent(file, configuration, processes, seed, loop=attempt(patience, Loop))
-    else:
-        from gaproute.appliance import Appliance
-
-        sockets = {}
-        for each in inherited:
-            fd, _, where = each.partition("=")
-            sockets[where] = socket.socket(fileno=int(fd))
-        if seat is not None:
-            configuration.assign_process_slot(*seat)
-        runs = Appliance(configuration, loop=attempt(patience, Loop), seed=seed, inherited=sockets)
-        attempt(patience, runs.handle_signals)
-    attempt(patience, runs.start, "cannot listen")
-    if life is not None:
-        runs.attach_to_parent(life, ready)
+        _serve_by_children(patience, file, configuration, processes, seed)
+        return
+    if process_slot is not None:
+        configuration.assign_process_slot(*process_slot)
+    appliance = _make_appliance(patience, configuration, seed, inherited)
+    attempt(patience, appliance.start, "cannot listen")
+    if liveness_pipe is not None and ready_pipe is not None:
+        appliance.attach_to_parent(liveness_pipe, ready_pipe)
+    _tune_garbage_collection()
+    appliance.run()
+
+
+def _serve_by_children(
+    patience: Patience, file: str, configuration: Configuration, processes: int, seed: int | None
+) -> None:
+    from gaproute.appliance.parent import Parent  # here, as most commands need neither program
+
+    parent = Parent(file, configuration, processes, seed, loop=attempt(patience, Loop))
+    attempt(patience, parent.start, "cannot listen")
+    _tune_garbage_collection()
+    parent.run()
+
+
+def _make_appliance(
+    patience: Patience, configuration: Configuration, seed: int | None, inherited: Iterable[str]
+) -> Appliance:
+    """The gateway, with its signals handled. `inherited`: `DESCRIPTOR=ADDRESS` of sockets that listen."""
+    from gaproute.appliance import Appliance
+
+    sockets = {}
+    for text in inherited:
+        descriptor, _, where = text.partition("=")
+        sockets[where] = socket.socket(fileno=int(descriptor))
+    loop = attempt(patience, Loop)
+    appliance = Appliance(configuration, loop=loop, seed=seed, inherited=sockets)
+    attempt(patience, appliance.handle_signals)
+    return appliance
+
+
+def _tune_garbage_collection() -> None:
     gc.collect()
-    gc.freeze()  # what stands for good is not looked through again and again: pauses of 20 ms and more
-    gc.set_threshold(10_000, 50, 100)  # a task leaves no cycles behind
-    runs.run()
+    gc.freeze()  # what stays for good is not looked through again and again: pauses of 20 ms and more
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-def check(file):
+def check(file: str) -> None:
     """Check the configuration FILE and the files that it names; every mistake in one go."""
-    configuration = load_configuration(file, whole=True)
+    configuration = load_configuration(file, with_cells=True)
     click.echo(
         f"{file}: well: {len(configuration.tracks)} tracks, {len(configuration.models)} models, "
         f"{len(configuration.hosts) or 'listed'} hosts"
     )
-
-
-@click.command()
-@click.argument("old", type=click.Path(dir_okay=False))
-@click.argument("new", type=click.Path(dir_okay=False))
-@click.option(
-    "--shape",
-    required=True,
-    type=click.Path(dir_okay=False),
-    help="What the new deployment states, as lines of a configuration.",
-)
-@click.option("--dry-run", is_flag=True, help="Print the result; write nothing.")
-@click.option("--replace", is_flag=True, help="Write NEW even where such a file stands.")
-def migrate(old, new, shape, dry_run, replace):
-    """Write NEW, the counterpart of the configuration OLD for a deployment of another shape, and tell each
-    line that could not be carried over. Exits 0 with all carried over, 1 with lines left behind, 2 where it
-    is refused."""
-    try:
-        texts = [read_text(file) for file in (old, shape)]
-        text, left = migrate_configuration(old, texts[0], shape, texts[1], new)
-    except ConfigurationError as wrong:
-        reject(wrong, "nothing is written")
-    if dry_run:
-        click.echo(text, nl=False)
-    else:
-        try:
-            write_whole(new, text, replace=replace, preserved=(old, shape))
-        except FileExistsError:
-            click.echo(
-                f"{new}: stands already; name another file or say --replace; nothing is written", err=True
-            )
-            sys.exit(2)
-        except NotDurableError as fault:
-            click.echo(
-                f"{new}: written, but a crash of the machine may undo it ({fault.strerror}); "
-                "write it again with --replace",
-                err=True,
-            )
-            sys.exit(2)
-        except OSError as fault:
-            click.echo(
-                f"{new}: {fault.strerror}; name a file that can be written; nothing is written", err=True
-            )
-            sys.exit(2)
-    for each in left:
-        click.echo(str(each), err=True)
-    done = "nothing is written" if dry_run else f"written: {new}"
-    click.echo(f"{len(left)} left behind; {done}", err=True)
-    sys.exit(1 if left else 0)
