--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -11,7 +11,7 @@
 from gaproute.config.cell_files import first_clash, path_of, read_cell_hosts, zone_mistakes
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
 from gaproute.config.errors import Mistake
-from gaproute.discovery.listing import FileWatch
+from gaproute.discovery.file_watch import FileWatch
 from gaproute.loop import Loop
 
 Lists = dict[str, list[HostLine]]  # by cell
--- a/gaproute/appliance/cell_rows.py
+++ b/gaproute/appliance/cell_rows.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from gaproute.config.directives.fleet import HostLine
-from gaproute.discovery.listing import Listing
-from gaproute.hosts.rows import Row
+from gaproute.discovery.host_lines import HostLineConverter
+from gaproute.hosts.endpoints import Endpoint
 from gaproute.loop import Loop
 
 
@@ -13,7 +13,7 @@
     """A line of a list, and the row that was made of it."""
 
     line: HostLine
-    row: Row
+    row: Endpoint
 
 
 class CellList(NamedTuple):
@@ -22,14 +22,14 @@
     zone: str
     lines: list[HostLine]
     by_host: dict[str, LineRow]
-    rows: list[Row]
+    rows: list[Endpoint]
 
 
 class CellRows:
     """The rows of the lists in force. `sizes`: whether the capacities of the lines count."""
 
     def __init__(self, loop: Loop, sizes: bool) -> None:
-        self.listing = Listing(loop, sizes=sizes)
+        self.listing = HostLineConverter(loop, use_capacities=sizes)
         self.lists: dict[str, CellList] = {}  # by cell
 
     def of(
@@ -37,7 +37,7 @@
         lists: Mapping[str, list[HostLine]],
         zones: Mapping[str, str],
         current_at: Mapping[str, int | None] | None = None,
-    ) -> dict[str, list[Row]]:
+    ) -> dict[str, list[Endpoint]]:
         """{cell: rows} of {cell: lines}; a host whose line names no zone is in that of its cell.
 
         `current_at`: {cell: when its list before was last known to be in force, ns of the loop's clock}.
@@ -47,7 +47,7 @@
             cell: self._list_of(cell, lines, zones[cell], current_at.get(cell))
             for cell, lines in lists.items()
         }
-        self.listing.forget_others([line for lines in lists.values() for line in lines])
+        self.listing.retain([line for lines in lists.values() for line in lines])
         return {cell: cell_list.rows for cell, cell_list in self.lists.items()}
 
     def _list_of(self, cell: str, lines: list[HostLine], zone: str, current_at: int | None) -> CellList:
@@ -62,4 +62,4 @@
     def _row(self, line: HostLine, zone: str, known: LineRow | None, absent_at: int | None) -> LineRow:
         if known is not None and (known.line is line or known.line == line):
             return known
-        return LineRow(line, self.listing.row(line, zone, absent_at))
+        return LineRow(line, self.listing.endpoint(line, zone, absent_at))
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.cells.change import TableChange
 from gaproute.decisions.cells.errors import OtherFleetError, StaleVersionError, TableError
 from gaproute.decisions.cells.table import CellTable
-from gaproute.discovery.listing import FileWatch
+from gaproute.discovery.file_watch import FileWatch
 from gaproute.loop import Loop
 from gaproute.peers.tables import TableCarrier
 from gaproute.shared.dissemination import DocumentError
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -19,11 +19,11 @@
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.decisions.routing import Gateway
-from gaproute.discovery.cell_members import Refused
+from gaproute.discovery.cell_members import RejectedMember
 from gaproute.fronts.kserve.entry import EntryFront
-from gaproute.hosts.entries import CellHosts, Entries
-from gaproute.hosts.fleet import Reach
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.entry_gateways import CellHostClient, EntryGateways
+from gaproute.hosts.kserve.client import ClientSettings
 from gaproute.loop import Loop
 from gaproute.loop.loop import Timer
 from gaproute.peers.tables import TableCarrier
@@ -52,9 +52,9 @@
         configuration: Configuration,
         record: Record,
         seed: int,
-        reach: Reach,
+        reach: ClientSettings,
         run: str,
-        hosts_changed: Callable[[Sequence[Row]], None],
+        hosts_changed: Callable[[Sequence[Endpoint]], None],
     ) -> None:
         """`run`: the name of this run of the process. Raises ValueError without cells configured."""
         if configuration.cells is None or configuration.cell_hosts is None:
@@ -66,8 +66,8 @@
         location = GatewayLocation(configuration.name, self.line.region, self.line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), location)
         self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
-        self.hosts = CellHosts(loop, Pooling(), reach, configuration.name)
-        self.entries = Entries(loop, reach, configuration.name)
+        self.hosts = CellHostClient(loop, Pooling(), reach, configuration.name)
+        self.entries = EntryGateways(loop, reach, configuration.name)
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
         )
@@ -83,7 +83,7 @@
 
         Returns the front of those requests.
         """
-        server = peer_services.observation_server
+        server = peer_services.peer_server
         if server is None:
             raise ValueError("the address of the peers is not listened on")
         front = EntryFront(self.loop, server.server, self.core, self.configuration, ready, self._load_report)
@@ -163,7 +163,7 @@
     def _table_adopted(self, table: CellTable) -> None:
         now = self.loop.now()
         self.gateway.adopt(now, table)
-        self.entries.adopt(table)
+        self.entries.apply_table(table)
         self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
         self._follow_wanted_cells()
         self.core.begin_housekeeping(now)
@@ -214,7 +214,7 @@
         for mistake in mistakes:
             self.record.event("error", "host list refused", cell=cell, mistake=str(mistake))
 
-    def _members_rejected(self, cell: str, count: int, members: Sequence[Refused]) -> None:
+    def _members_rejected(self, cell: str, count: int, members: Sequence[RejectedMember]) -> None:
         self.members_rejected += count
         for host, reason in members:
             self.record.event("error", "cell host refused", cell=cell, host=host, mistake=reason)
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -11,9 +11,9 @@
 
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
 from gaproute.decisions.cells.bounds import MAX_HOSTS
-from gaproute.discovery.cell_members import CellMembers, Refused
-from gaproute.discovery.cells_in_force import CellsInForce
-from gaproute.discovery.changelog.cell import CellFollower, path_of
+from gaproute.discovery.cell_members import CellMembers, RejectedMember
+from gaproute.discovery.cell_reconciler import CellReconciler
+from gaproute.discovery.changelog.cell_watcher import CellWatcher, cell_path
 from gaproute.discovery.changelog.events import Event
 from gaproute.loop import Loop
 from gaproute.loop.loop import Timer
@@ -29,7 +29,7 @@
 class FollowedCell:
     """One cell: who follows its log, what that told, and which rejections were logged."""
 
-    follower: CellFollower  # set as soon as it is made: it may call back while it is
+    follower: CellWatcher  # set as soon as it is made: it may call back while it is
 
     def __init__(self) -> None:
         self.members = CellMembers()
@@ -38,7 +38,7 @@
         self.logged, self.connection = 0, 0  # rejections logged, and of which connection
         self.failing = False
 
-    def to_log(self, rejected: Sequence[Refused]) -> Sequence[Refused]:
+    def to_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
         """Those of the rejected members that are to be logged: once each, and so many for a connection."""
         unlogged = [member for member in rejected if self.rejected.get(member.host) != member.reason]
         if len(self.rejected) + len(unlogged) > MAX_HOSTS:
@@ -46,10 +46,10 @@
         self.rejected.update(unlogged[:MAX_HOSTS])
         return self.within_limit(unlogged)
 
-    def within_limit(self, rejected: Sequence[Refused]) -> Sequence[Refused]:
+    def within_limit(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
         """As many as may still be logged for this connection."""
-        if self.connection != self.follower.asked:
-            self.connection, self.logged = self.follower.asked, 0
+        if self.connection != self.follower.connection_count:
+            self.connection, self.logged = self.follower.connection_count, 0
         allowed = rejected[: MAX_LOGGED_REJECTIONS - self.logged]
         self.logged += len(allowed)
         return allowed
@@ -72,7 +72,7 @@
         fleet: str,
         line: CellHostsLine,
         on_change: Callable[[Lists], None],
-        on_rejected: Callable[[str, int, Sequence[Refused]], None],
+        on_rejected: Callable[[str, int, Sequence[RejectedMember]], None],
         on_source: Callable[[str, str | None], None],
         chance: RandomSource,
     ) -> None:
@@ -82,7 +82,7 @@
         self.zones: dict[str, str] = {}  # by cell
         self.in_force: Lists = {}
         self.followed: dict[str, FollowedCell] = {}  # by cell
-        self.cells_in_force = CellsInForce()
+        self.cells_in_force = CellReconciler()
         self.timer: Timer | None = None
         self.pending = False  # events came that are not in force yet
         loop.on_late.append(self._take_in_late)
@@ -111,8 +111,8 @@
         return {
             "followed": len(self.followed),
             "failing": sorted(cell for cell, each in self.followed.items() if each.failing),
-            "asked": sum(each.follower.asked for each in followed),
-            "begun_anew": sum(each.follower.anew for each in followed),
+            "asked": sum(each.follower.connection_count for each in followed),
+            "begun_anew": sum(each.follower.restarts for each in followed),
         }
 
     def close(self) -> None:
@@ -126,10 +126,10 @@
 
     def _follow(self, cell: str) -> None:
         followed = self.followed[cell] = FollowedCell()
-        followed.follower = CellFollower(
+        followed.follower = CellWatcher(
             self.loop,
             self.sources,
-            path_of(self.fleet, cell),
+            cell_path(self.fleet, cell),
             partial(self._on_event, cell),
             partial(self._source_changed, cell),
             partial(self._source_changed, cell, None),
@@ -140,8 +140,8 @@
         followed = self.followed.get(cell)
         if followed is None:
             return  # let go by what an earlier event of the same bytes brought about
-        others = sum(len(each.members.offered) for name, each in self.followed.items() if name != cell)
-        rejected = followed.members.take(event.fleet, MAX_HOSTS_FOLLOWED - others)
+        others = sum(len(each.members.reported) for name, each in self.followed.items() if name != cell)
+        rejected = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - others)
         if rejected:
             self.on_rejected(cell, len(rejected), followed.to_log(rejected))
         self._schedule()
@@ -162,7 +162,7 @@
     def _take_in_late(self) -> None:
         """After a stall, events that wait come before the requests that came meanwhile."""
         for followed in list(self.followed.values()):
-            followed.follower.look()
+            followed.follower.read_now()
         if self.pending:
             if self.timer is not None:
                 self.timer.cancel()
@@ -171,16 +171,16 @@
     def _put_in_force(self) -> None:
         """Uses the hosts that go together."""
         offered = {
-            cell: followed.members.offered
+            cell: followed.members.reported
             for cell, followed in self.followed.items()
-            if followed.members.offered or cell in self.cells_in_force.lists
+            if followed.members.reported or cell in self.cells_in_force.active
         }
-        before = self.cells_in_force.lists
-        self.cells_in_force.settle(offered, self.zones)
+        before = self.cells_in_force.active
+        self.cells_in_force.reconcile(offered, self.zones)
         self._report_conflicts()
         in_force = {
             cell: self._lines(cell, lines, unchanged=before.get(cell) is lines)
-            for cell, lines in self.cells_in_force.lists.items()
+            for cell, lines in self.cells_in_force.active.items()
             if lines or cell in self.in_force
         }
         if in_force != self.in_force:
@@ -195,8 +195,8 @@
 
     def _report_conflicts(self) -> None:
         for cell, followed in self.followed.items():
-            before, followed.conflicts = followed.conflicts, self.cells_in_force.refused.get(cell, {})
-            new = [Refused(*each) for each in followed.conflicts.items() if each not in before.items()]
+            before, followed.conflicts = followed.conflicts, self.cells_in_force.rejected.get(cell, {})
+            new = [RejectedMember(*each) for each in followed.conflicts.items() if each not in before.items()]
             if new:
                 self.on_rejected(cell, len(new), followed.within_limit(new))
 
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -22,8 +22,8 @@
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.fronts.kserve import Front
-from gaproute.hosts.fleet import Hosts, Reach
-from gaproute.hosts.rows import Row
+from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.kserve.client import ClientSettings, KServeClient
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
@@ -64,15 +64,15 @@
         self.cells: CellServices | None = None
         self._make_core()
         self.lot = self._make_lot()
-        self.peer_services = self._make_peer_services()
+        self.peers = self._make_peer_services()
 
     def _make_core(self) -> None:
         """The request driver with its decisions and its connections to hosts."""
         configuration = self.configuration
         run = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids stay apart over restarts
         line = configuration.reach
-        reach = Reach(line.connect, line.probe, line.order, line.connections, line.answer)
-        self.hosts: Hosts
+        reach = ClientSettings(line.connect, line.probe, line.order, line.connections, line.answer)
+        self.hosts: KServeClient
         self.core: Core
         if configuration.cells is not None:
             self.cells = CellServices(
@@ -81,7 +81,7 @@
             self.hosts, self.core = self.cells.hosts, self.cells.core
             return
         gateway = configuration.decisions(self.seed, configuration.terms, self.loop.now())
-        self.hosts = Hosts(self.loop, Pooling(), reach, configuration.name)
+        self.hosts = KServeClient(self.loop, Pooling(), reach, configuration.name)
         self.core = Core(self.loop, gateway, configuration.terms, self.hosts, self.record, run)
 
     def _make_lot(self) -> Lot:
@@ -104,13 +104,13 @@
         again.
         """
         self._listen()
-        if self.peer_services.gossip_carrier is not None:
-            self.core.arrived = self.peer_services.gossip_carrier.arrived
+        if self.peers.gossip is not None:
+            self.core.arrived = self.peers.gossip.arrived
         if self.cells is not None:
             self.cells.start()
         else:
             self.host_list.follow(self.update_hosts)
-        self.peer_services.start()
+        self.peers.start()
         self.log.info(
             "started",
             listens=[front.address for front in self.fronts],
@@ -133,9 +133,9 @@
             self.fronts.append(front)
             self.client_fronts.append(front)
         elif kind == "peers":
-            self.fronts.append(self.peer_services.listen(where))
+            self.fronts.append(self.peers.listen(where))
             if self.cells is not None:
-                self.client_fronts.append(self.cells.listen(self.peer_services, self.ready))
+                self.client_fronts.append(self.cells.listen(self.peers, self.ready))
         else:
             self.fronts.append(Operator(self.loop, address(where), self))
 
@@ -145,27 +145,27 @@
 
     def _close_fronts(self) -> None:
         """Leaves things as they were before the start."""
-        for front in [*self.fronts, self.peer_services]:
+        for front in [*self.fronts, self.peers]:
             front.close()
         self.fronts, self.client_fronts = [], []
-        self.peer_services = self._make_peer_services()
+        self.peers = self._make_peer_services()
 
     # The host list
 
     @property
-    def rows(self) -> dict[str, Row]:
+    def rows(self) -> dict[str, Endpoint]:
         """The hosts that are known, by name."""
         return self.host_list.rows
 
-    def update_hosts(self, rows: Sequence[Row]) -> None:
+    def update_hosts(self, rows: Sequence[Endpoint]) -> None:
         """Takes a whole host list. The connections come first: the decisions may use a new host at once."""
         self.hosts_changed(rows)
         self.core.listed([row.listed for row in rows], True)
-        self.peer_services.update_hosts(self.host_list.states())
+        self.peers.update_hosts(self.host_list.states())
 
-    def hosts_changed(self, rows: Sequence[Row]) -> None:
+    def hosts_changed(self, rows: Sequence[Endpoint]) -> None:
         """Takes all hosts that are known now to the connections and the log."""
-        self.hosts.listed(rows, True)
+        self.hosts.update(rows, complete=True)
         self.host_list.replace(rows)
 
     def reload_host_lists(self) -> None:
@@ -231,14 +231,14 @@
         self.loop.run()
         self.close()
         lived = max(1, self.loop.now() - self.started)
-        share = round(self.peer_services.cpu_spent() / lived, 6)
+        share = round(self.peers.cpu_spent() / lived, 6)
         self.log.info("stopped", held=len(self.core.held), telling_share=share)
 
     def close(self) -> None:
         """Closes all sockets and files."""
         for front in self.fronts:
             front.close()
-        for part in (self.host_list, self.cells, self.peer_services):
+        for part in (self.host_list, self.cells, self.peers):
             if part is not None:
                 part.close()
         self.hosts.close()
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -5,8 +5,9 @@
 from gaproute.config.configuration import Configuration
 from gaproute.config.directives.fleet import HostLine
 from gaproute.config.errors import Mistake
-from gaproute.discovery.listing import FileWatch, Listing
-from gaproute.hosts.rows import Row
+from gaproute.discovery.file_watch import FileWatch
+from gaproute.discovery.host_lines import HostLineConverter
+from gaproute.hosts.endpoints import Endpoint
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 
@@ -21,16 +22,16 @@
 
     def __init__(self, loop: Loop, configuration: Configuration, record: Record) -> None:
         self.loop, self.configuration, self.record = loop, configuration, record
-        self.listing = Listing(loop, sizes=configuration.sizes_reported)
-        self.rows: dict[str, Row] = {}
+        self.listing = HostLineConverter(loop, use_capacities=configuration.sizes_reported)
+        self.rows: dict[str, Endpoint] = {}
         self.watch: FileWatch | None = None
 
-    def follow(self, on_list: Callable[[Sequence[Row]], None]) -> None:
+    def follow(self, on_list: Callable[[Sequence[Endpoint]], None]) -> None:
         """Calls `on_list` with the whole list, now and each time that its file has changed."""
 
         def take(lines: Sequence[HostLine]) -> None:
             known_at = self.watch.current_at if self.watch is not None else None
-            on_list(self.listing.rows(lines, known_at))
+            on_list(self.listing.endpoints(lines, known_at))
 
         source = self.configuration.hosts_file
         if source is None:
@@ -38,7 +39,7 @@
         else:
             self.watch = FileWatch(self.loop, source.path, source.look, take, self.log_rejected)
 
-    def replace(self, rows: Iterable[Row]) -> None:
+    def replace(self, rows: Iterable[Endpoint]) -> None:
         """Takes all hosts that are known now, and logs those that have changed."""
         before, self.rows = self.rows, {row.listed.host: row for row in rows}
         changed = [name for name, row in self.rows.items() if before.get(name) != row]
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -48,7 +48,7 @@
 
     def _execute(self, request: Request) -> None:
         """A lease requested, extended or released for whoever asks (`docs/leases.md`)."""
-        leases = self.appliance.peer_services.leases
+        leases = self.appliance.peers.leases
         try:
             if leases is None:
                 raise ValueError("no keepers line in the configuration")
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -17,16 +17,16 @@
 from gaproute.config.directives.process import ClientsLine
 from gaproute.config.errors import Mistake
 from gaproute.decisions.chance import Chance
-from gaproute.decisions.reports.facts import Fact
-from gaproute.decisions.reports.lore import FACTS, Lore
-from gaproute.decisions.reports.roll import Roll
-from gaproute.discovery.listing import FileWatch
+from gaproute.decisions.reports.host_history import HostHistory
+from gaproute.decisions.reports.observation_kinds import SharedObservation
+from gaproute.decisions.reports.shared_observations import FACTS, SharedObservations
+from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
-from gaproute.peers import Giver, Learner, MembershipTransport
-from gaproute.peers.giver import LIMITS
-from gaproute.peers.gossip import Carrier
+from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
+from gaproute.peers.gossip import GossipTransport
+from gaproute.peers.peer_server import LIMITS
 from gaproute.peers.raft.transport import TARGET
 from gaproute.peers.raft.wire import MAX_BATCH_BYTES
 from gaproute.storage import ObservationStore, ObservationStoreError
@@ -61,23 +61,23 @@
     ) -> None:
         self.loop, self.configuration, self.gateway = loop, configuration, gateway
         self.record, self.seed, self.cells = record, seed, cells
-        self.observation_server: Giver | None = None
-        self.observation_fetcher: Learner | None = None
+        self.peer_server: PeerServer | None = None
+        self.observation_client: ObservationClient | None = None
         self.membership_transport: MembershipTransport | None = None
-        self.gossip_carrier: Carrier | None = None
+        self.gossip: GossipTransport | None = None
         self.peer_list_watch: FileWatch | None = None
         self.leases: LeaseService | None = None
         self.observation_writer: ObservationWriter | None = None
-        self.host_history, self.observations = Roll(), Lore()
+        self.host_history, self.observations = HostHistory(), SharedObservations()
         self.request_classes = [line.name for line in configuration.tracks]  # names of the request classes
         self.chance = Chance(seed + OBSERVATIONS_SEED)
 
-    def listen(self, where: str) -> Giver:
+    def listen(self, where: str) -> PeerServer:
         """The front at which other gateways ask. Raises OSError."""
-        server = Giver(
+        server = PeerServer(
             self.loop, address(where), self.gateway, self.host_history, self.request_classes, self._limits()
         )
-        self.observation_server = server
+        self.peer_server = server
         try:
             self.membership_transport = MembershipTransport(
                 self.loop,
@@ -94,7 +94,7 @@
             raise
         if self.configuration.gossip_enabled:
             chance = Chance(self.seed + GOSSIP_SEED)
-            self.gossip_carrier = Carrier(
+            self.gossip = GossipTransport(
                 self.loop, self.configuration.name, self.membership_transport, self.gateway, chance
             )
         return server
@@ -103,7 +103,7 @@
         """Takes over the observations of the last run, then asks the peers for theirs."""
         self.open_observation_store()
         if self.configuration.peers or self.configuration.peers_file:
-            self.observation_fetcher = Learner(
+            self.observation_client = ObservationClient(
                 self.loop,
                 (),
                 self.observations,
@@ -121,9 +121,9 @@
     def update_hosts(self, states: Mapping[str, tuple[str, int]]) -> None:
         """Takes the whole host list, {host: (state, its start in ns since 1970)}."""
         self.host_history.listed(self.loop.now(), states)
-        if self.gossip_carrier is not None:
+        if self.gossip is not None:
             history = self.host_history.told
-            self.gossip_carrier.listed({name: told[1] for name, told in history.items() if name in states})
+            self.gossip.listed({name: told[1] for name, told in history.items() if name in states})
 
     def update_peers(self, peers: Sequence[PeerLine]) -> None:
         """Takes the whole list of gateways, this one among them or not."""
@@ -135,8 +135,8 @@
             self.leases.update_peers(addresses)
         if self.cells is not None:
             self.cells.update_peers(addresses)
-        if self.observation_fetcher is not None:
-            self.observation_fetcher.listed(others)
+        if self.observation_client is not None:
+            self.observation_client.listed(others)
 
     def peer_list_rejected(self, mistakes: Iterable[Mistake]) -> None:
         """Logs why the list of peers that was read last is not used."""
@@ -180,7 +180,7 @@
 
     def cpu_spent(self) -> int:
         """CPU that giving and storing observations took, ns."""
-        parts = (self.observation_server, self.observation_writer)
+        parts = (self.peer_server, self.observation_writer)
         return sum(part.spent for part in parts if part is not None)
 
     def stop(self) -> None:
@@ -195,8 +195,8 @@
         """Ends all but the front of `listen`."""
         for part in (
             self.peer_list_watch,
-            self.observation_fetcher,
-            self.gossip_carrier,
+            self.observation_client,
+            self.gossip,
             self.membership_transport,
             self.leases,
             self.observation_writer,
@@ -219,7 +219,7 @@
         for subject, value, age in store.read(FACTS):
             observed_at = self.observations.observed(now, age)
             if observed_at is not None:
-                self.observations.tell(subject, Fact(observed_at, LAST_RUN, 0, value))
+                self.observations.tell(subject, SharedObservation(observed_at, LAST_RUN, 0, value))
         applied = self.apply_observations(self.observations.facts)
         self.observations_complete()
         self.record.event(
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -45,7 +45,7 @@
         """Stops all parts; the loop ends once nothing is left."""
         appliance = self.appliance
         self._stop_fronts()
-        appliance.peer_services.stop()
+        appliance.peers.stop()
         if appliance.cells is not None:
             appliance.cells.stop()
         appliance.core.end_by(self.loop.now() + answer_time(appliance.configuration))
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -21,8 +21,8 @@
 
 def status(appliance: Appliance) -> JsonObject:
     """The gateway as a whole: its state and its counts."""
-    peer_services, hosts = appliance.peer_services, appliance.hosts
-    membership_transport, carrier = peer_services.membership_transport, peer_services.gossip_carrier
+    peer_services, hosts = appliance.peers, appliance.hosts
+    membership_transport, carrier = peer_services.membership_transport, peer_services.gossip
     return {
         "name": appliance.configuration.name,
         "stopping": appliance.stopping,
@@ -32,10 +32,10 @@
         "late_turns": appliance.loop.late_turns,
         "counts": appliance.record.table(),
         "clients": _clients(appliance),
-        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.raced},
+        "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
         "gateways": membership_transport and membership_transport.membership.live_count(),
         "cells": appliance.cells and appliance.cells.status(),
-        "weak_word": carrier and carrier.weak.status(appliance.loop.now()),
+        "weak_word": carrier and carrier.node.status(appliance.loop.now()),
         "learnt": _observations_taken(appliance),
         "telling": _observations_given(peer_services),
         "memory": _observation_store(peer_services),
@@ -51,7 +51,7 @@
         table.append(
             {
                 "name": name,
-                "address": row.where,
+                "address": row.address,
                 "state": row.listed.state.value,
                 "capacity": row.listed.capacity,
                 "connections": len(host.open) if host else 0,
@@ -74,9 +74,9 @@
 
 def peer_table(appliance: Appliance) -> list[JsonObject]:
     """The gateways that are known: membership's view, and what each told at the start."""
-    fetcher = appliance.peer_services.observation_fetcher
+    fetcher = appliance.peers.observation_client
     fetched = fetcher.state if fetcher else {}
-    membership_transport = appliance.peer_services.membership_transport
+    membership_transport = appliance.peers.membership_transport
     if membership_transport is not None:
         rows = membership_transport.table()
     else:
@@ -86,7 +86,7 @@
 
 def lease_table(appliance: Appliance) -> JsonObject | None:
     """The leases of this gateway, and its part in the Raft group; None where it has none."""
-    leases = appliance.peer_services.leases
+    leases = appliance.peers.leases
     return None if leases is None else leases.table()
 
 
@@ -116,8 +116,8 @@
 
 def _observations_taken(appliance: Appliance) -> JsonObject:
     """What was taken over from other gateways and the last run, and how much of it proved right."""
-    observations = appliance.peer_services.observations
-    fetcher = appliance.peer_services.observation_fetcher
+    observations = appliance.peers.observations
+    fetcher = appliance.peers.observation_client
     return {
         "facts": len(observations.facts),
         "refused": dict(observations.refused),
@@ -130,7 +130,7 @@
 
 def _observations_given(peer_services: PeerServices) -> JsonObject | None:
     """What other gateways were told when they asked."""
-    server = peer_services.observation_server
+    server = peer_services.peer_server
     if server is None:
         return None
     return {"facts": server.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
@@ -165,5 +165,5 @@
 def _evidence(appliance: Appliance, host: str, name: str, function: Any) -> str:
     if host in function.stands:
         return "an answer"
-    fact = appliance.peer_services.observations.facts.get(("warm", host, name))
+    fact = appliance.peers.observations.facts.get(("warm", host, name))
     return fact.origin if fact else "a task sent"
