--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.cells.table import CellTable
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.loop import Loop
-from gaproute.peers.tables import TableCarrier
+from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import DocumentError
 from gaproute.telemetry.record import Record
 
@@ -47,7 +47,7 @@
         loop: Loop,
         line: CellsLine,
         record: Record,
-        carrier: TableCarrier,
+        carrier: CellTableTransport,
         on_table: Callable[[CellTable], None],
     ) -> None:
         self.loop, self.line, self.record, self.carrier = loop, line, record, carrier
@@ -75,7 +75,7 @@
 
     def rejections(self) -> dict[str, int]:
         """{reason: how often}, of the file and of what other gateways sent."""
-        sent = {f"sent: {reason}": count for reason, count in self.carrier.disseminator.refused.items()}
+        sent = {f"sent: {reason}": count for reason, count in self.carrier.disseminator.rejections.items()}
         return dict(self.rejected) | sent
 
     def stop(self) -> None:
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -26,7 +26,7 @@
 from gaproute.hosts.kserve.client import ClientSettings
 from gaproute.loop import Loop
 from gaproute.loop.loop import Timer
-from gaproute.peers.tables import TableCarrier
+from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Peer
 from gaproute.telemetry.record import Record
 
@@ -87,8 +87,8 @@
         if server is None:
             raise ValueError("the address of the peers is not listened on")
         front = EntryFront(self.loop, server.server, self.core, self.configuration, ready, self._load_report)
-        server.calls = front.handle
-        carrier = TableCarrier(
+        server.forwarded = front.handle
+        carrier = CellTableTransport(
             self.loop,
             self.configuration.name,
             self.line.fleet,
@@ -166,7 +166,7 @@
         self.entries.apply_table(table)
         self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
         self._follow_wanted_cells()
-        self.core.begin_housekeeping(now)
+        self.core.start_housekeeping(now)
 
     def _look(self) -> None:
         """The decisions need other cells now and then, by the functions that are requested."""
@@ -193,7 +193,7 @@
         before, self.lists_given = self.lists_given, dict(lists)
         for cell, of_cell in rows.items():
             if before.get(cell) != lists[cell]:
-                self.core.cell_listed(cell, [row.listed for row in of_cell])
+                self.core.update_cell_hosts(cell, [row.listed for row in of_cell])
 
     def _make_lists(self) -> CellLists | FollowedLists:
         """The host lists, from files or from sources."""
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -6,14 +6,13 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from structlog.typing import FilteringBoundLogger
-
 from gaproute.appliance.child_process import ChildProcess
 from gaproute.appliance.listening_sockets import ListeningSockets
 from gaproute.config.configuration import Configuration
 from gaproute.decisions.admission.restarts import Restarts
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
+from gaproute.telemetry.record import Log
 
 MILLI = 1_000_000
 SEEDS_PER_PARENT = 1000  # so that the children of parents with neighbouring seeds have seeds of their own
@@ -48,7 +47,7 @@
     def __init__(
         self,
         loop: Loop,
-        log: FilteringBoundLogger,
+        log: Log,
         command: ServeCommand,
         configuration: Configuration,
         listeners: ListeningSockets,
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -6,8 +6,6 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any
 
-from structlog.typing import FilteringBoundLogger
-
 from gaproute.appliance.cells import CellServices
 from gaproute.appliance.host_list import HostList
 from gaproute.appliance.operator import Operator
@@ -28,7 +26,7 @@
 from gaproute.loop import Loop
 from gaproute.loop.streams import address
 from gaproute.telemetry.logs import logger
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import Log, Record
 
 SEED_BITS = 64
 ADMISSION_SEED = 3  # added to the seed: each part draws from a chance of its own
@@ -45,7 +43,7 @@
         configuration: Configuration,
         loop: Loop | None = None,
         seed: int | None = None,
-        log: FilteringBoundLogger | None = None,
+        log: Log | None = None,
         inherited: Mapping[str, socket.socket] | Iterable[tuple[str, socket.socket]] = (),
     ) -> None:
         """`inherited`: listening sockets that a parent opened, by the address as configured."""
@@ -105,7 +103,7 @@
         """
         self._listen()
         if self.peers.gossip is not None:
-            self.core.arrived = self.peers.gossip.arrived
+            self.core.on_arrival = self.peers.gossip.arrived
         if self.cells is not None:
             self.cells.start()
         else:
@@ -160,7 +158,7 @@
     def update_hosts(self, rows: Sequence[Endpoint]) -> None:
         """Takes a whole host list. The connections come first: the decisions may use a new host at once."""
         self.hosts_changed(rows)
-        self.core.listed([row.listed for row in rows], True)
+        self.core.update_hosts([row.listed for row in rows], True)
         self.peers.update_hosts(self.host_list.states())
 
     def hosts_changed(self, rows: Sequence[Endpoint]) -> None:
@@ -223,7 +221,7 @@
         if self.stopping:
             return
         self.stopping = True
-        self.log.info("stopping", held=len(self.core.held))
+        self.log.info("stopping", held=len(self.core.in_flight))
         GracefulShutdown(self).begin()
 
     def run(self) -> None:
@@ -232,7 +230,7 @@
         self.close()
         lived = max(1, self.loop.now() - self.started)
         share = round(self.peers.cpu_spent() / lived, 6)
-        self.log.info("stopped", held=len(self.core.held), telling_share=share)
+        self.log.info("stopped", held=len(self.core.in_flight), telling_share=share)
 
     def close(self) -> None:
         """Closes all sockets and files."""
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -7,14 +7,13 @@
 
 import signal
 
-from structlog.typing import FilteringBoundLogger
-
 from gaproute.appliance.child_processes import ChildProcesses, ServeCommand
 from gaproute.appliance.listening_sockets import ListeningSockets
 from gaproute.appliance.rolling_reload import RollingReload
 from gaproute.config.configuration import Configuration
 from gaproute.loop import Loop
 from gaproute.telemetry.logs import logger
+from gaproute.telemetry.record import Log
 
 
 class Parent:
@@ -27,7 +26,7 @@
         count: int,
         seed: int | None = None,
         loop: Loop | None = None,
-        log: FilteringBoundLogger | None = None,
+        log: Log | None = None,
     ) -> None:
         self.count = count
         self.loop = loop or Loop()
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Collection, Iterable, Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
 from gaproute.appliance.leases import LeaseService
@@ -17,9 +17,10 @@
 from gaproute.config.directives.process import ClientsLine
 from gaproute.config.errors import Mistake
 from gaproute.decisions.chance import Chance
+from gaproute.decisions.reports.follower import ObservationFollower
 from gaproute.decisions.reports.host_history import HostHistory
-from gaproute.decisions.reports.observation_kinds import SharedObservation
-from gaproute.decisions.reports.shared_observations import FACTS, SharedObservations
+from gaproute.decisions.reports.observation_kinds import SharedObservation, Subject
+from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
@@ -70,7 +71,12 @@
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = HostHistory(), SharedObservations()
         self.request_classes = [line.name for line in configuration.tracks]  # names of the request classes
-        self.chance = Chance(seed + OBSERVATIONS_SEED)
+        self.follower = ObservationFollower(
+            self.observations,
+            configuration.terms.keep_alive,
+            {name: number for number, name in enumerate(self.request_classes)},
+            Chance(seed + OBSERVATIONS_SEED),
+        )
 
     def listen(self, where: str) -> PeerServer:
         """The front at which other gateways ask. Raises OSError."""
@@ -88,7 +94,7 @@
             )
             if self.configuration.keepers is not None:
                 self.leases = self._lease_service(self.configuration.keepers)
-                server.also[TARGET] = self.leases.handle
+                server.routes[TARGET] = self.leases.handle
         except OSError:
             server.close()
             raise
@@ -120,10 +126,10 @@
 
     def update_hosts(self, states: Mapping[str, tuple[str, int]]) -> None:
         """Takes the whole host list, {host: (state, its start in ns since 1970)}."""
-        self.host_history.listed(self.loop.now(), states)
+        self.host_history.update(self.loop.now(), states)
         if self.gossip is not None:
-            history = self.host_history.told
-            self.gossip.listed({name: told[1] for name, told in history.items() if name in states})
+            history = self.host_history.entries
+            self.gossip.listed({name: entry.started for name, entry in history.items() if name in states})
 
     def update_peers(self, peers: Sequence[PeerLine]) -> None:
         """Takes the whole list of gateways, this one among them or not."""
@@ -136,7 +142,7 @@
         if self.cells is not None:
             self.cells.update_peers(addresses)
         if self.observation_client is not None:
-            self.observation_client.listed(others)
+            self.observation_client.set_peers(others)
 
     def peer_list_rejected(self, mistakes: Iterable[Mistake]) -> None:
         """Logs why the list of peers that was read last is not used."""
@@ -160,23 +166,14 @@
             self.loop, store, self.gateway, self.host_history, self.request_classes
         )
 
-    def apply_observations(self, subjects: Iterable[Any]) -> int:
+    def apply_observations(self, subjects: Collection[Subject]) -> int:
         """Hands the observations of these subjects to the decisions, as hints; how many were of use."""
-        request_classes = {name: number for number, name in enumerate(self.request_classes)}
-        applied: int = self.observations.follow(
-            self.gateway,
-            self.loop.now(),
-            self.host_history.lives(),
-            request_classes,
-            self.configuration.terms.keep_alive,
-            self.chance,
-            subjects,
-        )
-        return applied
+        starts = self.host_history.active_starts()
+        return self.follower.follow(self.gateway, self.loop.now(), starts, subjects)
 
     def observations_complete(self) -> None:
         """All that one source tells has come: the mix of functions is known now."""
-        self.gateway.hint_mix(self.observations.mix())
+        self.gateway.hint_mix(self.observations.request_mix())
 
     def cpu_spent(self) -> int:
         """CPU that giving and storing observations took, ns."""
@@ -216,18 +213,18 @@
 
     def _restore(self, store: ObservationStore) -> None:
         now = self.loop.now()
-        for subject, value, age in store.read(FACTS):
-            observed_at = self.observations.observed(now, age)
+        for subject, value, age in store.read(MAX_OBSERVATIONS):
+            observed_at = self.observations.observed_at(now, age)
             if observed_at is not None:
-                self.observations.tell(subject, SharedObservation(observed_at, LAST_RUN, 0, value))
-        applied = self.apply_observations(self.observations.facts)
+                self.observations.add(subject, SharedObservation(observed_at, LAST_RUN, 0, value))
+        applied = self.apply_observations(self.observations.by_subject)
         self.observations_complete()
         self.record.event(
             "info",
             "remembered",
-            facts=len(self.observations.facts),
+            facts=len(self.observations.by_subject),
             booked=applied,
-            refused=dict(self.observations.refused),
+            refused=self.observations.rejected(),
         )
 
     def _log_store(self, text: str) -> None:
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -7,8 +7,6 @@
 from collections.abc import Generator
 from typing import Any
 
-from structlog.typing import FilteringBoundLogger
-
 from gaproute.appliance.child_process import ChildProcess
 from gaproute.appliance.child_processes import ChildProcesses
 from gaproute.appliance.listening_sockets import ListeningSockets
@@ -18,6 +16,7 @@
 from gaproute.loop.faults import Backoff, cause_of
 from gaproute.loop.loop import Timer
 from gaproute.loop.starting import time_for
+from gaproute.telemetry.record import Log
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MIN_BACKOFF, MAX_BACKOFF = 50 * MILLI, SECOND  # between attempts to reload, or to start a child
@@ -33,7 +32,7 @@
     def __init__(
         self,
         loop: Loop,
-        log: FilteringBoundLogger,
+        log: Log,
         file: str,
         children: ChildProcesses,
         listeners: ListeningSockets,
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -49,7 +49,7 @@
         if appliance.cells is not None:
             appliance.cells.stop()
         appliance.core.end_by(self.loop.now() + answer_time(appliance.configuration))
-        appliance.core.emptied = self._end_if_empty
+        appliance.core.on_idle = self._end_if_empty
         for front in appliance.client_fronts:
             front.on_emptied(self._end_if_empty)
         self.loop.after(max_duration(appliance.configuration), self.loop.stop)
@@ -65,6 +65,6 @@
 
     def _end_if_empty(self) -> None:
         """Ends the loop once no request is in flight and no client's connection is left."""
-        if self.appliance.core.held or any(front.held for front in self.appliance.client_fronts):
+        if self.appliance.core.in_flight or any(front.held for front in self.appliance.client_fronts):
             return
         self.loop.after(LEAVE_TIME, self.loop.stop)
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -28,9 +28,9 @@
         "stopping": appliance.stopping,
         "ready": appliance.ready(),
         "up_ms": (appliance.loop.now() - appliance.started) // MILLI,
-        "held": len(appliance.core.held),
+        "held": len(appliance.core.in_flight),
         "late_turns": appliance.loop.late_turns,
-        "counts": appliance.record.table(),
+        "counts": appliance.record.snapshot(),
         "clients": _clients(appliance),
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
         "gateways": membership_transport and membership_transport.membership.live_count(),
@@ -44,7 +44,7 @@
 
 def host_table(appliance: Appliance) -> list[JsonObject]:
     """The hosts of the list, by name."""
-    attempts = appliance.record.table().get("relay", {})
+    attempts = appliance.record.snapshot().get("relay", {})
     table = []
     for name, row in sorted(appliance.rows.items()):
         host = appliance.hosts.hosts.get(name)
@@ -77,10 +77,9 @@
     fetcher = appliance.peers.observation_client
     fetched = fetcher.state if fetcher else {}
     membership_transport = appliance.peers.membership_transport
+    rows: list[JsonObject] = [{"name": name, "state": None} for name in fetched]
     if membership_transport is not None:
         rows = membership_transport.table()
-    else:
-        rows = [{"name": name, "state": None} for name in fetched]
     return [row | {"learnt": fetched.get(row["name"])} for row in rows]
 
 
@@ -119,10 +118,10 @@
     observations = appliance.peers.observations
     fetcher = appliance.peers.observation_client
     return {
-        "facts": len(observations.facts),
-        "refused": dict(observations.refused),
+        "facts": len(observations.by_subject),
+        "refused": observations.rejected(),
         "peers": fetcher.state if fetcher else {},
-        "booked": fetcher.booked if fetcher else 0,
+        "booked": fetcher.hints_taken if fetcher else 0,
         "right": sum(gateway.right for gateway in decisions(appliance)),
         "wrong": sum(gateway.wrong for gateway in decisions(appliance)),
     }
@@ -133,7 +132,7 @@
     server = peer_services.peer_server
     if server is None:
         return None
-    return {"facts": server.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
+    return {"facts": server.transfers.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
 
 
 def _observation_store(peer_services: PeerServices) -> JsonObject | None:
@@ -165,5 +164,5 @@
 def _evidence(appliance: Appliance, host: str, name: str, function: Any) -> str:
     if host in function.stands:
         return "an answer"
-    fact = appliance.peers.observations.facts.get(("warm", host, name))
+    fact = appliance.peers.observations.by_subject.get(("warm", host, name))
     return fact.origin if fact else "a task sent"
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -62,10 +62,10 @@
     made = slow(cancel=False)
     client = asked(made, 1)
     client.stream.abort()
-    made.until(lambda: not made.process.core.held)
+    made.until(lambda: not made.process.core.in_flight)
     made.dials.let()
     made.turns()
-    assert not made.came() and not made.process.core.tasks
+    assert not made.came() and not made.process.core.generators
 
 
 def test_nothing_begins_after_the_final_answer_however_late_its_dial_comes_up(slow):
@@ -75,7 +75,7 @@
     made.until(lambda: client.answers)
     made.dials.let()
     made.turns()
-    assert "error" in client.answers[0] and not made.came() and not made.process.core.held
+    assert "error" in client.answers[0] and not made.came() and not made.process.core.in_flight
 
 
 def test_the_limit_told_to_a_host_is_what_is_left_when_the_request_is_written(slow):
@@ -141,7 +141,7 @@
     told = event(2, (name, where, "Ready"))
     if change == "start":
         told["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
-    made.process.told(events.decode_initial({"seq": 2, "results": [told]})[1][0])
+    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [told]})[1][0])
     assert old in known[name].links and not old.trusted
     old.bytes(b'{"type":"served","req":"x","data":""}\n')
     assert old not in known[name].links
@@ -219,7 +219,7 @@
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     made.turns()
     made.passes(3 * SECOND)
-    assert bool(made.hosts[0].seen("halt")) is cancel and not made.process.core.held
+    assert bool(made.hosts[0].seen("halt")) is cancel and not made.process.core.in_flight
 
 
 def test_a_connection_that_carried_many_failures_takes_no_further_request(gate):
@@ -267,7 +267,7 @@
     (other,) = [each for each in made.process.hosts.hosts if each != name]
     where = made.process.hosts.hosts[other].text
     told = event(2, (other, where, "Ready"), complete=True)
-    made.process.told(events.decode_initial({"seq": 2, "results": [told]})[1][0])
+    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [told]})[1][0])
     for host in made.hosts:
         for stream in host.streams:
             stream.abort()
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -10,7 +10,7 @@
 import pytest
 from scripted import MILLI, SECOND, SETTINGS, nothing
 
-from gaproute.benchlink import wire
+from gaproute.benchlink.decoding import decode_terms
 from gaproute.discovery.changelog import events
 from gaproute.fronts.jsonrpc import front as fronts
 from gaproute.fronts.jsonrpc import link as links
@@ -18,15 +18,19 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration
 from gaproute.platform.log import Log
+from gaproute.settings import read_deployment, read_terms
 from gaproute.standins.platform import ChangeLog, arg, event, sse
 from gaproute.telemetry.record import Record
-from gaproute.terms import site, terms
 
 
 def test_the_start_object_is_read_alike_for_the_wire_and_for_the_node():
-    assert wire.terms(json.dumps(SETTINGS)) == terms(SETTINGS)
-    told = site(SETTINGS)
-    assert (told.tracks, told.shared, told.idle_time) == (("fault-check", "repair-order"), 100, 15 * SECOND)
+    assert decode_terms(json.dumps(SETTINGS)) == read_terms(SETTINGS)
+    told = read_deployment(SETTINGS)
+    assert (told.class_names, told.requests_per_connection, told.idle_time) == (
+        ("fault-check", "repair-order"),
+        100,
+        15 * SECOND,
+    )
 
 
 def test_a_task_goes_through_and_its_body_comes_back_unchanged(gate):
@@ -129,7 +133,7 @@
     made.until(lambda: made.came())
     client.message({"jsonrpc": "2.0", "method": "abort", "params": {"id": 1}})
     made.until(lambda: made.hosts[0].seen("halt"))
-    made.until(lambda: not made.process.core.held)
+    made.until(lambda: not made.process.core.in_flight)
     assert client.answers == []
     assert not made.process.front.marks
 
@@ -140,14 +144,14 @@
     client.ask(1)
     made.until(lambda: made.came())
     client.stream.abort()
-    made.until(lambda: not made.process.core.held)
+    made.until(lambda: not made.process.core.in_flight)
     assert not made.process.front.marks
     assert not made.process.front.links
 
 
 def test_a_status_line_tells_of_hosts_in_use_and_does_not_grow_with_the_list(gate):
     made = gate()
-    made.process.told(
+    made.process.host_list.apply(
         events.decode_initial(
             {
                 "seq": 2,
@@ -162,7 +166,7 @@
         )[1][0]
     )
     made.lines.clear()
-    made.process.status()
+    made.process.status.write()
     told = dict(made.lines)["status"]
     assert len(made.process.hosts.hosts) >= 1000
     assert len(told["believed"]) + len(told["links"]) <= 1
@@ -176,7 +180,7 @@
     silent, half = made.client(), made.client()
     half.send(b"Content-Length: 50\r\n\r\nhalf")
     made.until(lambda: silent.ended and half.ended)
-    assert made.process.core.held == {}
+    assert made.process.core.in_flight == {}
 
 
 def test_resting_connections_make_room_and_those_at_work_stay(gate, monkeypatch):
@@ -243,12 +247,12 @@
     made.process.reload()
     made.until(lambda: not made.process.hosts.hosts["s-0"].active)
     assert other.came == [1]
-    assert made.process.follower.last_seq == 2
+    assert made.process.host_list.watcher.last_seq == 2
     other.close()
 
 
 def test_a_stop_serves_on_for_a_while_then_ends_what_it_holds(gate, monkeypatch):
-    monkeypatch.setattr("gaproute.platform.process.STILL_COMING", 60 * MILLI)
+    monkeypatch.setattr("gaproute.platform.shutdown.ACCEPT_TIME", 60 * MILLI)
     held = []
     made = gate(lambda stream, command: held.append((stream, command)))
     client = made.client()
@@ -394,8 +398,8 @@
     made.until(lambda: heard)
     worker = made.process.core.gateway.workers["s-0"]
     at = worker.reported
-    other.send(b"noise", where % made.process.peers.sock.getsockname()[1])
-    other.send(heard[0], where % made.process.peers.sock.getsockname()[1])
+    other.send(b"noise", where % made.process.peers.datagrams.sock.getsockname()[1])
+    other.send(heard[0], where % made.process.peers.datagrams.sock.getsockname()[1])
     made.until(lambda: worker.reported > at)
     assert heard[0][2:] == bytes([64, 128])
     other.close()
@@ -404,7 +408,7 @@
 def test_an_address_for_peers_that_cannot_be_had_is_no_reason_not_to_start(gate):
     settings = SETTINGS | {"balancers": 2, "limits": SETTINGS["limits"] | {"peers": True}}
     made = gate(settings=settings, peer_listen="192.0.2.1:1", peers_all="127.0.0.1:9")
-    assert made.process.peers is None
+    assert made.process.peers.datagrams is None
     assert any(what == "no peers" for what, _ in made.lines)
     made.client().ask(1)
     made.until(lambda: made.clients[0].answers)
@@ -423,11 +427,11 @@
 
 def test_of_many_tasks_few_are_followed_and_the_same_ones_everywhere():
     marks = [f"{number:016x}" for number in range(6400)]
-    followed = [mark for mark in marks if Record(None, ()).follows(mark)]
-    again = [mark for mark in marks if Record(None, ()).follows(mark)]
+    followed = [mark for mark in marks if Record(None, ()).is_traced(mark)]
+    again = [mark for mark in marks if Record(None, ()).is_traced(mark)]
     assert 100 < len(followed) < 400
     assert followed == again
-    assert not any(Record(None, (), 0).follows(mark) for mark in marks)
+    assert not any(Record(None, (), 0).is_traced(mark) for mark in marks)
 
 
 def test_1024_hosts_and_peers_start_and_a_list_of_that_size_is_taken_in_time(gate):
@@ -439,7 +443,7 @@
         _, (change,) = events.decode_initial(
             {"seq": number, "results": [event(number, *rows, complete=True)]}
         )
-        made.process.told(change)
+        made.process.host_list.apply(change)
     took = (time.process_time() - began) / 10
     assert len(made.process.core.gateway.fleet) == 1024
     assert took < 0.2
