--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -81,7 +81,7 @@
     for number in range(2, 32):
         held = holder.table
         cell = random.choice(held.cells)
-        shorter = cell.points[0]._replace(count=max(1, cell.points[0].count - 1))
+        shorter = cell.points[0]._replace(size=max(1, cell.points[0].size - 1))
         row = replace(cell, points=(shorter,), capacity=cell.capacity + 1)
         change = TableChange(held.fleet, held.version, Version(1, number), (row,))
         spans.append(meter(lambda change=change: _take(gateway, holder, change)))
--- a/gaproute/config/cell_table.py
+++ b/gaproute/config/cell_table.py
@@ -119,7 +119,7 @@
     taken: dict[str, list[tuple[int, int, int]]] = {}  # (first point, count, line) by origin
     for line in lines:
         for points in line.points:
-            taken.setdefault(points.origin, []).append((points.first, points.count, line.line))
+            taken.setdefault(points.origin, []).append((points.first, points.size, line.line))
     for origin, ranges in taken.items():
         for (first, count, one), (following, _, other) in pairwise(sorted(ranges)):
             if following < first + count:
--- a/gaproute/decisions/cells/bounds.py
+++ b/gaproute/decisions/cells/bounds.py
@@ -1,8 +1,8 @@
-"""Bounds on what a cell table may hold: what lies beyond them is refused, so that memory stays bounded."""
+"""Bounds on what a cell table may have: what lies beyond them is rejected, so that memory stays bounded."""
 
 MAX_CELLS = 4_096  # in one table: a million hosts and more at the usual size of a cell
 MAX_HOSTS = 1_024  # in one cell: its gateways keep an order of all of them for each function
-MAX_ENTRIES = 32  # gateways named as ways into one cell
+MAX_ENTRIES = 32  # entry gateways of one cell
 MAX_RANGES = 64  # ranges of ring points of one cell: each split adds one at most
 MAX_CELL_POINTS = 1_024  # ring points of one cell: 32 times the usual number
 MAX_RING_POINTS = 262_144  # of a whole table: twice the usual number for each of the most cells
--- a/gaproute/decisions/cells/change.py
+++ b/gaproute/decisions/cells/change.py
@@ -1,6 +1,6 @@
 """Changes to the cell table, and the one table that a gateway holds.
 
-Invariants: the version held only grows within one fleet; a table or change that is refused leaves the table
+Invariants: the version held only grows within one fleet; a table or change that is rejected leaves the table
 held as it was; a change is applied whole or not at all.
 """
 
@@ -50,21 +50,21 @@
         raise FullTableNeededError(table.version, change.base)
     cells = dict(table.by_name)
     _remove(cells, change)
-    places = _set(cells, change)
+    rows = _set(cells, change)
     if not cells:
         raise TableError("the change removes every cell")
     if len(cells) > bounds.MAX_CELLS:
         raise TooManyCellsError(bounds.MAX_CELLS)
     regions = {cell.zone: cell.region for cell in table.cells if cells.get(cell.name) is cell}
-    check_zones(places, change.rows, regions)
+    check_zones(rows, change.rows, regions)
     origins = {points.origin for cell in change.rows for points in cell.points}
-    check_points(places, cells.values(), origins)
+    check_points(rows, cells.values(), origins)
     if trim is not None:
         cells.update({cell.name: trim(cell) for cell in change.rows})
     return make_table(table.fleet, change.version, cells)
 
 
-def _remove(cells, change):
+def _remove(cells: dict[str, Cell], change: TableChange) -> None:
     if len(change.removed) > bounds.MAX_CELLS:
         raise TooManyCellsError(bounds.MAX_CELLS)
     for name in change.removed:
@@ -72,32 +72,35 @@
             raise TableError(f"the change removes cell {name!r:.80}, which is not in the table")
 
 
-def _set(cells, change):
-    """Put the change's rows in place; returns where each stands in the change, from 1 on."""
+def _set(cells: dict[str, Cell], change: TableChange) -> dict[str, int]:
+    """Sets the cells of the change's rows; returns {cell: its row}, counted from 1."""
     if len(change.rows) > bounds.MAX_CELLS:
         raise TooManyCellsError(bounds.MAX_CELLS)
-    places = {}
-    for place, cell in enumerate(change.rows, start=1):
-        check_cell(place, cell)
-        if cell.name in places:
-            raise RowError(place, cell.name, f"the cell is also in row {places[cell.name]}")
+    rows: dict[str, int] = {}
+    for row, cell in enumerate(change.rows, start=1):
+        check_cell(row, cell)
+        if cell.name in rows:
+            raise RowError(row, cell.name, f"the cell is also in row {rows[cell.name]}")
         if cell.name in change.removed:
-            raise RowError(place, cell.name, "the cell is both set and removed")
-        places[cell.name], cells[cell.name] = place, cell
-    return places
+            raise RowError(row, cell.name, "the cell is both set and removed")
+        rows[cell.name], cells[cell.name] = row, cell
+    return rows
 
 
 class TableHolder:
-    """The table that a gateway decides by: `table` is the last good one, None before the first."""
+    """The table that a gateway decides by: `table` is the last good one, None before the first.
 
-    def __init__(self, fleet: str, trim: Callable[[Cell], Cell] | None = None):
+    `needs_full_table`: nothing was taken yet, or a change did not fit.
+    """
+
+    def __init__(self, fleet: str, trim: Callable[[Cell], Cell] | None = None) -> None:
         """`trim` makes of a checked row what is held of it."""
         self.fleet, self.trim = fleet, trim
         self.table: CellTable | None = None
-        self.needs_full_table = True  # nothing was taken yet, or a change did not fit
+        self.needs_full_table = True
 
-    def replace(self, table: CellTable):
-        """Take a whole table, as `validate` made it; raises `TableError` where it is refused."""
+    def replace(self, table: CellTable) -> None:
+        """Takes a whole table, as `validate` made it. Raises `TableError` where it is rejected."""
         if table.fleet != self.fleet:
             raise OtherFleetError(self.fleet, table.fleet)
         if self.table is not None and table.version <= self.table.version:
@@ -107,8 +110,8 @@
             table = make_table(table.fleet, table.version, cells)
         self.table, self.needs_full_table = table, False
 
-    def apply(self, change: TableChange):
-        """Apply a change.
+    def apply(self, change: TableChange) -> None:
+        """Applies a change.
 
         Raises `TableError`; `FullTableNeededError` where the whole table must be asked for.
         """
--- a/gaproute/decisions/cells/errors.py
+++ b/gaproute/decisions/cells/errors.py
@@ -1,14 +1,23 @@
-"""Why a cell table or a change to it is refused."""
+"""Why a cell table or a change to it is rejected."""
 
+from __future__ import annotations
 
-class TableError(ValueError):
+from typing import TYPE_CHECKING
+
+from gaproute.errors import GaprouteError
+
+if TYPE_CHECKING:
+    from gaproute.decisions.cells.table import Version
+
+
+class TableError(GaprouteError, ValueError):
     """A table or change that cannot be taken; the last good table stands."""
 
 
 class RowError(TableError):
     """One row of a table is wrong. `row` counts from 1 in the order given."""
 
-    def __init__(self, row, cell, reason):
+    def __init__(self, row: int, cell: str, reason: str) -> None:
         super().__init__(f"row {row}, cell {cell!r}: {reason}")
         self.row, self.cell, self.reason = row, cell, reason
 
@@ -16,7 +25,7 @@
 class TooManyCellsError(TableError):
     """More rows than a table may hold; reading stopped at the first one too many."""
 
-    def __init__(self, bound):
+    def __init__(self, bound: int) -> None:
         super().__init__(f"more than {bound} cells")
         self.bound = bound
 
@@ -24,7 +33,7 @@
 class OtherFleetError(TableError):
     """The table or change is of another fleet."""
 
-    def __init__(self, own, other):
+    def __init__(self, own: str, other: str) -> None:
         super().__init__(f"of fleet {other!r}; this gateway is of {own!r}")
         self.own, self.other = own, other
 
@@ -32,7 +41,7 @@
 class StaleVersionError(TableError):
     """The version is not above the one held: of an earlier term, or seen before."""
 
-    def __init__(self, held, offered):
+    def __init__(self, held: Version, offered: Version) -> None:
         super().__init__(f"version {offered} is not above {held}")
         self.held, self.offered = held, offered
 
@@ -40,6 +49,6 @@
 class FullTableNeededError(TableError):
     """The change starts from a version that is not the one held: only the whole table can help."""
 
-    def __init__(self, held, base):
+    def __init__(self, held: Version | None, base: Version) -> None:
         super().__init__(f"a change from version {base}, but {held} is held: ask for the whole table")
         self.held, self.base = held, base
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -5,47 +5,59 @@
 """
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
-from gaproute.decisions.cells.ring import Ring
-from gaproute.decisions.cells.table import CellTable
+from gaproute.decisions.cells.ring import HashRing
+from gaproute.decisions.cells.table import Cell, CellTable, Version
 
-MAX_ORDERS = 8_192  # orders held: a first call's order is computed in far less than a millisecond
-MIN_ORDER_LENGTH = 4  # homes in an order that is held: one for each of the usual reasons to go on to the next
+MAX_ORDERS = 8_192  # cached: the order of a first request is computed in far less than a millisecond
+MIN_ORDER_LENGTH = 4  # homes in a cached order: one for each of the usual reasons to go on to the next
+
+
+class _CachedOrder(NamedTuple):
+    """An order by the table of that version; None: none yet."""
+
+    version: Version | None
+    cells: tuple[str, ...]
+
+
+_NO_ORDER = _CachedOrder(None, ())
 
 
 class HomeCells:
-    """Orders by one table, over the whole fleet or within one region; a bounded number is held.
+    """Orders by one table, over the whole fleet or within one region; a bounded number is cached.
 
     `regions`: those that will be asked for; the ring of any other is made when it first is.
     """
 
-    def __init__(self, table: CellTable, max_orders: int = MAX_ORDERS, regions: Iterable[str] = ()):
+    def __init__(self, table: CellTable, max_orders: int = MAX_ORDERS, regions: Iterable[str] = ()) -> None:
         self.table = table
         self.max_orders = max_orders
-        self._orders = {}  # (function, region): (version, order); the one used last comes last
-        self._rings = {None: Ring(table.cells)}  # region: its ring; None: the whole fleet
+        # (function, region): the one used last comes last
+        self._orders: dict[tuple[str, str | None], _CachedOrder] = {}
+        self._rings: dict[str | None, HashRing] = {None: HashRing(table.cells)}  # None: the whole fleet
         for region in regions:
             self._ring(region)
 
-    def adopt(self, table: CellTable):
-        """Go by a newer table. Costs what differs; orders held are computed anew when they are next asked."""
+    def adopt(self, table: CellTable) -> None:
+        """Goes by a newer table. Costs what differs; cached orders are computed anew when next asked for."""
         before, after = self.table.by_name, table.by_name
         names = {name for name, cell in after.items() if before.get(name) is not cell}
         names |= before.keys() - after.keys()
-        names = {name for name in names if not _same_place(before.get(name), after.get(name))}
+        names = {name for name in names if not _same_on_ring(before.get(name), after.get(name))}
         for region, ring in self._rings.items():
             inside = {name: after[name] for name in names & after.keys() if _is_in(after[name], region)}
             ring.change(inside, names)
         self.table = table
 
     def order(self, function: str, count: int, region: str | None = None) -> tuple[str, ...]:
-        """The first `count` homes, or more where more are held; fewer where there are no more cells."""
+        """The first `count` homes, or more where more are cached; fewer where there are no more cells."""
         key = function, region
-        version, order = self._orders.pop(key, (None, ()))
+        version, order = self._orders.pop(key, _NO_ORDER)
         ring = self._ring(region)
         if version != self.table.version or len(order) < min(count, len(ring.cells)):
-            order = self._compute(ring, function, max(count, MIN_ORDER_LENGTH))
-        self._orders[key] = self.table.version, order
+            order = _compute(ring, function, max(count, MIN_ORDER_LENGTH))
+        self._orders[key] = _CachedOrder(self.table.version, order)
         if len(self._orders) > self.max_orders:
             del self._orders[next(iter(self._orders))]
         return order
@@ -55,29 +67,11 @@
         order = self.order(function, 1, region)
         return order[0] if order else None
 
-    def _ring(self, region):
+    def _ring(self, region: str | None) -> HashRing:
         if region not in self._rings:
-            self._rings[region] = Ring(cell for cell in self.table.cells if _is_in(cell, region))
+            self._rings[region] = HashRing(cell for cell in self.table.cells if _is_in(cell, region))
         return self._rings[region]
 
-    def _compute(self, ring, function, count):
-        if not ring.cells:
-            return ()
-        several_zones = len(ring.zones) > 1
-        order, passed = [], []
-        for name in ring.order(function):
-            first_zone = ring.cells[order[0]].zone if order else None
-            if several_zones and len(order) == 1 and ring.cells[name].zone == first_zone:
-                passed.append(name)
-                continue
-            order.append(name)
-            if passed:
-                order += passed
-                passed = []
-            if len(order) >= count:
-                break
-        return tuple(order[:count])
-
 
 def moved_share(before: HomeCells, after: HomeCells, functions: Iterable[str]) -> float:
     """The share of the functions whose first home differs."""
@@ -85,11 +79,32 @@
     return sum(before.first(name) != after.first(name) for name in functions) / max(1, len(functions))
 
 
-def _is_in(cell, region):
+def _compute(ring: HashRing, function: str, count: int) -> tuple[str, ...]:
+    """The ring's order, but for cells of the first one's zone: none of them comes second."""
+    if not ring.cells:
+        return ()
+    several_zones = len(ring.zones) > 1
+    order: list[str] = []
+    deferred: list[str] = []
+    for name in ring.order(function):
+        first_zone = ring.cells[order[0]].zone if order else None
+        if several_zones and len(order) == 1 and ring.cells[name].zone == first_zone:
+            deferred.append(name)
+            continue
+        order.append(name)
+        if deferred:
+            order += deferred
+            deferred = []
+        if len(order) >= count:
+            break
+    return tuple(order[:count])
+
+
+def _is_in(cell: Cell, region: str | None) -> bool:
     return region is None or cell.region == region
 
 
-def _same_place(before, after):
+def _same_on_ring(before: Cell | None, after: Cell | None) -> bool:
     """Whether two rows of a cell are the same for the order of homes."""
     if before is None or after is None:
         return before is after
--- a/gaproute/decisions/cells/location.py
+++ b/gaproute/decisions/cells/location.py
@@ -1,10 +1,10 @@
-"""Who a gateway is within the fleet."""
+"""Where a gateway is within the fleet."""
 
 from typing import NamedTuple
 
 
 class GatewayLocation(NamedTuple):
-    """A gateway's own name, and where it stands."""
+    """A gateway's name, and the region and zone that it runs in."""
 
     name: str
     region: str
--- a/gaproute/decisions/cells/ring.py
+++ b/gaproute/decisions/cells/ring.py
@@ -1,9 +1,9 @@
 """A hash ring with several probes for each key (Appleton and O'Reilly, Multi-probe consistent hashing, 2015).
 
-A cell owns points on the ring. A function is hashed to `PROBES` places; the cell whose point follows one of
-them at the least distance is its first home, that of the next distance the second, and so on. Evenness comes
-from the probes, so few points for each cell do, and the cost is that of the probes: it does not grow with
-the fleet but for the logarithm of the points.
+A cell owns points on the ring. A function is hashed to `PROBES` positions; the cell whose point follows one
+of them at the least distance is its first home, that of the next distance the second, and so on. Evenness
+comes from the probes, so few points for each cell do, and the cost is that of the probes: it does not grow
+with the fleet but for the logarithm of the points.
 
 Invariants: equal cells give equal orders, however the ring came about; a cell that comes or goes leaves the
 order of all others as it was, within one round of probes; a split leaves every point where it was.
@@ -11,72 +11,44 @@
 
 from bisect import bisect_left
 from collections import Counter
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Mapping
 
 from xxhash import xxh3_64_intdigest
 
 from gaproute.decisions.cells.table import Cell
 
-PROBES = 21  # places of a function: the fullest point has then about 1.05 of the mean
+PROBES = 21  # of a function: the fullest point has then about 1.05 of the mean
 ROUNDS = 4  # of so many probes, before the cells not met by any are ordered one by one
-RING = 1 << 64  # places on the ring
+RING_SIZE = 1 << 64  # positions on the ring
 
 
-def point_place(origin: str, index: int) -> int:
+def point_position(origin: str, index: int) -> int:
     """Where a cell's point lies on the ring."""
     return xxh3_64_intdigest(origin.encode(), index)
 
 
-class Ring:
-    """Points in the order of their places, and the cell that owns each."""
+class HashRing:
+    """Points in the order of their `positions`, and the cell that owns each; `cells` by name."""
 
-    def __init__(self, cells: Iterable[Cell] = ()):
+    def __init__(self, cells: Iterable[Cell] = ()) -> None:
         self.cells = {cell.name: cell for cell in cells}
         self.zones = Counter(cell.zone for cell in self.cells.values())  # zone: its cells
-        marks = sorted(
-            (point_place(points.origin, index), cell.name)
-            for cell in self.cells.values()
-            for points in cell.points
-            for index in range(points.first, points.first + points.count)
+        points = sorted(
+            (position, cell.name) for cell in self.cells.values() for position in _positions(cell)
         )
-        self.places = [place for place, _ in marks]
-        self.owners = [owner for _, owner in marks]
+        self.positions = [position for position, _ in points]
+        self.owners = [owner for _, owner in points]
 
-    def change(self, cells: dict[str, Cell], names: Iterable[str]):
-        """Take over the cells named as they are in `cells`; those missing there are removed."""
+    def change(self, cells: Mapping[str, Cell], names: Iterable[str]) -> None:
+        """Takes over the cells named as they are in `cells`; those missing there are removed."""
         names = sorted(names)
         for name in names:
             if name in self.cells:
-                self._drop(self.cells[name], cells.get(name))
+                self._remove_points(self.cells[name], cells.get(name))
         for name in names:
             if name in cells:
-                self._add(cells[name], self.cells.get(name))
-            self._rename(name, cells.get(name))
-
-    def _rename(self, name, cell):
-        """Hold the new row of a cell, or none."""
-        if name in self.cells:
-            self.zones -= Counter((self.cells.pop(name).zone,))  # a zone without cells is dropped
-        if cell is not None:
-            self.cells[name] = cell
-            self.zones[cell.zone] += 1
-
-    def _add(self, cell, before):
-        """Add the points that the cell had not before."""
-        for place in _places(cell) - _places(before):
-            at = bisect_left(self.places, place)
-            while at < len(self.places) and self.places[at] == place and self.owners[at] < cell.name:
-                at += 1
-            self.places.insert(at, place)
-            self.owners.insert(at, cell.name)
-
-    def _drop(self, cell, after):
-        """Remove the points that the cell has no more."""
-        for place in _places(cell) - _places(after):
-            at = bisect_left(self.places, place)
-            while self.owners[at] != cell.name:
-                at += 1
-            del self.places[at], self.owners[at]
+                self._add_points(cells[name], self.cells.get(name))
+            self._replace(name, cells.get(name))
 
     def order(self, function: str) -> Iterator[str]:
         """All cells, one by one, in the function's order."""
@@ -88,23 +60,48 @@
                     yield name
             if len(given) == len(self.cells):
                 return
-        rest = [name for name in self.cells if name not in given]
-        rest.sort(key=lambda name: (xxh3_64_intdigest(key + b"\0" + name.encode()), name))
-        yield from rest
-
-    def _probe(self, key, seed):
-        """(distance to the next point, its owner) of one of the key's places."""
-        place = xxh3_64_intdigest(key, seed)
-        at = bisect_left(self.places, place)
-        if at == len(self.places):
+        others = [name for name in self.cells if name not in given]
+        others.sort(key=lambda name: (xxh3_64_intdigest(key + b"\0" + name.encode()), name))
+        yield from others
+
+    def _probe(self, key: bytes, seed: int) -> tuple[int, str]:
+        """(distance to the next point, its owner) of one of the key's positions."""
+        position = xxh3_64_intdigest(key, seed)
+        at = bisect_left(self.positions, position)
+        if at == len(self.positions):
             at = 0
-        return (self.places[at] - place) % RING, self.owners[at]
+        return (self.positions[at] - position) % RING_SIZE, self.owners[at]
+
+    def _replace(self, name: str, cell: Cell | None) -> None:
+        """Holds the new row of a cell, or none."""
+        if name in self.cells:
+            self.zones -= Counter((self.cells.pop(name).zone,))  # a zone without cells is dropped
+        if cell is not None:
+            self.cells[name] = cell
+            self.zones[cell.zone] += 1
+
+    def _add_points(self, cell: Cell, before: Cell | None) -> None:
+        """Adds the points that the cell had not before."""
+        for position in _positions(cell) - _positions(before):
+            at = bisect_left(self.positions, position)
+            while at < len(self.positions) and self.positions[at] == position and self.owners[at] < cell.name:
+                at += 1
+            self.positions.insert(at, position)
+            self.owners.insert(at, cell.name)
+
+    def _remove_points(self, cell: Cell, after: Cell | None) -> None:
+        """Removes the points that the cell has no more."""
+        for position in _positions(cell) - _positions(after):
+            at = bisect_left(self.positions, position)
+            while self.owners[at] != cell.name:
+                at += 1
+            del self.positions[at], self.owners[at]
 
 
-def _places(cell):
-    """The places of a cell's points; none of no cell."""
+def _positions(cell: Cell | None) -> set[int]:
+    """The positions of a cell's points; none of no cell."""
     return {
-        point_place(points.origin, index)
+        point_position(points.origin, index)
         for points in (cell.points if cell is not None else ())
-        for index in range(points.first, points.first + points.count)
+        for index in range(points.first, points.first + points.size)
     }
--- a/gaproute/decisions/cells/spill.py
+++ b/gaproute/decisions/cells/spill.py
@@ -1,27 +1,28 @@
-"""How many calls that a cell refused for its load may go on to the next cell.
+"""How many requests that a cell rejected for its load may go on to the next cell.
 
-When a cell is full its next ones take what it refuses; were all of it moved, the next cells would be full as
-well and copies would be loaded everywhere. So refused calls move within a share of all calls.
+When a cell is full its next ones take what it rejects; were all of it moved, the next cells would be full as
+well and instances would be loaded everywhere. So rejected requests move within a share of all requests, by a
+token bucket that arrivals fill.
 
-Invariant: over any time no more calls move than `SHARE` of those that arrived, and `BURST`.
+Invariant: over any time no more requests move than `SHARE` of those that arrived, and `BURST`.
 """
 
-SHARE = 0.1  # of the calls that arrive
-BURST = 20.0  # calls saved up
+SHARE = 0.1  # of the requests that arrive
+BURST = 20.0  # requests saved up
 
 
 class SpillBudget:
-    """A budget that arrivals fill."""
+    """The token bucket: a token for each request that may move."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.tokens = BURST
 
-    def record_arrival(self):
-        """One more call came from a client."""
+    def record_arrival(self) -> None:
+        """One more request came from a client."""
         self.tokens = min(BURST, self.tokens + SHARE)
 
-    def try_spend(self):
-        """Whether a refused call may go on to another cell; takes it out of the budget."""
+    def try_spend(self) -> bool:
+        """Takes a token, if there is one: whether a rejected request may go on to another cell."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -1,11 +1,12 @@
-"""The cell table: which cells the fleet has, where they lie and which gateways lead into them.
+"""The cell table: which cells the fleet has, where they lie and which gateways take requests for them.
 
 A table is immutable and has a version, so that gateways can say which one they decided by. `validate` is the
 only way to make one from rows that came from outside.
 """
 
-from collections.abc import Iterable
+from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, replace
+from itertools import pairwise
 from math import isfinite
 from types import MappingProxyType
 from typing import NamedTuple
@@ -20,12 +21,12 @@
     term: int
     number: int
 
-    def __str__(self):
+    def __str__(self) -> str:
         return f"{self.term}.{self.number}"
 
 
 class PointRange(NamedTuple):
-    """`count` ring points from `first` on, of those that the name `origin` gives.
+    """`size` ring points from `first` on, of those that the name `origin` gives.
 
     A cell begins with points of its own name; the origin stays when a split hands points to a new cell, so
     that no point moves on the ring.
@@ -33,11 +34,11 @@
 
     origin: str
     first: int
-    count: int
+    size: int
 
 
 class EntryGateway(NamedTuple):
-    """A gateway that knows the hosts of a cell and takes calls for it from others."""
+    """A gateway that knows the hosts of a cell and takes requests for it from others."""
 
     name: str
     address: str
@@ -63,7 +64,7 @@
     fleet: str
     version: Version
     cells: tuple[Cell, ...]
-    by_name: MappingProxyType
+    by_name: Mapping[str, Cell]
 
 
 def initial_points(name: str, capacity: float, mean_capacity: float) -> tuple[PointRange, ...]:
@@ -77,39 +78,50 @@
 
     Functions move from the old cell to the new one only, and about half of them do.
     """
-    total = sum(points.count for points in cell.points)
+    total = sum(points.size for points in cell.points)
     if total < 2 or cell.hosts < 2:
         raise TableError(f"cell {cell.name!r} has too few hosts or ring points to be split")
-    kept, given, left = [], [], total - total // 2
-    for points in cell.points:
-        stay = min(left, points.count)
-        left -= stay
-        if stay:
-            kept.append(points._replace(count=stay))
-        if stay < points.count:
-            given.append(PointRange(points.origin, points.first + stay, points.count - stay))
+    kept, given = _split_points(cell.points, total - total // 2)
     half = cell.hosts // 2
     capacity = cell.capacity * half / cell.hosts
-    old = replace(cell, points=tuple(kept), hosts=cell.hosts - half, capacity=cell.capacity - capacity)
-    new = replace(cell, name=name, points=tuple(given), hosts=half, capacity=capacity, entries=entries)
+    old = replace(cell, points=kept, hosts=cell.hosts - half, capacity=cell.capacity - capacity)
+    new = replace(cell, name=name, points=given, hosts=half, capacity=capacity, entries=entries)
     return old, new
 
 
+def _split_points(
+    points: Iterable[PointRange], count: int
+) -> tuple[tuple[PointRange, ...], tuple[PointRange, ...]]:
+    """The first `count` points, and the others."""
+    first, others = [], []
+    for points_range in points:
+        stay = min(count, points_range.size)
+        count -= stay
+        if stay:
+            first.append(points_range._replace(size=stay))
+        if stay < points_range.size:
+            others.append(
+                PointRange(points_range.origin, points_range.first + stay, points_range.size - stay)
+            )
+    return tuple(first), tuple(others)
+
+
 def validate(fleet: str, version: Version, rows: Iterable[Cell]) -> CellTable:
-    """The table of these rows. Raises `TableError`; a `RowError` names the row by its place, from 1 on."""
+    """The table of these rows. Raises `TableError`; a `RowError` names the row by its number, from 1 on."""
     _check_head(fleet, version)
-    cells, places = {}, {}
-    for place, cell in enumerate(rows, start=1):
-        if place > bounds.MAX_CELLS:
+    cells: dict[str, Cell] = {}
+    row_numbers: dict[str, int] = {}
+    for number, cell in enumerate(rows, start=1):
+        if number > bounds.MAX_CELLS:
             raise TooManyCellsError(bounds.MAX_CELLS)
-        check_cell(place, cell)
+        check_cell(number, cell)
         if cell.name in cells:
-            raise RowError(place, cell.name, f"the cell is also in row {places[cell.name]}")
-        cells[cell.name], places[cell.name] = cell, place
+            raise RowError(number, cell.name, f"the cell is also in row {row_numbers[cell.name]}")
+        cells[cell.name], row_numbers[cell.name] = cell, number
     if not cells:
         raise TableError("the table has no cells")
-    check_zones(places, cells.values())
-    check_points(places, cells.values())
+    check_zones(row_numbers, cells.values())
+    check_points(row_numbers, cells.values())
     return make_table(fleet, version, cells)
 
 
@@ -119,32 +131,32 @@
     return CellTable(fleet, version, tuple(ordered.values()), MappingProxyType(ordered))
 
 
-def _check_head(fleet, version):
+def _check_head(fleet: object, version: object) -> None:
     if not _is_name(fleet):
         raise TableError(f"the fleet's name {fleet!r:.80} is empty, too long or no text")
     if not (isinstance(version, Version) and all(type(part) is int and part >= 0 for part in version)):
         raise TableError(f"the version {version!r:.80} is not two integers from 0 on")
 
 
-def check_cell(place: int, cell: Cell):
-    """Raise `RowError` where a cell taken alone is wrong."""
+def check_cell(row: int, cell: Cell) -> None:
+    """Raises `RowError` where a cell taken alone is wrong; `row` counts from 1."""
     reason = _wrong_names(cell) or _wrong_sizes(cell) or _wrong_points(cell) or _wrong_entries(cell)
     if reason is not None:
-        raise RowError(place, str(cell.name)[: bounds.MAX_NAME], reason)
+        raise RowError(row, str(cell.name)[: bounds.MAX_NAME], reason)
 
 
-def _is_name(name):
+def _is_name(name: object) -> bool:
     return isinstance(name, str) and 0 < len(name) <= bounds.MAX_NAME and name.isprintable()
 
 
-def _wrong_names(cell):
+def _wrong_names(cell: Cell) -> str | None:
     for what in ("name", "region", "zone"):
         if not _is_name(getattr(cell, what)):
             return f"the {what} is empty, too long or no printable text"
     return None
 
 
-def _wrong_sizes(cell):
+def _wrong_sizes(cell: Cell) -> str | None:
     if type(cell.hosts) is not int or not 0 < cell.hosts <= bounds.MAX_HOSTS:
         return f"{cell.hosts!r:.40} hosts are not 1 to {bounds.MAX_HOSTS}"
     capacity = cell.capacity
@@ -157,24 +169,24 @@
     return None
 
 
-def _wrong_points(cell):
+def _wrong_points(cell: Cell) -> str | None:
     if not 0 < len(cell.points) <= bounds.MAX_RANGES:
         return f"{len(cell.points)} ranges of ring points are not 1 to {bounds.MAX_RANGES}"
     total = 0
     for points in cell.points:
         if not _is_name(points.origin):
             return "the origin of ring points is empty, too long or no printable text"
-        if type(points.first) is not int or type(points.count) is not int:
+        if type(points.first) is not int or type(points.size) is not int:
             return "ring points are not counted by integers"
-        total += points.count
-        if points.first < 0 or points.count < 1 or points.first + points.count > bounds.MAX_RING_POINTS:
-            return f"the ring points {points.first}+{points.count} are out of range"
+        total += points.size
+        if points.first < 0 or points.size < 1 or points.first + points.size > bounds.MAX_RING_POINTS:
+            return f"the ring points {points.first}+{points.size} are out of range"
     if total > bounds.MAX_CELL_POINTS:
         return f"{total} ring points are more than {bounds.MAX_CELL_POINTS}"
     return None
 
 
-def _wrong_entries(cell):
+def _wrong_entries(cell: Cell) -> str | None:
     if len(cell.entries) > bounds.MAX_ENTRIES:
         return f"{len(cell.entries)} entry gateways are more than {bounds.MAX_ENTRIES}"
     if not all(_is_name(entry.name) and _is_name(entry.address) for entry in cell.entries):
@@ -184,30 +196,54 @@
     return None
 
 
-def check_zones(places: dict[str, int], cells: Iterable[Cell], regions: dict[str, str] | None = None):
-    """Raise `RowError` where a zone lies in two regions; `regions`: those of zones known before."""
-    regions = dict(regions or {})
+def check_zones(
+    rows: Mapping[str, int], cells: Iterable[Cell], regions: Mapping[str, str] | None = None
+) -> None:
+    """Raises `RowError` where a zone lies in two regions.
+
+    `rows`: {cell: its row}; `regions`: those of zones known before.
+    """
+    region_of = dict(regions or {})
     for cell in cells:
-        region = regions.setdefault(cell.zone, cell.region)
+        region = region_of.setdefault(cell.zone, cell.region)
         if region != cell.region:
             reason = f"zone {cell.zone!r} lies in region {region!r}, not {cell.region!r}"
-            raise RowError(places[cell.name], cell.name, reason)
+            raise RowError(rows[cell.name], cell.name, reason)
+
 
+class _TakenRange(NamedTuple):
+    """Ring points of one origin that a cell has."""
 
-def check_points(places: dict[str, int], cells: Iterable[Cell], origins=None):
-    """Raise where two cells have the same ring point, or all have too many; `origins`: look at these only."""
-    ranges, total = {}, 0
+    first: int
+    size: int
+    cell: str
+
+
+def check_points(
+    rows: Mapping[str, int], cells: Iterable[Cell], origins: Collection[str] | None = None
+) -> None:
+    """Raises `TableError` where two cells have the same ring point, or all have too many.
+
+    `rows`: {cell: its row}; `origins`: only points of these are looked at.
+    """
+    ranges: dict[str, list[_TakenRange]] = {}
+    total = 0
     for cell in cells:
         for points in cell.points:
-            total += points.count
+            total += points.size
             if origins is None or points.origin in origins:
-                ranges.setdefault(points.origin, []).append((points.first, points.count, cell.name))
+                taken = _TakenRange(points.first, points.size, cell.name)
+                ranges.setdefault(points.origin, []).append(taken)
     if total > bounds.MAX_RING_POINTS:
         raise TableError(f"{total} ring points in all are more than {bounds.MAX_RING_POINTS}")
-    for origin, taken in ranges.items():
-        taken.sort()
-        for (first, count, owner), (following, _, other) in zip(taken, taken[1:], strict=False):
-            if following < first + count:
-                owner, blamed = sorted((owner, other), key=lambda name: places.get(name, 0))
-                reason = f"ring point {following} of {origin!r} is also of cell {owner!r}"
-                raise RowError(places.get(blamed, 0), blamed, reason)
+    for origin, taken_ranges in ranges.items():
+        _check_overlaps(rows, origin, sorted(taken_ranges))
+
+
+def _check_overlaps(rows: Mapping[str, int], origin: str, ranges: list[_TakenRange]) -> None:
+    """Raises `RowError` for the later row of two that have the same point; `ranges` are sorted."""
+    for taken, following in pairwise(ranges):
+        if following.first < taken.first + taken.size:
+            owner, blamed = sorted((taken.cell, following.cell), key=lambda name: rows.get(name, 0))
+            reason = f"ring point {following.first} of {origin!r} is also of cell {owner!r}"
+            raise RowError(rows.get(blamed, 0), blamed, reason)
