--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -2,12 +2,12 @@
 
 Arrivals are counted with exponential decay, over a short and a long time. Counts are taken a few deviations
 low, so that a function seen once or twice stays what nearly all are: rare, with one home in the whole fleet,
-where the calls of all gateways meet at one copy. One that the own region alone keeps loaded goes to homes of
-that region; one that makes much of a cell's work gets more homes, by powers of two so that gateways with
-slightly different estimates mostly agree.
+where the requests of all gateways meet at one instance. One that the own region alone keeps loaded goes to
+homes of that region; one that makes much of a cell's work gets more homes, by powers of two so that gateways
+with slightly different estimates mostly agree.
 
-Invariants: a placement changes for one function at most once in `HOLD`, but for growth; what makes it grow
-lies well above what makes it shrink; the functions remembered are bounded.
+Invariants: a placement changes for one function at most once in `MIN_PLACEMENT_TIME`, but for growth; what
+makes it grow lies well above what makes it shrink; the functions remembered are bounded.
 """
 
 from math import exp, sqrt
@@ -15,15 +15,16 @@
 
 SECOND = 1_000_000_000
 
-SHORT_MEMORY = 60 * SECOND  # memory of the short count: it follows a function that becomes hot
-LONG_MEMORY = 1_800 * SECOND  # memory of the long one: tells what is called often from what is called rarely
+SHORT_MEMORY = 60 * SECOND  # of the short count: it follows a function that becomes hot
+LONG_MEMORY = 1_800 * SECOND  # of the long one: tells what is requested often from what is rare
 CAUTION = 1.5  # deviations by which a count is taken low: three arrivals at the least are evidence
 HOME_SHARE = 0.01  # of a mean cell's work that one home of a function may make
-SHRINK = 4  # times fewer homes needed than held before they are halved
-WARM_CALLS = 4.0  # expected in a keep-alive at each home: a copy is then found gone once in 55 times
-HOLD = 60 * SECOND  # between two changes of one placement, but for more homes
-FIRST_WORK = SECOND // 10  # work of a call before any was seen
-WORK_WEIGHT = 0.1  # of the newest call in the mean work of a function
+SHRINK_FACTOR = 4  # times fewer homes needed than there are before they are halved
+WARM_REQUESTS = 4.0  # expected in a keep-alive at each home: an instance is then found gone once in 55 times
+MIN_PLACEMENT_TIME = 60 * SECOND  # between two changes of one placement, but for more homes
+DEFAULT_DURATION = SECOND // 10  # of a request before any was seen
+DURATION_WEIGHT = 0.1  # of the newest request in the mean duration of a function
+FLEET_DURATION_WEIGHT = DURATION_WEIGHT / 10  # the same in the mean of all functions
 MAX_FUNCTIONS = 32_768  # remembered; the one seen longest ago goes first
 
 
@@ -32,7 +33,7 @@
 
     gateways: int  # in the whole fleet
     regional_gateways: int  # in the own region
-    keep_alive: int  # an idle copy stays at least this long, ns
+    keep_alive: int  # an idle instance stays at least this long, ns
 
 
 class Placement(NamedTuple):
@@ -48,117 +49,128 @@
 class DecayingCount:
     """Arrivals, or their work, with decay over two times."""
 
-    __slots__ = ("fast", "slow", "at")
+    __slots__ = ("long_term", "short_term", "updated_at")
 
-    def __init__(self, now):
-        self.fast = self.slow = 0.0
-        self.at = now
+    def __init__(self, now: int) -> None:
+        self.short_term = self.long_term = 0.0
+        self.updated_at = now
 
-    def add(self, now, amount):
-        """Decay to now and add."""
-        passed = now - self.at
-        self.fast = self.fast * exp(-passed / SHORT_MEMORY) + amount
-        self.slow = self.slow * exp(-passed / LONG_MEMORY) + amount
-        self.at = now
+    def add(self, now: int, amount: float) -> None:
+        """Decays to now and adds."""
+        passed = now - self.updated_at
+        self.short_term = self.short_term * exp(-passed / SHORT_MEMORY) + amount
+        self.long_term = self.long_term * exp(-passed / LONG_MEMORY) + amount
+        self.updated_at = now
 
 
 class FunctionDemand(DecayingCount):
-    """What is remembered of one function."""
+    """What is remembered of one function: its arrivals, its work and its homes."""
 
-    __slots__ = ("work", "placement", "changed")
+    __slots__ = ("changed_at", "duration", "placement")
 
-    def __init__(self, now):
+    def __init__(self, now: int) -> None:
         super().__init__(now)
-        self.work = 0.0  # mean time that a call takes, ns; 0: none seen
-        self.placement, self.changed = RARE, now - HOLD
+        self.duration = 0.0  # mean time that a request takes, ns; 0: none seen
+        self.placement, self.changed_at = RARE, now - MIN_PLACEMENT_TIME
 
 
 class Demand:
     """Own arrivals by function. `now` at making is when this gateway began to count."""
 
-    def __init__(self, now: int, scope: FleetScope, max_functions: int = MAX_FUNCTIONS):
-        self.began, self.scope, self.max_functions = now, scope, max_functions
-        self.functions = {}  # name: Seen; the one seen last comes last
-        self.total = DecayingCount(now)  # of work
-        self.usual_work = float(FIRST_WORK)
-
-    def record_arrival(self, now: int, function: str):
-        """A call of the function came from a client of this gateway."""
-        seen = self.functions.pop(function, None) or FunctionDemand(now)
-        self.functions[function] = seen
-        seen.add(now, 1.0)
-        self.total.add(now, self._work(seen))
+    def __init__(self, now: int, scope: FleetScope, max_functions: int = MAX_FUNCTIONS) -> None:
+        self.started_at, self.scope, self.max_functions = now, scope, max_functions
+        self.functions: dict[str, FunctionDemand] = {}  # by name; the one seen last comes last
+        self.total_work = DecayingCount(now)
+        self.fleet_duration = float(DEFAULT_DURATION)  # mean of all functions, ns
+
+    def record_arrival(self, now: int, function: str) -> None:
+        """A request of the function came from a client of this gateway."""
+        demand = self.functions.pop(function, None) or FunctionDemand(now)
+        self.functions[function] = demand
+        demand.add(now, 1.0)
+        self.total_work.add(now, self._duration(demand))
         if len(self.functions) > self.max_functions:
             del self.functions[next(iter(self.functions))]
 
-    def record_duration(self, function: str, span: int):
-        """A call was answered after that time."""
-        self.usual_work += WORK_WEIGHT / 10 * (span - self.usual_work)
-        seen = self.functions.get(function)
-        if seen is not None:
-            seen.work = seen.work + WORK_WEIGHT * (span - seen.work) if seen.work else float(span)
+    def record_duration(self, function: str, duration: int) -> None:
+        """A request was answered after that time, ns."""
+        self.fleet_duration += FLEET_DURATION_WEIGHT * (duration - self.fleet_duration)
+        demand = self.functions.get(function)
+        if demand is None:
+            return
+        if demand.duration:
+            demand.duration += DURATION_WEIGHT * (duration - demand.duration)
+        else:
+            demand.duration = float(duration)
 
     def mean_duration(self, function: str) -> float:
-        """The mean time that a call of the function takes, ns."""
-        seen = self.functions.get(function)
-        return self._work(seen) if seen is not None else self.usual_work
+        """The mean time that a request of the function takes, ns."""
+        demand = self.functions.get(function)
+        return self._duration(demand) if demand is not None else self.fleet_duration
 
     def placement(self, now: int, function: str, cells: float, regional_cells: float) -> Placement:
         """The function's homes, given the cells of mean capacity in the fleet and in the own region."""
-        seen = self.functions.get(function)
-        if seen is None:
+        demand = self.functions.get(function)
+        if demand is None:
             return RARE
-        held = seen.placement
-        regional = self._regional(now, seen) and regional_cells > 0
-        if regional != held.regional:
-            if now - seen.changed < HOLD:
-                regional = held.regional
+        current = demand.placement
+        may_change = now - demand.changed_at >= MIN_PLACEMENT_TIME
+        regional = self._is_regional(now, demand) and regional_cells > 0
+        if regional != current.regional:
+            if may_change:
+                current = Placement(regional, 1)
             else:
-                held = Placement(regional, 1)
-        wanted = self._homes(now, seen, held, regional_cells if regional else cells)
-        if wanted < held.homes and now - seen.changed < HOLD:
-            wanted = held.homes
-        if (regional, wanted) != seen.placement:
-            seen.placement, seen.changed = Placement(regional, wanted), now
-        return seen.placement
-
-    def _work(self, seen):
-        return seen.work or self.usual_work
-
-    def _regional(self, now, seen):
-        """Whether the region's own calls keep a copy loaded: cautious to enter, patient to leave."""
-        count = seen.slow * exp((seen.at - now) / LONG_MEMORY)
-        calls = self.scope.regional_gateways * self.scope.keep_alive / self._counted(now, LONG_MEMORY)
-        if seen.placement.regional:
-            return count >= 1 and count * calls >= WARM_CALLS
-        return _lower_estimate(count) * calls >= WARM_CALLS
-
-    def _homes(self, now, seen, held, cells):
-        """How many homes the work asks for, of those that its calls keep loaded."""
-        share, rate = 0.0, 0.0  # of all own work; calls in a nanosecond
-        for count, total, memory in (
-            (seen.fast, self.total.fast, SHORT_MEMORY),
-            (seen.slow, self.total.slow, LONG_MEMORY),
-        ):
-            count = _lower_estimate(count * exp((seen.at - now) / memory))
-            total *= exp((self.total.at - now) / memory)
-            share = max(share, count * self._work(seen) / max(total, 1.0))
-            rate = max(rate, count / self._counted(now, memory))
-        gateways = self.scope.regional_gateways if held.regional else self.scope.gateways
-        kept_loaded = rate * gateways * self.scope.keep_alive / WARM_CALLS
+                regional = current.regional
+        homes = self._homes(now, demand, current, regional_cells if regional else cells)
+        if homes < current.homes and not may_change:
+            homes = current.homes
+        if (regional, homes) != demand.placement:
+            demand.placement, demand.changed_at = Placement(regional, homes), now
+        return demand.placement
+
+    def _duration(self, demand: FunctionDemand) -> float:
+        return demand.duration or self.fleet_duration
+
+    def _is_regional(self, now: int, demand: FunctionDemand) -> bool:
+        """Whether the region's own requests keep an instance loaded: cautious to enter, patient to leave."""
+        count = demand.long_term * exp((demand.updated_at - now) / LONG_MEMORY)
+        keep_alives = self.scope.regional_gateways * self.scope.keep_alive / self._counted(now, LONG_MEMORY)
+        if demand.placement.regional:
+            return count >= 1 and count * keep_alives >= WARM_REQUESTS
+        return _lower_estimate(count) * keep_alives >= WARM_REQUESTS
+
+    def _homes(self, now: int, demand: FunctionDemand, current: Placement, cells: float) -> int:
+        """How many homes the work asks for, of those that its requests keep loaded."""
+        share, rate = self._share_and_rate(now, demand)
+        gateways = self.scope.regional_gateways if current.regional else self.scope.gateways
+        kept_loaded = rate * gateways * self.scope.keep_alive / WARM_REQUESTS
         most = max(1, min(int(cells), int(kept_loaded)))
         needed = min(share * cells / HOME_SHARE, most)
-        if needed > held.homes:
+        if needed > current.homes:
             return min(most, 1 << (int(needed) - 1).bit_length())
-        if held.homes > most or needed * SHRINK <= held.homes:
-            return max(1, held.homes // 2)
-        return held.homes
+        if current.homes > most or needed * SHRINK_FACTOR <= current.homes:
+            return max(1, current.homes // 2)
+        return current.homes
+
+    def _share_and_rate(self, now: int, demand: FunctionDemand) -> tuple[float, float]:
+        """The function's share of all own work, and its requests in a nanosecond, by the count that has more."""
+        total = self.total_work
+        share, rate = 0.0, 0.0
+        for function_count, work, memory in (
+            (demand.short_term, total.short_term, SHORT_MEMORY),
+            (demand.long_term, total.long_term, LONG_MEMORY),
+        ):
+            count = _lower_estimate(function_count * exp((demand.updated_at - now) / memory))
+            work *= exp((total.updated_at - now) / memory)
+            share = max(share, count * self._duration(demand) / max(work, 1.0))
+            rate = max(rate, count / self._counted(now, memory))
+        return share, rate
 
-    def _counted(self, now, memory):
-        """Over how long a count reaches back: at first no further than the gateway's start."""
-        age = max(now - self.began, SECOND)
+    def _counted(self, now: int, memory: int) -> float:
+        """Over how long a count reaches back, ns: at first no further than the gateway's start."""
+        age = max(now - self.started_at, SECOND)
         return memory * (1 - exp(-age / memory))
 
 
-def _lower_estimate(count):
+def _lower_estimate(count: float) -> float:
     return max(0.0, count - CAUTION * sqrt(count))
--- a/gaproute/decisions/cells/views.py
+++ b/gaproute/decisions/cells/views.py
@@ -1,106 +1,127 @@
 """Which cells a gateway knows by their hosts; all others it reaches through their entry gateways.
 
-It attends to a few cells of its own zone, by rendezvous hashing of its name, and to those that name it as an
-entry: so each cell has some tens of gateways that know its hosts well. It adopts further cells that it sends
-much to, and lets them go when they are no longer used.
+It is assigned a few cells of its own zone, by rendezvous hashing of its name, and those that name it as an
+entry: so each cell has some tens of gateways that know its hosts well. It adds further cells that it sends
+much to, and removes them when they are no longer used.
 
-Invariants: the hosts of all cells in the view stay within `MAX_HOSTS_IN_VIEW`, but for one cell that is
-always attended to; a cell is adopted and let go by rates that lie apart, so that the view is steady.
+Invariants: the hosts of all cells in the view stay within `MAX_HOSTS_IN_VIEW`, but for one assigned cell,
+which always stays; a cell is added and removed by rates that lie apart, so that the view is steady.
 """
 
+from collections.abc import Iterable, Mapping
 from math import exp
+from typing import NamedTuple
 
 from xxhash import xxh3_64_intdigest
 
 from gaproute.decisions.cells.demand import LONG_MEMORY, SECOND, SHORT_MEMORY, DecayingCount
+from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.table import Cell, CellTable
 
-ASSIGNED_CELLS = 2  # cells of the own zone: with a thousand gateways and 38 cells in a zone, 50 to a cell
-MAX_HOSTS_IN_VIEW = 512  # hosts in the view, whatever the fleet's size
-ADD_RATE = 10.0  # calls a second to a cell for which its host list is worth keeping
+ASSIGNED_CELLS = 2  # of the own zone: with a thousand gateways and 38 cells in a zone, 50 to a cell
+MAX_HOSTS_IN_VIEW = 512  # whatever the fleet's size
+ADD_RATE = 10.0  # requests a second to a cell for which its host list is worth following
 REMOVE_FACTOR = 4  # times fewer, at which it is not
 REVIEW_INTERVAL = 10 * SECOND  # between two looks at what is used
 
 
+class RequestRates(NamedTuple):
+    """Own requests a second to a cell."""
+
+    recent: float
+    long_term: float
+
+
 class CellView:
-    """The cells that this gateway should know: `attended` and `adopted`, names in a stable order."""
-
-    def __init__(self, now, place, max_hosts=MAX_HOSTS_IN_VIEW):
-        self.began, self.place, self.max_hosts = now, place, max_hosts
-        self.table = None
-        self.assigned, self.extra = (), ()
-        self.used = {}  # cell: Count of own calls
-        self.reviewed = now
-
-    def adopt(self, table):
-        """Go by a newer table."""
-        self.table = table
-        self.used = {name: count for name, count in self.used.items() if name in table.by_name}
+    """The cells that this gateway should know: `assigned` and `extra`, names in a stable order."""
+
+    def __init__(self, now: int, location: GatewayLocation, max_hosts: int = MAX_HOSTS_IN_VIEW) -> None:
+        self.started_at, self.location, self.max_hosts = now, location, max_hosts
+        self.cells: Mapping[str, Cell] = {}  # of the table
+        self.assigned: tuple[str, ...] = ()
+        self.extra: tuple[str, ...] = ()
+        self.used: dict[str, DecayingCount] = {}  # cell: own requests
+        self.reviewed_at = now
+
+    def adopt(self, table: CellTable) -> None:
+        """Goes by a newer table."""
+        self.cells = table.by_name
+        self.used = {name: count for name, count in self.used.items() if name in self.cells}
         self.assigned = self._assigned(table)
-        kept = [name for name in self.extra if name in table.by_name and name not in self.assigned]
-        self.extra = self._within_bound(kept)
+        extra = [name for name in self.extra if name in self.cells and name not in self.assigned]
+        self.extra = self._within_bound(extra)
 
-    def names(self):
+    def names(self) -> tuple[str, ...]:
         """All cells in the view."""
         return self.assigned + self.extra
 
-    def hosts(self):
+    def hosts(self) -> int:
         """Hosts of all cells in the view, by the table."""
-        return sum(self.table.by_name[name].hosts for name in self.names())
+        return sum(self.cells[name].hosts for name in self.names())
 
-    def record_use(self, now, name):
-        """An own call goes to the cell."""
+    def record_use(self, now: int, name: str) -> None:
+        """An own request goes to the cell."""
         count = self.used.get(name)
         if count is None:
             count = self.used[name] = DecayingCount(now)
         count.add(now, 1.0)
 
-    def review(self, now):
-        """Adopt and let go; whether the view changed. Cheap unless a review is due."""
-        if self.table is None or now - self.reviewed < REVIEW_INTERVAL:
+    def review(self, now: int) -> bool:
+        """Adds and removes cells; whether the view changed. Cheap unless a review is due."""
+        if not self.cells or now - self.reviewed_at < REVIEW_INTERVAL:
             return False
-        self.reviewed, before = now, self.extra
+        self.reviewed_at, before = now, self.extra
         kept = [name for name in self.extra if max(self._rates(now, name)) >= ADD_RATE / REMOVE_FACTOR]
-        known = {*self.assigned, *kept}
-        steady = [
-            (-min(self._rates(now, name)) / self.table.by_name[name].hosts, name)
+        self.extra = self._within_bound(kept + self._worth_adding(now, {*self.assigned, *kept}))
+        return self.extra != before
+
+    def _worth_adding(self, now: int, known: set[str]) -> list[str]:
+        """Further cells in steady use, those with the most requests for each host first."""
+        ranked = [
+            (-min(self._rates(now, name)) / self.cells[name].hosts, name)
             for name in self.used
             if name not in known and min(self._rates(now, name)) >= ADD_RATE
         ]
-        self.extra = self._within_bound(kept + [name for _, name in sorted(steady)])
-        return self.extra != before
+        return [name for _, name in sorted(ranked)]
 
-    def _rates(self, now, name):
-        """Own calls a second to the cell: of late, and on the long run."""
+    def _rates(self, now: int, name: str) -> RequestRates:
         count = self.used.get(name)
         if count is None:
-            return 0.0, 0.0
-        age, passed = max(now - self.began, SECOND), now - count.at
-        return tuple(
-            value * exp(-passed / memory) / (memory * (1 - exp(-age / memory))) * SECOND
-            for value, memory in ((count.fast, SHORT_MEMORY), (count.slow, LONG_MEMORY))
+            return RequestRates(0.0, 0.0)
+        return RequestRates(
+            self._rate(now, count.updated_at, count.short_term, SHORT_MEMORY),
+            self._rate(now, count.updated_at, count.long_term, LONG_MEMORY),
         )
 
-    def _assigned(self, table):
-        own = [cell for cell in table.cells if cell.zone == self.place.zone]
-        own.sort(key=lambda cell: (-_rank(self.place.name, cell.name), cell.name))
-        named = [cell for cell in own if any(entry.name == self.place.name for entry in cell.entries)]
-        chosen, hosts = [], 0
-        for cell in dict.fromkeys(named + own[:ASSIGNED_CELLS]):
+    def _rate(self, now: int, updated_at: int, count: float, memory: int) -> float:
+        """Requests a second of a count that decays with that memory."""
+        age, passed = max(now - self.started_at, SECOND), now - updated_at
+        return count * exp(-passed / memory) / (memory * (1 - exp(-age / memory))) * SECOND
+
+    def _assigned(self, table: CellTable) -> tuple[str, ...]:
+        own_zone = [cell for cell in table.cells if cell.zone == self.location.zone]
+        own_zone.sort(key=lambda cell: (-_rank(self.location.name, cell.name), cell.name))
+        as_entry = [
+            cell for cell in own_zone if any(entry.name == self.location.name for entry in cell.entries)
+        ]
+        chosen: list[str] = []
+        hosts = 0
+        for cell in dict.fromkeys(as_entry + own_zone[:ASSIGNED_CELLS]):
             if not chosen or hosts + cell.hosts <= self.max_hosts:
                 chosen.append(cell.name)
                 hosts += cell.hosts
         return tuple(chosen)
 
-    def _within_bound(self, names):
-        """The first of the names that fit beside the cells attended to."""
-        left = self.max_hosts - sum(self.table.by_name[name].hosts for name in self.assigned)
+    def _within_bound(self, names: Iterable[str]) -> tuple[str, ...]:
+        """The first of the names that fit beside the assigned cells."""
+        left = self.max_hosts - sum(self.cells[name].hosts for name in self.assigned)
         fitting = []
         for name in names:
-            if self.table.by_name[name].hosts <= left:
+            if self.cells[name].hosts <= left:
                 fitting.append(name)
-                left -= self.table.by_name[name].hosts
+                left -= self.cells[name].hosts
         return tuple(fitting)
 
 
-def _rank(gateway, cell):
+def _rank(gateway: str, cell: str) -> int:
     return xxh3_64_intdigest(f"{gateway}\0{cell}".encode())
--- a/tests/decisions/cells/test_demand.py
+++ b/tests/decisions/cells/test_demand.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from gaproute.decisions.cells.demand import HOLD, RARE, SECOND, Demand, FleetScope, Placement
+from gaproute.decisions.cells.demand import MIN_PLACEMENT_TIME, RARE, SECOND, Demand, FleetScope, Placement
 from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.chance import Chance
 
@@ -20,10 +20,10 @@
             events.append((int(at * SECOND), name))
             at += random.expovariate(rate)
     for now, name in sorted(events):
-        demand.record_arrival(demand.began + now, name)
+        demand.record_arrival(demand.started_at + now, name)
         if each is not None:
-            each(demand.began + now, name)
-    return demand.began + seconds * SECOND
+            each(demand.started_at + now, name)
+    return demand.started_at + seconds * SECOND
 
 
 def placed(demand, now, name="f"):
@@ -113,7 +113,7 @@
         demand.record_arrival(at, "g")
         found = placed(demand, at).homes
         if found != before[1]:
-            assert found == before[1] // 2 and (steps == 0 or at - before[0] >= HOLD)
+            assert found == before[1] // 2 and (steps == 0 or at - before[0] >= MIN_PLACEMENT_TIME)
             before, steps = (at, found), steps + 1
     assert before[1] == 1
 
