--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -42,7 +42,7 @@
         self.demand = Demand(now, FleetScope(terms.gateways, terms.gateways, max(1, terms.keep_alive)))
         self.health = CellHealth(self.entries.own_name, self.chance, place)
         self.loads, self.spill = CellLoads(), SpillBudget()
-        self.homes = self.chooser = None
+        self.homes = self.selector = None
 
     def __getattr__(self, name):
         # What else drivers and carriers ask of a gateway is that of the one cell.
@@ -67,11 +67,11 @@
             return
         if self.homes is None:
             self.homes = HomeCells(table, regions=(self.place.region,))
-            self.chooser = CellSelector(
+            self.selector = CellSelector(
                 self.place, self.homes, self.demand, self.loads, self.health, self.chance
             )
         self.homes.adopt(table)
-        self.chooser.adopt(table)
+        self.selector.adopt(table)
         self.health.adopt(table)
         self.entries.adopt(table)
         self.loads.adopt(table.by_name)
@@ -107,11 +107,11 @@
             self.single.ration = self.local.ration
             if self.local.end_by is not None:
                 self.single.end_by = self.local.end_by
-        self.previous_single = self.homes = self.chooser = None
+        self.previous_single = self.homes = self.selector = None
         self.local.retain(())
 
     def _rescope(self):
-        share = self.chooser.regional_cells / len(self.table.cells)
+        share = self.selector.regional_cells / len(self.table.cells)
         gateways = self.terms.gateways
         self.demand.scope = FleetScope(
             gateways, max(1, round(gateways * share)), max(1, self.terms.keep_alive)
--- a/gaproute/decisions/cells/choice.py
+++ b/gaproute/decisions/cells/choice.py
@@ -1,20 +1,31 @@
-"""Which cell a call goes to, and which after that.
+"""Which cell a request goes to, and which after that.
 
-The function's homes come first, one of them drawn by load; then the next cells in its order, for calls that
-provably did not run there. An ill home is passed over, but for its one trial; a suspected one by calls that
-must not run twice, unless nothing else is left.
+The function's homes come first, one of them drawn by load; then the next cells in its order, for requests
+that provably did not run there. A home with a fault is left out, but for its one trial; a suspected one by
+requests that must not run twice, unless nothing else is left.
 
-Invariants: a cell is given at most once for a call; a trial goes to a function's own home only; with no
-illness and no suspicion the first cell is one of the homes.
+Invariants: a cell is given at most once for a request; a trial goes to a function's own home only; with no
+fault and no suspicion the first cell is one of the homes.
 """
 
+from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
+from gaproute.decisions.cells.demand import Demand, Placement
 from gaproute.decisions.cells.faults import CircuitState
+from gaproute.decisions.cells.health import CellHealth
+from gaproute.decisions.cells.homes import HomeCells
+from gaproute.decisions.cells.loads import CellLoads
+from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.table import CellTable
+from gaproute.shared.randomness import RandomSource
 
+FIRST_PART = 4  # cells of an order that are looked at first;
+PART_GROWTH = 4  # then so many times more
 
-class Choice(NamedTuple):
-    """A cell for a call. `trial`: it is the one trial of an ill place."""
+
+class CellChoice(NamedTuple):
+    """A cell for a request. `trial`: it is the one trial of a domain with a fault."""
 
     cell: str
     trial: bool = False
@@ -23,91 +34,106 @@
 class CellSelector:
     """Puts together homes, demand, loads and health, which all go by one table."""
 
-    def __init__(self, place, homes, demand, loads, health, chance):
-        self.place, self.homes, self.demand = place, homes, demand
+    def __init__(
+        self,
+        location: GatewayLocation,
+        homes: HomeCells,
+        demand: Demand,
+        loads: CellLoads,
+        health: CellHealth,
+        chance: RandomSource,
+    ) -> None:
+        self.location, self.homes, self.demand = location, homes, demand
         self.loads, self.health, self.chance = loads, health, chance
+        self.capacities: dict[str, float] = {}  # by cell
+        self.regions: set[str] = set()
+        self.regional_cells = 0.0  # cells of mean capacity in the own region
         self.adopt(homes.table)
 
-    def adopt(self, table):
-        """Go by a newer table, which `homes` has taken before."""
+    def adopt(self, table: CellTable) -> None:
+        """Goes by a newer table, which `homes` has taken before."""
         self.capacities = {cell.name: cell.capacity for cell in table.cells}
         self.regions = {cell.region for cell in table.cells}
         mean = sum(self.capacities.values()) / len(self.capacities)
-        regional = sum(cell.capacity for cell in table.cells if cell.region == self.place.region)
+        regional = sum(cell.capacity for cell in table.cells if cell.region == self.location.region)
         self.regional_cells = regional / mean
 
-    def placement(self, now, function):
-        """Where the function has its homes, as this gateway sees it."""
-        placement = self.demand.placement(now, function, len(self.capacities), self.regional_cells)
-        if not placement.regional and self.cut_off(now, function):
-            return placement._replace(regional=True)
-        return placement
-
-    def cut_off(self, now, function):
-        """Whether most other regions are silent: then the own one serves all functions alone."""
-        if self.regional_cells <= 0 or not self.health.faults:
-            return False
-        others = [region for region in self.regions if region != self.place.region]
-        barred = sum(not self.health.region_usable(now, region, function) for region in others)
-        return 2 * barred > len(others) > 0
-
-    def cells(self, now, function, may_repeat=True):
-        """Yields each `Choice` for a call of the function, in turn. `may_repeat`: it may be sent again."""
+    def cells(self, now: int, function: str, *, may_repeat: bool = True) -> Iterator[CellChoice]:
+        """Yields the cells for a request of the function, in turn. `may_repeat`: it may be sent again."""
         regional, count = self.placement(now, function)
-        region = self.place.region if regional else None
+        region = self.location.region if regional else None
         homes = self.homes.order(function, count, region)[:count]
-        first = self._first(now, function, homes, may_repeat)
-        given = set()
+        first = self._first(now, function, homes, may_repeat=may_repeat)
+        given: set[str] = set()
         if first is not None:
             given.add(first.cell)
             yield first
-        yield from self._next(now, function, region, given, may_repeat)
+        yield from self._next(now, function, region, given, may_repeat=may_repeat)
         if regional:
-            yield from self._next(now, function, None, given, may_repeat)
+            yield from self._next(now, function, None, given, may_repeat=may_repeat)
         if not given:
             yield from self._last_resort(function, region)
 
-    def _first(self, now, function, homes, may_repeat):
-        """One of the homes that may be sent to, drawn by load; a trial goes before; None: all are ill."""
+    def placement(self, now: int, function: str) -> Placement:
+        """Where the function has its homes, as this gateway sees it."""
+        placement = self.demand.placement(now, function, len(self.capacities), self.regional_cells)
+        if not placement.regional and self._is_cut_off(now, function):
+            return placement._replace(regional=True)
+        return placement
+
+    def _is_cut_off(self, now: int, function: str) -> bool:
+        """Whether most other regions have a fault: then the own one serves all functions alone."""
+        if self.regional_cells <= 0 or not self.health.faults:
+            return False
+        others = [region for region in self.regions if region != self.location.region]
+        unusable = sum(not self.health.region_usable(now, region, function) for region in others)
+        return 2 * unusable > len(others) > 0
+
+    def _first(self, now: int, function: str, homes: Sequence[str], *, may_repeat: bool) -> CellChoice | None:
+        """One of the homes that may be sent to, drawn by load, but a trial first; None: none may be."""
         if not self.health.is_fault_free():
-            permits = [(name, self.health.circuit_state(now, name, function, may_repeat)) for name in homes]
-            for name, permit in permits:
-                if permit is CircuitState.HALF_OPEN and (
-                    may_repeat or self.health.accepts_any_trial(now, name)
-                ):
-                    return Choice(name, True)
-            homes = [name for name, permit in permits if permit is CircuitState.CLOSED]
+            states = {
+                name: self.health.circuit_state(now, name, function, may_repeat=may_repeat) for name in homes
+            }
+            for name, state in states.items():
+                if state is not CircuitState.HALF_OPEN:
+                    continue
+                if may_repeat or self.health.accepts_any_trial(now, name):
+                    return CellChoice(name, trial=True)
+            homes = [name for name, state in states.items() if state is CircuitState.CLOSED]
         if not homes:
             return None
-        return Choice(self.loads.draw(now, homes, self.capacities, self.chance))
+        return CellChoice(self.loads.draw(now, homes, self.capacities, self.chance))
+
+    def _next(
+        self, now: int, function: str, region: str | None, given: set[str], *, may_repeat: bool
+    ) -> Iterator[CellChoice]:
+        """The cells of the order that may be sent to, but for those already given."""
+        count, start = FIRST_PART, 0
+        while True:
+            order = self.homes.order(function, count, region)
+            for name in order[start:]:
+                if name in given:
+                    continue
+                state = self.health.circuit_state(now, name, function, may_repeat=may_repeat)
+                if state is CircuitState.CLOSED:
+                    given.add(name)
+                    yield CellChoice(name)
+            if len(order) < count:
+                return
+            start, count = len(order), PART_GROWTH * count
 
-    def _last_resort(self, function, region):
-        """Where nothing else is left: the first home that is well again, before the function's turn, or else
+    def _last_resort(self, function: str, region: str | None) -> Iterator[CellChoice]:
+        """Where nothing else is left: the first home that has recovered, before the function's turn, or else
         the first that is slow: a late answer is better than none."""
         slow = None
         for name in self.homes.order(function, len(self.capacities), region):
             if name not in self.health.cells:
                 continue
             if not self.health.is_faulty(name):
-                yield Choice(name)
+                yield CellChoice(name)
                 return
             if slow is None and self.health.is_only_slow(name):
                 slow = name
         if slow is not None:
-            yield Choice(slow)
-
-    def _next(self, now, function, region, given, may_repeat):
-        """The cells of the order that may be sent to, but for those already given."""
-        count, place = 4, 0
-        while True:
-            order = self.homes.order(function, count, region)
-            for name in order[place:]:
-                if (
-                    name not in given
-                    and self.health.circuit_state(now, name, function, may_repeat) is CircuitState.CLOSED
-                ):
-                    given.add(name)
-                    yield Choice(name)
-            if len(order) < count:
-                return
-            place, count = len(order), 4 * count
+            yield CellChoice(slow)
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -153,7 +153,7 @@
         return current.homes
 
     def _share_and_rate(self, now: int, demand: FunctionDemand) -> tuple[float, float]:
-        """The function's share of all own work, and its requests in a nanosecond, by the count that has more."""
+        """The function's share of all own work and its requests a nanosecond, by the count that has more."""
         total = self.total_work
         share, rate = 0.0, 0.0
         for function_count, work, memory in (
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -1,27 +1,31 @@
-"""The ways into cells that a gateway does not know: which entry gateway a call is forwarded to.
+"""Which entry gateway a request for a cell is forwarded to whose hosts this gateway does not know.
 
 The order of a cell's entries is this gateway's own (rendezvous hashing of its name and the entry's), so that
 the gateways of a fleet spread over the entries, and one gateway keeps to one entry of each cell: few
-connections, and they are in use. An entry that cannot be reached or is silent is passed over for a while; one
-that does not know a cell is passed over for that cell.
+connections, and they are in use. An entry that cannot be reached or is silent is left out for a while; one
+that does not know a cell is left out for that cell.
 
-Invariants: a task goes to an entry at most once; a call is forwarded `MAX_HOPS` times at most.
+Invariants: a request goes to an entry at most once; it is forwarded `MAX_HOPS` times at most.
 """
 
+from collections.abc import Collection
 from dataclasses import dataclass, replace
-from typing import NamedTuple
+from typing import NamedTuple, Self, TypeVar
 
 from xxhash import xxh3_64_intdigest
 
-from gaproute.decisions.cells.table import Cell
+from gaproute.decisions.cells.table import Cell, CellTable, EntryGateway
 from gaproute.interface import Attempt, Reject
 
 SECOND = 1_000_000_000
 
-MAX_HOPS = 2  # from the gateway that took the call to an entry, and once more where that knows the cell not
-MAX_ENTRIES_PER_CELL = 4  # of a cell, in this gateway's order: two are tried for one call
-ENTRIES_KEPT_PER_CELL = 4  # entries remembered for each cell before those that the table lacks are sought out
-MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # for which an entry is passed over
+MAX_HOPS = 2  # from the gateway that took the request to an entry, and once more where that lacks the cell
+MAX_ENTRIES_PER_CELL = 4  # in this gateway's order: two are tried for one request
+ENTRIES_KEPT_PER_CELL = 4  # remembered for each cell before those that the table lacks are sought out
+MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # for which an entry is left out
+NEVER = -1  # when an entry answered that has not
+
+Key = TypeVar("Key")
 
 
 def trim_entries(cell: Cell, own_name: str) -> Cell:
@@ -36,7 +40,7 @@
     return replace(cell, entries=tuple(own + _ordered(own_name, cell)[:MAX_ENTRIES_PER_CELL]))
 
 
-def _ordered(own_name, cell):
+def _ordered(own_name: str, cell: Cell) -> list[EntryGateway]:
     """The cell's entries in this gateway's order, without itself."""
     return sorted(
         [entry for entry in cell.entries if entry.name != own_name],
@@ -45,111 +49,125 @@
 
 
 class Forwarded(NamedTuple):
-    """What a forwarded task says beside its content."""
+    """What a forwarded request says beside its content."""
 
     cell: str
     hops: int  # times that it has been forwarded
 
 
 class ForwardAttempt(Attempt):
-    """A relay to an entry gateway. `host` is the entry's name."""
+    """An attempt by way of an entry gateway. `host` is the entry's name."""
+
+    address: str
+    forwarded: Forwarded
 
-    def __new__(cls, entry, until, forwarded):
-        """A wish as `Attempt`, with what the other gateway must be told."""
-        wish = super().__new__(cls, entry.name, until)
-        wish.address, wish.forwarded = entry.address, forwarded
-        return wish
+    def __new__(cls, entry: EntryGateway, until: int, forwarded: Forwarded) -> Self:
+        """An action as `Attempt`, with what the other gateway must be told."""
+        attempt = super().__new__(cls, entry.name, until)
+        attempt.address, attempt.forwarded = entry.address, forwarded
+        return attempt
 
 
 class CellUnknown(Reject):
-    """A decline by a gateway that has no way into the cell: nothing ran, and another entry may know more."""
+    """The rejection by a gateway that cannot reach the cell: nothing ran, and another entry may know more."""
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class EntryBackoff:
-    """An entry that failed, or does not know a cell: passed over until then."""
+    """An entry that failed, or does not know a cell: left out until then; ns."""
 
     retry_at: int
     duration: int
 
 
+class _CachedOrder(NamedTuple):
+    """A cell's entries in order, by that row of the table."""
+
+    cell: Cell
+    entries: tuple[EntryGateway, ...]
+
+
 class EntrySelector:
-    """Which entry of a cell to use."""
+    """Which entry of a cell to use, for the gateway `own_name`."""
 
-    def __init__(self, own_name):
+    def __init__(self, own_name: str) -> None:
         self.own_name = own_name
-        self.backoffs = {}  # entry: EntryBackoff
-        self.unknown_cells = {}  # (entry, cell that it does not know): EntryBackoff
-        self.last_answered = {}  # entry: when it last answered
-        self.orders = {}  # cell: (its row, entries in order)
-
-    def adopt(self, table):
-        """Forget what the table has no more."""
-        self.orders = {name: held for name, held in self.orders.items() if name in table.by_name}
+        self.backoffs: dict[str, EntryBackoff] = {}  # by entry
+        self.unknown_cells: dict[tuple[str, str], EntryBackoff] = {}  # by (entry, cell that it lacks)
+        self.last_answered: dict[str, int] = {}  # by entry, ns
+        self.orders: dict[str, _CachedOrder] = {}  # by cell
+
+    def adopt(self, table: CellTable) -> None:
+        """Forgets what the table has no more."""
+        self.orders = {name: order for name, order in self.orders.items() if name in table.by_name}
         self.unknown_cells = {
-            key: backoff for key, backoff in self.unknown_cells.items() if _named(table, *key)
+            key: backoff for key, backoff in self.unknown_cells.items() if _is_entry(table, *key)
         }
         if len(self.backoffs) + len(self.last_answered) > ENTRIES_KEPT_PER_CELL * len(table.cells):
             named = {entry.name for cell in table.cells for entry in cell.entries}
             self.backoffs = {name: backoff for name, backoff in self.backoffs.items() if name in named}
             self.last_answered = {name: at for name, at in self.last_answered.items() if name in named}
 
-    def order(self, cell):
+    def order(self, cell: Cell) -> tuple[EntryGateway, ...]:
         """The cell's entries in this gateway's order, without itself."""
-        row, order = self.orders.get(cell.name, (None, ()))
-        if row is not cell:
-            order = tuple(_ordered(self.own_name, cell))
-            self.orders[cell.name] = cell, order
-        return order
-
-    def pick(self, now, cell, tried=()):
-        """The entry to use, or None: all are in backoff or were tried."""
+        cached = self.orders.get(cell.name)
+        if cached is None or cached.cell is not cell:
+            cached = self.orders[cell.name] = _CachedOrder(cell, tuple(_ordered(self.own_name, cell)))
+        return cached.entries
+
+    def pick(self, now: int, cell: Cell, tried: Collection[str] = ()) -> EntryGateway | None:
+        """The entry to use, or None: all are left out or were tried."""
         for entry in self.order(cell):
-            if entry.name not in tried and self._usable(now, entry.name, cell.name):
+            if entry.name not in tried and self._is_usable(now, entry.name, cell.name):
                 return entry
         return None
 
-    def none_available(self, now, cell):
+    def none_available(self, now: int, cell: Cell) -> bool:
         """Whether no entry of the cell can be used for now."""
         return self.pick(now, cell) is None
 
-    def record_failure(self, now, name):
+    def record_failure(self, now: int, name: str) -> None:
         """The entry could not be reached, broke off, or is silent."""
         _back_off(self.backoffs, name, now)
 
-    def record_cell_unknown(self, now, name, cell):
-        """The entry is well, but does not know the cell of that name."""
+    def record_cell_unknown(self, now: int, name: str, cell: str) -> None:
+        """The entry answers, but does not know the cell of that name."""
         self.record_answer(now, name)
         _back_off(self.unknown_cells, (name, cell), now)
 
-    def record_overdue(self, now, name, sent):
-        """A call sent then has no answer yet, or none came in time: proof if it answered no other since."""
-        if self.last_answered.get(name, -1) < sent:
+    def record_overdue(self, now: int, name: str, sent: int) -> None:
+        """A request sent then has no answer in time: a failure if the entry answered no other since."""
+        if not self.has_answered_since(name, sent):
             self.record_failure(now, name)
 
-    def record_answer(self, now, name, cell=None):
-        """The entry is well; `cell`: one that it thereby showed to know."""
+    def record_answer(self, now: int, name: str, cell: str | None = None) -> None:
+        """The entry answers; `cell`: one that it thereby showed to know."""
         self.last_answered[name] = now
         self.backoffs.pop(name, None)
-        self.unknown_cells.pop((name, cell), None)
+        if cell is not None:
+            self.unknown_cells.pop((name, cell), None)
+
+    def has_answered_since(self, name: str, time: int) -> bool:
+        """Whether the entry answered any request at or after that time."""
+        return self.last_answered.get(name, NEVER) >= time
 
-    def _usable(self, now, name, cell):
-        """Whether nothing speaks against the entry as a way into the cell."""
+    def _is_usable(self, now: int, name: str, cell: str) -> bool:
+        """Whether the entry is not left out, neither for all cells nor for this one."""
         backoffs = self.backoffs.get(name), self.unknown_cells.get((name, cell))
         return all(backoff is None or now >= backoff.retry_at for backoff in backoffs)
 
 
-def _back_off(backoffs, key, now):
-    """Pass over what the key names, for longer each time."""
+def _back_off(backoffs: dict[Key, EntryBackoff], key: Key, now: int) -> None:
+    """Leaves out what the key names, for longer each time."""
     backoff = backoffs.get(key)
     if backoff is None:
         backoffs[key] = EntryBackoff(now + MIN_BACKOFF, MIN_BACKOFF)
     elif now >= backoff.retry_at:
-        span = min(2 * backoff.duration, MAX_BACKOFF)
-        backoffs[key] = EntryBackoff(now + span, span)
+        duration = min(2 * backoff.duration, MAX_BACKOFF)
+        backoffs[key] = EntryBackoff(now + duration, duration)
 
 
-def _named(table, name, cell):
+def _is_entry(table: CellTable, name: str, cell: str) -> bool:
     """Whether the table names the gateway as an entry of the cell."""
     row = table.by_name.get(cell)
     return row is not None and any(entry.name == name for entry in row.entries)
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -1,219 +1,248 @@
-"""Which cells may be sent to, by this gateway's own proof alone.
+"""Which cells requests may be sent to, by this gateway's own proof alone: circuit breakers for cells.
 
-A cell is ill when none of its ways in can be reached, when calls by two ways are overdue and nothing was
-heard from it since, when it refuses most calls, or when it answers from standing copies far slower than is
-usual. Zones, regions and all that lies outside the own zone or region are ill when they are silent
-(`silence`). Errors are no proof: a function may fail everywhere.
+A cell has a fault when none of its hosts or entries can be reached, when requests by two of them are overdue
+and nothing was heard from it since, when it rejects most requests, or when it answers from warm instances far
+slower than is usual. Zones, regions and all that lies outside the own zone or region have one when they are
+silent (`silence`). Errors are no proof: a function may fail everywhere.
 
-An ill place gets one trial at a time, each after a longer rest. Once a trial succeeds its functions come back
-one by one over a while, in an order that all gateways nearly share, so that the copies lost meanwhile are
-loaded at a steady pace.
+A domain with a fault gets one trial at a time, each after a longer backoff. Once a trial succeeds its
+functions come back one by one over a recovery ramp, in an order that all gateways nearly share, so that the
+instances lost meanwhile are loaded at a steady pace.
 
-Invariants: a place that is ill has at most one trial out; rests grow up to `MAX_BACKOFF`; nothing heard from
-others makes a place ill or well.
+Invariants: a domain with a fault has at most one trial out; backoffs grow up to `MAX_BACKOFF`; nothing heard
+from other gateways makes or ends a fault.
 """
 
+from collections.abc import Mapping
 from statistics import median
 
 from xxhash import xxh3_64_intdigest
 
-from gaproute.decisions.cells.faults import OUTCOMES, CellRecord, CircuitState, Fault, FaultKind, FaultScope
+from gaproute.decisions.cells.faults import (
+    OUTCOMES,
+    CellRecord,
+    CircuitState,
+    Fault,
+    FaultDomain,
+    FaultKind,
+    FaultScope,
+    Outcome,
+    Pace,
+)
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.silence import MIN_SILENT_PARTS, SilenceDetector
+from gaproute.decisions.cells.table import Cell, CellTable
 from gaproute.interface import Result
+from gaproute.shared.randomness import RandomSource
 
 SECOND = 1_000_000_000
 
-MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # before trials of an ill place
-BACKOFF_JITTER = 0.25  # of a rest, added by chance: gateways do not all try at one moment
-IDEMPOTENT_TRIAL_WAIT = (
-    120 * SECOND
-)  # after a rest for a pure call to be the trial; then any call is, and may be lost
+MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # before trials
+BACKOFF_JITTER = 0.25  # of a backoff, added by chance: gateways do not all try at one moment
+IDEMPOTENT_TRIAL_WAIT = 120 * SECOND  # for an idempotent request; then any is a trial, and may be lost
 TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without any answer has failed
-OUTCOME_LIFE = 30 * SECOND  # older outcomes say nothing of now; a gateway calls most cells twice in 5 s
-MAX_REFUSAL_SHARE = 0.5  # of the last outcomes: more of them refusals make a cell ill
-MIN_OUTCOMES = 4  # by which refusals are judged
-SLOW = 4.0  # times slower than usual at which a cell is ill
+OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes say nothing of now; a gateway calls most cells twice in 5 s
+MAX_REJECTED_SHARE = 0.5  # of the last outcomes; more are a fault
+MIN_OUTCOMES = 4  # by which rejections are judged
+SLOW = 4.0  # times slower than usual that is a fault
 MIN_RECOVERY_RAMP, MAX_RECOVERY_RAMP = 5 * SECOND, 60 * SECOND  # over which functions come back
-RAMP_JITTER = 0.1  # of the return, by which gateways differ for one function
+RAMP_JITTER = 0.1  # of the ramp, by which gateways differ for one function
+HASH_RANGE = 1 << 64
 
 ANSWERS = (Result.OK, Result.ERROR, Result.STREAM_STARTED)
-REFUSALS = (Result.FULL, Result.NOT_LOADED)
+REJECTIONS = (Result.FULL, Result.NOT_LOADED)
 FAILURES = (Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
 
 
 class CellHealth:
-    """Regions, zones and cells that are ill; places are named (area, name)."""
+    """The `faults` of regions, zones and cells. Times are ns of the clock that `now` is read from."""
 
-    def __init__(self, own_name, chance, own_place: GatewayLocation | None = None):
+    def __init__(
+        self, own_name: str, chance: RandomSource, own_location: GatewayLocation | None = None
+    ) -> None:
         self.own_name, self.chance = own_name, chance
-        self.silence = SilenceDetector(own_place)
-        self.cells = {}  # name: Cell, of the table
-        self.records = {}  # cell: CellRecord
-        self.faults = {}  # place: Fault
+        self.silence = SilenceDetector(own_location)
+        self.cells: Mapping[str, Cell] = {}  # of the table
+        self.records: dict[str, CellRecord] = {}  # by cell
+        self.faults: dict[FaultDomain, Fault] = {}
 
-    def adopt(self, table):
-        """Go by a newer table; what it has no more is forgotten."""
+    def adopt(self, table: CellTable) -> None:
+        """Goes by a newer table; what it has no more is forgotten."""
         self.cells = table.by_name
         self.silence.adopt(table.by_name)
         self.records = {name: record for name, record in self.records.items() if name in self.cells}
         if self.faults:
-            places = {place for cell in table.cells for place in self.silence.places(cell)}
-            self.faults = {place: ill for place, ill in self.faults.items() if place in places}
+            domains = {domain for cell in table.cells for domain in self.silence.domains(cell)}
+            self.faults = {domain: fault for domain, fault in self.faults.items() if domain in domains}
 
-    def circuit_state(self, now, name, function, may_repeat=True):
-        """Whether the function's call may go to the cell; not where a newer table lacks it.
+    # What requests may do
 
-        `may_repeat`: the call may be sent again elsewhere; others pass over places that are suspected.
+    def circuit_state(self, now: int, name: str, function: str, *, may_repeat: bool = True) -> CircuitState:
+        """Whether the function's request may go to the cell; open where a newer table lacks it.
+
+        `may_repeat`: the request may be sent again elsewhere; others avoid domains that are suspected.
         """
-        if name not in self.cells or not may_repeat and self.silence.suspects(now, self.cells[name]):
+        cell = self.cells.get(name)
+        if cell is None or not may_repeat and self.silence.suspects(now, cell):
             return CircuitState.OPEN
-        permit = CircuitState.CLOSED
-        for place in self.silence.places(self.cells[name]) if self.faults else ():
-            ill = self.faults.get(place)
-            if ill is None:
-                continue
-            if ill.recovered_at is None:
-                if not _trial_due(now, ill):
-                    return CircuitState.OPEN
-                permit = CircuitState.HALF_OPEN
-            elif now >= ill.recovered_at + ill.ramp:
-                del self.faults[place]
-            elif not self._returned(now, ill, function):
+        state = CircuitState.CLOSED
+        for domain in self.silence.domains(cell) if self.faults else ():
+            domain_state = self._domain_state(now, domain, function)
+            if domain_state is CircuitState.OPEN:
                 return CircuitState.OPEN
-        return permit
+            if domain_state is CircuitState.HALF_OPEN:
+                state = CircuitState.HALF_OPEN
+        return state
 
-    def is_fault_free(self):
-        """Whether every call may go everywhere."""
+    def is_fault_free(self) -> bool:
+        """Whether every request may go everywhere."""
         return not self.faults and not self.silence.suspected
 
-    def region_usable(self, now, name, function):
-        """Whether the region is well, or well again and the function's turn to return there has come."""
-        places = (FaultScope.REGION, name), *self.silence.outside_by_region(name)
-        illnesses = [self.faults[place] for place in places if place in self.faults]
-        return all(ill.recovered_at is not None and self._returned(now, ill, function) for ill in illnesses)
+    def region_usable(self, now: int, name: str, function: str) -> bool:
+        """Whether the region has no fault, or has recovered and the function's turn there has come."""
+        domains = (FaultScope.REGION, name), *self.silence.outside_by_region(name)
+        faults = [self.faults[domain] for domain in domains if domain in self.faults]
+        return all(self._has_returned(now, fault, function) for fault in faults)
 
-    def has_fault(self, area, name):
-        """Whether a place is ill and not yet healed."""
-        ill = self.faults.get((area, name))
-        return ill is not None and ill.recovered_at is None
+    def has_fault(self, scope: FaultScope, name: str) -> bool:
+        """Whether a domain has a fault and has not recovered."""
+        fault = self.faults.get((scope, name))
+        return fault is not None and fault.recovered_at is None
 
-    def is_faulty(self, name):
-        """Whether the cell or what it lies in is ill and not yet healed."""
+    def is_faulty(self, name: str) -> bool:
+        """Whether the cell or what it lies in has a fault and has not recovered."""
         return bool(self.faults) and name in self.cells and bool(self._current_faults(name))
 
-    def is_only_slow(self, name):
-        """Whether the cell answers, though slowly, and what it lies in is well."""
-        illnesses = self._current_faults(name) if name in self.cells else []
-        return bool(illnesses) and all(ill.kind is FaultKind.SLOW for ill in illnesses)
+    def is_only_slow(self, name: str) -> bool:
+        """Whether the cell answers, though slowly, and what it lies in has no fault."""
+        faults = self._current_faults(name) if name in self.cells else []
+        return bool(faults) and all(fault.kind is FaultKind.SLOW for fault in faults)
+
+    def accepts_any_trial(self, now: int, name: str) -> bool:
+        """Whether no idempotent request came to be the trial, long after one was due."""
+        return all(now >= fault.next_trial_at + IDEMPOTENT_TRIAL_WAIT for fault in self._current_faults(name))
 
-    def accepts_any_trial(self, now, name):
-        """Whether no pure call came to be the trial of a place that has rested."""
-        return all(now >= ill.next_trial_at + IDEMPOTENT_TRIAL_WAIT for ill in self._current_faults(name))
+    # What is heard
 
-    def trial_sent(self, now, name):
+    def trial_sent(self, now: int, name: str) -> None:
         """A trial goes to the cell; one that went before had no answer."""
         self._trial_failed(now, name)
-        for ill in self._current_faults(name):
-            ill.trial_sent_at = now
+        for fault in self._current_faults(name):
+            fault.trial_sent_at = now
 
-    def record_unreachable(self, now, name):
-        """No way into the cell can be reached, or no host of it is active."""
+    def record_unreachable(self, now: int, name: str) -> None:
+        """No host or entry of the cell can be reached, or no host of it is active."""
         if name in self.cells:
             self._fault_found(now, (FaultScope.CELL, name), FaultKind.UNREACHABLE)
             self._trial_failed(now, name)
 
-    def record_overdue(self, now, name, sent, way):
-        """A call to the cell, by that host or entry, is overdue; once for each call."""
+    def record_overdue(self, now: int, name: str, sent: int, via: str) -> None:
+        """A request to the cell, `via` that host or entry, is overdue; once for each request."""
         if name not in self.cells:
             return
         record = self.records.setdefault(name, CellRecord())
         if sent <= record.last_heard:
             return
-        record.overdue[way] = sent
+        record.overdue[via] = sent
         self.silence.record_overdue(now, self.cells[name], sent)
         self._trial_failed(now, name)
         if len(record.overdue) >= MIN_SILENT_PARTS:
             self._fault_found(now, (FaultScope.CELL, name), FaultKind.SILENT)
-        for place in self.silence.silent_around(self.cells[name], self.records):
-            self._fault_found(now, place, FaultKind.SILENT)
+        for domain in self.silence.silent_around(self.cells[name], self.records):
+            self._fault_found(now, domain, FaultKind.SILENT)
 
-    def record_outcome(self, now, name, result, pace=None):
-        """A call's outcome. `pace`: its time over the usual of its function, where a copy stood."""
+    def record_outcome(self, now: int, name: str, result: Result, pace: float | None = None) -> None:
+        """A request's outcome. `pace`: its time over the mean of its function, where an instance was warm."""
         if name not in self.cells:
             return
         record = self.records.setdefault(name, CellRecord())
-        if result in ANSWERS or result in REFUSALS:
+        answered, rejected = result in ANSWERS, result in REJECTIONS
+        if answered or rejected:
             record.last_heard = now
             self.silence.record_answer(now, self.cells[name])
             record.overdue.clear()
-        if result in ANSWERS:
-            self._answered(now, name)
-        if result in ANSWERS or result in REFUSALS:
-            record.outcomes.append((now, result in REFUSALS))
+            record.outcomes.append(Outcome(now, rejected))
+        if answered:
+            self._recover(now, name)
         if pace is not None:
-            record.paces.append((now, pace))
-        if result in REFUSALS or result in FAILURES:
+            record.paces.append(Pace(now, pace))
+        if rejected or result in FAILURES:
             self._trial_failed(now, name)
         self._judge_cell(now, name, record)
 
-    def _current_faults(self, name):
-        """Of the cell and of what it lies in, those not healed."""
-        found = [self.faults.get(place) for place in self.silence.places(self.cells[name])]
-        return [ill for ill in found if ill is not None and ill.recovered_at is None]
-
-    def _trial_failed(self, now, name):
-        for ill in self._current_faults(name) if self.faults else ():
-            if ill.trial_sent_at is not None:
-                self._back_off(now, ill)
-
-    def _returned(self, now, ill, function):
-        return self._return_place(function) * ill.ramp <= now - ill.recovered_at
-
-    def _return_place(self, function):
-        """0 to 1: when in a return the function comes; gateways differ little for the same function."""
-        shared = xxh3_64_intdigest(function.encode())
-        own = xxh3_64_intdigest(f"{self.own_name}\0{function}".encode())
-        return ((1 - RAMP_JITTER) * shared + RAMP_JITTER * own) / (1 << 64)
-
-    def _fault_found(self, now, place, illness):
-        ill = self.faults.get(place)
-        if ill is None:
-            self.faults[place] = Fault(illness, now, MIN_BACKOFF, now + self._jittered(MIN_BACKOFF))
-        elif ill.recovered_at is not None:
-            ill.kind, ill.since, ill.recovered_at = illness, now, None
-            self._back_off(now, ill)
-
-    def _back_off(self, now, ill):
-        ill.backoff = min(2 * ill.backoff, MAX_BACKOFF)
-        ill.next_trial_at, ill.trial_sent_at = now + self._jittered(ill.backoff), None
-
-    def _jittered(self, rest):
-        return rest + self.chance.below(int(BACKOFF_JITTER * rest))
-
-    def _answered(self, now, name):
-        """Any answer shows that zone and region are well; a cell that refused or was slow needs a trial."""
-        for ill in self._current_faults(name) if self.faults else ():
-            if ill.kind is FaultKind.SILENT or ill.trial_sent_at is not None:
-                ill.recovered_at, ill.trial_sent_at = now, None
-                ill.ramp = min(MAX_RECOVERY_RAMP, max(MIN_RECOVERY_RAMP, now - ill.since))
-
-    def _judge_cell(self, now, name, record):
-        """Refusals and slowness, by the last outcomes."""
-        refused = [refused for at, refused in record.outcomes if now - at < OUTCOME_LIFE]
-        paces = [pace for at, pace in record.paces if now - at < OUTCOME_LIFE]
-        if len(refused) >= MIN_OUTCOMES and sum(refused) > MAX_REFUSAL_SHARE * len(refused):
-            illness = FaultKind.REFUSING
-        elif len(paces) == OUTCOMES and median(paces) > SLOW:
-            illness = FaultKind.SLOW
+    def _judge_cell(self, now: int, name: str, record: CellRecord) -> None:
+        """Finds the faults that show in the last outcomes: rejections and slowness."""
+        rejected = [outcome.rejected for outcome in record.outcomes if now - outcome.at < OUTCOME_MAX_AGE]
+        ratios = [pace.ratio for pace in record.paces if now - pace.at < OUTCOME_MAX_AGE]
+        if len(rejected) >= MIN_OUTCOMES and sum(rejected) > MAX_REJECTED_SHARE * len(rejected):
+            kind = FaultKind.REJECTING
+        elif len(ratios) == OUTCOMES and median(ratios) > SLOW:
+            kind = FaultKind.SLOW
         else:
             return
         record.outcomes.clear()
         record.paces.clear()
-        self._fault_found(now, (FaultScope.CELL, name), illness)
+        self._fault_found(now, (FaultScope.CELL, name), kind)
+
+    # Faults, trials and recovery
+
+    def _domain_state(self, now: int, domain: FaultDomain, function: str) -> CircuitState:
+        fault = self.faults.get(domain)
+        if fault is None:
+            return CircuitState.CLOSED
+        if fault.recovered_at is None:
+            return CircuitState.HALF_OPEN if _is_trial_due(now, fault) else CircuitState.OPEN
+        if now >= fault.recovered_at + fault.ramp:
+            del self.faults[domain]
+            return CircuitState.CLOSED
+        return CircuitState.CLOSED if self._has_returned(now, fault, function) else CircuitState.OPEN
+
+    def _current_faults(self, name: str) -> list[Fault]:
+        """Of the cell and of what it lies in, those that have not recovered."""
+        found = [self.faults.get(domain) for domain in self.silence.domains(self.cells[name])]
+        return [fault for fault in found if fault is not None and fault.recovered_at is None]
+
+    def _fault_found(self, now: int, domain: FaultDomain, kind: FaultKind) -> None:
+        fault = self.faults.get(domain)
+        if fault is None:
+            self.faults[domain] = Fault(kind, now, MIN_BACKOFF, now + self._with_jitter(MIN_BACKOFF))
+        elif fault.recovered_at is not None:
+            fault.kind, fault.since, fault.recovered_at = kind, now, None
+            self._back_off(now, fault)
+
+    def _trial_failed(self, now: int, name: str) -> None:
+        for fault in self._current_faults(name) if self.faults else ():
+            if fault.trial_sent_at is not None:
+                self._back_off(now, fault)
+
+    def _back_off(self, now: int, fault: Fault) -> None:
+        fault.backoff = min(2 * fault.backoff, MAX_BACKOFF)
+        fault.next_trial_at, fault.trial_sent_at = now + self._with_jitter(fault.backoff), None
+
+    def _with_jitter(self, backoff: int) -> int:
+        return backoff + self.chance.below(int(BACKOFF_JITTER * backoff))
+
+    def _recover(self, now: int, name: str) -> None:
+        """Any answer ends silence, of zone and region too; a cell that rejected or was slow needs a trial."""
+        for fault in self._current_faults(name) if self.faults else ():
+            if fault.kind is FaultKind.SILENT or fault.trial_sent_at is not None:
+                fault.recovered_at, fault.trial_sent_at = now, None
+                fault.ramp = min(MAX_RECOVERY_RAMP, max(MIN_RECOVERY_RAMP, now - fault.since))
+
+    def _has_returned(self, now: int, fault: Fault, function: str) -> bool:
+        """Whether the function's turn on the recovery ramp has come."""
+        if fault.recovered_at is None:
+            return False
+        return self._turn(function) * fault.ramp <= now - fault.recovered_at
+
+    def _turn(self, function: str) -> float:
+        """0 to 1: when on a ramp the function comes; gateways differ little for the same function."""
+        shared = xxh3_64_intdigest(function.encode())
+        own = xxh3_64_intdigest(f"{self.own_name}\0{function}".encode())
+        return ((1 - RAMP_JITTER) * shared + RAMP_JITTER * own) / HASH_RANGE
 
 
-def _trial_due(now, ill):
-    return now >= ill.next_trial_at and (
-        ill.trial_sent_at is None or now - ill.trial_sent_at >= TRIAL_TIMEOUT
-    )
+def _is_trial_due(now: int, fault: Fault) -> bool:
+    if now < fault.next_trial_at:
+        return False
+    return fault.trial_sent_at is None or now - fault.trial_sent_at >= TRIAL_TIMEOUT
--- a/gaproute/decisions/cells/tasks.py
+++ b/gaproute/decisions/cells/tasks.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from gaproute.decisions.cells.choice import Choice
+from gaproute.decisions.cells.choice import CellChoice
 from gaproute.decisions.cells.entries import CellUnknown
 from gaproute.decisions.cells.faults import CircuitState
 from gaproute.decisions.cells.remote import serve_remote
@@ -68,8 +68,8 @@
             return
         self.demand.record_arrival(journey.now, function)
         self.spill.record_arrival()
-        choices = self.chooser.cells(
-            journey.now, function, journey.track.idempotency is Idempotency.IDEMPOTENT
+        choices = self.selector.cells(
+            journey.now, function, may_repeat=journey.track.idempotency is Idempotency.IDEMPOTENT
         )
         for _, choice in zip(range(MAX_CELLS_TRIED), choices, strict=False):
             if choice.cell in self.table.by_name:  # a newer table may have come meanwhile
@@ -80,14 +80,14 @@
         """The cell that a forwarded task names, unless this gateway knows it and found it ill."""
         if name not in self.local.gateways:
             if name in self.table.by_name:
-                yield Choice(name)
+                yield CellChoice(name)
             return
         permit = self.health.circuit_state(journey.now, name, journey.task.function)
         pure = journey.track.idempotency is Idempotency.IDEMPOTENT
         if permit is CircuitState.CLOSED:
-            yield Choice(name)
+            yield CellChoice(name)
         elif permit is CircuitState.HALF_OPEN and (pure or self.health.accepts_any_trial(journey.now, name)):
-            yield Choice(name, True)
+            yield CellChoice(name, True)
 
     def _worth_leaving(self, now, ending):
         """What was refused for load goes elsewhere within a bounded share of calls: no wave."""
--- a/tests/decisions/cells/test_all_slow.py
+++ b/tests/decisions/cells/test_all_slow.py
@@ -32,7 +32,7 @@
 
 
 def choices(made, function="f", may_repeat=False):
-    return [choice.cell for choice in made.chooser.cells(NOW, function, may_repeat)]
+    return [choice.cell for choice in made.selector.cells(NOW, function, may_repeat=may_repeat)]
 
 
 @pytest.mark.parametrize("may_repeat", (True, False))
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -98,7 +98,7 @@
         health.record_outcome(5 * number * SECOND, "cell0", Result.FULL)
     assert not health.faults
     health.record_outcome(5 * MIN_OUTCOMES * SECOND, "cell0", Result.FULL)
-    assert fault_of(health).kind is FaultKind.REFUSING
+    assert fault_of(health).kind is FaultKind.REJECTING
     for number in range(50):
         health.record_outcome(number * SECOND, "cell1", Result.FULL if number % 2 else Result.OK)
     assert not fault_of(health, "cell1")
--- a/tests/decisions/cells/test_suspicion.py
+++ b/tests/decisions/cells/test_suspicion.py
@@ -9,7 +9,7 @@
 from gaproute.decisions.cells.faults import CircuitState
 from gaproute.decisions.cells.health import SECOND, CellHealth
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.silence import SUSPICION
+from gaproute.decisions.cells.silence import MAX_SUSPICION
 from gaproute.decisions.chance import Chance
 from gaproute.interface import Result
 
@@ -58,8 +58,8 @@
 
 def test_a_suspicion_ends_by_itself():
     health = overdue("cell1")
-    assert health.circuit_state(NOW + SUSPICION - 1, "cell1", "f", may_repeat=False) is CircuitState.OPEN
-    assert health.circuit_state(NOW + SUSPICION, "cell1", "f", may_repeat=False) is CircuitState.CLOSED
+    assert health.circuit_state(NOW + MAX_SUSPICION - 1, "cell1", "f", may_repeat=False) is CircuitState.OPEN
+    assert health.circuit_state(NOW + MAX_SUSPICION, "cell1", "f", may_repeat=False) is CircuitState.CLOSED
 
 
 def test_suspicions_go_with_the_table():
