--- a/benchmarks/scale/cells/failures.py
+++ b/benchmarks/scale/cells/failures.py
@@ -61,7 +61,7 @@
             host.back()
         for node in self.nodes():
             node.up, node.held = True, {}
-            node.gateway.attempts.clear()
+            node.gateway.recorder.attempts.clear()
             node.housekeep_anew()
         self.world.clock.at(self.world.clock.now + NEWS, self.tell)
 
--- a/gaproute/decisions/cells/__init__.py
+++ b/gaproute/decisions/cells/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions for a fleet divided into cells: which cells a gateway knows, and which cell a call goes to.
+"""Decisions for a fleet divided into cells: which cells a gateway knows, and which cell a request goes to.
 
 A cell is some tens to hundreds of hosts of one zone. Every gateway holds the small table of all cells
 (`table`, `change`) and computes from it, alone, the same home cells of each function (`homes`). It keeps the
--- /dev/null
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -0,0 +1,118 @@
+"""What attempts tell of cells, entries and functions: outcomes taken to health, demand, loads and entries."""
+
+from typing import NamedTuple
+
+from gaproute.decisions.cells.demand import Demand
+from gaproute.decisions.cells.entries import EntrySelector
+from gaproute.decisions.cells.health import CellHealth
+from gaproute.decisions.cells.loads import CellLoads
+from gaproute.decisions.cells.local_cells import LocalCells
+from gaproute.decisions.cells.request_progress import AttemptInFlight
+from gaproute.decisions.cells.table import CellTable
+from gaproute.decisions.routing import Gateway
+from gaproute.interface import Found, Outcome, Result
+
+MILLI = 1_000_000
+
+MIN_MEAN_DURATION = 25 * MILLI  # by which paces are taken: stalls of a gateway are no slow cell
+
+
+class CellAttempt(NamedTuple):
+    """An attempt that has no outcome yet."""
+
+    cell: str
+    gateway: Gateway | None  # that sent it to a host; None: it went to an entry
+    function: str
+    sent_at: int
+    own: bool  # the request came from a client of this gateway
+
+
+class AttemptRecorder:
+    """Holds the `attempts` in flight, {(request, number): attempt}, and records what came of them."""
+
+    def __init__(
+        self,
+        local: LocalCells,
+        entries: EntrySelector,
+        health: CellHealth,
+        demand: Demand,
+        loads: CellLoads,
+    ) -> None:
+        self.local, self.entries, self.health = local, entries, health
+        self.demand, self.loads = demand, loads
+        self.table: CellTable | None = None
+        self.attempts: dict[tuple[str, int], CellAttempt] = {}
+
+    def adopt(self, table: CellTable) -> None:
+        """Goes by a newer table."""
+        self.table = table
+
+    def sent(self, request: str, number: int, attempt: CellAttempt) -> None:
+        """An attempt has been sent."""
+        self.attempts[request, number] = attempt
+
+    def record(self, now: int, outcome: Outcome) -> bool:
+        """Records an attempt's outcome, whether or not its request is still in flight.
+
+        Returns whether the attempt was sent by way of cells.
+        """
+        key = outcome.request, outcome.attempt
+        attempt = self.attempts.pop(key, None)
+        if attempt is None:
+            return False
+        if outcome.result is Result.STREAM_STARTED:
+            self.attempts[key] = attempt
+        if attempt.gateway is not None:
+            attempt.gateway.heard(now, outcome)
+        else:
+            self._record_entry(now, outcome, attempt)
+        self._record_health(now, outcome, attempt)
+        warm_or_unknown = outcome.found in (Found.WARM, Found.UNKNOWN)
+        if attempt.own and outcome.result is Result.OK and warm_or_unknown:
+            self.demand.record_duration(attempt.function, outcome.took)
+        self._record_load(now, outcome, attempt.cell)
+        return True
+
+    def record_overdue(self, now: int, attempt: AttemptInFlight) -> None:
+        """An attempt is overdue; once for each."""
+        via = attempt.host
+        if attempt.cell not in self.local.gateways:
+            self.entries.record_overdue(now, attempt.host, attempt.sent_at)
+            if self.entries.has_answered_since(attempt.host, attempt.sent_at):
+                # It answers for others: the cell is silent, and each attempt counts for itself.
+                via = f"{attempt.host} at {attempt.sent_at}"
+        self.health.record_overdue(now, attempt.cell, attempt.sent_at, via)
+
+    def _record_health(self, now: int, outcome: Outcome, attempt: CellAttempt) -> None:
+        if not _tells_of_cell(outcome.result, attempt):
+            return
+        pace = None
+        if outcome.result is Result.OK and outcome.found is Found.WARM:
+            mean = max(MIN_MEAN_DURATION, self.demand.mean_duration(attempt.function))
+            pace = outcome.took / mean
+        self.health.record_outcome(now, attempt.cell, outcome.result, pace)
+
+    def _record_entry(self, now: int, outcome: Outcome, attempt: CellAttempt) -> None:
+        if outcome.result in (Result.CONNECT_FAILED, Result.RESET):
+            self.entries.record_failure(now, outcome.host)
+        elif outcome.result is Result.TIMEOUT:
+            self.entries.record_overdue(now, outcome.host, attempt.sent_at)
+        elif outcome.result is Result.NOT_LOADED:
+            self.entries.record_cell_unknown(now, outcome.host, attempt.cell)
+        elif outcome.result not in (Result.NOT_SENT, Result.CANCELLED):
+            self.entries.record_answer(now, outcome.host, attempt.cell)
+
+    def _record_load(self, now: int, outcome: Outcome, name: str) -> None:
+        cell = self.table.by_name.get(name) if self.table is not None else None
+        if cell is None:
+            return
+        if name in self.local.gateways:
+            self.loads.record(now, name, self.local.load(now, name) / cell.capacity)
+        elif outcome.report is not None and outcome.report.in_hand is not None:
+            self.loads.record(now, name, outcome.report.in_hand / cell.capacity)
+
+
+def _tells_of_cell(result: Result, attempt: CellAttempt) -> bool:
+    """Whether a result says something of its cell: a full host is no full cell, and an entry that does not
+    know the cell says nothing of it."""
+    return result is not (Result.NOT_LOADED if attempt.gateway is None else Result.FULL)
--- /dev/null
+++ b/gaproute/decisions/cells/cell_router.py
@@ -0,0 +1,174 @@
+"""The path of one request through the cells of a fleet, from acceptance to its one final answer.
+
+Invariants: a request is in one cell at a time and enters each at most once; no request is forwarded more than
+`MAX_HOPS` times.
+"""
+
+from collections.abc import Iterator
+from itertools import islice
+
+from gaproute.decisions.cells.actions import Actions, FinalAnswer, Resumption, Wakeup, wakeup_of
+from gaproute.decisions.cells.attempt_recorder import AttemptRecorder, CellAttempt
+from gaproute.decisions.cells.choice import CellChoice, CellSelector
+from gaproute.decisions.cells.entries import CellUnknown, Forwarded
+from gaproute.decisions.cells.faults import CircuitState
+from gaproute.decisions.cells.local_cells import LocalCells
+from gaproute.decisions.cells.remote_cells import CELL_UNKNOWN, RemoteCells
+from gaproute.decisions.cells.request_progress import RequestProgress
+from gaproute.decisions.cells.spill import SpillBudget
+from gaproute.decisions.cells.table import CellTable
+from gaproute.decisions.cells.views import CellView
+from gaproute.decisions.routing import Gateway
+from gaproute.interface import Attempt, Fail, Reject, Result, Wait
+
+SECOND = 1_000_000_000
+
+MAX_CELLS_TRIED = 3  # for one request: what three cells rejected, a fourth would reject as well
+OVERDUE_FACTOR = 4  # mean durations before an attempt is overdue,
+OVERDUE_LOADS = 2  # and load times
+DEFAULT_LOAD_TIME = SECOND  # where none is told
+
+# Reasons of rejections, as logs and tests read them.
+NO_CELL, NO_HOST, ATTEMPTS_USED = "no cell", "no host", "relays"
+UNABLE_REASONS = ("nobody", "unreachable", NO_HOST)  # why a cell rejected other than for its load
+CROWDED_REASONS = ("nobody", "full")  # of a known cell that count as a rejection of the cell
+
+
+class CellRouter:
+    """Routes requests, each by the table that is the newest at every step.
+
+    `selector` chooses the cells of the requests that clients of this gateway sent.
+    """
+
+    def __init__(
+        self,
+        table: CellTable,
+        selector: CellSelector,
+        view: CellView,
+        local: LocalCells,
+        remote: RemoteCells,
+        recorder: AttemptRecorder,
+        spill: SpillBudget,
+    ) -> None:
+        self.table, self.selector, self.view = table, selector, view
+        self.local, self.remote, self.recorder, self.spill = local, remote, recorder, spill
+        self.demand, self.health = selector.demand, selector.health
+
+    def serve(self, progress: RequestProgress, forwarded: Forwarded | None) -> Actions[None]:
+        """One request, from acceptance to its one final answer."""
+        answer: FinalAnswer | None = self._without_cell(progress, forwarded)
+        for choice in self._choices(progress, forwarded):
+            answer = yield from self._in_cell(progress, choice)
+            if answer is None or isinstance(answer, Fail):
+                break
+            if not progress.may_leave_cell() or not self._worth_leaving(answer):
+                break
+        if answer is not None:
+            yield answer
+
+    def _without_cell(self, progress: RequestProgress, forwarded: Forwarded | None) -> Reject:
+        """The final answer where there is no cell that the request may go to."""
+        if forwarded is not None and forwarded.cell not in self.table.by_name:
+            return CellUnknown(progress.retry_after, CELL_UNKNOWN)
+        return Reject(progress.retry_after, NO_CELL)
+
+    def _choices(self, progress: RequestProgress, forwarded: Forwarded | None) -> Iterator[CellChoice]:
+        """The cells for a request, in turn. The cell of a forwarded one was chosen by its first gateway."""
+        function = progress.request.function
+        if forwarded is not None:
+            yield from self._forwarded_choice(progress, forwarded.cell)
+            return
+        self.demand.record_arrival(progress.now, function)
+        self.spill.record_arrival()
+        choices = self.selector.cells(progress.now, function, may_repeat=progress.is_idempotent)
+        for choice in islice(choices, MAX_CELLS_TRIED):
+            if choice.cell in self.table.by_name:  # a newer table may have come meanwhile
+                self.view.record_use(progress.now, choice.cell)
+                yield choice
+
+    def _forwarded_choice(self, progress: RequestProgress, name: str) -> Iterator[CellChoice]:
+        """The cell that a forwarded request names, unless this gateway knows it and found a fault."""
+        if name not in self.local.gateways:
+            if name in self.table.by_name:
+                yield CellChoice(name)
+            return
+        state = self.health.circuit_state(progress.now, name, progress.request.function)
+        if state is CircuitState.CLOSED:
+            yield CellChoice(name)
+        elif state is CircuitState.HALF_OPEN and (
+            progress.is_idempotent or self.health.accepts_any_trial(progress.now, name)
+        ):
+            yield CellChoice(name, trial=True)
+
+    def _worth_leaving(self, answer: Reject) -> bool:
+        """What was rejected for load goes elsewhere within a bounded share of requests: no wave."""
+        return answer.reason in UNABLE_REASONS or self.spill.try_spend()
+
+    def _in_cell(self, progress: RequestProgress, choice: CellChoice) -> Actions[FinalAnswer | None]:
+        """The request in one cell; returns its final answer there, or None where it was given."""
+        name = choice.cell
+        if choice.trial:
+            self.health.trial_sent(progress.now, name)
+        gateway = self.local.gateways.get(name)
+        if gateway is None:
+            actions = self.remote.serve(progress, self.table.by_name[name])
+            return (yield from self._drive(progress, name, actions, None))
+        if not gateway.fleet:
+            self.health.record_unreachable(progress.now, name)
+            return CellUnknown(progress.retry_after, NO_HOST)
+        actions = gateway.serve(progress.now, progress.remaining_request())
+        answer = yield from self._drive(progress, name, actions, gateway)
+        if isinstance(answer, Reject) and answer.reason in CROWDED_REASONS:
+            self.health.record_outcome(progress.now, name, Result.FULL)
+        return answer
+
+    def _drive(
+        self, progress: RequestProgress, name: str, actions: Actions[None], gateway: Gateway | None
+    ) -> Actions[FinalAnswer | None]:
+        """Passes on the actions of a cell for the request, and keeps account of its attempts."""
+        value: Resumption = None
+        while True:
+            try:
+                action = actions.send(value)
+            except StopIteration:
+                return None
+            value = None
+            if isinstance(action, (Reject, Fail)):
+                return action
+            if isinstance(action, Attempt):
+                if progress.attempts >= progress.attempt_limit:
+                    actions.close()
+                    return progress.final_answer(ATTEMPTS_USED)
+                value = yield action
+                assert isinstance(value, int)
+                self._attempt_sent(progress, name, value, action.host, gateway)
+            elif isinstance(action, Wait):
+                value = yield from self._wait(progress, action)
+            else:
+                yield action
+
+    def _attempt_sent(
+        self, progress: RequestProgress, name: str, number: int, host: str, gateway: Gateway | None
+    ) -> None:
+        progress.attempt_sent(number, name, host, self._due(progress))
+        request = progress.request
+        own = progress.hops == 0
+        attempt = CellAttempt(name, gateway, request.function, progress.now, own)
+        self.recorder.sent(request.id, number, attempt)
+
+    def _wait(self, progress: RequestProgress, action: Wait) -> Actions[Wakeup]:
+        """Waits, but looks at attempts that become overdue."""
+        resumed = yield Wait(min(action.until, progress.next_look()))
+        wakeup = wakeup_of(resumed)
+        progress.now = wakeup.now
+        if wakeup.outcome is not None:
+            progress.record_outcome(wakeup.outcome)
+        for attempt in progress.newly_overdue():
+            self.recorder.record_overdue(progress.now, attempt)
+        return wakeup
+
+    def _due(self, progress: RequestProgress) -> int:
+        """When an attempt that is sent now is overdue."""
+        load_time = progress.request.load_time or DEFAULT_LOAD_TIME
+        mean = self.demand.mean_duration(progress.request.function)
+        return progress.now + int(OVERDUE_FACTOR * mean) + OVERDUE_LOADS * load_time
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -1,50 +1,66 @@
-"""A gateway of a fleet of cells: it picks the cell of each call, then leaves the call to that cell.
+"""A gateway of a fleet of cells: it picks the cell of each request, then leaves the request to that cell.
 
 `CellularGateway` is driven as `gaproute.decisions.routing.Gateway` is, and is one for as long as its
-table has at most one cell: the calls go straight through. With several cells it has a `routing.Gateway`
-for each cell that it knows, and forwards the calls of all others to their entry gateways.
+table has at most one cell: the requests go straight through. With several cells it has a `routing.Gateway`
+for each cell that it knows, and forwards the requests of all others to their entry gateways.
 
-Invariant: all cells known share one load ration.
+Invariant: all cells known share one limit on load orders.
 """
 
+from collections.abc import Sequence
+from typing import Any
+
+from gaproute.decisions.cells.actions import Actions, wakeup_of
+from gaproute.decisions.cells.attempt_recorder import AttemptRecorder
+from gaproute.decisions.cells.cell_router import CellRouter
 from gaproute.decisions.cells.choice import CellSelector
 from gaproute.decisions.cells.demand import Demand, FleetScope
-from gaproute.decisions.cells.entries import EntrySelector, Forwarded
+from gaproute.decisions.cells.entries import CellUnknown, EntrySelector, Forwarded
 from gaproute.decisions.cells.health import CellHealth
 from gaproute.decisions.cells.homes import HomeCells
-from gaproute.decisions.cells.journey import Journey
+from gaproute.decisions.cells.housekeeping import Housekeeper
 from gaproute.decisions.cells.loads import CellLoads
-from gaproute.decisions.cells.local import LocalCells
+from gaproute.decisions.cells.local_cells import LocalCells
 from gaproute.decisions.cells.location import GatewayLocation
+from gaproute.decisions.cells.remote_cells import CELL_UNKNOWN, RemoteCells
+from gaproute.decisions.cells.request_progress import RequestProgress
 from gaproute.decisions.cells.spill import SpillBudget
-from gaproute.decisions.cells.tasks import CellTasks
+from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.cells.views import CellView
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Outcome, Request, Wait
+from gaproute.interface import ListedHost, Outcome, Report, Request, Result, Terms, Wait
 
 CHANCE_SALT = 0x63656C6C  # the chance that picks cells is another than that which picks hosts
 
 
-class CellularGateway(CellTasks):
-    """See the module. `place`: this gateway's name, region and zone; None: it never has several cells."""
+class CellularGateway:
+    """The decisions of one gateway; times are ns of the clock that `now` is read from.
 
-    def __init__(self, seed, terms, now, place: GatewayLocation | None = None):
-        self.terms, self.place = terms, place
-        self.single = Gateway(seed, terms, now)  # used while there is at most one cell
-        self.previous_single = None  # the gateway used before the fleet had several cells
-        self.table = None
-        self.attempts = {}  # (task, relay): CellAttempt
-        self.local = LocalCells(seed, terms)
-        self.entries = EntrySelector(place.name if place else "")
+    `single`: the gateway that decides alone while there is at most one cell, else None; `previous_single`:
+    the one before the fleet had several. `homes`, `selector` and `router` decide while `single` is None.
+    """
+
+    def __init__(self, seed: int, terms: Terms, now: int, location: GatewayLocation | None = None) -> None:
+        """Without a location it can never have several cells."""
+        self.terms, self.location = terms, location
+        self.single: Gateway | None = Gateway(seed, terms, now)
+        self.previous_single: Gateway | None = None
+        self.table: CellTable | None = None
         self.chance = Chance(seed ^ CHANCE_SALT)
-        self.view = CellView(now, place) if place else None
-        self.demand = Demand(now, FleetScope(terms.gateways, terms.gateways, max(1, terms.keep_alive)))
-        self.health = CellHealth(self.entries.own_name, self.chance, place)
+        self.local = LocalCells(seed, terms)
+        self.entries = EntrySelector(location.name if location else "")
+        self.demand = Demand(now, self._fleet_scope(1.0))
+        self.health = CellHealth(self.entries.own_name, self.chance, location)
         self.loads, self.spill = CellLoads(), SpillBudget()
-        self.homes = self.selector = None
-
-    def __getattr__(self, name):
+        self.recorder = AttemptRecorder(self.local, self.entries, self.health, self.demand, self.loads)
+        self.remote = RemoteCells(self.entries, self.health, self.local, cancel_allowed=terms.cancel_allowed)
+        self.view = CellView(now, location) if location else None
+        self.homes: HomeCells | None = None
+        self.selector: CellSelector | None = None
+        self.router: CellRouter | None = None
+
+    def __getattr__(self, name: str) -> Any:
         # What else drivers and carriers ask of a gateway is that of the one cell.
         single = self.__dict__.get("single")
         if single is None:
@@ -53,139 +69,158 @@
 
     # The table and the host lists
 
-    def adopt(self, now: int, table):
-        """Go by a newer cell table, as the holder took it."""
+    def adopt(self, now: int, table: CellTable) -> None:
+        """Goes by a newer cell table. Raises ValueError for several cells without a location."""
         several = len(table.cells) > 1
-        if several and self.place is None:
+        if several and self.view is None:
             raise ValueError("a gateway without a place cannot go by several cells")
         if several and self.single is not None:
             self._divide(table)
         self.table = table
-        if not several:
-            if self.single is None:
-                self._unite(now, table)
-            return
-        if self.homes is None:
-            self.homes = HomeCells(table, regions=(self.place.region,))
-            self.selector = CellSelector(
-                self.place, self.homes, self.demand, self.loads, self.health, self.chance
-            )
-        self.homes.adopt(table)
-        self.selector.adopt(table)
-        self.health.adopt(table)
-        self.entries.adopt(table)
-        self.loads.adopt(table.by_name)
-        self.view.adopt(table)
-        self.local.retain(self.view.names())
-        self._rescope()
+        self.recorder.adopt(table)
+        if self.router is not None:
+            self.router.table = table
+        if several:
+            self._adopt_cells(table)
+        elif self.single is None:
+            self._unite(now, table)
 
     def wanted(self) -> tuple[str, ...]:
         """The cells whose host lists this gateway should be given."""
         if self.single is not None:
             return (self.table.cells[0].name,) if self.table else ()
-        return self.view.names()
+        return self._cells_in_view()
 
-    def listed(self, now, rows, complete, cell=None):
+    def listed(self, now: int, rows: Sequence[ListedHost], complete: bool, cell: str | None = None) -> None:
         """Hosts of a cell, or of the whole fleet while there is one cell."""
         if self.single is not None:
             self.single.listed(now, rows, complete)
-        elif cell in self.view.names():
+        elif cell is not None and cell in self._cells_in_view():
             self.local.listed(now, cell, rows, complete)
 
-    def _divide(self, table):
+    def _cells_in_view(self) -> tuple[str, ...]:
+        return self.view.names() if self.view is not None else ()
+
+    def _adopt_cells(self, table: CellTable) -> None:
+        assert self.location is not None  # `adopt` has checked it
+        assert self.view is not None
+        if self.homes is None:
+            self.homes = HomeCells(table, regions=(self.location.region,))
+        self.homes.adopt(table)
+        if self.selector is None:
+            self.selector = CellSelector(
+                self.location, self.homes, self.demand, self.loads, self.health, self.chance
+            )
+        self.selector.adopt(table)
+        self.health.adopt(table)
+        self.entries.adopt(table)
+        self.loads.adopt(table.by_name)
+        self.view.adopt(table)
+        self.local.retain(self.view.names())
+        self.demand.scope = self._fleet_scope(self.selector.regional_cells / len(table.cells))
+        if self.router is None:
+            self.router = CellRouter(
+                table, self.selector, self.view, self.local, self.remote, self.recorder, self.spill
+            )
+        self.router.selector = self.selector
+
+    def _divide(self, table: CellTable) -> None:
         """From one cell to several. Its gateway goes on where its cell is still there and in view."""
-        if self.table is not None and self.table.cells[0].name in table.by_name:
-            self.local.add(self.table.cells[0].name, self.single)
-            self.local.ration = self.single.ration
-        self.previous_single, self.single = self.single, None
+        single = self.single
+        if self.table is not None and self.table.cells[0].name in table.by_name and single is not None:
+            self.local.add(self.table.cells[0].name, single)
+            self.local.ration = single.ration
+        self.previous_single, self.single = single, None
 
-    def _unite(self, now, table):
+    def _unite(self, now: int, table: CellTable) -> None:
         """From several cells to one."""
-        self.single = self.local.gateways.get(table.cells[0].name)
-        if self.single is None:
-            self.single = Gateway(self.local.seed, self.terms, now)
-            self.single.ration = self.local.ration
-            if self.local.end_by is not None:
-                self.single.end_by = self.local.end_by
+        known = self.local.gateways.get(table.cells[0].name)
+        self.single = known if known is not None else self.local.new_gateway(now)
         self.previous_single = self.homes = self.selector = None
         self.local.retain(())
 
-    def _rescope(self):
-        share = self.selector.regional_cells / len(self.table.cells)
+    def _fleet_scope(self, regional_share: float) -> FleetScope:
         gateways = self.terms.gateways
-        self.demand.scope = FleetScope(
-            gateways, max(1, round(gateways * share)), max(1, self.terms.keep_alive)
-        )
+        regional = max(1, round(gateways * regional_share))
+        return FleetScope(gateways, regional, max(1, self.terms.keep_alive))
 
-    # Tasks
+    # Requests
 
-    def serve(self, now: int, task: Request, forwarded: Forwarded | None = None):
-        """One task, from acceptance to its one final answer; `forwarded` where another gateway sent it."""
+    def serve(self, now: int, request: Request, forwarded: Forwarded | None = None) -> Actions[None]:
+        """One request, from acceptance to its one final answer; `forwarded` where another gateway sent it."""
         if self.single is None:
-            return self.travel(Journey(now, task, self.terms, forwarded), forwarded)
-        if forwarded is not None and not self._leads_into(forwarded.cell):
-            return self.reject_unknown(Journey(now, task, self.terms, forwarded))
-        return self.single.serve(now, task)
-
-    def _leads_into(self, cell):
-        """Whether, with one cell at most, that is the cell and a host of it is known."""
-        return self.table is not None and cell in self.table.by_name and bool(self.single.fleet)
-
-    def heard(self, now: int, outcome: Outcome):
-        """Book one relay's outcome, whether or not its task is still held."""
-        hand = self.attempts.pop((outcome.request, outcome.attempt), None)
-        if hand is not None:
-            self.heard_in_cell(now, outcome, hand)
-        elif (gateway := self.single or self.previous_single) is not None:  # sent while there was one cell
+            assert self.router is not None
+            return self.router.serve(RequestProgress(now, request, self.terms, forwarded), forwarded)
+        if forwarded is not None and not self._knows_hosts_of(forwarded.cell):
+            return self._reject_unknown(RequestProgress(now, request, self.terms, forwarded))
+        actions: Actions[None] = self.single.serve(now, request)
+        return actions
+
+    def heard(self, now: int, outcome: Outcome) -> None:
+        """Records one attempt's outcome, whether or not its request is still in flight."""
+        if self.recorder.record(now, outcome):
+            return
+        gateway = self.single or self.previous_single  # sent while there was one cell
+        if gateway is not None:
             gateway.heard(now, outcome)
 
-    def probed(self, now, worker, good, report):
-        """A probe's answer; returns what all other gateways are to be told, or None."""
-        gateway = self.single or self.local.of_worker(worker)
-        return gateway.probed(now, worker, good, report) if gateway is not None else None
+    def probed(self, now: int, host: str, good: bool, report: Report | None) -> bytes | None:
+        """A health check's answer; returns what all other gateways are to be told, or None."""
+        gateway = self.single or self.local.of_worker(host)
+        if gateway is None:
+            return None
+        payload: bytes | None = gateway.probed(now, host, good, report)
+        return payload
 
-    def stood(self, now, worker, function, result, copies):
+    def stood(self, now: int, host: str, function: str, result: Result | None, copies: int) -> None:
         """A load order's answer."""
-        gateway = self.single or self.local.of_worker(worker)
+        gateway = self.single or self.local.of_worker(host)
         if gateway is not None:
-            gateway.stood(now, worker, function, result, copies)
+            gateway.stood(now, host, function, result, copies)
 
-    def told(self, now, words, cell=None):
+    def told(self, now: int, payload: bytes, cell: str | None = None) -> None:
         """Another gateway told of a host's load."""
-        gateway = self.single or self.local.gateways.get(cell)
+        gateway = self.single or (self.local.gateways.get(cell) if cell is not None else None)
         if gateway is not None:
-            gateway.told(now, words)
+            gateway.told(now, payload)
+
+    def _knows_hosts_of(self, cell: str) -> bool:
+        """Whether, with one cell at most, that is the cell and a host of it is known."""
+        assert self.single is not None
+        return self.table is not None and cell in self.table.by_name and bool(self.single.fleet)
+
+    def _reject_unknown(self, progress: RequestProgress) -> Actions[None]:
+        """A request that was forwarded here for a cell which this gateway does not know."""
+        yield CellUnknown(progress.retry_after, CELL_UNKNOWN)
 
-    # Beside the tasks
+    # Beside the requests
 
     @property
-    def end_by(self):
-        """When every task must have its answer, as the process ends."""
-        return self.single.end_by if self.single is not None else self.local.end_by
+    def end_by(self) -> int:
+        """When every request must have its answer, as the process ends."""
+        end_by: int = self.single.end_by if self.single is not None else self.local.end_by
+        return end_by
 
     @end_by.setter
-    def end_by(self, when):
+    def end_by(self, when: int) -> None:
         if self.single is not None:
             self.single.end_by = when
         self.local.set_end(when)
 
-    def housekeep(self, now):
-        """Probes, lists and what is forgotten, of all cells known, and the review of the view."""
-        keeper, held = None, None
+    def housekeep(self, now: int) -> Actions[None]:
+        """Health checks, lists and cleanup, of all cells known, and the review of the view."""
+        housekeeper: Housekeeper | None = None  # of the single cell
         while True:
             if self.single is not None:
-                if self.single is not held:
-                    keeper, held = self.single.housekeep(now), self.single
-                    wish = next(keeper)
-                else:
-                    wish = keeper.send((now, None))
-                while not isinstance(wish, Wait):
-                    yield wish
-                    wish = keeper.send(None)
-                due = wish.until
+                if housekeeper is None or housekeeper.gateway is not self.single:
+                    housekeeper = Housekeeper(self.single, now)
+                yield from housekeeper.advance(now)
+                due = housekeeper.due
             else:
-                held = None
-                due = yield from self.local.housekeep(now)
-                if self.view.review(now):
+                housekeeper = None
+                yield from self.local.housekeep(now)
+                due = self.local.next_housekeeping(now)
+                if self.view is not None and self.view.review(now):
                     self.local.retain(self.view.names())
-            now, _ = yield Wait(due)
+            resumed = yield Wait(due)
+            now = wakeup_of(resumed).now
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -67,6 +67,10 @@
         order = self.order(function, 1, region)
         return order[0] if order else None
 
+    def cached_orders(self) -> int:
+        """How many orders are cached."""
+        return len(self._orders)
+
     def _ring(self, region: str | None) -> HashRing:
         if region not in self._rings:
             self._rings[region] = HashRing(cell for cell in self.table.cells if _is_in(cell, region))
--- /dev/null
+++ b/gaproute/decisions/cells/local_cells.py
@@ -0,0 +1,110 @@
+"""The cells of which this gateway knows the hosts: a `routing.Gateway` for each.
+
+Invariants: all of them share one limit on load orders, so that knowing more cells orders no more loads; what
+came of an attempt goes to the gateway that sent it, also after its cell has left the view.
+"""
+
+from collections.abc import Collection, Iterator, Sequence
+from typing import NamedTuple
+
+from gaproute.decisions.cells.actions import Action
+from gaproute.decisions.cells.housekeeping import Housekeeper
+from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.beliefs import LONG as NEVER
+from gaproute.decisions.routing.ration import Ration
+from gaproute.interface import ListedHost, Report, Terms
+
+SECOND = 1_000_000_000
+
+LOAD_MAX_AGE = SECOND  # for which the sum over a cell's hosts is cached
+HOUSEKEEPING_INTERVAL = SECOND  # at which it is looked for what is due, at the latest
+
+
+class _CachedLoad(NamedTuple):
+    """Requests in flight at a cell's hosts, and when they were counted."""
+
+    counted_at: int
+    load: float
+
+
+class LocalCells:
+    """Gateways by cell. A cell counts as known once its whole host list has come.
+
+    `end_by`: when every request must have its answer as the process ends, ns; `NEVER` while it does not.
+    """
+
+    def __init__(self, seed: int, terms: Terms) -> None:
+        self.seed, self.terms = seed, terms
+        self.ration = Ration(terms.load_orders_free, terms.load_order_share, terms.load_order_window)
+        self.gateways: dict[str, Gateway] = {}  # by cell
+        self.loads: dict[str, _CachedLoad] = {}  # by cell
+        self.housekeepers: dict[str, Housekeeper] = {}  # by cell
+        self.end_by: int = NEVER
+
+    def retain(self, names: Collection[str]) -> None:
+        """Lets go of all other cells."""
+        for name in [name for name in self.gateways if name not in names]:
+            del self.gateways[name]
+            self.housekeepers.pop(name, None)
+            self.loads.pop(name, None)
+
+    def listed(self, now: int, name: str, rows: Sequence[ListedHost], complete: bool) -> None:
+        """Host list of a cell in the view, or changes to it; changes before the whole list are left out."""
+        gateway = self.gateways.get(name)
+        if gateway is None:
+            if not complete:
+                return
+            gateway = self.new_gateway(now)
+            self.add(name, gateway)
+        gateway.listed(now, rows, complete)
+
+    def new_gateway(self, now: int) -> Gateway:
+        """A gateway that shares the limit on load orders and the end of the process."""
+        gateway = Gateway(self.seed, self.terms, now)
+        gateway.ration = self.ration
+        gateway.end_by = self.end_by
+        return gateway
+
+    def add(self, name: str, gateway: Gateway) -> None:
+        """Knows a cell by a gateway that was made for it."""
+        self.gateways[name] = gateway
+
+    def set_end(self, when: int) -> None:
+        """The process ends: every request has its answer by then."""
+        self.end_by = when
+        for gateway in self.gateways.values():
+            gateway.end_by = when
+
+    def of_worker(self, host: str) -> Gateway | None:
+        """The gateway that knows the host, or None."""
+        for gateway in self.gateways.values():
+            if host in gateway.workers:
+                return gateway
+        return None
+
+    def load(self, now: int, name: str) -> float:
+        """Requests in flight at a known cell's hosts, as far as this gateway knows."""
+        cached = self.loads.get(name)
+        if cached is None or now - cached.counted_at >= LOAD_MAX_AGE:
+            gateway = self.gateways[name]
+            load = float(sum(gateway.queued(host, 1, now) for host in gateway.fleet))
+            cached = self.loads[name] = _CachedLoad(now, load)
+        return cached.load
+
+    def report(self, now: int, name: str) -> Report | None:
+        """What an entry tells of its cell with each answer; None of a cell that it does not know."""
+        return Report(in_hand=self.load(now, name)) if name in self.gateways else None
+
+    def housekeep(self, now: int) -> Iterator[Action]:
+        """Advances every cell's housekeeping that is due; yields its actions."""
+        for name, gateway in list(self.gateways.items()):
+            housekeeper = self.housekeepers.get(name)
+            if housekeeper is None:
+                housekeeper = self.housekeepers[name] = Housekeeper(gateway, now)
+            if now >= housekeeper.due:
+                yield from housekeeper.advance(now)
+
+    def next_housekeeping(self, now: int) -> int:
+        """When `housekeep` is due again, ns."""
+        due = (housekeeper.due for housekeeper in self.housekeepers.values())
+        return min(now + HOUSEKEEPING_INTERVAL, min(due, default=now + HOUSEKEEPING_INTERVAL))
--- /dev/null
+++ b/gaproute/decisions/cells/request_progress.py
@@ -0,0 +1,93 @@
+"""One request on its way through cells: what is in flight, what may have run, and what may still be done.
+
+Invariants: the request has attempts in flight in one cell at a time; a cell is left only when nothing is in
+flight; a request that must not run twice leaves a cell only when every attempt of it provably did not run.
+"""
+
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from gaproute.decisions.cells.actions import FinalAnswer
+from gaproute.decisions.cells.entries import Forwarded
+from gaproute.decisions.routing.beliefs import LONG as NEVER
+from gaproute.decisions.routing.beliefs import MILLI
+from gaproute.interface import NEVER_RAN, Fail, Idempotency, Outcome, Reject, Request, Result, Terms
+
+LOOK_INTERVAL = 500 * MILLI  # between looks at a request with an overdue attempt
+
+
+class AttemptInFlight(NamedTuple):
+    """An attempt that has no outcome yet; times are ns."""
+
+    cell: str
+    host: str  # or the entry gateway
+    sent_at: int
+    due: int  # when it is overdue
+
+
+class RequestProgress:
+    """The state of one request. `now` is the time of the last thing that happened to it."""
+
+    def __init__(self, now: int, request: Request, terms: Terms, forwarded: Forwarded | None = None) -> None:
+        self.request, self.now = request, now
+        self.hops = forwarded.hops if forwarded is not None else 0
+        self.request_class = terms.request_classes[request.request_class]
+        self.deadline: int = now + request.time_left
+        self.attempt_limit = terms.attempt_limit
+        self.retry_after = min(terms.retry_after_limit, self.request_class.latency_objective)
+        self.attempts = 0
+        self.first_sent_at: int | None = None
+        self.in_flight: dict[int, AttemptInFlight] = {}  # by number
+        self.overdue: set[int] = set()  # numbers of attempts in flight that were found overdue
+        self.may_have_run = False
+
+    @property
+    def is_idempotent(self) -> bool:
+        """Whether the request may run twice anywhere."""
+        return self.request_class.idempotency is Idempotency.IDEMPOTENT
+
+    def remaining_request(self) -> Request:
+        """The request as the next cell takes it."""
+        if not self.attempts:
+            return self.request
+        return self.request._replace(time_left=max(0, self.deadline - self.now))
+
+    def attempt_sent(self, number: int, cell: str, host: str, due: int) -> None:
+        """An attempt has been sent."""
+        self.attempts += 1
+        if self.first_sent_at is None:
+            self.first_sent_at = self.now
+        self.in_flight[number] = AttemptInFlight(cell, host, self.now, due)
+
+    def record_outcome(self, outcome: Outcome) -> None:
+        """The outcome of one of the attempts, or of the whole request."""
+        if outcome.result is Result.STREAM_STARTED:
+            return
+        if self.in_flight.pop(outcome.attempt, None) is not None:
+            self.overdue.discard(outcome.attempt)
+            self.may_have_run |= outcome.result not in NEVER_RAN
+
+    def next_look(self) -> int:
+        """When to look again at the attempts in flight: when one is overdue, and then now and then."""
+        if self.overdue:
+            return self.now + LOOK_INTERVAL
+        return min((attempt.due for attempt in self.in_flight.values()), default=NEVER)
+
+    def newly_overdue(self) -> Iterator[AttemptInFlight]:
+        """Attempts that have just become overdue."""
+        for number, attempt in self.in_flight.items():
+            if attempt.due <= self.now and number not in self.overdue:
+                self.overdue.add(number)
+                yield attempt
+
+    def may_leave_cell(self) -> bool:
+        """Whether the request may go on in another cell."""
+        if self.in_flight or self.may_have_run and not self.is_idempotent:
+            return False
+        return self.attempts < self.attempt_limit and self.now < self.deadline
+
+    def final_answer(self, reason: str) -> FinalAnswer:
+        """The final answer where nothing more can be done."""
+        if self.is_idempotent or not (self.may_have_run or self.in_flight):
+            return Reject(self.retry_after, reason)
+        return Fail()
--- a/tests/benchmarks/test_cells_world.py
+++ b/tests/benchmarks/test_cells_world.py
@@ -98,7 +98,9 @@
     for node in nodes:
         assert not invariants.check(node.gateway, ["f1", "f2"])
         if node.name not in ever_down:
-            assert ended[node.name] == asked[node.name] and not node.held and not node.gateway.attempts
+            assert (
+                ended[node.name] == asked[node.name] and not node.held and not node.gateway.recorder.attempts
+            )
 
 
 def test_entries_that_do_not_know_the_cell_cannot_make_a_loop():
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -8,11 +8,11 @@
 from helpers import TERMS, Drive, row, task
 
 from gaproute import interface as face
+from gaproute.decisions.cells.cell_router import MAX_CELLS_TRIED
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.entries import MAX_HOPS, ForwardAttempt, Forwarded
 from gaproute.decisions.cells.health import IDEMPOTENT_TRIAL_WAIT
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.tasks import MAX_CELLS_TRIED
 from gaproute.decisions.routing import Gateway
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -163,7 +163,7 @@
     drive = Drive(made, task("t", function_of(made, "cell0")))
     assert drive.sent[0].startswith("cell0-")
     drive.hears(100 * MILLI, face.Result.OK)
-    assert drive.ended and not made.attempts
+    assert drive.ended and not made.recorder.attempts
 
 
 def test_an_unknown_cell_is_reached_by_an_entry_that_is_told_cell_and_hops():
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -8,10 +8,10 @@
 from helpers import TERMS, Drive, row, task
 
 from gaproute import interface as face
+from gaproute.decisions.cells.attempt_recorder import MIN_MEAN_DURATION
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.entries import MAX_HOPS, CellUnknown, EntrySelector, Forwarded
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.tasks import MIN_MEAN_DURATION
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT = 0, 1, 2
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -9,7 +9,7 @@
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.remote import TRANSIT
+from gaproute.decisions.cells.remote_cells import TRANSIT
 
 MILLI = 1_000_000
 IDEMPOTENT_WITH_KEY = 1
