--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -8,7 +8,7 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.http1 import render
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import ObservationClient, PeerServer, observation_wire
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import Record
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -12,7 +12,7 @@
 
 from gaproute.http1 import Exchange, Link
 from gaproute.loop import Loop, connect
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
 LINKS = 128  # connections to each gateway
@@ -78,7 +78,7 @@
         """An idle connection that the gateway has not closed meanwhile, or None."""
         while self.idle:
             link = self.idle.pop()
-            if link.open and link.stream.quiet():
+            if link.open and link.stream.is_quiet():
                 return link
             link.drop()
         return None
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -21,11 +21,12 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.discovery.cell_members import RejectedMember
 from gaproute.fronts.kserve.entry import EntryFront
+from gaproute.hosts.cell_hosts import CellHostClient
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.hosts.entry_gateways import CellHostClient, EntryGateways
-from gaproute.hosts.kserve.client import ClientSettings
+from gaproute.hosts.entry_gateways import EntryGateways
+from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.loop import Loop
-from gaproute.loop.loop import Timer
+from gaproute.loop.timers import Timer
 from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Peer
 from gaproute.telemetry.record import Record
@@ -84,7 +85,8 @@
         Returns the front of those requests.
         """
         server = peer_services.peer_server
-        if server is None:
+        membership_transport = peer_services.membership_transport
+        if server is None or membership_transport is None:
             raise ValueError("the address of the peers is not listened on")
         front = EntryFront(self.loop, server.server, self.core, self.configuration, ready, self._load_report)
         server.forwarded = front.handle
@@ -92,7 +94,7 @@
             self.loop,
             self.configuration.name,
             self.line.fleet,
-            peer_services.membership_transport,
+            membership_transport,
             server,
             Chance(self.seed + CARRIER_SEED),
             self.record,
@@ -111,7 +113,7 @@
         """Takes the other gateways of the configuration, {name: address}."""
         if self.table is not None:
             peers = tuple(Peer(name, where) for name, where in addresses.items())
-            self.table.carrier.peers(peers)
+            self.table.carrier.set_peers(peers)
 
     def reload(self) -> None:
         """Reads all files at once."""
--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -12,7 +12,8 @@
 from contextlib import ExitStack
 
 from gaproute.loop import Loop, Promise
-from gaproute.loop.loop import READ, Timer
+from gaproute.loop.descriptors import READ
+from gaproute.loop.timers import Timer
 
 SECOND = 1_000_000_000
 MAX_START_TIME = 30 * SECOND  # until a child serves, on a crowded machine; then it is killed
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -9,7 +9,7 @@
 from gaproute.appliance.child_process import ChildProcess
 from gaproute.appliance.listening_sockets import ListeningSockets
 from gaproute.config.configuration import Configuration
-from gaproute.decisions.admission.restarts import Restarts
+from gaproute.decisions.admission.restarts import RestartBackoff
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Log
@@ -57,7 +57,7 @@
         self.command, self.configuration, self.listeners = command, configuration, listeners
         self.on_all_ended = on_all_ended
         self.by_slot: dict[int, ChildProcess] = {}
-        self.restarts = Restarts(Chance(os.getpid() if command.seed is None else command.seed))
+        self.restarts = RestartBackoff(Chance(os.getpid() if command.seed is None else command.seed))
         self.stopping = False
 
     def start(self, slot: int) -> ChildProcess:
@@ -106,7 +106,7 @@
     def _schedule_restart(self, slot: int, lived: int) -> int:
         """Has the slot filled again after a backoff, its child having lived so long; how long that is, ns."""
         now = self.loop.now()
-        restart_at = self.restarts.died(now, slot, lived)
+        restart_at = self.restarts.schedule_restart(now, slot, lived)
         self.loop.at(restart_at, self._restart, slot)
         return int(restart_at - now)
 
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -16,7 +16,7 @@
 from gaproute.discovery.changelog.cell_watcher import CellWatcher, cell_path
 from gaproute.discovery.changelog.events import Event
 from gaproute.loop import Loop
-from gaproute.loop.loop import Timer
+from gaproute.loop.timers import Timer
 from gaproute.shared.randomness import RandomSource
 
 MAX_CELLS = 64  # followed at once; a view of 512 hosts has fewer, unless its cells are tiny
@@ -85,7 +85,7 @@
         self.cells_in_force = CellReconciler()
         self.timer: Timer | None = None
         self.pending = False  # events came that are not in force yet
-        loop.on_late.append(self._take_in_late)
+        loop.on_late_turn.append(self._take_in_late)
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
         """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
@@ -117,8 +117,8 @@
 
     def close(self) -> None:
         """Follows nothing any more."""
-        if self._take_in_late in self.loop.on_late:
-            self.loop.on_late.remove(self._take_in_late)
+        if self._take_in_late in self.loop.on_late_turn:
+            self.loop.on_late_turn.remove(self._take_in_late)
         for followed in self.followed.values():
             followed.close()
         if self.timer is not None:
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -13,7 +13,7 @@
 from gaproute.appliance.peer_services import PeerServices
 from gaproute.appliance.shutdown import GracefulShutdown
 from gaproute.config.configuration import Configuration
-from gaproute.connections import Lot
+from gaproute.connections import AcceptedConnections
 from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import Admission
@@ -21,10 +21,11 @@
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.fronts.kserve import Front
 from gaproute.hosts.endpoints import Endpoint
-from gaproute.hosts.kserve.client import ClientSettings, KServeClient
+from gaproute.hosts.kserve.client import KServeClient
+from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.interface import State
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.telemetry.logs import logger
 from gaproute.telemetry.record import Log, Record
 
@@ -61,7 +62,7 @@
         self.client_fronts: list[Any] = []
         self.cells: CellServices | None = None
         self._make_core()
-        self.lot = self._make_lot()
+        self.connections = self._make_connections()
         self.peers = self._make_peer_services()
 
     def _make_core(self) -> None:
@@ -82,12 +83,12 @@
         self.hosts = KServeClient(self.loop, Pooling(), reach, configuration.name)
         self.core = Core(self.loop, gateway, configuration.terms, self.hosts, self.record, run)
 
-    def _make_lot(self) -> Lot:
-        lot: Lot = Lot.of(self.loop)
+    def _make_connections(self) -> AcceptedConnections:
+        connections = AcceptedConnections.of(self.loop)
         clients = self.configuration.clients
         chance = Chance(self.seed + ADMISSION_SEED)
-        lot.admission = Admission(clients.connections, clients.per_address, descriptors(), chance)
-        return lot
+        connections.admission = Admission(clients.connections, clients.per_address, descriptors(), chance)
+        return connections
 
     def _make_peer_services(self) -> PeerServices:
         gateway = self.core.gateway if self.cells is None else self.cells.placeholder_gateway
@@ -114,7 +115,7 @@
             listens=[front.address for front in self.fronts],
             hosts=len(self.rows),
             descriptors=descriptors(),
-            clients=self.lot.admission.most,
+            clients=self.connections.admission.max_connections,
         )
 
     def _listen(self) -> None:
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -50,9 +50,9 @@
 
     def states(self) -> dict[str, tuple[str, int]]:
         """Of each host its state, and its start as the list tells it, ns since 1970 or `NO_START`."""
-        starts = self.listing.starts
+        start_times = self.listing.start_times
         return {
-            name: (row.listed.state.value, starts[name][0] if starts.get(name) else NO_START)
+            name: (row.listed.state.value, start_times.reported(name) or NO_START)
             for name, row in self.rows.items()
         }
 
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -10,7 +10,7 @@
 from gaproute.config.directives.fleet import KeepersLine
 from gaproute.http1 import Request, Server
 from gaproute.loop import Loop
-from gaproute.loop.loop import Timer
+from gaproute.loop.timers import Timer
 from gaproute.peers.raft import HostedNode
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.operator_requests import (
--- a/gaproute/appliance/listening_sockets.py
+++ b/gaproute/appliance/listening_sockets.py
@@ -9,8 +9,8 @@
 import socket
 
 from gaproute.config.configuration import Configuration
-from gaproute.loop.connecting import listening
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
+from gaproute.loop.listening import open_listening_socket
 
 CLIENT_PROTOCOL = "kserve"  # the kind of `listen` line whose addresses the children share
 
@@ -31,7 +31,7 @@
         try:
             for where in wanted:
                 if where not in self.by_address:
-                    opened[where] = listening(address(where))
+                    opened[where] = open_listening_socket(address(where))
         except OSError:
             for sock in opened.values():
                 sock.close()
@@ -53,7 +53,7 @@
         """Removes the files of Unix sockets."""
         for where in self.by_address:
             family, target = address(where)
-            if family == socket.AF_UNIX and os.path.exists(target):
+            if family == socket.AF_UNIX and isinstance(target, str) and os.path.exists(target):
                 os.unlink(target)
 
     def displayed_addresses(self) -> list[str]:
--- a/gaproute/appliance/parent_pipes.py
+++ b/gaproute/appliance/parent_pipes.py
@@ -5,7 +5,7 @@
 from contextlib import suppress
 
 from gaproute.loop import Loop
-from gaproute.loop.loop import READ
+from gaproute.loop.descriptors import READ
 
 READY_MESSAGE = b"ready"
 
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -24,7 +24,7 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 from gaproute.peers import MembershipTransport, ObservationClient, PeerServer
 from gaproute.peers.gossip import GossipTransport
 from gaproute.peers.peer_server import LIMITS
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -14,8 +14,8 @@
 from gaproute.config.configuration import Configuration
 from gaproute.loop import Loop, Promise
 from gaproute.loop.faults import Backoff, cause_of
-from gaproute.loop.loop import Timer
-from gaproute.loop.starting import time_for
+from gaproute.loop.starting import retry_time
+from gaproute.loop.timers import Timer
 from gaproute.telemetry.record import Log
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -67,8 +67,8 @@
 
     def _failed(self, error: ConfigurationError | OSError, backoff: Backoff, began: int) -> None:
         """Tries it again where the failure may pass within its time, and else logs it."""
-        if self.loop.now() + backoff.pause <= began + time_for(cause_of(error)):
-            self.retry_timer = self.loop.after(backoff.next(), self._attempt, backoff, began)
+        if self.loop.now() + backoff.pause <= began + retry_time(cause_of(error)):
+            self.retry_timer = self.loop.after(backoff.next_pause(), self._attempt, backoff, began)
             return
         for mistake in error.mistakes if isinstance(error, ConfigurationError) else [error]:
             self.log.error("configuration refused", mistake=str(mistake))
@@ -115,7 +115,7 @@
                 return self.children.start(slot)
             except OSError as error:
                 self.log.warning("child not started", seat=slot, error=str(error))
-            yield self.loop.sleep(backoff.next())
+            yield self.loop.sleep(backoff.next_pause())
             if self.children.stopping:
                 break
         return None
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -100,16 +100,16 @@
 
 
 def _clients(appliance: Appliance) -> JsonObject:
-    lot = appliance.lot
+    connections = appliance.connections
     return {
-        "connections": lot.held,
-        "most": lot.admission.most,
-        "parked": lot.parked,
-        "displaced": lot.displaced,
-        "turned_away": lot.turned_away,
-        "idle_ended": lot.expired,
+        "connections": connections.client_count,
+        "most": connections.admission.max_connections,
+        "parked": connections.parked_count,
+        "displaced": connections.evicted,
+        "turned_away": connections.rejected,
+        "idle_ended": connections.expired,
         "descriptors": descriptors(),
-        "kept_back": lot.admission.reserve,
+        "kept_back": connections.admission.reserved_descriptors,
     }
 
 
@@ -132,7 +132,7 @@
     server = peer_services.peer_server
     if server is None:
         return None
-    return {"facts": server.transfers.told, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
+    return {"facts": server.transfers.encoded, "put_off": server.put_off, "cpu_ms": server.spent / MILLI}
 
 
 def _observation_store(peer_services: PeerServices) -> JsonObject | None:
--- a/gaproute/cli/queries.py
+++ b/gaproute/cli/queries.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 
 from gaproute.cli.common import ExitCode, fail, json_option, show_table
-from gaproute.loop.streams import address
+from gaproute.loop.addresses import address
 
 TIMEOUT = 5  # seconds
 STATUS_COUNTS = ("taken", "delivered", "declined", "scrapped", "left")  # as the gateway names them
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -14,7 +14,7 @@
 from gaproute.config.cell_files import check_cells
 from gaproute.config.configuration import Configuration
 from gaproute.loop import Loop
-from gaproute.loop.starting import Patience
+from gaproute.loop.starting import StartupRetries
 
 if TYPE_CHECKING:
     from gaproute.appliance import Appliance
@@ -31,7 +31,7 @@
     `with_cells`: the files of its cells are read as well; a gateway starts without them and waits.
     """
     try:
-        configuration: Configuration = Patience().call(lambda: _read(file, with_cells=with_cells))
+        configuration: Configuration = StartupRetries().call(lambda: _read(file, with_cells=with_cells))
     except ConfigurationError as error:
         reject(error, "nothing of it is used")
     return configuration
@@ -49,7 +49,7 @@
     return configuration
 
 
-def attempt(patience: Patience, step: Callable[[], Result], failed: str = "cannot start") -> Result:
+def attempt(patience: StartupRetries, step: Callable[[], Result], failed: str = "cannot start") -> Result:
     """What a step of the start returns; ends the command where the operating system does not let it."""
     try:
         result: Result = patience.call(step)
@@ -81,7 +81,7 @@
 ) -> None:
     """Run a gateway by the configuration FILE until SIGTERM; with --processes several, under one parent that
     starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
-    configuration, patience = load_configuration(file), Patience()
+    configuration, patience = load_configuration(file), StartupRetries()
     if processes is not None:
         _serve_by_children(patience, file, configuration, processes, seed)
         return
@@ -96,7 +96,7 @@
 
 
 def _serve_by_children(
-    patience: Patience, file: str, configuration: Configuration, processes: int, seed: int | None
+    patience: StartupRetries, file: str, configuration: Configuration, processes: int, seed: int | None
 ) -> None:
     from gaproute.appliance.parent import Parent  # here, as most commands need neither program
 
@@ -107,7 +107,7 @@
 
 
 def _make_appliance(
-    patience: Patience, configuration: Configuration, seed: int | None, inherited: Iterable[str]
+    patience: StartupRetries, configuration: Configuration, seed: int | None, inherited: Iterable[str]
 ) -> Appliance:
     """The gateway, with its signals handled. `inherited`: `DESCRIPTOR=ADDRESS` of sockets that listen."""
     from gaproute.appliance import Appliance
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -5,7 +5,7 @@
 
 from gaproute import interface as face
 from gaproute.core.core import Core
-from gaproute.core.ports import Actions, Hosts
+from gaproute.core.ports import Actions, Hosts, RequestSender
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.entries import CellUnknown, ForwardAttempt, Forwarded
 from gaproute.loop import Loop
@@ -15,8 +15,8 @@
 class Entries(Protocol):
     """The connections to entry gateways of other cells."""
 
-    def client_for(self, forward: ForwardAttempt, /) -> Hosts:
-        """What sends a request by way of an entry gateway."""
+    def client_for(self, forward: ForwardAttempt, /) -> RequestSender:
+        """What sends a request through an entry gateway."""
 
 
 class CellularCore(Core):
@@ -40,7 +40,7 @@
         self.forwarded_out = 0  # attempts at other gateways
 
     def serve(self, now: int, request: face.Request) -> Actions:
-        """A request's generator; it is told whether another gateway forwarded the request."""
+        """A request's generator, by whether another gateway forwarded the request."""
         forwarded = cast("Forwarded | None", self.in_flight[request.id].call.forwarded)
         if forwarded is not None:
             self.forwarded_in += 1
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -5,7 +5,7 @@
 
 from gaproute import interface as face
 from gaproute.interface.call import Answer, Call, Final
-from gaproute.loop.loop import Timer
+from gaproute.loop.timers import Timer
 
 
 class AttemptResult(NamedTuple):
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -52,8 +52,8 @@
         """Accounts for the answer to a load order: so many copies stand."""
 
 
-class Hosts(Protocol):
-    """Whatever reaches hosts. Each `done` is called once and never from within the call itself."""
+class RequestSender(Protocol):
+    """Whatever sends requests. Each `done` is called once and never from within the call itself."""
 
     def send(
         self,
@@ -68,6 +68,10 @@
     ) -> AttemptHandle:
         """Sends a request to one host, before `until` or never; its client waits until `limit`."""
 
+
+class Hosts(RequestSender, Protocol):
+    """Whatever reaches hosts; `done` as for `RequestSender`."""
+
     def order(
         self, host: str, function: str, copies: int, done: Callable[[face.Result, int], None], /
     ) -> None:
--- a/gaproute/hosts/attempts.py
+++ b/gaproute/hosts/attempts.py
@@ -1,20 +1,33 @@
-"""A relay that no host gets."""
+"""An attempt that no host gets, and the callbacks of those that call a client of hosts."""
+
+from collections.abc import Callable
+from typing import TypeAlias
 
 from gaproute.core.in_flight import AttemptResult
+from gaproute.interface import Report, Result
+from gaproute.loop import Loop
+
+OnAttemptEnded: TypeAlias = Callable[[AttemptResult], object]
+OnLoadOrderEnded: TypeAlias = Callable[[Result, int], object]  # (result, instances that are loaded)
+OnProbeEnded: TypeAlias = Callable[[bool, Report | None], object]  # (ready, load report)
 
 
 class UnsentAttempt:
-    """A relay that is not sent; `done` is told so, never at once."""
+    """An attempt that is not sent; `on_ended` is called with the result, never at once."""
+
+    __slots__ = ("on_ended",)
 
     started = False
+    cancellable = True
 
-    def __init__(self, loop, done, result):
-        self.done = done
-        loop.soon(self.end, AttemptResult(result, None))
+    def __init__(self, loop: Loop, on_ended: OnAttemptEnded, result: Result) -> None:
+        self.on_ended: OnAttemptEnded | None = on_ended
+        loop.soon(self._end, AttemptResult(result, None))
 
-    def end(self, heard):
-        if self.done is not None:
-            self.done(heard)
+    def _end(self, result: AttemptResult) -> None:
+        if self.on_ended is not None:
+            self.on_ended(result)
 
-    def cancel(self):
-        self.done = None
+    def cancel(self) -> None:
+        """Call nothing any more."""
+        self.on_ended = None
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -10,7 +10,7 @@
 import sys
 
 from gaproute.loop import Loop
-from gaproute.loop.starting import Patience
+from gaproute.loop.starting import StartupRetries
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration, read_environment
 from gaproute.platform.process import Process
 from gaproute.telemetry.record import TRACE_ONE_IN
@@ -29,7 +29,7 @@
 
 def main() -> int:
     """Runs the gateway until it is stopped; returns the exit code."""
-    patience = Patience()
+    patience = StartupRetries()
     try:
         process = make_process(patience)
     except ConfigurationRefusedError as error:
@@ -49,7 +49,7 @@
     return EXIT_STOPPED
 
 
-def make_process(patience: Patience) -> Process:
+def make_process(patience: StartupRetries) -> Process:
     """The gateway that the environment names, with its signals handled.
 
     Errors: ConfigurationRefusedError; OSError where the operating system gives too little.
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from gaproute.core.core import Core
-from gaproute.decisions.admission.admission import way_back
+from gaproute.decisions.admission.admission import response_margin
 from gaproute.fronts.jsonrpc.front import Front
 from gaproute.loop import Loop
 from gaproute.platform.log import Log
@@ -60,9 +60,9 @@
         self.front = front
         self.log.info("stopping", held=len(self.core.in_flight))
         now = self.loop.now()
-        signalled_at = now - self.loop.behind
+        signalled_at = now - self.loop.read_delay
         close_at, exit_at = self.times = shutdown_times(self.deadlines, signalled_at, now)
-        self.core.end_by(close_at - way_back())
+        self.core.end_by(close_at - response_margin())
         self.loop.at(exit_at, self.loop.stop)  # first: an error must not keep the process
         self.loop.at(close_at, front.stop)
         self.loop.at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from gaproute.connections import Lot
+from gaproute.connections import AcceptedConnections
 from gaproute.core.core import Core
 from gaproute.fronts.jsonrpc.front import Front
 from gaproute.hosts.jsonlines.client import JsonLinesClient
@@ -55,9 +55,9 @@
     def _connections_in_use(self) -> dict[str, list[int]]:
         """Connections and open requests by host, of hosts that have any."""
         return {
-            name: [len(host.links), sum(len(link.open) for link in host.links)]
+            name: [len(host.connections), sum(len(connection.pending) for connection in host.connections)]
             for name, host in self.hosts.hosts.items()
-            if host.links
+            if host.connections
         }
 
     def _estimates(self) -> dict[str, list[float]]:
@@ -71,14 +71,14 @@
         }
 
     def _client_fields(self) -> dict[str, Any]:
-        front, lot = self.front, Lot.of(self.loop)
+        front, connections = self.front, AcceptedConnections.of(self.loop)
         return {
-            "clients": lot.held,
+            "clients": connections.client_count,
             "parked": front.parked,
             "faults": front.faults,
             "turned_away": front.turned_away,
             "deaf": front.deaf,
-            "displaced": lot.displaced,
+            "displaced": connections.evicted,
         }
 
     def _host_fields(self) -> dict[str, Any]:
