--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -67,7 +67,7 @@
     `by`: what speaks for each: an answer, a request sent there, or the gateway that told of it; `tried`:
     whether that was followed yet.
     """
-    functions = (pair for gateway in decisions(appliance) for pair in gateway.functions.items())
+    functions = (pair for gateway in decisions(appliance) for pair in gateway.functions_by_name.items())
     rows = [row for name, function in functions for row in _instances(appliance, name, function)]
     return sorted(rows, key=lambda row: int(row["age_ms"]))
 
@@ -122,8 +122,8 @@
         "refused": observations.rejected(),
         "peers": fetcher.state if fetcher else {},
         "booked": fetcher.hints_taken if fetcher else 0,
-        "right": sum(gateway.right for gateway in decisions(appliance)),
-        "wrong": sum(gateway.wrong for gateway in decisions(appliance)),
+        "right": sum(gateway.hints.right for gateway in decisions(appliance)),
+        "wrong": sum(gateway.hints.wrong for gateway in decisions(appliance)),
     }
 
 
@@ -150,7 +150,7 @@
 def _instances(appliance: Appliance, name: str, function: Any) -> Iterator[JsonObject]:
     """Those of one function: of own attempts, then those that others told of."""
     now = appliance.loop.now()
-    for tried, last_used in ((True, function.seen), (False, function.told)):
+    for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
         for host, used_at in last_used.items():
             yield {
                 "worker": host,
@@ -162,7 +162,7 @@
 
 
 def _evidence(appliance: Appliance, host: str, name: str, function: Any) -> str:
-    if host in function.stands:
+    if host in function.proven_at:
         return "an answer"
     fact = appliance.peers.observations.by_subject.get(("warm", host, name))
     return fact.origin if fact else "a task sent"
--- a/gaproute/decisions/cells/actions.py
+++ b/gaproute/decisions/cells/actions.py
@@ -3,19 +3,8 @@
 from collections.abc import Generator
 from typing import NamedTuple, TypeVar
 
-from gaproute.interface import (
-    Attempt,
-    Cancel,
-    Fail,
-    LoadOrder,
-    Outcome,
-    PollHostList,
-    Probe,
-    Reject,
-    Wait,
-)
-
-Action = Attempt | Wait | Cancel | LoadOrder | Probe | PollHostList | Reject | Fail
+from gaproute.interface import Action, Fail, Outcome, Reject
+
 # What a generator is resumed with: the number of an attempt; (now, outcome or None) after a wait; else None.
 Resumption = int | tuple[int, Outcome | None] | None
 Returned = TypeVar("Returned")
--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -113,7 +113,7 @@
         if gateway is None:
             actions = self.remote.serve(progress, self.table.by_name[name])
             return (yield from self._drive(progress, name, actions, None))
-        if not gateway.fleet:
+        if not gateway.active_hosts:
             self.health.record_unreachable(progress.now, name)
             return CellUnknown(progress.retry_after, NO_HOST)
         actions = gateway.serve(progress.now, progress.remaining_request())
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -129,7 +129,7 @@
         single = self.single
         if self.table is not None and self.table.cells[0].name in table.by_name and single is not None:
             self.local.add(self.table.cells[0].name, single)
-            self.local.ration = single.ration
+            self.local.load_order_limiter = single.load_order_limiter
         self.previous_single, self.single = single, None
 
     def _unite(self, now: int, table: CellTable) -> None:
@@ -166,7 +166,7 @@
 
     def probed(self, now: int, host: str, good: bool, report: Report | None) -> bytes | None:
         """A health check's answer; returns what all other gateways are to be told, or None."""
-        gateway = self.single or self.local.of_worker(host)
+        gateway = self.single or self.local.of_host(host)
         if gateway is None:
             return None
         payload: bytes | None = gateway.probed(now, host, good, report)
@@ -174,7 +174,7 @@
 
     def stood(self, now: int, host: str, function: str, result: Result | None, copies: int) -> None:
         """A load order's answer."""
-        gateway = self.single or self.local.of_worker(host)
+        gateway = self.single or self.local.of_host(host)
         if gateway is not None:
             gateway.stood(now, host, function, result, copies)
 
@@ -187,7 +187,7 @@
     def _knows_hosts_of(self, cell: str) -> bool:
         """Whether, with one cell at most, that is the cell and a host of it is known."""
         assert self.single is not None
-        return self.table is not None and cell in self.table.by_name and bool(self.single.fleet)
+        return self.table is not None and cell in self.table.by_name and bool(self.single.active_hosts)
 
     def _reject_unknown(self, progress: RequestProgress) -> Actions[None]:
         """A request that was forwarded here for a cell which this gateway does not know."""
--- a/gaproute/decisions/cells/housekeeping.py
+++ b/gaproute/decisions/cells/housekeeping.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Iterator
 
-from gaproute.decisions.cells.actions import Action, Actions
+from gaproute.decisions.cells.actions import Actions
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Wait
+from gaproute.interface import Action, Wait
 
 
 class Housekeeper:
--- a/gaproute/decisions/cells/invariants.py
+++ b/gaproute/decisions/cells/invariants.py
@@ -59,9 +59,9 @@
             yield f"forwarded to {attempt.forwarded.cell}, which is not in the table"
         elif attempt.host not in {entry.name for entry in cell.entries}:
             yield f"forwarded to {attempt.host}, which is no entry of {cell.name}"
-    elif (owner := gateway.local.of_worker(attempt.host)) is None:
+    elif (owner := gateway.local.of_host(attempt.host)) is None:
         yield f"sent to {attempt.host}, which is in no cell known"
-    elif not owner.workers[attempt.host].active:
+    elif not owner.hosts_by_id[attempt.host].active:
         yield f"sent to {attempt.host}, which is not active"
 
 
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -7,12 +7,11 @@
 from collections.abc import Collection, Iterator, Sequence
 from typing import NamedTuple
 
-from gaproute.decisions.cells.actions import Action
 from gaproute.decisions.cells.housekeeping import Housekeeper
 from gaproute.decisions.routing import Gateway
-from gaproute.decisions.routing.beliefs import LONG as NEVER
-from gaproute.decisions.routing.ration import Ration
-from gaproute.interface import ListedHost, Report, Terms
+from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
+from gaproute.decisions.routing.parameters import NEVER
+from gaproute.interface import Action, ListedHost, Report, Terms
 
 SECOND = 1_000_000_000
 
@@ -35,7 +34,7 @@
 
     def __init__(self, seed: int, terms: Terms) -> None:
         self.seed, self.terms = seed, terms
-        self.ration = Ration(terms.load_orders_free, terms.load_order_share, terms.load_order_window)
+        self.load_order_limiter = LoadOrderLimiter.of(terms)
         self.gateways: dict[str, Gateway] = {}  # by cell
         self.loads: dict[str, _CachedLoad] = {}  # by cell
         self.housekeepers: dict[str, Housekeeper] = {}  # by cell
@@ -60,8 +59,7 @@
 
     def new_gateway(self, now: int) -> Gateway:
         """A gateway that shares the limit on load orders and the end of the process."""
-        gateway = Gateway(self.seed, self.terms, now)
-        gateway.ration = self.ration
+        gateway = Gateway(self.seed, self.terms, now, self.load_order_limiter)
         gateway.end_by = self.end_by
         return gateway
 
@@ -75,10 +73,10 @@
         for gateway in self.gateways.values():
             gateway.end_by = when
 
-    def of_worker(self, host: str) -> Gateway | None:
+    def of_host(self, host: str) -> Gateway | None:
         """The gateway that knows the host, or None."""
         for gateway in self.gateways.values():
-            if host in gateway.workers:
+            if host in gateway.hosts_by_id:
                 return gateway
         return None
 
@@ -87,7 +85,7 @@
         cached = self.loads.get(name)
         if cached is None or now - cached.counted_at >= LOAD_MAX_AGE:
             gateway = self.gateways[name]
-            load = float(sum(gateway.queued(host, 1, now) for host in gateway.fleet))
+            load = float(sum(gateway.queued(host, 1, now) for host in gateway.active_hosts))
             cached = self.loads[name] = _CachedLoad(now, load)
         return cached.load
 
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -23,7 +23,7 @@
 from gaproute.decisions.cells.local_cells import LocalCells
 from gaproute.decisions.cells.request_progress import RequestProgress
 from gaproute.decisions.cells.table import Cell
-from gaproute.decisions.routing.task import ANSWER_BY
+from gaproute.decisions.routing.request_router import ANSWER_BY
 from gaproute.interface import Cancel, Group, Idempotency, Outcome, Reject, Result, Wait
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -9,8 +9,7 @@
 
 from gaproute.decisions.cells.actions import FinalAnswer
 from gaproute.decisions.cells.entries import Forwarded
-from gaproute.decisions.routing.beliefs import LONG as NEVER
-from gaproute.decisions.routing.beliefs import MILLI
+from gaproute.decisions.routing.parameters import MILLI, NEVER
 from gaproute.interface import NEVER_RAN, Fail, Idempotency, Outcome, Reject, Request, Result, Terms
 
 LOOK_INTERVAL = 500 * MILLI  # between looks at a request with an overdue attempt
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -318,9 +318,9 @@
         assert not core.generators
         assert not core.attempt_counts
         assert set(core.wait_timers) == {""}
-        assert not gateway.hands
-        assert not gateway.ration.out
-        assert not any(each.out or each.late for each in gateway.workers.values())
+        assert not gateway.tracker.in_flight
+        assert not gateway.load_order_limiter.open_orders
+        assert not any(each.in_flight or each.overdue for each in gateway.hosts_by_id.values())
         self.passes(30 * SECOND)
         assert not any(link.pending for host in self.hosts.hosts.values() for link in host.connections)
         assert not self.hosts.connection_count()
