--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -1,110 +1,115 @@
 """One gateway as a process: its parts wired, started and stopped. Decides nothing."""
 
-import os
 import secrets
 import signal
-from functools import partial
+import socket
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any
 
-from gaproute.appliance.cells import Cells
+from gaproute.appliance.cells import CellServices
+from gaproute.appliance.host_list import HostList
 from gaproute.appliance.operator import Operator
-from gaproute.appliance.others import Others
+from gaproute.appliance.parent_pipes import report_ready, watch_parent
+from gaproute.appliance.peer_services import PeerServices
+from gaproute.appliance.shutdown import GracefulShutdown
+from gaproute.config.configuration import Configuration
 from gaproute.connections import AcceptedConnections
 from gaproute.connections.descriptors import descriptors
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
-from gaproute.discovery.file_watch import FileWatch
-from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.fronts.kserve import KServeFront
+from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.hosts.kserve.settings import ClientSettings
 from gaproute.interface import State
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
-from gaproute.loop.descriptors import READ
 from gaproute.telemetry.logs import logger
-from gaproute.telemetry.record import Record
+from gaproute.telemetry.record import Log, Record
 
-LAST_REQUEST = 1_500_000_000  # ns after a stop, for requests on connections accepted before to come in:
-#                               more than until a connection that was at work is parked
-LONGEST_GRANTED = 3_000_000_000  # ns, as which longer deadlines count for the time of a SIGKILL
-GRANTED = 700_000_000  # ns beyond the longest deadline, after SIGTERM, from which on SIGKILL may come
-AHEAD = 100_000_000  # ns before that, by which what is held has its answer
-LAST_WORDS = 200_000_000  # ns, after the last client's connection, for words to other gateways to leave
+SEED_BITS = 64
+ADMISSION_SEED = 3  # added to the seed: each part draws from a chance of its own
 
 
 class Appliance:
-    def __init__(self, configuration, loop=None, seed=None, log=None, inherited=()):
-        """`inherited`: {address as configured: listening socket that a parent opened}."""
+    """A gateway process.
+
+    `fronts`: all that listens; `client_fronts`: those of them that take requests, from clients or forwarded.
+    """
+
+    def __init__(
+        self,
+        configuration: Configuration,
+        loop: Loop | None = None,
+        seed: int | None = None,
+        log: Log | None = None,
+        inherited: Mapping[str, socket.socket] | Iterable[tuple[str, socket.socket]] = (),
+    ) -> None:
+        """`inherited`: listening sockets that a parent opened, by the address as configured."""
         self.configuration, self.inherited = configuration, dict(inherited)
-        self.loop = loop = loop or Loop()
+        self.loop = loop or Loop()
+        self.started: int = self.loop.now()  # ns of the loop's clock
+        self.seed = secrets.randbits(SEED_BITS) if seed is None else seed
         self.log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
-        loop.on_error = lambda error: self.log.error("error", error=repr(error), exc_info=error)
-        seed = secrets.randbits(64) if seed is None else seed
-        run = f"{configuration.name}-{secrets.token_hex(3)}"  # task ids stay apart over restarts
+        self.loop.on_error = self._log_error
         self.record = Record(self.log, [line.name for line in configuration.tracks])
+        self.host_list = HostList(self.loop, configuration, self.record)
+        self.stopping = False
+        self.address_shared = False  # others serve at the clients' addresses, also after this one's stop
+        self.fronts: list[Any] = []
+        self.client_fronts: list[Any] = []
+        self.cells: CellServices | None = None
+        self._make_core()
+        self.connections = self._make_connections()
+        self.peers = self._make_peer_services()
+
+    def _make_core(self) -> None:
+        """The request driver with its decisions and its connections to hosts."""
+        configuration = self.configuration
+        run = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids stay apart over restarts
         line = configuration.reach
         reach = ClientSettings(line.connect, line.probe, line.order, line.connections, line.answer)
-        if configuration.cells is None:
-            gateway = configuration.decisions(seed, configuration.terms, loop.now())
-            self.hosts, self.cells = KServeClient(loop, Pooling(), reach, configuration.name), None
-            self.core = Core(loop, gateway, configuration.terms, self.hosts, self.record, run)
-        else:
-            self.cells = Cells(loop, configuration, self.record, seed, reach, run, self.enlisted)
-            self.hosts, self.core, gateway = self.cells.hosts, self.cells.core, self.cells.unused
-        self.listing = HostLineConverter(loop, use_capacities=configuration.sizes_reported)
-        self.rows = {}
-        self.stopping = False
-        self.shared = False  # other processes serve at the clients' addresses, also after this one's stop
-        self.seed = seed
-        self.client_fronts = []
-        self.fronts, self.watch, self.started = [], None, loop.now()
-        self.connections = AcceptedConnections.of(loop)
-        clients = configuration.clients
-        self.connections.admission = Admission(
-            clients.connections, clients.per_address, descriptors(), Chance(seed + 3)
-        )
-        self.make_others = partial(Others, loop, configuration, gateway, self.record, seed, self.cells)
-        self.others = self.make_others()
-
-    def start(self):
-        """Errors: OSError where an address cannot be listened on; nothing listens then, and it may be called
-        again."""
-        try:
-            for kind, where in self.configuration.listens:
-                if kind == "kserve":
-                    front = KServeFront(
-                        self.loop,
-                        address(where),
-                        self.core,
-                        self.configuration,
-                        self.address_ready,
-                        self.inherited.get(where),
-                    )
-                    self.fronts.append(front)
-                    self.client_fronts.append(front)
-                elif kind == "peers":
-                    self.fronts.append(self.others.listen(where))
-                    if self.cells is not None:
-                        self.client_fronts.append(self.cells.listen(self.others, self.ready))
-                else:
-                    self.fronts.append(Operator(self.loop, address(where), self))
-        except OSError as fault:
-            for front in [*self.fronts, self.others]:
-                front.close()
-            self.fronts, self.client_fronts, self.others = [], [], self.make_others()
-            raise OSError(fault.errno, f"{where}: {fault.strerror}") from fault
-        if self.others.gossip is not None:
-            self.core.on_arrival = self.others.gossip.arrived
-        source = self.configuration.hosts_file
+        self.hosts: KServeClient
+        self.core: Core
+        if configuration.cells is not None:
+            self.cells = CellServices(
+                self.loop, configuration, self.record, self.seed, reach, run, self.hosts_changed
+            )
+            self.hosts, self.core = self.cells.hosts, self.cells.core
+            return
+        gateway = configuration.decisions(self.seed, configuration.terms, self.loop.now())
+        self.hosts = KServeClient(self.loop, Pooling(), reach, configuration.name)
+        self.core = Core(self.loop, gateway, configuration.terms, self.hosts, self.record, run)
+
+    def _make_connections(self) -> AcceptedConnections:
+        connections = AcceptedConnections.of(self.loop)
+        clients = self.configuration.clients
+        chance = Chance(self.seed + ADMISSION_SEED)
+        connections.admission = Admission(clients.connections, clients.per_address, descriptors(), chance)
+        return connections
+
+    def _make_peer_services(self) -> PeerServices:
+        gateway = self.core.gateway if self.cells is None else self.cells.placeholder_gateway
+        return PeerServices(self.loop, self.configuration, gateway, self.record, self.seed, self.cells)
+
+    # Start
+
+    def start(self) -> None:
+        """Listens and begins to serve.
+
+        Raises OSError where an address cannot be listened on; nothing listens then, and it may be called
+        again.
+        """
+        self._listen()
+        if self.peers.gossip is not None:
+            self.core.on_arrival = self.peers.gossip.arrived
         if self.cells is not None:
             self.cells.start()
-        elif source is None:
-            self.listed(self.configuration.hosts)
         else:
-            self.watch = FileWatch(self.loop, source.path, source.look, self.listed, self.list_refused)
-        self.others.start()
+            self.host_list.follow(self.update_hosts)
+        self.peers.start()
         self.log.info(
             "started",
             listens=[front.address for front in self.fronts],
@@ -113,124 +118,131 @@
             clients=self.connections.admission.max_connections,
         )
 
-    def listed(self, lines):
-        """A whole host list. The host connections come first: the module may wish for a new host at once."""
-        rows = self.listing.endpoints(lines, self.watch.current_at if self.watch is not None else None)
-        self.enlisted(rows)
-        self.core.update_hosts([row.listed for row in rows], True)
-        self.others.hosts_listed(
-            {
-                name: (row.listed.state.value, self.listing.start_times.reported(name) or 0)
-                for name, row in self.rows.items()
-            }
+    def _listen(self) -> None:
+        for kind, where in self.configuration.listens:
+            try:
+                self._open_front(kind, where)
+            except OSError as error:
+                self._close_fronts()
+                raise OSError(error.errno, f"{where}: {error.strerror}") from error
+
+    def _open_front(self, kind: str, where: str) -> None:
+        if kind == "kserve":
+            front = self._client_front(where)
+            self.fronts.append(front)
+            self.client_fronts.append(front)
+        elif kind == "peers":
+            self.fronts.append(self.peers.listen(where))
+            if self.cells is not None:
+                self.client_fronts.append(self.cells.listen(self.peers, self.ready))
+        else:
+            self.fronts.append(Operator(self.loop, address(where), self))
+
+    def _client_front(self, where: str) -> KServeFront:
+        inherited = self.inherited.get(where)
+        return KServeFront(
+            self.loop, address(where), self.core, self.configuration, self.address_ready, inherited
         )
 
-    def enlisted(self, rows):
-        """All hosts known: to the connections and the log."""
-        before, self.rows = self.rows, {row.listed.host: row for row in rows}
+    def _close_fronts(self) -> None:
+        """Leaves things as they were before the start."""
+        for front in [*self.fronts, self.peers]:
+            front.close()
+        self.fronts, self.client_fronts = [], []
+        self.peers = self._make_peer_services()
+
+    # The host list
+
+    @property
+    def rows(self) -> dict[str, Endpoint]:
+        """The hosts that are known, by name."""
+        return self.host_list.rows
+
+    def update_hosts(self, rows: Sequence[Endpoint]) -> None:
+        """Takes a whole host list. The connections come first: the decisions may use a new host at once."""
+        self.hosts_changed(rows)
+        self.core.update_hosts([row.listed for row in rows], True)
+        self.peers.update_hosts(self.host_list.states())
+
+    def hosts_changed(self, rows: Sequence[Endpoint]) -> None:
+        """Takes all hosts that are known now to the connections and the log."""
         self.hosts.update(rows, complete=True)
-        changed = [name for name, row in self.rows.items() if before.get(name) != row]
-        for name in sorted(changed + [name for name in before if name not in self.rows]):
-            new = self.rows.get(name)
-            self.record.event("info", "host", name=name, state=new.listed.state.value if new else "gone")
+        self.host_list.replace(rows)
+
+    def reload_host_lists(self) -> None:
+        """Reads the files of hosts again."""
+        if self.cells is not None:
+            self.cells.reload()
+        else:
+            self.host_list.reload()
 
-    def list_refused(self, mistakes):
-        for mistake in mistakes:
-            self.record.event("error", "host list refused", mistake=str(mistake))
+    # Readiness
 
-    def ready(self):
-        return not self.stopping and self._has_active()
+    def ready(self) -> bool:
+        """Whether this process serves and has a host, or a gateway to forward to."""
+        return not self.stopping and self._has_active_host()
 
-    def address_ready(self):
-        """Whether the clients' addresses are served: where others accept there too, also while this process
+    def address_ready(self) -> bool:
+        """Whether the clients' addresses are served; where others accept there too, also while this process
         stops."""
-        return (self.shared or not self.stopping) and self._has_active()
+        return (self.address_shared or not self.stopping) and self._has_active_host()
 
-    def _has_active(self):
+    def _has_active_host(self) -> bool:
         active = any(row.listed.state is State.ACTIVE for row in self.rows.values())
-        return active or self.cells is not None and self.cells.leads_on()
+        return active or self.cells is not None and self.cells.can_forward()
 
-    # Stop
+    # Signals and the parent
 
-    def stop(self):
-        """Accepts nothing new, lets what is held and what comes in on connections accepted before come to its
-        final answer, then ends the loop. Host lists are followed to the end: a host may drain meanwhile."""
-        if self.stopping:
-            return
-        self.stopping = True
-        self.log.info("stopping", held=len(self.core.in_flight))
-        for front in self.client_fronts:
-            front.stop(LAST_REQUEST)
-        for front in self.fronts:
-            if front not in self.client_fronts:
-                front.stop()
-        self.others.stop()
-        if self.cells is not None:
-            self.cells.stop()
-        self.core.end_by(self.loop.now() + self._granted())
-        self.core.on_idle = self._emptied
-        for front in self.client_fronts:
-            front.notify_when_emptied(self._emptied)
-        self.loop.after(LAST_REQUEST + self.configuration.longest + LAST_WORDS, self.loop.stop)
-        self._emptied()
-
-    def _granted(self):
-        """For how long after a stop tasks are held: the process may be killed soon after that."""
-        return (
-            min(self.configuration.longest, LONGEST_GRANTED)
-            + GRANTED
-            - AHEAD
-            - self.configuration.clients.way_back
-        )
-
-    def _emptied(self):
-        """Ends the loop once no task is held and no client's connection is left."""
-        if not self.core.in_flight and not any(front.connection_count for front in self.client_fronts):
-            self.loop.after(LAST_WORDS, self.loop.stop)
+    def handle_signals(self) -> None:
+        """SIGTERM and SIGINT stop, SIGHUP reads the host list again. Before `start`, so that none is missed.
 
-    def heed_signals(self):
-        """SIGTERM and SIGINT stop, SIGHUP reads the host list again. Before `start`, so that none is
-        missed."""
+        Raises OSError.
+        """
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
-        self.loop.on_signal(signal.SIGHUP, self.read)
-
-    def read(self):
-        """Read the host list again."""
-        watch = self.watch or self.cells
-        if watch is not None:
-            watch.read()
-
-    def under(self, life, ready):
-        """Stands under a parent: says that it serves on the descriptor `ready`, stops when `life` ends, which
-        is the end of all. A stop before that is this process's alone."""
-        self.shared = True
-        self.loop.watch(life, READ, lambda events: self._parent_gone(life))
-        try:
-            os.write(ready, b"ready")
-        except OSError:
-            pass  # nobody reads: the parent is gone, which `life` tells
-        os.close(ready)
-
-    def _parent_gone(self, life):
-        self.loop.unwatch(life)
-        self.shared = False
+        self.loop.on_signal(signal.SIGHUP, self.reload_host_lists)
+
+    def attach_to_parent(self, liveness_pipe: int, ready_pipe: int) -> None:
+        """Tells the parent that this process serves, and stops when the liveness pipe ends.
+
+        That is the end of all processes at the addresses. A stop before it is this process's alone.
+        """
+        self.address_shared = True
+        watch_parent(self.loop, liveness_pipe, self._stop_with_all)
+        report_ready(ready_pipe)
+
+    def _stop_with_all(self) -> None:
+        self.address_shared = False
         for front in self.client_fronts:
             front.end_queue_sharing()
         self.stop()
 
-    def run(self):
+    # Stop
+
+    def stop(self) -> None:
+        """Begins the graceful shutdown, after which the loop ends."""
+        if self.stopping:
+            return
+        self.stopping = True
+        self.log.info("stopping", held=len(self.core.in_flight))
+        GracefulShutdown(self).begin()
+
+    def run(self) -> None:
+        """Runs the loop until `stop` has ended it, then closes all."""
         self.loop.run()
         self.close()
         lived = max(1, self.loop.now() - self.started)
-        self.log.info(
-            "stopped", held=len(self.core.in_flight), telling_share=round(self.others.spent() / lived, 6)
-        )
+        share = round(self.peers.cpu_spent() / lived, 6)
+        self.log.info("stopped", held=len(self.core.in_flight), telling_share=share)
 
-    def close(self):
+    def close(self) -> None:
+        """Closes all sockets and files."""
         for front in self.fronts:
             front.close()
-        for part in (self.watch, self.cells, self.others):
+        for part in (self.host_list, self.cells, self.peers):
             if part is not None:
                 part.close()
         self.hosts.close()
+
+    def _log_error(self, error: BaseException) -> None:
+        self.log.error("error", error=repr(error), exc_info=error)
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -7,7 +7,7 @@
 from gaproute import interface as face
 from gaproute.core.completion import MILLI, RequestCompletion
 from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
-from gaproute.core.ports import DecisionModule, Hosts
+from gaproute.core.ports import DecisionModule, Hosts, RequestSender
 from gaproute.interface.call import Ending
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
@@ -33,7 +33,7 @@
         """Sends a request to a host."""
         self._send(self.hosts, key, number, attempt, now)
 
-    def _send(self, hosts: Hosts, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+    def _send(self, hosts: RequestSender, key: str, number: int, attempt: face.Attempt, now: int) -> None:
         """Sends a request through these hosts."""
         request = self.in_flight[key]
         request.attempt_count += 1
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -5,9 +5,9 @@
 
 from gaproute import interface as face
 from gaproute.core.core import Core
-from gaproute.core.ports import Actions, Hosts
+from gaproute.core.ports import Actions, Hosts, RequestSender
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.entries import CellUnknown, Forward, Forwarded
+from gaproute.decisions.cells.entries import CellUnknown, ForwardAttempt, Forwarded
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 
@@ -15,7 +15,7 @@
 class Entries(Protocol):
     """The connections to entry gateways of other cells."""
 
-    def client_for(self, forward: Forward, /) -> Hosts:
+    def client_for(self, forward: ForwardAttempt, /) -> RequestSender:
         """What sends a request through an entry gateway."""
 
 
@@ -49,7 +49,7 @@
 
     def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
         """Sends a request to a host, or to an entry gateway of another cell."""
-        if isinstance(attempt, Forward):
+        if isinstance(attempt, ForwardAttempt):
             self.forwarded_out += 1
             self._send(self.entries.client_for(attempt), key, number, attempt, now)
         else:
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -1,6 +1,6 @@
 """The address at which other gateways ask, as a part: the product's giver, and keepers' messages."""
 
-from gaproute.appliance.others import ASKED
+from gaproute.appliance.peer_services import LEASE_PEER_LIMITS
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.hollow.parts import Part
 from gaproute.loop.addresses import address
@@ -15,7 +15,7 @@
         tracks = [line.name for line in surroundings.configuration.tracks]
         where = address(surroundings.address)
         self.peer_server = PeerServer(
-            surroundings.loop, where, parts["hosts"].gateway, HostHistory(), tracks, ASKED
+            surroundings.loop, where, parts["hosts"].gateway, HostHistory(), tracks, LEASE_PEER_LIMITS
         )
         self.transport = parts["leases"].hosted_node.transport
         self.peer_server.routes[TARGET] = self.handle
--- a/gaproute/hosts/entry_gateways.py
+++ b/gaproute/hosts/entry_gateways.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from gaproute.core.in_flight import AttemptHandle
-from gaproute.decisions.cells.entries import Forward, Forwarded
+from gaproute.decisions.cells.entries import ForwardAttempt
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts import forwarding
@@ -49,7 +49,7 @@
 
     __slots__ = ("gateways", "forward")
 
-    def __init__(self, gateways: "EntryGateways", forward: Forward) -> None:
+    def __init__(self, gateways: "EntryGateways", forward: ForwardAttempt) -> None:
         self.gateways, self.forward = gateways, forward
 
     def send(
@@ -63,11 +63,10 @@
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
         """As `KServeClient.send`, to the entry gateway whatever the host's name."""
-        address: str = self.forward.address  # type: ignore[attr-defined]
+        address = self.forward.address
         if not self.gateways.add(address):
             return UnsentAttempt(self.gateways.loop, on_ended, Result.CONNECT_FAILED)
-        forwarded: Forwarded = self.forward.forwarded  # type: ignore[attr-defined]
-        fields = [*call.fields, forwarding.encode(forwarded)]
+        fields = [*call.fields, forwarding.encode(self.forward.forwarded)]
         if call.tenant:
             fields.append((b"Gaproute-Tenant", call.tenant))
         call = call._replace(fields=tuple(fields))
@@ -81,7 +80,7 @@
         self.loop = loop
         self.hosts = EntryGatewayClient(loop, Pooling(), settings, gateway)
 
-    def client_for(self, forward: Forward) -> ForwardingClient:
+    def client_for(self, forward: ForwardAttempt) -> ForwardingClient:
         """What sends the call that is to be forwarded."""
         return ForwardingClient(self, forward)
 
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -1,6 +1,6 @@
 """The cell table as the document that is disseminated."""
 
-from gaproute.decisions.cells.change import TableChange, TableHolder, changed
+from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
 from gaproute.decisions.cells.table import CellTable, Version
 from gaproute.peers.tables import encoding
@@ -36,7 +36,7 @@
             raise DocumentError("a change without a table")
         try:
             decoded = encoding.decode_change(self.fleet, change.base, change.version, change.data)
-            table = changed(current, decoded)
+            table = apply_change(current, decoded)
             self._take(table, encoding.digest_after(self.digest, current, decoded), change.digest)
         except TableError as fault:
             raise DocumentError("invalid change") from fault
@@ -58,7 +58,7 @@
     def _take(self, table: CellTable, digest: int, expected: int) -> None:
         if digest != expected:
             raise DocumentError("digest")
-        self.holder.take(table)
+        self.holder.replace(table)
         self.digest = digest
 
 
@@ -69,6 +69,6 @@
     """
     if current is None:
         raise TableError("a change without a table")
-    changed(current, change)
+    apply_change(current, change)
     digest_after = encoding.digest_after(digest, current, change)
     return Change(change.base, change.version, digest_after, encoding.encode_change(change))
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -7,8 +7,8 @@
 from request_scenarios import end
 from scripted import MILLI, SECOND
 
-from gaproute.decisions.cells.entries import Forward, Forwarded
-from gaproute.decisions.cells.table import Entry
+from gaproute.decisions.cells.entries import ForwardAttempt, Forwarded
+from gaproute.decisions.cells.table import EntryGateway
 from gaproute.hosts.entry_gateways import EntryGateways
 from gaproute.hosts.kserve.settings import DEFAULT_SETTINGS
 from gaproute.http1 import Limits, Server
@@ -30,7 +30,7 @@
         self.entries = EntryGateways(self.loop, DEFAULT_SETTINGS, "ga")
 
     def forward(self, call=CALL, within=SECOND):
-        wish = Forward(Entry("gb", self.server.address), 0, Forwarded("b1", 1))
+        wish = ForwardAttempt(EntryGateway("gb", self.server.address), 0, Forwarded("b1", 1))
         now = self.loop.now()
         return self.entries.client_for(wish).send(
             "gb", call, Idempotency.IDEMPOTENT, "t", now + within, now + within, self.heard.append
--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.appliance.operator import knowledge
+from gaproute.appliance.status import warm_instances
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.reports.cpu_budget import CPU_BURST, CPU_SHARE, REST, CpuBudget
 from gaproute.decisions.reports.follower import MAX_SLOWDOWN, ObservationFollower
@@ -465,13 +465,13 @@
     warm_at = json.loads(made.wait(made.ask("lamp", "last")).body)["outputs"][0]["data"][0]
     loads = len(made.seen("loaded"))
     second = start()
-    made.until(lambda: second.others.observation_client.hints_taken)
+    made.until(lambda: second.peers.observation_client.hints_taken)
     made.at = made.at[0], tuple([*made.at[1][:1], int(second.fronts[0].address.rpartition(":")[2])])
     answer = made.wait(made.ask("lamp", "first"))
     assert json.loads(answer.body)["outputs"][0]["data"][0] == warm_at
     assert len(made.seen("loaded")) == loads
-    assert made.gate.others.peer_server.transfers.encoded >= 1
-    assert second.others.observation_client.state["g"].startswith("told ")
+    assert made.gate.peers.peer_server.transfers.encoded >= 1
+    assert second.peers.observation_client.state["g"].startswith("told ")
     assert not second.core.gateway.load_order_limiter.open_orders
     assert not second.core.gateway.load_order_limiter.ends
 
@@ -479,8 +479,8 @@
 def test_an_operator_sees_what_is_known_and_by_what(beside):
     made, start = beside
     second = start()
-    made.until(lambda: second.others.observation_client.hints_taken)
-    (own,), (hinted,) = knowledge(made.gate), knowledge(second)
+    made.until(lambda: second.peers.observation_client.hints_taken)
+    (own,), (hinted,) = warm_instances(made.gate), warm_instances(second)
     assert (own["by"], hinted["by"]) == ("an answer", "g")
     assert (own["worker"], own["function"]) == (hinted["worker"], hinted["function"])
     assert hinted["age_ms"] >= 3500 > own["age_ms"]
@@ -490,11 +490,11 @@
     made, start = beside
     rows = made.list.read_text().splitlines()
     (worker,) = made.gate.core.gateway.functions_by_name["lamp"].proven_at
-    made.gate.watch.close()  # the giver's own list is late: it still believes in the host
+    made.gate.host_list.watch.close()  # the giver's own list is late: it still believes in the host
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     second = start()
-    made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
-    assert second.others.observations.rejections["not listed"]
+    made.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
+    assert second.peers.observations.rejections["not listed"]
     assert worker not in second.core.gateway.hosts_by_id
     assert "lamp" not in second.core.gateway.functions_by_name
 
@@ -518,14 +518,14 @@
     second = start(where)
     made.at = made.at[0], ("127.0.0.1", int(second.fronts[0].address.rpartition(":")[2]))
     assert made.wait(made.ask("lamp", "meanwhile")).status == 200
-    made.until(lambda: second.others.observation_client.state["g"] == "dropped after 0 facts")
+    made.until(lambda: second.peers.observation_client.state["g"] == "dropped after 0 facts")
     listener.close()
 
 
 def test_a_giver_out_of_budget_puts_off_and_still_tells(beside):
     made, start = beside
-    made.gate.others.peer_server.cpu_budget.spend(made.loop.now(), 11 * MILLI)
+    made.gate.peers.peer_server.cpu_budget.spend(made.loop.now(), 11 * MILLI)
     second = start()
-    made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
-    assert made.gate.others.peer_server.put_off >= 1
-    assert second.others.observation_client.hints_taken >= 1
+    made.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
+    assert made.gate.peers.peer_server.put_off >= 1
+    assert second.peers.observation_client.hints_taken >= 1
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -13,7 +13,7 @@
 import gaproute
 from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.cell_rows import CellRows
-from gaproute.appliance.cells import Cells
+from gaproute.appliance.cells import CellServices
 from gaproute.config import read_hosts
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
 from gaproute.decisions.chance import Chance
@@ -322,7 +322,7 @@
 
 def test_the_gateway_hands_on_when_its_file_was_last_seen(rig):
     made = rig(hosts=2)
-    converter = made.gate.listing
+    converter = made.gate.host_list.listing
     converter.start_times.wall = lambda: BEGUN + HOUR + made.loop.now()
     converter.start_times.offset = BEGUN + HOUR  # ahead from the start: no step to be seen
     both = made.list.read_text().splitlines()
@@ -366,7 +366,7 @@
     given = []
     rows = SimpleNamespace(of=lambda *told: given.append(told) or {})
     lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
-    Cells._listed(SimpleNamespace(rows=rows, lists=lists, enlisted=list, told={}), {})
+    CellServices._apply_lists(SimpleNamespace(rows=rows, lists=lists, hosts_changed=list, lists_given={}), {})
     assert given == [({}, {"a1": "a"}, {"a1": 5})]
 
 
@@ -379,7 +379,7 @@
         lambda told: seen.append(lists.current_at()),
         seen.append,
     )
-    lists.want({"a1": "a"})
+    lists.set_cells({"a1": "a"})
     known = lists.current_at()["a1"]
     assert seen == [{}]
     assert known <= loop.now()
@@ -391,7 +391,7 @@
     loop.close()
 
     made = followed_cells()
-    made.lists.want(made.zones)
+    made.lists.set_cells(made.zones)
     assert set(made.lists.current_at().values()) == {None}
     made.begin(a1=hosts("uv"), b1=hosts("w"))
     made.passes(3 * SECOND)
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -6,7 +6,7 @@
 import pytest
 from helpers import CONFIGURATION, MILLI, SECOND, gateway, row
 
-from gaproute.appliance.operator import peer_table, status
+from gaproute.appliance.status import peer_table, status
 from gaproute.config import ConfigurationError, read_configuration, read_peers
 from gaproute.decisions.reports.cpu_budget import CpuBudget
 from gaproute.decisions.reports.exchange_limits import MAX_CHUNK_OBSERVATIONS
@@ -21,7 +21,7 @@
 
 
 def where(appliance):
-    return appliance.others.peer_server.address
+    return appliance.peers.peer_server.address
 
 
 def front(appliance):
@@ -34,12 +34,12 @@
     third = start("third", f"peer second {where(second)}")
     made.until(
         lambda: (
-            [each.others.membership_transport.membership.live_count() for each in (made.gate, second, third)]
+            [each.peers.membership_transport.membership.live_count() for each in (made.gate, second, third)]
             == [3, 3, 3]
         )
     )
-    third.others.membership_transport.stop()
-    made.until(lambda: made.gate.others.membership_transport.membership.live_count() == 2)
+    third.peers.membership_transport.stop()
+    made.until(lambda: made.gate.peers.membership_transport.membership.live_count() == 2)
     states = {row["name"]: row["state"] for row in peer_table(made.gate)}
     assert states == {"second": "alive", "third": "left"}
     assert status(made.gate)["gateways"] == 2
@@ -48,7 +48,7 @@
 def test_what_changes_after_the_snapshot_comes_as_well(fleet):
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.others.observation_client.state["g"].startswith("told"))
+    made.until(lambda: second.peers.observation_client.state["g"].startswith("told"))
     assert "lamp" not in second.core.gateway.functions_by_name
     assert made.wait(made.ask("lamp", "w1")).status == 200
     made.until(lambda: "lamp" in second.core.gateway.functions_by_name)
@@ -64,12 +64,12 @@
         late = f"127.0.0.1:{taken.getsockname()[1]}"
     second = start("second", f"peer late {late}")
     made.rest(100 * MILLI)
-    assert second.others.observation_client.state["late"] == "asked"
-    told = made.gate.others
-    server = PeerServer(made.loop, address(late), told.gateway, told.host_history, told.tracks)
-    made.until(lambda: second.others.observation_client.state["late"].startswith("told"))
+    assert second.peers.observation_client.state["late"] == "asked"
+    told = made.gate.peers
+    server = PeerServer(made.loop, address(late), told.gateway, told.host_history, told.request_classes)
+    made.until(lambda: second.peers.observation_client.state["late"].startswith("told"))
     server.close()
-    assert second.others.observation_client.hints_taken
+    assert second.peers.observation_client.hints_taken
 
 
 def test_a_list_of_gateways_is_watched_and_names_this_one_without_harm(fleet):
@@ -77,16 +77,16 @@
     peers = made.folder / "peers.list"
     peers.write_text("peer second 127.0.0.1:9\n")
     second = start("second", f"peers-file {peers} look 5ms")
-    assert second.others.membership_transport.membership.members == {}
-    assert second.others.observation_client.state == {}
+    assert second.peers.membership_transport.membership.members == {}
+    assert second.peers.observation_client.state == {}
     fresh = made.folder / "fresh"
     fresh.write_text(f"peer second 127.0.0.1:9\npeer g {where(made.gate)}\n")
     fresh.replace(peers)
-    made.until(lambda: second.others.observation_client.state.get("g", "").startswith("told"))
+    made.until(lambda: second.peers.observation_client.state.get("g", "").startswith("told"))
     fresh.write_text("peer g nowhere\n")
     fresh.replace(peers)
     made.until(lambda: any(what == "peer list refused" for what, _ in second.record.events))
-    assert second.others.membership_transport.membership.members["g"].configured
+    assert second.peers.membership_transport.membership.members["g"].configured
 
 
 def test_both_sides_started_at_once_learn_from_each_other_what_came_since(fleet):
@@ -128,7 +128,7 @@
 
     listener = scripted_host(made.loop, act)
     second = start("second", f"peer half {listener.address}")
-    made.until(lambda: second.others.observation_client.state["half"] == "dropped after 1 facts")
+    made.until(lambda: second.peers.observation_client.state["half"] == "dropped after 1 facts")
     listener.close()
     assert set(second.core.gateway.functions_by_name["lamp"].hinted_at) == {"h1"}
 
@@ -157,7 +157,7 @@
     made.until(lambda: "h1" not in other.rows)
     body = bodies.pop(0)
     held[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-    made.until(lambda: other.others.observations.rejections["not listed"])
+    made.until(lambda: other.peers.observations.rejections["not listed"])
     made.at = front(other)
     for model in ("lamp", "crew"):
         assert made.wait(made.ask(model, f"t-{model}")).status == 200
@@ -171,19 +171,19 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     (worker,) = made.gate.core.gateway.functions_by_name["lamp"].proven_at
     second = start("second", f"peer g {where(made.gate)}")
-    made.until(lambda: second.others.observation_client.hints_taken)
+    made.until(lambda: second.peers.observation_client.hints_taken)
     third = start("third", f"peer second {where(second)}")
-    made.until(lambda: third.others.observation_client.state["second"].startswith("told"))
+    made.until(lambda: third.peers.observation_client.state["second"].startswith("told"))
     assert "lamp" not in third.core.gateway.functions_by_name, "a hint was told on"
     rows = made.list.read_text().splitlines()
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     made.until(lambda: all(worker not in each.rows for each in (made.gate, second, third)))
     fourth = start("fourth", f"peer g {where(made.gate)}", f"peer second {where(second)}")
     made.until(
-        lambda: all(state.startswith("told") for state in fourth.others.observation_client.state.values())
+        lambda: all(state.startswith("told") for state in fourth.peers.observation_client.state.values())
     )
     assert worker not in fourth.core.gateway.hosts_by_id
-    made.until(lambda: fourth.others.observations.by_subject["listed", worker].value[0] == "gone")
+    made.until(lambda: fourth.peers.observations.by_subject["listed", worker].value[0] == "gone")
 
 
 def test_a_host_back_with_a_new_start_does_not_inherit_its_old_copies(fleet):
@@ -194,15 +194,15 @@
     assert made.wait(made.ask("lamp", "w1")).status == 200
     second = start("second")
     made.relist(*[f"{row} started 2000" for row in rows])
-    made.until(lambda: second.others.host_history.active_starts()["h0"] == 2000 * SECOND)
-    made.gate.watch.close()  # the peer's own list is late
+    made.until(lambda: second.peers.host_history.active_starts()["h0"] == 2000 * SECOND)
+    made.gate.host_list.watch.close()  # the peer's own list is late
     told = Told(version=2)
     told.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
     observations = SharedObservations()
     observation_wire.read_observations(told, made.loop.now(), "g", observations)
-    second.others.observations.merge(observations)
-    assert second.others.follow(observations.by_subject) == 0
-    assert second.others.observations.rejections == {"another life": 1}
+    second.peers.observations.merge(observations)
+    assert second.peers.apply_observations(observations.by_subject) == 0
+    assert second.peers.observations.rejections == {"another life": 1}
 
 
 def test_versions_one_apart_understand_each_other():
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -9,7 +9,7 @@
 from helpers import MILLI, SECOND, gateway
 
 from gaproute.appliance.observation_writer import MAX_ROWS_PER_WRITE, ObservationWriter
-from gaproute.appliance.operator import knowledge
+from gaproute.appliance.status import warm_instances
 from gaproute.decisions.reports.cpu_budget import REST, SLICE
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.faultinjection.disk import FaultyDisk
@@ -345,7 +345,7 @@
     alone = start("alone", f"memory {tmp_path / 'g.memory'}", listen=False)
     made.at = front(alone)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    kept = alone.others.observation_writer.store
+    kept = alone.peers.observation_writer.store
     made.until(lambda: kept.backoff > MIN_BACKOFF)  # a second attempt has failed
     disk.fault = None
     assert made.wait(made.ask("lamp", "w2")).status == 200
@@ -385,12 +385,12 @@
     first = start("alone", line, listen=False)
     made.at = front(first)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    made.until(lambda: first.others.observation_writer.store.written >= 1)
+    made.until(lambda: first.peers.observation_writer.store.written >= 1)
     first.close()
     loads = len(made.seen("loaded"))
     second = start("alone", line, listen=False)
-    assert second.others.observations.by_subject
-    assert [row["by"] for row in knowledge(second)] == ["past life"]
+    assert second.peers.observations.by_subject
+    assert [row["by"] for row in warm_instances(second)] == ["past life"]
     made.at = front(second)
     assert made.wait(made.ask("lamp", "w2")).status == 200
     assert len(made.seen("loaded")) == loads
