--- a/tests/loop/conftest.py
+++ b/tests/loop/conftest.py
@@ -38,6 +38,14 @@
     assert open_descriptors() == before
 
 
+@pytest.fixture
+def real():
+    """A loop on the real clock."""
+    made = Loop()
+    yield made
+    made.close()
+
+
 @pytest.fixture
 def evictions(loop):
     """Counts how often the loop asks for idle connections to be closed."""
--- a/tests/loop/test_loop.py
+++ b/tests/loop/test_loop.py
@@ -2,11 +2,11 @@
 
 import os
 import signal
-import socket
 
 import pytest
+from streams import pair
 
-from gaproute.loop import Loop, Promise, Stepped, Stream
+from gaproute.loop import Loop, Promise, Stepped
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -19,19 +19,6 @@
     made.close()
 
 
-@pytest.fixture
-def real():
-    made = Loop()
-    yield made
-    made.close()
-
-
-def pair(loop, on_bytes=lambda data: None, on_end=lambda error: None):
-    here, there = socket.socketpair()
-    here.setblocking(False)
-    return Stream(loop, here, on_bytes, on_end), there
-
-
 def test_timers_fire_in_their_order_at_exactly_their_time(loop):
     fired = []
     for span in (30, 10, 20):
--- a/tests/loop/test_streams.py
+++ b/tests/loop/test_streams.py
@@ -6,6 +6,7 @@
 import socket
 
 import pytest
+from streams import pair
 
 from gaproute.loop import Listener, Loop, Promise, Stepped, Stream, connect
 from gaproute.loop.addresses import address
@@ -21,19 +22,6 @@
     made.close()
 
 
-@pytest.fixture
-def real():
-    made = Loop()
-    yield made
-    made.close()
-
-
-def pair(loop, on_bytes=lambda data: None, on_end=lambda error: None):
-    here, there = socket.socketpair()
-    here.setblocking(False)
-    return Stream(loop, here, on_bytes, on_end), there
-
-
 def test_what_the_kernel_does_not_take_waits_and_the_writer_is_told(real):
     stream, there = pair(real)
     room, got = Promise(), []
