--- a/benchmarks/campaigns.py
+++ b/benchmarks/campaigns.py
@@ -4,7 +4,7 @@
     python benchmarks/campaigns.py [--seeds 12] [--hunt 0] [--only faults,beside,plans,ends]
                                    [--processes 4] [--out docs/measured]
 
-`faults`: each case of gaproute/simulation/campaigns_cases.py with each seed; `used` is what rollouts had of
+`faults`: each case of gaproute/simulation/campaigns/cases.py with each seed; `used` is what rollouts had of
 the lanes that production and the floors left at hosts that were up, from 5 s on; `last sent`: the latest
 that a rollout went to a host after production had taken all its lent room there. `beside`: the same
 production with and without campaigns, by lanes of each host that are never lent. `plans`: greedy and HiGHS
@@ -29,7 +29,7 @@
 from gaproute.rollouts.forecast import COURSE, SLOT, End, Forecast
 from gaproute.rollouts.plan import Problem, Want, greedy, worth, wrong
 from gaproute.simulation.campaigns import play
-from gaproute.simulation.campaigns_cases import CASES
+from gaproute.simulation.campaigns.cases import CASES
 
 SECOND = 1_000_000_000
 FLOORS = (1, 2, 3)
--- a/benchmarks/hunt.py
+++ b/benchmarks/hunt.py
@@ -4,8 +4,8 @@
                               [--jobs 1] [--out found]
 
 Plays seeds until all are played or the time is over; says how many a minute. Each breach is written to the
-folder `--out` as a file with its last events and its plan made small, which `gaproute.simulation.plan.kept`
-reads back for a test to keep. Ends with 1 where anything broke.
+folder `--out` as a file with its last events and its plan made small, which `kept` of
+`gaproute.simulation.fault_schedule` reads back for a test to keep. Ends with 1 where anything broke.
 """
 
 import argparse
@@ -17,7 +17,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from gaproute.simulation import shrink
-from gaproute.simulation.keepers import SPANS, plan, play
+from gaproute.simulation.raft_group import SPANS, plan, play
 
 PLAYS = 200  # to make one breach small
 
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -15,17 +15,18 @@
 from multiprocessing import Pool
 
 from gaproute.maintenance import floor
-from gaproute.simulation.rounds import KINDS, SECOND, play
-from gaproute.simulation.rounds_baselines import Groups, One, best, of
+from gaproute.simulation.rounds import KINDS, play
+from gaproute.simulation.rounds.baselines import FixedGroups, OneAtATime, best, runs_with
 
-MADE = {"in steps": None, "one at a time": One, "fixed groups": Groups}
+SECOND = 1_000_000_000
+MADE = {"in steps": None, "one at a time": OneAtATime, "fixed groups": FixedGroups}
 LOAD = 3 * SECOND  # of a copy in the mean
 LONG = 60 * SECOND  # a host away in the runs that are timed: what a restart of a machine takes
 
 
 def one(job):
     kind, seed, way = job
-    told = {} if MADE[way] is None else {"made": of(MADE[way])}
+    told = {} if MADE[way] is None else {"made": runs_with(MADE[way])}
     run, breach = play(seed, kind, **told)
     ends = Counter(run.judge.ends.get(asked.name, (0, "open"))[1] for asked in run.rounds)
     return {
--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -10,8 +10,8 @@
 from gaproute.peers.raft.transport import TARGET
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import RaftNode
-from gaproute.simulation.plan import Plan
-from gaproute.simulation.world import World
+from gaproute.simulation.fault_schedule import FaultSchedule
+from gaproute.simulation.simulation import Simulation
 
 SECOND = 1_000_000_000
 HOLDERS = (4, 16, 64, 256)
@@ -44,14 +44,16 @@
     return len(head) + len(data) + len(render(204, (), b"", close=False))
 
 
-class Group(World):
+class Group(Simulation):
     """Counts what is sent, and the CPU of each actor's calls with their messages' bytes made and read."""
 
     def __init__(self, holders, seed):
         self.messages, self.sent, self.spent = 0, 0, Counter()
         makes = {name: self.keeper for name in GROUP}
         makes |= {f"h{number}": self.holder for number in range(holders)}
-        super().__init__(Plan(seed, 1 << 62), makes, rates=dict.fromkeys(makes, 0), wire=(encoded, decoded))
+        super().__init__(
+            FaultSchedule(seed, 1 << 62), makes, rates=dict.fromkeys(makes, 0), wire=(encoded, decoded)
+        )
 
     def keeper(self, name, disk, chance, now):
         """A member of the group."""
@@ -62,13 +64,13 @@
         return LeaseClient(name, GROUP, chance, now)
 
     def call(self, seat, what, *told):
-        """As a World's, metered."""
+        """As a simulation's, metered."""
         begun = time.process_time()
         super().call(seat, what, *told)
         self.spent[seat.name] += time.process_time() - begun
 
     def send(self, seat, to, message):
-        """As a World's, counted."""
+        """As a simulation's, counted."""
         self.messages += 1
         self.sent += posted(encoded(message))
         super().send(seat, to, message)
--- a/gaproute/simulation/__init__.py
+++ b/gaproute/simulation/__init__.py
@@ -1,32 +1,32 @@
-"""Many keepers, holders, gateways and hosts in one process, on a clock and a net of their own, with faults.
+"""Many processes inside one, on a simulated clock, network and disks, with random faults.
 
-Face: `World` plays a `Plan` of faults; `Checks` are run at each step; a `Breach` names what was broken, with
-seed, step and the last events; `shrink` makes a failing plan small. All comes from one seed: the same seed is
-the same run, with the same digest of events.
+A `Simulation` plays a `FaultSchedule`. `InvariantChecks` run at each step; an `InvariantViolationError` names
+what was violated, with seed, step and the last events. `shrink` makes a failing schedule small. Everything
+follows from one seed: the same seed gives the same run, with the same digest of events.
 """
 
-from gaproute.simulation.chance import Chance
-from gaproute.simulation.checks import Breach, Checks
-from gaproute.simulation.clock import Clock
-from gaproute.simulation.disk import Crash, Disk
-from gaproute.simulation.load import Load
-from gaproute.simulation.net import Net
-from gaproute.simulation.plan import Fault, Plan, draw
+from gaproute.simulation.clock import SimulatedClock
+from gaproute.simulation.disk import ProcessCrash, SimulatedDisk
+from gaproute.simulation.fault_schedule import FaultSchedule, ScheduledFault, draw
+from gaproute.simulation.invariant_checks import InvariantChecks, InvariantViolationError
+from gaproute.simulation.network import SimulatedNetwork
+from gaproute.simulation.random_load import RandomLoad
+from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.shrink import shrink
-from gaproute.simulation.world import World
+from gaproute.simulation.simulation import Simulation
 
 __all__ = [
-    "Breach",
-    "Chance",
-    "Checks",
-    "Clock",
-    "Crash",
-    "Disk",
-    "Fault",
-    "Load",
-    "Net",
-    "Plan",
-    "World",
+    "InvariantViolationError",
+    "SeededRandom",
+    "InvariantChecks",
+    "SimulatedClock",
+    "ProcessCrash",
+    "SimulatedDisk",
+    "ScheduledFault",
+    "RandomLoad",
+    "SimulatedNetwork",
+    "FaultSchedule",
+    "Simulation",
     "draw",
     "shrink",
 ]
--- a/gaproute/simulation/campaigns_cases.py
+++ b/gaproute/simulation/campaigns/cases.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
-from gaproute.simulation.campaigns_gateway import Gateway
-from gaproute.simulation.plan import Fault
-from gaproute.simulation.world import START
+from gaproute.simulation.campaigns.gateway import SimulatedGateway
+from gaproute.simulation.fault_schedule import ScheduledFault
+from gaproute.simulation.simulation import START
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -34,30 +34,33 @@
 def zone_cut(play):
     """Gateways, hosts and the one keeper of a zone hear each other only."""
     who = tuple(play.numbers[name] for name in play.numbers if play.zones[name] == "b")
-    return (Fault("part", AT, AT + LONG, who),)
+    return (ScheduledFault("part", AT, AT + LONG, who),)
 
 
 def seven_of_ten(play):
     gone = play.gateways[: len(play.gateways) * 7 // 10]
-    return tuple(Fault("crash", AT, AT + SECOND, (play.numbers[name],)) for name in gone)
+    return tuple(ScheduledFault("crash", AT, AT + SECOND, (play.numbers[name],)) for name in gone)
 
 
 def half_of_hosts(play):
     gone = list(play.hosts)[::2]
-    return tuple(Fault("crash", AT, AT + 2 * SECOND, (play.numbers[name],)) for name in gone)
+    return tuple(ScheduledFault("crash", AT, AT + 2 * SECOND, (play.numbers[name],)) for name in gone)
 
 
 def noise(play):
     """Loss, doubling and late words all the time, gateways that stand still or are killed."""
     chance = play.chance
-    faults = [Fault("lose", SECOND, play.end, (), 30_000), Fault("double", SECOND, play.end, (), 50_000)]
+    faults = [
+        ScheduledFault("lose", SECOND, play.end, (), 30_000),
+        ScheduledFault("double", SECOND, play.end, (), 50_000),
+    ]
     now = 5 * SECOND
     while now < play.end - 2 * SECOND:
         who = (play.numbers[chance.of(play.gateways)],)
         kind = chance.of(("crash", "pause", "slow", "hold", "cut"))
         one, other = play.numbers[chance.of(play.gateways)], play.numbers[chance.of(list(play.hosts))]
         faults.append(
-            Fault(
+            ScheduledFault(
                 kind,
                 now,
                 now + chance.between(200, 1500) * MILLI,
@@ -73,7 +76,7 @@
     """The trainer has new weights, done or not."""
     for name in play.campaigns:
         play.versions[name] += 1
-        world.ask(play.gateways[0], Gateway.moved, name, play.versions[name])
+        world.ask(play.gateways[0], SimulatedGateway.moved, name, play.versions[name])
 
 
 def kill_leader(play, world):
--- a/gaproute/simulation/campaigns_checks.py
+++ b/gaproute/simulation/campaigns/checks.py
@@ -5,17 +5,17 @@
 from gaproute.rollouts.invariants import check_floor, check_groups, check_loads, check_spend
 from gaproute.rollouts.spend import pool
 from gaproute.shared.leases.invariants import check_client
-from gaproute.simulation.checks import Checks
-from gaproute.simulation.keepchecks import Told
+from gaproute.simulation.invariant_checks import InvariantChecks
+from gaproute.simulation.raft_group.checks import SentMessageChecks
 
 STOP = SECOND // 5  # from when production wants a host's room until no gateway sends rollouts there
 DEEP = 12  # steps between the dear checks: a permit lasts seconds
 
 
 def checks(play):
-    return Checks(
+    return InvariantChecks(
         [lambda world, seat: touched(play, world, seat)],
-        [lambda world, seat, to, message: sent(play, world, seat, to, message), Told(play)],
+        [lambda world, seat, to, message: sent(play, world, seat, to, message), SentMessageChecks(play)],
         [
             lambda world: parts(play, world),
             lambda world: check_floor(list(play.hosts.values()), play.lent, play.floors),
--- a/gaproute/simulation/campaigns_gateway.py
+++ b/gaproute/simulation/campaigns/gateway.py
@@ -12,7 +12,7 @@
 from gaproute.rollouts.weights import Weights
 from gaproute.shared.gossip import GossipMessage, GossipNode
 from gaproute.shared.leases import LeaseClient
-from gaproute.simulation.campaigns_planner import Planner
+from gaproute.simulation.campaigns.planner import Planner
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -22,7 +22,7 @@
 EXCHANGE = "rollouts/exchange"
 
 
-class Gateway:
+class SimulatedGateway:
     def __init__(self, play, name, disk, chance, now):
         self.play, self.name, self.chance = play, name, chance
         self.campaigns = play.campaigns
--- a/gaproute/simulation/campaigns_host.py
+++ b/gaproute/simulation/campaigns/host.py
@@ -7,7 +7,7 @@
 COLD = 2 * SECOND  # after a start: it says so, and bears little
 
 
-class Truth:
+class SimulatedHost:
     """`play` tells how long a load takes now and is told what runs. Messages are tuples; see `hear`."""
 
     def __init__(self, play, name, disk, chance, now):
--- a/gaproute/simulation/campaigns.py
+++ b/gaproute/simulation/campaigns/run.py
@@ -1,20 +1,21 @@
 """Campaigns beside production in one process: gateways, keepers and hosts with a true room, judged by that
 truth.
 
-`Play(seed, case)` is one run; `cases` are in `campaigns_cases.py`. `world.run()` raises Breach where a check
-fails; `figures()` says what was used, how production fared and what was delivered.
+`CampaignRun(seed, case)` is one run; `cases` are in `cases.py`. `world.run()` raises
+InvariantViolationError where a check fails; `figures()` says what was used, how production fared
+and what was delivered.
 """
 
 from gaproute.rollouts.campaign import SECOND, WAY, Campaign, Host, check, floors, lendable
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import RaftNode
-from gaproute.simulation.campaigns_checks import checks
-from gaproute.simulation.campaigns_gateway import Gateway
-from gaproute.simulation.campaigns_host import Truth
-from gaproute.simulation.chance import Chance
-from gaproute.simulation.checks import Breach
-from gaproute.simulation.plan import Plan
-from gaproute.simulation.world import World
+from gaproute.simulation.campaigns.checks import checks
+from gaproute.simulation.campaigns.gateway import SimulatedGateway
+from gaproute.simulation.campaigns.host import SimulatedHost
+from gaproute.simulation.fault_schedule import FaultSchedule
+from gaproute.simulation.invariant_checks import InvariantViolationError
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.simulation import Simulation
 
 MILLI = 1_000_000
 
@@ -27,13 +28,13 @@
 BURST = (1.5, 2.3)  # times that, in a burst
 
 
-class Play:
-    """`case`: see `campaigns_cases.Case`. `without`: no campaigns at all, the same production."""
+class CampaignRun:
+    """`case`: see `cases.Case`. `without`: no campaigns at all, the same production."""
 
     def __init__(self, seed, case, end=END, without=False):
         self.seed, self.case, self.end, self.way = seed, case, end, WAY
-        self.chance = Chance(seed, "campaigns")
-        self.production = Chance(seed, "production")
+        self.chance = SeededRandom(seed, "campaigns")
+        self.production = SeededRandom(seed, "production")
         self.count, self.mean = 0, 200 * MILLI
         self.keepers = ["k1", "k2", "k3"]
         self.gateways = [f"g{number}" for number in range(1, case.gateways + 1)]
@@ -78,14 +79,14 @@
         self.height = BURST[0] + (BURST[1] - BURST[0]) * self.chance.below(1000) / 1000
         makes = (
             {name: self._keeper for name in self.keepers}
-            | {name: lambda *told: Gateway(self, *told) for name in self.gateways}
-            | {name: lambda *told: Truth(self, *told) for name in self.hosts}
+            | {name: lambda *told: SimulatedGateway(self, *told) for name in self.gateways}
+            | {name: lambda *told: SimulatedHost(self, *told) for name in self.hosts}
         )
         self.numbers = {name: number for number, name in enumerate(makes)}
         self.world = None
-        script = Script(self)
+        script = CampaignScript(self)
         # Actors are made by the run, which is there by then.
-        self.world = World(Plan(seed, end, case.faults(self), 0), makes, checks(self), script)
+        self.world = Simulation(FaultSchedule(seed, end, case.faults(self), 0), makes, checks(self), script)
 
     def _keeper(self, name, disk, chance, now):
         table, base = LeaseTable(initial_wait=False), 1 + self.world.now // MILLI
@@ -175,7 +176,7 @@
         }
 
 
-class Script:
+class CampaignScript:
     """What happens from outside: production's tasks, trainers that move weights on, the case's own doings."""
 
     def __init__(self, play):
@@ -187,7 +188,7 @@
 
     def run(self, world, chance=None):
         play = self.play
-        world.ask(play.production.of(play.gateways), Gateway.produce)
+        world.ask(play.production.of(play.gateways), SimulatedGateway.produce)
         while self.sampled <= world.now:
             self.sampled += SAMPLE
             play.sample()
@@ -195,7 +196,7 @@
             if play.done[name] >= campaign.tasks * play.versions[name]:
                 play.versions[name] += 1
                 for gateway in play.gateways:  # one that is up hears it, the others from it
-                    if world.ask(gateway, Gateway.moved, name, play.versions[name]):
+                    if world.ask(gateway, SimulatedGateway.moved, name, play.versions[name]):
                         break
         for at, what in play.case.acts:
             if world.now >= at and at not in self.done:
@@ -204,10 +205,10 @@
 
 
 def play(seed, case, **words):
-    """(Play, Breach or None)."""
-    made = Play(seed, case, **words)
+    """(CampaignRun, InvariantViolationError or None)."""
+    made = CampaignRun(seed, case, **words)
     try:
         made.world.run()
-    except Breach as breach:
+    except InvariantViolationError as breach:
         return made, breach
     return made, None
--- a/gaproute/simulation/clock.py
+++ b/gaproute/simulation/clock.py
@@ -3,7 +3,7 @@
 MILLION = 1_000_000
 
 
-class Clock:
+class SimulatedClock:
     """`fast` is by how many millionths the clock is faster than true time (below nought: slower). A clock
     never goes back; where the machine is started again (`restarted`) it begins anywhere, as a monotonic clock
     does."""
--- a/gaproute/simulation/disk.py
+++ b/gaproute/simulation/disk.py
@@ -15,11 +15,11 @@
 FULL, READONLY, FAILING = errno.ENOSPC, errno.EROFS, errno.EIO
 
 
-class Crash(BaseException):
+class ProcessCrash(BaseException):
     """The process ended in the middle of a call. Not an Exception, so that no `except Exception` lives on."""
 
 
-class Disk:
+class SimulatedDisk:
     __slots__ = (
         "durable",
         "pending",
@@ -51,7 +51,7 @@
         if self.fuse:
             self.fuse -= 1
             if not self.fuse and not self.after:
-                raise Crash
+                raise ProcessCrash
         wrong = self.wrong or (0 if anew else self.broken)
         if wrong:
             self.broken = wrong
@@ -61,7 +61,7 @@
     def _after(self):
         if self.after and not self.fuse:
             self.after = False
-            raise Crash
+            raise ProcessCrash
 
     def read(self):
         """All records, those not synced as well, as a file is read. Errors: UnusableDiskError
@@ -97,7 +97,7 @@
         self._after()
 
     def light(self, operations, after):
-        """Crash at the n-th operation from now."""
+        """ProcessCrash at the n-th operation from now."""
         self.fuse, self.after = operations, after
 
     def safe(self):
--- a/gaproute/simulation/faults.py
+++ b/gaproute/simulation/fault_effects.py
@@ -3,9 +3,9 @@
 import msgspec
 
 from gaproute.simulation.disk import FAILING, FULL, READONLY
-from gaproute.simulation.plan import LEADER
+from gaproute.simulation.fault_schedule import LEADER
 
-START = 4  # as in world.py: START events
+START = 4  # as in simulation.py: START events
 ERRORS = {"full": FULL, "read-only": READONLY, "failing": FAILING}
 
 
--- a/gaproute/simulation/plan.py
+++ b/gaproute/simulation/fault_schedule.py
@@ -3,7 +3,7 @@
 
 import msgspec
 
-from gaproute.simulation.chance import Chance
+from gaproute.simulation.seeded_random import SeededRandom
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 RATE = 100  # millionths that a clock may go wrong: what NTP-less quartz is built to
@@ -34,7 +34,7 @@
 LONGEST = {"lose": 4, "double": 6, "slow": 4, "pace": 8, "part": 4, "pause": 5}  # s; others 3
 
 
-class Fault(msgspec.Struct, frozen=True, array_like=True):
+class ScheduledFault(msgspec.Struct, frozen=True, array_like=True):
     """`who` are numbers of actors, LEADER being whoever leads when it begins; `value` is the share, ns,
     operations or millionths, as the kind has it."""
 
@@ -45,12 +45,12 @@
     value: int = 0
 
 
-class Plan(msgspec.Struct, frozen=True):
+class FaultSchedule(msgspec.Struct, frozen=True):
     """`end`: when the faults are over; `settle`: ns after it in which all must come right again."""
 
     seed: int
     end: int
-    faults: tuple[Fault, ...] = ()
+    faults: tuple[ScheduledFault, ...] = ()
     settle: int = 0
 
     def text(self):
@@ -59,7 +59,7 @@
 
 
 def kept(text):
-    return msgspec.json.decode(text, type=Plan)
+    return msgspec.json.decode(text, type=FaultSchedule)
 
 
 def draw(seed, size, end, kinds=None, wiped=None, faulty=None, beyond=0, settle=0, led=False):
@@ -68,7 +68,7 @@
     `wiped` only (default: none), faults of one actor befall those in `faulty` (default: all). `beyond` > 0
     lets clocks go wrong by so many millionths. `led`: half of the faults that one actor has befall the leader
     of that moment."""
-    chance = Chance(seed, "plan")
+    chance = SeededRandom(seed, "plan")
     faulty = list(range(size)) if faulty is None else faulty
     offered = [kind for kind in KINDS if kinds is None or kind in kinds]
     if not wiped:
@@ -88,7 +88,7 @@
         if led and kind in LED and chance.below(2):
             fault = msgspec.structs.replace(fault, who=(LEADER, *fault.who[1:]))
         faults.append(fault)
-    return Plan(seed, end, tuple(faults), settle)
+    return FaultSchedule(seed, end, tuple(faults), settle)
 
 
 def _fault(chance, kind, now, until, size, wiped, faulty, beyond):
@@ -111,4 +111,4 @@
     elif kind == "pace":
         most = beyond or RATE
         value = chance.between(-most, most)
-    return Fault(kind, now, until, who, value)
+    return ScheduledFault(kind, now, until, who, value)
--- a/gaproute/simulation/checks.py
+++ b/gaproute/simulation/invariant_checks.py
@@ -1,7 +1,7 @@
 """Runs what each part says must always hold, after each step of a run, and says what was broken, where."""
 
 
-class Breach(Exception):
+class InvariantViolationError(Exception):
     """`name` of the check, `text`, and all that is needed to play it again: seed, step, true time in ns,
     plan, and the last events before it."""
 
@@ -16,7 +16,7 @@
         return "\n".join([*self.events, str(self), self.plan.text()])
 
 
-class Checks:
+class InvariantChecks:
     """Each check returns texts of what is broken, "name: what"; none if all is well. It may keep what it saw.
 
     `touched`: check(world, seat), over the one actor that has just acted, at every step. `sent`: check(world,
@@ -33,7 +33,7 @@
     def acted(self, world, seat):
         for check in self.touched:
             for text in check(world, seat):
-                raise Breach(text, world)
+                raise InvariantViolationError(text, world)
         self.left -= 1
         if self.left <= 0:
             self.left = self.every
@@ -42,16 +42,16 @@
     def sends(self, world, seat, to, message):
         for check in self.sent:
             for text in check(world, seat, to, message):
-                raise Breach(text, world)
+                raise InvariantViolationError(text, world)
 
     def all(self, world, last=False):
         self.runs += 1
         for check in (*self.whole, *self.last) if last else self.whole:
             for text in check(world):
-                raise Breach(text, world)
+                raise InvariantViolationError(text, world)
 
 
-class Grows:
+class NeverDecreases:
     """For `touched`: what `value(actor)` tells (None: nothing) never gets less while the actor has the same
     disk."""
 
--- a/gaproute/simulation/net.py
+++ b/gaproute/simulation/network.py
@@ -8,7 +8,7 @@
 LATE = 60 * MILLI  # ns that such a one takes at most
 
 
-class Net:
+class SimulatedNetwork:
     """Actors go by their number. Faults are counted, so that two that overlap both have to end."""
 
     __slots__ = ("size", "chance", "cuts", "held", "lose", "double", "slow", "counts")
--- a/gaproute/simulation/seat.py
+++ b/gaproute/simulation/process_slot.py
@@ -2,7 +2,7 @@
 now."""
 
 
-class Seat:
+class ProcessSlot:
     __slots__ = (
         "name",
         "number",
--- a/gaproute/simulation/keepchecks.py
+++ b/gaproute/simulation/raft_group/checks.py
@@ -11,12 +11,12 @@
     RequestVoteResponse,
 )
 from gaproute.shared.raft.records import VoteRecord, decode
-from gaproute.simulation.plan import MEMORY
+from gaproute.simulation.fault_schedule import MEMORY
 
 
-class Told:
-    """For `Checks.sent`: what was told rests on what is on disk, and is not told otherwise later. It sees the
-    words themselves, so that a keeper which forgot in a crash what it had told is found."""
+class SentMessageChecks:
+    """For `InvariantChecks.sent`: what was told rests on what is on disk, and is not told otherwise later. It
+    sees the words themselves, so that a keeper which forgot in a crash what it had told is found."""
 
     def __init__(self, play):
         self.keepers = set(play.keepers)  # asked for membership only
@@ -54,11 +54,11 @@
                 yield f"one answer a request: {to} was told {was} and {message.body}"
 
 
-class Remembered:
-    """For `Checks.touched`: a keeper with the same disk knows what it told before: its term, its vote. A
-    leader was voted for by most, and commits by entries of its own term that most have. So what breaks the
-    rules of the agreement is found at once, not only where harm comes of it, which takes several accidents
-    more."""
+class NodeStateChecks:
+    """For `InvariantChecks.touched`: a keeper with the same disk knows what it told before: its term, its
+    vote. A leader was voted for by most, and commits by entries of its own term that most have. So what
+    breaks the rules of the agreement is found at once, not only where harm comes of it, which takes
+    several accidents more."""
 
     def __init__(self, told):
         self.told, self.terms, self.led = told, {}, {}
@@ -111,7 +111,7 @@
         return 2 * count > len(keeper.members)
 
 
-class Held:
+class LeaseValidityCheck:
     """True time: what all holders may do at one moment, each by its own clock, is never more than there is;
     and who comes later has the greater fencing number. Of a pool, the most that it was ever said to hold;
     names have one. Looked at when a holder has acted: in between a permit can only end. `leader(world)`
--- a/gaproute/simulation/mutants.py
+++ b/gaproute/simulation/raft_group/planted_faults.py
@@ -33,7 +33,7 @@
 SPENT, ANSWER = "one holder, no pool overspent", "one answer a request"
 
 
-class Mutant(NamedTuple):
+class PlantedFault(NamedTuple):
     """`edits`: (function, words, words in their place). `seed`: where it is caught soonest, a hint. `keepers`
     and `kind`: which play."""
 
@@ -46,10 +46,10 @@
 
 
 def _m(name, names, *edits, **told):
-    return Mutant(name, names, edits, **told)
+    return PlantedFault(name, names, edits, **told)
 
 
-MUTANTS = (
+PLANTED_FAULTS = (
     _m(
         "a vote is not written",
         (WRITTEN, REMEMBERED),
@@ -294,7 +294,7 @@
 
 
 @contextmanager
-def put_in(mutant):
+def planted(mutant):
     """The fault is in the code until the end. Errors: ValueError where the words are not there."""
     before = []
     try:
--- a/gaproute/simulation/keepers.py
+++ b/gaproute/simulation/raft_group/run.py
@@ -10,12 +10,18 @@
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.shared.raft import RaftNode, committed, log
-from gaproute.simulation.chance import Chance
-from gaproute.simulation.checks import Breach, Checks
-from gaproute.simulation.keepchecks import Held, Remembered, Told, agreed, came_right
-from gaproute.simulation.load import Load
-from gaproute.simulation.plan import MEMORY, Fault, Plan, draw
-from gaproute.simulation.world import World
+from gaproute.simulation.fault_schedule import MEMORY, FaultSchedule, ScheduledFault, draw
+from gaproute.simulation.invariant_checks import InvariantChecks, InvariantViolationError
+from gaproute.simulation.raft_group.checks import (
+    LeaseValidityCheck,
+    NodeStateChecks,
+    SentMessageChecks,
+    agreed,
+    came_right,
+)
+from gaproute.simulation.random_load import RandomLoad
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.simulation import Simulation
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 # Of a permit, the longest too. common: a run sees many end; forgotten: longer than a founding takes.
@@ -32,13 +38,13 @@
 DEEP = 20  # steps between the dear checks
 
 
-class Play:
+class RaftGroupRun:
     """One run: `world.run()`. Where all keepers lose their disks they begin anew without what was agreed;
     then only that holds which no memory is needed for."""
 
     def __init__(self, plan, keepers=3, kind="common", holders=3, rate=RATE, every=DEEP):
         self.plan, self.kind, self.span = plan, kind, SPANS[kind]
-        chance = Chance(plan.seed, "play")
+        chance = SeededRandom(plan.seed, "play")
         self.named = [f"k{number}" for number in range(1, keepers + 1)]
         self.spare = f"k{keepers + 1}"
         self.keepers = [*self.named, self.spare]
@@ -52,17 +58,19 @@
         rates = {name: chance.of((-rate, 0, rate)) for name in makes}
         if kind == "tight":
             rates = {name: rate if name in self.keepers else -rate for name in makes}
-        told = Told(self)
-        held = Held(self.holders, POOLS, self.leader, told.leaders)
+        told = SentMessageChecks(self)
+        held = LeaseValidityCheck(self.holders, POOLS, self.leader, told.leaders)
         if kind == "forgotten":
-            checks = Checks(touched=[held])
+            checks = InvariantChecks(touched=[held])
         else:
-            checks = Checks([held, Remembered(told)], [told], [agreed(self)], [came_right(self)], every)
-        self.world = World(
+            checks = InvariantChecks(
+                [held, NodeStateChecks(told)], [told], [agreed(self)], [came_right(self)], every
+            )
+        self.world = Simulation(
             plan,
             makes,
             checks,
-            Load(asks, EVERY, Chance(plan.seed, "load")),
+            RandomLoad(asks, EVERY, SeededRandom(plan.seed, "load")),
             rates,
             leader=self.leader,
             narrow=chance.of((0, 0, NARROW)),
@@ -138,9 +146,9 @@
 def plan(seed, keepers=3, kind="common", holders=3):
     """Disks are lost in half of the common runs: of a minority in a half of these, of all but one in the
     other."""
-    chance, size = Chance(seed, "disks"), keepers + 1 + holders
+    chance, size = SeededRandom(seed, "disks"), keepers + 1 + holders
     if kind == "forgotten":
-        return Plan(seed, 2 * END + 4 * SECOND, tuple(_forgotten(chance, keepers, holders)))
+        return FaultSchedule(seed, 2 * END + 4 * SECOND, tuple(_forgotten(chance, keepers, holders)))
     if kind == "tight":
         return draw(
             seed,
@@ -170,19 +178,19 @@
     """Once the first permits are held, one or two holders are cut off and all keepers lose their disks."""
     at = 10 * SECOND + chance.below(2 * SECOND)
     first = keepers + 1 + chance.below(holders)
-    yield Fault("part", at, END, (first,))
+    yield ScheduledFault("part", at, END, (first,))
     for number in range(keepers + 1):
         lost = at + chance.below(SECOND // 10)
-        yield Fault("wipe", lost, lost + 20 * MILLI + chance.below(SECOND // 10), (number,))
+        yield ScheduledFault("wipe", lost, lost + 20 * MILLI + chance.below(SECOND // 10), (number,))
 
 
 def play(plan, keepers=3, kind="common", **told):
-    """(World, Breach or None)."""
-    made, before = Play(plan, keepers, kind, **told), (committed.COMPACT_AFTER, log.MAX_ENTRIES)
+    """(Simulation, InvariantViolationError or None)."""
+    made, before = RaftGroupRun(plan, keepers, kind, **told), (committed.COMPACT_AFTER, log.MAX_ENTRIES)
     committed.COMPACT_AFTER, log.MAX_ENTRIES = KEEP, TOGETHER
     try:
         made.world.run()
-    except Breach as breach:
+    except InvariantViolationError as breach:
         return made.world, breach
     finally:
         committed.COMPACT_AFTER, log.MAX_ENTRIES = before
--- a/gaproute/simulation/load.py
+++ b/gaproute/simulation/random_load.py
@@ -1,7 +1,7 @@
 """Random requests in a run: at spread times, something is asked of an actor."""
 
 
-class Load:
+class RandomLoad:
     """`asks`: [(weight, ask(world, chance))], each asking by `world.ask(name, call)` or not at all. `every`:
     ns between two requests in the mean."""
 
--- a/gaproute/simulation/rounds_baselines.py
+++ b/gaproute/simulation/rounds/baselines.py
@@ -1,16 +1,16 @@
 """Two ways of maintenance without a floor, driven as the round is, to show what they break. Both wait for
-permits, let hosts drain and load again what a host had; `One` takes the next host when the one before is
-back, `Groups` the hosts in the order listed, as many as may go together, when all of the group before are
-back."""
+permits, let hosts drain and load again what a host had; `OneAtATime` takes the next host when the one before
+is back, `FixedGroups` the hosts in the order listed, as many as may go together, when all of the group before
+are back."""
 
 import msgspec
 
 from gaproute.maintenance import Running, schedule
-from gaproute.simulation.rounds import Play
-from gaproute.simulation.rounds_actors import Scheduler
+from gaproute.simulation.rounds import MaintenanceRun
+from gaproute.simulation.rounds.processes import SimulatedScheduler
 
 
-class One(Running):
+class OneAtATime(Running):
     def __init__(self, asked, *told, **named):
         super().__init__(msgspec.structs.replace(asked, together=1, zones=0, survive=""), *told, **named)
         self.planned = True
@@ -23,7 +23,7 @@
         return ([] if self.away() else waiting[:1]), None
 
 
-class Groups(One):
+class FixedGroups(OneAtATime):
     def __init__(self, asked, *told, **named):
         super().__init__(asked, *told, **named)
         self.asked = msgspec.structs.replace(asked, apart=(), one_per="")
@@ -32,13 +32,13 @@
         return ([] if self.away() else waiting[: self.asked.together]), None
 
 
-def of(kind):
-    """A Play whose schedulers run rounds of that kind."""
+def runs_with(kind):
+    """A MaintenanceRun whose schedulers run rounds of that kind."""
 
-    class Schedulers(Scheduler):
+    class Schedulers(SimulatedScheduler):
         running = kind
 
-    class Plays(Play):
+    class Plays(MaintenanceRun):
         scheduler = Schedulers
 
     return Plays
--- a/gaproute/simulation/rounds_truth.py
+++ b/gaproute/simulation/rounds/judge.py
@@ -15,7 +15,7 @@
 from gaproute.maintenance import floor
 
 
-class Judge:
+class FloorJudge:
     def __init__(self, play):
         self.play = play
         self.had = {}  # host in a round's hands: the copies it had
@@ -87,7 +87,7 @@
         return came
 
     def __call__(self, world, seat):
-        """For `Checks.touched`."""
+        """For `InvariantChecks.touched`."""
         if seat.name in self.play.fleet:
             actor = seat.actor
             sign = (
--- a/gaproute/simulation/rounds_actors.py
+++ b/gaproute/simulation/rounds/processes.py
@@ -123,7 +123,7 @@
         return dict.fromkeys(self.copies, lanes)
 
 
-class Eyes:
+class HostObserver:
     """Probes the hosts in turn and tells what it saw: of a gateway and of a scheduler alike."""
 
     def __init__(self, play, name, chance, now, peers):
@@ -168,7 +168,7 @@
                     self.gossip.record_unloaded_instance(sender, function)
 
 
-class Gateway(Eyes):
+class ReportingGateway(HostObserver):
     """Tells the schedulers of demand, and sends tasks to hosts of which it does not know that they drain."""
 
     @property
@@ -183,7 +183,7 @@
         return out
 
 
-class Scheduler(Eyes):
+class SimulatedScheduler(HostObserver):
     running = Running
 
     def __init__(self, play, name, chance, now, peers, rounds):
@@ -260,7 +260,7 @@
         return out
 
 
-class Crew:
+class MaintenanceWorker:
     """Asks who is ready, and restarts it if it still may: it counts from when it asked."""
 
     def __init__(self, play, now):
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds/run.py
@@ -1,6 +1,7 @@
 """Rounds of maintenance in one process: true copies, belief told late, permits of real keepers, faults.
 
-`Play(seed, kind)` draws a fleet, rounds and what befalls them; `play(seed, kind)` runs them to their end.
+`MaintenanceRun(seed, kind)` draws a fleet, rounds and what befalls them; `play(seed, kind)` runs them to
+their end.
 """
 
 from gaproute.maintenance import Host as ListedHost
@@ -8,13 +9,19 @@
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.shared.raft import RaftNode
-from gaproute.simulation.chance import Chance
-from gaproute.simulation.checks import Breach, Checks
-from gaproute.simulation.keepchecks import Held
-from gaproute.simulation.plan import Fault, Plan, draw
-from gaproute.simulation.rounds_actors import SPAN, Crew, Gateway, Host, Scheduler
-from gaproute.simulation.rounds_truth import Judge
-from gaproute.simulation.world import World
+from gaproute.simulation.fault_schedule import FaultSchedule, ScheduledFault, draw
+from gaproute.simulation.invariant_checks import InvariantChecks, InvariantViolationError
+from gaproute.simulation.raft_group.checks import LeaseValidityCheck
+from gaproute.simulation.rounds.judge import FloorJudge
+from gaproute.simulation.rounds.processes import (
+    SPAN,
+    Host,
+    MaintenanceWorker,
+    ReportingGateway,
+    SimulatedScheduler,
+)
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.simulation import Simulation
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 END = 100 * SECOND  # of the faults
@@ -38,13 +45,13 @@
 LINKS = ("crash", "pause", "cut", "cut both", "part", "lose", "double", "slow", "hold", "pace")
 
 
-class Play:
+class MaintenanceRun:
     """`kind`: of KINDS. All is drawn from the seed."""
 
-    scheduler = Scheduler
+    scheduler = SimulatedScheduler
 
     def __init__(self, seed, kind, hosts=(6, 10), outs=OUT, changed=None):
-        chance = self.chance = Chance(seed, "rounds", kind)
+        chance = self.chance = SeededRandom(seed, "rounds", kind)
         self.seed, self.kind, self.outs = seed, kind, outs
         self.keepers = ("k1", "k2", "k3")
         self.schedulers = ("s1", "s2") if kind in ("two rounds", "all") else ("s1",)
@@ -55,15 +62,15 @@
         self.memory, self.greatest, self.never, self.started = {}, {}, set(), set()
         names = [*self.keepers, *self.schedulers, "g1", "g2", "crew", *self.fleet]
         self.numbers = {name: number for number, name in enumerate(names)}
-        self.judge, self.world = Judge(self), None
+        self.judge, self.world = FloorJudge(self), None
         makes = dict.fromkeys(self.keepers, self._keeper) | dict.fromkeys(self.schedulers, self._scheduler)
         makes |= dict.fromkeys(("g1", "g2"), self._gateway)
-        makes |= {"crew": lambda name, disk, chance, now: Crew(self, now)}
+        makes |= {"crew": lambda name, disk, chance, now: MaintenanceWorker(self, now)}
         makes |= dict.fromkeys(self.fleet, self._host)
         self.plan = self._plan(chance)
-        checks = Checks(touched=[self.judge, Held(self.schedulers, {})])
+        checks = InvariantChecks(touched=[self.judge, LeaseValidityCheck(self.schedulers, {})])
         rates = {name: chance.of((-RATE, 0, RATE)) for name in names}
-        self.world = World(self.plan, makes, checks, None, rates)
+        self.world = Simulation(self.plan, makes, checks, None, rates)
         self.asks = sorted(self._asks(chance), key=lambda ask: ask[0])
 
     def _fleet(self, chance, size):
@@ -120,7 +127,9 @@
 
         def add(what, who, long, value=0):
             begin = at()
-            faults.append(Fault(what, begin, begin + long, tuple(self.numbers[name] for name in who), value))
+            faults.append(
+                ScheduledFault(what, begin, begin + long, tuple(self.numbers[name] for name in who), value)
+            )
 
         if kind in ("links", "all"):
             drawn = draw(
@@ -142,7 +151,7 @@
         if kind == "killed" or kind == "all" and chance.below(2):
             for _ in range(3):
                 add("crash", (chance.of(self.schedulers),), chance.between(1, 8) * SECOND)
-        return Plan(self.seed, END, tuple(faults), 0)
+        return FaultSchedule(self.seed, END, tuple(faults), 0)
 
     def _asks(self, chance):
         """[(true time, what)] beside the faults of the plan."""
@@ -193,7 +202,7 @@
 
     def _gateway(self, name, disk, chance, now):
         peers = [other for other in ("g1", "g2", *self.schedulers) if other != name]
-        return Gateway(self, name, chance, now, peers)
+        return ReportingGateway(self, name, chance, now, peers)
 
     def _host(self, name, disk, chance, now):
         first = name not in self.started
@@ -201,7 +210,7 @@
         return Host(self, name, chance, now, first)
 
     def run(self):
-        """Plays until all rounds have ended, the asks between. Errors: Breach."""
+        """Plays until all rounds have ended, the asks between. Errors: InvariantViolationError."""
         asks, now = list(self.asks), 0
         while now < LAST and len(self.judge.ends) < len(self.rounds):
             now += SECOND
@@ -211,10 +220,10 @@
         return self
 
 
-def play(seed, kind, made=Play, **told):
-    """(Play, Breach or None)."""
+def play(seed, kind, made=MaintenanceRun, **told):
+    """(MaintenanceRun, InvariantViolationError or None)."""
     one = made(seed, kind, **told)
     try:
         return one.run(), None
-    except Breach as breach:
+    except InvariantViolationError as breach:
         return one, breach
--- a/gaproute/simulation/chance.py
+++ b/gaproute/simulation/seeded_random.py
@@ -1,6 +1,6 @@
-"""Chance from a seed and words: each actor, the net and the load have streams of their own, so that a fault
-which is taken out of a plan leaves most of what the others draw as it was, and a failing plan can be made
-smaller."""
+"""Random numbers from a seed and words: each actor, the net and the load have streams of their own, so that a
+fault which is taken out of a plan leaves most of what the others draw as it was, and a failing plan can be
+made smaller."""
 
 from random import Random
 
@@ -9,8 +9,8 @@
 MILLION = 1_000_000
 
 
-class Chance:
-    """`Chance(seed, "net")`. Random.random is promised to be the same in every version of Python for a
+class SeededRandom:
+    """`SeededRandom(seed, "net")`. Random.random is promised to be the same in every version of Python for a
     seed."""
 
     __slots__ = ("random",)
@@ -32,7 +32,7 @@
         return things[int(self.random() * len(things))]
 
 
-class Narrow(Chance):
+class NarrowRandom(SeededRandom):
     """Draws from the lowest part only, so that what is spread by chance to keep out of each other's way
     meets."""
 
--- a/gaproute/simulation/shrink.py
+++ b/gaproute/simulation/shrink.py
@@ -1,20 +1,21 @@
 """Makes a failing plan small: takes faults out while it still fails by the same name."""
 
-from gaproute.simulation.plan import Plan
+from gaproute.simulation.fault_schedule import FaultSchedule
 
 MOST = 400  # plays at most; each costs what the run costs
 
 
 def shrink(play, plan, name, most=MOST):
-    """`play(plan)` returns the Breach or None. Returns (plan, breach) of the smallest that was found: first
-    the time after the breach, then faults in halves, quarters and single ones, then their length."""
+    """`play(plan)` returns the InvariantViolationError or None. Returns (plan, breach) of the
+    smallest that was found: first the time after the breach, then faults in halves, quarters and
+    single ones, then their length."""
     left = [most]
 
     def failing(faults, end):
         if not left[0]:
             return None
         left[0] -= 1
-        breach = play(Plan(plan.seed, end, tuple(faults), plan.settle))
+        breach = play(FaultSchedule(plan.seed, end, tuple(faults), plan.settle))
         return breach if breach is not None and breach.name == name else None
 
     faults, end, best = list(plan.faults), plan.end, None
@@ -36,4 +37,4 @@
         if size == 1 and not taken or not left[0]:
             break
         size = max(1, size // 2)
-    return Plan(plan.seed, end, tuple(faults), plan.settle), best
+    return FaultSchedule(plan.seed, end, tuple(faults), plan.settle), best
--- a/gaproute/simulation/world.py
+++ b/gaproute/simulation/simulation.py
@@ -13,13 +13,13 @@
 
 import xxhash
 
-from gaproute.simulation import faults
-from gaproute.simulation.chance import Chance, Narrow
-from gaproute.simulation.checks import Breach, Checks
-from gaproute.simulation.clock import Clock
-from gaproute.simulation.disk import Crash, Disk
-from gaproute.simulation.net import Net
-from gaproute.simulation.seat import Seat
+from gaproute.simulation import fault_effects
+from gaproute.simulation.clock import SimulatedClock
+from gaproute.simulation.disk import ProcessCrash, SimulatedDisk
+from gaproute.simulation.invariant_checks import InvariantChecks, InvariantViolationError
+from gaproute.simulation.network import SimulatedNetwork
+from gaproute.simulation.process_slot import ProcessSlot
+from gaproute.simulation.seeded_random import NarrowRandom, SeededRandom
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LAST = 60  # events told with a breach
@@ -33,7 +33,7 @@
 _event = struct.Struct("<qBHH")
 
 
-class World:
+class Simulation:
     """`makes`: {name: make}. `rates`: {name: millionths}, None: each within `plan.RATE`, drawn. `wire`:
     (encode, decode), where messages are to go in bytes; else an actor must not change what it sent or heard.
     `leader(world)`: the seat that a fault means by plan.LEADER, or None. `narrow`: actors' chance draws from
@@ -42,18 +42,22 @@
     def __init__(
         self, plan, makes, checks=None, load=None, rates=None, wire=None, rate=100, leader=None, narrow=0
     ):
-        self.plan, self.checks, self.load, self.wire = plan, checks or Checks(), load, wire
+        self.plan, self.checks, self.load, self.wire = plan, checks or InvariantChecks(), load, wire
         self.leader, self.befell = leader, {}  # fault's number: whom it befell
         self.now = self.step = self.order = self.strays = 0
         self.heap, self.last, self.digest = [], deque(maxlen=LAST), xxhash.xxh3_64()
-        self.chance = Chance(plan.seed, "world")
-        self.net = Net(len(makes), Chance(plan.seed, "net"))
+        self.chance = SeededRandom(plan.seed, "world")
+        self.net = SimulatedNetwork(len(makes), SeededRandom(plan.seed, "net"))
         self.seats, self.counts, self.facts = {}, dict.fromkeys(("crashes", "starts", "refused"), 0), {}
         for number, (name, make) in enumerate(makes.items()):
             fast = self.chance.between(-rate, rate) if rates is None else rates.get(name, 0)
-            clock = Clock(0, self.chance.below(SHOWN), fast)
-            luck = Narrow(narrow, plan.seed, "actor", name) if narrow else Chance(plan.seed, "actor", name)
-            self.seats[name] = Seat(name, number, make, Disk(), clock, luck, fast)
+            clock = SimulatedClock(0, self.chance.below(SHOWN), fast)
+            luck = (
+                NarrowRandom(narrow, plan.seed, "actor", name)
+                if narrow
+                else SeededRandom(plan.seed, "actor", name)
+            )
+            self.seats[name] = ProcessSlot(name, number, make, SimulatedDisk(), clock, luck, fast)
         self.places = list(self.seats.values())
         for seat in self.places:
             self.push(0, START, seat, None, None)
@@ -68,7 +72,8 @@
         heapq.heappush(self.heap, (when, self.order, kind, seat, one, two))
 
     def run(self, until=None):
-        """Plays up to `until` (default: the plan's end and what it settles in). Errors: Breach."""
+        """Plays up to `until` (default: the plan's end and what it settles in). Errors:
+        InvariantViolationError."""
         heap, last, pop, update, pack = self.heap, self.last, heapq.heappop, self.digest.update, _event.pack
         until = self.plan.end + self.plan.settle if until is None else until
         while heap and heap[0][0] <= until:
@@ -89,16 +94,16 @@
             self.step += 1
             last.append(event)
             if self.step > MOST:
-                raise Breach(f"words without end: {MOST} steps", self)
+                raise InvariantViolationError(f"words without end: {MOST} steps", self)
             update(pack(event[0], kind, seat.number if seat else 0xFFFF, len(heap) & 0xFFFF))
             if kind == TICK:
                 self.call(seat, seat.actor.tick)
             elif kind == HEAR:
                 self.call(seat, seat.actor.hear, one, two if self.wire is None else self.wire[1](two))
             elif kind == BEGIN:
-                faults.begin(self, one, two)
+                fault_effects.begin(self, one, two)
             elif kind == END:
-                faults.end(self, one, two)
+                fault_effects.end(self, one, two)
             elif kind == START:
                 self.start(seat)
             else:
@@ -113,8 +118,8 @@
         """One call of the actor at its own time; what it returns is sent, unless it ended in the middle."""
         try:
             out = what(seat.clock.own(self.now), *told)
-        except (Crash, OSError) as end:
-            self.counts["refused"] += not isinstance(end, Crash)
+        except (ProcessCrash, OSError) as end:
+            self.counts["refused"] += not isinstance(end, ProcessCrash)
             self.crash(seat)
             if isinstance(end, OSError):  # as one that supervises processes does
                 self.push(self.now + AGAIN, START, seat, None, None)
@@ -167,7 +172,7 @@
         try:
             seat.disk.opened()
             seat.actor = seat.make(seat.name, seat.disk, seat.chance, seat.clock.own(self.now))
-        except (Crash, OSError):
+        except (ProcessCrash, OSError):
             self.crash(seat)
             self.push(self.now + AGAIN, START, seat, None, None)
             return
@@ -185,7 +190,7 @@
             seat.clock.restarted(self.now, seat.chance.below(SHOWN))
 
     def raised(self, seat, fault):
-        return Breach(f"raised: {fault!r} at {seat.name}\n{traceback.format_exc()}", self)
+        return InvariantViolationError(f"raised: {fault!r} at {seat.name}\n{traceback.format_exc()}", self)
 
     def up(self):
         return [seat for seat in self.places if seat.actor is not None]
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -8,9 +8,11 @@
 from gaproute.maintenance import drained, floor, schedule, warm
 from gaproute.maintenance.invariants import check_given
 from gaproute.maintenance.round import Running
-from gaproute.simulation import rounds
-from gaproute.simulation.rounds import KINDS, play
-from gaproute.simulation.rounds_baselines import One, of
+from gaproute.simulation.fault_schedule import ScheduledFault
+from gaproute.simulation.rounds import KINDS, MaintenanceRun, play
+from gaproute.simulation.rounds.baselines import OneAtATime, runs_with
+
+SECOND = 1_000_000_000
 
 
 def verdict(seed, kind, **told):
@@ -49,10 +51,10 @@
 
 def test_a_scheduler_killed_at_several_times_ends_its_round():
     """Every 18 s of the round: killed, up again 3 s later; each host is out once."""
-    length = clean(3, "none")[0].judge.ends["round0"][0] // rounds.SECOND
+    length = clean(3, "none")[0].judge.ends["round0"][0] // SECOND
     for at in range(4, min(length, 60), 18):
-        run = rounds.Play(3, "none")
-        fault = rounds.Fault("crash", at * rounds.SECOND, (at + 3) * rounds.SECOND, (run.numbers["s1"],))
+        run = MaintenanceRun(3, "none")
+        fault = ScheduledFault("crash", at * SECOND, (at + 3) * SECOND, (run.numbers["s1"],))
         run.world.push(fault.at, 2, None, fault, 0)
         run.world.push(fault.until, 3, None, fault, 0)
         run.run()
@@ -61,7 +63,7 @@
 
 
 def test_one_at_a_time_with_no_regard_breaks_the_floor():
-    assert [verdict(seed, "died", made=of(One)) for seed in (2, 4)] == ["floor", "floor"]
+    assert [verdict(seed, "died", made=runs_with(OneAtATime)) for seed in (2, 4)] == ["floor", "floor"]
 
 
 def no_margin(put):
@@ -160,11 +162,11 @@
 
 
 def test_no_out_without_a_permit_or_on_an_old_fence():
-    run = rounds.Play(3, "none")
-    run.world.run(rounds.SECOND)
+    run = MaintenanceRun(3, "none")
+    run.world.run(SECOND)
     run.world.crash(run.world.seats["crew"])  # nobody asks for the host
     for half in range(3, 80):
-        run.world.run(half * rounds.SECOND // 2)
+        run.world.run(half * SECOND // 2)
         seat = run.world.seats["s1"]
         running = seat.actor.rounds[0]
         ready = [each for each in running.places.values() if each.state == "ready"]
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -9,9 +9,8 @@
 from gaproute.rollouts.spend import Spend
 from gaproute.rollouts.weights import Weights
 from gaproute.shared.leases import table
-from gaproute.simulation import campaigns, campaigns_gateway
-from gaproute.simulation.campaigns import play
-from gaproute.simulation.campaigns_cases import CASES, SECOND
+from gaproute.simulation.campaigns import gateway, play, run
+from gaproute.simulation.campaigns.cases import CASES, SECOND
 
 USED = {"plain": 0.8, "two campaigns": 0.8, "liars": 0.5, "noise": 0.4, "slow store": 0.5}  # else 0.5
 
@@ -73,7 +72,7 @@
 def an_old_word_of_the_host_counts(patch):
     patch(spend, "FRESH", 5 * SECOND)
     patch(invariants, "FRESH", 5 * SECOND)
-    patch(campaigns_gateway, "ASK", 700_000_000)
+    patch(gateway, "ASK", 700_000_000)
 
 
 def production_that_waits_is_not_looked_at(patch):
@@ -116,7 +115,7 @@
 
 def a_zone_without_its_floor(patch):
     patch(
-        campaigns,
+        run,
         "lendable",
         lambda hosts, floors: lendable(
             hosts, {name: lanes for name, lanes in floors.items() if name.startswith("h")}
--- a/tests/simulation/test_raft.py
+++ b/tests/simulation/test_raft_group.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from gaproute.simulation.keepers import plan, play
+from gaproute.simulation.raft_group import plan, play
 
 SEEDS = {
     ("common", 3): range(32),
--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_simulation.py
@@ -5,22 +5,22 @@
 
 from gaproute.shared.raft import UnusableDiskError
 from gaproute.simulation import (
-    Breach,
-    Chance,
-    Checks,
-    Clock,
-    Crash,
-    Disk,
-    Fault,
-    Load,
-    Net,
-    Plan,
-    World,
+    FaultSchedule,
+    InvariantChecks,
+    InvariantViolationError,
+    ProcessCrash,
+    RandomLoad,
+    ScheduledFault,
+    SeededRandom,
+    SimulatedClock,
+    SimulatedDisk,
+    SimulatedNetwork,
+    Simulation,
     draw,
     shrink,
 )
-from gaproute.simulation.checks import Grows
-from gaproute.simulation.plan import kept
+from gaproute.simulation.fault_schedule import kept
+from gaproute.simulation.invariant_checks import NeverDecreases
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -67,11 +67,13 @@
     def ask(world, chance):
         world.ask(chance.of(world.places).name, Register.write, world.step)
 
-    checks = Checks([Grows("never less", lambda actor: actor.number)])
-    world = World(plan, makes(kind), checks, Load([(1, ask)], 50 * MILLI, Chance(plan.seed, "load")))
+    checks = InvariantChecks([NeverDecreases("never less", lambda actor: actor.number)])
+    world = Simulation(
+        plan, makes(kind), checks, RandomLoad([(1, ask)], 50 * MILLI, SeededRandom(plan.seed, "load"))
+    )
     try:
         world.run()
-    except Breach as breach:
+    except InvariantViolationError as breach:
         return world, breach
     return world, None
 
@@ -95,21 +97,21 @@
 
 
 def faulted(*faults, end=3 * SECOND):
-    return play(Plan(1, end, faults))[0]
+    return play(FaultSchedule(1, end, faults))[0]
 
 
 @pytest.mark.parametrize("kind, count", [("cut", "cut"), ("cut both", "cut"), ("hold", "held")])
 def test_faults_of_links(kind, count):
-    world = faulted(Fault(kind, SECOND, 2 * SECOND, (0, 1)))
+    world = faulted(ScheduledFault(kind, SECOND, 2 * SECOND, (0, 1)))
     assert world.net.counts[count] > 5 and not any(world.net.cuts)
 
 
 def test_shares_and_partitions_end():
     world = faulted(
-        Fault("lose", SECOND, 2 * SECOND, (), 500_000),
-        Fault("double", SECOND, 2 * SECOND, (), 500_000),
-        Fault("slow", SECOND, 2 * SECOND, (), SECOND),
-        Fault("part", SECOND, 2 * SECOND, (0, 2)),
+        ScheduledFault("lose", SECOND, 2 * SECOND, (), 500_000),
+        ScheduledFault("double", SECOND, 2 * SECOND, (), 500_000),
+        ScheduledFault("slow", SECOND, 2 * SECOND, (), SECOND),
+        ScheduledFault("part", SECOND, 2 * SECOND, (0, 2)),
     )
     counts, net = world.net.counts, world.net
     assert min(counts["lost"], counts["doubled"], counts["cut"]) > 5
@@ -117,7 +119,9 @@
 
 
 def test_a_process_that_was_stopped_finds_its_clock_gone_on_and_its_messages():
-    world = World(Plan(1, 3 * SECOND, (Fault("pause", SECOND, 2 * SECOND, (0,)),)), makes(Register))
+    world = Simulation(
+        FaultSchedule(1, 3 * SECOND, (ScheduledFault("pause", SECOND, 2 * SECOND, (0,)),)), makes(Register)
+    )
     world.run(1900 * MILLI)
     seat = world.seats["r0"]
     held, due = len(seat.inbox), seat.actor.due
@@ -127,21 +131,23 @@
 
 
 def test_lost_disk_and_full_disk():
-    world = faulted(Fault("wipe", SECOND, 2 * SECOND, (0,)), Fault("full", SECOND, 2 * SECOND, (1,)))
+    world = faulted(
+        ScheduledFault("wipe", SECOND, 2 * SECOND, (0,)), ScheduledFault("full", SECOND, 2 * SECOND, (1,))
+    )
     assert world.seats["r0"].disk.lives == 2 and world.counts["refused"] > 0
     assert all(seat.actor is not None for seat in world.places)
     assert len({seat.actor.number for seat in world.places}) <= 2
 
 
 def test_the_net_reorders():
-    net, at = Net(2, Chance(1)), [0] * 100
+    net, at = SimulatedNetwork(2, SeededRandom(1)), [0] * 100
     for number in range(100):
         (at[number],) = net.arrivals(number * MILLI, 0, 1)
     assert at != sorted(at)
 
 
 def test_clocks_go_both_ways():
-    clock = Clock(5, 1000, -37)
+    clock = SimulatedClock(5, 1000, -37)
     for own in (1000, 1001, 10**9 + 7):
         true = clock.true(own)
         assert clock.own(true) >= own > clock.own(true - 1) - (own == 1000)
@@ -152,25 +158,25 @@
 def test_a_disk_loses_what_was_not_synced_and_stops_in_the_middle():
     left = set()
     for seed in range(40):
-        disk = Disk()
+        disk = SimulatedDisk()
         disk.append(b"a")
         disk.sync()
         disk.append(b"b")
         disk.append(b"c")
-        disk.crashed(Chance(seed))
+        disk.crashed(SeededRandom(seed))
         left.add(tuple(disk.read()))
     assert left == {(b"a",), (b"a", b"b"), (b"a", b"b", b"c")}
     for after in (False, True):
-        disk = Disk()
+        disk = SimulatedDisk()
         disk.light(2, after)
         disk.append(b"a")
-        with pytest.raises(Crash):
+        with pytest.raises(ProcessCrash):
             disk.sync()
         assert disk.durable == [b"a"] * after
 
 
 def test_a_disk_that_failed_once_refuses_until_all_is_written_anew():
-    disk = Disk()
+    disk = SimulatedDisk()
     disk.wrong = 28
     with pytest.raises(OSError):
         disk.append(b"a")
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -11,7 +11,7 @@
 from gaproute.faultinjection.plan import FaultPlan, Script
 from gaproute.shared.raft import UnusableDiskError
 from gaproute.shared.raft.store import Store
-from gaproute.simulation import Chance, Disk
+from gaproute.simulation import SeededRandom, SimulatedDisk
 from gaproute.storage import RaftLogFile, files
 from gaproute.storage import raft_log_file as module
 from gaproute.storage.log_records import CorruptRecordError, decode_records, encode_record, encode_replacement
@@ -277,15 +277,15 @@
 
 def test_a_nodes_state_is_read_from_its_own_file_and_not_from_anothers(log_file):
     one = log_file()
-    store = Store("k1", one, Chance(1), lambda state: None)
+    store = Store("k1", one, SeededRandom(1), lambda state: None)
     store.save_vote(3, "k2", 5)
     assert store.sync()
     one.close()
     two = log_file()
-    back = Store("k1", two, Chance(2), lambda state: None)
+    back = Store("k1", two, SeededRandom(2), lambda state: None)
     assert (back.term, back.voted_for, back.incarnation) == (3, ("k2", 5), store.incarnation)
     two.close()
-    other = Store("k9", log_file(), Chance(3), lambda state: None)
+    other = Store("k9", log_file(), SeededRandom(3), lambda state: None)
     assert other.term == 0
     assert other.incarnation not in (0, store.incarnation)
     assert "another gateway" in other.discard_reason
@@ -293,5 +293,5 @@
 
 def test_the_simulated_disk_has_the_same_methods():
     for name in ("read", "append", "sync", "replace", "quarantine"):
-        assert callable(getattr(Disk(), name))
+        assert callable(getattr(SimulatedDisk(), name))
         assert callable(getattr(RaftLogFile("x"), name))
