--- a/benchmarks/campaigns.py
+++ b/benchmarks/campaigns.py
@@ -25,9 +25,9 @@
 
 from rows import table, write
 
-from gaproute.rollouts.campaign import Host
-from gaproute.rollouts.forecast import COURSE, SLOT, End, Forecast
-from gaproute.rollouts.plan import Problem, Want, greedy, worth, wrong
+from gaproute.rollouts.campaign import RolloutHost
+from gaproute.rollouts.forecast import COURSE, SLOT, CompletionEstimate, FleetForecast
+from gaproute.rollouts.plan import CampaignDemand, PlanningProblem, greedy, worth, wrong
 from gaproute.simulation.campaigns import play
 from gaproute.simulation.campaigns_cases import CASES
 
@@ -126,8 +126,12 @@
             max(0.0, min(7.0, lanes + chance.gauss(0, 1.0 + 0.2 * slot)))
             for slot, lanes in enumerate(truth[host])
         ]
-    wants = [Want("a", 1, 2, 2 * count), Want("b", 2, 1, 2 * count), Want("c", 1, 1, count)]
-    return Problem(
+    wants = [
+        CampaignDemand("a", 1, 2, 2 * count),
+        CampaignDemand("b", 2, 1, 2 * count),
+        CampaignDemand("c", 1, 1, count),
+    ]
+    return PlanningProblem(
         spare,
         {host: 2 for host in spare},
         wants,
@@ -142,7 +146,7 @@
     from gaproute.rollouts.solver import solve
 
     problem, truth = planned(seed, count)
-    seen = Problem(truth, problem.room, problem.wants, problem.standing, problem.loads)
+    seen = PlanningProblem(truth, problem.room, problem.wants, problem.standing, problem.loads)
     best, came = solve(seen, LIMIT), {}
     for name, make in (("greedy", greedy), ("HiGHS", lambda problem: solve(problem, LIMIT))):
         began = time.process_time()
@@ -183,24 +187,24 @@
 
 
 def ends(pool, seeds):
-    """A campaign of about two hours on 40 hosts of 8 lanes, told by `Forecast` and `End`: production's demand
-    is read once a slot, from so many hours before the campaign's begin; over the day it rises by the half or
-    not."""
-    hosts, rows, seeds = [Host(f"h{number}", "a", 8, 1) for number in range(40)], [], max(40, seeds)
+    """A campaign of about two hours on 40 hosts of 8 lanes, told by `FleetForecast` and
+    `CompletionEstimate`: production's demand is read once a slot, from so many hours before the campaign's
+    begin; over the day it rises by the half or not."""
+    hosts, rows, seeds = [RolloutHost(f"h{number}", "a", 8, 1) for number in range(40)], [], max(40, seeds)
     lent = {host.name: 8 for host in hosts}
     for rises, known, before in ((0, 0, 0), (0, 0, 2), (0, 0, 8), (0.5, 1, 8), (0.5, 0, 8)):
         off = []
         for seed in range(seeds):
             chance, first = random.Random(f"end {seed}"), before * 120
             course = [1.0 + rises * min(1, max(0, half - 16) / 8) for half in range(COURSE)]
-            forecast = Forecast({"p": course} if known else None)
+            forecast = FleetForecast({"p": course} if known else None)
             demand = [
                 320 * (1 - part) * (course[slot // 60 % COURSE] if rises else 1.0)
                 for slot, part in enumerate(walk(chance, 2400, 0.65, 0.05))
             ]
             true = [max(0.0, 320 - lanes) for lanes in demand]
             work = int(sum(true[first : first + 240]) * SLOT / (2 * SECOND))
-            end, done, said = End(work, 0), 0.0, None
+            end, done, said = CompletionEstimate(work, 0), 0.0, None
             for slot in range(len(demand)):
                 now = (slot - first + 1) * SLOT
                 if slot >= first:
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -14,7 +14,7 @@
 from collections import Counter
 from multiprocessing import Pool
 
-from gaproute.maintenance import floor
+from gaproute.maintenance import capacity_floor
 from gaproute.simulation.rounds import KINDS, SECOND, play
 from gaproute.simulation.rounds_baselines import Groups, One, best, of
 
@@ -64,7 +64,7 @@
         asked,
         run.fleet,
         warm,
-        floor.need(asked, run.demand, run.zones),
+        capacity_floor.need(asked, run.demand, run.zones),
         free,
         LOAD,
         itertools.permutations(asked.hosts),
--- a/gaproute/maintenance/floor.py
+++ b/gaproute/maintenance/capacity_floor.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from gaproute.maintenance.words import LEVELS
+from gaproute.maintenance.round_spec import LEVELS
 
 ALL = "*"  # all functions together; no function's name may have it
 FLEET = ""  # the scope that is the whole fleet
--- a/gaproute/maintenance/round.py
+++ b/gaproute/maintenance/controller.py
@@ -13,8 +13,8 @@
    back; nothing new is begun; copies are loaded; it goes on by itself once the floor is kept again.
 5. A host goes when the floor is kept without it and all that are away; where it is not, copies are loaded
    elsewhere.
-6. `out` is given when the host is drained (`drained.py`), turn and its own permit hold, and the floor is kept
-   then.
+6. `out` is given when the host is drained (`drain_proof.py`), turn and its own permit hold, and the floor
+   is kept then.
 7. Given out and still in its old life after the crew's time: the crew never began; given back.
 8. Not back in time: lost. It counts as away until it is seen; the round goes on while `together` and the
    floor allow.
@@ -26,10 +26,10 @@
 lapse.
 """
 
-from gaproute.maintenance import drained, floor, schedule, words
+from gaproute.maintenance import capacity_floor, drain_proof, round_spec, schedule
 from gaproute.maintenance.going import TURN_LONG, Going
 from gaproute.maintenance.hands import AGAIN
-from gaproute.maintenance.place import AWAY, Lives, Place
+from gaproute.maintenance.host_progress import AWAY, HostIncarnations, HostProgress
 
 SECOND = 1_000_000_000
 
@@ -37,20 +37,20 @@
 LOOK = 4 * SECOND  # after a turn is granted: hosts have to be seen anew before anything is judged
 REST = 3 * SECOND  # without the turn then, longer than another's AGAIN
 ORDERED = 10 * SECOND  # a load that was ordered and not seen to begin or end is forgotten
-BOUNDS, PACES = drained.Bounds(), schedule.Paces()
+BOUNDS, PACES = drain_proof.DrainBounds(), schedule.SchedulingEstimates()
 
 
-class Running(Going):
+class RoundController(Going):
     """`holder`: a `LeaseClient`; `beside`: other rounds that may run now, of which it keeps the floor as
-    well. `tick(now, view)` and `ask(now, host, view)`; `view`: see `view.py`."""
+    well. `tick(now, view)` and `ask(now, host, view)`; `view`: see `fleet_status.py`."""
 
     def __init__(self, asked, me, holder, now, span, bounds=BOUNDS, paces=PACES, beside=()):
-        self.asked, self.beside = floor.strict(asked, beside), tuple(beside)
+        self.asked, self.beside = capacity_floor.strict(asked, beside), tuple(beside)
         self.me, self.holder, self.span = me, holder, span
         self.bounds, self.paces = bounds, paces
         self.stage, self.why, self.withdrawn = "asking", "", False
         self.begun, self.count, self.planned = now, 0, False
-        self.places, self.lives = {}, Lives()
+        self.places, self.lives = {}, HostIncarnations()
         self.turn, self.turned, self.next = None, None, now  # wish; when it was seen held; next asking
         self.ordered = {}  # (host, function): when
         self.believed, self.needs, self.missing = {}, {}, []
@@ -97,9 +97,9 @@
     # Steps
 
     def _begin(self, now, view):
-        wrong = words.mistakes(self.asked, view.fleet, view.demand)
-        for host in [] if wrong else words.named(self.asked, view.fleet):
-            self.places[host.name] = Place(host.name)
+        wrong = round_spec.mistakes(self.asked, view.fleet, view.demand)
+        for host in [] if wrong else round_spec.named(self.asked, view.fleet):
+            self.places[host.name] = HostProgress(host.name)
         if wrong:
             self._stage("refused", "; ".join(wrong))
         return not wrong
--- a/gaproute/maintenance/drained.py
+++ b/gaproute/maintenance/drain_proof.py
@@ -18,7 +18,7 @@
 BOUND = 10  # per mille by which a clock may be wrong, as permits have it
 
 
-class Bounds(msgspec.Struct, frozen=True):
+class DrainBounds(msgspec.Struct, frozen=True):
     """ns: `poll` between two looks at the list, `life` of an entry not renewed, `hard` limit of a task."""
 
     poll: int = 2 * SECOND
@@ -35,7 +35,8 @@
 
 
 def proof(now, shown, marked, bounds):
-    """ "host", "list" or "" (not yet). `marked`: when draining was begun; `shown`: its last Shown or None."""
+    """ "host", "list" or "" (not yet). `marked`: when draining was begun; `shown`: its last HostReport
+    or None."""
     if shown is None or shown.hands:
         return ""
     if shown.draining and shown.asked > marked:
--- a/gaproute/maintenance/view.py
+++ b/gaproute/maintenance/fleet_status.py
@@ -3,8 +3,8 @@
 import msgspec
 
 
-class View(msgspec.Struct, frozen=True):
-    """`fleet`: {name: words.Host} as listed, `shown`: {name: warm.Shown} as each showed itself last,
+class FleetStatus(msgspec.Struct, frozen=True):
+    """`fleet`: {name: MaintenanceHost} as listed, `shown`: {name: HostReport} as each showed itself last,
     `sights`: {function: {host: (age, tellers)}} as `GossipNode.warm_instances` reads, `demand`:
     {function: lanes in use at its peak told}."""
 
--- a/gaproute/maintenance/going.py
+++ b/gaproute/maintenance/going.py
@@ -1,11 +1,11 @@
 """What a running round believes, and what it begins by that: hosts that go, copies that are loaded.
 
-Rules by number: see `round.py`.
+Rules by number: see `controller.py`.
 """
 
-from gaproute.maintenance import floor, schedule, warm
+from gaproute.maintenance import capacity_floor, schedule, warm_capacity
 from gaproute.maintenance.hands import Hands
-from gaproute.maintenance.place import there
+from gaproute.maintenance.host_progress import there
 
 SECOND = 1_000_000_000
 
@@ -15,16 +15,18 @@
 
 
 class Going(Hands):
-    """The part of `round.Running` that judges and begins; all state is there."""
+    """The part of `round.RoundController` that judges and begins; all state is there."""
 
     def _believe(self, now, view):
         turn = self.turned if self.holds(now) else now
         since = self.lives.counting(now, turn, view.fleet, view.shown)
-        self.believed = warm.lanes(now, self.me, view.fleet, view.sights, view.shown, since)
-        self.needs = floor.needs((self.asked, *self.beside), view.demand, view.zones)
-        self.missing = floor.kept(view.fleet, self.believed, self.needs, self.asked.survive, self.away())
+        self.believed = warm_capacity.lanes(now, self.me, view.fleet, view.sights, view.shown, since)
+        self.needs = capacity_floor.needs((self.asked, *self.beside), view.demand, view.zones)
+        self.missing = capacity_floor.kept(
+            view.fleet, self.believed, self.needs, self.asked.survive, self.away()
+        )
         if not view.demand or view.told > TOLD:
-            self.missing = floor.UNHEARD
+            self.missing = capacity_floor.UNHEARD
 
     def _go(self, now, view):
         out = []
@@ -41,8 +43,8 @@
         if not self.planned and not self._plan(now, view):
             return out
         if self.missing:  # rule 4
-            out += self._back(now, floor.worded(self.missing))
-            self._stage("paused", floor.worded(self.missing))
+            out += self._back(now, capacity_floor.worded(self.missing))
+            self._stage("paused", capacity_floor.worded(self.missing))
         waiting = [
             place.name
             for place in self.places.values()
@@ -73,8 +75,8 @@
             return True
         free = {name: seen.free for name, seen in view.shown.items() if name in view.fleet}
         why = (
-            floor.worded(self.missing)
-            if self.missing == floor.UNHEARD
+            capacity_floor.worded(self.missing)
+            if self.missing == capacity_floor.UNHEARD
             else schedule.plan(
                 self.asked, view.fleet, self.believed, self.needs, list(self.places), free, self.paces
             ).why
--- a/gaproute/maintenance/hands.py
+++ b/gaproute/maintenance/hands.py
@@ -1,7 +1,7 @@
-"""One host of a running round at a time: followed, given out, given back. Rules by number: see `round.py`."""
+"""One host of a running round at a time: followed, given out, given back. Rules: see `controller.py`."""
 
-from gaproute.maintenance import drained, floor
-from gaproute.maintenance.place import UNDONE, there
+from gaproute.maintenance import capacity_floor, drain_proof
+from gaproute.maintenance.host_progress import UNDONE, there
 
 SECOND = 1_000_000_000
 
@@ -13,7 +13,7 @@
 
 
 class Hands:
-    """The part of `round.Running` that moves its places; all state is there."""
+    """The part of `round.RoundController` that moves its places; all state is there."""
 
     def ask(self, now, name, view):
         """The crew asks for a host: (fence, mark, ns that it may still begin in), or a text that says why
@@ -32,16 +32,16 @@
             seen = view.shown.get(name)
             if (
                 seen is None
-                or not drained.proof(now, seen, place.marked, self.bounds)
+                or not drain_proof.proof(now, seen, place.marked, self.bounds)
                 or seen.start != place.start
             ):
                 return "not drained"
             self._believe(now, view)
             if self.missing:  # rule 6: looked at again at the last moment
-                return floor.worded(self.missing)
+                return capacity_floor.worded(self.missing)
             self._to(now, place, "out", f"fence {place.wish.fencing_token}")
         left = min(self.turn.expires_at, place.wish.expires_at) - now
-        place.until = max(place.until, now + left + left * 3 * drained.BOUND // 1000)
+        place.until = max(place.until, now + left + left * 3 * drain_proof.BOUND // 1000)
         return place.wish.fencing_token, place.mark, left
 
     def _follow(self, now, place, view, anew):
@@ -63,8 +63,8 @@
         ):
             place.since = now  # marked by another turn, or by an order of ours that came late
             return [("serve", name, self._mark())]
-        elif place.state == "draining" and drained.proof(now, seen, place.marked, self.bounds):
-            self._to(now, place, "asking", drained.proof(now, seen, place.marked, self.bounds))
+        elif place.state == "draining" and drain_proof.proof(now, seen, place.marked, self.bounds):
+            self._to(now, place, "asking", drain_proof.proof(now, seen, place.marked, self.bounds))
             place.wish = self.holder.acquire(now, f"out {name}", self.span)
         elif place.state == "asking" and place.wish.valid_at(now):
             self._to(now, place, "ready", f"fence {place.wish.fencing_token}")
--- a/gaproute/maintenance/place.py
+++ b/gaproute/maintenance/host_progress.py
@@ -19,7 +19,7 @@
 UNDONE = ("draining", "asking", "ready")  # can still be given back
 
 
-class Place:
+class HostProgress:
     __slots__ = ("name", "state", "marked", "mark", "wish", "start", "had", "until", "since")
 
     def __init__(self, name):
@@ -33,7 +33,7 @@
         self.state, self.since = state, now
 
 
-class Lives:
+class HostIncarnations:
     """What is known of all hosts' lives: from when on what was seen of each counts."""
 
     def __init__(self):
--- a/gaproute/maintenance/invariants.py
+++ b/gaproute/maintenance/invariants.py
@@ -1,9 +1,9 @@
 """What must always hold of a running round as it believes; each check returns breaches, named first."""
 
-from gaproute.maintenance.place import AWAY, there
-from gaproute.maintenance.round import ORDERED
+from gaproute.maintenance.controller import ORDERED
+from gaproute.maintenance.host_progress import AWAY, there
 from gaproute.maintenance.schedule import groups
-from gaproute.maintenance.warm import TOLD, WITNESSES, weight
+from gaproute.maintenance.warm_capacity import TOLD, WITNESSES, weight
 
 ORDERS = 4096  # loads and orders to serve remembered at once
 
--- a/gaproute/maintenance/words.py
+++ b/gaproute/maintenance/round_spec.py
@@ -17,7 +17,7 @@
 Span = Annotated[int, Meta(ge=1, le=LONGEST)]
 
 
-class Host(msgspec.Struct, frozen=True):
+class MaintenanceHost(msgspec.Struct, frozen=True):
     """One host as listed. `lanes`: tasks at once; `slots`: copies that it holds at once."""
 
     name: str
@@ -28,7 +28,7 @@
     slots: int
 
 
-class Round(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class RoundSpec(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """`hosts`, or all of one `kind`, `zone` or `rack` (where two are given: of both). `out`: ns that one host
     is away at most; `together`: away at once at most; `by`: ns after its beginning by which all are back.
     `apart`: lists of hosts of which one at a time is away; `one_per`: "rack" or "zone", of each of which one
@@ -53,7 +53,10 @@
 
 
 def named(asked, fleet):
-    """The hosts of the round, in the order in which the fleet lists them. `fleet`: {name: Host}."""
+    """The hosts of the round, in the order in which the fleet lists them.
+
+    `fleet`: {name: MaintenanceHost}.
+    """
     if asked.hosts:
         wanted = dict.fromkeys(asked.hosts)
         return [host for host in fleet.values() if host.name in wanted]
--- a/gaproute/maintenance/schedule.py
+++ b/gaproute/maintenance/schedule.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from gaproute.maintenance.floor import ALL, kept, rows_of, worded
+from gaproute.maintenance.capacity_floor import ALL, kept, rows_of, worded
 
 SECOND = 1_000_000_000
 
 
-class Paces(msgspec.Struct, frozen=True):
+class SchedulingEstimates(msgspec.Struct, frozen=True):
     """ns that things are believed to take; the ration: loads under way at once that a round may cause."""
 
     drain: int = 6 * SECOND
--- a/gaproute/maintenance/warm.py
+++ b/gaproute/maintenance/warm_capacity.py
@@ -16,7 +16,7 @@
 WITNESSES = 2  # others that must have seen a copy: one alone may tell nonsense
 
 
-class Shown(msgspec.Struct, frozen=True):
+class HostReport(msgspec.Struct, frozen=True):
     """A host as it last showed itself. `asked`: own clock's ns when it was asked that; `start`: of its
     process; `mark`: of the order to drain, or to stop that, which it took last; `hands`: tasks in hand;
     `power`: per mille of its lanes' full pace that it has now (cold hosts have less); `free`: slots without a
@@ -57,7 +57,7 @@
 
 def lanes(now, me, fleet, sights, shown, since):
     """{host: {function: lanes}} believed warm now. `sights`: {function: {host: (age, tellers)}} as
-    `GossipNode.warm_instances` has them; `shown`: {host: Shown}; `since`: {host: ns before which nothing
+    `GossipNode.warm_instances` has them; `shown`: {host: HostReport}; `since`: {host: ns before which nothing
     counts}, of all hosts that count."""
     found = {name: {} for name in fleet}
     for name, host in fleet.items():
--- a/gaproute/rollouts/__main__.py
+++ b/gaproute/rollouts/__main__.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from gaproute.rollouts.plan import Problem
+from gaproute.rollouts.plan import PlanningProblem
 from gaproute.rollouts.solver import LIMIT, solve
 
 
 def main():
     try:
-        problem = msgspec.json.decode(sys.stdin.buffer.read(), type=Problem)
+        problem = msgspec.json.decode(sys.stdin.buffer.read(), type=PlanningProblem)
         plan = solve(problem, float(sys.argv[1]) if len(sys.argv) > 1 else LIMIT)
     except (ImportError, ValueError) as fault:
         print(f"no plan: {fault}", file=sys.stderr)
--- a/gaproute/rollouts/campaign.py
+++ b/gaproute/rollouts/campaign.py
@@ -14,7 +14,7 @@
 TASKS = 10_000_000  # a step: counters and forecasts stay small numbers
 
 
-class Host(NamedTuple):
+class RolloutHost(NamedTuple):
     """`lanes`: tasks at once; `room`: for copies, in the unit of the campaigns' `room`."""
 
     name: str
--- a/gaproute/rollouts/spend.py
+++ b/gaproute/rollouts/dispatcher.py
@@ -10,7 +10,7 @@
 
 from collections import Counter
 
-from gaproute.rollouts.pace import Pace
+from gaproute.rollouts.rate_limit import RateLimit
 
 MILLI = 1_000_000
 
@@ -23,7 +23,7 @@
 COLD = 4  # a cold host bears a fourth of its part: rule 4's rest is production's
 
 
-class Part:
+class HostAllotment:
     """What this gateway has of one host."""
 
     def __init__(self):
@@ -36,20 +36,20 @@
         self.again, self.chunk = 0, CHUNK  # after a refusal less is asked: a part of it may be there
 
 
-class Hand:
+class InFlightRollout:
     __slots__ = ("campaign", "host", "wish", "sent", "until")
 
     def __init__(self, campaign, host, wish, sent, until):
         self.campaign, self.host, self.wish, self.sent, self.until = campaign, host, wish, sent, until
 
 
-class Spend:
+class RolloutDispatcher:
     """`holder`: the gateway's `LeaseClient`; `campaigns`: {name: Campaign}."""
 
     def __init__(self, holder, campaigns, now):
         self.holder, self.campaigns = holder, campaigns
-        self.parts, self.hands = {}, {}  # host: Part; task: Hand
-        self.paces = {name: Pace(now) for name in campaigns}
+        self.parts, self.hands = {}, {}  # host: HostAllotment; task: InFlightRollout
+        self.paces = {name: RateLimit(now) for name in campaigns}
         self.refused = Counter()
 
     # What is planned
@@ -58,7 +58,7 @@
         """`aims`: {host: {campaign: lanes}}; a host that is not named is given back. `paces`: {campaign: a
         second}."""
         for host in [host for host in aims if host not in self.parts][: PARTS - len(self.parts)]:
-            self.parts[host] = Part()
+            self.parts[host] = HostAllotment()
         for host, part in self.parts.items():
             part.aims = {
                 name: lanes
@@ -167,7 +167,7 @@
         part.hands[name] += 1
         part.wishes[wish] += 1
         self.paces[name].took(now)
-        self.hands[task] = Hand(name, host, wish, now, now + self.campaigns[name].need)
+        self.hands[task] = InFlightRollout(name, host, wish, now, now + self.campaigns[name].need)
 
     def ended(self, now, task, free=True):
         """An answer, which proves that its lane is free again, or its time is over. `free` False: it was
--- a/gaproute/rollouts/forecast.py
+++ b/gaproute/rollouts/forecast.py
@@ -14,7 +14,7 @@
 EARLY = 0.02  # of a campaign: before it an end would be a guess
 
 
-class Demand:
+class DemandForecast:
     """Production's demand for one function, in lanes. `course`: COURSE factors of a usual day, or None."""
 
     def __init__(self, course=None):
@@ -53,7 +53,7 @@
         return level * self._factor(clock) + sure * (self.error + self.spread**2) ** 0.5
 
 
-class Forecast:
+class FleetForecast:
     def __init__(self, courses=None):
         self.courses, self.functions = courses or {}, {}
 
@@ -67,7 +67,7 @@
         for name, reading in readings.items():
             if name not in self.functions and len(self.functions) >= FUNCTIONS:
                 continue
-            self.functions.setdefault(name, Demand(self.courses.get(name))).read(clock, *reading)
+            self.functions.setdefault(name, DemandForecast(self.courses.get(name))).read(clock, *reading)
 
     def spare(self, clock, hosts, lendable, slots=SLOTS, sure=SURE, out=()):
         """{host: [lanes in each slot]}: what may be lent less production's demand, which is laid on the hosts
@@ -81,7 +81,7 @@
         return came
 
 
-class End:
+class CompletionEstimate:
     """When a campaign will end: by what it did of late and in all, and the lanes that the plan gives it."""
 
     def __init__(self, work, began):
--- a/gaproute/rollouts/groups.py
+++ b/gaproute/rollouts/groups.py
@@ -6,7 +6,7 @@
 ENDED = 4096  # that ended and are remembered: their late tasks get the same answer
 
 
-class Group:
+class RolloutGroup:
     __slots__ = ("campaign", "version", "size", "tasks", "good")
 
     def __init__(self, campaign, version, size):
@@ -14,10 +14,10 @@
         self.tasks, self.good = {}, 0  # tasks taken in: whether delivered
 
 
-class Groups:
+class RolloutGroups:
     def __init__(self, weights):
         self.weights = weights
-        self.open, self.ended = {}, {}  # name: Group; name: how it ended
+        self.open, self.ended = {}, {}  # name: RolloutGroup; name: how it ended
         self.counts = Counter()  # how groups ended: "delivered", or why they were scrapped
 
     def take(self, group, task, campaign, version, size):
@@ -29,7 +29,7 @@
         if held is None:
             if why or len(self.open) >= GROUPS:
                 return why or "too many groups"
-            held = self.open[group] = Group(campaign, version, size)
+            held = self.open[group] = RolloutGroup(campaign, version, size)
         elif why or (held.campaign, held.version, held.size) != (campaign, version, size):
             self.scrap(group, why or "of two versions")
             return why or "group of two versions"
--- a/gaproute/rollouts/invariants.py
+++ b/gaproute/rollouts/invariants.py
@@ -1,8 +1,8 @@
 """What must always hold of rollouts; every check returns breaches as text, named first. Cheap ones may run
 always."""
 
+from gaproute.rollouts.dispatcher import FRESH, HANDS, PARTS
 from gaproute.rollouts.groups import ENDED, GROUPS
-from gaproute.rollouts.spend import FRESH, HANDS, PARTS
 
 
 def check_spend(spend, now):
--- a/gaproute/rollouts/loads.py
+++ b/gaproute/rollouts/load_limiter.py
@@ -5,7 +5,7 @@
 PART = 4  # rollouts order at most one in so many of the loads that rule 5 leaves for a window
 
 
-class Loads:
+class RolloutLoadLimiter:
     """`limiter`: the gateway's `LoadOrderLimiter` of rule 5, or None without one. `free`: orders for
     rollouts in `window` ns."""
 
--- a/gaproute/rollouts/plan.py
+++ b/gaproute/rollouts/plan.py
@@ -3,13 +3,13 @@
 
 import msgspec
 
-from gaproute.rollouts.shares import shares
+from gaproute.rollouts.weighted_shares import shares
 
 LOAD = 0.5  # of a slot that a copy's load takes: what a move costs
 LEAST = 1e-6
 
 
-class Want(msgspec.Struct, array_like=True):
+class CampaignDemand(msgspec.Struct, array_like=True):
     """`lanes`: wanted in all. `copy`: names the version; an exchange of weights keeps it."""
 
     name: str
@@ -18,13 +18,13 @@
     lanes: int
 
 
-class Problem(msgspec.Struct, array_like=True):
+class PlanningProblem(msgspec.Struct, array_like=True):
     """`spare`: {host: lanes in each slot}; `room`: {host: for copies}; `standing`: [(campaign, host)];
     `loads`: how many copies may be loaded in one slot; `load`: of a slot that one takes."""
 
     spare: dict[str, list[float]]
     room: dict[str, int]
-    wants: list[Want]
+    wants: list[CampaignDemand]
     standing: list[tuple[str, str]]
     loads: int
     load: float = LOAD
@@ -43,7 +43,7 @@
         )
 
 
-class Plan(msgspec.Struct, array_like=True):
+class CopyPlan(msgspec.Struct, array_like=True):
     """`copies`: [(campaign, host, slot from which it stands)], loaded in this order; `lanes`: [(campaign,
     host, lanes in each slot)]."""
 
@@ -103,7 +103,7 @@
         orders += 1
         if orders % max(1, problem.loads) == 0:
             first += 1
-    return Plan(copies, [(name, host, given) for (name, host), given in lanes.items()])
+    return CopyPlan(copies, [(name, host, given) for (name, host), given in lanes.items()])
 
 
 def wrong(problem, plan):
--- a/gaproute/rollouts/orders.py
+++ b/gaproute/rollouts/plan_distribution.py
@@ -7,7 +7,7 @@
 HIGHEST = 1 << 62
 
 
-class Orders(NamedTuple):
+class GatewayPlan(NamedTuple):
     """What the planner tells one gateway. `aims`: {host: {campaign: lanes}}; `paces`: {campaign: tasks a
     second}; `copies`: {campaign: hosts that shall have a copy, the first first}. Who has a host's lanes loads
     its copies."""
@@ -19,7 +19,7 @@
     copies: dict
 
 
-class Latest:
+class PlanFilter:
     """Takes only what is newer: a planner that lost its permit and does not know it yet is not followed by
     those who heard its successor. Who heard neither goes on by the last plan: permits bound what that may
     do."""
@@ -38,7 +38,7 @@
         return True
 
 
-class Choice:
+class PlanSelector:
     """Which of two plans of one problem is followed: the solver's while it is sound and in time, else the
     greedy one. `begin(now, number, problem, plan)`; `solved(now, number, plan)`; `due(now)` gives the plan
     once, or None."""
--- a/gaproute/rollouts/pace.py
+++ b/gaproute/rollouts/rate_limit.py
@@ -4,7 +4,7 @@
 BURST = 16  # turns saved at most: lanes that become free together are filled together
 
 
-class Pace:
+class RateLimit:
     """`rate`: turns a second; None: as lanes allow."""
 
     def __init__(self, now):
--- a/gaproute/rollouts/solver.py
+++ b/gaproute/rollouts/solver.py
@@ -1,8 +1,8 @@
 """The same plan by a solver (HiGHS), optional: `requirements-rollouts.txt`. It is slow, so it runs in a
-process of its own, `python -m gaproute.rollouts`, which reads a Problem and writes a Plan; who waits for it
-has a bound of its own."""
+process of its own, `python -m gaproute.rollouts`, which reads a PlanningProblem and writes a CopyPlan;
+who waits for it has a bound of its own."""
 
-from gaproute.rollouts.plan import Plan
+from gaproute.rollouts.plan import CopyPlan
 
 LIMIT = 2.0  # s of solving: a plan is for half a minute
 GAP = 0.01  # of the value: a forecast is worse than that
@@ -11,7 +11,7 @@
 
 
 def solve(problem, limit=LIMIT):
-    """A Plan, or None where none was found in time. Errors: ImportError without the solver."""
+    """A CopyPlan, or None where none was found in time. Errors: ImportError without the solver."""
     import highspy
 
     model = highspy.Highs()
@@ -78,4 +78,4 @@
                 row = [int(values[lanes[key, slot].index] + ROUND) for slot in range(problem.slots)]
                 given.append((*key, row))
     copies.sort(key=lambda copy: copy[2])
-    return Plan(copies, given)
+    return CopyPlan(copies, given)
--- a/gaproute/rollouts/weights.py
+++ b/gaproute/rollouts/weight_versions.py
@@ -5,7 +5,7 @@
 AHEAD = 1 << 20  # versions: a word further ahead than this is nonsense, not news
 
 
-class Weights:
+class WeightVersions:
     """`campaigns`: {name: Campaign}. Versions only grow, so words of them merge in any order."""
 
     def __init__(self, campaigns):
--- a/gaproute/simulation/campaigns.py
+++ b/gaproute/simulation/campaigns.py
@@ -5,7 +5,7 @@
 fails; `figures()` says what was used, how production fared and what was delivered.
 """
 
-from gaproute.rollouts.campaign import SECOND, WAY, Campaign, Host, check, floors, lendable
+from gaproute.rollouts.campaign import SECOND, WAY, Campaign, RolloutHost, check, floors, lendable
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.simulation.campaigns_checks import checks
@@ -38,7 +38,7 @@
         self.keepers = ["k1", "k2", "k3"]
         self.gateways = [f"g{number}" for number in range(1, case.gateways + 1)]
         self.hosts = {
-            f"h{number}": Host(f"h{number}", "abc"[number % 3], LANES, ROOM)
+            f"h{number}": RolloutHost(f"h{number}", "abc"[number % 3], LANES, ROOM)
             for number in range(1, case.hosts + 1)
         }
         self.zones = {
--- a/gaproute/simulation/campaigns_checks.py
+++ b/gaproute/simulation/campaigns_checks.py
@@ -2,8 +2,8 @@
 run."""
 
 from gaproute.rollouts.campaign import SECOND
+from gaproute.rollouts.dispatcher import pool
 from gaproute.rollouts.invariants import check_floor, check_groups, check_loads, check_spend
-from gaproute.rollouts.spend import pool
 from gaproute.shared.leases.invariants import check_client
 from gaproute.simulation.checks import Checks
 from gaproute.simulation.keepchecks import Told
--- a/gaproute/simulation/campaigns_gateway.py
+++ b/gaproute/simulation/campaigns_gateway.py
@@ -3,13 +3,13 @@
 
 from collections import deque
 
-from gaproute.rollouts.exchange import exchange
-from gaproute.rollouts.groups import Groups
+from gaproute.rollouts.copy_exchange import exchange
+from gaproute.rollouts.dispatcher import ASK, RolloutDispatcher
+from gaproute.rollouts.groups import RolloutGroups
 from gaproute.rollouts.invariants import check_sent
-from gaproute.rollouts.loads import Loads
-from gaproute.rollouts.orders import Latest
-from gaproute.rollouts.spend import ASK, Spend
-from gaproute.rollouts.weights import Weights
+from gaproute.rollouts.load_limiter import RolloutLoadLimiter
+from gaproute.rollouts.plan_distribution import PlanFilter
+from gaproute.rollouts.weight_versions import WeightVersions
 from gaproute.shared.gossip import GossipMessage, GossipNode
 from gaproute.shared.leases import LeaseClient
 from gaproute.simulation.campaigns_planner import Planner
@@ -27,11 +27,11 @@
         self.play, self.name, self.chance = play, name, chance
         self.campaigns = play.campaigns
         self.holder = LeaseClient(name, play.keepers, chance, now)
-        self.spend = Spend(self.holder, self.campaigns, now)
-        self.weights = Weights(self.campaigns)
-        self.groups = Groups(self.weights)
-        self.loads = Loads(None, play.ration, 2 * SECOND)
-        self.latest, self.planner = Latest(), Planner(self, now)
+        self.spend = RolloutDispatcher(self.holder, self.campaigns, now)
+        self.weights = WeightVersions(self.campaigns)
+        self.groups = RolloutGroups(self.weights)
+        self.loads = RolloutLoadLimiter(None, play.ration, 2 * SECOND)
+        self.latest, self.planner = PlanFilter(), Planner(self, now)
         self.gossip = GossipNode(name, 1 + play.number(), chance, now)
         self.peers = [other for other in play.gateways if other != name]
         self.gossip.set_peers(now, self.peers)
--- a/gaproute/simulation/campaigns_planner.py
+++ b/gaproute/simulation/campaigns_planner.py
@@ -1,10 +1,10 @@
 """The part of a simulated gateway that plans, while it holds the planner's permit."""
 
-from gaproute.rollouts.deal import deal, paces
-from gaproute.rollouts.forecast import Forecast
-from gaproute.rollouts.orders import PLANNER, Orders
-from gaproute.rollouts.plan import Problem, Want, greedy
-from gaproute.rollouts.spend import pool
+from gaproute.rollouts.dispatcher import pool
+from gaproute.rollouts.forecast import FleetForecast
+from gaproute.rollouts.host_assignment import deal, paces
+from gaproute.rollouts.plan import CampaignDemand, PlanningProblem, greedy
+from gaproute.rollouts.plan_distribution import PLANNER, GatewayPlan
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -19,7 +19,7 @@
         self.gateway, self.wish = gateway, None
         self.again = now + gateway.chance.below(EVERY)
         self.asked = self.planned = now
-        self.number, self.owners, self.forecast, self.sized = 0, {}, Forecast(), {}
+        self.number, self.owners, self.forecast, self.sized = 0, {}, FleetForecast(), {}
         self.made = 0
 
     def plans(self, now):
@@ -60,10 +60,13 @@
         spare = self.forecast.spare(now, hosts, play.lent, 4)
         stand = sorted({(name, host) for host, told in known.items() for name, _ in told[1] | told[2]})
         # Of a host's room a campaign's old and new copy stand together while they are exchanged.
-        problem = Problem(
+        problem = PlanningProblem(
             spare,
             {host.name: host.room // 2 for host in hosts},
-            [Want(name, 1, campaign.weight, 10_000) for name, campaign in gateway.campaigns.items()],
+            [
+                CampaignDemand(name, 1, campaign.weight, 10_000)
+                for name, campaign in gateway.campaigns.items()
+            ],
             stand,
             max(2, len(hosts) // 2),
         )
@@ -80,7 +83,7 @@
         given, out = paces(came, gateway.campaigns), []
         self.number += 1
         for name in alive:
-            orders = Orders(self.wish.fencing_token, self.number, came[name], given[name], copies)
+            orders = GatewayPlan(self.wish.fencing_token, self.number, came[name], given[name], copies)
             if name == gateway.name:
                 gateway._orders(now, name, orders)
             else:
--- a/gaproute/simulation/rounds.py
+++ b/gaproute/simulation/rounds.py
@@ -3,8 +3,7 @@
 `Play(seed, kind)` draws a fleet, rounds and what befalls them; `play(seed, kind)` runs them to their end.
 """
 
-from gaproute.maintenance import Host as ListedHost
-from gaproute.maintenance import Round
+from gaproute.maintenance import MaintenanceHost, RoundSpec
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.shared.raft import RaftNode
@@ -73,7 +72,7 @@
         for number in range(size):
             zone = self.zones[number % len(self.zones)]
             rack = f"{zone}r{number // len(self.zones) % 2}"
-            host = ListedHost(f"h{number}", zone, rack, chance.of(("a", "b")), chance.of((4, 8)), 4)
+            host = MaintenanceHost(f"h{number}", zone, rack, chance.of(("a", "b")), chance.of((4, 8)), 4)
             self.fleet[host.name] = host
             self.copies[host.name] = []
         for function in self.functions:
@@ -98,7 +97,7 @@
         if len(self.schedulers) > 1:
             chosen = [name for place, name in enumerate(self.fleet) if place % 2 == number]
         by = 3600 * SECOND if self.kind not in ("never back", "all") else 220 * SECOND
-        return Round(
+        return RoundSpec(
             name=f"round{number}",
             hosts=tuple(chosen),
             out=OUT if self.outs < OUT else self.outs,
--- a/gaproute/simulation/rounds_actors.py
+++ b/gaproute/simulation/rounds_actors.py
@@ -5,10 +5,10 @@
 supervises it does.
 """
 
-from gaproute.maintenance import Running, View
-from gaproute.maintenance.drained import Bounds
+from gaproute.maintenance import FleetStatus, RoundController
+from gaproute.maintenance.drain_proof import DrainBounds
 from gaproute.maintenance.invariants import check_belief, check_given, check_round
-from gaproute.maintenance.warm import Shown
+from gaproute.maintenance.warm_capacity import HostReport
 from gaproute.shared.gossip import GossipNode
 from gaproute.shared.leases import LeaseClient
 
@@ -158,7 +158,7 @@
                 self.gossip.set_hosts(
                     now, self.starts | {name: 0 for name in self.hosts if name not in self.starts}
                 )
-            self.shown[sender] = Shown(
+            self.shown[sender] = HostReport(
                 asked, start, draining, mark, hands, power, free, message[3], loading, done
             )
             for function in self.play.functions:
@@ -184,7 +184,7 @@
 
 
 class Scheduler(Eyes):
-    running = Running
+    running = RoundController
 
     def __init__(self, play, name, chance, now, peers, rounds):
         super().__init__(play, name, chance, now, peers)
@@ -196,7 +196,7 @@
                 self.holder,
                 now,
                 SPAN,
-                Bounds(),
+                DrainBounds(),
                 beside=[other for other in play.rounds if other is not asked],
             )
             for asked in rounds
@@ -216,7 +216,7 @@
 
     def view(self, now):
         peak = {function: max(lanes for lanes, _ in told) for function, told in self.demand.items()}
-        return View(
+        return FleetStatus(
             self.play.fleet,
             self.shown,
             {function: self.gossip.warm_instances(now, function) for function in self.play.functions},
--- a/gaproute/simulation/rounds_baselines.py
+++ b/gaproute/simulation/rounds_baselines.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from gaproute.maintenance import Running, schedule
+from gaproute.maintenance import RoundController, schedule
 from gaproute.simulation.rounds import Play
 from gaproute.simulation.rounds_actors import Scheduler
 
 
-class One(Running):
+class One(RoundController):
     def __init__(self, asked, *told, **named):
         super().__init__(msgspec.structs.replace(asked, together=1, zones=0, survive=""), *told, **named)
         self.planned = True
@@ -55,7 +55,7 @@
                 left = [name for name in order if name in waiting]
                 return left[:1] if strictly else left
 
-            paces = schedule.Paces(0, load, 0, 2)
+            paces = schedule.SchedulingEstimates(0, load, 0, 2)
             made = schedule.plan(asked, fleet, warm, needs, order, free, paces, ranked)
             if not made.why:
                 ends.append(made.end)
--- a/gaproute/simulation/rounds_truth.py
+++ b/gaproute/simulation/rounds_truth.py
@@ -12,7 +12,7 @@
 does not.
 """
 
-from gaproute.maintenance import floor
+from gaproute.maintenance import capacity_floor
 
 
 class Judge:
@@ -131,11 +131,11 @@
             for name, functions in warm.items()
         }
         self.last, self.dirty = warm, False
-        have, might = floor.standing(play.fleet, warm), floor.standing(play.fleet, whole)
+        have, might = capacity_floor.standing(play.fleet, warm), capacity_floor.standing(play.fleet, whole)
         for asked in play.rounds:
             if asked.name in self.ends:
                 continue
-            for row, least in floor.need(asked, play.demand, play.zones).items():
+            for row, least in capacity_floor.need(asked, play.demand, play.zones).items():
                 key, there = (asked.name, row), have.get(row, 0)
                 if there >= least:
                     self.bad.pop(key, None)
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from gaproute.maintenance import drained, floor, schedule, warm
+from gaproute.maintenance import capacity_floor, drain_proof, schedule, warm_capacity
+from gaproute.maintenance.controller import RoundController
 from gaproute.maintenance.invariants import check_given
-from gaproute.maintenance.round import Running
 from gaproute.simulation import rounds
 from gaproute.simulation.rounds import KINDS, play
 from gaproute.simulation.rounds_baselines import One, of
@@ -65,9 +65,9 @@
 
 
 def no_margin(put):
-    real = floor.needs
+    real = capacity_floor.needs
     put(
-        floor,
+        capacity_floor,
         "needs",
         lambda asked, demand, zones: real(
             [msgspec.structs.replace(each, margin=0) for each in asked], demand, zones
@@ -76,15 +76,15 @@
 
 
 def no_look_ahead(put):
-    put(floor, "failures", lambda *told: [])
+    put(capacity_floor, "failures", lambda *told: [])
 
 
 def no_age(put):
-    put(warm, "weight", lambda age: 1000)
+    put(warm_capacity, "weight", lambda age: 1000)
 
 
 def counted_at_once(put):
-    real = Running._believe
+    real = RoundController._believe
 
     def believe(self, now, view):
         real(self, now, view)
@@ -92,7 +92,7 @@
             if each.state == "back":
                 self.believed[each.name] = dict.fromkeys(each.had, view.fleet[each.name].lanes)
 
-    put(Running, "_believe", believe)
+    put(RoundController, "_believe", believe)
 
 
 def one_too_many(put):
@@ -111,16 +111,16 @@
 
 
 def not_drained(put):
-    put(drained, "proof", lambda now, seen, marked, bounds: "host" if seen else "")
+    put(drain_proof, "proof", lambda now, seen, marked, bounds: "host" if seen else "")
 
 
 def turn_for_each(put):
     """The turn is no permit of the fleet but each round's own."""
-    put(Running, "_turn", lambda self, now, real=Running._turn: _own_turn(self, now, real))
+    put(RoundController, "_turn", lambda self, now, real=RoundController._turn: _own_turn(self, now, real))
 
 
 def _own_turn(running, now, real):
-    from gaproute.maintenance import round as module
+    from gaproute.maintenance import controller as module
 
     before, module.TURN = module.TURN, f"turn of {running.asked.name}"
     try:
--- a/tests/maintenance/test_parts.py
+++ b/tests/maintenance/test_parts.py
@@ -3,19 +3,27 @@
 import msgspec
 import pytest
 
-from gaproute.maintenance import Host, Round, drained, floor, mistakes, schedule, warm
-from gaproute.maintenance.warm import FRESH, STALE, TOLD, Shown
+from gaproute.maintenance import (
+    MaintenanceHost,
+    RoundSpec,
+    capacity_floor,
+    drain_proof,
+    mistakes,
+    schedule,
+    warm_capacity,
+)
+from gaproute.maintenance.warm_capacity import FRESH, STALE, TOLD, HostReport
 
 SECOND = 1_000_000_000
 FLEET = {
-    name: Host(name, zone, zone + rack, "a", 4, 3)
+    name: MaintenanceHost(name, zone, zone + rack, "a", 4, 3)
     for name, zone, rack in (("h0", "x", "1"), ("h1", "x", "2"), ("h2", "y", "1"), ("h3", "y", "2"))
 }
 WARM = {name: {"f": 4} for name in FLEET}
 
 
 def asked(**words):
-    return Round(
+    return RoundSpec(
         **{
             "name": "r",
             "hosts": ("h0", "h1", "h2", "h3"),
@@ -58,48 +66,57 @@
 def test_a_round_by_zone_names_its_hosts():
     assert mistakes(asked(hosts=(), zone="x"), FLEET, {"f": 4}) == []
     with pytest.raises(msgspec.ValidationError):
-        msgspec.convert({"name": "r", "out": -1, "by": 1}, Round)
+        msgspec.convert({"name": "r", "out": -1, "by": 1}, RoundSpec)
 
 
 def test_a_sight_counts_by_its_age_and_its_teller():
-    now, seen = 100 * SECOND, Shown(99 * SECOND, 1, copies=("f",))
-    assert warm.sight(now, "me", "f", seen, None, 0) == 1000
-    assert warm.sight(now, "me", "f", seen, None, 99 * SECOND) == 0  # seen before its life or the turn
-    assert [warm.weight(age) for age in (FRESH, (FRESH + STALE) // 2, STALE, -1)] == [1000, 500, 0, 0]
-    cold = Shown(90 * SECOND, 1)
-    assert warm.sight(now, "me", "f", cold, (SECOND, ("a",)), 0) == 0  # one alone may tell nonsense
-    assert warm.sight(now, "me", "f", cold, (SECOND, ("a", "me")), 0) == 0
-    assert warm.sight(now, "me", "f", cold, (SECOND, ("a", "b")), 0) == warm.weight(SECOND + TOLD)
-    assert warm.sight(now, "me", "f", seen, (SECOND, ("a", "b")), 99 * SECOND) == 0
-    later = Shown(97 * SECOND, 1)  # it showed itself cold since then
-    assert warm.sight(now, "me", "f", later, (SECOND, ("a", "b")), 0) == 0
+    now, seen = 100 * SECOND, HostReport(99 * SECOND, 1, copies=("f",))
+    assert warm_capacity.sight(now, "me", "f", seen, None, 0) == 1000
+    assert (
+        warm_capacity.sight(now, "me", "f", seen, None, 99 * SECOND) == 0
+    )  # seen before its life or the turn
+    assert [warm_capacity.weight(age) for age in (FRESH, (FRESH + STALE) // 2, STALE, -1)] == [
+        1000,
+        500,
+        0,
+        0,
+    ]
+    cold = HostReport(90 * SECOND, 1)
+    assert warm_capacity.sight(now, "me", "f", cold, (SECOND, ("a",)), 0) == 0  # one alone may tell nonsense
+    assert warm_capacity.sight(now, "me", "f", cold, (SECOND, ("a", "me")), 0) == 0
+    assert warm_capacity.sight(now, "me", "f", cold, (SECOND, ("a", "b")), 0) == warm_capacity.weight(
+        SECOND + TOLD
+    )
+    assert warm_capacity.sight(now, "me", "f", seen, (SECOND, ("a", "b")), 99 * SECOND) == 0
+    later = HostReport(97 * SECOND, 1)  # it showed itself cold since then
+    assert warm_capacity.sight(now, "me", "f", later, (SECOND, ("a", "b")), 0) == 0
 
 
 def test_lanes_leave_out_who_drains_and_count_cold_hosts_by_their_power():
     shown = {
-        "h0": Shown(0, 1, copies=("f",)),
-        "h1": Shown(0, 1, power=500, copies=("f",)),
-        "h2": Shown(0, 1, draining=True, copies=("f",)),
-        "h3": Shown(0, 1, copies=("f",)),
+        "h0": HostReport(0, 1, copies=("f",)),
+        "h1": HostReport(0, 1, power=500, copies=("f",)),
+        "h2": HostReport(0, 1, draining=True, copies=("f",)),
+        "h3": HostReport(0, 1, copies=("f",)),
     }
-    found = warm.lanes(SECOND, "me", FLEET, {}, shown, dict.fromkeys(("h0", "h1", "h2"), -1))
+    found = warm_capacity.lanes(SECOND, "me", FLEET, {}, shown, dict.fromkeys(("h0", "h1", "h2"), -1))
     assert found == {"h0": {"f": 4}, "h1": {"f": 2}, "h2": {}, "h3": {}}
 
 
 def test_the_floor_is_rounded_up_and_looks_ahead():
-    rows = floor.need(asked(margin=250, zones=500), {"f": 9, "g": 0}, ["x", "y"])
+    rows = capacity_floor.need(asked(margin=250, zones=500), {"f": 9, "g": 0}, ["x", "y"])
     assert rows == {("f", ""): 12, ("f", "x"): 3, ("f", "y"): 3, ("*", ""): 12, ("*", "x"): 3, ("*", "y"): 3}
-    assert floor.kept(FLEET, WARM, rows, "") == [] == floor.kept(FLEET, WARM, rows, "host")
-    assert floor.kept(FLEET, WARM, rows, "", ("h0",)) == []
+    assert capacity_floor.kept(FLEET, WARM, rows, "") == [] == capacity_floor.kept(FLEET, WARM, rows, "host")
+    assert capacity_floor.kept(FLEET, WARM, rows, "", ("h0",)) == []
     assert (
-        floor.worded(floor.kept(FLEET, WARM, rows, "host", ("h0",)))
+        capacity_floor.worded(capacity_floor.kept(FLEET, WARM, rows, "host", ("h0",)))
         == "floor: f in the fleet needs 12 warm lanes, has 8 if h1 fails"
     )
     zones = {("f", "x"): 3, ("f", "y"): 3}
-    assert floor.kept(FLEET, WARM, zones, "zone") == []  # not asked of the zone that fails
-    assert floor.kept(FLEET, WARM, {("f", ""): 9}, "zone")
-    assert floor.needs((asked(), asked(margin=500)), {"f": 8}, [])["f", ""] == 12
-    assert floor.strict(asked(), [asked(survive="rack")]).survive == "rack"
+    assert capacity_floor.kept(FLEET, WARM, zones, "zone") == []  # not asked of the zone that fails
+    assert capacity_floor.kept(FLEET, WARM, {("f", ""): 9}, "zone")
+    assert capacity_floor.needs((asked(), asked(margin=500)), {"f": 8}, [])["f", ""] == 12
+    assert capacity_floor.strict(asked(), [asked(survive="rack")]).survive == "rack"
 
 
 def test_who_may_go_together():
@@ -118,13 +135,15 @@
     assert schedule.loads(one, FLEET, warmed, needs, ["h0", "h1"], [], free, [], {}, 2) == [("h2", "f")]
     assert schedule.loads(one, FLEET, warmed, needs, ["h0", "h1"], [], free, [], {}, 0) == []
     assert schedule.loads(one, FLEET, warmed, needs, ["h0", "h1"], [], {"h3": 0}, [], {}, 2) == []
-    made = schedule.plan(one, FLEET, warmed, needs, ["h0", "h1"], free, schedule.Paces())
+    made = schedule.plan(one, FLEET, warmed, needs, ["h0", "h1"], free, schedule.SchedulingEstimates())
     assert made.why == "" and [name for _, name in made.steps] == ["h0", "h1"] and made.steps[0][0] > 0
 
 
 def test_a_round_without_a_lawful_schedule_names_what_is_in_its_way():
     def why(needs, **words):
-        return schedule.plan(asked(**words), FLEET, WARM, needs, list(FLEET), {}, schedule.Paces()).why
+        return schedule.plan(
+            asked(**words), FLEET, WARM, needs, list(FLEET), {}, schedule.SchedulingEstimates()
+        ).why
 
     assert why({("f", ""): 17}).endswith("needs 17 warm lanes, has 16: above all capacity")
     assert why({("f", ""): 13}) == "floor: f in the fleet needs 13 warm lanes, has 12, when h0 is to go"
@@ -132,15 +151,15 @@
 
 
 def test_a_host_is_drained_by_its_own_word_or_by_the_lists_bound():
-    bounds, life = drained.Bounds(), drained.Bounds(life=10 * SECOND)
-    assert drained.bound(bounds) is None and drained.bound(life) == 41_200_000_000
+    bounds, life = drain_proof.DrainBounds(), drain_proof.DrainBounds(life=10 * SECOND)
+    assert drain_proof.bound(bounds) is None and drain_proof.bound(life) == 41_200_000_000
     for seen, which in (
         (None, ""),
-        (Shown(5, 1, draining=True), "host"),
-        (Shown(5, 1, draining=True, hands=1), ""),
-        (Shown(3, 1, draining=True), ""),
-        (Shown(5 + 41 * SECOND, 1), ""),
-        (Shown(4 + drained.bound(life), 1), "list"),
+        (HostReport(5, 1, draining=True), "host"),
+        (HostReport(5, 1, draining=True, hands=1), ""),
+        (HostReport(3, 1, draining=True), ""),
+        (HostReport(5 + 41 * SECOND, 1), ""),
+        (HostReport(4 + drain_proof.bound(life), 1), "list"),
     ):
-        assert drained.proof(0, seen, 4, life) == which
-    assert drained.proof(0, Shown(1 << 60, 1), 4, bounds) == ""
+        assert drain_proof.proof(0, seen, 4, life) == which
+    assert drain_proof.proof(0, HostReport(1 << 60, 1), 4, bounds) == ""
--- a/tests/rollouts/test_campaign.py
+++ b/tests/rollouts/test_campaign.py
@@ -7,17 +7,17 @@
 import msgspec
 import pytest
 
-from gaproute.rollouts.campaign import Campaign, Host, check, floors, lendable
-from gaproute.rollouts.deal import deal, paces
-from gaproute.rollouts.forecast import SLOT, Demand, End, Forecast
+from gaproute.rollouts.campaign import Campaign, RolloutHost, check, floors, lendable
+from gaproute.rollouts.forecast import SLOT, CompletionEstimate, DemandForecast, FleetForecast
+from gaproute.rollouts.host_assignment import deal, paces
 from gaproute.rollouts.invariants import check_floor
-from gaproute.rollouts.orders import Choice, Latest, Orders
-from gaproute.rollouts.plan import Plan, Problem, Want, greedy, worth, wrong
-from gaproute.rollouts.shares import shares
+from gaproute.rollouts.plan import CampaignDemand, CopyPlan, PlanningProblem, greedy, worth, wrong
+from gaproute.rollouts.plan_distribution import GatewayPlan, PlanFilter, PlanSelector
 from gaproute.rollouts.solver import solve
+from gaproute.rollouts.weighted_shares import shares
 
 SECOND = 1_000_000_000
-HOSTS = [Host(f"h{number}", "ab"[number % 2], 8, 40) for number in range(4)]
+HOSTS = [RolloutHost(f"h{number}", "ab"[number % 2], 8, 40) for number in range(4)]
 
 
 def campaign(name="c", **words):
@@ -88,8 +88,8 @@
 def problem(seed, hosts=12):
     chance = random.Random(seed)
     spare = {f"h{number}": [chance.uniform(0, 8) for _ in range(6)] for number in range(hosts)}
-    wants = [Want("a", 1, 2, 3 * hosts), Want("b", 2, 1, 3 * hosts)]
-    return Problem(
+    wants = [CampaignDemand("a", 1, 2, 3 * hosts), CampaignDemand("b", 2, 1, 3 * hosts)]
+    return PlanningProblem(
         spare, {host: 2 for host in spare}, wants, [("a", f"h{number}") for number in range(hosts // 3)], 2
     )
 
@@ -100,10 +100,10 @@
         plan = greedy(given)
         assert wrong(given, plan) == [] and {name for name, _, _ in plan.copies} == {"a", "b"}
         stood = {(name, host) for name, host, _ in plan.copies}
-        again = greedy(Problem(given.spare, given.room, given.wants, sorted(stood), given.loads))
+        again = greedy(PlanningProblem(given.spare, given.room, given.wants, sorted(stood), given.loads))
         assert stood <= {(name, host) for name, host, _ in again.copies}  # nothing moves for a little
     given = problem(1)
-    broken = Plan([("a", "h0", 0), ("b", "h0", 0)], [("a", "h1", [1] * 6)])
+    broken = CopyPlan([("a", "h0", 0), ("b", "h0", 0)], [("a", "h1", [1] * 6)])
     assert len(wrong(given, broken)) >= 2
     pytest.importorskip("highspy")
     given = problem(1, 6)
@@ -122,26 +122,28 @@
     assert bad.returncode == 1 and bad.stderr.startswith(b"no plan: ")
     pytest.importorskip("highspy")
     given = problem(2, 6)
-    assert wrong(given, msgspec.json.decode(run(msgspec.json.encode(given)).stdout, type=Plan)) == []
+    assert wrong(given, msgspec.json.decode(run(msgspec.json.encode(given)).stdout, type=CopyPlan)) == []
 
 
 def test_the_solvers_plan_counts_while_sound_and_in_time():
-    given, choice = problem(1), Choice(wrong, 2 * SECOND)
-    plan, other = greedy(given), Plan([], [])
+    given, choice = problem(1), PlanSelector(wrong, 2 * SECOND)
+    plan, other = greedy(given), CopyPlan([], [])
     choice.begin(0, 1, given, plan)
     assert choice.due(SECOND) is None and choice.solved(SECOND, 1, other) is other
     assert choice.due(3 * SECOND) is None
     choice.begin(0, 2, given, plan)
-    assert choice.solved(SECOND, 2, Plan([("x", "h0", 0)], [])) is plan and choice.failed == 1
+    assert choice.solved(SECOND, 2, CopyPlan([("x", "h0", 0)], [])) is plan and choice.failed == 1
     choice.begin(0, 3, given, plan)
     assert choice.due(2 * SECOND) is plan and choice.solved(3 * SECOND, 3, other) is None
 
 
 def test_only_newer_orders_count():
-    latest = Latest()
-    assert latest.news(Orders(5, 1, {}, {}, {})) and latest.news(Orders(5, 2, {}, {}, {}))
-    assert not latest.news(Orders(4, 9, {}, {}, {})) and not latest.news(Orders(1 << 70, 1, {}, {}, {}))
-    assert latest.news(Orders(6, 1, {}, {}, {})) and latest.refused == 2
+    latest = PlanFilter()
+    assert latest.news(GatewayPlan(5, 1, {}, {}, {})) and latest.news(GatewayPlan(5, 2, {}, {}, {}))
+    assert not latest.news(GatewayPlan(4, 9, {}, {}, {})) and not latest.news(
+        GatewayPlan(1 << 70, 1, {}, {}, {})
+    )
+    assert latest.news(GatewayPlan(6, 1, {}, {}, {})) and latest.refused == 2
 
 
 def test_hosts_are_dealt_whole_and_kept():
@@ -155,13 +157,13 @@
 
 
 def test_demand_follows_its_course_and_keeps_its_spread():
-    demand = Demand([1.0] * 24 + [2.0] * 24)
+    demand = DemandForecast([1.0] * 24 + [2.0] * 24)
     for _ in range(20):
         demand.read(0, 10.0, 1.0, 2.0)
     assert demand.lanes(0, 0) == pytest.approx(20)
     assert demand.lanes(13 * 3600 * SECOND, 0) == pytest.approx(40)
     assert demand.lanes(0) == pytest.approx(22, rel=0.02)
-    forecast = Forecast()
+    forecast = FleetForecast()
     forecast.read(0, {"p": (8.0, 0.0, 1.0)})
     spare = forecast.spare(0, HOSTS, {host.name: 7 for host in HOSTS}, 2, out=[("h1", 1)])
     assert spare["h0"] == [6.0, 6.0] and spare["h1"] == [6.0, 0.0]
@@ -171,7 +173,7 @@
 
 
 def test_an_end_is_told_from_what_was_done_and_what_is_planned():
-    end = End(1000, 0)
+    end = CompletionEstimate(1000, 0)
     assert end.at_end() is None
     end.saw(10 * SECOND, 100, 10.0)  # a lane-second each
     assert end.at_end() == pytest.approx(100 * SECOND)
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -3,11 +3,11 @@
 
 import pytest
 
-from gaproute.rollouts import invariants, spend
+from gaproute.rollouts import dispatcher, invariants
 from gaproute.rollouts.campaign import lendable
-from gaproute.rollouts.loads import Loads
-from gaproute.rollouts.spend import Spend
-from gaproute.rollouts.weights import Weights
+from gaproute.rollouts.dispatcher import RolloutDispatcher
+from gaproute.rollouts.load_limiter import RolloutLoadLimiter
+from gaproute.rollouts.weight_versions import WeightVersions
 from gaproute.shared.leases import table
 from gaproute.simulation import campaigns, campaigns_gateway
 from gaproute.simulation.campaigns import play
@@ -39,12 +39,12 @@
 
 
 def said(part, now):
-    fresh = part and part.asked is not None and now - part.asked < spend.FRESH
+    fresh = part and part.asked is not None and now - part.asked < dispatcher.FRESH
     return fresh and not part.want and part.free > 0
 
 
 def a_permit_without_its_time(patch):
-    may = Spend.may
+    may = RolloutDispatcher.may
 
     def hasty(self, now, name, host):
         part, wish = self.parts.get(host), may(self, now, name, host)
@@ -56,7 +56,7 @@
                 None,
             )
 
-    patch(Spend, "may", hasty)
+    patch(RolloutDispatcher, "may", hasty)
 
 
 def lanes_are_not_counted(patch):
@@ -67,19 +67,19 @@
                 (wish for wish in part.wishes if wish.valid_at(now + self.campaigns[name].need)), None
             )
 
-    patch(Spend, "may", generous)
+    patch(RolloutDispatcher, "may", generous)
 
 
 def an_old_word_of_the_host_counts(patch):
-    patch(spend, "FRESH", 5 * SECOND)
+    patch(dispatcher, "FRESH", 5 * SECOND)
     patch(invariants, "FRESH", 5 * SECOND)
     patch(campaigns_gateway, "ASK", 700_000_000)
 
 
 def production_that_waits_is_not_looked_at(patch):
-    report = Spend.report
+    report = RolloutDispatcher.report
     patch(
-        Spend,
+        RolloutDispatcher,
         "report",
         lambda self, now, host, asked, free, want, cold=False: report(
             self, now, host, asked, max(1, free), False, cold
@@ -92,26 +92,26 @@
 
 
 def a_permit_given_back_too_soon(patch):
-    tick = Spend.tick
+    tick = RolloutDispatcher.tick
 
     def hasty(self, now):
         tick(self, now)
         for wish in [wish for part in self.parts.values() for wish in part.closing if wish.state == "held"]:
             self.holder.release(now, wish)
 
-    patch(Spend, "tick", hasty)
+    patch(RolloutDispatcher, "tick", hasty)
 
 
 def too_old_runs(patch):
-    patch(Weights, "why_not", lambda self, name, version: "")
+    patch(WeightVersions, "why_not", lambda self, name, version: "")
 
 
 def any_version_is_an_answer(patch):
-    patch(Weights, "served", staticmethod(lambda named, told: "delivered"))
+    patch(WeightVersions, "served", staticmethod(lambda named, told: "delivered"))
 
 
 def loads_without_a_ration(patch):
-    patch(Loads, "may", lambda self, now: True)
+    patch(RolloutLoadLimiter, "may", lambda self, now: True)
 
 
 def a_zone_without_its_floor(patch):
--- a/tests/rollouts/test_spend.py
+++ b/tests/rollouts/test_spend.py
@@ -1,7 +1,7 @@
 """One gateway's part: what may go out when, and what two gateways may together whatever befalls them."""
 
+from gaproute.rollouts.dispatcher import ASK, FRESH, RolloutDispatcher, pool
 from gaproute.rollouts.invariants import check_sent, check_spend
-from gaproute.rollouts.spend import ASK, FRESH, Spend, pool
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.leases.commands import ResizePool, encode
 from gaproute.shared.raft.messages import Reply
@@ -38,7 +38,7 @@
 
 def made(name="g", **words):
     given = {"c": campaign(**words), "d": campaign("d", cancel=False)}
-    return Spend(LeaseClient(name, ["k"], Zero(), 0), given, 0)
+    return RolloutDispatcher(LeaseClient(name, ["k"], Zero(), 0), given, 0)
 
 
 def send(spend, now, name="c"):
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -2,17 +2,17 @@
 have."""
 
 from gaproute.rollouts import groups as module
-from gaproute.rollouts.exchange import exchange
-from gaproute.rollouts.groups import Groups
+from gaproute.rollouts.copy_exchange import exchange
+from gaproute.rollouts.groups import RolloutGroups
 from gaproute.rollouts.invariants import check_groups, check_loads
-from gaproute.rollouts.loads import Loads, own
-from gaproute.rollouts.weights import Weights
+from gaproute.rollouts.load_limiter import RolloutLoadLimiter, own
+from gaproute.rollouts.weight_versions import WeightVersions
 from tests.rollouts.test_campaign import SECOND, campaign
 
 
 def made():
-    weights = Weights({"c": campaign(old=1)})
-    return weights, Groups(weights)
+    weights = WeightVersions({"c": campaign(old=1)})
+    return weights, RolloutGroups(weights)
 
 
 def test_versions_only_grow_and_old_rollouts_are_declined_by_name():
@@ -85,12 +85,12 @@
 
 
 def test_loads_keep_to_a_ration_of_their_own_inside_rule_5():
-    loads, rule = Loads(None, 2, SECOND), Rule5()
+    loads, rule = RolloutLoadLimiter(None, 2, SECOND), Rule5()
     loads.ordered()
     loads.ordered()
     assert not loads.may(0) and check_loads(loads) == []
     loads.ended(10)
     assert not loads.may(10 + SECOND - 1) and loads.may(10 + SECOND)
-    inside = Loads(rule, 2, SECOND)
+    inside = RolloutLoadLimiter(rule, 2, SECOND)
     inside.ordered()
     assert not inside.may(0) and own(8) == 2 and own(1) == 1 and own(0) == 0
