--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -14,7 +14,7 @@
 from collections import Counter
 from multiprocessing import Pool
 
-from gaproute.maintenance import floor
+from gaproute.maintenance import capacity_floor
 from gaproute.simulation.rounds import KINDS, play
 from gaproute.simulation.rounds.baselines import FixedGroups, OneAtATime, best, runs_with
 
@@ -65,7 +65,7 @@
         asked,
         run.fleet,
         warm,
-        floor.need(asked, run.demand, run.zones),
+        capacity_floor.need(asked, run.demand, run.zones),
         free,
         LOAD,
         itertools.permutations(asked.hosts),
--- a/gaproute/simulation/campaigns/run.py
+++ b/gaproute/simulation/campaigns/run.py
@@ -6,7 +6,7 @@
 and what was delivered.
 """
 
-from gaproute.rollouts.campaign import SECOND, WAY, Campaign, Host, check, floors, lendable
+from gaproute.rollouts.campaign import SECOND, WAY, Campaign, RolloutHost, check, floors, lendable
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.simulation.campaigns.checks import checks
@@ -39,7 +39,7 @@
         self.keepers = ["k1", "k2", "k3"]
         self.gateways = [f"g{number}" for number in range(1, case.gateways + 1)]
         self.hosts = {
-            f"h{number}": Host(f"h{number}", "abc"[number % 3], LANES, ROOM)
+            f"h{number}": RolloutHost(f"h{number}", "abc"[number % 3], LANES, ROOM)
             for number in range(1, case.hosts + 1)
         }
         self.zones = {
