--- a/benchmarks/hunt.py
+++ b/benchmarks/hunt.py
@@ -1,11 +1,12 @@
-"""A long hunt over seeds: keepers and holders under all faults; what breaks is made small and kept.
+"""A long hunt over seeds: a Raft group and its clients under all faults; what is violated is made small.
 
     python benchmarks/hunt.py [--seeds 0-999] [--seconds 60] [--keepers 3] [--kind common|tight|forgotten]
                               [--jobs 1] [--out found]
 
-Plays seeds until all are played or the time is over; says how many a minute. Each breach is written to the
-folder `--out` as a file with its last events and its plan made small, which `kept` of
-`gaproute.simulation.fault_schedule` reads back for a test to keep. Ends with 1 where anything broke.
+Plays seeds until all are played or the time is over, and says how many a minute. `--keepers` is the number of
+Raft nodes. Each violation is written to the folder `--out` as a file with its last events and its fault
+schedule made small, which `FaultSchedule.from_json` reads back for a test to store. Ends with 1 where
+anything was violated.
 """
 
 import argparse
@@ -17,66 +18,70 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from gaproute.simulation import shrink
-from gaproute.simulation.raft_group import SPANS, plan, play
+from gaproute.simulation.raft_group import RaftGroupSetup, RunKind, draw_group_schedule, play
 
-PLAYS = 200  # to make one breach small
+MAX_PLAYS = 200  # to make one violation small
 
 
-def hunt(seeds, told):
-    end, played, steps, found = time.monotonic() + told.seconds, 0, 0, {}
+def hunt(seeds, options):
+    """Plays the seeds; how many were played, their steps, and the violations found by name."""
+    setup = RaftGroupSetup(kind=RunKind(options.kind), nodes=options.keepers)
+    end, played, steps, found = time.monotonic() + options.seconds, 0, 0, {}
     for seed in seeds:
         if time.monotonic() > end:
             break
-        world, breach = play(plan(seed, told.keepers, told.kind), told.keepers, told.kind)
-        played, steps = played + 1, steps + world.step
-        if breach is None:
+        simulation, violation = play(draw_group_schedule(seed, setup), setup)
+        played, steps = played + 1, steps + simulation.timeline.step
+        if violation is None:
             continue
-        found[breach.name] = found.get(breach.name, 0) + 1
-        print(breach, flush=True)
-        if found[breach.name] == 1:  # one of each name is made small
-            small, least = shrink(
-                lambda plan: play(plan, told.keepers, told.kind)[1], breach.plan, breach.name, PLAYS
-            )
-            Path(told.out).mkdir(parents=True, exist_ok=True)
-            kept = Path(told.out, f"{told.kind}-{told.keepers}-{seed}.txt")
-            kept.write_text((least or breach).report() + "\n")
-            print(f"  from {len(breach.plan.faults)} faults to {len(small.faults)}", flush=True)
+        found[violation.name] = found.get(violation.name, 0) + 1
+        print(violation, flush=True)
+        if found[violation.name] == 1:  # one of each name is made small
+            write_small(violation, setup, options.out)
     return played, steps, found
 
 
+def write_small(violation, setup, folder):
+    """Writes the report of the smallest schedule that violates the same."""
+    schedule = violation.position.schedule
+    small, smallest = shrink(lambda each: play(each, setup)[1], schedule, violation.name, MAX_PLAYS)
+    Path(folder).mkdir(parents=True, exist_ok=True)
+    file = Path(folder, f"{setup.kind}-{setup.nodes}-{schedule.seed}.txt")
+    file.write_text((smallest or violation).report() + "\n")
+    print(f"  from {len(schedule.faults)} faults to {len(small.faults)}", flush=True)
+
+
+def run_jobs(seeds, options):
+    """Plays parts of the seeds in processes of their own; the greatest exit code."""
+    share = -(-len(seeds) // options.jobs)
+    passed_on = {name: getattr(options, name) for name in ("seconds", "keepers", "kind", "out")}
+    command = [sys.executable, __file__]
+    for name, value in passed_on.items():
+        command += [f"--{name}", str(value)]
+    parts = [seeds[at : at + share] for at in range(0, len(seeds), share)]
+    jobs = [subprocess.Popen([*command, "--seeds", f"{part[0]}-{part[-1]}"]) for part in parts]
+    return max(job.wait() for job in jobs)
+
+
 def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--seeds", default="0-999")
-    arguments.add_argument("--seconds", type=float, default=60)
-    arguments.add_argument("--keepers", type=int, default=3)
-    arguments.add_argument("--kind", choices=SPANS, default="common")
-    arguments.add_argument("--jobs", type=int, default=1)
-    arguments.add_argument("--out", default="found")
-    told = arguments.parse_args()
-    first, _, last = told.seeds.partition("-")
+    """The command."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--seeds", default="0-999")
+    parser.add_argument("--seconds", type=float, default=60)
+    parser.add_argument("--keepers", type=int, default=3)
+    parser.add_argument("--kind", choices=[kind.value for kind in RunKind], default="common")
+    parser.add_argument("--jobs", type=int, default=1)
+    parser.add_argument("--out", default="found")
+    options = parser.parse_args()
+    first, _, last = options.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
-    if told.jobs > 1:  # each plays a run of seeds of its own, as a process
-        share = -(-len(seeds) // told.jobs)
-        words = [
-            sys.executable,
-            __file__,
-            "--seconds",
-            str(told.seconds),
-            "--keepers",
-            str(told.keepers),
-            "--kind",
-            told.kind,
-            "--out",
-            told.out,
-        ]
-        parts = [seeds[at : at + share] for at in range(0, len(seeds), share)]
-        started = [subprocess.Popen([*words, "--seeds", f"{part[0]}-{part[-1]}"]) for part in parts]
-        return max(one.wait() for one in started)
+    if options.jobs > 1:
+        return run_jobs(seeds, options)
     began = time.monotonic()
-    played, steps, found = hunt(seeds, told)
+    played, steps, found = hunt(seeds, options)
     took = time.monotonic() - began
     print(
-        f"{told.kind}, {told.keepers} keepers: {played} seeds in {took:.1f} s, "
+        f"{options.kind}, {options.keepers} keepers: {played} seeds in {took:.1f} s, "
         f"{60 * played / took:.0f} a minute ({60 * played / time.process_time():.0f} by CPU), "
         f"{steps / max(1, played):.0f} steps a seed; broken: {found or 'nothing'}",
         flush=True,
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -14,157 +14,187 @@
 from collections import Counter
 from multiprocessing import Pool
 
-from gaproute.maintenance import capacity_floor
-from gaproute.simulation.rounds import KINDS, play
-from gaproute.simulation.rounds.baselines import FixedGroups, OneAtATime, best, runs_with
+from gaproute.maintenance import RoundController, capacity_floor
+from gaproute.simulation.rounds import RunKind, play
+from gaproute.simulation.rounds.baselines import BestOrder, FixedGroups, OneAtATime
+from gaproute.simulation.units import SECOND
 
-SECOND = 1_000_000_000
-MADE = {"in steps": None, "one at a time": OneAtATime, "fixed groups": FixedGroups}
-LOAD = 3 * SECOND  # of a copy in the mean
-LONG = 60 * SECOND  # a host away in the runs that are timed: what a restart of a machine takes
+KINDS = tuple(RunKind)
+IN_STEPS = "in steps"
+CONTROLLERS = {IN_STEPS: RoundController, "one at a time": OneAtATime, "fixed groups": FixedGroups}
+MEAN_LOAD_TIME = 3 * SECOND  # of a copy
+TIMED_OUT_TIME = 60 * SECOND  # a host away in the runs that are timed: what a restart of a machine takes
+TIMED_HOSTS = (5, 8)
+MAX_TIMED_HOSTS = 5  # of a round, as every order of them is tried
 
 
-def one(job):
+def play_one(job):
+    """A row of results for a (kind, seed, way)."""
     kind, seed, way = job
-    told = {} if MADE[way] is None else {"made": runs_with(MADE[way])}
-    run, breach = play(seed, kind, **told)
-    ends = Counter(run.judge.ends.get(asked.name, (0, "open"))[1] for asked in run.rounds)
+    run, violation = play(seed, kind, controller=CONTROLLERS[way])
+    judge = run.judge
+    stages = [judge.ends[spec.name].stage if spec.name in judge.ends else "open" for spec in run.rounds]
     return {
         "kind": kind,
         "seed": seed,
         "way": way,
-        "breach": str(breach)[:400] if breach else "",
-        "ends": dict(ends),
-        "outs": run.judge.outs,
-        "own": run.judge.own,
-        "lost": run.judge.lost,
-        "breaches": [
-            {
-                "row": list(each[2]),
-                "floor": each[3],
-                "there": each[4],
-                "class": each[5],
-                "what": list(each[6]),
-                "things": each[7],
-                "touch": each[8].split()[0],
-            }
-            for each in run.judge.breaches
-        ],
+        "breach": str(violation)[:400] if violation else "",
+        "ends": dict(Counter(stages)),
+        "outs": judge.restarts,
+        "own": judge.own_breaches,
+        "lost": judge.lost_requests,
+        "breaches": [breach_row(breach) for breach in judge.breaches],
     }
 
 
-def timed(seed):
-    """(hosts, ns of the run, ns of the best order), or None where the round was refused or is too large."""
-    run, breach = play(seed, "none", outs=LONG, hosts=(5, 8))
-    (asked,), (end,) = run.rounds, run.judge.ends.values() if run.judge.ends else (None,)
-    if breach or end is None or end[1] != "ended" or len(asked.hosts) > 5:
+def breach_row(breach):
+    """A breach of the floor as it is stored."""
+    return {
+        "row": list(breach.row),
+        "floor": breach.floor,
+        "there": breach.lanes,
+        "class": breach.kind,
+        "what": list(breach.causes),
+        "things": breach.failed_domains,
+        "touch": breach.last_change.split()[0],
+    }
+
+
+def time_one(seed):
+    """(hosts, ns of the run, ns of the best order); None where the round was refused or is too large."""
+    run, violation = play(seed, RunKind.NONE, out_time=TIMED_OUT_TIME, hosts=TIMED_HOSTS)
+    (spec,) = run.rounds
+    end = run.judge.ends.get(spec.name)
+    if violation or end is None or end.stage != "ended" or len(spec.hosts) > MAX_TIMED_HOSTS:
         return None
-    warm = {name: dict.fromkeys(copies, run.fleet[name].lanes) for name, copies in run.copies.items()}
-    free = {name: host.slots - len(warm[name]) for name, host in run.fleet.items()}
-    shortest = best(
-        asked,
-        run.fleet,
-        warm,
-        capacity_floor.need(asked, run.demand, run.zones),
-        free,
-        LOAD,
-        itertools.permutations(asked.hosts),
-    )
-    return None if shortest is None else (len(asked.hosts), end[0], shortest)
+    scene = run.scene
+    fleet = scene.fleet
+    warm = {name: dict.fromkeys(copies, fleet.hosts[name].lanes) for name, copies in fleet.copies.items()}
+    free = {name: host.slots - len(warm[name]) for name, host in fleet.hosts.items()}
+    needs = capacity_floor.need(spec, scene.demand, fleet.zones)
+    best = BestOrder(spec, fleet.hosts, warm, needs, free, MEAN_LOAD_TIME)
+    shortest = best.shortest(itertools.permutations(spec.hosts))
+    return None if shortest is None else (len(spec.hosts), end.time, shortest)
 
 
 def table(rows):
+    """The rows as lines of Markdown, by way and kind."""
     lines = [
         "| way | faults | runs | hosts out | ended | refused | open | promised | beyond | own | checks |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
     ]
-    for way in MADE:
+    for way in CONTROLLERS:
         for kind in (*KINDS, "sum"):
             mine = [row for row in rows if row["way"] == way and kind in (row["kind"], "sum")]
-            if not mine:
-                continue
-            ends = sum((Counter(row["ends"]) for row in mine), Counter())
-            of_class = [
-                sum(any(each["class"] == name for each in row["breaches"]) for row in mine)
-                for name in ("promised", "beyond")
-            ]
-            outs, own = sum(row["outs"] for row in mine), sum(row["own"] > 0 for row in mine)
-            checks = sum(bool(row["breach"]) for row in mine)
-            lines.append(
-                f"| {way} | {kind} | {len(mine)} | {outs} | {ends['ended']} | {ends['refused']} | "
-                f"{ends['open']} | {of_class[0]} | {of_class[1]} | {own} | {checks} |"
-            )
+            if mine:
+                lines.append(table_line(way, kind, mine))
     return lines
 
 
-def main():
-    words = argparse.ArgumentParser()
-    words.add_argument("--seeds", type=int, default=1008)
-    words.add_argument("--others", type=int, default=240)
-    words.add_argument("--timed", type=int, default=60)
-    words.add_argument("--processes", type=int, default=8)
-    words.add_argument(
-        "--most", type=int, default=3600, help="s after which it tells what was done until then"
+def table_line(way, kind, rows):
+    """One line of the table."""
+    ends = sum((Counter(row["ends"]) for row in rows), Counter())
+    broken = [
+        sum(any(breach["class"] == name for breach in row["breaches"]) for row in rows)
+        for name in ("promised", "beyond")
+    ]
+    outs, own = sum(row["outs"] for row in rows), sum(row["own"] > 0 for row in rows)
+    checks = sum(bool(row["breach"]) for row in rows)
+    return (
+        f"| {way} | {kind} | {len(rows)} | {outs} | {ends['ended']} | {ends['refused']} | "
+        f"{ends['open']} | {broken[0]} | {broken[1]} | {own} | {checks} |"
     )
-    words.add_argument("--out", default="")
-    told, began = words.parse_args(), time.time()
-    jobs = [(KINDS[seed % len(KINDS)], seed, "in steps") for seed in range(told.seeds)]
+
+
+def breach_lines(rows):
+    """How often each kind of breach was found in steps, as a list."""
+    counts = Counter(
+        f"{row['kind']}: {breach['class']}, {breach['things']} failed "
+        f"({', '.join(breach['what']) or 'nothing'}), at {breach['touch']}"
+        for row in rows
+        if row["way"] == IN_STEPS
+        for breach in row["breaches"]
+    )
+    return [f"- {count} times {name}" for name, count in sorted(counts.items())]
+
+
+def timing_lines(times):
+    """How much longer rounds took than by the best order."""
+    ratios = sorted(run / shortest for _, run, shortest in times)
+    if not ratios:
+        return []
+    return [
+        f"Time against the best order that sees all, {len(ratios)} rounds of up to {MAX_TIMED_HOSTS} hosts, "
+        f"{TIMED_OUT_TIME // SECOND} s each away: median {statistics.median(ratios):.2f}, "
+        f"most {ratios[-1]:.2f}, "
+        f"{sum(ratio > 1.5 for ratio in ratios)} above 1.5.",
+        "",
+    ]
+
+
+def measure(options):
+    """Rows of all runs and times; what was done until the time was over."""
+    began = time.time()
     jobs = [
         (KINDS[seed % len(KINDS)], seed, way)
         for way in ("one at a time", "fixed groups")
-        for seed in range(told.others)
-    ] + jobs
-    with Pool(told.processes) as pool:
-        times = [each for each in pool.imap_unordered(timed, range(told.timed), 1) if each]
+        for seed in range(options.others)
+    ]
+    jobs += [(KINDS[seed % len(KINDS)], seed, IN_STEPS) for seed in range(options.seeds)]
+    with Pool(options.processes) as pool:
+        times = [each for each in pool.imap_unordered(time_one, range(options.timed), 1) if each]
         rows = []
-        for row in pool.imap_unordered(one, jobs, 4):
+        for row in pool.imap_unordered(play_one, jobs, 4):
             rows.append(row)
-            if time.time() - began > told.most:
+            if time.time() - began > options.most:
                 pool.terminate()
                 break
-    ratios = sorted(run / shortest for _, run, shortest in times)
-    faults = Counter(
-        f"{row['kind']}: {each['class']}, {each['things']} failed "
-        f"({', '.join(each['what']) or 'nothing'}), at {each['touch']}"
-        for row in rows
-        if row["way"] == "in steps"
-        for each in row["breaches"]
+    return rows, times
+
+
+def write(path, lines, rows, times, done):
+    """Writes the page and the figures."""
+    with open(f"{path}.md", "w") as file:
+        file.write("# Rounds of maintenance, measured by `benchmarks/rounds.py`\n\n" + "\n".join(lines))
+    figures = {
+        "rows": [row for row in rows if row["breaches"] or row["breach"]],
+        "times": times,
+        "done": dict(done),
+    }
+    with open(f"{path}.json", "w") as file:
+        json.dump(figures, file, indent=1)
+
+
+def main():
+    """The command."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--seeds", type=int, default=1008)
+    parser.add_argument("--others", type=int, default=240)
+    parser.add_argument("--timed", type=int, default=60)
+    parser.add_argument("--processes", type=int, default=8)
+    parser.add_argument(
+        "--most", type=int, default=3600, help="s after which it tells what was done until then"
     )
+    parser.add_argument("--out", default="")
+    options, began = parser.parse_args(), time.time()
+    rows, times = measure(options)
     done = Counter(row["way"] for row in rows)
     lines = [
-        f"{done['in steps']} seeds in steps, {done['one at a time']} of each other way, "
-        f"{told.processes} processes, {time.time() - began:.0f} s",
+        f"{done[IN_STEPS]} seeds in steps, {done['one at a time']} of each other way, "
+        f"{options.processes} processes, {time.time() - began:.0f} s",
         "",
         *table(rows),
         "",
         "Runs with at least one breach are counted, by class (see docs/maintenance.md). "
         "In steps, each breach:",
         "",
-        *(f"- {count} times {name}" for name, count in sorted(faults.items())),
+        *breach_lines(rows),
         "",
+        *timing_lines(times),
     ]
-    if ratios:
-        lines += [
-            f"Time against the best order that sees all, {len(ratios)} rounds of up to 5 hosts, "
-            f"{LONG // SECOND} s each away: median {statistics.median(ratios):.2f}, "
-            f"most {ratios[-1]:.2f}, "
-            f"{sum(ratio > 1.5 for ratio in ratios)} above 1.5.",
-            "",
-        ]
     print("\n".join(lines))
-    if told.out:
-        with open(f"{told.out}.md", "w") as file:
-            file.write("# Rounds of maintenance, measured by `benchmarks/rounds.py`\n\n" + "\n".join(lines))
-        with open(f"{told.out}.json", "w") as file:
-            json.dump(
-                {
-                    "rows": [row for row in rows if row["breaches"] or row["breach"]],
-                    "times": times,
-                    "done": dict(done),
-                },
-                file,
-                indent=1,
-            )
+    if options.out:
+        write(options.out, lines, rows, times, done)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -11,6 +11,7 @@
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.simulation.fault_schedule import FaultSchedule
+from gaproute.simulation.options import MessageCodec, SimulationOptions
 from gaproute.simulation.simulation import Simulation
 
 SECOND = 1_000_000_000
@@ -51,9 +52,8 @@
         self.messages, self.sent, self.spent = 0, 0, Counter()
         makes = {name: self.keeper for name in GROUP}
         makes |= {f"h{number}": self.holder for number in range(holders)}
-        super().__init__(
-            FaultSchedule(seed, 1 << 62), makes, rates=dict.fromkeys(makes, 0), wire=(encoded, decoded)
-        )
+        options = SimulationOptions(drifts=dict.fromkeys(makes, 0), codec=MessageCodec(encoded, decoded))
+        super().__init__(FaultSchedule(seed, 1 << 62), makes, options=options)
 
     def keeper(self, name, disk, chance, now):
         """A member of the group."""
@@ -63,35 +63,35 @@
         """A gateway that wants leases."""
         return LeaseClient(name, GROUP, chance, now)
 
-    def call(self, seat, what, *told):
+    def call(self, slot, call):
         """As a simulation's, metered."""
         begun = time.process_time()
-        super().call(seat, what, *told)
-        self.spent[seat.name] += time.process_time() - begun
+        super().call(slot, call)
+        self.spent[slot.name] += time.process_time() - begun
 
-    def send(self, seat, to, message):
+    def send(self, slot, to, message):
         """As a simulation's, counted."""
         self.messages += 1
         self.sent += posted(encoded(message))
-        super().send(seat, to, message)
+        super().send(slot, to, message)
 
     def play(self, seconds):
-        """Plays so long, second by second: the world's bound on steps is one of a hunt's whole run."""
+        """Plays so long, second by second: the simulation's bound on steps is one of a hunt's whole run."""
         for _ in range(seconds):
-            self.step = 0
+            self.timeline.step = 0
             self.run(self.now + SECOND)
 
     def take(self, holder, resource):
         """The holder wants this lease from now on."""
 
-        def ask(actor, now):
-            actor.acquire(now, resource, SPAN)
+        def acquire(client, now):
+            client.acquire(now, resource, SPAN)
 
-        self.ask(holder, ask)
+        self.ask(holder, acquire)
 
     def leading(self):
         """The name of the group's leader."""
-        return next(name for name in GROUP if self.seats[name].actor.is_leader)
+        return next(name for name in GROUP if self.slots[name].process.is_leader)
 
 
 def played(holders, leases, seed):
@@ -103,12 +103,12 @@
         for number in range(holders):
             group.take(f"h{number}", f"host-{number:04}-{place:02}")
             group.run(group.now + between)
-            group.step = 0
+            group.timeline.step = 0
     group.play(PLAYED)
     group.messages, group.sent = 0, 0
     group.spent.clear()
     group.play(PLAYED)
-    machine = group.seats[group.leading()].actor.machine
+    machine = group.slots[group.leading()].process.machine
     assert len(machine.leases) == holders * leases, len(machine.leases)
     return group
 
--- a/gaproute/simulation/campaigns/cases.py
+++ b/gaproute/simulation/campaigns/cases.py
@@ -1,92 +1,115 @@
-"""The hard cases of campaigns, each a script with a seed."""
+"""The hard cases of campaigns: the fleet, the faults and what is done from outside in a run of each."""
 
-from typing import NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple, TypeAlias
 
-from gaproute.simulation.campaigns.gateway import SimulatedGateway
-from gaproute.simulation.fault_schedule import ScheduledFault
-from gaproute.simulation.simulation import START
+from gaproute.shared.raft import RaftNode
+from gaproute.simulation.campaigns.fleet import CampaignFleet, FleetSize
+from gaproute.simulation.campaigns.scene import HostBehaviour
+from gaproute.simulation.campaigns.trainer import Trainer
+from gaproute.simulation.events import Start
+from gaproute.simulation.fault_schedule import FaultKind, ScheduledFault
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.simulation import Simulation
+from gaproute.simulation.units import MILLISECOND, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+FAULT_AT = 6 * SECOND
+LONG_CUT = 9 * SECOND  # outlasts every lease
+CUT_ZONE = "b"
 
-AT, LONG = 6 * SECOND, 9 * SECOND  # when a fault begins; a cut that outlasts every permit
+Faults: TypeAlias = tuple[ScheduledFault, ...]
+FaultMaker: TypeAlias = Callable[[CampaignFleet, SeededRandom, int], Faults]  # the int: the run's end, ns
 
 
-def none(play):
+class Act(NamedTuple):
+    """Something that is done from outside once, at the true time `at`, ns."""
+
+    at: int
+    act: Callable[[Trainer, Simulation], None]
+
+
+def no_faults(fleet: CampaignFleet, random: SeededRandom, end: int) -> Faults:
+    """None."""
     return ()
 
 
 class Case(NamedTuple):
-    """`acts`: [(true time, what(play, world))]; `tasks`: of a step, so many that weights move every few
-    seconds."""
+    """`name` is what results and tests call it."""
 
     name: str
-    faults: object = none
-    acts: tuple = ()
-    two: bool = False
-    store: bool = False
-    gateways: int = 6
-    hosts: int = 8
-    tasks: int = 240
-    floor: int = 1  # lanes of each host that are never taken
-    liars: bool = False  # hosts answer by their newest copy, whatever was named
+    faults: FaultMaker = no_faults
+    acts: tuple[Act, ...] = ()
+    size: FleetSize = FleetSize()
+    behaviour: HostBehaviour = HostBehaviour()
+
+
+def cut_zone(fleet: CampaignFleet, random: SeededRandom, end: int) -> Faults:
+    """The gateways, the hosts and the one Raft node of a zone hear each other only."""
+    targets = tuple(fleet.numbers[name] for name in fleet.numbers if fleet.zones[name] == CUT_ZONE)
+    return (ScheduledFault(FaultKind.PARTITION, FAULT_AT, FAULT_AT + LONG_CUT, targets),)
 
 
-def zone_cut(play):
-    """Gateways, hosts and the one keeper of a zone hear each other only."""
-    who = tuple(play.numbers[name] for name in play.numbers if play.zones[name] == "b")
-    return (ScheduledFault("part", AT, AT + LONG, who),)
+def crash_gateways(fleet: CampaignFleet, random: SeededRandom, end: int) -> Faults:
+    """Seven of ten gateways crash."""
+    crashed = fleet.gateways[: len(fleet.gateways) * 7 // 10]
+    return tuple(_crash(fleet, name, SECOND) for name in crashed)
 
 
-def seven_of_ten(play):
-    gone = play.gateways[: len(play.gateways) * 7 // 10]
-    return tuple(ScheduledFault("crash", AT, AT + SECOND, (play.numbers[name],)) for name in gone)
+def crash_hosts(fleet: CampaignFleet, random: SeededRandom, end: int) -> Faults:
+    """Half of the hosts crash."""
+    return tuple(_crash(fleet, name, 2 * SECOND) for name in list(fleet.hosts)[::2])
 
 
-def half_of_hosts(play):
-    gone = list(play.hosts)[::2]
-    return tuple(ScheduledFault("crash", AT, AT + 2 * SECOND, (play.numbers[name],)) for name in gone)
+def _crash(fleet: CampaignFleet, name: str, lasts: int) -> ScheduledFault:
+    return ScheduledFault(FaultKind.CRASH, FAULT_AT, FAULT_AT + lasts, (fleet.numbers[name],))
 
 
-def noise(play):
-    """Loss, doubling and late words all the time, gateways that stand still or are killed."""
-    chance = play.chance
+def noise(fleet: CampaignFleet, random: SeededRandom, end: int) -> Faults:
+    """Messages are lost, duplicated and late all the time; gateways are paused or crash."""
     faults = [
-        ScheduledFault("lose", SECOND, play.end, (), 30_000),
-        ScheduledFault("double", SECOND, play.end, (), 50_000),
+        ScheduledFault(FaultKind.LOSE_MESSAGES, SECOND, end, (), 30_000),
+        ScheduledFault(FaultKind.DUPLICATE_MESSAGES, SECOND, end, (), 50_000),
     ]
     now = 5 * SECOND
-    while now < play.end - 2 * SECOND:
-        who = (play.numbers[chance.of(play.gateways)],)
-        kind = chance.of(("crash", "pause", "slow", "hold", "cut"))
-        one, other = play.numbers[chance.of(play.gateways)], play.numbers[chance.of(list(play.hosts))]
-        faults.append(
-            ScheduledFault(
-                kind,
-                now,
-                now + chance.between(200, 1500) * MILLI,
-                (one, other) if kind in ("hold", "cut") else () if kind == "slow" else who,
-                300 * MILLI if kind == "slow" else 0,
-            )
-        )
-        now += chance.between(500, 2500) * MILLI
+    while now < end - 2 * SECOND:
+        faults.append(_noisy_fault(fleet, random, now))
+        now += random.between(500, 2500) * MILLISECOND
     return tuple(faults)
 
 
-def move(play, world):
-    """The trainer has new weights, done or not."""
-    for name in play.campaigns:
-        play.versions[name] += 1
-        world.ask(play.gateways[0], SimulatedGateway.moved, name, play.versions[name])
-
-
-def kill_leader(play, world):
-    """Weights have just moved on when the keeper that leads ends; it starts again after 2 s."""
-    move(play, world)
-    for name in play.keepers:
-        seat = world.seats[name]
-        if seat.actor is not None and seat.actor.is_leader:
-            world.crash(seat)
-            world.push(world.now + 2 * SECOND, START, seat, None, None)
+def _noisy_fault(fleet: CampaignFleet, random: SeededRandom, now: int) -> ScheduledFault:
+    target = fleet.numbers[random.choice(fleet.gateways)]
+    kind = random.choice(
+        (
+            FaultKind.CRASH,
+            FaultKind.PAUSE,
+            FaultKind.DELAY_MESSAGES,
+            FaultKind.HOLD_MESSAGES,
+            FaultKind.CUT_ONE_WAY,
+        )
+    )
+    link = fleet.numbers[random.choice(fleet.gateways)], fleet.numbers[random.choice(list(fleet.hosts))]
+    until = now + random.between(200, 1500) * MILLISECOND
+    match kind:
+        case FaultKind.HOLD_MESSAGES | FaultKind.CUT_ONE_WAY:
+            return ScheduledFault(kind, now, until, link)
+        case FaultKind.DELAY_MESSAGES:
+            return ScheduledFault(kind, now, until, (), 300 * MILLISECOND)
+    return ScheduledFault(kind, now, until, (target,))
+
+
+def move_on(trainer: Trainer, simulation: Simulation) -> None:
+    """The trainer has new weights, whether the step is complete or not."""
+    trainer.move_on(simulation)
+
+
+def crash_leader(trainer: Trainer, simulation: Simulation) -> None:
+    """The trainer has just moved on when the Raft group's leader crashes; it starts again after 2 s."""
+    trainer.move_on(simulation)
+    for slot in simulation.slot_list:
+        if isinstance(slot.process, RaftNode) and slot.process.is_leader:
+            simulation.crash(slot)
+            simulation.push(simulation.now + 2 * SECOND, Start(slot))
             return
 
 
@@ -94,14 +117,14 @@
     case.name: case
     for case in (
         Case("plain"),
-        Case("leader killed", acts=((AT, kill_leader),)),
-        Case("fast weights", acts=tuple((AT + step * SECOND // 5, move) for step in range(4))),
-        Case("zone cut", zone_cut),
-        Case("seven of ten", seven_of_ten, gateways=10),
-        Case("half of hosts", half_of_hosts),
-        Case("two campaigns", two=True, tasks=160),
-        Case("slow store", store=True, tasks=900),
+        Case("leader killed", acts=(Act(FAULT_AT, crash_leader),)),
+        Case("fast weights", acts=tuple(Act(FAULT_AT + step * SECOND // 5, move_on) for step in range(4))),
+        Case("zone cut", cut_zone),
+        Case("seven of ten", crash_gateways, size=FleetSize(gateways=10)),
+        Case("half of hosts", crash_hosts),
+        Case("two campaigns", size=FleetSize(campaigns=2, step_tasks=160)),
+        Case("slow store", size=FleetSize(step_tasks=900), behaviour=HostBehaviour(slow_store=True)),
         Case("noise", noise),
-        Case("liars", liars=True),
+        Case("liars", behaviour=HostBehaviour(newest_answers=True)),
     )
 }
--- a/gaproute/simulation/campaigns/checks.py
+++ b/gaproute/simulation/campaigns/checks.py
@@ -1,75 +1,107 @@
-"""What must hold of campaigns, by the truth at hosts and by each gateway's own state, at every step of a
-run."""
+"""What must hold of campaigns, by the truth at the hosts and by each gateway's own state."""
+
+from collections.abc import Iterator
 
-from gaproute.rollouts.campaign import SECOND
 from gaproute.rollouts.dispatcher import pool
 from gaproute.rollouts.invariants import check_floor, check_groups, check_loads, check_spend
 from gaproute.shared.leases.invariants import check_client
+from gaproute.simulation.campaigns.fleet import RAFT_NODES
+from gaproute.simulation.campaigns.gateway import SimulatedGateway
+from gaproute.simulation.campaigns.host import SimulatedHost
+from gaproute.simulation.campaigns.messages import Copy, Task
+from gaproute.simulation.campaigns.scene import Scene
 from gaproute.simulation.invariant_checks import InvariantChecks
-from gaproute.simulation.raft_group.checks import SentMessageChecks
+from gaproute.simulation.process_slot import ProcessSlot
+from gaproute.simulation.raft_group.message_checks import SentMessageChecks
+from gaproute.simulation.simulation import Simulation
+from gaproute.simulation.units import MILLISECOND, SECOND
+
+MAX_STOP_TIME = SECOND // 5  # after production wants a host's lanes no gateway sends rollouts there
+EXPENSIVE_CHECK_PERIOD = 12  # steps: a lease lasts seconds
+
+
+class CampaignChecks:
+    """The checks of one run, for `InvariantChecks`."""
+
+    def __init__(self, scene: Scene) -> None:
+        self.scene, self.fleet = scene, scene.fleet
 
-STOP = SECOND // 5  # from when production wants a host's room until no gateway sends rollouts there
-DEEP = 12  # steps between the dear checks: a permit lasts seconds
+    def invariant_checks(self) -> InvariantChecks:
+        """All checks, by when they are due."""
+        return InvariantChecks(
+            after_each_step=[self.check_step],
+            before_each_send=[self.check_task, SentMessageChecks(RAFT_NODES)],
+            periodic=[self.check_leased_lanes, self.check_floors],
+            period=EXPENSIVE_CHECK_PERIOD,
+        )
 
+    def check_step(self, simulation: Simulation, slot: ProcessSlot) -> Iterator[str]:
+        """Looks at the process that has just acted, and at what was recorded meanwhile."""
+        yield from self.scene.rollouts.violations[:1]
+        match slot.process:
+            case SimulatedHost():
+                yield from self._check_host(slot.process)
+            case SimulatedGateway():
+                yield from self._check_gateway(slot.process, slot.clock.own_time(simulation.now))
 
-def checks(play):
-    return InvariantChecks(
-        [lambda world, seat: touched(play, world, seat)],
-        [lambda world, seat, to, message: sent(play, world, seat, to, message), SentMessageChecks(play)],
-        [
-            lambda world: parts(play, world),
-            lambda world: check_floor(list(play.hosts.values()), play.lent, play.floors),
-        ],
-        every=DEEP,
-    )
+    def _check_host(self, host: SimulatedHost) -> Iterator[str]:
+        lanes = host.lanes
+        if lanes.rollouts > host.lendable:
+            yield f"room never overspent: {lanes.rollouts} of {host.lendable} lanes at {host.name}"
+        if len(lanes.running) > host.spec.lanes:
+            yield f"a host runs as many as it has lanes: {host.name}"
 
+    @staticmethod
+    def _check_gateway(gateway: SimulatedGateway, now: int) -> Iterator[str]:
+        yield from check_spend(gateway.dispatcher, now)
+        yield from check_groups(gateway.rollouts.groups)
+        yield from check_loads(gateway.copies.limiter)
+        yield from check_client(gateway.leases)
 
-def touched(play, world, seat):
-    if play.breaches:
-        yield play.breaches[0]
-    if seat.actor is None:
-        return
-    if seat.name in play.hosts:
-        truth = seat.actor
-        if truth.rollouts > play.lent[seat.name]:
-            yield f"room never overspent: {truth.rollouts} of {play.lent[seat.name]} lanes at {seat.name}"
-        if len(truth.running) > truth.spec.lanes:
-            yield f"a host runs as many as it has lanes: {seat.name}"
-    elif seat.name in play.gateways:
-        gateway, now = seat.actor, seat.clock.own(world.now)
-        yield from check_spend(gateway.spend, now)
-        yield from check_groups(gateway.groups)
-        yield from check_loads(gateway.loads)
-        yield from check_client(gateway.holder)
+    def check_leased_lanes(self, simulation: Simulation) -> Iterator[str]:
+        """All gateways' leases of each host's lanes, each by its own clock, at this true moment."""
+        leased: dict[str, int] = {}
+        for slot in simulation.slot_list:
+            if isinstance(slot.process, SimulatedGateway):
+                own_time = slot.clock.own_time(simulation.now)
+                for request in slot.process.leases.requests:
+                    if request.valid_at(own_time):
+                        leased[request.resource] = leased.get(request.resource, 0) + request.amount
+        for name, lanes in self.fleet.lendable.items():
+            amount = leased.get(pool(name), 0)
+            if amount > max(1, lanes):
+                yield f"room never overspent: leases of {amount} of {lanes} lanes at {name}"
 
+    def check_floors(self, simulation: Simulation) -> list[str]:
+        """The lanes that are never lent."""
+        hosts = list(self.fleet.hosts.values())
+        violations: list[str] = check_floor(hosts, self.fleet.lendable, self.fleet.floors)
+        return violations
 
-def parts(play, world):
-    """All gateways' parts of each host, each by its own clock, at this true moment."""
-    held = {}
-    for name in play.gateways:
-        seat = world.seats[name]
-        if seat.actor is not None:
-            own = seat.clock.own(world.now)
-            for wish in seat.actor.holder.requests:
-                if wish.valid_at(own):
-                    held[wish.resource] = held.get(wish.resource, 0) + wish.amount
-    for name, lanes in play.lent.items():
-        if held.get(pool(name), 0) > max(1, lanes):
-            yield f"room never overspent: parts of {held[pool(name)]} of {lanes} lanes at {name}"
+    def check_task(
+        self, simulation: Simulation, slot: ProcessSlot, to: str, message: object
+    ) -> Iterator[str]:
+        """Looks at each rollout that a gateway sends to a host."""
+        gateway, host = slot.process, simulation.slots[to].process if to in self.fleet.hosts else None
+        if not isinstance(message, Task) or message.copy is None or not isinstance(gateway, SimulatedGateway):
+            return
+        if isinstance(host, SimulatedHost) and host.production_waits_since is not None:
+            yield from self._check_stop(simulation, host, message)
+        yield from self._check_version(gateway, message.name, message.copy)
 
+    def _check_stop(self, simulation: Simulation, host: SimulatedHost, task: Task) -> Iterator[str]:
+        late = simulation.now - (host.production_waits_since or 0)
+        self.scene.rollouts.last_sent_late = max(self.scene.rollouts.last_sent_late, late)
+        if late > MAX_STOP_TIME:
+            since = f"{late / MILLISECOND:.0f} ms after production wanted its lanes"
+            yield f"production first: {task.name} to {host.name} {since}"
 
-def sent(play, world, seat, to, message):
-    if to not in play.hosts or message[0] != "task" or not message[2]:
-        return
-    truth, gateway = world.seats[to].actor, seat.actor
-    _, task, campaign, version, *_ = message
-    if truth is not None and truth.want_since is not None:
-        late = world.now - truth.want_since
-        play.stop = max(play.stop, late)
-        if late > STOP:
-            yield f"production first: {task} to {to} {late / 1e6:.0f} ms after production wanted its room"
-    if gateway.weights.now[campaign] - version > gateway.campaigns[campaign].old:
-        yield f"too old is not run: {task} of version {version}, now {gateway.weights.now[campaign]}"
-    group = gateway.groups.open.get(gateway.tasks[task][1])
-    if group is not None and group.version != version:
-        yield f"no version mixing: {task} of version {version} in a group of {group.version}"
+    @staticmethod
+    def _check_version(gateway: SimulatedGateway, task: str, copy: Copy) -> Iterator[str]:
+        rollouts = gateway.rollouts
+        newest = rollouts.weights.now[copy.campaign]
+        if newest - copy.version > rollouts.campaigns[copy.campaign].old:
+            yield f"too old is not run: {task} of version {copy.version}, now {newest}"
+        group = rollouts.groups.open.get(rollouts.sent[task].group)
+        if group is not None and group.version != copy.version:
+            yield f"no version mixing: {task} of version {copy.version} in a group of {group.version}"
--- a/gaproute/simulation/campaigns/gateway.py
+++ b/gaproute/simulation/campaigns/gateway.py
@@ -1,270 +1,154 @@
-"""A gateway of the simulated campaigns: its holder, its spending, its versions and groups, and production's
-tasks."""
+"""A gateway of a campaign run: its leases, gossip, rollouts and copies, and the requests of production."""
 
-from collections import deque
-
-from gaproute.rollouts.copy_exchange import exchange
 from gaproute.rollouts.dispatcher import ASK, RolloutDispatcher
-from gaproute.rollouts.groups import RolloutGroups
-from gaproute.rollouts.invariants import check_sent
-from gaproute.rollouts.load_limiter import RolloutLoadLimiter
-from gaproute.rollouts.plan_distribution import PlanFilter
-from gaproute.rollouts.weight_versions import WeightVersions
+from gaproute.rollouts.plan_distribution import GatewayPlan, PlanFilter
 from gaproute.shared.gossip import GossipMessage, GossipNode
 from gaproute.shared.leases import LeaseClient
-from gaproute.simulation.campaigns.planner import Planner
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
-
-TELL = 500 * MILLI  # between two tellings of versions to all
-STEP = 100 * MILLI  # between two looks at copies
-GIVEN = 1500 * MILLI  # until a production task or a load without an answer counts as lost
-EXCHANGE = "rollouts/exchange"
+from gaproute.simulation.campaigns.copy_loader import CopyLoader
+from gaproute.simulation.campaigns.fleet import RAFT_NODES
+from gaproute.simulation.campaigns.host_views import HostViews
+from gaproute.simulation.campaigns.messages import (
+    CancelTask,
+    CopyLoaded,
+    HostStatus,
+    PlanUpdate,
+    ProductionWaits,
+    TaskEnded,
+    VersionReport,
+)
+from gaproute.simulation.campaigns.planner import PRODUCTION, Planner
+from gaproute.simulation.campaigns.production_client import ProductionClient
+from gaproute.simulation.campaigns.rollout_sender import RolloutSender
+from gaproute.simulation.campaigns.scene import Scene
+from gaproute.simulation.process_slot import OutgoingMessages
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.units import MILLISECOND
+
+VERSION_REPORT_INTERVAL = 500 * MILLISECOND
+COPY_STEP_INTERVAL = 100 * MILLISECOND
+
+Outgoing = list[tuple[str, object]]
 
 
 class SimulatedGateway:
-    def __init__(self, play, name, disk, chance, now):
-        self.play, self.name, self.chance = play, name, chance
-        self.campaigns = play.campaigns
-        self.holder = LeaseClient(name, play.keepers, chance, now)
-        self.spend = RolloutDispatcher(self.holder, self.campaigns, now)
-        self.weights = WeightVersions(self.campaigns)
-        self.groups = RolloutGroups(self.weights)
-        self.loads = RolloutLoadLimiter(None, play.ration, 2 * SECOND)
-        self.latest, self.planner = PlanFilter(), Planner(self, now)
-        self.gossip = GossipNode(name, 1 + play.number(), chance, now)
-        self.peers = [other for other in play.gateways if other != name]
+    """The gateway `name` of the scene."""
+
+    def __init__(self, scene: Scene, name: str, random: SeededRandom, now: int) -> None:
+        # The order in which the parts are made is that in which they draw their first random numbers.
+        self.leases = LeaseClient(name, RAFT_NODES, random, now)
+        self.dispatcher = RolloutDispatcher(self.leases, scene.fleet.campaigns, now)
+        self.views = HostViews(scene.numbers)
+        self.rollouts = RolloutSender(scene, name, random, self.dispatcher, self.views)
+        self.copies = CopyLoader(self.leases, self.dispatcher, self.rollouts.weights, self.views)
+        self.planner = Planner(scene, name, random, now, self.leases, self.views, self._production_demand)
+        self.gossip = GossipNode(name, 1 + scene.numbers.next(), random, now)
+        self.production = ProductionClient(scene)
+        self.name, self.peers = name, [other for other in scene.fleet.gateways if other != name]
         self.gossip.set_peers(now, self.peers)
-        self.asks, self.known = {}, {}  # number: (host, when); host: its last room
-        self.heard = {}  # peer: when
-        self.queues = {campaign: deque() for campaign in self.campaigns}  # (group, task, version)
-        self.tasks, self.mine = {}, {}  # rollouts: (campaign, group, version); production: when
-        self.under = {}  # loads under way: host: (copy, wish, when)
-        self.planned = {}  # campaign: hosts
-        self.ask_at = self.tell_at = self.step_at = now
-        self.wanted = {}  # host: wants told
+        self._plans = PlanFilter()
+        self._production_waits: set[str] = set()  # hosts that peers were notified of; membership only
+        self._query_at = self._report_at = self._copy_step_at = now
 
     @property
-    def due(self):
-        return min(self.ask_at, self.gossip.due, *([self.holder.due] if self.holder.due is not None else []))
-
-    def tick(self, now):
-        out = self.holder.tick(now) + self.gossip.tick(now)
-        if now >= self.ask_at:
-            self.ask_at = now + ASK
-            for number in [number for number, (_, when) in self.asks.items() if now - when > SECOND]:
-                del self.asks[number]
-            hosts = dict.fromkeys(self.spend.asking(now))
-            hosts.update(dict.fromkeys(self.planner.asking(now)))
-            for host in hosts:
-                number = self.play.number()
-                self.asks[number] = host, now
-                out.append((host, ("ask", number)))
-            self.spend.tick(now)
-            for task in [task for task in self.tasks if task not in self.spend.hands]:
-                self.back(task)  # its time is over: its host has ended it
-        if now >= self.tell_at:
-            self.tell_at = now + TELL
-            out += [(peer, ("weights", dict(self.weights.now))) for peer in self.peers]
-        if now >= self.step_at:
-            self.step_at = now + STEP
-            out += self.aged(now) + self.exchanged(now)
-            for task in [task for task, (_, when) in self.mine.items() if now - when > GIVEN]:
-                self.given(now, task)
-        out += self.planner.tick(now)
-        return out + self.fill(now)
-
-    def hear(self, now, sender, message):
+    def due(self) -> int:
+        """When `tick` is to be called."""
+        times = [self._query_at, self.gossip.due]
+        return min(times if self.leases.due is None else [*times, self.leases.due])
+
+    def tick(self, now: int) -> OutgoingMessages:
+        """Does what is due."""
+        outgoing: Outgoing = [*self.leases.tick(now), *self.gossip.tick(now)]
+        if now >= self._query_at:
+            self._query_at = now + ASK
+            outgoing += self._query_hosts(now)
+        if now >= self._report_at:
+            self._report_at = now + VERSION_REPORT_INTERVAL
+            report = VersionReport(dict(self.rollouts.weights.now))
+            outgoing += [(peer, report) for peer in self.peers]
+        if now >= self._copy_step_at:
+            self._copy_step_at = now + COPY_STEP_INTERVAL
+            outgoing += self.rollouts.drop_old_groups()
+            outgoing += self.copies.step(now)
+            self.production.expire(now)
+        outgoing += self._plan(now)
+        return outgoing + self.rollouts.send(now)
+
+    def hear(self, now: int, sender: str, message: object) -> OutgoingMessages:
+        """Takes a message; what it makes possible is sent at once."""
+        if sender in RAFT_NODES:
+            return self.leases.hear(now, sender, message)
         if isinstance(message, GossipMessage):
-            self.heard[sender] = now
+            self.planner.heard_at[sender] = now
             self.gossip.receive(now, sender, message)
             return []
-        if not isinstance(message, tuple):
-            return self.holder.hear(now, sender, message)
-        kind, *told = message
-        out = getattr(self, "_" + kind)(now, sender, *told) or []
-        return out + self.fill(now)
-
-    def _room(self, now, host, name, number, free, want, lacking, cold, copies, loading, room):
-        asked = self.asks.pop(number, None)
-        if asked is None:
-            return []
-        self.known[host] = asked[1], copies, loading, room
-        self.spend.report(now, host, asked[1], free, want, cold)
-        self.gossip.record_available_capacity(host, free)
-        out = [(host, ("cancel", task)) for task in self.spend.cancels(host, lacking)]
-        if not want:
-            self.wanted.pop(host, None)
-            return out
-        if host not in self.wanted:
-            self.wanted[host] = now
-            out += [(peer, ("want", host)) for peer in self.peers]
-        return out
-
-    def _want(self, now, sender, host):
-        self.spend.wanted(now, host)
-
-    def _weights(self, now, sender, versions):
-        for name, version in versions.items():
-            self.weights.moved(name, version)
-        self.heard[sender] = now
-
-    def moved(self, now, name, version):
-        """The trainer's word to this gateway; the others hear it from here."""
-        self.weights.moved(name, version)
-        self.tell_at = 0
+        return self._handle(now, sender, message) + self.rollouts.send(now)
+
+    def produce(self, now: int) -> OutgoingMessages:
+        """A request of production comes."""
+        self.gossip.record_arrival(now, PRODUCTION, 0)
+        return self.production.send(now)
+
+    def set_version(self, now: int, campaign: str, version: int) -> None:
+        """The trainer has moved on; the other gateways are notified at the next tick."""
+        self.rollouts.weights.moved(campaign, version)
+        self._report_at = 0
+
+    def _production_demand(self, now: int) -> float:
+        return self.gossip.demand(now, PRODUCTION, 0).total
+
+    def _handle(self, now: int, sender: str, message: object) -> Outgoing:
+        match message:
+            case HostStatus():
+                return self._take_status(now, message)
+            case ProductionWaits(host=host):
+                self.dispatcher.wanted(now, host)
+            case VersionReport(versions=versions):
+                for campaign, version in versions.items():
+                    self.rollouts.weights.moved(campaign, version)
+                self.planner.heard_at[sender] = now
+            case PlanUpdate(plan=plan):
+                self._take_plan(now, plan)
+            case CopyLoaded(host=host, copy=copy):
+                self.copies.record_end(now, host, copy)
+            case TaskEnded():
+                if not self.production.record_end(message.task):
+                    self.rollouts.record_end(now, message)
         return []
 
-    def _orders(self, now, sender, orders):
-        if self.latest.news(orders):
-            self.planned = orders.copies
-            self.spend.aim(now, orders.aims, orders.paces)
-
-    def _loaded(self, now, host, name, copy):
-        held = self.under.pop(host, None)
-        if held is not None:
-            self.loads.ended(now, copy is not None)
-            if held[1] is not None:
-                self.holder.release(now, held[1])
-
-    def _ended(self, now, host, name, task, how, version):
-        if task in self.mine:
-            self.given(now, task)
-            return
-        self.spend.ended(now, task, how != "full")
-        if how == "miss" and task in self.tasks and host in self.known:
-            asked, copies, *rest = self.known[host]
-            self.known[host] = asked, copies - {(self.tasks[task][0], self.tasks[task][2])}, *rest
-        if how == "done" and task in self.tasks:
-            campaign, group, named = self.tasks.pop(task)
-            if self.groups.answered(group, task, version) == "delivered":
-                self.play.delivered(self, campaign, group)
-        else:
-            self.back(task)
-
-    def back(self, task):
-        """It never ran, or was cancelled: it may go again while its group stands."""
-        told = self.tasks.pop(task, None)
-        if told is not None and told[1] in self.groups.open:
-            self.queues[told[0]].appendleft((told[1], task, told[2]))
-
-    # Rollouts
-
-    def aged(self, now):
-        """What became too old is declined by name, and what runs of it is cancelled."""
-        out = []
-        for _, tasks in self.groups.aged():
-            out += [
-                (self.spend.hands[task].host, ("cancel", task)) for task in tasks if task in self.spend.hands
-            ]
-        for queue in self.queues.values():
-            for entry in [entry for entry in queue if entry[0] not in self.groups.open]:
-                queue.remove(entry)
-        return out
-
-    def supply(self, campaign):
-        version, queue = self.weights.now[campaign], self.queues[campaign]
-        if sum(entry[2] == version for entry in queue) < self.campaigns[campaign].group:
-            group, size = f"{self.name}/{self.play.number()}", self.campaigns[campaign].group
-            for number in range(size):
-                task = f"{group}/{number}"
-                if not self.groups.take(group, task, campaign, version, size):
-                    queue.append((group, task, version))
-
-    def fill(self, now):
-        out = []
-        for host in list(self.spend.parts):
-            for campaign in list(self.spend.parts[host].aims):
-                while (wish := self.spend.may(now, campaign, host)) is not None:
-                    self.supply(campaign)
-                    copies = self.known[host][1]
-                    queue = self.queues[campaign]
-                    entry = next((entry for entry in queue if (campaign, entry[2]) in copies), None)
-                    if entry is None:
-                        break
-                    queue.remove(entry)
-                    group, task, version = entry
-                    if self.weights.why_not(campaign, version):
-                        continue  # its group is scrapped at the next look
-                    self.play.found(check_sent(self.spend, now, campaign, host))
-                    self.spend.sent(now, task, campaign, host, wish)
-                    self.tasks[task] = campaign, group, version
-                    lasts = self.play.lasts(self.chance)
-                    out.append(
-                        (
-                            host,
-                            (
-                                "task",
-                                task,
-                                campaign,
-                                version,
-                                lasts,
-                                self.campaigns[campaign].most,
-                                self.play.world.now,
-                            ),
-                        )
-                    )
-        return out
-
-    def exchanged(self, now):
-        out = []
-        for host in [host for host, (_, _, when) in self.under.items() if now - when > 20 * SECOND]:
-            self._loaded(now, host, host, None)
-        for name, hosts in self.planned.items():
-            mine = [
-                host
-                for host in hosts
-                if host in self.spend.parts and host in self.known and now - self.known[host][0] < SECOND
-            ]
-            copies = {
-                host: [version for campaign, version in sorted(self.known[host][1]) if campaign == name]
-                for host in mine
-            }
-            free = {host: self.known[host][3] for host in mine}
-            loading = [
-                host
-                for host in mine
-                if host in self.under or any(campaign == name for campaign, _ in self.known[host][2])
-            ]
-            wanted = self.weights.wanted(name)
-            for kind, host, version in exchange(name, 1, wanted, mine, copies, loading, free):
-                if kind == "drop":
-                    out.append((host, ("drop", (name, version))))
-                elif host not in self.under and self.loads.may(now):
-                    wish = self.holder.acquire(now, EXCHANGE, 10 * SECOND) if kind == "swap" else None
-                    self.under[host] = (name, version), wish, now
-                    self.loads.ordered()
-        for host, (copy, wish, _) in list(self.under.items()):
-            if wish is not None and wish.state not in ("asked", "held"):
-                self._loaded(now, host, host, None)
-            elif wish is None or wish.valid_at(now):
-                known = self.known.get(host)
-                if known and copy in known[1]:
-                    self._loaded(now, host, host, copy)
-                elif known and known[3] < 1 and copy not in known[2]:
-                    old = min((each for each in known[1] if each[0] == copy[0]), default=None)
-                    out += [(host, ("drop", old))] if old else []
-                elif known and copy not in known[2]:
-                    out.append((host, ("load", copy)))
-        return out
-
-    # Production
-
-    def produce(self, now):
-        """A task of production comes: to the one of two hosts with fewer of the own. It does not look at
-        campaigns, so that the same production is played with and without them."""
-        self.gossip.record_arrival(now, "p", 0)
-        hosts = self.play.up()
-        chance = self.play.production  # the same with and without campaigns
-        one, other = chance.of(hosts), chance.of(hosts)
-        if self._hands(other) < self._hands(one):
-            one = other
-        task = f"p{self.play.number()}"
-        self.mine[task] = one, now
-        return [(one, ("task", task, "", None, self.play.takes(chance), GIVEN, self.play.world.now))]
-
-    def _hands(self, host):
-        return sum(each == host for each, _ in self.mine.values())
-
-    def given(self, now, task):
-        self.mine.pop(task, None)
+    def _query_hosts(self, now: int) -> Outgoing:
+        """Asks hosts for their status, and forgets what was never answered."""
+        self.views.expire(now)
+        hosts = dict.fromkeys(self.dispatcher.asking(now))
+        hosts.update(dict.fromkeys(self.planner.hosts_to_query(now)))
+        queries = self.views.query(now, hosts)
+        self.dispatcher.tick(now)
+        self.rollouts.requeue_expired()
+        return [*queries]
+
+    def _take_status(self, now: int, status: HostStatus) -> Outgoing:
+        host = status.host
+        asked_at = self.views.take(host, status)
+        if asked_at is None:
+            return []
+        self.dispatcher.report(now, host, asked_at, status.free_lanes, status.production_waits, status.cold)
+        self.gossip.record_available_capacity(host, status.free_lanes)
+        cancelled = self.dispatcher.cancels(host, status.lanes_lacking)
+        outgoing: Outgoing = [(host, CancelTask(task)) for task in cancelled]
+        if not status.production_waits:
+            self._production_waits.discard(host)
+        elif host not in self._production_waits:
+            self._production_waits.add(host)
+            outgoing += [(peer, ProductionWaits(host)) for peer in self.peers]
+        return outgoing
+
+    def _plan(self, now: int) -> Outgoing:
+        """Distributes a new plan where this gateway is the planner."""
+        plans = self.planner.step(now)
+        if self.name in plans:
+            self._take_plan(now, plans[self.name])
+        return [(peer, PlanUpdate(plan)) for peer, plan in plans.items() if peer != self.name]
+
+    def _take_plan(self, now: int, plan: GatewayPlan) -> None:
+        if self._plans.news(plan):
+            self.copies.planned = plan.copies
+            self.dispatcher.aim(now, plan.aims, plan.paces)
--- a/gaproute/simulation/campaigns/host.py
+++ b/gaproute/simulation/campaigns/host.py
@@ -1,138 +1,222 @@
-"""A host of the simulated campaigns: lanes, copies, production that waits. It is the truth that is judged."""
+"""A host of a campaign run: lanes, copies, production that waits. Its state is the truth that is judged."""
 
 import heapq
+from dataclasses import dataclass
+from typing import NamedTuple
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.rollouts.campaign import WAY
+from gaproute.simulation.campaigns.messages import (
+    CancelTask,
+    Copy,
+    CopyLoaded,
+    DropCopy,
+    HostStatus,
+    LoadCopy,
+    StatusQuery,
+    Task,
+    TaskEnded,
+    TaskResult,
+)
+from gaproute.simulation.campaigns.scene import Scene
+from gaproute.simulation.process_slot import OutgoingMessages
+from gaproute.simulation.units import SECOND
 
-COLD = 2 * SECOND  # after a start: it says so, and bears little
+COLD_TIME = 2 * SECOND  # after a restart, in which the host says that it bears little
 
 
-class SimulatedHost:
-    """`play` tells how long a load takes now and is told what runs. Messages are tuples; see `hear`."""
-
-    def __init__(self, play, name, disk, chance, now):
-        self.play, self.name = play, name
-        self.spec, self.lent = play.hosts[name], play.lent[name]
-        self.began, self.cold = now, play.started(name)  # the first start is a warm one
-        self.ready = now + (play.loads(name) if self.cold else 0)  # production's copy stands from then
-        self.copies, self.loading = set(), {}  # (campaign, version)
-        self.running, self.ends, self.queue = {}, [], []  # task: (sender, campaign or "", version)
-        self.rollouts = 0
-        self.want_since = None
-        self.due = None
+class WaitingTask(NamedTuple):
+    """A request of production that waits for a lane."""
+
+    sender: str
+    task: Task
+
+
+class RunningTask(NamedTuple):
+    """A task on a lane, and the copy that answers it; None: production's."""
+
+    sender: str
+    copy: Copy | None
+
+
+class TaskTimer(NamedTuple):
+    """A task is over at `at`; `number` orders timers of one time."""
+
+    at: int
+    number: int
+    task: str
+
+
+class LoadTimer(NamedTuple):
+    """A copy is loaded at `at`."""
+
+    at: int
+    number: int
+    copy: Copy
+    sender: str
+
+
+@dataclass(slots=True)
+class LaneUse:
+    """What runs on a host's lanes."""
+
+    running: dict[str, RunningTask]  # by task
+    rollouts: int = 0  # of them
 
     @property
-    def production(self):
+    def production(self) -> int:
+        """Requests of production that run."""
         return len(self.running) - self.rollouts
 
-    def state(self):
-        """After each change: production's want is dated."""
-        floor = self.spec.lanes - self.lent
-        want = bool(self.queue) or self.production >= self.lent and floor > 0
-        if not want:
-            self.want_since = None
-        elif self.want_since is None:
-            self.want_since = self.play.world.now
-        self.due = min([self.ends[0][0]] if self.ends else [], default=None)
-        return want
-
-    def _after(self, when, what):
-        heapq.heappush(self.ends, (when, self.play.number(), what))
-
-    def tick(self, now):
-        out = []
-        while self.ends and self.ends[0][0] <= now:
-            _, _, (kind, *told) = heapq.heappop(self.ends)
-            if kind == "end":
-                out += self._end(now, told[0], "done")
-            elif self.loading.pop(told[0], None):
-                self.copies.add(told[0])
-                out.append((told[1], ("loaded", self.name, told[0])))
-        self.state()
-        return out
-
-    def _end(self, now, task, how):
-        if task not in self.running:
-            return []
-        sender, campaign, version = self.running.pop(task)
-        self.rollouts -= bool(campaign)
-        self.play.ran(task, campaign, version, how)
-        if self.queue:
-            self._run(now, *self.queue.pop(0))
-        return [(sender, ("ended", self.name, task, how, version))]
-
-    def _run(self, now, sender, task, campaign, version, lasts, limit):
-        if campaign and self.play.case.liars:
-            version = max(other for name, other in self.copies if name == campaign)
-        self.running[task] = sender, campaign, version
-        self.rollouts += bool(campaign)
-        if not campaign:
-            self.play.waited(task, lasts)
-        self._after(now + min(lasts, limit), ("end", task))
-
-    def hear(self, now, sender, message):
-        kind, *told = message
-        out = getattr(self, "_" + kind)(now, sender, *told)
-        self.state()
-        return out
-
-    def _ask(self, now, sender, number):
-        free = self.lent - len(self.running) if now >= self.ready else 0
-        # What production waits for and what of its floor rollouts stand on, which were there before it.
-        lacking = len(self.queue) + min(self.rollouts, max(0, len(self.running) - self.lent))
-        cold = self.cold and now < self.began + COLD
-        return [
-            (
-                sender,
-                (
-                    "room",
-                    self.name,
-                    number,
-                    max(0, free),
-                    self.state(),
-                    lacking,
-                    cold,
-                    frozenset(self.copies),
-                    frozenset(self.loading),
-                    self.free_room(),
-                ),
-            )
-        ]
-
-    def free_room(self):
+
+class SimulatedHost:
+    """The host `name` of the scene.
+
+    `restarted`: it comes back without copies, and production's own copy has to be loaded first.
+    `production_waits_since`: the true time since when production wants lanes that rollouts may have.
+    """
+
+    def __init__(self, scene: Scene, name: str, now: int, *, restarted: bool) -> None:
+        self.scene, self.name = scene, name
+        self.spec, self.lendable = scene.fleet.hosts[name], scene.fleet.lendable[name]
+        self.copies: set[Copy] = set()  # membership and extremes only: a set has no order
+        self.loading: dict[Copy, int] = {}  # since when
+        self.lanes = LaneUse({})
+        self.queue: list[WaitingTask] = []
+        self.production_waits_since: int | None = None
+        self._timers: list[TaskTimer | LoadTimer] = []
+        self._restarted, self._cold_until = restarted, now + COLD_TIME
+        self._ready_at = now + (scene.behaviour.load_time if restarted else 0)
+
+    @property
+    def due(self) -> int | None:
+        """When a task is over or a copy loaded."""
+        return self._timers[0].at if self._timers else None
+
+    @property
+    def free_room(self) -> int:
+        """Copies that may still be loaded."""
         return self.spec.room - len(self.copies) - len(self.loading)
 
-    def _task(self, now, sender, task, campaign, version, lasts, limit, sent):
-        if campaign and self.play.world.now - sent > self.play.way:
-            return []  # its connection was closed before it came
-        if task in self.running:
-            return []  # doubled on its way: a stream has each byte once
-        if campaign:
-            if (campaign, version) not in self.copies:
-                return [(sender, ("ended", self.name, task, "miss", None))]
-            if len(self.running) >= self.spec.lanes:
-                return [(sender, ("ended", self.name, task, "full", None))]
-        elif self.play.came(task) or now < self.ready:
-            return [(sender, ("ended", self.name, task, "miss", None))]
-        elif len(self.running) >= self.spec.lanes:
-            self.queue.append((sender, task, campaign, version, lasts, limit))
-            return []
-        self._run(now, sender, task, campaign, version, lasts, limit)
+    def tick(self, now: int) -> OutgoingMessages:
+        """Ends what is due."""
+        outgoing: list[tuple[str, object]] = []
+        while self._timers and self._timers[0].at <= now:
+            match heapq.heappop(self._timers):
+                case TaskTimer(task=task):
+                    outgoing += self._end(now, task, TaskResult.DONE)
+                case LoadTimer(copy=copy, sender=sender):
+                    if self.loading.pop(copy, None) is not None:
+                        self.copies.add(copy)
+                        outgoing.append((sender, CopyLoaded(self.name, copy)))
+        self._update_waiting()
+        return outgoing
+
+    def hear(self, now: int, sender: str, message: object) -> OutgoingMessages:
+        """Takes a message of a gateway."""
+        outgoing = self._handle(now, sender, message)
+        self._update_waiting()
+        return outgoing
+
+    def _handle(self, now: int, sender: str, message: object) -> OutgoingMessages:
+        match message:
+            case StatusQuery(number=number):
+                return [(sender, self._status(now, number))]
+            case Task():
+                return self._take_task(now, sender, message)
+            case CancelTask(task=task):
+                return self._end(now, task, TaskResult.CANCELLED)
+            case LoadCopy(copy=copy):
+                return self._load(now, sender, copy)
+            case DropCopy(copy=copy):
+                self._drop(copy)
         return []
 
-    def _cancel(self, now, sender, task):
-        return self._end(now, task, "cancelled")
+    def _update_waiting(self) -> bool:
+        """Whether production wants lanes that rollouts may have; dates the want after each change."""
+        floor = self.spec.lanes - self.lendable
+        waits = bool(self.queue) or self.lanes.production >= self.lendable and floor > 0
+        if not waits:
+            self.production_waits_since = None
+        elif self.production_waits_since is None:
+            self.production_waits_since = self.scene.true_time()
+        return waits
+
+    def _status(self, now: int, number: int) -> HostStatus:
+        running = len(self.lanes.running)
+        # What production waits for, and what of its floor is taken by rollouts that were there before.
+        lacking = len(self.queue) + min(self.lanes.rollouts, max(0, running - self.lendable))
+        return HostStatus(
+            host=self.name,
+            number=number,
+            free_lanes=max(0, self.lendable - running) if now >= self._ready_at else 0,
+            production_waits=self._update_waiting(),
+            lanes_lacking=lacking,
+            cold=self._restarted and now < self._cold_until,
+            copies=frozenset(self.copies),
+            loading=frozenset(self.loading),
+            free_room=self.free_room,
+        )
+
+    def _take_task(self, now: int, sender: str, task: Task) -> OutgoingMessages:
+        if task.copy is not None and self.scene.true_time() - task.sent_at > WAY:
+            return []  # its connection was closed before it arrived
+        if task.name in self.lanes.running:
+            return []  # duplicated on its way: a stream has each byte once
+        if task.copy is None:
+            self.scene.production.record_arrival(task.name)
+            if now < self._ready_at:
+                return self._reject(sender, task, TaskResult.NOT_LOADED)
+        elif task.copy not in self.copies:
+            return self._reject(sender, task, TaskResult.NOT_LOADED)
+        if len(self.lanes.running) < self.spec.lanes:
+            self._run(now, sender, task)
+            return []
+        if task.copy is not None:
+            return self._reject(sender, task, TaskResult.FULL)
+        self.queue.append(WaitingTask(sender, task))
+        return []
 
-    def _load(self, now, sender, copy):
-        if copy in self.copies or copy in self.loading:
-            return [(sender, ("loaded", self.name, copy))] if copy in self.copies else []
-        if self.free_room() < 1:
-            return [(sender, ("loaded", self.name, None))]
+    def _reject(self, sender: str, task: Task, result: TaskResult) -> OutgoingMessages:
+        return [(sender, TaskEnded(self.name, task.name, result, None))]
+
+    def _run(self, now: int, sender: str, task: Task) -> None:
+        copy = task.copy
+        if copy is None:
+            self.scene.production.record_start(task.name, task.duration)
+        elif self.scene.behaviour.newest_answers:
+            copy = max(each for each in self.copies if each.campaign == copy.campaign)
+        self.lanes.running[task.name] = RunningTask(sender, copy)
+        self.lanes.rollouts += copy is not None
+        over_at = now + min(task.duration, task.limit)
+        heapq.heappush(self._timers, TaskTimer(over_at, self.scene.numbers.next(), task.name))
+
+    def _end(self, now: int, task: str, result: TaskResult) -> list[tuple[str, object]]:
+        if task not in self.lanes.running:
+            return []
+        sender, copy = self.lanes.running.pop(task)
+        version = None if copy is None else copy.version
+        if copy is not None:
+            self.lanes.rollouts -= 1
+            if result is TaskResult.DONE:
+                self.scene.rollouts.record_answer(task, version)
+        if self.queue:
+            waiting = self.queue.pop(0)
+            self._run(now, waiting.sender, waiting.task)
+        return [(sender, TaskEnded(self.name, task, result, version))]
+
+    def _load(self, now: int, sender: str, copy: Copy) -> OutgoingMessages:
+        if copy in self.copies:
+            return [(sender, CopyLoaded(self.name, copy))]
+        if copy in self.loading:
+            return []
+        if self.free_room < 1:
+            return [(sender, CopyLoaded(self.name, None))]
         self.loading[copy] = now
-        self._after(now + self.play.loads(self.name), ("load", copy, sender))
+        loaded_at = now + self.scene.behaviour.load_time
+        heapq.heappush(self._timers, LoadTimer(loaded_at, self.scene.numbers.next(), copy, sender))
         return []
 
-    def _drop(self, now, sender, copy):
-        if not any(copy == (campaign, version) for _, campaign, version in self.running.values()):
-            self.copies.discard(copy)  # else it is asked again once it is idle
-        return []
+    def _drop(self, copy: Copy) -> None:
+        """Where a rollout runs on the copy, the gateway asks again once it is idle."""
+        if not any(task.copy == copy for task in self.lanes.running.values()):
+            self.copies.discard(copy)
--- a/gaproute/simulation/campaigns/planner.py
+++ b/gaproute/simulation/campaigns/planner.py
@@ -1,91 +1,133 @@
-"""The part of a simulated gateway that plans, while it holds the planner's permit."""
+"""The part of a simulated gateway that plans, while it holds the planner's lease."""
+
+from collections.abc import Callable, Mapping, Sequence
 
 from gaproute.rollouts.dispatcher import pool
 from gaproute.rollouts.forecast import FleetForecast
 from gaproute.rollouts.host_assignment import deal, paces
-from gaproute.rollouts.plan import CampaignDemand, PlanningProblem, greedy
+from gaproute.rollouts.plan import CampaignDemand, CopyPlan, PlanningProblem, greedy
 from gaproute.rollouts.plan_distribution import PLANNER, GatewayPlan
+from gaproute.shared.leases import LeaseClient
+from gaproute.shared.leases.requests import LeaseRequest
+from gaproute.simulation.campaigns.copy_loader import EXCHANGE
+from gaproute.simulation.campaigns.host_views import HostView, HostViews
+from gaproute.simulation.campaigns.scene import MEAN_PRODUCTION_TIME, Scene
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.units import MILLISECOND, SECOND
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
-
-EVERY = SECOND  # between plans
-ASKS = 250 * MILLI  # between two askings of all hosts
-LOST = 1500 * MILLI  # a host or gateway not heard for so long gets nothing
-SPAN = 4 * SECOND  # of the planner's permit
+PLAN_INTERVAL = SECOND
+QUERY_INTERVAL = 250 * MILLISECOND  # between queries of all hosts
+SILENCE_LIMIT = 1500 * MILLISECOND  # a host or gateway that is silent for so long gets nothing
+LEASE_DURATION = 4 * SECOND
+PLANNED_SLOTS = 4
+WANTED_LANES = 10_000  # by each campaign: as many as there are
+PRODUCTION = "p"  # production's function, in gossip
 
 
 class Planner:
-    def __init__(self, gateway, now):
-        self.gateway, self.wish = gateway, None
-        self.again = now + gateway.chance.below(EVERY)
-        self.asked = self.planned = now
-        self.number, self.owners, self.forecast, self.sized = 0, {}, FleetForecast(), {}
-        self.made = 0
+    """Plans for all gateways that were heard lately.
 
-    def plans(self, now):
-        return self.wish is not None and self.wish.valid_at(now)
+    `name`: of its own gateway. `demand(now)`: of production, requests a second, as gossip says.
+    """
 
-    def asking(self, now):
-        if not self.plans(now) or now < self.asked:
+    def __init__(
+        self,
+        scene: Scene,
+        name: str,
+        random: SeededRandom,
+        now: int,
+        leases: LeaseClient,
+        views: HostViews,
+        demand: Callable[[int], float],
+    ) -> None:
+        self.scene, self.name, self.random = scene, name, random
+        self.leases, self.views, self.demand = leases, views, demand
+        self.heard_at: dict[str, int] = {}  # by peer
+        self._lease: LeaseRequest | None = None
+        self._request_lease_at = now + random.below(PLAN_INTERVAL)
+        self._query_at = self._plan_at = now
+        self._plan_number = 0
+        self._owners: dict[str, str] = {}  # by host: the gateway that had it in the last plan
+        self._pool_sizes: dict[str, int] = {}  # as set under this lease
+        self._forecast = FleetForecast()
+
+    def hosts_to_query(self, now: int) -> Sequence[str]:
+        """The hosts that are to be asked for their status now."""
+        if not self._is_planner(now) or now < self._query_at:
             return ()
-        self.asked = now + ASKS
-        return list(self.gateway.play.hosts)
+        self._query_at = now + QUERY_INTERVAL
+        return list(self.scene.fleet.hosts)
 
-    def tick(self, now):
-        gateway = self.gateway
-        if self.wish is None or self.wish.state not in ("asked", "held"):
-            if now >= self.again:
-                self.again = now + EVERY // 2 + gateway.chance.below(EVERY)
-                self.wish, self.owners, self.sized = gateway.holder.acquire(now, PLANNER, SPAN), {}, {}
-                self.planned = now + EVERY // 2
-        if not self.plans(now) or now < self.planned:
-            return []
-        self.planned = now + EVERY
-        return self.plan(now)
+    def step(self, now: int) -> Mapping[str, GatewayPlan]:
+        """The plans that are to be distributed now, by gateway; its own gateway's too."""
+        if (self._lease is None or not self._lease.open) and now >= self._request_lease_at:
+            delay = PLAN_INTERVAL // 2 + self.random.below(PLAN_INTERVAL)
+            self._request_lease_at = now + delay
+            self._lease = self.leases.acquire(now, PLANNER, LEASE_DURATION)
+            self._owners, self._pool_sizes = {}, {}
+            self._plan_at = now + PLAN_INTERVAL // 2
+        if not self._is_planner(now) or now < self._plan_at:
+            return {}
+        self._plan_at = now + PLAN_INTERVAL
+        self._size_pools(now)
+        views = self.views.by_host
+        known = {host: view for host, view in views.items() if now - view.asked_at < SILENCE_LIMIT}
+        return self._distribute(now, self._plan(now, known)) if known else {}
 
-    def plan(self, now):
-        gateway, play = self.gateway, self.gateway.play
-        known = {host: known for host, known in gateway.known.items() if now - known[0] < LOST}
-        hosts = [play.hosts[host] for host in play.hosts if host in known]
-        for host in play.hosts:
-            if self.sized.get(host) != play.lent[host]:
-                self.sized[host] = play.lent[host]
-                gateway.holder.resize_pool(now, pool(host), play.lent[host])
-        if "" not in self.sized:
-            self.sized[""] = max(2, len(play.hosts) // 3)
-            gateway.holder.resize_pool(now, "rollouts/exchange", self.sized[""])
-        if not hosts:
-            return []
-        self.forecast.read(now, {"p": (gateway.gossip.demand(now, "p", 0).total, 0.0, play.mean / SECOND)})
-        spare = self.forecast.spare(now, hosts, play.lent, 4)
-        stand = sorted({(name, host) for host, told in known.items() for name, _ in told[1] | told[2]})
-        # Of a host's room a campaign's old and new copy stand together while they are exchanged.
-        problem = PlanningProblem(
-            spare,
-            {host.name: host.room // 2 for host in hosts},
-            [
-                CampaignDemand(name, 1, campaign.weight, 10_000)
-                for name, campaign in gateway.campaigns.items()
-            ],
-            stand,
-            max(2, len(hosts) // 2),
-        )
-        plan = greedy(problem)
-        self.made += 1
-        lanes = {(name, host): max(given) for name, host, given in plan.lanes}
-        alive = sorted(
-            [peer for peer in gateway.peers if now - gateway.heard.get(peer, -LOST) < LOST] + [gateway.name]
+    def _is_planner(self, now: int) -> bool:
+        return self._lease is not None and self._lease.valid_at(now)
+
+    def _size_pools(self, now: int) -> None:
+        """Sets the sizes of the pools of leases where they are not set yet."""
+        fleet = self.scene.fleet
+        sizes = {pool(host): fleet.lendable[host] for host in fleet.hosts}
+        sizes[EXCHANGE] = max(2, len(fleet.hosts) // 3)
+        for name, size in sizes.items():
+            if self._pool_sizes.get(name) != size:
+                self._pool_sizes[name] = size
+                self.leases.resize_pool(now, name, size)
+
+    def _plan(self, now: int, known: Mapping[str, HostView]) -> CopyPlan:
+        """The greedy plan for the hosts that are known."""
+        fleet = self.scene.fleet
+        hosts = [fleet.hosts[host] for host in fleet.hosts if host in known]
+        self._forecast.read(now, {PRODUCTION: (self.demand(now), 0.0, MEAN_PRODUCTION_TIME / SECOND)})
+        standing = {
+            (copy.campaign, host) for host, view in known.items() for copy in view.copies | view.loading
+        }
+        plan: CopyPlan = greedy(
+            PlanningProblem(
+                spare=self._forecast.spare(now, hosts, fleet.lendable, PLANNED_SLOTS),
+                # A campaign's old and new copy are at a host together while they are exchanged.
+                room={host.name: host.room // 2 for host in hosts},
+                wants=[
+                    CampaignDemand(name, 1, campaign.weight, WANTED_LANES)
+                    for name, campaign in fleet.campaigns.items()
+                ],
+                standing=sorted(standing),
+                loads=max(2, len(hosts) // 2),
+            )
         )
-        came, self.owners = deal(lanes, play.lent, alive, self.owners, play.zones)
-        copies, order = {}, sorted(plan.copies, key=lambda copy: copy[2])
-        for name, host, _ in order:
-            copies.setdefault(name, []).append(host)
-        given, out = paces(came, gateway.campaigns), []
-        self.number += 1
-        for name in alive:
-            orders = GatewayPlan(self.wish.fencing_token, self.number, came[name], given[name], copies)
-            if name == gateway.name:
-                gateway._orders(now, name, orders)
-            else:
-                out.append((name, ("orders", orders)))
-        return out
+        return plan
+
+    def _distribute(self, now: int, plan: CopyPlan) -> dict[str, GatewayPlan]:
+        """Each gateway's part of the plan."""
+        fleet = self.scene.fleet
+        lanes = {(campaign, host): max(slots) for campaign, host, slots in plan.lanes}
+        aims, self._owners = deal(lanes, fleet.lendable, self._alive(now), self._owners, fleet.zones)
+        copies: dict[str, list[str]] = {}
+        for campaign, host, _ in sorted(plan.copies, key=lambda copy: copy[2]):
+            copies.setdefault(campaign, []).append(host)
+        rates = paces(aims, fleet.campaigns)
+        self._plan_number += 1
+        token = self._lease.fencing_token if self._lease is not None else 0
+        return {
+            gateway: GatewayPlan(token, self._plan_number, aims[gateway], rates[gateway], copies)
+            for gateway in self._alive(now)
+        }
+
+    def _alive(self, now: int) -> list[str]:
+        """The gateways that are planned for, by name."""
+        peers = (peer for peer in self.scene.fleet.gateways if peer != self.name)
+        heard = [peer for peer in peers if now - self.heard_at.get(peer, -SILENCE_LIMIT) < SILENCE_LIMIT]
+        return sorted([*heard, self.name])
--- a/gaproute/simulation/invariant_checks.py
+++ b/gaproute/simulation/invariant_checks.py
@@ -1,69 +1,82 @@
-"""Runs what each part says must always hold, after each step of a run, and says what was broken, where."""
+"""Runs the invariants of a run after each step and ends the run where one is violated.
 
+Each check returns texts of what is violated, "name: what was found"; none if all is well. A check may be an
+object that remembers what it saw.
+"""
 
-class InvariantViolationError(Exception):
-    """`name` of the check, `text`, and all that is needed to play it again: seed, step, true time in ns,
-    plan, and the last events before it."""
+from collections.abc import Callable, Iterable, Sequence
+from dataclasses import dataclass
+from typing import TypeAlias
 
-    def __init__(self, text, world):
-        self.name = text.partition(":")[0]
-        self.text, self.seed = text, world.plan.seed
-        self.step, self.now, self.plan = world.step, world.now, world.plan
-        self.events = [world.worded(event) for event in world.last]
-        super().__init__(f"{text}; seed {self.seed}, step {self.step}, {self.now / 1e9:.6f} s")
+from gaproute.simulation.process_slot import ProcessSlot, SimulatedProcess
+from gaproute.simulation.simulation import Simulation
 
-    def report(self):
-        return "\n".join([*self.events, str(self), self.plan.text()])
+Violations: TypeAlias = Iterable[str]
+StepCheck: TypeAlias = Callable[[Simulation, ProcessSlot], Violations]
+SendCheck: TypeAlias = Callable[[Simulation, ProcessSlot, str, object], Violations]
+StateCheck: TypeAlias = Callable[[Simulation], Violations]
 
 
+@dataclass
 class InvariantChecks:
-    """Each check returns texts of what is broken, "name: what"; none if all is well. It may keep what it saw.
+    """The checks of a run, by when they are due.
 
-    `touched`: check(world, seat), over the one actor that has just acted, at every step. `sent`: check(world,
-    seat, to, message), of each message before it goes out. `whole`: check(world), over all, at each
-    `every`-th step and at the end. `last`: check(world), at the end alone: that all came right again.
+    `after_each_step` looks at the one process that has just acted; `before_each_send` at each message with
+    its receiver; `periodic` at everything, at every `period`th step and at the end; `final` at the end alone.
     """
 
-    __slots__ = ("touched", "sent", "whole", "last", "every", "left", "runs")
+    after_each_step: Sequence[StepCheck] = ()
+    before_each_send: Sequence[SendCheck] = ()
+    periodic: Sequence[StateCheck] = ()
+    final: Sequence[StateCheck] = ()
+    period: int = 1
 
-    def __init__(self, touched=(), sent=(), whole=(), last=(), every=1):
-        self.touched, self.sent, self.whole, self.last = touched, sent, whole, last
-        self.every, self.left, self.runs = every, every, 0
+    def __post_init__(self) -> None:
+        self._steps_left = self.period
 
-    def acted(self, world, seat):
-        for check in self.touched:
-            for text in check(world, seat):
-                raise InvariantViolationError(text, world)
-        self.left -= 1
-        if self.left <= 0:
-            self.left = self.every
-            self.all(world)
+    def after_step(self, simulation: Simulation, slot: ProcessSlot) -> None:
+        """Raises InvariantViolationError."""
+        for check in self.after_each_step:
+            _raise_first(simulation, check(simulation, slot))
+        self._steps_left -= 1
+        if self._steps_left <= 0:
+            self._steps_left = self.period
+            self._check_state(simulation, self.periodic)
 
-    def sends(self, world, seat, to, message):
-        for check in self.sent:
-            for text in check(world, seat, to, message):
-                raise InvariantViolationError(text, world)
+    def before_send(self, simulation: Simulation, slot: ProcessSlot, to: str, message: object) -> None:
+        """Raises InvariantViolationError."""
+        for check in self.before_each_send:
+            _raise_first(simulation, check(simulation, slot, to, message))
 
-    def all(self, world, last=False):
-        self.runs += 1
-        for check in (*self.whole, *self.last) if last else self.whole:
-            for text in check(world):
-                raise InvariantViolationError(text, world)
+    def at_end(self, simulation: Simulation) -> None:
+        """Raises InvariantViolationError."""
+        self._check_state(simulation, (*self.periodic, *self.final))
+
+    @staticmethod
+    def _check_state(simulation: Simulation, checks: Sequence[StateCheck]) -> None:
+        for check in checks:
+            _raise_first(simulation, check(simulation))
+
+
+def _raise_first(simulation: Simulation, violations: Violations) -> None:
+    for text in violations:
+        raise simulation.timeline.violation(text)
 
 
 class NeverDecreases:
-    """For `touched`: what `value(actor)` tells (None: nothing) never gets less while the actor has the same
-    disk."""
+    """A StepCheck: what `value(process)` returns never decreases while the process has the same disk."""
 
-    def __init__(self, name, value):
-        self.name, self.value, self.seen = name, value, {}
+    def __init__(self, name: str, value: Callable[[SimulatedProcess | None], int | None]) -> None:
+        self.name, self.value = name, value
+        self._seen: dict[tuple[str, int], int] = {}  # by the slot's name and the disk's generation
 
-    def __call__(self, world, seat):
-        value = self.value(seat.actor)
+    def __call__(self, simulation: Simulation, slot: ProcessSlot) -> Violations:
+        """Looks at the process that has just acted."""
+        value = self.value(slot.process)
         if value is None:
             return
-        key = seat.name, seat.disk.lives
-        before = self.seen.get(key)
-        self.seen[key] = value
+        key = slot.name, slot.disk.generation
+        before = self._seen.get(key)
+        self._seen[key] = value
         if before is not None and value < before:
-            yield f"{self.name}: {value} after {before} at {seat.name}"
+            yield f"{self.name}: {value} after {before} at {slot.name}"
--- a/gaproute/simulation/network.py
+++ b/gaproute/simulation/network.py
@@ -1,61 +1,96 @@
-"""The fate of each message between actors: lost, doubled, late, kept back. Holds no message and does no
-I/O."""
+"""Decides what becomes of each message between processes; holds no messages and does no I/O."""
 
-MILLI = 1_000_000  # ns
-LEAST = 200_000  # ns that a message takes at least
-USUAL = 2 * MILLI  # ns more, evenly spread
-TAIL = 15_000  # of a million: a message that comes late without any fault
-LATE = 60 * MILLI  # ns that such a one takes at most
+from collections import Counter
+from enum import StrEnum
+
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.units import MILLION, MILLISECOND
+
+MIN_DELAY = MILLISECOND // 5
+USUAL_DELAY = 2 * MILLISECOND  # more, evenly distributed
+LATE_MILLIONTHS = 15_000  # of the messages are late without any fault
+MAX_LATE_DELAY = 60 * MILLISECOND  # more that such a message takes
+
+
+class MessageFate(StrEnum):
+    """What is counted; a message may count more than once."""
+
+    SENT = "sent"
+    LOST = "lost"
+    CUT = "cut"
+    DUPLICATED = "duplicated"
+    HELD = "held"
 
 
 class SimulatedNetwork:
-    """Actors go by their number. Faults are counted, so that two that overlap both have to end."""
-
-    __slots__ = ("size", "chance", "cuts", "held", "lose", "double", "slow", "counts")
-
-    def __init__(self, size, chance):
-        self.size, self.chance = size, chance
-        self.cuts = [0] * (size * size)  # by sender * size + to: how many cuts stand
-        self.held = {}  # (sender, to): when what is kept back is released
-        self.lose, self.double = [], []  # shares in millionths, of each fault that stands
-        self.slow = []  # ns more at most, of each fault that stands
-        self.counts = {"sent": 0, "lost": 0, "cut": 0, "doubled": 0, "held": 0}
-
-    def arrivals(self, now, sender, to):
-        """True times at which a message sent now comes; none: it is lost."""
-        counts, chance = self.counts, self.chance
-        counts["sent"] += 1
-        if self.cuts[sender * self.size + to]:
-            counts["cut"] += 1
+    """Links between the processes 0 to `size` - 1; times are true times in ns.
+
+    Faults add their value to the lists and take it out at their end: the greatest in force counts. Cuts are
+    counted, so that of two that overlap both have to end.
+    """
+
+    __slots__ = (
+        "size",
+        "random",
+        "cuts",
+        "held_until",
+        "loss_rates",
+        "duplication_rates",
+        "extra_delays",
+        "counts",
+    )
+
+    def __init__(self, size: int, random: SeededRandom) -> None:
+        self.size, self.random = size, random
+        self.cuts = [0] * (size * size)  # by sender * size + receiver
+        self.held_until: dict[tuple[int, int], int] = {}  # by (sender, receiver)
+        self.loss_rates: list[int] = []  # millionths
+        self.duplication_rates: list[int] = []  # millionths
+        self.extra_delays: list[int] = []  # ns at most
+        self.counts: Counter[MessageFate] = Counter()
+
+    def arrivals(self, now: int, sender: int, receiver: int) -> tuple[int, ...]:
+        """When a message that is sent now arrives; empty where it is lost."""
+        counts, random = self.counts, self.random
+        counts[MessageFate.SENT] += 1
+        if self.cuts[sender * self.size + receiver]:
+            counts[MessageFate.CUT] += 1
             return ()
-        if self.lose and chance.often(max(self.lose)):
-            counts["lost"] += 1
+        if self.loss_rates and random.happens(max(self.loss_rates)):
+            counts[MessageFate.LOST] += 1
             return ()
-        first = now + self._takes()
-        until = self.held.get((sender, to), 0) if self.held else 0
-        if until > first:
-            counts["held"] += 1
-            first = until + chance.below(MILLI)
-        if self.double and chance.often(max(self.double)):
-            counts["doubled"] += 1
-            return first, first + self._takes()
+        first = now + self._delay()
+        held_until = self.held_until.get((sender, receiver), 0)
+        if held_until > first:
+            counts[MessageFate.HELD] += 1
+            first = held_until + random.below(MILLISECOND)
+        if self.duplication_rates and random.happens(max(self.duplication_rates)):
+            counts[MessageFate.DUPLICATED] += 1
+            return first, first + self._delay()
         return (first,)
 
-    def _takes(self):
-        random = self.chance.random
-        takes = LEAST + int(random() * USUAL)
-        if random() * 1_000_000 < TAIL:
-            takes += int(random() * LATE)
-        if self.slow:
-            takes += int(random() * max(self.slow))
-        return takes
+    def cut(self, sender: int, receiver: int) -> None:
+        """One more fault cuts this link, in this direction."""
+        self.cuts[sender * self.size + receiver] += 1
+
+    def reconnect(self, sender: int, receiver: int) -> None:
+        """One of the faults that cut this link has ended."""
+        self.cuts[sender * self.size + receiver] -= 1
 
-    def cut(self, sender, to, by):
-        """`by` is 1 at the cut's beginning, -1 at its end."""
-        self.cuts[sender * self.size + to] += by
+    def hold(self, sender: int, receiver: int, until: int) -> None:
+        """The link's messages arrive together after `until`."""
+        link = sender, receiver
+        self.held_until[link] = max(until, self.held_until.get(link, 0))
 
-    def hold(self, sender, to, until):
-        self.held[sender, to] = max(until, self.held.get((sender, to), 0))
+    def release(self, now: int) -> None:
+        """Forgets the links whose time is over."""
+        self.held_until = {link: until for link, until in self.held_until.items() if until > now}
 
-    def release(self, now):
-        self.held = {pair: until for pair, until in self.held.items() if until > now}
+    def _delay(self) -> int:
+        random = self.random.random
+        delay = MIN_DELAY + int(random() * USUAL_DELAY)
+        if random() * MILLION < LATE_MILLIONTHS:
+            delay += int(random() * MAX_LATE_DELAY)
+        if self.extra_delays:
+            delay += int(random() * max(self.extra_delays))
+        return delay
--- /dev/null
+++ b/gaproute/simulation/raft_group/check_names.py
@@ -0,0 +1,37 @@
+"""The names of the checks that find planted faults, of the simulation and of the code under test."""
+
+from typing import Final
+
+# Of the simulation
+DURABLE_BEFORE_SENT: Final = "durable before it is sent"
+VOTE_DURABLE_BEFORE_SENT: Final = "a vote is durable before it is sent"
+VOTE_REMEMBERED: Final = "a vote is remembered"
+ONE_VOTE: Final = "one vote a term"
+ONE_LEADER: Final = "one leader a term"
+ONE_ANSWER: Final = "one answer a request"
+TERM_GROWS: Final = "term only grows"
+ONE_MEMBER_AT_A_TIME: Final = "members change one at a time"
+MAJORITY_OF_VOTES: Final = "a leader has a majority of votes"
+COMMITS_OWN_TERM: Final = "a leader commits by its own term"
+COMMITTED_BY_MAJORITY: Final = "committed entries are on a majority"
+ONE_HOLDER: Final = "one holder at one true moment"
+TOKENS_GROW: Final = "fencing tokens grow"
+CLIENT_EXPIRES_FIRST: Final = "a lease expires at its client first"
+LEADER_AFTER_FAULTS: Final = "a leader after the faults"
+ENDLESS_MESSAGES: Final = "messages without end"
+RAISED: Final = "raised"
+
+# Of gaproute/shared/raft and gaproute/shared/leases
+NEVER_UNSAID: Final = "never unsaid"
+SAME_STATE: Final = "same entries, same state"
+LOG_MATCHING: Final = "log matching"
+APPLIED_IN_ORDER: Final = "applied after committed after held"
+NO_LATER_TERM: Final = "no entry of a later term"
+SESSIONS_HAVE_OWNERS: Final = "sessions have owners"
+SESSIONS_BOUNDED: Final = "session table bounded"
+LEASE_OUTLASTS_HOLDER: Final = "a lease stands while its holder may"
+TOKEN_GIVEN_ONCE: Final = "a fencing number is given once"
+LAST_TOKEN_GROWS: Final = "fencing number only grows"
+POOL_LIMIT: Final = "pool never overspent"
+HOLDERS_WITHIN_POOL: Final = "one holder, no pool overspent"
+AMOUNTS_MATCH: Final = "amounts held are those of the leases"
--- a/gaproute/simulation/raft_group/run.py
+++ b/gaproute/simulation/raft_group/run.py
@@ -1,197 +1,139 @@
-"""Keepers and holders of permits under all faults: what is played, and what must hold at each step.
+"""One run of a Raft group and the clients of its leases."""
 
-A run has 3 or 5 keepers named, one more that may take another's place, and holders that take, keep up and
-give back permits on a few names and pools that they all want. Kinds of runs: `common`, all faults, half of
-the runs lose disks; `tight`, one name that all want, the keepers' clocks fast and the holders' slow as far as
-promised, so that ends come as near to one another as they may; `forgotten`, all disks are lost at once while
-a holder is cut off.
-"""
+from collections.abc import Iterator, Mapping
+from contextlib import ExitStack, contextmanager
+from types import ModuleType
 
 from gaproute.shared.leases import LeaseClient, LeaseTable
-from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.shared.raft import RaftNode, committed, log
-from gaproute.simulation.fault_schedule import MEMORY, FaultSchedule, ScheduledFault, draw
-from gaproute.simulation.invariant_checks import InvariantChecks, InvariantViolationError
-from gaproute.simulation.raft_group.checks import (
-    LeaseValidityCheck,
-    NodeStateChecks,
-    SentMessageChecks,
-    agreed,
-    came_right,
-)
+from gaproute.simulation.disk import SimulatedDisk
+from gaproute.simulation.fault_schedule import MEMORY_LOSS, FaultSchedule
+from gaproute.simulation.invariant_checks import InvariantChecks
+from gaproute.simulation.options import SimulationOptions
+from gaproute.simulation.process_slot import ProcessFactory, ProcessSlot
+from gaproute.simulation.raft_group.configured_members import ConfiguredMembers
+from gaproute.simulation.raft_group.group_checks import GroupInvariantsCheck, RecoveryCheck
+from gaproute.simulation.raft_group.lease_checks import LeaseValidityCheck
+from gaproute.simulation.raft_group.lease_load import POOLS, LeaseLoad
+from gaproute.simulation.raft_group.message_checks import SentMessageChecks
+from gaproute.simulation.raft_group.node_checks import NodeStateChecks
+from gaproute.simulation.raft_group.setup import DEFAULT_SETUP, RaftGroupSetup, RunKind
 from gaproute.simulation.random_load import RandomLoad
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
+from gaproute.simulation.units import MILLISECOND
+from gaproute.simulation.violation import InvariantViolationError
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
-# Of a permit, the longest too. common: a run sees many end; forgotten: longer than a founding takes.
-SPANS = {"common": 2 * SECOND, "tight": 3 * SECOND, "forgotten": 8 * SECOND}
-END = 16 * SECOND  # of the faults: a dozen elections
-SETTLE = 12 * SECOND  # after them: a disk that failed is tried again within 5 s
-EVERY = 20 * MILLI  # between requests
-KEEP = 12  # entries held before a snapshot, for the run to see many (the program: 1,024)
-TOGETHER = 3  # entries in one message, so that logs are caught up with in parts (the program: 64)
-RATE = CLOCK_ERROR * 1_000  # millionths: clocks go wrong up to what is promised
-NAMES = ("r1", "r2", "r3", "p1", "p2")
-POOLS = {"p1": (3, 4), "p2": (4, 6)}  # name: sizes that are told
-NARROW = 64  # in a third of the runs elections meet: timers differ by a 64th of what they should
-DEEP = 20  # steps between the dear checks
+REQUEST_INTERVAL = 20 * MILLISECOND
+EXPENSIVE_CHECK_PERIOD = 20  # steps
+# In a third of the runs elections collide: timeouts differ by a 64th of what they should.
+NARROW_PARTS = (0, 0, 64)
+# Snapshots and logs that are caught up with in parts are to happen in each run (the program: 1,024 and 64).
+COMPACT_AFTER = 12  # entries
+MAX_ENTRIES = 3  # in one message
 
 
 class RaftGroupRun:
-    """One run: `world.run()`. Where all keepers lose their disks they begin anew without what was agreed;
-    then only that holds which no memory is needed for."""
-
-    def __init__(self, plan, keepers=3, kind="common", holders=3, rate=RATE, every=DEEP):
-        self.plan, self.kind, self.span = plan, kind, SPANS[kind]
-        chance = SeededRandom(plan.seed, "play")
-        self.named = [f"k{number}" for number in range(1, keepers + 1)]
-        self.spare = f"k{keepers + 1}"
-        self.keepers = [*self.named, self.spare]
-        self.holders = [f"h{number}" for number in range(1, holders + 1)]
-        self.told = {}  # actor: the names it goes by; others have yet to hear
-        lost = {fault.who[0] for fault in plan.faults if fault.kind in MEMORY}
-        # The last with a memory must not be taken out of the names: the others would begin anew.
-        self.changes = kind == "common" and chance.below(3) == 0 and 2 * len(lost) < keepers
-        makes = {name: self.keeper for name in self.keepers} | {name: self.holder for name in self.holders}
-        asks = [(12, self.take), (5, self.give), (2, self.size)] + [(1, self.change)] * self.changes
-        rates = {name: chance.of((-rate, 0, rate)) for name in makes}
-        if kind == "tight":
-            rates = {name: rate if name in self.keepers else -rate for name in makes}
-        told = SentMessageChecks(self)
-        held = LeaseValidityCheck(self.holders, POOLS, self.leader, told.leaders)
-        if kind == "forgotten":
-            checks = InvariantChecks(touched=[held])
-        else:
-            checks = InvariantChecks(
-                [held, NodeStateChecks(told)], [told], [agreed(self)], [came_right(self)], every
-            )
-        self.world = Simulation(
-            plan,
-            makes,
-            checks,
-            RandomLoad(asks, EVERY, SeededRandom(plan.seed, "load")),
-            rates,
-            leader=self.leader,
-            narrow=chance.of((0, 0, NARROW)),
+    """A group of nodes k1, k2, ... and clients h1, h2, ...; `simulation.run()` plays it.
+
+    Where all nodes lose their disks they begin anew without what was agreed on; then only the checks apply
+    that need no memory.
+    """
+
+    def __init__(self, schedule: FaultSchedule, setup: RaftGroupSetup = DEFAULT_SETUP) -> None:
+        self.setup = setup
+        random = SeededRandom(schedule.seed, "play")
+        self.nodes = [f"k{number}" for number in range(1, setup.nodes + 2)]  # the last one is the spare
+        self.clients = [f"h{number}" for number in range(1, setup.clients + 1)]
+        self.members = ConfiguredMembers(self.nodes[:-1], self.nodes[-1])
+        requests = LeaseLoad(setup, self.clients).requests()
+        if self._members_change(schedule, random):
+            requests.append((1, self.members.change))
+        factories: dict[str, ProcessFactory] = dict.fromkeys(self.nodes, self._make_node)
+        factories |= dict.fromkeys(self.clients, self._make_client)
+        self.simulation = Simulation(
+            schedule,
+            factories,
+            checks=self._checks(),
+            workload=RandomLoad(requests, REQUEST_INTERVAL, SeededRandom(schedule.seed, "load")),
+            options=SimulationOptions(
+                drifts=self._drifts(random),
+                leader=self.leader,
+                narrow_part=random.choice(NARROW_PARTS),
+            ),
         )
 
-    def keeper(self, name, disk, chance, now):
-        self.told[name] = tuple(self.named)
-        base = 1 + self.world.now // MILLI
-        table = LeaseTable(initial_wait=True, max_duration=self.span)
-        return RaftNode(name, self.named, disk, chance, now, table, fencing_base=base)
-
-    def holder(self, name, disk, chance, now):
-        self.told[name] = tuple(self.named)
-        return LeaseClient(name, self.named, chance, now)
-
-    def leader(self, world):
-        leading = [
-            seat
-            for name in self.keepers
-            if (seat := world.seats[name]).actor is not None and seat.actor.is_leader
-        ]
-        return max(leading, key=lambda seat: seat.actor.term, default=None)
-
-    def take(self, world, chance):
-        resource, amount = chance.of(NAMES) if self.kind == "common" else NAMES[0], 1
-        if resource in POOLS:
-            amount = chance.between(1, 3)
-        span = self.span // (chance.of((1, 1, 2, 4)) if self.kind == "common" else 1)
-
-        def ask(actor, now):
-            if len(actor.requests) < 4:
-                actor.acquire(now, resource, span, amount)
-
-        world.ask(chance.of(self.holders), ask)
-
-    def give(self, world, chance):
-        place = chance.below(4)
-
-        def ask(actor, now):
-            if place < len(actor.requests):
-                actor.release(now, actor.requests[place])
-
-        world.ask(chance.of(self.holders), ask)
-
-    def size(self, world, chance):
-        resource = chance.of(list(POOLS))
-        amount = chance.of(POOLS[resource])
-        world.ask(chance.of(self.holders), lambda actor, now: actor.resize_pool(now, resource, amount))
-
-    def change(self, world, chance):
-        """One name of the configuration by another, once all have the one before; each hears it when it
-        may."""
-        behind = [name for name, names in self.told.items() if names != tuple(self.named)]
-        if behind:
-            self.tell(world, chance.of(behind))
-        elif (
-            world.seats[self.named[0]].actor is not None
-            and any(
-                seat.actor is not None and seat.name in self.keepers and seat.actor.commit_index > 1
-                for seat in world.places
-            )
-            and chance.below(6) == 0
-        ):
-            left = chance.of(self.named)
-            self.named = sorted([name for name in self.named if name != left] + [self.spare])
-            self.spare = left
-
-    def tell(self, world, name):
-        if world.ask(name, lambda actor, now: actor.set_configured_members(now, self.named)):
-            self.told[name] = tuple(self.named)
-
-
-def plan(seed, keepers=3, kind="common", holders=3):
-    """Disks are lost in half of the common runs: of a minority in a half of these, of all but one in the
-    other."""
-    chance, size = SeededRandom(seed, "disks"), keepers + 1 + holders
-    if kind == "forgotten":
-        return FaultSchedule(seed, 2 * END + 4 * SECOND, tuple(_forgotten(chance, keepers, holders)))
-    if kind == "tight":
-        return draw(
-            seed,
-            size,
-            END,
-            ["crash", "cut", "cut both", "part", "pause", "slow"],
-            faulty=range(keepers + 1, size),
-            settle=SETTLE,
-            led=True,
+    def leader(self, slots: Mapping[str, ProcessSlot]) -> ProcessSlot | None:
+        """The slot of the node that leads in the latest term, or None."""
+        leading: dict[int, ProcessSlot] = {}
+        for name in self.nodes:
+            node = slots[name].process
+            if isinstance(node, RaftNode) and node.is_leader:
+                leading.setdefault(node.term, slots[name])
+        return leading[max(leading)] if leading else None
+
+    def _members_change(self, schedule: FaultSchedule, random: SeededRandom) -> bool:
+        """In a third of the common runs; never where half of the nodes or more lose their memory.
+
+        The last node with a memory must not leave the configuration: the others would begin anew.
+        """
+        if self.setup.kind != RunKind.COMMON or random.below(3):
+            return False
+        lost = {fault.targets[0] for fault in schedule.faults if fault.kind in MEMORY_LOSS}
+        return 2 * len(lost) < self.setup.nodes
+
+    def _drifts(self, random: SeededRandom) -> Mapping[str, int]:
+        """Of each clock in millionths; tight: such that the group's expiry is as early as allowed."""
+        most = self.setup.max_drift
+        drifts = {name: random.choice((-most, 0, most)) for name in (*self.nodes, *self.clients)}
+        if self.setup.kind == RunKind.TIGHT:
+            return dict.fromkeys(self.nodes, most) | dict.fromkeys(self.clients, -most)
+        return drifts
+
+    def _checks(self) -> InvariantChecks:
+        sent = SentMessageChecks(self.nodes)
+        leases = LeaseValidityCheck(self.clients, POOLS, self.leader, sent.leaders)
+        if self.setup.kind == RunKind.FORGOTTEN:
+            return InvariantChecks(after_each_step=[leases])
+        return InvariantChecks(
+            after_each_step=[leases, NodeStateChecks(sent)],
+            before_each_send=[sent],
+            periodic=[GroupInvariantsCheck()],
+            final=[RecoveryCheck(self.setup.nodes)],
+            period=EXPENSIVE_CHECK_PERIOD,
         )
-    lost = (0, 0, (keepers - 1) // 2, keepers - 1)[chance.below(4)]
-    first = chance.below(keepers)
-    wiped = sorted((first + step) % keepers for step in range(lost))
-    return draw(
-        seed,
-        size,
-        END,
-        wiped=wiped,
-        beyond=RATE,
-        settle=SETTLE,
-        faulty=[*range(size), *range(keepers)],
-        led=True,
-    )
-
-
-def _forgotten(chance, keepers, holders):
-    """Once the first permits are held, one or two holders are cut off and all keepers lose their disks."""
-    at = 10 * SECOND + chance.below(2 * SECOND)
-    first = keepers + 1 + chance.below(holders)
-    yield ScheduledFault("part", at, END, (first,))
-    for number in range(keepers + 1):
-        lost = at + chance.below(SECOND // 10)
-        yield ScheduledFault("wipe", lost, lost + 20 * MILLI + chance.below(SECOND // 10), (number,))
-
-
-def play(plan, keepers=3, kind="common", **told):
-    """(Simulation, InvariantViolationError or None)."""
-    made, before = RaftGroupRun(plan, keepers, kind, **told), (committed.COMPACT_AFTER, log.MAX_ENTRIES)
-    committed.COMPACT_AFTER, log.MAX_ENTRIES = KEEP, TOGETHER
+
+    def _make_node(self, name: str, disk: SimulatedDisk, random: SeededRandom, now: int) -> RaftNode:
+        members = self.members.read_by(name)
+        base = 1 + self.simulation.now // MILLISECOND
+        table = LeaseTable(initial_wait=True, max_duration=self.setup.lease_duration)
+        return RaftNode(name, members, disk, random, now, table, fencing_base=base)
+
+    def _make_client(self, name: str, disk: SimulatedDisk, random: SeededRandom, now: int) -> LeaseClient:
+        return LeaseClient(name, self.members.read_by(name), random, now)
+
+
+def play(
+    schedule: FaultSchedule, setup: RaftGroupSetup = DEFAULT_SETUP
+) -> tuple[Simulation, InvariantViolationError | None]:
+    """Makes and plays a run; the violation that ended it, or None."""
+    simulation = RaftGroupRun(schedule, setup).simulation
+    with ExitStack() as limits:
+        limits.enter_context(_replaced(committed, "COMPACT_AFTER", COMPACT_AFTER))
+        limits.enter_context(_replaced(log, "MAX_ENTRIES", MAX_ENTRIES))
+        try:
+            simulation.run()
+        except InvariantViolationError as violation:
+            return simulation, violation
+    return simulation, None
+
+
+@contextmanager
+def _replaced(module: ModuleType, name: str, value: int) -> Iterator[None]:
+    """A constant of a module has another value inside this block."""
+    before = getattr(module, name)
+    setattr(module, name, value)
     try:
-        made.world.run()
-    except InvariantViolationError as breach:
-        return made.world, breach
+        yield
     finally:
-        committed.COMPACT_AFTER, log.MAX_ENTRIES = before
-    return made.world, None
+        setattr(module, name, before)
--- a/gaproute/simulation/random_load.py
+++ b/gaproute/simulation/random_load.py
@@ -1,19 +1,31 @@
-"""Random requests in a run: at spread times, something is asked of an actor."""
+"""A workload of random requests at random times."""
+
+from collections.abc import Callable, Iterable
+from typing import TypeAlias
+
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.simulation import Simulation
+
+RequestMaker: TypeAlias = Callable[
+    [Simulation, SeededRandom], None
+]  # asks by `Simulation.ask`, or not at all
 
 
 class RandomLoad:
-    """`asks`: [(weight, ask(world, chance))], each asking by `world.ask(name, call)` or not at all. `every`:
-    ns between two requests in the mean."""
+    """Calls one of `requests`, (weight, maker), every `interval` ns on average."""
 
-    __slots__ = ("asks", "every", "chance", "asked")
+    __slots__ = ("_makers", "_interval", "_random")
 
-    def __init__(self, asks, every, chance):
-        self.asks = [ask for weight, ask in asks for _ in range(weight)]
-        self.every, self.chance, self.asked = every, chance, 0
+    def __init__(
+        self, requests: Iterable[tuple[int, RequestMaker]], interval: int, random: SeededRandom
+    ) -> None:
+        self._makers = [maker for weight, maker in requests for _ in range(weight)]
+        self._interval, self._random = interval, random
 
-    def next(self, now):
-        return now + 1 + self.chance.below(2 * self.every)
+    def next_time(self, now: int) -> int:
+        """The true time of the next request."""
+        return now + 1 + self._random.below(2 * self._interval)
 
-    def run(self, world):
-        self.asked += 1
-        self.chance.of(self.asks)(world, self.chance)
+    def run(self, simulation: Simulation) -> None:
+        """Makes one request."""
+        self._random.choice(self._makers)(simulation, self._random)
--- a/gaproute/simulation/rounds/judge.py
+++ b/gaproute/simulation/rounds/judge.py
@@ -1,160 +1,211 @@
-"""What all rounds did to the truth at the hosts, judged by one who sees all.
-
-Defined before anything was measured. At each change, for each row of the floor (by the true demand; of a
-round as long as it runs), W is what hosts truly give that take new tasks; `taken` is what the hosts that a
-round has in hand (told to drain, away, or back without all that they had) gave before and do not give now.
-- W >= floor: kept.
-- W < floor and W + taken < floor: `own`: broken without any round too. Counted, no breach.
-- W < floor <= W + taken: a breach: without the round it would be kept. It is `promised` where what failed
-  unasked is no more than was to be looked ahead for (one host, rack or zone, by `survive`; nothing by "") and
-  demand has not risen since the round took its last host; else `beyond`, by what failed.
-A host that failed unasked counts as failed until it has again what it had; one that gave nothing just then
-does not.
+"""What all rounds did to the true capacity at the hosts, judged with a view of all hosts.
+
+Defined before anything was measured. At each change, for each row of the capacity floor (by the true demand;
+of a round as long as it runs), W is the lanes of hosts that truly take new requests. `taken` is what the
+hosts that rounds have in hand (draining, away, or back without all that they had) gave before and do not give
+now.
+
+- W >= floor: the floor is kept.
+- W < floor and W + taken < floor: `own`: it would be broken without any round too. Counted, no breach.
+- W < floor <= W + taken: a breach: without the round it would be kept. It is `promised` where what failed by
+  itself is no more than the round had to look ahead for (one host, rack or zone, by `survive`; nothing where
+  that is empty) and demand has not risen since the round took its last host; else `beyond`.
+
+A host that failed by itself counts as failed until it has again what it had; one that gave nothing just then
+does not count.
 """
 
-from gaproute.maintenance import capacity_floor
+from collections.abc import Callable, Collection, Iterable, Mapping
+from enum import StrEnum
+from typing import NamedTuple, TypeAlias
+
+from gaproute.maintenance import MaintenanceHost, RoundController, RoundSpec, capacity_floor
+
+Row: TypeAlias = tuple[str, str]  # a function and the zone, or the whole fleet, that it is needed in
+WarmLanes: TypeAlias = Mapping[str, Mapping[str, int]]  # lanes by host and function
+
+
+class BreachKind(StrEnum):
+    """What a breach of the floor says of the round; see the module."""
+
+    PROMISED = "promised"
+    BEYOND = "beyond"
+    OWN = "own"
+
+
+class FloorBreach(NamedTuple):
+    """The floor of a row was broken by a round.
+
+    `causes`: what had failed by then; `failed_domains`: how many hosts, racks or zones that were;
+    `last_change`: what had just happened.
+    """
+
+    time: int
+    round_name: str
+    row: Row
+    floor: int
+    lanes: int
+    kind: BreachKind
+    causes: tuple[str, ...]
+    failed_domains: int
+    last_change: str
+
+
+class RoundEnd(NamedTuple):
+    """How a round ended: its last stage, and why."""
+
+    time: int
+    stage: str
+    why: str
+
+
+class LogLine(NamedTuple):
+    """What a round logged at a scheduler."""
+
+    time: int
+    scheduler: str
+    line: tuple[str, ...]
+
+
+class Failure(NamedTuple):
+    """Why a host failed by itself, and the functions that it had warm."""
+
+    cause: str
+    copies: tuple[str, ...]
 
 
 class FloorJudge:
-    def __init__(self, play):
-        self.play = play
-        self.had = {}  # host in a round's hands: the copies it had
-        self.failed = {}  # host: (what befell it, the copies it had)
-        self.risen = False  # demand rose since a round last took a host
-        self.last = {}  # host: what it gave when last looked at
-        self.bad = {}  # (round, row): the class of the breach that stands
-        self.breaches, self.own = [], 0  # [(time, row, floor, W, class, what, step)]
-        self.broken, self.events, self.ends = [], [], {}  # texts; [(time, scheduler, log line)]
-        self.there = []
-        self.seen, self.dirty, self.touch = {}, True, ""
-        self.outs, self.lost = 0, 0
-
-    # What hosts tell of themselves
-
-    def takes(self, host):
-        self.had.setdefault(host.host.name, tuple(host.copies))
-        self.dirty, self.risen, self.touch = True, False, f"drain {host.host.name}"
-
-    def serves(self, host):
-        self.dirty = True
-        if set(host.copies) >= set(self.had.get(host.host.name, ())):
-            self.had.pop(host.host.name, None)
-
-    def restarts(self, host, now, tasks):
-        self.outs, self.dirty = self.outs + 1, True
-        self.touch = f"out {host.host.name}"
-        if tasks:
-            self.lost += tasks
-            self.broken.append(f"tasks in hand end before out: {tasks} at {host.host.name}")
-
-    def pulled(self, host):
-        self.fails(host.host.name, "pulled")
-
-    def fails(self, name, what):
-        if self.last.get(name):  # one that gave nothing took nothing with it
-            self.failed.setdefault(name, (what, tuple(self.last[name])))
-        self.dirty, self.touch = True, f"{what} {name}"
-
-    def rises(self):
-        self.risen, self.dirty, self.touch = True, True, "demand"
-
-    def logs(self, name, running):
-        for line in running.log:
-            self.events.append((self.play.world.now, name, *line))
-        running.log = []
-        stage = running.stage
-        if stage in ("ended", "refused") and running.asked.name not in self.ends:
-            self.ends[running.asked.name] = self.play.world.now, stage, running.why
-            self.dirty = True
-
-    # Looking
-
-    def at(self, world, name):
-        """Rounds of this scheduler that hold the turn at this true moment."""
-        seat = world.seats[name]
-        own = seat.clock.own(world.now)
-        rounds = seat.actor.rounds if seat.actor is not None else []
-        return [running for running in rounds if running.holds(own)]
-
-    def places(self):
-        return [self.play.world.seats[name] for name in self.play.fleet]
-
-    def warm(self):
-        came = {}
-        for name in self.play.fleet:
-            seat = self.play.world.seats[name]
-            came[name] = seat.actor.warm() if seat.actor is not None and not seat.paused else {}
-        return came
-
-    def __call__(self, world, seat):
-        """For `InvariantChecks.touched`."""
-        if seat.name in self.play.fleet:
-            actor = seat.actor
-            sign = (
-                None
-                if actor is None
-                else (actor.start, actor.down, actor.draining, actor.warms, tuple(actor.copies))
-            )
-            if self.seen.get(seat.name) != sign:
-                self.seen[seat.name], self.dirty = sign, True
-        elif seat.name in self.play.schedulers:
-            broken, seat.actor.breaches = seat.actor.breaches, []
-            yield from broken
-            turns = [running.asked.name for name in self.play.schedulers for running in self.at(world, name)]
-            if len(turns) > 1:
-                yield f"one round has the turn: {turns} at once"
-        there = [place.actor is not None and not place.paused for place in self.places()]
-        if there != self.there:  # a crash comes between the steps of actors
-            self.there, self.dirty = there, True
-        if self.dirty:
-            self.look(world.now)
-        while self.broken:
-            yield self.broken.pop()
-
-    def look(self, now):
-        play, warm = self.play, self.warm()
-        if len(play.started) < len(play.fleet):
-            return  # the run has not begun
-        for name, seat in ((name, play.world.seats[name]) for name in play.fleet):
-            if seat.actor is None or seat.paused:
-                self.fails(name, "died")
+    """Records everything that happens to hosts and rounds; `judge` looks at the floor. Times are true times.
+
+    `changed`: something happened since the last look. `violations`: texts for the run's checks.
+    """
+
+    def __init__(self, hosts: Mapping[str, MaintenanceHost], true_time: Callable[[], int]) -> None:
+        self.hosts, self.true_time = hosts, true_time
+        self.breaches: list[FloorBreach] = []
+        self.own_breaches = 0
+        self.violations: list[str] = []
+        self.log: list[LogLine] = []
+        self.ends: dict[str, RoundEnd] = {}  # by round
+        self.restarts = self.lost_requests = 0
+        self.changed = True
+        self._last_change = ""
+        self._in_hand: dict[str, tuple[str, ...]] = {}  # by host in a round's hands: the copies it had
+        self._failed: dict[str, Failure] = {}  # by host
+        self._demand_rose = False  # since a round last took a host
+        self._warm: WarmLanes = {}  # at the last look
+        self._standing: dict[tuple[str, Row], BreachKind] = {}  # by round and row
+
+    # What happens
+
+    def record_drain(self, host: str, copies: Collection[str]) -> None:
+        """A round takes the host, which has these copies."""
+        self._in_hand.setdefault(host, tuple(copies))
+        self._demand_rose = False
+        self._record_change(f"drain {host}")
+
+    def record_serve(self, host: str, copies: Collection[str]) -> None:
+        """A round gives the host back, which has these copies."""
+        self.changed = True
+        if set(copies) >= set(self._in_hand.get(host, ())):
+            self._in_hand.pop(host, None)
+
+    def record_restart(self, host: str, in_flight: int) -> None:
+        """A worker restarts the host, whose requests in flight are lost."""
+        self.restarts += 1
+        self._record_change(f"out {host}")
+        if in_flight:
+            self.lost_requests += in_flight
+            self.violations.append(f"no restart with requests in flight: {in_flight} at {host}")
+
+    def record_failure(self, host: str, cause: str) -> None:
+        """The host fails by itself. One that gave nothing takes nothing with it."""
+        if lanes := self._warm.get(host):
+            self._failed.setdefault(host, Failure(cause, tuple(lanes)))
+        self._record_change(f"{cause} {host}")
+
+    def record_demand_rise(self) -> None:
+        """The true demand has risen."""
+        self._demand_rose = True
+        self._record_change("demand")
+
+    def record_progress(self, scheduler: str, controller: RoundController) -> None:
+        """Takes away what the round has logged."""
+        now = self.true_time()
+        self.log += [LogLine(now, scheduler, tuple(line)) for line in controller.log]
+        controller.log = []
+        stage, name = controller.stage, controller.asked.name
+        if stage in ("ended", "refused") and name not in self.ends:
+            self.ends[name] = RoundEnd(now, stage, controller.why)
+            self.changed = True
+
+    def _record_change(self, change: str) -> None:
+        self.changed, self._last_change = True, change
+
+    # Judging
+
+    def judge(
+        self,
+        warm: WarmLanes,
+        cold: Collection[str],
+        floors: Iterable[tuple[RoundSpec, Mapping[Row, int]]],
+    ) -> None:
+        """Looks at the floors of the rounds that run. `warm`: true lanes now; `cold`: hosts that warm up."""
+        self._forget_recovered(warm, cold)
+        self._warm, self.changed = warm, False
+        untouched = {
+            name: dict.fromkeys(self._in_hand[name], self.hosts[name].lanes)
+            if name in self._in_hand
+            else lanes
+            for name, lanes in warm.items()
+        }
+        have = capacity_floor.standing(self.hosts, warm)
+        without_rounds = capacity_floor.standing(self.hosts, untouched)
+        for spec, floor in floors:
+            for row, needed in floor.items():
+                key, lanes = (spec.name, row), have.get(row, 0)
+                if lanes >= needed:
+                    self._standing.pop(key, None)
+                elif key in self._standing:
+                    continue
+                elif without_rounds.get(row, 0) < needed:
+                    self.own_breaches += 1
+                    self._standing[key] = BreachKind.OWN
+                else:
+                    breach = self._breach(spec, row, needed, lanes)
+                    self._standing[key] = breach.kind
+                    self.breaches.append(breach)
+
+    def _forget_recovered(self, warm: WarmLanes, cold: Collection[str]) -> None:
+        """Hosts that have again what they had are in no round's hands and failed no more."""
         for name in [
             name
-            for name, copies in self.had.items()
-            if set(warm[name]) >= set(copies) and not play.world.seats[name].actor.warms
+            for name, copies in self._in_hand.items()
+            if set(warm[name]) >= set(copies) and name not in cold
         ]:
-            del self.had[name]
-        for name in [name for name, (_, copies) in self.failed.items() if set(warm[name]) >= set(copies)]:
-            del self.failed[name]
-        whole = {
-            name: dict.fromkeys(self.had[name], play.fleet[name].lanes) if name in self.had else functions
-            for name, functions in warm.items()
+            del self._in_hand[name]
+        for name in [
+            name for name, failure in self._failed.items() if set(warm[name]) >= set(failure.copies)
+        ]:
+            del self._failed[name]
+
+    def _breach(self, spec: RoundSpec, row: Row, needed: int, lanes: int) -> FloorBreach:
+        level = spec.survive
+        domains = {
+            name if level in ("", "host") else getattr(self.hosts[name], level) for name in self._failed
         }
-        self.last, self.dirty = warm, False
-        have, might = capacity_floor.standing(play.fleet, warm), capacity_floor.standing(play.fleet, whole)
-        for asked in play.rounds:
-            if asked.name in self.ends:
-                continue
-            for row, least in capacity_floor.need(asked, play.demand, play.zones).items():
-                key, there = (asked.name, row), have.get(row, 0)
-                if there >= least:
-                    self.bad.pop(key, None)
-                elif key not in self.bad:
-                    self._breach(now, asked, key, row, least, there, might.get(row, 0))
-
-    def _breach(self, now, asked, key, row, least, there, might):
-        if might < least:
-            self.own += 1
-            self.bad[key] = "own"
-            return
-        level, names = asked.survive, list(self.failed)
-        things = (
-            {name if level == "host" else getattr(self.play.fleet[name], level) for name in names}
-            if level
-            else names
+        promised = not self._demand_rose and len(domains) <= (1 if level else 0)
+        causes = {failure.cause for failure in self._failed.values()}
+        if self._demand_rose:
+            causes.add("demand")
+        return FloorBreach(
+            time=self.true_time(),
+            round_name=spec.name,
+            row=row,
+            floor=needed,
+            lanes=lanes,
+            kind=BreachKind.PROMISED if promised else BreachKind.BEYOND,
+            causes=tuple(sorted(causes)),
+            failed_domains=len(domains),
+            last_change=self._last_change,
         )
-        promised = not self.risen and len(things) <= (1 if level else 0)
-        what = sorted({self.failed[name][0] for name in names} | ({"demand"} if self.risen else set()))
-        kind = "promised" if promised else "beyond"
-        self.bad[key] = kind
-        self.breaches.append((now, asked.name, row, least, there, kind, tuple(what), len(things), self.touch))
--- a/gaproute/simulation/simulation.py
+++ b/gaproute/simulation/simulation.py
@@ -1,201 +1,249 @@
-"""The run: a heap of events, the actors, and what befalls them.
+"""A run: the events in the order of true time, the processes, and what the network and faults do to them."""
 
-An actor is made by `make(name, disk, chance, now)` at each start; it has `due` (ns of its own clock, or
-None), `tick(now)` and `hear(now, sender, message)`, both returning [(to, message)], each at its own time. It
-may raise OSError, which ends the process as an error that is told does; any other exception is a breach named
-`raised`.
-"""
+from __future__ import annotations
 
-import heapq
-import struct
 import traceback
-from collections import deque
+from collections import Counter
+from collections.abc import Callable, Mapping
+from enum import StrEnum
+from typing import TypeAlias
+
+from gaproute.simulation.disk import ProcessCrash
+from gaproute.simulation.events import (
+    Delivery,
+    Event,
+    FaultBegin,
+    FaultEnd,
+    QueuedEvent,
+    Start,
+    Tick,
+    WorkloadDue,
+)
+from gaproute.simulation.fault_effects import FaultInjector
+from gaproute.simulation.fault_schedule import FaultSchedule, ScheduledFault
+from gaproute.simulation.network import SimulatedNetwork
+from gaproute.simulation.options import DEFAULT_OPTIONS, SimulationOptions
+from gaproute.simulation.participants import Checks, Workload
+from gaproute.simulation.process_slot import OutgoingMessages, ProcessFactory, ProcessSlot
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.slots import MAX_CLOCK_START, make_slots
+from gaproute.simulation.timeline import Timeline
+from gaproute.simulation.units import MILLISECOND
+from gaproute.simulation.violation import InvariantViolationError
 
-import xxhash
+MAX_INBOX = 2_000  # messages stored for a paused process, as a socket's buffer is bounded
+MIN_TICK_DELAY = MILLISECOND // 1000  # a process whose time to tick is over is called again no sooner
+RESTART_DELAY = 200 * MILLISECOND  # until a process that ended by an error is started again
 
-from gaproute.simulation import fault_effects
-from gaproute.simulation.clock import SimulatedClock
-from gaproute.simulation.disk import ProcessCrash, SimulatedDisk
-from gaproute.simulation.invariant_checks import InvariantChecks, InvariantViolationError
-from gaproute.simulation.network import SimulatedNetwork
-from gaproute.simulation.process_slot import ProcessSlot
-from gaproute.simulation.seeded_random import NarrowRandom, SeededRandom
+SlotCall: TypeAlias = Callable[[int], OutgoingMessages | None]  # takes the process's own time
+
+
+class ProcessEvent(StrEnum):
+    """What is counted of processes."""
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
-LAST = 60  # events told with a breach
-MOST = 40_000  # steps: thrice any run; words that answer words for ever must not hang a hunt
-INBOX = 2_000  # messages kept for a process that is stopped; a socket's buffer is not endless
-STEP = 1_000  # ns: an actor whose due is past is called again no sooner: time goes on
-AGAIN = 200 * MILLI  # until a process that could not start is started again
-SHOWN = 5_000 * SECOND  # where a clock may begin
-TICK, HEAR, BEGIN, END, START, ASK = range(6)
-KINDS = ("tick", "hear", "fault", "fault ends", "start", "ask")
-_event = struct.Struct("<qBHH")
+    STARTS = "starts"
+    CRASHES = "crashes"
+    ERRORS = "errors"  # ends by an OSError
 
 
 class Simulation:
-    """`makes`: {name: make}. `rates`: {name: millionths}, None: each within `plan.RATE`, drawn. `wire`:
-    (encode, decode), where messages are to go in bytes; else an actor must not change what it sent or heard.
-    `leader(world)`: the seat that a fault means by plan.LEADER, or None. `narrow`: actors' chance draws from
-    such a part only."""
+    """A run of the processes that `factories` make, by name, under the faults of a schedule.
+
+    The same arguments give the same run, with the same digest of the timeline.
+    """
 
     def __init__(
-        self, plan, makes, checks=None, load=None, rates=None, wire=None, rate=100, leader=None, narrow=0
-    ):
-        self.plan, self.checks, self.load, self.wire = plan, checks or InvariantChecks(), load, wire
-        self.leader, self.befell = leader, {}  # fault's number: whom it befell
-        self.now = self.step = self.order = self.strays = 0
-        self.heap, self.last, self.digest = [], deque(maxlen=LAST), xxhash.xxh3_64()
-        self.chance = SeededRandom(plan.seed, "world")
-        self.net = SimulatedNetwork(len(makes), SeededRandom(plan.seed, "net"))
-        self.seats, self.counts, self.facts = {}, dict.fromkeys(("crashes", "starts", "refused"), 0), {}
-        for number, (name, make) in enumerate(makes.items()):
-            fast = self.chance.between(-rate, rate) if rates is None else rates.get(name, 0)
-            clock = SimulatedClock(0, self.chance.below(SHOWN), fast)
-            luck = (
-                NarrowRandom(narrow, plan.seed, "actor", name)
-                if narrow
-                else SeededRandom(plan.seed, "actor", name)
-            )
-            self.seats[name] = ProcessSlot(name, number, make, SimulatedDisk(), clock, luck, fast)
-        self.places = list(self.seats.values())
-        for seat in self.places:
-            self.push(0, START, seat, None, None)
-        for number, fault in enumerate(plan.faults):
-            self.push(fault.at, BEGIN, None, fault, number)
-            self.push(fault.until, END, None, fault, number)
-        if load is not None:
-            self.push(load.next(0), ASK, None, None, None)
-
-    def push(self, when, kind, seat, one, two):
-        self.order += 1
-        heapq.heappush(self.heap, (when, self.order, kind, seat, one, two))
-
-    def run(self, until=None):
-        """Plays up to `until` (default: the plan's end and what it settles in). Errors:
-        InvariantViolationError."""
-        heap, last, pop, update, pack = self.heap, self.last, heapq.heappop, self.digest.update, _event.pack
-        until = self.plan.end + self.plan.settle if until is None else until
-        while heap and heap[0][0] <= until:
-            event = pop(heap)
-            self.now, _, kind, seat, one, two = event
-            if kind == TICK:
-                if seat.actor is None or seat.due != event[0] or seat.paused:
-                    continue
-                seat.due = None
-            elif kind == HEAR:
-                if seat.actor is None:
-                    seat.lost += 1
-                    continue
-                if seat.paused:
-                    if len(seat.inbox) < INBOX:
-                        seat.inbox.append((one, two))
-                    continue
-            self.step += 1
-            last.append(event)
-            if self.step > MOST:
-                raise InvariantViolationError(f"words without end: {MOST} steps", self)
-            update(pack(event[0], kind, seat.number if seat else 0xFFFF, len(heap) & 0xFFFF))
-            if kind == TICK:
-                self.call(seat, seat.actor.tick)
-            elif kind == HEAR:
-                self.call(seat, seat.actor.hear, one, two if self.wire is None else self.wire[1](two))
-            elif kind == BEGIN:
-                fault_effects.begin(self, one, two)
-            elif kind == END:
-                fault_effects.end(self, one, two)
-            elif kind == START:
-                self.start(seat)
-            else:
-                self.load.run(self)
-                if (after := self.load.next(self.now)) <= self.plan.end:
-                    self.push(after, ASK, None, None, None)
-        self.now = until
-        self.checks.all(self, last=True)
+        self,
+        schedule: FaultSchedule,
+        factories: Mapping[str, ProcessFactory],
+        *,
+        checks: Checks[Simulation] | None = None,
+        workload: Workload[Simulation] | None = None,
+        options: SimulationOptions = DEFAULT_OPTIONS,
+    ) -> None:
+        self.schedule, self.checks, self.workload, self.options = schedule, checks, workload, options
+        self.timeline = Timeline(schedule)
+        self.random = SeededRandom(schedule.seed, "world")  # the labels are a part of every seed
+        self.network = SimulatedNetwork(len(factories), SeededRandom(schedule.seed, "net"))
+        self.counts: Counter[ProcessEvent] = Counter()
+        self.slots = make_slots(schedule.seed, factories, options, self.random)
+        self.slot_list = list(self.slots.values())
+        self.faults = FaultInjector(self, lambda: options.leader(self.slots))
+        for slot in self.slot_list:
+            self.push(0, Start(slot))
+        for number, fault in enumerate(schedule.faults):
+            self.schedule_fault(fault, number)
+        if workload is not None:
+            self.push(workload.next_time(0), WorkloadDue())
+
+    @property
+    def running(self) -> list[ProcessSlot]:
+        """The slots in which a process runs."""
+        return [slot for slot in self.slot_list if slot.process is not None]
+
+    # Events
+
+    @property
+    def now(self) -> int:
+        """True time, ns."""
+        return self.timeline.now
+
+    def push(self, when: int, event: Event) -> None:
+        """The event happens at this true time."""
+        self.timeline.push(when, event)
+
+    def schedule_fault(self, fault: ScheduledFault, number: int) -> None:
+        """Adds a fault; `number` is one that no other fault of the run has."""
+        self.push(fault.at, FaultBegin(fault, number))
+        self.push(fault.until, FaultEnd(fault, number))
+
+    def run(self, until: int | None = None) -> Simulation:
+        """Plays up to `until`, by default to the schedule's end and the time that is left to recover.
+
+        Raises InvariantViolationError.
+        """
+        until = self.schedule.end + self.schedule.settle if until is None else until
+        while (queued := self.timeline.advance(until)) is not None:
+            if self._takes_effect(queued):
+                self.timeline.record(queued)
+                self._handle(queued.event)
+        if self.checks is not None:
+            self.checks.at_end(self)
         return self
 
-    def call(self, seat, what, *told):
-        """One call of the actor at its own time; what it returns is sent, unless it ended in the middle."""
-        try:
-            out = what(seat.clock.own(self.now), *told)
-        except (ProcessCrash, OSError) as end:
-            self.counts["refused"] += not isinstance(end, ProcessCrash)
-            self.crash(seat)
-            if isinstance(end, OSError):  # as one that supervises processes does
-                self.push(self.now + AGAIN, START, seat, None, None)
-            return
-        except Exception as fault:
-            raise self.raised(seat, fault) from fault
-        for to, message in out or ():
-            self.checks.sends(self, seat, to, message)
-            self.send(seat, to, message)
-        self.scheduled(seat)
-        self.checks.acted(self, seat)
-
-    def ask(self, name, call, *told):
-        """`call(actor, own time, *told)` as by a user of it, if its process runs; returns as tick does.
-        Whether it was called."""
-        seat = self.seats[name]
-        if seat.actor is None or seat.paused:
+    def _takes_effect(self, queued: QueuedEvent) -> bool:
+        """Not where a tick is outdated or nobody takes a message; what a paused process gets waits for it."""
+        event = queued.event
+        if isinstance(event, Tick):
+            slot = event.slot
+            if slot.process is None or slot.due != queued.when or slot.pauses:
+                return False
+            slot.due = None
+        elif isinstance(event, Delivery):
+            slot = event.slot
+            if slot.process is None:
+                return False
+            if slot.pauses:
+                if len(slot.inbox) < MAX_INBOX:
+                    slot.inbox.append((event.sender, event.message))
+                return False
+        return True
+
+    def _handle(self, event: Event) -> None:
+        match event:
+            case Tick(slot=slot):
+                self.call(slot, lambda now: slot.process.tick(now) if slot.process is not None else ())
+            case Delivery(slot=slot):
+                self._deliver(slot, event.sender, event.message)
+            case FaultBegin():
+                self.faults.begin(event.fault, event.number)
+            case FaultEnd():
+                self.faults.end(event.fault, event.number)
+            case Start(slot=slot):
+                self.start(slot)
+            case WorkloadDue():
+                self._run_workload()
+
+    def _deliver(self, slot: ProcessSlot, sender: str, message: object) -> None:
+        codec, process = self.options.codec, slot.process
+        if process is not None:
+            decoded = message if codec is None else codec.decode(message)
+            self.call(slot, lambda now: process.hear(now, sender, decoded))
+
+    def _run_workload(self) -> None:
+        if self.workload is not None:
+            self.workload.run(self)
+            after = self.workload.next_time(self.now)
+            if after <= self.schedule.end:
+                self.push(after, WorkloadDue())
+
+    # Processes
+
+    def ask(self, name: str, call: Callable[..., OutgoingMessages | None], *arguments: object) -> bool:
+        """Calls `call(process, own time, *arguments)`, as a user of the process would do.
+
+        What it returns is sent. Returns whether the process runs, and so whether it was called.
+        """
+        slot = self.slots[name]
+        if slot.process is None or slot.pauses:
             return False
-        self.call(seat, lambda now: call(seat.actor, now, *told))
+        self.call(slot, lambda now: call(slot.process, now, *arguments))
         return True
 
-    def send(self, seat, to, message):
-        other = self.seats.get(to)
-        if other is None:
-            self.strays += 1
+    def call(self, slot: ProcessSlot, call: SlotCall) -> None:
+        """One call of the slot's process at its own time.
+
+        What it returns is sent, unless the process ended in the middle of the call.
+        """
+        try:
+            outgoing = call(slot.clock.own_time(self.now))
+        except ProcessCrash:
+            self.crash(slot)
+            return
+        except OSError:
+            self.counts[ProcessEvent.ERRORS] += 1
+            self.crash(slot)
+            self.push(self.now + RESTART_DELAY, Start(slot))
             return
-        if self.wire is not None:
-            message = self.wire[0](message)
-        for when in self.net.arrivals(self.now, seat.number, other.number):
-            self.push(when, HEAR, other, seat.name, message)
-
-    def scheduled(self, seat):
-        own = seat.actor.due
-        if own is None:
-            seat.due = None
+        except Exception as error:
+            raise self._raised(slot, error) from error
+        for to, message in outgoing or ():
+            if self.checks is not None:
+                self.checks.before_send(self, slot, to, message)
+            self.send(slot, to, message)
+        self._stepped(slot)
+
+    def send(self, slot: ProcessSlot, to: str, message: object) -> None:
+        """Hands a message of the slot's process to the network; one to an unknown receiver is dropped."""
+        receiver = self.slots.get(to)
+        if receiver is None:
             return
-        when = seat.clock.true(own)
+        if self.options.codec is not None:
+            message = self.options.codec.encode(message)
+        for when in self.network.arrivals(self.now, slot.number, receiver.number):
+            self.push(when, Delivery(receiver, slot.name, message))
+
+    def schedule_tick(self, slot: ProcessSlot) -> None:
+        """Plans the next tick of the process in the slot, by its `due`."""
+        own = slot.process.due if slot.process is not None else None
+        when = None if own is None else slot.clock.true_time(own)
         if when is not None:
-            when = max(when, self.now + STEP)
-            if when != seat.due:
-                self.push(when, TICK, seat, None, None)
-        seat.due = when
-
-    def start(self, seat):
-        if seat.actor is not None:
+            when = max(when, self.now + MIN_TICK_DELAY)
+            if when != slot.due:
+                self.push(when, Tick(slot))
+        slot.due = when
+
+    def start(self, slot: ProcessSlot) -> None:
+        """Starts a process where none runs."""
+        if slot.process is not None:
             return
-        seat.life += 1
-        seat.paused, seat.inbox, seat.due = 0, [], None
-        self.counts["starts"] += 1
+        slot.incarnation += 1
+        slot.pauses, slot.inbox, slot.due = 0, [], None
+        self.counts[ProcessEvent.STARTS] += 1
         try:
-            seat.disk.opened()
-            seat.actor = seat.make(seat.name, seat.disk, seat.chance, seat.clock.own(self.now))
+            slot.disk.open()
+            own_time = slot.clock.own_time(self.now)
+            slot.process = slot.factory(slot.name, slot.disk, slot.random, own_time)
         except (ProcessCrash, OSError):
-            self.crash(seat)
-            self.push(self.now + AGAIN, START, seat, None, None)
+            self.crash(slot)
+            self.push(self.now + RESTART_DELAY, Start(slot))
             return
-        except Exception as fault:
-            raise self.raised(seat, fault) from fault
-        self.scheduled(seat)
-        self.checks.acted(self, seat)
-
-    def crash(self, seat):
-        """The process is gone, and of what it had not synced perhaps the first few records are there."""
-        seat.actor, seat.due, seat.inbox = None, None, []
-        self.counts["crashes"] += 1
-        seat.disk.crashed(seat.chance)
-        if seat.chance.below(2):  # the machine as well: its clock begins anew
-            seat.clock.restarted(self.now, seat.chance.below(SHOWN))
-
-    def raised(self, seat, fault):
-        return InvariantViolationError(f"raised: {fault!r} at {seat.name}\n{traceback.format_exc()}", self)
-
-    def up(self):
-        return [seat for seat in self.places if seat.actor is not None]
-
-    def worded(self, event):
-        when, _, kind, seat, one, two = event
-        told = "" if one is None else f" {one}" if kind != HEAR else f" {one}: {two}"
-        return f"{when / 1e9:.6f} {KINDS[kind]} {seat.name if seat else ''}{told}"
+        except Exception as error:
+            raise self._raised(slot, error) from error
+        self._stepped(slot)
+
+    def crash(self, slot: ProcessSlot) -> None:
+        """Ends the process in the slot; in half of the cases its machine too, whose clock begins anew."""
+        slot.process, slot.due, slot.inbox = None, None, []
+        self.counts[ProcessEvent.CRASHES] += 1
+        slot.disk.crash(slot.random)
+        if slot.random.below(2):
+            slot.clock.restart(self.now, slot.random.below(MAX_CLOCK_START))
+
+    def _stepped(self, slot: ProcessSlot) -> None:
+        self.schedule_tick(slot)
+        if self.checks is not None:
+            self.checks.after_step(self, slot)
+
+    def _raised(self, slot: ProcessSlot, error: Exception) -> InvariantViolationError:
+        return self.timeline.violation(f"raised: {error!r} at {slot.name}\n{traceback.format_exc()}")
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -8,11 +8,11 @@
 from gaproute.maintenance import capacity_floor, drain_proof, schedule, warm_capacity
 from gaproute.maintenance.controller import RoundController
 from gaproute.maintenance.invariants import check_given
-from gaproute.simulation.fault_schedule import ScheduledFault
-from gaproute.simulation.rounds import KINDS, MaintenanceRun, play
-from gaproute.simulation.rounds.baselines import OneAtATime, runs_with
-
-SECOND = 1_000_000_000
+from gaproute.simulation.fault_schedule import FaultKind, ScheduledFault
+from gaproute.simulation.rounds import MaintenanceRun, RunKind, play
+from gaproute.simulation.rounds.baselines import OneAtATime
+from gaproute.simulation.rounds.judge import BreachKind
+from gaproute.simulation.units import SECOND
 
 
 def verdict(seed, kind, **told):
@@ -22,7 +22,7 @@
 
 
 def broken(run):
-    return "floor" if any(each[5] == "promised" for each in run.judge.breaches) else ""
+    return "floor" if any(each.kind == BreachKind.PROMISED for each in run.judge.breaches) else ""
 
 
 # of each kind one seed that is short and in which hosts go; more seeds are played by benchmarks/rounds.py
@@ -36,34 +36,35 @@
     return run, breach.name if breach else broken(run)
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", list(RunKind))
 def test_a_fixed_seed_keeps_the_floor_in_truth(kind):
     run, name = clean(SEEDS.get(kind, 0), kind)
-    assert name == "" and run.judge.outs
+    assert name == "" and run.judge.restarts
 
 
 def test_rounds_end_and_a_seed_is_one_run():
     first, again = clean(0, "none")[0], play(0, "none")[0]
-    assert first.judge.ends["round0"][1:] == ("ended", "") and first.judge.outs == len(first.rounds[0].hosts)
-    assert first.world.digest.digest() == again.world.digest.digest()
-    assert first.judge.events == again.judge.events
+    assert first.judge.ends["round0"][1:] == ("ended", "") and first.judge.restarts == len(
+        first.rounds[0].hosts
+    )
+    assert first.simulation.timeline.digest.digest() == again.simulation.timeline.digest.digest()
+    assert first.judge.log == again.judge.log
 
 
 def test_a_scheduler_killed_at_several_times_ends_its_round():
     """Every 18 s of the round: killed, up again 3 s later; each host is out once."""
-    length = clean(3, "none")[0].judge.ends["round0"][0] // SECOND
+    length = clean(3, "none")[0].judge.ends["round0"].time // SECOND
     for at in range(4, min(length, 60), 18):
         run = MaintenanceRun(3, "none")
-        fault = ScheduledFault("crash", at * SECOND, (at + 3) * SECOND, (run.numbers["s1"],))
-        run.world.push(fault.at, 2, None, fault, 0)
-        run.world.push(fault.until, 3, None, fault, 0)
+        fault = ScheduledFault(FaultKind.CRASH, at * SECOND, (at + 3) * SECOND, (run.numbers["s1"],))
+        run.simulation.schedule_fault(fault, 0)
         run.run()
-        assert run.judge.ends["round0"][1] == "ended" and not run.judge.breaches
-        assert run.judge.outs == len(run.rounds[0].hosts)
+        assert run.judge.ends["round0"].stage == "ended" and not run.judge.breaches
+        assert run.judge.restarts == len(run.rounds[0].hosts)
 
 
 def test_one_at_a_time_with_no_regard_breaks_the_floor():
-    assert [verdict(seed, "died", made=runs_with(OneAtATime)) for seed in (2, 4)] == ["floor", "floor"]
+    assert [verdict(seed, "died", controller=OneAtATime) for seed in (2, 4)] == ["floor", "floor"]
 
 
 def no_margin(put):
@@ -141,7 +142,7 @@
     (counted_at_once, "nothing counts until", "none", {}, 0),
     (one_too_many, "at most", "none", {}, 0),
     (apart_forgotten, "not out together", "none", {}, 0),
-    (not_drained, "tasks in hand", "none", {}, 0),
+    (not_drained, "no restart with requests in flight", "none", {}, 0),
     (turn_for_each, "one round has the turn", "two rounds", {}, 1),
 ]
 
@@ -156,24 +157,24 @@
     "mutant, name, kind, words, seed", MUTANTS, ids=[each[0].__name__ for each in MUTANTS]
 )
 def test_a_small_fault_is_caught_by_name(monkeypatch, mutant, name, kind, words, seed):
-    assert (verdict(seed, kind, changed=changed(words)) if words else clean(seed, kind)[1]) == ""
+    assert (verdict(seed, kind, change_round=changed(words)) if words else clean(seed, kind)[1]) == ""
     mutant(lambda where, what, put: monkeypatch.setattr(where, what, put))
-    assert verdict(seed, kind, changed=changed(words)).startswith(name)
+    assert verdict(seed, kind, change_round=changed(words)).startswith(name)
 
 
 def test_no_out_without_a_permit_or_on_an_old_fence():
     run = MaintenanceRun(3, "none")
-    run.world.run(SECOND)
-    run.world.crash(run.world.seats["crew"])  # nobody asks for the host
+    run.simulation.run(SECOND)
+    run.simulation.crash(run.simulation.slots["crew"])  # nobody asks for the host
     for half in range(3, 80):
-        run.world.run(half * SECOND // 2)
-        seat = run.world.seats["s1"]
-        running = seat.actor.rounds[0]
+        run.simulation.run(half * SECOND // 2)
+        slot = run.simulation.slots["s1"]
+        running = slot.process.rounds[0]
         ready = [each for each in running.places.values() if each.state == "ready"]
         if ready:
             break
-    now, each = seat.clock.own(run.world.now), ready[0]
+    now, each = slot.clock.own_time(run.simulation.now), ready[0]
     each.wish.state = "over"
-    assert running.ask(now, each.name, seat.actor.view(now)) == "no permit"
+    assert running.ask(now, each.name, slot.process.status(now)) == "no permit"
     came = check_given(running, now, each.name, (9, each.mark, 5), {each.name: 99})
     assert [text.partition(":")[0] for text in came] == ["no out without a permit", "no out on an old fence"]
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -9,8 +9,8 @@
 from gaproute.rollouts.load_limiter import RolloutLoadLimiter
 from gaproute.rollouts.weight_versions import WeightVersions
 from gaproute.shared.leases import table
-from gaproute.simulation.campaigns import gateway, play, run
-from gaproute.simulation.campaigns.cases import CASES, SECOND
+from gaproute.simulation.campaigns import CASES, fleet, gateway, play
+from gaproute.simulation.units import SECOND
 
 USED = {"plain": 0.8, "two campaigns": 0.8, "liars": 0.5, "noise": 0.4, "slow store": 0.5}  # else 0.5
 
@@ -31,7 +31,10 @@
 
 def test_the_same_seed_is_the_same_run():
     one, other = (play(1, CASES["noise"], end=7 * SECOND)[0] for _ in range(2))
-    assert one.world.digest.hexdigest() == other.world.digest.hexdigest() and one.figures() == other.figures()
+    assert (
+        one.simulation.timeline.digest.hexdigest() == other.simulation.timeline.digest.hexdigest()
+        and one.figures() == other.figures()
+    )
 
 
 # Small faults of the code; below, the case in which each is caught and by which name.
@@ -115,7 +118,7 @@
 
 def a_zone_without_its_floor(patch):
     patch(
-        run,
+        fleet,
         "lendable",
         lambda hosts, floors: lendable(
             hosts, {name: lanes for name, lanes in floors.items() if name.startswith("h")}
--- a/tests/simulation/test_planted_faults.py
+++ b/tests/simulation/test_planted_faults.py
@@ -1,39 +1,43 @@
-"""Each small fault that is put into the keepers is caught by name, within the seeds that the tests play."""
+"""Each small fault that is planted in the Raft group is found by name, within the seeds of the tests."""
 
 import pytest
 
-from gaproute.simulation.raft_group import plan, play
-from gaproute.simulation.raft_group.planted_faults import PLANTED_FAULTS, planted
+from gaproute.simulation.raft_group import RaftGroupSetup, draw_group_schedule, play
+from gaproute.simulation.raft_group.planted_faults import EditError, planted
+from gaproute.simulation.raft_group.planted_lease_faults import LEASE_FAULTS
+from gaproute.simulation.raft_group.planted_raft_faults import RAFT_FAULTS
 from tests.simulation.test_raft_group import SEEDS
 
+PLANTED_FAULTS = (*RAFT_FAULTS, *LEASE_FAULTS)
 
-def seeds(mutant):
-    """Those of the tests, the one where it was caught soonest first."""
-    offered = SEEDS[mutant.kind, mutant.keepers]
-    assert mutant.seed in offered
-    return [mutant.seed, *(seed for seed in offered if seed != mutant.seed)]
 
+def seeds(fault):
+    """Those of the tests, the one where it was found soonest first."""
+    offered = SEEDS[fault.kind, fault.nodes]
+    assert fault.seed in offered
+    return [fault.seed, *(seed for seed in offered if seed != fault.seed)]
 
-@pytest.mark.parametrize("mutant", PLANTED_FAULTS, ids=lambda mutant: mutant.name)
-def test_caught_by_name(mutant):
-    others = []
-    for seed in seeds(mutant):
-        with planted(mutant):
-            breach = play(plan(seed, mutant.keepers, mutant.kind), mutant.keepers, mutant.kind)[1]
-        if breach is not None and breach.name in mutant.names:
+
+@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: fault.name)
+def test_found_by_name(fault):
+    setup, others = RaftGroupSetup(kind=fault.kind, nodes=fault.nodes), []
+    for seed in seeds(fault):
+        with planted(fault):
+            violation = play(draw_group_schedule(seed, setup), setup)[1]
+        if violation is not None and violation.name in fault.found_by:
             return
-        others.append(breach and breach.name)
-    pytest.fail(f"{mutant.name}: {others}")
-
-
-def test_a_fault_is_gone_afterwards_and_one_without_its_words_is_told():
-    mutant = PLANTED_FAULTS[0]
-    function, words, _ = mutant.edits[0]
-    code = function.__code__
-    with planted(mutant):
-        assert function.__code__ is not code
-    assert function.__code__ is code
-    wrong = mutant._replace(edits=((function, "not there", ""),))
-    with pytest.raises(ValueError, match="has no"), planted(wrong):
+        others.append(violation and violation.name)
+    pytest.fail(f"{fault.name}: {others}")
+
+
+def test_a_fault_is_gone_afterwards_and_one_without_its_words_is_an_error():
+    fault = PLANTED_FAULTS[0]
+    edit = fault.edits[0]
+    code = edit.function.__code__
+    with planted(fault):
+        assert edit.function.__code__ is not code
+    assert edit.function.__code__ is code
+    wrong = fault._replace(edits=(edit._replace(original="not there", replacement=""),))
+    with pytest.raises(EditError, match="has no"), planted(wrong):
         pass
-    assert len({mutant.name for mutant in PLANTED_FAULTS}) == len(PLANTED_FAULTS) >= 20
+    assert len({fault.name for fault in PLANTED_FAULTS}) == len(PLANTED_FAULTS) >= 32
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -5,6 +5,7 @@
 
 from gaproute.shared.raft import UnusableDiskError
 from gaproute.simulation import (
+    FaultKind,
     FaultSchedule,
     InvariantChecks,
     InvariantViolationError,
@@ -16,146 +17,166 @@
     SimulatedDisk,
     SimulatedNetwork,
     Simulation,
-    draw,
+    draw_schedule,
     shrink,
 )
-from gaproute.simulation.fault_schedule import kept
+from gaproute.simulation.clock import STOPPED
 from gaproute.simulation.invariant_checks import NeverDecreases
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
+from gaproute.simulation.network import MessageFate
+from gaproute.simulation.simulation import ProcessEvent
+from gaproute.simulation.units import MILLISECOND, SECOND
 
 
 class Register:
-    """Holds the largest number that it was told and tells it on; what it told is never to be forgotten."""
+    """Holds the largest number that it got and sends it to the others; no number sent may be forgotten."""
 
     synced = True
 
-    def __init__(self, name, disk, chance, now, others):
+    def __init__(self, name, disk, random, now, others):
         self.name, self.disk, self.others, self.due = name, disk, others, now
         self.number = max((int.from_bytes(record) for record in disk.read()), default=0)
 
     def tick(self, now):
-        self.due = now + 100 * MILLI
-        return [(other, ("have", self.number)) for other in self.others]
+        self.due = now + 100 * MILLISECOND
+        return [(other, self.number) for other in self.others]
 
     def write(self, now, number):
-        return self.hear(now, "", ("have", number))
+        return self.hear(now, "", number)
 
-    def hear(self, now, sender, message):
-        if message[1] > self.number:
-            self.number = message[1]
+    def hear(self, now, sender, number):
+        if number > self.number:
+            self.number = number
             self.disk.append(self.number.to_bytes(8))
             if self.synced:
                 self.disk.sync()
-            return [(other, ("have", self.number)) for other in self.others]
+            return [(other, self.number) for other in self.others]
         return []
 
 
-class Hasty(Register):
+class UnsyncedRegister(Register):
     synced = False
 
 
-def makes(kind, size=3):
+def factories(kind, size=3):
     names = [f"r{number}" for number in range(size)]
     return {
-        name: lambda own, *told: kind(own, *told, [other for other in names if other != own])
+        name: lambda own, *args: kind(own, *args, [other for other in names if other != own])
         for name in names
     }
 
 
-def play(plan, kind=Register):
-    def ask(world, chance):
-        world.ask(chance.of(world.places).name, Register.write, world.step)
+def play(schedule, kind=Register):
+    def write(simulation, random):
+        simulation.ask(random.choice(simulation.slot_list).name, Register.write, simulation.timeline.step)
 
-    checks = InvariantChecks([NeverDecreases("never less", lambda actor: actor.number)])
-    world = Simulation(
-        plan, makes(kind), checks, RandomLoad([(1, ask)], 50 * MILLI, SeededRandom(plan.seed, "load"))
-    )
+    checks = InvariantChecks([NeverDecreases("never less", lambda process: process.number)])
+    load = RandomLoad([(1, write)], 50 * MILLISECOND, SeededRandom(schedule.seed, "load"))
+    simulation = Simulation(schedule, factories(kind), checks=checks, workload=load)
     try:
-        world.run()
-    except InvariantViolationError as breach:
-        return world, breach
-    return world, None
+        simulation.run()
+    except InvariantViolationError as violation:
+        return simulation, violation
+    return simulation, None
 
 
-def test_a_seed_is_one_run():
-    runs = [play(draw(seed, 3, 8 * SECOND))[0] for seed in (1, 1, 2)]
-    digests = [run.digest.intdigest() for run in runs]
-    assert digests[0] == digests[1] != digests[2] and runs[0].step > 500
+def play_seed(seed, kind=Register):
+    return play(draw_schedule(seed, 3, 8 * SECOND), kind)
 
 
-def test_the_sound_register_holds_and_the_hasty_one_is_found_and_made_small():
-    assert all(play(draw(seed, 3, 8 * SECOND))[1] is None for seed in range(30))
-    found = [breach for seed in range(30) if (breach := play(draw(seed, 3, 8 * SECOND), Hasty)[1])]
-    assert len(found) > 5 and {breach.name for breach in found} == {"never less"}
-    first = max(found, key=lambda breach: len(breach.plan.faults))
-    small, breach = shrink(lambda plan: play(plan, Hasty)[1], first.plan, "never less")
-    assert len(small.faults) == 1 < len(first.plan.faults)
-    assert small.faults[0].kind in ("crash", "fuse") and breach.events
-    again = play(kept(small.text()), Hasty)[1]
-    assert str(again) == str(breach)
+def test_a_seed_is_one_run():
+    runs = [play_seed(seed)[0] for seed in (1, 1, 2)]
+    digests = [run.timeline.digest.intdigest() for run in runs]
+    assert digests[0] == digests[1] != digests[2]
+    assert runs[0].timeline.step > 500
+
+
+def test_the_sound_register_holds_and_the_unsynced_one_is_found_and_made_small():
+    assert all(play_seed(seed)[1] is None for seed in range(30))
+    found = [violation for seed in range(30) if (violation := play_seed(seed, UnsyncedRegister)[1])]
+    assert len(found) > 5
+    assert {violation.name for violation in found} == {"never less"}
+    schedule = max((violation.position.schedule for violation in found), key=lambda each: len(each.faults))
+    small, violation = shrink(lambda each: play(each, UnsyncedRegister)[1], schedule, "never less")
+    assert len(small.faults) == 1 < len(schedule.faults)
+    assert small.faults[0].kind in (FaultKind.CRASH, FaultKind.CRASH_IN_CALL)
+    assert violation.position.events
+    again = play(FaultSchedule.from_json(small.to_json()), UnsyncedRegister)[1]
+    assert str(again) == str(violation)
 
 
 def faulted(*faults, end=3 * SECOND):
     return play(FaultSchedule(1, end, faults))[0]
 
 
-@pytest.mark.parametrize("kind, count", [("cut", "cut"), ("cut both", "cut"), ("hold", "held")])
-def test_faults_of_links(kind, count):
-    world = faulted(ScheduledFault(kind, SECOND, 2 * SECOND, (0, 1)))
-    assert world.net.counts[count] > 5 and not any(world.net.cuts)
+def fault(kind, targets=(), value=0):
+    return ScheduledFault(kind, SECOND, 2 * SECOND, targets, value)
+
+
+@pytest.mark.parametrize(
+    ("kind", "fate"),
+    [
+        (FaultKind.CUT_ONE_WAY, MessageFate.CUT),
+        (FaultKind.CUT_BOTH_WAYS, MessageFate.CUT),
+        (FaultKind.HOLD_MESSAGES, MessageFate.HELD),
+    ],
+)
+def test_faults_of_links(kind, fate):
+    network = faulted(fault(kind, (0, 1))).network
+    assert network.counts[fate] > 5
+    assert not any(network.cuts)
 
 
 def test_shares_and_partitions_end():
-    world = faulted(
-        ScheduledFault("lose", SECOND, 2 * SECOND, (), 500_000),
-        ScheduledFault("double", SECOND, 2 * SECOND, (), 500_000),
-        ScheduledFault("slow", SECOND, 2 * SECOND, (), SECOND),
-        ScheduledFault("part", SECOND, 2 * SECOND, (0, 2)),
-    )
-    counts, net = world.net.counts, world.net
-    assert min(counts["lost"], counts["doubled"], counts["cut"]) > 5
-    assert not (net.lose or net.double or net.slow or any(net.cuts))
-
-
-def test_a_process_that_was_stopped_finds_its_clock_gone_on_and_its_messages():
-    world = Simulation(
-        FaultSchedule(1, 3 * SECOND, (ScheduledFault("pause", SECOND, 2 * SECOND, (0,)),)), makes(Register)
-    )
-    world.run(1900 * MILLI)
-    seat = world.seats["r0"]
-    held, due = len(seat.inbox), seat.actor.due
-    assert held > 5 and seat.clock.own(world.now) - due > 700 * MILLI
-    world.run(2100 * MILLI)
-    assert not seat.inbox and seat.actor.due > due
+    network = faulted(
+        fault(FaultKind.LOSE_MESSAGES, value=500_000),
+        fault(FaultKind.DUPLICATE_MESSAGES, value=500_000),
+        fault(FaultKind.DELAY_MESSAGES, value=SECOND),
+        fault(FaultKind.PARTITION, (0, 2)),
+    ).network
+    fates = MessageFate.LOST, MessageFate.DUPLICATED, MessageFate.CUT
+    assert min(network.counts[fate] for fate in fates) > 5
+    assert not any((network.loss_rates, network.duplication_rates, network.extra_delays, any(network.cuts)))
+
+
+def test_a_paused_process_finds_its_clock_gone_on_and_its_messages():
+    schedule = FaultSchedule(1, 3 * SECOND, (fault(FaultKind.PAUSE, (0,)),))
+    simulation = Simulation(schedule, factories(Register))
+    simulation.run(1900 * MILLISECOND)
+    slot = simulation.slots["r0"]
+    waiting, due = len(slot.inbox), slot.process.due
+    assert waiting > 5
+    assert slot.clock.own_time(simulation.now) - due > 700 * MILLISECOND
+    simulation.run(2100 * MILLISECOND)
+    assert not slot.inbox
+    assert slot.process.due > due
 
 
 def test_lost_disk_and_full_disk():
-    world = faulted(
-        ScheduledFault("wipe", SECOND, 2 * SECOND, (0,)), ScheduledFault("full", SECOND, 2 * SECOND, (1,))
-    )
-    assert world.seats["r0"].disk.lives == 2 and world.counts["refused"] > 0
-    assert all(seat.actor is not None for seat in world.places)
-    assert len({seat.actor.number for seat in world.places}) <= 2
+    simulation = faulted(fault(FaultKind.LOSE_DISK, (0,)), fault(FaultKind.DISK_FULL, (1,)))
+    assert simulation.slots["r0"].disk.generation == 2
+    assert simulation.counts[ProcessEvent.ERRORS] > 0
+    assert all(slot.process is not None for slot in simulation.slot_list)
+    assert len({slot.process.number for slot in simulation.slot_list}) <= 2
 
 
-def test_the_net_reorders():
-    net, at = SimulatedNetwork(2, SeededRandom(1)), [0] * 100
+def test_the_network_reorders():
+    network, at = SimulatedNetwork(2, SeededRandom(1)), [0] * 100
     for number in range(100):
-        (at[number],) = net.arrivals(number * MILLI, 0, 1)
+        (at[number],) = network.arrivals(number * MILLISECOND, 0, 1)
     assert at != sorted(at)
 
 
 def test_clocks_go_both_ways():
     clock = SimulatedClock(5, 1000, -37)
     for own in (1000, 1001, 10**9 + 7):
-        true = clock.true(own)
-        assert clock.own(true) >= own > clock.own(true - 1) - (own == 1000)
-    clock.paced(SECOND, -1_000_000)
-    assert clock.own(9 * SECOND) == clock.own(SECOND) and clock.true(clock.own(SECOND) + 1) is None
+        true = clock.true_time(own)
+        assert clock.own_time(true) >= own > clock.own_time(true - 1) - (own == 1000)
+    clock.set_drift(SECOND, STOPPED)
+    assert clock.own_time(9 * SECOND) == clock.own_time(SECOND)
+    assert clock.true_time(clock.own_time(SECOND) + 1) is None
 
 
-def test_a_disk_loses_what_was_not_synced_and_stops_in_the_middle():
+def test_a_disk_loses_what_was_not_synced_and_crashes_in_the_middle():
     left = set()
     for seed in range(40):
         disk = SimulatedDisk()
@@ -163,31 +184,32 @@
         disk.sync()
         disk.append(b"b")
         disk.append(b"c")
-        disk.crashed(SeededRandom(seed))
+        disk.crash(SeededRandom(seed))
         left.add(tuple(disk.read()))
     assert left == {(b"a",), (b"a", b"b"), (b"a", b"b", b"c")}
-    for after in (False, True):
+    for after_effect in (False, True):
         disk = SimulatedDisk()
-        disk.light(2, after)
+        disk.arm_crash(2, after_effect=after_effect)
         disk.append(b"a")
         with pytest.raises(ProcessCrash):
             disk.sync()
-        assert disk.durable == [b"a"] * after
+        assert disk.durable == [b"a"] * after_effect
 
 
-def test_a_disk_that_failed_once_refuses_until_all_is_written_anew():
+def test_a_disk_that_failed_once_rejects_until_all_is_written_anew():
     disk = SimulatedDisk()
-    disk.wrong = 28
-    with pytest.raises(OSError):
+    disk.error = 28
+    with pytest.raises(OSError, match="No space"):
         disk.append(b"a")
-    disk.wrong = 0
-    with pytest.raises(OSError):
+    disk.error = 0
+    with pytest.raises(OSError, match="No space"):
         disk.sync()
     disk.replace([b"a"])
     disk.sync()
-    disk.spoiled("bad")
-    with pytest.raises(UnusableDiskError) as fault:
+    disk.corrupt("bad")
+    with pytest.raises(UnusableDiskError) as error:
         disk.read()
-    assert fault.value.why == "bad"
+    assert error.value.why == "bad"
     disk.quarantine("bad")
-    assert disk.read() == [] and disk.quarantined == [("bad", [b"a"])]
+    assert disk.read() == []
+    assert disk.quarantined == [("bad", [b"a"])]
