--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -1,7 +1,6 @@
 """The graceful shutdown of a gateway process, and its times in ns after SIGTERM.
 
-The process may be killed `KILL_GRACE` after the longest deadline of its requests; by then every request has
-had its final answer.
+The process may be killed `kill_delay` after SIGTERM; by then every request has had its final answer.
 """
 
 from __future__ import annotations
@@ -9,6 +8,7 @@
 from typing import TYPE_CHECKING
 
 from gaproute.config.configuration import Configuration
+from gaproute.core.termination import kill_delay
 
 if TYPE_CHECKING:
     from gaproute.appliance.gateway import Appliance
@@ -18,15 +18,12 @@
 LATE_REQUEST_TIME = 1_500 * MILLI  # in which requests on connections accepted before may still come in:
 #                                    more than until a connection that was at work is parked
 LEAVE_TIME = 200 * MILLI  # after the last client's connection, for messages to other gateways to leave
-MAX_COUNTED_DEADLINE = 3_000 * MILLI  # as which longer deadlines count for the time of a SIGKILL
-KILL_GRACE = 700 * MILLI  # after the longest deadline, from which on SIGKILL may come
-ANSWER_MARGIN = 100 * MILLI  # before that, by which every request in flight has its answer
+ANSWER_MARGIN = 100 * MILLI  # before SIGKILL may come, by which every request in flight has its answer
 
 
 def answer_time(configuration: Configuration) -> int:
     """For how long requests are in flight at most: what then has no answer gets one at once."""
-    deadline = min(configuration.longest, MAX_COUNTED_DEADLINE)
-    return deadline + KILL_GRACE - ANSWER_MARGIN - configuration.clients.way_back
+    return kill_delay(configuration.longest) - ANSWER_MARGIN - configuration.clients.way_back
 
 
 def max_duration(configuration: Configuration) -> int:
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -4,16 +4,15 @@
 from typing import NamedTuple
 
 from gaproute.core.core import Core
+from gaproute.core.termination import kill_delay
 from gaproute.decisions.admission.admission import response_margin
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.loop import Loop
 from gaproute.platform.log import Log
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+MILLI = 1_000_000
 CLIENTS_NOTICE = 600 * MILLI  # after SIGTERM, in which clients still open connections
 ACCEPT_TIME = CLIENTS_NOTICE + 200 * MILLI  # in which they are accepted: a turn or two more
-KILL_GRACE = 700 * MILLI  # beyond the longest deadline, until SIGKILL may come after SIGTERM
-MAX_COUNTED_DEADLINE = 3 * SECOND  # what a longer deadline counts as there
 CLOSE_MARGIN = 200 * MILLI  # before SIGKILL, by which connections are closed in order
 
 
@@ -27,10 +26,10 @@
 def shutdown_times(deadlines: Iterable[int], signalled_at: int, now: int) -> ShutdownTimes:
     """The times after a SIGTERM that came at `signalled_at` and is handled `now`; `deadlines` in ns.
 
-    SIGKILL may come after the longest of the deadlines and `KILL_GRACE`. With short deadlines that is soon
-    after the last clients have come: the closing then takes half of the time between.
+    With short deadlines SIGKILL may come soon after the last clients have come: the closing then takes half
+    of the time between.
     """
-    kill_after = min(max(deadlines), MAX_COUNTED_DEADLINE) + KILL_GRACE
+    kill_after = kill_delay(max(deadlines))
     margin = min(CLOSE_MARGIN, (kill_after - CLIENTS_NOTICE) // 2)
     close_at = max(now, signalled_at + kill_after - margin)
     return ShutdownTimes(close_at, close_at + margin // 2)
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -11,9 +11,10 @@
 from request_scenarios import codes, holding
 from scripted import MILLI, SECOND, SETTINGS, Gate, Handed, nothing
 
+from gaproute.core.termination import KILL_GRACE, MAX_COUNTED_DEADLINE
 from gaproute.fronts.jsonrpc.errors import ErrorCode
 from gaproute.loop.addresses import address
-from gaproute.platform.shutdown import ACCEPT_TIME, KILL_GRACE, MAX_COUNTED_DEADLINE, shutdown_times
+from gaproute.platform.shutdown import ACCEPT_TIME, shutdown_times
 
 STEP = 20 * MILLI  # between two requests of a client
 DEADLINES = (20, 100, 300, 3000, 10_000)  # ms
