--- a/gaproute/shared/gossip/estimates.py
+++ b/gaproute/shared/gossip/estimates.py
@@ -80,13 +80,9 @@
     """Sums requests in flight by host. `is_current(host, observed_at)`: whether an entry counts."""
     sums: FleetSums[int] = FleetSums(now, received)
     sets = [cast(tuple[HostEntry, ...], each.entries) for each in received]
-    totals = [
-        each.remainder + sum([entry.amount for entry in entries])
-        for each, entries in zip(received, sets, strict=True)
-    ]
-    bound = _bound(totals, local_total, MIN_IN_FLIGHT_BOUND)
-    for each, entries, total in zip(received, sets, totals, strict=True):
-        scale = sums.add_remainder(each.remainder, total, bound)
+    figures = [[entry.amount for entry in entries] for entries in sets]
+    bound, scales = _add_remainders(sums, received, figures, local_total, MIN_IN_FLIGHT_BOUND)
+    for each, entries, scale in zip(received, sets, scales, strict=True):
         for host, amount in entries:
             if is_current(host, each.observed_at):
                 sums.add(host, min(amount * scale, bound / SUBJECT_DIVISOR))
@@ -97,13 +93,9 @@
     """Sums arrivals a second by function and request class."""
     sums: FleetSums[FunctionClass] = FleetSums(now, received)
     sets = [cast(tuple[DemandEntry, ...], each.entries) for each in received]
-    totals = [
-        each.remainder + sum([entry.rate for entry in entries])
-        for each, entries in zip(received, sets, strict=True)
-    ]
-    bound = _bound(totals, local_total, MIN_DEMAND_BOUND)
-    for each, entries, total in zip(received, sets, totals, strict=True):
-        scale = sums.add_remainder(each.remainder, total, bound)
+    figures = [[entry.rate for entry in entries] for entries in sets]
+    bound, scales = _add_remainders(sums, received, figures, local_total, MIN_DEMAND_BOUND)
+    for entries, scale in zip(sets, scales, strict=True):
         for function, request_class, rate, deviation in entries:
             # A deviation is believed up to what arrivals in a few great bursts would have.
             sums.add(
@@ -114,6 +106,25 @@
     return sums
 
 
+def _add_remainders(
+    sums: FleetSums[Subject],
+    received: Sequence[ReceivedSet],
+    figures: Sequence[Sequence[float]],
+    local_total: float,
+    floor: float,
+) -> tuple[float, list[float]]:
+    """Begins the set of each origin, of which `figures` has the figures of all subjects.
+
+    Returns the bound of one origin's sum and the factor by which each origin's figures are scaled down to it.
+    """
+    totals = [each.remainder + sum(own) for each, own in zip(received, figures, strict=True)]
+    bound = _bound(totals, local_total, floor)
+    scales = [
+        sums.add_remainder(each.remainder, total, bound) for each, total in zip(received, totals, strict=True)
+    ]
+    return bound, scales
+
+
 def _bound(totals: list[float], local_total: float, floor: float) -> float:
     """What one origin's set may sum up to."""
     ordered = sorted([*totals, local_total])
