--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -25,7 +25,7 @@
 
 from rows import write
 
-from gaproute.standins.tap import read
+from gaproute.standins.tap import read_tap
 
 SECOND = 1_000_000_000
 KILL = 24  # by then the store is calm: copies stand where the gateways want them
@@ -50,9 +50,9 @@
 MODES = {"nothing": (False, False), "disk": (False, True), "peers": (True, False), "both": (True, True)}
 LIARS = {
     "0%": "gaproute.decisions.routing:Gateway",
-    "20%": "gaproute.standins.liars:LiesNow",
-    "50%": "gaproute.standins.liars:LiesHalf",
-    "100%": "gaproute.standins.liars:LiesAlways",
+    "20%": "gaproute.standins.false_reports:ReportsFalselyAtTimes",
+    "50%": "gaproute.standins.false_reports:ReportsFalselyByHalf",
+    "100%": "gaproute.standins.false_reports:ReportsFalselyAlways",
 }
 
 
@@ -90,17 +90,19 @@
         if not run.stdout:
             raise RuntimeError(run.stderr)
         told = json.loads(run.stdout)
-        ran = [event for path in out.glob("host-*.tap") for event in read(path) if event["what"] == "ran"]
-        run = read(out / "run.tap")
+        ran = [event for path in out.glob("host-*.tap") for event in read_tap(path) if event["what"] == "ran"]
+        run = read_tap(out / "run.tap")
         logs = [
             json.loads(line)
             for path in out.glob("g*.log")
             for line in path.read_text().splitlines()
             if line.startswith("{")
         ]
-        fetches = [event["at"] for event in read(out / "store.tap") if event["what"] == "fetch"]
+        fetches = [event["at"] for event in read_tap(out / "store.tap") if event["what"] == "fetch"]
         ends = [
-            event for event in read(out / "clients.tap") if event["what"] in ("answer", "broken", "overdue")
+            event
+            for event in read_tap(out / "clients.tap")
+            if event["what"] in ("answer", "broken", "overdue")
         ]
     kills = {event["gateway"]: event["at"] for event in run if event["what"] == "killed"}
     starts = {event["gateway"]: event["at"] for event in run if event["what"] == "started"}
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -25,19 +25,23 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
-from gaproute.standins.platform.charter import RequestClass, charter, settings
-from gaproute.standins.platform.charter import write as ready
-from gaproute.standins.platform.parties import ChangeLog, Client, LineHost, event
+from gaproute.standins.platform.gateway_configuration import (
+    RequestClassSettings,
+    deployment_settings,
+    make_configuration,
+    write_configuration,
+)
+from gaproute.standins.platform.scripted import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HOSTS, KEPT = 12, 300  # kept connections of clients
 WORK, LEAVES = 30 * MILLI, 20 * MILLI
 WARM = 2 * SECOND  # first ones, which count for nothing
 TRACKS = (
-    RequestClass("check"),
-    RequestClass("check"),
-    RequestClass("check"),
-    RequestClass("order", "effectful"),
+    RequestClassSettings("check"),
+    RequestClassSettings("check"),
+    RequestClassSettings("check"),
+    RequestClassSettings("order", "effectful"),
 )
 
 
@@ -46,7 +50,7 @@
 
     def __init__(self, seed, folder):
         self.loop, self.chance, self.seen = Loop(), Chance(seed), {}
-        self.hosts = [LineHost(self.loop, self.answer) for _ in range(HOSTS)]
+        self.hosts = [ScriptedHost(self.loop, self.answer) for _ in range(HOSTS)]
         self.loop.on_signal(signal.SIGTERM, self.loop.stop)
         Path(folder, "part").write_text(json.dumps([host.address for host in self.hosts]))
         Path(folder, "part").rename(Path(folder, "hosts"))
@@ -69,7 +73,7 @@
     def __init__(self, loop, rate, seconds, seed, core, folder):
         self.loop, self.chance, self.rate = loop, Chance(seed), rate
         self.left, self.late = {}, 0  # id: when its client left
-        self.sent, self.answers, log = 0, [], ChangeLog(loop)
+        self.sent, self.answers, log = 0, [], ScriptedChangeLog(loop)
         hosts = os.fork()
         if not hosts:
             os.sched_setaffinity(0, {max(0, min(os.sched_getaffinity(0)) - 1)})
@@ -91,7 +95,9 @@
             ],
         }
         where = "127.0.0.1:7390"
-        command, told = ready(folder, charter("n1", where, log.address, known, settings(TRACKS[2:]), seed))
+        command, told = write_configuration(
+            folder, make_configuration("n1", where, log.address, known, deployment_settings(TRACKS[2:]), seed)
+        )
         self.node = subprocess.Popen(
             ["taskset", "-c", str(core), *command], env=os.environ | told, stderr=subprocess.DEVNULL
         )
@@ -118,7 +124,7 @@
         self.lags = {name: seen[name] - at for name, at in self.left.items() if seen.get(name, 0) > at}
 
     def client(self, where):
-        client = Client(self.loop, where)
+        client = ScriptedClient(self.loop, where)
         client.answers = self.answers
         client.ready.then(lambda promise: None)
         return client
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -2,14 +2,14 @@
 
     python benchmarks/membership.py [--sizes 1000,230,60,10] [--seeds 1,2,3,4,5] [--out docs/measured]
 
-Gateways on a simulated clock and network (gaproute/standins/net.py), the decisions and the bytes being the
-product's own. For each size and share of lost messages, each seed once: a minute of calm, then one gateway
-dies (seconds until the first and the last of the others hold it dead), then a newcomer that knows one gateway
-(seconds until it knows all; until all know it). Without loss also: two halves cut off for two minutes
-(seconds from healing until all hold all alive; `heal, s`), and seven tenths killed, and a minute later all
-started at once with an empty memory (seconds until all hold all alive; `roll, s`). CPU a gateway: of the
-process in the calm minute, the simulation's own cost in it. Figures are the median of the seeds, in brackets
-the least and the most.
+Gateways on a simulated clock and network (gaproute/standins/membership_network.py), the decisions and the
+bytes being the product's own. For each size and share of lost messages, each seed once: a minute of calm,
+then one gateway dies (seconds until the first and the last of the others hold it dead), then a newcomer that
+knows one gateway (seconds until it knows all; until all know it). Without loss also: two halves cut off for
+two minutes (seconds from healing until all hold all alive; `heal, s`), and seven tenths killed, and a minute
+later all started at once with an empty memory (seconds until all hold all alive; `roll, s`). CPU a gateway:
+of the process in the calm minute, the simulation's own cost in it. Figures are the median of the seeds, in
+brackets the least and the most.
 """
 
 import argparse
@@ -26,14 +26,14 @@
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import MemberState
 from gaproute.shared.membership.invariants import check
-from gaproute.standins.net import LINK, Net
+from gaproute.standins.membership_network import LINK, MembershipNetwork
 
 SECOND = 1_000_000_000
 CALM = 60  # s
 LONG = 240  # s, until which something is waited for
 
 
-class Bytes(Net):
+class Bytes(MembershipNetwork):
     """Words travel as bytes."""
 
     def send(self, sender, words):
--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -11,7 +11,7 @@
 from gaproute.appliance import Appliance
 from gaproute.config import read_configuration
 from gaproute.discovery.changelog.sse import EventReader
-from gaproute.standins.platform.listing import Listing, member
+from gaproute.standins.platform.host_list import VersionedHostList, member
 from gaproute.telemetry.logs import logger
 
 PARAMETER = "hosts of a cell"
@@ -84,7 +84,7 @@
         )
         self.appliance.start()
         self.lists = self.appliance.cells.lists
-        self.logs = [Listing() for _ in range(KNOWN)]
+        self.logs = [VersionedHostList() for _ in range(KNOWN)]
         if followed:
             for place in range(KNOWN):
                 self._begin(place)
--- a/benchmarks/scale/costs/cell_hosts_rest.py
+++ b/benchmarks/scale/costs/cell_hosts_rest.py
@@ -55,7 +55,7 @@
     loop = Loop()
     source = CellSource(loop, "north", comment=SECOND)
     for place, cell in enumerate(names(cells)):
-        source.tell(cell, *members(place, HOSTS, seed))
+        source.publish(cell, *members(place, HOSTS, seed))
     wheres.put(source.address)
     loop.run()
 
--- a/benchmarks/scale/costs/change_log.py
+++ b/benchmarks/scale/costs/change_log.py
@@ -9,7 +9,7 @@
 from gaproute.discovery.changelog.sse import EventReader
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.loop import Loop
-from gaproute.standins.platform.listing import Listing, member
+from gaproute.standins.platform.host_list import VersionedHostList, member
 
 SIZES = (100, 400, 1_600, 6_400, 25_600)
 CHANGES = (1, 4, 16, 64)
@@ -70,7 +70,7 @@
 
 def whole_event(hosts, seed):
     """The bytes of a whole list."""
-    return sent(Listing().change(*members(hosts, seed)))
+    return sent(VersionedHostList().change(*members(hosts, seed)))
 
 
 def whole_bytes(hosts, seed):
@@ -89,14 +89,14 @@
 
 def change_bytes(changed, seed):
     """Bytes of an event that tells so many changed hosts."""
-    listing = Listing()
+    listing = VersionedHostList()
     listing.change(*members(changed, seed))
     return len(sent(listing.change(*members(changed, seed, "draining"))))
 
 
 def change_cpu(hosts, seed):
     """Milliseconds of CPU to follow the change of one host among so many."""
-    followed, listing = FollowedLog(), Listing()
+    followed, listing = FollowedLog(), VersionedHostList()
     followed.feed(sent(listing.change(*members(hosts, seed))))
     drained = members(min(hosts, CHANGED), seed, "draining")
     events = iter([sent(listing.change(drained[number % len(drained)])) for number in range(CHANGED)])
--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -18,15 +18,20 @@
 from statistics import median
 
 from gaproute.scenarios.processes import Process
-from gaproute.standins.platform import charter
-from gaproute.standins.platform.listing import Listing, member
+from gaproute.standins.platform.gateway_configuration import (
+    RequestClassSettings,
+    deployment_settings,
+    make_configuration,
+    write_configuration,
+)
+from gaproute.standins.platform.host_list import VersionedHostList, member
 
 MILLI = 1_000_000
 RATE = 3.0  # tasks a second
 FUNCTIONS = 400
 CHANGES = 40  # of a line of the list
 HOSTS_EACH = 250  # in one stand-in process
-TRACKS = [charter.RequestClass("fault-check", earnings=3.0)]
+TRACKS = [RequestClassSettings("fault-check", priority_weight=3.0)]
 MODELS = [
     {"name": f"{number:016x}", "track": TRACKS[0].name, "lanes": 4, "work": 40 * MILLI, "start": 100 * MILLI}
     for number in range(1, FUNCTIONS + 1)
@@ -40,7 +45,7 @@
 
 class Scene:
     def __init__(self, folder, count):
-        self.folder, self.processes, self.listing = Path(folder), [], Listing()
+        self.folder, self.processes, self.listing = Path(folder), [], VersionedHostList()
         where = {}
         for first in range(0, count, HOSTS_EACH):
             _, told = self.standin(
@@ -68,10 +73,14 @@
         return process, json.loads(process.child.stdout.readline())
 
     def gateway(self, changelog):
-        command, environment = charter.write(
+        command, environment = write_configuration(
             self.folder,
-            charter.charter(
-                "g0", "127.0.0.2:0", changelog, self.listing.known(), charter.settings(TRACKS, gateways=200)
+            make_configuration(
+                "g0",
+                "127.0.0.2:0",
+                changelog,
+                self.listing.snapshot(),
+                deployment_settings(TRACKS, gateways=200),
             ),
         )
         self.said = self.folder / "g0.log"
--- a/gaproute/cluster/crews.py
+++ b/gaproute/cluster/crews.py
@@ -13,7 +13,7 @@
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Duration
 from gaproute.judge import permits
-from gaproute.standins.tap import read
+from gaproute.standins.tap import read_tap
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LOOK = 40 * MILLI  # between questions about a request
@@ -146,7 +146,7 @@
         """What the verdict has of them: counts, and breaches as text; None where the day has no crews."""
         if self.line is None:
             return None
-        run = read(self.harness.out / "run.tap")
+        run = read_tap(self.harness.out / "run.tap")
         healed, stood = permits.progress(run)
         broken = [f"permits, {breach.check}: {breach.text}" for breach in permits.judge(run) + stood]
         broken += [
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -25,7 +25,7 @@
 from gaproute.cluster.wires import Wires
 from gaproute.scenarios.processes import MILLI, SECOND, NotReady
 from gaproute.scenarios.run import Trial
-from gaproute.standins.tap import read
+from gaproute.standins.tap import read_tap
 
 LAST_RESORT = 30  # seconds after the bound: the alarm ends a parent that no longer turns its loop
 BACK = 60 * SECOND  # after the day, for gateways that are being restarted: a fleet's start, at most
@@ -78,7 +78,7 @@
     def hosts_seen(self):
         """What the hosts noted during the day, by run."""
         return [
-            [event for event in read(path) if self.begun < event["at"] < self.ended]
+            [event for event in read_tap(path) if self.begun < event["at"] < self.ended]
             for path in self.out.glob("host-*.tap")
         ]
 
--- a/gaproute/cluster/platform/crowd.py
+++ b/gaproute/cluster/platform/crowd.py
@@ -1,7 +1,7 @@
 """The platform's clients of a harness: several processes that share one load."""
 
 from gaproute.cluster.crowd import ClusterCrowd
-from gaproute.standins.tap import read
+from gaproute.standins.tap import read_tap
 
 KNOWN_OF_KINDS = ("name", "share", "limit", "pure")
 
@@ -32,7 +32,7 @@
         """As of a harness's other clients: who is done says how late it has run since its first task."""
         found = []
         for path in sorted(self.trial.out.glob("clients-*.tap")):
-            events = read(path)
+            events = read_tap(path)
             begun = next((event["at"] for event in events if event["what"] == "begun"), 0)
             late = max(
                 (event["by"] for event in events if event["what"] == "late" and event["at"] > begun),
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -5,7 +5,12 @@
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import NEXT, hurry
 from gaproute.scenarios.processes import MILLI, READY_TIME, NotReady
-from gaproute.standins.platform import charter
+from gaproute.standins.platform.gateway_configuration import (
+    RequestClassSettings,
+    deployment_settings,
+    make_configuration,
+    write_configuration,
+)
 
 
 class NodeGateways(ClusterGateways):
@@ -13,12 +18,12 @@
         script = self.trial.script
         copies, life, day = script.copies, script.life, script.day
         tracks = [
-            charter.RequestClass(
+            RequestClassSettings(
                 line.name, line.effect, line.group, line.contract, line.limit, line.earnings, line.remembers
             )
             for line in script.tracks
         ]
-        return charter.settings(
+        return deployment_settings(
             tracks,
             gateways=day.gateways,
             zones=[f"hall-{hall}" for hall in range(day.halls)],
@@ -38,7 +43,7 @@
         """A coroutine: until it says that it has started."""
         trial, name = self.trial, f"g{number}"
         listen, peers = self.table.gateway(number)
-        told = charter.charter(
+        told = make_configuration(
             name,
             listen,
             self.table.changelog(number),
@@ -48,7 +53,7 @@
             peer_listen=peers if trial.script.day.peers else "",
             peers_all=trial.spread_at,
         )
-        _, environment = charter.write(self.out, told)
+        _, environment = write_configuration(self.out, told)
         log = self.out / f"{name}.log"
         before = log.stat().st_size if log.exists() else 0
         process = trial.processes.start(
--- a/gaproute/cluster/platform/lists.py
+++ b/gaproute/cluster/platform/lists.py
@@ -2,14 +2,14 @@
 finds the hosts. Has the interface of `gaproute.cluster.lists.Lists`; its troubles are the log's own."""
 
 from gaproute.cluster.lists import GATHER
-from gaproute.standins.platform.listing import Listing, member
+from gaproute.standins.platform.host_list import VersionedHostList, member
 
 
 class NodeLists:
     def __init__(self, harness):
         self.harness, self.loop, self.table, self.seats = harness, harness.loop, harness.table, harness.seats
         self.late, self.asked, self.told = 0, False, {}
-        self.listing, self.process = Listing(), None
+        self.listing, self.process = VersionedHostList(), None
 
     def furnish(self):
         """A coroutine: the log's process, which listens for each gateway apart."""
@@ -39,7 +39,7 @@
 
     def known(self, number):
         """What a gateway that starts now is told in its file."""
-        told = self.listing.known()
+        told = self.listing.snapshot()
         for whole in told["results"]:
             whole["fleet"]["members"] = [
                 row | {"host_port": row["host_port"][number]} for row in whole["fleet"]["members"]
--- a/gaproute/cluster/platform/play.py
+++ b/gaproute/cluster/platform/play.py
@@ -9,7 +9,7 @@
 from gaproute.cluster.platform.hosts import NodeSeats
 from gaproute.cluster.platform.lists import NodeLists
 from gaproute.cluster.strikes import Strikes
-from gaproute.standins.tap import read
+from gaproute.standins.tap import read_tap
 
 
 class NodeHarness(ClusterHarness):
@@ -63,7 +63,7 @@
     def hosts_seen(self):
         """What the hosts and their processes noted during the day."""
         return super().hosts_seen() + [
-            [event for event in read(path) if self.begun < event["at"] < self.ended]
+            [event for event in read_tap(path) if self.begun < event["at"] < self.ended]
             for path in self.out.glob("hosts-*.tap")
         ]
 
--- a/gaproute/scenarios/crowd.py
+++ b/gaproute/scenarios/crowd.py
@@ -1,7 +1,7 @@
 """The clients of a day: stand-ins that draw the load, and what they saw."""
 
 from gaproute.scenarios.processes import MILLI
-from gaproute.standins.tap import read
+from gaproute.standins.tap import read_tap
 
 
 class Crowd:
@@ -59,6 +59,6 @@
 
     def events(self):
         return sorted(
-            (event for path in sorted(self.trial.out.glob("clients*.tap")) for event in read(path)),
+            (event for path in sorted(self.trial.out.glob("clients*.tap")) for event in read_tap(path)),
             key=lambda event: event["at"],
         )
--- a/gaproute/scenarios/result.py
+++ b/gaproute/scenarios/result.py
@@ -1,7 +1,7 @@
 """What the taps of a played day say: the rules, the service, what was sent and fetched."""
 
 from gaproute.judge import Facts, judge
-from gaproute.standins.tap import read
+from gaproute.standins.tap import read_tap
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -13,9 +13,9 @@
         script, out = trial.script, trial.out
         self.tracks = [line.name for line in script.tracks]
         seats = trial.seats.seats
-        hosts = {name: [read(path) for path in sorted(out.glob(f"host-{name}.*.tap"))] for name in seats}
-        self.clients, self.run = trial.crowd.events(), read(out / "run.tap")
-        store = read(out / "store.tap")
+        hosts = {name: [read_tap(path) for path in sorted(out.glob(f"host-{name}.*.tap"))] for name in seats}
+        self.clients, self.run = trial.crowd.events(), read_tap(out / "run.tap")
+        store = read_tap(out / "store.tap")
         copies = script.copies
         facts = Facts(
             {line.name: line.effect for line in script.tracks},
--- a/gaproute/standins/__main__.py
+++ b/gaproute/standins/__main__.py
@@ -13,15 +13,15 @@
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 from gaproute.loop.descriptors import HANGUP, READ
-from gaproute.standins import clients
-from gaproute.standins.beat import beat
-from gaproute.standins.host import Host, Make, Model
+from gaproute.standins.kserve import KServeHost, clients
+from gaproute.standins.model_server import HostProfile, ModelProfile
+from gaproute.standins.model_store import ModelStore
 from gaproute.standins.platform import clients as platform_clients
-from gaproute.standins.platform.hosts import Hosts
-from gaproute.standins.platform.log import Log
-from gaproute.standins.platform.spread import Spread
-from gaproute.standins.store import Store
+from gaproute.standins.platform.change_log import ChangeLogServer
+from gaproute.standins.platform.hosts import PlatformHosts
+from gaproute.standins.platform.peer_broadcast import PeerBroadcast
 from gaproute.standins.tap import Tap
+from gaproute.standins.tap_flusher import beat
 
 
 def say(told):
@@ -29,18 +29,18 @@
 
 
 def store(loop, told, tap):
-    made = Store(loop, address(told["listen"]), told["pace"], told["limit"], told["thrash"], tap)
+    made = ModelStore(loop, address(told["listen"]), told["pace"], told["limit"], told["thrash"], tap)
     made.command = lambda told: setattr(made, "pace", told["pace"])
     say({"address": made.address})
     return made
 
 
 def host(loop, told, tap):
-    models = {model["name"]: Model(**model) for model in told["models"]}
-    made = Host(
+    models = {model["name"]: ModelProfile(**model) for model in told["models"]}
+    made = KServeHost(
         loop,
         address(told["listen"]),
-        Make(**told["make"]),
+        HostProfile(**told["make"]),
         models,
         told["store"],
         told["seed"],
@@ -53,12 +53,12 @@
 
 def callers(loop, told, tap):
     habits = told["habits"] | {"patience": tuple(told["habits"]["patience"])}
-    kinds = [clients.Kind(**each | {"models": tuple(each["models"])}) for each in told["kinds"]]
-    return clients.Clients(
+    kinds = [clients.KServeRequestClass(**each | {"models": tuple(each["models"])}) for each in told["kinds"]]
+    return clients.KServeClients(
         loop,
         told["gateways"],
         kinds,
-        clients.Habits(**habits),
+        clients.KServeTraffic(**habits),
         told["seed"],
         tap,
         loop.now() + told["length"],
@@ -66,26 +66,26 @@
 
 
 def platform_hosts(loop, told, tap):
-    return Hosts(loop, told, say)
+    return PlatformHosts(loop, told, say)
 
 
 def platform_log(loop, told, tap):
-    return Log(loop, told["gateways"], tap, say)
+    return ChangeLogServer(loop, told["gateways"], tap, say)
 
 
 def platform_spread(loop, told, tap):
-    made = Spread(loop, told["listen"], told["ways"], tap)
+    made = PeerBroadcast(loop, told["listen"], told["ways"], tap)
     say({"address": made.address})
     return made
 
 
 def platform_callers(loop, told, tap):
-    return platform_clients.Clients(
+    return platform_clients.PlatformClients(
         loop,
         told["gateways"],
-        [Model(**model) for model in told["models"]],
-        [platform_clients.Kind(**kind) for kind in told["kinds"]],
-        platform_clients.Habits(**told.get("habits", {})),
+        [ModelProfile(**model) for model in told["models"]],
+        [platform_clients.PlatformRequestClass(**kind) for kind in told["kinds"]],
+        platform_clients.PlatformTraffic(**told.get("habits", {})),
         told["seed"],
         tap,
         told["length"],
--- a/gaproute/standins/cell_source.py
+++ b/gaproute/standins/cell_source.py
@@ -1,7 +1,7 @@
 """A stand-in source of cells' host lists: one address that serves the change log of each cell.
 
 It keeps to what a source must do: numbers go on when it starts anew (they begin with a number handed in),
-and who asks for a number that it does not have is told the whole list. `Trouble` makes it do otherwise.
+and who asks for a number that it does not have is told the whole list. `SourceFault` makes it do otherwise.
 """
 
 from collections import Counter
@@ -12,7 +12,7 @@
 
 from gaproute.loop import Listener, Stream
 from gaproute.loop.addresses import address
-from gaproute.standins.platform.listing import Listing
+from gaproute.standins.platform.host_list import VersionedHostList
 
 SECOND = 1_000_000_000
 COMMENT = SECOND // 2  # between signs of life: half of what a follower counts on
@@ -21,7 +21,7 @@
 REQUEST = 4096  # bytes of a request
 
 
-class Trouble(Enum):
+class SourceFault(Enum):
     """What a source does in place of what it should."""
 
     SILENT = "silent"  # connections are accepted and nothing is said
@@ -32,7 +32,7 @@
     """The log of one cell: its events as bytes, and the list as it stands."""
 
     def __init__(self, begin):
-        self.listing, self.begin = Listing(), begin
+        self.listing, self.begin = VersionedHostList(), begin
         self.listing.seq = begin
         self.events = []  # those after `begin`
 
@@ -49,7 +49,7 @@
             return b""
         if self.begin < last <= self.listing.seq:
             return b"".join(self.events[last - self.begin :])
-        return _event(self.listing.known()["results"][0])
+        return _event(self.listing.snapshot()["results"][0])
 
 
 def _event(told):
@@ -63,14 +63,14 @@
     def __init__(self, loop, fleet, where="127.0.0.1:0", begin=0, comment=COMMENT):
         self.loop, self.fleet, self.begin, self.comment = loop, fleet, begin, comment
         self.logs, self.streams = {}, {}  # by cell; {stream: its cell}
-        self.asked = Counter()  # cell: how often
-        self.asked_from = []  # (cell, number) of each request, in order
-        self.trouble, self.delay = None, 0
+        self.poll_counts = Counter()  # cell: how often
+        self.polls = []  # (cell, number) of each request, in order
+        self.fault, self.delay = None, 0
         self.listener = Listener(loop, address(where), self._accept)
         self.address = self.listener.address
         self.timer = loop.after(comment, self._comment)
 
-    def tell(self, cell, *members):
+    def publish(self, cell, *members):
         """The cell's first list, or the next change of it."""
         log = self.logs.get(cell)
         if log is None:
@@ -83,22 +83,22 @@
             if followed == cell:
                 stream.write(data)
 
-    def late(self, delay):
+    def delay_events(self, delay):
         """From now on each event comes so many ns later."""
         self.delay = delay
 
-    def following(self, cell):
+    def follower_count(self, cell):
         """How many follow the cell."""
         return sum(followed == cell for followed in self.streams.values())
 
     def _send(self, cell, event):
-        if self.trouble is Trouble.TORN:
-            self.trouble = None
+        if self.fault is SourceFault.TORN:
+            self.fault = None
             self.send(cell, event[: len(event) // 2])
             self.cut()
-        elif self.trouble is not Trouble.SILENT and self.delay:
+        elif self.fault is not SourceFault.SILENT and self.delay:
             self.loop.after(self.delay, self.send, cell, event)
-        elif self.trouble is not Trouble.SILENT:
+        elif self.fault is not SourceFault.SILENT:
             self.send(cell, event)
 
     def _accept(self, sock):
@@ -119,9 +119,9 @@
         _, path, _ = request.split(b" ", 2)
         _, changes, fleet, cell = map(unquote, path.decode().split("/"))
         last = int(request.lower().partition(b"last-event-id:")[2].partition(b"\r\n")[0])
-        self.asked[cell] += 1
-        self.asked_from.append((cell, last))
-        if self.trouble is Trouble.SILENT:
+        self.poll_counts[cell] += 1
+        self.polls.append((cell, last))
+        if self.fault is SourceFault.SILENT:
             return
         if (changes, fleet) != ("changes", self.fleet) or cell not in self.logs:
             stream.write(NOT_FOUND)
@@ -136,7 +136,7 @@
 
     def _comment(self):
         self.timer = self.loop.after(self.comment, self._comment)
-        if self.trouble is not Trouble.SILENT:
+        if self.fault is not SourceFault.SILENT:
             for stream, cell in self.streams.items():
                 if cell is not None:
                     stream.write(b":\n\n")
--- a/gaproute/standins/liars.py
+++ b/gaproute/standins/false_reports.py
@@ -4,7 +4,7 @@
 from gaproute.decisions.routing import Gateway
 
 
-class Liar(Gateway):
+class FalseReporter(Gateway):
     SHARE = 1.0
 
     def known(self, now, since=-1):
@@ -16,13 +16,13 @@
             yield kind, names, value, at
 
 
-class LiesNow(Liar):
+class ReportsFalselyAtTimes(FalseReporter):
     SHARE = 0.2
 
 
-class LiesHalf(Liar):
+class ReportsFalselyByHalf(FalseReporter):
     SHARE = 0.5
 
 
-class LiesAlways(Liar):
+class ReportsFalselyAlways(FalseReporter):
     SHARE = 1.0
--- a/gaproute/standins/clients.py
+++ b/gaproute/standins/kserve/clients.py
@@ -19,7 +19,7 @@
 CROSS = 50 * MILLI  # a request may cross the close of a connection at rest for so long: it is sent once more
 
 
-class Kind(NamedTuple):
+class KServeRequestClass(NamedTuple):
     """A track as clients know it."""
 
     name: str
@@ -29,7 +29,7 @@
     pure: bool = False  # may be tried again also after a scrapping
 
 
-class Habits(NamedTuple):
+class KServeTraffic(NamedTuple):
     rate: float = 100.0  # first tries a second
     patience: tuple[float, float] = (0.6, 1.0)  # of the limit, after which a try is given up
     retries: int = 1
@@ -39,7 +39,7 @@
     prefix: str = "c"  # of the tasks' names, where several processes of clients share a load
 
 
-class Clients:
+class KServeClients:
     def __init__(self, loop, gateways, kinds, habits, seed, tap, until):
         self.loop, self.kinds, self.habits, self.tap, self.until = loop, kinds, habits, tap, until
         self.gateways = [address(where) for where in gateways]
--- a/gaproute/standins/host/kserve.py
+++ b/gaproute/standins/kserve/host.py
@@ -8,26 +8,26 @@
 import msgspec
 
 from gaproute.http1 import Limits, Server, render
-from gaproute.standins.host import machine
-from gaproute.standins.host.fetch import fetcher
-from gaproute.standins.host.machine import Machine
+from gaproute.standins.model_server import server
+from gaproute.standins.model_server.fetching import fetcher
+from gaproute.standins.model_server.server import ModelServer
 
-STATUS = {machine.FULL: 429, machine.ERROR: 500, machine.NO_LOAD: 500, machine.DONE: 200}
+STATUS = {server.FULL: 429, server.ERROR: 500, server.NO_LOAD: 500, server.DONE: 200}
 TYPE = ((b"Content-Type", b"application/json"),)
 
 
-class Host:
+class KServeHost:
     def __init__(self, loop, where, make, models, store, seed, tap, warm=False):
         self.loop, self.make, self.models, self.tap = loop, make, models, tap
-        self.machine = Machine(loop, make, models, fetcher(loop, store), seed, tap, warm)
-        self.command = self.machine.command
+        self.model_server = ModelServer(loop, make, models, fetcher(loop, store), seed, tap, warm)
+        self.command = self.model_server.command
         self.server = Server(loop, where, self.handle, Limits(pipelined=4, idle_time=make.idle_close))
         self.address = self.server.address
-        self.machine.fell = self.server.close
-        self.machine.start()
+        self.model_server.fell = self.server.close
+        self.model_server.start()
 
     def handle(self, request):
-        if self.machine.down:
+        if self.model_server.down:
             cut_off(request)
             return
         parts = [unquote(part) for part in request.target.decode("latin-1").split("/")[1:]]
@@ -39,12 +39,12 @@
             case ["v2", "repository", "models", name, "load"] if name in self.models:
                 self.order(request, name)
             case ["v2", "repository", "models", name, "unload"] if name in self.models:
-                self.machine.shelf.unload_idle(name)
+                self.model_server.pool.unload_idle(name)
                 self.server.answer(request, 200, (), b"{}")
             case ["v2", "repository", "index"]:
                 index = [
                     {"name": name, "state": "READY", "reason": ""}
-                    for name, copies in self.machine.shelf.copies.items()
+                    for name, copies in self.model_server.pool.instances.items()
                     if copies.stand
                 ]
                 self.server.answer(request, 200, (), msgspec.json.encode(index))
@@ -52,7 +52,7 @@
                 self.server.answer(request, 404, (), b'{"error":"unknown model or path"}')
 
     def report(self, work):
-        waiting, in_hand, cores, memory = self.machine.figures()
+        waiting, in_hand, cores, memory = self.model_server.figures()
         named = {"queue": waiting, "in_hand": in_hand}
         if work is not None:
             named |= {"copy": work.found, "alike": work.alike}
@@ -69,21 +69,21 @@
         except (msgspec.DecodeError, ValueError):
             name = request.headers.get(b"x-request-id", b"").decode("latin-1")
         mark = request.headers.get(b"gaproute-task", b"").decode("latin-1")
-        work = self.machine.take(
+        work = self.model_server.take(
             name, mark, model, id(request.connection), lambda work, end: self.answer(request, work, end)
         )
         if work is not None:
-            request.on_client_left = lambda: self.machine.left(work)
+            request.on_client_left = lambda: self.model_server.left(work)
 
     def answer(self, request, work, end):
         request.on_client_left = None
-        if end == machine.RESET:
+        if end == server.RESET:
             cut_off(request)
             return
         headers, body = (), msgspec.json.encode({"error": end})
-        if end == machine.NO_LOAD:
+        if end == server.NO_LOAD:
             headers = self.report(work)
-        elif end in (machine.DONE, machine.CUT):
+        elif end in (server.DONE, server.CUT):
             body = msgspec.json.encode(
                 {
                     "model_name": work.model.name,
@@ -92,14 +92,14 @@
                 }
             )
             headers = TYPE + self.report(work)
-        if end == machine.CUT:
+        if end == server.CUT:
             whole = render(200, headers, body, close=False)
             request.connection.stream.write(whole[: len(whole) // 2])
             request.connection.close_gracefully()
             return
         self.tap.note("said", id=work.id, status=STATUS[end])
         self.server.answer(request, STATUS[end], headers, body)
-        if "shut" in self.machine.troubles:
+        if "shut" in self.model_server.faults:
             self.loop.soon(request.connection.close_gracefully)
 
     def order(self, request, name):
@@ -110,7 +110,7 @@
             self.server.answer(request, 400, (), b'{"error":"parameters.copies is a number"}')
             return
         gateway = request.headers.get(b"gaproute-gateway", b"").decode("latin-1")
-        stands = self.machine.order(name, count, gateway, id(request.connection))
+        stands = self.model_server.order(name, count, gateway, id(request.connection))
         if stands is None:
             self.server.answer(request, 409, (), b'{"error":"no room"}')
             return
--- a/gaproute/standins/net.py
+++ b/gaproute/standins/membership_network.py
@@ -11,7 +11,7 @@
 LINK = 5 * MILLI  # that a message takes
 
 
-class Net:
+class MembershipNetwork:
     """`size` gateways, each named the others'; messages take LINK. `lost(sender, to)` says what is lost."""
 
     def __init__(self, size, seed=1, known=None):
@@ -58,7 +58,7 @@
                 self.push(max(node.due, self.now + MILLI), "tick", name, node)
         self.now = end
 
-    def views(self, of):
+    def states_of(self, of):
         """The states in which the others hold it."""
         return {
             node.members[of].state
--- a/gaproute/standins/host/copies.py
+++ b/gaproute/standins/model_server/instances.py
@@ -4,32 +4,32 @@
 here.
 """
 
-from gaproute.standins.host.facts import SECOND, Copies
+from gaproute.standins.model_server.profiles import SECOND, ModelInstances
 
 FETCHES = 8  # tries of a fetch that the store turns away, until the load has failed
 PAUSE = 0.1, 0.4  # seconds between them, by chance: hosts that are turned away do not come back as one
 MOST = 16  # copies of one model that an order can ask for
 
 
-class Shelf:
+class InstancePool:
     """`came(model, copies)` when a copy stands, `failed(copies)` when a load has come to nothing."""
 
     def __init__(self, loop, make, random, fetch, tap, came, failed):
         self.loop, self.make, self.random, self.fetch, self.tap = loop, make, random, fetch, tap
         self.came, self.failed = came, failed
-        self.copies = {}  # model name: Copies
+        self.instances = {}  # model name: ModelInstances
         self.loads, self.queue = 0, []
         self.spawn = loop.spawn
 
     def of(self, name):
-        return self.copies.setdefault(name, Copies())
+        return self.instances.setdefault(name, ModelInstances())
 
     def held(self):
         """Copies that take memory."""
-        return sum(copies.stand + copies.loading for copies in self.copies.values())
+        return sum(copies.stand + copies.loading for copies in self.instances.values())
 
     def waiting(self):
-        return sum(len(copies.waiting) for copies in self.copies.values())
+        return sum(len(copies.waiting) for copies in self.instances.values())
 
     def warm_up(self, names):
         """A host that ran before holds what it was asked for lately."""
@@ -49,11 +49,11 @@
     def make_room(self):
         idle = [
             (copies.idle_since, name)
-            for name, copies in self.copies.items()
+            for name, copies in self.instances.items()
             if copies.stand and not copies.busy and not copies.waiting
         ]
         if idle:
-            self.copies[min(idle)[1]].stand -= 1
+            self.instances[min(idle)[1]].stand -= 1
         return bool(idle)
 
     def begin(self):
@@ -72,7 +72,7 @@
             self.load_failed(model)
             return
         yield self.loop.sleep(round(model.start / self.make.speed))
-        copies = self.copies[model.name]
+        copies = self.instances[model.name]
         self.loads -= 1
         copies.loading -= 1
         copies.stand += 1
@@ -82,7 +82,7 @@
         self.begin()
 
     def load_failed(self, model):
-        copies = self.copies[model.name]
+        copies = self.instances[model.name]
         self.loads -= 1
         copies.loading -= 1
         self.tap.note("load failed", model=model.name)
@@ -99,13 +99,13 @@
         return True
 
     def unload_idle(self, name):
-        copies = self.copies.get(name)
+        copies = self.instances.get(name)
         if copies is not None and not copies.busy and not copies.waiting:
             copies.stand = 0
 
     def let_go(self, now):
         """Idle copies go after `keep`."""
-        for copies in self.copies.values():
+        for copies in self.instances.values():
             if (
                 copies.stand
                 and not copies.busy
--- a/gaproute/standins/host/facts.py
+++ b/gaproute/standins/model_server/profiles.py
@@ -3,10 +3,10 @@
 from typing import NamedTuple
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-WARM, BEGAN_LOAD, AWAITED_LOAD, FAILED = 1, 2, 3, 4  # what a task found here: `Work.found`
+WARM, BEGAN_LOAD, AWAITED_LOAD, FAILED = 1, 2, 3, 4  # what a task found here: `HostRequest.found`
 
 
-class Make(NamedTuple):
+class HostProfile(NamedTuple):
     """What a host is made of."""
 
     name: str
@@ -24,7 +24,7 @@
     adds_copies: bool = True  # starts another copy by itself when all lanes are taken
 
 
-class Model(NamedTuple):
+class ModelProfile(NamedTuple):
     """What all hosts know of a model."""
 
     name: str
@@ -34,7 +34,7 @@
     start: int  # the start, after the fetch, ns
 
 
-class Work:
+class HostRequest:
     """A task that has come. `answer(work, end)` once at most; `end` is one of the words of `machine`."""
 
     __slots__ = ("answer", "model", "left", "found", "alike", "fate", "id", "mark")
@@ -44,10 +44,10 @@
         self.answer, self.found, self.fate = answer, WARM, None
 
 
-class Copies:
+class ModelInstances:
     """The copies of one model here."""
 
     def __init__(self):
         self.stand = self.loading = self.busy = 0
         self.idle_since = 0
-        self.waiting = []  # Work
+        self.waiting = []  # HostRequest
--- a/gaproute/standins/host/machine.py
+++ b/gaproute/standins/model_server/server.py
@@ -13,11 +13,11 @@
 import random
 from collections import Counter
 
-from gaproute.standins.host import invariants
-from gaproute.standins.host.copies import Shelf
-from gaproute.standins.host.facts import AWAITED_LOAD, BEGAN_LOAD, FAILED, MILLI, WARM, Work
+from gaproute.standins.model_server import invariants
+from gaproute.standins.model_server.instances import InstancePool
+from gaproute.standins.model_server.profiles import AWAITED_LOAD, BEGAN_LOAD, FAILED, MILLI, WARM, HostRequest
 
-# How a task ends: `Work.answer(work, end)`
+# How a task ends: `HostRequest.answer(work, end)`
 FULL, ERROR, RESET, DONE, CUT, NO_LOAD = "full", "error", "reset", "done", "cut", "the load failed"
 FATES = ("hang", "refuse", "fail", "reset", "lost", "cut")  # troubles of a single task, in order
 TOLD = ("cores", "speed", "cold_share", "cold_time", "fall_multiple", "tip")  # at its start, to the judge
@@ -27,25 +27,25 @@
 ORDER_LOOK = 20 * MILLI  # between looks whether what was ordered stands
 
 
-class Machine:
+class ModelServer:
     """`fetch(model)`: a promise of whether the store gave it; `fell()` is called when it falls over."""
 
     def __init__(self, loop, make, models, fetch, seed, tap, warm=False):
         self.loop, self.make, self.models, self.tap, self.warm = loop, make, models, tap, warm
         self.random = random.Random(seed)
         self.began = loop.now() - (make.cold_time if warm else 0)
-        self.shelf = Shelf(loop, make, self.random, fetch, tap, self.came, self.load_failed)
+        self.pool = InstancePool(loop, make, self.random, fetch, tap, self.came, self.load_failed)
         self.work = []  # tasks at work
         self.at, self.timer = loop.now(), None
-        self.troubles = {}  # name: its command
+        self.faults = {}  # name: its command
         self.down = False
         self.fell = lambda: None
         self.arrived = []  # (time, work) of the last `tip`, while cold
         self.counts = Counter()
         self.routines, self.stopped = [], False
-        self.shelf.spawn = self.spawn
+        self.pool.spawn = self.spawn
         if warm:
-            self.shelf.warm_up(sorted(models))
+            self.pool.warm_up(sorted(models))
 
     def start(self):
         told = {name: getattr(self.make, name) for name in TOLD}
@@ -76,32 +76,33 @@
 
     def rate(self, now):
         """Core time that each task at work gets in one ns."""
-        slow = self.troubles.get("slow", {}).get("factor", 1.0)
+        slow = self.faults.get("slow", {}).get("factor", 1.0)
         full = self.make.cores * self.make.speed * self.power(now) / slow
         return min(full / len(self.work), self.make.speed / slow)
 
     def figures(self):
         """The load as it is: tasks waiting, tasks in hand, shares of the cores and of the memory in use."""
-        waiting = self.shelf.waiting()
+        waiting = self.pool.waiting()
         cores = min(1.0, len(self.work) / (self.make.cores * self.power(self.loop.now())))
-        return waiting, len(self.work) + waiting, cores, self.shelf.held() / self.make.copies
+        return waiting, len(self.work) + waiting, cores, self.pool.held() / self.make.copies
 
     # Tasks
 
     def take(self, name, mark, model, link, answer, limit=None):
-        """A task came over the connection `link`: its `Work`, or None where it has ended or never will.
-        `limit`: the deadline that came with it, ns from its arrival; None where the form has none."""
+        """A task came over the connection `link`: its `HostRequest`, or None where it has ended or
+        never will. `limit`: the deadline that came with it, ns from its arrival; None where the form has
+        none."""
         now = self.loop.now()
         amount = self.random.gammavariate(SHAPE, model.work / SHAPE)
-        copies = self.shelf.of(model.name)
-        heavy = self.troubles.get("heavy")
+        copies = self.pool.of(model.name)
+        heavy = self.faults.get("heavy")
         if (
             heavy
             and heavy.get("track", model.track) == model.track
             and self.random.random() < heavy.get("share", 0.02)
         ):
             amount *= heavy.get("factor", 10)
-        work = Work(name, mark, model, amount, copies.busy + len(copies.waiting), answer)
+        work = HostRequest(name, mark, model, amount, copies.busy + len(copies.waiting), answer)
         self.tap.note("task", id=name, mark=mark, track=model.track, work=model.work, link=link, limit=limit)
         self.counts["tasks"] += 1
         self.weigh(now, model.work)
@@ -123,7 +124,7 @@
 
     def fate(self, track):
         for name in FATES:
-            trouble = self.troubles.get(name)
+            trouble = self.faults.get(name)
             if (
                 trouble
                 and trouble.get("track", track) == track
@@ -158,11 +159,11 @@
             and copies.stand + copies.loading < wanted
             and not copies.loading
         ):
-            self.shelf.load(work.model)
+            self.pool.load(work.model)
 
     def left(self, work):
         """The gateway took the relay back: what waits is dropped, what is at work runs on."""
-        copies = self.shelf.copies[work.model.name]
+        copies = self.pool.instances[work.model.name]
         if work in copies.waiting:
             copies.waiting.remove(work)
 
@@ -189,16 +190,16 @@
     def order(self, name, count, gateway, link):
         """A load order. A promise of the copies that stand at its end; None where there is no room."""
         self.tap.note("order", model=name, count=count, gateway=gateway, link=link)
-        if not self.shelf.order(self.models[name], count):
+        if not self.pool.order(self.models[name], count):
             return None
-        return self.spawn(self.ordered(self.shelf.copies[name], count)).done
+        return self.spawn(self.ordered(self.pool.instances[name], count)).done
 
     def ordered(self, copies, count):
         while copies.stand < count and copies.loading:
             yield self.loop.sleep(ORDER_LOOK)
         return copies.stand
 
-    # Work done
+    # HostRequest done
 
     def advance(self):
         now = self.loop.now()
@@ -223,7 +224,7 @@
         self.plan()
 
     def finish(self, work):
-        copies = self.shelf.copies[work.model.name]
+        copies = self.pool.instances[work.model.name]
         copies.busy -= 1
         copies.idle_since = self.loop.now()
         self.fill(work.model, copies)
@@ -236,7 +237,7 @@
 
     def tick(self):
         if not self.stopped:
-            self.shelf.let_go(self.loop.now())
+            self.pool.let_go(self.loop.now())
             for check, text in invariants.breaches(self):
                 self.tap.note("breach", check=check, text=text)
             self.tap.flush()
@@ -250,7 +251,7 @@
         self.tap.flush()
         self.advance()
         if told.get("on", True):
-            self.troubles[name] = told
+            self.faults[name] = told
         else:
-            self.troubles.pop(name, None)
+            self.faults.pop(name, None)
         self.plan()
--- a/gaproute/standins/store.py
+++ b/gaproute/standins/model_store.py
@@ -9,7 +9,7 @@
 SECOND = 1_000_000_000
 
 
-class Store:
+class ModelStore:
     def __init__(self, loop, where, pace, limit, thrash, tap):
         """`pace`: fetches a second at full pace, shared by those under way; `limit`: fetches under way at
         most; `thrash`: share of the pace lost when the limit is reached."""
--- a/gaproute/standins/platform/log.py
+++ b/gaproute/standins/platform/change_log.py
@@ -16,8 +16,8 @@
 
 from gaproute.loop import Listener, Stream
 from gaproute.loop.addresses import address
-from gaproute.standins.platform import invariants
-from gaproute.standins.platform.listing import STATES
+from gaproute.standins.platform import change_log_invariants
+from gaproute.standins.platform.host_list import STATES
 
 SECOND = 1_000_000_000
 COMMENT = SECOND  # between signs of life
@@ -27,7 +27,7 @@
 REQUEST = 4096  # bytes of a request: it has four short fields
 
 
-class Way:
+class GatewayFeed:
     """What leads to one gateway."""
 
     def __init__(self, log, place, where):
@@ -150,13 +150,13 @@
         self.listen()
 
 
-class Log:
+class ChangeLogServer:
     """`gateways`: the address to listen on for each, by its place."""
 
     def __init__(self, loop, gateways, tap, say):
         self.loop, self.tap, self.say = loop, tap, say
         self.events, self.told = [], []  # as they were commanded; their members
-        self.ways = [Way(self, place, where) for place, where in enumerate(gateways)]
+        self.ways = [GatewayFeed(self, place, where) for place, where in enumerate(gateways)]
         self.tell_addresses()
         self.look()
 
@@ -178,14 +178,14 @@
     def look(self):
         for way in self.ways:
             way.look()
-        for check, text in invariants.breaches(self):
+        for check, text in change_log_invariants.breaches(self):
             self.tap.note("breach", check=check, text=text)
         self.loop.after(COMMENT, self.look)
 
     def command(self, told):
-        """An event of a `Listing`; {"trouble": NAME, "on": ..., "by": ns, "counts": ns}; {"do": "cut" or
-        "move"}; the last two for the places in `gateways`, or for all. After a move the addresses are told
-        anew. `counts`: in place of the 4 s."""
+        """An event of a `VersionedHostList`; {"trouble": NAME, "on": ..., "by": ns, "counts": ns};
+        {"do": "cut" or "move"}; the last two for the places in `gateways`, or for all. After a move the
+        addresses are told anew. `counts`: in place of the 4 s."""
         if "fleet" in told:
             if told["seq"] != len(self.events) + 1:
                 raise ValueError(f"event {told['seq']} after {len(self.events)}")
--- a/gaproute/standins/platform/clients.py
+++ b/gaproute/standins/platform/clients.py
@@ -9,9 +9,9 @@
 from itertools import accumulate
 from typing import NamedTuple
 
-from gaproute.standins.beat import beat
-from gaproute.standins.platform.places import Places
-from gaproute.standins.platform.rpc import DECLINED
+from gaproute.standins.platform.gateway_pool import GatewayPool
+from gaproute.standins.platform.rpc_connection import DECLINED
+from gaproute.standins.tap_flusher import beat
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 GRACE = 50 * MILLI  # by which every time limit is longer on sockets: the platform's rule
@@ -21,7 +21,7 @@
 STATUS = {"delivered": 200, "declined": 503, "scrapped": 502}  # as the judge reads them
 
 
-class Kind(NamedTuple):
+class PlatformRequestClass(NamedTuple):
     """A track as clients know it; its functions are the models of that track."""
 
     name: str
@@ -30,7 +30,7 @@
     pure: bool = False  # may be tried again also after a scrapping
 
 
-class Habits(NamedTuple):
+class PlatformTraffic(NamedTuple):
     rate: float = 100.0  # first tries a second, over all gateways
     patience: tuple[float, float] = (0.6, 1.0)  # of the limit, after which a try is given up
     retries: int = 1
@@ -43,7 +43,7 @@
     memory: int = 512  # MB of a copy, as requests say
 
 
-class Clients:
+class PlatformClients:
     """`say` is told when the first task comes; then `length` ns of arrivals."""
 
     def __init__(self, loop, gateways, models, kinds, habits, seed, tap, length, say):
@@ -59,7 +59,7 @@
             model.name: f"memory_mb:{habits.memory};lanes:{model.lanes};load_ms:{model.start // MILLI}"
             for model in models
         }
-        self.places = Places(loop, gateways, habits, self.random, tap)
+        self.places = GatewayPool(loop, gateways, habits, self.random, tap)
         self.arg = base64.b64encode(b"x" * habits.payload).decode()
         self.rate, self.count, self.open, self.hot = habits.rate, 0, 0, 0.0
         self.length, self.until, self.done = length, None, False
@@ -103,7 +103,7 @@
         model = self.random.choices(models, cum_weights=self.ranks[kind.name])[0]
         if self.hot and self.random.random() < self.hot:
             model = models[-1]
-        Task(self, kind, model, self.new()).ask()
+        PlatformRequest(self, kind, model, self.new()).ask()
 
     def new(self):
         """16 hex digits that no other task of this day has."""
@@ -123,7 +123,7 @@
                 self.places.places[told["gateway"]].leaving()
 
 
-class Task:
+class PlatformRequest:
     """One task over all its tries."""
 
     def __init__(self, clients, kind, model, name):
--- a/gaproute/standins/platform/charter.py
+++ b/gaproute/standins/platform/gateway_configuration.py
@@ -11,17 +11,17 @@
 GROUPS = {"all": "all", "zone": "zone", "rack": "cell"}
 
 
-class RequestClass(NamedTuple):
+class RequestClassSettings(NamedTuple):
     name: str
     effect: str = "pure"  # pure, receipted, effectful
     group: str = "all"  # of hosts that know a receipt: all, zone, rack
-    contract: int = 1200 * MILLI
+    latency_objective: int = 1200 * MILLI
     limit: int = 5 * SECOND
-    earnings: float = 1.0
-    remembers: int = 5 * SECOND  # how long a receipt is known
+    priority_weight: float = 1.0
+    repeat_window: int = 5 * SECOND  # how long a receipt is known
 
 
-def settings(
+def deployment_settings(
     tracks,
     gateways=1,
     zones=("hall-a",),
@@ -31,7 +31,7 @@
     idle_close=60 * SECOND,
     **told,
 ):
-    """The settings object; times and shares as hosts are made by default (`Make`).
+    """The settings object; times and shares as hosts are made by default (`HostProfile`).
 
     `told`: whole entries in place of these, or objects whose fields are set.
     """
@@ -45,10 +45,10 @@
                 "name": track.name,
                 "effect": EFFECTS[track.effect],
                 "group": GROUPS[track.group],
-                "aim": ms(track.contract),
+                "aim": ms(track.latency_objective),
                 "deadline": ms(track.limit),
-                "worth": track.earnings,
-                "dedup_window": ms(track.remembers),
+                "worth": track.priority_weight,
+                "dedup_window": ms(track.repeat_window),
             }
             for track in tracks
         ],
@@ -86,10 +86,10 @@
     return made
 
 
-def charter(
+def make_configuration(
     name, listen, changelog, known, rules, seed=1, peers=(), peer_listen="", peers_all="", limits=None
 ):
-    """The file's object. `known`: `Listing.known()`; `rules`: `settings(...)`."""
+    """The file's object. `known`: `VersionedHostList.snapshot()`; `rules`: `deployment_settings(...)`."""
     told = {
         "name": name,
         "listen": listen,
@@ -104,7 +104,7 @@
     return told
 
 
-def write(folder, told):
+def write_configuration(folder, told):
     """(command, environment to add) of the gateway; its file is written anew, whole: at a restart, or before
     a SIGHUP that tells where the change log has moved."""
     path = Path(folder) / f"{told['name']}.json"
--- a/gaproute/standins/platform/places.py
+++ b/gaproute/standins/platform/gateway_pool.py
@@ -5,7 +5,7 @@
 """
 
 from gaproute.loop.addresses import address
-from gaproute.standins.platform.rpc import Link
+from gaproute.standins.platform.rpc_connection import RpcConnection
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 ASK = 250 * MILLI  # between pings to one that is out
@@ -17,12 +17,12 @@
 MOST = 32  # requests open on one connection, by the protocol
 
 
-class Place:
+class PooledGateway:
     """One gateway."""
 
     def __init__(self, places, number, where):
         self.places, self.number, self.where = places, number, address(where)
-        self.links = {}  # Link: None, in order
+        self.links = {}  # RpcConnection: None, in order
         self.taken, self.fresh, self.dying = False, True, False
         self.ask()
 
@@ -41,7 +41,7 @@
         return best
 
     def connect(self):
-        link = Link(
+        link = RpcConnection(
             self.places.loop,
             self.where,
             lambda what: self.places.stray(self.number, what),
@@ -59,7 +59,7 @@
 
     def ask(self):
         """Asks until it says that it is up."""
-        link = Link(self.places.loop, self.where, lambda what: None, lambda link: None)
+        link = RpcConnection(self.places.loop, self.where, lambda what: None, lambda link: None)
         tries = self.places.loop.after(ASK, self.asked, link, False)
 
         def answered(message):
@@ -98,10 +98,10 @@
         self.places.loop.after(ASK, self.ask)
 
 
-class Places:
+class GatewayPool:
     def __init__(self, loop, gateways, habits, random, tap):
         self.loop, self.habits, self.random, self.tap = loop, habits, random, tap
-        self.places = [Place(self, number, where) for number, where in enumerate(gateways)]
+        self.places = [PooledGateway(self, number, where) for number, where in enumerate(gateways)]
         self.weigh(habits.weights)
         self.sweep()
 
--- a/gaproute/standins/platform/host.py
+++ b/gaproute/standins/platform/host.py
@@ -1,4 +1,4 @@
-"""A stand-in host of the platform: lines of JSON on the model of `gaproute.standins.host`.
+"""A stand-in host of the platform: lines of JSON on the model of `gaproute.standins.model_server`.
 
 Beside the troubles of `machine` it knows: shut (closes connections once they have been answered on), red
 (says so when probed), drain (takes no load orders), vanish (reads and says nothing, closes nothing).
@@ -11,31 +11,31 @@
 import msgspec
 
 from gaproute.loop import Listener, Stream
-from gaproute.standins.host import machine
-from gaproute.standins.host.copies import MOST
-from gaproute.standins.host.fetch import fetcher
-from gaproute.standins.host.machine import Machine
+from gaproute.standins.model_server import server
+from gaproute.standins.model_server.fetching import fetcher
+from gaproute.standins.model_server.instances import MOST
+from gaproute.standins.model_server.server import ModelServer
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 SWEEP = SECOND  # between looks for idle connections
 LINE = 256 * 1024  # bytes of a line: a body of 16 KiB in base64 takes 22, and the rest little
 WORDS = {
-    machine.FULL: "overload",
-    machine.ERROR: "crashed",
-    machine.NO_LOAD: "crashed",
-    machine.DONE: "served",
-    machine.CUT: "served",
+    server.FULL: "overload",
+    server.ERROR: "crashed",
+    server.NO_LOAD: "crashed",
+    server.DONE: "served",
+    server.CUT: "served",
 }
 STATUS = {"served": 200, "overload": 429, "crashed": 500, "not_here": 404}  # as the judge reads them
 NOTES = "?wcjf"  # by what a task found: a copy, a load begun, a load awaited, a load failed
 
 
-class Link:
+class GatewayConnection:
     """A connection that a gateway opened."""
 
     def __init__(self, host, sock, number):
         self.host, self.number, self.gateway = host, number, ""
-        self.open, self.buffer = {}, b""  # id: Work
+        self.open, self.buffer = {}, b""  # id: HostRequest
         self.used = host.loop.now()
         self.stream = Stream(host.loop, sock, self.bytes, lambda error: self.ended())
 
@@ -69,7 +69,7 @@
         opened, self.open = self.open, {}
         for work in opened.values():
             if work is not None:
-                self.host.machine.left(work)
+                self.host.model_server.left(work)
 
 
 class PlatformHost:
@@ -91,16 +91,16 @@
         self.loop, self.make, self.models, self.tap = loop, make, models, tap
         self.meter, self.with_answers, self.silent = meter, with_answers, False
         self.links, self.count = {}, 0
-        self.machine = Machine(loop, make, models, fetcher(loop, store), seed, tap, warm)
+        self.model_server = ModelServer(loop, make, models, fetcher(loop, store), seed, tap, warm)
         self.listener = Listener(loop, where, self.accept)
         self.address = self.listener.address
-        self.machine.fell = self.reset_all
-        self.machine.start()
+        self.model_server.fell = self.reset_all
+        self.model_server.start()
         self.sweeper = loop.after(SWEEP, self.sweep)
 
     def accept(self, sock):
         self.count += 1
-        self.links[self.count] = Link(self, sock, self.count)
+        self.links[self.count] = GatewayConnection(self, sock, self.count)
         if self.silent:
             self.links[self.count].stream.pause()
 
@@ -122,7 +122,7 @@
                 work = link.open.pop(name, None)
                 self.tap.note("halt", id=name)
                 if work is not None:
-                    self.machine.left(work)
+                    self.model_server.left(work)
             case "ping":
                 link.say(self.colour(), name, {})
             case "stat":
@@ -130,17 +130,17 @@
             case "stage":
                 self.order(link, name, told["meta"])
             case "purge":
-                self.machine.shelf.unload_idle(name)
+                self.model_server.pool.unload_idle(name)
             case "whose":
                 link.gateway = str(told["gateway"])
             case _:
                 raise ValueError(told["type"])
 
     def colour(self):
-        return "red" if "red" in self.machine.troubles else "green"
+        return "red" if "red" in self.model_server.faults else "green"
 
     def report(self):
-        waiting, in_hand, cores, memory = self.machine.figures()
+        waiting, in_hand, cores, memory = self.model_server.figures()
         known = {
             "pending": waiting,
             "queue": waiting,
@@ -161,26 +161,26 @@
             link.say("not_here", name, {})
             return
         limit = round(float(meta["limit"]) * MILLI)
-        work = self.machine.take(
+        work = self.model_server.take(
             name, name, model, link.number, lambda work, end: self.end(link, work, end), limit
         )
-        if not self.machine.down and link.stream.open and work is not None:
+        if not self.model_server.down and link.stream.open and work is not None:
             link.open[name] = work
 
     def end(self, link, work, end):
-        if end == machine.RESET:
+        if end == server.RESET:
             link.abort()
             return
         if link.open.get(work.id) is work:
             del link.open[work.id]
-        elif end not in (machine.FULL, machine.ERROR):
+        elif end not in (server.FULL, server.ERROR):
             return  # halted, or its connection has gone: no answer
         meta = {"tell": NOTES[work.found], "queue_fn": work.alike}
         if self.with_answers:
             meta |= self.report()
         kind = WORDS[end]
         data = base64.b64encode(f"{self.make.name} {work.id}".encode()).decode()
-        if end == machine.CUT:
+        if end == server.CUT:
             whole = msgspec.json.encode({"type": kind, "req": work.id, "meta": meta, "data": data})
             link.stream.write(whole[: len(whole) // 2])
             link.stream.close()
@@ -188,7 +188,7 @@
             return
         self.tap.note("said", id=work.id, status=STATUS[kind])
         link.say(kind, work.id, meta, data if kind == "served" else None)
-        if "shut" in self.machine.troubles:
+        if "shut" in self.model_server.faults:
             self.loop.soon(self.shut, link)
 
     def order(self, link, tag, meta):
@@ -196,15 +196,15 @@
         if name not in self.models:
             raise ValueError(name)
         if count <= 0:
-            copies = self.machine.shelf.copies.get(name)
+            copies = self.model_server.pool.instances.get(name)
             link.say("served", tag, {"copies": copies.stand if copies else 0})
             return
-        draining = "drain" in self.machine.troubles
-        stands = None if draining else self.machine.order(name, count, link.gateway, link.number)
+        draining = "drain" in self.model_server.faults
+        stands = None if draining else self.model_server.order(name, count, link.gateway, link.number)
         if stands is None:
             if draining:
                 self.tap.note("order", model=name, count=count, gateway=link.gateway, link=link.number)
-            link.say("overload", tag, {"copies": self.machine.shelf.of(name).stand})
+            link.say("overload", tag, {"copies": self.model_server.pool.of(name).stand})
             return
         link.open[tag] = None  # not idle while it is under way
         stands.then(lambda stands: self.stands(link, tag, count, stands.value))
@@ -229,11 +229,11 @@
     def crash(self):
         """Dies as a process does: connections are reset, nothing listens any more."""
         self.sweeper.cancel()
-        self.machine.stop()
+        self.model_server.stop()
         self.reset_all()
 
     def command(self, told):
-        self.machine.command(told)
+        self.model_server.command(told)
         if told.get("trouble") == "vanish":
             self.silent = told.get("on", True)
             for link in list(self.links.values()):
--- a/gaproute/standins/platform/listing.py
+++ b/gaproute/standins/platform/host_list.py
@@ -18,7 +18,7 @@
     }
 
 
-class Listing:
+class VersionedHostList:
     """Whoever commands the log keeps one, and so does the log: both count alike."""
 
     def __init__(self):
@@ -37,7 +37,7 @@
             "fleet": {"revision": self.seq, "complete": self.seq == 1, "members": list(members)},
         }
 
-    def known(self):
+    def snapshot(self):
         """What a gateway that starts now is told in its file."""
         whole = {
             "seq": self.seq,
--- a/gaproute/standins/platform/hosts.py
+++ b/gaproute/standins/platform/hosts.py
@@ -3,18 +3,18 @@
 from pathlib import Path
 
 from gaproute.loop.addresses import address
-from gaproute.standins.host import Make, Model
+from gaproute.standins.model_server import HostProfile, ModelProfile
 from gaproute.standins.platform.host import PlatformHost
 from gaproute.standins.tap import Tap
 
 
-class Hosts:
+class PlatformHosts:
     """`told`: models, hosts (each listen, make, warm), taps (a folder), and as wanted store, seed, meter,
     report."""
 
     def __init__(self, loop, told, say):
         self.loop, self.told, self.say = loop, told, say
-        self.models = {model["name"]: Model(**model) for model in told["models"]}
+        self.models = {model["name"]: ModelProfile(**model) for model in told["models"]}
         self.hosts, self.seats, self.runs = {}, {}, {}
         for seat in told["hosts"]:
             self.start(seat)
@@ -32,7 +32,7 @@
         host = PlatformHost(
             self.loop,
             address(seat["listen"]),
-            Make(**seat["make"]),
+            HostProfile(**seat["make"]),
             self.models,
             told.get("store"),
             f"{told.get('seed', 1)} {name} {run}",
--- a/gaproute/standins/platform/spread.py
+++ b/gaproute/standins/platform/peer_broadcast.py
@@ -11,7 +11,7 @@
 SPAN = 1 << 22  # bytes of the socket's buffer: words that 200 gateways send at one moment
 
 
-class Spread:
+class PeerBroadcast:
     """`ways`: {address that a gateway sends from: [addresses of the others]}; who is not named is passed
     over. Errors: OSError where `where` cannot be had."""
 
--- a/gaproute/standins/platform/rpc.py
+++ b/gaproute/standins/platform/rpc_connection.py
@@ -16,7 +16,7 @@
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class Reader:
+class AnswerReader:
     """Bytes in, messages out. Errors: ValueError, msgspec.DecodeError where what came is none."""
 
     def __init__(self):
@@ -38,7 +38,7 @@
             self.buffer = rest[int(size) :]
 
 
-class Asked:
+class PendingCall:
     """A message on its way. `answered(message)` or `ended(what)` once; `what`: "refused" (no connection),
     "unsent" (none of its bytes left), "crossed" (the only one, sent just before the end of a connection that
     rested, or of a new one that was reset: unread) or "broken"."""
@@ -50,7 +50,7 @@
         self.mark, self.sent = None, 0
 
 
-class Link:
+class RpcConnection:
     """One connection. `stray(what)` for whatever nobody asked for."""
 
     CROSS = 50 * MILLI  # the platform's figure for a request that crosses a close
@@ -58,7 +58,7 @@
     def __init__(self, loop, where, stray, closed):
         self.loop, self.stray, self.closed = loop, stray, closed
         self.open, self.left, self.count = {}, {}, 0
-        self.stream, self.reader, self.over = None, Reader(), False
+        self.stream, self.reader, self.over = None, AnswerReader(), False
         self.used, self.answered = loop.now(), False
         self.give_up = connect(loop, where, CONNECT, self.connected)
 
@@ -73,7 +73,7 @@
     def ask(self, told, answered, ended):
         """Sends `told` under a number of its own, which is returned."""
         self.count += 1
-        asked = self.open[self.count] = Asked(told, answered, ended)
+        asked = self.open[self.count] = PendingCall(told, answered, ended)
         if self.stream is not None:
             self.write(self.count, asked)
         return self.count
--- a/gaproute/standins/platform/parties.py
+++ b/gaproute/standins/platform/scripted.py
@@ -11,7 +11,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"  # of the change log's answer
 
 
-class Party:
+class ScriptedServer:
     """Listens; keeps the streams it accepted and what came on each."""
 
     def __init__(self, loop, where="127.0.0.1:0"):
@@ -30,7 +30,7 @@
             stream.abort()
 
 
-class LineHost(Party):
+class ScriptedHost(ScriptedServer):
     """`answer(stream, command)` does what the test wants; by default everything is served at once."""
 
     def __init__(self, loop, answer=None, where="127.0.0.1:0"):
@@ -62,7 +62,7 @@
         return [command for command in self.came if command["type"] == kind]
 
 
-class ChangeLog(Party):
+class ScriptedChangeLog(ScriptedServer):
     """Answers each question with its head and the events that `script(last)` gives as raw bytes."""
 
     def __init__(self, loop, script=lambda last: b"", where="127.0.0.1:0", head=HEAD):
@@ -108,7 +108,7 @@
     return b"id: %d\ndata: %b\n\n" % (told["seq"], json.dumps(told).encode())
 
 
-class Client:
+class ScriptedClient:
     """One connection to a gateway. `answers` holds what came, parsed."""
 
     def __init__(self, loop, where):
--- a/gaproute/standins/rogues.py
+++ b/gaproute/standins/rule_violators.py
@@ -7,7 +7,7 @@
 from gaproute.interface import Attempt, LoadOrder, Reject, State, Wait
 
 
-class SendsAfterTheEnd(Gateway):
+class SendsAfterFinalAnswer(Gateway):
     """Rule 1: sends a request after its final answer."""
 
     def serve(self, now, request):
@@ -28,13 +28,13 @@
         return host.active
 
 
-class RepeatsEverything(Gateway):
+class RetriesEverything(Gateway):
     """Rule 2: sends requests again whatever their class."""
 
     retry_rules_type = AllowsAllRetries
 
 
-class IgnoresDrains(Gateway):
+class IgnoresDraining(Gateway):
     """Rule 3: goes on sending to hosts that drain or are gone."""
 
     def listed(self, now, rows, complete):
@@ -51,13 +51,13 @@
         return max(started, key=lambda host: host.started)
 
 
-class CrowdsTheCold(Gateway):
+class OverloadsWarmingHosts(Gateway):
     """Rule 4: sends everything to the host that started last."""
 
     selector_type = ChoosesLastStarted
 
 
-class OrdersWithoutEnd(Gateway):
+class OrdersLoadsWithoutLimit(Gateway):
     """Rule 5: an order for a load with every request."""
 
     def serve(self, now, request):
@@ -66,4 +66,10 @@
         yield from super().serve(now, request)
 
 
-ROGUES = {1: SendsAfterTheEnd, 2: RepeatsEverything, 3: IgnoresDrains, 4: CrowdsTheCold, 5: OrdersWithoutEnd}
+RULE_VIOLATORS = {
+    1: SendsAfterFinalAnswer,
+    2: RetriesEverything,
+    3: IgnoresDraining,
+    4: OverloadsWarmingHosts,
+    5: OrdersLoadsWithoutLimit,
+}
--- a/gaproute/standins/tap.py
+++ b/gaproute/standins/tap.py
@@ -24,7 +24,7 @@
             self.file.write(b"\n".join(lines) + b"\n")
 
 
-def read(path):
+def read_tap(path):
     """The events of a tap; a last line cut off by a kill is passed over."""
     told = []
     with open(path, "rb") as file:
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -11,7 +11,7 @@
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.membership import Membership, MemberState
 from gaproute.shared.raft import RaftNode
-from gaproute.standins.net import Net
+from gaproute.standins.membership_network import MembershipNetwork
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 from gaproute.storage.raft_log_file import RaftLogFile
 
@@ -21,7 +21,7 @@
 STEPS = pytest.mark.parametrize("step", [-HOUR_MS, -5000, 5000, HOUR_MS])
 
 
-class Members4(Net):
+class Members4(MembershipNetwork):
     """Four members whose incarnations begin at a wall clock that is `ahead` of the net's own, in ms."""
 
     ahead = 0
@@ -45,15 +45,15 @@
     before = net.nodes["g2"].incarnation
     net.down.add("g2")
     net.run(away)
-    assert net.views("g2") == {MemberState.ALIVE if away < SECOND else MemberState.DEAD}
+    assert net.states_of("g2") == {MemberState.ALIVE if away < SECOND else MemberState.DEAD}
     net.ahead = step
     net.start("g2", 9, {f"g{number}": f"g{number}" for number in range(4)})
     net.run(3 * SECOND)
     now = net.nodes["g2"].incarnation
-    assert now > before and net.views("g2") == {MemberState.ALIVE}
+    assert now > before and net.states_of("g2") == {MemberState.ALIVE}
     net.run(10 * SECOND)
     held = {net.nodes[name].members["g2"].incarnation for name in ("g0", "g1", "g3")}
-    assert held == {net.nodes["g2"].incarnation} and net.views("g2") == {MemberState.ALIVE}
+    assert held == {net.nodes["g2"].incarnation} and net.states_of("g2") == {MemberState.ALIVE}
 
 
 # MembershipTransport of demand and copies
--- a/tests/cluster/test_permits.py
+++ b/tests/cluster/test_permits.py
@@ -9,7 +9,7 @@
 from gaproute.config import ConfigurationError
 from gaproute.judge import permits
 from gaproute.judge.permits import SECOND
-from gaproute.standins.tap import read
+from gaproute.standins.tap import read_tap
 from tests.cluster.test_play import PLAYS, command
 
 
@@ -25,7 +25,7 @@
     assert verdict["faulty"] == [] and done.returncode in (0, 3)
     assert verdict["permits"]["granted"] >= 6 and verdict["permits"]["healed"] >= 4
     assert verdict["relays"] > 100
-    run = read(max(tmp_path.iterdir()) / "run.tap")
+    run = read_tap(max(tmp_path.iterdir()) / "run.tap")
     assert any(event.get("leader") for event in run)  # the leader was killed, and came back
     assert {"killed", "started", "stopped", "continued", "let go", "crews over"} <= {e["what"] for e in run}
 
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -12,10 +12,10 @@
 from gaproute.config import ConfigurationError
 from gaproute.judge import Facts, judge
 from gaproute.loop import Loop
-from gaproute.standins.platform.listing import Listing, member
-from gaproute.standins.platform.log import Log
-from gaproute.standins.platform.spread import Spread
-from gaproute.standins.tap import Tap, read
+from gaproute.standins.platform.change_log import ChangeLogServer
+from gaproute.standins.platform.host_list import VersionedHostList, member
+from gaproute.standins.platform.peer_broadcast import PeerBroadcast
+from gaproute.standins.tap import Tap, read_tap
 from tests.cluster.test_play import PLAYS, command
 from tests.cluster.test_wire import Party
 
@@ -42,7 +42,7 @@
 
 def orders_at_hosts(folder):
     """The load orders that the hosts of a play took."""
-    return [each for path in folder.glob("host-*.tap") for each in read(path) if each["what"] == "order"]
+    return [each for path in folder.glob("host-*.tap") for each in read_tap(path) if each["what"] == "order"]
 
 
 def test_the_rules_are_kept_through_the_wire(played):
@@ -51,17 +51,17 @@
     assert verdict["relays"] > 200 and set(verdict["exit_codes"].values()) == {0}
     wire = verdict["wires"][0]
     assert wire["bytes"] > 50_000 and wire["messages"] > 20 and wire["weather"]["lost"] > 0
-    noted = {each["what"] for each in read(out / "run.tap")}
+    noted = {each["what"] for each in read_tap(out / "run.tap")}
     assert {"fault", "strike", "list", "told", "killed", "ending", "started"} <= noted
     orders = orders_at_hosts(out)
     assert {each["gateway"] for each in orders} <= {"g0", "g1", "g2"} and len(orders) >= FEWEST_ORDERS
-    spread = read(out / "spread.tap")[-1]
+    spread = read_tap(out / "spread.tap")[-1]
     assert spread["sent"] == 2 * spread["heard"] > 20 and spread["strange"] == 0
 
 
 def test_what_the_log_told_is_judged_with_the_rest(played):
     out, _ = played
-    run, clients = read(out / "run.tap"), read(out / "clients-0.tap")
+    run, clients = read_tap(out / "run.tap"), read_tap(out / "clients-0.tap")
     drained = sorted(
         (each for each in run if each["what"] == "told" and each["state"] == "draining"),
         key=lambda each: each["at"],
@@ -70,7 +70,7 @@
     assert [each["gateway"] for each in drained] == [2, 0, 1]
     drained = drained[-1]
     host, gateway = drained["host"], {each["id"]: each["gateway"] for each in clients if "asked" in each}
-    events = read(out / f"host-{host}.1.tap")
+    events = read_tap(out / f"host-{host}.1.tap")
     task = next(each for each in events if each["what"] == "task" and each["id"] in gateway)
     forged = task | {"at": drained["at"] + SECOND}
     script = read_script("platform-cluster")
@@ -86,10 +86,12 @@
 
 def test_the_log_tells_each_gateway_addresses_of_its_own(tmp_path):
     loop = Loop()
-    log = Log(
+    log = ChangeLogServer(
         loop, ["127.0.0.1:0", "127.0.0.1:0"], Tap(str(tmp_path / "log.tap"), loop.clock), lambda told: None
     )
-    log.command(Listing().change(member("h", ["127.1.0.1:1", "127.1.0.2:1"]), member("i", "127.0.0.1:2")))
+    log.command(
+        VersionedHostList().change(member("h", ["127.1.0.1:1", "127.1.0.2:1"]), member("i", "127.0.0.1:2"))
+    )
 
     def where(place):
         told = json.loads(log.event(1, place).split(b"data: ")[1])
@@ -105,7 +107,7 @@
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(2)
     names = ["{}:{}".format(*sock.getsockname()) for sock in socks]
-    spread = Spread(
+    spread = PeerBroadcast(
         loop,
         "127.0.0.1:0",
         {names[0]: names[1:3], names[1]: [names[0]]},
--- a/tests/cluster/test_play.py
+++ b/tests/cluster/test_play.py
@@ -18,7 +18,7 @@
 from gaproute.cluster.table import Table
 from gaproute.loop import Loop
 from gaproute.scenarios.seats import Seats
-from gaproute.standins.tap import Tap, read
+from gaproute.standins.tap import Tap, read_tap
 
 MILLI = 1_000_000
 PLAYS = 3  # a busy machine voids a play; then it is played again
@@ -49,13 +49,15 @@
     out = max(tmp_path.iterdir())
     assert json.loads((out / "play.json").read_text())["seed"] == 3 and verdict["seed"] == 3
     assert read_script(str(out / "day.script")).text == read_script("small-cluster").text
-    noted = {event["what"] for event in read(out / "run.tap")}
+    noted = {event["what"] for event in read_tap(out / "run.tap")}
     assert {"fault", "strike", "list", "trouble", "told", "killed", "stopped", "continued", "begun"} <= noted
 
 
-@pytest.mark.parametrize("rule, rogue", [(2, "RepeatsEverything"), (3, "IgnoresDrains")])
-def test_a_module_that_breaks_a_rule_is_caught_through_the_wire(tmp_path, rule, rogue):
-    code, verdict = play(tmp_path, "small-cluster", "--decisions", f"gaproute.standins.rogues:{rogue}")
+@pytest.mark.parametrize("rule, violator", [(2, "RetriesEverything"), (3, "IgnoresDraining")])
+def test_a_module_that_breaks_a_rule_is_caught_through_the_wire(tmp_path, rule, violator):
+    code, verdict = play(
+        tmp_path, "small-cluster", "--decisions", f"gaproute.standins.rule_violators:{violator}"
+    )
     # what it breaks is broken on a late machine as well; that nothing else is, a void play does not tell
     assert code in (1, 3) and rule in {broken["rule"] for broken in verdict["broken"]}
 
@@ -156,6 +158,6 @@
     lists.write(0, old)
     assert "state draining" in lists.path(0).read_text() and "state active" in lists.path(1).read_text()
     tap.flush()
-    told = [(event["gateway"], event["state"]) for event in read(tmp_path / "run.tap")]
+    told = [(event["gateway"], event["state"]) for event in read_tap(tmp_path / "run.tap")]
     assert told == [(0, "active"), (1, "active"), (2, "active"), (0, "draining")]
     loop.close()
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -70,14 +70,14 @@
     for name in ("ga", "gc", "gd"):
         fleet.start(name, "a1" if name == "ga" else "b1")
     fleet.up("ga", "gc", "gd")
-    machines = [host.machine for name, host in fleet.hosts.items() if name.startswith("b1")]
-    for machine in machines:
-        machine.troubles = {"hang": {"share": 1}}
+    servers = [host.model_server for name, host in fleet.hosts.items() if name.startswith("b1")]
+    for server in servers:
+        server.faults = {"hang": {"share": 1}}
     call = fleet.ask("ga", fleet.homed(track, "b1"), "t1")
     fleet.until(lambda: fleet.came("t1"))
     (entry,) = [name for name in ("gc", "gd") if fleet.cell_status(name)["forwarded_in"]]
-    for machine in machines:
-        machine.troubles = {}
+    for server in servers:
+        server.faults = {}
     fleet.stop(entry, signal.SIGKILL)
     assert fleet.wait(call).status == status
     came = [event for tap in fleet.taps.values() for event in tap.events if event.get("id") == "t1"]
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -15,7 +15,7 @@
 from gaproute.discovery.name_numbers import MAX_NUMBERED_NAMES
 from gaproute.loop import Loop
 from gaproute.standins.cell_source import HEAD
-from gaproute.standins.platform.listing import member
+from gaproute.standins.platform.host_list import member
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
 CHANGES = some.tuples(
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -7,15 +7,15 @@
 from gaproute.discovery.changelog.cell_watcher import FIRST_BACKOFF, MAX_BACKOFF
 from gaproute.loop import Listener, Stream
 from gaproute.loop.addresses import address
-from gaproute.standins.cell_source import HEAD, CellSource, Trouble
+from gaproute.standins.cell_source import HEAD, CellSource, SourceFault
 
 
 def test_a_source_killed_while_it_tells_is_followed_again_when_it_comes_back_in_other_numbers(followed_cells):
     made = followed_cells()
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     source = made.sources[0]
-    source.trouble = Trouble.TORN
-    source.tell("a1", host("w", "draining"))
+    source.fault = SourceFault.TORN
+    source.publish("a1", host("w", "draining"))
     source.close()
     made.passes(12 * SECOND)
     assert made.names("a1") == "wx"
@@ -24,11 +24,11 @@
     assert made.lists.status()["failing"] == ["a1", "b1"]
     back = CellSource(made.loop, "north", source.address)
     made.sources.append(back)
-    back.tell("a1", host("w", "draining"), host("v"))
-    back.tell("b1", *hosts("y"))
+    back.publish("a1", host("w", "draining"), host("v"))
+    back.publish("b1", *hosts("y"))
     made.until(lambda: made.told["a1"] == {"w": "draining", "v": "active"}, MAX_BACKOFF + SECOND)
     made.until(lambda: made.lists.status()["failing"] == [])
-    back.tell("b1", host("y", "draining"))  # number 2, which was never had, after a list that was
+    back.publish("b1", host("y", "draining"))  # number 2, which was never had, after a list that was
     made.until(lambda: made.told["b1"] == {"y": "draining"})
     assert len(made.troubles) == 4
     assert made.count == 0
@@ -39,24 +39,24 @@
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     source = made.sources[0]
     source.cut()
-    source.tell("a1", host("w", "draining"))
+    source.publish("a1", host("w", "draining"))
     made.until(lambda: made.told["a1"]["w"] == "draining")
-    made.until(lambda: len(source.asked_from) == 4)
-    assert sorted(source.asked_from[2:]) == [("a1", 1), ("b1", 1)]
+    made.until(lambda: len(source.polls) == 4)
+    assert sorted(source.polls[2:]) == [("a1", 1), ("b1", 1)]
 
 
 def test_sources_are_tried_in_turn_and_each_tells_its_whole_list(followed_cells):
     made = followed_cells(sources=3)
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     for number in range(3):
-        asked = next(source for source in made.sources if source.following("a1"))
+        asked = next(source for source in made.sources if source.follower_count("a1"))
         for source in made.sources:
-            source.tell("a1", host("w", "draining" if number % 2 == 0 else "active"))
+            source.publish("a1", host("w", "draining" if number % 2 == 0 else "active"))
         asked.close()
         made.sources.remove(asked)
         if number < 2:
-            made.until(lambda: any(source.following("a1") for source in made.sources), 3 * SECOND)
-            assert [last for cell, last in source.asked_from if cell == "a1"][-1] == 0
+            made.until(lambda: any(source.follower_count("a1") for source in made.sources), 3 * SECOND)
+            assert [last for cell, last in source.polls if cell == "a1"][-1] == 0
     made.passes(SECOND)
     assert made.names("a1") == "wx"
 
@@ -66,21 +66,21 @@
     made = followed_cells(sources=2, zones={"a1": "a"})
     for source in made.sources:
         if silent or source is made.sources[0]:
-            source.tell("a1", *hosts("wx"))
+            source.publish("a1", *hosts("wx"))
     if silent:
-        made.sources[0].trouble = made.sources[1].trouble = Trouble.SILENT
+        made.sources[0].fault = made.sources[1].fault = SourceFault.SILENT
     made.lists.set_cells(made.zones)
     if silent:
         made.passes(SECOND)
         assert made.told == {}
-        made.sources[1].trouble = None
+        made.sources[1].fault = None
     made.until(lambda: made.names("a1") == "wx", 15 * SECOND)
 
 
 def test_a_source_of_another_fleet_tells_nothing(followed_cells):
     made = followed_cells(zones={"a1": "a"})
     made.sources[0].fleet = "south"
-    made.sources[0].tell("a1", *hosts("wx"))
+    made.sources[0].publish("a1", *hosts("wx"))
     made.lists.set_cells(made.zones)
     made.passes(10 * SECOND)
     assert made.told == {}
@@ -95,7 +95,7 @@
         made = followed_cells(sources=3, zones={"a1": "a"}, seed=seed)
         made.begin(a1=hosts("wx"))
         for place, source in enumerate(made.sources):
-            asked[place] += source.asked["a1"]
+            asked[place] += source.poll_counts["a1"]
         began = made.clock.now
         for source in made.sources:
             source.cut()
@@ -177,7 +177,7 @@
     made.begin(a1=hosts("wx"))
     before = made.tellings
     for number in range(1_000):
-        made.sources[0].tell("a1", host("w", "draining" if number % 2 else "active"))
+        made.sources[0].publish("a1", host("w", "draining" if number % 2 else "active"))
         if number % 10 == 0:
             made.passes(MILLI, MILLI)
     made.passes(SECOND)
@@ -190,9 +190,9 @@
     made.begin(a1=hosts("wx"))
     source = made.sources[0]
     for _ in range(40):
-        if source.following("a1"):
+        if source.follower_count("a1"):
             source.cut()
         made.passes(250 * MILLI)
     assert len(made.troubles) == 1
-    assert source.asked["a1"] <= 1 + 10 * SECOND // (FIRST_BACKOFF // 2)
+    assert source.poll_counts["a1"] <= 1 + 10 * SECOND // (FIRST_BACKOFF // 2)
     made.until(lambda: made.troubles[-1] == ("a1", None), 5 * SECOND)
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -10,7 +10,7 @@
 from helpers import MILLI, SECOND, makers
 
 from gaproute.loop.addresses import address
-from gaproute.standins.cell_source import CellSource, Trouble
+from gaproute.standins.cell_source import CellSource, SourceFault
 
 PAIR = {"a1": ("a1", ("ga",)), "b1": ("b1", ("gb",))}
 TWO_OF_ONE = {"a1": ("a1", ("ga",)), "a2": ("a1", ("ga",))}
@@ -28,12 +28,12 @@
     fleet = followed(PAIR)
     fleet.serving("ga", "gb")
     source = fleet.sources[0]
-    assert source.asked == {"a1": 1, "b1": 1}
+    assert source.poll_counts == {"a1": 1, "b1": 1}
     calls = fleet.calls("ga", "gb")
     fleet.until(lambda: fleet.attempts("a1-h0") and fleet.attempts("b1-h1"))
     told = fleet.loop.now()
-    source.tell("a1", fleet.member("a1-h0", "draining"))
-    source.tell("b1", fleet.member("b1-h1", "gone"))
+    source.publish("a1", fleet.member("a1-h0", "draining"))
+    source.publish("b1", fleet.member("b1-h1", "gone"))
     fleet.rest(GRACE + 300 * MILLI)
     assert calls.end() == {200}
     for host in ("a1-h0", "b1-h1"):
@@ -49,19 +49,19 @@
     fleet.serving("ga", "gb")
     killed = fleet.sources.pop()
     calls = fleet.calls("ga", "gb")
-    killed.trouble = Trouble.TORN
-    killed.tell("a1", fleet.member("a1-h0", "draining"))
+    killed.fault = SourceFault.TORN
+    killed.publish("a1", fleet.member("a1-h0", "draining"))
     killed.close()
     fleet.until(lambda: all(fleet.cell_status(name)["sources"]["failing"] for name in ("ga", "gb")))
     assert fleet.listed("ga") == {"a1-h0": "active", "a1-h1": "active"}
     back = CellSource(fleet.loop, "north", killed.address, begin=BEGIN)
     fleet.sources.append(back)
-    back.tell("a1", fleet.member("a1-h0", "draining"), fleet.member("a1-h1"))
-    back.tell("b1", *fleet.members("b1"))
+    back.publish("a1", fleet.member("a1-h0", "draining"), fleet.member("a1-h1"))
+    back.publish("b1", *fleet.members("b1"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
     told = fleet.loop.now()
-    fleet.until(lambda: back.following("b1"))
-    back.tell("b1", fleet.member("b1-h0", "gone"))
+    fleet.until(lambda: back.follower_count("b1"))
+    back.publish("b1", fleet.member("b1-h0", "gone"))
     fleet.rest(SECOND)
     assert calls.end() == {200}
     assert fleet.attempts("a1-h0", told + GRACE) == []
@@ -73,13 +73,13 @@
     fleet = followed(PAIR, sources=2)
     fleet.serving("ga", "gb")
     calls = fleet.calls("ga", "gb")
-    dead = next(source for source in fleet.sources if source.following("a1"))
+    dead = next(source for source in fleet.sources if source.follower_count("a1"))
     fleet.sources.remove(dead)
     dead.close()
     left = fleet.sources[0]
-    fleet.until(lambda: left.following("a1") and left.following("b1"))
+    fleet.until(lambda: left.follower_count("a1") and left.follower_count("b1"))
     told = fleet.loop.now()
-    left.tell("a1", fleet.member("a1-h1", "draining"))
+    left.publish("a1", fleet.member("a1-h1", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h1"] == "draining")
     fleet.rest(GRACE)
     assert calls.end() == {200}
@@ -90,8 +90,8 @@
     fleet = followed(SHARED)
     fleet.serving("ga")
     calls = fleet.calls("ga")
-    fleet.sources[0].late(2 * SECOND)
-    fleet.sources[0].tell("a1", fleet.member("a1-h0", "draining"))
+    fleet.sources[0].delay_events(2 * SECOND)
+    fleet.sources[0].publish("a1", fleet.member("a1-h0", "draining"))
     sent = fleet.loop.now() + 2 * SECOND
     fleet.rest(SECOND)
     assert fleet.listed("ga")["a1-h0"] == "active"
@@ -110,7 +110,7 @@
     process = fleet.processes["ga"]
     process.send_signal(signal.SIGSTOP)
     answers = [fleet.ask("ga", f"check-{number}", f"t{number}") for number in range(20)]
-    fleet.sources[0].tell("a1", fleet.member("a1-h0", "draining"))
+    fleet.sources[0].publish("a1", fleet.member("a1-h0", "draining"))
     fleet.rest(GRACE + 200 * MILLI)
     resumed = fleet.loop.now()
     process.send_signal(signal.SIGCONT)
@@ -130,7 +130,7 @@
         fleet.until(lambda: fleet.status("ga")["clients"]["connections"] > held)
         fleet.processes["ga"].send_signal(signal.SIGTERM)
         fleet.until(lambda: fleet.events("ga", "stopping"))
-        fleet.sources[0].tell("a1", fleet.member(drained, "draining"))
+        fleet.sources[0].publish("a1", fleet.member(drained, "draining"))
         fleet.rest(GRACE)
         client.sendall(b"POST /v2/models/check-0/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 2\r\n\r\n{}")
         fleet.until(lambda: fleet.processes["ga"].poll() is not None)
@@ -141,7 +141,7 @@
 def test_two_gateways_that_hear_different_lists(followed):
     fleet = followed(SHARED, sources=2)
     fleet.sources_of = {"ga": [fleet.sources[0].address], "gb": [fleet.sources[1].address]}
-    fleet.sources[1].tell("a1", fleet.member("a1-h0", "gone"))
+    fleet.sources[1].publish("a1", fleet.member("a1-h0", "gone"))
     fleet.serving("ga", "gb")
     told = fleet.loop.now()
     both = fleet.calls("gb", label="b"), fleet.calls("ga", label="a")
@@ -150,7 +150,7 @@
     reached = fleet.attempts("a1-h0", told)
     assert reached
     assert all(event["id"].startswith("a") for event in reached if event["what"] == "task")
-    fleet.sources[0].tell("a1", fleet.member("a1-h0", "gone"))
+    fleet.sources[0].publish("a1", fleet.member("a1-h0", "gone"))
     fleet.until(lambda: fleet.listed("ga") == fleet.listed("gb") == {"a1-h1": "active"})
 
 
@@ -159,17 +159,17 @@
     fleet.serving("ga")
     source = fleet.sources[0]
     calls = fleet.calls("ga")
-    source.tell("a2", fleet.member("a1-h0"))
+    source.publish("a2", fleet.member("a1-h0"))
     fleet.until(lambda: fleet.events("ga", "cell host refused"))
     told = fleet.loop.now()
-    source.tell("a1", fleet.member("a1-h0", "draining"))
+    source.publish("a1", fleet.member("a1-h0", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
     fleet.rest(GRACE)
     moved = fleet.loop.now()
     assert fleet.attempts("a1-h0", told + GRACE) == []
-    source.tell("a1", fleet.member("a1-h0", "gone"))
+    source.publish("a1", fleet.member("a1-h0", "gone"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "active")
-    source.tell("a2", *[fleet.member(name, "draining") for name in ("a2-h0", "a2-h1")])
+    source.publish("a2", *[fleet.member(name, "draining") for name in ("a2-h0", "a2-h1")])
     fleet.until(lambda: fleet.attempts("a1-h0", moved))
     assert calls.end() == {200}
     refused = fleet.events("ga", "cell host refused")
@@ -182,15 +182,15 @@
     fleet.serving("ga")
     source = fleet.sources[0]
     fleet.write_table({"a1": fleet.cells["a1"]})
-    fleet.until(lambda: source.following("a2") == 0)
+    fleet.until(lambda: source.follower_count("a2") == 0)
     fleet.until(lambda: fleet.cell_status("ga")["known"] == ["a1"])
     assert set(fleet.listed("ga")) == {"a1-h0", "a1-h1"}
-    source.tell("a2", fleet.member("a2-h0", "draining"))
+    source.publish("a2", fleet.member("a2-h0", "draining"))
     told = fleet.loop.now()
     fleet.write_table()
     fleet.until(lambda: fleet.cell_status("ga")["known"] == ["a1", "a2"])
     assert fleet.listed("ga")["a2-h0"] == "draining"
-    assert source.asked == {"a1": 1, "a2": 2}
+    assert source.poll_counts == {"a1": 1, "a2": 2}
     calls = fleet.calls("ga")
     fleet.until(lambda: fleet.attempts("a2-h1", told))
     assert calls.end() == {200}
@@ -213,13 +213,13 @@
     source = fleet.sources[0]
     calls = fleet.calls("ga")
     for lines in HOSTILE:
-        fleet.until(lambda: source.following("a1"))
+        fleet.until(lambda: source.follower_count("a1"))
         source.send("a1", lines)
         fleet.rest(100 * MILLI)
         assert fleet.listed("ga") == {"a1-h0": "active", "a1-h1": "active"}
-    fleet.until(lambda: source.following("a1"))
+    fleet.until(lambda: source.follower_count("a1"))
     told = fleet.loop.now()
-    source.tell("a1", fleet.member("a1-h0", "draining"))
+    source.publish("a1", fleet.member("a1-h0", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
     fleet.rest(GRACE)
     assert calls.end() == {200}
@@ -235,10 +235,10 @@
     fleet.write_table()
     fleet.start("ga", "a1", words=("--processes", "1"))
     fleet.until(lambda: fleet.events("ga", "cell table"))
-    fleet.until(lambda: fleet.sources[0].following("a1"))
+    fleet.until(lambda: fleet.sources[0].follower_count("a1"))
     file = fleet.folder / "ga.conf"
     file.write_text(file.read_text().replace(fleet.sources[0].address, "example.org:80"))
     fleet.processes["ga"].send_signal(signal.SIGHUP)
     fleet.until(lambda: fleet.events("ga", "configuration refused"))
     assert fleet.wait(fleet.ask("ga", "check-0", "t1")).status == 200
-    assert fleet.sources[0].following("a1") == 1
+    assert fleet.sources[0].follower_count("a1") == 1
--- a/tests/discovery/test_cells_followed.py
+++ b/tests/discovery/test_cells_followed.py
@@ -7,7 +7,7 @@
 
 from gaproute.appliance.followed_lists import MAX_CELLS, MAX_HOSTS_FOLLOWED, MAX_LOGGED_REJECTIONS
 from gaproute.loop import Stream
-from gaproute.standins.platform.listing import member
+from gaproute.standins.platform.host_list import member
 
 # Which cells
 
@@ -15,18 +15,18 @@
 def test_only_wanted_cells_are_followed_and_a_cell_let_go_is_fetched_anew(followed_cells):
     made = followed_cells(zones={"a1": "a"})
     source = made.sources[0]
-    source.tell("b1", *hosts("yz"))
+    source.publish("b1", *hosts("yz"))
     made.begin(a1=hosts("wx"))
-    assert (made.names("a1"), made.names("b1"), source.asked) == ("wx", "", {"a1": 1})
+    assert (made.names("a1"), made.names("b1"), source.poll_counts) == ("wx", "", {"a1": 1})
     made.lists.set_cells({"a1": "a", "b1": "b"})
     made.until(lambda: made.names("b1") == "yz")
     made.lists.set_cells({"b1": "b"})
-    made.until(lambda: source.following("a1") == 0)
+    made.until(lambda: source.follower_count("a1") == 0)
     assert made.told == {"b1": {"y": "active", "z": "active"}}
-    source.tell("a1", host("w", "gone"))
+    source.publish("a1", host("w", "gone"))
     made.lists.set_cells({"a1": "a", "b1": "b"})
     made.until(lambda: made.names("a1") == "x")
-    assert source.asked == {"a1": 2, "b1": 1}
+    assert source.poll_counts == {"a1": 2, "b1": 1}
     assert made.troubles == []
     assert made.count == 0
 
@@ -35,13 +35,13 @@
     made = followed_cells()
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     source, tellings = made.sources[0], made.tellings
-    source.tell("a1", host("w", "draining"))
+    source.publish("a1", host("w", "draining"))
     made.until(lambda: made.told["a1"] == {"w": "draining", "x": "active"})
-    source.tell("a1", host("w", "draining"))
-    source.tell("b1", host("y"))
+    source.publish("a1", host("w", "draining"))
+    source.publish("b1", host("y"))
     made.passes(SECOND)
     assert made.tellings == tellings + 1
-    source.tell("a1", host("w", "gone"))
+    source.publish("a1", host("w", "gone"))
     made.until(lambda: made.told["a1"] == {"x": "active"})
 
 
@@ -49,7 +49,7 @@
     cells = [f"c{number}" for number in range(MAX_CELLS + 6)]
     made = followed_cells(zones=dict.fromkeys(cells, "a"))
     for number, cell in enumerate(cells):
-        made.sources[0].tell(cell, member(f"h{number}", f"127.0.0.1:{number + 1}", zone=""))
+        made.sources[0].publish(cell, member(f"h{number}", f"127.0.0.1:{number + 1}", zone=""))
     made.lists.set_cells(made.zones)
     made.until(lambda: len(made.told) == MAX_CELLS)
     assert set(made.lists.followed) == set(made.told) == set(cells[:MAX_CELLS])
@@ -59,7 +59,7 @@
             dict(each, id=f"{each['id']}-{number}", host_port=f"127.0.{number}.2:{place + 1}")
             for place, each in enumerate(many)
         ]
-        made.sources[0].tell(cell, *told)
+        made.sources[0].publish(cell, *told)
     made.passes(SECOND)
     sizes = [len(made.told.get(cell, ())) for cell in cells[:3]]
     assert sizes[0] == 1_024
@@ -75,13 +75,13 @@
     made = followed_cells()
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     source = made.sources[0]
-    source.tell("b1", host("x"), host("z"))
+    source.publish("b1", host("x"), host("z"))
     made.until(lambda: made.names("b1") == "yz")
     assert made.names("a1") == "wx"
     assert [(each.cell, each.host) for each in made.refused] == [("b1", "x")]
-    source.tell("a1", host("x", "draining"))
+    source.publish("a1", host("x", "draining"))
     made.until(lambda: made.told["a1"]["x"] == "draining")
-    source.tell("a1", host("x", "gone"))
+    source.publish("a1", host("x", "gone"))
     made.until(lambda: made.names("b1") == "xyz")
     assert made.names("a1") == "w"
     assert made.count == 1
@@ -91,13 +91,13 @@
     made = followed_cells()
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     source = made.sources[0]
-    source.tell("a1", host("w", "draining", zone="moon"))
-    source.tell("a1", host("x", "draining") | {"host_port": "nowhere"})
-    source.tell("b1", host("y", "draining") | {"size": "large"})
+    source.publish("a1", host("w", "draining", zone="moon"))
+    source.publish("a1", host("x", "draining") | {"host_port": "nowhere"})
+    source.publish("b1", host("y", "draining") | {"size": "large"})
     made.until(lambda: made.told["b1"] == {"y": "draining"})
     assert made.told["a1"] == {"w": "draining", "x": "draining"}
     assert made.count == 3
-    source.tell("a1", host("w", "gone", zone="moon"), {"id": "x", "phase": "Gone"})
+    source.publish("a1", host("w", "gone", zone="moon"), {"id": "x", "phase": "Gone"})
     made.until(lambda: made.names("a1") == "")
 
 
@@ -147,7 +147,7 @@
     told, seen = made.told, []
     stream = Stream(made.loop, near, lambda data: seen.append(made.told["a1"]["w"]), lambda error: None)
     far.send(b"a call")
-    made.sources[0].tell("a1", host("w", "draining"))
+    made.sources[0].publish("a1", host("w", "draining"))
     assert made.told is told  # neither has been read yet
     made.clock.now += 3 * SECOND
     made.until(lambda: seen)
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -14,7 +14,7 @@
 from gaproute.discovery.changelog.members import MemberConverter
 from gaproute.interface import State
 from gaproute.loop import Loop
-from gaproute.standins.platform import ChangeLog, event, sse
+from gaproute.standins.platform import ScriptedChangeLog, event, sse
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
@@ -129,7 +129,7 @@
 def test_another_address_is_followed_from_the_last_number(follow):
     made = follow(lambda last: sse(ONE) if last == 0 else b"")
     made.until(lambda: made.told)
-    other = ChangeLog(made.loop, lambda last: sse(TWO))
+    other = ScriptedChangeLog(made.loop, lambda last: sse(TWO))
     made.follower.set_address(other.address)
     made.follower.set_address(other.address)
     made.until(lambda: made.told == [1, 2])
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -19,12 +19,12 @@
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.loop import Loop, connect
-from gaproute.standins.platform import ChangeLog, event, parties, sse
+from gaproute.standins.platform import ScriptedChangeLog, event, scripted, sse
 
 ONE = event(1, ("s-1", "127.0.0.1:5", "Ready"), complete=True)
 TWO = event(2, ("s-1", "127.0.0.1:5", "Terminating"))
 THREE = event(3, ("s-1", "127.0.0.1:5", "Gone"))
-HEAD = parties.HEAD
+HEAD = scripted.HEAD
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 ENDLESS = b"HTTP/1.1 200 OK\r\nA: "
 HALF = sse(TWO)[:40]
@@ -210,7 +210,7 @@
     """(a follower that has heard 1, an address that refuses, another log that goes on)."""
     made = follow(lambda last: sse(ONE) if last == 0 else b"")
     made.until(lambda: made.told)
-    away, log = ChangeLog(made.loop), ChangeLog(made.loop, lambda last: sse(TWO))
+    away, log = ScriptedChangeLog(made.loop), ScriptedChangeLog(made.loop, lambda last: sse(TWO))
     away.close()
     yield made, away.address, log
     log.close()
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -23,7 +23,7 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.loop import Loop
-from gaproute.standins.platform import ChangeLog, event, sse
+from gaproute.standins.platform import ScriptedChangeLog, event, sse
 
 HOUR = 3600 * SECOND
 BEGUN = 1_800_000_000 * SECOND  # ns since 1970 when the tests' monotonic clock reads nought
@@ -219,8 +219,8 @@
 
 
 def test_another_source_says_nothing_of_the_list_before_it_has_told_its_own(loop, clock):
-    first = ChangeLog(loop, lambda last: sse(whole()))
-    silent = ChangeLog(loop, lambda last: b":\n\n")
+    first = ScriptedChangeLog(loop, lambda last: sse(whole()))
+    silent = ScriptedChangeLog(loop, lambda last: b":\n\n")
     seen, troubles = [], []
     sources = (first.address, silent.address)
     made = CellWatcher(loop, sources, b"/changes/f/c", seen.append, troubles.append, list, Chance(1))
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -15,7 +15,7 @@
 from gaproute.interface import Found, Idempotency, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop
-from gaproute.standins.platform import LineHost
+from gaproute.standins.platform import ScriptedHost
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 SITE = SimpleNamespace(
@@ -120,7 +120,7 @@
 class Bench:
     def __init__(self, answer=None, room=8):
         self.loop = Loop()
-        self.host = LineHost(self.loop, answer)
+        self.host = ScriptedHost(self.loop, answer)
         self.hosts = JsonLinesClient(self.loop, Pooling(), SITE, room)
         self.list(State.ACTIVE)
         self.heard = []
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -12,7 +12,7 @@
 from gaproute.shared.membership.messages import ENTRY_BYTES, MAX_INCARNATION
 from gaproute.shared.membership.prober import MAX_INDIRECT_PROBES
 from gaproute.shared.membership.table import MAX_MEMBERS
-from gaproute.standins.net import Net
+from gaproute.standins.membership_network import MembershipNetwork
 
 SECOND = 1_000_000_000
 
@@ -45,18 +45,18 @@
 
 @pytest.mark.parametrize("size", [2, 3, 8, 40])
 def test_a_gateway_that_dies_is_dead_to_all_and_no_other_is(size):
-    net = Net(size)
+    net = MembershipNetwork(size)
     net.run(3 * SECOND)
     net.down.add("g1")
     net.run((size + 3 * 6 + 12) * SECOND)
-    assert net.views("g1") == {MemberState.DEAD}
-    assert all(net.views(name) == {MemberState.ALIVE} for name in net.nodes if name != "g1" and size > 2)
+    assert net.states_of("g1") == {MemberState.DEAD}
+    assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes if name != "g1" and size > 2)
     assert net.nodes["g0"].live_count() == size - 1
     assert max(net.sizes) <= MAX_MESSAGE_BYTES
 
 
 def test_lost_messages_make_suspects_that_refute_and_none_dead():
-    net = Net(8, seed=3)
+    net = MembershipNetwork(8, seed=3)
     chance = Chance(5)
     net.lost = lambda sender, to: chance.below(100) < 25
     net.run(120 * SECOND)
@@ -64,18 +64,18 @@
     assert sum(node.refutations for node in net.nodes.values()) > 0
     net.lost = lambda sender, to: False
     net.run(20 * SECOND)
-    assert all(net.views(name) == {MemberState.ALIVE} for name in net.nodes)
+    assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
 
 
 def test_one_bad_path_between_two_makes_no_suspect_thanks_to_indirect_probes():
-    net = Net(5)
+    net = MembershipNetwork(5)
     net.lost = lambda sender, to: {sender, to} == {"g0", "g1"}
     net.run(60 * SECOND)
     assert sum(node.suspicions for node in net.nodes.values()) == 0
 
 
 def test_without_indirect_probes_that_path_makes_suspects():
-    net = Net(5)
+    net = MembershipNetwork(5)
     net.lost = lambda sender, to: {sender, to} == {"g0", "g1"}
     for node in net.nodes.values():
         node.prober.retry = lambda now: []
@@ -84,7 +84,7 @@
 
 
 def test_a_partition_is_seen_on_both_sides_and_heals():
-    net = Net(6)
+    net = MembershipNetwork(6)
     half = {"g0", "g1", "g2"}
     net.lost = lambda sender, to: (sender in half) != (to in half)
     net.run(60 * SECOND)
@@ -92,54 +92,54 @@
     assert net.nodes["g0"].live_count() == net.nodes["g5"].live_count() == 3
     net.lost = lambda sender, to: False
     net.run(40 * SECOND)
-    assert all(net.views(name) == {MemberState.ALIVE} for name in net.nodes)
+    assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
     assert net.nodes["g0"].live_count() == 6
 
 
 def test_a_restarted_gateway_refutes_what_is_held_of_its_earlier_incarnation():
-    net = Net(4)
+    net = MembershipNetwork(4)
     net.run(3 * SECOND)
     net.down.add("g2")
     net.run(40 * SECOND)
-    assert net.views("g2") == {MemberState.DEAD}
+    assert net.states_of("g2") == {MemberState.DEAD}
     net.start("g2", 9, {f"g{number}": f"g{number}" for number in range(4)})
     net.run(15 * SECOND)
-    assert net.views("g2") == {MemberState.ALIVE}
+    assert net.states_of("g2") == {MemberState.ALIVE}
     assert net.nodes["g2"].incarnation > 1
 
 
 def test_a_stalled_gateway_suspects_nobody_for_that_time():
-    net = Net(5)
+    net = MembershipNetwork(5)
     net.run(5 * SECOND)
     net.stopped.add("g0")
     net.run(40 * SECOND)
-    assert net.views("g0") == {MemberState.DEAD}
+    assert net.states_of("g0") == {MemberState.DEAD}
     net.stopped.clear()
     net.run(20 * SECOND)
     assert net.nodes["g0"].suspicions == 0
-    assert all(net.views(name) == {MemberState.ALIVE} for name in net.nodes)
+    assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
 
 
 def test_a_newcomer_that_knows_one_gateway_is_known_to_all_and_knows_all():
-    net = Net(10)
+    net = MembershipNetwork(10)
     net.run(5 * SECOND)
     net.start("new", 77, {"g4": "g4"})
     net.run(15 * SECOND)
-    assert net.views("new") == {MemberState.ALIVE}
+    assert net.states_of("new") == {MemberState.ALIVE}
     assert net.nodes["new"].live_count() == 11
 
 
 def test_a_member_that_leaves_is_held_as_left_at_once_and_can_come_back():
-    net = Net(4)
+    net = MembershipNetwork(4)
     net.run(3 * SECOND)
     net.send("g3", net.nodes["g3"].leave())
     net.down.add("g3")
     net.run(5 * SECOND)
-    assert net.views("g3") == {MemberState.LEFT}
+    assert net.states_of("g3") == {MemberState.LEFT}
     assert net.nodes["g0"].live_count() == 3
     net.start("g3", 5, {"g0": "g0"})
     net.run(20 * SECOND)
-    assert net.views("g3") == {MemberState.ALIVE}
+    assert net.states_of("g3") == {MemberState.ALIVE}
 
 
 def test_a_dead_member_that_nobody_configured_is_forgotten_and_a_configured_one_kept():
@@ -255,7 +255,7 @@
 
 
 def test_a_newcomer_that_knows_one_of_three_hundred_knows_all_within_seconds():
-    net = Net(300)
+    net = MembershipNetwork(300)
     net.run(SECOND)
     net.start("new", 77, {"g4": "g4"})
     net.run(4 * SECOND)
@@ -265,7 +265,7 @@
 
 
 def test_lost_chunks_are_requested_again():
-    net, chance = Net(150), Chance(3)
+    net, chance = MembershipNetwork(150), Chance(3)
     net.lost = lambda sender, to: "new" in (sender, to) and chance.below(10) < 3
     net.start("new", 77, {"g4": "g4"})
     net.run(25 * SECOND)
@@ -311,7 +311,7 @@
 
 
 def test_halves_that_held_each_other_dead_hold_all_alive_soon_after_healing():
-    net = Net(60)
+    net = MembershipNetwork(60)
     half = {f"g{number}" for number in range(30)}
     net.lost = lambda sender, to: (sender in half) != (to in half)
     net.run(90 * SECOND)
@@ -324,7 +324,7 @@
 
 
 def test_seven_tenths_back_with_an_empty_memory_are_alive_to_all():
-    net = Net(40)
+    net = MembershipNetwork(40)
     net.run(5 * SECOND)
     killed = [f"g{number}" for number in range(28)]
     net.down.update(killed)
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -19,7 +19,7 @@
 from gaproute.platform.configuration import ConfigurationRefusedError, read_configuration
 from gaproute.platform.log import Log
 from gaproute.settings import read_deployment, read_terms
-from gaproute.standins.platform import ChangeLog, arg, event, sse
+from gaproute.standins.platform import ScriptedChangeLog, arg, event, sse
 from gaproute.telemetry.record import Record
 
 
@@ -237,7 +237,9 @@
 def test_a_new_file_moves_the_log_and_a_bad_one_changes_nothing(gate):
     made = gate()
     made.until(lambda: made.log.came)
-    other = ChangeLog(made.loop, lambda last: sse(event(2, ("s-0", made.hosts[0].address, "Terminating"))))
+    other = ScriptedChangeLog(
+        made.loop, lambda last: sse(event(2, ("s-0", made.hosts[0].address, "Terminating")))
+    )
     made.path.write_text("{")
     made.process.reload()
     assert made.lines[-1][0] == "configuration refused"
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -12,7 +12,7 @@
 from scripted import MILLI, SECOND, Handed
 
 from gaproute.platform.log import MAX_LINES_PER_SECOND, Log
-from gaproute.standins.platform import LineHost, event, sse
+from gaproute.standins.platform import ScriptedHost, event, sse
 
 HOUR = 3600 * SECOND
 BEGUN = 1_800_000_000 * SECOND  # ns since 1970 when the tests' monotonic clock reads nought
@@ -68,7 +68,7 @@
         self.begun, self.asked, self.came, self.sent = self.clock.now, {}, {}, []
         self.made = gate(None, hosts=2, clock=self.clock)
         self.loop = self.made.loop
-        self.joining = LineHost(self.loop)
+        self.joining = ScriptedHost(self.loop)
         self.hosts = {"s-0": self.made.hosts[0], "s-1": self.made.hosts[1], "s-2": self.joining}
         for name, host in self.hosts.items():
             host.answer = lambda stream, command, name=name: self.take(name, stream, command)
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -12,17 +12,24 @@
 from gaproute.judge import Facts, Kind, judge
 from gaproute.judge.facts import DEADLINE_SLACK
 from gaproute.scenarios.processes import Process
-from gaproute.standins.platform import charter
-from gaproute.standins.platform.listing import Listing, member
-from gaproute.standins.tap import Tap, read
+from gaproute.standins.platform.gateway_configuration import (
+    RequestClassSettings,
+    deployment_settings,
+    make_configuration,
+    write_configuration,
+)
+from gaproute.standins.platform.host_list import VersionedHostList, member
+from gaproute.standins.tap import Tap, read_tap
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LENGTH = 3 * SECOND
 DRAINED = "s-2"
 DRAIN = 1.5  # seconds after the first task
 TRACKS = [
-    charter.RequestClass("fault-check", earnings=3.0),
-    charter.RequestClass("repair-order", "effectful", contract=600 * MILLI, limit=4 * SECOND, earnings=3.0),
+    RequestClassSettings("fault-check", priority_weight=3.0),
+    RequestClassSettings(
+        "repair-order", "effectful", latency_objective=600 * MILLI, limit=4 * SECOND, priority_weight=3.0
+    ),
 ]
 KINDS = [
     {"name": "fault-check", "share": 0.8, "limit": 5 * SECOND, "pure": True},
@@ -54,10 +61,10 @@
 
     def gateway(self, place, changelog, known):
         name = f"g{place}"
-        command, environment = charter.write(
+        command, environment = write_configuration(
             self.folder,
-            charter.charter(
-                name, "127.0.0.2:0", changelog, known, charter.settings(TRACKS, gateways=2), seed=place + 1
+            make_configuration(
+                name, "127.0.0.2:0", changelog, known, deployment_settings(TRACKS, gateways=2), seed=place + 1
             ),
         )
         log = open(self.folder / f"{name}.log", "wb")
@@ -86,14 +93,14 @@
                 ],
             },
         )
-        listing = Listing()
+        listing = VersionedHostList()
         whole = listing.change(*[member(name, where) for name, where in told["addresses"].items()])
         log, ways = self.standin(
             "platform-log", {"gateways": ["127.0.0.2:0"] * 2, "tap": str(self.folder / "log.tap")}
         )
         log.say(whole)
         gateways = [
-            self.gateway(place, where, listing.known()) for place, where in enumerate(ways["addresses"])
+            self.gateway(place, where, listing.snapshot()) for place, where in enumerate(ways["addresses"])
         ]
         clients, _ = self.standin(
             "platform-clients",
@@ -138,10 +145,10 @@
         made.codes = made.play()
     finally:
         made.end()
-    made.hosts = {f"s-{number}": [read(made.folder / f"host-s-{number}.1.tap")] for number in range(3)}
-    made.clients = read(made.folder / "clients.tap")
-    made.told = read(made.folder / "log.tap")
-    made.run = read(made.folder / "run.tap") + made.told
+    made.hosts = {f"s-{number}": [read_tap(made.folder / f"host-s-{number}.1.tap")] for number in range(3)}
+    made.clients = read_tap(made.folder / "clients.tap")
+    made.told = read_tap(made.folder / "log.tap")
+    made.run = read_tap(made.folder / "run.tap") + made.told
     return made
 
 
@@ -149,7 +156,7 @@
     return Facts(
         {track.name: track.effect for track in TRACKS},
         {track.name: track.group for track in TRACKS},
-        {track.name: track.remembers for track in TRACKS},
+        {track.name: track.repeat_window for track in TRACKS},
         {f"s-{number}": ("hall-a", 0) for number in range(3)},
     )
 
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -15,14 +15,14 @@
 from gaproute.cluster.script import read_script
 from gaproute.loop.addresses import address
 from gaproute.scenarios.daybook import script_of
-from gaproute.standins.rogues import ROGUES
+from gaproute.standins.rule_violators import RULE_VIOLATORS
 
 RULES = {
-    -3: "gaproute.standins.liars:LiesAlways",
+    -3: "gaproute.standins.false_reports:ReportsFalselyAlways",
     -2: "gaproute.decisions.routing:Gateway",
     -1: "gaproute.decisions.routing:Gateway",
     0: "gaproute.decisions.routing:Gateway",
-} | {rule: f"gaproute.standins.rogues:{rogue.__name__}" for rule, rogue in ROGUES.items()}
+} | {rule: f"gaproute.standins.rule_violators:{rogue.__name__}" for rule, rogue in RULE_VIOLATORS.items()}
 
 SCRIPTS = {-1: "short-day", -2: "telling-day", -3: "telling-day"}
 
@@ -77,7 +77,7 @@
     assert result["service"] > 0.5
 
 
-@pytest.mark.parametrize("rule", sorted(ROGUES))
+@pytest.mark.parametrize("rule", sorted(RULE_VIOLATORS))
 def test_a_module_that_breaks_a_rule_is_caught_at_it(days, rule):
     code, result = days[rule]
     assert code == 1 and rule in {broken["rule"] for broken in result["broken"]}
--- a/tests/standins/test_log.py
+++ b/tests/standins/test_change_log.py
@@ -6,9 +6,9 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
-from gaproute.standins.platform.listing import Listing, member
-from gaproute.standins.platform.log import Log
-from tests.standins.test_platform import ANY, MILLI, Bench
+from gaproute.standins.platform.change_log import ChangeLogServer
+from gaproute.standins.platform.host_list import VersionedHostList, member
+from tests.standins.test_platform_host import ANY, MILLI, Bench
 
 
 @pytest.fixture
@@ -25,7 +25,10 @@
 
 
 def changelog(bench, ways):
-    made, listing = Log(bench.loop, [ANY] * ways, bench.tap, bench.said.append), Listing()
+    made, listing = (
+        ChangeLogServer(bench.loop, [ANY] * ways, bench.tap, bench.said.append),
+        VersionedHostList(),
+    )
     bench.closing += [way.listener.close for way in made.ways] + [way.cut for way in made.ways]
     made.command(listing.change(member("h", "127.0.0.1:9")))
     return made, listing
@@ -86,8 +89,8 @@
 
 
 def test_the_whole_list_at_any_time_leaves_out_what_has_gone():
-    listing = Listing()
+    listing = VersionedHostList()
     listing.change(member("a", ANY), member("b", ANY))
     listing.change(member("a", ANY, "gone"))
-    known = listing.known()
+    known = listing.snapshot()
     assert known["seq"] == 2 and [each["id"] for each in known["results"][0]["fleet"]["members"]] == ["b"]
--- a/tests/standins/test_kserve_clients.py
+++ b/tests/standins/test_kserve_clients.py
@@ -8,8 +8,8 @@
 from gaproute.http1 import Server
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
-from gaproute.standins.clients import Clients, Habits, Kind
-from gaproute.standins.host.kserve import cut_off
+from gaproute.standins.kserve.clients import KServeClients, KServeRequestClass, KServeTraffic
+from gaproute.standins.kserve.host import cut_off
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 DELIVERED = ((b"Gaproute-Outcome", b"delivered"),)
@@ -22,11 +22,11 @@
         self.loop, self.answer, self.came = Loop(), answer, []
         self.tap = ListTap(self.loop.clock)
         self.server = Server(self.loop, address("127.0.0.1:0"), self.handle)
-        self.clients = Clients(
+        self.clients = KServeClients(
             self.loop,
             [where or self.server.address],
-            [Kind("p", 1.0, SECOND, ("m",))],
-            Habits(**{"rate": 1.0, "impatient": 0.0, "retries": 0} | habits),
+            [KServeRequestClass("p", 1.0, SECOND, ("m",))],
+            KServeTraffic(**{"rate": 1.0, "impatient": 0.0, "retries": 0} | habits),
             7,
             self.tap,
             self.loop.now() - 1,
--- a/tests/standins/test_clients.py
+++ b/tests/standins/test_platform_clients.py
@@ -8,9 +8,9 @@
 from helpers import makers
 
 from gaproute.loop.addresses import address
-from gaproute.standins.platform.clients import Clients, Habits, Kind
-from gaproute.standins.platform.parties import Party
-from tests.standins.test_platform import MILLI, MODEL, SECOND, Bench
+from gaproute.standins.platform.clients import PlatformClients, PlatformRequestClass, PlatformTraffic
+from gaproute.standins.platform.scripted import ScriptedServer
+from tests.standins.test_platform_host import MILLI, MODEL, SECOND, Bench
 
 
 @pytest.fixture
@@ -19,7 +19,7 @@
         yield make()
 
 
-class Gate(Party):
+class Gate(ScriptedServer):
     """A gateway that answers as the test says."""
 
     def __init__(self, loop, answer):
@@ -55,12 +55,12 @@
 def day(bench, answers, length=200 * MILLI, limit=SECOND, **habits):
     gates = [Gate(bench.loop, answer) for answer in answers]
     bench.closing += [gate.close for gate in gates]
-    habits = Habits(**{"rate": 200.0, "impatient": 0.0} | habits)
-    made = Clients(
+    habits = PlatformTraffic(**{"rate": 200.0, "impatient": 0.0} | habits)
+    made = PlatformClients(
         bench.loop,
         [gate.address for gate in gates],
         [MODEL],
-        [Kind("p", 1.0, limit)],
+        [PlatformRequestClass("p", 1.0, limit)],
         habits,
         7,
         bench.tap,
@@ -124,7 +124,7 @@
 
 
 def test_a_dead_gateway_is_left_out_and_taken_in_again(bench, monkeypatch):
-    monkeypatch.setattr("gaproute.standins.platform.places.NOTICE", (0.05, 0.06))
+    monkeypatch.setattr("gaproute.standins.platform.gateway_pool.NOTICE", (0.05, 0.06))
     made, gates = day(bench, [served, served], length=900 * MILLI)
     bench.until(lambda: made.until)
     gates[1].close()
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform_host.py
@@ -9,16 +9,21 @@
 from gaproute.loop import Loop, Stream, connect
 from gaproute.loop.addresses import address
 from gaproute.platform import configuration as platform_configuration
-from gaproute.standins.host import Make, Model
-from gaproute.standins.platform import charter
+from gaproute.standins.model_server import HostProfile, ModelProfile
+from gaproute.standins.platform.gateway_configuration import (
+    RequestClassSettings,
+    deployment_settings,
+    make_configuration,
+    write_configuration,
+)
 from gaproute.standins.platform.host import PlatformHost
-from gaproute.standins.platform.hosts import Hosts
-from gaproute.standins.platform.listing import Listing, member
-from gaproute.standins.tap import read
+from gaproute.standins.platform.host_list import VersionedHostList, member
+from gaproute.standins.platform.hosts import PlatformHosts
+from gaproute.standins.tap import read_tap
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 ANY = "127.0.0.1:0"
-MODEL = Model("000000000000000a", "p", 2, 2 * MILLI, 10 * MILLI)
+MODEL = ModelProfile("000000000000000a", "p", 2, 2 * MILLI, 10 * MILLI)
 
 
 class Bench:
@@ -47,7 +52,7 @@
 
     def host(self, **told):
         made = PlatformHost(
-            self.loop, address(ANY), Make("h"), {MODEL.name: MODEL}, None, 1, self.tap, **told
+            self.loop, address(ANY), HostProfile("h"), {MODEL.name: MODEL}, None, 1, self.tap, **told
         )
         self.closing.append(made.crash)
         return made
@@ -163,7 +168,7 @@
 
 def test_hosts_of_one_process_die_and_start_again_at_their_address_with_a_new_tap(bench, tmp_path):
     said = bench.said
-    made = Hosts(
+    made = PlatformHosts(
         bench.loop,
         {
             "models": [MODEL._asdict()],
@@ -185,9 +190,9 @@
     first, end, second = bench.came
     assert (first["type"], end, second["type"]) == ("crashed", "ended", "served")
     made.flush()
-    taps = [read(tmp_path / f"host-b.{run}.tap") for run in (1, 2)]
+    taps = [read_tap(tmp_path / f"host-b.{run}.tap") for run in (1, 2)]
     assert [(tap[0]["what"], tap[0]["warm"]) for tap in taps] == [("up", True), ("up", False)]
-    assert not made.hosts["a"].machine.troubles and len(read(tmp_path / "host-a.1.tap")) == 1
+    assert not made.hosts["a"].model_server.faults and len(read_tap(tmp_path / "host-a.1.tap")) == 1
 
 
 # What a gateway is told
@@ -195,20 +200,20 @@
 
 def test_the_file_that_is_made_is_one_that_a_gateway_takes(tmp_path):
     tracks = [
-        charter.RequestClass("p"),
-        charter.RequestClass("e", "effectful"),
-        charter.RequestClass("r", "receipted", "rack"),
+        RequestClassSettings("p"),
+        RequestClassSettings("e", "effectful"),
+        RequestClassSettings("r", "receipted", "rack"),
     ]
-    listing = Listing()
+    listing = VersionedHostList()
     listing.change(member("h", "127.0.0.1:9", cell=3, up_since=5))
-    rules = charter.settings(tracks, gateways=40, cold_share=0.5, limits={"send_cap": 3})
-    command, environment = charter.write(
+    rules = deployment_settings(tracks, gateways=40, cold_share=0.5, limits={"send_cap": 3})
+    command, environment = write_configuration(
         tmp_path,
-        charter.charter(
+        make_configuration(
             "g1",
             "127.0.0.1:1",
             "127.0.0.1:2",
-            listing.known(),
+            listing.snapshot(),
             rules,
             peer_listen="127.0.0.1:3",
             peers_all="127.0.0.1:4",
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -15,8 +15,9 @@
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
-from gaproute.standins.host import Host, Make, Model
-from gaproute.standins.store import Store
+from gaproute.standins.kserve import KServeHost
+from gaproute.standins.model_server import HostProfile, ModelProfile
+from gaproute.standins.model_store import ModelStore
 from gaproute.standins.tap import Tap
 
 MODELS = 24  # of each track
@@ -42,7 +43,9 @@
         self.lists = folder / "cells"
         self.lists.mkdir()
         self.table = folder / "cells.table"
-        self.store = Store(self.loop, address("127.0.0.1:0"), 200.0, 100, 0.0, Tap(None, self.loop.clock))
+        self.store = ModelStore(
+            self.loop, address("127.0.0.1:0"), 200.0, 100, 0.0, Tap(None, self.loop.clock)
+        )
         self.hosts, self.taps, self.processes = {}, {}, {}
         self.number = 0  # of the table's version
         self.servers = []  # further ones of the test
@@ -59,10 +62,12 @@
 
     def add_host(self, name, cell):
         """A stand-in host that holds all models."""
-        made = {model: Model(model, track, 4, WORK, START) for track in KINDS for model in models(track)}
+        made = {
+            model: ModelProfile(model, track, 4, WORK, START) for track in KINDS for model in models(track)
+        }
         tap = self.taps[name] = ListTap(self.loop.clock)
-        make = Make(name, copies=4 * len(made))
-        self.hosts[name] = Host(
+        make = HostProfile(name, copies=4 * len(made))
+        self.hosts[name] = KServeHost(
             self.loop, address("127.0.0.1:0"), make, made, self.store.address, 3, tap, warm=True
         )
 
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
 from gaproute.standins.cell_source import CellSource
-from gaproute.standins.platform.listing import member
+from gaproute.standins.platform.host_list import member
 
 PORTS = {name: port for port, name in enumerate("uvwxyz", 1)}
 ZONES = {"a1": "a", "b1": "b"}
@@ -62,7 +62,7 @@
         """All sources tell these lists, and the cells of the zones are wanted."""
         for source in self.sources:
             for cell, members in lists.items():
-                source.tell(cell, *members)
+                source.publish(cell, *members)
         self.lists.set_cells(self.zones)
         self.until(lambda: all(cell in self.told for cell in lists))
 
--- a/tests/support/followed_fleet.py
+++ b/tests/support/followed_fleet.py
@@ -4,7 +4,7 @@
 from helpers import MILLI
 
 from gaproute.standins.cell_source import CellSource
-from gaproute.standins.platform.listing import member
+from gaproute.standins.platform.host_list import member
 
 GRACE = 500 * MILLI  # after a host was told draining or gone
 
@@ -18,7 +18,7 @@
         self.sources_of = {}  # gateway: addresses of its sources, those of all where none are told
         for source in self.sources:
             for cell in cells:
-                source.tell(cell, *self.members(cell))
+                source.publish(cell, *self.members(cell))
 
     def members(self, cell, state="active"):
         """The hosts made for the cell, as members of its log."""
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -15,8 +15,9 @@
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
-from gaproute.standins.host import Host, Make, Model
-from gaproute.standins.store import Store
+from gaproute.standins.kserve import KServeHost
+from gaproute.standins.model_server import HostProfile, ModelProfile
+from gaproute.standins.model_store import ModelStore
 from gaproute.standins.tap import Tap
 from gaproute.telemetry.logs import logger
 
@@ -202,10 +203,13 @@
     ):
         self.loop, self.taps, self.hosts = Loop(clock), [], []
         self.folder = Path(tempfile.mkdtemp(prefix="gaproute-test-"))
-        self.store = Store(self.loop, address("127.0.0.1:0"), 200.0, 100, 0.0, Tap(None, self.loop.clock))
+        self.store = ModelStore(
+            self.loop, address("127.0.0.1:0"), 200.0, 100, 0.0, Tap(None, self.loop.clock)
+        )
         work = {"lamp": ("check", 4), "crew": ("order", 4), "dim": ("plan", 4)}
         self.models = {
-            name: Model(name, track, lanes, 5 * MILLI, 10 * MILLI) for name, (track, lanes) in work.items()
+            name: ModelProfile(name, track, lanes, 5 * MILLI, 10 * MILLI)
+            for name, (track, lanes) in work.items()
         }
         lines = []
         for number in range(hosts):
@@ -222,10 +226,10 @@
 
     def add_host(self, name, make=None, warm=True, seed=3, where="127.0.0.1:0"):
         tap = ListTap(self.loop.clock)
-        host = Host(
+        host = KServeHost(
             self.loop,
             address(where),
-            Make(name, **(make or {})),
+            HostProfile(name, **(make or {})),
             self.models,
             self.store.address,
             seed,
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -12,7 +12,7 @@
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
-from gaproute.standins.platform import ChangeLog, Client, LineHost, event
+from gaproute.standins.platform import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
 from gaproute.standins.platform.sample_settings import sample_settings
 from gaproute.telemetry.record import TRACE_ONE_IN
 
@@ -84,7 +84,7 @@
     def __init__(self, script, last=0, clock=None, known=(), **log):
         self.clock = clock
         self.loop, self.told = Loop(clock) if clock else Loop(), []
-        self.log = ChangeLog(self.loop, script, **log)
+        self.log = ScriptedChangeLog(self.loop, script, **log)
         self.follower = ChangeLogWatcher(
             self.loop, self.log.address, last, lambda each: self.told.append(each.seq), Chance(1), known
         )
@@ -113,8 +113,8 @@
     def __init__(self, folder, answer=None, sockets=256, hosts=1, followed=TRACE_ONE_IN, clock=None, **told):
         self.clock = clock
         self.loop = Loop(clock) if clock else Loop()
-        self.hosts = [LineHost(self.loop, answer) for _ in range(hosts)]
-        self.log = ChangeLog(self.loop)
+        self.hosts = [ScriptedHost(self.loop, answer) for _ in range(hosts)]
+        self.log = ScriptedChangeLog(self.loop)
         self.lines = []
         self.path = folder / "config.json"
         self.told = {
@@ -149,7 +149,7 @@
         self.path.write_text(json.dumps(self.told))
 
     def client(self):
-        self.clients.append(Client(self.loop, self.where))
+        self.clients.append(ScriptedClient(self.loop, self.where))
         return self.clients[-1]
 
     def until(self, condition):
