--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from gaproute.appliance import status
+from gaproute.errors import GaprouteError
 from gaproute.http1 import Request, Server
 from gaproute.shared.leases.operator_requests import decode_command
 
@@ -27,6 +28,10 @@
 JSON_HEADERS = ((b"Content-Type", b"application/json"),)
 
 
+class LeasesUnavailableError(GaprouteError, ValueError):
+    """A lease was requested of a gateway that belongs to no Raft group."""
+
+
 class Operator:
     """Serves what the command line reads. Raises OSError where the address cannot be listened on."""
 
@@ -51,7 +56,7 @@
         leases = self.appliance.peers.leases
         try:
             if leases is None:
-                raise ValueError("no keepers line in the configuration")
+                raise LeasesUnavailableError("no keepers line in the configuration")
             result = leases.execute(decode_command(request.body))
         except (ValueError, msgspec.ValidationError) as error:
             self._answer(request, HTTPStatus.BAD_REQUEST, {"error": str(error)})
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -1,6 +1,6 @@
 """Fields of the simulator's lines as types of the decisions; the wire's words stop here.
 
-Every public function raises `ProtocolError` for what it cannot read: that is no error of the decisions.
+Every public function raises `WireFormatError` for what it cannot read: that is no error of the decisions.
 """
 
 import json
@@ -16,9 +16,9 @@
     ListRow,
     PeerMessage,
     ProbeAnswered,
-    ProtocolError,
     RequestReceived,
     StreamStarted,
+    WireFormatError,
 )
 
 MICRO = 1_000
@@ -45,16 +45,16 @@
 
 
 def decoder(decode: Decode) -> Decode:
-    """Makes `ProtocolError` of whatever a value that cannot be read raises."""
+    """Makes `WireFormatError` of whatever a value that cannot be read raises."""
 
     @wraps(decode)
     def checked(*arguments: object) -> object:
         try:
             return decode(*arguments)
-        except ProtocolError:
+        except WireFormatError:
             raise
         except (ValueError, KeyError, TypeError, AttributeError, OverflowError) as error:
-            raise ProtocolError(f"{decode.__name__}: {error}") from error
+            raise WireFormatError(f"{decode.__name__}: {error}") from error
 
     return cast(Decode, checked)
 
@@ -81,7 +81,7 @@
 def decode_host(row: ListRow) -> face.ListedHost:
     """A host of a list."""
     if row.state not in STATES:
-        raise ProtocolError(f"unknown state {row.state!r}")
+        raise WireFormatError(f"unknown state {row.state!r}")
     return face.ListedHost(
         row.host,
         _integer(row.zone),
@@ -172,7 +172,7 @@
 
 def _flag(text: str) -> bool:
     if text not in FLAGS:
-        raise ProtocolError(f"{text!r} is no bool")
+        raise WireFormatError(f"{text!r} is no bool")
     return FLAGS[text]
 
 
--- a/gaproute/benchlink/hub.py
+++ b/gaproute/benchlink/hub.py
@@ -51,18 +51,18 @@
     def line(self, text: str) -> list[str] | None:
         """Takes one line. Returns the reply's lines when it ends a batch, else None.
 
-        Errors: ValueError, `ProtocolError` among them, for a line that breaks the wire format.
+        Errors: ValueError, `WireFormatError` among them, for a line that breaks the wire format.
         """
         name, line = lines.split_line(text)
         kind = type(line)
         if self.unfinished is not None and kind is not lines.ListRow:
-            raise lines.ProtocolError(f"{self.unfinished.missing} list rows missing")
+            raise lines.WireFormatError(f"{self.unfinished.missing} list rows missing")
         if kind is lines.EndOfBatch:
             return self._reply()
         if (handle := self.batch_handlers.get(kind)) is not None:
             handle(line)
         elif self.selected is None:
-            raise lines.ProtocolError(f"{name} before any FOR")
+            raise lines.WireFormatError(f"{name} before any FOR")
         elif isinstance(line, lines.TimerFired):
             self.due_timers.append(DueTimer(self.selected, line))
         else:
@@ -84,7 +84,7 @@
 
     def _add_row(self, line: lines.ListRow) -> None:
         if self.unfinished is None:
-            raise lines.ProtocolError("list row outside a list")
+            raise lines.WireFormatError("list row outside a list")
         number, missing = self.unfinished
         self.host_lists[number].append(decoding.decode_host(line))
         self._await_rows(number, missing - 1)
@@ -107,7 +107,7 @@
                 self._update_hosts(instance, line)
             else:
                 EVENT_HANDLERS[type(line)](instance, self.now, line)
-        except lines.ProtocolError:
+        except lines.WireFormatError:
             raise
         except Exception as error:  # noqa: BLE001 - whatever it is, it is reported
             self.failures[number] = _describe(error)
@@ -125,7 +125,7 @@
             instance.gateway.list_refused(self.now)
         elif line.kind == CHANGES or line.kind in WHOLE_LISTS:
             if line.list_number not in self.host_lists:
-                raise lines.ProtocolError(f"no list {line.list_number}")
+                raise lines.WireFormatError(f"no list {line.list_number}")
             rows = self.host_lists[line.list_number]
             instance.gateway.listed(self.now, rows, line.kind in WHOLE_LISTS)
         instance.start_housekeeping(self.now)
--- a/gaproute/benchlink/lines.py
+++ b/gaproute/benchlink/lines.py
@@ -2,10 +2,12 @@
 
 from typing import NamedTuple
 
+from gaproute.errors import GaprouteError
+
 ABSENT = "-"  # in place of a value
 
 
-class ProtocolError(ValueError):
+class WireFormatError(GaprouteError, ValueError):
     """A line that breaks the wire format."""
 
 
@@ -195,12 +197,12 @@
 
 
 def split_line(text: str) -> tuple[str, Line]:
-    """Name and fields of one line. Errors: ProtocolError."""
+    """Name and fields of one line. Errors: WireFormatError."""
     name, _, rest = text.partition(" ")
     if name not in FORMATS:
-        raise ProtocolError(f"unknown message {name!r}")
+        raise WireFormatError(f"unknown message {name!r}")
     kind, field_count, max_splits = FORMATS[name]
     fields = rest.split(" ", max_splits) if rest or name in FREE_TEXT_LAST else []
     if len(fields) != field_count:
-        raise ProtocolError(f"{name} has {len(fields)} values, {field_count} expected")
+        raise WireFormatError(f"{name} has {len(fields)} values, {field_count} expected")
     return name, kind(*fields)
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -21,6 +21,7 @@
     decode_member,
     decode_member_state,
 )
+from gaproute.errors import GaprouteError
 from gaproute.interface import State
 
 MILLIS_PER_SECOND = 1_000
@@ -31,6 +32,10 @@
 GONE, DRAINING = PHASES[State.GONE], PHASES[State.DRAINING]
 
 
+class MemberError(GaprouteError, ValueError):
+    """A member of a cell's host list that cannot be taken over; the message says why."""
+
+
 class RejectedMember(NamedTuple):
     """A member that is not taken over, or a host that is not in force, and why."""
 
@@ -66,7 +71,7 @@
                 after.pop(name, None)
                 return None
             if name not in self.reported and name not in after and len(after) >= max_hosts:
-                raise ValueError(f"more than {max_hosts} hosts")
+                raise MemberError(f"more than {max_hosts} hosts")
             after[name] = _host_line(decode_member(raw))
         except DECODING_ERRORS as error:
             known = after.get(name) or self.reported.get(name)
@@ -77,10 +82,10 @@
 
 
 def _host_line(member: Member) -> HostLine:
-    """The member as a line of a host list. Errors: ValueError."""
+    """The member as a line of a host list. Errors: MemberError."""
     state = STATES.get(member.phase)
     if state is None:
-        raise ValueError(f"unknown phase {member.phase!r}")
+        raise MemberError(f"unknown phase {member.phase!r}")
     start = member.up_since_ms
     seconds = start / MILLIS_PER_SECOND if start is not None and 0 < start < math.inf else None
     return HostLine(
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -10,6 +10,7 @@
 
 from gaproute.connections import AcceptedConnections
 from gaproute.connections.parked import NOT_PARKED
+from gaproute.errors import GaprouteError
 from gaproute.faultinjection.network import NetworkFaults
 from gaproute.faultinjection.plan import FaultPlan
 from gaproute.faultinjection.play.far_client import FarClient
@@ -48,7 +49,7 @@
 ) | {"balancers": 2}
 
 
-class StuckError(Exception):
+class StuckError(GaprouteError):
     """A play did not come to its end within its turns."""
 
 
--- a/gaproute/loop/addresses.py
+++ b/gaproute/loop/addresses.py
@@ -3,6 +3,8 @@
 import socket
 from typing import NamedTuple
 
+from gaproute.errors import GaprouteError
+
 SocketAddress = str | tuple[str, int] | tuple[str, int, int, int]  # a path, or as the socket module has it
 
 UNIX_PREFIX = "unix:"
@@ -10,6 +12,10 @@
 MAX_PORT = 65535
 
 
+class AddressError(GaprouteError, ValueError):
+    """A text that is no address of a socket; the message says what is expected."""
+
+
 class Address(NamedTuple):
     """A parsed address, which can be listened on or connected to."""
 
@@ -18,22 +24,22 @@
 
 
 def address(text: str) -> Address:
-    """Parses `127.0.0.1:80`, `[::1]:80` or `unix:/path`. Errors: ValueError."""
+    """Parses `127.0.0.1:80`, `[::1]:80` or `unix:/path`. Errors: AddressError."""
     if text.startswith(UNIX_PREFIX):
         path = text.removeprefix(UNIX_PREFIX)
         if not 1 <= len(path) <= MAX_UNIX_PATH:
-            raise ValueError(f"a Unix socket path has 1 to {MAX_UNIX_PATH} characters")
+            raise AddressError(f"a Unix socket path has 1 to {MAX_UNIX_PATH} characters")
         return Address(socket.AF_UNIX, path)
     host, _, port = text.rpartition(":")
     if not port.isdigit() or not 0 <= int(port) <= MAX_PORT or not host:
-        raise ValueError("an address is HOST:PORT, [IPV6]:PORT or unix:PATH")
+        raise AddressError("an address is HOST:PORT, [IPV6]:PORT or unix:PATH")
     if host.startswith("[") and host.endswith("]"):
         socket.inet_pton(socket.AF_INET6, host[1:-1])
         return Address(socket.AF_INET6, (host[1:-1], int(port)))
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError as fault:
-        raise ValueError(f"{host!r} is no IPv4 address") from fault
+        raise AddressError(f"{host!r} is no IPv4 address") from fault
     return Address(socket.AF_INET, (host, int(port)))
 
 
--- a/gaproute/peers/gossip/wire.py
+++ b/gaproute/peers/gossip/wire.py
@@ -18,6 +18,7 @@
 from struct import Struct
 from typing import cast
 
+from gaproute.errors import GaprouteError
 from gaproute.shared.gossip.messages import (
     AMOUNT_SCALE,
     LIMITS,
@@ -47,7 +48,7 @@
 CODE_BOUNDS = [(low * high) ** 0.5 if low else high / 2 for low, high in pairwise(AMOUNT_SCALE)]
 
 
-class UndecodableError(ValueError):
+class UndecodableError(GaprouteError, ValueError):
     """The bytes are no message."""
 
 
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -122,7 +122,7 @@
             return
         try:
             sender, messages = wire.read(request.body)
-        except ValueError as reason:
+        except wire.MalformedBatchError as reason:
             self.counts[f"refused: {reason}"] += 1
             server.answer(request, 400, (), b"not understood\n")
             return
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -10,6 +10,7 @@
 import msgspec
 from msgspec import Meta
 
+from gaproute.errors import GaprouteError
 from gaproute.shared.messages import NAME
 from gaproute.shared.raft.messages import MAX_SNAPSHOT_BYTES, RaftMessage
 
@@ -29,6 +30,10 @@
 )
 
 
+class MalformedBatchError(GaprouteError, ValueError):
+    """Bytes that are no batch; the text is the reason under which the transport counts them."""
+
+
 def pack(message: RaftMessage) -> bytes:
     """One message as bytes."""
     return _encoder.encode(message)
@@ -40,15 +45,15 @@
 
 
 def read(data: bytes) -> tuple[str, list[RaftMessage]]:
-    """The sender and the messages. Raises ValueError whose text is the reason that it is counted under."""
+    """The sender and the messages. Errors: MalformedBatchError."""
     if len(data) > MAX_BATCH_BYTES:
-        raise ValueError("too long")
+        raise MalformedBatchError("too long")
     if data[:1] != ARRAY_OF_THREE:
-        raise ValueError("noise")
+        raise MalformedBatchError("noise")
     if data[1:2] != bytes((VERSION,)):
-        raise ValueError("version")
+        raise MalformedBatchError("version")
     try:
         _, sender, messages = _decoder.decode(data)
     except (ValueError, RecursionError):
-        raise ValueError("noise") from None
+        raise MalformedBatchError("noise") from None
     return sender, messages
--- a/gaproute/shared/dissemination/document.py
+++ b/gaproute/shared/dissemination/document.py
@@ -3,10 +3,11 @@
 from typing import Protocol
 
 from gaproute.decisions.cells.table import Version
+from gaproute.errors import GaprouteError
 from gaproute.shared.dissemination.messages import Change
 
 
-class DocumentError(ValueError):
+class DocumentError(GaprouteError, ValueError):
     """A change or a whole document that cannot be taken; the text is a short reason.
 
     The current document stays.
--- a/tests/benchlink/test_instance.py
+++ b/tests/benchlink/test_instance.py
@@ -6,7 +6,7 @@
 from gaproute import interface as face
 from gaproute.benchlink.decoding import encode_milliseconds
 from gaproute.benchlink.instance import Instance
-from gaproute.benchlink.lines import LINES, ProtocolError, split_line
+from gaproute.benchlink.lines import LINES, WireFormatError, split_line
 
 MILLI = 1_000_000
 REQUEST = face.Request("r1", 0, 900 * MILLI, "app:f", 1, None, 0)
@@ -77,5 +77,5 @@
 
 @pytest.mark.parametrize("text", ["GONE", "GONE a b", "CRASH_NOW x", "SYNC 1 2 3", "odd"])
 def test_a_line_with_other_fields_than_its_own_is_refused(text):
-    with pytest.raises(ProtocolError):
+    with pytest.raises(WireFormatError):
         split_line(text)
