--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -84,7 +84,7 @@
         with socket.create_server(("127.0.0.1", 0)) as free:
             self.port = free.getsockname()[1]
         self.wire = subprocess.Popen(
-            [sys.executable, "-m", "gaproute.cluster.wire"],
+            [sys.executable, "-m", "gaproute.cluster.links"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -62,7 +62,7 @@
 
 def _cluster_play(parsed: Any) -> tuple[Callable[..., Any], Callable[..., None]]:
     """What plays a cluster script, and what shows its verdict."""
-    from gaproute.cluster.platform.play import player
+    from gaproute.cluster.platform.harness import player
     from gaproute.cluster.show import show
 
     return player(parsed), show
--- a/gaproute/cluster/table.py
+++ b/gaproute/cluster/address_plan.py
@@ -29,7 +29,7 @@
     raise OSError("no free ports for a harness")
 
 
-class Table:
+class AddressPlan:
     """`direct`: no wire, so that all use each other's own addresses."""
 
     def __init__(self, day, direct):
--- a/gaproute/cluster/crowd.py
+++ b/gaproute/cluster/clients.py
@@ -3,7 +3,7 @@
 from gaproute.scenarios.crowd import Crowd
 
 
-class ClusterCrowd(Crowd):
+class ClusterClients(Crowd):
     """The clients of appliances."""
 
     KIND = "clients"  # of the stand-ins
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -12,17 +12,17 @@
 import time
 import traceback
 
-from gaproute.cluster.crews import Crews
-from gaproute.cluster.crowd import ClusterCrowd
+from gaproute.cluster.address_plan import AddressPlan
+from gaproute.cluster.clients import ClusterClients
 from gaproute.cluster.gateways import ClusterGateways
-from gaproute.cluster.lateness import Lateness
-from gaproute.cluster.lists import Lists
-from gaproute.cluster.processes import ClusterProcesses, Gate, calm
-from gaproute.cluster.seats import ClusterSeats
-from gaproute.cluster.strikes import Strikes
-from gaproute.cluster.table import Table
-from gaproute.cluster.verdict import Verdict
-from gaproute.cluster.wires import Wires
+from gaproute.cluster.host_lists import GatewayHostLists
+from gaproute.cluster.hosts import ClusterHosts
+from gaproute.cluster.lateness import HarnessLateness
+from gaproute.cluster.lease_clients import LeaseClients
+from gaproute.cluster.link_emulators import LinkEmulators
+from gaproute.cluster.process_faults import ProcessFaults
+from gaproute.cluster.processes import ClusterProcesses, StartLimiter, calm
+from gaproute.cluster.verdict import ClusterVerdict
 from gaproute.scenarios.processes import MILLI, SECOND, NotReady
 from gaproute.scenarios.run import Trial
 from gaproute.standins.tap import read
@@ -51,14 +51,18 @@
         (self.out / "play.json").write_text(json.dumps({"seed": self.seed, "decisions": self.decisions}))
         _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))  # three descriptors for each child
-        self.gate = Gate(self.loop, settings.batch or os.cpu_count() or 1)
-        self.table = Table(self.script.day, settings.direct)
+        self.gate = StartLimiter(self.loop, settings.batch or os.cpu_count() or 1)
+        self.table = AddressPlan(self.script.day, settings.direct)
         self.processes = ClusterProcesses(self.loop, self.out)
-        self.wires = Wires(self.loop, self.processes, self.table, self.seed)
-        self.seats = ClusterSeats(self, random.Random(self.seed))
-        self.list = Lists(self.loop, self.tap, self.seats, self.table, self.out / "lists")
-        self.gateways, self.crowd = ClusterGateways(self), ClusterCrowd(self)
-        self.strikes, self.lateness, self.crews = Strikes(self), Lateness(self), Crews(self)
+        self.wires = LinkEmulators(self.loop, self.processes, self.table, self.seed)
+        self.seats = ClusterHosts(self, random.Random(self.seed))
+        self.list = GatewayHostLists(self.loop, self.tap, self.seats, self.table, self.out / "lists")
+        self.gateways, self.crowd = ClusterGateways(self), ClusterClients(self)
+        self.strikes, self.lateness, self.crews = (
+            ProcessFaults(self),
+            HarnessLateness(self),
+            LeaseClients(self),
+        )
 
     def chance(self, line, part=""):
         """A line's own chance: what it draws does not hang on what other lines drew before it."""
@@ -128,7 +132,7 @@
         yield from super().wind_up()
 
     def run(self):
-        """Plays the day; its `Verdict`, which stands in the folder as well."""
+        """Plays the day; its `ClusterVerdict`, which stands in the folder as well."""
         bound, begun, end = self.script.cluster.bound, time.time(), None
         signal.setitimer(signal.ITIMER_REAL, bound / SECOND + LAST_RESORT)
         try:
@@ -144,6 +148,6 @@
             self.processes.end()
             self.tap.flush()
             signal.setitimer(signal.ITIMER_REAL, 0)
-        verdict = Verdict(self, end, time.time() - begun)
+        verdict = ClusterVerdict(self, end, time.time() - begun)
         (self.out / "verdict.json").write_text(json.dumps(verdict.plain(), indent=1))
         return verdict
--- a/gaproute/cluster/lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -9,7 +9,7 @@
 GATHER = 5 * MILLI  # changes that come together are told together
 
 
-class Lists:
+class GatewayHostLists:
     """Has the face of a trial's `HostList`; `late` is the lateness that strikes all gateways."""
 
     def __init__(self, loop, tap, seats, table, folder):
--- a/gaproute/cluster/seats.py
+++ b/gaproute/cluster/hosts.py
@@ -3,7 +3,7 @@
 from gaproute.scenarios.seats import Seats
 
 
-class ClusterSeats(Seats):
+class ClusterHosts(Seats):
     def __init__(self, harness, random):
         super().__init__(harness.script, harness.seed, harness.processes, harness.models, random)
         self.harness = harness
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -12,7 +12,7 @@
 #                              beyond it the machine is measured, which other work or too many processes crowd
 
 
-class Lateness:
+class HarnessLateness:
     def __init__(self, harness):
         self.harness, self.loop, self.parent, self.over = harness, harness.loop, 0, False
         self.waits, self.waited = {}, 0.0
--- a/gaproute/cluster/crews.py
+++ b/gaproute/cluster/lease_clients.py
@@ -1,5 +1,6 @@
-"""Crews of a cluster: they acquire, extend and release leases at the operators' addresses, and note what
-they held when, by the machine's one monotonic clock. Stand-ins for whoever does what must not be done twice.
+"""Lease clients of a cluster: they acquire, extend and release leases at the operators' addresses, and note
+what they held when, by the machine's one monotonic clock. Stand-ins for whoever does what must not be done
+twice.
 
 A gateway draws the numbers of its lease requests anew at each start. So a crew that finds its gateway gone
 takes its request for gone, and never asks the next process for it.
@@ -9,7 +10,7 @@
 
 from pydantic import Field
 
-from gaproute.cluster.asking import LOST, SILENT, ask
+from gaproute.cluster.operator_client import LOST, SILENT, ask
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Duration
 from gaproute.judge import permits
@@ -25,7 +26,7 @@
 RELEASED = 5  # of ten requests; two are extended, of the rest the crew says nothing more
 
 
-class CrewsLine(Directive):
+class LeaseClientsLine(Directive):
     example: ClassVar = "crews count 6 resources 3 keepers 3 longest 1s span 600ms hold 700ms fell-leader 3s"
     once: ClassVar = True
     count: int = Field(6, ge=1, le=256)
@@ -47,7 +48,7 @@
         yield "a span is not above longest"
 
 
-class Crews:
+class LeaseClients:
     """`harness.script.crews` is the line, None where the day has none."""
 
     def __init__(self, harness):
--- a/gaproute/cluster/wires.py
+++ b/gaproute/cluster/link_emulators.py
@@ -3,7 +3,7 @@
 import json
 import os
 
-from gaproute.cluster import sets
+from gaproute.cluster import slot_sets
 from gaproute.loop.descriptors import HANGUP, READ
 from gaproute.scenarios.processes import MILLI, SECOND, NotReady
 
@@ -11,7 +11,7 @@
 AFTER = 500 * MILLI  # after a cut, until all that it kept has flown on
 
 
-class Wires:
+class LinkEmulators:
     """`count` processes behind the same ports; each line goes to all of them."""
 
     def __init__(self, loop, processes, table, seed):
@@ -28,7 +28,7 @@
                 "seed": self.seed,
                 "tap": None,
             }
-            wire = self.processes.start(["gaproute.cluster.wire"], told, f"wire-{place}.err")
+            wire = self.processes.start(["gaproute.cluster.links"], told, f"wire-{place}.err")
             self.wires.append(wire)
             self.told.append([])
         for wire, told in zip(self.wires, self.told, strict=True):
@@ -103,8 +103,8 @@
 
     def ends(self, harness, text, random):
         """(words for the wire, names of seats now). Words that the wire knows cover hosts that come later."""
-        parts, seats = sets.parse(text), harness.table.all(harness.seats.seats.values())
-        names = sets.names(parts, seats, random)
+        parts, seats = slot_sets.parse(text), harness.table.all(harness.seats.seats.values())
+        names = slot_sets.names(parts, seats, random)
         if any(part.no or part.share < 1 for part in parts):
             return names, names
         return [word for part in parts for word in harness.table.words(part.what, seats)], names
--- a/gaproute/cluster/wire/__main__.py
+++ b/gaproute/cluster/links/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gaproute.cluster.wire`: told by lines of JSON on stdin, says lines of JSON on stdout; ends with
+"""`python -m gaproute.cluster.links`: told by lines of JSON on stdin, says lines of JSON on stdout; ends with
 stdin.
 
 First line: {"tcp": port, "udp": port, "seats": {"16": {"name": ..., "kind": "gateway|host|list", "zone":
@@ -16,11 +16,11 @@
 import socket
 import sys
 
-from gaproute.cluster.wire.datagrams import Datagrams
-from gaproute.cluster.wire.invariants import breaches
-from gaproute.cluster.wire.lateness import Lateness
-from gaproute.cluster.wire.streams import Streams
-from gaproute.cluster.wire.weather import Weather
+from gaproute.cluster.links.conditions import NetworkConditions
+from gaproute.cluster.links.datagrams import DatagramRelay
+from gaproute.cluster.links.invariants import breaches
+from gaproute.cluster.links.lateness import LinkLateness
+from gaproute.cluster.links.streams import StreamRelays
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
 from gaproute.loop.descriptors import READ
@@ -28,18 +28,20 @@
 BACKLOG = 4096  # connections that the kernel opens before the wire takes them
 
 
-class Wire:
+class LinkEmulator:
     """Everything of one wire process. Errors: OSError where the ports cannot be had; ValueError, KeyError."""
 
     def __init__(self, loop, told):
         self.loop, self.stale = loop, False
-        self.weather = Weather(int(told.get("seed", 0)), Chance)
+        self.weather = NetworkConditions(int(told.get("seed", 0)), Chance)
         self.weather.seated({int(number): seat for number, seat in told.get("seats", {}).items()})
-        self.lateness = Lateness(loop)
+        self.lateness = LinkLateness(loop)
         self.file = open(told["tap"], "ab", buffering=0) if told.get("tap") else None
         listening = bound(socket.SOCK_STREAM, told["tcp"])
-        self.streams = Streams(loop, self.weather, self.lateness, listening, self.tap)
-        self.datagrams = Datagrams(loop, self.weather, self.lateness, bound(socket.SOCK_DGRAM, told["udp"]))
+        self.streams = StreamRelays(loop, self.weather, self.lateness, listening, self.tap)
+        self.datagrams = DatagramRelay(
+            loop, self.weather, self.lateness, bound(socket.SOCK_DGRAM, told["udp"])
+        )
 
     def tap(self, what, a, b, size):
         """A line to the tap file; times are of the monotonic clock, which all on the machine share."""
@@ -140,7 +142,7 @@
             line = bytes(rest[:end])
             del rest[: end + 1]
             if not wires:
-                wires.append(Wire(loop, json.loads(line)))
+                wires.append(LinkEmulator(loop, json.loads(line)))
                 say({"ready": True})
                 continue
             try:
--- a/gaproute/cluster/wire/weather.py
+++ b/gaproute/cluster/links/conditions.py
@@ -5,7 +5,7 @@
 """
 
 from gaproute.cluster.addresses import HIGHEST, LOWEST, SEAT_BITS
-from gaproute.cluster.wire.faults import MILLI, fault, seat
+from gaproute.cluster.links.faults import MILLI, fault, seat
 
 SECOND = 1000 * MILLI
 AGAIN = 200 * MILLI  # TCP's least time before it sends lost bytes again
@@ -15,7 +15,7 @@
 HELD = None  # in place of a time: kept until the fault ends
 
 
-class Weather:
+class NetworkConditions:
     """`chance(seed)` makes a generator with `below(n)`. Counts what it did by reason, in messages."""
 
     def __init__(self, seed, chance):
@@ -61,7 +61,7 @@
     # Questions
 
     def over(self, a, b):
-        """(faults on streams' bytes, faults on datagrams) from seat `a` to seat `b`: (id, Fault) each."""
+        """(faults on streams' bytes, faults on datagrams) from seat `a` to seat `b`: (id, LinkFault) each."""
         pair = a << SEAT_BITS | b
         found = self.known.get(pair)
         if found is None:
--- a/gaproute/cluster/wire/datagrams.py
+++ b/gaproute/cluster/links/datagrams.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 from gaproute.cluster.addresses import between, pair
-from gaproute.cluster.wire.weather import HELD
+from gaproute.cluster.links.conditions import HELD
 from gaproute.loop.addresses import address
 from gaproute.loop.descriptors import READ
 
@@ -20,7 +20,7 @@
 SIDE = 96  # bytes for what the kernel tells beside a message
 
 
-class Datagrams:
+class DatagramRelay:
     """Reads and sends on the bound socket `sock`."""
 
     def __init__(self, loop, weather, lateness, sock):
--- a/gaproute/cluster/wire/faults.py
+++ b/gaproute/cluster/links/faults.py
@@ -34,7 +34,7 @@
 WORDS = {"kind", "from", "to", "both", "what", *NUMBERS}
 
 
-class Seat(NamedTuple):
+class Slot(NamedTuple):
     """A process's end of the wire. `tcp`, `udp`: its own addresses as text, None where it has none: then
     it is like a dead machine. `refuses`: its process is down, its machine answers."""
 
@@ -47,7 +47,7 @@
     whose: bool = False  # told who calls in a first line, as the platform's stand-in hosts read it
 
 
-class Fault(NamedTuple):
+class LinkFault(NamedTuple):
     """`sources`, `sinks`: numbers of seats; spans in ns; `pace` in bytes a second, 0 without a limit."""
 
     kind: str
@@ -74,7 +74,7 @@
     for place in places:
         if place is not None and (not isinstance(place, str) or address(place)[0] != AF_INET):
             raise ValueError(f"{place!r} is no IPv4 address and port")
-    return Seat(
+    return Slot(
         told["name"],
         *(told.get(word) or "" for word in ("kind", "zone")),
         *places,
@@ -84,7 +84,7 @@
 
 
 def fault(told, seats):
-    """`told` as the script has it, over `seats` (number: Seat). Errors: ValueError, naming word and value."""
+    """`told` as the script has it, over `seats` (number: Slot). Errors: ValueError, naming word and value."""
     if not isinstance(told, dict) or not set(told) <= WORDS:
         raise ValueError(f"a fault has the words {', '.join(sorted(WORDS))}")
     kind, what = told.get("kind"), told.get("what", "all")
@@ -97,7 +97,7 @@
     if numbers["share"] > 1:
         raise ValueError(f"share is at most 1, not {numbers['share']!r}")
     delay = numbers["delay_ms"] or (OVERTAKEN if kind == "reorder" else 0)
-    return Fault(
+    return LinkFault(
         kind,
         members(told.get("from", ["*"]), seats),
         members(told.get("to", ["*"]), seats),
--- a/gaproute/cluster/wire/invariants.py
+++ b/gaproute/cluster/links/invariants.py
@@ -1,8 +1,8 @@
 """What must always hold in a wire, as named checks; run whenever its counts are asked for."""
 
-from gaproute.cluster.wire.datagrams import KEPT, SPAN
-from gaproute.cluster.wire.ends import CHUNK, HIGH
-from gaproute.cluster.wire.weather import HELD
+from gaproute.cluster.links.conditions import HELD
+from gaproute.cluster.links.datagrams import KEPT, SPAN
+from gaproute.cluster.links.stream_end import CHUNK, HIGH
 
 
 def breaches(wire):
--- a/gaproute/cluster/wire/lateness.py
+++ b/gaproute/cluster/links/lateness.py
@@ -3,7 +3,7 @@
 BEAT = 50_000_000  # ns between looks at the clock: a wire with nothing to do can be starved as well
 
 
-class Lateness:
+class LinkLateness:
     """`most`: longest time in ns, since it was last taken, that anything due or come waited for the wire."""
 
     def __init__(self, loop):
--- a/gaproute/cluster/wire/refusals.py
+++ b/gaproute/cluster/links/refuser.py
@@ -11,9 +11,9 @@
 import struct
 
 from gaproute.cluster.addresses import pair
-from gaproute.cluster.wire import gate
-from gaproute.cluster.wire.datagrams import PKTINFO
-from gaproute.cluster.wire.weather import HELD
+from gaproute.cluster.links import syn_filter
+from gaproute.cluster.links.conditions import HELD
+from gaproute.cluster.links.datagrams import PKTINFO
 from gaproute.loop.descriptors import READ
 
 READS = 64  # packets taken in one turn
@@ -23,7 +23,7 @@
 FILTER = 0xFFFF  # bytes of a packet that are handed over at most
 
 
-class Refusals:
+class ConnectionRefuser:
     """For connections to `port`. `can`: whether the kernel lets us."""
 
     def __init__(self, loop, weather, port):
@@ -39,16 +39,16 @@
         wanted = self.can and any(seat.refuses for seat in self.weather.seats.values())
         if wanted and self.sock is None:
             self.sock = raw()
-            gate.attach(
+            syn_filter.attach(
                 self.sock,
                 [
-                    (gate.LOAD_BYTE, 0, 0, FLAGS),
-                    (gate.AND, 0, 0, gate.SYN_ACK),
-                    (gate.EQUAL, 0, 3, gate.SYN),
+                    (syn_filter.LOAD_BYTE, 0, 0, FLAGS),
+                    (syn_filter.AND, 0, 0, syn_filter.SYN_ACK),
+                    (syn_filter.EQUAL, 0, 3, syn_filter.SYN),
                     (HALF, 0, 0, PORT),
-                    (gate.EQUAL, 0, 1, self.port),
-                    (gate.END, 0, 0, FILTER),
-                    (gate.END, 0, 0, gate.DROP),
+                    (syn_filter.EQUAL, 0, 1, self.port),
+                    (syn_filter.END, 0, 0, FILTER),
+                    (syn_filter.END, 0, 0, syn_filter.DROP),
                 ],
             )
             self.loop.watch(self.sock.fileno(), READ, self._ready)
--- a/gaproute/cluster/wire/ends.py
+++ b/gaproute/cluster/links/stream_end.py
@@ -10,7 +10,7 @@
 import struct
 from collections import deque
 
-from gaproute.cluster.wire.weather import HELD
+from gaproute.cluster.links.conditions import HELD
 from gaproute.loop.descriptors import HANGUP, READ, WRITE
 
 CHUNK = 65536  # bytes read in one call
@@ -19,8 +19,8 @@
 AT_ONCE = struct.pack("ii", 1, 0)  # SO_LINGER: a close then sends a reset
 
 
-class End:
-    """One socket. `a`, `b`: what is read here travels from seat `a` to seat `b`, to the End `other`."""
+class StreamEnd:
+    """One socket. `a`, `b`: what is read here travels from seat `a` to seat `b`, to the StreamEnd `other`."""
 
     __slots__ = (
         "relay",
--- a/gaproute/cluster/wire/streams.py
+++ b/gaproute/cluster/links/streams.py
@@ -2,8 +2,8 @@
 close.
 
 The kernel shakes hands for the wire before it is asked, so a far end that refuses is passed on as an
-accepted connection that is reset, unless the seat was told as one that `refuses` (`refusals.py`). What
-leads to a seat without an address, or through a cut, does not open (`gate.py`); what the gate let through
+accepted connection that is reset, unless the seat was told as one that `refuses` (`refuser.py`). What
+leads to a seat without an address, or through a cut, does not open (`syn_filter.py`); what the gate let through
 before it heard of that stays silent until it can.
 """
 
@@ -11,10 +11,10 @@
 import socket
 
 from gaproute.cluster.addresses import between, of
-from gaproute.cluster.wire import gate
-from gaproute.cluster.wire.ends import AT_ONCE, End
-from gaproute.cluster.wire.refusals import Refusals
-from gaproute.cluster.wire.weather import HELD
+from gaproute.cluster.links import syn_filter
+from gaproute.cluster.links.conditions import HELD
+from gaproute.cluster.links.refuser import ConnectionRefuser
+from gaproute.cluster.links.stream_end import AT_ONCE, StreamEnd
 from gaproute.loop import Listener, connect
 from gaproute.loop.addresses import address
 
@@ -22,14 +22,14 @@
 GIVEN_UP = select.EPOLLRDHUP  # and errors, which epoll always tells
 
 
-class Relay:
-    """One connection of seat `a` to seat `b`: the End `near` the caller and the End `far`."""
+class StreamRelay:
+    """One connection of seat `a` to seat `b`: the StreamEnd `near` the caller and the StreamEnd `far`."""
 
     __slots__ = ("streams", "number", "a", "b", "near", "far", "carried")
 
     def __init__(self, streams, number, near, far, a, b):
         self.streams, self.number, self.a, self.b, self.carried = streams, number, a, b, 0
-        self.near, self.far = End(self, near, a, b), End(self, far, b, a)
+        self.near, self.far = StreamEnd(self, near, a, b), StreamEnd(self, far, b, a)
         self.near.other, self.far.other = self.far, self.near
 
     def reset(self):
@@ -53,7 +53,7 @@
             self.near.other = self.far.other = self.near = self.far = None
 
 
-class Streams:
+class StreamRelays:
     """Accepts on the listening `sock`. `tap(what, a, b, bytes)` for each connection that opens or ends."""
 
     def __init__(self, loop, weather, lateness, sock, tap):
@@ -63,7 +63,7 @@
         self.opened = self.refused = self.given_up = self.stray = self.pieces = self.carried = 0
         self.listener = Listener(loop, (socket.AF_INET, None), self._accepted, inherited=sock)
         self.gate = None  # its instructions, as last attached
-        self.refusals = Refusals(loop, weather, sock.getsockname()[1])
+        self.refusals = ConnectionRefuser(loop, weather, sock.getsockname()[1])
         self.changed()
 
     def _accepted(self, sock):
@@ -104,7 +104,7 @@
             if error is None:
                 self.opened += 1
                 self._introduce(far, a, b)
-                self.relays[number] = Relay(self, number, sock, far, a, b)
+                self.relays[number] = StreamRelay(self, number, sock, far, a, b)
                 self.tap("opened", a, b, 0)
             else:
                 self.refused += 1
@@ -129,9 +129,11 @@
 
     def changed(self):
         """The weather has changed, or a seat."""
-        instructions = gate.program(self.weather, self.refusals.can) or [(gate.END, 0, 0, gate.PASS)]
+        instructions = syn_filter.program(self.weather, self.refusals.can) or [
+            (syn_filter.END, 0, 0, syn_filter.PASS)
+        ]
         if instructions != self.gate:
-            gate.attach(self.listener.sock, instructions)
+            syn_filter.attach(self.listener.sock, instructions)
             self.gate = instructions
         self.refusals.changed()
         for number, (sock, a, b) in list(self.hanging.items()):
--- a/gaproute/cluster/wire/gate.py
+++ b/gaproute/cluster/links/syn_filter.py
@@ -26,7 +26,7 @@
 def program(weather, refusing=False):
     """Instructions (code, jump if so, jump if not, number); None where the kernel would not take so many:
     then what cannot open is accepted and stays silent. `refusing`: those told to refuse are answered by
-    others (`refusals.py`), not let in."""
+    others (`refuser.py`), not let in."""
     dead = [
         n
         for n in range(LOWEST, HIGHEST + 1)
--- a/gaproute/cluster/platform/__init__.py
+++ b/gaproute/cluster/platform/__init__.py
@@ -1,2 +1,2 @@
 """Clusters of the platform's gateways, `gaproute.platform`, their hosts, change log and clients
-(`play.NodeHarness`)."""
+(`play.PlatformHarness`)."""
--- a/gaproute/cluster/platform/lists.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -1,11 +1,12 @@
 """The change log of a platform cluster: one process that tells each gateway the addresses by which it alone
-finds the hosts. Has the interface of `gaproute.cluster.lists.Lists`; its troubles are the log's own."""
+finds the hosts. Has the interface of `gaproute.cluster.host_lists.GatewayHostLists`; its faults are the log's
+own."""
 
-from gaproute.cluster.lists import GATHER
+from gaproute.cluster.host_lists import GATHER
 from gaproute.standins.platform.listing import Listing, member
 
 
-class NodeLists:
+class PlatformChangeLog:
     def __init__(self, harness):
         self.harness, self.loop, self.table, self.seats = harness, harness.loop, harness.table, harness.seats
         self.late, self.asked, self.told = 0, False, {}
--- a/gaproute/cluster/platform/crowd.py
+++ b/gaproute/cluster/platform/clients.py
@@ -1,12 +1,12 @@
 """The platform's clients of a harness: several processes that share one load."""
 
-from gaproute.cluster.crowd import ClusterCrowd
+from gaproute.cluster.clients import ClusterClients
 from gaproute.standins.tap import read
 
 KNOWN_OF_KINDS = ("name", "share", "limit", "pure")
 
 
-class NodeCrowd(ClusterCrowd):
+class PlatformClients(ClusterClients):
     """The clients of the platform's gateways."""
 
     KIND = "platform-clients"
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -8,7 +8,7 @@
 from gaproute.standins.platform import charter
 
 
-class NodeGateways(ClusterGateways):
+class PlatformGateways(ClusterGateways):
     def rules(self):
         script = self.trial.script
         copies, life, day = script.copies, script.life, script.day
--- a/gaproute/cluster/platform/play.py
+++ b/gaproute/cluster/platform/harness.py
@@ -4,24 +4,24 @@
 import random
 
 from gaproute.cluster.harness import ClusterHarness
-from gaproute.cluster.platform.crowd import NodeCrowd
-from gaproute.cluster.platform.gateways import NodeGateways
-from gaproute.cluster.platform.hosts import NodeSeats
-from gaproute.cluster.platform.lists import NodeLists
-from gaproute.cluster.strikes import Strikes
+from gaproute.cluster.platform.change_log import PlatformChangeLog
+from gaproute.cluster.platform.clients import PlatformClients
+from gaproute.cluster.platform.gateways import PlatformGateways
+from gaproute.cluster.platform.hosts import PlatformHosts
+from gaproute.cluster.process_faults import ProcessFaults
 from gaproute.standins.tap import read
 
 
-class NodeHarness(ClusterHarness):
+class PlatformHarness(ClusterHarness):
     def furnish(self):
         super().furnish()
         for number, model in enumerate(self.models, 1):
             model["name"] = f"{number:016x}"  # as the platform names functions
         self.table.whose = True  # orders bear their gateway's name, for rule 5
-        self.seats = NodeSeats(self, random.Random(self.seed))
-        self.list = NodeLists(self)
-        self.gateways, self.crowd = NodeGateways(self), NodeCrowd(self)
-        self.strikes = Strikes(self)
+        self.seats = PlatformHosts(self, random.Random(self.seed))
+        self.list = PlatformChangeLog(self)
+        self.gateways, self.crowd = PlatformGateways(self), PlatformClients(self)
+        self.strikes = ProcessFaults(self)
         self.spread, self.spread_at = None, ""
 
     def start_store(self):
@@ -76,4 +76,4 @@
 
 def player(script):
     """The class that plays this cluster's script."""
-    return NodeHarness if script.cluster.kind == "platform" else ClusterHarness
+    return PlatformHarness if script.cluster.kind == "platform" else ClusterHarness
--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -3,13 +3,13 @@
 import signal
 import time
 
-from gaproute.cluster.processes import Gate
-from gaproute.cluster.seats import ClusterSeats
+from gaproute.cluster.hosts import ClusterHosts
+from gaproute.cluster.processes import StartLimiter
 
 PER_PROCESS = 40  # hosts in one process: 60 took 0.09 of a core at 500 tasks a second
 
 
-class OneOfMany:
+class SharedProcessHost:
     """A host with the face of a process of its own. SIGSTOP becomes `vanish`: others stand there too."""
 
     def __init__(self, process, name):
@@ -29,7 +29,7 @@
         self.process.hush()
 
 
-class NodeSeats(ClusterSeats):
+class PlatformHosts(ClusterHosts):
     def __init__(self, harness, random):
         super().__init__(harness, random)
         self.many, self.gates = [], []  # processes; one answer is awaited at a time of each
@@ -52,7 +52,7 @@
                     },
                 )
             )
-            self.gates.append(Gate(self.harness.loop, 1))
+            self.gates.append(StartLimiter(self.harness.loop, 1))
         for process in self.many:
             yield self.processes.line(process, "the hosts' process")
 
@@ -70,7 +70,7 @@
             {"host": seat.name, "do": "start", "seat": {"listen": seat.where, "make": make, "warm": warm}}
         )
         seat.where = (yield self.processes.line(process, seat.name))["address"]
-        seat.process = OneOfMany(process, seat.name)
+        seat.process = SharedProcessHost(process, seat.name)
         seat.started = None if warm else time.time_ns()
 
     def kill(self, seat):
--- a/gaproute/cluster/platform/words.py
+++ b/gaproute/cluster/platform/script_checks.py
@@ -1,6 +1,6 @@
 """What a cluster script cannot have because of the gateways' kind."""
 
-from gaproute.cluster import sets
+from gaproute.cluster import slot_sets
 
 SETS = {"fault": ("source", "to"), "strike": ("on",), "list": ("on",)}
 
@@ -9,7 +9,7 @@
     """The words of its sets; those that cannot be read are told elsewhere."""
     for field in SETS.get(word, ()):
         try:
-            yield from (part.what for part in sets.parse(getattr(line, field)))
+            yield from (part.what for part in slot_sets.parse(getattr(line, field)))
         except ValueError:
             pass
 
--- a/gaproute/cluster/strikes.py
+++ b/gaproute/cluster/process_faults.py
@@ -2,18 +2,18 @@
 
 import os
 
-from gaproute.cluster import sets
+from gaproute.cluster import slot_sets
 from gaproute.scenarios.processes import SECOND
 
 
-class Strikes:
+class ProcessFaults:
     def __init__(self, harness):
         self.harness, self.loop, self.gateways = harness, harness.loop, harness.gateways
 
     def numbers(self, line):
         """The gateways that a line is about, drawn by its own chance: the same whatever else happens."""
-        names = sets.names(
-            sets.parse(line.on),
+        names = slot_sets.names(
+            slot_sets.parse(line.on),
             self.harness.table.all(self.harness.seats.seats.values()),
             self.harness.chance(line),
         )
--- a/gaproute/cluster/processes.py
+++ b/gaproute/cluster/processes.py
@@ -72,7 +72,7 @@
         return promise
 
 
-class Gate:
+class StartLimiter:
     """So many coroutines at a time: starts that run all at once would keep every core from what is judged.
     Nor do two begin in one turn: a start takes the parent some 15 ms."""
 
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -7,8 +7,8 @@
 
 from pydantic import Field
 
-from gaproute.cluster import crews, sets
-from gaproute.cluster.platform import words
+from gaproute.cluster import lease_clients, slot_sets
+from gaproute.cluster.platform import script_checks
 from gaproute.config.errors import Mistake
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Duration, YesNo
@@ -31,7 +31,7 @@
     bound: Duration = 600 * SECOND  # the run ends by then whatever happens
 
 
-class FaultLine(Directive):
+class LinkFaultLine(Directive):
     positional: ClassVar = ("kind",)
     example: ClassVar = "fault cut at 2s for 3s from 0.3:gateways to hosts/hall-1 both no what streams"
     kind: Literal["delay", "lose", "double", "reorder", "cut", "hold", "reset"]
@@ -47,7 +47,7 @@
     bytes: float = Field(0, ge=0)  # a second, for each pair; 0: no limit
 
 
-class StrikeLine(Directive):
+class ProcessFaultLine(Directive):
     positional: ClassVar = ("kind",)
     example: ClassVar = "strike restart at 4s on 0.7:gateways signal KILL back 500ms"
     kind: Literal["kill", "stop", "restart", "clock", "starve"]
@@ -63,7 +63,7 @@
     core: YesNo = False  # all on one core, beside a process that never rests
 
 
-class ListLine(Directive):
+class HostListFaultLine(Directive):
     positional: ClassVar = ("kind",)
     example: ClassVar = "list late at 2s for 4s on 0.3:gateways back 800ms"
     kind: Literal["late", "deaf"]
@@ -75,10 +75,10 @@
 
 WORDS = {
     "cluster": ClusterLine,
-    "fault": FaultLine,
-    "strike": StrikeLine,
-    "list": ListLine,
-    "crews": crews.CrewsLine,
+    "fault": LinkFaultLine,
+    "strike": ProcessFaultLine,
+    "list": HostListFaultLine,
+    "crews": lease_clients.LeaseClientsLine,
 }
 SETS = {"fault": ("source", "to"), "strike": ("on",), "list": ("on",)}
 
@@ -87,15 +87,15 @@
     """What is wrong with a line beside its single words, as text."""
     for field in SETS.get(word, ()):
         try:
-            parts = sets.parse(getattr(line, field))
+            parts = slot_sets.parse(getattr(line, field))
         except ValueError as fault:
             yield str(fault)
             continue
-        yield from sets.unknown(parts, day)
+        yield from slot_sets.unknown(parts, day)
         if word != "fault" and any(part.what.startswith(("hosts", "mh")) for part in parts):
             yield f"{word} strikes gateways alone; hosts have their troubles (vanish, crash, deploy, ...)"
     if word == "crews":
-        yield from crews.wrong(line, day)
+        yield from lease_clients.wrong(line, day)
     kind = getattr(line, "kind", "")
     if word not in ("cluster", "crews") and kind != "clock" and line.at >= day.length:
         yield f"it begins after the day, which is {day.length / SECOND:g} s long"
@@ -118,7 +118,7 @@
         Mistake(file, line.line, word, text, f"right would be: {line.example}")
         for word, line in found
         if word in WORDS
-        for text in (*wrong(word, line, day), *words.wrong(kind, word, line))
+        for text in (*wrong(word, line, day), *script_checks.wrong(kind, word, line))
     ]
 
 
--- a/gaproute/cluster/sets.py
+++ b/gaproute/cluster/slot_sets.py
@@ -15,14 +15,14 @@
 KINDS = {"gateways": "gateway", "hosts": "host", "lists": "list"}
 
 
-class Part(NamedTuple):
+class SetTerm(NamedTuple):
     no: bool
     share: float
     what: str
 
 
 def parse(text):
-    """[Part]. Errors: ValueError that names the word."""
+    """[SetTerm]. Errors: ValueError that names the word."""
     parts = []
     for word in text.split(","):
         found = WORD.fullmatch(word)
@@ -35,7 +35,7 @@
             ) from None
         if not 0 < share <= 1:
             raise ValueError(f"{word!r}: a share is more than 0 and 1 at most")
-        parts.append(Part(bool(found["no"]), share, found["what"]))
+        parts.append(SetTerm(bool(found["no"]), share, found["what"]))
     return parts
 
 
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -8,7 +8,7 @@
 from gaproute.scenarios.result import Result
 
 
-class Verdict(Result):
+class ClusterVerdict(Result):
     """A trial's result, and whether the harness that found it kept time. `end`: what ended it early, if
     anything."""
 
--- a/tests/cluster/test_weather.py
+++ b/tests/cluster/test_conditions.py
@@ -3,9 +3,9 @@
 import pytest
 
 from gaproute.cluster import addresses
-from gaproute.cluster.wire.faults import MILLI
-from gaproute.cluster.wire.invariants import weather as breaches
-from gaproute.cluster.wire.weather import AGAIN, HELD, QUEUE, SECOND, Weather
+from gaproute.cluster.links.conditions import AGAIN, HELD, QUEUE, SECOND, NetworkConditions
+from gaproute.cluster.links.faults import MILLI
+from gaproute.cluster.links.invariants import weather as breaches
 from gaproute.decisions.chance import Chance
 
 A, B, C, H = 16, 17, 18, 40
@@ -18,7 +18,7 @@
 
 
 def made(seed=1, **faults):
-    weather = Weather(seed, Chance)
+    weather = NetworkConditions(seed, Chance)
     weather.seated(SEATS)
     for name, told in faults.items():
         weather.begin(name, told)
--- a/tests/cluster/test_play.py
+++ b/tests/cluster/test_harness.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from gaproute.cluster.lists import Lists
-from gaproute.cluster.processes import Gate
+from gaproute.cluster.address_plan import AddressPlan
+from gaproute.cluster.host_lists import GatewayHostLists
+from gaproute.cluster.processes import StartLimiter
 from gaproute.cluster.script import read_script
-from gaproute.cluster.table import Table
 from gaproute.loop import Loop
 from gaproute.scenarios.seats import Seats
 from gaproute.standins.tap import Tap, read
@@ -108,7 +108,10 @@
         left = children(harness.pid)
         kinds = b" ".join(left.values())
         assert (
-            len(left) >= 6 and b"gaproute.cluster.wire" in kinds and b"serve" in kinds and b"clients" in kinds
+            len(left) >= 6
+            and b"gaproute.cluster.links" in kinds
+            and b"serve" in kinds
+            and b"clients" in kinds
         )
     finally:
         os.kill(harness.pid, signal.SIGKILL)
@@ -121,7 +124,7 @@
 
 def test_a_gate_lets_so_many_through_at_a_time_also_when_one_fails():
     loop, inside, most, ended = Loop(), [], [], []
-    gate = Gate(loop, 2)
+    gate = StartLimiter(loop, 2)
     gate.APART = 0
     loop.on_error = ended.append
 
@@ -143,11 +146,11 @@
 def test_a_late_list_never_undoes_a_newer_one_and_each_gateway_has_its_own_addresses(tmp_path):
     loop = Loop()
     script = read_script("small-cluster")
-    table, tap = Table(script.day, False), Tap(str(tmp_path / "run.tap"), loop.clock)
+    table, tap = AddressPlan(script.day, False), Tap(str(tmp_path / "run.tap"), loop.clock)
     seats = Seats(script, 1, None, [], random.Random(1))
     seat = seats.new()
     seat.process = object()
-    lists = Lists(loop, tap, seats, table, tmp_path / "lists")
+    lists = GatewayHostLists(loop, tap, seats, table, tmp_path / "lists")
     lists.first()
     assert lists.path(0).read_text() != lists.path(1).read_text()
     old = lists.snapshot()
--- a/tests/cluster/test_permits.py
+++ b/tests/cluster/test_lease_clients.py
@@ -10,7 +10,7 @@
 from gaproute.judge import permits
 from gaproute.judge.permits import SECOND
 from gaproute.standins.tap import read
-from tests.cluster.test_play import PLAYS, command
+from tests.cluster.test_harness import PLAYS, command
 
 
 def test_permits_keep_their_word_while_keepers_die_stand_still_and_do_not_hear_each_other(tmp_path):
--- a/tests/cluster/test_wire.py
+++ b/tests/cluster/test_links.py
@@ -15,12 +15,12 @@
 import pytest
 
 from gaproute.cluster.addresses import between, of
-from gaproute.cluster.wire.__main__ import Wire
-from gaproute.cluster.wire.ends import CHUNK, HIGH, End
-from gaproute.cluster.wire.faults import MILLI
-from gaproute.cluster.wire.invariants import breaches
-from gaproute.cluster.wire.lateness import Lateness
-from gaproute.cluster.wire.streams import Relay
+from gaproute.cluster.links.__main__ import LinkEmulator
+from gaproute.cluster.links.faults import MILLI
+from gaproute.cluster.links.invariants import breaches
+from gaproute.cluster.links.lateness import LinkLateness
+from gaproute.cluster.links.stream_end import CHUNK, HIGH, StreamEnd
+from gaproute.cluster.links.streams import StreamRelay
 from gaproute.loop import Loop, Stepped
 
 A, H, DEAD, NOBODY = 16, 17, 18, 19
@@ -35,7 +35,7 @@
         return ready
 
 
-class Party:
+class LinkFixture:
     """A wire with a gateway `A`, a host `H`, a host that has no address and one where nobody listens."""
 
     def __init__(self):
@@ -54,7 +54,7 @@
             "18": {"name": "h1", "kind": "host"},
             "19": {"name": "h2", "kind": "host", "tcp": nobody},
         }
-        self.wire = Wire(self.loop, {"tcp": 0, "udp": 0, "seed": 5, "seats": self.seats})
+        self.wire = LinkEmulator(self.loop, {"tcp": 0, "udp": 0, "seed": 5, "seats": self.seats})
         self.loop.on_error = self.fail
         self.tcp, self.udp_port = (
             int(sock.getsockname()[1]) for sock in (self.wire.streams.listener.sock, self.wire.datagrams.sock)
@@ -161,7 +161,7 @@
 
 @pytest.fixture
 def party():
-    made = Party()
+    made = LinkFixture()
     yield made
     made.close()
 
@@ -435,7 +435,7 @@
     now = [0]
     loop = Loop(lambda: now[0])
     loop.poll = lambda epoll, span: epoll.poll(0)
-    late = Lateness(loop)
+    late = LinkLateness(loop)
     assert late.take() == 0
     loop.soon(lambda: now.__setitem__(0, now[0] + 30 * MILLI))  # a long turn
     loop.turn(), loop.turn()
@@ -464,7 +464,7 @@
                 near.close()
         party.wait(lambda: not party.wire.streams.relays or None)
         party.turns(2)
-        assert not [one for one in gc.get_objects() if isinstance(one, (End, Relay))]
+        assert not [one for one in gc.get_objects() if isinstance(one, (StreamEnd, StreamRelay))]
     finally:
         gc.enable()
 
@@ -501,7 +501,7 @@
 
 def start():
     return subprocess.Popen(
-        [sys.executable, "-m", "gaproute.cluster.wire"],
+        [sys.executable, "-m", "gaproute.cluster.links"],
         stdin=subprocess.PIPE,
         text=True,
         stdout=subprocess.PIPE,
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gaproute.cluster.harness import ClusterHarness
-from gaproute.cluster.platform.play import NodeHarness, player
+from gaproute.cluster.platform.harness import PlatformHarness, player
 from gaproute.cluster.script import read_script
 from gaproute.config import ConfigurationError
 from gaproute.judge import Facts, judge
@@ -16,8 +16,8 @@
 from gaproute.standins.platform.log import Log
 from gaproute.standins.platform.spread import Spread
 from gaproute.standins.tap import Tap, read
-from tests.cluster.test_play import PLAYS, command
-from tests.cluster.test_wire import Party
+from tests.cluster.test_harness import PLAYS, command
+from tests.cluster.test_links import LinkFixture
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 FEWEST_ORDERS = 3  # by which the gateways that orders name are judged
@@ -124,7 +124,7 @@
 
 
 def test_the_wire_tells_a_host_that_asks_for_it_who_calls_before_all_else():
-    party = Party()
+    party = LinkFixture()
     try:
         party.tell(seat={"17": party.seats["17"] | {"whose": True}})
         party.call().send(b"a task\n")
@@ -139,11 +139,11 @@
 
 def test_the_kind_chooses_who_plays_and_what_it_cannot_have_is_named(tmp_path):
     assert (
-        player(read_script("platform-cluster")) is NodeHarness
+        player(read_script("platform-cluster")) is PlatformHarness
         and player(read_script("small-cluster")) is ClusterHarness
     )
     fleet = read_script("fleet-platform")
-    assert player(fleet) is NodeHarness and fleet.day.gateways == 200 and fleet.day.hosts == 120
+    assert player(fleet) is PlatformHarness and fleet.day.gateways == 200 and fleet.day.hosts == 120
     path = tmp_path / "x.script"
     path.write_text(
         "cluster kind platform\nday gateways 3 peers yes\ntrack a pure contract 1s limit 2s\n"
--- a/tests/cluster/test_script.py
+++ b/tests/cluster/test_script.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gaproute.cluster import sets
+from gaproute.cluster import slot_sets
+from gaproute.cluster.address_plan import AddressPlan
+from gaproute.cluster.link_emulators import late, ways
 from gaproute.cluster.script import read_script
-from gaproute.cluster.table import Table
-from gaproute.cluster.wires import late, ways
 from gaproute.config import ConfigurationError
 from gaproute.judge import Facts, judge
 
@@ -33,18 +33,18 @@
     ],
 )
 def test_a_set_names_seats(text, wanted):
-    assert sets.names(sets.parse(text), SEATS, random.Random(1)) == wanted
+    assert slot_sets.names(slot_sets.parse(text), SEATS, random.Random(1)) == wanted
 
 
 @given(st.integers(0, 99), st.integers(1, 10))
 def test_a_share_draws_so_many_the_same_at_each_play(seed, tenths):
-    parts = sets.parse(f"{tenths / 10}:gateways")
-    drawn = sets.names(parts, SEATS, random.Random(seed))
-    assert len(drawn) == tenths and drawn == sets.names(parts, SEATS, random.Random(seed))
+    parts = slot_sets.parse(f"{tenths / 10}:gateways")
+    drawn = slot_sets.names(parts, SEATS, random.Random(seed))
+    assert len(drawn) == tenths and drawn == slot_sets.names(parts, SEATS, random.Random(seed))
 
 
 def test_a_zone_is_one_word_on_the_wire_and_one_without_hosts_names_none(tmp_path):
-    table = Table(script(tmp_path, "cluster wires 1").day, False)
+    table = AddressPlan(script(tmp_path, "cluster wires 1").day, False)
     assert table.words("gateways/hall-1", SEATS) == ["zone:gateway/hall-1"]
     assert table.words("g1", SEATS) == ["g1"]
     assert table.words("zone:hall-0", SEATS) == ["zone:gateway/hall-0", "zone:host/hall-0"]
--- a/tests/scenarios/test_accounts.py
+++ b/tests/scenarios/test_accounts.py
@@ -7,7 +7,7 @@
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.harness import ClusterHarness
 from gaproute.cluster.script import read_script
-from gaproute.cluster.verdict import Verdict
+from gaproute.cluster.verdict import ClusterVerdict
 from gaproute.judge import Broken, Kind
 from gaproute.loop import Loop
 from gaproute.scenarios.result import Result
@@ -76,7 +76,7 @@
     "kind, verdict", [(Kind.DUPLICATE, "failed"), (Kind.STRAY, "failed"), (Kind.LOST, "void")]
 )
 def test_a_harness_that_ran_late_hides_no_breach_that_rests_on_no_time(kind, verdict):
-    made = Verdict.__new__(Verdict)
+    made = ClusterVerdict.__new__(ClusterVerdict)
     made.whole, made.void, made.faulty = True, ["a wire ran late"], ["x"]
     made.broken = [Broken(1, 0, "x", kind)]
     assert made.verdict == verdict
