--- a/gaproute/cluster/links/streams.py
+++ b/gaproute/cluster/links/streams.py
@@ -3,8 +3,8 @@
 
 The kernel shakes hands for the wire before it is asked, so a far end that refuses is passed on as an
 accepted connection that is reset, unless the seat was told as one that `refuses` (`refuser.py`). What
-leads to a seat without an address, or through a cut, does not open (`syn_filter.py`); what the gate let through
-before it heard of that stays silent until it can.
+leads to a seat without an address, or through a cut, does not open (`syn_filter.py`); what the filter let
+through before it heard of that stays silent until it can.
 """
 
 import select
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -5,12 +5,14 @@
 import msgspec
 import pytest
 
-from gaproute.maintenance import drained, floor, schedule, warm
+from gaproute.maintenance import capacity_floor, drain_proof, schedule, warm_capacity
+from gaproute.maintenance.controller import RoundController
 from gaproute.maintenance.invariants import check_given
-from gaproute.maintenance.round import Running
-from gaproute.simulation import rounds
-from gaproute.simulation.rounds import KINDS, play
-from gaproute.simulation.rounds_baselines import One, of
+from gaproute.simulation.fault_schedule import ScheduledFault
+from gaproute.simulation.rounds import KINDS, MaintenanceRun, play
+from gaproute.simulation.rounds.baselines import OneAtATime, runs_with
+
+SECOND = 1_000_000_000
 
 
 def verdict(seed, kind, **told):
@@ -49,10 +51,10 @@
 
 def test_a_scheduler_killed_at_several_times_ends_its_round():
     """Every 18 s of the round: killed, up again 3 s later; each host is out once."""
-    length = clean(3, "none")[0].judge.ends["round0"][0] // rounds.SECOND
+    length = clean(3, "none")[0].judge.ends["round0"][0] // SECOND
     for at in range(4, min(length, 60), 18):
-        run = rounds.Play(3, "none")
-        fault = rounds.Fault("crash", at * rounds.SECOND, (at + 3) * rounds.SECOND, (run.numbers["s1"],))
+        run = MaintenanceRun(3, "none")
+        fault = ScheduledFault("crash", at * SECOND, (at + 3) * SECOND, (run.numbers["s1"],))
         run.world.push(fault.at, 2, None, fault, 0)
         run.world.push(fault.until, 3, None, fault, 0)
         run.run()
@@ -61,13 +63,13 @@
 
 
 def test_one_at_a_time_with_no_regard_breaks_the_floor():
-    assert [verdict(seed, "died", made=of(One)) for seed in (2, 4)] == ["floor", "floor"]
+    assert [verdict(seed, "died", made=runs_with(OneAtATime)) for seed in (2, 4)] == ["floor", "floor"]
 
 
 def no_margin(put):
-    real = floor.needs
+    real = capacity_floor.needs
     put(
-        floor,
+        capacity_floor,
         "needs",
         lambda asked, demand, zones: real(
             [msgspec.structs.replace(each, margin=0) for each in asked], demand, zones
@@ -76,15 +78,15 @@
 
 
 def no_look_ahead(put):
-    put(floor, "failures", lambda *told: [])
+    put(capacity_floor, "failures", lambda *told: [])
 
 
 def no_age(put):
-    put(warm, "weight", lambda age: 1000)
+    put(warm_capacity, "weight", lambda age: 1000)
 
 
 def counted_at_once(put):
-    real = Running._believe
+    real = RoundController._believe
 
     def believe(self, now, view):
         real(self, now, view)
@@ -92,7 +94,7 @@
             if each.state == "back":
                 self.believed[each.name] = dict.fromkeys(each.had, view.fleet[each.name].lanes)
 
-    put(Running, "_believe", believe)
+    put(RoundController, "_believe", believe)
 
 
 def one_too_many(put):
@@ -111,16 +113,16 @@
 
 
 def not_drained(put):
-    put(drained, "proof", lambda now, seen, marked, bounds: "host" if seen else "")
+    put(drain_proof, "proof", lambda now, seen, marked, bounds: "host" if seen else "")
 
 
 def turn_for_each(put):
     """The turn is no permit of the fleet but each round's own."""
-    put(Running, "_turn", lambda self, now, real=Running._turn: _own_turn(self, now, real))
+    put(RoundController, "_turn", lambda self, now, real=RoundController._turn: _own_turn(self, now, real))
 
 
 def _own_turn(running, now, real):
-    from gaproute.maintenance import round as module
+    from gaproute.maintenance import controller as module
 
     before, module.TURN = module.TURN, f"turn of {running.asked.name}"
     try:
@@ -160,11 +162,11 @@
 
 
 def test_no_out_without_a_permit_or_on_an_old_fence():
-    run = rounds.Play(3, "none")
-    run.world.run(rounds.SECOND)
+    run = MaintenanceRun(3, "none")
+    run.world.run(SECOND)
     run.world.crash(run.world.seats["crew"])  # nobody asks for the host
     for half in range(3, 80):
-        run.world.run(half * rounds.SECOND // 2)
+        run.world.run(half * SECOND // 2)
         seat = run.world.seats["s1"]
         running = seat.actor.rounds[0]
         ready = [each for each in running.places.values() if each.state == "ready"]
