--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -3,14 +3,14 @@
 own."""
 
 from gaproute.cluster.host_lists import GATHER
-from gaproute.standins.platform.listing import Listing, member
+from gaproute.standins.platform.host_list import VersionedHostList, member
 
 
 class PlatformChangeLog:
     def __init__(self, harness):
         self.harness, self.loop, self.table, self.seats = harness, harness.loop, harness.table, harness.seats
         self.late, self.asked, self.told = 0, False, {}
-        self.listing, self.process = Listing(), None
+        self.listing, self.process = VersionedHostList(), None
 
     def furnish(self):
         """A coroutine: the log's process, which listens for each gateway apart."""
@@ -40,7 +40,7 @@
 
     def known(self, number):
         """What a gateway that starts now is told in its file."""
-        told = self.listing.known()
+        told = self.listing.snapshot()
         for whole in told["results"]:
             whole["fleet"]["members"] = [
                 row | {"host_port": row["host_port"][number]} for row in whole["fleet"]["members"]
