--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -13,7 +13,7 @@
 )
 
 
-class NodeGateways(ClusterGateways):
+class PlatformGateways(ClusterGateways):
     def rules(self):
         script = self.trial.script
         copies, life, day = script.copies, script.life, script.day
