--- a/tests/appliance/test_cell_processes.py
+++ b/tests/appliance/test_cell_processes.py
@@ -45,7 +45,7 @@
     fleet.clients["gc"] = fleet.clients["gc-0"]
     fleet.write_table()
     fleet.start("ga", "a1")
-    fleet.start("gc", "b1", words=("--processes", "2"))
+    fleet.start("gc", "b1", arguments=("--processes", "2"))
     fleet.up("ga")
     fleet.until(lambda: len(fleet.events("gc", "cell table")) == 2)
     far = [model for model in models("order") if fleet.home(model) == "b1"]
--- a/tests/appliance/test_cell_table_exchange.py
+++ b/tests/appliance/test_cell_table_exchange.py
@@ -25,7 +25,9 @@
         fleet = self.fleet
         peers = [f"peer {other} {fleet.entries[other]}" for other in NAMES if other != name]
         table = fleet.table if name == "ga" else fleet.folder / "none"
-        fleet.start(name, ZONES[name], table=table, kept=fleet.folder / f"{name}.kept", more="\n".join(peers))
+        fleet.start(
+            name, ZONES[name], table=table, table_file=fleet.folder / f"{name}.kept", more="\n".join(peers)
+        )
 
     def reaches(self, name, track):
         """Whether a call at that gateway reaches its copy in the other cell."""
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -80,10 +80,10 @@
 
 
 class Fleet:
-    def __init__(self, folder, rig, count=2, told=""):
+    def __init__(self, folder, rig, count=2, more=""):
         self.file, self.log = folder / "g.conf", folder / "g.log"
         hosts = "\n".join(f"host {host.make.name} {host.address} capacity 4" for host in rig.hosts)
-        self.text = f"{CONFIGURATION}{hosts}\nlisten operator unix:{folder}/op\n{told}"
+        self.text = f"{CONFIGURATION}{hosts}\nlisten operator unix:{folder}/op\n{more}"
         self.file.write_text(self.text)
         self.rig, self.folder, self.count = rig, folder, count
         self.errors = open(self.log, "wb")
@@ -148,8 +148,8 @@
 def fleet(rig, tmp_path):
     made = []
 
-    def start(*args, **told):
-        made.append(Fleet(tmp_path, rig(hosts=2), *args, **told))
+    def start(*args, **options):
+        made.append(Fleet(tmp_path, rig(hosts=2), *args, **options))
         return made[-1]
 
     yield start
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -237,7 +237,7 @@
 
 
 def test_the_same_hosts_are_probed_where_reports_come_by_probe(rig):
-    made = rig(told="reports probe\n")
+    made = rig(more="reports probe\n")
     seen = probes(made)
     made.until(lambda: seen)
     assert [worker.capacity for worker in made.gate.core.gateway.active_hosts] == [4.0, 4.0]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,13 +26,13 @@
 @pytest.fixture
 def fleet(rig):
     """A gateway on the rig's loop, and a call that starts further ones with lines of their own."""
-    yield from gateways_of(rig(hosts=3, told="listen peers 127.0.0.1:0"))
+    yield from gateways_of(rig(hosts=3, more="listen peers 127.0.0.1:0"))
 
 
 @pytest.fixture
 def steady_fleet(rig):
     """The same on a clock on which the machine never stalls."""
-    yield from gateways_of(rig(hosts=3, told="listen peers 127.0.0.1:0", clock=Steady()))
+    yield from gateways_of(rig(hosts=3, more="listen peers 127.0.0.1:0", clock=Steady()))
 
 
 def gateways_of(made):
--- a/tests/connections/test_eviction.py
+++ b/tests/connections/test_eviction.py
@@ -47,14 +47,14 @@
 
 def test_one_address_cannot_take_all_connections(serving):
     made = serving(made=admission(per_address=2))
-    kept = [made.client("127.0.0.9") for _ in range(2)]
+    idle = [made.client("127.0.0.9") for _ in range(2)]
     made.turns(lambda: made.connections.client_count == 2)
     third = made.client("127.0.0.9")
     made.turns(lambda: made.connections.rejected == 1)
     assert was_rejected(third)
     other = made.client("127.0.0.8")
     made.turns(lambda: made.connections.client_count == 3)
-    kept.pop().close()
+    idle.pop().close()
     made.turns(lambda: made.connections.client_count == 2)
     again = made.client("127.0.0.9")
     made.turns(lambda: made.connections.client_count == 3)
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -36,9 +36,9 @@
 def fleet(complete, rows):
     """A list of an event as it is read from a connection."""
     members = [member(name, f"127.0.0.1:{port}", state, zone) for name, port, state, zone in rows]
-    told = {"seq": 1, "fleet": {"complete": complete, "members": members}}
+    watch_event = {"seq": 1, "fleet": {"complete": complete, "members": members}}
     reader = EventReader()
-    return reader.feed(HEAD + b"data: %b\n\n" % json.dumps(told).encode())[0].fleet
+    return reader.feed(HEAD + b"data: %b\n\n" % json.dumps(watch_event).encode())[0].fleet
 
 
 @settings(max_examples=150)
@@ -94,9 +94,9 @@
 # Lines as rows
 
 
-def line(name, port, **told):
+def line(name, port, **fields):
     """A line of a host list."""
-    return HostLine(name=name, where=f"127.0.0.1:{port}", **told)
+    return HostLine(name=name, where=f"127.0.0.1:{port}", **fields)
 
 
 def test_only_lines_that_changed_are_made_rows_anew():
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -20,17 +20,17 @@
     made.passes(12 * SECOND)
     assert made.names("a1") == "wx"
     assert made.names("b1") == "y"
-    assert sorted(cell for cell, why in made.troubles) == ["a1", "b1"]
+    assert sorted(cell for cell, why in made.failures) == ["a1", "b1"]
     assert made.lists.status()["failing"] == ["a1", "b1"]
     back = CellSource(made.loop, "north", source.address)
     made.sources.append(back)
     back.publish("a1", host("w", "draining"), host("v"))
     back.publish("b1", *hosts("y"))
-    made.until(lambda: made.told["a1"] == {"w": "draining", "v": "active"}, MAX_BACKOFF + SECOND)
+    made.until(lambda: made.lists_in_force["a1"] == {"w": "draining", "v": "active"}, MAX_BACKOFF + SECOND)
     made.until(lambda: made.lists.status()["failing"] == [])
     back.publish("b1", host("y", "draining"))  # number 2, which was never had, after a list that was
-    made.until(lambda: made.told["b1"] == {"y": "draining"})
-    assert len(made.troubles) == 4
+    made.until(lambda: made.lists_in_force["b1"] == {"y": "draining"})
+    assert len(made.failures) == 4
     assert made.count == 0
 
 
@@ -40,7 +40,7 @@
     source = made.sources[0]
     source.cut()
     source.publish("a1", host("w", "draining"))
-    made.until(lambda: made.told["a1"]["w"] == "draining")
+    made.until(lambda: made.lists_in_force["a1"]["w"] == "draining")
     made.until(lambda: len(source.polls) == 4)
     assert sorted(source.polls[2:]) == [("a1", 1), ("b1", 1)]
 
@@ -72,7 +72,7 @@
     made.lists.set_cells(made.zones)
     if silent:
         made.passes(SECOND)
-        assert made.told == {}
+        assert made.lists_in_force == {}
         made.sources[1].fault = None
     made.until(lambda: made.names("a1") == "wx", 15 * SECOND)
 
@@ -83,10 +83,10 @@
     made.sources[0].publish("a1", *hosts("wx"))
     made.lists.set_cells(made.zones)
     made.passes(10 * SECOND)
-    assert made.told == {}
+    assert made.lists_in_force == {}
     assert made.lists.status()["failing"] == ["a1"]
-    assert len(made.troubles) == 1
-    assert made.troubles[0][1].endswith("status 404")
+    assert len(made.failures) == 1
+    assert made.failures[0][1].endswith("status 404")
 
 
 def test_gateways_of_one_seed_each_spread_over_sources_and_over_time(followed_cells):
@@ -112,7 +112,7 @@
     made.lists.set_cells(made.zones)
     made.passes(60 * SECOND)
     assert 8 <= made.follower("a1").connection_count <= 16
-    assert len(made.troubles) == 1
+    assert len(made.failures) == 1
 
 
 # Hostile sources
@@ -167,7 +167,7 @@
             1 << 20
         ) + (1 << 16)
     assert made.names("a1") == "wx"
-    assert len(made.troubles) == 1
+    assert len(made.failures) == 1
     assert 1 <= hostile.connections <= 12
     hostile.listener.close()
 
@@ -175,14 +175,14 @@
 def test_a_flood_of_changes_is_taken_in_no_more_often_than_the_pace(followed_cells):
     made = followed_cells(zones={"a1": "a"})
     made.begin(a1=hosts("wx"))
-    before = made.tellings
+    before = made.adoptions
     for number in range(1_000):
         made.sources[0].publish("a1", host("w", "draining" if number % 2 else "active"))
         if number % 10 == 0:
             made.passes(MILLI, MILLI)
     made.passes(SECOND)
-    assert made.told["a1"] == {"w": "draining", "x": "active"}
-    assert made.tellings - before <= 6
+    assert made.lists_in_force["a1"] == {"w": "draining", "x": "active"}
+    assert made.adoptions - before <= 6
 
 
 def test_a_source_that_tells_and_ends_at_once_is_in_trouble_once_and_asked_at_its_pace(followed_cells):
@@ -193,6 +193,6 @@
         if source.follower_count("a1"):
             source.cut()
         made.passes(250 * MILLI)
-    assert len(made.troubles) == 1
+    assert len(made.failures) == 1
     assert source.poll_counts["a1"] <= 1 + 10 * SECOND // (FIRST_BACKOFF // 2)
-    made.until(lambda: made.troubles[-1] == ("a1", None), 5 * SECOND)
+    made.until(lambda: made.failures[-1] == ("a1", None), 5 * SECOND)
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -31,15 +31,15 @@
     assert source.poll_counts == {"a1": 1, "b1": 1}
     calls = fleet.calls("ga", "gb")
     fleet.until(lambda: fleet.attempts("a1-h0") and fleet.attempts("b1-h1"))
-    told = fleet.loop.now()
+    notified_at = fleet.loop.now()
     source.publish("a1", fleet.member("a1-h0", "draining"))
     source.publish("b1", fleet.member("b1-h1", "gone"))
     fleet.rest(GRACE + 300 * MILLI)
     assert calls.end() == {200}
     for host in ("a1-h0", "b1-h1"):
-        assert fleet.attempts(host, told + GRACE) == []
-    assert fleet.attempts("a1-h1", told + GRACE)
-    assert fleet.attempts("b1-h0", told + GRACE)
+        assert fleet.attempts(host, notified_at + GRACE) == []
+    assert fleet.attempts("a1-h1", notified_at + GRACE)
+    assert fleet.attempts("b1-h0", notified_at + GRACE)
     assert fleet.listed("ga") == {"a1-h0": "draining", "a1-h1": "active"}
     assert fleet.listed("gb") == {"b1-h0": "active"}
 
@@ -59,13 +59,13 @@
     back.publish("a1", fleet.member("a1-h0", "draining"), fleet.member("a1-h1"))
     back.publish("b1", *fleet.members("b1"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
-    told = fleet.loop.now()
+    notified_at = fleet.loop.now()
     fleet.until(lambda: back.follower_count("b1"))
     back.publish("b1", fleet.member("b1-h0", "gone"))
     fleet.rest(SECOND)
     assert calls.end() == {200}
-    assert fleet.attempts("a1-h0", told + GRACE) == []
-    assert fleet.attempts("b1-h0", told + GRACE) == []
+    assert fleet.attempts("a1-h0", notified_at + GRACE) == []
+    assert fleet.attempts("b1-h0", notified_at + GRACE) == []
     assert len(fleet.events("ga", "cell source lost")) == 1
 
 
@@ -78,12 +78,12 @@
     dead.close()
     left = fleet.sources[0]
     fleet.until(lambda: left.follower_count("a1") and left.follower_count("b1"))
-    told = fleet.loop.now()
+    notified_at = fleet.loop.now()
     left.publish("a1", fleet.member("a1-h1", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h1"] == "draining")
     fleet.rest(GRACE)
     assert calls.end() == {200}
-    assert fleet.attempts("a1-h1", told + GRACE) == []
+    assert fleet.attempts("a1-h1", notified_at + GRACE) == []
 
 
 def test_a_source_that_is_late_by_two_seconds(followed):
@@ -143,11 +143,11 @@
     fleet.sources_of = {"ga": [fleet.sources[0].address], "gb": [fleet.sources[1].address]}
     fleet.sources[1].publish("a1", fleet.member("a1-h0", "gone"))
     fleet.serving("ga", "gb")
-    told = fleet.loop.now()
+    notified_at = fleet.loop.now()
     both = fleet.calls("gb", label="b"), fleet.calls("ga", label="a")
     fleet.until(lambda: min(len(calls.statuses) for calls in both) > 60)
     assert [calls.end() for calls in both] == [{200}, {200}]
-    reached = fleet.attempts("a1-h0", told)
+    reached = fleet.attempts("a1-h0", notified_at)
     assert reached
     assert all(event["id"].startswith("a") for event in reached if event["what"] == "task")
     fleet.sources[0].publish("a1", fleet.member("a1-h0", "gone"))
@@ -161,12 +161,12 @@
     calls = fleet.calls("ga")
     source.publish("a2", fleet.member("a1-h0"))
     fleet.until(lambda: fleet.events("ga", "cell host refused"))
-    told = fleet.loop.now()
+    notified_at = fleet.loop.now()
     source.publish("a1", fleet.member("a1-h0", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
     fleet.rest(GRACE)
     moved = fleet.loop.now()
-    assert fleet.attempts("a1-h0", told + GRACE) == []
+    assert fleet.attempts("a1-h0", notified_at + GRACE) == []
     source.publish("a1", fleet.member("a1-h0", "gone"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "active")
     source.publish("a2", *[fleet.member(name, "draining") for name in ("a2-h0", "a2-h1")])
@@ -186,15 +186,15 @@
     fleet.until(lambda: fleet.cell_status("ga")["known"] == ["a1"])
     assert set(fleet.listed("ga")) == {"a1-h0", "a1-h1"}
     source.publish("a2", fleet.member("a2-h0", "draining"))
-    told = fleet.loop.now()
+    notified_at = fleet.loop.now()
     fleet.write_table()
     fleet.until(lambda: fleet.cell_status("ga")["known"] == ["a1", "a2"])
     assert fleet.listed("ga")["a2-h0"] == "draining"
     assert source.poll_counts == {"a1": 1, "a2": 2}
     calls = fleet.calls("ga")
-    fleet.until(lambda: fleet.attempts("a2-h1", told))
+    fleet.until(lambda: fleet.attempts("a2-h1", notified_at))
     assert calls.end() == {200}
-    assert fleet.attempts("a2-h0", told) == []
+    assert fleet.attempts("a2-h0", notified_at) == []
 
 
 HOSTILE = [
@@ -218,12 +218,12 @@
         fleet.rest(100 * MILLI)
         assert fleet.listed("ga") == {"a1-h0": "active", "a1-h1": "active"}
     fleet.until(lambda: source.follower_count("a1"))
-    told = fleet.loop.now()
+    notified_at = fleet.loop.now()
     source.publish("a1", fleet.member("a1-h0", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
     fleet.rest(GRACE)
     assert calls.end() == {200}
-    assert fleet.attempts("a1-h0", told + GRACE) == []
+    assert fleet.attempts("a1-h0", notified_at + GRACE) == []
     assert len(fleet.events("ga", "cell source lost")) <= 2
     assert fleet.events("ga", "error") == []
 
@@ -233,7 +233,7 @@
     fleet.entries |= {"ga": f"unix:{fleet.folder}/ga.peers", "ga-0": f"unix:{fleet.folder}/ga.peers.0"}
     fleet.clients["ga"] = fleet.clients["ga-0"]
     fleet.write_table()
-    fleet.start("ga", "a1", words=("--processes", "1"))
+    fleet.start("ga", "a1", arguments=("--processes", "1"))
     fleet.until(lambda: fleet.events("ga", "cell table"))
     fleet.until(lambda: fleet.sources[0].follower_count("a1"))
     file = fleet.folder / "ga.conf"
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -70,9 +70,11 @@
 def test_members_become_rows_in_the_modules_terms():
     loop = Loop(lambda: 50 * SECOND)
     converter = MemberConverter(loop, ["hall-b", "hall-a"], lambda: 1_000 * SECOND)
-    told = event(1, ("s-1", "127.0.0.1:5", "Ready"), ("s-2", "nowhere", "Ready"), ("s-3", "127.0.0.1:6", "X"))
-    told["fleet"]["members"][0]["up_since_ms"] = 990_000
-    (row,) = converter.endpoints(events.decode_initial({"results": [told]})[1][0].fleet)
+    watch_event = event(
+        1, ("s-1", "127.0.0.1:5", "Ready"), ("s-2", "nowhere", "Ready"), ("s-3", "127.0.0.1:6", "X")
+    )
+    watch_event["fleet"]["members"][0]["up_since_ms"] = 990_000
+    (row,) = converter.endpoints(events.decode_initial({"results": [watch_event]})[1][0].fleet)
     assert (row.listed.host, row.listed.zone, row.listed.cell, row.address) == ("s-1", 1, 2, "127.0.0.1:5")
     assert (row.listed.state, row.listed.capacity, row.listed.started) == (State.ACTIVE, 4.0, 40 * SECOND)
     assert converter.rejected == 2
@@ -90,49 +92,49 @@
         last=1,
         known=events.decode_initial({"results": [ONE]})[1],
     )
-    made.until(lambda: made.told)
+    made.until(lambda: made.received)
     assert made.log.came == [1]
-    assert made.told == [2]
+    assert made.received == [2]
 
 
 def test_a_break_in_an_event_is_asked_again_and_nothing_is_lost(follow):
     made = follow(lambda last: sse(TWO)[:40] if len(made.log.came) == 1 else sse(TWO), last=1)
     made.until(lambda: made.log.streams and made.log.came)
     made.log.streams[0].abort()
-    made.until(lambda: made.told)
-    assert made.told == [2]
+    made.until(lambda: made.received)
+    assert made.received == [2]
     assert made.log.came == [1, 1]
 
 
 def test_an_unreadable_event_is_asked_again(follow):
     made = follow(lambda last: b"data: {broken\n\n" if len(made.log.came) == 1 else sse(TWO), last=1)
-    made.until(lambda: made.told)
-    assert made.told == [2]
+    made.until(lambda: made.received)
+    assert made.received == [2]
     assert made.log.came == [1, 1]
 
 
 def test_a_gap_is_asked_for_once_and_then_taken_as_it_is(follow):
     three = event(3, ("s-1", "127.0.0.1:5", "Gone"))
     made = follow(lambda last: sse(three), last=1)
-    made.until(lambda: made.told)
-    assert made.told == [3]
+    made.until(lambda: made.received)
+    assert made.received == [3]
     assert made.log.came == [1, 1]
 
 
 def test_silence_beyond_the_comments_pace_is_asked_again(follow, monkeypatch):
     monkeypatch.setattr(watching, "SILENCE_TIMEOUT", 30 * MILLI)
     made = follow(lambda last: b"" if len(made.log.came) == 1 else sse(ONE))
-    made.until(lambda: made.told)
+    made.until(lambda: made.received)
     assert made.log.came == [0, 0]
 
 
 def test_another_address_is_followed_from_the_last_number(follow):
     made = follow(lambda last: sse(ONE) if last == 0 else b"")
-    made.until(lambda: made.told)
+    made.until(lambda: made.received)
     other = ScriptedChangeLog(made.loop, lambda last: sse(TWO))
     made.follower.set_address(other.address)
     made.follower.set_address(other.address)
-    made.until(lambda: made.told == [1, 2])
+    made.until(lambda: made.received == [1, 2])
     assert other.came == [1]
     other.close()
 
@@ -146,7 +148,7 @@
 
 
 def test_known_events_come_first():
-    last, told = events.decode_initial(json.loads(json.dumps({"seq": 3, "results": [ONE, TWO]})))
+    last, watch_events = events.decode_initial(json.loads(json.dumps({"seq": 3, "results": [ONE, TWO]})))
     assert last == 3
-    assert [each.seq for each in told] == [1, 2]
+    assert [each.seq for each in watch_events] == [1, 2]
     assert events.decode_initial({}) == (0, [])
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -32,7 +32,7 @@
 
 @pytest.fixture
 def follow():
-    yield from makers(lambda *args, **told: Followed(*args, clock=Handed(), **told))
+    yield from makers(lambda *args, **options: Followed(*args, clock=Handed(), **options))
 
 
 def trickle(made, data, times):
@@ -65,12 +65,12 @@
     ],
 )
 def test_what_becomes_nothing_whole_is_asked_again_in_time(follow, head, first, later):
-    """4 s after a log fell silent what it has to tell counts as told: by then another answer must be here."""
+    """4 s after a log fell silent its last answer counts as all it has: another must be here by then."""
     made = follow(lambda last: first if len(made.log.came) == 1 else sse(TWO), last=1, head=head)
     made.passes(100 * MILLI)
     made.log.head = HEAD
     trickle(made, later, 3)
-    assert made.told == [2]
+    assert made.received == [2]
 
 
 def test_a_long_event_may_take_its_time(follow):
@@ -80,7 +80,7 @@
     for at in range(0, len(whole), watching.MIN_BYTES_PER_SECOND):
         made.log.streams[0].write(whole[at : at + watching.MIN_BYTES_PER_SECOND])
         made.passes(SECOND)
-    assert made.told == [2]
+    assert made.received == [2]
     assert made.log.came == [1]
 
 
@@ -109,7 +109,7 @@
     assert why in made.follower.last_error
     made.log.head, made.log.script = HEAD, lambda last: sse(TWO)
     made.passes(watching.MAX_BACKOFF + 20 * MILLI)
-    assert made.told == [2]
+    assert made.received == [2]
 
 
 def test_a_chunked_answer_that_ends_is_asked_again_at_once(follow):
@@ -118,7 +118,7 @@
         lambda last: b"%x\r\n%b\r\n0\r\n\r\n" % (len(part), part) if last == 1 else b"", last=1, head=CHUNKED
     )
     made.passes(100 * MILLI)
-    assert made.told == [2]
+    assert made.received == [2]
     assert made.log.came[:2] == [1, 2]
 
 
@@ -128,16 +128,16 @@
     made.until(lambda: made.log.came)
     made.log.streams[0].close() if how == "end" else made.log.streams[0].abort()
     made.passes(100 * MILLI)
-    assert made.told == [2]
+    assert made.received == [2]
 
 
 def test_each_gap_is_asked_for_once(follow):
     made = follow(lambda last: {1: sse(THREE), 3: sse(event(6)), 6: b""}[last], last=1)
     made.passes(100 * MILLI)
-    assert made.told == [3]
+    assert made.received == [3]
     made.log.streams[-1].write(sse(event(6)))
     made.passes(100 * MILLI)
-    assert made.told == [3, 6]
+    assert made.received == [3, 6]
     assert made.log.came == [1, 1, 3]
 
 
@@ -146,29 +146,29 @@
     made.loop.on_error = lambda error: None
     tell = made.follower.on_event
 
-    def told(each):
+    def on_event(each):
         if each.seq == 2:
             raise KeyError(2)
         tell(each)
 
-    made.follower.on_event = told
+    made.follower.on_event = on_event
     made.passes(100 * MILLI)
-    assert made.told == [3]
+    assert made.received == [3]
 
 
 def test_an_event_that_nobody_can_read_is_asked_for_once_and_passed_over(follow):
     made = follow(lambda last: (b"data: {broken\n\n" + sse(THREE)) if last == 1 else b"", last=1)
     made.passes(SECOND)
-    assert made.told == [3]
+    assert made.received == [3]
     assert made.log.came == [1, 1]
 
 
 def test_one_wrong_member_spoils_neither_the_others_nor_the_number(follow):
-    told = event(2, *[(f"s-{place}", f"127.0.0.1:{place}", "Ready") for place in (1, 2, 3)])
-    told["fleet"]["members"][0]["host_port"] = 5
-    told["fleet"]["members"][1]["size"] = "4"
+    watch_event = event(2, *[(f"s-{place}", f"127.0.0.1:{place}", "Ready") for place in (1, 2, 3)])
+    watch_event["fleet"]["members"][0]["host_port"] = 5
+    watch_event["fleet"]["members"][1]["size"] = "4"
     seen = []
-    made = follow(lambda last: sse(told) if last == 1 else b"", last=1)
+    made = follow(lambda last: sse(watch_event) if last == 1 else b"", last=1)
     made.follower.on_event = seen.append
     made.passes(SECOND)
     assert made.log.came == [1]
@@ -209,7 +209,7 @@
 def other(follow):
     """(a follower that has heard 1, an address that refuses, another log that goes on)."""
     made = follow(lambda last: sse(ONE) if last == 0 else b"")
-    made.until(lambda: made.told)
+    made.until(lambda: made.received)
     away, log = ScriptedChangeLog(made.loop), ScriptedChangeLog(made.loop, lambda last: sse(TWO))
     away.close()
     yield made, away.address, log
@@ -233,7 +233,7 @@
     made.follower.set_address(log.address)
     dials.let()
     made.passes(100 * MILLI)
-    assert made.told == [1, 2]
+    assert made.received == [1, 2]
     assert log.came == [1]
     made.follower.set_address(made.log.address)
     made.passes(100 * MILLI)
@@ -251,7 +251,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, limits)
     made.follower.set_address(log.address)
     made.passes(200 * MILLI)
-    assert made.told == [1, 2]
+    assert made.received == [1, 2]
     assert log.came == [1]
 
 
@@ -265,7 +265,7 @@
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, limits)
     made.passes(watching.MAX_BACKOFF)
-    assert made.told == [1, 2]
+    assert made.received == [1, 2]
 
 
 def test_an_error_when_a_connection_comes_up_is_asked_again(other, monkeypatch):
@@ -276,14 +276,14 @@
         made.follower.set_address(log.address)
         made.passes(100 * MILLI)
     made.passes(watching.SILENCE_TIMEOUT)
-    assert made.told == [1, 2]
+    assert made.received == [1, 2]
 
 
 AGAIN = event(1, ("s-9", "127.0.0.1:9", "Ready"), complete=True)
 
 
 @pytest.mark.parametrize(
-    ("first", "told"),
+    ("first", "expected"),
     [
         (sse(AGAIN) + sse(TWO), [1, 2]),
         (sse(ONE) + sse(AGAIN) + sse(event(42)), [42]),
@@ -292,16 +292,16 @@
     ],
     ids=["a list that differs", "one had and then one", "a change and then one", "no whole list"],
 )
-def test_a_log_that_begins_anew_is_told_from_one_that_writes_twice(follow, first, told):
+def test_a_log_that_begins_anew_is_distinguished_from_one_that_writes_twice(follow, first, expected):
     known = events.decode_initial({"results": [ONE]})[1]
     made = follow(lambda last: first if last == 41 else b"", last=41, known=known)
     made.passes(SECOND)
-    assert made.told == told
-    assert made.follower.restarts == told.count(1)
+    assert made.received == expected
+    assert made.follower.restarts == expected.count(1)
     made.log.streams[-1].abort()
     made.passes(SECOND)
-    assert made.log.came[-1] == (told or [41])[-1]
-    assert made.told == told
+    assert made.log.came[-1] == (expected or [41])[-1]
+    assert made.received == expected
 
 
 def test_a_list_had_before_is_known_again_however_it_is_written(follow):
@@ -312,7 +312,7 @@
     made.passes(SECOND)
     made.log.streams[-1].abort()
     made.passes(SECOND)
-    assert made.told == [1]
+    assert made.received == [1]
     assert made.log.came == [0, 1]
     assert made.follower.restarts == 0
 
@@ -332,15 +332,15 @@
 
     monkeypatch.setattr(watching, "connect", dial)
     made.passes(4 * SECOND - 20 * MILLI)
-    assert made.told == [2]
+    assert made.received == [2]
     assert len(dials) == 4
 
 
-def listed(converter, *members, complete=False, **told):
-    """What the converter makes of members, by id; `told` is in each of them."""
+def listed(converter, *members, complete=False, **fields):
+    """What the converter makes of members, by id; `fields` is in each of them."""
     change = event(1, *members, complete=complete)
     for member in change["fleet"]["members"]:
-        member.update(told)
+        member.update(fields)
     return {
         row.listed.host: row
         for row in converter.endpoints(events.decode_initial({"results": [change]})[1][0].fleet)
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -76,7 +76,7 @@
     return made | {"up_since_ms": started // MILLI}
 
 
-def told(converter, absent_at, *members):
+def starts_by_host(converter, absent_at, *members):
     """{host: start by the loop's clock} of an event that tells of these members."""
     _, (change,) = events.decode_initial({"results": [{"seq": 1, "fleet": {"members": list(members)}}]})
     return {row.listed.host: row.listed.started for row in converter.endpoints(change.fleet, absent_at)}
@@ -89,7 +89,7 @@
 
 def test_a_first_list_is_believed_so_that_a_warm_fleet_stays_warm(converter, wall, clock):
     starts = [wall.true() - HOUR, wall.true() - SECOND]
-    assert list(told(converter, None, *map(member, "ab", starts)).values()) == [
+    assert list(starts_by_host(converter, None, *map(member, "ab", starts)).values()) == [
         clock.now - HOUR,
         clock.now - SECOND,
     ]
@@ -99,12 +99,12 @@
 def test_a_host_that_appears_is_no_older_than_since_the_list_was_known_without_it(
     converter, wall, clock, ahead
 ):
-    told(converter, None, member("a", wall.true() - HOUR))
+    starts_by_host(converter, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
     started = wall.true() - SECOND // 5
     wall.ahead = ahead
-    made = told(converter, absent_at, member("b", started))["b"]
+    made = starts_by_host(converter, absent_at, member("b", started))["b"]
     assert absent_at <= made <= clock.now
     if ahead == 0:
         assert made == clock.now - SECOND // 5
@@ -113,48 +113,48 @@
 def test_a_clock_that_was_an_hour_ahead_from_the_start_makes_no_host_old_that_appears(loop, wall, clock):
     wall.ahead = HOUR
     converter = MemberConverter(loop, ["hall-a"], wall)
-    told(converter, None, member("a", wall.true() - HOUR))
+    starts_by_host(converter, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
-    assert told(converter, absent_at, member("b", wall.true()))["b"] == absent_at
+    assert starts_by_host(converter, absent_at, member("b", wall.true()))["b"] == absent_at
 
 
 @pytest.mark.parametrize("age", [49 * HOUR, 23 * HOUR])
 def test_a_host_that_appears_is_no_older_however_far_back_its_start_is_told(converter, wall, clock, age):
-    told(converter, None, member("a", wall.true() - HOUR))
+    starts_by_host(converter, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
-    assert told(converter, absent_at, member("b", wall.true() - age))["b"] == absent_at
+    assert starts_by_host(converter, absent_at, member("b", wall.true() - age))["b"] == absent_at
 
 
 def test_a_host_whose_start_is_told_only_later_is_as_old_as_told(converter, wall, clock):
-    assert told(converter, None, member("a", 0))["a"] is None
+    assert starts_by_host(converter, None, member("a", 0))["a"] is None
     age = 23 * HOUR
     clock.now += SECOND
-    assert told(converter, clock.now, member("a", wall.true() - age))["a"] == clock.now - age
+    assert starts_by_host(converter, clock.now, member("a", wall.true() - age))["a"] == clock.now - age
 
 
 def test_a_known_host_that_started_anew_is_no_older_than_since_its_earlier_start_was_in_the_list(
     converter, wall, clock
 ):
-    told(converter, None, member("a", wall.true() - HOUR))
+    starts_by_host(converter, None, member("a", wall.true() - HOUR))
     absent_at = clock.now
     clock.now += SECOND
     wall.ahead = HOUR
-    assert told(converter, absent_at, member("a", wall.true()))["a"] == clock.now
+    assert starts_by_host(converter, absent_at, member("a", wall.true()))["a"] == clock.now
     converter.start_times.offset = BEGUN + HOUR  # ahead from the start: only the list bounds it
     clock.now += SECOND
-    assert told(converter, clock.now - SECOND, member("a", wall.true()))["a"] == clock.now - SECOND
+    assert starts_by_host(converter, clock.now - SECOND, member("a", wall.true()))["a"] == clock.now - SECOND
 
 
 @pytest.mark.parametrize("ahead", [HOUR, -HOUR])
 def test_an_event_on_a_known_host_does_not_convert_its_start_anew_after_a_step(converter, wall, clock, ahead):
     started = wall.true() - SECOND
-    first = told(converter, None, member("a", started))
+    first = starts_by_host(converter, None, member("a", started))
     clock.now += SECOND
     wall.ahead = ahead
-    assert told(converter, clock.now, member("a", started) | {"phase": "Terminating"}) == first
-    assert told(converter, clock.now, member("a", started)) == first
+    assert starts_by_host(converter, clock.now, member("a", started) | {"phase": "Terminating"}) == first
+    assert starts_by_host(converter, clock.now, member("a", started)) == first
 
 
 def test_a_step_ahead_while_no_list_was_had_for_long_is_not_believed(converter, wall, clock):
@@ -163,15 +163,15 @@
     clock.now += HOUR
     wall.ahead = HOUR
     started = wall.true() - SECOND
-    assert told(converter, absent_at, member("b", started))["b"] == clock.now - SECOND
+    assert starts_by_host(converter, absent_at, member("b", started))["b"] == clock.now - SECOND
 
 
-# When the log was last known to be as told
+# When the log was last known to be current
 
 
 @pytest.fixture
 def followed():
-    yield from makers(lambda *args, **told: Followed(*args, clock=Handed(), **told))
+    yield from makers(lambda *args, **options: Followed(*args, clock=Handed(), **options))
 
 
 def whole(seq=1):
@@ -184,7 +184,7 @@
     assert made.log.came
     assert made.follower.current_at is None
     made.log.streams[0].write(sse(whole()))
-    made.until(lambda: made.told)
+    made.until(lambda: made.received)
     assert made.follower.current_at is not None
 
 
@@ -287,7 +287,7 @@
     path, seen, look = tmp_path / "hosts", [], SECOND
     path.write_text("host a 127.0.0.1:1\n")
     watch = None
-    watch = FileWatch(loop, path, look, lambda told: seen.append(watch and watch.current_at), seen.append)
+    watch = FileWatch(loop, path, look, lambda hosts: seen.append(watch and watch.current_at), seen.append)
     first = clock.now
     assert seen == [None]
     assert watch.current_at <= first
@@ -311,7 +311,7 @@
 def test_a_file_written_while_the_clock_was_behind_is_read_all_the_same(loop, clock, tmp_path):
     path, seen = tmp_path / "hosts", []
     path.write_text("host a 127.0.0.1:1\n")
-    watch = FileWatch(loop, path, SECOND, lambda told: seen.append(told[0].name), seen.append)
+    watch = FileWatch(loop, path, SECOND, lambda hosts: seen.append(hosts[0].name), seen.append)
     path.write_text("host b 127.0.0.1:1\n")
     before = os.stat(path).st_mtime_ns - HOUR
     os.utime(path, ns=(before, before))
@@ -364,7 +364,7 @@
 
 def test_a_gateway_of_cells_hands_on_when_each_list_was_known():
     given = []
-    rows = SimpleNamespace(of=lambda *told: given.append(told) or {})
+    rows = SimpleNamespace(of=lambda *arguments: given.append(arguments) or {})
     lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
     CellServices._apply_lists(SimpleNamespace(rows=rows, lists=lists, hosts_changed=list, lists_given={}), {})
     assert given == [({}, {"a1": "a"}, {"a1": 5})]
@@ -376,7 +376,7 @@
     lists = CellLists(
         loop,
         CellHostsLine(folder=str(tmp_path), look=2 * MILLI),
-        lambda told: seen.append(lists.current_at()),
+        lambda arguments: seen.append(lists.current_at()),
         seen.append,
     )
     lists.set_cells({"a1": "a"})
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -446,7 +446,7 @@
         made.turns(5)
         made.passes(10 * MILLI)
     made.passes(100 * MILLI)
-    made.told["changelog"] = "127.0.0.1:9"
+    made.configuration["changelog"] = "127.0.0.1:9"
     made.write()
     take()
     made.process.status.write()
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -28,14 +28,14 @@
     assert status(made.gate)["weak_word"] is None
     assert status(third)["weak_word"]["sent"]
     made.until(lambda: node.demand(made.loop.now(), "lamp", 0).received > 0)
-    kept = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     host, _, port = second.peers.peer_server.address.rpartition(":")
     for body in (b"x" * 900, b"", b"\x01" * 64):
         noise = word_pb2.Word(version=1, kind=6, weak=body)
         noise.sender.name = "third"
-        kept.sendto(noise.SerializeToString(), (host, int(port)))
-    kept.sendto(b"\xff" * 1400, (host, int(port)))
-    kept.close()
+        sender.sendto(noise.SerializeToString(), (host, int(port)))
+    sender.sendto(b"\xff" * 1400, (host, int(port)))
+    sender.close()
     made.until(
         lambda: node.table.rejections["nonsense"] == 3 and second.peers.membership_transport.undecodable == 1
     )
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_wire.py
@@ -109,8 +109,8 @@
 
 def test_whole_requests_in_flight_stay_nearly_whole():
     for requests in range(2000):
-        told = AMOUNT_SCALE[amount_code(requests)]
-        assert abs(told - requests) <= 0.03 * (requests + 1)
+        decoded = AMOUNT_SCALE[amount_code(requests)]
+        assert abs(decoded - requests) <= 0.03 * (requests + 1)
     assert AMOUNT_SCALE[amount_code(0)] == 0
     assert AMOUNT_SCALE[amount_code(1)] == 1
 
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: a kept connection is not closed over a request that has come by then."""
+"""HTTP/1.1: a connection kept open is not closed over a request that has come by then."""
 
 import socket
 
@@ -13,8 +13,8 @@
 
 def test_a_request_that_comes_while_resting_connections_are_closed_at_a_stop_is_answered(rig, clients):
     made = rig(hosts=1)
-    kept = [clients(made) for _ in range(3)]
-    for client in kept:
+    idle_clients = [clients(made) for _ in range(3)]
+    for client in idle_clients:
         asked_and_answered(made, client)
     made.until(lambda: made.gate.fronts[0].server.parked == 3)
     connections, said = made.gate.connections, []
@@ -23,14 +23,14 @@
     def slow_close(fd):
         if not said:
             said.append(True)
-            kept[-1].sendall(ASK)
+            idle_clients[-1].sendall(ASK)
         drop(fd)
 
     connections._close_parked = slow_close
     made.gate.stop()
     run_out(made)
-    assert [rest_of(client) for client in kept[:2]] == [b"", b""]
-    said = rest_of(kept[-1])
+    assert [rest_of(client) for client in idle_clients[:2]] == [b"", b""]
+    said = rest_of(idle_clients[-1])
     assert statuses(said) == [200]
     assert closes(said) == [True]
 
--- a/tests/loop/test_loop.py
+++ b/tests/loop/test_loop.py
@@ -111,18 +111,18 @@
 
 
 def test_a_turn_in_time_is_not_late(loop):
-    loop.on_late_turn.append(lambda: pytest.fail("told late"))
+    loop.on_late_turn.append(lambda: pytest.fail("a late turn was reported"))
     loop.after(10 * MILLI, lambda: None)
     loop.run(until=loop.sleep(20 * MILLI))
     assert loop.late_turns == 0
 
 
 def test_signals_come_in_a_turn_of_the_loop(real):
-    told = Promise()
+    signalled = Promise()
     before = signal.getsignal(signal.SIGUSR1)
-    real.on_signal(signal.SIGUSR1, told.set)
+    real.on_signal(signal.SIGUSR1, signalled.set)
     os.kill(os.getpid(), signal.SIGUSR1)
-    assert not told.ready
-    real.run(until=told)
+    assert not signalled.ready
+    real.run(until=signalled)
     signal.set_wakeup_fd(-1)
     signal.signal(signal.SIGUSR1, before)
--- a/tests/loop/test_streams.py
+++ b/tests/loop/test_streams.py
@@ -57,16 +57,16 @@
 
 @pytest.mark.parametrize("half", [False, True])
 def test_a_paused_stream_is_told_of_the_end_at_once_and_once(loop, half):
-    told = []
-    stream, there = pair(loop, on_end=told.append)
+    ends = []
+    stream, there = pair(loop, on_end=ends.append)
     if half:
-        stream.on_half_close = lambda: told.append(None)
+        stream.on_half_close = lambda: ends.append(None)
     stream.pause()
     there.send(b"unread")
     there.shutdown(socket.SHUT_WR)
     for _ in range(3):
         loop.turn()
-    assert told == [None]
+    assert ends == [None]
     assert stream.open == half
 
 
@@ -160,11 +160,11 @@
 
 
 def test_a_refused_connection_is_told_not_raised(real):
-    told = Promise()
+    failed = Promise()
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))  # bound and not listening: refuses
-        connect(real, (socket.AF_INET, taken.getsockname()), SECOND, lambda sock, error: told.set(error))
-        assert isinstance(real.run(until=told), ConnectionRefusedError)
+        connect(real, (socket.AF_INET, taken.getsockname()), SECOND, lambda sock, error: failed.set(error))
+        assert isinstance(real.run(until=failed), ConnectionRefusedError)
 
 
 def test_a_dial_without_a_descriptor_that_is_given_up_tells_nothing(real, monkeypatch):
@@ -172,7 +172,7 @@
         raise OSError(errno.EMFILE, "none left")
 
     monkeypatch.setattr(socket, "socket", none_left)
-    give_up = connect(real, (socket.AF_INET, ("127.0.0.1", 9)), SECOND, lambda *_: pytest.fail("told"))
+    give_up = connect(real, (socket.AF_INET, ("127.0.0.1", 9)), SECOND, lambda *_: pytest.fail("called back"))
     give_up()
     real.turn()
     assert not real.errors
--- a/tests/loop/test_syscalls_dialing.py
+++ b/tests/loop/test_syscalls_dialing.py
@@ -24,11 +24,11 @@
 
 
 def dial(loop, where, within=SECOND, source=None):
-    told = []
-    connect(loop, where, within, lambda sock, error: told.append((sock, error)), source)
-    assert not told  # never at once
+    results = []
+    connect(loop, where, within, lambda sock, error: results.append((sock, error)), source)
+    assert not results  # never at once
     loop.run(until=loop.sleep(2 * within))
-    ((sock, error),) = told
+    ((sock, error),) = results
     if sock is not None:
         sock.close()
     return error
@@ -44,10 +44,10 @@
 @pytest.mark.parametrize("code", OWN)
 def test_what_goes_on_failing_is_told_after_some_tries_and_leaves_nothing(loop, there, sockets, code):
     sockets("connect_ex", *[code] * 99)
-    begun, told = loop.now(), []
-    connect(loop, there, SECOND, lambda sock, error: told.append((loop.now() - begun, error.errno)))
+    begun, results = loop.now(), []
+    connect(loop, there, SECOND, lambda sock, error: results.append((loop.now() - begun, error.errno)))
     loop.run(until=loop.sleep(SECOND))
-    assert told == [(30 * MILLI, code)]
+    assert results == [(30 * MILLI, code)]
 
 
 def test_a_dial_whose_time_ends_between_two_tries_tells_the_failure(loop, there, sockets):
@@ -57,7 +57,7 @@
 
 def test_one_that_is_given_up_between_two_tries_is_not_begun_again(loop, there, sockets):
     sockets("connect_ex", *[errno.ENOBUFS] * 99)
-    give_up = connect(loop, there, SECOND, lambda *_: pytest.fail("told"))
+    give_up = connect(loop, there, SECOND, lambda *_: pytest.fail("called back"))
     loop.run(until=loop.sleep(3 * MILLI))
     give_up()
     loop.run(until=loop.sleep(SECOND))
@@ -66,18 +66,18 @@
 @pytest.mark.parametrize("code", [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.EACCES, errno.ETIMEDOUT])
 def test_what_the_other_side_says_is_told_at_once(loop, there, sockets, code):
     sockets("connect_ex", *[code] * 99)
-    begun, told = loop.now(), []
-    connect(loop, there, SECOND, lambda sock, error: told.append((loop.now(), error.errno)))
+    begun, results = loop.now(), []
+    connect(loop, there, SECOND, lambda sock, error: results.append((loop.now(), error.errno)))
     loop.turn()
-    assert told == [(begun, code)]
+    assert results == [(begun, code)]
 
 
 def test_a_full_backlog_of_a_unix_socket_is_refused_at_once(loop, tmp_path, sockets):
     sockets("connect_ex", *[errno.EAGAIN] * 99)
-    told = []
-    connect(loop, address(f"unix:{tmp_path}/s"), SECOND, lambda sock, error: told.append(error.errno))
+    results = []
+    connect(loop, address(f"unix:{tmp_path}/s"), SECOND, lambda sock, error: results.append(error.errno))
     loop.turn()
-    assert told == [errno.EAGAIN]
+    assert results == [errno.EAGAIN]
 
 
 def test_an_interrupted_connect_goes_on(loop, there, sockets, monkeypatch):
--- a/tests/loop/test_syscalls_listening.py
+++ b/tests/loop/test_syscalls_listening.py
@@ -140,9 +140,9 @@
 @pytest.mark.parametrize("name", ["setsockopt", "bind", "listen", "getsockname", "socket"])
 def test_a_listener_that_cannot_be_had_leaves_nothing_behind(loop, sockets, name):
     sockets(name, errno.ENOBUFS)
-    with pytest.raises(OSError, match=os.strerror(errno.ENOBUFS)) as told:
+    with pytest.raises(OSError, match=os.strerror(errno.ENOBUFS)) as raised:
         Listener(loop, address("127.0.0.1:0"), lambda sock: None)
-    assert told.value.errno == errno.ENOBUFS
+    assert raised.value.errno == errno.ENOBUFS
     Listener(loop, address("127.0.0.1:0"), lambda sock: None).close()
 
 
--- a/tests/loop/test_syscalls_streams.py
+++ b/tests/loop/test_syscalls_streams.py
@@ -16,13 +16,13 @@
     here, there = socket.socketpair()
     here.setblocking(False)
     there.setblocking(False)
-    told = []
+    received = []
 
     class Rig(Stream):
         """A stream with what a test looks at beside it."""
 
-    made = Rig(loop, here, told.append, told.append)
-    made.sock, made.there, made.told = FailingSocket(here), there, told
+    made = Rig(loop, here, received.append, received.append)
+    made.sock, made.there, made.received = FailingSocket(here), there, received
     yield made
     made.abort()
     there.close()
@@ -38,7 +38,7 @@
     stream.sock.fail("recv", code, code)
     stream.there.send(b"x")
     stream.loop.run(until=stream.loop.sleep(MILLI))
-    assert stream.told == [b"x"]
+    assert stream.received == [b"x"]
     assert stream.open
 
 
@@ -75,7 +75,7 @@
     if name == "send":
         stream.write(b"out")
     stream.loop.run(until=stream.loop.sleep(SECOND))
-    assert [each.errno for each in stream.told if each != b"x"] == [code]
+    assert [each.errno for each in stream.received if each != b"x"] == [code]
     assert not stream.open
 
 
@@ -96,8 +96,8 @@
     stream.sock.fail("recv", code)
     stream.write(b"out")
     stream.loop._run_callbacks()
-    assert stream.told[0] == b"answer"
-    assert stream.told[1].errno == errno.ECONNRESET
+    assert stream.received[0] == b"answer"
+    assert stream.received[1].errno == errno.ECONNRESET
 
 
 @pytest.mark.parametrize("code", MEMORY)
@@ -150,5 +150,5 @@
     stream.sock.close = closing
     stream.there.shutdown(socket.SHUT_WR)
     stream.loop.run(until=stream.loop.sleep(MILLI))
-    assert stream.told == [None]
+    assert stream.received == [None]
     assert not stream.open
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -65,8 +65,8 @@
     second = start("second", f"peer late {late}")
     made.rest(100 * MILLI)
     assert second.peers.observation_client.state["late"] == "asked"
-    told = made.gate.peers
-    server = PeerServer(made.loop, address(late), told.gateway, told.host_history, told.request_classes)
+    peers = made.gate.peers
+    server = PeerServer(made.loop, address(late), peers.gateway, peers.host_history, peers.request_classes)
     made.until(lambda: second.peers.observation_client.state["late"].startswith("told"))
     server.close()
     assert second.peers.observation_client.hints_taken
@@ -114,9 +114,9 @@
 
 def test_a_peer_that_dies_in_the_middle_leaves_what_came(fleet):
     made, start = fleet
-    told = Told(version=2, next=5, life=1, mark=1)
-    told.warm.add(worker="h1", function="lamp", lanes=4, age_us=1000)
-    body = told.SerializeToString()
+    answer = Told(version=2, next=5, life=1, mark=1)
+    answer.warm.add(worker="h1", function="lamp", lanes=4, age_us=1000)
+    body = answer.SerializeToString()
     asks = []
 
     def act(stream, data):
@@ -135,11 +135,11 @@
 
 def test_a_host_gone_between_two_chunks_gets_nothing(fleet):
     made, start = fleet
-    first, second_told = Told(version=2, next=5, life=1, mark=1), Told(version=2, life=1, mark=1)
+    first, second_answer = Told(version=2, next=5, life=1, mark=1), Told(version=2, life=1, mark=1)
     first.warm.add(worker="h1", function="lamp", lanes=4, age_us=2000)
-    second_told.warm.add(worker="h1", function="crew", lanes=4, age_us=2000)
-    second_told.gone.add(worker="h1", age_us=10)
-    bodies = [first.SerializeToString(), second_told.SerializeToString()]
+    second_answer.warm.add(worker="h1", function="crew", lanes=4, age_us=2000)
+    second_answer.gone.add(worker="h1", age_us=10)
+    bodies = [first.SerializeToString(), second_answer.SerializeToString()]
     held = []
 
     def act(stream, data):
@@ -174,7 +174,7 @@
     made.until(lambda: second.peers.observation_client.hints_taken)
     third = start("third", f"peer second {where(second)}")
     made.until(lambda: third.peers.observation_client.state["second"].startswith("told"))
-    assert "lamp" not in third.core.gateway.functions_by_name, "a hint was told on"
+    assert "lamp" not in third.core.gateway.functions_by_name, "a hint was passed on"
     rows = made.list.read_text().splitlines()
     made.relist(*[row for row in rows if not row.startswith(f"host {worker} ")])
     made.until(lambda: all(worker not in each.rows for each in (made.gate, second, third)))
@@ -196,10 +196,10 @@
     made.relist(*[f"{row} started 2000" for row in rows])
     made.until(lambda: second.peers.host_history.active_starts()["h0"] == 2000 * SECOND)
     made.gate.host_list.watch.close()  # the peer's own list is late
-    told = Told(version=2)
-    told.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
+    answer = Told(version=2)
+    answer.warm.add(worker="h0", function="lamp", lanes=4, started_ns=1000 * SECOND)
     observations = SharedObservations()
-    observation_wire.read_observations(told, made.loop.now(), "g", observations)
+    observation_wire.read_observations(answer, made.loop.now(), "g", observations)
     second.peers.observations.merge(observations)
     assert second.peers.apply_observations(observations.by_subject) == 0
     assert second.peers.observations.rejections == {"another life": 1}
@@ -243,13 +243,13 @@
 # What telling costs
 
 
-def asked(server, **told):
+def asked(server, **fields):
     answers = []
     server.server.answer = lambda request, status, headers, body: answers.append((status, body))
     request = type(
         "Request",
         (),
-        {"target": b"/lore", "method": b"POST", "body": Ask(version=2, **told).SerializeToString()},
+        {"target": b"/lore", "method": b"POST", "body": Ask(version=2, **fields).SerializeToString()},
     )
     server.handle(request)
     ((status, body),) = answers
@@ -278,22 +278,22 @@
     instances, cursor, chunks = set(), 0, 0
     while cursor or not chunks:
         refill(server)
-        told = asked(server, cursor=cursor)
-        assert len(told.warm) <= MAX_CHUNK_OBSERVATIONS
-        instances |= {(each.worker, each.function) for each in told.warm}
-        cursor, chunks = told.next, chunks + 1
+        answer = asked(server, cursor=cursor)
+        assert len(answer.warm) <= MAX_CHUNK_OBSERVATIONS
+        instances |= {(each.worker, each.function) for each in answer.warm}
+        cursor, chunks = answer.next, chunks + 1
     assert len(instances) == 3000
     assert chunks >= 12
 
 
 def test_clients_that_begin_at_one_moment_share_a_transfer_and_its_ages_grow(server):
     first, second = asked(server), None
-    told = server.transfers.encoded
+    encoded = server.transfers.encoded
     refill(server)
     chunks = server.transfers.transfers[1].chunks
     chunks[0] = chunks[0]._replace(built_at=server.loop.now() - 100 * MILLI)
     second = asked(server)
-    assert server.transfers.encoded == told
+    assert server.transfers.encoded == encoded
     assert second.next == first.next
     assert len(server.transfers.transfers) == 1
     assert [each.worker for each in second.warm] == [each.worker for each in first.warm]
@@ -306,9 +306,9 @@
 
 
 def test_who_comes_back_for_a_transfer_that_is_no_more_begins_anew(server):
-    told = asked(server, cursor=77 << 20)
-    assert told.warm
-    assert told.next >> 20 == 1
+    answer = asked(server, cursor=77 << 20)
+    assert answer.warm
+    assert answer.next >> 20 == 1
 
 
 def test_a_snapshot_goes_on_while_functions_and_hosts_come_and_go(server):
@@ -320,9 +320,9 @@
 
 
 def test_a_mark_of_another_run_brings_the_whole(server):
-    told = asked(server, life=server.transfers.run_id ^ 1, mark=1 << 62)
-    assert told.warm
-    assert told.life == server.transfers.run_id
+    answer = asked(server, life=server.transfers.run_id ^ 1, mark=1 << 62)
+    assert answer.warm
+    assert answer.life == server.transfers.run_id
     refill(server)
     assert not asked(server, life=server.transfers.run_id, mark=1 << 62).warm
 
@@ -372,7 +372,7 @@
     second = start("second", f"peer g {where(made.gate)}", "listen operator 127.0.0.1:0")
     made.until(lambda: peer_table(second)[0]["learnt"] != "asked")
     made.at = address(next(each.address for each in second.fronts if type(each).__name__ == "Operator"))
-    (told,) = json.loads(made.wait(made.get("/peers")).body)
-    assert told["name"] == "g"
-    assert told["state"] == "alive"
-    assert told["learnt"].startswith("told")
+    (peer,) = json.loads(made.wait(made.get("/peers")).body)
+    assert peer["name"] == "g"
+    assert peer["state"] == "alive"
+    assert peer["learnt"].startswith("told")
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -157,9 +157,11 @@
 
 def wire_length(message, name, where):
     """Bytes of a datagram on the wire, headers included."""
-    word = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=wire.encode_datagram(message, where))
-    word.sender.name = name
-    return len(word.SerializeToString()) + DATAGRAM_HEADERS
+    datagram = word_pb2.Word(
+        version=1, kind=PayloadKind.CELL_TABLE, weak=wire.encode_datagram(message, where)
+    )
+    datagram.sender.name = name
+    return len(datagram.SerializeToString()) + DATAGRAM_HEADERS
 
 
 @given(
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -35,8 +35,8 @@
     def __init__(self):
         self.events = []
 
-    def event(self, level, what, **told):
-        self.events.append((what, told))
+    def event(self, level, what, **fields):
+        self.events.append((what, fields))
 
 
 class Gateway:
@@ -57,7 +57,7 @@
         return Peer(self.name, self.peer_server.address)
 
     def refusals(self):
-        return [told["reason"] for what, told in self.record.events if what == "cell table refused"]
+        return [fields["reason"] for what, fields in self.record.events if what == "cell table refused"]
 
     def close(self):
         self.transport.stop()
@@ -71,8 +71,8 @@
     def __init__(self):
         self.loop, self.gateways = Loop(), []
 
-    def add(self, name, **told):
-        gateway = Gateway(self.loop, name, len(self.gateways) + 1, **told)
+    def add(self, name, **options):
+        gateway = Gateway(self.loop, name, len(self.gateways) + 1, **options)
         self.gateways.append(gateway)
         gateway.transport.start()
         for each in self.gateways:
@@ -112,9 +112,9 @@
     fleet.until_all_hold(made)
 
 
-def next_change(held, **told):
+def next_change(held, **changes):
     version = Version(held.version.term, held.version.number + 1)
-    row = replace(held.cells[3], **told)
+    row = replace(held.cells[3], **changes)
     return TableChange(FLEET, held.version, version, (row,))
 
 
@@ -220,9 +220,9 @@
     host, port = two.peer_server.address.rsplit(":", 1)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
         for body in (b"", b"noise" * 50, b"\x01" * 900) * 5:
-            word = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=body)
-            word.sender.name = "stranger"
-            stranger.sendto(word.SerializeToString(), (host, int(port)))
+            datagram = word_pb2.Word(version=1, kind=PayloadKind.CELL_TABLE, weak=body)
+            datagram.sender.name = "stranger"
+            stranger.sendto(datagram.SerializeToString(), (host, int(port)))
     fleet.until(lambda: {"other fleet", "not understood"} <= set(two.refusals()))
     assert len(two.refusals()) == len(set(two.refusals()))
     with pytest.raises(DocumentError):
@@ -241,12 +241,12 @@
         silent.bind(("127.0.0.1", 0))
         silent.listen()
         where = f"127.0.0.1:{silent.getsockname()[1]}"
-        for address_told in (where, "127.0.0.1:1", "nowhere", "127.0.0.1:99999"):
+        for reported_address in (where, "127.0.0.1:1", "nowhere", "127.0.0.1:99999"):
             absurd = Announcement(FLEET, Version(1 << 40, 1), 7)
-            word = word_pb2.Word(version=1, kind=7, weak=wire.encode_datagram(absurd, address_told))
-            word.sender.name = f"liar-{address_told}"
+            datagram = word_pb2.Word(version=1, kind=7, weak=wire.encode_datagram(absurd, reported_address))
+            datagram.sender.name = f"liar-{reported_address}"
             host, port = two.peer_server.address.rsplit(":", 1)
-            liar.sendto(word.SerializeToString(), (host, int(port)))
+            liar.sendto(datagram.SerializeToString(), (host, int(port)))
         fleet.until(lambda: two.transport.disseminator.fetch.source is not None)
         change = next_change(FIRST, capacity=7.5)
         one.transport.publish_change(change)
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -243,7 +243,7 @@
     made.path.write_text("{")
     made.process.reload()
     assert made.lines[-1][0] == "configuration refused"
-    made.told["changelog"] = other.address
+    made.configuration["changelog"] = other.address
     made.write()
     made.process.reload()
     made.process.reload()
@@ -321,7 +321,7 @@
 )
 def test_a_wrong_configuration_is_refused_by_the_field(gate, change, named):
     made = gate()
-    made.told.update(change)
+    made.configuration.update(change)
     made.write()
     with pytest.raises(ConfigurationRefusedError, match=named):
         read_configuration(str(made.path))
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -225,7 +225,7 @@
     """As where both come while the process starts."""
     made = gate(clock=Handed())
     made.process.handle_signals()
-    made.told["changelog"] = "127.0.0.1:9"
+    made.configuration["changelog"] = "127.0.0.1:9"
     made.write()
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         os.kill(os.getpid(), number)
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -322,7 +322,7 @@
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EIO])
 def test_a_reload_that_cannot_be_read_is_tried_again_less_and_less_often(gate, monkeypatch, code):
     made = gate(clock=Handed())
-    made.told["changelog"] = "127.0.0.1:9"
+    made.configuration["changelog"] = "127.0.0.1:9"
     made.write()
     failing = Failing(builtins.open, *[code] * 999)
     monkeypatch.setattr(platform_configuration, "open", failing, raising=False)
--- a/tests/raft/test_node.py
+++ b/tests/raft/test_node.py
@@ -24,14 +24,14 @@
 
 
 def test_a_vote_goes_to_one_a_term_and_is_on_disk_before_it_is_sent():
-    one, kept = node()
+    one, stored_log = node()
     assert one.hear(0, "a", RequestVote(2, 1, 1, 0, False)) == [("a", RequestVoteResponse(2, 2, False, True))]
-    assert decode(kept.records[-1]) == VoteRecord(2, "a", 1)
-    assert kept.synced == len(kept.records)
+    assert decode(stored_log.records[-1]) == VoteRecord(2, "a", 1)
+    assert stored_log.synced == len(stored_log.records)
     assert one.hear(0, "c", RequestVote(2, 3, 9, 1, False)) == [
         ("c", RequestVoteResponse(2, 2, False, False))
     ]
-    again = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
+    again = RaftNode("b", NAMES, stored_log, Chance(1), 0, LeaseTable())
     assert again.hear(0, "c", RequestVote(2, 3, 9, 1, False)) == [
         ("c", RequestVoteResponse(2, 2, False, False))
     ]
@@ -64,13 +64,13 @@
 
 
 def test_a_pre_vote_raises_no_term_and_a_split_vote_elects_nobody():
-    one, kept = node()
-    before = list(kept.records)
-    told = one.tick(one.due)
-    assert told == [(name, RequestVote(2, 2, 1, 0, True)) for name in "ac"]
-    assert kept.records == before
-    told = one.hear(0, "a", RequestVoteResponse(1, 1, True, True))
-    assert told == [(name, RequestVote(2, 2, 1, 0, False)) for name in "ac"]
+    one, stored_log = node()
+    before = list(stored_log.records)
+    sent = one.tick(one.due)
+    assert sent == [(name, RequestVote(2, 2, 1, 0, True)) for name in "ac"]
+    assert stored_log.records == before
+    sent = one.hear(0, "a", RequestVoteResponse(1, 1, True, True))
+    assert sent == [(name, RequestVote(2, 2, 1, 0, False)) for name in "ac"]
     assert one.term == 2
     one.hear(0, "a", RequestVoteResponse(2, 1, False, False))
     one.hear(0, "c", RequestVoteResponse(2, 3, False, False))
@@ -87,7 +87,7 @@
 
 
 def test_a_conflict_in_the_log_is_overwritten_but_never_what_was_agreed():
-    one, kept = node(noop(1), noop(1), noop(1))
+    one, stored_log = node(noop(1), noop(1), noop(1))
     assert one.hear(0, "a", AppendEntries(3, 1, 5, 2, 1)) == [("a", AppendEntriesResponse(3, 2, False, 4))]
     assert one.hear(0, "a", AppendEntries(3, 1, 4, 2, 1)) == [("a", AppendEntriesResponse(3, 2, False, 1))]
     assert one.hear(0, "a", AppendEntries(3, 1, 1, 0, 2, (noop(2), noop(3)))) == [
@@ -95,7 +95,7 @@
     ]
     assert [entry.term for entry in one.log.entries] == [0, 2, 3]
     assert one.commit_index == 2
-    again = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
+    again = RaftNode("b", NAMES, stored_log, Chance(1), 0, LeaseTable())
     assert again.log.entries == one.log.entries
     assert one.hear(0, "a", AppendEntries(3, 1, 1, 0, 2, (noop(1),))) == []
     assert "never unsaid" in one.breaches[0]
@@ -167,20 +167,20 @@
     giver, _ = lead(noop(1))
     giver.hear(0, "a", AppendEntriesResponse(2, 1, True, 3))
     giver.store.compact(3, giver.sessions.pack())
-    told = dict(giver.tick(giver.due))
+    sent = dict(giver.tick(giver.due))
     giver.hear(giver.due, "c", AppendEntriesResponse(2, 3, False, 0))
     sent = [message for to, message in giver.hear(giver.due, "c", AppendEntriesResponse(2, 3, False, 0))] or [
-        told["c"]
+        sent["c"]
     ]
     state = InstallSnapshot(2, 2, 3, 2, MEMBERS, giver.store.snapshot)
     assert all(isinstance(message, (InstallSnapshot, AppendEntries)) for message in sent)
-    one, kept = node(name="c")
+    one, stored_log = node(name="c")
     assert one.hear(0, "b", state) == [("b", AppendEntriesResponse(2, 3, True, 3))]
     assert one.commit_index == one.last_applied == 3
     assert one.hear(0, "b", AppendEntries(2, 2, 1, 0, 3, (noop(1), noop(2), noop(2)))) == [
         ("b", AppendEntriesResponse(2, 3, True, 4))
     ]
-    again = RaftNode("c", NAMES, kept, Chance(1), 0, LeaseTable())
+    again = RaftNode("c", NAMES, stored_log, Chance(1), 0, LeaseTable())
     assert (again.log.snapshot_index, again.log.last_index, again.commit_index, again.members) == (
         3,
         4,
@@ -192,11 +192,11 @@
 
 
 def test_strangers_and_terms_from_the_far_future_are_counted_and_change_nothing():
-    one, kept = node()
-    before = list(kept.records)
+    one, stored_log = node()
+    before = list(stored_log.records)
     assert one.hear(0, "z", AppendEntries(9, 1, 1, 0, 0)) == []
     assert one.hear(0, "a", AppendEntries(1 << 47, 1, 1, 0, 0)) == []
     assert one.hear(0, "a", "noise") == []
     assert one.rejections == {"stranger": 1, "term from far future": 1, "not a message of the group": 1}
-    assert kept.records == before
+    assert stored_log.records == before
     assert one.term == 1
--- a/tests/raft/test_node_disk.py
+++ b/tests/raft/test_node_disk.py
@@ -18,18 +18,18 @@
 
 
 def test_a_disk_that_fails_makes_it_silent_until_it_is_written_anew():
-    one, kept = node()
-    kept.fails = "no space left"
+    one, stored_log = node()
+    stored_log.fails = "no space left"
     assert one.hear(0, "a", RequestVote(2, 1, 1, 0, False)) == []
     assert "no space" in one.storage_failure
     assert one.hear(0, "a", AppendEntries(2, 1, 1, 0, 0)) == []
     assert one.tick(one.due) == []
     assert one.storage_failure
-    kept.fails = None
+    stored_log.fails = None
     assert one.hear(one.due, "a", AppendEntries(2, 1, 1, 0, 0)) == []
     one.tick(one.due)
     assert not one.storage_failure
-    assert decode(kept.records[1]) == VoteRecord(2, "a", 1)
+    assert decode(stored_log.records[1]) == VoteRecord(2, "a", 1)
     assert one.hear(one.due, "c", RequestVote(2, 3, 9, 1, False)) == [
         ("c", RequestVoteResponse(2, 2, False, False))
     ]
@@ -52,19 +52,19 @@
     ],
 )
 def test_a_disk_that_cannot_be_trusted_is_set_aside_and_the_node_is_another(came):
-    kept = disk()
+    stored_log = disk()
 
     def read():
         if isinstance(came, UnusableDiskError):
             raise came
         return came
 
-    kept.read = read
-    one = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
-    assert kept.quarantined == [one.store.discard_reason]
+    stored_log.read = read
+    one = RaftNode("b", NAMES, stored_log, Chance(1), 0, LeaseTable())
+    assert stored_log.quarantined == [one.store.discard_reason]
     assert one.incarnation not in (0, 2)
     assert one.store.is_blank
-    assert [decode(each) for each in kept.records] == [IdentityRecord("b", one.incarnation)]
+    assert [decode(each) for each in stored_log.records] == [IdentityRecord("b", one.incarnation)]
     assert one.tick(one.due) == []
     assert not one.is_member
 
@@ -74,14 +74,14 @@
     taken = LeaseTable(initial_wait=False)
     taken.apply(1, commands.encode(commands.AcquireLease("host-7", "h", 1, SECOND)), "h")
     state = Sessions(taken).pack()
-    kept = disk()
+    stored_log = disk()
     late = Entry(7, EntryKind.NOOP)
-    kept.records = [
+    stored_log.records = [
         record(each)
         for each in (IdentityRecord("b", 2), SnapshotRecord(9, 2, MEMBERS, state), EntryRecord(10, late))
     ]
-    one = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
-    assert kept.quarantined == ["entries of terms that it never entered"]
+    one = RaftNode("b", NAMES, stored_log, Chance(1), 0, LeaseTable())
+    assert stored_log.quarantined == ["entries of terms that it never entered"]
     assert one.store.is_blank
     assert one.machine.leases == {}
     assert one.machine.amounts_held == {}
@@ -89,13 +89,13 @@
 
 
 def test_a_disk_that_cannot_be_read_is_tried_again_and_nothing_is_sent_meanwhile():
-    kept, good = disk(vote=("c", 3)), Disk.read
-    kept.read = lambda: Disk.sync(kept)
-    kept.fails = "input/output error"
-    one = RaftNode("b", NAMES, kept, Chance(1), 0, LeaseTable())
+    stored_log, good = disk(vote=("c", 3)), Disk.read
+    stored_log.read = lambda: Disk.sync(stored_log)
+    stored_log.fails = "input/output error"
+    one = RaftNode("b", NAMES, stored_log, Chance(1), 0, LeaseTable())
     assert "not read" in one.storage_failure
     assert one.hear(0, "a", RequestVote(1, 1, 1, 0, False)) == []
-    kept.read, kept.fails = lambda: good(kept), None
+    stored_log.read, stored_log.fails = lambda: good(stored_log), None
     one.tick(one.due)
     assert not one.storage_failure
     assert one.incarnation == 2
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -26,8 +26,8 @@
     def __init__(self):
         self.events = []
 
-    def event(self, level, what, **told):
-        self.events.append((level, what, told))
+    def event(self, level, what, **fields):
+        self.events.append((level, what, fields))
 
 
 class Group:
@@ -116,7 +116,7 @@
     group.until(lambda: len(node.machine.leases) == 2)
     assert not any(host.node.breaches for host in group.hosts.values() if host.node)
     assert "leader" in [
-        told["now"] for _, what, told in group.hosts[group.leader].record.events if what == "raft role"
+        fields["now"] for _, what, fields in group.hosts[group.leader].record.events if what == "raft role"
     ]
 
 
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -52,8 +52,8 @@
         made.close()
 
 
-def written(store, *facts, **told):
-    made = store(**told)
+def written(store, *facts, **options):
+    made = store(**options)
     made.write(facts or [(WARM, (4, 0), 99 * SECOND)])
     made.close()
 
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("step", [0, HOUR, -HOUR])
 def test_after_a_boot_ages_go_by_the_wall_clock_as_it_was_at_the_write(store, step):
-    """Not as it was when the life began: a machine that boots without a clock is told the time soon after."""
+    """Not as it was when the life began: a machine that boots without a clock learns the time soon after."""
     clocks = Clocks(wall=10**18 - step)
     made = store(clocks)
     clocks.wall += step
@@ -345,11 +345,11 @@
     alone = start("alone", f"memory {tmp_path / 'g.memory'}", listen=False)
     made.at = front(alone)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    kept = alone.peers.observation_writer.store
-    made.until(lambda: kept.backoff > MIN_BACKOFF)  # a second attempt has failed
+    store = alone.peers.observation_writer.store
+    made.until(lambda: store.backoff > MIN_BACKOFF)  # a second attempt has failed
     disk.fault = None
     assert made.wait(made.ask("lamp", "w2")).status == 200
-    made.until(lambda: any(subject[0] == "warm" for subject, _, _ in kept.read(99)))
+    made.until(lambda: any(subject[0] == "warm" for subject, _, _ in store.read(99)))
     assert [what for what, _ in alone.record.events].count("observation store unavailable") == 1
 
 
@@ -432,14 +432,14 @@
 
 def test_a_slice_ends_at_its_time_or_its_count_and_the_rest_comes_next(writer):
     writer.ticks = itertools.count(0, SLICE // 20)
-    told = facts(30)
-    assert not writer.write_slice(told)
+    observations = facts(30)
+    assert not writer.write_slice(observations)
     assert writer.store.written == 11
     writer.ticks = itertools.repeat(0)
-    assert not writer.write_slice(told)
+    assert not writer.write_slice(observations)
     assert writer.store.written == 11
     writer.loop.clock.now += REST
-    assert writer.write_slice(told)
+    assert writer.write_slice(observations)
     assert writer.store.written == 30
     writer.loop.clock.now += REST
     assert not writer.write_slice(facts(2 * MAX_ROWS_PER_WRITE))
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -31,7 +31,7 @@
 
 
 def node(path):
-    """A node of the group on that file, and what its file told operators."""
+    """A node of the group on that file, and what its file reported to operators."""
     texts = []
     disk = RaftLogFile(path, texts.append, lambda: 17).open()
     table = LeaseTable(initial_wait=False, max_duration=60 * SECOND)
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -79,7 +79,7 @@
         self.line = SimpleNamespace(names=("a",), votes=str(folder / "votes"), longest=SECOND)
 
     def start(self):
-        record = SimpleNamespace(event=lambda level, what, **told: self.events.append((what, told)))
+        record = SimpleNamespace(event=lambda level, what, **fields: self.events.append((what, fields)))
         self.leases = LeaseService(self.loop, "a", self.line, record, Chance(1))
         return self.leases.hosted_node.node
 
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -111,7 +111,7 @@
 
     # Gateways
 
-    def configure(self, name, zone, table=None, kept=None, more=""):
+    def configure(self, name, zone, table=None, table_file=None, more=""):
         """The configuration of a gateway, as a file."""
         lines = [
             f"name {name}",
@@ -119,7 +119,7 @@
             f"listen peers {self.entries[name]}",
             f"listen operator unix:{self.folder}/{name}.op",
             f"cells north file {table or self.table} look 5ms region {zone[0]} zone {zone}"
-            + (f" kept {kept}" if kept else ""),
+            + (f" kept {table_file}" if table_file else ""),
             f"cell-hosts {self.lists} look 5ms",
         ]
         for track, effect in KINDS.items():
@@ -129,12 +129,12 @@
         file.write_text("\n".join(lines) + f"\n{more}")
         return file
 
-    def start(self, name, zone, words=(), **told):
-        """A gateway as a process, with further words on its command line; `up` waits for it."""
-        file = self.configure(name, zone, **told)
+    def start(self, name, zone, arguments=(), **options):
+        """A gateway as a process, with further arguments on its command line; `up` waits for it."""
+        file = self.configure(name, zone, **options)
         errors = open(self.folder / f"{name}.log", "ab")
         self.processes[name] = subprocess.Popen(
-            [sys.executable, "-m", "gaproute", "serve", str(file), "--seed", "5", *words], stderr=errors
+            [sys.executable, "-m", "gaproute", "serve", str(file), "--seed", "5", *arguments], stderr=errors
         )
         errors.close()
 
--- a/tests/support/cells_tables.py
+++ b/tests/support/cells_tables.py
@@ -14,10 +14,10 @@
     return Cell(name, f"region{zone % regions}", f"zone{zone}", capacity, hosts, points, ways)
 
 
-def cells(count, sizes=(1.0,), **told):
+def cells(count, sizes=(1.0,), **fields):
     """`count` cells, dealt over the zones and the sizes in turn."""
     return [
-        cell(f"cell{place}", zone=place, capacity=100.0 * sizes[place // 13 % len(sizes)], **told)
+        cell(f"cell{place}", zone=place, capacity=100.0 * sizes[place // 13 % len(sizes)], **fields)
         for place in range(count)
     ]
 
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -16,47 +16,49 @@
 ZONES = {"a1": "a", "b1": "b"}
 
 
-def host(name, state="active", zone="", **told):
+def host(name, state="active", zone="", **fields):
     """A member of a log."""
-    return member(name, f"127.0.0.1:{PORTS[name[0]]}", state, zone, **told)
+    return member(name, f"127.0.0.1:{PORTS[name[0]]}", state, zone, **fields)
 
 
-def hosts(names, **told):
+def hosts(names, **fields):
     """Members of a log."""
-    return [host(name, **told) for name in names]
+    return [host(name, **fields) for name in names]
 
 
 def event(seq, members, complete=True):
     """An event's bytes."""
-    told = {"seq": seq, "fleet": {"revision": seq, "complete": complete, "members": members}}
-    return b"data: %b\n\n" % json.dumps(told).encode()
+    watch_event = {"seq": seq, "fleet": {"revision": seq, "complete": complete, "members": members}}
+    return b"data: %b\n\n" % json.dumps(watch_event).encode()
 
 
 class FollowedCells:
-    """Lists as they were told, refused and in trouble. `told`: {cell: {host: state}}."""
+    """Lists as they were adopted, refused and unavailable. `lists_in_force`: {cell: {host: state}}."""
 
     def __init__(self, sources=1, zones=ZONES, wheres=None, seed=1):
         self.clock = Handed()
         self.loop = Loop(self.clock)
         self.sources = [CellSource(self.loop, "north") for _ in range(0 if wheres else sources)]
-        self.told, self.tellings, self.refused, self.count, self.troubles = {}, 0, [], 0, []
+        self.lists_in_force, self.adoptions, self.refused, self.count, self.failures = {}, 0, [], 0, []
         wheres = wheres or [source.address for source in self.sources]
         line = CellHostsLine(**{"from": ",".join(wheres)}, look=50 * MILLI)
         self.lists = FollowedLists(
-            self.loop, "north", line, self._told, self._refused, self._trouble, Chance(seed)
+            self.loop, "north", line, self._adopted, self._refused, self._failed, Chance(seed)
         )
         self.zones = zones
 
-    def _told(self, lists):
-        self.tellings += 1
-        self.told = {cell: {line.name: line.state for line in lines} for cell, lines in lists.items()}
+    def _adopted(self, lists):
+        self.adoptions += 1
+        self.lists_in_force = {
+            cell: {line.name: line.state for line in lines} for cell, lines in lists.items()
+        }
 
     def _refused(self, cell, count, members):
         self.count += count
         self.refused += [SimpleNamespace(cell=cell, host=host, reason=why) for host, why in members]
 
-    def _trouble(self, cell, why):
-        self.troubles.append((cell, why))
+    def _failed(self, cell, why):
+        self.failures.append((cell, why))
 
     def begin(self, **lists):
         """All sources tell these lists, and the cells of the zones are wanted."""
@@ -64,11 +66,11 @@
             for cell, members in lists.items():
                 source.publish(cell, *members)
         self.lists.set_cells(self.zones)
-        self.until(lambda: all(cell in self.told for cell in lists))
+        self.until(lambda: all(cell in self.lists_in_force for cell in lists))
 
     def names(self, cell):
         """Names of the cell's hosts in force."""
-        return "".join(sorted(self.told.get(cell, {})))
+        return "".join(sorted(self.lists_in_force.get(cell, {})))
 
     def passes(self, span, step=10 * MILLI):
         """So much of the held time goes by, in small steps with turns in between."""
--- a/tests/support/followed_fleet.py
+++ b/tests/support/followed_fleet.py
@@ -6,7 +6,7 @@
 from gaproute.standins.cell_source import CellSource
 from gaproute.standins.platform.host_list import member
 
-GRACE = 500 * MILLI  # after a host was told draining or gone
+GRACE = 500 * MILLI  # after a host was reported draining or gone
 
 
 class FollowedFleet(CellFleet):
@@ -15,7 +15,7 @@
     def __init__(self, folder, cells, sources=1, hosts=2):
         super().__init__(folder, cells, hosts)
         self.sources = [CellSource(self.loop, "north") for _ in range(sources)]
-        self.sources_of = {}  # gateway: addresses of its sources, those of all where none are told
+        self.sources_of = {}  # gateway: addresses of its sources, those of all where none are given
         for source in self.sources:
             for cell in cells:
                 source.publish(cell, *self.members(cell))
@@ -28,9 +28,9 @@
         """A host as a member of a log."""
         return member(name, self.hosts[name].address, state, zone)
 
-    def configure(self, name, zone, table=None, kept=None, more=""):
+    def configure(self, name, zone, table=None, table_file=None, more=""):
         """As `CellFleet.configure`, with sources in place of a folder."""
-        file = super().configure(name, zone, table, kept, more)
+        file = super().configure(name, zone, table, table_file, more)
         wheres = self.sources_of.get(name) or [source.address for source in self.sources]
         folder = f"cell-hosts {self.lists} look 5ms"
         file.write_text(file.read_text().replace(folder, f"cell-hosts from {','.join(wheres)}"))
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -56,14 +56,14 @@
 )
 
 
-def row(name, **told):
+def row(name, **fields):
     return face.ListedHost(
         name,
-        told.get("zone", 0),
-        told.get("cell", 0),
-        told.get("state", face.State.ACTIVE),
-        told.get("capacity", 1.0),
-        told.get("started"),
+        fields.get("zone", 0),
+        fields.get("cell", 0),
+        fields.get("state", face.State.ACTIVE),
+        fields.get("capacity", 1.0),
+        fields.get("started"),
     )
 
 
@@ -102,16 +102,16 @@
         self.wishes = wishes
         return wishes
 
-    def hears(self, now, result, relay=0, **told):
+    def hears(self, now, result, relay=0, **fields):
         heard = face.Outcome(
             self.name,
             relay,
             self.sent[relay],
             result,
-            told.get("took", 100 * MILLI),
-            told.get("ended", result is face.Result.OK),
-            told.get("found", face.Found.WARM),
-            told.get("same_function_requests"),
+            fields.get("took", 100 * MILLI),
+            fields.get("ended", result is face.Result.OK),
+            fields.get("found", face.Found.WARM),
+            fields.get("same_function_requests"),
             None,
         )
         self.gateway.heard(now, heard)
@@ -125,8 +125,8 @@
     """For a fixture: a call that makes one, whatever it is given; all are closed after the test."""
     made = []
 
-    def make(*args, **told):
-        made.append(kind(*args, **told))
+    def make(*args, **options):
+        made.append(kind(*args, **options))
         return made[-1]
 
     yield make
@@ -188,13 +188,13 @@
 
 
 class Rig:
-    """`told`: further lines of the configuration. Hosts stand on the same loop; `make` overrides their
+    """`more`: further lines of the configuration. Hosts stand on the same loop; `make` overrides their
     make."""
 
     def __init__(
         self,
         hosts=2,
-        told="",
+        more="",
         configuration=CONFIGURATION,
         decisions=None,
         make=(),
@@ -217,7 +217,7 @@
             lines.append(f"host h{number} {host.address} rack r{number} capacity 4")
         self.list = self.folder / "hosts.list"
         self.list.write_text("\n".join(lines) + "\n")
-        text = f"{configuration}hosts-file {self.list} look 5ms\n{told}"
+        text = f"{configuration}hosts-file {self.list} look 5ms\n{more}"
         if decisions is not None:
             text += f"\ndecisions {decisions}\n"
         self.gate = Appliance(read_configuration("test", text), self.loop, 5, logger(io.StringIO()))
@@ -245,12 +245,12 @@
         fresh.write_text("\n".join(lines) + "\n")
         fresh.replace(self.list)
 
-    def seen(self, what, **told):
+    def seen(self, what, **fields):
         return [
             event
             for tap in self.taps
             for event in tap.events
-            if event["what"] == what and all(event.get(key) == value for key, value in told.items())
+            if event["what"] == what and all(event.get(key) == value for key, value in fields.items())
         ]
 
     def ask(self, model="lamp", name="t", fields="", path=None, body=None):
@@ -303,8 +303,8 @@
     def __init__(self, clock):
         self.clock, self.events = clock, []
 
-    def note(self, what, **told):
-        self.events.append({"at": self.clock(), "what": what, **told})
+    def note(self, what, **fields):
+        self.events.append({"at": self.clock(), "what": what, **fields})
 
     def flush(self):
         pass
--- a/tests/support/raft_node_scenario.py
+++ b/tests/support/raft_node_scenario.py
@@ -36,7 +36,7 @@
         super().__init__(folder, disk, seed)
         self.now, self.restarts = 0, 0
         self.term = 1  # the highest that anybody used
-        self.answered = {}  # term: (candidate, life) that was told its vote
+        self.answered = {}  # term: (candidate, life) that was sent its vote
         self.seen = 0  # the highest term in an answer
         self.log = []  # entries that were acknowledged, by (index - 1)
         self.leads = {}  # term: entries of that term's leader
@@ -110,7 +110,7 @@
 
     def check_store(self, store):
         if store.term < self.seen:
-            raise BrokenGuaranteeError(VOTE_FORGOTTEN, f"term {store.term} after {self.seen} was told")
+            raise BrokenGuaranteeError(VOTE_FORGOTTEN, f"term {store.term} after {self.seen} was seen")
         promised = self.answered.get(store.term)
         if promised is not None and store.voted_for != promised:
             raise BrokenGuaranteeError(
--- a/tests/support/raft_nodes.py
+++ b/tests/support/raft_nodes.py
@@ -36,9 +36,9 @@
     return made
 
 
-def node(*entries, now=0, **words):
-    made = disk(entries=entries, **words)
-    return RaftNode(words.get("name", "b"), NAMES, made, Chance(1), now, LeaseTable()), made
+def node(*entries, now=0, **options):
+    made = disk(entries=entries, **options)
+    return RaftNode(options.get("name", "b"), NAMES, made, Chance(1), now, LeaseTable()), made
 
 
 def noop(term):
@@ -46,9 +46,9 @@
 
 
 def lead(*entries):
-    one, kept = node(*entries)
+    one, stored_log = node(*entries)
     one.tick(one.due)
     one.hear(one.election_due, "a", RequestVoteResponse(1, 1, True, True))
     one.hear(one.election_due, "a", RequestVoteResponse(2, 1, False, True))
     assert one.is_leader
-    return one, kept
+    return one, stored_log
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -79,14 +79,14 @@
 
 
 class Followed:
-    """A follower and the log it asks. `told`: the numbers it passed on."""
+    """A follower and the log it asks. `received`: the numbers of the events that it passed on."""
 
     def __init__(self, script, last=0, clock=None, known=(), **log):
         self.clock = clock
-        self.loop, self.told = Loop(clock) if clock else Loop(), []
+        self.loop, self.received = Loop(clock) if clock else Loop(), []
         self.log = ScriptedChangeLog(self.loop, script, **log)
         self.follower = ChangeLogWatcher(
-            self.loop, self.log.address, last, lambda each: self.told.append(each.seq), Chance(1), known
+            self.loop, self.log.address, last, lambda each: self.received.append(each.seq), Chance(1), known
         )
 
     def until(self, condition):
@@ -110,14 +110,16 @@
 class Gate:
     """`clock`: a `Handed` one where the test holds the time; `settings` stand in place of `SETTINGS`."""
 
-    def __init__(self, folder, answer=None, sockets=256, hosts=1, followed=TRACE_ONE_IN, clock=None, **told):
+    def __init__(
+        self, folder, answer=None, sockets=256, hosts=1, followed=TRACE_ONE_IN, clock=None, **options
+    ):
         self.clock = clock
         self.loop = Loop(clock) if clock else Loop()
         self.hosts = [ScriptedHost(self.loop, answer) for _ in range(hosts)]
         self.log = ScriptedChangeLog(self.loop)
         self.lines = []
         self.path = folder / "config.json"
-        self.told = {
+        self.configuration = {
             "name": "n1",
             "listen": "127.0.0.1:0",
             "seed": "8c1f",
@@ -134,10 +136,10 @@
                     )
                 ],
             },
-        } | told
+        } | options
         self.write()
         log = Log(-1)
-        log.write_line = lambda level, what, told: self.lines.append((what, told))
+        log.write_line = lambda level, event, fields: self.lines.append((event, fields))
         self.process = Process(
             str(self.path), read_configuration(str(self.path)), loop=self.loop, log=log, trace_one_in=followed
         )
@@ -146,7 +148,7 @@
         self.clients = []
 
     def write(self):
-        self.path.write_text(json.dumps(self.told))
+        self.path.write_text(json.dumps(self.configuration))
 
     def client(self):
         self.clients.append(ScriptedClient(self.loop, self.where))
