--- a/gaproute/cluster/crews.py
+++ b/gaproute/cluster/crews.py
@@ -12,7 +12,7 @@
 from gaproute.cluster.asking import LOST, SILENT, ask
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Duration
-from gaproute.judge import permits
+from gaproute.judge import leases
 from gaproute.standins.tap import read
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -147,12 +147,15 @@
         if self.line is None:
             return None
         run = read(self.harness.out / "run.tap")
-        healed, stood = permits.progress(run)
-        broken = [f"permits, {breach.check}: {breach.text}" for breach in permits.judge(run) + stood]
+        progress = leases.judge_progress(run)
+        broken = [
+            f"permits, {breach.check}: {breach.text}"
+            for breach in leases.judge_leases(run) + progress.violations
+        ]
         broken += [
             f"{path.stem}: {line.decode()[:300]}"
             for path in sorted(self.harness.out.glob("g*.log"))
             for line in path.read_bytes().split(b"\n")
             if BREACH in line.replace(b" ", b"")
         ]
-        return {"granted": len(permits.grants(run)), "healed": healed, "broken": broken}
+        return {"granted": len(leases.grant_times(run)), "healed": progress.healings, "broken": broken}
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -4,7 +4,7 @@
 wrongly, is broken all the same.
 """
 
-from gaproute.judge import UNTIMED
+from gaproute.judge import TIME_INDEPENDENT
 from gaproute.scenarios.result import Result
 
 
@@ -30,7 +30,7 @@
 
     @property
     def verdict(self):
-        if self.whole and any(broken.kind in UNTIMED for broken in self.broken):
+        if self.whole and any(broken.kind in TIME_INDEPENDENT for broken in self.broken):
             return "failed"
         return "void" if self.void else "failed" if self.faulty else "well"
 
--- a/gaproute/judge/day.py
+++ b/gaproute/judge/day.py
@@ -1,80 +1,79 @@
-"""The taps of a day by subject. Imports nothing that is judged.
+"""The taps of a day by subject: requests, hosts, gateways.
 
-Events are dicts with `at` (ns on the machine's one monotonic clock) and `what`; `gaproute.standins` writes
-them. The gateway's own word is not heard: tasks are known by the id in their KServe body.
+Nothing that a gateway says of itself is read: requests are known by the id in their body.
 """
 
 from collections import defaultdict
+from collections.abc import Mapping, Sequence
 
-from gaproute.judge.downtime import FOREVER, Downtime
+from gaproute.judge.downtime import Downtime
+from gaproute.judge.events import (
+    Attempt,
+    GatewayEvent,
+    HostArrival,
+    HostRun,
+    LinkFaultEvent,
+    ListNotification,
+    RequestEnd,
+    UnmatchedAnswer,
+)
+from gaproute.judge.link_faults import LinkFaults
 from gaproute.judge.senders import Senders
+from gaproute.judge.tap_reading import TapEvent, read_client_events, read_host_run, read_run_events
 
-NEVER_RAN = (429, 404)
+NEVER_RAN_STATUSES = (429, 404)  # by which a host says in full that a request has not run there
+
+HostTaps = Mapping[str, Sequence[Sequence[TapEvent]]]  # by host: one tap for each process that it had
 
 
 class Day:
-    """The taps by subject."""
+    """What passed on the sockets of a day."""
 
-    def __init__(self, hosts, clients, run):
-        self.hosts = hosts  # {host: [its runs' events]}, each run begins with "up"
-        self.clients, self.run = clients, run
-        self.ends = {}  # task: its last event at the client
-        for event in clients:
-            if event["what"] in ("answer", "overdue", "left", "broken"):
-                self.ends.setdefault(event["id"], []).append(event)
-        self.arrivals = defaultdict(list)  # task: [(at, host, event)]
-        said = defaultdict(list)
-        for host, runs in hosts.items():
-            for events in runs:
-                for event in events:
-                    if event["what"] == "task":
-                        self.arrivals[event["id"]].append((event["at"], host, event))
-                    elif event["what"] == "said":
-                        said[event["id"], host].append((event["at"], event["status"]))
-        self.said = said
-        for arrivals in self.arrivals.values():
-            arrivals.sort(key=lambda arrival: arrival[0])
-        self.downtime = Downtime(run)
-        self.senders = Senders(hosts, self.ends, run)
-        self.held_up = held_up(run)
+    def __init__(self, hosts: HostTaps, clients: Sequence[TapEvent], run: Sequence[TapEvent]) -> None:
+        self.hosts: dict[str, list[HostRun]] = {
+            host: [read_host_run(host, number, events) for number, events in enumerate(taps)]
+            for host, taps in hosts.items()
+        }
+        self.ends: dict[str, list[RequestEnd]] = {}  # by request, in the order of its client's tap
+        self.unmatched_answers: list[UnmatchedAnswer] = []
+        self._read_clients(clients)
+        self.attempts: dict[str, list[Attempt]] = defaultdict(list)  # by request, in the order of time
+        self._answers: dict[tuple[str, str], list[tuple[int, int]]] = defaultdict(list)
+        self._read_hosts()
+        run_events = list(read_run_events(run))
+        self.gateway_events = [event for event in run_events if isinstance(event, GatewayEvent)]
+        self.notifications = [event for event in run_events if isinstance(event, ListNotification)]
+        self.downtime = Downtime(self.gateway_events)
+        self.senders = Senders(self.hosts, self.ends, self.gateway_events)
+        self.link_faults = LinkFaults(event for event in run_events if isinstance(event, LinkFaultEvent))
 
-    def sent(self, gateway, host, at):
-        """The earliest time at which what arrived then may have been sent, by the faults on the wire between
-        the two: bytes that were kept back may be as old as the fault."""
-        return min(
-            (
-                max(begin, at - late)
-                for begin, end, late, gateways, hosts in self.held_up
-                if begin <= at <= end and gateway in gateways and host in hosts
-            ),
-            default=at,
-        )
+    def _read_clients(self, clients: Sequence[TapEvent]) -> None:
+        for event in read_client_events(clients):
+            if isinstance(event, RequestEnd):
+                self.ends.setdefault(event.request, []).append(event)
+            else:
+                self.unmatched_answers.append(event)
 
-    def waited(self, host, place, event):
-        """How long before it arrived something may have been sent, ns. `place`: of the host's run."""
-        return event["at"] - self.sent(self.senders.number(host, place, event), host, event["at"])
+    def _read_hosts(self) -> None:
+        for host, runs in self.hosts.items():
+            for run in runs:
+                for attempt in run.attempts:
+                    self.attempts[attempt.request].append(attempt)
+                for answer in run.answers:
+                    self._answers[answer.request, host].append((answer.at, answer.status))
+        for attempts in self.attempts.values():
+            attempts.sort(key=lambda attempt: attempt.at)
 
-    def ran(self, task, at, host):
-        """Whether this arrival may have run: the host did not say, in full, that it never did."""
-        later = [status for said, status in self.said[task, host] if said >= at]
-        return not later or later[0] not in NEVER_RAN
+    def earliest_send_time(self, arrival: HostArrival) -> int:
+        """When it may have been sent at the earliest, by the faults on its link, ns."""
+        gateway = self.senders.gateway_of(arrival)
+        return self.link_faults.earliest_send_time(gateway, arrival.host, arrival.at)
 
+    def longest_transit(self, arrival: HostArrival) -> int:
+        """For how long it may have been on its way at most, ns."""
+        return arrival.at - self.earliest_send_time(arrival)
 
-def held_up(run):
-    """[(begin, end, late, gateways, hosts)] of the faults under which bytes may reach hosts late, `late` ns
-    at most."""
-    spans, open_since = [], {}
-    for event in sorted(run, key=lambda event: event["at"]):
-        if event["what"] != "fault" or not event.get("ways"):
-            continue
-        if event["on"]:
-            open_since[event["id"]] = event
-        elif event["id"] in open_since:
-            begin = open_since.pop(event["id"])
-            spans.append((begin["at"], event["at"] + event["slack"], event))
-    spans += [(event["at"], FOREVER, event) for event in open_since.values()]
-    return [
-        (begin, end, event["late"], frozenset(gateways), frozenset(hosts))
-        for begin, end, event in spans
-        for gateways, hosts in event["ways"]
-    ]
+    def may_have_run(self, attempt: Attempt) -> bool:
+        """Whether the host did not say, in full, that this attempt never ran."""
+        later = [status for at, status in self._answers[attempt.request, attempt.host] if at >= attempt.at]
+        return not later or later[0] not in NEVER_RAN_STATUSES
--- a/gaproute/judge/downtime.py
+++ b/gaproute/judge/downtime.py
@@ -1,117 +1,121 @@
-"""When gateways were down or stood still, and which lost requests that explains. Imports nothing that it
-judges.
+"""When gateways were down or paused, and which lost requests that explains.
 
 Three things alone explain a request without its answer: its gateway was killed without a warning while it
-held the request; it was killed after a SIGTERM, no sooner than the operators do, just as the request came; it
-stood still (SIGSTOP) when the answer was due. A gateway that ends by itself after a SIGTERM explains nothing:
-it owes an answer to whatever it has read.
+had the request in flight; it was killed after a SIGTERM, no sooner than the operators do, just as the request
+came; it was paused (SIGSTOP) when the answer was due. A gateway that ends by itself after a SIGTERM explains
+nothing: it owes an answer to whatever it has read.
 """
 
 from collections import defaultdict
+from collections.abc import Iterable
 from typing import NamedTuple
 
-from gaproute.judge.facts import CLIENT_GONE, LATE_ANSWER
+from gaproute.judge.events import EndKind, GatewayEvent, GatewayEventKind, RequestEnd
+from gaproute.judge.link_faults import END_OF_TIME
+from gaproute.judge.terms import CLIENT_LEFT_GRACE, LATE_ANSWER_GRACE
 
-FOREVER = 1 << 62  # ns, after any day's end
-IN_FLIGHT = CLIENT_GONE  # before a SIGKILL that was announced: what comes then cannot be answered any more
+# Before a SIGKILL that was announced by a SIGTERM: what comes then cannot be answered any more.
+UNANSWERABLE_BEFORE_KILL = CLIENT_LEFT_GRACE
 
 
 class Absence(NamedTuple):
-    """A gateway's process has ended and no new one has started."""
+    """From `begin` to `end`, ns, a gateway had no process."""
 
     begin: int
     end: int
-    asked: int | None  # when it got a SIGTERM before
+    terminated_at: int | None  # when it got a SIGTERM before
     killed: bool  # by SIGKILL; else it ended by itself
 
 
-class Stall(NamedTuple):
-    """A gateway's process stood still."""
+class Pause(NamedTuple):
+    """From `begin` to `end`, ns, a gateway's process was stopped by SIGSTOP."""
 
     begin: int
     end: int
 
 
-class _Life:
-    """One gateway's events in their order, as far as they were read."""
-
-    def __init__(self):
-        self.absences, self.stalls = [], []
-        self.asked = self.gone = self.stopped = None
-
-    def ending(self, at):
-        self.asked = at
-
-    def stop(self, at):
-        if self.gone is None and self.stopped is None:
-            self.stopped = at
-
-    def go_on(self, at):
-        if self.stopped is not None:
-            self.stalls.append(Stall(self.stopped, at))
-            self.stopped = None
-
-    def end(self, at, killed):
-        self.go_on(at)
-        if self.gone is None:  # a second kill, of a process that still starts, begins nothing anew
-            self.gone = at, self.asked, killed
-        self.asked = None
-
-    def start(self, at):
-        self.go_on(at)
-        if self.gone is not None:
-            begin, asked, killed = self.gone
-            self.absences.append(Absence(begin, at, asked, killed))
-        self.gone = self.asked = None
+class ProcessEnd(NamedTuple):
+    """The end of a gateway's process after which none has started yet."""
+
+    at: int
+    terminated_at: int | None
+    killed: bool
+
+
+class GatewayHistory:
+    """The absences and pauses of one gateway, by its events in the order of time."""
+
+    def __init__(self) -> None:
+        self.absences: list[Absence] = []
+        self.pauses: list[Pause] = []
+        self.terminated_at: int | None = None  # when the process got a SIGTERM
+        self.process_end: ProcessEnd | None = None  # None while there is a process
+        self.paused_at: int | None = None
+
+    def apply(self, event: GatewayEvent) -> None:
+        """What happened next."""
+        match event.kind:
+            case GatewayEventKind.TERMINATING:
+                self.terminated_at = event.at
+            case GatewayEventKind.KILLED | GatewayEventKind.ENDED:
+                self._end_process(event.at, killed=event.kind is GatewayEventKind.KILLED)
+            case GatewayEventKind.PAUSED:
+                if self.process_end is None and self.paused_at is None:
+                    self.paused_at = event.at
+            case GatewayEventKind.RESUMED:
+                self._end_pause(event.at)
+            case GatewayEventKind.STARTED:
+                self.start(event.at)
+
+    def start(self, at: int) -> None:
+        """A new process runs, or the day is over."""
+        self._end_pause(at)
+        if self.process_end is not None:
+            ended_at, terminated_at, killed = self.process_end
+            self.absences.append(Absence(ended_at, at, terminated_at, killed))
+        self.process_end = self.terminated_at = None
+
+    def _end_process(self, at: int, *, killed: bool) -> None:
+        self._end_pause(at)
+        if self.process_end is None:  # else a process that still starts was killed: the absence goes on
+            self.process_end = ProcessEnd(at, self.terminated_at, killed)
+        self.terminated_at = None
+
+    def _end_pause(self, at: int) -> None:
+        if self.paused_at is not None:
+            self.pauses.append(Pause(self.paused_at, at))
+            self.paused_at = None
 
 
 class Downtime:
-    """All gateways' absences and stalls, by the events of the run: "ending" (SIGTERM), "killed", "ended" (by
-    itself), "started", "stopped", "continued"."""
-
-    def __init__(self, run):
-        lives = defaultdict(_Life)
-        for event in sorted(run, key=lambda event: event["at"]):
-            if "gateway" in event:
-                self._read(lives[event["gateway"]], event["what"], event["at"])
-        for life in lives.values():
-            life.start(FOREVER)
-        self.absences = {gateway: life.absences for gateway, life in lives.items()}
-        self.stalls = {gateway: life.stalls for gateway, life in lives.items()}
-
-    @staticmethod
-    def _read(life, what, at):
-        match what:
-            case "ending":
-                life.ending(at)
-            case "killed" | "ended":
-                life.end(at, what == "killed")
-            case "stopped":
-                life.stop(at)
-            case "continued":
-                life.go_on(at)
-            case "started":
-                life.start(at)
-
-    def explains(self, end, kill_after):
-        """Whether the gateway could not answer the request whose event at the client this is."""
-        gateway, at = end["gateway"], end["at"]
-        if end["what"] == "overdue" and any(
-            stall.begin <= at <= stall.end + LATE_ANSWER for stall in self.stalls.get(gateway, ())
-        ):
-            return True
-        return any(
-            self._took(absence, end["asked"], at, kill_after) for absence in self.absences.get(gateway, ())
-        )
-
-    @staticmethod
-    def _took(absence, asked, at, kill_after):
-        """Whether the request was lost with the process that ended then, or came when there was none."""
-        if not absence.begin <= at <= absence.end or asked > absence.end:
+    """The absences and pauses of all gateways of a day."""
+
+    def __init__(self, events: Iterable[GatewayEvent]) -> None:
+        self.histories: defaultdict[int, GatewayHistory] = defaultdict(GatewayHistory)
+        for event in sorted(events, key=lambda event: event.at):
+            self.histories[event.gateway].apply(event)
+        for history in self.histories.values():
+            history.start(END_OF_TIME)
+
+    def explains(self, end: RequestEnd, kill_after: int) -> bool:
+        """Whether the gateway could not answer the request. `kill_after`: as in `terms.kill_after`, ns."""
+        history = self.histories.get(end.gateway)
+        if history is None:
             return False
-        if asked >= absence.begin:
+        if end.kind is EndKind.OVERDUE and any(
+            pause.begin <= end.at <= pause.end + LATE_ANSWER_GRACE for pause in history.pauses
+        ):
             return True
-        if absence.asked is None:
-            return absence.killed
-        late_enough = absence.begin - absence.asked >= kill_after
-        return absence.killed and late_enough and asked >= absence.begin - IN_FLIGHT
+        return any(_lost_by(absence, end, kill_after) for absence in history.absences)
+
+
+def _lost_by(absence: Absence, end: RequestEnd, kill_after: int) -> bool:
+    """Whether the request was lost with the process that ended then, or came when there was none."""
+    if not absence.begin <= end.at <= absence.end or end.sent_at > absence.end:
+        return False
+    if end.sent_at >= absence.begin:
+        return True
+    if absence.terminated_at is None:
+        return absence.killed
+    late_enough = absence.begin - absence.terminated_at >= kill_after
+    return absence.killed and late_enough and end.sent_at >= absence.begin - UNANSWERABLE_BEFORE_KILL
--- a/gaproute/judge/senders.py
+++ b/gaproute/judge/senders.py
@@ -1,31 +1,55 @@
-"""Which gateway sent what a host saw: a task by its client's word, an order by the name it bears or else by
-the tasks that came over the same connection, as a connection is opened by one gateway."""
+"""Which gateway sent what a host received.
+
+A request's gateway is known from its client. A load order's is the name that it bears; without one, it is the
+gateway whose requests came over the same connection, as a connection is opened by one gateway.
+"""
+
+from collections.abc import Iterable, Mapping
+
+from gaproute.judge.events import (
+    Attempt,
+    GatewayEvent,
+    GatewayEventKind,
+    GatewayId,
+    HostArrival,
+    HostRun,
+    RequestEnd,
+)
 
 
 class Senders:
-    """`ends`: {task: [its events at the client]}; gateways are the numbers in `run`'s and clients' events."""
+    """The gateways behind the arrivals of one day."""
 
-    def __init__(self, hosts, ends, run):
-        self.tasks = {task: events[0]["gateway"] for task, events in ends.items()}
-        started = [event for event in run if event["what"] == "started"]
-        self.names = {event["gateway"]: event.get("name", str(event["gateway"])) for event in started}
+    def __init__(
+        self,
+        hosts: Mapping[str, list[HostRun]],
+        ends: Mapping[str, list[RequestEnd]],
+        gateway_events: Iterable[GatewayEvent],
+    ) -> None:
+        self.gateway_of_request = {request: events[0].gateway for request, events in ends.items()}
+        self.names = {
+            event.gateway: event.name for event in gateway_events if event.kind is GatewayEventKind.STARTED
+        }
         self.numbers = {name: number for number, name in self.names.items()}
-        self.links = {}  # (host, its run, connection): gateway
-        for host, runs in hosts.items():
-            for place, events in enumerate(runs):
-                for event in events:
-                    if event["what"] == "task" and event["id"] in self.tasks:
-                        self.links[host, place, event.get("link")] = self.tasks[event["id"]]
-
-    def number(self, host, place, event):
-        """The gateway's number, or its name where no number is known; None where nothing tells."""
-        if event["what"] == "task":
-            return self.tasks.get(event["id"])
-        if event.get("gateway"):
-            return self.numbers.get(event["gateway"], event["gateway"])
-        return self.links.get((host, place, event.get("link")))
-
-    def name(self, host, place, event):
-        """The same as the name that `run` gives it; None where nothing tells."""
-        number = self.number(host, place, event)
-        return None if number is None else self.names.get(number, str(number))
+        self.gateway_of_connection: dict[tuple[str, int, object], int] = {}
+        for runs in hosts.values():
+            for run in runs:
+                self._read_connections(run)
+
+    def _read_connections(self, run: HostRun) -> None:
+        for attempt in run.attempts:
+            if attempt.request in self.gateway_of_request:
+                connection = attempt.host, attempt.run, attempt.connection
+                self.gateway_of_connection[connection] = self.gateway_of_request[attempt.request]
+
+    def gateway_of(self, arrival: HostArrival) -> GatewayId | None:
+        """The gateway that sent it, None where nothing tells."""
+        if isinstance(arrival, Attempt):
+            return self.gateway_of_request.get(arrival.request)
+        if arrival.gateway_name:
+            return self.numbers.get(arrival.gateway_name, arrival.gateway_name)
+        return self.gateway_of_connection.get((arrival.host, arrival.run, arrival.connection))
+
+    def name_of(self, gateway: GatewayId) -> str:
+        """The name under which a gateway was started; its number or given name where it never was."""
+        return self.names.get(gateway, str(gateway)) if isinstance(gateway, int) else gateway
--- a/gaproute/scenarios/result.py
+++ b/gaproute/scenarios/result.py
@@ -1,6 +1,6 @@
 """What the taps of a played day say: the rules, the service, what was sent and fetched."""
 
-from gaproute.judge import Facts, judge
+from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
 from gaproute.standins.tap import read
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -17,19 +17,19 @@
         self.clients, self.run = trial.crowd.events(), read(out / "run.tap")
         store = read(out / "store.tap")
         copies = script.copies
-        facts = Facts(
-            {line.name: line.effect for line in script.tracks},
-            {line.name: line.group for line in script.tracks},
-            {line.name: line.remembers for line in script.tracks},
-            {seat.name: (seat.zone, seat.rack) for seat in seats.values()},
-            500 * MILLI,
-            copies.free,
-            copies.share,
-            copies.window if copies.orders else 0,
-            trial.late(),
-            trial.longest,
+        terms = DayTerms(
+            request_classes={
+                line.name: RequestClassTerms.from_track(line.effect, line.group, line.remembers)
+                for line in script.tracks
+            },
+            places={seat.name: HostPlace(seat.zone, seat.rack) for seat in seats.values()},
+            load_orders_free=copies.free,
+            load_order_share=copies.share,
+            load_order_window=copies.window if copies.orders else 0,
+            harness_lateness=trial.late(),
+            longest_deadline=trial.longest,
         )
-        self.broken = judge(facts, hosts, self.clients, self.run)
+        self.broken = judge(terms, hosts, self.clients, self.run)
         self.codes = trial.gateways.codes
         # clients that ended before all their tasks had: what they still waited for is on no tap
         self.unfinished = len(trial.crowd.processes) - sum(event["what"] == "done" for event in self.clients)
--- a/tests/cluster/test_permits.py
+++ b/tests/cluster/test_permits.py
@@ -7,8 +7,8 @@
 
 from gaproute.cluster.script import read_script
 from gaproute.config import ConfigurationError
-from gaproute.judge import permits
-from gaproute.judge.permits import SECOND
+from gaproute.judge import leases
+from gaproute.judge.terms import SECOND
 from gaproute.standins.tap import read
 from tests.cluster.test_play import PLAYS, command
 
@@ -71,7 +71,7 @@
     ],
 )
 def test_two_holders_and_a_fence_that_falls_are_told(events, checks):
-    assert [breach.check for breach in permits.judge(events)] == checks
+    assert [breach.check for breach in leases.judge_leases(events)] == checks
 
 
 def test_a_fault_after_whose_end_nothing_is_granted_is_told():
@@ -86,11 +86,11 @@
         {"at": int(98.5 * SECOND), "what": "continued", "gateway": 1},
         OVER,
     ]
-    looked, broken = permits.progress(run)
+    looked, broken = leases.judge_progress(run)
     assert looked == 2 and [breach.check for breach in broken] == ["progress", "progress"]
     # a permit that is only held on is no grant; a new one is
-    assert len(permits.progress(run + [hold(4, "a", 5, 6)])[1]) == 2
-    assert permits.progress(run + [hold(6, "b", 6, 7)])[1] == []
+    assert len(leases.judge_progress(run + [hold(4, "a", 5, 6)])[1]) == 2
+    assert leases.judge_progress(run + [hold(6, "b", 6, 7)])[1] == []
 
 
 def test_crews_that_cannot_be_are_named(tmp_path):
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -10,7 +10,7 @@
 from gaproute.cluster.platform.play import NodeHarness, player
 from gaproute.cluster.script import read_script
 from gaproute.config import ConfigurationError
-from gaproute.judge import Facts, judge
+from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
 from gaproute.loop import Loop
 from gaproute.standins.platform.listing import Listing, member
 from gaproute.standins.platform.log import Log
@@ -74,14 +74,15 @@
     task = next(each for each in events if each["what"] == "task" and each["id"] in gateway)
     forged = task | {"at": drained["at"] + SECOND}
     script = read_script("platform-cluster")
-    facts = Facts(
-        {line.name: line.effect for line in script.tracks},
-        {line.name: line.group for line in script.tracks},
-        {line.name: line.remembers for line in script.tracks},
-        {host: ("hall-0", "rack-0")},
+    terms = DayTerms(
+        request_classes={
+            line.name: RequestClassTerms.from_track(line.effect, line.group, line.remembers)
+            for line in script.tracks
+        },
+        places={host: HostPlace("hall-0", "rack-0")},
     )
-    assert 3 in {each.rule for each in judge(facts, {host: [[*events, forged]]}, clients, run)}
-    assert 3 not in {each.rule for each in judge(facts, {host: [events]}, clients, run)}
+    assert 3 in {each.rule for each in judge(terms, {host: [[*events, forged]]}, clients, run)}
+    assert 3 not in {each.rule for each in judge(terms, {host: [events]}, clients, run)}
 
 
 def test_the_log_tells_each_gateway_addresses_of_its_own(tmp_path):
--- a/tests/cluster/test_script.py
+++ b/tests/cluster/test_script.py
@@ -11,7 +11,7 @@
 from gaproute.cluster.table import Table
 from gaproute.cluster.wires import late, ways
 from gaproute.config import ConfigurationError
-from gaproute.judge import Facts, judge
+from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 SEATS = [(f"g{number}", "gateway", f"hall-{number % 2}") for number in range(10)] + [
@@ -87,7 +87,10 @@
     assert script(tmp_path, "strike kill on g0 at 1s").cluster is not None
 
 
-FACTS = Facts({"p": "pure"}, {"p": "all"}, {"p": 0}, {"h": ("z", "r")})
+TERMS = DayTerms(
+    request_classes={"p": RequestClassTerms.from_track("pure", "all", 0)},
+    places={"h": HostPlace("z", "r")},
+)
 
 
 def day(*run, gateway=0, at=900):
@@ -105,7 +108,7 @@
         "gateway": gateway,
     }
     up = {"at": 0, "what": "up", "warm": True}
-    return [broken.rule for broken in judge(FACTS, {"mh00": [[up, arrival]]}, [end], run)]
+    return [broken.rule for broken in judge(TERMS, {"mh00": [[up, arrival]]}, [end], run)]
 
 
 def told(at, state, gateway):
--- a/tests/judge/test_judge.py
+++ b/tests/judge/test_judge.py
@@ -2,17 +2,19 @@
 
 import pytest
 
-from gaproute.judge import Facts, judge
+from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-FACTS = Facts(
-    {"p": "pure", "r": "receipted", "e": "effectful"},
-    {"p": "all", "r": "rack", "e": "all"},
-    {"p": 0, "r": 2 * SECOND, "e": 0},
-    {"h1": ("z1", "r1"), "h2": ("z1", "r2"), "h3": ("z2", "r1")},
-    order_free=2,
-    order_share=0.5,
-    order_window=SECOND,
+TERMS = DayTerms(
+    request_classes={
+        "p": RequestClassTerms.from_track("pure", "all", 0),
+        "r": RequestClassTerms.from_track("receipted", "rack", 2 * SECOND),
+        "e": RequestClassTerms.from_track("effectful", "all", 0),
+    },
+    places={"h1": HostPlace("z1", "r1"), "h2": HostPlace("z1", "r2"), "h3": HostPlace("z2", "r1")},
+    load_orders_free=2,
+    load_order_share=0.5,
+    load_order_window=SECOND,
 )
 UP = {
     "at": 0,
@@ -31,7 +33,7 @@
     return {"at": at * MILLI, "what": "task", "id": name, "track": track, "mark": mark, "work": work}
 
 
-def said(at, status, name="t"):
+def answered(at, status, name="t"):
     return {"at": at * MILLI, "what": "said", "id": name, "status": status}
 
 
@@ -52,15 +54,15 @@
 
 def rules(hosts=None, clients=(), run=()):
     hosts = {name: [[dict(UP, warm=True), *events]] for name, events in (hosts or {}).items()}
-    return [broken.rule for broken in judge(FACTS, hosts, list(clients), list(run))]
+    return [violation.rule for violation in judge(TERMS, hosts, list(clients), list(run))]
 
 
 def test_a_day_on_which_all_goes_well_breaks_nothing():
-    assert rules({"h1": [task(1), said(5, 200)]}, [end(6)]) == []
+    assert rules({"h1": [task(1), answered(5, 200)]}, [end(6)]) == []
 
 
 @pytest.mark.parametrize(
-    "hosts, clients",
+    ("hosts", "clients"),
     [
         ({}, [end(900, "overdue")]),
         ({}, [end(900, "broken")]),
@@ -77,7 +79,8 @@
 
 def test_rule_1_excuses_a_gateway_that_did_not_run():
     run = [{"at": 500 * MILLI, "what": "killed", "gateway": 0}]
-    assert rules({}, [end(600, "broken")], run) == [] and rules({}, [end(400, "broken")], run) == [1]
+    assert rules({}, [end(600, "broken")], run) == []
+    assert rules({}, [end(400, "broken")], run) == [1]
 
 
 def gateway_events(*events):
@@ -91,7 +94,7 @@
     assert rules({}, [end(4200, "broken", asked=4100 * MILLI)], run) == [1]
 
 
-def test_rule_1_does_not_take_a_killed_gateway_for_one_that_went_on():
+def test_rule_1_does_not_take_a_killed_gateway_for_one_that_was_resumed():
     run = gateway_events((100, "stopped"), (500, "killed"), (600, "continued"), (3000, "started"))
     assert rules({}, [end(2200, "broken", asked=2100 * MILLI)], run) == []
     assert rules({}, [end(4200, "broken", asked=4100 * MILLI)], run) == [1]
@@ -112,10 +115,10 @@
 
 
 @pytest.mark.parametrize(
-    "hosts, clients",
+    ("hosts", "clients"),
     [
         ({"h1": [task(1, track="e")], "h2": [task(50, track="e")]}, []),
-        ({"h1": [task(1, track="e"), said(5, 500)], "h2": [task(50, track="e")]}, []),
+        ({"h1": [task(1, track="e"), answered(5, 500)], "h2": [task(50, track="e")]}, []),
         ({"h1": [task(1, track="e"), task(50, track="e")]}, []),
         ({"h1": [task(1, track="e")]}, [end(60, outcome="declined", track="e", status=503)]),
         ({"h1": [task(1, track="r")], "h2": [task(50, track="r")]}, []),
@@ -129,37 +132,40 @@
 
 
 @pytest.mark.parametrize(
-    "hosts, clients",
+    ("hosts", "clients"),
     [
-        ({"h1": [task(1, track="e"), said(5, 429)], "h2": [task(50, track="e")]}, []),
-        ({"h1": [task(1, track="e"), said(5, 429)]}, [end(60, outcome="declined", track="e", status=503)]),
+        ({"h1": [task(1, track="e"), answered(5, 429)], "h2": [task(50, track="e")]}, []),
+        (
+            {"h1": [task(1, track="e"), answered(5, 429)]},
+            [end(60, outcome="declined", track="e", status=503)],
+        ),
         ({"h1": [task(1, track="e")]}, [end(60, outcome="scrapped", track="e", status=504)]),
         ({"h1": [task(1, track="r")], "h3": [task(50, track="r")]}, []),
         ({"h1": [task(1)], "h2": [task(50)]}, [end(60, outcome="declined", status=503)]),
     ],
 )
-def test_rule_2_allows_what_each_track_allows(hosts, clients):
+def test_rule_2_allows_what_each_request_class_allows(hosts, clients):
     assert rules(hosts, clients) == []
 
 
-def told(at, state, host="h1"):
+def notified(at, state, host="h1"):
     return {"at": at * MILLI, "what": "told", "host": host, "state": state}
 
 
-def test_rule_3_is_caught_for_tasks_and_orders_and_runs_from_the_first_telling():
+def test_rule_3_is_caught_for_requests_and_load_orders_and_runs_from_the_first_notification():
     order = {"at": 700 * MILLI, "what": "order", "gateway": "g", "count": 1, "model": "m"}
-    run = [told(0, "active"), told(100, "draining"), told(600, "gone")]
+    run = [notified(0, "active"), notified(100, "draining"), notified(600, "gone")]
     assert rules({"h1": [task(700)]}, [], run) == [3]
     assert rules({"h1": [order]}, [], run) == [3]
     assert rules({"h1": [task(550), dict(order, count=0)]}, [], run) == []
-    assert rules({"h1": [task(700)]}, [], [*run, told(650, "active")]) == []
+    assert rules({"h1": [task(700)]}, [], [*run, notified(650, "active")]) == []
     assert rules({"h2": [task(700)]}, [], run) == []
 
 
 def test_rule_4_counts_the_work_sent_within_the_window_against_what_the_host_can_do():
     def day(count, apart):
         return judge(
-            FACTS,
+            TERMS,
             {
                 "h1": [
                     [UP] + [task(10 + apart * place, f"t{place}", work=100 * MILLI) for place in range(count)]
@@ -170,11 +176,12 @@
         )
 
     # 2.2 s of work within 1 s at 1 core: over 2 times
-    assert [broken.rule for broken in day(22, 1)] == [4]
-    assert day(19, 1) == [] and day(22, 200) == []
+    assert [violation.rule for violation in day(22, 1)] == [4]
+    assert day(19, 1) == []
+    assert day(22, 200) == []
 
 
-def test_rule_5_counts_orders_against_the_tasks_taken_within_the_window():
+def test_rule_5_counts_load_orders_against_the_requests_taken_within_the_window():
     def orders(count, gap=1):
         return [
             {"at": (100 + gap * place) * MILLI, "what": "order", "gateway": "0", "count": 1, "model": "m"}
--- a/tests/scenarios/test_accounts.py
+++ b/tests/scenarios/test_accounts.py
@@ -8,7 +8,7 @@
 from gaproute.cluster.harness import ClusterHarness
 from gaproute.cluster.script import read_script
 from gaproute.cluster.verdict import Verdict
-from gaproute.judge import Broken, Kind
+from gaproute.judge import Violation, ViolationKind
 from gaproute.loop import Loop
 from gaproute.scenarios.result import Result
 from gaproute.scenarios.run import Trial
@@ -53,7 +53,8 @@
 def test_a_day_whose_clients_ended_before_their_tasks_is_not_well(tmp_path):
     assert result(tmp_path, answered("a"), DONE).well
     cut_short = result(tmp_path, answered("a"))
-    assert not cut_short.well and cut_short.plain()["clients_unfinished"] == 1
+    assert not cut_short.well
+    assert cut_short.plain()["clients_unfinished"] == 1
     assert not result(tmp_path, answered("a"), DONE, processes=2).well
 
 
@@ -73,12 +74,17 @@
 
 
 @pytest.mark.parametrize(
-    "kind, verdict", [(Kind.DUPLICATE, "failed"), (Kind.STRAY, "failed"), (Kind.LOST, "void")]
+    ("kind", "verdict"),
+    [
+        (ViolationKind.DUPLICATE, "failed"),
+        (ViolationKind.UNMATCHED_ANSWER, "failed"),
+        (ViolationKind.LOST, "void"),
+    ],
 )
 def test_a_harness_that_ran_late_hides_no_breach_that_rests_on_no_time(kind, verdict):
     made = Verdict.__new__(Verdict)
     made.whole, made.void, made.faulty = True, ["a wire ran late"], ["x"]
-    made.broken = [Broken(1, 0, "x", kind)]
+    made.broken = [Violation(1, 0, "x", kind)]
     assert made.verdict == verdict
 
 
@@ -105,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    "after, noted, signals",
+    ("after", "noted", "signals"),
     [(60 * MILLI, "ended", ["SIGTERM"]), (None, "killed", ["SIGTERM", "SIGKILL"])],
 )
 def test_a_gateway_that_has_not_ended_is_killed_as_soon_as_the_operators_may(after, noted, signals):
@@ -122,7 +128,8 @@
         trial=SimpleNamespace(processes=SimpleNamespace(rest=rest), kill_after=200 * MILLI, faulty=faulty),
     )
     loop.run(until=loop.spawn(ClusterGateways.end(gateways, 0, process)).done)
-    assert events == ["ending", noted] and [name for name, _ in process.told] == signals
+    assert events == ["ending", noted]
+    assert [name for name, _ in process.told] == signals
     assert bool(faulty) == (noted == "killed")
     if noted == "killed":
         assert 200 * MILLI <= process.told[1][1] - process.told[0][1] < 400 * MILLI
--- a/tests/scenarios/test_gateways.py
+++ b/tests/scenarios/test_gateways.py
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    "strike, note, number", [("kill", "killed", signal.SIGKILL), ("stall", "stopped", signal.SIGSTOP)]
+    ("strike", "note", "number"), [("kill", "killed", signal.SIGKILL), ("stall", "stopped", signal.SIGSTOP)]
 )
 def test_a_strike_is_noted_before_clients_can_see_it(tmp_path, strike, note, number):
     """A client whose connection ends by a kill that is noted later would be judged as lost by the gateway."""
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from gaproute.judge import Facts, Kind, judge
-from gaproute.judge.facts import DEADLINE_SLACK
+from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, ViolationKind, judge
+from gaproute.judge.terms import DEADLINE_SLACK
 from gaproute.scenarios.processes import Process
 from gaproute.standins.platform import charter
 from gaproute.standins.platform.listing import Listing, member
@@ -145,20 +145,23 @@
     return made
 
 
-def facts():
-    return Facts(
-        {track.name: track.effect for track in TRACKS},
-        {track.name: track.group for track in TRACKS},
-        {track.name: track.remembers for track in TRACKS},
-        {f"s-{number}": ("hall-a", 0) for number in range(3)},
+def terms():
+    return DayTerms(
+        request_classes={
+            track.name: RequestClassTerms.from_track(track.effect, track.group, track.remembers)
+            for track in TRACKS
+        },
+        places={f"s-{number}": HostPlace("hall-a", "rack-0") for number in range(3)},
     )
 
 
 def test_the_day_is_served_without_a_broken_rule(day):
     ends = [event for event in day.clients if event["what"] in ("answer", "overdue", "left", "broken")]
     delivered = [event for event in ends if event.get("outcome") == "delivered"]
-    assert judge(facts(), day.hosts, day.clients, day.run) == []
-    assert len(ends) > 300 and len(delivered) > 0.95 * len(ends) and day.codes == [0, 0]
+    assert judge(terms(), day.hosts, day.clients, day.run) == []
+    assert len(ends) > 300
+    assert len(delivered) > 0.95 * len(ends)
+    assert day.codes == [0, 0]
     share = sum(event["gateway"] == 0 for event in ends) / len(ends)
     assert 0.65 < share < 0.85  # three to one, as told
 
@@ -175,10 +178,10 @@
     end = next(end for end in day.clients if end.get("id") == name)
     left = end["asked"] + end["patience"] - event["at"]
     assert 0 < event["limit"] <= left + DEADLINE_SLACK
-    for more, found in ((0, []), (MILLI, [Kind.DEADLINE])):
+    for more, found in ((0, []), (MILLI, [ViolationKind.DEADLINE_TOO_LONG])):
         forged = list(day.hosts[host][0])
         forged[place] = event | {"limit": left + DEADLINE_SLACK + more}
-        judged = judge(facts(), day.hosts | {host: [forged]}, day.clients, day.run)
+        judged = judge(terms(), day.hosts | {host: [forged]}, day.clients, day.run)
         assert [broken.kind for broken in judged] == found
 
 
@@ -189,4 +192,4 @@
     assert len(late) > 20  # it worked until then
     forged = late[-1] | {"at": max(event["at"] for event in told) + 2 * SECOND}
     hosts = day.hosts | {DRAINED: [day.hosts[DRAINED][0] + [forged]]}
-    assert 3 in {broken.rule for broken in judge(facts(), hosts, day.clients, day.run)}
+    assert 3 in {broken.rule for broken in judge(terms(), hosts, day.clients, day.run)}
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -60,27 +60,34 @@
 
 def test_the_module_keeps_the_rules_on_a_day_that_tempts_to_each(days):
     code, result = days[0]
-    assert result["broken"] == [] and code == 0
-    assert result["relays"] > 200 and result["outcomes"]["repair-order"]["scrapped"] > 0
+    assert result["broken"] == []
+    assert code == 0
+    assert result["relays"] > 200
+    assert result["outcomes"]["repair-order"]["scrapped"] > 0
 
 
 def test_the_rules_hold_while_gateways_are_killed_and_stopped_and_hosts_replaced(days):
     code, result = days[-1]
-    assert result["broken"] == [] and code == 0 and result["fell_over"] == 0
+    assert result["broken"] == []
+    assert code == 0
+    assert result["fell_over"] == 0
     assert result["service"] > 0.5  # far below what is usual: it only tells a day that was not played
 
 
 @pytest.mark.parametrize("day", [-2, -3])
 def test_the_rules_hold_while_restarting_gateways_learn_even_where_all_that_is_told_is_wrong(days, day):
     code, result = days[day]
-    assert result["broken"] == [] and code == 0 and result["fell_over"] == 0
+    assert result["broken"] == []
+    assert code == 0
+    assert result["fell_over"] == 0
     assert result["service"] > 0.5
 
 
 @pytest.mark.parametrize("rule", sorted(ROGUES))
 def test_a_module_that_breaks_a_rule_is_caught_at_it(days, rule):
     code, result = days[rule]
-    assert code == 1 and rule in {broken["rule"] for broken in result["broken"]}
+    assert code == 1
+    assert rule in {broken["rule"] for broken in result["broken"]}
 
 
 CONFIG = """
@@ -117,17 +124,22 @@
 def test_the_console_starts_asks_and_stops_a_gateway_and_its_exit_codes_are_kept(tmp_path):
     process, where = started(tmp_path)
     told = command("status", "--at", f"unix:{tmp_path}/op", "--json")
-    assert told.returncode == 0 and json.loads(told.stdout)["ready"]
+    assert told.returncode == 0
+    assert json.loads(told.stdout)["ready"]
     assert "h" in command("hosts", "--at", f"unix:{tmp_path}/op").stdout
     second = command("serve", tmp_path / "g.conf")
-    assert second.returncode == 3 and "cannot listen" in second.stderr  # a live socket is not stolen
+    assert second.returncode == 3
+    assert "cannot listen" in second.stderr
     process.send_signal(signal.SIGTERM)
-    assert process.wait(10) == 0 and not os.path.exists(tmp_path / "op")
+    assert process.wait(10) == 0
+    assert not os.path.exists(tmp_path / "op")
     assert command("status", "--at", f"unix:{tmp_path}/op").returncode == 3
     (tmp_path / "bad.conf").write_text("track x\n")
     bad = command("check", tmp_path / "bad.conf")
-    assert bad.returncode == 2 and "bad.conf:1" in bad.stderr
-    assert command("check", tmp_path / "g.conf").returncode == 0 and command("nonsense").returncode == 2
+    assert bad.returncode == 2
+    assert "bad.conf:1" in bad.stderr
+    assert command("check", tmp_path / "g.conf").returncode == 0
+    assert command("nonsense").returncode == 2
 
 
 def test_a_killed_gateway_starts_again_at_its_address(tmp_path):
@@ -215,6 +227,9 @@
     file.write_text(text)
     script = read_script(str(file))
     made = {(line.name, line.at // 1_000_000, line.hosts) for line in script.troubles}
-    assert ("slow", 5500, 1) in made and ("lost", 1000, 4) in made and ("preempt", 500, 1) in made
-    assert left_out == ["unheard_of"] and script.day.hosts == 8
+    assert ("slow", 5500, 1) in made
+    assert ("lost", 1000, 4) in made
+    assert ("preempt", 500, 1) in made
+    assert left_out == ["unheard_of"]
+    assert script.day.hosts == 8
     assert sum(line.name == "gateway-stall" for line in script.troubles) > 1
