--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from statistics import median
 
-from gaproute.scenarios.processes import Process
+from gaproute.scenarios.processes import DayProcess
 from gaproute.standins.platform.gateway_configuration import (
     RequestClassSettings,
     deployment_settings,
@@ -48,7 +48,7 @@
         self.folder, self.processes, self.listing = Path(folder), [], VersionedHostList()
         where = {}
         for first in range(0, count, HOSTS_EACH):
-            _, told = self.standin(
+            _, told = self.start_stand_in(
                 "platform-host",
                 {
                     "models": MODELS,
@@ -63,12 +63,14 @@
             where |= told["addresses"]
         self.where = where
         whole = self.listing.change(*[member(name, at) for name, at in where.items()])
-        self.log, ways = self.standin("platform-log", {"gateways": ["127.0.0.2:0"], "tap": f"{folder}/log"})
-        self.log.say(whole)
+        self.log, ways = self.start_stand_in(
+            "platform-log", {"gateways": ["127.0.0.2:0"], "tap": f"{folder}/log"}
+        )
+        self.log.send(whole)
         self.gateway(ways["addresses"][0])
 
-    def standin(self, kind, told):
-        process = Process([sys.executable, "-m", "gaproute.standins", kind], told, self.folder / "err")
+    def start_stand_in(self, kind, told):
+        process = DayProcess([sys.executable, "-m", "gaproute.standins", kind], told, self.folder / "err")
         self.processes.append(process)
         return process, json.loads(process.child.stdout.readline())
 
@@ -108,11 +110,11 @@
         for number in range(CHANGES):
             name = names[number // 2 % len(names)]
             state = ("draining", "active")[number % 2]
-            self.log.say(self.listing.change(member(name, self.where[name], state)))
+            self.log.send(self.listing.change(member(name, self.where[name], state)))
             time.sleep(0.05)
 
     def serve(self, seconds):
-        clients, _ = self.standin(
+        clients, _ = self.start_stand_in(
             "platform-clients",
             {
                 "gateways": [self.listens],
@@ -131,7 +133,7 @@
             self.child.send_signal(signal.SIGTERM)
             self.child.wait(15)
         for process in self.processes:
-            process.end()
+            process.close()
 
 
 def play(hosts, seconds):
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -70,10 +70,10 @@
 
 def _day_play() -> tuple[Callable[..., Any], Callable[..., None]]:
     """The same of a scripted day."""
-    from gaproute.scenarios.run import Trial
-    from gaproute.scenarios.tables import show
+    from gaproute.scenarios.result_table import print_result
+    from gaproute.scenarios.trial import Trial
 
-    return Trial, show
+    return Trial, print_result
 
 
 @click.command()
@@ -157,10 +157,10 @@
 @click.option("--scale", default=1.0, help="Shortens all times.")
 def day_script(day: IO[str], hosts: int, gateways: int, scale: float) -> None:
     """Print a trial script with the troubles of a bench's DAY file (JSON)."""
-    from gaproute.scenarios.daybook import script_of
+    from gaproute.scenarios.bench_day import convert_bench_day
 
     try:
-        text, left_out = script_of(json.load(day), hosts, gateways, scale)
+        text, left_out = convert_bench_day(json.load(day), hosts, gateways, scale)
     except (ValueError, KeyError, TypeError) as error:
         fail(f"{day.name}: no day file: {error!r}")
     click.echo(text, nl=False)
--- a/gaproute/cluster/address_plan.py
+++ b/gaproute/cluster/address_plan.py
@@ -65,7 +65,7 @@
     def host(self, number, seat):
         """Where gateway `number` finds a host."""
         if self.direct:
-            return seat.where
+            return seat.address
         where = self.known.get((number, seat.number))
         if where is None:
             where = f"{between(GATEWAYS + number, HOSTS + seat.number)}:{self.port}"
@@ -95,7 +95,7 @@
             "name": seat.name,
             "kind": "host",
             "zone": f"host/{seat.zone}",
-            "tcp": seat.where,
+            "tcp": seat.address,
             "udp": None,
             "whose": self.whose,
         }
--- a/gaproute/cluster/clients.py
+++ b/gaproute/cluster/clients.py
@@ -1,9 +1,9 @@
 """The clients: several processes that share one load, each with names, chance and a tap of its own."""
 
-from gaproute.scenarios.crowd import Crowd
+from gaproute.scenarios.clients import DayClients
 
 
-class ClusterClients(Crowd):
+class ClusterClients(DayClients):
     """The clients of appliances."""
 
     KIND = "clients"  # of the stand-ins
@@ -11,7 +11,7 @@
     def told_to(self, place, count):
         """What the process at that place is told, of so many."""
         seed = self.trial.seed * 100 + place
-        told = self.told(f"clients-{place}", self.kinds(), seed, count)
+        told = self.settings(f"clients-{place}", self.request_classes(), seed, count)
         return told | {"habits": told["habits"] | self.own_habits(place)}
 
     def own_habits(self, place):
@@ -21,6 +21,6 @@
     def start(self):
         count, processes = self.trial.script.cluster.clients, self.trial.processes
         self.processes = [
-            processes.standin(self.KIND, f"clients-{place}", self.told_to(place, count))
+            processes.start_stand_in(self.KIND, f"clients-{place}", self.told_to(place, count))
             for place in range(count)
         ]
--- a/gaproute/cluster/gateways.py
+++ b/gaproute/cluster/gateways.py
@@ -4,13 +4,13 @@
 import signal
 
 from gaproute.cluster.processes import NEXT, hurry
-from gaproute.scenarios.gateways import Gateways
+from gaproute.scenarios.gateways import DayGateways
 from gaproute.scenarios.processes import MILLI
 
 WAY_BACK = 25 * MILLI  # the configuration's own, for an answer's way on a machine that is not crowded
 
 
-class ClusterGateways(Gateways):
+class ClusterGateways(DayGateways):
     """`clocks`: {gateway: (rate, offset in ns)}."""
 
     def __init__(self, trial):
@@ -20,7 +20,7 @@
             number: self.table.gateway(number)[0] for number in range(trial.script.day.gateways)
         }
 
-    def lines(self, number):
+    def configuration_lines(self, number):
         """Its configuration: made once, as it names every other gateway."""
         if number not in self.texts:
             self.texts[number] = self.fresh(number)
@@ -33,7 +33,7 @@
             f"name {name}",
             f"listen kserve {clients}",
             f"decisions {trial.decisions}",
-            f"hosts-file {trial.list.path(number)} look 50ms",
+            f"hosts-file {trial.host_list.path(number)} look 50ms",
             *trial.script.gateway_lines,
         ]
         if not any(line.split()[0] == "clients" for line in trial.script.gateway_lines):
@@ -48,7 +48,7 @@
         lines += [f"memory {self.out}/{name}.memory"] * day.memory
         return lines + trial.crews.lines(number) + self.model_lines()
 
-    def manner(self, number):
+    def process_options(self, number):
         rate, offset = self.clocks.get(number, (1.0, 0))
         return {"rate": rate, "offset": offset}
 
@@ -92,7 +92,7 @@
         """A coroutine: asked to end, and killed where it has not as soon as the operators may."""
         self.tap.note("ending", gateway=number)
         process.signal(signal.SIGTERM)
-        yield from self.trial.processes.rest([process], self.trial.kill_after)
+        yield from self.trial.processes.wait_for_exit([process], self.trial.kill_after)
         code = process.child.poll()
         self.tap.note("killed" if code is None else "ended", gateway=number)
         if code is None:
@@ -100,14 +100,14 @@
         if code != 0:
             self.trial.faulty.append(f"g{number} ended with {code} after a SIGTERM")
 
-    def stall(self, number, span):
+    def pause(self, number, span):
         if number in self.busy:
             return
         self.busy.add(number)
-        yield from super().stall(number, span)
+        yield from super().pause(number, span)
         self.busy.discard(number)
 
-    def kill(self, number, back):
+    def kill_and_restart(self, number, back):
         yield from self.restart(number, "KILL", back)
 
     def starve(self, number, until, duty, cycle=100 * MILLI):
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -23,8 +23,8 @@
 from gaproute.cluster.process_faults import ProcessFaults
 from gaproute.cluster.processes import ClusterProcesses, StartLimiter, calm
 from gaproute.cluster.verdict import ClusterVerdict
-from gaproute.scenarios.processes import MILLI, SECOND, NotReady
-from gaproute.scenarios.run import Trial
+from gaproute.scenarios.processes import MILLI, SECOND, NotReadyError
+from gaproute.scenarios.trial import Trial
 from gaproute.standins.tap import read_tap
 
 LAST_RESORT = 30  # seconds after the bound: the alarm ends a parent that no longer turns its loop
@@ -35,15 +35,15 @@
     ENDING = 20 * SECOND  # beyond the longest limit, for hundreds of gateways that end at once: nobody asks
     #                       any more
 
-    def late(self):
+    def harness_lateness(self):
         """What hosts, clients and wires noted; the parent judges nobody."""
         most = self.lateness.most()
         return round(max(most["hosts"], most["clients"], most["wires"]) * MILLI)
 
-    def ending_time(self):
-        return self.longest + self.ENDING
+    def termination_time(self):
+        return self.longest_deadline + self.ENDING
 
-    def furnish(self):
+    def create_parts(self):
         settings, self.faulty, self.voids, self.ready_time = self.script.cluster, [], [], None
         self.begun = self.ended = 0
         self.loop.on_error = self.went_wrong
@@ -55,9 +55,9 @@
         self.table = AddressPlan(self.script.day, settings.direct)
         self.processes = ClusterProcesses(self.loop, self.out)
         self.wires = LinkEmulators(self.loop, self.processes, self.table, self.seed)
-        self.seats = ClusterHosts(self, random.Random(self.seed))
-        self.list = GatewayHostLists(self.loop, self.tap, self.seats, self.table, self.out / "lists")
-        self.gateways, self.crowd = ClusterGateways(self), ClusterClients(self)
+        self.hosts = ClusterHosts(self, random.Random(self.seed))
+        self.host_list = GatewayHostLists(self.loop, self.tap, self.hosts, self.table, self.out / "lists")
+        self.gateways, self.clients = ClusterGateways(self), ClusterClients(self)
         self.strikes, self.lateness, self.crews = (
             ProcessFaults(self),
             HarnessLateness(self),
@@ -76,7 +76,7 @@
         if type(error) is RuntimeError:
             self.faulty.append(str(error))
         else:
-            known = isinstance(error, NotReady)
+            known = isinstance(error, NotReadyError)
             self.voids.append(str(error) if known else f"the harness's own error: {error!r}")
 
     def hosts_seen(self):
@@ -92,36 +92,36 @@
     def set_up(self):
         begun, day, settings = self.loop.now(), self.script.day, self.script.cluster
         yield from self.start_store()
-        yield from self.together([self.seats.start(self.seats.new(), True) for _ in range(day.hosts)])
+        yield from self.run_together([self.hosts.start(self.hosts.create(), True) for _ in range(day.hosts)])
         if not settings.direct:
             seats = dict(self.table.gateway_seat(number) for number in range(day.gateways))
-            seats |= dict(map(self.table.host_seat, self.seats.seats.values()))
+            seats |= dict(map(self.table.host_seat, self.hosts.by_name.values()))
             seats |= dict(map(self.table.list_seat, range(len(self.table.ways))))
             yield from self.wires.start(settings.wires, seats)
-        self.list.first()
+        self.host_list.first()
         self.strikes.clocks()
-        self.talk(f"{(self.loop.now() - begun) / SECOND:5.1f} s  hosts are up")
-        yield from self.together(
+        self.report(f"{(self.loop.now() - begun) / SECOND:5.1f} s  hosts are up")
+        yield from self.run_together(
             [self.starting(self.gateways.start(number)) for number in range(day.gateways)]
         )
         self.ready_time = self.loop.now() - begun
-        self.talk(f"{self.ready_time / SECOND:5.1f} s  all are up; the day begins")
+        self.report(f"{self.ready_time / SECOND:5.1f} s  all are up; the day begins")
 
-    def begin(self):
+    def day_routines(self):
         script = self.script
         self.loop.spawn(self.lateness.begin())
         self.begun = self.loop.now()
         if self.script.cluster.direct and script.faults:
-            self.talk("direct: no wire, its faults are left out")
+            self.report("direct: no wire, its faults are left out")
         return [
-            *super().begin(),
+            *super().day_routines(),
             *self.crews.begin(),
             *(self.wires.fault(self, line, self.chance(line)) for line in script.faults if self.wires.wires),
             *(self.strikes.strike(line) for line in script.strikes if line.kind != "clock"),
-            *(self.list.strike(line, self.strikes.numbers(line)) for line in script.lists),
+            *(self.host_list.strike(line, self.strikes.numbers(line)) for line in script.lists),
         ]
 
-    def wind_up(self):
+    def shut_down(self):
         yield from self.lateness.end()
         end = self.loop.now() + BACK
         # who was being restarted is up before it is asked to end
@@ -129,7 +129,7 @@
             yield self.loop.sleep(20 * MILLI)
         for number in self.gateways.processes:
             self.gateways.processes[number].signal(signal.SIGCONT)
-        yield from super().wind_up()
+        yield from super().shut_down()
 
     def run(self):
         """Plays the day; its `ClusterVerdict`, which stands in the folder as well."""
@@ -145,7 +145,7 @@
                 self.voids.append(str(fault))
         finally:
             calm()
-            self.processes.end()
+            self.processes.close()
             self.tap.flush()
             signal.setitimer(signal.ITIMER_REAL, 0)
         verdict = ClusterVerdict(self, end, time.time() - begun)
--- a/gaproute/cluster/host_lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -10,11 +10,11 @@
 
 
 class GatewayHostLists:
-    """Has the face of a trial's `HostList`; `late` is the lateness that strikes all gateways."""
+    """Has the face of a trial's `HostListFile`; `late` is the lateness that strikes all gateways."""
 
     def __init__(self, loop, tap, seats, table, folder):
-        self.loop, self.tap, self.seats, self.table, self.folder = loop, tap, seats, table, folder
-        self.late, self.asked, self.count = 0, False, 0
+        self.loop, self.tap, self.hosts, self.table, self.folder = loop, tap, seats, table, folder
+        self.delay, self.asked, self.count = 0, False, 0
         self.behind = {}  # gateway: ns that its list is late, or None where it is not told at all
         self.newest = [0] * table.day.gateways  # snapshot written: a late one never undoes a newer
         self.told = [{} for _ in range(table.day.gateways)]  # by gateway: {host: state last told}
@@ -46,8 +46,10 @@
         """(its number, [(seat, its state, what stands before and after its address)]) as of now."""
         self.count += 1
         return self.count, [
-            (seat, "gone", ()) if seat.state == "absent" else (seat, seat.state, seat.line("@").split("@"))
-            for seat in self.seats.seats.values()
+            (seat, "gone", ())
+            if seat.state == "absent"
+            else (seat, seat.state, seat.list_line("@").split("@"))
+            for seat in self.hosts.by_name.values()
             if seat.process is not None
         ]
 
@@ -83,9 +85,9 @@
             self.write(number, rows)
         self.tap.flush()
 
-    def soon(self, seat, state, delay):
+    def publish_state(self, seat, state, delay):
         """A coroutine: the list tells of the seat after the delay, later still while the list is late."""
-        yield self.loop.sleep(delay + self.late)
+        yield self.loop.sleep(delay + self.delay)
         seat.state = state
         self.publish()
 
--- a/gaproute/cluster/hosts.py
+++ b/gaproute/cluster/hosts.py
@@ -1,9 +1,9 @@
 """The hosts: the wire is told where each listens; who is struck is drawn by the script's line alone."""
 
-from gaproute.scenarios.seats import Seats
+from gaproute.scenarios.hosts import DayHosts
 
 
-class ClusterHosts(Seats):
+class ClusterHosts(DayHosts):
     def __init__(self, harness, random):
         super().__init__(harness.script, harness.seed, harness.processes, harness.models, random)
         self.harness = harness
@@ -22,10 +22,10 @@
             number, told = self.harness.table.host_seat(seat)
             self.harness.wires.say({"seat": {number: told | {"refuses": refuses}}})
 
-    def pick(self, line):
+    def choose(self, line):
         free = [
             seat
-            for seat in self.seats.values()
-            if seat.state == "active" and not seat.busy and line.zone in (None, seat.zone)
+            for seat in self.by_name.values()
+            if seat.state == "active" and not seat.under_fault and line.zone in (None, seat.zone)
         ]
         return self.harness.chance(line).sample(free, min(line.hosts, len(free)))
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -43,7 +43,7 @@
 
     def most(self):
         """{who: longest lateness, ms}"""
-        done = [event["late"] for event in self.harness.crowd.events() if event["what"] == "done"]
+        done = [event["late"] for event in self.harness.clients.events() if event["what"] == "done"]
         hosts = [
             event["by"] for events in self.harness.hosts_seen() for event in events if event["what"] == "late"
         ]
@@ -66,7 +66,10 @@
                 f"gateways were ready without a core for {self.waited:.0%} of the day, "
                 f"{WAITED:.0%} are allowed"
             )
-        if sum(event["what"] == "done" for event in harness.crowd.events()) < harness.script.cluster.clients:
+        if (
+            sum(event["what"] == "done" for event in harness.clients.events())
+            < harness.script.cluster.clients
+        ):
             yield "clients did not end in time"
         for place, told in enumerate(self.wires):
             if told is None:
--- a/gaproute/cluster/link_emulators.py
+++ b/gaproute/cluster/link_emulators.py
@@ -5,7 +5,7 @@
 
 from gaproute.cluster import slot_sets
 from gaproute.loop.descriptors import HANGUP, READ
-from gaproute.scenarios.processes import MILLI, SECOND, NotReady
+from gaproute.scenarios.processes import MILLI, SECOND, NotReadyError
 
 ANSWER = 5 * SECOND  # for a wire to say its counts: one that takes longer ran late anyway
 AFTER = 500 * MILLI  # after a cut, until all that it kept has flown on
@@ -32,9 +32,9 @@
             self.wires.append(wire)
             self.told.append([])
         for wire, told in zip(self.wires, self.told, strict=True):
-            answer = yield self.processes.line(wire, "a wire")
+            answer = yield self.processes.first_line(wire, "a wire")
             if not answer.get("ready"):
-                raise NotReady(f"a wire did not start: {answer}")
+                raise NotReadyError(f"a wire did not start: {answer}")
             self.listen(wire, told)
 
     def listen(self, wire, told):
@@ -59,7 +59,7 @@
 
     def say(self, line):
         for wire in self.wires:
-            wire.say(line)
+            wire.send(line)
 
     def counts(self):
         """A coroutine: what each says now, in their order; None for one that says nothing in time."""
@@ -90,7 +90,7 @@
         }
         self.numbers += 1
         name = f"f{self.numbers}"
-        harness.talk(f"{line.at / SECOND:5.1f} s  {line.kind} on the wire")
+        harness.report(f"{line.at / SECOND:5.1f} s  {line.kind} on the wire")
         self.say({"fault": name, "on": on})
         span, slack = late(line)
         note = {"id": name, "kind": line.kind, "late": span, "slack": slack}
@@ -103,7 +103,7 @@
 
     def ends(self, harness, text, random):
         """(words for the wire, names of seats now). Words that the wire knows cover hosts that come later."""
-        parts, seats = slot_sets.parse(text), harness.table.all(harness.seats.seats.values())
+        parts, seats = slot_sets.parse(text), harness.table.all(harness.hosts.by_name.values())
         names = slot_sets.names(parts, seats, random)
         if any(part.no or part.share < 1 for part in parts):
             return names, names
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -8,19 +8,21 @@
 
 class PlatformChangeLog:
     def __init__(self, harness):
-        self.harness, self.loop, self.table, self.seats = harness, harness.loop, harness.table, harness.seats
-        self.late, self.asked, self.told = 0, False, {}
+        self.harness, self.loop, self.table, self.hosts = harness, harness.loop, harness.table, harness.hosts
+        self.delay, self.asked, self.told = 0, False, {}
         self.listing, self.process = VersionedHostList(), None
 
     def furnish(self):
         """A coroutine: the log's process, which listens for each gateway apart."""
         gateways = range(self.table.day.gateways)
-        self.process = self.harness.processes.standin(
+        self.process = self.harness.processes.start_stand_in(
             "platform-log",
             "log",
             {"gateways": ["127.0.0.1:0"] * len(gateways), "tap": str(self.harness.out / "log.tap")},
         )
-        self.table.ways = (yield self.harness.processes.line(self.process, "the change log"))["addresses"]
+        self.table.ways = (yield self.harness.processes.first_line(self.process, "the change log"))[
+            "addresses"
+        ]
 
     def row(self, seat):
         """As the log's event has it, with an address for each gateway; None before it was ever up."""
@@ -59,18 +61,18 @@
         """What has changed since, as one event."""
         self.asked = False
         fresh = []
-        for seat in self.seats.seats.values():
+        for seat in self.hosts.by_name.values():
             row = self.row(seat)
             before = self.told.get(seat.name)
             if row is not None and row != before and (before is not None or row["phase"] != "Gone"):
                 self.told[seat.name] = row
                 fresh.append(row)
         if fresh:
-            self.process.say(self.listing.change(*fresh))
+            self.process.send(self.listing.change(*fresh))
 
-    def soon(self, seat, state, delay):
+    def publish_state(self, seat, state, delay):
         """A coroutine: the log tells of the seat after the delay, later still while the list is late."""
-        yield self.loop.sleep(delay + self.late)
+        yield self.loop.sleep(delay + self.delay)
         seat.state = state
         self.publish()
 
@@ -88,15 +90,15 @@
                 names.append(number)
         if not names or line.what == "datagrams":
             return
-        self.process.say({"trouble": "elsewhere", "gateways": names})
+        self.process.send({"trouble": "elsewhere", "gateways": names})
         yield self.loop.sleep(line.lasts)
-        self.process.say({"trouble": "elsewhere", "gateways": names, "on": False})
+        self.process.send({"trouble": "elsewhere", "gateways": names, "on": False})
 
     def strike(self, line, numbers):
         """A coroutine: a `list` line; deaf gateways' ways are silent, which counts as told after 4 s."""
         yield self.loop.sleep(line.at)
         told = {"trouble": "late", "by": line.back} if line.kind == "late" else {"trouble": "silent"}
-        self.process.say(told | {"gateways": numbers})
+        self.process.send(told | {"gateways": numbers})
         self.harness.tap.note("list", kind=line.kind, gateways=numbers, lasts=line.lasts)
         yield self.loop.sleep(line.lasts)
-        self.process.say(told | {"gateways": numbers, "on": False})
+        self.process.send(told | {"gateways": numbers, "on": False})
--- a/gaproute/cluster/platform/clients.py
+++ b/gaproute/cluster/platform/clients.py
@@ -11,9 +11,9 @@
 
     KIND = "platform-clients"
 
-    def kinds(self):
+    def request_classes(self):
         """As the platform's clients know them."""
-        return [{name: kind[name] for name in KNOWN_OF_KINDS} for kind in super().kinds()]
+        return [{name: kind[name] for name in KNOWN_OF_KINDS} for kind in super().request_classes()]
 
     def told_to(self, place, count):
         """As of other clients, and the models, of which all kinds draw."""
@@ -26,7 +26,7 @@
     def start(self):
         super().start()
         # they say when their first task comes
-        self.begun = [self.trial.processes.line(process, "clients") for process in self.processes]
+        self.begun = [self.trial.processes.first_line(process, "clients") for process in self.processes]
 
     def events(self):
         """As of a harness's other clients: who is done says how late it has run since its first task."""
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -4,7 +4,7 @@
 
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import NEXT, hurry
-from gaproute.scenarios.processes import MILLI, READY_TIME, NotReady
+from gaproute.scenarios.processes import MILLI, READY_TIME, NotReadyError
 from gaproute.standins.platform.gateway_configuration import (
     RequestClassSettings,
     deployment_settings,
@@ -47,7 +47,7 @@
             name,
             listen,
             self.table.changelog(number),
-            trial.list.known(number),
+            trial.host_list.known(number),
             self.rules(),
             trial.seed * 1000 + number,
             peer_listen=peers if trial.script.day.peers else "",
@@ -57,7 +57,12 @@
         log = self.out / f"{name}.log"
         before = log.stat().st_size if log.exists() else 0
         process = trial.processes.start(
-            ["gaproute.platform"], None, log.name, tells=False, environment=environment, **self.manner(number)
+            ["gaproute.platform"],
+            None,
+            log.name,
+            reads_output=False,
+            environment=environment,
+            **self.process_options(number),
         )
         self.processes[number] = process
         end = self.loop.now() + READY_TIME
@@ -65,7 +70,7 @@
             if process.child.poll() is not None:
                 raise RuntimeError(f"{name} did not start; see {log}")
             if self.loop.now() > end:
-                raise NotReady(f"{name} was not up in time; see {log}")
+                raise NotReadyError(f"{name} was not up in time; see {log}")
             yield self.loop.sleep(20 * MILLI)
         if trial.script.cluster.crowded and trial.processes.first:
             hurry(process.child.pid, NEXT)
@@ -78,10 +83,10 @@
 
     def restart(self, number, kind, back):
         if kind == "TERM" and number not in self.busy:
-            self.trial.crowd.say({"do": "leaving", "gateway": number})
+            self.trial.clients.send({"do": "leaving", "gateway": number})
         yield from super().restart(number, kind, back)
 
-    def stop(self, span):
-        yield from super().stop(span)
-        self.trial.list.process.hush()
-        self.trial.spread.hush()
+    def terminate(self, span):
+        yield from super().terminate(span)
+        self.trial.host_list.process.close_input()
+        self.trial.spread.close_input()
--- a/gaproute/cluster/platform/harness.py
+++ b/gaproute/cluster/platform/harness.py
@@ -13,23 +13,23 @@
 
 
 class PlatformHarness(ClusterHarness):
-    def furnish(self):
-        super().furnish()
+    def create_parts(self):
+        super().create_parts()
         for number, model in enumerate(self.models, 1):
             model["name"] = f"{number:016x}"  # as the platform names functions
         self.table.whose = True  # orders bear their gateway's name, for rule 5
-        self.seats = PlatformHosts(self, random.Random(self.seed))
-        self.list = PlatformChangeLog(self)
-        self.gateways, self.crowd = PlatformGateways(self), PlatformClients(self)
+        self.hosts = PlatformHosts(self, random.Random(self.seed))
+        self.host_list = PlatformChangeLog(self)
+        self.gateways, self.clients = PlatformGateways(self), PlatformClients(self)
         self.strikes = ProcessFaults(self)
         self.spread, self.spread_at = None, ""
 
     def start_store(self):
         yield from super().start_store()
-        yield from self.seats.furnish()
-        yield from self.list.furnish()
+        yield from self.hosts.furnish()
+        yield from self.host_list.furnish()
         gateways, table = range(self.script.day.gateways), self.table
-        self.spread = self.processes.standin(
+        self.spread = self.processes.start_stand_in(
             "platform-spread",
             "spread",
             {
@@ -43,20 +43,20 @@
                 },
             },
         )
-        self.spread_at = (yield self.processes.line(self.spread, "the spreader"))["address"]
+        self.spread_at = (yield self.processes.first_line(self.spread, "the spreader"))["address"]
 
-    def begin(self):
+    def day_routines(self):
         """Clients wait until all gateways answer them; the script's times count from their first task."""
         cuts = [
-            self.list.cut(line)
+            self.host_list.cut(line)
             for line in self.script.faults
             if self.wires.wires and line.kind in ("cut", "hold")
         ]
-        return [self.once_in(routine) for routine in [*super().begin(), *cuts]]
+        return [self.once_in(routine) for routine in [*super().day_routines(), *cuts]]
 
     def once_in(self, routine):
         # Not `yield from`: the loop sends what each promise came to, which an iterator of a list cannot take.
-        for begun in self.crowd.begun:  # noqa: UP028
+        for begun in self.clients.begun:  # noqa: UP028
             yield begun
         yield from routine
 
@@ -67,8 +67,8 @@
             for path in self.out.glob("hosts-*.tap")
         ]
 
-    def wind_up(self):
-        yield from super().wind_up()
+    def shut_down(self):
+        yield from super().shut_down()
         self.tap.flush()
         told = self.out / "log.tap"  # what was told to whom is judged with the rest
         self.tap.file.write(told.read_bytes() if told.exists() else b"")
--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -15,18 +15,18 @@
     def __init__(self, process, name):
         self.process, self.name, self.child = process, name, process.child
 
-    def say(self, told):
+    def send(self, told):
         if not self.child.stdin.closed:  # the first of them that ends it ends all
-            self.process.say(told | {"host": self.name})
+            self.process.send(told | {"host": self.name})
 
     def signal(self, number):
         if number == signal.SIGKILL:
-            self.say({"do": "crash"})
+            self.send({"do": "crash"})
         elif number in (signal.SIGSTOP, signal.SIGCONT):
-            self.say({"trouble": "vanish", "on": number == signal.SIGSTOP})
+            self.send({"trouble": "vanish", "on": number == signal.SIGSTOP})
 
-    def hush(self):
-        self.process.hush()
+    def close_input(self):
+        self.process.close_input()
 
 
 class PlatformHosts(ClusterHosts):
@@ -39,14 +39,14 @@
         """Before the first host starts."""
         for place in range(-(-self.script.day.hosts // PER_PROCESS)):
             self.many.append(
-                self.processes.standin(
+                self.processes.start_stand_in(
                     "platform-host",
                     f"hosts-{place}",
                     {
                         "hosts": [],
                         "models": self.models,
                         "taps": str(self.processes.out),
-                        "store": self.store_at,
+                        "store": self.store_address,
                         "seed": self.seed,
                         "tap": str(self.processes.out / f"hosts-{place}.tap"),
                     },
@@ -54,7 +54,7 @@
             )
             self.gates.append(StartLimiter(self.harness.loop, 1))
         for process in self.many:
-            yield self.processes.line(process, "the hosts' process")
+            yield self.processes.first_line(process, "the hosts' process")
 
     def start(self, seat, warm):
         """A coroutine: the host's next life, at the address it had."""
@@ -64,12 +64,12 @@
         self.tell(seat, False)
 
     def one(self, seat, process, warm):
-        make = seat.properties(self.script.life)
-        seat.runs += 1
-        process.say(
-            {"host": seat.name, "do": "start", "seat": {"listen": seat.where, "make": make, "warm": warm}}
+        make = seat.profile(self.script.life)
+        seat.run_count += 1
+        process.send(
+            {"host": seat.name, "do": "start", "seat": {"listen": seat.address, "make": make, "warm": warm}}
         )
-        seat.where = (yield self.processes.line(process, seat.name))["address"]
+        seat.address = (yield self.processes.first_line(process, seat.name))["address"]
         seat.process = SharedProcessHost(process, seat.name)
         seat.started = None if warm else time.time_ns()
 
--- a/gaproute/cluster/processes.py
+++ b/gaproute/cluster/processes.py
@@ -11,7 +11,7 @@
 from collections import deque
 
 from gaproute.loop import Promise
-from gaproute.scenarios.processes import MILLI, Processes
+from gaproute.scenarios.processes import MILLI, DayProcesses
 
 NICE = 5  # that gateways are nicer where nobody may be woken at once
 URGENT, NEXT = 2, 1  # the lowest real-time priorities: woken at once, before other work; gateways
@@ -32,10 +32,10 @@
     os.sched_setscheduler(0, os.SCHED_OTHER, os.sched_param(0))
 
 
-class ClusterProcesses(Processes):
+class ClusterProcesses(DayProcesses):
     # As a service manager starts them. Linux shares cores among sessions first: in one, 200 gateways would
     # have as much as a single process of somebody else's.
-    APART = True
+    OWN_SESSION = True
 
     def __init__(self, loop, out):
         super().__init__(loop, out)
@@ -65,9 +65,9 @@
             *words,
         ]
 
-    def line(self, process, name="a stand-in"):
+    def first_line(self, process, name="a stand-in"):
         """As a trial's; who is ready is the harness's own, and hurries from then on."""
-        promise = super().line(process, name)
+        promise = super().first_line(process, name)
         promise.then(lambda promise: self.first and hurry(process.child.pid))
         return promise
 
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -5,10 +5,10 @@
 """
 
 from gaproute.judge import TIME_INDEPENDENT
-from gaproute.scenarios.result import Result
+from gaproute.scenarios.result import DayResult
 
 
-class ClusterVerdict(Result):
+class ClusterVerdict(DayResult):
     """A trial's result, and whether the harness that found it kept time. `end`: what ended it early, if
     anything."""
 
@@ -21,7 +21,7 @@
         if self.whole:
             super().__init__(harness)
             self.faulty += [
-                f"g{number} ended with {code}" for number, code in self.codes.items() if code != 0
+                f"g{number} ended with {code}" for number, code in self.exit_codes.items() if code != 0
             ]
             self.faulty += [f"rule {broken.rule}: {broken.text}" for broken in self.broken[:20]]
             self.permits = harness.crews.judged()
--- a/gaproute/scenarios/daybook.py
+++ b/gaproute/scenarios/bench_day.py
@@ -44,7 +44,7 @@
 TRACK = ("fault-check", "dimming-plan", "repair-order")
 
 
-def script_of(day, hosts=9, gateways=3, scale=1.0, rate=110.0):
+def convert_bench_day(day, hosts=9, gateways=3, scale=1.0, rate=110.0):
     """(text of the script, kinds of trouble left out). `scale` shortens all times."""
     lines, left_out = [], []
     servers = max(1, len(day.get("servers", ())))
--- a/gaproute/scenarios/crowd.py
+++ b/gaproute/scenarios/clients.py
@@ -4,11 +4,11 @@
 from gaproute.standins.tap import read_tap
 
 
-class Crowd:
+class DayClients:
     def __init__(self, trial):
         self.trial, self.processes = trial, []
 
-    def kinds(self):
+    def request_classes(self):
         """The tracks as clients know them."""
         script = self.trial.script
         limits = {line.name: line.limit for line in script.tracks}
@@ -24,7 +24,7 @@
             for line in script.traffic
         ]
 
-    def told(self, name, kinds, seed, processes=1):
+    def settings(self, name, kinds, seed, processes=1):
         """What one of so many processes of clients is told."""
         trial, day = self.trial, self.trial.script.day
         return {
@@ -43,14 +43,14 @@
         }
 
     def start(self):
-        told = self.told("clients", self.kinds(), self.trial.seed)
-        self.processes = [self.trial.processes.standin("clients", "clients", told)]
+        told = self.settings("clients", self.request_classes(), self.trial.seed)
+        self.processes = [self.trial.processes.start_stand_in("clients", "clients", told)]
 
-    def say(self, told):
+    def send(self, told):
         for process in self.processes:
-            process.say(told)
+            process.send(told)
 
-    def rest(self, span):
+    def wait(self, span):
         """A coroutine: until all have ended, or the span is over."""
         loop = self.trial.loop
         longest = loop.now() + span
--- a/gaproute/scenarios/gateways.py
+++ b/gaproute/scenarios/gateways.py
@@ -3,17 +3,17 @@
 import json
 import signal
 
-from gaproute.scenarios.processes import ANYWHERE, MILLI, READY_TIME, NotReady
+from gaproute.scenarios.processes import ANYWHERE, MILLI, READY_TIME, NotReadyError
 
 
-class Gateways:
+class DayGateways:
     def __init__(self, trial):
         self.trial, self.loop, self.tap, self.out = trial, trial.loop, trial.tap, trial.out
         self.processes, self.addresses = {}, {}
         self.killed = set()  # processes; one killed while it starts was not up, and is no failure to start
-        self.codes = {}  # gateway: exit code of its stop
+        self.exit_codes = {}  # gateway: exit code of its stop
 
-    def lines(self, number):
+    def configuration_lines(self, number):
         """Its configuration."""
         trial, day, name = self.trial, self.trial.script.day, f"g{number}"
         peers = [f"listen peers unix:{self.out}/{name}.peers"] * day.peers
@@ -39,7 +39,7 @@
             for model in self.trial.models
         ]
 
-    def manner(self, number):
+    def process_options(self, number):
         """How its process is started, beside its arguments."""
         return {}
 
@@ -47,14 +47,14 @@
         """A coroutine: until it says that it has started, or is killed before that."""
         name, first = f"g{number}", number not in self.processes
         file, log = self.out / f"{name}.conf", self.out / f"{name}.log"
-        file.write_text("\n".join([*self.lines(number), ""]))
+        file.write_text("\n".join([*self.configuration_lines(number), ""]))
         before = log.stat().st_size if log.exists() else 0
         process = self.trial.processes.start(
             ["gaproute", "serve", str(file), "--seed", str(self.trial.seed * 100 + number)],
             None,
             log.name,
-            tells=False,
-            **self.manner(number),
+            reads_output=False,
+            **self.process_options(number),
         )
         self.processes[number] = process
         end = self.loop.now() + READY_TIME
@@ -71,10 +71,10 @@
             if process.child.poll() is not None:
                 raise RuntimeError(f"{name} did not start{' at first' if first else ''}; see {log}")
             if self.loop.now() > end:
-                raise NotReady(f"{name} was not up in time; see {log}")
+                raise NotReadyError(f"{name} was not up in time; see {log}")
             yield self.loop.sleep(20 * MILLI)
 
-    def stall(self, number, span):
+    def pause(self, number, span):
         """A coroutine: stopped for so long."""
         process = self.processes[number]
         self.tap.note("stopped", gateway=number)  # first: clients may see it before this goes on
@@ -83,7 +83,7 @@
         process.signal(signal.SIGCONT)
         self.tap.note("continued", gateway=number)
 
-    def kill(self, number, back):
+    def kill_and_restart(self, number, back):
         """A coroutine: killed, and started again after `back`."""
         process = self.processes[number]
         self.killed.add(process)
@@ -92,9 +92,9 @@
         yield self.loop.sleep(back)
         yield from self.start(number)
 
-    def stop(self, span):
+    def terminate(self, span):
         """A coroutine: all are asked to end; their exit codes."""
         for process in self.processes.values():
             process.signal(signal.SIGTERM)
-        yield from self.trial.processes.rest(self.processes.values(), span)
-        self.codes = {number: process.child.poll() for number, process in self.processes.items()}
+        yield from self.trial.processes.wait_for_exit(self.processes.values(), span)
+        self.exit_codes = {number: process.child.poll() for number, process in self.processes.items()}
--- a/gaproute/scenarios/processes.py
+++ b/gaproute/scenarios/processes.py
@@ -13,33 +13,33 @@
 READY_TIME = 20 * SECOND  # for a process to come up, on a crowded machine
 
 
-class NotReady(RuntimeError):
+class NotReadyError(RuntimeError):
     """What the day is played with did not come up: no word on what it plays."""
 
 
-class Process:
-    """One child: its command lines go to its standard input. `apart`: in a session of its own."""
+class DayProcess:
+    """One child: its command lines go to its standard input. `own_session`: in a session of its own."""
 
-    def __init__(self, command, first, errors, tells=True, apart=False):
+    def __init__(self, command, first, errors, reads_output=True, own_session=False):
         self.errors = open(errors, "ab")
         self.child = subprocess.Popen(
             command,
             stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE if tells else None,
+            stdout=subprocess.PIPE if reads_output else None,
             stderr=self.errors,
-            start_new_session=apart,
+            start_new_session=own_session,
         )
         if first is not None:
-            self.say(first)
+            self.send(first)
 
-    def say(self, told):
+    def send(self, told):
         try:
             self.child.stdin.write(json.dumps(told).encode() + b"\n")
             self.child.stdin.flush()
         except BrokenPipeError:
             pass
 
-    def hush(self):
+    def close_input(self):
         """The end of its input; what a dead one did not read is lost."""
         try:
             self.child.stdin.close()
@@ -50,20 +50,20 @@
         if self.child.poll() is None:
             self.child.send_signal(number)
 
-    def end(self):
+    def close(self):
         if self.child.poll() is None:
             self.child.kill()
         self.child.wait()
-        self.hush()
+        self.close_input()
         if self.child.stdout is not None:
             self.child.stdout.close()
         self.errors.close()
 
 
-class Processes:
+class DayProcesses:
     """All that one day started. `command(words, **manner)`: how a module of the program becomes a command."""
 
-    APART = False
+    OWN_SESSION = False
 
     def __init__(self, loop, out):
         self.loop, self.out, self.all = loop, out, []
@@ -71,16 +71,18 @@
     def command(self, words):
         return [sys.executable, "-m", *words]
 
-    def start(self, words, told, errors, tells=True, **manner):
+    def start(self, words, told, errors, reads_output=True, **manner):
         """`words`: the module and its arguments; `told`: its first line, as JSON."""
-        process = Process(self.command(words, **manner), told, self.out / errors, tells, self.APART)
+        process = DayProcess(
+            self.command(words, **manner), told, self.out / errors, reads_output, self.OWN_SESSION
+        )
         self.all.append(process)
         return process
 
-    def standin(self, kind, name, told):
+    def start_stand_in(self, kind, name, told):
         return self.start(["gaproute.standins", kind], told, f"{name}.err")
 
-    def line(self, process, name="a stand-in"):
+    def first_line(self, process, name="a stand-in"):
         """A promise of the first line that it tells on its standard output, read from JSON."""
         promise, fd = Promise(), process.child.stdout.fileno()
 
@@ -90,17 +92,17 @@
             if line:
                 promise.set(json.loads(line))
             else:
-                promise.fail(NotReady(f"{name} did not start; see its .err file"))
+                promise.fail(NotReadyError(f"{name} did not start; see its .err file"))
 
         self.loop.watch(fd, READ, ready)
         return promise
 
-    def rest(self, processes, span):
+    def wait_for_exit(self, processes, span):
         """A coroutine: until all of them have ended, or the span is over."""
         end = self.loop.now() + span
         while any(process.child.poll() is None for process in processes) and self.loop.now() < end:
             yield self.loop.sleep(20 * MILLI)
 
-    def end(self):
+    def close(self):
         for process in self.all:
-            process.end()
+            process.close()
--- a/gaproute/scenarios/result.py
+++ b/gaproute/scenarios/result.py
@@ -6,15 +6,17 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 
-class Result:
+class DayResult:
     """What the taps of a played day say."""
 
     def __init__(self, trial):
         script, out = trial.script, trial.out
         self.tracks = [line.name for line in script.tracks]
-        seats = trial.seats.seats
-        hosts = {name: [read_tap(path) for path in sorted(out.glob(f"host-{name}.*.tap"))] for name in seats}
-        self.clients, self.run = trial.crowd.events(), read_tap(out / "run.tap")
+        day_hosts = trial.hosts.by_name
+        hosts = {
+            name: [read_tap(path) for path in sorted(out.glob(f"host-{name}.*.tap"))] for name in day_hosts
+        }
+        self.clients, self.run = trial.clients.events(), read_tap(out / "run.tap")
         store = read_tap(out / "store.tap")
         copies = script.copies
         terms = DayTerms(
@@ -22,17 +24,19 @@
                 line.name: RequestClassTerms.from_track(line.effect, line.group, line.remembers)
                 for line in script.tracks
             },
-            places={seat.name: HostPlace(seat.zone, seat.rack) for seat in seats.values()},
+            places={seat.name: HostPlace(seat.zone, seat.rack) for seat in day_hosts.values()},
             load_orders_free=copies.free,
             load_order_share=copies.share,
             load_order_window=copies.window if copies.orders else 0,
-            harness_lateness=trial.late(),
-            longest_deadline=trial.longest,
+            harness_lateness=trial.harness_lateness(),
+            longest_deadline=trial.longest_deadline,
         )
         self.broken = judge(terms, hosts, self.clients, self.run)
-        self.codes = trial.gateways.codes
+        self.exit_codes = trial.gateways.exit_codes
         # clients that ended before all their tasks had: what they still waited for is on no tap
-        self.unfinished = len(trial.crowd.processes) - sum(event["what"] == "done" for event in self.clients)
+        self.unfinished = len(trial.clients.processes) - sum(
+            event["what"] == "done" for event in self.clients
+        )
         self.fetches = sum(event["what"] == "fetch" for event in store)
         self.turned_away = sum(event["what"] == "turned away" for event in store)
         arrivals = [event for runs in hosts.values() for events in runs for event in events]
@@ -88,7 +92,7 @@
 
     @property
     def well(self):
-        ended_well = all(code == 0 for code in self.codes.values())
+        ended_well = all(code == 0 for code in self.exit_codes.values())
         return not self.broken and bool(self.ends) and not self.unfinished and ended_well
 
     def plain(self):
@@ -103,7 +107,7 @@
             "fetches": self.fetches,
             "turned_away": self.turned_away,
             "fell_over": self.fell,
-            "exit_codes": self.codes,
+            "exit_codes": self.exit_codes,
             "clients_unfinished": self.unfinished,
             "broken": [broken._asdict() for broken in self.broken],
         }
--- a/gaproute/scenarios/tables.py
+++ b/gaproute/scenarios/result_table.py
@@ -14,7 +14,7 @@
 }
 
 
-def show(result, console):
+def print_result(result, console):
     table = Table(
         title="tasks by track and end, at the clients' sockets", box=box.SIMPLE, pad_edge=False, padding=0
     )
@@ -31,7 +31,7 @@
     console.print(
         f"{result.relays} relays, {result.orders} load orders, {result.fetches} store fetches, "
         f"{result.turned_away} turned away, {result.fell} hosts fell over; gateways' exit codes "
-        f"{', '.join(f'{code} {n} times' for code, n in Counter(result.codes.values()).items())}"
+        f"{', '.join(f'{code} {n} times' for code, n in Counter(result.exit_codes.values()).items())}"
     )
     for rule, name in RULES.items():
         broken = [each for each in result.broken if each.rule == rule]
--- a/gaproute/scenarios/script.py
+++ b/gaproute/scenarios/script.py
@@ -15,10 +15,10 @@
 from gaproute.config.parsing import Directive, read_lines
 from gaproute.config.values import Duration, Name, YesNo
 
-AT_HOSTS = ("hang", "lost", "fail", "slow", "refuse", "cut", "reset", "shut", "heavy")
-AT_PROCESSES = ("vanish", "crash", "preempt", "deploy", "gateway-kill", "gateway-stall")
-AT_CLIENTS = ("burst", "hot")
-GATEWAY_WORDS = ("track", "copies", "relays", "reports", "cold", "advice", "clients")
+HOST_FAULTS = ("hang", "lost", "fail", "slow", "refuse", "cut", "reset", "shut", "heavy")
+PROCESS_FAULTS = ("vanish", "crash", "preempt", "deploy", "gateway-kill", "gateway-stall")
+CLIENT_FAULTS = ("burst", "hot")
+GATEWAY_DIRECTIVES = ("track", "copies", "relays", "reports", "cold", "advice", "clients")
 
 
 class DayLine(Directive):
@@ -78,10 +78,10 @@
     idle_close: Duration = 60_000_000_000
 
 
-class TroubleLine(Directive):
+class DayFaultLine(Directive):
     positional: ClassVar = ("name",)
     example: ClassVar = "trouble hang at 5s for 8s hosts 2 share 0.9 track fault-check"
-    name: Literal[AT_HOSTS + AT_PROCESSES + AT_CLIENTS + ("list-late",)]
+    name: Literal[HOST_FAULTS + PROCESS_FAULTS + CLIENT_FAULTS + ("list-late",)]
     at: Duration
     lasts: Duration = Field(0, alias="for")
     hosts: int = 1
@@ -94,13 +94,13 @@
     zone: str | None = None  # hosts of this hall alone
 
 
-SCRIPT_WORDS = {
+SCRIPT_DIRECTIVES = {
     "day": DayLine,
     "kind": KindLine,
     "traffic": TrafficLine,
     "store": StoreLine,
     "host-life": HostLife,
-    "trouble": TroubleLine,
+    "trouble": DayFaultLine,
 }
 
 
@@ -112,14 +112,16 @@
             return [directive for name, directive in found if name == word]
 
         def one(word):
-            return next(iter(all_of(word)), None) or SCRIPT_WORDS[word]()
+            return next(iter(all_of(word)), None) or SCRIPT_DIRECTIVES[word]()
 
         self.day, self.store, self.life = one("day"), one("store"), one("host-life")
         self.kinds = all_of("kind") or [KindLine(name="std")]
-        self.traffic, self.tracks, self.troubles = all_of("traffic"), all_of("track"), all_of("trouble")
+        self.traffic, self.tracks, self.day_faults = all_of("traffic"), all_of("track"), all_of("trouble")
         self.copies = next(iter(all_of("copies")), None) or DIRECTIVES["copies"]()
         lines = text.splitlines()
-        self.gateway_lines = [lines[directive.line - 1] for word, directive in found if word in GATEWAY_WORDS]
+        self.gateway_lines = [
+            lines[directive.line - 1] for word, directive in found if word in GATEWAY_DIRECTIVES
+        ]
 
 
 def read_script(name, further=None, check=lambda file, found: []):
@@ -134,7 +136,7 @@
         raise ConfigurationError(
             [Mistake(str(name), 0, "", f"no such script: {fault}", "name bad-day or a file")]
         ) from None
-    words = SCRIPT_WORDS | {word: DIRECTIVES[word] for word in GATEWAY_WORDS} | (further or {})
+    words = SCRIPT_DIRECTIVES | {word: DIRECTIVES[word] for word in GATEWAY_DIRECTIVES} | (further or {})
     found, mistakes, _ = read_lines(str(name), text, words)
     tracks = [line.name for word, line in found if word == "track"]
     if not tracks:
--- a/tests/cluster/test_harness.py
+++ b/tests/cluster/test_harness.py
@@ -17,7 +17,7 @@
 from gaproute.cluster.processes import StartLimiter
 from gaproute.cluster.script import read_script
 from gaproute.loop import Loop
-from gaproute.scenarios.seats import Seats
+from gaproute.scenarios.hosts import DayHosts
 from gaproute.standins.tap import Tap, read_tap
 
 MILLI = 1_000_000
@@ -149,8 +149,8 @@
     loop = Loop()
     script = read_script("small-cluster")
     table, tap = AddressPlan(script.day, False), Tap(str(tmp_path / "run.tap"), loop.clock)
-    seats = Seats(script, 1, None, [], random.Random(1))
-    seat = seats.new()
+    seats = DayHosts(script, 1, None, [], random.Random(1))
+    seat = seats.create()
     seat.process = object()
     lists = GatewayHostLists(loop, tap, seats, table, tmp_path / "lists")
     lists.first()
--- a/tests/scenarios/test_accounts.py
+++ b/tests/scenarios/test_accounts.py
@@ -10,8 +10,8 @@
 from gaproute.cluster.verdict import ClusterVerdict
 from gaproute.judge import Violation, ViolationKind
 from gaproute.loop import Loop
-from gaproute.scenarios.result import Result
-from gaproute.scenarios.run import Trial
+from gaproute.scenarios.result import DayResult
+from gaproute.scenarios.trial import Trial
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -38,13 +38,13 @@
     trial = SimpleNamespace(
         script=read_script("short-day"),
         out=folder,
-        seats=SimpleNamespace(seats={}),
-        crowd=SimpleNamespace(processes=[None] * processes, events=lambda: list(events)),
-        gateways=SimpleNamespace(codes=codes or {0: 0}),
-        late=lambda: 0,
-        longest=4 * SECOND,
+        hosts=SimpleNamespace(by_name={}),
+        clients=SimpleNamespace(processes=[None] * processes, events=lambda: list(events)),
+        gateways=SimpleNamespace(exit_codes=codes or {0: 0}),
+        harness_lateness=lambda: 0,
+        longest_deadline=4 * SECOND,
     )
-    return Result(trial)
+    return DayResult(trial)
 
 
 DONE = {"at": SECOND, "what": "done", "late": 0}
@@ -91,8 +91,8 @@
 def test_a_harness_allows_the_lateness_that_it_measured():
     late = {"parent": 400.0, "clients": 3.5, "hosts": 12.25, "wires": 7.0}
     harness = SimpleNamespace(lateness=SimpleNamespace(most=lambda: late))
-    assert ClusterHarness.late(harness) == 12_250_000
-    assert Trial.late(None) == 0
+    assert ClusterHarness.harness_lateness(harness) == 12_250_000
+    assert Trial.harness_lateness(None) == 0
 
 
 class Ending:
@@ -125,7 +125,9 @@
     process = Ending(loop, after)
     gateways = SimpleNamespace(
         tap=SimpleNamespace(note=lambda what, **told: events.append(what)),
-        trial=SimpleNamespace(processes=SimpleNamespace(rest=rest), kill_after=200 * MILLI, faulty=faulty),
+        trial=SimpleNamespace(
+            processes=SimpleNamespace(wait_for_exit=rest), kill_after=200 * MILLI, faulty=faulty
+        ),
     )
     loop.run(until=loop.spawn(ClusterGateways.end(gateways, 0, process)).done)
     assert events == ["ending", noted]
@@ -138,4 +140,4 @@
 
 def test_a_trial_s_gateways_have_as_long_to_end_as_the_operators_give_them(tmp_path):
     trial = Trial(read_script("short-day"), tmp_path)
-    assert trial.ending_time() == trial.kill_after == 3700 * MILLI  # limits of 4 s count as 3 s
+    assert trial.termination_time() == trial.kill_after == 3700 * MILLI  # limits of 4 s count as 3 s
--- a/tests/scenarios/test_gateways.py
+++ b/tests/scenarios/test_gateways.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gaproute.loop.loop import Loop
-from gaproute.scenarios.gateways import Gateways
+from gaproute.scenarios.gateways import DayGateways
 
 SECOND = 1_000_000_000
 MILLI = 1_000_000
@@ -37,7 +37,7 @@
     def __init__(self, program):
         self.program = program
 
-    def start(self, words, told, errors, tells, **manner):
+    def start(self, words, told, errors, reads_output, **options):
         return OneProcess(subprocess.Popen([sys.executable, "-c", self.program]))
 
 
@@ -65,7 +65,7 @@
         processes=Processes(program),
     )
     (folder / "g0.log").write_text("")
-    return Gateways(trial)
+    return DayGateways(trial)
 
 
 def ended(loop, routine, within=5 * SECOND):
@@ -91,14 +91,15 @@
     loop = Loop()
     fleet = gateways(loop, tmp_path, "import time; time.sleep(60)")
     start = loop.spawn(fleet.start(0))
-    loop.after(100 * MILLI, lambda: loop.spawn(fleet.kill(0, 600 * SECOND)))
+    loop.after(100 * MILLI, lambda: loop.spawn(fleet.kill_and_restart(0, 600 * SECOND)))
     assert ended(loop, start) is None
     assert fleet.trial.tap.events == ["killed"]
     fleet.processes[0].child.wait()
 
 
 @pytest.mark.parametrize(
-    ("strike", "note", "number"), [("kill", "killed", signal.SIGKILL), ("stall", "stopped", signal.SIGSTOP)]
+    ("strike", "note", "number"),
+    [("kill_and_restart", "killed", signal.SIGKILL), ("pause", "stopped", signal.SIGSTOP)],
 )
 def test_a_strike_is_noted_before_clients_can_see_it(tmp_path, strike, note, number):
     """A client whose connection ends by a kill that is noted later would be judged as lost by the gateway."""
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -11,7 +11,7 @@
 
 from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, ViolationKind, judge
 from gaproute.judge.terms import DEADLINE_SLACK
-from gaproute.scenarios.processes import Process
+from gaproute.scenarios.processes import DayProcess
 from gaproute.standins.platform.gateway_configuration import (
     RequestClassSettings,
     deployment_settings,
@@ -52,8 +52,8 @@
         self.folder, self.processes = folder, []
         self.tap = Tap(folder / "run.tap", time.monotonic_ns)
 
-    def standin(self, kind, told):
-        process = Process(
+    def start_stand_in(self, kind, told):
+        process = DayProcess(
             [sys.executable, "-m", "gaproute.standins", kind], told, self.folder / f"{kind}.err"
         )
         self.processes.append(process)
@@ -81,7 +81,7 @@
         raise AssertionError(f"{name} did not start")
 
     def play(self):
-        hosts, told = self.standin(
+        hosts, told = self.start_stand_in(
             "platform-host",
             {
                 "models": MODELS,
@@ -95,14 +95,14 @@
         )
         listing = VersionedHostList()
         whole = listing.change(*[member(name, where) for name, where in told["addresses"].items()])
-        log, ways = self.standin(
+        log, ways = self.start_stand_in(
             "platform-log", {"gateways": ["127.0.0.2:0"] * 2, "tap": str(self.folder / "log.tap")}
         )
-        log.say(whole)
+        log.send(whole)
         gateways = [
             self.gateway(place, where, listing.snapshot()) for place, where in enumerate(ways["addresses"])
         ]
-        clients, _ = self.standin(
+        clients, _ = self.start_stand_in(
             "platform-clients",
             {
                 "gateways": [where for _, where in gateways],
@@ -115,8 +115,8 @@
             },
         )
         time.sleep(DRAIN)
-        hosts.say({"host": DRAINED, "trouble": "drain"})
-        log.say(listing.change(member(DRAINED, told["addresses"][DRAINED], "draining")))
+        hosts.send({"host": DRAINED, "trouble": "drain"})
+        log.send(listing.change(member(DRAINED, told["addresses"][DRAINED], "draining")))
         clients.child.wait(20)
         codes = []
         for child, _ in gateways:
@@ -131,8 +131,8 @@
 
     def end(self):
         for process in self.processes:
-            if isinstance(process, Process):
-                process.end()
+            if isinstance(process, DayProcess):
+                process.close()
             elif process.poll() is None:
                 process.kill()
                 process.wait()
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -14,7 +14,7 @@
 
 from gaproute.cluster.script import read_script
 from gaproute.loop.addresses import address
-from gaproute.scenarios.daybook import script_of
+from gaproute.scenarios.bench_day import convert_bench_day
 from gaproute.standins.rule_violators import RULE_VIOLATORS
 
 RULES = {
@@ -222,14 +222,14 @@
 
 
 def test_a_bench_days_troubles_become_a_script(tmp_path):
-    text, left_out = script_of(DAY, hosts=8, gateways=2, scale=0.5)
+    text, left_out = convert_bench_day(DAY, hosts=8, gateways=2, scale=0.5)
     file = tmp_path / "day.script"
     file.write_text(text)
     script = read_script(str(file))
-    made = {(line.name, line.at // 1_000_000, line.hosts) for line in script.troubles}
+    made = {(line.name, line.at // 1_000_000, line.hosts) for line in script.day_faults}
     assert ("slow", 5500, 1) in made
     assert ("lost", 1000, 4) in made
     assert ("preempt", 500, 1) in made
     assert left_out == ["unheard_of"]
     assert script.day.hosts == 8
-    assert sum(line.name == "gateway-stall" for line in script.troubles) > 1
+    assert sum(line.name == "gateway-stall" for line in script.day_faults) > 1
