--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -17,16 +17,21 @@
 from pathlib import Path
 from statistics import median
 
-from gaproute.scenarios.processes import Process
-from gaproute.standins.platform import charter
-from gaproute.standins.platform.listing import Listing, member
+from gaproute.scenarios.processes import DayProcess
+from gaproute.standins.platform.gateway_configuration import (
+    RequestClassSettings,
+    deployment_settings,
+    make_configuration,
+    write_configuration,
+)
+from gaproute.standins.platform.host_list import VersionedHostList, member
 
 MILLI = 1_000_000
 RATE = 3.0  # tasks a second
 FUNCTIONS = 400
 CHANGES = 40  # of a line of the list
 HOSTS_EACH = 250  # in one stand-in process
-TRACKS = [charter.RequestClass("fault-check", earnings=3.0)]
+TRACKS = [RequestClassSettings("fault-check", priority_weight=3.0)]
 MODELS = [
     {"name": f"{number:016x}", "track": TRACKS[0].name, "lanes": 4, "work": 40 * MILLI, "start": 100 * MILLI}
     for number in range(1, FUNCTIONS + 1)
@@ -40,10 +45,10 @@
 
 class Scene:
     def __init__(self, folder, count):
-        self.folder, self.processes, self.listing = Path(folder), [], Listing()
+        self.folder, self.processes, self.listing = Path(folder), [], VersionedHostList()
         where = {}
         for first in range(0, count, HOSTS_EACH):
-            _, told = self.standin(
+            _, told = self.start_stand_in(
                 "platform-host",
                 {
                     "models": MODELS,
@@ -58,20 +63,26 @@
             where |= told["addresses"]
         self.where = where
         whole = self.listing.change(*[member(name, at) for name, at in where.items()])
-        self.log, ways = self.standin("platform-log", {"gateways": ["127.0.0.2:0"], "tap": f"{folder}/log"})
-        self.log.say(whole)
+        self.log, ways = self.start_stand_in(
+            "platform-log", {"gateways": ["127.0.0.2:0"], "tap": f"{folder}/log"}
+        )
+        self.log.send(whole)
         self.gateway(ways["addresses"][0])
 
-    def standin(self, kind, told):
-        process = Process([sys.executable, "-m", "gaproute.standins", kind], told, self.folder / "err")
+    def start_stand_in(self, kind, told):
+        process = DayProcess([sys.executable, "-m", "gaproute.standins", kind], told, self.folder / "err")
         self.processes.append(process)
         return process, json.loads(process.child.stdout.readline())
 
     def gateway(self, changelog):
-        command, environment = charter.write(
+        command, environment = write_configuration(
             self.folder,
-            charter.charter(
-                "g0", "127.0.0.2:0", changelog, self.listing.known(), charter.settings(TRACKS, gateways=200)
+            make_configuration(
+                "g0",
+                "127.0.0.2:0",
+                changelog,
+                self.listing.snapshot(),
+                deployment_settings(TRACKS, gateways=200),
             ),
         )
         self.said = self.folder / "g0.log"
@@ -99,11 +110,11 @@
         for number in range(CHANGES):
             name = names[number // 2 % len(names)]
             state = ("draining", "active")[number % 2]
-            self.log.say(self.listing.change(member(name, self.where[name], state)))
+            self.log.send(self.listing.change(member(name, self.where[name], state)))
             time.sleep(0.05)
 
     def serve(self, seconds):
-        clients, _ = self.standin(
+        clients, _ = self.start_stand_in(
             "platform-clients",
             {
                 "gateways": [self.listens],
@@ -122,7 +133,7 @@
             self.child.send_signal(signal.SIGTERM)
             self.child.wait(15)
         for process in self.processes:
-            process.end()
+            process.close()
 
 
 def play(hosts, seconds):
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -12,20 +12,20 @@
 import time
 import traceback
 
-from gaproute.cluster.crews import Crews
-from gaproute.cluster.crowd import ClusterCrowd
+from gaproute.cluster.address_plan import AddressPlan
+from gaproute.cluster.clients import ClusterClients
 from gaproute.cluster.gateways import ClusterGateways
-from gaproute.cluster.lateness import Lateness
-from gaproute.cluster.lists import Lists
-from gaproute.cluster.processes import ClusterProcesses, Gate, calm
-from gaproute.cluster.seats import ClusterSeats
-from gaproute.cluster.strikes import Strikes
-from gaproute.cluster.table import Table
-from gaproute.cluster.verdict import Verdict
-from gaproute.cluster.wires import Wires
-from gaproute.scenarios.processes import MILLI, SECOND, NotReady
-from gaproute.scenarios.run import Trial
-from gaproute.standins.tap import read
+from gaproute.cluster.host_lists import GatewayHostLists
+from gaproute.cluster.hosts import ClusterHosts
+from gaproute.cluster.lateness import HarnessLateness
+from gaproute.cluster.lease_clients import LeaseClients
+from gaproute.cluster.link_emulators import LinkEmulators
+from gaproute.cluster.process_faults import ProcessFaults
+from gaproute.cluster.processes import ClusterProcesses, StartLimiter, calm
+from gaproute.cluster.verdict import ClusterVerdict
+from gaproute.scenarios.processes import MILLI, SECOND, NotReadyError
+from gaproute.scenarios.trial import Trial
+from gaproute.standins.tap import read_tap
 
 LAST_RESORT = 30  # seconds after the bound: the alarm ends a parent that no longer turns its loop
 BACK = 60 * SECOND  # after the day, for gateways that are being restarted: a fleet's start, at most
@@ -35,15 +35,15 @@
     ENDING = 20 * SECOND  # beyond the longest limit, for hundreds of gateways that end at once: nobody asks
     #                       any more
 
-    def late(self):
+    def harness_lateness(self):
         """What hosts, clients and wires noted; the parent judges nobody."""
         most = self.lateness.most()
         return round(max(most["hosts"], most["clients"], most["wires"]) * MILLI)
 
-    def ending_time(self):
-        return self.longest + self.ENDING
+    def termination_time(self):
+        return self.longest_deadline + self.ENDING
 
-    def furnish(self):
+    def create_parts(self):
         settings, self.faulty, self.voids, self.ready_time = self.script.cluster, [], [], None
         self.begun = self.ended = 0
         self.loop.on_error = self.went_wrong
@@ -51,14 +51,18 @@
         (self.out / "play.json").write_text(json.dumps({"seed": self.seed, "decisions": self.decisions}))
         _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))  # three descriptors for each child
-        self.gate = Gate(self.loop, settings.batch or os.cpu_count() or 1)
-        self.table = Table(self.script.day, settings.direct)
+        self.gate = StartLimiter(self.loop, settings.batch or os.cpu_count() or 1)
+        self.table = AddressPlan(self.script.day, settings.direct)
         self.processes = ClusterProcesses(self.loop, self.out)
-        self.wires = Wires(self.loop, self.processes, self.table, self.seed)
-        self.seats = ClusterSeats(self, random.Random(self.seed))
-        self.list = Lists(self.loop, self.tap, self.seats, self.table, self.out / "lists")
-        self.gateways, self.crowd = ClusterGateways(self), ClusterCrowd(self)
-        self.strikes, self.lateness, self.crews = Strikes(self), Lateness(self), Crews(self)
+        self.wires = LinkEmulators(self.loop, self.processes, self.table, self.seed)
+        self.hosts = ClusterHosts(self, random.Random(self.seed))
+        self.host_list = GatewayHostLists(self.loop, self.tap, self.hosts, self.table, self.out / "lists")
+        self.gateways, self.clients = ClusterGateways(self), ClusterClients(self)
+        self.strikes, self.lateness, self.crews = (
+            ProcessFaults(self),
+            HarnessLateness(self),
+            LeaseClients(self),
+        )
 
     def chance(self, line, part=""):
         """A line's own chance: what it draws does not hang on what other lines drew before it."""
@@ -72,13 +76,13 @@
         if type(error) is RuntimeError:
             self.faulty.append(str(error))
         else:
-            known = isinstance(error, NotReady)
+            known = isinstance(error, NotReadyError)
             self.voids.append(str(error) if known else f"the harness's own error: {error!r}")
 
     def hosts_seen(self):
         """What the hosts noted during the day, by run."""
         return [
-            [event for event in read(path) if self.begun < event["at"] < self.ended]
+            [event for event in read_tap(path) if self.begun < event["at"] < self.ended]
             for path in self.out.glob("host-*.tap")
         ]
 
@@ -88,36 +92,36 @@
     def set_up(self):
         begun, day, settings = self.loop.now(), self.script.day, self.script.cluster
         yield from self.start_store()
-        yield from self.together([self.seats.start(self.seats.new(), True) for _ in range(day.hosts)])
+        yield from self.run_together([self.hosts.start(self.hosts.create(), True) for _ in range(day.hosts)])
         if not settings.direct:
             seats = dict(self.table.gateway_seat(number) for number in range(day.gateways))
-            seats |= dict(map(self.table.host_seat, self.seats.seats.values()))
+            seats |= dict(map(self.table.host_seat, self.hosts.by_name.values()))
             seats |= dict(map(self.table.list_seat, range(len(self.table.ways))))
             yield from self.wires.start(settings.wires, seats)
-        self.list.first()
+        self.host_list.first()
         self.strikes.clocks()
-        self.talk(f"{(self.loop.now() - begun) / SECOND:5.1f} s  hosts are up")
-        yield from self.together(
+        self.report(f"{(self.loop.now() - begun) / SECOND:5.1f} s  hosts are up")
+        yield from self.run_together(
             [self.starting(self.gateways.start(number)) for number in range(day.gateways)]
         )
         self.ready_time = self.loop.now() - begun
-        self.talk(f"{self.ready_time / SECOND:5.1f} s  all are up; the day begins")
+        self.report(f"{self.ready_time / SECOND:5.1f} s  all are up; the day begins")
 
-    def begin(self):
+    def day_routines(self):
         script = self.script
         self.loop.spawn(self.lateness.begin())
         self.begun = self.loop.now()
         if self.script.cluster.direct and script.faults:
-            self.talk("direct: no wire, its faults are left out")
+            self.report("direct: no wire, its faults are left out")
         return [
-            *super().begin(),
+            *super().day_routines(),
             *self.crews.begin(),
             *(self.wires.fault(self, line, self.chance(line)) for line in script.faults if self.wires.wires),
             *(self.strikes.strike(line) for line in script.strikes if line.kind != "clock"),
-            *(self.list.strike(line, self.strikes.numbers(line)) for line in script.lists),
+            *(self.host_list.strike(line, self.strikes.numbers(line)) for line in script.lists),
         ]
 
-    def wind_up(self):
+    def shut_down(self):
         yield from self.lateness.end()
         end = self.loop.now() + BACK
         # who was being restarted is up before it is asked to end
@@ -125,10 +129,10 @@
             yield self.loop.sleep(20 * MILLI)
         for number in self.gateways.processes:
             self.gateways.processes[number].signal(signal.SIGCONT)
-        yield from super().wind_up()
+        yield from super().shut_down()
 
     def run(self):
-        """Plays the day; its `Verdict`, which stands in the folder as well."""
+        """Plays the day; its `ClusterVerdict`, which stands in the folder as well."""
         bound, begun, end = self.script.cluster.bound, time.time(), None
         signal.setitimer(signal.ITIMER_REAL, bound / SECOND + LAST_RESORT)
         try:
@@ -141,9 +145,9 @@
                 self.voids.append(str(fault))
         finally:
             calm()
-            self.processes.end()
+            self.processes.close()
             self.tap.flush()
             signal.setitimer(signal.ITIMER_REAL, 0)
-        verdict = Verdict(self, end, time.time() - begun)
+        verdict = ClusterVerdict(self, end, time.time() - begun)
         (self.out / "verdict.json").write_text(json.dumps(verdict.plain(), indent=1))
         return verdict
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -12,7 +12,7 @@
 #                              beyond it the machine is measured, which other work or too many processes crowd
 
 
-class Lateness:
+class HarnessLateness:
     def __init__(self, harness):
         self.harness, self.loop, self.parent, self.over = harness, harness.loop, 0, False
         self.waits, self.waited = {}, 0.0
@@ -43,7 +43,7 @@
 
     def most(self):
         """{who: longest lateness, ms}"""
-        done = [event["late"] for event in self.harness.crowd.events() if event["what"] == "done"]
+        done = [event["late"] for event in self.harness.clients.events() if event["what"] == "done"]
         hosts = [
             event["by"] for events in self.harness.hosts_seen() for event in events if event["what"] == "late"
         ]
@@ -66,7 +66,10 @@
                 f"gateways were ready without a core for {self.waited:.0%} of the day, "
                 f"{WAITED:.0%} are allowed"
             )
-        if sum(event["what"] == "done" for event in harness.crowd.events()) < harness.script.cluster.clients:
+        if (
+            sum(event["what"] == "done" for event in harness.clients.events())
+            < harness.script.cluster.clients
+        ):
             yield "clients did not end in time"
         for place, told in enumerate(self.wires):
             if told is None:
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -4,11 +4,11 @@
 wrongly, is broken all the same.
 """
 
-from gaproute.judge import UNTIMED
-from gaproute.scenarios.result import Result
+from gaproute.judge import TIME_INDEPENDENT
+from gaproute.scenarios.result import DayResult
 
 
-class Verdict(Result):
+class ClusterVerdict(DayResult):
     """A trial's result, and whether the harness that found it kept time. `end`: what ended it early, if
     anything."""
 
@@ -21,7 +21,7 @@
         if self.whole:
             super().__init__(harness)
             self.faulty += [
-                f"g{number} ended with {code}" for number, code in self.codes.items() if code != 0
+                f"g{number} ended with {code}" for number, code in self.exit_codes.items() if code != 0
             ]
             self.faulty += [f"rule {broken.rule}: {broken.text}" for broken in self.broken[:20]]
             self.permits = harness.crews.judged()
@@ -30,7 +30,7 @@
 
     @property
     def verdict(self):
-        if self.whole and any(broken.kind in UNTIMED for broken in self.broken):
+        if self.whole and any(broken.kind in TIME_INDEPENDENT for broken in self.broken):
             return "failed"
         return "void" if self.void else "failed" if self.faulty else "well"
 
