--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -6,14 +6,12 @@
 """
 
 import argparse
-import json
-import subprocess
-import sys
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from statistics import median
 
 from rows import table, write
+from trial_command import play_trial
 
 WAYS = {
     "module": "gaproute.decisions.routing:Gateway",
@@ -23,26 +21,9 @@
 
 
 def play(way, seed, script):
-    run = subprocess.run(
-        [
-            sys.executable,
-            "-m",
-            "gaproute",
-            "trial",
-            script,
-            "--seed",
-            str(seed),
-            "--json",
-            "--decisions",
-            WAYS[way],
-        ],
-        capture_output=True,
-        text=True,
-    )
-    if not run.stdout:
-        raise RuntimeError(run.stderr)
-    print(way, seed, json.loads(run.stdout)["service"], flush=True)
-    return json.loads(run.stdout)
+    result = play_trial(script, seed=seed, decisions=WAYS[way])
+    print(way, seed, result["service"], flush=True)
+    return result
 
 
 def main():
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -12,9 +12,10 @@
 import json
 import statistics
 import subprocess
-import sys
 from pathlib import Path
 
+from trial_command import trial_command
+
 from gaproute.cluster.script import read_script
 
 
@@ -49,21 +50,7 @@
 
 
 def play(script, seed, out):
-    subprocess.run(
-        [
-            sys.executable,
-            "-m",
-            "gaproute",
-            "trial",
-            str(script),
-            "--seed",
-            str(seed),
-            "--json",
-            "--out",
-            str(out),
-        ],
-        stdout=subprocess.DEVNULL,
-    )
+    subprocess.run(trial_command(script, seed=seed, out=out), stdout=subprocess.DEVNULL)
     told = json.loads((out / "verdict.json").read_text())
     begun = next(
         (
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -14,7 +14,6 @@
 import argparse
 import itertools
 import json
-import subprocess
 import sys
 import tempfile
 from concurrent.futures import ThreadPoolExecutor
@@ -24,6 +23,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from rows import write
+from trial_command import play_trial
 
 from gaproute.standins.tap import read_tap
 
@@ -69,27 +69,7 @@
                 length=KILL + 30, rate=8 * hosts, hosts=hosts, models=3 * hosts, troubles=troubles, told=how
             )
         )
-        run = subprocess.run(
-            [
-                sys.executable,
-                "-m",
-                "gaproute",
-                "trial",
-                str(script),
-                "--seed",
-                str(seed),
-                "--decisions",
-                decisions,
-                "--json",
-                "--out",
-                str(out),
-            ],
-            capture_output=True,
-            text=True,
-        )
-        if not run.stdout:
-            raise RuntimeError(run.stderr)
-        told = json.loads(run.stdout)
+        result = play_trial(script, seed=seed, decisions=decisions, out=out)
         ran = [event for path in out.glob("host-*.tap") for event in read_tap(path) if event["what"] == "ran"]
         run = read_tap(out / "run.tap")
         logs = [
@@ -152,7 +132,7 @@
         "fetches/s before": sum(first - 8 * SECOND <= at < first for at in fetches) / 8,
         "fetches in 30 s": sum(first <= at < first + AFTER for at in fetches),
         "service": sum(good) / max(1, len(good)),
-        "broken": len(told["broken"]),
+        "broken": len(result["broken"]),
         "telling, % of a core": 100 * max([event["telling_share"] for event in stopped], default=0),
     }
 
