--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -23,7 +23,8 @@
 from gaproute.cluster.process_faults import ProcessFaults
 from gaproute.cluster.processes import ClusterProcesses, StartLimiter, calm
 from gaproute.cluster.verdict import ClusterVerdict
-from gaproute.scenarios.processes import MILLI, SECOND, NotReadyError
+from gaproute.scenarios.errors import GatewayStartError, NotReadyError, ScenarioError
+from gaproute.scenarios.processes import MILLI, SECOND
 from gaproute.scenarios.trial import Trial
 from gaproute.standins.tap import read_tap
 
@@ -73,7 +74,7 @@
         harness's."""
         with open(self.out / "parent.err", "a") as file:
             traceback.print_exception(error, file=file)
-        if type(error) is RuntimeError:
+        if isinstance(error, GatewayStartError):
             self.faulty.append(str(error))
         else:
             known = isinstance(error, NotReadyError)
@@ -92,7 +93,9 @@
     def set_up(self):
         begun, day, settings = self.loop.now(), self.script.day, self.script.cluster
         yield from self.start_store()
-        yield from self.run_together([self.hosts.start(self.hosts.create(), True) for _ in range(day.hosts)])
+        yield from self.run_together(
+            [self.hosts.start(self.hosts.create(), warm=True) for _ in range(day.hosts)]
+        )
         if not settings.direct:
             seats = dict(self.table.gateway_seat(number) for number in range(day.gateways))
             seats |= dict(map(self.table.host_seat, self.hosts.by_name.values()))
@@ -139,7 +142,7 @@
             played = self.loop.spawn(self.play()).done
             self.loop.after(bound, played.fail, TimeoutError("the time bound is over"))
             self.loop.run(until=played)
-        except (RuntimeError, TimeoutError) as fault:
+        except (ScenarioError, RuntimeError, TimeoutError) as fault:
             end = fault
             if isinstance(fault, TimeoutError):
                 self.voids.append(str(fault))
--- a/gaproute/cluster/hosts.py
+++ b/gaproute/cluster/hosts.py
@@ -8,8 +8,8 @@
         super().__init__(harness.script, harness.seed, harness.processes, harness.models, random)
         self.harness = harness
 
-    def start(self, seat, warm):
-        yield from self.harness.gate.through(super().start(seat, warm))
+    def start(self, seat, *, warm):
+        yield from self.harness.gate.through(super().start(seat, warm=warm))
         self.tell(seat, False)
 
     def kill(self, seat):
@@ -23,9 +23,5 @@
             self.harness.wires.say({"seat": {number: told | {"refuses": refuses}}})
 
     def choose(self, line):
-        free = [
-            seat
-            for seat in self.by_name.values()
-            if seat.state == "active" and not seat.under_fault and line.zone in (None, seat.zone)
-        ]
-        return self.harness.chance(line).sample(free, min(line.hosts, len(free)))
+        candidates = self.candidates(line)
+        return self.harness.chance(line).sample(candidates, min(line.hosts, len(candidates)))
--- a/gaproute/cluster/link_emulators.py
+++ b/gaproute/cluster/link_emulators.py
@@ -5,7 +5,8 @@
 
 from gaproute.cluster import slot_sets
 from gaproute.loop.descriptors import HANGUP, READ
-from gaproute.scenarios.processes import MILLI, SECOND, NotReadyError
+from gaproute.scenarios.errors import NotReadyError
+from gaproute.scenarios.processes import MILLI, SECOND
 
 ANSWER = 5 * SECOND  # for a wire to say its counts: one that takes longer ran late anyway
 AFTER = 500 * MILLI  # after a cut, until all that it kept has flown on
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -4,7 +4,8 @@
 
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import NEXT, hurry
-from gaproute.scenarios.processes import MILLI, READY_TIME, NotReadyError
+from gaproute.scenarios.errors import GatewayStartError, NotReadyError
+from gaproute.scenarios.processes import MILLI, READY_TIME
 from gaproute.standins.platform.gateway_configuration import (
     RequestClassSettings,
     deployment_settings,
@@ -16,12 +17,12 @@
 class PlatformGateways(ClusterGateways):
     def rules(self):
         script = self.trial.script
-        copies, life, day = script.copies, script.life, script.day
+        copies, life, day = script.copies, script.host_life, script.day
         tracks = [
             RequestClassSettings(
                 line.name, line.effect, line.group, line.contract, line.limit, line.earnings, line.remembers
             )
-            for line in script.tracks
+            for line in script.request_classes
         ]
         return deployment_settings(
             tracks,
@@ -68,7 +69,7 @@
         end = self.loop.now() + READY_TIME
         while not self.has_started(log.read_bytes()[before:]):
             if process.child.poll() is not None:
-                raise RuntimeError(f"{name} did not start; see {log}")
+                raise GatewayStartError(f"{name} did not start; see {log}")
             if self.loop.now() > end:
                 raise NotReadyError(f"{name} was not up in time; see {log}")
             yield self.loop.sleep(20 * MILLI)
--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -56,7 +56,7 @@
         for process in self.many:
             yield self.processes.first_line(process, "the hosts' process")
 
-    def start(self, seat, warm):
+    def start(self, seat, *, warm):
         """A coroutine: the host's next life, at the address it had."""
         place = seat.number % len(self.many)
         yield from self.gates[place].through(self.one(seat, self.many[place], warm))
@@ -64,7 +64,7 @@
         self.tell(seat, False)
 
     def one(self, seat, process, warm):
-        make = seat.profile(self.script.life)
+        make = seat.profile(self.script.host_life)
         seat.run_count += 1
         process.send(
             {"host": seat.name, "do": "start", "seat": {"listen": seat.address, "make": make, "warm": warm}}
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -13,6 +13,7 @@
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Duration, YesNo
 from gaproute.scenarios import script as trial
+from gaproute.scenarios.script_lines import DayLine
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -112,7 +113,7 @@
 
 
 def check(file, found):
-    day = next((line for word, line in found if word == "day"), trial.DayLine())
+    day = next((line for word, line in found if word == "day"), DayLine())
     kind = next((line.kind for word, line in found if word == "cluster"), "appliance")
     return [
         Mistake(file, line.line, word, text, f"right would be: {line.example}")
--- a/gaproute/scenarios/bench_day.py
+++ b/gaproute/scenarios/bench_day.py
@@ -1,10 +1,15 @@
-"""A bench day's troubles as a script: the same kinds, times and shares, on as many hosts as sockets can show.
+"""Converts a day file of the bench into a script.
 
-A day file is the JSON that the bench's `draw` prints. Only its troubles and sizes are read; what has no
-counterpart on sockets is named, not dropped in silence.
+The script has the same faults, times and shares, on as many hosts as sockets can show. A day file is the JSON
+that the bench's `draw` prints. Only its faults and sizes are read; a kind of fault that has no counterpart on
+sockets is named to the caller.
 """
 
-SECOND = 1_000_000  # the bench counts in microseconds
+from collections.abc import Iterator, Mapping
+from typing import Any, NamedTuple
+
+MICROSECONDS = 1_000_000  # of a second, in which a day file counts
+MILLISECONDS = 1000  # of a second, in which it gives how long a gateway is paused
 HEAD = """# Made from a bench day: its troubles at {scale:g} of their times.
 day length {length:.1f}s rate {rate:g} hosts {hosts} gateways {gateways} models 24 halls 3 list-delay 1s
 kind fast-4 share 0.55 cores 4 speed 1.5 copies 14
@@ -22,87 +27,145 @@
 reports probe
 cold share 0.17 time 12s
 """
-# Kind of the bench: (trouble here, what its size becomes). Sizes are a share, a factor, or not used.
-KINDS = {
-    "slow": ("slow", "factor"),
-    "hang": ("hang", None),
-    "fast_errors": ("fail", "share"),
-    "answer_lost": ("lost", "share"),
-    "vanish": ("vanish", None),
-    "crash": ("crash", None),
-    "mass_restart": ("crash", None),
-    "preempt": ("preempt", None),
-    "deploy": ("deploy", None),
-    "burst": ("burst", "factor"),
-    "hot_key": ("hot", "share"),
-    "heavy_tail": ("heavy", "factor"),
-    "class_fail": ("lost", "share"),
-    "balancer_roll": ("gateway-kill", None),
-    "balancer_stall": ("gateway-stall", None),
-    "discovery_stale": ("list-late", None),
+REQUEST_CLASSES = ("fault-check", "dimming-plan", "repair-order")
+REPLACED_OR_DOWN = ("preempt", "deploy", "vanish", "crash")  # faults that take hosts away
+WITHOUT_HOSTS = ("burst", "hot", "list-late")  # faults that affect no hosts of their own
+
+BenchFault = Mapping[str, Any]  # one of a day file's `troubles`
+
+
+class Counterpart(NamedTuple):
+    """The fault of a script that a kind of the bench becomes, and what its size is there."""
+
+    name: str
+    size: str | None = None  # "share" or "factor"; None: not used
+
+
+COUNTERPARTS = {
+    "slow": Counterpart("slow", "factor"),
+    "hang": Counterpart("hang"),
+    "fast_errors": Counterpart("fail", "share"),
+    "answer_lost": Counterpart("lost", "share"),
+    "vanish": Counterpart("vanish"),
+    "crash": Counterpart("crash"),
+    "mass_restart": Counterpart("crash"),
+    "preempt": Counterpart("preempt"),
+    "deploy": Counterpart("deploy"),
+    "burst": Counterpart("burst", "factor"),
+    "hot_key": Counterpart("hot", "share"),
+    "heavy_tail": Counterpart("heavy", "factor"),
+    "class_fail": Counterpart("lost", "share"),
+    "balancer_roll": Counterpart("gateway-kill"),
+    "balancer_stall": Counterpart("gateway-stall"),
+    "discovery_stale": Counterpart("list-late"),
 }
-TRACK = ("fault-check", "dimming-plan", "repair-order")
-
-
-def convert_bench_day(day, hosts=9, gateways=3, scale=1.0, rate=110.0):
-    """(text of the script, kinds of trouble left out). `scale` shortens all times."""
-    lines, left_out = [], []
-    servers = max(1, len(day.get("servers", ())))
-    balancers = max(1, len(day.get("balancers", ())))
-    for trouble in sorted(day.get("troubles", ()), key=lambda trouble: trouble["at"]):
-        kind = trouble["kind"]
-        if kind not in KINDS:
-            left_out.append(kind)
-            continue
-        name, size = KINDS[kind]
-        at, lasts = (trouble[part] / SECOND * scale for part in ("at", "len"))
-        struck = len(trouble.get("on", ()))
-        words = f"trouble {name} at {at:.2f}s"
-        if name in ("gateway-kill", "gateway-stall"):
-            lines += _gateways(words, trouble, name, at, lasts, struck / balancers, gateways, scale)
-            continue
-        if name in ("preempt", "deploy", "vanish", "crash"):
-            # How long the struck are away: of `size` and `extra`, what the bench's table says of the kind.
-            notice, back = {
-                "preempt": (trouble["size"], trouble["extra"]),
-                "deploy": (trouble["extra"], 1.0),
-                "vanish": (lasts, 0.5),
-                "crash": (0, lasts),
-            }[name]
-            words += f" for {max(0.1, notice):.2f}s back {max(0.3, back * scale):.2f}s"
-        elif name == "list-late":
-            words += f" for {lasts:.2f}s back {trouble['size'] * scale:.2f}s"
-        else:
-            words += f" for {lasts:.2f}s"
-        if name not in ("burst", "hot", "list-late"):
-            everywhere = name == "heavy"
-            words += f" hosts {hosts if everywhere else max(1, round(struck / servers * hosts))}"
-        if kind == "heavy_tail":
-            words += f" share {min(1, trouble['extra']):.3f}"
-        if kind in ("class_fail", "heavy_tail"):
-            words += f" track {TRACK[trouble.get('which', 0) % 3]}"
-        if size is not None:
-            words += f" {size} {min(1, trouble['size']) if size == 'share' else trouble['size']:.3f}"
-        lines.append(words)
-    text = HEAD.format(
-        scale=scale, hosts=hosts, gateways=gateways, rate=rate, length=day["length"] / SECOND * scale
+
+
+class ConvertedDay(NamedTuple):
+    """The text of the script, and the kinds of faults that are left out of it."""
+
+    script: str
+    left_out: list[str]
+
+
+class Sizes(NamedTuple):
+    """How many hosts and gateways there are here and in the bench; `scale` shortens all times."""
+
+    hosts: int
+    gateways: int
+    bench_servers: int
+    bench_balancers: int
+    scale: float
+
+
+def convert_bench_day(
+    day: Mapping[str, Any], hosts: int = 9, gateways: int = 3, scale: float = 1.0, rate: float = 110.0
+) -> ConvertedDay:
+    """The script of a day file. `rate`: requests a second; `scale` shortens all times."""
+    sizes = Sizes(
+        hosts, gateways, max(1, len(day.get("servers", ()))), max(1, len(day.get("balancers", ()))), scale
     )
-    return text + "\n".join(lines) + "\n", left_out
+    lines: list[str] = []
+    left_out: list[str] = []
+    for fault in sorted(day.get("troubles", ()), key=lambda fault: fault["at"]):
+        if fault["kind"] in COUNTERPARTS:
+            lines += _fault_lines(fault, sizes)
+        else:
+            left_out.append(fault["kind"])
+    length = day["length"] / MICROSECONDS * scale
+    head = HEAD.format(scale=scale, hosts=hosts, gateways=gateways, rate=rate, length=length)
+    return ConvertedDay(head + "\n".join(lines) + "\n", left_out)
 
 
-def _gateways(words, trouble, name, at, lasts, share, gateways, scale):
-    """Gateways struck one after another over the trouble's length; stalls come again and again."""
-    struck = range(max(1, round(share * gateways)))
+def _fault_lines(fault: BenchFault, sizes: Sizes) -> Iterator[str]:
+    name, size = COUNTERPARTS[fault["kind"]]
+    at, lasts = (fault[part] / MICROSECONDS * sizes.scale for part in ("at", "len"))
     if name == "gateway-kill":
-        return [
-            f"trouble {name} at {at + lasts * place / len(struck):.2f}s back "
-            f"{max(0.2, trouble['extra'] * scale):.2f}s gateway {place}"
-            for place in struck
+        yield from _gateway_kills(fault, at, lasts, sizes)
+    elif name == "gateway-stall":
+        yield from _gateway_pauses(fault, at, lasts, sizes)
+    else:
+        words = [
+            f"trouble {name} at {at:.2f}s",
+            _times(fault, name, lasts, sizes.scale),
+            *_affected(fault, name, sizes),
+            *_size(fault, size),
         ]
-    every = max(1.0, trouble["extra"])
-    return [
-        f"trouble {name} at {at + every * turn + 0.3 * place:.2f}s for {trouble['size'] / 1000:.2f}s "
-        f"gateway {place}"
-        for place in struck
-        for turn in range(int(lasts // every))
-    ]
+        yield " ".join(words)
+
+
+def _times(fault: BenchFault, name: str, lasts: float, scale: float) -> str:
+    """How long a fault lasts, and when what it took away is back; the bench's table says what has these."""
+    if name in REPLACED_OR_DOWN:
+        notice, back = {
+            "preempt": (fault["size"], fault["extra"]),
+            "deploy": (fault["extra"], 1.0),
+            "vanish": (lasts, 0.5),
+            "crash": (0, lasts),
+        }[name]
+        return f"for {max(0.1, notice):.2f}s back {max(0.3, back * scale):.2f}s"
+    if name == "list-late":
+        return f"for {lasts:.2f}s back {fault['size'] * scale:.2f}s"
+    return f"for {lasts:.2f}s"
+
+
+def _affected(fault: BenchFault, name: str, sizes: Sizes) -> Iterator[str]:
+    """How many hosts a fault affects, and which of their requests."""
+    if name not in WITHOUT_HOSTS:
+        share = len(fault.get("on", ())) / sizes.bench_servers
+        hosts = sizes.hosts if name == "heavy" else max(1, round(share * sizes.hosts))
+        yield f"hosts {hosts}"
+    if fault["kind"] == "heavy_tail":
+        yield f"share {min(1, fault['extra']):.3f}"
+    if fault["kind"] in ("class_fail", "heavy_tail"):
+        yield f"track {REQUEST_CLASSES[fault.get('which', 0) % len(REQUEST_CLASSES)]}"
+
+
+def _size(fault: BenchFault, size: str | None) -> Iterator[str]:
+    if size is not None:
+        yield f"{size} {min(1, fault['size']) if size == 'share' else fault['size']:.3f}"
+
+
+def _gateway_kills(fault: BenchFault, at: float, lasts: float, sizes: Sizes) -> Iterator[str]:
+    """Gateways are killed one after another over the fault's length."""
+    affected = _affected_gateways(fault, sizes)
+    for number in range(affected):
+        yield (
+            f"trouble gateway-kill at {at + lasts * number / affected:.2f}s "
+            f"back {max(0.2, fault['extra'] * sizes.scale):.2f}s gateway {number}"
+        )
+
+
+def _gateway_pauses(fault: BenchFault, at: float, lasts: float, sizes: Sizes) -> Iterator[str]:
+    """Gateways are paused again and again, each a little after the one before."""
+    interval = max(1.0, fault["extra"])
+    for number in range(_affected_gateways(fault, sizes)):
+        for turn in range(int(lasts // interval)):
+            yield (
+                f"trouble gateway-stall at {at + interval * turn + 0.3 * number:.2f}s "
+                f"for {fault['size'] / MILLISECONDS:.2f}s gateway {number}"
+            )
+
+
+def _affected_gateways(fault: BenchFault, sizes: Sizes) -> int:
+    return max(1, round(len(fault.get("on", ())) / sizes.bench_balancers * sizes.gateways))
--- a/gaproute/scenarios/result.py
+++ b/gaproute/scenarios/result.py
@@ -1,113 +1,115 @@
 """What the taps of a played day say: the rules, the service, what was sent and fetched."""
 
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any, Protocol
+
 from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
+from gaproute.scenarios.clients import ClientContext, DayClients
+from gaproute.scenarios.hosts import DayHosts
+from gaproute.scenarios.service import Service
 from gaproute.standins.tap import read_tap
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
+ENDS = ("answer", "overdue", "left", "broken")  # how a try may end at its client
+OUTCOMES = ("delivered", "declined", "scrapped", "left", "broken", "overdue")
+
+TapEvent = Mapping[str, Any]
+
+
+class PlayedDay(ClientContext, Protocol):
+    """A day that is over. `longest_deadline`: of its requests, ns."""
+
+    hosts: DayHosts
+    clients: DayClients
+    longest_deadline: int
+
+    def harness_lateness(self) -> int:
+        """By how much the processes that measure ran late at most, ns."""
+        ...
 
 
 class DayResult:
-    """What the taps of a played day say."""
+    """The result of a day."""
 
-    def __init__(self, trial):
+    def __init__(self, trial: PlayedDay) -> None:
         script, out = trial.script, trial.out
-        self.tracks = [line.name for line in script.tracks]
-        day_hosts = trial.hosts.by_name
-        hosts = {
-            name: [read_tap(path) for path in sorted(out.glob(f"host-{name}.*.tap"))] for name in day_hosts
-        }
+        self.request_classes = [line.name for line in script.request_classes]
+        hosts = {name: _host_taps(out, name) for name in trial.hosts.by_name}
         self.clients, self.run = trial.clients.events(), read_tap(out / "run.tap")
-        store = read_tap(out / "store.tap")
-        copies = script.copies
-        terms = DayTerms(
-            request_classes={
-                line.name: RequestClassTerms.from_track(line.effect, line.group, line.remembers)
-                for line in script.tracks
-            },
-            places={seat.name: HostPlace(seat.zone, seat.rack) for seat in day_hosts.values()},
-            load_orders_free=copies.free,
-            load_order_share=copies.share,
-            load_order_window=copies.window if copies.orders else 0,
-            harness_lateness=trial.harness_lateness(),
-            longest_deadline=trial.longest_deadline,
-        )
-        self.broken = judge(terms, hosts, self.clients, self.run)
+        self.broken = judge(_terms(trial), hosts, self.clients, self.run)
         self.exit_codes = trial.gateways.exit_codes
-        # clients that ended before all their tasks had: what they still waited for is on no tap
-        self.unfinished = len(trial.clients.processes) - sum(
-            event["what"] == "done" for event in self.clients
-        )
+        # Clients that ended before all their requests had: what they still waited for is on no tap.
+        done = sum(event["what"] == "done" for event in self.clients)
+        self.unfinished_clients = len(trial.clients.processes) - done
+        self._count_at_hosts(hosts)
+        store = read_tap(out / "store.tap")
         self.fetches = sum(event["what"] == "fetch" for event in store)
-        self.turned_away = sum(event["what"] == "turned away" for event in store)
-        arrivals = [event for runs in hosts.values() for events in runs for event in events]
-        self.relays = sum(event["what"] == "task" for event in arrivals)
-        self.orders = sum(event["what"] == "order" and event["count"] > 0 for event in arrivals)
-        self.fell = sum(event["what"] == "fell over" for event in arrivals)
-        self.ends = [
-            event for event in self.clients if event["what"] in ("answer", "overdue", "left", "broken")
-        ]
+        self.rejected_fetches = sum(event["what"] == "turned away" for event in store)
+        self.ends = [event for event in self.clients if event["what"] in ENDS]
         self.begun = next((event["at"] for event in self.run if event["what"] == "begun"), 0)
-        self.length = script.day.length
-        worth = {line.name: line.earnings for line in script.tracks}
-        contract = {line.name: line.contract for line in script.tracks}
-        # A client's retries count with its first try: served if any answer came within the contract time of
-        # it.
-        firsts = {}
-        # one that found no gateway was not served either
-        tried = [event for event in self.clients if event["what"] == "unreachable"]
-        for event in sorted([*self.ends, *tried], key=lambda event: event["asked"]):
-            first = firsts.setdefault(
-                event["first"], [event["asked"], event["track"], False, event["what"] == "left"]
-            )
-            if (
-                event["what"] == "answer"
-                and event["outcome"] == "delivered"
-                and event["status"] == 200
-                and event["at"] - first[0] <= contract[event["track"]]
-            ):
-                first[2] = True
-        self.firsts = [(asked, track, good) for asked, track, good, left in firsts.values() if not left]
-        self.service = self._service(worth, lambda asked, track: True)
-        self.by_track = {
-            track: self._service(worth, lambda asked, of, track=track: of == track) for track in self.tracks
-        }
-        self.windows = [
-            self._service(worth, lambda asked, track, at=at: at <= (asked - self.begun) // SECOND < at + 5)
-            for at in range(0, self.length // SECOND, 5)
-        ]
-
-    def _service(self, worth, within):
-        asked = [(worth[track], good) for at, track, good in self.firsts if within(at, track)]
-        total = sum(each for each, _ in asked)
-        return sum(each for each, good in asked if good) / total if total else None
-
-    def outcomes(self, track):
-        ends = [event for event in self.ends if event["track"] == track]
+        unreachable = [event for event in self.clients if event["what"] == "unreachable"]
+        service = Service(script.request_classes, [*self.ends, *unreachable])
+        self.service = service.overall()
+        self.service_by_class = {name: service.of_class(name) for name in self.request_classes}
+        self.service_by_window = service.by_window(self.begun, script.day.length)
+
+    def _count_at_hosts(self, hosts: Mapping[str, list[list[TapEvent]]]) -> None:
+        events = [event for taps in hosts.values() for tap in taps for event in tap]
+        self.attempts = sum(event["what"] == "task" for event in events)
+        self.load_orders = sum(event["what"] == "order" and event["count"] > 0 for event in events)
+        self.overloaded_hosts = sum(event["what"] == "fell over" for event in events)
+
+    def outcomes(self, request_class: str) -> dict[str, int]:
+        """How many tries of a request class ended how."""
+        ends = [event for event in self.ends if event["track"] == request_class]
         return {
             name: sum(
                 (event["outcome"] if event["what"] == "answer" else event["what"]) == name for event in ends
             )
-            for name in ("delivered", "declined", "scrapped", "left", "broken", "overdue")
+            for name in OUTCOMES
         }
 
     @property
-    def well(self):
+    def well(self) -> bool:
+        """No rule was violated, and clients and gateways ended as they should."""
         ended_well = all(code == 0 for code in self.exit_codes.values())
-        return not self.broken and bool(self.ends) and not self.unfinished and ended_well
+        return not self.broken and bool(self.ends) and not self.unfinished_clients and ended_well
 
-    def plain(self):
-        """The result as plain data."""
+    def plain(self) -> dict[str, Any]:
+        """The result as `gaproute trial --json` prints it."""
         return {
             "service": self.service,
-            "by_track": self.by_track,
-            "windows": self.windows,
-            "outcomes": {track: self.outcomes(track) for track in self.tracks},
-            "relays": self.relays,
-            "orders": self.orders,
+            "by_track": self.service_by_class,
+            "windows": self.service_by_window,
+            "outcomes": {name: self.outcomes(name) for name in self.request_classes},
+            "relays": self.attempts,
+            "orders": self.load_orders,
             "fetches": self.fetches,
-            "turned_away": self.turned_away,
-            "fell_over": self.fell,
+            "turned_away": self.rejected_fetches,
+            "fell_over": self.overloaded_hosts,
             "exit_codes": self.exit_codes,
-            "clients_unfinished": self.unfinished,
-            "broken": [broken._asdict() for broken in self.broken],
+            "clients_unfinished": self.unfinished_clients,
+            "broken": [violation._asdict() for violation in self.broken],
         }
+
+
+def _host_taps(out: Path, host: str) -> list[list[TapEvent]]:
+    return [read_tap(path) for path in sorted(out.glob(f"host-{host}.*.tap"))]
+
+
+def _terms(trial: PlayedDay) -> DayTerms:
+    """What the day is judged by."""
+    script = trial.script
+    copies = script.copies
+    return DayTerms(
+        request_classes={
+            line.name: RequestClassTerms.from_track(line.effect, line.group, line.remembers)
+            for line in script.request_classes
+        },
+        places={host.name: HostPlace(host.zone, host.rack) for host in trial.hosts.by_name.values()},
+        load_orders_free=copies.free,
+        load_order_share=copies.share,
+        load_order_window=copies.window if copies.orders else 0,
+        harness_lateness=trial.harness_lateness(),
+        longest_deadline=trial.longest_deadline,
+    )
--- a/gaproute/scenarios/result_table.py
+++ b/gaproute/scenarios/result_table.py
@@ -1,10 +1,13 @@
-"""A day's result for a person, 80 columns wide."""
+"""Prints a day's result for a person, 80 columns wide."""
 
 from collections import Counter
 
 from rich import box
+from rich.console import Console
 from rich.table import Table
 
+from gaproute.scenarios.result import OUTCOMES, DayResult
+
 RULES = {
     1: "one final answer, in time",
     2: "no effect twice",
@@ -12,33 +15,47 @@
     4: "cold hosts not pushed over",
     5: "load orders rationed",
 }
+MOST_VIOLATIONS = 3  # that are printed of each rule
+
+
+def print_result(result: DayResult, console: Console) -> None:
+    """The outcomes by request class, the service, counts, and each rule with its first violations."""
+    console.print(_outcome_table(result))
+    windows = " ".join(_share(service) for service in result.service_by_window)
+    console.print(f"service {_share(result.service)}; by 5 s: {windows}")
+    console.print(_counts(result))
+    for rule, name in RULES.items():
+        violations = [violation for violation in result.broken if violation.rule == rule]
+        console.print(
+            f"rule {rule}, {name}: {'kept' if not violations else f'BROKEN {len(violations)} times'}"
+        )
+        for violation in violations[:MOST_VIOLATIONS]:
+            console.print(f"    {(violation.at - result.begun) / 1e9:.2f} s: {violation.text}")
 
 
-def print_result(result, console):
+def _outcome_table(result: DayResult) -> Table:
     table = Table(
         title="tasks by track and end, at the clients' sockets", box=box.SIMPLE, pad_edge=False, padding=0
     )
-    names = ("delivered", "declined", "scrapped", "left", "broken", "overdue")
-    for column in ("track", *names, "service"):
+    for column in ("track", *OUTCOMES, "service"):
         table.add_column(column, justify="left" if column == "track" else "right")
-    for track in result.tracks:
-        outcomes = result.outcomes(track)
-        table.add_row(track, *(str(outcomes[name]) for name in names), share(result.by_track[track]))
-    console.print(table)
-    console.print(
-        f"service {share(result.service)}; by 5 s: {' '.join(share(each) for each in result.windows)}"
+    for name in result.request_classes:
+        outcomes = result.outcomes(name)
+        counts = (str(outcomes[outcome]) for outcome in OUTCOMES)
+        table.add_row(name, *counts, _share(result.service_by_class[name]))
+    return table
+
+
+def _counts(result: DayResult) -> str:
+    exit_codes = ", ".join(
+        f"{code} {count} times" for code, count in Counter(result.exit_codes.values()).items()
     )
-    console.print(
-        f"{result.relays} relays, {result.orders} load orders, {result.fetches} store fetches, "
-        f"{result.turned_away} turned away, {result.fell} hosts fell over; gateways' exit codes "
-        f"{', '.join(f'{code} {n} times' for code, n in Counter(result.exit_codes.values()).items())}"
+    return (
+        f"{result.attempts} relays, {result.load_orders} load orders, {result.fetches} store fetches, "
+        f"{result.rejected_fetches} turned away, {result.overloaded_hosts} hosts fell over; "
+        f"gateways' exit codes {exit_codes}"
     )
-    for rule, name in RULES.items():
-        broken = [each for each in result.broken if each.rule == rule]
-        console.print(f"rule {rule}, {name}: {'kept' if not broken else f'BROKEN {len(broken)} times'}")
-        for each in broken[:3]:
-            console.print(f"    {(each.at - result.begun) / 1e9:.2f} s: {each.text}")
 
 
-def share(value):
+def _share(value: float | None) -> str:
     return "-" if value is None else f"{value:.3f}"
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -77,7 +77,7 @@
     terms = DayTerms(
         request_classes={
             line.name: RequestClassTerms.from_track(line.effect, line.group, line.remembers)
-            for line in script.tracks
+            for line in script.request_classes
         },
         places={host: HostPlace("hall-0", "rack-0")},
     )
--- a/tests/scenarios/test_gateways.py
+++ b/tests/scenarios/test_gateways.py
@@ -8,6 +8,7 @@
 import pytest
 
 from gaproute.loop.loop import Loop
+from gaproute.scenarios.errors import GatewayStartError
 from gaproute.scenarios.gateways import DayGateways
 
 SECOND = 1_000_000_000
@@ -76,7 +77,7 @@
         try:
             yield routine.done
             found.append(None)
-        except RuntimeError as error:
+        except GatewayStartError as error:
             found.append(error)
         loop.stop()
 
@@ -113,5 +114,5 @@
 def test_a_process_that_ends_by_itself_has_not_started(tmp_path):
     loop = Loop()
     fleet = gateways(loop, tmp_path, "raise SystemExit(1)")
-    with pytest.raises(RuntimeError, match="g0 did not start"):
+    with pytest.raises(GatewayStartError, match="g0 did not start"):
         raise ended(loop, loop.spawn(fleet.start(0)))
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -67,9 +67,8 @@
                 name, "127.0.0.2:0", changelog, known, deployment_settings(TRACKS, gateways=2), seed=place + 1
             ),
         )
-        log = open(self.folder / f"{name}.log", "wb")
-        child = subprocess.Popen(command, env=os.environ | environment, stderr=log)
-        log.close()
+        with open(self.folder / f"{name}.log", "wb") as log:
+            child = subprocess.Popen(command, env=os.environ | environment, stderr=log)
         self.processes.append(child)
         end = time.monotonic() + 10
         while time.monotonic() < end:
