--- a/tests/scenarios/test_gateways.py
+++ b/tests/scenarios/test_gateways.py
@@ -15,7 +15,7 @@
 MILLI = 1_000_000
 
 
-class OneProcess:
+class RunningProcess:
     """A child as the gateways of a day know it."""
 
     def __init__(self, child):
@@ -25,28 +25,28 @@
         self.child.send_signal(number)
 
 
-class Struck:
+class SignalRecorder:
     """A process of which only its signals are of interest."""
 
     def __init__(self, signal):
         self.signal = signal
 
 
-class Processes:
-    """Each start is a child with this program, which never says that it has started."""
+class ProcessesOfOneProgram:
+    """Each start is a child with this program, which never logs that it has started."""
 
     def __init__(self, program):
         self.program = program
 
-    def start(self, words, told, errors, reads_output, **options):
-        return OneProcess(subprocess.Popen([sys.executable, "-c", self.program]))
+    def start(self, module, settings, errors, reads_output, **options):
+        return RunningProcess(subprocess.Popen([sys.executable, "-c", self.program]))
 
 
 class Tap:
     def __init__(self):
         self.events = []
 
-    def note(self, what, **told):
+    def note(self, what, **details):
         self.events.append(what)
 
     def flush(self):
@@ -63,7 +63,7 @@
         models=[],
         decisions="gaproute.decisions.routing:Gateway",
         script=SimpleNamespace(day=day, gateway_lines=[]),
-        processes=Processes(program),
+        processes=ProcessesOfOneProgram(program),
     )
     (folder / "g0.log").write_text("")
     return DayGateways(trial)
@@ -99,15 +99,15 @@
 
 
 @pytest.mark.parametrize(
-    ("strike", "note", "number"),
+    ("fault", "note", "number"),
     [("kill_and_restart", "killed", signal.SIGKILL), ("pause", "stopped", signal.SIGSTOP)],
 )
-def test_a_strike_is_noted_before_clients_can_see_it(tmp_path, strike, note, number):
+def test_a_fault_is_noted_before_clients_can_see_it(tmp_path, fault, note, number):
     """A client whose connection ends by a kill that is noted later would be judged as lost by the gateway."""
     fleet = gateways(Loop(), tmp_path, "")
     noted = {}
-    fleet.processes[0] = Struck(lambda sent: noted.setdefault(sent, list(fleet.tap.events)))
-    next(getattr(fleet, strike)(0, SECOND))
+    fleet.processes[0] = SignalRecorder(lambda sent: noted.setdefault(sent, list(fleet.tap.events)))
+    next(getattr(fleet, fault)(0, SECOND))
     assert noted == {number: [note]}
 
 
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -52,9 +52,9 @@
         self.folder, self.processes = folder, []
         self.tap = Tap(folder / "run.tap", time.monotonic_ns)
 
-    def start_stand_in(self, kind, told):
+    def start_stand_in(self, kind, settings):
         process = DayProcess(
-            [sys.executable, "-m", "gaproute.standins", kind], told, self.folder / f"{kind}.err"
+            [sys.executable, "-m", "gaproute.standins", kind], settings, self.folder / f"{kind}.err"
         )
         self.processes.append(process)
         return process, json.loads(process.child.stdout.readline())
@@ -80,7 +80,7 @@
         raise AssertionError(f"{name} did not start")
 
     def play(self):
-        hosts, told = self.start_stand_in(
+        hosts, started = self.start_stand_in(
             "platform-host",
             {
                 "models": MODELS,
@@ -93,13 +93,13 @@
             },
         )
         listing = VersionedHostList()
-        whole = listing.change(*[member(name, where) for name, where in told["addresses"].items()])
-        log, ways = self.start_stand_in(
+        whole = listing.change(*[member(name, where) for name, where in started["addresses"].items()])
+        log, feeds = self.start_stand_in(
             "platform-log", {"gateways": ["127.0.0.2:0"] * 2, "tap": str(self.folder / "log.tap")}
         )
         log.send(whole)
         gateways = [
-            self.gateway(place, where, listing.snapshot()) for place, where in enumerate(ways["addresses"])
+            self.gateway(place, where, listing.snapshot()) for place, where in enumerate(feeds["addresses"])
         ]
         clients, _ = self.start_stand_in(
             "platform-clients",
@@ -115,7 +115,7 @@
         )
         time.sleep(DRAIN)
         hosts.send({"host": DRAINED, "trouble": "drain"})
-        log.send(listing.change(member(DRAINED, told["addresses"][DRAINED], "draining")))
+        log.send(listing.change(member(DRAINED, started["addresses"][DRAINED], "draining")))
         clients.child.wait(20)
         codes = []
         for child, _ in gateways:
@@ -146,8 +146,8 @@
         made.end()
     made.hosts = {f"s-{number}": [read_tap(made.folder / f"host-s-{number}.1.tap")] for number in range(3)}
     made.clients = read_tap(made.folder / "clients.tap")
-    made.told = read_tap(made.folder / "log.tap")
-    made.run = read_tap(made.folder / "run.tap") + made.told
+    made.notified = read_tap(made.folder / "log.tap")
+    made.run = read_tap(made.folder / "run.tap") + made.notified
     return made
 
 
@@ -169,10 +169,10 @@
     assert len(delivered) > 0.95 * len(ends)
     assert day.codes == [0, 0]
     share = sum(event["gateway"] == 0 for event in ends) / len(ends)
-    assert 0.65 < share < 0.85  # three to one, as told
+    assert 0.65 < share < 0.85  # three to one, as their weights say
 
 
-def test_hosts_note_the_deadlines_they_are_told_and_a_longer_one_is_caught(day):
+def test_hosts_note_the_deadlines_passed_to_them_and_a_longer_one_is_caught(day):
     name, host, place, event = next(
         (end["id"], host, place, event)
         for end in day.clients
@@ -191,11 +191,11 @@
         assert [broken.kind for broken in judged] == found
 
 
-def test_every_gateway_is_told_of_the_drain_and_what_came_later_is_caught(day):
-    told = [event for event in day.told if event["what"] == "told" and event["state"] == "draining"]
-    assert sorted((event["gateway"], event["host"]) for event in told) == [(0, DRAINED), (1, DRAINED)]
+def test_every_gateway_is_notified_of_the_drain_and_what_came_later_is_caught(day):
+    notified = [event for event in day.notified if event["what"] == "told" and event["state"] == "draining"]
+    assert sorted((event["gateway"], event["host"]) for event in notified) == [(0, DRAINED), (1, DRAINED)]
     late = [event for event in day.hosts[DRAINED][0] if event["what"] == "task"]
     assert len(late) > 20  # it worked until then
-    forged = late[-1] | {"at": max(event["at"] for event in told) + 2 * SECOND}
+    forged = late[-1] | {"at": max(event["at"] for event in notified) + 2 * SECOND}
     hosts = day.hosts | {DRAINED: [day.hosts[DRAINED][0] + [forged]]}
     assert 3 in {broken.rule for broken in judge(terms(), hosts, day.clients, day.run)}
--- a/tests/scenarios/test_accounts.py
+++ b/tests/scenarios/test_result.py
@@ -1,4 +1,4 @@
-"""A played day's accounts leave out nothing that a client waited for, and no breach that rests on no time."""
+"""The result of a day leaves out nothing that a client waited for, and no violation that rests on no time."""
 
 from types import SimpleNamespace
 
@@ -50,7 +50,7 @@
 DONE = {"at": SECOND, "what": "done", "late": 0}
 
 
-def test_a_day_whose_clients_ended_before_their_tasks_is_not_well(tmp_path):
+def test_a_day_whose_clients_ended_before_their_requests_is_not_well(tmp_path):
     assert result(tmp_path, answered("a"), DONE).well
     cut_short = result(tmp_path, answered("a"))
     assert not cut_short.well
@@ -58,8 +58,8 @@
     assert not result(tmp_path, answered("a"), DONE, processes=2).well
 
 
-def test_a_task_that_found_no_gateway_was_not_served(tmp_path):
-    lost = {
+def test_a_request_that_found_no_gateway_was_not_served(tmp_path):
+    unreachable = {
         "at": 0,
         "what": "unreachable",
         "id": "b",
@@ -69,8 +69,8 @@
         "tries": 0,
     }
     assert result(tmp_path, answered("a"), DONE).service == 1.0
-    assert result(tmp_path, answered("a"), lost, DONE).service == 0.5
-    assert result(tmp_path, answered("b", at=200 * MILLI), lost, DONE).service == 1.0  # a further try was
+    assert result(tmp_path, answered("a"), unreachable, DONE).service == 0.5
+    assert result(tmp_path, answered("b", at=200 * MILLI), unreachable, DONE).service == 1.0  # a retry was
 
 
 @pytest.mark.parametrize(
@@ -81,7 +81,7 @@
         (ViolationKind.LOST, "void"),
     ],
 )
-def test_a_harness_that_ran_late_hides_no_breach_that_rests_on_no_time(kind, verdict):
+def test_a_harness_that_ran_late_hides_no_violation_that_rests_on_no_time(kind, verdict):
     made = ClusterVerdict.__new__(ClusterVerdict)
     made.whole, made.void, made.faulty = True, ["a wire ran late"], ["x"]
     made.broken = [Violation(1, 0, "x", kind)]
@@ -95,11 +95,11 @@
     assert Trial.harness_lateness(None) == 0
 
 
-class Ending:
-    """A gateway's process that ends some time after a SIGTERM, or never; `told`: what it got when."""
+class EndingProcess:
+    """A gateway's process that ends some time after a SIGTERM, or never; `signals`: which it got when."""
 
     def __init__(self, loop, after):
-        self.loop, self.told = loop, []
+        self.loop, self.signals = loop, []
         self.end = None if after is None else loop.now() + after
         self.child = SimpleNamespace(poll=self.poll)
 
@@ -107,7 +107,7 @@
         return 0 if self.end is not None and self.loop.now() >= self.end else None
 
     def signal(self, number):
-        self.told.append((number.name, self.loop.now()))
+        self.signals.append((number.name, self.loop.now()))
 
 
 @pytest.mark.parametrize(
@@ -117,24 +117,24 @@
 def test_a_gateway_that_has_not_ended_is_killed_as_soon_as_the_operators_may(after, noted, signals):
     loop, events, faulty = Loop(), [], []
 
-    def rest(processes, span):
+    def wait_for_exit(processes, span):
         end = loop.now() + span
         while processes[0].child.poll() is None and loop.now() < end:
             yield loop.sleep(5 * MILLI)
 
-    process = Ending(loop, after)
+    process = EndingProcess(loop, after)
     gateways = SimpleNamespace(
-        tap=SimpleNamespace(note=lambda what, **told: events.append(what)),
+        tap=SimpleNamespace(note=lambda what, **details: events.append(what)),
         trial=SimpleNamespace(
-            processes=SimpleNamespace(wait_for_exit=rest), kill_after=200 * MILLI, faulty=faulty
+            processes=SimpleNamespace(wait_for_exit=wait_for_exit), kill_after=200 * MILLI, faulty=faulty
         ),
     )
     loop.run(until=loop.spawn(ClusterGateways.end(gateways, 0, process)).done)
     assert events == ["ending", noted]
-    assert [name for name, _ in process.told] == signals
+    assert [name for name, _ in process.signals] == signals
     assert bool(faulty) == (noted == "killed")
     if noted == "killed":
-        assert 200 * MILLI <= process.told[1][1] - process.told[0][1] < 400 * MILLI
+        assert 200 * MILLI <= process.signals[1][1] - process.signals[0][1] < 400 * MILLI
     loop.close()
 
 
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -1,5 +1,5 @@
 """Days played by processes: the honest module keeps the rules, a module that breaks one is caught at it; a
-gateway killed, stopped and asked to end; a bench day's troubles as a script."""
+gateway killed, stopped and asked to end; a bench day's faults as a script."""
 
 import json
 import os
@@ -8,6 +8,7 @@
 import sys
 import time
 from concurrent.futures import ThreadPoolExecutor
+from typing import NamedTuple
 
 import pytest
 from helpers import SECOND
@@ -17,34 +18,45 @@
 from gaproute.scenarios.bench_day import convert_bench_day
 from gaproute.standins.rule_violators import RULE_VIOLATORS
 
-RULES = {
-    -3: "gaproute.standins.false_reports:ReportsFalselyAlways",
-    -2: "gaproute.decisions.routing:Gateway",
-    -1: "gaproute.decisions.routing:Gateway",
-    0: "gaproute.decisions.routing:Gateway",
-} | {rule: f"gaproute.standins.rule_violators:{rogue.__name__}" for rule, rogue in RULE_VIOLATORS.items()}
+HONEST = "gaproute.decisions.routing:Gateway"
+FALSE_REPORTS = "gaproute.standins.false_reports:ReportsFalselyAlways"
 
-SCRIPTS = {-1: "short-day", -2: "telling-day", -3: "telling-day"}
+
+class PlannedDay(NamedTuple):
+    """A script and the decisions of its gateways."""
+
+    script: str
+    decisions: str
+
+
+DAYS = {
+    "honest": PlannedDay("rogue", HONEST),
+    "processes killed and paused": PlannedDay("short-day", HONEST),
+    "shared observations": PlannedDay("telling-day", HONEST),
+    "false observations": PlannedDay("telling-day", FALSE_REPORTS),
+} | {
+    f"violates rule {rule}": PlannedDay("rogue", f"gaproute.standins.rule_violators:{decisions.__name__}")
+    for rule, decisions in RULE_VIOLATORS.items()
+}
 
 
 @pytest.fixture(scope="module")
 def days(tmp_path_factory):
-    """{rule: (exit code, result)} of one short day for each decision module, three at a time; rule -1: a day
-    on which processes are struck; -2: one on which they learn from each other and from disk meanwhile; -3:
-    the same with all that is told of copies wrong."""
+    """{name: (exit code, result)} of the planned days, three played at a time."""
 
-    def play(rule):
-        out = tmp_path_factory.mktemp(f"rule{rule}")
+    def play(name):
+        script, decisions = DAYS[name]
+        out = tmp_path_factory.mktemp("day")
         played = subprocess.run(
             [
                 sys.executable,
                 "-m",
                 "gaproute",
                 "trial",
-                SCRIPTS.get(rule, "rogue"),
+                script,
                 "--json",
                 "--decisions",
-                RULES[rule],
+                decisions,
                 "--out",
                 str(out),
             ],
@@ -55,27 +67,27 @@
         return played.returncode, json.loads(played.stdout)
 
     with ThreadPoolExecutor(3) as pool:
-        return dict(zip(RULES, pool.map(play, RULES), strict=True))
+        return dict(zip(DAYS, pool.map(play, DAYS), strict=True))
 
 
 def test_the_module_keeps_the_rules_on_a_day_that_tempts_to_each(days):
-    code, result = days[0]
+    code, result = days["honest"]
     assert result["broken"] == []
     assert code == 0
     assert result["relays"] > 200
     assert result["outcomes"]["repair-order"]["scrapped"] > 0
 
 
-def test_the_rules_hold_while_gateways_are_killed_and_stopped_and_hosts_replaced(days):
-    code, result = days[-1]
+def test_the_rules_hold_while_gateways_are_killed_and_paused_and_hosts_replaced(days):
+    code, result = days["processes killed and paused"]
     assert result["broken"] == []
     assert code == 0
     assert result["fell_over"] == 0
     assert result["service"] > 0.5  # far below what is usual: it only tells a day that was not played
 
 
-@pytest.mark.parametrize("day", [-2, -3])
-def test_the_rules_hold_while_restarting_gateways_learn_even_where_all_that_is_told_is_wrong(days, day):
+@pytest.mark.parametrize("day", ["shared observations", "false observations"])
+def test_the_rules_hold_while_restarting_gateways_learn_even_where_all_reports_are_wrong(days, day):
     code, result = days[day]
     assert result["broken"] == []
     assert code == 0
@@ -85,7 +97,7 @@
 
 @pytest.mark.parametrize("rule", sorted(RULE_VIOLATORS))
 def test_a_module_that_breaks_a_rule_is_caught_at_it(days, rule):
-    code, result = days[rule]
+    code, result = days[f"violates rule {rule}"]
     assert code == 1
     assert rule in {broken["rule"] for broken in result["broken"]}
 
@@ -123,9 +135,9 @@
 
 def test_the_console_starts_asks_and_stops_a_gateway_and_its_exit_codes_are_kept(tmp_path):
     process, where = started(tmp_path)
-    told = command("status", "--at", f"unix:{tmp_path}/op", "--json")
-    assert told.returncode == 0
-    assert json.loads(told.stdout)["ready"]
+    status = command("status", "--at", f"unix:{tmp_path}/op", "--json")
+    assert status.returncode == 0
+    assert json.loads(status.stdout)["ready"]
     assert "h" in command("hosts", "--at", f"unix:{tmp_path}/op").stdout
     second = command("serve", tmp_path / "g.conf")
     assert second.returncode == 3
@@ -152,7 +164,7 @@
     assert again.wait(10) == 0
 
 
-def test_what_came_while_a_gateway_stood_still_is_booked_before_anything_is_overdue(rig, tmp_path):
+def test_what_came_while_a_gateway_was_paused_is_booked_before_anything_is_overdue(rig, tmp_path):
     made = rig(hosts=2)
     for host in made.hosts:
         # 0.3 s a task: answered while the gateway is stopped
@@ -168,8 +180,8 @@
     process.send_signal(signal.SIGCONT)
     assert [made.wait(answer).status for answer in asked] == [200] * 12
     assert len(made.seen("task")) == 12  # nothing was sent again
-    told = json.loads(command("hosts", "--at", f"unix:{tmp_path}/op", "--json").stdout)
-    assert all(set(host["relays"]) <= {"ok"} for host in told)
+    hosts = json.loads(command("hosts", "--at", f"unix:{tmp_path}/op", "--json").stdout)
+    assert all(set(host["relays"]) <= {"ok"} for host in hosts)
     process.send_signal(signal.SIGTERM)
     assert process.wait(10) == 0
 
@@ -221,7 +233,7 @@
 }
 
 
-def test_a_bench_days_troubles_become_a_script(tmp_path):
+def test_a_bench_days_faults_become_a_script(tmp_path):
     text, left_out = convert_bench_day(DAY, hosts=8, gateways=2, scale=0.5)
     file = tmp_path / "day.script"
     file.write_text(text)
