--- a/gaproute/judge/downtime.py
+++ b/gaproute/judge/downtime.py
@@ -77,7 +77,7 @@
 
     def _end_process(self, at: int, *, killed: bool) -> None:
         self._end_pause(at)
-        if self.process_end is None:  # else a process that still starts was killed: the absence goes on
+        if self.process_end is None:  # else a process that still starts was killed: the absence continues
             self.process_end = ProcessEnd(at, self.terminated_at, killed)
         self.terminated_at = None
 
--- a/gaproute/judge/drains.py
+++ b/gaproute/judge/drains.py
@@ -30,7 +30,7 @@
 def judge_drains(terms: DayTerms, day: Day) -> Iterator[Violation]:
     """The violations of rule 3."""
     for host, by_gateway in _notifications_by_host(day).items():
-        drained = {gateway: _drained_spans(terms, told) for gateway, told in by_gateway.items()}
+        drained = {gateway: _drained_spans(terms, changes) for gateway, changes in by_gateway.items()}
         for run in day.hosts.get(host, ()):
             for arrival in run.arrivals:
                 if isinstance(arrival, Attempt) or arrival.instances > 0:
--- a/gaproute/judge/events.py
+++ b/gaproute/judge/events.py
@@ -31,7 +31,9 @@
     request_class: str
     idempotency_key: object
     work: int  # ns of one core, as the request class has it
-    time_left: int | None  # ns until its deadline, as the host was told; None where the protocol has none
+    time_left: (
+        int | None
+    )  # ns until its deadline, as it was passed to the host; None where the protocol has none
 
 
 class LoadOrderArrival(NamedTuple):
@@ -132,7 +134,7 @@
 
 
 class ListNotification(NamedTuple):
-    """The host list told of a host's state: one gateway, or all where `gateway` is None."""
+    """The host list notified one gateway, or all where `gateway` is None, of a host's state."""
 
     at: int
     host: str
--- a/gaproute/judge/link_faults.py
+++ b/gaproute/judge/link_faults.py
@@ -27,7 +27,7 @@
     def earliest_send_time(self, gateway: GatewayId | None, host: str, arrived_at: int) -> int:
         """When what the host received at `arrived_at` may have been sent at the earliest, ns.
 
-        Bytes that a fault kept back may be as old as the fault.
+        Bytes that a fault held back may be as old as the fault.
         """
         return min(
             (
--- a/gaproute/judge/load_order_rate.py
+++ b/gaproute/judge/load_order_rate.py
@@ -29,7 +29,7 @@
 
 
 def _order_times(terms: DayTerms, day: Day) -> Times:
-    """When load orders arrived; without those that may have been kept back on their way."""
+    """When load orders arrived; without those that may have been held back on their way."""
     times: Times = defaultdict(list)
     for runs in day.hosts.values():
         for run in runs:
--- a/gaproute/judge/senders.py
+++ b/gaproute/judge/senders.py
@@ -43,7 +43,7 @@
                 self.gateway_of_connection[connection] = self.gateway_of_request[attempt.request]
 
     def gateway_of(self, arrival: HostArrival) -> GatewayId | None:
-        """The gateway that sent it, None where nothing tells."""
+        """The gateway that sent it, None where it is unknown."""
         if isinstance(arrival, Attempt):
             return self.gateway_of_request.get(arrival.request)
         if arrival.gateway_name:
--- a/gaproute/judge/slow_start.py
+++ b/gaproute/judge/slow_start.py
@@ -1,7 +1,7 @@
 """Rule 4: all gateways together do not overload a host that is warming up (slow start).
 
 Within any window of the host, the work sent to it stays within a multiple of what it can do in that time.
-What may have been kept back on its way, and so arrives together with later work, is not counted.
+What may have been held back on its way, and so arrives together with later work, is not counted.
 """
 
 from collections.abc import Iterator
--- a/gaproute/judge/terms.py
+++ b/gaproute/judge/terms.py
@@ -1,7 +1,7 @@
 """What a day is judged by, and how a violation of a rule is reported.
 
 The time spans are the ones that the operators publish: nothing here is wider than their terms. The allowances
-that only measuring on a real machine needs (`TRANSIT_ALLOWANCE`, `DayTerms.harness_lateness`) are kept apart.
+that only measuring on a real machine needs (`TRANSIT_ALLOWANCE`, `DayTerms.harness_lateness`) are separate.
 """
 
 from collections.abc import Mapping
@@ -55,7 +55,7 @@
 
 
 class HostPlace(NamedTuple):
-    """Where a host stands."""
+    """The zone and the rack of a host."""
 
     zone: str
     rack: str
--- a/gaproute/scenarios/bench_day.py
+++ b/gaproute/scenarios/bench_day.py
@@ -105,13 +105,13 @@
     elif name == "gateway-stall":
         yield from _gateway_pauses(fault, at, lasts, sizes)
     else:
-        words = [
+        parts = [
             f"trouble {name} at {at:.2f}s",
             _times(fault, name, lasts, sizes.scale),
             *_affected(fault, name, sizes),
             *_size(fault, size),
         ]
-        yield " ".join(words)
+        yield " ".join(parts)
 
 
 def _times(fault: BenchFault, name: str, lasts: float, scale: float) -> str:
--- a/gaproute/scenarios/faults.py
+++ b/gaproute/scenarios/faults.py
@@ -14,7 +14,7 @@
 
 
 class FaultContext(ClientContext, Protocol):
-    """The played day as its faults know it. `report` tells a person what happens."""
+    """The played day as its faults know it. `report` shows a person what happens."""
 
     hosts: DayHosts
     host_list: HostListPublisher
@@ -103,7 +103,7 @@
         yield from ()
 
     def _silence(self, host: DayHost, line: DayFaultLine) -> Routine:
-        """A host's process stands still with its sockets open, and dies after a while."""
+        """A host's process is paused with its sockets open, and killed after a while."""
         host.under_fault = True
         if host.process is not None:
             host.process.signal(signal.SIGSTOP)
@@ -112,7 +112,7 @@
         yield from self._kill_and_restart(host, line)
 
     def _crash(self, host: DayHost, line: DayFaultLine) -> Routine:
-        """A host's process dies, its connections are reset."""
+        """A host's process is killed, so that its connections are reset."""
         host.under_fault = True
         self._publish_gone(host, self.list_delay)
         yield from self._kill_and_restart(host, line)
--- a/gaproute/scenarios/gateways.py
+++ b/gaproute/scenarios/gateways.py
@@ -97,7 +97,7 @@
     def pause(self, number: int, span: int) -> Routine:
         """A coroutine: its process is stopped for `span` ns (SIGSTOP, SIGCONT)."""
         process = self.processes[number]
-        self.tap.note("stopped", gateway=number)  # first: clients may see it before this goes on
+        self.tap.note("stopped", gateway=number)  # first, as clients may see the pause at once
         process.signal(signal.SIGSTOP)
         yield self.loop.sleep(span)
         process.signal(signal.SIGCONT)
--- a/gaproute/scenarios/host_list.py
+++ b/gaproute/scenarios/host_list.py
@@ -11,15 +11,15 @@
 
 
 class HostListPublisher(Protocol):
-    """What tells gateways of the hosts. `delay`: by how much it is late now, ns; drains are never late."""
+    """What notifies gateways of the hosts. `delay`: by how much it is late now, ns; drains are never late."""
 
     delay: int
 
     def publish(self) -> None:
-        """Tells of all hosts as they are now."""
+        """Notifies them of all hosts as they are now."""
 
     def publish_state(self, host: DayHost, state: str, delay: int) -> Routine:
-        """A coroutine: tells of the host's new state after `delay` ns, and as much later as it is late."""
+        """A coroutine: notifies them of the host's new state in `delay` ns, later still while it is late."""
         ...
 
 
--- a/gaproute/scenarios/script.py
+++ b/gaproute/scenarios/script.py
@@ -1,7 +1,7 @@
 """Scripts of days: lines in the manner of the configuration (docs/trials.md).
 
 The lines of `script_lines` are the script's own. `track`, `copies`, `relays`, `reports`, `cold`, `advice` and
-`clients` go to the gateways' configuration as they stand.
+`clients` go to the gateways' configuration unchanged.
 """
 
 from collections.abc import Callable, Mapping
@@ -44,16 +44,16 @@
         self.request_classes: list[TrackLine] = _all(found, "track")
         self.day_faults: list[DayFaultLine] = _all(found, "trouble")
         lines = text.splitlines()
-        self.gateway_lines = [lines[line.line - 1] for word, line in found if word in GATEWAY_LINES]
+        self.gateway_lines = [lines[line.line - 1] for keyword, line in found if keyword in GATEWAY_LINES]
 
 
-def _all(found: list[Found], word: str) -> list[Any]:
-    return [directive for name, directive in found if name == word]
+def _all(found: list[Found], keyword: str) -> list[Any]:
+    return [directive for name, directive in found if name == keyword]
 
 
-def _only(found: list[Found], word: str, kind: type[Line]) -> Line:
-    """The one line of this word; what the class has by default where there is none."""
-    return next(iter(_all(found, word)), None) or kind()
+def _only(found: list[Found], keyword: str, kind: type[Line]) -> Line:
+    """The one line with this keyword; the defaults of its class where there is none."""
+    return next(iter(_all(found, keyword)), None) or kind()
 
 
 class ParsedScript(NamedTuple):
@@ -77,7 +77,7 @@
     """
     file = str(name)
     text = _read_text(file)
-    lines = SCRIPT_LINES | {word: DIRECTIVES[word] for word in GATEWAY_LINES} | dict(further or {})
+    lines = SCRIPT_LINES | {keyword: DIRECTIVES[keyword] for keyword in GATEWAY_LINES} | dict(further or {})
     found, mistakes, _ = read_lines(file, text, lines)
     mistakes = [*mistakes, *_mistakes(file, found), *check(file, found)]
     if mistakes:
--- a/gaproute/scenarios/script_lines.py
+++ b/gaproute/scenarios/script_lines.py
@@ -1,4 +1,4 @@
-"""The lines of a script, one class for each word that a line may begin with.
+"""The lines of a script, one class for each keyword that a line may begin with.
 
 The fields are the keywords of the script's form, which stay as they are: a `track` is a request class,
 `copies` are instances, a `hall` is a zone, a `trouble` is a fault. Times are ns.
--- a/tests/judge/test_judge.py
+++ b/tests/judge/test_judge.py
@@ -104,7 +104,7 @@
     run = gateway_events((100, "stopped"), (200, "continued"), (3000, "killed"), (3100, "started"))
     for at, found in ((150, []), (2500, [1]), (3050, []), (4200, [1])):
         assert rules({}, [end(at, "overdue", asked=(at - 20) * MILLI)], run) == found
-    # one that stood still closes no connection
+    # a paused one closes no connection
     assert rules({}, [end(150, "broken", asked=130 * MILLI)], run) == [1]
 
 
--- a/tests/judge/test_terms.py
+++ b/tests/judge/test_terms.py
@@ -165,7 +165,7 @@
             600,
             1000,
             [ViolationKind.DEADLINE_TOO_LONG],
-        ),  # passed on anew in full after a slow dial, or written in two parts
+        ),  # passed on once more in full after a slow dial, or written in two parts
     ],
 )
 def test_the_deadline_passed_to_a_host_is_what_the_client_has_left_and_0_15_s(at, limit, found):
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -83,7 +83,7 @@
     assert result["broken"] == []
     assert code == 0
     assert result["fell_over"] == 0
-    assert result["service"] > 0.5  # far below what is usual: it only tells a day that was not played
+    assert result["service"] > 0.5  # far below what is usual: it only detects a day that was not played
 
 
 @pytest.mark.parametrize("day", ["shared observations", "false observations"])
