--- a/tests/judge/test_violation_texts.py
+++ b/tests/judge/test_violation_texts.py
@@ -115,7 +115,7 @@
 
 def test_the_texts_of_rule_3():
     shared = [notified(0, "draining")]
-    own = [dict(event, gateway=0) for event in shared]
+    own = [{"at": 0, "what": "started", "gateway": 0, "name": "0"}, dict(shared[0], gateway=0)]
     assert reported({"h1": [task(700)]}, [], shared) == [
         (3, 700 * MILLI, "task to h1, told draining or gone before", "drain")
     ]
