--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -54,7 +54,7 @@
         self.seed = secrets.randbits(SEED_BITS) if seed is None else seed
         self.log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
         self.loop.on_error = self._log_error
-        self.record = Record(self.log, [line.name for line in configuration.tracks])
+        self.record = Record(self.log, [line.name for line in configuration.request_classes])
         self.host_list = HostList(self.loop, configuration, self.record)
         self.stopping = False
         self.address_shared = False  # others serve at the clients' addresses, also after this one's stop
@@ -69,7 +69,7 @@
         """The request driver with its decisions and its connections to hosts."""
         configuration = self.configuration
         run = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids stay apart over restarts
-        line = configuration.reach
+        line = configuration.host_limits
         reach = ClientSettings(line.connect, line.probe, line.order, line.connections, line.answer)
         self.hosts: KServeClient
         self.core: Core
@@ -85,7 +85,7 @@
 
     def _make_connections(self) -> AcceptedConnections:
         connections = AcceptedConnections.of(self.loop)
-        clients = self.configuration.clients
+        clients = self.configuration.client_limits
         chance = Chance(self.seed + ADMISSION_SEED)
         connections.admission = Admission(clients.connections, clients.per_address, descriptors(), chance)
         return connections
@@ -119,7 +119,7 @@
         )
 
     def _listen(self) -> None:
-        for kind, where in self.configuration.listens:
+        for kind, where in self.configuration.listen_addresses:
             try:
                 self._open_front(kind, where)
             except OSError as error:
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -22,7 +22,7 @@
 
     def __init__(self, loop: Loop, configuration: Configuration, record: Record) -> None:
         self.loop, self.configuration, self.record = loop, configuration, record
-        self.listing = HostLineConverter(loop, use_capacities=configuration.sizes_reported)
+        self.listing = HostLineConverter(loop, use_capacities=configuration.capacities_reported)
         self.rows: dict[str, Endpoint] = {}
         self.watch: FileWatch | None = None
 
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from gaproute.config.directives.fleet import KeepersLine
+from gaproute.config.directives.fleet import RaftGroupLine
 from gaproute.http1 import Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
@@ -38,7 +38,7 @@
     """
 
     def __init__(
-        self, loop: Loop, name: str, line: KeepersLine, record: Record, chance: RandomSource
+        self, loop: Loop, name: str, line: RaftGroupLine, record: Record, chance: RandomSource
     ) -> None:
         self.loop = loop
         self.peers: dict[str, str] = {}  # addresses by name
--- a/gaproute/appliance/listening_sockets.py
+++ b/gaproute/appliance/listening_sockets.py
@@ -62,7 +62,7 @@
 
 
 def _client_addresses(configuration: Configuration) -> list[str]:
-    return [where for kind, where in configuration.listens if kind == CLIENT_PROTOCOL]
+    return [where for kind, where in configuration.listen_addresses if kind == CLIENT_PROTOCOL]
 
 
 def _displayed_address(sock: socket.socket) -> str:
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -13,8 +13,8 @@
 from gaproute.appliance.observation_writer import ObservationWriter
 from gaproute.config import read_peers
 from gaproute.config.configuration import Configuration
-from gaproute.config.directives.fleet import KeepersLine, PeerLine
-from gaproute.config.directives.process import ClientsLine
+from gaproute.config.directives.fleet import RaftGroupLine, PeerLine
+from gaproute.config.directives.process import ClientLimitsLine
 from gaproute.config.errors import Mistake
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.reports.follower import ObservationFollower
@@ -70,7 +70,7 @@
         self.leases: LeaseService | None = None
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = HostHistory(), SharedObservations()
-        self.request_classes = [line.name for line in configuration.tracks]  # names of the request classes
+        self.request_classes = [line.name for line in configuration.request_classes]  # names of the request classes
         self.follower = ObservationFollower(
             self.observations,
             configuration.terms.keep_alive,
@@ -92,8 +92,8 @@
                 Chance(self.seed + MEMBERSHIP_SEED),
                 self.record,
             )
-            if self.configuration.keepers is not None:
-                self.leases = self._lease_service(self.configuration.keepers)
+            if self.configuration.raft_group is not None:
+                self.leases = self._lease_service(self.configuration.raft_group)
                 server.routes[TARGET] = self.leases.handle
         except OSError:
             server.close()
@@ -154,9 +154,9 @@
 
         One that cannot be opened is tried again while the gateway serves, and written to from then on.
         """
-        if self.configuration.memory is None:
+        if self.configuration.observation_file is None:
             return
-        store = ObservationStore(self.configuration.memory, self._log_store)
+        store = ObservationStore(self.configuration.observation_file, self._log_store)
         try:
             store.open()
             self._restore(store)
@@ -202,12 +202,12 @@
                 part.close()
 
     def _limits(self) -> Limits:
-        limits = LIMITS if self.configuration.keepers is None else LEASE_PEER_LIMITS
+        limits = LIMITS if self.configuration.raft_group is None else LEASE_PEER_LIMITS
         if self.configuration.cells is None:
             return limits
-        return _with_forwarded_requests(limits, self.configuration.clients)
+        return _with_forwarded_requests(limits, self.configuration.client_limits)
 
-    def _lease_service(self, line: KeepersLine) -> LeaseService:
+    def _lease_service(self, line: RaftGroupLine) -> LeaseService:
         chance = Chance(self.seed + LEASES_SEED)
         return LeaseService(self.loop, self.configuration.name, line, self.record, chance)
 
@@ -231,7 +231,7 @@
         self.record.event("warning", "observation store", text=text)
 
 
-def _with_forwarded_requests(limits: Limits, clients: ClientsLine) -> Limits:
+def _with_forwarded_requests(limits: Limits, clients: ClientLimitsLine) -> Limits:
     """Limits where other gateways also forward requests: as large as those of clients."""
     return limits._replace(
         head=clients.head + FORWARDED_HEADER_BYTES,
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -25,13 +25,13 @@
 
 def answer_time(configuration: Configuration) -> int:
     """For how long requests are in flight at most: what then has no answer gets one at once."""
-    deadline = min(configuration.longest, MAX_COUNTED_DEADLINE)
-    return deadline + KILL_GRACE - ANSWER_MARGIN - configuration.clients.way_back
+    deadline = min(configuration.max_deadline, MAX_COUNTED_DEADLINE)
+    return deadline + KILL_GRACE - ANSWER_MARGIN - configuration.client_limits.way_back
 
 
 def max_duration(configuration: Configuration) -> int:
     """After which the process ends whatever is still open."""
-    return LATE_REQUEST_TIME + configuration.longest + LEAVE_TIME
+    return LATE_REQUEST_TIME + configuration.max_deadline + LEAVE_TIME
 
 
 class GracefulShutdown:
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -134,6 +134,6 @@
     """Check the configuration FILE and the files that it names; every mistake in one go."""
     configuration = load_configuration(file, with_cells=True)
     click.echo(
-        f"{file}: well: {len(configuration.tracks)} tracks, {len(configuration.models)} models, "
+        f"{file}: well: {len(configuration.request_classes)} tracks, {len(configuration.models)} models, "
         f"{len(configuration.hosts) or 'listed'} hosts"
     )
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -10,12 +10,12 @@
     CellsLine,
     HostLine,
     HostsFileLine,
-    KeepersLine,
+    RaftGroupLine,
     PeerLine,
     PeersFileLine,
 )
-from gaproute.config.directives.process import ClientsLine, ReachLine
-from gaproute.config.directives.requests import ModelLine, TrackLine
+from gaproute.config.directives.process import ClientLimitsLine, HostLimitsLine
+from gaproute.config.directives.requests import ModelLine, RequestClassLine
 from gaproute.config.parsing import Found
 
 IDEMPOTENCY = {kind.value: kind for kind in interface.Idempotency}
@@ -30,26 +30,26 @@
         lines = _Lines(found)
         self.file = file
         self.name: str = lines.one("name").name
-        self.listens: list[tuple[str, str]] = [(line.kind, line.where) for line in lines.all("listen")]
+        self.listen_addresses: list[tuple[str, str]] = [(line.kind, line.where) for line in lines.all("listen")]
         self.hosts: list[HostLine] = lines.all("host")
         self.hosts_file: HostsFileLine | None = lines.first("hosts-file")
         self.cells: CellsLine | None = lines.first("cells")
         self.cell_hosts: CellHostsLine | None = lines.first("cell-hosts")
-        self.tracks: list[TrackLine] = lines.all("track")
+        self.request_classes: list[RequestClassLine] = lines.all("track")
         self.models: dict[str, ModelLine] = {line.name: line for line in lines.all("model")}
         self.tenants: dict[str, int] = {line.name: place for place, line in enumerate(lines.all("tenant"))}
         self.peers: list[PeerLine] = lines.all("peer")
         self.peers_file: PeersFileLine | None = lines.first("peers-file")
-        self.memory: str | None = next((line.path for line in lines.all("memory")), None)
-        self.keepers: KeepersLine | None = lines.first("keepers")
-        self.clients: ClientsLine = lines.one("clients")
-        self.reach: ReachLine = lines.one("reach")
+        self.observation_file: str | None = next((line.path for line in lines.all("memory")), None)
+        self.raft_group: RaftGroupLine | None = lines.first("keepers")
+        self.client_limits: ClientLimitsLine = lines.one("clients")
+        self.host_limits: HostLimitsLine = lines.one("reach")
         self.log_level: str = lines.one("log").level
         self.decisions: Any = lines.one("decisions").load()
-        self.longest: int = max(line.limit for line in self.tracks)  # ns that a request may take
-        self.sizes_reported: bool = lines.one("sizes").enabled
+        self.max_deadline: int = max(line.limit for line in self.request_classes)  # ns that a request may take
+        self.capacities_reported: bool = lines.one("sizes").enabled
         self.gossip_enabled: bool = lines.one("weak-word").enabled
-        self.terms = _terms(lines, self.tracks, self.cells)
+        self.terms = _terms(lines, self.request_classes, self.cells)
 
     def assign_process_slot(self, number: int, count: int) -> None:
         """Makes this the configuration of one of `count` processes behind the same addresses for clients.
@@ -59,15 +59,15 @@
         """
         base = self.name
         self.name = f"{base}-{number}"
-        peer_addresses = [where for kind, where in self.listens if kind == "peers"]
-        self.listens = [
+        peer_addresses = [where for kind, where in self.listen_addresses if kind == "peers"]
+        self.listen_addresses = [
             (kind, where if kind == "kserve" else _address_of_slot(where, number))
-            for kind, where in self.listens
+            for kind, where in self.listen_addresses
         ]
-        if self.memory is not None:
-            self.memory = f"{self.memory}.{number}"
-        if self.cells is not None and self.cells.kept is not None:
-            self.cells = self.cells.model_copy(update={"kept": f"{self.cells.kept}.{number}"})
+        if self.observation_file is not None:
+            self.observation_file = f"{self.observation_file}.{number}"
+        if self.cells is not None and self.cells.stored_table is not None:
+            self.cells = self.cells.model_copy(update={"stored_table": f"{self.cells.stored_table}.{number}"})
         if peer_addresses and not self.peers_file:
             self.peers = self.peers + [
                 PeerLine(name=f"{base}-{other}", where=_address_of_slot(peer_addresses[0], other))
@@ -96,7 +96,7 @@
         return self.first(word) or DIRECTIVES[word].model_construct()
 
 
-def _terms(lines: _Lines, tracks: list[TrackLine], cells: CellsLine | None) -> interface.Terms:
+def _terms(lines: _Lines, tracks: list[RequestClassLine], cells: CellsLine | None) -> interface.Terms:
     """The terms of the deployment, as the decisions take them."""
     copies, relays, cold, reports = (lines.one(word) for word in ("copies", "relays", "cold", "reports"))
     return interface.Terms(
@@ -129,7 +129,7 @@
     )
 
 
-def _request_class(line: TrackLine) -> interface.RequestClass:
+def _request_class(line: RequestClassLine) -> interface.RequestClass:
     return interface.RequestClass(
         IDEMPOTENCY[line.effect],
         GROUPS[line.group],
--- a/gaproute/config/consistency.py
+++ b/gaproute/config/consistency.py
@@ -6,17 +6,17 @@
     CellHostsLine,
     CellsLine,
     HostLine,
-    KeepersLine,
+    RaftGroupLine,
     ListenLine,
     NameLine,
 )
-from gaproute.config.directives.requests import ModelLine, TrackLine
+from gaproute.config.directives.requests import ModelLine, RequestClassLine
 from gaproute.config.errors import Mistake, example
 from gaproute.config.parsing import Found
 
 KEEP_ONE = "keep one of the two"
 NAMED = ("host", "track", "model", "tenant", "peer")  # directives whose names stand once each
-NEEDED = {"listen": ListenLine.example, "track": TrackLine.example, "model": ModelLine.example}
+NEEDED = {"listen": ListenLine.example, "track": RequestClassLine.example, "model": ModelLine.example}
 EXCLUSIVE = (("host", "hosts-file"), ("peer", "peers-file"))
 
 # What a fleet in cells cannot have, and what to do about it.
@@ -102,7 +102,7 @@
                 yield Mistake(file, line.line, "keepers", f"keeper {name} is no peer here", expected)
     if own in line.names and line.votes is None:
         text = "a keeper without a file for its votes"
-        yield Mistake(file, line.line, "keepers", text, example(KeepersLine.example))
+        yield Mistake(file, line.line, "keepers", text, example(RaftGroupLine.example))
     if own is not None and own not in line.names and line.votes is not None:
         yield Mistake(
             file, line.line, "keepers", "votes at a gateway that is no keeper", "leave votes out here"
--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -68,7 +68,8 @@
     region: str = Field(min_length=1, max_length=MAX_NAME)  # where this gateway is
     zone: str = Field(min_length=1, max_length=MAX_NAME)
     gateways: int = Field(1, ge=1, le=100_000)  # of the whole fleet, about
-    kept: str | None = None  # where the last good table is kept on disk
+    # The file in which the last valid table is stored.
+    stored_table: str | None = Field(None, alias="kept")
 
 
 class CellHostsLine(Directive):
@@ -119,7 +120,7 @@
     look: Duration = Field(1_000_000_000, ge=1_000_000, le=60_000_000_000)
 
 
-class MemoryLine(Directive):
+class ObservationFileLine(Directive):
     """The file in which learnt state outlasts a restart."""
 
     positional: ClassVar = ("path",)
@@ -128,7 +129,7 @@
     path: str
 
 
-class KeepersLine(Directive):
+class RaftGroupLine(Directive):
     """The members of the Raft group, and the longest lease that it grants in ns."""
 
     positional: ClassVar = ("names",)
--- a/gaproute/config/directives/process.py
+++ b/gaproute/config/directives/process.py
@@ -9,7 +9,7 @@
 from gaproute.config.values import Duration, Size
 
 
-class ClientsLine(Directive):
+class ClientLimitsLine(Directive):
     """Limits towards clients: times in ns, sizes in bytes."""
 
     example: ClassVar = "clients way-back 25ms body 16m connections 10000"
@@ -24,7 +24,7 @@
     per_address: int = Field(2_000, ge=1)
 
 
-class ReachLine(Directive):
+class HostLimitsLine(Directive):
     """Limits towards hosts: times in ns, sizes in bytes."""
 
     example: ClassVar = "reach connect 250ms probe 250ms order 10s connections 256 answer 64m"
--- a/gaproute/config/directives/requests.py
+++ b/gaproute/config/directives/requests.py
@@ -8,7 +8,7 @@
 from gaproute.config.values import Duration, Name, YesNo, split_commas
 
 
-class TrackLine(Directive):
+class RequestClassLine(Directive):
     """A class of requests: its idempotency, times in ns, and what an answer in time is worth."""
 
     positional: ClassVar = ("name", "effect")
@@ -52,7 +52,7 @@
     share: float = Field(gt=0, le=1)
 
 
-class CopiesLine(Directive):
+class WarmInstancesLine(Directive):
     """Loaded copies of models: how long they are kept, and the rate limit of load orders."""
 
     example: ClassVar = "copies keep 10s orders yes free 6 share 0.3 window 10s"
@@ -66,7 +66,7 @@
     notes: YesNo = True
 
 
-class RelaysLine(Directive):
+class AttemptsLine(Directive):
     """Attempts at hosts: how many a request may have, hedged requests, cancelling."""
 
     example: ClassVar = "relays limit 4 twins yes cancel yes"
@@ -93,7 +93,7 @@
         return self
 
 
-class ColdLine(Directive):
+class SlowStartLine(Directive):
     """Slow start of hosts: their share of the load at first, and its length in ns."""
 
     example: ClassVar = "cold share 0.17 time 18s"
@@ -102,7 +102,7 @@
     time: Duration = 15_000_000_000
 
 
-class SizesLine(Directive):
+class CapacitiesLine(Directive):
     """Whether hosts report their capacity."""
 
     positional: ClassVar = ("enabled",)
@@ -111,7 +111,7 @@
     enabled: YesNo = True
 
 
-class AdviceLine(Directive):
+class RetryAfterLine(Directive):
     """The longest Retry-After of a host that is heeded, ns."""
 
     example: ClassVar = "advice limit 1s"
@@ -119,7 +119,7 @@
     limit: Duration = 1_000_000_000
 
 
-class OverShareLine(Directive):
+class OverShareWeightLine(Directive):
     """The priority weight of requests beyond a tenant's share."""
 
     positional: ClassVar = ("value",)
--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from gaproute.config.configuration import Configuration
-from gaproute.config.directives.process import ClientsLine
+from gaproute.config.directives.process import ClientLimitsLine
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import IDLE_JITTER
 from gaproute.fronts.kserve.responses import JSON_TYPE, encode_error
@@ -32,7 +32,7 @@
             loop,
             address,
             self.handle,
-            _limits(configuration.clients),
+            _limits(configuration.client_limits),
             render_error=_error_answer,
             counted=True,
             inherited=inherited,
@@ -40,7 +40,7 @@
         super().__init__(server, core, configuration, is_ready)
 
 
-def _limits(clients: ClientsLine) -> Limits:
+def _limits(clients: ClientLimitsLine) -> Limits:
     return Limits(
         head=clients.head,
         body=clients.body,
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -53,9 +53,9 @@
         self.name = configuration.name
         self.models, self.tenants = configuration.models, configuration.tenants
         self.class_limits = {
-            line.name: ClassLimit(index, line.limit) for index, line in enumerate(configuration.tracks)
+            line.name: ClassLimit(index, line.limit) for index, line in enumerate(configuration.request_classes)
         }
-        self.return_time: int = configuration.clients.way_back  # of an answer to its client, ns
+        self.return_time: int = configuration.client_limits.way_back  # of an answer to its client, ns
 
     # Requests
 
--- a/gaproute/hollow/__main__.py
+++ b/gaproute/hollow/__main__.py
@@ -21,7 +21,7 @@
     configuration = read_configuration(told.config)
     rows = read_peers(configuration.peers_file.path)
     own = {row.name for row in rows[told.first : told.first + told.count]}
-    if own & set(configuration.keepers.names):
+    if own & set(configuration.raft_group.names):
         parser.error("a keeper is among the hollow gateways")
     HollowProcess(configuration, rows, told.first, told.count, told.seed).run()
 
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/exchange.py
@@ -12,7 +12,7 @@
     """Needs the parts `hosts` and `leases`, and a loop with real sockets."""
 
     def __init__(self, surroundings, parts):
-        tracks = [line.name for line in surroundings.configuration.tracks]
+        tracks = [line.name for line in surroundings.configuration.request_classes]
         where = address(surroundings.address)
         self.peer_server = PeerServer(
             surroundings.loop, where, parts["hosts"].gateway, HostHistory(), tracks, LEASE_PEER_LIMITS
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -12,7 +12,7 @@
     def __init__(self, surroundings, parts):
         self.loop, self.configuration = surroundings.loop, surroundings.configuration
         self.listing = HostLineConverter(
-            self.loop, surroundings.wall, use_capacities=self.configuration.sizes_reported
+            self.loop, surroundings.wall, use_capacities=self.configuration.capacities_reported
         )
         self.gateway = self.configuration.decisions(
             surroundings.seed, self.configuration.terms, self.loop.now()
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -18,7 +18,7 @@
 
     def __init__(self, surroundings, parts):
         self.loop, self.name = surroundings.loop, surroundings.name
-        line = surroundings.configuration.keepers
+        line = surroundings.configuration.raft_group
         self.peers = {}
         self.hosted_node = HostedNode(
             self.loop,
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -64,8 +64,8 @@
     )
     made = read_configuration("c", text)
     made.assign_process_slot(1, 2)
-    assert made.name == "g-1" and made.memory == "/x/m.1"
-    assert made.listens == [
+    assert made.name == "g-1" and made.observation_file == "/x/m.1"
+    assert made.listen_addresses == [
         ("kserve", "127.0.0.1:0"),
         ("peers", "127.0.0.1:8091"),
         ("operator", "unix:/x/op.1"),
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -99,7 +99,7 @@
     made.gate.stop()
     lasted = run_out(made)
     assert rest_of(client) == b"" and made.gate.connections.client_count == 0
-    assert LATE_REQUEST_TIME <= lasted < LATE_REQUEST_TIME + LEAVE_TIME + made.gate.configuration.longest
+    assert LATE_REQUEST_TIME <= lasted < LATE_REQUEST_TIME + LEAVE_TIME + made.gate.configuration.max_deadline
 
 
 def test_half_a_request_at_the_stop_is_served_when_whole_and_refused_where_it_is_not(rig, clients):
@@ -112,7 +112,7 @@
     whole.sendall(ASK[40:])
     lasted = run_out(made)
     assert statuses(rest_of(whole)) == [200] and statuses(rest_of(never)) == [408]
-    assert lasted < LATE_REQUEST_TIME + LEAVE_TIME + made.gate.configuration.longest
+    assert lasted < LATE_REQUEST_TIME + LEAVE_TIME + made.gate.configuration.max_deadline
 
 
 def test_a_request_that_lies_unread_on_a_kept_connection_is_served(rig, clients, monkeypatch):
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -41,7 +41,7 @@
         2_500_000_000,
     )
     assert configuration.models["m"].versions == ("1", "2")
-    assert configuration.longest == 5_000_000_000
+    assert configuration.max_deadline == 5_000_000_000
     assert configuration.hosts[0].started == 1767225600 * 10**9
 
 
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -52,7 +52,7 @@
     configuration = read_configuration("new", text)
     assert not configuration.terms.probes_allowed
     assert configuration.terms.attempt_limit == 6
-    assert not configuration.sizes_reported
+    assert not configuration.capacities_reported
     assert configuration.terms.keep_alive == 8 * SECOND
     assert configuration.terms.load_order_window == 0
     assert [track.latency_objective for track in configuration.terms.request_classes] == [SECOND]
