--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -13,7 +13,7 @@
 from gaproute.appliance.observation_writer import ObservationWriter
 from gaproute.config import read_peers
 from gaproute.config.configuration import Configuration
-from gaproute.config.directives.fleet import RaftGroupLine, PeerLine
+from gaproute.config.directives.fleet import PeerLine, RaftGroupLine
 from gaproute.config.directives.process import ClientLimitsLine
 from gaproute.config.errors import Mistake
 from gaproute.decisions.chance import Chance
@@ -70,7 +70,7 @@
         self.leases: LeaseService | None = None
         self.observation_writer: ObservationWriter | None = None
         self.host_history, self.observations = HostHistory(), SharedObservations()
-        self.request_classes = [line.name for line in configuration.request_classes]  # names of the request classes
+        self.request_classes = [line.name for line in configuration.request_classes]
         self.follower = ObservationFollower(
             self.observations,
             configuration.terms.keep_alive,
--- a/gaproute/config/cell_table.py
+++ b/gaproute/config/cell_table.py
@@ -36,10 +36,10 @@
     found, mistakes, first = read_lines(file, text, CELL_DIRECTIVES, MAX_MISTAKES)
     if "table" not in first:
         mistakes.append(Mistake(file, 0, "table", "no table line", example(TableLine.example)))
-    lines = [line for word, line in found if word == "cell"]
+    lines = [line for directive, line in found if directive == "cell"]
     mistakes += islice(_across_lines(file, lines), MAX_MISTAKES)
     if not mistakes:
-        head = next(line for word, line in found if word == "table")
+        head = next(line for directive, line in found if directive == "table")
         try:
             return validate(head.fleet, Version(head.term, head.number), map(_cell, lines))
         except TableError as error:
--- a/gaproute/config/configuration.py
+++ b/gaproute/config/configuration.py
@@ -10,13 +10,13 @@
     CellsLine,
     HostLine,
     HostsFileLine,
-    RaftGroupLine,
     PeerLine,
     PeersFileLine,
+    RaftGroupLine,
 )
 from gaproute.config.directives.process import ClientLimitsLine, HostLimitsLine
 from gaproute.config.directives.requests import ModelLine, RequestClassLine
-from gaproute.config.parsing import Found
+from gaproute.config.parsing import NamedDirective
 
 IDEMPOTENCY = {kind.value: kind for kind in interface.Idempotency}
 GROUPS = {"all": interface.Group.ALL, "zone": interface.Group.ZONE, "rack": interface.Group.CELL}
@@ -25,12 +25,14 @@
 class Configuration:
     """A checked configuration: directives by their kind, and the terms that the decisions are given."""
 
-    def __init__(self, file: str, found: Sequence[Found]) -> None:
+    def __init__(self, file: str, found: Sequence[NamedDirective]) -> None:
         """Errors: ImportError, AttributeError for a class of decisions that does not exist."""
         lines = _Lines(found)
         self.file = file
         self.name: str = lines.one("name").name
-        self.listen_addresses: list[tuple[str, str]] = [(line.kind, line.where) for line in lines.all("listen")]
+        self.listen_addresses: list[tuple[str, str]] = [
+            (line.kind, line.where) for line in lines.all("listen")
+        ]
         self.hosts: list[HostLine] = lines.all("host")
         self.hosts_file: HostsFileLine | None = lines.first("hosts-file")
         self.cells: CellsLine | None = lines.first("cells")
@@ -46,7 +48,9 @@
         self.host_limits: HostLimitsLine = lines.one("reach")
         self.log_level: str = lines.one("log").level
         self.decisions: Any = lines.one("decisions").load()
-        self.max_deadline: int = max(line.limit for line in self.request_classes)  # ns that a request may take
+        self.max_deadline: int = max(
+            line.limit for line in self.request_classes
+        )  # ns that a request may take
         self.capacities_reported: bool = lines.one("sizes").enabled
         self.gossip_enabled: bool = lines.one("weak-word").enabled
         self.terms = _terms(lines, self.request_classes, self.cells)
@@ -77,30 +81,32 @@
 
 
 class _Lines:
-    """The directives of a file by the word that they begin with."""
+    """The directives of a file by their name."""
 
-    def __init__(self, found: Sequence[Found]) -> None:
-        self._by_word: dict[str, list[Any]] = {}
-        for word, directive in found:
-            self._by_word.setdefault(word, []).append(directive)
+    def __init__(self, found: Sequence[NamedDirective]) -> None:
+        self._by_name: dict[str, list[Any]] = {}
+        for name, directive in found:
+            self._by_name.setdefault(name, []).append(directive)
 
-    def all(self, word: str) -> list[Any]:
-        return list(self._by_word.get(word, ()))
+    def all(self, name: str) -> list[Any]:
+        return list(self._by_name.get(name, ()))
 
-    def first(self, word: str) -> Any:
-        """The first directive of the word, or None."""
-        return next(iter(self._by_word.get(word, ())), None)
+    def first(self, name: str) -> Any:
+        """The first directive of that name, or None."""
+        return next(iter(self._by_name.get(name, ())), None)
 
-    def one(self, word: str) -> Any:
-        """The directive of the word; its defaults where there is none."""
-        return self.first(word) or DIRECTIVES[word].model_construct()
+    def one(self, name: str) -> Any:
+        """The directive of that name; its defaults where there is none."""
+        return self.first(name) or DIRECTIVES[name].model_construct()
 
 
-def _terms(lines: _Lines, tracks: list[RequestClassLine], cells: CellsLine | None) -> interface.Terms:
+def _terms(
+    lines: _Lines, request_classes: list[RequestClassLine], cells: CellsLine | None
+) -> interface.Terms:
     """The terms of the deployment, as the decisions take them."""
-    copies, relays, cold, reports = (lines.one(word) for word in ("copies", "relays", "cold", "reports"))
+    copies, relays, cold, reports = (lines.one(name) for name in ("copies", "relays", "cold", "reports"))
     return interface.Terms(
-        request_classes=tuple(map(_request_class, tracks)),
+        request_classes=tuple(map(_request_class, request_classes)),
         tenant_shares=tuple(line.share for line in lines.all("tenant")),
         over_share_value=lines.one("over-share").value,
         keep_alive=copies.keep,
--- a/gaproute/config/consistency.py
+++ b/gaproute/config/consistency.py
@@ -6,13 +6,13 @@
     CellHostsLine,
     CellsLine,
     HostLine,
-    RaftGroupLine,
     ListenLine,
     NameLine,
+    RaftGroupLine,
 )
 from gaproute.config.directives.requests import ModelLine, RequestClassLine
 from gaproute.config.errors import Mistake, example
-from gaproute.config.parsing import Found
+from gaproute.config.parsing import NamedDirective
 
 KEEP_ONE = "keep one of the two"
 NAMED = ("host", "track", "model", "tenant", "peer")  # directives whose names stand once each
@@ -23,7 +23,7 @@
 EXCLUDED_BY_CELLS = {
     "host": "the hosts of cells stand in the folder of cell-hosts",
     "hosts-file": "the hosts of cells stand in the folder of cell-hosts",
-    "memory": "leave it out: what is known of cells is not kept on disk",
+    "memory": "leave it out: what is known of cells is not stored on disk",
     "weak-word": "leave it out: gateways of cells do not gossip about hosts",
     "decisions": "leave it out: cells have decisions of their own",
 }
@@ -34,8 +34,8 @@
 )
 
 
-def across_lines(file: str, found: Sequence[Found], first: Mapping[str, int]) -> Iterator[Mistake]:
-    """All that shows only between lines; `first` is the first line of each word."""
+def across_lines(file: str, found: Sequence[NamedDirective], first: Mapping[str, int]) -> Iterator[Mistake]:
+    """All that shows only between lines; `first` is the first line of each directive."""
     yield from named_twice(file, found)
     yield from _missing(file, first)
     yield from _exclusive(file, first)
@@ -46,22 +46,22 @@
     yield from _listened_on_twice(file, found)
 
 
-def named_twice(file: str, found: Iterable[Found]) -> Iterator[Mistake]:
+def named_twice(file: str, found: Iterable[NamedDirective]) -> Iterator[Mistake]:
     """Names that stand a second time."""
     first: dict[tuple[str, str], int] = {}
-    for word, line in found:
-        if word not in NAMED:
+    for directive, line in found:
+        if directive not in NAMED:
             continue
-        before = first.setdefault((word, line.name), line.line)
+        before = first.setdefault((directive, line.name), line.line)
         if before != line.line:
-            stands = f"{word} {line.name} stands a second time"
-            yield Mistake(file, line.line, word, stands, f"keep line {before} or this")
+            stands = f"{directive} {line.name} stands a second time"
+            yield Mistake(file, line.line, directive, stands, f"keep line {before} or this")
 
 
 def _missing(file: str, first: Mapping[str, int]) -> Iterator[Mistake]:
-    for word, text in NEEDED.items():
-        if word not in first:
-            yield Mistake(file, 0, word, f"no {word} line", example(text))
+    for directive, text in NEEDED.items():
+        if directive not in first:
+            yield Mistake(file, 0, directive, f"no {directive} line", example(text))
     if not first.keys() & {"host", "hosts-file", "cells"}:
         yield Mistake(file, 0, "host", "no host and no hosts-file line", example(HostLine.example))
     if "peers-file" in first and "name" not in first:
@@ -70,69 +70,75 @@
 
 
 def _exclusive(file: str, first: Mapping[str, int]) -> Iterator[Mistake]:
-    for word, list_file in EXCLUSIVE:
-        if word in first and list_file in first:
-            yield Mistake(file, first[word], word, f"{word}s stand here and in a {list_file}", KEEP_ONE)
+    for directive, list_file in EXCLUSIVE:
+        if directive in first and list_file in first:
+            yield Mistake(
+                file, first[directive], directive, f"{directive}s stand here and in a {list_file}", KEEP_ONE
+            )
 
 
-def _without_peers_address(file: str, found: Sequence[Found]) -> Iterator[Mistake]:
+def _without_peers_address(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
     """Directives that need an address for the other gateways."""
-    if any(word == "listen" and line.kind == "peers" for word, line in found):
+    if any(directive == "listen" and line.kind == "peers" for directive, line in found):
         return
-    for word, line in found:
-        if word in ("keepers", "cells") or (word == "weak-word" and line.enabled):
+    for directive, line in found:
+        if directive in ("keepers", "cells") or (directive == "weak-word" and line.enabled):
             expected = example("listen peers 127.0.0.1:8090")
-            yield Mistake(file, line.line, word, f"{word} without a listen peers line", expected)
+            yield Mistake(file, line.line, directive, f"{directive} without a listen peers line", expected)
 
 
-def _raft_group(file: str, found: Sequence[Found]) -> Iterator[Mistake]:
+def _raft_group(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
     """Mistakes of the `keepers` line beside the others."""
-    line = next((line for word, line in found if word == "keepers"), None)
+    line = next((line for directive, line in found if directive == "keepers"), None)
     if line is None:
         return
-    own = next((each.name for word, each in found if word == "name"), None)
-    known = {own} | {each.name for word, each in found if word == "peer"}
+    own = next((each.name for directive, each in found if directive == "name"), None)
+    known = {own} | {each.name for directive, each in found if directive == "peer"}
     if own is None:
         text = "keepers without a name line: which of them is this gateway?"
         yield Mistake(file, line.line, "keepers", text, example(NameLine.example))
-    if not any(word == "peers-file" for word, _ in found):
+    if not any(directive == "peers-file" for directive, _ in found):
         for name in line.names:
             if name not in known:
                 expected = example(f"peer {name} 127.0.0.1:8091")
-                yield Mistake(file, line.line, "keepers", f"keeper {name} is no peer here", expected)
+                yield Mistake(file, line.line, "keepers", f"Raft member {name} is no peer here", expected)
     if own in line.names and line.votes is None:
-        text = "a keeper without a file for its votes"
+        text = "a Raft member without a file for its votes"
         yield Mistake(file, line.line, "keepers", text, example(RaftGroupLine.example))
     if own is not None and own not in line.names and line.votes is not None:
         yield Mistake(
-            file, line.line, "keepers", "votes at a gateway that is no keeper", "leave votes out here"
+            file, line.line, "keepers", "votes at a gateway that is no Raft member", "leave votes out here"
         )
 
 
-def _unknown_tracks(file: str, found: Sequence[Found]) -> Iterator[Mistake]:
-    tracks = [line.name for word, line in found if word == "track"]
-    for word, line in found:
-        if word == "model" and line.track not in tracks:
+def _unknown_tracks(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
+    tracks = [line.name for directive, line in found if directive == "track"]
+    for directive, line in found:
+        if directive == "model" and line.track not in tracks:
             expected = f"the tracks here: {', '.join(tracks) or 'none'}"
             yield Mistake(file, line.line, f"model {line.name}", f"no track {line.track!r}", expected)
 
 
-def _cells(file: str, found: Sequence[Found], first: Mapping[str, int]) -> Iterator[Mistake]:
+def _cells(file: str, found: Sequence[NamedDirective], first: Mapping[str, int]) -> Iterator[Mistake]:
     """Mistakes of the `cells` and `cell-hosts` lines beside the others."""
-    for word, other, text in NEEDED_BESIDE_CELLS:
-        if word in first and other not in first:
-            yield Mistake(file, first[word], word, f"{word} without a {other} line", example(text))
+    for directive, other, text in NEEDED_BESIDE_CELLS:
+        if directive in first and other not in first:
+            yield Mistake(
+                file, first[directive], directive, f"{directive} without a {other} line", example(text)
+            )
     if "cells" not in first:
         return
-    for word, line in found:
-        if word in EXCLUDED_BY_CELLS and (word != "weak-word" or line.enabled):
-            yield Mistake(file, line.line, word, f"{word} beside cells", EXCLUDED_BY_CELLS[word])
+    for directive, line in found:
+        if directive in EXCLUDED_BY_CELLS and (directive != "weak-word" or line.enabled):
+            yield Mistake(
+                file, line.line, directive, f"{directive} beside cells", EXCLUDED_BY_CELLS[directive]
+            )
 
 
-def _listened_on_twice(file: str, found: Sequence[Found]) -> Iterator[Mistake]:
+def _listened_on_twice(file: str, found: Sequence[NamedDirective]) -> Iterator[Mistake]:
     first: dict[str, int] = {}
-    for word, line in found:
-        if word != "listen":
+    for directive, line in found:
+        if directive != "listen":
             continue
         if line.where in first and not line.where.endswith(":0"):
             text = f"{line.where} is listened on twice"
--- a/gaproute/config/directives/__init__.py
+++ b/gaproute/config/directives/__init__.py
@@ -1,4 +1,4 @@
-"""The directives of the configuration: one schema for each word that a line may begin with."""
+"""The directives of the configuration: a schema for each, by the name that its line begins with."""
 
 from gaproute.config.directives.fleet import (
     CellHostsLine,
@@ -6,25 +6,25 @@
     GossipLine,
     HostLine,
     HostsFileLine,
-    RaftGroupLine,
     ListenLine,
-    ObservationFileLine,
     NameLine,
+    ObservationFileLine,
     PeerLine,
     PeersFileLine,
+    RaftGroupLine,
 )
-from gaproute.config.directives.process import ClientLimitsLine, DecisionsLine, LogLine, HostLimitsLine
+from gaproute.config.directives.process import ClientLimitsLine, DecisionsLine, HostLimitsLine, LogLine
 from gaproute.config.directives.requests import (
-    RetryAfterLine,
-    SlowStartLine,
-    WarmInstancesLine,
+    AttemptsLine,
+    CapacitiesLine,
     ModelLine,
     OverShareWeightLine,
-    AttemptsLine,
     ReportsLine,
-    CapacitiesLine,
-    TenantLine,
     RequestClassLine,
+    RetryAfterLine,
+    SlowStartLine,
+    TenantLine,
+    WarmInstancesLine,
 )
 from gaproute.config.parsing import Directive
 
--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -83,9 +83,9 @@
     look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
 
     @classmethod
-    def positional_in(cls, words: list[str]) -> tuple[str, ...]:
+    def positional_in(cls, arguments: list[str]) -> tuple[str, ...]:
         """Sources stand in place of a folder."""
-        return () if words[:1] == [FROM] else cls.positional
+        return () if arguments[:1] == [FROM] else cls.positional
 
     @model_validator(mode="after")
     def fits(self) -> Self:
@@ -143,9 +143,9 @@
     def fits(self) -> Self:
         """Errors: ValueError for a member named twice, or too many of them."""
         if len(set(self.names)) < len(self.names):
-            raise ValueError("a keeper is named twice")
+            raise ValueError("a Raft member is named twice")
         if len(self.names) > MAX_MEMBERS:
-            raise ValueError(f"{MAX_MEMBERS} keepers at most, 3 or 5 are usual")
+            raise ValueError(f"{MAX_MEMBERS} Raft members at most, 3 or 5 are usual")
         return self
 
 
--- a/gaproute/config/directives/requests.py
+++ b/gaproute/config/directives/requests.py
@@ -53,7 +53,7 @@
 
 
 class WarmInstancesLine(Directive):
-    """Loaded copies of models: how long they are kept, and the rate limit of load orders."""
+    """Loaded copies of models: how long they stay loaded, and the rate limit of load orders."""
 
     example: ClassVar = "copies keep 10s orders yes free 6 share 0.3 window 10s"
     once: ClassVar = True
--- a/gaproute/config/migration.py
+++ b/gaproute/config/migration.py
@@ -19,7 +19,7 @@
 # What a deployment states; everything else is the operator's own and stays as it is.
 STATED = ("track", "tenant", "copies", "relays", "reports", "cold", "advice", "over-share", "sizes")
 STATED_BY_NAME = ("track", "tenant")
-NO_SIZES = "no sizes of hosts are told there"
+NO_SIZES = "no capacities of hosts are reported there"
 NO_PROBES = "no probes are allowed there"
 
 
@@ -45,35 +45,35 @@
 class _Line(NamedTuple):
     """A checked line in its parts."""
 
-    word: str
+    directive: str
     positional: tuple[str, ...]
     keywords: dict[str, str]
 
     @property
     def key(self) -> tuple[str, str]:
-        """The word, and the name where several such lines may stand in one file."""
-        return self.word, self.positional[0] if self.word in STATED_BY_NAME else ""
+        """The directive, and its name where several such lines may stand in one file."""
+        return self.directive, self.positional[0] if self.directive in STATED_BY_NAME else ""
 
     def text(self) -> str:
-        words = [self.word, *self.positional]
+        tokens = [self.directive, *self.positional]
         for keyword, value in self.keywords.items():
-            words += [keyword, value]
-        return " ".join(shlex.quote(word) for word in words)
+            tokens += [keyword, value]
+        return " ".join(shlex.quote(token) for token in tokens)
 
 
 class _Shape:
-    """What the new deployment states, by word and name."""
+    """What the new deployment states, by directive and name."""
 
     def __init__(self, lines: list[_Line]) -> None:
-        self.words = list(dict.fromkeys(line.word for line in lines))
-        self.lines = {line.key: line for word in self.words for line in lines if line.word == word}
+        self.directives = list(dict.fromkeys(line.directive for line in lines))
+        self.lines = {line.key: line for name in self.directives for line in lines if line.directive == name}
         sizes, reports = self.lines.get(("sizes", "")), self.lines.get(("reports", ""))
         self.without_sizes = sizes is not None and sizes.positional == ("no",)
         self.without_probes = reports is not None and reports.keywords.get("probes") == "no"
 
-    def lacks(self, word: str, name: str) -> bool:
+    def lacks(self, directive: str, name: str) -> bool:
         """Whether the new deployment states such lines, but not this one."""
-        return word in self.words and (word, name) not in self.lines
+        return directive in self.directives and (directive, name) not in self.lines
 
 
 def migrate(old_file: str, old_text: str, shape_file: str, shape_text: str, new_file: str) -> Migrated:
@@ -102,19 +102,19 @@
     """What a shape states. Errors: `ConfigurationError`."""
     found, mistakes, _ = read_lines(file, text, DIRECTIVES)
     mistakes += named_twice(file, found)
-    mistakes += _not_stated(file, [(word, line.line) for word, line in found])
+    mistakes += _not_stated(file, [(directive, line.line) for directive, line in found])
     if not found and not mistakes:
         mistakes.append(Mistake(file, 0, "", "states nothing", "name what the new deployment states"))
     if mistakes:
         raise in_order_of_lines(mistakes)
-    return _Shape([_parts(words) for words in map(_split, text.splitlines()) if words])
+    return _Shape([_parts(tokens) for tokens in map(_split, text.splitlines()) if tokens])
 
 
-def _not_stated(file: str, words: list[tuple[str, int]]) -> Iterator[Mistake]:
+def _not_stated(file: str, directives: list[tuple[str, int]]) -> Iterator[Mistake]:
     expected = f"a shape holds {', '.join(STATED)}; the rest stays in the old file"
-    for word, line in words:
-        if word not in STATED:
-            yield Mistake(file, line, word, f"{word} is no statement of a deployment", expected)
+    for directive, line in directives:
+        if directive not in STATED:
+            yield Mistake(file, line, directive, f"{directive} is no statement of a deployment", expected)
 
 
 class _Migration:
@@ -128,25 +128,25 @@
 
     def take_over(self, number: int, raw: str) -> None:
         """One line of the old file."""
-        words = _split(raw)
-        if not words:
+        tokens = _split(raw)
+        if not tokens:
             self.lines.append(raw)
             return
-        old = _parts(words)
+        old = _parts(tokens)
         absent = self._absent(old)
         if absent is not None:
-            self._leave(number, " ".join(words), f"the new deployment has no {absent}")
+            self._leave(number, " ".join(tokens), f"the new deployment has no {absent}")
             return
         new = self._without_unknown(number, self._restated(old))
-        changed = old.word in self.shape.words or new.keywords != old.keywords
-        self.lines.append(new.text() + _comment(raw, words) if changed else raw)
+        changed = old.directive in self.shape.directives or new.keywords != old.keywords
+        self.lines.append(new.text() + _comment(raw, tokens) if changed else raw)
 
     def _absent(self, line: _Line) -> str | None:
         """The track or tenant that the line needs and the new deployment lacks."""
-        word, name = line.key
-        if self.shape.lacks(word, name):
-            return f"{word} {name}"
-        if word == "model" and self.shape.lacks("track", line.keywords["track"]):
+        directive, name = line.key
+        if self.shape.lacks(directive, name):
+            return f"{directive} {name}"
+        if directive == "model" and self.shape.lacks("track", line.keywords["track"]):
             return f"track {line.keywords['track']}"
         return None
 
@@ -156,19 +156,19 @@
         if stated is None:
             return line
         self.used.add(line.key)
-        if line.word in STATED_BY_NAME:
+        if line.directive in STATED_BY_NAME:
             return stated
         return stated._replace(keywords=line.keywords | stated.keywords)
 
     def _without_unknown(self, number: int, line: _Line) -> _Line:
         """The line without what cannot be known or done in the new deployment."""
         keywords = dict(line.keywords)
-        if line.word == "host" and self.shape.without_sizes and "capacity" in keywords:
+        if line.directive == "host" and self.shape.without_sizes and "capacity" in keywords:
             capacity = keywords.pop("capacity")
             self._leave(number, f"host {line.positional[0]} capacity {capacity}", NO_SIZES)
-        if line.word == "hosts-file" and self.shape.without_sizes:
+        if line.directive == "hosts-file" and self.shape.without_sizes:
             self._leave(number, f"capacities in {line.positional[0]}", f"{NO_SIZES}: they count as 1")
-        if line.word == "reach" and self.shape.without_probes and "probe" in keywords:
+        if line.directive == "reach" and self.shape.without_probes and "probe" in keywords:
             self._leave(number, f"reach probe {keywords.pop('probe')}", NO_PROBES)
         return line._replace(keywords=keywords)
 
@@ -188,21 +188,21 @@
     return shlex.split(raw, comments=True)
 
 
-def _parts(words: list[str]) -> _Line:
+def _parts(tokens: list[str]) -> _Line:
     """A checked line in its parts."""
-    word, *rest = words
-    count = len(DIRECTIVES[word].positional_in(rest))
+    directive, *rest = tokens
+    count = len(DIRECTIVES[directive].positional_in(rest))
     positional, pairs = tuple(rest[:count]), rest[count:]
-    return _Line(word, positional, dict(zip(pairs[::2], pairs[1::2], strict=True)))
+    return _Line(directive, positional, dict(zip(pairs[::2], pairs[1::2], strict=True)))
 
 
-def _comment(raw: str, words: list[str]) -> str:
+def _comment(raw: str, tokens: list[str]) -> str:
     """The comment that ends a line, with the space before it."""
     for place, letter in enumerate(raw):
         if letter != "#":
             continue
         try:
-            if shlex.split(raw[:place]) == words:
+            if shlex.split(raw[:place]) == tokens:
                 return "  " + raw[place:]
         except ValueError:
             continue  # within quotes
--- a/gaproute/config/parsing.py
+++ b/gaproute/config/parsing.py
@@ -30,8 +30,8 @@
     line: int = 0
 
     @classmethod
-    def positional_in(cls, words: list[str]) -> tuple[str, ...]:
-        """The fields that these words of a line give by their position."""
+    def positional_in(cls, arguments: list[str]) -> tuple[str, ...]:
+        """The fields that these arguments of a line give by their position."""
         return cls.positional
 
     @classmethod
@@ -44,17 +44,17 @@
         }
 
 
-class Found(NamedTuple):
-    """A directive with the word that its line begins with."""
+class NamedDirective(NamedTuple):
+    """A directive with its name, which its line begins with."""
 
-    word: str
-    directive: Any  # of the class of the word
+    name: str
+    directive: Any  # of the class that belongs to the name
 
 
 class ParsedLines(NamedTuple):
-    """What was read from a file: its directives, its mistakes, and the first line of each word."""
+    """What was read from a file: its directives, its mistakes, and the first line of each directive."""
 
-    found: list[Found]
+    found: list[NamedDirective]
     mistakes: list[Mistake]
     first: dict[str, int]
 
@@ -62,7 +62,10 @@
 def read_lines(
     file: str, text: str, kinds: Mapping[str, type[Directive]], max_mistakes: int | None = None
 ) -> ParsedLines:
-    """The directives of a text; `kinds` gives the class of each word. Ends at `max_mistakes` where given."""
+    """The directives of a text; `kinds` gives the class of each by its name.
+
+    Reading ends at `max_mistakes` mistakes where it is given.
+    """
     parser = _Parser(file, kinds)
     for number, raw in enumerate(text.splitlines(), 1):
         if max_mistakes is not None and len(parser.mistakes) >= max_mistakes:
@@ -75,67 +78,69 @@
 class _Parser:
     file: str
     kinds: Mapping[str, type[Directive]]
-    found: list[Found] = field(default_factory=list)
+    found: list[NamedDirective] = field(default_factory=list)
     mistakes: list[Mistake] = field(default_factory=list)
     first: dict[str, int] = field(default_factory=dict)
 
     def read(self, number: int, raw: str) -> None:
         """One line of the file."""
         try:
-            words = raw.split() if PLAIN.fullmatch(raw) else shlex.split(raw, comments=True)
+            tokens = raw.split() if PLAIN.fullmatch(raw) else shlex.split(raw, comments=True)
         except ValueError as error:
-            self._refuse(number, "", f"cannot be split into words: {error}", "close the quote")
+            self._add_mistake(number, "", f"cannot be split into arguments: {error}", "close the quote")
             return
-        if not words:
+        if not tokens:
             return
-        word, *rest = words
-        kind = self.kinds.get(word)
+        name, *arguments = tokens
+        kind = self.kinds.get(name)
         if kind is None:
-            self._refuse(number, "", f"unknown word {word!r}", self._nearest(word))
-        elif kind.once and word in self.first:
-            self._refuse(
-                number, word, f"{word} stands a second time", f"keep line {self.first[word]} or this"
+            self._add_mistake(number, "", f"unknown directive {name!r}", self._nearest(name))
+        elif kind.once and name in self.first:
+            self._add_mistake(
+                number, name, f"{name} stands a second time", f"keep line {self.first[name]} or this"
             )
         else:
-            self.first.setdefault(word, number)
-            self._read_directive(word, kind, rest, number)
+            self.first.setdefault(name, number)
+            self._read_directive(name, kind, arguments, number)
 
-    def _read_directive(self, word: str, kind: type[Directive], words: list[str], number: int) -> None:
-        given, wrong = _arguments(kind, words)
+    def _read_directive(self, name: str, kind: type[Directive], arguments: list[str], number: int) -> None:
+        given, wrong = _arguments(kind, arguments)
         if not wrong:
             try:
-                self.found.append(Found(word, kind(line=number, **given)))
+                self.found.append(NamedDirective(name, kind(line=number, **given)))
             except ValidationError as error:
-                wrong = [_reported(detail) for detail in error.errors()]
+                wrong = [_invalid_field(detail) for detail in error.errors()]
         for field_name, found in wrong:
-            name = f"{word}: {field_name}" if field_name else word
-            self._refuse(number, name, found, example(kind.example))
+            place = f"{name}: {field_name}" if field_name else name
+            self._add_mistake(number, place, found, example(kind.example))
 
-    def _nearest(self, word: str) -> str:
-        near = difflib.get_close_matches(word, self.kinds, 1)
+    def _nearest(self, name: str) -> str:
+        near = difflib.get_close_matches(name, self.kinds, 1)
         return (
-            f"did you mean {near[0]}?" if near else f"the words known here: {', '.join(sorted(self.kinds))}"
+            f"did you mean {near[0]}?"
+            if near
+            else f"the directives known here: {', '.join(sorted(self.kinds))}"
         )
 
-    def _refuse(self, number: int, field_name: str, found: str, expected: str) -> None:
+    def _add_mistake(self, number: int, field_name: str, found: str, expected: str) -> None:
         self.mistakes.append(Mistake(self.file, number, field_name, found, expected))
 
 
-class _Wrong(NamedTuple):
+class _InvalidField(NamedTuple):
     """A field of a directive, empty for the line as a whole, and what is wrong with it."""
 
     field: str
     found: str
 
 
-def _arguments(kind: type[Directive], words: list[str]) -> tuple[dict[str, Any], list[_Wrong]]:
+def _arguments(kind: type[Directive], arguments: list[str]) -> tuple[dict[str, Any], list[_InvalidField]]:
     """The values of a line by field, and what is wrong with the line's form."""
-    positional = kind.positional_in(words)
-    if len(words) < len(positional):
-        missing = " ".join(name.upper() for name in positional[len(words) :])
-        return {}, [_Wrong("", f"{missing} is missing")]
-    given: dict[str, Any] = dict(zip(positional, words[: len(positional)], strict=True))
-    rest = words[len(positional) :]
+    positional = kind.positional_in(arguments)
+    if len(arguments) < len(positional):
+        missing = " ".join(name.upper() for name in positional[len(arguments) :])
+        return {}, [_InvalidField("", f"{missing} is missing")]
+    given: dict[str, Any] = dict(zip(positional, arguments[: len(positional)], strict=True))
+    rest = arguments[len(positional) :]
     keywords = kind.keywords()
     wrong = []
     for place in range(0, len(rest), 2):
@@ -143,22 +148,22 @@
         if keyword not in keywords:
             near = difflib.get_close_matches(keyword, keywords, 1)
             wrong.append(
-                _Wrong("", f"unknown keyword {keyword!r}" + (f", perhaps {near[0]}" if near else ""))
+                _InvalidField("", f"unknown keyword {keyword!r}" + (f", perhaps {near[0]}" if near else ""))
             )
         elif keywords[keyword] in given:
-            wrong.append(_Wrong("", f"{keyword} stands twice"))
+            wrong.append(_InvalidField("", f"{keyword} stands twice"))
         elif place + 1 == len(rest):
-            wrong.append(_Wrong("", f"{keyword} has no value"))
+            wrong.append(_InvalidField("", f"{keyword} has no value"))
         else:
             given[keywords[keyword]] = rest[place + 1]
     return given, wrong
 
 
-def _reported(detail: ErrorDetails) -> _Wrong:
+def _invalid_field(detail: ErrorDetails) -> _InvalidField:
     """What pydantic reports of one value, with the value."""
     name = ".".join(str(part) for part in detail["loc"]).replace("_", "-") or "line"
     found = detail["msg"].removeprefix("Value error, ")
     value = detail["input"]
     if isinstance(value, str) and repr(value) not in found:
         found = f"{found}, not {value!r:.{MAX_SHOWN}}"
-    return _Wrong(name, found)
+    return _InvalidField(name, found)
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -53,7 +53,8 @@
         self.name = configuration.name
         self.models, self.tenants = configuration.models, configuration.tenants
         self.class_limits = {
-            line.name: ClassLimit(index, line.limit) for index, line in enumerate(configuration.request_classes)
+            line.name: ClassLimit(index, line.limit)
+            for index, line in enumerate(configuration.request_classes)
         }
         self.return_time: int = configuration.client_limits.way_back  # of an answer to its client, ns
 
--- a/tests/config/test_cell_table_text.py
+++ b/tests/config/test_cell_table_text.py
@@ -23,11 +23,20 @@
     lines = [f"table {shlex.quote(made.fleet)} term {made.version.term} number {made.version.number}"]
     for cell in made.cells:
         points = ",".join(f"{origin}:{first}+{count}" for origin, first, count in cell.points)
-        words = ["cell", cell.name, "region", cell.region, "zone", cell.zone, "capacity", repr(cell.capacity)]
-        words += ["hosts", str(cell.hosts), "points", points]
+        arguments = [
+            "cell",
+            cell.name,
+            "region",
+            cell.region,
+            "zone",
+            cell.zone,
+            "capacity",
+            repr(cell.capacity),
+        ]
+        arguments += ["hosts", str(cell.hosts), "points", points]
         if cell.entries:
-            words += ["entries", ",".join(f"{name}={address}" for name, address in cell.entries)]
-        lines.append(" ".join(map(shlex.quote, words)))
+            arguments += ["entries", ",".join(f"{name}={address}" for name, address in cell.entries)]
+        lines.append(" ".join(map(shlex.quote, arguments)))
     return "\n".join(lines) + "\n"
 
 
@@ -139,14 +148,14 @@
             read_cells(path)
 
 
-def test_the_first_thousand_mistakes_are_told():
-    told = mistakes_of(HEAD + "cell\n" * 3_000)
-    assert len(told) == MAX_MISTAKES
-    assert told[-1].line == MAX_MISTAKES + 1
+def test_the_first_thousand_mistakes_are_reported():
+    mistakes = mistakes_of(HEAD + "cell\n" * 3_000)
+    assert len(mistakes) == MAX_MISTAKES
+    assert mistakes[-1].line == MAX_MISTAKES + 1
     cell = GOOD.replace("capacity 640", "capacity 0")
-    told = mistakes_of(HEAD + "".join(f"{cell.replace('c1', f'c{number}')}\n" for number in range(1_500)))
-    assert len(told) == MAX_MISTAKES
-    assert told[-1].line == MAX_MISTAKES + 1
+    mistakes = mistakes_of(HEAD + "".join(f"{cell.replace('c1', f'c{number}')}\n" for number in range(1_500)))
+    assert len(mistakes) == MAX_MISTAKES
+    assert mistakes[-1].line == MAX_MISTAKES + 1
 
 
 @pytest.mark.parametrize(
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -21,7 +21,7 @@
 """
 
 
-def told(read, *given):
+def mistakes_of(read, *given):
     """What is said of a mistake."""
     with pytest.raises(ConfigurationError) as wrong:
         read(*given)
@@ -66,7 +66,7 @@
     ],
 )
 def test_lines_that_are_wrong_or_contradict_each_other_are_named(lines, mistake):
-    said = told(read_configuration, "f", CONFIGURATION + "\n".join(lines) + "\n")
+    said = mistakes_of(read_configuration, "f", CONFIGURATION + "\n".join(lines) + "\n")
     assert any(mistake in text for text in said), said
 
 
@@ -82,7 +82,7 @@
     configuration = CONFIGURATION.replace("name g\n", "")
     assert (
         "cells without a name line"
-        in told(read_configuration, "f", f"{configuration}{CELLS}\n{LISTS}\n{PEERS}\n")[0]
+        in mistakes_of(read_configuration, "f", f"{configuration}{CELLS}\n{LISTS}\n{PEERS}\n")[0]
     )
 
 
@@ -133,7 +133,7 @@
         ("a1:100+4", "a1:100", ":3: cell: points: 'a1:100' is no range of ring points"),
         ("capacity 50", "capacity nan", ":3: cell: the capacity nan is not above 0"),
         ("gb=", "ga=", ":2: cell: an entry gateway is named twice"),
-        ("cell b1", "cel b1", ":3: unknown word 'cel'; did you mean cell?"),
+        ("cell b1", "cel b1", ":3: unknown directive 'cel'; did you mean cell?"),
     ],
 )
 def test_a_wrong_table_is_refused_by_line(table, before, after, mistake):
@@ -141,17 +141,17 @@
     if mistake is None:
         assert len(read_table(path).cells) == 2
     else:
-        said = told(read_table, path)
+        said = mistakes_of(read_table, path)
         assert len(said) == 1, said
         assert mistake in said[0]
 
 
 def test_a_table_that_is_gone_or_far_too_large_is_refused_unread(table, tmp_path):
-    assert "cannot be read" in told(read_table, str(tmp_path / "none"))[0]
+    assert "cannot be read" in mistakes_of(read_table, str(tmp_path / "none"))[0]
     path = table("")
     with open(path, "wb") as file:
         file.truncate(MAX_BYTES + 1)
-    assert f"more than {MAX_BYTES}" in told(read_table, path)[0]
+    assert f"more than {MAX_BYTES}" in mistakes_of(read_table, path)[0]
 
 
 # Host lists
@@ -165,11 +165,11 @@
 def test_a_list_of_more_hosts_than_a_cell_may_have_is_refused_by_line(tmp_path):
     path = tmp_path / "a1.hosts"
     path.write_text("".join(f"host h{number} 127.0.0.1:{number + 1}\n" for number in range(MAX_HOSTS + 1)))
-    assert told(read_cell_hosts, str(path))[0].startswith(f"{path}:{MAX_HOSTS + 1}: ")
+    assert mistakes_of(read_cell_hosts, str(path))[0].startswith(f"{path}:{MAX_HOSTS + 1}: ")
 
 
 def check(folder, lists, table=TABLE, place="region west zone west-a", source=None):
-    """Exit code and words of `gaproute check`. `source`: in place of the folder."""
+    """Exit code and output of `gaproute check`. `source`: in place of the folder."""
     (folder / "lists").mkdir()
     (folder / "t").write_text(table)
     for cell, text in lists.items():
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "mistake"),
+    ("files", "mistake"),
     [
         (
             {"lists": {"a1": "host x 127.0.0.1:1\n", "b1": "\nhost x 127.0.0.1:2\n"}},
@@ -203,7 +203,7 @@
         ({"lists": {"a1": "host x 127.0.0.1:1\n", "b1": "host y 127.0.0.1:1\n"}}, "lists/b1.hosts:1: host y"),
         ({"lists": {"a1": "host x 127.0.0.1:1 zone moon\n"}}, "lists/a1.hosts:1: host x stands in zone moon"),
         ({"lists": {"a1": "host x\n"}}, "lists/a1.hosts:1: host: WHERE is missing"),
-        ({"lists": {}, "table": f"nonsense\n{TABLE}"}, "t:1: unknown word 'nonsense'"),
+        ({"lists": {}, "table": f"nonsense\n{TABLE}"}, "t:1: unknown directive 'nonsense'"),
         ({"lists": {}, "table": TABLE.replace("north", "south")}, "g.conf:11: cells: t is of fleet south"),
         (
             {"lists": {}, "place": "region west zone moon"},
@@ -215,8 +215,8 @@
         ),
     ],
 )
-def test_check_names_file_and_line_and_exits_2(tmp_path, told, mistake):
-    code, said = check(tmp_path, **told)
+def test_check_names_file_and_line_and_exits_2(tmp_path, files, mistake):
+    code, said = check(tmp_path, **files)
     assert code == 2, said
     assert mistake in said
     assert "1 mistake;" in said
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -72,11 +72,11 @@
         ('name "open', "close the quote"),
     ],
 )
-def test_each_mistake_is_told_with_line_and_cure(line, says):
-    told = wrong(GOOD + line + "\n")
-    assert any(says in text for _, text in told), told
-    assert told[0][0] in (0, 8, 7)
-    assert all("; " in text for _, text in told)
+def test_each_mistake_is_reported_with_line_and_cure(line, says):
+    mistakes = wrong(GOOD + line + "\n")
+    assert any(says in text for _, text in mistakes), mistakes
+    assert mistakes[0][0] in (0, 8, 7)
+    assert all("; " in text for _, text in mistakes)
 
 
 @pytest.mark.parametrize(
@@ -100,14 +100,14 @@
 
 
 def test_a_peer_line_that_is_wrong_beside_a_peers_file_is_a_mistake_not_a_crash():
-    told = [text for _, text in wrong(GOOD + "peers-file p.list\npeer g2\n")]
-    assert any("WHERE is missing" in text for text in told)
-    assert any("peers stand here and in a peers-file" in text for text in told)
+    mistakes = [text for _, text in wrong(GOOD + "peers-file p.list\npeer g2\n")]
+    assert any("WHERE is missing" in text for text in mistakes)
+    assert any("peers stand here and in a peers-file" in text for text in mistakes)
 
 
 def test_all_mistakes_come_in_one_go_in_the_order_of_lines():
-    told = wrong("modl\ntrack x\nlisten kserve y\n")
-    assert [line for line, _ in told if line] == [1, 2, 3]
+    mistakes = wrong("modl\ntrack x\nlisten kserve y\n")
+    assert [line for line, _ in mistakes if line] == [1, 2, 3]
 
 
 def test_a_host_list_with_a_twin_is_refused_whole():
@@ -124,7 +124,7 @@
 
 
 @given(st.text(st.sampled_from("ab \t#'\"\\\x1f\x85\xa0=:,.-+/@%[]|&;<>()é"), max_size=20))
-def test_a_line_is_split_into_words_as_a_shell_splits_it(raw):
+def test_a_line_is_split_into_arguments_as_a_shell_splits_it(raw):
     if PLAIN.fullmatch(raw):
         assert raw.split() == shlex.split(raw, comments=True)
 
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -45,7 +45,7 @@
     return [str(each) for each in wrong.value.mistakes]
 
 
-def test_what_the_shape_states_wins_and_the_rest_stays_word_for_word():
+def test_what_the_shape_states_wins_and_the_rest_stays_unchanged():
     text, _ = moved()
     assert text.splitlines()[:3] == OLD.splitlines()[:3]
     assert "copies keep 8s free 6 window 0s alike no notes no  # as the hosts are set" in text
@@ -66,12 +66,12 @@
     assert lines in text
 
 
-def test_each_line_left_behind_is_told_with_its_number_and_why():
+def test_each_line_left_behind_is_reported_with_its_number_and_why():
     _, left = moved()
     assert [(each.line, each.text.split()[0], each.why) for each in left] == [
         (5, "track", "the new deployment has no track b"),
         (7, "model", "the new deployment has no track b"),
-        (9, "host", "no sizes of hosts are told there"),
+        (9, "host", "no capacities of hosts are reported there"),
         (11, "reach", "no probes are allowed there"),
     ]
 
@@ -89,11 +89,11 @@
     assert read_configuration("old", OLD).sizes_reported
 
 
-def test_mistakes_of_both_files_are_told_together_with_line_and_cure():
-    told = mistakes(OLD + "modle x\n", "sizes perhaps\nlisten kserve 127.0.0.1:2\n")
-    assert any("old:12" in each and "did you mean model" in each for each in told)
-    assert any("shape:1" in each and "neither yes nor no" in each for each in told)
-    assert any("shape:2" in each and "no statement of a deployment" in each for each in told)
+def test_mistakes_of_both_files_are_reported_together_with_line_and_cure():
+    found = mistakes(OLD + "modle x\n", "sizes perhaps\nlisten kserve 127.0.0.1:2\n")
+    assert any("old:12" in each and "did you mean model" in each for each in found)
+    assert any("shape:1" in each and "neither yes nor no" in each for each in found)
+    assert any("shape:2" in each and "no statement of a deployment" in each for each in found)
 
 
 def test_a_shape_that_leaves_nothing_to_serve_is_refused():
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -42,7 +42,8 @@
     result.assert_outcomes(passed=2, deselected=2)
     assert result.ret == 0
     *_, first, second, closing = result.outlines
-    assert (first, second) == (RED, KIND) and closing.startswith("2 passed, 2 deselected")
+    assert (first, second) == (RED, KIND)
+    assert closing.startswith("2 passed, 2 deselected")
 
 
 def test_a_test_is_passed_over_with_all_its_parameters(play):
