--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -4,21 +4,26 @@
 
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import NEXT, hurry
-from gaproute.scenarios.processes import MILLI, READY_TIME, NotReady
-from gaproute.standins.platform import charter
+from gaproute.scenarios.processes import MILLI, READY_TIME, NotReadyError
+from gaproute.standins.platform.gateway_configuration import (
+    RequestClassSettings,
+    deployment_settings,
+    make_configuration,
+    write_configuration,
+)
 
 
-class NodeGateways(ClusterGateways):
+class PlatformGateways(ClusterGateways):
     def rules(self):
         script = self.trial.script
         copies, life, day = script.copies, script.life, script.day
         tracks = [
-            charter.RequestClass(
+            RequestClassSettings(
                 line.name, line.effect, line.group, line.contract, line.limit, line.earnings, line.remembers
             )
             for line in script.tracks
         ]
-        return charter.settings(
+        return deployment_settings(
             tracks,
             gateways=day.gateways,
             zones=[f"hall-{hall}" for hall in range(day.halls)],
@@ -38,21 +43,26 @@
         """A coroutine: until it says that it has started."""
         trial, name = self.trial, f"g{number}"
         listen, peers = self.table.gateway(number)
-        told = charter.charter(
+        told = make_configuration(
             name,
             listen,
             self.table.changelog(number),
-            trial.list.known(number),
+            trial.host_list.known(number),
             self.rules(),
             trial.seed * 1000 + number,
             peer_listen=peers if trial.script.day.peers else "",
             peers_all=trial.spread_at,
         )
-        _, environment = charter.write(self.out, told)
+        _, environment = write_configuration(self.out, told)
         log = self.out / f"{name}.log"
         before = log.stat().st_size if log.exists() else 0
         process = trial.processes.start(
-            ["gaproute.platform"], None, log.name, tells=False, environment=environment, **self.manner(number)
+            ["gaproute.platform"],
+            None,
+            log.name,
+            reads_output=False,
+            environment=environment,
+            **self.process_options(number),
         )
         self.processes[number] = process
         end = self.loop.now() + READY_TIME
@@ -60,7 +70,7 @@
             if process.child.poll() is not None:
                 raise RuntimeError(f"{name} did not start; see {log}")
             if self.loop.now() > end:
-                raise NotReady(f"{name} was not up in time; see {log}")
+                raise NotReadyError(f"{name} was not up in time; see {log}")
             yield self.loop.sleep(20 * MILLI)
         if trial.script.cluster.crowded and trial.processes.first:
             hurry(process.child.pid, NEXT)
@@ -73,10 +83,10 @@
 
     def restart(self, number, kind, back):
         if kind == "TERM" and number not in self.busy:
-            self.trial.crowd.say({"do": "leaving", "gateway": number})
+            self.trial.clients.send({"do": "leaving", "gateway": number})
         yield from super().restart(number, kind, back)
 
-    def stop(self, span):
-        yield from super().stop(span)
-        self.trial.list.process.hush()
-        self.trial.spread.hush()
+    def terminate(self, span):
+        yield from super().terminate(span)
+        self.trial.host_list.process.close_input()
+        self.trial.spread.close_input()
