--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -86,7 +86,7 @@
     terms = read_configuration("old", OLD).terms
     assert terms.probes_allowed
     assert not terms.reports_by_probe
-    assert read_configuration("old", OLD).sizes_reported
+    assert read_configuration("old", OLD).capacities_reported
 
 
 def test_mistakes_of_both_files_are_reported_together_with_line_and_cure():
