--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -23,12 +23,12 @@
 
 def answer_time(configuration: Configuration) -> int:
     """For how long requests are in flight at most: what then has no answer gets one at once."""
-    return kill_delay(configuration.longest) - ANSWER_MARGIN - configuration.clients.way_back
+    return kill_delay(configuration.max_deadline) - ANSWER_MARGIN - configuration.client_limits.way_back
 
 
 def max_duration(configuration: Configuration) -> int:
     """After which the process ends whatever is still open."""
-    return LATE_REQUEST_TIME + configuration.longest + LEAVE_TIME
+    return LATE_REQUEST_TIME + configuration.max_deadline + LEAVE_TIME
 
 
 class GracefulShutdown:
