--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -17,7 +17,7 @@
 class PlatformGateways(ClusterGateways):
     def rules(self):
         script = self.trial.script
-        copies, life, day = script.copies, script.host_life, script.day
+        copies, life, day = script.warm_instances, script.host_life, script.day
         tracks = [
             RequestClassSettings(
                 line.name, line.effect, line.group, line.contract, line.limit, line.earnings, line.remembers
--- a/gaproute/scenarios/result.py
+++ b/gaproute/scenarios/result.py
@@ -100,16 +100,16 @@
 def _terms(trial: PlayedDay) -> DayTerms:
     """What the day is judged by."""
     script = trial.script
-    copies = script.copies
+    instances = script.warm_instances
     return DayTerms(
         request_classes={
             line.name: RequestClassTerms.from_track(line.effect, line.group, line.remembers)
             for line in script.request_classes
         },
         places={host.name: HostPlace(host.zone, host.rack) for host in trial.hosts.by_name.values()},
-        load_orders_free=copies.free,
-        load_order_share=copies.share,
-        load_order_window=copies.window if copies.orders else 0,
+        load_orders_free=instances.free,
+        load_order_share=instances.share,
+        load_order_window=instances.window if instances.orders else 0,
         harness_lateness=trial.harness_lateness(),
         longest_deadline=trial.longest_deadline,
     )
--- a/gaproute/scenarios/script.py
+++ b/gaproute/scenarios/script.py
@@ -11,9 +11,9 @@
 from typing import Any, NamedTuple, TypeVar
 
 from gaproute.config.directives import DIRECTIVES
-from gaproute.config.directives.requests import CopiesLine, TrackLine
+from gaproute.config.directives.requests import RequestClassLine, WarmInstancesLine
 from gaproute.config.errors import ConfigurationError, Mistake
-from gaproute.config.parsing import Directive, Found, read_lines
+from gaproute.config.parsing import Directive, NamedDirective, read_lines
 from gaproute.scenarios.script_lines import (
     SCRIPT_LINES,
     DayFaultLine,
@@ -27,31 +27,32 @@
 GATEWAY_LINES = ("track", "copies", "relays", "reports", "cold", "advice", "clients")
 
 Line = TypeVar("Line", bound=Directive)
-Check = Callable[[str, list[Found]], list[Mistake]]  # the mistakes of a file's lines beside their form
+# The mistakes of a file's lines beside their form.
+Check = Callable[[str, list[NamedDirective]], list[Mistake]]
 
 
 class Script:
     """What a script says. `text`: the script itself; `found`: its lines."""
 
-    def __init__(self, text: str, found: list[Found]) -> None:
+    def __init__(self, text: str, found: list[NamedDirective]) -> None:
         self.text = text
         self.day: DayLine = _only(found, "day", DayLine)
         self.store: StoreLine = _only(found, "store", StoreLine)
         self.host_life: HostLife = _only(found, "host-life", HostLife)
-        self.copies: CopiesLine = _only(found, "copies", CopiesLine)
+        self.warm_instances: WarmInstancesLine = _only(found, "copies", WarmInstancesLine)
         self.host_kinds: list[KindLine] = _all(found, "kind") or [KindLine.model_validate({"name": "std"})]
         self.traffic: list[TrafficLine] = _all(found, "traffic")
-        self.request_classes: list[TrackLine] = _all(found, "track")
+        self.request_classes: list[RequestClassLine] = _all(found, "track")
         self.day_faults: list[DayFaultLine] = _all(found, "trouble")
         lines = text.splitlines()
         self.gateway_lines = [lines[line.line - 1] for keyword, line in found if keyword in GATEWAY_LINES]
 
 
-def _all(found: list[Found], keyword: str) -> list[Any]:
+def _all(found: list[NamedDirective], keyword: str) -> list[Any]:
     return [directive for name, directive in found if name == keyword]
 
 
-def _only(found: list[Found], keyword: str, kind: type[Line]) -> Line:
+def _only(found: list[NamedDirective], keyword: str, kind: type[Line]) -> Line:
     """The one line with this keyword; the defaults of its class where there is none."""
     return next(iter(_all(found, keyword)), None) or kind()
 
@@ -60,10 +61,10 @@
     """A script, and the lines that it was made from."""
 
     script: Script
-    found: list[Found]
+    found: list[NamedDirective]
 
 
-def _no_mistakes(file: str, found: list[Found]) -> list[Mistake]:
+def _no_mistakes(file: str, found: list[NamedDirective]) -> list[Mistake]:
     return []
 
 
@@ -95,7 +96,7 @@
         raise ConfigurationError([mistake]) from None
 
 
-def _mistakes(file: str, found: list[Found]) -> list[Mistake]:
+def _mistakes(file: str, found: list[NamedDirective]) -> list[Mistake]:
     """Whether there are request classes, and traffic names them alone."""
     names = [track.name for track in _all(found, "track")]
     mistakes = []
--- a/gaproute/scenarios/service.py
+++ b/gaproute/scenarios/service.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from gaproute.config.directives.requests import TrackLine
+from gaproute.config.directives.requests import RequestClassLine
 
 SECOND = 1_000_000_000
 WINDOW = 5  # seconds of a day that `by_window` takes together
@@ -41,7 +41,7 @@
     `events`: their ends, and the tries that found no gateway, which were not served either.
     """
 
-    def __init__(self, request_classes: Sequence[TrackLine], events: Iterable[TapEvent]) -> None:
+    def __init__(self, request_classes: Sequence[RequestClassLine], events: Iterable[TapEvent]) -> None:
         self.weights = {line.name: line.earnings for line in request_classes}
         self.objectives = {line.name: line.contract for line in request_classes}
         self.first_tries = [
