--- a/gaproute/simulation/rounds/judge.py
+++ b/gaproute/simulation/rounds/judge.py
@@ -30,7 +30,6 @@
 
     PROMISED = "promised"
     BEYOND = "beyond"
-    OWN = "own"
 
 
 class FloorBreach(NamedTuple):
@@ -94,7 +93,7 @@
         self._failed: dict[str, Failure] = {}  # by host
         self._demand_rose = False  # since a round last took a host
         self._warm: WarmLanes = {}  # at the last look
-        self._standing: dict[tuple[str, Row], BreachKind] = {}  # by round and row
+        self._standing: set[tuple[str, Row]] = set()  # breaches by round and row; membership only
 
     # What happens
 
@@ -163,18 +162,12 @@
         without_rounds = capacity_floor.standing(self.hosts, untouched)
         for spec, floor in floors:
             for row, needed in floor.items():
-                key, lanes = (spec.name, row), have.get(row, 0)
+                lanes = have.get(row, 0)
                 if lanes >= needed:
-                    self._standing.pop(key, None)
-                elif key in self._standing:
-                    continue
-                elif without_rounds.get(row, 0) < needed:
-                    self.own_breaches += 1
-                    self._standing[key] = BreachKind.OWN
-                else:
-                    breach = self._breach(spec, row, needed, lanes)
-                    self._standing[key] = breach.kind
-                    self.breaches.append(breach)
+                    self._standing.discard((spec.name, row))
+                elif (spec.name, row) not in self._standing:
+                    self._standing.add((spec.name, row))
+                    self._count_breach(spec, row, needed, lanes, own=without_rounds.get(row, 0) < needed)
 
     def _forget_recovered(self, warm: WarmLanes, cold: Collection[str]) -> None:
         """Hosts that have again what they had are in no round's hands and failed no more."""
@@ -189,6 +182,13 @@
         ]:
             del self._failed[name]
 
+    def _count_breach(self, spec: RoundSpec, row: Row, needed: int, lanes: int, *, own: bool) -> None:
+        """`own`: the floor would be broken without any round too."""
+        if own:
+            self.own_breaches += 1
+        else:
+            self.breaches.append(self._breach(spec, row, needed, lanes))
+
     def _breach(self, spec: RoundSpec, row: Row, needed: int, lanes: int) -> FloorBreach:
         level = spec.survive
         domains = {
--- a/gaproute/simulation/simulation.py
+++ b/gaproute/simulation/simulation.py
@@ -131,8 +131,8 @@
 
     def _handle(self, event: Event) -> None:
         match event:
-            case Tick(slot=slot):
-                self.call(slot, lambda now: slot.process.tick(now) if slot.process is not None else ())
+            case Tick(slot=slot) if slot.process is not None:
+                self.call(slot, slot.process.tick)
             case Delivery(slot=slot):
                 self._deliver(slot, event.sender, event.message)
             case FaultBegin():
