--- a/benchmarks/scale/crew.py
+++ b/benchmarks/scale/crew.py
@@ -14,7 +14,7 @@
 from benchmarks.scale.children import command
 from benchmarks.scale.limits import resident
 from benchmarks.scale.logs import logged
-from gaproute.cluster.lateness import BEAT
+from gaproute.cluster.lateness import CHECK_INTERVAL
 from gaproute.hollow.simulation.lists import HostLists
 
 KEEPERS = 3
@@ -136,7 +136,7 @@
         """Sleeps in beats, and notes how late this process is."""
         end = time.monotonic_ns() + round(seconds * 1e9)
         while (now := time.monotonic_ns()) < end:
-            due = min(now + BEAT, end)
+            due = min(now + CHECK_INTERVAL, end)
             time.sleep((due - now) / 1e9)
             self.late_ns = max(self.late_ns, time.monotonic_ns() - due)
 
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -16,7 +16,7 @@
 from benchmarks.scale.crew import Crew
 from benchmarks.scale.limits import MEGABYTE, Stopped
 from benchmarks.scale.measurement import LADDERS
-from gaproute.cluster.lateness import WAITED
+from gaproute.cluster.lateness import MAX_CPU_WAIT
 
 LATE = 150  # ms that a process may be late, as the harness's scripts allow
 SETTLE, CALM = 45, 15  # seconds: leases are granted half a minute after the keepers were founded, and
@@ -79,10 +79,10 @@
             figures[f"{kind}_memory_mb"] = sum(crew.memory(kind).values()) / MEGABYTE / count
         shares = sorted((waited_after[pid] - waited[pid]) / span for pid in waited)
         figures["waited_share"] = shares[len(shares) // 2]
-        if figures["waited_share"] > WAITED:
+        if figures["waited_share"] > MAX_CPU_WAIT:
             self.void.append(
                 f"gateways were ready without a core for {figures['waited_share']:.0%} of the calm span, "
-                f"{WAITED:.0%} are allowed"
+                f"{MAX_CPU_WAIT:.0%} are allowed"
             )
 
     def lateness(self, span):
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -24,7 +24,7 @@
 
 from rows import table, write
 
-from gaproute.cluster.addresses import between
+from gaproute.cluster.addresses import link_address
 from gaproute.loop import Listener, Loop, Stream
 from gaproute.loop.datagrams import READS
 from gaproute.loop.descriptors import READ
@@ -160,7 +160,7 @@
 def streams(party, name, count, direct=False):
     host, port = party.tcp.split(":")
     wired = [
-        (between(party.callers[n % len(party.callers)], FIRST + n % HOSTS), party.port)
+        (link_address(party.callers[n % len(party.callers)], FIRST + n % HOSTS), party.port)
         for n in range(AT_ONCE)
     ]
     socks = [socket.create_connection((host, port) if direct else where) for where in wired]
@@ -182,7 +182,7 @@
         sock.bind(("127.0.0.1", 0))
         callers = party.callers[n::at_once][: pairs // HOSTS // at_once + 1]
         turns[sock] = itertools.cycle(
-            [(between(a, FIRST + b), party.port) for a in callers for b in range(HOSTS)]
+            [(link_address(a, FIRST + b), party.port) for a in callers for b in range(HOSTS)]
         )
     place = ["{}:{}".format(*sock.getsockname()) for sock in socks]
     party.tell(
@@ -207,7 +207,7 @@
     socks, spans = [], []
     for n in range(count):
         began = time.perf_counter_ns()
-        where = between(party.callers[n % len(party.callers)], FIRST + n % HOSTS)
+        where = link_address(party.callers[n % len(party.callers)], FIRST + n % HOSTS)
         socks.append(socket.create_connection((where, party.port)))
         socks[-1].send(SMALL)
         socks[-1].recv(2048)  # the far end is there
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -62,10 +62,10 @@
 
 def _cluster_play(parsed: Any) -> tuple[Callable[..., Any], Callable[..., None]]:
     """What plays a cluster script, and what shows its verdict."""
-    from gaproute.cluster.platform.harness import player
+    from gaproute.cluster.platform.harness import harness_class
     from gaproute.cluster.show import show
 
-    return player(parsed), show
+    return harness_class(parsed), show
 
 
 def _day_play() -> tuple[Callable[..., Any], Callable[..., None]]:
--- a/gaproute/cluster/__init__.py
+++ b/gaproute/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Many real processes of the program on loopback, with a wire between them that a script makes fail."""
+"""Many real processes of the program on loopback, with links between them that a script makes fail."""
--- a/gaproute/cluster/address_plan.py
+++ b/gaproute/cluster/address_plan.py
@@ -1,128 +1,163 @@
-"""Who sits where: the numbers by which the wire tells gateways and hosts apart, and the addresses between
-them."""
+"""Who stands in which process slot, and by which addresses the processes of a cluster reach each other."""
+
+from __future__ import annotations
 
 import os
 import socket
+from collections.abc import Iterable, Mapping
+from typing import NamedTuple, Protocol
+
+from gaproute.cluster.addresses import MIN_SLOT, link_address
+from gaproute.cluster.links.slots import KIND_TERMS, ZONE_PREFIX, Slot, SlotKind
+from gaproute.cluster.slot_sets import NamedSlot
+from gaproute.errors import GaprouteError
+from gaproute.scenarios.script import DayLine
+
+# The first slots of gateways, of hosts, and of the platform's change log, which has one for each gateway.
+FIRST_GATEWAY, FIRST_HOST, FIRST_LIST = MIN_SLOT, MIN_SLOT + 1000, MIN_SLOT + 3000
+FIRST_PORT, PORT_COUNT = 20000, 11000  # below those that the kernel gives out by itself (32768 on)
+PORTS_PER_HARNESS = 4  # links, clients, peers, operators
+GATEWAYS_PER_NET = 200  # in one 127.0.x.0/24
+
+
+class NoFreePortsError(GaprouteError, OSError):
+    """All ports that a harness may take are in use on this machine."""
+
+
+class PlannedHost(Protocol):
+    """What the plan needs of a host of the day."""
+
+    name: str
+    number: int
+    zone: str
+    address: str
+    state: str
 
-from gaproute.cluster.addresses import LOWEST, between
 
-# seats from which gateways, hosts and the platform's change log, a seat for each gateway, are counted
-GATEWAYS, HOSTS, LISTS = LOWEST, LOWEST + 1000, LOWEST + 3000
-LOWEST_PORT, PORTS = 20000, 11000  # below those that the kernel gives out by itself (32768 on)
-APART = 4  # ports that one harness takes: wire, clients, peers, operators
+class GatewayAddresses(NamedTuple):
+    """Where a gateway listens itself."""
 
+    clients: str
+    peers: str
 
-def free_port():
-    """The first of APART ports that nobody has anywhere on this machine, for streams and datagrams. Errors:
-    OSError where none is left."""
-    begin = os.getpid() * APART % PORTS
-    for place in range(0, PORTS, APART):
-        port = LOWEST_PORT + (begin + place) % PORTS // APART * APART
-        try:
-            for each in range(port, port + APART):
-                for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-                    with socket.socket(socket.AF_INET, kind) as sock:
-                        sock.bind(("0.0.0.0", each))
-        except OSError:
-            continue
-        return port
-    raise OSError("no free ports for a harness")
+
+def free_port() -> int:
+    """The first of four ports in a row that nobody has on this machine, for streams and datagrams.
+
+    Errors: `NoFreePortsError`.
+    """
+    begin = os.getpid() * PORTS_PER_HARNESS % PORT_COUNT
+    for place in range(0, PORT_COUNT, PORTS_PER_HARNESS):
+        port = FIRST_PORT + (begin + place) % PORT_COUNT // PORTS_PER_HARNESS * PORTS_PER_HARNESS
+        if all(_is_free(each) for each in range(port, port + PORTS_PER_HARNESS)):
+            return port
+    raise NoFreePortsError(
+        f"starting a harness: no {PORTS_PER_HARNESS} free ports in a row "
+        f"from {FIRST_PORT} to {FIRST_PORT + PORT_COUNT - 1}"
+    )
+
+
+def _is_free(port: int) -> bool:
+    try:
+        for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+            with socket.socket(socket.AF_INET, kind) as sock:
+                sock.bind(("0.0.0.0", port))
+    except OSError:
+        return False
+    return True
 
 
 class AddressPlan:
-    """`direct`: no wire, so that all use each other's own addresses."""
+    """The addresses and slots of one day. `direct`: no links, so that all use each other's own addresses."""
 
-    def __init__(self, day, direct):
+    def __init__(self, day: DayLine, *, direct: bool) -> None:
         self.day, self.direct, self.port = day, direct, free_port()
-        self.ways = []  # where the change log listens for each gateway, on the platform
-        self.whose = False  # whether the wire tells hosts who calls
-        self.known = {}  # (gateway, host): address, as a list names it again and again
+        self.change_log_addresses: list[str] = []  # by gateway, on the platform: where the log listens for it
+        self.announce_callers = False  # whether a host learns who calls
+        self._host_addresses: dict[tuple[int, int], str] = {}  # by gateway and host; lists name them often
 
-    def zone(self, number):
+    def zone(self, number: int) -> str:
+        """The zone of a gateway."""
         return f"hall-{number % self.day.halls}"
 
-    def gateway(self, number):
-        """Its own addresses: for clients, for peers. Not in 127.0.0.x, from which all connect."""
-        ip = f"127.0.{2 + number // 200}.{1 + number % 200}"
-        return f"{ip}:{self.port + 1}", f"{ip}:{self.port + 2}"
+    def gateway(self, number: int) -> GatewayAddresses:
+        """A gateway's own addresses. Not in 127.0.0.x, from which all connect."""
+        ip = f"127.0.{2 + number // GATEWAYS_PER_NET}.{1 + number % GATEWAYS_PER_NET}"
+        return GatewayAddresses(f"{ip}:{self.port + 1}", f"{ip}:{self.port + 2}")
 
-    def operator(self, number):
-        """Where a gateway's operators ask."""
-        return f"{self.gateway(number)[0].rpartition(':')[0]}:{self.port + 3}"
+    def operator(self, number: int) -> str:
+        """A gateway's operators' address."""
+        ip = self.gateway(number).clients.rpartition(":")[0]
+        return f"{ip}:{self.port + 3}"
 
-    def everybody(self):
-        """Where the platform's gateways send what all others are to hear; in no gateway's net."""
+    def peer_broadcast(self) -> str:
+        """Where the platform's gateways send what all others are to receive; in no gateway's net."""
         return f"127.0.0.1:{self.port + 3}"
 
-    def peer(self, number, other):
+    def peer(self, number: int, other: int) -> str:
         """Where gateway `number` finds another."""
-        return (
-            self.gateway(other)[1]
-            if self.direct
-            else f"{between(GATEWAYS + number, GATEWAYS + other)}:{self.port}"
-        )
+        return self.gateway(other).peers if self.direct else self._link(number, FIRST_GATEWAY + other)
 
-    def host(self, number, seat):
+    def host(self, number: int, host: PlannedHost) -> str:
         """Where gateway `number` finds a host."""
         if self.direct:
-            return seat.address
-        where = self.known.get((number, seat.number))
-        if where is None:
-            where = f"{between(GATEWAYS + number, HOSTS + seat.number)}:{self.port}"
-            self.known[number, seat.number] = where
-        return where
-
-    def changelog(self, number):
-        """Where gateway `number` finds the change log."""
-        return (
-            self.ways[number] if self.direct else f"{between(GATEWAYS + number, LISTS + number)}:{self.port}"
+            return host.address
+        key = number, host.number
+        address = self._host_addresses.get(key)
+        if address is None:
+            address = self._host_addresses[key] = self._link(number, FIRST_HOST + host.number)
+        return address
+
+    def change_log(self, number: int) -> str:
+        """Where gateway `number` finds the platform's change log."""
+        return self.change_log_addresses[number] if self.direct else self._link(number, FIRST_LIST + number)
+
+    def _link(self, gateway: int, slot: int) -> str:
+        return f"{link_address(FIRST_GATEWAY + gateway, slot)}:{self.port}"
+
+    # Slots. Their zones are of gateways or of hosts, so that a term names either without a list.
+
+    def all_slots(self, hosts: Iterable[PlannedHost]) -> dict[int, Slot]:
+        """The slots of the gateways, of these hosts and of the change log, by number."""
+        slots: dict[int, Slot] = {}
+        for number in range(self.day.gateways):
+            peers = self.gateway(number).peers
+            zone = f"{SlotKind.GATEWAY}/{self.zone(number)}"
+            slots[FIRST_GATEWAY + number] = Slot(f"g{number}", SlotKind.GATEWAY, zone, peers, peers)
+        for host in hosts:
+            slots |= self.host_slot(host)
+        for number, address in enumerate(self.change_log_addresses):
+            slots[FIRST_LIST + number] = Slot(f"l{number}", SlotKind.LIST, "", address)
+        return slots
+
+    def host_slot(self, host: PlannedHost, *, refuses: bool = False) -> Mapping[int, Slot]:
+        """A host's slot by its number. `refuses`: its process is down."""
+        slot = Slot(
+            host.name,
+            SlotKind.HOST,
+            f"{SlotKind.HOST}/{host.zone}",
+            stream_address=host.address,
+            refuses=refuses,
+            announce_caller=self.announce_callers,
         )
+        return {FIRST_HOST + host.number: slot}
+
+    def link_terms(self, name: str, slots: Iterable[NamedSlot]) -> list[str]:
+        """The link emulators' terms for what a term of the script names.
 
-    # What the wire is told: its zones are of gateways or of hosts, so that a word names either without a list
-
-    def gateway_seat(self, number):
-        where = self.gateway(number)[1]
-        return str(GATEWAYS + number), {
-            "name": f"g{number}",
-            "kind": "gateway",
-            "zone": f"gateway/{self.zone(number)}",
-            "tcp": where,
-            "udp": where,
-        }
-
-    def host_seat(self, seat):
-        return str(HOSTS + seat.number), {
-            "name": seat.name,
-            "kind": "host",
-            "zone": f"host/{seat.zone}",
-            "tcp": seat.address,
-            "udp": None,
-            "whose": self.whose,
-        }
-
-    def list_seat(self, number):
-        return str(LISTS + number), {
-            "name": f"l{number}",
-            "kind": "list",
-            "zone": "",
-            "tcp": self.ways[number],
-            "udp": None,
-        }
-
-    def words(self, what, seats):
-        """The wire's words for what a script's word names; seats of these words that come later are meant
-        too."""
-        base, _, zone = what.replace("zone:", "zone/").partition("/")
+        Slots that these terms name and that come later are meant too.
+        """
+        base, _, zone = name.replace(ZONE_PREFIX, "zone/").partition("/")
         if not zone:
-            return [what]
-        kinds = {"gateways": ["gateway"], "hosts": ["host"]}.get(base, ["gateway", "host"])
-        there = {(kind, place) for _, kind, place in seats}
-        return [f"zone:{kind}/{zone}" for kind in kinds if (kind, zone) in there]
-
-    def all(self, seats):
-        """[(name, kind, zone)] of all gateways and of the hosts that there are now, for a script's sets."""
-        return (
-            [(f"g{number}", "gateway", self.zone(number)) for number in range(self.day.gateways)]
-            + [(seat.name, "host", seat.zone) for seat in seats if seat.state != "absent"]
-            + [(f"l{number}", "list", "") for number in range(len(self.ways))]
-        )
+            return [name]
+        kinds = [KIND_TERMS[base]] if base in KIND_TERMS else [SlotKind.GATEWAY, SlotKind.HOST]
+        there = {(slot.kind, slot.zone) for slot in slots}
+        return [f"{ZONE_PREFIX}{kind}/{zone}" for kind in kinds if (kind, zone) in there]
+
+    def named_slots(self, hosts: Iterable[PlannedHost]) -> list[NamedSlot]:
+        """All gateways, the hosts that there are now, and the change log, for a script's sets."""
+        gateways = range(self.day.gateways)
+        named = [NamedSlot(f"g{number}", SlotKind.GATEWAY, self.zone(number)) for number in gateways]
+        named += [NamedSlot(host.name, SlotKind.HOST, host.zone) for host in hosts if host.state != "absent"]
+        lists = range(len(self.change_log_addresses))
+        return named + [NamedSlot(f"l{number}", SlotKind.LIST, "") for number in lists]
--- a/gaproute/cluster/addresses.py
+++ b/gaproute/cluster/addresses.py
@@ -1,33 +1,66 @@
-"""The address by which one seat reaches another: 127.x.y.z, whose 24 bits are the caller's and the called's
-numbers.
+"""The address by which one process slot reaches another: 127.x.y.z, whose lower 24 bits are two slot numbers.
 
-No socket and no table is needed for a pair: whoever listens on all of 127/8 reads from the address that was
-called who calls whom. Seats from 16 on never fall into 127.0.x.x, where the processes themselves listen.
+No socket and no table is needed for a link: whoever listens on all of 127/8 reads from the address that was
+called who calls whom. Slots from 16 on never fall into 127.0.x.x, where the processes themselves listen.
 """
 
-LOWEST, HIGHEST = 16, 4000  # seats: below lies 127.0.x.x; 12 bits, clear of the broadcast 127.255.255.255
-SEAT_BITS = 12
+from __future__ import annotations
 
+from typing import NamedTuple
 
-def between(caller, called):
-    """Where seat `caller` finds seat `called`, and what `called` sees as its caller's address, the other way
-    round. Errors: ValueError for a number that is no seat's."""
-    for seat in (caller, called):
-        if not LOWEST <= seat <= HIGHEST:
-            raise ValueError(f"{seat} is no seat: they are {LOWEST} to {HIGHEST}")
-    bits = caller << SEAT_BITS | called
-    return f"127.{bits >> 16}.{bits >> 8 & 255}.{bits & 255}"
+from gaproute.errors import GaprouteError
 
+SLOT_BITS = 12
+MIN_SLOT, MAX_SLOT = 16, 4000  # below lies 127.0.x.x; 12 bits, clear of the broadcast 127.255.255.255
+SLOT_MASK = (1 << SLOT_BITS) - 1
+LOOPBACK_NET = 127
 
-def of(ip):
-    """(caller, called) of an address as text. Errors: ValueError where it is not between two seats."""
-    net, x, y, z = (int(part) for part in ip.split("."))
-    return pair(net << 24 | x << 16 | y << 8 | z)
 
+class LinkAddressError(GaprouteError, ValueError):
+    """A number that is no process slot's, or an address that is not between two slots."""
 
-def pair(number):
-    """The same of an address as the number of its four bytes: so the kernel tells it with a datagram."""
-    caller, called = number >> SEAT_BITS & 0xFFF, number & 0xFFF
-    if number >> 24 != 127 or not (LOWEST <= caller <= HIGHEST and LOWEST <= called <= HIGHEST):
-        raise ValueError("not an address between two seats")
-    return caller, called
+
+class Link(NamedTuple):
+    """The way from one process slot to another. In an address the source is the caller."""
+
+    source: int
+    destination: int
+
+    @property
+    def number(self) -> int:
+        """The link as one number of 24 bits."""
+        return self.source << SLOT_BITS | self.destination
+
+    @property
+    def reverse(self) -> Link:
+        """The way back."""
+        return Link(self.destination, self.source)
+
+
+def link_address(caller: int, callee: int) -> str:
+    """Where slot `caller` finds slot `callee`.
+
+    The callee sees `link_address(callee, caller)` as its caller's address. Errors: `LinkAddressError` for a
+    number that is no slot's.
+    """
+    for slot in (caller, callee):
+        if not MIN_SLOT <= slot <= MAX_SLOT:
+            raise LinkAddressError(f"no process slot has number {slot}: they are {MIN_SLOT} to {MAX_SLOT}")
+    bits = Link(caller, callee).number
+    return f"{LOOPBACK_NET}.{bits >> 16}.{bits >> 8 & 255}.{bits & 255}"
+
+
+def link_of_address(text: str) -> Link:
+    """The link that an IPv4 address names. Errors: `LinkAddressError` where it names none."""
+    number = 0
+    for part in text.split("."):
+        number = number << 8 | int(part)
+    return link_of_number(number)
+
+
+def link_of_number(number: int) -> Link:
+    """The same of an address as the number of its four bytes, as the kernel gives it beside a datagram."""
+    link = Link(number >> SLOT_BITS & SLOT_MASK, number & SLOT_MASK)
+    if number >> 24 != LOOPBACK_NET or not all(MIN_SLOT <= slot <= MAX_SLOT for slot in link):
+        raise LinkAddressError(f"address {number:#010x} is not between two process slots")
+    return link
--- a/gaproute/cluster/child.py
+++ b/gaproute/cluster/child.py
@@ -1,6 +1,8 @@
-"""`python -m gaproute.cluster.child [--rate R] [--offset-ms M] [--parent-death] -- MODULE WORDS...`: runs a
-module of the program, unchanged, as `python -m MODULE WORDS...` would, on a clock that is wrong, bound to
-its parent's life.
+"""Runs a module of the program, unchanged, on a clock that is wrong and bound to its parent's life.
+
+    python -m gaproute.cluster.child [--rate R] [--offset-ms M] [--parent-death] -- MODULE ARGUMENTS...
+
+does what `python -m MODULE ARGUMENTS...` would do.
 
 The clock: `time.monotonic_ns`, `monotonic`, `time_ns` and `time` are replaced before the program is
 imported, so that it does not matter whether it asks `time` or has taken the function over by name or as a
@@ -17,48 +19,62 @@
   their parent by its pipe alone.
 """
 
+from __future__ import annotations
+
 import ctypes
 import os
 import runpy
 import signal
 import sys
 import time
+from collections.abc import Callable
 
 import click
 
 SECOND, MILLI = 1_000_000_000, 1_000_000
+MAX_RATE = 100
 PR_SET_PDEATHSIG = 1  # prctl of Linux: a signal for this process when the thread that started it ends
-CLOCKS = {"monotonic_ns": 1, "monotonic": SECOND, "time_ns": 1, "time": SECOND}  # ns in its unit
+INIT_PID = 1  # the parent of a process whose own has ended
+CLOCK_UNITS = {"monotonic_ns": 1, "monotonic": SECOND, "time_ns": 1, "time": SECOND}  # ns in its unit
 
+Clock = Callable[[], float]
 
-def wrong(true, start, rate, offset):
-    """A clock made of `true`: at `rate` from its value `start` on, ahead by `offset`, in its unit."""
+
+def skewed_clock(true: Clock, start: float, *, rate: float, offset: float) -> Clock:
+    """A clock made of `true`: at `rate` from its value `start` on, ahead by `offset`, in its unit.
+
+    It gives whole numbers where `start` is one.
+    """
     whole = isinstance(start, int)
 
-    def clock():
-        gone = (true() - start) * rate
-        return start + offset + (int(gone) if whole else gone)
+    def clock() -> float:
+        elapsed = (true() - start) * rate
+        return start + offset + (int(elapsed) if whole else elapsed)
 
     return clock
 
 
-def set_clocks(rate, offset):
+def skew_clocks(*, rate: float, offset: int) -> None:
     """Replaces the functions of `time`; `offset` in ns. Errors: ValueError for a rate that is none."""
-    if not 0 < rate < 100:
-        raise ValueError("a clock's rate is above 0 and below 100")
-    for name, unit in CLOCKS.items():
+    if not 0 < rate < MAX_RATE:
+        raise ValueError(f"a clock's rate is above 0 and below {MAX_RATE}, not {rate}")
+    for name, unit in CLOCK_UNITS.items():
         true = getattr(time, name)
-        setattr(time, name, wrong(true, true(), rate, offset if unit == 1 else offset / unit))
+        in_unit = offset if unit == 1 else offset / unit
+        setattr(time, name, skewed_clock(true, true(), rate=rate, offset=in_unit))
+
 
+def die_with_parent(parent: int) -> None:
+    """SIGKILL for this process when its parent ends.
 
-def die_with(parent):
-    """SIGKILL for this process when its parent ends. Errors: OSError; ProcessLookupError where `parent`, the
-    parent's id as it was known before, has ended already: then no signal would ever come."""
+    Errors: OSError; ProcessLookupError where `parent`, the parent's id as it was known before, has ended
+    already: then no signal would ever come.
+    """
     kernel = ctypes.CDLL(None, use_errno=True)
     if kernel.prctl(PR_SET_PDEATHSIG, ctypes.c_ulong(signal.SIGKILL), 0, 0, 0):
         raise OSError(ctypes.get_errno(), "prctl")
     if os.getppid() != parent:
-        raise ProcessLookupError("the parent ended first")
+        raise ProcessLookupError(f"binding a process to its parent: process {parent} ended first")
 
 
 @click.command(context_settings={"ignore_unknown_options": True})
@@ -70,20 +86,22 @@
     type=int,
     help="The parent's process id, where the caller knows it: closes the gap before this process asks.",
 )
-@click.argument("words", nargs=-1, required=True, type=click.UNPROCESSED)
-def main(rate, offset_ms, parent_death, parent, words):
-    """Run the module that is the first of WORDS."""
+@click.argument("arguments", nargs=-1, required=True, type=click.UNPROCESSED)
+def main(
+    rate: float, offset_ms: float, parent_death: bool, parent: int | None, arguments: tuple[str, ...]
+) -> None:
+    """Run the module that is the first of ARGUMENTS."""
     if parent_death:
         try:
-            die_with(os.getppid() if parent is None else parent)
+            die_with_parent(os.getppid() if parent is None else parent)
         except ProcessLookupError:
             sys.exit(1)
-        if os.getppid() == 1 and parent is None:
-            sys.exit(1)  # taken over by init: the parent ended before this line
+        if os.getppid() == INIT_PID and parent is None:
+            sys.exit(1)  # the parent ended before this line
     if rate != 1.0 or offset_ms:
-        set_clocks(rate, int(offset_ms * MILLI))
-    sys.argv = list(words)  # its first word is replaced by the module's path
-    runpy.run_module(words[0], run_name="__main__", alter_sys=True)
+        skew_clocks(rate=rate, offset=int(offset_ms * MILLI))
+    sys.argv = list(arguments)  # its first word is replaced by the module's path
+    runpy.run_module(arguments[0], run_name="__main__", alter_sys=True)
 
 
 if __name__ == "__main__":
--- a/gaproute/cluster/clients.py
+++ b/gaproute/cluster/clients.py
@@ -1,26 +1,36 @@
 """The clients: several processes that share one load, each with names, chance and a tap of its own."""
 
+from __future__ import annotations
+
+from typing import Any, ClassVar
+
 from gaproute.scenarios.clients import DayClients
 
 
 class ClusterClients(DayClients):
-    """The clients of appliances."""
+    """The clients of `gaproute serve`."""
 
-    KIND = "clients"  # of the stand-ins
+    KIND: ClassVar[str] = "clients"  # of the stand-ins
 
-    def told_to(self, place, count):
-        """What the process at that place is told, of so many."""
+    def start(self) -> None:
+        """Starts all of them."""
+        trial = self.trial
+        count = trial.script.cluster.clients
+        self.processes = [
+            trial.processes.start_stand_in(self.KIND, f"clients-{place}", self.process_settings(place, count))
+            for place in range(count)
+        ]
+
+    def process_settings(self, place: int, count: int) -> dict[str, Any]:
+        """The first line for the process at that place, of so many."""
         seed = self.trial.seed * 100 + place
-        told = self.settings(f"clients-{place}", self.request_classes(), seed, count)
-        return told | {"habits": told["habits"] | self.own_habits(place)}
+        settings: dict[str, Any] = self.settings(f"clients-{place}", self.request_classes(), seed, count)
+        return settings | {"habits": settings["habits"] | self.own_habits(place)}
 
-    def own_habits(self, place):
+    def own_habits(self, place: int) -> dict[str, Any]:
         """The habits in which the process at that place differs from all others."""
         return {"prefix": f"c{place}-"}
 
-    def start(self):
-        count, processes = self.trial.script.cluster.clients, self.trial.processes
-        self.processes = [
-            processes.start_stand_in(self.KIND, f"clients-{place}", self.told_to(place, count))
-            for place in range(count)
-        ]
+    def latenesses(self) -> list[int]:
+        """How late, in ns, each process that has done all its requests has run."""
+        return [event["late"] for event in self.events() if event["what"] == "done"]
--- /dev/null
+++ b/gaproute/cluster/context.py
@@ -0,0 +1,65 @@
+"""What all parts of a harness share."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Generator
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+from gaproute.cluster.address_plan import AddressPlan
+from gaproute.cluster.script import ClusterScript
+from gaproute.cluster.script_lines import (
+    ClusterLine,
+    HostListFaultLine,
+    LeaseClientsLine,
+    LinkFaultLine,
+    ProcessFaultLine,
+)
+from gaproute.config.parsing import Directive
+from gaproute.loop import Loop, Promise
+from gaproute.scenarios.script import DayFaultLine, DayLine
+from gaproute.standins.tap import Tap
+
+Routine = Generator[Promise, Any, None]  # a coroutine of the loop
+
+# What a line's chance is seeded with beside its number: an unchanged name here keeps the plays of a seed.
+SEED_NAMES: dict[type[Directive], str] = {
+    LinkFaultLine: "FaultLine",
+    ProcessFaultLine: "StrikeLine",
+    HostListFaultLine: "ListLine",
+    LeaseClientsLine: "CrewsLine",
+    DayFaultLine: "TroubleLine",
+}
+
+
+@dataclass(frozen=True)
+class DayContext:
+    """One played day: its script and seed, its folder `out`, the tap `run.tap`, the loop, the addresses.
+
+    `report(text)` tells whoever watches what happens.
+    """
+
+    loop: Loop
+    tap: Tap
+    script: ClusterScript
+    seed: int
+    out: Path
+    plan: AddressPlan
+    report: Callable[[str], object]
+
+    @property
+    def day(self) -> DayLine:
+        """The script's `day` line."""
+        day: DayLine = self.script.day
+        return day
+
+    @property
+    def settings(self) -> ClusterLine:
+        """The script's `cluster` line."""
+        return self.script.cluster or ClusterLine()
+
+    def line_random(self, line: Directive, part: str = "") -> random.Random:
+        """A line's own chance: what it draws does not hang on what other lines drew before it."""
+        return random.Random(f"{self.seed} {SEED_NAMES[type(line)]} {line.line}{part}")
--- a/gaproute/cluster/gateways.py
+++ b/gaproute/cluster/gateways.py
@@ -1,94 +1,136 @@
-"""The harness's gateways: each with addresses of its own for every other seat, some with a clock that is
-wrong."""
+"""The gateways of a cluster: each reaches every other process by addresses of its own.
 
-import signal
+Some have a clock that is wrong; a fault pauses, kills, restarts or starves them.
+"""
+
+from __future__ import annotations
 
-from gaproute.cluster.processes import NEXT, hurry
+import signal
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.host_lists import list_path
+from gaproute.cluster.lease_configuration import lease_configuration_lines
+from gaproute.cluster.play_record import PlayRecord
+from gaproute.cluster.priorities import RealTimePriority, raise_priority
+from gaproute.cluster.processes import ClockSkew
+from gaproute.cluster.start_limiter import StartLimiter
 from gaproute.scenarios.gateways import DayGateways
-from gaproute.scenarios.processes import MILLI
+from gaproute.scenarios.processes import DayProcess
+from gaproute.scenarios.trial import Trial
+
+MILLI = 1_000_000
+TRANSIT_TIME = 25 * MILLI  # the configuration's own, for an answer's way on a machine that is not crowded
+STARVE_CYCLE = 100 * MILLI
+
+
+class GatewayParts(NamedTuple):
+    """What the gateways need of their harness."""
+
+    context: DayContext
+    record: PlayRecord
+    starts: StartLimiter
 
-WAY_BACK = 25 * MILLI  # the configuration's own, for an answer's way on a machine that is not crowded
+
+class CpuWait(NamedTuple):
+    """How long a process was ready to run and had no core so far, and when that was read; ns."""
+
+    waited: int
+    at: int
 
 
 class ClusterGateways(DayGateways):
-    """`clocks`: {gateway: (rate, offset in ns)}."""
+    """All gateways of one play. `clocks`: those that are wrong, by gateway."""
 
-    def __init__(self, trial):
+    def __init__(self, trial: Trial, parts: GatewayParts) -> None:
         super().__init__(trial)
-        self.table, self.clocks, self.busy, self.texts = trial.table, {}, set(), {}
+        self.context, self.record, self.starts = parts
+        self.plan = self.context.plan
+        self.clocks: dict[int, ClockSkew] = {}
+        self.under_fault: set[int] = set()  # one of these is left alone by other faults
         self.addresses = {
-            number: self.table.gateway(number)[0] for number in range(trial.script.day.gateways)
+            number: self.plan.gateway(number).clients for number in range(self.context.day.gateways)
         }
+        self._configurations: dict[int, list[str]] = {}
 
-    def configuration_lines(self, number):
+    def configuration_lines(self, number: int) -> list[str]:
         """Its configuration: made once, as it names every other gateway."""
-        if number not in self.texts:
-            self.texts[number] = self.fresh(number)
-        return self.texts[number]
+        if number not in self._configurations:
+            self._configurations[number] = self._make_configuration(number)
+        return self._configurations[number]
 
-    def fresh(self, number):
-        trial, day, name = self.trial, self.trial.script.day, f"g{number}"
-        clients, peers = self.table.gateway(number)
+    def _make_configuration(self, number: int) -> list[str]:
+        day, script, name = self.context.day, self.context.script, f"g{number}"
         lines = [
             f"name {name}",
-            f"listen kserve {clients}",
-            f"decisions {trial.decisions}",
-            f"hosts-file {trial.host_list.path(number)} look 50ms",
-            *trial.script.gateway_lines,
+            f"listen kserve {self.plan.gateway(number).clients}",
+            f"decisions {self.trial.decisions}",
+            f"hosts-file {list_path(self.out, number)} look 50ms",
+            *script.gateway_lines,
         ]
-        if not any(line.split()[0] == "clients" for line in trial.script.gateway_lines):
-            # the final answer leaves early enough for a machine that is as late as the harness may be
-            lines.append(f"clients way-back {WAY_BACK + trial.script.cluster.late}ns")
+        if not any(line.split()[0] == "clients" for line in script.gateway_lines):
+            # The final answer leaves early enough for a machine that is as late as the harness may be.
+            lines.append(f"clients way-back {TRANSIT_TIME + self.context.settings.late}ns")
         if day.peers:
-            lines += [f"listen peers {peers}"] + [
-                f"peer g{other} {self.table.peer(number, other)}"
-                for other in range(day.gateways)
-                if other != number
-            ]
+            lines += self._peer_lines(number)
         lines += [f"memory {self.out}/{name}.memory"] * day.memory
-        return lines + trial.crews.lines(number) + self.model_lines()
+        if script.lease_clients is not None:
+            lines += lease_configuration_lines(script.lease_clients, self.plan, self.out, number)
+        return [*lines, *self.model_lines()]
+
+    def _peer_lines(self, number: int) -> list[str]:
+        others = [other for other in range(self.context.day.gateways) if other != number]
+        return [
+            f"listen peers {self.plan.gateway(number).peers}",
+            *(f"peer g{other} {self.plan.peer(number, other)}" for other in others),
+        ]
 
-    def process_options(self, number):
-        rate, offset = self.clocks.get(number, (1.0, 0))
-        return {"rate": rate, "offset": offset}
+    def process_options(self, number: int) -> dict[str, Any]:
+        """How its process is started, beside its arguments."""
+        return {"clock": self.clocks.get(number, ClockSkew())}
 
-    def start(self, number):
+    def start(self, number: int) -> Routine:
+        """A coroutine: until it says that it has started."""
         yield from super().start(number)
-        if self.trial.script.cluster.crowded and self.trial.processes.first:
-            hurry(self.processes[number].child.pid, NEXT)
+        self.raise_priority_if_crowded(number)
 
-    def waited(self):
-        """{gateway's pid: (ns for which it was ready to run and had no core, ns that it has lived)}, of
-        those that are up."""
-        told = {}
+    def raise_priority_if_crowded(self, number: int) -> None:
+        """On a machine with other work gateways have a real-time priority as well, if the script says so."""
+        if self.context.settings.crowded and self.trial.processes.real_time:
+            raise_priority(self.processes[number].child.pid, RealTimePriority.GATEWAY)
+
+    def cpu_waits(self) -> dict[int, CpuWait]:
+        """What the gateways that are up waited for a core, by process id."""
+        waits = {}
         for process in self.processes.values():
             pid = process.child.pid
             try:
-                with open(f"/proc/{pid}/schedstat") as file:
-                    told[pid] = int(file.read().split()[1]), self.loop.now()
+                fields = Path(f"/proc/{pid}/schedstat").read_text().split()
+                waits[pid] = CpuWait(int(fields[1]), self.loop.now())
             except (OSError, IndexError):
-                pass  # it has ended, or this kernel does not tell
-        return told
+                continue  # it has ended, or this kernel does not tell
+        return waits
 
-    # What the strikes do; one that is struck already is left alone
+    # Faults; a gateway that is under one already is left alone
 
-    def restart(self, number, kind, back):
-        """A coroutine: ended by a signal (TERM: it may end what it holds first), started again after
-        `back`."""
-        if number in self.busy:
+    def restart(self, number: int, ending: signal.Signals, back: int) -> Routine:
+        """A coroutine: ended by SIGKILL or SIGTERM, which lets it end what it has, started again after
+        `back` ns."""
+        if number in self.under_fault:
             return
-        self.busy.add(number)
+        self.under_fault.add(number)
         process = self.processes[number]
-        if kind == "KILL":
+        if ending is signal.SIGKILL:
             self.tap.note("killed", gateway=number)
             process.signal(signal.SIGKILL)
         else:
             yield from self.end(number, process)
         yield self.loop.sleep(back)
-        yield from self.trial.starting(self.start(number))
-        self.busy.discard(number)
+        yield from self.starts.run(self.start(number))
+        self.under_fault.discard(number)
 
-    def end(self, number, process):
+    def end(self, number: int, process: DayProcess) -> Routine:
         """A coroutine: asked to end, and killed where it has not as soon as the operators may."""
         self.tap.note("ending", gateway=number)
         process.signal(signal.SIGTERM)
@@ -98,30 +140,32 @@
         if code is None:
             process.signal(signal.SIGKILL)
         if code != 0:
-            self.trial.faulty.append(f"g{number} ended with {code} after a SIGTERM")
+            self.record.failures.append(f"g{number} ended with {code} after a SIGTERM")
 
-    def pause(self, number, span):
-        if number in self.busy:
+    def pause(self, number: int, span: int) -> Routine:
+        """A coroutine: paused for so many ns."""
+        if number in self.under_fault:
             return
-        self.busy.add(number)
+        self.under_fault.add(number)
         yield from super().pause(number, span)
-        self.busy.discard(number)
+        self.under_fault.discard(number)
 
-    def kill_and_restart(self, number, back):
-        yield from self.restart(number, "KILL", back)
+    def kill_and_restart(self, number: int, back: int) -> Routine:
+        """A coroutine: killed, and started again after `back` ns."""
+        yield from self.restart(number, signal.SIGKILL, back)
 
-    def starve(self, number, until, duty, cycle=100 * MILLI):
-        """A coroutine: stopped for a `duty` of each cycle until then."""
-        process = self.processes[number]
-        if number in self.busy:
+    def starve(self, number: int, until: int, duty: float) -> Routine:
+        """A coroutine: paused for a share `duty` of each cycle until then."""
+        if number in self.under_fault:
             return
-        self.busy.add(number)
+        process = self.processes[number]
+        self.under_fault.add(number)
         self.tap.note("stopped", gateway=number)
         while self.loop.now() < until:
             process.signal(signal.SIGSTOP)
-            yield self.loop.sleep(round(duty * cycle))
+            yield self.loop.sleep(round(duty * STARVE_CYCLE))
             process.signal(signal.SIGCONT)
-            yield self.loop.sleep(round((1 - duty) * cycle))
+            yield self.loop.sleep(round((1 - duty) * STARVE_CYCLE))
         process.signal(signal.SIGCONT)
         self.tap.note("continued", gateway=number)
-        self.busy.discard(number)
+        self.under_fault.discard(number)
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -1,153 +1,207 @@
-"""Plays a script with a wire between all processes: hundreds of gateways and hosts, and faults on their way.
+"""Plays a script with links between all processes: hundreds of gateways and hosts, and faults on their way.
 
 It ends by itself (`bound`), ends only what it started, and leaves nothing when it is itself killed: its
 children have asked the kernel to be killed with it.
 """
 
+from __future__ import annotations
+
 import json
 import os
-import random
 import resource
 import signal
 import time
 import traceback
+from collections.abc import Iterator
+from typing import Any
 
 from gaproute.cluster.address_plan import AddressPlan
 from gaproute.cluster.clients import ClusterClients
-from gaproute.cluster.gateways import ClusterGateways
-from gaproute.cluster.host_lists import GatewayHostLists
+from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.gateways import ClusterGateways, GatewayParts
+from gaproute.cluster.host_lists import GatewayHostLists, HostPublisher
 from gaproute.cluster.hosts import ClusterHosts
 from gaproute.cluster.lateness import HarnessLateness
 from gaproute.cluster.lease_clients import LeaseClients
 from gaproute.cluster.link_emulators import LinkEmulators
+from gaproute.cluster.link_faults import LinkFaultSchedule
+from gaproute.cluster.play_record import PlayRecord
+from gaproute.cluster.priorities import reset_priority
 from gaproute.cluster.process_faults import ProcessFaults
-from gaproute.cluster.processes import ClusterProcesses, StartLimiter, calm
+from gaproute.cluster.processes import ClusterProcesses
+from gaproute.cluster.start_limiter import StartLimiter
 from gaproute.cluster.verdict import ClusterVerdict
-from gaproute.scenarios.processes import MILLI, SECOND, NotReadyError
+from gaproute.loop import Promise
+from gaproute.scenarios.processes import NotReadyError
 from gaproute.scenarios.trial import Trial
 from gaproute.standins.tap import read_tap
 
-LAST_RESORT = 30  # seconds after the bound: the alarm ends a parent that no longer turns its loop
-BACK = 60 * SECOND  # after the day, for gateways that are being restarted: a fleet's start, at most
+MILLI, SECOND = 1_000_000, 1_000_000_000
+ALARM_AFTER_BOUND = 30  # seconds: it ends a parent that no longer turns its loop
+RESTART_TIME = 60 * SECOND  # after the day, for gateways that are being restarted: a fleet's start, at most
+RESTART_POLL_INTERVAL = 20 * MILLI
+FLEET_TERMINATION_TIME = 20 * SECOND  # for hundreds of gateways that end at once, with no requests any more
 
 
 class ClusterHarness(Trial):
-    ENDING = 20 * SECOND  # beyond the longest limit, for hundreds of gateways that end at once: nobody asks
-    #                       any more
-
-    def harness_lateness(self):
-        """What hosts, clients and wires noted; the parent judges nobody."""
-        most = self.lateness.most()
-        return round(max(most["hosts"], most["clients"], most["wires"]) * MILLI)
-
-    def termination_time(self):
-        return self.longest_deadline + self.ENDING
-
-    def create_parts(self):
-        settings, self.faulty, self.voids, self.ready_time = self.script.cluster, [], [], None
-        self.begun = self.ended = 0
-        self.loop.on_error = self.went_wrong
+    """One play of a cluster's script with the gateways of `gaproute serve`."""
+
+    processes: ClusterProcesses
+    hosts: ClusterHosts
+    host_list: HostPublisher  # type: ignore[assignment]  # in place of a day's one file
+    gateways: ClusterGateways
+    clients: ClusterClients
+
+    def harness_lateness(self) -> int:
+        """By how much hosts, clients and link emulators ran late, ns; the parent judges nobody."""
+        longest = self.lateness.longest()
+        return round(max(longest.hosts, longest.clients, longest.links) * MILLI)
+
+    def termination_time(self) -> int:
+        """How long the gateways have to end when the day is over, ns."""
+        limit: int = self.longest_deadline
+        return limit + FLEET_TERMINATION_TIME
+
+    # The parts
+
+    def create_parts(self) -> None:
+        """The parts that the day is played with."""
+        settings = self.script.cluster
+        self.record = PlayRecord()
+        self.loop.on_error = self._routine_failed
         (self.out / "day.script").write_text(self.script.text)
         (self.out / "play.json").write_text(json.dumps({"seed": self.seed, "decisions": self.decisions}))
         _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))  # three descriptors for each child
-        self.gate = StartLimiter(self.loop, settings.batch or os.cpu_count() or 1)
-        self.table = AddressPlan(self.script.day, settings.direct)
+        self.plan = AddressPlan(self.script.day, direct=settings.direct)
+        self.context = DayContext(
+            self.loop, self.tap, self.script, self.seed, self.out, self.plan, self.report
+        )
+        self.starts = StartLimiter(self.loop, settings.batch or os.cpu_count() or 1)
         self.processes = ClusterProcesses(self.loop, self.out)
-        self.wires = LinkEmulators(self.loop, self.processes, self.table, self.seed)
-        self.hosts = ClusterHosts(self, random.Random(self.seed))
-        self.host_list = GatewayHostLists(self.loop, self.tap, self.hosts, self.table, self.out / "lists")
-        self.gateways, self.clients = ClusterGateways(self), ClusterClients(self)
-        self.strikes, self.lateness, self.crews = (
-            ProcessFaults(self),
-            HarnessLateness(self),
-            LeaseClients(self),
+        self.links = LinkEmulators(self.loop, self.processes, port=self.plan.port, seed=self.seed)
+        self.create_actors()
+        self.link_faults = LinkFaultSchedule(self.context, self.links, self.hosts.named_slots)
+        self.process_faults = ProcessFaults(
+            self.context,
+            self.gateways,
+            self.processes,
+            slots=self.hosts.named_slots,
+            run_together=self.run_together,
+        )
+        self.lateness = HarnessLateness(
+            self.context,
+            self.record,
+            emulators=self.links,
+            gateways=self.gateways,
+            clients=self.clients,
+            host_latenesses=self.host_latenesses,
         )
+        self.lease_clients = LeaseClients(self.context, self.gateways)
 
-    def chance(self, line, part=""):
-        """A line's own chance: what it draws does not hang on what other lines drew before it."""
-        return random.Random(f"{self.seed} {type(line).__name__} {line.line}{part}")
+    def create_actors(self) -> None:
+        """Hosts, host lists, gateways and clients."""
+        self.hosts = ClusterHosts(
+            self.context, self.processes, self.models, starts=self.starts, emulators=self.links
+        )
+        self.host_list = GatewayHostLists(self.context, self.hosts)
+        self.gateways = ClusterGateways(self, GatewayParts(self.context, self.record, self.starts))
+        self.clients = ClusterClients(self)
 
-    def went_wrong(self, error):
+    def _routine_failed(self, error: BaseException) -> None:
         """An error that nobody awaited: a gateway that did not come back is the program's, all else the
         harness's."""
         with open(self.out / "parent.err", "a") as file:
             traceback.print_exception(error, file=file)
         if type(error) is RuntimeError:
-            self.faulty.append(str(error))
+            self.record.failures.append(str(error))
         else:
             known = isinstance(error, NotReadyError)
-            self.voids.append(str(error) if known else f"the harness's own error: {error!r}")
+            text = str(error) if known else f"the harness's own error: {error!r}"
+            self.record.void_reasons.append(text)
 
-    def hosts_seen(self):
-        """What the hosts noted during the day, by run."""
-        return [
-            [event for event in read_tap(path) if self.begun < event["at"] < self.ended]
-            for path in self.out.glob("host-*.tap")
-        ]
-
-    def starting(self, routine):
-        return self.gate.through(routine)
+    # The day
 
-    def set_up(self):
+    def set_up(self) -> Routine:
+        """A coroutine: until all are ready."""
         begun, day, settings = self.loop.now(), self.script.day, self.script.cluster
         yield from self.start_store()
         yield from self.run_together([self.hosts.start(self.hosts.create(), True) for _ in range(day.hosts)])
         if not settings.direct:
-            seats = dict(self.table.gateway_seat(number) for number in range(day.gateways))
-            seats |= dict(map(self.table.host_seat, self.hosts.by_name.values()))
-            seats |= dict(map(self.table.list_seat, range(len(self.table.ways))))
-            yield from self.wires.start(settings.wires, seats)
-        self.host_list.first()
-        self.strikes.clocks()
+            yield from self.links.start(settings.emulators, self.plan.all_slots(self.hosts.by_name.values()))
+        self.host_list.publish_all_now()
+        self.process_faults.set_clocks()
         self.report(f"{(self.loop.now() - begun) / SECOND:5.1f} s  hosts are up")
         yield from self.run_together(
-            [self.starting(self.gateways.start(number)) for number in range(day.gateways)]
+            [self.starts.run(self.gateways.start(number)) for number in range(day.gateways)]
         )
-        self.ready_time = self.loop.now() - begun
-        self.report(f"{self.ready_time / SECOND:5.1f} s  all are up; the day begins")
+        self.record.ready_after = self.loop.now() - begun
+        self.report(f"{self.record.ready_after / SECOND:5.1f} s  all are up; the day begins")
 
-    def day_routines(self):
+    def day_routines(self) -> list[Routine]:
+        """What happens during the day, as coroutines."""
         script = self.script
-        self.loop.spawn(self.lateness.begin())
-        self.begun = self.loop.now()
-        if self.script.cluster.direct and script.faults:
+        self.loop.spawn(self.lateness.watch())
+        self.record.began_at = self.loop.now()
+        if script.cluster.direct and script.link_faults:
             self.report("direct: no wire, its faults are left out")
         return [
             *super().day_routines(),
-            *self.crews.begin(),
-            *(self.wires.fault(self, line, self.chance(line)) for line in script.faults if self.wires.wires),
-            *(self.strikes.strike(line) for line in script.strikes if line.kind != "clock"),
-            *(self.host_list.strike(line, self.strikes.numbers(line)) for line in script.lists),
+            *self.lease_clients.routines(),
+            *(self.link_faults.run(line) for line in script.link_faults if self.links.running),
+            *(self.process_faults.run(line) for line in script.process_faults if line.kind != "clock"),
+            *(
+                self.host_list.run_fault(line, self.process_faults.numbers_of(line))
+                for line in script.host_list_faults
+            ),
         ]
 
-    def shut_down(self):
-        yield from self.lateness.end()
-        end = self.loop.now() + BACK
-        # who was being restarted is up before it is asked to end
-        while self.gateways.busy and self.loop.now() < end:
-            yield self.loop.sleep(20 * MILLI)
-        for number in self.gateways.processes:
-            self.gateways.processes[number].signal(signal.SIGCONT)
+    def shut_down(self) -> Routine:
+        """A coroutine: the gateways end as asked, then all others."""
+        yield from self.lateness.finish()
+        end = self.loop.now() + RESTART_TIME
+        # A gateway that is being restarted is up before it is asked to end.
+        while self.gateways.under_fault and self.loop.now() < end:
+            yield self.loop.sleep(RESTART_POLL_INTERVAL)
+        for process in self.gateways.processes.values():
+            process.signal(signal.SIGCONT)
         yield from super().shut_down()
 
-    def run(self):
-        """Plays the day; its `ClusterVerdict`, which stands in the folder as well."""
-        bound, begun, end = self.script.cluster.bound, time.time(), None
-        signal.setitimer(signal.ITIMER_REAL, bound / SECOND + LAST_RESORT)
+    def host_latenesses(self) -> list[int]:
+        """How late the hosts ran during the day, as they noted it, ns."""
+        return list(self._latenesses_in("host-*.tap"))
+
+    def _latenesses_in(self, pattern: str) -> Iterator[int]:
+        for path in self.out.glob(pattern):
+            events: list[dict[str, Any]] = read_tap(path)
+            for event in events:
+                if event["what"] == "late" and self.record.is_during_day(event["at"]):
+                    yield event["by"]
+
+    def run(self) -> ClusterVerdict:
+        """Plays the day; its verdict, which stands in the folder as well."""
+        begun = time.time()
+        error = self._play_within_bound()
+        verdict = ClusterVerdict(self, error, time.time() - begun)
+        (self.out / "verdict.json").write_text(json.dumps(verdict.plain(), indent=1))
+        return verdict
+
+    def _play_within_bound(self) -> Exception | None:
+        """Plays the day; what ended it early, if anything. Nothing that was started is left."""
+        bound = self.script.cluster.bound
+        signal.setitimer(signal.ITIMER_REAL, bound / SECOND + ALARM_AFTER_BOUND)
         try:
-            played = self.loop.spawn(self.play()).done
+            played: Promise = self.loop.spawn(self.play()).done
             self.loop.after(bound, played.fail, TimeoutError("the time bound is over"))
             self.loop.run(until=played)
-        except (RuntimeError, TimeoutError) as fault:
-            end = fault
-            if isinstance(fault, TimeoutError):
-                self.voids.append(str(fault))
+        except TimeoutError as error:
+            self.record.void_reasons.append(str(error))
+            return error
+        except RuntimeError as error:
+            return error
         finally:
-            calm()
+            reset_priority()
             self.processes.close()
             self.tap.flush()
             signal.setitimer(signal.ITIMER_REAL, 0)
-        verdict = ClusterVerdict(self, end, time.time() - begun)
-        (self.out / "verdict.json").write_text(json.dumps(verdict.plain(), indent=1))
-        return verdict
+        return None
--- a/gaproute/cluster/host_lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -1,107 +1,176 @@
-"""A host list for each gateway, with the addresses by which it alone finds the hosts; late or deaf by
-gateway."""
+"""A host list for each gateway, with the addresses by which it alone finds the hosts."""
+
+from __future__ import annotations
 
 import os
+from abc import ABC, abstractmethod
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import NamedTuple
 
-from gaproute.scenarios.processes import MILLI
+from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.hosts import ClusterHosts
+from gaproute.cluster.script_lines import HostListFaultLine
+from gaproute.scenarios.hosts import DayHost
 
-SLICE = 16  # files written in one turn: some milliseconds, so that the parent keeps time
-GATHER = 5 * MILLI  # changes that come together are told together
+MILLI = 1_000_000
+WRITES_PER_TURN = 16  # some milliseconds, so that the parent keeps time
+GATHER_TIME = 5 * MILLI  # changes that come within it are written together
+ADDRESS_MARK = "@"  # in a line before a gateway's own address takes its place
 
 
-class GatewayHostLists:
-    """Has the face of a trial's `HostListFile`; `late` is the lateness that strikes all gateways."""
+class ListEntry(NamedTuple):
+    """A host in a snapshot. `line`: around its address; None where the list does not name it any more."""
 
-    def __init__(self, loop, tap, seats, table, folder):
-        self.loop, self.tap, self.hosts, self.table, self.folder = loop, tap, seats, table, folder
-        self.delay, self.asked, self.count = 0, False, 0
-        self.behind = {}  # gateway: ns that its list is late, or None where it is not told at all
-        self.newest = [0] * table.day.gateways  # snapshot written: a late one never undoes a newer
-        self.told = [{} for _ in range(table.day.gateways)]  # by gateway: {host: state last told}
-        folder.mkdir(exist_ok=True)
+    host: DayHost
+    state: str
+    line: tuple[str, str] | None
 
-    def path(self, number):
-        return self.folder / f"g{number}.list"
 
-    def publish(self):
-        """All gateways are told, soon; a late one of what stands now, later."""
-        if not self.asked:
-            self.asked = True
-            self.loop.spawn(self._publish())
+class ListSnapshot(NamedTuple):
+    """All hosts as of one moment; `number` grows with each."""
 
-    def _publish(self):
-        yield self.loop.sleep(GATHER)
-        self.asked = False
-        now = self.snapshot()
-        for number in range(self.table.day.gateways):
-            late = self.behind.get(number, 0)
-            if late:
-                self.loop.after(late, self.write, number, now)
-            elif late == 0:
-                self.write(number, now)
-            if number % SLICE == SLICE - 1:
-                yield self.loop.sleep(0)
+    number: int
+    entries: list[ListEntry]
 
-    def snapshot(self):
-        """(its number, [(seat, its state, what stands before and after its address)]) as of now."""
-        self.count += 1
-        return self.count, [
-            (seat, "gone", ())
-            if seat.state == "absent"
-            else (seat, seat.state, seat.list_line("@").split("@"))
-            for seat in self.hosts.by_name.values()
-            if seat.process is not None
-        ]
 
-    def write(self, number, rows):
-        """The gateway's file, whole and at once; `told` notes what is new to it."""
-        count, rows = rows
-        before = self.newest[number]
-        if count <= before:
-            return
-        self.newest[number] = count
-        path, told = self.path(number), self.told[number]
-        fresh, link = path.with_suffix(f".{count}"), path.with_suffix(".new")
-        fresh.write_text(
-            "".join(
-                f"{parts[0]}{self.table.host(number, seat)}{parts[1]}\n" for seat, _, parts in rows if parts
-            )
-        )
-        # A link is put in place of a link: a file in place of a file is first written to the disk by ext4,
-        # 40 ms each on a busy one.
-        os.symlink(fresh.name, link)
-        os.replace(link, path)
-        if before:
-            path.with_suffix(f".{before}").unlink()
-        for seat, state, _ in rows:
-            if told.get(seat.name) != state:
-                told[seat.name] = state
-                self.tap.note("told", gateway=number, host=seat.name, state=state)
-
-    def first(self):
-        """Before the gateways start: all files, at once."""
-        rows = self.snapshot()
-        for number in range(self.table.day.gateways):
-            self.write(number, rows)
-        self.tap.flush()
-
-    def publish_state(self, seat, state, delay):
-        """A coroutine: the list tells of the seat after the delay, later still while the list is late."""
+@dataclass
+class GatewayList:
+    """What one gateway's file has: the number of the snapshot, 0 for none, and each host's state."""
+
+    path: Path
+    number: int = 0
+    states: dict[str, str] = field(default_factory=dict)
+
+
+def list_path(out: Path, number: int) -> Path:
+    """The file of a gateway's host list, in the folder of a play."""
+    return out / "lists" / f"g{number}.list"
+
+
+class HostPublisher(ABC):
+    """Publishes the hosts to the gateways. `delay`: ns by which a fault of the day makes that late."""
+
+    def __init__(self, context: DayContext, hosts: ClusterHosts) -> None:
+        self.context, self.loop, self.hosts = context, context.loop, hosts
+        self.delay = 0
+
+    @abstractmethod
+    def publish(self) -> None:
+        """What the hosts are now is published soon."""
+
+    @abstractmethod
+    def publish_all_now(self) -> None:
+        """What the hosts are now is published at once, to all gateways."""
+
+    @abstractmethod
+    def run_fault(self, line: HostListFaultLine, gateways: Sequence[int]) -> Routine:
+        """A coroutine: a `list` line on these gateways, from its time to its end."""
+
+    def publish_state(self, host: DayHost, state: str, delay: int) -> Routine:
+        """A coroutine: a host's state is published after the delay, and `self.delay` later still."""
         yield self.loop.sleep(delay + self.delay)
-        seat.state = state
+        host.state = state
         self.publish()
 
-    def strike(self, line, numbers):
-        """A coroutine: a `list` line, on these gateways; healed, they are told at once what stands."""
+
+class GatewayHostLists(HostPublisher):
+    """The lists of all gateways.
+
+    A gateway's own list is late, or not updated at all, while a `list` line says so.
+    """
+
+    def __init__(self, context: DayContext, hosts: ClusterHosts) -> None:
+        super().__init__(context, hosts)
+        paths = [list_path(context.out, number) for number in range(context.day.gateways)]
+        paths[0].parent.mkdir(exist_ok=True)
+        self.lists = [GatewayList(path) for path in paths]
+        self._delays: dict[int, int | None] = {}  # by gateway, ns; None: it is not updated
+        self._publishing = False
+        self._snapshots = 0
+
+    def publish(self) -> None:
+        """All lists are written soon; a late one later, with what stands now."""
+        if not self._publishing:
+            self._publishing = True
+            self.loop.spawn(self._publish())
+
+    def publish_all_now(self) -> None:
+        """All lists at once, before the gateways start."""
+        snapshot = self.take_snapshot()
+        for number in range(len(self.lists)):
+            self.write(number, snapshot)
+        self.context.tap.flush()
+
+    def run_fault(self, line: HostListFaultLine, gateways: Sequence[int]) -> Routine:
+        """A coroutine: a `list` line on these gateways; after it their lists are written as things stand."""
         yield self.loop.sleep(line.at)
-        struck = dict.fromkeys(numbers, line.back if line.kind == "late" else None)
-        self.behind |= struck
-        self.tap.note("list", kind=line.kind, gateways=numbers, lasts=line.lasts)
+        self._delays |= dict.fromkeys(gateways, line.back if line.kind == "late" else None)
+        self.context.tap.note("list", kind=line.kind, gateways=list(gateways), lasts=line.lasts)
         yield self.loop.sleep(line.lasts)
-        for number in struck:
-            self.behind.pop(number, None)
-        rows = self.snapshot()
-        for place, number in enumerate(struck):
-            self.write(number, rows)
-            if place % SLICE == SLICE - 1:
+        for number in gateways:
+            self._delays.pop(number, None)
+        snapshot = self.take_snapshot()
+        for place, number in enumerate(gateways):
+            self.write(number, snapshot)
+            if place % WRITES_PER_TURN == WRITES_PER_TURN - 1:
+                yield self.loop.sleep(0)
+
+    def take_snapshot(self) -> ListSnapshot:
+        """All hosts that were ever up, as of now."""
+        self._snapshots += 1
+        started = [host for host in self.hosts.by_name.values() if host.process is not None]
+        return ListSnapshot(self._snapshots, [_entry(host) for host in started])
+
+    def write(self, number: int, snapshot: ListSnapshot) -> None:
+        """Writes a gateway's file, whole and at once, unless it has a newer snapshot; notes what is new."""
+        gateway_list = self.lists[number]
+        previous = gateway_list.number
+        if snapshot.number <= previous:
+            return
+        gateway_list.number = snapshot.number
+        self._replace_file(gateway_list.path, previous, snapshot.number, self._text(number, snapshot))
+        for host, state, _ in snapshot.entries:
+            if gateway_list.states.get(host.name) != state:
+                gateway_list.states[host.name] = state
+                self.context.tap.note("told", gateway=number, host=host.name, state=state)
+
+    def _publish(self) -> Routine:
+        yield self.loop.sleep(GATHER_TIME)
+        self._publishing = False
+        snapshot = self.take_snapshot()
+        for number in range(len(self.lists)):
+            delay = self._delays.get(number, 0)
+            if delay:
+                self.loop.after(delay, self.write, number, snapshot)
+            elif delay == 0:
+                self.write(number, snapshot)
+            if number % WRITES_PER_TURN == WRITES_PER_TURN - 1:
                 yield self.loop.sleep(0)
+
+    def _text(self, number: int, snapshot: ListSnapshot) -> str:
+        lines = [
+            f"{entry.line[0]}{self.context.plan.host(number, entry.host)}{entry.line[1]}\n"
+            for entry in snapshot.entries
+            if entry.line is not None
+        ]
+        return "".join(lines)
+
+    @staticmethod
+    def _replace_file(path: Path, previous: int, number: int, text: str) -> None:
+        """A link is put in place of a link: a file in place of a file is first written to the disk by ext4,
+        40 ms each on a busy one."""
+        fresh, link = path.with_suffix(f".{number}"), path.with_suffix(".new")
+        fresh.write_text(text)
+        os.symlink(fresh.name, link)
+        os.replace(link, path)
+        if previous:
+            path.with_suffix(f".{previous}").unlink()
+
+
+def _entry(host: DayHost) -> ListEntry:
+    if host.state == "absent":
+        return ListEntry(host, "gone", None)
+    before, _, after = host.list_line(ADDRESS_MARK).partition(ADDRESS_MARK)
+    return ListEntry(host, host.state, (before, after))
--- a/gaproute/cluster/hosts.py
+++ b/gaproute/cluster/hosts.py
@@ -1,31 +1,58 @@
-"""The hosts: the wire is told where each listens; who is struck is drawn by the script's line alone."""
+"""The hosts of a cluster: the link emulators learn where each listens, and which are down."""
 
-from gaproute.scenarios.hosts import DayHosts
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.link_emulators import LinkEmulators
+from gaproute.cluster.processes import ClusterProcesses
+from gaproute.cluster.slot_sets import NamedSlot
+from gaproute.cluster.start_limiter import StartLimiter
+from gaproute.scenarios.hosts import DayHost, DayHosts
+from gaproute.scenarios.script import DayFaultLine
 
 
 class ClusterHosts(DayHosts):
-    def __init__(self, harness, random):
-        super().__init__(harness.script, harness.seed, harness.processes, harness.models, random)
-        self.harness = harness
+    """All hosts of one play. `models`: what they can load."""
 
-    def start(self, seat, warm):
-        yield from self.harness.gate.through(super().start(seat, warm))
-        self.tell(seat, False)
+    def __init__(
+        self,
+        context: DayContext,
+        processes: ClusterProcesses,
+        models: list[dict[str, Any]],
+        *,
+        starts: StartLimiter,
+        emulators: LinkEmulators,
+    ) -> None:
+        chance = random.Random(context.seed)
+        super().__init__(context.script, context.seed, processes, models, chance)
+        self.context, self.starts, self.emulators = context, starts, emulators
 
-    def kill(self, seat):
-        super().kill(seat)
-        self.tell(seat, True)
+    def start(self, host: DayHost, warm: bool) -> Routine:
+        """A coroutine: the host's process, at the address that it had before, if any."""
+        yield from self.starts.run(super().start(host, warm))
+        self.place(host)
 
-    def tell(self, seat, refuses):
-        """The wire refuses for a host that is down: a connection accepted and then reset would prove less."""
-        if self.harness.wires.wires:
-            number, told = self.harness.table.host_seat(seat)
-            self.harness.wires.say({"seat": {number: told | {"refuses": refuses}}})
+    def kill(self, host: DayHost) -> None:
+        """SIGKILL. Its connections are refused from then on, as accepted and then reset would prove less."""
+        super().kill(host)
+        self.place(host, refuses=True)
 
-    def choose(self, line):
+    def place(self, host: DayHost, *, refuses: bool = False) -> None:
+        """The link emulators learn where the host is, and whether it refuses."""
+        self.emulators.place_slots(self.context.plan.host_slot(host, refuses=refuses))
+
+    def choose(self, line: DayFaultLine) -> list[DayHost]:
+        """The hosts that a line of the script concerns, drawn by its own chance."""
         free = [
-            seat
-            for seat in self.by_name.values()
-            if seat.state == "active" and not seat.under_fault and line.zone in (None, seat.zone)
+            host
+            for host in self.by_name.values()
+            if host.state == "active" and not host.under_fault and line.zone in (None, host.zone)
         ]
-        return self.harness.chance(line).sample(free, min(line.hosts, len(free)))
+        return self.context.line_random(line).sample(free, min(line.hosts, len(free)))
+
+    def named_slots(self) -> list[NamedSlot]:
+        """All slots of the cluster that there are now, for a script's sets."""
+        return self.context.plan.named_slots(self.by_name.values())
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -1,88 +1,139 @@
-"""Whether the harness kept time: a wire, a client or a parent that ran late measured itself, not the
-program."""
+"""Whether the harness kept time: an emulator, client or parent that ran late measures itself."""
 
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
 from statistics import median
+from typing import NamedTuple
+
+from gaproute.cluster.clients import ClusterClients
+from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.gateways import ClusterGateways, CpuWait
+from gaproute.cluster.link_emulators import LinkEmulators
+from gaproute.cluster.links.counts import LinkCounts
+from gaproute.cluster.links.messages import ReportCounts
+from gaproute.cluster.play_record import PlayRecord
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+CHECK_INTERVAL = 20 * MILLI  # between looks at the parent's own clock
+# ms that the parent may be late whatever the script allows: it judges nobody, it begins and ends faults and
+# notes when. A later one plays another script.
+PARENT_ALLOWANCE = 500
+# Share of the day for which the median gateway may have been ready without a core: beyond it the machine is
+# measured, which other work or too many processes crowd.
+MAX_CPU_WAIT = 0.05
+MAX_SHOWN_ERRORS = 3
+
 
-from gaproute.scenarios.processes import MILLI
+class Lateness(NamedTuple):
+    """The longest lateness of each part, ms. The keys of `as_json` are those of a verdict."""
 
-BEAT = 20 * MILLI  # between looks at the parent's own clock
-PARENT = 500  # ms that the parent may be late whatever the script allows: it judges nobody, it
-#                              begins and ends what strikes, and notes when; a later one plays another script
-WAITED = 0.05  # share of the day for which the middle gateway may have been ready without core:
-#                              beyond it the machine is measured, which other work or too many processes crowd
+    parent: float
+    clients: float
+    hosts: float
+    links: float
+
+    def as_json(self) -> dict[str, float]:
+        """By part, as a verdict has it."""
+        return {"parent": self.parent, "clients": self.clients, "hosts": self.hosts, "wires": self.links}
 
 
 class HarnessLateness:
-    def __init__(self, harness):
-        self.harness, self.loop, self.parent, self.over = harness, harness.loop, 0, False
-        self.waits, self.waited = {}, 0.0
-        self.wires = []  # what each wire said at the end, None where it said nothing
-
-    def begin(self):
-        """A coroutine: watches the parent; what the wires had been late before the day is passed over."""
-        self.harness.wires.say({"say": True})
+    """Watches a play. `host_latenesses()`: what the hosts noted of themselves during the day, ns.
+
+    `cpu_wait`: the share of the day for which the median gateway was ready and had no core. `link_counts`:
+    what each link emulator reported at the end, None where it reported nothing.
+    """
+
+    def __init__(
+        self,
+        context: DayContext,
+        record: PlayRecord,
+        *,
+        emulators: LinkEmulators,
+        gateways: ClusterGateways,
+        clients: ClusterClients,
+        host_latenesses: Callable[[], list[int]],
+    ) -> None:
+        self.context, self.loop, self.record = context, context.loop, record
+        self.emulators, self.gateways, self.clients = emulators, gateways, clients
+        self.host_latenesses = host_latenesses
+        self.cpu_wait = 0.0
+        self.link_counts: list[LinkCounts | None] = []
+        self._parent = 0  # ns
+        self._over = False
+        self._waits_before: dict[int, CpuWait] = {}
+
+    def watch(self) -> Routine:
+        """A coroutine: watches the parent until `finish`. What was late before the day does not count."""
+        self.emulators.send(ReportCounts())
         due = self.loop.now()
-        self.waits = self.harness.gateways.waited()
-        while not self.over:
+        self._waits_before = self.gateways.cpu_waits()
+        while not self._over:
             now = self.loop.now()
-            self.parent = max(self.parent, now - due)
-            due = now + BEAT
-            self.harness.tap.flush()  # the folder tells of a run that is cut off as well
-            yield self.loop.sleep(BEAT)
-
-    def end(self):
-        """A coroutine: before the gateways are asked to end."""
-        self.over, self.harness.ended = True, self.loop.now()
+            self._parent = max(self._parent, now - due)
+            due = now + CHECK_INTERVAL
+            self.context.tap.flush()  # the folder tells of a run that is cut off as well
+            yield self.loop.sleep(CHECK_INTERVAL)
+
+    def finish(self) -> Routine:
+        """A coroutine: the day is over, the gateways have not been asked to end yet."""
+        self._over, self.record.ended_at = True, self.loop.now()
+        before = self._waits_before
         shares = [
-            (wait - self.waits[pid][0]) / (now - self.waits[pid][1])
-            for pid, (wait, now) in self.harness.gateways.waited().items()
-            if pid in self.waits
-        ]
-        self.waited = median(shares) if shares else 0.0
-        self.wires = yield from self.harness.wires.counts()
-
-    def most(self):
-        """{who: longest lateness, ms}"""
-        done = [event["late"] for event in self.harness.clients.events() if event["what"] == "done"]
-        hosts = [
-            event["by"] for events in self.harness.hosts_seen() for event in events if event["what"] == "late"
+            (wait.waited - before[pid].waited) / (wait.at - before[pid].at)
+            for pid, wait in self.gateways.cpu_waits().items()
+            if pid in before
         ]
-        return {
-            "parent": self.parent / MILLI,
-            "clients": max(done, default=0) / MILLI,
-            "hosts": max(hosts, default=0) / MILLI,
-            "wires": max((told["late_ns"] for told in self.wires if told), default=0) / MILLI,
-        }
-
-    def void(self):
+        self.cpu_wait = median(shares) if shares else 0.0
+        self.link_counts = yield from self.emulators.report()
+
+    def longest(self) -> Lateness:
+        """The longest lateness of each part until now."""
+        links = [counts.late_ns for counts in self.link_counts if counts is not None]
+        return Lateness(
+            parent=self._parent / MILLI,
+            clients=max(self.clients.latenesses(), default=0) / MILLI,
+            hosts=max(self.host_latenesses(), default=0) / MILLI,
+            links=max(links, default=0) / MILLI,
+        )
+
+    def void_reasons(self) -> Iterator[str]:
         """Why the measurement is void, as text."""
-        harness, allowed = self.harness, self.harness.script.cluster.late / MILLI
-        for who, late in self.most().items():
-            most = max(allowed, PARENT) if who == "parent" and allowed else allowed
-            if late > most:
-                yield f"{who} ran up to {late:.0f} ms late, {most:.0f} ms are allowed"
-        if self.waited > WAITED:
+        settings = self.context.settings
+        yield from self._late_parts(settings.late / MILLI)
+        if self.cpu_wait > MAX_CPU_WAIT:
             yield (
-                f"gateways were ready without a core for {self.waited:.0%} of the day, "
-                f"{WAITED:.0%} are allowed"
+                f"gateways were ready without a core for {self.cpu_wait:.0%} of the day, "
+                f"{MAX_CPU_WAIT:.0%} are allowed"
             )
-        if (
-            sum(event["what"] == "done" for event in harness.clients.events())
-            < harness.script.cluster.clients
-        ):
+        if len(self.clients.latenesses()) < settings.clients:
             yield "clients did not end in time"
-        for place, told in enumerate(self.wires):
-            if told is None:
-                yield f"wire {place} said nothing at the end"
-            else:
-                yield from (
-                    f"wire {place}: {told[what]} {what}"
-                    for what in ("overrun", "spilt", "errors", "breaches")
-                    if told.get(what)
-                )
-        yield from (f"a wire did not follow: {error}" for error in harness.wires.errors[:3])
-        if harness.ready_time is not None and harness.ready_time > harness.script.cluster.ready:
+        for place, counts in enumerate(self.link_counts):
+            yield from _emulator_faults(place, counts)
+        errors = self.emulators.errors[:MAX_SHOWN_ERRORS]
+        yield from (f"a wire did not follow: {error}" for error in errors)
+        ready_after = self.record.ready_after
+        if ready_after is not None and ready_after > settings.ready:
             yield (
-                f"all were up after {harness.ready_time / 1e9:.0f} s, "
-                f"{harness.script.cluster.ready / 1e9:.0f} are allowed"
+                f"all were up after {ready_after / SECOND:.0f} s, {settings.ready / SECOND:.0f} are allowed"
             )
+
+    def _late_parts(self, allowed: float) -> Iterator[str]:
+        for part, late in self.longest().as_json().items():
+            limit = max(allowed, PARENT_ALLOWANCE) if part == "parent" and allowed else allowed
+            if late > limit:
+                yield f"{part} ran up to {late:.0f} ms late, {limit:.0f} ms are allowed"
+
+
+def _emulator_faults(place: int, counts: LinkCounts | None) -> Iterator[str]:
+    if counts is None:
+        yield f"wire {place} said nothing at the end"
+        return
+    faults = {
+        "overrun": counts.overrun,
+        "spilt": counts.discarded,
+        "errors": counts.errors,
+        "breaches": counts.breaches,
+    }
+    yield from (f"wire {place}: {found} {what}" for what, found in faults.items() if found)
--- a/gaproute/cluster/lease_clients.py
+++ b/gaproute/cluster/lease_clients.py
@@ -1,162 +1,180 @@
-"""Lease clients of a cluster: they acquire, extend and release leases at the operators' addresses, and note
-what they held when, by the machine's one monotonic clock. Stand-ins for whoever does what must not be done
-twice.
+"""Clients of leases: they acquire, extend and release leases at the gateways' operators' addresses.
 
-A gateway draws the numbers of its lease requests anew at each start. So a crew that finds its gateway gone
+They note what they held when, by the machine's one monotonic clock: stand-ins for whoever does what must not
+be done twice. The tap's events are `hold` and `let go` of a `crew`, and `crews over`.
+
+A gateway draws the numbers of its lease requests anew at each start. So a client that finds its gateway gone
 takes its request for gone, and never asks the next process for it.
 """
 
-from typing import ClassVar
+from __future__ import annotations
 
-from pydantic import Field
+import random
+import signal
+from collections.abc import Iterator, Mapping
+from typing import Any
 
-from gaproute.cluster.operator_client import LOST, SILENT, ask
-from gaproute.config.parsing import Directive
-from gaproute.config.values import Duration
+from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.gateways import ClusterGateways
+from gaproute.cluster.lease_operator import LeaseOperator, LeaseStatus, read_request_id, read_status
+from gaproute.cluster.operator_client import NoAnswer
+from gaproute.cluster.script_lines import LeaseClientsLine
 from gaproute.judge import leases
+from gaproute.shared.leases.requests import LeaseState
 from gaproute.standins.tap import read_tap
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
-LOOK = 40 * MILLI  # between questions about a request
-REST = 60 * MILLI  # between requests of one crew, at most
-# That a gateway holds a request which nobody extends: a crew that died holds a resource for so long, and a
-# request waits for so long.
-EXTENSION = 1200 * MILLI
+MILLI = 1_000_000
+POLL_INTERVAL = 40 * MILLI  # between questions about a lease request
+MAX_REST = 60 * MILLI  # between lease requests of one client
+# For so long a gateway renews a lease that nobody extends: a client that is not heard of again has a
+# resource for it, and a lease request waits for it.
+RENEWED_FOR = 1200 * MILLI
 BREACH = b'"event":"breach"'  # in a gateway's log: one of its own checks does not hold
-RELEASED = 5  # of ten requests; two are extended, of the rest the crew says nothing more
-
-
-class LeaseClientsLine(Directive):
-    example: ClassVar = "crews count 6 resources 3 keepers 3 longest 1s span 600ms hold 700ms fell-leader 3s"
-    once: ClassVar = True
-    count: int = Field(6, ge=1, le=256)
-    resources: int = Field(3, ge=1, le=256)
-    keepers: int = Field(3, ge=1, le=7)  # the first gateways; each with its votes in the run's folder
-    longest: Duration = SECOND  # of a lease; a new log grants nothing for so long
-    span: Duration = 600 * MILLI
-    hold: Duration = 700 * MILLI  # that a crew works, at most
-    fell_leader: Duration = 0  # when the leader's process is killed; 0: never
-    back: Duration = 500 * MILLI  # until it is started again, with its disk
-
-
-def wrong(line, day):
-    if line.keepers > day.gateways:
-        yield f"{line.keepers} keepers of {day.gateways} gateways"
-    if not day.peers:
-        yield "keepers speak as peers: day ... peers yes"
-    if line.span > line.longest:
-        yield "a span is not above longest"
+MAX_LOG_TEXT = 300  # characters of such a line in the verdict
+# What a client does when its work is done, drawn: of ten leases five are released, two are extended, three
+# are left to expire as if the client had died.
+OUTCOMES, RELEASED, EXTENDED = 10, 5, 2
 
 
 class LeaseClients:
-    """`harness.script.crews` is the line, None where the day has none."""
+    """All clients of a play; without effect where the script has none. `over`: they ask no more."""
 
-    def __init__(self, harness):
-        self.harness, self.loop, self.line = harness, harness.loop, harness.script.crews
+    def __init__(self, context: DayContext, gateways: ClusterGateways) -> None:
+        self.context, self.loop, self.gateways = context, context.loop, gateways
+        self.operator = LeaseOperator(context.loop, context.plan)
         self.over = False
 
-    def lines(self, number):
-        """What a gateway's configuration has beside: its operators' address, the group's members."""
-        if self.line is None:
-            return []
-        names = ",".join(f"g{keeper}" for keeper in range(self.line.keepers))
-        votes = f" votes {self.harness.out}/g{number}.votes" if number < self.line.keepers else ""
-        return [
-            f"listen operator {self.harness.table.operator(number)}",
-            f"keepers {names}{votes} longest {self.line.longest}ns",
-        ]
-
-    def begin(self):
+    def routines(self) -> list[Routine]:
         """What happens during the day, as coroutines."""
-        if self.line is None:
+        line = self.context.script.lease_clients
+        if line is None:
             return []
-        fell = [self.fell()] if self.line.fell_leader else []
-        return [self.end(), *fell, *map(self.crew, range(self.line.count))]
+        killer = [self._kill_leader(line)] if line.leader_killed_at else []
+        clients = [LeaseClientRun(self, line, place).run() for place in range(line.count)]
+        return [self._end(), *killer, *clients]
 
-    def end(self):
-        yield self.loop.sleep(self.harness.script.day.length)
+    def _end(self) -> Routine:
+        yield self.loop.sleep(self.context.day.length)
         self.over = True
-        self.harness.tap.note("crews over")
-
-    def ask(self, number, order=None):
-        return ask(self.loop, self.harness.table.operator(number), "/permits", order)
-
-    def crew(self, place):
-        """A coroutine: one request after another, each at a gateway that is drawn anew."""
-        random, line, name = self.harness.chance(self.line, f"crew {place}"), self.line, f"crew-{place}"
-        while not self.over:
-            yield self.loop.sleep(random.randrange(REST))
-            number = random.randrange(self.harness.script.day.gateways)
-            resource = f"r{random.randrange(line.resources)}"
-            told = yield self.ask(
-                number, {"take": resource, "span_ms": line.span // MILLI, "for_ms": EXTENSION // MILLI}
-            )
-            if told in (LOST, SILENT) or "errand" not in told:
-                continue
-            yield from self.work(name, number, told["errand"], resource, random)
+        self.context.tap.note("crews over")
 
-    def work(self, name, number, request, resource, random):
-        """A coroutine: one request to its end. A moment in which it may act ends `ms_left` after the question
-        was sent, not after the answer came."""
-        note, fence, until = self.harness.tap.note, None, 0
-        end = self.loop.now() + EXTENSION
+    def _kill_leader(self, line: LeaseClientsLine) -> Routine:
+        """A coroutine: whoever leads the group at that time is killed, and started again with its disk."""
+        yield self.loop.sleep(line.leader_killed_at)
         while not self.over:
-            sent = self.loop.now()
-            told = yield self.ask(number)
-            if told is LOST:
-                return
-            rows = [] if told is SILENT else [row for row in told["errands"] if row["errand"] == request]
-            row = rows[0] if rows else None
-            if row and row["state"] == "held":
-                if fence is None:
-                    fence, end = row["fence"], self.loop.now() + random.randrange(self.line.hold)
-                if row["fence"] != fence:
-                    return
-                until = sent + row["ms_left"] * MILLI
-                if until > self.loop.now():
-                    note("hold", crew=name, resource=resource, fence=fence, until=until, gateway=number)
-            elif told is not SILENT and (row is None or row["state"] != "asked"):
-                return
-            if self.loop.now() >= end:
-                drawn = random.randrange(10)
-                if fence is not None and RELEASED <= drawn < RELEASED + 2:
-                    end = self.loop.now() + random.randrange(self.line.hold)
-                    yield self.ask(number, {"keep": request, "for_ms": EXTENSION // MILLI})
-                    continue
-                if fence is not None and drawn >= RELEASED:
-                    return  # as if it had died: its lease expires
-                if fence is not None:
-                    note("let go", crew=name, resource=resource, fence=fence)
-                yield self.ask(number, {"give": request})
-                return
-            yield self.loop.sleep(LOOK)
-
-    def fell(self):
-        """A coroutine: whoever leads at that time is killed, and started again with its disk."""
-        yield self.loop.sleep(self.line.fell_leader)
-        while not self.over:
-            for number in range(self.line.keepers):
-                told = yield self.ask(number)
-                if told not in (LOST, SILENT) and told["keeper"]["role"] == "leader":
-                    self.harness.tap.note("strike", kind="kill", gateways=[number], leader=True)
-                    yield from self.harness.gateways.restart(number, "KILL", self.line.back)
+            for number in range(line.group_size):
+                status = read_status((yield self.operator.status(number)))
+                if not isinstance(status, NoAnswer) and status.leads:
+                    self.context.tap.note("strike", kind="kill", gateways=[number], leader=True)
+                    yield from self.gateways.restart(number, signal.SIGKILL, line.back)
                     return
-            yield self.loop.sleep(LOOK)
+            yield self.loop.sleep(POLL_INTERVAL)
 
-    def judged(self):
-        """What the verdict has of them: counts, and breaches as text; None where the day has no crews."""
-        if self.line is None:
+    def judge(self) -> Mapping[str, Any] | None:
+        """What the verdict has of them: counts, and violations as text; None where there are none."""
+        if self.context.script.lease_clients is None:
             return None
-        run = read_tap(self.harness.out / "run.tap")
+        run = read_tap(self.context.out / "run.tap")
         progress = leases.judge_progress(run)
-        broken = [
-            f"permits, {breach.check}: {breach.text}"
-            for breach in leases.judge_leases(run) + progress.violations
-        ]
-        broken += [
-            f"{path.stem}: {line.decode()[:300]}"
-            for path in sorted(self.harness.out.glob("g*.log"))
-            for line in path.read_bytes().split(b"\n")
-            if BREACH in line.replace(b" ", b"")
-        ]
-        return {"granted": len(leases.grant_times(run)), "healed": progress.healings, "broken": broken}
+        violations = [*leases.judge_leases(run), *progress.violations]
+        broken = [f"permits, {violation.check}: {violation.text}" for violation in violations]
+        return {
+            "granted": len(leases.grant_times(run)),
+            "healed": progress.healings,
+            "broken": [*broken, *self._logged_breaches()],
+        }
+
+    def _logged_breaches(self) -> Iterator[str]:
+        for path in sorted(self.context.out.glob("g*.log")):
+            for line in path.read_bytes().split(b"\n"):
+                if BREACH in line.replace(b" ", b""):
+                    yield f"{path.stem}: {line.decode()[:MAX_LOG_TEXT]}"
+
+
+class LeaseClientRun:
+    """One client during the day: one lease request after another, each at a gateway that is drawn anew."""
+
+    def __init__(self, clients: LeaseClients, line: LeaseClientsLine, place: int) -> None:
+        self.clients, self.line, self.name = clients, line, f"crew-{place}"
+        self.loop, self.operator, self.tap = clients.loop, clients.operator, clients.context.tap
+        self.gateway_count = clients.context.day.gateways
+        self.chance = clients.context.line_random(line, f"crew {place}")
+
+    def run(self) -> Routine:
+        """A coroutine: until the day is over."""
+        chance, line = self.chance, self.line
+        while not self.clients.over:
+            yield self.loop.sleep(chance.randrange(MAX_REST))
+            gateway = chance.randrange(self.gateway_count)
+            resource = f"r{chance.randrange(line.resources)}"
+            request_id = read_request_id(
+                (yield self.operator.acquire(gateway, resource, duration=line.duration, held_for=RENEWED_FOR))
+            )
+            if request_id is not None:
+                yield from LeaseUse(self, gateway, request_id, resource).run()
+
+
+class LeaseUse:
+    """One lease request of a client, from when it was made to its end."""
+
+    def __init__(self, client: LeaseClientRun, gateway: int, request_id: int, resource: str) -> None:
+        self.client, self.gateway, self.request_id, self.resource = client, gateway, request_id, resource
+        self.loop, self.operator = client.loop, client.operator
+        self.chance: random.Random = client.chance
+        self.fencing_token: int | None = None  # None until it is held
+        self.work_until = self.loop.now() + RENEWED_FOR
+
+    def run(self) -> Routine:
+        """A coroutine: until it is released, over, or left to expire."""
+        while not self.client.clients.over:
+            asked_at = self.loop.now()
+            status = read_status((yield self.operator.status(self.gateway)))
+            if status is NoAnswer.LOST:
+                return
+            if not isinstance(status, NoAnswer):
+                lease = status.find(self.request_id)
+                if lease is None or not self._goes_on(lease, asked_at):
+                    return
+            if self.loop.now() < self.work_until:
+                yield self.loop.sleep(POLL_INTERVAL)
+                continue
+            outcome = self.chance.randrange(OUTCOMES)
+            if self.fencing_token is not None and RELEASED <= outcome < RELEASED + EXTENDED:
+                self._work_on()
+                yield self.operator.extend(self.gateway, self.request_id, held_for=RENEWED_FOR)
+                continue
+            if self.fencing_token is not None and outcome >= RELEASED:
+                return  # as if the client had died: its lease expires
+            self._note_release()
+            yield self.operator.release(self.gateway, self.request_id)
+            return
+
+    def _goes_on(self, lease: LeaseStatus, asked_at: int) -> bool:
+        """Takes a status in; whether the lease is held, or still requested.
+
+        The moment until which the client may act is counted from when the question was sent, not from when
+        the answer came.
+        """
+        if lease.state is not LeaseState.HELD:
+            return lease.state is LeaseState.REQUESTED
+        if self.fencing_token is None:
+            self.fencing_token = lease.fencing_token
+            self._work_on()
+        if lease.fencing_token != self.fencing_token:
+            return False
+        until = asked_at + lease.remaining
+        if until > self.loop.now():
+            self._note("hold", until=until, gateway=self.gateway)
+        return True
+
+    def _work_on(self) -> None:
+        self.work_until = self.loop.now() + self.chance.randrange(self.client.line.max_work)
+
+    def _note_release(self) -> None:
+        if self.fencing_token is not None:
+            self._note("let go")
+
+    def _note(self, what: str, **details: int) -> None:
+        self.client.tap.note(
+            what, crew=self.client.name, resource=self.resource, fence=self.fencing_token, **details
+        )
--- a/gaproute/cluster/links/__init__.py
+++ b/gaproute/cluster/links/__init__.py
@@ -1,6 +1,6 @@
-"""The wire between the harness's processes: streams and datagrams of any pair of seats, and faults on their
-way.
+"""The links between all processes of a cluster: streams and datagrams of any two slots, and faults on them.
 
-Face: the process `python -m gaproute.cluster.links` (`__main__.py`: what it reads and says); `conditions.py`
-decides without I/O, `faults.py` says what each fault does and how it differs from a real network's.
+The process `python -m gaproute.cluster.links` carries them (`emulator.py`; `codec.py` has its lines);
+`conditions.py` decides without I/O, `faults.py` says what each fault does and how it differs from a real
+network's.
 """
--- a/gaproute/cluster/links/conditions.py
+++ b/gaproute/cluster/links/conditions.py
@@ -1,180 +1,222 @@
-"""What the faults of the hour do to a message between two seats: decided here, without I/O.
+"""What the faults that are on do to a message on a link: decided here, without I/O.
 
-The clock is handed in with each question; chance is drawn from a generator for each pair, direction and sort
-of traffic, made of the seed, so that it does not matter which of several wires serves a pair.
+The clock is handed in with each question, in ns; chance comes from `LinkRandom`. A time of None says that the
+message is held back until a fault ends.
 """
 
-from gaproute.cluster.addresses import HIGHEST, LOWEST, SEAT_BITS
-from gaproute.cluster.links.faults import MILLI, fault, seat
+from __future__ import annotations
 
-SECOND = 1000 * MILLI
-AGAIN = 200 * MILLI  # TCP's least time before it sends lost bytes again
-TRIES = 6  # that may be lost in a row, 12.6 s in all: a share of 1 must end some time
-QUEUE = SECOND  # of a limited pace, longest wait of a datagram: a router's queue is not endless
-FINE = 1 << 32  # steps in which a share is drawn
-HELD = None  # in place of a time: kept until the fault ends
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
+
+from gaproute.cluster.addresses import MAX_SLOT, MIN_SLOT, Link
+from gaproute.cluster.links.errors import LinkCommandError
+from gaproute.cluster.links.faults import MILLI, FaultKind, FaultSpec, LinkFault, Traffic
+from gaproute.cluster.links.link_random import LinkRandom
+from gaproute.cluster.links.rate_queues import RateQueues
+from gaproute.cluster.links.slots import Slot
+from gaproute.shared.randomness import RandomSource
+
+RETRANSMISSION_TIMEOUT = 200 * MILLI  # TCP's least time before it sends lost bytes again
+MAX_LOSSES = 6  # in a row, 12.6 s in all: a share of 1 must end some time
+SHARE_STEPS = 1 << 32  # in which a share is drawn
+
+
+class Effect(StrEnum):
+    """What was done to messages, as it is counted; the values are keys of a run's verdict."""
+
+    LOST = "lost"
+    DOUBLED = "doubled"
+    REORDERED = "reordered"
+    DELAYED = "delayed"
+    CUT = "cut"
+    HELD = "held"
+    FULL = "full"  # lost as the queue of a limited rate was full
+
+
+class FaultsOnLink(NamedTuple):
+    """The faults that lie on a link's streams and on its datagrams, in the order in which they began."""
+
+    streams: tuple[LinkFault, ...]
+    datagrams: tuple[LinkFault, ...]
+
+
+@dataclass(slots=True)
+class DatagramFate:
+    """What faults have made of one datagram so far: when it is due, in ns, and how often."""
+
+    due: int
+    copies: int = 1
+    in_order: bool = True  # behind the link's last datagram
 
 
 class NetworkConditions:
-    """`chance(seed)` makes a generator with `below(n)`. Counts what it did by reason, in messages."""
-
-    def __init__(self, seed, chance):
-        self.seed, self.chance = seed, chance
-        self.seats, self.told, self.faults = {}, {}, {}  # by number; by id, as told and as read
-        self.version = 0  # grows with every change: what was kept of an answer is then stale
-        self.known = {}  # pair: (faults on its streams, faults on its datagrams)
-        self.chances = {}  # (pair, sort): generator
-        self.free = {}  # (fault's id, pair, sort): when its limited pace is free again
-        self.last = {}  # pair: when its last datagram is due, so that the next stays behind it
-        self.counts = dict.fromkeys(("lost", "doubled", "reordered", "delayed", "cut", "held", "full"), 0)
-
-    # The script's words
-
-    def seated(self, told):
-        """Seats are new or have moved: {number: as told}. Errors: ValueError; nothing has changed then."""
-        for number in told:
-            if not LOWEST <= number <= HIGHEST:
-                raise ValueError(f"{number} is no seat's number: they are {LOWEST} to {HIGHEST}")
-        seats = self.seats | {number: seat(words) for number, words in told.items()}
-        self.faults = {name: fault(words, seats) for name, words in self.told.items()}
-        self.seats = seats
-        self._changed()
-
-    def begin(self, name, told):
-        """Errors: ValueError; nothing has changed then."""
-        self.faults[name] = fault(told, self.seats)
-        self.told[name] = told
-        self._changed()
-
-    def end(self, name):
-        """Errors: ValueError for a fault that is not on."""
-        if self.told.pop(name, None) is None:
-            raise ValueError(f"no fault {name!r} is on")
-        del self.faults[name]
-        self.free = {key: when for key, when in self.free.items() if key[0] != name}
-        self._changed()
-
-    def _changed(self):
-        self.version += 1
-        self.known = {}
+    """The process slots and the faults that are on. `make_source(seed)` makes a generator of chance."""
+
+    def __init__(self, seed: int, make_source: Callable[[int], RandomSource]) -> None:
+        self.slots: dict[int, Slot] = {}
+        # By id, in the order in which they began: as described, and over the slots that there are now.
+        self.specs: dict[str, FaultSpec] = {}
+        self.faults: dict[str, LinkFault] = {}
+        self.counts = dict.fromkeys(Effect, 0)  # messages
+        self.rate_queues = RateQueues()
+        # When the last datagram of a link is due, while that lies ahead: the next stays behind it.
+        self.last_datagram_due: dict[Link, int] = {}
+        self._random = LinkRandom(seed, make_source)
+        self._faults_by_link: dict[Link, FaultsOnLink] = {}  # cached until a slot or fault changes
+
+    # Commands
+
+    def place_slots(self, slots: Mapping[int, Slot]) -> None:
+        """Slots are new or have moved. Errors: `LinkCommandError`; nothing has changed then."""
+        for number in slots:
+            if not MIN_SLOT <= number <= MAX_SLOT:
+                raise LinkCommandError(
+                    f"no process slot has number {number}: they are {MIN_SLOT} to {MAX_SLOT}"
+                )
+        placed = self.slots | dict(slots)
+        self.faults = {
+            fault_id: LinkFault.resolve(fault_id, spec, placed) for fault_id, spec in self.specs.items()
+        }
+        self.slots = placed
+        self._faults_by_link = {}
+
+    def begin_fault(self, fault_id: str, spec: FaultSpec) -> None:
+        """From now on this fault is on. Errors: `LinkCommandError`; nothing has changed then."""
+        self.faults[fault_id] = LinkFault.resolve(fault_id, spec, self.slots)
+        self.specs[fault_id] = spec
+        self._faults_by_link = {}
+
+    def end_fault(self, fault_id: str) -> None:
+        """Ends a fault. Errors: `LinkCommandError` for one that is not on."""
+        if self.specs.pop(fault_id, None) is None:
+            raise LinkCommandError(f"no fault {fault_id!r} is on")
+        del self.faults[fault_id]
+        self.rate_queues.forget(fault_id)
+        self._faults_by_link = {}
 
     # Questions
 
-    def over(self, a, b):
-        """(faults on streams' bytes, faults on datagrams) from seat `a` to seat `b`: (id, LinkFault) each."""
-        pair = a << SEAT_BITS | b
-        found = self.known.get(pair)
+    def faults_on(self, link: Link) -> FaultsOnLink:
+        """The faults that lie on a link now."""
+        found = self._faults_by_link.get(link)
         if found is None:
-            on = tuple((name, one) for name, one in self.faults.items() if one.touches(a, b))
-            found = self.known[pair] = (
-                tuple(one for one in on if one[1].streams),
-                tuple(one for one in on if one[1].datagrams),
+            touching = [fault for fault in self.faults.values() if fault.touches(link)]
+            found = self._faults_by_link[link] = FaultsOnLink(
+                tuple(fault for fault in touching if fault.on_streams),
+                tuple(fault for fault in touching if fault.on_datagrams),
             )
         return found
 
-    def keeps(self, a, b):
-        """Whether streams' bytes from `a` to `b` are kept back for now."""
-        return any(one.kind in ("cut", "hold") for _, one in self.over(a, b)[0])
+    def blocks_streams(self, link: Link) -> bool:
+        """Whether the bytes of streams over the link are held back for now."""
+        return any(fault.blocks for fault in self.faults_on(link).streams)
 
-    def opens(self, a, b):
-        """Whether a connection from `a` to `b` can open: its handshake goes both ways."""
-        return not self.keeps(a, b) and not self.keeps(b, a)
+    def can_connect(self, link: Link) -> bool:
+        """Whether a connection from the link's source can open: its handshake goes both ways."""
+        return not self.blocks_streams(link) and not self.blocks_streams(link.reverse)
 
-    def resets(self, name, a, b):
-        """Whether fault `name`, which has just begun, resets a standing connection of `a` and `b`."""
-        one = self.faults[name]
+    def resets(self, fault_id: str, link: Link) -> bool:
+        """Whether the fault, which has just begun, resets a standing connection over the link."""
+        fault = self.faults[fault_id]
         return (
-            one.kind == "reset"
-            and one.streams
-            and (one.touches(a, b) or one.touches(b, a))
-            and self._hits(one, a, b, "streams")
+            fault.spec.kind is FaultKind.RESET
+            and fault.on_streams
+            and (fault.touches(link) or fault.touches(link.reverse))
+            and self._hits(fault, link, Traffic.STREAMS)
         )
 
-    def stream(self, a, b, size, now, last):
-        """When `size` bytes read at `now` are due at the other end, never before `last`, the time of those
-        before them; HELD while kept back."""
+    def handshake_due(self, link: Link, now: int) -> int | None:
+        """When a connection that its caller begins now is open: there and back; None while held back."""
+        there = self.stream_due(link, 0, now=now, not_before=0)
+        return None if there is None else self.stream_due(link.reverse, 0, now=there, not_before=0)
+
+    def stream_due(self, link: Link, size: int, *, now: int, not_before: int) -> int | None:
+        """When `size` bytes read now are due at the other end; None while held back.
+
+        `not_before` is when the bytes before them are due.
+        """
         due = now
-        for name, one in self.over(a, b)[0]:
-            if one.kind in ("cut", "hold"):
-                self.counts["held"] += 1
-                return HELD
-            if one.kind == "delay" and self._hits(one, a, b, "streams"):
-                due += self._delay(name, one, a, b, "streams", size, now)
-                self.counts["delayed"] += 1
-            elif one.kind == "lose":
-                wait, tries = AGAIN, 0
-                while tries < TRIES and self._hits(one, a, b, "streams"):
-                    due, wait, tries = due + wait, 2 * wait, tries + 1
-                self.counts["lost"] += tries
-        return max(due, last)
-
-    def datagram(self, a, b, size, now):
-        """When each copy of a message is due: a tuple, empty if lost; HELD while kept back."""
-        pair, due, copies, behind = a << SEAT_BITS | b, now, 1, True
-        for name, one in self.over(a, b)[1]:
-            kind = one.kind
-            if kind == "hold":
-                self.counts["held"] += 1
-                return HELD
-            if kind == "reset" or not self._hits(one, a, b, "datagrams"):
+        for fault in self.faults_on(link).streams:
+            if fault.blocks:
+                self.counts[Effect.HELD] += 1
+                return None
+            if fault.spec.kind is FaultKind.DELAY and self._hits(fault, link, Traffic.STREAMS):
+                due += self._delay(fault, link, Traffic.STREAMS, size=size, now=now) or 0
+                self.counts[Effect.DELAYED] += 1
+            elif fault.spec.kind is FaultKind.LOSE:
+                due += self._retransmission_delay(fault, link)
+        return max(due, not_before)
+
+    def datagram_dues(self, link: Link, size: int, now: int) -> tuple[int, ...] | None:
+        """When each copy of a datagram that comes now is due, nothing if it is lost; None while held back."""
+        fate = DatagramFate(now)
+        for fault in self.faults_on(link).datagrams:
+            if fault.spec.kind is FaultKind.HOLD:
+                self.counts[Effect.HELD] += 1
+                return None
+            if fault.spec.kind is FaultKind.RESET or not self._hits(fault, link, Traffic.DATAGRAMS):
                 continue
-            if kind == "cut" or kind == "lose":
-                self.counts["cut" if kind == "cut" else "lost"] += 1
+            effect = self._alter(fate, fault, link, size=size, now=now)
+            self.counts[effect] += 1
+            if effect in (Effect.CUT, Effect.LOST, Effect.FULL):
                 return ()
-            if kind == "double":
-                copies += 1
-                self.counts["doubled"] += 1
-                continue
-            if kind == "reorder":
-                behind = False
-            delay = self._delay(name, one, a, b, "datagrams", size, now)
-            if delay is HELD:
-                self.counts["full"] += 1
-                return ()
-            due += delay
-            self.counts["delayed" if kind == "delay" else "reordered"] += 1
-        if behind:
-            due = max(due, self.last.get(pair, 0))
-            if due > now:
-                self.last[pair] = due
-            else:
-                self.last.pop(pair, None)
-        return (due,) * copies
-
-    # Chance
-
-    def _hits(self, one, a, b, sort):
-        return one.share >= 1 or self._chance(a, b, sort).below(FINE) < one.share * FINE
-
-    def _delay(self, name, one, a, b, sort, size, now):
-        """Spans of one message, ns; HELD where a datagram finds the queue of a limited pace full."""
-        delay = one.delay
-        if one.jitter:
-            delay += self._chance(a, b, sort).below(one.jitter)
-        if one.pace:
-            key = name, a << SEAT_BITS | b, sort
-            begins = max(now, self.free.get(key, 0))
-            if sort == "datagrams" and begins - now > QUEUE:
-                return HELD
-            self.free[key] = begins + int(size * SECOND / one.pace)
-            delay += self.free[key] - now
+        if fate.in_order:
+            self._keep_order(fate, link, now)
+        return (fate.due,) * fate.copies
+
+    # What one fault does
+
+    def _alter(self, fate: DatagramFate, fault: LinkFault, link: Link, *, size: int, now: int) -> Effect:
+        kind = fault.spec.kind
+        if kind is FaultKind.CUT:
+            return Effect.CUT
+        if kind is FaultKind.LOSE:
+            return Effect.LOST
+        if kind is FaultKind.DOUBLE:
+            fate.copies += 1
+            return Effect.DOUBLED
+        delay = self._delay(fault, link, Traffic.DATAGRAMS, size=size, now=now)
+        if delay is None:
+            return Effect.FULL
+        fate.due += delay
+        if kind is FaultKind.REORDER:
+            fate.in_order = False
+            return Effect.REORDERED
+        return Effect.DELAYED
+
+    def _keep_order(self, fate: DatagramFate, link: Link, now: int) -> None:
+        fate.due = max(fate.due, self.last_datagram_due.get(link, 0))
+        if fate.due > now:
+            self.last_datagram_due[link] = fate.due
+        else:
+            self.last_datagram_due.pop(link, None)
+
+    def _retransmission_delay(self, fault: LinkFault, link: Link) -> int:
+        """How late bytes are that TCP sends again until they are not lost, with a timeout that doubles."""
+        delay, timeout, losses = 0, RETRANSMISSION_TIMEOUT, 0
+        while losses < MAX_LOSSES and self._hits(fault, link, Traffic.STREAMS):
+            delay, timeout, losses = delay + timeout, 2 * timeout, losses + 1
+        self.counts[Effect.LOST] += losses
         return delay
 
-    def _chance(self, a, b, sort):
-        key = a << SEAT_BITS | b, sort
-        found = self.chances.get(key)
-        if found is None:
-            found = self.chances[key] = self.chance(
-                mixed(self.seed << 32 ^ key[0] << 1 ^ (sort == "streams"))
-            )
-        return found
-
-
-def mixed(number):
-    """A seed whose every bit depends on each of `number`'s (the finaliser of SplitMix64, Steele et al. 2014):
-    neighbouring pairs must not draw alike."""
-    whole = (1 << 64) - 1
-    number = number + 0x9E3779B97F4A7C15 & whole
-    number = (number ^ number >> 30) * 0xBF58476D1CE4E5B9 & whole
-    number = (number ^ number >> 27) * 0x94D049BB133111EB & whole
-    return number ^ number >> 31
+    def _hits(self, fault: LinkFault, link: Link, traffic: Traffic) -> bool:
+        """Whether the fault touches this message, drawn by its share."""
+        share = fault.spec.share
+        if share >= 1:
+            return True
+        return self._random.source(link, traffic).below(SHARE_STEPS) < share * SHARE_STEPS
+
+    def _delay(self, fault: LinkFault, link: Link, traffic: Traffic, *, size: int, now: int) -> int | None:
+        """By how many ns one message is late; None where a datagram finds the queue of its rate full."""
+        delay = fault.spec.base_delay
+        if fault.spec.jitter:
+            delay += self._random.source(link, traffic).below(fault.spec.jitter)
+        if fault.spec.rate:
+            wait = self.rate_queues.enqueue(fault, link, traffic, size=size, now=now)
+            if wait is None:
+                return None
+            delay += wait
+        return delay
--- a/gaproute/cluster/links/invariants.py
+++ b/gaproute/cluster/links/invariants.py
@@ -1,52 +1,58 @@
-"""What must always hold in a wire, as named checks; run whenever its counts are asked for."""
+"""What must always hold in a link emulator, as named checks; run whenever its counts are asked for."""
 
-from gaproute.cluster.links.conditions import HELD
-from gaproute.cluster.links.datagrams import KEPT, SPAN
-from gaproute.cluster.links.stream_end import CHUNK, HIGH
+from __future__ import annotations
 
+from collections.abc import Iterable, Iterator
 
-def breaches(wire):
+from gaproute.cluster.links.conditions import NetworkConditions
+from gaproute.cluster.links.datagrams import MAX_HELD, MAX_HELD_BYTES, DatagramRelay
+from gaproute.cluster.links.pieces import size_of
+from gaproute.cluster.links.stream_end import HIGH_WATER, READ_SIZE, StreamEnd
+from gaproute.cluster.links.stream_relay import StreamRelay
+
+
+def find_breaches(
+    conditions: NetworkConditions, datagrams: DatagramRelay, relays: Iterable[StreamRelay]
+) -> list[str]:
     """What does not hold, as text; nothing if all is well."""
-    return [
-        *weather(wire.weather),
-        *datagrams(wire.datagrams),
-        *(
-            found
-            for relay in wire.streams.relays.values()
-            for end in (relay.near, relay.far)
-            for found in stream(end)
-        ),
-    ]
-
-
-def weather(weather):
-    if list(weather.told) != list(weather.faults):
-        yield f"faults_as_told: {list(weather.told)} told, {list(weather.faults)} on"
-    if any(name not in weather.faults for name, _, _ in weather.free):
-        yield "pace_without_fault: a limited pace is kept of a fault that is off"
-
-
-def stream(end):
+    found = [*check_conditions(conditions), *check_datagrams(datagrams)]
+    for relay in relays:
+        found += [*check_stream(relay.near), *check_stream(relay.far)]
+    return found
+
+
+def check_conditions(conditions: NetworkConditions) -> Iterator[str]:
+    """Of the faults that are on."""
+    if list(conditions.specs) != list(conditions.faults):
+        yield f"faults_as_described: {list(conditions.specs)} described, {list(conditions.faults)} on"
+    if any(key.fault_id not in conditions.faults for key in conditions.rate_queues.free_at):
+        yield "rate_without_fault: there is a queue of a fault that is off"
+
+
+def check_stream(end: StreamEnd) -> Iterator[str]:
     """Of one direction of a connection."""
-    if not (end.queue or end.out or end.queued or end.waiting):
-        return  # most are like this: 5,000 connections must not make the wire late
-    name = f"{end.a} to {end.b}"
-    dues = [due for due, _ in end.queue]
-    timed = [due for due in dues if due is not HELD]
-    if sum(len(data or b"") for _, data in end.queue) != end.queued:
-        yield f"queued_bytes: {name}: {end.queued} booked"
-    if sum(len(data) for data in end.out) != end.waiting:
-        yield f"waiting_bytes: {name}: {end.waiting} booked"
-    if end.queued + end.other.waiting > HIGH + CHUNK:
-        yield f"bounded: {name}: {end.queued} and {end.other.waiting} bytes under way"
-    if timed != sorted(timed) or HELD in dues[: len(timed)]:
+    transit, output = end.transit, end.output
+    if not (transit.pieces or output.chunks or transit.size or output.size):
+        return  # most are like this: 5,000 connections must not make the emulator late
+    name = f"{transit.link.source} to {transit.link.destination}"
+    dues = [entry.due for entry in transit.pieces]
+    timed = [due for due in dues if due is not None]
+    if sum(size_of(entry.piece) for entry in transit.pieces) != transit.size:
+        yield f"transit_bytes: {name}: {transit.size} booked"
+    if sum(map(len, output.chunks)) != output.size:
+        yield f"output_bytes: {name}: {output.size} booked"
+    if transit.size + end.other.output.size > HIGH_WATER + READ_SIZE:
+        yield f"bounded: {name}: {transit.size} and {end.other.output.size} bytes under way"
+    if timed != sorted(timed) or None in dues[: len(timed)]:
         yield f"in_order: {name}: {dues}"
-    if end.queue and end.timer is None and not end.weather.keeps(end.a, end.b):
+    blocked = end.transit.conditions.blocks_streams(transit.link)
+    if transit.pieces and transit.timer is None and not blocked:
         yield f"never_stuck: {name}: {len(dues)} pieces wait for nothing"
 
 
-def datagrams(datagrams):
-    if sum(len(data) for _, _, data in datagrams.kept) != datagrams.kept_bytes:
-        yield f"kept_bytes: {datagrams.kept_bytes} booked"
-    if len(datagrams.kept) > KEPT or datagrams.kept_bytes > SPAN:
-        yield f"kept_bounded: {len(datagrams.kept)} messages, {datagrams.kept_bytes} bytes"
+def check_datagrams(datagrams: DatagramRelay) -> Iterator[str]:
+    """Of the datagrams that are held."""
+    if sum(len(datagram.data) for datagram in datagrams.held) != datagrams.held_bytes:
+        yield f"held_bytes: {datagrams.held_bytes} booked"
+    if len(datagrams.held) > MAX_HELD or datagrams.held_bytes > MAX_HELD_BYTES:
+        yield f"held_bounded: {len(datagrams.held)} datagrams, {datagrams.held_bytes} bytes"
--- a/gaproute/cluster/links/lateness.py
+++ b/gaproute/cluster/links/lateness.py
@@ -1,39 +1,51 @@
-"""How late the wire runs: a measurement through a wire that was late is void, so it has to know."""
+"""How late an emulator runs: a measurement through one that was late is void, so it has to know."""
 
-BEAT = 50_000_000  # ns between looks at the clock: a wire with nothing to do can be starved as well
+from __future__ import annotations
+
+import select
+
+from gaproute.loop import Loop
+from gaproute.loop.polling import Events
+
+CHECK_INTERVAL = 50_000_000  # ns between looks at the clock: an emulator with nothing to do can starve too
 
 
 class LinkLateness:
-    """`most`: longest time in ns, since it was last taken, that anything due or come waited for the wire."""
+    """The longest time, in ns, that anything due or arrived waited for the emulator.
+
+    `recent` is since it was last taken, `most` since the start. Takes the place of the loop's `poll`.
+    """
 
-    def __init__(self, loop):
-        self.loop, self.most, self.ever = loop, 0, 0
-        self.poll, self.woke = loop.poll, loop.now()
-        loop.poll = self._poll
-        self._beat(loop.now())
+    def __init__(self, loop: Loop) -> None:
+        self.loop = loop
+        self.recent = self.most = 0
+        self.poll, self.woke_at = loop.poll, loop.now()
+        loop.poll = self.measured_poll
+        self._check(loop.now())
 
-    def _poll(self, epoll, span):
-        """What came while a turn was worked off waited for its whole length at most."""
-        self._late(self.loop.now() - self.woke)
+    def measured_poll(self, epoll: select.epoll, span: int) -> Events:
+        """Polls. What came while the last turn was worked off waited for its whole length at most."""
+        self._note(self.loop.now() - self.woke_at)
         ready = self.poll(epoll, span)
-        self.woke = self.loop.now()
+        self.woke_at = self.loop.now()
         return ready
 
-    def _beat(self, due):
+    def note_departure(self, due: int, now: int) -> None:
+        """Something that was due at `due` leaves now."""
+        if now - due > self.recent:
+            self._note(now - due)
+
+    def take(self) -> int:
+        """The longest lateness since this was last called."""
+        recent, self.recent = self.recent, 0
+        return recent
+
+    def _check(self, due: int) -> None:
         now = self.loop.now()
-        self._late(now - due)
-        self.loop.at(now + BEAT, self._beat, now + BEAT)
-
-    def left(self, due, now):
-        """Something due at `due` leaves at `now`."""
-        if now - due > self.most:
-            self._late(now - due)
-
-    def _late(self, span):
-        if span > self.most:
-            self.most = span
-            self.ever = max(self.ever, span)
-
-    def take(self):
-        most, self.most = self.most, 0
-        return most
+        self._note(now - due)
+        self.loop.at(now + CHECK_INTERVAL, self._check, now + CHECK_INTERVAL)
+
+    def _note(self, lateness: int) -> None:
+        if lateness > self.recent:
+            self.recent = lateness
+            self.most = max(self.most, lateness)
--- /dev/null
+++ b/gaproute/cluster/links/rate_queues.py
@@ -0,0 +1,39 @@
+"""The queues of links whose rate a fault limits."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from gaproute.cluster.addresses import Link
+from gaproute.cluster.links.faults import LinkFault, Traffic
+
+SECOND = 1_000_000_000
+MAX_QUEUE_TIME = SECOND  # longest wait of a datagram: a router's queue is not endless
+
+
+class QueueKey(NamedTuple):
+    """One queue: that of a fault, for one link and sort of traffic."""
+
+    fault_id: str
+    link: Link
+    traffic: Traffic
+
+
+class RateQueues:
+    """When each link with a limited rate is free again; `free_at` has ns by queue."""
+
+    def __init__(self) -> None:
+        self.free_at: dict[QueueKey, int] = {}
+
+    def enqueue(self, fault: LinkFault, link: Link, traffic: Traffic, *, size: int, now: int) -> int | None:
+        """How long, in ns, until `size` bytes have been sent; None where a datagram finds the queue full."""
+        key = QueueKey(fault.fault_id, link, traffic)
+        begins = max(now, self.free_at.get(key, 0))
+        if traffic is Traffic.DATAGRAMS and begins - now > MAX_QUEUE_TIME:
+            return None
+        self.free_at[key] = begins + int(size * SECOND / fault.spec.rate)
+        return self.free_at[key] - now
+
+    def forget(self, fault_id: str) -> None:
+        """The fault has ended, and its queues with it."""
+        self.free_at = {key: when for key, when in self.free_at.items() if key.fault_id != fault_id}
--- a/gaproute/cluster/links/refuser.py
+++ b/gaproute/cluster/links/refuser.py
@@ -1,101 +1,130 @@
-"""A real refusal of a connection, for a seat whose process is known to be down on a machine that lives.
+"""A real refusal of a connection, for a slot whose process is known to be down on a machine that lives.
 
-The wire's listener would accept and then reset, and by then the caller may have handed over a request that
-counts as one that may have run. So the gate drops the SYN to a seat that was told with `refuses`, and a raw
-socket answers it with the reset that a kernel without a listener gives (RFC 9293, 3.10.7.1). A raw socket
-needs CAP_NET_RAW; without it such a seat's connections are accepted and reset as before. It sees a copy of
-every TCP packet, some tenths of a microsecond each, and is therefore open only while a seat refuses.
+The emulator's listener would accept and then reset, and by then the caller may have handed over a request
+that counts as one that may have run. So the filter drops the SYN to a slot that `refuses`, and a raw socket
+answers it with the reset that a kernel without a listener gives (RFC 9293, 3.10.7.1). A raw socket needs
+CAP_NET_RAW; without it such a slot's connections are accepted and reset. It sees a copy of every TCP packet,
+some tenths of a microsecond each, and is therefore open only while a slot refuses.
 """
 
+from __future__ import annotations
+
 import socket
 import struct
 
-from gaproute.cluster.addresses import pair
-from gaproute.cluster.links import syn_filter
-from gaproute.cluster.links.conditions import HELD
-from gaproute.cluster.links.datagrams import PKTINFO
+from gaproute.cluster.addresses import Link, LinkAddressError, link_of_number
+from gaproute.cluster.links import packet_filter, syn_filter
+from gaproute.cluster.links.conditions import NetworkConditions
+from gaproute.cluster.links.datagrams import sent_from
+from gaproute.cluster.links.packet_filter import Instruction, Opcode
+from gaproute.loop import Loop
 from gaproute.loop.descriptors import READ
 
-READS = 64  # packets taken in one turn
-FLAGS, PORT = 33, 22  # in a packet without IP options, as loopback's are: TCP's flags and port called
+MAX_READS_PER_TURN = 64
+MAX_PACKET = 0xFFFF  # bytes
+# In a packet without IP options, as loopback's are:
+IP_SOURCE, IP_DESTINATION, TCP_PORTS = slice(12, 16), slice(16, 20), slice(20, 28)
+TCP_FLAGS, TCP_DESTINATION_PORT = 33, 22
 RST_ACK = 0x14
-HALF = 0x28  # BPF's code for a load of two bytes
-FILTER = 0xFFFF  # bytes of a packet that are handed over at most
+TCP_HEADER = "!HHIIBBHHH"
+HEADER_WORDS = 5  # of 4 bytes
+CHECKSUM = slice(16, 18)  # in TCP's header
 
 
 class ConnectionRefuser:
-    """For connections to `port`. `can`: whether the kernel lets us."""
+    """Refuses connections to `port` for the slots that refuse. `permitted`: whether the kernel lets us."""
 
-    def __init__(self, loop, weather, port):
-        self.loop, self.weather, self.port, self.sock, self.count = loop, weather, port, None, 0
+    def __init__(self, loop: Loop, conditions: NetworkConditions, port: int) -> None:
+        self.loop, self.conditions, self.port = loop, conditions, port
+        self.sock: socket.socket | None = None
+        self.count = 0  # refusals
         try:
-            raw().close()
-            self.can = True
+            raw_socket().close()
+            self.permitted = True
         except PermissionError:
-            self.can = False
+            self.permitted = False
 
-    def changed(self):
-        """The weather has changed, or a seat."""
-        wanted = self.can and any(seat.refuses for seat in self.weather.seats.values())
+    def conditions_changed(self) -> None:
+        """A fault or a slot has changed."""
+        wanted = self.permitted and any(slot.refuses for slot in self.conditions.slots.values())
         if wanted and self.sock is None:
-            self.sock = raw()
-            syn_filter.attach(
-                self.sock,
-                [
-                    (syn_filter.LOAD_BYTE, 0, 0, FLAGS),
-                    (syn_filter.AND, 0, 0, syn_filter.SYN_ACK),
-                    (syn_filter.EQUAL, 0, 3, syn_filter.SYN),
-                    (HALF, 0, 0, PORT),
-                    (syn_filter.EQUAL, 0, 1, self.port),
-                    (syn_filter.END, 0, 0, FILTER),
-                    (syn_filter.END, 0, 0, syn_filter.DROP),
-                ],
-            )
+            self.sock = raw_socket()
+            packet_filter.attach(self.sock, self._filter())
             self.loop.watch(self.sock.fileno(), READ, self._ready)
         elif not wanted:
             self.close()
 
-    def _ready(self, events):
-        for _ in range(READS):
+    def close(self) -> None:
+        """Gives the raw socket back."""
+        if self.sock is not None:
+            self.loop.unwatch(self.sock.fileno())
+            self.sock.close()
+            self.sock = None
+
+    def _filter(self) -> list[Instruction]:
+        """Passes SYNs to the port alone."""
+        return [
+            Instruction(Opcode.LOAD_BYTE, TCP_FLAGS),
+            Instruction(Opcode.AND, syn_filter.SYN_ACK),
+            Instruction(Opcode.JUMP_IF_EQUAL, syn_filter.SYN, if_false=3),
+            Instruction(Opcode.LOAD_HALF, TCP_DESTINATION_PORT),
+            Instruction(Opcode.JUMP_IF_EQUAL, self.port, if_false=1),
+            Instruction(Opcode.RETURN, MAX_PACKET),
+            packet_filter.DROP,
+        ]
+
+    def _ready(self, events: int) -> None:
+        for _ in range(MAX_READS_PER_TURN):
+            if self.sock is None:
+                return
             try:
-                packet = self.sock.recv(FILTER)
-                a, b = pair(int.from_bytes(packet[16:20], "big"))
+                packet = self.sock.recv(MAX_PACKET)
+                link = link_of_number(int.from_bytes(packet[IP_DESTINATION], "big"))
             except BlockingIOError:
                 return
-            except ValueError:
+            except LinkAddressError:
                 continue
-            seat, now = self.weather.seats.get(b), self.loop.now()
-            if seat is None or not seat.refuses or not self.weather.opens(a, b):
-                continue
-            due = self.weather.stream(b, a, 0, self.weather.stream(a, b, 0, now, 0), 0)
-            if due is not HELD:
-                self.loop.at(due, self._refuse, packet)
+            self._syn_came(packet, link)
 
-    def _refuse(self, packet):
+    def _syn_came(self, packet: bytes, link: Link) -> None:
+        slot = self.conditions.slots.get(link.destination)
+        if slot is None or not slot.refuses or not self.conditions.can_connect(link):
+            return
+        due = self.conditions.handshake_due(link, self.loop.now())
+        if due is not None:
+            self.loop.at(due, self._refuse, packet)
+
+    def _refuse(self, packet: bytes) -> None:
         if self.sock is None:
             return
-        caller, called = packet[12:16], packet[16:20]
-        to, port, sequence = struct.unpack("!HHI", packet[20:28])
-        head = struct.pack("!HHIIBBHHH", port, to, 0, (sequence + 1) & 0xFFFFFFFF, 5 << 4, RST_ACK, 0, 0, 0)
-        summed = called + caller + struct.pack("!HH", socket.IPPROTO_TCP, len(head)) + head
-        total = sum(struct.unpack("!16H", summed))
-        total = (total & 0xFFFF) + (total >> 16)
-        check = ~((total & 0xFFFF) + (total >> 16)) & 0xFFFF
-        beside = [(socket.IPPROTO_IP, PKTINFO, bytes(4) + called + bytes(4))]
-        self.sock.sendmsg(
-            (head[:16] + struct.pack("!H", check) + head[18:],), beside, 0, (socket.inet_ntoa(caller), 0)
-        )
+        caller, callee = packet[IP_SOURCE], packet[IP_DESTINATION]
+        target = socket.inet_ntoa(caller), 0
+        self.sock.sendmsg((reset_answering(packet),), sent_from(callee), 0, target)
         self.count += 1
 
-    def close(self):
-        if self.sock is not None:
-            self.loop.unwatch(self.sock.fileno())
-            self.sock.close()
-            self.sock = None
+
+def reset_answering(syn: bytes) -> bytes:
+    """The TCP segment that refuses the connection that this packet asks for."""
+    caller, callee = syn[IP_SOURCE], syn[IP_DESTINATION]
+    caller_port, callee_port, sequence = struct.unpack("!HHI", syn[TCP_PORTS])
+    acknowledged = (sequence + 1) & 0xFFFFFFFF
+    header = struct.pack(
+        TCP_HEADER, callee_port, caller_port, 0, acknowledged, HEADER_WORDS << 4, RST_ACK, 0, 0, 0
+    )
+    pseudo_header = callee + caller + struct.pack("!HH", socket.IPPROTO_TCP, len(header))
+    checksum = struct.pack("!H", internet_checksum(pseudo_header + header))
+    return header[: CHECKSUM.start] + checksum + header[CHECKSUM.stop :]
+
+
+def internet_checksum(data: bytes) -> int:
+    """The ones' complement sum of an even number of bytes (RFC 1071)."""
+    total: int = sum(struct.unpack(f"!{len(data) // 2}H", data))
+    total = (total & 0xFFFF) + (total >> 16)
+    return ~((total & 0xFFFF) + (total >> 16)) & 0xFFFF
 
 
-def raw():
-    """Errors: PermissionError."""
+def raw_socket() -> socket.socket:
+    """A socket that sees the TCP packets of loopback. Errors: PermissionError."""
     sock = socket.socket(
         socket.AF_INET, socket.SOCK_RAW | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC, socket.IPPROTO_TCP
     )
--- a/gaproute/cluster/links/stream_end.py
+++ b/gaproute/cluster/links/stream_end.py
@@ -1,257 +1,238 @@
-"""The two ends of one connection through the wire: what is read at one is given to the other when it is due.
+"""One of the two ends of a connection over a link: what is read here is given to the other when it is due.
 
-Bytes, the end of sending and a reset travel the same queue in their order. An end is not read while too much
-waits for the other, so that a slow reader holds its writer back as it would without the wire.
+An end is not read while too much waits for the other, so that a slow reader holds its writer back as it would
+without the emulator.
 """
 
+from __future__ import annotations
+
 import errno
 import select
 import socket
 import struct
-from collections import deque
+from collections.abc import Callable
+from typing import Protocol
 
-from gaproute.cluster.links.conditions import HELD
+from gaproute.cluster.addresses import Link
+from gaproute.cluster.links.context import EmulatorContext
+from gaproute.cluster.links.pieces import OutputBuffer, Piece, StreamSignal
+from gaproute.cluster.links.transit_queue import TransitQueue
 from gaproute.loop.descriptors import HANGUP, READ, WRITE
 
-CHUNK = 65536  # bytes read in one call
-HIGH, LOW = 1 << 18, 1 << 16  # bytes under way in one direction: reading stops above, goes on below
-END, RESET = b"", None  # in the place of bytes: no more will be sent; the connection was broken off
-AT_ONCE = struct.pack("ii", 1, 0)  # SO_LINGER: a close then sends a reset
+READ_SIZE = 65536  # bytes read in one call
+HIGH_WATER, LOW_WATER = 1 << 18, 1 << 16  # bytes under way one way: reading stops above, goes on below
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER
+
+
+class Connection(Protocol):
+    """What an end needs of the connection that it belongs to."""
+
+    carried_bytes: int
+    pieces: int
+
+    def reset(self) -> None:
+        """Both ends see a reset at once."""
+
+    def finish(self) -> None:
+        """Both ends are closed."""
+
+
+def close_with_reset(sock: socket.socket) -> None:
+    """Closes the socket so that its peer sees a reset."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+    sock.close()
 
 
 class StreamEnd:
-    """One socket. `a`, `b`: what is read here travels from seat `a` to seat `b`, to the StreamEnd `other`."""
+    """One socket; what is read here travels over `link` to the end `other`, which is set once both exist."""
 
     __slots__ = (
-        "relay",
+        "connection",
         "loop",
-        "weather",
         "sock",
-        "fd",
-        "a",
-        "b",
         "other",
-        "queue",
-        "queued",
-        "last",
-        "timer",
-        "out",
-        "waiting",
-        "mask",
+        "transit",
+        "output",
         "open",
+        "_mask",
         "paused",
-        "finished",
-        "ending",
-        "shut",
-        "broken",
+        "input_ended",
+        "end_pending",
+        "end_sent",
+        "write_failed",
     )
 
-    def __init__(self, relay, sock, a, b):
-        self.relay, self.loop, self.weather = relay, relay.streams.loop, relay.streams.weather
-        self.sock, self.fd, self.a, self.b = sock, sock.fileno(), a, b
-        self.queue, self.queued, self.last, self.timer = deque(), 0, 0, None  # read here: [due, bytes]
-        self.out, self.waiting = deque(), 0  # to be written here
-        self.open, self.paused, self.broken = True, False, False
-        self.finished = False  # the end of what is sent to us was read
-        self.ending = self.shut = False  # the end of what we send is to be said; has been
-        self.mask = READ
-        self.loop.watch(self.fd, READ, self._ready)
-
-    def _ready(self, events):
-        if events & WRITE and self.out:
+    def __init__(
+        self, connection: Connection, context: EmulatorContext, sock: socket.socket, link: Link
+    ) -> None:
+        self.connection, self.loop, self.sock = connection, context.loop, sock
+        self.other: StreamEnd
+        self.transit = TransitQueue(context, link, self._deliver, self.resume_reading)
+        self.output = OutputBuffer()
+        self.open, self.paused, self.write_failed = True, False, False
+        self.input_ended = False  # the end of what our process sends was read
+        self.end_pending = self.end_sent = False  # the end of what we send: is to be sent, was sent
+        self._mask: int | None = READ  # None while the descriptor is not watched
+        self.loop.watch(sock.fileno(), READ, self._ready)
+
+    # In
+
+    def _ready(self, events: int) -> None:
+        if events & WRITE and self.output:
             self._flush()
         if not self.open or not events & (READ | HANGUP):
             return
-        if not self.paused and not self.finished:
+        if not self.paused and not self.input_ended:
             self._read()
-        elif events & select.EPOLLERR or self.broken:
-            self._gone()
+        elif events & select.EPOLLERR or self.write_failed:
+            self._break_off()
         elif events & HANGUP:  # both ways are shut, and something lies unread: no news until it is read
-            self.loop.unwatch(self.fd)
-            self.mask = None
+            self.loop.unwatch(self.sock.fileno())
+            self._mask = None
 
-    def _read(self):
+    def _read(self) -> None:
         try:
-            data = self.sock.recv(CHUNK)
+            data = self.sock.recv(READ_SIZE)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            self._gone()
+            self._break_off()
             return
         if data:
-            self.relay.carried += len(data)
-            self.relay.streams.pieces += 1
-            self._arrived(data)
-        elif self.broken:
-            self._gone()
+            self.connection.carried_bytes += len(data)
+            self.connection.pieces += 1
+            self.forward(data)
+        elif self.write_failed:
+            self._break_off()
         else:
-            self.finished = True
-            self._watch()
-            self._arrived(END)
-            if self.shut:
+            self.input_ended = True
+            self._update_mask()
+            self.forward(StreamSignal.END)
+            if self.end_sent:
                 self.close()
 
-    def _gone(self):
+    def forward(self, piece: Piece) -> None:
+        """Sends a piece that was read here on its way."""
+        self.transit.add(piece)
+        if self._bytes_under_way > HIGH_WATER and not self.paused:
+            self.paused = True
+            self._update_mask()
+
+    def resume_reading(self) -> None:
+        """Reads on if enough of what was read here has been taken at the other end."""
+        if self.paused and self._bytes_under_way < LOW_WATER:
+            self.paused = False
+            self._update_mask()
+
+    @property
+    def _bytes_under_way(self) -> int:
+        return self.transit.size + self.other.output.size
+
+    def _deliver(self, piece: Piece) -> None:
+        self.other.write(piece)
+
+    def _break_off(self) -> None:
+        """The connection was broken off here: the other end hears of it in its turn."""
         self.close()
         if self.other.open:
-            self._arrived(RESET)
+            self.forward(StreamSignal.RESET)
 
-    # On the way
-
-    def _arrived(self, data):
-        weather = self.weather
-        if not self.queue and not (weather.faults and weather.over(self.a, self.b)[0]):
-            self.other.give(data)
-        else:
-            size = len(data) if data else 0
-            if self.queue and self.queue[-1][0] is HELD:
-                due = HELD  # behind what is kept, even if `changed` has yet to let it go
-            else:
-                due = weather.stream(self.a, self.b, size, self.loop.now(), self.last)
-            self.queue.append([due, data])
-            self.queued += size
-            if due is not HELD:
-                self.last = due
-                if self.timer is None:
-                    self.timer = self.loop.at(self.queue[0][0], self._release)
-        if self.queued + self.other.waiting > HIGH and not self.paused:
-            self.paused = True
-            self._watch()
-
-    def _release(self):
-        self.timer = None
-        if self.weather.keeps(self.a, self.b):
-            return  # a cut came over what was under way: `changed` goes on
-        now, queue = self.loop.now(), self.queue
-        while queue and queue[0][0] <= now:
-            due, data = queue.popleft()
-            self.queued -= len(data) if data else 0
-            self.relay.streams.lateness.left(due, now)
-            self.other.give(data)
-        if queue:
-            self.timer = self.loop.at(queue[0][0], self._release)
-        self.room()
-
-    def changed(self):
-        """The weather has changed: what was kept back and is no longer flows on, in its order."""
-        if not self.queue or self.weather.keeps(self.a, self.b):
-            return
-        last = self.loop.now()
-        for entry in self.queue:
-            last = entry[0] = last if entry[0] is HELD else max(last, entry[0])
-        self.last = last
-        if self.timer is not None:
-            self.timer.cancel()
-        self._release()
-
-    def room(self):
-        """Reads on if enough of what was read here has been taken over there."""
-        if self.paused and self.queued + self.other.waiting < LOW:
-            self.paused = False
-            self._watch()
+    def _break_off_if_open(self) -> None:
+        if self.open:
+            self._break_off()
 
     # Out
 
-    def give(self, data):
-        """Writes bytes, END or RESET here, as much as is taken; the rest follows."""
-        if data is RESET:
-            self.relay.reset()
-        elif not self.open or self.broken:
+    def write(self, piece: Piece) -> None:
+        """Writes here as much as is taken; the rest follows."""
+        if piece is StreamSignal.RESET:
+            self.connection.reset()
+        elif not self.open or self.write_failed:
             return
-        elif not data:
-            self.ending = True
-            if not self.out:
-                self._say_end()
-        elif self.out:
-            self.out.append(data)
-            self.waiting += len(data)
+        elif isinstance(piece, StreamSignal):
+            self.end_pending = True
+            if not self.output:
+                self._send_end()
+        elif self.output:
+            self.output.append(piece)
         else:
-            sent = self._send(data)
-            if sent < len(data):
-                self.out.append(memoryview(data)[sent:])
-                self.waiting += len(data) - sent
-                self._watch()
+            sent = self._send(piece)
+            if sent < len(piece):
+                self.output.append(memoryview(piece)[sent:])
+                self._update_mask()
 
-    def _send(self, data):
+    def _send(self, data: bytes | memoryview) -> int:
         try:
             return self.sock.send(data)
         except (BlockingIOError, InterruptedError):
             return 0
         except OSError:
-            self._broke()
+            self._fail_writing()
             return len(data)
 
-    def _broke(self):
+    def _fail_writing(self) -> None:
         """It takes no more. What it sent before is read first, then `_read` finds the reset or the end."""
-        self.broken = True
-        self.out.clear()
-        self.waiting = 0
-        if self.finished:
-            self.loop.soon(self._gone_if_open)
+        self.write_failed = True
+        self.output.clear()
+        if self.input_ended:
+            self.loop.soon(self._break_off_if_open)
         else:
-            self._watch()
-
-    def _gone_if_open(self):
-        if self.open:
-            self._gone()
+            self._update_mask()
 
-    def _flush(self):
-        while self.out:
-            sent = self._send(self.out[0])
-            if self.broken:
-                break
-            self.waiting -= sent
-            if sent < len(self.out[0]):
-                self.out[0] = memoryview(self.out[0])[sent:]
+    def _flush(self) -> None:
+        while self.output:
+            sent = self._send(self.output.first)
+            if self.write_failed or not self.output.sent(sent):
                 break
-            self.out.popleft()
         else:
-            self._watch()
-            if self.ending:
-                self._say_end()
-        self.other.room()
+            self._update_mask()
+            if self.end_pending:
+                self._send_end()
+        self.other.resume_reading()
 
-    def _say_end(self):
+    def _send_end(self) -> None:
         try:
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError as fault:
-            if fault.errno != errno.ENOTCONN:
+        except OSError as error:
+            if error.errno != errno.ENOTCONN:
                 raise
-            self._broke()
+            self._fail_writing()
             return
-        self.shut = True
-        if self.finished:
+        self.end_sent = True
+        if self.input_ended:
             self.close()
 
     # The descriptor
 
-    def _watch(self):
-        mask = (0 if self.paused or self.finished else READ) | (WRITE if self.out else 0)
-        if self.open and mask != self.mask:
-            if self.mask is None:
-                self.loop.watch(self.fd, mask, self._ready)
+    def _update_mask(self) -> None:
+        mask = (0 if self.paused or self.input_ended else READ) | (WRITE if self.output else 0)
+        if self.open and mask != self._mask:
+            if self._mask is None:
+                self.loop.watch(self.sock.fileno(), mask, self._ready)
             else:
-                self.loop.rewatch(self.fd, mask)
-            self.mask = mask
+                self.loop.rewatch(self.sock.fileno(), mask)
+            self._mask = mask
 
-    def close(self, reset=False):
-        if self.open:
-            self.open = False
-            self.out.clear()
-            self.waiting = 0
-            self.loop.unwatch(self.fd)
-            if reset:
-                self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
-            self.sock.close()
-            if self.other.open:
-                self.other.room()
-            else:
-                self.relay.over()
-
-    def forget(self):
-        """Nothing more is given to the other end."""
-        self.queue.clear()
-        self.queued = 0
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+    def close(self) -> None:
+        """Gives the socket back; what the other end still has under way to its process goes on."""
+        self._close_by(socket.socket.close)
+
+    def reset(self) -> None:
+        """As `close`, and its process sees a reset."""
+        self._close_by(close_with_reset)
+
+    def _close_by(self, close_socket: Callable[[socket.socket], None]) -> None:
+        if not self.open:
+            return
+        self.open = False
+        self.output.clear()
+        self.loop.unwatch(self.sock.fileno())
+        close_socket(self.sock)
+        if self.other.open:
+            self.other.resume_reading()
+        else:
+            self.connection.finish()
+
+    def untie(self) -> None:
+        """Lets go of all that refers to it in turn, so that no collection of garbage is needed."""
+        del self.other, self.transit, self.connection
--- a/gaproute/cluster/links/streams.py
+++ b/gaproute/cluster/links/streams.py
@@ -1,168 +1,196 @@
-"""Connections through the wire: accepted for any pair of seats, opened at the far end, held until both ends
-close.
+"""Connections over all links: accepted for any link, opened at the far end, held until both ends close.
 
-The kernel shakes hands for the wire before it is asked, so a far end that refuses is passed on as an
-accepted connection that is reset, unless the seat was told as one that `refuses` (`refuser.py`). What
-leads to a seat without an address, or through a cut, does not open (`syn_filter.py`); what the filter let
-through before it heard of that stays silent until it can.
+The kernel shakes hands for the emulator before it is asked, so a far end that refuses is passed on as an
+accepted connection that is reset, unless its slot `refuses` (`refuser.py`). What leads to a slot without an
+address, or through a cut, does not open (`syn_filter.py`); what the filter let through before it was
+changed stays silent until it can open.
 """
 
+from __future__ import annotations
+
 import select
 import socket
+from dataclasses import dataclass
+from typing import NamedTuple
 
-from gaproute.cluster.addresses import between, of
-from gaproute.cluster.links import syn_filter
-from gaproute.cluster.links.conditions import HELD
+from gaproute.cluster.addresses import Link, LinkAddressError, link_address, link_of_address
+from gaproute.cluster.links import packet_filter, syn_filter
+from gaproute.cluster.links.connection_tap import ConnectionEvent, ConnectionTap
+from gaproute.cluster.links.context import EmulatorContext
 from gaproute.cluster.links.refuser import ConnectionRefuser
-from gaproute.cluster.links.stream_end import AT_ONCE, StreamEnd
+from gaproute.cluster.links.stream_end import close_with_reset
+from gaproute.cluster.links.stream_relay import StreamRelay
 from gaproute.loop import Listener, connect
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import Address, address
+
+CONNECT_TIMEOUT = 130_000_000_000  # ns: as long as Linux tries; then the caller's end is reset
+CALLER_LEFT = select.EPOLLRDHUP  # and errors, which epoll always reports
 
-WITHIN = 130_000_000_000  # ns: as long as Linux tries to connect; then the caller's end is reset
-GIVEN_UP = select.EPOLLRDHUP  # and errors, which epoll always tells
 
+class PendingConnection(NamedTuple):
+    """A caller's connection that has not been opened at the far end."""
 
-class StreamRelay:
-    """One connection of seat `a` to seat `b`: the StreamEnd `near` the caller and the StreamEnd `far`."""
+    number: int
+    sock: socket.socket
+    link: Link
 
-    __slots__ = ("streams", "number", "a", "b", "near", "far", "carried")
 
-    def __init__(self, streams, number, near, far, a, b):
-        self.streams, self.number, self.a, self.b, self.carried = streams, number, a, b, 0
-        self.near, self.far = StreamEnd(self, near, a, b), StreamEnd(self, far, b, a)
-        self.near.other, self.far.other = self.far, self.near
+@dataclass(slots=True)
+class StreamCounts:
+    """Connections by what became of them; bytes and pieces of those that have ended."""
 
-    def reset(self):
-        """Both ends see a reset at once."""
-        self.near.close(reset=True)
-        self.far.close(reset=True)
+    accepted: int = 0
+    opened: int = 0
+    refused: int = 0  # by the far end
+    given_up: int = 0  # by the caller, before they opened
+    unmatched: int = 0  # to an address between no two slots
+    pieces: int = 0
+    bytes: int = 0
 
-    def changed(self):
-        self.near.changed()
-        self.far.changed()
 
-    def over(self):
-        self.near.forget()
-        self.far.forget()
-        self.streams.over(self)
-        self.streams.loop.soon(self._untie)  # whoever is at work on an end still needs the other
+class StreamRelays:
+    """Accepts on the listening `sock`; notes connections that open or end in `tap`."""
 
-    def _untie(self):
-        """Nothing of it goes round in a circle, so that no collection of garbage is needed."""
-        if self.near is not None:
-            self.near.other = self.far.other = self.near = self.far = None
+    def __init__(self, context: EmulatorContext, sock: socket.socket, tap: ConnectionTap) -> None:
+        self.context, self.loop, self.conditions, self.tap = context, context.loop, context.conditions, tap
+        self.counts = StreamCounts()
+        self.relays: dict[int, StreamRelay] = {}  # by number
+        self.pending: dict[int, PendingConnection] = {}  # by number: those that cannot open now
+        self.listener = Listener(context.loop, Address(socket.AF_INET, ""), self._accepted, inherited=sock)
+        self.filter: list[packet_filter.Instruction] = []  # as last attached
+        self.refuser = ConnectionRefuser(context.loop, context.conditions, sock.getsockname()[1])
+        self.conditions_changed()
 
+    # Connections
 
-class StreamRelays:
-    """Accepts on the listening `sock`. `tap(what, a, b, bytes)` for each connection that opens or ends."""
-
-    def __init__(self, loop, weather, lateness, sock, tap):
-        self.loop, self.weather, self.lateness, self.tap = loop, weather, lateness, tap
-        self.relays, self.count = {}, 0  # by number
-        self.hanging = {}  # those that cannot open: (socket, a, b)
-        self.opened = self.refused = self.given_up = self.stray = self.pieces = self.carried = 0
-        self.listener = Listener(loop, (socket.AF_INET, None), self._accepted, inherited=sock)
-        self.gate = None  # its instructions, as last attached
-        self.refusals = ConnectionRefuser(loop, weather, sock.getsockname()[1])
-        self.changed()
-
-    def _accepted(self, sock):
+    def _accepted(self, sock: socket.socket) -> None:
         try:
-            a, b = of(sock.getsockname()[0])
-        except ValueError:
-            self.stray += 1
-            _reset(sock)
+            link = link_of_address(sock.getsockname()[0])
+        except LinkAddressError:
+            self.counts.unmatched += 1
+            close_with_reset(sock)
             return
-        self.count += 1
-        self._open(self.count, sock, a, b)
+        self.counts.accepted += 1
+        self._open(PendingConnection(self.counts.accepted, sock, link))
 
-    def _open(self, number, sock, a, b):
+    def _can_open(self, link: Link) -> bool:
+        slot = self.conditions.slots.get(link.destination)
+        return slot is not None and slot.stream_address is not None and self.conditions.can_connect(link)
+
+    def _open(self, pending: PendingConnection) -> None:
         """Its handshake takes the way there and the way back, then the far end sees the connection."""
-        seat = self.weather.seats.get(b)
-        now = due = self.loop.now()
-        if seat is None or seat.tcp is None or not self.weather.opens(a, b):
-            due = HELD
-        elif self.weather.faults:
-            due = self.weather.stream(b, a, 0, self.weather.stream(a, b, 0, now, 0), 0)
-        if due is HELD:
-            self.hanging[number] = sock, a, b
-            self.loop.watch(sock.fileno(), GIVEN_UP, lambda events: self._gave_up(number))
+        now = self.loop.now()
+        due: int | None = None
+        if self._can_open(pending.link):
+            due = self.conditions.handshake_due(pending.link, now) if self.conditions.faults else now
+        if due is None:
+            self.pending[pending.number] = pending
+            self.loop.watch(pending.sock.fileno(), CALLER_LEFT, lambda events: self._give_up(pending))
         elif due > now:
-            self.loop.at(due, self._connect, number, sock, a, b, seat.tcp)
+            target = self._stream_address(pending.link)
+            self.loop.at(due, self._connect, pending, target)
         else:
-            self._connect(number, sock, a, b, seat.tcp)
+            self._connect(pending, self._stream_address(pending.link))
+
+    def _stream_address(self, link: Link) -> str:
+        slot = self.conditions.slots[link.destination]
+        return slot.stream_address or ""
 
-    def _gave_up(self, number):
+    def _give_up(self, pending: PendingConnection) -> None:
         """The caller left before its connection had opened: the far end never hears of it."""
-        sock = self.hanging.pop(number)[0]
-        self.loop.unwatch(sock.fileno())
-        sock.close()
-        self.given_up += 1
-
-    def _connect(self, number, sock, a, b, where):
-        def done(far, error):
-            if error is None:
-                self.opened += 1
-                self._introduce(far, a, b)
-                self.relays[number] = StreamRelay(self, number, sock, far, a, b)
-                self.tap("opened", a, b, 0)
+        del self.pending[pending.number]
+        self.loop.unwatch(pending.sock.fileno())
+        pending.sock.close()
+        self.counts.given_up += 1
+
+    def _connect(self, pending: PendingConnection, target: str) -> None:
+        link = pending.link
+
+        def done(far: socket.socket | None, error: OSError | None) -> None:
+            if far is None:
+                self.counts.refused += 1
+                self.tap.note(ConnectionEvent.REFUSED, link)
+                close_with_reset(pending.sock)
             else:
-                self.refused += 1
-                self.tap("refused", a, b, 0)
-                _reset(sock)
-
-        connect(self.loop, address(where), WITHIN, done, source=between(b, a))
-
-    def _introduce(self, far, a, b):
-        """A host that is to know who orders is told first; a new connection's buffer has room for that."""
-        seat, caller = self.weather.seats.get(b), self.weather.seats.get(a)
-        if seat is not None and seat.whose and caller is not None:
-            try:
+                self._connected(pending, far)
+
+        source = link_address(link.destination, link.source)
+        connect(self.loop, address(target), CONNECT_TIMEOUT, done, source=source)
+
+    def _connected(self, pending: PendingConnection, far: socket.socket) -> None:
+        self.counts.opened += 1
+        self._announce_caller(far, pending.link)
+        self.relays[pending.number] = StreamRelay(
+            self.context,
+            pending.number,
+            pending.link,
+            near=pending.sock,
+            far=far,
+            on_finished=self._finished,
+        )
+        self.tap.note(ConnectionEvent.OPENED, pending.link)
+
+    def _announce_caller(self, far: socket.socket, link: Link) -> None:
+        """A slot that is to know who calls hears of it first; a new connection's buffer has room for that."""
+        callee, caller = self.conditions.slots.get(link.destination), self.conditions.slots.get(link.source)
+        if callee is not None and callee.announce_caller and caller is not None:
+            try:  # noqa: SIM105 - the error is explained here
                 far.send(b'{"type":"whose","gateway":"%b"}\n' % caller.name.encode())
             except OSError:  # it has closed already, which its relay will see
                 pass
 
-    def over(self, relay):
+    def _finished(self, relay: StreamRelay) -> None:
         if self.relays.pop(relay.number, None) is not None:
-            self.carried += relay.carried
-            self.tap("ended", relay.a, relay.b, relay.carried)
+            self.counts.bytes += relay.carried_bytes
+            self.counts.pieces += relay.pieces
+            self.tap.note(ConnectionEvent.ENDED, relay.link, relay.carried_bytes)
+
+    # Changes
+
+    def conditions_changed(self) -> None:
+        """A fault or a slot has changed."""
+        self._update_filter()
+        self.refuser.conditions_changed()
+        for pending in list(self.pending.values()):
+            if self._can_open(pending.link):
+                del self.pending[pending.number]
+                self.loop.unwatch(pending.sock.fileno())
+                self._open(pending)
+        for relay in list(self.relays.values()):
+            if relay.in_transit:
+                relay.conditions_changed()
 
-    def changed(self):
-        """The weather has changed, or a seat."""
-        instructions = syn_filter.program(self.weather, self.refusals.can) or [
-            (syn_filter.END, 0, 0, syn_filter.PASS)
+    def _update_filter(self) -> None:
+        instructions = syn_filter.build(self.conditions, except_refusing=self.refuser.permitted) or [
+            packet_filter.ACCEPT_ALL
         ]
-        if instructions != self.gate:
-            syn_filter.attach(self.listener.sock, instructions)
-            self.gate = instructions
-        self.refusals.changed()
-        for number, (sock, a, b) in list(self.hanging.items()):
-            seat = self.weather.seats.get(b)
-            if seat is not None and seat.tcp is not None and self.weather.opens(a, b):
-                del self.hanging[number]
-                self.loop.unwatch(sock.fileno())
-                self._open(number, sock, a, b)
-        for relay in list(self.relays.values()):
-            if relay.near.queue or relay.far.queue:
-                relay.changed()
+        if instructions != self.filter:
+            packet_filter.attach(self.listener.sock, instructions)
+            self.filter = instructions
 
-    def reset(self, fault):
+    def reset_by(self, fault_id: str) -> None:
         """The fault of this id has begun: breaks those standing connections that it resets."""
         for relay in list(self.relays.values()):
-            if self.weather.resets(fault, relay.a, relay.b):
+            if self.conditions.resets(fault_id, relay.link):
                 relay.reset()
 
-    def close(self):
+    @property
+    def carried_bytes(self) -> int:
+        """Bytes read so far, of standing connections as well."""
+        return self.counts.bytes + sum(relay.carried_bytes for relay in self.relays.values())
+
+    @property
+    def pieces(self) -> int:
+        """Pieces read so far, of standing connections as well."""
+        return self.counts.pieces + sum(relay.pieces for relay in self.relays.values())
+
+    def close(self) -> None:
+        """Gives all sockets back; standing connections are reset."""
         self.listener.close()
-        self.refusals.close()
-        for sock, _, _ in self.hanging.values():
-            self.loop.unwatch(sock.fileno())
-            sock.close()
-        self.hanging = {}
+        self.refuser.close()
+        for pending in self.pending.values():
+            self.loop.unwatch(pending.sock.fileno())
+            pending.sock.close()
+        self.pending = {}
         for relay in list(self.relays.values()):
             relay.reset()
-
-
-def _reset(sock):
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
-    sock.close()
--- a/gaproute/cluster/links/syn_filter.py
+++ b/gaproute/cluster/links/syn_filter.py
@@ -1,76 +1,91 @@
 """What keeps a connection from opening at all, as a packet filter for the listening socket.
 
-The kernel shakes hands before the wire is asked, so a caller would believe that it is connected to a host
+The kernel shakes hands before the emulator is asked, so a caller would believe that it is connected to a host
 behind a cut, and hand it a request that may then have run. The filter drops the first packet (SYN) of what
 cannot open: the caller tries again after 1, 3, 7 s as ever, and its connect times out, which proves that
-nothing ran. It is the classic packet filter of Linux (`man 7 socket`, SO_ATTACH_FILTER), which needs no
-privilege.
+nothing ran.
 """
 
-import ctypes
-import socket
-import struct
-
-from gaproute.cluster.addresses import HIGHEST, LOWEST, SEAT_BITS
-
-ATTACH = 26  # SO_ATTACH_FILTER of Linux
-LONGEST = 4096  # instructions that the kernel takes (BPF_MAXINSNS)
-HEADER = 0x100000000 - 0x100000  # SKF_NET_OFF: where the IP header begins, seen from TCP's
-LOAD_BYTE, LOAD_WORD, LOAD_KEPT, KEEP = 0x30, 0x20, 0x60, 0x02  # BPF's codes: loads; scratch words
-AND, SHIFT, JUMP, EQUAL, ABOVE, FROM, END = 0x54, 0x74, 0x05, 0x15, 0x25, 0x35, 0x06
-FLAGS, SYN, SYN_ACK, TO = 13, 0x02, 0x12, 16  # TCP's flags and IP's destination, offsets in bytes
-CALLER, CALLED = 0, 1  # scratch words
-PASS, DROP = 0xFFFFFFFF, 0
-
-
-def program(weather, refusing=False):
-    """Instructions (code, jump if so, jump if not, number); None where the kernel would not take so many:
-    then what cannot open is accepted and stays silent. `refusing`: those told to refuse are answered by
-    others (`refuser.py`), not let in."""
-    dead = [
-        n
-        for n in range(LOWEST, HIGHEST + 1)
-        if (seat := weather.seats.get(n)) is None or seat.tcp is None or refusing and seat.refuses
-    ]
-    made = [
-        (LOAD_BYTE, 0, 0, FLAGS),
-        (AND, 0, 0, SYN_ACK),
-        (EQUAL, 1, 0, SYN),
-        (END, 0, 0, PASS),
-        (LOAD_WORD, 0, 0, HEADER + TO),
-        (AND, 0, 0, (1 << SEAT_BITS) - 1),
-        (KEEP, 0, 0, CALLED),
-        (LOAD_WORD, 0, 0, HEADER + TO),
-        (SHIFT, 0, 0, SEAT_BITS),
-        (AND, 0, 0, (1 << SEAT_BITS) - 1),
-        (KEEP, 0, 0, CALLER),
-        *_within(CALLED, dead, [(END, 0, 0, DROP)]),
-    ]
-    for _, one in weather.faults.items():
-        if one.kind == "cut" and one.streams:
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from gaproute.cluster.addresses import MAX_SLOT, MIN_SLOT, SLOT_BITS, SLOT_MASK
+from gaproute.cluster.links.conditions import NetworkConditions
+from gaproute.cluster.links.faults import FaultKind
+from gaproute.cluster.links.packet_filter import ACCEPT_ALL, DROP, MAX_INSTRUCTIONS, Instruction, Opcode
+
+IP_HEADER = 0x100000000 - 0x100000  # SKF_NET_OFF: where the IP header begins, seen from TCP's
+TCP_FLAGS, IP_DESTINATION = 13, 16  # offsets in bytes
+SYN, SYN_ACK = 0x02, 0x12  # flags of TCP
+CALLER, CALLEE = 0, 1  # scratch words
+
+Program = list[Instruction]
+
+# Accepts all but SYNs, and puts the numbers of caller and callee of a SYN in the scratch words.
+PROLOGUE = (
+    Instruction(Opcode.LOAD_BYTE, TCP_FLAGS),
+    Instruction(Opcode.AND, SYN_ACK),
+    Instruction(Opcode.JUMP_IF_EQUAL, SYN, if_true=1),
+    ACCEPT_ALL,
+    Instruction(Opcode.LOAD_WORD, IP_HEADER + IP_DESTINATION),
+    Instruction(Opcode.AND, SLOT_MASK),
+    Instruction(Opcode.STORE_SCRATCH, CALLEE),
+    Instruction(Opcode.LOAD_WORD, IP_HEADER + IP_DESTINATION),
+    Instruction(Opcode.SHIFT_RIGHT, SLOT_BITS),
+    Instruction(Opcode.AND, SLOT_MASK),
+    Instruction(Opcode.STORE_SCRATCH, CALLER),
+)
+
+
+def build(conditions: NetworkConditions, *, except_refusing: bool = False) -> Program | None:
+    """The filter for these slots and faults.
+
+    None where the kernel would not take so many instructions: then what cannot open is accepted and stays
+    silent. `except_refusing`: slots that refuse are left out too, as others answer for them (`refuser.py`).
+    """
+    program = [*PROLOGUE, *_if_in(CALLEE, _unreachable(conditions, except_refusing=except_refusing), [DROP])]
+    for fault in conditions.faults.values():
+        if fault.spec.kind is FaultKind.CUT and fault.on_streams:
             # A handshake goes both ways.
-            for callers, called in ((one.sources, one.sinks), (one.sinks, one.sources)):
-                made += _within(CALLER, callers, _within(CALLED, called, [(END, 0, 0, DROP)]))
-    made.append((END, 0, 0, PASS))
-    return made if len(made) <= LONGEST else None
+            ways = ((fault.sources, fault.destinations), (fault.destinations, fault.sources))
+            for callers, callees in ways:
+                program += _if_in(CALLER, callers, _if_in(CALLEE, callees, [DROP]))
+    program.append(ACCEPT_ALL)
+    return program if len(program) <= MAX_INSTRUCTIONS else None
+
+
+def _unreachable(conditions: NetworkConditions, *, except_refusing: bool) -> list[int]:
+    """Numbers of the slots to which no connection can open."""
+    return [
+        number
+        for number in range(MIN_SLOT, MAX_SLOT + 1)
+        if (slot := conditions.slots.get(number)) is None
+        or slot.stream_address is None
+        or (except_refusing and slot.refuses)
+    ]
+
+
+def _if_in(scratch_word: int, numbers: Iterable[int], then: Program) -> Program:
+    """`then` where the scratch word is one of `numbers`."""
+    ranges = _ranges(numbers)
+    program = [Instruction(Opcode.LOAD_SCRATCH, scratch_word)]
+    for place, span in enumerate(ranges):
+        to_then = 3 * (len(ranges) - place - 1) + 1  # three instructions for each range that is left
+        program += [
+            Instruction(Opcode.JUMP_IF_AT_LEAST, span.start, if_false=2),
+            Instruction(Opcode.JUMP_IF_ABOVE, span.stop - 1, if_true=1),
+            Instruction(Opcode.JUMP, to_then),
+        ]
+    return [*program, Instruction(Opcode.JUMP, len(then)), *then]
 
 
-def _within(word, numbers, then):
-    """`then` where the scratch word is one of `numbers`; jumps far are of a kind of their own (JUMP)."""
-    spans = []
+def _ranges(numbers: Iterable[int]) -> list[range]:
+    """The same numbers as ranges, in their order."""
+    ranges: list[range] = []
     for number in sorted(numbers):
-        if spans and spans[-1][1] == number - 1:
-            spans[-1][1] = number
+        if ranges and ranges[-1].stop == number:
+            ranges[-1] = range(ranges[-1].start, number + 1)
         else:
-            spans.append([number, number])
-    made = [(LOAD_KEPT, 0, 0, word)]
-    for place, (low, high) in enumerate(spans):
-        made += [(FROM, 0, 2, low), (ABOVE, 1, 0, high), (JUMP, 0, 0, 3 * (len(spans) - place - 1) + 1)]
-    return [*made, (JUMP, 0, 0, len(then)), *then]
-
-
-def attach(sock, instructions):
-    """Errors: OSError where the kernel refuses them."""
-    words = b"".join(struct.pack("=HBBI", *one) for one in instructions)
-    kept = ctypes.create_string_buffer(words, len(words))
-    sock.setsockopt(socket.SOL_SOCKET, ATTACH, struct.pack("HP", len(instructions), ctypes.addressof(kept)))
+            ranges.append(range(number, number + 1))
+    return ranges
--- a/gaproute/cluster/operator_client.py
+++ b/gaproute/cluster/operator_client.py
@@ -1,38 +1,63 @@
-"""One question to a gateway's operators' address, as a promise of what came of it."""
+"""One request to a gateway's operators' address, as a promise of what came of it."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from enum import Enum, auto
+from typing import Any
 
 import msgspec
 
-from gaproute.http1 import Exchange
-from gaproute.loop import Promise
+from gaproute.http1 import Exchange, Response
+from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
+from gaproute.loop.timers import Timer
 
 MILLI = 1_000_000
-CONNECT, ANSWER = 200 * MILLI, 400 * MILLI  # a gateway that stands still answers nothing: then again
-HEAD, BODY = 1 << 14, 1 << 22  # bytes of an answer
-LOST, SILENT = "lost", "silent"  # its process has ended; nothing came in time
-
-
-def ask(loop, where, path, order=None):
-    """A promise of the answer as plain data, of `LOST` or of `SILENT`."""
-    promise, body = Promise(), b"" if order is None else msgspec.json.encode(order)
-    head = (
-        f"{'GET' if order is None else 'POST'} {path} HTTP/1.1\r\nHost: operator\r\n"
-        f"Content-Length: {len(body)}\r\n\r\n"
-    )
-
-    def came(answer, undelivered):
-        timer.cancel()
-        if answer is None:
-            promise.set(LOST)
-            return
-        exchange.connection.abort()
-        promise.set(msgspec.json.decode(answer.body))
+CONNECT_TIMEOUT, ANSWER_TIMEOUT = 200 * MILLI, 400 * MILLI  # a paused gateway answers nothing: then again
+MAX_HEAD, MAX_BODY = 1 << 14, 1 << 22  # bytes of an answer
+
+
+class NoAnswer(Enum):
+    """Why there is no answer."""
+
+    LOST = auto()  # the gateway's process has ended
+    SILENT = auto()  # nothing came in time
+
 
-    def late():
-        if not exchange.finished:
-            exchange.cancel()
-            promise.set(SILENT)
+def request_operator(
+    loop: Loop, operator_address: str, path: str, command: Mapping[str, Any] | None = None
+) -> Promise:
+    """A promise of the answer's JSON, or of `NoAnswer`. A command is sent by POST, else it is a GET."""
+    return _OperatorRequest(loop, operator_address, _encode(path, command)).promise
 
-    exchange = Exchange(loop, head.encode() + body, came)
-    timer = loop.after(ANSWER, late)
-    return exchange.connect(address(where), CONNECT, HEAD, BODY) and promise
+
+def _encode(path: str, command: Mapping[str, Any] | None) -> bytes:
+    body = b"" if command is None else msgspec.json.encode(command)
+    method = "GET" if command is None else "POST"
+    head = f"{method} {path} HTTP/1.1\r\nHost: operator\r\nContent-Length: {len(body)}\r\n\r\n"
+    return head.encode() + body
+
+
+class _OperatorRequest:
+    """One exchange with its timeout; `promise` is settled once."""
+
+    def __init__(self, loop: Loop, operator_address: str, request: bytes) -> None:
+        self.promise = Promise()
+        self._exchange = Exchange(loop, request, self._done)
+        self._timer: Timer = loop.after(ANSWER_TIMEOUT, self._time_up)
+        self._exchange.connect(address(operator_address), CONNECT_TIMEOUT, MAX_HEAD, MAX_BODY)
+
+    def _done(self, response: Response | None, failure: object) -> None:
+        self._timer.cancel()
+        if response is None:
+            self.promise.set(NoAnswer.LOST)
+            return
+        if self._exchange.connection is not None:
+            self._exchange.connection.abort()
+        self.promise.set(msgspec.json.decode(response.body))
+
+    def _time_up(self) -> None:
+        if not self._exchange.finished:
+            self._exchange.cancel()
+            self.promise.set(NoAnswer.SILENT)
--- a/gaproute/cluster/platform/__init__.py
+++ b/gaproute/cluster/platform/__init__.py
@@ -1,2 +1,1 @@
-"""Clusters of the platform's gateways, `gaproute.platform`, their hosts, change log and clients
-(`play.PlatformHarness`)."""
+"""Clusters of the platform's gateways, `gaproute.platform`, with their hosts, change log and clients."""
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -1,104 +1,124 @@
-"""The change log of a platform cluster: one process that tells each gateway the addresses by which it alone
-finds the hosts. Has the interface of `gaproute.cluster.host_lists.GatewayHostLists`; its faults are the log's
-own."""
+"""The change log of a platform cluster: one process that gives each gateway its own addresses of the hosts.
 
-from gaproute.cluster.host_lists import GATHER
+Its faults are the log's own.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Sequence
+from typing import Any
+
+from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.host_lists import GATHER_TIME, HostPublisher
+from gaproute.cluster.hosts import ClusterHosts
+from gaproute.cluster.link_faults import LinkFaultSchedule
+from gaproute.cluster.processes import ClusterProcesses
+from gaproute.cluster.script_lines import HostListFaultLine, LinkFaultLine
+from gaproute.scenarios.hosts import DayHost
+from gaproute.scenarios.processes import DayProcess
 from gaproute.standins.platform.host_list import VersionedHostList, member
 
+MILLI = 1_000_000
+
+Row = dict[str, Any]
 
-class PlatformChangeLog:
-    def __init__(self, harness):
-        self.harness, self.loop, self.table, self.hosts = harness, harness.loop, harness.table, harness.hosts
-        self.delay, self.asked, self.told = 0, False, {}
-        self.listing, self.process = VersionedHostList(), None
 
-    def furnish(self):
+class PlatformChangeLog(HostPublisher):
+    """Drives the log's process."""
+
+    def __init__(self, context: DayContext, hosts: ClusterHosts, processes: ClusterProcesses) -> None:
+        super().__init__(context, hosts)
+        self.processes = processes
+        self._publishing = False
+        self._published: dict[str, Row] = {}  # by host
+        self._list = VersionedHostList()
+        self.process: DayProcess
+
+    def start(self) -> Routine:
         """A coroutine: the log's process, which listens for each gateway apart."""
-        gateways = range(self.table.day.gateways)
-        self.process = self.harness.processes.start_stand_in(
-            "platform-log",
-            "log",
-            {"gateways": ["127.0.0.1:0"] * len(gateways), "tap": str(self.harness.out / "log.tap")},
-        )
-        self.table.ways = (yield self.harness.processes.first_line(self.process, "the change log"))[
-            "addresses"
-        ]
+        addresses = ["127.0.0.1:0"] * self.context.day.gateways
+        settings = {"gateways": addresses, "tap": str(self.context.out / "log.tap")}
+        self.process = self.processes.start_stand_in("platform-log", "log", settings)
+        started = yield self.processes.first_line(self.process, "the change log")
+        self.context.plan.change_log_addresses = started["addresses"]
 
-    def row(self, seat):
-        """As the log's event has it, with an address for each gateway; None before it was ever up."""
-        if seat.process is None:
-            return None
-        where = [self.table.host(number, seat) for number in range(self.table.day.gateways)]
-        state = "gone" if seat.state == "absent" else seat.state
-        return member(
-            seat.name,
-            where,
-            state,
-            seat.zone,
-            seat.number % self.table.day.racks,
-            seat.kind.cores * seat.kind.speed,
-            seat.started // 1_000_000 if seat.started else 0,
-        )
+    def close_input(self) -> None:
+        """The end of its input, which ends it."""
+        self.process.close_input()
 
-    def known(self, number):
-        """What a gateway that starts now is told in its file."""
-        told = self.listing.snapshot()
-        for whole in told["results"]:
-            whole["fleet"]["members"] = [
-                row | {"host_port": row["host_port"][number]} for row in whole["fleet"]["members"]
+    def known_to(self, number: int) -> dict[str, Any]:
+        """What stands in the file of a gateway that starts now."""
+        snapshot: dict[str, Any] = self._list.snapshot()
+        for event in snapshot["results"]:
+            event["fleet"]["members"] = [
+                row | {"host_port": row["host_port"][number]} for row in event["fleet"]["members"]
             ]
-        return told
-
-    def first(self):
-        self.write()
-
-    def publish(self):
-        if not self.asked:
-            self.asked = True
-            self.loop.after(GATHER, self.write)
-
-    def write(self):
-        """What has changed since, as one event."""
-        self.asked = False
-        fresh = []
-        for seat in self.hosts.by_name.values():
-            row = self.row(seat)
-            before = self.told.get(seat.name)
-            if row is not None and row != before and (before is not None or row["phase"] != "Gone"):
-                self.told[seat.name] = row
-                fresh.append(row)
-        if fresh:
-            self.process.send(self.listing.change(*fresh))
-
-    def publish_state(self, seat, state, delay):
-        """A coroutine: the log tells of the seat after the delay, later still while the list is late."""
-        yield self.loop.sleep(delay + self.delay)
-        seat.state = state
-        self.publish()
-
-    def cut(self, line):
-        """A coroutine: beside a `fault` that keeps back what the log tells gateways, the log is told whom.
-        Both draw the same ends, by the line's own chance."""
-        random, names = self.harness.chance(line), []
+        return snapshot
+
+    def publish(self) -> None:
+        """What has changed is an event of the log, soon."""
+        if not self._publishing:
+            self._publishing = True
+            self.loop.after(GATHER_TIME, self.publish_all_now)
+
+    def publish_all_now(self) -> None:
+        """What has changed since the last event, as one event."""
+        self._publishing = False
+        changed = list(self._changed_rows())
+        if changed:
+            self._published |= {row["id"]: row for row in changed}
+            self.process.send(self._list.change(*changed))
+
+    def run_link_fault(self, line: LinkFaultLine, schedule: LinkFaultSchedule) -> Routine:
+        """A coroutine: beside a fault that delays what the log sends gateways, the log learns which.
+
+        Both draw the same ends, by the line's own chance.
+        """
+        chance = self.context.line_random(line)
         yield self.loop.sleep(line.at)
-        ends = [
-            set(self.harness.wires.ends(self.harness, text, random)[1]) for text in (line.source, line.to)
+        source, destination = (set(end.names) for end in schedule.resolve_ends(line, chance))
+        numbers = [
+            number
+            for number in range(self.context.day.gateways)
+            if (f"g{number}" in source and f"l{number}" in destination)
+            or (f"g{number}" in destination and f"l{number}" in source)
         ]
-        for number in range(self.table.day.gateways):
-            ours, theirs = f"g{number}", f"l{number}"
-            if any(ours in one and theirs in other for one, other in (ends, ends[::-1])):
-                names.append(number)
-        if not names or line.what == "datagrams":
+        if not numbers or line.what == "datagrams":
             return
-        self.process.send({"trouble": "elsewhere", "gateways": names})
+        self.process.send({"trouble": "elsewhere", "gateways": numbers})
         yield self.loop.sleep(line.lasts)
-        self.process.send({"trouble": "elsewhere", "gateways": names, "on": False})
+        self.process.send({"trouble": "elsewhere", "gateways": numbers, "on": False})
 
-    def strike(self, line, numbers):
-        """A coroutine: a `list` line; deaf gateways' ways are silent, which counts as told after 4 s."""
+    def run_fault(self, line: HostListFaultLine, gateways: Sequence[int]) -> Routine:
+        """A coroutine: a `list` line. Deaf gateways' connections are silent; that counts as notified after
+        4 s."""
         yield self.loop.sleep(line.at)
-        told = {"trouble": "late", "by": line.back} if line.kind == "late" else {"trouble": "silent"}
-        self.process.send(told | {"gateways": numbers})
-        self.harness.tap.note("list", kind=line.kind, gateways=numbers, lasts=line.lasts)
+        fault: dict[str, Any] = {"trouble": "silent"}
+        if line.kind == "late":
+            fault = {"trouble": "late", "by": line.back}
+        self.process.send(fault | {"gateways": gateways})
+        self.context.tap.note("list", kind=line.kind, gateways=gateways, lasts=line.lasts)
         yield self.loop.sleep(line.lasts)
-        self.process.send(told | {"gateways": numbers, "on": False})
+        self.process.send(fault | {"gateways": gateways, "on": False})
+
+    def _changed_rows(self) -> Iterator[Row]:
+        for host in self.hosts.by_name.values():
+            if host.process is None:
+                continue  # it was never up
+            row, before = self._row(host), self._published.get(host.name)
+            if row != before and (before is not None or row["phase"] != "Gone"):
+                yield row
+
+    def _row(self, host: DayHost) -> Row:
+        """As an event has it, with an address for each gateway."""
+        addresses = [self.context.plan.host(number, host) for number in range(self.context.day.gateways)]
+        row: Row = member(
+            host.name,
+            addresses,
+            "gone" if host.state == "absent" else host.state,
+            host.zone,
+            host.number % self.context.day.racks,
+            host.kind.cores * host.kind.speed,
+            host.started // MILLI if host.started else 0,
+        )
+        return row
--- a/gaproute/cluster/platform/clients.py
+++ b/gaproute/cluster/platform/clients.py
@@ -1,36 +1,43 @@
-"""The platform's clients of a harness: several processes that share one load."""
+"""The platform's clients: several processes that share one load."""
+
+from __future__ import annotations
+
+from typing import Any, ClassVar
 
 from gaproute.cluster.clients import ClusterClients
+from gaproute.loop import Promise
 from gaproute.standins.tap import read_tap
 
-KNOWN_OF_KINDS = ("name", "share", "limit", "pure")
+CLASS_KEYS = ("name", "share", "limit", "pure")  # of a request class, as these clients know it
 
 
 class PlatformClients(ClusterClients):
-    """The clients of the platform's gateways."""
+    """The clients of the platform's gateways. `first_requests`: promises that each has sent its first one."""
+
+    KIND: ClassVar[str] = "platform-clients"
 
-    KIND = "platform-clients"
+    def start(self) -> None:
+        """Starts all of them; they say when their first request comes."""
+        super().start()
+        self.first_requests: list[Promise] = [
+            self.trial.processes.first_line(process, "clients") for process in self.processes
+        ]
 
-    def request_classes(self):
-        """As the platform's clients know them."""
-        return [{name: kind[name] for name in KNOWN_OF_KINDS} for kind in super().request_classes()]
+    def request_classes(self) -> list[dict[str, Any]]:
+        """The request classes of the load, without models."""
+        return [{key: known[key] for key in CLASS_KEYS} for known in super().request_classes()]
 
-    def told_to(self, place, count):
-        """As of other clients, and the models, of which all kinds draw."""
-        return super().told_to(place, count) | {"models": self.trial.models}
+    def process_settings(self, place: int, count: int) -> dict[str, Any]:
+        """As of other clients, and the models, of which all classes draw."""
+        return super().process_settings(place, count) | {"models": self.trial.models}
 
-    def own_habits(self, place):
+    def own_habits(self, place: int) -> dict[str, Any]:
         """None."""
         return {}
 
-    def start(self):
-        super().start()
-        # they say when their first task comes
-        self.begun = [self.trial.processes.first_line(process, "clients") for process in self.processes]
-
-    def events(self):
-        """As of a harness's other clients: who is done says how late it has run since its first task."""
-        found = []
+    def events(self) -> list[dict[str, Any]]:
+        """As of other clients: who is done says how late it has run since its first request."""
+        found: list[dict[str, Any]] = []
         for path in sorted(self.trial.out.glob("clients-*.tap")):
             events = read_tap(path)
             begun = next((event["at"] for event in events if event["what"] == "begun"), 0)
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -1,10 +1,17 @@
-"""The platform's gateways of a harness: `gaproute.platform`, each with a file and environment of its own."""
+"""The platform's gateways: `gaproute.platform`, each with a file and environment of its own."""
+
+from __future__ import annotations
 
 import json
+import signal
+from pathlib import Path
+from typing import Any
 
-from gaproute.cluster.gateways import ClusterGateways
-from gaproute.cluster.processes import NEXT, hurry
-from gaproute.scenarios.processes import MILLI, READY_TIME, NotReadyError
+from gaproute.cluster.context import Routine
+from gaproute.cluster.gateways import ClusterGateways, GatewayParts
+from gaproute.cluster.platform.change_log import PlatformChangeLog
+from gaproute.scenarios.processes import READY_TIME, DayProcess, NotReadyError
+from gaproute.scenarios.trial import Trial
 from gaproute.standins.platform.gateway_configuration import (
     RequestClassSettings,
     deployment_settings,
@@ -12,19 +19,113 @@
     write_configuration,
 )
 
+MILLI = 1_000_000
+MODULE = "gaproute.platform"
+READY_POLL_INTERVAL = 20 * MILLI
+
 
 class PlatformGateways(ClusterGateways):
-    def rules(self):
-        script = self.trial.script
-        copies, life, day = script.copies, script.life, script.day
-        tracks = [
+    """All gateways of one play.
+
+    `peer_broadcast`: the process that sends on what is for all peers, and its address, once it is up.
+    """
+
+    def __init__(self, trial: Trial, parts: GatewayParts, change_log: PlatformChangeLog) -> None:
+        super().__init__(trial, parts)
+        self.change_log = change_log
+        self.peer_broadcast: DayProcess | None = None
+        self.peer_broadcast_address = ""
+
+    def start_peer_broadcast(self) -> Routine:
+        """A coroutine: the process that sends on to each other gateway by the address of their link."""
+        plan, gateways = self.plan, range(self.context.day.gateways)
+        routes = {
+            plan.gateway(number).peers: [plan.peer(number, other) for other in gateways if other != number]
+            for number in gateways
+        }
+        settings = {
+            "listen": plan.peer_broadcast(),
+            "tap": str(self.out / "spread.tap"),
+            "ways": routes,
+        }
+        processes = self.trial.processes
+        self.peer_broadcast = processes.start_stand_in("platform-spread", "spread", settings)
+        started = yield processes.first_line(self.peer_broadcast, "the spreader")
+        self.peer_broadcast_address = started["address"]
+
+    def start(self, number: int) -> Routine:
+        """A coroutine: until it says that it has started."""
+        name = f"g{number}"
+        _, environment = write_configuration(self.out, self._file(number))
+        log = self.out / f"{name}.log"
+        before = log.stat().st_size if log.exists() else 0
+        process = self.trial.processes.start(
+            [MODULE],
+            None,
+            log.name,
+            reads_output=False,
+            environment=environment,
+            **self.process_options(number),
+        )
+        self.processes[number] = process
+        yield from self._wait_until_started(name, process, log, before)
+        self.raise_priority_if_crowded(number)
+        self.tap.note("started", gateway=number, name=name)
+        self.tap.flush()
+
+    def restart(self, number: int, ending: signal.Signals, back: int) -> Routine:
+        """As of other gateways; clients learn of one that is asked to end."""
+        if ending is signal.SIGTERM and number not in self.under_fault:
+            self.trial.clients.send({"do": "leaving", "gateway": number})
+        yield from super().restart(number, ending, back)
+
+    def terminate(self, span: int) -> Routine:
+        """A coroutine: all are asked to end, then the processes beside them."""
+        yield from super().terminate(span)
+        self.change_log.close_input()
+        if self.peer_broadcast is not None:
+            self.peer_broadcast.close_input()
+
+    def _wait_until_started(self, name: str, process: DayProcess, log: Path, before: int) -> Routine:
+        """A coroutine: until the log, from byte `before` on, says so.
+
+        Errors: RuntimeError where it has ended, `NotReadyError` where it takes too long.
+        """
+        end = self.loop.now() + READY_TIME
+        while not _has_started(log.read_bytes()[before:]):
+            if process.child.poll() is not None:
+                raise RuntimeError(f"{name} did not start; see {log}")
+            if self.loop.now() > end:
+                raise NotReadyError(f"{name} was not up in time; see {log}")
+            yield self.loop.sleep(READY_POLL_INTERVAL)
+
+    def _file(self, number: int) -> Any:
+        """What stands in the file of a gateway."""
+        addresses = self.plan.gateway(number)
+        return make_configuration(
+            f"g{number}",
+            addresses.clients,
+            self.plan.change_log(number),
+            self.change_log.known_to(number),
+            self._deployment(),
+            self.trial.seed * 1000 + number,
+            peer_listen=addresses.peers if self.context.day.peers else "",
+            peers_all=self.peer_broadcast_address,
+        )
+
+    def _deployment(self) -> Any:
+        """The settings object, made of the script's lines."""
+        script, day = self.context.script, self.context.day
+        copies: Any = script.copies
+        life = script.life
+        request_classes = [
             RequestClassSettings(
                 line.name, line.effect, line.group, line.contract, line.limit, line.earnings, line.remembers
             )
             for line in script.tracks
         ]
         return deployment_settings(
-            tracks,
+            request_classes,
             gateways=day.gateways,
             zones=[f"hall-{hall}" for hall in range(day.halls)],
             keep=life.keep,
@@ -39,54 +140,7 @@
             },
         )
 
-    def start(self, number):
-        """A coroutine: until it says that it has started."""
-        trial, name = self.trial, f"g{number}"
-        listen, peers = self.table.gateway(number)
-        told = make_configuration(
-            name,
-            listen,
-            self.table.changelog(number),
-            trial.host_list.known(number),
-            self.rules(),
-            trial.seed * 1000 + number,
-            peer_listen=peers if trial.script.day.peers else "",
-            peers_all=trial.spread_at,
-        )
-        _, environment = write_configuration(self.out, told)
-        log = self.out / f"{name}.log"
-        before = log.stat().st_size if log.exists() else 0
-        process = trial.processes.start(
-            ["gaproute.platform"],
-            None,
-            log.name,
-            reads_output=False,
-            environment=environment,
-            **self.process_options(number),
-        )
-        self.processes[number] = process
-        end = self.loop.now() + READY_TIME
-        while not self.has_started(log.read_bytes()[before:]):
-            if process.child.poll() is not None:
-                raise RuntimeError(f"{name} did not start; see {log}")
-            if self.loop.now() > end:
-                raise NotReadyError(f"{name} was not up in time; see {log}")
-            yield self.loop.sleep(20 * MILLI)
-        if trial.script.cluster.crowded and trial.processes.first:
-            hurry(process.child.pid, NEXT)
-        self.tap.note("started", gateway=number, name=name)
-        self.tap.flush()
-
-    def has_started(self, text):
-        lines = [json.loads(line) for line in text.split(b"\n")[:-1] if line.startswith(b"{")]
-        return any(line.get("event") == "started" for line in lines)
 
-    def restart(self, number, kind, back):
-        if kind == "TERM" and number not in self.busy:
-            self.trial.clients.send({"do": "leaving", "gateway": number})
-        yield from super().restart(number, kind, back)
-
-    def terminate(self, span):
-        yield from super().terminate(span)
-        self.trial.host_list.process.close_input()
-        self.trial.spread.close_input()
+def _has_started(text: bytes) -> bool:
+    lines = [json.loads(line) for line in text.split(b"\n")[:-1] if line.startswith(b"{")]
+    return any(line.get("event") == "started" for line in lines)
