--- a/gaproute/cluster/platform/harness.py
+++ b/gaproute/cluster/platform/harness.py
@@ -1,79 +1,75 @@
-"""Plays a cluster script with the platform's gateways (`cluster kind platform`): same faults, strikes and
-rules."""
+"""Plays a cluster script with the platform's gateways (`cluster kind platform`): same faults and rules."""
 
-import random
+from __future__ import annotations
 
+from gaproute.cluster.context import Routine
+from gaproute.cluster.gateways import GatewayParts
 from gaproute.cluster.harness import ClusterHarness
+from gaproute.cluster.links.faults import BLOCKING_KINDS
 from gaproute.cluster.platform.change_log import PlatformChangeLog
 from gaproute.cluster.platform.clients import PlatformClients
 from gaproute.cluster.platform.gateways import PlatformGateways
 from gaproute.cluster.platform.hosts import PlatformHosts
-from gaproute.cluster.process_faults import ProcessFaults
-from gaproute.standins.tap import read_tap
+from gaproute.cluster.script import ClusterScript
 
 
 class PlatformHarness(ClusterHarness):
-    def create_parts(self):
-        super().create_parts()
+    """One play with the platform's gateways, their hosts, change log and clients."""
+
+    hosts: PlatformHosts
+    host_list: PlatformChangeLog
+    gateways: PlatformGateways
+    clients: PlatformClients
+
+    def create_actors(self) -> None:
+        """Hosts, change log, gateways and clients."""
         for number, model in enumerate(self.models, 1):
             model["name"] = f"{number:016x}"  # as the platform names functions
-        self.table.whose = True  # orders bear their gateway's name, for rule 5
-        self.hosts = PlatformHosts(self, random.Random(self.seed))
-        self.host_list = PlatformChangeLog(self)
-        self.gateways, self.clients = PlatformGateways(self), PlatformClients(self)
-        self.strikes = ProcessFaults(self)
-        self.spread, self.spread_at = None, ""
+        self.plan.announce_callers = True  # orders bear their gateway's name, for rule 5
+        self.hosts = PlatformHosts(
+            self.context, self.processes, self.models, starts=self.starts, emulators=self.links
+        )
+        self.host_list = PlatformChangeLog(self.context, self.hosts, self.processes)
+        parts = GatewayParts(self.context, self.record, self.starts)
+        self.gateways = PlatformGateways(self, parts, self.host_list)
+        self.clients = PlatformClients(self)
 
-    def start_store(self):
+    def start_store(self) -> Routine:
+        """A coroutine: the store, and the processes that hosts and gateways need."""
         yield from super().start_store()
-        yield from self.hosts.furnish()
-        yield from self.host_list.furnish()
-        gateways, table = range(self.script.day.gateways), self.table
-        self.spread = self.processes.start_stand_in(
-            "platform-spread",
-            "spread",
-            {
-                "listen": table.everybody(),
-                "tap": str(self.out / "spread.tap"),
-                "ways": {
-                    table.gateway(number)[1]: [
-                        table.peer(number, other) for other in gateways if other != number
-                    ]
-                    for number in gateways
-                },
-            },
-        )
-        self.spread_at = (yield self.processes.first_line(self.spread, "the spreader"))["address"]
+        yield from self.hosts.start_processes()
+        yield from self.host_list.start()
+        yield from self.gateways.start_peer_broadcast()
 
-    def day_routines(self):
-        """Clients wait until all gateways answer them; the script's times count from their first task."""
-        cuts = [
-            self.host_list.cut(line)
-            for line in self.script.faults
-            if self.wires.wires and line.kind in ("cut", "hold")
+    def day_routines(self) -> list[Routine]:
+        """Clients wait until all gateways answer them; the script's times count from their first request."""
+        link_faults = [
+            self.host_list.run_link_fault(line, self.link_faults)
+            for line in self.script.link_faults
+            if self.links.running and line.kind in BLOCKING_KINDS
         ]
-        return [self.once_in(routine) for routine in [*super().day_routines(), *cuts]]
+        return [self._after_first_requests(routine) for routine in [*super().day_routines(), *link_faults]]
 
-    def once_in(self, routine):
+    def _after_first_requests(self, routine: Routine) -> Routine:
         # Not `yield from`: the loop sends what each promise came to, which an iterator of a list cannot take.
-        for begun in self.clients.begun:  # noqa: UP028
-            yield begun
+        for first_request in self.clients.first_requests:  # noqa: UP028
+            yield first_request
         yield from routine
 
-    def hosts_seen(self):
-        """What the hosts and their processes noted during the day."""
-        return super().hosts_seen() + [
-            [event for event in read_tap(path) if self.begun < event["at"] < self.ended]
-            for path in self.out.glob("hosts-*.tap")
-        ]
+    def host_latenesses(self) -> list[int]:
+        """How late the hosts and their processes ran during the day, as they noted it, ns."""
+        return [*super().host_latenesses(), *self._latenesses_in("hosts-*.tap")]
 
-    def shut_down(self):
+    def shut_down(self) -> Routine:
+        """A coroutine: all end. What the change log sent whom is judged with the rest."""
         yield from super().shut_down()
         self.tap.flush()
-        told = self.out / "log.tap"  # what was told to whom is judged with the rest
-        self.tap.file.write(told.read_bytes() if told.exists() else b"")
+        log_tap = self.out / "log.tap"
+        if self.tap.file is not None and log_tap.exists():
+            self.tap.file.write(log_tap.read_bytes())
 
 
-def player(script):
-    """The class that plays this cluster's script."""
-    return PlatformHarness if script.cluster.kind == "platform" else ClusterHarness
+def harness_class(script: ClusterScript) -> type[ClusterHarness]:
+    """What plays a cluster's script."""
+    is_platform = script.cluster is not None and script.cluster.kind == "platform"
+    return PlatformHarness if is_platform else ClusterHarness
--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -1,79 +1,95 @@
-"""Hosts of a platform harness: several in one process, each struck and restarted as if it had its own."""
+"""Hosts of the platform: several in one process, each killed and restarted as if it had its own."""
+
+from __future__ import annotations
 
 import signal
 import time
+from typing import Any
 
+from gaproute.cluster.context import Routine
 from gaproute.cluster.hosts import ClusterHosts
-from gaproute.cluster.processes import StartLimiter
+from gaproute.cluster.start_limiter import StartLimiter
+from gaproute.scenarios.hosts import DayHost
+from gaproute.scenarios.processes import DayProcess
 
-PER_PROCESS = 40  # hosts in one process: 60 took 0.09 of a core at 500 tasks a second
+HOSTS_PER_PROCESS = 40  # 60 took 0.09 of a core at 500 requests a second
 
 
 class SharedProcessHost:
-    """A host with the face of a process of its own. SIGSTOP becomes `vanish`: others stand there too."""
+    """A host with the interface of a process of its own. SIGSTOP becomes `vanish`: others stand there too."""
 
-    def __init__(self, process, name):
+    def __init__(self, process: DayProcess, name: str) -> None:
         self.process, self.name, self.child = process, name, process.child
 
-    def send(self, told):
-        if not self.child.stdin.closed:  # the first of them that ends it ends all
-            self.process.send(told | {"host": self.name})
+    def send(self, command: dict[str, Any]) -> None:
+        """A command to this host alone; lost where its process has ended."""
+        stdin = self.child.stdin
+        if stdin is not None and not stdin.closed:  # the first of them that ends it ends all
+            self.process.send(command | {"host": self.name})
 
-    def signal(self, number):
+    def signal(self, number: signal.Signals) -> None:
+        """What the signal would do to a process of its own."""
         if number == signal.SIGKILL:
             self.send({"do": "crash"})
         elif number in (signal.SIGSTOP, signal.SIGCONT):
             self.send({"trouble": "vanish", "on": number == signal.SIGSTOP})
 
-    def close_input(self):
+    def close_input(self) -> None:
+        """The end of the process's input: all its hosts end."""
         self.process.close_input()
 
 
+class HostProcess:
+    """A process of several hosts; `turns`: one answer is awaited at a time."""
+
+    def __init__(self, process: DayProcess, turns: StartLimiter) -> None:
+        self.process, self.turns = process, turns
+
+
 class PlatformHosts(ClusterHosts):
-    def __init__(self, harness, random):
-        super().__init__(harness, random)
-        self.many, self.gates = [], []  # processes; one answer is awaited at a time of each
-        self.down = set()  # names: a crash is told to those alone that are up
-
-    def furnish(self):
-        """Before the first host starts."""
-        for place in range(-(-self.script.day.hosts // PER_PROCESS)):
-            self.many.append(
-                self.processes.start_stand_in(
-                    "platform-host",
-                    f"hosts-{place}",
-                    {
-                        "hosts": [],
-                        "models": self.models,
-                        "taps": str(self.processes.out),
-                        "store": self.store_address,
-                        "seed": self.seed,
-                        "tap": str(self.processes.out / f"hosts-{place}.tap"),
-                    },
-                )
-            )
-            self.gates.append(StartLimiter(self.harness.loop, 1))
-        for process in self.many:
-            yield self.processes.first_line(process, "the hosts' process")
-
-    def start(self, seat, warm):
-        """A coroutine: the host's next life, at the address it had."""
-        place = seat.number % len(self.many)
-        yield from self.gates[place].through(self.one(seat, self.many[place], warm))
-        self.down.discard(seat.name)
-        self.tell(seat, False)
-
-    def one(self, seat, process, warm):
-        make = seat.profile(self.script.life)
-        seat.run_count += 1
-        process.send(
-            {"host": seat.name, "do": "start", "seat": {"listen": seat.address, "make": make, "warm": warm}}
-        )
-        seat.address = (yield self.processes.first_line(process, seat.name))["address"]
-        seat.process = SharedProcessHost(process, seat.name)
-        seat.started = None if warm else time.time_ns()
-
-    def kill(self, seat):
-        if seat.name not in self.down:
-            self.down.add(seat.name)
-            super().kill(seat)
+    """All hosts of one play."""
+
+    def start_processes(self) -> Routine:
+        """A coroutine: the processes that the hosts stand in, before the first host starts."""
+        self._shared = [
+            HostProcess(self._start_process(place), StartLimiter(self.context.loop, 1))
+            for place in range(-(-self.context.day.hosts // HOSTS_PER_PROCESS))
+        ]
+        self._down: set[str] = set()  # names: a crash is a command to those alone that are up
+        for shared in self._shared:
+            yield self.processes.first_line(shared.process, "the hosts' process")
+
+    def start(self, host: DayHost, warm: bool) -> Routine:
+        """A coroutine: the host's next incarnation, at the address that it had."""
+        shared = self._shared[host.number % len(self._shared)]
+        yield from shared.turns.run(self._start_host(host, shared.process, warm=warm))
+        self._down.discard(host.name)
+        self.place(host)
+
+    def kill(self, host: DayHost) -> None:
+        """As if its process had got SIGKILL."""
+        if host.name not in self._down:
+            self._down.add(host.name)
+            super().kill(host)
+
+    def _start_process(self, place: int) -> DayProcess:
+        out = self.context.out
+        settings = {
+            "hosts": [],
+            "models": self.models,
+            "taps": str(out),
+            "store": self.store_address,
+            "seed": self.seed,
+            "tap": str(out / f"hosts-{place}.tap"),
+        }
+        process: DayProcess = self.processes.start_stand_in("platform-host", f"hosts-{place}", settings)
+        return process
+
+    def _start_host(self, host: DayHost, process: DayProcess, *, warm: bool) -> Routine:
+        profile = host.profile(self.script.life)
+        host.run_count += 1
+        slot = {"listen": host.address, "make": profile, "warm": warm}
+        process.send({"host": host.name, "do": "start", "seat": slot})
+        host.address = (yield self.processes.first_line(process, host.name))["address"]
+        host.process = SharedProcessHost(process, host.name)
+        host.started = None if warm else time.time_ns()
--- a/gaproute/cluster/platform/script_checks.py
+++ b/gaproute/cluster/platform/script_checks.py
@@ -1,32 +1,43 @@
-"""What a cluster script cannot have because of the gateways' kind."""
+"""What a cluster script cannot have because of the kind of its gateways."""
 
-from gaproute.cluster import slot_sets
+from __future__ import annotations
 
-SETS = {"fault": ("source", "to"), "strike": ("on",), "list": ("on",)}
+from collections.abc import Iterator
+from typing import Any
 
+from gaproute.cluster import slot_sets
+from gaproute.cluster.links.faults import BLOCKING_KINDS
+from gaproute.cluster.script_lines import SET_FIELDS, LinkFaultLine
+from gaproute.cluster.slot_sets import SlotSetError
+from gaproute.config.parsing import Directive
 
-def named(word, line):
-    """The words of its sets; those that cannot be read are told elsewhere."""
-    for field in SETS.get(word, ()):
-        try:
-            yield from (part.what for part in slot_sets.parse(getattr(line, field)))
-        except ValueError:
-            pass
+LISTS = "lists"  # the set of the change log's slots
 
 
-def wrong(kind, word, line):
-    """As text. `kind`: of the `cluster` line."""
-    words = list(named(word, line))
+def find_platform_mistakes(kind: str, keyword: str, line: Directive) -> Iterator[str]:
+    """What is wrong with a line, as text. `kind`: of the `cluster` line."""
+    names = list(_names_in_sets(keyword, line))
     if kind != "platform":
-        if "lists" in words:
+        if LISTS in names:
             yield "lists are of cluster kind platform; others read a file"
         return
-    if word == "crews":
+    if keyword == "crews":
         yield "permits are off on the platform's sockets"
-    if word in ("strike", "list") and "lists" in words:
-        yield f"{word} strikes gateways alone"
-    if word == "fault" and line.kind not in ("cut", "hold") and any(what in ("lists", "*") for what in words):
+    if keyword in ("strike", "list") and LISTS in names:
+        yield f"{keyword} strikes gateways alone"
+    if isinstance(line, LinkFaultLine) and line.kind not in BLOCKING_KINDS and {LISTS, "*"} & set(names):
         yield (
             f"a {line.kind} on the change log's way: the judge could not tell when its news was told; "
             "name gateways and hosts"
         )
+
+
+def _names_in_sets(keyword: str, line: Directive) -> Iterator[str]:
+    """The names in a line's sets. Those that cannot be read are another check's mistakes."""
+    for field in SET_FIELDS.get(keyword, ()):
+        text: Any = getattr(line, field)
+        try:
+            terms = slot_sets.parse_set(text)
+        except SlotSetError:
+            continue
+        yield from (term.name for term in terms)
--- a/gaproute/cluster/process_faults.py
+++ b/gaproute/cluster/process_faults.py
@@ -1,81 +1,109 @@
-"""Faults of whole processes: killed, stopped, restarted by shares, with a wrong clock, starved of CPU."""
+"""Faults of gateways' processes: killed, paused, restarted by shares, with a wrong clock, starved of CPU."""
+
+from __future__ import annotations
 
 import os
+import signal
+import subprocess
+from collections.abc import Callable, Iterable, Sequence
 
 from gaproute.cluster import slot_sets
-from gaproute.scenarios.processes import SECOND
+from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.gateways import ClusterGateways
+from gaproute.cluster.processes import ClockSkew, ClusterProcesses
+from gaproute.cluster.script_lines import HostListFaultLine, ProcessFaultLine
+from gaproute.cluster.slot_sets import NamedSlot
+
+SECOND = 1_000_000_000
+BUSY_MODULE = "gaproute.cluster.spin"
 
 
 class ProcessFaults:
-    def __init__(self, harness):
-        self.harness, self.loop, self.gateways = harness, harness.loop, harness.gateways
+    """Carries out the `strike` lines of a script. `slots()`: the process slots that there are now.
+
+    `run_together(routines)` is a coroutine that runs all of them at the same time.
+    """
 
-    def numbers(self, line):
+    def __init__(
+        self,
+        context: DayContext,
+        gateways: ClusterGateways,
+        processes: ClusterProcesses,
+        *,
+        slots: Callable[[], Sequence[NamedSlot]],
+        run_together: Callable[[list[Routine]], Routine],
+    ) -> None:
+        self.context, self.loop = context, context.loop
+        self.gateways, self.processes = gateways, processes
+        self.slots, self.run_together = slots, run_together
+
+    def numbers_of(self, line: ProcessFaultLine | HostListFaultLine) -> list[int]:
         """The gateways that a line is about, drawn by its own chance: the same whatever else happens."""
-        names = slot_sets.names(
-            slot_sets.parse(line.on),
-            self.harness.table.all(self.harness.hosts.by_name.values()),
-            self.harness.chance(line),
-        )
+        terms = slot_sets.parse_set(line.on)
+        names = slot_sets.select_names(terms, self.slots(), self.context.line_random(line))
         return [int(name[1:]) for name in names if name.startswith("g")]
 
-    def clocks(self):
-        """Before the gateways start."""
-        for line in self.harness.script.strikes:
+    def set_clocks(self) -> None:
+        """Notes which gateways have a wrong clock, before they start."""
+        for line in self.context.script.process_faults:
             if line.kind == "clock":
-                numbers = self.numbers(line)
-                self.gateways.clocks |= dict.fromkeys(numbers, (line.rate, line.offset))
-                self.harness.tap.note(
+                numbers = self.numbers_of(line)
+                self.gateways.clocks |= dict.fromkeys(numbers, ClockSkew(line.rate, line.offset))
+                self.context.tap.note(
                     "strike", kind="clock", gateways=numbers, rate=line.rate, ahead=line.offset
                 )
 
-    def strike(self, line):
-        """A coroutine: one `strike` line from its time to its end."""
+    def run(self, line: ProcessFaultLine) -> Routine:
+        """A coroutine: one line from its time to its end."""
         yield self.loop.sleep(line.at)
-        numbers = self.numbers(line)
-        self.harness.report(f"{line.at / SECOND:5.1f} s  {line.kind} {len(numbers)} gateways")
-        self.harness.tap.note("strike", kind=line.kind, gateways=numbers, lasts=line.lasts)
+        numbers = self.numbers_of(line)
+        self.context.report(f"{line.at / SECOND:5.1f} s  {line.kind} {len(numbers)} gateways")
+        self.context.tap.note("strike", kind=line.kind, gateways=numbers, lasts=line.lasts)
         if line.kind == "stop":
-            yield from self.harness.run_together(
-                [self.gateways.pause(number, line.lasts) for number in numbers]
-            )
+            yield from self.run_together([self.gateways.pause(number, line.lasts) for number in numbers])
         elif line.kind == "starve" and line.core:
-            yield from self.crowd(numbers, line.lasts)
+            yield from self._crowd(numbers, line.lasts)
         elif line.kind == "starve":
             until = self.loop.now() + line.lasts
-            yield from self.harness.run_together(
+            yield from self.run_together(
                 [self.gateways.starve(number, until, line.duty) for number in numbers]
             )
         else:
-            kind = "KILL" if line.kind == "kill" else line.signal
-            batch = line.batch or len(numbers)
-            for place in range(0, len(numbers), batch):
-                yield from self.harness.run_together(
-                    [
-                        self.gateways.restart(number, kind, line.back)
-                        for number in numbers[place : place + batch]
-                    ]
-                )
+            yield from self._restart(line, numbers)
+
+    def _restart(self, line: ProcessFaultLine, numbers: Sequence[int]) -> Routine:
+        """A coroutine: ended and started again, so many at a time."""
+        killed = line.kind == "kill" or line.signal == "KILL"
+        ending = signal.SIGKILL if killed else signal.SIGTERM
+        batch = line.batch or len(numbers)
+        for place in range(0, len(numbers), batch):
+            yield from self.run_together(
+                [
+                    self.gateways.restart(number, ending, line.back)
+                    for number in numbers[place : place + batch]
+                ]
+            )
+
+    def _crowd(self, numbers: Iterable[int], span: int) -> Routine:
+        """A coroutine: all of them on the last core, beside a process that never rests.
 
-    def crowd(self, numbers, span):
-        """A coroutine: all of them on the last core, beside a process that never rests. Judged as if they
-        stood still: they do, again and again."""
+        Judged as if they were paused: they are, again and again.
+        """
         cores = sorted(os.sched_getaffinity(0))
-        spinner = self.harness.processes.start(
-            ["gaproute.cluster.spin"], None, "spin.err", reads_output=False
-        )
-        struck = [(number, self.gateways.processes[number].child) for number in numbers]
-        for number, _ in struck:
-            self.harness.tap.note("stopped", gateway=number)
-        for child in [spinner.child, *(child for _, child in struck)]:
+        busy = self.processes.start([BUSY_MODULE], None, "spin.err", reads_output=False)
+        crowded = {number: self.gateways.processes[number].child for number in numbers}
+        for number in crowded:
+            self.context.tap.note("stopped", gateway=number)
+        for child in [busy.child, *crowded.values()]:
             pin(child, cores[-1:])
         yield self.loop.sleep(span)
-        spinner.child.kill()
-        for number, child in struck:
+        busy.child.kill()
+        for number, child in crowded.items():
             pin(child, cores)
-            self.harness.tap.note("continued", gateway=number)
+            self.context.tap.note("continued", gateway=number)
 
 
-def pin(child, cores):
+def pin(child: subprocess.Popen[bytes], cores: Sequence[int]) -> None:
+    """From now on the process runs on these cores alone; without effect where it has ended."""
     if child.poll() is None:
         os.sched_setaffinity(child.pid, cores)
--- a/gaproute/cluster/processes.py
+++ b/gaproute/cluster/processes.py
@@ -1,100 +1,71 @@
-"""The children of a harness: none outlives the parent, also where that is killed; the harness's own go first.
+"""The children of a harness: none outlives the parent, also where that is killed."""
 
-A wire, a client, a host or a parent that waits for a core measures itself: with 340 processes on 8 cores a
-wire that used 6% of a core waited for one half of the time, whatever its nice value. So all but the gateways
-are woken at once.
-"""
+from __future__ import annotations
 
-import os
 import shutil
 import sys
-from collections import deque
+from collections.abc import Mapping, Sequence
+from pathlib import Path
+from typing import NamedTuple
 
-from gaproute.loop import Promise
-from gaproute.scenarios.processes import MILLI, DayProcesses
+from gaproute.cluster.priorities import GATEWAY_NICENESS, raise_priority
+from gaproute.loop import Loop, Promise
+from gaproute.scenarios.processes import DayProcess, DayProcesses
 
-NICE = 5  # that gateways are nicer where nobody may be woken at once
-URGENT, NEXT = 2, 1  # the lowest real-time priorities: woken at once, before other work; gateways
-#                              on a crowded machine come next, so that they never hold the wire up
+MILLI = 1_000_000
+CHILD_MODULE = "gaproute.cluster.child"
 
 
-def hurry(pid, priority=URGENT):
-    """From now on this process is woken at once. Whether it is allowed (it needs root)."""
-    try:
-        os.sched_setscheduler(pid, os.SCHED_RR, os.sched_param(priority))
-    except (PermissionError, ProcessLookupError):
-        return False
-    return True
+class ClockSkew(NamedTuple):
+    """A clock that is wrong: `rate` seconds in a true one, `offset` ns ahead at the start."""
 
+    rate: float = 1.0
+    offset: int = 0
 
-def calm():
-    """No more hurry for this process: the judging can wait."""
-    os.sched_setscheduler(0, os.SCHED_OTHER, os.sched_param(0))
+
+TRUE_CLOCK = ClockSkew()
 
 
 class ClusterProcesses(DayProcesses):
+    """All processes of one play, each under `gaproute.cluster.child`."""
+
     # As a service manager starts them. Linux shares cores among sessions first: in one, 200 gateways would
     # have as much as a single process of somebody else's.
     OWN_SESSION = True
 
-    def __init__(self, loop, out):
+    def __init__(self, loop: Loop, out: Path) -> None:
         super().__init__(loop, out)
-        # Whether the harness's own are woken at once. What they start must be able to give that up as it
-        # starts.
-        self.first = shutil.which("chrt") is not None and hurry(0)
-
-    def command(self, words, rate=1.0, offset=0, environment=None):
-        """`rate`, `offset` (ns): of a clock that is wrong; `environment`: to add."""
-        clock = [f"--rate={rate:g}"] * (rate != 1) + [f"--offset-ms={offset / 1e6:g}"] * (offset != 0)
-        # The parent waits until the new process runs its first program: as urgent as it, and only until then.
-        manner = []
-        if self.first and "clients" not in words:
-            manner = ["chrt", "-o", "0"]
-        elif not self.first and "serve" in words:
-            manner = ["nice", "-n", str(NICE)]
+        # Whether the harness's own have a real-time priority. What they start must be able to give that up as
+        # it starts.
+        self.real_time = shutil.which("chrt") is not None and raise_priority(0)
+
+    def command(
+        self,
+        arguments: Sequence[str],
+        clock: ClockSkew = TRUE_CLOCK,
+        environment: Mapping[str, str] | None = None,
+    ) -> list[str]:
+        """The command that runs a module with its arguments. `environment`: variables to add."""
+        prefix = self._scheduling(arguments)
         if environment:
-            manner = ["env", *(f"{name}={value}" for name, value in environment.items()), *manner]
-        return [
-            *manner,
-            sys.executable,
-            "-m",
-            "gaproute.cluster.child",
-            "--parent-death",
-            *clock,
-            "--",
-            *words,
-        ]
-
-    def first_line(self, process, name="a stand-in"):
-        """As a trial's; who is ready is the harness's own, and hurries from then on."""
-        promise = super().first_line(process, name)
-        promise.then(lambda promise: self.first and hurry(process.child.pid))
+            prefix = ["env", *(f"{name}={value}" for name, value in environment.items()), *prefix]
+        options = [f"--rate={clock.rate:g}"] * (clock.rate != 1)
+        options += [f"--offset-ms={clock.offset / MILLI:g}"] * (clock.offset != 0)
+        return [*prefix, sys.executable, "-m", CHILD_MODULE, "--parent-death", *options, "--", *arguments]
+
+    def _scheduling(self, arguments: Sequence[str]) -> list[str]:
+        """The command before a command by which it gives a real-time priority up, or is nice.
+
+        The parent waits until the new process runs its first program: as urgent as it, and only until then.
+        """
+        if self.real_time and "clients" not in arguments:
+            return ["chrt", "-o", "0"]
+        if not self.real_time and "serve" in arguments:
+            return ["nice", "-n", str(GATEWAY_NICENESS)]
+        return []
+
+    def first_line(self, process: DayProcess, name: str = "a stand-in") -> Promise:
+        """As a trial's; whoever is ready is the harness's own, and has a real-time priority from then on."""
+        promise: Promise = super().first_line(process, name)
+        promise.then(lambda promise: self.real_time and raise_priority(process.child.pid))
         return promise
-
-
-class StartLimiter:
-    """So many coroutines at a time: starts that run all at once would keep every core from what is judged.
-    Nor do two begin in one turn: a start takes the parent some 15 ms."""
-
-    APART = 20 * MILLI
-
-    def __init__(self, loop, most):
-        self.loop, self.free, self.waiting, self.due = loop, most, deque(), 0
-
-    def through(self, routine):
-        """A coroutine: the routine, when its turn has come."""
-        if self.free:
-            self.free -= 1
-        else:
-            turn = Promise()
-            self.waiting.append(turn)
-            yield turn
-        self.due = max(self.loop.now(), self.due + self.APART)
-        try:
-            yield self.loop.sleep(self.due - self.loop.now())
-            yield from routine
-        finally:
-            if self.waiting:
-                self.waiting.popleft().set()
-            else:
-                self.free += 1
--- /dev/null
+++ b/gaproute/cluster/start_limiter.py
@@ -0,0 +1,39 @@
+"""Limits how many processes start at a time: starts all at once would keep every core from what is judged."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Generator
+from typing import Any
+
+from gaproute.loop import Loop, Promise
+
+MILLI = 1_000_000
+START_INTERVAL = 20 * MILLI  # a start takes the parent some 15 ms
+
+
+class StartLimiter:
+    """So many coroutines at a time, and no two that begin within `interval` ns."""
+
+    def __init__(self, loop: Loop, limit: int, interval: int = START_INTERVAL) -> None:
+        self.loop, self.interval = loop, interval
+        self._free, self._next_start = limit, 0
+        self._waiting: deque[Promise] = deque()
+
+    def run(self, routine: Generator[Promise, Any, Any]) -> Generator[Promise, Any, None]:
+        """A coroutine: the routine, when its turn has come."""
+        if self._free:
+            self._free -= 1
+        else:
+            turn = Promise()
+            self._waiting.append(turn)
+            yield turn
+        self._next_start = max(self.loop.now(), self._next_start + self.interval)
+        try:
+            yield self.loop.sleep(self._next_start - self.loop.now())
+            yield from routine
+        finally:
+            if self._waiting:
+                self._waiting.popleft().set()
+            else:
+                self._free += 1
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -4,54 +4,100 @@
 wrongly, is broken all the same.
 """
 
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from pathlib import Path
+from typing import Any, Protocol
+
+from gaproute.cluster.lateness import HarnessLateness
+from gaproute.cluster.lease_clients import LeaseClients
+from gaproute.cluster.play_record import PlayRecord
 from gaproute.judge import TIME_INDEPENDENT
 from gaproute.scenarios.result import DayResult
 
+SECOND = 1_000_000_000
+MAX_SHOWN = 20  # violations of each sort
+
+
+class PlayedCluster(Protocol):
+    """What a verdict reads of its harness, beside what any day's result does."""
+
+    out: Path
+    seed: int
+    decisions: str
+    record: PlayRecord
+    lateness: HarnessLateness
+    lease_clients: LeaseClients
+
 
 class ClusterVerdict(DayResult):
-    """A trial's result, and whether the harness that found it kept time. `end`: what ended it early, if
-    anything."""
-
-    def __init__(self, harness, end, took):
-        self.harness, self.end, self.took = harness, end, took
-        self.whole = end is None
-        self.late = harness.lateness.most()
-        self.void = harness.voids + (list(harness.lateness.void()) if self.whole else [])
-        self.faulty = list(harness.faulty)
-        if self.whole:
+    """A day's result, and whether the harness that found it kept time.
+
+    `error`: what ended the play early, if anything; `took`: seconds. `complete`: whether the whole day was
+    played, else only the harness's own notes are there.
+    """
+
+    def __init__(self, harness: PlayedCluster, error: Exception | None, took: float) -> None:
+        self.harness, self.took = harness, took
+        self.complete = error is None
+        self.late = harness.lateness.longest().as_json()
+        self.void = list(harness.record.void_reasons)
+        self.failures = list(harness.record.failures)
+        self.leases: Mapping[str, Any] | None = None
+        if self.complete:
+            self.void += harness.lateness.void_reasons()
             super().__init__(harness)
-            self.faulty += [
-                f"g{number} ended with {code}" for number, code in self.exit_codes.items() if code != 0
-            ]
-            self.faulty += [f"rule {broken.rule}: {broken.text}" for broken in self.broken[:20]]
-            self.permits = harness.crews.judged()
-            self.faulty += self.permits["broken"][:20] if self.permits else []
+            self.leases = harness.lease_clients.judge()
+            self.failures += self._violations()
             self.void += ["no task came to an end"] * (not self.ends)
 
+    def _violations(self) -> Iterator[str]:
+        for number, code in self.exit_codes.items():
+            if code != 0:
+                yield f"g{number} ended with {code}"
+        yield from (f"rule {broken.rule}: {broken.text}" for broken in self.broken[:MAX_SHOWN])
+        if self.leases is not None:
+            yield from self.leases["broken"][:MAX_SHOWN]
+
     @property
-    def verdict(self):
-        if self.whole and any(broken.kind in TIME_INDEPENDENT for broken in self.broken):
+    def verdict(self) -> str:
+        """`well`, `failed` or `void`."""
+        if self.complete and any(broken.kind in TIME_INDEPENDENT for broken in self.broken):
             return "failed"
-        return "void" if self.void else "failed" if self.faulty else "well"
+        if self.void:
+            return "void"
+        return "failed" if self.failures else "well"
 
     @property
-    def well(self):
+    def well(self) -> bool:
+        """Whether it is `well`."""
         return self.verdict == "well"
 
-    def plain(self):
+    @property
+    def ready_seconds(self) -> float | None:
+        """After how many seconds all were up; None where they never were."""
+        ready_after = self.harness.record.ready_after
+        return None if ready_after is None else round(ready_after / SECOND, 1)
+
+    def plain(self) -> dict[str, Any]:
+        """The verdict as plain data."""
         harness = self.harness
-        told = {
+        document = {
             "verdict": self.verdict,
             "void": self.void,
-            "faulty": self.faulty,
+            "faulty": self.failures,
             "seed": harness.seed,
             "decisions": harness.decisions,
             "again": f"gaproute trial {harness.out / 'day.script'} --seed {harness.seed}"
             f" --decisions {harness.decisions}",
             "took_s": round(self.took, 1),
-            "ready_s": None if harness.ready_time is None else round(harness.ready_time / 1e9, 1),
+            "ready_s": self.ready_seconds,
             "late_ms": self.late,
-            "gateways_waited": harness.lateness.waited,
-            "wires": harness.lateness.wires,
+            "gateways_waited": harness.lateness.cpu_wait,
+            "wires": [counts and counts.as_json() for counts in harness.lateness.link_counts],
         }
-        return told | (super().plain() | {"permits": self.permits} if self.whole else {})
+        if not self.complete:
+            return document
+        day: dict[str, Any] = super().plain()
+        return document | day | {"permits": self.leases}
--- a/tests/cluster/test_child.py
+++ b/tests/cluster/test_child.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from gaproute.cluster.child import die_with, set_clocks, wrong
+from gaproute.cluster.child import die_with_parent, skew_clocks, skewed_clock
 
 ASK = """
 import time
@@ -24,9 +24,9 @@
 def run(tmp_path, *options, text=ASK):
     (tmp_path / "asked_module.py").write_text(text)
     here = str(Path(__file__).parents[2])
-    words = [sys.executable, "-m", "gaproute.cluster.child", *options, "--", "asked_module", "--word"]
+    command = [sys.executable, "-m", "gaproute.cluster.child", *options, "--", "asked_module", "--word"]
     done = subprocess.run(
-        words,
+        command,
         env={**os.environ, "PYTHONPATH": f"{tmp_path}:{here}"},
         capture_output=True,
         text=True,
@@ -38,16 +38,16 @@
 
 def test_a_wrong_clock_runs_at_its_rate_from_the_start_on():
     true = iter((1000, 2000, 3000))
-    clock = wrong(lambda: next(true), 1000, 1.5, 7)
+    clock = skewed_clock(lambda: next(true), 1000, rate=1.5, offset=7)
     assert [clock(), clock(), clock()] == [1007, 2507, 4007]
-    halves = wrong(lambda: 4.0, 2.0, 0.5, 0.25)
+    halves = skewed_clock(lambda: 4.0, 2.0, rate=0.5, offset=0.25)
     assert halves() == 3.25
 
 
 def test_a_rate_that_is_none_is_refused():
     for rate in (0, -1, 100, float("nan")):
-        with pytest.raises(ValueError):
-            set_clocks(rate, 0)
+        with pytest.raises(ValueError, match="a clock's rate is above 0"):
+            skew_clocks(rate=rate, offset=0)
 
 
 def test_the_unchanged_program_sees_the_wrong_clock_by_whatever_name(tmp_path):
@@ -66,19 +66,19 @@
     assert run(tmp_path, text=text) == ["time", "--word"]
 
 
-def test_a_parent_that_has_ended_already_is_told():
-    came, told = os.pipe()
+def test_a_parent_that_has_ended_already_is_noticed():
+    reading, writing = os.pipe()
     child = os.fork()
     if not child:
         try:
-            die_with(1 << 30)
+            die_with_parent(1 << 30)
         except ProcessLookupError:
-            os.write(told, b"gone")
+            os.write(writing, b"gone")
         os._exit(0)
     os.waitpid(child, 0)
-    os.close(told)
-    assert os.read(came, 9) == b"gone"
-    os.close(came)
+    os.close(writing)
+    assert os.read(reading, 9) == b"gone"
+    os.close(reading)
 
 
 def test_it_does_not_outlive_its_parent(tmp_path):
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -1,13 +1,14 @@
-"""The harness with the platform's gateways: a day through the wire, and the parts that stand between."""
+"""The harness with the platform's gateways: a day over links, and the parts that stand between."""
 
 import json
 import socket
 import subprocess
 
 import pytest
+from cluster_plays import MAX_PLAYS, trial_command
 
 from gaproute.cluster.harness import ClusterHarness
-from gaproute.cluster.platform.harness import PlatformHarness, player
+from gaproute.cluster.platform.harness import PlatformHarness, harness_class
 from gaproute.cluster.script import read_script
 from gaproute.config import ConfigurationError
 from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
@@ -16,8 +17,6 @@
 from gaproute.standins.platform.host_list import VersionedHostList, member
 from gaproute.standins.platform.peer_broadcast import PeerBroadcast
 from gaproute.standins.tap import Tap, read_tap
-from tests.cluster.test_harness import PLAYS, command
-from tests.cluster.test_links import LinkFixture
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 FEWEST_ORDERS = 3  # by which the gateways that orders name are judged
@@ -29,10 +28,10 @@
 
     Chance decides how many load orders a play in real time has, 0 to 12 were seen: one with too few to judge
     them by is played again, as one with a fault is."""
-    for turn in range(PLAYS):
+    for turn in range(MAX_PLAYS):
         out = tmp_path_factory.mktemp("platform") / str(turn)
         done = subprocess.run(
-            command("platform-cluster", out, "--seed", "6"), capture_output=True, timeout=90
+            trial_command("platform-cluster", out, "--seed", "6"), capture_output=True, timeout=90
         )
         verdict = json.loads(done.stdout)
         if not verdict["faulty"] and len(orders_at_hosts(out)) >= FEWEST_ORDERS:
@@ -45,28 +44,35 @@
     return [each for path in folder.glob("host-*.tap") for each in read_tap(path) if each["what"] == "order"]
 
 
-def test_the_rules_are_kept_through_the_wire(played):
+def test_the_rules_are_kept_over_links(played):
     out, verdict = played
-    assert verdict["faulty"] == [] and verdict["verdict"] in ("well", "void") and verdict["broken"] == []
-    assert verdict["relays"] > 200 and set(verdict["exit_codes"].values()) == {0}
-    wire = verdict["wires"][0]
-    assert wire["bytes"] > 50_000 and wire["messages"] > 20 and wire["weather"]["lost"] > 0
+    assert verdict["faulty"] == []
+    assert verdict["verdict"] in ("well", "void")
+    assert verdict["broken"] == []
+    assert verdict["relays"] > 200
+    assert set(verdict["exit_codes"].values()) == {0}
+    counts = verdict["wires"][0]
+    assert counts["bytes"] > 50_000
+    assert counts["messages"] > 20
+    assert counts["weather"]["lost"] > 0
     noted = {each["what"] for each in read_tap(out / "run.tap")}
     assert {"fault", "strike", "list", "told", "killed", "ending", "started"} <= noted
     orders = orders_at_hosts(out)
-    assert {each["gateway"] for each in orders} <= {"g0", "g1", "g2"} and len(orders) >= FEWEST_ORDERS
+    assert {each["gateway"] for each in orders} <= {"g0", "g1", "g2"}
+    assert len(orders) >= FEWEST_ORDERS
     spread = read_tap(out / "spread.tap")[-1]
-    assert spread["sent"] == 2 * spread["heard"] > 20 and spread["strange"] == 0
+    assert spread["sent"] == 2 * spread["heard"] > 20
+    assert spread["strange"] == 0
 
 
-def test_what_the_log_told_is_judged_with_the_rest(played):
+def test_what_the_log_sent_is_judged_with_the_rest(played):
     out, _ = played
     run, clients = read_tap(out / "run.tap"), read_tap(out / "clients-0.tap")
     drained = sorted(
         (each for each in run if each["what"] == "told" and each["state"] == "draining"),
         key=lambda each: each["at"],
     )
-    # g1's way was held on the wire until 2.6 s, g0's log was late by 0.3 s, g2 was told at once
+    # g1's link was held until 2.6 s, g0's log was late by 0.3 s, g2 was notified at once
     assert [each["gateway"] for each in drained] == [2, 0, 1]
     drained = drained[-1]
     host, gateway = drained["host"], {each["id"]: each["gateway"] for each in clients if "asked" in each}
@@ -85,68 +91,65 @@
     assert 3 not in {each.rule for each in judge(terms, {host: [events]}, clients, run)}
 
 
-def test_the_log_tells_each_gateway_addresses_of_its_own(tmp_path):
+def test_the_log_gives_each_gateway_addresses_of_its_own(tmp_path):
     loop = Loop()
     log = ChangeLogServer(
-        loop, ["127.0.0.1:0", "127.0.0.1:0"], Tap(str(tmp_path / "log.tap"), loop.clock), lambda told: None
+        loop, ["127.0.0.1:0", "127.0.0.1:0"], Tap(str(tmp_path / "log.tap"), loop.clock), lambda answer: None
     )
     log.command(
         VersionedHostList().change(member("h", ["127.1.0.1:1", "127.1.0.2:1"]), member("i", "127.0.0.1:2"))
     )
 
     def where(place):
-        told = json.loads(log.event(1, place).split(b"data: ")[1])
-        return [row["host_port"] for row in told["fleet"]["members"]]
+        event = json.loads(log.event(1, place).split(b"data: ")[1])
+        return [row["host_port"] for row in event["fleet"]["members"]]
 
-    assert where(0) == ["127.1.0.1:1", "127.0.0.1:2"] and where(1) == ["127.1.0.2:1", "127.0.0.1:2"]
+    assert where(0) == ["127.1.0.1:1", "127.0.0.1:2"]
+    assert where(1) == ["127.1.0.2:1", "127.0.0.1:2"]
     loop.close()
 
 
-def test_a_word_to_all_goes_to_each_other_gateway_by_its_pair_and_never_back(tmp_path):
+def test_a_broadcast_goes_to_each_other_gateway_by_its_link_and_never_back(tmp_path):
     loop, socks = Loop(), [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(4)]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(2)
     names = ["{}:{}".format(*sock.getsockname()) for sock in socks]
-    spread = PeerBroadcast(
+    broadcast = PeerBroadcast(
         loop,
         "127.0.0.1:0",
         {names[0]: names[1:3], names[1]: [names[0]]},
         Tap(str(tmp_path / "spread.tap"), loop.clock),
     )
-    host, _, port = spread.address.rpartition(":")
+    host, _, port = broadcast.address.rpartition(":")
     for place in (0, 1, 3):
         socks[place].sendto(b"%d" % place, (host, int(port)))
-    while spread.heard + spread.strange < 3:
+    while broadcast.heard + broadcast.strange < 3:
         loop.turn()
-    assert (spread.heard, spread.sent, spread.strange) == (2, 3, 1)
+    assert (broadcast.heard, broadcast.sent, broadcast.strange) == (2, 3, 1)
     assert [socks[place].recv(10) for place in (0, 1, 2)] == [b"1", b"0", b"0"]
-    for sock in [*socks, spread.sock]:
+    for sock in [*socks, broadcast.sock]:
         sock.close()
     loop.close()
 
 
-def test_the_wire_tells_a_host_that_asks_for_it_who_calls_before_all_else():
-    party = LinkFixture()
-    try:
-        party.tell(seat={"17": party.seats["17"] | {"whose": True}})
-        party.call().send(b"a task\n")
-        far, _ = party.accepted()
-        told = b""
-        while b"a task" not in told:
-            told += party.got(far)
-        assert told == b'{"type":"whose","gateway":"g0"}\na task\n'
-    finally:
-        party.close()
+def test_a_host_that_is_to_know_who_calls_hears_of_it_before_all_else(network):
+    network.command(seat={"17": network.slots["17"] | {"whose": True}})
+    network.connect().send(b"a task\n")
+    far, _ = network.accept()
+    received = b""
+    while b"a task" not in received:
+        received += network.received(far)
+    assert received == b'{"type":"whose","gateway":"g0"}\na task\n'
 
 
 def test_the_kind_chooses_who_plays_and_what_it_cannot_have_is_named(tmp_path):
-    assert (
-        player(read_script("platform-cluster")) is PlatformHarness
-        and player(read_script("small-cluster")) is ClusterHarness
-    )
+    assert harness_class(read_script("platform-cluster")) is PlatformHarness
+    assert harness_class(read_script("small-cluster")) is ClusterHarness
     fleet = read_script("fleet-platform")
-    assert player(fleet) is PlatformHarness and fleet.day.gateways == 200 and fleet.day.hosts == 120
+    assert harness_class(fleet) is PlatformHarness
+    assert fleet.day.gateways == 200
+    assert fleet.day.hosts == 120
     path = tmp_path / "x.script"
     path.write_text(
         "cluster kind platform\nday gateways 3 peers yes\ntrack a pure contract 1s limit 2s\n"
@@ -154,5 +157,6 @@
     )
     with pytest.raises(ConfigurationError) as wrong:
         read_script(str(path))
-    told = "\n".join(str(mistake) for mistake in wrong.value.mistakes)
-    assert "permits are off on the platform's sockets" in told and "when its news was told" in told
+    mistakes = "\n".join(str(mistake) for mistake in wrong.value.mistakes)
+    assert "permits are off on the platform's sockets" in mistakes
+    assert "when its news was told" in mistakes
--- /dev/null
+++ b/tests/cluster/test_stream_faults.py
@@ -0,0 +1,136 @@
+"""Faults on the streams of links on loopback: what they keep back, delay and break."""
+
+import contextlib
+import random
+import socket
+
+from link_network import (
+    read_now,
+    reset,
+)
+
+from gaproute.cluster.links.faults import MILLI
+from gaproute.cluster.links.messages import EndFault
+
+
+def test_delay_is_as_long_as_given_both_ways_and_for_opening(network):
+    network.command(
+        fault="x", on={"kind": "delay", "delay_ms": 30, "both": True, "from": ["g0"], "to": ["hosts"]}
+    )
+    start, near = network.loop.now(), network.connect()
+    near.send(b"ask")
+    far = network.accept()[0]
+    assert network.loop.now() - start == 60 * MILLI
+    assert network.received(far) == b"ask"
+    assert network.loop.now() - start == 90 * MILLI
+    far.send(b"answer")
+    far.close()
+    assert network.received(near) == b"answer"
+    assert network.loop.now() - start == 120 * MILLI
+    assert network.received(near) == b""
+
+
+def test_a_one_way_cut_keeps_bytes_and_end_back_and_heals_in_order(network):
+    near, far, _ = network.connected()
+    network.command(fault="x", on={"kind": "cut", "from": ["g0"], "to": ["h0"]})
+    for piece in (b"one ", b"two ", b"three"):
+        near.send(piece)
+        network.turns(3)
+    far.send(b"still")
+    near.shutdown(socket.SHUT_WR)
+    network.run(500 * MILLI)
+    assert read_now(far) is None
+    assert read_now(near) == b"still"
+    network.command(fault="x", off=True)
+    assert network.received(far) == b"one two three"
+    assert network.received(far) == b""
+    assert network.emulator.report().late_most_ns == 0, "kept back is not late"
+
+
+def test_a_reset_does_not_get_through_a_cut_either(network):
+    near, far, _ = network.connected()
+    network.command(fault="x", on={"kind": "cut", "both": True, "from": ["g0"], "to": ["h0"]})
+    reset(near)
+    far.send(b"to nobody")
+    network.run(500 * MILLI)
+    assert read_now(far) is None
+    network.command(fault="x", off=True)
+    assert network.received(far) == "ConnectionResetError"
+    assert not network.emulator.streams.relays
+
+
+def test_a_cut_also_stops_what_is_under_way(network):
+    near, far, _ = network.connected()
+    network.command(fault="x", on={"kind": "delay", "delay_ms": 100})
+    near.send(b"slow")
+    network.run(50 * MILLI)
+    network.command(fault="y", on={"kind": "cut"})
+    network.run(500 * MILLI)
+    assert read_now(far) is None
+    network.command(fault="y", off=True)
+    assert network.received(far) == b"slow"
+
+
+def test_what_comes_when_a_fault_has_ended_stays_behind_what_it_kept_back(network):
+    near, far, _ = network.connected()
+    network.command(fault="x", on={"kind": "delay", "delay_ms": 100})
+    near.send(b"slow ")
+    network.run(50 * MILLI)
+    network.command(fault="x", off=True)
+    near.send(b"fast")
+    came = network.received(far)
+    assert came + (network.received(far) if len(came) < 9 else b"") == b"slow fast"
+    network.command(fault="y", on={"kind": "cut"})
+    near.send(b"held ")
+    network.run(50 * MILLI)
+    network.emulator.execute(EndFault("y"))  # bytes come in the same turn, before it is followed
+    network.emulator.streams.relays[1].near.forward(b"new")
+    assert network.received(far) == b"held new"
+
+
+def test_the_fault_reset_breaks_both_ends_of_those_that_stand(network):
+    near, far, _ = network.connected()
+    network.command(fault="x", on={"kind": "reset", "from": ["hosts"], "to": ["gateways"]})
+    assert network.received(near) == network.received(far) == "ConnectionResetError"
+    near, far, _ = network.connected()
+    near.send(b"new")
+    assert network.received(far) == b"new"
+
+
+def test_whatever_the_conditions_bytes_are_neither_lost_nor_changed(network):
+    for seed in range(6):
+        chance = random.Random(seed)
+        near, far, _ = network.connected()
+        whole = chance.randbytes(300_000), chance.randbytes(300_000)
+        sent, came, on = [0, 0], [bytearray(), bytearray()], []
+        ends = near, far
+        while any(len(got) < 300_000 for got in came):
+            if chance.random() < 0.1:
+                name, kind = f"f{len(on)}", chance.choice(("cut", "hold", "delay", "lose"))
+                network.command(
+                    fault=name,
+                    on={
+                        "kind": kind,
+                        "share": 0.5,
+                        "delay_ms": 7,
+                        "jitter_ms": 20,
+                        "from": chance.choice((["g0"], ["h0"], ["*"])),
+                    },
+                )
+                on.append(name)
+            if on and chance.random() < 0.15 or len(on) > 4:
+                network.command(fault=on.pop(), off=True)
+            side = chance.randrange(2)
+            piece = whole[side][sent[side] : sent[side] + chance.randrange(1, 40_000)]
+            with contextlib.suppress(BlockingIOError):
+                sent[side] += ends[side].send(piece) if piece else 0
+            network.turns(3)
+            got = read_now(ends[1 - side], chance.randrange(1, 90_000))
+            came[side] += got or b""
+            assert not network.emulator.find_breaches()
+        assert (bytes(came[0]), bytes(came[1])) == whole
+        for name in on:
+            network.command(fault=name, off=True)
+        near.close()
+        far.close()
+        network.turns()
--- a/tests/scenarios/test_accounts.py
+++ b/tests/scenarios/test_accounts.py
@@ -6,6 +6,7 @@
 
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.harness import ClusterHarness
+from gaproute.cluster.lateness import Lateness
 from gaproute.cluster.script import read_script
 from gaproute.cluster.verdict import ClusterVerdict
 from gaproute.judge import Violation, ViolationKind
@@ -83,14 +84,14 @@
 )
 def test_a_harness_that_ran_late_hides_no_breach_that_rests_on_no_time(kind, verdict):
     made = ClusterVerdict.__new__(ClusterVerdict)
-    made.whole, made.void, made.faulty = True, ["a wire ran late"], ["x"]
+    made.complete, made.void, made.failures = True, ["a wire ran late"], ["x"]
     made.broken = [Violation(1, 0, "x", kind)]
     assert made.verdict == verdict
 
 
 def test_a_harness_allows_the_lateness_that_it_measured():
-    late = {"parent": 400.0, "clients": 3.5, "hosts": 12.25, "wires": 7.0}
-    harness = SimpleNamespace(lateness=SimpleNamespace(most=lambda: late))
+    longest = Lateness(parent=400.0, clients=3.5, hosts=12.25, links=7.0)
+    harness = SimpleNamespace(lateness=SimpleNamespace(longest=lambda: longest))
     assert ClusterHarness.harness_lateness(harness) == 12_250_000
     assert Trial.harness_lateness(None) == 0
 
@@ -115,7 +116,7 @@
     [(60 * MILLI, "ended", ["SIGTERM"]), (None, "killed", ["SIGTERM", "SIGKILL"])],
 )
 def test_a_gateway_that_has_not_ended_is_killed_as_soon_as_the_operators_may(after, noted, signals):
-    loop, events, faulty = Loop(), [], []
+    loop, events, failures = Loop(), [], []
 
     def rest(processes, span):
         end = loop.now() + span
@@ -125,14 +126,13 @@
     process = Ending(loop, after)
     gateways = SimpleNamespace(
         tap=SimpleNamespace(note=lambda what, **told: events.append(what)),
-        trial=SimpleNamespace(
-            processes=SimpleNamespace(wait_for_exit=rest), kill_after=200 * MILLI, faulty=faulty
-        ),
+        record=SimpleNamespace(failures=failures),
+        trial=SimpleNamespace(processes=SimpleNamespace(wait_for_exit=rest), kill_after=200 * MILLI),
     )
     loop.run(until=loop.spawn(ClusterGateways.end(gateways, 0, process)).done)
     assert events == ["ending", noted]
     assert [name for name, _ in process.told] == signals
-    assert bool(faulty) == (noted == "killed")
+    assert bool(failures) == (noted == "killed")
     if noted == "killed":
         assert 200 * MILLI <= process.told[1][1] - process.told[0][1] < 400 * MILLI
     loop.close()
