--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -17,14 +17,14 @@
     LinkFaultLine,
     ProcessFaultLine,
 )
-from gaproute.config.parsing import Found
+from gaproute.config.parsing import NamedDirective
 from gaproute.scenarios import script as day_script
 
 
 class ClusterScript(day_script.Script):
     """A scripted day with a cluster's lines; `cluster` is None where it has none of these."""
 
-    def __init__(self, text: str, found: Sequence[Found]) -> None:
+    def __init__(self, text: str, found: Sequence[NamedDirective]) -> None:
         super().__init__(text, found)
 
         def lines(keyword: str) -> list[Any]:
--- a/gaproute/cluster/script_checks.py
+++ b/gaproute/cluster/script_checks.py
@@ -17,13 +17,13 @@
 )
 from gaproute.cluster.slot_sets import SlotSetError
 from gaproute.config.errors import Mistake, example
-from gaproute.config.parsing import Directive, Found
+from gaproute.config.parsing import Directive, NamedDirective
 from gaproute.scenarios.script import DayLine
 
 SECOND = 1_000_000_000
 
 
-def find_mistakes(file: str, found: list[Found]) -> list[Mistake]:
+def find_mistakes(file: str, found: list[NamedDirective]) -> list[Mistake]:
     """All mistakes of a script's lines."""
     day = next((line for keyword, line in found if keyword == "day"), DayLine.model_validate({}))
     kind = next((line.kind for keyword, line in found if keyword == "cluster"), "appliance")
--- a/gaproute/config/directives/fleet.py
+++ b/gaproute/config/directives/fleet.py
@@ -68,7 +68,8 @@
     region: str = Field(min_length=1, max_length=MAX_NAME)  # where this gateway is
     zone: str = Field(min_length=1, max_length=MAX_NAME)
     gateways: int = Field(1, ge=1, le=100_000)  # of the whole fleet, about
-    kept: str | None = None  # where the last good table is kept on disk
+    # The file in which the last valid table is stored.
+    stored_table: str | None = Field(None, alias="kept")
 
 
 class CellHostsLine(Directive):
@@ -82,9 +83,9 @@
     look: Duration = Field(50_000_000, ge=1_000_000, le=400_000_000)
 
     @classmethod
-    def positional_in(cls, words: list[str]) -> tuple[str, ...]:
+    def positional_in(cls, arguments: list[str]) -> tuple[str, ...]:
         """Sources stand in place of a folder."""
-        return () if words[:1] == [FROM] else cls.positional
+        return () if arguments[:1] == [FROM] else cls.positional
 
     @model_validator(mode="after")
     def fits(self) -> Self:
@@ -119,7 +120,7 @@
     look: Duration = Field(1_000_000_000, ge=1_000_000, le=60_000_000_000)
 
 
-class MemoryLine(Directive):
+class ObservationFileLine(Directive):
     """The file in which learnt state outlasts a restart."""
 
     positional: ClassVar = ("path",)
@@ -128,7 +129,7 @@
     path: str
 
 
-class KeepersLine(Directive):
+class RaftGroupLine(Directive):
     """The members of the Raft group, and the longest lease that it grants in ns."""
 
     positional: ClassVar = ("names",)
@@ -142,9 +143,9 @@
     def fits(self) -> Self:
         """Errors: ValueError for a member named twice, or too many of them."""
         if len(set(self.names)) < len(self.names):
-            raise ValueError("a keeper is named twice")
+            raise ValueError("a Raft member is named twice")
         if len(self.names) > MAX_MEMBERS:
-            raise ValueError(f"{MAX_MEMBERS} keepers at most, 3 or 5 are usual")
+            raise ValueError(f"{MAX_MEMBERS} Raft members at most, 3 or 5 are usual")
         return self
 
 
