--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -14,10 +14,11 @@
 import json
 import statistics
 import subprocess
-import sys
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from trial_command import trial_command
+
 from gaproute.cluster.script import read_script
 
 FAULT_LINES = ("fault", "strike", "list", "trouble")  # first words of the lines of a script's faults
@@ -75,9 +76,7 @@
 
 def play(script: Path, seed: int, out: Path) -> Row:
     """Plays the script once; the row of that play."""
-    command = [sys.executable, "-m", "gaproute", "trial", str(script)]
-    options = ["--seed", str(seed), "--json", "--out", str(out)]
-    subprocess.run([*command, *options], stdout=subprocess.DEVNULL)
+    subprocess.run(trial_command(script, seed=seed, out=out), stdout=subprocess.DEVNULL)
     verdict = json.loads((out / "verdict.json").read_text())
     row: Row = {key: verdict.get(key) for key in VERDICT_KEYS}
     broken = [violation["rule"] for violation in verdict.get("broken", ())]
--- a/gaproute/cluster/address_plan.py
+++ b/gaproute/cluster/address_plan.py
@@ -11,7 +11,8 @@
 from gaproute.cluster.links.slots import KIND_TERMS, ZONE_PREFIX, Slot, SlotKind
 from gaproute.cluster.slot_sets import NamedSlot
 from gaproute.errors import GaprouteError
-from gaproute.scenarios.script import DayLine
+from gaproute.scenarios.hosts import ListedState
+from gaproute.scenarios.script_lines import DayLine
 
 # The first slots of gateways, of hosts, and of the platform's change log, which has one for each gateway.
 FIRST_GATEWAY, FIRST_HOST, FIRST_LIST = MIN_SLOT, MIN_SLOT + 1000, MIN_SLOT + 3000
@@ -158,6 +159,10 @@
         """All gateways, the hosts that there are now, and the change log, for a script's sets."""
         gateways = range(self.day.gateways)
         named = [NamedSlot(f"g{number}", SlotKind.GATEWAY, self.zone(number)) for number in gateways]
-        named += [NamedSlot(host.name, SlotKind.HOST, host.zone) for host in hosts if host.state != "absent"]
+        named += [
+            NamedSlot(host.name, SlotKind.HOST, host.zone)
+            for host in hosts
+            if host.state != ListedState.ABSENT
+        ]
         lists = range(len(self.change_log_addresses))
         return named + [NamedSlot(f"l{number}", SlotKind.LIST, "") for number in lists]
--- a/gaproute/cluster/clients.py
+++ b/gaproute/cluster/clients.py
@@ -4,7 +4,9 @@
 
 from typing import Any, ClassVar
 
+from gaproute.cluster.context import ClusterContext
 from gaproute.scenarios.clients import DayClients
+from gaproute.scenarios.trial import Trial
 
 
 class ClusterClients(DayClients):
@@ -12,12 +14,17 @@
 
     KIND: ClassVar[str] = "clients"  # of the stand-ins
 
+    def __init__(self, trial: Trial, context: ClusterContext) -> None:
+        super().__init__(trial)
+        self.context = context
+
     def start(self) -> None:
         """Starts all of them."""
-        trial = self.trial
-        count = trial.script.cluster.clients
+        count = self.context.settings.clients
         self.processes = [
-            trial.processes.start_stand_in(self.KIND, f"clients-{place}", self.process_settings(place, count))
+            self.trial.processes.start_stand_in(
+                self.KIND, f"clients-{place}", self.process_settings(place, count)
+            )
             for place in range(count)
         ]
 
--- a/gaproute/cluster/context.py
+++ b/gaproute/cluster/context.py
@@ -3,10 +3,9 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Generator
+from collections.abc import Callable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from gaproute.cluster.address_plan import AddressPlan
 from gaproute.cluster.script import ClusterScript
@@ -18,12 +17,10 @@
     ProcessFaultLine,
 )
 from gaproute.config.parsing import Directive
-from gaproute.loop import Loop, Promise
-from gaproute.scenarios.script import DayFaultLine, DayLine
+from gaproute.loop import Loop
+from gaproute.scenarios.script_lines import DayFaultLine, DayLine
 from gaproute.standins.tap import Tap
 
-Routine = Generator[Promise, Any, None]  # a coroutine of the loop
-
 # What a line's chance is seeded with beside its number: an unchanged name here keeps the plays of a seed.
 SEED_NAMES: dict[type[Directive], str] = {
     LinkFaultLine: "FaultLine",
@@ -35,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class DayContext:
+class ClusterContext:
     """One played day: its script and seed, its folder `out`, the tap `run.tap`, the loop, the addresses.
 
     `report(text)` tells whoever watches what happens.
@@ -52,13 +49,12 @@
     @property
     def day(self) -> DayLine:
         """The script's `day` line."""
-        day: DayLine = self.script.day
-        return day
+        return self.script.day
 
     @property
     def settings(self) -> ClusterLine:
         """The script's `cluster` line."""
-        return self.script.cluster or ClusterLine()
+        return self.script.settings
 
     def line_random(self, line: Directive, part: str = "") -> random.Random:
         """A line's own chance: what it draws does not hang on what other lines drew before it."""
--- a/gaproute/cluster/gateways.py
+++ b/gaproute/cluster/gateways.py
@@ -7,28 +7,45 @@
 
 import signal
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Protocol
 
-from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.host_lists import list_path
 from gaproute.cluster.lease_configuration import lease_configuration_lines
 from gaproute.cluster.play_record import PlayRecord
 from gaproute.cluster.priorities import RealTimePriority, raise_priority
-from gaproute.cluster.processes import ClockSkew
+from gaproute.cluster.processes import ClockSkew, ClusterProcesses
+from gaproute.cluster.script import ClusterScript
 from gaproute.cluster.start_limiter import StartLimiter
+from gaproute.scenarios.clients import DayClients
+from gaproute.scenarios.context import DayContext
 from gaproute.scenarios.gateways import DayGateways
-from gaproute.scenarios.processes import DayProcess
-from gaproute.scenarios.trial import Trial
+from gaproute.scenarios.processes import DayProcess, Routine
 
 MILLI = 1_000_000
 TRANSIT_TIME = 25 * MILLI  # the configuration's own, for an answer's way on a machine that is not crowded
 STARVE_CYCLE = 100 * MILLI
 
 
+class ClusterTrial(DayContext, Protocol):
+    """The played day as its gateways know it."""
+
+    script: ClusterScript
+    processes: ClusterProcesses
+
+    @property
+    def clients(self) -> DayClients:
+        """The clients, which learn of gateways that are asked to end."""
+
+    @property
+    def kill_after(self) -> int:
+        """After a SIGTERM: how long a gateway has until SIGKILL, ns."""
+
+
 class GatewayParts(NamedTuple):
     """What the gateways need of their harness."""
 
-    context: DayContext
+    context: ClusterContext
     record: PlayRecord
     starts: StartLimiter
 
@@ -43,7 +60,9 @@
 class ClusterGateways(DayGateways):
     """All gateways of one play. `clocks`: those that are wrong, by gateway."""
 
-    def __init__(self, trial: Trial, parts: GatewayParts) -> None:
+    trial: ClusterTrial
+
+    def __init__(self, trial: ClusterTrial, parts: GatewayParts) -> None:
         super().__init__(trial)
         self.context, self.record, self.starts = parts
         self.plan = self.context.plan
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -17,7 +17,7 @@
 
 from gaproute.cluster.address_plan import AddressPlan
 from gaproute.cluster.clients import ClusterClients
-from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.gateways import ClusterGateways, GatewayParts
 from gaproute.cluster.host_lists import GatewayHostLists, HostPublisher
 from gaproute.cluster.hosts import ClusterHosts
@@ -29,10 +29,12 @@
 from gaproute.cluster.priorities import reset_priority
 from gaproute.cluster.process_faults import ProcessFaults
 from gaproute.cluster.processes import ClusterProcesses
+from gaproute.cluster.script import ClusterScript
 from gaproute.cluster.start_limiter import StartLimiter
-from gaproute.cluster.verdict import ClusterVerdict
+from gaproute.cluster.verdict import ClusterVerdict, HarnessNotes
 from gaproute.loop import Promise
-from gaproute.scenarios.processes import NotReadyError
+from gaproute.scenarios.errors import GatewayStartError, NotReadyError, ScenarioError
+from gaproute.scenarios.processes import Routine
 from gaproute.scenarios.trial import Trial
 from gaproute.standins.tap import read_tap
 
@@ -46,9 +48,10 @@
 class ClusterHarness(Trial):
     """One play of a cluster's script with the gateways of `gaproute serve`."""
 
+    script: ClusterScript
     processes: ClusterProcesses
     hosts: ClusterHosts
-    host_list: HostPublisher  # type: ignore[assignment]  # in place of a day's one file
+    host_list: HostPublisher
     gateways: ClusterGateways
     clients: ClusterClients
 
@@ -59,22 +62,21 @@
 
     def termination_time(self) -> int:
         """How long the gateways have to end when the day is over, ns."""
-        limit: int = self.longest_deadline
-        return limit + FLEET_TERMINATION_TIME
+        return self.longest_deadline + FLEET_TERMINATION_TIME
 
     # The parts
 
     def create_parts(self) -> None:
         """The parts that the day is played with."""
-        settings = self.script.cluster
         self.record = PlayRecord()
         self.loop.on_error = self._routine_failed
         (self.out / "day.script").write_text(self.script.text)
         (self.out / "play.json").write_text(json.dumps({"seed": self.seed, "decisions": self.decisions}))
         _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))  # three descriptors for each child
+        settings = self.script.settings
         self.plan = AddressPlan(self.script.day, direct=settings.direct)
-        self.context = DayContext(
+        self.context = ClusterContext(
             self.loop, self.tap, self.script, self.seed, self.out, self.plan, self.report
         )
         self.starts = StartLimiter(self.loop, settings.batch or os.cpu_count() or 1)
@@ -106,14 +108,14 @@
         )
         self.host_list = GatewayHostLists(self.context, self.hosts)
         self.gateways = ClusterGateways(self, GatewayParts(self.context, self.record, self.starts))
-        self.clients = ClusterClients(self)
+        self.clients = ClusterClients(self, self.context)
 
     def _routine_failed(self, error: BaseException) -> None:
         """An error that nobody awaited: a gateway that did not come back is the program's, all else the
         harness's."""
         with open(self.out / "parent.err", "a") as file:
             traceback.print_exception(error, file=file)
-        if type(error) is RuntimeError:
+        if isinstance(error, GatewayStartError):
             self.record.failures.append(str(error))
         else:
             known = isinstance(error, NotReadyError)
@@ -124,9 +126,11 @@
 
     def set_up(self) -> Routine:
         """A coroutine: until all are ready."""
-        begun, day, settings = self.loop.now(), self.script.day, self.script.cluster
+        begun, day, settings = self.loop.now(), self.script.day, self.script.settings
         yield from self.start_store()
-        yield from self.run_together([self.hosts.start(self.hosts.create(), True) for _ in range(day.hosts)])
+        yield from self.run_together(
+            [self.hosts.start(self.hosts.create(), warm=True) for _ in range(day.hosts)]
+        )
         if not settings.direct:
             yield from self.links.start(settings.emulators, self.plan.all_slots(self.hosts.by_name.values()))
         self.host_list.publish_all_now()
@@ -143,7 +147,7 @@
         script = self.script
         self.loop.spawn(self.lateness.watch())
         self.record.began_at = self.loop.now()
-        if script.cluster.direct and script.link_faults:
+        if script.settings.direct and script.link_faults:
             self.report("direct: no wire, its faults are left out")
         return [
             *super().day_routines(),
@@ -182,13 +186,15 @@
         """Plays the day; its verdict, which stands in the folder as well."""
         begun = time.time()
         error = self._play_within_bound()
-        verdict = ClusterVerdict(self, error, time.time() - begun)
+        took = time.time() - begun
+        notes = HarnessNotes(self.record, self.lateness, self.lease_clients, error, took)
+        verdict = ClusterVerdict(self, notes)
         (self.out / "verdict.json").write_text(json.dumps(verdict.plain(), indent=1))
         return verdict
 
     def _play_within_bound(self) -> Exception | None:
         """Plays the day; what ended it early, if anything. Nothing that was started is left."""
-        bound = self.script.cluster.bound
+        bound = self.script.settings.bound
         signal.setitimer(signal.ITIMER_REAL, bound / SECOND + ALARM_AFTER_BOUND)
         try:
             played: Promise = self.loop.spawn(self.play()).done
@@ -197,7 +203,7 @@
         except TimeoutError as error:
             self.record.void_reasons.append(str(error))
             return error
-        except RuntimeError as error:
+        except (ScenarioError, RuntimeError) as error:
             return error
         finally:
             reset_priority()
--- a/gaproute/cluster/host_lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from gaproute.cluster.context import DayContext, Routine
-from gaproute.cluster.hosts import ClusterHosts
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.script_lines import HostListFaultLine
-from gaproute.scenarios.hosts import DayHost
+from gaproute.scenarios.hosts import DayHost, DayHosts, ListedState
+from gaproute.scenarios.processes import Routine
 
 MILLI = 1_000_000
 WRITES_PER_TURN = 16  # some milliseconds, so that the parent keeps time
@@ -52,7 +52,7 @@
 class HostPublisher(ABC):
     """Publishes the hosts to the gateways. `delay`: ns by which a fault of the day makes that late."""
 
-    def __init__(self, context: DayContext, hosts: ClusterHosts) -> None:
+    def __init__(self, context: ClusterContext, hosts: DayHosts) -> None:
         self.context, self.loop, self.hosts = context, context.loop, hosts
         self.delay = 0
 
@@ -81,7 +81,7 @@
     A gateway's own list is late, or not updated at all, while a `list` line says so.
     """
 
-    def __init__(self, context: DayContext, hosts: ClusterHosts) -> None:
+    def __init__(self, context: ClusterContext, hosts: DayHosts) -> None:
         super().__init__(context, hosts)
         paths = [list_path(context.out, number) for number in range(context.day.gateways)]
         paths[0].parent.mkdir(exist_ok=True)
@@ -134,7 +134,7 @@
         for host, state, _ in snapshot.entries:
             if gateway_list.states.get(host.name) != state:
                 gateway_list.states[host.name] = state
-                self.context.tap.note("told", gateway=number, host=host.name, state=state)
+                self.context.tap.note("told", gateway=number, host=host.name, state=str(state))
 
     def _publish(self) -> Routine:
         yield self.loop.sleep(GATHER_TIME)
@@ -170,7 +170,7 @@
 
 
 def _entry(host: DayHost) -> ListEntry:
-    if host.state == "absent":
-        return ListEntry(host, "gone", None)
+    if host.state == ListedState.ABSENT:
+        return ListEntry(host, ListedState.GONE, None)
     before, _, after = host.list_line(ADDRESS_MARK).partition(ADDRESS_MARK)
     return ListEntry(host, host.state, (before, after))
--- a/gaproute/cluster/hosts.py
+++ b/gaproute/cluster/hosts.py
@@ -3,15 +3,16 @@
 from __future__ import annotations
 
 import random
-from typing import Any
 
-from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.link_emulators import LinkEmulators
 from gaproute.cluster.processes import ClusterProcesses
 from gaproute.cluster.slot_sets import NamedSlot
 from gaproute.cluster.start_limiter import StartLimiter
+from gaproute.scenarios.context import DayModel
 from gaproute.scenarios.hosts import DayHost, DayHosts
-from gaproute.scenarios.script import DayFaultLine
+from gaproute.scenarios.processes import Routine
+from gaproute.scenarios.script_lines import DayFaultLine
 
 
 class ClusterHosts(DayHosts):
@@ -19,9 +20,9 @@
 
     def __init__(
         self,
-        context: DayContext,
+        context: ClusterContext,
         processes: ClusterProcesses,
-        models: list[dict[str, Any]],
+        models: list[DayModel],
         *,
         starts: StartLimiter,
         emulators: LinkEmulators,
@@ -30,9 +31,9 @@
         super().__init__(context.script, context.seed, processes, models, chance)
         self.context, self.starts, self.emulators = context, starts, emulators
 
-    def start(self, host: DayHost, warm: bool) -> Routine:
+    def start(self, host: DayHost, *, warm: bool) -> Routine:
         """A coroutine: the host's process, at the address that it had before, if any."""
-        yield from self.starts.run(super().start(host, warm))
+        yield from self.starts.run(super().start(host, warm=warm))
         self.place(host)
 
     def kill(self, host: DayHost) -> None:
@@ -46,12 +47,8 @@
 
     def choose(self, line: DayFaultLine) -> list[DayHost]:
         """The hosts that a line of the script concerns, drawn by its own chance."""
-        free = [
-            host
-            for host in self.by_name.values()
-            if host.state == "active" and not host.under_fault and line.zone in (None, host.zone)
-        ]
-        return self.context.line_random(line).sample(free, min(line.hosts, len(free)))
+        candidates = self.candidates(line)
+        return self.context.line_random(line).sample(candidates, min(line.hosts, len(candidates)))
 
     def named_slots(self) -> list[NamedSlot]:
         """All slots of the cluster that there are now, for a script's sets."""
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -7,12 +7,13 @@
 from typing import NamedTuple
 
 from gaproute.cluster.clients import ClusterClients
-from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.gateways import ClusterGateways, CpuWait
 from gaproute.cluster.link_emulators import LinkEmulators
 from gaproute.cluster.links.counts import LinkCounts
 from gaproute.cluster.links.messages import ReportCounts
 from gaproute.cluster.play_record import PlayRecord
+from gaproute.scenarios.processes import Routine
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 CHECK_INTERVAL = 20 * MILLI  # between looks at the parent's own clock
@@ -47,7 +48,7 @@
 
     def __init__(
         self,
-        context: DayContext,
+        context: ClusterContext,
         record: PlayRecord,
         *,
         emulators: LinkEmulators,
--- a/gaproute/cluster/lease_clients.py
+++ b/gaproute/cluster/lease_clients.py
@@ -14,12 +14,13 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.lease_operator import LeaseOperator, LeaseStatus, read_request_id, read_status
 from gaproute.cluster.operator_client import NoAnswer
 from gaproute.cluster.script_lines import LeaseClientsLine
 from gaproute.judge import leases
+from gaproute.scenarios.processes import Routine
 from gaproute.shared.leases.requests import LeaseState
 from gaproute.standins.tap import read_tap
 
@@ -39,7 +40,7 @@
 class LeaseClients:
     """All clients of a play; without effect where the script has none. `over`: they ask no more."""
 
-    def __init__(self, context: DayContext, gateways: ClusterGateways) -> None:
+    def __init__(self, context: ClusterContext, gateways: ClusterGateways) -> None:
         self.context, self.loop, self.gateways = context, context.loop, gateways
         self.operator = LeaseOperator(context.loop, context.plan)
         self.over = False
--- a/gaproute/cluster/link_emulators.py
+++ b/gaproute/cluster/link_emulators.py
@@ -6,7 +6,6 @@
 from collections.abc import Generator, Mapping
 from typing import Any
 
-from gaproute.cluster.context import Routine
 from gaproute.cluster.links.codec import decode_answer, encode_command
 from gaproute.cluster.links.counts import LinkCounts
 from gaproute.cluster.links.messages import (
@@ -22,7 +21,8 @@
 from gaproute.cluster.processes import ClusterProcesses
 from gaproute.loop import Loop, Promise
 from gaproute.loop.descriptors import HANGUP, READ
-from gaproute.scenarios.processes import MILLI, SECOND, DayProcess, NotReadyError
+from gaproute.scenarios.errors import NotReadyError
+from gaproute.scenarios.processes import MILLI, SECOND, DayProcess, Routine
 
 MODULE = "gaproute.cluster.links"
 REPORT_TIMEOUT = 5 * SECOND  # for an emulator's counts: one that takes longer ran late anyway
--- a/gaproute/cluster/link_faults.py
+++ b/gaproute/cluster/link_faults.py
@@ -8,14 +8,14 @@
 
 from gaproute.cluster import slot_sets
 from gaproute.cluster.address_plan import AddressPlan
-from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.link_emulators import LinkEmulators
 from gaproute.cluster.links.conditions import RETRANSMISSION_TIMEOUT
 from gaproute.cluster.links.faults import BLOCKING_KINDS, FaultKind, FaultSpec, Traffic
 from gaproute.cluster.links.messages import BeginFault, EndFault
 from gaproute.cluster.script_lines import LinkFaultLine
 from gaproute.cluster.slot_sets import NamedSlot
-from gaproute.scenarios.processes import MILLI, SECOND
+from gaproute.scenarios.processes import MILLI, SECOND, Routine
 
 AFTER_BLOCK = 500 * MILLI  # after a cut or hold, until all that it delayed has flown on
 RARE = 1e-6  # a chance of losses in a row that is not allowed for
@@ -55,7 +55,7 @@
     """Begins and ends the faults on links. `slots()`: those that there are now."""
 
     def __init__(
-        self, context: DayContext, emulators: LinkEmulators, slots: Callable[[], Sequence[NamedSlot]]
+        self, context: ClusterContext, emulators: LinkEmulators, slots: Callable[[], Sequence[NamedSlot]]
     ) -> None:
         self.context, self.emulators, self.slots = context, emulators, slots
         self._count = 0
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -8,14 +8,14 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.host_lists import GATHER_TIME, HostPublisher
 from gaproute.cluster.hosts import ClusterHosts
 from gaproute.cluster.link_faults import LinkFaultSchedule
 from gaproute.cluster.processes import ClusterProcesses
 from gaproute.cluster.script_lines import HostListFaultLine, LinkFaultLine
-from gaproute.scenarios.hosts import DayHost
-from gaproute.scenarios.processes import DayProcess
+from gaproute.scenarios.hosts import DayHost, ListedState
+from gaproute.scenarios.processes import DayProcess, Routine
 from gaproute.standins.platform.host_list import VersionedHostList, member
 
 MILLI = 1_000_000
@@ -26,7 +26,7 @@
 class PlatformChangeLog(HostPublisher):
     """Drives the log's process."""
 
-    def __init__(self, context: DayContext, hosts: ClusterHosts, processes: ClusterProcesses) -> None:
+    def __init__(self, context: ClusterContext, hosts: ClusterHosts, processes: ClusterProcesses) -> None:
         super().__init__(context, hosts)
         self.processes = processes
         self._publishing = False
@@ -115,7 +115,7 @@
         row: Row = member(
             host.name,
             addresses,
-            "gone" if host.state == "absent" else host.state,
+            ListedState.GONE if host.state == ListedState.ABSENT else host.state,
             host.zone,
             host.number % self.context.day.racks,
             host.kind.cores * host.kind.speed,
--- a/gaproute/cluster/platform/clients.py
+++ b/gaproute/cluster/platform/clients.py
@@ -6,6 +6,7 @@
 
 from gaproute.cluster.clients import ClusterClients
 from gaproute.loop import Promise
+from gaproute.scenarios.clients import TapEvent
 from gaproute.standins.tap import read_tap
 
 CLASS_KEYS = ("name", "share", "limit", "pure")  # of a request class, as these clients know it
@@ -35,9 +36,9 @@
         """None."""
         return {}
 
-    def events(self) -> list[dict[str, Any]]:
+    def events(self) -> list[TapEvent]:
         """As of other clients: who is done says how late it has run since its first request."""
-        found: list[dict[str, Any]] = []
+        found: list[TapEvent] = []
         for path in sorted(self.trial.out.glob("clients-*.tap")):
             events = read_tap(path)
             begun = next((event["at"] for event in events if event["what"] == "begun"), 0)
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -7,11 +7,10 @@
 from pathlib import Path
 from typing import Any
 
-from gaproute.cluster.context import Routine
-from gaproute.cluster.gateways import ClusterGateways, GatewayParts
+from gaproute.cluster.gateways import ClusterGateways, ClusterTrial, GatewayParts
 from gaproute.cluster.platform.change_log import PlatformChangeLog
-from gaproute.scenarios.processes import READY_TIME, DayProcess, NotReadyError
-from gaproute.scenarios.trial import Trial
+from gaproute.scenarios.errors import GatewayStartError, NotReadyError
+from gaproute.scenarios.processes import READY_TIME, DayProcess, Routine
 from gaproute.standins.platform.gateway_configuration import (
     RequestClassSettings,
     deployment_settings,
@@ -30,7 +29,7 @@
     `peer_broadcast`: the process that sends on what is for all peers, and its address, once it is up.
     """
 
-    def __init__(self, trial: Trial, parts: GatewayParts, change_log: PlatformChangeLog) -> None:
+    def __init__(self, trial: ClusterTrial, parts: GatewayParts, change_log: PlatformChangeLog) -> None:
         super().__init__(trial, parts)
         self.change_log = change_log
         self.peer_broadcast: DayProcess | None = None
@@ -89,12 +88,12 @@
     def _wait_until_started(self, name: str, process: DayProcess, log: Path, before: int) -> Routine:
         """A coroutine: until the log, from byte `before` on, says so.
 
-        Errors: RuntimeError where it has ended, `NotReadyError` where it takes too long.
+        Errors: `GatewayStartError` where it has ended, `NotReadyError` where it takes too long.
         """
         end = self.loop.now() + READY_TIME
         while not _has_started(log.read_bytes()[before:]):
             if process.child.poll() is not None:
-                raise RuntimeError(f"{name} did not start; see {log}")
+                raise GatewayStartError(f"{name} did not start; see {log}")
             if self.loop.now() > end:
                 raise NotReadyError(f"{name} was not up in time; see {log}")
             yield self.loop.sleep(READY_POLL_INTERVAL)
@@ -116,13 +115,12 @@
     def _deployment(self) -> Any:
         """The settings object, made of the script's lines."""
         script, day = self.context.script, self.context.day
-        copies: Any = script.copies
-        life = script.life
+        copies, life = script.copies, script.host_life
         request_classes = [
             RequestClassSettings(
                 line.name, line.effect, line.group, line.contract, line.limit, line.earnings, line.remembers
             )
-            for line in script.tracks
+            for line in script.request_classes
         ]
         return deployment_settings(
             request_classes,
--- a/gaproute/cluster/platform/harness.py
+++ b/gaproute/cluster/platform/harness.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from gaproute.cluster.context import Routine
 from gaproute.cluster.gateways import GatewayParts
 from gaproute.cluster.harness import ClusterHarness
 from gaproute.cluster.links.faults import BLOCKING_KINDS
@@ -11,6 +10,7 @@
 from gaproute.cluster.platform.gateways import PlatformGateways
 from gaproute.cluster.platform.hosts import PlatformHosts
 from gaproute.cluster.script import ClusterScript
+from gaproute.scenarios.processes import Routine
 
 
 class PlatformHarness(ClusterHarness):
@@ -32,7 +32,7 @@
         self.host_list = PlatformChangeLog(self.context, self.hosts, self.processes)
         parts = GatewayParts(self.context, self.record, self.starts)
         self.gateways = PlatformGateways(self, parts, self.host_list)
-        self.clients = PlatformClients(self)
+        self.clients = PlatformClients(self, self.context)
 
     def start_store(self) -> Routine:
         """A coroutine: the store, and the processes that hosts and gateways need."""
--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -4,13 +4,11 @@
 
 import signal
 import time
-from typing import Any
 
-from gaproute.cluster.context import Routine
 from gaproute.cluster.hosts import ClusterHosts
 from gaproute.cluster.start_limiter import StartLimiter
 from gaproute.scenarios.hosts import DayHost
-from gaproute.scenarios.processes import DayProcess
+from gaproute.scenarios.processes import DayProcess, Message, Routine
 
 HOSTS_PER_PROCESS = 40  # 60 took 0.09 of a core at 500 requests a second
 
@@ -21,13 +19,12 @@
     def __init__(self, process: DayProcess, name: str) -> None:
         self.process, self.name, self.child = process, name, process.child
 
-    def send(self, command: dict[str, Any]) -> None:
+    def send(self, command: Message) -> None:
         """A command to this host alone; lost where its process has ended."""
-        stdin = self.child.stdin
-        if stdin is not None and not stdin.closed:  # the first of them that ends it ends all
-            self.process.send(command | {"host": self.name})
+        if not self.process.input.closed:  # the first of them that ends it ends all
+            self.process.send({**command, "host": self.name})
 
-    def signal(self, number: signal.Signals) -> None:
+    def signal(self, number: int) -> None:
         """What the signal would do to a process of its own."""
         if number == signal.SIGKILL:
             self.send({"do": "crash"})
@@ -39,7 +36,7 @@
         self.process.close_input()
 
 
-class HostProcess:
+class SharedProcess:
     """A process of several hosts; `turns`: one answer is awaited at a time."""
 
     def __init__(self, process: DayProcess, turns: StartLimiter) -> None:
@@ -52,14 +49,14 @@
     def start_processes(self) -> Routine:
         """A coroutine: the processes that the hosts stand in, before the first host starts."""
         self._shared = [
-            HostProcess(self._start_process(place), StartLimiter(self.context.loop, 1))
+            SharedProcess(self._start_process(place), StartLimiter(self.context.loop, 1))
             for place in range(-(-self.context.day.hosts // HOSTS_PER_PROCESS))
         ]
         self._down: set[str] = set()  # names: a crash is a command to those alone that are up
         for shared in self._shared:
             yield self.processes.first_line(shared.process, "the hosts' process")
 
-    def start(self, host: DayHost, warm: bool) -> Routine:
+    def start(self, host: DayHost, *, warm: bool) -> Routine:
         """A coroutine: the host's next incarnation, at the address that it had."""
         shared = self._shared[host.number % len(self._shared)]
         yield from shared.turns.run(self._start_host(host, shared.process, warm=warm))
@@ -82,11 +79,10 @@
             "seed": self.seed,
             "tap": str(out / f"hosts-{place}.tap"),
         }
-        process: DayProcess = self.processes.start_stand_in("platform-host", f"hosts-{place}", settings)
-        return process
+        return self.processes.start_stand_in("platform-host", f"hosts-{place}", settings)
 
     def _start_host(self, host: DayHost, process: DayProcess, *, warm: bool) -> Routine:
-        profile = host.profile(self.script.life)
+        profile = host.profile(self.script.host_life)
         host.run_count += 1
         slot = {"listen": host.address, "make": profile, "warm": warm}
         process.send({"host": host.name, "do": "start", "seat": slot})
--- a/gaproute/cluster/process_faults.py
+++ b/gaproute/cluster/process_faults.py
@@ -8,11 +8,12 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from gaproute.cluster import slot_sets
-from gaproute.cluster.context import DayContext, Routine
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import ClockSkew, ClusterProcesses
 from gaproute.cluster.script_lines import HostListFaultLine, ProcessFaultLine
 from gaproute.cluster.slot_sets import NamedSlot
+from gaproute.scenarios.processes import Routine
 
 SECOND = 1_000_000_000
 BUSY_MODULE = "gaproute.cluster.spin"
@@ -26,7 +27,7 @@
 
     def __init__(
         self,
-        context: DayContext,
+        context: ClusterContext,
         gateways: ClusterGateways,
         processes: ClusterProcesses,
         *,
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from typing import Any
 
 from gaproute.cluster.script_checks import find_mistakes
@@ -22,9 +21,12 @@
 
 
 class ClusterScript(day_script.Script):
-    """A scripted day with a cluster's lines; `cluster` is None where it has none of these."""
+    """A scripted day with a cluster's lines.
 
-    def __init__(self, text: str, found: Sequence[NamedDirective]) -> None:
+    `cluster` is None where it has none of these; `settings` is its `cluster` line or that line's defaults.
+    """
+
+    def __init__(self, text: str, found: list[NamedDirective]) -> None:
         super().__init__(text, found)
 
         def lines(keyword: str) -> list[Any]:
@@ -33,6 +35,7 @@
         self.cluster: ClusterLine | None = next(iter(lines("cluster")), None)
         if self.cluster is None and any(keyword in CLUSTER_LINES for keyword, _ in found):
             self.cluster = ClusterLine()
+        self.settings = self.cluster or ClusterLine()
         self.link_faults: list[LinkFaultLine] = lines("fault")
         self.process_faults: list[ProcessFaultLine] = lines("strike")
         self.host_list_faults: list[HostListFaultLine] = lines("list")
--- a/gaproute/cluster/script_checks.py
+++ b/gaproute/cluster/script_checks.py
@@ -18,7 +18,7 @@
 from gaproute.cluster.slot_sets import SlotSetError
 from gaproute.config.errors import Mistake, example
 from gaproute.config.parsing import Directive, NamedDirective
-from gaproute.scenarios.script import DayLine
+from gaproute.scenarios.script_lines import DayLine
 
 SECOND = 1_000_000_000
 
--- a/gaproute/cluster/slot_sets.py
+++ b/gaproute/cluster/slot_sets.py
@@ -13,7 +13,7 @@
 
 from gaproute.cluster.links.slots import KIND_TERMS, SlotKind
 from gaproute.errors import GaprouteError
-from gaproute.scenarios.script import DayLine
+from gaproute.scenarios.script_lines import DayLine
 
 # `lists` names the slots of the change log, of the platform alone.
 TERM = re.compile(
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -7,48 +7,49 @@
 from __future__ import annotations
 
 from collections.abc import Iterator, Mapping
-from pathlib import Path
-from typing import Any, Protocol
+from typing import Any, NamedTuple
 
 from gaproute.cluster.lateness import HarnessLateness
 from gaproute.cluster.lease_clients import LeaseClients
 from gaproute.cluster.play_record import PlayRecord
 from gaproute.judge import TIME_INDEPENDENT
 from gaproute.scenarios.result import DayResult
+from gaproute.scenarios.trial import Trial
 
 SECOND = 1_000_000_000
 MAX_SHOWN = 20  # violations of each sort
 
 
-class PlayedCluster(Protocol):
-    """What a verdict reads of its harness, beside what any day's result does."""
+class HarnessNotes(NamedTuple):
+    """What a verdict reads of its harness, beside what any day's result does.
+
+    `error`: what ended the play early, if anything; `took`: seconds.
+    """
 
-    out: Path
-    seed: int
-    decisions: str
     record: PlayRecord
     lateness: HarnessLateness
     lease_clients: LeaseClients
+    error: Exception | None
+    took: float
 
 
 class ClusterVerdict(DayResult):
     """A day's result, and whether the harness that found it kept time.
 
-    `error`: what ended the play early, if anything; `took`: seconds. `complete`: whether the whole day was
-    played, else only the harness's own notes are there.
+    `complete`: whether the whole day was played, else only the harness's own notes are there.
     """
 
-    def __init__(self, harness: PlayedCluster, error: Exception | None, took: float) -> None:
-        self.harness, self.took = harness, took
-        self.complete = error is None
-        self.late = harness.lateness.longest().as_json()
-        self.void = list(harness.record.void_reasons)
-        self.failures = list(harness.record.failures)
+    def __init__(self, trial: Trial, notes: HarnessNotes) -> None:
+        self.trial, self.notes = trial, notes
+        self.complete = notes.error is None
+        self.late = notes.lateness.longest().as_json()
+        self.void = list(notes.record.void_reasons)
+        self.failures = list(notes.record.failures)
         self.leases: Mapping[str, Any] | None = None
         if self.complete:
-            self.void += harness.lateness.void_reasons()
-            super().__init__(harness)
-            self.leases = harness.lease_clients.judge()
+            self.void += notes.lateness.void_reasons()
+            super().__init__(trial)
+            self.leases = notes.lease_clients.judge()
             self.failures += self._violations()
             self.void += ["no task came to an end"] * (not self.ends)
 
@@ -77,27 +78,26 @@
     @property
     def ready_seconds(self) -> float | None:
         """After how many seconds all were up; None where they never were."""
-        ready_after = self.harness.record.ready_after
+        ready_after = self.notes.record.ready_after
         return None if ready_after is None else round(ready_after / SECOND, 1)
 
     def plain(self) -> dict[str, Any]:
         """The verdict as plain data."""
-        harness = self.harness
+        trial, lateness = self.trial, self.notes.lateness
         document = {
             "verdict": self.verdict,
             "void": self.void,
             "faulty": self.failures,
-            "seed": harness.seed,
-            "decisions": harness.decisions,
-            "again": f"gaproute trial {harness.out / 'day.script'} --seed {harness.seed}"
-            f" --decisions {harness.decisions}",
-            "took_s": round(self.took, 1),
+            "seed": trial.seed,
+            "decisions": trial.decisions,
+            "again": f"gaproute trial {trial.out / 'day.script'} --seed {trial.seed}"
+            f" --decisions {trial.decisions}",
+            "took_s": round(self.notes.took, 1),
             "ready_s": self.ready_seconds,
             "late_ms": self.late,
-            "gateways_waited": harness.lateness.cpu_wait,
-            "wires": [counts and counts.as_json() for counts in harness.lateness.link_counts],
+            "gateways_waited": lateness.cpu_wait,
+            "wires": [counts and counts.as_json() for counts in lateness.link_counts],
         }
         if not self.complete:
             return document
-        day: dict[str, Any] = super().plain()
-        return document | day | {"permits": self.leases}
+        return document | super().plain() | {"permits": self.leases}
--- a/tests/cluster/test_harness.py
+++ b/tests/cluster/test_harness.py
@@ -13,7 +13,7 @@
 from cluster_plays import play, trial_command
 
 from gaproute.cluster.address_plan import AddressPlan
-from gaproute.cluster.context import DayContext
+from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.host_lists import GatewayHostLists, list_path
 from gaproute.cluster.script import read_script
 from gaproute.cluster.start_limiter import StartLimiter
@@ -141,7 +141,7 @@
     loop = Loop()
     script = read_script("small-cluster")
     plan, tap = AddressPlan(script.day, direct=False), Tap(str(tmp_path / "run.tap"), loop.clock)
-    context = DayContext(loop, tap, script, 1, tmp_path, plan, print)
+    context = ClusterContext(loop, tap, script, 1, tmp_path, plan, print)
     hosts = DayHosts(script, 1, None, [], random.Random(1))
     host = hosts.create()
     host.process = object()
