--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -115,7 +115,7 @@
     def _deployment(self) -> Any:
         """The settings object, made of the script's lines."""
         script, day = self.context.script, self.context.day
-        copies, life = script.copies, script.host_life
+        instances, life = script.warm_instances, script.host_life
         request_classes = [
             RequestClassSettings(
                 line.name, line.effect, line.group, line.contract, line.limit, line.earnings, line.remembers
@@ -131,10 +131,10 @@
             cold_time=life.cold_time,
             idle_close=life.idle_close,
             family_info={
-                "placement_calls": copies.orders,
-                "loads_anyway": copies.free,
-                "load_part": copies.share,
-                "loads_within": copies.window / MILLI,
+                "placement_calls": instances.orders,
+                "loads_anyway": instances.free,
+                "load_part": instances.share,
+                "loads_within": instances.window / MILLI,
             },
         )
 
