--- a/gaproute/scenarios/clients.py
+++ b/gaproute/scenarios/clients.py
@@ -1,8 +1,8 @@
 """The clients of a day: stand-ins that draw the load, and what they saw."""
 
-from collections.abc import Mapping
 from typing import Any, Protocol
 
+from gaproute.judge.tap_reading import TapEvent
 from gaproute.scenarios.context import DayContext
 from gaproute.scenarios.gateways import DayGateways
 from gaproute.scenarios.processes import MILLI, DayProcess, Message, Routine
@@ -11,8 +11,6 @@
 PATIENCE = [0.6, 1.0]  # a client waits for a share of its deadline that is drawn from this range
 EXIT_POLL = 50 * MILLI  # between two looks at whether clients have ended
 
-TapEvent = Mapping[str, Any]
-
 
 class ClientContext(DayContext, Protocol):
     """The played day as its clients know it."""
--- a/gaproute/scenarios/result.py
+++ b/gaproute/scenarios/result.py
@@ -5,6 +5,7 @@
 from typing import Any, Protocol
 
 from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
+from gaproute.judge.tap_reading import TapEvent
 from gaproute.scenarios.clients import ClientContext, DayClients
 from gaproute.scenarios.hosts import DayHosts
 from gaproute.scenarios.service import Service
@@ -13,8 +14,6 @@
 ENDS = ("answer", "overdue", "left", "broken")  # how a try may end at its client
 OUTCOMES = ("delivered", "declined", "scrapped", "left", "broken", "overdue")
 
-TapEvent = Mapping[str, Any]
-
 
 class PlayedDay(ClientContext, Protocol):
     """A day that is over. `longest_deadline`: of its requests, ns."""
--- a/gaproute/scenarios/service.py
+++ b/gaproute/scenarios/service.py
@@ -5,17 +5,16 @@
 whose client left early counts as neither served nor missed.
 """
 
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.config.directives.requests import RequestClassLine
+from gaproute.judge.tap_reading import TapEvent
 
 SECOND = 1_000_000_000
 WINDOW = 5  # seconds of a day that `by_window` takes together
 
-TapEvent = Mapping[str, Any]
-
 
 class FirstTry(NamedTuple):
     """A request with its retries. `asked`: when its first try was sent, ns."""
