--- a/gaproute/simulation/campaigns/copy_loader.py
+++ b/gaproute/simulation/campaigns/copy_loader.py
@@ -11,7 +11,7 @@
 from gaproute.shared.leases.requests import LeaseRequest
 from gaproute.simulation.campaigns.host_views import HostView, HostViews
 from gaproute.simulation.campaigns.messages import Copy, DropCopy, LoadCopy
-from gaproute.simulation.process_slot import OutgoingMessages
+from gaproute.simulation.process_slot import Outbox, OutgoingMessages
 from gaproute.simulation.units import SECOND
 
 EXCHANGE = "rollouts/exchange"  # the pool of leases that hosts without room for two copies need
@@ -44,7 +44,7 @@
         """Orders what is to be loaded and dropped now."""
         for host in [host for host, load in self._pending.items() if now - load.ordered_at > MAX_LOAD_TIME]:
             self.record_end(now, host, None)
-        outgoing: list[tuple[str, object]] = []
+        outgoing: Outbox = []
         for campaign, hosts in self.planned.items():
             outgoing += self._begin_exchange(now, campaign, hosts)
         for host, load in list(self._pending.items()):
@@ -93,7 +93,7 @@
             if host in self.dispatcher.parts and host in views and now - views[host].asked_at < MAX_VIEW_AGE
         }
 
-    def _follow(self, now: int, host: str, load: PendingLoad) -> list[tuple[str, object]]:
+    def _follow(self, now: int, host: str, load: PendingLoad) -> Outbox:
         """Orders the load again until it is under way, once its lease is held."""
         copy, lease, _ = load
         if lease is not None and not lease.open:
--- a/gaproute/simulation/campaigns/gateway.py
+++ b/gaproute/simulation/campaigns/gateway.py
@@ -20,15 +20,13 @@
 from gaproute.simulation.campaigns.production_client import ProductionClient
 from gaproute.simulation.campaigns.rollout_sender import RolloutSender
 from gaproute.simulation.campaigns.scene import Scene
-from gaproute.simulation.process_slot import OutgoingMessages
+from gaproute.simulation.process_slot import Outbox, OutgoingMessages
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.units import MILLISECOND
 
 VERSION_REPORT_INTERVAL = 500 * MILLISECOND
 COPY_STEP_INTERVAL = 100 * MILLISECOND
 
-Outgoing = list[tuple[str, object]]
-
 
 class SimulatedGateway:
     """The gateway `name` of the scene."""
@@ -57,7 +55,7 @@
 
     def tick(self, now: int) -> OutgoingMessages:
         """Does what is due."""
-        outgoing: Outgoing = [*self.leases.tick(now), *self.gossip.tick(now)]
+        outgoing: Outbox = [*self.leases.tick(now), *self.gossip.tick(now)]
         if now >= self._query_at:
             self._query_at = now + ASK
             outgoing += self._query_hosts(now)
@@ -96,7 +94,7 @@
     def _production_demand(self, now: int) -> float:
         return self.gossip.demand(now, PRODUCTION, 0).total
 
-    def _handle(self, now: int, sender: str, message: object) -> Outgoing:
+    def _handle(self, now: int, sender: str, message: object) -> Outbox:
         match message:
             case HostStatus():
                 return self._take_status(now, message)
@@ -115,7 +113,7 @@
                     self.rollouts.record_end(now, message)
         return []
 
-    def _query_hosts(self, now: int) -> Outgoing:
+    def _query_hosts(self, now: int) -> Outbox:
         """Asks hosts for their status, and forgets what was never answered."""
         self.views.expire(now)
         hosts = dict.fromkeys(self.dispatcher.asking(now))
@@ -125,7 +123,7 @@
         self.rollouts.requeue_expired()
         return [*queries]
 
-    def _take_status(self, now: int, status: HostStatus) -> Outgoing:
+    def _take_status(self, now: int, status: HostStatus) -> Outbox:
         host = status.host
         asked_at = self.views.take(host, status)
         if asked_at is None:
@@ -133,7 +131,7 @@
         self.dispatcher.report(now, host, asked_at, status.free_lanes, status.production_waits, status.cold)
         self.gossip.record_available_capacity(host, status.free_lanes)
         cancelled = self.dispatcher.cancels(host, status.lanes_lacking)
-        outgoing: Outgoing = [(host, CancelTask(task)) for task in cancelled]
+        outgoing: Outbox = [(host, CancelTask(task)) for task in cancelled]
         if not status.production_waits:
             self._production_waits.discard(host)
         elif host not in self._production_waits:
@@ -141,7 +139,7 @@
             outgoing += [(peer, ProductionWaits(host)) for peer in self.peers]
         return outgoing
 
-    def _plan(self, now: int) -> Outgoing:
+    def _plan(self, now: int) -> Outbox:
         """Distributes a new plan where this gateway is the planner."""
         plans = self.planner.step(now)
         if self.name in plans:
--- a/gaproute/simulation/campaigns/host.py
+++ b/gaproute/simulation/campaigns/host.py
@@ -18,7 +18,7 @@
     TaskResult,
 )
 from gaproute.simulation.campaigns.scene import Scene
-from gaproute.simulation.process_slot import OutgoingMessages
+from gaproute.simulation.process_slot import Outbox, OutgoingMessages
 from gaproute.simulation.units import SECOND
 
 COLD_TIME = 2 * SECOND  # after a restart, in which the host says that it bears little
@@ -99,7 +99,7 @@
 
     def tick(self, now: int) -> OutgoingMessages:
         """Ends what is due."""
-        outgoing: list[tuple[str, object]] = []
+        outgoing: Outbox = []
         while self._timers and self._timers[0].at <= now:
             match heapq.heappop(self._timers):
                 case TaskTimer(task=task):
@@ -190,7 +190,7 @@
         over_at = now + min(task.duration, task.limit)
         heapq.heappush(self._timers, TaskTimer(over_at, self.scene.numbers.next(), task.name))
 
-    def _end(self, now: int, task: str, result: TaskResult) -> list[tuple[str, object]]:
+    def _end(self, now: int, task: str, result: TaskResult) -> Outbox:
         if task not in self.lanes.running:
             return []
         sender, copy = self.lanes.running.pop(task)
--- a/gaproute/simulation/process_slot.py
+++ b/gaproute/simulation/process_slot.py
@@ -8,6 +8,7 @@
 from gaproute.simulation.seeded_random import SeededRandom
 
 OutgoingMessages: TypeAlias = Sequence[tuple[str, object]]  # (receiver's name, message)
+Outbox: TypeAlias = list[tuple[str, object]]  # the same, while it is being filled
 
 
 class SimulatedProcess(Protocol):
--- a/gaproute/simulation/rounds/faults.py
+++ b/gaproute/simulation/rounds/faults.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from gaproute.shared.leases.commands import CLOCK_ERROR
 from gaproute.simulation.fault_schedule import FaultKind, FaultSchedule, ScheduledFault
+from gaproute.simulation.raft_group.setup import ALLOWED_DRIFT
 from gaproute.simulation.random_faults import FaultOptions, draw_schedule
 from gaproute.simulation.rounds.fleet import DrawnFleet
 from gaproute.simulation.rounds.kinds import GATEWAYS, RAFT_NODES, WORKER, RunKind
@@ -12,7 +12,6 @@
 
 FAULT_TIME = 100 * SECOND
 CALM_TIME = 5 * SECOND  # at the beginning and before the end: no fault begins
-ALLOWED_DRIFT = CLOCK_ERROR * 1_000  # millionths that leases allow for
 DRAWN_ODDS = 5  # one in so many faults of a random schedule is taken
 LINK_KINDS = (
     FaultKind.CRASH,
@@ -41,10 +40,6 @@
         faults = self._link_faults() + self._host_deaths() + self._zone_cut() + self._scheduler_kills()
         return FaultSchedule(self.seed, FAULT_TIME, tuple(faults), 0)
 
-    def _includes(self, *kinds: RunKind) -> bool:
-        """Whether this run has these faults; where it may have all, half of them."""
-        return self.kind in kinds or self.kind == RunKind.ALL and self.random.below(2) == 1
-
     def _link_faults(self) -> list[ScheduledFault]:
         if not self.kind.includes(RunKind.LINKS):
             return []
@@ -56,21 +51,21 @@
         return [fault for fault in drawn.faults if self.random.below(DRAWN_ODDS) == 0]
 
     def _host_deaths(self) -> list[ScheduledFault]:
-        if not self._includes(RunKind.HOST_DIES, RunKind.TWO_HOSTS_DIE):
+        if not self.kind.draw(self.random, RunKind.HOST_DIES, RunKind.TWO_HOSTS_DIE):
             return []
         count = 2 if self.kind == RunKind.TWO_HOSTS_DIE else 1
         hosts = list(self.fleet.hosts)
         return [self._fault(FaultKind.CRASH, [self.random.choice(hosts)], 2, 30) for _ in range(count)]
 
     def _zone_cut(self) -> list[ScheduledFault]:
-        if not self._includes(RunKind.ZONE_CUT):
+        if not self.kind.draw(self.random, RunKind.ZONE_CUT):
             return []
         zone = self.random.choice(self.fleet.zones)
         hosts = [name for name, host in self.fleet.hosts.items() if host.zone == zone]
         return [self._fault(FaultKind.PARTITION, hosts, 5, 30)]
 
     def _scheduler_kills(self) -> list[ScheduledFault]:
-        if not self._includes(RunKind.KILLED):
+        if not self.kind.draw(self.random, RunKind.KILLED):
             return []
         schedulers = self.kind.schedulers
         return [self._fault(FaultKind.CRASH, [self.random.choice(schedulers)], 1, 8) for _ in range(3)]
--- a/gaproute/simulation/rounds/interventions.py
+++ b/gaproute/simulation/rounds/interventions.py
@@ -35,20 +35,15 @@
         while self._pending and self._pending[0].at <= simulation.now:
             self._pending.pop(0).act(simulation)
 
-    def _includes(self, kind: RunKind) -> bool:
-        """Whether this run has this; where it may have all, half of them."""
-        own = self.scene.kind
-        return own == kind or own == RunKind.ALL and self.random.below(2) == 1
-
     def _draw(self) -> list[Intervention]:
-        drawn: list[Intervention] = []
-        if self._includes(RunKind.DEMAND):
+        kind, random, drawn = self.scene.kind, self.random, list[Intervention]()
+        if kind.draw(random, RunKind.DEMAND):
             drawn.append(Intervention(self._time(), self._double_demand))
-        if self._includes(RunKind.WITHDRAWN):
+        if kind.draw(random, RunKind.WITHDRAWN):
             drawn.append(Intervention(self._time(), self._withdraw))
-        if self._includes(RunKind.NEVER_BACK):
+        if kind.draw(random, RunKind.NEVER_BACK):
             self.scene.never_back.add(self.random.choice(self.scene.rounds[0].hosts))
-        if self._includes(RunKind.PULLED):
+        if kind.draw(random, RunKind.PULLED):
             name = self.random.choice(list(self.scene.fleet.hosts))
             drawn.append(
                 Intervention(self._time(), lambda simulation: simulation.ask(name, MaintainedHost.pull))
--- a/gaproute/simulation/rounds/kinds.py
+++ b/gaproute/simulation/rounds/kinds.py
@@ -2,6 +2,8 @@
 
 from enum import StrEnum
 
+from gaproute.simulation.seeded_random import SeededRandom
+
 RAFT_NODES = ("k1", "k2", "k3")
 GATEWAYS = ("g1", "g2")
 # The name of the process that restarts hosts. The random numbers of a process follow from its name, so that
@@ -29,6 +31,10 @@
         """Whether a run of this kind may have what happens in those of `kind`."""
         return self in (kind, RunKind.ALL)
 
+    def draw(self, random: SeededRandom, *kinds: "RunKind") -> bool:
+        """Whether a run of this kind has what happens in those of `kinds`; of those with all, one in two."""
+        return self in kinds or self is RunKind.ALL and random.below(2) == 1
+
     @property
     def has_two_rounds(self) -> bool:
         """Whether two schedulers run a round each."""
--- a/gaproute/simulation/rounds/observer.py
+++ b/gaproute/simulation/rounds/observer.py
@@ -6,7 +6,7 @@
 
 from gaproute.maintenance.warm_capacity import HostReport
 from gaproute.shared.gossip import GossipMessage, GossipNode
-from gaproute.simulation.process_slot import OutgoingMessages
+from gaproute.simulation.process_slot import Outbox, OutgoingMessages
 from gaproute.simulation.rounds.kinds import GATEWAYS
 from gaproute.simulation.rounds.messages import DemandReport, Probe, ProbeReply, RunRequest
 from gaproute.simulation.rounds.scene import Scene
@@ -43,7 +43,7 @@
 
     def tick(self, now: int) -> OutgoingMessages:
         """Gossips and probes the next host."""
-        outgoing: list[tuple[str, object]] = []
+        outgoing: Outbox = []
         if now >= self.gossip.due:
             outgoing += self.gossip.tick(now)
         if now >= self._next_probe_at:
--- a/gaproute/simulation/rounds/run.py
+++ b/gaproute/simulation/rounds/run.py
@@ -12,7 +12,8 @@
 from gaproute.simulation.options import SimulationOptions
 from gaproute.simulation.process_slot import ProcessFactory
 from gaproute.simulation.raft_group.lease_checks import LeaseValidityCheck
-from gaproute.simulation.rounds.faults import ALLOWED_DRIFT, MaintenanceFaults
+from gaproute.simulation.raft_group.setup import ALLOWED_DRIFT
+from gaproute.simulation.rounds.faults import MaintenanceFaults
 from gaproute.simulation.rounds.fleet import draw_demand, draw_fleet, draw_round
 from gaproute.simulation.rounds.fleet_check import FleetCheck
 from gaproute.simulation.rounds.host import MaintainedHost
--- a/gaproute/simulation/rounds/scheduler.py
+++ b/gaproute/simulation/rounds/scheduler.py
@@ -8,7 +8,7 @@
 from gaproute.maintenance.invariants import check_belief, check_given, check_round
 from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.requests import LeaseRequest
-from gaproute.simulation.process_slot import OutgoingMessages
+from gaproute.simulation.process_slot import Outbox, OutgoingMessages
 from gaproute.simulation.rounds.kinds import GATEWAYS, RAFT_NODES
 from gaproute.simulation.rounds.messages import (
     DemandReport,
@@ -109,8 +109,8 @@
                 return self._hand_over(now, sender, message.number)
         return super().hear(now, sender, message)
 
-    def _step_rounds(self, now: int) -> list[tuple[str, object]]:
-        outgoing: list[tuple[str, object]] = []
+    def _step_rounds(self, now: int) -> Outbox:
+        outgoing: Outbox = []
         status = self.status(now)
         for controller in self.rounds:
             for kind, host, detail in controller.tick(now, status):
