--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -30,6 +30,7 @@
 from gaproute.cluster.process_faults import ProcessFaults
 from gaproute.cluster.processes import ClusterProcesses
 from gaproute.cluster.script import ClusterScript
+from gaproute.cluster.script_lines import ProcessFaultKind
 from gaproute.cluster.start_limiter import StartLimiter
 from gaproute.cluster.verdict import ClusterVerdict, HarnessNotes
 from gaproute.loop import Promise
@@ -145,6 +146,7 @@
     def day_routines(self) -> list[Routine]:
         """What happens during the day, as coroutines."""
         script = self.script
+        timed = [line for line in script.process_faults if line.kind is not ProcessFaultKind.CLOCK]
         self.loop.spawn(self.lateness.watch())
         self.record.began_at = self.loop.now()
         if script.settings.direct and script.link_faults:
@@ -153,7 +155,7 @@
             *super().day_routines(),
             *self.lease_clients.routines(),
             *(self.link_faults.run(line) for line in script.link_faults if self.links.running),
-            *(self.process_faults.run(line) for line in script.process_faults if line.kind != "clock"),
+            *map(self.process_faults.run, timed),
             *(
                 self.host_list.run_fault(line, self.process_faults.numbers_of(line))
                 for line in script.host_list_faults
--- a/gaproute/cluster/host_lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from gaproute.cluster.context import ClusterContext
-from gaproute.cluster.script_lines import HostListFaultLine
+from gaproute.cluster.script_lines import HostListFaultKind, HostListFaultLine
 from gaproute.scenarios.hosts import DayHost, DayHosts, ListedState
 from gaproute.scenarios.processes import Routine
 
@@ -106,7 +106,7 @@
     def run_fault(self, line: HostListFaultLine, gateways: Sequence[int]) -> Routine:
         """A coroutine: a `list` line on these gateways; after it their lists are written as things stand."""
         yield self.loop.sleep(line.at)
-        self._delays |= dict.fromkeys(gateways, line.back if line.kind == "late" else None)
+        self._delays |= dict.fromkeys(gateways, line.back if line.kind is HostListFaultKind.LATE else None)
         self.context.tap.note("list", kind=line.kind, gateways=list(gateways), lasts=line.lasts)
         yield self.loop.sleep(line.lasts)
         for number in gateways:
--- a/gaproute/cluster/lease_clients.py
+++ b/gaproute/cluster/lease_clients.py
@@ -11,8 +11,8 @@
 
 import random
 import signal
-from collections.abc import Iterator, Mapping
-from typing import Any
+from collections.abc import Iterator
+from typing import NamedTuple
 
 from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.gateways import ClusterGateways
@@ -37,6 +37,17 @@
 OUTCOMES, RELEASED, EXTENDED = 10, 5, 2
 
 
+class LeaseJudgement(NamedTuple):
+    """Leases that were granted, healings of faults that were looked at, and what was wrong, as text.
+
+    The fields are keys in a verdict.
+    """
+
+    granted: int
+    healed: int
+    broken: list[str]
+
+
 class LeaseClients:
     """All clients of a play; without effect where the script has none. `over`: they ask no more."""
 
@@ -71,19 +82,16 @@
                     return
             yield self.loop.sleep(POLL_INTERVAL)
 
-    def judge(self) -> Mapping[str, Any] | None:
-        """What the verdict has of them: counts, and violations as text; None where there are none."""
+    def judge(self) -> LeaseJudgement | None:
+        """What the verdict has of them; None where the script has no lease clients."""
         if self.context.script.lease_clients is None:
             return None
         run = read_tap(self.context.out / "run.tap")
         progress = leases.judge_progress(run)
         violations = [*leases.judge_leases(run), *progress.violations]
         broken = [f"permits, {violation.check}: {violation.text}" for violation in violations]
-        return {
-            "granted": len(leases.grant_times(run)),
-            "healed": progress.healings,
-            "broken": [*broken, *self._logged_breaches()],
-        }
+        granted = len(leases.grant_times(run))
+        return LeaseJudgement(granted, progress.healings, [*broken, *self._logged_breaches()])
 
     def _logged_breaches(self) -> Iterator[str]:
         for path in sorted(self.context.out.glob("g*.log")):
--- a/gaproute/cluster/link_faults.py
+++ b/gaproute/cluster/link_faults.py
@@ -22,8 +22,6 @@
 MAX_LOSSES = 6
 INVISIBLE_KINDS = (FaultKind.DOUBLE, FaultKind.REORDER, FaultKind.RESET)  # no byte of a stream is late
 
-Ways = list[list[Any]]
-
 
 class FaultEnd(NamedTuple):
     """One end of a fault: its terms for the link emulators, and the names of its slots as of now.
@@ -35,6 +33,13 @@
     names: list[str]
 
 
+class LateWay(NamedTuple):
+    """Bytes of these gateways, by number, may reach these hosts late."""
+
+    gateways: list[int]
+    hosts: list[str]
+
+
 class Allowance(NamedTuple):
     """For the judge, ns: how late bytes may be under a fault, and how long after its end they still may."""
 
@@ -77,7 +82,7 @@
             "late": allowance.lateness,
             "slack": allowance.after_end,
         }
-        if Traffic(line.what) is not Traffic.DATAGRAMS:
+        if line.traffic is not Traffic.DATAGRAMS:
             note |= late_ways(line, source.names, destination.names)
         context.tap.note("fault", on=True, **note)
         yield loop.sleep(line.lasts)
@@ -94,15 +99,15 @@
 def fault_spec(line: LinkFaultLine, source: FaultEnd, destination: FaultEnd) -> FaultSpec:
     """What the emulators are sent."""
     return FaultSpec(
-        FaultKind(line.kind),
+        line.kind,
         tuple(source.terms),
         tuple(destination.terms),
-        line.both,
-        Traffic(line.what),
-        line.share,
-        line.delay,
-        line.jitter,
-        line.bytes,
+        both_ways=line.both,
+        traffic=line.traffic,
+        share=line.share,
+        delay=line.delay,
+        jitter=line.jitter,
+        rate=line.bytes,
     )
 
 
@@ -111,14 +116,16 @@
     if line.kind in BLOCKING_KINDS or line.bytes:
         return Allowance(line.lasts + AFTER_BLOCK, AFTER_BLOCK)
     lateness = line.delay + line.jitter
-    if FaultKind(line.kind) is FaultKind.LOSE:
+    if line.kind is FaultKind.LOSE:
         likely = (losses for losses in range(1, MAX_LOSSES + 1) if line.share**losses < RARE)
         lateness = RETRANSMISSION_TIMEOUT * ((1 << next(likely, MAX_LOSSES)) - 1)
     return Allowance(lateness, lateness)
 
 
-def late_ways(line: LinkFaultLine, sources: Iterable[str], destinations: Iterable[str]) -> dict[str, Ways]:
-    """Which gateways' bytes may reach which hosts late: [[gateways' numbers], [hosts]] for each way.
+def late_ways(
+    line: LinkFaultLine, sources: Iterable[str], destinations: Iterable[str]
+) -> dict[str, list[LateWay]]:
+    """Which gateways' bytes may reach which hosts late, under the key `ways`; nothing where none may.
 
     Under a cut or a hold a new connection waits whichever way it lies; other faults lie on the way that
     they name.
@@ -132,8 +139,8 @@
     return {"ways": ways}
 
 
-def _way(sources: list[str], destinations: list[str]) -> list[Any]:
-    return [
+def _way(sources: list[str], destinations: list[str]) -> LateWay:
+    return LateWay(
         [int(name[1:]) for name in sources if name.startswith("g")],
         [name for name in destinations if name.startswith("mh")],
-    ]
+    )
--- a/gaproute/cluster/links/codec.py
+++ b/gaproute/cluster/links/codec.py
@@ -134,10 +134,10 @@
         document["name"],
         _member(SlotKind, document.get("kind") or "", "a slot's kind"),
         document.get("zone") or "",
-        _socket_address(document.get("tcp")),
-        _socket_address(document.get("udp")),
-        bool(document.get("refuses")),
-        bool(document.get("whose")),
+        stream_address=_socket_address(document.get("tcp")),
+        datagram_address=_socket_address(document.get("udp")),
+        refuses=bool(document.get("refuses")),
+        announce_caller=bool(document.get("whose")),
     )
 
 
@@ -152,12 +152,12 @@
         _member(FaultKind, document.get("kind"), "a fault's kind"),
         _terms("from", document.get("from", [ANY])),
         _terms("to", document.get("to", [ANY])),
-        bool(document.get("both")),
-        _member(Traffic, document.get("what", Traffic.ALL), "what a fault lies on"),
-        figures["share"],
-        int(figures["delay_ms"] * MILLI),
-        int(figures["jitter_ms"] * MILLI),
-        figures["bytes_per_s"],
+        both_ways=bool(document.get("both")),
+        traffic=_member(Traffic, document.get("what", Traffic.ALL), "what a fault lies on"),
+        share=figures["share"],
+        delay=int(figures["delay_ms"] * MILLI),
+        jitter=int(figures["jitter_ms"] * MILLI),
+        rate=figures["bytes_per_s"],
     )
 
 
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -12,8 +12,9 @@
 from gaproute.cluster.host_lists import GATHER_TIME, HostPublisher
 from gaproute.cluster.hosts import ClusterHosts
 from gaproute.cluster.link_faults import LinkFaultSchedule
+from gaproute.cluster.links.faults import Traffic
 from gaproute.cluster.processes import ClusterProcesses
-from gaproute.cluster.script_lines import HostListFaultLine, LinkFaultLine
+from gaproute.cluster.script_lines import HostListFaultKind, HostListFaultLine, LinkFaultLine
 from gaproute.scenarios.hosts import DayHost, ListedState
 from gaproute.scenarios.processes import DayProcess, Routine
 from gaproute.standins.platform.host_list import VersionedHostList, member
@@ -83,7 +84,7 @@
             if (f"g{number}" in source and f"l{number}" in destination)
             or (f"g{number}" in destination and f"l{number}" in source)
         ]
-        if not numbers or line.what == "datagrams":
+        if not numbers or line.traffic is Traffic.DATAGRAMS:
             return
         self.process.send({"trouble": "elsewhere", "gateways": numbers})
         yield self.loop.sleep(line.lasts)
@@ -94,7 +95,7 @@
         4 s."""
         yield self.loop.sleep(line.at)
         fault: dict[str, Any] = {"trouble": "silent"}
-        if line.kind == "late":
+        if line.kind is HostListFaultKind.LATE:
             fault = {"trouble": "late", "by": line.back}
         self.process.send(fault | {"gateways": gateways})
         self.context.tap.note("list", kind=line.kind, gateways=gateways, lasts=line.lasts)
--- a/gaproute/cluster/platform/harness.py
+++ b/gaproute/cluster/platform/harness.py
@@ -10,6 +10,7 @@
 from gaproute.cluster.platform.gateways import PlatformGateways
 from gaproute.cluster.platform.hosts import PlatformHosts
 from gaproute.cluster.script import ClusterScript
+from gaproute.cluster.script_lines import GatewayKind
 from gaproute.scenarios.processes import Routine
 
 
@@ -71,5 +72,5 @@
 
 def harness_class(script: ClusterScript) -> type[ClusterHarness]:
     """What plays a cluster's script."""
-    is_platform = script.cluster is not None and script.cluster.kind == "platform"
+    is_platform = script.cluster is not None and script.cluster.kind is GatewayKind.PLATFORM
     return PlatformHarness if is_platform else ClusterHarness
--- a/gaproute/cluster/platform/script_checks.py
+++ b/gaproute/cluster/platform/script_checks.py
@@ -3,21 +3,20 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any
 
 from gaproute.cluster import slot_sets
 from gaproute.cluster.links.faults import BLOCKING_KINDS
-from gaproute.cluster.script_lines import SET_FIELDS, LinkFaultLine
+from gaproute.cluster.script_lines import GatewayKind, LinkFaultLine, sets_of
 from gaproute.cluster.slot_sets import SlotSetError
 from gaproute.config.parsing import Directive
 
 LISTS = "lists"  # the set of the change log's slots
 
 
-def find_platform_mistakes(kind: str, keyword: str, line: Directive) -> Iterator[str]:
+def find_platform_mistakes(kind: GatewayKind, keyword: str, line: Directive) -> Iterator[str]:
     """What is wrong with a line, as text. `kind`: of the `cluster` line."""
-    names = list(_names_in_sets(keyword, line))
-    if kind != "platform":
+    names = list(_names_in_sets(line))
+    if kind is not GatewayKind.PLATFORM:
         if LISTS in names:
             yield "lists are of cluster kind platform; others read a file"
         return
@@ -32,10 +31,9 @@
         )
 
 
-def _names_in_sets(keyword: str, line: Directive) -> Iterator[str]:
+def _names_in_sets(line: Directive) -> Iterator[str]:
     """The names in a line's sets. Those that cannot be read are another check's mistakes."""
-    for field in SET_FIELDS.get(keyword, ()):
-        text: Any = getattr(line, field)
+    for text in sets_of(line):
         try:
             terms = slot_sets.parse_set(text)
         except SlotSetError:
--- a/gaproute/cluster/process_faults.py
+++ b/gaproute/cluster/process_faults.py
@@ -11,7 +11,7 @@
 from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import ClockSkew, ClusterProcesses
-from gaproute.cluster.script_lines import HostListFaultLine, ProcessFaultLine
+from gaproute.cluster.script_lines import EndSignal, HostListFaultLine, ProcessFaultKind, ProcessFaultLine
 from gaproute.cluster.slot_sets import NamedSlot
 from gaproute.scenarios.processes import Routine
 
@@ -47,7 +47,7 @@
     def set_clocks(self) -> None:
         """Notes which gateways have a wrong clock, before they start."""
         for line in self.context.script.process_faults:
-            if line.kind == "clock":
+            if line.kind is ProcessFaultKind.CLOCK:
                 numbers = self.numbers_of(line)
                 self.gateways.clocks |= dict.fromkeys(numbers, ClockSkew(line.rate, line.offset))
                 self.context.tap.note(
@@ -60,11 +60,11 @@
         numbers = self.numbers_of(line)
         self.context.report(f"{line.at / SECOND:5.1f} s  {line.kind} {len(numbers)} gateways")
         self.context.tap.note("strike", kind=line.kind, gateways=numbers, lasts=line.lasts)
-        if line.kind == "stop":
+        if line.kind is ProcessFaultKind.PAUSE:
             yield from self.run_together([self.gateways.pause(number, line.lasts) for number in numbers])
-        elif line.kind == "starve" and line.core:
+        elif line.kind is ProcessFaultKind.STARVE and line.core:
             yield from self._crowd(numbers, line.lasts)
-        elif line.kind == "starve":
+        elif line.kind is ProcessFaultKind.STARVE:
             until = self.loop.now() + line.lasts
             yield from self.run_together(
                 [self.gateways.starve(number, until, line.duty) for number in numbers]
@@ -74,7 +74,7 @@
 
     def _restart(self, line: ProcessFaultLine, numbers: Sequence[int]) -> Routine:
         """A coroutine: ended and started again, so many at a time."""
-        killed = line.kind == "kill" or line.signal == "KILL"
+        killed = line.kind is ProcessFaultKind.KILL or line.signal is EndSignal.KILL
         ending = signal.SIGKILL if killed else signal.SIGTERM
         batch = line.batch or len(numbers)
         for place in range(0, len(numbers), batch):
--- a/gaproute/cluster/script_checks.py
+++ b/gaproute/cluster/script_checks.py
@@ -3,17 +3,19 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any
 
 from gaproute.cluster import slot_sets
+from gaproute.cluster.links.faults import FaultKind, Traffic
 from gaproute.cluster.platform.script_checks import find_platform_mistakes
 from gaproute.cluster.script_lines import (
     CLUSTER_LINES,
-    SET_FIELDS,
+    GatewayKind,
     HostListFaultLine,
     LeaseClientsLine,
     LinkFaultLine,
+    ProcessFaultKind,
     ProcessFaultLine,
+    sets_of,
 )
 from gaproute.cluster.slot_sets import SlotSetError
 from gaproute.config.errors import Mistake, example
@@ -26,7 +28,7 @@
 def find_mistakes(file: str, found: list[NamedDirective]) -> list[Mistake]:
     """All mistakes of a script's lines."""
     day = next((line for keyword, line in found if keyword == "day"), DayLine.model_validate({}))
-    kind = next((line.kind for keyword, line in found if keyword == "cluster"), "appliance")
+    kind = next((line.kind for keyword, line in found if keyword == "cluster"), GatewayKind.APPLIANCE)
     return [
         Mistake(file, line.line, keyword, text, example(line.example))
         for keyword, line in found
@@ -50,12 +52,11 @@
 def _begins_after(line: Directive, day: DayLine) -> bool:
     if not isinstance(line, LinkFaultLine | ProcessFaultLine | HostListFaultLine):
         return False
-    return line.kind != "clock" and line.at >= day.length
+    return line.kind is not ProcessFaultKind.CLOCK and line.at >= day.length
 
 
 def _set_mistakes(keyword: str, line: Directive, day: DayLine) -> Iterator[str]:
-    for field in SET_FIELDS.get(keyword, ()):
-        text: Any = getattr(line, field)
+    for text in sets_of(line):
         try:
             terms = slot_sets.parse_set(text)
         except SlotSetError as error:
@@ -67,18 +68,18 @@
 
 
 def _link_fault_mistakes(line: LinkFaultLine) -> Iterator[str]:
-    if line.kind == "delay" and not (line.delay or line.jitter or line.bytes):
+    if line.kind is FaultKind.DELAY and not (line.delay or line.jitter or line.bytes):
         yield "a delay names delay, jitter or bytes"
-    if line.kind in ("double", "reorder") and line.what == "streams":
+    if line.kind in (FaultKind.DOUBLE, FaultKind.REORDER) and line.traffic is Traffic.STREAMS:
         yield f"TCP hides what would {line.kind} a stream: what datagrams"
 
 
 def _process_fault_mistakes(line: ProcessFaultLine) -> Iterator[str]:
-    if line.kind in ("stop", "starve") and not line.lasts:
+    if line.kind in (ProcessFaultKind.PAUSE, ProcessFaultKind.STARVE) and not line.lasts:
         yield f"a {line.kind} lasts for some time: for 2s"
-    if line.kind == "starve" and bool(line.duty) == line.core:
+    if line.kind is ProcessFaultKind.STARVE and bool(line.duty) == line.core:
         yield "a starve names either duty or core"
-    if line.kind == "clock" and line.rate == 1 and not line.offset:
+    if line.kind is ProcessFaultKind.CLOCK and line.rate == 1 and not line.offset:
         yield "a clock that is wrong has a rate or an offset"
 
 
--- a/gaproute/cluster/script_lines.py
+++ b/gaproute/cluster/script_lines.py
@@ -6,22 +6,55 @@
 
 from __future__ import annotations
 
-from typing import ClassVar, Literal
+from enum import StrEnum
+from typing import ClassVar
 
 from pydantic import Field
 
+from gaproute.cluster.links.faults import FaultKind, Traffic
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Duration, YesNo
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 
+class GatewayKind(StrEnum):
+    """Which program the gateways are."""
+
+    APPLIANCE = "appliance"  # `gaproute serve`
+    PLATFORM = "platform"  # `gaproute.platform`
+
+
+class ProcessFaultKind(StrEnum):
+    """What happens to gateways' processes."""
+
+    KILL = "kill"
+    PAUSE = "stop"
+    RESTART = "restart"
+    CLOCK = "clock"  # it is wrong from the start on
+    STARVE = "starve"  # of CPU
+
+
+class EndSignal(StrEnum):
+    """By which signal a restart ends a process."""
+
+    TERM = "TERM"
+    KILL = "KILL"
+
+
+class HostListFaultKind(StrEnum):
+    """What happens to gateways' host lists."""
+
+    LATE = "late"
+    DEAF = "deaf"  # not updated at all
+
+
 class ClusterLine(Directive):
     """`cluster`: how the harness itself is run, and what voids its measurement. Times are ns."""
 
     example: ClassVar[str] = "cluster wires 4 clients 4 batch 8 ready 60s late 100ms bound 5m"
     once: ClassVar[bool] = True
-    kind: Literal["appliance", "platform"] = "appliance"  # `gaproute serve` or `gaproute.platform`
+    kind: GatewayKind = GatewayKind.APPLIANCE
     emulators: int = Field(default=1, ge=1, le=16, alias="wires")  # processes that share the links
     clients: int = Field(default=1, ge=1, le=32)  # processes that share the load
     batch: int = Field(default=0, ge=0, le=256)  # processes that start at a time; 0: as many as cores
@@ -37,13 +70,13 @@
 
     positional: ClassVar[tuple[str, ...]] = ("kind",)
     example: ClassVar[str] = "fault cut at 2s for 3s from 0.3:gateways to hosts/hall-1 both no what streams"
-    kind: Literal["delay", "lose", "double", "reorder", "cut", "hold", "reset"]
+    kind: FaultKind
     at: Duration
     lasts: Duration = Field(alias="for")
     source: str = Field(default="*", alias="from")
     destination: str = Field(default="*", alias="to")
     both: YesNo = False
-    what: Literal["streams", "datagrams", "all"] = "all"
+    traffic: Traffic = Field(default=Traffic.ALL, alias="what")
     share: float = Field(default=1.0, gt=0, le=1)
     delay: Duration = 0
     jitter: Duration = 0
@@ -55,13 +88,13 @@
 
     positional: ClassVar[tuple[str, ...]] = ("kind",)
     example: ClassVar[str] = "strike restart at 4s on 0.7:gateways signal KILL back 500ms"
-    kind: Literal["kill", "stop", "restart", "clock", "starve"]
+    kind: ProcessFaultKind
     on: str = "gateways"
     at: Duration = 0
     lasts: Duration = Field(default=0, alias="for")
     back: Duration = 500 * MILLI  # until what ended is started again
     batch: int = Field(default=0, ge=0)  # restarted at a time; 0: all
-    signal: Literal["TERM", "KILL"] = "TERM"
+    signal: EndSignal = EndSignal.TERM
     rate: float = Field(default=1.0, ge=0.5, le=2)  # of the clock
     offset: Duration = 0  # of the clock, ahead
     duty: float = Field(default=0, ge=0, lt=1)  # of the CPU taken away: paused for so much of each cycle
@@ -73,7 +106,7 @@
 
     positional: ClassVar[tuple[str, ...]] = ("kind",)
     example: ClassVar[str] = "list late at 2s for 4s on 0.3:gateways back 800ms"
-    kind: Literal["late", "deaf"]
+    kind: HostListFaultKind
     on: str = "gateways"
     at: Duration
     lasts: Duration = Field(alias="for")
@@ -108,5 +141,14 @@
     "list": HostListFaultLine,
     "crews": LeaseClientsLine,
 }
-# Fields of a line that are sets of process slots.
-SET_FIELDS = {"fault": ("source", "destination"), "strike": ("on",), "list": ("on",)}
+
+
+def sets_of(line: Directive) -> tuple[str, ...]:
+    """The sets of process slots that a line names."""
+    match line:
+        case LinkFaultLine():
+            return line.source, line.destination
+        case ProcessFaultLine() | HostListFaultLine():
+            return (line.on,)
+        case _:
+            return ()
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator
 from typing import Any, NamedTuple
 
 from gaproute.cluster.lateness import HarnessLateness
-from gaproute.cluster.lease_clients import LeaseClients
+from gaproute.cluster.lease_clients import LeaseClients, LeaseJudgement
 from gaproute.cluster.play_record import PlayRecord
 from gaproute.judge import TIME_INDEPENDENT
 from gaproute.scenarios.result import DayResult
@@ -45,7 +45,7 @@
         self.late = notes.lateness.longest().as_json()
         self.void = list(notes.record.void_reasons)
         self.failures = list(notes.record.failures)
-        self.leases: Mapping[str, Any] | None = None
+        self.leases: LeaseJudgement | None = None
         if self.complete:
             self.void += notes.lateness.void_reasons()
             super().__init__(trial)
@@ -59,7 +59,7 @@
                 yield f"g{number} ended with {code}"
         yield from (f"rule {broken.rule}: {broken.text}" for broken in self.broken[:MAX_SHOWN])
         if self.leases is not None:
-            yield from self.leases["broken"][:MAX_SHOWN]
+            yield from self.leases.broken[:MAX_SHOWN]
 
     @property
     def verdict(self) -> str:
@@ -100,4 +100,4 @@
         }
         if not self.complete:
             return document
-        return document | super().plain() | {"permits": self.leases}
+        return document | super().plain() | {"permits": self.leases and self.leases._asdict()}
--- a/tests/cluster/test_stream_faults.py
+++ b/tests/cluster/test_stream_faults.py
@@ -97,40 +97,53 @@
     assert network.received(far) == b"new"
 
 
+class ChangingFaults:
+    """Faults that begin and end by chance, at most five at a time."""
+
+    def __init__(self, network, chance):
+        self.network, self.chance, self.on = network, chance, []
+
+    def change(self):
+        """Perhaps one more, perhaps one less."""
+        chance = self.chance
+        if chance.random() < 0.1:
+            name, kind = f"f{len(self.on)}", chance.choice(("cut", "hold", "delay", "lose"))
+            fault = {"kind": kind, "share": 0.5, "delay_ms": 7, "jitter_ms": 20}
+            sources = chance.choice((["g0"], ["h0"], ["*"]))
+            self.network.command(fault=name, on=fault | {"from": sources})
+            self.on.append(name)
+        if self.on and chance.random() < 0.15 or len(self.on) > 4:
+            self.network.command(fault=self.on.pop(), off=True)
+
+    def end(self):
+        """All of them."""
+        for name in self.on:
+            self.network.command(fault=name, off=True)
+
+
 def test_whatever_the_conditions_bytes_are_neither_lost_nor_changed(network):
     for seed in range(6):
-        chance = random.Random(seed)
-        near, far, _ = network.connected()
-        whole = chance.randbytes(300_000), chance.randbytes(300_000)
-        sent, came, on = [0, 0], [bytearray(), bytearray()], []
-        ends = near, far
-        while any(len(got) < 300_000 for got in came):
-            if chance.random() < 0.1:
-                name, kind = f"f{len(on)}", chance.choice(("cut", "hold", "delay", "lose"))
-                network.command(
-                    fault=name,
-                    on={
-                        "kind": kind,
-                        "share": 0.5,
-                        "delay_ms": 7,
-                        "jitter_ms": 20,
-                        "from": chance.choice((["g0"], ["h0"], ["*"])),
-                    },
-                )
-                on.append(name)
-            if on and chance.random() < 0.15 or len(on) > 4:
-                network.command(fault=on.pop(), off=True)
-            side = chance.randrange(2)
-            piece = whole[side][sent[side] : sent[side] + chance.randrange(1, 40_000)]
-            with contextlib.suppress(BlockingIOError):
-                sent[side] += ends[side].send(piece) if piece else 0
-            network.turns(3)
-            got = read_now(ends[1 - side], chance.randrange(1, 90_000))
-            came[side] += got or b""
-            assert not network.emulator.find_breaches()
-        assert (bytes(came[0]), bytes(came[1])) == whole
-        for name in on:
-            network.command(fault=name, off=True)
-        near.close()
-        far.close()
-        network.turns()
+        exchange_under_faults(network, seed)
+
+
+def exchange_under_faults(network, seed):
+    """All bytes of a connection arrive as they were sent, both ways."""
+    chance = random.Random(seed)
+    near, far, _ = network.connected()
+    whole = chance.randbytes(300_000), chance.randbytes(300_000)
+    sent, received = [0, 0], [bytearray(), bytearray()]
+    ends, faults = (near, far), ChangingFaults(network, chance)
+    while any(len(got) < 300_000 for got in received):
+        faults.change()
+        side = chance.randrange(2)
+        piece = whole[side][sent[side] : sent[side] + chance.randrange(1, 40_000)]
+        with contextlib.suppress(BlockingIOError):
+            sent[side] += ends[side].send(piece) if piece else 0
+        network.turns(3)
+        received[side] += read_now(ends[1 - side], chance.randrange(1, 90_000)) or b""
+        assert not network.emulator.find_breaches()
+    assert (bytes(received[0]), bytes(received[1])) == whole
+    faults.end()
+    near.close()
+    far.close()
+    network.turns()
