--- a/gaproute/cluster/__init__.py
+++ b/gaproute/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Many real processes of the program on loopback, with links between them that a script makes fail."""
+"""Plays scripts with many real processes of the program on loopback, and faults on the links between them."""
--- a/gaproute/cluster/address_plan.py
+++ b/gaproute/cluster/address_plan.py
@@ -1,4 +1,4 @@
-"""Who stands in which process slot, and by which addresses the processes of a cluster reach each other."""
+"""Which process has which slot, and by which addresses the processes of a cluster reach each other."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class PlannedHost(Protocol):
-    """What the plan needs of a host of the day."""
+    """A host of the day, as the plan needs it."""
 
     name: str
     number: int
@@ -36,14 +36,14 @@
 
 
 class GatewayAddresses(NamedTuple):
-    """Where a gateway listens itself."""
+    """The addresses on which a gateway listens."""
 
     clients: str
     peers: str
 
 
 def free_port() -> int:
-    """The first of four ports in a row that nobody has on this machine, for streams and datagrams.
+    """Finds four ports in a row that no process of this machine uses, and returns the first of them.
 
     Errors: `NoFreePortsError`.
     """
@@ -69,7 +69,7 @@
 
 
 class AddressPlan:
-    """The addresses and slots of one day. `direct`: no links, so that all use each other's own addresses."""
+    """Addresses and slots of one day. `direct`: no link is emulated, processes use their own addresses."""
 
     def __init__(self, day: DayLine, *, direct: bool) -> None:
         self.day, self.direct, self.port = day, direct, free_port()
@@ -92,15 +92,15 @@
         return f"{ip}:{self.port + 3}"
 
     def peer_broadcast(self) -> str:
-        """Where the platform's gateways send what all others are to receive; in no gateway's net."""
+        """Where the platform's gateways send datagrams for all others; in no gateway's network."""
         return f"127.0.0.1:{self.port + 3}"
 
     def peer(self, number: int, other: int) -> str:
-        """Where gateway `number` finds another."""
+        """The address at which gateway `number` finds gateway `other`."""
         return self.gateway(other).peers if self.direct else self._link(number, FIRST_GATEWAY + other)
 
     def host(self, number: int, host: PlannedHost) -> str:
-        """Where gateway `number` finds a host."""
+        """The address at which gateway `number` finds a host."""
         if self.direct:
             return host.address
         key = number, host.number
@@ -110,7 +110,7 @@
         return address
 
     def change_log(self, number: int) -> str:
-        """Where gateway `number` finds the platform's change log."""
+        """The address at which gateway `number` finds the platform's change log."""
         return self.change_log_addresses[number] if self.direct else self._link(number, FIRST_LIST + number)
 
     def _link(self, gateway: int, slot: int) -> str:
@@ -146,7 +146,7 @@
     def link_terms(self, name: str, slots: Iterable[NamedSlot]) -> list[str]:
         """The link emulators' terms for what a term of the script names.
 
-        Slots that these terms name and that come later are meant too.
+        They also cover slots that are added later.
         """
         base, _, zone = name.replace(ZONE_PREFIX, "zone/").partition("/")
         if not zone:
--- a/gaproute/cluster/addresses.py
+++ b/gaproute/cluster/addresses.py
@@ -1,7 +1,7 @@
-"""The address by which one process slot reaches another: 127.x.y.z, whose lower 24 bits are two slot numbers.
+"""Addresses of links between process slots: 127.x.y.z, whose lower 24 bits are the two slot numbers.
 
-No socket and no table is needed for a link: whoever listens on all of 127/8 reads from the address that was
-called who calls whom. Slots from 16 on never fall into 127.0.x.x, where the processes themselves listen.
+A link needs neither a socket nor a table: a process that listens on all of 127/8 reads both slots from the
+address that was called. The addresses of slots from 16 on are never in 127.0.x.x, where the processes listen.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 
     @property
     def reverse(self) -> Link:
-        """The way back."""
+        """The link in the opposite direction."""
         return Link(self.destination, self.source)
 
 
 def link_address(caller: int, callee: int) -> str:
-    """Where slot `caller` finds slot `callee`.
+    """The address at which slot `caller` finds slot `callee`.
 
     The callee sees `link_address(callee, caller)` as its caller's address. Errors: `LinkAddressError` for a
     number that is no slot's.
@@ -59,7 +59,7 @@
 
 
 def link_of_number(number: int) -> Link:
-    """The same of an address as the number of its four bytes, as the kernel gives it beside a datagram."""
+    """The link that an address names, given as the number of its four bytes. Errors: `LinkAddressError`."""
     link = Link(number >> SLOT_BITS & SLOT_MASK, number & SLOT_MASK)
     if number >> 24 != LOOPBACK_NET or not all(MIN_SLOT <= slot <= MAX_SLOT for slot in link):
         raise LinkAddressError(f"address {number:#010x} is not between two process slots")
--- a/gaproute/cluster/clients.py
+++ b/gaproute/cluster/clients.py
@@ -19,7 +19,7 @@
         self.context = context
 
     def start(self) -> None:
-        """Starts all of them."""
+        """Starts all client processes."""
         count = self.context.settings.clients
         self.processes = [
             self.trial.processes.start_stand_in(
@@ -29,7 +29,7 @@
         ]
 
     def process_settings(self, place: int, count: int) -> dict[str, Any]:
-        """The first line for the process at that place, of so many."""
+        """The first line for the process at this place, of `count` processes that share the load."""
         seed = self.trial.seed * 100 + place
         settings: dict[str, Any] = self.settings(f"clients-{place}", self.request_classes(), seed, count)
         return settings | {"habits": settings["habits"] | self.own_habits(place)}
--- a/gaproute/cluster/context.py
+++ b/gaproute/cluster/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a harness share."""
+"""What all parts of a harness share: the script, the folder, the loop, the addresses."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 class ClusterContext:
     """One played day: its script and seed, its folder `out`, the tap `run.tap`, the loop, the addresses.
 
-    `report(text)` tells whoever watches what happens.
+    `report(text)` prints progress for a person.
     """
 
     loop: Loop
@@ -57,5 +57,5 @@
         return self.script.settings
 
     def line_random(self, line: Directive, part: str = "") -> random.Random:
-        """A line's own chance: what it draws does not hang on what other lines drew before it."""
+        """The random generator of one line: what it draws does not depend on what other lines drew before."""
         return random.Random(f"{self.seed} {SEED_NAMES[type(line)]} {line.line}{part}")
--- a/gaproute/cluster/gateways.py
+++ b/gaproute/cluster/gateways.py
@@ -43,7 +43,7 @@
 
 
 class GatewayParts(NamedTuple):
-    """What the gateways need of their harness."""
+    """The parts of the harness that the gateways use."""
 
     context: ClusterContext
     record: PlayRecord
@@ -74,7 +74,7 @@
         self._configurations: dict[int, list[str]] = {}
 
     def configuration_lines(self, number: int) -> list[str]:
-        """Its configuration: made once, as it names every other gateway."""
+        """The lines of a gateway's configuration. They are made once, as they name every other gateway."""
         if number not in self._configurations:
             self._configurations[number] = self._make_configuration(number)
         return self._configurations[number]
@@ -106,21 +106,21 @@
         ]
 
     def process_options(self, number: int) -> dict[str, Any]:
-        """How its process is started, beside its arguments."""
+        """How a gateway's process is started, as options of `ClusterProcesses.command`."""
         return {"clock": self.clocks.get(number, ClockSkew())}
 
     def start(self, number: int) -> Routine:
-        """A coroutine: until it says that it has started."""
+        """A coroutine: starts the gateway and waits until it logs that it has started."""
         yield from super().start(number)
         self.raise_priority_if_crowded(number)
 
     def raise_priority_if_crowded(self, number: int) -> None:
-        """On a machine with other work gateways have a real-time priority as well, if the script says so."""
+        """Gives a gateway a real-time priority, if the script says that the machine has other work."""
         if self.context.settings.crowded and self.trial.processes.real_time:
             raise_priority(self.processes[number].child.pid, RealTimePriority.GATEWAY)
 
     def cpu_waits(self) -> dict[int, CpuWait]:
-        """What the gateways that are up waited for a core, by process id."""
+        """How long each gateway that is up has waited for a core, by process id."""
         waits = {}
         for process in self.processes.values():
             pid = process.child.pid
@@ -134,8 +134,7 @@
     # Faults; a gateway that is under one already is left alone
 
     def restart(self, number: int, ending: signal.Signals, back: int) -> Routine:
-        """A coroutine: ended by SIGKILL or SIGTERM, which lets it end what it has, started again after
-        `back` ns."""
+        """A coroutine: ends the gateway by SIGKILL or SIGTERM, and starts it again after `back` ns."""
         if number in self.under_fault:
             return
         self.under_fault.add(number)
@@ -150,7 +149,7 @@
         self.under_fault.discard(number)
 
     def end(self, number: int, process: DayProcess) -> Routine:
-        """A coroutine: asked to end, and killed where it has not as soon as the operators may."""
+        """A coroutine: sends SIGTERM, and SIGKILL as soon as operators may if the gateway has not ended."""
         self.tap.note("ending", gateway=number)
         process.signal(signal.SIGTERM)
         yield from self.trial.processes.wait_for_exit([process], self.trial.kill_after)
@@ -162,7 +161,7 @@
             self.record.failures.append(f"g{number} ended with {code} after a SIGTERM")
 
     def pause(self, number: int, span: int) -> Routine:
-        """A coroutine: paused for so many ns."""
+        """A coroutine: pauses the gateway for `span` ns."""
         if number in self.under_fault:
             return
         self.under_fault.add(number)
@@ -170,11 +169,11 @@
         self.under_fault.discard(number)
 
     def kill_and_restart(self, number: int, back: int) -> Routine:
-        """A coroutine: killed, and started again after `back` ns."""
+        """A coroutine: kills the gateway, and starts it again after `back` ns."""
         yield from self.restart(number, signal.SIGKILL, back)
 
     def starve(self, number: int, until: int, duty: float) -> Routine:
-        """A coroutine: paused for a share `duty` of each cycle until then."""
+        """A coroutine: pauses the gateway for a share `duty` of each cycle, until the time `until`."""
         if number in self.under_fault:
             return
         process = self.processes[number]
--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -1,7 +1,7 @@
 """Plays a script with links between all processes: hundreds of gateways and hosts, and faults on their way.
 
-It ends by itself (`bound`), ends only what it started, and leaves nothing when it is itself killed: its
-children have asked the kernel to be killed with it.
+The harness ends after `bound` at the latest, ends only processes that it started, and leaves none when it is
+killed itself: its children have asked the kernel to be killed with their parent.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
     # The parts
 
     def create_parts(self) -> None:
-        """The parts that the day is played with."""
+        """Makes the parts that the day is played with."""
         self.record = PlayRecord()
         self.loop.on_error = self._routine_failed
         (self.out / "day.script").write_text(self.script.text)
@@ -103,7 +103,7 @@
         self.lease_clients = LeaseClients(self.context, self.gateways)
 
     def create_actors(self) -> None:
-        """Hosts, host lists, gateways and clients."""
+        """Makes hosts, host lists, gateways and clients."""
         self.hosts = ClusterHosts(
             self.context, self.processes, self.models, starts=self.starts, emulators=self.links
         )
@@ -112,8 +112,10 @@
         self.clients = ClusterClients(self, self.context)
 
     def _routine_failed(self, error: BaseException) -> None:
-        """An error that nobody awaited: a gateway that did not come back is the program's, all else the
-        harness's."""
+        """Records an error of a coroutine that nobody awaited.
+
+        A gateway that did not start again is a failure of the program; any other error voids the run.
+        """
         with open(self.out / "parent.err", "a") as file:
             traceback.print_exception(error, file=file)
         if isinstance(error, GatewayStartError):
@@ -126,7 +128,7 @@
     # The day
 
     def set_up(self) -> Routine:
-        """A coroutine: until all are ready."""
+        """A coroutine: starts hosts, links and gateways, and waits until all are ready."""
         begun, day, settings = self.loop.now(), self.script.day, self.script.settings
         yield from self.start_store()
         yield from self.run_together(
@@ -163,7 +165,7 @@
         ]
 
     def shut_down(self) -> Routine:
-        """A coroutine: the gateways end as asked, then all others."""
+        """A coroutine: ends the gateways, then all other processes."""
         yield from self.lateness.finish()
         end = self.loop.now() + RESTART_TIME
         # A gateway that is being restarted is up before it is asked to end.
@@ -185,7 +187,7 @@
                     yield event["by"]
 
     def run(self) -> ClusterVerdict:
-        """Plays the day; its verdict, which stands in the folder as well."""
+        """Plays the day and returns its verdict, which is also written to the folder."""
         begun = time.time()
         error = self._play_within_bound()
         took = time.time() - begun
@@ -195,7 +197,7 @@
         return verdict
 
     def _play_within_bound(self) -> Exception | None:
-        """Plays the day; what ended it early, if anything. Nothing that was started is left."""
+        """Plays the day and ends all processes; returns the error that ended the play early, if any."""
         bound = self.script.settings.bound
         signal.setitimer(signal.ITIMER_REAL, bound / SECOND + ALARM_AFTER_BOUND)
         try:
--- a/gaproute/cluster/host_lists.py
+++ b/gaproute/cluster/host_lists.py
@@ -21,7 +21,7 @@
 
 
 class ListEntry(NamedTuple):
-    """A host in a snapshot. `line`: around its address; None where the list does not name it any more."""
+    """A host in a snapshot. `line`: its line before and after the address; None if it is not listed."""
 
     host: DayHost
     state: str
@@ -37,7 +37,7 @@
 
 @dataclass
 class GatewayList:
-    """What one gateway's file has: the number of the snapshot, 0 for none, and each host's state."""
+    """One gateway's file: the number of the snapshot in it (0: none yet), and the state of each host."""
 
     path: Path
     number: int = 0
@@ -50,7 +50,7 @@
 
 
 class HostPublisher(ABC):
-    """Publishes the hosts to the gateways. `delay`: ns by which a fault of the day makes that late."""
+    """Notifies the gateways of the hosts. `delay`: ns by which a fault of the day makes that late."""
 
     def __init__(self, context: ClusterContext, hosts: DayHosts) -> None:
         self.context, self.loop, self.hosts = context, context.loop, hosts
@@ -58,18 +58,18 @@
 
     @abstractmethod
     def publish(self) -> None:
-        """What the hosts are now is published soon."""
+        """Notifies all gateways soon of the hosts as they are then."""
 
     @abstractmethod
     def publish_all_now(self) -> None:
-        """What the hosts are now is published at once, to all gateways."""
+        """Notifies all gateways at once of the hosts as they are now."""
 
     @abstractmethod
     def run_fault(self, line: HostListFaultLine, gateways: Sequence[int]) -> Routine:
-        """A coroutine: a `list` line on these gateways, from its time to its end."""
+        """A coroutine: carries out a `list` line on these gateways, from its time to its end."""
 
     def publish_state(self, host: DayHost, state: str, delay: int) -> Routine:
-        """A coroutine: a host's state is published after the delay, and `self.delay` later still."""
+        """A coroutine: changes a host's state after `delay` + `self.delay` ns, and publishes it."""
         yield self.loop.sleep(delay + self.delay)
         host.state = state
         self.publish()
@@ -91,20 +91,20 @@
         self._snapshots = 0
 
     def publish(self) -> None:
-        """All lists are written soon; a late one later, with what stands now."""
+        """Writes all lists soon, and those that are late with the same content later."""
         if not self._publishing:
             self._publishing = True
             self.loop.spawn(self._publish())
 
     def publish_all_now(self) -> None:
-        """All lists at once, before the gateways start."""
+        """Writes all lists at once, before the gateways start."""
         snapshot = self.take_snapshot()
         for number in range(len(self.lists)):
             self.write(number, snapshot)
         self.context.tap.flush()
 
     def run_fault(self, line: HostListFaultLine, gateways: Sequence[int]) -> Routine:
-        """A coroutine: a `list` line on these gateways; after it their lists are written as things stand."""
+        """A coroutine: carries out a `list` line; when it ends, these lists are up to date at once."""
         yield self.loop.sleep(line.at)
         self._delays |= dict.fromkeys(gateways, line.back if line.kind is HostListFaultKind.LATE else None)
         self.context.tap.note("list", kind=line.kind, gateways=list(gateways), lasts=line.lasts)
@@ -118,7 +118,7 @@
                 yield self.loop.sleep(0)
 
     def take_snapshot(self) -> ListSnapshot:
-        """All hosts that were ever up, as of now."""
+        """Takes a snapshot of all hosts that have been started."""
         self._snapshots += 1
         started = [host for host in self.hosts.by_name.values() if host.process is not None]
         return ListSnapshot(self._snapshots, [_entry(host) for host in started])
@@ -159,8 +159,10 @@
 
     @staticmethod
     def _replace_file(path: Path, previous: int, number: int, text: str) -> None:
-        """A link is put in place of a link: a file in place of a file is first written to the disk by ext4,
-        40 ms each on a busy one."""
+        """Replaces a symbolic link by another one.
+
+        When a file replaces a file, ext4 first writes it to the disk, which takes 40 ms on a busy one.
+        """
         fresh, link = path.with_suffix(f".{number}"), path.with_suffix(".new")
         fresh.write_text(text)
         os.symlink(fresh.name, link)
--- a/gaproute/cluster/hosts.py
+++ b/gaproute/cluster/hosts.py
@@ -32,17 +32,20 @@
         self.context, self.starts, self.emulators = context, starts, emulators
 
     def start(self, host: DayHost, *, warm: bool) -> Routine:
-        """A coroutine: the host's process, at the address that it had before, if any."""
+        """A coroutine: starts the host's process, at the address that it had before, if any."""
         yield from self.starts.run(super().start(host, warm=warm))
         self.place(host)
 
     def kill(self, host: DayHost) -> None:
-        """SIGKILL. Its connections are refused from then on, as accepted and then reset would prove less."""
+        """Kills the host's process.
+
+        Connections to it are refused from then on: one that is accepted and then reset would prove less.
+        """
         super().kill(host)
         self.place(host, refuses=True)
 
     def place(self, host: DayHost, *, refuses: bool = False) -> None:
-        """The link emulators learn where the host is, and whether it refuses."""
+        """Sends the link emulators the host's address, and whether connections to it are refused."""
         self.emulators.place_slots(self.context.plan.host_slot(host, refuses=refuses))
 
     def choose(self, line: DayFaultLine) -> list[DayHost]:
--- a/gaproute/cluster/lateness.py
+++ b/gaproute/cluster/lateness.py
@@ -1,4 +1,4 @@
-"""Whether the harness kept time: an emulator, client or parent that ran late measures itself."""
+"""How late the harness ran: an emulator, client or parent that ran late measures itself, not the program."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     links: float
 
     def as_json(self) -> dict[str, float]:
-        """By part, as a verdict has it."""
+        """The latenesses by part, as a verdict has them."""
         return {"parent": self.parent, "clients": self.clients, "hosts": self.hosts, "wires": self.links}
 
 
@@ -66,7 +66,7 @@
         self._waits_before: dict[int, CpuWait] = {}
 
     def watch(self) -> Routine:
-        """A coroutine: watches the parent until `finish`. What was late before the day does not count."""
+        """A coroutine: watches the parent until `finish`. Lateness before the day does not count."""
         self.emulators.send(ReportCounts())
         due = self.loop.now()
         self._waits_before = self.gateways.cpu_waits()
@@ -78,7 +78,7 @@
             yield self.loop.sleep(CHECK_INTERVAL)
 
     def finish(self) -> Routine:
-        """A coroutine: the day is over, the gateways have not been asked to end yet."""
+        """A coroutine: takes the last figures. The day is over, and the gateways still run."""
         self._over, self.record.ended_at = True, self.loop.now()
         before = self._waits_before
         shares = [
--- a/gaproute/cluster/lease_clients.py
+++ b/gaproute/cluster/lease_clients.py
@@ -1,10 +1,10 @@
 """Clients of leases: they acquire, extend and release leases at the gateways' operators' addresses.
 
-They note what they held when, by the machine's one monotonic clock: stand-ins for whoever does what must not
-be done twice. The tap's events are `hold` and `let go` of a `crew`, and `crews over`.
+They stand in for programs whose work must not be done twice, and note in the tap what they held when, by the
+monotonic clock of the machine. The tap's events are `hold` and `let go` of a `crew`, and `crews over`.
 
-A gateway draws the numbers of its lease requests anew at each start. So a client that finds its gateway gone
-takes its request for gone, and never asks the next process for it.
+A gateway draws the numbers of its lease requests anew at each start. So a client whose
+gateway has ended gives its lease request up, and does not ask the gateway's next process for it.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class LeaseClients:
-    """All clients of a play; without effect where the script has none. `over`: they ask no more."""
+    """All lease clients of a play; the script may have none. `over`: the day has ended, and they stop."""
 
     def __init__(self, context: ClusterContext, gateways: ClusterGateways) -> None:
         self.context, self.loop, self.gateways = context, context.loop, gateways
@@ -71,7 +71,7 @@
         self.context.tap.note("crews over")
 
     def _kill_leader(self, line: LeaseClientsLine) -> Routine:
-        """A coroutine: whoever leads the group at that time is killed, and started again with its disk."""
+        """A coroutine: kills the leader of the Raft group at the script's time, and starts it again."""
         yield self.loop.sleep(line.leader_killed_at)
         while not self.over:
             for number in range(line.group_size):
@@ -110,7 +110,7 @@
         self.chance = clients.context.line_random(line, f"crew {place}")
 
     def run(self) -> Routine:
-        """A coroutine: until the day is over."""
+        """A coroutine: requests and uses one lease after another until the day is over."""
         chance, line = self.chance, self.line
         while not self.clients.over:
             yield self.loop.sleep(chance.randrange(MAX_REST))
@@ -134,7 +134,7 @@
         self.work_until = self.loop.now() + RENEWED_FOR
 
     def run(self) -> Routine:
-        """A coroutine: until it is released, over, or left to expire."""
+        """A coroutine: uses the lease until it is released, has ended, or is left to expire."""
         while not self.client.clients.over:
             asked_at = self.loop.now()
             status = read_status((yield self.operator.status(self.gateway)))
@@ -159,7 +159,7 @@
             return
 
     def _goes_on(self, lease: LeaseStatus, asked_at: int) -> bool:
-        """Takes a status in; whether the lease is held, or still requested.
+        """Handles a status of the lease; returns whether it is held, or still requested.
 
         The moment until which the client may act is counted from when the question was sent, not from when
         the answer came.
--- a/gaproute/cluster/lease_configuration.py
+++ b/gaproute/cluster/lease_configuration.py
@@ -1,4 +1,4 @@
-"""What gateways' configurations have beside where a script has lease clients."""
+"""The lines that gateways' configurations have in addition where a script has lease clients."""
 
 from __future__ import annotations
 
--- a/gaproute/cluster/lease_operator.py
+++ b/gaproute/cluster/lease_operator.py
@@ -1,4 +1,4 @@
-"""Leases at the gateways' operators' addresses: the requests and answers there, as types."""
+"""Acquires, extends and releases leases by the operators' addresses of gateways, with typed answers."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 
 
 class LeaseOperator:
-    """Asks gateways, by their numbers. The answers are promises, of plain JSON or of `NoAnswer`."""
+    """Sends lease commands to gateways, by number. Answers are promises of plain JSON or `NoAnswer`."""
 
     def __init__(self, loop: Loop, plan: AddressPlan) -> None:
         self.loop, self.plan = loop, plan
 
     def status(self, gateway: int) -> Promise:
-        """What the gateway says of its leases; see `read_status`."""
+        """Asks for the status of all leases that were requested there; see `read_status`."""
         return self._request(gateway)
 
     def acquire(self, gateway: int, resource: str, *, duration: int, held_for: int) -> Promise:
@@ -57,11 +57,11 @@
         )
 
     def extend(self, gateway: int, request_id: int, *, held_for: int) -> Promise:
-        """The gateway goes on to renew the lease for `held_for` ns from now."""
+        """Has the gateway renew the lease for `held_for` ns from now."""
         return self._request(gateway, {"keep": request_id, "for_ms": held_for // MILLI})
 
     def release(self, gateway: int, request_id: int) -> Promise:
-        """The lease, or its request, is given up."""
+        """Releases the lease, or withdraws its request."""
         return self._request(gateway, {"give": request_id})
 
     def _request(self, gateway: int, command: Mapping[str, Any] | None = None) -> Promise:
@@ -69,7 +69,7 @@
 
 
 def read_status(answer: NoAnswer | dict[str, Any]) -> GatewayLeases | NoAnswer:
-    """The answer to `LeaseOperator.status`."""
+    """Reads the answer to `LeaseOperator.status`."""
     if isinstance(answer, NoAnswer):
         return answer
     leases = [
@@ -86,5 +86,5 @@
 
 
 def read_request_id(answer: NoAnswer | dict[str, Any]) -> int | None:
-    """The number of the lease request in the answer to `LeaseOperator.acquire`; None where it has none."""
+    """Reads the lease request's number in the answer to `LeaseOperator.acquire`; None if there is none."""
     return None if isinstance(answer, NoAnswer) else answer.get("errand")
--- a/gaproute/cluster/link_emulators.py
+++ b/gaproute/cluster/link_emulators.py
@@ -1,4 +1,4 @@
-"""The link emulators of a cluster, as the harness drives them: slots, faults, and what they report."""
+"""Starts and commands the link emulators of a cluster, and reads what they report."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
 
 class AnswerReader:
-    """Reads what one emulator says after its first line.
+    """Reads the answers of one emulator after its first line.
 
-    `reports` has its counts, `errors` what it could not carry out, which is the harness's own error.
+    `reports` has its counts; `errors` has commands that failed, which are errors of the harness.
     """
 
     def __init__(self, loop: Loop, process: DayProcess) -> None:
@@ -73,7 +73,7 @@
         self._readers: list[AnswerReader] = []
 
     def start(self, count: int, slots: Mapping[int, Slot]) -> Routine:
-        """A coroutine: until all of them serve. Errors: `NotReadyError`."""
+        """A coroutine: starts `count` emulators and waits until all serve. Errors: `NotReadyError`."""
         first = encode_command(Start(self.port, self.port, slots, self.seed))
         for place in range(count):
             self.running.append(self.processes.start([MODULE], first, f"wire-{place}.err"))
@@ -89,17 +89,17 @@
         return [error for reader in self._readers for error in reader.errors]
 
     def send(self, command: Command) -> None:
-        """Sends a command to all."""
+        """Sends a command to all emulators."""
         for process in self.running:
             process.send(encode_command(command))
 
     def place_slots(self, slots: Mapping[int, Slot]) -> None:
-        """Slots are new or have moved; without effect in a cluster without links."""
+        """Sends slots that are new or have moved; does nothing in a cluster without emulated links."""
         if self.running:
             self.send(PlaceSlots(slots))
 
     def report(self) -> Generator[Promise, Any, list[LinkCounts | None]]:
-        """A coroutine: the counts of each as of now, None for one that does not report in time."""
+        """A coroutine: asks all for their counts; the result is None for one that does not answer in time."""
         before = [len(reader.reports) for reader in self._readers]
         self.send(ReportCounts())
         end = self.loop.now() + REPORT_TIMEOUT
--- a/gaproute/cluster/links/__main__.py
+++ b/gaproute/cluster/links/__main__.py
@@ -37,7 +37,7 @@
         loop.watch(STDIN, READ, self._ready)
 
     def close(self) -> None:
-        """Gives the emulator's sockets back."""
+        """Closes the emulator, if there is one."""
         if self.emulator is not None:
             self.emulator.close()
 
@@ -72,12 +72,12 @@
 
 
 def failure(error: BaseException) -> CommandFailed:
-    """The answer for an error."""
+    """Makes the answer for an error."""
     return CommandFailed(f"{type(error).__name__}: {error}")
 
 
 def answer(content: Answer) -> None:
-    """Writes one line to standard output."""
+    """Writes an answer as one line to standard output."""
     sys.stdout.write(json.dumps(encode_answer(content)) + "\n")
     sys.stdout.flush()
 
--- a/gaproute/cluster/links/codec.py
+++ b/gaproute/cluster/links/codec.py
@@ -1,4 +1,4 @@
-"""The lines of JSON between the harness and a link emulator: encoded and decoded here alone, one a message.
+"""Encodes and decodes the messages between the harness and a link emulator: each is a line of JSON.
 
 | command | line |
 | --- | --- |
@@ -49,7 +49,7 @@
 
 
 def encode_command(command: Start | Command) -> Json:
-    """The object of a line to an emulator."""
+    """Encodes a message to an emulator as the object of a line."""
     match command:
         case Start():
             return {
@@ -70,7 +70,7 @@
 
 
 def decode_start(line: str | bytes) -> Start:
-    """The first line. Errors: `LinkCommandError`."""
+    """Decodes the first line to an emulator. Errors: `LinkCommandError`."""
     document = _object(line)
     if not {"tcp", "udp"} <= document.keys():
         raise LinkCommandError(f"a first line has the keys tcp and udp, not {sorted(document)}")
@@ -84,7 +84,7 @@
 
 
 def decode_command(line: str | bytes) -> Command:
-    """A later line. Errors: `LinkCommandError`."""
+    """Decodes a later line to an emulator. Errors: `LinkCommandError`."""
     document = _object(line)
     if "say" in document:
         return ReportCounts()
@@ -98,7 +98,7 @@
 
 
 def encode_answer(answer: Answer) -> Json:
-    """The object of a line from an emulator."""
+    """Encodes an answer of an emulator as the object of a line."""
     match answer:
         case Ready():
             return {"ready": True}
@@ -109,7 +109,7 @@
 
 
 def decode_answer(line: str | bytes | Json) -> Answer:
-    """A line from an emulator, or its object. Errors: `LinkCommandError`."""
+    """Decodes an answer of an emulator, given as a line or its object. Errors: `LinkCommandError`."""
     document = line if isinstance(line, dict) else _object(line)
     if "error" in document:
         return CommandFailed(document["error"])
@@ -117,7 +117,7 @@
 
 
 def decode_slots(document: object) -> dict[int, Slot]:
-    """Slots by number. Errors: `LinkCommandError`."""
+    """Decodes slots by their numbers. Errors: `LinkCommandError`."""
     if not isinstance(document, dict):
         raise LinkCommandError(f"slots are an object by number, not {document!r}")
     try:
@@ -127,7 +127,7 @@
 
 
 def decode_slot(document: object) -> Slot:
-    """One slot. Errors: `LinkCommandError`."""
+    """Decodes one slot. Errors: `LinkCommandError`."""
     if not isinstance(document, dict) or not isinstance(document.get("name"), str):
         raise LinkCommandError(f"a slot is an object with a name, not {document!r}")
     return Slot(
@@ -142,7 +142,7 @@
 
 
 def decode_fault(document: object) -> FaultSpec:
-    """A fault's description. Errors: `LinkCommandError` that names key and value."""
+    """Decodes the description of a fault. Errors: `LinkCommandError` that names key and value."""
     if not isinstance(document, dict) or not document.keys() <= FAULT_KEYS:
         raise LinkCommandError(f"a fault has the keys {', '.join(sorted(FAULT_KEYS))}, not {document!r}")
     figures = {key: _figure(key, document.get(key, usual)) for key, usual in FIGURES.items()}
--- a/gaproute/cluster/links/conditions.py
+++ b/gaproute/cluster/links/conditions.py
@@ -1,7 +1,7 @@
-"""What the faults that are on do to a message on a link: decided here, without I/O.
+"""Decides what the faults that are on do to a message on a link, without I/O.
 
-The clock is handed in with each question, in ns; chance comes from `LinkRandom`. A time of None says that the
-message is held back until a fault ends.
+The time is passed with each question, in ns; random numbers come from `LinkRandom`. A due time of None means
+that the message is held back until a fault ends.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
     # Commands
 
     def place_slots(self, slots: Mapping[int, Slot]) -> None:
-        """Slots are new or have moved. Errors: `LinkCommandError`; nothing has changed then."""
+        """Adds slots, or changes them. Errors: `LinkCommandError`; nothing has changed then."""
         for number in slots:
             if not MIN_SLOT <= number <= MAX_SLOT:
                 raise LinkCommandError(
@@ -84,7 +84,7 @@
         self._faults_by_link = {}
 
     def begin_fault(self, fault_id: str, spec: FaultSpec) -> None:
-        """From now on this fault is on. Errors: `LinkCommandError`; nothing has changed then."""
+        """Begins a fault. Errors: `LinkCommandError`; nothing has changed then."""
         self.faults[fault_id] = LinkFault.resolve(fault_id, spec, self.slots)
         self.specs[fault_id] = spec
         self._faults_by_link = {}
@@ -129,7 +129,7 @@
         )
 
     def handshake_due(self, link: Link, now: int) -> int | None:
-        """When a connection that its caller begins now is open: there and back; None while held back."""
+        """When a connection that the caller begins now is open, after a round trip; None while held back."""
         there = self.stream_due(link, 0, now=now, not_before=0)
         return None if there is None else self.stream_due(link.reverse, 0, now=there, not_before=0)
 
@@ -151,7 +151,7 @@
         return max(due, not_before)
 
     def datagram_dues(self, link: Link, size: int, now: int) -> tuple[int, ...] | None:
-        """When each copy of a datagram that comes now is due, nothing if it is lost; None while held back."""
+        """When each copy of a datagram that arrives now is due; empty if it is lost, None while held back."""
         fate = DatagramFate(now)
         for fault in self.faults_on(link).datagrams:
             if fault.spec.kind is FaultKind.HOLD:
@@ -195,7 +195,7 @@
             self.last_datagram_due.pop(link, None)
 
     def _retransmission_delay(self, fault: LinkFault, link: Link) -> int:
-        """How late bytes are that TCP sends again until they are not lost, with a timeout that doubles."""
+        """The delay, ns, of bytes that TCP retransmits until they are not lost; the timeout doubles."""
         delay, timeout, losses = 0, RETRANSMISSION_TIMEOUT, 0
         while losses < MAX_LOSSES and self._hits(fault, link, Traffic.STREAMS):
             delay, timeout, losses = delay + timeout, 2 * timeout, losses + 1
@@ -210,7 +210,7 @@
         return self._random.source(link, traffic).below(SHARE_STEPS) < share * SHARE_STEPS
 
     def _delay(self, fault: LinkFault, link: Link, traffic: Traffic, *, size: int, now: int) -> int | None:
-        """By how many ns one message is late; None where a datagram finds the queue of its rate full."""
+        """The delay, in ns, of one message; None if a datagram finds the queue of a limited rate full."""
         delay = fault.spec.base_delay
         if fault.spec.jitter:
             delay += self._random.source(link, traffic).below(fault.spec.jitter)
--- a/gaproute/cluster/links/connection_tap.py
+++ b/gaproute/cluster/links/connection_tap.py
@@ -1,4 +1,4 @@
-"""A line of JSON for each connection that opens, is refused or ends, in a file."""
+"""Writes a line of JSON to a file for each connection that opens, is refused or ends."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConnectionEvent(Enum):
-    """What became of a connection, as its line has it."""
+    """An event of a connection; the value is in its line."""
 
     OPENED = b"opened"
     REFUSED = b"refused"
@@ -27,7 +27,7 @@
         self._clock = clock
 
     def note(self, event: ConnectionEvent, link: Link, carried_bytes: int = 0) -> None:
-        """One line."""
+        """Writes one line."""
         if self._file is not None:
             self._file.write(
                 b'{"at":%d,"what":"%b","from":%d,"to":%d,"bytes":%d}\n'
@@ -35,6 +35,6 @@
             )
 
     def close(self) -> None:
-        """Gives the file back."""
+        """Closes the file."""
         if self._file is not None:
             self._file.close()
--- a/gaproute/cluster/links/context.py
+++ b/gaproute/cluster/links/context.py
@@ -10,7 +10,7 @@
 
 
 class EmulatorContext(NamedTuple):
-    """The loop, what decides about messages, and what notes how late they leave."""
+    """The loop, the conditions that decide about messages, and the record of how late they leave."""
 
     loop: Loop
     conditions: NetworkConditions
--- a/gaproute/cluster/links/datagrams.py
+++ b/gaproute/cluster/links/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams over all links: one socket; the address that was called names the link."""
+"""Relays the datagrams of all links by one socket: the address that was called names the link."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def sent_from(packed_address: bytes) -> Ancillary:
-    """What makes a datagram leave from this local address (4 bytes)."""
+    """The ancillary data that makes a datagram leave from this local address (4 bytes)."""
     return [(socket.IPPROTO_IP, IP_PKTINFO, bytes(4) + packed_address + bytes(4))]
 
 
@@ -77,7 +77,7 @@
         self.loop.watch(sock.fileno(), READ, self._ready)
 
     def conditions_changed(self) -> None:
-        """A fault or a slot has changed: what is no longer held goes out in one burst, in its order.
+        """Follows a change of faults or slots: what is no longer held goes out in one burst, in its order.
 
         What comes after it may overtake the rest of a long burst.
         """
@@ -87,7 +87,7 @@
             self.loop.soon(self._release, len(self.held))
 
     def close(self) -> None:
-        """Gives the socket back."""
+        """Closes the socket."""
         self.loop.unwatch(self.sock.fileno())
         self.sock.close()
 
--- a/gaproute/cluster/links/emulator.py
+++ b/gaproute/cluster/links/emulator.py
@@ -1,4 +1,4 @@
-"""One link emulator: all that it carries, and what it does for each command."""
+"""A link emulator: the parts that carry streams and datagrams, and the commands that change them."""
 
 from __future__ import annotations
 
@@ -65,18 +65,18 @@
         return None
 
     def apply_changes(self) -> None:
-        """All that is under way follows the slots and faults as they are now."""
+        """Applies the slots and faults as they are now to all that is under way."""
         if self._changed:
             self._changed = False
             self.streams.conditions_changed()
             self.datagrams.conditions_changed()
 
     def find_breaches(self) -> list[str]:
-        """What must hold and does not, as text."""
+        """The invariants that do not hold, as text."""
         return find_breaches(self.conditions, self.datagrams, self.streams.relays.values())
 
     def report(self) -> LinkCounts:
-        """The counts until now; the lateness since the last report is taken."""
+        """The counts until now. The lateness is that since the last report."""
         streams, datagrams = self.streams, self.datagrams
         return LinkCounts(
             bytes=streams.carried_bytes,
@@ -102,7 +102,7 @@
         )
 
     def close(self) -> None:
-        """Gives all sockets and the tap's file back; standing connections are reset."""
+        """Closes all sockets and the tap's file; standing connections are reset."""
         self.streams.close()
         self.datagrams.close()
         self.tap.close()
--- a/gaproute/cluster/links/faults.py
+++ b/gaproute/cluster/links/faults.py
@@ -1,4 +1,4 @@
-"""Faults of links: what each does, and whom it concerns.
+"""The faults of links: what each kind does, and on which links a fault lies.
 
 A fault lies on what travels from a source slot to a destination slot, whoever opened the connection; with
 `both_ways` on the way back as well. `share` is the share of messages that it touches, 1 if not given.
@@ -76,7 +76,7 @@
 
     @property
     def base_delay(self) -> int:
-        """ns by which what it touches is late at least, but for the queue of a limited rate."""
+        """The least delay, in ns, of what the fault touches, without the queue of a limited rate."""
         if self.kind is FaultKind.REORDER and not self.delay:
             return DEFAULT_REORDER_DELAY
         return self.delay
--- a/gaproute/cluster/links/invariants.py
+++ b/gaproute/cluster/links/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold in a link emulator, as named checks; run whenever its counts are asked for."""
+"""Invariants of a link emulator, as named checks that run whenever its counts are requested."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def find_breaches(
     conditions: NetworkConditions, datagrams: DatagramRelay, relays: Iterable[StreamRelay]
 ) -> list[str]:
-    """What does not hold, as text; nothing if all is well."""
+    """Runs all checks; returns those that fail, as text."""
     found = [*check_conditions(conditions), *check_datagrams(datagrams)]
     for relay in relays:
         found += [*check_stream(relay.near), *check_stream(relay.far)]
@@ -22,7 +22,7 @@
 
 
 def check_conditions(conditions: NetworkConditions) -> Iterator[str]:
-    """Of the faults that are on."""
+    """Checks the faults that are on."""
     if list(conditions.specs) != list(conditions.faults):
         yield f"faults_as_described: {list(conditions.specs)} described, {list(conditions.faults)} on"
     if any(key.fault_id not in conditions.faults for key in conditions.rate_queues.free_at):
@@ -30,7 +30,7 @@
 
 
 def check_stream(end: StreamEnd) -> Iterator[str]:
-    """Of one direction of a connection."""
+    """Checks one direction of a connection."""
     transit, output = end.transit, end.output
     if not (transit.pieces or output.chunks or transit.size or output.size):
         return  # most are like this: 5,000 connections must not make the emulator late
@@ -51,7 +51,7 @@
 
 
 def check_datagrams(datagrams: DatagramRelay) -> Iterator[str]:
-    """Of the datagrams that are held."""
+    """Checks the datagrams that are held."""
     if sum(len(datagram.data) for datagram in datagrams.held) != datagrams.held_bytes:
         yield f"held_bytes: {datagrams.held_bytes} booked"
     if len(datagrams.held) > MAX_HELD or datagrams.held_bytes > MAX_HELD_BYTES:
--- a/gaproute/cluster/links/lateness.py
+++ b/gaproute/cluster/links/lateness.py
@@ -1,4 +1,4 @@
-"""How late an emulator runs: a measurement through one that was late is void, so it has to know."""
+"""Measures how late an emulator runs, since a play with one that was late is void."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class LinkLateness:
     """The longest time, in ns, that anything due or arrived waited for the emulator.
 
-    `recent` is since it was last taken, `most` since the start. Takes the place of the loop's `poll`.
+    `recent` is since it was last taken, `most` since the start. `measured_poll` replaces the loop's `poll`.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -24,19 +24,19 @@
         self._check(loop.now())
 
     def measured_poll(self, epoll: select.epoll, span: int) -> Events:
-        """Polls. What came while the last turn was worked off waited for its whole length at most."""
+        """Replaces the loop's `poll`. What arrived during the last turn has waited for all of it at most."""
         self._note(self.loop.now() - self.woke_at)
         ready = self.poll(epoll, span)
         self.woke_at = self.loop.now()
         return ready
 
     def note_departure(self, due: int, now: int) -> None:
-        """Something that was due at `due` leaves now."""
+        """Notes that something which was due at `due` leaves now."""
         if now - due > self.recent:
             self._note(now - due)
 
     def take(self) -> int:
-        """The longest lateness since this was last called."""
+        """Returns the longest lateness since this was last called."""
         recent, self.recent = self.recent, 0
         return recent
 
--- a/gaproute/cluster/links/link_random.py
+++ b/gaproute/cluster/links/link_random.py
@@ -1,4 +1,4 @@
-"""Seeded chance of links: a generator for each link and sort of traffic."""
+"""Seeded random generators, one for each link and sort of traffic."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class LinkRandom:
     """The generators of one emulator. `make_source(seed)` makes one.
 
-    They are made of the seed alone, so that it does not matter which of several emulators serves a link, or
-    what other links carry.
+    Each depends on the seed and the link alone, so that it does not matter which of several emulators serves
+    the link, or what other links carry.
     """
 
     def __init__(self, seed: int, make_source: Callable[[int], RandomSource]) -> None:
--- a/gaproute/cluster/links/messages.py
+++ b/gaproute/cluster/links/messages.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginFault:
-    """From now on the fault is on."""
+    """Begins a fault."""
 
     fault_id: str
     spec: FaultSpec
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndFault:
-    """The fault of this id ends."""
+    """Ends the fault of this id."""
 
     fault_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReportCounts:
-    """Asks for `LinkCounts`."""
+    """Requests `LinkCounts`."""
 
 
 Command = PlaceSlots | BeginFault | EndFault | ReportCounts
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """The emulator serves."""
+    """The emulator has started and serves."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/gaproute/cluster/links/packet_filter.py
+++ b/gaproute/cluster/links/packet_filter.py
@@ -14,7 +14,7 @@
 
 
 class Opcode(IntEnum):
-    """The instructions that are used here. The accumulator is what they work on."""
+    """The instructions that are used here. They work on the accumulator."""
 
     LOAD_BYTE = 0x30  # of the packet, at the offset `operand`
     LOAD_HALF = 0x28  # 2 bytes
@@ -31,7 +31,7 @@
 
 
 class Instruction(NamedTuple):
-    """One instruction; `if_true` and `if_false` are how many a conditional jump skips."""
+    """One instruction; `if_true` and `if_false` are how many instructions a conditional jump skips."""
 
     opcode: Opcode
     operand: int
@@ -44,7 +44,7 @@
 
 
 def attach(sock: socket.socket, instructions: Sequence[Instruction]) -> None:
-    """From now on the socket hears only what passes. Errors: OSError where the kernel refuses them."""
+    """Attaches a filter to a socket. Errors: OSError if the kernel refuses it."""
     program = b"".join(
         struct.pack("=HBBI", each.opcode, each.if_true, each.if_false, each.operand) for each in instructions
     )
--- a/gaproute/cluster/links/pieces.py
+++ b/gaproute/cluster/links/pieces.py
@@ -44,7 +44,7 @@
         return self.chunks[0]
 
     def sent(self, count: int) -> bool:
-        """The socket took `count` bytes of the first chunk; whether that was all of it."""
+        """Removes `count` bytes of the first chunk, which were sent; whether that was all of it."""
         self.size -= count
         if count < len(self.chunks[0]):
             self.chunks[0] = memoryview(self.chunks[0])[count:]
@@ -53,6 +53,6 @@
         return True
 
     def clear(self) -> None:
-        """Forgets what is left."""
+        """Drops what is left."""
         self.chunks.clear()
         self.size = 0
--- a/gaproute/cluster/links/rate_queues.py
+++ b/gaproute/cluster/links/rate_queues.py
@@ -1,4 +1,4 @@
-"""The queues of links whose rate a fault limits."""
+"""The send queues of links whose rate a fault limits."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.free_at: dict[QueueKey, int] = {}
 
     def enqueue(self, fault: LinkFault, link: Link, traffic: Traffic, *, size: int, now: int) -> int | None:
-        """How long, in ns, until `size` bytes have been sent; None where a datagram finds the queue full."""
+        """Adds `size` bytes; the ns until they have been sent, None if a datagram finds the queue full."""
         key = QueueKey(fault.fault_id, link, traffic)
         begins = max(now, self.free_at.get(key, 0))
         if traffic is Traffic.DATAGRAMS and begins - now > MAX_QUEUE_TIME:
@@ -35,5 +35,5 @@
         return self.free_at[key] - now
 
     def forget(self, fault_id: str) -> None:
-        """The fault has ended, and its queues with it."""
+        """Removes the queues of a fault that has ended."""
         self.free_at = {key: when for key, when in self.free_at.items() if key.fault_id != fault_id}
--- a/gaproute/cluster/links/refuser.py
+++ b/gaproute/cluster/links/refuser.py
@@ -1,4 +1,4 @@
-"""A real refusal of a connection, for a slot whose process is known to be down on a machine that lives.
+"""Refuses connections to a slot whose process is known to be down, as the kernel of a running machine would.
 
 The emulator's listener would accept and then reset, and by then the caller may have handed over a request
 that counts as one that may have run. So the filter drops the SYN to a slot that `refuses`, and a raw socket
@@ -45,7 +45,7 @@
             self.permitted = False
 
     def conditions_changed(self) -> None:
-        """A fault or a slot has changed."""
+        """Opens or closes the raw socket after a change of slots."""
         wanted = self.permitted and any(slot.refuses for slot in self.conditions.slots.values())
         if wanted and self.sock is None:
             self.sock = raw_socket()
@@ -55,7 +55,7 @@
             self.close()
 
     def close(self) -> None:
-        """Gives the raw socket back."""
+        """Closes the raw socket."""
         if self.sock is not None:
             self.loop.unwatch(self.sock.fileno())
             self.sock.close()
--- a/gaproute/cluster/links/stream_end.py
+++ b/gaproute/cluster/links/stream_end.py
@@ -31,10 +31,10 @@
     pieces: int
 
     def reset(self) -> None:
-        """Both ends see a reset at once."""
+        """Resets both ends at once."""
 
     def finish(self) -> None:
-        """Both ends are closed."""
+        """Is called once both ends are closed."""
 
 
 def close_with_reset(sock: socket.socket) -> None:
@@ -112,14 +112,14 @@
                 self.close()
 
     def forward(self, piece: Piece) -> None:
-        """Sends a piece that was read here on its way."""
+        """Sends a piece that was read here towards the other end."""
         self.transit.add(piece)
         if self._bytes_under_way > HIGH_WATER and not self.paused:
             self.paused = True
             self._update_mask()
 
     def resume_reading(self) -> None:
-        """Reads on if enough of what was read here has been taken at the other end."""
+        """Reads again if the other end has taken enough of what was read here."""
         if self.paused and self._bytes_under_way < LOW_WATER:
             self.paused = False
             self._update_mask()
@@ -214,11 +214,11 @@
             self._mask = mask
 
     def close(self) -> None:
-        """Gives the socket back; what the other end still has under way to its process goes on."""
+        """Closes the socket; what is under way to the other end's process is still delivered."""
         self._close_by(socket.socket.close)
 
     def reset(self) -> None:
-        """As `close`, and its process sees a reset."""
+        """Closes the socket so that its process sees a reset."""
         self._close_by(close_with_reset)
 
     def _close_by(self, close_socket: Callable[[socket.socket], None]) -> None:
@@ -234,5 +234,5 @@
             self.connection.finish()
 
     def untie(self) -> None:
-        """Lets go of all that refers to it in turn, so that no collection of garbage is needed."""
+        """Removes circular references, so that no garbage collection is needed."""
         del self.other, self.transit, self.connection
--- a/gaproute/cluster/links/stream_relay.py
+++ b/gaproute/cluster/links/stream_relay.py
@@ -50,24 +50,24 @@
         return bool(self.near.transit.pieces or self.far.transit.pieces)
 
     def reset(self) -> None:
-        """Both ends see a reset at once."""
+        """Resets both ends at once."""
         self.near.reset()
         self.far.reset()
 
     def conditions_changed(self) -> None:
-        """A fault or a slot has changed."""
+        """Follows a change of faults or slots."""
         self.near.transit.conditions_changed()
         self.far.transit.conditions_changed()
 
     def finish(self) -> None:
-        """Both ends are closed."""
+        """Ends the relay, as both ends are closed."""
         self.near.transit.clear()
         self.far.transit.clear()
         self._on_finished(self)
         self._loop.soon(self._untie)  # whoever is at work on an end still needs the other
 
     def _untie(self) -> None:
-        """Nothing of it refers in a circle any more, so that no collection of garbage is needed."""
+        """Removes circular references, so that no garbage collection is needed."""
         self.near.untie()
         self.far.untie()
         del self.near, self.far
--- a/gaproute/cluster/links/streams.py
+++ b/gaproute/cluster/links/streams.py
@@ -1,4 +1,4 @@
-"""Connections over all links: accepted for any link, opened at the far end, held until both ends close.
+"""Relays the connections of all links: accepts them, opens them at the far end, carries bytes both ways.
 
 The kernel shakes hands for the emulator before it is asked, so a far end that refuses is passed on as an
 accepted connection that is reset, unless its slot `refuses` (`refuser.py`). What leads to a slot without an
@@ -78,7 +78,7 @@
         return slot is not None and slot.stream_address is not None and self.conditions.can_connect(link)
 
     def _open(self, pending: PendingConnection) -> None:
-        """Its handshake takes the way there and the way back, then the far end sees the connection."""
+        """Opens the connection at the far end after the round trip of its handshake."""
         now = self.loop.now()
         due: int | None = None
         if self._can_open(pending.link):
@@ -97,7 +97,7 @@
         return slot.stream_address or ""
 
     def _give_up(self, pending: PendingConnection) -> None:
-        """The caller left before its connection had opened: the far end never hears of it."""
+        """Drops a connection whose caller left before it had opened; the far end never sees it."""
         del self.pending[pending.number]
         self.loop.unwatch(pending.sock.fileno())
         pending.sock.close()
@@ -131,7 +131,7 @@
         self.tap.note(ConnectionEvent.OPENED, pending.link)
 
     def _announce_caller(self, far: socket.socket, link: Link) -> None:
-        """A slot that is to know who calls hears of it first; a new connection's buffer has room for that."""
+        """Sends the caller's name first, if the slot wants it; a new connection's buffer has room."""
         callee, caller = self.conditions.slots.get(link.destination), self.conditions.slots.get(link.source)
         if callee is not None and callee.announce_caller and caller is not None:
             try:  # noqa: SIM105 - the error is explained here
@@ -148,7 +148,7 @@
     # Changes
 
     def conditions_changed(self) -> None:
-        """A fault or a slot has changed."""
+        """Follows a change of faults or slots."""
         self._update_filter()
         self.refuser.conditions_changed()
         for pending in list(self.pending.values()):
@@ -169,7 +169,7 @@
             self.filter = instructions
 
     def reset_by(self, fault_id: str) -> None:
-        """The fault of this id has begun: breaks those standing connections that it resets."""
+        """Resets the standing connections that a fault, which has just begun, concerns."""
         for relay in list(self.relays.values()):
             if self.conditions.resets(fault_id, relay.link):
                 relay.reset()
@@ -185,7 +185,7 @@
         return self.counts.pieces + sum(relay.pieces for relay in self.relays.values())
 
     def close(self) -> None:
-        """Gives all sockets back; standing connections are reset."""
+        """Closes all sockets; standing connections are reset."""
         self.listener.close()
         self.refuser.close()
         for pending in self.pending.values():
--- a/gaproute/cluster/links/syn_filter.py
+++ b/gaproute/cluster/links/syn_filter.py
@@ -1,4 +1,4 @@
-"""What keeps a connection from opening at all, as a packet filter for the listening socket.
+"""The packet filter of the listening socket, which keeps connections from opening at all.
 
 The kernel shakes hands before the emulator is asked, so a caller would believe that it is connected to a host
 behind a cut, and hand it a request that may then have run. The filter drops the first packet (SYN) of what
@@ -39,7 +39,7 @@
 
 
 def build(conditions: NetworkConditions, *, except_refusing: bool = False) -> Program | None:
-    """The filter for these slots and faults.
+    """Makes the filter for these slots and faults.
 
     None where the kernel would not take so many instructions: then what cannot open is accepted and stays
     silent. `except_refusing`: slots that refuse are left out too, as others answer for them (`refuser.py`).
--- a/gaproute/cluster/links/transit_queue.py
+++ b/gaproute/cluster/links/transit_queue.py
@@ -1,4 +1,4 @@
-"""What was read at one end of a connection and is not yet due at the other."""
+"""The queue of what was read at one end of a connection and is not yet due at the other."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         self.timer: Timer | None = None  # of the first piece
 
     def add(self, piece: Piece) -> None:
-        """A piece was read: it is delivered at once, or when it is due."""
+        """Takes a piece that was read, and delivers it at once or when it is due."""
         conditions = self.conditions
         if not self.pieces and not (conditions.faults and conditions.faults_on(self.link).streams):
             self.deliver(piece)
@@ -67,7 +67,7 @@
                 self._set_timer()
 
     def conditions_changed(self) -> None:
-        """A fault or a slot has changed: what was held back and is no longer flows on, in its order."""
+        """Follows a change of faults or slots: what is no longer held back flows on, in its order."""
         if not self.pieces or self.conditions.blocks_streams(self.link):
             return
         last = self.loop.now()
@@ -79,7 +79,7 @@
         self._release()
 
     def clear(self) -> None:
-        """Nothing more is delivered."""
+        """Drops all pieces."""
         self.pieces.clear()
         self.size = 0
         if self.timer is not None:
--- a/gaproute/cluster/operator_client.py
+++ b/gaproute/cluster/operator_client.py
@@ -1,4 +1,4 @@
-"""One request to a gateway's operators' address, as a promise of what came of it."""
+"""Sends a request to a gateway's operators' address; the answer is a promise."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def request_operator(
     loop: Loop, operator_address: str, path: str, command: Mapping[str, Any] | None = None
 ) -> Promise:
-    """A promise of the answer's JSON, or of `NoAnswer`. A command is sent by POST, else it is a GET."""
+    """Sends a POST with the command, or a GET without one; a promise of the answer's JSON or `NoAnswer`."""
     return _OperatorRequest(loop, operator_address, _encode(path, command)).promise
 
 
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -36,7 +36,7 @@
         self.process: DayProcess
 
     def start(self) -> Routine:
-        """A coroutine: the log's process, which listens for each gateway apart."""
+        """A coroutine: starts the log's process, which has an address for each gateway."""
         addresses = ["127.0.0.1:0"] * self.context.day.gateways
         settings = {"gateways": addresses, "tap": str(self.context.out / "log.tap")}
         self.process = self.processes.start_stand_in("platform-log", "log", settings)
@@ -44,11 +44,11 @@
         self.context.plan.change_log_addresses = started["addresses"]
 
     def close_input(self) -> None:
-        """The end of its input, which ends it."""
+        """Ends the process's input, at which the process ends."""
         self.process.close_input()
 
     def known_to(self, number: int) -> dict[str, Any]:
-        """What stands in the file of a gateway that starts now."""
+        """The host list for the file of a gateway that starts now."""
         snapshot: dict[str, Any] = self._list.snapshot()
         for event in snapshot["results"]:
             event["fleet"]["members"] = [
@@ -57,13 +57,13 @@
         return snapshot
 
     def publish(self) -> None:
-        """What has changed is an event of the log, soon."""
+        """Sends an event with what has changed soon."""
         if not self._publishing:
             self._publishing = True
             self.loop.after(GATHER_TIME, self.publish_all_now)
 
     def publish_all_now(self) -> None:
-        """What has changed since the last event, as one event."""
+        """Sends one event with what has changed since the last one."""
         self._publishing = False
         changed = list(self._changed_rows())
         if changed:
@@ -71,9 +71,9 @@
             self.process.send(self._list.change(*changed))
 
     def run_link_fault(self, line: LinkFaultLine, schedule: LinkFaultSchedule) -> Routine:
-        """A coroutine: beside a fault that delays what the log sends gateways, the log learns which.
+        """A coroutine: informs the log which gateways a fault on its links concerns.
 
-        Both draw the same ends, by the line's own chance.
+        The ends are drawn as for the fault itself, by the line's own generator.
         """
         chance = self.context.line_random(line)
         yield self.loop.sleep(line.at)
@@ -91,8 +91,10 @@
         self.process.send({"trouble": "elsewhere", "gateways": numbers, "on": False})
 
     def run_fault(self, line: HostListFaultLine, gateways: Sequence[int]) -> Routine:
-        """A coroutine: a `list` line. Deaf gateways' connections are silent; that counts as notified after
-        4 s."""
+        """A coroutine: carries out a `list` line.
+
+        The connections of deaf gateways are silent; these count as notified after 4 s.
+        """
         yield self.loop.sleep(line.at)
         fault: dict[str, Any] = {"trouble": "silent"}
         if line.kind is HostListFaultKind.LATE:
@@ -111,7 +113,7 @@
                 yield row
 
     def _row(self, host: DayHost) -> Row:
-        """As an event has it, with an address for each gateway."""
+        """A host as an event has it, with an address for each gateway."""
         addresses = [self.context.plan.host(number, host) for number in range(self.context.day.gateways)]
         row: Row = member(
             host.name,
--- a/gaproute/cluster/platform/clients.py
+++ b/gaproute/cluster/platform/clients.py
@@ -18,7 +18,7 @@
     KIND: ClassVar[str] = "platform-clients"
 
     def start(self) -> None:
-        """Starts all of them; they say when their first request comes."""
+        """Starts all client processes; each writes a line when it sends its first request."""
         super().start()
         self.first_requests: list[Promise] = [
             self.trial.processes.first_line(process, "clients") for process in self.processes
@@ -29,15 +29,15 @@
         return [{key: known[key] for key in CLASS_KEYS} for known in super().request_classes()]
 
     def process_settings(self, place: int, count: int) -> dict[str, Any]:
-        """As of other clients, and the models, of which all classes draw."""
+        """As in the base class, with the models, which all request classes use."""
         return super().process_settings(place, count) | {"models": self.trial.models}
 
     def own_habits(self, place: int) -> dict[str, Any]:
-        """None."""
+        """These clients have no habits of their own."""
         return {}
 
     def events(self) -> list[TapEvent]:
-        """As of other clients: who is done says how late it has run since its first request."""
+        """As in the base class; the `done` event of a process has its lateness since its first request."""
         found: list[TapEvent] = []
         for path in sorted(self.trial.out.glob("clients-*.tap")):
             events = read_tap(path)
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -26,7 +26,7 @@
 class PlatformGateways(ClusterGateways):
     """All gateways of one play.
 
-    `peer_broadcast`: the process that sends on what is for all peers, and its address, once it is up.
+    `peer_broadcast` is the process that forwards datagrams for all peers, once it has been started.
     """
 
     def __init__(self, trial: ClusterTrial, parts: GatewayParts, change_log: PlatformChangeLog) -> None:
@@ -36,7 +36,7 @@
         self.peer_broadcast_address = ""
 
     def start_peer_broadcast(self) -> Routine:
-        """A coroutine: the process that sends on to each other gateway by the address of their link."""
+        """A coroutine: starts the process that forwards datagrams to each other gateway over their link."""
         plan, gateways = self.plan, range(self.context.day.gateways)
         routes = {
             plan.gateway(number).peers: [plan.peer(number, other) for other in gateways if other != number]
@@ -53,7 +53,7 @@
         self.peer_broadcast_address = started["address"]
 
     def start(self, number: int) -> Routine:
-        """A coroutine: until it says that it has started."""
+        """A coroutine: starts the gateway and waits until it logs that it has started."""
         name = f"g{number}"
         _, environment = write_configuration(self.out, self._file(number))
         log = self.out / f"{name}.log"
@@ -73,20 +73,20 @@
         self.tap.flush()
 
     def restart(self, number: int, ending: signal.Signals, back: int) -> Routine:
-        """As of other gateways; clients learn of one that is asked to end."""
+        """As in the base class; clients are informed of a gateway that gets a SIGTERM."""
         if ending is signal.SIGTERM and number not in self.under_fault:
             self.trial.clients.send({"do": "leaving", "gateway": number})
         yield from super().restart(number, ending, back)
 
     def terminate(self, span: int) -> Routine:
-        """A coroutine: all are asked to end, then the processes beside them."""
+        """A coroutine: ends all gateways, then the change log and the peer broadcast."""
         yield from super().terminate(span)
         self.change_log.close_input()
         if self.peer_broadcast is not None:
             self.peer_broadcast.close_input()
 
     def _wait_until_started(self, name: str, process: DayProcess, log: Path, before: int) -> Routine:
-        """A coroutine: until the log, from byte `before` on, says so.
+        """A coroutine: waits until the log, from byte `before` on, says that the gateway has started.
 
         Errors: `GatewayStartError` where it has ended, `NotReadyError` where it takes too long.
         """
@@ -99,7 +99,7 @@
             yield self.loop.sleep(READY_POLL_INTERVAL)
 
     def _file(self, number: int) -> Any:
-        """What stands in the file of a gateway."""
+        """The content of a gateway's file."""
         addresses = self.plan.gateway(number)
         return make_configuration(
             f"g{number}",
@@ -113,7 +113,7 @@
         )
 
     def _deployment(self) -> Any:
-        """The settings object, made of the script's lines."""
+        """The settings object, made from the script's lines."""
         script, day = self.context.script, self.context.day
         instances, life = script.warm_instances, script.host_life
         request_classes = [
--- a/gaproute/cluster/platform/harness.py
+++ b/gaproute/cluster/platform/harness.py
@@ -23,7 +23,7 @@
     clients: PlatformClients
 
     def create_actors(self) -> None:
-        """Hosts, change log, gateways and clients."""
+        """Makes hosts, change log, gateways and clients."""
         for number, model in enumerate(self.models, 1):
             model["name"] = f"{number:016x}"  # as the platform names functions
         self.plan.announce_callers = True  # orders bear their gateway's name, for rule 5
@@ -36,14 +36,17 @@
         self.clients = PlatformClients(self, self.context)
 
     def start_store(self) -> Routine:
-        """A coroutine: the store, and the processes that hosts and gateways need."""
+        """A coroutine: starts the store, and the processes that hosts and gateways need."""
         yield from super().start_store()
         yield from self.hosts.start_processes()
         yield from self.host_list.start()
         yield from self.gateways.start_peer_broadcast()
 
     def day_routines(self) -> list[Routine]:
-        """Clients wait until all gateways answer them; the script's times count from their first request."""
+        """What happens during the day, as coroutines.
+
+        Clients wait until all gateways answer them; the script's times count from their first request.
+        """
         link_faults = [
             self.host_list.run_link_fault(line, self.link_faults)
             for line in self.script.link_faults
@@ -62,7 +65,7 @@
         return [*super().host_latenesses(), *self._latenesses_in("hosts-*.tap")]
 
     def shut_down(self) -> Routine:
-        """A coroutine: all end. What the change log sent whom is judged with the rest."""
+        """A coroutine: ends all processes, and adds the change log's tap to the harness's own."""
         yield from super().shut_down()
         self.tap.flush()
         log_tap = self.out / "log.tap"
@@ -71,6 +74,6 @@
 
 
 def harness_class(script: ClusterScript) -> type[ClusterHarness]:
-    """What plays a cluster's script."""
+    """The class that plays a cluster's script."""
     is_platform = script.cluster is not None and script.cluster.kind is GatewayKind.PLATFORM
     return PlatformHarness if is_platform else ClusterHarness
--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of the platform: several in one process, each killed and restarted as if it had its own."""
+"""Hosts of the platform: several share a process, and each is killed and restarted as if it had its own."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 
 class SharedProcessHost:
-    """A host with the interface of a process of its own. SIGSTOP becomes `vanish`: others stand there too."""
+    """One of several hosts in a process, with the interface of a process of its own."""
 
     def __init__(self, process: DayProcess, name: str) -> None:
         self.process, self.name, self.child = process, name, process.child
 
     def send(self, command: Message) -> None:
-        """A command to this host alone; lost where its process has ended."""
+        """Sends a command to this host alone; it is lost if the process has ended."""
         if not self.process.input.closed:  # the first of them that ends it ends all
             self.process.send({**command, "host": self.name})
 
     def signal(self, number: int) -> None:
-        """What the signal would do to a process of its own."""
+        """Does what the signal would do to a process of its own: SIGSTOP becomes the fault `vanish`."""
         if number == signal.SIGKILL:
             self.send({"do": "crash"})
         elif number in (signal.SIGSTOP, signal.SIGCONT):
             self.send({"trouble": "vanish", "on": number == signal.SIGSTOP})
 
     def close_input(self) -> None:
-        """The end of the process's input: all its hosts end."""
+        """Ends the process's input, at which all its hosts end."""
         self.process.close_input()
 
 
 class SharedProcess:
-    """A process of several hosts; `turns`: one answer is awaited at a time."""
+    """A process of several hosts; `turns` has one answer awaited at a time."""
 
     def __init__(self, process: DayProcess, turns: StartLimiter) -> None:
         self.process, self.turns = process, turns
@@ -47,7 +47,7 @@
     """All hosts of one play."""
 
     def start_processes(self) -> Routine:
-        """A coroutine: the processes that the hosts stand in, before the first host starts."""
+        """A coroutine: starts the processes that the hosts share, before the first host starts."""
         self._shared = [
             SharedProcess(self._start_process(place), StartLimiter(self.context.loop, 1))
             for place in range(-(-self.context.day.hosts // HOSTS_PER_PROCESS))
@@ -57,14 +57,14 @@
             yield self.processes.first_line(shared.process, "the hosts' process")
 
     def start(self, host: DayHost, *, warm: bool) -> Routine:
-        """A coroutine: the host's next incarnation, at the address that it had."""
+        """A coroutine: starts the host's next incarnation, at the address that it had."""
         shared = self._shared[host.number % len(self._shared)]
         yield from shared.turns.run(self._start_host(host, shared.process, warm=warm))
         self._down.discard(host.name)
         self.place(host)
 
     def kill(self, host: DayHost) -> None:
-        """As if its process had got SIGKILL."""
+        """Ends the host as a SIGKILL would."""
         if host.name not in self._down:
             self._down.add(host.name)
             super().kill(host)
--- a/gaproute/cluster/platform/script_checks.py
+++ b/gaproute/cluster/platform/script_checks.py
@@ -1,4 +1,4 @@
-"""What a cluster script cannot have because of the kind of its gateways."""
+"""Finds lines that a cluster script cannot have because of the kind of its gateways."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def find_platform_mistakes(kind: GatewayKind, keyword: str, line: Directive) -> Iterator[str]:
-    """What is wrong with a line, as text. `kind`: of the `cluster` line."""
+    """Yields what is wrong with a line, as text. `kind`: of the `cluster` line."""
     names = list(_names_in_sets(line))
     if kind is not GatewayKind.PLATFORM:
         if LISTS in names:
--- a/gaproute/cluster/play_record.py
+++ b/gaproute/cluster/play_record.py
@@ -1,4 +1,4 @@
-"""What a harness notes of its own run."""
+"""What went wrong in a run of the harness, and the times of its day."""
 
 from __future__ import annotations
 
--- a/gaproute/cluster/priorities.py
+++ b/gaproute/cluster/priorities.py
@@ -1,8 +1,8 @@
 """Real-time priorities for the harness's own processes, where the machine allows them.
 
 A link emulator, a client, a host or a parent that waits for a core measures itself: with 340 processes on 8
-cores an emulator that used 6% of a core waited for one half of the time, whatever its nice value. So all but
-the gateways are woken at once.
+cores an emulator that used 6% of a core waited for one half of the time, whatever its nice value. So all
+processes but the gateways have a real-time priority: the kernel runs them as soon as they are ready.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 class RealTimePriority(IntEnum):
-    """The lowest ones: woken at once, before other work.
+    """The lowest real-time priorities, which still come before all other work.
 
-    Gateways on a crowded machine come after the harness, so that they never hold the links up.
+    Gateways on a crowded machine have a lower one than the harness, so that they never delay the links.
     """
 
     GATEWAY = 1
@@ -24,7 +24,7 @@
 
 
 def raise_priority(pid: int, priority: RealTimePriority = RealTimePriority.HARNESS) -> bool:
-    """From now on this process (0: the caller) is woken at once. Whether that is allowed: it needs root."""
+    """Gives a process (0: the caller) a real-time priority; whether that is allowed: it needs root."""
     try:
         os.sched_setscheduler(pid, os.SCHED_RR, os.sched_param(priority))
     except (PermissionError, ProcessLookupError):
@@ -33,5 +33,5 @@
 
 
 def reset_priority() -> None:
-    """The caller is scheduled like any process again: the judging can wait."""
+    """Gives the caller's real-time priority up: judging has no deadline."""
     os.sched_setscheduler(0, os.SCHED_OTHER, os.sched_param(0))
--- a/gaproute/cluster/process_faults.py
+++ b/gaproute/cluster/process_faults.py
@@ -39,13 +39,13 @@
         self.slots, self.run_together = slots, run_together
 
     def numbers_of(self, line: ProcessFaultLine | HostListFaultLine) -> list[int]:
-        """The gateways that a line is about, drawn by its own chance: the same whatever else happens."""
+        """The gateways that a line concerns, drawn by the line's own generator."""
         terms = slot_sets.parse_set(line.on)
         names = slot_sets.select_names(terms, self.slots(), self.context.line_random(line))
         return [int(name[1:]) for name in names if name.startswith("g")]
 
     def set_clocks(self) -> None:
-        """Notes which gateways have a wrong clock, before they start."""
+        """Decides which gateways have a wrong clock, before they start."""
         for line in self.context.script.process_faults:
             if line.kind is ProcessFaultKind.CLOCK:
                 numbers = self.numbers_of(line)
@@ -55,7 +55,7 @@
                 )
 
     def run(self, line: ProcessFaultLine) -> Routine:
-        """A coroutine: one line from its time to its end."""
+        """A coroutine: carries out one line from its time to its end."""
         yield self.loop.sleep(line.at)
         numbers = self.numbers_of(line)
         self.context.report(f"{line.at / SECOND:5.1f} s  {line.kind} {len(numbers)} gateways")
@@ -73,7 +73,7 @@
             yield from self._restart(line, numbers)
 
     def _restart(self, line: ProcessFaultLine, numbers: Sequence[int]) -> Routine:
-        """A coroutine: ended and started again, so many at a time."""
+        """A coroutine: ends the gateways and starts them again, `batch` of them at a time."""
         killed = line.kind is ProcessFaultKind.KILL or line.signal is EndSignal.KILL
         ending = signal.SIGKILL if killed else signal.SIGTERM
         batch = line.batch or len(numbers)
@@ -86,9 +86,9 @@
             )
 
     def _crowd(self, numbers: Iterable[int], span: int) -> Routine:
-        """A coroutine: all of them on the last core, beside a process that never rests.
+        """A coroutine: runs all of them on the last core, beside a process that never rests.
 
-        Judged as if they were paused: they are, again and again.
+        They are judged as if they were paused, since each is without a core again and again.
         """
         cores = sorted(os.sched_getaffinity(0))
         busy = self.processes.start([BUSY_MODULE], None, "spin.err", reads_output=False)
@@ -105,6 +105,6 @@
 
 
 def pin(child: subprocess.Popen[bytes], cores: Sequence[int]) -> None:
-    """From now on the process runs on these cores alone; without effect where it has ended."""
+    """Restricts a process to these cores; does nothing if it has ended."""
     if child.poll() is None:
         os.sched_setaffinity(child.pid, cores)
--- a/gaproute/cluster/processes.py
+++ b/gaproute/cluster/processes.py
@@ -1,4 +1,4 @@
-"""The children of a harness: none outlives the parent, also where that is killed."""
+"""The processes of a harness: none of them outlives the harness, even if that is killed."""
 
 from __future__ import annotations
 
@@ -54,9 +54,9 @@
         return [*prefix, sys.executable, "-m", CHILD_MODULE, "--parent-death", *options, "--", *arguments]
 
     def _scheduling(self, arguments: Sequence[str]) -> list[str]:
-        """The command before a command by which it gives a real-time priority up, or is nice.
+        """The command in front of a command that gives a real-time priority up, or makes it nice.
 
-        The parent waits until the new process runs its first program: as urgent as it, and only until then.
+        A new process has its parent's real-time priority until it runs this, as the parent waits for that.
         """
         if self.real_time and "clients" not in arguments:
             return ["chrt", "-o", "0"]
@@ -65,7 +65,7 @@
         return []
 
     def first_line(self, process: DayProcess, name: str = "a stand-in") -> Promise:
-        """As a trial's; whoever is ready is the harness's own, and has a real-time priority from then on."""
+        """As in the base class; the process gets a real-time priority when it is ready."""
         promise: Promise = super().first_line(process, name)
         promise.then(lambda promise: self.real_time and raise_priority(process.child.pid))
         return promise
--- a/gaproute/cluster/script.py
+++ b/gaproute/cluster/script.py
@@ -1,4 +1,4 @@
-"""Scripts of clusters: a scripted day's lines, and lines for links, processes and each gateway's host list.
+"""Scripts of clusters: the lines of a scripted day, and lines for faults of links, processes and host lists.
 
 Any line of a cluster's own makes a script a cluster's. All mistakes are reported at once.
 """
@@ -43,6 +43,6 @@
 
 
 def read_script(name: str) -> ClusterScript:
-    """A script by its name or its path. Errors: `ConfigurationError` with all mistakes."""
+    """Reads a script by its name or its path. Errors: `ConfigurationError` with all mistakes."""
     script, found = day_script.read_script(name, CLUSTER_LINES, find_mistakes)
     return ClusterScript(script.text, found)
--- a/gaproute/cluster/script_checks.py
+++ b/gaproute/cluster/script_checks.py
@@ -1,4 +1,4 @@
-"""What is wrong with the lines of a cluster's script beside their single values, as texts of mistakes."""
+"""Finds mistakes in the lines of a cluster's script that go beyond single values."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def find_mistakes(file: str, found: list[NamedDirective]) -> list[Mistake]:
-    """All mistakes of a script's lines."""
+    """Returns all mistakes of a script's lines."""
     day = next((line for keyword, line in found if keyword == "day"), DayLine.model_validate({}))
     kind = next((line.kind for keyword, line in found if keyword == "cluster"), GatewayKind.APPLIANCE)
     return [
--- a/gaproute/cluster/show.py
+++ b/gaproute/cluster/show.py
@@ -1,4 +1,4 @@
-"""A cluster's verdict for a person, 80 columns wide."""
+"""Prints a cluster's verdict for a person, 80 columns wide."""
 
 from __future__ import annotations
 
--- a/gaproute/cluster/start_limiter.py
+++ b/gaproute/cluster/start_limiter.py
@@ -1,4 +1,4 @@
-"""Limits how many processes start at a time: starts all at once would keep every core from what is judged."""
+"""Limits how many processes start at a time, so that starts leave cores to the processes that are judged."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class StartLimiter:
-    """So many coroutines at a time, and no two that begin within `interval` ns."""
+    """Runs at most `limit` coroutines at a time, and begins no two of them within `interval` ns."""
 
     def __init__(self, loop: Loop, limit: int, interval: int = START_INTERVAL) -> None:
         self.loop, self.interval = loop, interval
@@ -21,7 +21,7 @@
         self._waiting: deque[Promise] = deque()
 
     def run(self, routine: Generator[Promise, Any, Any]) -> Generator[Promise, Any, None]:
-        """A coroutine: the routine, when its turn has come."""
+        """A coroutine: waits for its turn, then runs the routine."""
         if self._free:
             self._free -= 1
         else:
--- a/gaproute/cluster/verdict.py
+++ b/gaproute/cluster/verdict.py
@@ -1,7 +1,7 @@
-"""What a played cluster is worth: `well`, `failed` (the program broke a rule or ended wrongly) or `void`.
+"""The verdict on a played cluster: `well`, `failed` (the program broke a rule or ended wrongly) or `void`.
 
-A harness that ran late measured nothing that rests on time. What was sent or answered twice, or answered
-wrongly, is broken all the same.
+If the harness ran late, nothing that depends on time was measured. Violations that do not depend on time,
+such as a second answer, still make the verdict `failed`.
 """
 
 from __future__ import annotations
