--- a/gaproute/scenarios/faults.py
+++ b/gaproute/scenarios/faults.py
@@ -22,7 +22,7 @@
     report: Callable[[str], object]
 
 
-class FaultSchedule:
+class DayFaultSchedule:
     """The faults of one day. Which method carries out which, the table in `__init__` says."""
 
     def __init__(self, trial: FaultContext) -> None:
--- a/gaproute/scenarios/trial.py
+++ b/gaproute/scenarios/trial.py
@@ -13,7 +13,7 @@
 from gaproute.loop import Loop
 from gaproute.scenarios.clients import DayClients
 from gaproute.scenarios.context import models_of
-from gaproute.scenarios.faults import FaultSchedule
+from gaproute.scenarios.faults import DayFaultSchedule
 from gaproute.scenarios.gateways import DayGateways
 from gaproute.scenarios.host_list import HostListFile, HostListPublisher
 from gaproute.scenarios.hosts import DayHosts
@@ -51,7 +51,7 @@
         self.models = models_of(script)
         self.longest_deadline = max(line.limit for line in script.request_classes)
         self.create_parts()
-        self.fault_schedule = FaultSchedule(self)
+        self.fault_schedule = DayFaultSchedule(self)
 
     def create_parts(self) -> None:
         """Makes the parts that the day is played with."""
