--- a/gaproute/cluster/link_emulators.py
+++ b/gaproute/cluster/link_emulators.py
@@ -15,7 +15,7 @@
     PlaceSlots,
     Ready,
     ReportCounts,
-    Start,
+    StartEmulator,
 )
 from gaproute.cluster.links.slots import Slot
 from gaproute.cluster.processes import ClusterProcesses
@@ -30,7 +30,7 @@
 READ_SIZE = 1 << 16  # bytes
 
 
-class AnswerReader:
+class EmulatorAnswerReader:
     """Reads the answers of one emulator after its first line.
 
     `reports` has its counts; `errors` has commands that failed, which are errors of the harness.
@@ -70,18 +70,18 @@
     def __init__(self, loop: Loop, processes: ClusterProcesses, *, port: int, seed: int) -> None:
         self.loop, self.processes, self.port, self.seed = loop, processes, port, seed
         self.running: list[DayProcess] = []
-        self._readers: list[AnswerReader] = []
+        self._readers: list[EmulatorAnswerReader] = []
 
     def start(self, count: int, slots: Mapping[int, Slot]) -> Routine:
         """A coroutine: starts `count` emulators and waits until all serve. Errors: `NotReadyError`."""
-        first = encode_command(Start(self.port, self.port, slots, self.seed))
+        first = encode_command(StartEmulator(self.port, self.port, slots, self.seed))
         for place in range(count):
             self.running.append(self.processes.start([MODULE], first, f"wire-{place}.err"))
         for process in self.running:
             answer = decode_answer((yield self.processes.first_line(process, "a wire")))
             if not isinstance(answer, Ready):
                 raise NotReadyError(f"a wire did not start: {answer}")
-            self._readers.append(AnswerReader(self.loop, process))
+            self._readers.append(EmulatorAnswerReader(self.loop, process))
 
     @property
     def errors(self) -> list[str]:
--- a/gaproute/cluster/link_faults.py
+++ b/gaproute/cluster/link_faults.py
@@ -11,7 +11,7 @@
 from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.link_emulators import LinkEmulators
 from gaproute.cluster.links.conditions import RETRANSMISSION_TIMEOUT
-from gaproute.cluster.links.faults import BLOCKING_KINDS, FaultKind, FaultSpec, Traffic
+from gaproute.cluster.links.faults import BLOCKING_KINDS, FaultSpec, LinkFaultKind, LinkTraffic
 from gaproute.cluster.links.messages import BeginFault, EndFault
 from gaproute.cluster.script_lines import LinkFaultLine
 from gaproute.cluster.slot_sets import NamedSlot
@@ -20,10 +20,14 @@
 AFTER_BLOCK = 500 * MILLI  # after a cut or hold, until all that it delayed has flown on
 RARE = 1e-6  # a chance of losses in a row that is not allowed for
 MAX_LOSSES = 6
-INVISIBLE_KINDS = (FaultKind.DOUBLE, FaultKind.REORDER, FaultKind.RESET)  # no byte of a stream is late
+INVISIBLE_KINDS = (
+    LinkFaultKind.DOUBLE,
+    LinkFaultKind.REORDER,
+    LinkFaultKind.RESET,
+)  # no byte of a stream is late
 
 
-class FaultEnd(NamedTuple):
+class LinkFaultEnd(NamedTuple):
     """One end of a fault: its terms for the link emulators, and the names of its slots as of now.
 
     Terms that the emulators know cover hosts that come later.
@@ -47,13 +51,15 @@
     after_end: int
 
 
-def resolve_end(text: str, plan: AddressPlan, slots: Sequence[NamedSlot], chance: random.Random) -> FaultEnd:
+def resolve_end(
+    text: str, plan: AddressPlan, slots: Sequence[NamedSlot], chance: random.Random
+) -> LinkFaultEnd:
     """One end of a `fault` line over these slots; `chance` draws its shares."""
     terms = slot_sets.parse_set(text)
     names = slot_sets.select_names(terms, slots, chance)
     if any(term.excluded or term.share < 1 for term in terms):
-        return FaultEnd(names, names)
-    return FaultEnd([found for term in terms for found in plan.link_terms(term.name, slots)], names)
+        return LinkFaultEnd(names, names)
+    return LinkFaultEnd([found for term in terms for found in plan.link_terms(term.name, slots)], names)
 
 
 class LinkFaultSchedule:
@@ -82,21 +88,21 @@
             "late": allowance.lateness,
             "slack": allowance.after_end,
         }
-        if line.traffic is not Traffic.DATAGRAMS:
+        if line.traffic is not LinkTraffic.DATAGRAMS:
             note |= late_ways(line, source.names, destination.names)
         context.tap.note("fault", on=True, **note)
         yield loop.sleep(line.lasts)
         self.emulators.send(EndFault(fault_id))
         context.tap.note("fault", on=False, **note)
 
-    def resolve_ends(self, line: LinkFaultLine, chance: random.Random) -> tuple[FaultEnd, FaultEnd]:
+    def resolve_ends(self, line: LinkFaultLine, chance: random.Random) -> tuple[LinkFaultEnd, LinkFaultEnd]:
         """Both ends of a line over the slots that there are now; the source is drawn first."""
         slots, plan = self.slots(), self.context.plan
         source = resolve_end(line.source, plan, slots, chance)
         return source, resolve_end(line.destination, plan, slots, chance)
 
 
-def fault_spec(line: LinkFaultLine, source: FaultEnd, destination: FaultEnd) -> FaultSpec:
+def fault_spec(line: LinkFaultLine, source: LinkFaultEnd, destination: LinkFaultEnd) -> FaultSpec:
     """What the emulators are sent."""
     return FaultSpec(
         line.kind,
@@ -116,7 +122,7 @@
     if line.kind in BLOCKING_KINDS or line.bytes:
         return Allowance(line.lasts + AFTER_BLOCK, AFTER_BLOCK)
     lateness = line.delay + line.jitter
-    if line.kind is FaultKind.LOSE:
+    if line.kind is LinkFaultKind.LOSE:
         likely = (losses for losses in range(1, MAX_LOSSES + 1) if line.share**losses < RARE)
         lateness = RETRANSMISSION_TIMEOUT * ((1 << next(likely, MAX_LOSSES)) - 1)
     return Allowance(lateness, lateness)
--- a/gaproute/cluster/links/codec.py
+++ b/gaproute/cluster/links/codec.py
@@ -2,7 +2,7 @@
 
 | command | line |
 | --- | --- |
-| `Start` | {"tcp": port, "udp": port, "seats": {"16": SLOT, ...}, "seed": n, "tap": "path" or null} |
+| `StartEmulator` | {"tcp": port, "udp": port, "seats": {"16": SLOT, ...}, "seed": n, "tap": "path" or null} |
 | `PlaceSlots` | {"seat": {"17": SLOT, ...}} |
 | `BeginFault` | {"fault": id, "on": FAULT} |
 | `EndFault` | {"fault": id, "off": true} |
@@ -24,7 +24,7 @@
 
 from gaproute.cluster.links.counts import LinkCounts
 from gaproute.cluster.links.errors import LinkCommandError
-from gaproute.cluster.links.faults import MILLI, FaultKind, FaultSpec, Traffic
+from gaproute.cluster.links.faults import MILLI, FaultSpec, LinkFaultKind, LinkTraffic
 from gaproute.cluster.links.messages import (
     Answer,
     BeginFault,
@@ -34,7 +34,7 @@
     PlaceSlots,
     Ready,
     ReportCounts,
-    Start,
+    StartEmulator,
 )
 from gaproute.cluster.links.slots import ANY, Slot, SlotKind
 from gaproute.loop.addresses import address
@@ -48,10 +48,10 @@
 Kind = TypeVar("Kind", bound=StrEnum)
 
 
-def encode_command(command: Start | Command) -> Json:
+def encode_command(command: StartEmulator | Command) -> Json:
     """Encodes a message to an emulator as the object of a line."""
     match command:
-        case Start():
+        case StartEmulator():
             return {
                 "tcp": command.stream_port,
                 "udp": command.datagram_port,
@@ -69,12 +69,12 @@
             return {"say": True}
 
 
-def decode_start(line: str | bytes) -> Start:
+def decode_start(line: str | bytes) -> StartEmulator:
     """Decodes the first line to an emulator. Errors: `LinkCommandError`."""
     document = _object(line)
     if not {"tcp", "udp"} <= document.keys():
         raise LinkCommandError(f"a first line has the keys tcp and udp, not {sorted(document)}")
-    return Start(
+    return StartEmulator(
         document["tcp"],
         document["udp"],
         decode_slots(document.get("seats", {})),
@@ -149,11 +149,11 @@
     if figures["share"] > 1:
         raise LinkCommandError(f"share is at most 1, not {figures['share']!r}")
     return FaultSpec(
-        _member(FaultKind, document.get("kind"), "a fault's kind"),
+        _member(LinkFaultKind, document.get("kind"), "a fault's kind"),
         _terms("from", document.get("from", [ANY])),
         _terms("to", document.get("to", [ANY])),
         both_ways=bool(document.get("both")),
-        traffic=_member(Traffic, document.get("what", Traffic.ALL), "what a fault lies on"),
+        traffic=_member(LinkTraffic, document.get("what", LinkTraffic.ALL), "what a fault lies on"),
         share=figures["share"],
         delay=int(figures["delay_ms"] * MILLI),
         jitter=int(figures["jitter_ms"] * MILLI),
--- a/gaproute/cluster/links/conditions.py
+++ b/gaproute/cluster/links/conditions.py
@@ -13,7 +13,7 @@
 
 from gaproute.cluster.addresses import MAX_SLOT, MIN_SLOT, Link
 from gaproute.cluster.links.errors import LinkCommandError
-from gaproute.cluster.links.faults import MILLI, FaultKind, FaultSpec, LinkFault, Traffic
+from gaproute.cluster.links.faults import MILLI, FaultSpec, LinkFault, LinkFaultKind, LinkTraffic
 from gaproute.cluster.links.link_random import LinkRandom
 from gaproute.cluster.links.rate_queues import RateQueues
 from gaproute.cluster.links.slots import Slot
@@ -122,10 +122,10 @@
         """Whether the fault, which has just begun, resets a standing connection over the link."""
         fault = self.faults[fault_id]
         return (
-            fault.spec.kind is FaultKind.RESET
+            fault.spec.kind is LinkFaultKind.RESET
             and fault.on_streams
             and (fault.touches(link) or fault.touches(link.reverse))
-            and self._hits(fault, link, Traffic.STREAMS)
+            and self._hits(fault, link, LinkTraffic.STREAMS)
         )
 
     def handshake_due(self, link: Link, now: int) -> int | None:
@@ -143,10 +143,10 @@
             if fault.blocks:
                 self.counts[Effect.HELD] += 1
                 return None
-            if fault.spec.kind is FaultKind.DELAY and self._hits(fault, link, Traffic.STREAMS):
-                due += self._delay(fault, link, Traffic.STREAMS, size=size, now=now) or 0
+            if fault.spec.kind is LinkFaultKind.DELAY and self._hits(fault, link, LinkTraffic.STREAMS):
+                due += self._delay(fault, link, LinkTraffic.STREAMS, size=size, now=now) or 0
                 self.counts[Effect.DELAYED] += 1
-            elif fault.spec.kind is FaultKind.LOSE:
+            elif fault.spec.kind is LinkFaultKind.LOSE:
                 due += self._retransmission_delay(fault, link)
         return max(due, not_before)
 
@@ -154,10 +154,10 @@
         """When each copy of a datagram that arrives now is due; empty if it is lost, None while held back."""
         fate = DatagramFate(now)
         for fault in self.faults_on(link).datagrams:
-            if fault.spec.kind is FaultKind.HOLD:
+            if fault.spec.kind is LinkFaultKind.HOLD:
                 self.counts[Effect.HELD] += 1
                 return None
-            if fault.spec.kind is FaultKind.RESET or not self._hits(fault, link, Traffic.DATAGRAMS):
+            if fault.spec.kind is LinkFaultKind.RESET or not self._hits(fault, link, LinkTraffic.DATAGRAMS):
                 continue
             effect = self._alter(fate, fault, link, size=size, now=now)
             self.counts[effect] += 1
@@ -171,18 +171,18 @@
 
     def _alter(self, fate: DatagramFate, fault: LinkFault, link: Link, *, size: int, now: int) -> Effect:
         kind = fault.spec.kind
-        if kind is FaultKind.CUT:
+        if kind is LinkFaultKind.CUT:
             return Effect.CUT
-        if kind is FaultKind.LOSE:
+        if kind is LinkFaultKind.LOSE:
             return Effect.LOST
-        if kind is FaultKind.DOUBLE:
+        if kind is LinkFaultKind.DOUBLE:
             fate.copies += 1
             return Effect.DOUBLED
-        delay = self._delay(fault, link, Traffic.DATAGRAMS, size=size, now=now)
+        delay = self._delay(fault, link, LinkTraffic.DATAGRAMS, size=size, now=now)
         if delay is None:
             return Effect.FULL
         fate.due += delay
-        if kind is FaultKind.REORDER:
+        if kind is LinkFaultKind.REORDER:
             fate.in_order = False
             return Effect.REORDERED
         return Effect.DELAYED
@@ -197,19 +197,21 @@
     def _retransmission_delay(self, fault: LinkFault, link: Link) -> int:
         """The delay, ns, of bytes that TCP retransmits until they are not lost; the timeout doubles."""
         delay, timeout, losses = 0, RETRANSMISSION_TIMEOUT, 0
-        while losses < MAX_LOSSES and self._hits(fault, link, Traffic.STREAMS):
+        while losses < MAX_LOSSES and self._hits(fault, link, LinkTraffic.STREAMS):
             delay, timeout, losses = delay + timeout, 2 * timeout, losses + 1
         self.counts[Effect.LOST] += losses
         return delay
 
-    def _hits(self, fault: LinkFault, link: Link, traffic: Traffic) -> bool:
+    def _hits(self, fault: LinkFault, link: Link, traffic: LinkTraffic) -> bool:
         """Whether the fault touches this message, drawn by its share."""
         share = fault.spec.share
         if share >= 1:
             return True
         return self._random.source(link, traffic).below(SHARE_STEPS) < share * SHARE_STEPS
 
-    def _delay(self, fault: LinkFault, link: Link, traffic: Traffic, *, size: int, now: int) -> int | None:
+    def _delay(
+        self, fault: LinkFault, link: Link, traffic: LinkTraffic, *, size: int, now: int
+    ) -> int | None:
         """The delay, in ns, of one message; None if a datagram finds the queue of a limited rate full."""
         delay = fault.spec.base_delay
         if fault.spec.jitter:
--- a/gaproute/cluster/links/datagrams.py
+++ b/gaproute/cluster/links/datagrams.py
@@ -9,7 +9,7 @@
 
 from gaproute.cluster.addresses import Link, LinkAddressError, link_address, link_of_number
 from gaproute.cluster.links.context import EmulatorContext
-from gaproute.cluster.links.faults import FaultKind
+from gaproute.cluster.links.faults import LinkFaultKind
 from gaproute.loop.addresses import SocketAddress, address
 from gaproute.loop.descriptors import READ
 
@@ -185,7 +185,7 @@
         for _ in range(min(left, MAX_RELEASED_PER_TURN)):
             datagram = self.held.popleft()
             faults = self.conditions.faults_on(datagram.link).datagrams
-            if any(fault.spec.kind is FaultKind.HOLD for fault in faults):
+            if any(fault.spec.kind is LinkFaultKind.HOLD for fault in faults):
                 self.held.append(datagram)
                 continue
             self.held_bytes -= len(datagram.data)
--- a/gaproute/cluster/links/emulator.py
+++ b/gaproute/cluster/links/emulator.py
@@ -17,7 +17,7 @@
     EndFault,
     PlaceSlots,
     ReportCounts,
-    Start,
+    StartEmulator,
 )
 from gaproute.cluster.links.streams import StreamRelays
 from gaproute.decisions.chance import Chance
@@ -32,7 +32,7 @@
     Errors: OSError where the ports cannot be had; `LinkCommandError` for slots that cannot be.
     """
 
-    def __init__(self, loop: Loop, start: Start) -> None:
+    def __init__(self, loop: Loop, start: StartEmulator) -> None:
         self.loop = loop
         self.conditions = NetworkConditions(start.seed, Chance)
         self.conditions.place_slots(start.slots)
--- a/gaproute/cluster/links/faults.py
+++ b/gaproute/cluster/links/faults.py
@@ -33,7 +33,7 @@
 DEFAULT_REORDER_DELAY = 10 * MILLI  # ns: many other datagrams pass meanwhile
 
 
-class FaultKind(StrEnum):
+class LinkFaultKind(StrEnum):
     """What a fault does; the module's table says how."""
 
     DELAY = "delay"
@@ -45,10 +45,10 @@
     RESET = "reset"
 
 
-BLOCKING_KINDS = (FaultKind.CUT, FaultKind.HOLD)  # nothing of a stream passes while they last
+BLOCKING_KINDS = (LinkFaultKind.CUT, LinkFaultKind.HOLD)  # nothing of a stream passes while they last
 
 
-class Traffic(StrEnum):
+class LinkTraffic(StrEnum):
     """The sorts of traffic that a fault may lie on."""
 
     STREAMS = "streams"
@@ -64,11 +64,11 @@
     are ns, `rate` is bytes a second of each link, 0 without a limit.
     """
 
-    kind: FaultKind
+    kind: LinkFaultKind
     sources: tuple[str, ...] = (ANY,)
     destinations: tuple[str, ...] = (ANY,)
     both_ways: bool = False
-    traffic: Traffic = Traffic.ALL
+    traffic: LinkTraffic = LinkTraffic.ALL
     share: float = 1.0
     delay: int = 0
     jitter: int = 0
@@ -77,7 +77,7 @@
     @property
     def base_delay(self) -> int:
         """The least delay, in ns, of what the fault touches, without the queue of a limited rate."""
-        if self.kind is FaultKind.REORDER and not self.delay:
+        if self.kind is LinkFaultKind.REORDER and not self.delay:
             return DEFAULT_REORDER_DELAY
         return self.delay
 
@@ -99,12 +99,12 @@
     @property
     def on_streams(self) -> bool:
         """Whether it lies on streams."""
-        return self.spec.traffic is not Traffic.DATAGRAMS
+        return self.spec.traffic is not LinkTraffic.DATAGRAMS
 
     @property
     def on_datagrams(self) -> bool:
         """Whether it lies on datagrams."""
-        return self.spec.traffic is not Traffic.STREAMS
+        return self.spec.traffic is not LinkTraffic.STREAMS
 
     @property
     def blocks(self) -> bool:
--- a/gaproute/cluster/links/link_random.py
+++ b/gaproute/cluster/links/link_random.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from gaproute.cluster.addresses import Link
-from gaproute.cluster.links.faults import Traffic
+from gaproute.cluster.links.faults import LinkTraffic
 from gaproute.shared.randomness import RandomSource
 
 WORD_MASK = (1 << 64) - 1
@@ -20,14 +20,14 @@
 
     def __init__(self, seed: int, make_source: Callable[[int], RandomSource]) -> None:
         self._seed, self._make_source = seed, make_source
-        self._sources: dict[tuple[Link, Traffic], RandomSource] = {}
+        self._sources: dict[tuple[Link, LinkTraffic], RandomSource] = {}
 
-    def source(self, link: Link, traffic: Traffic) -> RandomSource:
+    def source(self, link: Link, traffic: LinkTraffic) -> RandomSource:
         """The generator of this link's streams or datagrams."""
         key = link, traffic
         found = self._sources.get(key)
         if found is None:
-            number = self._seed << 32 ^ link.number << 1 ^ (traffic is Traffic.STREAMS)
+            number = self._seed << 32 ^ link.number << 1 ^ (traffic is LinkTraffic.STREAMS)
             found = self._sources[key] = self._make_source(mix_bits(number))
         return found
 
--- a/gaproute/cluster/links/messages.py
+++ b/gaproute/cluster/links/messages.py
@@ -1,6 +1,6 @@
 """The messages between the harness and a link emulator; `codec.py` makes lines of JSON of them.
 
-The harness sends a `Start` first and `Command`s after it; the emulator sends `Answer`s.
+The harness sends a `StartEmulator` first and `Command`s after it; the emulator sends `Answer`s.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartEmulator:
     """The first line: the ports that several emulators may share, and what the links begin with.
 
     `tap_path`: the file for a line about each connection, if any.
--- a/gaproute/cluster/links/rate_queues.py
+++ b/gaproute/cluster/links/rate_queues.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from gaproute.cluster.addresses import Link
-from gaproute.cluster.links.faults import LinkFault, Traffic
+from gaproute.cluster.links.faults import LinkFault, LinkTraffic
 
 SECOND = 1_000_000_000
 MAX_QUEUE_TIME = SECOND  # longest wait of a datagram: a router's queue is not endless
@@ -16,7 +16,7 @@
 
     fault_id: str
     link: Link
-    traffic: Traffic
+    traffic: LinkTraffic
 
 
 class RateQueues:
@@ -25,11 +25,13 @@
     def __init__(self) -> None:
         self.free_at: dict[QueueKey, int] = {}
 
-    def enqueue(self, fault: LinkFault, link: Link, traffic: Traffic, *, size: int, now: int) -> int | None:
+    def enqueue(
+        self, fault: LinkFault, link: Link, traffic: LinkTraffic, *, size: int, now: int
+    ) -> int | None:
         """Adds `size` bytes; the ns until they have been sent, None if a datagram finds the queue full."""
         key = QueueKey(fault.fault_id, link, traffic)
         begins = max(now, self.free_at.get(key, 0))
-        if traffic is Traffic.DATAGRAMS and begins - now > MAX_QUEUE_TIME:
+        if traffic is LinkTraffic.DATAGRAMS and begins - now > MAX_QUEUE_TIME:
             return None
         self.free_at[key] = begins + int(size * SECOND / fault.spec.rate)
         return self.free_at[key] - now
--- a/gaproute/cluster/links/stream_end.py
+++ b/gaproute/cluster/links/stream_end.py
@@ -24,7 +24,7 @@
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER
 
 
-class Connection(Protocol):
+class RelayedConnection(Protocol):
     """What an end needs of the connection that it belongs to."""
 
     carried_bytes: int
@@ -63,7 +63,7 @@
     )
 
     def __init__(
-        self, connection: Connection, context: EmulatorContext, sock: socket.socket, link: Link
+        self, connection: RelayedConnection, context: EmulatorContext, sock: socket.socket, link: Link
     ) -> None:
         self.connection, self.loop, self.sock = connection, context.loop, sock
         self.other: StreamEnd
--- a/gaproute/cluster/links/syn_filter.py
+++ b/gaproute/cluster/links/syn_filter.py
@@ -12,7 +12,7 @@
 
 from gaproute.cluster.addresses import MAX_SLOT, MIN_SLOT, SLOT_BITS, SLOT_MASK
 from gaproute.cluster.links.conditions import NetworkConditions
-from gaproute.cluster.links.faults import FaultKind
+from gaproute.cluster.links.faults import LinkFaultKind
 from gaproute.cluster.links.packet_filter import ACCEPT_ALL, DROP, MAX_INSTRUCTIONS, Instruction, Opcode
 
 IP_HEADER = 0x100000000 - 0x100000  # SKF_NET_OFF: where the IP header begins, seen from TCP's
@@ -46,7 +46,7 @@
     """
     program = [*PROLOGUE, *_if_in(CALLEE, _unreachable(conditions, except_refusing=except_refusing), [DROP])]
     for fault in conditions.faults.values():
-        if fault.spec.kind is FaultKind.CUT and fault.on_streams:
+        if fault.spec.kind is LinkFaultKind.CUT and fault.on_streams:
             # A handshake goes both ways.
             ways = ((fault.sources, fault.destinations), (fault.destinations, fault.sources))
             for callers, callees in ways:
--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -12,7 +12,7 @@
 from gaproute.cluster.host_lists import GATHER_TIME, HostPublisher
 from gaproute.cluster.hosts import ClusterHosts
 from gaproute.cluster.link_faults import LinkFaultSchedule
-from gaproute.cluster.links.faults import Traffic
+from gaproute.cluster.links.faults import LinkTraffic
 from gaproute.cluster.processes import ClusterProcesses
 from gaproute.cluster.script_lines import HostListFaultKind, HostListFaultLine, LinkFaultLine
 from gaproute.scenarios.hosts import DayHost, ListedState
@@ -84,7 +84,7 @@
             if (f"g{number}" in source and f"l{number}" in destination)
             or (f"g{number}" in destination and f"l{number}" in source)
         ]
-        if not numbers or line.traffic is Traffic.DATAGRAMS:
+        if not numbers or line.traffic is LinkTraffic.DATAGRAMS:
             return
         self.process.send({"trouble": "elsewhere", "gateways": numbers})
         yield self.loop.sleep(line.lasts)
--- a/gaproute/cluster/platform/clients.py
+++ b/gaproute/cluster/platform/clients.py
@@ -12,7 +12,7 @@
 CLASS_KEYS = ("name", "share", "limit", "pure")  # of a request class, as these clients know it
 
 
-class PlatformClients(ClusterClients):
+class PlatformClusterClients(ClusterClients):
     """The clients of the platform's gateways. `first_requests`: promises that each has sent its first one."""
 
     KIND: ClassVar[str] = "platform-clients"
--- a/gaproute/cluster/platform/harness.py
+++ b/gaproute/cluster/platform/harness.py
@@ -6,9 +6,9 @@
 from gaproute.cluster.harness import ClusterHarness
 from gaproute.cluster.links.faults import BLOCKING_KINDS
 from gaproute.cluster.platform.change_log import PlatformChangeLog
-from gaproute.cluster.platform.clients import PlatformClients
+from gaproute.cluster.platform.clients import PlatformClusterClients
 from gaproute.cluster.platform.gateways import PlatformGateways
-from gaproute.cluster.platform.hosts import PlatformHosts
+from gaproute.cluster.platform.hosts import PlatformClusterHosts
 from gaproute.cluster.script import ClusterScript
 from gaproute.cluster.script_lines import GatewayKind
 from gaproute.scenarios.processes import Routine
@@ -17,23 +17,23 @@
 class PlatformHarness(ClusterHarness):
     """One play with the platform's gateways, their hosts, change log and clients."""
 
-    hosts: PlatformHosts
+    hosts: PlatformClusterHosts
     host_list: PlatformChangeLog
     gateways: PlatformGateways
-    clients: PlatformClients
+    clients: PlatformClusterClients
 
     def create_actors(self) -> None:
         """Makes hosts, change log, gateways and clients."""
         for number, model in enumerate(self.models, 1):
             model["name"] = f"{number:016x}"  # as the platform names functions
         self.plan.announce_callers = True  # orders bear their gateway's name, for rule 5
-        self.hosts = PlatformHosts(
+        self.hosts = PlatformClusterHosts(
             self.context, self.processes, self.models, starts=self.starts, emulators=self.links
         )
         self.host_list = PlatformChangeLog(self.context, self.hosts, self.processes)
         parts = GatewayParts(self.context, self.record, self.starts)
         self.gateways = PlatformGateways(self, parts, self.host_list)
-        self.clients = PlatformClients(self, self.context)
+        self.clients = PlatformClusterClients(self, self.context)
 
     def start_store(self) -> Routine:
         """A coroutine: starts the store, and the processes that hosts and gateways need."""
--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -43,7 +43,7 @@
         self.process, self.turns = process, turns
 
 
-class PlatformHosts(ClusterHosts):
+class PlatformClusterHosts(ClusterHosts):
     """All hosts of one play."""
 
     def start_processes(self) -> Routine:
--- a/gaproute/cluster/script_checks.py
+++ b/gaproute/cluster/script_checks.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from gaproute.cluster import slot_sets
-from gaproute.cluster.links.faults import FaultKind, Traffic
+from gaproute.cluster.links.faults import LinkFaultKind, LinkTraffic
 from gaproute.cluster.platform.script_checks import find_platform_mistakes
 from gaproute.cluster.script_lines import (
     CLUSTER_LINES,
@@ -68,9 +68,9 @@
 
 
 def _link_fault_mistakes(line: LinkFaultLine) -> Iterator[str]:
-    if line.kind is FaultKind.DELAY and not (line.delay or line.jitter or line.bytes):
+    if line.kind is LinkFaultKind.DELAY and not (line.delay or line.jitter or line.bytes):
         yield "a delay names delay, jitter or bytes"
-    if line.kind in (FaultKind.DOUBLE, FaultKind.REORDER) and line.traffic is Traffic.STREAMS:
+    if line.kind in (LinkFaultKind.DOUBLE, LinkFaultKind.REORDER) and line.traffic is LinkTraffic.STREAMS:
         yield f"TCP hides what would {line.kind} a stream: what datagrams"
 
 
--- a/gaproute/cluster/script_lines.py
+++ b/gaproute/cluster/script_lines.py
@@ -11,7 +11,7 @@
 
 from pydantic import Field
 
-from gaproute.cluster.links.faults import FaultKind, Traffic
+from gaproute.cluster.links.faults import LinkFaultKind, LinkTraffic
 from gaproute.config.parsing import Directive
 from gaproute.config.values import Duration, YesNo
 
@@ -70,13 +70,13 @@
 
     positional: ClassVar[tuple[str, ...]] = ("kind",)
     example: ClassVar[str] = "fault cut at 2s for 3s from 0.3:gateways to hosts/hall-1 both no what streams"
-    kind: FaultKind
+    kind: LinkFaultKind
     at: Duration
     lasts: Duration = Field(alias="for")
     source: str = Field(default="*", alias="from")
     destination: str = Field(default="*", alias="to")
     both: YesNo = False
-    traffic: Traffic = Field(default=Traffic.ALL, alias="what")
+    traffic: LinkTraffic = Field(default=LinkTraffic.ALL, alias="what")
     share: float = Field(default=1.0, gt=0, le=1)
     delay: Duration = 0
     jitter: Duration = 0
--- a/tests/cluster/test_emulator_checks.py
+++ b/tests/cluster/test_emulator_checks.py
@@ -9,7 +9,7 @@
 )
 
 from gaproute.cluster.addresses import Link
-from gaproute.cluster.links.faults import MILLI, Traffic
+from gaproute.cluster.links.faults import MILLI, LinkTraffic
 from gaproute.cluster.links.lateness import LinkLateness
 from gaproute.cluster.links.rate_queues import QueueKey
 from gaproute.cluster.links.stream_end import HIGH_WATER, READ_SIZE, StreamEnd
@@ -73,7 +73,7 @@
     end.transit.timer.cancel()
     end.transit.timer = None
     network.emulator.datagrams.held_bytes = 1 << 30
-    key = QueueKey("y", Link(GATEWAY, HOST), Traffic.STREAMS)
+    key = QueueKey("y", Link(GATEWAY, HOST), LinkTraffic.STREAMS)
     network.emulator.conditions.rate_queues.free_at[key] = 1
     del network.emulator.conditions.specs["x"]
     names = {text.split(":")[0] for text in network.emulator.find_breaches()}
--- a/tests/support/link_network.py
+++ b/tests/support/link_network.py
@@ -8,7 +8,7 @@
 from gaproute.cluster.addresses import link_address
 from gaproute.cluster.links.codec import decode_command, decode_slots
 from gaproute.cluster.links.emulator import LinkEmulator
-from gaproute.cluster.links.messages import Start
+from gaproute.cluster.links.messages import StartEmulator
 from gaproute.loop import Loop, Stepped
 
 GATEWAY, HOST, DEAD, NOBODY = 16, 17, 18, 19  # process slots
@@ -53,7 +53,7 @@
             "18": {"name": "h1", "kind": "host"},
             "19": {"name": "h2", "kind": "host", "tcp": nobody},
         }
-        self.emulator = LinkEmulator(self.loop, Start(0, 0, decode_slots(self.slots), seed=5))
+        self.emulator = LinkEmulator(self.loop, StartEmulator(0, 0, decode_slots(self.slots), seed=5))
         self.loop.on_error = self.fail
         self.tcp_port, self.udp_port = (
             int(sock.getsockname()[1])
