--- a/benchmarks/campaign_ends.py
+++ b/benchmarks/campaign_ends.py
@@ -3,7 +3,6 @@
 import random
 from concurrent.futures import Executor
 from dataclasses import dataclass
-from typing import Any
 
 from campaign_figures import HOST_LANES, Row, spare_course, spread
 
@@ -61,7 +60,8 @@
         """By how many percent the predicted end is off."""
         forecast = FleetForecast({"p": self.day.course} if self.day.known else None)
         work = int(sum(self.spare[self.first : self.first + CAMPAIGN_SLOTS]) * SLOT / (2 * SECOND))
-        estimate, done, predicted, now = CompletionEstimate(work, 0), 0.0, None, 0
+        estimate, done, now = CompletionEstimate(work, 0), 0.0, 0
+        predicted: float | None = None
         for slot, demand in enumerate(self.demand):
             now = (slot - self.first + 1) * SLOT
             if slot >= self.first:
@@ -73,12 +73,14 @@
             forecast.read(slot * SLOT, {"p": (demand, 0.0, 1.0)})
             if predicted is None and done >= work / 10:
                 predicted = self._predict(forecast, estimate, slot + 1)
+        assert predicted is not None, "the campaign ended before its first tenth"
         return 100 * abs(predicted - now) / now
 
-    def _predict(self, forecast: FleetForecast, estimate: CompletionEstimate, slot: int) -> Any:
+    def _predict(self, forecast: FleetForecast, estimate: CompletionEstimate, slot: int) -> float | None:
         lendable = {host.name: HOST_LANES for host in self.hosts}
         spare = forecast.spare(slot * SLOT, self.hosts, lendable, 2 * CAMPAIGN_SLOTS, sure=0.0)
-        return estimate.at_end([sum(lanes) for lanes in zip(*spare.values(), strict=True)])
+        end: float | None = estimate.at_end([sum(lanes) for lanes in zip(*spare.values(), strict=True)])
+        return end
 
 
 DAYS = (Day(0, False, 0), Day(0, False, 2), Day(0, False, 8), Day(0.5, True, 8), Day(0.5, False, 8))
--- a/benchmarks/hunt.py
+++ b/benchmarks/hunt.py
@@ -13,20 +13,32 @@
 import subprocess
 import sys
 import time
+from collections import Counter
+from collections.abc import Iterable
 from pathlib import Path
+from typing import NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from gaproute.simulation import shrink
+from gaproute.simulation import InvariantViolationError, shrink
 from gaproute.simulation.raft_group import RaftGroupSetup, RunKind, draw_group_schedule, play
 
 MAX_PLAYS = 200  # to make one violation small
 
 
-def hunt(seeds, options):
-    """Plays the seeds; how many were played, their steps, and the violations found by name."""
+class Hunt(NamedTuple):
+    """How many seeds were played, their steps, and how many violations were found by name."""
+
+    played: int
+    steps: int
+    found: Counter[str]
+
+
+def hunt(seeds: Iterable[int], options: argparse.Namespace) -> Hunt:
+    """Plays the seeds until the time is over."""
     setup = RaftGroupSetup(kind=RunKind(options.kind), nodes=options.keepers)
-    end, played, steps, found = time.monotonic() + options.seconds, 0, 0, {}
+    end, played, steps = time.monotonic() + options.seconds, 0, 0
+    found: Counter[str] = Counter()
     for seed in seeds:
         if time.monotonic() > end:
             break
@@ -34,14 +46,14 @@
         played, steps = played + 1, steps + simulation.timeline.step
         if violation is None:
             continue
-        found[violation.name] = found.get(violation.name, 0) + 1
+        found[violation.name] += 1
         print(violation, flush=True)
         if found[violation.name] == 1:  # one of each name is made small
             write_small(violation, setup, options.out)
-    return played, steps, found
+    return Hunt(played, steps, found)
 
 
-def write_small(violation, setup, folder):
+def write_small(violation: InvariantViolationError, setup: RaftGroupSetup, folder: str) -> None:
     """Writes the report of the smallest schedule that violates the same."""
     schedule = violation.position.schedule
     small, smallest = shrink(lambda each: play(each, setup)[1], schedule, violation.name, MAX_PLAYS)
@@ -51,7 +63,7 @@
     print(f"  from {len(schedule.faults)} faults to {len(small.faults)}", flush=True)
 
 
-def run_jobs(seeds, options):
+def run_jobs(seeds: range, options: argparse.Namespace) -> int:
     """Plays parts of the seeds in processes of their own; the greatest exit code."""
     share = -(-len(seeds) // options.jobs)
     passed_on = {name: getattr(options, name) for name in ("seconds", "keepers", "kind", "out")}
@@ -63,7 +75,7 @@
     return max(job.wait() for job in jobs)
 
 
-def main():
+def main() -> int:
     """The command."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", default="0-999")
@@ -83,7 +95,7 @@
     print(
         f"{options.kind}, {options.keepers} keepers: {played} seeds in {took:.1f} s, "
         f"{60 * played / took:.0f} a minute ({60 * played / time.process_time():.0f} by CPU), "
-        f"{steps / max(1, played):.0f} steps a seed; broken: {found or 'nothing'}",
+        f"{steps / max(1, played):.0f} steps a seed; broken: {dict(found) or 'nothing'}",
         flush=True,
     )
     return 1 if found else 0
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -12,13 +12,18 @@
 import statistics
 import time
 from collections import Counter
+from collections.abc import Mapping, Sequence
 from multiprocessing import Pool
+from typing import Any, NamedTuple
 
 from gaproute.maintenance import RoundController, capacity_floor
 from gaproute.simulation.rounds import RunKind, play
 from gaproute.simulation.rounds.baselines import BestOrder, FixedGroups, OneAtATime
+from gaproute.simulation.rounds.judge import FloorBreach
 from gaproute.simulation.units import SECOND
 
+Row = dict[str, Any]  # of a run, as it is stored
+
 KINDS = tuple(RunKind)
 IN_STEPS = "in steps"
 CONTROLLERS = {IN_STEPS: RoundController, "one at a time": OneAtATime, "fixed groups": FixedGroups}
@@ -28,8 +33,24 @@
 MAX_TIMED_HOSTS = 5  # of a round, as every order of them is tried
 
 
-def play_one(job):
-    """A row of results for a (kind, seed, way)."""
+class Job(NamedTuple):
+    """One run."""
+
+    kind: RunKind
+    seed: int
+    way: str
+
+
+class Timing(NamedTuple):
+    """How long a round of so many hosts took, and how long by the best order; ns."""
+
+    hosts: int
+    run: int
+    shortest: int
+
+
+def play_one(job: Job) -> Row:
+    """The row of a run."""
     kind, seed, way = job
     run, violation = play(seed, kind, controller=CONTROLLERS[way])
     judge = run.judge
@@ -47,7 +68,7 @@
     }
 
 
-def breach_row(breach):
+def breach_row(breach: FloorBreach) -> Row:
     """A breach of the floor as it is stored."""
     return {
         "row": list(breach.row),
@@ -60,8 +81,8 @@
     }
 
 
-def time_one(seed):
-    """(hosts, ns of the run, ns of the best order); None where the round was refused or is too large."""
+def time_one(seed: int) -> Timing | None:
+    """None where the round was refused or is too large."""
     run, violation = play(seed, RunKind.NONE, out_time=TIMED_OUT_TIME, hosts=TIMED_HOSTS)
     (spec,) = run.rounds
     end = run.judge.ends.get(spec.name)
@@ -74,10 +95,10 @@
     needs = capacity_floor.need(spec, scene.demand, fleet.zones)
     best = BestOrder(spec, fleet.hosts, warm, needs, free, MEAN_LOAD_TIME)
     shortest = best.shortest(itertools.permutations(spec.hosts))
-    return None if shortest is None else (len(spec.hosts), end.time, shortest)
+    return None if shortest is None else Timing(len(spec.hosts), end.time, shortest)
 
 
-def table(rows):
+def table(rows: Sequence[Row]) -> list[str]:
     """The rows as lines of Markdown, by way and kind."""
     lines = [
         "| way | faults | runs | hosts out | ended | refused | open | promised | beyond | own | checks |",
@@ -91,9 +112,9 @@
     return lines
 
 
-def table_line(way, kind, rows):
+def table_line(way: str, kind: str, rows: Sequence[Row]) -> str:
     """One line of the table."""
-    ends = sum((Counter(row["ends"]) for row in rows), Counter())
+    ends: Counter[str] = sum((Counter(row["ends"]) for row in rows), Counter())
     broken = [
         sum(any(breach["class"] == name for breach in row["breaches"]) for row in rows)
         for name in ("promised", "beyond")
@@ -106,7 +127,7 @@
     )
 
 
-def breach_lines(rows):
+def breach_lines(rows: Sequence[Row]) -> list[str]:
     """How often each kind of breach was found in steps, as a list."""
     counts = Counter(
         f"{row['kind']}: {breach['class']}, {breach['things']} failed "
@@ -118,9 +139,9 @@
     return [f"- {count} times {name}" for name, count in sorted(counts.items())]
 
 
-def timing_lines(times):
+def timing_lines(times: Sequence[Timing]) -> list[str]:
     """How much longer rounds took than by the best order."""
-    ratios = sorted(run / shortest for _, run, shortest in times)
+    ratios = sorted(timing.run / timing.shortest for timing in times)
     if not ratios:
         return []
     return [
@@ -132,15 +153,15 @@
     ]
 
 
-def measure(options):
+def measure(options: argparse.Namespace) -> tuple[list[Row], list[Timing]]:
     """Rows of all runs and times; what was done until the time was over."""
     began = time.time()
     jobs = [
-        (KINDS[seed % len(KINDS)], seed, way)
+        Job(KINDS[seed % len(KINDS)], seed, way)
         for way in ("one at a time", "fixed groups")
         for seed in range(options.others)
     ]
-    jobs += [(KINDS[seed % len(KINDS)], seed, IN_STEPS) for seed in range(options.seeds)]
+    jobs += [Job(KINDS[seed % len(KINDS)], seed, IN_STEPS) for seed in range(options.seeds)]
     with Pool(options.processes) as pool:
         times = [each for each in pool.imap_unordered(time_one, range(options.timed), 1) if each]
         rows = []
@@ -152,7 +173,9 @@
     return rows, times
 
 
-def write(path, lines, rows, times, done):
+def write(
+    path: str, lines: Sequence[str], rows: Sequence[Row], times: Sequence[Timing], done: Mapping[str, int]
+) -> None:
     """Writes the page and the figures."""
     with open(f"{path}.md", "w") as file:
         file.write("# Rounds of maintenance, measured by `benchmarks/rounds.py`\n\n" + "\n".join(lines))
@@ -165,7 +188,7 @@
         json.dump(figures, file, indent=1)
 
 
-def main():
+def main() -> None:
     """The command."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=1008)
