--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,7 @@
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import MemberState
 from gaproute.shared.membership.invariants import check
-from gaproute.standins.membership_network import LINK, MembershipNetwork
+from gaproute.standins.membership_network import MembershipNetwork
 
 SECOND = 1_000_000_000
 CALM = 60  # s
@@ -40,8 +40,8 @@
         for to, word in words:
             data = encode(word)
             self.sizes.append(len(data))
-            if not self.lost(sender, to):
-                self.push(self.now + LINK, "hear", to, decode(data))
+            if not self.is_lost(sender, to):
+                self.deliver(to, decode(data))
 
     def until(self, holds):
         """Seconds until it holds, None where it did not in time."""
@@ -59,7 +59,7 @@
 def calm_and_death(size, loss, seed):
     net, chance = Bytes(size, seed), Chance(seed)
     if loss:
-        net.lost = lambda sender, to: chance.below(1000) < 1000 * loss
+        net.is_lost = lambda sender, to: chance.below(1000) < 1000 * loss
     net.run(10 * SECOND)
     net.sizes.clear()
     spent = time.process_time()
@@ -99,9 +99,9 @@
     net = Bytes(size, seed)
     half = {f"g{number}" for number in range(size // 2)}
     net.run(5 * SECOND)
-    net.lost = lambda sender, to: (sender in half) != (to in half)
+    net.is_lost = lambda sender, to: (sender in half) != (to in half)
     net.run(120 * SECOND)
-    net.lost = lambda sender, to: False
+    net.is_lost = lambda sender, to: False
     return net.until(net.whole)
 
 
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -28,10 +28,7 @@
 
     def start(self, name, seed, peers):
         incarnation = BEGUN_MS + self.now // 1_000_000 + self.ahead
-        node = self.nodes[name] = Membership(name, name, Chance(seed), self.now, incarnation)
-        node.configure(self.now, peers)
-        self.down.discard(name)
-        self.push(node.due, "tick", name, node)
+        self.start_member(Membership(name, name, Chance(seed), self.now, incarnation), peers)
 
 
 # Membership
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -58,25 +58,25 @@
 def test_lost_messages_make_suspects_that_refute_and_none_dead():
     net = MembershipNetwork(8, seed=3)
     chance = Chance(5)
-    net.lost = lambda sender, to: chance.below(100) < 25
+    net.is_lost = lambda sender, to: chance.below(100) < 25
     net.run(120 * SECOND)
     assert sum(node.suspicions for node in net.nodes.values()) > 0
     assert sum(node.refutations for node in net.nodes.values()) > 0
-    net.lost = lambda sender, to: False
+    net.is_lost = lambda sender, to: False
     net.run(20 * SECOND)
     assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
 
 
 def test_one_bad_path_between_two_makes_no_suspect_thanks_to_indirect_probes():
     net = MembershipNetwork(5)
-    net.lost = lambda sender, to: {sender, to} == {"g0", "g1"}
+    net.is_lost = lambda sender, to: {sender, to} == {"g0", "g1"}
     net.run(60 * SECOND)
     assert sum(node.suspicions for node in net.nodes.values()) == 0
 
 
 def test_without_indirect_probes_that_path_makes_suspects():
     net = MembershipNetwork(5)
-    net.lost = lambda sender, to: {sender, to} == {"g0", "g1"}
+    net.is_lost = lambda sender, to: {sender, to} == {"g0", "g1"}
     for node in net.nodes.values():
         node.prober.retry = lambda now: []
     net.run(60 * SECOND)
@@ -86,11 +86,11 @@
 def test_a_partition_is_seen_on_both_sides_and_heals():
     net = MembershipNetwork(6)
     half = {"g0", "g1", "g2"}
-    net.lost = lambda sender, to: (sender in half) != (to in half)
+    net.is_lost = lambda sender, to: (sender in half) != (to in half)
     net.run(60 * SECOND)
     assert {net.nodes["g0"].members[name].state for name in ("g3", "g4", "g5")} == {MemberState.DEAD}
     assert net.nodes["g0"].live_count() == net.nodes["g5"].live_count() == 3
-    net.lost = lambda sender, to: False
+    net.is_lost = lambda sender, to: False
     net.run(40 * SECOND)
     assert all(net.states_of(name) == {MemberState.ALIVE} for name in net.nodes)
     assert net.nodes["g0"].live_count() == 6
@@ -266,7 +266,7 @@
 
 def test_lost_chunks_are_requested_again():
     net, chance = MembershipNetwork(150), Chance(3)
-    net.lost = lambda sender, to: "new" in (sender, to) and chance.below(10) < 3
+    net.is_lost = lambda sender, to: "new" in (sender, to) and chance.below(10) < 3
     net.start("new", 77, {"g4": "g4"})
     net.run(25 * SECOND)
     assert len(net.nodes["new"].members) == 150
@@ -313,10 +313,10 @@
 def test_halves_that_held_each_other_dead_hold_all_alive_soon_after_healing():
     net = MembershipNetwork(60)
     half = {f"g{number}" for number in range(30)}
-    net.lost = lambda sender, to: (sender in half) != (to in half)
+    net.is_lost = lambda sender, to: (sender in half) != (to in half)
     net.run(90 * SECOND)
     assert all(node.live_count() == 30 for node in net.nodes.values())
-    net.lost = lambda sender, to: False
+    net.is_lost = lambda sender, to: False
     net.run(40 * SECOND)
     assert all(
         len(node.table.alive) == 59 and check(node, thorough=True) == [] for node in net.nodes.values()
