--- a/gaproute/standins/rule_violators.py
+++ b/gaproute/standins/rule_violators.py
@@ -1,30 +1,44 @@
-"""Decision modules that break one rule each on purpose: the judge that does not catch them is no judge."""
+"""Decision modules that each break one rule on purpose: a judge that does not catch them judges nothing."""
+
+from __future__ import annotations
+
+from collections.abc import Generator, Sequence
+from typing import Any
 
 from gaproute.decisions.routing import Gateway
+from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_selector import HostSelector
 from gaproute.decisions.routing.parameters import MILLI
+from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.decisions.routing.retry_rules import RetryRules
-from gaproute.interface import Attempt, LoadOrder, Reject, State, Wait
+from gaproute.interface import Attempt, ListedHost, LoadOrder, Reject, Request, RequestClass, State, Wait
+from gaproute.interface.actions import Action
+
+PAUSE = 200 * MILLI  # from the final answer to the attempt after it, and from that to the end
+VIOLATES_ONE_IN = 10  # requests; the others are served as the rules say
+ORDERS_A_REQUEST = 3
 
 
 class SendsAfterFinalAnswer(Gateway):
     """Rule 1: sends a request after its final answer."""
 
-    def serve(self, now, request):
-        if self.chance.below(10):
+    def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
+        """Rejects some requests, and sends them a little later."""
+        if self.chance.below(VIOLATES_ONE_IN):
             yield from super().serve(now, request)
             return
         yield Reject(0)
-        now, _ = yield Wait(now + 200 * MILLI)
+        now, _ = yield Wait(now + PAUSE)
         if self.active_hosts:
             yield Attempt(self.active_hosts[0].id)
-            yield Wait(now + 200 * MILLI)
+            yield Wait(now + PAUSE)
 
 
 class AllowsAllRetries(RetryRules):
     """Allows every attempt at an active host."""
 
-    def allowed(self, host, request_class, attempts, now):
+    def allowed(self, host: Host, request_class: RequestClass, attempts: RequestAttempts, now: int) -> bool:
+        """Whether the host is active."""
         return host.active
 
 
@@ -35,20 +49,22 @@
 
 
 class IgnoresDraining(Gateway):
-    """Rule 3: goes on sending to hosts that drain or are gone."""
+    """Rule 3: goes on sending to hosts that are draining or gone."""
 
-    def listed(self, now, rows, complete):
+    def listed(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
+        """Takes each listed host for an active one, and forgets none."""
         super().listed(now, [row._replace(state=State.ACTIVE) for row in rows], False)
 
 
 class ChoosesLastStarted(HostSelector):
     """Chooses the host that started last, whatever it can do."""
 
-    def choose(self, now, request, attempts):
-        started = [host for host in self.hosts.active if host.started is not None]
+    def choose(self, now: int, request: Request, attempts: RequestAttempts) -> Host | None:
+        """The host that started last, for the first attempt."""
+        started = [(host.started, host) for host in self.hosts.active if host.started is not None]
         if not started or attempts.started:
             return super().choose(now, request, attempts)
-        return max(started, key=lambda host: host.started)
+        return max(started, key=lambda entry: entry[0])[1]
 
 
 class OverloadsWarmingHosts(Gateway):
@@ -58,15 +74,16 @@
 
 
 class OrdersLoadsWithoutLimit(Gateway):
-    """Rule 5: an order for a load with every request."""
+    """Rule 5: load orders with every request."""
 
-    def serve(self, now, request):
-        for host in self.active_hosts[:3]:
+    def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
+        """Orders loads at the first hosts, then serves as the rules say."""
+        for host in self.active_hosts[:ORDERS_A_REQUEST]:
             yield LoadOrder(host.id, request.function, 1)
         yield from super().serve(now, request)
 
 
-RULE_VIOLATORS = {
+RULE_VIOLATORS: dict[int, type[Gateway]] = {  # by the rule that each breaks
     1: SendsAfterFinalAnswer,
     2: RetriesEverything,
     3: IgnoresDraining,
