--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -25,12 +25,8 @@
 
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
-from gaproute.standins.platform.gateway_configuration import (
-    RequestClassSettings,
-    deployment_settings,
-    make_configuration,
-    write_configuration,
-)
+from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
+from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 from gaproute.standins.platform.scripted import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -64,7 +60,7 @@
             return
         self.seen[command["req"]] = self.loop.now()
         if self.chance.below(10) == 0:
-            host.say(stream, command, "overload")
+            host.reply(stream, command, "overload")
         else:
             self.loop.after(WORK, host.serve, stream, command)
 
@@ -95,9 +91,15 @@
             ],
         }
         where = "127.0.0.1:7390"
-        command, told = write_configuration(
-            folder, make_configuration("n1", where, log.address, known, deployment_settings(TRACKS[2:]), seed)
+        configuration = GatewayConfiguration(
+            name="n1",
+            listen=where,
+            change_log=log.address,
+            known=known,
+            settings=deployment_settings(TRACKS[2:]),
+            seed=seed,
         )
+        command, told = configuration.write(folder)
         self.node = subprocess.Popen(
             ["taskset", "-c", str(core), *command], env=os.environ | told, stderr=subprocess.DEVNULL
         )
--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -18,12 +18,8 @@
 from statistics import median
 
 from gaproute.scenarios.processes import Process
-from gaproute.standins.platform.gateway_configuration import (
-    RequestClassSettings,
-    deployment_settings,
-    make_configuration,
-    write_configuration,
-)
+from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
+from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 from gaproute.standins.platform.host_list import VersionedHostList, member
 
 MILLI = 1_000_000
@@ -73,16 +69,14 @@
         return process, json.loads(process.child.stdout.readline())
 
     def gateway(self, changelog):
-        command, environment = write_configuration(
-            self.folder,
-            make_configuration(
-                "g0",
-                "127.0.0.2:0",
-                changelog,
-                self.listing.snapshot(),
-                deployment_settings(TRACKS, gateways=200),
-            ),
+        configuration = GatewayConfiguration(
+            name="g0",
+            listen="127.0.0.2:0",
+            change_log=changelog,
+            known=self.listing.snapshot(),
+            settings=deployment_settings(TRACKS, gateways=200),
         )
+        command, environment = configuration.write(self.folder)
         self.said = self.folder / "g0.log"
         with open(self.said, "wb") as log:
             self.child = subprocess.Popen(command, env=os.environ | environment, stderr=log)
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -5,12 +5,9 @@
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import NEXT, hurry
 from gaproute.scenarios.processes import MILLI, READY_TIME, NotReady
-from gaproute.standins.platform.gateway_configuration import (
-    RequestClassSettings,
-    deployment_settings,
-    make_configuration,
-    write_configuration,
-)
+from gaproute.standins.model_server import HostProfile
+from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
+from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 
 
 class NodeGateways(ClusterGateways):
@@ -27,10 +24,13 @@
             tracks,
             gateways=day.gateways,
             zones=[f"hall-{hall}" for hall in range(day.halls)],
-            keep=life.keep,
-            cold_share=life.cold_share,
-            cold_time=life.cold_time,
-            idle_close=life.idle_close,
+            profile=HostProfile(
+                "host",
+                keep=life.keep,
+                cold_share=life.cold_share,
+                cold_time=life.cold_time,
+                idle_close=life.idle_close,
+            ),
             family_info={
                 "placement_calls": copies.orders,
                 "loads_anyway": copies.free,
@@ -43,17 +43,17 @@
         """A coroutine: until it says that it has started."""
         trial, name = self.trial, f"g{number}"
         listen, peers = self.table.gateway(number)
-        told = make_configuration(
-            name,
-            listen,
-            self.table.changelog(number),
-            trial.list.known(number),
-            self.rules(),
-            trial.seed * 1000 + number,
+        configuration = GatewayConfiguration(
+            name=name,
+            listen=listen,
+            change_log=self.table.changelog(number),
+            known=trial.list.known(number),
+            settings=self.rules(),
+            seed=trial.seed * 1000 + number,
             peer_listen=peers if trial.script.day.peers else "",
             peers_all=trial.spread_at,
         )
-        _, environment = write_configuration(self.out, told)
+        environment = configuration.write(self.out).environment
         log = self.out / f"{name}.log"
         before = log.stat().st_size if log.exists() else 0
         process = trial.processes.start(
--- a/gaproute/cluster/platform/play.py
+++ b/gaproute/cluster/platform/play.py
@@ -71,7 +71,7 @@
         yield from super().wind_up()
         self.tap.flush()
         told = self.out / "log.tap"  # what was told to whom is judged with the rest
-        self.tap.file.write(told.read_bytes() if told.exists() else b"")
+        self.tap.append_lines(told.read_bytes() if told.exists() else b"")
 
 
 def player(script):
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -21,7 +21,7 @@
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
-from gaproute.standins.platform.sample_settings import sample_settings
+from gaproute.standins.platform.deployment_settings import sample_settings
 
 EPOCH = 1_800_000_000 * SECOND  # that the wall clock is ahead of the play's monotonic one
 HOSTS_AGE = 86_400 * SECOND  # more than the wall clock is stepped: the hosts are warm
--- a/gaproute/standins/__init__.py
+++ b/gaproute/standins/__init__.py
@@ -1,2 +1,1 @@
-"""Small stand-ins for what surrounds a gateway: model hosts, the model store, clients. On the gateway's own
-loop."""
+"""Stand-ins for what surrounds a gateway: hosts, model store, change log, clients. All run on its loop."""
--- a/gaproute/standins/model_server/__init__.py
+++ b/gaproute/standins/model_server/__init__.py
@@ -1,5 +1,25 @@
 """The behaviour of a model host without a protocol: its cores, loaded instances, queues and faults."""
 
-from gaproute.standins.model_server.profiles import HostProfile, ModelProfile
+from gaproute.standins.model_server.profiles import HostProfile, HostSetup, ModelProfile
+from gaproute.standins.model_server.requests import (
+    FoundInstance,
+    HostLoad,
+    HostRequest,
+    IncomingRequest,
+    LoadOrder,
+    RequestEnd,
+)
+from gaproute.standins.model_server.server import ModelServer
 
-__all__ = ["HostProfile", "ModelProfile"]
+__all__ = [
+    "FoundInstance",
+    "HostLoad",
+    "HostProfile",
+    "HostRequest",
+    "HostSetup",
+    "IncomingRequest",
+    "LoadOrder",
+    "ModelProfile",
+    "ModelServer",
+    "RequestEnd",
+]
--- a/gaproute/standins/model_server/fetching.py
+++ b/gaproute/standins/model_server/fetching.py
@@ -1,27 +1,39 @@
-"""Fetches from the model store over HTTP: what a host's copies wait for."""
+"""Fetches from the model store over HTTP, which a host does before it starts an instance."""
 
-from gaproute.http1 import Exchange
-from gaproute.loop import Promise
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from gaproute.http1 import Exchange, NoResponseError, Response
+from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
+from gaproute.loop.loop import SECOND
+from gaproute.standins.model_server.profiles import ModelProfile
+
+CONNECT_TIMEOUT = SECOND
+HEAD_LIMIT, BODY_LIMIT = 65536, 1 << 20  # bytes of an answer: stand-ins send little
+
+Fetch = Callable[[ModelProfile], Promise]  # the promise: whether the model came
+
 
-SECOND = 1_000_000_000
-CONNECT = SECOND  # for a connection to the store
-HEAD, BODY = 65536, 1 << 20  # bytes of an answer's head and body: stand-ins say little
+class StoreClient:
+    """Fetches models from the store at that address; without a store each is there at once."""
 
+    def __init__(self, loop: Loop, store: str | None) -> None:
+        self.loop = loop
+        self.store = address(store) if store is not None else None
 
-def fetcher(loop, store):
-    """A call `fetch(model)` that gives a promise of whether the store at that address gave it, in one try;
-    without a store it is there at once."""
+    def fetch(self, model: ModelProfile) -> Promise:
+        """A promise of whether the store gave the model, in one attempt."""
+        fetched = Promise()
+        if self.store is None:
+            fetched.set(True)
+            return fetched
 
-    def fetch(model):
-        came = Promise()
-        if store is None:
-            came.set(True)
-            return came
-        data = b"GET /models/%s HTTP/1.1\r\nHost: store\r\nConnection: close\r\n\r\n" % model.name.encode()
-        Exchange(
-            loop, data, lambda answer, fault: came.set(answer is not None and answer.status == 200)
-        ).connect(address(store), CONNECT, HEAD, BODY)
-        return came
+        def on_done(response: Response | None, _: NoResponseError | None) -> None:
+            fetched.set(response is not None and response.status == 200)
 
-    return fetch
+        path = model.name.encode()
+        request = b"GET /models/%s HTTP/1.1\r\nHost: store\r\nConnection: close\r\n\r\n" % path
+        Exchange(self.loop, request, on_done).connect(self.store, CONNECT_TIMEOUT, HEAD_LIMIT, BODY_LIMIT)
+        return fetched
--- a/gaproute/standins/model_server/invariants.py
+++ b/gaproute/standins/model_server/invariants.py
@@ -1,52 +1,73 @@
-"""What must hold of a stand-in host at any time: one that breaks it judges gateways by a host that cannot be.
-Each check gives its breaches as text."""
+"""What must hold of a stand-in host at any time.
 
+A host that breaks one of these cannot exist, and gateways must not be judged by it. Each check gives its
+breaches as text; its name stands in taps.
+"""
 
-def lanes(machine):
-    """No copy runs more tasks than it has lanes."""
-    for name, copies in machine.pool.instances.items():
-        most = copies.stand * machine.models[name].lanes
-        if copies.busy > most:
-            yield f"{name}: {copies.busy} tasks at work on {copies.stand} copies, {most} lanes"
+from __future__ import annotations
 
+from collections.abc import Iterator
+from typing import NamedTuple
 
-def tasks_at_work(machine):
-    """Each task at work holds one lane, and none waits while a lane is free."""
-    held = sum(copies.busy for copies in machine.pool.instances.values())
-    if held != len(machine.work) and not machine.stopped:
-        yield f"{len(machine.work)} tasks at work hold {held} lanes"
-    for name, copies in machine.pool.instances.items():
-        if copies.waiting and copies.busy < copies.stand * machine.models[name].lanes:
-            yield f"{name}: {len(copies.waiting)} wait, {copies.busy} at work on {copies.stand} copies"
+from gaproute.standins.model_server.server_state import ServerState
 
 
-def memory(machine):
-    """Copies that stand or load fit into the memory."""
-    held = machine.pool.held()
-    if held > machine.make.copies:
-        yield f"{held} copies held, {machine.make.copies} fit"
+class Breach(NamedTuple):
+    """A check that failed, and what it found."""
 
+    check: str
+    text: str
 
-def loads(machine):
-    """Each load counted for a model is under way or in line, and no more are under way than allowed."""
-    shelf = machine.pool
-    counted = sum(copies.loading for copies in shelf.instances.values())
-    if counted != shelf.loads + len(shelf.queue):
-        yield f"{counted} loads counted, {shelf.loads} under way, {len(shelf.queue)} in line"
-    if not 0 <= shelf.loads <= machine.make.loads:
-        yield f"{shelf.loads} loads under way, {machine.make.loads} allowed"
 
+def lanes(server: ServerState) -> Iterator[str]:
+    """No instance runs more requests than it has lanes."""
+    for name, instances in server.pool.instances.items():
+        available = instances.loaded * server.models[name].lanes
+        if instances.busy_lanes > available:
+            yield f"{name}: {instances.busy_lanes} requests run on {available} lanes"
 
-def bounded(machine):
-    """What waits for a lane is bounded by the queue."""
-    for name, copies in machine.pool.instances.items():
-        if len(copies.waiting) > machine.make.queue:
-            yield f"{name}: {len(copies.waiting)} wait, {machine.make.queue} allowed"
+
+def tasks_at_work(server: ServerState) -> Iterator[str]:
+    """Each running request takes one lane, and none waits while a lane is free."""
+    busy = sum(instances.busy_lanes for instances in server.pool.instances.values())
+    running = len(server.processor.running)
+    if busy != running and not server.stopped:
+        yield f"{running} running requests take {busy} lanes"
+    for name, instances in server.pool.instances.items():
+        if instances.waiting and instances.has_free_lane(server.models[name].lanes):
+            yield (
+                f"{name}: {len(instances.waiting)} requests wait, {instances.busy_lanes} run on"
+                f" {instances.loaded} instances"
+            )
+
+
+def memory(server: ServerState) -> Iterator[str]:
+    """Instances that are loaded or loading fit into the memory."""
+    count = server.pool.instance_count()
+    if count > server.profile.copies:
+        yield f"{count} instances, {server.profile.copies} fit into the memory"
+
+
+def loads(server: ServerState) -> Iterator[str]:
+    """Each load counted for a model is active or queued, and no more are active than allowed."""
+    pool = server.pool
+    counted = sum(instances.loading for instances in pool.instances.values())
+    if counted != pool.active_loads + len(pool.queued_loads):
+        yield f"{counted} loads counted, {pool.active_loads} active, {len(pool.queued_loads)} queued"
+    if not 0 <= pool.active_loads <= server.profile.loads:
+        yield f"{pool.active_loads} loads active, {server.profile.loads} allowed"
+
+
+def bounded(server: ServerState) -> Iterator[str]:
+    """No model's queue is longer than the host allows."""
+    for name, instances in server.pool.instances.items():
+        if len(instances.waiting) > server.profile.queue:
+            yield f"{name}: {len(instances.waiting)} requests wait, {server.profile.queue} allowed"
 
 
 CHECKS = (lanes, tasks_at_work, memory, loads, bounded)
 
 
-def breaches(machine):
-    """(name of the check, text) of each breach."""
-    return [(check.__name__, text) for check in CHECKS for text in check(machine)]
+def breaches(server: ServerState) -> list[Breach]:
+    """All breaches at this moment."""
+    return [Breach(check.__name__, text) for check in CHECKS for text in check(server)]
--- a/gaproute/standins/model_server/profiles.py
+++ b/gaproute/standins/model_server/profiles.py
@@ -1,53 +1,48 @@
-"""What a stand-in host is made of, what it knows of a model, and a task that has come to it."""
+"""What a stand-in host is made of, and what it knows of each model. Both are JSON objects of a first line."""
 
+from __future__ import annotations
+
+from collections.abc import Mapping
 from typing import NamedTuple
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
-WARM, BEGAN_LOAD, AWAITED_LOAD, FAILED = 1, 2, 3, 4  # what a task found here: `HostRequest.found`
+import msgspec
+
+from gaproute.loop.loop import MILLI, SECOND
 
 
-class HostProfile(NamedTuple):
-    """What a host is made of."""
+class HostProfile(msgspec.Struct, frozen=True):
+    """What a host is made of. Times are ns; the fields are named as in the first line's `make`."""
 
     name: str
     cores: float = 4
-    speed: float = 1.0
-    copies: int = 16  # copies that its memory holds
-    queue: int = 64  # tasks waiting for a lane beyond which it answers that it is full
-    loads: int = 4  # loads at a time
-    keep: int = 10 * SECOND
-    cold_share: float = 0.2
-    cold_time: int = 15 * SECOND
-    fall_multiple: float = 3.0
+    speed: float = 1.0  # work done by one core, ns in one ns
+    copies: int = 16  # instances that its memory holds
+    queue: int = 64  # requests of one model that wait for a lane; beyond it the host answers that it is full
+    loads: int = 4  # at a time
+    keep: int = 10 * SECOND  # after which an idle instance is unloaded
+    cold_share: float = 0.2  # of its cores' power that a host has when it has just started
+    cold_time: int = 15 * SECOND  # until it has all of it
+    fall_multiple: float = 3.0  # of what a cold host can do; sent more than that within `tip`, it fails
     tip: int = 1500 * MILLI
-    idle_close: int = 60 * SECOND
-    adds_copies: bool = True  # starts another copy by itself when all lanes are taken
+    idle_close: int = 60 * SECOND  # after which an idle connection is closed
+    adds_copies: bool = True  # loads another instance by itself when all lanes are taken
 
 
-class ModelProfile(NamedTuple):
-    """What all hosts know of a model."""
+class ModelProfile(msgspec.Struct, frozen=True):
+    """What all hosts know of a model. Times are ns."""
 
     name: str
-    track: str
-    lanes: int
-    work: int  # mean core time of a task, ns
-    start: int  # the start, after the fetch, ns
-
-
-class HostRequest:
-    """A task that has come. `answer(work, end)` once at most; `end` is one of the words of `machine`."""
-
-    __slots__ = ("answer", "model", "left", "found", "alike", "fate", "id", "mark")
-
-    def __init__(self, name, mark, model, left, alike, answer):
-        self.id, self.mark, self.model, self.left, self.alike = name, mark, model, left, alike
-        self.answer, self.found, self.fate = answer, WARM, None
+    request_class: str = msgspec.field(name="track")
+    lanes: int  # requests that one instance runs at a time
+    work: int  # mean core time of a request
+    start: int  # time from the end of the fetch until the instance can serve
 
 
-class ModelInstances:
-    """The copies of one model here."""
+class HostSetup(NamedTuple):
+    """How one run of a stand-in host begins."""
 
-    def __init__(self):
-        self.stand = self.loading = self.busy = 0
-        self.idle_since = 0
-        self.waiting = []  # HostRequest
+    profile: HostProfile
+    models: Mapping[str, ModelProfile]
+    store: str | None = None  # address of the model store; without one a fetch takes no time
+    seed: int | str = 1
+    warm: bool = False  # it ran before: it has its full power, and instances stand
--- a/gaproute/standins/model_store.py
+++ b/gaproute/standins/model_store.py
@@ -1,56 +1,87 @@
-"""The one model store that all hosts share: a pace, slower when crowded, and a limit beyond which it turns
-away.
+"""The one model store that all hosts share: a rate of fetches, slower when crowded, and a limit.
 
-`GET /models/NAME` is answered when the fetch is done: 200, or 503 beyond the limit.
+`GET /models/NAME` is answered when the fetch is done: 200, or at once 503 beyond the limit.
 """
 
-from gaproute.http1 import Limits, Server
+from __future__ import annotations
 
-SECOND = 1_000_000_000
+from typing import Any, NamedTuple
+
+from gaproute.http1 import Limits, Request, Server
+from gaproute.loop import Loop
+from gaproute.loop.addresses import Address
+from gaproute.loop.loop import SECOND
+from gaproute.loop.timers import Timer
+from gaproute.standins.tap import EventRecorder
+
+DONE = 1e-6  # share of a fetch that may be left when it is answered: rounding
+ROUNDING = 1000  # ns, by which a timer is set later, so that it never spins
+BODY = b"model"
+
+
+class StoreProfile(NamedTuple):
+    """What a model store can do."""
+
+    rate: float  # fetches a second, shared by those under way
+    limit: int  # fetches under way at most
+    thrash: float  # share of the rate that is lost when the limit is reached
 
 
 class ModelStore:
-    def __init__(self, loop, where, pace, limit, thrash, tap):
-        """`pace`: fetches a second at full pace, shared by those under way; `limit`: fetches under way at
-        most; `thrash`: share of the pace lost when the limit is reached."""
-        self.loop, self.pace, self.limit, self.thrash, self.tap = loop, pace, limit, thrash, tap
-        self.fetches = {}  # request: share of it still to be served
-        self.at, self.timer = loop.now(), None
-        self.server = Server(loop, where, self.handle, Limits(pipelined=1))
+    """Listens at `where`. Errors: OSError."""
+
+    def __init__(self, loop: Loop, where: Address, profile: StoreProfile, tap: EventRecorder) -> None:
+        self.loop, self.profile, self.tap = loop, profile, tap
+        self._fetches: dict[Request, float] = {}  # the share of each that is still to be served
+        self._advanced_at = loop.now()
+        self._timer: Timer | None = None
+        self.server = Server(loop, where, self._handle, Limits(pipelined=1))
         self.address = self.server.address
 
-    def rate(self):
-        """Share of one fetch served each ns, for each of those under way."""
-        crowd = len(self.fetches)
-        return self.pace * (1 - self.thrash * crowd / self.limit) / max(crowd, 2) / SECOND
+    def command(self, command: dict[str, Any]) -> None:
+        """`{"pace": RATE}` sets the rate of fetches a second."""
+        self.profile = self.profile._replace(rate=command["pace"])
 
-    def handle(self, request):
-        self.advance()
-        if len(self.fetches) >= self.limit:
+    def _share_a_ns(self) -> float:
+        """The share of one fetch that each of those under way is served in one ns."""
+        count = len(self._fetches)
+        profile = self.profile
+        return profile.rate * (1 - profile.thrash * count / profile.limit) / max(count, 2) / SECOND
+
+    def _handle(self, request: Request) -> None:
+        self._advance()
+        if len(self._fetches) >= self.profile.limit:
             self.tap.note("turned away")
             self.server.answer(request, 503, (), b"")
         else:
             self.tap.note("fetch", model=request.target.decode("latin-1"))
-            self.fetches[request] = 1.0
-            request.on_client_left = lambda: (self.advance(), self.fetches.pop(request, None), self.plan())
-        self.plan()
-
-    def advance(self):
-        now, rate = self.loop.now(), self.rate() if self.fetches else 0.0
-        for request in self.fetches:
-            self.fetches[request] -= rate * (now - self.at)
-        self.at = now
-
-    def plan(self):
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.fetches:
-            left = max(0.0, min(self.fetches.values()))
-            self.timer = self.loop.after(round(left / self.rate()) + 1000, self.serve)
-
-    def serve(self):
-        self.advance()
-        for request in [request for request, left in self.fetches.items() if left <= 1e-6]:
-            del self.fetches[request]
-            self.server.answer(request, 200, (), b"model")
-        self.plan()
+            self._fetches[request] = 1.0
+            request.on_client_left = lambda: self._withdraw(request)
+        self._schedule()
+
+    def _withdraw(self, request: Request) -> None:
+        self._advance()
+        self._fetches.pop(request, None)
+        self._schedule()
+
+    def _advance(self) -> None:
+        """Accounts for what was served until now."""
+        now, share = self.loop.now(), self._share_a_ns() if self._fetches else 0.0
+        for request in self._fetches:
+            self._fetches[request] -= share * (now - self._advanced_at)
+        self._advanced_at = now
+
+    def _schedule(self) -> None:
+        """Sets the timer for the next fetch that will be done."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._fetches:
+            left = max(0.0, min(self._fetches.values()))
+            self._timer = self.loop.after(round(left / self._share_a_ns()) + ROUNDING, self._answer_done)
+
+    def _answer_done(self) -> None:
+        self._advance()
+        for request in [request for request, left in self._fetches.items() if left <= DONE]:
+            del self._fetches[request]
+            self.server.answer(request, 200, (), BODY)
+        self._schedule()
--- a/gaproute/standins/platform/__init__.py
+++ b/gaproute/standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform's parties: as processes (`hosts`, `log`, `clients`), small ones for tests."""
+"""Stand-ins on the platform's protocols: hosts, change log, clients; small scripted ones for tests."""
 
 from gaproute.standins.platform.scripted import (
     ScriptedChangeLog,
--- a/gaproute/standins/platform/change_log_invariants.py
+++ b/gaproute/standins/platform/change_log_invariants.py
@@ -1,28 +1,41 @@
-"""What must hold of the stand-in change log at any time, as gateways are judged by its tellings. Each check
-gives its breaches as text."""
+"""What must hold of the stand-in change log at any time, as gateways are judged by what it noted.
 
+Each check gives its breaches as text; its name stands in taps.
+"""
 
-def numbers(log):
-    """Events are numbered from 1 without a gap; no way has let out or counted one that is not written."""
-    written = len(log.events)
-    if len(log.told) != written:
-        yield f"{written} events, members of {len(log.told)}"
-    for way in log.ways:
-        for name in ("due", "counted"):
-            if not 0 <= getattr(way, name) <= written:
-                yield f"way {way.place}: {name} {getattr(way, name)} of {written}"
+from __future__ import annotations
 
+from collections.abc import Iterator, Sequence
+from typing import NamedTuple
 
-def counted(log):
-    """On a way that is well, all that is written counts as told."""
-    for way in log.ways:
-        if not way.troubles and way.counted != len(log.events):
-            yield f"way {way.place}: {way.counted} of {len(log.events)} told"
+from gaproute.standins.platform.gateway_feed import GatewayFeed
+
+
+class Breach(NamedTuple):
+    """A check that failed, and what it found."""
+
+    check: str
+    text: str
+
+
+def numbers(feeds: Sequence[GatewayFeed], event_count: int) -> Iterator[str]:
+    """No feed has released or counted an event that is not written."""
+    for feed in feeds:
+        for name, number in (("due", feed.released), ("counted", feed.counted)):
+            if not 0 <= number <= event_count:
+                yield f"feed {feed.number}: {name} {number} of {event_count}"
+
+
+def counted(feeds: Sequence[GatewayFeed], event_count: int) -> Iterator[str]:
+    """On a feed without a fault all that is written counts as known to the gateway."""
+    for feed in feeds:
+        if not feed.faults and feed.counted != event_count:
+            yield f"feed {feed.number}: {feed.counted} of {event_count} counted"
 
 
 CHECKS = (numbers, counted)
 
 
-def breaches(log):
-    """(name of the check, text) of each breach."""
-    return [(check.__name__, text) for check in CHECKS for text in check(log)]
+def breaches(feeds: Sequence[GatewayFeed], event_count: int) -> list[Breach]:
+    """All breaches at this moment."""
+    return [Breach(check.__name__, text) for check in CHECKS for text in check(feeds, event_count)]
--- a/gaproute/standins/platform/gateway_configuration.py
+++ b/gaproute/standins/platform/gateway_configuration.py
@@ -1,118 +1,68 @@
-"""What a gateway of the platform is told at its start: a settings object with sane rules, its JSON file, its
-environment. No sockets; a harness writes the file and starts the command."""
+"""The file and the environment that a gateway of the platform is started with."""
+
+from __future__ import annotations
 
 import json
 import sys
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+from os import PathLike
 from pathlib import Path
-from typing import NamedTuple
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
-EFFECTS = {"pure": "free", "receipted": "guarded", "effectful": "single_shot"}  # the platform's words
-GROUPS = {"all": "all", "zone": "zone", "rack": "cell"}
+from typing import Any, NamedTuple
 
+from gaproute.standins.platform.deployment_settings import Settings
+from gaproute.standins.platform.host_list import Snapshot
 
-class RequestClassSettings(NamedTuple):
-    name: str
-    effect: str = "pure"  # pure, receipted, effectful
-    group: str = "all"  # of hosts that know a receipt: all, zone, rack
-    latency_objective: int = 1200 * MILLI
-    limit: int = 5 * SECOND
-    priority_weight: float = 1.0
-    repeat_window: int = 5 * SECOND  # how long a receipt is known
+DEFAULT_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 
-def deployment_settings(
-    tracks,
-    gateways=1,
-    zones=("hall-a",),
-    keep=10 * SECOND,
-    cold_share=0.2,
-    cold_time=15 * SECOND,
-    idle_close=60 * SECOND,
-    **told,
-):
-    """The settings object; times and shares as hosts are made by default (`HostProfile`).
+class StartCommand(NamedTuple):
+    """How a gateway is started."""
 
-    `told`: whole entries in place of these, or objects whose fields are set.
-    """
+    command: list[str]
+    environment: dict[str, str]  # to be added to the own one
 
-    def ms(span):
-        return span / MILLI
 
-    made = {
-        "lanes": [
-            {
-                "name": track.name,
-                "effect": EFFECTS[track.effect],
-                "group": GROUPS[track.group],
-                "aim": ms(track.latency_objective),
-                "deadline": ms(track.limit),
-                "worth": track.priority_weight,
-                "dedup_window": ms(track.repeat_window),
-            }
-            for track in tracks
-        ],
-        "balancers": gateways,
-        "zones": list(zones),
-        "limits": {
-            "cancel": True,
-            "probes": True,
-            "send_cap": 6,
-            "retry_after": True,
-            "max_retry_after": 1000.0,
-            "conn_idle": ms(idle_close),
-            "connect_timeout": 250.0,
-            "multiplex": 100,
-            "may_duplicate": True,
-            "peers": True,
-        },
-        "family_info": {
-            "counts_alike": True,
-            "idle_life": ms(keep),
-            "warm_notes": True,
-            "placement_calls": True,
-            "loads_anyway": 6,
-            "load_part": 0.3,
-            "loads_within": 10000.0,
-            "order_limit": 10000.0,
-        },
-        "report": {"names": ["cpu_share", "x0"], "source": "pull"},
-        "rules": {"cold": ms(cold_time), "cold_from": cold_share},
-        "prices": {"probe": 0.025, "peer": 0.01, "cross_zone": 0.0},
-        "membership_mode": "pushed",
-    }
-    for name, value in told.items():
-        made[name] = made[name] | value if isinstance(value, dict) and name in made else value
-    return made
+@dataclass(frozen=True, kw_only=True)
+class GatewayConfiguration:
+    """What one gateway is started with."""
 
+    name: str
+    listen: str
+    change_log: str  # address
+    known: Snapshot | Mapping[str, Any]  # the host list: see `VersionedHostList.snapshot`
+    settings: Settings  # see `deployment_settings`
+    seed: int = 1
+    peer_listen: str = ""  # where it receives from other gateways; empty: it has none
+    peers: Sequence[str] = ()
+    peers_all: str = ""  # the address of all others
+    limits: Mapping[str, float] = field(default_factory=dict)  # of the process, in place of the usual ones
 
-def make_configuration(
-    name, listen, changelog, known, rules, seed=1, peers=(), peer_listen="", peers_all="", limits=None
-):
-    """The file's object. `known`: `VersionedHostList.snapshot()`; `rules`: `deployment_settings(...)`."""
-    told = {
-        "name": name,
-        "listen": listen,
-        "seed": f"{seed:x}",
-        "changelog": changelog,
-        "known": known,
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024} | (limits or {}),
-        "settings": rules,
-    }
-    if peer_listen:
-        told |= {"peer_listen": peer_listen, "peers": list(peers), "peers_all": peers_all}
-    return told
-
+    def as_json(self) -> dict[str, Any]:
+        """The file's object."""
+        content: dict[str, Any] = {
+            "name": self.name,
+            "listen": self.listen,
+            "seed": f"{self.seed:x}",
+            "changelog": self.change_log,
+            "known": self.known,
+            "limits": {**DEFAULT_LIMITS, **self.limits},
+            "settings": self.settings,
+        }
+        if self.peer_listen:
+            content |= {
+                "peer_listen": self.peer_listen,
+                "peers": list(self.peers),
+                "peers_all": self.peers_all,
+            }
+        return content
 
-def write_configuration(folder, told):
-    """(command, environment to add) of the gateway; its file is written anew, whole: at a restart, or before
-    a SIGHUP that tells where the change log has moved."""
-    path = Path(folder) / f"{told['name']}.json"
-    fresh = path.with_suffix(".new")
-    fresh.write_text(json.dumps(told))
-    fresh.replace(path)
-    return [sys.executable, "-m", "gaproute.platform"], {
-        "EDGE_NAME": told["name"],
-        "EDGE_LISTEN": told["listen"],
-        "EDGE_CONFIG": str(path),
-    }
+    def write(self, folder: str | PathLike[str]) -> StartCommand:
+        """Writes the file anew, whole: before a start, or before a SIGHUP that tells where the change log has
+        moved. Errors: OSError."""
+        path = Path(folder) / f"{self.name}.json"
+        fresh = path.with_suffix(".new")
+        fresh.write_text(json.dumps(self.as_json()))
+        fresh.replace(path)
+        environment = {"EDGE_NAME": self.name, "EDGE_LISTEN": self.listen, "EDGE_CONFIG": str(path)}
+        return StartCommand([sys.executable, "-m", "gaproute.platform"], environment)
--- a/gaproute/standins/platform/host.py
+++ b/gaproute/standins/platform/host.py
@@ -1,240 +1,223 @@
-"""A stand-in host of the platform: lines of JSON on the model of `gaproute.standins.model_server`.
+"""A stand-in host of the platform: lines of JSON on the model of `gaproute.standins.model_server`."""
 
-Beside the troubles of `machine` it knows: shut (closes connections once they have been answered on), red
-(says so when probed), drain (takes no load orders), vanish (reads and says nothing, closes nothing).
-A line {"type":"whose","gateway":NAME} first on a connection says who speaks: a cluster harness
-that stands between may write it, as no line of the protocol tells a host which gateway ordered a load.
-"""
+from __future__ import annotations
 
 import base64
-
-import msgspec
-
-from gaproute.loop import Listener, Stream
-from gaproute.standins.model_server import server
-from gaproute.standins.model_server.fetching import fetcher
-from gaproute.standins.model_server.instances import MOST
-from gaproute.standins.model_server.server import ModelServer
-
-MILLI, SECOND = 1_000_000, 1_000_000_000
-SWEEP = SECOND  # between looks for idle connections
-LINE = 256 * 1024  # bytes of a line: a body of 16 KiB in base64 takes 22, and the rest little
-WORDS = {
-    server.FULL: "overload",
-    server.ERROR: "crashed",
-    server.NO_LOAD: "crashed",
-    server.DONE: "served",
-    server.CUT: "served",
-}
-STATUS = {"served": 200, "overload": 429, "crashed": 500, "not_here": 404}  # as the judge reads them
-NOTES = "?wcjf"  # by what a task found: a copy, a load begun, a load awaited, a load failed
-
-
-class GatewayConnection:
-    """A connection that a gateway opened."""
-
-    def __init__(self, host, sock, number):
-        self.host, self.number, self.gateway = host, number, ""
-        self.open, self.buffer = {}, b""  # id: HostRequest
-        self.used = host.loop.now()
-        self.stream = Stream(host.loop, sock, self.bytes, lambda error: self.ended())
-
-    def bytes(self, data):
-        *lines, self.buffer = (self.buffer + data).split(b"\n")
-        self.used = self.host.loop.now()
-        for line in lines:
-            if self.stream.open:
-                try:
-                    self.host.heard(self, msgspec.json.decode(line))
-                except (msgspec.DecodeError, KeyError, TypeError, ValueError, AttributeError) as fault:
-                    self.host.tap.note("void", why=repr(fault)[:200])
-                    self.abort()
-        if len(self.buffer) > LINE:
-            self.abort()
-
-    def say(self, kind, name, meta, data=None):
-        if self.host.silent or not self.stream.open:
-            return
-        told = {"type": kind, "req": name, "meta": meta}
-        self.stream.write(msgspec.json.encode(told if data is None else told | {"data": data}) + b"\n")
-        self.used = self.host.loop.now()
-
-    def abort(self):
-        self.stream.abort()
-        self.ended()
-
-    def ended(self):
-        """All that is open on it is given up."""
-        self.host.links.pop(self.number, None)
-        opened, self.open = self.open, {}
-        for work in opened.values():
-            if work is not None:
-                self.host.model_server.left(work)
+import socket
+from functools import partial
+from typing import Any
+
+from gaproute.loop import Listener, Loop, Promise
+from gaproute.loop.addresses import Address
+from gaproute.loop.loop import MILLI, SECOND
+from gaproute.standins.model_server import (
+    HostRequest,
+    HostSetup,
+    IncomingRequest,
+    LoadOrder,
+    ModelServer,
+    RequestEnd,
+)
+from gaproute.standins.model_server.faults import HostFault
+from gaproute.standins.model_server.fetching import StoreClient
+from gaproute.standins.model_server.instance_pool import MAX_ORDERED
+from gaproute.standins.platform.gateway_connection import GatewayConnection, encode_answer
+from gaproute.standins.platform.host_answers import FOUND_LETTERS, KINDS, AnswerKind, LoadReporting
+from gaproute.standins.platform.host_messages import (
+    CancelRequest,
+    HealthCheck,
+    HostMessage,
+    HostMessageError,
+    Introduction,
+    LoadReportRequest,
+    OrderLoad,
+    RunRequest,
+    Unload,
+    check_request,
+)
+from gaproute.standins.tap import EventRecorder
+
+SWEEP_INTERVAL = SECOND  # between looks for idle connections
+GREEN, RED = "green", "red"  # states
 
 
 class PlatformHost:
-    """`meter`: names of the figures that probes tell, with answers too where `with_answers`."""
+    """Listens at `where` and serves all functions of its setup. Errors: OSError."""
 
     def __init__(
         self,
-        loop,
-        where,
-        make,
-        models,
-        store,
-        seed,
-        tap,
-        warm=False,
-        meter=("cpu_share", "x0"),
-        with_answers=False,
-    ):
-        self.loop, self.make, self.models, self.tap = loop, make, models, tap
-        self.meter, self.with_answers, self.silent = meter, with_answers, False
-        self.links, self.count = {}, 0
-        self.model_server = ModelServer(loop, make, models, fetcher(loop, store), seed, tap, warm)
-        self.listener = Listener(loop, where, self.accept)
+        loop: Loop,
+        where: Address,
+        setup: HostSetup,
+        tap: EventRecorder,
+        reporting: LoadReporting | None = None,
+    ) -> None:
+        self.loop, self.profile, self.models, self.tap = loop, setup.profile, setup.models, tap
+        self.reporting = reporting or LoadReporting()
+        self.silent = False  # nothing is read, written or closed
+        self._connections: dict[int, GatewayConnection] = {}  # by number
+        self._connection_count = 0
+        self.model_server = ModelServer(loop, setup, StoreClient(loop, setup.store).fetch, tap)
+        self.listener = Listener(loop, where, self._accept)
         self.address = self.listener.address
-        self.model_server.fell = self.reset_all
+        self.model_server.on_overload = self._reset_all
         self.model_server.start()
-        self.sweeper = loop.after(SWEEP, self.sweep)
+        self._sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
 
-    def accept(self, sock):
-        self.count += 1
-        self.links[self.count] = GatewayConnection(self, sock, self.count)
-        if self.silent:
-            self.links[self.count].stream.pause()
-
-    def sweep(self):
-        due = self.loop.now() - self.make.idle_close
-        for link in [link for link in self.links.values() if not link.open and link.used < due]:
-            link.stream.close()
-            link.ended()
-        self.sweeper = self.loop.after(SWEEP, self.sweep)
-
-    # What gateways say
-
-    def heard(self, link, told):
-        name = str(told.get("req", ""))
-        match told["type"]:
-            case "go":
-                self.task(link, name, told["meta"])
-            case "halt":
-                work = link.open.pop(name, None)
-                self.tap.note("halt", id=name)
-                if work is not None:
-                    self.model_server.left(work)
-            case "ping":
-                link.say(self.colour(), name, {})
-            case "stat":
-                link.say(self.colour(), name, self.report())
-            case "stage":
-                self.order(link, name, told["meta"])
-            case "purge":
-                self.model_server.pool.unload_idle(name)
-            case "whose":
-                link.gateway = str(told["gateway"])
-            case _:
-                raise ValueError(told["type"])
-
-    def colour(self):
-        return "red" if "red" in self.model_server.faults else "green"
-
-    def report(self):
-        waiting, in_hand, cores, memory = self.model_server.figures()
-        known = {
-            "pending": waiting,
-            "queue": waiting,
-            "busy_reqs": in_hand,
-            "inflight": in_hand,
-            "cpu_share": cores,
-            "util": cores,
-            "x0": memory,
-        }
-        return {"meter": ";".join(f"{name}:{known[name]:.3g}" for name in self.meter if name in known)}
+    # Connections
 
-    def task(self, link, name, meta):
-        model = self.models.get(meta["item"])
-        if name in link.open or not float(meta["limit"]) > 0 or model and model.track != meta["cls"]:
-            raise ValueError(f"{name}: {meta}")
+    def _accept(self, sock: socket.socket) -> None:
+        self._connection_count += 1
+        connection = GatewayConnection(self, sock, self._connection_count)
+        self._connections[connection.number] = connection
+        if self.silent:
+            connection.stream.pause()
+
+    def connection_ended(self, connection: GatewayConnection) -> None:
+        """All requests that are open on it are given up."""
+        self._connections.pop(connection.number, None)
+        for request in connection.requests.values():
+            self.model_server.cancel(request)
+
+    def _sweep(self) -> None:
+        unused_since = self.loop.now() - self.profile.idle_close
+        for connection in list(self._connections.values()):
+            if connection.is_idle and connection.used_at < unused_since:
+                connection.close()
+        self._sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
+
+    # Messages
+
+    def handle(self, connection: GatewayConnection, message: HostMessage) -> None:
+        """Does what a gateway's message asks for. Errors: HostMessageError."""
+        match message:
+            case RunRequest():
+                self._run(connection, message)
+            case CancelRequest():
+                self._cancel(connection, message.request_id)
+            case HealthCheck():
+                connection.send(self._state(), message.request_id, {})
+            case LoadReportRequest():
+                connection.send(self._state(), message.request_id, self._load_report())
+            case OrderLoad():
+                self._order_load(connection, message)
+            case Unload():
+                self.model_server.pool.unload_unused(message.request_id)
+            case Introduction():
+                connection.gateway = message.gateway
+
+    def _state(self) -> str:
+        return RED if self.model_server.faults.is_active(HostFault.RED) else GREEN
+
+    def _load_report(self) -> dict[str, str]:
+        return self.reporting.encode(self.model_server.load_report())
+
+    # Requests
+
+    def _run(self, connection: GatewayConnection, message: RunRequest) -> None:
+        request_id, model = message.request_id, self.models.get(message.details.function)
+        check_request(message, model)
+        if request_id in connection.requests or request_id in connection.load_orders:
+            raise HostMessageError(f"request {request_id}: another with this id is open")
         if model is None:
-            self.tap.note("said", id=name, status=STATUS["not_here"])
-            link.say("not_here", name, {})
+            self.tap.note("said", id=request_id, status=AnswerKind.NOT_HERE.status)
+            connection.send(AnswerKind.NOT_HERE, request_id, {})
             return
-        limit = round(float(meta["limit"]) * MILLI)
-        work = self.model_server.take(
-            name, name, model, link.number, lambda work, end: self.end(link, work, end), limit
-        )
-        if not self.model_server.down and link.stream.open and work is not None:
-            link.open[name] = work
-
-    def end(self, link, work, end):
-        if end == server.RESET:
-            link.abort()
+        limit = round(message.details.limit * MILLI)
+        incoming = IncomingRequest(request_id, request_id, model, connection.number, limit)
+        request = self.model_server.receive(incoming, partial(self._request_ended, connection))
+        if not self.model_server.down and connection.stream.open and request is not None:
+            connection.requests[request_id] = request
+
+    def _cancel(self, connection: GatewayConnection, request_id: str) -> None:
+        request = connection.requests.pop(request_id, None)
+        self.tap.note("halt", id=request_id)
+        if request is not None:
+            self.model_server.cancel(request)
+
+    def _request_ended(self, connection: GatewayConnection, request: HostRequest, end: RequestEnd) -> None:
+        if end is RequestEnd.RESET:
+            connection.abort()
             return
-        if link.open.get(work.id) is work:
-            del link.open[work.id]
-        elif end not in (server.FULL, server.ERROR):
-            return  # halted, or its connection has gone: no answer
-        meta = {"tell": NOTES[work.found], "queue_fn": work.alike}
-        if self.with_answers:
-            meta |= self.report()
-        kind = WORDS[end]
-        data = base64.b64encode(f"{self.make.name} {work.id}".encode()).decode()
-        if end == server.CUT:
-            whole = msgspec.json.encode({"type": kind, "req": work.id, "meta": meta, "data": data})
-            link.stream.write(whole[: len(whole) // 2])
-            link.stream.close()
-            link.ended()
+        if connection.requests.get(request.id) is request:
+            del connection.requests[request.id]
+        elif end not in (RequestEnd.FULL, RequestEnd.ERROR):
+            return  # cancelled, or its connection has gone: no answer
+        self._answer(connection, request, end)
+
+    def _answer(self, connection: GatewayConnection, request: HostRequest, end: RequestEnd) -> None:
+        details: dict[str, Any] = {
+            "tell": FOUND_LETTERS[request.found],
+            "queue_fn": request.same_model_requests,
+        }
+        if self.reporting.with_answers:
+            details |= self._load_report()
+        kind = KINDS[end]
+        data = base64.b64encode(f"{self.profile.name} {request.id}".encode()).decode()
+        if end is RequestEnd.CUT:
+            connection.send_half(encode_answer(kind, request.id, details, data))
             return
-        self.tap.note("said", id=work.id, status=STATUS[kind])
-        link.say(kind, work.id, meta, data if kind == "served" else None)
-        if "shut" in self.model_server.faults:
-            self.loop.soon(self.shut, link)
+        self.tap.note("said", id=request.id, status=kind.status)
+        connection.send(kind, request.id, details, data if kind is AnswerKind.SERVED else None)
+        if self.model_server.faults.is_active(HostFault.SHUT):
+            self.loop.soon(self._close_if_idle, connection)
 
-    def order(self, link, tag, meta):
-        name, count = meta["item"], int(meta["copies"])
+    # Load orders
+
+    def _order_load(self, connection: GatewayConnection, message: OrderLoad) -> None:
+        order_id, name, count = message.request_id, message.details.function, message.details.copies
+        pool = self.model_server.pool
         if name not in self.models:
-            raise ValueError(name)
+            raise HostMessageError(f"load order {order_id}: no function {name} is known here")
         if count <= 0:
-            copies = self.model_server.pool.instances.get(name)
-            link.say("served", tag, {"copies": copies.stand if copies else 0})
+            connection.send(AnswerKind.SERVED, order_id, {"copies": pool.loaded_count(name)})
             return
-        draining = "drain" in self.model_server.faults
-        stands = None if draining else self.model_server.order(name, count, link.gateway, link.number)
-        if stands is None:
-            if draining:
-                self.tap.note("order", model=name, count=count, gateway=link.gateway, link=link.number)
-            link.say("overload", tag, {"copies": self.model_server.pool.of(name).stand})
+        loaded = self._accept_order(LoadOrder(name, count, connection.gateway, connection.number))
+        if loaded is None:
+            connection.send(AnswerKind.OVERLOAD, order_id, {"copies": pool.of(name).loaded})
             return
-        link.open[tag] = None  # not idle while it is under way
-        stands.then(lambda stands: self.stands(link, tag, count, stands.value))
-
-    def stands(self, link, tag, count, copies):
-        link.open.pop(tag, None)
-        if copies is not None:
-            link.say("served" if copies >= min(count, MOST) else "crashed", tag, {"copies": copies})
-
-    # Ends and troubles
-
-    def shut(self, link):
-        if link.stream.open and not link.open:
-            link.stream.close()
-            link.ended()
-
-    def reset_all(self):
+        connection.load_orders.add(order_id)  # the connection is not idle meanwhile
+        loaded.then(partial(self._order_ended, connection, order_id, count))
+
+    def _accept_order(self, order: LoadOrder) -> Promise | None:
+        """The order's promise; None where the host is draining or has no memory for it."""
+        if self.model_server.faults.is_active(HostFault.DRAIN):
+            self.model_server.note_order(order)
+            return None
+        return self.model_server.order_load(order)
+
+    def _order_ended(self, connection: GatewayConnection, order_id: str, count: int, loaded: Promise) -> None:
+        connection.load_orders.discard(order_id)
+        if loaded.value is not None:
+            complete = loaded.value >= min(count, MAX_ORDERED)
+            kind = AnswerKind.SERVED if complete else AnswerKind.CRASHED
+            connection.send(kind, order_id, {"copies": loaded.value})
+
+    # Ends and faults
+
+    def _close_if_idle(self, connection: GatewayConnection) -> None:
+        if connection.stream.open and connection.is_idle:
+            connection.close()
+
+    def _reset_all(self) -> None:
         self.listener.close()
-        for link in list(self.links.values()):
-            link.abort()
+        for connection in list(self._connections.values()):
+            connection.abort()
 
-    def crash(self):
+    def crash(self) -> None:
         """Dies as a process does: connections are reset, nothing listens any more."""
-        self.sweeper.cancel()
+        self._sweep_timer.cancel()
         self.model_server.stop()
-        self.reset_all()
-
-    def command(self, told):
-        self.model_server.command(told)
-        if told.get("trouble") == "vanish":
-            self.silent = told.get("on", True)
-            for link in list(self.links.values()):
-                link.stream.pause() if self.silent else link.stream.resume()
+        self._reset_all()
+
+    def command(self, command: dict[str, Any]) -> None:
+        """Begins or ends a fault; see `FaultCommand` for the form. Errors: msgspec.ValidationError."""
+        self.model_server.command(command)
+        if command["trouble"] != HostFault.VANISH:
+            return
+        self.silent = command.get("on", True)
+        for connection in list(self._connections.values()):
+            if self.silent:
+                connection.stream.pause()
+            else:
+                connection.stream.resume()
--- a/gaproute/standins/platform/host_list.py
+++ b/gaproute/standins/platform/host_list.py
@@ -1,11 +1,48 @@
-"""The host list as the change log tells it: events numbered from 1, the whole list at any time."""
+"""The host list as the change log sends it: events numbered from 1, and the whole list at any time."""
 
-PHASES = {"active": "Ready", "draining": "Terminating", "gone": "Gone"}
-STATES = {phase: state for state, phase in PHASES.items()}  # the judge's words
+from __future__ import annotations
 
+from typing import Any, TypedDict
 
-def member(name, where, state="active", zone="hall-a", cell=0, size=4, up_since=0):
-    """A line of the list. `up_since`: the Unix time of a late start, ms; 0 where it stood from the first."""
+PHASES = {"active": "Ready", "draining": "Terminating", "gone": "Gone"}  # by state of a host
+STATES = {phase: state for state, phase in PHASES.items()}
+
+Member = dict[str, Any]  # a line of the list, as the change log has it
+
+
+class FleetChange(TypedDict):
+    """The hosts that an event changes."""
+
+    revision: int
+    complete: bool  # whether these are all hosts
+    members: list[Member]
+
+
+class ChangeEvent(TypedDict):
+    """One event of the change log, as JSON."""
+
+    seq: int
+    fleet: FleetChange
+
+
+class Snapshot(TypedDict):
+    """The list as the file of a gateway has it that starts now."""
+
+    seq: int
+    results: list[ChangeEvent]
+
+
+def member(
+    name: str,
+    where: str | list[str],
+    state: str = "active",
+    zone: str = "hall-a",
+    cell: int = 0,
+    size: float = 4,
+    up_since: int = 0,
+) -> Member:
+    """A line of the list. `where`: the address, or one for each gateway by its number; `up_since`: the Unix
+    time of a late start, ms; 0 where the host was there from the first."""
     return {
         "id": name,
         "host_port": where,
@@ -19,28 +56,31 @@
 
 
 class VersionedHostList:
-    """Whoever commands the log keeps one, and so does the log: both count alike."""
+    """The list and the number of its last event.
 
-    def __init__(self):
-        self.seq, self.members = 0, {}
+    Whoever commands a change log keeps one, and so does the log: both count alike.
+    """
 
-    def change(self, *members):
-        """The next event, as an object of the log and as a command to it."""
-        self.seq += 1
+    def __init__(self, version: int = 0) -> None:
+        """`version`: the number before that of the first event."""
+        self.version = version
+        self.members: dict[str, Member] = {}
+
+    def change(self, *members: Member) -> ChangeEvent:
+        """The next event, which is also the command to a stand-in change log."""
+        self.version += 1
         for each in members:
             if each["phase"] == "Gone":
                 self.members.pop(each["id"], None)
             else:
                 self.members[each["id"]] = each
-        return {
-            "seq": self.seq,
-            "fleet": {"revision": self.seq, "complete": self.seq == 1, "members": list(members)},
-        }
-
-    def snapshot(self):
-        """What a gateway that starts now is told in its file."""
-        whole = {
-            "seq": self.seq,
-            "fleet": {"revision": self.seq, "complete": True, "members": list(self.members.values())},
-        }
-        return {"seq": self.seq, "results": [whole] if self.seq else []}
+        return self._event(list(members), complete=self.version == 1)
+
+    def snapshot(self) -> Snapshot:
+        """What a gateway that starts now gets by its file."""
+        results = [self._event(list(self.members.values()), complete=True)] if self.version else []
+        return {"seq": self.version, "results": results}
+
+    def _event(self, members: list[Member], *, complete: bool) -> ChangeEvent:
+        fleet: FleetChange = {"revision": self.version, "complete": complete, "members": members}
+        return {"seq": self.version, "fleet": fleet}
--- a/gaproute/standins/platform/hosts.py
+++ b/gaproute/standins/platform/hosts.py
@@ -1,64 +1,115 @@
-"""Several stand-in hosts of the platform in one process, each with a tap of its own for each of its lives."""
+"""Several stand-in hosts of the platform in one process, each with a tap of its own for each of its runs."""
 
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable, Sequence
 from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
 
+from gaproute.loop import Loop
 from gaproute.loop.addresses import address
-from gaproute.standins.model_server import HostProfile, ModelProfile
+from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
 from gaproute.standins.platform.host import PlatformHost
+from gaproute.standins.platform.host_answers import LoadReporting
 from gaproute.standins.tap import Tap
 
 
+class HostSlot(msgspec.Struct, frozen=True):
+    """A host, and how its next run begins; an object of `hosts` in the first line."""
+
+    listen: str
+    profile: HostProfile = msgspec.field(name="make")
+    warm: bool = False
+
+
+class HostCommand(msgspec.Struct, frozen=True):
+    """`do` "crash" or "start" (with `warm`, or a whole `seat`) for one host; else a fault at the hosts of
+    `hosts`, at `host`, or at all."""
+
+    host: str | None = None
+    action: str | None = msgspec.field(default=None, name="do")
+    warm: bool = False
+    slot: HostSlot | None = msgspec.field(default=None, name="seat")
+    hosts: list[str] | None = None
+
+
+class SharedSetup(NamedTuple):
+    """What all hosts of a process have in common."""
+
+    models: Sequence[ModelProfile]
+    taps: str | None = None  # the folder; without one nothing is noted
+    store: str | None = None  # the model store's address
+    seed: int | str = 1
+    reporting: LoadReporting = LoadReporting()
+
+
 class PlatformHosts:
-    """`told`: models, hosts (each listen, make, warm), taps (a folder), and as wanted store, seed, meter,
-    report."""
-
-    def __init__(self, loop, told, say):
-        self.loop, self.told, self.say = loop, told, say
-        self.models = {model["name"]: ModelProfile(**model) for model in told["models"]}
-        self.hosts, self.seats, self.runs = {}, {}, {}
-        for seat in told["hosts"]:
-            self.start(seat)
+    """Starts the hosts of `slots` and reports their addresses. Errors: OSError."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        slots: Sequence[HostSlot],
+        setup: SharedSetup,
+        report: Callable[[dict[str, Any]], object],
+    ) -> None:
+        """`report(line)`: tells addresses to whoever started the stand-in."""
+        self.loop, self.setup, self.report = loop, setup, report
+        self.models = {model.name: model for model in setup.models}
+        self.hosts: dict[str, PlatformHost] = {}  # by name, those that were not crashed
+        self._taps: dict[str, Tap] = {}
+        self._slots: dict[str, HostSlot] = {}
+        self._runs: Counter[str] = Counter()  # of each host
+        for slot in slots:
+            self._start(slot)
         addresses = {name: host.address for name, host in self.hosts.items()}
-        say({"address": next(iter(addresses.values()), ""), "addresses": addresses})
+        report({"address": next(iter(addresses.values()), ""), "addresses": addresses})
 
-    def start(self, seat):
-        """A host's first life or its next, at the address it had."""
-        name, told = seat["make"]["name"], self.told
+    def _start(self, slot: HostSlot) -> PlatformHost:
+        """A host's first run, or its next at the address it had."""
+        name = slot.profile.name
         if name in self.hosts:
-            self.hosts[name].crash()  # it had fallen over, or is restarted as it stands
-        run = self.runs[name] = self.runs.get(name, 0) + 1
-        folder = told.get("taps")
-        tap = Tap(Path(folder) / f"host-{name}.{run}.tap" if folder else None, self.loop.clock)
-        host = PlatformHost(
-            self.loop,
-            address(seat["listen"]),
-            HostProfile(**seat["make"]),
-            self.models,
-            told.get("store"),
-            f"{told.get('seed', 1)} {name} {run}",
-            tap,
-            seat.get("warm", False),
-            tuple(told.get("meter", ("cpu_share", "x0"))),
-            told.get("report") == "piggyback",
-        )
-        self.hosts[name], self.seats[name] = host, seat | {"listen": host.address}
-
-    def flush(self):
-        for host in self.hosts.values():
-            host.tap.flush()
-
-    def command(self, told):
-        """{"host": NAME, "do": "crash" or "start" (with "warm", or a whole "seat")}, or a trouble at the
-        hosts of `hosts`, at `host`, or at all."""
-        name, do = told.get("host"), told.get("do")
-        if do == "crash":
-            self.hosts.pop(name).crash()
-        elif do == "start":
-            seat = told.get("seat") or self.seats[name] | {"warm": told.get("warm", False)}
-            self.start(seat)
-            name = seat["make"]["name"]
-            self.say({"host": name, "address": self.hosts[name].address})
-        else:
-            for each in told.get("hosts", [name] if name else list(self.hosts)):
-                if each in self.hosts:
-                    self.hosts[each].command(told)
+            self.hosts[name].crash()  # it had failed, or is restarted as it stands
+        self._runs[name] += 1
+        run, setup = self._runs[name], self.setup
+        path = Path(setup.taps) / f"host-{name}.{run}.tap" if setup.taps else None
+        tap = self._taps[name] = Tap(path, self.loop.clock)
+        seed = f"{setup.seed} {name} {run}"
+        host_setup = HostSetup(slot.profile, self.models, setup.store, seed, slot.warm)
+        host = PlatformHost(self.loop, address(slot.listen), host_setup, tap, setup.reporting)
+        self.hosts[name] = host
+        self._slots[name] = msgspec.structs.replace(slot, listen=host.address)
+        return host
+
+    def flush(self) -> None:
+        """Writes the taps of all hosts."""
+        for tap in self._taps.values():
+            tap.flush()
+
+    def command(self, command: dict[str, Any]) -> None:
+        """Carries out a command; see `HostCommand` and `FaultCommand` for the forms."""
+        decoded = msgspec.convert(command, HostCommand)
+        match decoded.action:
+            case "crash" if decoded.host is not None:
+                self.hosts.pop(decoded.host).crash()
+            case "start":
+                host = self._start(self._next_slot(decoded))
+                self.report({"host": host.profile.name, "address": host.address})
+            case _:
+                self._command_hosts(decoded, command)
+
+    def _next_slot(self, command: HostCommand) -> HostSlot:
+        if command.slot is not None:
+            return command.slot
+        return msgspec.structs.replace(self._slots[command.host or ""], warm=command.warm)
+
+    def _command_hosts(self, decoded: HostCommand, command: dict[str, Any]) -> None:
+        names = decoded.hosts
+        if names is None:
+            names = [decoded.host] if decoded.host else list(self.hosts)
+        for name in names:
+            if name in self.hosts:
+                self.hosts[name].command(command)
--- a/gaproute/standins/platform/rpc_connection.py
+++ b/gaproute/standins/platform/rpc_connection.py
@@ -1,144 +1,183 @@
-"""A client's connection to a gateway of the platform: JSON-RPC messages out, answers in, by their numbers."""
+"""A client's connection to a gateway of the platform: JSON-RPC requests out, answers in, by their numbers."""
 
-import msgspec
+from __future__ import annotations
 
-from gaproute.loop import Stream, connect
+import socket
+from collections.abc import Callable
+from enum import Enum, auto
+from typing import Any
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
-CONNECT = 250 * MILLI  # loopback: what takes longer is a gateway that does not accept
-LEFT = 256  # numbers given up that are remembered: an answer to one of them is no stray
-DECLINED = -32008
-_decode = msgspec.json.Decoder().decode
+from gaproute.loop import Loop, Stream, connect
+from gaproute.loop.addresses import Address
+from gaproute.loop.loop import MILLI
+from gaproute.standins.platform.answer_reader import AnswerReader, MalformedAnswerError, encode_message
 
+CONNECT_TIMEOUT = 250 * MILLI  # loopback: what takes longer is a gateway that does not accept
+MAX_WITHDRAWN = 256  # withdrawn numbers that are remembered: an answer to one of them was asked for
+# For so long a request may cross the close of its connection: the platform's figure.
+CROSSING_TIME = 50 * MILLI
 
-def framed(told):
-    body = msgspec.json.encode(told)
-    return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
+Message = dict[str, Any]
 
 
-class AnswerReader:
-    """Bytes in, messages out. Errors: ValueError, msgspec.DecodeError where what came is none."""
+class CallLoss(Enum):
+    """How far a call had got whose connection ended before its answer."""
 
-    def __init__(self):
-        self.buffer = b""
-
-    def feed(self, data):
-        self.buffer += data
-        messages = []
-        while True:
-            head, mark, rest = self.buffer.partition(b"\r\n\r\n")
-            if not mark:
-                return messages
-            name, _, size = head.partition(b":")
-            if name.lower() != b"content-length":
-                raise ValueError(f"a head of {head[:60]!r}")
-            if len(rest) < int(size):
-                return messages
-            messages.append(_decode(rest[: int(size)]))
-            self.buffer = rest[int(size) :]
+    REFUSED = auto()  # no connection
+    UNSENT = auto()  # none of its bytes left
+    # The only one, sent just before the end of a connection that had been answered on, or just before a
+    # reset: nobody read it.
+    CROSSED = auto()
+    BROKEN = auto()  # it may have been read
 
 
 class PendingCall:
-    """A message on its way. `answered(message)` or `ended(what)` once; `what`: "refused" (no connection),
-    "unsent" (none of its bytes left), "crossed" (the only one, sent just before the end of a connection that
-    rested, or of a new one that was reset: unread) or "broken"."""
+    """A request on its way. `on_answer(message)` or `on_lost(loss)` is called once."""
 
-    __slots__ = ("told", "answered", "ended", "mark", "sent")
+    __slots__ = ("message", "on_answer", "on_lost", "sent_from", "sent_at")
 
-    def __init__(self, told, answered, ended):
-        self.told, self.answered, self.ended = told, answered, ended
-        self.mark, self.sent = None, 0
+    def __init__(
+        self,
+        message: Message,
+        on_answer: Callable[[Message], object],
+        on_lost: Callable[[CallLoss], object],
+    ) -> None:
+        self.message, self.on_answer, self.on_lost = message, on_answer, on_lost
+        self.sent_from: int | None = None  # bytes written to the connection before it; None: it still waits
+        self.sent_at = 0  # ns
 
 
 class RpcConnection:
-    """One connection. `stray(what)` for whatever nobody asked for."""
-
-    CROSS = 50 * MILLI  # the platform's figure for a request that crosses a close
-
-    def __init__(self, loop, where, stray, closed):
-        self.loop, self.stray, self.closed = loop, stray, closed
-        self.open, self.left, self.count = {}, {}, 0
-        self.stream, self.reader, self.over = None, AnswerReader(), False
-        self.used, self.answered = loop.now(), False
-        self.give_up = connect(loop, where, CONNECT, self.connected)
-
-    def connected(self, sock, error):
-        if error is not None:
-            self.end("refused")
+    """One connection, opened at once; calls made before it stands are sent then."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        where: Address,
+        on_unmatched: Callable[[str], object],
+        on_closed: Callable[[RpcConnection], object],
+    ) -> None:
+        """`on_unmatched(text)`: something came that nobody asked for; `on_closed(connection)`: it has ended,
+        not by `close`."""
+        self.loop, self.on_unmatched, self.on_closed = loop, on_unmatched, on_closed
+        self.pending: dict[int, PendingCall] = {}  # by number
+        self.used_at = loop.now()
+        self.answered = False  # whether any answer has come
+        self.ended = False
+        self._withdrawn: dict[int, None] = {}  # numbers, the oldest first
+        self._call_count = 0
+        self._stream: Stream | None = None
+        self._reader = AnswerReader()
+        self._give_up = connect(loop, where, CONNECT_TIMEOUT, self._connected)
+
+    def _connected(self, sock: socket.socket | None, error: OSError | None) -> None:
+        if sock is None:
+            self._end(CallLoss.REFUSED)
             return
-        self.stream = Stream(self.loop, sock, self.bytes, self.ended)
-        for number, asked in list(self.open.items()):
-            self.write(number, asked)
-
-    def ask(self, told, answered, ended):
-        """Sends `told` under a number of its own, which is returned."""
-        self.count += 1
-        asked = self.open[self.count] = PendingCall(told, answered, ended)
-        if self.stream is not None:
-            self.write(self.count, asked)
-        return self.count
-
-    def write(self, number, asked):
-        asked.mark, asked.sent = self.stream.bytes_sent + self.stream.bytes_unsent, self.loop.now()
-        self.used = asked.sent
-        self.stream.write(framed({"jsonrpc": "2.0", "id": number} | asked.told))
-
-    def withdraw(self, number):
-        """The client no longer waits."""
-        if self.open.pop(number, None) is None:
+        self._stream = Stream(self.loop, sock, self._receive, self._stream_ended)
+        for number, call in list(self.pending.items()):
+            self._write(self._stream, number, call)
+
+    # Calls
+
+    def call(
+        self,
+        message: Message,
+        on_answer: Callable[[Message], object],
+        on_lost: Callable[[CallLoss], object],
+    ) -> int:
+        """Sends `message` under a number of its own, which is returned."""
+        self._call_count += 1
+        call = self.pending[self._call_count] = PendingCall(message, on_answer, on_lost)
+        if self._stream is not None:
+            self._write(self._stream, self._call_count, call)
+        return self._call_count
+
+    def _write(self, stream: Stream, number: int, call: PendingCall) -> None:
+        call.sent_from = stream.bytes_sent + stream.bytes_unsent
+        call.sent_at = self.used_at = self.loop.now()
+        stream.write(encode_message({"jsonrpc": "2.0", "id": number} | call.message))
+
+    def withdraw(self, number: int) -> None:
+        """The client no longer waits for the answer, and says so."""
+        if self.pending.pop(number, None) is None:
             return
-        self.left[number] = None
-        if len(self.left) > LEFT:
-            del self.left[next(iter(self.left))]
-        if self.stream is not None:
-            self.stream.write(framed({"jsonrpc": "2.0", "method": "abort", "params": {"id": number}}))
-
-    def bytes(self, data):
-        self.used = self.loop.now()
+        self._withdrawn[number] = None
+        if len(self._withdrawn) > MAX_WITHDRAWN:
+            del self._withdrawn[next(iter(self._withdrawn))]
+        if self._stream is not None:
+            abort = {"jsonrpc": "2.0", "method": "abort", "params": {"id": number}}
+            self._stream.write(encode_message(abort))
+
+    # Answers
+
+    def _receive(self, data: bytes) -> None:
+        self.used_at = self.loop.now()
         try:
-            messages = self.reader.feed(data)
-        except (ValueError, msgspec.DecodeError) as fault:
-            self.stray(f"what came is no message: {fault}")
-            self.drop()
-            self.end("broken")
+            messages = self._reader.feed(data)
+        except MalformedAnswerError as error:
+            self.on_unmatched(f"what came is no message: {error}")
+            self.close()
+            self._end(CallLoss.BROKEN)
             return
         for message in messages:
-            number = message.get("id") if isinstance(message, dict) else None
-            asked = self.open.pop(number, None)
-            self.answered = True
-            if asked is not None:
-                asked.answered(message)
-            elif number in self.left:
-                del self.left[number]
-            else:
-                self.stray(f"an answer under {number!r}")
+            self._take_answer(message)
 
-    def ended(self, error):
+    def _take_answer(self, message: Any) -> None:
+        number = message.get("id") if isinstance(message, dict) else None
+        self.answered = True
+        if not isinstance(number, int):
+            self.on_unmatched(f"an answer under {number!r}")
+            return
+        call = self.pending.pop(number, None)
+        if call is not None:
+            call.on_answer(message)
+        elif number in self._withdrawn:
+            del self._withdrawn[number]
+        else:
+            self.on_unmatched(f"an answer under {number!r}")
+
+    # Ends
+
+    def _stream_ended(self, error: OSError | None) -> None:
         """The other side has closed or reset it."""
-        self.end("broken", isinstance(error, (ConnectionResetError, BrokenPipeError)))
+        reset = isinstance(error, (ConnectionResetError, BrokenPipeError))
+        self._end(CallLoss.BROKEN, reset=reset)
 
-    def end(self, what, reset=False):
-        """The connection is over; what is open on it learns how far it got."""
-        if self.over:
+    def _end(self, loss: CallLoss, *, reset: bool = False) -> None:
+        """The connection is over; what is pending on it learns how far it got."""
+        if self.ended:
             return
-        self.over = True
-        opened, self.open = self.open, {}
-        self.closed(self)
-        for asked in opened.values():
-            how = what
-            if what == "broken" and (asked.mark is None or self.stream.bytes_sent <= asked.mark):
-                how = "unsent"
-            elif what == "broken" and len(opened) == 1 and self.loop.now() - asked.sent <= self.CROSS:
-                how = "crossed" if self.answered or reset else "broken"
-            asked.ended(how)
-
-    def drop(self):
-        """Closed from this side."""
-        if self.stream is not None:
-            self.stream.close()
+        self.ended = True
+        pending, self.pending = self.pending, {}
+        self.on_closed(self)
+        for call in pending.values():
+            if loss is CallLoss.BROKEN:
+                call.on_lost(self._loss_of(call, alone=len(pending) == 1, reset=reset))
+            else:
+                call.on_lost(loss)
+
+    def _loss_of(self, call: PendingCall, *, alone: bool, reset: bool) -> CallLoss:
+        """How far a call got on the connection, which was broken."""
+        if call.sent_from is None or self._stream is None or self._stream.bytes_sent <= call.sent_from:
+            return CallLoss.UNSENT
+        recent = self.loop.now() - call.sent_at <= CROSSING_TIME
+        if alone and recent and (self.answered or reset):
+            return CallLoss.CROSSED
+        return CallLoss.BROKEN
+
+    def close(self) -> None:
+        """Closes from this side."""
+        if self._stream is not None:
+            self._stream.close()
         else:
-            self.give_up()
+            self._give_up()
+
+    def discard(self) -> None:
+        """Closes from this side; nothing is called any more."""
+        self.ended = True
+        self.close()
 
-    def quiet(self):
-        """Whether an idle connection can be used once more."""
-        return self.stream is None or self.stream.open and self.stream.is_quiet()
+    def is_usable(self) -> bool:
+        """Whether the connection, which is idle, can be used once more."""
+        return self._stream is None or (self._stream.open and self._stream.is_quiet())
--- a/gaproute/standins/platform/scripted.py
+++ b/gaproute/standins/platform/scripted.py
@@ -1,44 +1,74 @@
-"""Stand-ins for the platform's parties, written from its public pages: a host of lines, the change log, a
-client."""
+"""Small stand-ins that do what a test scripts, written from the platform's public pages."""
+
+from __future__ import annotations
 
 import base64
 import json
+import socket
+from abc import ABC, abstractmethod
+from collections.abc import Callable
+from typing import Any
 
-from gaproute.loop import Listener, Promise, Stream, connect
+from gaproute.loop import Listener, Loop, Promise, Stream, connect
 from gaproute.loop.addresses import address
+from gaproute.loop.loop import SECOND
+from gaproute.standins.event_stream import RESPONSE_HEAD, last_event_id
+from gaproute.standins.platform.host_list import ChangeEvent
+
+HEAD_END = b"\r\n\r\n"
+CONNECT_TIMEOUT = SECOND
+FUNCTION = "7f3a9c21e0b4d655"  # that a client asks for by default
 
-SECOND = 1_000_000_000
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"  # of the change log's answer
+Message = dict[str, Any]
 
 
-class ScriptedServer:
-    """Listens; keeps the streams it accepted and what came on each."""
+class ScriptedServer(ABC):
+    """Listens; keeps the streams it accepted and what came. Errors: OSError."""
 
-    def __init__(self, loop, where="127.0.0.1:0"):
-        self.loop, self.streams, self.came = loop, [], []
+    def __init__(self, loop: Loop, where: str = "127.0.0.1:0") -> None:
+        self.loop = loop
+        self.streams: list[Stream] = []
+        self.came: list[Any] = []  # what was received on all connections, parsed
         self.listener = Listener(loop, address(where), self.accept)
         self.address = self.listener.address
 
-    def accept(self, sock):
+    def accept(self, sock: socket.socket) -> None:
+        """Takes a connection."""
         buffer = bytearray()
-        stream = Stream(self.loop, sock, lambda data: self.bytes(stream, buffer, data), lambda error: None)
+
+        def received(data: bytes) -> None:
+            buffer.extend(data)
+            self.receive(stream, buffer)
+
+        stream = Stream(self.loop, sock, received, lambda error: None)
         self.streams.append(stream)
 
-    def close(self):
+    @abstractmethod
+    def receive(self, stream: Stream, buffer: bytearray) -> None:
+        """Takes what is complete of the bytes that came, and removes it from the buffer."""
+
+    def close(self) -> None:
+        """Resets all connections and listens no more."""
         self.listener.close()
         for stream in self.streams:
             stream.abort()
 
 
 class ScriptedHost(ScriptedServer):
-    """`answer(stream, command)` does what the test wants; by default everything is served at once."""
-
-    def __init__(self, loop, answer=None, where="127.0.0.1:0"):
+    """A host of lines of JSON. By default it serves everything at once."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        answer: Callable[[Stream, Message], object] | None = None,
+        where: str = "127.0.0.1:0",
+    ) -> None:
+        """`answer(stream, command)`: does what the test wants."""
         super().__init__(loop, where)
         self.answer = answer or self.serve
 
-    def bytes(self, stream, buffer, data):
-        buffer += data
+    def receive(self, stream: Stream, buffer: bytearray) -> None:
+        """Answers each line."""
         while b"\n" in buffer:
             line, _, rest = bytes(buffer).partition(b"\n")
             buffer[:] = rest
@@ -46,120 +76,130 @@
             self.came.append(command)
             self.answer(stream, command)
 
-    def say(self, stream, command, kind, **told):
-        stream.write(json.dumps({"type": kind, "req": command["req"]} | told).encode() + b"\n")
+    def reply(self, stream: Stream, command: Message, kind: str, **fields: Any) -> None:
+        """Answers a command."""
+        stream.write(json.dumps({"type": kind, "req": command["req"]} | fields).encode() + b"\n")
 
-    def serve(self, stream, command):
+    def serve(self, stream: Stream, command: Message) -> None:
+        """Answers a command as a host does that is well."""
         match command["type"]:
             case "go":
-                self.say(stream, command, "served", meta={"tell": "w"}, data=command["data"])
+                self.reply(stream, command, "served", meta={"tell": "w"}, data=command["data"])
             case "stat" | "ping":
-                self.say(stream, command, "green", meta={"meter": "util:0.25;x0:0.5"})
+                self.reply(stream, command, "green", meta={"meter": "util:0.25;x0:0.5"})
             case "stage":
-                self.say(stream, command, "served", meta={"copies": command["meta"]["copies"]})
+                self.reply(stream, command, "served", meta={"copies": command["meta"]["copies"]})
 
-    def seen(self, kind):
+    def seen(self, kind: str) -> list[Message]:
+        """The commands of a type that came."""
         return [command for command in self.came if command["type"] == kind]
 
 
 class ScriptedChangeLog(ScriptedServer):
-    """Answers each question with its head and the events that `script(last)` gives as raw bytes."""
-
-    def __init__(self, loop, script=lambda last: b"", where="127.0.0.1:0", head=HEAD):
+    """A change log: answers each request with its head and what `script(last)` gives, as raw bytes."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        script: Callable[[int], bytes] = lambda last: b"",
+        where: str = "127.0.0.1:0",
+        head: bytes = RESPONSE_HEAD,
+    ) -> None:
         super().__init__(loop, where)
         self.script, self.head = script, head
 
-    def bytes(self, stream, buffer, data):
-        buffer += data
-        if b"\r\n\r\n" in buffer:
-            fields = bytes(buffer).lower().split(b"last-event-id:")
+    def receive(self, stream: Stream, buffer: bytearray) -> None:
+        """Answers a request."""
+        if HEAD_END in buffer:
+            last = int(last_event_id(bytes(buffer)))
             buffer.clear()
-            last = int(fields[1].split(b"\r\n")[0])
             self.came.append(last)
             stream.write(self.head + self.script(last))
 
 
-def event(number, *members, complete=False):
-    """An event of the log; a member is (id, address, phase)."""
-    told = {
-        "seq": number,
-        "fleet": {
-            "revision": number,
-            "complete": complete,
-            "members": [
-                {
-                    "id": name,
-                    "host_port": where,
-                    "locality": "hall-a",
-                    "flavor": "std",
-                    "cell": 2,
-                    "phase": phase,
-                    "size": 4,
-                    "up_since_ms": 0,
-                }
-                for name, where, phase in members
-            ],
-        },
-    }
-    return told
-
-
-def sse(told):
-    return b"id: %d\ndata: %b\n\n" % (told["seq"], json.dumps(told).encode())
-
-
 class ScriptedClient:
-    """One connection to a gateway. `answers` holds what came, parsed."""
-
-    def __init__(self, loop, where):
-        self.loop, self.answers, self.buffer, self.ended = loop, [], b"", False
-        self.stream, self.waiting = None, []
-        self.ready = Promise()
-        connect(loop, address(where), SECOND, self.connected)
-
-    def connected(self, sock, error):
-        if error is not None:
+    """One connection to a gateway, opened at once."""
+
+    def __init__(self, loop: Loop, where: str) -> None:
+        self.loop = loop
+        self.answers: list[Message] = []  # that came, parsed
+        self.ended = False
+        self.stream: Stream | None = None
+        self.ready = Promise()  # of the connection; fails with OSError
+        self._buffer = b""
+        self.waiting: list[bytes] = []  # to be sent once it is connected
+        connect(loop, address(where), CONNECT_TIMEOUT, self._connected)
+
+    def _connected(self, sock: socket.socket | None, error: OSError | None) -> None:
+        if sock is None:
             self.ended = True
-            self.ready.fail(error)
+            self.ready.fail(error or OSError("no connection"))
             return
-        self.stream = Stream(self.loop, sock, self.bytes, self.end)
+        self.stream = Stream(self.loop, sock, self._receive, self._stream_ended)
         for data in self.waiting:
             self.stream.write(data)
         self.ready.set()
 
-    def end(self, error):
+    def _stream_ended(self, error: OSError | None) -> None:
         self.ended = True
 
-    def bytes(self, data):
-        self.buffer += data
-        while b"\r\n\r\n" in self.buffer:
-            head, _, rest = self.buffer.partition(b"\r\n\r\n")
+    def _receive(self, data: bytes) -> None:
+        self._buffer += data
+        while HEAD_END in self._buffer:
+            head, _, rest = self._buffer.partition(HEAD_END)
             size = int(head.split(b":")[1])
             if len(rest) < size:
                 return
             self.answers.append(json.loads(rest[:size]))
-            self.buffer = rest[size:]
+            self._buffer = rest[size:]
 
-    def send(self, data):
+    def send(self, data: bytes) -> None:
+        """Sends bytes, now or once it is connected."""
         if self.stream is None:
             self.waiting.append(data)
         else:
             self.stream.write(data)
 
-    def message(self, body):
-        body = body if isinstance(body, bytes) else json.dumps(body).encode()
-        self.send(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
+    def message(self, body: bytes | Message) -> None:
+        """Sends a message with its head."""
+        encoded = body if isinstance(body, bytes) else json.dumps(body).encode()
+        self.send(b"Content-Length: %d\r\n\r\n%b" % (len(encoded), encoded))
 
-    def ask(self, number, method="fault-check", **told):
-        params = {
+    def ask(self, number: int, method: str = "fault-check", **parameters: Any) -> None:
+        """Sends a request; `parameters`: beside or in place of the usual ones."""
+        usual = {
             "i": f"{number:016x}",
             "d": 3000,
-            "o": "7f3a9c21e0b4d655",
+            "o": FUNCTION,
             "arg": arg(b"body %d" % number),
             "extras": "memory_mb:512;lanes:2;load_ms:640",
-        } | told
-        self.message({"jsonrpc": "2.0", "id": number, "method": method, "params": params})
-
-
-def arg(body):
+        }
+        self.message({"jsonrpc": "2.0", "id": number, "method": method, "params": usual | parameters})
+
+
+def event(number: int, *members: tuple[str, str, str], complete: bool = False) -> ChangeEvent:
+    """An event of the change log; a member is (id, address, phase)."""
+    rows = [
+        {
+            "id": name,
+            "host_port": where,
+            "locality": "hall-a",
+            "flavor": "std",
+            "cell": 2,
+            "phase": phase,
+            "size": 4,
+            "up_since_ms": 0,
+        }
+        for name, where, phase in members
+    ]
+    return {"seq": number, "fleet": {"revision": number, "complete": complete, "members": rows}}
+
+
+def sse(event: ChangeEvent) -> bytes:
+    """An event as it is sent."""
+    return b"id: %d\ndata: %b\n\n" % (event["seq"], json.dumps(event).encode())
+
+
+def arg(body: bytes) -> str:
+    """A body as JSON carries it."""
     return base64.b64encode(body).decode()
--- a/gaproute/standins/tap.py
+++ b/gaproute/standins/tap.py
@@ -1,37 +1,83 @@
-"""What passes on a stand-in's sockets, written down as it happens: a line of JSON for each event.
+"""Taps: files of what passed on a stand-in's sockets, one JSON object a line for each event.
 
-Times are the machine's monotonic clock, which all processes of one machine share.
+Times are ns of the machine's monotonic clock, which all processes of one machine share.
 """
 
+from __future__ import annotations
+
+import io
+from os import PathLike
+from typing import Any, Protocol
+
 import msgspec
 
+from gaproute.loop.timers import Clock
+
+MAX_BUFFERED_EVENTS = 64  # then they are written, also between two periodic writes
+
+Event = dict[str, Any]
+
+
+class EventRecorder(Protocol):
+    """What stand-ins record events to: a `Tap`, or a list in tests."""
+
+    def note(self, what: str, **fields: Any) -> None:
+        """Records an event of that kind, as of now."""
+
+    def flush(self) -> None:
+        """Writes what is buffered."""
+
 
 class Tap:
-    def __init__(self, path, clock):
-        self.file = open(path, "ab", buffering=0) if path else None
+    """Appends events to a file, or drops them where there is no path. Errors: OSError."""
+
+    def __init__(self, path: str | PathLike[str] | None, clock: Clock) -> None:
+        """`clock`: ns."""
         self.clock = clock
-        self.lines = []
+        self._file = io.FileIO(path, "a") if path else None
+        self._lines: list[bytes] = []
+
+    def note(self, what: str, **fields: Any) -> None:
+        """Records an event of that kind, as of now."""
+        if self._file is None:
+            return
+        self._lines.append(msgspec.json.encode({"at": self.clock(), "what": what, **fields}))
+        if len(self._lines) >= MAX_BUFFERED_EVENTS:
+            self.flush()
+
+    def __enter__(self) -> Tap:
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self.close()
+
+    def close(self) -> None:
+        """Writes what is buffered; nothing can be recorded any more."""
+        self.flush()
+        if self._file is not None:
+            self._file.close()
+            self._file = None
 
-    def note(self, what, **told):
-        if self.file is not None:
-            self.lines.append(msgspec.json.encode({"at": self.clock(), "what": what, **told}))
-            if len(self.lines) >= 64:
-                self.flush()
+    def append_lines(self, lines: bytes) -> None:
+        """Writes the lines of another tap as they are."""
+        if self._file is not None:
+            self._file.write(lines)
 
-    def flush(self):
-        if self.lines:
-            lines, self.lines = self.lines, []
-            self.file.write(b"\n".join(lines) + b"\n")
+    def flush(self) -> None:
+        """Writes what is buffered."""
+        if self._lines and self._file is not None:
+            lines, self._lines = self._lines, []
+            self._file.write(b"\n".join(lines) + b"\n")
 
 
-def read_tap(path):
-    """The events of a tap; a last line cut off by a kill is passed over."""
-    told = []
+def read_tap(path: str | PathLike[str]) -> list[Event]:
+    """The events of a tap. A last line that was cut off by a kill is passed over. Errors: OSError."""
+    events: list[Event] = []
     with open(path, "rb") as file:
         for line in file.read().split(b"\n"):
             try:
                 if line:
-                    told.append(msgspec.json.decode(line))
+                    events.append(msgspec.json.decode(line))
             except msgspec.DecodeError:
                 pass
-    return told
+    return events
--- a/tests/appliance/test_cell_faults.py
+++ b/tests/appliance/test_cell_faults.py
@@ -79,7 +79,7 @@
     """What the cell's hosts suffer from now on."""
     for name, host in fleet.hosts.items():
         if name.startswith(cell):
-            host.model_server.faults = {each: {"share": 1} for each in troubles}
+            host.model_server.faults.replace(*troubles)
 
 
 # Tables that differ
--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -87,7 +87,7 @@
         fleet.start(name, zone, more="relays cancel no\n")
     fleet.up("ga", "gb")
     for name in ("b1-h0", "b1-h1"):
-        fleet.hosts[name].model_server.faults = {"hang": {"share": 1}}
+        fleet.hosts[name].model_server.faults.replace("hang")
     model = fleet.homed("check", "b1")
     sock = socket.create_connection(address(fleet.clients["ga"])[1])
     body = b'{"id":"t1","inputs":[]}'
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -82,7 +82,7 @@
 class Fleet:
     def __init__(self, folder, rig, count=2, told=""):
         self.file, self.log = folder / "g.conf", folder / "g.log"
-        hosts = "\n".join(f"host {host.make.name} {host.address} capacity 4" for host in rig.hosts)
+        hosts = "\n".join(f"host {host.profile.name} {host.address} capacity 4" for host in rig.hosts)
         self.text = f"{CONFIGURATION}{hosts}\nlisten operator unix:{folder}/op\n{told}"
         self.file.write_text(self.text)
         self.rig, self.folder, self.count = rig, folder, count
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -94,7 +94,7 @@
     )
 
     def where(place):
-        told = json.loads(log.event(1, place).split(b"data: ")[1])
+        told = json.loads(log.feeds[place].encoded_event(1).split(b"data: ")[1])
         return [row["host_port"] for row in told["fleet"]["members"]]
 
     assert where(0) == ["127.1.0.1:1", "127.0.0.1:2"] and where(1) == ["127.1.0.2:1", "127.0.0.1:2"]
@@ -116,9 +116,9 @@
     host, _, port = spread.address.rpartition(":")
     for place in (0, 1, 3):
         socks[place].sendto(b"%d" % place, (host, int(port)))
-    while spread.heard + spread.strange < 3:
+    while spread.received + spread.unknown_sender < 3:
         loop.turn()
-    assert (spread.heard, spread.sent, spread.strange) == (2, 3, 1)
+    assert (spread.received, spread.sent, spread.unknown_sender) == (2, 3, 1)
     assert [socks[place].recv(10) for place in (0, 1, 2)] == [b"1", b"0", b"0"]
     for sock in [*socks, spread.sock]:
         sock.close()
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -57,7 +57,7 @@
 
     def end(trouble, model, fields=sent, wheres=fleet.entries):
         for name in ("a1-h0", "a1-h1"):
-            fleet.hosts[name].model_server.faults = {trouble: {"share": 1}}
+            fleet.hosts[name].model_server.faults.replace(trouble)
         answer = fleet.wait(fleet.ask("ga", model, f"{trouble} {model}", fields, wheres))
         return answer.status, answer.headers[b"gaproute-outcome"]
 
@@ -85,7 +85,7 @@
     answer = fleet.wait(fleet.ask("ga", model, "t1", "Gaproute-Forwarded: 1 a1\r\n", fleet.entries))
     assert answer.status == 200 and b'"in_hand"' in answer.headers[b"endpoint-load-metrics"]
     for name in ("a1-h0", "a1-h1"):
-        fleet.hosts[name].model_server.faults = {"hang": {"share": 1}}
+        fleet.hosts[name].model_server.faults.replace("hang")
     began = fleet.loop.now()
     answer = fleet.wait(
         fleet.ask("ga", model, "t2", "Gaproute-Forwarded: 1 a1\r\nGaproute-Limit-Ms: 600\r\n")
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -72,12 +72,12 @@
     fleet.up("ga", "gc", "gd")
     servers = [host.model_server for name, host in fleet.hosts.items() if name.startswith("b1")]
     for server in servers:
-        server.faults = {"hang": {"share": 1}}
+        server.faults.replace("hang")
     call = fleet.ask("ga", fleet.homed(track, "b1"), "t1")
     fleet.until(lambda: fleet.came("t1"))
     (entry,) = [name for name in ("gc", "gd") if fleet.cell_status(name)["forwarded_in"]]
     for server in servers:
-        server.faults = {}
+        server.faults.replace()
     fleet.stop(entry, signal.SIGKILL)
     assert fleet.wait(call).status == status
     came = [event for tap in fleet.taps.values() for event in tap.events if event.get("id") == "t1"]
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -14,7 +14,7 @@
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.discovery.name_numbers import MAX_NUMBERED_NAMES
 from gaproute.loop import Loop
-from gaproute.standins.cell_source import HEAD
+from gaproute.standins.event_stream import RESPONSE_HEAD
 from gaproute.standins.platform.host_list import member
 
 ZONES = {"a1": "a", "a2": "a", "b1": "b"}
@@ -38,7 +38,7 @@
     members = [member(name, f"127.0.0.1:{port}", state, zone) for name, port, state, zone in rows]
     told = {"seq": 1, "fleet": {"complete": complete, "members": members}}
     reader = EventReader()
-    return reader.feed(HEAD + b"data: %b\n\n" % json.dumps(told).encode())[0].fleet
+    return reader.feed(RESPONSE_HEAD + b"data: %b\n\n" % json.dumps(told).encode())[0].fleet
 
 
 @settings(max_examples=150)
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -7,7 +7,8 @@
 from gaproute.discovery.changelog.cell_watcher import FIRST_BACKOFF, MAX_BACKOFF
 from gaproute.loop import Listener, Stream
 from gaproute.loop.addresses import address
-from gaproute.standins.cell_source import HEAD, CellSource, SourceFault
+from gaproute.standins.cell_source import CellSource, SourceFault
+from gaproute.standins.event_stream import RESPONSE_HEAD
 
 
 def test_a_source_killed_while_it_tells_is_followed_again_when_it_comes_back_in_other_numbers(followed_cells):
@@ -142,12 +143,12 @@
 SPEECHES = {
     "trickle without an end": lambda: [b"x"],
     "head without an end": lambda: [b"HTTP/1.1 200 OK\r\n", b"x: y\r\n" * 99],
-    "event without an end": lambda: [HEAD, b"data: " + b"[" * 300_000],
+    "event without an end": lambda: [RESPONSE_HEAD, b"data: " + b"[" * 300_000],
     "other status": lambda: [b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"],
     "no http": lambda: [b"SSH-2.0-OpenSSH\r\n"],
-    "changes without a list": lambda: [HEAD, event(5, hosts("u"), complete=False)],
-    "first change without a list": lambda: [HEAD, event(1, hosts("u"), complete=False)],
-    "events that are none": lambda: [HEAD, b"data: {}\n\n", b"data: [1\n\n"],
+    "changes without a list": lambda: [RESPONSE_HEAD, event(5, hosts("u"), complete=False)],
+    "first change without a list": lambda: [RESPONSE_HEAD, event(1, hosts("u"), complete=False)],
+    "events that are none": lambda: [RESPONSE_HEAD, b"data: {}\n\n", b"data: [1\n\n"],
 }
 
 
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -19,12 +19,13 @@
 from gaproute.discovery.changelog.watcher import ChangeLogWatcher
 from gaproute.discovery.host_lines import HostLineConverter
 from gaproute.loop import Loop, connect
-from gaproute.standins.platform import ScriptedChangeLog, event, scripted, sse
+from gaproute.standins.event_stream import RESPONSE_HEAD
+from gaproute.standins.platform import ScriptedChangeLog, event, sse
 
 ONE = event(1, ("s-1", "127.0.0.1:5", "Ready"), complete=True)
 TWO = event(2, ("s-1", "127.0.0.1:5", "Terminating"))
 THREE = event(3, ("s-1", "127.0.0.1:5", "Gone"))
-HEAD = scripted.HEAD
+HEAD = RESPONSE_HEAD
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 ENDLESS = b"HTTP/1.1 200 OK\r\nA: "
 HALF = sse(TWO)[:40]
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -85,7 +85,7 @@
     made, client, held = first_request_held(gate)
     if stopping:
         made.process.stop()
-    made.hosts[0].say(*held[0], "overload")
+    made.hosts[0].reply(*held[0], "overload")
     leave(client)
     made.clock.now += LONG
     made.turns()
@@ -112,7 +112,7 @@
     client.ask(1)
     made.until(lambda: held)
     made.clock.now += 50 * MILLI
-    made.hosts[0].say(*held[0], "not_here")
+    made.hosts[0].reply(*held[0], "not_here")
     made.until(lambda: made.hosts[0].seen("stage"))
     assert made.came() == 1
     assert not client.answers
@@ -157,7 +157,7 @@
     client.message(abort(id=1))
     made.turns()
     made.clock.now += LONG
-    made.hosts[0].say(*held[0], "overload")
+    made.hosts[0].reply(*held[0], "overload")
     made.turns()
     assert made.came() == 1
     assert not made.process.core.in_flight
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -83,7 +83,7 @@
 def test_a_retry_carries_what_is_left_then(gate):
     made, client, held = first_request_held(gate, d=D)
     made.passes(900 * MILLI)
-    made.hosts[0].say(*held[0], "overload")
+    made.hosts[0].reply(*held[0], "overload")
     made.until(lambda: client.answers)
     first, second = sorted(limits(made))
     assert D - SLACK <= second <= D
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -162,9 +162,9 @@
         if command["type"] == "go":
             came.append((stream, command))
             if len(came) == 1:
-                made.hosts[0].say(stream, command, first[0], **first[1])
+                made.hosts[0].reply(stream, command, first[0], **first[1])
             else:
-                made.hosts[0].say(came[0][0], command, "served", data=arg(b"stale"))
+                made.hosts[0].reply(came[0][0], command, "served", data=arg(b"stale"))
                 made.hosts[0].serve(stream, command)
 
     made = gate(answer)
@@ -234,7 +234,7 @@
 
 def test_a_connection_that_carried_many_failures_takes_no_further_request(gate):
     """Ids that may be answered once more are remembered; a long life must not hold them all."""
-    made = gate(lambda stream, command: made.hosts[0].say(stream, command, "crashed"))
+    made = gate(lambda stream, command: made.hosts[0].reply(stream, command, "crashed"))
     for number in range(MAX_RETIRED_IDS + 3):
         client = made.client()
         client.ask(1, "repair-order", i=f"{number:016x}")
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -200,8 +200,8 @@
     made.send()  # the same id: on another connection
     made.until(lambda: len(late) == 3)
     assert late[2][0] is not late[0][0]
-    made.host.say(late[0][0], late[0][1], "served", data="b2xk")
-    made.host.say(late[2][0], late[2][1], "served", data="bmV3")
+    made.host.reply(late[0][0], late[0][1], "served", data="b2xk")
+    made.host.reply(late[2][0], late[2][1], "served", data="bmV3")
     assert made.results(1) == [Result.OK]
     assert made.heard[0].answer.body == b"bmV3"
     made.until(lambda: made.hosts.unmatched == 1)
@@ -209,7 +209,7 @@
 
 def test_a_copy_or_a_stranger_before_an_answer_harms_nothing(bench):
     def answer(stream, command):
-        made.host.say(stream, {"req": "ffffffffffffffff"}, "served", data="eA==")
+        made.host.reply(stream, {"req": "ffffffffffffffff"}, "served", data="eA==")
         made.host.serve(stream, command)
         made.host.serve(stream, command)
 
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -12,12 +12,8 @@
 from gaproute.judge import Facts, Kind, judge
 from gaproute.judge.facts import DEADLINE_SLACK
 from gaproute.scenarios.processes import Process
-from gaproute.standins.platform.gateway_configuration import (
-    RequestClassSettings,
-    deployment_settings,
-    make_configuration,
-    write_configuration,
-)
+from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
+from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 from gaproute.standins.platform.host_list import VersionedHostList, member
 from gaproute.standins.tap import Tap, read_tap
 
@@ -61,12 +57,15 @@
 
     def gateway(self, place, changelog, known):
         name = f"g{place}"
-        command, environment = write_configuration(
-            self.folder,
-            make_configuration(
-                name, "127.0.0.2:0", changelog, known, deployment_settings(TRACKS, gateways=2), seed=place + 1
-            ),
+        configuration = GatewayConfiguration(
+            name=name,
+            listen="127.0.0.2:0",
+            change_log=changelog,
+            known=known,
+            settings=deployment_settings(TRACKS, gateways=2),
+            seed=place + 1,
         )
+        command, environment = configuration.write(self.folder)
         log = open(self.folder / f"{name}.log", "wb")
         child = subprocess.Popen(command, env=os.environ | environment, stderr=log)
         log.close()
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -145,7 +145,7 @@
     for host in made.hosts:
         # 0.3 s a task: answered while the gateway is stopped
         host.command({"trouble": "slow", "factor": 60})
-    lines = [f"host {host.make.name} {host.address} capacity 4" for host in made.hosts]
+    lines = [f"host {host.profile.name} {host.address} capacity 4" for host in made.hosts]
     config = CONFIG.replace("host h 127.0.0.1:9", "\n".join(lines)).replace("limit 2s", "limit 8s")
     process, where = started(tmp_path, text=config.replace("model m", "model lamp"))
     made.at = address(where)
--- a/tests/standins/test_change_log.py
+++ b/tests/standins/test_change_log.py
@@ -29,7 +29,7 @@
         ChangeLogServer(bench.loop, [ANY] * ways, bench.tap, bench.said.append),
         VersionedHostList(),
     )
-    bench.closing += [way.listener.close for way in made.ways] + [way.cut for way in made.ways]
+    bench.closing += [feed.close for feed in made.feeds]
     made.command(listing.change(member("h", "127.0.0.1:9")))
     return made, listing
 
@@ -45,7 +45,8 @@
     made.command({"trouble": "hold", "gateways": [1]})
     drain(made, listing)
     bench.until(lambda: told[0])
-    assert not told[1] and [event["gateway"] for event in bench.seen("told", state="draining")] == [0]
+    assert not told[1]
+    assert [event["gateway"] for event in bench.seen("told", state="draining")] == [0]
     made.command({"trouble": "hold", "on": False, "gateways": [1]})
     bench.until(lambda: told[1])
     assert [event["gateway"] for event in bench.seen("told", state="draining")] == [0, 1]
@@ -69,10 +70,10 @@
     made.command({"trouble": trouble, "counts": 150 * MILLI})
     drain(made, listing)
     for _ in range(3):
-        made.ways[0].look()
+        made.feeds[0].upkeep()
     assert not bench.seen("told", state="draining")
     bench.rest(160 * MILLI)
-    made.ways[0].look()
+    made.feeds[0].upkeep()
     assert len(bench.seen("told", state="draining")) == 1
 
 
@@ -85,7 +86,8 @@
     assert bench.said[-1]["address"] != bench.said[0]["address"]
     follower.set_address(bench.said[-1]["address"])
     bench.until(lambda: told)
-    assert [event.seq for event in told] == [2] and bench.seen("asked")[-1]["last"] == 1
+    assert [event.seq for event in told] == [2]
+    assert bench.seen("asked")[-1]["last"] == 1
 
 
 def test_the_whole_list_at_any_time_leaves_out_what_has_gone():
@@ -93,4 +95,5 @@
     listing.change(member("a", ANY), member("b", ANY))
     listing.change(member("a", ANY, "gone"))
     known = listing.snapshot()
-    assert known["seq"] == 2 and [each["id"] for each in known["results"][0]["fleet"]["members"]] == ["b"]
+    assert known["seq"] == 2
+    assert [each["id"] for each in known["results"][0]["fleet"]["members"]] == ["b"]
--- a/tests/standins/test_kserve_clients.py
+++ b/tests/standins/test_kserve_clients.py
@@ -8,8 +8,9 @@
 from gaproute.http1 import Server
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
-from gaproute.standins.kserve.clients import KServeClients, KServeRequestClass, KServeTraffic
-from gaproute.standins.kserve.host import cut_off
+from gaproute.standins.kserve.clients import KServeClients, KServeLoad, KServeTraffic
+from gaproute.standins.kserve.host import reset_connection
+from gaproute.standins.traffic import ClientRequestClass
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 DELIVERED = ((b"Gaproute-Outcome", b"delivered"),)
@@ -22,15 +23,14 @@
         self.loop, self.answer, self.came = Loop(), answer, []
         self.tap = ListTap(self.loop.clock)
         self.server = Server(self.loop, address("127.0.0.1:0"), self.handle)
-        self.clients = KServeClients(
-            self.loop,
+        load = KServeLoad(
             [where or self.server.address],
-            [KServeRequestClass("p", 1.0, SECOND, ("m",))],
+            [ClientRequestClass("p", 1.0, SECOND, ("m",))],
             KServeTraffic(**{"rate": 1.0, "impatient": 0.0, "retries": 0} | habits),
             7,
-            self.tap,
             self.loop.now() - 1,
         )
+        self.clients = KServeClients(self.loop, load, self.tap)
 
     def handle(self, request):
         self.came.append(json.loads(request.body)["id"])
@@ -41,7 +41,7 @@
 
     def ask(self):
         """One more task."""
-        self.clients.begin()
+        self.clients.start_request()
 
     def seen(self, what):
         return [event for event in self.tap.events if event["what"] == what]
@@ -101,13 +101,14 @@
 
 
 def test_a_request_whose_connection_is_reset_at_once_is_sent_once_more_and_no_more(play):
-    played = play(lambda played, request, name: cut_off(request))
+    played = play(lambda played, request, name: reset_connection(request))
     played.until("broken")
-    assert len(played.came) == 2 and played.came[0] == played.came[1]
+    assert len(played.came) == 2
+    assert played.came[0] == played.came[1]
 
 
 def test_a_request_whose_connection_is_reset_later_is_lost(play):
-    played = play(lambda played, request, name: played.loop.after(80 * MILLI, cut_off, request))
+    played = play(lambda played, request, name: played.loop.after(80 * MILLI, reset_connection, request))
     played.until("broken")
     assert len(played.came) == 1
 
@@ -116,4 +117,6 @@
     played = play(None, where="127.0.0.1:1")
     played.until("unreachable")
     (noted,) = played.seen("unreachable")
-    assert noted["first"] == noted["id"] and noted["track"] == "p" and noted["asked"] > 0
+    assert noted["first"] == noted["id"]
+    assert noted["track"] == "p"
+    assert noted["asked"] > 0
--- a/tests/standins/test_platform_clients.py
+++ b/tests/standins/test_platform_clients.py
@@ -8,8 +8,10 @@
 from helpers import makers
 
 from gaproute.loop.addresses import address
-from gaproute.standins.platform.clients import PlatformClients, PlatformRequestClass, PlatformTraffic
+from gaproute.standins.platform.clients import PlatformClients, PlatformLoad
 from gaproute.standins.platform.scripted import ScriptedServer
+from gaproute.standins.platform.traffic import PlatformTraffic
+from gaproute.standins.traffic import ClientRequestClass
 from tests.standins.test_platform_host import MILLI, MODEL, SECOND, Bench
 
 
@@ -26,8 +28,7 @@
         super().__init__(loop)
         self.answer, self.up = answer, True
 
-    def bytes(self, stream, buffer, data):
-        buffer += data
+    def receive(self, stream, buffer):
         while b"\r\n\r\n" in buffer:
             head, _, rest = bytes(buffer).partition(b"\r\n\r\n")
             size = int(head.split(b":")[1])
@@ -55,18 +56,15 @@
 def day(bench, answers, length=200 * MILLI, limit=SECOND, **habits):
     gates = [Gate(bench.loop, answer) for answer in answers]
     bench.closing += [gate.close for gate in gates]
-    habits = PlatformTraffic(**{"rate": 200.0, "impatient": 0.0} | habits)
-    made = PlatformClients(
-        bench.loop,
+    load = PlatformLoad(
         [gate.address for gate in gates],
         [MODEL],
-        [PlatformRequestClass("p", 1.0, limit)],
-        habits,
+        [ClientRequestClass("p", 1.0, limit)],
+        PlatformTraffic(**{"rate": 200.0, "impatient": 0.0} | habits),
         7,
-        bench.tap,
         length,
-        bench.said.append,
     )
+    made = PlatformClients(bench.loop, load, bench.tap, bench.said.append)
     return made, gates
 
 
@@ -74,8 +72,11 @@
     made, gates = day(bench, [served, served], weights=(1.0, 0.0))
     bench.until(lambda: bench.seen("done"))
     names = [told["params"]["i"] for told in gates[0].came]
-    assert len(names) > 10 and len(set(names)) == len(names) and not gates[1].came
-    assert {event["outcome"] for event in bench.seen("answer")} == {"delivered"} and not bench.seen("stray")
+    assert len(names) > 10
+    assert len(set(names)) == len(names)
+    assert not gates[1].came
+    assert {event["outcome"] for event in bench.seen("answer")} == {"delivered"}
+    assert not bench.seen("stray")
     assert gates[0].came[0]["params"]["extras"] == "memory_mb:512;lanes:2;load_ms:10"
 
 
@@ -90,7 +91,8 @@
     bench.until(lambda: bench.seen("done"))
     first, second = bench.seen("answer")
     assert (first["outcome"], second["outcome"]) == ("declined", "delivered")
-    assert first["id"] == second["first"] != second["id"] and second["asked"] - first["at"] >= 40 * MILLI
+    assert first["id"] == second["first"] != second["id"]
+    assert second["asked"] - first["at"] >= 40 * MILLI
 
 
 def test_what_gateways_do_wrong_is_written_down(bench):
@@ -124,7 +126,7 @@
 
 
 def test_a_dead_gateway_is_left_out_and_taken_in_again(bench, monkeypatch):
-    monkeypatch.setattr("gaproute.standins.platform.gateway_pool.NOTICE", (0.05, 0.06))
+    monkeypatch.setattr("gaproute.standins.platform.pooled_gateway.DEATH_NOTICE", (0.05, 0.06))
     made, gates = day(bench, [served, served], length=900 * MILLI)
     bench.until(lambda: made.until)
     gates[1].close()
@@ -132,7 +134,7 @@
     assert bench.seen("refused")
     gates.append(Gate(bench.loop, served))
     bench.closing.append(gates[2].close)
-    made.places.places[1].where = address(gates[2].address)  # the same place, another port
+    made.pool.gateways[1].where = address(gates[2].address)  # the same place, another port
     bench.until(lambda: len(bench.seen("in", gateway=1)) == 2 and gates[2].came)
     assert {event["outcome"] for event in bench.seen("answer")} == {"delivered"}
 
@@ -144,11 +146,12 @@
     made.command({"do": "leaving", "gateway": 1})
     began = bench.loop.now()
     bench.until(lambda: bench.seen("out", gateway=1))
-    assert 400 * MILLI <= bench.loop.now() - began
+    assert bench.loop.now() - began >= 400 * MILLI
     bench.rest(50 * MILLI)  # for what had been sent by then
     asked = len(gates[1].came)
     bench.until(lambda: bench.seen("done"))
-    assert len(gates[1].came) == asked > 0 and len(bench.seen("in", gateway=1)) == 1
+    assert len(gates[1].came) == asked > 0
+    assert len(bench.seen("in", gateway=1)) == 1
 
 
 def test_a_request_that_crosses_a_close_is_sent_once_more(bench):
@@ -161,7 +164,8 @@
     _, gates = day(bench, [closes_first], length=1)
     bench.until(lambda: bench.seen("done"))
     first, second = gates[0].came
-    assert len(bench.seen("answer")) == 1 and first["params"]["i"] == second["params"]["i"]
+    assert len(bench.seen("answer")) == 1
+    assert first["params"]["i"] == second["params"]["i"]
 
     def closes_always(gate, stream, told):
         stream.abort()
@@ -172,7 +176,8 @@
     for days, (answer, tries) in enumerate([(closes_always, 2), (closes_late, 1)], start=2):
         _, gates = day(bench, [answer], length=1)
         bench.until(lambda days=days: len(bench.seen("done")) == days)
-        assert len(gates[0].came) == tries and len(bench.seen("broken")) == days - 1
+        assert len(gates[0].came) == tries
+        assert len(bench.seen("broken")) == days - 1
 
 
 def closes(gate, stream, told):
@@ -183,7 +188,8 @@
 def test_the_first_request_of_a_connection_is_lost_when_it_was_read_and_closed(bench):
     _, gates = day(bench, [closes], length=1)
     bench.until(lambda: bench.seen("done"))
-    assert len(gates[0].came) == 1 and len(bench.seen("broken")) == 1
+    assert len(gates[0].came) == 1
+    assert len(bench.seen("broken")) == 1
 
 
 def test_a_request_on_a_connection_that_rested_may_cross_its_close_once(bench):
@@ -195,18 +201,20 @@
 
     made, gates = day(bench, [closes_second], length=1)
     bench.until(lambda: bench.seen("answer"))
-    kept = list(made.places.places[0].links)
+    kept = list(made.pool.gateways[0].connections)
     assert [link.answered for link in kept] == [True]
-    made.done, made.until = False, bench.loop.now() + SECOND
-    made.begin()
+    made.start_request()
     bench.until(lambda: len(bench.seen("answer")) == 2)
-    assert len(gates[0].came) == 3 and not bench.seen("broken")
+    assert len(gates[0].came) == 3
+    assert not bench.seen("broken")
 
 
 def test_a_task_that_finds_no_gateway_says_whose_it_was_and_when(bench):
-    made, gates = day(bench, [served], length=1)
+    made, _ = day(bench, [served], length=1)
     bench.until(lambda: made.until)
-    made.places.places[0].taken = False
-    made.begin()
+    made.pool.gateways[0].is_in = False
+    made.start_request()
     (noted,) = bench.seen("unreachable")
-    assert noted["first"] == noted["id"] and noted["track"] == "p" and noted["asked"] > 0
+    assert noted["first"] == noted["id"]
+    assert noted["track"] == "p"
+    assert noted["asked"] > 0
--- a/tests/standins/test_platform_host.py
+++ b/tests/standins/test_platform_host.py
@@ -3,22 +3,21 @@
 
 import json
 
+import msgspec
 import pytest
 from helpers import ListTap, makers, turn_until
 
 from gaproute.loop import Loop, Stream, connect
 from gaproute.loop.addresses import address
 from gaproute.platform import configuration as platform_configuration
-from gaproute.standins.model_server import HostProfile, ModelProfile
-from gaproute.standins.platform.gateway_configuration import (
-    RequestClassSettings,
-    deployment_settings,
-    make_configuration,
-    write_configuration,
-)
+from gaproute.standins.kinds import KINDS
+from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
+from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
+from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 from gaproute.standins.platform.host import PlatformHost
+from gaproute.standins.platform.host_answers import LoadReporting
 from gaproute.standins.platform.host_list import VersionedHostList, member
-from gaproute.standins.platform.hosts import PlatformHosts
+from gaproute.standins.platform.hosts import PlatformHosts, SharedSetup
 from gaproute.standins.tap import read_tap
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -50,10 +49,9 @@
 
     # A host
 
-    def host(self, **told):
-        made = PlatformHost(
-            self.loop, address(ANY), HostProfile("h"), {MODEL.name: MODEL}, None, 1, self.tap, **told
-        )
+    def host(self, *, warm=False, reporting=None):
+        setup = HostSetup(HostProfile("h"), {MODEL.name: MODEL}, warm=warm)
+        made = PlatformHost(self.loop, address(ANY), setup, self.tap, reporting)
         self.closing.append(made.crash)
         return made
 
@@ -100,7 +98,7 @@
 
 
 def test_a_host_serves_tells_its_load_and_takes_orders(bench):
-    host = bench.host(meter=("cpu_share", "inflight"))
+    host = bench.host(reporting=LoadReporting(("cpu_share", "inflight")))
     say = bench.line(host)
     say(
         {"type": "whose", "gateway": "g7"},
@@ -110,10 +108,14 @@
     )
     bench.until(lambda: len(bench.came) == 3)
     came = {each["req"]: each for each in bench.came}
-    assert came["t1"]["type"] == "served" and came["t1"]["meta"] == {"tell": "c", "queue_fn": 0}
-    assert came["s"]["type"] == "green" and came["s"]["meta"]["meter"] == "cpu_share:0;inflight:1"
-    assert came["o"]["type"] == "served" and came["o"]["meta"]["copies"] == 2
-    assert bench.seen("order", gateway="g7", count=2) and bench.seen("said", id="t1", status=200)
+    assert came["t1"]["type"] == "served"
+    assert came["t1"]["meta"] == {"tell": "c", "queue_fn": 0}
+    assert came["s"]["type"] == "green"
+    assert came["s"]["meta"]["meter"] == "cpu_share:0;inflight:1"
+    assert came["o"]["type"] == "served"
+    assert came["o"]["meta"]["copies"] == 2
+    assert bench.seen("order", gateway="g7", count=2)
+    assert bench.seen("said", id="t1", status=200)
 
 
 def test_a_host_that_drains_takes_no_order_and_an_unknown_function_is_not_here(bench):
@@ -124,7 +126,8 @@
     )
     bench.until(lambda: len(bench.came) == 2)
     assert [each["type"] for each in bench.came] == ["overload", "not_here"]
-    assert not bench.seen("task") and bench.seen("said", status=404)
+    assert not bench.seen("task")
+    assert bench.seen("said", status=404)
 
 
 def test_a_halted_task_is_not_answered_and_its_id_may_come_again(bench):
@@ -147,7 +150,8 @@
 def test_what_is_no_command_is_noted_and_ends_the_connection(bench, line):
     bench.line(bench.host())(line)
     bench.until(lambda: "ended" in bench.came)
-    assert bench.seen("void") and not bench.seen("task")
+    assert bench.seen("void")
+    assert not bench.seen("task")
 
 
 def test_a_host_that_vanishes_says_nothing_and_one_that_crashes_resets(bench):
@@ -161,23 +165,28 @@
     say(go("t3"))
     bench.until(lambda: bench.seen("ran", id="t2"))
     bench.rest(30 * MILLI)
-    assert len(bench.came) == 1 and not bench.seen("task", id="t3")
+    assert len(bench.came) == 1
+    assert not bench.seen("task", id="t3")
     host.crash()
     bench.until(lambda: bench.came[-1] == "ended")
 
 
+def crash_all(hosts):
+    for host in list(hosts.hosts.values()):
+        host.crash()
+
+
 def test_hosts_of_one_process_die_and_start_again_at_their_address_with_a_new_tap(bench, tmp_path):
     said = bench.said
-    made = PlatformHosts(
-        bench.loop,
-        {
-            "models": [MODEL._asdict()],
-            "taps": str(tmp_path),
-            "hosts": [{"listen": ANY, "warm": True, "make": {"name": name}} for name in "ab"],
-        },
-        said.append,
-    )
-    bench.closing.append(lambda: [host.crash() for host in made.hosts.values()])
+    line = {
+        "models": [msgspec.to_builtins(MODEL)],
+        "taps": str(tmp_path),
+        "hosts": [{"listen": ANY, "warm": True, "make": {"name": name}} for name in "ab"],
+    }
+    decoded = KINDS["platform-host"].decode(json.dumps(line).encode())
+    setup = SharedSetup(decoded.models, decoded.taps)
+    made = PlatformHosts(bench.loop, decoded.hosts, setup, said.append)
+    bench.closing.append(lambda: crash_all(made))
     say = bench.line(made.hosts["b"])
     made.command({"hosts": ["b"], "trouble": "fail"})
     say(go("t1"))
@@ -192,7 +201,8 @@
     made.flush()
     taps = [read_tap(tmp_path / f"host-b.{run}.tap") for run in (1, 2)]
     assert [(tap[0]["what"], tap[0]["warm"]) for tap in taps] == [("up", True), ("up", False)]
-    assert not made.hosts["a"].model_server.faults and len(read_tap(tmp_path / "host-a.1.tap")) == 1
+    assert not made.hosts["a"].model_server.faults
+    assert len(read_tap(tmp_path / "host-a.1.tap")) == 1
 
 
 # What a gateway is told
@@ -206,21 +216,21 @@
     ]
     listing = VersionedHostList()
     listing.change(member("h", "127.0.0.1:9", cell=3, up_since=5))
-    rules = deployment_settings(tracks, gateways=40, cold_share=0.5, limits={"send_cap": 3})
-    command, environment = write_configuration(
-        tmp_path,
-        make_configuration(
-            "g1",
-            "127.0.0.1:1",
-            "127.0.0.1:2",
-            listing.snapshot(),
-            rules,
-            peer_listen="127.0.0.1:3",
-            peers_all="127.0.0.1:4",
-        ),
+    profile = HostProfile("h", cold_share=0.5)
+    rules = deployment_settings(tracks, gateways=40, profile=profile, limits={"send_cap": 3})
+    configuration = GatewayConfiguration(
+        name="g1",
+        listen="127.0.0.1:1",
+        change_log="127.0.0.1:2",
+        known=listing.snapshot(),
+        settings=rules,
+        peer_listen="127.0.0.1:3",
+        peers_all="127.0.0.1:4",
     )
+    command, environment = configuration.write(tmp_path)
     made, terms, deployment = platform_configuration.read_configuration(environment["EDGE_CONFIG"])
-    assert command[-1] == "gaproute.platform" and (made.name, made.peers_all) == ("g1", "127.0.0.1:4")
+    assert command[-1] == "gaproute.platform"
+    assert (made.name, made.peers_all) == ("g1", "127.0.0.1:4")
     assert (terms.gateways, terms.attempt_limit, terms.warm_up_share, terms.peers_allowed) == (
         40,
         3,
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -16,8 +16,8 @@
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
 from gaproute.standins.kserve import KServeHost
-from gaproute.standins.model_server import HostProfile, ModelProfile
-from gaproute.standins.model_store import ModelStore
+from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
+from gaproute.standins.model_store import ModelStore, StoreProfile
 from gaproute.standins.tap import Tap
 
 MODELS = 24  # of each track
@@ -44,7 +44,7 @@
         self.lists.mkdir()
         self.table = folder / "cells.table"
         self.store = ModelStore(
-            self.loop, address("127.0.0.1:0"), 200.0, 100, 0.0, Tap(None, self.loop.clock)
+            self.loop, address("127.0.0.1:0"), StoreProfile(200.0, 100, 0.0), Tap(None, self.loop.clock)
         )
         self.hosts, self.taps, self.processes = {}, {}, {}
         self.number = 0  # of the table's version
@@ -66,10 +66,9 @@
             model: ModelProfile(model, track, 4, WORK, START) for track in KINDS for model in models(track)
         }
         tap = self.taps[name] = ListTap(self.loop.clock)
-        make = HostProfile(name, copies=4 * len(made))
-        self.hosts[name] = KServeHost(
-            self.loop, address("127.0.0.1:0"), make, made, self.store.address, 3, tap, warm=True
-        )
+        profile = HostProfile(name, copies=4 * len(made))
+        setup = HostSetup(profile, made, self.store.address, seed=3, warm=True)
+        self.hosts[name] = KServeHost(self.loop, address("127.0.0.1:0"), setup, tap)
 
     def list_hosts(self, cell, names, also=""):
         """The cell's host list."""
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -16,8 +16,8 @@
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
 from gaproute.standins.kserve import KServeHost
-from gaproute.standins.model_server import HostProfile, ModelProfile
-from gaproute.standins.model_store import ModelStore
+from gaproute.standins.model_server import HostProfile, HostSetup, ModelProfile
+from gaproute.standins.model_store import ModelStore, StoreProfile
 from gaproute.standins.tap import Tap
 from gaproute.telemetry.logs import logger
 
@@ -204,7 +204,7 @@
         self.loop, self.taps, self.hosts = Loop(clock), [], []
         self.folder = Path(tempfile.mkdtemp(prefix="gaproute-test-"))
         self.store = ModelStore(
-            self.loop, address("127.0.0.1:0"), 200.0, 100, 0.0, Tap(None, self.loop.clock)
+            self.loop, address("127.0.0.1:0"), StoreProfile(200.0, 100, 0.0), Tap(None, self.loop.clock)
         )
         work = {"lamp": ("check", 4), "crew": ("order", 4), "dim": ("plan", 4)}
         self.models = {
@@ -226,16 +226,9 @@
 
     def add_host(self, name, make=None, warm=True, seed=3, where="127.0.0.1:0"):
         tap = ListTap(self.loop.clock)
-        host = KServeHost(
-            self.loop,
-            address(where),
-            HostProfile(name, **(make or {})),
-            self.models,
-            self.store.address,
-            seed,
-            tap,
-            warm,
-        )
+        profile = HostProfile(name, **(make or {}))
+        setup = HostSetup(profile, self.models, self.store.address, seed, warm)
+        host = KServeHost(self.loop, address(where), setup, tap)
         self.hosts.append(host)
         self.taps.append(tap)
         return host
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -13,7 +13,7 @@
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 from gaproute.standins.platform import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
-from gaproute.standins.platform.sample_settings import sample_settings
+from gaproute.standins.platform.deployment_settings import sample_settings
 from gaproute.telemetry.record import TRACE_ONE_IN
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
