--- a/gaproute/cluster/table.py
+++ b/gaproute/cluster/address_plan.py
@@ -29,7 +29,7 @@
     raise OSError("no free ports for a harness")
 
 
-class Table:
+class AddressPlan:
     """`direct`: no wire, so that all use each other's own addresses."""
 
     def __init__(self, day, direct):
@@ -65,7 +65,7 @@
     def host(self, number, seat):
         """Where gateway `number` finds a host."""
         if self.direct:
-            return seat.where
+            return seat.address
         where = self.known.get((number, seat.number))
         if where is None:
             where = f"{between(GATEWAYS + number, HOSTS + seat.number)}:{self.port}"
@@ -95,7 +95,7 @@
             "name": seat.name,
             "kind": "host",
             "zone": f"host/{seat.zone}",
-            "tcp": seat.where,
+            "tcp": seat.address,
             "udp": None,
             "whose": self.whose,
         }
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -7,17 +7,17 @@
 import pytest
 
 from gaproute.cluster.harness import ClusterHarness
-from gaproute.cluster.platform.play import NodeHarness, player
+from gaproute.cluster.platform.harness import PlatformHarness, player
 from gaproute.cluster.script import read_script
 from gaproute.config import ConfigurationError
-from gaproute.judge import Facts, judge
+from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
 from gaproute.loop import Loop
 from gaproute.standins.platform.change_log import ChangeLogServer
 from gaproute.standins.platform.host_list import VersionedHostList, member
 from gaproute.standins.platform.peer_broadcast import PeerBroadcast
 from gaproute.standins.tap import Tap, read_tap
-from tests.cluster.test_play import PLAYS, command
-from tests.cluster.test_wire import Party
+from tests.cluster.test_harness import PLAYS, command
+from tests.cluster.test_links import LinkFixture
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 FEWEST_ORDERS = 3  # by which the gateways that orders name are judged
@@ -74,14 +74,15 @@
     task = next(each for each in events if each["what"] == "task" and each["id"] in gateway)
     forged = task | {"at": drained["at"] + SECOND}
     script = read_script("platform-cluster")
-    facts = Facts(
-        {line.name: line.effect for line in script.tracks},
-        {line.name: line.group for line in script.tracks},
-        {line.name: line.remembers for line in script.tracks},
-        {host: ("hall-0", "rack-0")},
+    terms = DayTerms(
+        request_classes={
+            line.name: RequestClassTerms.from_track(line.effect, line.group, line.remembers)
+            for line in script.tracks
+        },
+        places={host: HostPlace("hall-0", "rack-0")},
     )
-    assert 3 in {each.rule for each in judge(facts, {host: [[*events, forged]]}, clients, run)}
-    assert 3 not in {each.rule for each in judge(facts, {host: [events]}, clients, run)}
+    assert 3 in {each.rule for each in judge(terms, {host: [[*events, forged]]}, clients, run)}
+    assert 3 not in {each.rule for each in judge(terms, {host: [events]}, clients, run)}
 
 
 def test_the_log_tells_each_gateway_addresses_of_its_own(tmp_path):
@@ -126,7 +127,7 @@
 
 
 def test_the_wire_tells_a_host_that_asks_for_it_who_calls_before_all_else():
-    party = Party()
+    party = LinkFixture()
     try:
         party.tell(seat={"17": party.seats["17"] | {"whose": True}})
         party.call().send(b"a task\n")
@@ -141,11 +142,11 @@
 
 def test_the_kind_chooses_who_plays_and_what_it_cannot_have_is_named(tmp_path):
     assert (
-        player(read_script("platform-cluster")) is NodeHarness
+        player(read_script("platform-cluster")) is PlatformHarness
         and player(read_script("small-cluster")) is ClusterHarness
     )
     fleet = read_script("fleet-platform")
-    assert player(fleet) is NodeHarness and fleet.day.gateways == 200 and fleet.day.hosts == 120
+    assert player(fleet) is PlatformHarness and fleet.day.gateways == 200 and fleet.day.hosts == 120
     path = tmp_path / "x.script"
     path.write_text(
         "cluster kind platform\nday gateways 3 peers yes\ntrack a pure contract 1s limit 2s\n"
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from gaproute.judge import Facts, Kind, judge
-from gaproute.judge.facts import DEADLINE_SLACK
-from gaproute.scenarios.processes import Process
+from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, ViolationKind, judge
+from gaproute.judge.terms import DEADLINE_SLACK
+from gaproute.scenarios.processes import DayProcess
 from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
 from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 from gaproute.standins.platform.host_list import VersionedHostList, member
@@ -48,8 +48,8 @@
         self.folder, self.processes = folder, []
         self.tap = Tap(folder / "run.tap", time.monotonic_ns)
 
-    def standin(self, kind, told):
-        process = Process(
+    def start_stand_in(self, kind, told):
+        process = DayProcess(
             [sys.executable, "-m", "gaproute.standins", kind], told, self.folder / f"{kind}.err"
         )
         self.processes.append(process)
@@ -80,7 +80,7 @@
         raise AssertionError(f"{name} did not start")
 
     def play(self):
-        hosts, told = self.standin(
+        hosts, told = self.start_stand_in(
             "platform-host",
             {
                 "models": MODELS,
@@ -94,14 +94,14 @@
         )
         listing = VersionedHostList()
         whole = listing.change(*[member(name, where) for name, where in told["addresses"].items()])
-        log, ways = self.standin(
+        log, ways = self.start_stand_in(
             "platform-log", {"gateways": ["127.0.0.2:0"] * 2, "tap": str(self.folder / "log.tap")}
         )
-        log.say(whole)
+        log.send(whole)
         gateways = [
             self.gateway(place, where, listing.snapshot()) for place, where in enumerate(ways["addresses"])
         ]
-        clients, _ = self.standin(
+        clients, _ = self.start_stand_in(
             "platform-clients",
             {
                 "gateways": [where for _, where in gateways],
@@ -114,8 +114,8 @@
             },
         )
         time.sleep(DRAIN)
-        hosts.say({"host": DRAINED, "trouble": "drain"})
-        log.say(listing.change(member(DRAINED, told["addresses"][DRAINED], "draining")))
+        hosts.send({"host": DRAINED, "trouble": "drain"})
+        log.send(listing.change(member(DRAINED, told["addresses"][DRAINED], "draining")))
         clients.child.wait(20)
         codes = []
         for child, _ in gateways:
@@ -130,8 +130,8 @@
 
     def end(self):
         for process in self.processes:
-            if isinstance(process, Process):
-                process.end()
+            if isinstance(process, DayProcess):
+                process.close()
             elif process.poll() is None:
                 process.kill()
                 process.wait()
@@ -151,20 +151,23 @@
     return made
 
 
-def facts():
-    return Facts(
-        {track.name: track.effect for track in TRACKS},
-        {track.name: track.group for track in TRACKS},
-        {track.name: track.repeat_window for track in TRACKS},
-        {f"s-{number}": ("hall-a", 0) for number in range(3)},
+def terms():
+    return DayTerms(
+        request_classes={
+            track.name: RequestClassTerms.from_track(track.effect, track.group, track.repeat_window)
+            for track in TRACKS
+        },
+        places={f"s-{number}": HostPlace("hall-a", "rack-0") for number in range(3)},
     )
 
 
 def test_the_day_is_served_without_a_broken_rule(day):
     ends = [event for event in day.clients if event["what"] in ("answer", "overdue", "left", "broken")]
     delivered = [event for event in ends if event.get("outcome") == "delivered"]
-    assert judge(facts(), day.hosts, day.clients, day.run) == []
-    assert len(ends) > 300 and len(delivered) > 0.95 * len(ends) and day.codes == [0, 0]
+    assert judge(terms(), day.hosts, day.clients, day.run) == []
+    assert len(ends) > 300
+    assert len(delivered) > 0.95 * len(ends)
+    assert day.codes == [0, 0]
     share = sum(event["gateway"] == 0 for event in ends) / len(ends)
     assert 0.65 < share < 0.85  # three to one, as told
 
@@ -181,10 +184,10 @@
     end = next(end for end in day.clients if end.get("id") == name)
     left = end["asked"] + end["patience"] - event["at"]
     assert 0 < event["limit"] <= left + DEADLINE_SLACK
-    for more, found in ((0, []), (MILLI, [Kind.DEADLINE])):
+    for more, found in ((0, []), (MILLI, [ViolationKind.DEADLINE_TOO_LONG])):
         forged = list(day.hosts[host][0])
         forged[place] = event | {"limit": left + DEADLINE_SLACK + more}
-        judged = judge(facts(), day.hosts | {host: [forged]}, day.clients, day.run)
+        judged = judge(terms(), day.hosts | {host: [forged]}, day.clients, day.run)
         assert [broken.kind for broken in judged] == found
 
 
@@ -195,4 +198,4 @@
     assert len(late) > 20  # it worked until then
     forged = late[-1] | {"at": max(event["at"] for event in told) + 2 * SECOND}
     hosts = day.hosts | {DRAINED: [day.hosts[DRAINED][0] + [forged]]}
-    assert 3 in {broken.rule for broken in judge(facts(), hosts, day.clients, day.run)}
+    assert 3 in {broken.rule for broken in judge(terms(), hosts, day.clients, day.run)}
