--- a/gaproute/standins/platform/change_log.py
+++ b/gaproute/standins/platform/change_log.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from gaproute.errors import GaprouteError
 from gaproute.loop import Loop
 from gaproute.loop.loop import SECOND
 from gaproute.standins.platform import change_log_invariants
@@ -17,6 +18,10 @@
 UPKEEP_INTERVAL = SECOND  # also between signs of life
 
 
+class EventOrderError(GaprouteError):
+    """An event was commanded that is not the next one."""
+
+
 class ChangeLogServer:
     """Holds all events, and a feed for each gateway. Errors: OSError."""
 
@@ -51,7 +56,7 @@
     def command(self, command: dict[str, Any]) -> None:
         """Takes an event of a `VersionedHostList`; a `FeedFaultCommand`; or `{"do": "cut"}` (connections are
         reset) or `{"do": "move"}` (other ports, which are reported). The last two are for the gateways of
-        `gateways`, or for all. Errors: ValueError."""
+        `gateways`, or for all. Errors: EventOrderError, msgspec.ValidationError."""
         if "fleet" in command:
             self._append(cast(ChangeEvent, command))
             return
--- a/gaproute/standins/platform/pooled_gateway.py
+++ b/gaproute/standins/platform/pooled_gateway.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import Address, address
 from gaproute.loop.loop import MILLI, SECOND
 from gaproute.standins.platform.rpc_connection import CallLoss, Message, RpcConnection
 from gaproute.standins.tap import EventRecorder
@@ -89,14 +89,14 @@
     # In and out
 
     def _ping(self) -> None:
-        Ping(self.pool.loop, self, self._ping_ended)
+        Ping(self.pool.loop, self.where, on_up=self._come_in, on_failed=self._ping_later)
 
-    def _ping_ended(self, up: bool) -> None:
-        if up:
-            self.is_in, self._accepts_new, self._is_going_out = True, True, False
-            self.pool.tap.note("in", gateway=self.number)
-        else:
-            self.pool.loop.after(PING_INTERVAL, self._ping)
+    def _ping_later(self) -> None:
+        self.pool.loop.after(PING_INTERVAL, self._ping)
+
+    def _come_in(self) -> None:
+        self.is_in, self._accepts_new, self._is_going_out = True, True, False
+        self.pool.tap.note("in", gateway=self.number)
 
     def found_dead(self) -> None:
         """No connection came up."""
@@ -119,26 +119,39 @@
     def _go_out(self) -> None:
         self.is_in = False
         self.pool.tap.note("out", gateway=self.number)
-        self.pool.loop.after(PING_INTERVAL, self._ping)
+        self._ping_later()
 
 
 class Ping:
-    """Asks a gateway once, on a connection of its own, whether it is up; `on_end(up)` within
-    `PING_INTERVAL`."""
-
-    def __init__(self, loop: Loop, gateway: PooledGateway, on_end: Callable[[bool], object]) -> None:
-        self.on_end = on_end
-        self._connection = RpcConnection(loop, gateway.where, lambda text: None, lambda connection: None)
-        self._timer = loop.after(PING_INTERVAL, self._end, False)
+    """Asks a gateway once, on a connection of its own, whether it is up.
+
+    `on_up()` as soon as it says so; `on_failed()` as soon as it says otherwise, or after `PING_INTERVAL`.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        where: Address,
+        *,
+        on_up: Callable[[], object],
+        on_failed: Callable[[], object],
+    ) -> None:
+        self._on_up, self._on_failed = on_up, on_failed
+        self._connection = RpcConnection(loop, where, lambda text: None, lambda connection: None)
+        self._timer = loop.after(PING_INTERVAL, self._timed_out)
         self._connection.call({"method": "ping", "params": {}}, self._answered, self._lost)
 
     def _answered(self, message: Message) -> None:
         self._timer.cancel()
-        self._end(message.get("result") == {"up": True})
+        self._connection.discard()
+        if message.get("result") == {"up": True}:
+            self._on_up()
+        else:
+            self._on_failed()
 
     def _lost(self, loss: CallLoss) -> None:
         """Nothing is done before the time is up: the next ping is not to come sooner."""
 
-    def _end(self, up: bool) -> None:
+    def _timed_out(self) -> None:
         self._connection.discard()
-        self.on_end(up)
+        self._on_failed()
--- a/tests/standins/test_change_log.py
+++ b/tests/standins/test_change_log.py
@@ -18,15 +18,15 @@
 
 
 def follow(bench, where, last):
-    told = []
-    follower = ChangeLogWatcher(bench.loop, where, last, told.append, Chance(1))
+    events = []
+    follower = ChangeLogWatcher(bench.loop, where, last, events.append, Chance(1))
     bench.closing.append(follower.close)
-    return follower, told
+    return follower, events
 
 
-def changelog(bench, ways):
+def changelog(bench, gateways):
     made, listing = (
-        ChangeLogServer(bench.loop, [ANY] * ways, bench.tap, bench.said.append),
+        ChangeLogServer(bench.loop, [ANY] * gateways, bench.tap, bench.said.append),
         VersionedHostList(),
     )
     bench.closing += [feed.close for feed in made.feeds]
@@ -38,34 +38,34 @@
     made.command(listing.change(member("h", "127.0.0.1:9", "draining")))
 
 
-def test_each_gateway_is_told_and_one_that_is_held_back_counts_as_told_once_it_is(bench):
+def test_each_gateway_gets_each_event_and_one_that_is_withheld_counts_once_it_is_sent(bench):
     made, listing = changelog(bench, 2)
-    told = [follow(bench, where, 1)[1] for where in bench.said[0]["addresses"]]
+    events = [follow(bench, where, 1)[1] for where in bench.said[0]["addresses"]]
     bench.until(lambda: len(bench.seen("asked")) == 2)
     made.command({"trouble": "hold", "gateways": [1]})
     drain(made, listing)
-    bench.until(lambda: told[0])
-    assert not told[1]
+    bench.until(lambda: events[0])
+    assert not events[1]
     assert [event["gateway"] for event in bench.seen("told", state="draining")] == [0]
     made.command({"trouble": "hold", "on": False, "gateways": [1]})
-    bench.until(lambda: told[1])
+    bench.until(lambda: events[1])
     assert [event["gateway"] for event in bench.seen("told", state="draining")] == [0, 1]
-    assert msgspec.json.decode(told[1][0].fleet.members[0])["phase"] == "Terminating"
+    assert msgspec.json.decode(events[1][0].fleet.members[0])["phase"] == "Terminating"
 
 
-def test_late_news_counts_when_it_goes_out(bench):
+def test_a_late_event_counts_when_it_is_sent(bench):
     made, listing = changelog(bench, 1)
-    _, told = follow(bench, bench.said[0]["address"], 1)
+    _, events = follow(bench, bench.said[0]["address"], 1)
     bench.until(lambda: bench.seen("asked"))
     made.command({"trouble": "late", "by": 60 * MILLI})
     began = bench.loop.now()
     drain(made, listing)
-    bench.until(lambda: told)
+    bench.until(lambda: events)
     assert bench.seen("told", state="draining")[0]["at"] - began >= 60 * MILLI
 
 
 @pytest.mark.parametrize("trouble", ["silent", "off", "elsewhere"])
-def test_on_a_dead_way_news_counts_as_told_after_a_while(bench, trouble):
+def test_on_a_dead_way_an_event_counts_after_a_while(bench, trouble):
     made, listing = changelog(bench, 1)
     made.command({"trouble": trouble, "counts": 150 * MILLI})
     drain(made, listing)
@@ -79,14 +79,14 @@
 
 def test_a_log_that_has_moved_is_followed_from_the_last_number(bench):
     made, listing = changelog(bench, 1)
-    follower, told = follow(bench, bench.said[0]["address"], 1)
+    follower, events = follow(bench, bench.said[0]["address"], 1)
     bench.until(lambda: bench.seen("asked"))
     made.command({"do": "move"})
     drain(made, listing)
     assert bench.said[-1]["address"] != bench.said[0]["address"]
     follower.set_address(bench.said[-1]["address"])
-    bench.until(lambda: told)
-    assert [event.seq for event in told] == [2]
+    bench.until(lambda: events)
+    assert [event.seq for event in events] == [2]
     assert bench.seen("asked")[-1]["last"] == 1
 
 
--- a/tests/standins/test_kserve_clients.py
+++ b/tests/standins/test_kserve_clients.py
@@ -58,8 +58,8 @@
 def play():
     made = []
 
-    def make(*args, **told):
-        made.append(Played(*args, **told))
+    def make(*args, **options):
+        made.append(Played(*args, **options))
         return made[-1]
 
     yield make
@@ -72,7 +72,7 @@
     request.connection.close_gracefully()
 
 
-def test_a_body_made_for_another_task_is_a_stray(play):
+def test_a_body_made_for_another_request_is_unmatched(play):
     played = play(lambda played, request, name: played.deliver(request, "other"))
     played.until("answer")
     assert [name in event["text"] for name, event in zip(played.came, played.seen("stray"), strict=True)] == [
@@ -86,7 +86,7 @@
     assert len(played.came) == 1
 
 
-def test_a_request_on_a_kept_connection_is_lost_when_it_was_read_and_closed(play):
+def test_a_request_on_a_reused_connection_is_lost_when_it_was_read_and_closed(play):
     def second_closed(played, request, name):
         if len(played.came) == 2:
             read_and_closed(played, request, name)
@@ -113,7 +113,7 @@
     assert len(played.came) == 1
 
 
-def test_a_task_that_finds_no_gateway_says_whose_it_was_and_when(play):
+def test_a_request_that_finds_no_gateway_is_noted_with_its_class_and_time(play):
     played = play(None, where="127.0.0.1:1")
     played.until("unreachable")
     (noted,) = played.seen("unreachable")
--- a/tests/standins/test_model_server.py
+++ b/tests/standins/test_model_server.py
@@ -61,8 +61,8 @@
 def bench():
     made = []
 
-    def make(*args, **told):
-        made.append(Bench(*args, **told))
+    def make(*args, **options):
+        made.append(Bench(*args, **options))
         return made[-1]
 
     yield make
@@ -70,7 +70,7 @@
         each.loop.close()
 
 
-def test_tasks_share_the_cores_and_a_slow_host_takes_as_much_longer(bench):
+def test_requests_share_the_cores_and_a_slow_host_takes_as_much_longer(bench):
     for factor in (1, 3):
         made = bench({"cores": 1, "copies": 8})
         made.model_server.command({"trouble": "slow", "factor": factor})
@@ -82,7 +82,7 @@
         assert max(at for *_, at in made.ends) - began == pytest.approx(factor * amount, rel=0.01)
 
 
-def test_what_finds_no_lane_waits_and_a_copy_is_added_for_it(bench):
+def test_what_finds_no_lane_waits_and_an_instance_is_added_for_it(bench):
     made = bench()
     for number in range(5):
         made.take(f"t{number}")
@@ -94,7 +94,7 @@
     assert len(made.seen("loaded")) == 1
 
 
-def test_a_cold_host_loads_then_runs_and_keeps_the_copy_for_a_while(bench):
+def test_a_cold_host_loads_then_runs_and_keeps_the_instance_for_a_while(bench):
     made = bench({"keep": SECOND}, warm=False)
     made.take("t")
     made.rest(400 * MILLI)
@@ -105,7 +105,7 @@
     assert made.model_server.pool.instance_count() == 0
 
 
-def test_a_load_makes_room_by_the_copy_longest_idle_and_never_beyond_the_memory(bench):
+def test_a_load_unloads_the_instance_longest_idle_and_never_exceeds_the_memory(bench):
     made = bench({"copies": 2}, warm=False)
     for name in "abc":
         made.take(name, name)
@@ -115,7 +115,7 @@
     assert stand == {"a": 0, "b": 1, "c": 1}
 
 
-def test_an_order_stands_or_is_refused_for_want_of_room(bench):
+def test_an_order_is_loaded_or_refused_for_want_of_memory(bench):
     made = bench({"copies": 3}, warm=False)
     stands = made.order("a", 2)
     made.rest(300 * MILLI)
@@ -125,7 +125,7 @@
     assert [event["count"] for event in made.seen("order")] == [2, 3]
 
 
-def test_a_store_that_turns_away_fails_the_load_and_what_waits_for_it(bench):
+def test_a_store_that_refuses_fails_the_load_and_what_waits_for_it(bench):
     made = bench(warm=False, fetched=False)
     made.take("t")
     stands = made.order("b", 1)
@@ -136,7 +136,7 @@
     assert made.model_server.pool.instance_count() == 0
 
 
-def test_a_cold_host_sent_far_too_much_falls_over_and_a_warm_one_does_not(bench):
+def test_a_cold_host_sent_far_too_much_fails_and_a_warm_one_does_not(bench):
     for warm in (False, True):
         made = bench({"cold_share": 0.1, "queue": 10_000}, warm=warm)
         fallen = []
@@ -160,17 +160,17 @@
         ("cut", ["cut"]),
     ],
 )
-def test_troubles_strike_the_track_they_name_and_end_when_told(bench, trouble, ends):
+def test_faults_affect_the_request_class_they_name_and_end_on_command(bench, trouble, ends):
     made = bench()
-    for told in ({"track": "other"}, {}, {"on": False}):
-        made.model_server.command({"trouble": trouble, **told})
+    for options in ({"track": "other"}, {}, {"on": False}):
+        made.model_server.command({"trouble": trouble, **options})
         made.take("t")
         made.rest(200 * MILLI)
     assert [end for _, end, _ in made.ends] == ["done", *ends, "done"]
     assert len(made.seen("ran")) == 2 + (trouble in ("lost", "cut"))
 
 
-def test_what_waits_can_be_taken_back_and_what_is_at_work_runs_on(bench):
+def test_what_waits_can_be_cancelled_and_what_runs_goes_on(bench):
     made = bench({"adds_copies": False})
     works = [made.take(f"t{number}") for number in range(3)]
     made.model_server.cancel(works[2])
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_load_and_no_trouble_breaks_what_must_hold(bench, seed):
+def test_no_load_and_no_fault_breaks_the_invariants(bench, seed):
     chance = random.Random(seed)
     made = bench(
         {
--- a/tests/standins/test_platform_clients.py
+++ b/tests/standins/test_platform_clients.py
@@ -32,21 +32,21 @@
         while b"\r\n\r\n" in buffer:
             head, _, rest = bytes(buffer).partition(b"\r\n\r\n")
             size = int(head.split(b":")[1])
-            told, buffer[:] = json.loads(rest[:size]), rest[size:]
-            if told["method"] == "ping":
-                self.say(stream, told, {"result": {"up": self.up}})
+            request, buffer[:] = json.loads(rest[:size]), rest[size:]
+            if request["method"] == "ping":
+                self.reply(stream, request, {"result": {"up": self.up}})
             else:
-                self.came.append(told)
-                self.answer(self, stream, told)
+                self.came.append(request)
+                self.answer(self, stream, request)
 
-    def say(self, stream, told, answer):
-        body = json.dumps({"jsonrpc": "2.0", "id": told["id"]} | answer).encode()
+    def reply(self, stream, request, answer):
+        body = json.dumps({"jsonrpc": "2.0", "id": request["id"]} | answer).encode()
         stream.write(b"Content-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-def served(gate, stream, told):
-    name = f"h {told['params']['i']}"
-    gate.say(stream, told, {"result": {"arg": arg_of(name)}})
+def served(gate, stream, request):
+    name = f"h {request['params']['i']}"
+    gate.reply(stream, request, {"result": {"arg": arg_of(name)}})
 
 
 def arg_of(text):
@@ -71,7 +71,7 @@
 def test_clients_share_their_traffic_by_weight_and_each_id_is_new(bench):
     made, gates = day(bench, [served, served], weights=(1.0, 0.0))
     bench.until(lambda: bench.seen("done"))
-    names = [told["params"]["i"] for told in gates[0].came]
+    names = [request["params"]["i"] for request in gates[0].came]
     assert len(names) > 10
     assert len(set(names)) == len(names)
     assert not gates[1].came
@@ -80,12 +80,12 @@
     assert gates[0].came[0]["params"]["extras"] == "memory_mb:512;lanes:2;load_ms:10"
 
 
-def test_a_refusal_is_asked_again_under_a_new_id_after_its_time(bench):
-    def declined_first(gate, stream, told):
+def test_a_rejection_is_retried_under_a_new_id_after_its_time(bench):
+    def declined_first(gate, stream, request):
         if len(gate.came) > 1:
-            served(gate, stream, told)
+            served(gate, stream, request)
         else:
-            gate.say(stream, told, {"error": {"code": -32008, "message": "full", "data": {"w": 40}}})
+            gate.reply(stream, request, {"error": {"code": -32008, "message": "full", "data": {"w": 40}}})
 
     made, _ = day(bench, [declined_first], length=1)
     bench.until(lambda: bench.seen("done"))
@@ -96,14 +96,14 @@
 
 
 def test_what_gateways_do_wrong_is_written_down(bench):
-    def twice(gate, stream, told):
-        served(gate, stream, told)
-        served(gate, stream, told)
+    def twice(gate, stream, request):
+        served(gate, stream, request)
+        served(gate, stream, request)
 
-    def of_nobody(gate, stream, told):
-        gate.say(stream, told, {"result": {"arg": arg_of("h other")}})
+    def unmatched(gate, stream, request):
+        gate.reply(stream, request, {"result": {"arg": arg_of("h other")}})
 
-    for answer in (twice, of_nobody):
+    for answer in (twice, unmatched):
         before = len(bench.seen("done"))
         day(bench, [answer], length=1)
         bench.until(lambda before=before: len(bench.seen("done")) > before)
@@ -113,12 +113,12 @@
     ] == [True, True]
 
 
-def test_a_client_gives_up_at_its_limit_and_says_so(bench):
+def test_a_client_gives_up_at_its_limit_and_aborts_the_call(bench):
     aborted = []
 
-    def mute(gate, stream, told):
-        if told["method"] == "abort":
-            aborted.append(told["params"]["id"])
+    def mute(gate, stream, request):
+        if request["method"] == "abort":
+            aborted.append(request["params"]["id"])
 
     made, gates = day(bench, [mute], length=1, limit=60 * MILLI)
     bench.until(lambda: bench.seen("overdue") and aborted)
@@ -155,11 +155,11 @@
 
 
 def test_a_request_that_crosses_a_close_is_sent_once_more(bench):
-    def closes_first(gate, stream, told):
+    def closes_first(gate, stream, request):
         if len(gate.came) == 1:
             stream.abort()
         else:
-            served(gate, stream, told)
+            served(gate, stream, request)
 
     _, gates = day(bench, [closes_first], length=1)
     bench.until(lambda: bench.seen("done"))
@@ -167,10 +167,10 @@
     assert len(bench.seen("answer")) == 1
     assert first["params"]["i"] == second["params"]["i"]
 
-    def closes_always(gate, stream, told):
+    def closes_always(gate, stream, request):
         stream.abort()
 
-    def closes_late(gate, stream, told):
+    def closes_late(gate, stream, request):
         bench.loop.after(80 * MILLI, stream.abort)
 
     for days, (answer, tries) in enumerate([(closes_always, 2), (closes_late, 1)], start=2):
@@ -180,7 +180,7 @@
         assert len(bench.seen("broken")) == days - 1
 
 
-def closes(gate, stream, told):
+def closes(gate, stream, request):
     """Reads the request and closes: the client sees the end of the connection and no reset."""
     stream.close()
 
@@ -193,11 +193,11 @@
 
 
 def test_a_request_on_a_connection_that_rested_may_cross_its_close_once(bench):
-    def closes_second(gate, stream, told):
+    def closes_second(gate, stream, request):
         if len(gate.came) == 2:
             stream.sock.shutdown(socket.SHUT_WR)
         else:
-            served(gate, stream, told)
+            served(gate, stream, request)
 
     made, gates = day(bench, [closes_second], length=1)
     bench.until(lambda: bench.seen("answer"))
@@ -209,7 +209,7 @@
     assert not bench.seen("broken")
 
 
-def test_a_task_that_finds_no_gateway_says_whose_it_was_and_when(bench):
+def test_a_request_that_finds_no_gateway_is_noted_with_its_class_and_time(bench):
     made, _ = day(bench, [served], length=1)
     bench.until(lambda: made.until)
     made.pool.gateways[0].is_in = False
--- a/tests/standins/test_platform_host.py
+++ b/tests/standins/test_platform_host.py
@@ -40,11 +40,11 @@
         end = self.loop.now() + span
         self.until(lambda: self.loop.now() >= end)
 
-    def seen(self, what, **told):
+    def seen(self, what, **fields):
         return [
             event
             for event in self.tap.events
-            if event["what"] == what and all(event.get(key) == value for key, value in told.items())
+            if event["what"] == what and all(event.get(key) == value for key, value in fields.items())
         ]
 
     # A host
@@ -97,7 +97,7 @@
     }
 
 
-def test_a_host_serves_tells_its_load_and_takes_orders(bench):
+def test_a_host_serves_reports_its_load_and_takes_orders(bench):
     host = bench.host(reporting=LoadReporting(("cpu_share", "inflight")))
     say = bench.line(host)
     say(
@@ -130,7 +130,7 @@
     assert bench.seen("said", status=404)
 
 
-def test_a_halted_task_is_not_answered_and_its_id_may_come_again(bench):
+def test_a_cancelled_request_is_not_answered_and_its_id_may_come_again(bench):
     host = bench.host(warm=True)
     say = bench.line(host)
     host.command({"trouble": "slow", "factor": 20})
@@ -154,7 +154,7 @@
     assert not bench.seen("task")
 
 
-def test_a_host_that_vanishes_says_nothing_and_one_that_crashes_resets(bench):
+def test_a_host_that_vanishes_sends_nothing_and_one_that_crashes_resets(bench):
     host = bench.host(warm=True)
     say = bench.line(host)
     say(go("t1"))
@@ -205,7 +205,7 @@
     assert len(read_tap(tmp_path / "host-a.1.tap")) == 1
 
 
-# What a gateway is told
+# A gateway's file
 
 
 def test_the_file_that_is_made_is_one_that_a_gateway_takes(tmp_path):
