--- a/gaproute/standins/kserve/clients.py
+++ b/gaproute/standins/kserve/clients.py
@@ -1,6 +1,6 @@
 """Stand-in clients on KServe v2: open-loop arrivals to several gateways, and what came of each, on a tap.
 
-Each request is told apart by the `id` in its body, which passes through the gateway untouched. A client gives
+Each request is known by the `id` in its body, which passes through the gateway untouched. A client gives
 up at its limit; a few leave early; after a rejection it may retry with a new id, after the time that the
 gateway gave.
 """
--- a/gaproute/standins/platform/client_attempt.py
+++ b/gaproute/standins/platform/client_attempt.py
@@ -24,7 +24,7 @@
 REJECTED_CODE = -32008  # of a JSON-RPC error
 
 
-class Outcome(StrEnum):
+class AttemptOutcome(StrEnum):
     """What became of an attempt that was answered; the values stand in taps."""
 
     DELIVERED = "delivered"
@@ -32,7 +32,11 @@
     FAILED = "scrapped"
 
 
-STATUS = {Outcome.DELIVERED: 200, Outcome.REJECTED: 503, Outcome.FAILED: 502}  # as the judge reads them
+STATUS = {
+    AttemptOutcome.DELIVERED: 200,
+    AttemptOutcome.REJECTED: 503,
+    AttemptOutcome.FAILED: 502,
+}  # as the judge reads them
 
 
 class AttemptIdentity(NamedTuple):
@@ -57,7 +61,7 @@
 class AttemptListener(Protocol):
     """The request of an attempt."""
 
-    def attempt_answered(self, outcome: Outcome, retry_after: int) -> None:
+    def attempt_answered(self, outcome: AttemptOutcome, retry_after: int) -> None:
         """It was answered; `retry_after`: ns to stay away."""
 
     def attempt_ended(self) -> None:
@@ -139,14 +143,14 @@
         self._cancel_timers()
         self.listener.attempt_answered(outcome, ((error or {}).get("data") or {}).get("w", 0) * MILLI)
 
-    def _outcome(self, message: Message) -> Outcome:
+    def _outcome(self, message: Message) -> AttemptOutcome:
         error = message.get("error")
         if error is not None:
-            return Outcome.REJECTED if error.get("code") == REJECTED_CODE else Outcome.FAILED
+            return AttemptOutcome.REJECTED if error.get("code") == REJECTED_CODE else AttemptOutcome.FAILED
         if self._gateway is not None and not was_made_for(message.get("result"), self.identity.id):
             text = f"{self.identity.id}: a body that no host made for it"
             self.owner.pool.note_unmatched(self._gateway.number, text)
-        return Outcome.DELIVERED
+        return AttemptOutcome.DELIVERED
 
     def _end(self) -> None:
         self._cancel_timers()
--- a/gaproute/standins/platform/client_request.py
+++ b/gaproute/standins/platform/client_request.py
@@ -7,9 +7,9 @@
 
 from gaproute.standins.platform.client_attempt import (
     AttemptIdentity,
+    AttemptOutcome,
     AttemptOwner,
     ClientAttempt,
-    Outcome,
 )
 from gaproute.standins.traffic import DrawnRequest
 
@@ -51,11 +51,11 @@
         parameters = self.owner.parameters(self.model)
         ClientAttempt(self.owner, self, identity, parameters, patience).start()
 
-    def attempt_answered(self, outcome: Outcome, retry_after: int) -> None:
+    def attempt_answered(self, outcome: AttemptOutcome, retry_after: int) -> None:
         """Retries after a rejection, and after a failure of an idempotent request."""
         owner = self.owner
-        may_retry = outcome is Outcome.REJECTED or (
-            self.request_class.idempotent and outcome is Outcome.FAILED
+        may_retry = outcome is AttemptOutcome.REJECTED or (
+            self.request_class.idempotent and outcome is AttemptOutcome.FAILED
         )
         pause = round(retry_after * owner.chance.uniform(*RETRY_SPREAD))
         in_time = owner.loop.now() + pause < self.deadline
--- a/gaproute/standins/platform/host_messages.py
+++ b/gaproute/standins/platform/host_messages.py
@@ -1,4 +1,4 @@
-"""What gateways send a platform's host: one JSON object a line, told apart by its `type`."""
+"""What gateways send a platform's host: one JSON object a line, of a kind that its `type` names."""
 
 from __future__ import annotations
 
