--- a/gaproute/standins/platform/scripted.py
+++ b/gaproute/standins/platform/scripted.py
@@ -126,7 +126,7 @@
         self.ended = False
         self.stream: Stream | None = None
         self.ready = Promise()  # of the connection; fails with OSError
-        self._buffer = b""
+        self.buffer = b""
         self.waiting: list[bytes] = []  # to be sent once it is connected
         connect(loop, address(where), CONNECT_TIMEOUT, self._connected)
 
@@ -144,14 +144,14 @@
         self.ended = True
 
     def _receive(self, data: bytes) -> None:
-        self._buffer += data
-        while HEAD_END in self._buffer:
-            head, _, rest = self._buffer.partition(HEAD_END)
+        self.buffer += data
+        while HEAD_END in self.buffer:
+            head, _, rest = self.buffer.partition(HEAD_END)
             size = int(head.split(b":")[1])
             if len(rest) < size:
                 return
             self.answers.append(json.loads(rest[:size]))
-            self._buffer = rest[size:]
+            self.buffer = rest[size:]
 
     def send(self, data: bytes) -> None:
         """Sends bytes, now or once it is connected."""
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -82,7 +82,7 @@
         self.sent.append((self.clock.now, name, command["req"], float(command["meta"]["limit"])))
         count = len(host.seen("go"))
         if count % 7 == 0:
-            self.loop.after(SERVED, host.say, stream, command, "overload")
+            self.loop.after(SERVED, host.reply, stream, command, "overload")
         else:
             self.loop.after(LOADED if count % 9 == 0 else SERVED, host.serve, stream, command)
 
