--- a/gaproute/scenarios/result.py
+++ b/gaproute/scenarios/result.py
@@ -53,7 +53,7 @@
         self.service_by_class = {name: service.of_class(name) for name in self.request_classes}
         self.service_by_window = service.by_window(self.begun, script.day.length)
 
-    def _count_at_hosts(self, hosts: Mapping[str, list[list[TapEvent]]]) -> None:
+    def _count_at_hosts(self, hosts: Mapping[str, Sequence[Sequence[TapEvent]]]) -> None:
         events = [event for taps in hosts.values() for tap in taps for event in tap]
         self.attempts = sum(event["what"] == "task" for event in events)
         self.load_orders = sum(event["what"] == "order" and event["count"] > 0 for event in events)
