--- a/gaproute/scenarios/result.py
+++ b/gaproute/scenarios/result.py
@@ -1,10 +1,11 @@
 """What the taps of a played day say: the rules, the service, what was sent and fetched."""
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 from typing import Any, Protocol
 
 from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, judge
+from gaproute.judge.tap_reading import TapEvent
 from gaproute.scenarios.clients import ClientContext, DayClients
 from gaproute.scenarios.hosts import DayHosts
 from gaproute.scenarios.service import Service
@@ -13,8 +14,6 @@
 ENDS = ("answer", "overdue", "left", "broken")  # how a try may end at its client
 OUTCOMES = ("delivered", "declined", "scrapped", "left", "broken", "overdue")
 
-TapEvent = Mapping[str, Any]
-
 
 class PlayedDay(ClientContext, Protocol):
     """A day that is over. `longest_deadline`: of its requests, ns."""
@@ -53,7 +52,7 @@
         self.service_by_class = {name: service.of_class(name) for name in self.request_classes}
         self.service_by_window = service.by_window(self.begun, script.day.length)
 
-    def _count_at_hosts(self, hosts: Mapping[str, list[list[TapEvent]]]) -> None:
+    def _count_at_hosts(self, hosts: Mapping[str, Sequence[Sequence[TapEvent]]]) -> None:
         events = [event for taps in hosts.values() for tap in taps for event in tap]
         self.attempts = sum(event["what"] == "task" for event in events)
         self.load_orders = sum(event["what"] == "order" and event["count"] > 0 for event in events)
@@ -93,7 +92,7 @@
         }
 
 
-def _host_taps(out: Path, host: str) -> list[list[TapEvent]]:
+def _host_taps(out: Path, host: str) -> Sequence[Sequence[TapEvent]]:
     return [read_tap(path) for path in sorted(out.glob(f"host-{host}.*.tap"))]
 
 
