--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -17,7 +17,7 @@
 from gaproute.cluster.script_lines import HostListFaultKind, HostListFaultLine, LinkFaultLine
 from gaproute.scenarios.hosts import DayHost, ListedState
 from gaproute.scenarios.processes import DayProcess, Routine
-from gaproute.standins.platform.host_list import VersionedHostList, member
+from gaproute.standins.platform.host_list import Snapshot, VersionedHostList, member
 
 MILLI = 1_000_000
 
@@ -47,9 +47,9 @@
         """Ends the process's input, at which the process ends."""
         self.process.close_input()
 
-    def known_to(self, number: int) -> dict[str, Any]:
+    def known_to(self, number: int) -> Snapshot:
         """The host list for the file of a gateway that starts now."""
-        snapshot: dict[str, Any] = self._list.snapshot()
+        snapshot = self._list.snapshot()
         for event in snapshot["results"]:
             event["fleet"]["members"] = [
                 row | {"host_port": row["host_port"][number]} for row in event["fleet"]["members"]
--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -5,18 +5,18 @@
 import json
 import signal
 from pathlib import Path
-from typing import Any
 
 from gaproute.cluster.gateways import ClusterGateways, ClusterTrial, GatewayParts
 from gaproute.cluster.platform.change_log import PlatformChangeLog
 from gaproute.scenarios.errors import GatewayStartError, NotReadyError
 from gaproute.scenarios.processes import READY_TIME, DayProcess, Routine
-from gaproute.standins.platform.gateway_configuration import (
+from gaproute.standins.model_server import HostProfile
+from gaproute.standins.platform.deployment_settings import (
     RequestClassSettings,
+    Settings,
     deployment_settings,
-    make_configuration,
-    write_configuration,
 )
+from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 
 MILLI = 1_000_000
 MODULE = "gaproute.platform"
@@ -55,7 +55,7 @@
     def start(self, number: int) -> Routine:
         """A coroutine: starts the gateway and waits until it logs that it has started."""
         name = f"g{number}"
-        _, environment = write_configuration(self.out, self._file(number))
+        environment = self._configuration(number).write(self.out).environment
         log = self.out / f"{name}.log"
         before = log.stat().st_size if log.exists() else 0
         process = self.trial.processes.start(
@@ -98,21 +98,21 @@
                 raise NotReadyError(f"{name} was not up in time; see {log}")
             yield self.loop.sleep(READY_POLL_INTERVAL)
 
-    def _file(self, number: int) -> Any:
-        """The content of a gateway's file."""
+    def _configuration(self, number: int) -> GatewayConfiguration:
+        """What a gateway is started with."""
         addresses = self.plan.gateway(number)
-        return make_configuration(
-            f"g{number}",
-            addresses.clients,
-            self.plan.change_log(number),
-            self.change_log.known_to(number),
-            self._deployment(),
-            self.trial.seed * 1000 + number,
+        return GatewayConfiguration(
+            name=f"g{number}",
+            listen=addresses.clients,
+            change_log=self.plan.change_log(number),
+            known=self.change_log.known_to(number),
+            settings=self._deployment(),
+            seed=self.trial.seed * 1000 + number,
             peer_listen=addresses.peers if self.context.day.peers else "",
             peers_all=self.peer_broadcast_address,
         )
 
-    def _deployment(self) -> Any:
+    def _deployment(self) -> Settings:
         """The settings object, made from the script's lines."""
         script, day = self.context.script, self.context.day
         instances, life = script.warm_instances, script.host_life
@@ -126,10 +126,13 @@
             request_classes,
             gateways=day.gateways,
             zones=[f"hall-{hall}" for hall in range(day.halls)],
-            keep=life.keep,
-            cold_share=life.cold_share,
-            cold_time=life.cold_time,
-            idle_close=life.idle_close,
+            profile=HostProfile(
+                "host",
+                keep=life.keep,
+                cold_share=life.cold_share,
+                cold_time=life.cold_time,
+                idle_close=life.idle_close,
+            ),
             family_info={
                 "placement_calls": instances.orders,
                 "loads_anyway": instances.free,
--- a/gaproute/cluster/platform/harness.py
+++ b/gaproute/cluster/platform/harness.py
@@ -69,8 +69,8 @@
         yield from super().shut_down()
         self.tap.flush()
         log_tap = self.out / "log.tap"
-        if self.tap.file is not None and log_tap.exists():
-            self.tap.file.write(log_tap.read_bytes())
+        if log_tap.exists():
+            self.tap.append_lines(log_tap.read_bytes())
 
 
 def harness_class(script: ClusterScript) -> type[ClusterHarness]:
