--- a/gaproute/cluster/platform/gateways.py
+++ b/gaproute/cluster/platform/gateways.py
@@ -5,18 +5,18 @@
 import json
 import signal
 from pathlib import Path
-from typing import Any
 
 from gaproute.cluster.gateways import ClusterGateways, ClusterTrial, GatewayParts
 from gaproute.cluster.platform.change_log import PlatformChangeLog
 from gaproute.scenarios.errors import GatewayStartError, NotReadyError
 from gaproute.scenarios.processes import READY_TIME, DayProcess, Routine
-from gaproute.standins.platform.gateway_configuration import (
+from gaproute.standins.model_server import HostProfile
+from gaproute.standins.platform.deployment_settings import (
     RequestClassSettings,
+    Settings,
     deployment_settings,
-    make_configuration,
-    write_configuration,
 )
+from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 
 MILLI = 1_000_000
 MODULE = "gaproute.platform"
@@ -26,7 +26,7 @@
 class PlatformGateways(ClusterGateways):
     """All gateways of one play.
 
-    `peer_broadcast`: the process that sends on what is for all peers, and its address, once it is up.
+    `peer_broadcast` is the process that forwards datagrams for all peers, once it has been started.
     """
 
     def __init__(self, trial: ClusterTrial, parts: GatewayParts, change_log: PlatformChangeLog) -> None:
@@ -36,7 +36,7 @@
         self.peer_broadcast_address = ""
 
     def start_peer_broadcast(self) -> Routine:
-        """A coroutine: the process that sends on to each other gateway by the address of their link."""
+        """A coroutine: starts the process that forwards datagrams to each other gateway over their link."""
         plan, gateways = self.plan, range(self.context.day.gateways)
         routes = {
             plan.gateway(number).peers: [plan.peer(number, other) for other in gateways if other != number]
@@ -53,9 +53,9 @@
         self.peer_broadcast_address = started["address"]
 
     def start(self, number: int) -> Routine:
-        """A coroutine: until it says that it has started."""
+        """A coroutine: starts the gateway and waits until it logs that it has started."""
         name = f"g{number}"
-        _, environment = write_configuration(self.out, self._file(number))
+        environment = self._configuration(number).write(self.out).environment
         log = self.out / f"{name}.log"
         before = log.stat().st_size if log.exists() else 0
         process = self.trial.processes.start(
@@ -73,20 +73,20 @@
         self.tap.flush()
 
     def restart(self, number: int, ending: signal.Signals, back: int) -> Routine:
-        """As of other gateways; clients learn of one that is asked to end."""
+        """As in the base class; clients are informed of a gateway that gets a SIGTERM."""
         if ending is signal.SIGTERM and number not in self.under_fault:
             self.trial.clients.send({"do": "leaving", "gateway": number})
         yield from super().restart(number, ending, back)
 
     def terminate(self, span: int) -> Routine:
-        """A coroutine: all are asked to end, then the processes beside them."""
+        """A coroutine: ends all gateways, then the change log and the peer broadcast."""
         yield from super().terminate(span)
         self.change_log.close_input()
         if self.peer_broadcast is not None:
             self.peer_broadcast.close_input()
 
     def _wait_until_started(self, name: str, process: DayProcess, log: Path, before: int) -> Routine:
-        """A coroutine: until the log, from byte `before` on, says so.
+        """A coroutine: waits until the log, from byte `before` on, says that the gateway has started.
 
         Errors: `GatewayStartError` where it has ended, `NotReadyError` where it takes too long.
         """
@@ -98,22 +98,22 @@
                 raise NotReadyError(f"{name} was not up in time; see {log}")
             yield self.loop.sleep(READY_POLL_INTERVAL)
 
-    def _file(self, number: int) -> Any:
-        """What stands in the file of a gateway."""
+    def _configuration(self, number: int) -> GatewayConfiguration:
+        """What a gateway is started with."""
         addresses = self.plan.gateway(number)
-        return make_configuration(
-            f"g{number}",
-            addresses.clients,
-            self.plan.change_log(number),
-            self.change_log.known_to(number),
-            self._deployment(),
-            self.trial.seed * 1000 + number,
+        return GatewayConfiguration(
+            name=f"g{number}",
+            listen=addresses.clients,
+            change_log=self.plan.change_log(number),
+            known=self.change_log.known_to(number),
+            settings=self._deployment(),
+            seed=self.trial.seed * 1000 + number,
             peer_listen=addresses.peers if self.context.day.peers else "",
             peers_all=self.peer_broadcast_address,
         )
 
-    def _deployment(self) -> Any:
-        """The settings object, made of the script's lines."""
+    def _deployment(self) -> Settings:
+        """The settings object, made from the script's lines."""
         script, day = self.context.script, self.context.day
         instances, life = script.warm_instances, script.host_life
         request_classes = [
@@ -126,10 +126,13 @@
             request_classes,
             gateways=day.gateways,
             zones=[f"hall-{hall}" for hall in range(day.halls)],
-            keep=life.keep,
-            cold_share=life.cold_share,
-            cold_time=life.cold_time,
-            idle_close=life.idle_close,
+            profile=HostProfile(
+                "host",
+                keep=life.keep,
+                cold_share=life.cold_share,
+                cold_time=life.cold_time,
+                idle_close=life.idle_close,
+            ),
             family_info={
                 "placement_calls": instances.orders,
                 "loads_anyway": instances.free,
