--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -34,7 +34,7 @@
         self._send(self.hosts, key, number, attempt, now)
 
     def _send(self, hosts: RequestSender, key: str, number: int, attempt: face.Attempt, now: int) -> None:
-        """Sends a request through these hosts."""
+        """Sends a request through `hosts` and registers the attempt."""
         request = self.in_flight[key]
         request.attempt_count += 1
         host, deadline = attempt.host, request.deadline
@@ -87,6 +87,7 @@
         self._release_if_complete(request)
 
     def _time_out_attempts(self, request: RequestInFlight) -> None:
+        """Ends all attempts of a request whose deadline has passed."""
         for number, (_, _, handle) in list(request.attempts.items()):
             result = face.Result.TIMEOUT if handle.started else face.Result.NOT_SENT
             handle.cancel()
@@ -95,15 +96,16 @@
     def _withdraw_attempts(self, request: RequestInFlight) -> None:
         """Withdraws what must not begin once the request has its final answer or its client has left.
 
-        That is what waits for its connection, whatever the settings say of cancelling: not to begin is no
-        cancellation. It is also what a host has not got whole, and what another gateway has, which may not
-        have begun it.
+        These are the attempts that still wait for a connection, those of which the host has received only a
+        part, and those that were forwarded to another gateway, which may not have started them yet. Settings
+        that forbid cancelling do not apply: they are about requests that a host has received completely.
         """
         for number, (_, _, handle) in request.attempts.items():
             if not handle.started or handle.cancellable:
                 self._withdraw(request, number)
 
     def _withdraw(self, request: RequestInFlight, number: int) -> None:
+        """Cancels an attempt at once and accounts for it in a later callback of the loop."""
         handle = request.attempts[number].handle
         result = face.Result.CANCELLED if handle.started else face.Result.NOT_SENT
         handle.cancel()
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -1,4 +1,4 @@
-"""The core of a gateway in a fleet of cells: it forwards requests to other gateways and takes theirs."""
+"""The core of a gateway in a fleet of cells: it forwards requests to other gateways and serves theirs."""
 
 from collections.abc import Sequence
 from typing import Protocol, cast
@@ -16,7 +16,7 @@
     """The connections to entry gateways of other cells."""
 
     def client_for(self, forward: ForwardAttempt, /) -> RequestSender:
-        """What sends a request through an entry gateway."""
+        """The sender for requests to the entry gateway that `forward` names."""
 
 
 class CellularCore(Core):
@@ -40,7 +40,7 @@
         self.forwarded_out = 0  # attempts at other gateways
 
     def serve(self, now: int, request: face.Request) -> Actions:
-        """A request's generator, by whether another gateway forwarded the request."""
+        """The generator of a request, which is given whether another gateway forwarded the request."""
         forwarded = cast("Forwarded | None", self.in_flight[request.id].call.forwarded)
         if forwarded is not None:
             self.forwarded_in += 1
@@ -56,12 +56,12 @@
             super().start_attempt(key, number, attempt, now)
 
     def reject(self, key: str, rejection: face.Reject) -> None:
-        """Rejects a request; its final answer tells where this gateway does not know the cell."""
+        """Rejects a request; the final answer says whether this gateway does not know the cell."""
         self.in_flight[key].cell_unknown = isinstance(rejection, CellUnknown)
         super().reject(key, rejection)
 
     def update_cell_hosts(self, cell: str, rows: Sequence[face.ListedHost]) -> None:
-        """Takes the whole host list of a cell."""
+        """Takes over the complete host list of a cell."""
         now = self.loop.now()
         self.gateway.listed(now, rows, True, cell=cell)
         self.start_housekeeping(now)
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -14,7 +14,7 @@
 
 MILLI = 1_000_000
 
-# The reasons that clients read.
+# The texts of final answers, as clients read them.
 REJECTED = "declined: it is safe to try again"
 MAY_HAVE_RUN = "scrapped: it may have run, or may yet"
 DEADLINE_PASSED = "scrapped: the time was up"
@@ -41,14 +41,14 @@
     # The final answer
 
     def reject(self, key: str, rejection: face.Reject) -> None:
-        """Gives the final answer that nothing ran and a retry is harmless."""
+        """Gives the final answer that the request did not run, or may run again, so that a retry is safe."""
         request = self.in_flight[key]
         self._finish(
             request, Ending.REJECTED, REJECTED, retry_after=rejection.retry_after, cause=rejection.reason
         )
 
     def fail(self, key: str) -> None:
-        """Gives the final answer that promises nothing."""
+        """Gives the final answer that the request has failed: it may have run."""
         self._finish(self.in_flight[key], Ending.FAILED, MAY_HAVE_RUN)
 
     def _finish(
@@ -97,7 +97,7 @@
     def _deadline_passed(self, key: str) -> None:
         """Ends a request at its deadline: its attempts have timed out, and it fails if it is unanswered.
 
-        Guards against a decision module that is late; harms none that is in time.
+        This guards against a decision module that answers late; one that answers in time is not affected.
         """
         request = self.in_flight[key]
         self._time_out_attempts(request)
@@ -129,13 +129,14 @@
     # Errors
 
     def _guard(self, key: str, step: Callable[..., Any], *arguments: Any) -> None:
-        """Takes a step of one request's decisions; an error ends that request alone."""
+        """Calls a step of one request's decisions; an error ends that request alone."""
         try:
             step(*arguments)
         except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
             self._decisions_failed(key, error)
 
     def _decisions_failed(self, key: str, error: Exception) -> None:
+        """Reports an error of the decision module and ends the generator that it came from."""
         self.loop.failed(error)
         self.record.fault(f"the decision module failed: {error!r}", key)
         if key == HOUSEKEEPING:
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -1,7 +1,7 @@
 """The core of a running gateway: requests from any front, actions to the hosts, one final answer for each.
 
-A front gives a `Call` and gets a `Final`, once; the hosts give an `AttemptResult` for each attempt, once.
-Neither side knows of the other.
+A front (the server of one client protocol) hands in a `Call` and gets one `Final` for it; the hosts report
+one `AttemptResult` for each attempt. Fronts and hosts do not know of each other.
 """
 
 from collections.abc import Callable, Sequence
@@ -53,8 +53,9 @@
     ) -> str:
         """Takes a request and returns the gateway's id for it.
 
-        `request_class` and `tenant` are indices in the terms; the client waits for `time_left` from the
-        first byte. `on_final` is called once, never from within.
+        `request_class` and `tenant` are indices in the terms; `lanes` is the number of requests that one
+        instance runs at a time. The client waits for `time_left` ns from `first_byte_at` on. `on_final` is
+        called once, and never before this method has returned.
         """
         self.submitted += 1
         key = f"{self.name}-{self.submitted:x}"
@@ -89,7 +90,7 @@
             )
 
     def client_left(self, key: str) -> None:
-        """Nobody waits for the answer any more; no attempt of the request begins from now on."""
+        """Notes that the client has left: no attempt of its request begins from now on."""
         request = self.in_flight.get(key)
         if request is None or request.on_final is None:
             return
@@ -102,7 +103,7 @@
         self._release_if_complete(request)
 
     def end_by(self, when: int) -> None:
-        """The process ends soon: each request gets its final answer by `when`, as its class allows."""
+        """Has each request get its final answer by `when`, as the process ends soon."""
         self.gateway.end_by = when
         self.loop.at(when, self._end_all)
 
@@ -120,7 +121,7 @@
         self.wait_timers[key] = self.loop.at(until, self._wait_elapsed, key)
 
     def cancel_wait(self, key: str) -> None:
-        """The key waits no more; it may not have waited."""
+        """Cancels the wait of the key, if there is one."""
         timer = self.wait_timers.pop(key, None)
         if timer is not None:
             timer.cancel()
@@ -132,13 +133,13 @@
     # Hosts
 
     def update_hosts(self, rows: Sequence[face.ListedHost], complete: bool) -> None:
-        """Takes the host list (`complete`), or a change of it."""
+        """Takes over the host list (`complete`), or a change of it."""
         now = self.loop.now()
         self.gateway.listed(now, rows, complete)
         self.start_housekeeping(now)
 
     def watch_hosts(self) -> None:
-        """Does nothing: the host list of a running gateway comes unasked."""
+        """Does nothing: a running gateway gets its host list without asking for it."""
 
     def order(self, host: str, function: str, copies: int) -> None:
         """Orders a host to load a function."""
@@ -179,5 +180,5 @@
             self.send_to_peers(payload)
 
     def receive_broadcast(self, payload: bytes, /) -> None:
-        """Takes what another gateway sent; what cannot be read is passed over."""
+        """Takes a payload of another gateway; one that cannot be decoded is ignored."""
         self.gateway.told(self.loop.now(), payload)
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -1,4 +1,4 @@
-"""Drives the generators of one gateway's decisions, for a running gateway and for the bench's wire alike."""
+"""Drives the generators of one gateway's decisions, in a running gateway and in the bench adapter alike."""
 
 from abc import ABC, abstractmethod
 
@@ -11,7 +11,7 @@
 class Driver(ABC):
     """One gateway: its decision module and the generators of its requests.
 
-    Whoever carries out the actions derives from it. A key is a request's id or `HOUSEKEEPING`; `now` is ns.
+    A subclass carries out the actions. A key is a request's id or `HOUSEKEEPING`; times are ns.
     """
 
     def __init__(self, gateway: DecisionModule) -> None:
@@ -28,7 +28,7 @@
 
     @abstractmethod
     def cancel_wait(self, key: str) -> None:
-        """The key waits no more; it may not have waited."""
+        """Cancels the wait of the key, if there is one."""
 
     @abstractmethod
     def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
@@ -56,16 +56,16 @@
 
     @abstractmethod
     def reject(self, key: str, rejection: face.Reject) -> None:
-        """Gives the final answer that nothing ran."""
+        """Gives the final answer that the request did not run, or may run again."""
 
     @abstractmethod
     def fail(self, key: str) -> None:
-        """Gives the final answer that promises nothing."""
+        """Gives the final answer that the request has failed: it may have run."""
 
-    # What happens
+    # Called as something happens
 
     def start_housekeeping(self, now: int) -> None:
-        """Starts the housekeeper, once: with the first host list."""
+        """Starts the housekeeper at the first host list; does nothing at later ones."""
         if self.housekeeper is None:
             self.housekeeper = self.gateway.housekeep(now)
             self.advance(HOUSEKEEPING, self.housekeeper, None, now)
@@ -78,26 +78,26 @@
         self.advance(request.id, generator, None, now)
 
     def serve(self, now: int, request: face.Request) -> Actions:
-        """A request's generator."""
+        """The generator of a request."""
         return self.gateway.serve(now, request)
 
     def wait_elapsed(self, key: str, now: int) -> None:
-        """The time came before any outcome."""
+        """Resumes a generator whose wait has ended by its time, before any outcome."""
         self.resume(key, now, None)
 
     def handle_outcome(self, now: int, outcome: face.Outcome) -> None:
-        """An attempt has ended: the decisions account for it, then its request goes on."""
+        """Accounts for an attempt that has ended, then resumes the generator of its request."""
         self.gateway.heard(now, outcome)
         self.resume(outcome.request, now, outcome)
 
     def abandon(self, now: int, key: str) -> None:
-        """The client has left: the request's generator is notified, and no final answer is owed."""
+        """Ends the generator of a request whose client has left; no final answer is owed."""
         if key in self.generators:
             self.resume(key, now, _departed(key))
             self.forget(key)
 
     def probe_answered(self, now: int, host: str, good: bool, report: face.Report | None) -> None:
-        """A health check has ended; the other gateways are sent what the decisions make of it."""
+        """Accounts for a health check that has ended; broadcasts the message that the decisions return."""
         payload = self.gateway.probed(now, host, good, report)
         if payload is not None:
             self.broadcast(payload)
@@ -105,7 +105,7 @@
     # Generators
 
     def resume(self, key: str, now: int, outcome: face.Outcome | None) -> None:
-        """Ends a generator's wait, by an outcome or by its time; nothing where there is no generator."""
+        """Ends a generator's wait by an outcome, or by its time (None); does nothing without a generator."""
         generator = self.housekeeper if key == HOUSEKEEPING else self.generators.get(key)
         if generator is not None:
             self.cancel_wait(key)
@@ -157,5 +157,5 @@
 
 
 def _departed(request_id: str) -> face.Outcome:
-    """The outcome that says that the client has left."""
+    """The outcome by which a generator learns that the client has left."""
     return face.Outcome(request_id, -1, "", face.Result.CLIENT_LEFT, 0, True, face.Found.UNKNOWN, None, None)
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -1,4 +1,4 @@
-"""A request in flight, its attempts, and what the hosts give for each of them."""
+"""A request in flight, its attempts, and what the hosts report of each attempt."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple, Protocol
@@ -9,7 +9,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """What an attempt came to, in the terms of the decision module."""
+    """How an attempt ended, in the terms of the decision module."""
 
     result: face.Result
     answer: Answer | None  # with Result.OK
@@ -23,21 +23,24 @@
 
     @property
     def started(self) -> bool:
-        """Whether its host may have got any of it."""
+        """Whether the host may have received any byte of the request."""
 
     @property
     def cancellable(self) -> bool:
-        """Whether it may be withdrawn though it has begun, as it cannot run yet; read only once it has."""
+        """Whether a started attempt may still be withdrawn, as the host cannot run it yet.
+
+        It is read only once `started` is true.
+        """
 
     def cancel(self) -> None:
-        """Ends it: its result is not reported any more."""
+        """Ends the attempt; its result is not reported any more."""
 
 
 class AttemptInFlight(NamedTuple):
     """An attempt that has not ended."""
 
     host: str
-    sent_at: int
+    sent_at: int  # ns
     handle: AttemptHandle
 
 
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -37,23 +37,23 @@
         """Accounts for the outcome of an attempt."""
 
     def probed(self, now: int, host: str, good: bool, report: face.Report | None, /) -> bytes | None:
-        """Accounts for a health check. Returns what is to be sent to all other gateways, or None."""
+        """Accounts for a health check. Returns the message for all other gateways, or None."""
 
     def told(self, now: int, payload: bytes, /) -> None:
-        """Takes what another gateway sent; what cannot be read is passed over."""
+        """Takes a message of another gateway; one that cannot be decoded is ignored."""
 
     def listed(self, now: int, rows: Sequence[face.ListedHost], complete: bool, /) -> None:
-        """Takes the host list (`complete`) or a change of it."""
+        """Takes over the host list (`complete`) or a change of it."""
 
     def list_refused(self, now: int, /) -> None:
-        """The host list was asked for and did not come."""
+        """Notes that a poll of the host list was refused."""
 
     def stood(self, now: int, host: str, function: str, result: face.Result | None, copies: int, /) -> None:
-        """Accounts for the answer to a load order: so many copies stand."""
+        """Accounts for the end of a load order; `copies`: instances that are loaded at the host now."""
 
 
 class RequestSender(Protocol):
-    """Whatever sends requests. Each `done` is called once and never from within the call itself."""
+    """Sends requests. Each `done` is called once, and never before the call that it was given to returns."""
 
     def send(
         self,
@@ -66,16 +66,19 @@
         done: Callable[[AttemptResult], None],
         /,
     ) -> AttemptHandle:
-        """Sends a request to one host, before `until` or never; its client waits until `limit`."""
+        """Sends a request to one host; `request` is the gateway's id of it.
+
+        The attempt begins before `until` or never; the client waits until `limit`. Both are ns.
+        """
 
 
 class Hosts(RequestSender, Protocol):
-    """Whatever reaches hosts; `done` as for `RequestSender`."""
+    """Sends requests, load orders and health checks to hosts; `done` as for `RequestSender`."""
 
     def order(
         self, host: str, function: str, copies: int, done: Callable[[face.Result, int], None], /
     ) -> None:
-        """Orders a host to load a function; `done` is given the copies that stand."""
+        """Orders a host to load a function; `done` gets the result and how many instances are loaded."""
 
     def probe(self, host: str, done: Callable[[bool, face.Report | None], None], /) -> None:
         """Checks a host's health; `done` is not called where the check could not be sent."""
