--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -6,14 +6,15 @@
 it host lists and answers to probes and load orders through its methods, and drives its generators:
 
 - `serve(now, request)`, one for each request, from acceptance to its one final answer;
-- `housekeep(now)`, one for each gateway, for as long as it lives.
+- `housekeep(now)`, one for each gateway, for as long as the gateway runs.
 
 A generator yields one of the actions of `actions.py` and is resumed at once with None, except for
 `Attempt`, resumed with the attempt's number, and `Wait`, resumed later with `(now, outcome)`, where the
 outcome is None when the time came first. A request's generator ends after `Reject` or `Fail`, or after an
-outcome that ended the request. Before a generator sees an outcome, and also when none is left to see it, the
-caller hands it to `Gateway.heard`. What came in at one moment is handed over before any wait whose time has
-come is resumed: a gateway that stalled must not judge as overdue what has been answered meanwhile.
+outcome that ended the request. Before the caller resumes a generator with an outcome, and also where the
+request has no generator any more, it hands the outcome to `Gateway.heard`. Outcomes that have arrived are
+handed over before waits whose time has come are resumed: a gateway that stalled must not treat as overdue
+what was answered meanwhile.
 """
 
 from gaproute.interface.actions import (
--- a/gaproute/interface/actions.py
+++ b/gaproute/interface/actions.py
@@ -13,11 +13,11 @@
 class Wait(NamedTuple):
     """Resume the generator at the next outcome, or at this time."""
 
-    until: int  # ns; a fraction where it comes of a median
+    until: int  # ns; not a whole number where it is computed from a median
 
 
 class Cancel(NamedTuple):
-    """Nobody waits for the answer of this attempt of the request any more."""
+    """Cancel this attempt of the request, as nobody waits for its answer any more."""
 
     attempt: int
 
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -8,7 +8,7 @@
 
 
 def always() -> bool:
-    """Stands for a client of whose leaving nothing can be known."""
+    """The `client_present` of requests for which the gateway cannot see whether the client has left."""
     return True
 
 
@@ -23,10 +23,10 @@
     request_class: str = ""  # the name of the request class, where hosts get it
     idempotency_key: str = ""  # by which hosts know a repeat, where clients send one
     tenant: bytes = b""  # as the client named it, where other gateways get it
-    origin: str = ""  # the id by which the first gateway sent it, where another one forwarded it
-    forwarded: tuple[str, int] | None = None  # (cell, hops) as `decisions.cells` has it, where another
-    #                                           gateway sent it
-    client_present: Callable[[], bool] = always  # whether its client still waits: asked as attempts begin
+    origin: str = ""  # the id that the first gateway gave the request, where another gateway forwarded it
+    # (cell, hops) as `decisions.cells` has it, where another gateway forwarded the request
+    forwarded: tuple[str, int] | None = None
+    client_present: Callable[[], bool] = always  # whether the client still waits; asked as attempts begin
 
     @property
     def function(self) -> str:
@@ -46,8 +46,8 @@
     """How a request ended; the values are those of counters and log lines."""
 
     DELIVERED = "delivered"
-    REJECTED = "declined"  # trying again is harmless
-    FAILED = "scrapped"  # promises nothing
+    REJECTED = "declined"  # a retry is safe
+    FAILED = "scrapped"  # the request may have run
 
 
 class Final(NamedTuple):
--- a/gaproute/interface/terms.py
+++ b/gaproute/interface/terms.py
@@ -13,7 +13,7 @@
 
 
 class Group(Enum):
-    """The hosts that know each other's idempotency keys; a value but `all` is a field of hosts."""
+    """Which hosts know each other's idempotency keys: all, or those that share the named field."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,14 +29,14 @@
 
 
 class RequestClass(NamedTuple):
-    """Requests with the same limits, worth and idempotency."""
+    """Requests with the same limits, priority weight and idempotency."""
 
     idempotency: Idempotency
     group: Group
     repeat_window: int  # how long the group remembers an idempotency key, ns
-    latency_objective: int  # within which an answer earns its full worth, ns
+    latency_objective: int  # within which an answer has its full value, ns
     hard_limit: int  # within which the final answer is owed, ns
-    priority_weight: float  # the worth of an answer
+    priority_weight: float  # the value of an answer
 
 
 class Terms(NamedTuple):
@@ -44,31 +44,31 @@
 
     request_classes: tuple[RequestClass, ...]
     tenant_shares: tuple[float, ...]
-    over_share_value: float  # by which the worth of a tenant's requests over its share is multiplied
+    over_share_value: float  # factor on the value of requests that a tenant sends above its share
     keep_alive: int  # an idle instance stays loaded at least this long, ns
     load_orders_allowed: bool
-    load_orders_free: float  # the load order limit: so many orders,
-    load_order_share: float  # plus this share of the requests taken,
-    load_order_window: int  # within this time, ns; 0: no limit
+    load_orders_free: float  # load orders allowed within the window, whatever the requests,
+    load_order_share: float  # and further ones for each request that was taken within it
+    load_order_window: int  # the time in which load orders are limited, ns; 0: no limit
     same_function_counted: bool  # hosts report `Outcome.same_function_requests`
     warmth_reported: bool  # hosts report `Outcome.found`
     probes_allowed: bool
     reports_by_probe: bool  # load reports come in answer to probes only
     reported_figures: tuple[str, ...]  # fields of `Report` that probes bring
-    probe_price: float  # share of the result that one probe or load order for each request takes,
-    peer_price: float  # and 256 bytes to another gateway
-    peers_allowed: bool  # gateways may send each other such messages
-    gateways: int  # in the tier
+    probe_price: float  # share of the result that one probe or load order for each request costs
+    peer_price: float  # share of it that 256 bytes to another gateway for each request cost
+    peers_allowed: bool  # gateways may send each other messages
+    gateways: int  # how many gateways serve the same hosts
     cancel_allowed: bool
     hedging_allowed: bool  # two attempts of a request may be in flight at once
     attempt_limit: int
-    retry_after_limit: int  # longest Retry-After that clients heed, ns; 0: they get none
+    retry_after_limit: int  # longest Retry-After that clients follow, ns; 0: clients are sent none
     warm_up_share: float  # a host that starts can do at least this share of its work,
     warm_up_time: int  # and all of it after this time, ns
     host_list_polled: bool  # the host list comes only when it is asked for
-    zone: int  # of this gateway, as the list numbers them; -1: unknown
-    crossing_price: float  # share of the result that attempts in other zones take, one for each request
-    warm_up_overload: float = 2.0  # multiple of what a host that warms up can do under which it falls over
+    zone: int  # of this gateway, numbered as in the host list; -1: unknown
+    crossing_price: float  # share of the result that one attempt in another zone for each request costs
+    warm_up_overload: float = 2.0  # a warming host fails at this multiple of the load that it can bear
 
 
 class ListedHost(NamedTuple):
@@ -83,7 +83,7 @@
 
 
 class Request(NamedTuple):
-    """What a client wants run."""
+    """A request of a client, as the decisions see it."""
 
     id: str
     tenant: int
