--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -1,8 +1,8 @@
-"""Reads the platform's settings object, for the bench's wire and for a gateway on sockets alike.
+"""Reads the platform's settings object, for the bench adapter and for a gateway that serves sockets.
 
-The keys of the object are the platform's; they appear nowhere else. Unknown keys are passed over, and what is
-missing or null counts as 0, no or none. Errors of `read_terms` and `read_deployment`: KeyError, ValueError,
-TypeError, AttributeError, OverflowError.
+The keys of the object are the platform's; they appear nowhere else. Unknown keys are ignored, and a value
+that is missing or null counts as 0, false or none. Errors of `read_terms` and `read_deployment`: KeyError,
+ValueError, TypeError, AttributeError, OverflowError.
 """
 
 from collections.abc import Mapping
@@ -29,7 +29,7 @@
 
 
 class DeploymentSettings(NamedTuple):
-    """What a gateway on sockets is given beside the terms; times are ns."""
+    """What a gateway that serves sockets is given beside the terms; times are ns."""
 
     class_names: tuple[str, ...]  # of the request classes, in the order of the terms
     zones: tuple[str, ...]
@@ -80,7 +80,7 @@
 
 
 def read_deployment(settings: Mapping[str, Any]) -> DeploymentSettings:
-    """What a gateway on sockets is given beside the terms."""
+    """What a gateway that serves sockets is given beside the terms."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     return DeploymentSettings(
         class_names=tuple(each["name"] for each in settings.get("lanes") or ()),
@@ -102,18 +102,19 @@
 
 
 def _section(settings: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+    """The object under a key of the settings; an empty one where it is missing or null."""
     section: Mapping[str, Any] = settings.get(key) or {}
     return section
 
 
-def _request_class(lane: Mapping[str, Any]) -> face.RequestClass:
+def _request_class(fields: Mapping[str, Any]) -> face.RequestClass:
     return face.RequestClass(
-        idempotency=IDEMPOTENCY[lane["effect"]],
-        group=face.Group(lane.get("group") or "all"),
-        repeat_window=_duration(lane, "dedup_window"),
-        latency_objective=_duration(lane, "aim"),
-        hard_limit=_duration(lane, "deadline"),
-        priority_weight=float(lane.get("worth") or 1.0),
+        idempotency=IDEMPOTENCY[fields["effect"]],
+        group=face.Group(fields.get("group") or "all"),
+        repeat_window=_duration(fields, "dedup_window"),
+        latency_objective=_duration(fields, "aim"),
+        hard_limit=_duration(fields, "deadline"),
+        priority_weight=float(fields.get("worth") or 1.0),
     )
 
 
