--- a/gaproute/decisions/routing/answer_times.py
+++ b/gaproute/decisions/routing/answer_times.py
@@ -6,21 +6,21 @@
 from gaproute.decisions.routing.functions import Function
 from gaproute.decisions.routing.parameters import SAMPLES
 
-FIRST_GUESS = 0.25  # of the latency objective: usual answer time before any was seen
+FIRST_GUESS = 0.25  # of the latency objective: the usual answer time before any answer was seen
 
 
 class AnswerTimes:
-    """Usual times, ns; `shortest_objective`: the shortest latency objective, a guess before any answer."""
+    """Usual times, ns. They are guessed from the shortest latency objective before the first answer."""
 
     def __init__(self, shortest_objective: int) -> None:
         self.shortest_objective = shortest_objective
         self.loads: deque[int] = deque(maxlen=SAMPLES)  # answer times where a load was waited for
 
     def usual(self, function: Function) -> float:
-        """Of the function, where an instance is loaded."""
+        """The usual answer time of the function where an instance is loaded."""
         times = function.answer_times
         return median(times) if times else self.shortest_objective * FIRST_GUESS
 
     def usual_load(self, reported: int | None = None) -> float:
-        """Where a load is waited for; `reported`: the usual time of the load, where it is known."""
+        """The usual answer time of a request that waits for a load; `reported`: the client's figure of it."""
         return reported or (median(self.loads) if self.loads else self.shortest_objective)
--- a/gaproute/decisions/routing/attempt_tracker.py
+++ b/gaproute/decisions/routing/attempt_tracker.py
@@ -8,20 +8,20 @@
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.interface import Request, RequestClass
 
-PATIENCE = 4  # usual answer times before an attempt counts as overdue,
-LEAST_PATIENCE = 2  # and at least so many where the latency objective is short
-LOAD_PATIENCE = 2  # usual load times more where a load is expected
-UNANSWERED = 1.0  # weight of a result that is no answer
+PATIENCE = 4  # usual answer times after which an attempt counts as overdue
+LEAST_PATIENCE = 2  # the same where the latency objective is short: never fewer
+LOAD_PATIENCE = 2  # usual load times that are added where a load is expected
+UNANSWERED = 1.0  # weight of an attempt without an answer among the results of a host
 
 
 class InFlightAttempt(NamedTuple):
-    """What is to be known of an attempt when its outcome comes."""
+    """What the decisions need of an attempt when its outcome arrives."""
 
     host: str
     function: str
     request_class: int
     sent_at: int  # ns
-    warm: bool  # whether an instance was taken to be loaded
+    warm: bool  # whether the gateway expected an instance to be loaded
 
 
 class AttemptTracker:
@@ -39,7 +39,7 @@
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
 
     def sent(self, now: int, request: Request, attempt: int, host: Host, attempts: RequestAttempts) -> float:
-        """An attempt was sent; returns when it counts as overdue (ns)."""
+        """Registers an attempt that was sent; returns when it counts as overdue (ns)."""
         function = self.functions.find_or_add(request.function, request.lanes)
         proven = function.proven_at.get(host.id, -1) >= host.instances_lost_at
         warm = proven and self.functions.warmth(function, host, now) > 0
@@ -62,18 +62,19 @@
         return due
 
     def in_time(self, function: Function, took: int, *, warm: bool) -> bool:
-        """Whether an answer took no longer than one may that is not overdue."""
+        """Whether an answer that took so long (ns) came before its attempt counted as overdue."""
         load = 0 if warm else LOAD_PATIENCE * self.answer_times.usual_load()
         return took <= PATIENCE * self.answer_times.usual(function) + load
 
     def hold_overdue_against_hosts(
         self, now: int, request: Request, attempts: RequestAttempts, function: Function
     ) -> float:
-        """Hold overdue attempts in silence against their hosts at once; returns when to look again (ns).
+        """Count overdue attempts as failures of silent hosts; returns when to check again (ns).
 
-        Silence, no answer of the class since, shows hosts that hang, vanish or are cut off, and one class
-        unanswered alone. It needs two such attempts or one for twice the patience, as one slow request proves
-        little. The attempt goes on: what is sent again is late and twice the work.
+        A host is silent for a request class if it has answered no request of the class since the attempt was
+        sent: it hangs, has vanished, is cut off, or does not answer this class. One slow request proves
+        little, so a failure is counted once two attempts at the host are overdue, or one at two checks in a
+        row. The attempt itself goes on: to send the request again would be late and twice the work.
         """
         for attempt, (host, sent_at) in attempts.in_flight.items():
             key = request.id, attempt
--- a/gaproute/decisions/routing/candidates.py
+++ b/gaproute/decisions/routing/candidates.py
@@ -1,4 +1,4 @@
-"""The order in which hosts are scored, so that those that cannot win are spared."""
+"""The order in which hosts are scored, chosen so that hosts that cannot win need not be scored."""
 
 from collections.abc import Iterator, Sequence
 
@@ -7,12 +7,13 @@
 from gaproute.decisions.routing.parameters import NEVER
 from gaproute.decisions.routing.tables import Tables
 
-HASH_FALL = 0.85  # of the points of the stable hash, from each choice to the next: gateways agree on where
-#                   to spill, ten deep
+# Factor on the points of the stable hash from each choice to the next: where the first choices are full, all
+# gateways go to the same next ones, about ten of them.
+HASH_FALL = 0.85
 DEEPER = 4  # times as many hosts are ranked where those ranked so far did not settle a choice
 UNBOUNDED = NEVER  # more points than any host can have
 
-# (host, warmth, rank, most points). A plain tuple: there is one for each host that is scored.
+# (host, warmth, rank, most points). A plain tuple, as one is made for each host that is scored.
 Candidate = tuple[Host, float, int, float]
 
 
@@ -31,12 +32,13 @@
         hash_points: float,
         width: int,
     ) -> Iterator[Candidate]:
-        """The able hosts: those taken to have an instance, then the others by rank.
+        """The able hosts: first those that are expected to have an instance, then the others by rank.
 
-        The most points are a bound on the score of this host and all that follow, but for the cost of a
-        queue: no warm one is given it, and of the others the hash's points are all that they can have. It
-        spares scoring those that cannot win, which in a large fleet are nearly all; the choice stays as if
-        all were scored. `width`: how many first choices of the hash count alike.
+        The last field of a candidate bounds the score, before the cost of a queue, of this host and of all
+        that follow. Hosts with an instance are not bounded; the others can have no more than the points of
+        the stable hash. The caller stops at a bound below the best score so far. So it scores few hosts of a
+        large fleet, and chooses as if it had scored all. `width`: how many first choices of the hash count
+        alike.
         """
         active, ranking = self.hosts.active, self.ranking
         ranks = ranking.ranks(name, function)
--- a/gaproute/decisions/routing/function_mix.py
+++ b/gaproute/decisions/routing/function_mix.py
@@ -6,7 +6,7 @@
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import MIX_SIZE
 
-LEAST_MIX = MIX_SIZE // 4  # requests over which shares are taken at least
+LEAST_MIX = MIX_SIZE // 4  # a share is taken of at least so many requests
 
 
 class FunctionMix:
@@ -17,11 +17,11 @@
         self.recent: deque[str] = deque(maxlen=MIX_SIZE)
 
     def add(self, name: str) -> None:
-        """A request of the function came."""
+        """Adds a request of the function."""
         self.recent.append(name)
 
     def prepend(self, names: Iterable[str]) -> None:
-        """Take these for older requests: own ones push them out."""
+        """Adds functions of requests that count as older than all own ones, which replace them in time."""
         self.recent.extendleft(names)
 
     def share(self, name: str) -> float:
@@ -31,9 +31,9 @@
     def breadth(self, name: str) -> float:
         """How many hosts a function could fill: its share of the last requests, times the active hosts.
 
-        It needs no number of own requests, so it is right at gateways that see few. From one host on the
-        function is hot: it spills early, and SPREAD_FACTOR times as many first choices of the stable hash
-        count alike, so that gateways spread it; a rare one waits for its instance, as loads for it jam the
-        store.
+        The figure does not depend on how many requests this gateway sees. A function that could fill one host
+        or more is hot: its requests go to further hosts early, and SPREAD_FACTOR times as many first choices
+        of the stable hash count alike, so that gateways use different ones. Requests of a rare function wait
+        for its loaded instance, as further loads would overload the model store.
         """
         return self.share(name) * len(self.hosts.active)
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway's decisions: the parts, and the one face that callers use."""
+"""A gateway's decisions: their parts, and the methods that callers use."""
 
 from collections.abc import Generator, Iterator, Mapping, Sequence
 from typing import Any
@@ -40,8 +40,8 @@
 class Gateway:
     """Makes the parts, each of which owns its state, and passes on to them what callers hand in.
 
-    Subclasses may replace parts by naming other types. `load_order_limiter`: where several gateways of one
-    process share a limit.
+    Subclasses may replace parts by naming other types. `load_order_limiter` is given where several gateways
+    of one process share a limit.
     """
 
     retry_rules_type: type[RetryRules] = RetryRules
@@ -116,7 +116,7 @@
             self.hints,
         )
 
-    # What others may read
+    # State that other modules read
 
     @property
     def hosts_by_id(self) -> Mapping[str, Host]:
@@ -134,17 +134,17 @@
         return self.functions.by_name
 
     def queued(self, host: Host, lanes: int, now: int) -> float:
-        """Requests at the host, as far as this gateway knows."""
+        """How many requests the host has, as far as this gateway knows."""
         return self.loads.queued(host, lanes, now)
 
     # Requests
 
     def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
-        """One request, from acceptance to its one final answer."""
+        """The generator of one request, from acceptance to its one final answer."""
         return self.router.serve(now, request)
 
     def heard(self, now: int, outcome: Outcome) -> None:
-        """An attempt has ended, whether or not its request is still waiting."""
+        """Accounts for an attempt that has ended, whether or not its request is still waiting."""
         self.recorder.record(now, outcome)
 
     @property
@@ -159,20 +159,20 @@
     # The host list, probes and load orders
 
     def listed(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
-        """A host list has come; `complete`: hosts that it does not name are gone."""
+        """Takes over a host list; `complete`: hosts that it does not name are gone."""
         self.hosts.update(now, rows, complete=complete)
         self.sharing.hosts_listed([host.id for host in self.hosts.active])
 
     def list_refused(self, now: int) -> None:
-        """A poll of the host list was refused: it is asked for once more."""
+        """Notes that a poll of the host list was refused: the list is polled once more."""
         self.housekeeping.host_list_wanted = True
 
     def housekeep(self, now: int) -> Generator[Action, Any, None]:
-        """Polls, probes and cleanup, for as long as the gateway lives."""
+        """The generator of polls, probes and cleanup, for as long as the gateway runs."""
         return self.housekeeping.run(now)
 
     def probed(self, now: int, host_id: str, good: bool, report: Report | None) -> bytes | None:
-        """A probe has ended; returns the message for all other gateways, or None."""
+        """Accounts for a probe that has ended; returns the message for all other gateways, or None."""
         host = self.hosts.by_id.get(host_id)
         if host is not None:
             self.loads.record(host, now, report)
@@ -181,45 +181,47 @@
         return self.sharing.encode(host_id, report) if good else None
 
     def told(self, now: int, message: bytes) -> None:
-        """Another gateway's message about a host's load."""
+        """Takes another gateway's message about the load of a host; one that cannot be used is ignored."""
         decoded = self.sharing.decode(message)
         if decoded is not None:
             host_id, report = decoded
             self.loads.record(self.hosts.by_id[host_id], now, report)
 
     def stood(self, now: int, host_id: str, name: str, result: Result | None, copies: int) -> None:
-        """A load order has ended; `result`: None where its answer cannot be read; `copies`: instances that
-        are loaded there now."""
+        """Accounts for the end of a load order.
+
+        `result` is None where the answer cannot be decoded; `copies`: instances that are loaded there now.
+        """
         function = self.functions.by_name.get(name)
         if function is not None:
             self.load_orders.end(now, function, self.hosts.by_id.get(host_id), result)
 
     def forget_departed_hosts(self) -> None:
-        """Cleanup of hosts that left the list, where no housekeeping runs."""
+        """Forgets hosts that left the list, for callers that run no housekeeping."""
         self.housekeeping.forget_departed()
 
-    # What others observed, and what this gateway did
+    # Observations of other gateways, and of this one
 
     def hint(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
-        """An instance was seen there; returns whether the hint counts."""
+        """Another gateway saw an instance of the function at the host; returns whether the hint counts."""
         return self.hints.instance(host_id, name, lanes, seen)
 
     def hint_doubt(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
-        """Attempts of the class failed there; returns whether the hint counts."""
+        """Another gateway's attempts of the class failed at the host; returns whether the hint counts."""
         return self.hints.failure(host_id, request_class, harm, seen)
 
     def hint_pace(self, host_id: str, slowdown: float, seen: int) -> bool:
-        """It answered so many times slower than usual; returns whether the hint counts."""
+        """The host answered another gateway that many times slower than usual; whether the hint counts."""
         return self.hints.slowdown(host_id, slowdown, seen)
 
     def hint_usual(self, name: str | None, took: int) -> bool:
-        """A function's usual answer time (ns), of loads where `name` is None; whether the hint counts."""
+        """The usual answer time (ns) of a function, or of loads (`name` None); whether the hint counts."""
         return self.hints.usual_time(name, took)
 
     def hint_mix(self, names: Sequence[str]) -> None:
-        """Functions of requests that others served last."""
+        """The functions of the last requests that other gateways served."""
         self.hints.set_mix(names)
 
     def known(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
-        """What this gateway itself saw since then, one by one."""
+        """The observations that this gateway itself made since that time (ns)."""
         return self.observations.since(now, since)
--- a/gaproute/decisions/routing/hints.py
+++ b/gaproute/decisions/routing/hints.py
@@ -1,8 +1,8 @@
-"""What other gateways or an earlier run of this one observed, and how far it is followed.
+"""Hints: what other gateways or an earlier run of this one observed, and how far this gateway relies on it.
 
-Evidence that fades alike and gives way to any of one's own. It gives no credit, orders nothing and lifts no
-limit. Only a gateway that gets the observations of others (`reports/shared_observations.py`) has hints;
-elsewhere nothing is on trial.
+A hint expires like an observation of this gateway and is replaced by any of its own. It gives hosts that warm
+up no credit, causes no load order and lifts no limit. Only a gateway that gets the observations of others
+(`decisions/reports/shared_observations.py`) has hints.
 """
 
 from collections.abc import Sequence
@@ -21,14 +21,14 @@
 from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Found
 
-WRONG_LIMIT = 2  # wrong hints after which none is followed: one may be an instance that has just gone
-TRIAL_LIMIT = 2  # hints on trial at a time: an answer takes a tenth of a second, a wrong one a load
-PROVEN_HINTS = 8  # right hints, and none wrong, before the mix of others is taken
+WRONG_LIMIT = 2  # wrong hints after which none is followed: one may be of an instance that has just gone
+TRIAL_LIMIT = 2  # hints on trial at a time: a right one costs a tenth of a second, a wrong one a load
+PROVEN_HINTS = 8  # right hints, with none wrong, before the function mix of others is taken over
 LEAST_CHOICES = 2  # hosts among which one is drawn where the first choice of the hash was not hinted
 
 
 class Hints:
-    """Takes hints and follows some on trial, until they prove wrong."""
+    """Takes hints and follows a few of them at a time on trial, until too many have proved wrong."""
 
     def __init__(self, tables: Tables, measurements: Measurements, chance: Chance) -> None:
         self.hosts, self.functions, self.mix, self.ranking = tables
@@ -39,7 +39,7 @@
         self.hinted_mix: Sequence[str] | None = None  # see `set_mix`
 
     def instance(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
-        """An instance was seen there. It is considered when a request of the function comes."""
+        """An instance was seen at the host. The hint is considered when a request of the function comes."""
         host = self.hosts.by_id.get(host_id)
         if host is None or not host.active or seen <= host.instances_lost_at:
             return False
@@ -51,7 +51,7 @@
         return True
 
     def failure(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
-        """Attempts of the class failed there: counts as one quick failure, where nothing is known."""
+        """Attempts of the class failed at the host: one failure is recorded where it has no results yet."""
         host = self._unknown_since(host_id, seen)
         if host is None or host.results:
             return False
@@ -59,7 +59,7 @@
         return True
 
     def slowdown(self, host_id: str, slowdown: float, seen: int) -> bool:
-        """It answered so many times slower than usual."""
+        """The host answered that many times slower than usual; taken where its pace is not known yet."""
         host = self._unknown_since(host_id, seen)
         if host is None or host.paces:
             return False
@@ -72,7 +72,7 @@
         return host if host is not None and host.active and seen > host.instances_lost_at else None
 
     def usual_time(self, name: str | None, took: int) -> bool:
-        """A function's usual answer time (ns); of loads where `name` is None."""
+        """The usual answer time (ns) of a function, or of loads (`name` None); taken where none is known."""
         if name is None:
             times = self.answer_times.loads
         elif name in self.functions.by_name:
@@ -85,20 +85,20 @@
         return True
 
     def set_mix(self, names: Sequence[str]) -> None:
-        """Functions of requests that others served last.
+        """The functions of the last requests that other gateways served.
 
-        Taken once hints have proved right: a mix spreads the hot functions over hosts of which only hints
-        can tell whether instances are loaded there.
+        They are taken over once hints have proved right: a function mix spreads the hot functions over hosts
+        of which this gateway knows only by hints whether they have instances.
         """
         self.hinted_mix = names[: MIX_SIZE // 2]
 
     def consider(self, now: int, name: str, function: Function) -> None:
-        """Follow what was hinted of a function's instances, where nothing was seen oneself.
+        """Follow a hint on the instances of a function of which this gateway has seen none itself.
 
-        A wrong hint costs a load that the stable hash would have spared, so hints go on trial, two functions
-        at a time, until two proved wrong. Right ones do not make up for them: a hot function's instances
-        stand nearly everywhere, so that any hint of it proves right. The hash's first choice is tried where
-        it was hinted, else one of its next.
+        A wrong hint costs a load that the stable hash would have avoided, so only two hints are on trial at a
+        time, and none is followed once two have proved wrong. Right ones do not make up for wrong ones: a hot
+        function has instances at nearly every host, so any hint on it proves right. The first choice of the
+        hash is tried where it was hinted, else one of the next choices.
         """
         hinted, function.hinted_at = function.hinted_at, {}
         order = self._ranked(name, hinted)
@@ -122,7 +122,7 @@
         return [host_id for _, host_id in sorted(keys)]
 
     def verify(self, name: str, host_id: str, found: Found) -> None:
-        """An outcome shows whether a hint on trial was right."""
+        """Record whether a hint on trial was right, by what an attempt found at the host."""
         if self.trials.pop((name, host_id), None) is None or found is Found.UNKNOWN:
             return
         if found is not Found.WARM:
--- a/gaproute/decisions/routing/host.py
+++ b/gaproute/decisions/routing/host.py
@@ -7,9 +7,9 @@
 from gaproute.decisions.routing.samples import Sample
 from gaproute.interface import ListedHost, Report, State
 
-CREDIT_LIFETIME = 2 * SECOND  # over which unspent credit fades: about the time in which hosts that warm up
-#                               fall over
-LEAST_CAPACITY = 1e-3  # that a host counts with, whatever the list says
+# Unspent credit fades over this time, about that in which an overloaded host that warms up fails.
+CREDIT_LIFETIME = 2 * SECOND
+LEAST_CAPACITY = 1e-3  # a host counts with at least this capacity, whatever the host list says
 
 AttemptKey = tuple[str, int]  # id of the request, number of its attempt
 
@@ -23,7 +23,7 @@
 
 
 class Host:
-    """What this gateway knows of one host; the classes beside it judge by it."""
+    """What this gateway knows of one host; the other classes of the package decide by it."""
 
     def __init__(self, row: ListedHost, warm_up_time: int) -> None:
         self.id = row.host
@@ -33,40 +33,40 @@
         self.restart(row, -1, {})
 
     def restart(self, row: ListedHost, instances_lost_at: int, in_flight: dict[AttemptKey, int]) -> None:
-        """The host has started anew: nothing that was seen of it before counts."""
+        """Reset what is known of a host that has restarted."""
         self.started = row.started
-        self.warm_at = -1 if row.started is None else row.started + self.warm_up_time  # does all its work
-        self.instances_lost_at = instances_lost_at  # instances seen before it are no longer loaded
-        self.in_flight = in_flight  # attempt: when it was sent
-        self.answered_at: dict[int, int] = {}  # request class: when an answer of it last came
-        self.overdue: dict[AttemptKey, bool] = {}  # overdue with no answer of its class since: whether
-        #                                            it was counted as a failure
+        self.warm_at = -1 if row.started is None else row.started + self.warm_up_time  # end of the warm-up
+        self.instances_lost_at = instances_lost_at  # instances seen before then are no longer loaded
+        self.in_flight = in_flight  # by attempt: when it was sent
+        self.answered_at: dict[int, int] = {}  # by request class: when the host last answered one
+        # Overdue attempts without an answer of their class since: whether each was counted as a failure.
+        self.overdue: dict[AttemptKey, bool] = {}
         self.results: list[HostResult] = []  # the last of each request class
         self.bad_results = 0  # of `results`
-        self.paces: deque[Sample] = deque(maxlen=SAMPLES)  # answer time over the function's usual one
-        self.slowdown, self.slowdown_until = 1.0, -1  # times slower than usual, at the last answer
+        self.paces: deque[Sample] = deque(maxlen=SAMPLES)  # answer time divided by the function's usual one
+        self.slowdown, self.slowdown_until = 1.0, -1  # times slower than usual at the last answer, until when
         self.report: Report | None = None
         self.reported_at = -REPORT_LIFETIME
         self.memory_busy: float | None = None  # by the last report
-        self.credit, self.credit_at = 0.0, 0  # chance of an attempt while it warms up; when last raised
-        self.full_until: float = -1  # it rejected a request as full; nothing more until then
+        self.credit, self.credit_at = 0.0, 0  # attempts that a warming host may get; when last raised
+        self.full_until: float = -1  # the host rejected a request as full and gets none until then
         self.renew(row)
 
     def renew(self, row: ListedHost) -> None:
-        """Take what the host list says of the host, which has not started anew."""
+        """Take over what the host list says of the host, which has not restarted."""
         self.zone, self.cell = row.zone, row.cell
         self.capacity = max(row.capacity, LEAST_CAPACITY)
         self.active = row.state is State.ACTIVE
 
     def add_credit(self, now: int, share: float) -> None:
-        """Credit for attempts while the host warms up.
+        """Raise the number of attempts that the host may get while it warms up.
 
-        What is unspent fades, so that many gateways do not save up a burst.
+        Unspent credit fades, so that many gateways do not save it up and spend it at once.
         """
         left = max(0.0, 1 - (now - self.credit_at) / CREDIT_LIFETIME)
         self.credit = self.credit * left + share
         self.credit_at = now
 
     def spend_credit(self) -> None:
-        """An attempt goes to the host."""
+        """Deduct an attempt that goes to the host."""
         self.credit = max(0.0, self.credit - 1)
--- a/gaproute/decisions/routing/host_loads.py
+++ b/gaproute/decisions/routing/host_loads.py
@@ -1,4 +1,4 @@
-"""How many requests hosts have, by their load reports and own attempts."""
+"""How many requests hosts have, by their load reports and by this gateway's own attempts."""
 
 from collections import deque
 from statistics import median
@@ -10,10 +10,10 @@
 
 
 class HostLoads:
-    """The loads of hosts, and the usual one."""
+    """The loads of hosts, and the usual load."""
 
     def __init__(self) -> None:
-        self.reported: deque[Sample] = deque(maxlen=RATE_SAMPLES)  # load over capacity of the last reports
+        self.reported: deque[Sample] = deque(maxlen=RATE_SAMPLES)  # load divided by capacity, last reports
         self.usual, self.usual_at = 0.0, -JUDGEMENT_INTERVAL
 
     def record(self, host: Host, now: int, report: Report | None) -> None:
@@ -26,7 +26,7 @@
             self.reported.append((now, load / host.capacity))
 
     def queued(self, host: Host, lanes: int, now: int) -> float:
-        """Requests at the host: by its report and what was sent since, else own ones in flight."""
+        """Requests at the host: those of a fresh report and those sent since, else the own ones in flight."""
         report, in_flight = host.report, host.in_flight
         if report is None or now > host.reported_at + REPORT_LIFETIME:
             return len(in_flight)
@@ -34,12 +34,12 @@
         sent_since = sum([sent > reported_at for sent in in_flight.values()])
         if report.in_hand is not None:
             return max(report.in_hand + sent_since, 0)
-        if report.waiting is not None:  # without the requests at work: own ones are taken for them
+        if report.waiting is not None:  # requests at work are not reported: the own ones stand for them
             return max(report.waiting, 0) + len(in_flight)
         return max(sent_since + (report.cpu_busy or 0.0) * lanes, len(in_flight))
 
     def usual_load(self, now: int) -> float:
-        """Median load over capacity by the last reports, for hosts without a fresh report."""
+        """Median of load divided by capacity in the last reports, for hosts without a fresh report."""
         if now - self.usual_at >= JUDGEMENT_INTERVAL:
             recent = [load for at, load in self.reported if now - at < REPORT_LIFETIME]
             self.usual = median(recent) if recent else 0.0
--- a/gaproute/decisions/routing/host_selector.py
+++ b/gaproute/decisions/routing/host_selector.py
@@ -29,7 +29,7 @@
         self.retry_rules, self.scorer, self.chance = retry_rules, scorer, chance
 
     def choose(self, now: int, request: Request, attempts: RequestAttempts) -> Host | None:
-        """The host that gets the request now; None: none yet."""
+        """The host that gets the request now, or None where the request has to wait."""
         function = self.functions.find_or_add(request.function, request.lanes)
         paused = now < function.paused_until and not attempts.failed_hosts
         able = self.able_hosts(now, request, attempts, function, paused=paused)
@@ -38,9 +38,10 @@
         scored = self.scorer.scores(now, request, attempts, function, able)
         host = self._best(now, scored)
         if host is None:
-            return self.choose(now, request, attempts)  # all passed over: those not scored so far
-        # One that rejected a request as full just now gets none for a moment: refusals come fast and look
-        # like ease; what goes round full hosts or loads elsewhere feeds the jam. What it rejected moves on.
+            return self.choose(now, request, attempts)  # all scored hosts were skipped: try the others
+        # A host that has just rejected a request as full gets none for a moment: it answers fast, and so
+        # looks idle. Other requests of the function wait as well: if they went to further hosts, or caused
+        # loads there, they would overload these too. Only the request that was rejected is sent elsewhere.
         if now < host.full_until and not paused and not attempts.failed_hosts:
             function.paused_until = host.full_until
             return self.choose(now, request, attempts)
@@ -49,13 +50,13 @@
     def able_hosts(
         self, now: int, request: Request, attempts: RequestAttempts, function: Function, *, paused: bool
     ) -> list[Host]:
-        """The hosts that may get the request now; the table's own list where nothing speaks against any."""
+        """The hosts that may get the request now; the list of active hosts itself where all of them may."""
         able = self.hosts.active
         if attempts.started or now < self.hosts.all_warm_at:
             able = self.allowed_hosts(now, request, attempts, able)
         if attempts.failed_hosts:
             able = [host for host in able if host not in attempts.failed_hosts] or able
-            # What a full host rejected goes to an instance that is loaded: a load would feed the jam.
+            # What a full host rejected goes to a loaded instance: a further load adds to the overload.
             able = [host for host in able if self.functions.warmth(function, host, now) > 0] or able
         if paused:
             able = [
@@ -68,16 +69,16 @@
     def allowed_hosts(
         self, now: int, request: Request, attempts: RequestAttempts, hosts: list[Host]
     ) -> list[Host]:
-        """Those that the rules on retries and on hosts that warm up allow."""
+        """The hosts that the rules on retries and on hosts that warm up allow."""
         request_class = self.request_classes[request.request_class]
         tried = [sent.host for sent in attempts.in_flight.values()]
         allowed = self.retry_rules.allowed
         able = [host for host in hosts if host not in tried and allowed(host, request_class, attempts, now)]
-        # One that warms up gets no more than its credit (see `SlowStart`): it must not fall over.
+        # A host that warms up gets no more than its credit (see `SlowStart`), so that it does not fail.
         return [host for host in able if now >= host.warm_at or host.credit > 0]
 
     def _best(self, now: int, scored: list[RankedScore]) -> Host | None:
-        """The first by score that is not passed over, as hosts that warm up are by chance."""
+        """The host with the best score; a host that warms up is skipped at random, the less its credit."""
         while scored:
             ties = bisect_left(scored, (scored[0][0], NEVER))
             host = self.hosts.active[scored.pop(self.chance.below(ties))[1]]
--- a/gaproute/decisions/routing/housekeeping.py
+++ b/gaproute/decisions/routing/housekeeping.py
@@ -10,12 +10,12 @@
 from gaproute.interface import Action, PollHostList, Probe, Terms, Wait
 
 PROBE_INTERVAL = 700 * MILLI  # between probes of one host where load reports come by probe only
-UNPAID_INTERVAL = 100 * MILLI  # between looks whether a probe is paid for
-CLEANUP_INTERVAL = SECOND  # between looks for functions to forget: waking costs CPU, and they weigh little
+UNPAID_INTERVAL = 100 * MILLI  # between checks whether requests have paid for a probe
+CLEANUP_INTERVAL = SECOND  # between cleanups: each costs CPU, and unused functions take little memory
 
 
 class Housekeeping:
-    """Asks for the host list where it must be asked for, probes where reports come no other way, forgets."""
+    """Polls the host list where it must be polled, probes hosts that report only to probes, and cleans up."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self.host_list_wanted = terms.host_list_polled
 
     def run(self, now: int) -> Generator[Action, Any, None]:
-        """One generator for each gateway, for as long as it lives."""
+        """The one generator of a gateway's housekeeping, for as long as the gateway runs."""
         cleaned_at = now
         while True:
             if self.host_list_wanted:
@@ -54,5 +54,5 @@
         return PROBE_INTERVAL // max(1, len(self.hosts.active))
 
     def forget_departed(self) -> None:
-        """Forget the hosts that left the list."""
+        """Forget hosts that left the list and have no attempt in flight."""
         self.functions.forget_hosts(self.hosts.remove_departed())
--- a/gaproute/decisions/routing/load_order_limiter.py
+++ b/gaproute/decisions/routing/load_order_limiter.py
@@ -1,14 +1,18 @@
-"""The limit on load orders: the clock is handed in.
-
-The platform counts a load order when it has come whole to its host, beside the requests that it counts as
-taken in the window before that moment. Neither is seen from here: an order may travel for long, and of the
-requests that came some are faulty, doubled or their clients', which the platform leaves out. So both are
-counted on the safe side. An order counts from its sending until a window after its end. A request counts once
-it was delivered, as only a host that knew it for a real one answers it well, and only while it is younger
-than the window less the longest way of an order. For an order that arrives at `t`, less than that way after
-the last sending at `w` before it: all orders counted there were counted at `w`, as `w` <= `t`, and all
-requests counted at `w` came within the window before `t`. So the bound kept at each sending holds at each
-arrival.
+"""The limit on load orders; times are handed in, in ns.
+
+The platform allows so many load orders for the requests that were taken within a window of time. It counts an
+order at the moment at which the host has received it completely, and the requests that were taken in the
+window before that moment. A gateway can see neither: an order may be on its way for long, and the platform
+leaves out some requests (malformed or repeated ones). So the gateway counts both on the safe side:
+
+- an order counts from when it is sent until one window after its end;
+- a request counts once it was delivered, as a host answers only requests that the platform counts, and only
+  while it is younger than the window less `travel_time`, the longest time that an order is on its way.
+
+Then a limit that holds whenever an order is sent also holds whenever one arrives. Let an order arrive at time
+`t`, and let `w` be the last time up to `t` at which one was sent, so that `t - w` is at most `travel_time`.
+Every order that the platform counts at `t` was counted here at `w`, and every request counted here at `w` was
+taken within the window before `t`.
 """
 
 from bisect import bisect_right, insort
@@ -18,24 +22,26 @@
 from gaproute.decisions.routing.parameters import SAMPLES
 from gaproute.interface import Terms
 
-TRAVEL_SHARE = 0.5  # of the window, for the way of an order; one that may still be under way then ends with
-#                     its connection. At half the requests it still is an order for every seven
-FOUND_SHARE = 0.25  # of the usual time of a load: an order done sooner found its instances loaded
-LEAST_ORDERS = 3  # of the last orders that say something of the next
-TRIAL_ODDS = 16  # of so many orders that likely bring nothing one is sent: hosts may have changed
+# Of the window: the longest time that an order may be on its way; the connection of one that may still be on
+# its way then is closed. Only the requests in the rest of the window count, half of them: that still allows
+# one order for every seven requests.
+TRAVEL_SHARE = 0.5
+FOUND_SHARE = 0.25  # of the usual time of a load: an order that ends sooner found its instances loaded
+LEAST_ORDERS = 3  # ended orders from which on their results predict that of the next order
+TRIAL_ODDS = 16  # of so many orders that are probably useless one is sent, as hosts may have changed
 
 
 class LoadOrderLimiter:
-    """Load orders: `free` of them and `share` of the requests within the window (ns); 0: no limit."""
+    """Allows `free` load orders and `share` times the requests within `window` (ns; 0: no limit)."""
 
     def __init__(self, free: float, share: float, window: int) -> None:
         self.free, self.share, self.window = free, share, window
-        self.travel_time = int(TRAVEL_SHARE * window)  # an order that has not arrived by then must never
+        self.travel_time = int(TRAVEL_SHARE * window)  # an order that takes longer must never arrive
         self.open_orders = 0  # sent and not ended
         self.ends: deque[int] = deque()  # of the orders that ended within the window
-        self.found_loaded: deque[bool] = deque(maxlen=SAMPLES)  # whether the last orders found their
-        #                                                         instances loaded
-        self.arrivals: list[int] = []  # of the delivered requests, in order
+        # Whether each of the last orders found its instances loaded already.
+        self.found_loaded: deque[bool] = deque(maxlen=SAMPLES)
+        self.arrivals: list[int] = []  # when the delivered requests had arrived, sorted
 
     @classmethod
     def of(cls, terms: Terms) -> "LoadOrderLimiter":
@@ -43,7 +49,7 @@
         return cls(terms.load_orders_free, terms.load_order_share, terms.load_order_window)
 
     def delivered(self, now: int, arrived_at: int) -> None:
-        """A request that came then was delivered."""
+        """Counts a request that was delivered, by the time at which it had arrived."""
         if self.window <= 0:
             return
         insort(self.arrivals, arrived_at)
@@ -61,20 +67,20 @@
         return self.open_orders + len(self.ends) + 1 <= self.free + self.share * requests
 
     def sent(self) -> None:
-        """An order was sent."""
+        """Counts an order that is sent."""
         self.open_orders += 1
 
     def ended(self, now: int, *, good: bool = False, took: float = 1.0) -> None:
-        """An order has ended; `took`: of the usual time of a load."""
+        """Notes the end of an order; `took`: its time divided by the usual time of a load."""
         self.open_orders -= 1
         self.ends.append(now)
         self.found_loaded.append(good and took < FOUND_SHARE)
 
     def likely_useful(self, chance: Chance) -> bool:
-        """Whether an order for more instances likely brings any.
+        """Whether an order for more instances probably brings any.
 
-        Hosts that add instances by themselves have them loaded when it comes, and each order has its price.
-        Now and then one is tried all the same.
+        Hosts that add instances by themselves have loaded them before the order arrives, and each order has
+        a price. Now and then an order is sent nevertheless, to notice a change.
         """
         found = sum(self.found_loaded)
         if len(self.found_loaded) < LEAST_ORDERS or 2 * found <= len(self.found_loaded):
--- a/gaproute/decisions/routing/load_orders.py
+++ b/gaproute/decisions/routing/load_orders.py
@@ -1,4 +1,4 @@
-"""When hosts are ordered to load instances."""
+"""Decides when hosts are ordered to load instances."""
 
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing.answer_times import AnswerTimes
@@ -11,7 +11,7 @@
 
 
 class LoadOrders:
-    """Orders within the limit, one open order a function."""
+    """Load orders within the limit, at most one open order for each function."""
 
     def __init__(
         self, limiter: LoadOrderLimiter, answer_times: AnswerTimes, chance: Chance, *, allowed: bool
@@ -24,12 +24,12 @@
         return self.allowed and not function.load_order_open and self.limiter.allows(now)
 
     def start(self, now: int, function: Function) -> None:
-        """An order for the function is sent."""
+        """Note that an order for the function is sent."""
         function.load_order_open, function.load_ordered_at = True, now
         self.limiter.sent()
 
     def end(self, now: int, function: Function, host: Host | None, result: Result | None) -> None:
-        """The open order for the function has ended; `host`: None where it is not known any more."""
+        """Note the end of the open order for the function; `host`: None where it has left the list."""
         if not function.load_order_open:
             return
         function.load_order_open = False
@@ -49,10 +49,10 @@
     def for_crowd(
         self, now: int, request: Request, function: Function, host: Host, outcome: Outcome
     ) -> LoadOrder | None:
-        """An order for one more instance where requests of the function outnumber the lanes of those loaded.
+        """An order for one more instance, or None.
 
-        It serves hot functions where only orders add instances; elsewhere it finds them loaded (see
-        `LoadOrderLimiter.likely_useful`).
+        It is sent where a host has more requests of the function than its instances run at a time. Hot
+        functions need it where hosts add no instances by themselves; see `LoadOrderLimiter.likely_useful`.
         """
         requests = outcome.same_function_requests or 0
         if not host.active or requests < request.lanes or not self.limiter.likely_useful(self.chance):
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -1,4 +1,4 @@
-"""Which requests are rejected early, as they would wait too long."""
+"""Decides which requests are rejected early, because they would wait too long."""
 
 from collections import deque
 
@@ -16,15 +16,19 @@
 )
 from gaproute.interface import Request, RequestClass, Terms
 
-BEARABLE_WAIT = 2.0  # of the shortest latency objective: expected wait to reject at; half for no worth
-BEARABLE_QUEUE = 0.3  # of it, the wait in a host's queue: answers that come have waited least
-SHED_POWER = 3  # of bearable over expected wait: at twice the bearable one in eight is taken
-LEAST_IN_FLIGHT = 8  # requests below which nothing is rejected: fewer say nothing of a rate
-DOUBTED = 0.5  # doubt from which on a host does not answer as usual
+# Of the shortest latency objective: the longest expected wait for which a request of the highest priority
+# weight is taken; half of it for one without any weight.
+BEARABLE_WAIT = 2.0
+# Of the bearable wait: the wait in the queue of one host. The answers by which it is estimated are those that
+# waited least.
+BEARABLE_QUEUE = 0.3
+SHED_POWER = 3  # exponent of bearable over expected wait: at twice the bearable wait one in eight is taken
+LEAST_IN_FLIGHT = 8  # attempts in flight below which nothing is rejected: too few to estimate a wait from
+DOUBTED = 0.5  # doubt from which on a host is not counted as answering as usual
 
 
 class LoadShedder:
-    """Judges how long a request would wait, by its worth."""
+    """Estimates how long a request would wait, and whether its priority weight is worth the wait."""
 
     def __init__(
         self,
@@ -44,15 +48,16 @@
         self.waiting, self.counted_at = 0, -JUDGEMENT_INTERVAL  # see `_count_waiting`
 
     def request_came(self, tenant: int) -> None:
-        """One more request of the tenant."""
+        """Count a request of the tenant."""
         self.tenants.append(tenant)
 
     def crowded(self, now: int, request: Request, request_class: RequestClass) -> bool:
-        """Whether to reject at once: requests in flight over the rate of answers promise too long a wait.
+        """Whether to reject a request at once, as the expected wait is too long.
 
-        Only attempts at loaded instances count on both sides: waits for loads are no sign of too much work.
-        All classes share the queues, so the shortest latency objective sets how long they may get, and what
-        is worth least goes first.
+        The expected wait is the number of attempts in flight divided by the rate of answers. Both count only
+        attempts at loaded instances: waiting for loads is no sign of too much work. All request classes share
+        the queues, so the shortest latency objective limits the wait, and requests of the lowest priority
+        weight are rejected first.
         """
         if self.throughput.mostly_refused(now):
             return True
@@ -80,19 +85,20 @@
         return self.outliers.doubt(host, attempt.request_class, now) < DOUBTED
 
     def _bearable_wait(self, request: Request, request_class: RequestClass) -> float:
-        """The longest expected wait for which a request is taken (ns): half of it where it has no worth."""
+        """The longest expected wait for which a request is taken (ns); half of it at no priority weight."""
         value = request_class.priority_weight / self.top_priority_weight
-        shares = self.tenant_shares[request.tenant : request.tenant + 1]  # none where it is not known
+        shares = self.tenant_shares[request.tenant : request.tenant + 1]  # empty for an unknown tenant
         if shares and self.tenants.count(request.tenant) > shares[0] * len(self.tenants):
             value *= self.over_share_value
         return BEARABLE_WAIT * self.answer_times.shortest_objective * (0.5 + 0.5 * value)
 
     def sheds(self, now: int, request: Request, request_class: RequestClass, host: Host) -> bool:
-        """Whether to reject since the queue at the best host promises a wait: the longer the likelier.
+        """Whether to reject a request because of the queue at the best host.
 
-        By chance, so that one goes on learning. The wait is the host's load, else the usual one, times what a
-        unit of load took lately. It serves where a gateway sees too few requests for a rate of its own; harms
-        where one host's queue is of light work.
+        The expected wait is the load of the host (the usual load where it has no fresh report) times what a
+        unit of load took lately. The longer the wait, the likelier the rejection; some requests are always
+        taken, so that the estimate stays current. This serves gateways that see too few requests to measure
+        a rate of answers; it rejects wrongly where the queue of the host consists of light work.
         """
         load = self.loads.queued(host, request.lanes, now) / host.capacity
         if host.report is None or host.reported_at < now - REPORT_LIFETIME:
--- a/gaproute/decisions/routing/observations.py
+++ b/gaproute/decisions/routing/observations.py
@@ -1,4 +1,4 @@
-"""What this gateway itself saw, for other gateways and for its next run."""
+"""What this gateway itself observed, for other gateways and for its own next run."""
 
 from collections.abc import Iterator
 from statistics import median
@@ -17,23 +17,22 @@
     """One fact that this gateway saw; kinds and values as in `decisions/reports/observation_kinds.py`."""
 
     kind: str
-    names: tuple[Any, ...]  # what it is about: hosts, functions, request classes
+    names: tuple[Any, ...]  # the host, function or request class that the fact is about
     value: tuple[Any, ...]
     at: int  # ns
 
 
 class Observations:
-    """Reads the tables of a gateway."""
+    """Reads the observations of a gateway out of its tables."""
 
     def __init__(self, tables: Tables, answer_times: AnswerTimes) -> None:
         self.hosts, self.functions, self.mix = tables.hosts, tables.functions, tables.mix
         self.answer_times = answer_times
 
     def since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
-        """What was seen since then, one by one.
+        """The observations since that time: of hosts first, then of functions, the last used ones first.
 
-        Of hosts first, then of functions, the latest used first. It may be read over many turns, with lists
-        and requests coming in between.
+        The iterator may be read in parts, while host lists and requests change the tables in between.
         """
         for host in list(self.hosts.by_id.values()):
             yield from _of_host(host, now, since)
@@ -42,13 +41,13 @@
             yield Observation("load", (), (int(median(loads)),), now)
         by_name = self.functions.by_name
         for name in sorted(by_name, key=lambda name: -by_name[name].used_at):
-            function = self.functions.by_name.get(name)  # gone meanwhile: this is read over many turns
+            function = self.functions.by_name.get(name)  # None: forgotten since the iteration began
             if function is not None and function.answered_at > since:
                 yield from self._of_function(name, function, now, since)
 
     def _of_function(self, name: str, function: Function, now: int, since: int) -> Iterator[Observation]:
         for host_id, seen in list(function.proven_at.items()):
-            host = self.hosts.by_id.get(host_id)  # gone meanwhile, as above
+            host = self.hosts.by_id.get(host_id)  # None: forgotten since the iteration began
             if seen > since and host is not None and host.active and seen >= host.instances_lost_at:
                 yield Observation("warm", (host_id, name), (function.lanes,), seen)
         if function.answer_times:
--- a/gaproute/decisions/routing/outcome_recorder.py
+++ b/gaproute/decisions/routing/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What each outcome of an attempt shows of its host, its function and the fleet."""
+"""Records what the outcome of an attempt shows about its host, its function and the fleet."""
 
 from statistics import median
 
@@ -12,13 +12,13 @@
 from gaproute.decisions.routing.tables import Tables
 from gaproute.interface import Found, Idempotency, Outcome, Result
 
-ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED)  # the host spoke
+ANSWERS = (Result.OK, Result.ERROR, Result.FULL, Result.NOT_LOADED)  # the host has answered
 FAILURES = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
 GOOD = 0.0  # harm of a result
 
 
 class OutcomeRecorder:
-    """Books outcomes, whether or not their requests are still waiting."""
+    """Records outcomes, whether or not their requests are still waiting."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.tracker, self.slow_start, self.hints = tracker, slow_start, hints
 
     def record(self, now: int, outcome: Outcome) -> None:
-        """One attempt has ended."""
+        """Record the outcome of an attempt."""
         key, result = (outcome.request, outcome.attempt), outcome.result
         attempt = self.tracker.in_flight.pop(key, None)
         host = self.hosts.by_id.get(outcome.host)
@@ -52,12 +52,12 @@
         elif result in FAILURES and not counted_as_failure:
             self._failed(now, result, attempt, host)
         if result is Result.FULL:
-            host.full_until = now + self.answer_times.usual(function)  # a lane frees about then
+            host.full_until = now + self.answer_times.usual(function)  # about when a request there ends
         if result is Result.NOT_LOADED or outcome.found is Found.LOAD_FAILED:
             self.hints.verify(attempt.function, host.id, Found.LOAD_FAILED)
             function.not_loaded(host.id)
         if result is Result.RESET and not host.in_flight:
-            host.instances_lost_at = now  # a process that broke off, with all attempts, comes back empty
+            host.instances_lost_at = now  # a process that ended with all its attempts has no instances
 
     def _answered(
         self, now: int, outcome: Outcome, attempt: InFlightAttempt, host: Host, function: Function
@@ -67,7 +67,7 @@
         if attempt.warm:
             self.throughput.record_answer(now)
         if now < self.hosts.all_warm_at:
-            # After a stall all that waited comes at one moment: it does not say what warm hosts do now.
+            # After a stall many answers arrive at one moment: they do not show the rate of warm hosts now.
             in_time = self.tracker.in_time(function, outcome.took, warm=attempt.warm)
             if now < host.warm_at or in_time:
                 self.slow_start.answered(now, host)
@@ -80,7 +80,7 @@
             self.answer_times.loads.append(outcome.took)
 
     def _warm_answer(self, now: int, took: int, host: Host, function: Function) -> None:
-        """An instance that was loaded has answered: how fast the host is."""
+        """Record the answer time of an instance that was loaded, which shows how fast the host is."""
         if function.answer_times:
             host.paces.append((now, took / max(1, median(function.answer_times))))
             host.slowdown = self.outliers.slowdown(host, now)
--- a/gaproute/decisions/routing/outlier_detector.py
+++ b/gaproute/decisions/routing/outlier_detector.py
@@ -1,37 +1,39 @@
-"""Hosts that fail or are slow beyond the others."""
+"""Detects hosts that fail more often, or are slower, than the others."""
 
 from statistics import median
 
 from gaproute.decisions.routing.host import Host, HostResult
 from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME, JUDGEMENT_INTERVAL, SAMPLES
 
-SUSPECT_SHARE = 0.4  # of bad results below which no host is doubted: chance and lost answers strike all
-GOOD_SAMPLES_GRANTED = 1.0  # to each host: one failure alone halves its worth, no more
-RECOVERY_DOUBT = 0.5  # while it is to get one attempt at a time until one is answered
-SLOW = 1.5  # times slower than usual before it counts: kinds of machine and work differ by as much
-LEAST_PACES = 3  # samples by which a host is taken for slow
+SUSPECT_SHARE = 0.4  # of bad results, up to which no host is doubted: lost answers happen at every host
+GOOD_SAMPLES_GRANTED = 1.0  # good results that each host starts with, so that one failure decides little
+RECOVERY_DOUBT = 0.5  # of a host whose last results were bad: it gets one attempt at a time until it answers
+SLOW = 1.5  # times slower than usual that do not count: kinds of machine and of work differ by as much
+LEAST_PACES = 3  # samples that are needed before a host counts as slow
 
 
 class OutlierDetector:
-    """Judges hosts by the results of their last attempts. Judgements are cached, to spare CPU."""
+    """Judges hosts by the results of their last attempts. Judgements are cached to save CPU time."""
 
     def __init__(self) -> None:
         self.judged_at = -JUDGEMENT_INTERVAL
-        self.doubts: dict[tuple[str, int], float] = {}  # (host, request class): judgement since then
+        self.doubts: dict[tuple[str, int], float] = {}  # by (host, request class): those of `judged_at`
 
     def record(self, host: Host, now: int, request_class: int | None, harm: float) -> None:
-        """One more result; `harm`: 0 if good, 1 if unanswered."""
+        """Record a result; `harm`: 0 if good, 1 if unanswered; `request_class`: None for a probe."""
         results = host.results
         same_class = [result for result in results if result.request_class == request_class]
-        if len(same_class) >= SAMPLES:  # of its own class alone: good answers of others prove nothing for it
+        # The oldest result of the same class is dropped: good answers to other classes say nothing about it.
+        if len(same_class) >= SAMPLES:
             results.remove(same_class[0])
         results.append(HostResult(now, request_class, harm))
         host.bad_results = sum([harm > 0 for _, _, harm in results])
 
     def doubt(self, host: Host, request_class: int, now: int) -> float:
-        """0 to 1: how likely the host fails the class, by its last results of that class, else of any.
+        """0 to 1: how likely the host fails a request of the class.
 
-        Guards against hosts that hang, fall silent or fail fast, perhaps one class only: they look idle.
+        It is judged by the last results of that class, or of all classes where there is none. This guards
+        against hosts that hang, do not answer or fail fast, some of them for one class only: they look idle.
         """
         if not host.bad_results:
             return 0.0
@@ -43,10 +45,11 @@
         return doubt
 
     def slowdown(self, host: Host, now: int) -> float:
-        """Times slower than usual a host answers, beyond what machines and work explain; 1 if none.
+        """How many times slower than usual the host answers, beyond ordinary differences; 1: not slower.
 
-        It divides what an instance there is worth, and the lanes: a crawling host looks warm and idle. It
-        harms where one host has a function's heaviest work; samples age, so it is tried again.
+        The score of a host divides its capacity and the points for its instances by this figure, as a very
+        slow host otherwise looks warm and idle. A host that happens to get the heaviest requests of a
+        function is taken for slow; as samples expire, it is tried again.
         """
         recent = [pace for at, pace in host.paces if now - at < EVIDENCE_LIFETIME]
         return max(1.0, median(recent) / SLOW) if len(recent) >= LEAST_PACES else 1.0
--- a/gaproute/decisions/routing/parameters.py
+++ b/gaproute/decisions/routing/parameters.py
@@ -3,16 +3,18 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 NEVER = 1 << 62  # a time that never comes
 
-SAMPLES = 8  # samples kept of each thing measured: a median that two odd ones do not move
-EVIDENCE_LIFETIME = 5 * SECOND  # older samples are no evidence: a suspect is tried again after it
-REPORT_LIFETIME = 8 * SECOND  # older load reports are ignored: crowds by the stable hash last as long
-JUDGEMENT_INTERVAL = 40 * MILLI  # between judgements of hosts and of the requests in flight, to spare CPU:
-#                                  far less than signs of a fault take
-RATE_SAMPLES = 64  # answers over which this gateway's rate of answers is taken
-MIX_SIZE = 256  # own last requests from which a function's share of the work is taken
-SPREAD_FACTOR = 2.5  # first choices for each host that a hot function could fill: the requests of other
-#                      functions need the rest of each host
-USUAL_CONCURRENCY = 9  # requests that a usual host takes on, whatever the lanes of one instance: those of
-#                        other functions run there too
-ERROR_WEIGHT = 0.4  # of the weight of an unanswered attempt, an error's of an idempotent request: others
-#                     then succeed
+SAMPLES = 8  # last samples that are stored of each measured figure: two outliers do not move their median
+EVIDENCE_LIFETIME = 5 * SECOND  # older samples do not count, so that a suspected host is tried again
+REPORT_LIFETIME = 8 * SECOND  # older load reports are ignored; overload by the stable hash lasts as long
+# Between judgements of hosts and of the attempts in flight, to save CPU time: signs of a fault take longer.
+JUDGEMENT_INTERVAL = 40 * MILLI
+RATE_SAMPLES = 64  # answers from which the rate of answers is computed
+MIX_SIZE = 256  # last requests from which the share of a function is computed
+# First choices of the stable hash that a hot function uses, for each host that it could fill: the requests of
+# other functions need the rest of each host.
+SPREAD_FACTOR = 2.5
+# Requests that a usual host runs at a time, however few one instance runs: other functions run there too.
+USUAL_CONCURRENCY = 9
+# Weight of an error as the result of an idempotent request, where an unanswered attempt weighs 1: a retry of
+# the request can still succeed.
+ERROR_WEIGHT = 0.4
--- a/gaproute/decisions/routing/ranking.py
+++ b/gaproute/decisions/routing/ranking.py
@@ -1,4 +1,4 @@
-"""The stable hash: the order of hosts for each function, the same at every gateway."""
+"""The stable hash: an order of the hosts for each function, which is the same at every gateway."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -8,8 +8,8 @@
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_table import HostTable
 
-FIRST_DEPTH = 32  # hosts ranked at first,
-FIRST_PART = 16  # or one in so many: those of lower ranks are seldom asked for
+FIRST_DEPTH = 32  # hosts that are ranked at first: lower ranks are seldom needed
+FIRST_PART = 16  # or one in so many of the active hosts, where that is more
 KEY_BYTES = 8
 
 
@@ -25,13 +25,13 @@
 
 
 class Ranking:
-    """Ranks the active hosts for functions; the ranks are kept with each function."""
+    """Ranks the active hosts for functions; the ranks are stored in each `Function`."""
 
     def __init__(self, hosts: HostTable) -> None:
         self.hosts = hosts
 
     def ranks(self, name: str, function: Function, depth: int = FIRST_DEPTH) -> dict[str, int]:
-        """Ranks of a function's first hosts, `depth` of them or more: few are needed in a large fleet."""
+        """The ranks of the first hosts of a function, `depth` or more; a large fleet needs only a few."""
         hosts = self.hosts
         ranked = len(function.ranked_hosts)
         if function.ranked_version != hosts.version or ranked < min(depth, len(hosts.active)):
--- a/gaproute/decisions/routing/request_attempts.py
+++ b/gaproute/decisions/routing/request_attempts.py
@@ -1,4 +1,4 @@
-"""What the attempts of one request prove so far."""
+"""The attempts of one request, and what their results prove so far."""
 
 from typing import NamedTuple
 
@@ -20,19 +20,19 @@
 
     def __init__(self) -> None:
         self.in_flight: dict[int, SentAttempt] = {}
-        self.may_have_run: list[SentAttempt] = []  # those that have ended and may have run
-        self.first_run: SentAttempt | None = None  # the first that may have run or may yet
+        self.may_have_run: list[SentAttempt] = []  # attempts that have ended and may have run
+        self.first_run: SentAttempt | None = None  # the first attempt that may have run or may still run
         self.failed_hosts: list[Host] = []
         self.started = 0
 
     def sent(self, attempt: int, host: Host, now: int) -> None:
-        """One more attempt is in flight."""
+        """Register an attempt that was sent."""
         sent = self.in_flight[attempt] = SentAttempt(host, now)
         self.started += 1
         self.first_run = self.first_run or sent
 
     def settle(self, attempt: int, result: Result) -> None:
-        """An attempt in flight has ended: what is proven not to have run binds the request no longer."""
+        """Note the end of an attempt: one that provably did not run does not restrict further attempts."""
         sent = self.in_flight.pop(attempt)
         if result not in NEVER_RAN:
             self.may_have_run.append(sent)
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -32,22 +32,22 @@
     Wait,
 )
 
-PAUSE = 100 * MILLI  # between looks while a request waits for a host: half an answer time, spares the CPU
-RETRY_AFTER_SHARE = 1.0  # of the latency objective: the Retry-After of a rejected client
-ANSWER_BY = 4 * MILLI  # before the time is up: the final answer leaves a tick early
+PAUSE = 100 * MILLI  # between searches while a request waits for a host: about half an answer time
+RETRY_AFTER_SHARE = 1.0  # of the latency objective: the Retry-After of a rejected request
+ANSWER_BY = 4 * MILLI  # before the deadline: when the final answer is sent at the latest
 
 # Why a request is rejected, as the log has it.
-CROWDED = "crowded"  # it would wait too long for an answer,
-QUEUE = "queue"  # or in the queue of the best host
-FULL = "full"  # a host rejected it in a crowded fleet
-LATE = "late"  # it took too long, and the fleet is crowded
+CROWDED = "crowded"  # it would wait too long for an answer
+QUEUE = "queue"  # it would wait too long in the queue of the best host
+FULL = "full"  # a host was full, and the fleet is crowded
+LATE = "late"  # no answer within the latency objective, and the fleet is crowded
 NO_HOST = "nobody"  # no host may get it
 
-Steps = Generator[Action, Any, str | None]  # ends with the reason to reject, or None: the request is over
+Steps = Generator[Action, Any, str | None]  # returns the reason to reject the request, None where it is over
 
 
 class RequestRouter:
-    """Holds what all requests need, and serves each by a generator."""
+    """Serves each request by a generator; owns the parts that all requests use."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self.tracker, self.retry_rules, self.selector = tracker, retry_rules, selector
         self.shedder, self.slow_start = shedder, slow_start
         self.load_orders, self.sharing, self.hints = load_orders, sharing, hints
-        self.end_by = NEVER  # when every request must have its answer: the process stops
+        self.end_by = NEVER  # when every request must have its final answer, as the process stops
 
     def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
         """One request, from acceptance to its one final answer."""
@@ -98,7 +98,7 @@
 
 
 class _RequestRun:
-    """The attempts of one request, until it is over or another attempt would not help."""
+    """One request in progress: its attempts, until it is over or another attempt would not help."""
 
     __slots__ = (
         "router",
@@ -127,13 +127,13 @@
         self.request_class = router.request_classes[request.request_class]
         self.arrived_at = self.now = now
         self.end = now + request.time_left - ANSWER_BY
-        self.give_up_at = now + self.request_class.latency_objective  # looking for a first host
-        self.look_at: Any = now  # when to look for a host again; ns, a fraction where it comes of a median
-        self.reason: str | None = None  # to reject the request
-        self.settled_host: Host | None = None  # of the attempt that ended last, where it was in flight
+        self.give_up_at = now + self.request_class.latency_objective  # when the search for a first host ends
+        self.look_at: Any = now  # when to search for a host again; ns, perhaps not a whole number
+        self.reason: str | None = None  # why the request is rejected, once it is
+        self.settled_host: Host | None = None  # the host of the attempt that ended last, if it was in flight
 
     def steps(self) -> Steps:
-        """Attempts until the request is over, then None, or until no other would help, then the reason."""
+        """Yields attempts and waits; returns None once the request is over, else why it is rejected."""
         router, request, attempts = self.router, self.request, self.attempts
         while self.reason is None and self.now < min(self.end, router.end_by):
             if self.now >= self.look_at:
@@ -164,7 +164,7 @@
         return self.router.shedder.crowded(self.now, self.request, self.request_class)
 
     def _choose_host(self) -> Host | None:
-        """The host that gets the request now; None: wait, or reject where there is a `reason`."""
+        """The host that gets the request now; None: wait until `look_at`, or reject for `reason`."""
         router, now, attempts = self.router, self.now, self.attempts
         host = router.selector.choose(now, self.request, attempts)
         if host is not None:
@@ -180,11 +180,12 @@
         return None
 
     def _time_came(self) -> None:
-        """No outcome came in time: holds overdue attempts against their hosts, or rejects."""
+        """Handles the end of a wait without an outcome: judges overdue attempts, or rejects the request."""
         now, attempts = self.now, self.attempts
         if not attempts.in_flight:
             return
-        # Late work holds up the rest of a crowded fleet and is worth little: it is given up where it may be.
+        # A late answer has little value, and its work delays others in a crowded fleet: the request is given
+        # up where a client may safely send it again.
         idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
         if now >= self.give_up_at and idempotent and self._crowded():
             self.reason = LATE
@@ -193,16 +194,15 @@
             self.look_at = tracker.hold_overdue_against_hosts(now, self.request, attempts, self.function)
 
     def _follow_stream(self, outcome: Outcome | None) -> Generator[Action, Any, None]:
-        """Wait for the end of a streamed answer, which has no deadline."""
+        """Waits for the end of a streamed answer, which has no deadline."""
         while outcome is None or not outcome.ended:
             self.now, outcome = yield Wait(self.now + SECOND)
-        self.attempts.in_flight.clear()  # it is not cancelled
+        self.attempts.in_flight.clear()  # so that the attempt is not cancelled
 
     def _settle(self, outcome: Outcome) -> LoadOrder | None:
-        """Account for an attempt's end.
+        """Accounts for the end of an attempt.
 
-        Returns an order for one more instance where the request was delivered by a host that has many
-        requests of the function.
+        Returns an order for one more instance where the host that answered has many requests of the function.
         """
         sent = self.attempts.in_flight.get(outcome.attempt)
         self.settled_host = None
@@ -218,14 +218,17 @@
         return load_orders.for_crowd(self.now, self.request, self.function, host, outcome)
 
     def _not_delivered(self, outcome: Outcome) -> Generator[Action, Any, None]:
-        """Look for another host at once, or reject; order an instance where there was none."""
+        """Handles an attempt without an answer: searches for another host at once, or rejects the request.
+
+        Where the host had no instance of the function, it is ordered to load one.
+        """
         now, host = self.now, self.settled_host
         self.look_at = now
         if outcome.result is Result.FULL and not self.attempts.in_flight and self._crowded():
-            self.reason = FULL  # one refusal in a full fleet is proof enough; the client is answered at once
+            self.reason = FULL  # further attempts in a full fleet would only delay the answer
         elif outcome.result is Result.NOT_LOADED and host is not None:
             order = self.router.load_orders.after_miss(now, self.request, self.function, host)
             if order is not None:
                 yield order
                 self.function.used(host.id, now)
-                self.look_at = now + outcome.took  # a round trip has passed by then
+                self.look_at = now + outcome.took  # one round trip later: the order has arrived by then
--- a/gaproute/decisions/routing/retry_rules.py
+++ b/gaproute/decisions/routing/retry_rules.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent once more, and to which hosts."""
+"""The rules on whether a request may be sent once more, and to which hosts."""
 
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.parameters import NEVER
@@ -7,7 +7,7 @@
 
 
 class RetryRules:
-    """The rules on further attempts, strictly by request class; an attempt in flight may have run."""
+    """The rules on further attempts, by request class; an attempt in flight counts as one that has run."""
 
     def __init__(self, terms: Terms) -> None:
         self.attempt_limit, self.hedging_allowed = terms.attempt_limit, terms.hedging_allowed
@@ -28,7 +28,7 @@
         return now < self.begin_by(request_class, attempts, NEVER)
 
     def begin_by(self, request_class: RequestClass, attempts: RequestAttempts, end: int) -> int:
-        """When an attempt may begin at the latest, should it wait for its connection (ns)."""
+        """When an attempt may begin at the latest, where it has to wait for its connection (ns)."""
         if attempts.first_run is None or request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
             return end
         return min(end, attempts.first_run.sent_at + request_class.repeat_window)
--- a/gaproute/decisions/routing/scorer.py
+++ b/gaproute/decisions/routing/scorer.py
@@ -17,23 +17,27 @@
 QUEUE_POINTS = (
     0.5  # lost for each USUAL_CONCURRENCY of requests queued, where a load serves one request alone
 )
-QUEUE_POINTS_HOT = 1.6  # the same for a hot function: a shorter queue repays one more instance
-MEMORY_POINTS = 1.0  # between an empty and a full memory: among hosts without instances, not against them
-HASH_POINTS = 2.0  # for the stable hash's first choice: a third of an instance's, which is kept
-HASH_POINTS_HOT = 3.3  # the same for a hot function, kept loaded by others: warm with a free lane still wins
-OTHERS_FALL = 0.45  # of a step of HASH_FALL, for first choices that count alike but are other gateways' own
-DOUBT_POINTS = 12.0  # lost by a host sure to fail: twice a fresh instance, so that it ranks even suspects
-NEAR_POINTS = 10.0  # for a host of the own zone, for each request's worth that a crossing costs: an instance
-#                     has six, and saves a load, which costs over half of a request's worth
-ROUNDING = 1e-9  # points below which two sums of the same terms may differ by rounding alone
+QUEUE_POINTS_HOT = 1.6  # the same for a hot function: a shorter queue is worth one more instance
+MEMORY_POINTS = 1.0  # between an empty and a full memory: decides among hosts without an instance only
+HASH_POINTS = 2.0  # for the first choice of the stable hash: a third of the points of a fresh instance
+HASH_POINTS_HOT = 3.3  # the same for a hot function; an instance with a free lane still outweighs it
+# Of one step of HASH_FALL: what first choices lose that count alike but belong to other gateways.
+OTHERS_FALL = 0.45
+DOUBT_POINTS = (
+    12.0  # lost by a host that is sure to fail: twice a fresh instance, so that doubts decide first
+)
+# For a host of the own zone, times the price of a crossing in values of a request: an instance has six points
+# and saves a load, which costs over half of the value of a request.
+NEAR_POINTS = 10.0
+ROUNDING = 1e-9  # points by which two sums of the same terms may differ by rounding alone
 
 RankedScore = tuple[float, int]  # (minus the score, index of the host): sorts the best first
 
 
 class Weights(NamedTuple):
-    """What one choice weighs, the same for all hosts."""
+    """The weights of one choice, the same for all hosts."""
 
-    lanes: float  # requests that a unit of capacity takes on
+    lanes: float  # requests that a unit of capacity runs at a time
     width: int  # first choices of the stable hash that count alike
     warmth: float  # points for a fresh instance
     queue: float  # points for each `lanes` of queue
@@ -41,7 +45,7 @@
 
 
 class Scorer:
-    """Scores hosts; `own_choice`: which of the first choices that count alike is this gateway's own."""
+    """Scores hosts; `own_choice`: which of the first choices that count alike this gateway prefers."""
 
     def __init__(
         self,
@@ -59,7 +63,7 @@
         self.zone, self.near_points = terms.zone, NEAR_POINTS * terms.crossing_price
 
     def weights(self, request: Request, able: Sequence[Host]) -> Weights:
-        """Of a choice among these hosts."""
+        """The weights of a choice among these hosts."""
         hosts = self.hosts
         capacity = hosts.total_capacity if able is hosts.active else sum([host.capacity for host in able])
         breadth = self.mix.breadth(request.function)
@@ -75,7 +79,7 @@
     def doubts(
         self, now: int, request: Request, attempts: RequestAttempts, able: Sequence[Host]
     ) -> dict[str, float]:
-        """0 to 1 for each host that may fail the request."""
+        """The doubt, 0 to 1, about each host that may fail the request, by its id."""
         doubt, request_class = self.outliers.doubt, request.request_class
         doubts = {host.id: doubt(host, request_class, now) for host in able if host.bad_results}
         for zone, until in self.silent_zones.silent_until.items():
@@ -84,7 +88,7 @@
         return doubts
 
     def usual_memory(self) -> float:
-        """The mean of the hosts that report theirs, for one that does not."""
+        """The mean share of busy memory of the hosts that report it, for the hosts that do not."""
         reported = [host.memory_busy for host in self.hosts.active if host.memory_busy is not None]
         return sum(reported) / len(reported) if reported else 0.0
 
@@ -96,7 +100,7 @@
         function: Function,
         able: Sequence[Host],
     ) -> list[RankedScore]:
-        """The scores of the able hosts that may win, the best first."""
+        """The scores of those able hosts that may win, the best first."""
         lanes, width, warmth_points, queue_points, hash_points = self.weights(request, able)
         doubts = self.doubts(now, request, attempts, able)
         near_points, zone, own_choice = self.near_points, self.zone, self.own_choice
@@ -108,7 +112,7 @@
         candidates = self.order.candidates(now, request.function, function, able, hash_points, width)
         for host, warmth, rank, most in candidates:
             if most + near_points - least_queue < best - ROUNDING:
-                break  # none after this one can score more than `most` and an empty queue allow
+                break  # no later candidate can score more than `most` at an empty queue
             slowdown = host.slowdown if now < host.slowdown_until else 1.0
             warming_up = now < host.warm_at
             strength = host.capacity / slowdown * (available_share(host, now) if warming_up else 1.0)
@@ -128,7 +132,7 @@
                 - DOUBT_POINTS * doubts.get(host.id, 0.0)
             )
             scored.append((-score, host.index))
-            if not warming_up:  # one that warms up may yet be passed over
+            if not warming_up:  # a host that warms up may be skipped, so it does not end the search
                 best = max(best, score)
         scored.sort()
         return scored
--- a/gaproute/decisions/routing/silent_zones.py
+++ b/gaproute/decisions/routing/silent_zones.py
@@ -1,4 +1,4 @@
-"""Zones that are cut off as a whole."""
+"""Detects zones that are cut off as a whole."""
 
 from collections import Counter
 
@@ -6,33 +6,34 @@
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME
 
-SILENT_HOSTS = 2  # of a zone with overdue attempts and no answer since: one alone may have slow work
+SILENT_HOSTS = 2  # silent hosts that make a zone silent: one alone may have slow work
 
 
 class SilentZones:
-    """Zones without an answer though attempts at several of their hosts are overdue.
+    """Zones that do not answer, while attempts at several of their hosts are overdue.
 
-    Guards against a whole zone cut off: found out host by host, each gateway would lose a request at every
-    one of them. Harms a zone of few hosts that all have long work; it is tried again in a while.
+    If a zone that is cut off were detected host by host, each gateway would lose a request at every host of
+    the zone. A zone of few hosts that all have long work is wrongly taken for silent; it is tried again after
+    a while.
     """
 
     def __init__(self, hosts: HostTable) -> None:
         self.hosts = hosts
-        self.answered_at: dict[int, int] = {}  # zone: last answer
-        self.silent_until: dict[int, int] = {}  # zone: until when it is taken for silent
+        self.answered_at: dict[int, int] = {}  # by zone: when one of its hosts last answered
+        self.silent_until: dict[int, int] = {}  # by zone: until when it counts as silent
 
     def answered(self, zone: int, now: int) -> None:
-        """A host of the zone has answered."""
+        """Note an answer of a host of the zone."""
         self.answered_at[zone] = now
         self.silent_until.pop(zone, None)
 
     def attempt_sent(self, zone: int, now: int) -> None:
-        """A silent zone is on trial: one attempt at a time until an answer comes."""
+        """Note an attempt in the zone: a silent one gets one attempt at a time until an answer comes."""
         if zone in self.silent_until:
             self.silent_until[zone] = now + EVIDENCE_LIFETIME
 
     def check(self, now: int) -> None:
-        """Look for zones that have become silent."""
+        """Find zones that have become silent."""
         unanswered = Counter(
             [host.zone for host in self.hosts.active if host.overdue and self._unanswered(host)]
         )
--- a/gaproute/decisions/routing/slow_start.py
+++ b/gaproute/decisions/routing/slow_start.py
@@ -1,36 +1,38 @@
-"""How much hosts that warm up are sent: no more than they can do."""
+"""Slow start: hosts that warm up get no more requests than they can bear."""
 
 from gaproute.decisions.routing.host import Host
 from gaproute.decisions.routing.host_table import HostTable
 from gaproute.decisions.routing.parameters import SECOND
 from gaproute.interface import Terms
 
-SAFE_SHARE = 0.8  # of the load under which a host that warms up falls over: the rest is for chance
+SAFE_SHARE = 0.8  # of the load at which a host that warms up fails: the rest is a margin
 FIRST_SHARE = (
     0.25  # of the share in the terms, for requests: answers then show what hosts that warm up can do
 )
-FIRST_RATE = 1 / SECOND  # of these at each host at most: within the slack for chance of the smallest
+FIRST_RATE = 1 / SECOND  # of these at each host at most: within the margin of the smallest host
 
 
 class SlowStart:
-    """Gives hosts that warm up credit for attempts. Known is only the share that each can do at least."""
+    """Gives hosts that warm up credit for attempts, by the share of its capacity that each has at least."""
 
     def __init__(self, terms: Terms, hosts: HostTable) -> None:
         self.hosts = hosts
         self.first_share, self.warm_up_time = terms.warm_up_share, terms.warm_up_time
-        self.most_share = SAFE_SHARE * terms.warm_up_overload * terms.warm_up_share  # that one counts for
+        # The largest share of its capacity with which a host that warms up is counted.
+        self.most_share = SAFE_SHARE * terms.warm_up_overload * terms.warm_up_share
         self.gateways = max(1, terms.gateways)
-        self.last_request_at = -1  # when first credit last came of a request
+        self.last_request_at = -1  # when a request last gave credit
 
     def available_share(self, host: Host, now: int) -> float:
-        """Share of its capacity that a host has at least."""
+        """The share of its capacity that a host has at least."""
         left = max(0, host.warm_at - now) / max(1, self.warm_up_time)
         return 1.0 - (1.0 - self.first_share) * left
 
     def request_came(self, now: int) -> None:
-        """With no host warm the first attempts to each come of requests, at most so many a second of all
-        gateways together: requests come as fast as clients wish, and the less is answered the more they ask
-        again.
+        """Gives credit for a request where no host is warm, so that some request is tried at all.
+
+        All gateways together give each host at most a fixed credit per second, as the rate of requests is no
+        measure: the fewer are answered, the more clients send again.
         """
         active = self.hosts.active
         if now >= self.hosts.all_warm_at or not all([now < host.warm_at for host in active]):
@@ -42,13 +44,14 @@
             host.add_credit(now, min(self.hosts.relative_capacity(host) * share, most))
 
     def answered(self, now: int, by: Host) -> None:
-        """Give the hosts that warm up credit for an answer of the host `by`.
+        """Give credit to hosts that warm up, for an answer of the host `by`.
 
-        Each answer of a warm host earns every other its share of the mean per warm host, by capacity.
-        Counted in answers it holds for bursts, storms of refusals and fresh gateways. Half the fleet stands
-        for the warm hosts when fewer are warm: then an answer of a host that warms up earns too, up to one
-        for one with none warm, and that one alone: nobody knows how each gains, but what it answers it can
-        do. For the same reason none counts for more than what it surely bears.
+        An answer of a warm host gives each warming host as much as a warm host answers on average, reduced by
+        the warming host's capacity and by the share of it that is certain. Credit follows answers and not
+        time, so it stays right in bursts, while hosts reject most requests, and at a gateway that has just
+        started. Where fewer than half of the hosts are warm, the average is taken over half of the fleet, and
+        an answer of a warming host gives credit to that host alone, up to one attempt for each answer where
+        no host is warm: a host can bear at least what it answers.
         """
         active = self.hosts.active
         warming = [host for host in active if now < host.warm_at]
--- a/gaproute/decisions/routing/tables.py
+++ b/gaproute/decisions/routing/tables.py
@@ -1,4 +1,4 @@
-"""The tables of a gateway, as the parts beside them are given them."""
+"""The tables of a gateway, bundled for the parts that read them."""
 
 from typing import NamedTuple
 
