--- a/gaproute/decisions/connections/descriptor_shares.py
+++ b/gaproute/decisions/connections/descriptor_shares.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-# Of the descriptors: clients hold a third, and open new connections before the last ones have closed; hosts
-# were seen to need a quarter at most.
+# Of the descriptors. Clients use about a third, and open new connections before their former ones are closed;
+# connections to hosts were measured to need a quarter at most.
 CLIENT_SHARE = 0.5
-PROCESS_DESCRIPTORS = 24  # for the log, the epolls, the listener, signals and a few to spare
+PROCESS_DESCRIPTORS = 24  # for the log, the epolls, the listener, signals and some spare ones
 
 
 class DescriptorShares(NamedTuple):
--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -1,11 +1,11 @@
-"""Which kept connection a request may go out on: decisions only, no sockets, the clock handed in.
-
-A host may close an idle connection at the very moment at which a request goes out on it. The kernel has taken
-the bytes then, so nothing proves that the request did not run: an idempotent one is retried, a non-idempotent
-one fails. A connection that was idle for only a moment is safe, as hosts close what has long been idle. So a
-request that must not run twice takes a connection that was idle for much less than any host was observed or
-announced to close after, else a new one, which costs a handshake. `docs/connections.md` has the alternatives
-and the measurement.
+"""Decides on which open connection to a host a request may be sent. No I/O here; times are handed in, in ns.
+
+A host may close an idle connection at the very moment at which a request is sent on it. The kernel has taken
+the bytes then, so nothing proves that the request did not run: an idempotent request is retried, a
+non-idempotent one fails. A connection that was idle for only a moment is safe, as hosts close connections
+that were idle for long. So a request that must not run twice is sent on a connection that was idle for much
+less time than that after which the host closes connections, as observed or announced; else on a new one,
+which costs a handshake. `docs/connections.md` has the alternatives and the measurement.
 """
 
 from collections import deque
@@ -21,54 +21,54 @@
 # The same for a non-idempotent request: shorter than the idle time of any common server (1 s and more), long
 # beside the gaps under load.
 MAX_IDLE_NON_IDEMPOTENT = 500 * MILLI
-OBSERVED_IDLE_SHARE = 0.5  # of the shortest idle time after which this host closed a connection, unasked
-# Of the idle time that the host announces, for an idempotent request: one that crosses the close is retried,
-# and a handshake saved is worth more.
+OBSERVED_IDLE_SHARE = 0.5  # of the shortest idle time after which this host closed a connection by itself
+# Of the idle time that the host announces, for an idempotent request: a request that meets the close is
+# retried, which costs less than the handshakes that are saved.
 ANNOUNCED_IDLE_SHARE = 0.9
-# The same for a non-idempotent one: far from the close, whatever the clocks and loads.
+# The same for a non-idempotent request: long before the close, even if clocks differ or the host is slow.
 ANNOUNCED_IDLE_SHARE_NON_IDEMPOTENT = 0.25
 OBSERVATIONS = 8  # closes and stale ends remembered for each host
-CLOSE_MEMORY = 300 * SECOND  # after which a close says nothing: the host may have been set up anew
+CLOSE_MEMORY = 300 * SECOND  # after which a close does not count: the host may have been reconfigured
 
-# Nothing received on a connection for so long when a request on it is abandoned: answers take a few tenths,
-# loads longer; a false alarm costs a handshake.
+# A connection on which nothing was received for so long counts as dead when a request on it is abandoned.
+# Answers take some tenths of a second, loads longer; to be wrong costs a handshake.
 SILENCE_TIMEOUT = SECOND
-# After a request was sent; a connection that ends unanswered within it was stale. A process that dies at work
-# ends all of its connections at any time.
+# A connection that ends so soon after a request was sent, without a reply, was stale: the host had closed it
+# before. (A process that crashes ends its connections at any time.)
 STALE_END_TIME = 50 * MILLI
-STALE_MEMORY = 10 * SECOND  # after which such an end says nothing: kept connections are tried again
-# Of the last `OBSERVATIONS` at a host; above it, idempotent requests too take new connections.
+STALE_MEMORY = 10 * SECOND  # after which a stale end does not count, so that idle connections are tried again
+# Stale ends among the last `OBSERVATIONS` at a host above which idempotent requests too use new connections.
 MAX_STALE_ENDS = 1
-# Requests of a connection that may yet be answered once more, until it takes no further one: a long-lived
-# connection would hold all their ids. A handshake for 64 is little.
+# Ended requests of a connection to which a reply may still come, until the connection takes no further
+# requests: a long-lived one would store the ids of all of them. One handshake for 64 requests is cheap.
 MAX_RETIRED_IDS = 64
 
 
 class ObservedClose(NamedTuple):
-    """A connection that the host closed, unasked."""
+    """A connection that the host closed by itself."""
 
-    at: int
+    at: int  # ns
     idle: int  # ns for which it had been idle
 
 
 class PooledConnection(Protocol):
-    """What is read of a kept connection that carries several requests at once."""
+    """What the decisions need to know of a connection that carries several requests at once."""
 
     @property
     def reusable(self) -> bool:
-        """Whether it may take further requests."""
+        """Whether the connection takes further requests."""
 
     @property
     def pending(self) -> Collection[str]:
-        """The ids of the requests on it."""
+        """The ids of the requests that are on the connection."""
 
     @property
     def retired_ids(self) -> Collection[str]:
-        """The ids that may yet be answered once more."""
+        """The ids of ended requests to which a reply may still come."""
 
     @property
     def last_used(self) -> int:
-        """When it was last in use."""
+        """When the connection was last in use, ns."""
 
 
 Connection = TypeVar("Connection", bound=PooledConnection)
@@ -79,42 +79,42 @@
 
     def __init__(self) -> None:
         self._closes: dict[str, deque[ObservedClose]] = {}  # by host
-        self._stale_ends: dict[str, deque[int]] = {}  # by host: when kept connections ended at their next use
+        self._stale_ends: dict[str, deque[int]] = {}  # by host: when connections turned out to be stale
 
     def record_close(self, now: int, host: str, idle: int) -> None:
-        """The host closed a connection that had been idle for that long, ns."""
+        """Record that the host closed a connection that had been idle for `idle` ns."""
         closes = self._closes.setdefault(host, deque(maxlen=OBSERVATIONS))
         closes.append(ObservedClose(now, idle))
 
     def forget_host(self, host: str) -> None:
-        """The host has left the endpoint list."""
+        """Forget what was observed of a host, which has left the host list."""
         self._closes.pop(host, None)
         self._stale_ends.pop(host, None)
 
     def record_stale_end(self, now: int, host: str, idle: int, since_sent: int) -> None:
-        """A connection ended under a request that nothing had answered, `since_sent` ns after it was sent.
+        """Record that a connection ended `since_sent` ns after a request was sent on it, without any reply.
 
-        `idle`: for how long the connection had been idle before, negative for one in use.
+        `idle`: for how long the connection had been idle before the request; negative if it was in use.
         """
         if idle >= 0 and since_sent < STALE_END_TIME:
             self._stale_ends.setdefault(host, deque(maxlen=OBSERVATIONS)).append(now)
 
     def allows_reuse(self, now: int, host: str, idempotency: Idempotency) -> bool:
-        """Whether kept connections to that host may be used at all.
+        """Whether idle connections to that host may be used at all.
 
-        Guards against hosts, and what stands before them, that end a kept connection at its next use: an
-        idempotent request loses a round trip there and a non-idempotent one all. It costs a handshake a
-        request where a few connections died by chance.
+        Some hosts, and some proxies before hosts, end an idle connection at its next use: an idempotent
+        request loses a round trip by that, and a non-idempotent one fails. Where only a few connections ended
+        by accident, this rule costs a handshake for each request for a while.
         """
         if idempotency is not Idempotency.IDEMPOTENT:
-            # One host's is enough: what ends them stands before all hosts.
+            # A stale end at any host counts: a proxy before the hosts would end connections to all of them.
             return not any(ends and now - ends[-1] < STALE_MEMORY for ends in self._stale_ends.values())
         return sum([now - at < STALE_MEMORY for at in self._stale_ends.get(host, ())]) <= MAX_STALE_ENDS
 
     def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
-        """For how long a connection may have been idle to be used, ns.
+        """For how long a connection may have been idle if it is to be used, ns.
 
-        `announced`: the idle time after which the host says that it closes, None where it says nothing.
+        `announced`: the idle time after which the host says that it closes connections, None if it does not.
         """
         observed = [close.idle for close in self._closes.get(host, ()) if now - close.at < CLOSE_MEMORY]
         longest = MAX_IDLE if idempotency is Idempotency.IDEMPOTENT else MAX_IDLE_NON_IDEMPOTENT
@@ -130,7 +130,7 @@
     # Connections that carry several requests at once
 
     def is_silent(self, now: int, last_received: int) -> bool:
-        """Whether a request that is abandoned shows its connection to be dead."""
+        """Whether the connection of an abandoned request counts as dead."""
         return now - last_received > SILENCE_TIMEOUT
 
     def choose(
@@ -143,11 +143,12 @@
         max_open: int,
         announced: int | None,
     ) -> Connection | None:
-        """The connection for a request of that id, None for a new one; one with requests open is only a
-        second choice, for where no new one can be had.
+        """The connection for a request of that id; None: open a new one.
 
-        One attempt a connection as long as they last: a broken answer or a reset ends all that is on it.
-        Never one that has carried the id before: a late answer to that would be taken for this one's.
+        A connection without open requests is preferred, as a malformed answer or a reset ends every request
+        on a connection. One with open requests is returned as a second choice, for callers that cannot open a
+        new one. A connection that has carried the id before is never returned: a late reply to the earlier
+        attempt would be taken for the reply to this one.
         """
         free: Connection | None = None
         shared: Connection | None = None
--- a/gaproute/hosts/jsonlines/client.py
+++ b/gaproute/hosts/jsonlines/client.py
@@ -1,7 +1,8 @@
 """The client of hosts that take lines of JSON: attempts, load orders and probes, many on one connection.
 
-It reports what it sees and chooses nothing: the pool's `submit` finds a connection for a request,
-`gaproute.hosts.results` says what an end proves. `update` brings the endpoint list.
+The client chooses no host and retries nothing. `ConnectionPool.submit` finds a connection for a request,
+`ConnectionPool.update` takes over the host list, and `gaproute.hosts.results` says what the end of a
+connection proves about the requests on it.
 """
 
 from collections.abc import Callable
@@ -39,7 +40,7 @@
         self.order_timeout = deployment.order_time or DEFAULT_ORDER_TIMEOUT
         self.counts_reported = deployment.same_function_counted
         self.last_tag = 0
-        self.unexpected = 0  # replies of another kind than their request
+        self.unexpected = 0  # replies that do not fit the kind of their request
 
     def send(
         self,
@@ -51,10 +52,11 @@
         until: int,
         on_ended: OnAttemptEnded,
     ) -> AttemptHandle:
-        """Send one attempt of the request with that id; `on_ended(result)` once, never at once.
+        """Send one attempt of a request; `request` is the gateway's id of it, which is not sent.
 
-        It begins before `until`, by the loop's clock, while its client is present, or never. `limit`: when
-        the request's final answer is owed.
+        `on_ended(result)` is called once, and never before this method has returned. The attempt begins
+        before `until` (ns of the loop's clock) and while its client is present, or never. `limit`: when the
+        request's final answer is owed (ns).
         """
         host = self.hosts.get(host_name)
         if host is None or not host.active:
@@ -82,9 +84,10 @@
         return result
 
     def order(self, host_name: str, function: str, copies: int, on_ended: OnLoadOrderEnded) -> None:
-        """Send a load order; `on_ended(result, instances that are loaded)` once, never at once.
+        """Send a load order; `on_ended(result, instances that are loaded)` is called once, later.
 
-        Where the host says nothing in time the connection ends, so that the order never arrives later.
+        If the host does not reply in time and the connection was silent, the connection is closed, so that
+        the order does not arrive later.
         """
 
         def ended(outcome: Reply | Result) -> None:
@@ -106,10 +109,10 @@
         )
 
     def probe(self, host_name: str, on_ended: OnProbeEnded) -> None:
-        """Ask for readiness and load; `on_ended(ready, load report)` once, never at once.
+        """Ask a host for its readiness and load; `on_ended(ready, load report)` is called once, later.
 
-        It is not called where this machine had no connection or descriptor for the probe: that says nothing
-        of the host.
+        It is not called where this machine had no connection or descriptor for the probe, as that shows
+        nothing about the host.
         """
 
         def ended(outcome: Reply | Result) -> None:
@@ -145,10 +148,11 @@
         overdue: Callable[[], object],
         end_silent: bool = False,
     ) -> None:
-        """Submit a request of the gateway's own, under an id that is used once.
+        """Submit a load order or a probe under the id `tag`, which is used once.
 
-        Calls, once and never at once, `unavailable()` where the host takes no requests, `overdue()` after
-        `timeout` ns, else `on_ended`. `end_silent`: end the connection where nothing came on it since.
+        One of three callbacks is called, once and later: `unavailable()` where the host takes no requests,
+        `overdue()` after `timeout` ns, else `on_ended`. `end_silent`: after a timeout, close the connection
+        if nothing has been received on it since the request was made.
         """
         host = self.hosts.get(host_name)
         if host is None or not host.active:
--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -1,8 +1,8 @@
-"""One connection to a host that carries lines, and the requests on it. It reports what it sees.
+"""One connection to a host, and the requests on it.
 
-`decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` says what an
-end proves. A request begins with its first byte in the kernel: until then it waits here, never in a buffer.
-Whether it may still begin is checked when it is written, not when it was submitted.
+`decisions.connections.pooling` chooses the connection of a request, `gaproute.hosts.results` says what the
+end of a connection proves. A request has begun once the kernel has taken its first byte. Until then the
+request itself waits here, and not its bytes in a buffer: whether it may begin is checked when it is written.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from gaproute.interface import Idempotency, Result
 from gaproute.loop import Stream, connect
 
-# Within which the kernel must have taken a whole request that has begun, ns: by no more is the limit in the
-# request wrong when its host can read it.
+# Time in which the kernel must have taken a complete request that has begun, ns. The time limit that the
+# request carries is too long by no more than this when the host can read it.
 WRITE_TIMEOUT = 100_000_000
 
 
 class WriteAbandonedError(GaprouteError):
-    """This side ends the connection, as a request on it is not to come whole any more."""
+    """The gateway closes the connection, so that a request that is written in part is never completed."""
 
 
 class Connection:
-    """A connection to one host, from the moment it is opened; requests wait until it is there."""
+    """A connection to one host, from when it is being opened; requests wait until it is established."""
 
     __slots__ = (
         "host",
@@ -51,13 +51,13 @@
         self.host, self.pool = host, host.pool
         loop = self.pool.loop
         self.pending: dict[str, PendingRequest] = {}  # by id
-        self.retired_ids: set[str] = set()  # ids for which one more reply may come
+        self.retired_ids: set[str] = set()  # ids of ended requests for which a reply may still come
         self.reader = LineReader()
-        self.stream: Stream | None = None  # None until it is connected
-        self.written = 0  # bytes
+        self.stream: Stream | None = None  # None until the connection is established
+        self.written = 0  # bytes given to the stream so far
         self.last_used = self.last_read = loop.now()
-        self.reusable = True  # takes further requests
-        self.answered = 0  # requests
+        self.reusable = True  # whether the connection takes further requests
+        self.answered = 0  # requests that got a reply
         self.cancel_connect: Callable[[], object] | None = connect(
             loop, host.address, self.pool.connect_timeout, self._connected
         )
@@ -72,12 +72,12 @@
         self.write_pending()
 
     def submit(self, request: PendingRequest) -> None:
-        """Write the request as soon as the kernel takes a byte of it."""
+        """Write the request now, or once the connection takes it."""
         self.pending[request.id] = request
         self.write_pending()
 
     def write_pending(self) -> None:
-        """Write what waits while the kernel takes it; fail what may no longer begin."""
+        """Write the requests that wait, while the kernel takes them; end those that may no longer begin."""
         stream, loop = self.stream, self.pool.loop
         if stream is None:  # not connected yet
             return
@@ -95,30 +95,30 @@
                 loop.after(WRITE_TIMEOUT, self._check_written, request)
 
     def _check_written(self, request: PendingRequest) -> None:
-        """End a request that is written only in part after so long: the limit in it is no longer true."""
+        """Close the connection if the request is still written only in part: its time limit is wrong now."""
         if self.pending.get(request.id) is request and not self.is_written(request):
             self.fail(WriteAbandonedError("a request could not be written whole in time"))
 
     def _fail_unsent(self, request: PendingRequest, result: Result) -> None:
-        """The request has not begun and never will."""
+        """End a request that has not begun."""
         del self.pending[request.id]
         self.pool.loop.soon(request.end, result)
 
     def is_written(self, request: PendingRequest) -> bool:
-        """Whether the host may have all of the request."""
+        """Whether the host may have received the complete request."""
         stream, end_offset = self.stream, request.end_offset
         return stream is not None and end_offset is not None and stream.bytes_sent >= end_offset
 
     def is_silent_since(self, time: int) -> bool:
-        """Whether nothing came since then, or no reply ever."""
+        """Whether nothing was received since that time, or no reply ever came."""
         return not self.answered or self.last_read < time
 
     def is_quiet(self) -> bool:
-        """Whether neither its end nor unrequested bytes have come: one system call."""
+        """Whether neither the connection's end nor unexpected bytes have come; takes one system call."""
         return self.stream is not None and bool(self.stream.is_quiet())
 
     def on_bytes(self, data: bytes) -> None:
-        """Take what the host sent."""
+        """Take received bytes and end the requests to which they reply."""
         self.last_read = self.pool.loop.now()
         malformed = None
         try:
@@ -139,7 +139,7 @@
             self.pool.unmatched += 1
             return
         del self.pending[request.id]
-        self.retired_ids.add(request.id)  # it may go again, and a second reply to this may come yet
+        self.retired_ids.add(request.id)  # a retry may carry this id, and a second reply to this attempt come
         self.last_used = self.last_read
         self.answered += 1
         if request.end(reply):
@@ -151,7 +151,7 @@
         )
 
     def fail(self, error: BaseException | None) -> None:
-        """The connection has ended: each request on it has failed, by how far it got."""
+        """Note that the connection has ended: each request on it fails, with a result by how far it got."""
         malformed = isinstance(error, MalformedLineError)
         by_host = not malformed and not isinstance(error, WriteAbandonedError)
         now, ended = self.pool.loop.now(), []
@@ -167,7 +167,7 @@
             self.pool.loop.soon(request.end, result)
 
     def drain(self) -> None:
-        """Begin nothing more; close once nothing is in flight."""
+        """Begin no further request; close the connection once none is in flight."""
         for request in [request for request in self.pending.values() if not request.started]:
             self._fail_unsent(request, results.of_ended_connection(None, started=False))
         self.reusable = False
@@ -177,9 +177,10 @@
     def cancel(self, request: PendingRequest) -> None:
         """End a request whose reply nobody waits for; its callback is not called.
 
-        One that has not begun never does. One that is written in part is never completed: its connection
-        ends. For one that is written the host gets a cancel where the settings allow it, and the connection
-        ends where it was silent.
+        A request that has not begun is dropped. One that is written in part is never completed: the
+        connection is closed. For one that is written, the host is sent a cancellation where the settings
+        allow it; a connection that was silent for too long takes no further requests, and is closed once no
+        other request is on it.
         """
         request.on_ended = None
         if self.pending.get(request.id) is not request:
@@ -207,7 +208,7 @@
             self.written += len(data)
 
     def drop(self) -> None:
-        """Close the connection; nothing is called."""
+        """Close the connection; no callback is called."""
         self.host.connections.discard(self)
         self.reusable = False
         if self.cancel_connect is not None:
--- a/gaproute/hosts/jsonlines/connection_pool.py
+++ b/gaproute/hosts/jsonlines/connection_pool.py
@@ -1,6 +1,6 @@
-"""All hosts by the endpoint list and the connections to them.
+"""All listed hosts and the connections to them.
 
-`decisions.connections.pooling` says which connection a request goes out on and how long one may be idle.
+`decisions.connections.pooling` decides which connection carries a request, and how long one may be idle.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,30 +21,31 @@
 
 
 class ConnectionPool:
-    """The hosts by name, and what finds a connection for a request."""
+    """The hosts by name; finds or opens the connection for each request."""
 
     def __init__(
         self, loop: Loop, pooling: Pooling, deployment: DeploymentSettings, max_connections: int
     ) -> None:
         """`max_connections`: to all hosts together."""
         self.loop, self.pooling, self.max_connections = loop, pooling, max_connections
-        self.on_removed: Callable[[str], object] = lambda name: None  # a host is gone for good
+        self.on_removed: Callable[[str], object] = lambda name: None  # called when a host is forgotten
         self.connect_timeout = deployment.connect_time or DEFAULT_CONNECT_TIMEOUT
-        # The settings say when hosts close an idle connection. Those that end sooner are reset by chance,
-        # which says nothing of the next: learning from them opened one for nearly every attempt.
+        # The settings say when hosts close an idle connection. One that ends sooner was reset by accident,
+        # which predicts nothing: to learn from such ends would open a connection for nearly every attempt.
         self.idle_timeout = deployment.idle_time or None
         self.max_requests = deployment.requests_per_connection  # on one connection
         self.cancel_allowed = deployment.cancel_allowed
         self.hosts: dict[str, Host] = {}
-        self.opened = self.reused = self.multiplexed = 0  # requests by the kind of connection they went on
-        self.malformed = 0  # connections that ended for what the host sent
-        self.unmatched = 0  # replies to nothing that was sent
+        # Requests on a new connection, on an idle one, and on one that they share with others.
+        self.opened = self.reused = self.multiplexed = 0
+        self.malformed = 0  # connections that were closed because a line could not be decoded
+        self.unmatched = 0  # replies that belong to no request
         self.sweep()
 
     def update(self, endpoints: Iterable[Endpoint], *, complete: bool) -> None:
-        """Take over the endpoint list, or with `complete` False changes of it.
+        """Take over the host list (`complete`), or changes of it.
 
-        From now on nothing more goes to hosts that drain or are gone; what they have in flight runs on.
+        No further request goes to hosts that drain or are gone; the requests that they have continue.
         """
         named = set()
         for endpoint in endpoints:
@@ -62,7 +63,7 @@
         if host is None:
             host = self.hosts[name] = Host(self, endpoint)
         elif not host.is_at(endpoint):
-            host.drain()  # its connections lead to what was there before
+            host.drain()  # its connections lead to the former address or process
             host.set_endpoint(endpoint)
         host.active = endpoint.listed.state is State.ACTIVE
         host.listed = endpoint.listed.state is not State.GONE
@@ -77,9 +78,10 @@
         on_ended: OnRequestEnded,
         wanted: Callable[[], bool] = always,
     ) -> PendingRequest | None:
-        """Submit a request on the connection that pooling picks, else on a new one, else on one it shares.
+        """Submit a request on an idle connection that pooling picks, else on a new one, else on a shared one.
 
-        None where no further connection can be had.
+        `encode(now)` gives the request's bytes, `until` and `wanted()` say whether it may still begin (see
+        `PendingRequest`). Returns None where there is no connection and no further one can be opened.
         """
         now = self.loop.now()
         connection = self._pick(now, host, request_id, idempotency)
@@ -98,8 +100,11 @@
         return request
 
     def _pick(self, now: int, host: Host, request_id: str, idempotency: Idempotency) -> Connection | None:
-        """The connection that pooling picks. An idle one on which an end or unrequested bytes have come is
-        closed first, unless the request may be sent again."""
+        """The connection that pooling picks, or None.
+
+        For a request that must not be sent again, an idle connection is checked first: one on which an end or
+        unexpected bytes have come is closed, and the next is picked.
+        """
         while True:
             connection: Connection | None = self.pooling.choose(
                 now,
@@ -120,7 +125,7 @@
             connection.drop()
 
     def _make_room(self) -> bool:
-        """Whether a further connection fits; the one of all hosts that is idle longest is closed for it."""
+        """Whether a further connection may be opened; at the limit the one idle longest is closed for it."""
         if self.connection_count() < self.max_connections:
             return True
         idle = [
@@ -134,11 +139,11 @@
         return bool(idle)
 
     def connection_count(self) -> int:
-        """Connections to all hosts."""
+        """How many connections there are to all hosts together."""
         return sum(len(host.connections) for host in self.hosts.values())
 
     def sweep(self) -> None:
-        """Close connections that have been idle too long, forget hosts that are gone, and go on doing so."""
+        """Close connections that have been idle too long and forget hosts that are gone, every second."""
         now = self.loop.now()
         for host in list(self.hosts.values()):
             for connection in list(host.connections):
@@ -150,10 +155,10 @@
         self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self.sweep)
 
     def _forget_if_gone(self, host: Host) -> None:
-        """Forget a host that was gone at the last sweep too.
+        """Forget a host that was gone at the last sweep already.
 
-        The ends of its last attempts are counted after their connections have ended; counts that come after
-        its removal would never be freed.
+        The ends of its last attempts are counted after their connections have ended. If the host were
+        forgotten at once, those counts would make a new entry that is never freed.
         """
         gone_before, host.gone_at_last_sweep = host.gone_at_last_sweep, host.is_gone()
         if gone_before and host.gone_at_last_sweep:
@@ -162,7 +167,7 @@
             self.on_removed(host.name)
 
     def close(self) -> None:
-        """Close every connection, call nothing more, and sweep no more."""
+        """Close every connection and end the sweeps; no callback is called any more."""
         self.sweep_timer.cancel()
         for host in list(self.hosts.values()):
             for connection in list(host.connections):
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -1,4 +1,4 @@
-"""One host by the endpoint list, and its connections."""
+"""One listed host, and the connections to it."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class ConnectionSet(dict["Connection", None]):
-    """An ordered set: what is chosen among connections must not depend on addresses in memory."""
+    """An ordered set, so that the choice among connections does not depend on addresses in memory."""
 
     def add(self, connection: Connection) -> None:
-        """Add it as the newest."""
+        """Add a connection as the newest."""
         self[connection] = None
 
     def discard(self, connection: Connection) -> None:
-        """Remove it if it is there."""
+        """Remove a connection; no error where it is not in the set."""
         self.pop(connection, None)
 
 
 class Host:
-    """A host, from when it is first listed until it is gone and nothing of it is in flight."""
+    """A host, from when it is first listed until it has left the list and has no connection."""
 
     __slots__ = (
         "pool",
@@ -47,19 +47,19 @@
         self.set_endpoint(endpoint)
 
     def set_endpoint(self, endpoint: Endpoint) -> None:
-        """It answers at that address, and started at that time. Errors: ValueError."""
+        """Take over the host's address and the time of its last start. Errors: ValueError."""
         self.address_text, self.address = endpoint.address, parse_address(endpoint.address)
         self.started = endpoint.listed.started
 
     def is_at(self, endpoint: Endpoint) -> bool:
-        """Whether it is still there and has not restarted."""
+        """Whether the host still has that address and has not restarted."""
         return (self.address_text, self.started) == (endpoint.address, endpoint.listed.started)
 
     def drain(self) -> None:
-        """Fail what has not begun; the connections end once nothing is in flight on them."""
+        """Fail requests that have not begun, and close each connection once it has none in flight."""
         for connection in list(self.connections):
             connection.drain()
 
     def is_gone(self) -> bool:
-        """Whether it is listed no more and has no connection."""
+        """Whether the host has left the list and has no connection."""
         return not self.listed and not self.connections
--- a/gaproute/hosts/jsonlines/line_reader.py
+++ b/gaproute/hosts/jsonlines/line_reader.py
@@ -1,4 +1,4 @@
-"""Bytes of a connection as replies of the host."""
+"""Decodes the bytes that a host sends into replies."""
 
 import msgspec
 
@@ -9,9 +9,9 @@
 
 
 class MalformedLineError(GaprouteError):
-    """What came is no line of the protocol: nothing that follows on the connection can be trusted.
+    """A line of a host cannot be decoded, so that nothing after it on the connection can be trusted.
 
-    `replies`: those of the lines before it.
+    `replies`: the replies of the lines before it in the same bytes.
     """
 
     def __init__(self, reason: str, replies: list[Reply]) -> None:
@@ -20,7 +20,7 @@
 
 
 class LineReader:
-    """Takes bytes and gives whole replies; holds one unfinished line at most."""
+    """Takes bytes and returns complete replies; buffers one unfinished line at most."""
 
     __slots__ = ("max_line_bytes", "parts", "unfinished_bytes")
 
@@ -30,7 +30,7 @@
         self.unfinished_bytes = 0
 
     def feed(self, data: bytes) -> list[Reply]:
-        """The replies that the bytes completed. Errors: MalformedLineError."""
+        """The replies that these bytes complete. Errors: MalformedLineError."""
         replies: list[Reply] = []
         *lines, rest = data.split(b"\n")
         for line in lines:
--- a/gaproute/hosts/jsonlines/messages.py
+++ b/gaproute/hosts/jsonlines/messages.py
@@ -1,7 +1,7 @@
-"""Lines of JSON to and from hosts; the protocol's names are used here and nowhere else.
+"""Encodes and decodes the lines of JSON of the hosts' protocol; its field names are used here alone.
 
-Attempts, load orders and probes go out each under an id; a reply carries it back. The ids of attempts are the
-clients' own, so a retry bears the same one.
+Each attempt, load order and probe has an id, which the reply repeats. The id of an attempt is the client's id
+of the request, so a retry has the same one.
 """
 
 import binascii
@@ -15,7 +15,7 @@
 from gaproute.settings import read_report
 
 MILLI = 1_000_000
-OK_STATUS = 200  # of an answer's body, which comes without one
+OK_STATUS = 200  # status of answers: this protocol has none
 RESULTS = {
     "served": Result.OK,
     "not_here": Result.NOT_LOADED,
@@ -30,7 +30,7 @@
 
 
 class Reply(msgspec.Struct):
-    """A line that a host sends; the fields' names are those on the wire."""
+    """A line that a host sends; the field names are those on the wire."""
 
     type: str
     req: str | int | float
@@ -47,7 +47,7 @@
 
 
 def encode_attempt(call: Call, left: int) -> bytes:
-    """An attempt; `left`: how long the gateway will wait, ns."""
+    """The line of an attempt; `left`: how long the gateway will wait, ns."""
     meta: Meta = {"cls": call.request_class, "item": call.model, "limit": max(1, left // MILLI)}
     if call.idempotency_key:
         meta["nonce"] = call.idempotency_key
@@ -55,22 +55,22 @@
 
 
 def encode_cancel(request_id: str) -> bytes:
-    """Nobody waits for that request any more."""
+    """The line that cancels a request, as nobody waits for it any more."""
     return _line({"type": "halt", "req": request_id})
 
 
 def encode_probe(tag: str) -> bytes:
-    """A probe under an id of the gateway's own."""
+    """The line of a probe; `tag`: its id."""
     return _line({"type": "stat", "req": tag})
 
 
 def encode_load_order(tag: str, function: str, copies: int) -> bytes:
-    """An order to have so many instances loaded."""
+    """The line of an order to have `copies` instances of a function loaded; `tag`: its id."""
     return _line({"type": "stage", "req": tag, "meta": {"item": function, "copies": copies}})
 
 
 def decode_attempt(reply: Reply, *, with_count: bool) -> AttemptResult | None:
-    """What the reply to an attempt proves; None where it is none.
+    """What the reply to an attempt proves; None where it is no such reply.
 
     `with_count`: whether hosts report how many requests of the same function they have in flight.
     """
@@ -91,7 +91,7 @@
 
 
 def _decode_body(data: str | None) -> bytes | None:
-    """The body as it came, in base64, in which an empty one is ""; None where it is missing or malformed."""
+    """The body, still in base64, in which an empty body is ""; None where it is missing or malformed."""
     if data is None:
         return None
     try:
@@ -103,20 +103,20 @@
 
 
 def decode_health(reply: Reply) -> tuple[bool, Report | None] | None:
-    """(ready, load report) of the reply to a probe; None where it is none."""
+    """(ready, load report) of the reply to a probe; None where it is no such reply."""
     if reply.type not in (READY, NOT_READY):
         return None
     return reply.type == READY, decode_load_report(reply.meta)
 
 
 def decode_load_order(reply: Reply) -> tuple[Result, int] | None:
-    """(result, instances that are loaded) of the reply to a load order; None where it is none."""
+    """(result, instances that are loaded) of the reply to a load order; None where it is no such reply."""
     result = RESULTS.get(reply.type)
     return None if result is None else (result, bounded_count(parse_figure(reply.meta.get("copies"))) or 0)
 
 
 def decode_load_report(meta: Meta) -> Report | None:
-    """A load report such as `inflight:7;util:0.61`; what cannot be read counts as not reported."""
+    """A load report such as `inflight:7;util:0.61`; a figure that cannot be decoded counts as missing."""
     text = meta.get("meter")
     if not isinstance(text, str):
         return None
--- a/gaproute/hosts/jsonlines/pending_request.py
+++ b/gaproute/hosts/jsonlines/pending_request.py
@@ -1,4 +1,4 @@
-"""One request on a connection, until its reply or its end."""
+"""One request on a connection to a host, until its reply or its failure."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 if TYPE_CHECKING:
     from gaproute.hosts.jsonlines.connection import Connection
 
-NO_DEADLINE = 1 << 62  # a time that never comes: of requests whose reply has a timeout of its own
+NO_DEADLINE = 1 << 62  # a time that never comes, for requests that have a timeout of their own
 
-# Called with the reply, or with what the failure proves; returns whether the id is never sent again.
+# Called with the reply, or with the result that a failure proves; returns whether the id is never sent again.
 OnRequestEnded: TypeAlias = Callable[[Reply | Result], bool]
 
 
 def already_written(now: int) -> bytes:
-    """Takes the place of `PendingRequest.encode` once that is done, so that the content can be freed."""
+    """Replaces `PendingRequest.encode` once the request is written, so that its content can be freed."""
     return b""
 
 
 class PendingRequest:
     """A request that waits to be written, or for its reply.
 
-    `encode(now)` gives its bytes and is called when they are written. `until`: when it may begin at the
-    latest; `wanted()`: whether it still may. `on_ended` is called once, never at once.
+    `encode(now)` gives the request's bytes and is called when they are written. `until`: when the request may
+    begin at the latest, ns; `wanted()`: whether it still may. `on_ended` is called once, and later.
     """
 
     __slots__ = (
@@ -55,28 +55,28 @@
         self.encode = encode
         self.on_ended = on_ended  # None once it has ended
         self.wanted = wanted
-        # Bytes written on its connection up to its end; None: none of it yet.
+        # Bytes written on the connection up to the end of this request; None until it has begun.
         self.end_offset: int | None = None
 
     @property
     def started(self) -> bool:
-        """Whether the kernel has taken a byte of it."""
+        """Whether the kernel has taken a byte of the request."""
         return self.end_offset is not None
 
     @property
     def cancellable(self) -> bool:
-        """Whether it is cancelled, though it started, once nobody waits for its reply.
+        """Whether a request that has begun can still be withdrawn: its last byte has not been sent.
 
-        Its host has it whole only with its last byte, and may not get that then.
+        Then the last byte is never sent, and the host never has the complete request.
         """
         stream = self.connection.stream
         return stream is not None and stream.open and not self.connection.is_written(self)
 
     def end(self, outcome: Reply | Result) -> bool:
-        """Call `on_ended`, unless the request was cancelled meanwhile; what it returned."""
+        """Call `on_ended` and return its result; False where the request was cancelled meanwhile."""
         on_ended, self.on_ended = self.on_ended, None
         return on_ended is not None and on_ended(outcome)
 
     def cancel(self) -> None:
-        """Nobody wants it any more; `on_ended` is not called."""
+        """End the request, as nobody wants its reply any more; `on_ended` is not called."""
         self.connection.cancel(self)
