--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -65,7 +65,7 @@
         asked,
         run.fleet,
         warm,
-        capacity_floor.need(asked, run.demand, run.zones),
+        capacity_floor.required_lanes(asked, run.demand, run.zones),
         free,
         LOAD,
         itertools.permutations(asked.hosts),
--- a/gaproute/maintenance/__init__.py
+++ b/gaproute/maintenance/__init__.py
@@ -1,16 +1,14 @@
-"""Maintenance in steps: hosts are taken out one group after another, warm capacity never under a floor.
+"""Rolling maintenance: hosts are taken out of service group by group, with enough warm capacity left in
+service.
 
-    round_spec.RoundSpec, MaintenanceHost; round_spec.mistakes(round, fleet, demand) -> [text]
-    schedule.plan(...) -> Plan(steps, end, why)          whether it can be done at all, and how long it takes
-    RoundController(round, me, holder, now, span).tick(now, FleetStatus) -> orders
-    RoundController.ask(now, host, FleetStatus) -> out for a crew
-    invariants.check_round(running, now, fleet) -> [text]
-
-Decisions only: no clock, no chance, no sockets. Off: nothing in the program makes a RoundController yet.
+A round of maintenance is described by a `RoundSpec` and carried out by a `RoundController`. The controller
+is given the state of the fleet and returns orders to hosts; it reads no clock, draws no random numbers and
+does no I/O. The gateway does not run rounds yet: only the simulation drives this package.
 """
 
 from gaproute.maintenance.controller import RoundController
 from gaproute.maintenance.fleet_status import FleetStatus
-from gaproute.maintenance.round_spec import MaintenanceHost, RoundSpec, mistakes
+from gaproute.maintenance.round_spec import MaintenanceHost, RoundSpec
+from gaproute.maintenance.spec_validation import find_mistakes
 
-__all__ = ["MaintenanceHost", "RoundSpec", "RoundController", "FleetStatus", "mistakes"]
+__all__ = ["FleetStatus", "MaintenanceHost", "RoundController", "RoundSpec", "find_mistakes"]
--- a/gaproute/maintenance/controller.py
+++ b/gaproute/maintenance/controller.py
@@ -1,129 +1,204 @@
-"""A running round: what it does next, from what is shown and believed, under permits. No I/O.
-
-Rules, by number in the code:
-1. Nothing is begun, and nothing given out, without the turn: the permit TURN, which one round of the fleet
-   holds at a time. So two rounds never count on the same warm lanes. After TURN_LONG it begins nothing, lets
-   its hosts come back and gives the turn back for a while.
-2. With a new turn belief begins anew: only hosts that answered after it was granted count, with copies seen
-   after it. Whoever had the turn before may have taken hosts until its end; such a host drains, is gone, or
-   has another start. Hosts that still drain by an older mark are told to serve again.
-3. The turn lost (not renewed, nobody heard): what has not been given out is given back, hosts out are
-   followed.
-4. The floor not kept as believed, one more failure looked ahead for: what has not been given out is given
-   back; nothing new is begun; copies are loaded; it goes on by itself once the floor is kept again.
-5. A host goes when the floor is kept without it and all that are away; where it is not, copies are loaded
-   elsewhere.
-6. `out` is given when the host is drained (`drain_proof.py`), turn and its own permit hold, and the floor
-   is kept then.
-7. Given out and still in its old life after the crew's time: the crew never began; given back.
-8. Not back in time: lost. It counts as away until it is seen; the round goes on while `together` and the
-   floor allow.
-9. Another life that this round's crew did not begin: belief of it is void; the host is still to go.
-10. Withdrawn, or `by` is over: nothing new, what has not been given out is given back, ends when all others
-    are back.
-After a restart of the scheduler: hosts whose `done` names the round are done, hosts that drain by old marks
-serve again, hosts that are away show another start when they come; the turn is asked for anew and old permits
-lapse.
+"""Carries out a round of maintenance: what it orders next, from reports and estimates, under leases.
+
+The rules, to which comments refer by number:
+
+1. Nothing is begun, and no host given out, without the turn: a lease that one round of the fleet holds at a
+   time. So two rounds never rely on the same warm capacity. A round that has held the turn for long begins
+   nothing new, waits until its hosts are back and releases the turn for a while.
+2. With a new turn the estimate of warm capacity begins anew: only hosts that answered after the turn was
+   granted count, with functions seen after it. The previous holder may have given hosts out until its end;
+   such a host drains, is gone or reports a new incarnation. Hosts that still drain by an older order are
+   ordered to serve.
+3. If the turn is lost (not renewed in time), hosts that have not been given out are returned to service;
+   those that are out are followed.
+4. If the estimated capacity falls below the floor, now or if one more failure is assumed, hosts that have
+   not been given out are returned to service and no new ones begin; functions are loaded. The round goes on
+   by itself once the floor is met again.
+5. A host is taken out when the floor is met without it and without all that are away. If it is not,
+   functions are loaded elsewhere.
+6. A host is given to its crew when it is proved drained, the turn and the host's own lease are held, and the
+   floor is met at that moment.
+7. A host that was given out and still reports its old incarnation after the time in which the crew had to
+   begin is returned to service: the crew never began.
+8. A host that is not back in time is lost. It counts as away until it reports again; the round goes on as
+   far as its limits and the floor allow.
+9. After a restart that this round's crew did not cause, what was known of a host is void; it is still to go.
+10. When the round is withdrawn or its deadline is over, nothing new begins, hosts that have not been given
+    out
+   are returned to service, and the round ends when all others are back.
+
+After a restart of the controller's own process, hosts that report the round as completed are done, hosts
+that drain by old orders are ordered to serve, and hosts that are away report a new incarnation when they
+come back. The turn is requested anew; old leases expire.
 """
 
-from gaproute.maintenance import capacity_floor, drain_proof, round_spec, schedule
-from gaproute.maintenance.going import TURN_LONG, Going
-from gaproute.maintenance.hands import AGAIN
-from gaproute.maintenance.host_progress import AWAY, HostIncarnations, HostProgress
+from collections.abc import Sequence
+
+from gaproute.maintenance import capacity_floor, drain_proof
+from gaproute.maintenance.capacity_estimate import CapacityEstimate
+from gaproute.maintenance.drain_proof import DrainBounds
+from gaproute.maintenance.feasibility import SchedulingEstimates
+from gaproute.maintenance.fleet_status import FleetStatus
+from gaproute.maintenance.host_progress import HostProgress, HostState
+from gaproute.maintenance.host_selection import HostSelector, select_hosts
+from gaproute.maintenance.host_transitions import HostTransitions, RoundParts
+from gaproute.maintenance.orders import GrantRejection, HostGrant, HostOrder
+from gaproute.maintenance.progress_planner import ProgressPlanner
+from gaproute.maintenance.round_log import RoundLog, RoundStage
+from gaproute.maintenance.round_spec import RoundSpec, selected_hosts
+from gaproute.maintenance.spec_validation import find_mistakes
+from gaproute.maintenance.turn import MaintenanceTurn
+from gaproute.shared.leases import LeaseClient
 
 SECOND = 1_000_000_000
 
-TURN = "maintenance turn"
-LOOK = 4 * SECOND  # after a turn is granted: hosts have to be seen anew before anything is judged
-REST = 3 * SECOND  # without the turn then, longer than another's AGAIN
-ORDERED = 10 * SECOND  # a load that was ordered and not seen to begin or end is forgotten
-BOUNDS, PACES = drain_proof.DrainBounds(), schedule.SchedulingEstimates()
-
-
-class RoundController(Going):
-    """`holder`: a `LeaseClient`; `beside`: other rounds that may run now, of which it keeps the floor as
-    well. `tick(now, view)` and `ask(now, host, view)`; `view`: see `fleet_status.py`."""
-
-    def __init__(self, asked, me, holder, now, span, bounds=BOUNDS, paces=PACES, beside=()):
-        self.asked, self.beside = capacity_floor.strict(asked, beside), tuple(beside)
-        self.me, self.holder, self.span = me, holder, span
-        self.bounds, self.paces = bounds, paces
-        self.stage, self.why, self.withdrawn = "asking", "", False
-        self.begun, self.count, self.planned = now, 0, False
-        self.places, self.lives = {}, HostIncarnations()
-        self.turn, self.turned, self.next = None, None, now  # wish; when it was seen held; next asking
-        self.ordered = {}  # (host, function): when
-        self.believed, self.needs, self.missing = {}, {}, []
-        self.log = []  # (state or stage, host or "", why), taken away by the caller
-
-    # Faces (and `ask`, see `hands.py`)
-
-    def withdraw(self, now):
+OBSERVATION_TIME = 4 * SECOND  # after a turn is granted: hosts have to be seen anew before anything is judged
+JUDGMENT_TIME = 20 * SECOND  # of a turn, until an infeasible round is rejected: the estimate fills first
+REPEATED_GRANT_TIME = 10 * SECOND  # a crew that asks again so soon is answered again: its answer may be lost
+DEFAULT_BOUNDS, DEFAULT_ESTIMATES = DrainBounds(), SchedulingEstimates()
+
+
+class RoundController:
+    """Carries out one round. Call `tick` regularly, and `request_host` when the crew wants a host.
+
+    `client`: for leases, named as this gateway is in gossip; `lease_duration`: in ns.
+    `other_rounds`: all others that may run at the same time, whose floors are met as well.
+    `selector`: chooses the hosts that are taken out next.
+    """
+
+    def __init__(
+        self,
+        spec: RoundSpec,
+        client: LeaseClient,
+        now: int,
+        *,
+        lease_duration: int,
+        other_rounds: Sequence[RoundSpec] = (),
+        bounds: DrainBounds = DEFAULT_BOUNDS,
+        estimates: SchedulingEstimates = DEFAULT_ESTIMATES,
+        selector: HostSelector = select_hosts,
+    ) -> None:
+        self.spec = capacity_floor.with_strictest_failure(spec, other_rounds)
+        self.began, self.withdrawn = now, False
+        self.log = RoundLog()
+        self.turn = MaintenanceTurn(client, lease_duration, now)
+        self.estimate = CapacityEstimate(self.spec, other_rounds, client.name)
+        parts = RoundParts(self.spec, client, lease_duration, bounds, self.turn, self.estimate, self.log)
+        self.transitions = HostTransitions(parts)
+        self.planner = ProgressPlanner(parts, self.transitions, estimates, selector)
+
+    @property
+    def hosts(self) -> dict[str, HostProgress]:
+        """The hosts of the round by name; empty until it has begun."""
+        return self.transitions.hosts
+
+    def withdraw(self) -> None:
+        """Ends the round as soon as the hosts that are out are back."""
         self.withdrawn = True
 
-    def holds(self, now):
-        return self.turn is not None and self.turn.valid_at(now) and self.turned is not None
+    def holds_turn(self, now: int) -> bool:
+        """Whether the round has the turn."""
+        return self.turn.is_held(now)
 
-    def away(self):
-        return [place.name for place in self.places.values() if place.state in AWAY]
-
-    def tick(self, now, view):
-        """[("drain" or "serve", host, mark) or ("load", host, function)]."""
-        if self.stage in ("ended", "refused"):
-            return []
-        if not self.places and not self._begin(now, view):
+    def tick(self, now: int, status: FleetStatus) -> list[HostOrder]:
+        """The orders that hosts are to be given now."""
+        if self.log.is_over or not self.hosts and not self._begin(status):
             return []
-        self.ordered = {key: when for key, when in self.ordered.items() if now - when < ORDERED}
-        out, anew = [], self.lives.see(now, view.fleet, view.shown)
-        self._turn(now)
-        self._believe(now, view)
-        for place in self.places.values():
-            out += self._follow(now, place, view, anew)
-        if self.withdrawn or now - self.begun > self.asked.by:  # rule 10
-            out += self._back(now, "withdrawn" if self.withdrawn else "by is over")
-            if all(self.places[name].state == "lost" for name in self.away()):
-                self._end(now, "withdrawn" if self.withdrawn else "by is over")
-            return out
-        if all(place.state == "done" for place in self.places.values()):
+        self.planner.recent.expire(now)
+        restarted = self.estimate.incarnations.update(status)
+        self.turn.tick(now, hosts_away=bool(self.transitions.names_away()))
+        self._update_estimate(now, status)
+        orders = [
+            order
+            for host in self.hosts.values()
+            for order in self.transitions.follow(
+                now, host, status.reports.get(host.name), restarted=host.name in restarted
+            )
+        ]
+        return orders + self._advance(now, status)
+
+    def request_host(self, now: int, name: str, status: FleetStatus) -> HostGrant | GrantRejection:
+        """The crew wants to begin its work at a host."""
+        host = self.hosts.get(name)
+        if host is None or not self._can_be_given(now, host):
+            return GrantRejection(f"{name} is not ready")
+        if not (self.holds_turn(now) and host.holds_lease(now)):  # rules 1, 6
+            return GrantRejection("no lease")
+        if host.state == HostState.READY:
+            report = status.reports.get(name)
+            if (
+                report is None
+                or not self.transitions.proof(host, report)
+                or report.incarnation != host.incarnation
+            ):
+                return GrantRejection("not drained")
+            self._update_estimate(now, status)
+            if self.estimate.shortfalls:  # rule 6: judged again at the last moment
+                return GrantRejection(capacity_floor.describe(self.estimate.shortfalls))
+            self.transitions.give_out(now, host)
+        return self._grant(now, host)
+
+    @staticmethod
+    def _can_be_given(now: int, host: HostProgress) -> bool:
+        if host.state == HostState.OUT:
+            return host.time_in_state(now) <= REPEATED_GRANT_TIME
+        return host.state == HostState.READY
+
+    def _grant(self, now: int, host: HostProgress) -> HostGrant:
+        lease_end = host.lease.expires_at or 0 if host.lease is not None else 0
+        time_left = min(self.turn.expires_at, lease_end) - now
+        latest_begin = now + time_left + drain_proof.allow_for_clock_error(time_left)
+        host.grant_expires_at = max(host.grant_expires_at, latest_begin)
+        return HostGrant(host.fencing_token, host.drain_mark, time_left)
+
+    def _begin(self, status: FleetStatus) -> bool:
+        mistakes = find_mistakes(self.spec, status.fleet, status.demand)
+        if mistakes:
+            self.log.enter_stage(RoundStage.REJECTED, "; ".join(mistakes))
+            return False
+        for host in selected_hosts(self.spec, status.fleet):
+            self.hosts[host.name] = HostProgress(host.name)
+        return True
+
+    def _update_estimate(self, now: int, status: FleetStatus) -> None:
+        turn_began = self.turn.held_since if self.turn.is_held(now) else None
+        away = self.transitions.names_away()
+        self.estimate.update(now, now if turn_began is None else turn_began, status, away)
+
+    def _advance(self, now: int, status: FleetStatus) -> list[HostOrder]:
+        """Ends the round, calls off what was begun, or takes the next steps."""
+        if self.withdrawn or now - self.began > self.spec.deadline:  # rule 10
+            reason = "withdrawn" if self.withdrawn else "by is over"
+            orders = self.transitions.revoke(now, reason)
+            if all(self.hosts[name].state == HostState.LOST for name in self.transitions.names_away()):
+                self._end(now, reason)
+            return orders
+        if all(host.state == HostState.DONE for host in self.hosts.values()):
             self._end(now, "")
-            return out
-        if not self.holds(now):
-            out += self._back(now, "no turn")  # rule 3
-            self._stage("paused" if self.away() else "asking", "no turn")
-        elif now - self.turned >= LOOK:
-            out += self._go(now, view)
-        return out
-
-    # Steps
-
-    def _begin(self, now, view):
-        wrong = round_spec.mistakes(self.asked, view.fleet, view.demand)
-        for host in [] if wrong else round_spec.named(self.asked, view.fleet):
-            self.places[host.name] = HostProgress(host.name)
-        if wrong:
-            self._stage("refused", "; ".join(wrong))
-        return not wrong
-
-    def _turn(self, now):
-        held = self.turn is not None and self.turn.valid_at(now)
-        if held and self.turned is None:
-            self.turned = now
-        if held and now - self.turned > TURN_LONG and not self.away():  # rule 1
-            self.holder.release(now, self.turn)
-            self.turn, self.turned, self.next = None, None, now + REST
-        elif not held and self.turn is not None and self.turn.state != "asked":
-            self.turn, self.turned, self.next = None, None, now + AGAIN
-        if self.turn is None and now >= self.next:
-            self.turn = self.holder.acquire(now, TURN, self.span)
-
-    def _stage(self, stage, why):
-        if (stage, why) != (self.stage, self.why):
-            self.stage, self.why = stage, why
-            self.log.append((stage, "", why))
-
-    def _end(self, now, why):
-        if self.turn is not None:
-            self.holder.release(now, self.turn)
-        for place in self.places.values():
-            self._release(now, place)
-        self._stage("ended", why)
+            return []
+        if not self.holds_turn(now):
+            orders = self.transitions.revoke(now, "no turn")  # rule 3
+            away = self.transitions.names_away()
+            self.log.enter_stage(RoundStage.PAUSED if away else RoundStage.REQUESTING_TURN, "no turn")
+            return orders
+        if self.turn.time_held(now) < OBSERVATION_TIME:
+            return []
+        return self._proceed(now, status)
+
+    def _proceed(self, now: int, status: FleetStatus) -> list[HostOrder]:
+        """The next steps under the turn; a round that is not feasible is rejected before the first one."""
+        orders = self.planner.serve_after_old_orders(now, status)
+        obstacle = self.planner.find_obstacle(status)
+        if not obstacle:
+            return orders + self.planner.next_orders(now, status)
+        if self.turn.time_held(now) > JUDGMENT_TIME:
+            self._end(now, obstacle)
+            self.log.enter_stage(RoundStage.REJECTED, obstacle)
+        else:
+            self.log.enter_stage(RoundStage.REQUESTING_TURN, obstacle)
+        return orders
+
+    def _end(self, now: int, reason: str) -> None:
+        self.turn.release(now)
+        self.transitions.release_leases(now)
+        self.log.enter_stage(RoundStage.ENDED, reason)
--- a/gaproute/maintenance/drain_proof.py
+++ b/gaproute/maintenance/drain_proof.py
@@ -1,45 +1,73 @@
-"""Why nobody still sends to a host, and nothing runs there, when `out` is given.
-
-Two proofs, the first that holds is taken:
-- `host`: the host was told to drain and says itself, in one answer that it was asked for afterwards, that it
-  takes no new task and has none in hand. A gateway that heard nothing may go on sending: each such task gets
-  a published 'not ready' (it never ran and goes on elsewhere). Needs no clock and no gateway's hearing.
-- `list`: a host that cannot refuse by itself is drained by the host list alone. A gateway that hears the list
-  has it within POLL; one that does not hear it drops hosts whose entry it could not renew within `life`,
-  which the platform has to promise (0: it does not; then this proof never holds). What was sent until then
-  has ended after the hard limit. The bound, by a clock that may be wrong by BOUND on both sides:
-  (max(poll, life) + hard limit) * (1 + 3 * BOUND). In hand must be none after it, as the host says.
-A permit's end proves nothing here: it bounds how long `out` may be begun, not who sends.
+"""Proofs that a host which was ordered to drain gets no more requests and runs none.
+
+There are two; either is enough:
+
+- By the host: it was ordered to drain and, probed afterwards, reports that it takes no new requests and
+  runs none. A gateway that did not hear of the order may still send; the host answers 'not ready', the
+  request did not run and goes elsewhere. This needs no clock and no message from gateways.
+- By the host list: for a host that cannot reject requests itself. A gateway that receives the list has the
+  new one within a poll interval. One that does not drops hosts whose entry was not renewed within the entry's
+  lifetime; the platform has to promise this lifetime, otherwise this proof never holds. What was sent until
+  then has ended after the hard limit of a request. All three are lengthened for clocks that go wrong by up to
+  `CLOCK_ERROR` on either side. After this time the host must report that it runs nothing.
+
+The end of a lease proves nothing here: a lease limits how long a host's restart may be begun, not who sends
+requests.
 """
 
+from enum import StrEnum
+
 import msgspec
 
+from gaproute.maintenance.host_report import HostReport
+
 SECOND = 1_000_000_000
-BOUND = 10  # per mille by which a clock may be wrong, as permits have it
+CLOCK_ERROR = 10  # per mille by which a clock may be wrong, the same as for leases
 
 
 class DrainBounds(msgspec.Struct, frozen=True):
-    """ns: `poll` between two looks at the list, `life` of an entry not renewed, `hard` limit of a task."""
+    """Times that bound how long a host may still get and run requests, in ns.
+
+    `poll_interval`: between two reads of the host list; `entry_lifetime`: until an entry that is not
+    renewed is dropped, 0 if that is not promised; `hard_limit`: the longest that a request runs.
+    """
+
+    poll_interval: int = 2 * SECOND
+    entry_lifetime: int = 0
+    hard_limit: int = 30 * SECOND
 
-    poll: int = 2 * SECOND
-    life: int = 0
-    hard: int = 30 * SECOND
 
+class DrainProof(StrEnum):
+    """By what a host is proved drained."""
 
-def bound(bounds):
-    """ns from the mark in the list until nothing sent by it can run any more; None: never proved."""
-    if not bounds.life:
+    NONE = ""
+    HOST = "host"
+    LIST = "list"
+
+
+def allow_for_clock_error(duration: int) -> int:
+    """What is added to a duration, in ns, that clocks of several machines measure; rounded down."""
+    return duration * 3 * CLOCK_ERROR // 1000
+
+
+def list_drain_time(bounds: DrainBounds) -> int | None:
+    """Nanoseconds until nothing sent by the old host list can still run; None: never proved."""
+    if not bounds.entry_lifetime:
         return None
-    span = max(bounds.poll, bounds.life) + bounds.hard
-    return span + -(-span * 3 * BOUND // 1000)
-
-
-def proof(now, shown, marked, bounds):
-    """ "host", "list" or "" (not yet). `marked`: when draining was begun; `shown`: its last HostReport
-    or None."""
-    if shown is None or shown.hands:
-        return ""
-    if shown.draining and shown.asked > marked:
-        return "host"
-    longest = bound(bounds)
-    return "list" if longest is not None and shown.asked >= marked + longest else ""
+    duration = max(bounds.poll_interval, bounds.entry_lifetime) + bounds.hard_limit
+    return duration - (-duration * 3 * CLOCK_ERROR // 1000)  # rounded up
+
+
+def find_proof(report: HostReport | None, ordered_at: int, bounds: DrainBounds) -> DrainProof:
+    """The proof that the host is drained, if there is one yet.
+
+    `report`: its last one; `ordered_at`: when it was ordered to drain.
+    """
+    if report is None or report.in_flight:
+        return DrainProof.NONE
+    if report.draining and report.asked_at > ordered_at:
+        return DrainProof.HOST
+    list_time = list_drain_time(bounds)
+    if list_time is not None and report.asked_at >= ordered_at + list_time:
+        return DrainProof.LIST
+    return DrainProof.NONE
--- /dev/null
+++ b/gaproute/maintenance/feasibility.py
@@ -0,0 +1,163 @@
+"""Whether a round is feasible: before it begins, it is played through with estimated durations."""
+
+from collections.abc import Mapping, Sequence
+from typing import NamedTuple
+
+import msgspec
+
+from gaproute.maintenance.capacity_floor import (
+    FleetCapacity,
+    Shortfall,
+    describe,
+    find_shortfalls,
+    host_lanes,
+)
+from gaproute.maintenance.host_selection import (
+    BlockedHost,
+    Ordering,
+    RoundHosts,
+    Selection,
+    by_urgency,
+    select_hosts,
+)
+from gaproute.maintenance.load_planning import FunctionLoad, LoadSituation, plan_loads
+from gaproute.maintenance.round_spec import SECOND, RoundSpec
+
+
+class SchedulingEstimates(msgspec.Struct, frozen=True):
+    """How long steps of a round are expected to take, in ns.
+
+    `drain_time`: until a host has drained; `load_time`: of one function; `detection_time`: until a change
+    at a host is noticed. `max_loads`: how many loads a round may cause at once.
+    """
+
+    drain_time: int = 6 * SECOND
+    load_time: int = 4 * SECOND
+    detection_time: int = 2 * SECOND
+    max_loads: int = 2
+
+
+class Departure(NamedTuple):
+    """When a host is taken out, in ns from the beginning of the round."""
+
+    at: int
+    host: str
+
+
+class RoundForecast(msgspec.Struct, frozen=True):
+    """How a round is expected to go. `end`: when all are back; `obstacle`: what forbids it, or ""."""
+
+    departures: tuple[Departure, ...]
+    end: int
+    obstacle: str = ""
+
+
+def forecast_round(
+    spec: RoundSpec,
+    capacity: FleetCapacity,
+    hosts: Sequence[str],
+    free_slots: Mapping[str, int],
+    estimates: SchedulingEstimates,
+    ordering: Ordering = by_urgency,
+) -> RoundForecast:
+    """Plays the round through. If it cannot be carried out, the first obstacle is named."""
+    excess = _above_total_capacity(capacity)
+    if excess:
+        return RoundForecast((), 0, f"{describe(excess)}: above all capacity")
+    return _ForecastRun(spec, capacity, hosts, free_slots, estimates, ordering).run()
+
+
+def _above_total_capacity(capacity: FleetCapacity) -> list[Shortfall]:
+    """The rows that would fall short even if every host had every function warm."""
+    total: dict[tuple[str, str], int] = {}
+    for host in capacity.fleet.values():
+        functions = dict.fromkeys([key.function for key in capacity.required], host.lanes)
+        for key, lanes in host_lanes(host, functions).items():
+            total[key] = total.get(key, 0) + lanes
+    return [
+        Shortfall(key, required, total.get(key, 0))
+        for key, required in capacity.required.items()
+        if required > total.get(key, 0)
+    ]
+
+
+class _ForecastRun:
+    """One run. `away`, `loading`: by host or load, when each ends; `previous`: what hosts had before."""
+
+    def __init__(
+        self,
+        spec: RoundSpec,
+        capacity: FleetCapacity,
+        hosts: Sequence[str],
+        free_slots: Mapping[str, int],
+        estimates: SchedulingEstimates,
+        ordering: Ordering,
+    ) -> None:
+        self.spec, self.estimates, self.ordering = spec, estimates, ordering
+        self.warm = {name: dict(functions) for name, functions in capacity.warm.items()}
+        self.capacity = FleetCapacity(capacity.fleet, self.warm, capacity.required)
+        self.initial_shortfalls = find_shortfalls(self.capacity, spec.survivable_failure)
+        self.absence = estimates.drain_time + spec.max_absence + estimates.detection_time
+        self.now = 0
+        self.waiting, self.free_slots = list(hosts), dict(free_slots)
+        self.away: dict[str, int] = {}
+        self.loading: dict[FunctionLoad, int] = {}
+        self.previous: dict[str, tuple[str, ...]] = {}
+        self.departures: list[Departure] = []
+
+    def run(self) -> RoundForecast:
+        """Until all hosts are back, or nothing can go on."""
+        while True:
+            selection = self._depart()
+            self._load()
+            ends = [*self.away.values(), *self.loading.values()]
+            if not ends:
+                return self._blocked(selection.first_blocked) if self.waiting else self._completed()
+            self._advance(min(ends))
+
+    def _depart(self) -> Selection:
+        hosts = RoundHosts(self.waiting, self.away)
+        selection = select_hosts(self.spec, self.capacity, hosts, self.ordering)
+        for name in selection.hosts:
+            self.waiting.remove(name)
+            self.departures.append(Departure(self.now, name))
+            self.away[name] = self.now + self.absence
+            self.previous[name] = tuple(self.warm[name])
+            self.warm[name] = {}
+        return selection
+
+    def _load(self) -> None:
+        situation = LoadSituation(
+            free_slots={name: slots for name, slots in self.free_slots.items() if name not in self.away},
+            loading=list(self.loading),
+            to_restore={name: had for name, had in self.previous.items() if name not in self.away},
+            max_loads=self.estimates.max_loads,
+        )
+        hosts = RoundHosts(self.waiting, self.away)
+        for load in plan_loads(self.spec, self.capacity, hosts, situation):
+            self.loading[load] = self.now + self.estimates.load_time + self.estimates.detection_time
+            self.free_slots[load.host] -= 1
+
+    def _advance(self, now: int) -> None:
+        """Goes on to when the next host is back or the next load has ended."""
+        self.now = now
+        for name in [name for name, end in self.away.items() if end <= now]:
+            del self.away[name]
+            self.free_slots[name] = self.capacity.fleet[name].slots
+        for load in [load for load, end in self.loading.items() if end <= now]:
+            del self.loading[load]
+            self.warm[load.host][load.function] = self.capacity.fleet[load.host].lanes
+
+    def _blocked(self, blocked: BlockedHost | None) -> RoundForecast:
+        if blocked is None:
+            obstacle = describe(self.initial_shortfalls)
+        else:
+            obstacle = f"{blocked.reason}, when {blocked.name} is to go"
+        return RoundForecast(tuple(self.departures), self.now, obstacle)
+
+    def _completed(self) -> RoundForecast:
+        end = max((departure.at + self.absence for departure in self.departures), default=0)
+        obstacle = ""
+        if end > self.spec.deadline:
+            obstacle = f"by: it takes {end / SECOND:g} s, by is {self.spec.deadline / SECOND:g} s"
+        return RoundForecast(tuple(self.departures), end, obstacle)
--- a/gaproute/maintenance/invariants.py
+++ b/gaproute/maintenance/invariants.py
@@ -1,68 +1,112 @@
-"""What must always hold of a running round as it believes; each check returns breaches, named first."""
+"""What must always hold of a running round, by what its controller believes. Each check returns breaches as
+texts that begin with the name of the invariant."""
 
-from gaproute.maintenance.controller import ORDERED
-from gaproute.maintenance.host_progress import AWAY, there
-from gaproute.maintenance.schedule import groups
-from gaproute.maintenance.warm_capacity import TOLD, WITNESSES, weight
+from collections.abc import Iterator, MutableMapping
 
-ORDERS = 4096  # loads and orders to serve remembered at once
+from gaproute.maintenance.controller import RoundController
+from gaproute.maintenance.fleet_status import FleetStatus
+from gaproute.maintenance.host_progress import HostState
+from gaproute.maintenance.host_report import is_responsive
+from gaproute.maintenance.host_selection import ExclusiveGroup, exclusive_groups
+from gaproute.maintenance.orders import GrantRejection, HostGrant
+from gaproute.maintenance.progress_planner import ORDER_MEMORY
+from gaproute.maintenance.round_log import RoundStage
+from gaproute.maintenance.round_spec import Fleet
+from gaproute.maintenance.warm_capacity import GOSSIP_DELAY, MIN_WITNESSES, age_weight
 
+MAX_RECENT_ORDERS = 4096
+STATES_WITH_LEASE = (HostState.REQUESTING_LEASE, HostState.READY, HostState.OUT)
 
-def check_round(running, now, fleet):
-    """Cheap enough for every tick."""
-    came, away, asked = [], running.away(), running.asked
-    if len(away) > asked.together:
-        came.append(f"at most {asked.together} together: {away}")
-    taken = {}
+
+def check_round(controller: RoundController, now: int, fleet: Fleet) -> list[str]:
+    """Of the whole round; cheap enough for every tick."""
+    return [
+        *_check_limits(controller, fleet),
+        *_check_bounds(controller, now, fleet),
+        *_check_leases(controller),
+    ]
+
+
+def _check_limits(controller: RoundController, fleet: Fleet) -> Iterator[str]:
+    away, spec = controller.transitions.names_away(), controller.spec
+    if len(away) > spec.max_away:
+        yield f"at most {spec.max_away} away at once: {away}"
+    members: dict[ExclusiveGroup, str] = {}
     for name in away:
-        for group in groups(asked, fleet, name) if name in fleet else ():
-            if group in taken:
-                came.append(f"not out together what may not: {taken[group]} and {name}")
-            taken[group] = name
-    if len(running.places) > len(fleet) + len(away) or len(running.ordered) > ORDERS:
-        came.append("maps are bounded: places and orders")
-    if any(now - when > 2 * ORDERED for when in running.ordered.values()) and running.stage == "going":
-        came.append("maps are bounded: orders are forgotten in time")
-    for place in running.places.values():
-        if place.wish is not None and place.state not in AWAY:
-            came.append(f"a permit is for a host that goes: {place.name} is {place.state}")
-        if place.state in ("asking", "ready", "out") and place.wish is None:
-            came.append(f"no out without a permit: {place.name} is {place.state}")
-    return came
-
-
-def check_belief(running, now, view):
-    """That belief is a lower bound of what was shown or told lately."""
-    came = []
-    if running.stage in ("ended", "refused"):
-        return came  # it looks no more
-    for name, functions in running.believed.items():
-        seen = view.shown.get(name)
-        for function, lanes in functions.items():
-            told = view.sights.get(function, {}).get(name)
-            if seen is None or seen.draining or not there(now, seen):
-                came.append(f"who is not there counts nothing: {name}")
-            elif function not in seen.copies and (told is None or len(told[1]) < WITNESSES):
-                came.append(f"nothing counts until it is seen warm: {function} at {name}")
-            else:
-                counts = weight(now - seen.asked) if function in seen.copies else weight(told[0] + TOLD)
-                if lanes * 1000 > view.fleet[name].lanes * counts:
-                    came.append(
-                        f"belief fades with its age: {name} counts {lanes} lanes at {counts} per mille"
-                    )
-    return came
-
-
-def check_given(running, now, name, answer, greatest):
-    """Of one answer to a crew. `greatest`: {host: fence given last}, kept by the caller over all rounds."""
-    if isinstance(answer, str):
+        for group in exclusive_groups(spec, fleet, name) if name in fleet else ():
+            if group in members:
+                yield f"one host of a group away at once: {members[group]} and {name}"
+            members[group] = name
+
+
+def _check_bounds(controller: RoundController, now: int, fleet: Fleet) -> Iterator[str]:
+    recent = controller.planner.recent
+    away = controller.transitions.names_away()
+    orders = [*recent.serves.values(), *recent.loads.values()]
+    if len(controller.hosts) > len(fleet) + len(away) or len(orders) > MAX_RECENT_ORDERS:
+        yield "maps are bounded: hosts and orders"
+    overdue = any(now - at > 2 * ORDER_MEMORY for at in orders)
+    if overdue and controller.log.stage == RoundStage.RUNNING:
+        yield "maps are bounded: orders are forgotten in time"
+
+
+def _check_leases(controller: RoundController) -> Iterator[str]:
+    for host in controller.hosts.values():
+        if host.lease is not None and not host.is_away:
+            yield f"a lease is for a host that goes: {host.name} is {host.state}"
+        if host.lease is None and host.state in STATES_WITH_LEASE:
+            yield f"no host out without a lease: {host.name} is {host.state}"
+
+
+def check_estimate(controller: RoundController, now: int, status: FleetStatus) -> list[str]:
+    """That the estimate of warm capacity is a lower bound of what was reported or seen lately."""
+    if controller.log.is_over:
+        return []  # it is not updated any more
+    return [
+        breach
+        for name, functions in controller.estimate.warm.items()
+        for function, lanes in functions.items()
+        for breach in _check_lanes(now, status, name, function, lanes)
+    ]
+
+
+def _check_lanes(now: int, status: FleetStatus, name: str, function: str, lanes: int) -> Iterator[str]:
+    report = status.reports.get(name)
+    sighting = status.sightings.get(function, {}).get(name)
+    if not is_responsive(report, now) or report.draining:
+        yield f"an absent host counts for nothing: {name}"
+        return
+    if function in report.warm_functions:
+        weight = age_weight(now - report.asked_at)
+    elif sighting is not None and len(sighting.origins) >= MIN_WITNESSES:
+        weight = age_weight(sighting.age + GOSSIP_DELAY)
+    else:
+        yield f"nothing counts until it is seen warm: {function} at {name}"
+        return
+    if lanes * 1000 > status.fleet[name].lanes * weight:
+        yield f"an estimate fades with its age: {name} counts {lanes} lanes at {weight} per mille"
+
+
+def check_grant(
+    controller: RoundController,
+    now: int,
+    name: str,
+    answer: HostGrant | GrantRejection,
+    greatest_tokens: MutableMapping[str, int],
+) -> list[str]:
+    """Of one answer to a crew. `greatest_tokens`: by host; the caller's, over all rounds."""
+    if isinstance(answer, GrantRejection):
         return []
-    came, place = [], running.places[name]
-    if not (running.holds(now) and place.wish.valid_at(now)):
-        came.append(f"no out without a permit: {name}")
-    if answer[0] < greatest.get(name, 0):
-        came.append(f"no out on an old fence: {name} by {answer[0]} after {greatest[name]}")
-    if running.missing and place.since == now:
-        came.append(f"the floor is kept as believed: {running.missing[0]} when {name} was given")
-    greatest[name] = max(answer[0], greatest.get(name, 0))
-    return came
+    host, breaches = controller.hosts[name], []
+    if not (controller.holds_turn(now) and host.holds_lease(now)):
+        breaches.append(f"no host out without a lease: {name}")
+    if answer.fencing_token < greatest_tokens.get(name, 0):
+        breaches.append(
+            f"no host out on an old fencing token: {name} by {answer.fencing_token}"
+            f" after {greatest_tokens[name]}"
+        )
+    shortfalls = controller.estimate.shortfalls
+    if shortfalls and host.state_since == now:
+        breaches.append(f"the floor is met as estimated: {shortfalls[0]} when {name} was given out")
+    greatest_tokens[name] = max(answer.fencing_token, greatest_tokens.get(name, 0))
+    return breaches
--- a/gaproute/maintenance/warm_capacity.py
+++ b/gaproute/maintenance/warm_capacity.py
@@ -1,73 +1,79 @@
-"""What is believed warm: a lower bound, from what was confirmed lately, by whom, and how long ago.
+"""How many warm lanes each host is believed to have: a lower bound of the truth.
 
-A copy counts where the host showed it to this gateway itself, or where two others tell that they saw it and
-the host has not shown this one otherwise since. What was seen before a host came back, or before this
-scheduler had its turn, counts for nothing: it may be of another life of the host, or from before another
-round took it out. Beliefs only lose by age; none gains.
+A warm function counts if the host itself reported it to this gateway, or if at least two other gateways saw
+it and the host has not reported otherwise since. What was seen before a host's last restart, or before this
+controller was granted its turn, does not count: it may be of an earlier incarnation of the host, or from
+before another round took the host out. With age an observation counts less and less.
 """
 
-import msgspec
+from collections.abc import Mapping
 
-SECOND = 1_000_000_000
+from gaproute.maintenance.fleet_status import FleetStatus
+from gaproute.maintenance.host_report import HostReport
+from gaproute.shared.gossip.fleet_view import WarmSighting
 
-FRESH = 5 * SECOND  # a sight counts in full so long: some probes of one host
-STALE = 20 * SECOND  # and for nothing from here on, evenly less in between: a death shows within it
-TOLD = 5 * SECOND  # what others told may have been on its way so long, whatever age it says
-WITNESSES = 2  # others that must have seen a copy: one alone may tell nonsense
+SECOND = 1_000_000_000
 
+FULL_WEIGHT_AGE = 5 * SECOND  # until this age an observation counts in full: some probes of one host
+MAX_AGE = 20 * SECOND  # from this age on it counts for nothing: a failed host is noticed within it
+GOSSIP_DELAY = 5 * SECOND  # added to the age of sightings by others: they may have been under way so long
+MIN_WITNESSES = 2  # other gateways that must have seen an instance: a single one may be wrong
 
-class HostReport(msgspec.Struct, frozen=True):
-    """A host as it last showed itself. `asked`: own clock's ns when it was asked that; `start`: of its
-    process; `mark`: of the order to drain, or to stop that, which it took last; `hands`: tasks in hand;
-    `power`: per mille of its lanes' full pace that it has now (cold hosts have less); `free`: slots without a
-    copy and not being loaded; `copies`: functions that it has warm; `loading`: those on their way; `done`:
-    the last round whose crew restarted it."""
+WarmLanes = dict[str, dict[str, int]]  # lanes by host and function
 
-    asked: int
-    start: int
-    draining: bool = False
-    mark: tuple[int, int] = (0, 0)
-    hands: int = 0
-    power: int = 1000
-    free: int = 0
-    copies: tuple[str, ...] = ()
-    loading: tuple[str, ...] = ()
-    done: str = ""
 
+def age_weight(age: int) -> int:
+    """Per mille that an observation of this age, in ns, counts."""
+    if age < 0:
+        return 0
+    if age <= FULL_WEIGHT_AGE:
+        return 1000
+    return max(0, 1000 * (MAX_AGE - age) // (MAX_AGE - FULL_WEIGHT_AGE))
 
-def weight(age):
-    """Per mille that a sight so old counts."""
-    if age <= FRESH:
-        return 1000 if age >= 0 else 0
-    return max(0, 1000 * (STALE - age) // (STALE - FRESH))
 
+def instance_weight(
+    now: int,
+    function: str,
+    report: HostReport,
+    sighting: WarmSighting | None,
+    *,
+    observer: str,
+    counted_since: int,
+) -> int:
+    """Per mille that a warm instance counts. What was seen up to `counted_since` counts for nothing.
 
-def sight(now, me, function, seen, told, since):
-    """Per mille that a copy counts. `seen`: what the host showed this gateway, from when it was asked that;
-    `told`: (age, tellers) by `GossipNode.warm_instances`, or None; nothing seen before `since` counts."""
-    if function in seen.copies:
-        return weight(now - seen.asked) if seen.asked > since else 0
-    if told is None:
+    `observer`: the name of this gateway in gossip, which is no witness beside its own report.
+    """
+    if function in report.warm_functions:
+        return age_weight(now - report.asked_at) if report.asked_at > counted_since else 0
+    if sighting is None:
         return 0
-    age, tellers = told
-    at = now - age - TOLD
-    others = sum(name != me for name in tellers)
-    return weight(age + TOLD) if others >= WITNESSES and at > since and at > seen.asked else 0
+    witnesses = sum(name != observer for name in sighting.origins)
+    age = sighting.age + GOSSIP_DELAY
+    seen_at = now - age
+    counts = witnesses >= MIN_WITNESSES and seen_at > counted_since and seen_at > report.asked_at
+    return age_weight(age) if counts else 0
+
 
+def warm_lanes(
+    now: int, status: FleetStatus, *, observer: str, counted_since: Mapping[str, int]
+) -> WarmLanes:
+    """The lanes that are believed warm now, by host and function.
 
-def lanes(now, me, fleet, sights, shown, since):
-    """{host: {function: lanes}} believed warm now. `sights`: {function: {host: (age, tellers)}} as
-    `GossipNode.warm_instances` has them; `shown`: {host: HostReport}; `since`: {host: ns before which nothing
-    counts}, of all hosts that count."""
-    found = {name: {} for name in fleet}
-    for name, host in fleet.items():
-        seen = shown.get(name)
-        if seen is None or seen.draining or name not in since:
+    `counted_since`: for each host that counts at all, the time up to which observations count for nothing.
+    """
+    lanes: WarmLanes = {name: {} for name in status.fleet}
+    for name, host in status.fleet.items():
+        report = status.reports.get(name)
+        if report is None or report.draining or name not in counted_since:
             continue
-        told = [function for function, hosts in sights.items() if name in hosts]
-        for function in dict.fromkeys((*seen.copies, *told)):
-            counts = sight(now, me, function, seen, sights.get(function, {}).get(name), since[name])
-            counts = counts * min(1000, seen.power) // 1000
-            if counts:
-                found[name][function] = host.lanes * counts // 1000
-    return found
+        sighted = [function for function, hosts in status.sightings.items() if name in hosts]
+        for function in dict.fromkeys((*report.warm_functions, *sighted)):
+            sighting = status.sightings.get(function, {}).get(name)
+            weight = instance_weight(
+                now, function, report, sighting, observer=observer, counted_since=counted_since[name]
+            )
+            weight = weight * min(1000, report.capacity) // 1000
+            if weight:
+                lanes[name][function] = host.lanes * weight // 1000
+    return lanes
--- a/gaproute/simulation/rounds/judge.py
+++ b/gaproute/simulation/rounds/judge.py
@@ -59,12 +59,11 @@
         self.risen, self.dirty, self.touch = True, True, "demand"
 
     def logs(self, name, running):
-        for line in running.log:
+        for line in running.log.take_events():
             self.events.append((self.play.world.now, name, *line))
-        running.log = []
-        stage = running.stage
-        if stage in ("ended", "refused") and running.asked.name not in self.ends:
-            self.ends[running.asked.name] = self.play.world.now, stage, running.why
+        stage = running.log.stage
+        if stage in ("ended", "refused") and running.spec.name not in self.ends:
+            self.ends[running.spec.name] = self.play.world.now, stage, running.log.reason
             self.dirty = True
 
     # Looking
@@ -74,7 +73,7 @@
         seat = world.seats[name]
         own = seat.clock.own(world.now)
         rounds = seat.actor.rounds if seat.actor is not None else []
-        return [running for running in rounds if running.holds(own)]
+        return [running for running in rounds if running.holds_turn(own)]
 
     def places(self):
         return [self.play.world.seats[name] for name in self.play.fleet]
@@ -100,7 +99,7 @@
         elif seat.name in self.play.schedulers:
             broken, seat.actor.breaches = seat.actor.breaches, []
             yield from broken
-            turns = [running.asked.name for name in self.play.schedulers for running in self.at(world, name)]
+            turns = [running.spec.name for name in self.play.schedulers for running in self.at(world, name)]
             if len(turns) > 1:
                 yield f"one round has the turn: {turns} at once"
         there = [place.actor is not None and not place.paused for place in self.places()]
@@ -131,11 +130,14 @@
             for name, functions in warm.items()
         }
         self.last, self.dirty = warm, False
-        have, might = capacity_floor.standing(play.fleet, warm), capacity_floor.standing(play.fleet, whole)
+        have, might = (
+            capacity_floor.available_lanes(play.fleet, warm),
+            capacity_floor.available_lanes(play.fleet, whole),
+        )
         for asked in play.rounds:
             if asked.name in self.ends:
                 continue
-            for row, least in capacity_floor.need(asked, play.demand, play.zones).items():
+            for row, least in capacity_floor.required_lanes(asked, play.demand, play.zones).items():
                 key, there = (asked.name, row), have.get(row, 0)
                 if there >= least:
                     self.bad.pop(key, None)
@@ -147,7 +149,7 @@
             self.own += 1
             self.bad[key] = "own"
             return
-        level, names = asked.survive, list(self.failed)
+        level, names = asked.survivable_failure, list(self.failed)
         things = (
             {name if level == "host" else getattr(self.play.fleet[name], level) for name in names}
             if level
--- a/gaproute/simulation/rounds/processes.py
+++ b/gaproute/simulation/rounds/processes.py
@@ -6,9 +6,9 @@
 """
 
 from gaproute.maintenance import FleetStatus, RoundController
-from gaproute.maintenance.drain_proof import DrainBounds
-from gaproute.maintenance.invariants import check_belief, check_given, check_round
-from gaproute.maintenance.warm_capacity import HostReport
+from gaproute.maintenance.host_report import HostReport, OrderMark
+from gaproute.maintenance.invariants import check_estimate, check_grant, check_round
+from gaproute.maintenance.orders import DrainOrder, GrantRejection, HostOrder, LoadOrder, ServeOrder
 from gaproute.shared.gossip import GossipNode
 from gaproute.shared.leases import LeaseClient
 
@@ -159,7 +159,7 @@
                     now, self.starts | {name: 0 for name in self.hosts if name not in self.starts}
                 )
             self.shown[sender] = HostReport(
-                asked, start, draining, mark, hands, power, free, message[3], loading, done
+                asked, start, draining, OrderMark(*mark), hands, power, free, message[3], loading, done
             )
             for function in self.play.functions:
                 if function in message[3]:  # as of when it was asked: an answer may be long on its way
@@ -168,6 +168,17 @@
                     self.gossip.record_unloaded_instance(sender, function)
 
 
+def order_message(order: HostOrder):
+    """The message that brings an order to its host."""
+    match order:
+        case DrainOrder():
+            return "drain", order.mark
+        case ServeOrder():
+            return "serve", order.mark
+        case LoadOrder():
+            return "load", order.function
+
+
 class ReportingGateway(HostObserver):
     """Tells the schedulers of demand, and sends tasks to hosts of which it does not know that they drain."""
 
@@ -192,12 +203,10 @@
         self.rounds = [
             self.running(
                 asked,
-                name,
                 self.holder,
                 now,
-                SPAN,
-                DrainBounds(),
-                beside=[other for other in play.rounds if other is not asked],
+                lease_duration=SPAN,
+                other_rounds=[other for other in play.rounds if other is not asked],
             )
             for asked in rounds
         ]
@@ -230,8 +239,10 @@
             self.look, view = now + TURN, self.view(now)
             for running in self.rounds:
                 for order in running.tick(now, view):
-                    out.append((order[1], (order[0], order[2])))
-                self.breaches += check_round(running, now, self.play.fleet) + check_belief(running, now, view)
+                    out.append((order.host, order_message(order)))
+                self.breaches += check_round(running, now, self.play.fleet) + check_estimate(
+                    running, now, view
+                )
                 self.play.judge.logs(self.name, running)
         return out + self.holder.tick(now)
 
@@ -252,11 +263,11 @@
     def give(self, now, sender, number):
         out = []
         for running in self.rounds:
-            for name in [place.name for place in running.places.values() if place.state in ("ready", "out")]:
-                answer = running.ask(now, name, self.view(now))
-                self.breaches += check_given(running, now, name, answer, self.play.greatest)
-                if not isinstance(answer, str):
-                    out.append((sender, ("out", number, name, *answer, running.asked.name)))
+            for name in [host.name for host in running.hosts.values() if host.state in ("ready", "out")]:
+                answer = running.request_host(now, name, self.view(now))
+                self.breaches += check_grant(running, now, name, answer, self.play.greatest)
+                if not isinstance(answer, GrantRejection):
+                    out.append((sender, ("out", number, name, *answer, running.spec.name)))
         return out
 
 
--- a/gaproute/simulation/rounds/run.py
+++ b/gaproute/simulation/rounds/run.py
@@ -107,14 +107,14 @@
         return RoundSpec(
             name=f"round{number}",
             hosts=tuple(chosen),
-            out=OUT if self.outs < OUT else self.outs,
-            together=min(len(chosen), chance.between(1, 3)),
-            by=by,
-            one_per=chance.of(("", "", "rack", "zone")),
+            max_absence=OUT if self.outs < OUT else self.outs,
+            max_away=min(len(chosen), chance.between(1, 3)),
+            deadline=by,
+            one_away_per=chance.of(("", "", "rack", "zone")),
             margin=chance.of((100, 250, 400)),
-            zones=chance.of((0, 0, 300)),
-            survive=chance.of(("host", "host", "host", "", "rack")),
-            apart=(tuple(chosen[:2]),) if len(chosen) > 1 and chance.below(3) == 0 else (),
+            zone_share=chance.of((0, 0, 300)),
+            survivable_failure=chance.of(("host", "host", "host", "", "rack")),
+            exclusive_groups=(tuple(chosen[:2]),) if len(chosen) > 1 and chance.below(3) == 0 else (),
         )
 
     def _plan(self, chance):
@@ -170,7 +170,7 @@
                     at(),
                     lambda: self.world.ask(
                         self.schedulers[0],
-                        lambda actor, now: [running.withdraw(now) for running in actor.rounds] and [],
+                        lambda actor, now: [running.withdraw() for running in actor.rounds] and [],
                     ),
                 )
             )
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -1,13 +1,18 @@
-"""Rounds in the driver: fixed seeds keep the floor in truth, small faults put into the code are caught."""
+"""Simulated rounds: with fixed seeds the true floor is kept; faults planted in the code are detected."""
 
 from functools import cache
 
 import msgspec
 import pytest
 
-from gaproute.maintenance import capacity_floor, drain_proof, schedule, warm_capacity
+from gaproute.maintenance import capacity_floor, drain_proof, host_selection, turn, warm_capacity
 from gaproute.maintenance.controller import RoundController
-from gaproute.maintenance.invariants import check_given
+from gaproute.maintenance.drain_proof import DrainProof
+from gaproute.maintenance.host_progress import HostState
+from gaproute.maintenance.invariants import check_grant
+from gaproute.maintenance.orders import GrantRejection, HostGrant
+from gaproute.maintenance.turn import MaintenanceTurn
+from gaproute.shared.leases.requests import LeaseState
 from gaproute.simulation.fault_schedule import ScheduledFault
 from gaproute.simulation.rounds import KINDS, MaintenanceRun, play
 from gaproute.simulation.rounds.baselines import OneAtATime, runs_with
@@ -39,12 +44,14 @@
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_fixed_seed_keeps_the_floor_in_truth(kind):
     run, name = clean(SEEDS.get(kind, 0), kind)
-    assert name == "" and run.judge.outs
+    assert name == ""
+    assert run.judge.outs
 
 
 def test_rounds_end_and_a_seed_is_one_run():
     first, again = clean(0, "none")[0], play(0, "none")[0]
-    assert first.judge.ends["round0"][1:] == ("ended", "") and first.judge.outs == len(first.rounds[0].hosts)
+    assert first.judge.ends["round0"][1:] == ("ended", "")
+    assert first.judge.outs == len(first.rounds[0].hosts)
     assert first.world.digest.digest() == again.world.digest.digest()
     assert first.judge.events == again.judge.events
 
@@ -58,122 +65,141 @@
         run.world.push(fault.at, 2, None, fault, 0)
         run.world.push(fault.until, 3, None, fault, 0)
         run.run()
-        assert run.judge.ends["round0"][1] == "ended" and not run.judge.breaches
+        assert run.judge.ends["round0"][1] == "ended"
+        assert not run.judge.breaches
         assert run.judge.outs == len(run.rounds[0].hosts)
 
 
-def test_one_at_a_time_with_no_regard_breaks_the_floor():
+def test_one_at_a_time_without_regard_to_capacity_breaks_the_floor():
     assert [verdict(seed, "died", made=runs_with(OneAtATime)) for seed in (2, 4)] == ["floor", "floor"]
 
 
 def no_margin(put):
-    real = capacity_floor.needs
+    real = capacity_floor.strictest_floor
     put(
         capacity_floor,
-        "needs",
-        lambda asked, demand, zones: real(
-            [msgspec.structs.replace(each, margin=0) for each in asked], demand, zones
+        "strictest_floor",
+        lambda specs, demand, zones: real(
+            [msgspec.structs.replace(spec, margin=0) for spec in specs], demand, zones
         ),
     )
 
 
-def no_look_ahead(put):
-    put(capacity_floor, "failures", lambda *told: [])
+def no_failure_assumed(put):
+    put(capacity_floor, "possible_failures", lambda *arguments: [])
 
 
-def no_age(put):
-    put(warm_capacity, "weight", lambda age: 1000)
+def observations_never_age(put):
+    put(warm_capacity, "age_weight", lambda age: 1000)
 
 
-def counted_at_once(put):
-    real = RoundController._believe
+def restarted_host_counted_at_once(put):
+    real = RoundController._update_estimate
 
-    def believe(self, now, view):
-        real(self, now, view)
-        for each in self.places.values():
-            if each.state == "back":
-                self.believed[each.name] = dict.fromkeys(each.had, view.fleet[each.name].lanes)
+    def update_estimate(self, now, status):
+        real(self, now, status)
+        for host in self.hosts.values():
+            if host.state == HostState.BACK:
+                lanes = status.fleet[host.name].lanes
+                self.estimate.warm[host.name] = dict.fromkeys(host.previous_functions, lanes)
 
-    put(RoundController, "_believe", believe)
+    put(RoundController, "_update_estimate", update_estimate)
 
 
-def one_too_many(put):
-    real = schedule.barred
+def one_host_too_many(put):
+    real = host_selection.find_conflict
     put(
-        schedule,
-        "barred",
-        lambda asked, fleet, name, away, down=(): real(
-            asked, fleet, name, list(away)[1:] if len(away) == asked.together else away, down
+        host_selection,
+        "find_conflict",
+        lambda spec, fleet, name, away, unavailable=(): real(
+            spec, fleet, name, list(away)[1:] if len(away) == spec.max_away else away, unavailable
         ),
     )
 
 
-def apart_forgotten(put):
-    put(schedule, "groups", lambda *told: [])
+def exclusive_groups_ignored(put):
+    put(host_selection, "exclusive_groups", lambda *arguments: [])
 
 
-def not_drained(put):
-    put(drain_proof, "proof", lambda now, seen, marked, bounds: "host" if seen else "")
-
+def drain_not_awaited(put):
+    put(
+        drain_proof,
+        "find_proof",
+        lambda report, ordered_at, bounds: DrainProof.HOST if report else DrainProof.NONE,
+    )
 
-def turn_for_each(put):
-    """The turn is no permit of the fleet but each round's own."""
-    put(RoundController, "_turn", lambda self, now, real=RoundController._turn: _own_turn(self, now, real))
 
+def a_turn_for_each_scheduler(put):
+    """The turn is not one lease of the fleet, but one of each scheduler."""
+    real = MaintenanceTurn.tick
 
-def _own_turn(running, now, real):
-    from gaproute.maintenance import controller as module
+    def tick(self, now, *, hosts_away):
+        before, turn.RESOURCE = turn.RESOURCE, f"turn of {self.client.name}"
+        try:
+            return real(self, now, hosts_away=hosts_away)
+        finally:
+            turn.RESOURCE = before
 
-    before, module.TURN = module.TURN, f"turn of {running.asked.name}"
-    try:
-        return real(running, now)
-    finally:
-        module.TURN = before
+    put(MaintenanceTurn, "tick", tick)
 
 
-TIGHT = {"together": 3, "one_per": "", "apart": (), "zones": 0, "margin": 400, "survive": ""}
-AHEAD = TIGHT | {"survive": "host", "margin": 100}
-# the fault, the check that names it, what is played, how rounds are changed, a seed that shows it
+TIGHT = {
+    "max_away": 3,
+    "one_away_per": "",
+    "exclusive_groups": (),
+    "zone_share": 0,
+    "margin": 400,
+    "survivable_failure": "",
+}
+WITH_FAILURE = TIGHT | {"survivable_failure": "host", "margin": 100}
+# The fault, the check that names it, what is simulated, how rounds are changed, a seed that shows it.
 MUTANTS = [
     (no_margin, "floor", "none", TIGHT, 0),
-    (no_look_ahead, "floor", "died", AHEAD, 10),
-    (no_age, "belief fades", "died", {}, 3),
-    (counted_at_once, "nothing counts until", "none", {}, 0),
-    (one_too_many, "at most", "none", {}, 0),
-    (apart_forgotten, "not out together", "none", {}, 0),
-    (not_drained, "tasks in hand", "none", {}, 0),
-    (turn_for_each, "one round has the turn", "two rounds", {}, 1),
+    (no_failure_assumed, "floor", "died", WITH_FAILURE, 10),
+    (observations_never_age, "an estimate fades", "died", {}, 3),
+    (restarted_host_counted_at_once, "nothing counts until", "none", {}, 0),
+    (one_host_too_many, "at most", "none", {}, 0),
+    (exclusive_groups_ignored, "one host of a group", "none", {}, 0),
+    (drain_not_awaited, "tasks in hand", "none", {}, 0),
+    (a_turn_for_each_scheduler, "one round has the turn", "two rounds", {}, 1),
 ]
 
 
-def changed(words):
-    return lambda asked: msgspec.structs.replace(
-        asked, **words | {"together": min(len(asked.hosts), words.get("together", asked.together))}
-    )
+def changed(fields):
+    def change(spec):
+        max_away = min(len(spec.hosts), fields.get("max_away", spec.max_away))
+        return msgspec.structs.replace(spec, **fields | {"max_away": max_away})
+
+    return change
 
 
 @pytest.mark.parametrize(
-    "mutant, name, kind, words, seed", MUTANTS, ids=[each[0].__name__ for each in MUTANTS]
+    ("mutant", "name", "kind", "fields", "seed"), MUTANTS, ids=[each[0].__name__ for each in MUTANTS]
 )
-def test_a_small_fault_is_caught_by_name(monkeypatch, mutant, name, kind, words, seed):
-    assert (verdict(seed, kind, changed=changed(words)) if words else clean(seed, kind)[1]) == ""
-    mutant(lambda where, what, put: monkeypatch.setattr(where, what, put))
-    assert verdict(seed, kind, changed=changed(words)).startswith(name)
+def test_a_planted_fault_is_detected_by_name(monkeypatch, mutant, name, kind, fields, seed):
+    assert (verdict(seed, kind, changed=changed(fields)) if fields else clean(seed, kind)[1]) == ""
+    mutant(monkeypatch.setattr)
+    assert verdict(seed, kind, changed=changed(fields)).startswith(name)
 
 
-def test_no_out_without_a_permit_or_on_an_old_fence():
+def test_no_host_is_given_out_without_a_lease_or_on_an_old_fencing_token():
     run = MaintenanceRun(3, "none")
     run.world.run(SECOND)
     run.world.crash(run.world.seats["crew"])  # nobody asks for the host
     for half in range(3, 80):
         run.world.run(half * SECOND // 2)
         seat = run.world.seats["s1"]
-        running = seat.actor.rounds[0]
-        ready = [each for each in running.places.values() if each.state == "ready"]
+        controller = seat.actor.rounds[0]
+        ready = [host for host in controller.hosts.values() if host.state == HostState.READY]
         if ready:
             break
-    now, each = seat.clock.own(run.world.now), ready[0]
-    each.wish.state = "over"
-    assert running.ask(now, each.name, seat.actor.view(now)) == "no permit"
-    came = check_given(running, now, each.name, (9, each.mark, 5), {each.name: 99})
-    assert [text.partition(":")[0] for text in came] == ["no out without a permit", "no out on an old fence"]
+    now, host = seat.clock.own(run.world.now), ready[0]
+    host.lease.state = LeaseState.EXPIRED
+    answer = controller.request_host(now, host.name, seat.actor.view(now))
+    assert answer == GrantRejection("no lease")
+    grant = HostGrant(9, host.drain_mark, 5)
+    breaches = check_grant(controller, now, host.name, grant, {host.name: 99})
+    assert [text.partition(":")[0] for text in breaches] == [
+        "no host out without a lease",
+        "no host out on an old fencing token",
+    ]
--- a/tests/maintenance/test_parts.py
+++ b/tests/maintenance/test_parts.py
@@ -1,18 +1,26 @@
-"""The parts of maintenance by themselves: words, belief, floor, schedule, proof that a host is drained."""
+"""Parts of maintenance by themselves: descriptions of rounds, estimates, floor, selection, drain proofs."""
 
 import msgspec
 import pytest
 
 from gaproute.maintenance import (
+    FleetStatus,
     MaintenanceHost,
     RoundSpec,
     capacity_floor,
     drain_proof,
-    mistakes,
-    schedule,
+    feasibility,
+    find_mistakes,
+    host_selection,
     warm_capacity,
 )
-from gaproute.maintenance.warm_capacity import FRESH, STALE, TOLD, HostReport
+from gaproute.maintenance.capacity_floor import CapacityKey, FleetCapacity
+from gaproute.maintenance.feasibility import SchedulingEstimates
+from gaproute.maintenance.host_report import HostReport
+from gaproute.maintenance.host_selection import RoundHosts
+from gaproute.maintenance.load_planning import LoadSituation, plan_loads
+from gaproute.maintenance.warm_capacity import FULL_WEIGHT_AGE, GOSSIP_DELAY, MAX_AGE
+from gaproute.shared.gossip.fleet_view import WarmSighting
 
 SECOND = 1_000_000_000
 FLEET = {
@@ -22,22 +30,26 @@
 WARM = {name: {"f": 4} for name in FLEET}
 
 
-def asked(**words):
-    return RoundSpec(
-        **{
-            "name": "r",
-            "hosts": ("h0", "h1", "h2", "h3"),
-            "out": 10 * SECOND,
-            "by": 600 * SECOND,
-            "margin": 0,
-            "survive": "",
-        }
-        | words
-    )
+def round_of(**changes):
+    """A round of all four hosts; `changes` by the keys of the operators' form."""
+    form = {
+        "name": "r",
+        "hosts": ("h0", "h1", "h2", "h3"),
+        "out": 10 * SECOND,
+        "by": 600 * SECOND,
+        "margin": 0,
+        "survive": "",
+    }
+    return msgspec.convert(form | changes, RoundSpec)
+
+
+def floor_of(lanes, scope=""):
+    """A floor that requires lanes of the function `f`."""
+    return {CapacityKey("f", scope): lanes}
 
 
 @pytest.mark.parametrize(
-    "words, told",
+    ("changes", "mistakes"),
     [
         ({}, []),
         ({"hosts": ()}, ["hosts: none are named"]),
@@ -59,107 +71,137 @@
         ({"functions": ("f", "g")}, ["functions: nobody asks for g"]),
     ],
 )
-def test_every_mistake_of_a_round_is_told(words, told):
-    assert mistakes(asked(**words), FLEET, {"f": 4}) == told
+def test_every_mistake_of_a_round_is_reported(changes, mistakes):
+    assert find_mistakes(round_of(**changes), FLEET, {"f": 4}) == mistakes
 
 
 def test_a_round_by_zone_names_its_hosts():
-    assert mistakes(asked(hosts=(), zone="x"), FLEET, {"f": 4}) == []
+    assert find_mistakes(round_of(hosts=(), zone="x"), FLEET, {"f": 4}) == []
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert({"name": "r", "out": -1, "by": 1}, RoundSpec)
 
 
-def test_a_sight_counts_by_its_age_and_its_teller():
-    now, seen = 100 * SECOND, HostReport(99 * SECOND, 1, copies=("f",))
-    assert warm_capacity.sight(now, "me", "f", seen, None, 0) == 1000
-    assert (
-        warm_capacity.sight(now, "me", "f", seen, None, 99 * SECOND) == 0
-    )  # seen before its life or the turn
-    assert [warm_capacity.weight(age) for age in (FRESH, (FRESH + STALE) // 2, STALE, -1)] == [
-        1000,
-        500,
-        0,
-        0,
-    ]
-    cold = HostReport(90 * SECOND, 1)
-    assert warm_capacity.sight(now, "me", "f", cold, (SECOND, ("a",)), 0) == 0  # one alone may tell nonsense
-    assert warm_capacity.sight(now, "me", "f", cold, (SECOND, ("a", "me")), 0) == 0
-    assert warm_capacity.sight(now, "me", "f", cold, (SECOND, ("a", "b")), 0) == warm_capacity.weight(
-        SECOND + TOLD
+def weight(report, sighting, counted_since=0, now=100 * SECOND):
+    return warm_capacity.instance_weight(
+        now, "f", report, sighting, observer="me", counted_since=counted_since
     )
-    assert warm_capacity.sight(now, "me", "f", seen, (SECOND, ("a", "b")), 99 * SECOND) == 0
-    later = HostReport(97 * SECOND, 1)  # it showed itself cold since then
-    assert warm_capacity.sight(now, "me", "f", later, (SECOND, ("a", "b")), 0) == 0
 
 
-def test_lanes_leave_out_who_drains_and_count_cold_hosts_by_their_power():
-    shown = {
-        "h0": HostReport(0, 1, copies=("f",)),
-        "h1": HostReport(0, 1, power=500, copies=("f",)),
-        "h2": HostReport(0, 1, draining=True, copies=("f",)),
-        "h3": HostReport(0, 1, copies=("f",)),
+def test_an_observation_counts_by_its_age_and_its_origin():
+    seen = HostReport(99 * SECOND, 1, warm_functions=("f",))
+    assert weight(seen, None) == 1000
+    assert weight(seen, None, 99 * SECOND) == 0  # seen before the incarnation or the turn began
+    ages = (FULL_WEIGHT_AGE, (FULL_WEIGHT_AGE + MAX_AGE) // 2, MAX_AGE, -1)
+    assert [warm_capacity.age_weight(age) for age in ages] == [1000, 500, 0, 0]
+    cold = HostReport(90 * SECOND, 1)
+    assert weight(cold, WarmSighting(SECOND, ("a",))) == 0  # a single witness may be wrong
+    assert weight(cold, WarmSighting(SECOND, ("a", "me"))) == 0
+    two_witnesses = WarmSighting(SECOND, ("a", "b"))
+    assert weight(cold, two_witnesses) == warm_capacity.age_weight(SECOND + GOSSIP_DELAY)
+    assert weight(seen, two_witnesses, 99 * SECOND) == 0
+    reported_cold_later = HostReport(97 * SECOND, 1)
+    assert weight(reported_cold_later, two_witnesses) == 0
+
+
+def test_draining_hosts_count_for_nothing_and_warming_hosts_by_their_capacity():
+    reports = {
+        "h0": HostReport(0, 1, warm_functions=("f",)),
+        "h1": HostReport(0, 1, capacity=500, warm_functions=("f",)),
+        "h2": HostReport(0, 1, draining=True, warm_functions=("f",)),
+        "h3": HostReport(0, 1, warm_functions=("f",)),
     }
-    found = warm_capacity.lanes(SECOND, "me", FLEET, {}, shown, dict.fromkeys(("h0", "h1", "h2"), -1))
+    status = FleetStatus(FLEET, reports, {}, {}, 0)
+    found = warm_capacity.warm_lanes(
+        SECOND, status, observer="me", counted_since=dict.fromkeys(("h0", "h1", "h2"), -1)
+    )
     assert found == {"h0": {"f": 4}, "h1": {"f": 2}, "h2": {}, "h3": {}}
 
 
-def test_the_floor_is_rounded_up_and_looks_ahead():
-    rows = capacity_floor.need(asked(margin=250, zones=500), {"f": 9, "g": 0}, ["x", "y"])
-    assert rows == {("f", ""): 12, ("f", "x"): 3, ("f", "y"): 3, ("*", ""): 12, ("*", "x"): 3, ("*", "y"): 3}
-    assert capacity_floor.kept(FLEET, WARM, rows, "") == [] == capacity_floor.kept(FLEET, WARM, rows, "host")
-    assert capacity_floor.kept(FLEET, WARM, rows, "", ("h0",)) == []
+def test_the_floor_is_rounded_up_and_survives_failures():
+    floor = capacity_floor.required_lanes(round_of(margin=250, zones=500), {"f": 9, "g": 0}, ["x", "y"])
+    assert floor == {
+        ("f", ""): 12,
+        ("f", "x"): 3,
+        ("f", "y"): 3,
+        ("*", ""): 12,
+        ("*", "x"): 3,
+        ("*", "y"): 3,
+    }
+
+    def shortfalls(required, level, without=()):
+        return capacity_floor.find_shortfalls(FleetCapacity(FLEET, WARM, required), level, without)
+
+    assert shortfalls(floor, "") == [] == shortfalls(floor, "host")
+    assert shortfalls(floor, "", ("h0",)) == []
     assert (
-        capacity_floor.worded(capacity_floor.kept(FLEET, WARM, rows, "host", ("h0",)))
+        capacity_floor.describe(shortfalls(floor, "host", ("h0",)))
         == "floor: f in the fleet needs 12 warm lanes, has 8 if h1 fails"
     )
-    zones = {("f", "x"): 3, ("f", "y"): 3}
-    assert capacity_floor.kept(FLEET, WARM, zones, "zone") == []  # not asked of the zone that fails
-    assert capacity_floor.kept(FLEET, WARM, {("f", ""): 9}, "zone")
-    assert capacity_floor.needs((asked(), asked(margin=500)), {"f": 8}, [])["f", ""] == 12
-    assert capacity_floor.strict(asked(), [asked(survive="rack")]).survive == "rack"
-
-
-def test_who_may_go_together():
-    needs = {("f", ""): 8}
-    one = asked(together=2)
-    assert schedule.choose(one, FLEET, WARM, needs, list(FLEET), [])[0] == ["h0", "h1"]
-    for two in asked(together=2, one_per="zone"), asked(together=2, apart=(("h0", "h1"),)):
-        assert schedule.choose(two, FLEET, WARM, needs, list(FLEET), [])[0] == ["h0", "h2"]
-    going, first = schedule.choose(one, FLEET, WARM, {("f", ""): 13}, list(FLEET), [])
-    assert going == [] and first == ("h0", "floor: f in the fleet needs 13 warm lanes, has 12")
-
-
-def test_copies_are_loaded_elsewhere_before_a_host_goes():
-    warmed = {"h0": {"f": 4}, "h1": {"f": 4}, "h2": {}, "h3": {}}
-    one, needs, free = asked(hosts=("h0", "h1")), {("f", ""): 8}, {"h2": 3, "h3": 3}
-    assert schedule.loads(one, FLEET, warmed, needs, ["h0", "h1"], [], free, [], {}, 2) == [("h2", "f")]
-    assert schedule.loads(one, FLEET, warmed, needs, ["h0", "h1"], [], free, [], {}, 0) == []
-    assert schedule.loads(one, FLEET, warmed, needs, ["h0", "h1"], [], {"h3": 0}, [], {}, 2) == []
-    made = schedule.plan(one, FLEET, warmed, needs, ["h0", "h1"], free, schedule.SchedulingEstimates())
-    assert made.why == "" and [name for _, name in made.steps] == ["h0", "h1"] and made.steps[0][0] > 0
-
-
-def test_a_round_without_a_lawful_schedule_names_what_is_in_its_way():
-    def why(needs, **words):
-        return schedule.plan(
-            asked(**words), FLEET, WARM, needs, list(FLEET), {}, schedule.SchedulingEstimates()
-        ).why
-
-    assert why({("f", ""): 17}).endswith("needs 17 warm lanes, has 16: above all capacity")
-    assert why({("f", ""): 13}) == "floor: f in the fleet needs 13 warm lanes, has 12, when h0 is to go"
-    assert why({("f", ""): 8}, by=45 * SECOND).startswith("by: it takes 7")
-
-
-def test_a_host_is_drained_by_its_own_word_or_by_the_lists_bound():
-    bounds, life = drain_proof.DrainBounds(), drain_proof.DrainBounds(life=10 * SECOND)
-    assert drain_proof.bound(bounds) is None and drain_proof.bound(life) == 41_200_000_000
-    for seen, which in (
+    zones = floor_of(3, "x") | floor_of(3, "y")
+    assert shortfalls(zones, "zone") == []  # nothing is required of the zone that fails
+    assert shortfalls(floor_of(9), "zone")
+    strictest = capacity_floor.strictest_floor((round_of(), round_of(margin=500)), {"f": 8}, [])
+    assert strictest[CapacityKey("f", "")] == 12
+    strictest_failure = capacity_floor.with_strictest_failure(round_of(), [round_of(survive="rack")])
+    assert strictest_failure.survivable_failure == "rack"
+
+
+def test_which_hosts_may_go_together():
+    def select(spec, required):
+        hosts = RoundHosts(list(FLEET), [])
+        return host_selection.select_hosts(spec, FleetCapacity(FLEET, WARM, required), hosts)
+
+    assert select(round_of(together=2), floor_of(8)).hosts == ["h0", "h1"]
+    for spec in round_of(together=2, one_per="zone"), round_of(together=2, apart=(("h0", "h1"),)):
+        assert select(spec, floor_of(8)).hosts == ["h0", "h2"]
+    assert select(round_of(together=2), floor_of(13)) == (
+        [],
+        ("h0", "floor: f in the fleet needs 13 warm lanes, has 12"),
+    )
+
+
+def test_functions_are_loaded_elsewhere_before_a_host_goes():
+    warm = {"h0": {"f": 4}, "h1": {"f": 4}, "h2": {}, "h3": {}}
+    spec, capacity = round_of(hosts=("h0", "h1")), FleetCapacity(FLEET, warm, floor_of(8))
+
+    def loads(free_slots, max_loads):
+        situation = LoadSituation(free_slots, [], {}, max_loads)
+        return plan_loads(spec, capacity, RoundHosts(["h0", "h1"], []), situation)
+
+    free_slots = {"h2": 3, "h3": 3}
+    assert loads(free_slots, 2) == [("h2", "f")]
+    assert loads(free_slots, 0) == []
+    assert loads({"h3": 0}, 2) == []
+    forecast = feasibility.forecast_round(spec, capacity, ["h0", "h1"], free_slots, SchedulingEstimates())
+    assert forecast.obstacle == ""
+    assert [departure.host for departure in forecast.departures] == ["h0", "h1"]
+    assert forecast.departures[0].at > 0
+
+
+def test_an_infeasible_round_names_its_obstacle():
+    def obstacle(required, **changes):
+        capacity = FleetCapacity(FLEET, WARM, required)
+        return feasibility.forecast_round(
+            round_of(**changes), capacity, list(FLEET), {}, SchedulingEstimates()
+        ).obstacle
+
+    assert obstacle(floor_of(17)).endswith("needs 17 warm lanes, has 16: above all capacity")
+    assert obstacle(floor_of(13)) == "floor: f in the fleet needs 13 warm lanes, has 12, when h0 is to go"
+    assert obstacle(floor_of(8), by=45 * SECOND).startswith("by: it takes 7")
+
+
+def test_a_host_is_proved_drained_by_its_report_or_by_the_host_list():
+    bounds = drain_proof.DrainBounds()
+    with_lifetime = drain_proof.DrainBounds(entry_lifetime=10 * SECOND)
+    assert drain_proof.list_drain_time(bounds) is None
+    assert drain_proof.list_drain_time(with_lifetime) == 41_200_000_000
+    for report, proof in (
         (None, ""),
         (HostReport(5, 1, draining=True), "host"),
-        (HostReport(5, 1, draining=True, hands=1), ""),
+        (HostReport(5, 1, draining=True, in_flight=1), ""),
         (HostReport(3, 1, draining=True), ""),
         (HostReport(5 + 41 * SECOND, 1), ""),
-        (HostReport(4 + drain_proof.bound(life), 1), "list"),
+        (HostReport(4 + drain_proof.list_drain_time(with_lifetime), 1), "list"),
     ):
-        assert drain_proof.proof(0, seen, 4, life) == which
-    assert drain_proof.proof(0, HostReport(1 << 60, 1), 4, bounds) == ""
+        assert drain_proof.find_proof(report, 4, with_lifetime) == proof
+    assert drain_proof.find_proof(HostReport(1 << 60, 1), 4, bounds) == ""
