--- a/benchmarks/campaigns.py
+++ b/benchmarks/campaigns.py
@@ -26,8 +26,11 @@
 from rows import table, write
 
 from gaproute.rollouts.campaign import RolloutHost
-from gaproute.rollouts.forecast import COURSE, SLOT, CompletionEstimate, FleetForecast
-from gaproute.rollouts.plan import CampaignDemand, PlanningProblem, greedy, worth, wrong
+from gaproute.rollouts.completion import CompletionEstimate
+from gaproute.rollouts.forecast import DAY_FACTORS, SLOT, DemandReading, FleetForecast
+from gaproute.rollouts.greedy import greedy_plan
+from gaproute.rollouts.plan import CampaignDemand, PlanningProblem
+from gaproute.rollouts.plan_evaluation import find_violations, plan_value
 from gaproute.simulation.campaigns import play
 from gaproute.simulation.campaigns.cases import CASES
 
@@ -146,19 +149,19 @@
     from gaproute.rollouts.solver import solve
 
     problem, truth = planned(seed, count)
-    seen = PlanningProblem(truth, problem.room, problem.wants, problem.standing, problem.loads)
+    seen = PlanningProblem(truth, problem.copy_capacity, problem.demands, problem.loaded, problem.max_loads)
     best, came = solve(seen, LIMIT), {}
-    for name, make in (("greedy", greedy), ("HiGHS", lambda problem: solve(problem, LIMIT))):
+    for name, make in (("greedy", greedy_plan), ("HiGHS", lambda problem: solve(problem, LIMIT))):
         began = time.process_time()
         plan = make(problem)
         took = 1000 * (time.process_time() - began)
         came[name] = (
             None
-            if plan is None or best is None or wrong(problem, plan)
+            if plan is None or best is None or find_violations(problem, plan)
             else (
-                worth(problem, plan, truth) / worth(problem, best, truth),
+                plan_value(problem, plan, truth) / plan_value(problem, best, truth),
                 took,
-                sum(copy[:2] not in problem.standing for copy in plan.copies),
+                sum(copy[:2] not in problem.loaded for copy in plan.copies),
             )
         )
     return job, came
@@ -196,10 +199,10 @@
         off = []
         for seed in range(seeds):
             chance, first = random.Random(f"end {seed}"), before * 120
-            course = [1.0 + rises * min(1, max(0, half - 16) / 8) for half in range(COURSE)]
+            course = [1.0 + rises * min(1, max(0, half - 16) / 8) for half in range(DAY_FACTORS)]
             forecast = FleetForecast({"p": course} if known else None)
             demand = [
-                320 * (1 - part) * (course[slot // 60 % COURSE] if rises else 1.0)
+                320 * (1 - part) * (course[slot // 60 % DAY_FACTORS] if rises else 1.0)
                 for slot, part in enumerate(walk(chance, 2400, 0.65, 0.05))
             ]
             true = [max(0.0, 320 - lanes) for lanes in demand]
@@ -211,11 +214,11 @@
                     done += true[slot] * SLOT / (2 * SECOND) * chance.uniform(0.9, 1.0)
                     if done >= work:
                         break
-                    end.saw(now, int(done), true[slot])
-                forecast.read(slot * SLOT, {"p": (demand[slot], 0.0, 1.0)})
+                    end.record(now, int(done), true[slot])
+                forecast.record(slot * SLOT, {"p": DemandReading(demand[slot], 0.0, 1.0)})
                 if said is None and done >= work / 10:
-                    spare = forecast.spare((slot + 1) * SLOT, hosts, lent, 480, sure=0.0)
-                    said = end.at_end([sum(lanes) for lanes in zip(*spare.values(), strict=True)])
+                    spare = forecast.spare_lanes((slot + 1) * SLOT, hosts, lent, slots=480, deviations=0.0)
+                    said = end.end([sum(lanes) for lanes in zip(*spare.values(), strict=True)])
             off.append(100 * abs(said - now) / now)
         day = f"rises by {rises:.0%}" + ", known" * known if rises else "level"
         rows.append(
--- a/gaproute/rollouts/__init__.py
+++ b/gaproute/rollouts/__init__.py
@@ -1,8 +1,13 @@
-"""Rollouts beside production on shared hosts, decided without I/O: `campaign` (what is asked, and what is
-refused), `forecast`, `plan` and `solver` (who shall send where), `dispatcher` (who may), `weight_versions`,
-`groups`, `copy_exchange` (versions)."""
+"""Reinforcement-learning rollouts beside production, in the capacity that production leaves on shared hosts.
 
-from gaproute.rollouts.campaign import Campaign, RolloutHost, check, lendable
+A `Campaign` asks for rollouts. A planner forecasts what production leaves free and decides which host gets
+a copy of which campaign's model; a `RolloutDispatcher` in each gateway decides what it may send now, under
+leases and by what hosts report. The package decides only: it reads no clock, draws no random numbers and
+does no I/O. The gateway does not use it yet: only the simulation drives it.
+"""
+
+from gaproute.rollouts.campaign import Campaign, RolloutHost, lendable_lanes
+from gaproute.rollouts.campaign_validation import find_mistakes
 from gaproute.rollouts.dispatcher import RolloutDispatcher
 
-__all__ = ["Campaign", "RolloutHost", "RolloutDispatcher", "check", "lendable"]
+__all__ = ["Campaign", "RolloutDispatcher", "RolloutHost", "find_mistakes", "lendable_lanes"]
--- a/gaproute/rollouts/__main__.py
+++ b/gaproute/rollouts/__main__.py
@@ -1,19 +1,20 @@
-"""One problem from standard input, its plan to standard output, both JSON: the solver's own process."""
+"""The solver's process: a planning problem from standard input, its plan to standard output, as JSON."""
 
 import sys
 
 import msgspec
 
 from gaproute.rollouts.plan import PlanningProblem
-from gaproute.rollouts.solver import LIMIT, solve
+from gaproute.rollouts.solver import TIME_LIMIT, solve
 
 
-def main():
+def main() -> int:
+    """Solves one problem. The optional argument is the time limit in seconds."""
     try:
         problem = msgspec.json.decode(sys.stdin.buffer.read(), type=PlanningProblem)
-        plan = solve(problem, float(sys.argv[1]) if len(sys.argv) > 1 else LIMIT)
-    except (ImportError, ValueError) as fault:
-        print(f"no plan: {fault}", file=sys.stderr)
+        plan = solve(problem, float(sys.argv[1]) if len(sys.argv) > 1 else TIME_LIMIT)
+    except (ImportError, ValueError) as error:
+        print(f"no plan: {error}", file=sys.stderr)
         return 1
     sys.stdout.buffer.write(msgspec.json.encode(plan))
     return 0
--- a/gaproute/rollouts/copy_exchange.py
+++ b/gaproute/rollouts/copy_exchange.py
@@ -1,49 +1,102 @@
-"""In which order copies are exchanged when weights move, so that neither rollouts nor production stand still.
+"""The order in which copies are replaced when weights change, so that neither rollouts nor production stand
+still.
 
-Where there is room for both, the new copy is loaded beside the old, which goes when the new one stands. Else
-the old one goes first, and then at most a PART of a campaign's copies is away at a time. Production's copies
-are not touched: `free` is what they leave.
+Where both fit, the new copy is loaded beside the old one, which is dropped when the new one is loaded.
+Elsewhere the old one is dropped first; then at most a part of a campaign's copies is missing at a time.
+Production's copies are not touched: only the capacity that they leave is used.
 """
 
-PART = 3  # one in so many of a campaign's copies may be under way: rollouts keep two thirds
+from collections.abc import Collection, Mapping, Sequence
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
 
+EXCHANGE_FRACTION = 3  # one in so many copies may be under way: rollouts keep two thirds
 
-def exchange(name, room, wanted, planned, copies, loading, free):
-    """Orders of one campaign now: [(kind, host, version)], loads in the order of their use. "drop": it serves
-    nobody; "load": beside what stands there; "swap": the campaign's oldest copies there go until this one has
-    room.
 
-    `wanted`: versions that serve, the newest first; `planned`: hosts that shall have a copy, the most useful
-    first; `copies`: {host: versions standing of this campaign}; `loading`: hosts with a load under way;
-    `free`: {host: room}.
+class CopyOrderKind(StrEnum):
+    """What becomes of a copy."""
+
+    DROP = "drop"  # it serves nobody
+    LOAD = "load"  # beside what is loaded there
+    SWAP = "swap"  # the campaign's oldest copies there are dropped until this one fits
+
+
+class CopyOrder(NamedTuple):
+    """An order about a campaign's copy of this version."""
+
+    kind: CopyOrderKind
+    host: str
+    version: int
+
+
+@dataclass(frozen=True)
+class CopyPlacement:
+    """Where one campaign's copies are and should be.
+
+    `planned`: hosts that shall have a copy, the most useful first; `copies`: loaded versions by host.
+    `loading`: hosts with a load under way; `free_capacity`: by host, what is free for copies.
     """
-    newest, orders = wanted[0], []
-    for host, versions in copies.items():  # what serves nobody goes at once, where nothing is lost by it
-        for version in versions:
-            if (
-                version not in wanted
-                or host not in planned
-                and version != newest
-                or version != newest
-                and newest in versions
-            ):
-                orders.append(("drop", host, version))
-    dropped = {(host, version) for _, host, version in orders}
-    away = len(loading)
-    most = max(1, len(planned) // PART)
-    lacking = [host for host in planned if newest not in copies.get(host, ()) and host not in loading]
-    bare = [
-        host
-        for host in lacking
-        if not any((host, version) not in dropped for version in copies.get(host, ()))
-    ]
-    for host in bare + [host for host in lacking if host not in bare]:  # without any copy nothing is lost
-        if away >= most and host not in bare:
-            break
-        left = free.get(host, 0) + sum(room for other, _ in dropped if other == host)
-        olds = [version for version in copies.get(host, ()) if (host, version) not in dropped]
-        if left + room * len(olds) < room:
-            continue  # production's copies are there now
-        orders.append(("load" if left >= room else "swap", host, newest))
-        away += 1
-    return orders
+
+    planned: Sequence[str]
+    copies: Mapping[str, Sequence[int]]
+    loading: Collection[str]
+    free_capacity: Mapping[str, int]
+
+
+def plan_exchange(copy_size: int, versions: Sequence[int], placement: CopyPlacement) -> list[CopyOrder]:
+    """The orders of one campaign now: drops, then loads, the most useful first.
+
+    `versions`: those that may serve, the newest first.
+    """
+    return _CopyExchange(copy_size, versions, placement).plan()
+
+
+class _CopyExchange:
+    def __init__(self, copy_size: int, versions: Sequence[int], placement: CopyPlacement) -> None:
+        self.copy_size, self.versions, self.newest = copy_size, versions, versions[0]
+        self.placement = placement
+        self.drops = [
+            CopyOrder(CopyOrderKind.DROP, host, version)
+            for host, loaded in placement.copies.items()
+            for version in loaded
+            if self._is_useless(host, version, loaded)
+        ]
+
+    def plan(self) -> list[CopyOrder]:
+        """Orders loads as long as enough copies stay."""
+        orders = list(self.drops)
+        lacking = [host for host in self.placement.planned if self._lacks_newest(host)]
+        empty = [host for host in lacking if not self._remaining(host)]
+        under_way = len(self.placement.loading)
+        max_under_way = max(1, len(self.placement.planned) // EXCHANGE_FRACTION)
+        for host in empty + [host for host in lacking if host not in empty]:
+            if under_way >= max_under_way and host not in empty:
+                break  # a host without any copy loses nothing, others do
+            kind = self._load_kind(host)
+            if kind is not None:
+                orders.append(CopyOrder(kind, host, self.newest))
+                under_way += 1
+        return orders
+
+    def _is_useless(self, host: str, version: int, loaded: Sequence[int]) -> bool:
+        """Whether the copy serves nobody and nothing is lost without it."""
+        if version not in self.versions:
+            return True
+        return version != self.newest and (host not in self.placement.planned or self.newest in loaded)
+
+    def _lacks_newest(self, host: str) -> bool:
+        return self.newest not in self.placement.copies.get(host, ()) and host not in self.placement.loading
+
+    def _remaining(self, host: str) -> list[int]:
+        """The versions that stay loaded there after the drops."""
+        dropped = {order.version for order in self.drops if order.host == host}
+        return [version for version in self.placement.copies.get(host, ()) if version not in dropped]
+
+    def _load_kind(self, host: str) -> CopyOrderKind | None:
+        """How the newest copy can be loaded there; None if production's copies fill the host."""
+        dropped = sum(order.host == host for order in self.drops)
+        free = self.placement.free_capacity.get(host, 0) + self.copy_size * dropped
+        if free + self.copy_size * len(self._remaining(host)) < self.copy_size:
+            return None
+        return CopyOrderKind.LOAD if free >= self.copy_size else CopyOrderKind.SWAP
--- a/gaproute/rollouts/dispatcher.py
+++ b/gaproute/rollouts/dispatcher.py
@@ -1,187 +1,149 @@
-"""One gateway's part of the hosts' room: what it may send where, under permits, production first.
-
-A rollout goes out only if all of these hold: a permit of that host's pool has a free lane and stands, by the
-own clock, until after the rollout's way and longest run; the host itself said lately that it has room to
-spare and that no production waits; the pace has a turn. The first keeps the sum of all parts under the room
-whoever is cut off, restarted or doubled: a permit's lane is given back, or lapses, only when what ran on it
-has ended. The second stops rollouts for production within FRESH although nobody else is heard: who does not
-hear the host sends nothing.
+"""What one gateway may send to which host: under leases, and production first.
+
+A rollout is sent only if all of these hold:
+
+- A lease of the host's pool has a free lane, and lasts by the own clock until the rollout has travelled and
+  run for its longest time. This keeps the sum of all gateways' rollouts within the pool, whichever of them
+  are cut off, restarted or run twice: a leased lane is released, or expires, only when what ran on it has
+  ended.
+- The host itself reported lately that lanes are free and that no production waits. This stops rollouts within
+  `MAX_REPORT_AGE` for production even if no other gateway can be reached: who has no report sends nothing.
+- The campaign's rate allows it.
 """
 
-from collections import Counter
+from collections.abc import Mapping
 
+from gaproute.rollouts.campaign import Campaign
+from gaproute.rollouts.host_allotment import HostAllotment, HostAvailability
+from gaproute.rollouts.in_flight import InFlightRollout
 from gaproute.rollouts.rate_limit import RateLimit
+from gaproute.shared.leases import LeaseClient
+from gaproute.shared.leases.requests import LeaseRequest
 
 MILLI = 1_000_000
 
-FRESH = 150 * MILLI  # ns from asking a host until its answer says nothing any more; 200 ms is the promise
-ASK = 25 * MILLI  # between askings of a host with a part: production waits so long for a cancel
-AGAIN = 300 * MILLI  # until a permit that was refused is asked again
-PARTS = 1024  # hosts with a part: as many wishes as a holder has
-HANDS = 4096  # rollouts in hand
-CHUNK = 4  # lanes a permit: less is renewed too often, more cannot be given back in parts
-COLD = 4  # a cold host bears a fourth of its part: rule 4's rest is production's
-
-
-class HostAllotment:
-    """What this gateway has of one host."""
-
-    def __init__(self):
-        self.aims = {}  # campaign: lanes planned
-        self.wishes = {}  # wish: rollouts in hand under it
-        self.closing = []  # wishes that get no more and go back when empty
-        self.hands = Counter()  # campaign: rollouts in hand
-        self.asked, self.free, self.want, self.cold = None, 0, True, False
-        self.after = 0  # only what was asked after this counts
-        self.again, self.chunk = 0, CHUNK  # after a refusal less is asked: a part of it may be there
-
-
-class InFlightRollout:
-    __slots__ = ("campaign", "host", "wish", "sent", "until")
-
-    def __init__(self, campaign, host, wish, sent, until):
-        self.campaign, self.host, self.wish, self.sent, self.until = campaign, host, wish, sent, until
+# From when a host was asked until its report counts no more. The promise is 200 ms.
+MAX_REPORT_AGE = 150 * MILLI
+POLL_INTERVAL = 25 * MILLI  # of a host with an allotment: production waits so long for a cancellation
+MAX_HOSTS = 1024  # with an allotment: as many as a client may have lease requests
+MAX_IN_FLIGHT = 4096
 
 
 class RolloutDispatcher:
-    """`holder`: the gateway's `LeaseClient`; `campaigns`: {name: Campaign}."""
-
-    def __init__(self, holder, campaigns, now):
-        self.holder, self.campaigns = holder, campaigns
-        self.parts, self.hands = {}, {}  # host: HostAllotment; task: InFlightRollout
-        self.paces = {name: RateLimit(now) for name in campaigns}
-        self.refused = Counter()
-
-    # What is planned
-
-    def aim(self, now, aims, paces=None):
-        """`aims`: {host: {campaign: lanes}}; a host that is not named is given back. `paces`: {campaign: a
-        second}."""
-        for host in [host for host in aims if host not in self.parts][: PARTS - len(self.parts)]:
-            self.parts[host] = HostAllotment()
-        for host, part in self.parts.items():
-            part.aims = {
+    """Keeps one gateway's allotments of hosts and its rollouts in flight. Times are in ns of the own clock.
+
+    `client`: for leases; `campaigns`: by name.
+    """
+
+    def __init__(self, client: LeaseClient, campaigns: Mapping[str, Campaign], now: int) -> None:
+        self.client, self.campaigns = client, campaigns
+        self.allotments: dict[str, HostAllotment] = {}  # by host
+        self.in_flight: dict[str, InFlightRollout] = {}  # by rollout, in the order in which they were sent
+        self.rate_limits = {name: RateLimit(now) for name in campaigns}
+
+    def set_targets(
+        self, now: int, targets: Mapping[str, Mapping[str, int]], rates: Mapping[str, float] | None = None
+    ) -> None:
+        """Takes in a plan. `targets`: lanes by host and campaign; hosts that are not named are released.
+
+        `rates`: by campaign, rollouts a second; others keep theirs.
+        """
+        added = [host for host in targets if host not in self.allotments]
+        for host in added[: MAX_HOSTS - len(self.allotments)]:
+            self.allotments[host] = HostAllotment(host)
+        for host, allotment in self.allotments.items():
+            allotment.targets = {
                 name: lanes
-                for name, lanes in aims.get(host, {}).items()
+                for name, lanes in targets.get(host, {}).items()
                 if name in self.campaigns and lanes > 0
             }
-        for name, rate in (paces or {}).items():
-            if name in self.paces:
-                self.paces[name].rate = rate
+        for name, rate in (rates or {}).items():
+            if name in self.rate_limits:
+                self.rate_limits[name].rate = rate
         self.tick(now)
 
-    def tick(self, now):
-        """Permits follow the aims; what never answered is over when its host must have ended it."""
-        for task in [task for task, hand in self.hands.items() if hand.until <= now]:
-            self.ended(now, task)
-        for host in list(self.parts):
-            part = self.parts[host]
-            for wish in [wish for wish in part.wishes if wish.state not in ("asked", "held")]:
-                if wish.state == "refused":
-                    part.chunk, part.again = max(1, part.chunk // 2), now + AGAIN
-                if not part.wishes[wish]:
-                    del part.wishes[wish]  # else when the last under it has ended
-            open_ = [
-                wish for wish in part.wishes if wish not in part.closing and wish.state in ("asked", "held")
-            ]
-            has, aim = sum(wish.amount for wish in open_), sum(part.aims.values())
-            for wish in sorted(open_, key=lambda wish: (part.wishes[wish], wish.amount)):
-                if has - wish.amount >= aim:
-                    part.closing.append(wish)
-                    has -= wish.amount
-            part.closing = [wish for wish in part.closing if wish in part.wishes]
-            for wish in [wish for wish in part.closing if not part.wishes[wish]]:
-                part.closing.remove(wish)
-                del part.wishes[wish]
-                self.holder.release(now, wish)
-            if any(wish.state == "held" for wish in open_) and now >= part.again + AGAIN:
-                part.chunk = CHUNK
-            while has < aim and now >= part.again and len(self.holder.requests) < PARTS:
-                span = max(self.campaigns[name].span for name in part.aims)
-                amount = min(part.chunk, aim - has)
-                part.wishes[self.holder.acquire(now, pool(host), span, amount)] = 0
-                has += amount
-            if not part.aims and not part.wishes:
-                del self.parts[host]
-
-    # What hosts and others say
-
-    def asking(self, now):
-        """Hosts to be asked now how much room they have."""
-        return [host for host, part in self.parts.items() if part.aims]
-
-    def report(self, now, host, asked, free, want, cold=False):
-        """The host's answer to what was asked at `asked`, own clock: lanes free above its floor, whether
-        production waits or has taken the floor."""
-        part = self.parts.get(host)
-        if part is None or asked > now or asked < part.after or part.asked is not None and asked < part.asked:
+    def tick(self, now: int) -> None:
+        """Adapts leases to the targets; a rollout without an answer ends when its host must end it."""
+        for rollout in [name for name, sent in self.in_flight.items() if sent.ends_by <= now]:
+            self.record_ended(now, rollout)
+        for host in list(self.allotments):
+            allotment = self.allotments[host]
+            allotment.forget_closed_leases(now)
+            self._adapt_leases(now, allotment)
+            if not allotment.targets and not allotment.leases:
+                del self.allotments[host]
+
+    def _adapt_leases(self, now: int, allotment: HostAllotment) -> None:
+        open_leases = allotment.open_leases()
+        lanes = allotment.mark_surplus(open_leases)
+        for lease in allotment.take_empty_surplus():
+            self.client.release(now, lease)
+        allotment.note_held(now, open_leases)
+        target = sum(allotment.targets.values())
+        while lanes < target and now >= allotment.retry_at and len(self.client.requests) < MAX_HOSTS:
+            duration = max(self.campaigns[name].lease_duration for name in allotment.targets)
+            amount = min(allotment.max_lease_lanes, target - lanes)
+            lease = self.client.acquire(now, pool_name(allotment.host), duration, amount)
+            allotment.leases[lease] = 0
+            lanes += amount
+
+    def hosts_to_poll(self) -> list[str]:
+        """The hosts that are to be asked how many lanes they have free."""
+        return [host for host, allotment in self.allotments.items() if allotment.targets]
+
+    def record_report(self, now: int, host: str, report: HostAvailability) -> None:
+        """Takes in a host's report; one that is outdated is ignored."""
+        allotment = self.allotments.get(host)
+        if allotment is None or report.asked_at > now or not allotment.is_news(report):
             return
-        part.asked, part.want, part.cold = asked, bool(want), bool(cold)
-        since = sum(hand.host == host and hand.sent >= asked for hand in self.hands.values())
-        part.free = max(0, free) - since
-
-    def wanted(self, now, host):
-        """Own tasks found no room there, or another gateway told so: nothing more until the host, asked after
-        this, says that there is room."""
-        part = self.parts.get(host)
-        if part is not None:
-            part.want, part.after = True, now
-
-    def cancels(self, host, lanes):
-        """Rollouts to be taken back so that production gets `lanes`: the last sent first, least is lost by
-        them."""
-        mine = [
-            task
-            for task, hand in self.hands.items()
-            if hand.host == host and self.campaigns[hand.campaign].cancel
+        sent_since = sum(
+            sent.host == host and sent.sent_at >= report.asked_at for sent in self.in_flight.values()
+        )
+        allotment.apply(report, sent_since)
+
+    def record_production_waiting(self, now: int, host: str) -> None:
+        """Production found no lane: nothing is sent until the host, asked after this, reports free lanes."""
+        allotment = self.allotments.get(host)
+        if allotment is not None:
+            allotment.production_waiting, allotment.ignore_until = True, now
+
+    def rollouts_to_cancel(self, host: str, lanes: int) -> list[str]:
+        """Rollouts to cancel so that production gets so many lanes: the last sent, as they lose least."""
+        cancellable = [
+            name
+            for name, sent in self.in_flight.items()
+            if sent.host == host and self.campaigns[sent.campaign].cancellable
         ]
-        return mine[::-1][: max(0, lanes)]
-
-    # What goes out
+        return cancellable[::-1][: max(0, lanes)]
 
-    def may(self, now, name, host):
-        """The wish under which a rollout of this campaign may go there now, or None."""
-        campaign, part = self.campaigns.get(name), self.parts.get(host)
-        if campaign is None or part is None or len(self.hands) >= HANDS:
+    def find_lease(self, now: int, name: str, host: str) -> LeaseRequest | None:
+        """The lease under which a rollout of the campaign `name` may be sent to the host now, or None."""
+        campaign, allotment = self.campaigns.get(name), self.allotments.get(host)
+        if campaign is None or allotment is None or len(self.in_flight) >= MAX_IN_FLIGHT:
             return None
-        most = part.aims.get(name, 0)
-        if part.cold:
-            most = min(most, max(1, sum(part.aims.values()) // COLD))
-        if (
-            part.hands[name] >= most
-            or part.asked is None
-            or now - part.asked >= FRESH
-            or part.want
-            or part.free <= 0
-            or not self.paces[name].may(now)
-        ):
+        if not allotment.has_lane_for(name) or not allotment.has_free_lane(now, MAX_REPORT_AGE):
             return None
-        for wish, hands in part.wishes.items():
-            if wish not in part.closing and hands < wish.amount and wish.valid_at(now + campaign.need):
-                return wish
-        return None
-
-    def sent(self, now, task, name, host, wish):
-        part = self.parts[host]
-        part.free -= 1
-        part.hands[name] += 1
-        part.wishes[wish] += 1
-        self.paces[name].took(now)
-        self.hands[task] = InFlightRollout(name, host, wish, now, now + self.campaigns[name].need)
-
-    def ended(self, now, task, free=True):
-        """An answer, which proves that its lane is free again, or its time is over. `free` False: it was
-        full."""
-        hand = self.hands.pop(task, None)
-        if hand is None:
-            return
-        part = self.parts[hand.host]
-        part.hands[hand.campaign] -= 1
-        if not part.hands[hand.campaign]:
-            del part.hands[hand.campaign]
-        part.wishes[hand.wish] -= 1
-        part.free = part.free + 1 if free else 0
+        if not self.rate_limits[name].allows(now):
+            return None
+        return allotment.usable_lease(now + campaign.min_lease_time)
+
+    def record_sent(self, now: int, rollout: str, name: str, host: str, lease: LeaseRequest) -> None:
+        """A rollout of the campaign `name` was sent under this lease."""
+        self.allotments[host].add(name, lease)
+        self.rate_limits[name].record_sent(now)
+        ends_by = now + self.campaigns[name].min_lease_time
+        self.in_flight[rollout] = InFlightRollout(name, host, lease, now, ends_by)
+
+    def record_ended(self, now: int, rollout: str, *, host_full: bool = False) -> None:
+        """A rollout was answered, which proves that its lane is free again, or its time is over.
+
+        `host_full`: the host rejected it for want of a lane.
+        """
+        sent = self.in_flight.pop(rollout, None)
+        if sent is not None:
+            self.allotments[sent.host].remove(sent.campaign, sent.lease, host_full=host_full)
 
 
-def pool(host):
+def pool_name(host: str) -> str:
+    """The resource of which gateways lease the host's lanes for rollouts."""
     return f"rollouts/{host}"
--- /dev/null
+++ b/gaproute/rollouts/greedy.py
@@ -0,0 +1,116 @@
+"""The greedy planner.
+
+Loaded copies stay where they serve. Then the campaign that is furthest below its share gets the host that
+gives it most, as long as that is more than the load costs.
+"""
+
+from typing import NamedTuple
+
+from gaproute.rollouts.plan import (
+    CampaignDemand,
+    CopyPlace,
+    CopyPlan,
+    PlannedCopy,
+    PlannedLanes,
+    PlanningProblem,
+)
+
+
+def greedy_plan(problem: PlanningProblem) -> CopyPlan:
+    """A plan of the problem; the same problem gives the same plan."""
+    planner = _GreedyPlanner(problem)
+    planner.keep_loaded()
+    planner.add_copies()
+    return CopyPlan(
+        planner.copies,
+        [PlannedLanes(campaign, host, by_slot) for (campaign, host), by_slot in planner.lanes.items()],
+    )
+
+
+class _Candidate(NamedTuple):
+    """A copy that could be added; the greatest one is."""
+
+    net_gain: float
+    need: float
+    campaign: str
+    host: str
+
+
+class _GreedyPlanner:
+    """`free_lanes`: by host and slot; `missing`: by campaign and slot, lanes below its share."""
+
+    def __init__(self, problem: PlanningProblem) -> None:
+        shares = [problem.shares(slot) for slot in range(problem.slots)]
+        self.problem = problem
+        self.demands: dict[str, CampaignDemand] = {demand.name: demand for demand in problem.demands}
+        self.free_lanes = {
+            host: [int(lanes) for lanes in by_slot] for host, by_slot in problem.spare_lanes.items()
+        }
+        self.missing = {name: [share[name] for share in shares] for name in self.demands}
+        self.free_capacity = dict(problem.copy_capacity)
+        self.lanes: dict[CopyPlace, list[int]] = {}
+        self.copies: list[PlannedCopy] = []
+
+    def keep_loaded(self) -> None:
+        """Keeps loaded copies that serve: the best of the campaign that has least of its share first."""
+        loaded: list[CopyPlace] = [
+            (campaign, host)
+            for campaign, host in self.problem.loaded
+            if campaign in self.demands and host in self.free_lanes
+        ]
+        while loaded:
+            campaign, host = max(
+                loaded, key=lambda place: (self._need(place[0]), self._gain(place[0], place[1], 0), place)
+            )
+            loaded.remove((campaign, host))
+            if self._fits(campaign, host) and self._gain(campaign, host, 0) > 0:
+                self._place(campaign, host, 0)
+
+    def add_copies(self) -> None:
+        """Adds copies slot by slot, as many as may be loaded in each."""
+        loads, slot = 0, 0
+        while slot < self.problem.slots:
+            best = max(self._candidates(slot), default=None)
+            if best is None or best.net_gain <= self._load_cost(best.host):
+                return
+            self._place(best.campaign, best.host, slot)
+            loads += 1
+            if loads % max(1, self.problem.max_loads) == 0:
+                slot += 1
+
+    def _candidates(self, slot: int) -> list[_Candidate]:
+        return [
+            _Candidate(self._net_gain(campaign, host, slot), self._need(campaign), campaign, host)
+            for campaign in self.demands
+            for host in self.free_lanes
+            if (campaign, host) not in self.lanes and self._fits(campaign, host)
+        ]
+
+    def _net_gain(self, campaign: str, host: str, slot: int) -> float:
+        """The gain without what is lost in the first slot while the copy is loaded."""
+        first_slot = min(self.free_lanes[host][slot], self.missing[campaign][slot])
+        return self._gain(campaign, host, slot) - self.problem.load_time * first_slot
+
+    def _load_cost(self, host: str) -> float:
+        return self.problem.load_time * max(1, min(self.free_lanes[host]))
+
+    def _need(self, campaign: str) -> float:
+        return sum(self.missing[campaign]) / self.demands[campaign].weight
+
+    def _gain(self, campaign: str, host: str, first_slot: int) -> int:
+        """The lanes that a copy brings, over the slots from this one on."""
+        slots = range(first_slot, self.problem.slots)
+        return sum(min(self.free_lanes[host][slot], self.missing[campaign][slot]) for slot in slots)
+
+    def _fits(self, campaign: str, host: str) -> bool:
+        return self.free_capacity[host] >= self.demands[campaign].copy_size
+
+    def _place(self, campaign: str, host: str, first_slot: int) -> None:
+        by_slot = [0] * self.problem.slots
+        for slot in range(first_slot, self.problem.slots):
+            by_slot[slot] = min(self.free_lanes[host][slot], self.missing[campaign][slot])
+            self.free_lanes[host][slot] -= by_slot[slot]
+            self.missing[campaign][slot] -= by_slot[slot]
+        self.lanes[campaign, host] = by_slot
+        self.free_capacity[host] -= self.demands[campaign].copy_size
+        self.copies.append(PlannedCopy(campaign, host, first_slot))
--- a/gaproute/rollouts/groups.py
+++ b/gaproute/rollouts/groups.py
@@ -1,74 +1,113 @@
-"""Groups: the rollouts of one prompt are of one version, or all of them are scrapped."""
+"""Groups: the rollouts of one prompt are all of one version, or all of them are discarded."""
 
 from collections import Counter
+from enum import StrEnum
+from typing import NamedTuple
 
-GROUPS = 4096  # at work at once; beyond it a new one is declined by name
-ENDED = 4096  # that ended and are remembered: their late tasks get the same answer
+from gaproute.rollouts.weight_versions import VersionRejection, WeightVersions
+
+MAX_OPEN_GROUPS = 4096  # at once; beyond it a new one is rejected
+MAX_ENDED_GROUPS = 4096  # that are remembered: rollouts that come late are treated like their group
+
+
+class GroupOutcome(StrEnum):
+    """How a group ended, unless a `VersionRejection` ended it."""
+
+    DELIVERED = "delivered"
+    OTHER_VERSION = "answered by another version"
+    MIXED_VERSIONS = "of two versions"
+    UNKNOWN = "unknown"
+
+
+GroupEnd = GroupOutcome | VersionRejection
 
 
 class RolloutGroup:
-    __slots__ = ("campaign", "version", "size", "tasks", "good")
+    """A group whose rollouts are not all answered. `answered`: by rollout; `answer_count`: how many are."""
 
-    def __init__(self, campaign, version, size):
+    __slots__ = ("campaign", "version", "size", "answered", "answer_count")
+
+    def __init__(self, campaign: str, version: int, size: int) -> None:
         self.campaign, self.version, self.size = campaign, version, size
-        self.tasks, self.good = {}, 0  # tasks taken in: whether delivered
+        self.answered: dict[str, bool] = {}
+        self.answer_count = 0
+
+    def record_answer(self, rollout: str) -> None:
+        """The rollout was answered by the group's version; a repeated answer changes nothing."""
+        self.answer_count += not self.answered[rollout]
+        self.answered[rollout] = True
+
+
+class OutdatedGroup(NamedTuple):
+    """A group that became too old, and its rollouts."""
+
+    name: str
+    rollouts: list[str]
 
 
 class RolloutGroups:
-    def __init__(self, weights):
-        self.weights = weights
-        self.open, self.ended = {}, {}  # name: RolloutGroup; name: how it ended
-        self.counts = Counter()  # how groups ended: "delivered", or why they were scrapped
+    """The groups of one gateway: open ones, and how the last ones ended. `ends`: counts by outcome."""
+
+    def __init__(self, versions: WeightVersions) -> None:
+        self.versions = versions
+        self.open: dict[str, RolloutGroup] = {}
+        self.ended: dict[str, GroupEnd] = {}
+        self.ends: Counter[str] = Counter()
 
-    def take(self, group, task, campaign, version, size):
-        """Why the task is declined, or ''. The group's first task says its version for all."""
+    def admit(self, group: str, rollout: str, campaign: str, version: int, size: int) -> str | None:
+        """Admits a rollout, or says why it is rejected. The first of a group sets the version for all."""
         if group in self.ended:
             return f"group {self.ended[group]}"
-        why = self.weights.why_not(campaign, version)
-        held = self.open.get(group)
-        if held is None:
-            if why or len(self.open) >= GROUPS:
-                return why or "too many groups"
-            held = self.open[group] = RolloutGroup(campaign, version, size)
-        elif why or (held.campaign, held.version, held.size) != (campaign, version, size):
-            self.scrap(group, why or "of two versions")
-            return why or "group of two versions"
-        if task not in held.tasks and len(held.tasks) >= held.size:
+        rejection = self.versions.rejection(campaign, version)
+        existing = self.open.get(group)
+        if existing is None:
+            if rejection or len(self.open) >= MAX_OPEN_GROUPS:
+                return rejection or "too many groups"
+            existing = self.open[group] = RolloutGroup(campaign, version, size)
+        elif rejection or (existing.campaign, existing.version, existing.size) != (campaign, version, size):
+            self.discard(group, rejection or GroupOutcome.MIXED_VERSIONS)
+            return rejection or "group of two versions"
+        if rollout not in existing.answered and len(existing.answered) >= existing.size:
             return "group is full"
-        held.tasks.setdefault(task, False)
-        return ""
-
-    def answered(self, group, task, told):
-        """An answer by the version `told`. "delivered" once, for the whole group; "" while it waits for
-        others; else why all of it is scrapped."""
-        held = self.open.get(group)
-        if held is None or task not in held.tasks:
-            return self.ended.get(group, "unknown")
-        if self.weights.served(held.version, told) == "scrapped":
-            return self.scrap(group, "answered by another version")
-        held.good += not held.tasks[task]
-        held.tasks[task] = True
-        return self._end(group, "delivered") if held.good == held.size else ""
-
-    def scrap(self, group, why):
-        """Whole: what of it was answered counts nothing, what runs may be cancelled."""
-        return self._end(group, why) if group in self.open else self.ended.get(group, "unknown")
-
-    def aged(self):
-        """Groups that became too old: [(group, its tasks)], scrapped by this."""
-        came = [
-            (name, list(held.tasks))
-            for name, held in self.open.items()
-            if self.weights.why_not(held.campaign, held.version)
+        existing.answered.setdefault(rollout, False)
+        return None
+
+    def record_answer(self, group: str, rollout: str, version: int | None) -> GroupEnd | None:
+        """Takes in an answer by a host that reports this version.
+
+        Returns `DELIVERED` once for the whole group, None while others are missing, or else why all are
+        discarded.
+        """
+        existing = self.open.get(group)
+        if existing is None or rollout not in existing.answered:
+            return self.ended.get(group, GroupOutcome.UNKNOWN)
+        if not self.versions.is_answer_usable(existing.version, version):
+            return self.discard(group, GroupOutcome.OTHER_VERSION)
+        existing.record_answer(rollout)
+        complete = existing.answer_count == existing.size
+        return self._end(group, GroupOutcome.DELIVERED) if complete else None
+
+    def discard(self, group: str, reason: GroupEnd) -> GroupEnd:
+        """Ends a group as a whole: answers that came count for nothing, what still runs may be cancelled."""
+        if group in self.open:
+            return self._end(group, reason)
+        return self.ended.get(group, GroupOutcome.UNKNOWN)
+
+    def discard_outdated(self) -> list[OutdatedGroup]:
+        """Discards the groups whose version is no longer accepted, and returns them."""
+        outdated = [
+            OutdatedGroup(name, list(group.answered))
+            for name, group in self.open.items()
+            if self.versions.rejection(group.campaign, group.version)
         ]
-        for name, _ in came:
-            self.scrap(name, "too old")
-        return came
+        for group in outdated:
+            self.discard(group.name, VersionRejection.TOO_OLD)
+        return outdated
 
-    def _end(self, group, how):
+    def _end(self, group: str, outcome: GroupEnd) -> GroupEnd:
         del self.open[group]
-        self.ended[group] = how
-        if len(self.ended) > ENDED:
+        self.ended[group] = outcome
+        if len(self.ended) > MAX_ENDED_GROUPS:
             del self.ended[next(iter(self.ended))]
-        self.counts[how] += 1
-        return how
+        self.ends[outcome] += 1
+        return outcome
--- a/gaproute/rollouts/host_assignment.py
+++ b/gaproute/rollouts/host_assignment.py
@@ -1,74 +1,111 @@
-"""A plan's lanes dealt to the gateways: who is up gets whole hosts, and keeps what it has."""
+"""Planned lanes assigned to gateways: each host as a whole to one gateway, which keeps it if possible."""
 
+from collections.abc import Mapping, Sequence
+from typing import NamedTuple
 
-def deal(lanes, pools, gateways, before, homes=None):
-    """{gateway: {host: {campaign: lanes}}}. `lanes`: {(campaign, host): lanes of this slot}; `pools`: {host:
-    lanes that may be lent}; `before`: {host: gateway} of the last time; `homes`: {gateway or host: zone}, for
-    nearness.
+from gaproute.rollouts.campaign import Campaign
 
-    A host's pool is dealt whole where anything is planned there: what is spare beyond the plan is used as it
-    comes, since the host itself tells at each moment what is free.
+CampaignLanes = dict[str, int]  # by campaign
+HostLanes = dict[str, CampaignLanes]  # by host
+
+
+class HostAssignment(NamedTuple):
+    """The lanes that each gateway gets, and which gateway has each host."""
+
+    lanes: dict[str, HostLanes]  # by gateway
+    owners: dict[str, str]  # by host
+
+
+def assign_hosts(
+    lanes: Mapping[tuple[str, str], int],
+    pools: Mapping[str, int],
+    gateways: Sequence[str],
+    previous_owners: Mapping[str, str],
+    zones: Mapping[str, str] | None = None,
+) -> HostAssignment:
+    """Assigns the hosts where anything is planned to gateways.
+
+    `lanes`: planned by campaign and host; `pools`: by host, the lanes that may be lent.
+    `zones`: of gateways and hosts, to keep both near each other. A host's pool is assigned as a whole: what
+    is free beyond the plan is used as it comes, since the host itself reports at each moment what is free.
     """
-    hosts, homes = {}, homes or {}
-    for (name, host), count in lanes.items():
+    planned: HostLanes = {}
+    for (campaign, host), count in lanes.items():
         if count > 0:
-            hosts.setdefault(host, {})[name] = count
-    load = dict.fromkeys(gateways, 0)
-    came = {gateway: {} for gateway in gateways}
+            planned.setdefault(host, {})[campaign] = count
+    assigned: dict[str, HostLanes] = {gateway: {} for gateway in gateways}
     if not gateways:
-        return came, {}
-    total = sum(pools.get(host, 0) for host in hosts)
-    most = -(-total // len(gateways))
-    owners = {}
-    for host in sorted(hosts):
-        gateway = before.get(host)
-        if gateway in load and load[gateway] < most:
-            owners[host] = gateway
-            load[gateway] += pools.get(host, 0)
-    for host in sorted(hosts):
+        return HostAssignment(assigned, {})
+    owners = _choose_owners(sorted(planned), pools, gateways, previous_owners, zones or {})
+    for host, gateway in owners.items():
+        assigned[gateway][host] = _fill_pool(planned[host], pools.get(host, 0))
+    return HostAssignment(assigned, owners)
+
+
+def _choose_owners(
+    hosts: Sequence[str],
+    pools: Mapping[str, int],
+    gateways: Sequence[str],
+    previous_owners: Mapping[str, str],
+    zones: Mapping[str, str],
+) -> dict[str, str]:
+    """By host: its last gateway unless that has enough, else a near one with few lanes."""
+    lanes = dict.fromkeys(gateways, 0)
+    max_lanes = -(-sum(pools.get(host, 0) for host in hosts) // len(gateways))
+    owners: dict[str, str] = {}
+    for host in hosts:
+        previous = previous_owners.get(host)
+        if previous in lanes and lanes[previous] < max_lanes:
+            owners[host] = previous
+            lanes[previous] += pools.get(host, 0)
+    for host in hosts:
         if host not in owners:
-            owners[host] = min(
-                gateways,
-                key=lambda each: (load[each] >= most, homes.get(each) != homes.get(host), load[each], each),
+            _, _, _, owner = min(
+                (lanes[gateway] >= max_lanes, zones.get(gateway) != zones.get(host), lanes[gateway], gateway)
+                for gateway in gateways
             )
-            load[owners[host]] += pools.get(host, 0)
-    for host, gateway in owners.items():
-        came[gateway][host] = _spread(hosts[host], pools.get(host, 0))
-    return came, owners
+            owners[host] = owner
+            lanes[owner] += pools.get(host, 0)
+    return owners
 
 
-def _spread(counts, pool):
-    """The pool by the planned lanes, none without one while there are enough."""
-    total, given = sum(counts.values()), {}
+def _fill_pool(planned: CampaignLanes, pool: int) -> CampaignLanes:
+    """The pool divided in the proportion of the planned lanes, none without one while there are enough."""
+    total = sum(planned.values())
     if total >= pool:
-        return dict(counts) if total == pool else _cut(counts, pool)
-    for name, count in counts.items():
-        given[name] = count + (pool - total) * count // total
-    order = sorted(counts, key=lambda name: (-counts[name], name))
-    for name in order[: pool - sum(given.values())]:
-        given[name] += 1
-    return given
-
-
-def _cut(counts, pool):
-    given = dict(counts)
-    while sum(given.values()) > pool:
-        given[max(given, key=lambda name: (given[name], name))] -= 1
-    return {name: count for name, count in given.items() if count}
-
-
-def paces(came, campaigns):
-    """{gateway: {campaign: tasks a second}} of campaigns that asked a pace: shared by the lanes dealt."""
-    lanes = {}
-    for hosts in came.values():
-        for counts in hosts.values():
-            for name, count in counts.items():
-                lanes[name] = lanes.get(name, 0) + count
-    mine = {gateway: {} for gateway in came}
-    for gateway, hosts in came.items():
-        for counts in hosts.values():
-            for name, count in counts.items():
-                if campaigns[name].pace:
-                    part = campaigns[name].pace * count / lanes[name]
-                    mine[gateway][name] = mine[gateway].get(name, 0.0) + part
-    return mine
+        return _reduce(planned, pool)
+    lanes = {name: count + (pool - total) * count // total for name, count in planned.items()}
+    most_planned_first = sorted(planned, key=lambda name: (-planned[name], name))
+    for name in most_planned_first[: pool - sum(lanes.values())]:
+        lanes[name] += 1
+    return lanes
+
+
+def _reduce(planned: CampaignLanes, pool: int) -> CampaignLanes:
+    lanes = dict(planned)
+    while sum(lanes.values()) > pool:
+        lanes[max(lanes, key=lambda name: (lanes[name], name))] -= 1
+    return {name: count for name, count in lanes.items() if count}
+
+
+def assign_rates(
+    assigned: Mapping[str, HostLanes], campaigns: Mapping[str, Campaign]
+) -> dict[str, dict[str, float]]:
+    """By gateway and campaign: the part of the campaign's rate that its lanes are of all, in rollouts a
+    second.
+
+    Campaigns that asked for no rate are left out.
+    """
+    totals: dict[str, int] = {}
+    for hosts in assigned.values():
+        for lanes in hosts.values():
+            for name, count in lanes.items():
+                totals[name] = totals.get(name, 0) + count
+    rates: dict[str, dict[str, float]] = {gateway: {} for gateway in assigned}
+    for gateway, hosts in assigned.items():
+        for lanes in hosts.values():
+            for name, count in lanes.items():
+                if campaigns[name].rate:
+                    part = campaigns[name].rate * count / totals[name]
+                    rates[gateway][name] = rates[gateway].get(name, 0.0) + part
+    return rates
--- a/gaproute/rollouts/invariants.py
+++ b/gaproute/rollouts/invariants.py
@@ -1,67 +1,85 @@
-"""What must always hold of rollouts; every check returns breaches as text, named first. Cheap ones may run
-always."""
+"""What must always hold of rollouts. Each check returns breaches as texts that begin with the invariant's
+name; all are cheap enough to run at every step."""
 
-from gaproute.rollouts.dispatcher import FRESH, HANDS, PARTS
-from gaproute.rollouts.groups import ENDED, GROUPS
+from collections import Counter
+from collections.abc import Mapping, Sequence
 
+from gaproute.rollouts.campaign import RolloutHost
+from gaproute.rollouts.dispatcher import MAX_HOSTS, MAX_IN_FLIGHT, MAX_REPORT_AGE, RolloutDispatcher
+from gaproute.rollouts.groups import MAX_ENDED_GROUPS, MAX_OPEN_GROUPS, RolloutGroups
+from gaproute.rollouts.load_limiter import RolloutLoadLimiter
+from gaproute.shared.leases.requests import LeaseRequest, LeaseState
 
-def check_spend(spend, now):
-    """Of one gateway: what is in hand stands under permits that outlast it."""
-    came, under, by = [], {}, {}
-    for task, hand in spend.hands.items():
-        under[hand.wish] = under.get(hand.wish, 0) + 1
-        by[hand.host, hand.campaign] = by.get((hand.host, hand.campaign), 0) + 1
-        if hand.until > now and (hand.wish.state != "held" or hand.wish.expires_at < hand.until):
-            came.append(f"nothing spent without a permit: {task} at {hand.host}, permit {hand.wish.state}")
-    for wish, count in under.items():
-        if count > wish.amount:
-            came.append(f"room never overspent: {count} under a permit of {wish.amount} of {wish.resource}")
-    for host, part in spend.parts.items():
-        if any(count != under.get(wish, 0) for wish, count in part.wishes.items()) or any(
-            count != by.get((host, name), 0) for name, count in part.hands.items()
-        ):
-            came.append(f"counts are those of what is in hand: {host}")
-    if len(spend.parts) > PARTS or len(spend.hands) > HANDS:
-        came.append("maps are bounded: rollouts in hand")
-    return came
 
+def check_dispatcher(dispatcher: RolloutDispatcher, now: int) -> list[str]:
+    """Of one gateway: its rollouts are in flight under leases that outlast them, and are counted rightly."""
+    breaches = []
+    by_lease: Counter[LeaseRequest] = Counter()
+    by_campaign: Counter[tuple[str, str]] = Counter()
+    for name, sent in dispatcher.in_flight.items():
+        by_lease[sent.lease] += 1
+        by_campaign[sent.host, sent.campaign] += 1
+        if sent.ends_by > now and not _outlasts(sent.lease, sent.ends_by):
+            breaches.append(f"nothing sent without a lease: {name} at {sent.host}, {sent.lease.state}")
+    for lease, count in by_lease.items():
+        if count > lease.amount:
+            breaches.append(
+                f"capacity never overspent: {count} under a lease of {lease.amount} of {lease.resource}"
+            )
+    for host, allotment in dispatcher.allotments.items():
+        wrong_leases = any(by_lease[lease] != count for lease, count in allotment.leases.items())
+        wrong_campaigns = any(by_campaign[host, name] != count for name, count in allotment.in_flight.items())
+        if wrong_leases or wrong_campaigns:
+            breaches.append(f"counts are those of what is in flight: {host}")
+    if len(dispatcher.allotments) > MAX_HOSTS or len(dispatcher.in_flight) > MAX_IN_FLIGHT:
+        breaches.append("maps are bounded: rollouts in flight")
+    return breaches
 
-def check_sent(spend, now, name, host):
-    """Of one rollout that goes out now, before it is booked."""
-    part = spend.parts.get(host)
-    if part is None or part.asked is None or now - part.asked >= FRESH or part.want or part.free <= 0:
-        return [f"production first: a rollout of {name} to {host} without its word"]
+
+def _outlasts(lease: LeaseRequest, until: int) -> bool:
+    return lease.state == LeaseState.HELD and lease.expires_at is not None and lease.expires_at >= until
+
+
+def check_sent(dispatcher: RolloutDispatcher, now: int, campaign: str, host: str) -> list[str]:
+    """Of one rollout that is sent now, before it is recorded."""
+    allotment = dispatcher.allotments.get(host)
+    if allotment is None or not allotment.has_free_lane(now, MAX_REPORT_AGE):
+        return [f"production first: a rollout of {campaign} to {host} without its report"]
     return []
 
 
-def check_groups(groups):
-    came = []
+def check_groups(groups: RolloutGroups) -> list[str]:
+    """Of one gateway's groups."""
+    breaches = []
     for name, group in groups.open.items():
-        if group.good != sum(group.tasks.values()) or len(group.tasks) > group.size:
-            came.append(f"a group counts its own: {name}")
-    if len(groups.open) > GROUPS or len(groups.ended) > ENDED:
-        came.append("maps are bounded: groups")
-    return came
+        if group.answer_count != sum(group.answered.values()) or len(group.answered) > group.size:
+            breaches.append(f"a group counts its own: {name}")
+    if len(groups.open) > MAX_OPEN_GROUPS or len(groups.ended) > MAX_ENDED_GROUPS:
+        breaches.append("maps are bounded: groups")
+    return breaches
 
 
-def check_floor(hosts, lent, floors):
-    """The floor of free room: what may be lent leaves each host and each zone its own."""
-    zones = {}
+def check_reservations(
+    hosts: Sequence[RolloutHost], lendable: Mapping[str, int], reserved: Mapping[str, int]
+) -> list[str]:
+    """That what may be lent leaves each host and each zone the lanes that are reserved there."""
+    left: Counter[str] = Counter()
+    totals: Counter[str] = Counter()
+    breaches = []
     for host in hosts:
-        zones[host.zone] = zones.get(host.zone, 0) + host.lanes - lent[host.name]
-    came = [
-        f"floor of free room: {host.name}"
-        for host in hosts
-        if not 0 <= lent[host.name] <= max(0, host.lanes - floors.get(host.name, 0))
-    ]
-    return came + [
-        f"floor of free room: zone {zone}"
-        for zone, left in zones.items()
-        if left < min(floors.get(zone, 0), sum(host.lanes for host in hosts if host.zone == zone))
+        left[host.zone] += host.lanes - lendable[host.name]
+        totals[host.zone] += host.lanes
+        if not 0 <= lendable[host.name] <= max(0, host.lanes - reserved.get(host.name, 0)):
+            breaches.append(f"reserved lanes are not lent: {host.name}")
+    return breaches + [
+        f"reserved lanes are not lent: zone {zone}"
+        for zone, lanes in left.items()
+        if lanes < min(reserved.get(zone, 0), totals[zone])
     ]
 
 
-def check_loads(loads):
-    if loads.out < 0 or loads.out + len(loads.ends) > loads.free:
-        return [f"rollouts keep to their ration of loads: {loads.out} out of {loads.free}"]
+def check_loads(limiter: RolloutLoadLimiter) -> list[str]:
+    """That rollouts cause no more loads than they may."""
+    if limiter.open_orders < 0 or limiter.counted_orders > limiter.max_orders:
+        return [f"rollouts keep to their load limit: {limiter.open_orders} of {limiter.max_orders}"]
     return []
--- a/gaproute/rollouts/load_limiter.py
+++ b/gaproute/rollouts/load_limiter.py
@@ -1,35 +1,63 @@
-"""The limit on load orders for rollouts: a part of rule 5's, and never what production may need of it."""
+"""A limit on load orders for rollouts, within the limit of all load orders of a gateway.
+
+Rollouts order at most a part of the loads that all may cause, so that they never use up what production may
+need.
+"""
 
 from collections import deque
+from typing import Protocol
+
+ROLLOUT_FRACTION = 4  # rollouts order at most one in so many loads
+
+
+class GatewayLoadLimiter(Protocol):
+    """The gateway's limit of all load orders, such as `LoadOrderLimiter`."""
+
+    def allows(self, now: int) -> bool:
+        """Whether one more order may be sent."""
 
-PART = 4  # rollouts order at most one in so many of the loads that rule 5 leaves for a window
+    def sent(self) -> None:
+        """An order was sent."""
+
+    def ended(self, now: int, *, good: bool) -> None:
+        """An order has ended; `good`: the function is loaded."""
 
 
 class RolloutLoadLimiter:
-    """`limiter`: the gateway's `LoadOrderLimiter` of rule 5, or None without one. `free`: orders for
-    rollouts in `window` ns."""
+    """At most `max_orders` within `window` ns, and no more than `gateway_limiter` allows if there is one."""
+
+    def __init__(self, gateway_limiter: GatewayLoadLimiter | None, max_orders: int, window: int) -> None:
+        self.gateway_limiter, self.max_orders, self.window = gateway_limiter, max_orders, window
+        self.open_orders = 0
+        self.ends: deque[int] = deque()  # of the orders that ended within the window
 
-    def __init__(self, limiter, free, window):
-        self.limiter, self.free, self.window = limiter, free, window
-        self.out, self.ends = 0, deque()
+    @property
+    def counted_orders(self) -> int:
+        """Orders that are open or ended within the window, as of the last look."""
+        return self.open_orders + len(self.ends)
 
-    def may(self, now):
+    def allows(self, now: int) -> bool:
+        """Whether one more load may be ordered."""
         while self.ends and self.ends[0] <= now - self.window:
             self.ends.popleft()
-        return self.out + len(self.ends) < self.free and (self.limiter is None or self.limiter.allows(now))
-
-    def ordered(self):
-        self.out += 1
-        if self.limiter is not None:
-            self.limiter.sent()
-
-    def ended(self, now, good=False):
-        self.out -= 1
+        if self.counted_orders >= self.max_orders:
+            return False
+        return self.gateway_limiter is None or self.gateway_limiter.allows(now)
+
+    def record_ordered(self) -> None:
+        """A load was ordered."""
+        self.open_orders += 1
+        if self.gateway_limiter is not None:
+            self.gateway_limiter.sent()
+
+    def record_ended(self, now: int, *, loaded: bool = False) -> None:
+        """A load that was ordered has ended; `loaded`: successfully."""
+        self.open_orders -= 1
         self.ends.append(now)
-        if self.limiter is not None:
-            self.limiter.ended(now, good=good)
+        if self.gateway_limiter is not None:
+            self.gateway_limiter.ended(now, good=loaded)
 
 
-def own(free):
-    """Of a rule 5 limit of `free` orders in a window."""
-    return max(1, free // PART) if free else 0
+def max_rollout_orders(max_orders: int) -> int:
+    """How many load orders rollouts may cause, of so many that the gateway may cause within a window."""
+    return max(1, max_orders // ROLLOUT_FRACTION) if max_orders else 0
--- a/gaproute/rollouts/plan_distribution.py
+++ b/gaproute/rollouts/plan_distribution.py
@@ -1,71 +1,111 @@
-"""Who plans, and whose plan counts: the holder of one permit plans, its fencing number goes with each
-plan."""
+"""Who plans, whose plan counts, and what gateways are sent of it.
 
+The holder of one lease plans; the lease's fencing token goes with each plan.
+"""
+
+from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-PLANNER = "rollouts/plan"  # the permit that a planner holds
-HIGHEST = 1 << 62
+from gaproute.rollouts.plan import CopyPlan, PlanningProblem
+
+PLANNER_RESOURCE = "rollouts/plan"  # the lease that a planner holds
+MAX_MARK = 1 << 62
 
 
 class GatewayPlan(NamedTuple):
-    """What the planner tells one gateway. `aims`: {host: {campaign: lanes}}; `paces`: {campaign: tasks a
-    second}; `copies`: {campaign: hosts that shall have a copy, the first first}. Who has a host's lanes loads
-    its copies."""
+    """What the planner sends to one gateway. The gateway that has a host's lanes also loads its copies.
 
-    fence: int
+    `lanes`: by host and campaign; `rates`: by campaign, rollouts a second.
+    `copies`: by campaign, the hosts that shall have a copy, the most useful first.
+    """
+
+    fencing_token: int
     number: int
-    aims: dict
-    paces: dict
-    copies: dict
+    lanes: dict[str, dict[str, int]]
+    rates: dict[str, float]
+    copies: dict[str, list[str]]
 
 
 class PlanFilter:
-    """Takes only what is newer: a planner that lost its permit and does not know it yet is not followed by
-    those who heard its successor. Who heard neither goes on by the last plan: permits bound what that may
-    do."""
-
-    def __init__(self):
-        self.fence = self.number = 0
-        self.refused = 0
-
-    def news(self, orders):
-        mark = orders.fence, orders.number
-        sound = all(type(each) is int and 0 <= each <= HIGHEST for each in mark)
-        if not sound or mark <= (self.fence, self.number):
-            self.refused += 1
+    """Accepts only newer plans than the last one.
+
+    A planner that lost its lease and does not know it yet is not followed by those who have a plan of its
+    successor. Who has neither goes on by the last plan: leases limit what that may do.
+    """
+
+    def __init__(self) -> None:
+        self.fencing_token = self.number = 0
+        self.rejected = 0
+
+    def accept(self, plan: GatewayPlan) -> bool:
+        """Whether the plan is to be followed."""
+        mark = plan.fencing_token, plan.number
+        valid = all(type(part) is int and 0 <= part <= MAX_MARK for part in mark)
+        if not valid or mark <= (self.fencing_token, self.number):
+            self.rejected += 1
             return False
-        self.fence, self.number = mark
+        self.fencing_token, self.number = mark
         return True
 
 
+class PendingPlan(NamedTuple):
+    """A problem that the solver works on, and the greedy plan that is followed if it fails."""
+
+    problem: PlanningProblem
+    fallback: CopyPlan
+    due: int
+
+
 class PlanSelector:
-    """Which of two plans of one problem is followed: the solver's while it is sound and in time, else the
-    greedy one. `begin(now, number, problem, plan)`; `solved(now, number, plan)`; `due(now)` gives the plan
-    once, or None."""
+    """Chooses between two plans of a problem: the solver's if it is valid and in time, else the greedy one.
+
+    `find_violations`: what a plan breaks; `time_limit`: of the solver, ns. Counts `late` and `failed`
+    answers.
+    """
 
-    def __init__(self, wrong, limit):
-        self.wrong, self.limit = wrong, limit
-        self.number = self.until = self.problem = self.plan = None
+    def __init__(
+        self, find_violations: Callable[[PlanningProblem, CopyPlan], list[str]], time_limit: int
+    ) -> None:
+        self.find_violations, self.time_limit = find_violations, time_limit
+        self.number: int | None = None  # of the last problem
+        self.pending: PendingPlan | None = None
         self.late = self.failed = 0
 
-    def begin(self, now, number, problem, plan):
-        self.number, self.until, self.problem, self.plan = number, now + self.limit, problem, plan
+    def begin(self, now: int, number: int, problem: PlanningProblem, fallback: CopyPlan) -> None:
+        """The solver was given a problem, with this number."""
+        self.number, self.pending = number, PendingPlan(problem, fallback, now + self.time_limit)
 
-    def solved(self, now, number, plan):
-        """`plan` None: the solver failed. The plan to be followed now, or None: too late, or of another
-        problem."""
-        if number != self.number or self.plan is None:
+    def solver_answered(self, number: int, plan: CopyPlan | None) -> CopyPlan | None:
+        """The plan to be followed now, or None if the answer is late or to another problem.
+
+        `plan`: None if the solver found none.
+        """
+        if number != self.number or self.pending is None:
             self.late += 1
             return None
-        if plan is None or self.wrong(self.problem, plan):
+        pending, self.pending = self.pending, None
+        if plan is None or self.find_violations(pending.problem, plan):
             self.failed += 1
-            plan = self.plan
-        self.plan = None
+            return pending.fallback
         return plan
 
-    def due(self, now):
-        if self.plan is None or now < self.until:
+    def overdue_plan(self, now: int) -> CopyPlan | None:
+        """The greedy plan, once, if the solver has not answered in time."""
+        if self.pending is None or now < self.pending.due:
             return None
-        plan, self.plan = self.plan, None
+        pending, self.pending = self.pending, None
         self.late += 1
-        return plan
+        return pending.fallback
+
+
+def planned_copies(plan: CopyPlan) -> dict[str, list[str]]:
+    """By campaign, the hosts that shall have a copy, those of the first slot first."""
+    hosts: dict[str, list[str]] = {}
+    for copy in sorted(plan.copies, key=lambda copy: copy.first_slot):
+        hosts.setdefault(copy.campaign, []).append(copy.host)
+    return hosts
+
+
+def planned_lanes(plan: CopyPlan) -> Mapping[tuple[str, str], int]:
+    """By campaign and host, the most lanes of any slot."""
+    return {(campaign, host): max(by_slot) for campaign, host, by_slot in plan.lanes}
--- a/gaproute/rollouts/rate_limit.py
+++ b/gaproute/rollouts/rate_limit.py
@@ -1,21 +1,25 @@
-"""Turns at a pace, with a small burst: what a plan lets one gateway send of one campaign."""
+"""A limit on how many rollouts of one campaign one gateway sends a second."""
 
 SECOND = 1_000_000_000
-BURST = 16  # turns saved at most: lanes that become free together are filled together
 
+BURST = 16  # rollouts at once at most: lanes that become free together are filled together
 
-class RateLimit:
-    """`rate`: turns a second; None: as lanes allow."""
 
-    def __init__(self, now):
-        self.rate, self.left, self.at = None, float(BURST), now
+class RateLimit:
+    """A token bucket whose rate may change or be absent. `rate`: rollouts a second; None: as lanes allow."""
 
-    def _now(self, now):
-        return min(float(BURST), self.left + (now - self.at) * self.rate / SECOND)
+    def __init__(self, now: int) -> None:
+        self.rate: float | None = None
+        self.tokens, self.updated_at = float(BURST), now
 
-    def may(self, now):
-        return self.rate is None or self._now(now) >= 1
+    def allows(self, now: int) -> bool:
+        """Whether a rollout may be sent now."""
+        return self.rate is None or self._tokens_at(now, self.rate) >= 1
 
-    def took(self, now):
+    def record_sent(self, now: int) -> None:
+        """A rollout was sent."""
         if self.rate is not None:
-            self.left, self.at = self._now(now) - 1, now
+            self.tokens, self.updated_at = self._tokens_at(now, self.rate) - 1, now
+
+    def _tokens_at(self, now: int, rate: float) -> float:
+        return min(float(BURST), self.tokens + (now - self.updated_at) * rate / SECOND)
--- a/gaproute/rollouts/weight_versions.py
+++ b/gaproute/rollouts/weight_versions.py
@@ -1,44 +1,61 @@
-"""Which version of a campaign's weights is now, and what becomes of a rollout that names another."""
+"""The current version of each campaign's weights, and which rollouts are rejected because of theirs."""
 
 from collections import Counter
+from collections.abc import Mapping
+from enum import StrEnum
 
-AHEAD = 1 << 20  # versions: a word further ahead than this is nonsense, not news
+from gaproute.rollouts.campaign import Campaign
+
+MAX_VERSION_JUMP = 1 << 20  # a report of a version further ahead than this is an error, not news
+
+
+class VersionRejection(StrEnum):
+    """Why a rollout is rejected because of the version that it names."""
+
+    UNKNOWN_CAMPAIGN = "unknown campaign"
+    NOT_PUBLISHED = "version not there yet"
+    TOO_OLD = "too old"
 
 
 class WeightVersions:
-    """`campaigns`: {name: Campaign}. Versions only grow, so words of them merge in any order."""
+    """The versions that this gateway knows of. Versions only grow, so reports merge in any order."""
 
-    def __init__(self, campaigns):
+    def __init__(self, campaigns: Mapping[str, Campaign]) -> None:
         self.campaigns = campaigns
-        self.now = {name: campaign.version for name, campaign in campaigns.items()}
-        self.refused = Counter()
-
-    def moved(self, name, version):
-        """The trainer, the configuration or a peer says so; whether it is news."""
-        was = self.now.get(name)
-        if was is None or type(version) is not int or not 0 <= version <= was + AHEAD:
-            self.refused["unknown campaign" if was is None else "version"] += 1
+        self.current = {name: campaign.version for name, campaign in campaigns.items()}
+        self.rejected: Counter[str] = Counter()  # reports, by reason
+
+    def record(self, campaign: str, version: object) -> bool:
+        """Takes in a version that the trainer or a peer reports; returns whether it is newer."""
+        current = self.current.get(campaign)
+        if current is None:
+            self.rejected["unknown campaign"] += 1
+            return False
+        if type(version) is not int or not 0 <= version <= current + MAX_VERSION_JUMP:
+            self.rejected["version"] += 1
             return False
-        if version <= was:
+        if version <= current:
             return False
-        self.now[name] = version
+        self.current[campaign] = version
         return True
 
-    def why_not(self, name, version):
-        """Why a rollout of this version is declined, or ''. It is looked at again before each sending."""
-        now = self.now.get(name)
-        if now is None:
-            return "unknown campaign"
-        if version > now:
-            return "version not there yet"
-        return "too old" if now - version > self.campaigns[name].old else ""
-
-    def wanted(self, name):
-        """Versions that copies may have, the newest first."""
-        now = self.now[name]
-        return range(now, max(-1, now - self.campaigns[name].old - 1), -1)
+    def rejection(self, campaign: str, version: int) -> VersionRejection | None:
+        """Why a rollout of this version is rejected, or None. Asked again before each attempt to send it."""
+        current = self.current.get(campaign)
+        if current is None:
+            return VersionRejection.UNKNOWN_CAMPAIGN
+        if version > current:
+            return VersionRejection.NOT_PUBLISHED
+        if current - version > self.campaigns[campaign].max_version_lag:
+            return VersionRejection.TOO_OLD
+        return None
+
+    def usable(self, campaign: str) -> range:
+        """The versions that copies may have, the newest first."""
+        current = self.current[campaign]
+        return range(current, max(-1, current - self.campaigns[campaign].max_version_lag - 1), -1)
 
     @staticmethod
-    def served(named, told):
-        """What an answer is worth: by another version than named (or it does not say) it is scrapped."""
-        return "delivered" if told == named else "scrapped"
+    def is_answer_usable(requested: int, reported: int | None) -> bool:
+        """Whether an answer counts: not if its host reports another version than was requested, or none."""
+        return reported == requested
--- a/gaproute/rollouts/weighted_shares.py
+++ b/gaproute/rollouts/weighted_shares.py
@@ -1,21 +1,26 @@
-"""How the spare lanes are shared: by weight, none above its want, and none starves while there is a lane for
-each."""
+"""Weighted max-min sharing of lanes among campaigns."""
 
+from collections.abc import Mapping
 
-def shares(total, wants, weights):
-    """Whole lanes for each: {name: lanes} with at most `total` in all. Filled by weight like communicating
-    vessels: who wants less than its share leaves the rest to the others. Whoever wants anything gets one lane
-    first, the heaviest first where there are fewer lanes than campaigns."""
-    order = sorted((name for name in wants if wants[name] > 0), key=lambda name: (-weights[name], name))
-    got = dict.fromkeys(wants, 0)
-    for name in order[: int(total)]:
-        got[name] = 1
-    left = int(total) - sum(got.values())
-    while left > 0:
-        short = [name for name in order if got[name] < wants[name]]
-        if not short:
+
+def share_lanes(total: float, demands: Mapping[str, int], weights: Mapping[str, int]) -> dict[str, int]:
+    """Whole lanes for each campaign, at most `total` in all, by weight and none above its demand.
+
+    What a campaign with little demand leaves goes to the others. Every campaign with any demand gets one
+    lane first, the ones with the greatest weight first if there are too few lanes, so that none starves.
+    """
+    by_weight = sorted(
+        (name for name in demands if demands[name] > 0), key=lambda name: (-weights[name], name)
+    )
+    shares = dict.fromkeys(demands, 0)
+    for name in by_weight[: int(total)]:
+        shares[name] = 1
+    remaining = int(total) - sum(shares.values())
+    while remaining > 0:
+        unsatisfied = [name for name in by_weight if shares[name] < demands[name]]
+        if not unsatisfied:
             break
-        name = min(short, key=lambda name: (got[name] / weights[name], name))
-        got[name] += 1
-        left -= 1
-    return got
+        name = min(unsatisfied, key=lambda name: (shares[name] / weights[name], name))
+        shares[name] += 1
+        remaining -= 1
+    return shares
--- a/gaproute/simulation/campaigns/checks.py
+++ b/gaproute/simulation/campaigns/checks.py
@@ -2,8 +2,8 @@
 run."""
 
 from gaproute.rollouts.campaign import SECOND
-from gaproute.rollouts.dispatcher import pool
-from gaproute.rollouts.invariants import check_floor, check_groups, check_loads, check_spend
+from gaproute.rollouts.dispatcher import pool_name
+from gaproute.rollouts.invariants import check_dispatcher, check_groups, check_loads, check_reservations
 from gaproute.shared.leases.invariants import check_client
 from gaproute.simulation.invariant_checks import InvariantChecks
 from gaproute.simulation.raft_group.checks import SentMessageChecks
@@ -18,7 +18,7 @@
         [lambda world, seat, to, message: sent(play, world, seat, to, message), SentMessageChecks(play)],
         [
             lambda world: parts(play, world),
-            lambda world: check_floor(list(play.hosts.values()), play.lent, play.floors),
+            lambda world: check_reservations(list(play.hosts.values()), play.lent, play.floors),
         ],
         every=DEEP,
     )
@@ -32,12 +32,12 @@
     if seat.name in play.hosts:
         truth = seat.actor
         if truth.rollouts > play.lent[seat.name]:
-            yield f"room never overspent: {truth.rollouts} of {play.lent[seat.name]} lanes at {seat.name}"
+            yield f"capacity never overspent: {truth.rollouts} of {play.lent[seat.name]} lanes at {seat.name}"
         if len(truth.running) > truth.spec.lanes:
             yield f"a host runs as many as it has lanes: {seat.name}"
     elif seat.name in play.gateways:
         gateway, now = seat.actor, seat.clock.own(world.now)
-        yield from check_spend(gateway.spend, now)
+        yield from check_dispatcher(gateway.spend, now)
         yield from check_groups(gateway.groups)
         yield from check_loads(gateway.loads)
         yield from check_client(gateway.holder)
@@ -54,8 +54,8 @@
                 if wish.valid_at(own):
                     held[wish.resource] = held.get(wish.resource, 0) + wish.amount
     for name, lanes in play.lent.items():
-        if held.get(pool(name), 0) > max(1, lanes):
-            yield f"room never overspent: parts of {held[pool(name)]} of {lanes} lanes at {name}"
+        if held.get(pool_name(name), 0) > max(1, lanes):
+            yield f"capacity never overspent: parts of {held[pool_name(name)]} of {lanes} lanes at {name}"
 
 
 def sent(play, world, seat, to, message):
@@ -68,8 +68,8 @@
         play.stop = max(play.stop, late)
         if late > STOP:
             yield f"production first: {task} to {to} {late / 1e6:.0f} ms after production wanted its room"
-    if gateway.weights.now[campaign] - version > gateway.campaigns[campaign].old:
-        yield f"too old is not run: {task} of version {version}, now {gateway.weights.now[campaign]}"
+    if gateway.weights.current[campaign] - version > gateway.campaigns[campaign].max_version_lag:
+        yield f"too old is not run: {task} of version {version}, now {gateway.weights.current[campaign]}"
     group = gateway.groups.open.get(gateway.tasks[task][1])
     if group is not None and group.version != version:
         yield f"no version mixing: {task} of version {version} in a group of {group.version}"
--- a/gaproute/simulation/campaigns/gateway.py
+++ b/gaproute/simulation/campaigns/gateway.py
@@ -3,9 +3,10 @@
 
 from collections import deque
 
-from gaproute.rollouts.copy_exchange import exchange
-from gaproute.rollouts.dispatcher import ASK, RolloutDispatcher
-from gaproute.rollouts.groups import RolloutGroups
+from gaproute.rollouts.copy_exchange import CopyOrderKind, CopyPlacement, plan_exchange
+from gaproute.rollouts.dispatcher import POLL_INTERVAL, RolloutDispatcher
+from gaproute.rollouts.groups import GroupOutcome, RolloutGroups
+from gaproute.rollouts.host_allotment import HostAvailability
 from gaproute.rollouts.invariants import check_sent
 from gaproute.rollouts.load_limiter import RolloutLoadLimiter
 from gaproute.rollouts.plan_distribution import PlanFilter
@@ -51,21 +52,21 @@
     def tick(self, now):
         out = self.holder.tick(now) + self.gossip.tick(now)
         if now >= self.ask_at:
-            self.ask_at = now + ASK
+            self.ask_at = now + POLL_INTERVAL
             for number in [number for number, (_, when) in self.asks.items() if now - when > SECOND]:
                 del self.asks[number]
-            hosts = dict.fromkeys(self.spend.asking(now))
+            hosts = dict.fromkeys(self.spend.hosts_to_poll())
             hosts.update(dict.fromkeys(self.planner.asking(now)))
             for host in hosts:
                 number = self.play.number()
                 self.asks[number] = host, now
                 out.append((host, ("ask", number)))
             self.spend.tick(now)
-            for task in [task for task in self.tasks if task not in self.spend.hands]:
+            for task in [task for task in self.tasks if task not in self.spend.in_flight]:
                 self.back(task)  # its time is over: its host has ended it
         if now >= self.tell_at:
             self.tell_at = now + TELL
-            out += [(peer, ("weights", dict(self.weights.now))) for peer in self.peers]
+            out += [(peer, ("weights", dict(self.weights.current))) for peer in self.peers]
         if now >= self.step_at:
             self.step_at = now + STEP
             out += self.aged(now) + self.exchanged(now)
@@ -90,9 +91,9 @@
         if asked is None:
             return []
         self.known[host] = asked[1], copies, loading, room
-        self.spend.report(now, host, asked[1], free, want, cold)
+        self.spend.record_report(now, host, HostAvailability(asked[1], free, want, cold))
         self.gossip.record_available_capacity(host, free)
-        out = [(host, ("cancel", task)) for task in self.spend.cancels(host, lacking)]
+        out = [(host, ("cancel", task)) for task in self.spend.rollouts_to_cancel(host, lacking)]
         if not want:
             self.wanted.pop(host, None)
             return out
@@ -102,28 +103,28 @@
         return out
 
     def _want(self, now, sender, host):
-        self.spend.wanted(now, host)
+        self.spend.record_production_waiting(now, host)
 
     def _weights(self, now, sender, versions):
         for name, version in versions.items():
-            self.weights.moved(name, version)
+            self.weights.record(name, version)
         self.heard[sender] = now
 
     def moved(self, now, name, version):
         """The trainer's word to this gateway; the others hear it from here."""
-        self.weights.moved(name, version)
+        self.weights.record(name, version)
         self.tell_at = 0
         return []
 
     def _orders(self, now, sender, orders):
-        if self.latest.news(orders):
+        if self.latest.accept(orders):
             self.planned = orders.copies
-            self.spend.aim(now, orders.aims, orders.paces)
+            self.spend.set_targets(now, orders.lanes, orders.rates)
 
     def _loaded(self, now, host, name, copy):
         held = self.under.pop(host, None)
         if held is not None:
-            self.loads.ended(now, copy is not None)
+            self.loads.record_ended(now, loaded=copy is not None)
             if held[1] is not None:
                 self.holder.release(now, held[1])
 
@@ -131,13 +132,13 @@
         if task in self.mine:
             self.given(now, task)
             return
-        self.spend.ended(now, task, how != "full")
+        self.spend.record_ended(now, task, host_full=how == "full")
         if how == "miss" and task in self.tasks and host in self.known:
             asked, copies, *rest = self.known[host]
             self.known[host] = asked, copies - {(self.tasks[task][0], self.tasks[task][2])}, *rest
         if how == "done" and task in self.tasks:
             campaign, group, named = self.tasks.pop(task)
-            if self.groups.answered(group, task, version) == "delivered":
+            if self.groups.record_answer(group, task, version) == GroupOutcome.DELIVERED:
                 self.play.delivered(self, campaign, group)
         else:
             self.back(task)
@@ -153,9 +154,11 @@
     def aged(self, now):
         """What became too old is declined by name, and what runs of it is cancelled."""
         out = []
-        for _, tasks in self.groups.aged():
+        for _, tasks in self.groups.discard_outdated():
             out += [
-                (self.spend.hands[task].host, ("cancel", task)) for task in tasks if task in self.spend.hands
+                (self.spend.in_flight[task].host, ("cancel", task))
+                for task in tasks
+                if task in self.spend.in_flight
             ]
         for queue in self.queues.values():
             for entry in [entry for entry in queue if entry[0] not in self.groups.open]:
@@ -163,19 +166,19 @@
         return out
 
     def supply(self, campaign):
-        version, queue = self.weights.now[campaign], self.queues[campaign]
-        if sum(entry[2] == version for entry in queue) < self.campaigns[campaign].group:
-            group, size = f"{self.name}/{self.play.number()}", self.campaigns[campaign].group
+        version, queue = self.weights.current[campaign], self.queues[campaign]
+        if sum(entry[2] == version for entry in queue) < self.campaigns[campaign].group_size:
+            group, size = f"{self.name}/{self.play.number()}", self.campaigns[campaign].group_size
             for number in range(size):
                 task = f"{group}/{number}"
-                if not self.groups.take(group, task, campaign, version, size):
+                if self.groups.admit(group, task, campaign, version, size) is None:
                     queue.append((group, task, version))
 
     def fill(self, now):
         out = []
-        for host in list(self.spend.parts):
-            for campaign in list(self.spend.parts[host].aims):
-                while (wish := self.spend.may(now, campaign, host)) is not None:
+        for host in list(self.spend.allotments):
+            for campaign in list(self.spend.allotments[host].targets):
+                while (wish := self.spend.find_lease(now, campaign, host)) is not None:
                     self.supply(campaign)
                     copies = self.known[host][1]
                     queue = self.queues[campaign]
@@ -184,10 +187,10 @@
                         break
                     queue.remove(entry)
                     group, task, version = entry
-                    if self.weights.why_not(campaign, version):
+                    if self.weights.rejection(campaign, version):
                         continue  # its group is scrapped at the next look
                     self.play.found(check_sent(self.spend, now, campaign, host))
-                    self.spend.sent(now, task, campaign, host, wish)
+                    self.spend.record_sent(now, task, campaign, host, wish)
                     self.tasks[task] = campaign, group, version
                     lasts = self.play.lasts(self.chance)
                     out.append(
@@ -199,7 +202,7 @@
                                 campaign,
                                 version,
                                 lasts,
-                                self.campaigns[campaign].most,
+                                self.campaigns[campaign].max_duration,
                                 self.play.world.now,
                             ),
                         )
@@ -214,7 +217,7 @@
             mine = [
                 host
                 for host in hosts
-                if host in self.spend.parts and host in self.known and now - self.known[host][0] < SECOND
+                if host in self.spend.allotments and host in self.known and now - self.known[host][0] < SECOND
             ]
             copies = {
                 host: [version for campaign, version in sorted(self.known[host][1]) if campaign == name]
@@ -226,14 +229,19 @@
                 for host in mine
                 if host in self.under or any(campaign == name for campaign, _ in self.known[host][2])
             ]
-            wanted = self.weights.wanted(name)
-            for kind, host, version in exchange(name, 1, wanted, mine, copies, loading, free):
-                if kind == "drop":
+            placement = CopyPlacement(mine, copies, loading, free)
+            versions = self.weights.usable(name)
+            for kind, host, version in plan_exchange(1, versions, placement):
+                if kind == CopyOrderKind.DROP:
                     out.append((host, ("drop", (name, version))))
-                elif host not in self.under and self.loads.may(now):
-                    wish = self.holder.acquire(now, EXCHANGE, 10 * SECOND) if kind == "swap" else None
+                elif host not in self.under and self.loads.allows(now):
+                    wish = (
+                        self.holder.acquire(now, EXCHANGE, 10 * SECOND)
+                        if kind == CopyOrderKind.SWAP
+                        else None
+                    )
                     self.under[host] = (name, version), wish, now
-                    self.loads.ordered()
+                    self.loads.record_ordered()
         for host, (copy, wish, _) in list(self.under.items()):
             if wish is not None and wish.state not in ("asked", "held"):
                 self._loaded(now, host, host, None)
--- a/gaproute/simulation/campaigns/host.py
+++ b/gaproute/simulation/campaigns/host.py
@@ -100,7 +100,7 @@
         ]
 
     def free_room(self):
-        return self.spec.room - len(self.copies) - len(self.loading)
+        return self.spec.copy_capacity - len(self.copies) - len(self.loading)
 
     def _task(self, now, sender, task, campaign, version, lasts, limit, sent):
         if campaign and self.play.world.now - sent > self.play.way:
--- a/gaproute/simulation/campaigns/planner.py
+++ b/gaproute/simulation/campaigns/planner.py
@@ -1,10 +1,16 @@
 """The part of a simulated gateway that plans, while it holds the planner's permit."""
 
-from gaproute.rollouts.dispatcher import pool
-from gaproute.rollouts.forecast import FleetForecast
-from gaproute.rollouts.host_assignment import deal, paces
-from gaproute.rollouts.plan import CampaignDemand, PlanningProblem, greedy
-from gaproute.rollouts.plan_distribution import PLANNER, GatewayPlan
+from gaproute.rollouts.dispatcher import pool_name
+from gaproute.rollouts.forecast import DemandReading, FleetForecast
+from gaproute.rollouts.greedy import greedy_plan
+from gaproute.rollouts.host_assignment import assign_hosts, assign_rates
+from gaproute.rollouts.plan import CampaignDemand, PlanningProblem
+from gaproute.rollouts.plan_distribution import (
+    PLANNER_RESOURCE,
+    GatewayPlan,
+    planned_copies,
+    planned_lanes,
+)
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
@@ -36,7 +42,11 @@
         if self.wish is None or self.wish.state not in ("asked", "held"):
             if now >= self.again:
                 self.again = now + EVERY // 2 + gateway.chance.below(EVERY)
-                self.wish, self.owners, self.sized = gateway.holder.acquire(now, PLANNER, SPAN), {}, {}
+                self.wish, self.owners, self.sized = (
+                    gateway.holder.acquire(now, PLANNER_RESOURCE, SPAN),
+                    {},
+                    {},
+                )
                 self.planned = now + EVERY // 2
         if not self.plans(now) or now < self.planned:
             return []
@@ -50,19 +60,20 @@
         for host in play.hosts:
             if self.sized.get(host) != play.lent[host]:
                 self.sized[host] = play.lent[host]
-                gateway.holder.resize_pool(now, pool(host), play.lent[host])
+                gateway.holder.resize_pool(now, pool_name(host), play.lent[host])
         if "" not in self.sized:
             self.sized[""] = max(2, len(play.hosts) // 3)
             gateway.holder.resize_pool(now, "rollouts/exchange", self.sized[""])
         if not hosts:
             return []
-        self.forecast.read(now, {"p": (gateway.gossip.demand(now, "p", 0).total, 0.0, play.mean / SECOND)})
-        spare = self.forecast.spare(now, hosts, play.lent, 4)
+        total = gateway.gossip.demand(now, "p", 0).total
+        self.forecast.record(now, {"p": DemandReading(total, 0.0, play.mean / SECOND)})
+        spare = self.forecast.spare_lanes(now, hosts, play.lent, slots=4)
         stand = sorted({(name, host) for host, told in known.items() for name, _ in told[1] | told[2]})
         # Of a host's room a campaign's old and new copy stand together while they are exchanged.
         problem = PlanningProblem(
             spare,
-            {host.name: host.room // 2 for host in hosts},
+            {host.name: host.copy_capacity // 2 for host in hosts},
             [
                 CampaignDemand(name, 1, campaign.weight, 10_000)
                 for name, campaign in gateway.campaigns.items()
@@ -70,17 +81,14 @@
             stand,
             max(2, len(hosts) // 2),
         )
-        plan = greedy(problem)
+        plan = greedy_plan(problem)
         self.made += 1
-        lanes = {(name, host): max(given) for name, host, given in plan.lanes}
         alive = sorted(
             [peer for peer in gateway.peers if now - gateway.heard.get(peer, -LOST) < LOST] + [gateway.name]
         )
-        came, self.owners = deal(lanes, play.lent, alive, self.owners, play.zones)
-        copies, order = {}, sorted(plan.copies, key=lambda copy: copy[2])
-        for name, host, _ in order:
-            copies.setdefault(name, []).append(host)
-        given, out = paces(came, gateway.campaigns), []
+        came, self.owners = assign_hosts(planned_lanes(plan), play.lent, alive, self.owners, play.zones)
+        copies, out = planned_copies(plan), []
+        given = assign_rates(came, gateway.campaigns)
         self.number += 1
         for name in alive:
             orders = GatewayPlan(self.wish.fencing_token, self.number, came[name], given[name], copies)
--- a/gaproute/simulation/campaigns/run.py
+++ b/gaproute/simulation/campaigns/run.py
@@ -6,7 +6,17 @@
 and what was delivered.
 """
 
-from gaproute.rollouts.campaign import SECOND, WAY, Campaign, RolloutHost, check, floors, lendable
+from dataclasses import replace
+
+from gaproute.rollouts.campaign import (
+    MAX_TRAVEL_TIME,
+    SECOND,
+    Campaign,
+    RolloutHost,
+    lendable_lanes,
+    strictest_reservations,
+)
+from gaproute.rollouts.campaign_validation import find_mistakes
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft import RaftNode
 from gaproute.simulation.campaigns.checks import checks
@@ -32,7 +42,7 @@
     """`case`: see `cases.Case`. `without`: no campaigns at all, the same production."""
 
     def __init__(self, seed, case, end=END, without=False):
-        self.seed, self.case, self.end, self.way = seed, case, end, WAY
+        self.seed, self.case, self.end, self.way = seed, case, end, MAX_TRAVEL_TIME
         self.chance = SeededRandom(seed, "campaigns")
         self.production = SeededRandom(seed, "production")
         self.count, self.mean = 0, 200 * MILLI
@@ -49,26 +59,29 @@
         } | {host.name: host.zone for host in self.hosts.values()}
         given = [
             Campaign(
-                "c1",
-                "m",
-                1,
-                case.tasks,
-                1000,
-                1,
-                1,
-                SECOND,
-                450 * MILLI,
-                4,
-                floors={**dict.fromkeys(self.hosts, case.floor), "a": len(self.hosts) // 3 * case.floor + 2},
+                name="c1",
+                function="m",
+                version=1,
+                rollouts_per_step=case.tasks,
+                steps=1000,
+                max_version_lag=1,
+                copy_size=1,
+                max_duration=SECOND,
+                typical_duration=450 * MILLI,
+                group_size=4,
+                reserved_lanes={
+                    **dict.fromkeys(self.hosts, case.floor),
+                    "a": len(self.hosts) // 3 * case.floor + 2,
+                },
             )
         ]
         if case.two:
-            given.append(given[0]._replace(name="c2", weight=3, floors={}))
-        wrong = check(given, self.hosts.values(), {"m": 1})
+            given.append(replace(given[0], name="c2", weight=3, reserved_lanes={}))
+        wrong = find_mistakes(given, list(self.hosts.values()), {"m"})
         if wrong:
             raise ValueError("; ".join(wrong))
-        self.floors = floors(given)
-        self.lent = lendable(list(self.hosts.values()), self.floors)
+        self.floors = strictest_reservations(given)
+        self.lent = lendable_lanes(list(self.hosts.values()), self.floors)
         self.campaigns = {} if without else {campaign.name: campaign for campaign in given}
         self.ration = 3
         self.versions, self.done = {name: 1 for name in self.campaigns}, {name: 0 for name in self.campaigns}
@@ -129,7 +142,7 @@
 
     def delivered(self, gateway, campaign, group):
         """A gateway holds the group for whole: the hosts' truth says by which version each was answered."""
-        size = self.campaigns[campaign].group
+        size = self.campaigns[campaign].group_size
         versions = {self.served.pop(f"{group}/{number}", None) for number in range(size)}
         if len(versions) != 1 or None in versions:
             self.breaches.append(f"no version mixing: group {group} by {sorted(map(str, versions))}")
@@ -158,7 +171,7 @@
 
     def figures(self):
         waits, answers = sorted(self.waits), sorted(self.answers)
-        groups = [seat.actor.groups.counts for seat in self.world.up() if seat.name in self.gateways]
+        groups = [seat.actor.groups.ends for seat in self.world.up() if seat.name in self.gateways]
         return {
             "used": self.used / max(1, self.spare),
             "by": dict(self.by),
@@ -193,7 +206,7 @@
             self.sampled += SAMPLE
             play.sample()
         for name, campaign in play.campaigns.items():
-            if play.done[name] >= campaign.tasks * play.versions[name]:
+            if play.done[name] >= campaign.rollouts_per_step * play.versions[name]:
                 play.versions[name] += 1
                 for gateway in play.gateways:  # one that is up hears it, the others from it
                     if world.ask(gateway, SimulatedGateway.moved, name, play.versions[name]):
--- a/tests/rollouts/test_simulation.py
+++ b/tests/rollouts/test_simulation.py
@@ -1,14 +1,15 @@
-"""Campaigns beside production under faults, by fixed seeds; and small faults of the code, each caught by its
-name."""
+"""Campaigns beside production under faults, with fixed seeds; planted faults are detected by name."""
 
 import pytest
 
 from gaproute.rollouts import dispatcher, invariants
-from gaproute.rollouts.campaign import lendable
+from gaproute.rollouts.campaign import lendable_lanes
 from gaproute.rollouts.dispatcher import RolloutDispatcher
+from gaproute.rollouts.host_allotment import HostAvailability
 from gaproute.rollouts.load_limiter import RolloutLoadLimiter
 from gaproute.rollouts.weight_versions import WeightVersions
 from gaproute.shared.leases import table
+from gaproute.shared.leases.requests import LeaseState
 from gaproute.simulation.campaigns import gateway, play, run
 from gaproute.simulation.campaigns.cases import CASES, SECOND
 
@@ -20,7 +21,8 @@
     made, breach = play(3, CASES[name], end=(17 if name == "zone cut" else 12) * SECOND)
     assert breach is None, breach.report()
     figures = made.figures()
-    assert figures["used"] > USED.get(name, 0.5) and figures["production"] > 1000
+    assert figures["used"] > USED.get(name, 0.5)
+    assert figures["production"] > 1000
     if name == "two campaigns":
         assert 0.2 < figures["by"]["c1"] / sum(figures["by"].values()) < 0.3  # weights 1 and 3
     if name == "liars":
@@ -31,118 +33,125 @@
 
 def test_the_same_seed_is_the_same_run():
     one, other = (play(1, CASES["noise"], end=7 * SECOND)[0] for _ in range(2))
-    assert one.world.digest.hexdigest() == other.world.digest.hexdigest() and one.figures() == other.figures()
+    assert one.world.digest.hexdigest() == other.world.digest.hexdigest()
+    assert one.figures() == other.figures()
 
 
-# Small faults of the code; below, the case in which each is caught and by which name.
+# Planted faults; below, the case in which each is detected and the name of the check.
 
 
-def said(part, now):
-    fresh = part and part.asked is not None and now - part.asked < dispatcher.FRESH
-    return fresh and not part.want and part.free > 0
+def reported_free(allotment, now):
+    return allotment and allotment.has_free_lane(now, dispatcher.MAX_REPORT_AGE)
 
 
-def a_permit_without_its_time(patch):
-    may = RolloutDispatcher.may
+def a_lease_may_end_before_its_rollouts(patch):
+    find_lease = RolloutDispatcher.find_lease
 
     def hasty(self, now, name, host):
-        part, wish = self.parts.get(host), may(self, now, name, host)
-        if wish is not None:
-            return wish
-        if said(part, now):
-            return next(
-                (wish for wish, hands in part.wishes.items() if hands < wish.amount and wish.valid_at(now)),
-                None,
-            )
+        allotment, found = self.allotments.get(host), find_lease(self, now, name, host)
+        if found is not None or not reported_free(allotment, now):
+            return found
+        return next(
+            (
+                lease
+                for lease, rollouts in allotment.leases.items()
+                if rollouts < lease.amount and lease.valid_at(now)
+            ),
+            None,
+        )
 
-    patch(RolloutDispatcher, "may", hasty)
+    patch(RolloutDispatcher, "find_lease", hasty)
 
 
 def lanes_are_not_counted(patch):
     def generous(self, now, name, host):
-        part = self.parts.get(host)
-        if said(part, now):
-            return next(
-                (wish for wish in part.wishes if wish.valid_at(now + self.campaigns[name].need)), None
-            )
+        allotment = self.allotments.get(host)
+        if not reported_free(allotment, now):
+            return None
+        until = now + self.campaigns[name].min_lease_time
+        return next((lease for lease in allotment.leases if lease.valid_at(until)), None)
 
-    patch(RolloutDispatcher, "may", generous)
+    patch(RolloutDispatcher, "find_lease", generous)
 
 
-def an_old_word_of_the_host_counts(patch):
-    patch(dispatcher, "FRESH", 5 * SECOND)
-    patch(invariants, "FRESH", 5 * SECOND)
-    patch(gateway, "ASK", 700_000_000)
+def an_old_report_of_the_host_counts(patch):
+    patch(dispatcher, "MAX_REPORT_AGE", 5 * SECOND)
+    patch(invariants, "MAX_REPORT_AGE", 5 * SECOND)
+    patch(gateway, "POLL_INTERVAL", 700_000_000)
 
 
-def production_that_waits_is_not_looked_at(patch):
-    report = RolloutDispatcher.report
-    patch(
-        RolloutDispatcher,
-        "report",
-        lambda self, now, host, asked, free, want, cold=False: report(
-            self, now, host, asked, max(1, free), False, cold
-        ),
-    )
+def production_that_waits_is_ignored(patch):
+    record_report = RolloutDispatcher.record_report
+
+    def ignore_waiting(self, now, host, report):
+        free_lanes = max(1, report.free_lanes)
+        changed = HostAvailability(report.asked_at, free_lanes, False, report.warming_up)
+        record_report(self, now, host, changed)
+
+    patch(RolloutDispatcher, "record_report", ignore_waiting)
 
 
-def a_lapse_too_early(patch):
-    patch(table, "expiry_wait", lambda span: span // 8)
+def leases_expire_too_early(patch):
+    patch(table, "expiry_wait", lambda duration: duration // 8)
 
 
-def a_permit_given_back_too_soon(patch):
+def leases_are_released_too_early(patch):
     tick = RolloutDispatcher.tick
 
     def hasty(self, now):
         tick(self, now)
-        for wish in [wish for part in self.parts.values() for wish in part.closing if wish.state == "held"]:
-            self.holder.release(now, wish)
+        closing = [lease for allotment in self.allotments.values() for lease in allotment.closing]
+        for lease in closing:
+            if lease.state == LeaseState.HELD:
+                self.client.release(now, lease)
 
     patch(RolloutDispatcher, "tick", hasty)
 
 
-def too_old_runs(patch):
-    patch(WeightVersions, "why_not", lambda self, name, version: "")
+def outdated_rollouts_run(patch):
+    patch(WeightVersions, "rejection", lambda self, campaign, version: None)
 
 
 def any_version_is_an_answer(patch):
-    patch(WeightVersions, "served", staticmethod(lambda named, told: "delivered"))
+    patch(WeightVersions, "is_answer_usable", staticmethod(lambda requested, reported: True))
 
 
-def loads_without_a_ration(patch):
-    patch(RolloutLoadLimiter, "may", lambda self, now: True)
+def loads_without_a_limit(patch):
+    patch(RolloutLoadLimiter, "allows", lambda self, now: True)
 
 
-def a_zone_without_its_floor(patch):
+def a_zone_without_its_reservation(patch):
     patch(
         run,
-        "lendable",
-        lambda hosts, floors: lendable(
-            hosts, {name: lanes for name, lanes in floors.items() if name.startswith("h")}
+        "lendable_lanes",
+        lambda hosts, reserved: lendable_lanes(
+            hosts, {name: lanes for name, lanes in reserved.items() if name.startswith("h")}
         ),
     )
 
 
 MUTANTS = [
-    (a_permit_without_its_time, "zone cut", "nothing spent without a permit"),
-    (lanes_are_not_counted, "plain", "room never overspent"),
-    (an_old_word_of_the_host_counts, "plain", "production first"),
-    (production_that_waits_is_not_looked_at, "plain", "production first"),
-    (a_lapse_too_early, "zone cut", "nothing spent without a permit"),
-    (a_permit_given_back_too_soon, "half of hosts", "nothing spent without a permit"),
-    (too_old_runs, "fast weights", "too old is not run"),
+    (a_lease_may_end_before_its_rollouts, "zone cut", "nothing sent without a lease"),
+    (lanes_are_not_counted, "plain", "capacity never overspent"),
+    (an_old_report_of_the_host_counts, "plain", "production first"),
+    (production_that_waits_is_ignored, "plain", "production first"),
+    (leases_expire_too_early, "zone cut", "nothing sent without a lease"),
+    (leases_are_released_too_early, "half of hosts", "nothing sent without a lease"),
+    (outdated_rollouts_run, "fast weights", "too old is not run"),
     (any_version_is_an_answer, "liars", "no version mixing"),
-    (loads_without_a_ration, "fast weights", "rollouts keep to their ration of loads"),
-    (a_zone_without_its_floor, "plain", "floor of free room"),
+    (loads_without_a_limit, "fast weights", "rollouts keep to their load limit"),
+    (a_zone_without_its_reservation, "plain", "reserved lanes are not lent"),
 ]
 
 
-@pytest.mark.parametrize("mutant, case, name", MUTANTS, ids=[mutant.__name__ for mutant, _, _ in MUTANTS])
-def test_a_small_fault_is_caught_by_name(mutant, case, name, monkeypatch):
-    mutant(lambda *words: monkeypatch.setattr(*words))
+@pytest.mark.parametrize(
+    ("mutant", "case", "name"), MUTANTS, ids=[mutant.__name__ for mutant, _, _ in MUTANTS]
+)
+def test_a_planted_fault_is_detected_by_name(mutant, case, name, monkeypatch):
+    mutant(monkeypatch.setattr)
     for seed in range(3):
         _, breach = play(seed, CASES[case], end=12 * SECOND)
         if breach is not None:
             assert breach.name == name
             return
-    raise AssertionError("not caught")
+    pytest.fail("not detected")
--- a/tests/rollouts/test_versions.py
+++ b/tests/rollouts/test_versions.py
@@ -1,76 +1,81 @@
-"""Versions: what is declined, what is scrapped, in which order copies are exchanged, whose ration loads
-have."""
+"""Versions of weights: which rollouts are rejected or discarded, how copies are exchanged, load limits."""
 
-from gaproute.rollouts import groups as module
-from gaproute.rollouts.copy_exchange import exchange
-from gaproute.rollouts.groups import RolloutGroups
+from gaproute.rollouts import groups as groups_module
+from gaproute.rollouts.copy_exchange import CopyPlacement, plan_exchange
+from gaproute.rollouts.groups import GroupOutcome, RolloutGroups
 from gaproute.rollouts.invariants import check_groups, check_loads
-from gaproute.rollouts.load_limiter import RolloutLoadLimiter, own
-from gaproute.rollouts.weight_versions import WeightVersions
+from gaproute.rollouts.load_limiter import RolloutLoadLimiter, max_rollout_orders
+from gaproute.rollouts.weight_versions import VersionRejection, WeightVersions
 from tests.rollouts.test_campaign import SECOND, campaign
 
 
-def made():
-    weights = WeightVersions({"c": campaign(old=1)})
-    return weights, RolloutGroups(weights)
-
-
-def test_versions_only_grow_and_old_rollouts_are_declined_by_name():
-    weights, groups = made()
-    assert weights.moved("c", 3) and not weights.moved("c", 2) and not weights.moved("c", 3)
-    assert not weights.moved("c", 1 << 50) and not weights.moved("x", 4) and not weights.moved("c", "5")
-    assert weights.now == {"c": 3} and list(weights.wanted("c")) == [3, 2]
-    assert groups.take("p", "t", "c", 1, 2) == "too old"
-    assert groups.take("p", "t", "c", 4, 2) == "version not there yet"
-    assert groups.take("p", "t", "x", 1, 2) == "unknown campaign" and not groups.open
-
-
-def test_a_group_is_of_one_version_or_scrapped_whole(monkeypatch):
-    weights, groups = made()
-    assert groups.take("p", "t1", "c", 1, 2) == groups.take("p", "t2", "c", 1, 2) == ""
-    assert groups.take("p", "t3", "c", 1, 2) == "group is full"
-    assert groups.answered("p", "t1", 1) == groups.answered("p", "t1", 1) == ""
-    assert check_groups(groups) == [] and groups.answered("p", "t2", 1) == "delivered"
-    groups.take("q", "t1", "c", 1, 2)
-    weights.moved("c", 2)
-    assert groups.take("q", "t2", "c", 2, 2) == "group of two versions"
-    assert groups.take("q", "t2", "c", 1, 2) == "group of two versions"
-    assert groups.answered("q", "t1", 1) == "of two versions"
-    groups.take("r", "t1", "c", 2, 2)
-    assert groups.answered("r", "t1", 1) == "answered by another version"
-    groups.take("s", "t1", "c", 1, 2)
-    weights.moved("c", 3)
-    assert groups.aged() == [("s", ["t1"])] and groups.take("s", "t2", "c", 1, 2) == "group too old"
-    assert not groups.open and groups.counts["delivered"] == 1
-    monkeypatch.setattr(module, "GROUPS", 0)
-    assert groups.take("u", "t1", "c", 3, 2) == "too many groups"
+def new_groups():
+    versions = WeightVersions({"c": campaign(max_version_lag=1)})
+    return versions, RolloutGroups(versions)
+
+
+def test_versions_only_grow_and_old_rollouts_are_rejected_by_reason():
+    versions, groups = new_groups()
+    assert versions.record("c", 3)
+    for campaign_name, version in (("c", 2), ("c", 3), ("c", 1 << 50), ("x", 4), ("c", "5")):
+        assert not versions.record(campaign_name, version)
+    assert versions.current == {"c": 3}
+    assert list(versions.usable("c")) == [3, 2]
+    assert groups.admit("p", "t", "c", 1, 2) == VersionRejection.TOO_OLD == "too old"
+    assert groups.admit("p", "t", "c", 4, 2) == "version not there yet"
+    assert groups.admit("p", "t", "x", 1, 2) == "unknown campaign"
+    assert not groups.open
+
+
+def test_a_group_is_of_one_version_or_discarded_whole(monkeypatch):
+    versions, groups = new_groups()
+    assert groups.admit("p", "t1", "c", 1, 2) is None
+    assert groups.admit("p", "t2", "c", 1, 2) is None
+    assert groups.admit("p", "t3", "c", 1, 2) == "group is full"
+    assert groups.record_answer("p", "t1", 1) is None
+    assert groups.record_answer("p", "t1", 1) is None
+    assert check_groups(groups) == []
+    assert groups.record_answer("p", "t2", 1) == GroupOutcome.DELIVERED == "delivered"
+    groups.admit("q", "t1", "c", 1, 2)
+    versions.record("c", 2)
+    assert groups.admit("q", "t2", "c", 2, 2) == "group of two versions"
+    assert groups.admit("q", "t2", "c", 1, 2) == "group of two versions"
+    assert groups.record_answer("q", "t1", 1) == "of two versions"
+    groups.admit("r", "t1", "c", 2, 2)
+    assert groups.record_answer("r", "t1", 1) == "answered by another version"
+    groups.admit("s", "t1", "c", 1, 2)
+    versions.record("c", 3)
+    assert groups.discard_outdated() == [("s", ["t1"])]
+    assert groups.admit("s", "t2", "c", 1, 2) == "group too old"
+    assert not groups.open
+    assert groups.ends["delivered"] == 1
+    monkeypatch.setattr(groups_module, "MAX_OPEN_GROUPS", 0)
+    assert groups.admit("u", "t1", "c", 3, 2) == "too many groups"
+
+
+def exchange(versions, planned, copies, loading, free_capacity):
+    return plan_exchange(10, versions, CopyPlacement(planned, copies, loading, free_capacity))
 
 
 def test_copies_are_exchanged_in_steps():
     planned = [f"h{number}" for number in range(6)]
     copies = {host: [1] for host in planned}
-    full, roomy = dict.fromkeys(planned, 0), dict.fromkeys(planned, 10)
-    assert exchange("c", 10, range(2, 0, -1), planned, copies, [], full) == [
-        ("swap", "h0", 2),
-        ("swap", "h1", 2),
-    ]
-    assert exchange("c", 10, range(2, 0, -1), planned, copies, [], roomy) == [
-        ("load", "h0", 2),
-        ("load", "h1", 2),
-    ]
+    full, half_free = dict.fromkeys(planned, 0), dict.fromkeys(planned, 10)
+    versions = range(2, 0, -1)
+    assert exchange(versions, planned, copies, [], full) == [("swap", "h0", 2), ("swap", "h1", 2)]
+    assert exchange(versions, planned, copies, [], half_free) == [("load", "h0", 2), ("load", "h1", 2)]
     copies |= {"h0": [2], "h1": [2, 1]}
-    assert exchange("c", 10, range(2, 0, -1), planned, copies, ["h2"], full) == [
-        ("drop", "h1", 1),
-        ("swap", "h3", 2),
-    ]
-    # what is too old goes and leaves its room; what production's copies have is not touched
-    assert exchange("c", 10, [4], ["h0"], {"h0": [2]}, [], full) == [("drop", "h0", 2), ("load", "h0", 4)]
-    assert exchange("c", 10, [4], ["h0"], {}, [], full) == []
-    # a plan that leaves a host keeps the newest copy there until it is in the way of nothing
-    assert exchange("c", 10, [2, 1], [], {"h0": [2], "h1": [1]}, [], full) == [("drop", "h1", 1)]
-
-
-class Rule5:
+    assert exchange(versions, planned, copies, ["h2"], full) == [("drop", "h1", 1), ("swap", "h3", 2)]
+    # A copy that is too old is dropped and leaves its capacity; that of production's copies is not touched.
+    assert exchange([4], ["h0"], {"h0": [2]}, [], full) == [("drop", "h0", 2), ("load", "h0", 4)]
+    assert exchange([4], ["h0"], {}, [], full) == []
+    # A host that is no longer planned keeps the newest copy as long as it is in nobody's way.
+    assert exchange([2, 1], [], {"h0": [2], "h1": [1]}, [], full) == [("drop", "h1", 1)]
+
+
+class SingleLoadLimiter:
+    """Allows one load."""
+
     def __init__(self):
         self.left = 1
 
@@ -84,13 +89,16 @@
         pass
 
 
-def test_loads_keep_to_a_ration_of_their_own_inside_rule_5():
-    loads, rule = RolloutLoadLimiter(None, 2, SECOND), Rule5()
-    loads.ordered()
-    loads.ordered()
-    assert not loads.may(0) and check_loads(loads) == []
-    loads.ended(10)
-    assert not loads.may(10 + SECOND - 1) and loads.may(10 + SECOND)
-    inside = RolloutLoadLimiter(rule, 2, SECOND)
-    inside.ordered()
-    assert not inside.may(0) and own(8) == 2 and own(1) == 1 and own(0) == 0
+def test_loads_keep_to_a_limit_of_their_own_within_that_of_the_gateway():
+    limiter = RolloutLoadLimiter(None, 2, SECOND)
+    limiter.record_ordered()
+    limiter.record_ordered()
+    assert not limiter.allows(0)
+    assert check_loads(limiter) == []
+    limiter.record_ended(10)
+    assert not limiter.allows(10 + SECOND - 1)
+    assert limiter.allows(10 + SECOND)
+    within = RolloutLoadLimiter(SingleLoadLimiter(), 2, SECOND)
+    within.record_ordered()
+    assert not within.allows(0)
+    assert [max_rollout_orders(count) for count in (8, 1, 0)] == [2, 1, 0]
