--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -13,7 +13,7 @@
 from gaproute.config.directives.fleet import HostLine
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 from gaproute.discovery.changelog.events import FleetUpdate
-from gaproute.discovery.changelog.members import (
+from gaproute.discovery.changelog.member_records import (
     DECODING_ERRORS,
     STATES,
     Member,
--- a/gaproute/discovery/changelog/events.py
+++ b/gaproute/discovery/changelog/events.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from gaproute.discovery.changelog.members import canonical_member
+from gaproute.discovery.changelog.member_records import canonical_member
 
 
 class FleetUpdate(msgspec.Struct):
