--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -26,8 +26,7 @@
 from gaproute.decisions.chance import Chance
 from gaproute.loop.faults import is_transient
 from gaproute.loop.listening import Listener
-from gaproute.loop.loop import MAX_PARKED_EVENTS, Loop
-from gaproute.loop.streams import Stream
+from gaproute.loop.loop import MAX_PARKED_EVENTS, ClosingStream, Loop
 
 READ_SIZE = 65536  # bytes read from a connection that is resumed
 MIN_READ_DELAY = 5_000_000  # ns of waiting that count: less is within any turn
@@ -122,7 +121,7 @@
                 return True
         return False
 
-    def _evictable_stream(self) -> Stream | None:
+    def _evictable_stream(self) -> ClosingStream | None:
         """The stream that has been closing longest, of those whose answers were taken, where that is long
         enough; it too counts as a connection."""
         now = self.loop.now()
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -14,7 +14,7 @@
 import traceback
 from collections import deque
 from collections.abc import Callable, Generator
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any, Protocol
 
 from gaproute.decisions.admission.admission import ADMISSION_TIME
 from gaproute.loop.descriptors import READ, DescriptorWatcher
@@ -23,9 +23,6 @@
 from gaproute.loop.signals import SignalHandlers
 from gaproute.loop.timers import Callback, Clock
 
-if TYPE_CHECKING:
-    from gaproute.loop.streams import Stream
-
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LATE_TURN = 50 * MILLI  # a turn this late was stopped, not busy: a busy one lasts some milliseconds
 MAX_LATE_POLLS = 8  # in a late turn: a flood must not keep timers from firing for ever
@@ -47,6 +44,16 @@
         """Closes some idle connections, as descriptors or memory have run out."""
 
 
+class ClosingStream(Protocol):
+    """What is needed of a stream that waits for the other side to close: see `Stream.close`."""
+
+    def is_acknowledged(self) -> bool:
+        """Whether the other side has acknowledged all that was written."""
+
+    def reset(self) -> None:
+        """Closes at once with a reset."""
+
+
 class Loop(DescriptorWatcher):
     """An event loop. `clock`: ns; one with a method `poll(epoll, span)` also waits in the loop's place."""
 
@@ -65,7 +72,7 @@
         self._parked_epoll_fd = self.parked_epoll.fileno()
         self.epoll.register(self._parked_epoll_fd, READ)
         # Streams that wait for the other side to close (`Stream.close`), since when; the oldest first.
-        self.closing_streams: dict[Stream, int] = {}
+        self.closing_streams: dict[ClosingStream, int] = {}
         # How old unread bytes may be:
         self.turns = self.late_turns = 0
         self.read_delay = 0  # in a late turn: how long ago what is read now may have come
--- a/gaproute/loop/stream_reader.py
+++ b/gaproute/loop/stream_reader.py
@@ -6,17 +6,14 @@
 import socket
 from abc import abstractmethod
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from gaproute.loop import unread
 from gaproute.loop.descriptors import HANGUP, READ, WRITE
 from gaproute.loop.faults import is_transient
+from gaproute.loop.loop import Loop
 from gaproute.loop.stream_writer import StreamWriter
 from gaproute.loop.unread import END, Pending
 
-if TYPE_CHECKING:
-    from gaproute.loop.loop import Loop
-
 READ_SIZE = 65536  # bytes read in one call: a large socket buffer in few calls, small next to a body
 MAX_READS_TO_END = 128  # of what lies unread before an end: more than any receive buffer holds
 PEEK_FLAGS = socket.MSG_PEEK | socket.MSG_DONTWAIT
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -5,16 +5,13 @@
 import socket
 from abc import ABC, abstractmethod
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 from gaproute.loop.descriptors import READ, WRITE
 from gaproute.loop.faults import is_transient
+from gaproute.loop.loop import Loop
+from gaproute.loop.timers import Timer
 from gaproute.loop.unread import END
 
-if TYPE_CHECKING:
-    from gaproute.loop.loop import Loop
-    from gaproute.loop.timers import Timer
-
 WRITE_HIGH_WATER = 1 << 20  # bytes waiting to be written above which `write` asks its caller to hold back
 
 Data = bytes | bytearray | memoryview
