--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -3,19 +3,16 @@
 from __future__ import annotations
 
 import socket
-from typing import TYPE_CHECKING, NamedTuple
 
 from gaproute.fronts.jsonrpc import responses
 from gaproute.fronts.jsonrpc.cancellation import RequestName, drop_cancelled
+from gaproute.fronts.jsonrpc.connection_owner import ConnectionOwner, OpenRequest
 from gaproute.fronts.jsonrpc.errors import ErrorCode, FramingError, ProtocolError
 from gaproute.fronts.jsonrpc.framing import MessageReader
 from gaproute.fronts.jsonrpc.presence import ClientPresence
 from gaproute.fronts.jsonrpc.requests import request_number
 from gaproute.loop import Stream
 
-if TYPE_CHECKING:
-    from gaproute.fronts.jsonrpc.front import JsonRpcFront
-
 MILLI, SECOND = 1_000_000, 1_000_000_000
 # Without a request until a connection is parked: only parked ones can give way to others, and hundreds come
 # in a second where clients open one for each request.
@@ -28,13 +25,6 @@
 MAX_PROTOCOL_ERRORS = 64  # of one connection, until it is closed: each takes work from the others
 
 
-class OpenRequest(NamedTuple):
-    """A request without its final answer."""
-
-    key: str  # the gateway's id of it
-    request_id: str  # the client's
-
-
 class ClientConnection:
     """A connection at work, from its first byte until it has been quiet for a while.
 
@@ -60,7 +50,13 @@
         "read_delay",
     )
 
-    def __init__(self, front: JsonRpcFront, sock: socket.socket, address_id: int, request_count: int) -> None:
+    def __init__(
+        self,
+        front: ConnectionOwner[ClientConnection],
+        sock: socket.socket,
+        address_id: int,
+        request_count: int,
+    ) -> None:
         self.front, self.address_id, self.request_count = front, address_id, request_count
         self.reader = MessageReader()
         self.open_requests: dict[int, OpenRequest] = {}  # by the client's number
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -20,7 +20,8 @@
 from gaproute.core.core import Core
 from gaproute.decisions.admission.admission import FULL_RETRY_PAUSE
 from gaproute.fronts.jsonrpc import cancellation, responses
-from gaproute.fronts.jsonrpc.connection import ClientConnection, OpenRequest
+from gaproute.fronts.jsonrpc.connection import ClientConnection
+from gaproute.fronts.jsonrpc.connection_owner import OpenRequest
 from gaproute.fronts.jsonrpc.errors import ErrorCode, ProtocolError
 from gaproute.fronts.jsonrpc.requests import Message, Request, decode_message, decode_request
 from gaproute.interface import RequestClass
--- a/gaproute/fronts/jsonrpc/presence.py
+++ b/gaproute/fronts/jsonrpc/presence.py
@@ -3,13 +3,23 @@
 from __future__ import annotations
 
 from collections.abc import Collection
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from gaproute.fronts.jsonrpc.cancellation import RequestName, cancelled_in
+from gaproute.fronts.jsonrpc.framing import MessageReader
+from gaproute.loop import Stream
 from gaproute.loop.streams import HANGUP_CHECK_INTERVAL, READ_SIZE
 
-if TYPE_CHECKING:
-    from gaproute.fronts.jsonrpc.connection import ClientConnection
+
+class WatchedConnection(Protocol):
+    """The part of `ClientConnection` that says whether its client is there."""
+
+    stream: Stream
+    reader: MessageReader
+    closing: bool
+
+    def cancel_request(self, name: RequestName | None) -> None:
+        """The client no longer waits for a request, by its number or its id."""
 
 
 class ClientPresence:
@@ -21,7 +31,7 @@
 
     __slots__ = ("connection", "checked_at", "unread_cancellations")
 
-    def __init__(self, connection: ClientConnection) -> None:
+    def __init__(self, connection: WatchedConnection) -> None:
         self.connection = connection
         self.checked_at = 0  # when it was last asked whether the client has closed,
         self.unread_cancellations: Collection[RequestName] = ()  # and what those name that lay unread then
@@ -34,7 +44,7 @@
     def is_waiting_for(self, number: int, request_id: str) -> bool:
         """Whether the client still waits for that request."""
         connection = self.connection
-        loop = connection.front.loop
+        loop = connection.stream.loop
         if connection.closing or not connection.stream.open:
             return False
         now = loop.now()
