--- a/gaproute/hosts/jsonlines/connection.py
+++ b/gaproute/hosts/jsonlines/connection.py
@@ -13,7 +13,7 @@
 from gaproute.errors import GaprouteError
 from gaproute.hosts import results
 from gaproute.hosts.jsonlines import messages
-from gaproute.hosts.jsonlines.host import Host
+from gaproute.hosts.jsonlines.connection_owner import ConnectionHost
 from gaproute.hosts.jsonlines.line_reader import LineReader, MalformedLineError
 from gaproute.hosts.jsonlines.messages import Reply
 from gaproute.hosts.jsonlines.pending_request import NO_DEADLINE, PendingRequest, already_written
@@ -47,7 +47,7 @@
         "cancel_connect",
     )
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: ConnectionHost[Connection]) -> None:
         self.host, self.pool = host, host.pool
         loop = self.pool.loop
         self.pending: dict[str, PendingRequest] = {}  # by id
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -1,18 +1,12 @@
 """One host by the endpoint list, and its connections."""
 
-from __future__ import annotations
-
-from typing import TYPE_CHECKING
-
 from gaproute.hosts.endpoints import Endpoint
+from gaproute.hosts.jsonlines.connection import Connection
+from gaproute.hosts.jsonlines.connection_owner import ConnectionOwner
 from gaproute.loop.addresses import address as parse_address
 
-if TYPE_CHECKING:
-    from gaproute.hosts.jsonlines.connection import Connection
-    from gaproute.hosts.jsonlines.connection_pool import ConnectionPool
-
 
-class ConnectionSet(dict["Connection", None]):
+class ConnectionSet(dict[Connection, None]):
     """An ordered set: what is chosen among connections must not depend on addresses in memory."""
 
     def add(self, connection: Connection) -> None:
@@ -39,7 +33,7 @@
         "started",
     )
 
-    def __init__(self, pool: ConnectionPool, endpoint: Endpoint) -> None:
+    def __init__(self, pool: ConnectionOwner, endpoint: Endpoint) -> None:
         self.pool, self.name = pool, endpoint.listed.host
         self.connections = ConnectionSet()
         self.active = self.listed = True
--- a/gaproute/hosts/jsonlines/pending_request.py
+++ b/gaproute/hosts/jsonlines/pending_request.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, TypeAlias
+from typing import Protocol, TypeAlias
 
 from gaproute.hosts.jsonlines.messages import Reply
 from gaproute.interface import Result
 from gaproute.interface.call import always
-
-if TYPE_CHECKING:
-    from gaproute.hosts.jsonlines.connection import Connection
+from gaproute.loop import Stream
 
 NO_DEADLINE = 1 << 62  # a time that never comes: of requests whose reply has a timeout of its own
 
@@ -23,6 +21,24 @@
     return b""
 
 
+class RequestConnection(Protocol):
+    """What a request needs of its connection: see `Connection`."""
+
+    stream: Stream | None
+
+    def is_written(self, request: PendingRequest) -> bool:
+        """Whether the host may have all of the request."""
+
+    def is_silent_since(self, time: int) -> bool:
+        """Whether nothing came since then, or no reply ever."""
+
+    def cancel(self, request: PendingRequest) -> None:
+        """Ends a request whose reply nobody waits for."""
+
+    def fail(self, error: BaseException | None) -> None:
+        """The connection has ended: each request on it has failed."""
+
+
 class PendingRequest:
     """A request that waits to be written, or for its reply.
 
@@ -43,7 +59,7 @@
 
     def __init__(
         self,
-        connection: Connection,
+        connection: RequestConnection,
         request_id: str,
         encode: Callable[[int], bytes],
         until: int,
