--- a/gaproute/fronts/kserve/front.py
+++ b/gaproute/fronts/kserve/front.py
@@ -10,7 +10,7 @@
 from gaproute.fronts.kserve.responses import JSON_TYPE, encode_error
 from gaproute.fronts.kserve.rest import RestFront
 from gaproute.http1 import HttpError, Limits, Server
-from gaproute.http1.server import ErrorAnswer
+from gaproute.http1.rendering import ErrorAnswer
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 
--- a/gaproute/fronts/kserve/inference.py
+++ b/gaproute/fronts/kserve/inference.py
@@ -7,15 +7,13 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import TYPE_CHECKING
+from typing import Protocol
 
+from gaproute.core.core import Core
 from gaproute.fronts.kserve.responses import BAD_REQUEST, NS_PER_MS, RequestError
 from gaproute.http1 import Request
 from gaproute.interface.call import Call, Final
 
-if TYPE_CHECKING:
-    from gaproute.fronts.kserve.rest import RestFront
-
 MAX_DIGITS = 12  # of a number in a header
 
 TIME_LIMIT, TENANT = b"gaproute-limit-ms", b"gaproute-tenant"
@@ -32,12 +30,24 @@
 )
 
 
+class InferenceFront(Protocol):
+    """The part of `RestFront` that a pending inference uses."""
+
+    core: Core
+
+    def finish_request(self, request: Request, final: Final) -> None:
+        """Answers a request by its final answer."""
+
+    def answer_half_closed(self, request: Request) -> None:
+        """Answers a request whose client has closed its side."""
+
+
 class PendingInference:
     """An inference that the core has, until its final answer or until its client has left."""
 
     __slots__ = ("front", "request", "key", "abandoned")
 
-    def __init__(self, front: RestFront, request: Request) -> None:
+    def __init__(self, front: InferenceFront, request: Request) -> None:
         self.front, self.request = front, request
         self.key = ""  # the gateway's id of the request
         self.abandoned = False
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -4,21 +4,25 @@
 
 import socket
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from gaproute.http1.errors import HttpError, NoResponseError
 from gaproute.http1.message import Response
 from gaproute.http1.reader import CONTENT_LENGTH, TRANSFER_ENCODING, ResponseReader
 from gaproute.loop import Loop, Stream
 
-if TYPE_CHECKING:
-    from gaproute.http1.exchange import Exchange
-
 SECOND = 1_000_000_000
 NO_CONTENT = 204
 FIRST_FINAL_STATUS = 200  # below it are responses that announce another
 
 
+class PendingExchange(Protocol):
+    """What a connection needs of the exchange at work: see `Exchange`."""
+
+    def finish(self, response: Response | None, failure: NoResponseError | None) -> None:
+        """Ends it with one of the two."""
+
+
 class ClientConnection:
     """A kept connection to one server. An idle one notices when the other side closes."""
 
@@ -40,7 +44,7 @@
         self.loop = loop
         self.reader = ResponseReader(head_limit, body_limit)
         self.stream = Stream(loop, sock, self._receive, self._on_closed)
-        self.exchange: Exchange | None = None  # the one at work
+        self.exchange: PendingExchange | None = None  # the one at work
         self.sent_before = 0  # bytes handed over before its request
         self.last_used: int = loop.now()
         self.on_idle_end: Callable[[ClientConnection], object] | None = None  # where it ends while idle
@@ -58,7 +62,7 @@
         """Whether the kernel has taken any byte of the present request."""
         return self.stream.bytes_sent > self.sent_before
 
-    def send(self, exchange: Exchange, data: bytes) -> None:
+    def send(self, exchange: PendingExchange, data: bytes) -> None:
         """The request begins now, with what is true now, or its exchange fails soon and never ran."""
         self.exchange, self.sent_before = exchange, self.stream.bytes_sent
         if not self.stream.try_begin(data):
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -10,8 +10,8 @@
 
 import socket
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
+from gaproute.http1.connection_owner import ConnectionOwner
 from gaproute.http1.deadlines import DeadlineConnection
 from gaproute.http1.errors import HttpError
 from gaproute.http1.message import PendingAnswer, Request
@@ -20,9 +20,6 @@
 from gaproute.loop import Stream
 from gaproute.loop.streams import HANGUP_CHECK_INTERVAL, WRITE_HIGH_WATER
 
-if TYPE_CHECKING:
-    from gaproute.http1.server import Server
-
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -38,7 +35,15 @@
         "read_delay",
     )
 
-    def __init__(self, server: Server, sock: socket.socket, address_id: int, request_count: int) -> None:
+    server: ConnectionOwner[ServerConnection]
+
+    def __init__(
+        self,
+        server: ConnectionOwner[ServerConnection],
+        sock: socket.socket,
+        address_id: int,
+        request_count: int,
+    ) -> None:
         self.server, self.address_id, self.request_count = server, address_id, request_count
         self.queue, self.closing, self.client_closed = [], False, False
         self.timer, self.deadline, self.idle_end, self.in_quiet_queue = None, None, 0, False
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -2,22 +2,34 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from gaproute.http1.errors import HttpError
+from gaproute.http1.limits import Limits
+from gaproute.http1.message import PendingAnswer
 from gaproute.http1.reader import RequestReader
-from gaproute.loop import Stream
+from gaproute.loop import Loop, Stream
 from gaproute.loop.timers import Timer
 
-if TYPE_CHECKING:
-    from gaproute.http1.message import PendingAnswer
-    from gaproute.http1.server import Server
-
 SECOND = 1_000_000_000
 QUIET_TIME = SECOND  # after its last answer until a connection is parked: a busy one stays as it is
 SWEEP_INTERVAL = SECOND // 4  # between looks for quiet ones: one wake-up for all of them, not one each
 
 
+class DeadlineOwner(Protocol):
+    """The part of `Server` that the deadlines of its connections need."""
+
+    loop: Loop
+    limits: Limits
+    last_request_by: int | None  # after a stop with grace: when the last request must be whole
+
+    def idle_end(self, now: int) -> int:
+        """When a connection that is idle from `now` on is closed."""
+
+    def enqueue_quiet(self, connection: DeadlineConnection, due: int) -> None:
+        """Queues a quiet connection for parking."""
+
+
 class DeadlineConnection:
     """The base of a server's connection: its one timer and what happens when it fires.
 
@@ -36,7 +48,7 @@
         "in_quiet_queue",
     )
 
-    server: Server
+    server: DeadlineOwner
     stream: Stream
     reader: RequestReader
     queue: list[PendingAnswer]  # in the order of the requests
--- a/gaproute/http1/message.py
+++ b/gaproute/http1/message.py
@@ -2,11 +2,29 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import TYPE_CHECKING
+from collections.abc import Callable, Iterable
+from typing import Protocol
 
-if TYPE_CHECKING:
-    from gaproute.http1.connection import ServerConnection
+from gaproute.http1.rendering import Header
+from gaproute.loop import Stream
+
+
+class RequestConnection(Protocol):
+    """What who answers a request needs of its connection: see `ServerConnection`."""
+
+    stream: Stream
+
+    def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
+        """Writes the answer to one request when its turn has come."""
+
+    def client_present(self) -> bool:
+        """Whether the client has neither closed its side nor left."""
+
+    def close_gracefully(self) -> None:
+        """Closes once what was written has been taken."""
+
+    def abort(self) -> None:
+        """Resets the connection; nothing is called."""
 
 
 class Message:
@@ -27,7 +45,7 @@
 
     __slots__ = ("method", "target", "arrived_at", "connection", "on_client_left", "client_closed")
 
-    connection: ServerConnection
+    connection: RequestConnection
 
     def __init__(self, arrived_at: int) -> None:
         """`arrived_at`: when its first byte came, by the loop's clock."""
--- a/gaproute/http1/rendering.py
+++ b/gaproute/http1/rendering.py
@@ -1,9 +1,18 @@
 """Responses as bytes, with the reason phrases of RFC 9110."""
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 Header = tuple[bytes, bytes]  # name, value
 
+
+class ErrorAnswer(NamedTuple):
+    """The headers and the body by which a client is told of an error."""
+
+    headers: tuple[Header, ...]
+    body: bytes
+
+
 REASONS = {
     100: "Continue",
     200: "OK",
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -14,20 +14,13 @@
 from gaproute.http1.errors import HttpError
 from gaproute.http1.limits import LIMITS, Limits
 from gaproute.http1.message import Request
-from gaproute.http1.rendering import Header, render
+from gaproute.http1.rendering import ErrorAnswer, Header, render
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 from gaproute.loop.streams import READ_SIZE
 from gaproute.loop.timers import Timer
 
 
-class ErrorAnswer(NamedTuple):
-    """The headers and the body by which a client is told of an error."""
-
-    headers: tuple[Header, ...]
-    body: bytes
-
-
 class QuietConnection(NamedTuple):
     """A connection that is parked at `due`, where that is still its deadline."""
 
