--- a/gaproute/shared/raft/bootstrap.py
+++ b/gaproute/shared/raft/bootstrap.py
@@ -8,20 +8,16 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from gaproute.shared.raft.log import encode_membership
 from gaproute.shared.raft.messages import BootstrapProbe, Entry, EntryKind, Member, Membership, Outbox
-
-if TYPE_CHECKING:
-    from gaproute.shared.raft.node import RaftNode
+from gaproute.shared.raft.node_state import NodeState
 
 
-def _may_bootstrap(node: RaftNode) -> bool:
+def _may_bootstrap(node: NodeState) -> bool:
     return node.store.is_blank and node.name == node.configured_members[0]
 
 
-def tick(node: RaftNode, outbox: Outbox) -> None:
+def tick(node: NodeState, outbox: Outbox) -> None:
     """Asks all others whether they are blank."""
     if not _may_bootstrap(node):
         return
@@ -31,7 +27,7 @@
     outbox.extend((name, BootstrapProbe(node.incarnation, 0, True)) for name in others)
 
 
-def on_probe(node: RaftNode, now: int, sender: str, message: BootstrapProbe, outbox: Outbox) -> None:
+def on_probe(node: NodeState, now: int, sender: str, message: BootstrapProbe, outbox: Outbox) -> None:
     """Answers a probe, or takes the answer to an own one."""
     if not message.echoed_incarnation:
         outbox.append((sender, BootstrapProbe(node.incarnation, message.incarnation, node.store.is_blank)))
@@ -46,7 +42,7 @@
             node.election_due = now
 
 
-def _bootstrap(node: RaftNode) -> None:
+def _bootstrap(node: NodeState) -> None:
     incarnations = {**node.blank_peers, node.name: node.incarnation}
     members = tuple(Member(name, incarnations[name]) for name in node.configured_members)
     body = encode_membership(Membership(members, node.fencing_base))
--- a/gaproute/shared/raft/committed.py
+++ b/gaproute/shared/raft/committed.py
@@ -2,19 +2,15 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from gaproute.shared.raft.messages import EntryKind, Outbox
+from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.requests import reply_to
 
-if TYPE_CHECKING:
-    from gaproute.shared.raft.node import RaftNode
-
 COMPACT_AFTER = 1024  # entries applied that the log holds before a snapshot takes their place
 COMPACT_ANYWAY = 4  # times that many: then also while a follower that answers lacks some of them
 
 
-def apply_entries(node: RaftNode, now: int, outbox: Outbox) -> None:
+def apply_entries(node: NodeState, now: int, outbox: Outbox) -> None:
     """What is committed and durable here comes into force; a leader replies to the clients."""
     while node.last_applied < node.commit_index:
         node.last_applied += 1
@@ -31,7 +27,7 @@
             node.step_down(now)
 
 
-def compact_log(node: RaftNode, now: int) -> None:
+def compact_log(node: NodeState, now: int) -> None:
     """Puts a snapshot in place of what is applied once that is much.
 
     Not while a follower that answers would have to fetch the snapshot, unless it is very much.
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -6,24 +6,20 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from gaproute.shared.raft.messages import EntryKind, Outbox, RequestVote, RequestVoteResponse
+from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.role import Role
 from gaproute.shared.raft.store import NOBODY
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT
 
-if TYPE_CHECKING:
-    from gaproute.shared.raft.node import RaftNode
-
 
-def _request_votes(node: RaftNode, outbox: Outbox, term: int, *, pre_vote: bool) -> None:
+def _request_votes(node: NodeState, outbox: Outbox, term: int, *, pre_vote: bool) -> None:
     log = node.log
     request = RequestVote(term, node.incarnation, log.last_index, log.last_term, pre_vote)
     outbox.extend((name, request) for name in node.peer_names())
 
 
-def start_pre_vote(node: RaftNode, outbox: Outbox) -> None:
+def start_pre_vote(node: NodeState, outbox: Outbox) -> None:
     """Asks whether a majority would vote for this node.
 
     Only then is the term raised, so that a node which was cut off disturbs nobody when it is back.
@@ -33,7 +29,7 @@
     _request_votes(node, outbox, node.term + 1, pre_vote=True)
 
 
-def on_majority(node: RaftNode, now: int, outbox: Outbox) -> None:
+def on_majority(node: NodeState, now: int, outbox: Outbox) -> None:
     """A majority granted the pre-vote: the election begins. Or it granted the vote: this node leads."""
     if node.role is Role.PRE_CANDIDATE:
         node.role = Role.CANDIDATE
@@ -46,7 +42,7 @@
     node.propose(EntryKind.NOOP)
 
 
-def on_request_vote(node: RaftNode, now: int, sender: str, request: RequestVote, outbox: Outbox) -> None:
+def on_request_vote(node: NodeState, now: int, sender: str, request: RequestVote, outbox: Outbox) -> None:
     """Grants the vote or not; no answer while a leader is heard."""
     leader_heard = node.is_leader or now - node.leader_heard_at < ELECTION_TIMEOUT
     if leader_heard and request.term > node.term:
@@ -68,9 +64,9 @@
 
 
 def on_vote_response(
-    node: RaftNode, now: int, sender: str, response: RequestVoteResponse, outbox: Outbox
+    node: NodeState, now: int, sender: str, response: RequestVoteResponse, outbox: Outbox
 ) -> None:
-    """Counts a vote of the election that is going on; `RaftNode` draws what a majority means."""
+    """Counts a vote of the election that is going on; `NodeState` draws what a majority means."""
     if response.term > node.term:
         node.enter_term(now, response.term)
         return
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from gaproute.shared.raft.log import Log
 from gaproute.shared.raft.messages import (
     AppendEntries,
@@ -12,18 +10,16 @@
     InstallSnapshot,
     Outbox,
 )
+from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.role import Role
 
-if TYPE_CHECKING:
-    from gaproute.shared.raft.node import RaftNode
-
 
-def _respond(node: RaftNode, to: str, outbox: Outbox, match_index: int, *, success: bool) -> None:
+def _respond(node: NodeState, to: str, outbox: Outbox, match_index: int, *, success: bool) -> None:
     outbox.append((to, AppendEntriesResponse(node.term, node.incarnation, success, match_index)))
 
 
 def _follow(
-    node: RaftNode, now: int, sender: str, message: AppendEntries | InstallSnapshot, outbox: Outbox
+    node: NodeState, now: int, sender: str, message: AppendEntries | InstallSnapshot, outbox: Outbox
 ) -> bool:
     """Whether the sender leads a term that is not over; then it is followed."""
     if message.term < node.term:
@@ -40,7 +36,7 @@
     return True
 
 
-def on_append_entries(node: RaftNode, now: int, sender: str, message: AppendEntries, outbox: Outbox) -> None:
+def on_append_entries(node: NodeState, now: int, sender: str, message: AppendEntries, outbox: Outbox) -> None:
     """Takes the leader's entries where they follow from what the log has."""
     if not _follow(node, now, sender, message, outbox):
         return
@@ -58,7 +54,7 @@
     _respond(node, sender, outbox, end, success=True)
 
 
-def _append(node: RaftNode, sender: str, prev_index: int, entries: tuple[Entry, ...]) -> bool:
+def _append(node: NodeState, sender: str, prev_index: int, entries: tuple[Entry, ...]) -> bool:
     """Puts those entries into the log that it does not have; False where that cannot be."""
     log = node.log
     for at, entry in enumerate(entries, prev_index + 1):
@@ -86,7 +82,7 @@
 
 
 def on_install_snapshot(
-    node: RaftNode, now: int, sender: str, message: InstallSnapshot, outbox: Outbox
+    node: NodeState, now: int, sender: str, message: InstallSnapshot, outbox: Outbox
 ) -> None:
     """Takes the leader's state where it is ahead of what is committed here."""
     if not _follow(node, now, sender, message, outbox):
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -9,19 +9,15 @@
 from collections.abc import Iterable, Sequence
 from hashlib import blake2b
 from itertools import combinations
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
 from gaproute.shared.raft.messages import MAX_MEMBERS, Entry
+from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.sessions import MAX_SESSIONS, MAX_SESSIONS_PER_CLIENT
 from gaproute.shared.raft.store import Candidate
 
-if TYPE_CHECKING:
-    from gaproute.shared.raft.node import RaftNode
-
-MAX_BREACHES = 16  # kept by a node: the first ones tell
-
 
 class _Seen(NamedTuple):
     """What a node had at its last check."""
@@ -39,7 +35,7 @@
     def __init__(self) -> None:
         self.seen: _Seen | None = None
 
-    def run(self, node: RaftNode) -> list[str]:
+    def run(self, node: NodeState) -> list[str]:
         """The breaches at this node."""
         store, log = node.store, node.log
         breaches = self._compare(node)
@@ -57,7 +53,7 @@
             breaches.append(f"maps are bounded: {node.name}")
         return breaches
 
-    def _compare(self, node: RaftNode) -> list[str]:
+    def _compare(self, node: NodeState) -> list[str]:
         store, before = node.store, self.seen
         now = _Seen(
             store.incarnation, store.term, node.commit_index, node.machine.last_token, store.voted_for
@@ -80,7 +76,7 @@
         return breaches
 
 
-def check_deep(node: RaftNode) -> list[str]:
+def check_deep(node: NodeState) -> list[str]:
     """Expensive: walks the log and all sessions."""
     log = node.log
     terms = [log.snapshot_term, *(entry.term for entry in log.entries)]
@@ -103,7 +99,7 @@
         self.states: dict[int, bytes] = {}  # by last applied index: digest of the state
 
 
-def check_all(nodes: Iterable[RaftNode], history: History) -> list[str]:
+def check_all(nodes: Iterable[NodeState], history: History) -> list[str]:
     """Of the nodes that are up."""
     up = list(nodes)
     breaches: list[str] = []
@@ -118,7 +114,7 @@
     return breaches + _check_matching(up)
 
 
-def _check_committed(node: RaftNode, history: History) -> list[str]:
+def _check_committed(node: NodeState, history: History) -> list[str]:
     """Committed entries are the same for ever, at every node."""
     log, itself = node.log, (node.name, node.incarnation)
     breaches: list[str] = []
@@ -136,7 +132,7 @@
     return breaches
 
 
-def _check_matching(nodes: Sequence[RaftNode]) -> list[str]:
+def _check_matching(nodes: Sequence[NodeState]) -> list[str]:
     """Log matching: the same term at an index, the same entries up to there."""
     breaches: list[str] = []
     for one, other in combinations(nodes, 2):
@@ -149,12 +145,12 @@
     return breaches
 
 
-def _entries(node: RaftNode, after: int, last: int) -> list[Entry]:
+def _entries(node: NodeState, after: int, last: int) -> list[Entry]:
     base = node.log.snapshot_index
     return node.log.entries[after - base : last - base]
 
 
-def replay(node: RaftNode) -> str:
+def replay(node: NodeState) -> str:
     """A line of JSON with all that is needed to look into a breach."""
     return msgspec.json.encode(
         {
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -3,10 +3,7 @@
 A leader that does not hear a majority any more steps down (dissertation 6.2), so that clients go elsewhere.
 """
 
-from __future__ import annotations
-
-from typing import TYPE_CHECKING, NamedTuple
-
+from gaproute.shared.raft.leader_state import LeaderState
 from gaproute.shared.raft.log import encode_membership
 from gaproute.shared.raft.membership import MatchedLog, is_majority, next_membership
 from gaproute.shared.raft.messages import (
@@ -19,104 +16,18 @@
     Membership,
     Outbox,
 )
+from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.role import Role
-from gaproute.shared.raft.state_machine import DeadlineTimers
 from gaproute.shared.raft.timing import (
     HEARTBEAT_INTERVAL,
     MEMBERSHIP_CHANGE_INTERVAL,
     QUORUM_TIMEOUT,
-    SNAPSHOT_RESEND_INTERVAL,
 )
 
-if TYPE_CHECKING:
-    from gaproute.shared.raft.node import RaftNode
-
-MAX_UNCOMMITTED = 512  # entries: a megabyte at most; beyond it clients are told that the leader is busy
 MAX_EXPIRIES_A_TURN = 64  # a leader that was stopped may find many
 
 
-class FollowerProgress:
-    """What the leader knows of another node's log."""
-
-    def __init__(self, next_index: int) -> None:
-        self.next_index = next_index  # of the next entry to send
-        self.match_index = 0  # up to which the logs agree
-        self.incarnation = 0  # by its last answer
-        self.answered_at: int | None = None  # when that came
-        self.in_flight = False  # entries are on their way
-        self.snapshot_sent_at: int | None = None
-
-    def restart(self, incarnation: int, last_index: int) -> None:
-        """The name has another disk: what was known of the old one is nothing to this."""
-        self.incarnation, self.match_index, self.next_index = incarnation, 0, last_index + 1
-        self.snapshot_sent_at = None
-
-    def answered_lately(self, now: int) -> bool:
-        """Whether it counts as up."""
-        return self.answered_at is not None and now - self.answered_at < QUORUM_TIMEOUT
-
-    def snapshot_due(self, now: int) -> bool:
-        """Whether a snapshot may be sent, again or for the first time."""
-        return self.snapshot_sent_at is None or now - self.snapshot_sent_at >= SNAPSHOT_RESEND_INTERVAL
-
-
-class PendingReply(NamedTuple):
-    """The client and the request that an entry answers once it is committed."""
-
-    client: str
-    session: int
-    nonce: int
-
-
-class LeaderState:
-    """What a node knows while it leads. `first_index`: of the entry with which its term begins."""
-
-    def __init__(self, now: int, first_index: int, timers: DeadlineTimers) -> None:
-        self.elected_at, self.first_index, self.timers = now, first_index, timers
-        self.heartbeat_due = now
-        self.followers: dict[str, FollowerProgress] = {}
-        self.pending_replies: dict[int, PendingReply] = {}  # by the entry's index
-        self.membership_changed_at = now
-
-    @property
-    def due(self) -> int:
-        """When `tick` is to be called next."""
-        deadline = self.timers.due
-        return self.heartbeat_due if deadline is None else min(self.heartbeat_due, deadline)
-
-    def follower(self, name: str) -> FollowerProgress:
-        """The progress of the node of this name."""
-        if name not in self.followers:
-            self.followers[name] = FollowerProgress(self.first_index)
-        return self.followers[name]
-
-    def all_answering_have(self, now: int, index: int) -> bool:
-        """Whether all that answer have the entries up to `index`: then a snapshot makes nobody fetch it."""
-        return all(
-            progress.match_index >= index
-            for progress in self.followers.values()
-            if progress.answered_lately(now)
-        )
-
-    def keep_only(self, names: list[str]) -> None:
-        """Forgets the progress of all others."""
-        self.followers = {name: each for name, each in self.followers.items() if name in names}
-
-
-def propose(node: RaftNode, kind: EntryKind, session: int, nonce: int, body: bytes) -> int:
-    """Puts an entry into the leader's log; its index, or 0 where too many are uncommitted.
-
-    The entry with which a term begins is always taken: after a restart of all, nothing of a long log is
-    known to be committed, and it is this entry that commits the others (5.4.2).
-    """
-    index = node.log.last_index + 1
-    if kind != EntryKind.NOOP and index - node.commit_index > MAX_UNCOMMITTED:
-        return 0
-    node.store.append(index, Entry(node.term, kind, session, nonce, body))
-    return index
-
-
-def _answering_incarnations(node: RaftNode, leader: LeaderState, now: int) -> dict[str, int]:
+def _answering_incarnations(node: NodeState, leader: LeaderState, now: int) -> dict[str, int]:
     """Of those that answered lately, by name, itself among them."""
     answering = {
         name: progress.incarnation
@@ -126,7 +37,7 @@
     return {node.name: node.incarnation, **answering}
 
 
-def tick(node: RaftNode, leader: LeaderState, now: int, outbox: Outbox) -> None:
+def tick(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
     """Heartbeats, deadlines, a change of the members, or the end of the leadership."""
     answering = _answering_incarnations(node, leader, now)
     if now - leader.elected_at >= QUORUM_TIMEOUT and not is_majority(node.members, answering):
@@ -146,7 +57,7 @@
     _change_membership(node, leader, now)
 
 
-def _change_membership(node: RaftNode, leader: LeaderState, now: int) -> None:
+def _change_membership(node: NodeState, leader: LeaderState, now: int) -> None:
     """One step of the members towards the configuration.
 
     Not before the last one is committed and so is an entry of the own term: the flaw of single-server
@@ -169,7 +80,7 @@
         leader.membership_changed_at = now
 
 
-def advance_commit_index(node: RaftNode, leader: LeaderState) -> None:
+def advance_commit_index(node: NodeState, leader: LeaderState) -> None:
     """Commits what a majority of the members has on disk, itself by what is synced."""
     matched = sorted((_match_index(node, leader, member) for member in node.members), reverse=True)
     index = matched[len(matched) // 2]
@@ -177,7 +88,7 @@
         node.commit_index = index
 
 
-def _match_index(node: RaftNode, leader: LeaderState, member: Member) -> int:
+def _match_index(node: NodeState, leader: LeaderState, member: Member) -> int:
     if member.name == node.name:
         return node.log.last_index if member.incarnation == node.incarnation else 0
     progress = leader.followers.get(member.name)
@@ -185,7 +96,7 @@
     return progress.match_index if progress is not None and known else 0
 
 
-def replicate(node: RaftNode, leader: LeaderState, now: int, outbox: Outbox) -> None:
+def replicate(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
     """New entries to all that have none in flight."""
     for name in node.peer_names():
         progress = leader.follower(name)
@@ -193,7 +104,7 @@
             _send_entries(node, leader, now, name, outbox)
 
 
-def _send_entries(node: RaftNode, leader: LeaderState, now: int, name: str, outbox: Outbox) -> None:
+def _send_entries(node: NodeState, leader: LeaderState, now: int, name: str, outbox: Outbox) -> None:
     """What the follower lacks: a snapshot, entries, or nothing but a heartbeat."""
     progress, log = leader.follower(name), node.log
     entries: tuple[Entry, ...] = ()
@@ -211,7 +122,7 @@
     outbox.append((name, message))
 
 
-def _snapshot_message(node: RaftNode) -> InstallSnapshot:
+def _snapshot_message(node: NodeState) -> InstallSnapshot:
     log, state = node.log, node.store.snapshot
     members = log.members_at(log.snapshot_index)
     return InstallSnapshot(
@@ -220,7 +131,7 @@
 
 
 def on_append_response(
-    node: RaftNode, now: int, sender: str, response: AppendEntriesResponse, outbox: Outbox
+    node: NodeState, now: int, sender: str, response: AppendEntriesResponse, outbox: Outbox
 ) -> None:
     """A follower took entries, or lacks what comes before them."""
     leader = node.leader_state
--- /dev/null
+++ b/gaproute/shared/raft/node_state.py
@@ -0,0 +1,154 @@
+"""The state of a Raft node, and the changes of it that are more than one value."""
+
+from collections import Counter
+from collections.abc import Iterable
+
+from gaproute.shared.raft.disk import Disk
+from gaproute.shared.raft.leader_state import LeaderState
+from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.membership import distinct_names
+from gaproute.shared.raft.messages import Entry, EntryKind, Member
+from gaproute.shared.raft.role import Role
+from gaproute.shared.raft.sessions import Sessions
+from gaproute.shared.raft.state_machine import StateMachine
+from gaproute.shared.raft.store import Store
+from gaproute.shared.raft.timing import ELECTION_TIMEOUT, STORAGE_RETRY_INTERVAL
+from gaproute.shared.randomness import RandomSource
+
+MAX_BREACHES = 16  # kept by a node: the first ones tell
+MAX_UNCOMMITTED = 512  # entries: a megabyte at most; beyond it clients are told that the leader is busy
+
+
+class NodeState:
+    """What a node knows and has promised: see `RaftNode`, which lets the modules beside it act on this."""
+
+    def __init__(
+        self,
+        name: str,
+        configured_members: Iterable[str],
+        disk: Disk,
+        chance: RandomSource,
+        now: int,
+        machine: StateMachine,
+        *,
+        fencing_base: int = 0,
+    ) -> None:
+        self.name, self.chance, self.fencing_base = name, chance, fencing_base
+        self.machine = machine
+        self.sessions = Sessions(machine)
+        self.store = Store(name, disk, chance, self.sessions.unpack)
+        self.storage_failure = self.store.failure
+        self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
+        self.role, self.leader, self.leader_heard_at = Role.FOLLOWER, "", now - 2 * ELECTION_TIMEOUT
+        self.granted_votes: dict[str, int] = {}  # in this election, incarnation by name
+        self.blank_peers: dict[str, int] = {}  # that may take part in a bootstrap, incarnation by name
+        # A crash left what the store has, and nothing else.
+        self.commit_index = self.last_applied = self.log.snapshot_index
+        self.leader_state: LeaderState | None = None  # while it leads
+        self.rejections: Counter[str] = Counter()
+        self.breaches: list[str] = []
+        self.configured_members: tuple[str, ...] = ()
+        self.set_configured_members(now, configured_members)
+        self.reset_election_timer(now)
+
+    @property
+    def term(self) -> int:
+        """The current term."""
+        return self.store.term
+
+    @property
+    def incarnation(self) -> int:
+        """The number of its disk; 0 while that was never read."""
+        return self.store.incarnation
+
+    @property
+    def log(self) -> Log:
+        """Its log."""
+        return self.store.log
+
+    @property
+    def members(self) -> tuple[Member, ...]:
+        """The members by its log."""
+        return self.log.members
+
+    @property
+    def is_leader(self) -> bool:
+        """Whether it leads its term."""
+        return self.role is Role.LEADER
+
+    @property
+    def is_member(self) -> bool:
+        """Whether it is among the members, under the incarnation that its disk has."""
+        return Member(self.name, self.incarnation) in self.members
+
+    @property
+    def may_campaign(self) -> bool:
+        """Whether it asks for votes: a member by the last committed membership or by any behind it.
+
+        One whose leaving is not committed may know more than all that stay (dissertation 4.2.2); its own vote
+        counts by the last membership only, as any.
+        """
+        itself = Member(self.name, self.incarnation)
+        return any(itself in members for members in self.log.memberships_since(self.commit_index))
+
+    def set_configured_members(self, now: int, names: Iterable[str]) -> None:
+        """The names that the configuration has now; members follow one at a time.
+
+        Raises ValueError where there are none or too many.
+        """
+        self.configured_members = distinct_names(names)
+
+    def peer_names(self) -> list[str]:
+        """The names of all that this one speaks with, sorted."""
+        return sorted({*self.configured_members, *(member.name for member in self.members)} - {self.name})
+
+    def reset_election_timer(self, now: int) -> None:
+        """No election begins for an election timeout."""
+        self.election_due = now + ELECTION_TIMEOUT + self.chance.below(ELECTION_TIMEOUT)
+
+    def record_breaches(self, breaches: list[str]) -> None:
+        """Keeps the first few."""
+        self.breaches += breaches[: MAX_BREACHES - len(self.breaches)]
+
+    def reject(self, reason: str) -> None:
+        """Counts a message that changed nothing."""
+        self.rejections[reason] += 1
+
+    def enter_term(self, now: int, term: int) -> None:
+        """Enters a term above its own: no leader is known, no vote given yet."""
+        self.store.save_vote(term)
+        self.step_down(now)
+        self.leader = ""  # a follower's as well
+
+    def step_down(self, now: int) -> None:
+        """Is a follower from here on."""
+        if self.role is not Role.FOLLOWER:
+            self._follow_nobody()
+            self.reset_election_timer(now)
+
+    def _follow_nobody(self) -> None:
+        self.role, self.leader_state, self.leader = Role.FOLLOWER, None, ""
+
+    def become_leader(self, now: int) -> None:
+        """Leads its term from here on."""
+        self.role, self.leader = Role.LEADER, self.name
+        self.leader_state = LeaderState(now, self.log.last_index + 1, self.machine.start_timers(now))
+
+    def propose(self, kind: EntryKind, session: int = 0, nonce: int = 0, body: bytes = b"") -> int:
+        """Puts an entry into the leader's log; its index, or 0 where too many are uncommitted.
+
+        The entry with which a term begins is always taken: after a restart of all, nothing of a long log is
+        known to be committed, and it is this entry that commits the others (5.4.2).
+        """
+        index = self.log.last_index + 1
+        if kind != EntryKind.NOOP and index - self.commit_index > MAX_UNCOMMITTED:
+            return 0
+        self.store.append(index, Entry(self.term, kind, session, nonce, body))
+        return index
+
+    @property
+    def due(self) -> int:
+        """When `tick` is to be called next."""
+        if self.storage_failure:
+            return self.storage_retry_at
+        return self.election_due if self.leader_state is None else self.leader_state.due
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -2,21 +2,17 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from gaproute.shared.messages import NAME
-from gaproute.shared.raft.leader import LeaderState, PendingReply
+from gaproute.shared.raft.leader_state import LeaderState, PendingReply
 from gaproute.shared.raft.messages import EntryKind, Outbox, Reply, ReplyStatus, Request
+from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.sessions import OLD_NONCE, Outcome
 
-if TYPE_CHECKING:
-    from gaproute.shared.raft.node import RaftNode
-
 MAX_PENDING_PER_CLIENT = 4  # requests that wait to be committed: a client sends one at a time
 NOT_THE_OWNER = "not the holder's own"
 
 
-def on_request(node: RaftNode, sender: str, request: Request, outbox: Outbox) -> None:
+def on_request(node: NodeState, sender: str, request: Request, outbox: Outbox) -> None:
     """Logs the request, or answers it at once."""
     if not 0 < len(sender) <= NAME or not request.nonce:
         node.reject("request not understood")
@@ -34,7 +30,7 @@
         outbox.append((sender, Reply(request.session, request.nonce, status, body)))
 
 
-def _answer_at_once(node: RaftNode, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
+def _answer_at_once(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
     """What needs no entry; None where one is needed."""
     if node.commit_index < leader.first_index:  # what was committed before may not be known here yet
         return Outcome(ReplyStatus.BUSY)
@@ -54,7 +50,7 @@
     return None
 
 
-def _log(node: RaftNode, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
+def _log(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
     """Puts the request into the log; None: it is answered once it is committed."""
     pending = PendingReply(sender, request.session, request.nonce)
     own = [each for each in leader.pending_replies.values() if each.client == sender]
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -3,9 +3,9 @@
 import pytest
 from raft_net import MILLI, SECOND, Disk, Net
 
-from gaproute.shared.raft.leader import MAX_UNCOMMITTED
 from gaproute.shared.raft.membership import next_membership
 from gaproute.shared.raft.messages import AppendEntriesResponse, EntryKind, Member
+from gaproute.shared.raft.node_state import MAX_UNCOMMITTED
 
 A, B, C = (Member(name, number) for number, name in enumerate("abc", 1))
 ALL = (A, B, C)
