--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -1,23 +1,19 @@
 """The operators' address of a gateway: its tables over HTTP (`status.py`), and leases for who asks."""
 
-from __future__ import annotations
-
 from collections.abc import Callable
 from http import HTTPStatus
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
 from gaproute.appliance import status
+from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.errors import GaprouteError
 from gaproute.http1 import Request, Server
 from gaproute.shared.leases.operator_requests import decode_command
 
-if TYPE_CHECKING:
-    from gaproute.appliance.gateway import Appliance
-
 LEASES = b"/permits"
-TABLES: dict[bytes, Callable[[Appliance], Any]] = {
+TABLES: dict[bytes, Callable[[RunningGateway], Any]] = {
     b"/status": status.status,
     b"/hosts": status.host_table,
     b"/knows": status.warm_instances,
@@ -35,7 +31,7 @@
 class Operator:
     """Serves what the command line reads. Raises OSError where the address cannot be listened on."""
 
-    def __init__(self, loop: Any, where: Any, appliance: Appliance) -> None:
+    def __init__(self, loop: Any, where: Any, appliance: RunningGateway) -> None:
         self.appliance = appliance
         self.server = Server(loop, where, self.handle)
         self.address: str = self.server.address
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 from gaproute.appliance.leases import LeaseService
 from gaproute.appliance.observation_writer import ObservationWriter
@@ -33,9 +33,6 @@
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.telemetry.record import Record
 
-if TYPE_CHECKING:
-    from gaproute.appliance.cells import CellServices
-
 # Added to the seed: each part draws from a chance of its own.
 OBSERVATIONS_SEED, MEMBERSHIP_SEED, GOSSIP_SEED, LEASES_SEED = 1, 2, 4, 5
 LAST_RUN = "past life"  # the origin of what the store tells, as operators read it
@@ -45,6 +42,13 @@
 LEASE_PEER_LIMITS = Limits(body=MAX_BATCH_BYTES, pipelined=1, connections=4096, buffered=4 * MAX_BATCH_BYTES)
 
 
+class PeerListObserver(Protocol):
+    """What is told who the peers are: see `CellServices`."""
+
+    def update_peers(self, addresses: Mapping[str, str]) -> None:
+        """Takes the addresses of all other gateways, by name."""
+
+
 class PeerServices:
     """The parts that speak with other gateways; those that the configuration does not ask for are None.
 
@@ -58,7 +62,7 @@
         gateway: Any,
         record: Record,
         seed: int,
-        cells: CellServices | None = None,
+        cells: PeerListObserver | None = None,
     ) -> None:
         self.loop, self.configuration, self.gateway = loop, configuration, gateway
         self.record, self.seed, self.cells = record, seed, cells
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -3,16 +3,10 @@
 The process may be killed `kill_delay` after SIGTERM; by then every request has had its final answer.
 """
 
-from __future__ import annotations
-
-from typing import TYPE_CHECKING
-
+from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.config.configuration import Configuration
 from gaproute.core.termination import kill_delay
 
-if TYPE_CHECKING:
-    from gaproute.appliance.gateway import Appliance
-
 MILLI = 1_000_000
 
 LATE_REQUEST_TIME = 1_500 * MILLI  # in which requests on connections accepted before may still come in:
@@ -35,7 +29,7 @@
     """Accepts nothing new, and brings what is in flight and what comes in on connections accepted before to a
     final answer; then ends the loop. Host lists are followed to the end: a host may drain meanwhile."""
 
-    def __init__(self, appliance: Appliance) -> None:
+    def __init__(self, appliance: RunningGateway) -> None:
         self.appliance, self.loop = appliance, appliance.loop
 
     def begin(self) -> None:
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -3,23 +3,19 @@
 The keys are older than the names in the code, and stay.
 """
 
-from __future__ import annotations
-
 from collections.abc import Iterator
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from gaproute.appliance.peer_services import PeerServices
+from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.connections.descriptors import descriptors
 
-if TYPE_CHECKING:
-    from gaproute.appliance.gateway import Appliance
-    from gaproute.appliance.peer_services import PeerServices
-
 MILLI = 1_000_000
 
 JsonObject = dict[str, Any]
 
 
-def status(appliance: Appliance) -> JsonObject:
+def status(appliance: RunningGateway) -> JsonObject:
     """The gateway as a whole: its state and its counts."""
     peer_services, hosts = appliance.peers, appliance.hosts
     membership_transport, carrier = peer_services.membership_transport, peer_services.gossip
@@ -42,7 +38,7 @@
     }
 
 
-def host_table(appliance: Appliance) -> list[JsonObject]:
+def host_table(appliance: RunningGateway) -> list[JsonObject]:
     """The hosts of the list, by name."""
     attempts = appliance.record.snapshot().get("relay", {})
     table = []
@@ -61,7 +57,7 @@
     return table
 
 
-def warm_instances(appliance: Appliance) -> list[JsonObject]:
+def warm_instances(appliance: RunningGateway) -> list[JsonObject]:
     """Warm instances as they are believed to be, the latest use first.
 
     `by`: what speaks for each: an answer, a request sent there, or the gateway that told of it; `tried`:
@@ -72,7 +68,7 @@
     return sorted(rows, key=lambda row: int(row["age_ms"]))
 
 
-def peer_table(appliance: Appliance) -> list[JsonObject]:
+def peer_table(appliance: RunningGateway) -> list[JsonObject]:
     """The gateways that are known: membership's view, and what each told at the start."""
     fetcher = appliance.peers.observation_client
     fetched = fetcher.state if fetcher else {}
@@ -83,23 +79,23 @@
     return [row | {"learnt": fetched.get(row["name"])} for row in rows]
 
 
-def lease_table(appliance: Appliance) -> JsonObject | None:
+def lease_table(appliance: RunningGateway) -> JsonObject | None:
     """The leases of this gateway, and its part in the Raft group; None where it has none."""
     leases = appliance.peers.leases
     return None if leases is None else leases.table()
 
 
-def event_table(appliance: Appliance) -> list[JsonObject]:
+def event_table(appliance: RunningGateway) -> list[JsonObject]:
     """The last events of the log."""
     return [{"what": what, **details} for what, details in appliance.record.events]
 
 
-def decisions(appliance: Appliance) -> list[Any]:
+def decisions(appliance: RunningGateway) -> list[Any]:
     """The decisions of the whole fleet, or of each cell known."""
     return [appliance.core.gateway] if appliance.cells is None else appliance.cells.gateways()
 
 
-def _clients(appliance: Appliance) -> JsonObject:
+def _clients(appliance: RunningGateway) -> JsonObject:
     connections = appliance.connections
     return {
         "connections": connections.client_count,
@@ -113,7 +109,7 @@
     }
 
 
-def _observations_taken(appliance: Appliance) -> JsonObject:
+def _observations_taken(appliance: RunningGateway) -> JsonObject:
     """What was taken over from other gateways and the last run, and how much of it proved right."""
     observations = appliance.peers.observations
     fetcher = appliance.peers.observation_client
@@ -147,7 +143,7 @@
     }
 
 
-def _instances(appliance: Appliance, name: str, function: Any) -> Iterator[JsonObject]:
+def _instances(appliance: RunningGateway, name: str, function: Any) -> Iterator[JsonObject]:
     """Those of one function: of own attempts, then those that others told of."""
     now = appliance.loop.now()
     for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
@@ -161,7 +157,7 @@
             }
 
 
-def _evidence(appliance: Appliance, host: str, name: str, function: Any) -> str:
+def _evidence(appliance: RunningGateway, host: str, name: str, function: Any) -> str:
     if host in function.proven_at:
         return "an answer"
     fact = appliance.peers.observations.by_subject.get(("warm", host, name))
