--- a/benchmarks/scale/cells/fleet.py
+++ b/benchmarks/scale/cells/fleet.py
@@ -3,7 +3,8 @@
 from typing import NamedTuple
 
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.table import Cell, EntryGateway, Version, initial_points, validate
+from gaproute.decisions.cells.table import Cell, EntryGateway, initial_points, validate
+from gaproute.decisions.cells.version import Version
 from gaproute.decisions.cells.views import CellView
 
 SIZES = (0.5, 1.0, 1.5)  # of hosts, over the mean; a cell has hosts of one size, as bought together
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -15,7 +15,7 @@
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.change import TableChange, TableHolder
 from gaproute.decisions.cells.entries import Forwarded, trim_entries
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 
 HOSTS = 51  # in a cell
 TIMED = "processor time of the process, medians within a play; 16,000 gateways, 32 entries a cell"
--- a/benchmarks/scale/dissemination.py
+++ b/benchmarks/scale/dissemination.py
@@ -9,7 +9,7 @@
 
 from benchmarks.scale.fleet_net import FleetNet
 from benchmarks.scale.stub_document import change_from
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
 from gaproute.shared.dissemination.messages import NOTHING
 
--- a/benchmarks/scale/fleet_net.py
+++ b/benchmarks/scale/fleet_net.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 
 from benchmarks.scale.stub_document import StubDocument, change_from
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
 from gaproute.shared.dissemination import Candidates, Disseminator, Peer
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME, LOG_CHANGES, MILLISECOND, SECOND
--- a/benchmarks/scale/stub_document.py
+++ b/benchmarks/scale/stub_document.py
@@ -1,6 +1,6 @@
 """A document for simulations of its dissemination, of which only the version matters."""
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import Change, DocumentError
 from gaproute.shared.dissemination.messages import NOTHING
 
--- a/gaproute/config/cell_table.py
+++ b/gaproute/config/cell_table.py
@@ -18,7 +18,8 @@
 from gaproute.config.parsing import read_lines
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.errors import RowError, TableError
-from gaproute.decisions.cells.table import Cell, CellTable, Version, check_cell, validate
+from gaproute.decisions.cells.table import Cell, CellTable, check_cell, validate
+from gaproute.decisions.cells.version import Version
 
 MAX_BYTES = 16 << 20  # of a file
 MAX_LINES = 2 * bounds.MAX_CELLS  # as many comments as cells
--- a/gaproute/decisions/cells/change.py
+++ b/gaproute/decisions/cells/change.py
@@ -19,12 +19,12 @@
 from gaproute.decisions.cells.table import (
     Cell,
     CellTable,
-    Version,
     check_cell,
     check_points,
     check_zones,
     make_table,
 )
+from gaproute.decisions.cells.version import Version
 
 
 @dataclass(frozen=True, slots=True)
--- a/gaproute/decisions/cells/errors.py
+++ b/gaproute/decisions/cells/errors.py
@@ -1,14 +1,8 @@
 """Why a cell table or a change to it is rejected."""
 
-from __future__ import annotations
-
-from typing import TYPE_CHECKING
-
+from gaproute.decisions.cells.version import Version
 from gaproute.errors import GaprouteError
 
-if TYPE_CHECKING:
-    from gaproute.decisions.cells.table import Version
-
 
 class TableError(GaprouteError, ValueError):
     """A table or change that cannot be taken; the last good table stands."""
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -8,7 +8,8 @@
 from typing import NamedTuple
 
 from gaproute.decisions.cells.ring import HashRing
-from gaproute.decisions.cells.table import Cell, CellTable, Version
+from gaproute.decisions.cells.table import Cell, CellTable
+from gaproute.decisions.cells.version import Version
 
 MAX_ORDERS = 8_192  # cached: the order of a first request is computed in far less than a millisecond
 MIN_ORDER_LENGTH = 4  # homes in a cached order: one for each of the usual reasons to go on to the next
--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -13,16 +13,7 @@
 
 from gaproute.decisions.cells import bounds
 from gaproute.decisions.cells.errors import RowError, TableError, TooManyCellsError
-
-
-class Version(NamedTuple):
-    """Versions are ordered: whoever begins a new term outranks all writers of earlier ones."""
-
-    term: int
-    number: int
-
-    def __str__(self) -> str:
-        return f"{self.term}.{self.number}"
+from gaproute.decisions.cells.version import Version
 
 
 class PointRange(NamedTuple):
--- a/gaproute/faultinjection/faulty_os.py
+++ b/gaproute/faultinjection/faulty_os.py
@@ -3,16 +3,44 @@
 from __future__ import annotations
 
 import os
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
-if TYPE_CHECKING:
-    from gaproute.faultinjection.disk import FaultyDisk
+
+class FileCalls(Protocol):
+    """The calls that change files, as `FaultyDisk` has them; each as the call of `os` of that name."""
+
+    def open(self, path: Any, flags: int, mode: int = 0o777) -> int:
+        """See open(2)."""
+
+    def read(self, descriptor: int, count: int) -> bytes:
+        """See read(2)."""
+
+    def write(self, descriptor: int, data: Any) -> int:
+        """See write(2)."""
+
+    def fsync(self, descriptor: int) -> None:
+        """See fsync(2)."""
+
+    def ftruncate(self, descriptor: int, size: int) -> None:
+        """See ftruncate(2)."""
+
+    def close(self, descriptor: int) -> None:
+        """See close(2)."""
+
+    def rename(self, source: Any, target: Any, call: str = "rename") -> None:
+        """See rename(2); `call`: the name by which the call is counted."""
+
+    def link(self, source: Any, target: Any) -> None:
+        """See link(2)."""
+
+    def unlink(self, path: Any) -> None:
+        """See unlink(2)."""
 
 
 class FaultyOs:
     """Stands for the module `os`: the calls that change files go to the disk, all else is as it was."""
 
-    def __init__(self, disk: FaultyDisk) -> None:
+    def __init__(self, disk: FileCalls) -> None:
         self.open, self.read, self.write, self.close = disk.open, disk.read, disk.write, disk.close
         self.fsync, self.ftruncate = disk.fsync, disk.ftruncate
         self.rename, self.link, self.unlink = disk.rename, disk.link, disk.unlink
--- a/gaproute/hollow/cells/plan.py
+++ b/gaproute/hollow/cells/plan.py
@@ -3,7 +3,8 @@
 from functools import cache
 
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.table import Cell, EntryGateway, Version, initial_points, validate
+from gaproute.decisions.cells.table import Cell, EntryGateway, initial_points, validate
+from gaproute.decisions.cells.version import Version
 from gaproute.interface import ListedHost, State
 
 FLEET = "hollow"
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -1,6 +1,6 @@
 """The cell table's carrier as a part: the product's class, on the membership's datagrams and on pulls."""
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.hollow.cells.shared import SharedCellTableTransport, SharedTableDocument
 from gaproute.hollow.demand import CountedPosts
 from gaproute.hollow.parts import Part
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -2,7 +2,8 @@
 
 from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
-from gaproute.decisions.cells.table import CellTable, Version
+from gaproute.decisions.cells.table import CellTable
+from gaproute.decisions.cells.version import Version
 from gaproute.peers.tables import encoding
 from gaproute.shared.dissemination import Change, DocumentError
 from gaproute.shared.dissemination.messages import NOTHING
--- a/gaproute/peers/tables/encoding.py
+++ b/gaproute/peers/tables/encoding.py
@@ -13,7 +13,8 @@
 from gaproute.decisions.cells.bounds import MAX_CELLS
 from gaproute.decisions.cells.change import TableChange
 from gaproute.decisions.cells.errors import TableError
-from gaproute.decisions.cells.table import Cell, CellTable, EntryGateway, PointRange, Version, validate
+from gaproute.decisions.cells.table import Cell, CellTable, EntryGateway, PointRange, validate
+from gaproute.decisions.cells.version import Version
 
 MAX_TABLE = 16 << 20  # bytes of a table, uncompressed
 MODULUS = 1 << 64
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import Disseminator, DocumentError
 from gaproute.shared.dissemination.bounds import SECOND
 from gaproute.shared.dissemination.messages import NOTHING
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -9,7 +9,8 @@
 from typing import Any, NamedTuple
 
 from gaproute.decisions.cells.change import TableChange, TableHolder
-from gaproute.decisions.cells.table import CellTable, Version
+from gaproute.decisions.cells.table import CellTable
+from gaproute.decisions.cells.version import Version
 from gaproute.peers.membership import EventLog
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.payload_transport import PayloadTransport
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -7,7 +7,7 @@
 from msgspec import Meta
 
 from gaproute.decisions.cells.bounds import MAX_NAME
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import ANSWER_BYTES, MAX_WHOLE, PART_BYTES, PUSH_BYTES
 from gaproute.shared.dissemination.messages import (
     Announcement,
--- a/gaproute/shared/dissemination/disseminator.py
+++ b/gaproute/shared/dissemination/disseminator.py
@@ -6,7 +6,7 @@
 
 from collections import Counter
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.assembly import Assembly
 from gaproute.shared.dissemination.bounds import (
     ANNOUNCE_INTERVAL,
--- a/gaproute/shared/dissemination/document.py
+++ b/gaproute/shared/dissemination/document.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.errors import GaprouteError
 from gaproute.shared.dissemination.messages import Change
 
--- a/gaproute/shared/dissemination/fetch.py
+++ b/gaproute/shared/dissemination/fetch.py
@@ -7,7 +7,7 @@
 `MAX_FAILURES`, and an answer that brings nothing is a failure.
 """
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import (
     BUSY_PAUSE,
     EXCHANGE_TIME,
--- a/gaproute/shared/dissemination/messages.py
+++ b/gaproute/shared/dissemination/messages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 
 NOTHING = Version(-1, -1)  # the version of one that has no document: below every other
 
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import (
     ANSWER_BYTES,
     MAX_SNAPSHOTS,
--- a/gaproute/shared/dissemination/recent_changes.py
+++ b/gaproute/shared/dissemination/recent_changes.py
@@ -5,7 +5,7 @@
 
 from collections import deque
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import LOG_BYTES, LOG_CHANGES
 from gaproute.shared.dissemination.messages import Change, changes_size
 
--- a/gaproute/shared/dissemination/replica.py
+++ b/gaproute/shared/dissemination/replica.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from enum import StrEnum
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import MAX_REASONS
 from gaproute.shared.dissemination.document import Document, DocumentError
 from gaproute.shared.dissemination.messages import Change
--- a/gaproute/shared/dissemination/version_reports.py
+++ b/gaproute/shared/dissemination/version_reports.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import MAX_REPORTED_VERSIONS, MAX_REPORTERS, REPORT_TIME
 
 
--- a/tests/config/test_cell_table_text.py
+++ b/tests/config/test_cell_table_text.py
@@ -12,7 +12,8 @@
 from gaproute.config import ConfigurationError
 from gaproute.config.cell_table import MAX_LINE, MAX_LINES, MAX_MISTAKES, read_cells
 from gaproute.decisions.cells.bounds import MAX_CELLS
-from gaproute.decisions.cells.table import Cell, EntryGateway, PointRange, Version, validate
+from gaproute.decisions.cells.table import Cell, EntryGateway, PointRange, validate
+from gaproute.decisions.cells.version import Version
 
 HEAD = "table north term 3 number 17\n"
 GOOD = "cell c1 region west zone west-a capacity 640 hosts 51 points c1:0+32 entries g1=10.0.0.1:8090"
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -9,7 +9,8 @@
 from gaproute.config.cell_files import path_of, read_cell_hosts, read_table
 from gaproute.config.cell_table import MAX_BYTES
 from gaproute.decisions.cells.bounds import MAX_HOSTS
-from gaproute.decisions.cells.table import EntryGateway, PointRange, Version
+from gaproute.decisions.cells.table import EntryGateway, PointRange
+from gaproute.decisions.cells.version import Version
 
 CELLS = "cells north file t look 50ms region west zone west-a"
 LISTS = "cell-hosts lists"
--- a/tests/decisions/cells/test_homes.py
+++ b/tests/decisions/cells/test_homes.py
@@ -11,7 +11,8 @@
 
 from gaproute.decisions.cells.change import TableChange, apply_change
 from gaproute.decisions.cells.homes import HomeCells, moved_share
-from gaproute.decisions.cells.table import Version, split_cell
+from gaproute.decisions.cells.table import split_cell
+from gaproute.decisions.cells.version import Version
 
 FUNCTIONS = [f"function{place}" for place in range(20_000)]
 MILLI = 1_000_000
--- a/tests/decisions/cells/test_table.py
+++ b/tests/decisions/cells/test_table.py
@@ -17,7 +17,8 @@
     TableError,
     TooManyCellsError,
 )
-from gaproute.decisions.cells.table import EntryGateway, PointRange, Version, split_cell, validate
+from gaproute.decisions.cells.table import EntryGateway, PointRange, split_cell, validate
+from gaproute.decisions.cells.version import Version
 
 
 def test_cells_come_in_a_stable_order():
--- a/tests/decisions/cells/test_views.py
+++ b/tests/decisions/cells/test_views.py
@@ -14,7 +14,8 @@
     trim_entries,
 )
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.table import EntryGateway, Version
+from gaproute.decisions.cells.table import EntryGateway
+from gaproute.decisions.cells.version import Version
 from gaproute.decisions.cells.views import ADD_RATE, ASSIGNED_CELLS, MAX_HOSTS_IN_VIEW, SECOND, CellView
 
 
--- a/tests/dissemination/test_dissemination.py
+++ b/tests/dissemination/test_dissemination.py
@@ -4,7 +4,7 @@
 
 from benchmarks.scale.fleet_net import FleetNet
 from benchmarks.scale.stub_document import FLEET, WHOLE_BYTES, change_from
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import bounds
 from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
 from gaproute.shared.dissemination.invariants import check
--- a/tests/dissemination/test_orders.py
+++ b/tests/dissemination/test_orders.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import LOG_CHANGES, MILLISECOND
 
 STEP = some.one_of(
--- a/tests/peers/test_tables_encoding.py
+++ b/tests/peers/test_tables_encoding.py
@@ -10,7 +10,7 @@
 
 from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.peers import word_pb2
 from gaproute.peers.membership_wire import PayloadKind
 from gaproute.peers.tables import encoding, wire
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -8,7 +8,7 @@
 
 from gaproute.decisions.cells.change import TableChange, apply_change
 from gaproute.decisions.cells.errors import TableError
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
 from gaproute.faultinjection.disk import FaultyDisk
 from gaproute.faultinjection.disk_faults import DISK_FULL, IO_ERROR
--- a/tests/storage/test_samples.py
+++ b/tests/storage/test_samples.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
 from gaproute.peers.tables import encoding
 from gaproute.shared.leases import LeaseTable
--- a/tests/support/cells_tables.py
+++ b/tests/support/cells_tables.py
@@ -1,6 +1,7 @@
 """Cell tables for tests and simulations: made by a few numbers, the same every time."""
 
-from gaproute.decisions.cells.table import Cell, EntryGateway, Version, initial_points, validate
+from gaproute.decisions.cells.table import Cell, EntryGateway, initial_points, validate
+from gaproute.decisions.cells.version import Version
 
 FLEET = "north"
 SIZES = (0.5, 1.0, 1.5)  # capacities of cells, over the mean
--- a/tests/support/dissemination_mesh.py
+++ b/tests/support/dissemination_mesh.py
@@ -1,7 +1,7 @@
 """A few disseminating gateways whose messages a test delivers, drops, doubles and orders as it likes."""
 
 from benchmarks.scale.stub_document import FLEET, StubDocument, change_from, digest_of
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
 from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer
 from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
