--- a/gaproute/simulation/rounds/baselines.py
+++ b/gaproute/simulation/rounds/baselines.py
@@ -1,76 +1,83 @@
-"""Two ways of maintenance without a floor, driven as the round is, to show what they break. Both wait for
-leases, let hosts drain and load again what a host had; `OneAtATime` takes the next host when the one before
-is back, `FixedGroups` the hosts in the order listed, as many as may go together, when all of the group before
-are back."""
+"""Two ways of maintenance without a capacity floor, to show what they break, and the best order of a round.
+
+Both wait for leases, drain hosts and load again what a host had. `OneAtATime` takes the next host when the
+one before is back, `FixedGroups` as many hosts as may be away together, in the order listed, when the whole
+group before is back. Either is the `controller` of a MaintenanceRun.
+"""
+
+from collections.abc import Iterable, Mapping, Sequence
+from typing import Any
 
 import msgspec
 
-from gaproute.maintenance import RoundController
+from gaproute.maintenance import FleetStatus, MaintenanceHost, RoundController, RoundSpec
 from gaproute.maintenance.capacity_floor import FleetCapacity
 from gaproute.maintenance.feasibility import SchedulingEstimates, forecast_round
 from gaproute.maintenance.host_selection import RoundHosts, Selection
-from gaproute.maintenance.round_spec import RoundSpec
-from gaproute.simulation.rounds import MaintenanceRun
-from gaproute.simulation.rounds.processes import SimulatedScheduler
 
 
 class _WithoutFloor(RoundController):
-    """Takes hosts out whatever capacity is left; `selector` chooses them."""
+    """Takes out the next group of hosts when the last one is back, whatever capacity is left."""
 
-    def __init__(self, spec, *arguments, **keywords):
-        super().__init__(spec, *arguments, **keywords)
+    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
+        super().__init__(spec, *args, selector=_next_group, **options)
         self.planner.feasible = True
 
-    def _update_estimate(self, now, status):
+    def _update_estimate(self, now: int, status: FleetStatus) -> None:
         super()._update_estimate(now, status)
         self.estimate.shortfalls, self.estimate.required = [], {}
 
 
 class OneAtATime(_WithoutFloor):
-    """Takes the next host when the one before is back."""
+    """Takes one host at a time and looks at no capacity."""
 
-    def __init__(self, spec, *arguments, **keywords):
+    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
         alone = msgspec.structs.replace(spec, max_away=1, zone_share=0, survivable_failure="")
-        super().__init__(alone, *arguments, selector=_next_group, **keywords)
+        super().__init__(alone, *args, **options)
 
 
 class FixedGroups(_WithoutFloor):
-    """Takes the next group of hosts when all of the one before are back."""
+    """Takes groups of hosts and looks at no capacity."""
 
-    def __init__(self, spec, *arguments, **keywords):
+    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
         ungrouped = msgspec.structs.replace(spec, exclusive_groups=(), one_away_per="")
-        super().__init__(ungrouped, *arguments, selector=_next_group, **keywords)
+        super().__init__(ungrouped, *args, **options)
 
 
 def _next_group(spec: RoundSpec, capacity: FleetCapacity, hosts: RoundHosts) -> Selection:
     return Selection([] if hosts.away else list(hosts.waiting[: spec.max_away]), None)
 
 
-def runs_with(kind):
-    """A MaintenanceRun whose schedulers run rounds of that kind."""
-
-    class Schedulers(SimulatedScheduler):
-        running = kind
+class BestOrder:
+    """The shortest plan of a round over many orders of its hosts.
 
-    class Plays(MaintenanceRun):
-        scheduler = Schedulers
+    Draining takes no time and everything is seen at once. `free`: free slots by host; `load_time`: ns.
+    """
 
-    return Plays
+    def __init__(
+        self,
+        spec: RoundSpec,
+        capacity: FleetCapacity,
+        free: Mapping[str, int],
+        load_time: int,
+    ) -> None:
+        self.spec, self.capacity, self.free = spec, capacity, free
+        self.estimates = SchedulingEstimates(0, load_time, 0, 2)
 
+    def shortest(self, orders: Iterable[Sequence[str]]) -> int | None:
+        """ns of the shortest plan; None where no order can be done.
 
-def best(asked, fleet, warm, needs, free, load, orders):
-    """ns of the shortest plan over all `orders` of the hosts: drains take nothing, what happens is seen at
-    once. Each order is played twice: as a preference, and strictly (nobody goes before the one in front)."""
-    ends, capacity = [], FleetCapacity(fleet, warm, needs)
-    for order in orders:
-        for strictly in (False, True):
+        Each order is played twice: as a preference, and strictly (no host goes before the one in front).
+        """
+        ends = [self._end(order, strictly=strictly) for order in orders for strictly in (False, True)]
+        return min((end for end in ends if end is not None), default=None)
 
-            def ranked(_asked, _fleet, waiting, order=order, strictly=strictly):
-                left = [name for name in order if name in waiting]
-                return left[:1] if strictly else left
+    def _end(self, order: Sequence[str], *, strictly: bool) -> int | None:
+        def ranked(
+            _spec: RoundSpec, _fleet: Mapping[str, MaintenanceHost], waiting: Sequence[str]
+        ) -> list[str]:
+            left = [name for name in order if name in waiting]
+            return left[:1] if strictly else left
 
-            estimates = SchedulingEstimates(0, load, 0, 2)
-            made = forecast_round(asked, capacity, order, free, estimates, ranked)
-            if not made.obstacle:
-                ends.append(made.end)
-    return min(ends, default=None)
+        forecast = forecast_round(self.spec, self.capacity, order, self.free, self.estimates, ranked)
+        return None if forecast.obstacle else forecast.end
