--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -23,7 +23,7 @@
 from rows import write
 
 from gaproute.http1 import Limits, RequestReader, Server, render
-from gaproute.load import Crowd, read_load
+from gaproute.load import LoadGenerator, read_load_script
 from gaproute.loop import Listener, Loop, Promise, Stream
 from gaproute.loop.addresses import address
 from gaproute.loop.descriptors import READ
@@ -145,40 +145,40 @@
 
 def crowd(where, count):
     loop = Loop()
-    load = read_load(
+    load = read_load_script(
         "crowd",
         f"target {where}\nhold {count} over {max(1, count // 4000)}s addresses 100\n"
         "traffic a rate 1 path /x method GET",
     )
-    crowd = Crowd(loop, load, 1)
+    crowd = LoadGenerator(loop, load, 1)
     line = load.traffic[0]
 
     def open_all():
         for number in range(count):
             low = number % 100 + 1
-            from gaproute.load.member import Member
+            from gaproute.load.connection import LoadConnection
 
-            member = Member(crowd, f"127.1.0.{low}", line)
-            crowd.members.append(member)
-            loop.after(load.hold.over * number // count, crowd.open, member)
+            connection = LoadConnection(crowd, f"127.1.0.{low}", line)
+            crowd.connections.append(connection)
+            loop.after(load.hold.over * number // count, crowd.open, connection)
         while crowd.held() < count:
             yield loop.sleep(50 * MILLI)
-        crowd.begun = loop.now()
+        crowd.started_at = loop.now()
         loop.spawn(crowd._impatient())
         print(json.dumps({"open": count}), flush=True)
 
     def speak(rate, seconds):
-        from gaproute.load.results import Tally
+        from gaproute.load.results import TrafficResult
 
-        tally = crowd.tallies["a"] = Tally()
-        crowd.end = loop.now() + round(seconds * SECOND)
+        result = crowd.results["a"] = TrafficResult()
+        crowd.ends_at = loop.now() + round(seconds * SECOND)
         if rate:
             loop.spawn(crowd._arrivals(line.model_copy(update={"rate": rate})))
         yield loop.sleep(round(seconds * SECOND) + 300 * MILLI)
-        print(json.dumps(tally.figures() if rate else {}), flush=True)
+        print(json.dumps(result.summary() if rate else {}), flush=True)
 
     commands(loop, lambda told: loop.spawn(speak(told["rate"], told["seconds"])))
-    crowd.end = 1 << 62
+    crowd.ends_at = 1 << 62
     loop.spawn(open_all())
     loop.run()
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -121,15 +121,15 @@
             storm = [tally for name, tally in tallies.items() if name.endswith("storm")]
             ends = {}
             for tally in storm:
-                for end, n in tally.ends.items():
+                for end, n in tally.outcomes.items():
                     ends[end] = ends.get(end, 0) + n
             quiet = tallies["orders"]
             found.append(
                 {
-                    "calm p99": calm.figures()["p99"],
-                    "storm p99": quiet.figures()["p99"],
+                    "calm p99": calm.summary()["p99"],
+                    "storm p99": quiet.summary()["p99"],
                     "quiet, not well": sum(
-                        n for end, n in quiet.ends.items() if end not in ("delivered", "given up")
+                        n for end, n in quiet.outcomes.items() if end not in ("delivered", "given up")
                     ),
                     "storm's tasks": sum(ends.values()),
                     "delivered": ends.get("delivered", 0),
@@ -138,7 +138,7 @@
                     "no answer": sum(
                         n for end, n in ends.items() if end not in ("delivered", "declined", "scrapped")
                     ),
-                    "storm's p99, ms": max(tally.figures()["p99"] for tally in storm),
+                    "storm's p99, ms": max(tally.summary()["p99"] for tally in storm),
                     "CPU, s": cpu(gate.pid) - before,
                 }
             )
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -19,7 +19,7 @@
 from gaproute.config import ConfigurationError
 
 if TYPE_CHECKING:
-    from gaproute.load import Crowd
+    from gaproute.load import LoadGenerator
 
 WIDTH = 80  # columns of a verdict
 DELIVERED = "delivered"  # the one end of a request that is well
@@ -83,25 +83,25 @@
 @json_option
 def load(script: str, seed: int, out: str | None, as_json: bool) -> None:
     """Play the load SCRIPT (docs/load.md) against its targets. Exits 1 where a task did not end well."""
-    from gaproute.load import Crowd, read_load
+    from gaproute.load import LoadGenerator, read_load_script
     from gaproute.load.results import write_result
     from gaproute.loop import Loop
 
     try:
-        parsed = read_load(script)
+        parsed = read_load_script(script)
     except ConfigurationError as error:
         fail(str(error))
     loop = Loop()
-    crowd = Crowd(loop, parsed, seed, None if as_json else _echo_progress)
-    loop.run(until=loop.spawn(crowd.play()).done)
+    generator = LoadGenerator(loop, parsed, seed, None if as_json else _echo_progress)
+    loop.run(until=loop.spawn(generator.play()).done)
     if out:
-        write_result(out, parsed, seed, crowd.tallies, crowd.counts)
-    rows = _load_rows(crowd)
+        write_result(out, parsed, seed, generator.results, generator.counts)
+    rows = _load_rows(generator)
     if as_json:
-        click.echo(json.dumps({"traffic": rows, "counts": dict(crowd.counts)}))
+        click.echo(json.dumps({"traffic": rows, "counts": dict(generator.counts)}))
     else:
         _show_load(rows)
-        click.echo(", ".join(f"{what}: {count}" for what, count in sorted(crowd.counts.items())))
+        click.echo(", ".join(f"{what}: {count}" for what, count in sorted(generator.counts.items())))
     sys.exit(ExitCode.NOT_WELL if any(row["not well"] for row in rows) else ExitCode.OK)
 
 
@@ -109,15 +109,15 @@
     click.echo(text, err=True)
 
 
-def _load_rows(crowd: Crowd) -> list[Row]:
+def _load_rows(generator: LoadGenerator) -> list[Row]:
     """The figures of each traffic."""
     return [
         {
             "traffic": name,
-            **tally.figures(),
-            "not well": {end: count for end, count in tally.ends.items() if end != DELIVERED},
+            **result.summary(),
+            "not well": {end: count for end, count in result.outcomes.items() if end != DELIVERED},
         }
-        for name, tally in crowd.tallies.items()
+        for name, result in generator.results.items()
     ]
 
 
@@ -126,10 +126,10 @@
 @json_option
 def load_report(results: tuple[str, ...], as_json: bool) -> None:
     """The results of one or more loads side by side."""
-    from gaproute.load import compare
+    from gaproute.load import summary_rows
 
     try:
-        rows = compare(results)
+        rows = summary_rows(results)
     except (OSError, ValueError) as error:
         fail(str(error))
     if as_json:
--- a/gaproute/load/member.py
+++ b/gaproute/load/connection.py
@@ -8,33 +8,33 @@
 MAX_HEAD, MAX_ANSWER = 65536, 64 << 20  # bytes
 
 
-class Member:
+class LoadConnection:
     """One held connection. `owed`: when each task that is asked was meant to start. Without a traffic it is
     silent."""
 
-    __slots__ = ("crowd", "stream", "reader", "owed", "traffic", "source", "place", "storm")
+    __slots__ = ("generator", "stream", "reader", "owed", "traffic", "source", "place", "storm")
 
-    def __init__(self, crowd, source, traffic):
-        self.crowd, self.source, self.traffic = crowd, source, traffic
+    def __init__(self, generator, source, traffic):
+        self.generator, self.source, self.traffic = generator, source, traffic
         self.stream = self.reader = None
         self.owed = None
         self.place = -1  # among the idle ones of its traffic
         self.storm = False
 
     def opened(self, sock):
-        self.stream = Stream(self.crowd.loop, sock, self.came, self.ended)
+        self.stream = Stream(self.generator.loop, sock, self.came, self.ended)
 
     def ask(self, meant, count):
         line = self.traffic
         if self.reader is None:
             self.reader = ResponseReader(MAX_HEAD, MAX_ANSWER)
         self.owed = deque((meant,) * count)
-        self.stream.write(self.crowd.requests.of(line) * count)
-        self.crowd.asked(self, meant + line.patience)
+        self.stream.write(self.generator.requests.draw(line) * count)
+        self.generator.asked(self, meant + line.patience)
 
     def came(self, data):
         if self.reader is None:
-            self.crowd.counts["strays"] += 1
+            self.generator.counts["strays"] += 1
             self.lose()
             return
         try:
@@ -44,28 +44,28 @@
             return
         for answer in answers:
             if not self.owed:
-                self.crowd.counts["strays"] += 1
+                self.generator.counts["strays"] += 1
                 continue
             outcome = answer.headers.get(b"gaproute-outcome", b"").decode() or (
                 "delivered" if answer.status == 200 else str(answer.status)
             )
-            self.crowd.over(self, self.owed.popleft(), outcome)
+            self.generator.over(self, self.owed.popleft(), outcome)
             if not answer.keep_alive:
                 self.lose()
                 return
         if not self.owed and not self.reader.mid_message:
             self.reader = self.owed = None
-            self.crowd.free(self)
+            self.generator.free(self)
 
     def ended(self, error):
-        self.crowd.counts["closed by the server" if error is None else "reset by the server"] += 1
+        self.generator.counts["closed by the server" if error is None else "reset by the server"] += 1
         self.stream = None
         self.lose("broken")
 
     def lose(self, outcome="broken"):
         """Ends the connection, to be opened again; what it still owes ends so."""
         self.drop(outcome)
-        self.crowd.lost(self)
+        self.generator.lost(self)
 
     def drop(self, outcome):
         owed, self.owed, self.reader = self.owed or (), None, None
@@ -73,4 +73,4 @@
         if stream is not None:
             stream.abort()
         for meant in owed:
-            self.crowd.over(self, meant, outcome)
+            self.generator.over(self, meant, outcome)
--- a/gaproute/load/results.py
+++ b/gaproute/load/results.py
@@ -12,43 +12,43 @@
 VERSION = 1
 
 
-class Tally:
+class TrafficResult:
     """Of one traffic. Times are from the intended start, in microseconds."""
 
     def __init__(self):
-        self.times = HdrHistogram(1, HIGHEST, DIGITS)
-        self.ends, self.seconds = Counter(), []  # by outcome; tasks ended in each second
+        self.latencies = HdrHistogram(1, HIGHEST, DIGITS)
+        self.outcomes, self.ended_per_second = Counter(), []  # by outcome; tasks ended in each second
 
-    def ended(self, outcome, took, second):
-        self.ends[outcome] += 1
-        self.times.record_value(min(HIGHEST, max(1, took // 1000)))
-        while len(self.seconds) <= second:
-            self.seconds.append(0)
-        self.seconds[second] += 1
+    def record(self, outcome, took, second):
+        self.outcomes[outcome] += 1
+        self.latencies.record_value(min(HIGHEST, max(1, took // 1000)))
+        while len(self.ended_per_second) <= second:
+            self.ended_per_second.append(0)
+        self.ended_per_second[second] += 1
 
-    def plain(self):
+    def to_json(self):
         return {
-            "ends": dict(self.ends),
-            "seconds": self.seconds,
-            "times": base64.b64encode(self.times.encode()).decode(),
+            "ends": dict(self.outcomes),
+            "seconds": self.ended_per_second,
+            "times": base64.b64encode(self.latencies.encode()).decode(),
         }
 
     @classmethod
-    def of(cls, plain):
+    def from_json(cls, plain):
         made = cls()
-        made.ends, made.seconds = Counter(plain["ends"]), plain["seconds"]
-        made.times = HdrHistogram.decode(base64.b64decode(plain["times"]))
+        made.outcomes, made.ended_per_second = Counter(plain["ends"]), plain["seconds"]
+        made.latencies = HdrHistogram.decode(base64.b64decode(plain["times"]))
         return made
 
-    def figures(self):
-        times = self.times
-        return {"tasks": times.get_total_count(), "well": self.ends["delivered"]} | {
+    def summary(self):
+        times = self.latencies
+        return {"tasks": times.get_total_count(), "well": self.outcomes["delivered"]} | {
             name: times.get_value_at_percentile(at) / 1000
             for name, at in (("p50", 50), ("p90", 90), ("p99", 99), ("p99.9", 99.9), ("max", 100))
         }
 
 
-def write_result(path, load, seed, tallies, counts):
+def write_result(path, load, seed, results, counts):
     Path(path).write_text(
         json.dumps(
             {
@@ -56,7 +56,7 @@
                 "script": load.text,
                 "seed": seed,
                 "counts": dict(counts),
-                "traffic": {name: tally.plain() for name, tally in tallies.items()},
+                "traffic": {name: result.to_json() for name, result in results.items()},
             },
             indent=1,
         )
@@ -64,7 +64,7 @@
 
 
 def read_result(path):
-    """(script, seed, counts, {traffic: Tally}). Errors: ValueError where the file is none of these."""
+    """(script, seed, counts, {traffic: result}). Errors: ValueError where the file is none of these."""
     try:
         told = json.loads(Path(path).read_text())
         if told["version"] != VERSION:
@@ -73,24 +73,26 @@
             told["script"],
             told["seed"],
             told["counts"],
-            {name: Tally.of(plain) for name, plain in told["traffic"].items()},
+            {name: TrafficResult.from_json(plain) for name, plain in told["traffic"].items()},
         )
     except (KeyError, TypeError, json.JSONDecodeError) as fault:
         raise ValueError(f"{path}: no result of a load: {fault!r}") from fault
 
 
-def compare(paths):
+def summary_rows(paths):
     """[{file, traffic, figures...}] of one or more results."""
     rows = []
     for path in paths:
-        _, _, counts, tallies = read_result(path)
-        for name, tally in tallies.items():
+        _, _, counts, results = read_result(path)
+        for name, result in results.items():
             rows.append(
                 {
                     "file": Path(path).name,
                     "traffic": name,
-                    **tally.figures(),
-                    "not well": dict(sorted((end, n) for end, n in tally.ends.items() if end != "delivered")),
+                    **result.summary(),
+                    "not well": dict(
+                        sorted((end, n) for end, n in result.outcomes.items() if end != "delivered")
+                    ),
                 }
             )
     return rows
--- a/gaproute/load/script.py
+++ b/gaproute/load/script.py
@@ -69,7 +69,7 @@
 WORDS = {"target": Target, "length": Length, "hold": Hold, "traffic": Traffic, "slow": Slow, "storm": Storm}
 
 
-class Load:
+class LoadScript:
     def __init__(self, text, found):
         def all_of(word):
             return [directive for name, directive in found if name == word]
@@ -81,7 +81,7 @@
         self.traffic, self.slow, self.storms = all_of("traffic"), all_of("slow"), all_of("storm")
 
 
-def read_load(name, text=None):
+def read_load_script(name, text=None):
     """Errors: `ConfigurationError`."""
     if text is None:
         try:
@@ -119,4 +119,4 @@
             names.add(line.name)
     if mistakes:
         raise ConfigurationError(sorted(mistakes, key=lambda mistake: mistake.line))
-    return Load(text, found)
+    return LoadScript(text, found)
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -8,8 +8,8 @@
 
 from gaproute.config import ConfigurationError
 from gaproute.http1 import Server
-from gaproute.load import Crowd, compare, read_load, read_result
-from gaproute.load.results import Tally, write_result
+from gaproute.load import LoadGenerator, read_load_script, read_result, summary_rows
+from gaproute.load.results import TrafficResult, write_result
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
 
@@ -40,58 +40,67 @@
 
 
 def played(answers, text, seed=1):
-    load = read_load("load", f"target {answers.server.address}\n{text}")
-    crowd = Crowd(answers.loop, load, seed)
-    answers.loop.run(until=answers.loop.spawn(crowd.play()).done)
-    return crowd
+    load = read_load_script("load", f"target {answers.server.address}\n{text}")
+    generator = LoadGenerator(answers.loop, load, seed)
+    answers.loop.run(until=answers.loop.spawn(generator.play()).done)
+    return generator
 
 
 def test_arrivals_keep_their_rate_and_each_ends_once(answers):
-    crowd = played(answers, "length 500ms\nhold 20 over 10ms\ntraffic a rate 400 path /x,/y body 100")
-    tally = crowd.tallies["a"]
-    assert sum(tally.ends.values()) == crowd.counts["asked"] == answers.asked == tally.ends["delivered"]
-    assert 120 < answers.asked < 300 and tally.times.get_total_count() == answers.asked
-    assert sum(tally.seconds) == answers.asked
+    generator = played(answers, "length 500ms\nhold 20 over 10ms\ntraffic a rate 400 path /x,/y body 100")
+    result = generator.results["a"]
+    assert (
+        sum(result.outcomes.values())
+        == generator.counts["asked"]
+        == answers.asked
+        == result.outcomes["delivered"]
+    )
+    assert 120 < answers.asked < 300 and result.latencies.get_total_count() == answers.asked
+    assert sum(result.ended_per_second) == answers.asked
 
 
 def test_a_stall_is_not_hidden_by_the_connections_that_wait_for_it(answers):
     answers.delay = 400 * MILLI
-    crowd = played(answers, "length 500ms\nhold 2 over 10ms\ntraffic a rate 200 path /x patience 1s")
+    generator = played(answers, "length 500ms\nhold 2 over 10ms\ntraffic a rate 200 path /x patience 1s")
     # Two connections carry 5 tasks a second of the 200 asked for: the others wait, and that counts.
-    assert crowd.tallies["a"].figures()["p50"] > 700
+    assert generator.results["a"].summary()["p50"] > 700
 
 
 def test_closed_loop_thinks_between_tasks_and_pipelines(answers):
-    crowd = played(answers, "length 400ms\nhold 10 over 10ms\ntraffic a think 20ms path /x pipeline 3")
+    generator = played(answers, "length 400ms\nhold 10 over 10ms\ntraffic a think 20ms path /x pipeline 3")
     assert 60 < answers.asked and answers.asked % 3 == 0
-    assert crowd.tallies["a"].ends == {"delivered": answers.asked}
+    assert generator.results["a"].outcomes == {"delivered": answers.asked}
 
 
 def test_a_storm_resets_a_share_which_come_back_asking(answers):
-    crowd = played(
+    generator = played(
         answers,
         "length 600ms\nhold 40 over 10ms again 50ms\ntraffic a rate 20 path /x\n"
         "storm at 200ms share 0.5 back 100ms",
     )
-    after = crowd.tallies["a after a storm"]
-    assert sum(after.ends.values()) == 20 and crowd.counts["connected"] == 60 and crowd.counts["storms"] == 1
+    after = generator.results["a after a storm"]
+    assert (
+        sum(after.outcomes.values()) == 20
+        and generator.counts["connected"] == 60
+        and generator.counts["storms"] == 1
+    )
 
 
 def test_what_nobody_answers_is_overdue_and_what_never_found_a_connection_is_told(answers):
     answers.delay = None
-    crowd = played(
+    generator = played(
         answers, "length 300ms\nhold 3 over 10ms again 5s\ntraffic a rate 100 path /x patience 150ms"
     )
-    ends = crowd.tallies["a"].ends
-    assert ends["overdue"] == 3 and ends["never sent"] > 5 and "delivered" not in ends
+    outcomes = generator.results["a"].outcomes
+    assert outcomes["overdue"] == 3 and outcomes["never sent"] > 5 and "delivered" not in outcomes
 
 
 @pytest.mark.parametrize("what", ["head", "body", "read", "silent"])
 def test_slow_ones_hold_connections_and_finish_nothing(answers, what):
-    crowd = played(
+    generator = played(
         answers, f"length 300ms\nhold 2 over 10ms\nslow 5 what {what} every 20ms\ntraffic a rate 50 path /x"
     )
-    assert answers.most >= 5 and crowd.tallies["a"].ends["delivered"] == crowd.counts["asked"]
+    assert answers.most >= 5 and generator.results["a"].outcomes["delivered"] == generator.counts["asked"]
 
 
 def test_silent_connections_are_held_and_come_from_many_addresses(answers):
@@ -101,15 +110,15 @@
         seen.add(source[0]),
         accept_connection(sock, source),
     )
-    crowd = played(answers, "length 100ms\nhold 30 over 10ms addresses 10")
-    assert crowd.counts["connected"] == 30 and seen == {f"127.1.0.{number}" for number in range(1, 11)}
+    generator = played(answers, "length 100ms\nhold 30 over 10ms addresses 10")
+    assert generator.counts["connected"] == 30 and seen == {f"127.1.0.{number}" for number in range(1, 11)}
 
 
 def test_the_same_seed_asks_for_the_same(answers):
     def paths(seed):
-        load = read_load("l", "target 127.0.0.1:1\ntraffic a rate 1 path /x,/y,/z")
-        crowd = Crowd(answers.loop, load, seed)
-        return [crowd.requests.of(load.traffic[0]) for _ in range(20)]
+        load = read_load_script("l", "target 127.0.0.1:1\ntraffic a rate 1 path /x,/y,/z")
+        generator = LoadGenerator(answers.loop, load, seed)
+        return [generator.requests.draw(load.traffic[0]) for _ in range(20)]
 
     assert paths(3) == paths(3) != paths(4)
 
@@ -127,25 +136,25 @@
 )
 def test_a_wrong_script_is_refused_with_line_and_cure(line, text):
     with pytest.raises(ConfigurationError, match=text):
-        read_load("l", f"target 127.0.0.1:1\n{line}\n")
+        read_load_script("l", f"target 127.0.0.1:1\n{line}\n")
 
 
 def test_a_script_without_a_target_is_refused():
     with pytest.raises(ConfigurationError, match="no target"):
-        read_load("l", "hold 5")
+        read_load_script("l", "hold 5")
 
 
 def test_a_result_is_read_again_and_one_that_is_none_is_refused(tmp_path):
-    tally = Tally()
+    result = TrafficResult()
     for took in range(1, 101):
-        tally.ended("delivered", took * MILLI, 0)
-    tally.ended("declined", 5 * MILLI, 3)
-    load = read_load("l", "target 127.0.0.1:1")
-    write_result(tmp_path / "r", load, 7, {"a": tally}, {"asked": 101})
-    script, seed, counts, tallies = read_result(tmp_path / "r")
+        result.record("delivered", took * MILLI, 0)
+    result.record("declined", 5 * MILLI, 3)
+    load = read_load_script("l", "target 127.0.0.1:1")
+    write_result(tmp_path / "r", load, 7, {"a": result}, {"asked": 101})
+    script, seed, counts, results = read_result(tmp_path / "r")
     assert (script, seed, counts) == ("target 127.0.0.1:1", 7, {"asked": 101})
-    assert tallies["a"].figures() == tally.figures() and tallies["a"].seconds == [100, 0, 0, 1]
-    (row,) = compare([tmp_path / "r"])
+    assert results["a"].summary() == result.summary() and results["a"].ended_per_second == [100, 0, 0, 1]
+    (row,) = summary_rows([tmp_path / "r"])
     assert row["not well"] == {"declined": 1} and 49 < row["p50"] < 51 and row["well"] == 100
     for text in ("{}", "no json", '{"version": 9}'):
         (tmp_path / "bad").write_text(text)
