--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -24,6 +24,7 @@
 
 from gaproute.http1 import Limits, RequestReader, Server, render
 from gaproute.load import LoadGenerator, read_load_script
+from gaproute.load.results import TrafficResult
 from gaproute.loop import Listener, Loop, Promise, Stream
 from gaproute.loop.addresses import address
 from gaproute.loop.descriptors import READ
@@ -154,26 +155,16 @@
     line = load.traffic[0]
 
     def open_all():
-        for number in range(count):
-            low = number % 100 + 1
-            from gaproute.load.connection import LoadConnection
-
-            connection = LoadConnection(crowd, f"127.1.0.{low}", line)
-            crowd.connections.append(connection)
-            loop.after(load.hold.over * number // count, crowd.open, connection)
-        while crowd.held() < count:
-            yield loop.sleep(50 * MILLI)
+        yield from crowd.open_connections()
         crowd.started_at = loop.now()
-        loop.spawn(crowd._impatient())
+        loop.spawn(crowd.watch_deadlines())
         print(json.dumps({"open": count}), flush=True)
 
     def speak(rate, seconds):
-        from gaproute.load.results import TrafficResult
-
         result = crowd.results["a"] = TrafficResult()
         crowd.ends_at = loop.now() + round(seconds * SECOND)
         if rate:
-            loop.spawn(crowd._arrivals(line.model_copy(update={"rate": rate})))
+            loop.spawn(crowd.arrivals(line.model_copy(update={"rate": rate})))
         yield loop.sleep(round(seconds * SECOND) + 300 * MILLI)
         print(json.dumps(result.summary() if rate else {}), flush=True)
 
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -22,7 +22,6 @@
     from gaproute.load import LoadGenerator
 
 WIDTH = 80  # columns of a verdict
-DELIVERED = "delivered"  # the one end of a request that is well
 
 Row = dict[str, Any]
 
@@ -95,7 +94,7 @@
     generator = LoadGenerator(loop, parsed, seed, None if as_json else _echo_progress)
     loop.run(until=loop.spawn(generator.play()).done)
     if out:
-        write_result(out, parsed, seed, generator.results, generator.counts)
+        write_result(out, generator.result())
     rows = _load_rows(generator)
     if as_json:
         click.echo(json.dumps({"traffic": rows, "counts": dict(generator.counts)}))
@@ -115,7 +114,7 @@
         {
             "traffic": name,
             **result.summary(),
-            "not well": {end: count for end, count in result.outcomes.items() if end != DELIVERED},
+            "not well": result.unsuccessful,
         }
         for name, result in generator.results.items()
     ]
--- a/gaproute/load/generator.py
+++ b/gaproute/load/generator.py
@@ -1,262 +1,247 @@
-"""Plays a load on the loop: many connections (`connection.py`), opened, asked and lost by script.
+"""Plays a load script on an event loop.
 
-Latency counts from when a task was meant to start, not from when a connection was free for it: a stall of the
-other side is not hidden by the waiting of this one.
+Latency counts from when a request was meant to start, not from when a connection was free for it: a stall of
+the server is not hidden by the waiting of the client.
 """
 
+from __future__ import annotations
+
 import random
-from collections import Counter, deque
+from collections import Counter
+from collections.abc import Callable, Generator
 
 from gaproute.load.connection import LoadConnection
+from gaproute.load.connector import Connector
 from gaproute.load.requests import RequestTemplates
-from gaproute.load.results import TrafficResult
-from gaproute.loop import Stream, connect
+from gaproute.load.results import LoadResult, RequestOutcome, TrafficResult
+from gaproute.load.script import LoadScript, Storm, Traffic
+from gaproute.load.slow_clients import SlowClient
+from gaproute.load.traffic import ActiveTraffic, Deadline
+from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-OPENING = 200  # connects on their way at once: the other side's accept queue holds the rest
-CONNECT_TIME = 5 * SECOND
+POLL_INTERVAL = 20 * MILLI  # between checks whether all is open, or all has ended
+DEADLINE_CHECK_INTERVAL = 50 * MILLI
+PROGRESS_INTERVAL = SECOND
 
 
 class LoadGenerator:
-    def __init__(self, loop, load, seed=1, report_progress=None):
-        self.loop, self.load, self.report_progress = loop, load, report_progress
+    """One play of a script.
+
+    `results` are by name of the traffic, with those of the first requests after a storm apart. `counts` are
+    of events by name. `report_progress` is given a line of text now and then.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        script: LoadScript,
+        seed: int = 1,
+        report_progress: Callable[[str], object] | None = None,
+    ) -> None:
+        self.loop, self.script, self.seed = loop, script, seed
+        self._report_progress = report_progress
         self.random = random.Random(seed)
-        self.targets = [address(where) for where in load.targets]
-        self.results = {line.name: TrafficResult() for line in load.traffic}
-        self.idle = {line.name: [] for line in load.traffic}
-        self.waiting = {line.name: deque() for line in load.traffic}  # meant starts that found none free
-        self.connections, self.counts = [], Counter()
-        self.to_open, self.opening = deque(), 0
-        self.started_at = self.ends_at = None
-        self.settled = False
-        self.deadlines = {line.name: deque() for line in load.traffic}  # (when, connection, what it owed)
+        self.results = {line.name: TrafficResult() for line in script.traffic}
+        self.counts: Counter[str] = Counter()
+        self.connections: list[LoadConnection] = []
+        self.started_at: int | None = None  # ns of the loop, when all connections are open
+        self.ends_at: int | None = None  # ns of the loop, when no more requests are sent
         self.requests = RequestTemplates(self.random)
+        self._traffic = {line.name: ActiveTraffic(line) for line in script.traffic}
+        self._targets = [address(target) for target in script.targets]
+        self._connector = Connector(
+            loop,
+            self.random,
+            self._targets,
+            retry_delay=script.hold.again,
+            counts=self.counts,
+            on_open=self._connection_opened,
+        )
 
-    # One task
-
-    def asked(self, connection, due):
-        self.counts["asked"] += connection.traffic.pipeline
-        self.deadlines[connection.traffic.name].append((due, connection, connection.owed))
-
-    def over(self, connection, meant, outcome):
-        now = self.loop.now()
-        name = connection.traffic.name
-        second = max(0, now - self.started_at) // SECOND if self.started_at else 0
-        self.results[name].record(outcome, now - meant, second)
-        if connection.storm:
-            self.results.setdefault(f"{name} after a storm", TrafficResult()).record(
-                outcome, now - meant, second
-            )
-            connection.storm = False
-
-    def free(self, connection):
-        line = connection.traffic
-        if line is None:
-            return
-        if line.think and self.started_at and self.loop.now() < self.ends_at:
-            span = round(self.random.expovariate(1 / line.think))
-            self.loop.after(span, self._think, connection, connection.stream)
+    # What connections report
+
+    def requests_sent(self, connection: LoadConnection, traffic: Traffic, deadline: int) -> None:
+        """Count the requests and keep their deadline."""
+        self.counts["asked"] += traffic.pipeline
+        self._traffic[traffic.name].deadlines.append(Deadline(deadline, connection, connection.pending))
+
+    def request_ended(self, connection: LoadConnection, intended_start: int, outcome: str) -> None:
+        """Record the request's outcome and latency."""
+        assert connection.traffic is not None
+        now, name = self.loop.now(), connection.traffic.name
+        second = max(0, now - self.started_at) // SECOND if self.started_at is not None else 0
+        self.results[name].record(outcome, now - intended_start, second)
+        if connection.in_storm:
+            after_storm = self.results.setdefault(f"{name} after a storm", TrafficResult())
+            after_storm.record(outcome, now - intended_start, second)
+            connection.in_storm = False
+
+    def connection_idle(self, connection: LoadConnection) -> None:
+        """Give the connection what comes next: a pause, a request that waits, or a place among the idle."""
+        traffic = connection.traffic
+        if traffic is None:
             return
-        waiting = self.waiting[line.name]
-        if waiting:
-            connection.ask(waiting.popleft(), line.pipeline)
-            return
-        connection.place = len(self.idle[line.name])
-        self.idle[line.name].append(connection)
-
-    def _think(self, connection, stream):
-        if connection.stream is stream and stream is not None and self.loop.now() < self.ends_at:
-            connection.ask(self.loop.now(), connection.traffic.pipeline)
-
-    def take(self, line):
-        """Any idle connection of the traffic, or None."""
-        idle = self.idle[line.name]
-        if not idle:
-            return None
-        connection = self.random.choice(idle)
-        self._out(connection)
-        return connection
+        active = self._traffic[traffic.name]
+        if traffic.think and self.started_at is not None and self._is_sending():
+            pause = round(self.random.expovariate(1 / traffic.think))
+            self.loop.after(pause, self._pause_over, connection, connection.stream)
+        elif active.waiting:
+            connection.send_requests(traffic, active.waiting.popleft())
+        else:
+            active.idle.add(connection)
+
+    def connection_lost(self, connection: LoadConnection) -> None:
+        """Open the connection again after a while."""
+        self._remove_from_idle(connection)
+        if self.ends_at is None or self._is_sending():
+            self._connector.open_later(connection)
 
     # Connections
 
-    def _out(self, connection):
-        """Takes it out of the idle ones, where it is among them."""
-        if connection.place >= 0:
-            idle = self.idle[connection.traffic.name]
-            idle[connection.place], idle[-1] = idle[-1], idle[connection.place]
-            idle[connection.place].place = connection.place
-            idle.pop()
-            connection.place = -1
-
-    def lost(self, connection):
-        self._out(connection)
-        if self.ends_at is None or self.loop.now() < self.ends_at:
-            self.loop.after(self.load.hold.again, self.open, connection)
-
-    def open(self, connection):
-        self.to_open.append(connection)
-        self._next()
-
-    def _next(self):
-        while self.to_open and self.opening < OPENING:
-            connection = self.to_open.popleft()
-            self.opening += 1
-            family, target = self.random.choice(self.targets)
-            connect(
-                self.loop,
-                (family, target),
-                CONNECT_TIME,
-                lambda sock, error, connection=connection: self._opened(connection, sock, error),
-                connection.source,
-            )
-
-    def _opened(self, connection, sock, error):
-        self.opening -= 1
-        if error is not None:
-            self.counts[f"not connected: {error.strerror or error}"] += 1
-            self.loop.after(self.load.hold.again, self.open, connection)
+    def open_connections(self) -> Generator[Promise, None, None]:
+        """Coroutine: open all connections of the script; it ends when they are open."""
+        hold, traffic = self.script.hold, self.script.traffic
+        shares = [line.share for line in traffic]
+        for number in range(hold.count):
+            line = self.random.choices(traffic, shares)[0] if traffic else None
+            connection = LoadConnection(self, source_address(number, hold.addresses), line)
+            self.connections.append(connection)
+            self._connector.open_later(connection, hold.over * number // hold.count)
+        while self.open_count() < hold.count:
+            yield self.loop.sleep(POLL_INTERVAL)
+            if self._report_progress is not None:
+                self._report_progress(f"open {self.open_count()} of {hold.count}")
+
+    def open_count(self) -> int:
+        """How many connections are open."""
+        return sum(connection.is_open for connection in self.connections)
+
+    def _connection_opened(self, connection: LoadConnection) -> None:
+        if connection.in_storm and connection.traffic is not None:
+            connection.send_requests(connection.traffic, self.loop.now())
         else:
-            self.counts["connected"] += 1
-            connection.opened(sock)
-            if connection.storm:
-                connection.ask(self.loop.now(), connection.traffic.pipeline)
-            else:
-                self.free(connection)
-        self._next()
+            self.connection_idle(connection)
 
-    def held(self):
-        return sum(connection.stream is not None for connection in self.connections)
+    def _remove_from_idle(self, connection: LoadConnection) -> None:
+        if connection.traffic is not None:
+            self._traffic[connection.traffic.name].idle.remove(connection)
+
+    def _pause_over(self, connection: LoadConnection, stream: object) -> None:
+        """Send the next request, unless the connection is another one by now."""
+        traffic = connection.traffic
+        if connection.stream is stream and traffic is not None and connection.is_open and self._is_sending():
+            connection.send_requests(traffic, self.loop.now())
 
     # The script
 
-    def play(self):
-        """A generator for the loop: opens all, plays the length, gives what is owed time to end."""
-        hold, traffic = self.load.hold, self.load.traffic
-        for number in range(hold.count):
-            line = self.random.choices(traffic, [line.share for line in traffic])[0] if traffic else None
-            source = None
-            if hold.addresses > 1:
-                low = number % hold.addresses + 1
-                source = f"127.1.{low >> 8}.{low & 255}"
-            connection = LoadConnection(self, source, line)
-            self.connections.append(connection)
-            self.loop.after(hold.over * number // hold.count, self.open, connection)
-        while self.held() < hold.count:
-            yield self.loop.sleep(20 * MILLI)
-            if self.report_progress:
-                self.report_progress(f"open {self.held()} of {hold.count}")
-        self.started_at = self.loop.now()
-        self.ends_at = self.started_at + self.load.length
-        for line in traffic:
-            if line.rate:
-                self.loop.spawn(self._arrivals(line))
-            else:
-                thinking, self.idle[line.name] = self.idle[line.name], []
-                for connection in thinking:
-                    connection.place = -1
-                    self.free(connection)
-        for line in self.load.slow:
-            for _ in range(line.count):
-                self.loop.spawn(self._slow(line))
-        for line in self.load.storms:
-            self.loop.after(line.at, self._storm, line)
-        self.loop.spawn(self._impatient())
-        while self.loop.now() < self.ends_at:
-            yield self.loop.sleep(min(SECOND, self.ends_at - self.loop.now()))
-            if self.report_progress:
-                ends = sum(sum(result.outcomes.values()) for result in self.results.values())
-                self.report_progress(
-                    f"{(self.loop.now() - self.started_at) // SECOND} s: {self.held()} held, "
-                    f"{self.counts['asked']} asked, {ends} ended"
-                )
-        last = self.ends_at + max([line.patience for line in traffic], default=0)
-        while self.loop.now() < last and (
-            any(connection.owed for connection in self.connections) or any(self.waiting.values())
-        ):
-            yield self.loop.sleep(20 * MILLI)
-        for line in traffic:
-            for meant in self.waiting[line.name]:
-                self.results[line.name].record("never sent", self.loop.now() - meant, 0)
-        for connection in self.connections:
-            if connection.stream is not None:
-                connection.stream.abort()
-                connection.stream = None
+    def play(self) -> Generator[Promise, None, None]:
+        """Coroutine: open all connections, play the script's length, wait for answers, close."""
+        yield from self.open_connections()
+        self.start_requests()
+        yield from self._wait_until_end()
+        yield from self._wait_for_answers()
+        self._finish()
 
-    def _arrivals(self, line):
-        at = self.loop.now()
+    def start_requests(self) -> None:
+        """Begin with the script's traffic, slow clients and storms."""
+        self.started_at = self.loop.now()
+        self.ends_at = self.started_at + self.script.length
+        for active in self._traffic.values():
+            self._start_traffic(active)
+        for slow in self.script.slow:
+            for _ in range(slow.count):
+                client = SlowClient(self.loop, slow, self.random, self._targets, self.counts, self.ends_at)
+                self.loop.spawn(client.play())
+        for storm in self.script.storms:
+            self.loop.after(storm.at, self._storm, storm)
+        self.loop.spawn(self.watch_deadlines())
+
+    def result(self) -> LoadResult:
+        """What a result file keeps of this play."""
+        return LoadResult(self.script.text, self.seed, dict(self.counts), self.results)
+
+    def _start_traffic(self, active: ActiveTraffic) -> None:
+        if active.line.rate:
+            self.loop.spawn(self.arrivals(active.line))
+            return
+        for connection in active.idle.remove_all():
+            self.connection_idle(connection)
+
+    def arrivals(self, traffic: Traffic) -> Generator[Promise, None, None]:
+        """Coroutine: requests at random times, on average `rate` a second, until the end of the load."""
+        assert self.ends_at is not None
+        active = self._traffic[traffic.name]
+        intended_start = self.loop.now()
         while True:
-            at += round(self.random.expovariate(line.rate) * SECOND)
-            if at >= self.ends_at:
+            intended_start += round(self.random.expovariate(traffic.rate) * SECOND)
+            if intended_start >= self.ends_at:
                 return
-            if at > self.loop.now():
-                yield self.loop.sleep(at - self.loop.now())
-            connection = self.take(line)
-            if connection is None:
-                self.waiting[line.name].append(at)
-            else:
-                connection.ask(at, line.pipeline)
-
-    def _impatient(self):
-        """Ends what nobody waits for any longer."""
+            if intended_start > self.loop.now():
+                yield self.loop.sleep(intended_start - self.loop.now())
+            active.arrive(intended_start, self.random)
+
+    def watch_deadlines(self) -> Generator[Promise, None, None]:
+        """Coroutine without end: give up the requests whose deadline has passed."""
         while True:
             now = self.loop.now()
-            for line in self.deadlines.values():
-                while line and (line[0][0] <= now or line[0][1].owed is not line[0][2]):
-                    _, connection, owed = line.popleft()
-                    if connection.owed is owed and owed:
-                        connection.lose("overdue")
-            yield self.loop.sleep(50 * MILLI)
-
-    def _storm(self, line):
-        held = [connection for connection in self.connections if connection.stream is not None]
-        for connection in self.random.sample(held, round(line.share * len(held))):
-            connection.drop("given up")
-            self._out(connection)
-            connection.storm = connection.traffic is not None
-            self.loop.after(self.random.randrange(max(1, line.back)), self.open, connection)
+            for active in self._traffic.values():
+                active.give_up_overdue(now)
+            yield self.loop.sleep(DEADLINE_CHECK_INTERVAL)
+
+    def _storm(self, storm: Storm) -> None:
+        """Reset a share of the open connections and open them again, each with one request."""
+        open_now = [connection for connection in self.connections if connection.is_open]
+        for connection in self.random.sample(open_now, round(storm.share * len(open_now))):
+            connection.drop(RequestOutcome.GIVEN_UP)
+            self._remove_from_idle(connection)
+            connection.in_storm = connection.traffic is not None
+            self._connector.open_later(connection, self.random.randrange(max(1, storm.back)))
         self.counts["storms"] += 1
 
-    def _slow(self, line):
-        """A coroutine: a client that sends, or takes, a byte at a time until the day's end."""
-        request = b"POST /v2/models/none/infer HTTP/1.1\r\nHost: g\r\nX-Slow: " + b"x" * 4000
-        if line.what == "body":
-            request = (
-                b"POST /v2/models/none/infer HTTP/1.1\r\nHost: g\r\nContent-Length: 4000\r\n\r\n"
-                + b"x" * 4000
-            )
-        while self.loop.now() < self.ends_at:
-            opened = yield from self._slow_connection(line, request)
-            if opened and not line.again:
-                return
+    # The end
+
+    def _is_sending(self) -> bool:
+        return self.ends_at is not None and self.loop.now() < self.ends_at
+
+    def _wait_until_end(self) -> Generator[Promise, None, None]:
+        assert self.ends_at is not None
+        while self._is_sending():
+            yield self.loop.sleep(min(PROGRESS_INTERVAL, self.ends_at - self.loop.now()))
+            if self._report_progress is not None:
+                self._report_progress(self._progress())
+
+    def _progress(self) -> str:
+        assert self.started_at is not None
+        seconds = (self.loop.now() - self.started_at) // SECOND
+        ended = sum(result.outcomes.total() for result in self.results.values())
+        return f"{seconds} s: {self.open_count()} held, {self.counts['asked']} asked, {ended} ended"
+
+    def _wait_for_answers(self) -> Generator[Promise, None, None]:
+        """Coroutine: until all requests have ended, or the longest patience is over."""
+        assert self.ends_at is not None
+        last = self.ends_at + max((line.patience for line in self.script.traffic), default=0)
+        while self.loop.now() < last and self._has_pending():
+            yield self.loop.sleep(POLL_INTERVAL)
+
+    def _has_pending(self) -> bool:
+        in_flight = any(connection.pending for connection in self.connections)
+        return in_flight or any(active.waiting for active in self._traffic.values())
+
+    def _finish(self) -> None:
+        """Record what was never sent, and close all connections."""
+        for name, active in self._traffic.items():
+            for intended_start in active.waiting:
+                latency = self.loop.now() - intended_start
+                self.results[name].record(RequestOutcome.NEVER_SENT, latency, 0)
+        for connection in self.connections:
+            connection.abort()
 
-    def _slow_connection(self, line, request):
-        """A coroutine: one connection of a slow client until its end; whether it was opened at all."""
-        state = {}
-        give_up = connect(
-            self.loop,
-            self.random.choice(self.targets),
-            CONNECT_TIME,
-            lambda sock, error: state.update(sock=sock, over=True),
-        )
-        while "over" not in state and self.loop.now() < self.ends_at:
-            yield self.loop.sleep(20 * MILLI)
-        give_up()
-        if state.get("sock") is None:
-            self.counts["slow ones refused"] += 1
-            yield self.loop.sleep(line.every)
-            return False
-        stream = Stream(self.loop, state["sock"], lambda data: None, lambda error: state.update(ended=True))
-        if line.what == "read":
-            stream.pause()
-            stream.write(b"GET /v2 HTTP/1.1\r\nHost: g\r\n\r\n" * 4000)
-        sent = 0
-        while "ended" not in state and self.loop.now() < self.ends_at:
-            if line.what in ("head", "body") and sent < len(request):
-                burst = 60 if sent == 0 else 1
-                stream.write(request[sent : sent + burst])
-                sent += burst
-            yield self.loop.sleep(line.every)
-        self.counts["slow ones ended"] += "ended" in state
-        stream.abort()
-        return True
+
+def source_address(number: int, count: int) -> str | None:
+    """The local address of a connection where `count` loopback addresses are used in turn; None for any."""
+    if count == 1:
+        return None
+    low = number % count + 1
+    return f"127.1.{low >> 8}.{low & 255}"
--- a/gaproute/load/results.py
+++ b/gaproute/load/results.py
@@ -1,32 +1,80 @@
-"""What came of a load: counts and histograms that a file keeps and later reports read."""
+"""Outcomes and latencies of a load, and the file that keeps them for later reports."""
+
+from __future__ import annotations
 
 import base64
 import json
 from collections import Counter
+from collections.abc import Iterable, Mapping
+from enum import StrEnum
 from pathlib import Path
+from typing import Any, NamedTuple
+
+from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
+
+from gaproute.errors import GaprouteError
+
+HIGHEST_LATENCY = 600_000_000  # us; a longer one counts as this
+SIGNIFICANT_DIGITS = 3  # of the histograms
+FILE_VERSION = 1
+PERCENTILES = {"p50": 50, "p90": 90, "p99": 99, "p99.9": 99.9, "max": 100}
+
 
-from hdrh.histogram import HdrHistogram
+class RequestOutcome(StrEnum):
+    """How a request ended, where the server did not say so: it names outcomes of its own in a header."""
 
-HIGHEST = 600_000_000  # us: ten minutes
-DIGITS = 3
-VERSION = 1
+    DELIVERED = "delivered"  # answered with status 200
+    BROKEN = "broken"  # its connection ended first
+    OVERDUE = "overdue"  # no answer within the traffic's patience
+    GIVEN_UP = "given up"  # its connection was reset by a storm
+    NEVER_SENT = "never sent"  # no connection was free for it until the end
+
+
+class ResultFileError(GaprouteError, ValueError):
+    """A file is not a result of a load that this version can read."""
 
 
 class TrafficResult:
-    """Of one traffic. Times are from the intended start, in microseconds."""
+    """What became of the requests of one traffic.
+
+    `outcomes` counts them by how they ended, `ended_per_second` by the second of the load in which they did.
+    `latencies` is a histogram in microseconds from the intended start.
+    """
 
-    def __init__(self):
-        self.latencies = HdrHistogram(1, HIGHEST, DIGITS)
-        self.outcomes, self.ended_per_second = Counter(), []  # by outcome; tasks ended in each second
+    def __init__(self) -> None:
+        self.latencies: Any = HdrHistogram(1, HIGHEST_LATENCY, SIGNIFICANT_DIGITS)
+        self.outcomes: Counter[str] = Counter()
+        self.ended_per_second: list[int] = []
 
-    def record(self, outcome, took, second):
+    def record(self, outcome: str, latency: int, second: int) -> None:
+        """Count a request that took `latency` ns and ended in this second of the load."""
         self.outcomes[outcome] += 1
-        self.latencies.record_value(min(HIGHEST, max(1, took // 1000)))
+        self.latencies.record_value(min(HIGHEST_LATENCY, max(1, latency // 1000)))
         while len(self.ended_per_second) <= second:
             self.ended_per_second.append(0)
         self.ended_per_second[second] += 1
 
-    def to_json(self):
+    @property
+    def unsuccessful(self) -> dict[str, int]:
+        """Counts by outcome of the requests that were not delivered."""
+        return {
+            outcome: count for outcome, count in self.outcomes.items() if outcome != RequestOutcome.DELIVERED
+        }
+
+    def summary(self) -> dict[str, Any]:
+        """The figures of a report: requests, those delivered, and percentiles of the latency in ms."""
+        percentiles = {
+            name: self.latencies.get_value_at_percentile(percentile) / 1000
+            for name, percentile in PERCENTILES.items()
+        }
+        return {
+            "tasks": self.latencies.get_total_count(),
+            "well": self.outcomes[RequestOutcome.DELIVERED],
+            **percentiles,
+        }
+
+    def to_json(self) -> dict[str, Any]:
+        """The form that a result file has."""
         return {
             "ends": dict(self.outcomes),
             "seconds": self.ended_per_second,
@@ -34,65 +82,56 @@
         }
 
     @classmethod
-    def from_json(cls, plain):
-        made = cls()
-        made.outcomes, made.ended_per_second = Counter(plain["ends"]), plain["seconds"]
-        made.latencies = HdrHistogram.decode(base64.b64decode(plain["times"]))
-        return made
-
-    def summary(self):
-        times = self.latencies
-        return {"tasks": times.get_total_count(), "well": self.outcomes["delivered"]} | {
-            name: times.get_value_at_percentile(at) / 1000
-            for name, at in (("p50", 50), ("p90", 90), ("p99", 99), ("p99.9", 99.9), ("max", 100))
-        }
+    def from_json(cls, stored: Mapping[str, Any]) -> TrafficResult:
+        """The result that `to_json` gave. Errors: KeyError, TypeError where it is of another form."""
+        result = cls()
+        result.outcomes, result.ended_per_second = Counter(stored["ends"]), stored["seconds"]
+        result.latencies = HdrHistogram.decode(base64.b64decode(stored["times"]))
+        return result
+
+
+class LoadResult(NamedTuple):
+    """What a result file holds: the script's text, the seed, events by name, and results by traffic."""
 
+    script: str
+    seed: int
+    counts: dict[str, int]
+    traffic: dict[str, TrafficResult]
 
-def write_result(path, load, seed, results, counts):
-    Path(path).write_text(
-        json.dumps(
-            {
-                "version": VERSION,
-                "script": load.text,
-                "seed": seed,
-                "counts": dict(counts),
-                "traffic": {name: result.to_json() for name, result in results.items()},
-            },
-            indent=1,
-        )
-    )
 
+def write_result(path: str | Path, result: LoadResult) -> None:
+    """Write a result file. Errors: OSError."""
+    document = {
+        "version": FILE_VERSION,
+        "script": result.script,
+        "seed": result.seed,
+        "counts": dict(result.counts),
+        "traffic": {name: traffic.to_json() for name, traffic in result.traffic.items()},
+    }
+    Path(path).write_text(json.dumps(document, indent=1))
 
-def read_result(path):
-    """(script, seed, counts, {traffic: result}). Errors: ValueError where the file is none of these."""
+
+def read_result(path: str | Path) -> LoadResult:
+    """Read a result file. Errors: OSError, `ResultFileError`."""
     try:
-        told = json.loads(Path(path).read_text())
-        if told["version"] != VERSION:
-            raise ValueError(f"{path}: version {told['version']}, this is {VERSION}")
-        return (
-            told["script"],
-            told["seed"],
-            told["counts"],
-            {name: TrafficResult.from_json(plain) for name, plain in told["traffic"].items()},
-        )
-    except (KeyError, TypeError, json.JSONDecodeError) as fault:
-        raise ValueError(f"{path}: no result of a load: {fault!r}") from fault
-
-
-def summary_rows(paths):
-    """[{file, traffic, figures...}] of one or more results."""
-    rows = []
-    for path in paths:
-        _, _, counts, results = read_result(path)
-        for name, result in results.items():
-            rows.append(
-                {
-                    "file": Path(path).name,
-                    "traffic": name,
-                    **result.summary(),
-                    "not well": dict(
-                        sorted((end, n) for end, n in result.outcomes.items() if end != "delivered")
-                    ),
-                }
-            )
-    return rows
+        document = json.loads(Path(path).read_text())
+        if document["version"] != FILE_VERSION:
+            raise ResultFileError(f"{path}: version {document['version']}, this is {FILE_VERSION}")
+        traffic = {name: TrafficResult.from_json(stored) for name, stored in document["traffic"].items()}
+        return LoadResult(document["script"], document["seed"], document["counts"], traffic)
+    except (KeyError, TypeError, json.JSONDecodeError) as error:
+        raise ResultFileError(f"{path}: no result of a load: {error!r}") from error
+
+
+def summary_rows(paths: Iterable[str | Path]) -> list[dict[str, Any]]:
+    """One row of figures for each traffic of each result file. Errors: as of `read_result`."""
+    return [
+        {
+            "file": Path(path).name,
+            "traffic": name,
+            **traffic.summary(),
+            "not well": dict(sorted(traffic.unsuccessful.items())),
+        }
+        for path in paths
+        for name, traffic in read_result(path).traffic.items()
+    ]
--- a/tests/load/test_load.py
+++ b/tests/load/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool: scripts, open-loop arrival, storms, slow writers, results that later reports read."""
+"""The load tool: scripts, open-loop arrival, storms, slow clients, results that later reports read."""
 
 import json
 import subprocess
@@ -8,7 +8,14 @@
 
 from gaproute.config import ConfigurationError
 from gaproute.http1 import Server
-from gaproute.load import LoadGenerator, read_load_script, read_result, summary_rows
+from gaproute.load import (
+    LoadGenerator,
+    LoadResult,
+    ResultFileError,
+    read_load_script,
+    read_result,
+    summary_rows,
+)
 from gaproute.load.results import TrafficResult, write_result
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
@@ -16,7 +23,7 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 
-class Answers:
+class AnsweringServer:
     """A server that answers after a delay that the test may change, or never."""
 
     def __init__(self, loop):
@@ -33,10 +40,10 @@
 
 @pytest.fixture
 def answers():
-    made = Answers(Loop())
-    yield made
-    made.server.close()
-    made.loop.close()
+    server = AnsweringServer(Loop())
+    yield server
+    server.server.close()
+    server.loop.close()
 
 
 def played(answers, text, seed=1):
@@ -55,52 +62,55 @@
         == answers.asked
         == result.outcomes["delivered"]
     )
-    assert 120 < answers.asked < 300 and result.latencies.get_total_count() == answers.asked
+    assert 120 < answers.asked < 300
+    assert result.latencies.get_total_count() == answers.asked
     assert sum(result.ended_per_second) == answers.asked
 
 
 def test_a_stall_is_not_hidden_by_the_connections_that_wait_for_it(answers):
     answers.delay = 400 * MILLI
     generator = played(answers, "length 500ms\nhold 2 over 10ms\ntraffic a rate 200 path /x patience 1s")
-    # Two connections carry 5 tasks a second of the 200 asked for: the others wait, and that counts.
+    # Two connections carry 5 requests a second of the 200 that arrive: the others wait, and that counts.
     assert generator.results["a"].summary()["p50"] > 700
 
 
-def test_closed_loop_thinks_between_tasks_and_pipelines(answers):
+def test_closed_loop_pauses_between_requests_and_pipelines(answers):
     generator = played(answers, "length 400ms\nhold 10 over 10ms\ntraffic a think 20ms path /x pipeline 3")
-    assert 60 < answers.asked and answers.asked % 3 == 0
+    assert answers.asked > 60
+    assert answers.asked % 3 == 0
     assert generator.results["a"].outcomes == {"delivered": answers.asked}
 
 
-def test_a_storm_resets_a_share_which_come_back_asking(answers):
+def test_a_storm_resets_a_share_that_reconnects_with_a_request(answers):
     generator = played(
         answers,
         "length 600ms\nhold 40 over 10ms again 50ms\ntraffic a rate 20 path /x\n"
         "storm at 200ms share 0.5 back 100ms",
     )
     after = generator.results["a after a storm"]
-    assert (
-        sum(after.outcomes.values()) == 20
-        and generator.counts["connected"] == 60
-        and generator.counts["storms"] == 1
-    )
+    assert sum(after.outcomes.values()) == 20
+    assert generator.counts["connected"] == 60
+    assert generator.counts["storms"] == 1
 
 
-def test_what_nobody_answers_is_overdue_and_what_never_found_a_connection_is_told(answers):
+def test_unanswered_requests_are_overdue_and_those_without_a_connection_never_sent(answers):
     answers.delay = None
     generator = played(
         answers, "length 300ms\nhold 3 over 10ms again 5s\ntraffic a rate 100 path /x patience 150ms"
     )
     outcomes = generator.results["a"].outcomes
-    assert outcomes["overdue"] == 3 and outcomes["never sent"] > 5 and "delivered" not in outcomes
+    assert outcomes["overdue"] == 3
+    assert outcomes["never sent"] > 5
+    assert "delivered" not in outcomes
 
 
 @pytest.mark.parametrize("what", ["head", "body", "read", "silent"])
-def test_slow_ones_hold_connections_and_finish_nothing(answers, what):
+def test_slow_clients_hold_connections_and_finish_nothing(answers, what):
     generator = played(
         answers, f"length 300ms\nhold 2 over 10ms\nslow 5 what {what} every 20ms\ntraffic a rate 50 path /x"
     )
-    assert answers.most >= 5 and generator.results["a"].outcomes["delivered"] == generator.counts["asked"]
+    assert answers.most >= 5
+    assert generator.results["a"].outcomes["delivered"] == generator.counts["asked"]
 
 
 def test_silent_connections_are_held_and_come_from_many_addresses(answers):
@@ -111,10 +121,11 @@
         accept_connection(sock, source),
     )
     generator = played(answers, "length 100ms\nhold 30 over 10ms addresses 10")
-    assert generator.counts["connected"] == 30 and seen == {f"127.1.0.{number}" for number in range(1, 11)}
+    assert generator.counts["connected"] == 30
+    assert seen == {f"127.1.0.{number}" for number in range(1, 11)}
 
 
-def test_the_same_seed_asks_for_the_same(answers):
+def test_the_same_seed_draws_the_same_requests(answers):
     def paths(seed):
         load = read_load_script("l", "target 127.0.0.1:1\ntraffic a rate 1 path /x,/y,/z")
         generator = LoadGenerator(answers.loop, load, seed)
@@ -124,7 +135,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, text",
+    ("line", "text"),
     [
         ("traffic a rate 1 think 1s path /x", "either a rate or a time to think"),
         ("hold none", "hold"),
@@ -150,34 +161,38 @@
         result.record("delivered", took * MILLI, 0)
     result.record("declined", 5 * MILLI, 3)
     load = read_load_script("l", "target 127.0.0.1:1")
-    write_result(tmp_path / "r", load, 7, {"a": result}, {"asked": 101})
+    write_result(tmp_path / "r", LoadResult(load.text, 7, {"asked": 101}, {"a": result}))
     script, seed, counts, results = read_result(tmp_path / "r")
     assert (script, seed, counts) == ("target 127.0.0.1:1", 7, {"asked": 101})
-    assert results["a"].summary() == result.summary() and results["a"].ended_per_second == [100, 0, 0, 1]
+    assert results["a"].summary() == result.summary()
+    assert results["a"].ended_per_second == [100, 0, 0, 1]
     (row,) = summary_rows([tmp_path / "r"])
-    assert row["not well"] == {"declined": 1} and 49 < row["p50"] < 51 and row["well"] == 100
+    assert row["not well"] == {"declined": 1}
+    assert 49 < row["p50"] < 51
+    assert row["well"] == 100
     for text in ("{}", "no json", '{"version": 9}'):
         (tmp_path / "bad").write_text(text)
-        with pytest.raises(ValueError):
+        with pytest.raises(ResultFileError):
             read_result(tmp_path / "bad")
 
 
 def test_the_command_plays_a_script_and_reports(rig, tmp_path):
-    made = rig(hosts=2)
+    gateway = rig(hosts=2)
     script, out = tmp_path / "s", tmp_path / "o"
     script.write_text(
-        f"target 127.0.0.1:{made.at[1][1]}\nlength 500ms\nhold 5 over 10ms\n"
+        f"target 127.0.0.1:{gateway.at[1][1]}\nlength 500ms\nhold 5 over 10ms\n"
         "traffic lamps rate 30 path /v2/models/lamp/infer body 200\n"
     )
     child = subprocess.Popen(
         [sys.executable, "-m", "gaproute", "load", str(script), "--json", "--out", str(out)],
         stdout=subprocess.PIPE,
     )
-    made.until(lambda: child.poll() is not None, 20)
-    told = json.loads(child.stdout.read())
+    gateway.until(lambda: child.poll() is not None, 20)
+    printed = json.loads(child.stdout.read())
     child.stdout.close()
-    assert child.returncode == 0 and told["traffic"][0]["well"] == told["counts"]["asked"] > 3
+    assert child.returncode == 0
+    assert printed["traffic"][0]["well"] == printed["counts"]["asked"] > 3
     report = subprocess.run(
         [sys.executable, "-m", "gaproute", "load-report", str(out), "--json"], capture_output=True
     )
-    assert json.loads(report.stdout)[0]["well"] == told["traffic"][0]["well"]
+    assert json.loads(report.stdout)[0]["well"] == printed["traffic"][0]["well"]
