--- a/benchmarks/scale/cell_faults.py
+++ b/benchmarks/scale/cell_faults.py
@@ -1,8 +1,8 @@
 """Faults in a fleet of cells, of which the first few are played in full: scenarios of `faults.py`.
 
 Figures are of the gateways in full; those that name the fleet are of all. Ways of calls are sought once a
-second by each gateway in full (`gaproute/hollow/cells/ways.py`): whether an entry gateway is there is asked
-without the network, so that regions that lose each other do not show in them.
+second by each gateway in full (`gaproute/hollow/cells/route_sampler.py`): whether an entry
+gateway is there is asked without the network, so that regions that lose each other do not show in them.
 """
 
 from benchmarks.scale.base_rung import STEP
--- a/benchmarks/scale/crew.py
+++ b/benchmarks/scale/crew.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.limits import resident
 from benchmarks.scale.logs import logged
 from gaproute.cluster.lateness import BEAT
-from gaproute.hollow.simulation.lists import HostLists
+from gaproute.hollow.simulation.host_lists import HostLists
 
 KEEPERS = 3
 TICKS = os.sysconf("SC_CLK_TCK")
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.measurement import LADDERS
 from benchmarks.scale.watched import CHEAP, Watched
 from gaproute.hollow import PARTS
-from gaproute.hollow.simulation import Fleet, GatewayLoop, GatewayRow
+from gaproute.hollow.simulation import GatewayLoop, GatewayRow, SimulatedFleet
 from gaproute.hollow.simulation.network import SimulatedDatagrams
 from gaproute.interface import State
 from gaproute.peers.membership_wire import decode, encode
@@ -158,7 +158,7 @@
 def strangers_beyond_bound(size, seed):
     """`size` more gateways than membership has room for ping one that does not know them; then another
     gateway starts that knows only that one."""
-    fleet, figures = Fleet(1, seed, {"membership": PARTS["membership"]}), {}
+    fleet, figures = SimulatedFleet(1, seed, {"membership": PARTS["membership"]}), {}
     fleet.run(SETTLE)
     held = fleet.gateways["gateway-0"].parts["membership"].members
     heard, senders = [], MAX_MEMBERS + size
--- a/benchmarks/scale/plain_rung.py
+++ b/benchmarks/scale/plain_rung.py
@@ -11,7 +11,7 @@
 
 from benchmarks.scale.base_rung import CALM, BaseRung, Growth
 from gaproute.hollow import PARTS
-from gaproute.hollow.simulation import Fleet
+from gaproute.hollow.simulation import SimulatedFleet
 from gaproute.interface import State
 from gaproute.shared.membership import MemberState
 
@@ -29,7 +29,7 @@
 
     def made(self):
         """The fleet."""
-        return Fleet(self.size, self.seed, {name: PARTS[name] for name in self.parts}, self.hosts)
+        return SimulatedFleet(self.size, self.seed, {name: PARTS[name] for name in self.parts}, self.hosts)
 
     def measure(self):
         """Takes all figures. Errors: Stopped."""
--- a/benchmarks/scale/watched.py
+++ b/benchmarks/scale/watched.py
@@ -1,7 +1,7 @@
 """A simulated fleet with what the fault scenarios look at: who is held dead, bytes, leases, invariants."""
 
 from gaproute.hollow import PARTS
-from gaproute.hollow.simulation import Fleet
+from gaproute.hollow.simulation import SimulatedFleet
 from gaproute.shared.membership import MemberState
 from gaproute.shared.membership.invariants import check
 
@@ -14,12 +14,12 @@
 
 
 class Watched:
-    """`told`: as of `Fleet`. `COUNTED`: counters that each scenario tells the sums of."""
+    """`told`: as of `SimulatedFleet`. `COUNTED`: counters that each scenario tells the sums of."""
 
     COUNTED = ("membership.suspicions", "membership.refused", "demand.refused", "leases.ended")
 
     def __init__(self, size, seed, makers=PARTS, **told):
-        self.size, self.fleet = size, Fleet(size, seed, makers, HOSTS, **told)
+        self.size, self.fleet = size, SimulatedFleet(size, seed, makers, HOSTS, **told)
 
     def gateways(self):
         """Those whose costs and members are looked at, by name."""
--- a/gaproute/hollow/cells/__init__.py
+++ b/gaproute/hollow/cells/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from gaproute.hollow.cells.fleet import CellFleet
-from gaproute.hollow.cells.makers import CELL_PARTS, TABLE_PARTS
+from gaproute.hollow.cells.part_sets import CELL_PARTS, TABLE_PARTS
 from gaproute.hollow.cells.plan import CellPlan
 
 __all__ = ["CELL_PARTS", "TABLE_PARTS", "CellFleet", "CellPlan"]
--- a/gaproute/hollow/cells/surroundings.py
+++ b/gaproute/hollow/cells/environment.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.hollow.parts import Surroundings
+from gaproute.hollow.parts import GatewayEnvironment
 from gaproute.shared.dissemination import Peer
 from gaproute.storage.cell_table_file import StoredTable
 
 
 @dataclass(kw_only=True)
-class CellSurroundings(Surroundings):
+class CellGatewayEnvironment(GatewayEnvironment):
     """`seeds`: configured peers outside the own cell; `kept`: the table on the gateway's disk, None for none.
 
     `open_giver(address)` and `open_puller(loop, name)` make what answers and what asks for whole tables;
--- a/gaproute/hollow/cells/fleet.py
+++ b/gaproute/hollow/cells/fleet.py
@@ -4,13 +4,13 @@
 from functools import partial
 
 from gaproute.decisions.cells.change import TableChange
-from gaproute.hollow.cells.makers import CELL_PARTS, TABLE_PARTS
+from gaproute.hollow.cells.environment import CellGatewayEnvironment
+from gaproute.hollow.cells.part_sets import CELL_PARTS, TABLE_PARTS
 from gaproute.hollow.cells.plan import FLEET, HOSTS, REGIONS, ZONES, CellPlan
-from gaproute.hollow.cells.pulls import SimulatedGiver, SimulatedPullClient
-from gaproute.hollow.cells.surroundings import CellSurroundings
+from gaproute.hollow.cells.pulls import SimulatedPullClient, SimulatedPullServer
 from gaproute.hollow.gateway import HollowGateway
-from gaproute.hollow.simulation import Fleet, GatewayLoop, GatewayRow, Network
-from gaproute.hollow.simulation.network import FAR, NEAR, SimulatedCarrier, SimulatedDatagrams
+from gaproute.hollow.simulation import GatewayLoop, GatewayRow, SimulatedFleet, SimulatedNetwork
+from gaproute.hollow.simulation.network import FAR, NEAR, SimulatedDatagrams, SimulatedRaftTransport
 from gaproute.peers.tables import encoding
 from gaproute.shared.dissemination import Peer
 from gaproute.storage.cell_table_file import StoredTable
@@ -37,7 +37,7 @@
         self.spent += time.thread_time_ns() - began
 
 
-class CellNetwork(Network):
+class CellNetwork(SimulatedNetwork):
     """Regions are those of the gateways' cells; `givers`: who answers pulls, by address."""
 
     def __init__(self, loop, plan):
@@ -57,10 +57,10 @@
         return self.blocked is not None and (self.blocked(one, other) or self.blocked(other, one))
 
 
-class CellFleet(Fleet):
+class CellFleet(SimulatedFleet):
     """`full`: so many cells have gateways with the parts of `makers`, the others such with the table alone;
-    None: all. `hosts`: of a cell. `lag`: as of `Fleet`. `rows_for(plan, name, cell)`: the host list of a
-    cell that the gateway reads, by default that of the plan. `make_loop`: makes each gateway's loop."""
+    None: all. `hosts`: of a cell. `lag`: as of `SimulatedFleet`. `rows_for(plan, name, cell)`: the host list
+    of a cell that the gateway reads, by default that of the plan. `make_loop`: makes each gateway's loop."""
 
     def __init__(
         self,
@@ -90,28 +90,28 @@
         if row.name in self.gateways:
             return self.gateways[row.name]
         full = self.plan.cell_of(row.name) < self.full
-        surroundings = CellSurroundings(
+        environment = CellGatewayEnvironment(
             loop=self.make_loop(self.loop, self.lag(row.name)),
             name=row.name,
             address=row.where,
             configuration=self.configurations[0],
             seed=self.chance.below(1 << 30),
             open_datagrams=partial(SimulatedDatagrams, self.network, row.name),
-            open_carrier=partial(SimulatedCarrier, self.network),
+            open_carrier=partial(SimulatedRaftTransport, self.network),
             open_votes=self._disk,
             wall=self.wall,
             place=self.plan.place(row.name),
             fleet_name=FLEET,
             seeds=tuple(Peer(*self.rows[self.chance.below(len(self.rows))]) for _ in range(SEEDS)),
             kept=self.kept if kept else None,
-            open_giver=partial(SimulatedGiver, self.network, row.name),
+            open_giver=partial(SimulatedPullServer, self.network, row.name),
             open_puller=partial(SimulatedPullClient, self.network),
             host_rows=partial(self.rows_for, self.plan, row.name),
             reach=self.reach,
             shared_tables=self.shared_tables,
             shared_candidates=self.shared_candidates,
         )
-        gateway = HollowGateway(surroundings, self.makers if full else TABLE_PARTS)
+        gateway = HollowGateway(environment, self.makers if full else TABLE_PARTS)
         self.gateways[row.name] = gateway
         gateway.start(self.plan.gateways(self.plan.cell_of(row.name)) if known is None else known)
         return gateway
@@ -119,7 +119,7 @@
     def reach(self, entry, cell):
         """Whether the entry gateway is there and knows the cell; one with the table alone is taken to."""
         gateway = self.gateways.get(entry.name)
-        if gateway is None or gateway.surroundings.address != entry.address:
+        if gateway is None or gateway.environment.address != entry.address:
             return False
         hosts = gateway.parts.get("hosts")
         return hosts is None or cell in hosts.cellular.local.gateways
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -5,14 +5,14 @@
 
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.routing.housekeeping import CLEANUP_INTERVAL
-from gaproute.hollow.cells.ways import Ways
-from gaproute.hollow.parts import Part
+from gaproute.hollow.cells.route_sampler import RouteSampler
+from gaproute.hollow.parts import ControlPart
 
 SECOND = 1_000_000_000
 LOOK = SECOND  # between two looks at what is wanted
 
 
-class KnownHosts:
+class HostsOfKnownCells:
     """All cells known, as the gossip of demand sees one gateway's decisions."""
 
     def __init__(self, gateway):
@@ -38,15 +38,15 @@
             yield from gateway.known(now, since)
 
 
-class CellHosts(Part):
+class CellHostsPart(ControlPart):
     """Needs the part `tables`. `gateway` is what the gossip of demand is fed from."""
 
-    def __init__(self, surroundings, parts):
-        self.surroundings, self.loop, self.tables = surroundings, surroundings.loop, parts["tables"]
-        now, terms = self.loop.now(), surroundings.configuration.terms
-        self.cellular = CellularGateway(surroundings.seed, terms, now, surroundings.place)
-        self.gateway, self.followers = KnownHosts(self.cellular), []
-        self.ways = Ways(surroundings, self.cellular)
+    def __init__(self, environment, parts):
+        self.environment, self.loop, self.tables = environment, environment.loop, parts["tables"]
+        now, terms = self.loop.now(), environment.configuration.terms
+        self.cellular = CellularGateway(environment.seed, terms, now, environment.place)
+        self.gateway, self.followers = HostsOfKnownCells(self.cellular), []
+        self.ways = RouteSampler(environment, self.cellular)
         self.given, self.lists = {}, 0  # cell: the rows that the decisions were given last
         self.due, self.tidy_at = now, now + CLEANUP_INTERVAL
         self.tables.carrier.on_table(self._adopted)
@@ -57,7 +57,7 @@
 
     def _feed(self):
         """Gives the decisions the lists that they want and lack, or that changed."""
-        rows = {cell: self.surroundings.host_rows(cell) for cell in self.cellular.wanted()}
+        rows = {cell: self.environment.host_rows(cell) for cell in self.cellular.wanted()}
         fresh = {cell: listed for cell, listed in rows.items() if self.given.get(cell) is not listed}
         changed = fresh or rows.keys() != self.given.keys()
         self.given = rows
@@ -90,7 +90,7 @@
         return bool(wanted) and all(cell in self.cellular.local.gateways for cell in wanted)
 
     def counters(self):
-        """`entries`: hosts listed and held; beside them the counts of `Ways`."""
+        """`entries`: hosts listed and held; beside them the counts of `RouteSampler`."""
         known = self.gateway.gateways()
         return {
             "entries": sum(map(len, self.given.values())) + sum(len(each.hosts_by_id) for each in known),
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -23,7 +23,7 @@
     return size + segments * HEADERS
 
 
-class SimulatedGiver:
+class SimulatedPullServer:
     """Has what the table's carrier needs of `gaproute.peers.PeerServer`; stands in the network's `givers`."""
 
     def __init__(self, network, name, address):
--- a/gaproute/hollow/cells/ways.py
+++ b/gaproute/hollow/cells/route_sampler.py
@@ -8,12 +8,12 @@
 TRIES = 2  # entries of a cell that are tried for one call, as the decisions do
 
 
-class Ways:
+class RouteSampler:
     """`counts`: calls, those for known cells, those that an entry gateway took, tries at entries that are
     gone or do not know the cell, calls without any way."""
 
-    def __init__(self, surroundings, cellular):
-        self.reach, self.cellular, self.chance = surroundings.reach, cellular, surroundings.chance(8)
+    def __init__(self, environment, cellular):
+        self.reach, self.cellular, self.chance = environment.reach, cellular, environment.chance(8)
         self.counts = {"calls": 0, "known": 0, "entered": 0, "unreached": 0, "failed": 0}
 
     def call(self, now):
--- a/gaproute/hollow/cells/shared.py
+++ b/gaproute/hollow/cells/shared_tables.py
@@ -39,8 +39,8 @@
 class SharedCellTableTransport(CellTableTransport):
     """`named`: {(version, digest): candidates that the table names}, of all gateways that share them."""
 
-    def __init__(self, named, *surroundings):
-        super().__init__(*surroundings)
+    def __init__(self, named, *environment):
+        super().__init__(*environment)
         self.named = named
 
     def candidates(self, near):
--- a/gaproute/hollow/cells/fixed.py
+++ b/gaproute/hollow/cells/static_membership.py
@@ -2,18 +2,18 @@
 
 from types import SimpleNamespace
 
-from gaproute.hollow.parts import DATAGRAM_HEADERS, Part
+from gaproute.hollow.parts import DATAGRAM_HEADERS, ControlPart
 from gaproute.peers.membership_wire import Payload, decode_datagram, encode_payload
 from gaproute.shared.membership import MemberState, MemberUpdate
 
 
-class FixedGossip:
+class StaticMembershipTransport:
     """Has the face of `gaproute.peers.MembershipTransport` towards the parts that it carries."""
 
-    def __init__(self, surroundings):
-        self.name, self.handlers = surroundings.name, {}
+    def __init__(self, environment):
+        self.name, self.handlers = environment.name, {}
         self.membership = SimpleNamespace(members={}, table=SimpleNamespace(alive={}))
-        self.datagrams = surroundings.open_datagrams(surroundings.loop, surroundings.address, self._heard)
+        self.datagrams = environment.open_datagrams(environment.loop, environment.address, self._heard)
 
     def register(self, kind, heard):
         """`heard(sender's name, data)` for each datagram of that kind."""
@@ -35,11 +35,11 @@
             self.handlers[message.kind](message.sender, message.data)
 
 
-class FixedMembership(Part):
+class StaticMembershipPart(ControlPart):
     """In place of `Membership`: the configured gateways are its members, all up."""
 
-    def __init__(self, surroundings, parts):
-        self.gossip = FixedGossip(surroundings)
+    def __init__(self, environment, parts):
+        self.gossip = StaticMembershipTransport(environment)
 
     @property
     def members(self):
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -1,14 +1,14 @@
 """The cell table's carrier as a part: the product's class, on the membership's datagrams and on pulls."""
 
 from gaproute.decisions.cells.table import Version
-from gaproute.hollow.cells.shared import SharedCellTableTransport, SharedTableDocument
-from gaproute.hollow.demand import CountedPosts
-from gaproute.hollow.parts import Part
+from gaproute.hollow.cells.shared_tables import SharedCellTableTransport, SharedTableDocument
+from gaproute.hollow.demand_gossip import CountingTransport
+from gaproute.hollow.parts import ControlPart
 from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Disseminator
 
 
-class TablePosts(CountedPosts):
+class CountingTableTransport(CountingTransport):
     """The membership as the table's carrier sees it."""
 
     def unregister(self, kind):
@@ -16,23 +16,23 @@
         self.part.gossip.unregister(kind)
 
 
-class Tables(Part):
+class CellTablePart(ControlPart):
     """Needs the part `membership`, whose members are taken for the own cell's, as the product takes them."""
 
-    def __init__(self, surroundings, parts):
-        self.surroundings = surroundings
-        self.posts = TablePosts(parts["membership"])
-        self.peer_server = surroundings.open_giver(surroundings.address)
+    def __init__(self, environment, parts):
+        self.environment = environment
+        self.posts = CountingTableTransport(parts["membership"])
+        self.peer_server = environment.open_giver(environment.address)
         self.carrier = self.made(
-            surroundings.loop,
-            surroundings.name,
-            surroundings.fleet_name,
+            environment.loop,
+            environment.name,
+            environment.fleet_name,
             self.posts,
             self.peer_server,
-            surroundings.chance(6),
-            surroundings.record,
+            environment.chance(6),
+            environment.record,
         )
-        self.puller = surroundings.open_puller(surroundings.loop, surroundings.name)
+        self.puller = environment.open_puller(environment.loop, environment.name)
         self.carrier.pull_client = self.puller
 
     def made(self, *told):
@@ -41,12 +41,12 @@
 
     def start(self):
         """Takes the table of the own disk, then listens and tells."""
-        kept = self.surroundings.kept
+        kept = self.environment.kept
         if kept is not None:
             version = Version(kept.term, kept.number)
-            now = self.surroundings.loop.now()
+            now = self.environment.loop.now()
             self.carrier.disseminator.publish_whole(now, version, kept.digest, kept.data)
-        self.carrier.set_peers(self.surroundings.seeds)
+        self.carrier.set_peers(self.environment.seeds)
         self.carrier.start()
 
     @property
@@ -74,17 +74,17 @@
         self.peer_server.close()
 
 
-class SharedTables(Tables):
+class SharedCellTablePart(CellTablePart):
     """Reads each version of the table once for all gateways of the process that share it."""
 
     def made(self, *told):
         """The table's carrier."""
-        return SharedCellTableTransport(self.surroundings.shared_candidates, *told)
+        return SharedCellTableTransport(self.environment.shared_candidates, *told)
 
-    def __init__(self, surroundings, parts):
-        super().__init__(surroundings, parts)
+    def __init__(self, environment, parts):
+        super().__init__(environment, parts)
         carrier = self.carrier
-        document = SharedTableDocument(carrier.holder, surroundings.shared_tables)
+        document = SharedTableDocument(carrier.holder, environment.shared_tables)
         carrier.disseminator = Disseminator(
-            surroundings.name, document, surroundings.chance(6), surroundings.loop.now()
+            environment.name, document, environment.chance(6), environment.loop.now()
         )
--- a/gaproute/hollow/demand.py
+++ b/gaproute/hollow/demand_gossip.py
@@ -1,6 +1,6 @@
 """Gossip of demand as a part: the product's carrier, fed the arrivals that clients would cause."""
 
-from gaproute.hollow.parts import Part
+from gaproute.hollow.parts import ControlPart
 from gaproute.peers.gossip import GossipTransport
 from gaproute.shared.gossip.scheduler import RATE, RATE_IN_CELLS
 
@@ -12,7 +12,7 @@
 TRACK = 0
 
 
-class CountedPosts:
+class CountingTransport:
     """The membership as the carrier sees it, with what the carrier sends counted apart."""
 
     def __init__(self, part):
@@ -26,20 +26,20 @@
         self.bytes += self.part.post(where, kind, data)
 
 
-class Demand(Part):
+class DemandGossipPart(ControlPart):
     """Needs the parts `membership` and `hosts`. The arrivals are drawn here, as no client asks."""
 
     RATE = RATE  # bytes a second
 
-    def __init__(self, surroundings, parts):
-        self.loop, self.chance = surroundings.loop, surroundings.chance(7)
-        self.posts, self.hosts = CountedPosts(parts["membership"]), parts["hosts"]
+    def __init__(self, environment, parts):
+        self.loop, self.chance = environment.loop, environment.chance(7)
+        self.posts, self.hosts = CountingTransport(parts["membership"]), parts["hosts"]
         self.carrier = GossipTransport(
             self.loop,
-            surroundings.name,
+            environment.name,
             self.posts,
             self.hosts.gateway,
-            surroundings.chance(4),
+            environment.chance(4),
             self.RATE,
         )
         self.hosts.followers.append(self.carrier.listed)
@@ -82,7 +82,7 @@
         self.carrier.close()
 
 
-class DemandInCells(Demand):
+class CellDemandGossipPart(DemandGossipPart):
     """Leaves the dissemination of the cell table its share of a gateway's bytes."""
 
     RATE = RATE_IN_CELLS
--- a/gaproute/hollow/gateway.py
+++ b/gaproute/hollow/gateway.py
@@ -1,24 +1,24 @@
 """One hollow gateway: control parts of the product wired as the appliance wires them."""
 
-from gaproute.hollow.demand import Demand
-from gaproute.hollow.hosts import Hosts
-from gaproute.hollow.leases import Leases
-from gaproute.hollow.membership import Membership
+from gaproute.hollow.demand_gossip import DemandGossipPart
+from gaproute.hollow.host_list import HostListPart
+from gaproute.hollow.leases import LeasePart
+from gaproute.hollow.membership import MembershipPart
 
-PARTS = {"membership": Membership, "hosts": Hosts, "demand": Demand, "leases": Leases}
+PARTS = {"membership": MembershipPart, "hosts": HostListPart, "demand": DemandGossipPart, "leases": LeasePart}
 
 
 class HollowGateway:
-    """`makers`: {name: what makes the part of (surroundings, parts made so far)}, in their order.
+    """`makers`: {name: what makes the part of (environment, parts made so far)}, in their order.
 
     A further part is one more entry beside those of `PARTS`.
     """
 
-    def __init__(self, surroundings, makers=PARTS):
-        self.surroundings, self.name = surroundings, surroundings.name
-        self.loop, self.parts, self.timer = surroundings.loop, {}, None
+    def __init__(self, environment, makers=PARTS):
+        self.environment, self.name = environment, environment.name
+        self.loop, self.parts, self.timer = environment.loop, {}, None
         for name, make in makers.items():
-            self.parts[name] = make(surroundings, self.parts)
+            self.parts[name] = make(environment, self.parts)
         for part in self.parts.values():
             if part.kind is not None:
                 self.parts["membership"].gossip.register(part.kind, part.receive)
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/host_list.py
@@ -3,19 +3,19 @@
 from gaproute.decisions.routing.housekeeping import CLEANUP_INTERVAL
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
-from gaproute.hollow.parts import Part
+from gaproute.hollow.parts import ControlPart
 
 
-class Hosts(Part):
+class HostListPart(ControlPart):
     """The decisions' own `gateway` (`gaproute.decisions.routing`), fed the list and driven by no task."""
 
-    def __init__(self, surroundings, parts):
-        self.loop, self.configuration = surroundings.loop, surroundings.configuration
+    def __init__(self, environment, parts):
+        self.loop, self.configuration = environment.loop, environment.configuration
         self.listing = HostLineConverter(
-            self.loop, surroundings.wall, use_capacities=self.configuration.sizes_reported
+            self.loop, environment.wall, use_capacities=self.configuration.sizes_reported
         )
         self.gateway = self.configuration.decisions(
-            surroundings.seed, self.configuration.terms, self.loop.now()
+            environment.seed, self.configuration.terms, self.loop.now()
         )
         self.due = self.loop.now() + CLEANUP_INTERVAL
         self.rows, self.watch, self.followers = {}, None, []
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -1,6 +1,6 @@
 """Leases as a part: the product's Raft node and lease client; each gateway keeps one lease up."""
 
-from gaproute.hollow.parts import Part
+from gaproute.hollow.parts import ControlPart
 from gaproute.peers.raft import HostedNode
 from gaproute.shared.leases import LeaseTable
 
@@ -10,30 +10,30 @@
 WITHIN = SECOND  # the first wish comes at some moment of it: gateways of a fleet do not start at once
 
 
-class Leases(Part):
+class LeasePart(ControlPart):
     """The first gateways that the configuration names as keepers keep; all hold.
 
     A keeper grants at once here: it does not wait out the leases of disks that may have been lost.
     """
 
-    def __init__(self, surroundings, parts):
-        self.loop, self.name = surroundings.loop, surroundings.name
-        line = surroundings.configuration.keepers
+    def __init__(self, environment, parts):
+        self.loop, self.name = environment.loop, environment.name
+        line = environment.configuration.keepers
         self.peers = {}
         self.hosted_node = HostedNode(
             self.loop,
             self.name,
             line.names,
             self.peers,
-            surroundings.record,
-            surroundings.chance(5),
-            disk=surroundings.open_votes(self.name) if self.name in line.names else None,
-            fencing_base=surroundings.wall() // 1_000_000,
+            environment.record,
+            environment.chance(5),
+            disk=environment.open_votes(self.name) if self.name in line.names else None,
+            fencing_base=environment.wall() // 1_000_000,
             machine=LeaseTable(initial_wait=False),
-            make_transport=surroundings.open_carrier,
+            make_transport=environment.open_carrier,
         )
         self.wish, self.refused, self.ended = None, 0, 0
-        self.due = self.loop.now() + surroundings.chance(6).below(WITHIN)
+        self.due = self.loop.now() + environment.chance(6).below(WITHIN)
 
     @property
     def held(self):
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -1,22 +1,22 @@
-"""Membership as a part: the product's gossip on the datagrams that the surroundings open."""
+"""Membership as a part: the product's gossip on the datagrams that the environment open."""
 
-from gaproute.hollow.parts import DATAGRAM_HEADERS, Part
+from gaproute.hollow.parts import DATAGRAM_HEADERS, ControlPart
 from gaproute.peers import MembershipTransport
 
 
-class Membership(Part):
+class MembershipPart(ControlPart):
     """Which gateways are up. The `gossip` also carries other parts' datagrams; they are not counted here."""
 
-    def __init__(self, surroundings, parts):
+    def __init__(self, environment, parts):
         self.carried = self.carried_bytes = 0
         self.gossip = MembershipTransport(
-            surroundings.loop,
-            surroundings.name,
-            surroundings.address,
-            surroundings.chance(2),
-            surroundings.record,
-            surroundings.open_datagrams,
-            surroundings.wall,
+            environment.loop,
+            environment.name,
+            environment.address,
+            environment.chance(2),
+            environment.record,
+            environment.open_datagrams,
+            environment.wall,
         )
 
     @property
--- a/gaproute/hollow/parts.py
+++ b/gaproute/hollow/parts.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Surroundings:
+class GatewayEnvironment:
     """What one gateway's parts stand on.
 
     `configuration` is checked, and shared by all gateways of a process; `open_datagrams(loop,
@@ -47,7 +47,7 @@
         return Chance(self.seed + number)
 
 
-class Part:
+class ControlPart:
     """One control part. `due` is the time of the next `tick`, None where the part keeps timers itself.
 
     A part receives its datagrams through the gateway's membership socket: `kind` is its
--- a/gaproute/hollow/exchange.py
+++ b/gaproute/hollow/peer_server.py
@@ -2,20 +2,20 @@
 
 from gaproute.appliance.peer_services import LEASE_PEER_LIMITS
 from gaproute.decisions.reports.host_history import HostHistory
-from gaproute.hollow.parts import Part
+from gaproute.hollow.parts import ControlPart
 from gaproute.loop.addresses import address
 from gaproute.peers import PeerServer
 from gaproute.peers.raft.transport import TARGET
 
 
-class Exchange(Part):
+class PeerServerPart(ControlPart):
     """Needs the parts `hosts` and `leases`, and a loop with real sockets."""
 
-    def __init__(self, surroundings, parts):
-        tracks = [line.name for line in surroundings.configuration.tracks]
-        where = address(surroundings.address)
+    def __init__(self, environment, parts):
+        tracks = [line.name for line in environment.configuration.tracks]
+        where = address(environment.address)
         self.peer_server = PeerServer(
-            surroundings.loop, where, parts["hosts"].gateway, HostHistory(), tracks, LEASE_PEER_LIMITS
+            environment.loop, where, parts["hosts"].gateway, HostHistory(), tracks, LEASE_PEER_LIMITS
         )
         self.transport = parts["leases"].hosted_node.transport
         self.peer_server.routes[TARGET] = self.handle
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -6,9 +6,9 @@
 import time
 from functools import partial
 
-from gaproute.hollow.exchange import Exchange
 from gaproute.hollow.gateway import PARTS, HollowGateway
-from gaproute.hollow.parts import EventCounter, Surroundings
+from gaproute.hollow.parts import EventCounter, GatewayEnvironment
+from gaproute.hollow.peer_server import PeerServerPart
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.descriptors import READ
@@ -21,7 +21,7 @@
 LINE = 1 << 16  # bytes read at once
 
 
-class Changes(EventCounter):
+class MemberChangeCounter(EventCounter):
     """Counts by (gateway, state, incarnation) how many of this process's gateways noted the change, and when
     the first and the last of them did, in seconds since 1970."""
 
@@ -44,7 +44,7 @@
     def __init__(self, configuration, rows, first, count, seed=1):
         self.loop, self.configuration, self.rows, self.seed = Loop(), configuration, rows, seed
         self.loop.on_error = self.failed
-        self.changes, self.gateways = Changes(), {}
+        self.changes, self.gateways = MemberChangeCounter(), {}
         self.errors, self.last_error, self.late, self.due = 0, "", 0, self.loop.now() + BEAT
         self.input = b""
         for place, row in enumerate(rows[first : first + count]):
@@ -64,7 +64,7 @@
 
     def start(self, row, number):
         """Starts one gateway."""
-        surroundings = Surroundings(
+        environment = GatewayEnvironment(
             loop=self.loop,
             name=row.name,
             address=row.where,
@@ -76,7 +76,7 @@
             wall=time.time_ns,
             record=self.changes,
         )
-        self.gateways[row.name] = HollowGateway(surroundings, PARTS | {"exchange": Exchange})
+        self.gateways[row.name] = HollowGateway(environment, PARTS | {"exchange": PeerServerPart})
         self.gateways[row.name].start(self.rows)
 
     # Orders
--- a/gaproute/hollow/simulation/__init__.py
+++ b/gaproute/hollow/simulation/__init__.py
@@ -1,7 +1,7 @@
-"""Hollow gateways on a simulated clock and network, in one process: `Fleet`."""
+"""Hollow gateways on a simulated clock and network, in one process: `SimulatedFleet`."""
 
-from gaproute.hollow.simulation.fleet import Fleet, GatewayRow
+from gaproute.hollow.simulation.fleet import GatewayRow, SimulatedFleet
 from gaproute.hollow.simulation.loop import GatewayLoop, SimulatedLoop
-from gaproute.hollow.simulation.network import Network
+from gaproute.hollow.simulation.network import SimulatedNetwork
 
-__all__ = ["Fleet", "GatewayLoop", "GatewayRow", "Network", "SimulatedLoop"]
+__all__ = ["SimulatedFleet", "GatewayLoop", "GatewayRow", "SimulatedNetwork", "SimulatedLoop"]
--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -7,10 +7,10 @@
 from gaproute.config import read_configuration
 from gaproute.decisions.chance import Chance
 from gaproute.hollow.gateway import PARTS, HollowGateway
-from gaproute.hollow.parts import Surroundings
-from gaproute.hollow.simulation.lists import HostLists, MemoryFile
+from gaproute.hollow.parts import GatewayEnvironment
+from gaproute.hollow.simulation.host_lists import HostLists, MemoryFile
 from gaproute.hollow.simulation.loop import GatewayLoop, SimulatedLoop
-from gaproute.hollow.simulation.network import Network, SimulatedCarrier, SimulatedDatagrams
+from gaproute.hollow.simulation.network import SimulatedDatagrams, SimulatedNetwork, SimulatedRaftTransport
 from gaproute.simulation.disk import Disk
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
@@ -37,7 +37,7 @@
     where: str
 
 
-class Fleet:
+class SimulatedFleet:
     """`size` gateways with the parts of `makers`. `seeds`: each is configured to know so many first ones, all
     where it is None.
 
@@ -47,7 +47,7 @@
 
     def __init__(self, size, seed=1, makers=PARTS, hosts=240, files=1, seeds=None, lag=None, list_of=None):
         self.loop, self.chance, self.makers = SimulatedLoop(), Chance(seed), makers
-        self.network = Network(self.loop)
+        self.network = SimulatedNetwork(self.loop)
         self.lists = HostLists(hosts, [MemoryFile() for _ in range(files)])
         self.rows = [GatewayRow(f"gateway-{number}", self.address(number)) for number in range(size)]
         self.known = self.rows if seeds is None else self.rows[:seeds]
@@ -73,18 +73,18 @@
         """Starts a gateway, with an empty memory where it has been there before."""
         if row.name in self.gateways:
             return self.gateways[row.name]
-        surroundings = Surroundings(
+        environment = GatewayEnvironment(
             loop=GatewayLoop(self.loop, self.lag(row.name)),
             name=row.name,
             address=row.where,
             configuration=self.configurations[self.list_of(row.name)],
             seed=self.chance.below(1 << 30),
             open_datagrams=partial(SimulatedDatagrams, self.network, row.name),
-            open_carrier=partial(SimulatedCarrier, self.network),
+            open_carrier=partial(SimulatedRaftTransport, self.network),
             open_votes=self._disk,
             wall=self.wall,
         )
-        gateway = self.gateways[row.name] = HollowGateway(surroundings, self.makers)
+        gateway = self.gateways[row.name] = HollowGateway(environment, self.makers)
         gateway.start(self.known if known is None else known)
         return gateway
 
--- a/gaproute/hollow/simulation/network.py
+++ b/gaproute/hollow/simulation/network.py
@@ -17,7 +17,7 @@
 SEGMENTS = 3 * 52
 
 
-class Network:
+class SimulatedNetwork:
     """`blocked(sender, receiver)`: whether what goes between these two gateways (names) is lost."""
 
     def __init__(self, loop):
@@ -69,7 +69,7 @@
             del self.network.datagrams[self.where]
 
 
-class SimulatedCarrier:
+class SimulatedRaftTransport:
     """Has the face of `gaproute.peers.raft.RaftTransport`: one message in each exchange."""
 
     def __init__(self, network, loop, name, peers, take):
--- a/tests/hollow/test_costs.py
+++ b/tests/hollow/test_costs.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gaproute.hollow import PARTS
-from gaproute.hollow.simulation import Fleet
+from gaproute.hollow.simulation import SimulatedFleet
 
 SMALL, LARGE, SEED = 40, 120, 1
 SETTLE, COUNTED = 4, 3  # simulated seconds
@@ -22,7 +22,7 @@
     """Counts of one fleet; rates are a second, of a gateway."""
 
     def __init__(self, size):
-        self.size, fleet = size, Fleet(size, SEED, hosts=HOSTS)
+        self.size, fleet = size, SimulatedFleet(size, SEED, hosts=HOSTS)
         fleet.run(SETTLE)
         self.entries, before, sent = fleet.totals(), fleet.totals(), self.sent(fleet)
         events = fleet.loop.done
@@ -99,7 +99,7 @@
     """Of gateways with leases alone, over one renewal of each lease; the busiest leads the keepers."""
 
     def __init__(self, size):
-        fleet = Fleet(size, SEED, {"leases": PARTS["leases"]}, hosts=1)
+        fleet = SimulatedFleet(size, SEED, {"leases": PARTS["leases"]}, hosts=1)
         fleet.run(SETTLE)
         before, sent = fleet.totals(), Costs.sent(fleet)
         fleet.run(RENEWAL)
--- a/tests/hollow/test_hollow.py
+++ b/tests/hollow/test_hollow.py
@@ -3,8 +3,8 @@
 import pytest
 
 from benchmarks.scale import faults
-from gaproute.hollow import PARTS, Part
-from gaproute.hollow.simulation import Fleet
+from gaproute.hollow import PARTS, ControlPart
+from gaproute.hollow.simulation import SimulatedFleet
 from gaproute.shared.membership import MemberState, table
 from gaproute.shared.membership.invariants import check
 
@@ -17,7 +17,7 @@
 
 
 def test_a_death_among_hundreds_is_known_to_all_within_bounds():
-    fleet = Fleet(200, 1, MEMBERSHIP)
+    fleet = SimulatedFleet(200, 1, MEMBERSHIP)
     fleet.run(3)
     fleet.kill("gateway-77")
     tables = [held.members["gateway-77"] for held in members(fleet).values()]
@@ -29,7 +29,7 @@
 
 
 def test_a_newcomer_is_known_to_all_and_knows_all():
-    fleet = Fleet(120, 2, MEMBERSHIP)
+    fleet = SimulatedFleet(120, 2, MEMBERSHIP)
     fleet.run(3)
     comer = fleet.newcomer(2).parts["membership"].members
     assert fleet.until(lambda: len(comer.table.alive) == 120, 20) is not None
@@ -41,7 +41,7 @@
 
 def test_strangers_beyond_the_bound_are_refused_and_counted(monkeypatch):
     monkeypatch.setattr(table, "MAX_MEMBERS", 30)
-    fleet = Fleet(60, 3, MEMBERSHIP, seeds=4)
+    fleet = SimulatedFleet(60, 3, MEMBERSHIP, seeds=4)
     fleet.run(30)
     tables = members(fleet)
     assert max(len(held.members) for held in tables.values()) == 30
@@ -54,7 +54,7 @@
 
 
 def test_parted_regions_hold_each_other_dead_and_heal():
-    fleet = Fleet(50, 4, MEMBERSHIP)
+    fleet = SimulatedFleet(50, 4, MEMBERSHIP)
     fleet.run(3)
     region = fleet.network.region
     fleet.network.blocked = lambda sender, receiver: region(sender) != region(receiver)
@@ -75,7 +75,7 @@
     fleet.close()
 
 
-class Ticker(Part):
+class Ticker(ControlPart):
     """A further part, that counts what it is given."""
 
     def __init__(self, surroundings, parts):
@@ -96,7 +96,7 @@
 
 
 def test_a_further_part_is_plugged_in_beside_the_others():
-    fleet = Fleet(5, 1, MEMBERSHIP | {"ticker": Ticker})
+    fleet = SimulatedFleet(5, 1, MEMBERSHIP | {"ticker": Ticker})
     fleet.run(10)
     assert 5 * 9 <= fleet.totals()["ticker.messages"] <= 5 * 10
     part = fleet.gateways["gateway-3"].parts["ticker"]
