--- a/benchmarks/scale/base_rung.py
+++ b/benchmarks/scale/base_rung.py
@@ -51,7 +51,7 @@
             gc.enable()
             self.figures["run_cpu_s"] = round(time.process_time() - began, 1)
             self.figures["simulated_s"] = round(self.fleet.loop.time / SECOND, 2)
-            self.figures["events"] = self.fleet.loop.done
+            self.figures["events"] = self.fleet.loop.events_played
 
     # Time
 
@@ -69,7 +69,7 @@
             self.check()
             return holds()
 
-        return self.fleet.until(looked, LONG, step)
+        return self.fleet.run_until(looked, LONG, step)
 
     def check(self):
         """Errors: Stopped."""
--- a/benchmarks/scale/cell_faults.py
+++ b/benchmarks/scale/cell_faults.py
@@ -1,8 +1,8 @@
 """Faults in a fleet of cells, of which the first few are played in full: scenarios of `faults.py`.
 
-Figures are of the gateways in full; those that name the fleet are of all. Ways of calls are sought once a
-second by each gateway in full (`gaproute/hollow/cells/route_sampler.py`): whether an entry
-gateway is there is asked without the network, so that regions that lose each other do not show in them.
+Figures are of the gateways in full; those that name the fleet are of all. Routes of calls are sampled
+once a second by each gateway in full (`gaproute/hollow/cells/route_sampler.py`): whether an entry gateway is
+there is looked up without the network, so that regions that lose each other do not show in them.
 """
 
 from benchmarks.scale.base_rung import STEP
@@ -28,12 +28,16 @@
     COUNTED = ("membership.suspicions", "membership.refused", "demand.refused", "tables.refused")
 
     def __init__(self, size, seed, **told):
-        self.size, self.fleet, self.published = size, CellFleet(size, seed, HOSTS, FULL, **told), 0
+        self.size, self.fleet, self.published = (
+            size,
+            CellFleet(size, seed=seed, hosts=HOSTS, full_cells=FULL, **told),
+            0,
+        )
         self.fleet.run(SETTLE)
 
     def gateways(self):
         """Those in full."""
-        return {gateway.name: gateway for gateway in self.fleet.fully()}
+        return {gateway.name: gateway for gateway in self.fleet.full_gateways()}
 
     def whole(self):
         """Whether all in full hold the running gateways of their cell alive."""
@@ -50,12 +54,12 @@
         return all(
             len(decisions.hosts_by_id) == HOSTS
             for gateway in self.gateways().values()
-            for decisions in gateway.parts["hosts"].gateway.gateways()
+            for decisions in gateway.parts["hosts"].decisions.gateways()
         )
 
     def ready(self):
         """Whether all gateways in full have table and hosts."""
-        return all(gateway.parts["hosts"].ready for gateway in self.gateways().values())
+        return all(gateway.parts["hosts"].is_ready for gateway in self.gateways().values())
 
     def publish(self):
         """Changes a row; the version."""
@@ -76,7 +80,7 @@
 
     def all_hold(self, version):
         """Simulated seconds until all of the fleet hold the version."""
-        return self.fleet.until(lambda: self.fleet.all_hold(version), LONG, STEP // 5)
+        return self.fleet.run_until(lambda: self.fleet.all_have_version(version), LONG, STEP // 5)
 
     def ways(self):
         """Calls without any way, and tries at entries that were gone, so far."""
@@ -88,7 +92,7 @@
     """A thirteenth of the cells' gateways ends; a minute later all are back at once, without a table."""
     watched = WatchedCells(size, seed)
     fleet, figures = watched.fleet, {"calm_bytes_per_s": watched.bytes_per_second(CALM)}
-    lost = fleet.of_zone(LOST_ZONE)
+    lost = fleet.rows_of_zone(LOST_ZONE)
     for row in lost:
         fleet.kill(row.name)
     figures["lost_gateways"] = len(lost)
@@ -99,11 +103,11 @@
     after = watched.ways()
     figures |= {f"{name}_while_gone": after[name] - before[name] for name in after}
     for row in lost:
-        fleet.start(row, kept=False)
+        fleet.start(row, has_table=False)
     watched.healing(
         figures,
         whole_again_s=watched.whole,
-        fleet_holds_again_s=lambda: fleet.all_hold(version),
+        fleet_holds_again_s=lambda: fleet.all_have_version(version),
         ready_again_s=watched.ready,
     )
     return watched.ended(figures)
@@ -111,7 +115,7 @@
 
 def cells_parted(size, seed):
     """Five regions lose each other for ten minutes, rows change in one, and they find each other again."""
-    watched = WatchedCells(size, seed, makers=WITHOUT_DEMAND)
+    watched = WatchedCells(size, seed, part_factories=WITHOUT_DEMAND)
     fleet, figures = watched.fleet, {"calm_bytes_per_s": watched.bytes_per_second(CALM)}
     region = {row.name: fleet.network.region(row.name) for row in fleet.rows}
     fleet.network.blocked = lambda sender, receiver: region[sender] != region[receiver]
@@ -121,7 +125,9 @@
     figures["parted_fleet_share_holding"] = watched.holding(version)
     figures["parted_held_dead"] = watched.wrongly_dead()
     fleet.network.blocked = None
-    watched.healing(figures, fleet_holds_s=lambda: fleet.all_hold(version), whole_again_s=watched.whole)
+    watched.healing(
+        figures, fleet_holds_s=lambda: fleet.all_have_version(version), whole_again_s=watched.whole
+    )
     return watched.ended(figures)
 
 
@@ -154,11 +160,11 @@
 def cells_differing_lists(size, seed):
     """Half of each cell's gateways read its host list without a tenth of the hosts for a minute."""
     lists = DifferingLists()
-    watched = WatchedCells(size, seed, rows_for=lists)
+    watched = WatchedCells(size, seed, host_rows_for=lists)
     figures = {"alike_before": watched.alike(), "bytes_per_s": watched.bytes_per_second(GONE - SETTLE)}
     figures["demand_refused"] = watched.fleet.totals()["demand.refused"]
     lists.differ = False
-    figures["alike_s"] = watched.fleet.until(watched.alike, LONG)
+    figures["alike_s"] = watched.fleet.run_until(watched.alike, LONG)
     figures["held_dead"] = watched.wrongly_dead()
     return watched.ended(figures)
 
--- a/benchmarks/scale/cell_rung.py
+++ b/benchmarks/scale/cell_rung.py
@@ -34,12 +34,12 @@
 
     def made(self):
         """The fleet."""
-        return CellFleet(self.size, self.seed, self.hosts, self.full)
+        return CellFleet(self.size, seed=self.seed, hosts=self.hosts, full_cells=self.full)
 
     def measure(self):
         """Takes all figures. Errors: Stopped."""
         self.run(SETTLE)
-        self.figures["full_gateways"] = len(self.fleet.fully())
+        self.figures["full_gateways"] = len(self.fleet.full_gateways())
         self.rest()
         self.day()
         self.memory()
@@ -81,14 +81,14 @@
         """(growth of the gateways in full, growth of the others) while a span of `CALM` is played."""
         before = self.each()
         play()
-        after, full = self.each(), {gateway.name for gateway in self.fleet.fully()}
+        after, full = self.each(), {gateway.name for gateway in self.fleet.full_gateways()}
         others = [name for name in before if name not in full]
         return CellGrowth(before, after, full, CALM), CellGrowth(before, after, others, CALM)
 
     def each(self):
         """As of any rung, with the CPU time of the gateway's own calls."""
         return {
-            name: counters | {"cpu": self.fleet.gateways[name].loop.spent}
+            name: counters | {"cpu": self.fleet.gateways[name].loop.cpu_time}
             for name, counters in super().each().items()
         }
 
@@ -97,9 +97,9 @@
     def memory(self):
         """Of gateways in full, and of the process."""
         fleet = self.fleet
-        shared = (fleet, fleet.loop, fleet.network, fleet.plan, fleet.plan.host_rows, fleet.rows)
-        shared += (fleet.shared_tables, fleet.shared_candidates, fleet.kept, *fleet.configurations)
-        held = [held_bytes(gateway, shared) / MEGABYTE for gateway in fleet.fully()[:WEIGHED]]
+        shared = (fleet, fleet.loop, fleet.network, fleet.plan, fleet.rows)
+        shared += (fleet.shared_tables, fleet.shared_candidates, fleet.initial_table, *fleet.configurations)
+        held = [held_bytes(gateway, shared) / MEGABYTE for gateway in fleet.full_gateways()[:WEIGHED]]
         self.figures["memory_mb"], self.figures["memory_most_mb"] = sum(held) / len(held), max(held)
         self.figures["resident_mb"] = self.resident()
 
@@ -112,13 +112,13 @@
     def change(self):
         """A row changes."""
         version = self.publish()
-        self.figures["change_known_s"] = self.until(lambda: self.fleet.all_hold(version), FINE)
+        self.figures["change_known_s"] = self.until(lambda: self.fleet.all_have_version(version), FINE)
 
     def death(self):
         """A gateway ends: seconds until its cell holds it dead."""
         name = self.fleet.plan.gateways(KNOWN_CELL)[KNOWN_PLACE].name
         self.fleet.kill(name)
-        cell = [gateway.parts["membership"].members for gateway in self.fleet.of_cell(KNOWN_CELL)]
+        cell = [gateway.parts["membership"].membership for gateway in self.fleet.gateways_of_cell(KNOWN_CELL)]
         self.figures["death_known_s"] = self.until(
             lambda: all(held.members[name].state >= MemberState.DEAD for held in cell)
         )
@@ -126,13 +126,13 @@
     def newcomer(self):
         """One that nobody configured, without a table, starts: seconds until it has the table and the hosts
         that it wants, and until its cell knows it."""
-        comer = self.fleet.newcomer(SEEDS)
-        cell = [gateway.parts["membership"].members for gateway in self.fleet.of_cell(0)]
-        others = [held for held in cell if held is not comer.parts["membership"].members]
+        comer = self.fleet.start_newcomer(SEEDS)
+        cell = [gateway.parts["membership"].membership for gateway in self.fleet.gateways_of_cell(0)]
+        others = [held for held in cell if held is not comer.parts["membership"].membership]
         tables, hosts, began = comer.parts["tables"], comer.parts["hosts"], self.fleet.loop.time
         for figure, holds in (
-            ("newcomer_table_s", lambda: tables.carrier.table() is not None),
-            ("newcomer_hosts_s", lambda: hosts.ready),
+            ("newcomer_table_s", lambda: tables.transport.table() is not None),
+            ("newcomer_hosts_s", lambda: hosts.is_ready),
             ("newcomer_known_s", lambda: all(comer.name in held.members for held in others)),
         ):
             reached = self.until(holds)
--- a/benchmarks/scale/cell_work.py
+++ b/benchmarks/scale/cell_work.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.measurement import LADDERS
 from benchmarks.scale.size import CHANGES_A_SECOND
 from gaproute.hollow.cells import CellFleet
-from gaproute.hollow.cells.fleet import MeteredLoop
+from gaproute.hollow.cells.metered_loop import MeteredLoop
 from gaproute.hollow.cells.plan import HOSTS
 
 FILE = "cells-work.json"
@@ -31,9 +31,9 @@
         super().__init__(shared, lag)
         self.calls, self.counting = 0, False
 
-    def _metered(self, call, args):
+    def _measure(self, call, args):
         if not self.counting:
-            super()._metered(call, args)
+            super()._measure(call, args)
             return
         sys.setprofile(self._count)
         try:
@@ -61,9 +61,9 @@
     gc.collect()
     gc.disable()
     try:
-        fleet = CellFleet(int(size), seed, hosts, FULL, make_loop=CountingLoop)
+        fleet = CellFleet(int(size), seed=seed, hosts=hosts, full_cells=FULL, make_loop=CountingLoop)
         fleet.run(SETTLE)
-        loops = [gateway.loop for gateway in fleet.fully()]
+        loops = [gateway.loop for gateway in fleet.full_gateways()]
         for loop in loops[::2]:
             loop.counting = True
         rest_cpu, rest_calls = span(fleet, loops, lambda number: None)
@@ -78,11 +78,11 @@
 
 def span(fleet, loops, change):
     """Plays some changes, a day's time between two apart: CPU in ms and calls of a gateway in a second."""
-    spent, calls = sum(loop.spent for loop in loops), sum(loop.calls for loop in loops)
+    spent, calls = sum(loop.cpu_time for loop in loops), sum(loop.calls for loop in loops)
     for number in range(CHANGES):
         change(number)
         fleet.run(1 / CHANGES_A_SECOND)
-    spent, calls = sum(loop.spent for loop in loops) - spent, sum(loop.calls for loop in loops) - calls
+    spent, calls = sum(loop.cpu_time for loop in loops) - spent, sum(loop.calls for loop in loops) - calls
     seconds, counted = CHANGES / CHANGES_A_SECOND, len(loops[::2])
     return spent / MILLI / seconds / (len(loops) - counted), calls / seconds / counted
 
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -3,7 +3,7 @@
 from collections import Counter, deque
 from random import Random
 
-from benchmarks.fleet.clock import MILLI, SECOND, Clock
+from benchmarks.fleet.clock import MILLI, SECOND, EventClock
 from benchmarks.scale.cells.fleet import place, region_of
 from benchmarks.scale.cells.hosts import Host
 from benchmarks.scale.cells.node import Node
@@ -36,7 +36,7 @@
     def __init__(self, shape, table, numbers, keep_alive, seed=1, checking=False):
         self.shape, self.table, self.keep_alive, self.checking = shape, table, keep_alive, checking
         self.regions = {f"zone{zone}": region_of(zone, shape) for zone in range(shape.zones)}
-        self.clock, self.counts, self.by_second = Clock(), Counter(), {}
+        self.clock, self.counts, self.by_second = EventClock(), Counter(), {}
         self.ran = {}  # a client's call that must not run twice: how often it ran
         self.random, self.loss = Random(seed), 0.0  # share of messages that are lost, each way
         self.waits, self.breaches, self.cut = deque(maxlen=1_000_000), [], set()  # cut: (zone, zone)
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -42,15 +42,15 @@
     lost = [row for number, row in enumerate(fleet.rows) if number % ZONES == LOST_ZONE]
     for row in lost:
         fleet.kill(row.name)
-    hosts = [host for number, host in enumerate(fleet.lists.states) if number % ZONES == LOST_ZONE]
+    hosts = [host for number, host in enumerate(fleet.host_lists.states) if number % ZONES == LOST_ZONE]
     watched.hosts_are(hosts, "gone")
     figures["lost_gateways"], figures["lost_hosts"] = len(lost), len(hosts)
     began = watched.now
-    figures["deaths_known_s"] = fleet.until(lambda: watched.all_dead([row.name for row in lost]), LONG)
+    figures["deaths_known_s"] = fleet.run_until(lambda: watched.all_dead([row.name for row in lost]), LONG)
     figures["leases_held_share"] = watched.leases_held()
     fleet.run(max(0, 60 - (watched.now - began)))
     for host in hosts:
-        fleet.lists.starts[host] = 2
+        fleet.host_lists.starts[host] = 2
     watched.hosts_are(hosts, "active")
     for row in lost:
         fleet.start(row)
@@ -99,7 +99,7 @@
     figures["restarts"] = count
     figures["bytes_per_s"] = (sum(watched.sent().values()) - before) / DAY / size
     figures["least_leases_held_share"] = min(held)
-    figures["whole_again_s"] = fleet.until(watched.whole, LONG)
+    figures["whole_again_s"] = fleet.run_until(watched.whole, LONG)
     figures["leases_held_share_after"] = watched.leases_held()
     return watched.ended(figures)
 
@@ -119,19 +119,19 @@
 
 def late_source(size, seed):
     """Half of the gateways read a source that answers 30 s late when a tenth of the hosts begins to drain."""
-    watched = Watched(size, seed, files=2, list_of=half)
+    watched = Watched(size, seed, files=2, host_list_of=half)
     fleet, figures = watched.fleet, {}
     fleet.run(SETTLE)
     figures["calm_bytes_per_s"] = watched.bytes_per_second(CALM)
-    hosts = list(fleet.lists.states)[::10]
+    hosts = list(fleet.host_lists.states)[::10]
     began = watched.now
     watched.hosts_are(hosts, "draining", [0])
     punctual = [gateway for gateway in fleet.gateways.values() if not half(gateway.name)]
-    figures["punctual_know_s"] = fleet.until(lambda: know(punctual, hosts), LONG)
+    figures["punctual_know_s"] = fleet.run_until(lambda: know(punctual, hosts), LONG)
     fleet.run(LATE - CALM - (watched.now - began))
     figures["late_bytes_per_s"] = watched.bytes_per_second(CALM)
-    fleet.lists.publish([1])
-    all_know = fleet.until(lambda: know(fleet.gateways.values(), hosts), LONG)
+    fleet.host_lists.publish([1])
+    all_know = fleet.run_until(lambda: know(fleet.gateways.values(), hosts), LONG)
     figures["all_know_s"] = watched.since(began, all_know)
     figures["held_dead"] = watched.wrongly_dead()
     return watched.ended(figures)
@@ -139,9 +139,9 @@
 
 def differing_lists(size, seed):
     """Half of the gateways read a list without a tenth of the hosts for a minute; then all read the same."""
-    watched = Watched(size, seed, files=2, list_of=half)
+    watched = Watched(size, seed, files=2, host_list_of=half)
     fleet, figures = watched.fleet, {}
-    hosts = list(fleet.lists.states)[::10]
+    hosts = list(fleet.host_lists.states)[::10]
     watched.hosts_are(hosts, "gone", [1])
     fleet.run(SETTLE)
     figures["bytes_per_s"] = watched.bytes_per_second(40)
@@ -149,7 +149,7 @@
     figures["host_entries"] = totals["hosts.entries"] / size
     figures["demand_refused"] = totals["demand.refused"]
     watched.hosts_are(hosts, "active")
-    figures["alike_s"] = fleet.until(watched.alike, LONG)
+    figures["alike_s"] = fleet.run_until(watched.alike, LONG)
     figures["host_entries_after"] = fleet.totals()["hosts.entries"] / size
     figures["held_dead"] = watched.wrongly_dead()
     return watched.ended(figures)
@@ -158,9 +158,9 @@
 def strangers_beyond_bound(size, seed):
     """`size` more gateways than membership has room for ping one that does not know them; then another
     gateway starts that knows only that one."""
-    fleet, figures = SimulatedFleet(1, seed, {"membership": PARTS["membership"]}), {}
+    fleet, figures = SimulatedFleet(1, seed=seed, part_factories={"membership": PARTS["membership"]}), {}
     fleet.run(SETTLE)
-    held = fleet.gateways["gateway-0"].parts["membership"].members
+    held = fleet.gateways["gateway-0"].parts["membership"].membership
     heard, senders = [], MAX_MEMBERS + size
     for number in range(1, senders + 1):
         row = GatewayRow(f"gateway-{number}", fleet.address(number))
@@ -175,7 +175,7 @@
     figures["answered"] = sum(decode(data).kind == MessageKind.ACK for data in heard)
     figures["members_held"], figures["refused"] = len(held.members), held.rejected
     row = GatewayRow(f"gateway-{senders + 1}", fleet.address(senders + 1))
-    late = fleet.start(row, fleet.rows).parts["membership"].members
+    late = fleet.start(row, fleet.rows).parts["membership"].membership
     fleet.run(30)
     figures["newcomer_is_held"] = row.name in held.members
     figures["newcomer_counts_up"] = late.live_count()
--- a/benchmarks/scale/plain_rung.py
+++ b/benchmarks/scale/plain_rung.py
@@ -29,7 +29,12 @@
 
     def made(self):
         """The fleet."""
-        return SimulatedFleet(self.size, self.seed, {name: PARTS[name] for name in self.parts}, self.hosts)
+        return SimulatedFleet(
+            self.size,
+            seed=self.seed,
+            part_factories={name: PARTS[name] for name in self.parts},
+            hosts=self.hosts,
+        )
 
     def measure(self):
         """Takes all figures. Errors: Stopped."""
@@ -70,8 +75,8 @@
     def change(self):
         """One host begins to drain: seconds until all decisions know."""
         host = "host-00007"
-        self.fleet.lists.states[host] = "draining"
-        self.fleet.lists.publish()
+        self.fleet.host_lists.states[host] = "draining"
+        self.fleet.host_lists.publish()
         gateways = self.fleet.gateways.values()
         self.figures["change_known_s"] = self.until(
             lambda: all(each.parts["hosts"].rows[host].state is State.DRAINING for each in gateways)
@@ -80,7 +85,7 @@
     def tables(self, but):
         """The tables of members of all gateways but one."""
         return [
-            gateway.parts["membership"].members
+            gateway.parts["membership"].membership
             for name, gateway in self.fleet.gateways.items()
             if name != but
         ]
@@ -90,7 +95,7 @@
         row = self.fleet.rows[self.size // 3]
         self.fleet.kill(row.name)
         started = self.fleet.start(row)
-        life, others = started.parts["membership"].members.incarnation, self.tables(row.name)
+        life, others = started.parts["membership"].membership.incarnation, self.tables(row.name)
         self.figures["restart_known_s"] = self.until(
             lambda: all(
                 (member := table.members.get(row.name)) is not None and member.incarnation >= life
@@ -117,8 +122,8 @@
         """One that nobody configured, and that knows few, starts: seconds until it knows nearly all, seconds
         until all know it; and the share that does at the end."""
         began = self.fleet.loop.time
-        comer = self.fleet.newcomer(SEEDS)
-        own, others = comer.parts["membership"].members, self.tables(comer.name)
+        comer = self.fleet.start_newcomer(SEEDS)
+        own, others = comer.parts["membership"].membership, self.tables(comer.name)
         knows = self.until(lambda: len(own.table.alive) >= 0.99 * (self.size - 2))
         self.figures["newcomer_knows_s"] = knows
         self.until(lambda: all(comer.name in table.members for table in others))
--- a/benchmarks/scale/watched.py
+++ b/benchmarks/scale/watched.py
@@ -18,8 +18,11 @@
 
     COUNTED = ("membership.suspicions", "membership.refused", "demand.refused", "leases.ended")
 
-    def __init__(self, size, seed, makers=PARTS, **told):
-        self.size, self.fleet = size, SimulatedFleet(size, seed, makers, HOSTS, **told)
+    def __init__(self, size, seed, part_factories=PARTS, **told):
+        self.size, self.fleet = (
+            size,
+            SimulatedFleet(size, seed=seed, part_factories=part_factories, hosts=HOSTS, **told),
+        )
 
     def gateways(self):
         """Those whose costs and members are looked at, by name."""
@@ -36,7 +39,7 @@
 
     def members(self):
         """{name: the gateway's membership}"""
-        return {name: gateway.parts["membership"].members for name, gateway in self.gateways().items()}
+        return {name: gateway.parts["membership"].membership for name, gateway in self.gateways().items()}
 
     def healing(self, figures, **conditions):
         """Plays until all conditions hold. The seconds until each, and the first bytes, become figures."""
@@ -60,7 +63,7 @@
 
     def sent(self):
         """{name: bytes sent by all parts}, of gateways that run; what has ended counts under its own name."""
-        found = {"": sum(value for name, value in self.fleet.gone.items() if name.endswith(".bytes"))}
+        found = {"": sum(value for name, value in self.fleet.ended_totals.items() if name.endswith(".bytes"))}
         for name, gateway in self.gateways().items():
             found[name] = sum(counters.get("bytes", 0) for counters in gateway.counters().values())
         return found
@@ -85,7 +88,7 @@
     def leases_held(self):
         """The share of the gateways that run whose lease stands."""
         gateways = self.fleet.gateways.values()
-        return round(sum(gateway.parts["leases"].held for gateway in gateways) / len(gateways), 4)
+        return round(sum(gateway.parts["leases"].is_held for gateway in gateways) / len(gateways), 4)
 
     def all_leases(self):
         """Whether the lease of each gateway that runs stands."""
@@ -124,12 +127,12 @@
     def hosts_are(self, hosts, state, files=None):
         """The list tells so from now on, in these files or in all."""
         for host in hosts:
-            self.fleet.lists.states[host] = state
-        self.fleet.lists.publish(files)
+            self.fleet.host_lists.states[host] = state
+        self.fleet.host_lists.publish(files)
 
     def alike(self):
         """Whether all gateways hold the whole list."""
-        wanted = sum(state != "gone" for state in self.fleet.lists.states.values())
+        wanted = sum(state != "gone" for state in self.fleet.host_lists.states.values())
         return all(len(gateway.parts["hosts"].rows) == wanted for gateway in self.fleet.gateways.values())
 
     def ended(self, figures):
--- a/gaproute/hollow/__init__.py
+++ b/gaproute/hollow/__init__.py
@@ -1,10 +1,11 @@
-"""Hollow gateways: the product's own control parts without clients or attempts, many in one process.
+"""Hollow gateways: the control parts of a gateway without clients and requests, many in one process.
 
-`HollowGateway` wires parts (`parts.ControlPart`) on a loop; `simulation` has a loop, a network and a fleet for
-runs on a simulated clock.
+`HollowGateway` wires parts (`ControlPart`) on a loop. `simulation` has a loop, a network and a fleet on a
+simulated clock; `process` runs gateways on real sockets.
 """
 
+from gaproute.hollow.environment import GatewayEnvironment
 from gaproute.hollow.gateway import PARTS, HollowGateway
-from gaproute.hollow.parts import ControlPart, GatewayEnvironment
+from gaproute.hollow.parts import ControlPart
 
-__all__ = ["PARTS", "HollowGateway", "ControlPart", "GatewayEnvironment"]
+__all__ = ["PARTS", "ControlPart", "GatewayEnvironment", "HollowGateway"]
--- a/gaproute/hollow/cells/__init__.py
+++ b/gaproute/hollow/cells/__init__.py
@@ -1,8 +1,8 @@
-"""Hollow gateways that go by cells: the table's carrier, the decisions by cells, gossip within the own cell.
+"""Hollow gateways in a fleet of cells: the cell table, decisions by cells, gossip within the own cell.
 
-`CellFleet` plays many on the simulated clock. `CELL_PARTS` are the parts of a gateway that is played in full;
-one of `TABLE_PARTS` has the table's carrier alone, on a fixed list of its cell's members, and stands for the
-rest of a fleet that memory or time do not allow to be played in full.
+`CellFleet` plays many on the simulated clock. A gateway of `CELL_PARTS` is played in full. One of
+`TABLE_PARTS` only carries the cell table, with a fixed list of its cell's members; such gateways stand for
+the part of a large fleet that memory and time do not allow to be played in full.
 """
 
 from gaproute.hollow.cells.fleet import CellFleet
--- a/gaproute/hollow/cells/environment.py
+++ b/gaproute/hollow/cells/environment.py
@@ -1,32 +1,38 @@
-"""What a gateway of a fleet of cells stands on beside what every hollow gateway does."""
+"""What the parts of a gateway in a fleet of cells are made with, beside what every hollow gateway has."""
 
-from collections.abc import Callable
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from typing import Any
 
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.hollow.parts import GatewayEnvironment
+from gaproute.decisions.cells.table import EntryGateway
+from gaproute.hollow.cells.shared_tables import SharedCandidates, SharedCellTables
+from gaproute.hollow.environment import GatewayEnvironment
+from gaproute.interface import ListedHost
 from gaproute.shared.dissemination import Peer
 from gaproute.storage.cell_table_file import StoredTable
 
 
 @dataclass(kw_only=True)
 class CellGatewayEnvironment(GatewayEnvironment):
-    """`seeds`: configured peers outside the own cell; `kept`: the table on the gateway's disk, None for none.
+    """The surroundings of a gateway in a fleet of cells.
 
-    `open_giver(address)` and `open_puller(loop, name)` make what answers and what asks for whole tables;
-    `host_rows(cell)` tells a cell's host list; `reach(entry, cell)`: whether that entry gateway is there and
-    knows the cell; `shared_tables`, `shared_candidates`: tables, and the peers that they name, by version and
-    digest for those that share them.
+    `seeds` are configured peers outside the own cell. `stored_table` is the table on the gateway's disk, None
+    for none. `open_pull_server(address)` and `open_pull_client(loop, name)` make what answers pulls of tables
+    and what pulls. `host_rows(cell)` returns a cell's host list. `is_entry_reachable(entry, cell)` says
+    whether the entry gateway runs and knows the cell. Gateways of a process share tables and the peers that
+    they name.
     """
 
-    place: GatewayLocation
+    location: GatewayLocation
     fleet_name: str
     seeds: tuple[Peer, ...]
-    kept: StoredTable | None
-    open_giver: Callable
-    open_puller: Callable
-    host_rows: Callable
-    reach: Callable
-    shared_tables: dict[Any, Any]
-    shared_candidates: dict[Any, Any]
+    stored_table: StoredTable | None
+    open_pull_server: Callable[[str], Any]
+    open_pull_client: Callable[[Any, str], Any]
+    host_rows: Callable[[str], Sequence[ListedHost]]
+    is_entry_reachable: Callable[[EntryGateway, str], bool]
+    shared_tables: SharedCellTables
+    shared_candidates: SharedCandidates
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -1,88 +1,135 @@
-"""Pulls of tables on the simulated network, answered by the product's own handler.
+"""Pulls of cell tables on the simulated network, answered by the product's own handler.
 
 Sizes: a pull is a request with its HTTP head, an answer, and TCP segments with 52 bytes of headers each: two
 that open the connection, two that end it, and one for each 1,448 bytes.
 """
 
-from types import SimpleNamespace
+from __future__ import annotations
 
+from collections.abc import Sequence
+from typing import Any, NamedTuple, Protocol
+
+from gaproute.hollow.simulation import GatewayLoop
+from gaproute.peers.peer_server import Route
 from gaproute.peers.tables import wire
-from gaproute.peers.tables.pull_exchange import TARGET
+from gaproute.peers.tables.pull_exchange import TARGET, Answer, AnswerCallback
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
+from gaproute.shared.dissemination.messages import Pull
 
-HEADERS, SEGMENT = 52, 1_448  # bytes of a TCP segment
+SEGMENT_HEADERS, SEGMENT = 52, 1_448  # bytes of a TCP segment
 HTTP_REQUEST = 90  # bytes of the head
 HTTP_ANSWER = 110
-CONNECTION = 4  # segments beside those with data, half of them of each side
-GOOD = 200
+CONNECTION_SEGMENTS = 4  # beside those with data, half of them of each side
+OK, NOT_FOUND = 200, 404
+TRIPS_OF_REQUEST = 3  # one way each: two for the connection to stand, one for the request
+
+
+def transferred(size: int) -> int:
+    """Bytes that one side of an exchange sends, with headers, for a message of so many bytes."""
+    segments = -(-size // SEGMENT) + CONNECTION_SEGMENTS // 2
+    return size + segments * SEGMENT_HEADERS
+
+
+class PullNetwork(Protocol):
+    """What pulls need of the network; `pull_servers` are by their address."""
+
+    pull_servers: dict[str, SimulatedPullServer]
+
+    def delay_between(self, one: str, other: str) -> int:
+        """Ns one way between two gateways, by name."""
+
+    def is_partitioned(self, one: str, other: str) -> bool:
+        """Whether nothing gets from one gateway to the other and back."""
+
 
+class PullRequest(NamedTuple):
+    """A request as the product's handler reads it."""
 
-def transferred(size):
-    """Bytes of one side of an exchange, with headers."""
-    segments = -(-size // SEGMENT) + CONNECTION // 2
-    return size + segments * HEADERS
+    method: bytes
+    body: bytes
+
+
+class HttpAnswer(NamedTuple):
+    """The status and the body of an answer."""
+
+    status: int
+    body: bytes
 
 
 class SimulatedPullServer:
-    """Has what the table's carrier needs of `gaproute.peers.PeerServer`; stands in the network's `givers`."""
+    """Stands in for `gaproute.peers.PeerServer` towards the transport of the cell table.
 
-    def __init__(self, network, name, address):
-        self.network, self.name, self.address, self.routes = network, name, address, {}
+    `answers` and `bytes` (with headers) count what it has sent.
+    """
+
+    def __init__(self, network: PullNetwork, name: str, address: str) -> None:
+        self.name = name
+        self.routes: dict[bytes, Route] = {}
         self.answers = self.bytes = 0
-        network.givers[address] = self
-
-    def ask(self, body):
-        """The answer's status and body."""
-        handle = self.routes.get(TARGET)
-        if handle is None:
-            return 404, b""
-        handle(self, SimpleNamespace(method=b"POST", body=body))
-        status, data = self.answered
+        self._network, self._address = network, address
+        self._answer = HttpAnswer(NOT_FOUND, b"")
+        network.pull_servers[address] = self
+
+    def handle(self, body: bytes) -> HttpAnswer:
+        """The answer to a pull."""
+        handler = self.routes.get(TARGET)
+        if handler is None:
+            return HttpAnswer(NOT_FOUND, b"")
+        handler(self, PullRequest(b"POST", body))
         self.answers += 1
-        self.bytes += transferred(HTTP_ANSWER + len(data))
-        return status, data
+        self.bytes += transferred(HTTP_ANSWER + len(self._answer.body))
+        return self._answer
 
-    def answer(self, request, status, headers, body):
-        """Called by the handler."""
-        self.answered = status, body
+    def answer(self, request: PullRequest, status: int, headers: Sequence[Any], body: bytes) -> None:
+        """Called by the handler with its answer."""
+        self._answer = HttpAnswer(status, body)
 
-    def close(self):
-        """Answers nobody any more."""
-        if self.network.givers.get(self.address) is self:
-            del self.network.givers[self.address]
+    def close(self) -> None:
+        """Answer no more."""
+        if self._network.pull_servers.get(self._address) is self:
+            del self._network.pull_servers[self._address]
 
 
 class SimulatedPullClient:
-    """Has the face of `gaproute.peers.tables.pull_exchange.PullClient`."""
+    """Stands in for `gaproute.peers.tables.pull_exchange.PullClient`.
+
+    `pulls` and `bytes` (with headers) count what it has sent.
+    """
 
-    def __init__(self, network, loop, name):
-        self.network, self.loop, self.name = network, loop, name
-        self.question = 0  # that is open; a later one drops it
+    def __init__(self, network: PullNetwork, loop: GatewayLoop, name: str) -> None:
+        self._network, self._loop, self._name = network, loop, name
+        self._current = 0  # the number of the pull that is open; an answer to an earlier one is dropped
         self.pulls = self.bytes = 0
 
-    def ask(self, where, pull, done):
-        """`done(answer)` once, None where none came; a dropped question calls nothing."""
+    def ask(self, where: str, pull: Pull, done: AnswerCallback) -> None:
+        """Pull from the gateway with that address, and drop the pull before.
+
+        `done(answer)` is called once, with None where none came; for a dropped pull it is not called.
+        """
         self.drop()
-        question, body = self.question, wire.encode_pull(pull)
+        body = wire.encode_pull(pull)
         self.pulls += 1
         self.bytes += transferred(HTTP_REQUEST + len(body))
-        giver = self.network.givers.get(where)
-        if giver is None or self.network.parted(self.name, giver.name):
-            self.loop.after(EXCHANGE_TIME, self._over, question, None, done)
+        server = self._network.pull_servers.get(where)
+        if server is None or self._network.is_partitioned(self._name, server.name):
+            self._loop.after(EXCHANGE_TIME, self._finish, self._current, None, done)
             return
-        way = self.network.way(self.name, giver.name)
-        self.loop.after(3 * way, self._arrived, question, giver, body, way, done)
-
-    def _arrived(self, question, giver, body, way, done):
-        status, data = giver.ask(body)
-        answer = wire.decode_answer(data) if status == GOOD else None
-        self.loop.after(way, self._over, question, answer, done)
-
-    def _over(self, question, answer, done):
-        if question == self.question:
+        delay = self._network.delay_between(self._name, server.name)
+        arrival = TRIPS_OF_REQUEST * delay
+        self._loop.after(arrival, self._arrived, self._current, server, body, delay, done)
+
+    def drop(self) -> None:
+        """End the pull that is open."""
+        self._current += 1
+
+    def _arrived(
+        self, number: int, server: SimulatedPullServer, body: bytes, delay: int, done: AnswerCallback
+    ) -> None:
+        answer = server.handle(body)
+        decoded = wire.decode_answer(answer.body) if answer.status == OK else None
+        self._loop.after(delay, self._finish, number, decoded, done)
+
+    def _finish(self, number: int, answer: Answer | None, done: AnswerCallback) -> None:
+        if number == self._current:
             self.drop()
             done(answer)
-
-    def drop(self):
-        """Ends the question that is open."""
-        self.question += 1
--- a/gaproute/hollow/cells/shared_tables.py
+++ b/gaproute/hollow/cells/shared_tables.py
@@ -1,56 +1,68 @@
-"""What gateways of a process share of tables, which never change: the tables, and the peers they name."""
+"""Cell tables, and the peers that they name, shared by the gateways of one process: neither ever changes."""
+
+from __future__ import annotations
 
 from dataclasses import replace
+from typing import Any
 
+from gaproute.decisions.cells.change import TableHolder
+from gaproute.decisions.cells.table import CellTable, Version
 from gaproute.peers.tables import CellTableTransport
 from gaproute.peers.tables.document import TableDocument
+from gaproute.shared.dissemination import Change, Peer
 from gaproute.shared.dissemination.cell_peers import candidates
+from gaproute.shared.dissemination.partial_view import Candidates
+
+TableKey = tuple[Version, int]  # version and digest
+SharedCellTables = dict[TableKey, CellTable]
+SharedCandidates = dict[TableKey, Candidates]
 
 
 class SharedTableDocument(TableDocument):
-    """`tables`: {(version, digest): table}, of those that any gateway has read and checked."""
+    """`tables`: those that any gateway of the process has read and checked."""
 
-    def __init__(self, holder, tables):
+    def __init__(self, holder: TableHolder, tables: SharedCellTables) -> None:
         super().__init__(holder)
-        self.tables = tables
+        self._tables = tables
 
-    def apply(self, change):
-        """Takes a change. Errors: DocumentError."""
-        known = self.tables.get((change.version, change.digest))
+    def apply(self, change: Change) -> None:
+        """Take a change. Errors: DocumentError."""
+        known = self._tables.get((change.version, change.digest))
         if known is None or change.base != self.version:
             super().apply(change)
-            self._note()
+            self._share()
         else:
             self._take(known, change.digest, change.digest)
 
-    def replace(self, version, digest, data):
-        """Takes a whole table. Errors: DocumentError."""
-        known = self.tables.get((version, digest))
+    def replace(self, version: Version, digest: int, data: bytes) -> None:
+        """Take a whole table. Errors: DocumentError."""
+        known = self._tables.get((version, digest))
         if known is None or version <= self.version:
             super().replace(version, digest, data)
-            self._note()
+            self._share()
         else:
             self._take(known, digest, digest)
 
-    def _note(self):
-        self.tables[self.version, self.digest] = self.holder.table
+    def _share(self) -> None:
+        assert self.holder.table is not None
+        self._tables[self.version, self.digest] = self.holder.table
 
 
 class SharedCellTableTransport(CellTableTransport):
-    """`named`: {(version, digest): candidates that the table names}, of all gateways that share them."""
+    """`shared_candidates`: the candidates that each table names, for all gateways of the process."""
 
-    def __init__(self, named, *environment):
-        super().__init__(*environment)
-        self.named = named
+    def __init__(self, shared_candidates: SharedCandidates, *arguments: Any) -> None:
+        super().__init__(*arguments)
+        self._shared_candidates = shared_candidates
 
-    def candidates(self, near):
+    def candidates(self, near: tuple[Peer, ...]) -> Candidates:
         """As of `CellTableTransport`."""
         table, document = self.holder.table, self.disseminator.document
         if table is None or self.cell:
             return super().candidates(near)
         key = document.version, document.digest
-        if key not in self.named:
-            self.named[key] = candidates(table, self.cell, (), ())
-        named = self.named[key]
+        if key not in self._shared_candidates:
+            self._shared_candidates[key] = candidates(table, self.cell, (), ())
+        named = self._shared_candidates[key]
         gateways = max(1, len(near)) * named.gateways
         return replace(named, neighbours=near, configured=self.configured, gateways=gateways)
--- a/gaproute/hollow/cells/static_membership.py
+++ b/gaproute/hollow/cells/static_membership.py
@@ -1,63 +1,83 @@
-"""A membership that knows its members from the start and carries other parts' datagrams alone."""
+"""A membership of fixed members, which carries the payloads of other parts and nothing of its own."""
 
-from types import SimpleNamespace
+from __future__ import annotations
 
-from gaproute.hollow.parts import DATAGRAM_HEADERS, ControlPart
-from gaproute.peers.membership_wire import Payload, decode_datagram, encode_payload
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+
+from gaproute.hollow.environment import GatewayEnvironment
+from gaproute.hollow.parts import DATAGRAM_HEADERS, ConfiguredGateway, ControlPart, Parts
+from gaproute.peers.membership import PayloadHandler
+from gaproute.peers.membership_wire import Payload, PayloadKind, decode_datagram, encode_payload
 from gaproute.shared.membership import MemberState, MemberUpdate
 
 
+@dataclass
+class StaticMemberTable:
+    """Stands in for the member table: the members that are up, by name."""
+
+    alive: Mapping[str, MemberUpdate] = field(default_factory=dict)
+
+
+@dataclass
+class StaticMembership:
+    """Stands in for the decisions of a membership: all members by name, all of them up."""
+
+    members: Mapping[str, MemberUpdate] = field(default_factory=dict)
+    table: StaticMemberTable = field(default_factory=StaticMemberTable)
+
+
 class StaticMembershipTransport:
-    """Has the face of `gaproute.peers.MembershipTransport` towards the parts that it carries."""
+    """Stands in for `gaproute.peers.MembershipTransport` towards the parts whose payloads it carries."""
 
-    def __init__(self, environment):
-        self.name, self.handlers = environment.name, {}
-        self.membership = SimpleNamespace(members={}, table=SimpleNamespace(alive={}))
-        self.datagrams = environment.open_datagrams(environment.loop, environment.address, self._heard)
+    def __init__(self, environment: GatewayEnvironment) -> None:
+        self._name = environment.name
+        self._handlers: dict[PayloadKind, PayloadHandler] = {}
+        self._datagrams = environment.open_datagrams(environment.loop, environment.address, self._received)
 
-    def register(self, kind, heard):
-        """`heard(sender's name, data)` for each datagram of that kind."""
-        self.handlers[kind] = heard
+    def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
+        """The handler gets the sender's name and the data of each payload of that kind."""
+        self._handlers[kind] = handler
 
-    def unregister(self, kind):
-        """Datagrams of that kind are passed over again."""
-        self.handlers.pop(kind, None)
+    def unregister(self, kind: PayloadKind) -> None:
+        """Payloads of that kind are passed over again."""
+        self._handlers.pop(kind, None)
 
-    def send_payload(self, where, kind, data):
-        """Sends one datagram and returns its bytes."""
-        encoded = encode_payload(kind, self.name, data)
-        self.datagrams.send(encoded, where)
-        return len(encoded)
+    def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> int:
+        """Send a payload; the bytes of its datagram."""
+        datagram = encode_payload(kind, self._name, data)
+        self._datagrams.send(datagram, address)
+        return len(datagram)
 
-    def _heard(self, data):
-        message = decode_datagram(data)
-        if isinstance(message, Payload) and message.kind in self.handlers:
-            self.handlers[message.kind](message.sender, message.data)
+    def close(self) -> None:
+        """Close the socket."""
+        self._datagrams.close()
 
+    def _received(self, datagram: bytes) -> None:
+        message = decode_datagram(datagram)
+        if isinstance(message, Payload) and message.kind in self._handlers:
+            self._handlers[message.kind](message.sender, message.data)
 
-class StaticMembershipPart(ControlPart):
-    """In place of `Membership`: the configured gateways are its members, all up."""
 
-    def __init__(self, environment, parts):
-        self.gossip = StaticMembershipTransport(environment)
+class StaticMembershipPart(ControlPart):
+    """In place of `MembershipPart`: the configured gateways are the members, all up."""
 
-    @property
-    def members(self):
-        """As of the membership's decisions: `members` by name, those up in `table.alive`."""
-        return self.gossip.membership
+    def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
+        self.transport = StaticMembershipTransport(environment)
+        self.membership = StaticMembership()
 
-    def post(self, where, kind, data):
-        """Sends another part's datagram and returns its bytes with headers."""
-        return self.gossip.send_payload(where, kind, data) + DATAGRAM_HEADERS
+    def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> int:
+        """Send another part's payload; its bytes with headers."""
+        return self.transport.send_payload(address, kind, data) + DATAGRAM_HEADERS
 
-    def listed(self, gateways):
+    def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
         """These are the members."""
-        self.members.members = {
+        members = {
             gateway.name: MemberUpdate(gateway.name, gateway.where, MemberState.ALIVE, 0)
             for gateway in gateways
         }
-        self.members.table.alive = self.members.members
+        self.membership.members = self.membership.table.alive = members
 
-    def close(self):
-        """Closes the socket."""
-        self.gossip.datagrams.close()
+    def close(self) -> None:
+        """Close the socket."""
+        self.transport.close()
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -1,90 +1,84 @@
-"""The cell table's carrier as a part: the product's class, on the membership's datagrams and on pulls."""
+"""The cell table as a part: the product's transport, on the membership's datagrams and on pulls."""
+
+from __future__ import annotations
+
+from typing import Any
 
 from gaproute.decisions.cells.table import Version
+from gaproute.hollow.cells.environment import CellGatewayEnvironment
 from gaproute.hollow.cells.shared_tables import SharedCellTableTransport, SharedTableDocument
-from gaproute.hollow.demand_gossip import CountingTransport
-from gaproute.hollow.parts import ControlPart
+from gaproute.hollow.counting_transport import CountingTransport
+from gaproute.hollow.environment import RandomStream
+from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Disseminator
 
 
-class CountingTableTransport(CountingTransport):
-    """The membership as the table's carrier sees it."""
-
-    def unregister(self, kind):
-        """Datagrams of that kind are heard no more."""
-        self.part.gossip.unregister(kind)
-
-
 class CellTablePart(ControlPart):
-    """Needs the part `membership`, whose members are taken for the own cell's, as the product takes them."""
+    """Needs the part `membership`, whose members are taken for those of the own cell, as in the product."""
 
-    def __init__(self, environment, parts):
-        self.environment = environment
-        self.posts = CountingTableTransport(parts["membership"])
-        self.peer_server = environment.open_giver(environment.address)
-        self.carrier = self.made(
+    def __init__(self, environment: CellGatewayEnvironment, parts: Parts) -> None:
+        self._environment = environment
+        self._counting_transport = CountingTransport(parts["membership"])
+        self.peer_server = environment.open_pull_server(environment.address)
+        self.transport = self._make_transport(
             environment.loop,
             environment.name,
             environment.fleet_name,
-            self.posts,
+            self._counting_transport,
             self.peer_server,
-            environment.chance(6),
+            environment.random(RandomStream.CELL_TABLE),
             environment.record,
         )
-        self.puller = environment.open_puller(environment.loop, environment.name)
-        self.carrier.pull_client = self.puller
-
-    def made(self, *told):
-        """The table's carrier."""
-        return CellTableTransport(*told)
-
-    def start(self):
-        """Takes the table of the own disk, then listens and tells."""
-        kept = self.environment.kept
-        if kept is not None:
-            version = Version(kept.term, kept.number)
-            now = self.environment.loop.now()
-            self.carrier.disseminator.publish_whole(now, version, kept.digest, kept.data)
-        self.carrier.set_peers(self.environment.seeds)
-        self.carrier.start()
+        self.pull_client = environment.open_pull_client(environment.loop, environment.name)
+        self.transport.pull_client = self.pull_client
+
+    def start(self) -> None:
+        """Take the table of the own disk, then receive and send."""
+        stored = self._environment.stored_table
+        if stored is not None:
+            version = Version(stored.term, stored.number)
+            now = self._environment.loop.now()
+            self.transport.disseminator.publish_whole(now, version, stored.digest, stored.data)
+        self.transport.set_peers(self._environment.seeds)
+        self.transport.start()
 
     @property
-    def version(self):
-        """The version held; below all others where none is."""
-        return self.carrier.disseminator.document.version
+    def version(self) -> Version:
+        """The version of the table; below all others where there is none."""
+        return self.transport.disseminator.document.version
 
-    def counters(self):
-        """`entries`: rows of the table, peers of the view, changes kept; `bytes`: of datagrams and pulls,
-        with headers."""
-        disseminator, table = self.carrier.disseminator, self.carrier.table()
+    def counters(self) -> dict[str, int]:
+        """`entries`: rows of the table, peers of the view, changes kept; `bytes`: of datagrams and pulls."""
+        disseminator, table = self.transport.disseminator, self.transport.table()
         rows = 0 if table is None else len(table.cells)
+        datagrams, pull_client, server = self._counting_transport, self.pull_client, self.peer_server
         return {
-            "messages": self.posts.messages + self.puller.pulls + self.peer_server.answers,
-            "bytes": self.posts.bytes + self.puller.bytes + self.peer_server.bytes,
-            "pulls": self.puller.pulls,
+            "messages": datagrams.messages + pull_client.pulls + server.answers,
+            "bytes": datagrams.bytes + pull_client.bytes + server.bytes,
+            "pulls": pull_client.pulls,
             "rows": rows,
             "entries": rows + len(disseminator.view.names) + len(disseminator.replica.log.changes),
             "refused": sum(disseminator.rejections.values()),
         }
 
-    def close(self):
-        """Stops, and keeps nothing."""
-        self.carrier.stop()
+    def close(self) -> None:
+        """Stop without writing the table."""
+        self.transport.stop()
         self.peer_server.close()
 
+    def _make_transport(self, *arguments: Any) -> CellTableTransport:
+        return CellTableTransport(*arguments)
+
 
 class SharedCellTablePart(CellTablePart):
     """Reads each version of the table once for all gateways of the process that share it."""
 
-    def made(self, *told):
-        """The table's carrier."""
-        return SharedCellTableTransport(self.environment.shared_candidates, *told)
-
-    def __init__(self, environment, parts):
+    def __init__(self, environment: CellGatewayEnvironment, parts: Parts) -> None:
         super().__init__(environment, parts)
-        carrier = self.carrier
-        document = SharedTableDocument(carrier.holder, environment.shared_tables)
-        carrier.disseminator = Disseminator(
-            environment.name, document, environment.chance(6), environment.loop.now()
-        )
+        document = SharedTableDocument(self.transport.holder, environment.shared_tables)
+        random = environment.random(RandomStream.CELL_TABLE)
+        self.transport.disseminator = Disseminator(environment.name, document, random, environment.loop.now())
+
+    def _make_transport(self, *arguments: Any) -> CellTableTransport:
+        return SharedCellTableTransport(self._environment.shared_candidates, *arguments)
--- a/gaproute/hollow/demand_gossip.py
+++ b/gaproute/hollow/demand_gossip.py
@@ -1,88 +1,89 @@
-"""Gossip of demand as a part: the product's carrier, fed the arrivals that clients would cause."""
+"""Gossip of demand as a part: the product's transport, fed with the arrivals that clients would cause."""
 
-from gaproute.hollow.parts import ControlPart
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import ClassVar
+
+from gaproute.decisions.routing.host import Host
+from gaproute.hollow.counting_transport import CountingTransport
+from gaproute.hollow.environment import GatewayEnvironment, RandomStream
+from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.peers.gossip import GossipTransport
+from gaproute.shared.gossip import GossipNode
 from gaproute.shared.gossip.scheduler import RATE, RATE_IN_CELLS
 
 SECOND = 1_000_000_000
-EVERY = SECOND  # between two feeds
-ARRIVALS = 15  # a second
+FEED_INTERVAL = SECOND
+ARRIVALS = 15  # in an interval
 FUNCTIONS = 100
-BUSY_HOSTS = 5  # with a request in flight at once: 15 arrivals a second of 0.3 s each
-TRACK = 0
-
-
-class CountingTransport:
-    """The membership as the carrier sees it, with what the carrier sends counted apart."""
-
-    def __init__(self, part):
-        self.part, self.membership = part, part.members
-        self.register = part.gossip.register
-        self.messages = self.bytes = 0
-
-    def send_payload(self, where, kind, data):
-        """Sends one datagram."""
-        self.messages += 1
-        self.bytes += self.part.post(where, kind, data)
+BUSY_HOSTS = 5  # with a request in flight: 15 arrivals a second that take 0.3 s each
+REQUEST_CLASS = 0
 
 
 class DemandGossipPart(ControlPart):
-    """Needs the parts `membership` and `hosts`. The arrivals are drawn here, as no client asks."""
+    """Needs the parts `membership` and `hosts`. It draws the arrivals, as there are no clients."""
 
-    RATE = RATE  # bytes a second
+    RATE: ClassVar[int] = RATE  # bytes a second that may be sent
 
-    def __init__(self, environment, parts):
-        self.loop, self.chance = environment.loop, environment.chance(7)
-        self.posts, self.hosts = CountingTransport(parts["membership"]), parts["hosts"]
-        self.carrier = GossipTransport(
-            self.loop,
+    def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
+        loop = environment.loop
+        self._random = environment.random(RandomStream.DEMAND)
+        self._counting_transport = CountingTransport(parts["membership"])
+        self._hosts = parts["hosts"]
+        self._gossip = GossipTransport(
+            loop,
             environment.name,
-            self.posts,
-            self.hosts.gateway,
-            environment.chance(4),
+            self._counting_transport,
+            self._hosts.decisions,
+            environment.random(RandomStream.GOSSIP),
             self.RATE,
         )
-        self.hosts.followers.append(self.carrier.listed)
-        self.busy = ()
-        self.due = self.loop.now()
+        self._hosts.listeners.append(self._gossip.listed)
+        self._busy_hosts: Sequence[str] = ()
+        self.next_tick = loop.now()
 
     @property
-    def node(self):
+    def node(self) -> GossipNode:
         """The decisions of this gossip."""
-        return self.carrier.node
-
-    def tick(self, now):
-        """Feeds the arrivals of one interval, and moves the requests in flight to other hosts."""
-        self.due = now + EVERY
-        for _ in range(ARRIVALS):
-            place = self.chance.below(FUNCTIONS) * self.chance.below(FUNCTIONS) // FUNCTIONS
-            self.carrier.arrived(now, f"model-{place:03}", TRACK)
-        fleet = self.hosts.gateway.active_hosts
-        chosen = [fleet[self.chance.below(len(fleet))].id for _ in range(BUSY_HOSTS)] if fleet else []
-        for host in self.busy:
+        return self._gossip.node
+
+    def tick(self, now: int) -> None:
+        """Feed the arrivals of one interval, and move the requests in flight to other hosts."""
+        self.next_tick = now + FEED_INTERVAL
+        for _ in range(ARRIVALS):  # functions with low numbers come more often
+            number = self._random.below(FUNCTIONS) * self._random.below(FUNCTIONS) // FUNCTIONS
+            self._gossip.arrived(now, f"model-{number:03}", REQUEST_CLASS)
+        active_hosts = self._hosts.decisions.active_hosts
+        chosen = self._draw_hosts(active_hosts) if active_hosts else []
+        for host in self._busy_hosts:
             self.node.record_in_flight(host, 0)
         for host in chosen:
             self.node.record_in_flight(host, 1)
-            self.node.record_warm_instance(now, host, f"model-{self.chance.below(FUNCTIONS):03}")
-        self.busy = chosen
+            self.node.record_warm_instance(now, host, f"model-{self._random.below(FUNCTIONS):03}")
+        self._busy_hosts = chosen
 
-    def counters(self):
-        """`entries`: entries of all sets received; `tellers`: gateways of which any set is held."""
-        sets = [held for sets in self.node.table.received.values() for held in sets.values()]
+    def counters(self) -> dict[str, int]:
+        """`entries`: entries of all sets received; `tellers`: gateways from which any set is held."""
+        received = self.node.table.received
+        held_sets = [entry_set for sets in received.values() for entry_set in sets.values()]
         return {
-            "messages": self.posts.messages,
-            "bytes": self.posts.bytes,
-            "entries": sum(len(held.entries) for held in sets),
-            "tellers": len(self.node.table.received),
+            "messages": self._counting_transport.messages,
+            "bytes": self._counting_transport.bytes,
+            "entries": sum(len(entry_set.entries) for entry_set in held_sets),
+            "tellers": len(received),
             "refused": self.node.table.rejections.total(),
         }
 
-    def close(self):
-        """Tells no more."""
-        self.carrier.close()
+    def close(self) -> None:
+        """Send no more."""
+        self._gossip.close()
+
+    def _draw_hosts(self, hosts: Sequence[Host]) -> list[str]:
+        return [hosts[self._random.below(len(hosts))].id for _ in range(BUSY_HOSTS)]
 
 
 class CellDemandGossipPart(DemandGossipPart):
-    """Leaves the dissemination of the cell table its share of a gateway's bytes."""
+    """Leaves the dissemination of the cell table its share of the bytes that a gateway may send."""
 
-    RATE = RATE_IN_CELLS
+    RATE: ClassVar[int] = RATE_IN_CELLS
--- /dev/null
+++ b/gaproute/hollow/environment.py
@@ -0,0 +1,68 @@
+"""What the parts of one hollow gateway are made with."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import IntEnum
+from typing import Any
+
+from gaproute.config import Configuration
+from gaproute.decisions.chance import Chance
+from gaproute.shared.raft import Disk
+
+
+class RandomStream(IntEnum):
+    """The seeded random numbers that each part draws from; the number is added to the gateway's seed.
+
+    A gateway renews a lease or holds a cell table, never both: these share a number.
+    """
+
+    MEMBERSHIP = 2
+    GOSSIP = 4
+    LEASES = 5
+    LEASE_DELAY = 6
+    CELL_TABLE = 6
+    DEMAND = 7
+    ROUTES = 8
+
+
+class EventCounter:
+    """An event log that counts events by their name and keeps none of them."""
+
+    def __init__(self) -> None:
+        self.counts: Counter[str] = Counter()
+
+    def event(self, level: str, name: str, /, **fields: object) -> None:
+        """Count the event."""
+        self.counts[name] += 1
+
+
+@dataclass(kw_only=True)
+class GatewayEnvironment:
+    """The surroundings of one gateway.
+
+    `loop` has the methods of `gaproute.loop.Loop` for timers, and on real sockets all of them.
+    `configuration` is checked, and shared by all gateways of a process. These make what sends and receives:
+
+    - `open_datagrams(loop, address, on_datagram)`: as `gaproute.loop.datagrams.Datagrams`
+    - `open_raft_transport(loop, name, peers, receive)`: as `gaproute.peers.raft.RaftTransport`
+
+    `open_raft_disk(name)` makes the disk of a member of the Raft group. `wall_clock` returns ns since 1970.
+    """
+
+    loop: Any
+    name: str
+    address: str
+    configuration: Configuration
+    seed: int
+    open_datagrams: Callable[..., Any]
+    open_raft_transport: Callable[..., Any]
+    open_raft_disk: Callable[[str], Disk]
+    wall_clock: Callable[[], int]
+    record: EventCounter = field(default_factory=EventCounter)
+
+    def random(self, stream: RandomStream) -> Chance:
+        """The random numbers of one part, the same for the same seed."""
+        return Chance(self.seed + stream)
--- a/gaproute/hollow/gateway.py
+++ b/gaproute/hollow/gateway.py
@@ -1,59 +1,74 @@
-"""One hollow gateway: control parts of the product wired as the appliance wires them."""
+"""One hollow gateway: control parts of the product, wired as in the appliance."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from typing import Any
 
 from gaproute.hollow.demand_gossip import DemandGossipPart
+from gaproute.hollow.environment import GatewayEnvironment
 from gaproute.hollow.host_list import HostListPart
 from gaproute.hollow.leases import LeasePart
 from gaproute.hollow.membership import MembershipPart
+from gaproute.hollow.parts import ConfiguredGateway, PartFactory, Parts
 
-PARTS = {"membership": MembershipPart, "hosts": HostListPart, "demand": DemandGossipPart, "leases": LeasePart}
+PARTS: Mapping[str, PartFactory] = {
+    "membership": MembershipPart,
+    "hosts": HostListPart,
+    "demand": DemandGossipPart,
+    "leases": LeasePart,
+}
 
 
 class HollowGateway:
-    """`makers`: {name: what makes the part of (environment, parts made so far)}, in their order.
+    """A gateway of the parts that `part_factories` make, by name and in that order.
 
     A further part is one more entry beside those of `PARTS`.
     """
 
-    def __init__(self, environment, makers=PARTS):
-        self.environment, self.name = environment, environment.name
-        self.loop, self.parts, self.timer = environment.loop, {}, None
-        for name, make in makers.items():
-            self.parts[name] = make(environment, self.parts)
+    def __init__(
+        self, environment: GatewayEnvironment, part_factories: Mapping[str, PartFactory] = PARTS
+    ) -> None:
+        self.environment, self.name, self.loop = environment, environment.name, environment.loop
+        self.parts: Parts = {}
+        self._timer: Any = None
+        for name, make_part in part_factories.items():
+            self.parts[name] = make_part(environment, self.parts)
         for part in self.parts.values():
-            if part.kind is not None:
-                self.parts["membership"].gossip.register(part.kind, part.receive)
+            if part.payload_kind is not None:
+                self.parts["membership"].transport.register(part.payload_kind, part.receive)
 
-    def start(self, gateways=()):
-        """Starts all parts; `gateways`: the configured ones, this one among them or not."""
+    def start(self, gateways: Sequence[ConfiguredGateway] = ()) -> None:
+        """Start all parts. `gateways`: the configured ones, this one among them or not."""
         for part in self.parts.values():
             part.start()
-        self.listed(gateways)
-        self._again()
+        self.set_gateways(gateways)
+        self._schedule()
 
-    def listed(self, gateways):
-        """The list of configured gateways changed."""
+    def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
+        """The list of configured gateways has changed to this one."""
         others = [gateway for gateway in gateways if gateway.name != self.name]
         for part in self.parts.values():
-            part.listed(others)
-
-    def _again(self):
-        dues = [part.due for part in self.parts.values() if part.due is not None]
-        self.timer = self.loop.at(min(dues), self._tick) if dues else None
-
-    def _tick(self):
-        now = self.loop.now()
-        for part in self.parts.values():
-            if part.due is not None and part.due <= now:
-                part.tick(now)
-        self._again()
+            part.set_gateways(others)
 
-    def counters(self):
-        """{part: {counter: value}}"""
+    def counters(self) -> dict[str, dict[str, int]]:
+        """The counters of each part, by their names."""
         return {name: part.counters() for name, part in self.parts.items()}
 
-    def close(self):
-        """Ends without a word to others, as a process that is killed."""
-        if self.timer is not None:
-            self.timer.cancel()
+    def close(self) -> None:
+        """End without notifying others, as a process that is killed."""
+        if self._timer is not None:
+            self._timer.cancel()
         for part in reversed(self.parts.values()):
             part.close()
+
+    def _schedule(self) -> None:
+        times = [part.next_tick for part in self.parts.values() if part.next_tick is not None]
+        self._timer = self.loop.at(min(times), self._tick) if times else None
+
+    def _tick(self) -> None:
+        now = self.loop.now()
+        for part in self.parts.values():
+            if part.next_tick is not None and part.next_tick <= now:
+                part.tick(now)
+        self._schedule()
--- a/gaproute/hollow/host_list.py
+++ b/gaproute/hollow/host_list.py
@@ -1,56 +1,73 @@
-"""The host list as a part: the watched file, its rows, and the decisions' state that is fed with them."""
+"""The host list as a part: the watched file, and the decisions' state that is fed with it."""
 
+from __future__ import annotations
+
+from collections.abc import Callable, Collection, Mapping
+from typing import Any
+
+from gaproute.config.directives.fleet import HostLine
+from gaproute.config.errors import Mistake
 from gaproute.decisions.routing.housekeeping import CLEANUP_INTERVAL
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
-from gaproute.hollow.parts import ControlPart
+from gaproute.hollow.environment import GatewayEnvironment
+from gaproute.hollow.parts import ControlPart, Parts
+from gaproute.interface import ListedHost
+
+HostListListener = Callable[[Mapping[str, Any]], object]  # takes the start of each listed host by its name
 
 
 class HostListPart(ControlPart):
-    """The decisions' own `gateway` (`gaproute.decisions.routing`), fed the list and driven by no task."""
+    """The host list and `decisions`, a gateway's (`gaproute.decisions.routing`) that serves no requests.
 
-    def __init__(self, environment, parts):
-        self.loop, self.configuration = environment.loop, environment.configuration
-        self.listing = HostLineConverter(
-            self.loop, environment.wall, use_capacities=self.configuration.sizes_reported
-        )
-        self.gateway = self.configuration.decisions(
-            environment.seed, self.configuration.terms, self.loop.now()
+    `rows`: the listed hosts by name. `listeners` are called with each new list.
+    """
+
+    def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
+        self._loop, self._configuration = environment.loop, environment.configuration
+        self._converter = HostLineConverter(
+            self._loop, environment.wall_clock, use_capacities=self._configuration.sizes_reported
         )
-        self.due = self.loop.now() + CLEANUP_INTERVAL
-        self.rows, self.watch, self.followers = {}, None, []
-        self.lists = self.refused = 0
-
-    def start(self):
-        """Reads the list and watches it."""
-        source = self.configuration.hosts_file
-        self.watch = FileWatch(self.loop, source.path, source.look, self._told, self._refused)
-
-    def tick(self, now):
-        """Forgets hosts that left the list, as the decisions' own housekeeping does."""
-        self.due = now + CLEANUP_INTERVAL
-        self.gateway.forget_departed_hosts()
-
-    def _told(self, lines):
-        rows = self.listing.endpoints(lines, self.watch.current_at if self.watch is not None else None)
-        self.rows = {row.listed.host: row.listed for row in rows}
-        self.gateway.listed(self.loop.now(), [row.listed for row in rows], True)
-        self.lists += 1
-        for follower in self.followers:
-            follower({name: listed.started for name, listed in self.rows.items()})
-
-    def _refused(self, mistakes):
-        self.refused += len(mistakes)
-
-    def counters(self):
+        now = self._loop.now()
+        self.decisions = self._configuration.decisions(environment.seed, self._configuration.terms, now)
+        self.next_tick = now + CLEANUP_INTERVAL
+        self.rows: dict[str, ListedHost] = {}
+        self.listeners: list[HostListListener] = []
+        self._watch: FileWatch | None = None
+        self._lists_read = self._mistakes = 0
+
+    def start(self) -> None:
+        """Read the list and watch it."""
+        source = self._configuration.hosts_file
+        assert source is not None
+        self._watch = FileWatch(self._loop, source.path, source.look, self._changed, self._rejected)
+
+    def tick(self, now: int) -> None:
+        """Forget hosts that left the list, as the decisions' own housekeeping does."""
+        self.next_tick = now + CLEANUP_INTERVAL
+        self.decisions.forget_departed_hosts()
+
+    def counters(self) -> dict[str, int]:
         """`entries`: hosts of the list, and hosts that the decisions still hold."""
         return {
-            "entries": len(self.rows) + len(self.gateway.hosts_by_id),
-            "lists": self.lists,
-            "refused": self.refused,
+            "entries": len(self.rows) + len(self.decisions.hosts_by_id),
+            "lists": self._lists_read,
+            "refused": self._mistakes,
         }
 
-    def close(self):
-        """Watches no more."""
-        if self.watch is not None:
-            self.watch.close()
+    def close(self) -> None:
+        """Watch the list no more."""
+        if self._watch is not None:
+            self._watch.close()
+
+    def _changed(self, lines: Collection[HostLine]) -> None:
+        absent_at = self._watch.current_at if self._watch is not None else None
+        listed = [endpoint.listed for endpoint in self._converter.endpoints(lines, absent_at)]
+        self.rows = {host.host: host for host in listed}
+        self.decisions.listed(self._loop.now(), listed, True)
+        self._lists_read += 1
+        for listener in self.listeners:
+            listener({name: host.started for name, host in self.rows.items()})
+
+    def _rejected(self, mistakes: list[Mistake]) -> None:
+        self._mistakes += len(mistakes)
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -1,73 +1,83 @@
-"""Leases as a part: the product's Raft node and lease client; each gateway keeps one lease up."""
+"""Leases as a part: the product's Raft node and lease client; each gateway holds and renews one lease."""
 
-from gaproute.hollow.parts import ControlPart
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from gaproute.hollow.environment import GatewayEnvironment, RandomStream
+from gaproute.hollow.parts import ConfiguredGateway, ControlPart, Parts
 from gaproute.peers.raft import HostedNode
 from gaproute.shared.leases import LeaseTable
+from gaproute.shared.leases.requests import LeaseRequest, LeaseState
 
 SECOND = 1_000_000_000
-SPAN = 30 * SECOND  # of the lease: renewed at half of it
-LOOK = 5 * SECOND  # between two looks whether the lease stands
-WITHIN = SECOND  # the first wish comes at some moment of it: gateways of a fleet do not start at once
+LEASE_DURATION = 30 * SECOND  # renewed after half of it
+CHECK_INTERVAL = 5 * SECOND  # between checks whether the lease is held
+MAX_FIRST_DELAY = SECOND  # of the first request, by chance: the gateways of a fleet do not start at once
 
 
 class LeasePart(ControlPart):
-    """The first gateways that the configuration names as keepers keep; all hold.
+    """The gateways that the configuration names are the Raft group; all gateways are its clients.
 
-    A keeper grants at once here: it does not wait out the leases of disks that may have been lost.
+    The group grants leases at once: it does not wait out those of disks that may have been lost.
     """
 
-    def __init__(self, environment, parts):
-        self.loop, self.name = environment.loop, environment.name
+    def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
+        self._loop, self._name = environment.loop, environment.name
         line = environment.configuration.keepers
-        self.peers = {}
+        assert line is not None
+        self._peer_addresses: dict[str, str] = {}  # changed in place: the transport holds it too
         self.hosted_node = HostedNode(
-            self.loop,
-            self.name,
+            self._loop,
+            self._name,
             line.names,
-            self.peers,
+            self._peer_addresses,
             environment.record,
-            environment.chance(5),
-            disk=environment.open_votes(self.name) if self.name in line.names else None,
-            fencing_base=environment.wall() // 1_000_000,
+            environment.random(RandomStream.LEASES),
+            disk=environment.open_raft_disk(self._name) if self._name in line.names else None,
+            fencing_base=environment.wall_clock() // 1_000_000,
             machine=LeaseTable(initial_wait=False),
-            make_transport=environment.open_carrier,
+            make_transport=environment.open_raft_transport,
         )
-        self.wish, self.refused, self.ended = None, 0, 0
-        self.due = self.loop.now() + environment.chance(6).below(WITHIN)
+        self._request: LeaseRequest | None = None
+        self._rejected = self._expired = 0
+        first_delay = environment.random(RandomStream.LEASE_DELAY).below(MAX_FIRST_DELAY)
+        self.next_tick = self._loop.now() + first_delay
 
     @property
-    def held(self):
-        """Whether the lease stands now."""
-        return self.wish is not None and self.wish.valid_at(self.loop.now())
+    def is_held(self) -> bool:
+        """Whether the lease is held now."""
+        return self._request is not None and self._request.valid_at(self._loop.now())
 
-    def tick(self, now):
-        """Wishes for the lease again where it was refused or ran out."""
-        self.due = now + LOOK
-        if self.wish is not None and self.wish.state in ("asked", "held"):
-            return
-        if self.wish is not None:
-            self.refused += self.wish.state == "refused"
-            self.ended += self.wish.state == "over"
-        self.wish = self.hosted_node.client.acquire(now, f"gateway/{self.name}", SPAN)
+    def tick(self, now: int) -> None:
+        """Request the lease again where it was rejected or has expired."""
+        self.next_tick = now + CHECK_INTERVAL
+        if self._request is not None:
+            if self._request.open:
+                return
+            self._rejected += self._request.state == LeaseState.REJECTED
+            self._expired += self._request.state == LeaseState.EXPIRED
+        self._request = self.hosted_node.client.acquire(now, f"gateway/{self._name}", LEASE_DURATION)
         self.hosted_node.run_due()
 
-    def listed(self, gateways):
-        """Changed in place, as the transport holds it."""
-        self.peers.clear()
-        self.peers.update({gateway.name: gateway.where for gateway in gateways})
+    def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
+        """Take the addresses of the configured gateways."""
+        self._peer_addresses.clear()
+        self._peer_addresses.update({gateway.name: gateway.where for gateway in gateways})
 
-    def counters(self):
-        """`entries`: a keeper's leases and log entries; `bytes`: counted by the simulated carrier alone."""
-        node, transport = self.hosted_node.node, self.hosted_node.transport
+    def counters(self) -> dict[str, int]:
+        """`entries`: a member's leases and log entries; `bytes`: counted by the simulated transport alone."""
+        hosted_node, transport = self.hosted_node, self.hosted_node.transport
+        node = hosted_node.node
         return {
             "messages": transport.counts["sent"],
             "bytes": transport.counts["bytes"],
-            "entries": 0 if node is None else len(node.machine.leases) + len(node.log.entries),
-            "held": int(self.held),
-            "refused": self.refused,
-            "ended": self.ended,
+            "entries": 0 if node is None else len(hosted_node.machine.leases) + len(node.log.entries),
+            "held": int(self.is_held),
+            "refused": self._rejected,
+            "ended": self._expired,
         }
 
-    def close(self):
-        """Gives nothing back: the lease runs out."""
+    def close(self) -> None:
+        """End without releasing the lease: it expires."""
         self.hosted_node.close()
--- a/gaproute/hollow/membership.py
+++ b/gaproute/hollow/membership.py
@@ -1,56 +1,68 @@
-"""Membership as a part: the product's gossip on the datagrams that the environment open."""
+"""Membership as a part: the product's transport on the datagrams that the environment opens."""
 
-from gaproute.hollow.parts import DATAGRAM_HEADERS, ControlPart
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from typing import cast
+
+from gaproute.hollow.environment import GatewayEnvironment, RandomStream
+from gaproute.hollow.parts import DATAGRAM_HEADERS, ConfiguredGateway, ControlPart, Parts
 from gaproute.peers import MembershipTransport
+from gaproute.peers.membership import Peer
+from gaproute.peers.membership_wire import PayloadKind
+from gaproute.shared.membership import Membership
 
 
 class MembershipPart(ControlPart):
-    """Which gateways are up. The `gossip` also carries other parts' datagrams; they are not counted here."""
+    """Which gateways are up.
+
+    `transport` also carries the payloads of other parts; these are not counted here.
+    """
 
-    def __init__(self, environment, parts):
-        self.carried = self.carried_bytes = 0
-        self.gossip = MembershipTransport(
+    def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
+        self._payloads = self._payload_bytes = 0
+        self.transport = MembershipTransport(
             environment.loop,
             environment.name,
             environment.address,
-            environment.chance(2),
+            environment.random(RandomStream.MEMBERSHIP),
             environment.record,
             environment.open_datagrams,
-            environment.wall,
+            environment.wall_clock,
         )
 
     @property
-    def members(self):
-        """The membership's decisions."""
-        return self.gossip.membership
-
-    def post(self, where, kind, data):
-        """Sends another part's datagram and returns its bytes with headers."""
-        before = self.gossip.bytes
-        self.gossip.send_payload(where, kind, data)
-        spent = self.gossip.bytes - before
-        self.carried += 1
-        self.carried_bytes += spent
-        return spent + DATAGRAM_HEADERS
-
-    def listed(self, gateways):
-        """Configured members are never forgotten."""
-        self.gossip.configure(gateways)
-
-    def counters(self):
-        """`entries`: members held; `refused`: claims of strangers beyond the bound, and senseless ones."""
-        gossip, members = self.gossip, self.gossip.membership
-        messages = gossip.sent - self.carried
+    def membership(self) -> Membership:
+        """The decisions of the membership."""
+        return self.transport.membership
+
+    def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> int:
+        """Send another part's payload; its bytes with headers."""
+        before = self.transport.bytes
+        self.transport.send_payload(address, kind, data)
+        size = self.transport.bytes - before
+        self._payloads += 1
+        self._payload_bytes += size
+        return size + DATAGRAM_HEADERS
+
+    def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
+        """Configure the members, which are never forgotten."""
+        self.transport.configure(cast(Iterable[Peer], gateways))  # which only reads them
+
+    def counters(self) -> dict[str, int]:
+        """`entries`: members held; `refused`: members beyond the bound, and updates that make no sense."""
+        transport, membership = self.transport, self.membership
+        messages = transport.sent - self._payloads
         return {
             "messages": messages,
-            "bytes": gossip.bytes - self.carried_bytes + messages * DATAGRAM_HEADERS,
-            "entries": len(members.members),
-            "news": len(members.table.pending_updates),
-            "refused": members.rejected,
-            "flood": gossip.rate_limited,
-            "suspicions": members.suspicions,
+            "bytes": transport.bytes - self._payload_bytes + messages * DATAGRAM_HEADERS,
+            "entries": len(membership.members),
+            "news": len(membership.table.pending_updates),
+            "refused": membership.rejected,
+            "flood": transport.rate_limited,
+            "suspicions": membership.suspicions,
         }
 
-    def close(self):
-        """Closes the socket."""
-        self.gossip.close()
+    def close(self) -> None:
+        """Close the socket."""
+        self.transport.close()
--- a/gaproute/hollow/parts.py
+++ b/gaproute/hollow/parts.py
@@ -1,78 +1,56 @@
-"""What every part of a hollow gateway looks like, and what it is given."""
+"""The interface of a hollow gateway's parts."""
 
-from collections import Counter
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any
+from __future__ import annotations
 
-from gaproute.config import Configuration
-from gaproute.decisions.chance import Chance
+from collections.abc import Callable, Sequence
+from typing import Any, ClassVar, Protocol
 
-DATAGRAM_HEADERS = 28  # bytes of IPv4 and UDP around each datagram
-
-
-class EventCounter:
-    """A record that counts events by their name and keeps none of them."""
+from gaproute.peers.membership_wire import PayloadKind
 
-    def __init__(self):
-        self.counts = Counter()
-
-    def event(self, level, what, **told):
-        """Counts the event."""
-        self.counts[what] += 1
+DATAGRAM_HEADERS = 28  # bytes of IPv4 and UDP around each datagram
 
+Parts = dict[str, Any]  # the parts of one gateway by name, in the order in which they were made
+PartFactory = Callable[[Any, Parts], "ControlPart"]  # takes the environment and the parts made so far
 
-@dataclass
-class GatewayEnvironment:
-    """What one gateway's parts stand on.
 
-    `configuration` is checked, and shared by all gateways of a process; `open_datagrams(loop,
-    where, heard)` and `open_carrier(loop, name, peers, take)` make what sends and receives; `wall` tells ns
-    since 1970; `open_votes` makes a keeper's disk.
-    """
+class ConfiguredGateway(Protocol):
+    """A gateway that the configuration names."""
 
-    loop: Any
-    name: str
-    address: str
-    configuration: Configuration
-    seed: int
-    open_datagrams: Callable
-    open_carrier: Callable
-    open_votes: Callable
-    wall: Callable[[], int]
-    record: EventCounter = field(default_factory=EventCounter)
+    @property
+    def name(self) -> str:
+        """By which others know it."""
 
-    def chance(self, number: int) -> Chance:
-        """Seeded chance of its own for the part `number`."""
-        return Chance(self.seed + number)
+    @property
+    def where(self) -> str:
+        """The address at which its peers reach it."""
 
 
 class ControlPart:
-    """One control part. `due` is the time of the next `tick`, None where the part keeps timers itself.
+    """One control part of a gateway: a product class with what it needs around it.
 
-    A part receives its datagrams through the gateway's membership socket: `kind` is its
-    `gaproute.peers.membership_wire.PayloadKind`, None for a part without datagrams, or whose
-    product class listens itself.
+    `next_tick` is the time (ns of the loop) of the next `tick`, None where the part keeps timers itself.
+    Payloads of `payload_kind` that come to the gateway's membership socket are given to `receive`; it is None
+    for a part without datagrams, or whose product class registers for them itself.
     """
 
-    kind = None
-    due = None
+    payload_kind: ClassVar[PayloadKind | None] = None
+    next_tick: int | None = None
 
-    def start(self):
+    def start(self) -> None:
         """Called once, when all parts are made."""
 
-    def receive(self, sender: str, data: bytes):
-        """A datagram of the part's kind came from the gateway `sender`."""
+    def receive(self, sender: str, data: bytes) -> None:
+        """A payload of the part's kind came from the gateway `sender`."""
 
-    def tick(self, now: int):
-        """Called at `due` or later."""
+    def tick(self, now: int) -> None:
+        """Called at `next_tick` or later."""
 
-    def listed(self, gateways):
-        """The configured gateways are these now: rows with `name` and `where`."""
+    def set_gateways(self, gateways: Sequence[ConfiguredGateway]) -> None:
+        """These are the other configured gateways from now on."""
 
     def counters(self) -> dict[str, int]:
         """Totals since the start (`messages`, `bytes` with headers) and sizes of state (`entries`)."""
         return {}
 
-    def close(self):
-        """Ends the part without a word to others, as a process that is killed."""
+    def close(self) -> None:
+        """End the part without notifying others, as a process that is killed."""
--- a/gaproute/hollow/peer_server.py
+++ b/gaproute/hollow/peer_server.py
@@ -1,8 +1,13 @@
-"""The address at which other gateways ask, as a part: the product's giver, and keepers' messages."""
+"""The address at which other gateways ask, as a part: the product's server, for the Raft group too."""
+
+from __future__ import annotations
+
+from typing import Any
 
 from gaproute.appliance.peer_services import LEASE_PEER_LIMITS
 from gaproute.decisions.reports.host_history import HostHistory
-from gaproute.hollow.parts import ControlPart
+from gaproute.hollow.environment import GatewayEnvironment
+from gaproute.hollow.parts import ControlPart, Parts
 from gaproute.loop.addresses import address
 from gaproute.peers import PeerServer
 from gaproute.peers.raft.transport import TARGET
@@ -11,23 +16,25 @@
 class PeerServerPart(ControlPart):
     """Needs the parts `hosts` and `leases`, and a loop with real sockets."""
 
-    def __init__(self, environment, parts):
-        tracks = [line.name for line in environment.configuration.tracks]
-        where = address(environment.address)
-        self.peer_server = PeerServer(
-            environment.loop, where, parts["hosts"].gateway, HostHistory(), tracks, LEASE_PEER_LIMITS
+    def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
+        self._peer_server = PeerServer(
+            environment.loop,
+            address(environment.address),
+            parts["hosts"].decisions,
+            HostHistory(),
+            [line.name for line in environment.configuration.tracks],
+            LEASE_PEER_LIMITS,
         )
-        self.transport = parts["leases"].hosted_node.transport
-        self.peer_server.routes[TARGET] = self.handle
+        self._raft_transport = parts["leases"].hosted_node.transport
+        self._peer_server.routes[TARGET] = self._handle_raft_messages
 
-    def handle(self, server, request):
-        """A batch of a keeper's messages came."""
-        self.transport.handle(server, request)
+    def counters(self) -> dict[str, int]:
+        """Transfers of observations that were encoded, and how often who asked for one was put off."""
+        return {"told": self._peer_server.transfers.encoded, "put_off": self._peer_server.put_off}
 
-    def counters(self):
-        """What was told to others that ask, and how often they were put off."""
-        return {"told": self.peer_server.transfers.encoded, "put_off": self.peer_server.put_off}
+    def close(self) -> None:
+        """Listen no more."""
+        self._peer_server.close()
 
-    def close(self):
-        """Listens no more."""
-        self.peer_server.close()
+    def _handle_raft_messages(self, server: Any, request: Any) -> None:
+        self._raft_transport.handle(server, request)
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -1,134 +1,155 @@
-"""Hollow gateways with real sockets, tens in one process, given orders as lines of JSON on standard input."""
+"""Hollow gateways on real sockets, tens in one process, with orders as lines of JSON on standard input."""
+
+from __future__ import annotations
 
 import json
 import os
 import sys
 import time
-from functools import partial
+from collections import Counter
+from collections.abc import Mapping, Sequence
+from typing import Any
 
+from gaproute.config import Configuration
+from gaproute.errors import GaprouteError
+from gaproute.hollow.environment import GatewayEnvironment
 from gaproute.hollow.gateway import PARTS, HollowGateway
-from gaproute.hollow.parts import EventCounter, GatewayEnvironment
+from gaproute.hollow.member_changes import MemberChangeCounter
+from gaproute.hollow.parts import ConfiguredGateway, PartFactory
 from gaproute.hollow.peer_server import PeerServerPart
 from gaproute.loop import Loop
 from gaproute.loop.datagrams import Datagrams
 from gaproute.loop.descriptors import READ
 from gaproute.peers.raft import RaftTransport
+from gaproute.shared.raft import Disk
 
-MILLI, SECOND = 1_000_000, 1_000_000_000
-BEAT = 20 * MILLI  # between looks at the process's own lateness
-APART = 10 * MILLI  # between two starts
-KNOWN = 65_536  # changes whose last moment is kept
-LINE = 1 << 16  # bytes read at once
+MILLI = 1_000_000
+LATENESS_INTERVAL = 20 * MILLI  # between checks how late the process runs
+START_INTERVAL = 10 * MILLI  # between the starts of two gateways
+READ_SIZE = 1 << 16  # bytes
+SEEDS_APART, GATEWAYS_APART = 1_000_003, 101  # so that no two parts of a play draw alike
+PROCESS_PARTS: Mapping[str, PartFactory] = {**PARTS, "exchange": PeerServerPart}
 
 
-class MemberChangeCounter(EventCounter):
-    """Counts by (gateway, state, incarnation) how many of this process's gateways noted the change, and when
-    the first and the last of them did, in seconds since 1970."""
+class RaftMemberError(GaprouteError):
+    """A hollow gateway on real sockets should be a member of the Raft group: it has no disk for that."""
 
-    def __init__(self):
-        super().__init__()
-        self.noted = {}
 
-    def event(self, level, what, **told):
-        """Notes a change of a member's state."""
-        super().event(level, what, **told)
-        if what == "gateway" and len(self.noted) < KNOWN:
-            change, now = (told["name"], told["state"], told["incarnation"]), time.time()
-            count, first, _ = self.noted.get(change, (0, now, now))
-            self.noted[change] = count + 1, first, now
+def no_disk(name: str) -> Disk:
+    """In place of a member's disk. Raises RaftMemberError."""
+    raise RaftMemberError(f"the hollow gateway {name} has no disk, and cannot be a member of the Raft group")
 
 
 class HollowProcess:
     """The gateways `rows[first : first + count]` of all `rows`; `configuration` is shared by them."""
 
-    def __init__(self, configuration, rows, first, count, seed=1):
-        self.loop, self.configuration, self.rows, self.seed = Loop(), configuration, rows, seed
-        self.loop.on_error = self.failed
-        self.changes, self.gateways = MemberChangeCounter(), {}
-        self.errors, self.last_error, self.late, self.due = 0, "", 0, self.loop.now() + BEAT
-        self.input = b""
-        for place, row in enumerate(rows[first : first + count]):
-            self.loop.after(place * APART, self.start, row, first + place)
-        self.loop.after(BEAT, self.beat)
-        self.loop.watch(sys.stdin.fileno(), READ, self.read)
-
-    def failed(self, error):
-        """An exception of a call of the loop."""
-        self.errors, self.last_error = self.errors + 1, repr(error)
-
-    def beat(self):
-        """Notes how late this process is."""
-        now = self.loop.now()
-        self.late, self.due = max(self.late, now - self.due), now + BEAT
-        self.loop.at(self.due, self.beat)
-
-    def start(self, row, number):
-        """Starts one gateway."""
-        environment = GatewayEnvironment(
-            loop=self.loop,
-            name=row.name,
-            address=row.where,
-            configuration=self.configuration,
-            seed=self.seed * 1_000_003 + number * 101,
-            open_datagrams=Datagrams,
-            open_carrier=RaftTransport,
-            open_votes=partial(open, os.devnull),
-            wall=time.time_ns,
-            record=self.changes,
-        )
-        self.gateways[row.name] = HollowGateway(environment, PARTS | {"exchange": PeerServerPart})
-        self.gateways[row.name].start(self.rows)
+    def __init__(
+        self,
+        configuration: Configuration,
+        rows: Sequence[ConfiguredGateway],
+        *,
+        first: int,
+        count: int,
+        seed: int = 1,
+    ) -> None:
+        self._loop, self._configuration, self._rows, self._seed = Loop(), configuration, rows, seed
+        self._loop.on_error = self._callback_failed
+        self._member_changes = MemberChangeCounter()
+        self._gateways: dict[str, HollowGateway] = {}
+        self._errors, self._last_error = 0, ""
+        self._lateness = 0  # ns, the greatest since the last snapshot
+        self._check_due = self._loop.now() + LATENESS_INTERVAL
+        self._unread = b""  # the beginning of an order
+        for index in range(first, min(first + count, len(rows))):
+            self._loop.after((index - first) * START_INTERVAL, self._start, index)
+        self._loop.after(LATENESS_INTERVAL, self._check_lateness)
+        self._loop.watch(sys.stdin.fileno(), READ, self._read_orders)
+
+    def run(self) -> None:
+        """Run the gateways until standard input ends."""
+        self._loop.run()
+        for gateway in self._gateways.values():
+            gateway.close()
 
     # Orders
 
-    def read(self, events):
-        """Orders on standard input; its end is the end of the process."""
-        data = os.read(sys.stdin.fileno(), LINE)
-        if not data:
-            self.loop.stop()
-            return
-        *lines, self.input = (self.input + data).split(b"\n")
-        for line in lines:
-            self.obey(json.loads(line))
+    def obey(self, order: Mapping[str, Any]) -> None:
+        """Carry out an order.
 
-    def obey(self, order):
-        """{"kill": name}, {"start": name}, {"changes": name} or {"snapshot": true}; the last two are answered
-        by a line each."""
+        {"kill": name}, {"start": name}, {"changes": name} or {"snapshot": true}; the last two are answered by
+        a line each.
+        """
         if "kill" in order:
-            self.gateways.pop(order["kill"]).close()
+            self._gateways.pop(order["kill"]).close()
         elif "start" in order:
-            number = next(place for place, row in enumerate(self.rows) if row.name == order["start"])
-            self.start(self.rows[number], number)
+            self._start([row.name for row in self._rows].index(order["start"]))
         elif "changes" in order:
-            print(json.dumps(self.changes_of(order["changes"])), flush=True)
+            self._print(self.changes_of(order["changes"]))
         else:
-            print(json.dumps(self.snapshot()), flush=True)
+            self._print(self.snapshot())
 
-    def changes_of(self, name):
-        """What was noted of one gateway; cheaper than a snapshot, so that asking often makes nobody late."""
-        noted = [[*change, *when] for change, when in self.changes.noted.items() if change[0] == name]
-        return {"gateways": len(self.gateways), "changes": noted}
+    def changes_of(self, name: str) -> dict[str, Any]:
+        """What was noticed of one gateway; cheaper than a snapshot, so that asking often delays nobody."""
+        return {"gateways": len(self._gateways), "changes": self._member_changes.rows(name)}
 
-    def snapshot(self):
-        """Counts since the start, and the longest lateness since the last snapshot."""
-        totals, late, self.late = {}, self.late, 0
-        for gateway in self.gateways.values():
-            for part, counters in gateway.counters().items():
-                for counter, value in counters.items():
-                    totals[f"{part}.{counter}"] = totals.get(f"{part}.{counter}", 0) + value
-        ups = [gateway.parts["membership"].members.live_count() for gateway in self.gateways.values()]
+    def snapshot(self) -> dict[str, Any]:
+        """Counts since the start, and the greatest lateness since the last snapshot."""
+        lateness, self._lateness = self._lateness, 0
+        memberships = [gateway.parts["membership"].membership for gateway in self._gateways.values()]
         return {
-            "gateways": len(self.gateways),
-            "totals": totals,
-            "late_ns": late,
+            "gateways": len(self._gateways),
+            "totals": self._totals(),
+            "late_ns": lateness,
             "cpu_ns": time.process_time_ns(),
-            "least_up": min(ups, default=0),
-            "errors": self.errors,
-            "last_error": self.last_error,
+            "least_up": min((membership.live_count() for membership in memberships), default=0),
+            "errors": self._errors,
+            "last_error": self._last_error,
         }
 
-    def run(self):
-        """Until the input ends."""
-        self.loop.run()
-        for gateway in self.gateways.values():
-            gateway.close()
+    def _totals(self) -> dict[str, int]:
+        totals: Counter[str] = Counter()
+        for gateway in self._gateways.values():
+            for part, counters in gateway.counters().items():
+                for counter, value in counters.items():
+                    totals[f"{part}.{counter}"] += value
+        return dict(totals)
+
+    def _print(self, answer: Mapping[str, Any]) -> None:
+        print(json.dumps(answer), flush=True)
+
+    # Called by the loop
+
+    def _read_orders(self, events: int) -> None:
+        """Read orders from standard input; its end is the end of the process."""
+        data = os.read(sys.stdin.fileno(), READ_SIZE)
+        if not data:
+            self._loop.stop()
+            return
+        *lines, self._unread = (self._unread + data).split(b"\n")
+        for line in lines:
+            self.obey(json.loads(line))
+
+    def _start(self, index: int) -> None:
+        row = self._rows[index]
+        environment = GatewayEnvironment(
+            loop=self._loop,
+            name=row.name,
+            address=row.where,
+            configuration=self._configuration,
+            seed=self._seed * SEEDS_APART + index * GATEWAYS_APART,
+            open_datagrams=Datagrams,
+            open_raft_transport=RaftTransport,
+            open_raft_disk=no_disk,
+            wall_clock=time.time_ns,
+            record=self._member_changes,
+        )
+        gateway = self._gateways[row.name] = HollowGateway(environment, PROCESS_PARTS)
+        gateway.start(self._rows)
+
+    def _callback_failed(self, error: BaseException) -> None:
+        self._errors, self._last_error = self._errors + 1, repr(error)
+
+    def _check_lateness(self) -> None:
+        now = self._loop.now()
+        self._lateness, self._check_due = max(self._lateness, now - self._check_due), now + LATENESS_INTERVAL
+        self._loop.at(self._check_due, self._check_lateness)
--- a/gaproute/hollow/simulation/__init__.py
+++ b/gaproute/hollow/simulation/__init__.py
@@ -4,4 +4,4 @@
 from gaproute.hollow.simulation.loop import GatewayLoop, SimulatedLoop
 from gaproute.hollow.simulation.network import SimulatedNetwork
 
-__all__ = ["SimulatedFleet", "GatewayLoop", "GatewayRow", "SimulatedNetwork", "SimulatedLoop"]
+__all__ = ["GatewayLoop", "GatewayRow", "SimulatedFleet", "SimulatedLoop", "SimulatedNetwork"]
--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -1,143 +1,175 @@
-"""A fleet of hollow gateways on a simulated clock: started, killed, parted, counted."""
+"""A fleet of hollow gateways on a simulated clock: started, killed, partitioned, counted."""
+
+from __future__ import annotations
 
 from collections import Counter
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from functools import partial
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
-from gaproute.config import read_configuration
+from gaproute.config import Configuration, read_configuration
 from gaproute.decisions.chance import Chance
+from gaproute.hollow.environment import GatewayEnvironment
 from gaproute.hollow.gateway import PARTS, HollowGateway
-from gaproute.hollow.parts import GatewayEnvironment
+from gaproute.hollow.parts import PartFactory
 from gaproute.hollow.simulation.host_lists import HostLists, MemoryFile
 from gaproute.hollow.simulation.loop import GatewayLoop, SimulatedLoop
-from gaproute.hollow.simulation.network import SimulatedDatagrams, SimulatedNetwork, SimulatedRaftTransport
+from gaproute.hollow.simulation.network import (
+    SimulatedDatagrams,
+    SimulatedNetwork,
+    SimulatedRaftTransport,
+)
 from gaproute.simulation.disk import Disk
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-BORN = 1_790_000_000 * SECOND  # of the simulated clock, in ns since 1970
-STEP = SECOND // 4  # between looks whether something holds
-STARTS = SECOND  # within which a fleet's gateways start
-KEEPERS = 3
+WALL_CLOCK_START = 1_790_000_000 * SECOND  # ns since 1970
+STEP = SECOND // 4  # between checks whether a condition holds
+START_SPAN = SECOND  # within which the gateways of a fleet start
+MAX_SEED = 1 << 30
+RAFT_MEMBERS = 3
 CONFIGURATION = """\
 name hollow
 listen peers 127.0.0.1:0
 hosts-file {hosts} look 400ms
 weak-word yes
 peers-file {hosts}.peers
-keepers {keepers} longest 30s
+keepers {members} longest 30s
 model model-000 track inference lanes 4
 track inference pure contract 1200ms limit 5s
 """
 
 
 class GatewayRow(NamedTuple):
-    """A configured gateway."""
+    """A configured gateway and its address."""
 
     name: str
     where: str
 
 
 class SimulatedFleet:
-    """`size` gateways with the parts of `makers`. `seeds`: each is configured to know so many first ones, all
-    where it is None.
+    """`size` gateways with the parts that `part_factories` make; `hosts` hosts, listed in `files` files.
 
-    `lag(name)`: ns by which a gateway's process runs late; `list_of(name)`: the number of the host list that
-    it reads.
+    `seeds`: each gateway is configured to know so many first ones, all where it is None. `lag(name)`: ns by
+    which a gateway's process runs late. `host_list_of(name)`: the number of the host list that it reads.
     """
 
-    def __init__(self, size, seed=1, makers=PARTS, hosts=240, files=1, seeds=None, lag=None, list_of=None):
-        self.loop, self.chance, self.makers = SimulatedLoop(), Chance(seed), makers
+    network: SimulatedNetwork
+
+    def __init__(
+        self,
+        size: int,
+        *,
+        seed: int = 1,
+        part_factories: Mapping[str, PartFactory] = PARTS,
+        hosts: int = 240,
+        files: int = 1,
+        seeds: int | None = None,
+        lag: Callable[[str], int] | None = None,
+        host_list_of: Callable[[str], int] | None = None,
+    ) -> None:
+        self.loop, self.chance, self.part_factories = SimulatedLoop(), Chance(seed), part_factories
         self.network = SimulatedNetwork(self.loop)
-        self.lists = HostLists(hosts, [MemoryFile() for _ in range(files)])
+        self._list_files = [MemoryFile() for _ in range(files)]
+        self.host_lists = HostLists(hosts, self._list_files)
         self.rows = [GatewayRow(f"gateway-{number}", self.address(number)) for number in range(size)]
-        self.known = self.rows if seeds is None else self.rows[:seeds]
-        self.lag, self.list_of = lag or (lambda name: 0), list_of or (lambda name: 0)
-        self.configurations = [self._configuration(file.path) for file in self.lists.files]
-        self.disks, self.gateways = {}, {}
-        self.gone = Counter()  # counters of gateways that ended
+        self.configured_rows = self.rows if seeds is None else self.rows[:seeds]
+        self.lag = lag or (lambda name: 0)
+        self.host_list_of = host_list_of or (lambda name: 0)
+        self.configurations = [self._configuration(file.path) for file in self._list_files]
+        self.gateways: dict[str, HollowGateway] = {}  # those that run, by name
+        self.ended_totals: Counter[str] = Counter()  # counters of gateways that ended
+        self._disks: dict[str, Any] = {}  # of members of the Raft group, by name
         for row in self.rows:
-            self.loop.at(self.chance.below(STARTS), self.start, row)
+            self.loop.at(self.chance.below(START_SPAN), self.start, row)
 
     @staticmethod
-    def address(number):
-        """An address as long as real ones are."""
+    def address(number: int) -> str:
+        """The address of a gateway, as long as real ones are."""
         return f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:7400"
 
-    def _configuration(self, path):
-        keepers = ",".join(row.name for row in self.rows[:KEEPERS])
-        return read_configuration("hollow.conf", CONFIGURATION.format(hosts=path, keepers=keepers))
+    def _configuration(self, path: str) -> Configuration:
+        members = ",".join(row.name for row in self.rows[:RAFT_MEMBERS])
+        return read_configuration("hollow.conf", CONFIGURATION.format(hosts=path, members=members))
 
     # Gateways come and go
 
-    def start(self, row, known=None):
-        """Starts a gateway, with an empty memory where it has been there before."""
-        if row.name in self.gateways:
-            return self.gateways[row.name]
+    def start(self, row: GatewayRow, known: Sequence[GatewayRow] | None = None) -> HollowGateway:
+        """Start a gateway, with an empty memory where it ran before; one that runs is left as it is.
+
+        `known`: the gateways that it is configured with, by default those of the fleet.
+        """
+        running = self.gateways.get(row.name)
+        if running is not None:
+            return running
         environment = GatewayEnvironment(
             loop=GatewayLoop(self.loop, self.lag(row.name)),
             name=row.name,
             address=row.where,
-            configuration=self.configurations[self.list_of(row.name)],
-            seed=self.chance.below(1 << 30),
+            configuration=self.configurations[self.host_list_of(row.name)],
+            seed=self.chance.below(MAX_SEED),
             open_datagrams=partial(SimulatedDatagrams, self.network, row.name),
-            open_carrier=partial(SimulatedRaftTransport, self.network),
-            open_votes=self._disk,
-            wall=self.wall,
+            open_raft_transport=partial(SimulatedRaftTransport, self.network),
+            open_raft_disk=self._open_disk,
+            wall_clock=self.wall_clock,
         )
-        gateway = self.gateways[row.name] = HollowGateway(environment, self.makers)
-        gateway.start(self.known if known is None else known)
+        gateway = self.gateways[row.name] = HollowGateway(environment, self.part_factories)
+        gateway.start(self.configured_rows if known is None else known)
         return gateway
 
-    def _disk(self, name):
-        disk = self.disks.setdefault(name, Disk())
+    def _open_disk(self, name: str) -> Any:
+        disk = self._disks.setdefault(name, Disk())
         disk.opened()
         return disk
 
-    def wall(self):
+    def wall_clock(self) -> int:
         """Simulated ns since 1970."""
-        return BORN + self.loop.time
+        return WALL_CLOCK_START + self.loop.time
 
-    def kill(self, name):
-        """Ends the gateway without a word; what it counted stays in the totals."""
+    def kill(self, name: str) -> None:
+        """End the gateway without notifying others; what it counted stays in the totals."""
         gateway = self.gateways.pop(name)
-        self.gone.update(self.totals([gateway], gone=False))
+        self.ended_totals.update(self.totals([gateway]))
         gateway.close()
 
-    def newcomer(self, seeds):
-        """A gateway that nobody has configured starts, with the first `seeds` configured."""
+    def start_newcomer(self, seeds: int) -> HollowGateway:
+        """Start a gateway that nobody has configured; it knows the first `seeds` gateways."""
         row = GatewayRow(f"gateway-{len(self.rows)}", self.address(len(self.rows)))
         self.rows = [*self.rows, row]
         return self.start(row, self.rows[:seeds])
 
     # Time
 
-    def run(self, seconds):
-        """Plays so many simulated seconds."""
+    def run(self, seconds: float) -> None:
+        """Play so many simulated seconds."""
         self.loop.run(round(seconds * SECOND))
 
-    def until(self, holds, longest, step=STEP):
-        """Simulated seconds until `holds()`, at the precision of `step` ns; None: not within `longest`."""
+    def run_until(self, condition: Callable[[], object], timeout: float, step: int = STEP) -> float | None:
+        """Play until the condition holds, which is checked each `step` ns.
+
+        Returns simulated seconds, None where it did not hold within `timeout` seconds.
+        """
         began = self.loop.time
-        while not holds():
-            if self.loop.time - began >= longest * SECOND:
+        while not condition():
+            if self.loop.time - began >= timeout * SECOND:
                 return None
             self.loop.run(step)
         return (self.loop.time - began) / SECOND
 
     # Counts
 
-    def totals(self, gateways=None, gone=True):
-        """{"part.counter": sum over the gateways}, of those that ended as well."""
-        found = Counter(self.gone) if gone and gateways is None else Counter()
+    def totals(self, gateways: Iterable[HollowGateway] | None = None) -> Counter[str]:
+        """Sums of counters by "part.counter": over these gateways, or over all, with those that ended."""
+        totals = Counter(self.ended_totals) if gateways is None else Counter()
         for gateway in self.gateways.values() if gateways is None else gateways:
             for part, counters in gateway.counters().items():
                 for counter, value in counters.items():
-                    found[f"{part}.{counter}"] += value
-        return found
+                    totals[f"{part}.{counter}"] += value
+        return totals
 
-    def close(self):
-        """Ends all, and frees the lists."""
+    def close(self) -> None:
+        """End all gateways, and free the host lists."""
         for gateway in self.gateways.values():
             gateway.close()
         self.gateways.clear()
-        self.lists.close()
+        for file in self._list_files:
+            file.close()
--- a/gaproute/hollow/simulation/loop.py
+++ b/gaproute/hollow/simulation/loop.py
@@ -1,31 +1,43 @@
-"""A loop on a simulated clock, with the product's loop's face for timers: time passes from event to event."""
+"""A simulated clock with the timer methods of the product's loop: time passes from event to event."""
+
+from __future__ import annotations
 
 import heapq
+from collections.abc import Callable
+from typing import Any
 
 from gaproute.loop.timers import Timer
 
+Callback = Callable[..., object]
+
 
 class SimulatedLoop:
-    """A heap of timers, shared by all gateways; an exception of a call ends the run."""
+    """The timers of all gateways; an exception of a callback ends the play.
+
+    `time`: simulated ns. `events_played` counts callbacks.
+    """
 
-    def __init__(self, now=0):
-        self.time, self.timers = now, []
-        self.timer_count = self.done = self.cancelled_count = 0
+    def __init__(self, now: int = 0) -> None:
+        self.time = now
+        self.events_played = 0
+        self.cancelled_count = 0  # set by `Timer`
+        self._timers: list[tuple[int, int, Timer]] = []  # a heap: when, in which order made, timer
+        self._timer_count = 0
 
-    def now(self):
+    def now(self) -> int:
         """Simulated nanoseconds."""
         return self.time
 
-    def at(self, when, call, *args):
-        """Calls it then, or as the next event where that has passed."""
+    def at(self, when: int, call: Callback, *args: Any) -> Timer:
+        """Call `call(*args)` then, or as the next event where that has passed."""
         timer = Timer(self, when, call, args)
-        self.timer_count += 1
-        heapq.heappush(self.timers, (when, self.timer_count, timer))
+        self._timer_count += 1
+        heapq.heappush(self._timers, (when, self._timer_count, timer))
         return timer
 
-    def run(self, span):
-        """Plays all events of the next `span` ns."""
-        end, timers, pop = self.time + span, self.timers, heapq.heappop
+    def run(self, span: int) -> None:
+        """Play all events of the next `span` ns."""
+        end, timers, pop = self.time + span, self._timers, heapq.heappop
         while timers and timers[0][0] <= end:
             when, _, timer = pop(timers)
             call = timer.call
@@ -33,31 +45,32 @@
                 continue
             timer.call = None
             self.time = max(self.time, when)
-            self.done += 1
+            self.events_played += 1
             call(*timer.args)
         self.time = end
 
 
 class GatewayLoop:
-    """What one gateway sees of the loop; `lag`: ns by which its process runs late."""
+    """What one gateway sees of the loop. `lag`: ns by which its process runs late."""
 
     __slots__ = ("shared", "lag", "on_late_turn")
 
-    def __init__(self, shared, lag=0):
-        self.shared, self.lag, self.on_late_turn = shared, lag, []
+    def __init__(self, shared: SimulatedLoop, lag: int = 0) -> None:
+        self.shared, self.lag = shared, lag
+        self.on_late_turn: list[Callback] = []  # as of the product's loop; never called here
 
-    def now(self):
+    def now(self) -> int:
         """Simulated nanoseconds."""
         return self.shared.time
 
-    def at(self, when, call, *args):
-        """Calls it then, later by the lag."""
+    def at(self, when: int, call: Callback, *args: Any) -> Timer:
+        """Call `call(*args)` then, later by the lag."""
         return self.shared.at(max(when, self.shared.time) + self.lag, call, *args)
 
-    def after(self, span, call, *args):
-        """Calls it after the span."""
+    def after(self, span: int, call: Callback, *args: Any) -> Timer:
+        """Call `call(*args)` after the span, ns."""
         return self.at(self.shared.time + span, call, *args)
 
-    def soon(self, call, *args):
-        """Calls it as soon as the gateway has a turn."""
+    def soon(self, call: Callback, *args: Any) -> Timer:
+        """Call `call(*args)` as soon as the gateway has a turn."""
         return self.at(self.shared.time, call, *args)
--- a/tests/hollow/test_cells.py
+++ b/tests/hollow/test_cells.py
@@ -24,9 +24,9 @@
     """Counts of one fleet's gateways that have all parts; rates are a second, of a gateway."""
 
     def __init__(self, size):
-        self.fleet = CellFleet(size, SEED, HOSTS_PLAYED, FULL)
+        self.fleet = CellFleet(size, seed=SEED, hosts=HOSTS_PLAYED, full_cells=FULL)
         self.fleet.run(SETTLE)
-        gateways = self.fleet.fully()
+        gateways = self.fleet.full_gateways()
         before, sent = self.fleet.totals(gateways), self.sent(gateways)
         self.fleet.run(COUNTED)
         after = self.fleet.totals(gateways)
@@ -58,14 +58,14 @@
     assert len(large.fleet.gateways) == LARGE
 
 
-@pytest.mark.parametrize("part", ("membership", "tables", "demand"))
-@pytest.mark.parametrize("cost", ("messages", "bytes"))
+@pytest.mark.parametrize("part", ["membership", "tables", "demand"])
+@pytest.mark.parametrize("cost", ["messages", "bytes"])
 def test_a_gateways_cost_does_not_grow_with_the_fleet(small, large, part, cost):
     name = f"{part}.{cost}"
     assert 0 < large.rates[name] <= STEEPER * small.rates[name]
 
 
-@pytest.mark.parametrize("entries", ("membership.entries", "hosts.entries", "demand.entries"))
+@pytest.mark.parametrize("entries", ["membership.entries", "hosts.entries", "demand.entries"])
 def test_what_a_gateway_holds_does_not_grow_with_the_fleet(small, large, entries):
     assert 0 < large.counts[entries] <= STEEPER * small.counts[entries]
 
@@ -86,9 +86,9 @@
 
 def test_the_busiest_gateway_stays_within_its_budget_while_the_table_changes_all_day():
     """A row changes as often as the configuration of 16,000 gateways does."""
-    fleet = CellFleet(SMALL, SEED, HOSTS_PLAYED)
+    fleet = CellFleet(SMALL, seed=SEED, hosts=HOSTS_PLAYED)
     fleet.run(SETTLE)
-    gateways = fleet.fully()
+    gateways = fleet.full_gateways()
     before = Costs.sent(gateways)
     for number in range(CHANGES_COUNTED):
         fleet.publish(number % fleet.plan.cells, HOSTS_PLAYED - 1 - number % 2)
@@ -101,22 +101,23 @@
 def test_every_call_finds_a_way_once_the_fleet_has_started(small, large):
     for costs in (small, large):
         rates = costs.rates
-        assert rates["hosts.known"] > 0 and rates["hosts.entered"] > 0
+        assert rates["hosts.known"] > 0
+        assert rates["hosts.entered"] > 0
         assert rates["hosts.calls"] == pytest.approx(rates["hosts.known"] + rates["hosts.entered"])
         assert rates["hosts.failed"] == rates["hosts.unreached"] == 0
 
 
 def test_what_a_gateway_holds_is_within_its_bounds(large):
-    for gateway in large.fleet.fully():
+    for gateway in large.fleet.full_gateways():
         assert not list(cell_invariants.view_bounded(gateway.parts["hosts"].cellular))
-        assert not table_invariants.check(gateway.parts["tables"].carrier.disseminator)
+        assert not table_invariants.check(gateway.parts["tables"].transport.disseminator)
 
 
 def test_a_changed_row_reaches_all_and_their_decisions(large):
     version = large.fleet.publish(2, HOSTS_PLAYED - 1)
-    assert large.fleet.until(lambda: large.fleet.all_hold(version), 5) is not None
-    for gateway in large.fleet.fully():
-        row = gateway.parts["hosts"].cellular.table.by_name[large.fleet.plan.name(2)]
+    assert large.fleet.run_until(lambda: large.fleet.all_have_version(version), 5) is not None
+    for gateway in large.fleet.full_gateways():
+        row = gateway.parts["hosts"].cellular.table.by_name[large.fleet.plan.cell_name(2)]
         assert row.hosts == HOSTS_PLAYED - 1
 
 
@@ -124,63 +125,65 @@
     makers = {
         name: make for name, make in CELL_PARTS.items() if name != "demand"
     }  # nine tenths of all events
-    fleet = CellFleet(SMALL, SEED, HOSTS_PLAYED, makers=makers)
+    fleet = CellFleet(SMALL, seed=SEED, hosts=HOSTS_PLAYED, part_factories=makers)
     fleet.run(SETTLE)
     name = fleet.rows[4].name  # of the second cell
     fleet.kill(name)
-    cell = [gateway.parts["membership"].members for gateway in fleet.of_cell(1)]
+    cell = [gateway.parts["membership"].membership for gateway in fleet.gateways_of_cell(1)]
     assert (
-        fleet.until(lambda: all(held.members[name].state >= MemberState.DEAD for held in cell), 60)
+        fleet.run_until(lambda: all(held.members[name].state >= MemberState.DEAD for held in cell), 60)
         is not None
     )
     for other in (0, 2):
-        for gateway in fleet.of_cell(other):
-            assert name not in gateway.parts["membership"].members.members
+        for gateway in fleet.gateways_of_cell(other):
+            assert name not in gateway.parts["membership"].membership.members
     fleet.close()
 
 
 def test_a_newcomer_without_a_table_gets_it_and_its_hosts():
-    fleet = CellFleet(66, SEED, HOSTS_PLAYED)
+    fleet = CellFleet(66, seed=SEED, hosts=HOSTS_PLAYED)
     fleet.run(SETTLE)
-    comer = fleet.newcomer(3)
-    carrier, hosts = comer.parts["tables"].carrier, comer.parts["hosts"]
-    assert carrier.table() is None and not hosts.ready
-    assert fleet.until(lambda: hosts.ready, 10) is not None
+    comer = fleet.start_newcomer(3)
+    carrier, hosts = comer.parts["tables"].transport, comer.parts["hosts"]
+    assert carrier.table() is None
+    assert not hosts.is_ready
+    assert fleet.run_until(lambda: hosts.is_ready, 10) is not None
     assert carrier.table().version == fleet.gateways[fleet.rows[0].name].parts["tables"].version
-    assert comer.parts["tables"].puller.pulls > 0
-    own = comer.parts["membership"].members
-    assert fleet.until(lambda: len(own.table.alive) == GATEWAYS, 20) is not None
+    assert comer.parts["tables"].pull_client.pulls > 0
+    own = comer.parts["membership"].membership
+    assert fleet.run_until(lambda: len(own.table.alive) == GATEWAYS, 20) is not None
     fleet.close()
 
 
 def test_gateways_that_share_tables_read_each_version_once():
-    fleet = CellFleet(66, SEED, HOSTS_PLAYED, full=0)
+    fleet = CellFleet(66, seed=SEED, hosts=HOSTS_PLAYED, full_cells=0)
     fleet.run(1.5)
     version = fleet.publish(1, HOSTS_PLAYED - 1)
-    assert fleet.until(lambda: fleet.all_hold(version), 5) is not None
-    tables = {id(gateway.parts["tables"].carrier.table()) for gateway in fleet.gateways.values()}
-    assert len(tables) == 1 and len(fleet.shared_tables) == 2
+    assert fleet.run_until(lambda: fleet.all_have_version(version), 5) is not None
+    tables = {id(gateway.parts["tables"].transport.table()) for gateway in fleet.gateways.values()}
+    assert len(tables) == 1
+    assert len(fleet.shared_tables) == 2
     assert all(TARGET in gateway.parts["tables"].peer_server.routes for gateway in fleet.gateways.values())
     fleet.close()
 
 
 def test_a_zone_that_is_gone_and_back_ends_with_the_table_of_the_others():
-    fleet = CellFleet(99, SEED, HOSTS_PLAYED)
+    fleet = CellFleet(99, seed=SEED, hosts=HOSTS_PLAYED)
     fleet.run(SETTLE)
-    zone = fleet.of_zone(1)
+    zone = fleet.rows_of_zone(1)
     for row in zone:
         fleet.kill(row.name)
     fleet.run(2)
     version = fleet.publish(2, HOSTS_PLAYED - 1)
     for row in zone:
-        fleet.start(row, kept=False)
-    assert fleet.until(lambda: fleet.all_hold(version), 30) is not None
+        fleet.start(row, has_table=False)
+    assert fleet.run_until(lambda: fleet.all_have_version(version), 30) is not None
     fleet.run(2)
-    assert all(gateway.parts["hosts"].ready for gateway in fleet.fully())
+    assert all(gateway.parts["hosts"].is_ready for gateway in fleet.full_gateways())
     fleet.close()
 
 
 def test_the_cells_of_a_fleet_are_as_large_as_planned():
-    plan = CellFleet(SMALL, SEED, full=0).plan
+    plan = CellFleet(SMALL, seed=SEED, full_cells=0).plan
     assert plan.table().cells[0].hosts == HOSTS
     assert [len(plan.gateways(cell)) for cell in range(plan.cells)] == [GATEWAYS] * FULL
--- a/tests/hollow/test_costs.py
+++ b/tests/hollow/test_costs.py
@@ -22,17 +22,17 @@
     """Counts of one fleet; rates are a second, of a gateway."""
 
     def __init__(self, size):
-        self.size, fleet = size, SimulatedFleet(size, SEED, hosts=HOSTS)
+        self.size, fleet = size, SimulatedFleet(size, seed=SEED, hosts=HOSTS)
         fleet.run(SETTLE)
         self.entries, before, sent = fleet.totals(), fleet.totals(), self.sent(fleet)
-        events = fleet.loop.done
+        events = fleet.loop.events_played
         fleet.run(COUNTED)
         after = fleet.totals()
         self.rates = {name: (after[name] - before[name]) / COUNTED / size for name in after}
-        self.rates["events"] = (fleet.loop.done - events) / COUNTED / size
+        self.rates["events"] = (fleet.loop.events_played - events) / COUNTED / size
         self.sent_by = {name: (total - sent[name]) / COUNTED for name, total in self.sent(fleet).items()}
         self.rates["calls"] = calls_of(fleet, 1) / size
-        self.done = fleet.loop.done
+        self.done = fleet.loop.events_played
         fleet.close()
 
     @staticmethod
@@ -75,20 +75,20 @@
 
 @pytest.mark.parametrize(
     "cost",
-    (
+    [
         "membership.messages",
         "membership.bytes",
         "demand.messages",
         "demand.bytes",
         "events",
         "calls",
-    ),
+    ],
 )
 def test_a_gateways_cost_does_not_grow_with_the_fleet(small, large, cost):
     assert 0 < large.rates[cost] <= STEEPER * small.rates[cost]
 
 
-@pytest.mark.parametrize("size", ("small", "large"))
+@pytest.mark.parametrize("size", ["small", "large"])
 def test_a_gateway_sends_less_than_its_budget(request, size):
     costs = request.getfixturevalue(size)
     others = [sent for name, sent in costs.sent_by.items() if name not in KEEPERS]
@@ -99,7 +99,7 @@
     """Of gateways with leases alone, over one renewal of each lease; the busiest leads the keepers."""
 
     def __init__(self, size):
-        fleet = SimulatedFleet(size, SEED, {"leases": PARTS["leases"]}, hosts=1)
+        fleet = SimulatedFleet(size, seed=SEED, part_factories={"leases": PARTS["leases"]}, hosts=1)
         fleet.run(SETTLE)
         before, sent = fleet.totals(), Costs.sent(fleet)
         fleet.run(RENEWAL)
@@ -114,7 +114,7 @@
     return [LeaseCosts(size) for size in (SMALL, LARGE)]
 
 
-@pytest.mark.parametrize("cost", ("leases.messages", "leases.bytes"))
+@pytest.mark.parametrize("cost", ["leases.messages", "leases.bytes"])
 def test_leases_cost_a_gateway_no_more_in_a_larger_fleet(lease_costs, cost):
     few, many = [costs.rates[cost] for costs in lease_costs]
     assert 0 < many <= STEEPER * few
--- a/tests/hollow/test_ladder.py
+++ b/tests/hollow/test_ladder.py
@@ -34,12 +34,12 @@
 
 
 @pytest.mark.parametrize(
-    "limits, memory, processes, why",
-    (
+    ("limits", "memory", "processes", "why"),
+    [
         (Limits(100, 60), 101, 1, "memory: 101 MB in use"),
         (Limits(100, 60, 300), 5, 301, "processes: 301"),
         (Limits(100, -1), 5, 1, "time: "),
-    ),
+    ],
 )
 def test_a_limit_that_is_reached_is_named(limits, memory, processes, why):
     with pytest.raises(Stopped, match=why):
@@ -50,7 +50,8 @@
     told = type("Told", (), {"rungs": "12,24", "seed": 1, "parts": "membership", "hosts": 5, "cells": None})
     kept = []
     ladder.climb(told, Limits(1, 60), lambda rungs, stopped: kept.append((len(rungs), stopped)))
-    assert len(kept) == 1 and kept[0][0] == 1
+    assert len(kept) == 1
+    assert kept[0][0] == 1
     assert kept[0][1].startswith("at 12 gateways: memory: ")
     assert "12 gateways, stopped: memory" in capsys.readouterr().out
 
@@ -62,7 +63,8 @@
     climbing.climb([9, 18, 27], played.get, keep)
     kept = json.loads((tmp_path / "ladder-made.json").read_text())
     assert [rung["size"] for rung in kept["rungs"]] == [9, 18]
-    assert kept["rungs"][0]["measured"] == {"known_s": 1.5} and kept["rungs"][1]["void"] == [1]
+    assert kept["rungs"][0]["measured"] == {"known_s": 1.5}
+    assert kept["rungs"][1]["void"] == [1]
     assert kept["stopped"] == "at 18 gateways: time: over"
     assert (kept["cells"], kept["hosts"], kept["seed"]) == (3, 256, 2)
     assert kept["limits"] == {"memory_mb": 100, "seconds": 60}
@@ -75,7 +77,8 @@
     rungs = climbing.whole_rungs(tmp_path, "made")
     climbing.climb([160], played.get, keep, rungs)
     kept = json.loads((tmp_path / "ladder-made.json").read_text())
-    assert [rung["size"] for rung in kept["rungs"]] == [10, 20, 40, 160] and kept["stopped"] == ""
+    assert [rung["size"] for rung in kept["rungs"]] == [10, 20, 40, 160]
+    assert kept["stopped"] == ""
     assert kept["rungs"][3]["predicted"]["entries"]["value"] == pytest.approx(320)
 
 
--- a/tests/hollow/test_process.py
+++ b/tests/hollow/test_process.py
@@ -56,7 +56,8 @@
         assert wait_for(lambda: snapshot()["totals"].get("demand.tellers", 0) == 4 * 3)
         told = snapshot()
         assert told["errors"] == 0, told["last_error"]
-        assert told["gateways"] == 4 and told["least_up"] >= 4
+        assert told["gateways"] == 4
+        assert told["least_up"] >= 4
         assert told["totals"]["hosts.entries"] == 4 * 4
         assert told["totals"]["membership.refused"] == told["totals"]["demand.refused"] == 0
         assert told["totals"]["leases.held"] == 0  # nobody keeps here
