--- a/benchmarks/fleet/clock.py
+++ b/benchmarks/fleet/clock.py
@@ -1,19 +1,35 @@
-"""The clock of a play: events in order of time, equal times in order of asking."""
+"""The clock of a play: events in the order of time, those of the same time in the order of scheduling."""
+
+from __future__ import annotations
 
 import heapq
+from collections.abc import Callable
+from typing import Any
 
 MICRO, MILLI, SECOND = 1_000, 1_000_000, 1_000_000_000
 
+Callback = Callable[..., object]
+
+
+class EventClock:
+    """Simulated time; `now` is in ns."""
+
+    def __init__(self) -> None:
+        self.now = 0
+        self._events: list[tuple[int, int, Callback, tuple[Any, ...]]] = []  # a heap
+        self._scheduled = 0
 
-class Clock:
-    def __init__(self):
-        self.now, self.events, self.count = 0, [], 0
+    def at(self, when: int, call: Callback, *args: Any) -> None:
+        """Call `call(*args)` at that time."""
+        self._scheduled += 1
+        heapq.heappush(self._events, (when, self._scheduled, call, args))
 
-    def at(self, when, call, *args):
-        self.count += 1
-        heapq.heappush(self.events, (when, self.count, call, args))
+    def after(self, span: int, call: Callback, *args: Any) -> None:
+        """Call `call(*args)` after `span` ns."""
+        self.at(self.now + span, call, *args)
 
-    def run(self, until):
-        while self.events and self.events[0][0] <= until:
-            self.now, _, call, args = heapq.heappop(self.events)
+    def run(self, until: int) -> None:
+        """Play all events up to that time."""
+        while self._events and self._events[0][0] <= until:
+            self.now, _, call, args = heapq.heappop(self._events)
             call(*args)
--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -1,22 +1,32 @@
 """Rows of a measurement as a table in Markdown and as JSON."""
 
+from __future__ import annotations
+
 import json
 import time
+from collections.abc import Mapping, Sequence
 from pathlib import Path
+from typing import Any
+
+Row = Mapping[str, Any]
 
 
-def table(rows):
+def table(rows: Sequence[Row]) -> str:
+    """A Markdown table with the keys of the first row as its head."""
     head = list(rows[0])
     lines = ["| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
-    return "\n".join(lines + ["| " + " | ".join(str(row[key]) for key in head) + " |" for row in rows]) + "\n"
+    lines += ["| " + " | ".join(str(row[key]) for key in head) + " |" for row in rows]
+    return "\n".join(lines) + "\n"
+
 
+def write(folder: str | Path, name: str, rows: Sequence[Row], **more: Any) -> Path:
+    """Write `name`.md and `name`.json into the folder, which is made where it is missing.
 
-def write(folder, name, rows, **more):
-    """`name`.md and `name`.json in the folder, which is made where it is missing; returns the folder."""
+    `more` goes into the JSON file. Returns the folder. Errors: OSError.
+    """
     folder = Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
+    document = {"at": time.strftime("%Y-%m-%d"), "rows": rows, **more}
     (folder / f"{name}.md").write_text(table(rows))
-    (folder / f"{name}.json").write_text(
-        json.dumps({"at": time.strftime("%Y-%m-%d"), "rows": rows, **more}, indent=1)
-    )
+    (folder / f"{name}.json").write_text(json.dumps(document, indent=1))
     return folder
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import SECOND, Drive, gateway, row, task
 
-from benchmarks.cold import HARD, Day, day, play
+from benchmarks.cold import HARD, ColdDay, day, play
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.interface import Result
 from gaproute.settings import read_terms
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(("kind", "gateways"), [("all", 3), ("all", 30), ("all", 200), ("join", 30)])
 def test_no_cold_host_falls_by_the_sum_over_the_fleet(kind, gateways):
     """They gain nothing until they are warm, the least that the settings promise."""
-    found = play(Day(kind, gateways, 12, 0.6, 0.17, "step", True, False, False, False), 4)
+    found = play(ColdDay(kind, gateways, 12, 0.6, 0.17, "step", True, False, False, False), 4)
     assert not found["broken"]
     assert found["served"] > (0.2 if kind == "all" else 0.8)
 
