--- a/gaproute/simulation/rounds_truth.py
+++ b/gaproute/simulation/rounds/judge.py
@@ -12,10 +12,10 @@
 does not.
 """
 
-from gaproute.maintenance import floor
+from gaproute.maintenance import capacity_floor
 
 
-class Judge:
+class FloorJudge:
     def __init__(self, play):
         self.play = play
         self.had = {}  # host in a round's hands: the copies it had
@@ -87,7 +87,7 @@
         return came
 
     def __call__(self, world, seat):
-        """For `Checks.touched`."""
+        """For `InvariantChecks.touched`."""
         if seat.name in self.play.fleet:
             actor = seat.actor
             sign = (
@@ -131,11 +131,11 @@
             for name, functions in warm.items()
         }
         self.last, self.dirty = warm, False
-        have, might = floor.standing(play.fleet, warm), floor.standing(play.fleet, whole)
+        have, might = capacity_floor.standing(play.fleet, warm), capacity_floor.standing(play.fleet, whole)
         for asked in play.rounds:
             if asked.name in self.ends:
                 continue
-            for row, least in floor.need(asked, play.demand, play.zones).items():
+            for row, least in capacity_floor.need(asked, play.demand, play.zones).items():
                 key, there = (asked.name, row), have.get(row, 0)
                 if there >= least:
                     self.bad.pop(key, None)
