--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from functools import partial
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.config import Configuration, read_configuration
 from gaproute.decisions.chance import Chance
@@ -19,7 +19,7 @@
     SimulatedNetwork,
     SimulatedRaftTransport,
 )
-from gaproute.simulation.disk import Disk
+from gaproute.simulation.disk import SimulatedDisk
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 WALL_CLOCK_START = 1_790_000_000 * SECOND  # ns since 1970
@@ -78,7 +78,7 @@
         self.configurations = [self._configuration(file.path) for file in self._list_files]
         self.gateways: dict[str, HollowGateway] = {}  # those that run, by name
         self.ended_totals: Counter[str] = Counter()  # counters of gateways that ended
-        self._disks: dict[str, Any] = {}  # of members of the Raft group, by name
+        self._disks: dict[str, SimulatedDisk] = {}  # of members of the Raft group, by name
         for row in self.rows:
             self.loop.at(self.chance.below(START_SPAN), self.start, row)
 
@@ -116,8 +116,8 @@
         gateway.start(self.configured_rows if known is None else known)
         return gateway
 
-    def _open_disk(self, name: str) -> Any:
-        disk = self._disks.setdefault(name, Disk())
+    def _open_disk(self, name: str) -> SimulatedDisk:
+        disk = self._disks.setdefault(name, SimulatedDisk())
         disk.opened()
         return disk
 
