--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -3,8 +3,8 @@
 import time
 from dataclasses import dataclass
 
-from benchmarks.gossip import FUNCTIONS, HOSTS
 from benchmarks.gossip_bytes import wrapped
+from benchmarks.gossip_traffic import FUNCTIONS, HOSTS
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, UDP_HEADERS, held_bytes
 from gaproute.decisions.chance import Chance
--- a/benchmarks/scale/costs/gossip_content.py
+++ b/benchmarks/scale/costs/gossip_content.py
@@ -1,6 +1,6 @@
 """Gossip of demand: what one gateway tells and hears, by the hosts and the functions that it tells of."""
 
-from benchmarks.gossip import FUNCTIONS, HOSTS
+from benchmarks.gossip_traffic import FUNCTIONS, HOSTS
 from benchmarks.scale.costs.gossip import PLAYED, SOME, SPENT, Fleet, played
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.meters import MILLISECONDS, TRACED, held_bytes
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -1,265 +1,206 @@
-"""What the harness's wire costs: CPU a message and a connection, and the time that it adds, with faults and
-without.
+"""What the harness's link emulator costs: CPU a message and a connection, and the time that it adds, with
+faults and without.
 
     python benchmarks/wire.py [--held 5000] [--pairs 24000] [--messages 20000] [--out docs/measured]
 
-One wire process; its CPU is read from the kernel's account, counting both directions of each exchange as
-two messages. The far end answers from another process. A wire that held none of the connections, lost a
-message or ran late says so in its own row.
+One emulator process; its CPU is read from the kernel's account, counting both directions of each exchange as
+two messages. The far end answers from another process. An emulator that did not hold the connections, lost a
+message or ran late shows it in its own row.
 """
 
+from __future__ import annotations
+
 import argparse
 import itertools
-import json
-import os
 import resource
 import select
 import socket
-import subprocess
 import sys
 import time
+from collections.abc import Callable, Iterator, Mapping, Sequence
 from pathlib import Path
+from typing import Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from rows import table, write
-
+from benchmarks.rows import table, write
+from benchmarks.wire_processes import DATAGRAM_SIZE, FIRST_HOST, HOSTS, LOCAL, MeasuredLink, echo
 from gaproute.cluster.addresses import between
-from gaproute.loop import Listener, Loop, Stream
-from gaproute.loop.datagrams import READS
 from gaproute.loop.descriptors import READ
 
-SECOND = 1_000_000_000
-TICKS = os.sysconf("SC_CLK_TCK")
-FIRST, HOSTS = 16, 120  # seats: hosts from FIRST on, callers behind them
-SMALL = b"x" * 200  # bytes of a small message
-IDLE = 3  # seconds of rest that are measured
+MESSAGE = b"x" * 200
+IDLE_SECONDS = 3  # of rest that are measured
 AT_ONCE = 64  # connections that exchange at the same time
-FAULTS = {
+MESSAGES_OVER_HELD = 10_000  # exchanges over some of the held connections
+POLL_TIMEOUT = 5  # seconds without an answer after which messages count as lost
+FAULTS: dict[str, Mapping[str, Any] | None] = {
     "none": None,
     "elsewhere": {"kind": "cut", "from": ["h0"], "to": ["h1"]},
     "lose nothing": {"kind": "lose", "share": 0.0},
     "delay 5 ms": {"kind": "delay", "delay_ms": 5},
 }
 
+Row = dict[str, Any]
+Send = Callable[[socket.socket], object]
 
-def echo():
-    """A process that sends back all that it gets, by TCP and UDP; says its ports."""
-    loop = Loop()
-    udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
-    udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 22)
-    udp.bind(("127.0.0.1", 0))
-
-    def back(events):
-        for _ in range(READS):
-            try:
-                udp.sendto(*udp.recvfrom(2048))
-            except BlockingIOError:
-                return
-
-    def opened(sock):
-        stream = Stream(loop, sock, lambda data: stream.write(data), lambda error: None)
-
-    tcp = Listener(loop, (socket.AF_INET, ("127.0.0.1", 0)), opened)
-    loop.watch(udp.fileno(), READ, back)
-    loop.watch(0, READ, lambda events: loop.stop())  # stdin's end
-    print(tcp.address, "{}:{}".format(*udp.getsockname()), flush=True)
-    loop.run()
-
-
-class Party:
-    """The echo, a wire before it, and what the wire has cost since it was last asked."""
-
-    def __init__(self, callers):
-        self.echo = subprocess.Popen(
-            [sys.executable, __file__, "--echo"], stdin=subprocess.PIPE, text=True, stdout=subprocess.PIPE
-        )
-        self.tcp, self.udp = self.echo.stdout.readline().split()
-        seats = {
-            FIRST + n: {"name": f"h{n}", "kind": "host", "tcp": self.tcp, "udp": self.udp}
-            for n in range(HOSTS)
-        }
-        self.callers = range(FIRST + HOSTS, FIRST + HOSTS + callers)
-        seats |= {n: {"name": f"g{n}", "kind": "gateway"} for n in self.callers}
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.port = free.getsockname()[1]
-        self.wire = subprocess.Popen(
-            [sys.executable, "-m", "gaproute.cluster.links"],
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            text=True,
-            cwd=Path(__file__).resolve().parent.parent,
-        )
-        self.tell({"tcp": self.port, "udp": self.port, "seed": 1, "seats": seats})
-        self.wire.stdout.readline()
-        self.spent = self.cpu()
-
-    def tell(self, line):
-        self.wire.stdin.write(json.dumps(line) + "\n")
-        self.wire.stdin.flush()
-
-    def ask(self):
-        self.tell({"say": True})
-        return json.loads(self.wire.stdout.readline())
-
-    def cpu(self):
-        words = Path(f"/proc/{self.wire.pid}/stat").read_text().rsplit(")", 1)[1].split()
-        return (int(words[11]) + int(words[12])) / TICKS
-
-    def cost(self):
-        spent, self.spent = self.spent, self.cpu()
-        return self.spent - spent
-
-    def close(self):
-        for process in (self.wire, self.echo):
-            process.stdin.close()
-            process.wait(20)
-            process.stdout.close()
 
-
-def row(party, name, count, spans, called):
-    said, spent = party.ask(), party.cost()
-    spans.sort()
-    lost = said["overrun"] + said["unsent"] + said["spilt"]
+def make_row(link: MeasuredLink, part: str, count: int, spans: list[int], ends: int) -> Row:
+    """A row of the table. `spans`: ns of each exchange; `ends`: connections or pairs that took part."""
+    counts, spent = link.counts(), link.cpu_spent()
+    spans = sorted(spans)
     return {
-        "part": name,
+        "part": part,
         "count": count,
         "cpu_us": round(spent / count * 1e6, 1),
         "median_us": round(spans[len(spans) // 2] / 1e3) if spans else "",
         "p99_us": round(spans[len(spans) * 99 // 100] / 1e3) if spans else "",
-        "late_ms": round(said["late_ns"] / 1e6, 1),
-        "held": said["connections"],
-        "lost": lost,
-        "ends": called,
-        "wrong": len(said["errors"]) + len(said["breaches"]),
+        "late_ms": round(counts["late_ns"] / 1e6, 1),
+        "held": counts["connections"],
+        "lost": counts["overrun"] + counts["unsent"] + counts["spilt"],
+        "ends": ends,
+        "wrong": len(counts["errors"]) + len(counts["breaches"]),
     }
 
 
-def exchanges(socks, count, send):
-    """Each of `socks` has one message under way; the spans of `count` exchanges, ns."""
-    poll, by, began, spans, size = select.epoll(), {}, {}, [], len(SMALL)
+def exchange(socks: Sequence[socket.socket], count: int, send: Send) -> list[int]:
+    """The spans of `count` exchanges, ns; each socket has one message under way.
+
+    There are fewer where messages were lost: the row's count shows it.
+    """
+    poll, spans = select.epoll(), list[int]()
+    by_descriptor: dict[int, socket.socket] = {}
+    began: dict[int, int] = {}
     for sock in socks:
-        by[sock.fileno()] = sock
+        by_descriptor[sock.fileno()] = sock
         poll.register(sock.fileno(), READ)
         began[sock.fileno()] = time.perf_counter_ns()
         send(sock)
     while len(spans) < count:
-        ready = poll.poll(5)
+        ready = poll.poll(POLL_TIMEOUT)
         if not ready:
-            break  # lost on the way: the row's count shows it
+            break
         for fd, _ in ready:
-            if len(by[fd].recv(2048)) == size:
+            if len(by_descriptor[fd].recv(DATAGRAM_SIZE)) == len(MESSAGE):
                 now = time.perf_counter_ns()
                 spans.append(now - began[fd])
                 began[fd] = now
-                send(by[fd])
+                send(by_descriptor[fd])
     poll.close()
     return spans
 
 
-def streams(party, name, count, direct=False):
-    host, port = party.tcp.split(":")
-    wired = [
-        (between(party.callers[n % len(party.callers)], FIRST + n % HOSTS), party.port)
-        for n in range(AT_ONCE)
-    ]
-    socks = [socket.create_connection((host, port) if direct else where) for where in wired]
-    party.ask(), party.cost()
-    spans = exchanges(socks, count, lambda sock: sock.send(SMALL))
-    made = row(party, name, 2 * len(spans), spans, AT_ONCE)
+def send_message(sock: socket.socket) -> int:
+    """Send one message on a connection."""
+    return sock.send(MESSAGE)
+
+
+def address_of_pair(link: MeasuredLink, number: int) -> tuple[str, int]:
+    """Where the emulator listens for the `number`th pair of a caller and a host."""
+    return between(link.callers[number % len(link.callers)], FIRST_HOST + number % HOSTS), link.port
+
+
+def measure_streams(link: MeasuredLink, part: str, count: int, *, direct: bool = False) -> Row:
+    """Messages over connections, through the emulator or directly to the far end."""
+    host, port = link.tcp_address.split(":")
+    targets = [(host, int(port)) if direct else address_of_pair(link, number) for number in range(AT_ONCE)]
+    socks = [socket.create_connection(target) for target in targets]
+    link.reset_counts()
+    spans = exchange(socks, count, send_message)
+    row = make_row(link, part, 2 * len(spans), spans, AT_ONCE)
     for sock in socks:
         sock.close()
-    return made
+    return row
+
 
+def measure_datagrams(link: MeasuredLink, part: str, count: int, pairs: int) -> Row:
+    """Datagrams between `pairs` pairs: one under way from each socket, to another pair every time.
 
-def datagrams(party, name, count, pairs):
-    """One message under way from each of AT_ONCE sockets, to another pair every time; answers come back
-    through the wire by the address that the far end saw."""
-    at_once = min(AT_ONCE, len(party.callers))
+    Answers come back through the emulator, by the address that the far end saw.
+    """
+    at_once = min(AT_ONCE, len(link.callers))
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(at_once)]
-    turns = {}
-    for n, sock in enumerate(socks):
-        sock.bind(("127.0.0.1", 0))
-        callers = party.callers[n::at_once][: pairs // HOSTS // at_once + 1]
-        turns[sock] = itertools.cycle(
-            [(between(a, FIRST + b), party.port) for a in callers for b in range(HOSTS)]
+    targets: dict[socket.socket, Iterator[tuple[str, int]]] = {}
+    for number, sock in enumerate(socks):
+        sock.bind((LOCAL, 0))
+        callers = link.callers[number::at_once][: pairs // HOSTS // at_once + 1]
+        targets[sock] = itertools.cycle(
+            [(between(caller, FIRST_HOST + host), link.port) for caller in callers for host in range(HOSTS)]
         )
-    place = ["{}:{}".format(*sock.getsockname()) for sock in socks]
-    party.tell(
-        {
-            "seat": {
-                a: {"name": f"g{a}", "kind": "gateway", "udp": place[n % at_once]}
-                for n, a in enumerate(party.callers)
-            }
-        }
-    )
-    party.ask(), party.cost()
-    spans = exchanges(socks, count, lambda sock: sock.sendto(SMALL, next(turns[sock])))
-    made = row(party, name, 2 * len(spans), spans, min(pairs, count))
+    _place_callers(link, socks)
+    link.reset_counts()
+    spans = exchange(socks, count, lambda sock: sock.sendto(MESSAGE, next(targets[sock])))
+    row = make_row(link, part, 2 * len(spans), spans, min(pairs, count))
     for sock in socks:
         sock.close()
-    return made
+    return row
+
+
+def _place_callers(link: MeasuredLink, socks: Sequence[socket.socket]) -> None:
+    """Tell the emulator by which socket each caller sends."""
+    addresses = ["{}:{}".format(*sock.getsockname()) for sock in socks]
+    slots = {
+        caller: {"name": f"g{caller}", "kind": "gateway", "udp": addresses[number % len(socks)]}
+        for number, caller in enumerate(link.callers)
+    }
+    link.send_order({"seat": slots})
 
 
-def opened(party, name, count):
-    """Connections opened one after the other and held; then messages over AT_ONCE of them."""
-    party.ask(), party.cost()
+def measure_held(link: MeasuredLink, part: str, count: int) -> Iterator[Row]:
+    """Connections opened one after the other and held; then messages over some of them, and rest."""
+    link.reset_counts()
     socks, spans = [], []
-    for n in range(count):
+    for number in range(count):
         began = time.perf_counter_ns()
-        where = between(party.callers[n % len(party.callers)], FIRST + n % HOSTS)
-        socks.append(socket.create_connection((where, party.port)))
-        socks[-1].send(SMALL)
-        socks[-1].recv(2048)  # the far end is there
+        socks.append(socket.create_connection(address_of_pair(link, number)))
+        socks[-1].send(MESSAGE)
+        socks[-1].recv(DATAGRAM_SIZE)  # the far end is there
         spans.append(time.perf_counter_ns() - began)
-    yield row(party, f"{name}: opening, with one exchange", count, spans, count)
-    yield row(
-        party,
-        f"{name}: messages over {AT_ONCE} of them",
-        2 * 10_000,
-        exchanges(socks[:AT_ONCE], 10_000, lambda sock: sock.send(SMALL)),
-        count,
-    )
-    time.sleep(IDLE)
-    yield row(party, f"{name}: a second of rest", IDLE, [], count)
-    words = Path(f"/proc/{party.wire.pid}/status").read_text().split("VmRSS:")[1].split()
-    print(f"wire's memory with {count} connections: {int(words[0]) / 1024:.0f} MB")
+    yield make_row(link, f"{part}: opening, with one exchange", count, spans, count)
+    spans = exchange(socks[:AT_ONCE], MESSAGES_OVER_HELD, send_message)
+    yield make_row(link, f"{part}: messages over {AT_ONCE} of them", 2 * MESSAGES_OVER_HELD, spans, count)
+    time.sleep(IDLE_SECONDS)
+    yield make_row(link, f"{part}: a second of rest", IDLE_SECONDS, [], count)
+    print(f"wire's memory with {count} connections: {link.memory_kilobytes() / 1024:.0f} MB")
     for sock in socks:
         sock.close()
 
 
-def main():
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--held", type=int, default=5000)
-    words.add_argument("--pairs", type=int, default=24_000)
-    words.add_argument("--messages", type=int, default=20_000, help="exchanges in a row")
-    words.add_argument("--out")
-    words.add_argument("--echo", action="store_true", help=argparse.SUPPRESS)
-    said = words.parse_args()
-    hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    if said.echo:
+def measure(link: MeasuredLink, *, messages: int, pairs: int, held: int) -> list[Row]:
+    """All rows of the table."""
+    rows = [measure_streams(link, "streams without the wire", messages, direct=True)]
+    for name, fault in FAULTS.items():
+        if fault:
+            link.begin_fault(fault)
+        rows.append(measure_streams(link, f"streams, fault: {name}", messages))
+        rows.append(measure_datagrams(link, f"datagrams, fault: {name}", messages, AT_ONCE))
+        if fault:
+            link.end_fault()
+    rows.append(measure_datagrams(link, f"datagrams over {pairs} pairs", max(messages, pairs), pairs))
+    rows += measure_held(link, f"{held} held", held)
+    return rows
+
+
+def main() -> None:
+    """Run the command line."""
+    options = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    options.add_argument("--held", type=int, default=5000)
+    options.add_argument("--pairs", type=int, default=24_000)
+    options.add_argument("--messages", type=int, default=20_000, help="exchanges in a row")
+    options.add_argument("--out")
+    options.add_argument("--echo", action="store_true", help=argparse.SUPPRESS)
+    arguments = options.parse_args()
+    hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
+    if arguments.echo:
         echo()
         return
-    party, rows = Party(max(1, said.pairs // HOSTS)), []
-    try:
-        rows.append(streams(party, "streams without the wire", said.messages, direct=True))
-        for name, fault in FAULTS.items():
-            if fault:
-                party.tell({"fault": "x", "on": fault})
-            rows.append(streams(party, f"streams, fault: {name}", said.messages))
-            rows.append(datagrams(party, f"datagrams, fault: {name}", said.messages, AT_ONCE))
-            if fault:
-                party.tell({"fault": "x", "off": True})
-        rows.append(
-            datagrams(party, f"datagrams over {said.pairs} pairs", max(said.messages, said.pairs), said.pairs)
-        )
-        rows += opened(party, f"{said.held} held", said.held)
-    finally:
-        party.close()
+    with MeasuredLink(max(1, arguments.pairs // HOSTS)) as link:
+        rows = measure(link, messages=arguments.messages, pairs=arguments.pairs, held=arguments.held)
     print(table(rows))
-    if said.out:
-        write(said.out, "wire", rows)
+    if arguments.out:
+        write(arguments.out, "wire", rows)
 
 
 if __name__ == "__main__":
