--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -4,7 +4,7 @@
 
 Gateways on a simulated clock and network; decisions and bytes are the product's own. Each gateway takes 15
 requests a second on average (some a thirtieth, some ten times as many) of 100 functions, the most popular
-with a fifth of all, and each takes 0.3 s at one of 120 hosts; which hosts are busy moves within tens of seconds.
+with a fifth of all, and each takes 0.3 s at one of 120 hosts; which are busy moves within tens of seconds.
 Cases: nothing lost, 5% and 20% of the messages lost, three in ten ways between two gateways cut for good, and
 one in twenty gateways that claims a million requests in flight on each of 64 hosts.
 
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -20,9 +20,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from relay import cpu
-from rows import table, write
-
+from benchmarks.relay_processes import cpu
+from benchmarks.rows import table, write
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop
 from gaproute.standins.platform.gateway_configuration import (
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -1,4 +1,4 @@
-"""What the decision module alone costs for a task: `serve`, one relay, `heard`, a delivered answer with a
+"""What the decisions alone cost for a request: `serve`, one attempt, `heard`, a delivered answer with a
 report.
 
     python benchmarks/module.py [--against GIT_REVISION] [--hosts 10,60,300] [--tasks 20000] [--profile]
@@ -7,6 +7,8 @@
 process of its own.
 """
 
+from __future__ import annotations
+
 import argparse
 import cProfile
 import importlib
@@ -16,13 +18,24 @@
 import tarfile
 import tempfile
 import time
+from collections import deque
+from collections.abc import Generator, Iterator, Sequence
+from contextlib import suppress
 from pathlib import Path
+from typing import Any, NamedTuple
 
 ROOT = Path(__file__).resolve().parent.parent
 MILLI, SECOND = 1_000_000, 1_000_000_000
-MODELS = 300
-LAG = 40  # tasks in flight
-RENAMED = {  # fields of the terms, as revisions before called them
+FUNCTIONS = 300
+IN_FLIGHT = 40  # requests
+ROUNDS = 3  # in turn, so that the machine's drift strikes all revisions
+PROFILE_LINES = 18
+# Where a revision has its decisions and their chance.
+MODULES = (
+    ("gaproute.decisions.routing", "gaproute.decisions.chance"),
+    ("gaproute.policy", "gaproute.policy"),
+)
+EARLIER_NAMES = {  # of fields of the terms, in earlier revisions
     "load_orders_allowed": "orders_allowed",
     "load_orders_free": "order_free",
     "load_order_share": "order_share",
@@ -37,8 +50,7 @@
     "warm_up_time": "cold_time",
     "host_list_polled": "must_ask_list",
 }
-PLACES = (("gaproute.decisions.routing", "gaproute.decisions.chance"), ("gaproute.policy", "gaproute.policy"))
-TOLD = {
+TERMS: dict[str, Any] = {
     "tenant_shares": (),
     "over_share_value": 1.0,
     "keep_alive": 10 * SECOND,
@@ -67,131 +79,170 @@
 }
 
 
-def decisions():
-    """(Gateway, Chance) from where this revision keeps them."""
-    for route, chance in PLACES:
-        try:
-            return importlib.import_module(route).Gateway, importlib.import_module(chance).Chance
-        except ModuleNotFoundError:
-            pass
+class Revision(NamedTuple):
+    """What a revision of the program offers for a play."""
+
+    interface: Any  # the module
+    gateway: Any  # the class of the decisions
+    chance: Any  # the class of seeded chance
+    request: Any  # the class of a request
+
+
+class SentRequest(NamedTuple):
+    """A request whose attempt is in flight."""
+
+    id: str
+    host: str
+    sent: int
+    generator: Generator[Any, Any, None]
+
+
+def load_revision() -> Revision:
+    """The revision that the path finds. Errors: SystemExit where it has no decisions that are known here."""
+    interface = importlib.import_module("gaproute.interface")
+    request = getattr(interface, "Request", None) or interface.Task
+    for decisions, chance in MODULES:
+        with suppress(ModuleNotFoundError):
+            gateway = importlib.import_module(decisions).Gateway
+            return Revision(interface, gateway, importlib.import_module(chance).Chance, request)
     raise SystemExit("no decisions found in this revision")
 
 
-def known_terms(fields):
-    """The terms by the names that this revision has for them."""
-    told = TOLD | {old: TOLD[new] for new, old in RENAMED.items()}
-    return {name: told[name] for name in fields if name in told}
-
-
-def play(hosts, tasks):
-    """Seconds of CPU for each task."""
-    face = importlib.import_module("gaproute.interface")
-    made, dice = decisions()
-    tracks = (face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0),)
-    terms = face.Terms(tracks, **known_terms(face.Terms._fields))
-    request = getattr(face, "Request", None) or face.Task
-    gateway, chance = made(7, terms, 0), dice(3)
-    gateway.listed(
-        0,
-        [
-            face.ListedHost(f"h{number}", number % 3, number % 5, face.State.ACTIVE, 4.0, None)
-            for number in range(hosts)
-        ],
-        True,
-    )
-    weights = [int(1e6 / (rank + 1)) for rank in range(MODELS)]
-    ladder, total = [], 0
-    for weight in weights:
-        total += weight
-        ladder.append(total)
-    names = []
-    for _ in range(tasks):
-        drawn = chance.below(total)
-        names.append(f"m{next(rank for rank, top in enumerate(ladder) if drawn < top)}")
-    now, flying, wait = SECOND, [], face.Wait
-    begun = time.process_time()
-    for number, name in enumerate(names):
+def known_terms(fields: Sequence[str]) -> dict[str, Any]:
+    """The terms by the names that the revision has for them."""
+    terms = TERMS | {earlier: TERMS[name] for name, earlier in EARLIER_NAMES.items()}
+    return {name: terms[name] for name in fields if name in terms}
+
+
+def make_gateway(revision: Revision, hosts: int) -> Any:
+    """The decisions before so many hosts."""
+    interface = revision.interface
+    idempotent, everybody = interface.Idempotency.IDEMPOTENT, interface.Group.ALL
+    request_class = interface.RequestClass(idempotent, everybody, 0, SECOND, 4 * SECOND, 1.0)
+    terms = interface.Terms((request_class,), **known_terms(interface.Terms._fields))
+    gateway = revision.gateway(7, terms, 0)
+    active = interface.State.ACTIVE
+    rows = [
+        interface.ListedHost(f"h{number}", number % 3, number % 5, active, 4.0, None)
+        for number in range(hosts)
+    ]
+    gateway.listed(0, rows, True)
+    return gateway
+
+
+def draw_functions(chance: Any, count: int) -> list[str]:
+    """The functions of `count` requests; the n-th is asked for with a weight of 1 / n."""
+    sums, total = [], 0
+    for rank in range(FUNCTIONS):
+        total += int(1e6 / (rank + 1))
+        sums.append(total)
+    drawn = [chance.below(total) for _ in range(count)]
+    return [f"m{next(rank for rank, top in enumerate(sums) if number < top)}" for number in drawn]
+
+
+def play(hosts: int, requests: int) -> float:
+    """Seconds of CPU for each request, with the decisions that the path finds."""
+    revision = load_revision()
+    gateway = make_gateway(revision, hosts)
+    functions = draw_functions(revision.chance(3), requests)
+    now, in_flight = SECOND, deque[SentRequest]()
+    began = time.process_time()
+    for number, function in enumerate(functions):
         now += MILLI
-        serve = gateway.serve(now, request(f"t{number}", 0, 4 * SECOND, name, 4, None, 0))
-        wish = serve.send(None)
-        worker = None
-        while type(wish) is not wait:
-            relay = type(wish) is face.Attempt
-            worker = wish[0] if relay else worker
-            try:
-                wish = serve.send(0 if relay else None)
-            except StopIteration:
-                break
-        if worker is not None:
-            flying.append((f"t{number}", worker, now, serve))
-        if len(flying) > LAG:
-            task, worker, sent, serve = flying.pop(0)
-            report = face.Report(1, 0, 0.3, 0.4)
-            outcome = face.Outcome(
-                task, 0, worker, face.Result.OK, now - sent, True, face.Found.WARM, 0, report
-            )
-            gateway.heard(now, outcome)
-            try:
-                serve.send((now, outcome))
-            except StopIteration:
-                pass
-    return (time.process_time() - begun) / tasks
-
-
-def apart(root, hosts, tasks):
+        request = revision.request(f"t{number}", 0, 4 * SECOND, function, 4, None, 0)
+        sent = _send(revision, gateway, now, request)
+        if sent is not None:
+            in_flight.append(sent)
+        if len(in_flight) > IN_FLIGHT:
+            _answer(revision, gateway, now, in_flight.popleft())
+    return (time.process_time() - began) / requests
+
+
+def _send(revision: Revision, gateway: Any, now: int, request: Any) -> SentRequest | None:
+    """Start the request's generator up to its first wait; None where no host got it."""
+    interface = revision.interface
+    generator = gateway.serve(now, request)
+    action, host = generator.send(None), None
+    while type(action) is not interface.Wait:
+        is_attempt = type(action) is interface.Attempt
+        host = action[0] if is_attempt else host
+        try:
+            action = generator.send(0 if is_attempt else None)
+        except StopIteration:
+            break
+    return None if host is None else SentRequest(request.id, host, now, generator)
+
+
+def _answer(revision: Revision, gateway: Any, now: int, sent: SentRequest) -> None:
+    """The host's answer comes, with a load report."""
+    interface = revision.interface
+    result, found, report = interface.Result.OK, interface.Found.WARM, interface.Report(1, 0, 0.3, 0.4)
+    outcome = interface.Outcome(sent.id, 0, sent.host, result, now - sent.sent, True, found, 0, report)
+    gateway.heard(now, outcome)
+    with suppress(StopIteration):
+        sent.generator.send((now, outcome))
+
+
+def play_in_process(root: str, hosts: int, requests: int) -> float:
     """One play in a process of its own, by the decisions of that tree."""
-    told = subprocess.run(
-        [sys.executable, __file__, "--once", root, "--hosts", str(hosts), "--tasks", str(tasks)],
-        capture_output=True,
-        check=True,
-        text=True,
-    )
-    return float(told.stdout)
-
-
-def unpacked(revision, folder):
-    """The package as of that revision."""
-    whole = folder / "tree.tar"
-    subprocess.run(["git", "archive", "-o", whole, revision, "gaproute"], cwd=ROOT, check=True)
-    with tarfile.open(whole) as tree:
+    words = ["--once", root, "--hosts", str(hosts), "--tasks", str(requests)]
+    printed = subprocess.run([sys.executable, __file__, *words], capture_output=True, check=True, text=True)
+    return float(printed.stdout)
+
+
+def unpack(revision: str, folder: Path) -> str:
+    """Unpack the package as of that git revision; the folder."""
+    archive = folder / "tree.tar"
+    subprocess.run(["git", "archive", "-o", archive, revision, "gaproute"], cwd=ROOT, check=True)
+    with tarfile.open(archive) as tree:
         tree.extractall(folder, filter="data")
     return str(folder)
 
 
-def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--against")
-    arguments.add_argument("--hosts", default="10,60,300")
-    arguments.add_argument("--tasks", type=int, default=20000)
-    arguments.add_argument("--profile", action="store_true")
-    arguments.add_argument("--once", help=argparse.SUPPRESS)
-    told = arguments.parse_args()
-    sys.path.insert(0, told.once or str(ROOT))
-    if told.once:
-        print(play(int(told.hosts), told.tasks))
+def profile(hosts: int, requests: int) -> None:
+    """Print where a play spends its time."""
+    profiler = cProfile.Profile()
+    profiler.runcall(play, hosts, requests)
+    pstats.Stats(profiler).sort_stats("tottime").print_stats(PROFILE_LINES)
+
+
+def compare(trees: dict[str, str], hosts: int, requests: int) -> str:
+    """A line with the cost by each tree: the median, the least and the greatest of some rounds."""
+    runs: dict[str, list[float]] = {name: [] for name in trees}
+    for _ in range(ROUNDS):
+        for name, root in trees.items():
+            runs[name].append(play_in_process(root, hosts, requests))
+    return f"{hosts} hosts: " + ", ".join(_summaries(runs))
+
+
+def _summaries(runs: dict[str, list[float]]) -> Iterator[str]:
+    for name, times in runs.items():
+        least, middle, greatest = (1e3 * seconds for seconds in (min(times), sorted(times)[1], max(times)))
+        yield f"{name} {middle:.3f} ms a task (of {least:.3f} to {greatest:.3f})"
+
+
+def main() -> None:
+    """Run the command line."""
+    options = argparse.ArgumentParser()
+    options.add_argument("--against")
+    options.add_argument("--hosts", default="10,60,300")
+    options.add_argument("--tasks", type=int, default=20000)
+    options.add_argument("--profile", action="store_true")
+    options.add_argument("--once", help=argparse.SUPPRESS)
+    arguments = options.parse_args()
+    sys.path.insert(0, arguments.once or str(ROOT))
+    if arguments.once:
+        print(play(int(arguments.hosts), arguments.tasks))
         return
     with tempfile.TemporaryDirectory() as folder:
         trees = {"now": str(ROOT)}
-        if told.against:
-            trees[told.against] = unpacked(told.against, Path(folder))
-        for hosts in map(int, told.hosts.split(",")):
-            if told.profile:
-                profile = cProfile.Profile()
-                profile.runcall(play, hosts, told.tasks)
-                pstats.Stats(profile).sort_stats("tottime").print_stats(18)
-                continue
-            runs = {name: [] for name in trees}
-            for _ in range(3):
-                for name, root in trees.items():
-                    runs[name].append(apart(root, hosts, told.tasks))
-            print(
-                f"{hosts} hosts: "
-                + ", ".join(
-                    f"{name} {sorted(times)[1] * 1e3:.3f} ms a task (of "
-                    f"{min(times) * 1e3:.3f} to {max(times) * 1e3:.3f})"
-                    for name, times in runs.items()
-                )
-            )
+        if arguments.against:
+            trees[arguments.against] = unpack(arguments.against, Path(folder))
+        for hosts in map(int, arguments.hosts.split(",")):
+            if arguments.profile:
+                profile(hosts, arguments.tasks)
+            else:
+                print(compare(trees, hosts, arguments.tasks))
 
 
 if __name__ == "__main__":
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -19,9 +19,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from relay import cpu
-from rows import write
-
+from benchmarks.relay_processes import cpu
+from benchmarks.rows import write
 from gaproute.load import read_result
 
 HERE = Path(__file__)
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -17,9 +17,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from relay import Gate
-from rows import write
-
+from benchmarks.relay_processes import GatewayProcess
+from benchmarks.rows import write
 from gaproute.config import read_peers
 from gaproute.loop import Loop
 from gaproute.peers import ObservationClient
@@ -79,14 +78,14 @@
     hosts = json.loads(sink.stdout.readline())
     windows = {False: [], True: []}
     with tempfile.TemporaryDirectory() as folder:
-        gate = Gate(
+        gate = GatewayProcess(
             hosts,
             "gaproute.decisions.routing:Gateway",
             folder,
             f"listen peers unix:{folder}/p",
             f"listen operator unix:{folder}/o",
         )
-        gate.where = gate.where[:1]
+        gate.addresses = gate.addresses[:1]
         rate = sorted(gate.measure(2)["rate"] for _ in range(3))[1] / 2
         for pair in range(told.pairs):
             for learners in (False, True) if pair % 2 else (True, False):
