--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -3,143 +3,196 @@
 
     python benchmarks/processes.py [--runs 3] [--out docs/measured]
 
-Four servers that answer at once. Clients come at 300 a second for 6 s, each with a connection and a task of
-its own. From second 1 one process stands still for 1.5 s; from second 3 on two are replaced, one after the
-other: a new one is started first, then the old one closes its listening socket and ends. Counted: tasks that
-failed, that took over 100 ms and over 1 s.
+Four servers that answer at once. Clients come at 300 a second for 6 s, each with a connection and a request
+of its own. From second 1 one process is paused for 1.5 s; from second 3 on two are replaced, one after the
+other: a new one is started first, then the old one closes its listening socket and ends. Counted: requests
+that failed, that took over 100 ms and over 1 s.
 """
 
+from __future__ import annotations
+
 import argparse
-import os
 import random
 import signal
 import socket
 import subprocess
 import sys
+from collections.abc import Generator
 from pathlib import Path
 from statistics import median
+from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from rows import write
-
-from gaproute.http1 import Exchange, Server
-from gaproute.loop import Loop
-
-SECOND = 1_000_000_000
-
-
-def serve(descriptor):
+from benchmarks.rows import write
+from gaproute.http1 import Exchange, Request, Server
+from gaproute.loop import Loop, Promise
+from gaproute.loop.addresses import Address
+
+MILLI, SECOND = 1_000_000, 1_000_000_000
+LOCAL = "127.0.0.1"
+QUEUE_EACH, ONE_QUEUE = "queue each", "one queue"
+PROCESSES = 4
+RATE, ARRIVAL_TIME = 300, 6 * SECOND  # requests a second, and for how long
+LENGTH = 9 * SECOND  # of a play
+PAUSE_AT, PAUSE_TIME = SECOND, 1500 * MILLI
+CALM_TIME = 500 * MILLI  # between the pause and the first replacement
+REPLACED, REPLACE_INTERVAL = (1, 2), SECOND
+START_TIME = 700 * MILLI  # that a new process is given before the old one is stopped
+STOP_GRACE = SECOND // 2  # that a server goes on for once it has been stopped
+BACKLOG = 1024
+CONNECT_TIMEOUT = 10 * SECOND
+MAX_HEAD, MAX_BODY = 16384, 1 << 20  # bytes of an answer
+REQUEST = b"GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+
+
+def serve(descriptor: int) -> None:
+    """A process with a server on an inherited listening socket; SIGTERM stops it."""
     loop = Loop()
     sock = socket.socket(fileno=descriptor)
 
-    def handle(request):
+    def handle(request: Request) -> None:
         server.answer(request, 200, (), b"ok")
 
-    server = Server(loop, (sock.family, None), handle, inherited=sock)
-
-    def stop():
+    def stop() -> None:
         server.stop()
-        loop.after(SECOND // 2, loop.stop)
+        loop.after(STOP_GRACE, loop.stop)
 
+    where: Any = (sock.family, None)
+    server = Server(loop, where, handle, inherited=sock)
     loop.on_signal(signal.SIGTERM, stop)
     print("ready", flush=True)
     loop.run()
 
 
-def opened(port=0):
+def listen(port: int = 0) -> socket.socket:
+    """A listening socket; others may listen at the same port."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    sock.bind(("127.0.0.1", port))
-    sock.listen(1024)
+    sock.bind((LOCAL, port))
+    sock.listen(BACKLOG)
     return sock
 
 
-def child(sock, wait):
-    os.set_inheritable(sock.fileno(), True)
-    made = subprocess.Popen(
-        [sys.executable, __file__, "serve", str(sock.fileno())],
-        pass_fds=[sock.fileno()],
-        stdout=subprocess.PIPE,
-    )
-    if wait:
-        made.stdout.readline()
-    return made
+class Servers:
+    """Server processes behind one port, with a queue of connections each or one for all."""
+
+    def __init__(self, form: str) -> None:
+        self._shared = listen()
+        self.port: int = self._shared.getsockname()[1]
+        self._is_shared = form == ONE_QUEUE
+        if not self._is_shared:
+            self._shared.close()
+        self.processes: list[subprocess.Popen[bytes]] = []
+        for _ in range(PROCESSES):
+            self.start(wait=True)
+
+    def start(self, *, wait: bool) -> None:
+        """Start a process; `wait` until it serves."""
+        sock = self._shared if self._is_shared else listen(self.port)
+        sock.set_inheritable(True)
+        process = subprocess.Popen(
+            [sys.executable, __file__, "serve", str(sock.fileno())],
+            pass_fds=[sock.fileno()],
+            stdout=subprocess.PIPE,
+        )
+        if wait:
+            assert process.stdout is not None
+            process.stdout.readline()
+        if not self._is_shared:
+            sock.close()
+        self.processes.append(process)
 
+    def close(self) -> None:
+        """End all processes."""
+        for process in self.processes:
+            assert process.stdout is not None
+            process.terminate()
+            process.wait()
+            process.stdout.close()
+        self._shared.close()
 
-def play(form, seed):
-    first = opened()
-    port = first.getsockname()[1]
 
-    def start(wait=True):
-        sock = first if form == "one queue" else opened(port)
-        made = child(sock, wait)
-        if sock is not first:
-            sock.close()
-        return made
+class RequestEnd(NamedTuple):
+    """What became of a request."""
+
+    duration: int  # ns
+    answered: bool
 
-    if form != "one queue":
-        first.close()
-    children = [start() for _ in range(4)]
-    loop, chance, times = Loop(), random.Random(seed), []
-    data = b"GET /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
-    def task(at):
-        def came(answer, fault):
-            times.append((loop.now() - at, answer is not None))
+class Play:
+    """Clients, and what happens to the processes meanwhile."""
 
-        Exchange(loop, data, came).connect((socket.AF_INET, ("127.0.0.1", port)), 10 * SECOND, 16384, 1 << 20)
+    def __init__(self, servers: Servers, seed: int) -> None:
+        self._servers, self._loop, self._random = servers, Loop(), random.Random(seed)
+        self.ends: list[RequestEnd] = []
 
-    def arrivals():
-        at, end = loop.now(), loop.now() + 6 * SECOND
+    def run(self) -> None:
+        """Play to the end."""
+        self._loop.spawn(self._arrivals())
+        self._loop.spawn(self._disturb())
+        self._loop.after(LENGTH, self._loop.stop)
+        self._loop.run()
+
+    def _arrivals(self) -> Generator[Promise, None, None]:
+        at = self._loop.now()
+        end = at + ARRIVAL_TIME
         while at < end:
-            at += round(chance.expovariate(300) * SECOND)
-            yield loop.sleep(max(0, at - loop.now()))
-            task(at)
-
-    def troubles():
-        yield loop.sleep(SECOND)
-        children[0].send_signal(signal.SIGSTOP)
-        yield loop.sleep(1500 * 1_000_000)
-        children[0].send_signal(signal.SIGCONT)
-        yield loop.sleep(500 * 1_000_000)
-        for place in (1, 2):
-            loop.spawn(replaced(place))
-            yield loop.sleep(SECOND)
-
-    def replaced(place):
-        children.append(start(wait=False))  # the clients go on meanwhile
-        yield loop.sleep(700 * 1_000_000)
-        children[place].send_signal(signal.SIGTERM)
-
-    loop.spawn(arrivals())
-    loop.spawn(troubles())
-    loop.after(9 * SECOND, loop.stop)
-    loop.run()
-    for each in children:
-        each.terminate()
-        each.wait()
-        each.stdout.close()
-    first.close()
+            at += round(self._random.expovariate(RATE) * SECOND)
+            yield self._loop.sleep(max(0, at - self._loop.now()))
+            self._send(at)
+
+    def _send(self, at: int) -> None:
+        def done(response: object, failure: object) -> None:
+            self.ends.append(RequestEnd(self._loop.now() - at, response is not None))
+
+        target = Address(socket.AF_INET, (LOCAL, self._servers.port))
+        Exchange(self._loop, REQUEST, done).connect(target, CONNECT_TIMEOUT, MAX_HEAD, MAX_BODY)
+
+    def _disturb(self) -> Generator[Promise, None, None]:
+        """Pause a process, then replace others."""
+        paused = self._servers.processes[0]
+        yield self._loop.sleep(PAUSE_AT)
+        paused.send_signal(signal.SIGSTOP)
+        yield self._loop.sleep(PAUSE_TIME)
+        paused.send_signal(signal.SIGCONT)
+        yield self._loop.sleep(CALM_TIME)
+        for number in REPLACED:
+            self._loop.spawn(self._replace(number))
+            yield self._loop.sleep(REPLACE_INTERVAL)
+
+    def _replace(self, number: int) -> Generator[Promise, None, None]:
+        self._servers.start(wait=False)  # the clients go on meanwhile
+        yield self._loop.sleep(START_TIME)
+        self._servers.processes[number].send_signal(signal.SIGTERM)
+
+
+def play(form: str, seed: int) -> dict[str, int]:
+    """The counts of one play."""
+    servers = Servers(form)
+    played = Play(servers, seed)
+    played.run()
+    servers.close()
     return {
-        "tasks": len(times),
-        "failed": sum(not well for _, well in times),
-        "over 100 ms": sum(took > SECOND // 10 for took, _ in times),
-        "over 1 s": sum(took > SECOND for took, _ in times),
+        "tasks": len(played.ends),
+        "failed": sum(not end.answered for end in played.ends),
+        "over 100 ms": sum(end.duration > SECOND // 10 for end in played.ends),
+        "over 1 s": sum(end.duration > SECOND for end in played.ends),
     }
 
 
-def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--runs", type=int, default=3)
-    arguments.add_argument("--out", default="docs/measured")
-    told = arguments.parse_args()
-    rows = []
-    for form in ("queue each", "one queue"):
-        runs = [play(form, seed) for seed in range(told.runs)]
+def main() -> None:
+    """Run the command line."""
+    options = argparse.ArgumentParser()
+    options.add_argument("--runs", type=int, default=3)
+    options.add_argument("--out", default="docs/measured")
+    arguments = options.parse_args()
+    rows: list[dict[str, Any]] = []
+    for form in (QUEUE_EACH, ONE_QUEUE):
+        runs = [play(form, seed) for seed in range(arguments.runs)]
         rows.append({"form": form} | {name: median(run[name] for run in runs) for name in runs[0]})
         print(rows[-1], flush=True)
-    write(told.out, "processes", rows)
+    write(arguments.out, "processes", rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -1,30 +1,43 @@
-"""A district reconnects: half of all connections drop and come back within a second, each with a task.
+"""A reconnect storm: half of all connections drop and come back within a second, each with a request.
 
     python benchmarks/storm.py [--connections 2000,6000,10000] [--runs 3] [--out docs/measured]
 
-One gateway with the module, ten hosts that answer at once, connections held by the load tool. Quiet clients
-that stayed go on with repair orders (effectful) at 50 a second. Measured for 5 s without and with a storm at
-the start: their time to the answer, what became of the storm's tasks and when the last ended; once with the
-admission as it is, once with all that waits in one line, in the order of coming, accepts first.
+One gateway with the module, ten hosts that answer at once, connections held by the load generator. Quiet
+clients that stayed go on with orders (non-idempotent) at 50 a second. Measured for 5 s without and with a
+storm at the start: their time to the answer, what became of the storm's requests, and CPU; once with the
+admission as it is, once with all that waits in one queue, in the order of coming, accepts first.
 """
 
+from __future__ import annotations
+
 import argparse
 import json
 import os
 import subprocess
 import sys
 import tempfile
+from collections import Counter
+from collections.abc import Sequence
 from pathlib import Path
 from statistics import median
+from types import TracebackType
+from typing import Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from benchmarks.relay_processes import cpu
+from benchmarks.relay_processes import HostsProcess, cpu
 from benchmarks.rows import write
-from gaproute.load import read_result
-
-HERE = Path(__file__)
-CONFIG = """
+from gaproute.load import LoadResult, read_result
+from gaproute.load.results import TrafficResult
+
+COMMAND = Path(__file__).resolve()
+ROOT = COMMAND.parent.parent
+AS_IT_IS, ONE_LINE = "as it is", "one line"
+HOSTS, ORDERS, CHECKS = 10, 20, 60  # hosts, and functions of each request class
+CONNECTIONS_A_SECOND = 3000  # opened by the load generator
+WARM_UP_CONNECTIONS, WARM_UP_SEED = 100, 9
+PARKED, QUEUED = 1, 2  # states of an idle connection
+CONFIGURATION = """
 name g
 listen kserve 127.0.0.1:0
 track check pure contract 1200ms limit 5s earnings 1
@@ -40,133 +53,155 @@
 traffic checks rate 100 path {checks} share 0.8 patience 8s
 {storm}
 """
+STORM_LINE = "storm at 50ms share 0.5 back 1s"
 
+Row = dict[str, Any]
 
-def serve(file, form):
-    if form == "one line":
-        from gaproute.connections import AcceptedConnections
-        from gaproute.decisions.admission.admission import Admission, AdmissionQueue
 
-        def look(connections, events, seen):
-            for fd, _ in events:
-                if connections.states[fd] == 1:
-                    connections.states[fd] = 2
-                    connections.new_queue.append((fd, seen))
+def serve(file: str, admission: str) -> None:
+    """A process with the gateway, as it is or with all that waits in one queue."""
+    if admission == ONE_LINE:
+        _use_one_queue()
+    from gaproute.cli.main import main as gateway
 
-        AcceptedConnections.enqueue_events = look
-        Admission.next_queue = lambda self, returning, new, arriving: (
-            AdmissionQueue.ARRIVING if arriving else AdmissionQueue.NEW if new else None
-        )
-    from gaproute.cli.main import main
+    gateway(["serve", file, "--seed", "1"])
+
+
+def _use_one_queue() -> None:
+    from gaproute.connections import AcceptedConnections
+    from gaproute.decisions.admission.admission import Admission, AdmissionQueue
+
+    def enqueue_as_new(connections: Any, events: Sequence[tuple[int, int]], seen: int) -> None:
+        for fd, _ in events:
+            if connections.states[fd] == PARKED:
+                connections.states[fd] = QUEUED
+                connections.new_queue.append((fd, seen))
 
-    main(["serve", file, "--seed", "1"])
+    def next_queue(admission: Any, returning: int, new: int, arriving: int) -> AdmissionQueue | None:
+        if arriving:
+            return AdmissionQueue.ARRIVING
+        return AdmissionQueue.NEW if new else None
+
+    replaced: Any = AcceptedConnections
+    replaced.enqueue_events = enqueue_as_new
+    replaced = Admission
+    replaced.next_queue = next_queue
+
+
+class Gateway:
+    """A gateway in a process of its own; `address` is that of its clients. A context manager that ends it."""
+
+    def __init__(self, hosts: Sequence[str], admission: str, folder: str) -> None:
+        file = Path(folder, "g.conf")
+        lines = [f"host h{number} {where} capacity 4" for number, where in enumerate(hosts)]
+        lines += [f"model o{number} track order lanes 4" for number in range(ORDERS)]
+        lines += [f"model c{number} track check lanes 4" for number in range(CHECKS)]
+        file.write_text(CONFIGURATION + "\n".join(lines) + "\n")
+        self._process = subprocess.Popen(
+            [sys.executable, str(COMMAND), "serve", str(file), admission], stderr=subprocess.PIPE, cwd=ROOT
+        )
+        self.address = self._wait_started()
+
+    def __enter__(self) -> Gateway:
+        return self
+
+    def __exit__(
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        trace: TracebackType | None,
+    ) -> None:
+        assert self._process.stderr is not None
+        self._process.terminate()
+        self._process.wait()
+        self._process.stderr.close()
+
+    def cpu(self) -> float:
+        """CPU time of the process, s."""
+        return cpu(self._process.pid)
+
+    def _wait_started(self) -> str:
+        assert self._process.stderr is not None
+        while True:
+            event = json.loads(self._process.stderr.readline())
+            if event["event"] == "started":
+                os.set_blocking(self._process.stderr.fileno(), False)
+                return str(event["listens"][0])
 
 
-def play(where, folder, count, storm, seed):
+def play(where: str, folder: str, connections: int, *, storm: bool, seed: int) -> LoadResult:
+    """The result of one load against the gateway."""
     script, out = Path(folder, "load"), Path(folder, "out")
     script.write_text(
         LOAD.format(
             where=where,
-            count=count,
-            over=max(1, count // 3000),
-            storm="storm at 50ms share 0.5 back 1s" * storm,
-            orders=",".join(f"/v2/models/o{n}/infer" for n in range(20)),
-            checks=",".join(f"/v2/models/c{n}/infer" for n in range(60)),
+            count=connections,
+            over=max(1, connections // CONNECTIONS_A_SECOND),
+            storm=STORM_LINE if storm else "",
+            orders=",".join(f"/v2/models/o{number}/infer" for number in range(ORDERS)),
+            checks=",".join(f"/v2/models/c{number}/infer" for number in range(CHECKS)),
         )
     )
-    subprocess.run(
-        [
-            sys.executable,
-            "-m",
-            "gaproute",
-            "load",
-            str(script),
-            "--seed",
-            str(seed),
-            "--out",
-            str(out),
-            "--json",
-        ],
-        capture_output=True,
-        cwd=HERE.parent.parent,
-    )
+    words = ["load", str(script), "--seed", str(seed), "--out", str(out), "--json"]
+    subprocess.run([sys.executable, "-m", "gaproute", *words], capture_output=True, cwd=ROOT)
     return read_result(out)
 
 
-def measure(form, hosts, count, runs):
-    with tempfile.TemporaryDirectory() as folder:
-        file = Path(folder, "g.conf")
-        lines = [f"host h{place} {each} capacity 4" for place, each in enumerate(hosts)]
-        lines += [f"model o{n} track order lanes 4" for n in range(20)]
-        lines += [f"model c{n} track check lanes 4" for n in range(60)]
-        file.write_text(CONFIG + "\n".join(lines) + "\n")
-        gate = subprocess.Popen(
-            [sys.executable, str(HERE), "serve", str(file), form],
-            stderr=subprocess.PIPE,
-            cwd=HERE.parent.parent,
-        )
-        while True:
-            told = json.loads(gate.stderr.readline())
-            if told["event"] == "started":
-                where = told["listens"][0]
-                break
-        os.set_blocking(gate.stderr.fileno(), False)
-        play(where, folder, 100, False, 9)
-        found = []
-        for seed in range(runs):
-            calm = play(where, folder, count, False, seed)[3]["orders"]
-            before = cpu(gate.pid)
-            _, _, counts, tallies = play(where, folder, count, True, seed)
-            storm = [tally for name, tally in tallies.items() if name.endswith("storm")]
-            ends = {}
-            for tally in storm:
-                for end, n in tally.outcomes.items():
-                    ends[end] = ends.get(end, 0) + n
-            quiet = tallies["orders"]
-            found.append(
-                {
-                    "calm p99": calm.summary()["p99"],
-                    "storm p99": quiet.summary()["p99"],
-                    "quiet, not well": sum(
-                        n for end, n in quiet.outcomes.items() if end not in ("delivered", "given up")
-                    ),
-                    "storm's tasks": sum(ends.values()),
-                    "delivered": ends.get("delivered", 0),
-                    "declined": ends.get("declined", 0),
-                    "scrapped": ends.get("scrapped", 0),
-                    "no answer": sum(
-                        n for end, n in ends.items() if end not in ("delivered", "declined", "scrapped")
-                    ),
-                    "storm's p99, ms": max(tally.summary()["p99"] for tally in storm),
-                    "CPU, s": cpu(gate.pid) - before,
-                }
-            )
-        gate.terminate()
-        gate.wait()
-        gate.stderr.close()
-    return {"admission": form, "connections": count} | {
-        name: round(median(run[name] for run in found), 1) for name in found[0]
-    }
+def measure(admission: str, hosts: Sequence[str], connections: int, runs: int) -> Row:
+    """The medians of some runs."""
+    with tempfile.TemporaryDirectory() as folder, Gateway(hosts, admission, folder) as gateway:
+        play(gateway.address, folder, WARM_UP_CONNECTIONS, storm=False, seed=WARM_UP_SEED)
+        found = [_run(gateway, folder, connections, seed) for seed in range(runs)]
+    medians = {name: round(median(run[name] for run in found), 1) for name in found[0]}
+    return {"admission": admission, "connections": connections} | medians
 
 
-def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--connections", default="2000,6000,10000")
-    arguments.add_argument("--runs", type=int, default=3)
-    arguments.add_argument("--out", default="docs/measured")
-    told = arguments.parse_args()
-    sink = subprocess.Popen(
-        [sys.executable, str(HERE.with_name("relay.py")), "hosts", "10"], stdout=subprocess.PIPE
+def _run(gateway: Gateway, folder: str, connections: int, seed: int) -> Row:
+    """Without a storm, then with one."""
+    calm = play(gateway.address, folder, connections, storm=False, seed=seed).traffic["orders"]
+    before = gateway.cpu()
+    traffic = play(gateway.address, folder, connections, storm=True, seed=seed).traffic
+    quiet = traffic["orders"]
+    not_well = sum(
+        count for outcome, count in quiet.outcomes.items() if outcome not in ("delivered", "given up")
     )
-    hosts = json.loads(sink.stdout.readline())
+    return {
+        "calm p99": calm.summary()["p99"],
+        "storm p99": quiet.summary()["p99"],
+        "quiet, not well": not_well,
+        **_storm_figures([result for name, result in traffic.items() if name.endswith("storm")]),
+        "CPU, s": gateway.cpu() - before,
+    }
+
+
+def _storm_figures(results: Sequence[TrafficResult]) -> Row:
+    """Of the requests with which connections came back."""
+    outcomes: Counter[str] = Counter()
+    for result in results:
+        outcomes.update(result.outcomes)
+    answered = {outcome: outcomes[outcome] for outcome in ("delivered", "declined", "scrapped")}
+    return {
+        "storm's tasks": outcomes.total(),
+        **answered,
+        "no answer": outcomes.total() - sum(answered.values()),
+        "storm's p99, ms": max(result.summary()["p99"] for result in results),
+    }
+
+
+def main() -> None:
+    """Run the command line."""
+    options = argparse.ArgumentParser()
+    options.add_argument("--connections", default="2000,6000,10000")
+    options.add_argument("--runs", type=int, default=3)
+    options.add_argument("--out", default="docs/measured")
+    arguments = options.parse_args()
     rows = []
-    for count in map(int, told.connections.split(",")):
-        for form in ("one line", "as it is"):
-            rows.append(measure(form, hosts, count, told.runs))
-            print(rows[-1], flush=True)
-    sink.kill()
-    sink.wait()
-    write(told.out, "storm", rows)
+    with HostsProcess(HOSTS) as hosts:
+        for count in map(int, arguments.connections.split(",")):
+            for admission in (ONE_LINE, AS_IT_IS):
+                rows.append(measure(admission, hosts.addresses, count, arguments.runs))
+                print(rows[-1], flush=True)
+    write(arguments.out, "storm", rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -1,23 +1,29 @@
-"""What telling ten learners costs a busy giver: CPU, and the latency of its tasks, in windows with and
-without.
+"""What answering ten gateways that learn costs a busy one: CPU, and the latency of its requests, in windows
+with and without.
 
     python benchmarks/telling.py [--hosts 60] [--pairs 6] [--seconds 4] [--out docs/measured]
 
-The giver relays at half of what it can do, and knows 300 functions. In every second window ten learners begin
-at once, take the whole snapshot, and go on asking for changes, as after a roll over ten gateways.
+The gateway relays at half of what it can do, and knows 300 functions. In every second window ten learners
+begin at once, take the whole snapshot, and go on asking for changes, as after a rolling restart of ten.
 """
 
+from __future__ import annotations
+
 import argparse
 import json
+import socket
 import subprocess
 import sys
 import tempfile
+from collections.abc import Mapping
+from functools import partial
 from pathlib import Path
 from statistics import median
+from typing import Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from benchmarks.relay_processes import GatewayProcess
+from benchmarks.relay_processes import GatewayProcess, HostsProcess
 from benchmarks.rows import write
 from gaproute.config import read_peers
 from gaproute.loop import Loop
@@ -25,104 +31,126 @@
 
 SECOND = 1_000_000_000
 LEARNERS = 10
-
-
-class Nothing:
-    """A client's observations and record, for which nothing matters but that the bytes came and were read."""
-
-    def rejected(self):
+DECISIONS = "gaproute.decisions.routing:Gateway"
+MS_PER_PERCENT = 10  # of CPU in a second, for each percent of a core
+COLUMNS = {  # of the table, by the figures of a run
+    "CPU, ms a task": "cpu_ms",
+    "p50, ms": "p50_ms",
+    "p99, ms": "p99_ms",
+    "telling, % of a core": "telling",
+    "facts told": "facts",
+    "asks put off": "put_off",
+    "snapshots whole": "whole",
+}
+
+Figures = dict[str, Any]
+
+
+class IgnoredObservations:
+    """Observations and event log of a learner, of which only matters that the bytes came and were read."""
+
+    def rejected(self) -> Mapping[str, int]:
+        """Nothing is rejected."""
         return {}
 
-    def merge(self, observations):
-        pass
+    def merge(self, observations: object) -> None:
+        """Not kept."""
 
-    def event(self, level, what, **told):
-        pass
+    def event(self, level: str, name: str, **fields: object) -> None:
+        """Not logged."""
 
 
-def learn(where, seconds):
+def learn(where: str, seconds: float) -> None:
+    """A process with learners for a time; it prints how many got the whole snapshot."""
     loop, peers = Loop(), read_peers("peers", f"peer giver {where}")
-    state = {"whole": 0}
-
-    def whole():
-        state["whole"] += 1
-
-    for _ in range(LEARNERS):
-        ObservationClient(loop, peers, Nothing(), lambda subjects: 0, whole, Nothing())
+    complete: list[int] = []
+    for number in range(LEARNERS):
+        ignored: Any = IgnoredObservations()
+        finished = partial(complete.append, number)
+        ObservationClient(loop, peers, ignored, lambda subjects: 0, finished, ignored)
     loop.after(round(seconds * SECOND), loop.stop)
     loop.run()
-    print(json.dumps(state))
-
-
-def ask(where):
-    import socket
-
-    with socket.socket(socket.AF_UNIX) as sock:
-        sock.connect(where)
-        sock.sendall(b"GET /status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-        with sock.makefile("rb") as answer:
-            return json.loads(answer.read().partition(b"\r\n\r\n")[2])["telling"]
-
-
-def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--hosts", type=int, default=60)
-    arguments.add_argument("--pairs", type=int, default=6)
-    arguments.add_argument("--seconds", type=float, default=4)
-    arguments.add_argument("--out", default="docs/measured")
-    told = arguments.parse_args()
-    sink = subprocess.Popen(
-        [sys.executable, str(Path(__file__).with_name("relay.py")), "hosts", str(told.hosts)],
-        stdout=subprocess.PIPE,
-    )
-    hosts = json.loads(sink.stdout.readline())
-    windows = {False: [], True: []}
-    with tempfile.TemporaryDirectory() as folder:
-        gate = GatewayProcess(
+    print(json.dumps({"whole": len(complete)}))
+
+
+class MeasuredGateway:
+    """A busy gateway with an address for its peers and one for operators."""
+
+    def __init__(self, hosts: list[str], folder: str) -> None:
+        self._peers_address, self._operators_path = f"unix:{folder}/p", f"{folder}/o"
+        self._process = GatewayProcess(
             hosts,
-            "gaproute.decisions.routing:Gateway",
+            DECISIONS,
             folder,
-            f"listen peers unix:{folder}/p",
-            f"listen operator unix:{folder}/o",
+            f"listen peers {self._peers_address}",
+            f"listen operator unix:{self._operators_path}",
         )
-        gate.addresses = gate.addresses[:1]
-        rate = sorted(gate.measure(2)["rate"] for _ in range(3))[1] / 2
-        for pair in range(told.pairs):
+        self._process.addresses = self._process.addresses[:1]
+        rates = sorted(self._process.measure(2)["rate"] for _ in range(3))
+        self.rate: float = rates[1] / 2  # requests a second
+
+    def window(self, seconds: float, seed: int, *, learners: bool) -> Figures:
+        """The figures of one window."""
+        learning = self._start_learners(seconds) if learners else None
+        before = self._transfers()
+        figures = self._process.measure(seconds, self.rate, seed)
+        after = self._transfers()
+        figures["telling"] = (after["cpu_ms"] - before["cpu_ms"]) / seconds / MS_PER_PERCENT
+        figures["facts"] = after["facts"] - before["facts"]
+        figures["put_off"] = after["put_off"] - before["put_off"]
+        figures["whole"] = json.loads(learning.communicate()[0])["whole"] if learning else 0
+        return figures
+
+    def end(self) -> None:
+        """Shut the gateway down."""
+        self._process.end()
+
+    def _start_learners(self, seconds: float) -> subprocess.Popen[bytes]:
+        words = ["learn", self._peers_address, str(seconds)]
+        return subprocess.Popen([sys.executable, __file__, *words], stdout=subprocess.PIPE)
+
+    def _transfers(self) -> Figures:
+        """What the gateway counted of its answers to learners."""
+        with socket.socket(socket.AF_UNIX) as sock:
+            sock.connect(self._operators_path)
+            sock.sendall(b"GET /status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+            with sock.makefile("rb") as answer:
+                status = json.loads(answer.read().partition(b"\r\n\r\n")[2])
+        transfers: Figures = status["telling"]
+        return transfers
+
+
+def make_row(runs: list[Figures], *, learners: bool, rate: float) -> Figures:
+    """The medians of the windows with or without learners."""
+    medians = {name: round(median(run[figure] for run in runs), 3) for name, figure in COLUMNS.items()}
+    return {
+        "learners": LEARNERS if learners else 0,
+        "tasks/s": round(rate),
+        **medians,
+        "p99 of each": " ".join(f"{run['p99_ms']:.1f}" for run in runs),
+    }
+
+
+def main() -> None:
+    """Run the command line."""
+    options = argparse.ArgumentParser()
+    options.add_argument("--hosts", type=int, default=60)
+    options.add_argument("--pairs", type=int, default=6)
+    options.add_argument("--seconds", type=float, default=4)
+    options.add_argument("--out", default="docs/measured")
+    arguments = options.parse_args()
+    windows: dict[bool, list[Figures]] = {False: [], True: []}
+    with HostsProcess(arguments.hosts) as hosts, tempfile.TemporaryDirectory() as folder:
+        gateway = MeasuredGateway(hosts.addresses, folder)
+        for pair in range(arguments.pairs):
             for learners in (False, True) if pair % 2 else (True, False):
-                asking = learners and subprocess.Popen(
-                    [sys.executable, __file__, "learn", f"unix:{folder}/p", str(told.seconds)],
-                    stdout=subprocess.PIPE,
-                )
-                before = ask(f"{folder}/o")
-                run = gate.measure(told.seconds, rate, pair + 1)
-                after = ask(f"{folder}/o")
-                run["telling"] = (after["cpu_ms"] - before["cpu_ms"]) / told.seconds / 10
-                run["facts"], run["put_off"] = (after[key] - before[key] for key in ("facts", "put_off"))
-                run["whole"] = json.loads(asking.communicate()[0])["whole"] if asking else 0
-                windows[learners].append(run)
-        gate.end()
-    sink.kill()
-    sink.wait()
+                windows[learners].append(gateway.window(arguments.seconds, pair + 1, learners=learners))
+        gateway.end()
     rows = []
     for learners, runs in windows.items():
-        rows.append(
-            {"learners": LEARNERS if learners else 0, "tasks/s": round(rate)}
-            | {
-                name: round(median(run[key] for run in runs), 3)
-                for name, key in (
-                    ("CPU, ms a task", "cpu_ms"),
-                    ("p50, ms", "p50_ms"),
-                    ("p99, ms", "p99_ms"),
-                    ("telling, % of a core", "telling"),
-                    ("facts told", "facts"),
-                    ("asks put off", "put_off"),
-                    ("snapshots whole", "whole"),
-                )
-            }
-            | {"p99 of each": " ".join(f"{run['p99_ms']:.1f}" for run in runs)}
-        )
+        rows.append(make_row(runs, learners=learners, rate=gateway.rate))
         print(rows[-1], flush=True)
-    write(told.out, "telling", rows)
+    write(arguments.out, "telling", rows)
 
 
 if __name__ == "__main__":
