--- a/benchmarks/gossip_bytes.py
+++ b/benchmarks/gossip_bytes.py
@@ -3,17 +3,21 @@
     python benchmarks/gossip_bytes.py [--out docs/measured]
 
 Each row is the median of 21 rounds of 200, on the product's own code; on a machine shared with other work the
-figures are too high rather than too low. `refused`: a word of a sender whose budget is spent, a stranger's, a
-datagram of noise, one beyond the 2,000 that are read in a second.
+figures are too high rather than too low. `refused`: a message of a sender whose budget is spent, one of a
+stranger, a datagram of noise, one beyond the 2,000 that are read in a second.
 """
 
+from __future__ import annotations
+
 import argparse
 import os
 import socket
 import sys
 import time
+from collections.abc import Callable
 from pathlib import Path
 from statistics import median
+from typing import Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -28,146 +32,178 @@
 from gaproute.shared.gossip import EntryKind, EntrySet, GossipMessage, GossipNode
 from gaproute.shared.gossip.messages import LIMITS, DemandEntry, HostEntry, WarmInstanceEntry
 
-ROUNDS, TIMES = 21, 200
+SECOND = 1_000_000_000
+ROUNDS, CALLS = 21, 200  # rounds, and calls in each
+SENDER, STRANGER = "gate-117", "gate-118"
+FEW_HOSTS = 5
+NOISE_BYTES = 1200
+LARGEST = "64 tasks in hand, warm"
+
+Row = dict[str, Any]
 
 
-def spent(call):
-    """Microseconds of CPU a call."""
-    found = []
+def cpu_us(call: Callable[[], object]) -> float:
+    """Microseconds of CPU of a call."""
+    times = []
     for _ in range(ROUNDS):
-        begun = time.process_time()
-        for _ in range(TIMES):
+        began = time.process_time()
+        for _ in range(CALLS):
             call()
-        found.append(1e6 * (time.process_time() - begun) / TIMES)
-    return round(median(found), 1)
+        times.append(1e6 * (time.process_time() - began) / CALLS)
+    return round(median(times), 1)
 
 
-def keys(count):
+def keys(count: int) -> list[int]:
     """So many keys of names."""
     return [number * 7919 for number in range(count)]
 
 
-def words():
-    in_flight = [
-        EntrySet(EntryKind.IN_FLIGHT, 0, 1, 0, 0.0, tuple(HostEntry(key, 1.0) for key in keys(count)))
-        for count in (5, LIMITS[EntryKind.IN_FLIGHT].max_entries)
-    ]
-    demanded = keys(LIMITS[EntryKind.DEMAND].max_entries)
-    demand = EntrySet(
-        EntryKind.DEMAND, 0, 1, 0, 3.0, tuple(DemandEntry(key, 0, 1.5, 0.5) for key in demanded)
-    )
-    instances = keys(LIMITS[EntryKind.WARM_INSTANCES].max_entries)
-    warm = EntrySet(
-        EntryKind.WARM_INSTANCES, 0, 1, 0, 0.0, tuple(WarmInstanceEntry(key, 8, 10**9) for key in instances)
-    )
+def in_flight_set(hosts: int) -> EntrySet:
+    """Requests in flight at so many hosts."""
+    entries = tuple(HostEntry(key, 1.0) for key in keys(hosts))
+    return EntrySet(EntryKind.IN_FLIGHT, 0, 1, 0, 0.0, entries)
+
+
+def demand_set() -> EntrySet:
+    """Demand for as many functions as a set may have."""
+    entries = tuple(DemandEntry(key, 0, 1.5, 0.5) for key in keys(LIMITS[EntryKind.DEMAND].max_entries))
+    return EntrySet(EntryKind.DEMAND, 0, 1, 0, 3.0, entries)
+
+
+def warm_instance_set() -> EntrySet:
+    """As many warm instances as a set may have."""
+    functions = keys(LIMITS[EntryKind.WARM_INSTANCES].max_entries)
+    entries = tuple(WarmInstanceEntry(key, 8, SECOND) for key in functions)
+    return EntrySet(EntryKind.WARM_INSTANCES, 0, 1, 0, 0.0, entries)
+
+
+def messages() -> dict[str, GossipMessage]:
+    """The messages that are measured, by the name of their row."""
+    few = in_flight_set(FEW_HOSTS)
+    many = in_flight_set(LIMITS[EntryKind.IN_FLIGHT].max_entries)
     return {
-        "5 tasks in hand": GossipMessage(1, (in_flight[0],)),
-        "5 tasks in hand, demand": GossipMessage(1, (in_flight[0], demand)),
-        "64 tasks in hand, warm": GossipMessage(1, (in_flight[1], warm)),
+        "5 tasks in hand": GossipMessage(1, (few,)),
+        "5 tasks in hand, demand": GossipMessage(1, (few, demand_set())),
+        LARGEST: GossipMessage(1, (many, warm_instance_set())),
     }
 
 
-def wrapped(data):
-    made = word_pb2.Word(version=1, kind=6, weak=data)
-    made.sender.name = "gate-117"
-    return made.SerializeToString()
+def wrapped(data: bytes) -> bytes:
+    """The datagram of an encoded message."""
+    envelope = word_pb2.Word(version=1, kind=PayloadKind.GOSSIP, weak=data)
+    envelope.sender.name = SENDER
+    return bytes(envelope.SerializeToString())
 
 
-def merging(word):
-    """Microseconds to merge it where it is news, whatever the budget of its sender."""
-    node, count = GossipNode("me", 1, Chance(1), 0), [1]
-    node.set_peers(0, ["a"])
+class MergedMessage:
+    """A message that is news each time that it is merged, whatever the budget of its sender."""
 
-    def call():
-        count[0] += 1
-        node.receive(
-            count[0] * 10**9,
-            "a",
-            word._replace(sets=tuple([each._replace(sequence=count[0]) for each in word.sets])),
-        )
+    def __init__(self, message: GossipMessage) -> None:
+        self._message, self._sequence = message, 1
+        self._node = GossipNode("me", 1, Chance(1), 0)
+        self._node.set_peers(0, ["a"])
 
-    return spent(call)
+    def merge(self) -> None:
+        """Merge it as of a second later."""
+        self._sequence += 1
+        sets = tuple([each._replace(sequence=self._sequence) for each in self._message.sets])
+        self._node.receive(self._sequence * SECOND, "a", self._message._replace(sets=sets))
 
 
-def on_sockets(data):
+def socket_us(datagram: bytes) -> float:
     """Microseconds of CPU to send it and to take it out of the socket, both ends."""
-    loop = Loop()
-    came = []
-    one, other = (Datagrams(loop, "127.0.0.1:0", came.append) for _ in range(2))
-    where = f"127.0.0.1:{other.sock.getsockname()[1]}"
-
-    def call():
-        one.send(data, where)
-        other._ready(0)
-
-    cost = spent(call)
-    one.close(), other.close()
-    assert len(came) == ROUNDS * TIMES
+    loop, received = Loop(), list[bytes]()
+    sender, receiver = (Datagrams(loop, "127.0.0.1:0", received.append) for _ in range(2))
+    where = f"127.0.0.1:{receiver.sock.getsockname()[1]}"
+
+    def send_and_receive() -> None:
+        sender.send(datagram, where)
+        receiver._ready(0)
+
+    cost = cpu_us(send_and_receive)
+    sender.close()
+    receiver.close()
+    assert len(received) == ROUNDS * CALLS
     return cost
 
 
-def refusals():
-    class Record:
-        def event(self, *told, **more):
-            pass
+class IgnoredEvents:
+    """An event log that keeps nothing."""
+
+    def event(self, level: str, name: str, /, **fields: object) -> None:
+        """Not logged."""
+
+
+class RejectingGateway:
+    """A membership transport with a gossip node behind it, which rejects what it gets."""
+
+    def __init__(self) -> None:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
+            free.bind(("127.0.0.1", 0))
+            where = f"127.0.0.1:{free.getsockname()[1]}"
+        self._transport = MembershipTransport(Loop(), "me", where, Chance(1), IgnoredEvents())
+        self._node = GossipNode("me", 1, Chance(1), 0)
+        self._node.set_peers(0, [SENDER])
+        self._transport.register(PayloadKind.GOSSIP, self._receive)
+
+    def row(self, name: str, datagram: bytes, *, read_before: int = 0) -> Row:
+        """A row. `read_before`: datagrams that were read in this second already."""
+
+        def receive() -> None:
+            self._transport.read = read_before
+            self._transport._received(datagram)
+
+        return {"word": name, "bytes": len(datagram), "refused, us": cpu_us(receive)}
 
-    loop = Loop()
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-        free.bind(("127.0.0.1", 0))
-        where = f"127.0.0.1:{free.getsockname()[1]}"
-    gossip = MembershipTransport(loop, "me", where, Chance(1), Record())
-    node = GossipNode("me", 1, Chance(1), 0)
-    node.set_peers(0, ["gate-117"])
-    gossip.register(
-        PayloadKind.GOSSIP, lambda sender, data: node.receive_encoded(0, sender, lambda: decode(data))
-    )
-    data, noise = wrapped(encode(words()["64 tasks in hand, warm"])), os.urandom(1200)
-    stranger = data.replace(b"gate-117", b"gate-118")
+    def close(self) -> None:
+        """Close the socket."""
+        self._transport.close()
 
-    def heard(data, before):
-        def call():
-            gossip.read = before
-            gossip._received(data)
+    def _receive(self, sender: str, data: bytes) -> None:
+        self._node.receive_encoded(0, sender, lambda: decode(data))
 
-        return spent(call)
 
+def rejection_rows() -> list[Row]:
+    """Rows of messages that are rejected."""
+    gateway = RejectingGateway()
+    datagram, noise = wrapped(encode(messages()[LARGEST])), os.urandom(NOISE_BYTES)
+    stranger = datagram.replace(SENDER.encode(), STRANGER.encode())
     rows = [
-        {"word": name, "bytes": len(told), "refused, us": heard(told, before)}
-        for name, told, before in (
-            ("over the sender's budget", data, 0),
-            ("a stranger's", stranger, 0),
-            ("noise", noise, 0),
-            ("beyond 2,000 a second", data, MAX_DATAGRAMS),
-        )
+        gateway.row("over the sender's budget", datagram),
+        gateway.row("a stranger's", stranger),
+        gateway.row("noise", noise),
+        gateway.row("beyond 2,000 a second", datagram, read_before=MAX_DATAGRAMS),
     ]
-    gossip.close()
+    gateway.close()
     return rows
 
 
-def row_of(name, word):
-    data = encode(word)
+def message_row(name: str, message: GossipMessage) -> Row:
+    """A row of a message that is taken."""
+    data = encode(message)
     return {
         "word": name,
         "bytes": len(wrapped(data)),
-        "encode, us": spent(lambda: wrapped(encode(word))),
-        "decode, us": spent(lambda: decode(word_pb2.Word.FromString(wrapped(data)).weak)),
-        "merge, us": merging(word),
-        "socket, us": on_sockets(wrapped(data)),
+        "encode, us": cpu_us(lambda: wrapped(encode(message))),
+        "decode, us": cpu_us(lambda: decode(word_pb2.Word.FromString(wrapped(data)).weak)),
+        "merge, us": cpu_us(MergedMessage(message).merge),
+        "socket, us": socket_us(wrapped(data)),
         "refused, us": "-",
     }
 
 
-def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--out", default="docs/measured")
+def main() -> None:
+    """Run the command line."""
+    options = argparse.ArgumentParser()
+    options.add_argument("--out", default="docs/measured")
     rows = []
-    for name, word in words().items():
-        rows.append(row_of(name, word))
+    for name, message in messages().items():
+        rows.append(message_row(name, message))
         print(rows[-1])
-    for row in refusals():
+    for row in rejection_rows():
         rows.append({name: row.get(name, "-") for name in rows[0]})
         print(rows[-1])
-    write(arguments.parse_args().out, "gossip-bytes", rows, rounds=ROUNDS)
+    write(options.parse_args().out, "gossip-bytes", rows, rounds=ROUNDS)
 
 
 if __name__ == "__main__":
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -1,19 +1,25 @@
-"""How often a host closes a kept connection just as a task goes out on it, for each way to choose
+"""How often a host closes a kept connection just as a request goes out on it, for each way to choose
 connections.
 
     python benchmarks/kept_connections.py [--seconds 20] [--hosts 60] [--out docs/measured]
 
-The hosts are healthy listeners of one process that close a connection after 1 s at rest. To each goes an
-effectful task every 1 s, give or take 4 ms: the worst spacing there is. Each task that ends in a reset would
-be scrapped. The last row's host says `Keep-Alive: timeout=1`, as many do.
+The hosts are healthy listeners of one process that close a connection after 1 s at rest. To each goes a
+non-idempotent request every 1 s, give or take 4 ms: the worst spacing there is. Each request that ends in a
+reset would fail. The last row's host says `Keep-Alive: timeout=1`, as many do.
 """
 
+from __future__ import annotations
+
 import argparse
 import json
 import random
 import subprocess
 import sys
+from collections import Counter
+from collections.abc import Generator
 from pathlib import Path
+from types import TracebackType
+from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -21,110 +27,171 @@
 from gaproute.decisions.connections.pooling import MAX_IDLE, Pooling
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
-from gaproute.http1 import Limits, Server
+from gaproute.http1 import Limits, Request, Server
 from gaproute.interface import Idempotency, ListedHost, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Promise
 from gaproute.loop.addresses import address
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
+IDLE_TIME = SECOND  # after which a host closes a connection
+INTERVAL, JITTER = SECOND, 4 * MILLI  # between two requests to a host
+SEED = 1
+NO_DEADLINE = 1 << 62
+KEEP_ALIVE = (b"Keep-Alive", b"timeout=1")
+
+Row = dict[str, Any]
 
 
-class AnyRest(Pooling):
+class AnyIdleTime(Pooling):
     """The common way: a kept connection is used as long as it looks open."""
 
-    def max_idle(self, now, worker, effect, told):
+    def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
+        """See `Pooling`."""
         return MAX_IDLE
 
 
 class AlwaysNew(Pooling):
-    """A new connection for every effectful task."""
+    """A new connection for every non-idempotent request."""
 
-    def max_idle(self, now, worker, effect, told):
-        return MAX_IDLE if effect is Idempotency.IDEMPOTENT else -1
+    def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
+        """See `Pooling`."""
+        return MAX_IDLE if idempotency is Idempotency.IDEMPOTENT else -1
 
 
-class SeenOnly(Pooling):
+class ObservedOnly(Pooling):
     """Half the shortest rest after which the host was seen to close one, and nothing known beforehand."""
 
-    def max_idle(self, now, worker, effect, told):
-        return super().max_idle(now, worker, Idempotency.IDEMPOTENT, told)
+    def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
+        """See `Pooling`."""
+        return super().max_idle(now, host, Idempotency.IDEMPOTENT, announced)
+
+
+class Way(NamedTuple):
+    """A way to choose connections, and whether hosts say when they close them."""
+
+    name: str
+    pooling: type[Pooling]
+    announced: bool
+
+
+WAYS = (
+    Way("any rest", AnyIdleTime, False),
+    Way("always new", AlwaysNew, False),
+    Way("half of what was seen", ObservedOnly, False),
+    Way("gaproute: calm ones only", Pooling, False),
+    Way("gaproute, host tells its time", Pooling, True),
+)
 
 
-def listeners(count, tells, idle_time=SECOND):
-    loop, servers = Loop(), []
-    headers = ((b"Keep-Alive", b"timeout=1"),) if tells else ()
-    for _ in range(count):
+def run_hosts(count: int, idle_time: int = IDLE_TIME, *, announced: bool) -> None:
+    """A process with `count` hosts, whose addresses it prints; it never ends by itself."""
+    loop = Loop()
+    headers = (KEEP_ALIVE,) if announced else ()
 
-        def handle(request):
-            request.connection.server.answer(request, 200, headers, b"{}")
+    def answer(request: Request) -> None:
+        request.connection.server.answer(request, 200, headers, b"{}")
 
-        servers.append(Server(loop, address("127.0.0.1:0"), handle, Limits(idle_time=idle_time)))
+    limits = Limits(idle_time=idle_time)
+    servers = [Server(loop, address("127.0.0.1:0"), answer, limits) for _ in range(count)]
     print(json.dumps([server.address for server in servers]), flush=True)
     loop.run()
 
 
-def play(pooling, count, seconds, tells=False, effect=Idempotency.NON_IDEMPOTENT):
-    sink = subprocess.Popen(
-        [sys.executable, __file__, "listeners", str(count), str(int(tells))], stdout=subprocess.PIPE
-    )
-    where = json.loads(sink.stdout.readline())
-    loop, chance = Loop(), random.Random(1)
-    hosts = KServeClient(loop, pooling)
-    hosts.update(
-        [
-            Endpoint(ListedHost(f"h{place}", 0, 0, State.ACTIVE, 1.0, None), each)
-            for place, each in enumerate(where)
-        ],
-        complete=True,
-    )
-    call, results = Call("m", "", (), b"{}"), {}
-    end = loop.now() + round(seconds * SECOND)
-
-    def stream(worker):
-        yield loop.sleep(round(chance.random() * SECOND))
-        while loop.now() < end:
-            came = Promise()
-            hosts.send(worker, call, effect, "t", 0, 1 << 62, came.set)
-            heard = yield came
-            results[heard.result] = results.get(heard.result, 0) + 1
-            yield loop.sleep(SECOND + round(chance.uniform(-4, 4) * MILLI))
-
-    for done in [loop.spawn(stream(f"h{place}")).done for place in range(count)]:
-        loop.run(until=done)
-    hosts.close()
-    sink.kill()
-    sink.wait()
-    tasks = sum(results.values())
+class HostsProcess:
+    """A process with hosts; `addresses` are theirs. A context manager that ends it."""
+
+    def __init__(self, count: int, *, announced: bool) -> None:
+        words = ["listeners", str(count), str(int(announced))]
+        self._process = subprocess.Popen([sys.executable, __file__, *words], stdout=subprocess.PIPE)
+        assert self._process.stdout is not None
+        self.addresses: list[str] = json.loads(self._process.stdout.readline())
+
+    def __enter__(self) -> HostsProcess:
+        return self
+
+    def __exit__(
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        trace: TracebackType | None,
+    ) -> None:
+        self._process.kill()
+        self._process.wait()
+
+
+class Play:
+    """Requests to each host, one after the other, on the connections that `pooling` chooses."""
+
+    def __init__(self, pooling: Pooling, addresses: list[str], idempotency: Idempotency) -> None:
+        self._loop, self._random = Loop(), random.Random(SEED)
+        self._idempotency = idempotency
+        self.results: Counter[Result] = Counter()
+        self._names = [f"h{number}" for number in range(len(addresses))]
+        self.client = KServeClient(self._loop, pooling)
+        endpoints = [
+            Endpoint(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where)
+            for name, where in zip(self._names, addresses, strict=True)
+        ]
+        self.client.update(endpoints, complete=True)
+
+    def run(self, seconds: float) -> None:
+        """Send requests for a time."""
+        ends_at = self._loop.now() + round(seconds * SECOND)
+        for done in [self._loop.spawn(self._send_requests(name, ends_at)).done for name in self._names]:
+            self._loop.run(until=done)
+        self.client.close()
+
+    def _send_requests(self, host: str, ends_at: int) -> Generator[Promise, Any, None]:
+        call = Call("m", "", (), b"{}")
+        yield self._loop.sleep(round(self._random.random() * SECOND))
+        while self._loop.now() < ends_at:
+            answered = Promise()
+            self.client.send(host, call, self._idempotency, "t", 0, NO_DEADLINE, answered.set)
+            outcome = yield answered
+            self.results[outcome.result] += 1
+            jitter = round(self._random.uniform(-JITTER // MILLI, JITTER // MILLI) * MILLI)
+            yield self._loop.sleep(INTERVAL + jitter)
+
+
+def play(
+    pooling: Pooling,
+    count: int,
+    seconds: float,
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT,
+    *,
+    announced: bool = False,
+) -> Row:
+    """The counts of one play before so many hosts."""
+    with HostsProcess(count, announced=announced) as hosts:
+        played = Play(pooling, hosts.addresses, idempotency)
+        played.run(seconds)
+    requests, opened = played.results.total(), played.client.opened
     return {
-        "tasks": tasks,
-        "resets": results.get(Result.RESET, 0),
-        "opened": hosts.opened,
-        "opened_share": round(hosts.opened / tasks, 2),
+        "tasks": requests,
+        "resets": played.results[Result.RESET],
+        "opened": opened,
+        "opened_share": round(opened / requests, 2),
     }
 
 
-def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--seconds", type=float, default=20)
-    arguments.add_argument("--hosts", type=int, default=60)
-    arguments.add_argument("--out", default="docs/measured")
-    told = arguments.parse_args()
-    rows = []
-    for name, made, tells in (
-        ("any rest", AnyRest, False),
-        ("always new", AlwaysNew, False),
-        ("half of what was seen", SeenOnly, False),
-        ("gaproute: calm ones only", Pooling, False),
-        ("gaproute, host tells its time", Pooling, True),
-    ):
-        rows.append({"way": name, **play(made(), told.hosts, told.seconds, tells)})
+def main() -> None:
+    """Run the command line."""
+    options = argparse.ArgumentParser()
+    options.add_argument("--seconds", type=float, default=20)
+    options.add_argument("--hosts", type=int, default=60)
+    options.add_argument("--out", default="docs/measured")
+    arguments = options.parse_args()
+    rows: list[Row] = []
+    for way in WAYS:
+        counts = play(way.pooling(), arguments.hosts, arguments.seconds, announced=way.announced)
+        rows.append({"way": way.name, **counts})
         print(rows[-1], flush=True)
-    write(told.out, "kept_connections", rows)
+    write(arguments.out, "kept_connections", rows)
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["listeners"]:
-        listeners(int(sys.argv[2]), sys.argv[3] == "1", *map(int, sys.argv[4:]))
+        run_hosts(int(sys.argv[2]), *map(int, sys.argv[4:]), announced=sys.argv[3] == "1")
     else:
         main()
