--- a/benchmarks/scale/cell_work.py
+++ b/benchmarks/scale/cell_work.py
@@ -1,17 +1,24 @@
 """The work of a gateway of cells by the fleet's size: CPU time, and calls of functions, which no noise of the
 machine changes. Garbage collections are left out of both: they would search the memory of all gateways."""
 
+from __future__ import annotations
+
 import argparse
 import gc
 import json
 import sys
+from collections.abc import Callable
 from dataclasses import asdict, dataclass
+from types import FrameType
+from typing import Any, NamedTuple
 
 from benchmarks.scale.measurement import LADDERS
 from benchmarks.scale.size import CHANGES_A_SECOND
 from gaproute.hollow.cells import CellFleet
 from gaproute.hollow.cells.metered_loop import MeteredLoop
 from gaproute.hollow.cells.plan import HOSTS
+from gaproute.hollow.simulation import SimulatedLoop
+from gaproute.hollow.simulation.loop import Callback
 
 FILE = "cells-work.json"
 CONDITIONS = "one cell in full, no garbage collections, calls counted in every second gateway"
@@ -27,11 +34,11 @@
 
     __slots__ = ("calls", "counting")
 
-    def __init__(self, shared, lag=0):
+    def __init__(self, shared: SimulatedLoop, lag: int = 0) -> None:
         super().__init__(shared, lag)
         self.calls, self.counting = 0, False
 
-    def _measure(self, call, args):
+    def _measure(self, call: Callback, args: tuple[Any, ...]) -> None:
         if not self.counting:
             super()._measure(call, args)
             return
@@ -41,14 +48,23 @@
         finally:
             sys.setprofile(None)
 
-    def _count(self, frame, event, argument):
+    def _count(self, frame: FrameType, event: str, argument: object) -> None:
         self.calls += event in COUNTED
 
 
+class SpanWork(NamedTuple):
+    """Of a gateway in a second."""
+
+    cpu: float  # ms
+    calls: float
+
+
 @dataclass(frozen=True)
 class Work:
-    """Of a gateway in full in a second; `rest`: nothing happens, `day`: the table changes as often as on a
-    day. CPU in ms, calls counted."""
+    """Of a gateway in full in a second: CPU in ms, and calls.
+
+    `rest`: nothing happens; `day`: the table changes as often as on a day.
+    """
 
     rest_cpu: float
     day_cpu: float
@@ -56,49 +72,48 @@
     day_calls: float
 
 
-def work(size, seed, hosts=HOSTS) -> Work:
-    """Plays a fleet. Calls are counted in every second gateway, lest the counting fall on the CPU time."""
+def work(size: int, seed: int, hosts: int = HOSTS) -> Work:
+    """Play a fleet. Calls are counted in every second gateway, lest the counting fall on the CPU time."""
     gc.collect()
     gc.disable()
     try:
         fleet = CellFleet(int(size), seed=seed, hosts=hosts, full_cells=FULL, make_loop=CountingLoop)
         fleet.run(SETTLE)
-        loops = [gateway.loop for gateway in fleet.full_gateways()]
+        loops: list[CountingLoop] = [gateway.loop for gateway in fleet.full_gateways()]
         for loop in loops[::2]:
             loop.counting = True
-        rest_cpu, rest_calls = span(fleet, loops, lambda number: None)
-        day_cpu, day_calls = span(
-            fleet, loops, lambda number: fleet.publish(fleet.plan.cells - 1, hosts - 1 - number % 2)
-        )
+        last_cell = fleet.plan.cells - 1
+        rest = span_work(fleet, loops, lambda number: None)
+        day = span_work(fleet, loops, lambda number: fleet.publish(last_cell, hosts - 1 - number % 2))
         fleet.close()
     finally:
         gc.enable()
-    return Work(rest_cpu, day_cpu, rest_calls, day_calls)
+    return Work(rest.cpu, day.cpu, rest.calls, day.calls)
 
 
-def span(fleet, loops, change):
-    """Plays some changes, a day's time between two apart: CPU in ms and calls of a gateway in a second."""
-    spent, calls = sum(loop.cpu_time for loop in loops), sum(loop.calls for loop in loops)
+def span_work(fleet: CellFleet, loops: list[CountingLoop], change: Callable[[int], object]) -> SpanWork:
+    """Play some changes, a day's time between two apart."""
+    cpu, calls = sum(loop.cpu_time for loop in loops), sum(loop.calls for loop in loops)
     for number in range(CHANGES):
         change(number)
         fleet.run(1 / CHANGES_A_SECOND)
-    spent, calls = sum(loop.cpu_time for loop in loops) - spent, sum(loop.calls for loop in loops) - calls
+    cpu, calls = sum(loop.cpu_time for loop in loops) - cpu, sum(loop.calls for loop in loops) - calls
     seconds, counted = CHANGES / CHANGES_A_SECOND, len(loops[::2])
-    return spent / MILLI / seconds / (len(loops) - counted), calls / seconds / counted
+    return SpanWork(cpu / MILLI / seconds / (len(loops) - counted), calls / seconds / counted)
 
 
-def main():
-    """Plays all sizes once, and keeps them."""
+def main() -> None:
+    """Play all sizes once, and keep them."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale.cell_work", description=__doc__)
     parser.add_argument("--rungs", default="250,1000,4000,16000", help="sizes")
     parser.add_argument("--seed", type=int, default=1)
-    told = parser.parse_args()
+    arguments = parser.parse_args()
     rungs = []
-    for size in map(int, told.rungs.split(",")):
-        rungs.append({"size": size, **asdict(work(size, told.seed))})
+    for size in map(int, arguments.rungs.split(",")):
+        rungs.append({"size": size, **asdict(work(size, arguments.seed))})
         print(json.dumps(rungs[-1]), flush=True)
-    kept = {"clock": "simulated", "seed": told.seed, "conditions": CONDITIONS, "rungs": rungs}
-    (LADDERS / FILE).write_text(json.dumps(kept, indent=1) + "\n")
+    content = {"clock": "simulated", "seed": arguments.seed, "conditions": CONDITIONS, "rungs": rungs}
+    (LADDERS / FILE).write_text(json.dumps(content, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/climbing.py
+++ b/benchmarks/scale/climbing.py
@@ -1,9 +1,12 @@
 """What every ladder does: it plays rung after rung, predicts each before it plays it, and keeps all."""
 
+from __future__ import annotations
+
+import argparse
 import json
 import os
 import sys
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 from datetime import UTC, datetime
 from pathlib import Path
@@ -12,19 +15,31 @@
 from benchmarks.scale.limits import MEGABYTE, Limits, machine_memory
 from benchmarks.scale.prediction import errors, predict
 
+Rung = dict[str, Any]  # as the ladder's file has it
+
 
 @dataclass(frozen=True)
-class Played:
-    """One rung's figures, why it stopped early ("" where it did not), and what else is kept of it."""
+class PlayedRung:
+    """One rung's figures, why it stopped early ("" where it did not), and what else the file has of it."""
 
     figures: dict[str, Any]
     stopped: str = ""
     more: dict[str, Any] = field(default_factory=dict)
 
 
-def climb(sizes: Iterable[int], play: Callable[[int], Played], keep: Callable, rungs=()):
-    """Plays rung after rung until one stops early; `keep(rungs, stopped)` after each. `rungs`: played before,
-    smaller than all of `sizes`."""
+KeepRungs = Callable[[list[Rung], str], object]  # takes all rungs so far, and why the ladder has stopped
+
+
+def climb(
+    sizes: Iterable[int],
+    play: Callable[[int], PlayedRung],
+    keep: KeepRungs,
+    rungs: Iterable[Rung] = (),
+) -> None:
+    """Play rung after rung until one stops early; `keep(rungs, stopped)` is called after each.
+
+    `rungs` were played before, all smaller than `sizes`.
+    """
     rungs = list(rungs)
     measured = [(rung["size"], rung["measured"]) for rung in rungs]
     for size in sizes:
@@ -47,58 +62,70 @@
         measured.append((size, played.figures))
 
 
-def show(rung):
-    """Prints a rung as lines."""
+def show(rung: Rung) -> None:
+    """Print a rung as lines."""
     print(f"\n{rung['size']} gateways" + (f", stopped: {rung['stopped']}" if rung["stopped"] else ""))
     for name, value in rung["measured"].items():
-        predicted = rung["predicted"].get(name)
-        more = ""
-        if predicted is not None:
-            more = f"   predicted {predicted['value']:.4g} ({predicted['formula']})"
-            if name in rung["error_percent"]:
-                more += f", error {rung['error_percent'][name]:+.1f}%"
-        print(f"  {name:<28} {'never' if value is None else format(value, '.4g')}{more}")
+        shown = "never" if value is None else format(value, ".4g")
+        print(f"  {name:<28} {shown}{_prediction_text(rung, name)}")
     sys.stdout.flush()
 
 
-def add_arguments(parser, rungs, seconds, name):
-    """What every ladder is told: `rungs`, `seconds` and `name` are defaults."""
+def _prediction_text(rung: Rung, name: str) -> str:
+    predicted = rung["predicted"].get(name)
+    if predicted is None:
+        return ""
+    text = f"   predicted {predicted['value']:.4g} ({predicted['formula']})"
+    if name in rung["error_percent"]:
+        text += f", error {rung['error_percent'][name]:+.1f}%"
+    return text
+
+
+def add_arguments(parser: argparse.ArgumentParser, *, rungs: str, seconds: float, name: str) -> None:
+    """Add the options of every ladder, with these defaults."""
     parser.add_argument("--rungs", default=rungs, help="sizes, the smallest first")
     parser.add_argument("--seconds", type=float, default=seconds, help="of the whole ladder")
     parser.add_argument("--memory", type=float, help="MB; half of the machine's by default")
     parser.add_argument("--name", default=name, help="of the file that keeps the rungs")
 
 
-def sizes(told):
+def sizes_of(arguments: argparse.Namespace) -> list[int]:
     """The sizes of the rungs."""
-    return map(int, told.rungs.split(","))
+    return [int(size) for size in arguments.rungs.split(",")]
 
 
-def whole_rungs(folder: Path, name: str):
-    """The rungs of a kept ladder that ended by themselves."""
-    kept = json.loads((folder / f"ladder-{name}.json").read_text())
-    return [rung for rung in kept["rungs"] if not rung["stopped"]]
+def complete_rungs(folder: Path, name: str) -> list[Rung]:
+    """The rungs of the ladder's file that ended by themselves."""
+    ladder = json.loads((folder / f"ladder-{name}.json").read_text())
+    return [rung for rung in ladder["rungs"] if not rung["stopped"]]
 
 
-def limits(told):
+def limits_of(arguments: argparse.Namespace) -> Limits:
     """The limits, from now on."""
-    return Limits(told.memory or machine_memory("MemTotal") / MEGABYTE / 2, told.seconds)
-
+    return Limits(arguments.memory or machine_memory("MemTotal") / MEGABYTE / 2, arguments.seconds)
 
-def keeper(folder: Path, name: str, bounds: Limits, conditions: dict[str, Any], **more_limits):
-    """`keep(rungs, stopped)`, which writes all so far into the ladder's file, with its conditions."""
 
-    def keep(rungs, stopped):
+@dataclass(frozen=True)
+class LadderFile:
+    """Where the rungs of a ladder are kept, with its conditions and limits."""
+
+    folder: Path
+    name: str
+    limits: Limits
+    conditions: Mapping[str, Any]
+    more_limits: Mapping[str, Any] = field(default_factory=dict)
+
+    def keep(self, rungs: Sequence[Rung], stopped: str) -> None:
+        """Write all rungs so far; `stopped`: why the ladder has, "" while it goes on."""
+        limits = {"memory_mb": round(self.limits.memory), "seconds": self.limits.seconds}
         content = {
-            **conditions,
+            **self.conditions,
             "began": datetime.now(UTC).isoformat(timespec="seconds"),
             "cores": os.cpu_count(),
             "load_average": os.getloadavg(),
-            "limits": {"memory_mb": round(bounds.memory), "seconds": bounds.seconds, **more_limits},
+            "limits": {**limits, **self.more_limits},
             "rungs": rungs,
             "stopped": stopped,
         }
-        folder.mkdir(parents=True, exist_ok=True)
-        (folder / f"ladder-{name}.json").write_text(json.dumps(content, indent=1) + "\n")
-
-    return keep
+        self.folder.mkdir(parents=True, exist_ok=True)
+        (self.folder / f"ladder-{self.name}.json").write_text(json.dumps(content, indent=1) + "\n")
--- a/benchmarks/scale/ladder.py
+++ b/benchmarks/scale/ladder.py
@@ -8,67 +8,77 @@
 and why. What has ended is kept in docs/measured/scale/ladders/ladder-NAME.json after each rung.
 """
 
+from __future__ import annotations
+
 import argparse
 import json
 import subprocess
-import time
+from collections.abc import Iterable
+from typing import Any
 
 from benchmarks.scale import climbing
 from benchmarks.scale.children import command
+from benchmarks.scale.climbing import PlayedRung
+from benchmarks.scale.limits import Limits
 from benchmarks.scale.measurement import LADDERS
-from benchmarks.scale.rung import add_arguments, hosts
+from benchmarks.scale.rung import add_arguments, hosts_of
 from gaproute.hollow.cells import CELL_PARTS
 
 RUNGS = "60,125,250,1000,4000,16000"
 
 
-def play(size, told, limits):
-    """What the rung's process printed."""
-    left = limits.seconds - (time.monotonic() - limits.began)
-    words = ["benchmarks.scale.rung", size, "--seed", told.seed, "--parts", told.parts]
-    words += ["--memory", limits.memory, "--seconds", max(0, left)]
+def play(size: int, arguments: argparse.Namespace, limits: Limits) -> PlayedRung:
+    """Play a rung in a process of its own."""
+    words: list[object] = ["benchmarks.scale.rung", size, "--seed", arguments.seed]
+    words += ["--parts", arguments.parts, "--memory", limits.memory, "--seconds", limits.seconds_left()]
     for option in ("hosts", "cells"):
-        if getattr(told, option) is not None:
-            words += [f"--{option}", getattr(told, option)]
-    made = subprocess.Popen(command(words), stdout=subprocess.PIPE, text=True)
+        if getattr(arguments, option) is not None:
+            words += [f"--{option}", getattr(arguments, option)]
+    process = subprocess.Popen(command(words), stdout=subprocess.PIPE, text=True)
     try:
-        printed, _ = made.communicate()
+        printed, _ = process.communicate()
     finally:
-        if made.poll() is None:
-            made.kill()
-            made.wait()
-    if made.returncode:
-        return climbing.Played({}, f"the rung's process ended with {made.returncode}")
-    found = json.loads(printed.splitlines()[-1])
-    return climbing.Played(found["figures"], found["stopped"])
+        if process.poll() is None:
+            process.kill()
+            process.wait()
+    if process.returncode:
+        return PlayedRung({}, f"the rung's process ended with {process.returncode}")
+    result = json.loads(printed.splitlines()[-1])
+    return PlayedRung(result["figures"], result["stopped"])
 
 
-def climb(told, limits, keep, rungs=()):
-    """Plays rung after rung, after `rungs`; `keep(rungs, stopped)` after each."""
-    climbing.climb(climbing.sizes(told), lambda size: play(size, told, limits), keep, rungs)
+def climb(
+    arguments: argparse.Namespace,
+    limits: Limits,
+    keep: climbing.KeepRungs,
+    rungs: Iterable[climbing.Rung] = (),
+) -> None:
+    """Play rung after rung, after `rungs`; `keep(rungs, stopped)` is called after each."""
+    climbing.climb(climbing.sizes_of(arguments), lambda size: play(size, arguments, limits), keep, rungs)
 
 
-def conditions(told):
-    """What was played."""
+def conditions(arguments: argparse.Namespace) -> dict[str, Any]:
+    """What was played, for the ladder's file."""
     return {
         "clock": "simulated",
-        "seed": told.seed,
-        "parts": list(CELL_PARTS) if told.cells else told.parts.split(","),
-        "hosts": hosts(told),
-        "cells": told.cells,
+        "seed": arguments.seed,
+        "parts": list(CELL_PARTS) if arguments.cells else arguments.parts.split(","),
+        "hosts": hosts_of(arguments),
+        "cells": arguments.cells,
     }
 
 
-def main():
-    """The command line."""
+def main() -> None:
+    """Run the command line."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale.ladder", description=__doc__)
-    climbing.add_arguments(parser, RUNGS, 1200, "simulated")
+    climbing.add_arguments(parser, rungs=RUNGS, seconds=1200, name="simulated")
     add_arguments(parser)
     parser.add_argument("--after", help="the name of a kept ladder, whose rungs are not played again")
-    told = parser.parse_args()
-    limits = climbing.limits(told)
-    rungs = climbing.whole_rungs(LADDERS, told.after) if told.after else ()
-    climb(told, limits, climbing.keeper(LADDERS, told.name, limits, conditions(told)), rungs)
+    arguments = parser.parse_args()
+    limits = climbing.limits_of(arguments)
+    rungs = climbing.complete_rungs(LADDERS, arguments.after) if arguments.after else []
+    file = climbing.LadderFile(LADDERS, arguments.name, limits, conditions(arguments))
+    climb(arguments, limits, file.keep, rungs)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -1,47 +1,57 @@
 """When a ladder has to stop: memory of its processes, their number, its time."""
 
+from __future__ import annotations
+
 import time
 from dataclasses import dataclass, field
+from pathlib import Path
+
+from gaproute.errors import GaprouteError
 
 MEGABYTE = 1 << 20
-PAGE = 4096
-LEFT = 1500  # MB that the machine keeps free: others run on it
+PAGE = 4096  # bytes
+KEPT_FREE = 1500  # MB that the machine is left: others run on it
 
 
-class Stopped(Exception):
+class LimitReachedError(GaprouteError):
     """A limit was reached; the text says which."""
 
 
-def resident(pid="self") -> int:
+def resident_bytes(pid: int | str = "self") -> int:
     """Bytes of memory that the process has."""
-    with open(f"/proc/{pid}/statm") as file:
-        return int(file.read().split()[1]) * PAGE
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
 
 
-def machine_memory(what: str) -> int:
+def machine_memory(name: str) -> int:
     """Bytes by their name in /proc/meminfo."""
-    with open("/proc/meminfo") as file:
-        return next(int(line.split()[1]) * 1024 for line in file if line.startswith(f"{what}:"))
+    lines = Path("/proc/meminfo").read_text().splitlines()
+    return next(int(line.split()[1]) * 1024 for line in lines if line.startswith(f"{name}:"))
 
 
 @dataclass
 class Limits:
-    """`memory` in MB of the ladder's processes, `seconds` from `began` on."""
+    """`memory`: MB of the ladder's processes; `seconds`: from `began` on, s of the monotonic clock."""
 
     memory: float
     seconds: float
     processes: int = 300
     began: float = field(default_factory=time.monotonic)
 
-    def check(self, memory: float, processes: int = 1):
-        """`memory`: MB in use now. Errors: Stopped."""
+    def seconds_left(self) -> float:
+        """Until the time is over, 0 where it is."""
+        return max(0.0, self.seconds - (time.monotonic() - self.began))
+
+    def check(self, memory: float, processes: int = 1) -> None:
+        """`memory`: MB in use now. Errors: `LimitReachedError`."""
         if memory > self.memory:
-            raise Stopped(f"memory: {memory:.0f} MB in use, {self.memory:.0f} are allowed")
+            raise LimitReachedError(f"memory: {memory:.0f} MB in use, {self.memory:.0f} are allowed")
         left = machine_memory("MemAvailable") / MEGABYTE
-        if left < LEFT:
-            raise Stopped(f"memory: the machine has {left:.0f} MB left, {LEFT} are to stay free")
+        if left < KEPT_FREE:
+            raise LimitReachedError(
+                f"memory: the machine has {left:.0f} MB left, {KEPT_FREE} are to stay free"
+            )
         if processes > self.processes:
-            raise Stopped(f"processes: {processes}, {self.processes} are allowed")
+            raise LimitReachedError(f"processes: {processes}, {self.processes} are allowed")
         spent = time.monotonic() - self.began
         if spent > self.seconds:
-            raise Stopped(f"time: {spent:.0f} s, {self.seconds:.0f} are allowed")
+            raise LimitReachedError(f"time: {spent:.0f} s, {self.seconds:.0f} are allowed")
--- a/benchmarks/scale/watched.py
+++ b/benchmarks/scale/watched.py
@@ -1,147 +1,166 @@
 """A simulated fleet with what the fault scenarios look at: who is held dead, bytes, leases, invariants."""
 
-from gaproute.hollow import PARTS
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any, ClassVar
+
+from gaproute.hollow import PARTS, HollowGateway
+from gaproute.hollow.parts import PartFactory
 from gaproute.hollow.simulation import SimulatedFleet
-from gaproute.shared.membership import MemberState
+from gaproute.hollow.simulation.host_lists import GONE
+from gaproute.shared.membership import Membership, MemberState
 from gaproute.shared.membership.invariants import check
 
 SECOND = 1_000_000_000
-CHEAP = {name: PARTS[name] for name in ("membership", "hosts", "leases")}  # for long plays: gossip of demand
-#                                                        is nine tenths of all events
+# For long plays: gossip of demand is nine tenths of all events.
+CHEAP_PARTS = {name: PARTS[name] for name in ("membership", "hosts", "leases")}
 HOSTS = 240
-FIRST = 10  # seconds of a healing whose bytes are counted
+FIRST_SECONDS = 10  # of a healing, whose bytes are counted
 LONGEST = 400  # simulated seconds until which a healing is waited for
 
+Figures = dict[str, Any]
+Condition = Callable[[], object]
 
-class Watched:
-    """`told`: as of `SimulatedFleet`. `COUNTED`: counters that each scenario tells the sums of."""
 
-    COUNTED = ("membership.suspicions", "membership.refused", "demand.refused", "leases.ended")
+class WatchedFleet:
+    """`options`: as of `SimulatedFleet`. `COUNTED`: counters of which each scenario has the sums."""
 
-    def __init__(self, size, seed, part_factories=PARTS, **told):
-        self.size, self.fleet = (
-            size,
-            SimulatedFleet(size, seed=seed, part_factories=part_factories, hosts=HOSTS, **told),
-        )
+    COUNTED: ClassVar[tuple[str, ...]] = (
+        "membership.suspicions",
+        "membership.refused",
+        "demand.refused",
+        "leases.ended",
+    )
+    fleet: SimulatedFleet
+
+    def __init__(
+        self, size: int, seed: int, part_factories: Mapping[str, PartFactory] = PARTS, **options: Any
+    ) -> None:
+        self.size = size
+        self.fleet = SimulatedFleet(size, seed=seed, part_factories=part_factories, hosts=HOSTS, **options)
 
-    def gateways(self):
+    def gateways(self) -> dict[str, HollowGateway]:
         """Those whose costs and members are looked at, by name."""
         return self.fleet.gateways
 
     @property
-    def now(self):
+    def now(self) -> float:
         """Simulated seconds."""
         return self.fleet.loop.time / SECOND
 
-    def since(self, began, found):
-        """Seconds since `began`, None where what was waited for did not come."""
-        return None if found is None else round(self.now - began, 2)
+    def seconds_since(self, began: float, reached: float | None) -> float | None:
+        """Seconds since `began`, None where what was waited for was not reached."""
+        return None if reached is None else round(self.now - began, 2)
 
-    def members(self):
-        """{name: the gateway's membership}"""
+    def memberships(self) -> dict[str, Membership]:
+        """The membership of each gateway by its name."""
         return {name: gateway.parts["membership"].membership for name, gateway in self.gateways().items()}
 
-    def healing(self, figures, **conditions):
-        """Plays until all conditions hold. The seconds until each, and the first bytes, become figures."""
-        before, waiting, began = self.sent(), dict(conditions), self.now
-        while waiting or self.now - began < FIRST:
+    def measure_healing(self, figures: Figures, **conditions: Condition) -> None:
+        """Play until all conditions hold. The seconds until each, and the first bytes, become figures."""
+        before, waiting, began = self.bytes_sent(), dict(conditions), self.now
+        while waiting or self.now - began < FIRST_SECONDS:
             if self.now - began >= LONGEST:
                 figures.update(dict.fromkeys(waiting))
                 return
             self.fleet.run(1)
             spent = round(self.now - began)
-            if spent == FIRST:
-                after = self.sent()
-                sent = sum(after.values()) - sum(before.values())
-                figures["healing_bytes_per_s"] = round(sent / FIRST / len(self.gateways()), 1)
-                figures["healing_busiest_bytes_per_s"] = self.busiest(before, FIRST)
-            for name in [name for name, holds in waiting.items() if holds()]:
+            if spent == FIRST_SECONDS:
+                sent = sum(self.bytes_sent().values()) - sum(before.values())
+                figures["healing_bytes_per_s"] = round(sent / FIRST_SECONDS / len(self.gateways()), 1)
+                figures["healing_busiest_bytes_per_s"] = self.busiest(before, FIRST_SECONDS)
+            for name in [name for name, condition in waiting.items() if condition()]:
                 del waiting[name]
                 figures[name] = spent
 
     # Bytes and state
 
-    def sent(self):
-        """{name: bytes sent by all parts}, of gateways that run; what has ended counts under its own name."""
-        found = {"": sum(value for name, value in self.fleet.ended_totals.items() if name.endswith(".bytes"))}
+    def bytes_sent(self) -> dict[str, int]:
+        """Bytes sent by all parts of each gateway that runs; under "" those of gateways that have ended."""
+        ended = self.fleet.ended_totals
+        sent = {"": sum(value for name, value in ended.items() if name.endswith(".bytes"))}
         for name, gateway in self.gateways().items():
-            found[name] = sum(counters.get("bytes", 0) for counters in gateway.counters().values())
-        return found
+            sent[name] = sum(counters.get("bytes", 0) for counters in gateway.counters().values())
+        return sent
 
-    def bytes_per_second(self, span):
-        """Plays the span; bytes that a gateway sent in a second of it."""
-        before = sum(self.sent().values())
+    def bytes_per_second(self, span: float) -> float:
+        """Play the span; bytes that a gateway sent in a second of it."""
+        before = sum(self.bytes_sent().values())
         self.fleet.run(span)
-        return round((sum(self.sent().values()) - before) / span / len(self.gateways()), 1)
+        return round((sum(self.bytes_sent().values()) - before) / span / len(self.gateways()), 1)
 
-    def busiest(self, before, span):
+    def busiest(self, before: Mapping[str, int], span: float) -> float:
         """Bytes a second of the gateway that sent most since `before`."""
-        after = self.sent()
+        after = self.bytes_sent()
         return round(max(after[name] - before.get(name, 0) for name in after if name) / span, 1)
 
-    def entries(self):
+    def entries(self) -> float:
         """Entries of state that a gateway holds."""
         totals = self.fleet.totals(self.gateways().values())
-        found = sum(value for name, value in totals.items() if name.endswith(".entries"))
-        return round(found / len(self.gateways()), 1)
+        entries = sum(value for name, value in totals.items() if name.endswith(".entries"))
+        return round(entries / len(self.gateways()), 1)
 
-    def leases_held(self):
-        """The share of the gateways that run whose lease stands."""
-        gateways = self.fleet.gateways.values()
-        return round(sum(gateway.parts["leases"].is_held for gateway in gateways) / len(gateways), 4)
+    def leases_held(self) -> float:
+        """The share of the gateways that run whose lease is held."""
+        held: list[bool] = [each.parts["leases"].is_held for each in self.fleet.gateways.values()]
+        return round(sum(held) / len(held), 4)
 
-    def all_leases(self):
-        """Whether the lease of each gateway that runs stands."""
+    def all_leases_held(self) -> bool:
+        """Whether the lease of each gateway that runs is held."""
         return self.leases_held() == 1
 
     # Who is held what
 
-    def all_dead(self, names):
+    def all_hold_dead(self, names: Iterable[str]) -> bool:
         """Whether all that run hold all of these dead."""
+        dead = list(names)
         return all(
-            members.members[name].state >= MemberState.DEAD
-            for members in self.members().values()
-            for name in names
+            membership.members[name].state >= MemberState.DEAD
+            for membership in self.memberships().values()
+            for name in dead
         )
 
-    def whole(self):
+    def all_hold_alive(self) -> bool:
         """Whether all that run hold one another alive."""
-        tables = self.members()
+        memberships = self.memberships()
         return all(
-            name == other or other in held.members and held.members[other].state == MemberState.ALIVE
-            for name, held in tables.items()
-            for other in tables
+            name == other or (other in held.members and held.members[other].state == MemberState.ALIVE)
+            for name, held in memberships.items()
+            for other in memberships
         )
 
-    def wrongly_dead(self):
+    def wrongly_dead(self) -> int:
         """Pairs of running gateways of which one holds the other dead."""
-        tables = self.members()
+        memberships = self.memberships()
         return sum(
             other in held.members and held.members[other].state >= MemberState.DEAD
-            for held in tables.values()
-            for other in tables
+            for held in memberships.values()
+            for other in memberships
         )
 
     # Hosts
 
-    def hosts_are(self, hosts, state, files=None):
-        """The list tells so from now on, in these files or in all."""
+    def set_host_states(self, hosts: Iterable[str], state: str, files: Iterable[int] | None = None) -> None:
+        """Change the list, in the files with these numbers or in all."""
         for host in hosts:
             self.fleet.host_lists.states[host] = state
         self.fleet.host_lists.publish(files)
 
-    def alike(self):
-        """Whether all gateways hold the whole list."""
-        wanted = sum(state != "gone" for state in self.fleet.host_lists.states.values())
-        return all(len(gateway.parts["hosts"].rows) == wanted for gateway in self.fleet.gateways.values())
+    def all_have_hosts(self) -> bool:
+        """Whether all gateways have the whole list."""
+        listed = sum(state != GONE for state in self.fleet.host_lists.states.values())
+        return all(len(gateway.parts["hosts"].rows) == listed for gateway in self.fleet.gateways.values())
 
-    def ended(self, figures):
-        """The figures, with what any scenario counts; ends the fleet."""
+    def finish(self, figures: Figures) -> Figures:
+        """End the fleet; the figures, with what any scenario counts."""
         totals = self.fleet.totals()
         for name in self.COUNTED:
             figures.setdefault(name.replace(".", "_"), totals[name])
         figures["breaches"] = [
-            breach for members in self.members().values() for breach in check(members, thorough=True)
+            violation
+            for membership in self.memberships().values()
+            for violation in check(membership, thorough=True)
         ]
         figures["simulated_s"] = round(self.now, 1)
         self.fleet.close()
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -94,7 +94,8 @@
     step = max(1, len(wrong) // 150)  # enough of them, in some seconds
     for kind, page in wrong[::step]:
         made, differing = rewritten(page)
-        assert len(differing) == 1 and made == text
+        assert len(differing) == 1
+        assert made == text
         assert differing[0].what.startswith("figure" if kind is None else f"table {kind}")
 
 
@@ -105,7 +106,8 @@
     kind, page = next((kind, page) for kind, page in altered(copy.read_text()) if kind == "budget")
     copy.write_text(page)
     status, told = command("check", "--page", str(copy))
-    assert status == 1 and "table budget cells: the page shows" in told
+    assert status == 1
+    assert "table budget cells: the page shows" in told
     assert command("page", "--page", str(copy))[0] == 0
     assert copy.read_text() == PAGE.read_text()
 
@@ -128,7 +130,8 @@
     end = lines.index(END)
     for wrong in (lines[: end - 1] + lines[end:], [*lines[:end], "by hand", *lines[end:]]):
         made, differing = rewritten("\n".join(wrong))
-        assert len(differing) == 1 and made == text
+        assert len(differing) == 1
+        assert made == text
 
 
 def test_words_outside_blocks_stay_as_they_are(tmp_path):
@@ -196,7 +199,8 @@
     (tmp_path / "page.md").write_text("<!-- table: nothing -->\n<!-- end -->")
     for act in ("check", "page"):
         status, told = command(act, "--page", str(tmp_path / "page.md"))
-        assert status == 1 and "no such table: nothing" in told
+        assert status == 1
+        assert "no such table: nothing" in told
 
 
 def test_a_slope_tells_its_fit_and_its_stretch(tmp_path):
@@ -227,7 +231,8 @@
 def test_a_row_within_its_budget_exists(tmp_path):
     keep(tmp_path)
     verdict = judged(row(budget=4_000), tmp_path)
-    assert verdict.state == "exists" and verdict.factor == pytest.approx(0.8)
+    assert verdict.state == "exists"
+    assert verdict.factor == pytest.approx(0.8)
 
 
 def test_a_budget_below_the_smallest_size_is_told_so(tmp_path):
@@ -261,7 +266,9 @@
 def test_the_rows_are_whole():
     assert len({each.key for each in roles.ROWS}) == len(roles.ROWS)
     for each in roles.ROWS:
-        assert each.budget > 0 and each.multiplier > 0 and each.at > 0
+        assert each.budget > 0
+        assert each.multiplier > 0
+        assert each.at > 0
         if each.measurement is not None:
             assert fit(Measurement.load(each.measurement)).residual < 1
 
--- a/tests/benchmarks/test_cell_faults.py
+++ b/tests/benchmarks/test_cell_faults.py
@@ -13,7 +13,7 @@
     """Spans of a few simulated seconds, one cell in full."""
     for name, value in (("FULL", 1), ("HOSTS", HOSTS), ("SETTLE", 3), ("CALM", 1), ("PUBLISHED", 2)):
         monkeypatch.setattr(cell_faults, name, value)
-    monkeypatch.setattr(watched, "FIRST", 2)
+    monkeypatch.setattr(watched, "FIRST_SECONDS", 2)
 
 
 def test_the_scenarios_are_known_by_name():
@@ -25,8 +25,10 @@
     figures = cell_faults.cells_zone_gone(SIZE, 1)
     assert figures["lost_gateways"] == SIZE // 2
     assert figures["calls_while_gone"] >= SIZE // 2 * 3
-    assert 0 < figures["unreached_while_gone"] and 0 < figures["failed_while_gone"]
-    assert figures["fleet_holds_again_s"] <= 10 and figures["whole_again_s"] is not None
+    assert figures["unreached_while_gone"] > 0
+    assert figures["failed_while_gone"] > 0
+    assert figures["fleet_holds_again_s"] <= 10
+    assert figures["whole_again_s"] is not None
     assert figures["breaches"] == []
 
 
@@ -34,18 +36,22 @@
     monkeypatch.setattr(cell_faults, "PARTED", 5)
     figures = cell_faults.cells_parted(SIZE, 1)
     assert figures["parted_fleet_share_holding"] == 0.5
-    assert figures["fleet_holds_s"] <= 10 and figures["parted_held_dead"] == 0
+    assert figures["fleet_holds_s"] <= 10
+    assert figures["parted_held_dead"] == 0
 
 
 def test_slow_gateways_hold_the_table_and_are_not_held_dead(monkeypatch):
     monkeypatch.setattr(cell_faults, "GONE", 2)
     figures = cell_faults.cells_slow_hundredth(SIZE, 1)
     assert figures["slow_gateways"] == figures["slow_in_full"] == 1
-    assert figures["fleet_holds_s"] <= 5 and figures["held_dead"] == 0
+    assert figures["fleet_holds_s"] <= 5
+    assert figures["held_dead"] == 0
 
 
 def test_lists_that_differ_are_alike_a_second_after_the_last(monkeypatch):
     monkeypatch.setattr(cell_faults, "GONE", 5)
     figures = cell_faults.cells_differing_lists(SIZE, 1)
-    assert figures["alike_before"] is False and figures["alike_s"] <= 2
-    assert figures["held_dead"] == 0 and figures["breaches"] == []
+    assert figures["alike_before"] is False
+    assert figures["alike_s"] <= 2
+    assert figures["held_dead"] == 0
+    assert figures["breaches"] == []
--- a/tests/benchmarks/test_cell_rung.py
+++ b/tests/benchmarks/test_cell_rung.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.base_rung import Growth
 from benchmarks.scale.cell_rung import CellRung
 from benchmarks.scale.held import held_bytes
-from benchmarks.scale.limits import Limits, Stopped
+from benchmarks.scale.limits import LimitReachedError, Limits
 from benchmarks.scale.plain_rung import PlainRung
 
 SIZE, FULL, HOSTS = 66, 1, 4
@@ -23,8 +23,8 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(cell_rung, "SETTLE", 3)
         patch.setattr(cell_rung, "CALM", SPAN)
-        patch.setattr(CellRung, "death", lambda self: None)
-        made = CellRung(SIZE, 1, Limits(4_000, 60), FULL, HOSTS)
+        patch.setattr(CellRung, "measure_death", lambda self: None)
+        made = CellRung(SIZE, 1, Limits(4_000, 60), full_cells=FULL, hosts=HOSTS)
         made.play()
         yield made
         made.fleet.close()
@@ -50,7 +50,7 @@
     assert played.changes == 2  # one within the span, and the one that is waited for
 
 
-def test_a_gateways_own_cpu_and_memory_are_told(played):
+def test_a_gateways_own_cpu_and_memory_are_shown(played):
     figures = played.figures
     assert 0 < figures["cpu_percent"] <= figures["busiest_cpu_percent"] < 20
     assert 0.1 < figures["memory_mb"] <= figures["memory_most_mb"] < 10
@@ -62,30 +62,34 @@
     garbage = [bytearray(1 << 20) for _ in range(64)]
     garbage.append(garbage)
     del garbage
-    made = CellRung(SIZE, 1, Limits(4096, 60), FULL, HOSTS)
+    made = CellRung(SIZE, 1, Limits(4096, 60), full_cells=FULL, hosts=HOSTS)
     gc.enable()
-    assert made.resident() * SIZE > -8  # MB
+    assert made.resident_megabytes() * SIZE > -8  # MB
 
 
-def test_times_are_told(played):
+def test_times_are_shown(played):
     figures = played.figures
     assert 0 < figures["change_known_s"] < 5
     assert 0 < figures["newcomer_table_s"] <= figures["newcomer_hosts_s"] <= figures["newcomer_known_s"]
 
 
 def test_a_limit_ends_the_rung_with_what_it_had():
-    made = CellRung(SIZE, 1, Limits(1, 60), FULL, HOSTS)
-    with pytest.raises(Stopped, match="memory: "):
+    made = CellRung(SIZE, 1, Limits(1, 60), full_cells=FULL, hosts=HOSTS)
+    with pytest.raises(LimitReachedError, match="memory: "):
         made.play()
-    assert made.figures["simulated_s"] > 0 and "bytes_per_s" not in made.figures
+    assert made.figures["simulated_s"] > 0
+    assert "bytes_per_s" not in made.figures
     made.fleet.close()
 
 
-@pytest.mark.parametrize("cells, kind, hosts", ((3, CellRung, 256), (None, PlainRung, 240)))
+@pytest.mark.parametrize(("cells", "kind", "hosts"), [(3, CellRung, 256), (None, PlainRung, 240)])
 def test_the_command_line_chooses_the_kind_of_rung(cells, kind, hosts):
-    told = SimpleNamespace(size=99, seed=1, memory=100, seconds=1, parts="hosts", hosts=None, cells=cells)
-    made = rung.made(told)
-    assert type(made) is kind and made.hosts == hosts
+    arguments = SimpleNamespace(
+        size=99, seed=1, memory=100, seconds=1, parts="hosts", hosts=None, cells=cells
+    )
+    made = rung.make_rung(arguments)
+    assert type(made) is kind
+    assert made.hosts == hosts
 
 
 def test_growth_is_of_the_named_gateways_alone():
@@ -93,7 +97,7 @@
     after = {"one": {"a.bytes": 30, "b.bytes": 4, "b.messages": 3}, "other": {"a.bytes": 999}}
     growth = Growth(before, after, ["one"], 2)
     assert growth.rates(("a", "b")) == {"a_bytes_per_s": 10, "b_messages_per_s": 1, "b_bytes_per_s": 2}
-    assert growth.bytes() == (12, 12)
+    assert growth.bytes_sent() == (12, 12)
 
 
 class Holder:
@@ -121,5 +125,6 @@
     first, second = (cell_work.work(33, 1, hosts=4) for _ in range(2))
     assert (first.rest_calls, first.day_calls) == (second.rest_calls, second.day_calls)
     assert 1_000 < first.rest_calls < first.day_calls
-    assert 0 < first.rest_cpu < 100 and 0 < first.day_cpu < 100
+    assert 0 < first.rest_cpu < 100
+    assert 0 < first.day_cpu < 100
     assert sys.getprofile() is None
--- a/tests/benchmarks/test_cells_world.py
+++ b/tests/benchmarks/test_cells_world.py
@@ -98,9 +98,9 @@
     for node in nodes:
         assert not invariants.check(node.gateway, ["f1", "f2"])
         if node.name not in ever_down:
-            assert (
-                ended[node.name] == asked[node.name] and not node.held and not node.gateway.recorder.attempts
-            )
+            assert ended[node.name] == asked[node.name]
+            assert not node.held
+            assert not node.gateway.recorder.attempts
 
 
 def test_entries_that_do_not_know_the_cell_cannot_make_a_loop():
@@ -114,5 +114,6 @@
         assert world.nodes[name].gateway.wanted() == ()
         world.call(world.nodes[name], "f", done=lambda *end: ended.append(end))
     world.clock.run(3 * CALL_TIME)
-    assert [ending for ending, _ in ended] == ["declined", "declined"] and not world.breaches
+    assert [ending for ending, _ in ended] == ["declined", "declined"]
+    assert not world.breaches
     assert world.counts["forwards"] <= 2 * 2 * 2  # two cells each, two hops
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -26,10 +26,11 @@
     own = fleet.play({"a1": "a1"}, 100, 1, 1)
     assert own.failed == own.forwarded == 0, own.failures
     assert forwarded.cpu["b1"] > 3 * own.cpu["b1"]
-    assert 0 < own.p50 <= own.p99 and 0 < forwarded.p50 <= forwarded.p99
+    assert 0 < own.p50 <= own.p99
+    assert 0 < forwarded.p50 <= forwarded.p99
 
 
-@pytest.mark.parametrize("rate, seconds", [(24, 4), (60, 1), (100, 1), (194, 4)])
+@pytest.mark.parametrize(("rate", "seconds"), [(24, 4), (60, 1), (100, 1), (194, 4)])
 def test_functions_are_set_aside_for_all_calls_that_come_by_chance(rate, seconds):
     """With 1.2 times the mean, one play of 45 at 100 a second asked for a function that was not there."""
     counts = [
@@ -75,16 +76,21 @@
     """Calls go out on connections of their own: the kernel decides which is read first."""
     crowd = crowd_at([503, 200], [f"m{number}" for number in range(100)], 200)
     told = crowd.play()
-    assert told["failed"] == 1 and told["calls"] > 2
+    assert told["failed"] == 1
+    assert told["calls"] > 2
     (failure,) = told["failures"]
     (refused,) = crowd.server.targets_by_status[503]
     function = refused.split("/")[3]
-    assert failure.startswith(f"{function}: 503") and "busy" in failure and "told" in failure
+    assert failure.startswith(f"{function}: 503")
+    assert "busy" in failure
+    assert "told" in failure
 
 
 def test_a_call_that_is_answered_after_the_play_is_waited_for(crowd_at):
     told = crowd_at([200], [f"m{number}" for number in range(100)], 200, after=SECOND // 2).play()
-    assert told["failed"] == 0 and told["calls"] > 2 and told["p50_ms"] >= 500
+    assert told["failed"] == 0
+    assert told["calls"] > 2
+    assert told["p50_ms"] >= 500
 
 
 def test_a_call_that_begins_as_the_play_ends_is_waited_for(crowd_at, monkeypatch):
@@ -92,7 +98,9 @@
     monkeypatch.setattr(forwarding_clients, "arrivals", lambda chance, rate, begin, end: [end - 1])
     crowd = crowd_at([200], ["m0"], 200)
     told = crowd.play()
-    assert told["failed"] == 0 and told["calls"] == 1 and crowd.open == {}
+    assert told["failed"] == 0
+    assert told["calls"] == 1
+    assert crowd.open == {}
 
 
 def test_clients_that_run_out_of_functions_are_an_error_and_no_failed_call(crowd_at):
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -194,7 +194,8 @@
 def test_every_measurement_is_named_as_it_is_registered(monkeypatch):
     """Names are files' names: each is of small letters, digits and hyphens, and its own measurement's."""
     for name in command.registry():
-        assert name and set(name) <= set("abcdefghijklmnopqrstuvwxyz0123456789-")
+        assert name
+        assert set(name) <= set("abcdefghijklmnopqrstuvwxyz0123456789-")
 
 
 def test_kept_measurements_are_registered_and_whole():
@@ -202,8 +203,11 @@
         kept = Measurement.load(path.stem)
         assert kept.name == path.stem
         assert kept.name in command.registry(), f"{kept.name} can no longer be measured"
-        assert len(kept.points) >= 4 and all(len(point.plays) >= 3 for point in kept.points)
-        assert kept.conditions and kept.meaning and kept.unit in UNITS
+        assert len(kept.points) >= 4
+        assert all(len(point.plays) >= 3 for point in kept.points)
+        assert kept.conditions
+        assert kept.meaning
+        assert kept.unit in UNITS
 
 
 def test_measuring_tells_the_program_measured(tmp_path, monkeypatch, capsys):
--- a/tests/hollow/test_ladder.py
+++ b/tests/hollow/test_ladder.py
@@ -12,13 +12,13 @@
 
 from benchmarks.scale import climbing, ladder
 from benchmarks.scale.ladder_table import ladder as ladder_table
-from benchmarks.scale.limits import Limits, Stopped
+from benchmarks.scale.limits import LimitReachedError, Limits
 from benchmarks.scale.prediction import errors, predict
 
 ROOT = Path(__file__).parents[2]
 
 
-def test_a_prediction_is_made_from_three_smaller_rungs_and_its_error_is_told():
+def test_a_prediction_is_made_from_three_smaller_rungs_and_its_error_is_shown():
     rungs = [(size, {"entries": 2.0 * size, "bytes": 300.0}) for size in (10, 20, 40)]
     assert predict(rungs[:2], 40) == {}
     predicted = predict(rungs, 80)
@@ -42,50 +42,53 @@
     ],
 )
 def test_a_limit_that_is_reached_is_named(limits, memory, processes, why):
-    with pytest.raises(Stopped, match=why):
+    with pytest.raises(LimitReachedError, match=why):
         limits.check(memory, processes)
 
 
 def test_a_rung_that_reaches_its_limit_stops_the_ladder(capsys):
-    told = type("Told", (), {"rungs": "12,24", "seed": 1, "parts": "membership", "hosts": 5, "cells": None})
-    kept = []
-    ladder.climb(told, Limits(1, 60), lambda rungs, stopped: kept.append((len(rungs), stopped)))
-    assert len(kept) == 1
-    assert kept[0][0] == 1
-    assert kept[0][1].startswith("at 12 gateways: memory: ")
+    arguments = SimpleNamespace(rungs="12,24", seed=1, parts="membership", hosts=5, cells=None)
+    saved = []
+    ladder.climb(arguments, Limits(1, 60), lambda rungs, stopped: saved.append((len(rungs), stopped)))
+    assert len(saved) == 1
+    assert saved[0][0] == 1
+    assert saved[0][1].startswith("at 12 gateways: memory: ")
     assert "12 gateways, stopped: memory" in capsys.readouterr().out
 
 
 def test_a_ladder_keeps_all_rungs_so_far_with_its_conditions(tmp_path):
-    told = SimpleNamespace(seed=2, parts="membership", hosts=None, cells=3)
-    keep = climbing.keeper(tmp_path, "made", Limits(100, 60), ladder.conditions(told))
-    played = {9: climbing.Played({"known_s": 1.5}), 18: climbing.Played({}, "time: over", {"void": [1]})}
-    climbing.climb([9, 18, 27], played.get, keep)
-    kept = json.loads((tmp_path / "ladder-made.json").read_text())
-    assert [rung["size"] for rung in kept["rungs"]] == [9, 18]
-    assert kept["rungs"][0]["measured"] == {"known_s": 1.5}
-    assert kept["rungs"][1]["void"] == [1]
-    assert kept["stopped"] == "at 18 gateways: time: over"
-    assert (kept["cells"], kept["hosts"], kept["seed"]) == (3, 256, 2)
-    assert kept["limits"] == {"memory_mb": 100, "seconds": 60}
-
-
-def test_a_ladder_goes_on_after_the_whole_rungs_of_a_kept_one(tmp_path):
-    keep = climbing.keeper(tmp_path, "made", Limits(100, 60), {})
-    played = {size: climbing.Played({"entries": 2.0 * size}) for size in (10, 20, 40, 160)}
-    climbing.climb([10, 20, 40, 80], (played | {80: climbing.Played({}, "time: over")}).get, keep)
-    rungs = climbing.whole_rungs(tmp_path, "made")
+    arguments = SimpleNamespace(seed=2, parts="membership", hosts=None, cells=3)
+    file = climbing.LadderFile(tmp_path, "made", Limits(100, 60), ladder.conditions(arguments))
+    played = {
+        9: climbing.PlayedRung({"known_s": 1.5}),
+        18: climbing.PlayedRung({}, "time: over", {"void": [1]}),
+    }
+    climbing.climb([9, 18, 27], played.get, file.keep)
+    saved = json.loads((tmp_path / "ladder-made.json").read_text())
+    assert [rung["size"] for rung in saved["rungs"]] == [9, 18]
+    assert saved["rungs"][0]["measured"] == {"known_s": 1.5}
+    assert saved["rungs"][1]["void"] == [1]
+    assert saved["stopped"] == "at 18 gateways: time: over"
+    assert (saved["cells"], saved["hosts"], saved["seed"]) == (3, 256, 2)
+    assert saved["limits"] == {"memory_mb": 100, "seconds": 60}
+
+
+def test_a_ladder_goes_on_after_the_complete_rungs_of_an_earlier_one(tmp_path):
+    keep = climbing.LadderFile(tmp_path, "made", Limits(100, 60), {}).keep
+    played = {size: climbing.PlayedRung({"entries": 2.0 * size}) for size in (10, 20, 40, 160)}
+    climbing.climb([10, 20, 40, 80], (played | {80: climbing.PlayedRung({}, "time: over")}).get, keep)
+    rungs = climbing.complete_rungs(tmp_path, "made")
     climbing.climb([160], played.get, keep, rungs)
-    kept = json.loads((tmp_path / "ladder-made.json").read_text())
-    assert [rung["size"] for rung in kept["rungs"]] == [10, 20, 40, 160]
-    assert kept["stopped"] == ""
-    assert kept["rungs"][3]["predicted"]["entries"]["value"] == pytest.approx(320)
+    saved = json.loads((tmp_path / "ladder-made.json").read_text())
+    assert [rung["size"] for rung in saved["rungs"]] == [10, 20, 40, 160]
+    assert saved["stopped"] == ""
+    assert saved["rungs"][3]["predicted"]["entries"]["value"] == pytest.approx(320)
 
 
 def test_a_table_of_cells_has_predictions_beside_results(tmp_path):
     bytes_by_size = {250: 100, 500: 110, 1_000: 120, 4_000: 132}
-    keep = climbing.keeper(tmp_path / "ladders", "made", Limits(100, 60), {"cells": 3})
-    play = lambda size: climbing.Played({"bytes_per_s": bytes_by_size[size]})  # noqa: E731
+    keep = climbing.LadderFile(tmp_path / "ladders", "made", Limits(100, 60), {"cells": 3}).keep
+    play = lambda size: climbing.PlayedRung({"bytes_per_s": bytes_by_size[size]})  # noqa: E731
     climbing.climb(bytes_by_size, play, keep)
     _, _, row = ladder_table(["made"], tmp_path)
     assert row == "| bytes a second in all, no change | 100 | 110 | 120 | 132 (144, +9%) | +10.0% |"
@@ -109,7 +112,7 @@
     return holds()
 
 
-KEPT_ELSEWHERE = """\
+SAVED_ELSEWHERE = """\
 import pathlib, sys
 from benchmarks.scale import ladder
 ladder.LADDERS = pathlib.Path(sys.argv.pop(1))
@@ -118,7 +121,7 @@
 
 
 def test_a_killed_ladder_leaves_no_process(tmp_path):
-    words = [sys.executable, "-c", KEPT_ELSEWHERE, tmp_path, "--rungs", "400", "--seconds", "60"]
+    words = [sys.executable, "-c", SAVED_ELSEWHERE, tmp_path, "--rungs", "400", "--seconds", "60"]
     started = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL)
     try:
         assert wait_for(lambda: children(started.pid))
