--- a/benchmarks/scale/cells/__main__.py
+++ b/benchmarks/scale/cells/__main__.py
@@ -3,9 +3,13 @@
 Each writes its table to docs/measured/scale/cells/NAME.json as the plays end, with their seeds.
 """
 
+from __future__ import annotations
+
 import json
 import sys
+from collections.abc import Callable, Iterator
 from functools import partial
+from typing import Any
 
 from benchmarks.scale.cells import baselines, borne, evenness, failures, meetings, moves
 from benchmarks.scale.cells.fleet import Shape
@@ -14,8 +18,10 @@
 FOLDER = MEASURED / "cells"
 SECOND = 1_000_000_000
 
+NamedPlay = tuple[str, Callable[[], dict[str, Any]]]
+
 
-def meetings_plays():
+def meetings_plays() -> Iterator[NamedPlay]:
     """Rare functions, with hosts idle and busy, and with a tenth of the gateways at the last table."""
     busy = Shape(15, 6, 16_000, entries=6, host_capacity=1.0)
     for seed in (1, 2):
@@ -27,7 +33,7 @@
                 )
 
 
-def evenness_plays():
+def evenness_plays() -> Iterator[NamedPlay]:
     """Zipf 1 at 490 cells with hosts of three sizes; then a steeper law."""
     for exponent, seed in ((1.0, 1), (1.0, 2), (1.2, 1)):
         yield (
@@ -36,7 +42,7 @@
         )
 
 
-def moves_plays():
+def moves_plays() -> Iterator[NamedPlay]:
     """Both ways to give functions homes, at three numbers of cells."""
     for cells in (100, 490, 2_450):
         yield f"multi-probe, {cells} cells", partial(moves.play, "multi-probe", cells, 100_000)
@@ -44,34 +50,34 @@
             yield f"rendezvous, {cells} cells", partial(moves.play, "rendezvous", cells, 20_000)
 
 
-def failures_plays():
+def failures_plays() -> Iterator[NamedPlay]:
     """Each kind of failure for a minute."""
     for seed in (1, 2, 3):
         for kind in failures.KINDS:
             yield f"{kind}, seed {seed}", partial(failures.play, kind, seed)
 
 
-def alone_plays():
+def alone_plays() -> Iterator[NamedPlay]:
     """A region alone for an hour, at a lower rate."""
-    spans = (300, 3_600, 600)
+    spans = failures.Spans(quiet=300, failed=3_600, after=600)
     yield "seed 1", partial(failures.play, "region alone", 1, rate=60.0, spans=spans, functions=600)
 
 
-def baselines_plays():
+def baselines_plays() -> Iterator[NamedPlay]:
     """Other ways of bounding the view."""
     for seed in (1, 2):
         for way in baselines.WAYS:
             yield f"{way}, seed {seed}", partial(baselines.play, way, seed)
 
 
-def borne_plays():
+def borne_plays() -> Iterator[NamedPlay]:
     """Forwarding as fast as it goes, and the same without, in turn: the machine's drift strikes both."""
     for seed in (1, 2, 3):
         for kind in ("both", "unforwarded"):
             yield f"{kind}, seed {seed}", partial(borne.play, kind, seed)
 
 
-TABLES = {
+TABLES: dict[str, Callable[[], Iterator[NamedPlay]]] = {
     "meetings": meetings_plays,
     "evenness": evenness_plays,
     "moves": moves_plays,
@@ -82,18 +88,18 @@
 }
 
 
-def main():
-    """The command line."""
+def main() -> None:
+    """Run the command line."""
     names = sys.argv[1:] or list(TABLES)
     if unknown := [name for name in names if name not in TABLES]:
         sys.exit(f"no such table: {', '.join(unknown)}; there are {', '.join(TABLES)}")
     FOLDER.mkdir(parents=True, exist_ok=True)
     for name in names:
-        table = {}
-        for what, play in TABLES[name]():
-            table[what] = play()
+        table: dict[str, Any] = {}
+        for row, play in TABLES[name]():
+            table[row] = play()
             (FOLDER / f"{name}.json").write_text(json.dumps(table, indent=1) + "\n")
-            print(f"{name}: {what}: {table[what]}", flush=True)
+            print(f"{name}: {row}: {table[row]}", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/cells/borne.py
+++ b/benchmarks/scale/cells/borne.py
@@ -1,6 +1,9 @@
 """What one gateway bears a second with forwarding: two processes, asked as fast as they answer."""
 
+from __future__ import annotations
+
 import os
+from typing import Any
 
 from benchmarks.scale.costs.forwarding import KINDS
 from benchmarks.scale.forwarding import CELLS, Fleet
@@ -9,7 +12,7 @@
 WARM_UP_RATE = 100
 
 
-def play(kind: str, seed: int) -> dict:
+def play(kind: str, seed: int) -> dict[str, Any]:
     """One play of a fleet of its own. "at one core": calls a second over the share of a core they took."""
     fleet = Fleet(seed)
     try:
--- a/benchmarks/scale/cells/evenness.py
+++ b/benchmarks/scale/cells/evenness.py
@@ -4,138 +4,190 @@
 calls times their work over capacity; reports of them come with each answer and are a second old.
 """
 
-from array import array
-from bisect import bisect_left
-from itertools import accumulate
+from __future__ import annotations
+
+from collections.abc import Callable
 from random import Random
 from statistics import pstdev
+from typing import Any
 
 from xxhash import xxh3_64_intdigest
 
 from benchmarks.fleet.clock import MILLI, SECOND
-from benchmarks.scale.cells.fleet import Shape, place, table
+from benchmarks.scale.cells.fleet import Shape, location_of, make_table
+from benchmarks.scale.cells.popularity import Popularity
 from gaproute.decisions.cells.choice import CellSelector
 from gaproute.decisions.cells.demand import Demand, FleetScope
 from gaproute.decisions.cells.health import CellHealth
 from gaproute.decisions.cells.homes import HomeCells
 from gaproute.decisions.cells.loads import CellLoads
+from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.chance import Chance
 
+SHAPE = Shape(490, 51, 16_000, entries=0)
 FUNCTIONS = 390_000
 RATE = 194  # calls a second of a gateway
 KEEP_ALIVE = 600 * SECOND
-TICK = SECOND // 10  # between looks at the loads
+TICK = SECOND // 10  # between updates of the loads
 WINDOW = 5 * SECOND  # in which swings show
+MAX_ORDERS = 65_536  # of cells, cached by the gateways of a region
+SHORTEST_WORK, DOUBLINGS, WORK_SEED = 20 * MILLI, 4, 99  # of a call
 
 
-def work(function):
-    """Time of a call: 20 to 320 ms, by the function; half take less than 80."""
-    return 20 * MILLI * 2 ** (4 * xxh3_64_intdigest(function.encode(), 99) / (1 << 64))
-
-
-class Popularity:
-    """Draws functions by Zipf's law."""
-
-    def __init__(self, functions, exponent, random):
-        self.names = [f"function{rank}" for rank in range(functions)]
-        self.sums = array("d", accumulate(1 / rank**exponent for rank in range(1, functions + 1)))
-        self.random = random
+def work_of(function: str) -> float:
+    """Time of a call, ns: 20 to 320 ms, by the function; half take less than 80."""
+    digest = xxh3_64_intdigest(function.encode(), WORK_SEED)
+    return float(SHORTEST_WORK * 2 ** (DOUBLINGS * digest / (1 << 64)))
 
-    def draw(self):
-        """A function's name."""
-        return self.names[bisect_left(self.sums, self.random.random() * self.sums[-1])]
 
-
-class Choosers:
+class Selectors:
     """The decisions of the gateways played; orders by one table are the same and so are shared."""
 
-    def __init__(self, shape, made, played, chance_seed, draw=None):
-        self.homes = {}
-        self.each = []
-        for number in range(played):
-            stands = place(number, shape)
-            homes = self.homes.setdefault(stands.region, HomeCells(made, 65_536, (stands.region,)))
-            regional = max(1, shape.gateways // shape.regions)
-            demand = Demand(0, FleetScope(shape.gateways, regional, KEEP_ALIVE))
-            chance = Chance(chance_seed + number)
-            loads = draw() if draw else CellLoads()
-            self.each.append(
-                CellSelector(stands, homes, demand, loads, CellHealth(stands.name, chance, stands), chance)
-            )
-            self.each[-1].health.adopt(made)
+    def __init__(
+        self,
+        shape: Shape,
+        table: CellTable,
+        count: int,
+        seed: int,
+        make_loads: Callable[[], CellLoads] = CellLoads,
+    ) -> None:
+        self._shape, self._table, self._seed, self._make_loads = shape, table, seed, make_loads
+        self._homes: dict[str, HomeCells] = {}  # by region
+        self.all = [self._make(number) for number in range(count)]
+
+    def _make(self, number: int) -> CellSelector:
+        location = location_of(number, self._shape)
+        if location.region not in self._homes:
+            self._homes[location.region] = HomeCells(self._table, MAX_ORDERS, (location.region,))
+        regional = max(1, self._shape.gateways // self._shape.regions)
+        demand = Demand(0, FleetScope(self._shape.gateways, regional, KEEP_ALIVE))
+        chance = Chance(self._seed + number)
+        health = CellHealth(location.name, chance, location)
+        homes = self._homes[location.region]
+        selector = CellSelector(location, homes, demand, self._make_loads(), health, chance)
+        health.adopt(self._table)
+        return selector
 
 
 class ReportedLoads:
-    """Loads of the cells as their hosts would report them."""
+    """Loads of the cells as their hosts would report them; `weight`: calls that each played call stands for.
+
+    `reported` is over capacity, of the last second; `total` is the work since the warm-up, ns.
+    """
 
-    def __init__(self, made, weight):
-        self.capacity = {cell.name: cell.capacity for cell in made.cells}
-        self.weight = weight  # calls that each played call stands for
-        self.now = dict.fromkeys(self.capacity, 0.0)  # of this tick
-        self.told = dict.fromkeys(self.capacity, 0.0)  # over capacity, of the last second
+    def __init__(self, table: CellTable, weight: float) -> None:
+        self.capacity = {cell.name: cell.capacity for cell in table.cells}
+        self.reported = dict.fromkeys(self.capacity, 0.0)
         self.total = dict.fromkeys(self.capacity, 0.0)
-        self.window = dict.fromkeys(self.capacity, 0.0)  # since the last one began
-        self.swings = []  # deviation over the mean in each window
-
-    def add(self, name, span):
-        """A call's work at a cell."""
-        self.now[name] += span
-
-    def tick(self, measured):
-        """Reports follow the work of the last second."""
-        for name, load in self.now.items():
-            rate = load * self.weight / TICK / self.capacity[name]
-            self.told[name] += (rate - self.told[name]) * TICK / SECOND
+        self.swings: list[float] = []  # deviation over the mean in each window
+        self._weight = weight
+        self._in_tick = dict.fromkeys(self.capacity, 0.0)
+        self._in_window = dict.fromkeys(self.capacity, 0.0)
+
+    def add(self, cell: str, work: float) -> None:
+        """Add a call's work at a cell."""
+        self._in_tick[cell] += work
+
+    def tick(self, *, measured: bool) -> None:
+        """Let the reports follow the work of the last second."""
+        for cell, load in self._in_tick.items():
+            rate = load * self._weight / TICK / self.capacity[cell]
+            self.reported[cell] += (rate - self.reported[cell]) * TICK / SECOND
             if measured:
-                self.total[name] += load
-                self.window[name] += load
-            self.now[name] = 0.0
+                self.total[cell] += load
+                self._in_window[cell] += load
+            self._in_tick[cell] = 0.0
 
-    def end_window(self):
+    def end_window(self) -> None:
         """Note how far the cells lie apart in a short time."""
-        over = [load / self.capacity[name] for name, load in self.window.items()]
-        if any(over):
-            self.swings.append(pstdev(over) / (sum(over) / len(over)))
-        self.window = dict.fromkeys(self.capacity, 0.0)
-
-
-def play(shape, played, seconds, warm_up, seed=1, exponent=1.0, functions=FUNCTIONS, draw=None, rate=RATE):
-    """One play: {what: figure} over the time after the warm-up."""
-    random = Random(seed)
-    popularity, made = Popularity(functions, exponent, random), table(shape)
-    choosers = Choosers(shape, made, played, seed, draw)
-    loads = ReportedLoads(made, shape.gateways / played)
-    works = {}
-    step = SECOND / (rate * played)
-    now, ticked = 0.0, 0
-    calls = regional = 0
-    while now < seconds * SECOND:
-        now += random.expovariate(1) * step
-        while now - ticked >= TICK:
-            ticked += TICK
-            loads.tick(ticked > warm_up * SECOND)
-            if ticked % WINDOW == 0:
-                loads.end_window()
-        chooser = choosers.each[random.randrange(played)]
-        function, at = popularity.draw(), int(now)
-        span = works.get(function) or works.setdefault(function, work(function))
-        chooser.demand.record_arrival(at, function)
-        choice = next(chooser.cells(at, function))
-        loads.add(choice.cell, span)
-        chooser.demand.record_duration(function, int(span))
-        chooser.loads.record(at, choice.cell, loads.told[choice.cell])
-        calls += 1
-        regional += chooser.demand.functions[function].placement.regional
-    over = [loads.total[name] / loads.capacity[name] for name in loads.capacity]
-    mean = sum(loads.total.values()) / sum(loads.capacity.values())
-    return {
-        "most loaded over mean": round(max(over) / mean, 3),
-        "least loaded over mean": round(min(over) / mean, 3),
-        "deviation over mean": round(pstdev(over) / mean, 3),
-        "deviation in windows of 5 s": round(sum(loads.swings) / max(1, len(loads.swings)), 3),
-        "calls": calls,
-        "share of calls placed within the region": round(regional / calls, 3),
-    }
-
-
-SHAPE = Shape(490, 51, 16_000, entries=0)
+        relative = [load / self.capacity[cell] for cell, load in self._in_window.items()]
+        if any(relative):
+            self.swings.append(pstdev(relative) / (sum(relative) / len(relative)))
+        self._in_window = dict.fromkeys(self.capacity, 0.0)
+
+
+class EvennessPlay:
+    """One play. `played`: gateways played in full, each with `rate` calls a second."""
+
+    def __init__(
+        self,
+        shape: Shape,
+        played: int,
+        *,
+        seed: int,
+        exponent: float,
+        functions: int,
+        make_loads: Callable[[], CellLoads],
+        rate: float,
+    ) -> None:
+        self._random, self._played = Random(seed), played
+        self._popularity = Popularity(functions, exponent, self._random)
+        table = make_table(shape)
+        self._selectors = Selectors(shape, table, played, seed, make_loads).all
+        self._loads = ReportedLoads(table, shape.gateways / played)
+        self._works: dict[str, float] = {}  # by function
+        self._mean_gap = SECOND / (rate * played)
+        self._calls = self._regional = 0
+
+    def run(self, seconds: float, warm_up: float) -> dict[str, Any]:
+        """The figures over the time after the warm-up."""
+        now, ticked = 0.0, 0
+        while now < seconds * SECOND:
+            now += self._random.expovariate(1) * self._mean_gap
+            while now - ticked >= TICK:
+                ticked += TICK
+                self._loads.tick(measured=ticked > warm_up * SECOND)
+                if ticked % WINDOW == 0:
+                    self._loads.end_window()
+            self._call(int(now))
+        return self._figures()
+
+    def _call(self, now: int) -> None:
+        selector = self._selectors[self._random.randrange(self._played)]
+        function = self._popularity.draw()
+        work = self._works.get(function) or self._works.setdefault(function, work_of(function))
+        selector.demand.record_arrival(now, function)
+        choice = next(selector.cells(now, function))
+        self._loads.add(choice.cell, work)
+        selector.demand.record_duration(function, int(work))
+        selector.loads.record(now, choice.cell, self._loads.reported[choice.cell])
+        self._calls += 1
+        self._regional += selector.demand.functions[function].placement.regional
+
+    def _figures(self) -> dict[str, Any]:
+        loads = self._loads
+        relative = [loads.total[cell] / loads.capacity[cell] for cell in loads.capacity]
+        mean = sum(loads.total.values()) / sum(loads.capacity.values())
+        swing = sum(loads.swings) / max(1, len(loads.swings))
+        return {
+            "most loaded over mean": round(max(relative) / mean, 3),
+            "least loaded over mean": round(min(relative) / mean, 3),
+            "deviation over mean": round(pstdev(relative) / mean, 3),
+            "deviation in windows of 5 s": round(swing, 3),
+            "calls": self._calls,
+            "share of calls placed within the region": round(self._regional / self._calls, 3),
+        }
+
+
+def play(
+    shape: Shape,
+    played: int,
+    seconds: float,
+    warm_up: float,
+    seed: int = 1,
+    exponent: float = 1.0,
+    functions: int = FUNCTIONS,
+    make_loads: Callable[[], CellLoads] = CellLoads,
+    rate: float = RATE,
+) -> dict[str, Any]:
+    """The figures of one play over the time after the warm-up, s."""
+    made = EvennessPlay(
+        shape,
+        played,
+        seed=seed,
+        exponent=exponent,
+        functions=functions,
+        make_loads=make_loads,
+        rate=rate,
+    )
+    return made.run(seconds, warm_up)
--- a/benchmarks/scale/cells/failures.py
+++ b/benchmarks/scale/cells/failures.py
@@ -4,192 +4,143 @@
 are counts by the second.
 """
 
+from __future__ import annotations
+
 from collections import Counter
 from random import Random
+from typing import Any, NamedTuple
 
 from benchmarks.fleet.clock import SECOND
-from benchmarks.scale.cells.evenness import Popularity
-from benchmarks.scale.cells.fleet import Shape, region_of, table
-from benchmarks.scale.cells.world import IDEMPOTENT, NON_IDEMPOTENT, World
+from benchmarks.scale.cells.failure_kinds import KINDS, make_failure
+from benchmarks.scale.cells.fleet import Shape, make_table
+from benchmarks.scale.cells.gateways import CallEnd, CellGateway
+from benchmarks.scale.cells.popularity import Popularity
+from benchmarks.scale.cells.terms import IDEMPOTENT, NON_IDEMPOTENT
+from benchmarks.scale.cells.world import CellWorld
+from gaproute import interface as face
+
+__all__ = ["KINDS", "Spans", "play"]
 
 SHAPE = Shape(26, 20, 39, entries=3)
 FUNCTIONS, EXPONENT = 3_000, 0.9
 RATE = 300.0  # calls a second in all
-PURE_SHARE = 0.5
+IDEMPOTENT_SHARE = 0.5
 KEEP_ALIVE = 600 * SECOND
-NEWS = 2 * SECOND  # until gateways are told of a host that is gone
-QUIET, FAILED, AFTER = 60, 60, 90  # seconds of a play's three parts
-HOME = "cell0"  # the cell that fails; zone0 and region0 are where it lies
-
-
-class Failure:
-    """How one failure begins and ends; the parts are cells, zones or a region."""
-
-    def __init__(self, world, cells, zones=()):
-        self.world, self.cells, self.zones = world, cells, set(zones)
+FIRST_SECONDS = 10  # of a part, whose figures stand apart
+LAST_QUIET = 30  # seconds before the failure that are counted
+INSIDE, OUTSIDE = "inside", "outside"  # callers in the zones that fail, and others
+ENDS = (CallEnd.DELIVERED, CallEnd.REJECTED, CallEnd.FAILED)
 
-    def hosts(self):
-        """The hosts of the cells that fail."""
-        return [self.world.hosts[name] for cell in self.cells for name in self.world.members[cell]]
 
-    def nodes(self):
-        """The gateways of the zones that fail."""
-        return [node for node in self.world.nodes.values() if node.zone in self.zones]
-
-    def tell(self):
-        """Gateways are told which hosts are up."""
-        for node in self.world.nodes.values():
-            for cell in self.cells:
-                if cell in node.gateway.wanted():
-                    self.world.list_cell(node, cell)
-
-
-class Gone(Failure):
-    """The hosts end, and in whole zones the gateways too; they come back cold."""
-
-    def begin(self):
-        """Everything stops."""
-        for host in self.hosts():
-            host.fail()
-        for node in self.nodes():
-            node.up = False
-        self.world.clock.at(self.world.clock.now + NEWS, self.tell)
-
-    def end(self):
-        """Everything is back, with no copies; gateways go on with what they knew."""
-        for host in self.hosts():
-            host.back()
-        for node in self.nodes():
-            node.up, node.held = True, {}
-            node.gateway.recorder.attempts.clear()
-            node.housekeep_anew()
-        self.world.clock.at(self.world.clock.now + NEWS, self.tell)
-
-
-class Mute(Failure):
-    """The hosts take calls and never answer; the list shows them as active."""
-
-    def begin(self):
-        """Answers cease."""
-        for host in self.hosts():
-            host.mute = True
-
-    def end(self):
-        """The processes are replaced: cold."""
-        for host in self.hosts():
-            host.mute = False
-            host.fail()
-            host.back()
-
-
-class Slow(Failure):
-    """The hosts take eight times as long."""
-
-    def begin(self):
-        """They crawl."""
-        for host in self.hosts():
-            host.slow = 8.0
-
-    def end(self):
-        """They are well; their copies stand."""
-        for host in self.hosts():
-            host.slow = 1.0
-
-
-class Cut(Failure):
-    """Nothing passes between the zones and the rest; both sides go on."""
-
-    def begin(self):
-        """The net is cut."""
-        self.world.cut_off(self.zones)
-
-    def end(self):
-        """The net is whole."""
-        self.world.cut.clear()
-
-
-def failure_of(kind, world):
-    """A failure by its name."""
-    zones = [f"zone{zone}" for zone in range(world.shape.zones) if region_of(zone, world.shape) == "region0"]
-    of_zone = [cell.name for cell in world.table.cells if cell.zone == "zone0"]
-    of_region = [cell.name for cell in world.table.cells if cell.zone in zones]
-    return {
-        "cell gone": lambda: Gone(world, [HOME]),
-        "cell silent": lambda: Mute(world, [HOME]),
-        "cell slow": lambda: Slow(world, [HOME]),
-        "zone gone": lambda: Gone(world, of_zone, ["zone0"]),
-        "zone silent": lambda: Cut(world, of_zone, ["zone0"]),
-        "region gone": lambda: Gone(world, of_region, zones),
-        "region alone": lambda: Cut(world, of_region, zones),
-    }[kind]()
-
-
-KINDS = ("cell gone", "cell silent", "cell slow", "zone gone", "zone silent", "region gone", "region alone")
-
-
-def play(kind, seed=1, shape=SHAPE, rate=RATE, spans=(QUIET, FAILED, AFTER), functions=FUNCTIONS):
-    """One play: {part: {what: figure}}."""
-    random = Random(seed)
-    made = table(shape)
-    world = World(shape, made, range(shape.gateways), KEEP_ALIVE, seed)
-    popularity = Popularity(functions, EXPONENT, random)
-    nodes = list(world.nodes.values())
-    failure = failure_of(kind, world)
-    ended, begun = Counter(), Counter()  # (second, side of the caller, ending), by when the call did
-
-    def call():
-        node = random.choice(nodes)
-        if node.up:
-            side = "inside" if node.zone in failure.zones else "outside"
-            second = world.clock.now // SECOND
-
-            def done(ending, found):
-                ended[world.clock.now // SECOND, side, ending] += 1
-                begun[second, side, ending] += 1
-
-            track = IDEMPOTENT if random.random() < PURE_SHARE else NON_IDEMPOTENT
-            world.call(node, popularity.draw(), track, done=done)
-        world.clock.at(world.clock.now + int(random.expovariate(rate) * SECOND), call)
-
-    quiet, failed, after = spans
-    world.clock.at(0, call)
-    world.clock.at(quiet * SECOND, failure.begin)
-    world.clock.at((quiet + failed) * SECOND, failure.end)
-    world.clock.run((quiet + failed + after) * SECOND)
-    parts = {
-        "before": (quiet - min(30, quiet // 2), quiet),
-        "failed, first 10 s": (quiet, quiet + 10),
-        "failed, then": (quiet + 10, quiet + failed),
-        "back, first 10 s": (quiet + failed, quiet + failed + 10),
-        "back, then": (quiet + failed + 10, quiet + failed + after),
-    }
-    result = {name: part(world, ended, begun, *span) for name, span in parts.items()}
-    result["breaches"] = len(world.breaches)
-    return result
+class Spans(NamedTuple):
+    """Seconds of a play's three parts."""
+
+    quiet: int = 60
+    failed: int = 60
+    after: int = 90
+
+
+DEFAULT_SPANS = Spans()
+
+
+class CallKey(NamedTuple):
+    """What calls are counted by."""
+
+    second: int
+    side: str  # of the caller
+    end: str
+
 
+class FailurePlay:
+    """One play of a kind of failure."""
 
-def part(world, ended, begun, begin, end):
-    """Figures of one part of a play. A call that is lost ends `CALL_TIME` after it began at the latest."""
-    seconds = [world.by_second.get(second, {}) for second in range(begin, end)]
+    def __init__(self, kind: str, seed: int, shape: Shape, *, rate: float, functions: int) -> None:
+        self._random, self._rate = Random(seed), rate
+        table = make_table(shape)
+        self.world = CellWorld(shape, table, range(shape.gateways), KEEP_ALIVE, seed)
+        self._popularity = Popularity(functions, EXPONENT, self._random)
+        self._gateways = list(self.world.gateways.values())
+        self._failure = make_failure(kind, self.world)
+        self._by_end: Counter[CallKey] = Counter()  # by the second in which calls ended
+        self._by_begin: Counter[CallKey] = Counter()  # by that in which they began
 
-    def rate(what):
-        return round(sum(each.get(what, 0) for each in seconds) / len(seconds), 2)
+    def run(self, spans: Spans) -> None:
+        """Play all three parts."""
+        clock, fails_at, ends_at = self.world.clock, spans.quiet, spans.quiet + spans.failed
+        clock.at(0, self._call)
+        clock.at(fails_at * SECOND, self._failure.begin)
+        clock.at(ends_at * SECOND, self._failure.end)
+        clock.run((ends_at + spans.after) * SECOND)
 
-    def share(calls, side):
-        counts = {
-            ending: sum(calls[second, side, ending] for second in range(begin, end))
-            for ending in ("delivered", "declined", "scrapped")
+    def figures(self, begin: int, end: int) -> dict[str, Any]:
+        """Of the seconds between these. A lost call ends `CALL_TIME` after it began at the latest."""
+        counts = self.world.counts_by_second
+        seconds = [counts.get(second, Counter()) for second in range(begin, end)]
+
+        def rate(name: str) -> float:
+            return round(sum(each[name] for each in seconds) / len(seconds), 2)
+
+        return {
+            "calls a second": rate("calls"),
+            "loads a second": rate("loads"),
+            "most loads in a second": max((each["loads"] for each in seconds), default=0),
+            "cold answers a second": rate("cold"),
+            "outside": _shares(self._by_end, OUTSIDE, begin, end),
+            "inside": _shares(self._by_end, INSIDE, begin, end),
+            "outside, of the calls begun": _shares(self._by_begin, OUTSIDE, begin, end),
+            "inside, of the calls begun": _shares(self._by_begin, INSIDE, begin, end),
         }
-        total = sum(counts.values())
-        return {ending: round(count / total, 4) for ending, count in counts.items()} if total else None
-
-    return {
-        "calls a second": rate("calls"),
-        "loads a second": rate("loads"),
-        "most loads in a second": max((each.get("loads", 0) for each in seconds), default=0),
-        "cold answers a second": rate("cold"),
-        "outside": share(ended, "outside"),
-        "inside": share(ended, "inside"),
-        "outside, of the calls begun": share(begun, "outside"),
-        "inside, of the calls begun": share(begun, "inside"),
+
+    def _call(self) -> None:
+        gateway = self._random.choice(self._gateways)
+        if gateway.is_up:
+            self._call_at(gateway)
+        gap = int(self._random.expovariate(self._rate) * SECOND)
+        self.world.clock.after(gap, self._call)
+
+    def _call_at(self, gateway: CellGateway) -> None:
+        side = INSIDE if gateway.zone in self._failure.zones else OUTSIDE
+        second = self.world.clock.now // SECOND
+
+        def on_end(end: CallEnd, found: face.Found) -> None:
+            self._by_end[CallKey(self.world.clock.now // SECOND, side, end)] += 1
+            self._by_begin[CallKey(second, side, end)] += 1
+
+        is_idempotent = self._random.random() < IDEMPOTENT_SHARE
+        function = self._popularity.draw()
+        request_class = IDEMPOTENT if is_idempotent else NON_IDEMPOTENT
+        self.world.call(gateway, function, request_class, on_end=on_end)
+
+
+def _shares(calls: Counter[CallKey], side: str, begin: int, end: int) -> dict[str, float] | None:
+    """The shares of the ends; None where there were no calls."""
+    counts = {
+        str(call_end): sum(calls[CallKey(second, side, call_end)] for second in range(begin, end))
+        for call_end in ENDS
+    }
+    total = sum(counts.values())
+    return {name: round(count / total, 4) for name, count in counts.items()} if total else None
+
+
+def play(
+    kind: str,
+    seed: int = 1,
+    shape: Shape = SHAPE,
+    *,
+    rate: float = RATE,
+    spans: Spans = DEFAULT_SPANS,
+    functions: int = FUNCTIONS,
+) -> dict[str, Any]:
+    """The figures of one play by its part, and the violations of invariants."""
+    played = FailurePlay(kind, seed, shape, rate=rate, functions=functions)
+    played.run(spans)
+    fails_at, ends_at = spans.quiet, spans.quiet + spans.failed
+    parts = {
+        "before": (fails_at - min(LAST_QUIET, spans.quiet // 2), fails_at),
+        "failed, first 10 s": (fails_at, fails_at + FIRST_SECONDS),
+        "failed, then": (fails_at + FIRST_SECONDS, ends_at),
+        "back, first 10 s": (ends_at, ends_at + FIRST_SECONDS),
+        "back, then": (ends_at + FIRST_SECONDS, ends_at + spans.after),
     }
+    figures: dict[str, Any] = {name: played.figures(begin, end) for name, (begin, end) in parts.items()}
+    return figures | {"breaches": len(played.world.violations)}
--- /dev/null
+++ b/benchmarks/scale/cells/gateways.py
@@ -0,0 +1,211 @@
+"""One gateway of a play: drives its decisions and carries out their actions on the play's network."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable, Generator
+from enum import StrEnum
+from typing import Any, NamedTuple, Protocol
+
+from benchmarks.fleet.clock import EventClock
+from gaproute import interface as face
+from gaproute.decisions.cells.entries import CellUnknown, ForwardAttempt, Forwarded
+
+
+class CallEnd(StrEnum):
+    """How a call ended; the values are names of counts and figures."""
+
+    DELIVERED = "delivered"
+    REJECTED = "declined"
+    FAILED = "scrapped"
+    UNKNOWN = "unknown"  # the entry gateway does not know the cell
+
+
+OnEnd = Callable[[CallEnd, str, face.Found], object]  # takes the end, its reason and what the host found
+
+
+class SentAttempt(NamedTuple):
+    """An attempt in flight."""
+
+    host: str
+    sent: int
+
+
+class HeldRequest:
+    """A request that a gateway has: `forwarded` is what another gateway said that sent it, None for a client.
+
+    `attempts` are counted, `in_flight` are by their numbers; `waits` numbers the waits of the generator.
+    """
+
+    def __init__(
+        self,
+        request: face.Request,
+        generator: Generator[Any, Any, None],
+        on_end: OnEnd,
+        ends_at: int,
+        forwarded: Forwarded | None,
+    ) -> None:
+        self.request, self.generator, self.ends_at = request, generator, ends_at
+        self.on_end: OnEnd | None = on_end
+        self.forwarded = forwarded
+        self.attempts, self.waits = 0, 0
+        self.in_flight: dict[int, SentAttempt] = {}
+
+
+class GatewayNetwork(Protocol):
+    """What a gateway needs of the world that it is played in."""
+
+    @property
+    def counts(self) -> Counter[str]:
+        """What was counted, by name."""
+
+    @property
+    def clock(self) -> EventClock:
+        """The clock of the play."""
+
+    def send_to_host(self, gateway: CellGateway, held: HeldRequest, number: int, host: str) -> None:
+        """Send an attempt to a host of a cell that the gateway knows."""
+
+    def forward(self, gateway: CellGateway, held: HeldRequest, number: int, action: ForwardAttempt) -> None:
+        """Send an attempt to an entry gateway."""
+
+    def check(self, gateway: CellGateway, action: Any) -> None:
+        """Check the invariants of an action."""
+
+
+class CellGateway:
+    """A gateway of a play. `decisions` decide, `network` carries attempts; `held`: requests by id."""
+
+    def __init__(self, network: GatewayNetwork, name: str, zone: str, decisions: Any) -> None:
+        self.network, self.name, self.zone, self.decisions = network, name, zone, decisions
+        self.held: dict[str, HeldRequest] = {}
+        self.is_up = True
+        self._housekeeper: Generator[Any, Any, None] | None = None
+
+    def take(self, request: face.Request, on_end: OnEnd, forwarded: Forwarded | None = None) -> None:
+        """Take a request from a client, or from another gateway; `on_end` is called once."""
+        now = self.network.clock.now
+        generator = (
+            self.decisions.serve(now, request, forwarded) if forwarded else self.decisions.serve(now, request)
+        )
+        held = HeldRequest(request, generator, on_end, now + request.time_left, forwarded)
+        self.held[request.id] = held
+        self.network.clock.at(held.ends_at, self._time_is_up, held)
+        self._advance(held, None)
+
+    # Housekeeping
+
+    def housekeep(self) -> None:
+        """Begin, or go on with, what is done beside the requests."""
+        now = self.network.clock.now
+        if not self.is_up:
+            return
+        if self._housekeeper is None:
+            self._housekeeper = self.decisions.housekeep(now)
+            action = next(self._housekeeper)
+        else:
+            action = self._housekeeper.send((now, None))
+        while not isinstance(action, face.Wait):
+            action = self._housekeeper.send(None)
+        self.network.clock.at(action.until, self.housekeep)
+
+    def restart_housekeeping(self) -> None:
+        """Begin again after the gateway was down."""
+        self._housekeeper = None
+        self.housekeep()
+
+    # Requests
+
+    def attempt_ended(
+        self,
+        held: HeldRequest,
+        number: int,
+        result: face.Result,
+        found: face.Found = face.Found.UNKNOWN,
+        report: face.Report | None = None,
+    ) -> None:
+        """An attempt has ended; a second end of one, or one at a gateway that is down, is dropped."""
+        if not self.is_up or number not in held.in_flight:
+            return
+        host, sent = held.in_flight.pop(number)
+        now = self.network.clock.now
+        if result is face.Result.OK and held.on_end is not None:
+            self._end(held, CallEnd.DELIVERED, "", found)
+        has_ended = held.on_end is None
+        outcome = face.Outcome(
+            held.request.id, number, host, result, now - sent, has_ended, found, None, report
+        )
+        self.decisions.heard(now, outcome)
+        held.waits += 1
+        self._advance(held, (now, outcome))
+        self._forget(held)
+
+    def _advance(self, held: HeldRequest, value: Any) -> None:
+        """Resume the request's generator with the value, up to its next wait or its end."""
+        while True:
+            try:
+                action = held.generator.send(value)
+            except StopIteration:
+                return
+            self.network.check(self, action)
+            if isinstance(action, face.Wait):
+                held.waits += 1
+                self.network.clock.at(action.until, self._wait_elapsed, held, held.waits)
+                return
+            value = self._carry_out(held, action)
+
+    def _carry_out(self, held: HeldRequest, action: Any) -> int | None:
+        """Carry out an action; the number of an attempt."""
+        clock = self.network.clock
+        match action:
+            case face.Attempt():
+                return self._send(held, action)
+            case face.Cancel(number):
+                if number in held.in_flight:
+                    clock.at(clock.now, self.attempt_ended, held, number, face.Result.CANCELLED)
+            case CellUnknown(_, reason) if held.forwarded is not None:
+                self._end(held, CallEnd.UNKNOWN, reason)
+            case face.Reject(_, reason):
+                self._end(held, CallEnd.REJECTED, reason)
+            case face.Fail():
+                self._end(held, CallEnd.FAILED, "")
+            case face.LoadOrder(host, function, _):
+                self.decisions.stood(clock.now, host, function, face.Result.OK, 1)
+        return None
+
+    def _send(self, held: HeldRequest, action: face.Attempt) -> int:
+        number = held.attempts
+        held.attempts += 1
+        held.in_flight[number] = SentAttempt(action.host, self.network.clock.now)
+        self.network.counts["relays"] += 1
+        if isinstance(action, ForwardAttempt):
+            self.network.forward(self, held, number, action)
+        else:
+            self.network.send_to_host(self, held, number, action.host)
+        return number
+
+    def _wait_elapsed(self, held: HeldRequest, wait: int) -> None:
+        if self.is_up and held.waits == wait:
+            self._advance(held, (self.network.clock.now, None))
+            self._forget(held)
+
+    def _time_is_up(self, held: HeldRequest) -> None:
+        if not self.is_up:
+            return
+        for number in list(held.in_flight):
+            self.attempt_ended(held, number, face.Result.TIMEOUT)
+        if held.on_end is not None:
+            self._end(held, CallEnd.FAILED, "time up")
+        self._forget(held)
+
+    def _end(
+        self, held: HeldRequest, end: CallEnd, reason: str, found: face.Found = face.Found.UNKNOWN
+    ) -> None:
+        on_end, held.on_end = held.on_end, None
+        if on_end is not None:
+            on_end(end, reason, found)
+
+    def _forget(self, held: HeldRequest) -> None:
+        if held.on_end is None and not held.in_flight:
+            held.generator.close()
+            self.held.pop(held.request.id, None)
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -1,208 +1,244 @@
-"""The play: a clock, hosts, gateways, the net between them, and counts of what happened."""
+"""The world of a play: a clock, hosts, gateways, the network between them, and counts of what happened."""
+
+from __future__ import annotations
 
 from collections import Counter, deque
+from collections.abc import Callable, Iterable
+from functools import partial
 from random import Random
+from typing import Any
 
 from benchmarks.fleet.clock import MILLI, SECOND, EventClock
-from benchmarks.scale.cells.fleet import place, region_of
-from benchmarks.scale.cells.hosts import Host
-from benchmarks.scale.cells.node import Node
+from benchmarks.scale.cells.fleet import Shape, location_of
+from benchmarks.scale.cells.gateways import CallEnd, CellGateway, HeldRequest
+from benchmarks.scale.cells.hosts import CallService, CellHost
+from benchmarks.scale.cells.network import ZoneNetwork
+from benchmarks.scale.cells.terms import CALL_TIME, IDEMPOTENT, NON_IDEMPOTENT, cell_terms
 from gaproute import interface as face
 from gaproute.decisions.cells import invariants
 from gaproute.decisions.cells.cellular import CellularGateway
-from gaproute.decisions.cells.entries import MAX_HOPS
-
-ONE_WAY = {"zone": MILLI // 4, "region": MILLI, "far": 30 * MILLI}
-CALL_TIME = 8 * SECOND  # that a client waits
-IDEMPOTENT, NON_IDEMPOTENT = 0, 1  # places of the tracks
-TRACKS = (
-    face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
-    face.RequestClass(face.Idempotency.NON_IDEMPOTENT, face.Group.ALL, 0, 2 * SECOND, CALL_TIME, 1.0),
-)
-MOST_IN_HAND = 4  # times its capacity at which a host turns calls away
-
-
-def terms(gateways, keep_alive):
-    """What each gateway is told."""
-    return face.Terms(
-        TRACKS, (), 1.0, keep_alive, False, 0, 0.0, 0, True, True, False, False, (), 0.0, 0.0, False,
-        gateways, True, False, 6, SECOND, 0.2, 10 * SECOND, False, -1, 0.0,
-    )  # fmt: skip
-
-
-class World:
-    """`numbers`: which of the shape's gateways are there as full ones."""
-
-    def __init__(self, shape, table, numbers, keep_alive, seed=1, checking=False):
-        self.shape, self.table, self.keep_alive, self.checking = shape, table, keep_alive, checking
-        self.regions = {f"zone{zone}": region_of(zone, shape) for zone in range(shape.zones)}
-        self.clock, self.counts, self.by_second = EventClock(), Counter(), {}
-        self.ran = {}  # a client's call that must not run twice: how often it ran
-        self.random, self.loss = Random(seed), 0.0  # share of messages that are lost, each way
-        self.waits, self.breaches, self.cut = deque(maxlen=1_000_000), [], set()  # cut: (zone, zone)
-        self.hosts, self.members = {}, {}
+from gaproute.decisions.cells.entries import MAX_HOPS, ForwardAttempt
+from gaproute.decisions.cells.table import Cell, CellTable
+
+MAX_LOAD = 4  # times its capacity at which a host rejects calls
+LATENCIES_KEPT = 1_000_000
+HOP_MARK = ">"  # in the id of a request, for each time that it was forwarded
+LANES = 4
+ENTRY_RESULTS = {
+    CallEnd.DELIVERED: face.Result.OK,
+    CallEnd.REJECTED: face.Result.FULL,
+    CallEnd.UNKNOWN: face.Result.NOT_LOADED,
+}
+
+OnCallEnd = Callable[[CallEnd, face.Found], object]
+
+
+class AttemptReply:
+    """Brings what became of an attempt back to the gateway that sent it."""
+
+    def __init__(
+        self, world: CellWorld, gateway: CellGateway, held: HeldRequest, number: int, zone: str, delay: int
+    ) -> None:
+        self.gateway, self.held, self.number = gateway, held, number
+        self._world, self._zone, self.delay = world, zone, delay
+
+    def send(
+        self,
+        result: face.Result,
+        found: face.Found = face.Found.UNKNOWN,
+        report: face.Report | None = None,
+    ) -> None:
+        """Send it from the zone that the attempt went to, unless it is lost or cut off."""
+        if self._world.network.delay(self.gateway.zone, self._zone) is not None:
+            ended = partial(self.gateway.attempt_ended, self.held, self.number, result, found, report)
+            self._world.clock.after(self.delay, ended)
+
+
+class CellWorld:
+    """A fleet of the shape; `numbers`: which of its gateways are played in full.
+
+    `counts` are by what is counted, `counts_by_second` by the second too. `latencies`: ns of the last calls
+    that were delivered. `checking`: whether invariants are checked; `violations` are what did not hold.
+    """
+
+    def __init__(
+        self,
+        shape: Shape,
+        table: CellTable,
+        numbers: Iterable[int],
+        keep_alive: int,
+        seed: int = 1,
+        *,
+        checking: bool = False,
+    ) -> None:
+        self.shape, self.table, self.keep_alive, self._checking = shape, table, keep_alive, checking
+        self.clock = EventClock()
+        self.network = ZoneNetwork(shape, Random(seed))
+        self.counts: Counter[str] = Counter()
+        self.counts_by_second: dict[int, Counter[str]] = {}
+        self.latencies: deque[int] = deque(maxlen=LATENCIES_KEPT)
+        self.violations: list[str] = []
+        self._runs: Counter[str] = Counter()  # of calls that must not run twice, by their id
+        self.hosts: dict[str, CellHost] = {}
+        self.hosts_of: dict[str, list[str]] = {}  # names, by cell
         for cell in table.cells:
             self.add_cell(cell)
-        self.terms, self.seed = terms(shape.gateways, keep_alive), seed
-        self.nodes = {}
+        self.terms, self._seed = cell_terms(shape.gateways, keep_alive), seed
+        self.gateways: dict[str, CellGateway] = {}
         for number in numbers:
-            self.add_node(number)
+            self.add_gateway(number)
 
-    def add_cell(self, cell):
-        """The hosts of a cell."""
-        each = cell.capacity / cell.hosts
+    def add_cell(self, cell: Cell) -> None:
+        """Add the hosts of a cell."""
         names = [f"{cell.name}-host{number}" for number in range(cell.hosts)]
-        self.members[cell.name] = names
+        self.hosts_of[cell.name] = names
         for name in names:
-            self.hosts[name] = Host(name, cell.name, cell.zone, each, self.keep_alive)
-
-    def add_node(self, number):
-        """A full gateway."""
-        stands = place(number, self.shape)
-        gateway = CellularGateway(self.seed + number, self.terms, self.clock.now, stands)
-        node = self.nodes[stands.name] = Node(self, stands.name, stands.zone, gateway)
-        self.adopt(node, self.table)
-        node.housekeep()
-        return node
-
-    def adopt(self, node, table):
-        """A gateway takes a table, and the lists of the cells that it then wants."""
-        node.gateway.adopt(self.clock.now, table)
-        for name in node.gateway.wanted():
-            self.list_cell(node, name)
-
-    def list_cell(self, node, name):
-        """A gateway is told of the hosts of a cell that are up."""
-        rows = [
-            face.ListedHost(
-                host.name, 0, 0, face.State.ACTIVE, host.capacity / self.shape.host_capacity, None
-            )
-            for host in (self.hosts[each] for each in self.members.get(name, ()))
-            if host.up
-        ]
-        node.gateway.listed(self.clock.now, rows, True, name)
-
-    def count(self, what, amount=1):
+            capacity = cell.capacity / cell.hosts
+            self.hosts[name] = CellHost(name, cell.name, cell.zone, capacity, self.keep_alive)
+
+    def add_gateway(self, number: int) -> CellGateway:
+        """Add a gateway that is played in full."""
+        location = location_of(number, self.shape)
+        decisions = CellularGateway(self._seed + number, self.terms, self.clock.now, location)
+        gateway = CellGateway(self, location.name, location.zone, decisions)
+        self.gateways[location.name] = gateway
+        self.adopt(gateway, self.table)
+        gateway.housekeep()
+        return gateway
+
+    def adopt(self, gateway: CellGateway, table: CellTable) -> None:
+        """Give a gateway a table, and the lists of the cells that it then wants."""
+        gateway.decisions.adopt(self.clock.now, table)
+        for name in gateway.decisions.wanted():
+            self.publish_hosts(gateway, name)
+
+    def publish_hosts(self, gateway: CellGateway, cell: str) -> None:
+        """Give a gateway the list of a cell's hosts that are up."""
+        hosts = [self.hosts[name] for name in self.hosts_of.get(cell, ())]
+        rows = [self.host_row(host) for host in hosts if host.is_up]
+        gateway.decisions.listed(self.clock.now, rows, True, cell)
+
+    def host_row(self, host: CellHost) -> face.ListedHost:
+        """The host as the list has it."""
+        capacity = host.capacity / self.shape.host_capacity
+        return face.ListedHost(host.name, 0, 0, face.State.ACTIVE, capacity, None)
+
+    def count(self, name: str, amount: int = 1) -> None:
         """Count, in all and by the second."""
-        self.counts[what] += amount
-        self.by_second.setdefault(self.clock.now // SECOND, Counter())[what] += amount
-
-    def delay(self, one, other):
-        """One way between two zones; None: it is cut, or this message is lost."""
-        if (one, other) in self.cut or self.loss and self.random.random() < self.loss:
-            return None
-        if one == other:
-            return ONE_WAY["zone"]
-        return ONE_WAY["region" if self.regions[one] == self.regions[other] else "far"]
-
-    def cut_off(self, zones):
-        """Nothing passes between these zones and the others."""
-        every = set(self.regions)
-        self.cut |= {(a, b) for a in zones for b in every - zones}
-        self.cut |= {(b, a) for a in zones for b in every - zones}
-
-    # Relays
-
-    def to_host(self, node, held, relay, name):
-        """A relay to a host of a cell that the gateway knows."""
-        host = self.hosts[name]
-        delay = self.delay(node.zone, host.zone)
-        if delay is not None:
-            self.clock.at(self.clock.now + delay, self._at_host, node, held, relay, host, delay)
+        self.counts[name] += amount
+        self.counts_by_second.setdefault(self.clock.now // SECOND, Counter())[name] += amount
+
+    def next_serial(self) -> int:
+        """A number for the id of a request."""
+        self.counts["serial"] += 1
+        return self.counts["serial"]
+
+    # Attempts at hosts
 
-    def _at_host(self, node, held, relay, host, delay):
-        def answer(result, found=face.Found.UNKNOWN, report=None):
-            if self.delay(node.zone, host.zone) is not None:
-                self.clock.at(self.clock.now + delay, node.answered, held, relay, result, found, report)
+    def send_to_host(self, gateway: CellGateway, held: HeldRequest, number: int, host: str) -> None:
+        """Send an attempt to a host of a cell that the gateway knows."""
+        target = self.hosts[host]
+        delay = self.network.delay(gateway.zone, target.zone)
+        if delay is not None:
+            reply = AttemptReply(self, gateway, held, number, target.zone, delay)
+            self.clock.after(delay, self._at_host, reply, target)
 
-        if not host.up:
-            answer(face.Result.CONNECT_FAILED)
+    def _at_host(self, reply: AttemptReply, host: CellHost) -> None:
+        if not host.is_up:
+            reply.send(face.Result.CONNECT_FAILED)
             return
-        if host.busy >= MOST_IN_HAND * host.capacity:
-            answer(face.Result.FULL, report=face.Report(in_hand=host.busy))
+        if host.in_flight >= MAX_LOAD * host.capacity:
+            reply.send(face.Result.FULL, report=face.Report(in_hand=host.in_flight))
             return
-        self._run(held.task)
-        span, warm, began = host.take(self.clock.now, held.task.function)
+        request = reply.held.request
+        self._count_run(request)
+        service = host.accept(self.clock.now, request.function)
         self.count("runs")
-        self.count("loads" if began else "found")
-        found = face.Found.WARM if warm else face.Found.BEGAN_LOAD if began else face.Found.AWAITED_LOAD
+        self.count("loads" if service.began_load else "found")
+        self.clock.after(service.duration, self._host_answers, reply, host, _found(service))
 
-        def done():
-            if host.up and not host.mute:
-                host.busy = max(0, host.busy - 1)
-                answer(face.Result.OK, found, face.Report(in_hand=host.busy))
+    def _host_answers(self, reply: AttemptReply, host: CellHost, found: face.Found) -> None:
+        if host.is_up and not host.is_mute:
+            host.in_flight = max(0, host.in_flight - 1)
+            reply.send(face.Result.OK, found, face.Report(in_hand=host.in_flight))
 
-        self.clock.at(self.clock.now + span, done)
+    def _count_run(self, request: face.Request) -> None:
+        if request.request_class == NON_IDEMPOTENT:
+            call = request.id.split(HOP_MARK)[0]
+            self._runs[call] += 1
+            if self._runs[call] > 1:
+                self.violations.append(f"{call} ran twice")
 
-    def _run(self, task):
-        if task.request_class == NON_IDEMPOTENT:
-            call = task.id.split(">")[0]
-            self.ran[call] = self.ran.get(call, 0) + 1
-            if self.ran[call] > 1:
-                self.breaches.append(f"{call} ran twice")
+    # Attempts at entry gateways
 
-    def forward(self, node, held, relay, wish):
-        """A relay to an entry gateway."""
+    def forward(self, gateway: CellGateway, held: HeldRequest, number: int, action: ForwardAttempt) -> None:
+        """Send an attempt to an entry gateway."""
         self.count("forwards")
-        entry = self.nodes.get(wish.host)
+        entry = self.gateways.get(action.host)
         if entry is None:
-            self.clock.at(self.clock.now + MILLI, node.answered, held, relay, face.Result.CONNECT_FAILED)
+            self.clock.after(MILLI, gateway.attempt_ended, held, number, face.Result.CONNECT_FAILED)
             return
-        delay = self.delay(node.zone, entry.zone)
-        if delay is None:
-            return
-        self.clock.at(self.clock.now + delay, self._at_entry, node, held, relay, wish, entry, delay)
-
-    def _at_entry(self, node, held, relay, wish, entry, delay):
-        def answer(result, found=face.Found.UNKNOWN, report=None):
-            if self.delay(node.zone, entry.zone) is not None:
-                self.clock.at(self.clock.now + delay, node.answered, held, relay, result, found, report)
+        delay = self.network.delay(gateway.zone, entry.zone)
+        if delay is not None:
+            reply = AttemptReply(self, gateway, held, number, entry.zone, delay)
+            self.clock.after(delay, self._at_entry, reply, action, entry)
 
-        if not entry.up:
-            answer(face.Result.CONNECT_FAILED)
+    def _at_entry(self, reply: AttemptReply, action: ForwardAttempt, entry: CellGateway) -> None:
+        if not entry.is_up:
+            reply.send(face.Result.CONNECT_FAILED)
             return
 
-        def finish(ending, why, found):
-            results = {
-                "delivered": face.Result.OK,
-                "declined": face.Result.FULL,
-                "unknown": face.Result.NOT_LOADED,
-            }
-            report = entry.gateway.local.report(self.clock.now, wish.forwarded.cell)
-            answer(results.get(ending, face.Result.ERROR), found, report)
+        def on_end(end: CallEnd, reason: str, found: face.Found) -> None:
+            report = entry.decisions.local.report(self.clock.now, action.forwarded.cell)
+            reply.send(ENTRY_RESULTS.get(end, face.Result.ERROR), found, report)
 
-        self.counts["serial"] += 1
-        left = max(MILLI, held.end - self.clock.now - delay)
-        if held.task.id.count(">") >= MAX_HOPS:
-            self.breaches.append(f"{held.task.id} is forwarded once more")
-        task = held.task._replace(id=f"{held.task.id}>{self.counts['serial']}", time_left=left)
-        entry.take(task, finish, wish.forwarded)
+        request = reply.held.request
+        serial = self.next_serial()
+        time_left = max(MILLI, reply.held.ends_at - self.clock.now - reply.delay)
+        if request.id.count(HOP_MARK) >= MAX_HOPS:
+            self.violations.append(f"{request.id} is forwarded once more")
+        forwarded = request._replace(id=f"{request.id}{HOP_MARK}{serial}", time_left=time_left)
+        entry.take(forwarded, on_end, action.forwarded)
 
     # Calls
 
-    def call(self, node, function, track=IDEMPOTENT, time_left=CALL_TIME, done=None):
-        """A client's call to a full gateway."""
-        self.counts["serial"] += 1
-        begun = self.clock.now
-
-        def finish(ending, why, found):
-            self.count(ending)
-            if ending == "declined":
-                self.counts[f"declined: {why}"] += 1
-            if ending == "delivered":
-                self.waits.append(self.clock.now - begun)
-                self.count("warm" if found is face.Found.WARM else "cold")
-            if done is not None:
-                done(ending, found)
-
-        task = face.Request(f"t{self.counts['serial']}", 0, time_left, function, 4, None, track)
+    def call(
+        self,
+        gateway: CellGateway,
+        function: str,
+        request_class: int = IDEMPOTENT,
+        time_left: int = CALL_TIME,
+        on_end: OnCallEnd | None = None,
+    ) -> None:
+        """A client's call to a gateway that is played in full."""
+        request_id = f"t{self.next_serial()}"
+        request = face.Request(request_id, 0, time_left, function, LANES, None, request_class)
+        began = self.clock.now
         self.count("calls")
-        node.take(task, finish)
-
-    def check(self, node, task, wish):
-        """Invariants of each wish."""
-        if self.checking and node.gateway.single is None:
-            self.breaches += invariants.hops_bounded(wish)
-            if isinstance(wish, face.Attempt):
-                self.breaches += invariants.sent_to_known(node.gateway, wish)
-                self.breaches += invariants.one_cell_at_a_time(node.gateway)
+        gateway.take(request, lambda end, reason, found: self._call_ended(began, end, reason, found, on_end))
+
+    def _call_ended(
+        self, began: int, end: CallEnd, reason: str, found: face.Found, on_end: OnCallEnd | None
+    ) -> None:
+        self.count(end)
+        if end is CallEnd.REJECTED:
+            self.counts[f"declined: {reason}"] += 1
+        if end is CallEnd.DELIVERED:
+            self.latencies.append(self.clock.now - began)
+            self.count("warm" if found is face.Found.WARM else "cold")
+        if on_end is not None:
+            on_end(end, found)
+
+    def check(self, gateway: CellGateway, action: Any) -> None:
+        """Check the invariants of an action."""
+        if self._checking and gateway.decisions.single is None:
+            self.violations += invariants.hops_bounded(action)
+            if isinstance(action, face.Attempt):
+                self.violations += invariants.sent_to_known(gateway.decisions, action)
+                self.violations += invariants.one_cell_at_a_time(gateway.decisions)
+
+
+def _found(service: CallService) -> face.Found:
+    if service.was_warm:
+        return face.Found.WARM
+    return face.Found.BEGAN_LOAD if service.began_load else face.Found.AWAITED_LOAD
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -6,9 +6,10 @@
 from dataclasses import replace
 from random import Random
 
-from benchmarks.scale.cells.evenness import KEEP_ALIVE, Popularity
-from benchmarks.scale.cells.fleet import Shape, place, table
-from benchmarks.scale.cells.world import CALL_TIME, terms
+from benchmarks.scale.cells.evenness import KEEP_ALIVE
+from benchmarks.scale.cells.fleet import Shape, location_of, make_table
+from benchmarks.scale.cells.popularity import Popularity
+from benchmarks.scale.cells.terms import CALL_TIME, cell_terms
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import processor_us
 from gaproute import interface as face
@@ -29,10 +30,10 @@
 def made(cells, gateways=16_000, entries=32):
     """A gateway with its host lists, and its table."""
     shape = Shape(cells, HOSTS, gateways, entries)
-    gateway = CellularGateway(7, terms(gateways, KEEP_ALIVE), 0, place(1, shape))
-    stands = place(1, shape)
+    gateway = CellularGateway(7, cell_terms(gateways, KEEP_ALIVE), 0, location_of(1, shape))
+    stands = location_of(1, shape)
     holder = TableHolder("play", lambda cell: trim_entries(cell, stands.name))
-    holder.replace(table(shape))
+    holder.replace(make_table(shape))
     gateway.adopt(0, holder.table)
     for name in gateway.wanted():
         rows = [
--- a/gaproute/hollow/cells/pulls.py
+++ b/gaproute/hollow/cells/pulls.py
@@ -66,7 +66,8 @@
         self.name = name
         self.routes: dict[bytes, Route] = {}
         self.answers = self.bytes = 0
-        self._network, self._address = network, address
+        self.address = address  # that gateways send with what they announce
+        self._network = network
         self._answer = HttpAnswer(NOT_FOUND, b"")
         network.pull_servers[address] = self
 
@@ -86,8 +87,8 @@
 
     def close(self) -> None:
         """Answer no more."""
-        if self._network.pull_servers.get(self._address) is self:
-            del self._network.pull_servers[self._address]
+        if self._network.pull_servers.get(self.address) is self:
+            del self._network.pull_servers[self.address]
 
 
 class SimulatedPullClient:
--- a/tests/benchmarks/test_cells_plays.py
+++ b/tests/benchmarks/test_cells_plays.py
@@ -8,7 +8,7 @@
 from benchmarks.scale.meters import instructions
 
 
-def test_calls_of_rare_functions_meet_at_one_copy():
+def test_calls_of_rare_functions_meet_at_one_instance():
     """Called once a minute in a fleet of 16,000 gateways, which each see it about never."""
     shape = Shape(30, 10, 16_000, entries=4)
     for old_share, least in ((0.0, 0.95), (0.1, 0.90)):
@@ -31,7 +31,7 @@
 
 
 def failure(kind):
-    return failures.play(kind, 4, rate=150.0, spans=(40, 40, 40), functions=600)
+    return failures.play(kind, 4, rate=150.0, spans=failures.Spans(40, 40, 40), functions=600)
 
 
 def test_a_lost_cell_moves_its_calls_alone():
