--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -21,7 +21,7 @@
 from benchmarks.scale.limits import MEGABYTE, LimitReachedError, Limits
 from benchmarks.scale.loopback_fleet import LoopbackFleet, Process
 from benchmarks.scale.measurement import LADDERS
-from gaproute.cluster.lateness import WAITED
+from gaproute.cluster.lateness import MAX_CPU_WAIT
 
 MAX_LATE = 150  # ms that a process may be late, as the harness's scripts allow
 # Seconds: leases are granted half a minute after the Raft group was founded, and renewed at half of theirs.
@@ -95,10 +95,10 @@
     def _check_waited(self, shares: Sequence[float]) -> None:
         """Void the rung where the median process was ready without a core for too much of the span."""
         share = self.figures["waited_share"] = shares[len(shares) // 2]
-        if share > WAITED:
+        if share > MAX_CPU_WAIT:
             self.void.append(
                 f"gateways were ready without a core for {share:.0%} of the calm span, "
-                f"{WAITED:.0%} are allowed"
+                f"{MAX_CPU_WAIT:.0%} are allowed"
             )
 
     def check_lateness(self, span: str) -> None:
--- a/benchmarks/scale/loopback_fleet.py
+++ b/benchmarks/scale/loopback_fleet.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.hollow_processes import HollowProcesses
 from benchmarks.scale.limits import resident_bytes
 from benchmarks.scale.logs import logged_at
-from gaproute.cluster.lateness import BEAT
+from gaproute.cluster.lateness import CHECK_INTERVAL
 from gaproute.hollow.simulation.host_lists import HostLists
 
 RAFT_MEMBERS = 3
@@ -152,7 +152,7 @@
         """Sleep in short steps, and note how late this process is."""
         end = time.monotonic_ns() + round(seconds * NANOSECONDS)
         while (now := time.monotonic_ns()) < end:
-            due = min(now + BEAT, end)
+            due = min(now + CHECK_INTERVAL, end)
             time.sleep((due - now) / NANOSECONDS)
             self._late = max(self._late, time.monotonic_ns() - due)
 
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -25,7 +25,7 @@
 
 from benchmarks.rows import table, write
 from benchmarks.wire_processes import DATAGRAM_SIZE, FIRST_HOST, HOSTS, LOCAL, MeasuredLink, echo
-from gaproute.cluster.addresses import between
+from gaproute.cluster.addresses import link_address
 from gaproute.loop.descriptors import READ
 
 MESSAGE = b"x" * 200
@@ -96,7 +96,7 @@
 
 def address_of_pair(link: MeasuredLink, number: int) -> tuple[str, int]:
     """Where the emulator listens for the `number`th pair of a caller and a host."""
-    return between(link.callers[number % len(link.callers)], FIRST_HOST + number % HOSTS), link.port
+    return link_address(link.callers[number % len(link.callers)], FIRST_HOST + number % HOSTS), link.port
 
 
 def measure_streams(link: MeasuredLink, part: str, count: int, *, direct: bool = False) -> Row:
@@ -124,7 +124,11 @@
         sock.bind((LOCAL, 0))
         callers = link.callers[number::at_once][: pairs // HOSTS // at_once + 1]
         targets[sock] = itertools.cycle(
-            [(between(caller, FIRST_HOST + host), link.port) for caller in callers for host in range(HOSTS)]
+            [
+                (link_address(caller, FIRST_HOST + host), link.port)
+                for caller in callers
+                for host in range(HOSTS)
+            ]
         )
     _place_callers(link, socks)
     link.reset_counts()
--- a/gaproute/hollow/__main__.py
+++ b/gaproute/hollow/__main__.py
@@ -22,10 +22,10 @@
     arguments = parser.parse_args()
     configuration = read_configuration(arguments.config)
     assert configuration.peers_file is not None  # as for any configuration with `listen peers`
-    assert configuration.keepers is not None
+    assert configuration.raft_group is not None
     rows = read_peers(configuration.peers_file.path)
     own_rows = rows[arguments.first : arguments.first + arguments.count]
-    if {row.name for row in own_rows} & set(configuration.keepers.names):
+    if {row.name for row in own_rows} & set(configuration.raft_group.names):
         parser.error("a keeper is among the hollow gateways")
     process = HollowProcess(
         configuration, rows, first=arguments.first, count=arguments.count, seed=arguments.seed
--- a/gaproute/hollow/host_list.py
+++ b/gaproute/hollow/host_list.py
@@ -26,7 +26,7 @@
     def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
         self._loop, self._configuration = environment.loop, environment.configuration
         self._converter = HostLineConverter(
-            self._loop, environment.wall_clock, use_capacities=self._configuration.sizes_reported
+            self._loop, environment.wall_clock, use_capacities=self._configuration.capacities_reported
         )
         now = self._loop.now()
         self.decisions = self._configuration.decisions(environment.seed, self._configuration.terms, now)
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -24,7 +24,7 @@
 
     def __init__(self, environment: GatewayEnvironment, parts: Parts) -> None:
         self._loop, self._name = environment.loop, environment.name
-        line = environment.configuration.keepers
+        line = environment.configuration.raft_group
         assert line is not None
         self._peer_addresses: dict[str, str] = {}  # changed in place: the transport holds it too
         self.hosted_node = HostedNode(
--- a/gaproute/hollow/peer_server.py
+++ b/gaproute/hollow/peer_server.py
@@ -22,7 +22,7 @@
             address(environment.address),
             parts["hosts"].decisions,
             HostHistory(),
-            [line.name for line in environment.configuration.tracks],
+            [line.name for line in environment.configuration.request_classes],
             LEASE_PEER_LIMITS,
         )
         self._raft_transport = parts["leases"].hosted_node.transport
--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -118,7 +118,7 @@
 
     def _open_disk(self, name: str) -> SimulatedDisk:
         disk = self._disks.setdefault(name, SimulatedDisk())
-        disk.opened()
+        disk.open()
         return disk
 
     def wall_clock(self) -> int:
--- a/gaproute/load/script.py
+++ b/gaproute/load/script.py
@@ -13,7 +13,7 @@
 from pydantic import BeforeValidator, Field
 
 from gaproute.config.errors import ConfigurationError, Mistake
-from gaproute.config.parsing import Directive, Found, read_lines
+from gaproute.config.parsing import Directive, NamedDirective, read_lines
 from gaproute.config.values import Address, Duration, Name, Size, YesNo
 
 SECOND = 1_000_000_000
@@ -114,7 +114,7 @@
     storms: Sequence[Storm]
 
     @classmethod
-    def of_directives(cls, text: str, found: Sequence[Found]) -> LoadScript:
+    def of_directives(cls, text: str, found: Sequence[NamedDirective]) -> LoadScript:
         """The script whose lines were parsed to these directives, with defaults for what is not named."""
 
         def directives(word: str) -> list[Any]:
