--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -6,16 +6,17 @@
 from dataclasses import replace
 from random import Random
 
-from benchmarks.scale.cells.evenness import KEEP_ALIVE, Popularity
-from benchmarks.scale.cells.fleet import Shape, place, table
-from benchmarks.scale.cells.world import CALL_TIME, terms
+from benchmarks.scale.cells.evenness import KEEP_ALIVE
+from benchmarks.scale.cells.fleet import Shape, location_of, make_table
+from benchmarks.scale.cells.popularity import Popularity
+from benchmarks.scale.cells.terms import CALL_TIME, cell_terms
 from benchmarks.scale.measurement import measure
 from benchmarks.scale.meters import processor_us
 from gaproute import interface as face
 from gaproute.decisions.cells.cellular import CellularGateway
 from gaproute.decisions.cells.change import TableChange, TableHolder
 from gaproute.decisions.cells.entries import Forwarded, trim_entries
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 
 HOSTS = 51  # in a cell
 TIMED = "processor time of the process, medians within a play; 16,000 gateways, 32 entries a cell"
@@ -29,10 +30,10 @@
 def made(cells, gateways=16_000, entries=32):
     """A gateway with its host lists, and its table."""
     shape = Shape(cells, HOSTS, gateways, entries)
-    gateway = CellularGateway(7, terms(gateways, KEEP_ALIVE), 0, place(1, shape))
-    stands = place(1, shape)
+    gateway = CellularGateway(7, cell_terms(gateways, KEEP_ALIVE), 0, location_of(1, shape))
+    stands = location_of(1, shape)
     holder = TableHolder("play", lambda cell: trim_entries(cell, stands.name))
-    holder.replace(table(shape))
+    holder.replace(make_table(shape))
     gateway.adopt(0, holder.table)
     for name in gateway.wanted():
         rows = [
--- a/gaproute/cluster/links/messages.py
+++ b/gaproute/cluster/links/messages.py
@@ -1,6 +1,6 @@
 """The messages between the harness and a link emulator; `codec.py` makes lines of JSON of them.
 
-The harness sends a `Start` first and `Command`s after it; the emulator sends `Answer`s.
+The harness sends a `StartEmulator` first and `Command`s after it; the emulator sends `Answer`s.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class StartEmulator:
     """The first line: the ports that several emulators may share, and what the links begin with.
 
     `tap_path`: the file for a line about each connection, if any.
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginFault:
-    """From now on the fault is on."""
+    """Begins a fault."""
 
     fault_id: str
     spec: FaultSpec
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndFault:
-    """The fault of this id ends."""
+    """Ends the fault of this id."""
 
     fault_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReportCounts:
-    """Asks for `LinkCounts`."""
+    """Requests `LinkCounts`."""
 
 
 Command = PlaceSlots | BeginFault | EndFault | ReportCounts
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ready:
-    """The emulator serves."""
+    """The emulator has started and serves."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/gaproute/cluster/script_checks.py
+++ b/gaproute/cluster/script_checks.py
@@ -1,11 +1,11 @@
-"""What is wrong with the lines of a cluster's script beside their single values, as texts of mistakes."""
+"""Finds mistakes in the lines of a cluster's script that go beyond single values."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
 from gaproute.cluster import slot_sets
-from gaproute.cluster.links.faults import FaultKind, Traffic
+from gaproute.cluster.links.faults import LinkFaultKind, LinkTraffic
 from gaproute.cluster.platform.script_checks import find_platform_mistakes
 from gaproute.cluster.script_lines import (
     CLUSTER_LINES,
@@ -26,7 +26,7 @@
 
 
 def find_mistakes(file: str, found: list[NamedDirective]) -> list[Mistake]:
-    """All mistakes of a script's lines."""
+    """Returns all mistakes of a script's lines."""
     day = next((line for keyword, line in found if keyword == "day"), DayLine.model_validate({}))
     kind = next((line.kind for keyword, line in found if keyword == "cluster"), GatewayKind.APPLIANCE)
     return [
@@ -68,9 +68,9 @@
 
 
 def _link_fault_mistakes(line: LinkFaultLine) -> Iterator[str]:
-    if line.kind is FaultKind.DELAY and not (line.delay or line.jitter or line.bytes):
+    if line.kind is LinkFaultKind.DELAY and not (line.delay or line.jitter or line.bytes):
         yield "a delay names delay, jitter or bytes"
-    if line.kind in (FaultKind.DOUBLE, FaultKind.REORDER) and line.traffic is Traffic.STREAMS:
+    if line.kind in (LinkFaultKind.DOUBLE, LinkFaultKind.REORDER) and line.traffic is LinkTraffic.STREAMS:
         yield f"TCP hides what would {line.kind} a stream: what datagrams"
 
 
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -101,7 +101,7 @@
     )
 
     def where(place):
-        event = json.loads(log.event(1, place).split(b"data: ")[1])
+        event = json.loads(log.feeds[place].encoded_event(1).split(b"data: ")[1])
         return [row["host_port"] for row in event["fleet"]["members"]]
 
     assert where(0) == ["127.1.0.1:1", "127.0.0.1:2"]
@@ -124,9 +124,9 @@
     host, _, port = broadcast.address.rpartition(":")
     for place in (0, 1, 3):
         socks[place].sendto(b"%d" % place, (host, int(port)))
-    while broadcast.heard + broadcast.strange < 3:
+    while broadcast.received + broadcast.unknown_sender < 3:
         loop.turn()
-    assert (broadcast.heard, broadcast.sent, broadcast.strange) == (2, 3, 1)
+    assert (broadcast.received, broadcast.sent, broadcast.unknown_sender) == (2, 3, 1)
     assert [socks[place].recv(10) for place in (0, 1, 2)] == [b"1", b"0", b"0"]
     for sock in [*socks, broadcast.sock]:
         sock.close()
