--- a/gaproute/cluster/harness.py
+++ b/gaproute/cluster/harness.py
@@ -71,8 +71,7 @@
         """Makes the parts that the day is played with."""
         self.record = PlayRecord()
         self.loop.on_error = self._routine_failed
-        (self.out / "day.script").write_text(self.script.text)
-        (self.out / "play.json").write_text(json.dumps({"seed": self.seed, "decisions": self.decisions}))
+        self._write_play()
         _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))  # three descriptors for each child
         settings = self.script.settings
@@ -102,6 +101,11 @@
         )
         self.lease_clients = LeaseClients(self.context, self.gateways)
 
+    def _write_play(self) -> None:
+        """Writes down what is needed to play the same again."""
+        (self.out / "day.script").write_text(self.script.text)
+        (self.out / "play.json").write_text(json.dumps({"seed": self.seed, "decisions": self.decisions}))
+
     def create_actors(self) -> None:
         """Makes hosts, host lists, gateways and clients."""
         self.hosts = ClusterHosts(
--- a/gaproute/cluster/platform/clients.py
+++ b/gaproute/cluster/platform/clients.py
@@ -5,8 +5,8 @@
 from typing import Any, ClassVar
 
 from gaproute.cluster.clients import ClusterClients
+from gaproute.judge.tap_reading import TapEvent
 from gaproute.loop import Promise
-from gaproute.scenarios.clients import TapEvent
 from gaproute.standins.tap import read_tap
 
 CLASS_KEYS = ("name", "share", "limit", "pure")  # of a request class, as these clients know it
--- a/gaproute/cluster/platform/hosts.py
+++ b/gaproute/cluster/platform/hosts.py
@@ -4,6 +4,7 @@
 
 import signal
 import time
+from typing import NamedTuple
 
 from gaproute.cluster.hosts import ClusterHosts
 from gaproute.cluster.start_limiter import StartLimiter
@@ -36,11 +37,11 @@
         self.process.close_input()
 
 
-class SharedProcess:
+class SharedProcess(NamedTuple):
     """A process of several hosts; `turns` has one answer awaited at a time."""
 
-    def __init__(self, process: DayProcess, turns: StartLimiter) -> None:
-        self.process, self.turns = process, turns
+    process: DayProcess
+    turns: StartLimiter
 
 
 class PlatformClusterHosts(ClusterHosts):
