--- a/gaproute/standins/kinds.py
+++ b/gaproute/standins/kinds.py
@@ -81,7 +81,7 @@
 
 
 def _make_store(process: Surroundings, line: StoreLine) -> StandIn:
-    profile = StoreProfile(line.pace, line.limit, line.thrash)
+    profile = StoreProfile(rate=line.pace, limit=line.limit, thrash=line.thrash)
     store = ModelStore(process.loop, address(line.listen), profile, process.tap)
     process.report({"address": store.address})
     return StandIn(store.command)
@@ -89,7 +89,7 @@
 
 def _make_host(process: Surroundings, line: HostLine) -> StandIn:
     models = {model.name: model for model in line.models}
-    setup = HostSetup(line.profile, models, line.store, line.seed, line.warm)
+    setup = HostSetup(profile=line.profile, models=models, store=line.store, seed=line.seed, warm=line.warm)
     host = KServeHost(process.loop, address(line.listen), setup, process.tap)
     process.report({"address": host.address})
     return StandIn(host.command)
@@ -97,13 +97,25 @@
 
 def _make_clients(process: Surroundings, line: ClientsLine) -> StandIn:
     until = process.loop.now() + line.length
-    load = KServeLoad(line.gateways, line.classes, line.traffic, line.seed, until)
+    load = KServeLoad(
+        gateways=line.gateways,
+        classes=line.classes,
+        traffic=line.traffic,
+        seed=line.seed,
+        until=until,
+    )
     return StandIn(KServeClients(process.loop, load, process.tap).command)
 
 
 def _make_platform_hosts(process: Surroundings, line: PlatformHostsLine) -> StandIn:
-    reporting = LoadReporting(line.figures, line.report == PIGGYBACK)
-    setup = SharedSetup(line.models, line.taps, line.store, line.seed, reporting)
+    reporting = LoadReporting(line.figures, with_answers=line.report == PIGGYBACK)
+    setup = SharedSetup(
+        models=line.models,
+        taps=line.taps,
+        store=line.store,
+        seed=line.seed,
+        reporting=reporting,
+    )
     hosts = PlatformHosts(process.loop, line.hosts, setup, process.report)
     return StandIn(hosts.command, flush=hosts.flush, finish=hosts.flush)
 
@@ -120,7 +132,14 @@
 
 
 def _make_platform_clients(process: Surroundings, line: PlatformClientsLine) -> StandIn:
-    load = PlatformLoad(line.gateways, line.models, line.classes, line.traffic, line.seed, line.length)
+    load = PlatformLoad(
+        gateways=line.gateways,
+        models=line.models,
+        classes=line.classes,
+        traffic=line.traffic,
+        seed=line.seed,
+        length=line.length,
+    )
     clients = PlatformClients(process.loop, load, process.tap, process.report)
     return StandIn(clients.command)
 
--- a/gaproute/standins/kserve/client_request.py
+++ b/gaproute/standins/kserve/client_request.py
@@ -161,13 +161,8 @@
         pause = round(pause * owner.chance.uniform(*RETRY_SPREAD))
         left = attempt.time_limit - (owner.loop.now() - self.started_at) - pause
         if left >= MIN_TIME_LEFT:
-            retry = ClientAttempt(
-                f"{attempt.id}r",
-                attempt.request_class,
-                attempt.model,
-                left,
-                attempt.first_id,
-                attempt.number + 1,
+            retry = attempt._replace(
+                id=f"{attempt.id}r", time_limit=left, number=attempt.number + 1, refused=(), crossed=False
             )
             owner.loop.after(pause, owner.send, retry)
 
--- a/gaproute/standins/kserve/clients.py
+++ b/gaproute/standins/kserve/clients.py
@@ -9,7 +9,8 @@
 
 import random
 from collections.abc import Sequence
-from typing import Any, NamedTuple
+from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
@@ -36,7 +37,8 @@
     prefix: str = "c"  # of the requests' ids, where several processes of clients share a load
 
 
-class KServeLoad(NamedTuple):
+@dataclass(frozen=True, kw_only=True, slots=True)
+class KServeLoad:
     """What the clients send."""
 
     gateways: Sequence[str]  # addresses
@@ -85,8 +87,15 @@
         drawn = self.source.draw()
         self._request_count += 1
         request_id = f"{self.traffic.prefix}{self._request_count}"
-        limit = drawn.request_class.limit
-        self.send(ClientAttempt(request_id, drawn.request_class, drawn.model, limit, request_id))
+        self.send(
+            ClientAttempt(
+                id=request_id,
+                request_class=drawn.request_class,
+                model=drawn.model,
+                time_limit=drawn.request_class.limit,
+                first_id=request_id,
+            )
+        )
 
     def send(self, attempt: ClientAttempt) -> None:
         """Sends an attempt to a gateway by chance, of those that did not refuse it."""
--- a/gaproute/standins/model_server/profiles.py
+++ b/gaproute/standins/model_server/profiles.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import NamedTuple
+from dataclasses import dataclass
 
 import msgspec
 
@@ -38,7 +38,8 @@
     start: int  # time from the end of the fetch until the instance can serve
 
 
-class HostSetup(NamedTuple):
+@dataclass(frozen=True, kw_only=True, slots=True)
+class HostSetup:
     """How one run of a stand-in host begins."""
 
     profile: HostProfile
--- a/gaproute/standins/model_store.py
+++ b/gaproute/standins/model_store.py
@@ -5,7 +5,8 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from dataclasses import dataclass, replace
+from typing import Any
 
 from gaproute.http1 import Limits, Request, Server
 from gaproute.loop import Loop
@@ -19,7 +20,8 @@
 BODY = b"model"
 
 
-class StoreProfile(NamedTuple):
+@dataclass(frozen=True, kw_only=True, slots=True)
+class StoreProfile:
     """What a model store can do."""
 
     rate: float  # fetches a second, shared by those under way
@@ -40,7 +42,7 @@
 
     def command(self, command: dict[str, Any]) -> None:
         """`{"pace": RATE}` sets the rate of fetches a second."""
-        self.profile = self.profile._replace(rate=command["pace"])
+        self.profile = replace(self.profile, rate=command["pace"])
 
     def _share_a_ns(self) -> float:
         """The share of one fetch that each of those under way is served in one ns."""
--- a/gaproute/standins/platform/clients.py
+++ b/gaproute/standins/platform/clients.py
@@ -10,7 +10,8 @@
 import base64
 import random
 from collections.abc import Callable, Mapping, Sequence
-from typing import Any, NamedTuple
+from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
@@ -29,7 +30,8 @@
 SEED_BITS = 0xFFFFFF  # of the seed, that stand in ids
 
 
-class PlatformLoad(NamedTuple):
+@dataclass(frozen=True, kw_only=True, slots=True)
+class PlatformLoad:
     """What the clients send. The functions of a class are the models of that class."""
 
     gateways: Sequence[str]  # addresses
--- a/gaproute/standins/platform/hosts.py
+++ b/gaproute/standins/platform/hosts.py
@@ -4,8 +4,9 @@
 
 from collections import Counter
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
 import msgspec
 
@@ -36,7 +37,8 @@
     hosts: list[str] | None = None
 
 
-class SharedSetup(NamedTuple):
+@dataclass(frozen=True, kw_only=True, slots=True)
+class SharedSetup:
     """What all hosts of a process have in common."""
 
     models: Sequence[ModelProfile]
@@ -78,7 +80,9 @@
         path = Path(setup.taps) / f"host-{name}.{run}.tap" if setup.taps else None
         tap = self._taps[name] = Tap(path, self.loop.clock)
         seed = f"{setup.seed} {name} {run}"
-        host_setup = HostSetup(slot.profile, self.models, setup.store, seed, slot.warm)
+        host_setup = HostSetup(
+            profile=slot.profile, models=self.models, store=setup.store, seed=seed, warm=slot.warm
+        )
         host = PlatformHost(self.loop, address(slot.listen), host_setup, tap, setup.reporting)
         self.hosts[name] = host
         self._slots[name] = msgspec.structs.replace(slot, listen=host.address)
--- a/tests/standins/test_kserve_clients.py
+++ b/tests/standins/test_kserve_clients.py
@@ -24,11 +24,11 @@
         self.tap = ListTap(self.loop.clock)
         self.server = Server(self.loop, address("127.0.0.1:0"), self.handle)
         load = KServeLoad(
-            [where or self.server.address],
-            [ClientRequestClass("p", 1.0, SECOND, ("m",))],
-            KServeTraffic(**{"rate": 1.0, "impatient": 0.0, "retries": 0} | habits),
-            7,
-            self.loop.now() - 1,
+            gateways=[where or self.server.address],
+            classes=[ClientRequestClass("p", 1.0, SECOND, ("m",))],
+            traffic=KServeTraffic(**{"rate": 1.0, "impatient": 0.0, "retries": 0} | habits),
+            seed=7,
+            until=self.loop.now() - 1,
         )
         self.clients = KServeClients(self.loop, load, self.tap)
 
--- a/tests/standins/test_model_server.py
+++ b/tests/standins/test_model_server.py
@@ -27,7 +27,7 @@
         self.loop = Loop(Stepped(SECOND))
         self.tap, self.ends, self.fetched, self.fetches = ListTap(self.loop.clock), [], fetched, 0
         profile = HostProfile("h", **{"cores": 2, "copies": 5, **dict(make)})
-        setup = HostSetup(profile, MODELS, seed=1, warm=warm)
+        setup = HostSetup(profile=profile, models=MODELS, seed=1, warm=warm)
         self.model_server = ModelServer(self.loop, setup, self.fetch, self.tap)
         self.model_server.start()
 
--- a/tests/standins/test_platform_clients.py
+++ b/tests/standins/test_platform_clients.py
@@ -57,12 +57,12 @@
     gates = [Gate(bench.loop, answer) for answer in answers]
     bench.closing += [gate.close for gate in gates]
     load = PlatformLoad(
-        [gate.address for gate in gates],
-        [MODEL],
-        [ClientRequestClass("p", 1.0, limit)],
-        PlatformTraffic(**{"rate": 200.0, "impatient": 0.0} | habits),
-        7,
-        length,
+        gateways=[gate.address for gate in gates],
+        models=[MODEL],
+        classes=[ClientRequestClass("p", 1.0, limit)],
+        traffic=PlatformTraffic(**{"rate": 200.0, "impatient": 0.0} | habits),
+        seed=7,
+        length=length,
     )
     made = PlatformClients(bench.loop, load, bench.tap, bench.said.append)
     return made, gates
--- a/tests/standins/test_platform_host.py
+++ b/tests/standins/test_platform_host.py
@@ -50,7 +50,7 @@
     # A host
 
     def host(self, *, warm=False, reporting=None):
-        setup = HostSetup(HostProfile("h"), {MODEL.name: MODEL}, warm=warm)
+        setup = HostSetup(profile=HostProfile("h"), models={MODEL.name: MODEL}, warm=warm)
         made = PlatformHost(self.loop, address(ANY), setup, self.tap, reporting)
         self.closing.append(made.crash)
         return made
@@ -184,7 +184,7 @@
         "hosts": [{"listen": ANY, "warm": True, "make": {"name": name}} for name in "ab"],
     }
     decoded = KINDS["platform-host"].decode(json.dumps(line).encode())
-    setup = SharedSetup(decoded.models, decoded.taps)
+    setup = SharedSetup(models=decoded.models, taps=decoded.taps)
     made = PlatformHosts(bench.loop, decoded.hosts, setup, said.append)
     bench.closing.append(lambda: crash_all(made))
     say = bench.line(made.hosts["b"])
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -43,9 +43,8 @@
         self.lists = folder / "cells"
         self.lists.mkdir()
         self.table = folder / "cells.table"
-        self.store = ModelStore(
-            self.loop, address("127.0.0.1:0"), StoreProfile(200.0, 100, 0.0), Tap(None, self.loop.clock)
-        )
+        profile = StoreProfile(rate=200.0, limit=100, thrash=0.0)
+        self.store = ModelStore(self.loop, address("127.0.0.1:0"), profile, Tap(None, self.loop.clock))
         self.hosts, self.taps, self.processes = {}, {}, {}
         self.number = 0  # of the table's version
         self.servers = []  # further ones of the test
@@ -67,7 +66,7 @@
         }
         tap = self.taps[name] = ListTap(self.loop.clock)
         profile = HostProfile(name, copies=4 * len(made))
-        setup = HostSetup(profile, made, self.store.address, seed=3, warm=True)
+        setup = HostSetup(profile=profile, models=made, store=self.store.address, seed=3, warm=True)
         self.hosts[name] = KServeHost(self.loop, address("127.0.0.1:0"), setup, tap)
 
     def list_hosts(self, cell, names, also=""):
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -203,9 +203,8 @@
     ):
         self.loop, self.taps, self.hosts = Loop(clock), [], []
         self.folder = Path(tempfile.mkdtemp(prefix="gaproute-test-"))
-        self.store = ModelStore(
-            self.loop, address("127.0.0.1:0"), StoreProfile(200.0, 100, 0.0), Tap(None, self.loop.clock)
-        )
+        profile = StoreProfile(rate=200.0, limit=100, thrash=0.0)
+        self.store = ModelStore(self.loop, address("127.0.0.1:0"), profile, Tap(None, self.loop.clock))
         work = {"lamp": ("check", 4), "crew": ("order", 4), "dim": ("plan", 4)}
         self.models = {
             name: ModelProfile(name, track, lanes, 5 * MILLI, 10 * MILLI)
@@ -227,7 +226,7 @@
     def add_host(self, name, make=None, warm=True, seed=3, where="127.0.0.1:0"):
         tap = ListTap(self.loop.clock)
         profile = HostProfile(name, **(make or {}))
-        setup = HostSetup(profile, self.models, self.store.address, seed, warm)
+        setup = HostSetup(profile=profile, models=self.models, store=self.store.address, seed=seed, warm=warm)
         host = KServeHost(self.loop, address(where), setup, tap)
         self.hosts.append(host)
         self.taps.append(tap)
