--- a/benchmarks/campaign_plans.py
+++ b/benchmarks/campaign_plans.py
@@ -8,7 +8,9 @@
 
 from campaign_figures import HOST_LANES, Row, spare_course, spread
 
-from gaproute.rollouts.plan import CampaignDemand, CopyPlan, PlanningProblem, greedy, worth, wrong
+from gaproute.rollouts.greedy import greedy_plan
+from gaproute.rollouts.plan import CampaignDemand, CopyPlan, PlanningProblem
+from gaproute.rollouts.plan_evaluation import find_violations, plan_value
 
 Lanes = dict[str, list[float]]  # of each host in each slot
 
@@ -61,10 +63,11 @@
 
     problem, truth = draw_problem(seed, count)
     best = solve(
-        PlanningProblem(truth, problem.room, problem.wants, problem.standing, problem.loads), SOLVER_LIMIT
+        PlanningProblem(truth, problem.copy_capacity, problem.demands, problem.loaded, problem.max_loads),
+        SOLVER_LIMIT,
     )
     planners: Mapping[str, Callable[[PlanningProblem], CopyPlan | None]] = {
-        "greedy": greedy,
+        "greedy": greedy_plan,
         SOLVER: lambda problem: solve(problem, SOLVER_LIMIT),
     }
     return count, {name: plan_figures(make, problem, truth, best) for name, make in planners.items()}
@@ -80,10 +83,10 @@
     began = time.process_time()
     plan = make(problem)
     cpu_ms = 1000 * (time.process_time() - began)
-    if plan is None or best is None or wrong(problem, plan):
+    if plan is None or best is None or find_violations(problem, plan):
         return None
-    share = worth(problem, plan, truth) / worth(problem, best, truth)
-    return PlanFigures(share, cpu_ms, sum(copy[:2] not in problem.standing for copy in plan.copies))
+    share = plan_value(problem, plan, truth) / plan_value(problem, best, truth)
+    return PlanFigures(share, cpu_ms, sum(copy[:2] not in problem.loaded for copy in plan.copies))
 
 
 def plans(pool: Executor, seeds: int) -> list[Row]:
--- a/gaproute/simulation/campaigns/fleet.py
+++ b/gaproute/simulation/campaigns/fleet.py
@@ -1,9 +1,11 @@
 """The hosts, gateways and campaigns of a run, as they are before anything happens."""
 
+from dataclasses import replace
 from typing import NamedTuple
 
 from gaproute.errors import GaprouteError
-from gaproute.rollouts.campaign import Campaign, RolloutHost, check, floors, lendable
+from gaproute.rollouts.campaign import Campaign, RolloutHost, lendable_lanes, strictest_reservations
+from gaproute.rollouts.campaign_validation import find_mistakes
 from gaproute.simulation.units import MILLISECOND, SECOND
 
 ZONES = "abc"
@@ -55,8 +57,8 @@
         names = (*RAFT_NODES, *self.gateways, *self.hosts)
         self.numbers = {name: number for number, name in enumerate(names)}
         campaigns = self._campaigns(size)
-        self.floors: dict[str, int] = floors(campaigns)
-        self.lendable: dict[str, int] = lendable(list(self.hosts.values()), self.floors)
+        self.floors = strictest_reservations(campaigns)
+        self.lendable = lendable_lanes(list(self.hosts.values()), self.floors)
         self.campaigns = {} if without_campaigns else {campaign.name: campaign for campaign in campaigns}
 
     def _campaigns(self, size: FleetSize) -> list[Campaign]:
@@ -65,18 +67,18 @@
             name="c1",
             function=FUNCTION,
             version=1,
-            tasks=size.step_tasks,
+            rollouts_per_step=size.step_tasks,
             steps=STEPS,
-            old=1,
-            room=1,
-            most=MAX_TASK_TIME,
-            takes=USUAL_TASK_TIME,
-            group=GROUP_SIZE,
-            floors={**dict.fromkeys(self.hosts, size.floor), ZONES[0]: zone_floor},
+            max_version_lag=1,
+            copy_size=1,
+            max_duration=MAX_TASK_TIME,
+            typical_duration=USUAL_TASK_TIME,
+            group_size=GROUP_SIZE,
+            reserved_lanes={**dict.fromkeys(self.hosts, size.floor), ZONES[0]: zone_floor},
         )
-        second = first._replace(name="c2", weight=SECOND_WEIGHT, floors={})
+        second = replace(first, name="c2", weight=SECOND_WEIGHT, reserved_lanes={})
         campaigns = [first, second][: size.campaigns]
-        mistakes = check(campaigns, self.hosts.values(), {FUNCTION: 1})
+        mistakes = find_mistakes(campaigns, list(self.hosts.values()), {FUNCTION})
         if mistakes:
             raise CampaignError(f"campaigns of a simulated fleet: {'; '.join(mistakes)}")
         return campaigns
--- a/gaproute/simulation/rounds/fleet_check.py
+++ b/gaproute/simulation/rounds/fleet_check.py
@@ -58,7 +58,7 @@
             {name: host.warm_lanes() if host is not None else {} for name, host in hosts},
             self._cold_hosts(simulation),
             [
-                (spec, capacity_floor.need(spec, scene.demand, zones))
+                (spec, capacity_floor.required_lanes(spec, scene.demand, zones))
                 for spec in scene.rounds
                 if spec.name not in judge.ends
             ],
@@ -98,4 +98,4 @@
         if not isinstance(slot.process, SimulatedScheduler):
             return []
         own_time = slot.clock.own_time(simulation.now)
-        return [each.asked.name for each in slot.process.rounds if each.holds(own_time)]
+        return [each.spec.name for each in slot.process.rounds if each.holds_turn(own_time)]
