--- a/gaproute/fronts/jsonrpc/__init__.py
+++ b/gaproute/fronts/jsonrpc/__init__.py
@@ -1,1 +1,1 @@
-"""Clients that call by JSON-RPC 2.0 over TCP, each message behind a head with its length."""
+"""The server for clients that call by JSON-RPC 2.0 over TCP; a header before each message has its length."""
--- a/gaproute/fronts/jsonrpc/cancellation.py
+++ b/gaproute/fronts/jsonrpc/cancellation.py
@@ -10,21 +10,21 @@
 from gaproute.fronts.jsonrpc.requests import UNDECODABLE, decode_any, decode_message
 
 METHOD = "abort"
-METHOD_BYTES = METHOD.encode()  # sought in bodies: nearly all of them are spared a second decoding
+METHOD_BYTES = METHOD.encode()  # a body without these bytes is no cancellation and need not be decoded for it
 PING_METHOD = "ping"
 
 RequestName = int | str  # the number of a request, or the client's id of it
 
 
 class _Pending(NamedTuple):
-    """A message that is kept, with what a cancellation behind it may name it by."""
+    """A message that has not been cancelled so far, and the names by which a cancellation may refer to it."""
 
     body: bytes
     names: tuple[RequestName | None, ...]
 
 
 def cancelled_request(params: msgspec.Raw | bytes) -> RequestName | None:
-    """What the parameters of a cancellation name; None where they name nothing."""
+    """The request that the parameters of a cancellation name; None where they name none."""
     try:
         fields = decode_any(params)
     except UNDECODABLE:
@@ -36,7 +36,7 @@
 
 
 def cancelled_in(reader: MessageReader, data: bytes) -> list[RequestName]:
-    """What the cancellations name that lie in bytes which are fed to the reader, one of the caller's own."""
+    """The requests that the cancellations in these bytes name. `reader`: a copy, which is changed."""
     if METHOD_BYTES not in reader.buffer + data:
         return []
     try:
@@ -48,7 +48,7 @@
 
 
 def _cancelled_by(body: bytes) -> RequestName | None:
-    """What the body names where it is a cancellation; else None."""
+    """The request that the body names if it is a cancellation; else None."""
     try:
         message = decode_message(body)
     except ProtocolError:
@@ -57,8 +57,10 @@
 
 
 def drop_cancelled(bodies: list[bytes], *open_requests: Container[RequestName]) -> list[bytes]:
-    """Without the requests that a cancellation behind them in the same read names, and without those
-    cancellations: nothing begins for them. What names one of `open_requests` is left as it is."""
+    """Drops requests that a later cancellation in the same bytes names, and those cancellations.
+
+    So no attempt begins for such a request. A cancellation that names one of `open_requests` stays.
+    """
     if not any([METHOD_BYTES in body for body in bodies[1:]]):
         return bodies
     pending: list[_Pending] = []
@@ -74,7 +76,7 @@
 
 
 def _request_names(body: bytes) -> tuple[RequestName | None, ...]:
-    """The number and the client's id of the request in the body; nothing for any other message."""
+    """The number and the client's id of the request in the body; empty for any other message."""
     try:
         message = decode_message(body)
     except ProtocolError:
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection that speaks JSON-RPC: messages in, responses out, when it parks and closes."""
+"""A client's connection that speaks JSON-RPC: it reads messages, sends responses, is parked and closed."""
 
 from __future__ import annotations
 
@@ -14,22 +14,23 @@
 from gaproute.loop import Stream
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-# Without a request until a connection is parked: only parked ones can give way to others, and hundreds come
-# in a second where clients open one for each request.
+# Time without a request after which a connection is parked. Only a parked connection can be closed to free
+# capacity, and hundreds arrive in a second where clients open one for each request.
 QUIET_TIME = 100 * MILLI
-PROGRESS_TIMEOUT = 2 * SECOND  # for a message to come in whole, or for a client to take an answer
+PROGRESS_TIMEOUT = 2 * SECOND  # for a message to arrive completely, or for a client to receive an answer
 IDLE_TIMEOUT = 30 * SECOND  # between requests: clients close theirs after 4 s
-# Bytes that wait for a client to take them, above which nothing of it is read: a few answers of the greatest
-# size, or a thousand of the usual.
+# Unsent bytes of answers above which nothing more is read from a client: a few answers of the greatest size,
+# or a thousand of the usual size.
 MAX_UNTAKEN = 64 * 1024
-MAX_PROTOCOL_ERRORS = 64  # of one connection, until it is closed: each takes work from the others
+MAX_PROTOCOL_ERRORS = 64  # of one connection, after which it is closed: each error costs CPU time
 
 
 class ClientConnection:
-    """A connection at work, from its first byte until it has been quiet for a while.
+    """A connection that is in use, from its first byte until it has been quiet for a while and is parked.
 
-    `reading_ended`: nothing more of it is read, and it closes once its open requests are answered.
-    `closing`: all are answered. `owes_until`: when the last of its requests needs no answer any more.
+    `reading_ended`: nothing more is read, and the connection closes once its open requests are answered.
+    `closing`: all requests are answered, and the connection is being closed. `owes_until`: when the last of
+    its requests needs no answer any more, ns.
     """
 
     __slots__ = (
@@ -60,10 +61,10 @@
         self.front, self.address_id, self.request_count = front, address_id, request_count
         self.reader = MessageReader()
         self.open_requests: dict[int, OpenRequest] = {}  # by the client's number
-        self.message_started = front.loop.now()  # when the first byte of a message came that is not whole
-        self.last_activity = self.message_started  # when bytes came, or were written or taken
+        self.message_started = front.loop.now()  # when the first byte of the incomplete message came
+        self.last_activity = self.message_started  # when bytes last came, were written or were sent
         self.error_count, self.reading_ended, self.closing, self.owes_until = 0, False, False, 0
-        self.client_closed = False  # the client had closed behind what was read last: its end is read next
+        self.client_closed = False  # the client has closed after the bytes that were read last
         self.presence = ClientPresence(self)
         self.read_delay = 0  # how long what was read last may have lain unread, ns
         self.stream = Stream(front.loop, sock, self.receive, self._on_closed, hangup_first=True)
@@ -97,9 +98,9 @@
         self.close_if_finished()
 
     def _note_read(self, now: int, size: int) -> bool:
-        """Whole messages have been read; whether their client is still there.
+        """Notes that complete messages have been read; returns whether their client is still connected.
 
-        It may have closed behind them while they waited at admission or lay unread: nothing begins then.
+        The client may have closed after them, while they waited to be read: then none of them is begun.
         """
         self.message_started = now
         self.client_closed = self.stream.hung_up()
@@ -110,7 +111,7 @@
         return True
 
     def _handle_message(self, body: bytes) -> None:
-        """Handles one message; an error over it is told under its number and spoils no other."""
+        """Handles one message. An error is reported to the client and does not affect other messages."""
         try:
             self.front.handle_message(self, body)
         except ProtocolError as error:
@@ -121,13 +122,16 @@
             self.report_error(failed)
 
     def report_error(self, error: ProtocolError) -> None:
-        """Tells the client of an error. What cannot be read, or too many errors, end the reading; requests
-        read before are owed their answers, also where they stand behind it in the same read."""
-        if error.code == ErrorCode.REJECTED:  # an answer, and no error of the client's
+        """Sends an error to the client.
+
+        After a message that cannot be decoded, or after too many errors, nothing more is read. Requests that
+        were read already still get their answers.
+        """
+        if error.code == ErrorCode.REJECTED:  # a final answer, and no mistake of the client
             self._write_error(error)
             return
         if self.reading_ended:
-            return  # it has been told
+            return  # the error that ended the reading has been sent already
         self.front.protocol_errors += 1
         self.error_count += 1
         self.front.on_protocol_error(error.code, error.text)
@@ -148,7 +152,7 @@
         self.write(responses.encode_error(error.request_number, error.code, error.text))
 
     def _on_taken(self) -> None:
-        """The client has taken all that was written."""
+        """Called when all that was written has been sent: reads again if unsent answers had stopped it."""
         self.last_activity = self.front.loop.now()
         if not self.stream.reading and not self.reading_ended and not self.closing:
             self.stream.resume()
@@ -156,7 +160,7 @@
     # The client's presence
 
     def cancel_request(self, name: RequestName | None) -> None:
-        """The client no longer waits for a request, by its number or its id: no answer is owed."""
+        """Ends a request, named by its number or its id, that the client has cancelled."""
         for number, request in self.open_requests.items():
             if name in (number, request.request_id):
                 del self.open_requests[number]
@@ -164,14 +168,16 @@
                 return
 
     def owes_answer(self, now: int) -> bool:
-        """Whether a request of it still needs an answer that can be taken in time."""
+        """Whether a request of this connection still needs an answer, as its client may wait."""
         return now <= self.owes_until
 
     # Limits
 
     def check_progress(self, now: int) -> None:
-        """Ends a client that takes no answers or sends too slowly, and parks a quiet one; called now and
-        then."""
+        """Ends a connection that receives no answers or sends too slowly, and parks a quiet one.
+
+        The front calls it about every 100 ms.
+        """
         if (
             self.stream.bytes_unsent
             and now - self.last_activity > PROGRESS_TIMEOUT
@@ -182,33 +188,35 @@
         elif self.reading_ended or self.closing:
             return
         elif self._message_overdue(now):
-            self.stream.read_now()  # its rest may have come since the loop last looked
+            self.stream.read_now()  # the rest may have come since the loop last polled
             if self.stream.open and not self.reading_ended and self._message_overdue(now):
                 text = "the message did not come in whole in time"
                 self.report_error(ProtocolError(ErrorCode.PARSE_ERROR, text))
         elif self.front.stopping:
-            self.close_if_finished()  # where it could not be seen before whether something lies there
+            self.close_if_finished()  # an earlier call may not have known whether bytes lie unread
         elif self._is_quiet(now):
             self.front.park(self, self.front.connections.admission.idle_deadline(now, IDLE_TIMEOUT))
 
     def _message_overdue(self, now: int) -> bool:
-        """Whether a message has been coming in for too long."""
+        """Whether a message has been incomplete for too long."""
         return self.reader.mid_message and now - self.message_started > PROGRESS_TIMEOUT
 
     def _is_quiet(self, now: int) -> bool:
-        """Whether nothing is open on it, coming in or to be taken, and that for a while."""
+        """Whether the connection has had no request, incomplete message or unsent answer for a while."""
         at_work = self.open_requests or self.stream.bytes_unsent or self.reader.mid_message
         return not at_work and now - self.last_activity > QUIET_TIME
 
     def buffered_bytes(self) -> int:
-        """Bytes that it takes up: answers that were not taken, and a message that has come in part."""
+        """The memory that the connection uses, in bytes: unsent answers and an incomplete message."""
         return self.stream.bytes_unsent + len(self.reader.buffer)
 
     # The end
 
     def close_if_finished(self) -> None:
-        """Closes it after its last answer, where its reading has ended; at a stop any connection, and not
-        before what lies there has been read and answered."""
+        """Closes the connection after its last answer, if its reading has ended or the gateway stops.
+
+        At a stop, everything that lies unread is read and answered first.
+        """
         if self.open_requests or self.closing:
             return
         if (
@@ -220,7 +228,7 @@
             self._close()
 
     def _close(self) -> None:
-        """Closes once what was written has been taken. Until its descriptor is given back it counts."""
+        """Closes once all that was written is sent. The connection counts until its descriptor is free."""
         self.closing = True
         self.stream.close(self._on_closed)
 
@@ -232,12 +240,12 @@
             self.abort()
 
     def abort(self) -> None:
-        """Resets the connection; its requests end."""
+        """Resets the connection and ends its requests."""
         self.stream.abort()
         self._on_closed(None)
 
     def _on_closed(self, error: OSError | None) -> None:
-        """The socket is closed: the requests of the client end, and the connection is forgotten."""
+        """Called when the socket is closed: ends the client's requests and forgets the connection."""
         abandoned, self.open_requests = self.open_requests, {}
         for request in abandoned.values():
             self.front.client_left(request)
--- a/gaproute/fronts/jsonrpc/connection_owner.py
+++ b/gaproute/fronts/jsonrpc/connection_owner.py
@@ -15,8 +15,8 @@
 class OpenRequest(NamedTuple):
     """A request without its final answer."""
 
-    key: str  # the gateway's id of it
-    request_id: str  # the client's
+    key: str  # the gateway's id of the request
+    request_id: str  # the client's id of it
 
 
 class ConnectionOwner(Protocol[Connection]):
@@ -31,20 +31,20 @@
 
     @property
     def active_connections(self) -> Container[object]:
-        """The connections at work."""
+        """The connections that are not parked."""
 
     @property
     def open_request_ids(self) -> Container[str]:
         """The clients' ids of open requests."""
 
     def handle_message(self, connection: Connection, body: bytes) -> None:
-        """Handles a message of a client. Errors: ProtocolError, which the client is to be told."""
+        """Handles a message of a client. Errors: ProtocolError, for the client."""
 
     def client_left(self, request: OpenRequest) -> None:
-        """The client of a request waits no longer."""
+        """Notes that the client of a request does not wait any more."""
 
     def park(self, connection: Connection, due: int) -> None:
-        """Parks a quiet connection until it sends something, or is closed at `due`."""
+        """Parks a quiet connection until its client sends something or `due` (ns) comes."""
 
     def unregister(self, connection: Connection) -> None:
-        """The connection has ended."""
+        """Forgets a connection that has ended."""
--- a/gaproute/fronts/jsonrpc/errors.py
+++ b/gaproute/fronts/jsonrpc/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the protocol: what a client sent cannot be served, and the code that tells it so."""
+"""Errors of the protocol, for messages of clients that cannot be served, with their codes."""
 
 from enum import IntEnum
 
@@ -17,18 +17,18 @@
 
 
 class ProtocolError(GaprouteError):
-    """What came breaks the protocol, or finds no capacity."""
+    """A message breaks the protocol, or there is no capacity for its request."""
 
     def __init__(self, code: ErrorCode, text: str, request_number: int | None = None) -> None:
-        """`request_number`: of the request that the client is told it under, where that is known."""
+        """`request_number`: the number of the request under which the error is sent, where it is known."""
         super().__init__(text)
         self.code, self.text, self.request_number = code, text, request_number
 
 
 class FramingError(ProtocolError):
-    """A message's head cannot be read, so nothing after it can be either."""
+    """The header of a message cannot be decoded, so nothing after it on the connection can be."""
 
     def __init__(self, text: str, bodies: list[bytes] | None = None) -> None:
-        """`bodies`: the whole messages before it."""
+        """`bodies`: those of the complete messages before it."""
         super().__init__(ErrorCode.PARSE_ERROR, text)
         self.bodies = bodies if bodies is not None else []
--- a/gaproute/fronts/jsonrpc/framing.py
+++ b/gaproute/fronts/jsonrpc/framing.py
@@ -1,10 +1,10 @@
-"""Frames of messages: a head with `Content-Length`, an empty line, a body. Bytes in, whole bodies out."""
+"""Frames of messages: a header with `Content-Length`, an empty line, a body. Decodes bytes to bodies."""
 
 import re
 
 from gaproute.fronts.jsonrpc.errors import FramingError
 
-MAX_HEAD_BYTES = 512  # its one field takes 30
+MAX_HEAD_BYTES = 512  # the one field of a header takes 30
 MAX_BODY_BYTES = 48 * 1024  # a request's body of 16 KiB in base64 takes 22 KiB, and the rest little
 
 HEAD_END = b"\r\n\r\n"
@@ -20,7 +20,7 @@
 
 
 class MessageReader:
-    """Reads the messages of one connection; buffers no more than one of them."""
+    """Reads the messages of one connection; buffers at most one incomplete message."""
 
     __slots__ = ("buffer", "body_length")
 
@@ -30,17 +30,17 @@
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has come in part."""
+        """Whether a part of a message has come."""
         return bool(self.buffer) or self.body_length is not None
 
     def copy(self) -> "MessageReader":
-        """A reader that has read the same so far, to look ahead with."""
+        """A reader in the same state, for decoding bytes that are not consumed yet."""
         ahead = MessageReader()
         ahead.buffer, ahead.body_length = bytearray(self.buffer), self.body_length
         return ahead
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The bodies that the bytes complete. Errors: FramingError, with the bodies before it."""
+        """The bodies that these bytes complete. Errors: FramingError, with the bodies before it."""
         self.buffer += data
         bodies: list[bytes] = []
         try:
@@ -52,7 +52,7 @@
         return bodies
 
     def _read_next(self, bodies: list[bytes]) -> bool:
-        """Reads the next message where it is whole; whether there may be one more."""
+        """Reads the next message if it is complete; returns whether there may be another one."""
         if self.body_length is None:
             self.body_length = self._read_head()
         if self.body_length is None or len(self.buffer) < self.body_length:
@@ -63,7 +63,7 @@
         return bool(self.buffer)
 
     def _read_head(self) -> int | None:
-        """Takes the head out of the buffer: the length that it announces, None where it is not whole."""
+        """Takes the header out of the buffer; returns the length of the body, None while it is incomplete."""
         end = self.buffer.find(HEAD_END, 0, MAX_HEAD_BYTES + len(HEAD_END))
         if end < 0:
             if len(self.buffer) > MAX_HEAD_BYTES:
@@ -75,7 +75,7 @@
 
 
 def _decode_length(head: bytes) -> int:
-    """The length of the body that the head announces. Errors: FramingError."""
+    """The length of the body by the header. Errors: FramingError."""
     lengths = []
     for line in head.split(b"\r\n"):
         if not _match_field(line):
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -1,13 +1,13 @@
-"""Clients that call by JSON-RPC: requests become calls, finals become responses, bodies pass untouched.
+"""Serves clients that call by JSON-RPC: requests go to the core, final answers back; bodies are not changed.
 
 | final answer | what the client reads |
 | --- | --- |
 | delivered | a result with the host's body |
-| rejected | an error with the code for 'trying again is harmless', with how long to wait |
+| rejected | an error with the code for 'a retry is safe', and how long to wait before it |
 | failed | any other error |
 
-A message that cannot be read is told so and its connection closed; one that is no request, or a request with
-something wrong in it, gets an error, and the connection goes on.
+A message that cannot be decoded is answered with an error, and its connection is closed. A message that is no
+request, or an invalid request, is answered with an error, and the connection goes on.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MAX_OPEN_REQUESTS = 32  # of one connection at a time, by the protocol
-SWEEP_INTERVAL = 100 * MILLI  # between looks for quiet and slow clients: one wake-up for all of them
-FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection: a useless one is to be closed within 3 s
-LATE_ANSWER_TIME = 500 * MILLI  # after its time in which an answer still counts as given: it is owed so long
-# Bytes of all clients together, untaken answers and messages that have not come in whole: an eighth of the
-# memory of a usual gateway; the heaviest client goes then.
+SWEEP_INTERVAL = 100 * MILLI  # between checks for quiet and slow clients: one timer for all of them
+FIRST_MESSAGE_TIMEOUT = 2 * SECOND  # of a new connection: an unused one is to be closed within 3 s
+LATE_ANSWER_TIME = 500 * MILLI  # after a client's deadline, in which it may still accept an answer
+# Bytes of unsent answers and incomplete messages of all clients together, an eighth of the memory of a usual
+# gateway. Above it the connections that use the most are ended.
 MAX_BUFFERED = 24 << 20
 
 
 class ClassLimit(NamedTuple):
-    """A request class as this front needs it."""
+    """What the front needs to know of a request class."""
 
     class_index: int  # in the terms' order
-    deadline: int  # ns that a client waits at most
+    deadline: int  # how long a client waits at most, ns
 
 
 class JsonRpcFront(Acceptor[ClientConnection]):
@@ -60,8 +60,11 @@
         is_ready: Callable[[], bool],
         return_time: int,
     ) -> None:
-        """`class_names`: of the classes, in the same order; `is_ready()`: whether requests can be served;
-        `return_time`: how long an answer takes to its client, ns. Errors: OSError."""
+        """Listens at the address. Errors: OSError.
+
+        `class_names`: the names of `request_classes`, in the same order; `is_ready()`: whether requests can
+        be served; `return_time`: how long an answer takes to reach its client, ns.
+        """
         super().__init__(loop, address, counted=True)
         self.core, self.is_ready, self.return_time = core, is_ready, return_time
         self.class_limits = {
@@ -69,7 +72,7 @@
             for index, (name, request_class) in enumerate(zip(class_names, request_classes, strict=True))
         }
         self.open_request_ids: dict[str, ClientConnection] = {}  # by the client's id of an open request
-        self.unresponsive = 0  # clients that were ended as they took no answers
+        self.unresponsive = 0  # connections that were ended as their clients received no answers
         self.on_protocol_error: Callable[[ErrorCode, str], None] = _ignore_error
         self.sweep_timer = loop.after(SWEEP_INTERVAL, self._sweep)
 
@@ -89,9 +92,10 @@
         self.enforce_memory_limit()
 
     def enforce_memory_limit(self) -> None:
-        """Ends the heaviest clients where all together take up too much, first those that are owed no answer.
+        """Ends the connections that use the most memory while all together use too much.
 
-        Guards against thousands that send slowly or take no answers, each within its own bounds.
+        Connections that are owed no answer are ended first. This guards against thousands of clients that
+        send slowly or receive no answers, each within the limits of one connection.
         """
         excess = sum([connection.buffered_bytes() for connection in self.active_connections]) - MAX_BUFFERED
         if excess <= 0:
@@ -112,7 +116,7 @@
     # Requests
 
     def handle_message(self, connection: ClientConnection, body: bytes) -> None:
-        """Handles a message of a client. Errors: ProtocolError, which the client is to be told."""
+        """Handles a message of a client. Errors: ProtocolError, for the client."""
         message = decode_message(body)
         if message.method == cancellation.PING_METHOD:
             if message.number is not None:
@@ -123,7 +127,7 @@
             self.start_request(connection, message)
 
     def start_request(self, connection: ClientConnection, message: Message) -> None:
-        """Hands a request to the core. Errors: ProtocolError."""
+        """Decodes a request and submits it to the core. Errors: ProtocolError."""
         number = self._check_number(connection, message)
         limit = self.class_limits[message.method]
         request = decode_request(number, message.method, message.params, limit.deadline)
@@ -158,7 +162,7 @@
         return number
 
     def _check_capacity(self, connection: ClientConnection, request: Request) -> None:
-        """Checks that the request can be begun beside those that are open. Errors: ProtocolError."""
+        """Checks that the request can be begun in addition to the open ones. Errors: ProtocolError."""
         if request.request_id in self.open_request_ids:
             raise ProtocolError(ErrorCode.INVALID_PARAMS, "a request with this i is open", request.number)
         if len(connection.open_requests) >= MAX_OPEN_REQUESTS:
@@ -168,7 +172,7 @@
             raise ProtocolError(ErrorCode.REJECTED, "the gateway stops", request.number)
 
     def _call(self, connection: ClientConnection, request: Request) -> Call:
-        """The call of a request; it asks its connection whether the client still waits."""
+        """The call for the core; its `client_present` asks the connection whether the client still waits."""
         return Call(
             request.function,
             "",
@@ -181,11 +185,11 @@
         )
 
     def finish_request(self, connection: ClientConnection, request: Request, final: Final) -> None:
-        """Sends the final answer of a request, unless its client has left while that was on its way."""
+        """Sends the final answer of a request, unless the client has cancelled it meanwhile."""
         number = request.number
         open_request = connection.open_requests.get(number)
         if open_request is None or open_request.key != final.request:
-            return  # another request may bear its number by now
+            return  # the request was cancelled; a new one may have its number by now
         del connection.open_requests[number], self.open_request_ids[request.request_id]
         if final.answer is not None and final.ending is Ending.DELIVERED:
             connection.write(responses.encode_result(number, final.answer.body))
@@ -197,15 +201,18 @@
         connection.close_if_finished()
 
     def client_left(self, request: OpenRequest) -> None:
-        """The client of a request waits no longer."""
+        """Notes that the client of a request does not wait any more."""
         self.open_request_ids.pop(request.request_id, None)
         self.core.client_left(request.key)
 
     # Stop
 
     def stop_accepting(self) -> None:
-        """Accepts no more. What waits in the kernel's queue is taken in first, as it would be reset; idle
-        connections give way to it. Tried again while there is no capacity, or accepting fails."""
+        """Stops accepting connections.
+
+        Those that wait in the kernel's queue are accepted first, as they would be reset; idle connections are
+        closed to free capacity for them. While there is none, or accepting fails, a timer tries again.
+        """
         self.drain_timer = None
         while (has_capacity := self.connections.has_capacity()) and (
             accepted := self.listener.accept()
@@ -220,8 +227,10 @@
             self.check_emptied()
 
     def stop(self) -> None:
-        """Closes every connection once nothing is open on it and no message has come in part. What has come
-        until then is answered first, and the requests among it are rejected."""
+        """Closes every connection once it has no open request and no incomplete message.
+
+        Messages that arrive until then are answered; requests among them are rejected.
+        """
         if self.stopping:
             return
         self.stopping = True
@@ -245,4 +254,4 @@
 
 
 def _ignore_error(code: ErrorCode, text: str) -> None:
-    """Stands for a log of protocol errors where there is none."""
+    """The default of `on_protocol_error`: does nothing."""
--- a/gaproute/fronts/jsonrpc/presence.py
+++ b/gaproute/fronts/jsonrpc/presence.py
@@ -1,4 +1,4 @@
-"""Whether the client of a connection still waits for a request, asked when an attempt of it begins."""
+"""Finds out whether a client still waits for its request, when an attempt of the request begins."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
 
 class WatchedConnection(Protocol):
-    """The part of `ClientConnection` that says whether its client is there."""
+    """The part of `ClientConnection` that shows whether its client still waits."""
 
     stream: Stream
     reader: MessageReader
     closing: bool
 
     def cancel_request(self, name: RequestName | None) -> None:
-        """The client no longer waits for a request, by its number or its id."""
+        """Ends a request, named by its number or its id, that the client has cancelled."""
 
 
 class ClientPresence:
-    """What the kernel was last asked of a connection's client.
+    """Whether the client of a connection waits, by asking the kernel for what is not read yet.
 
-    The loop may be a long turn behind: what has come meanwhile, a close or a cancellation, counts although it
-    is read later.
+    The loop may be busy for long before it reads a connection. A close or a cancellation that lies unread in
+    the meantime counts already.
     """
 
     __slots__ = ("connection", "checked_at", "unread_cancellations")
 
     def __init__(self, connection: WatchedConnection) -> None:
         self.connection = connection
-        self.checked_at = 0  # when it was last asked whether the client has closed,
-        self.unread_cancellations: Collection[RequestName] = ()  # and what those name that lay unread then
+        self.checked_at = 0  # when the kernel was last asked, ns
+        self.unread_cancellations: Collection[RequestName] = ()  # requests that unread cancellations name
 
     def note_read(self, now: int, size: int) -> None:
-        """So many bytes have been read, and the client had not closed behind them."""
+        """Notes that `size` bytes have been read and the client had not closed after them."""
         self.checked_at = now if size < READ_SIZE else 0
         self.unread_cancellations = ()
 
     def is_waiting_for(self, number: int, request_id: str) -> bool:
-        """Whether the client still waits for that request."""
+        """Whether the client still waits for the request of this number and id."""
         connection = self.connection
         loop = connection.stream.loop
         if connection.closing or not connection.stream.open:
@@ -57,7 +57,7 @@
         return True
 
     def _check(self, now: int) -> bool:
-        """Asks the kernel whether the client is there, and looks for cancellations that lie unread."""
+        """Asks the kernel whether the client is connected, and reads which cancellations lie unread."""
         connection = self.connection
         pending = connection.stream.pending()
         if pending.hung_up:
--- a/gaproute/fronts/jsonrpc/requests.py
+++ b/gaproute/fronts/jsonrpc/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients, decoded and checked; never touches a socket."""
+"""Decodes and checks the messages of clients; does no I/O."""
 
 import binascii
 import math
@@ -12,14 +12,14 @@
 NS_PER_MS = 1_000_000
 
 MAX_ARGUMENT_BYTES = 16 * 1024  # of a request's `arg`, decoded
-MAX_KEY_LENGTH = 256  # characters of an idempotency key: it has 32
+MAX_KEY_LENGTH = 256  # characters of an idempotency key; usual keys have 32
 MAX_REQUEST_NUMBER_DIGITS = 18
-# Figures beyond these mean nothing.
+# Limits of figures; a greater one is a mistake.
 MAX_MEMORY_MB = 1e9
 MAX_LOAD_TIME_MS = 1e9
 MAX_CONCURRENCY = 1024
-# By how much `d` may exceed the deadline of its class: clients' clocks add some ms. What is above the
-# deadline is cut to it; beyond this it is no such figure.
+# Factor by which the time `d` of a request may exceed the deadline of its class, as clients' clocks differ by
+# some ms. A time above the deadline counts as the deadline; one above this factor is invalid.
 MAX_WAIT_FACTOR = 2
 
 JSONRPC_VERSION = "2.0"
@@ -67,8 +67,8 @@
     max_wait: int  # how long the client waits, ns
     function: str
     concurrency: int  # requests that one warm instance runs at a time
-    load_time: int | None  # usual time of a load, ns, where told
-    body: bytes  # base64, as it came
+    load_time: int | None  # usual time of a load, ns, where the client gives it
+    body: bytes  # still in base64
     idempotency_key: str  # "" where the class has none
 
 
@@ -90,7 +90,7 @@
 
 
 def _raise_undecodable(body: bytes, error: Exception) -> NoReturn:
-    """Tells bytes that are no JSON from JSON that is no request."""
+    """Raises the error for bytes that are no JSON, or for JSON that is no request."""
     try:
         decode_any(body)
     except UNDECODABLE:
@@ -99,7 +99,7 @@
 
 
 def _decode_number(text: bytes) -> int | None:
-    """The number of a request by the text of its `id`."""
+    """The number in the JSON text of an `id`; None where the message has none. Errors: ProtocolError."""
     if not text or text == b"null":
         return None
     if not text.isdigit() or len(text) > MAX_REQUEST_NUMBER_DIGITS or int(text) < 1:
@@ -108,7 +108,7 @@
 
 
 def request_number(body: bytes) -> int | None:
-    """The number of a body's request; None where none can be read."""
+    """The number of the request in a body; None where it has none or cannot be decoded."""
     try:
         return decode_message(body).number
     except ProtocolError as error:
@@ -116,7 +116,7 @@
 
 
 def decode_request(number: int, method: str, params: msgspec.Raw | bytes, class_deadline: int) -> Request:
-    """A checked request. `class_deadline`: ns that a client of the request class waits at most.
+    """Decodes and checks a request. `class_deadline`: how long clients of its class wait at most, ns.
 
     Errors: ProtocolError.
     """
@@ -143,7 +143,7 @@
 
 
 def _check_identity(fields: Params, number: int) -> None:
-    """Checks the ids and the key of a request."""
+    """Checks the ids and the idempotency key of a request. Errors: ProtocolError."""
     if not _match_id(fields.i):
         raise ProtocolError(ErrorCode.INVALID_PARAMS, "i is 16 hex digits", number)
     if not _match_id(fields.o):
@@ -154,7 +154,10 @@
 
 
 def _decode_hints(text: str, number: int) -> tuple[int, int | None]:
-    """(Concurrency of one instance, usual time of a load in ns or None) by the `extras` of a request."""
+    """(Concurrency of one instance, usual time of a load in ns or None) from the `extras` of a request.
+
+    Errors: ProtocolError.
+    """
     hints = _parse_hints(text)
     if hints is None:
         raise ProtocolError(ErrorCode.INVALID_PARAMS, "extras is NAME:FIGURE;NAME:FIGURE", number)
@@ -170,7 +173,7 @@
 
 
 def _parse_hints(text: str) -> dict[str, float] | None:
-    """The figures of `extras` by name; None where they cannot be read."""
+    """The figures of `extras` by name; None where they cannot be decoded."""
     if not text:
         return NO_HINTS
     hints = {}
@@ -187,7 +190,10 @@
 
 
 def _check_argument(argument: str, number: int) -> bytes:
-    """The `arg` of a request as it came, once it has been found to be base64 of a bounded size."""
+    """Checks that the `arg` of a request is base64 of a bounded size; returns it, still in base64.
+
+    Errors: ProtocolError.
+    """
     try:
         encoded = argument.encode("ascii")
         size = len(binascii.a2b_base64(encoded, strict_mode=True))
--- a/gaproute/hosts/jsonlines/connection_owner.py
+++ b/gaproute/hosts/jsonlines/connection_owner.py
@@ -15,7 +15,7 @@
     """The part of `ConnectionPool` that its connections use.
 
     `connect_timeout`: ns; `cancel_allowed`: whether hosts take cancellations. `malformed`: connections that
-    ended for what the host sent; `unmatched`: replies to nothing that was sent.
+    were closed because a line could not be decoded; `unmatched`: replies that belong to no request.
     """
 
     loop: Loop
@@ -30,7 +30,7 @@
     """The connections of one host: see `ConnectionSet`."""
 
     def discard(self, connection: Connection) -> None:
-        """Removes it if it is there."""
+        """Removes a connection; no error where it is not in the set."""
 
 
 class ConnectionHost(Protocol[Connection]):
