--- a/gaproute/platform/__init__.py
+++ b/gaproute/platform/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway of the platform: JSON-RPC for clients, lines of JSON for hosts, the change log for the list."""
+"""The platform's gateway process: JSON-RPC for clients, lines of JSON for hosts, hosts by a change log."""
--- a/gaproute/platform/__main__.py
+++ b/gaproute/platform/__main__.py
@@ -1,7 +1,7 @@
-"""`python -m gaproute.platform`: one gateway of the platform, as the environment says.
+"""`python -m gaproute.platform`: runs one gateway of the platform, configured by environment variables.
 
-Exit codes: 0 stopped, 2 the environment or the configuration cannot be used, 3 the address cannot be listened
-on, or the operating system gives too little to start with. What may pass by itself is retried first
+Exit codes: 0 stopped; 2 the environment or the configuration cannot be used; 3 the address cannot be listened
+on, or the operating system lacks descriptors or memory to start. Errors that may pass are retried first
 (`loop.starting`).
 """
 
@@ -19,9 +19,9 @@
 
 
 def trace_one_in() -> int:
-    """GAPROUTE_FOLLOW=N: one request in N has its steps in the log; 1 all, 0 none.
+    """By GAPROUTE_FOLLOW=N the steps of one request in N are logged; 1: of all, 0: of none.
 
-    Text that is no number is as if it were not set: a log is no reason not to start.
+    A value that is no number is ignored: a mistake in it is no reason not to start.
     """
     text = os.environ.get("GAPROUTE_FOLLOW", "")
     return int(text) if text.isdigit() else TRACE_ONE_IN
@@ -44,15 +44,15 @@
         print(f"cannot listen on {process.listen}: {error.strerror}", file=sys.stderr)
         return EXIT_CANNOT_START
     gc.collect()
-    gc.freeze()  # what stays for good is not examined again and again
+    gc.freeze()  # objects that live as long as the process are not examined in later collections
     process.run()
     return EXIT_STOPPED
 
 
 def make_process(patience: StartupRetries) -> Process:
-    """The gateway that the environment names, with its signals handled.
+    """Makes the gateway that the environment describes, with its signal handlers.
 
-    Errors: ConfigurationRefusedError; OSError where the operating system gives too little.
+    Errors: ConfigurationRefusedError; OSError where the operating system lacks descriptors or memory.
     """
     name, listen, path = read_environment()
     loaded = patience.call(lambda: read_configuration(path))
--- a/gaproute/platform/configuration.py
+++ b/gaproute/platform/configuration.py
@@ -1,4 +1,4 @@
-"""What the platform gives the process: the environment and the configuration file, read whole or refused."""
+"""Reads the environment variables and the configuration file; one that is invalid is rejected as a whole."""
 
 import os
 from typing import Any, NamedTuple
@@ -15,11 +15,11 @@
 
 
 class ConfigurationRefusedError(GaprouteError):
-    """The configuration cannot be used; the text names the file, the field and what was found."""
+    """The configuration is invalid; the text names the file, the field and what was found."""
 
 
 class ConfigurationUnreadableError(ConfigurationRefusedError):
-    """The file could not be opened or read for now; `cause` is the OSError."""
+    """The configuration file could not be opened or read; `cause` is the OSError."""
 
     def __init__(self, text: str, cause: OSError) -> None:
         super().__init__(text)
@@ -27,7 +27,7 @@
 
 
 class Limits(msgspec.Struct):
-    """What the process may use; the names are the file's."""
+    """What the process may use of the machine; the field names are those of the file."""
 
     cores: float = 1.0
     memory_mb: float = 192
@@ -35,7 +35,7 @@
 
 
 class Configuration(msgspec.Struct):
-    """The configuration file; the names are the file's."""
+    """The configuration file; the field names are those of the file."""
 
     name: str
     listen: str
@@ -50,7 +50,7 @@
 
 
 class LoadedConfiguration(NamedTuple):
-    """A configuration that can be used, with what its settings mean."""
+    """A valid configuration, with its settings decoded."""
 
     configuration: Configuration
     terms: interface.Terms
@@ -58,7 +58,7 @@
 
 
 class Environment(NamedTuple):
-    """What the environment says; a name or an address that is missing there is in the file."""
+    """The environment variables; a name or an address that is missing there is taken from the file."""
 
     name: str | None
     listen: str | None
@@ -66,7 +66,10 @@
 
 
 def read_configuration(path: str) -> LoadedConfiguration:
-    """The configuration of a file. Errors: `ConfigurationRefusedError`, `ConfigurationUnreadableError`."""
+    """Reads and checks a configuration file.
+
+    Errors: `ConfigurationRefusedError`; `ConfigurationUnreadableError` where the file cannot be read.
+    """
     configuration = _decode(path, _read_bytes(path))
     _check_fields(path, configuration)
     loaded = _load(path, configuration)
@@ -76,7 +79,7 @@
 
 
 def read_environment() -> Environment:
-    """What the environment says. Errors: `ConfigurationRefusedError`."""
+    """Reads the environment variables. Errors: `ConfigurationRefusedError`."""
     path = os.environ.get("EDGE_CONFIG")
     if not path:
         raise ConfigurationRefusedError("EDGE_CONFIG: not set; it names the configuration file")
@@ -99,7 +102,7 @@
 
 
 def _check_fields(path: str, configuration: Configuration) -> None:
-    """Refuses values that have the right type but no meaning."""
+    """Rejects invalid values of the right type. Errors: `ConfigurationRefusedError`."""
     for field in ADDRESS_FIELDS:
         try:
             address(getattr(configuration, field))
@@ -117,6 +120,7 @@
 
 
 def _load(path: str, configuration: Configuration) -> LoadedConfiguration:
+    """Decodes the settings of a configuration. Errors: `ConfigurationRefusedError`."""
     given = configuration.settings
     try:
         return LoadedConfiguration(configuration, settings.read_terms(given), settings.read_deployment(given))
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -1,4 +1,4 @@
-"""The host list of the platform: events of the change log, handed to the connections and the decisions."""
+"""The host list of the platform: applies events of the change log to the connections and the decisions."""
 
 from typing import Any
 
@@ -11,11 +11,11 @@
 from gaproute.loop import Loop
 from gaproute.platform.log import Log
 
-MAX_LOGGED_HOSTS = 64  # of an event
+MAX_LOGGED_HOSTS = 64  # hosts of one event that are logged
 
 
 class HostList:
-    """Applies the events that the configuration has, then those of the change log, in their order."""
+    """Applies the events in the configuration, then those of the change log, in their order."""
 
     def __init__(
         self, loop: Loop, log: Log, zones: tuple[str, ...], hosts: JsonLinesClient, core: Core
@@ -32,7 +32,7 @@
         self.watcher = ChangeLogWatcher(self.loop, change_log, last_seq, self.apply, chance, initial)
 
     def apply(self, event: events.Event) -> None:
-        """Takes over one event. The connections come first: the decisions may use a new host at once."""
+        """Applies one event, first to the connections: the decisions may use a new host at once."""
         absent_at = self.watcher.current_at if self.watcher is not None else None
         endpoints = self.converter.endpoints(event.fleet, absent_at)
         complete = event.fleet.complete
@@ -49,7 +49,7 @@
         )
 
     def set_address(self, change_log: str) -> None:
-        """Follows the change log at another address; its numbers go on."""
+        """Follows the change log at another address, from the last sequence number on."""
         if self.watcher is not None:
             self.watcher.set_address(change_log)
 
--- a/gaproute/platform/log.py
+++ b/gaproute/platform/log.py
@@ -1,4 +1,4 @@
-"""The log of the platform's process: lines of JSON on standard error; never blocks, and bounds its rate."""
+"""The log of the platform process: lines of JSON on standard error, never blocking, limited in rate."""
 
 import os
 import time
@@ -7,12 +7,12 @@
 
 import msgspec
 
-MAX_LINES_PER_SECOND = 200  # a storm of faults must not cost the requests their time
+MAX_LINES_PER_SECOND = 200  # so that logging many errors does not delay requests
 STANDARD_ERROR = 2
 
 
 class Log:
-    """Writes lines to a descriptor. Fields of any type are written, at worst by their `repr`."""
+    """Writes lines to a descriptor. A field of a type without a JSON form is written as its `repr`."""
 
     def __init__(
         self,
@@ -20,26 +20,26 @@
         wall: Callable[[], float] = time.time,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`wall` dates the lines; `clock`, a monotonic one, bounds their rate; both in seconds."""
+        """`wall()` is the time of a line; the monotonic `clock()` limits the rate of lines. Both: seconds."""
         self.descriptor, self.wall, self.clock = descriptor, wall, clock
         self.second = self.lines_in_second = 0
-        self.dropped = 0  # lines since the last one that was written
-        self.unwritten = b""  # the end of the last line, where the pipe took only a part
+        self.dropped = 0  # lines that were left out since the last one that was written
+        self.unwritten = b""  # the rest of the last line, where the pipe took only a part of it
 
     def info(self, event: str, /, **fields: Any) -> None:
-        """Logs what happens in ordinary work."""
+        """Logs an event of ordinary operation."""
         self.write_line("info", event, fields)
 
     def warning(self, event: str, /, **fields: Any) -> None:
-        """Logs what may need an operator's look."""
+        """Logs an event that an operator may have to look into."""
         self.write_line("warning", event, fields)
 
     def error(self, event: str, /, **fields: Any) -> None:
-        """Logs what went wrong."""
+        """Logs an error."""
         self.write_line("error", event, fields)
 
     def write_line(self, level: str, event: str, fields: dict[str, Any]) -> None:
-        """Writes a line, unless the second has had its share or nobody reads."""
+        """Writes a line, unless the limit of this second is reached or the pipe is full."""
         if not self._admits_line():
             self.dropped += 1
             return
@@ -61,10 +61,10 @@
         return self.lines_in_second <= MAX_LINES_PER_SECOND
 
     def _write(self, data: bytes) -> bytes:
-        """Writes what the pipe takes and returns the remainder.
+        """Writes as much as the pipe takes and returns the remainder.
 
-        A line of which nothing was taken is lost, so that no request waits for the log; the remainder of one
-        that has begun comes before the next line.
+        A line of which nothing was written is lost, so that no request waits for the log. The remainder of a
+        line that was written in part is written before the next line.
         """
         try:
             while data:
--- a/gaproute/platform/peers.py
+++ b/gaproute/platform/peers.py
@@ -1,4 +1,4 @@
-"""Load reports between the platform's gateways: datagrams without an answer."""
+"""Exchanges load reports with the other gateways of the platform, by datagrams without an answer."""
 
 from collections.abc import Callable
 
@@ -14,9 +14,9 @@
 
 
 class PeerReports:
-    """The socket on which this gateway's reports leave and the others' arrive.
+    """The socket on which this gateway sends its reports and receives those of others.
 
-    Without it a gateway goes by its own health checks, so an address that cannot be bound is no reason not to
+    Without it a gateway uses its own health checks, so an address that cannot be bound is no reason not to
     start: binding is retried.
     """
 
@@ -27,7 +27,7 @@
         configuration: Callable[[], Configuration],
         on_report: Callable[[bytes], None],
     ) -> None:
-        """`configuration` gives the one in force, with the addresses to bind and to send to."""
+        """`configuration()` returns the current one, with the addresses to bind and to send to."""
         self.loop, self.log = loop, log
         self.configuration, self.on_report = configuration, on_report
         self.datagrams: Datagrams | None = None  # None until the address is bound
@@ -35,7 +35,7 @@
         self.backoff = Backoff(BIND_BACKOFF, MAX_BIND_BACKOFF)
 
     def open(self) -> None:
-        """Binds the address, now or by a later retry."""
+        """Binds the address; on failure it is retried with backoff."""
         self.retry_timer = None
         listen = self.configuration().peer_listen
         try:
@@ -49,12 +49,12 @@
             self.log.info("peers", listen=listen)
 
     def send(self, payload: bytes) -> None:
-        """Sends a report to all other gateways; it may be lost."""
+        """Sends a report to all other gateways; a datagram may be lost."""
         if self.datagrams is not None:
             self.datagrams.send(payload, self.configuration().peers_all)
 
     def close(self) -> None:
-        """Gives up the address and any retry."""
+        """Closes the socket and ends retries."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -1,4 +1,4 @@
-"""One gateway of the platform: its parts, made, started, stopped and closed. Decides nothing."""
+"""One gateway process of the platform: makes, starts, stops and closes its parts."""
 
 import signal
 import traceback
@@ -25,13 +25,13 @@
 from gaproute.telemetry.record import TRACE_ONE_IN, Record
 
 SEED_BASE = 16
-CHANGE_LOG_SEED, ADMISSION_SEED = 1, 3  # added to the seed: no two parts draw the same numbers
-MAX_TRACE = 2000  # characters of an error's trace, its end
-MAX_REASON = 200  # characters of why a client's message was refused
+CHANGE_LOG_SEED, ADMISSION_SEED = 1, 3  # added to the seed, so that no two parts draw the same numbers
+MAX_TRACE = 2000  # last characters of an error's traceback that are logged
+MAX_REASON = 200  # characters of the reason for rejecting a client's message that are logged
 
 
 class Process:
-    """The parts of a gateway. `start` it, `run` it until it stops; `stop` and `reload` answer signals."""
+    """The parts of a gateway. Call `start`, then `run`, which ends after `stop`; signals call the rest."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         log: Log | None = None,
         trace_one_in: int = TRACE_ONE_IN,
     ) -> None:
-        """`path`: of the configuration file, for reloads; `name` and `listen` come before the file's."""
+        """`path`: the configuration file, for reloads; `name` and `listen` replace those of the file."""
         self.configuration, self.terms, self.deployment = loaded
         self.name = name or self.configuration.name
         self.listen = listen or self.configuration.listen
@@ -62,11 +62,11 @@
         self.reloader = ConfigurationReloader(self.loop, self.log, path, self._apply)
         deadlines = tuple(each.hard_limit for each in self.terms.request_classes)
         self.shutdown = GracefulShutdown(self.loop, self.log, self.core, deadlines)
-        self.front: JsonRpcFront | None = None  # these two come with `start`
+        self.front: JsonRpcFront | None = None  # None until `start`, as the next one
         self.status: StatusLog | None = None
 
     def _share_sockets(self) -> None:
-        """Shares the descriptors out between the clients and the hosts."""
+        """Divides the descriptors between connections of clients and connections to hosts."""
         shares = split_descriptors(self.sockets)
         self.hosts = JsonLinesClient(self.loop, Pooling(), self.deployment, shares.hosts)
         self.hosts.on_removed = self.record.forget_host
@@ -92,7 +92,7 @@
     def start(self) -> None:
         """Listens for clients and follows the host list.
 
-        Errors: OSError where the address cannot be listened on; `start` may be called again then.
+        Errors: OSError where the address cannot be listened on; then `start` may be called again.
         """
         front = self.front = self._listen()
         if self.terms.peers_allowed and self.configuration.peer_listen and self.configuration.peers_all:
@@ -124,7 +124,7 @@
         return front
 
     def ready(self) -> bool:
-        """Whether clients should send requests: a host is active and the process does not stop."""
+        """Whether clients should send requests: a host is active, and the process is not stopping."""
         return not self.shutdown.begun and any(host.active for host in self.hosts.hosts.values())
 
     def _receive_report(self, payload: bytes) -> None:
@@ -133,13 +133,13 @@
     # Signals
 
     def handle_signals(self) -> None:
-        """SIGTERM and SIGINT stop the process, SIGHUP reloads the configuration."""
+        """Sets the handlers: SIGTERM and SIGINT stop the process, SIGHUP reloads the configuration."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
         self.loop.on_signal(signal.SIGHUP, self.reload)
 
     def reload(self) -> None:
-        """Reads the configuration again: the change log may have another address."""
+        """Reads the configuration file again; only a new address of the change log takes effect."""
         self.reloader.reload()
 
     def _apply(self, configuration: Configuration) -> None:
@@ -164,7 +164,7 @@
         self.close()
 
     def close(self) -> None:
-        """Closes the sockets of all parts, each whatever becomes of the others."""
+        """Closes the sockets of all parts, also where closing one of them fails."""
         for part in (self.front, self.host_list, self.hosts, self.peers):
             if part is not None:
                 self.loop.guard(part.close)
--- a/gaproute/platform/reload.py
+++ b/gaproute/platform/reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration file again while the process runs."""
+"""Reloads the configuration file while the process runs."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 class ConfigurationReloader:
-    """A file that cannot be used changes nothing; one that cannot be read for a moment is read again."""
+    """Reloads the file. An invalid one changes nothing; after a transient error the file is read again."""
 
     def __init__(self, loop: Loop, log: Log, path: str, on_reloaded: Callable[[Configuration], None]) -> None:
         self.loop, self.log, self.path, self.on_reloaded = loop, log, path, on_reloaded
@@ -26,12 +26,12 @@
         self.backoff = Backoff(READ_BACKOFF, MAX_READ_BACKOFF)
 
     def reload(self) -> None:
-        """Reads the file, now or by a later retry."""
+        """Reads the file; after a transient error it is retried with backoff."""
         self.backoff.reset()
         self._read()
 
     def cancel(self) -> None:
-        """Gives up a retry."""
+        """Ends retries."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: after SIGTERM the process serves on, answers all and leaves before SIGKILL may come."""
+"""Graceful shutdown: after SIGTERM the process answers all requests and exits before SIGKILL may come."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -11,23 +11,23 @@
 from gaproute.platform.log import Log
 
 MILLI = 1_000_000
-CLIENTS_NOTICE = 600 * MILLI  # after SIGTERM, in which clients still open connections
-ACCEPT_TIME = CLIENTS_NOTICE + 200 * MILLI  # in which they are accepted: a turn or two more
-CLOSE_MARGIN = 200 * MILLI  # before SIGKILL, by which connections are closed in order
+CLIENTS_NOTICE = 600 * MILLI  # time after SIGTERM in which clients still open connections
+ACCEPT_TIME = CLIENTS_NOTICE + 200 * MILLI  # time after SIGTERM in which connections are accepted
+CLOSE_MARGIN = 200 * MILLI  # time before SIGKILL in which connections are closed
 
 
 class ShutdownTimes(NamedTuple):
-    """ns of the loop's clock."""
+    """When the steps of a shutdown are due, ns of the loop's clock."""
 
     close_at: int  # when open connections are closed
     exit_at: int  # when the process ends, whatever is left
 
 
 def shutdown_times(deadlines: Iterable[int], signalled_at: int, now: int) -> ShutdownTimes:
-    """The times after a SIGTERM that came at `signalled_at` and is handled `now`; `deadlines` in ns.
+    """The times after a SIGTERM that came at `signalled_at` and is handled at `now`; `deadlines`: ns.
 
-    With short deadlines SIGKILL may come soon after the last clients have come: the closing then takes half
-    of the time between.
+    With short deadlines SIGKILL may come soon after the last clients have connected: then closing takes half
+    of the time between the two.
     """
     kill_after = kill_delay(max(deadlines))
     margin = min(CLOSE_MARGIN, (kill_after - CLIENTS_NOTICE) // 2)
@@ -50,9 +50,10 @@
         return self.times is not None
 
     def begin(self, front: JsonRpcFront) -> None:
-        """Serves on: new connections for `ACCEPT_TIME`, open ones until shortly before SIGKILL may come.
+        """Begins the shutdown; later calls do nothing.
 
-        In a turn that finds itself late the signal may have come as long ago: the times count from then.
+        New connections are accepted for `ACCEPT_TIME`; open ones are served until shortly before SIGKILL may
+        come. If the loop was late, the signal may have come that long ago, and all times count from then.
         """
         if self.begun:
             return
@@ -67,7 +68,7 @@
         self.loop.at(min(signalled_at + ACCEPT_TIME, close_at), self.stop_accepting)
 
     def stop_accepting(self) -> None:
-        """Accepts no new connections, and ends the loop once the last of the open ones is closed."""
+        """Stops accepting connections, and ends the loop once the last open one is closed."""
         if self.front is None:
             return
         self.core.on_idle = self.front.on_emptied = self._stop_if_idle
@@ -75,6 +76,6 @@
         self._stop_if_idle()
 
     def _stop_if_idle(self) -> None:
-        """Ends the loop once all is answered and each connection is closed, by the client's end of it."""
+        """Ends the loop if no request is in flight and clients have closed all their connections."""
         if self.front is not None and not self.core.in_flight and not self.front.connection_count:
             self.loop.stop()
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -1,4 +1,4 @@
-"""The status line of the platform's process: what an operator sees of it every few seconds."""
+"""The status line that the platform process logs for operators every few seconds."""
 
 import os
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MEBIBYTE = 1 << 20
-STATUS_INTERVAL = 5 * SECOND  # a few lines in the shortest day
+STATUS_INTERVAL = 5 * SECOND
 
 Figure = TypeVar("Figure")
 
@@ -36,7 +36,7 @@
         self.hosts, self.host_list = hosts, host_list
 
     def write(self) -> None:
-        """Writes a line now, and the next one later."""
+        """Writes a line now and sets the timer of the next one."""
         self.loop.after(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
         self.log.info("status", **self._fields())
 
@@ -53,7 +53,7 @@
         }
 
     def _connections_in_use(self) -> dict[str, list[int]]:
-        """Connections and open requests by host, of hosts that have any."""
+        """By host: [connections, requests on them], for hosts that have a connection."""
         return {
             name: [len(host.connections), sum(len(connection.pending) for connection in host.connections)]
             for name, host in self.hosts.hosts.items()
@@ -61,7 +61,7 @@
         }
 
     def _estimates(self) -> dict[str, list[float]]:
-        """Queue, slowness and own attempts in flight, of hosts that are in use or slow."""
+        """By host: [queue, slowdown, own attempts in flight], for hosts that are in use or slow."""
         gateway: Any = self.core.gateway
         now = self.loop.now()
         return {
@@ -114,12 +114,12 @@
 
 
 def open_descriptors() -> int:
-    """How many descriptors this process has open. Errors: OSError where none is free to count them with."""
+    """How many descriptors this process has open. Errors: OSError where none is free to count them."""
     return len(os.listdir("/proc/self/fd"))
 
 
 def resident_memory() -> float:
-    """MiB by the kernel's count. Errors: OSError where no descriptor is free to read it with."""
+    """The resident memory of this process, MiB. Errors: OSError where no descriptor is free to read it."""
     with open("/proc/self/statm") as file:
         pages = int(file.read().split()[1])
     return round(pages * os.sysconf("SC_PAGESIZE") / MEBIBYTE, 1)
