--- a/gaproute/loop/addresses.py
+++ b/gaproute/loop/addresses.py
@@ -1,11 +1,11 @@
-"""Addresses of sockets as text: TCP and UDP over IPv4 and IPv6, and Unix sockets."""
+"""Parses and formats addresses of sockets: TCP and UDP over IPv4 and IPv6, and Unix sockets."""
 
 import socket
 from typing import NamedTuple
 
 from gaproute.errors import GaprouteError
 
-SocketAddress = str | tuple[str, int] | tuple[str, int, int, int]  # a path, or as the socket module has it
+SocketAddress = str | tuple[str, int] | tuple[str, int, int, int]  # a path, or a tuple of the socket module
 
 UNIX_PREFIX = "unix:"
 MAX_UNIX_PATH = 107
@@ -13,7 +13,7 @@
 
 
 class AddressError(GaprouteError, ValueError):
-    """A text that is no address of a socket; the message says what is expected."""
+    """A text is no address of a socket; the message says what is expected."""
 
 
 class Address(NamedTuple):
@@ -44,7 +44,7 @@
 
 
 def address_of(sock: socket.socket) -> str:
-    """Where a socket is bound, as text. Errors: OSError."""
+    """The address at which a socket is bound, as text. Errors: OSError."""
     if sock.family == socket.AF_UNIX:
         return f"{UNIX_PREFIX}{sock.getsockname()}"
     host, port = sock.getsockname()[:2]
--- a/gaproute/loop/datagrams.py
+++ b/gaproute/loop/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams over UDP (IPv4, IPv6) and Unix sockets. What cannot be sent or finds nobody is dropped."""
+"""Datagrams over UDP (IPv4, IPv6) and Unix sockets. One that cannot be sent or delivered is dropped."""
 
 import errno
 import os
@@ -9,13 +9,15 @@
 from gaproute.loop.descriptors import READ
 from gaproute.loop.loop import Loop
 
-READS = 64  # messages read in one turn, so that requests in flight get their share of it
-MAX_SIZE = 2048  # bytes of a message; what is longer is cut and then rejected by its reader
+READS = 64  # messages read in one turn of the loop, so that requests in flight get their share of the turn
+MAX_SIZE = 2048  # bytes of a message; a longer one is truncated and then rejected by its decoder
 
 
 class Datagrams:
-    """A datagram socket; `on_datagram(data)` for each message. Errors: OSError where the address cannot be
-    bound."""
+    """A datagram socket; `on_datagram(data)` is called for each message.
+
+    Errors: OSError where the address cannot be bound.
+    """
 
     def __init__(self, loop: Loop, where: str, on_datagram: Callable[[bytes], object]) -> None:
         self.loop, self.on_datagram = loop, on_datagram
@@ -54,7 +56,7 @@
             self.dropped += 1
 
     def close(self) -> None:
-        """Gives the address up."""
+        """Closes the socket and removes the file of a Unix socket."""
         if self.sock.fileno() < 0:
             return
         self.loop.unwatch(self.sock.fileno())
--- a/gaproute/loop/descriptors.py
+++ b/gaproute/loop/descriptors.py
@@ -16,29 +16,32 @@
 
 
 class DescriptorWatcher(TimerQueue, ABC):
-    """Which descriptors are watched, for what, and what is called."""
+    """Watches descriptors by epoll and calls the handler of each."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__(clock)
         self.epoll = select.epoll()
         self.watched: dict[int, EventHandler] = {}
-        # Watched since the last poll: its events are of an earlier use of their numbers.
+        # Descriptors watched since the last poll: its events under these numbers are of closed descriptors.
         self.newly_watched: set[int] = set()
-        self.unregistered: dict[int, int] = {}  # watched, but the epoll has not these events yet
+        self.unregistered: dict[int, int] = {}  # by watched descriptor: events that epoll did not accept yet
         self.register_timer: Timer | None = None
         self.register_backoff = Backoff(FIRST_REGISTER_PAUSE, MAX_REGISTER_PAUSE)
 
     @abstractmethod
     def guard(self, call: Callback, *args: object) -> None:
-        """Calls, and reports an error in place of raising it."""
+        """Calls `call(*args)`; an error is reported and not raised."""
 
     @abstractmethod
     def relieve_shortage(self) -> None:
-        """The kernel has no descriptor or memory left: gives some back where that is possible."""
+        """Frees some descriptors or memory where that is possible, as the kernel has none left."""
 
     def watch(self, fd: int, events: int, call: EventHandler) -> None:
-        """`call(events)` from now on. Where the epoll is short of memory or of watches for a moment, it is
-        retried until `unwatch`. Other errors: OSError, and it is not watched."""
+        """Calls `call(events)` for events of the descriptor from now on.
+
+        Where the kernel lacks memory or watches for the moment, the registration is retried until `unwatch`.
+        Errors: OSError for any other reason; then the descriptor is not watched.
+        """
         self.watched[fd] = call
         self.newly_watched.add(fd)
         try:
@@ -47,7 +50,7 @@
             self._put_off(fd, events, fault)
 
     def rewatch(self, fd: int, events: int) -> None:
-        """Other events of a watched descriptor. Errors: as `watch`."""
+        """Changes the events for which a descriptor is watched. Errors: as `watch`."""
         try:
             self.epoll.modify(fd, events)
         except OSError as fault:
@@ -57,7 +60,7 @@
                 self.unregistered.pop(fd, None)
 
     def unwatch(self, fd: int) -> None:
-        """Nothing more is called for the descriptor."""
+        """Stops watching a descriptor; no error where it is not watched."""
         if self.watched.pop(fd, None) is None:
             return
         if self.unregistered:
@@ -77,7 +80,7 @@
             pass  # not registered yet; or it stays until it is closed or has an event
 
     def _put_off(self, fd: int, events: int, fault: OSError) -> None:
-        """The epoll did not take the descriptor: a transient failure is retried."""
+        """Sets a retry of a registration that failed; raises an error that is not transient."""
         if not is_transient(fault) and fd not in self.unregistered:
             self.watched.pop(fd, None)
             raise fault
@@ -86,7 +89,7 @@
             self.register_timer = self.after(self.register_backoff.next_pause(), self._register_again)
 
     def _register_again(self) -> None:
-        """Retries each descriptor that the epoll did not take; where it takes none there is a shortage."""
+        """Retries all failed registrations; if all fail again, the kernel's shortage is relieved."""
         self.register_timer = None
         waiting, self.unregistered = self.unregistered, {}
         for fd, events in waiting.items():
--- a/gaproute/loop/dialing.py
+++ b/gaproute/loop/dialing.py
@@ -1,4 +1,4 @@
-"""Opening connections over TCP (IPv4, IPv6) and Unix sockets."""
+"""Opens connections over TCP (IPv4, IPv6) and Unix sockets."""
 
 import errno
 import os
@@ -20,9 +20,9 @@
 
 BIND_ADDRESS_NO_PORT = 24  # IP_BIND_ADDRESS_NO_PORT of Linux, which the socket module does not name
 FIRST_DIAL_PAUSE = 2 * MILLI  # until a dial that failed on this machine is retried; doubled with each failure
-MAX_DIAL_ATTEMPTS = 5  # of one dial: some 30 ms in all, then its caller is notified
-MAX_CONNECT_CALLS = 8  # of connect(2) that were interrupted, in one attempt
-# What a connect(2) that was interrupted and goes on says when it is called again.
+MAX_DIAL_ATTEMPTS = 5  # of one dial, in about 30 ms; then the failure is reported
+MAX_CONNECT_CALLS = 8  # calls of connect(2) in one attempt, where signals interrupt it
+# Errnos of a second connect(2) after an interrupted one that goes on, and what they mean.
 CONNECT_CODES = {errno.EALREADY: errno.EINPROGRESS, errno.EISCONN: 0}
 
 DialCallback = Callable[[socket.socket | None, OSError | None], object]
@@ -35,10 +35,10 @@
     done: DialCallback,
     source: str | None = None,
 ) -> Callable[[], None]:
-    """Opens a connection to `where` (see `address`) within that many ns; `done(socket or None, error or
-    None)` once, never at once. `source`: the local address that it is to come from, any port.
+    """Opens a connection to `where` (see `address`) in at most `within` ns.
 
-    Returns a call that gives up; after it `done` is not called.
+    `done(socket or None, error or None)` is called once, and later. `source`: the local address to connect
+    from, with any port. Returns a function that abandons the attempt; after it `done` is not called.
     """
     return Dial(loop, where, within, done, source).give_up
 
@@ -46,8 +46,8 @@
 class Dial:
     """A connection that is being opened.
 
-    What fails on this machine alone is retried a few times, with pauses that grow: until then nobody else has
-    noticed.
+    A failure that concerns this machine alone is retried a few times with backoff, as the other side has not
+    noticed anything.
     """
 
     __slots__ = (
@@ -104,14 +104,16 @@
         sock = socket.socket(self.family, socket.SOCK_STREAM | socket.SOCK_CLOEXEC)
         self.sock = sockets.configure(sock)
         if self.source is not None:
-            # The port is picked at the connect: one may serve for several servers, and none is used up here.
+            # The port is picked by connect(2), which may use one port for several servers; bind takes none.
             sockets.set_option(sock, socket.IPPROTO_IP, BIND_ADDRESS_NO_PORT)
             sock.bind((self.source, 0))
         return sock
 
     def _connect(self, sock: socket.socket) -> int:
-        """The number of the error, 0 once it is connected. An interrupted connect(2) goes on by itself, and
-        says so when it is called again."""
+        """Calls connect(2); returns its errno, or 0 if the socket is connected.
+
+        An interrupted connect(2) goes on by itself, as a second call of it shows.
+        """
         code = errno.EINTR
         for _ in range(MAX_CONNECT_CALLS):
             code = sock.connect_ex(self.target)
@@ -136,7 +138,7 @@
         self._settle(OSError(code, os.strerror(code)) if code else None)
 
     def _failed(self, fault: OSError) -> None:
-        """This attempt failed at once: a fault of this machine may be over soon."""
+        """Handles an attempt that failed immediately: retries it if the cause may pass soon."""
         self.fault = fault
         self._close()
         if self.attempts > 1 and fault.errno in SHORTAGE_ERRNOS:
@@ -147,8 +149,10 @@
             self.loop.soon(self._settle, fault)
 
     def _is_local(self, fault: OSError) -> bool:
-        """Whether the failure is of this machine and may pass. A Unix socket whose backlog is full says
-        EAGAIN: it is refused like any other."""
+        """Whether the failure concerns this machine alone and may pass.
+
+        EAGAIN of a Unix socket means that the server's backlog is full, which is a refusal by the server.
+        """
         if self.family == socket.AF_UNIX and fault.errno == errno.EAGAIN:
             return False
         return is_transient(fault) or fault.errno in LOCAL_ADDRESS_ERRNOS | LOCAL_NETWORK_ERRNOS
@@ -167,7 +171,7 @@
         self._settle(self.fault if self.retry is not None else TimeoutError("connect timed out"))
 
     def give_up(self) -> None:
-        """Ends it and leaves nothing behind; nothing is called any more."""
+        """Abandons the connection and releases its socket and timers; `done` is not called any more."""
         self.done = None
         self.timer.cancel()
         if self.retry is not None:
--- a/gaproute/loop/faults.py
+++ b/gaproute/loop/faults.py
@@ -1,15 +1,15 @@
-"""Errnos by what they say, as the manual pages of Linux have them, and backoff between attempts."""
+"""Classes of errnos, by the manual pages of Linux, and backoff between attempts."""
 
 import errno
 
-# socket(2), accept(2), pipe2(2), epoll_create(2), epoll_ctl(2), open(2), send(2): nothing is left of what the
-# call needs. ENOSPC is epoll_ctl's, for the watches of one user.
+# socket(2), accept(2), pipe2(2), epoll_create(2), epoll_ctl(2), open(2), send(2): the kernel has no
+# descriptor, buffer or memory for the call. ENOSPC is returned by epoll_ctl at the limit of a user's watches.
 SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.ENOSPC))
 INTERRUPTION_ERRNOS = frozenset((errno.EINTR, errno.EAGAIN))
 TRANSIENT_ERRNOS = SHORTAGE_ERRNOS | INTERRUPTION_ERRNOS
 
-# bind(2): the port is still held by a process that ends, or the interface is only coming up. A wrong address
-# fails alike, so that these are worth fewer attempts.
+# bind(2): the port is still used by a process that ends, or the network interface is not up yet. A wrong
+# address fails with the same errnos, so these are retried for a shorter time.
 ADDRESS_UNAVAILABLE_ERRNOS = frozenset(
     (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENETDOWN, errno.ENETUNREACH)
 )
@@ -18,8 +18,8 @@
 LOCAL_ADDRESS_ERRNOS = frozenset((errno.EADDRNOTAVAIL,))
 LOCAL_NETWORK_ERRNOS = frozenset((errno.ENETDOWN, errno.ENETUNREACH))
 
-# accept(2): the connection that was next has failed, which says nothing of the one behind it. The network
-# errors are those that Linux hands on from the new socket; the last four are named by its page as well.
+# accept(2): the next connection in the queue has failed, and the one after it can be accepted. Linux returns
+# the network errors of the new socket; the manual page names the last four as well.
 FAILED_CONNECTION_ERRNOS = frozenset(
     (
         errno.EINTR,
@@ -42,17 +42,17 @@
 
 
 def is_transient(fault: OSError) -> bool:
-    """Whether the same call may succeed in a moment with nothing changed by the caller."""
+    """Whether the same call may succeed a moment later."""
     return fault.errno in TRANSIENT_ERRNOS
 
 
 def is_transient_read(fault: OSError) -> bool:
-    """Whether a file that could not be opened or read may be so in a moment: open(2), read(2)."""
+    """Whether open(2) or read(2) of the same file may succeed a moment later."""
     return fault.errno in TRANSIENT_ERRNOS or fault.errno == errno.EIO
 
 
 def cause_of(fault: BaseException) -> OSError | None:
-    """The OSError behind a failure, itself or what it was raised from; None where there is none."""
+    """The failure itself or its cause, if one of them is an OSError; else None."""
     for each in (fault, fault.__cause__):
         if isinstance(each, OSError):
             return each
@@ -60,7 +60,7 @@
 
 
 class Backoff:
-    """Pauses between attempts, ns: the first, then twice the one before, up to the longest."""
+    """Pauses between attempts, ns: the first one, then twice the one before, up to the longest."""
 
     def __init__(self, first: int, longest: int) -> None:
         self.first, self.longest = first, longest
@@ -77,5 +77,5 @@
         return self.pause > self.first
 
     def reset(self) -> None:
-        """An attempt has succeeded: the next pause is the first one again."""
+        """Notes an attempt that succeeded: the next pause is the first one again."""
         self.pause = self.first
--- a/gaproute/loop/listening.py
+++ b/gaproute/loop/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets, and accepting that pauses while descriptors are short."""
+"""Listening sockets; accepting pauses while the process lacks descriptors."""
 
 import os
 import socket
@@ -16,9 +16,9 @@
 
 BACKLOG = 4096  # connections that wait in the kernel to be accepted
 MAX_ACCEPTS_PER_TURN = 32  # so that requests in flight get their share of the turn
-MAX_FAILED_ACCEPTS = 16  # connections in a row that failed before they were accepted, in one call
-FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE = 2 * MILLI, 50 * MILLI  # of accepting while descriptors are short
-ACCEPT_RETRY_PAUSE = 5 * MILLI  # until accepting is retried at a stop, for those that wait in the backlog
+MAX_FAILED_ACCEPTS = 16  # connections in a row that had failed before they were accepted, in one call
+FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE = 2 * MILLI, 50 * MILLI  # while the process lacks descriptors
+ACCEPT_RETRY_PAUSE = 5 * MILLI  # between attempts to empty the backlog when the process stops
 
 
 class Accepted(NamedTuple):
@@ -48,7 +48,7 @@
 
 
 def _remove_stale(path: str) -> None:
-    """Removes a socket file that nobody listens on; a live one is never stolen (bind then fails)."""
+    """Removes a socket file on which nobody listens; one in use stays, and bind fails then."""
     try:
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
@@ -61,11 +61,11 @@
 
 
 class Listener:
-    """Accepts at one address; `on_socket(sock)` for each connection.
+    """Accepts connections at one address and calls `on_socket(sock)` for each.
 
-    With `on_ready` in its place, that is called while connections wait, and `accept` takes them.
-    `inherited`: a listening socket that another process opened and goes on owning.
-    `address`: where it listens, as text, with the port that the kernel picked. Errors: OSError.
+    With `on_ready` instead of `on_socket`, `on_ready()` is called while connections wait, and `accept` takes
+    them. `inherited`: a listening socket that another process has opened and still owns. `address`: the
+    address as text, with the port that the kernel picked. Errors: OSError.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         self.pause_timer: Timer | None = None  # ends a pause
         self.backoff = Backoff(FIRST_ACCEPT_PAUSE, MAX_ACCEPT_PAUSE)
         self.backlog_seen_empty = False  # by the last `accept`
-        self.backlog_since: int | None = None  # since when connections may wait that were not accepted yet
+        self.backlog_since: int | None = None  # since when connections may wait in the backlog, ns
         target = where[1]
         self.path = target if isinstance(target, str) and inherited is None else None
         self.sock = open_listening_socket(where, backlog) if inherited is None else inherited
@@ -109,7 +109,7 @@
                 self.on_socket(accepted.sock)
 
     def accept(self) -> Accepted | None:
-        """One connection that waits, or None: nobody waits (`backlog_empty`), or none can be had now."""
+        """Accepts a connection; None if none waits (`backlog_empty`) or none can be accepted now."""
         self.backlog_seen_empty = False
         for _ in range(MAX_FAILED_ACCEPTS):
             if self.sock.fileno() < 0:
@@ -122,24 +122,24 @@
                 return None
             except OSError as fault:
                 if fault.errno in FAILED_CONNECTION_ERRNOS:
-                    continue  # that one is gone: the next
+                    continue  # this connection has failed: try the next one
                 self._back_off(fault)
                 return None
             self.backoff.reset()
             self._note_wait(sock.fileno())
             return Accepted(sockets.configure(sock), address)
-        self.pause(self.backoff.next_pause())  # perhaps it is always the same one
+        self.pause(self.backoff.next_pause())  # the same connection may have failed each time
         return None
 
     def _note_wait(self, fd: int) -> None:
-        """How long the connection may have waited here: its first bytes may be as old."""
+        """Notes since when the connection may have waited in the backlog: its first bytes may be as old."""
         if self.backlog_since is None:
             self.loop.backlogged_since.pop(fd, None)
         else:
             self.loop.backlogged_since[fd] = self.backlog_since
 
     def _back_off(self, fault: OSError) -> None:
-        """Nothing can be accepted for a while. A second failure in a row is a shortage."""
+        """Pauses after a failure that concerns all connections; a second one in a row is a shortage."""
         repeated = self.backoff.has_failed
         self.pause(self.backoff.next_pause())
         if fault.errno not in SHORTAGE_ERRNOS:
@@ -148,18 +148,18 @@
             self.loop.relieve_shortage()
 
     def accept_all(self, take: Callable[[socket.socket, SocketAddress], object]) -> bool:
-        """`take(socket, address)` of each connection that waits; whether nobody waits any more."""
+        """Calls `take(socket, address)` for each waiting connection; returns whether none waits any more."""
         while (accepted := self.accept()) is not None:
             take(accepted.sock, accepted.address)
         return self.backlog_empty
 
     @property
     def backlog_empty(self) -> bool:
-        """Whether the last `accept` found nobody waiting, or nobody can wait any more."""
+        """Whether the last `accept` found no waiting connection, or the listener is closed."""
         return self.backlog_seen_empty or self.sock.fileno() < 0
 
     def pause(self, span: int) -> None:
-        """Accepts nothing for so many ns; what comes waits in the kernel."""
+        """Accepts no connection for `span` ns; new ones wait in the kernel's backlog."""
         self.pauses += 1
         if self.backlog_since is None:
             self.backlog_since = self.loop.now()
@@ -179,7 +179,7 @@
             self.loop.watch(fd, READ, self._ready)
 
     def close(self) -> None:
-        """Gives the address up; what waits in the kernel's backlog is reset."""
+        """Closes the listening socket; the kernel resets connections that wait in its backlog."""
         self._cancel_pause()
         if self.sock.fileno() < 0:
             return
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -2,8 +2,8 @@
 
 One turn dispatches everything that is readable, then the calls of `soon`, then the timers that are due, and
 last, for a bounded time, the connections that wait for admission (`gaproute/connections`).
-A turn that finds itself late (the process was stopped, or the machine stalled) polls again until nothing is
-readable before any timer fires: what came in meanwhile is read before anything is judged overdue.
+A turn that is late (the process was stopped, or the machine stalled) polls again, until nothing is readable,
+before any timer fires: whatever arrived in the meantime is read before a timer finds it overdue.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from gaproute.loop.timers import Callback, Clock
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-LATE_TURN = 50 * MILLI  # a turn this late was stopped, not busy: a busy one lasts some milliseconds
-MAX_LATE_POLLS = 8  # in a late turn: a flood must not keep timers from firing for ever
-MAX_POLL_TIME = SECOND  # longest wait in one poll: a clock that jumps is noticed within it
-MAX_PARKED_EVENTS = 4096  # taken from the inner epoll in one poll
-MAX_ERRORS = 8  # remembered
+LATE_TURN = 50 * MILLI  # after such a delay the process was stopped: a busy turn lasts some milliseconds
+MAX_LATE_POLLS = 8  # in a late turn, so that a flood of data does not keep timers from firing
+MAX_POLL_TIME = SECOND  # longest wait in one poll, within which a jump of the clock is noticed
+MAX_PARKED_EVENTS = 4096  # taken from the epoll of parked connections in one poll
+MAX_ERRORS = 8  # last errors that are stored
 
 
 class ConnectionAdmission(Protocol):
@@ -38,7 +38,7 @@
         """Queues the parked connections that have events, as of the time `seen`."""
 
     def serve(self, until: int) -> bool:
-        """Serves those that wait until that time; whether some still wait."""
+        """Serves waiting connections until that time; returns whether some still wait."""
 
     def evict_idle(self) -> None:
         """Closes some idle connections, as descriptors or memory have run out."""
@@ -55,7 +55,7 @@
 
 
 class Loop(DescriptorWatcher):
-    """An event loop. `clock`: ns; one with a method `poll(epoll, span)` also waits in the loop's place."""
+    """An event loop. `clock()`: the time, ns; a method `poll(epoll, span)` of the clock replaces `wait`."""
 
     def __init__(self, clock: Clock = time.monotonic_ns) -> None:
         super().__init__(clock)
@@ -73,34 +73,35 @@
         self.epoll.register(self._parked_epoll_fd, READ)
         # Streams that wait for the other side to close (`Stream.close`), since when; the oldest first.
         self.closing_streams: dict[ClosingStream, int] = {}
-        # How old unread bytes may be:
+        # How long bytes may have lain unread:
         self.turns = self.late_turns = 0
         self.read_delay = 0  # in a late turn: how long ago what is read now may have come
         self.polled_at = self.previous_poll_at = self.clock()  # when the last two polls returned
-        # Descriptor: since when its connection may have waited in a listener's backlog.
+        # By descriptor: since when its connection may have waited in a listener's backlog.
         self.backlogged_since: dict[int, int] = {}
-        self.on_late_turn: list[Callable[[], object]] = []  # calls made first in a late turn, to read others
+        # Called first in a late turn, to read what this loop does not poll.
+        self.on_late_turn: list[Callable[[], object]] = []
 
     # Calls
 
     def soon(self, call: Callback, *args: Any) -> None:
-        """`call(*args)` in this turn or the next, after what is readable."""
+        """Calls `call(*args)` in this turn or the next, after the descriptors that are readable."""
         self.callbacks.append((call, args))
 
     def sleep(self, span: int) -> Promise:
-        """A promise that is settled after so many ns."""
+        """A promise that is settled after `span` ns."""
         promise = Promise()
         self.after(span, promise.set)
         return promise
 
     def spawn(self, generator: Generator[Promise, Any, Any]) -> Coroutine:
-        """Drives a generator that yields promises, from the next calls of `soon` on."""
+        """Drives a generator that yields promises; it starts with the next callbacks of `soon`."""
         coroutine = Coroutine(generator, self.failed)
         self.soon(coroutine.step)
         return coroutine
 
     def on_signal(self, number: int, call: Callable[[], object]) -> None:
-        """`call()` in a turn of the loop when the signal has come. Errors: see `SignalHandlers.set`."""
+        """Calls `call()` in a turn of the loop after the signal. Errors: see `SignalHandlers.set`."""
         self.signals.set(self, number, call)
 
     def failed(self, error: BaseException) -> None:
@@ -112,29 +113,29 @@
             traceback.print_exception(error)
 
     def guard(self, call: Callback, *args: Any) -> None:
-        """Calls; an error in one callback must not take the others' work with it."""
+        """Calls `call(*args)`; an error is reported, so that other callbacks are still called."""
         try:
             call(*args)
         except Exception as error:  # noqa: BLE001 - whatever it is, it is reported
             self.failed(error)
 
     def relieve_shortage(self) -> None:
-        """Closes some idle connections, so that their descriptors and memory are free for a retry."""
+        """Closes some idle connections, to free descriptors and memory for a retry."""
         if self.connections is not None:
             self.connections.evict_idle()
 
     # Unread bytes
 
     def unread_since(self, fd: int) -> int:
-        """The earliest time at which bytes of a watched descriptor that are read in this turn may have come.
+        """The earliest time (ns) at which bytes that are read from a descriptor in this turn may have come.
 
-        What came before the last poll but one was reported then, unless the connection waited to be accepted,
-        which counts once: for the first bytes that are read.
+        Bytes that came before the previous poll were reported by it, unless the connection was still waiting
+        to be accepted; that is considered for the first bytes that are read, and forgotten.
         """
         return min(self.previous_poll_at, self.backlogged_since.pop(fd, self.previous_poll_at))
 
     def poll_parked(self, limit: int = MAX_PARKED_EVENTS) -> Events:
-        """What the inner epoll has to report now, at most `limit` events."""
+        """The events of parked connections now, at most `limit`."""
         while True:
             try:
                 return self.parked_epoll.poll(0, limit)
@@ -144,7 +145,7 @@
     # Turns
 
     def run(self, until: Promise | None = None) -> Any:
-        """Turns until `stop`, or until the promise `until` is settled, whose value is returned."""
+        """Runs turns until `stop`, or until the promise `until` is settled; returns its value."""
         self.running = True
         while self.running and not (until is not None and until.ready):
             self.turn()
@@ -155,16 +156,16 @@
         return None
 
     def stop(self) -> None:
-        """`run` returns after this turn."""
+        """Has `run` return after this turn."""
         self.running = False
 
     def close(self) -> None:
-        """Gives the epolls back."""
+        """Closes the epolls."""
         self.epoll.close()
         self.parked_epoll.close()
 
     def turn(self) -> None:
-        """One turn; waits no longer than until the next timer."""
+        """Runs one turn, which waits no longer than until the next timer is due."""
         self.turns += 1
         while self.timers and self.timers[0][2].call is None:
             heapq.heappop(self.timers)
@@ -178,7 +179,7 @@
             self._dispatch_late(ready, late)
         else:
             self._dispatch(ready)
-        # A timer that is set for no later than now has its turn in the next one.
+        # A timer that was set during this turn fires in the next one at the earliest.
         now, newest = self.clock(), self.timer_count
         while self.timers and self.timers[0][0] <= now and self.timers[0][1] <= newest:
             timer = heapq.heappop(self.timers)[2]
@@ -193,7 +194,7 @@
             self.admission_pending = self.connections.serve(self.clock() + ADMISSION_TIME)
 
     def _dispatch_late(self, ready: Events, late: int) -> None:
-        """In a turn that is late, all that can be read comes before the timers."""
+        """Dispatches the events of a turn that is `late` ns late: all that is readable, before the timers."""
         self.late_turns += 1
         self.read_delay = late
         for call in self.on_late_turn:
@@ -212,7 +213,7 @@
                 self._enqueue_parked()
                 continue
             call = self.watched.get(fd)
-            if call is None:  # an earlier callback of this turn has closed it, or unregistering it failed
+            if call is None:  # closed by an earlier callback of this turn, or unregistering it failed
                 self._unregister(fd)
             elif fd not in self.newly_watched:
                 self.guard(call, events)
--- a/gaproute/loop/polling.py
+++ b/gaproute/loop/polling.py
@@ -1,4 +1,4 @@
-"""How a loop waits for events, and a clock for tests that never waits."""
+"""Waiting for events by epoll, and a clock for tests that never waits."""
 
 import select
 
@@ -8,7 +8,7 @@
 
 
 def wait(epoll: select.epoll, span: int) -> Events:
-    """Events of the epoll after `span` ns at the latest; an interrupted wait ends early, a look does not."""
+    """The events of an epoll, waiting at most `span` ns. A signal ends the wait early, without events."""
     while True:
         try:
             return epoll.poll(max(0, span) / SECOND)
@@ -18,7 +18,7 @@
 
 
 class Stepped:
-    """A clock for tests: it stands still while there is work and leaps over every wait without any."""
+    """A clock for tests: it stands still while there are events, and skips every wait without events."""
 
     def __init__(self, now: int = 0) -> None:
         self.now = now
@@ -28,7 +28,7 @@
         return self.now
 
     def poll(self, epoll: select.epoll, span: int) -> Events:
-        """In place of `wait`: moves the clock where nothing is there."""
+        """Replaces `wait`: without events it advances the clock by `span` instead of waiting."""
         ready = epoll.poll(0)
         if not ready:
             self.now += max(0, span)
--- a/gaproute/loop/promises.py
+++ b/gaproute/loop/promises.py
@@ -1,4 +1,4 @@
-"""Promises, and generators that are driven by them as coroutines."""
+"""Promises, and coroutines: generators that wait for promises by yielding them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Promise:
-    """A value that comes later. A coroutine that yields it is resumed with the value, or the error raised."""
+    """A value that comes later. A coroutine that yields a promise is resumed with its value or error."""
 
     __slots__ = ("ready", "value", "error", "waiters")
 
@@ -18,11 +18,11 @@
         self.waiters: list[Callable[[Promise], object]] = []
 
     def set(self, value: Any = None) -> None:
-        """Settles it with a value; without effect where it is settled."""
+        """Settles the promise with a value; without effect if it is settled already."""
         self._settle(value, None)
 
     def fail(self, error: BaseException) -> None:
-        """Settles it with an error; without effect where it is settled."""
+        """Settles the promise with an error; without effect if it is settled already."""
         self._settle(None, error)
 
     def _settle(self, value: Any, error: BaseException | None) -> None:
@@ -34,7 +34,7 @@
             waiter(self)
 
     def then(self, call: Callable[[Promise], object]) -> None:
-        """`call(promise)` once it is settled, at once if it is."""
+        """Calls `call(promise)` once the promise is settled, immediately if it is settled already."""
         if self.ready:
             call(self)
         else:
@@ -44,8 +44,8 @@
 class Coroutine:
     """A generator that yields promises and ends by returning.
 
-    `done` is settled with what it returns, or with the error that ended it; `report` hears of an error that
-    nobody waits for.
+    `done` is settled with what the generator returns, or with the error that ended it. `report(error)` is
+    called for an error while nothing waits for `done`.
     """
 
     __slots__ = ("generator", "report", "done")
@@ -56,13 +56,13 @@
         self.generator, self.report, self.done = generator, report, Promise()
 
     def cancel(self) -> None:
-        """Closes the generator, so that its `finally` parts run; `done` is settled with None."""
+        """Closes the generator, which runs its `finally` clauses; `done` is settled with None."""
         if not self.done.ready:
             self.generator.close()
             self.done.set()
 
     def step(self, promise: Promise | None = None) -> None:
-        """Resumes the generator with a settled promise, until it waits for one that is not."""
+        """Resumes the generator with a settled promise, until it yields one that is not settled."""
         while not self.done.ready:
             try:
                 awaited = self._resume(promise)
--- a/gaproute/loop/signals.py
+++ b/gaproute/loop/signals.py
@@ -1,4 +1,4 @@
-"""Signals handled in turns of the loop, through a wake-up descriptor."""
+"""Handles signals in turns of the loop, through a wake-up descriptor."""
 
 import os
 import signal
@@ -6,22 +6,24 @@
 
 from gaproute.loop.descriptors import READ, DescriptorWatcher
 
-READ_SIZE = 512  # signals read at once, a byte each
+READ_SIZE = 512  # bytes read in one call; each is the number of a signal
 
 
 class SignalHandlers:
-    """What is called for each signal; none of it inside the interpreter's signal handler.
+    """The callbacks of signals; they are called in a turn of the loop, outside the signal handler.
 
-    The loop is handed in with each call, as it owns these: a cycle would keep its epolls open until a garbage
-    collection where it is not closed.
+    The loop is an argument of each method and is not stored: it owns this object, and a reference cycle would
+    leave the epolls of an abandoned loop open until a garbage collection.
     """
 
     def __init__(self) -> None:
         self.calls: dict[int, Callable[[], object]] = {}  # by signal number
 
     def set(self, loop: DescriptorWatcher, number: int, call: Callable[[], object]) -> None:
-        """`call()` from now on. Errors: OSError where the wake-up descriptor cannot be had; nothing is left
-        behind then."""
+        """Has `call()` called for each signal of that number, in place of an earlier callback.
+
+        Errors: OSError where the wake-up descriptor cannot be opened; then nothing is changed.
+        """
         if not self.calls:
             self._open_wakeup(loop)
         self.calls[number] = call
@@ -39,11 +41,11 @@
             raise
 
     def read(self, loop: DescriptorWatcher, reader: int) -> None:
-        """Calls what is set for the signals that have come by the descriptor, each of them once."""
+        """Calls the callbacks of the signals that the descriptor reports, once for each number."""
         try:
             numbers = os.read(reader, READ_SIZE)
         except (BlockingIOError, InterruptedError):
             return
         for number in dict.fromkeys(numbers):
             if number in self.calls:
-                loop.guard(self.calls[number])  # one that fails must not take the next one's call
+                loop.guard(self.calls[number])  # the next one is called even if this one fails
--- a/gaproute/loop/sockets.py
+++ b/gaproute/loop/sockets.py
@@ -1,10 +1,10 @@
-"""Options and closing of sockets, where what fails must not spoil the connection."""
+"""Options and closing of sockets; failures of these calls do not matter and are ignored."""
 
 import socket
 
 
 def set_option(sock: socket.socket, level: int, option: int) -> None:
-    """Switches on an option that a connection is better with and can be without."""
+    """Switches on an option of a socket; a failure is ignored, as the connection works without it."""
     try:  # noqa: SIM105 - for each connection, where `suppress` costs as much as the call
         sock.setsockopt(level, option, 1)
     except OSError:
@@ -12,7 +12,7 @@
 
 
 def configure(sock: socket.socket) -> socket.socket:
-    """Prepares a stream socket for the loop and returns it."""
+    """Makes a stream socket non-blocking and disables Nagle's algorithm for TCP; returns the socket."""
     sock.setblocking(False)
     if sock.family != socket.AF_UNIX:
         set_option(sock, socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/gaproute/loop/starting.py
+++ b/gaproute/loop/starting.py
@@ -1,4 +1,4 @@
-"""The start of a process while system calls fail for a moment: steps are retried for a bounded time."""
+"""Retries the steps of a process's start for a bounded time, while system calls fail."""
 
 import time
 from collections.abc import Callable
@@ -8,17 +8,19 @@
 from gaproute.loop.timers import Clock
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-START_TIME = 6 * SECOND  # for all steps together: a process is to serve, or to say why not, within 10 s
-ADDRESS_TIME = 2 * SECOND  # for an address that cannot be had: usually it is a wrong one
-# Between attempts: over a hundred in all, as a step may be of several calls of which one in three fails.
+START_TIME = 6 * SECOND  # for all steps: a process must serve, or report why it cannot, within 10 s
+ADDRESS_TIME = 2 * SECOND  # for an address that cannot be bound, which is usually a wrong one
+# Between attempts. They allow over a hundred, as a step may make several calls of which one in three fails.
 FIRST_PAUSE, MAX_PAUSE = 5 * MILLI, 50 * MILLI
 
 Result = TypeVar("Result")
 
 
 class StartupRetries:
-    """Calls the steps of a start. A step that fails for a moment is called again, and so must leave nothing
-    behind when it fails. Sleeps in between: nothing else is to be done meanwhile."""
+    """Calls the steps of a start; one that fails for a transient reason is called again.
+
+    So a step must undo its effects when it fails. The process sleeps between attempts.
+    """
 
     def __init__(
         self, clock: Clock = time.monotonic_ns, sleep: Callable[[float], object] = time.sleep
@@ -27,7 +29,7 @@
         self.began = clock()
 
     def call(self, step: Callable[[], Result]) -> Result:
-        """What the step returns. Errors: its last one, once its time is up or where retries are of no use."""
+        """Returns the result of the step. Errors: that of its last attempt, once no retry is of use."""
         backoff = Backoff(FIRST_PAUSE, MAX_PAUSE)
         while True:
             try:
@@ -39,7 +41,7 @@
 
 
 def retry_time(fault: OSError | None) -> int:
-    """For how long after its begin a start is retried after such a failure, ns."""
+    """For how long, from the beginning of the start, such a failure is retried, ns."""
     if fault is None:
         return 0
     if is_transient_read(fault):
--- a/gaproute/loop/stream_reader.py
+++ b/gaproute/loop/stream_reader.py
@@ -1,4 +1,4 @@
-"""The reading half of a stream: bytes, pauses, the other side's end, and what lies unread."""
+"""The reading half of a stream: reading, pausing, the end of the connection, and bytes not read yet."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from gaproute.loop.stream_writer import StreamWriter
 from gaproute.loop.unread import END, Pending
 
-READ_SIZE = 65536  # bytes read in one call: a large socket buffer in few calls, small next to a body
-MAX_READS_TO_END = 128  # of what lies unread before an end: more than any receive buffer holds
+READ_SIZE = 65536  # bytes read in one call
+MAX_READS_TO_END = 128  # reads before the end of a connection: more than any receive buffer needs
 PEEK_FLAGS = socket.MSG_PEEK | socket.MSG_DONTWAIT
-MAX_PEEKS = 5  # looks at what lies unread that fail, until something is taken to lie there
+MAX_PEEKS = 5  # attempts to find out whether bytes lie unread, after which that is assumed
 
 BytesHandler = Callable[[bytes], object]
 EndHandler = Callable[[OSError | None], object]
 
 
 class StreamReader(StreamWriter):
-    """Reads what comes and hands it over.
+    """Reads a socket: `on_bytes(data)` is called for received bytes, `on_end(error or None)` once at the end.
 
-    `on_bytes(data)`; `on_end(error or None)` once. With `on_half_close` set, the other side's end of sending
-    calls that in place of ending the stream, and writing goes on.
+    If `on_half_close` is set, it is called when the other side has ended its sending; the stream does not end
+    then, and writing goes on.
     """
 
     __slots__ = ("on_bytes", "on_end", "on_half_close", "paused_at", "unread_since")
@@ -44,14 +44,14 @@
         super().__init__(loop, sock, hangup_first=hangup_first)
         self.on_bytes, self.on_end = on_bytes, on_end
         self.on_half_close: Callable[[], object] | None = None
-        # When it was paused: what has come since then has not been read to its end yet.
+        # When reading was paused, until all that came since then has been read.
         self.paused_at: int | None = None
-        self.unread_since: int | None = None  # what was read last had come after that pause
+        self.unread_since: int | None = None  # `paused_at` at the last read
         loop.watch(self.fd, self.events, self._ready)
 
     @abstractmethod
     def _finish(self, error: OSError | None) -> None:
-        """The connection has ended."""
+        """Ends the stream."""
 
     def _ready(self, events: int) -> None:
         if events & WRITE:
@@ -82,26 +82,26 @@
             self._other_side_ended()
 
     def _read_rest(self) -> None:
-        """All that lies before the other side's end is there already: it is read in this turn."""
+        """Reads, in this turn, all bytes that came before the other side's end."""
         for _ in range(MAX_READS_TO_END):
             if not self.open or not self.reading:
                 return
             self._read()
 
     def read_now(self) -> None:
-        """Reads what waits before the loop comes to it."""
+        """Reads now, without waiting for the loop to report the descriptor."""
         if self.open and self.reading:
             self._read()
 
     def read_to_end(self) -> None:
-        """The other side has closed: what lies before that is read now, also where nothing was to be read."""
+        """Handles the other side's close now: reads what came before it, or ends a paused stream."""
         if self.open and self.reading:
             self._read_rest()
         elif self.open:
             self._other_side_ended()
 
     def _other_side_ended(self) -> None:
-        """The other side sends no more; what lies unread of a paused stream is not read any more."""
+        """Handles the other side's end of sending; unread bytes of a paused stream are dropped."""
         if self.on_half_close is None:
             self._finish(None)
         elif not self.half_closed:
@@ -110,7 +110,7 @@
             self.on_half_close()
 
     def _write_failed(self, fault: OSError) -> None:
-        """Writing failed: what the other side had sent before its end counts, and is read first."""
+        """Ends the stream as writing has failed; bytes that came before are read first."""
         for _ in range(MAX_READS_TO_END if self.reading else 0):
             try:
                 data = self.sock.recv(READ_SIZE) if self.open else b""
@@ -126,7 +126,7 @@
         self._finish(fault)
 
     def pause(self) -> None:
-        """Reads nothing until `resume`; what comes waits in the kernel, then at the other side."""
+        """Stops reading until `resume`; bytes that come wait in the kernel, then at the other side."""
         if self.reading and self.paused_at is None:
             self.paused_at = self.loop.now()
         self.reading = False
@@ -137,13 +137,13 @@
         self.reading = True
         self._update_events()
 
-    # What lies unread
+    # Bytes that lie unread
 
     def unread_age(self) -> int:
-        """How long what was read last may have lain unread, ns: one system call.
+        """How long the bytes that were read last may have lain unread, ns; takes one system call.
 
-        The kernel knows when the last bytes came. What came before them in a pause may be as old as that.
-        The kernel's clock need not be the loop's: no age counts that the loop's own polls rule out.
+        The kernel gives the age of the last bytes; those that came in a pause of reading may be as old as the
+        pause. As the clocks of kernel and loop may differ, the age is limited by what the loop's polls show.
         """
         now = self.loop.now()
         paused = 0 if self.unread_since is None else now - self.unread_since
@@ -151,7 +151,7 @@
         return max(paused, min(unread.age_of_last_bytes(self.sock), bound))
 
     def is_quiet(self) -> bool:
-        """Whether nothing lies unread and the other side has not closed: one system call."""
+        """Whether no bytes lie unread and the other side has not closed; takes one system call."""
         for _ in range(MAX_PEEKS):
             try:
                 self.sock.recv(1, PEEK_FLAGS)
@@ -162,16 +162,16 @@
                     return False
             else:
                 return False
-        return False  # unknown: something may lie there
+        return False  # unknown: bytes may lie unread
 
     def pending(self) -> Pending:
-        """What the kernel has of the other side that has not been read yet: one system call."""
+        """Whether bytes or an end of the connection wait in the kernel; takes one system call."""
         return unread.pending(self.fd) if self.open else Pending(hung_up=True, unread=False)
 
     def hung_up(self) -> bool:
-        """Whether the other side has closed or reset, also where bytes lie unread before that."""
+        """Whether the other side has closed or reset the connection, even if bytes lie unread before that."""
         return self.pending().hung_up
 
     def peek(self) -> bytes:
-        """What lies unread, a bounded part of it; it stays there."""
+        """The bytes that lie unread, up to a limit; they are not consumed."""
         return unread.peek(self.sock)
--- a/gaproute/loop/stream_writer.py
+++ b/gaproute/loop/stream_writer.py
@@ -1,4 +1,4 @@
-"""The writing half of a stream: what the kernel does not take at once is queued."""
+"""The writing half of a stream: bytes that the kernel does not take immediately are queued."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from gaproute.loop.timers import Timer
 from gaproute.loop.unread import END
 
-WRITE_HIGH_WATER = 1 << 20  # bytes waiting to be written above which `write` asks its caller to hold back
+WRITE_HIGH_WATER = 1 << 20  # queued bytes above which `write` asks its caller to wait
 
 Data = bytes | bytearray | memoryview
 
 
 class StreamWriter(ABC):
-    """A connected socket and what waits to be written to it.
+    """A connected socket and the bytes that wait to be written to it.
 
-    `bytes_sent` counts the bytes that the kernel accepted: what a failure proves rests on it. `on_writable()`
-    is called when all that waited has been written.
+    `bytes_sent` counts the bytes that the kernel accepted, which shows what the other side may have received
+    before a failure. `on_writable()` is called when all queued bytes have been written.
     """
 
     __slots__ = (
@@ -45,28 +45,30 @@
     def __init__(self, loop: Loop, sock: socket.socket, *, hangup_first: bool) -> None:
         self.loop, self.sock, self.fd = loop, sock, sock.fileno()
         self.open = True
-        self.closing = False  # `close` was called
-        self.close_timer: Timer | None = None  # of a close that is under way
+        self.closing = False  # whether `close` was called
+        self.close_timer: Timer | None = None  # while the stream is being closed
         self.reading = True
-        self.half_closed = False  # the other side's end of sending was reported: not to be reported again
+        self.half_closed = False  # whether the other side's end of sending was reported
         self.hangup_first = hangup_first
-        self.events = READ | END if hangup_first else READ  # that the loop watches for
+        self.events = READ | END if hangup_first else READ  # the events that the loop watches for
         self.on_writable: Callable[[], object] | None = None
         self.outgoing: list[Data] = []
         self.bytes_unsent = self.bytes_sent = 0
-        self.wants_writable = False  # `try_begin` failed: `on_writable` is called once it may succeed
+        self.wants_writable = False  # `try_begin` failed, and `on_writable` is to be called
 
     @abstractmethod
     def _write_failed(self, fault: OSError) -> None:
-        """The connection is broken."""
+        """Handles a failed write: the connection is broken."""
 
     @abstractmethod
     def _shut_down_writing(self) -> None:
-        """All was written of a stream that closes."""
+        """Goes on with a close, once all queued bytes are written."""
 
     def write(self, data: Data) -> bool:
-        """Writes or queues bytes; what the kernel takes at once goes at once. Whether more may be written
-        before what waits has been taken."""
+        """Writes bytes, and queues those that the kernel does not take.
+
+        Returns whether the caller may write more before the queue is empty.
+        """
         if not self.open or self.closing:
             return False
         if self.outgoing:
@@ -81,8 +83,10 @@
         return self.bytes_unsent < WRITE_HIGH_WATER
 
     def try_begin(self, data: Data) -> bool:
-        """As `write`, but what has not begun is never queued: False where the kernel took no byte of it.
-        `on_writable` then says when to try again."""
+        """Writes like `write`, but queues nothing unless the kernel took the first byte.
+
+        Returns False where it took none; `on_writable` is called when the caller may try again.
+        """
         if not self.open or self.closing:
             return False
         sent = 0 if self.outgoing else self._send(data)
@@ -124,7 +128,7 @@
             self.on_writable()
 
     def _update_events(self) -> None:
-        """Has the loop watch for what is of use now."""
+        """Has the loop watch for the events that matter in the present state."""
         if self.reading:
             events = READ | END if self.hangup_first and not self.half_closed else READ
         else:
--- a/gaproute/loop/streams.py
+++ b/gaproute/loop/streams.py
@@ -1,4 +1,4 @@
-"""Byte streams on connected sockets; `dialing` and `listening` open and accept them."""
+"""Byte streams on connected sockets; `dialing` opens the connections, `listening` accepts them."""
 
 import socket
 import struct
@@ -12,12 +12,12 @@
 
 __all__ = ["CLOSE_WAIT", "HANGUP_CHECK_INTERVAL", "READ_SIZE", "WRITE_HIGH_WATER", "Stream"]
 
-# For so long after a look nobody looks again whether a client has closed: well within what may pass between
-# its leaving and the last attempt that begins for it.
+# Time between checks whether a client has closed, much shorter than the time after a client's leaving in
+# which an attempt may still begin.
 HANGUP_CHECK_INTERVAL = 20 * MILLI
-CLOSE_TIMEOUT = 30_000 * MILLI  # for the last bytes to be taken after a close; then the connection is reset
-# For the other side to close too, once all is written: some round trips. What one that does not sends later
-# meets a closed socket, as ever.
+CLOSE_TIMEOUT = 30_000 * MILLI  # for the last bytes to be sent after a close; then the connection is reset
+# Time for the other side to close too, once all is written: some round trips. Bytes that it sends later are
+# answered by the kernel with a reset.
 CLOSE_WAIT = 300 * MILLI
 LINGER_RESET = struct.pack("ii", 1, 0)  # of SO_LINGER: a close resets the connection
 
@@ -25,35 +25,36 @@
 class Stream(StreamReader):
     """A connected socket: reading, buffered writing, and a close that loses nothing.
 
-    `on_bytes(data)`, `on_end(error or None)` once. With `hangup_first` the other side's end is noticed in the
-    turn in which it comes, however many bytes lie unread before it: for the side that works for a client, who
-    may have left behind what it sent.
+    `on_bytes(data)` is called for received bytes, `on_end(error or None)` once at the end. With
+    `hangup_first` the other side's close is noticed in the turn in which it arrives, even if many bytes lie
+    unread before it: a server uses this to begin no work for a client that has left.
     """
 
     __slots__ = ()
 
     def release(self) -> int:
-        """Gives the descriptor up, open and no longer watched; no further callbacks."""
+        """Returns the descriptor, open and no longer watched; no callback is called any more."""
         self.on_bytes, self.on_end, self.open = _ignore, _ignore, False
         self.loop.unwatch(self.fd)
         return self.sock.detach()
 
     def close(self, closed: EndHandler | None = None) -> None:
-        """Hands over what was written, says that no more comes and reads until the other side closes too, for
-        a while. `closed(error)` once the descriptor is given back; no other callbacks.
+        """Sends all that was written, shuts writing down, and reads for a while until the other side closes.
 
-        Guards the last answer: a socket closed with bytes unread, or written to after its close, is reset,
-        and a reset can destroy what is in flight. It costs descriptors: `loop.closing_streams` has them.
+        `closed(error)` is called once the descriptor is closed; no other callback is called any more. Closing
+        the socket immediately could lose the last answer: if bytes lie unread, or come after the close, the
+        kernel resets the connection, and a reset destroys bytes that are on their way. Streams that close in
+        this way still use descriptors; they are in `loop.closing_streams`.
         """
         if self.closing or not self.open:
             return
         self.on_bytes, self.on_end, self.on_half_close = _ignore, closed or _ignore, None
         if not self.outgoing and not self.bytes_sent:
-            self._finish(None)  # nothing of ours is in flight
+            self._finish(None)  # nothing was sent that a reset could destroy
             return
         self.closing = True
         self.loop.closing_streams[self] = self.loop.now()
-        if self.outgoing:  # nothing is read meanwhile: an end read now would end it
+        if self.outgoing:  # reading is paused, as the other side's end would end the stream too early
             self.half_closed = True
             self.pause()
             self.close_timer = self.loop.after(CLOSE_TIMEOUT, self.reset)
@@ -61,7 +62,7 @@
             self._shut_down_writing()
 
     def _shut_down_writing(self) -> None:
-        with suppress(OSError):  # reset already: reading shows it
+        with suppress(OSError):  # the connection was reset, which reading will report
             self.sock.shutdown(socket.SHUT_WR)
         if self.close_timer is not None:
             self.close_timer.cancel()
@@ -70,8 +71,10 @@
         self._read()
 
     def finish_close(self, until: int = 0) -> None:
-        """The other side has not closed: left to the kernel, by then at the latest, once that has nothing of
-        ours unacknowledged."""
+        """Closes the socket although the other side has not closed.
+
+        While the other side has not acknowledged all bytes, this waits, until the time `until` (ns).
+        """
         if not self.is_acknowledged() and self.loop.now() < until:
             self.close_timer = self.loop.after(CLOSE_WAIT, self.finish_close, until)
         else:
@@ -82,12 +85,12 @@
         return not self.outgoing and not unread.unacknowledged(self.fd)
 
     def abort(self) -> None:
-        """Closes at once with a reset; no further callbacks."""
+        """Resets the connection; no callback is called any more."""
         self.on_end = _ignore
         self.reset()
 
     def reset(self) -> None:
-        """Closes at once with a reset."""
+        """Resets the connection; `on_end` is called."""
         if self.open:
             with suppress(OSError):
                 self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -109,4 +112,4 @@
 
 
 def _ignore(*_: object) -> None:
-    """In place of a callback that is not wanted any more."""
+    """Replaces a callback that is not wanted any more."""
--- a/gaproute/loop/timers.py
+++ b/gaproute/loop/timers.py
@@ -9,17 +9,17 @@
 Callback = Callable[..., object]
 Clock = Callable[[], int]
 
-MIN_COMPACTED = 1024  # cancelled timers in the heap, from which on it is worth rebuilding
+MIN_COMPACTED = 1024  # cancelled timers in the heap above which it may be rebuilt without them
 
 
 class TimerOwner(Protocol):
-    """Has timers, and counts those that were cancelled and are still in its heap."""
+    """Owns timers, and counts those that were cancelled and are still in its heap."""
 
     cancelled_count: int
 
 
 class Timer:
-    """One call at a time to come. `call` is None once it was called or cancelled."""
+    """One call at a future time. `call` is None once the timer has fired or was cancelled."""
 
     __slots__ = ("when", "call", "args", "loop")
 
@@ -30,7 +30,7 @@
         self.args: tuple[Any, ...] = args
 
     def cancel(self) -> None:
-        """It is not called any more; harmless where it was called already."""
+        """Cancels the timer; without effect if it has fired already."""
         if self.call is not None:
             self.call = None
             self.args = ()
@@ -38,21 +38,21 @@
 
 
 class TimerQueue:
-    """Timers by when they are due, those of one time in the order in which they were set."""
+    """Timers in the order in which they are due; those due at one time in the order of being set."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        # Plain tuples, which the heap compares fast: when it is due, its number, the timer.
+        # (when it is due, its number, the timer): plain tuples, which the heap compares fast.
         self.timers: list[tuple[int, int, Timer]] = []
         self.timer_count = 0  # set so far; the number of the latest
-        self.cancelled_count = 0  # of those in the heap
+        self.cancelled_count = 0  # cancelled timers that are still in the heap
 
     def now(self) -> int:
         """The time, ns."""
         return self.clock()
 
     def at(self, when: int, call: Callback, *args: Any) -> Timer:
-        """`call(*args)` at that time, never early; returns the timer, which can be cancelled."""
+        """Calls `call(*args)` at the time `when` (ns), never early; returns the timer."""
         timer = Timer(self, when, call, args)
         self.timer_count += 1
         heapq.heappush(self.timers, (when, self.timer_count, timer))
@@ -61,7 +61,7 @@
         return timer
 
     def after(self, span: int, call: Callback, *args: Any) -> Timer:
-        """As `at`, that many ns from now."""
+        """Calls `call(*args)` after `span` ns; returns the timer."""
         return self.at(self.clock() + span, call, *args)
 
     def _compact(self) -> None:
--- a/gaproute/loop/unread.py
+++ b/gaproute/loop/unread.py
@@ -1,6 +1,7 @@
-"""What the kernel has of the other side of a connection that has not been read yet: one system call each.
+"""Asks the kernel about bytes of a connection that were not read or not acknowledged yet.
 
-Nothing is read by these calls. What cannot be had for the moment counts as nothing.
+Each function makes one or two system calls and consumes nothing. If a call fails, the answer is as if there
+were nothing.
 """
 
 import fcntl
@@ -11,23 +12,23 @@
 from typing import NamedTuple
 
 MILLI = 1_000_000
-END = select.EPOLLRDHUP  # the other side sends no more: reported also while bytes lie unread before that
+END = select.EPOLLRDHUP  # the other side has ended its sending; reported even while bytes lie unread
 LAST_DATA_RECEIVED = slice(52, 56)  # of `struct tcp_info`: ms since the last bytes came
-MAX_PEEK = 2 << 20  # bytes looked at before they are read: more than one client may have open at a time
+MAX_PEEK = 2 << 20  # bytes that are peeked at most: more than the open requests of one client have
 
 
 class Pending(NamedTuple):
-    """What has come and lies unread."""
+    """What waits in the kernel to be read."""
 
-    hung_up: bool  # the other side has closed or reset
-    unread: bool  # bytes, or an end
+    hung_up: bool  # the other side has closed or reset the connection
+    unread: bool  # bytes, or the end of the connection, can be read
 
 
 NOTHING = Pending(hung_up=False, unread=False)
 
 
 def pending(fd: int) -> Pending:
-    """What has come on a descriptor."""
+    """What waits to be read on a descriptor."""
     poller = select.poll()
     poller.register(fd, select.POLLIN | END)
     try:
@@ -42,7 +43,7 @@
 
 
 def peek(sock: socket.socket) -> bytes:
-    """The bytes that lie unread, at most `MAX_PEEK` of them."""
+    """The bytes that lie unread, at most `MAX_PEEK`; they are not consumed."""
     try:
         unread = int.from_bytes(fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
         return sock.recv(min(unread, MAX_PEEK), socket.MSG_PEEK | socket.MSG_DONTWAIT) if unread else b""
@@ -51,7 +52,7 @@
 
 
 def unacknowledged(fd: int) -> int:
-    """How many bytes that were sent the other side has not acknowledged; 0 where that is not known."""
+    """How many sent bytes the other side has not acknowledged; 0 where that is not known."""
     try:
         return int.from_bytes(fcntl.ioctl(fd, termios.TIOCOUTQ, bytes(4)), sys.byteorder)
     except OSError:
@@ -59,7 +60,7 @@
 
 
 def age_of_last_bytes(sock: socket.socket) -> int:
-    """How long ago the last bytes came, read or not, ns in whole ms; 0 where the socket is not TCP's."""
+    """How long ago the last bytes came, read or not, in ns with a precision of 1 ms; 0 if not over TCP."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.stop)
     except OSError:
