--- a/gaproute/connections/__init__.py
+++ b/gaproute/connections/__init__.py
@@ -1,4 +1,4 @@
-"""Accepted connections between their requests: parked without buffer, parser or timer of their own."""
+"""Accepted connections: admission, and parking between requests without a buffer, parser or timer each."""
 
 from gaproute.connections.accepted import AcceptedConnections
 from gaproute.connections.calendar import Calendar
--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -1,9 +1,10 @@
-"""The accepted connections of a loop: accepting, reading parked ones that send, and evicting idle ones.
+"""The accepted connections of a loop: accepting them, reading parked ones that send, evicting idle ones.
 
-Parked descriptors are watched by an epoll of their own inside the loop's, each until its first event. So many
-connections that send at once are one event to the loop: requests in flight and their timers go first, and
-what waits is served by the decisions on admission in the time that is left. A request counts from when it was
-seen to wait.
+A second epoll, which the loop's epoll watches, has the descriptors of parked connections, each until its
+first event. So any number of connections that send at the same time are one event to the loop. Requests in
+flight and their timers are served first; in the time that is left, the decisions on admission choose which
+waiting connection is read or accepted next. The time of a request counts from when its connection was seen
+to wait.
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
 from gaproute.loop.loop import MAX_PARKED_EVENTS, ClosingStream, Loop
 
 READ_SIZE = 65536  # bytes read from a connection that is resumed
-MIN_READ_DELAY = 5_000_000  # ns of waiting that count: less is within any turn
-MAX_SCANNED = 4 * EVICTION_SAMPLE  # entries looked at to find a sample of idle connections
+MIN_READ_DELAY = 5_000_000  # shortest wait that is counted, ns: a turn of the loop may take as long
+MAX_SCANNED = 4 * EVICTION_SAMPLE  # entries that are read to find a sample of idle connections
 UNLIMITED = 1 << 30
 # Looked up once: they are compared for each connection, and a member of an enum is slow to reach.
 RETURNING, ARRIVING, ACCEPT = AdmissionQueue.RETURNING, AdmissionQueue.ARRIVING, Verdict.ACCEPT
@@ -52,13 +53,13 @@
 
     @classmethod
     def of(cls, loop: Loop) -> AcceptedConnections:
-        """Those of the loop, made where it has none."""
+        """The accepted connections of the loop; they are made at the first call."""
         return loop.connections if isinstance(loop.connections, cls) else cls(loop)
 
     # Accepting
 
     def enqueue_listener(self, listener: Listener, owner: ConnectionOwner) -> None:
-        """The listener has connections to accept."""
+        """Notes that the listener has connections to accept."""
         self.ready_listeners[listener] = owner
         self.loop.admission_pending = True
 
@@ -71,19 +72,19 @@
         accepted = listener.accept()
         if accepted is None:
             return
-        self.ready_listeners[listener] = owner  # behind the others, until it has none left
+        self.ready_listeners[listener] = owner  # after the others, as it may have further connections
         owner.accept_connection(accepted.sock, accepted.address)
 
     def has_capacity(self) -> bool:
-        """Whether one more client can be accepted, at the cost of an idle connection where it is full."""
+        """Whether one more client can be accepted, if need be by closing an idle connection."""
         if self.client_count < self.admission.max_connections:
             return True
         return self._evictable_stream() is not None or self._eviction_candidate() is not None
 
     def admit(self, address: str, counted: bool) -> int | None:
-        """The id of an arrival's address, or None where it is rejected.
+        """Admits a new connection; returns the id of its address, or None if the connection is rejected.
 
-        `counted`: whether it takes of the clients' share of connections; operators and peers do not.
+        `counted`: whether it counts as a client's connection; those of operators and peers do not.
         """
         if counted:
             if not self._admits_client(address):
@@ -99,14 +100,15 @@
             return True
         if verdict is Verdict.REJECT:
             return False
-        # With `queue_when_full` capacity was asked for before the accept: who was idle then has just sent.
+        # With `queue_when_full`, `has_capacity` was true before the accept: the idle connection that could
+        # have been closed has sent something since.
         return self._evict_one() or self.admission.queue_when_full
 
     # Evicting
 
     def evict_idle(self) -> None:
-        """Closes some idle connections, the oldest first, as no descriptor was to be had."""
-        self._poll_all()  # one that has just sent something is not idle
+        """Closes some idle connections, the longest idle first, to free descriptors."""
+        self._poll_all()  # a connection that has just sent something is not idle
         for fd in self.admission.oldest_idle(self.loop.now(), self._idle_sample()):
             self.evicted += self._close_idle(fd)
 
@@ -122,12 +124,15 @@
         return False
 
     def _evictable_stream(self) -> ClosingStream | None:
-        """The stream that has been closing longest, of those whose answers were taken, where that is long
-        enough; it too counts as a connection."""
+        """The closing stream that may be ended to free capacity, or None.
+
+        It is the one that has been closing longest, among those whose answers were acknowledged, if that is
+        long enough. A closing stream still counts as a connection.
+        """
         now = self.loop.now()
         for stream, since in self.loop.closing_streams.items():
             if not self.admission.is_evictable(now, since):
-                return None  # nor are those behind it
+                return None  # the later ones have been closing for less
             if stream.is_acknowledged():
                 return stream
         return None
@@ -136,7 +141,7 @@
         return self.admission.eviction_candidate(self.loop.now(), self._idle_sample())
 
     def _idle_sample(self) -> list[IdleConnection]:
-        """All parked connections where they are few, else those whose idle deadline is next."""
+        """The parked connections: all where there are few, else those with the earliest idle deadlines."""
         self.poll_unregistered()
         scan_all = self.parked_count <= MAX_SCANNED
         scanned = range(len(self.states)) if scan_all else self.calendar.earliest(MAX_SCANNED)
@@ -148,7 +153,7 @@
         return idle if scan_all else idle[:EVICTION_SAMPLE]
 
     def _close_idle(self, fd: int) -> bool:
-        """Closes a parked connection unless it has sent something by now, which a close would reset."""
+        """Closes a parked connection, unless it has sent something, which a close would lose."""
         self._poll_all()
         if self.states[fd] != PARKED:
             return False
@@ -156,18 +161,18 @@
         return True
 
     def _poll_all(self) -> None:
-        """Queues those that have sent something by now."""
+        """Queues all parked connections that have sent something by now."""
         self.loop.admission_pending = True
         while True:
             events = self.loop.poll_parked(MAX_PARKED_EVENTS)
             self.enqueue_events(events, self.loop.now())
-            if len(events) < MAX_PARKED_EVENTS:  # each is reported once
+            if len(events) < MAX_PARKED_EVENTS:  # as each connection is reported only once, these are all
                 return
 
     # Serving
 
     def enqueue_events(self, events: Iterable[tuple[int, int]], seen: int) -> None:
-        """Queues what the inner epoll reported; they wait from `seen` on."""
+        """Queues the parked connections of these events; they wait since the time `seen` (ns)."""
         for fd, _ in events:
             if self.states[fd] == PARKED:
                 self.states[fd] = QUEUED
@@ -175,7 +180,7 @@
                 queue.append((fd, seen))
 
     def serve(self, until: int) -> bool:
-        """Serves the queues until that time, one connection at least; whether some still wait."""
+        """Serves the queues until that time, at least one connection; returns whether some still wait."""
         while True:
             queue = self.admission.next_queue(
                 len(self.returning_queue), len(self.new_queue), bool(self.ready_listeners)
@@ -196,7 +201,7 @@
         try:
             data = os.read(fd, READ_SIZE)
         except OSError as fault:
-            if is_transient(fault):  # nothing there after all, or it cannot be read now: it is parked again
+            if is_transient(fault):  # there is nothing, or it cannot be read now: park the connection again
                 self.states[fd] = PARKED
                 self._schedule_expiry(fd)
                 self._watch_parked(fd, registered=True)
@@ -218,9 +223,10 @@
     def close_owned(
         self, owner_id: int, *, include_queued: bool = False, first_request_by: int | None = None
     ) -> None:
-        """Closes what the owner has parked; those that have sent something only with `include_queued`.
+        """Closes the parked connections of an owner.
 
-        `first_request_by`: those that have brought no request yet stay parked, until then at the latest.
+        Connections that have sent something are closed only with `include_queued`. With `first_request_by`
+        (ns), connections that have brought no request yet stay parked until that time at the latest.
         """
         self._poll_all()
         self.poll_unregistered()
@@ -239,7 +245,7 @@
                 self._close_idle(fd)
 
     def _owned(self, owner_id: int) -> Iterator[int]:
-        """The descriptors that the owner has parked, each as it stands when it is its turn."""
+        """The descriptors of the owner's parked connections; each is checked when it is yielded."""
         for fd in range(len(self.states)):
             if self.owner_ids[fd] == owner_id and self.states[fd] != NOT_PARKED:
                 yield fd
--- a/gaproute/connections/acceptor.py
+++ b/gaproute/connections/acceptor.py
@@ -1,4 +1,4 @@
-"""One listening address of any protocol: its connections are accepted, parked, resumed and drained."""
+"""The base of servers: one listening address, whose connections are accepted, parked, resumed and drained."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 
 
 class ActiveConnection(Protocol):
-    """A connection at work: one that has sent something and is not parked."""
+    """A connection that is in use: it has sent something and is not parked."""
 
     stream: Stream
-    address_id: int  # of its client's address
-    request_count: int  # requests that it has brought so far
+    address_id: int  # the id of the client's address, see `AddressCounts`
+    request_count: int  # requests that came on the connection so far
 
     def receive(self, data: bytes) -> None:
         """Takes received bytes."""
 
     def close_at_once(self) -> None:
-        """Ends the connection without waiting for answers still owed."""
+        """Ends the connection without waiting for answers that are still owed."""
 
 
 Connection = TypeVar("Connection", bound=ActiveConnection)
 
 
 class Acceptor(Generic[Connection]):
-    """A listening address and the connections accepted on it; the owner of those that are parked.
+    """A listening address and the connections that are accepted on it, parked or in use.
 
-    A subclass gives `_first_request_due`, `_make_connection` and `stop`, and overrides `_may_accept` and
-    `_reject` where it has a limit or an answer of its own. `counted`: whether its connections take of the
-    clients' share; operators and peers do not. `inherited`: a listening socket that other processes accept
-    from as well. Errors: OSError.
+    A subclass implements `_first_request_due`, `_make_connection` and `stop`, and overrides `_may_accept` and
+    `_reject` if it has a limit or an answer of its own. `counted`: whether its connections count as those of
+    clients; those of operators and peers do not. `inherited`: a listening socket from which other processes
+    accept as well. Errors: OSError.
     """
 
     def __init__(
         self, loop: Loop, address: Address, *, counted: bool, inherited: socket.socket | None = None
     ) -> None:
         self.loop, self.counted = loop, counted
-        self.active_connections: dict[Connection, None] = {}  # those at work, as an ordered set
+        self.active_connections: dict[Connection, None] = {}  # connections in use, as an ordered set
         self.parked = 0
-        self.rejected_connections = 0  # that found no capacity
+        self.rejected_connections = 0  # rejected for lack of capacity
         self.protocol_errors = 0  # of all connections
         self.stopping = False
-        self.on_emptied: Callable[[], None] | None = None  # once no connection is left; set after a stop
-        self.drain_timer: Timer | None = None  # where the kernel's queue could not be emptied at a stop
+        self.on_emptied: Callable[[], None] | None = None  # called when no connection is left; set at a stop
+        self.drain_timer: Timer | None = None  # set while the kernel's queue could not be emptied at a stop
         self.family = address[0]
         self.connections = AcceptedConnections.of(loop)
         self.shares_queue = inherited is not None
@@ -59,29 +59,29 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections, at work and parked; one more while some may wait to be taken in at a stop."""
+        """Connections in use and parked; one more while some may wait in the kernel's queue at a stop."""
         return len(self.active_connections) + self.parked + (self.drain_timer is not None)
 
-    # What a protocol gives
+    # Implemented by each protocol
 
     def _first_request_due(self) -> int:
-        """When a new connection that has sent nothing is closed, by the loop's clock."""
+        """When a new connection that sends nothing is closed, ns of the loop's clock."""
         raise NotImplementedError
 
     def _make_connection(self, sock: socket.socket, address_id: int, request_count: int) -> Connection:
-        """The connection at work on a socket; `request_count`: requests that it has brought so far."""
+        """Makes the connection for a socket; `request_count`: requests that came on it so far."""
         raise NotImplementedError
 
     def _reject(self, sock: socket.socket) -> None:
-        """Closes a connection that finds no capacity."""
+        """Closes a connection for lack of capacity."""
         sock.close()
 
     def _may_accept(self) -> bool:
-        """Whether the acceptor's own limits permit one more connection."""
+        """Whether the acceptor's own limits allow one more connection."""
         return True
 
     def stop(self) -> None:
-        """Accepts no more, and closes connections once nothing is owed on them."""
+        """Stops accepting, and closes each connection once no answer is owed on it."""
         raise NotImplementedError
 
     # Accepting
@@ -90,7 +90,7 @@
         self.connections.enqueue_listener(self.listener, self)
 
     def accept_connection(self, sock: socket.socket, address: SocketAddress) -> None:
-        """A connection was accepted: it is parked, or rejected where there is no capacity for it."""
+        """Parks a connection that was accepted, or rejects it for lack of capacity."""
         address_id = None
         if self._may_accept():
             source = address[0] if self.family != socket.AF_UNIX else ""
@@ -110,7 +110,7 @@
         )
 
     def resume_connection(self, fd: int, data: bytes, address_id: int, request_count: int) -> None:
-        """A parked connection has sent something."""
+        """Makes a parked connection that has sent `data` active again."""
         self.parked -= 1
         sock = socket.socket(self.family, socket.SOCK_STREAM, 0, fd)
         connection = self._make_connection(sock, address_id, request_count)
@@ -120,7 +120,7 @@
     # Connections that leave
 
     def park(self, connection: Connection, due: int) -> None:
-        """Parks a quiet connection until it sends something, or is closed at `due`."""
+        """Parks a quiet connection, which is closed at `due` (ns) if it sends nothing until then."""
         del self.active_connections[connection]
         self.parked += 1
         self.connections.park(
@@ -133,12 +133,12 @@
         )
 
     def connection_closed(self) -> None:
-        """A parked connection was closed."""
+        """Notes that a parked connection was closed."""
         self.parked -= 1
         self.check_emptied()
 
     def unregister(self, connection: Connection) -> None:
-        """A connection at work was closed."""
+        """Forgets an active connection that was closed."""
         del self.active_connections[connection]
         self.connections.release(connection.address_id, self.counted)
         self.check_emptied()
@@ -151,8 +151,10 @@
     # The end
 
     def _drain_accept_queue(self) -> bool:
-        """Takes in what waits in the kernel's queue, which would be reset, and gives the address up; tried
-        again while accepting fails. Returns whether it is done."""
+        """Accepts the connections in the kernel's queue, which would be reset, and closes the listener.
+
+        While accepting fails, a timer tries again. Returns whether the queue is empty.
+        """
         self.drain_timer = None
         if self.shares_queue or self.listener.accept_all(self.accept_connection):
             self.listener.close()
@@ -166,7 +168,7 @@
             self.drain_timer = None
 
     def close(self) -> None:
-        """Stops, and ends every connection at once, without waiting for answers still owed."""
+        """Stops, and ends every connection without waiting for answers that are still owed."""
         self.stop()
         self._cancel_drain()
         self.listener.close()
--- a/gaproute/connections/addresses.py
+++ b/gaproute/connections/addresses.py
@@ -1,4 +1,4 @@
-"""How many connections each client address has, under small numbers that parked connections can store."""
+"""Counts the connections of each client address; addresses have small ids that parked connections store."""
 
 from array import array
 
@@ -13,12 +13,12 @@
         self._addresses: list[str | None] = []  # by id
 
     def count(self, address: str) -> int:
-        """The connections of that address."""
+        """How many connections the address has."""
         address_id = self.ids.get(address)
         return self._counts[address_id] if address_id is not None else 0
 
     def add(self, address: str) -> int:
-        """Counts one more connection of that address and returns the address's id."""
+        """Counts one more connection of the address; returns the id of the address."""
         address_id = self.ids.get(address)
         if address_id is None:
             address_id = self._new_id(address)
@@ -37,7 +37,7 @@
         return address_id
 
     def remove(self, address_id: int) -> None:
-        """Counts one connection less; the id of an address without any is free for another."""
+        """Counts one connection less; the id of an address without connections is used again."""
         self._counts[address_id] -= 1
         if self._counts[address_id]:
             return
--- a/gaproute/connections/calendar.py
+++ b/gaproute/connections/calendar.py
@@ -1,20 +1,20 @@
-"""A calendar queue for very many deadlines that nearly always move before they come.
+"""A calendar queue for very many deadlines, most of which are moved before they come.
 
-Items lie in slots of 10 ms, and a heap of slot numbers finds the next one. `benchmarks/timers.py` compares it
-with a heap of timers and with a hierarchical wheel. An entry is moved lazily: it stays in its slot, and
-whoever takes it there adds it again where it is not yet due.
+Items are in slots of 10 ms, and a heap of slot numbers finds the next slot. `benchmarks/timers.py` compares
+it with a heap of timers and with a hierarchical wheel. An item whose deadline moves stays in its slot; the
+caller that takes it from there adds it again if it is not due yet.
 """
 
 import heapq
 from typing import Generic, NamedTuple, TypeVar
 
-SLOT_WIDTH = 10_000_000  # ns: what is due comes up to so much late, and never early
+SLOT_WIDTH = 10_000_000  # ns; an item is returned at most this much late, and never early
 
 Item = TypeVar("Item")
 
 
 class DueItem(NamedTuple, Generic[Item]):
-    """An item that was taken, and the number of the slot that it was in."""
+    """An item that was taken out of the calendar, and the number of its slot."""
 
     item: Item
     slot: int
@@ -32,7 +32,7 @@
         return -(-due // SLOT_WIDTH)
 
     def add(self, item: Item, due: int) -> int:
-        """Returns the number of the slot that the item is in."""
+        """Adds an item that is due at that time, ns; returns the number of its slot."""
         number = self.slot_of(due)
         items = self.slots.get(number)
         if items is None:
@@ -43,11 +43,11 @@
         return number
 
     def next_due(self) -> int | None:
-        """When the first slot is due, or None."""
+        """When the first slot is due, ns; None if the calendar is empty."""
         return self._heap[0] * SLOT_WIDTH if self._heap else None
 
     def take_due(self, now: int, limit: int) -> list[DueItem[Item]]:
-        """Removes and returns what is due, the earliest slots first, at most `limit` items."""
+        """Removes and returns the items that are due, the earliest slots first, at most `limit`."""
         found: list[DueItem[Item]] = []
         while self._heap and self._heap[0] * SLOT_WIDTH <= now and len(found) < limit:
             number = self._heap[0]
@@ -61,7 +61,7 @@
         return found
 
     def earliest(self, limit: int) -> list[Item]:
-        """Up to `limit` items of the earliest slots, which stay where they are."""
+        """Up to `limit` items of the earliest slots; they are not removed."""
         found: list[Item] = []
         # Walks the heap in the order of its numbers: (slot number, position in the heap).
         frontier = [(self._heap[0], 0)] if self._heap else []
--- a/gaproute/connections/owner.py
+++ b/gaproute/connections/owner.py
@@ -1,4 +1,4 @@
-"""What an owner of accepted connections provides: a server of one protocol at one address."""
+"""The interface of an owner of accepted connections, which is a server of one protocol at one address."""
 
 import socket
 from typing import Protocol
@@ -11,13 +11,13 @@
 
     @property
     def counted(self) -> bool:
-        """Whether its connections count as clients'; those of operators and peers do not."""
+        """Whether its connections count as those of clients; those of operators and peers do not."""
 
     def accept_connection(self, sock: socket.socket, address: SocketAddress) -> None:
-        """A connection was accepted; it is parked, or rejected."""
+        """Parks or rejects a connection that was accepted."""
 
     def resume_connection(self, fd: int, data: bytes, address_id: int, request_count: int) -> None:
-        """A parked connection has sent `data`, and is the owner's again."""
+        """Takes back a parked connection that has sent `data`."""
 
     def connection_closed(self) -> None:
-        """A parked connection was closed."""
+        """Notes that a parked connection was closed."""
--- a/gaproute/connections/parked.py
+++ b/gaproute/connections/parked.py
@@ -1,7 +1,7 @@
 """Parked connections: each is a descriptor and a few numbers in arrays; its idle deadline is in a calendar.
 
-An entry of the arrays belongs to the present use of the descriptor's number: what is queued or due under that
-number is looked at only where the state says so.
+The arrays are indexed by descriptor. A queue or the calendar may still have an entry of an earlier connection
+with the same descriptor, so each entry is checked against the descriptor's present state when it is taken.
 """
 
 import os
@@ -18,18 +18,18 @@
 from gaproute.loop.loop import Loop
 from gaproute.loop.timers import Timer
 
-MAX_EXPIRIES_PER_TURN = 256  # idle deadlines looked at: after a stall they must not all fall into one turn
+MAX_EXPIRIES_PER_TURN = 256  # idle deadlines handled in one turn, as many may have passed after a stall
 NEXT_EVENT = EPOLLIN | EPOLLONESHOT
-NOT_PARKED, PARKED, QUEUED = 0, 1, 2  # states; queued: has sent something and waits to be read
+NOT_PARKED, PARKED, QUEUED = 0, 1, 2  # states; queued: it has sent something and waits to be read
 
 _GROWTH = 1024  # entries by which the arrays grow
-_MAX_COUNT = 65535  # of requests, as an entry stores it
+_MAX_COUNT = 65535  # largest number of requests that an entry stores
 
 
 class ParkedConnections(ABC):
     """Parks connections by descriptor, closes them at their idle deadline, and counts those of clients.
 
-    A subclass queues those that have sent something, and says how an idle one is closed.
+    A subclass queues the connections that have sent something and closes idle ones.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -45,22 +45,22 @@
         self.expired = 0
         self.calendar: Calendar[int] = Calendar()  # descriptors by idle deadline
         self.timer: Timer | None = None
-        # Descriptors that the inner epoll did not take, as keys; some may be closed by now.
+        # The descriptors whose registration with the epoll failed, as keys; some may be closed by now.
         self.unregistered: dict[int, None] = {}
         self.register_timer: Timer | None = None
         self.register_backoff = Backoff(FIRST_REGISTER_PAUSE, MAX_REGISTER_PAUSE)
 
     @abstractmethod
     def enqueue_events(self, events: Iterable[tuple[int, int]], seen: int) -> None:
-        """Queues parked connections that have events, as of the time `seen`."""
+        """Queues the parked connections of these events; they wait since the time `seen` (ns)."""
 
     @abstractmethod
     def evict_idle(self) -> None:
-        """Closes some idle connections, as descriptors or memory have run out."""
+        """Closes some idle connections, to free descriptors and memory."""
 
     @abstractmethod
     def _close_idle(self, fd: int) -> bool:
-        """Closes a parked connection unless it has sent something; whether it was closed."""
+        """Closes a parked connection unless it has sent something; returns whether it was closed."""
 
     @property
     def addresses(self) -> dict[str, int]:
@@ -82,9 +82,9 @@
         request_count: int,
         registered: bool,
     ) -> None:
-        """Parks a connection until it sends something or its idle deadline comes.
+        """Parks a connection until it sends something or its idle deadline `idle_until` (ns) comes.
 
-        `registered`: whether this connection was parked before.
+        `registered`: whether this connection was parked before, so that the epoll knows its descriptor.
         """
         if fd >= len(self.states):
             self._grow(fd + _GROWTH)
@@ -112,7 +112,7 @@
             column.frombytes(bytes(added * column.itemsize))
 
     def release(self, address_id: int, counted: bool) -> None:
-        """A connection of that address is closed; `counted`: whether it was a client's."""
+        """Counts one connection of the address less; `counted`: whether it was that of a client."""
         self.client_count -= counted
         self.address_counts.remove(address_id)
 
@@ -127,16 +127,16 @@
         self.release(self.address_ids[fd], owner.counted)
         owner.connection_closed()
 
-    # Registration with the inner epoll
+    # Registration with the epoll of parked connections
 
     def _watch_parked(self, fd: int, *, registered: bool) -> None:
-        """Has the inner epoll report the connection's next event; a transient failure is retried."""
+        """Has the epoll report the connection's next event; a transient failure is retried."""
         try:
             if registered:
                 self.loop.parked_epoll.modify(fd, NEXT_EVENT)
             else:
                 self.loop.parked_epoll.register(fd, NEXT_EVENT)
-        except FileNotFoundError:  # it sent something before the epoll took it
+        except FileNotFoundError:  # it was read before it could be registered
             self._register(fd)
         except OSError as fault:
             self._put_off(fd, fault)
@@ -160,7 +160,7 @@
             self.register_timer = self.loop.after(pause, self._register_again)
 
     def _register_again(self) -> None:
-        """Retries each that the inner epoll did not take; where it takes none of them there is a shortage."""
+        """Retries all failed registrations; if all fail again, idle connections are closed to free memory."""
         self.register_timer = None
         waiting, self.unregistered = self.unregistered, {}
         for fd in waiting:
@@ -169,10 +169,10 @@
         if len(self.unregistered) < len(waiting):
             self.register_backoff.reset()
         else:
-            self.evict_idle()  # which first reads of those that have sent something
+            self.evict_idle()  # it first queues the connections that have sent something
 
     def poll_unregistered(self) -> None:
-        """Queues those that have sent something that the inner epoll could not report: they are not idle."""
+        """Queues connections that have sent something and are not registered with the epoll."""
         if not self.unregistered:
             return
         poller = poll()
@@ -181,7 +181,7 @@
         try:
             events = poller.poll(0)
         except OSError:
-            return  # at the next call
+            return  # the next call tries again
         if events:
             self.enqueue_events(events, self.loop.now())
             self.loop.admission_pending = True
@@ -189,7 +189,7 @@
     # Idle deadlines
 
     def _schedule_expiry(self, fd: int) -> None:
-        """Adds the descriptor to the calendar where no entry of it comes up by its deadline."""
+        """Adds the descriptor to the calendar, unless it has an entry at or before its deadline."""
         due = self.idle_until[fd]
         if not self.calendar_slots[fd] or self.calendar_slots[fd] > self.calendar.slot_of(due):
             self.calendar_slots[fd] = self.calendar.add(fd, due)
@@ -203,7 +203,7 @@
         if timer is None or timer.call is None or timer.when > due:
             if timer is not None:
                 timer.cancel()
-            # What is due already has its turn in the next turn of the loop, not in this one again.
+            # A deadline that has passed is handled in the next turn of the loop, not again in this one.
             self.timer = self.loop.at(max(due, self.loop.now() + 1), self._close_expired)
 
     def _close_expired(self) -> None:
@@ -212,10 +212,10 @@
         now = self.loop.now()
         for fd, slot in self.calendar.take_due(now, MAX_EXPIRIES_PER_TURN):
             if self.calendar_slots[fd] != slot:
-                continue  # another entry stands for this descriptor
+                continue  # an old entry: the descriptor has another one now
             self.calendar_slots[fd] = 0
             if self.states[fd] != PARKED:
-                continue  # it is in use; when it is parked again it is added again
+                continue  # it is in use, and is added again when it is parked
             if self.idle_until[fd] > now:
                 self.calendar_slots[fd] = self.calendar.add(fd, self.idle_until[fd])
             else:
--- a/gaproute/decisions/admission/admission.py
+++ b/gaproute/decisions/admission/admission.py
@@ -1,10 +1,11 @@
-"""Which connections of clients are accepted, served next, and closed to free capacity.
+"""Decides which connections of clients are accepted, served next, and closed to free capacity.
 
-Decisions only: no sockets; clock and randomness are handed in, times are int nanoseconds.
+No I/O here: time (int nanoseconds) and random numbers are handed in.
 
-Connections of clients wait in three queues: those that send and have sent a request before (returning), those
-that send for the first time (new), and those that wait to be accepted (arriving). Requests in flight come
-before all three; what is left of each turn of the event loop is divided here.
+Connections of clients wait in three queues: those that have sent something and brought a request before
+(returning), those that have sent something for the first time (new), and those that wait to be accepted
+(arriving). Requests in flight are served before all three; this module divides the rest of each turn of the
+event loop.
 """
 
 from collections.abc import Sequence
@@ -14,48 +15,48 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-# At most, of each turn of the loop, for what waits here: requests in flight wait no longer than that.
+# Time in each turn of the loop for the queues, at most: requests in flight are delayed by no more than that.
 ADMISSION_TIME = 3 * MILLI
-# Of each 4 turns, for returning connections while others wait: after a power cut all that come back are new,
-# and those that stayed must not wait behind them.
+# Of each 4 choices, those for returning connections while others wait: after a failure of many clients, all
+# that reconnect are new, and the connections that stayed must not wait for them.
 RETURNING_SHARE = 3
-# New connections that wait before no more are accepted: the kernel's backlog holds the rest, and what is
-# accepted is served within a second.
+# New connections that wait to be read above which none is accepted: the others wait in the kernel's backlog,
+# and an accepted connection is read within a second.
 MAX_NEW_WAITING = 512
-# Idle for less, none is closed for another's sake: arrivals must not close each other.
+# Shortest idle time of a connection that is closed for another one: new ones must not close each other.
 MIN_IDLE = 2 * SECOND
-EVICTION_SAMPLE = 64  # of the longest idle, among which the least valuable is picked
-NEARLY_FULL = 0.95  # of the connections allowed, from which on answers announce the connection's close
-# Of the idle time, added at random: what came at one moment must not close at one.
+EVICTION_SAMPLE = 64  # connections that have been idle longest, of which the least valuable is closed
+NEARLY_FULL = 0.95  # share of the allowed connections above which answers announce a close
+# Share of the idle time that is added at random, so that connections opened together do not close together.
 IDLE_JITTER = 0.1
-# Descriptors that clients can never take: host lists, logs, operators, peers, handover.
+# Descriptors that clients can never use: those of host lists, logs, operators, peers and handover.
 RESERVED_DESCRIPTORS = 64
 HOST_DESCRIPTOR_SHARE = 0.03  # of all descriptors, for connections to hosts: 600 of the usual 20,000
 
-# Idle connections closed each time that descriptors run out: what failed is retried some 100 ms later, and as
-# many may come meanwhile.
+# Idle connections that are closed each time that descriptors run out: the failed call is retried about 100 ms
+# later, and so many new connections may come until then.
 EVICTIONS_PER_SHORTAGE = 8
-# As `MIN_IDLE`, where clients send again what crosses a close: capacity must serve those that send, and an
-# idle connection gives way to a request that is there.
+# As `MIN_IDLE`, for clients that send a request again if its connection was just being closed: then an idle
+# connection can be closed sooner for one that has a request.
 MIN_IDLE_WITH_RETRIES = 100 * MILLI
-# Until a full gateway looks again for an idle connection: a tenth of that minimum.
+# Pause until a full gateway searches for an idle connection again: a tenth of `MIN_IDLE_WITH_RETRIES`.
 FULL_RETRY_PAUSE = 10 * MILLI
-# Of a client's deadline, kept for the final answer: a turn of a busy loop and the network.
+# Part of a client's deadline that is reserved for the final answer: a turn of a busy loop and the network.
 RESPONSE_MARGIN = 12 * MILLI
 
 _JITTER_STEPS = 1 << 20
 
 
 class Verdict(Enum):
-    """What is done with a connection that arrives."""
+    """The decision on a new connection."""
 
     ACCEPT = "accept"
-    EVICT = "evict"  # accept it in place of an idle one
+    EVICT = "evict"  # close an idle connection and accept this one
     REJECT = "reject"
 
 
 class AdmissionQueue(Enum):
-    """What connections wait for: to be read, or to be accepted."""
+    """The queues in which connections wait to be read (returning, new) or accepted (arriving)."""
 
     RETURNING = "returning"
     NEW = "new"
@@ -67,14 +68,14 @@
 _ACCEPT = Verdict.ACCEPT
 
 
-# A parked connection: how many requests it has brought, since when it is idle (ns), its descriptor. The order
-# of the parts is that of eviction, the least valuable first. It is a plain tuple: a full gateway makes one of
-# each idle connection for every arrival, and a NamedTuple would cost a function call each.
+# A parked connection: (number of requests, since when it is idle in ns, descriptor). Sorted, the least
+# valuable comes first. It is a plain tuple: a full gateway makes one of each idle connection for every new
+# connection, and a NamedTuple would cost a function call each.
 IdleConnection = tuple[int, int, int]
 
 
 def response_margin() -> int:
-    """How much of a client's deadline is kept for its final answer to leave and arrive, ns."""
+    """The part of a client's deadline that is reserved for sending the final answer, ns."""
     return RESPONSE_MARGIN
 
 
@@ -92,11 +93,11 @@
         queue_when_full: bool = False,
         reserved_descriptors: int | None = None,
     ) -> None:
-        """`max_connections`: those of clients that the operator allows; `descriptors`: the process's limit.
+        """`max_connections`: of clients, as the operator allows; `descriptors`: the limit of the process.
 
-        `min_idle`: ns from which on a parked connection may be closed for another; less where clients retry.
-        `queue_when_full`: arrivals wait in the kernel's backlog while no idle connection can be closed.
-        `reserved_descriptors`: those that clients can never take, where others have shares of their own.
+        `min_idle`: idle time (ns) after which a parked connection may be closed for another one.
+        `queue_when_full`: new connections wait in the kernel's backlog while no idle one can be closed.
+        `reserved_descriptors`: descriptors that clients can never use; None: a share computed here.
         """
         if reserved_descriptors is None:
             reserved_descriptors = RESERVED_DESCRIPTORS + int(HOST_DESCRIPTOR_SHARE * descriptors)
@@ -109,12 +110,12 @@
         self._turn = 0
 
     def next_queue(self, returning: int, new: int, arriving: bool) -> AdmissionQueue | None:
-        """Which queue is served now, by how many wait in each; None where nobody waits."""
+        """The queue that is served now, by the number of connections in each; None if all are empty."""
         accepting = arriving and new < MAX_NEW_WAITING
         self._turn = (self._turn + 1) % (RETURNING_SHARE + 1)
         if returning and (self._turn or not (new or accepting)):
             return _RETURNING
-        # Those already accepted before new ones, in turn with them: an accept costs less than an answer.
+        # Accepted connections and arriving ones are served in turn: an accept costs less than an answer.
         if new and (not accepting or self._chance.below(2)):
             return _NEW
         if accepting:
@@ -122,9 +123,9 @@
         return _RETURNING if returning else None
 
     def admit(self, client_count: int, address_count: int, *, can_evict: bool) -> Verdict:
-        """Decides on an arrival, with so many connections of clients in all and of its address.
+        """Decides on a new connection, by the number of connections of all clients and of its address.
 
-        `can_evict`: whether an idle one may be closed for it.
+        `can_evict`: whether an idle connection may be closed for it.
         """
         if address_count >= self.max_per_address:
             return Verdict.REJECT
@@ -137,9 +138,9 @@
         return now - idle_since >= self.min_idle
 
     def eviction_candidate(self, now: int, idle: Sequence[IdleConnection]) -> int | None:
-        """The descriptor of the connection to be closed for another; None where none may be.
+        """The descriptor of the connection to close for another one; None where none may be closed.
 
-        It is the least valuable: the one with the fewest requests, then the longest idle.
+        The least valuable connection is chosen: the one with the fewest requests, then the longest idle.
         """
         evictable = [
             (request_count, idle_since, descriptor)
@@ -152,7 +153,7 @@
         return descriptor
 
     def oldest_idle(self, now: int, idle: Sequence[IdleConnection]) -> list[int]:
-        """The descriptors to be closed where the process has run out of them, the longest idle first."""
+        """The descriptors to close where the process has run out of them, the longest idle first."""
         evictable = sorted(
             (idle_since, descriptor)
             for _, idle_since, descriptor in idle
@@ -161,9 +162,9 @@
         return [descriptor for _, descriptor in evictable[:EVICTIONS_PER_SHORTAGE]]
 
     def announces_close(self, client_count: int) -> bool:
-        """Whether answers announce that the connection closes: a full gateway empties where that is safe."""
+        """Whether answers announce that the connection closes, so that a nearly full gateway empties."""
         return client_count >= NEARLY_FULL * self.max_connections
 
     def idle_deadline(self, now: int, idle: int, jitter: float = IDLE_JITTER) -> int:
-        """When a connection that is idle from now on is closed: never before the idle time `idle`, ns."""
+        """When a connection that is idle from now on is closed: after at least `idle` ns."""
         return now + idle + int(idle * jitter * self._chance.below(_JITTER_STEPS) / _JITTER_STEPS)
