--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -154,7 +154,7 @@
         self.hosts = {f"h{number}": ColdHost(number, told) for number in range(told.hosts)}
         self.made, self.first = told.hosts, self.clock.now
         for one in self.gateways:
-            one.gateway.listed(0, self.rows(), True)
+            one.gateway.update_hosts(0, self.rows(), True)
         quiet = IDLE if told.idle else 0
         self.weights = [
             self.dice.choice((300, 30, 30, 30, 1)) if told.uneven else 30 for _ in range(told.gateways)
@@ -242,12 +242,12 @@
 
     def tell_list(self, place):
         gateway = self.gateways[place].gateway
-        gateway.listed(self.clock.now, self.rows(), True)
+        gateway.update_hosts(self.clock.now, self.rows(), True)
         now = self.clock.now
         for host in [host for host in gateway.active_hosts if self.named and now < host.warm_at]:
             gateway.loads.record(host, now, face.Report(in_hand=0))
             for number in range(FUNCTIONS):
-                gateway.hint(host.id, f"f{number}", LANES, now)
+                gateway.hint_instance(host.id, f"f{number}", LANES, now)
 
     def back_cold(self, names):
         for name in names:
--- a/benchmarks/fleet/faults.py
+++ b/benchmarks/fleet/faults.py
@@ -47,7 +47,7 @@
 
     def hand_over(part, words):
         for other in world.gateways[part::PARTS]:
-            other.gateway.told(world.clock.now, words)
+            other.gateway.peer_message_received(world.clock.now, words)
 
     world.hears = hears
 
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -28,7 +28,7 @@
         super().__init__(decisions)
         self.world, self.place, self.gone = world, place, False
         self.waits, self.links, self.asked = {}, {}, {}
-        self.gateway.listed(world.clock.now, rows, True)
+        self.gateway.update_hosts(world.clock.now, rows, True)
         self.start_housekeeping(world.clock.now)
 
     def ask(self, function, track):
@@ -135,7 +135,7 @@
         world.counts["orders"] += 1
         world.clock.at(
             world.clock.now + WAY,
-            lambda: self.gateway.stood(world.clock.now, worker, function, face.Result.OK, copies),
+            lambda: self.gateway.load_order_ended(world.clock.now, worker, function, face.Result.OK, copies),
         )
 
     def probe(self, worker):
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -99,7 +99,7 @@
     def list_anew(self):
         rows = self.rows()
         for each in self.gateways:
-            each.gateway.listed(self.clock.now, rows, True)
+            each.gateway.update_hosts(self.clock.now, rows, True)
 
     def restart(self, place):
         """A gateway is killed with all that it knows and held, and another starts in its place."""
@@ -113,7 +113,7 @@
         began = process_time_ns()
         for other in self.gateways:
             if self.hears is None or self.hears(self, teller, other, words):
-                other.gateway.told(self.clock.now, words)
+                other.gateway.peer_message_received(self.clock.now, words)
         self.cpu += process_time_ns() - began
 
     def relayed(self, one, function, worker, host):
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -91,7 +91,7 @@
     terms = face.Terms(tracks, **known_terms(face.Terms._fields))
     request = getattr(face, "Request", None) or face.Task
     gateway, chance = made(7, terms, 0), dice(3)
-    gateway.listed(
+    gateway.update_hosts(
         0,
         [
             face.ListedHost(f"h{number}", number % 3, number % 5, face.State.ACTIVE, 4.0, None)
@@ -130,7 +130,7 @@
             outcome = face.Outcome(
                 task, 0, worker, face.Result.OK, now - sent, True, face.Found.WARM, 0, report
             )
-            gateway.heard(now, outcome)
+            gateway.attempt_ended(now, outcome)
             try:
                 serve.send((now, outcome))
             except StopIteration:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -46,7 +46,7 @@
         yield Attempt(self.fleet[self.turn % len(self.fleet)].id)
         yield Wait(now + task.time_left)
 
-    def heard(self, now, outcome):
+    def attempt_ended(self, now, outcome):
         pass
 
 
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -30,7 +30,7 @@
     def __init__(self, seed):
         self.random, self.rows, self.told = Random(seed), [], {}
 
-    def listed(self, now, rows, complete):
+    def update_hosts(self, now, rows, complete):
         """All hosts."""
         self.rows = [row.host for row in rows]
 
@@ -44,7 +44,7 @@
                 return
         yield face.Reject(0, "refused")
 
-    def heard(self, now, outcome):
+    def attempt_ended(self, now, outcome):
         """Keep the queue that the host told."""
         if outcome.report is not None:
             self.told[outcome.host] = outcome.report.in_hand
@@ -69,7 +69,7 @@
                 face.ListedHost(host.name, 0, 0, face.State.ACTIVE, host.capacity / shape.host_capacity, None)
                 for host in choose(random, list(self.hosts.values()))
             ]
-            gateway.listed(0, rows, True)
+            gateway.update_hosts(0, rows, True)
             node.housekeep()
 
 
--- a/benchmarks/scale/cells/node.py
+++ b/benchmarks/scale/cells/node.py
@@ -77,7 +77,7 @@
                 case face.Fail():
                     self._end(held, "scrapped", "")
                 case face.LoadOrder(worker, function, _):
-                    self.gateway.stood(self.world.clock.now, worker, function, face.Result.OK, 1)
+                    self.gateway.load_order_ended(self.world.clock.now, worker, function, face.Result.OK, 1)
 
     def _relay(self, held, wish):
         relay = held.relays
@@ -100,7 +100,7 @@
             self._end(held, "delivered", "", found)
         ended = held.finish is None
         outcome = face.Outcome(held.task.id, relay, worker, result, now - sent, ended, found, None, report)
-        self.gateway.heard(now, outcome)
+        self.gateway.attempt_ended(now, outcome)
         held.wait += 1
         self._advance(held, (now, outcome))
         self._forget(held)
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -80,7 +80,7 @@
             for host in (self.hosts[each] for each in self.members.get(name, ()))
             if host.up
         ]
-        node.gateway.listed(self.clock.now, rows, True, name)
+        node.gateway.update_hosts(self.clock.now, rows, True, name)
 
     def count(self, what, amount=1):
         """Count, in all and by the second."""
--- a/benchmarks/scale/costs/cells.py
+++ b/benchmarks/scale/costs/cells.py
@@ -38,7 +38,7 @@
         rows = [
             face.ListedHost(f"{name}-{host}", 0, 0, face.State.ACTIVE, 1.0, None) for host in range(HOSTS)
         ]
-        gateway.listed(0, rows, True, name)
+        gateway.update_hosts(0, rows, True, name)
     return gateway, holder
 
 
@@ -58,7 +58,7 @@
     outcome = face.Outcome(
         asked.id, 0, wish.host, face.Result.OK, SECOND // 20, True, face.Found.WARM, None, None
     )
-    gateway.heard(now + SECOND // 20, outcome)
+    gateway.attempt_ended(now + SECOND // 20, outcome)
     serving.close()
 
 
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -57,7 +57,7 @@
     caller = Caller(hosts, seed)
     caller.crowd_mix()
     started = row(0, started=caller.now)
-    caller.gateway.listed(caller.now, [started], False)
+    caller.gateway.update_hosts(caller.now, [started], False)
     names = [f"rare-{number}" for number in range(repeats(hosts))]
     for name in names:
         caller.call(name)
@@ -79,7 +79,7 @@
 def whole_list(hosts: int, seed: int) -> float:
     """Milliseconds of the first whole list."""
     gateway, told = Gateway(seed, TERMS, 0), rows(hosts)
-    return cpu_ms(lambda: gateway.listed(0, told, True))
+    return cpu_ms(lambda: gateway.update_hosts(0, told, True))
 
 
 def reported_warm_call(hosts: int, seed: int) -> float:
@@ -89,7 +89,7 @@
 
 def change(caller: Caller, capacity: float) -> None:
     """One host's line changes."""
-    caller.gateway.listed(caller.now, [row(0, capacity=capacity)], False)
+    caller.gateway.update_hosts(caller.now, [row(0, capacity=capacity)], False)
 
 
 def changed_line(hosts: int, seed: int) -> float:
--- a/benchmarks/scale/costs/functions.py
+++ b/benchmarks/scale/costs/functions.py
@@ -66,9 +66,9 @@
 
 def _host_leaves(caller, number):
     """Milliseconds of a round before which a host left the list; it is listed again afterwards."""
-    caller.gateway.listed(caller.now, [row(number, State.GONE)], False)
+    caller.gateway.update_hosts(caller.now, [row(number, State.GONE)], False)
     spent = _tidy(caller)
-    caller.gateway.listed(caller.now, [row(number)], False)
+    caller.gateway.update_hosts(caller.now, [row(number)], False)
     return spent
 
 
--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -24,7 +24,7 @@
     def __init__(self, facts):
         self.facts = facts
 
-    def known(self, now, since):
+    def observations_since(self, now, since):
         """Copies, each of one host and one function."""
         for number in range(self.facts):
             names = (f"host-{number % HOSTS:04}", f"model-{number // HOSTS:04}")
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -40,7 +40,7 @@
             self.gate.record.attempt_ended(f"host-{number:04}", 0, Result.OK)
         gateway, now = self.gate.core.gateway, self.loop.now()
         for number in range(functions):
-            gateway.hint(f"host-{number % hosts:04}", f"model-{number:04}", 4, now)
+            gateway.hint_instance(f"host-{number % hosts:04}", f"model-{number:04}", 4, now)
 
     def body(self, table):
         """The bytes of an answer that tells the table."""
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -68,7 +68,7 @@
     def __init__(self, hosts: int, seed: int, report: face.Report | None = None):
         self.now, self.calls, self.report = SECOND, 0, report
         self.gateway = Gateway(seed, TERMS, self.now)
-        self.gateway.listed(self.now, rows(hosts), True)
+        self.gateway.update_hosts(self.now, rows(hosts), True)
 
     def call(self, function: str) -> str:
         """One call from acceptance to its delivered answer; the host. Errors: CallError."""
@@ -84,7 +84,7 @@
         outcome = face.Outcome(
             name, 0, relay.host, face.Result.OK, TOOK, True, face.Found.WARM, 0, self.report
         )
-        self.gateway.heard(self.now + TOOK, outcome)
+        self.gateway.attempt_ended(self.now + TOOK, outcome)
         if next(_rest(serve, (self.now + TOOK, outcome)), None) is not None:
             raise CallError(f"{name} of {function} goes on after its answer")
         return relay.host
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -173,7 +173,7 @@
 
     def observations_complete(self) -> None:
         """All that one source tells has come: the mix of functions is known now."""
-        self.gateway.hint_mix(self.observations.request_mix())
+        self.gateway.hint_function_mix(self.observations.request_mix())
 
     def cpu_spent(self) -> int:
         """CPU that giving and storing observations took, ns."""
--- a/gaproute/benchlink/events.py
+++ b/gaproute/benchlink/events.py
@@ -42,13 +42,13 @@
 
 def on_peer_message(instance: Instance, now: int, line: lines.PeerMessage) -> None:
     """What another instance sent."""
-    instance.gateway.told(now, decoding.decode_payload(line))
+    instance.gateway.peer_message_received(now, decoding.decode_payload(line))
 
 
 def on_load_order_answered(instance: Instance, now: int, line: lines.LoadOrderAnswered) -> None:
     """The answer to a load order."""
     result, copies = decoding.RESULTS.get(line.result), decoding.decode_integer(line.copies)
-    instance.gateway.stood(now, line.host, line.function, result, copies)
+    instance.gateway.load_order_ended(now, line.host, line.function, result, copies)
 
 
 EVENT_HANDLERS: dict[type, Callable[[Instance, int, Any], None]] = {
--- a/gaproute/benchlink/hub.py
+++ b/gaproute/benchlink/hub.py
@@ -122,12 +122,12 @@
 
     def _update_hosts(self, instance: Instance, line: lines.HostListUpdate) -> None:
         if line.kind == REFUSED:
-            instance.gateway.list_refused(self.now)
+            instance.gateway.host_list_poll_failed(self.now)
         elif line.kind == CHANGES or line.kind in WHOLE_LISTS:
             if line.list_number not in self.host_lists:
                 raise lines.ProtocolError(f"no list {line.list_number}")
             rows = self.host_lists[line.list_number]
-            instance.gateway.listed(self.now, rows, line.kind in WHOLE_LISTS)
+            instance.gateway.update_hosts(self.now, rows, line.kind in WHOLE_LISTS)
         instance.start_housekeeping(self.now)
 
     # The reply
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -134,7 +134,7 @@
     def update_hosts(self, rows: Sequence[face.ListedHost], complete: bool) -> None:
         """Takes the host list (`complete`), or a change of it."""
         now = self.loop.now()
-        self.gateway.listed(now, rows, complete)
+        self.gateway.update_hosts(now, rows, complete)
         self.start_housekeeping(now)
 
     def watch_hosts(self) -> None:
@@ -162,7 +162,7 @@
                 stand=standing,
                 took_ms=(now - ordered_at) // MILLI,
             )
-        self.gateway.stood(now, host, function, result, standing)
+        self.gateway.load_order_ended(now, host, function, result, standing)
 
     def probe(self, host: str) -> None:
         """Checks a host's health."""
@@ -180,4 +180,4 @@
 
     def receive_broadcast(self, payload: bytes, /) -> None:
         """Takes what another gateway sent; what cannot be read is passed over."""
-        self.gateway.told(self.loop.now(), payload)
+        self.gateway.peer_message_received(self.loop.now(), payload)
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -87,7 +87,7 @@
 
     def handle_outcome(self, now: int, outcome: face.Outcome) -> None:
         """An attempt has ended: the decisions account for it, then its request goes on."""
-        self.gateway.heard(now, outcome)
+        self.gateway.attempt_ended(now, outcome)
         self.resume(outcome.request, now, outcome)
 
     def abandon(self, now: int, key: str) -> None:
@@ -98,7 +98,7 @@
 
     def probe_answered(self, now: int, host: str, good: bool, report: face.Report | None) -> None:
         """A health check has ended; the other gateways are sent what the decisions make of it."""
-        payload = self.gateway.probed(now, host, good, report)
+        payload = self.gateway.probe_ended(now, host, good, report)
         if payload is not None:
             self.broadcast(payload)
 
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -33,22 +33,24 @@
     def housekeep(self, now: int, /) -> Actions:
         """The generator of health checks and cleanup, for as long as the gateway runs."""
 
-    def heard(self, now: int, outcome: face.Outcome, /) -> None:
+    def attempt_ended(self, now: int, outcome: face.Outcome, /) -> None:
         """Accounts for the outcome of an attempt."""
 
-    def probed(self, now: int, host: str, good: bool, report: face.Report | None, /) -> bytes | None:
+    def probe_ended(self, now: int, host: str, good: bool, report: face.Report | None, /) -> bytes | None:
         """Accounts for a health check. Returns what is to be sent to all other gateways, or None."""
 
-    def told(self, now: int, payload: bytes, /) -> None:
+    def peer_message_received(self, now: int, payload: bytes, /) -> None:
         """Takes what another gateway sent; what cannot be read is passed over."""
 
-    def listed(self, now: int, rows: Sequence[face.ListedHost], complete: bool, /) -> None:
+    def update_hosts(self, now: int, rows: Sequence[face.ListedHost], complete: bool, /) -> None:
         """Takes the host list (`complete`) or a change of it."""
 
-    def list_refused(self, now: int, /) -> None:
+    def host_list_poll_failed(self, now: int, /) -> None:
         """The host list was asked for and did not come."""
 
-    def stood(self, now: int, host: str, function: str, result: face.Result | None, copies: int, /) -> None:
+    def load_order_ended(
+        self, now: int, host: str, function: str, result: face.Result | None, copies: int, /
+    ) -> None:
         """Accounts for the answer to a load order: so many copies stand."""
 
 
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -63,7 +63,7 @@
         if outcome.result is Result.STREAM_STARTED:
             self.attempts[key] = attempt
         if attempt.gateway is not None:
-            attempt.gateway.heard(now, outcome)
+            attempt.gateway.attempt_ended(now, outcome)
         else:
             self._record_entry(now, outcome, attempt)
         self._record_health(now, outcome, attempt)
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -91,12 +91,14 @@
             return (self.table.cells[0].name,) if self.table else ()
         return self._cells_in_view()
 
-    def listed(self, now: int, rows: Sequence[ListedHost], complete: bool, cell: str | None = None) -> None:
+    def update_hosts(
+        self, now: int, rows: Sequence[ListedHost], complete: bool, cell: str | None = None
+    ) -> None:
         """Hosts of a cell, or of the whole fleet while there is one cell."""
         if self.single is not None:
-            self.single.listed(now, rows, complete)
+            self.single.update_hosts(now, rows, complete)
         elif cell is not None and cell in self._cells_in_view():
-            self.local.listed(now, cell, rows, complete)
+            self.local.update_hosts(now, cell, rows, complete)
 
     def _cells_in_view(self) -> tuple[str, ...]:
         return self.view.names() if self.view is not None else ()
@@ -156,33 +158,35 @@
         actions: Actions[None] = self.single.serve(now, request)
         return actions
 
-    def heard(self, now: int, outcome: Outcome) -> None:
+    def attempt_ended(self, now: int, outcome: Outcome) -> None:
         """Records one attempt's outcome, whether or not its request is still in flight."""
         if self.recorder.record(now, outcome):
             return
         gateway = self.single or self.previous_single  # sent while there was one cell
         if gateway is not None:
-            gateway.heard(now, outcome)
+            gateway.attempt_ended(now, outcome)
 
-    def probed(self, now: int, host: str, good: bool, report: Report | None) -> bytes | None:
+    def probe_ended(self, now: int, host: str, good: bool, report: Report | None) -> bytes | None:
         """A health check's answer; returns what all other gateways are to be told, or None."""
         gateway = self.single or self.local.of_host(host)
         if gateway is None:
             return None
-        payload: bytes | None = gateway.probed(now, host, good, report)
+        payload: bytes | None = gateway.probe_ended(now, host, good, report)
         return payload
 
-    def stood(self, now: int, host: str, function: str, result: Result | None, copies: int) -> None:
+    def load_order_ended(
+        self, now: int, host: str, function: str, result: Result | None, copies: int
+    ) -> None:
         """A load order's answer."""
         gateway = self.single or self.local.of_host(host)
         if gateway is not None:
-            gateway.stood(now, host, function, result, copies)
+            gateway.load_order_ended(now, host, function, result, copies)
 
-    def told(self, now: int, payload: bytes, cell: str | None = None) -> None:
+    def peer_message_received(self, now: int, payload: bytes, cell: str | None = None) -> None:
         """Another gateway told of a host's load."""
         gateway = self.single or (self.local.gateways.get(cell) if cell is not None else None)
         if gateway is not None:
-            gateway.told(now, payload)
+            gateway.peer_message_received(now, payload)
 
     def _knows_hosts_of(self, cell: str) -> bool:
         """Whether, with one cell at most, that is the cell and a host of it is known."""
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -47,7 +47,7 @@
             self.housekeepers.pop(name, None)
             self.loads.pop(name, None)
 
-    def listed(self, now: int, name: str, rows: Sequence[ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, name: str, rows: Sequence[ListedHost], complete: bool) -> None:
         """Host list of a cell in the view, or changes to it; changes before the whole list are left out."""
         gateway = self.gateways.get(name)
         if gateway is None:
@@ -55,7 +55,7 @@
                 return
             gateway = self.new_gateway(now)
             self.add(name, gateway)
-        gateway.listed(now, rows, complete)
+        gateway.update_hosts(now, rows, complete)
 
     def new_gateway(self, now: int) -> Gateway:
         """A gateway that shares the limit on load orders and the end of the process."""
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -72,7 +72,7 @@
     def follow(self, gateway: Any, now: int, starts: Starts, subjects: Collection[Subject]) -> int:
         """Tells the decisions what may be believed of the subjects that came; how many hints they took."""
         functions = [subject[2] for subject in subjects if subject[0] == ObservationKind.WARM_INSTANCE]
-        taken = sum([int(gateway.hint(*hint)) for hint in self.warm_hints(now, starts, functions)])
+        taken = sum([int(gateway.hint_instance(*hint)) for hint in self.warm_hints(now, starts, functions)])
         for subject in subjects:
             observation = self.observations.by_subject.get(subject)
             if observation is not None and subject[0] not in NOT_FOLLOWED_SINGLY:
@@ -141,16 +141,16 @@
         kind, *names = subject
         value = observation.value[0]
         if kind == ObservationKind.USUAL_TIME:
-            return int(gateway.hint_usual(names[0], value))
+            return int(gateway.hint_usual_time(names[0], value))
         if kind == ObservationKind.LOAD_TIME:
-            return int(gateway.hint_usual(None, value))
+            return int(gateway.hint_usual_time(None, value))
         reason = self._void_reason(names[0], observation, None, starts)
         if reason is None and kind == ObservationKind.SLOWDOWN:
-            return int(gateway.hint_pace(names[0], min(value, MAX_SLOWDOWN), observation.observed_at))
+            return int(gateway.hint_slowdown(names[0], min(value, MAX_SLOWDOWN), observation.observed_at))
         if reason is None and names[1] not in self._request_classes:
             reason = RejectionReason.REQUEST_CLASS
         if reason is not None:
             self.observations.rejections[reason] += 1
             return 0
         request_class = self._request_classes[names[1]]
-        return int(gateway.hint_doubt(names[0], request_class, value, observation.observed_at))
+        return int(gateway.hint_failures(names[0], request_class, value, observation.observed_at))
--- a/gaproute/decisions/reports/host_history.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -73,7 +73,7 @@
         if entry.listed_at > since:
             subject = (ObservationKind.LISTED_STATE.value, name)
             yield OwnObservation(subject, (entry.state, entry.started), entry.listed_at)
-    for kind, names, value, observed_at in gateway.known(now, since):
+    for kind, names, value, observed_at in gateway.observations_since(now, since):
         if kind == ObservationKind.WARM_INSTANCE:
             listed = history.entries.get(names[0])
             value = (*value, 0 if listed is None else listed.started)
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -143,7 +143,7 @@
         """One request, from acceptance to its one final answer."""
         return self.router.serve(now, request)
 
-    def heard(self, now: int, outcome: Outcome) -> None:
+    def attempt_ended(self, now: int, outcome: Outcome) -> None:
         """An attempt has ended, whether or not its request is still waiting."""
         self.recorder.record(now, outcome)
 
@@ -158,12 +158,12 @@
 
     # The host list, probes and load orders
 
-    def listed(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
         """A host list has come; `complete`: hosts that it does not name are gone."""
         self.hosts.update(now, rows, complete=complete)
         self.sharing.hosts_listed([host.id for host in self.hosts.active])
 
-    def list_refused(self, now: int) -> None:
+    def host_list_poll_failed(self, now: int) -> None:
         """A poll of the host list was refused: it is asked for once more."""
         self.housekeeping.host_list_wanted = True
 
@@ -171,7 +171,7 @@
         """Polls, probes and cleanup, for as long as the gateway lives."""
         return self.housekeeping.run(now)
 
-    def probed(self, now: int, host_id: str, good: bool, report: Report | None) -> bytes | None:
+    def probe_ended(self, now: int, host_id: str, good: bool, report: Report | None) -> bytes | None:
         """A probe has ended; returns the message for all other gateways, or None."""
         host = self.hosts.by_id.get(host_id)
         if host is not None:
@@ -180,14 +180,14 @@
                 self.outliers.record(host, now, None, UNANSWERED_PROBE)
         return self.sharing.encode(host_id, report) if good else None
 
-    def told(self, now: int, message: bytes) -> None:
+    def peer_message_received(self, now: int, message: bytes) -> None:
         """Another gateway's message about a host's load."""
         decoded = self.sharing.decode(message)
         if decoded is not None:
             host_id, report = decoded
             self.loads.record(self.hosts.by_id[host_id], now, report)
 
-    def stood(self, now: int, host_id: str, name: str, result: Result | None, copies: int) -> None:
+    def load_order_ended(self, now: int, host_id: str, name: str, result: Result | None, copies: int) -> None:
         """A load order has ended; `result`: None where its answer cannot be read; `copies`: instances that
         are loaded there now."""
         function = self.functions.by_name.get(name)
@@ -200,26 +200,26 @@
 
     # What others observed, and what this gateway did
 
-    def hint(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
+    def hint_instance(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
         """An instance was seen there; returns whether the hint counts."""
         return self.hints.instance(host_id, name, lanes, seen)
 
-    def hint_doubt(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
+    def hint_failures(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
         """Attempts of the class failed there; returns whether the hint counts."""
         return self.hints.failure(host_id, request_class, harm, seen)
 
-    def hint_pace(self, host_id: str, slowdown: float, seen: int) -> bool:
+    def hint_slowdown(self, host_id: str, slowdown: float, seen: int) -> bool:
         """It answered so many times slower than usual; returns whether the hint counts."""
         return self.hints.slowdown(host_id, slowdown, seen)
 
-    def hint_usual(self, name: str | None, took: int) -> bool:
+    def hint_usual_time(self, name: str | None, took: int) -> bool:
         """A function's usual answer time (ns), of loads where `name` is None; whether the hint counts."""
         return self.hints.usual_time(name, took)
 
-    def hint_mix(self, names: Sequence[str]) -> None:
+    def hint_function_mix(self, names: Sequence[str]) -> None:
         """Functions of requests that others served last."""
         self.hints.set_mix(names)
 
-    def known(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
+    def observations_since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
         """What this gateway itself saw since then, one by one."""
         return self.observations.since(now, since)
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -32,10 +32,10 @@
         """{name: host}"""
         return {name: host for gateway in self.gateways() for name, host in gateway.hosts_by_id.items()}
 
-    def known(self, now, since):
+    def observations_since(self, now, since):
         """What was seen of copies since then."""
         for gateway in self.gateways():
-            yield from gateway.known(now, since)
+            yield from gateway.observations_since(now, since)
 
 
 class CellHosts(Part):
@@ -62,7 +62,7 @@
         changed = fresh or rows.keys() != self.given.keys()
         self.given = rows
         for cell, listed in fresh.items():
-            self.cellular.listed(self.loop.now(), listed, True, cell)
+            self.cellular.update_hosts(self.loop.now(), listed, True, cell)
             self.lists += 1
         if changed:
             lives = {row.host: row.started for listed in rows.values() for row in listed}
--- a/gaproute/hollow/hosts.py
+++ b/gaproute/hollow/hosts.py
@@ -34,7 +34,7 @@
     def _told(self, lines):
         rows = self.listing.endpoints(lines, self.watch.current_at if self.watch is not None else None)
         self.rows = {row.listed.host: row.listed for row in rows}
-        self.gateway.listed(self.loop.now(), [row.listed for row in rows], True)
+        self.gateway.update_hosts(self.loop.now(), [row.listed for row in rows], True)
         self.lists += 1
         for follower in self.followers:
             follower({name: listed.started for name, listed in self.rows.items()})
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -91,7 +91,7 @@
             self.node.record_in_flight(name, 0)
 
     def _observe_warm_instances(self, now: int) -> None:
-        for kind, names, _, seen in self.gateway.known(now, self._observed_until):
+        for kind, names, _, seen in self.gateway.observations_since(now, self._observed_until):
             if kind == "warm":
                 host, function = names[:2]
                 self.node.record_warm_instance(seen, host, function)
--- a/gaproute/standins/liars.py
+++ b/gaproute/standins/liars.py
@@ -7,9 +7,9 @@
 class Liar(Gateway):
     SHARE = 1.0
 
-    def known(self, now, since=-1):
+    def observations_since(self, now, since=-1):
         active = [host.id for host in self.active_hosts]
-        for kind, names, value, at in super().known(now, since):
+        for kind, names, value, at in super().observations_since(now, since):
             if kind == "warm" and len(active) > 1 and self.chance.below(1000) < 1000 * self.SHARE:
                 others = [name for name in active if name != names[0]]
                 names = (others[self.chance.below(len(others))], names[1])
--- a/gaproute/standins/rogues.py
+++ b/gaproute/standins/rogues.py
@@ -37,8 +37,8 @@
 class IgnoresDrains(Gateway):
     """Rule 3: goes on sending to hosts that drain or are gone."""
 
-    def listed(self, now, rows, complete):
-        super().listed(now, [row._replace(state=State.ACTIVE) for row in rows], False)
+    def update_hosts(self, now, rows, complete):
+        super().update_hosts(now, [row._replace(state=State.ACTIVE) for row in rows], False)
 
 
 class ChoosesLastStarted(HostSelector):
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -370,8 +370,8 @@
     """The first outcome that the module hears of an effectful task relayed to `where`."""
     heard = Promise()
     gateway = made.gate.core.gateway
-    inner = gateway.heard
-    gateway.heard = lambda now, told: (heard.set(told.result), inner(now, told))
+    inner = gateway.attempt_ended
+    gateway.attempt_ended = lambda now, told: (heard.set(told.result), inner(now, told))
     made.relist(f"host x {where}")
     made.until(lambda: "x" in made.gate.rows)
     asked = made.ask("crew")
--- a/tests/benchlink/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -86,7 +86,7 @@
             _, outcome = yield face.Wait(now + 1)
             self.steps.append("wait elapsed" if outcome is None else "outcome seen")
 
-    def heard(self, now, outcome):
+    def attempt_ended(self, now, outcome):
         self.steps.append("accounted for")
 
 
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -20,13 +20,13 @@
     def __init__(self, serve):
         self.serve, self.outcomes = serve, []
 
-    def heard(self, now, outcome):
+    def attempt_ended(self, now, outcome):
         self.outcomes.append(outcome)
 
     def housekeep(self, now):
         yield face.Wait(now + SECOND)
 
-    def listed(self, now, rows, complete):
+    def update_hosts(self, now, rows, complete):
         pass
 
 
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -28,7 +28,7 @@
     """The same, with a table of several cells; it knows the hosts of one."""
     made = bare(**told)
     made.adopt(0, table(cells(count, entries=entries)))
-    made.listed(0, [row(f"cell0-{host}") for host in "abc"], True, "cell0")
+    made.update_hosts(0, [row(f"cell0-{host}") for host in "abc"], True, "cell0")
     return made
 
 
@@ -54,7 +54,7 @@
     made = bare()
     made.adopt(0, table([cell("only")]))
     assert isinstance(forwarded(made, "only"), CellUnknown)  # its host list has not come
-    made.listed(0, [row("a")], True, "only")
+    made.update_hosts(0, [row("a")], True, "only")
     assert isinstance(forwarded(made, "cell7"), CellUnknown)
     assert forwarded(made, "only").host == "a"
 
@@ -66,7 +66,7 @@
     made.health.record_unreachable(0, "cell0")
     refused = forwarded(made, "cell0")
     assert isinstance(refused, face.Reject) and not isinstance(refused, CellUnknown)
-    made.listed(0, [], True, "cell0")
+    made.update_hosts(0, [], True, "cell0")
     made.health.faults.clear()
     assert isinstance(forwarded(made, "cell0"), CellUnknown)  # no host to send it to
 
@@ -91,7 +91,7 @@
     while isinstance(wish, face.Attempt):
         serve.send(relays)
         outcome = face.Outcome("t", relays, wish.host, result, MILLI, False, face.Found.UNKNOWN, None, None)
-        made.heard(MILLI, outcome)
+        made.attempt_ended(MILLI, outcome)
         wish, relays = serve.send((MILLI, outcome)), relays + 1
     assert isinstance(wish, CellUnknown) == unknown and wish.retry_after == ADVICE
 
--- a/tests/decisions/routing/test_determinism.py
+++ b/tests/decisions/routing/test_determinism.py
@@ -82,7 +82,7 @@
 
     def play(self):
         for gateway in self.gateways:
-            gateway.listed(self.now, list(self.hosts.values()), True)
+            gateway.update_hosts(self.now, list(self.hosts.values()), True)
         for number in range(GATEWAYS):
             key = (number, "housekeep")
             self.running[key] = [self.gateways[number].housekeep(self.now), None, 0]
@@ -183,7 +183,7 @@
         outcome = face.Outcome(
             key[1], number, host, result, took, result in ends, found, alike, self.report(host)
         )
-        self.gateways[key[0]].heard(self.now, outcome)
+        self.gateways[key[0]].attempt_ended(self.now, outcome)
         self.advance(key, (self.now, outcome))
         if result is face.Result.STREAM_STARTED:
             ends_at = self.now + 3 * SECOND // 2
@@ -208,23 +208,23 @@
         self.at(self.now + took, self.ordered, which, action, result)
 
     def ordered(self, which, action, result):
-        self.gateways[which].stood(self.now, action[0], action[1], result, action[2])
+        self.gateways[which].load_order_ended(self.now, action[0], action[1], result, action[2])
 
     def probe(self, which, host):
         good = host in self.hosts and self.sick.get(host) != "silent"
-        words = self.gateways[which].probed(self.now, host, good, self.report(host) if good else None)
+        words = self.gateways[which].probe_ended(self.now, host, good, self.report(host) if good else None)
         self.note(which, "words", words)
         for other in range(GATEWAYS) if words is not None else ():
             if other != which:
-                self.at(self.now + MILLI, self.gateways[other].told, self.now + MILLI, words)
+                self.at(self.now + MILLI, self.gateways[other].peer_message_received, self.now + MILLI, words)
 
     # The list, faults, and what others tell
 
     def list_comes(self, which):
         if self.random.random() < 0.1:
-            self.gateways[which].list_refused(self.now)
+            self.gateways[which].host_list_poll_failed(self.now)
         else:
-            self.gateways[which].listed(self.now, list(self.hosts.values()), True)
+            self.gateways[which].update_hosts(self.now, list(self.hosts.values()), True)
 
     def disturb(self):
         change = self.random.randrange(9)
@@ -249,7 +249,7 @@
         else:
             self.sick = {}
         for gateway in self.gateways if self.random.random() < 0.8 else ():
-            gateway.listed(self.now, list(self.hosts.values()), self.random.random() < 0.7)
+            gateway.update_hosts(self.now, list(self.hosts.values()), self.random.random() < 0.7)
         self.hint(self.random.randrange(GATEWAYS))
 
     def hint(self, which):
@@ -259,18 +259,20 @@
         for _ in range(12):
             host = f"h{draw.randrange(self.names + 2)}"
             seen = self.now - draw.randrange(3 * SECOND)
-            taken.append(gateway.hint(host, f"f{draw.randrange(FUNCTIONS + 20)}", 2, seen))
-            taken.append(gateway.hint_doubt(host, draw.randrange(len(self.classes)), 0.7, seen))
-            taken.append(gateway.hint_pace(host, 1.0 + 4 * draw.random(), seen))
-            taken.append(gateway.hint_usual(f"f{draw.randrange(FUNCTIONS)}", 80 * MILLI))
-        taken.append(gateway.hint_usual(None, 500 * MILLI))
+            taken.append(gateway.hint_instance(host, f"f{draw.randrange(FUNCTIONS + 20)}", 2, seen))
+            taken.append(gateway.hint_failures(host, draw.randrange(len(self.classes)), 0.7, seen))
+            taken.append(gateway.hint_slowdown(host, 1.0 + 4 * draw.random(), seen))
+            taken.append(gateway.hint_usual_time(f"f{draw.randrange(FUNCTIONS)}", 80 * MILLI))
+        taken.append(gateway.hint_usual_time(None, 500 * MILLI))
         if draw.random() < 0.5:
-            gateway.hint_mix([f"f{draw.randrange(8)}" for _ in range(100)] + [""] * 28)
+            gateway.hint_function_mix([f"f{draw.randrange(8)}" for _ in range(100)] + [""] * 28)
         self.note(which, "hints", taken)
         self.observations(which, gateway, draw.choice([-1, self.now - SECOND]))
 
     def observations(self, which, gateway, since):
-        self.note(which, "observations", [tuple(each) for each in gateway.known(self.now, since)])
+        self.note(
+            which, "observations", [tuple(each) for each in gateway.observations_since(self.now, since)]
+        )
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/routing/test_load_order_limiter.py
+++ b/tests/decisions/routing/test_load_order_limiter.py
@@ -87,7 +87,7 @@
     function = made.functions.find_or_add("f", 4)
     made.load_orders.start(0, function)
     assert not made.load_orders.may_order(3 * WINDOW, made.functions.find_or_add("g", 4))
-    made.stood(3 * WINDOW, "a", "f", Result.TIMEOUT, 0)
+    made.load_order_ended(3 * WINDOW, "a", "f", Result.TIMEOUT, 0)
     assert not made.load_orders.may_order(4 * WINDOW, function)
     assert made.load_orders.may_order(4 * WINDOW + 1, function)
 
@@ -101,7 +101,7 @@
         drive.hears(now, Result.OK, same_function_requests=9)
         if any(isinstance(wish, face.LoadOrder) for wish in drive.wishes):
             went += 1
-            made.stood(now + answered_after, "a", "f", Result.OK, 3)
+            made.load_order_ended(now + answered_after, "a", "f", Result.OK, 3)
             assert not function.load_order_open
     return went
 
--- a/tests/decisions/routing/test_outlier_detector.py
+++ b/tests/decisions/routing/test_outlier_detector.py
@@ -66,7 +66,7 @@
     made = gateway()
     for name, track, weight in (("a", 0, 0.4), ("b", 2, 1.0)):
         made.tracker.in_flight["t", 0] = InFlightAttempt(name, "f", track, 0, True)
-        made.heard(
+        made.attempt_ended(
             SECOND, face.Outcome("t", 0, name, Result.ERROR, MILLI, False, face.Found.UNKNOWN, None, None)
         )
         assert made.hosts_by_id[name].results[-1] == (SECOND, track, weight)
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -68,7 +68,7 @@
 
 def gateway(*rows, **terms):
     made = Gateway(7, TERMS._replace(**terms), 0)
-    made.listed(0, rows or [row("a"), row("b"), row("c")], True)
+    made.update_hosts(0, rows or [row("a"), row("b"), row("c")], True)
     return made
 
 
@@ -113,7 +113,7 @@
             told.get("same_function_requests"),
             None,
         )
-        self.gateway.heard(now, heard)
+        self.gateway.attempt_ended(now, heard)
         return self.go((now, heard))
 
     def late(self, now):
