--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -42,7 +42,7 @@
             _, outcome = yield face.Wait(now + task.time_left)
             if outcome is None or outcome.ended:
                 return
-        yield face.Reject(0, "refused")
+        yield face.Reject(0, face.RejectReason.HOST_FULL)
 
     def attempt_ended(self, now, outcome):
         """Keep the queue that the host told."""
--- a/benchmarks/scale/cells/node.py
+++ b/benchmarks/scale/cells/node.py
@@ -71,9 +71,9 @@
                             self.world.clock.now, self.answered, held, relay, face.Result.CANCELLED
                         )
                 case CellUnknown(_, why) if held.forwarded is not None:
-                    self._end(held, "unknown", why)
+                    self._end(held, "unknown", why.value)
                 case face.Reject(_, why):
-                    self._end(held, "declined", why)
+                    self._end(held, "declined", why.value)
                 case face.Fail():
                     self._end(held, "scrapped", "")
                 case face.LoadOrder(worker, function, _):
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -59,7 +59,7 @@
         *,
         answer: Answer | None = None,
         retry_after: int = 0,
-        cause: str = "",
+        cause: face.RejectReason | None = None,
     ) -> None:
         """Gives the one final answer; a second one is a fault of the decision module and reaches nobody."""
         on_final, request.on_final = request.on_final, None
@@ -84,12 +84,13 @@
         self.loop.soon(on_final, final)
         self._withdraw_attempts(request)
 
-    def _record_end(self, request: RequestInFlight, ending: Ending, cause: str) -> None:
+    def _record_end(self, request: RequestInFlight, ending: Ending, cause: face.RejectReason | None) -> None:
         now = self.loop.now()
         took = now - request.first_byte_at
         self.record.request_ended(request.request_class, ending)
         if request.log_step is not None:
-            request.log_step(ending.value, why=cause, after_ms=took // MILLI, relays=request.attempt_count)
+            reason = cause.value if cause is not None else ""
+            request.log_step(ending.value, why=reason, after_ms=took // MILLI, relays=request.attempt_count)
         if now > request.deadline:
             overdue = (now - request.deadline) // MILLI
             self.record.fault(f"answered {overdue} ms after the limit", request.id)
--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -13,13 +13,13 @@
 from gaproute.decisions.cells.entries import CellUnknown, Forwarded
 from gaproute.decisions.cells.faults import CircuitState
 from gaproute.decisions.cells.local_cells import LocalCells
-from gaproute.decisions.cells.remote_cells import CELL_UNKNOWN, RemoteCells
+from gaproute.decisions.cells.remote_cells import RemoteCells
 from gaproute.decisions.cells.request_progress import RequestProgress
 from gaproute.decisions.cells.spill import SpillBudget
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.cells.views import CellView
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Attempt, Fail, Reject, Result, Wait
+from gaproute.interface import Attempt, Fail, Reject, RejectReason, Result, Wait
 
 SECOND = 1_000_000_000
 
@@ -28,10 +28,14 @@
 OVERDUE_LOADS = 2  # and load times
 DEFAULT_LOAD_TIME = SECOND  # where none is told
 
-# Reasons of rejections, as logs and tests read them.
-NO_CELL, NO_HOST, ATTEMPTS_USED = "no cell", "no host", "relays"
-UNABLE_REASONS = ("nobody", "unreachable", NO_HOST)  # why a cell rejected other than for its load
-CROWDED_REASONS = ("nobody", "full")  # of a known cell that count as a rejection of the cell
+# Why a cell rejected other than for its load.
+UNABLE_REASONS = (
+    RejectReason.NO_HOST_AVAILABLE,
+    RejectReason.CELL_UNREACHABLE,
+    RejectReason.NO_ACTIVE_HOST,
+)
+# Of a known cell; they count as a rejection by the whole cell.
+FULL_REASONS = (RejectReason.NO_HOST_AVAILABLE, RejectReason.HOST_FULL)
 
 
 class CellRouter:
@@ -69,8 +73,8 @@
     def _without_cell(self, progress: RequestProgress, forwarded: Forwarded | None) -> Reject:
         """The final answer where there is no cell that the request may go to."""
         if forwarded is not None and forwarded.cell not in self.table.by_name:
-            return CellUnknown(progress.retry_after, CELL_UNKNOWN)
-        return Reject(progress.retry_after, NO_CELL)
+            return CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
+        return Reject(progress.retry_after, RejectReason.NO_CELL_AVAILABLE)
 
     def _choices(self, progress: RequestProgress, forwarded: Forwarded | None) -> Iterator[CellChoice]:
         """The cells for a request, in turn. The cell of a forwarded one was chosen by its first gateway."""
@@ -115,10 +119,10 @@
             return (yield from self._drive(progress, name, actions, None))
         if not gateway.active_hosts:
             self.health.record_unreachable(progress.now, name)
-            return CellUnknown(progress.retry_after, NO_HOST)
+            return CellUnknown(progress.retry_after, RejectReason.NO_ACTIVE_HOST)
         actions = gateway.serve(progress.now, progress.remaining_request())
         answer = yield from self._drive(progress, name, actions, gateway)
-        if isinstance(answer, Reject) and answer.reason in CROWDED_REASONS:
+        if isinstance(answer, Reject) and answer.reason in FULL_REASONS:
             self.health.record_outcome(progress.now, name, Result.FULL)
         return answer
 
@@ -138,7 +142,7 @@
             if isinstance(action, Attempt):
                 if progress.attempts >= progress.attempt_limit:
                     actions.close()
-                    return progress.final_answer(ATTEMPTS_USED)
+                    return progress.final_answer(RejectReason.ATTEMPTS_EXHAUSTED)
                 value = yield action
                 assert isinstance(value, int)
                 self._attempt_sent(progress, name, value, action.host, gateway)
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -22,14 +22,14 @@
 from gaproute.decisions.cells.loads import CellLoads
 from gaproute.decisions.cells.local_cells import LocalCells
 from gaproute.decisions.cells.location import GatewayLocation
-from gaproute.decisions.cells.remote_cells import CELL_UNKNOWN, RemoteCells
+from gaproute.decisions.cells.remote_cells import RemoteCells
 from gaproute.decisions.cells.request_progress import RequestProgress
 from gaproute.decisions.cells.spill import SpillBudget
 from gaproute.decisions.cells.table import CellTable
 from gaproute.decisions.cells.views import CellView
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import ListedHost, Outcome, Report, Request, Result, Terms, Wait
+from gaproute.interface import ListedHost, Outcome, RejectReason, Report, Request, Result, Terms, Wait
 
 CHANCE_SALT = 0x63656C6C  # the chance that picks cells is another than that which picks hosts
 
@@ -195,7 +195,7 @@
 
     def _reject_unknown(self, progress: RequestProgress) -> Actions[None]:
         """A request that was forwarded here for a cell which this gateway does not know."""
-        yield CellUnknown(progress.retry_after, CELL_UNKNOWN)
+        yield CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
 
     # Beside the requests
 
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -24,14 +24,12 @@
 from gaproute.decisions.cells.request_progress import RequestProgress
 from gaproute.decisions.cells.table import Cell
 from gaproute.decisions.routing.request_router import ANSWER_BY
-from gaproute.interface import Cancel, Group, Idempotency, Outcome, Reject, Result, Wait
+from gaproute.interface import Cancel, Group, Idempotency, Outcome, Reject, RejectReason, Result, Wait
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 MAX_ENTRIES_TRIED = 2  # of one cell, for one request
 TRANSIT = 100 * MILLI  # between two gateways: by so much an entry's end may be later than the one it was told
-CELL_UNKNOWN = "cell not known"  # reasons of rejections, as logs and tests read them
-CELL_REJECTED, UNREACHABLE, TOO_LATE = "refused", "unreachable", "late"
 
 
 class RemoteCells:
@@ -50,7 +48,7 @@
     def serve(self, progress: RequestProgress, cell: Cell) -> Actions[None]:
         """Yields actions as `routing.Gateway.serve` does; ends without a final answer where one was given."""
         if progress.hops >= MAX_HOPS:
-            yield CellUnknown(progress.retry_after, CELL_UNKNOWN)
+            yield CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
             return
         tried: set[str] = set()
         while len(tried) < MAX_ENTRIES_TRIED and progress.now < self._answer_by(progress):
@@ -65,7 +63,7 @@
             if outcome is None:
                 return
             if outcome.result is Result.FULL:
-                yield progress.final_answer(CELL_REJECTED)
+                yield progress.final_answer(RejectReason.CELL_FULL)
                 return
             if self.health.is_faulty(cell.name) or not _may_repeat(progress, outcome.result):
                 break
@@ -75,7 +73,7 @@
         """The final answer where no entry can be asked any more."""
         if self.entries.none_available(progress.now, cell):
             self.health.record_unreachable(progress.now, cell.name)
-        answer = progress.final_answer(UNREACHABLE)
+        answer = progress.final_answer(RejectReason.CELL_UNREACHABLE)
         if isinstance(answer, Reject) and not (progress.may_have_run or progress.in_flight):
             answer = CellUnknown(*answer)
         yield answer
@@ -111,7 +109,7 @@
                 cancelled = True
                 yield Cancel(number)
             if too_late:
-                yield progress.final_answer(TOO_LATE)
+                yield progress.final_answer(RejectReason.NO_TIME_LEFT)
                 return None
 
     def _is_lost(self, cell: Cell) -> bool:
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -10,7 +10,17 @@
 from gaproute.decisions.cells.actions import FinalAnswer
 from gaproute.decisions.cells.entries import Forwarded
 from gaproute.decisions.routing.parameters import MILLI, NEVER
-from gaproute.interface import NEVER_RAN, Fail, Idempotency, Outcome, Reject, Request, Result, Terms
+from gaproute.interface import (
+    NEVER_RAN,
+    Fail,
+    Idempotency,
+    Outcome,
+    Reject,
+    RejectReason,
+    Request,
+    Result,
+    Terms,
+)
 
 LOOK_INTERVAL = 500 * MILLI  # between looks at a request with an overdue attempt
 
@@ -85,7 +95,7 @@
             return False
         return self.attempts < self.attempt_limit and self.now < self.deadline
 
-    def final_answer(self, reason: str) -> FinalAnswer:
+    def final_answer(self, reason: RejectReason) -> FinalAnswer:
         """The final answer where nothing more can be done."""
         if self.is_idempotent or not (self.may_have_run or self.in_flight):
             return Reject(self.retry_after, reason)
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -26,6 +26,7 @@
     LoadOrder,
     Outcome,
     Reject,
+    RejectReason,
     Request,
     Result,
     Terms,
@@ -36,14 +37,8 @@
 RETRY_AFTER_SHARE = 1.0  # of the latency objective: the Retry-After of a rejected client
 ANSWER_BY = 4 * MILLI  # before the time is up: the final answer leaves a tick early
 
-# Why a request is rejected, as the log has it.
-CROWDED = "crowded"  # it would wait too long for an answer,
-QUEUE = "queue"  # or in the queue of the best host
-FULL = "full"  # a host rejected it in a crowded fleet
-LATE = "late"  # it took too long, and the fleet is crowded
-NO_HOST = "nobody"  # no host may get it
-
-Steps = Generator[Action, Any, str | None]  # ends with the reason to reject, or None: the request is over
+# Ends with the reason to reject, or None: the request is over.
+Steps = Generator[Action, Any, RejectReason | None]
 
 
 class RequestRouter:
@@ -82,8 +77,10 @@
         self.slow_start.request_came(now)
         request_class = self.request_classes[request.request_class]
         attempts = RequestAttempts()
-        reason: str | None = CROWDED
-        if not self.shedder.crowded(now, request, request_class):
+        reason: RejectReason | None
+        if self.shedder.crowded(now, request, request_class):
+            reason = RejectReason.OVERLOADED
+        else:
             reason = yield from _RequestRun(self, now, request, function, attempts).steps()
         if self.cancel_allowed:
             for attempt in attempts.in_flight:
@@ -129,7 +126,7 @@
         self.end = now + request.time_left - ANSWER_BY
         self.give_up_at = now + self.request_class.latency_objective  # looking for a first host
         self.look_at: Any = now  # when to look for a host again; ns, a fraction where it comes of a median
-        self.reason: str | None = None  # to reject the request
+        self.reason: RejectReason | None = None  # to reject the request
         self.settled_host: Host | None = None  # of the attempt that ended last, where it was in flight
 
     def steps(self) -> Steps:
@@ -158,7 +155,7 @@
                 if outcome.ended:
                     return None
                 yield from self._not_delivered(outcome)
-        return self.reason or NO_HOST
+        return self.reason or RejectReason.NO_HOST_AVAILABLE
 
     def _crowded(self) -> bool:
         return self.router.shedder.crowded(self.now, self.request, self.request_class)
@@ -170,13 +167,13 @@
         if host is not None:
             if attempts.started or not router.shedder.sheds(now, self.request, self.request_class, host):
                 return host
-            self.reason = QUEUE
+            self.reason = RejectReason.QUEUE_TOO_LONG
         elif attempts.in_flight:
             self.look_at = now + router.answer_times.usual(self.function)
         elif now < self.give_up_at and router.selector.any_allowed(now, self.request_class, attempts):
             self.look_at = now + PAUSE
         else:
-            self.reason = NO_HOST
+            self.reason = RejectReason.NO_HOST_AVAILABLE
         return None
 
     def _time_came(self) -> None:
@@ -187,7 +184,7 @@
         # Late work holds up the rest of a crowded fleet and is worth little: it is given up where it may be.
         idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
         if now >= self.give_up_at and idempotent and self._crowded():
-            self.reason = LATE
+            self.reason = RejectReason.LATENCY_OBJECTIVE_MISSED
         elif self.look_at <= now < self.end:
             tracker = self.router.tracker
             self.look_at = tracker.hold_overdue_against_hosts(now, self.request, attempts, self.function)
@@ -222,7 +219,8 @@
         now, host = self.now, self.settled_host
         self.look_at = now
         if outcome.result is Result.FULL and not self.attempts.in_flight and self._crowded():
-            self.reason = FULL  # one refusal in a full fleet is proof enough; the client is answered at once
+            # One refusal in a full fleet is proof enough; the client is answered at once.
+            self.reason = RejectReason.HOST_FULL
         elif outcome.result is Result.NOT_LOADED and host is not None:
             order = self.router.load_orders.after_miss(now, self.request, self.function, host)
             if order is not None:
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -12,8 +12,8 @@
 `Attempt`, resumed with the attempt's number, and `Wait`, resumed later with `(now, outcome)`, where the
 outcome is None when the time came first. A request's generator ends after `Reject` or `Fail`, or after an
 outcome that ended the request. Before a generator sees an outcome, and also when none is left to see it, the
-caller hands it to `Gateway.heard`. What came in at one moment is handed over before any wait whose time has
-come is resumed: a gateway that stalled must not judge as overdue what has been answered meanwhile.
+caller hands it to `Gateway.attempt_ended`. What came in at one moment is handed over before any wait whose
+time has come is resumed: a gateway that stalled must not judge as overdue what has been answered meanwhile.
 """
 
 from gaproute.interface.actions import (
@@ -25,6 +25,7 @@
     PollHostList,
     Probe,
     Reject,
+    RejectReason,
     Wait,
 )
 from gaproute.interface.outcomes import NEVER_RAN, Found, Outcome, Report, Result
@@ -45,6 +46,7 @@
     "PollHostList",
     "Probe",
     "Reject",
+    "RejectReason",
     "Report",
     "Request",
     "RequestClass",
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -47,7 +47,7 @@
 
 
 def test_an_entry_without_a_table_does_not_know_the_cell():
-    assert forwarded(bare(), "cell0") == CellUnknown(ADVICE, "cell not known")
+    assert forwarded(bare(), "cell0") == CellUnknown(ADVICE, face.RejectReason.CELL_UNKNOWN)
 
 
 def test_an_entry_of_another_single_cell_does_not_know_the_cell():
@@ -172,7 +172,9 @@
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
         made.health.record_unreachable(0, name)
-    assert Drive(made, task("t", request_class=NON_IDEMPOTENT)).wishes == [face.Reject(ADVICE, "no cell")]
+    assert Drive(made, task("t", request_class=NON_IDEMPOTENT)).wishes == [
+        face.Reject(ADVICE, face.RejectReason.NO_CELL_AVAILABLE)
+    ]
 
 
 def test_loads_of_forwarded_calls_are_no_usual_answer_times():
--- a/tests/decisions/routing/test_determinism.py
+++ b/tests/decisions/routing/test_determinism.py
@@ -30,6 +30,15 @@
     face.Fail: "F",
 }
 
+# Why a request was rejected, as the digests have it.
+REASONS = {
+    face.RejectReason.OVERLOADED: "crowded",
+    face.RejectReason.QUEUE_TOO_LONG: "queue",
+    face.RejectReason.HOST_FULL: "full",
+    face.RejectReason.LATENCY_OBJECTIVE_MISSED: "late",
+    face.RejectReason.NO_HOST_AVAILABLE: "nobody",
+}
+
 IDEMPOTENT = (face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0)
 KEYED = (face.Idempotency.IDEMPOTENT_WITH_KEY, face.Group.ZONE, 2 * SECOND, 400 * MILLI, 3 * SECOND, 3.0)
 KEYED_IN_CELL = (face.Idempotency.IDEMPOTENT_WITH_KEY, face.Group.CELL, SECOND, SECOND, 2 * SECOND, 0.5)
@@ -53,6 +62,11 @@
 )  # fmt: skip
 
 
+def recorded(part):
+    """A part of an action as the digests have it."""
+    return REASONS[part] if isinstance(part, face.RejectReason) else part
+
+
 class World:
     """Hosts that answer, refuse, fail, fall silent, restart and leave, by a seed, and the gateways."""
 
@@ -130,7 +144,7 @@
                 self.note(key, "end")
                 return
             value = None
-            self.note(key, LETTERS[type(action)], *action)
+            self.note(key, LETTERS[type(action)], *map(recorded, action))
             if isinstance(action, face.Wait):
                 self.at(max(self.now, action[0]), self.time_came, key, running[2])
                 return
--- a/tests/decisions/routing/test_load_shedder.py
+++ b/tests/decisions/routing/test_load_shedder.py
@@ -43,7 +43,7 @@
 def test_a_full_fleet_rejects_at_once():
     made = gateway()
     made.throughput.refusals.extend([(0, True)] * 5 + [(0, False)] * 3)
-    assert Drive(made, task()).wishes == [face.Reject(SECOND, "crowded")]
+    assert Drive(made, task()).wishes == [face.Reject(SECOND, face.RejectReason.OVERLOADED)]
     assert Drive(made, task("u"), REFUSAL_LIFETIME).sent  # nothing may come any more: refusals age
     made.throughput.refusals.append((1, False))
     assert Drive(made, task("v"), 1).sent
--- a/tests/decisions/routing/test_request_router.py
+++ b/tests/decisions/routing/test_request_router.py
@@ -79,4 +79,6 @@
     made.throughput.refusals.extend([(SECOND, True)] * 5)
     drive.late(SECOND)
     assert drive.ended is ended
-    assert (drive.wishes == [face.Cancel(0), face.Reject(SECOND, "late")]) is ended
+    assert (
+        drive.wishes == [face.Cancel(0), face.Reject(SECOND, face.RejectReason.LATENCY_OBJECTIVE_MISSED)]
+    ) is ended
