--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -151,7 +151,7 @@
         "fetches in 30 s": sum(first <= at < first + AFTER for at in fetches),
         "service": sum(good) / max(1, len(good)),
         "broken": len(told["broken"]),
-        "telling, % of a core": 100 * max([event["telling_share"] for event in stopped], default=0),
+        "telling, % of a core": 100 * max([event["observation_cpu_share"] for event in stopped], default=0),
     }
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -176,7 +176,7 @@
         while True:
             told = json.loads(self.process.stderr.readline())
             if told["event"] == "started":
-                self.where = told["listens"]
+                self.where = told["listen_addresses"]
                 break
         os.set_blocking(self.process.stderr.fileno(), False)
 
--- a/benchmarks/scale/logs.py
+++ b/benchmarks/scale/logs.py
@@ -3,6 +3,8 @@
 import json
 from datetime import datetime
 
+SUBJECTS = {"host_changed": "host", "member_changed": "member"}  # the field that names the subject, by event
+
 
 def logged(path, event, name, state, since):
     """Seconds since 1970 when a real gateway last logged the state of a host or gateway; None: not yet."""
@@ -11,7 +13,7 @@
         if b'"%b"' % name.encode() not in line or b'"%b"' % event.encode() not in line:
             continue
         told = json.loads(line)
-        if told.get("event") == event and told.get("name") == name and told.get("state") == state:
+        if told.get("event") == event and told.get(SUBJECTS[event]) == name and told.get("state") == state:
             at = datetime.fromisoformat(told["timestamp"]).timestamp()
             found = at if at > since else found
     return found
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -107,14 +107,14 @@
         """A host drains: seconds until the last real gateway has logged it."""
         began = time.time()
         self.crew.drain("host-00007")
-        found = self.until(lambda: self.crew.real_last("host", "host-00007", "draining"))
+        found = self.until(lambda: self.crew.real_last("host_changed", "host-00007", "draining"))
         self.figures["change_known_real_s"] = found and found - began
 
     def death(self, kind, kill):
         """A gateway is killed: seconds until all hollow ones, and all real ones, hold it dead."""
         began, name = time.time(), kill()
         hollow = self.until(lambda: self.crew.hollow_last(name, "dead"))
-        real = self.until(lambda: self.crew.real_last("gateway", name, "dead"))
+        real = self.until(lambda: self.crew.real_last("member_changed", name, "dead"))
         self.figures[f"{kind}_death_known_hollow_s"] = hollow and hollow - began
         self.figures[f"{kind}_death_known_real_s"] = real and real - began
 
@@ -122,7 +122,7 @@
         """The hollow gateway that was killed is back, empty: seconds until all hold it alive."""
         began, name = time.time(), self.crew.start_killed()
         hollow = self.until(lambda: self.crew.hollow_last(name, "alive", began))
-        real = self.until(lambda: self.crew.real_last("gateway", name, "alive", began))
+        real = self.until(lambda: self.crew.real_last("member_changed", name, "alive", began))
         self.figures["back_known_hollow_s"] = hollow and hollow - began
         self.figures["back_known_real_s"] = real and real - began
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -109,7 +109,7 @@
         while True:
             told = json.loads(gate.stderr.readline())
             if told["event"] == "started":
-                where = told["listens"][0]
+                where = told["listen_addresses"][0]
                 break
         os.set_blocking(gate.stderr.fileno(), False)
         play(where, folder, 100, False, 9)
--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -81,7 +81,7 @@
             for line in self.said.read_bytes().split(b"\n")[:-1]:
                 told = json.loads(line)
                 if told["event"] == "started":
-                    self.listens = told["listen"]
+                    self.listens = told["listen_address"]
                     return
             if self.child.poll() is not None:
                 raise RuntimeError(f"the gateway did not start; see {self.said}")
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -120,4 +120,4 @@
     def _reject(self, reason: str, mistakes: Iterable[object]) -> None:
         self.rejected[reason] += 1
         for mistake in mistakes:
-            self.record.event("error", "cell table refused", mistake=str(mistake))
+            self.record.event("error", "cell_table_rejected", error=str(mistake))
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -166,7 +166,7 @@
         now = self.loop.now()
         self.gateway.adopt(now, table)
         self.entries.apply_table(table)
-        self.record.event("info", "cell table", version=str(table.version), cells=len(table.cells))
+        self.record.event("info", "cell_table_adopted", version=str(table.version), cells=len(table.cells))
         self._follow_wanted_cells()
         self.core.start_housekeeping(now)
 
@@ -214,18 +214,18 @@
     def _list_rejected(self, cell: str, mistakes: Sequence[Mistake]) -> None:
         self.lists_rejected += 1
         for mistake in mistakes:
-            self.record.event("error", "host list refused", cell=cell, mistake=str(mistake))
+            self.record.event("error", "host_list_rejected", cell=cell, error=str(mistake))
 
     def _members_rejected(self, cell: str, count: int, members: Sequence[RejectedMember]) -> None:
         self.members_rejected += count
         for host, reason in members:
-            self.record.event("error", "cell host refused", cell=cell, host=host, mistake=reason)
+            self.record.event("error", "cell_host_rejected", cell=cell, host=host, error=reason)
 
     def _source_changed(self, cell: str, error: str | None) -> None:
         if error is None:
-            self.record.event("info", "cell source back", cell=cell)
+            self.record.event("info", "cell_source_restored", cell=cell)
         else:
-            self.record.event("error", "cell source lost", cell=cell, fault=error)
+            self.record.event("error", "cell_source_lost", cell=cell, error=error)
 
     def _rejections(self) -> dict[str, int]:
         rejections = {} if self.table is None else self.table.rejections()
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -101,7 +101,7 @@
                 self.on_all_ended()
             return
         wait = self._schedule_restart(slot, self.loop.now() - child.started)
-        self.log.warning("child died", seat=slot, code=code, again_ms=wait // MILLI)
+        self.log.warning("child_exited", process_slot=slot, exit_code=code, restart_in_ms=wait // MILLI)
 
     def _schedule_restart(self, slot: int, lived: int) -> int:
         """Has the slot filled again after a backoff, its child having lived so long; how long that is, ns."""
@@ -117,4 +117,6 @@
             self.start(slot)
         except OSError as error:
             wait = self._schedule_restart(slot, 0)
-            self.log.warning("child not started", seat=slot, error=str(error), again_ms=wait // MILLI)
+            self.log.warning(
+                "child_start_failed", process_slot=slot, error=str(error), restart_in_ms=wait // MILLI
+            )
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -112,10 +112,10 @@
         self.peers.start()
         self.log.info(
             "started",
-            listens=[front.address for front in self.fronts],
+            listen_addresses=[front.address for front in self.fronts],
             hosts=len(self.rows),
-            descriptors=descriptors(),
-            clients=self.connections.admission.max_connections,
+            descriptor_limit=descriptors(),
+            max_client_connections=self.connections.admission.max_connections,
         )
 
     def _listen(self) -> None:
@@ -224,7 +224,7 @@
         if self.stopping:
             return
         self.stopping = True
-        self.log.info("stopping", held=len(self.core.in_flight))
+        self.log.info("stopping", requests_in_flight=len(self.core.in_flight))
         GracefulShutdown(self).begin()
 
     def run(self) -> None:
@@ -233,7 +233,7 @@
         self.close()
         lived = max(1, self.loop.now() - self.started)
         share = round(self.peers.cpu_spent() / lived, 6)
-        self.log.info("stopped", held=len(self.core.in_flight), telling_share=share)
+        self.log.info("stopped", requests_in_flight=len(self.core.in_flight), observation_cpu_share=share)
 
     def close(self) -> None:
         """Closes all sockets and files."""
@@ -245,4 +245,4 @@
         self.hosts.close()
 
     def _log_error(self, error: BaseException) -> None:
-        self.log.error("error", error=repr(error), exc_info=error)
+        self.log.error("unhandled_exception", error=repr(error), exc_info=error)
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -46,7 +46,9 @@
         gone = [name for name in before if name not in self.rows]
         for name in sorted(changed + gone):
             row = self.rows.get(name)
-            self.record.event("info", "host", name=name, state=row.listed.state.value if row else "gone")
+            self.record.event(
+                "info", "host_changed", host=name, state=row.listed.state.value if row else "gone"
+            )
 
     def states(self) -> dict[str, tuple[str, int]]:
         """Of each host its state, and its start as the list tells it, ns since 1970 or `NO_START`."""
@@ -59,7 +61,7 @@
     def log_rejected(self, mistakes: Iterable[Mistake]) -> None:
         """Logs why the list that was read last is not used."""
         for mistake in mistakes:
-            self.record.event("error", "host list refused", mistake=str(mistake))
+            self.record.event("error", "host_list_rejected", error=str(mistake))
 
     def reload(self) -> None:
         """Reads the file again, where there is one."""
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -62,7 +62,9 @@
 
     @staticmethod
     def _open_raft_log(path: str, record: Record) -> RaftLogFile:
-        log_file = RaftLogFile(path, lambda text: record.event("warning", "raft log", text=text))
+        log_file = RaftLogFile(
+            path, lambda text: record.event("warning", "raft_log_file_fault", message=text)
+        )
         try:
             log_file.open()
         except OSError as error:
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -55,7 +55,9 @@
             self.loop.on_signal(number, self.stop)
         self.loop.on_signal(signal.SIGHUP, self.reloads.reload)
         self.children.start_missing()
-        self.log.info("parent started", processes=self.count, listens=self.listeners.displayed_addresses())
+        self.log.info(
+            "parent_started", processes=self.count, listen_addresses=self.listeners.displayed_addresses()
+        )
 
     def stop(self) -> None:
         """Asks all children to end; the loop ends after the last one."""
@@ -71,4 +73,4 @@
         self.children.kill()
         self.listeners.close()
         self.listeners.unlink_paths()
-        self.log.info("parent stopped")
+        self.log.info("parent_stopped")
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -147,7 +147,7 @@
     def peer_list_rejected(self, mistakes: Iterable[Mistake]) -> None:
         """Logs why the list of peers that was read last is not used."""
         for mistake in mistakes:
-            self.record.event("error", "peer list refused", mistake=str(mistake))
+            self.record.event("error", "peer_list_rejected", error=str(mistake))
 
     def open_observation_store(self) -> None:
         """Opens the store on disk, where there is one, and applies what it holds of the last run.
@@ -161,7 +161,7 @@
             store.open()
             self._restore(store)
         except ObservationStoreError as error:
-            self.record.event("warning", "observation store unavailable", text=str(error))
+            self.record.event("warning", "observation_store_unavailable", error=str(error))
         self.observation_writer = ObservationWriter(
             self.loop, store, self.gateway, self.host_history, self.request_classes
         )
@@ -221,14 +221,14 @@
         self.observations_complete()
         self.record.event(
             "info",
-            "remembered",
-            facts=len(self.observations.by_subject),
-            booked=applied,
-            refused=self.observations.rejected(),
+            "observations_restored",
+            observations=len(self.observations.by_subject),
+            hints_taken=applied,
+            rejected=self.observations.rejected(),
         )
 
     def _log_store(self, text: str) -> None:
-        self.record.event("warning", "observation store", text=text)
+        self.record.event("warning", "observation_store_fault", message=text)
 
 
 def _with_forwarded_requests(limits: Limits, clients: ClientsLine) -> Limits:
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -71,7 +71,7 @@
             self.retry_timer = self.loop.after(backoff.next_pause(), self._attempt, backoff, began)
             return
         for mistake in error.mistakes if isinstance(error, ConfigurationError) else [error]:
-            self.log.error("configuration refused", mistake=str(mistake))
+            self.log.error("configuration_rejected", error=str(mistake))
 
     def _roll(self, configuration: Configuration) -> Generator[Promise, Any, None]:
         previous, self.children.configuration = self.children.configuration, configuration
@@ -83,7 +83,7 @@
                 self.children.configuration = previous
                 break
         else:
-            self.log.info("rolled", processes=len(self.children.by_slot))
+            self.log.info("rolling_reload_completed", processes=len(self.children.by_slot))
             self.listeners.close_unused(configuration)
         self.rolling = False
         if self.requested and not self.children.stopping:
@@ -99,7 +99,7 @@
         replacement = yield from self._start(free_slot)
         serves = replacement is not None and (yield replacement.ready)
         if not serves:
-            self.log.error("roll given up: the new configuration does not start", seat=free_slot)
+            self.log.error("rolling_reload_abandoned", process_slot=free_slot)
             return False
         old = self.children.by_slot.pop(slot, None)
         if old is not None:
@@ -114,7 +114,7 @@
             try:
                 return self.children.start(slot)
             except OSError as error:
-                self.log.warning("child not started", seat=slot, error=str(error))
+                self.log.warning("child_start_failed", process_slot=slot, error=str(error))
             yield self.loop.sleep(backoff.next_pause())
             if self.children.stopping:
                 break
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -1,6 +1,7 @@
 """The tables of a running gateway that operators read, as plain data for JSON.
 
-The keys are older than the names in the code, and stay.
+The keys are older than the names in the code, and stay; those of counters and events are mapped by
+`legacy_names.py`.
 """
 
 from __future__ import annotations
@@ -8,6 +9,7 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING, Any
 
+from gaproute.appliance.legacy_names import legacy_counts, legacy_event
 from gaproute.connections.descriptors import descriptors
 
 if TYPE_CHECKING:
@@ -30,7 +32,7 @@
         "up_ms": (appliance.loop.now() - appliance.started) // MILLI,
         "held": len(appliance.core.in_flight),
         "late_turns": appliance.loop.late_turns,
-        "counts": appliance.record.snapshot(),
+        "counts": legacy_counts(appliance.record.counts),
         "clients": _clients(appliance),
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
         "gateways": membership_transport and membership_transport.membership.live_count(),
@@ -44,7 +46,7 @@
 
 def host_table(appliance: Appliance) -> list[JsonObject]:
     """The hosts of the list, by name."""
-    attempts = appliance.record.snapshot().get("relay", {})
+    attempts = legacy_counts(appliance.record.counts).get("relay", {})
     table = []
     for name, row in sorted(appliance.rows.items()):
         host = appliance.hosts.hosts.get(name)
@@ -91,7 +93,7 @@
 
 def event_table(appliance: Appliance) -> list[JsonObject]:
     """The last events of the log."""
-    return [{"what": what, **details} for what, details in appliance.record.events]
+    return [legacy_event(event, fields) for event, fields in appliance.record.events]
 
 
 def decisions(appliance: Appliance) -> list[Any]:
--- a/gaproute/cluster/crews.py
+++ b/gaproute/cluster/crews.py
@@ -21,7 +21,7 @@
 # That a gateway holds a request which nobody extends: a crew that died holds a resource for so long, and a
 # request waits for so long.
 EXTENSION = 1200 * MILLI
-BREACH = b'"event":"breach"'  # in a gateway's log: one of its own checks does not hold
+BREACH = b'"event":"raft_invariant_violated"'  # in a gateway's log: one of its own checks does not hold
 RELEASED = 5  # of ten requests; two are extended, of the rest the crew says nothing more
 
 
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -39,7 +39,7 @@
         request.attempt_count += 1
         host, deadline = attempt.host, request.deadline
         if request.log_step is not None:
-            request.log_step("relay", relay=number, worker=host)
+            request.log_step("attempt_started", attempt=number, host=host)
         handle = hosts.send(
             host,
             request.call,
@@ -118,11 +118,11 @@
 def _log_outcome(log_step: Callable[..., Any], outcome: face.Outcome) -> None:
     """Logs the outcome of an attempt of a traced request."""
     log_step(
-        "outcome",
-        relay=outcome.attempt,
-        worker=outcome.host,
+        "attempt_ended",
+        attempt=outcome.attempt,
+        host=outcome.host,
         result=outcome.result.value,
         took_ms=outcome.took // MILLI,
         found=outcome.found.name,
-        alike=outcome.same_function_requests,
+        same_function_requests=outcome.same_function_requests,
     )
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -64,7 +64,7 @@
         """Gives the one final answer; a second one is a fault of the decision module and reaches nobody."""
         on_final, request.on_final = request.on_final, None
         if on_final is None:
-            self.record.fault("a second final answer was wished", request.id)
+            self.record.internal_error("the decisions gave a second final answer", request.id)
             return
         self._record_end(request, ending, cause)
         never_ran = not request.may_have_run and not any(
@@ -90,10 +90,12 @@
         self.record.request_ended(request.request_class, ending)
         if request.log_step is not None:
             reason = cause.value if cause is not None else ""
-            request.log_step(ending.value, why=reason, after_ms=took // MILLI, relays=request.attempt_count)
+            request.log_step(
+                ending.value, reason=reason, took_ms=took // MILLI, attempts=request.attempt_count
+            )
         if now > request.deadline:
             overdue = (now - request.deadline) // MILLI
-            self.record.fault(f"answered {overdue} ms after the limit", request.id)
+            self.record.internal_error(f"answered {overdue} ms after the deadline", request.id)
 
     def _deadline_passed(self, key: str) -> None:
         """Ends a request at its deadline: its attempts have timed out, and it fails if it is unanswered.
@@ -103,7 +105,7 @@
         request = self.in_flight[key]
         self._time_out_attempts(request)
         if request.on_final is not None:
-            self.record.fault("no final answer by the client's limit", key)
+            self.record.internal_error("no final answer by the deadline", key)
             self.forget(key)
             self._finish(request, Ending.FAILED, DEADLINE_PASSED)
         self._release_if_complete(request)
@@ -138,7 +140,7 @@
 
     def _decisions_failed(self, key: str, error: Exception) -> None:
         self.loop.failed(error)
-        self.record.fault(f"the decision module failed: {error!r}", key)
+        self.record.internal_error(f"the decision module failed: {error!r}", key)
         if key == HOUSEKEEPING:
             self.housekeeper = None  # started again with the next host list
             return
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -81,11 +81,11 @@
         if self.record.is_traced(call.request_id):
             request.log_step = partial(self.record.log_step, call.request_id)
             request.log_step(
-                "taken",
-                task=request.id,
-                track=call.request_class,
+                "received",
+                gateway_request_id=request.id,
+                request_class=call.request_class,
                 function=call.function,
-                left_ms=left // MILLI,
+                time_left_ms=left // MILLI,
             )
 
     def client_left(self, key: str) -> None:
@@ -96,7 +96,7 @@
         request.on_final = None
         self.record.client_left(request.request_class)
         if request.log_step is not None:
-            request.log_step("client left", relays=len(request.attempts))
+            request.log_step("client_left", attempts=len(request.attempts))
         self._guard(key, self.abandon, self.loop.now(), key)
         self._withdraw_attempts(request)
         self._release_if_complete(request)
@@ -149,20 +149,19 @@
         )
 
     def _order_answered(
-        self, ordered_at: int, host: str, function: str, copies: int, result: face.Result, standing: int
+        self, ordered_at: int, host: str, function: str, copies: int, result: face.Result, copies_loaded: int
     ) -> None:
         now = self.loop.now()
         if self.record.is_traced(function):
-            self.record.log_step(
+            self.record.log_load_order(
                 function,
-                "order",
-                worker=host,
+                host=host,
                 copies=copies,
                 result=result.value,
-                stand=standing,
+                copies_loaded=copies_loaded,
                 took_ms=(now - ordered_at) // MILLI,
             )
-        self.gateway.load_order_ended(now, host, function, result, standing)
+        self.gateway.load_order_ended(now, host, function, result, copies_loaded)
 
     def probe(self, host: str) -> None:
         """Checks a host's health."""
--- a/gaproute/hollow/process.py
+++ b/gaproute/hollow/process.py
@@ -32,8 +32,8 @@
     def event(self, level, what, **told):
         """Notes a change of a member's state."""
         super().event(level, what, **told)
-        if what == "gateway" and len(self.noted) < KNOWN:
-            change, now = (told["name"], told["state"], told["incarnation"]), time.time()
+        if what == "member_changed" and len(self.noted) < KNOWN:
+            change, now = (told["member"], told["state"], told["incarnation"]), time.time()
             count, first, _ = self.noted.get(change, (0, now, now))
             self.noted[change] = count + 1, first, now
 
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -46,8 +46,8 @@
     """How a request ended; the values are those of counters and log lines."""
 
     DELIVERED = "delivered"
-    REJECTED = "declined"  # trying again is harmless
-    FAILED = "scrapped"  # promises nothing
+    REJECTED = "rejected"  # trying again is harmless
+    FAILED = "failed"  # promises nothing
 
 
 class Final(NamedTuple):
--- a/gaproute/interface/outcomes.py
+++ b/gaproute/interface/outcomes.py
@@ -11,13 +11,13 @@
     ERROR = "error"  # may have run
     FULL = "full"  # never ran
     TIMEOUT = "timeout"  # may have run
-    CONNECT_FAILED = "connect failed"  # never ran
+    CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # may have run
     CANCELLED = "cancelled"  # may have run
-    NOT_SENT = "moot"  # never ran
-    NOT_LOADED = "miss"  # never ran: no instance there and none on its way
-    STREAM_STARTED = "begun"  # a streamed answer has begun; the attempt's real outcome follows
-    CLIENT_LEFT = "departed"  # nothing more is owed
+    NOT_SENT = "not_sent"  # never ran
+    NOT_LOADED = "not_loaded"  # never ran: no instance there and none on its way
+    STREAM_STARTED = "stream_started"  # a streamed answer has begun; the attempt's real outcome follows
+    CLIENT_LEFT = "client_left"  # nothing more is owed
 
 
 # Results that prove that the host never ran the request.
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -143,7 +143,11 @@
             member = self.membership.members.get(name)
             if member is not None:
                 self.record.event(
-                    "info", "gateway", name=name, state=member.state.label, incarnation=member.incarnation
+                    "info",
+                    "member_changed",
+                    member=name,
+                    state=member.state.label,
+                    incarnation=member.incarnation,
                 )
         self.membership.table.changed.clear()
 
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -132,18 +132,20 @@
             self._completed()
             self._record.event(
                 "info",
-                "learnt",
+                "observations_fetched",
                 peer=peer.name,
-                facts=progress.received,
-                booked=self.hints_taken,
-                refused=self.observations.rejected(),
+                observations=progress.received,
+                hints_taken=self.hints_taken,
+                rejected=self.observations.rejected(),
             )
         self.state[peer.name] = f"told {progress.received} facts"
         progress.run_id, progress.mark = answer.life, answer.mark
 
     def _drop(self, peer: Peer, progress: PeerProgress) -> None:
         self.state[peer.name] = f"dropped after {progress.received} facts"
-        self._record.event("warning", "peer dropped", peer=peer.name, facts=progress.received)
+        self._record.event(
+            "warning", "observation_fetch_abandoned", peer=peer.name, observations=progress.received
+        )
 
     def _exchange(self, peer: Peer, progress: PeerProgress) -> Promise:
         """A promise of (response or None, whether the time was up)."""
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -48,7 +48,7 @@
         if disk is not None and name in members:
             self.node = RaftNode(name, members, disk, chance, loop.now(), machine, fencing_base=fencing_base)
             if self.node.store.discard_reason:
-                record.event("error", "raft disk set aside", why=self.node.store.discard_reason)
+                record.event("error", "raft_log_discarded", reason=self.node.store.discard_reason)
         self.log = NodeLog(record, loop.now())
         self.timer: Any = None
         self._schedule()
@@ -153,27 +153,35 @@
     def turn(self, node: RaftNode, begun: int, now: int, counts: Mapping[str, int]) -> None:
         """After a turn of the node from `begun` to `now`; `counts`: the transport's."""
         if now - begun > SLOW_TURN:
-            self.record.event("warning", "raft slow", ms=(now - begun) // MILLI)
-        if node.role in (Role.LEADER, Role.FOLLOWER):
-            self._change(node, "info", "raft role", node.role.value)
-        self._change(node, "error", "raft storage failed", node.storage_failure)
-        self._change(node, "info", "members", [member.name for member in node.members])
+            self.record.event("warning", "raft_turn_slow", took_ms=(now - begun) // MILLI)
+        self._log_changes(node)
         for breach in node.breaches[self.breaches :]:
-            self.record.event("error", "breach", text=breach, replay=replay(node))
+            self.record.event("error", "raft_invariant_violated", violation=breach, replay=replay(node))
         self.breaches = len(node.breaches)
         if now - self.rejections_looked_at >= REJECTIONS_INTERVAL:
             self.rejections_looked_at = now
             refused = {what: count for what, count in counts.items() if what.startswith("refused")}
             self._rejections({**node.rejections, **refused})
 
-    def _change(self, node: RaftNode, level: str, what: str, value: Any) -> None:
-        if self.logged.get(what) == value:
-            return
+    def _log_changes(self, node: RaftNode) -> None:
+        """Logs the role, a failure of the disk and the members, each where it has changed."""
+        role, failure = node.role.value, node.storage_failure
+        members = [member.name for member in node.members]
+        state = {"term": node.term, "leader": node.leader}
+        if node.role in (Role.LEADER, Role.FOLLOWER) and self._has_changed("role", role):
+            self.record.event("info", "raft_role_changed", role=role, **state)
+        if self._has_changed("failure", failure):
+            self.record.event("error", "raft_storage_failed", error=failure, **state)
+        if self._has_changed("members", members):
+            self.record.event("info", "raft_members_changed", members=members, **state)
+
+    def _has_changed(self, what: str, value: Any) -> bool:
+        """Whether the value is another one than that of the last call, and not empty."""
+        changed = self.logged.get(what) != value
         self.logged[what] = value
-        if value:
-            self.record.event(level, what, now=value, term=node.term, leader=node.leader)
+        return changed and bool(value)
 
     def _rejections(self, by_reason: dict[str, int]) -> None:
         if by_reason != self.rejections:
             self.rejections = by_reason
-            self.record.event("warning", "raft rejected", by_reason=by_reason)
+            self.record.event("warning", "raft_messages_rejected", by_reason=by_reason)
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -200,7 +200,7 @@
         for reason in self.disseminator.rejections:
             if reason not in self._logged_rejections:
                 self._logged_rejections.add(reason)
-                self.record.event("warning", "cell table refused", reason=reason)
+                self.record.event("warning", "peer_cell_table_rejected", error=reason)
 
     def _report_storage(self, text: str) -> None:
-        self.record.event("warning", "cell table on disk", text=text)
+        self.record.event("warning", "cell_table_file_fault", message=text)
--- a/gaproute/platform/host_list.py
+++ b/gaproute/platform/host_list.py
@@ -39,10 +39,10 @@
         self.hosts.update(endpoints, complete=complete)
         self.core.update_hosts([endpoint.listed for endpoint in endpoints], complete)
         self.log.info(
-            "list",
+            "host_list_changed",
             seq=event.seq,
             complete=complete,
-            rows=[
+            hosts=[
                 [endpoint.listed.host, endpoint.address, endpoint.listed.state.value]
                 for endpoint in endpoints[:MAX_LOGGED_HOSTS]
             ],
--- a/gaproute/platform/log.py
+++ b/gaproute/platform/log.py
@@ -44,7 +44,7 @@
             self.dropped += 1
             return
         if self.dropped:
-            fields = {**fields, "left_out": self.dropped}
+            fields = {**fields, "dropped_lines": self.dropped}
             self.dropped = 0
         line = {"at": round(self.wall(), 3), "level": level, "event": event, **fields}
         self.unwritten = self._write(self.unwritten)
--- a/gaproute/platform/peers.py
+++ b/gaproute/platform/peers.py
@@ -42,11 +42,11 @@
             self.datagrams = Datagrams(self.loop, listen, self.on_report)
         except OSError as error:
             if not self.backoff.has_failed:
-                self.log.warning("no peers", listen=listen, error=str(error))
+                self.log.warning("peer_socket_unavailable", listen_address=listen, error=str(error))
             self.retry_timer = self.loop.after(self.backoff.next_pause(), self.open)
             return
         if self.backoff.has_failed:
-            self.log.info("peers", listen=listen)
+            self.log.info("peer_socket_bound", listen_address=listen)
 
     def send(self, payload: bytes) -> None:
         """Sends a report to all other gateways; it may be lost."""
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -27,7 +27,7 @@
 SEED_BASE = 16
 CHANGE_LOG_SEED, ADMISSION_SEED = 1, 3  # added to the seed: no two parts draw the same numbers
 MAX_TRACE = 2000  # characters of an error's trace, its end
-MAX_REASON = 200  # characters of why a client's message was refused
+MAX_REASON = 200  # characters of why a client's message was rejected
 
 
 class Process:
@@ -120,7 +120,7 @@
             self.ready,
             response_margin(),
         )
-        front.on_protocol_error = self._log_refusal
+        front.on_protocol_error = self._log_rejected_message
         return front
 
     def ready(self) -> bool:
@@ -159,7 +159,7 @@
         if self.status is not None:
             self.loop.guard(self.status.write)
         connections = self.front.connection_count if self.front is not None else 0
-        self.log.info("stopped", held=len(self.core.in_flight), connections=connections)
+        self.log.info("stopped", requests_in_flight=len(self.core.in_flight), client_connections=connections)
         self.reloader.cancel()
         self.close()
 
@@ -175,20 +175,20 @@
         self.log.info(
             "started",
             name=self.name,
-            listen=front.address,
+            listen_address=front.address,
             hosts=len(self.hosts.hosts),
-            sockets=self.sockets,
-            clients=AcceptedConnections.of(self.loop).admission.max_connections,
-            to_hosts=self.hosts.max_connections,
+            descriptor_limit=self.sockets,
+            max_client_connections=AcceptedConnections.of(self.loop).admission.max_connections,
+            max_host_connections=self.hosts.max_connections,
             limits=self.configuration.limits,
-            reported=self.deployment.report_names,
+            report_names=self.deployment.report_names,
             prices=self.configuration.settings.get("prices"),
             gateways=self.terms.gateways,
         )
 
     def _log_error(self, error: BaseException) -> None:
         trace = "".join(traceback.format_exception(error))
-        self.log.error("error", error=repr(error), trace=trace[-MAX_TRACE:])
+        self.log.error("unhandled_exception", error=repr(error), traceback=trace[-MAX_TRACE:])
 
-    def _log_refusal(self, code: int, text: str) -> None:
-        self.log.info("refused", code=code, text=text[:MAX_REASON])
+    def _log_rejected_message(self, code: int, text: str) -> None:
+        self.log.info("client_message_rejected", code=code, error=text[:MAX_REASON])
--- a/gaproute/platform/reload.py
+++ b/gaproute/platform/reload.py
@@ -43,14 +43,14 @@
         except ConfigurationRefusedError as error:
             self._failed(error)
             return
-        self.log.info("configuration", changelog=configuration.changelog)
+        self.log.info("configuration_reloaded", change_log=configuration.changelog)
         self.on_reloaded(configuration)
 
     def _failed(self, error: ConfigurationRefusedError) -> None:
         if isinstance(error, ConfigurationUnreadableError) and is_transient_read(error.cause):
             if error.cause.errno in SHORTAGE_ERRNOS:
                 self.loop.relieve_shortage()
-            self.log.warning("configuration not read yet", text=str(error))
+            self.log.warning("configuration_read_failed", error=str(error))
             self.retry_timer = self.loop.after(self.backoff.next_pause(), self._read)
         else:
-            self.log.error("configuration refused", text=str(error))
+            self.log.error("configuration_rejected", error=str(error))
--- a/gaproute/platform/shutdown.py
+++ b/gaproute/platform/shutdown.py
@@ -58,7 +58,7 @@
         if self.begun:
             return
         self.front = front
-        self.log.info("stopping", held=len(self.core.in_flight))
+        self.log.info("stopping", requests_in_flight=len(self.core.in_flight))
         now = self.loop.now()
         signalled_at = now - self.loop.read_delay
         close_at, exit_at = self.times = shutdown_times(self.deadlines, signalled_at, now)
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -42,10 +42,10 @@
 
     def _fields(self) -> dict[str, Any]:
         return {
-            "held": len(self.core.in_flight),
+            "requests_in_flight": len(self.core.in_flight),
             "counts": self.core.record.snapshot(),
-            "links": self._connections_in_use(),
-            "believed": self._estimates(),
+            "host_connections": self._connections_in_use(),
+            "host_estimates": self._estimates(),
             **self._client_fields(),
             **self._host_fields(),
             **self._process_fields(),
@@ -73,43 +73,43 @@
     def _client_fields(self) -> dict[str, Any]:
         front, connections = self.front, AcceptedConnections.of(self.loop)
         return {
-            "clients": connections.client_count,
-            "parked": front.parked,
-            "faults": front.protocol_errors,
-            "turned_away": front.rejected_connections,
-            "deaf": front.unresponsive,
-            "displaced": connections.evicted,
+            "client_connections": connections.client_count,
+            "parked_connections": front.parked,
+            "protocol_errors": front.protocol_errors,
+            "rejected_connections": front.rejected_connections,
+            "unresponsive_clients": front.unresponsive,
+            "evicted_idle": connections.evicted,
         }
 
     def _host_fields(self) -> dict[str, Any]:
         hosts = self.hosts
         return {
-            "opened": hosts.opened,
-            "reused": hosts.reused,
-            "doubled": hosts.multiplexed,
-            "spoilt": hosts.malformed,
-            "strays": hosts.unmatched,
+            "host_connections_opened": hosts.opened,
+            "host_connections_reused": hosts.reused,
+            "host_connections_multiplexed": hosts.multiplexed,
+            "malformed_responses": hosts.malformed,
+            "unmatched_responses": hosts.unmatched,
         }
 
     def _process_fields(self) -> dict[str, Any]:
         return {
-            "late_turns": self.loop.late_turns,
-            "descriptors": _if_readable(open_descriptors),
-            "memory_mb": _if_readable(resident_memory),
+            "late_loop_turns": self.loop.late_turns,
+            "open_descriptors": _if_readable(open_descriptors),
+            "resident_memory_mb": _if_readable(resident_memory),
             "cpu_s": round(sum(os.times()[:2]), 2),
         }
 
     def _list_fields(self) -> dict[str, Any]:
         watcher, rejected = self.host_list.watcher, self.host_list.converter.rejected
         if watcher is None:
-            return {"members_refused": rejected}
+            return {"rejected_members": rejected}
         return {
-            "members_refused": rejected,
-            "log_asked": watcher.connection_count,
-            "log_anew": watcher.restarts,
-            "log_fault": watcher.last_error,
-            "log_seq": watcher.last_seq,
-            "log_silent_ms": (self.loop.now() - watcher.last_message_at) // MILLI,
+            "rejected_members": rejected,
+            "change_log_connections": watcher.connection_count,
+            "change_log_restarts": watcher.restarts,
+            "change_log_error": watcher.last_error,
+            "change_log_seq": watcher.last_seq,
+            "change_log_silent_ms": (self.loop.now() - watcher.last_message_at) // MILLI,
         }
 
 
--- a/gaproute/scenarios/gateways.py
+++ b/gaproute/scenarios/gateways.py
@@ -62,7 +62,7 @@
             for line in log.read_bytes()[before:].split(b"\n")[:-1]:
                 told = json.loads(line) if line.startswith(b"{") else {}
                 if told.get("event") == "started":
-                    self.addresses[number] = told["listens"][0]
+                    self.addresses[number] = told["listen_addresses"][0]
                     self.tap.note("started", gateway=number, name=name)
                     self.tap.flush()
                     return
--- a/gaproute/telemetry/record.py
+++ b/gaproute/telemetry/record.py
@@ -1,6 +1,7 @@
 """Counters and recent events of one gateway, and the log steps of traced requests."""
 
 from collections import Counter, deque
+from collections.abc import Mapping
 from typing import Any, Protocol
 from zlib import crc32
 
@@ -41,19 +42,19 @@
         self.events.append((event, fields))
         getattr(self.log, level)(event, **fields)
 
-    def fault(self, text: str, request_id: str) -> None:
-        """Logs a fault of the gateway itself, met in a request."""
-        self.event("error", "fault", text=text, task=request_id)
+    def internal_error(self, message: str, gateway_request_id: str) -> None:
+        """Logs an error of the gateway itself, met in the request that it knows by this id."""
+        self.event("error", "internal_error", message=message, gateway_request_id=gateway_request_id)
 
     # Counters
 
     def request_received(self, request_class: int) -> None:
         """Counts a request."""
-        self.counts["taken", self.class_names[request_class]] += 1
+        self.counts["received", self.class_names[request_class]] += 1
 
     def client_left(self, request_class: int) -> None:
         """Counts a request whose client left before its final answer."""
-        self.counts["left", self.class_names[request_class]] += 1
+        self.counts["client_left", self.class_names[request_class]] += 1
 
     def request_ended(self, request_class: int, ending: Ending) -> None:
         """Counts a final answer."""
@@ -61,13 +62,13 @@
 
     def attempt_ended(self, host: str, request_class: int, result: Result) -> None:
         """Counts the result of an attempt."""
-        self.counts["relay", host, result.value] += 1
+        self.counts["attempts", host, result.value] += 1
         if result is not Result.OK:
-            self.counts["failed", self.class_names[request_class], host, result.value] += 1
+            self.counts["failed_attempts", self.class_names[request_class], host, result.value] += 1
 
     def load_ordered(self, host: str) -> None:
         """Counts a load order."""
-        self.counts["order", host] += 1
+        self.counts["load_orders", host] += 1
 
     def forget_host(self, host: str) -> None:
         """Drops the counters of a host that has gone for good."""
@@ -75,23 +76,32 @@
             del self.counts[key]
 
     def snapshot(self) -> dict[str, Any]:
-        """The counters as nested plain data: {what: {subject: count or {detail: count}}}."""
-        tree: dict[str, Any] = {}
-        for (what, *path), count in sorted(self.counts.items()):
-            node = tree.setdefault(what, {})
-            for part in path[:-1]:
-                node = node.setdefault(part, {})
-            node[path[-1]] = count
-        return tree
+        """The counters as nested plain data."""
+        return nested(self.counts)
 
     # Traces
 
     def is_traced(self, request_id: str) -> bool:
-        """Whether the steps of a request with this client's id are logged."""
+        """Whether the request with this id of its client, or this function's load orders, are traced."""
         if not request_id or self.trace_one_in <= 0:
             return False
         return crc32(request_id.encode()) % self.trace_one_in == 0
 
     def log_step(self, request_id: str, step: str, /, **fields: Any) -> None:
-        """Logs one step of a traced request."""
-        self.log.info("step", mark=request_id, step=step, **fields)
+        """Logs one step of a traced request; `request_id` is the client's own."""
+        self.log.info("request_step", request_id=request_id, step=step, **fields)
+
+    def log_load_order(self, function: str, /, **fields: Any) -> None:
+        """Logs the end of a load order for a traced function."""
+        self.log.info("load_order_ended", function=function, **fields)
+
+
+def nested(counts: Mapping[tuple[str, ...], int]) -> dict[str, Any]:
+    """Counters as nested plain data: {what: {subject: count or {detail: count}}}."""
+    tree: dict[str, Any] = {}
+    for (what, *path), count in sorted(counts.items()):
+        node = tree.setdefault(what, {})
+        for part in path[:-1]:
+            node = node.setdefault(part, {})
+        node[path[-1]] = count
+    return tree
--- a/tests/appliance/test_cell_faults.py
+++ b/tests/appliance/test_cell_faults.py
@@ -256,4 +256,5 @@
     assert refused.pop("wrong file") == 2 and refused == dict.fromkeys(
         ("older", "contradicts", "other fleet"), 1
     )
-    assert len(pair.events("ga", "cell table refused")) == 5
+    assert len(pair.events("ga", "cell_table_rejected")) == 5
+    assert not pair.events("ga", "peer_cell_table_rejected")
--- a/tests/appliance/test_cell_processes.py
+++ b/tests/appliance/test_cell_processes.py
@@ -47,7 +47,7 @@
     fleet.start("ga", "a1")
     fleet.start("gc", "b1", words=("--processes", "2"))
     fleet.up("ga")
-    fleet.until(lambda: len(fleet.events("gc", "cell table")) == 2)
+    fleet.until(lambda: len(fleet.events("gc", "cell_table_adopted")) == 2)
     far = [model for model in models("order") if fleet.home(model) == "b1"]
     for model in far:
         assert fleet.wait(fleet.ask("ga", model, model)).status == 200
@@ -55,7 +55,7 @@
     file = fleet.folder / "gc.conf"
     file.write_text(file.read_text().replace("zone b1", "zone"))
     fleet.processes["gc"].send_signal(signal.SIGHUP)
-    fleet.until(lambda: fleet.events("gc", "configuration refused"))
+    fleet.until(lambda: fleet.events("gc", "configuration_rejected"))
     assert fleet.wait(fleet.ask("ga", far[0], "t2")).status == 200
     assert fleet.wait(fleet.ask("gc", fleet.homed("order", "a1"), "t3")).status == 200
     assert fleet.came("t3")[0].startswith("a1-")
--- a/tests/appliance/test_cell_table_exchange.py
+++ b/tests/appliance/test_cell_table_exchange.py
@@ -46,7 +46,7 @@
     told.fleet.write_table()
     told.fleet.up(*NAMES)
     assert all(told.reaches(name, "check") for name in NAMES)
-    assert not any(told.fleet.events(name, "fault") for name in NAMES)
+    assert not any(told.fleet.events(name, "internal_error") for name in NAMES)
 
 
 def test_a_gateway_restarted_alone_serves_by_the_table_kept_on_disk(told):
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -195,7 +195,7 @@
     sent = len(made.seen("task", id="gone"))
     made.rest(300 * MILLI)
     assert len(made.seen("task", id="gone")) == sent == 1
-    assert made.gate.record.counts["left", "check"] == 1
+    assert made.gate.record.counts["client_left", "check"] == 1
 
 
 def test_a_draining_host_gets_neither_task_nor_order_though_its_connections_are_kept(rig):
@@ -239,7 +239,7 @@
     made = rig(hosts=2)
     good = made.list.read_text()
     made.relist("host h0 nowhere", *good.splitlines()[1:])
-    made.until(lambda: any(what == "host list refused" for what, _ in made.gate.record.events))
+    made.until(lambda: any(what == "host_list_rejected" for what, _ in made.gate.record.events))
     assert set(made.gate.rows) == {"h0", "h1"} and outcome(made.wait(made.ask())) == "delivered"
 
 
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -92,7 +92,7 @@
             stderr=self.errors,
         )
         self.until(lambda: self.events("started", count))
-        where = self.events("parent started")[0]["listens"][0]
+        where = self.events("parent_started")[0]["listen_addresses"][0]
         self.rig.at = address(where)
 
     def events(self, name, least=0):
@@ -176,7 +176,7 @@
     answers = [made.ask(f"t{number}") for number in range(6)]
     assert sum(made.rig.wait(answer).status == 200 for answer in answers) == 6
     made.until(lambda: made.events("started", 3))
-    assert len(made.children()) == 2 and made.events("child died")[0]["code"] == -signal.SIGKILL
+    assert len(made.children()) == 2 and made.events("child_exited")[0]["exit_code"] == -signal.SIGKILL
 
 
 def test_one_that_stands_still_keeps_no_new_client_waiting(fleet):
@@ -198,7 +198,7 @@
     made.file.write_text(made.text.replace("model dim", "model moon track check lanes 4\nmodel dim"))
     made.process.send_signal(signal.SIGHUP)
     ends, number = [], 0
-    while not made.events("rolled"):
+    while not made.events("rolling_reload_completed"):
         ends.append(made.rig.wait(made.ask(f"t{number}")))
         number += 1
         assert number < 20_000
@@ -233,7 +233,7 @@
         finally:
             os.kill(old, signal.SIGCONT)
     assert [answer.split(b"\r\n")[0] for answer in said] == [b"HTTP/1.1 200 OK"] * 2
-    made.until(lambda: made.events("rolled"))
+    made.until(lambda: made.events("rolling_reload_completed"))
 
 
 def test_who_waits_in_the_queue_when_all_are_told_to_stop_is_served(fleet):
@@ -261,7 +261,7 @@
     before = made.children()
     made.file.write_text("nonsense\n")
     made.process.send_signal(signal.SIGHUP)
-    made.until(lambda: made.events("configuration refused"))
+    made.until(lambda: made.events("configuration_rejected"))
     assert made.children() == before and made.rig.wait(made.ask("t")).status == 200
 
 
@@ -275,7 +275,7 @@
         # The third slot's address is taken.
         made.file.write_text(made.text + f"listen peers 127.0.0.1:{port - 2}\n")
         made.process.send_signal(signal.SIGHUP)
-        made.until(lambda: made.events("roll given up: the new configuration does not start"))
+        made.until(lambda: made.events("rolling_reload_abandoned"))
     assert set(made.children()) == before and made.rig.wait(made.ask("t")).status == 200
 
 
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -115,7 +115,7 @@
     family.children.by_slot[0].ended.set(1)
     family.loop.run(until=family.loop.sleep(60 * SECOND))
     assert failing.failed == 3 and sorted(family.children.by_slot) == [0, 1] and not family.loop.errors
-    assert family.log.lines.count(("warning", "child not started")) == 3
+    assert family.log.lines.count(("warning", "child_start_failed")) == 3
 
 
 def test_a_roll_goes_on_though_a_child_cannot_be_started_at_once(family):
@@ -150,13 +150,13 @@
     family.reloads.reload()
     family.loop.run(until=family.loop.sleep(SECOND))
     assert failing.failed == 2 and not before & set(family.children.by_slot.values())
-    assert ("error", "configuration refused") not in family.log.lines and family.reloads.retry_timer is None
+    assert ("error", "configuration_rejected") not in family.log.lines and family.reloads.retry_timer is None
 
 
 def test_a_new_configuration_that_is_wrong_is_refused_at_once(family):
     family.text.write_text("nonsense\n")
     family.reloads.reload()
-    assert ("error", "configuration refused") in family.log.lines and family.reloads.retry_timer is None
+    assert ("error", "configuration_rejected") in family.log.lines and family.reloads.retry_timer is None
 
 
 @pytest.mark.parametrize("code", [*SHORT, errno.ENOBUFS, errno.EADDRINUSE])
@@ -177,7 +177,7 @@
     family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 192.0.2.1:80\n")
     family.reloads.reload()
     family.loop.run(until=family.loop.sleep(3 * SECOND))
-    assert family.log.lines.count(("error", "configuration refused")) == 1
+    assert family.log.lines.count(("error", "configuration_rejected")) == 1
     assert family.listeners.by_address == before and family.children.by_slot == children
 
 
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -207,7 +207,7 @@
     made.attempt_ended("a", 0, face.Result.RESET)
     made.attempt_ended("b", 0, face.Result.OK)
     made.forget_host("a")
-    assert made.snapshot() == {"relay": {"b": {"ok": 1}}}
+    assert made.snapshot() == {"attempts": {"b": {"ok": 1}}}
 
 
 def test_the_housekeeper_starts_again_with_the_next_host_list_after_an_error():
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -327,7 +327,7 @@
         assert not any(entry[4] for entry in self.dials.held)
         named = {name for name in HOSTS if self.rows[name].state is not face.State.GONE}
         assert set(self.hosts.hosts) == named
-        assert {key[1] for key in self.record.counts if key[0] in ("relay", "order")} <= named
+        assert {key[1] for key in self.record.counts if key[0] in ("attempts", "load_orders")} <= named
         assert sum(timer.call is not None for _, _, timer in self.loop.timers) == 2, "timers are kept"
         assert not self.errors, self.errors
 
--- a/tests/decisions/cells/test_cellular.py
+++ b/tests/decisions/cells/test_cellular.py
@@ -81,7 +81,8 @@
             return
         name, relay, worker, sent = self.out.pop(self.random.randrange(len(self.out)))
         result = self.random.choice(
-            [face.Result.OK] * 6 + [r for r in face.Result if r.value not in ("begun", "departed")]
+            [face.Result.OK] * 6
+            + [r for r in face.Result if r not in (face.Result.STREAM_STARTED, face.Result.CLIENT_LEFT)]
         )
         outcome = face.Outcome(
             name, relay, worker, result, self.now - sent, result is face.Result.OK,
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -66,7 +66,7 @@
     assert calls.end() == {200}
     assert fleet.attempts("a1-h0", told + GRACE) == []
     assert fleet.attempts("b1-h0", told + GRACE) == []
-    assert len(fleet.events("ga", "cell source lost")) == 1
+    assert len(fleet.events("ga", "cell_source_lost")) == 1
 
 
 def test_the_next_source_is_followed_when_one_dies(followed):
@@ -160,7 +160,7 @@
     source = fleet.sources[0]
     calls = fleet.calls("ga")
     source.tell("a2", fleet.member("a1-h0"))
-    fleet.until(lambda: fleet.events("ga", "cell host refused"))
+    fleet.until(lambda: fleet.events("ga", "cell_host_rejected"))
     told = fleet.loop.now()
     source.tell("a1", fleet.member("a1-h0", "draining"))
     fleet.until(lambda: fleet.listed("ga")["a1-h0"] == "draining")
@@ -172,7 +172,7 @@
     source.tell("a2", *[fleet.member(name, "draining") for name in ("a2-h0", "a2-h1")])
     fleet.until(lambda: fleet.attempts("a1-h0", moved))
     assert calls.end() == {200}
-    refused = fleet.events("ga", "cell host refused")
+    refused = fleet.events("ga", "cell_host_rejected")
     assert [(each["cell"], each["host"]) for each in refused] == [("a2", "a1-h0")]
     assert fleet.cell_status("ga")["refused"] == {"wrong host of a source": 1}
 
@@ -224,8 +224,8 @@
     fleet.rest(GRACE)
     assert calls.end() == {200}
     assert fleet.attempts("a1-h0", told + GRACE) == []
-    assert len(fleet.events("ga", "cell source lost")) <= 2
-    assert fleet.events("ga", "error") == []
+    assert len(fleet.events("ga", "cell_source_lost")) <= 2
+    assert fleet.events("ga", "unhandled_exception") == []
 
 
 def test_a_wrong_source_on_reload_changes_nothing(followed):
@@ -234,11 +234,11 @@
     fleet.clients["ga"] = fleet.clients["ga-0"]
     fleet.write_table()
     fleet.start("ga", "a1", words=("--processes", "1"))
-    fleet.until(lambda: fleet.events("ga", "cell table"))
+    fleet.until(lambda: fleet.events("ga", "cell_table_adopted"))
     fleet.until(lambda: fleet.sources[0].following("a1"))
     file = fleet.folder / "ga.conf"
     file.write_text(file.read_text().replace(fleet.sources[0].address, "example.org:80"))
     fleet.processes["ga"].send_signal(signal.SIGHUP)
-    fleet.until(lambda: fleet.events("ga", "configuration refused"))
+    fleet.until(lambda: fleet.events("ga", "configuration_rejected"))
     assert fleet.wait(fleet.ask("ga", "check-0", "t1")).status == 200
     assert fleet.sources[0].following("a1") == 1
--- a/tests/discovery/test_list_crossings.py
+++ b/tests/discovery/test_list_crossings.py
@@ -406,8 +406,8 @@
     assert [host.name for host in made.process.hosts.hosts.values() if host.listed] == ["s-1"]
     assert made.process.host_list.watcher.restarts == 1
     made.process.status.write()
-    assert made.lines[-1][1]["log_anew"] == 1
-    assert made.lines[-1][1]["log_fault"] == "silent"
+    assert made.lines[-1][1]["change_log_restarts"] == 1
+    assert made.lines[-1][1]["change_log_error"] == "silent"
 
 
 def test_a_start_of_the_file_goes_with_its_line():
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -218,7 +218,7 @@
     made.passes(ACCEPT_TIME)
     made.passes(made.process.shutdown.times.exit_at - made.loop.now())
     assert not made.loop.running
-    assert dict(made.lines)["error"]
+    assert dict(made.lines)["unhandled_exception"]
 
 
 # The end of the process
@@ -453,11 +453,11 @@
     made.process.reload()
     made.turns()
     give()
-    assert [what for what, _ in made.lines[-2:]] == ["status", "configuration not read yet"]
-    assert made.lines[-2][1]["descriptors"] is made.lines[-2][1]["memory_mb"] is None
+    assert [what for what, _ in made.lines[-2:]] == ["status", "configuration_read_failed"]
+    assert made.lines[-2][1]["open_descriptors"] is made.lines[-2][1]["resident_memory_mb"] is None
     assert [client.ended for client in clients] == [True] * EVICTIONS_PER_SHORTAGE + [False] * 2
     made.passes(READ_BACKOFF + MILLI)
-    assert made.lines[-1][0] == "configuration"
+    assert made.lines[-1][0] == "configuration_reloaded"
     assert made.process.host_list.watcher.address == address("127.0.0.1:9")
     made.passes(STATUS_INTERVAL)
     assert [what for what, _ in made.lines].count("status") == 4  # both go on
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -245,7 +245,7 @@
     made.send(mark="2" * 16)
     made.results(2)
     made.host.serve(*held[0])
-    assert sorted(result.value for result in made.results(3)) == ["connect failed", "connect failed", "ok"]
+    assert sorted(result.value for result in made.results(3)) == ["connect_failed", "connect_failed", "ok"]
     assert [command["req"] for _, command in held] == [CALL.request_id]
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -85,7 +85,7 @@
     made.until(lambda: second.peers.observation_client.state.get("g", "").startswith("told"))
     fresh.write_text("peer g nowhere\n")
     fresh.replace(peers)
-    made.until(lambda: any(what == "peer list refused" for what, _ in second.record.events))
+    made.until(lambda: any(what == "peer_list_rejected" for what, _ in second.record.events))
     assert second.peers.membership_transport.membership.members["g"].configured
 
 
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -57,7 +57,7 @@
         return Peer(self.name, self.peer_server.address)
 
     def refusals(self):
-        return [told["reason"] for what, told in self.record.events if what == "cell table refused"]
+        return [told["error"] for what, told in self.record.events if what == "peer_cell_table_rejected"]
 
     def close(self):
         self.transport.stop()
@@ -205,7 +205,7 @@
         two = fleet.add(f"two{number}", path=path)
         assert two.transport.storage.file.counts.quarantined == 1
         assert two.transport.table() is None
-        assert [what for what, _ in two.record.events] == ["cell table on disk"]
+        assert [what for what, _ in two.record.events] == ["cell_table_file_fault"]
         fleet.until_all_hold(FIRST)
         fleet.remove(two)
         assert path.exists()
@@ -295,7 +295,7 @@
         fleet.until_all_hold(newer)
     assert disk.open_descriptors == 0
     assert len(disk.plan.log) == 3
-    assert [what for what, _ in again.record.events].count("cell table on disk") == 1
+    assert [what for what, _ in again.record.events].count("cell_table_file_fault") == 1
 
 
 def test_a_table_is_served_while_the_disk_fails_and_written_once_it_does_not(fleet, tmp_path, monkeypatch):
@@ -310,7 +310,7 @@
         fleet.until(lambda: one.transport.storage.written == FIRST.version)
     assert len(disk.plan.log) == 4
     assert disk.open_descriptors == 0
-    assert [what for what, _ in one.record.events].count("cell table on disk") == 1
+    assert [what for what, _ in one.record.events].count("cell_table_file_fault") == 1
 
 
 def test_a_table_is_on_disk_soon_after_it_was_accepted_and_later_ones_not_each_at_once(fleet, tmp_path):
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -169,7 +169,7 @@
     made.process.status.write()
     told = dict(made.lines)["status"]
     assert len(made.process.hosts.hosts) >= 1000
-    assert len(told["believed"]) + len(told["links"]) <= 1
+    assert len(told["host_estimates"]) + len(told["host_connections"]) <= 1
 
 
 def test_a_connection_that_sends_nothing_or_half_a_message_is_closed(gate, monkeypatch):
@@ -240,7 +240,7 @@
     other = ChangeLog(made.loop, lambda last: sse(event(2, ("s-0", made.hosts[0].address, "Terminating"))))
     made.path.write_text("{")
     made.process.reload()
-    assert made.lines[-1][0] == "configuration refused"
+    assert made.lines[-1][0] == "configuration_rejected"
     made.told["changelog"] = other.address
     made.write()
     made.process.reload()
@@ -292,7 +292,7 @@
     with os.fdopen(reader) as file:
         lines = [json.loads(line) for line in file]
     assert len(lines) == 201
-    assert lines[-1]["left_out"] == 50
+    assert lines[-1]["dropped_lines"] == 50
 
 
 # As a process
@@ -412,7 +412,7 @@
     settings = SETTINGS | {"balancers": 2, "limits": SETTINGS["limits"] | {"peers": True}}
     made = gate(settings=settings, peer_listen="192.0.2.1:1", peers_all="127.0.0.1:9")
     assert made.process.peers.datagrams is None
-    assert any(what == "no peers" for what, _ in made.lines)
+    assert any(what == "peer_socket_unavailable" for what, _ in made.lines)
     made.client().ask(1)
     made.until(lambda: made.clients[0].answers)
 
@@ -422,10 +422,10 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    steps = [told for what, told in made.lines if what == "step"]
-    assert [told["step"] for told in steps] == ["taken", "relay", "delivered", "outcome"]
-    assert len({told["mark"] for told in steps}) == 1
-    assert steps[1]["worker"] == "s-0"
+    steps = [told for what, told in made.lines if what == "request_step"]
+    assert [told["step"] for told in steps] == ["received", "attempt_started", "delivered", "attempt_ended"]
+    assert len({told["request_id"] for told in steps}) == 1
+    assert steps[1]["host"] == "s-0"
 
 
 def test_of_many_tasks_few_are_followed_and_the_same_ones_everywhere():
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -257,7 +257,7 @@
     process = subprocess.Popen(command, env=environment, stderr=subprocess.PIPE)
     try:
         lines = [json.loads(process.stderr.readline()) for _ in range(2)]
-        made.where = lines[-1]["listen"]
+        made.where = lines[-1]["listen_address"]
         client, asked = made.client(), 0
         made.until(lambda: client.stream is not None)
         process.send_signal(signal.SIGTERM)
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -164,5 +164,5 @@
     with os.fdopen(reader) as file:
         lines = [json.loads(line) for line in file]
     assert len(lines) == MAX_LINES_PER_SECOND + 1
-    assert lines[-1]["left_out"] == 50
+    assert lines[-1]["dropped_lines"] == 50
     assert lines[-1]["at"] == 500
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -293,7 +293,10 @@
         made.passes(50 * MILLI)
     assert made.process.peers.datagrams is not None
     assert made.process.peers.retry_timer is None
-    assert [what for what, _ in made.lines if "peers" in what] == ["no peers", "peers"]
+    assert [what for what, _ in made.lines if "peer_socket" in what] == [
+        "peer_socket_unavailable",
+        "peer_socket_bound",
+    ]
     made.process.core.broadcast(b"x")
 
 
@@ -305,7 +308,7 @@
     for _ in range(60):
         made.passes(MAX_BIND_BACKOFF // 5)
     assert 15 <= sockets.socket.failed <= 25
-    assert [what for what, _ in made.lines].count("no peers") == 1
+    assert [what for what, _ in made.lines].count("peer_socket_unavailable") == 1
 
 
 def test_datagrams_that_cannot_be_watched_leave_no_descriptor(monkeypatch):
@@ -344,7 +347,7 @@
     made = gate(clock=Handed())
     made.path.write_text("no JSON")
     made.process.reload()
-    assert made.lines[-1][0] == "configuration refused"
+    assert made.lines[-1][0] == "configuration_rejected"
     assert made.process.reloader.retry_timer is None
 
 
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -116,7 +116,9 @@
     group.until(lambda: len(node.machine.leases) == 2)
     assert not any(host.node.breaches for host in group.hosts.values() if host.node)
     assert "leader" in [
-        told["now"] for _, what, told in group.hosts[group.leader].record.events if what == "raft role"
+        told["role"]
+        for _, what, told in group.hosts[group.leader].record.events
+        if what == "raft_role_changed"
     ]
 
 
@@ -137,7 +139,7 @@
     host = group.hosts[name]
     assert host.node.incarnation not in (incarnation, group.hosts[other].node.incarnation)
     assert host.node.store.is_blank
-    assert [what for _, what, _ in host.record.events] == ["raft disk set aside"]
+    assert [what for _, what, _ in host.record.events] == ["raft_log_discarded"]
     assert len(list(group.folder.glob(f"{name}.*"))) >= 2  # the lock, and what was set aside
     group.until(lambda: host.node.is_member)
 
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -69,7 +69,7 @@
             for line in (self.folder / f"{name}.log").read_bytes().split(b"\n")[:-1]:
                 if json.loads(line)["event"] == "started":
                     self.tap.note("started", gateway=place, name=name)
-                    return child, json.loads(line)["listen"]
+                    return child, json.loads(line)["listen_address"]
             time.sleep(0.01)
         raise AssertionError(f"{name} did not start")
 
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -103,7 +103,7 @@
     while time.monotonic() < end and process.poll() is None:
         for line in log.read_bytes().split(b"\n")[:-1]:
             if json.loads(line)["event"] == "started":
-                return process, json.loads(line)["listens"][0]
+                return process, json.loads(line)["listen_addresses"][0]
         time.sleep(0.01)
     raise AssertionError(log.read_text())
 
--- a/tests/storage/test_observation_store.py
+++ b/tests/storage/test_observation_store.py
@@ -350,7 +350,7 @@
     disk.fault = None
     assert made.wait(made.ask("lamp", "w2")).status == 200
     made.until(lambda: any(subject[0] == "warm" for subject, _, _ in kept.read(99)))
-    assert [what for what, _ in alone.record.events].count("observation store unavailable") == 1
+    assert [what for what, _ in alone.record.events].count("observation_store_unavailable") == 1
 
 
 def test_what_failed_rounds_passed_over_is_written_in_the_first_that_does_not(store, disk):
@@ -403,7 +403,7 @@
     alone = start("alone", "memory /nowhere/at/all", listen=False)
     made.at = front(alone)
     assert made.wait(made.ask("lamp", "w1")).status == 200
-    assert any(what == "observation store unavailable" for what, _ in alone.record.events)
+    assert any(what == "observation_store_unavailable" for what, _ in alone.record.events)
 
 
 @pytest.fixture
--- a/tests/storage/test_storage_faults.py
+++ b/tests/storage/test_storage_faults.py
@@ -105,7 +105,7 @@
         assert node.storage_failure == ""
         assert node.is_leader
         assert len(part.disk.plan.log) == 3
-        assert [what for what, _ in part.events].count("raft log") == 1  # said once
+        assert [what for what, _ in part.events].count("raft_log_file_fault") == 1  # said once
         part.close()
     assert part.disk.open_descriptors == 0
 
--- a/tests/telemetry/test_record.py
+++ b/tests/telemetry/test_record.py
@@ -27,9 +27,9 @@
     record.request_ended(0, Ending.DELIVERED)
     record.client_left(1)
     assert record.snapshot() == {
-        "taken": {"check": 1, "order": 1},
+        "received": {"check": 1, "order": 1},
         "delivered": {"check": 1},
-        "left": {"order": 1},
+        "client_left": {"order": 1},
     }
 
 
@@ -38,30 +38,33 @@
     record.attempt_ended("a", 1, Result.OK)
     record.load_ordered("a")
     assert record.snapshot() == {
-        "relay": {"a": {"error": 1, "ok": 1}},
-        "failed": {"order": {"a": {"error": 1}}},
-        "order": {"a": 1},
+        "attempts": {"a": {"error": 1, "ok": 1}},
+        "failed_attempts": {"order": {"a": {"error": 1}}},
+        "load_orders": {"a": 1},
     }
 
 
-def test_a_fault_is_logged_and_kept_for_the_operators(record, lines):
-    record.fault("a second answer", "g-1")
-    assert list(record.events) == [("fault", {"text": "a second answer", "task": "g-1"})]
+def test_an_internal_error_is_logged_and_kept_for_the_operators(record, lines):
+    record.internal_error("a second answer", "g-1")
+    assert list(record.events) == [
+        ("internal_error", {"message": "a second answer", "gateway_request_id": "g-1"})
+    ]
     line = json.loads(lines.getvalue())
-    assert (line["level"], line["event"], line["task"]) == ("error", "fault", "g-1")
+    assert (line["level"], line["event"], line["gateway_request_id"]) == ("error", "internal_error", "g-1")
 
 
 def test_only_the_last_events_are_kept(record):
     for number in range(MAX_EVENTS + 1):
-        record.event("info", "host", number=number)
+        record.event("info", "host_changed", number=number)
     assert [fields["number"] for _, fields in record.events] == list(range(1, MAX_EVENTS + 1))
 
 
 def test_a_step_is_logged_under_the_clients_id(record, lines):
     assert record.is_traced("abc")
-    record.log_step("abc", "taken", task="g-1")
+    record.log_step("abc", "received", gateway_request_id="g-1")
     line = json.loads(lines.getvalue())
-    assert (line["event"], line["mark"], line["step"], line["task"]) == ("step", "abc", "taken", "g-1")
+    assert (line["event"], line["request_id"]) == ("request_step", "abc")
+    assert (line["step"], line["gateway_request_id"]) == ("received", "g-1")
 
 
 def test_a_request_without_an_id_is_never_traced(record):
