--- a/tests/cluster/test_play.py
+++ b/tests/cluster/test_harness.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from gaproute.cluster.lists import Lists
-from gaproute.cluster.processes import Gate
+from gaproute.cluster.address_plan import AddressPlan
+from gaproute.cluster.host_lists import GatewayHostLists
+from gaproute.cluster.processes import StartLimiter
 from gaproute.cluster.script import read_script
-from gaproute.cluster.table import Table
 from gaproute.loop import Loop
-from gaproute.scenarios.seats import Seats
-from gaproute.standins.tap import Tap, read
+from gaproute.scenarios.hosts import DayHosts
+from gaproute.standins.tap import Tap, read_tap
 
 MILLI = 1_000_000
 PLAYS = 3  # a busy machine voids a play; then it is played again
@@ -49,13 +49,15 @@
     out = max(tmp_path.iterdir())
     assert json.loads((out / "play.json").read_text())["seed"] == 3 and verdict["seed"] == 3
     assert read_script(str(out / "day.script")).text == read_script("small-cluster").text
-    noted = {event["what"] for event in read(out / "run.tap")}
+    noted = {event["what"] for event in read_tap(out / "run.tap")}
     assert {"fault", "strike", "list", "trouble", "told", "killed", "stopped", "continued", "begun"} <= noted
 
 
-@pytest.mark.parametrize("rule, rogue", [(2, "RepeatsEverything"), (3, "IgnoresDrains")])
-def test_a_module_that_breaks_a_rule_is_caught_through_the_wire(tmp_path, rule, rogue):
-    code, verdict = play(tmp_path, "small-cluster", "--decisions", f"gaproute.standins.rogues:{rogue}")
+@pytest.mark.parametrize("rule, violator", [(2, "RetriesEverything"), (3, "IgnoresDraining")])
+def test_a_module_that_breaks_a_rule_is_caught_through_the_wire(tmp_path, rule, violator):
+    code, verdict = play(
+        tmp_path, "small-cluster", "--decisions", f"gaproute.standins.rule_violators:{violator}"
+    )
     # what it breaks is broken on a late machine as well; that nothing else is, a void play does not tell
     assert code in (1, 3) and rule in {broken["rule"] for broken in verdict["broken"]}
 
@@ -108,7 +110,10 @@
         left = children(harness.pid)
         kinds = b" ".join(left.values())
         assert (
-            len(left) >= 6 and b"gaproute.cluster.wire" in kinds and b"serve" in kinds and b"clients" in kinds
+            len(left) >= 6
+            and b"gaproute.cluster.links" in kinds
+            and b"serve" in kinds
+            and b"clients" in kinds
         )
     finally:
         os.kill(harness.pid, signal.SIGKILL)
@@ -121,7 +126,7 @@
 
 def test_a_gate_lets_so_many_through_at_a_time_also_when_one_fails():
     loop, inside, most, ended = Loop(), [], [], []
-    gate = Gate(loop, 2)
+    gate = StartLimiter(loop, 2)
     gate.APART = 0
     loop.on_error = ended.append
 
@@ -143,11 +148,11 @@
 def test_a_late_list_never_undoes_a_newer_one_and_each_gateway_has_its_own_addresses(tmp_path):
     loop = Loop()
     script = read_script("small-cluster")
-    table, tap = Table(script.day, False), Tap(str(tmp_path / "run.tap"), loop.clock)
-    seats = Seats(script, 1, None, [], random.Random(1))
-    seat = seats.new()
+    table, tap = AddressPlan(script.day, False), Tap(str(tmp_path / "run.tap"), loop.clock)
+    seats = DayHosts(script, 1, None, [], random.Random(1))
+    seat = seats.create()
     seat.process = object()
-    lists = Lists(loop, tap, seats, table, tmp_path / "lists")
+    lists = GatewayHostLists(loop, tap, seats, table, tmp_path / "lists")
     lists.first()
     assert lists.path(0).read_text() != lists.path(1).read_text()
     old = lists.snapshot()
@@ -156,6 +161,6 @@
     lists.write(0, old)
     assert "state draining" in lists.path(0).read_text() and "state active" in lists.path(1).read_text()
     tap.flush()
-    told = [(event["gateway"], event["state"]) for event in read(tmp_path / "run.tap")]
+    told = [(event["gateway"], event["state"]) for event in read_tap(tmp_path / "run.tap")]
     assert told == [(0, "active"), (1, "active"), (2, "active"), (0, "draining")]
     loop.close()
--- a/tests/scenarios/test_platform.py
+++ b/tests/scenarios/test_platform.py
@@ -9,20 +9,27 @@
 
 import pytest
 
-from gaproute.judge import Facts, Kind, judge
-from gaproute.judge.facts import DEADLINE_SLACK
-from gaproute.scenarios.processes import Process
-from gaproute.standins.platform import charter
-from gaproute.standins.platform.listing import Listing, member
-from gaproute.standins.tap import Tap, read
+from gaproute.judge import DayTerms, HostPlace, RequestClassTerms, ViolationKind, judge
+from gaproute.judge.terms import DEADLINE_SLACK
+from gaproute.scenarios.processes import DayProcess
+from gaproute.standins.platform.gateway_configuration import (
+    RequestClassSettings,
+    deployment_settings,
+    make_configuration,
+    write_configuration,
+)
+from gaproute.standins.platform.host_list import VersionedHostList, member
+from gaproute.standins.tap import Tap, read_tap
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 LENGTH = 3 * SECOND
 DRAINED = "s-2"
 DRAIN = 1.5  # seconds after the first task
 TRACKS = [
-    charter.RequestClass("fault-check", earnings=3.0),
-    charter.RequestClass("repair-order", "effectful", contract=600 * MILLI, limit=4 * SECOND, earnings=3.0),
+    RequestClassSettings("fault-check", priority_weight=3.0),
+    RequestClassSettings(
+        "repair-order", "effectful", latency_objective=600 * MILLI, limit=4 * SECOND, priority_weight=3.0
+    ),
 ]
 KINDS = [
     {"name": "fault-check", "share": 0.8, "limit": 5 * SECOND, "pure": True},
@@ -45,8 +52,8 @@
         self.folder, self.processes = folder, []
         self.tap = Tap(folder / "run.tap", time.monotonic_ns)
 
-    def standin(self, kind, told):
-        process = Process(
+    def start_stand_in(self, kind, told):
+        process = DayProcess(
             [sys.executable, "-m", "gaproute.standins", kind], told, self.folder / f"{kind}.err"
         )
         self.processes.append(process)
@@ -54,10 +61,10 @@
 
     def gateway(self, place, changelog, known):
         name = f"g{place}"
-        command, environment = charter.write(
+        command, environment = write_configuration(
             self.folder,
-            charter.charter(
-                name, "127.0.0.2:0", changelog, known, charter.settings(TRACKS, gateways=2), seed=place + 1
+            make_configuration(
+                name, "127.0.0.2:0", changelog, known, deployment_settings(TRACKS, gateways=2), seed=place + 1
             ),
         )
         log = open(self.folder / f"{name}.log", "wb")
@@ -74,7 +81,7 @@
         raise AssertionError(f"{name} did not start")
 
     def play(self):
-        hosts, told = self.standin(
+        hosts, told = self.start_stand_in(
             "platform-host",
             {
                 "models": MODELS,
@@ -86,16 +93,16 @@
                 ],
             },
         )
-        listing = Listing()
+        listing = VersionedHostList()
         whole = listing.change(*[member(name, where) for name, where in told["addresses"].items()])
-        log, ways = self.standin(
+        log, ways = self.start_stand_in(
             "platform-log", {"gateways": ["127.0.0.2:0"] * 2, "tap": str(self.folder / "log.tap")}
         )
-        log.say(whole)
+        log.send(whole)
         gateways = [
-            self.gateway(place, where, listing.known()) for place, where in enumerate(ways["addresses"])
+            self.gateway(place, where, listing.snapshot()) for place, where in enumerate(ways["addresses"])
         ]
-        clients, _ = self.standin(
+        clients, _ = self.start_stand_in(
             "platform-clients",
             {
                 "gateways": [where for _, where in gateways],
@@ -108,8 +115,8 @@
             },
         )
         time.sleep(DRAIN)
-        hosts.say({"host": DRAINED, "trouble": "drain"})
-        log.say(listing.change(member(DRAINED, told["addresses"][DRAINED], "draining")))
+        hosts.send({"host": DRAINED, "trouble": "drain"})
+        log.send(listing.change(member(DRAINED, told["addresses"][DRAINED], "draining")))
         clients.child.wait(20)
         codes = []
         for child, _ in gateways:
@@ -124,8 +131,8 @@
 
     def end(self):
         for process in self.processes:
-            if isinstance(process, Process):
-                process.end()
+            if isinstance(process, DayProcess):
+                process.close()
             elif process.poll() is None:
                 process.kill()
                 process.wait()
@@ -138,27 +145,30 @@
         made.codes = made.play()
     finally:
         made.end()
-    made.hosts = {f"s-{number}": [read(made.folder / f"host-s-{number}.1.tap")] for number in range(3)}
-    made.clients = read(made.folder / "clients.tap")
-    made.told = read(made.folder / "log.tap")
-    made.run = read(made.folder / "run.tap") + made.told
+    made.hosts = {f"s-{number}": [read_tap(made.folder / f"host-s-{number}.1.tap")] for number in range(3)}
+    made.clients = read_tap(made.folder / "clients.tap")
+    made.told = read_tap(made.folder / "log.tap")
+    made.run = read_tap(made.folder / "run.tap") + made.told
     return made
 
 
-def facts():
-    return Facts(
-        {track.name: track.effect for track in TRACKS},
-        {track.name: track.group for track in TRACKS},
-        {track.name: track.remembers for track in TRACKS},
-        {f"s-{number}": ("hall-a", 0) for number in range(3)},
+def terms():
+    return DayTerms(
+        request_classes={
+            track.name: RequestClassTerms.from_track(track.effect, track.group, track.repeat_window)
+            for track in TRACKS
+        },
+        places={f"s-{number}": HostPlace("hall-a", "rack-0") for number in range(3)},
     )
 
 
 def test_the_day_is_served_without_a_broken_rule(day):
     ends = [event for event in day.clients if event["what"] in ("answer", "overdue", "left", "broken")]
     delivered = [event for event in ends if event.get("outcome") == "delivered"]
-    assert judge(facts(), day.hosts, day.clients, day.run) == []
-    assert len(ends) > 300 and len(delivered) > 0.95 * len(ends) and day.codes == [0, 0]
+    assert judge(terms(), day.hosts, day.clients, day.run) == []
+    assert len(ends) > 300
+    assert len(delivered) > 0.95 * len(ends)
+    assert day.codes == [0, 0]
     share = sum(event["gateway"] == 0 for event in ends) / len(ends)
     assert 0.65 < share < 0.85  # three to one, as told
 
@@ -175,10 +185,10 @@
     end = next(end for end in day.clients if end.get("id") == name)
     left = end["asked"] + end["patience"] - event["at"]
     assert 0 < event["limit"] <= left + DEADLINE_SLACK
-    for more, found in ((0, []), (MILLI, [Kind.DEADLINE])):
+    for more, found in ((0, []), (MILLI, [ViolationKind.DEADLINE_TOO_LONG])):
         forged = list(day.hosts[host][0])
         forged[place] = event | {"limit": left + DEADLINE_SLACK + more}
-        judged = judge(facts(), day.hosts | {host: [forged]}, day.clients, day.run)
+        judged = judge(terms(), day.hosts | {host: [forged]}, day.clients, day.run)
         assert [broken.kind for broken in judged] == found
 
 
@@ -189,4 +199,4 @@
     assert len(late) > 20  # it worked until then
     forged = late[-1] | {"at": max(event["at"] for event in told) + 2 * SECOND}
     hosts = day.hosts | {DRAINED: [day.hosts[DRAINED][0] + [forged]]}
-    assert 3 in {broken.rule for broken in judge(facts(), hosts, day.clients, day.run)}
+    assert 3 in {broken.rule for broken in judge(terms(), hosts, day.clients, day.run)}
