--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -32,7 +32,7 @@
 from gaproute.telemetry.record import Record
 
 # Added to the seed: each part draws from a chance of its own.
-CARRIER_SEED = 6  # which gateways are told of a table
+CARRIER_SEED = 6  # which gateways are sent a table
 SOURCES_SEED = 8  # the order of sources and the waits between attempts
 WRONG_LIST = "wrong host list"  # as operators read it
 WRONG_MEMBER = "wrong host of a source"
@@ -44,7 +44,7 @@
     `gateway`, `hosts` and `core` are the decisions, the connections to hosts and the request driver.
     `hosts_changed(rows)` is called with all hosts known each time that they change, before the decisions.
     `placeholder_gateway` knows no host: what gateways of a fleet without cells tell each other of hosts is
-    not told of cells.
+    not sent for cells.
     """
 
     def __init__(
--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -79,7 +79,7 @@
         except (BlockingIOError, InterruptedError):
             return
         self._close_ready_pipe()
-        if message:  # else it ended without a word
+        if message:  # else it ended without a message
             self.start_timer.cancel()
             self.ready.set(True)
 
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -27,7 +27,7 @@
 
 
 class FollowedCell:
-    """One cell: who follows its log, what that told, and which rejections were logged."""
+    """One cell: who follows its log, what came from there, and which rejections were logged."""
 
     follower: CellWatcher  # set as soon as it is made: it may call back while it is
 
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -48,7 +48,7 @@
 class PeerServices:
     """The parts that speak with other gateways; those that the configuration does not ask for are None.
 
-    `gateway`: the decisions, which are given and asked for observations. `cells`: told who the peers are.
+    `gateway`: the decisions, which are given and asked for observations. `cells`: notified of the peers.
     """
 
     def __init__(
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -66,7 +66,7 @@
 def warm_instances(appliance: Appliance) -> list[JsonObject]:
     """Warm instances as they are believed to be, the latest use first.
 
-    `by`: what speaks for each: an answer, a request sent there, or the gateway that told of it; `tried`:
+    `by`: what speaks for each: an answer, a request sent there, or the gateway that reported it; `tried`:
     whether that was followed yet.
     """
     functions = (pair for gateway in decisions(appliance) for pair in gateway.functions_by_name.items())
@@ -75,7 +75,7 @@
 
 
 def peer_table(appliance: Appliance) -> list[JsonObject]:
-    """The gateways that are known: membership's view, and what each told at the start."""
+    """The gateways that are known: membership's view, and what each sent at the start."""
     fetcher = appliance.peers.observation_client
     fetched = fetcher.state if fetcher else {}
     membership_transport = appliance.peers.membership_transport
@@ -130,7 +130,7 @@
 
 
 def _observations_given(peer_services: PeerServices) -> JsonObject | None:
-    """What other gateways were told when they asked."""
+    """What other gateways were sent when they asked."""
     server = peer_services.peer_server
     if server is None:
         return None
@@ -150,7 +150,7 @@
 
 
 def _instances(appliance: Appliance, name: str, function: Any) -> Iterator[JsonObject]:
-    """Those of one function: of own attempts, then those that others told of."""
+    """Those of one function: of own attempts, then those that others reported."""
     now = appliance.loop.now()
     for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
         for host, used_at in last_used.items():
--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -26,7 +26,7 @@
 MAX_CELLS_TRIED = 3  # for one request: what three cells rejected, a fourth would reject as well
 OVERDUE_FACTOR = 4  # mean durations before an attempt is overdue,
 OVERDUE_LOADS = 2  # and load times
-DEFAULT_LOAD_TIME = SECOND  # where none is told
+DEFAULT_LOAD_TIME = SECOND  # where the request has none
 
 # Why a cell rejected other than for its load.
 UNABLE_REASONS = (
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -167,7 +167,7 @@
             gateway.attempt_ended(now, outcome)
 
     def probe_ended(self, now: int, host: str, good: bool, report: Report | None) -> bytes | None:
-        """A health check's answer; returns what all other gateways are to be told, or None."""
+        """A health check's answer; returns the message for all other gateways, or None."""
         gateway = self.single or self.local.of_host(host)
         if gateway is None:
             return None
@@ -183,7 +183,7 @@
             gateway.load_order_ended(now, host, function, result, copies)
 
     def peer_message_received(self, now: int, payload: bytes, cell: str | None = None) -> None:
-        """Another gateway told of a host's load."""
+        """Another gateway's message about a host's load."""
         gateway = self.single or (self.local.gateways.get(cell) if cell is not None else None)
         if gateway is not None:
             gateway.peer_message_received(now, payload)
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -29,7 +29,7 @@
 
 
 class FleetScope(NamedTuple):
-    """What a gateway is told of the fleet that it is part of."""
+    """What a gateway knows of the fleet that it is part of."""
 
     gateways: int  # in the whole fleet
     regional_gateways: int  # in the own region
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -62,7 +62,7 @@
     forwarded: Forwarded
 
     def __new__(cls, entry: EntryGateway, until: int, forwarded: Forwarded) -> Self:
-        """An action as `Attempt`, with what the other gateway must be told."""
+        """An action as `Attempt`, with what the other gateway must know."""
         attempt = super().__new__(cls, entry.name, until)
         attempt.address, attempt.forwarded = entry.address, forwarded
         return attempt
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -29,7 +29,9 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 MAX_ENTRIES_TRIED = 2  # of one cell, for one request
-TRANSIT = 100 * MILLI  # between two gateways: by so much an entry's end may be later than the one it was told
+TRANSIT = (
+    100 * MILLI
+)  # between two gateways: by so much an entry's deadline may be later than the one that was sent to it
 
 
 class RemoteCells:
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -17,8 +17,8 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.shared.randomness import RandomSource
 
-# Ages that a hint has, as shares of the keep-alive. At least, however fresh it is: another's word is weaker
-# than one's own eyes; the decay leaves it 0.985 of its weight.
+# Ages that a hint has, as shares of the keep-alive. At least, however fresh it is: what another gateway
+# observed counts for less than an observation of one's own; the decay leaves it 0.985 of its weight.
 MIN_AGE_SHARE = 0.35
 # Further, by chance: gateways that learn the same at one moment rank the warm hosts differently, and do not
 # all send to one.
--- a/gaproute/decisions/routing/load_orders.py
+++ b/gaproute/decisions/routing/load_orders.py
@@ -46,7 +46,7 @@
         self.start(now, function)
         return LoadOrder(host.id, request.function, 1)
 
-    def for_crowd(
+    def for_busy_function(
         self, now: int, request: Request, function: Function, host: Host, outcome: Outcome
     ) -> LoadOrder | None:
         """An order for one more instance where requests of the function outnumber the lanes of those loaded.
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -43,11 +43,11 @@
         self.tenants: deque[int] = deque(maxlen=RATE_SAMPLES)  # of the last requests
         self.waiting, self.counted_at = 0, -JUDGEMENT_INTERVAL  # see `_count_waiting`
 
-    def request_came(self, tenant: int) -> None:
+    def record_request(self, tenant: int) -> None:
         """One more request of the tenant."""
         self.tenants.append(tenant)
 
-    def crowded(self, now: int, request: Request, request_class: RequestClass) -> bool:
+    def is_overloaded(self, now: int, request: Request, request_class: RequestClass) -> bool:
         """Whether to reject at once: requests in flight over the rate of answers promise too long a wait.
 
         Only attempts at loaded instances count on both sides: waits for loads are no sign of too much work.
@@ -87,7 +87,7 @@
             value *= self.over_share_value
         return BEARABLE_WAIT * self.answer_times.shortest_objective * (0.5 + 0.5 * value)
 
-    def sheds(self, now: int, request: Request, request_class: RequestClass, host: Host) -> bool:
+    def should_shed(self, now: int, request: Request, request_class: RequestClass, host: Host) -> bool:
         """Whether to reject since the queue at the best host promises a wait: the longer the likelier.
 
         By chance, so that one goes on learning. The wait is the host's load, else the usual one, times what a
--- a/gaproute/decisions/routing/outlier_detector.py
+++ b/gaproute/decisions/routing/outlier_detector.py
@@ -5,7 +5,7 @@
 from gaproute.decisions.routing.host import Host, HostResult
 from gaproute.decisions.routing.parameters import EVIDENCE_LIFETIME, JUDGEMENT_INTERVAL, SAMPLES
 
-SUSPECT_SHARE = 0.4  # of bad results below which no host is doubted: chance and lost answers strike all
+SUSPECT_SHARE = 0.4  # of bad results below which no host is doubted: chance and lost answers affect all
 GOOD_SAMPLES_GRANTED = 1.0  # to each host: one failure alone halves its worth, no more
 RECOVERY_DOUBT = 0.5  # while it is to get one attempt at a time until one is answered
 SLOW = 1.5  # times slower than usual before it counts: kinds of machine and work differ by as much
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -73,12 +73,12 @@
         if function.hinted_at:
             self.hints.consider(now, request.function, function)
         self.mix.add(request.function)
-        self.shedder.request_came(request.tenant)
-        self.slow_start.request_came(now)
+        self.shedder.record_request(request.tenant)
+        self.slow_start.record_request(now)
         request_class = self.request_classes[request.request_class]
         attempts = RequestAttempts()
         reason: RejectReason | None
-        if self.shedder.crowded(now, request, request_class):
+        if self.shedder.is_overloaded(now, request, request_class):
             reason = RejectReason.OVERLOADED
         else:
             reason = yield from _RequestRun(self, now, request, function, attempts).steps()
@@ -144,7 +144,7 @@
             give_up_at = self.give_up_at if self.now < self.give_up_at else self.end
             self.now, outcome = yield Wait(min(self.look_at, self.end, give_up_at))
             if outcome is None:
-                self._time_came()
+                self._wait_elapsed()
             elif outcome.result is Result.STREAM_STARTED:
                 yield from self._follow_stream(outcome)
                 return None
@@ -157,15 +157,17 @@
                 yield from self._not_delivered(outcome)
         return self.reason or RejectReason.NO_HOST_AVAILABLE
 
-    def _crowded(self) -> bool:
-        return self.router.shedder.crowded(self.now, self.request, self.request_class)
+    def _is_overloaded(self) -> bool:
+        return self.router.shedder.is_overloaded(self.now, self.request, self.request_class)
 
     def _choose_host(self) -> Host | None:
         """The host that gets the request now; None: wait, or reject where there is a `reason`."""
         router, now, attempts = self.router, self.now, self.attempts
         host = router.selector.choose(now, self.request, attempts)
         if host is not None:
-            if attempts.started or not router.shedder.sheds(now, self.request, self.request_class, host):
+            if attempts.started or not router.shedder.should_shed(
+                now, self.request, self.request_class, host
+            ):
                 return host
             self.reason = RejectReason.QUEUE_TOO_LONG
         elif attempts.in_flight:
@@ -176,14 +178,14 @@
             self.reason = RejectReason.NO_HOST_AVAILABLE
         return None
 
-    def _time_came(self) -> None:
+    def _wait_elapsed(self) -> None:
         """No outcome came in time: holds overdue attempts against their hosts, or rejects."""
         now, attempts = self.now, self.attempts
         if not attempts.in_flight:
             return
-        # Late work holds up the rest of a crowded fleet and is worth little: it is given up where it may be.
+        # Late work delays the rest of an overloaded fleet and is worth little, so it is given up.
         idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
-        if now >= self.give_up_at and idempotent and self._crowded():
+        if now >= self.give_up_at and idempotent and self._is_overloaded():
             self.reason = RejectReason.LATENCY_OBJECTIVE_MISSED
         elif self.look_at <= now < self.end:
             tracker = self.router.tracker
@@ -212,13 +214,13 @@
         load_orders = self.router.load_orders
         load_orders.limiter.delivered(self.now, self.arrived_at)
         self.router.sharing.request_delivered()
-        return load_orders.for_crowd(self.now, self.request, self.function, host, outcome)
+        return load_orders.for_busy_function(self.now, self.request, self.function, host, outcome)
 
     def _not_delivered(self, outcome: Outcome) -> Generator[Action, Any, None]:
         """Look for another host at once, or reject; order an instance where there was none."""
         now, host = self.now, self.settled_host
         self.look_at = now
-        if outcome.result is Result.FULL and not self.attempts.in_flight and self._crowded():
+        if outcome.result is Result.FULL and not self.attempts.in_flight and self._is_overloaded():
             # One refusal in a full fleet is proof enough; the client is answered at once.
             self.reason = RejectReason.HOST_FULL
         elif outcome.result is Result.NOT_LOADED and host is not None:
--- a/gaproute/decisions/routing/slow_start.py
+++ b/gaproute/decisions/routing/slow_start.py
@@ -27,7 +27,7 @@
         left = max(0, host.warm_at - now) / max(1, self.warm_up_time)
         return 1.0 - (1.0 - self.first_share) * left
 
-    def request_came(self, now: int) -> None:
+    def record_request(self, now: int) -> None:
         """With no host warm the first attempts to each come of requests, at most so many a second of all
         gateways together: requests come as fast as clients wish, and the less is answered the more they ask
         again.
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -114,7 +114,7 @@
         return True
 
     def _handle_message(self, body: bytes) -> None:
-        """Handles one message; an error over it is told under its number and spoils no other."""
+        """Handles one message; an error over it is answered under its number and harms no other."""
         try:
             self.front.handle_message(self, body)
         except ProtocolError as error:
@@ -131,7 +131,7 @@
             self._write_error(error)
             return
         if self.reading_ended:
-            return  # it has been told
+            return  # it has been answered
         self.front.protocol_errors += 1
         self.error_count += 1
         self.front.on_protocol_error(error.code, error.text)
--- a/gaproute/fronts/jsonrpc/errors.py
+++ b/gaproute/fronts/jsonrpc/errors.py
@@ -20,7 +20,7 @@
     """What came breaks the protocol, or finds no capacity."""
 
     def __init__(self, code: ErrorCode, text: str, request_number: int | None = None) -> None:
-        """`request_number`: of the request that the client is told it under, where that is known."""
+        """`request_number`: of the request in whose response the client gets it, where that is known."""
         super().__init__(text)
         self.code, self.text, self.request_number = code, text, request_number
 
--- a/gaproute/fronts/jsonrpc/front.py
+++ b/gaproute/fronts/jsonrpc/front.py
@@ -6,8 +6,8 @@
 | rejected | an error with the code for 'trying again is harmless', with how long to wait |
 | failed | any other error |
 
-A message that cannot be read is told so and its connection closed; one that is no request, or a request with
-something wrong in it, gets an error, and the connection goes on.
+A message that cannot be read is answered by an error and its connection closed; one that is no request, or a
+request with something wrong in it, gets an error, and the connection goes on.
 """
 
 from __future__ import annotations
@@ -111,7 +111,7 @@
     # Requests
 
     def handle_message(self, connection: ClientConnection, body: bytes) -> None:
-        """Handles a message of a client. Errors: ProtocolError, which the client is to be told."""
+        """Handles a message of a client. Errors: ProtocolError, which the client is to get."""
         message = decode_message(body)
         if message.method == cancellation.PING_METHOD:
             if message.number is not None:
--- a/gaproute/fronts/jsonrpc/requests.py
+++ b/gaproute/fronts/jsonrpc/requests.py
@@ -67,7 +67,7 @@
     max_wait: int  # how long the client waits, ns
     function: str
     concurrency: int  # requests that one warm instance runs at a time
-    load_time: int | None  # usual time of a load, ns, where told
+    load_time: int | None  # usual time of a load, ns, where the client sends it
     body: bytes  # base64, as it came
     idempotency_key: str  # "" where the class has none
 
--- a/gaproute/fronts/jsonrpc/responses.py
+++ b/gaproute/fronts/jsonrpc/responses.py
@@ -19,7 +19,7 @@
 
 
 def encode_error(number: int | None, code: ErrorCode, text: str, retry_after: int = 0) -> bytes:
-    """An error response. `retry_after`: how long the client should wait, ns; 0: it is not told."""
+    """An error response. `retry_after`: how long the client should wait, ns; 0: it is not said."""
     error: dict[str, object] = {"code": code, "message": text}
     if retry_after:
         error["data"] = {"w": -(-retry_after // NS_PER_MS)}
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -33,7 +33,7 @@
         is_ready: Callable[[], bool],
         load_report: Callable[[str], Report | None],
     ) -> None:
-        """`load_report(cell)`: the cell's load as other gateways are told it, where it is known."""
+        """`load_report(cell)`: the cell's load as it is sent to other gateways, where it is known."""
         super().__init__(server, core, configuration, is_ready)
         self.load_report = load_report
 
--- a/gaproute/fronts/kserve/responses.py
+++ b/gaproute/fronts/kserve/responses.py
@@ -1,4 +1,4 @@
-"""Responses to clients, with what is told beside the published form.
+"""Responses to clients, with what they hold beside the published form.
 
 | final answer | status | beside the published form |
 | --- | --- | --- |
--- a/gaproute/fronts/kserve/rest.py
+++ b/gaproute/fronts/kserve/rest.py
@@ -150,7 +150,7 @@
         self._answer(request, final, answer)
 
     def _rejected_status(self, request: Request, final: Final) -> int:
-        """The status by which a client is told that its request was rejected."""
+        """The status of the response to a rejected request."""
         return UNAVAILABLE
 
     def _answer(self, request: Request, final: Final, answer: Answer) -> None:
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -113,7 +113,7 @@
 
 
 def _has_length(response: Response) -> bool:
-    """Whether the end of the body was told in advance."""
+    """Whether the length of the body was given in advance."""
     headers = response.headers
     return response.status == NO_CONTENT or CONTENT_LENGTH in headers or TRANSFER_ENCODING in headers
 
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -155,7 +155,7 @@
         is_last = place == len(self.queue) - 1 and (self.closing or self.server.stopping)
         close = is_last or self.client_closed
         if close:
-            self.closing = True  # told with the answer: nothing more is taken
+            self.closing = True  # announced with the answer: nothing more is taken
         pending.data = render(status, headers, body, close=close)
         self._write_answers()
 
@@ -195,7 +195,7 @@
         """Closes a quiet connection; one on which a request lies unread or is coming in is answered first.
 
         With grace a quiet one is closed when it would be parked: the next request of a busy client, on its
-        way already, is answered and the close told with that answer.
+        way already, is answered and the close announced with that answer.
         """
         if self.reader.mid_message:
             self._set_deadline()
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -22,7 +22,7 @@
 
 
 class ErrorAnswer(NamedTuple):
-    """The headers and the body by which a client is told of an error."""
+    """The headers and the body of an error's answer."""
 
     headers: tuple[Header, ...]
     body: bytes
@@ -54,7 +54,7 @@
         counted: bool = False,
         inherited: socket.socket | None = None,
     ) -> None:
-        """`render_error(error)`: what a client is told that breaks the protocol or a limit; `counted` and
+        """`render_error(error)`: the answer to a client that breaks the protocol or a limit; `counted` and
         `inherited` as of `Acceptor`. Errors: OSError."""
         super().__init__(loop, address, counted=counted, inherited=inherited)
         self.handle, self.limits, self.render_error = handle, limits, render_error
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -88,7 +88,7 @@
     """Sends messages to peers and hands on theirs.
 
     `peers`: addresses as text by name, may be changed in place; `receive(sender, message)` is called for each
-    message that comes. `counts`: messages sent, heard, lost, and what was refused by reason.
+    message that comes. `counts`: messages sent, received (`heard`), lost, and what was refused by reason.
     """
 
     def __init__(
--- a/gaproute/shared/dissemination/bounds.py
+++ b/gaproute/shared/dissemination/bounds.py
@@ -6,7 +6,7 @@
 FANOUT = 4  # peers that a newer version is pushed to: pushes miss 1 in 50 without loss
 ANNOUNCE_INTERVAL = SECOND  # between two announcements at rest
 EAGER_INTERVAL = 200 * MILLISECOND  # between two while a version is new
-EAGER_TIME = 2 * SECOND  # that a version is new: what pushes missed is told within that
+EAGER_TIME = 2 * SECOND  # that a version is new: what pushes missed is sent within that
 PUSH_BYTES = 1_100  # of changes in one datagram: unfragmented everywhere
 
 # Fetching
--- a/gaproute/shared/dissemination/version_reports.py
+++ b/gaproute/shared/dissemination/version_reports.py
@@ -2,8 +2,8 @@
 
 This is a sample: the gateways that happened to announce to this one within the last seconds, at most
 `MAX_REPORTERS`. That all of them have a version makes it likely, and does not prove, that all of the fleet
-do; of a gateway that is cut off or that speaks with others only, it says nothing. Each is taken at its word.
-Times are in ns.
+do; of a gateway that is cut off or that speaks with others only, it says nothing. Each is believed without a
+check. Times are in ns.
 """
 
 from dataclasses import dataclass
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -1,6 +1,6 @@
 """Leases that this gateway holds for somebody who asks at the operators' address, such as a crew.
 
-Whoever asked may die without a word, and the gateway would renew its lease for ever. So each request has a
+Whoever asked may die without a release, and the gateway would renew its lease for ever. So each request has a
 deadline of its own, by this gateway's clock from when it was made; who still needs the lease extends it in
 time. The asker counts from when it sent its own question, which was earlier, so its deadline is never the
 later one. A crew that forgets to extend works on without a lease, as if the gateway had died.
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -200,7 +200,7 @@
         self._update_excess(lease.resource)
 
     def pop_change(self) -> ExpiryUpdate | None:
-        """What the entries since the last call changed last, if any; it is told once."""
+        """What the entries since the last call changed last, if any; it is returned once."""
         change, self.last_change = self.last_change, None
         return change
 
--- a/tests/decisions/routing/test_load_shedder.py
+++ b/tests/decisions/routing/test_load_shedder.py
@@ -34,10 +34,10 @@
     made.answer_times.shortest_objective, made.shedder.top_priority_weight = short.latency_objective, 3.0
     made.throughput.answers.extend(range(0, 640 * MILLI, 10 * MILLI))
     made.tracker.in_flight = {(str(n), 0): InFlightAttempt("a", "f", 0, n, True) for n in range(75)}
-    assert made.shedder.crowded(640 * MILLI, task(), IDEMPOTENT)
-    assert not made.shedder.crowded(640 * MILLI, task(), short)
+    assert made.shedder.is_overloaded(640 * MILLI, task(), IDEMPOTENT)
+    assert not made.shedder.is_overloaded(640 * MILLI, task(), short)
     made.tracker.in_flight = {(str(n), 0): InFlightAttempt("a", "f", 0, n, True) for n in range(70)}
-    assert made.shedder.crowded(SECOND, task(), short)
+    assert made.shedder.is_overloaded(SECOND, task(), short)
 
 
 def test_a_full_fleet_rejects_at_once():
@@ -64,7 +64,12 @@
     queues(made, 40)
     worker = made.hosts_by_id["d"]
     assert (
-        sum([made.shedder.sheds(SECOND, task(), made.terms.request_classes[0], worker) for _ in range(20)])
+        sum(
+            [
+                made.shedder.should_shed(SECOND, task(), made.terms.request_classes[0], worker)
+                for _ in range(20)
+            ]
+        )
         > 15
     )
 
@@ -91,7 +96,7 @@
     made.throughput.drain_times.extend([(0, 2 * SECOND)] * SAMPLES)
     crowd(made, "a", USUAL_CONCURRENCY - 1, SECOND)
     assert not any(
-        made.shedder.sheds(SECOND, task(), made.terms.request_classes[0], made.hosts_by_id["a"])
+        made.shedder.should_shed(SECOND, task(), made.terms.request_classes[0], made.hosts_by_id["a"])
         for _ in range(20)
     )
 
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -100,7 +100,7 @@
     made = gateway(*[row(f"c{number}", started=0) for number in range(4)], gateways=2)
     worker, earned = made.hosts_by_id["c0"], 0.0
     for now in range(0, SECOND, SECOND // 1000):
-        made.slow_start.request_came(now)
+        made.slow_start.record_request(now)
         earned, worker.credit = earned + worker.credit, 0.0  # spent at once
     assert 0.4 < earned <= 0.5  # half of one: the other gateway earns as much
 
