--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -167,13 +167,16 @@
         """Logs the role, a failure of the disk and the members, each where it has changed."""
         role, failure = node.role.value, node.storage_failure
         members = [member.name for member in node.members]
-        state = {"term": node.term, "leader": node.leader}
         if node.role in (Role.LEADER, Role.FOLLOWER) and self._has_changed("role", role):
-            self.record.event("info", "raft_role_changed", role=role, **state)
+            self.record.event("info", "raft_role_changed", role=role, term=node.term, leader=node.leader)
         if self._has_changed("failure", failure):
-            self.record.event("error", "raft_storage_failed", error=failure, **state)
+            self.record.event(
+                "error", "raft_storage_failed", error=failure, term=node.term, leader=node.leader
+            )
         if self._has_changed("members", members):
-            self.record.event("info", "raft_members_changed", members=members, **state)
+            self.record.event(
+                "info", "raft_members_changed", members=members, term=node.term, leader=node.leader
+            )
 
     def _has_changed(self, what: str, value: Any) -> bool:
         """Whether the value is another one than that of the last call, and not empty."""
