--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -97,7 +97,7 @@
         self._put_in_force()
 
     def _put_in_force(self, *, changed: bool = False) -> None:
-        """Uses the newest lists that go together; `changed`: they differ from those of the last call in any case."""
+        """Uses the newest lists that go together; `changed`: they differ from those of the last call anyway."""
         lists, conflicts = self._consistent()
         for cell, mistake in conflicts.items():
             if self.conflicts.get(cell) != mistake:
