--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -26,8 +26,8 @@
     def __init__(self):
         self.events = []
 
-    def event(self, level, what, **told):
-        self.events.append((level, what, told))
+    def event(self, level, what, **fields):
+        self.events.append((level, what, fields))
 
 
 class Group:
@@ -116,8 +116,8 @@
     group.until(lambda: len(node.machine.leases) == 2)
     assert not any(host.node.breaches for host in group.hosts.values() if host.node)
     assert "leader" in [
-        told["role"]
-        for _, what, told in group.hosts[group.leader].record.events
+        fields["role"]
+        for _, what, fields in group.hosts[group.leader].record.events
         if what == "raft_role_changed"
     ]
 
