--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -79,7 +79,7 @@
         return dict(self.rejected) | sent
 
     def stop(self) -> None:
-        """Looks at no file, and neither tells nor hears any more."""
+        """Looks at no file, and neither sends nor receives any more."""
         if self.watch is not None:
             self.watch.close()
         self.carrier.stop()
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -99,7 +99,7 @@
         self._put_in_force()
 
     def reload(self) -> None:
-        """Nothing to do: a log tells by itself, where files would be read anew."""
+        """Nothing to do: a log sends by itself, where files would be read anew."""
 
     def current_at(self) -> dict[str, int | None]:
         """{cell: when its list was last known to be as it is in force, before the change at hand}, ns."""
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -11,7 +11,7 @@
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 
-NO_START = 0  # ns since 1970, of a host whose start the list does not tell
+NO_START = 0  # ns since 1970, of a host whose start the list does not have
 
 
 class HostList:
@@ -51,7 +51,7 @@
             )
 
     def states(self) -> dict[str, tuple[str, int]]:
-        """Of each host its state, and its start as the list tells it, ns since 1970 or `NO_START`."""
+        """Of each host its state, and its start by the list, ns since 1970 or `NO_START`."""
         start_times = self.listing.start_times
         return {
             name: (row.listed.state.value, start_times.reported(name) or NO_START)
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -38,7 +38,7 @@
 
 # Added to the seed: each part draws from a chance of its own.
 OBSERVATIONS_SEED, MEMBERSHIP_SEED, GOSSIP_SEED, LEASES_SEED = 1, 2, 4, 5
-LAST_RUN = "past life"  # the origin of what the store tells, as operators read it
+LAST_RUN = "past life"  # the origin of what the store holds, as operators read it
 FORWARDED_HEADER_BYTES = 4096  # of headers that a gateway adds to a client's
 # Of those that ask at a gateway that takes part in leases: batches are long, and every gateway of a large
 # fleet may have a connection to each member of the group.
@@ -172,7 +172,7 @@
         return self.follower.follow(self.gateway, self.loop.now(), starts, subjects)
 
     def observations_complete(self) -> None:
-        """All that one source tells has come: the mix of functions is known now."""
+        """All that one source sends has come: the mix of functions is known now."""
         self.gateway.hint_function_mix(self.observations.request_mix())
 
     def cpu_spent(self) -> int:
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -56,7 +56,7 @@
             super().start_attempt(key, number, attempt, now)
 
     def reject(self, key: str, rejection: face.Reject) -> None:
-        """Rejects a request; its final answer tells where this gateway does not know the cell."""
+        """Rejects a request; its final answer says so where this gateway does not know the cell."""
         self.in_flight[key].cell_unknown = isinstance(rejection, CellUnknown)
         super().reject(key, rejection)
 
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""What attempts tell of cells, entries and functions: outcomes taken to health, demand, loads and entries."""
+"""What attempts show of cells, entries and functions: outcomes taken to health, demand, loads and entries."""
 
 from typing import NamedTuple
 
--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class CellRecord:
-    """What was heard of a cell of late."""
+    """What was received from a cell of late."""
 
     last_heard: int = -1  # ns
     overdue: dict[str, int] = field(default_factory=dict)  # host or entry: when the overdue request was sent
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -1,7 +1,7 @@
 """Which cells requests may be sent to, by this gateway's own proof alone: circuit breakers for cells.
 
 A cell has a fault when none of its hosts or entries can be reached, when requests by two of them are overdue
-and nothing was heard from it since, when it rejects most requests, or when it answers from warm instances far
+and nothing came from it since, when it rejects most requests, or when it answers from warm instances far
 slower than is usual. Zones, regions and all that lies outside the own zone or region have one when they are
 silent (`silence`). Errors are no proof: a function may fail everywhere.
 
@@ -9,8 +9,8 @@
 functions come back one by one over a recovery ramp, in an order that all gateways nearly share, so that the
 instances lost meanwhile are loaded at a steady pace.
 
-Invariants: a domain with a fault has at most one trial out; backoffs grow up to `MAX_BACKOFF`; nothing heard
-from other gateways makes or ends a fault.
+Invariants: a domain with a fault has at most one trial out; backoffs grow up to `MAX_BACKOFF`; no message
+of other gateways makes or ends a fault.
 """
 
 from collections.abc import Mapping
@@ -122,7 +122,7 @@
         """Whether no idempotent request came to be the trial, long after one was due."""
         return all(now >= fault.next_trial_at + IDEMPOTENT_TRIAL_WAIT for fault in self._current_faults(name))
 
-    # What is heard
+    # What is received
 
     def trial_sent(self, now: int, name: str) -> None:
         """A trial goes to the cell; one that went before had no answer."""
--- a/gaproute/decisions/cells/loads.py
+++ b/gaproute/decisions/cells/loads.py
@@ -1,4 +1,4 @@
-"""How loaded the cells are, as far as this gateway heard lately, and the draw between two of them.
+"""How loaded the cells are, by the reports of the last seconds, and the draw between two of them.
 
 Each request of a function with several homes draws two of them, in proportion to capacity, and takes the less
 loaded the more likely, the more their loads differ (the power of two choices, Mitzenmacher 2001, with a
@@ -20,7 +20,7 @@
 MIN_REPORT_INTERVAL = SECOND // 10  # as which shorter intervals between reports count
 MEAN_WEIGHT = 1 / 256  # of one report in the mean of all
 SLOPE = 12.0  # of the probability by the difference of two loads over the mean: a tenth shifts it by 0.6
-MIN_PROBABILITY = 0.05  # of the more loaded one: it is still heard of
+MIN_PROBABILITY = 0.05  # of the more loaded one: its reports still come
 MAX_DRAWS = 8  # until one passes by its capacity
 
 
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -90,7 +90,7 @@
         return cached.load
 
     def report(self, now: int, name: str) -> Report | None:
-        """What an entry tells of its cell with each answer; None of a cell that it does not know."""
+        """The load of the cell that an entry sends with each answer; None of a cell that it does not know."""
         return Report(in_hand=self.load(now, name)) if name in self.gateways else None
 
     def housekeep(self, now: int) -> Iterator[Action]:
--- a/gaproute/decisions/cells/silence.py
+++ b/gaproute/decisions/cells/silence.py
@@ -1,16 +1,16 @@
 """Which zones and regions are silent, by requests to their cells that are overdue.
 
-Overdue requests to two cells of a zone, with nothing heard from the zone since, show that the zone is silent,
+Overdue requests to two cells of a zone, with no answer from the zone since, show that the zone is silent,
 and two such zones of a region that the region is: else each of their cells would cost requests of its own. In
-the same way overdue requests to three zones, with nothing heard from any zone but the own one since, show
-that the own zone is cut off; three zones of other regions, with nothing heard from any of these, that the own
+the same way overdue requests to three zones, with no answer from any zone but the own one since, show
+that the own zone is cut off; three zones of other regions, with no answer from any of these, that the own
 region is. One domain may be lost or slow; that all fall silent at one moment is the fault of the own side.
 
-A single overdue request makes its zone, and all outside the own zone or region, suspected until something is
-heard from there: requests that must not run twice avoid a suspected domain, as they would be lost with it,
+A single overdue request makes its zone, and all outside the own zone or region, suspected until an answer
+comes from there: requests that must not run twice avoid a suspected domain, as they would be lost with it,
 and the proof is left to those that may be sent again.
 
-Invariant: whatever is heard from a domain ends its suspicion, which lasts `MAX_SUSPICION` at most after a
+Invariant: any answer from a domain ends its suspicion, which lasts `MAX_SUSPICION` at most after a
 request.
 """
 
@@ -29,11 +29,11 @@
 MAX_DOMAINS = 256  # of which the last answer is remembered before those that the table lacks are sought out
 MIN_SILENT_PARTS = 2  # hosts or entries of a cell, cells of a zone, zones of a region: one may be slow work
 MIN_SILENT_ZONES = 3  # by which the own zone or region is cut off: a region that is lost has two or three
-NEVER = -1  # when nothing was heard
+NEVER = -1  # when there was no answer
 
 
 class _KnownCell(NamedTuple):
-    """A cell of which something was heard or is overdue."""
+    """A cell that has answered or has an overdue request."""
 
     cell: Cell
     record: CellRecord
@@ -42,8 +42,8 @@
 class SilenceDetector:
     """Judges domains by the records of their cells. `own`: where this gateway is, if that is known.
 
-    `last_heard` and `suspected` are by zone and by what lies outside the own zone or region: when something
-    was heard from there last, and when a request to it was found overdue.
+    `last_heard` and `suspected` are by zone and by what lies outside the own zone or region: when the last
+    answer came from there, and when a request to it was found overdue.
     """
 
     def __init__(self, own: GatewayLocation | None) -> None:
@@ -79,7 +79,7 @@
         return *self.outside(cell.region, cell.zone), *around
 
     def record_answer(self, now: int, cell: Cell) -> None:
-        """Something was heard from the cell."""
+        """An answer came from the cell."""
         for domain in self._wide_domains(cell):
             self.last_heard[domain] = now
             self.suspected.pop(domain, None)
@@ -142,7 +142,7 @@
     def _known_cells(
         self, scope: FaultScope, name: str, records: Mapping[str, CellRecord]
     ) -> list[_KnownCell]:
-        """The cells of a domain of which anything was heard or is overdue."""
+        """The cells of a domain that have answered or have an overdue request."""
         known = (_KnownCell(self.cells[cell], record) for cell, record in records.items())
         return [each for each in known if getattr(each.cell, scope.value) == name]
 
--- a/gaproute/fronts/jsonrpc/errors.py
+++ b/gaproute/fronts/jsonrpc/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the protocol: what a client sent cannot be served, and the code that tells it so."""
+"""Errors of the protocol: what a client sent cannot be served, and the code that says so."""
 
 from enum import IntEnum
 
--- a/gaproute/fronts/kserve/entry.py
+++ b/gaproute/fronts/kserve/entry.py
@@ -1,6 +1,6 @@
 """The front at which other gateways forward calls to this one: the clients' form at the address of its peers.
 
-It answers them as a client's, but that it tells the cell's load and what the call found at the host, and that
+It answers them as a client's, but that it adds the cell's load and what the call found at the host, and that
 a rejected call that provably never ran is answered 404 where this gateway does not know the cell, else 429,
 in place of 503: by the results of the hosts (`gaproute.hosts.results`) these two alone prove that. Any other
 rejected call stays 503 and a failed one stays 504, which prove nothing.
@@ -57,7 +57,7 @@
         return CELL_UNKNOWN if final.cell_unknown else NEVER_RAN
 
     def _metrics(self, cell: str, found: Found) -> tuple[Header, ...]:
-        """The header that tells the cell's load and what the call found, as far as they are known."""
+        """The header with the cell's load and what the call found, as far as they are known."""
         report = self.load_report(cell)
         metrics: dict[str, float] = {}
         if report is not None and report.in_hand is not None:
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -50,7 +50,7 @@
 class ObservationClient:
     """Learns from peers.
 
-    `follow(subjects)` tells the decisions of what is now known of them and returns how many
+    `follow(subjects)` notifies the decisions of what is now known of them and returns how many
     hints were taken; `completed()` is called at the end of each snapshot.
     """
 
@@ -123,7 +123,7 @@
                 continue
             self._end_round(peer, progress, answer)
             if not progress.mark:
-                return  # version 1 tells no changes
+                return  # version 1 sends no changes
             yield self._loop.sleep(POLL_INTERVAL)
 
     def _end_round(self, peer: Peer, progress: PeerProgress, answer: observation_wire.Answer) -> None:
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -1,6 +1,6 @@
 """The cell table on sockets: the dissemination's messages by the membership's datagrams and by pulls.
 
-Nothing of the gateway rests on it: while no peer is heard the last table serves on. The members that the
+Nothing of the gateway rests on it: while no peer answers the last table serves on. The members that the
 membership knows are taken for the gateways of the own cell. Times are in ns.
 """
 
@@ -120,7 +120,7 @@
         self._finish_turn(self.disseminator.publish(self.loop.now(), encoded))
 
     def propagation(self, version: Version) -> Propagation:
-        """How far that version has come, as far as this gateway heard."""
+        """How far that version has come, by the reports that came here."""
         return self.disseminator.version_reports.propagation(self.loop.now(), version)
 
     def candidates(self, near: tuple[Peer, ...]) -> Candidates:
