--- a/gaproute/cluster/process_faults.py
+++ b/gaproute/cluster/process_faults.py
@@ -11,7 +11,7 @@
 from gaproute.cluster.context import ClusterContext
 from gaproute.cluster.gateways import ClusterGateways
 from gaproute.cluster.processes import ClockSkew, ClusterProcesses
-from gaproute.cluster.script_lines import HostListFaultLine, ProcessFaultLine
+from gaproute.cluster.script_lines import EndSignal, HostListFaultLine, ProcessFaultKind, ProcessFaultLine
 from gaproute.cluster.slot_sets import NamedSlot
 from gaproute.scenarios.processes import Routine
 
@@ -39,15 +39,15 @@
         self.slots, self.run_together = slots, run_together
 
     def numbers_of(self, line: ProcessFaultLine | HostListFaultLine) -> list[int]:
-        """The gateways that a line is about, drawn by its own chance: the same whatever else happens."""
+        """The gateways that a line concerns, drawn by the line's own generator."""
         terms = slot_sets.parse_set(line.on)
         names = slot_sets.select_names(terms, self.slots(), self.context.line_random(line))
         return [int(name[1:]) for name in names if name.startswith("g")]
 
     def set_clocks(self) -> None:
-        """Notes which gateways have a wrong clock, before they start."""
+        """Decides which gateways have a wrong clock, before they start."""
         for line in self.context.script.process_faults:
-            if line.kind == "clock":
+            if line.kind is ProcessFaultKind.CLOCK:
                 numbers = self.numbers_of(line)
                 self.gateways.clocks |= dict.fromkeys(numbers, ClockSkew(line.rate, line.offset))
                 self.context.tap.note(
@@ -55,16 +55,16 @@
                 )
 
     def run(self, line: ProcessFaultLine) -> Routine:
-        """A coroutine: one line from its time to its end."""
+        """A coroutine: carries out one line from its time to its end."""
         yield self.loop.sleep(line.at)
         numbers = self.numbers_of(line)
         self.context.report(f"{line.at / SECOND:5.1f} s  {line.kind} {len(numbers)} gateways")
         self.context.tap.note("strike", kind=line.kind, gateways=numbers, lasts=line.lasts)
-        if line.kind == "stop":
+        if line.kind is ProcessFaultKind.PAUSE:
             yield from self.run_together([self.gateways.pause(number, line.lasts) for number in numbers])
-        elif line.kind == "starve" and line.core:
+        elif line.kind is ProcessFaultKind.STARVE and line.core:
             yield from self._crowd(numbers, line.lasts)
-        elif line.kind == "starve":
+        elif line.kind is ProcessFaultKind.STARVE:
             until = self.loop.now() + line.lasts
             yield from self.run_together(
                 [self.gateways.starve(number, until, line.duty) for number in numbers]
@@ -73,8 +73,8 @@
             yield from self._restart(line, numbers)
 
     def _restart(self, line: ProcessFaultLine, numbers: Sequence[int]) -> Routine:
-        """A coroutine: ended and started again, so many at a time."""
-        killed = line.kind == "kill" or line.signal == "KILL"
+        """A coroutine: ends the gateways and starts them again, `batch` of them at a time."""
+        killed = line.kind is ProcessFaultKind.KILL or line.signal is EndSignal.KILL
         ending = signal.SIGKILL if killed else signal.SIGTERM
         batch = line.batch or len(numbers)
         for place in range(0, len(numbers), batch):
@@ -86,9 +86,9 @@
             )
 
     def _crowd(self, numbers: Iterable[int], span: int) -> Routine:
-        """A coroutine: all of them on the last core, beside a process that never rests.
+        """A coroutine: runs all of them on the last core, beside a process that never rests.
 
-        Judged as if they were paused: they are, again and again.
+        They are judged as if they were paused, since each is without a core again and again.
         """
         cores = sorted(os.sched_getaffinity(0))
         busy = self.processes.start([BUSY_MODULE], None, "spin.err", reads_output=False)
@@ -105,6 +105,6 @@
 
 
 def pin(child: subprocess.Popen[bytes], cores: Sequence[int]) -> None:
-    """From now on the process runs on these cores alone; without effect where it has ended."""
+    """Restricts a process to these cores; does nothing if it has ended."""
     if child.poll() is None:
         os.sched_setaffinity(child.pid, cores)
