--- a/gaproute/hollow/simulation/fleet.py
+++ b/gaproute/hollow/simulation/fleet.py
@@ -11,7 +11,7 @@
 from gaproute.hollow.simulation.lists import HostLists, MemoryFile
 from gaproute.hollow.simulation.loop import GatewayLoop, SimulatedLoop
 from gaproute.hollow.simulation.network import Network, SimulatedCarrier, SimulatedDatagrams
-from gaproute.simulation.disk import Disk
+from gaproute.simulation.disk import SimulatedDisk
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 BORN = 1_790_000_000 * SECOND  # of the simulated clock, in ns since 1970
@@ -89,8 +89,8 @@
         return gateway
 
     def _disk(self, name):
-        disk = self.disks.setdefault(name, Disk())
-        disk.opened()
+        disk = self.disks.setdefault(name, SimulatedDisk())
+        disk.open()
         return disk
 
     def wall(self):
