--- a/gaproute/cluster/platform/change_log.py
+++ b/gaproute/cluster/platform/change_log.py
@@ -12,12 +12,12 @@
 from gaproute.cluster.host_lists import GATHER_TIME, HostPublisher
 from gaproute.cluster.hosts import ClusterHosts
 from gaproute.cluster.link_faults import LinkFaultSchedule
-from gaproute.cluster.links.faults import Traffic
+from gaproute.cluster.links.faults import LinkTraffic
 from gaproute.cluster.processes import ClusterProcesses
 from gaproute.cluster.script_lines import HostListFaultKind, HostListFaultLine, LinkFaultLine
 from gaproute.scenarios.hosts import DayHost, ListedState
 from gaproute.scenarios.processes import DayProcess, Routine
-from gaproute.standins.platform.host_list import VersionedHostList, member
+from gaproute.standins.platform.host_list import Snapshot, VersionedHostList, member
 
 MILLI = 1_000_000
 
@@ -47,9 +47,9 @@
         """Ends the process's input, at which the process ends."""
         self.process.close_input()
 
-    def known_to(self, number: int) -> dict[str, Any]:
+    def known_to(self, number: int) -> Snapshot:
         """The host list for the file of a gateway that starts now."""
-        snapshot: dict[str, Any] = self._list.snapshot()
+        snapshot = self._list.snapshot()
         for event in snapshot["results"]:
             event["fleet"]["members"] = [
                 row | {"host_port": row["host_port"][number]} for row in event["fleet"]["members"]
@@ -84,7 +84,7 @@
             if (f"g{number}" in source and f"l{number}" in destination)
             or (f"g{number}" in destination and f"l{number}" in source)
         ]
-        if not numbers or line.traffic is Traffic.DATAGRAMS:
+        if not numbers or line.traffic is LinkTraffic.DATAGRAMS:
             return
         self.process.send({"trouble": "elsewhere", "gateways": numbers})
         yield self.loop.sleep(line.lasts)
