--- a/gaproute/simulation/campaigns/checks.py
+++ b/gaproute/simulation/campaigns/checks.py
@@ -2,8 +2,13 @@
 
 from collections.abc import Iterator
 
-from gaproute.rollouts.dispatcher import pool
-from gaproute.rollouts.invariants import check_floor, check_groups, check_loads, check_spend
+from gaproute.rollouts.dispatcher import pool_name
+from gaproute.rollouts.invariants import (
+    check_dispatcher,
+    check_groups,
+    check_loads,
+    check_reservations,
+)
 from gaproute.shared.leases.invariants import check_client
 from gaproute.simulation.campaigns.fleet import RAFT_NODES
 from gaproute.simulation.campaigns.gateway import SimulatedGateway
@@ -47,13 +52,13 @@
     def _check_host(self, host: SimulatedHost) -> Iterator[str]:
         lanes = host.lanes
         if lanes.rollouts > host.lendable:
-            yield f"room never overspent: {lanes.rollouts} of {host.lendable} lanes at {host.name}"
+            yield f"capacity never overspent: {lanes.rollouts} of {host.lendable} lanes at {host.name}"
         if len(lanes.running) > host.spec.lanes:
             yield f"a host runs as many as it has lanes: {host.name}"
 
     @staticmethod
     def _check_gateway(gateway: SimulatedGateway, now: int) -> Iterator[str]:
-        yield from check_spend(gateway.dispatcher, now)
+        yield from check_dispatcher(gateway.dispatcher, now)
         yield from check_groups(gateway.rollouts.groups)
         yield from check_loads(gateway.copies.limiter)
         yield from check_client(gateway.leases)
@@ -68,15 +73,14 @@
                     if request.valid_at(own_time):
                         leased[request.resource] = leased.get(request.resource, 0) + request.amount
         for name, lanes in self.fleet.lendable.items():
-            amount = leased.get(pool(name), 0)
+            amount = leased.get(pool_name(name), 0)
             if amount > max(1, lanes):
-                yield f"room never overspent: leases of {amount} of {lanes} lanes at {name}"
+                yield f"capacity never overspent: leases of {amount} of {lanes} lanes at {name}"
 
     def check_floors(self, simulation: Simulation) -> list[str]:
         """The lanes that are never lent."""
         hosts = list(self.fleet.hosts.values())
-        violations: list[str] = check_floor(hosts, self.fleet.lendable, self.fleet.floors)
-        return violations
+        return check_reservations(hosts, self.fleet.lendable, self.fleet.floors)
 
     def check_task(
         self, simulation: Simulation, slot: ProcessSlot, to: str, message: object
@@ -99,8 +103,8 @@
     @staticmethod
     def _check_version(gateway: SimulatedGateway, task: str, copy: Copy) -> Iterator[str]:
         rollouts = gateway.rollouts
-        newest = rollouts.weights.now[copy.campaign]
-        if newest - copy.version > rollouts.campaigns[copy.campaign].old:
+        newest = rollouts.weights.current[copy.campaign]
+        if newest - copy.version > rollouts.campaigns[copy.campaign].max_version_lag:
             yield f"too old is not run: {task} of version {copy.version}, now {newest}"
         group = rollouts.groups.open.get(rollouts.sent[task].group)
         if group is not None and group.version != copy.version:
--- a/gaproute/simulation/campaigns/host.py
+++ b/gaproute/simulation/campaigns/host.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from gaproute.rollouts.campaign import WAY
+from gaproute.rollouts.campaign import MAX_TRAVEL_TIME
 from gaproute.simulation.campaigns.messages import (
     CancelTask,
     Copy,
@@ -95,7 +95,7 @@
     @property
     def free_room(self) -> int:
         """Copies that may still be loaded."""
-        return self.spec.room - len(self.copies) - len(self.loading)
+        return self.spec.copy_capacity - len(self.copies) - len(self.loading)
 
     def tick(self, now: int) -> OutgoingMessages:
         """Ends what is due."""
@@ -158,7 +158,7 @@
         )
 
     def _take_task(self, now: int, sender: str, task: Task) -> OutgoingMessages:
-        if task.copy is not None and self.scene.true_time() - task.sent_at > WAY:
+        if task.copy is not None and self.scene.true_time() - task.sent_at > MAX_TRAVEL_TIME:
             return []  # its connection was closed before it arrived
         if task.name in self.lanes.running:
             return []  # duplicated on its way: a stream has each byte once
--- a/gaproute/simulation/campaigns/record.py
+++ b/gaproute/simulation/campaigns/record.py
@@ -69,7 +69,7 @@
 
     def record_delivery(self, campaign: str, group: str) -> None:
         """A gateway delivers the group as complete; the hosts recorded by which versions it was answered."""
-        size = self.campaigns[campaign].group
+        size = self.campaigns[campaign].group_size
         versions = {self._answered_by.pop(f"{group}/{number}", None) for number in range(size)}
         if len(versions) != 1 or None in versions:
             self.violations.append(f"no version mixing: group {group} by {sorted(map(str, versions))}")
--- a/gaproute/simulation/campaigns/trainer.py
+++ b/gaproute/simulation/campaigns/trainer.py
@@ -15,7 +15,7 @@
     def step(self, simulation: Simulation) -> None:
         """Moves on the campaigns whose step is complete; notifies the first gateway that runs."""
         for name, campaign in self.fleet.campaigns.items():
-            if self.progress.delivered[name] >= campaign.tasks * self.progress.versions[name]:
+            if self.progress.delivered[name] >= campaign.rollouts_per_step * self.progress.versions[name]:
                 self.progress.versions[name] += 1
                 for gateway in self.fleet.gateways:
                     if self._notify(simulation, gateway, name):
--- a/gaproute/simulation/rounds/host.py
+++ b/gaproute/simulation/rounds/host.py
@@ -1,11 +1,10 @@
 """A host of a maintenance run: its true copies, the orders it follows, its restarts."""
 
-from gaproute.maintenance.warm_capacity import HostReport
+from gaproute.maintenance.host_report import HostReport, OrderMark
 from gaproute.simulation.process_slot import OutgoingMessages
 from gaproute.simulation.rounds.messages import (
     Drain,
     LoadCopy,
-    Mark,
     Probe,
     ProbeReply,
     Restart,
@@ -103,24 +102,24 @@
     def _report(self, now: int) -> HostReport:
         self.in_flight = [end for end in self.in_flight if end > now]
         return HostReport(
-            asked=0,
-            start=self.start,
+            asked_at=0,
+            incarnation=self.start,
             draining=self.draining,
-            mark=self.memory.mark,
-            hands=len(self.in_flight),
-            power=COLD_POWER if self.warm_at else FULL_POWER,
-            free=self.spec.slots - len(self.copies) - len(self.loading),
-            copies=tuple(self.copies),
-            loading=tuple(self.loading),
-            done=self.memory.restarted_for,
+            last_order=self.memory.mark,
+            in_flight=len(self.in_flight),
+            capacity=COLD_POWER if self.warm_at else FULL_POWER,
+            free_slots=self.spec.slots - len(self.copies) - len(self.loading),
+            warm_functions=tuple(self.copies),
+            loading_functions=tuple(self.loading),
+            completed_round=self.memory.restarted_for,
         )
 
-    def _drain(self, mark: Mark) -> None:
+    def _drain(self, mark: OrderMark) -> None:
         if mark > self.memory.mark:
             self.memory.mark, self.draining = mark, True
             self.scene.judge.record_drain(self.spec.name, self.copies)
 
-    def _serve(self, mark: Mark) -> None:
+    def _serve(self, mark: OrderMark) -> None:
         if mark > self.memory.mark:
             self.memory.mark, self.draining = mark, False
             self.scene.judge.record_serve(self.spec.name, self.copies)
--- a/gaproute/simulation/rounds/observer.py
+++ b/gaproute/simulation/rounds/observer.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from gaproute.maintenance.warm_capacity import HostReport
+from gaproute.maintenance.host_report import HostReport
 from gaproute.shared.gossip import GossipMessage, GossipNode
 from gaproute.simulation.process_slot import Outbox, OutgoingMessages
 from gaproute.simulation.rounds.kinds import GATEWAYS
@@ -60,21 +60,21 @@
             case GossipMessage():
                 self.gossip.receive(now, sender, message)
             case ProbeReply():
-                number, asked = self._probes.get(sender, (0, 0))
+                number, asked_at = self._probes.get(sender, (0, 0))
                 if number == message.number:
-                    self._take_report(now, sender, msgspec.structs.replace(message.report, asked=asked))
+                    self._take_report(now, sender, msgspec.structs.replace(message.report, asked_at=asked_at))
         return []
 
     def _take_report(self, now: int, host: str, report: HostReport) -> None:
-        if self._starts.get(host) != report.start:
-            self._starts[host] = report.start
+        if self._starts.get(host) != report.incarnation:
+            self._starts[host] = report.incarnation
             unknown = {name: 0 for name in self.hosts if name not in self._starts}
             self.gossip.set_hosts(now, self._starts | unknown)
         self.reports[host] = report
         for function in self.scene.fleet.functions:
-            if function in report.copies:
+            if function in report.warm_functions:
                 # As of when the host was asked: an answer may be long on its way.
-                self.gossip.record_warm_instance(report.asked, host, function)
+                self.gossip.record_warm_instance(report.asked_at, host, function)
             else:
                 self.gossip.record_unloaded_instance(host, function)
 
--- a/gaproute/simulation/rounds/scheduler.py
+++ b/gaproute/simulation/rounds/scheduler.py
@@ -4,8 +4,9 @@
 from typing import NamedTuple, TypeAlias
 
 from gaproute.maintenance import FleetStatus, RoundController, RoundSpec
-from gaproute.maintenance.drain_proof import DrainBounds
-from gaproute.maintenance.invariants import check_belief, check_given, check_round
+from gaproute.maintenance.host_progress import HostState
+from gaproute.maintenance.invariants import check_estimate, check_grant, check_round
+from gaproute.maintenance.orders import DrainOrder, GrantRejection, HostOrder, ServeOrder
 from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.requests import LeaseRequest
 from gaproute.simulation.process_slot import Outbox, OutgoingMessages
@@ -28,9 +29,6 @@
 PEAK_TIME = 60 * SECOND  # the highest demand reported within it is the peak
 MAX_DEMAND_SAMPLES = 8  # stored of a function beside the last one
 
-# The message for each kind of order that a round gives.
-ORDERS: dict[str, Callable[..., object]] = {"drain": Drain, "serve": Serve, "load": LoadCopy}
-
 ControllerFactory: TypeAlias = Callable[..., RoundController]
 
 
@@ -65,7 +63,7 @@
 
     def _make_round(self, spec: RoundSpec, now: int, controller: ControllerFactory) -> RoundController:
         others = [other for other in self.scene.rounds if other is not spec]
-        return controller(spec, self.name, self.leases, now, LEASE_DURATION, DrainBounds(), beside=others)
+        return controller(spec, self.leases, now, lease_duration=LEASE_DURATION, other_rounds=others)
 
     @property
     def requests(self) -> list[LeaseRequest]:
@@ -83,10 +81,10 @@
         functions, samples = self.scene.fleet.functions, self._demand.items()
         return FleetStatus(
             fleet=self.scene.fleet.hosts,
-            shown=self.reports,
-            sights={function: self.gossip.warm_instances(now, function) for function in functions},
+            reports=self.reports,
+            sightings={function: self.gossip.warm_instances(now, function) for function in functions},
             demand={function: max(each.lanes for each in reported) for function, reported in samples},
-            told=now - self._demand_reported_at,
+            demand_age=now - self._demand_reported_at,
         )
 
     def tick(self, now: int) -> OutgoingMessages:
@@ -113,10 +111,9 @@
         outgoing: Outbox = []
         status = self.status(now)
         for controller in self.rounds:
-            for kind, host, detail in controller.tick(now, status):
-                outgoing.append((host, ORDERS[kind](detail)))
+            outgoing += [(order.host, _message_of(order)) for order in controller.tick(now, status)]
             self.violations += check_round(controller, now, self.scene.fleet.hosts)
-            self.violations += check_belief(controller, now, status)
+            self.violations += check_estimate(controller, now, status)
             self.scene.judge.record_progress(self.name, controller)
         return outgoing
 
@@ -133,12 +130,19 @@
     def _hand_over(self, now: int, worker: str, number: int) -> OutgoingMessages:
         outgoing = []
         for controller in self.rounds:
-            ready = [place.name for place in controller.places.values() if place.state in ("ready", "out")]
+            given = (HostState.READY, HostState.OUT)
+            ready = [host.name for host in controller.hosts.values() if host.state in given]
             for host in ready:
-                answer = controller.ask(now, host, self.status(now))
-                self.violations += check_given(controller, now, host, answer, self.scene.handed_out)
-                if not isinstance(answer, str):  # a text says why not
-                    token, mark, time_left = answer
-                    name = controller.asked.name
-                    outgoing.append((worker, HostHandover(number, host, token, mark, time_left, name)))
+                answer = controller.request_host(now, host, self.status(now))
+                self.violations += check_grant(controller, now, host, answer, self.scene.handed_out)
+                if not isinstance(answer, GrantRejection):
+                    name = controller.spec.name
+                    outgoing.append((worker, HostHandover(number, host, *answer, name)))
         return outgoing
+
+
+def _message_of(order: HostOrder) -> Drain | Serve | LoadCopy:
+    """The message that brings the order to its host."""
+    if isinstance(order, DrainOrder):
+        return Drain(order.mark)
+    return Serve(order.mark) if isinstance(order, ServeOrder) else LoadCopy(order.function)
