--- a/gaproute/cluster/links/conditions.py
+++ b/gaproute/cluster/links/conditions.py
@@ -1,7 +1,7 @@
-"""What the faults that are on do to a message on a link: decided here, without I/O.
+"""Decides what the faults that are on do to a message on a link, without I/O.
 
-The clock is handed in with each question, in ns; chance comes from `LinkRandom`. A time of None says that the
-message is held back until a fault ends.
+The time is passed with each question, in ns; random numbers come from `LinkRandom`. A due time of None means
+that the message is held back until a fault ends.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from gaproute.cluster.addresses import MAX_SLOT, MIN_SLOT, Link
 from gaproute.cluster.links.errors import LinkCommandError
-from gaproute.cluster.links.faults import MILLI, FaultKind, FaultSpec, LinkFault, Traffic
+from gaproute.cluster.links.faults import MILLI, FaultSpec, LinkFault, LinkFaultKind, LinkTraffic
 from gaproute.cluster.links.link_random import LinkRandom
 from gaproute.cluster.links.rate_queues import RateQueues
 from gaproute.cluster.links.slots import Slot
@@ -70,7 +70,7 @@
     # Commands
 
     def place_slots(self, slots: Mapping[int, Slot]) -> None:
-        """Slots are new or have moved. Errors: `LinkCommandError`; nothing has changed then."""
+        """Adds slots, or changes them. Errors: `LinkCommandError`; nothing has changed then."""
         for number in slots:
             if not MIN_SLOT <= number <= MAX_SLOT:
                 raise LinkCommandError(
@@ -84,7 +84,7 @@
         self._faults_by_link = {}
 
     def begin_fault(self, fault_id: str, spec: FaultSpec) -> None:
-        """From now on this fault is on. Errors: `LinkCommandError`; nothing has changed then."""
+        """Begins a fault. Errors: `LinkCommandError`; nothing has changed then."""
         self.faults[fault_id] = LinkFault.resolve(fault_id, spec, self.slots)
         self.specs[fault_id] = spec
         self._faults_by_link = {}
@@ -122,14 +122,14 @@
         """Whether the fault, which has just begun, resets a standing connection over the link."""
         fault = self.faults[fault_id]
         return (
-            fault.spec.kind is FaultKind.RESET
+            fault.spec.kind is LinkFaultKind.RESET
             and fault.on_streams
             and (fault.touches(link) or fault.touches(link.reverse))
-            and self._hits(fault, link, Traffic.STREAMS)
+            and self._hits(fault, link, LinkTraffic.STREAMS)
         )
 
     def handshake_due(self, link: Link, now: int) -> int | None:
-        """When a connection that its caller begins now is open: there and back; None while held back."""
+        """When a connection that the caller begins now is open, after a round trip; None while held back."""
         there = self.stream_due(link, 0, now=now, not_before=0)
         return None if there is None else self.stream_due(link.reverse, 0, now=there, not_before=0)
 
@@ -143,21 +143,21 @@
             if fault.blocks:
                 self.counts[Effect.HELD] += 1
                 return None
-            if fault.spec.kind is FaultKind.DELAY and self._hits(fault, link, Traffic.STREAMS):
-                due += self._delay(fault, link, Traffic.STREAMS, size=size, now=now) or 0
+            if fault.spec.kind is LinkFaultKind.DELAY and self._hits(fault, link, LinkTraffic.STREAMS):
+                due += self._delay(fault, link, LinkTraffic.STREAMS, size=size, now=now) or 0
                 self.counts[Effect.DELAYED] += 1
-            elif fault.spec.kind is FaultKind.LOSE:
+            elif fault.spec.kind is LinkFaultKind.LOSE:
                 due += self._retransmission_delay(fault, link)
         return max(due, not_before)
 
     def datagram_dues(self, link: Link, size: int, now: int) -> tuple[int, ...] | None:
-        """When each copy of a datagram that comes now is due, nothing if it is lost; None while held back."""
+        """When each copy of a datagram that arrives now is due; empty if it is lost, None while held back."""
         fate = DatagramFate(now)
         for fault in self.faults_on(link).datagrams:
-            if fault.spec.kind is FaultKind.HOLD:
+            if fault.spec.kind is LinkFaultKind.HOLD:
                 self.counts[Effect.HELD] += 1
                 return None
-            if fault.spec.kind is FaultKind.RESET or not self._hits(fault, link, Traffic.DATAGRAMS):
+            if fault.spec.kind is LinkFaultKind.RESET or not self._hits(fault, link, LinkTraffic.DATAGRAMS):
                 continue
             effect = self._alter(fate, fault, link, size=size, now=now)
             self.counts[effect] += 1
@@ -171,18 +171,18 @@
 
     def _alter(self, fate: DatagramFate, fault: LinkFault, link: Link, *, size: int, now: int) -> Effect:
         kind = fault.spec.kind
-        if kind is FaultKind.CUT:
+        if kind is LinkFaultKind.CUT:
             return Effect.CUT
-        if kind is FaultKind.LOSE:
+        if kind is LinkFaultKind.LOSE:
             return Effect.LOST
-        if kind is FaultKind.DOUBLE:
+        if kind is LinkFaultKind.DOUBLE:
             fate.copies += 1
             return Effect.DOUBLED
-        delay = self._delay(fault, link, Traffic.DATAGRAMS, size=size, now=now)
+        delay = self._delay(fault, link, LinkTraffic.DATAGRAMS, size=size, now=now)
         if delay is None:
             return Effect.FULL
         fate.due += delay
-        if kind is FaultKind.REORDER:
+        if kind is LinkFaultKind.REORDER:
             fate.in_order = False
             return Effect.REORDERED
         return Effect.DELAYED
@@ -195,22 +195,24 @@
             self.last_datagram_due.pop(link, None)
 
     def _retransmission_delay(self, fault: LinkFault, link: Link) -> int:
-        """How late bytes are that TCP sends again until they are not lost, with a timeout that doubles."""
+        """The delay, ns, of bytes that TCP retransmits until they are not lost; the timeout doubles."""
         delay, timeout, losses = 0, RETRANSMISSION_TIMEOUT, 0
-        while losses < MAX_LOSSES and self._hits(fault, link, Traffic.STREAMS):
+        while losses < MAX_LOSSES and self._hits(fault, link, LinkTraffic.STREAMS):
             delay, timeout, losses = delay + timeout, 2 * timeout, losses + 1
         self.counts[Effect.LOST] += losses
         return delay
 
-    def _hits(self, fault: LinkFault, link: Link, traffic: Traffic) -> bool:
+    def _hits(self, fault: LinkFault, link: Link, traffic: LinkTraffic) -> bool:
         """Whether the fault touches this message, drawn by its share."""
         share = fault.spec.share
         if share >= 1:
             return True
         return self._random.source(link, traffic).below(SHARE_STEPS) < share * SHARE_STEPS
 
-    def _delay(self, fault: LinkFault, link: Link, traffic: Traffic, *, size: int, now: int) -> int | None:
-        """By how many ns one message is late; None where a datagram finds the queue of its rate full."""
+    def _delay(
+        self, fault: LinkFault, link: Link, traffic: LinkTraffic, *, size: int, now: int
+    ) -> int | None:
+        """The delay, in ns, of one message; None if a datagram finds the queue of a limited rate full."""
         delay = fault.spec.base_delay
         if fault.spec.jitter:
             delay += self._random.source(link, traffic).below(fault.spec.jitter)
--- a/gaproute/cluster/links/syn_filter.py
+++ b/gaproute/cluster/links/syn_filter.py
@@ -1,4 +1,4 @@
-"""What keeps a connection from opening at all, as a packet filter for the listening socket.
+"""The packet filter of the listening socket, which keeps connections from opening at all.
 
 The kernel shakes hands before the emulator is asked, so a caller would believe that it is connected to a host
 behind a cut, and hand it a request that may then have run. The filter drops the first packet (SYN) of what
@@ -12,7 +12,7 @@
 
 from gaproute.cluster.addresses import MAX_SLOT, MIN_SLOT, SLOT_BITS, SLOT_MASK
 from gaproute.cluster.links.conditions import NetworkConditions
-from gaproute.cluster.links.faults import FaultKind
+from gaproute.cluster.links.faults import LinkFaultKind
 from gaproute.cluster.links.packet_filter import ACCEPT_ALL, DROP, MAX_INSTRUCTIONS, Instruction, Opcode
 
 IP_HEADER = 0x100000000 - 0x100000  # SKF_NET_OFF: where the IP header begins, seen from TCP's
@@ -39,14 +39,14 @@
 
 
 def build(conditions: NetworkConditions, *, except_refusing: bool = False) -> Program | None:
-    """The filter for these slots and faults.
+    """Makes the filter for these slots and faults.
 
     None where the kernel would not take so many instructions: then what cannot open is accepted and stays
     silent. `except_refusing`: slots that refuse are left out too, as others answer for them (`refuser.py`).
     """
     program = [*PROLOGUE, *_if_in(CALLEE, _unreachable(conditions, except_refusing=except_refusing), [DROP])]
     for fault in conditions.faults.values():
-        if fault.spec.kind is FaultKind.CUT and fault.on_streams:
+        if fault.spec.kind is LinkFaultKind.CUT and fault.on_streams:
             # A handshake goes both ways.
             ways = ((fault.sources, fault.destinations), (fault.destinations, fault.sources))
             for callers, callees in ways:
