--- a/gaproute/standins/platform/gateway_connection.py
+++ b/gaproute/standins/platform/gateway_connection.py
@@ -16,7 +16,7 @@
 MAX_NOTED = 200  # characters of an error that a tap holds
 
 
-class ConnectionOwner(Protocol):
+class GatewayConnectionOwner(Protocol):
     """What a connection needs of its host."""
 
     loop: Loop
@@ -33,7 +33,7 @@
 class GatewayConnection:
     """Reads messages, and writes answers."""
 
-    def __init__(self, host: ConnectionOwner, sock: socket.socket, number: int) -> None:
+    def __init__(self, host: GatewayConnectionOwner, sock: socket.socket, number: int) -> None:
         """`number`: tells the connections of a host apart."""
         self.host, self.number = host, number
         self.gateway = ""  # its name, where it was introduced
