--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -17,6 +17,7 @@
 from typing import Any, NamedTuple
 
 from gaproute.maintenance import RoundController, capacity_floor
+from gaproute.maintenance.capacity_floor import FleetCapacity
 from gaproute.simulation.rounds import RunKind, play
 from gaproute.simulation.rounds.baselines import BestOrder, FixedGroups, OneAtATime
 from gaproute.simulation.rounds.judge import FloorBreach
@@ -92,8 +93,8 @@
     fleet = scene.fleet
     warm = {name: dict.fromkeys(copies, fleet.hosts[name].lanes) for name, copies in fleet.copies.items()}
     free = {name: host.slots - len(warm[name]) for name, host in fleet.hosts.items()}
-    needs = capacity_floor.need(spec, scene.demand, fleet.zones)
-    best = BestOrder(spec, fleet.hosts, warm, needs, free, MEAN_LOAD_TIME)
+    needs = capacity_floor.required_lanes(spec, scene.demand, fleet.zones)
+    best = BestOrder(spec, FleetCapacity(fleet.hosts, warm, needs), free, MEAN_LOAD_TIME)
     shortest = best.shortest(itertools.permutations(spec.hosts))
     return None if shortest is None else Timing(len(spec.hosts), end.time, shortest)
 
--- a/benchmarks/scale/cell_faults.py
+++ b/benchmarks/scale/cell_faults.py
@@ -11,7 +11,7 @@
 from typing import Any, ClassVar
 
 from benchmarks.scale.watched import Figures, WatchedFleet
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.hollow import HollowGateway
 from gaproute.hollow.cells import CELL_PARTS, CellFleet, CellPlan
 from gaproute.hollow.simulation.fleet import STEP
--- a/benchmarks/scale/cell_rung.py
+++ b/benchmarks/scale/cell_rung.py
@@ -19,7 +19,7 @@
 from benchmarks.scale.held import held_bytes
 from benchmarks.scale.limits import MEGABYTE, Limits
 from benchmarks.scale.size import CHANGES_A_SECOND
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.hollow.cells import CELL_PARTS, CellFleet
 from gaproute.shared.membership import Membership, MemberState
 
--- a/gaproute/simulation/campaigns/planner.py
+++ b/gaproute/simulation/campaigns/planner.py
@@ -2,11 +2,17 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from gaproute.rollouts.dispatcher import pool
-from gaproute.rollouts.forecast import FleetForecast
-from gaproute.rollouts.host_assignment import deal, paces
-from gaproute.rollouts.plan import CampaignDemand, CopyPlan, PlanningProblem, greedy
-from gaproute.rollouts.plan_distribution import PLANNER, GatewayPlan
+from gaproute.rollouts.dispatcher import pool_name
+from gaproute.rollouts.forecast import DemandReading, FleetForecast
+from gaproute.rollouts.greedy import greedy_plan
+from gaproute.rollouts.host_assignment import assign_hosts, assign_rates
+from gaproute.rollouts.plan import CampaignDemand, CopyPlan, PlanningProblem
+from gaproute.rollouts.plan_distribution import (
+    PLANNER_RESOURCE,
+    GatewayPlan,
+    planned_copies,
+    planned_lanes,
+)
 from gaproute.shared.leases import LeaseClient
 from gaproute.shared.leases.requests import LeaseRequest
 from gaproute.simulation.campaigns.copy_loader import EXCHANGE
@@ -63,7 +69,7 @@
         if (self._lease is None or not self._lease.open) and now >= self._request_lease_at:
             delay = PLAN_INTERVAL // 2 + self.random.below(PLAN_INTERVAL)
             self._request_lease_at = now + delay
-            self._lease = self.leases.acquire(now, PLANNER, LEASE_DURATION)
+            self._lease = self.leases.acquire(now, PLANNER_RESOURCE, LEASE_DURATION)
             self._owners, self._pool_sizes = {}, {}
             self._plan_at = now + PLAN_INTERVAL // 2
         if not self._is_planner(now) or now < self._plan_at:
@@ -80,7 +86,7 @@
     def _size_pools(self, now: int) -> None:
         """Sets the sizes of the pools of leases where they are not set yet."""
         fleet = self.scene.fleet
-        sizes = {pool(host): fleet.lendable[host] for host in fleet.hosts}
+        sizes = {pool_name(host): fleet.lendable[host] for host in fleet.hosts}
         sizes[EXCHANGE] = max(2, len(fleet.hosts) // 3)
         for name, size in sizes.items():
             if self._pool_sizes.get(name) != size:
@@ -91,38 +97,37 @@
         """The greedy plan for the hosts that are known."""
         fleet = self.scene.fleet
         hosts = [fleet.hosts[host] for host in fleet.hosts if host in known]
-        self._forecast.read(now, {PRODUCTION: (self.demand(now), 0.0, MEAN_PRODUCTION_TIME / SECOND)})
-        standing = {
+        reading = DemandReading(self.demand(now), 0.0, MEAN_PRODUCTION_TIME / SECOND)
+        self._forecast.record(now, {PRODUCTION: reading})
+        loaded = {
             (copy.campaign, host) for host, view in known.items() for copy in view.copies | view.loading
         }
-        plan: CopyPlan = greedy(
+        return greedy_plan(
             PlanningProblem(
-                spare=self._forecast.spare(now, hosts, fleet.lendable, PLANNED_SLOTS),
+                spare_lanes=self._forecast.spare_lanes(now, hosts, fleet.lendable, slots=PLANNED_SLOTS),
                 # A campaign's old and new copy are at a host together while they are exchanged.
-                room={host.name: host.room // 2 for host in hosts},
-                wants=[
+                copy_capacity={host.name: host.copy_capacity // 2 for host in hosts},
+                demands=[
                     CampaignDemand(name, 1, campaign.weight, WANTED_LANES)
                     for name, campaign in fleet.campaigns.items()
                 ],
-                standing=sorted(standing),
-                loads=max(2, len(hosts) // 2),
+                loaded=sorted(loaded),
+                max_loads=max(2, len(hosts) // 2),
             )
         )
-        return plan
 
     def _distribute(self, now: int, plan: CopyPlan) -> dict[str, GatewayPlan]:
         """Each gateway's part of the plan."""
         fleet = self.scene.fleet
-        lanes = {(campaign, host): max(slots) for campaign, host, slots in plan.lanes}
-        aims, self._owners = deal(lanes, fleet.lendable, self._alive(now), self._owners, fleet.zones)
-        copies: dict[str, list[str]] = {}
-        for campaign, host, _ in sorted(plan.copies, key=lambda copy: copy[2]):
-            copies.setdefault(campaign, []).append(host)
-        rates = paces(aims, fleet.campaigns)
+        targets, self._owners = assign_hosts(
+            planned_lanes(plan), fleet.lendable, self._alive(now), self._owners, fleet.zones
+        )
+        copies = planned_copies(plan)
+        rates = assign_rates(targets, fleet.campaigns)
         self._plan_number += 1
         token = self._lease.fencing_token if self._lease is not None else 0
         return {
-            gateway: GatewayPlan(token, self._plan_number, aims[gateway], rates[gateway], copies)
+            gateway: GatewayPlan(token, self._plan_number, targets[gateway], rates[gateway], copies)
             for gateway in self._alive(now)
         }
 
--- a/gaproute/simulation/rounds/baselines.py
+++ b/gaproute/simulation/rounds/baselines.py
@@ -10,53 +10,59 @@
 
 import msgspec
 
-from gaproute.maintenance import FleetStatus, MaintenanceHost, RoundController, RoundSpec, schedule
+from gaproute.maintenance import FleetStatus, MaintenanceHost, RoundController, RoundSpec
+from gaproute.maintenance.capacity_floor import FleetCapacity
+from gaproute.maintenance.feasibility import SchedulingEstimates, forecast_round
+from gaproute.maintenance.host_selection import RoundHosts, Selection
 
 
-class OneAtATime(RoundController):
-    """Takes one host at a time and looks at no capacity."""
+class _WithoutFloor(RoundController):
+    """Takes out the next group of hosts when the last one is back, whatever capacity is left."""
+
+    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
+        super().__init__(spec, *args, selector=_next_group, **options)
+        self.planner.feasible = True
 
-    def __init__(self, asked: RoundSpec, *args: Any, **options: Any) -> None:
-        super().__init__(msgspec.structs.replace(asked, together=1, zones=0, survive=""), *args, **options)
-        self.planned = True
+    def _update_estimate(self, now: int, status: FleetStatus) -> None:
+        super()._update_estimate(now, status)
+        self.estimate.shortfalls, self.estimate.required = [], {}
 
-    def _believe(self, now: int, view: FleetStatus) -> None:
-        super()._believe(now, view)
-        self.missing, self.needs = [], {}
 
-    def _choose(self, view: FleetStatus, waiting: list[str], down: list[str]) -> Any:
-        return ([] if self.away() else waiting[:1]), None
+class OneAtATime(_WithoutFloor):
+    """Takes one host at a time and looks at no capacity."""
 
+    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
+        alone = msgspec.structs.replace(spec, max_away=1, zone_share=0, survivable_failure="")
+        super().__init__(alone, *args, **options)
 
-class FixedGroups(OneAtATime):
+
+class FixedGroups(_WithoutFloor):
     """Takes groups of hosts and looks at no capacity."""
 
-    def __init__(self, asked: RoundSpec, *args: Any, **options: Any) -> None:
-        super().__init__(asked, *args, **options)
-        self.asked = msgspec.structs.replace(asked, apart=(), one_per="")
+    def __init__(self, spec: RoundSpec, *args: Any, **options: Any) -> None:
+        ungrouped = msgspec.structs.replace(spec, exclusive_groups=(), one_away_per="")
+        super().__init__(ungrouped, *args, **options)
+
 
-    def _choose(self, view: FleetStatus, waiting: list[str], down: list[str]) -> Any:
-        return ([] if self.away() else waiting[: self.asked.together]), None
+def _next_group(spec: RoundSpec, capacity: FleetCapacity, hosts: RoundHosts) -> Selection:
+    return Selection([] if hosts.away else list(hosts.waiting[: spec.max_away]), None)
 
 
 class BestOrder:
     """The shortest plan of a round over many orders of its hosts.
 
-    Draining takes no time and everything is seen at once. `warm`: lanes by host and function; `needs`: the
-    floor; `free`: free slots by host; `load_time`: ns.
+    Draining takes no time and everything is seen at once. `free`: free slots by host; `load_time`: ns.
     """
 
     def __init__(
         self,
         spec: RoundSpec,
-        fleet: Mapping[str, MaintenanceHost],
-        warm: Mapping[str, Mapping[str, int]],
-        needs: Mapping[tuple[str, str], int],
+        capacity: FleetCapacity,
         free: Mapping[str, int],
         load_time: int,
     ) -> None:
-        self.spec, self.fleet, self.warm, self.needs, self.free = spec, fleet, warm, needs, free
-        self.estimates = schedule.SchedulingEstimates(0, load_time, 0, 2)
+        self.spec, self.capacity, self.free = spec, capacity, free
+        self.estimates = SchedulingEstimates(0, load_time, 0, 2)
 
     def shortest(self, orders: Iterable[Sequence[str]]) -> int | None:
         """ns of the shortest plan; None where no order can be done.
@@ -67,11 +73,11 @@
         return min((end for end in ends if end is not None), default=None)
 
     def _end(self, order: Sequence[str], *, strictly: bool) -> int | None:
-        def ranked(_spec: RoundSpec, _fleet: Mapping[str, MaintenanceHost], waiting: list[str]) -> list[str]:
+        def ranked(
+            _spec: RoundSpec, _fleet: Mapping[str, MaintenanceHost], waiting: Sequence[str]
+        ) -> list[str]:
             left = [name for name in order if name in waiting]
             return left[:1] if strictly else left
 
-        plan = schedule.plan(
-            self.spec, self.fleet, self.warm, self.needs, order, self.free, self.estimates, ranked
-        )
-        return None if plan.why else plan.end
+        forecast = forecast_round(self.spec, self.capacity, order, self.free, self.estimates, ranked)
+        return None if forecast.obstacle else forecast.end
--- a/gaproute/simulation/rounds/interventions.py
+++ b/gaproute/simulation/rounds/interventions.py
@@ -61,6 +61,6 @@
     def _withdraw(self, simulation: Simulation) -> None:
         def withdraw(scheduler: SimulatedScheduler, now: int) -> None:
             for controller in scheduler.rounds:
-                controller.withdraw(now)
+                controller.withdraw()
 
         simulation.ask(self.scene.kind.schedulers[0], withdraw)
--- a/gaproute/simulation/rounds/judge.py
+++ b/gaproute/simulation/rounds/judge.py
@@ -20,8 +20,8 @@
 from typing import NamedTuple, TypeAlias
 
 from gaproute.maintenance import MaintenanceHost, RoundController, RoundSpec, capacity_floor
+from gaproute.maintenance.capacity_floor import CapacityKey
 
-Row: TypeAlias = tuple[str, str]  # a function and the zone, or the whole fleet, that it is needed in
 WarmLanes: TypeAlias = Mapping[str, Mapping[str, int]]  # lanes by host and function
 
 
@@ -41,7 +41,7 @@
 
     time: int
     round_name: str
-    row: Row
+    row: CapacityKey
     floor: int
     lanes: int
     kind: BreachKind
@@ -93,7 +93,7 @@
         self._failed: dict[str, Failure] = {}  # by host
         self._demand_rose = False  # since a round last took a host
         self._warm: WarmLanes = {}  # at the last look
-        self._standing: set[tuple[str, Row]] = set()  # breaches by round and row; membership only
+        self._standing: set[tuple[str, CapacityKey]] = set()  # breaches by round and row; membership only
 
     # What happens
 
@@ -131,11 +131,10 @@
     def record_progress(self, scheduler: str, controller: RoundController) -> None:
         """Takes away what the round has logged."""
         now = self.true_time()
-        self.log += [LogLine(now, scheduler, tuple(line)) for line in controller.log]
-        controller.log = []
-        stage, name = controller.stage, controller.asked.name
+        self.log += [LogLine(now, scheduler, tuple(line)) for line in controller.log.take_events()]
+        stage, name = controller.log.stage, controller.spec.name
         if stage in ("ended", "refused") and name not in self.ends:
-            self.ends[name] = RoundEnd(now, stage, controller.why)
+            self.ends[name] = RoundEnd(now, stage, controller.log.reason)
             self.changed = True
 
     def _record_change(self, change: str) -> None:
@@ -147,7 +146,7 @@
         self,
         warm: WarmLanes,
         cold: Collection[str],
-        floors: Iterable[tuple[RoundSpec, Mapping[Row, int]]],
+        floors: Iterable[tuple[RoundSpec, Mapping[CapacityKey, int]]],
     ) -> None:
         """Looks at the floors of the rounds that run. `warm`: true lanes now; `cold`: hosts that warm up."""
         self._forget_recovered(warm, cold)
@@ -158,8 +157,8 @@
             else lanes
             for name, lanes in warm.items()
         }
-        have = capacity_floor.standing(self.hosts, warm)
-        without_rounds = capacity_floor.standing(self.hosts, untouched)
+        have = capacity_floor.available_lanes(self.hosts, warm)
+        without_rounds = capacity_floor.available_lanes(self.hosts, untouched)
         for spec, floor in floors:
             for row, needed in floor.items():
                 lanes = have.get(row, 0)
@@ -182,15 +181,15 @@
         ]:
             del self._failed[name]
 
-    def _count_breach(self, spec: RoundSpec, row: Row, needed: int, lanes: int, *, own: bool) -> None:
+    def _count_breach(self, spec: RoundSpec, row: CapacityKey, needed: int, lanes: int, *, own: bool) -> None:
         """`own`: the floor would be broken without any round too."""
         if own:
             self.own_breaches += 1
         else:
             self.breaches.append(self._breach(spec, row, needed, lanes))
 
-    def _breach(self, spec: RoundSpec, row: Row, needed: int, lanes: int) -> FloorBreach:
-        level = spec.survive
+    def _breach(self, spec: RoundSpec, row: CapacityKey, needed: int, lanes: int) -> FloorBreach:
+        level = spec.survivable_failure
         domains = {
             name if level in ("", "host") else getattr(self.hosts[name], level) for name in self._failed
         }
