--- a/gaproute/simulation/campaigns/gateway.py
+++ b/gaproute/simulation/campaigns/gateway.py
@@ -1,6 +1,7 @@
 """A gateway of a campaign run: its leases, gossip, rollouts and copies, and the requests of production."""
 
-from gaproute.rollouts.dispatcher import ASK, RolloutDispatcher
+from gaproute.rollouts.dispatcher import POLL_INTERVAL, RolloutDispatcher
+from gaproute.rollouts.host_allotment import HostAvailability
 from gaproute.rollouts.plan_distribution import GatewayPlan, PlanFilter
 from gaproute.shared.gossip import GossipMessage, GossipNode
 from gaproute.shared.leases import LeaseClient
@@ -57,11 +58,11 @@
         """Does what is due."""
         outgoing: Outbox = [*self.leases.tick(now), *self.gossip.tick(now)]
         if now >= self._query_at:
-            self._query_at = now + ASK
+            self._query_at = now + POLL_INTERVAL
             outgoing += self._query_hosts(now)
         if now >= self._report_at:
             self._report_at = now + VERSION_REPORT_INTERVAL
-            report = VersionReport(dict(self.rollouts.weights.now))
+            report = VersionReport(dict(self.rollouts.weights.current))
             outgoing += [(peer, report) for peer in self.peers]
         if now >= self._copy_step_at:
             self._copy_step_at = now + COPY_STEP_INTERVAL
@@ -88,7 +89,7 @@
 
     def set_version(self, now: int, campaign: str, version: int) -> None:
         """The trainer has moved on; the other gateways are notified at the next tick."""
-        self.rollouts.weights.moved(campaign, version)
+        self.rollouts.weights.record(campaign, version)
         self._report_at = 0
 
     def _production_demand(self, now: int) -> float:
@@ -99,10 +100,10 @@
             case HostStatus():
                 return self._take_status(now, message)
             case ProductionWaits(host=host):
-                self.dispatcher.wanted(now, host)
+                self.dispatcher.record_production_waiting(now, host)
             case VersionReport(versions=versions):
                 for campaign, version in versions.items():
-                    self.rollouts.weights.moved(campaign, version)
+                    self.rollouts.weights.record(campaign, version)
                 self.planner.heard_at[sender] = now
             case PlanUpdate(plan=plan):
                 self._take_plan(now, plan)
@@ -116,7 +117,7 @@
     def _query_hosts(self, now: int) -> Outbox:
         """Asks hosts for their status, and forgets what was never answered."""
         self.views.expire(now)
-        hosts = dict.fromkeys(self.dispatcher.asking(now))
+        hosts = dict.fromkeys(self.dispatcher.hosts_to_poll())
         hosts.update(dict.fromkeys(self.planner.hosts_to_query(now)))
         queries = self.views.query(now, hosts)
         self.dispatcher.tick(now)
@@ -128,9 +129,10 @@
         asked_at = self.views.take(host, status)
         if asked_at is None:
             return []
-        self.dispatcher.report(now, host, asked_at, status.free_lanes, status.production_waits, status.cold)
+        availability = HostAvailability(asked_at, status.free_lanes, status.production_waits, status.cold)
+        self.dispatcher.record_report(now, host, availability)
         self.gossip.record_available_capacity(host, status.free_lanes)
-        cancelled = self.dispatcher.cancels(host, status.lanes_lacking)
+        cancelled = self.dispatcher.rollouts_to_cancel(host, status.lanes_lacking)
         outgoing: Outbox = [(host, CancelTask(task)) for task in cancelled]
         if not status.production_waits:
             self._production_waits.discard(host)
@@ -147,6 +149,6 @@
         return [(peer, PlanUpdate(plan)) for peer, plan in plans.items() if peer != self.name]
 
     def _take_plan(self, now: int, plan: GatewayPlan) -> None:
-        if self._plans.news(plan):
+        if self._plans.accept(plan):
             self.copies.planned = plan.copies
-            self.dispatcher.aim(now, plan.aims, plan.paces)
+            self.dispatcher.set_targets(now, plan.lanes, plan.rates)
--- a/gaproute/simulation/rounds/scene.py
+++ b/gaproute/simulation/rounds/scene.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass, field
 
 from gaproute.maintenance import RoundSpec
+from gaproute.maintenance.host_report import NO_ORDER, OrderMark
 from gaproute.simulation.rounds.fleet import DrawnFleet
 from gaproute.simulation.rounds.judge import FloorJudge
 from gaproute.simulation.rounds.kinds import RunKind
@@ -17,7 +18,7 @@
     """
 
     fencing_token: int = 0
-    mark: tuple[int, int] = (0, 0)
+    mark: OrderMark = NO_ORDER
     restarted_for: str = ""
 
 
--- a/tests/benchmarks/test_cell_faults.py
+++ b/tests/benchmarks/test_cell_faults.py
@@ -13,7 +13,7 @@
     """Spans of a few simulated seconds, one cell in full."""
     for name, value in (("FULL", 1), ("HOSTS", HOSTS), ("SETTLE", 3), ("CALM", 1), ("PUBLISHED", 2)):
         monkeypatch.setattr(cell_faults, name, value)
-    monkeypatch.setattr(watched, "FIRST", 2)
+    monkeypatch.setattr(watched, "FIRST_SECONDS", 2)
 
 
 def test_the_scenarios_are_known_by_name():
