--- a/tests/project/test_pages.py
+++ b/tests/project/test_pages.py
@@ -40,3 +40,10 @@
     listed = {(DOCS / target).resolve() for target in LINK.findall((DOCS / "README.md").read_text())}
     missing = [page.name for page in DOCS.glob("*.md") if page.name != "README.md" and page not in listed]
     assert missing == []
+
+
+def test_the_glossary_is_in_alphabetical_order_and_each_term_stands_once():
+    rows = [line for line in (DOCS / "glossary.md").read_text().splitlines() if line.startswith("| ")]
+    terms = [row.split(" | ")[0].removeprefix("| ").lower() for row in rows if not row.startswith("| ---")]
+    assert terms[0] == "term"
+    assert terms[1:] == sorted(set(terms[1:]))
