--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -3,31 +3,35 @@
 python -m benchmarks.scale list | measure [--label LABEL] [NAME ...] | fits | page [--page PATH] | check [...]
 """
 
+from __future__ import annotations
+
 import argparse
 import platform
 import subprocess
 import sys
+from collections.abc import Sequence
 from dataclasses import replace
 from importlib import import_module
 from pathlib import Path
 from pkgutil import iter_modules
 
 from benchmarks.scale import costs
+from benchmarks.scale.deferred import Measurements
 from benchmarks.scale.fit import fit
 from benchmarks.scale.measurement import MEASURED, Measurement
-from benchmarks.scale.page import PAGE, rewritten
+from benchmarks.scale.page import PAGE, Disagreement, rewritten
 from benchmarks.scale.tables import PageError
 
 
-def registry():
-    """{name: function that measures it}, over all modules of `costs`."""
-    found = {}
+def registry() -> Measurements:
+    """What makes each measurement by its name, over all modules of `costs`."""
+    found: Measurements = {}
     for module in iter_modules(costs.__path__):
         found |= import_module(f"{costs.__name__}.{module.name}").MEASUREMENTS
     return found
 
 
-def measure(names, label):
+def measure(names: Sequence[str], label: str) -> None:
     """Measures and keeps what is named, or all; `label` tells the program measured.
 
     Errors: SystemExit for a name that does not exist."""
@@ -42,7 +46,7 @@
         print(f"{name}: {fit(made).formula} {made.unit} by {made.parameter}", flush=True)
 
 
-def program():
+def program() -> str:
     """The label of the program as it stands: its revision and the interpreter."""
     revision = subprocess.run(
         ["git", "describe", "--always", "--dirty"], cwd=Path(__file__).parent, capture_output=True, text=True
@@ -50,29 +54,32 @@
     return f"program {revision.stdout.strip() or 'unknown'}, Python {platform.python_version()}"
 
 
-def fits():
+def fits() -> None:
     """Prints each kept measurement's fit."""
     for path in sorted(MEASURED.glob("*.json")):
-        kept = Measurement.load(path.stem)
-        found = fit(kept)
-        print(f"{kept.name}: {found.formula} {kept.unit}, {found.form}, residual {found.residual:.1%}")
+        measured = Measurement.load(path.stem)
+        fitted = fit(measured)
+        print(
+            f"{measured.name}: {fitted.formula} {measured.unit}, {fitted.form}, "
+            f"residual {fitted.residual:.1%}"
+        )
 
 
-def rewrite(page):
+def rewrite(page: Path) -> None:
     """Makes the page's tables and figures anew. Errors: SystemExit."""
     text, differing = _made(page)
     page.write_text(text)
     print(f"{page}: {len(differing)} tables and figures made anew")
 
 
-def check(page):
+def check(page: Path) -> None:
     """Ends with status 1, naming each table and figure that disagrees with the measurements."""
     _, differing = _made(page)
     if differing:
         sys.exit("\n".join(f"{page}, {each}" for each in differing))
 
 
-def _made(page):
+def _made(page: Path) -> tuple[str, list[Disagreement]]:
     """The page as the measurements have it, and where it differs."""
     try:
         return rewritten(page.read_text())
@@ -80,24 +87,24 @@
         sys.exit(f"{page}: {fault}")
 
 
-def main():
-    """The command line."""
+def main() -> None:
+    """Run the command line."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale", description=__doc__)
     parser.add_argument("act", choices=("list", "measure", "fits", "page", "check"))
     parser.add_argument("names", nargs="*")
     parser.add_argument("--label", help="the program measured; its revision where not given")
     parser.add_argument("--page", type=Path, default=PAGE, help="the page that is made anew or checked")
-    told = parser.parse_intermixed_args()
-    if told.act == "list":
+    arguments = parser.parse_intermixed_args()
+    if arguments.act == "list":
         print("\n".join(registry()))
-    elif told.act == "measure":
-        measure(told.names, told.label or program())
-    elif told.act == "fits":
+    elif arguments.act == "measure":
+        measure(arguments.names, arguments.label or program())
+    elif arguments.act == "fits":
         fits()
-    elif told.act == "page":
-        rewrite(told.page)
+    elif arguments.act == "page":
+        rewrite(arguments.page)
     else:
-        check(told.page)
+        check(arguments.page)
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,6 +1,9 @@
 """Fits of a cost by size: which form describes it, how well, and how far a prediction is stretched."""
 
+from __future__ import annotations
+
 import math
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from statistics import linear_regression
 
@@ -39,7 +42,7 @@
         return FORMULAS[self.form].format(self.first, self.second)
 
 
-FORMS = {
+FORMS: dict[str, Callable[[float, float, float], float]] = {
     "constant": lambda first, second, size: first,
     "linear": lambda first, second, size: first + second * size,
     "power": lambda first, second, size: first * size**second,
@@ -62,7 +65,7 @@
     return next(found for found in fits if found is not None and found.residual <= best * 1.1 + 0.01)
 
 
-def _made(form, sizes, values):
+def _made(form: str, sizes: Sequence[float], values: Sequence[float]) -> Fit | None:
     """The fit of one form, or None where the values do not allow it."""
     if form == "constant":
         first, second = sum(values) / len(values), 0.0
@@ -89,7 +92,7 @@
     return Fit(form, first, second, residual, min(sizes), last, last_ratio)
 
 
-def _line(sizes, values):
+def _line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
     """Least squares of the relative errors: sizes differ by hundreds, and the small ones count as much."""
     weights = [1 / value**2 if value else 1.0 for value in values]
     total = sum(weights)
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -1,5 +1,10 @@
 """Gateways' decisions to be measured: terms, host lists, and a caller that answers each relay at once."""
 
+from __future__ import annotations
+
+from collections.abc import Generator, Iterator
+from typing import Any
+
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.parameters import MIX_SIZE
@@ -95,7 +100,7 @@
         self.gateway.mix.recent.extend(f"other-{number}" for number in range(MIX_SIZE))
 
 
-def _rest(serve, heard):
+def _rest(serve: Generator[Any, Any, None], heard: tuple[int, face.Outcome]) -> Iterator[Any]:
     """What a task's generator still yields once it has heard."""
     try:
         yield serve.send(heard)
--- a/benchmarks/scale/ladder_table.py
+++ b/benchmarks/scale/ladder_table.py
@@ -1,9 +1,13 @@
 """A ladder's rungs as a table: what was measured at each, and how far off the predictions were."""
 
+from __future__ import annotations
+
 import json
+from collections.abc import Sequence
 from pathlib import Path
 
 from benchmarks.scale.cell_work import FILE as WORK
+from benchmarks.scale.climbing import Rung
 from benchmarks.scale.text import number, table
 
 FIGURES = (
@@ -60,11 +64,11 @@
     return table(head, [_row(key, meaning, whole) for key, meaning in FIGURES if _known(key, whole)])
 
 
-def _known(key, rungs):
+def _known(key: str, rungs: Sequence[Rung]) -> bool:
     return all(rung["measured"].get(key) is not None for rung in rungs)
 
 
-def _row(key, meaning, rungs):
+def _row(key: str, meaning: str, rungs: Sequence[Rung]) -> list[str]:
     """One figure over all rungs."""
     last = rungs[-1]
     predicted, error = last["predicted"].get(key), last["error_percent"].get(key)
@@ -76,7 +80,7 @@
     ]
 
 
-def _with_cells(rungs, work):
+def _with_cells(rungs: Sequence[Rung], work: Path) -> list[str]:
     """Each rung's prediction stands beside what was measured."""
     sizes = [rung["size"] for rung in rungs]
     rows = [
@@ -92,11 +96,11 @@
     return table(["figure", *map(number, sizes), f"{number(FLAT_FROM)} to the last"], rows)
 
 
-def _values(key, rungs):
+def _values(key: str, rungs: Sequence[Rung]) -> dict[int, float]:
     return {rung["size"]: rung["measured"][key] for rung in rungs}
 
 
-def _beside(rung, key):
+def _beside(rung: Rung, key: str) -> str:
     """What was measured, and in brackets what was predicted."""
     shown, predicted = number(rung["measured"][key]), rung["predicted"].get(key)
     if predicted is None:
--- a/benchmarks/scale/measurement.py
+++ b/benchmarks/scale/measurement.py
@@ -1,9 +1,15 @@
 """One measured cost: its sizes, the plays at each, and the file that keeps them."""
 
+from __future__ import annotations
+
 import json
+from collections.abc import Callable, Iterable
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 from statistics import median
+from typing import Any
+
+from gaproute.errors import GaprouteError
 
 MEASURED = Path(__file__).parents[2] / "docs" / "measured" / "scale"
 LADDERS = MEASURED / "ladders"  # runs of whole fleets, which are no costs by size
@@ -25,7 +31,7 @@
 )
 
 
-class MeasurementError(ValueError):
+class MeasurementError(GaprouteError, ValueError):
     """A measurement's file is missing, or holds something else than a measurement."""
 
 
@@ -72,7 +78,7 @@
         return path
 
     @classmethod
-    def load(cls, name: str, folder: Path = MEASURED) -> "Measurement":
+    def load(cls, name: str, folder: Path = MEASURED) -> Measurement:
         """Reads a measurement by its name. Errors: MeasurementError."""
         path = folder / f"{name}.json"
         try:
@@ -83,7 +89,19 @@
             raise MeasurementError(f"{path}: {fault!r}") from fault
 
 
-def measure(name, meaning, unit, parameter, sizes, play, conditions="", plays=PLAYS) -> Measurement:
+Play = Callable[[Any, int], float]  # takes a size and a seed; gives one value in the measurement's unit
+
+
+def measure(
+    name: str,
+    meaning: str,
+    unit: str,
+    parameter: str,
+    sizes: Iterable[Any],
+    play: Play,
+    conditions: str = "",
+    plays: int = PLAYS,
+) -> Measurement:
     """Calls `play(size, seed)` for each size and seed; each call gives one value in `unit`."""
     points = [Point(size, [play(size, seed) for seed in range(1, plays + 1)]) for size in sizes]
     return Measurement(name, meaning, unit, parameter, points, conditions)
--- a/benchmarks/scale/meters.py
+++ b/benchmarks/scale/meters.py
@@ -1,9 +1,14 @@
 """How a cost is metered: processor time of a call, bytes that objects hold, headers of what is sent."""
 
+from __future__ import annotations
+
 import gc
 import sys
 import time
 import tracemalloc
+from collections.abc import Callable
+from types import FrameType
+from typing import Any
 
 UDP_HEADERS = 28  # bytes of IPv4 and UDP around a datagram
 LEAST_TIME = 0.02  # seconds that a call is repeated for, so that the clock's steps do not show
@@ -12,38 +17,41 @@
 CPU_TIME = "CPU: processor time of the process, on a machine shared with other work"
 
 
-def cpu_seconds(call, least=LEAST_TIME):
+Call = Callable[[], object]
+
+
+def cpu_seconds(call: Call, least: float = LEAST_TIME) -> float:
     """Processor seconds of one `call()`, the mean of as many as `least` seconds hold; one at least."""
-    calls, begun = 0, time.process_time()
+    calls, began = 0, time.process_time()
     while True:
         call()
         calls += 1
-        spent = time.process_time() - begun
+        spent = time.process_time() - began
         if spent >= least:
             return spent / calls
 
 
-def once(call):
+def once(call: Call) -> float:
     """Processor seconds of `call()` alone, for what cannot be done twice."""
     gc.collect()
-    begun = time.process_time()
+    began = time.process_time()
     call()
-    return time.process_time() - begun
+    return time.process_time() - began
 
 
-def processor_us(call):
+def processor_us(call: Call) -> float:
     """Processor time of `call()` alone, microseconds."""
-    begun = time.process_time_ns()
+    began = time.process_time_ns()
     call()
-    return (time.process_time_ns() - begun) / 1_000
+    return (time.process_time_ns() - began) / 1_000
 
 
-def instructions(call):
+def instructions(call: Call) -> int:
     """Bytecode instructions that `call()` executes: the same whatever else the machine does. Work within
     functions written in C is not seen, but for the instructions that lead to it."""
     count = 0
 
-    def trace(frame, event, arg):
+    def trace(frame: FrameType, event: str, argument: object) -> Any:
         nonlocal count
         frame.f_trace_opcodes, frame.f_trace_lines = True, False
         if event == "opcode":
@@ -59,7 +67,7 @@
     return count
 
 
-def held_bytes(build):
+def held_bytes(build: Call) -> int:
     """Bytes of Python's objects that stand because of `build()`, whose result is kept meanwhile."""
     gc.collect()
     tracemalloc.start()
@@ -74,12 +82,12 @@
     return after - before
 
 
-def function_calls(call):
+def function_calls(call: Call) -> int:
     """How many functions `call()` calls, those written in C among them: the same whatever else the machine
     does."""
     count = 0
 
-    def profile(frame, event, arg):
+    def profile(frame: FrameType, event: str, argument: object) -> None:
         nonlocal count
         count += event in ("call", "c_call")
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -10,6 +10,8 @@
   `[58 times](../benchmarks/scale/roles.py "gateway-list-memory factor")`, or "predicted", "budget", "state".
 """
 
+from __future__ import annotations
+
 import re
 from dataclasses import dataclass
 from pathlib import Path
@@ -33,54 +35,55 @@
     shown: str
     made: str
 
-    def __str__(self):
+    def __str__(self) -> str:
         return f"line {self.line}, {self.what}: the page shows {self.shown!r}, measured is {self.made!r}"
 
 
 def rewritten(text: str, folder: Path = MEASURED) -> tuple[str, list[Disagreement]]:
     """The page with its blocks and figures made anew, and where it differed. Errors: PageError."""
-    lines, differing, place = [], [], 0
-    told = text.split("\n")
-    while place < len(told):
-        begun = BEGIN.fullmatch(told[place])
-        if begun is None:
-            lines.append(_with_figures(told[place], place + 1, folder, differing))
+    lines: list[str] = []
+    differing: list[Disagreement] = []
+    place, old_lines = 0, text.split("\n")
+    while place < len(old_lines):
+        block = BEGIN.fullmatch(old_lines[place])
+        if block is None:
+            lines.append(_with_figures(old_lines[place], place + 1, folder, differing))
             place += 1
             continue
-        if END not in told[place:]:
-            raise PageError(f"line {place + 1}: {told[place]} has no {END}")
-        end = told.index(END, place)
-        made = _block(begun, place + 1, folder)
-        differing += _differing(begun, place + 1, told[place + 1 : end], made)
-        lines += [told[place], *made, END]
+        if END not in old_lines[place:]:
+            raise PageError(f"line {place + 1}: {old_lines[place]} has no {END}")
+        end = old_lines.index(END, place)
+        made = _block(block, place + 1, folder)
+        differing += _differing(block, place + 1, old_lines[place + 1 : end], made)
+        lines += [old_lines[place], *made, END]
         place = end + 1
     return "\n".join(lines), differing
 
 
-def _block(begun, line, folder):
+def _block(block: re.Match[str], line: int, folder: Path) -> list[str]:
     """The lines that belong into a block."""
-    if begun["kind"] not in TABLES:
-        raise PageError(f"line {line}: no such table: {begun['kind']}")
+    if block["kind"] not in TABLES:
+        raise PageError(f"line {line}: no such table: {block['kind']}")
     try:
-        return TABLES[begun["kind"]](begun["words"].split(), folder)
+        return TABLES[block["kind"]](block["words"].split(), folder)
     except (PageError, MeasurementError) as fault:
-        raise PageError(f"line {line}, table {begun['kind']}: {fault}") from fault
+        raise PageError(f"line {line}, table {block['kind']}: {fault}") from fault
 
 
-def _differing(begun, line, shown, made):
+def _differing(block: re.Match[str], line: int, shown: list[str], made: list[str]) -> list[Disagreement]:
     """The first line of a block that differs, if any does."""
     if shown == made:
         return []
     longest = max(len(shown), len(made))
     pairs = zip(shown + [""] * (longest - len(shown)), made + [""] * (longest - len(made)), strict=True)
     was, now = next(pair for pair in pairs if pair[0] != pair[1])
-    return [Disagreement(line, f"table {begun['kind']}{begun['words']}", was, now)]
+    return [Disagreement(line, f"table {block['kind']}{block['words']}", was, now)]
 
 
-def _with_figures(text, line, folder, differing):
+def _with_figures(text: str, line: int, folder: Path, differing: list[Disagreement]) -> str:
     """A line of text with its figures made anew; where they differed is added to `differing`."""
 
-    def renew(link):
+    def renew(link: re.Match[str]) -> str:
         try:
             made = figure(Path(link["path"]).name, link["title"], folder)
         except (PageError, MeasurementError) as fault:
--- a/benchmarks/scale/plays.py
+++ b/benchmarks/scale/plays.py
@@ -1,10 +1,13 @@
 """How one play is measured: processor time, memory held, and sizes that grow until a play takes too long."""
 
+from __future__ import annotations
+
 import gc
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
+from typing import Any
 
-from benchmarks.scale.measurement import LEAST_SIZES, PLAYS, Measurement, Point
+from benchmarks.scale.measurement import LEAST_SIZES, PLAYS, Measurement, Play, Point
 
 LONG_PLAY = 5.0  # seconds of processor time of one play, after which no larger size is measured
 CPU = "processor time of the process, garbage collection as the program runs it"
@@ -13,31 +16,39 @@
 
 def cpu_ms(action: Callable[[], object], repeats: int = 1) -> float:
     """Milliseconds of processor time of one of `repeats` runs."""
-    begun = time.process_time_ns()
+    began = time.process_time_ns()
     for _ in range(repeats):
         action()
-    return (time.process_time_ns() - begun) / 1e6 / repeats
-
-
-def grown(name, meaning, unit, parameter, sizes, play, conditions) -> Measurement:
+    return (time.process_time_ns() - began) / 1e6 / repeats
+
+
+def grown(
+    name: str,
+    meaning: str,
+    unit: str,
+    parameter: str,
+    sizes: Sequence[Any],
+    play: Play,
+    conditions: str,
+) -> Measurement:
     """Calls `play(size, seed)` for each size and seed, up to the size at which a play takes `LONG_PLAY`.
 
     At least as many sizes are measured as a fit needs."""
-    points = []
+    points: list[Point] = []
     for size in sizes:
         values, longest = [], 0.0
         for seed in range(1, PLAYS + 1):
             gc.collect()
-            begun = time.process_time()
+            began = time.process_time()
             values.append(play(size, seed))
-            longest = max(longest, time.process_time() - begun)
+            longest = max(longest, time.process_time() - began)
         points.append(Point(size, values))
         if longest > LONG_PLAY and len(points) >= LEAST_SIZES:
             break
-    return Measurement(name, meaning, unit, parameter, points, _told(conditions, points, sizes))
+    return Measurement(name, meaning, unit, parameter, points, _all_conditions(conditions, points, sizes))
 
 
-def _told(conditions, points, sizes):
+def _all_conditions(conditions: str, points: Sequence[Point], sizes: Sequence[Any]) -> str:
     """The conditions, with the sizes that were left out."""
     left = sizes[len(points) :]
     if not left:
--- a/benchmarks/scale/predictions.py
+++ b/benchmarks/scale/predictions.py
@@ -3,9 +3,12 @@
 `python -m benchmarks.scale.predictions PREFIX` writes docs/measured/scale/predictions/PREFIX.json.
 """
 
+from __future__ import annotations
+
 import json
 import sys
 from dataclasses import asdict, dataclass, replace
+from typing import Any
 
 from benchmarks.scale.fit import fit
 from benchmarks.scale.measurement import MEASURED, Measurement
@@ -38,9 +41,9 @@
     return found
 
 
-def main(prefix):
+def main(prefix: str) -> None:
     """Predicts for all measurements of that prefix, prints and keeps the result."""
-    kept = {}
+    kept: dict[str, Any] = {}
     for path in sorted(MEASURED.glob(f"{prefix}-*.json")):
         measurement = Measurement.load(path.stem)
         made = predictions(measurement)
--- a/benchmarks/scale/tables.py
+++ b/benchmarks/scale/tables.py
@@ -1,27 +1,32 @@
 """The tables that a page can ask for, each made of the kept measurements alone."""
 
+from __future__ import annotations
+
 import fnmatch
+from collections.abc import Callable, Iterator
 from pathlib import Path
 
 from benchmarks.scale import arithmetic, cold_start, ladder_table, machines, roles, size
 from benchmarks.scale.budget import judged
 from benchmarks.scale.fit import WIDE_STRETCH, fit
 from benchmarks.scale.measurement import Measurement
+from benchmarks.scale.row import Row
 from benchmarks.scale.text import number, share, table
+from gaproute.errors import GaprouteError
 
 
-class PageError(ValueError):
+class PageError(GaprouteError, ValueError):
     """A page asks for something that does not exist; the message names it."""
 
 
-def size_named(told: str) -> float:
+def size_named(name: str) -> float:
     """A size given as a number, or as the name of a constant of `size`. Errors: PageError."""
     try:
-        return float(told.replace(",", ""))
+        return float(name.replace(",", ""))
     except ValueError:
-        value = getattr(size, told, None)
-    if not told.isupper() or not isinstance(value, int | float):
-        raise PageError(f"no such size: {told}")
+        value = getattr(size, name, None)
+    if not name.isupper() or not isinstance(value, int | float):
+        raise PageError(f"no such size: {name}")
     return value
 
 
@@ -39,11 +44,11 @@
         "last size over the curve",
         "predicted",
     ]
-    return table(head, [_slope(name, at, folder) for name, at in _asked(words, folder)])
+    return table(head, [_slope(name, at, folder) for name, at in _requested(words, folder)])
 
 
-def _asked(words, folder):
-    """(name of a measurement, size) of each that is asked for."""
+def _requested(words: list[str], folder: Path) -> Iterator[tuple[str, float]]:
+    """The name of each measurement that is asked for, and the size."""
     known = sorted(path.stem for path in folder.glob("*.json"))
     for word in words:
         pattern, marked, at = word.partition("@")
@@ -55,26 +60,26 @@
         yield from ((name, size_named(at)) for name in names)
 
 
-def _slope(name, at, folder):
+def _slope(name: str, at: float, folder: Path) -> list[str]:
     """One row of `slopes`."""
-    kept = Measurement.load(name, folder)
-    found = fit(kept)
-    stretch = found.stretch(at)
-    predicted = f"{number(found.predict(at))} at {number(at)}"
+    measured = Measurement.load(name, folder)
+    fitted = fit(measured)
+    stretch = fitted.stretch(at)
+    predicted = f"{number(fitted.predict(at))} at {number(at)}"
     if stretch > 1:
         stretched = "**stretched**" if stretch > WIDE_STRETCH else "stretched"
         predicted += f", {stretched} {number(stretch, digits=2)} times"
-    spread = max(point.spread for point in kept.points)
-    sizes = f"{number(found.smallest)} to {number(found.largest)} {kept.parameter}"
-    fitted = f"{found.formula}, {found.form}"
-    ratio = number(found.last_ratio, digits=2)
+    spread = max(point.spread for point in measured.points)
+    sizes = f"{number(fitted.smallest)} to {number(fitted.largest)} {measured.parameter}"
+    curve = f"{fitted.formula}, {fitted.form}"
+    ratio = number(fitted.last_ratio, digits=2)
     return [
         name,
-        kept.meaning,
-        kept.unit,
+        measured.meaning,
+        measured.unit,
         sizes,
-        fitted,
-        share(found.residual),
+        curve,
+        share(fitted.residual),
         share(spread),
         ratio,
         predicted,
@@ -90,7 +95,7 @@
     return table(head, [_budgeted(row, folder) for row in roles.ROWS if not words or row.role in words])
 
 
-def _budgeted(row, folder):
+def _budgeted(row: Row, folder: Path) -> list[str]:
     """One row of `budget`."""
     verdict = judged(row, folder)
     predicted = "-" if verdict.predicted is None else f"{number(verdict.predicted)} {row.unit}"
@@ -112,16 +117,16 @@
         raise PageError(f"breaks-first takes no words: {' '.join(words)}")
     verdicts = [judged(row, folder) for row in roles.ROWS]
     missing = [verdict for verdict in verdicts if verdict.factor is None]
-    over = [verdict for verdict in verdicts if verdict.factor is not None and verdict.factor > 1]
-    over.sort(key=lambda verdict: -verdict.factor)
+    over = [(verdict.factor, verdict) for verdict in verdicts if verdict.factor and verdict.factor > 1]
+    over.sort(key=lambda pair: -pair[0])
     rows = [[each.row.role, each.row.cost, "-", each.state] for each in missing]
-    for each in over:
-        factor = f"{times(each.factor)}, {each.stretched}" if each.stretched else times(each.factor)
-        rows.append([each.row.role, each.row.cost, factor, each.state])
+    for factor, each in over:
+        shown = f"{times(factor)}, {each.stretched}" if each.stretched else times(factor)
+        rows.append([each.row.role, each.row.cost, shown, each.state])
     return table(["role", "cost", "over the budget", "state"], rows)
 
 
-TABLES = {
+TABLES: dict[str, Callable[[list[str], Path], list[str]]] = {
     "slopes": slopes,
     "budget": budget,
     "breaks-first": breaks_first,
