--- a/gaproute/hollow/cells/fleet.py
+++ b/gaproute/hollow/cells/fleet.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from gaproute.decisions.cells.change import TableChange
-from gaproute.decisions.cells.table import EntryGateway, Version
+from gaproute.decisions.cells.table import EntryGateway
+from gaproute.decisions.cells.version import Version
 from gaproute.hollow.cells.environment import CellGatewayEnvironment
 from gaproute.hollow.cells.metered_loop import MeteredLoop
 from gaproute.hollow.cells.network import CellNetwork
--- a/gaproute/hollow/cells/plan.py
+++ b/gaproute/hollow/cells/plan.py
@@ -9,10 +9,10 @@
     Cell,
     CellTable,
     EntryGateway,
-    Version,
     initial_points,
     validate,
 )
+from gaproute.decisions.cells.version import Version
 from gaproute.hollow.simulation import GatewayRow
 from gaproute.interface import ListedHost, State
 
--- a/gaproute/hollow/cells/shared_tables.py
+++ b/gaproute/hollow/cells/shared_tables.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 from gaproute.decisions.cells.change import TableHolder
-from gaproute.decisions.cells.table import CellTable, Version
+from gaproute.decisions.cells.table import CellTable
+from gaproute.decisions.cells.version import Version
 from gaproute.peers.tables import CellTableTransport
 from gaproute.peers.tables.document import TableDocument
 from gaproute.shared.dissemination import Change, Peer
--- a/gaproute/hollow/cells/tables.py
+++ b/gaproute/hollow/cells/tables.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from gaproute.decisions.cells.table import Version
+from gaproute.decisions.cells.version import Version
 from gaproute.hollow.cells.environment import CellGatewayEnvironment
 from gaproute.hollow.cells.shared_tables import SharedCellTableTransport, SharedTableDocument
 from gaproute.hollow.counting_transport import CountingTransport
--- a/gaproute/simulation/campaigns/copy_loader.py
+++ b/gaproute/simulation/campaigns/copy_loader.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from gaproute.rollouts.copy_exchange import exchange
+from gaproute.rollouts.copy_exchange import CopyOrderKind, CopyPlacement, plan_exchange
 from gaproute.rollouts.dispatcher import RolloutDispatcher
 from gaproute.rollouts.load_limiter import RolloutLoadLimiter
 from gaproute.rollouts.weight_versions import WeightVersions
@@ -55,7 +55,7 @@
         """The load at the host has ended; None: without a copy."""
         load = self._pending.pop(host, None)
         if load is not None:
-            self.limiter.ended(now, copy is not None)
+            self.limiter.record_ended(now, loaded=copy is not None)
             if load.lease is not None:
                 self.leases.release(now, load.lease)
 
@@ -72,16 +72,16 @@
             if host in self._pending or any(copy.campaign == campaign for copy in view.loading)
         ]
         free = {host: view.free_room for host, view in views.items()}
-        wanted = self.weights.wanted(campaign)
+        placement = CopyPlacement(list(views), copies, loading, free)
         outgoing = []
-        for kind, host, version in exchange(campaign, 1, wanted, list(views), copies, loading, free):
-            if kind == "drop":
+        for kind, host, version in plan_exchange(1, self.weights.usable(campaign), placement):
+            if kind == CopyOrderKind.DROP:
                 outgoing.append((host, DropCopy(Copy(campaign, version))))
-            elif host not in self._pending and self.limiter.may(now):
-                needs_lease = kind == "swap"
+            elif host not in self._pending and self.limiter.allows(now):
+                needs_lease = kind == CopyOrderKind.SWAP
                 lease = self.leases.acquire(now, EXCHANGE, EXCHANGE_LEASE_TIME) if needs_lease else None
                 self._pending[host] = PendingLoad(Copy(campaign, version), lease, now)
-                self.limiter.ordered()
+                self.limiter.record_ordered()
         return outgoing
 
     def _current_views(self, now: int, hosts: Sequence[str]) -> dict[str, HostView]:
@@ -90,7 +90,9 @@
         return {
             host: views[host]
             for host in hosts
-            if host in self.dispatcher.parts and host in views and now - views[host].asked_at < MAX_VIEW_AGE
+            if host in self.dispatcher.allotments
+            and host in views
+            and now - views[host].asked_at < MAX_VIEW_AGE
         }
 
     def _follow(self, now: int, host: str, load: PendingLoad) -> Outbox:
