--- a/benchmarks/fleet/faults.py
+++ b/benchmarks/fleet/faults.py
@@ -68,7 +68,7 @@
 
     def deliver(group: int, payload: bytes) -> None:
         for receiver in world.gateways[group::LATE_GROUPS]:
-            receiver.gateway.told(world.clock.now, payload)
+            receiver.gateway.peer_message_received(world.clock.now, payload)
 
     world.delivery_filter = deliver_later
 
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -73,7 +73,7 @@
         self.requests: dict[str, FleetRequest] = {}  # in flight, by id
         self._waits: dict[str, object] = {}  # the latest wait of each key
         self._connections: dict[str, int] = {}  # by host: when it was used last
-        self.gateway.listed(world.clock.now, host_rows, True)
+        self.gateway.update_hosts(world.clock.now, host_rows, True)
         self.start_housekeeping(world.clock.now)
 
     def ask(self, function: str, request_class: int) -> None:
@@ -164,7 +164,7 @@
         world.clock.after(ROUND_TRIP, self._order_answered, host, function, copies)
 
     def _order_answered(self, host: str, function: str, copies: int) -> None:
-        self.gateway.stood(self.world.clock.now, host, function, face.Result.OK, copies)
+        self.gateway.load_order_ended(self.world.clock.now, host, function, face.Result.OK, copies)
 
     def probe(self, host: str) -> None:
         """See `Driver`."""
--- a/benchmarks/next_in_turn.py
+++ b/benchmarks/next_in_turn.py
@@ -21,5 +21,5 @@
         yield Attempt(hosts[self.turn % len(hosts)].id)
         yield Wait(now + request.time_left)
 
-    def heard(self, now: int, outcome: Outcome) -> None:
+    def attempt_ended(self, now: int, outcome: Outcome) -> None:
         """Of no interest."""
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -1,5 +1,10 @@
 """Gateways' decisions to be measured: terms, host lists, and a caller that answers each relay at once."""
 
+from __future__ import annotations
+
+from collections.abc import Generator, Iterator
+from typing import Any
+
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.parameters import MIX_SIZE
@@ -68,7 +73,7 @@
     def __init__(self, hosts: int, seed: int, report: face.Report | None = None):
         self.now, self.calls, self.report = SECOND, 0, report
         self.gateway = Gateway(seed, TERMS, self.now)
-        self.gateway.listed(self.now, rows(hosts), True)
+        self.gateway.update_hosts(self.now, rows(hosts), True)
 
     def call(self, function: str) -> str:
         """One call from acceptance to its delivered answer; the host. Errors: CallError."""
@@ -84,7 +89,7 @@
         outcome = face.Outcome(
             name, 0, relay.host, face.Result.OK, TOOK, True, face.Found.WARM, 0, self.report
         )
-        self.gateway.heard(self.now + TOOK, outcome)
+        self.gateway.attempt_ended(self.now + TOOK, outcome)
         if next(_rest(serve, (self.now + TOOK, outcome)), None) is not None:
             raise CallError(f"{name} of {function} goes on after its answer")
         return relay.host
@@ -95,7 +100,7 @@
         self.gateway.mix.recent.extend(f"other-{number}" for number in range(MIX_SIZE))
 
 
-def _rest(serve, heard):
+def _rest(serve: Generator[Any, Any, None], heard: tuple[int, face.Outcome]) -> Iterator[Any]:
     """What a task's generator still yields once it has heard."""
     try:
         yield serve.send(heard)
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -35,7 +35,7 @@
 
 # Added to the seed: each part draws from a chance of its own.
 OBSERVATIONS_SEED, MEMBERSHIP_SEED, GOSSIP_SEED, LEASES_SEED = 1, 2, 4, 5
-LAST_RUN = "past life"  # the origin of what the store tells, as operators read it
+LAST_RUN = "past life"  # the origin of what the store holds, as operators read it
 FORWARDED_HEADER_BYTES = 4096  # of headers that a gateway adds to a client's
 # Of those that ask at a gateway that takes part in leases: batches are long, and every gateway of a large
 # fleet may have a connection to each member of the group.
@@ -52,7 +52,7 @@
 class PeerServices:
     """The parts that speak with other gateways; those that the configuration does not ask for are None.
 
-    `gateway`: the decisions, which are given and asked for observations. `cells`: told who the peers are.
+    `gateway`: the decisions, which are given and asked for observations. `cells`: notified of the peers.
     """
 
     def __init__(
@@ -151,7 +151,7 @@
     def peer_list_rejected(self, mistakes: Iterable[Mistake]) -> None:
         """Logs why the list of peers that was read last is not used."""
         for mistake in mistakes:
-            self.record.event("error", "peer list refused", mistake=str(mistake))
+            self.record.event("error", "peer_list_rejected", error=str(mistake))
 
     def open_observation_store(self) -> None:
         """Opens the store on disk, where there is one, and applies what it holds of the last run.
@@ -165,7 +165,7 @@
             store.open()
             self._restore(store)
         except ObservationStoreError as error:
-            self.record.event("warning", "observation store unavailable", text=str(error))
+            self.record.event("warning", "observation_store_unavailable", error=str(error))
         self.observation_writer = ObservationWriter(
             self.loop, store, self.gateway, self.host_history, self.request_classes
         )
@@ -176,8 +176,8 @@
         return self.follower.follow(self.gateway, self.loop.now(), starts, subjects)
 
     def observations_complete(self) -> None:
-        """All that one source tells has come: the mix of functions is known now."""
-        self.gateway.hint_mix(self.observations.request_mix())
+        """All that one source sends has come: the mix of functions is known now."""
+        self.gateway.hint_function_mix(self.observations.request_mix())
 
     def cpu_spent(self) -> int:
         """CPU that giving and storing observations took, ns."""
@@ -225,14 +225,14 @@
         self.observations_complete()
         self.record.event(
             "info",
-            "remembered",
-            facts=len(self.observations.by_subject),
-            booked=applied,
-            refused=self.observations.rejected(),
+            "observations_restored",
+            observations=len(self.observations.by_subject),
+            hints_taken=applied,
+            rejected=self.observations.rejected(),
         )
 
     def _log_store(self, text: str) -> None:
-        self.record.event("warning", "observation store", text=text)
+        self.record.event("warning", "observation_store_fault", message=text)
 
 
 def _with_forwarded_requests(limits: Limits, clients: ClientLimitsLine) -> Limits:
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -82,11 +82,11 @@
         if self.record.is_traced(call.request_id):
             request.log_step = partial(self.record.log_step, call.request_id)
             request.log_step(
-                "taken",
-                task=request.id,
-                track=call.request_class,
+                "received",
+                gateway_request_id=request.id,
+                request_class=call.request_class,
                 function=call.function,
-                left_ms=left // MILLI,
+                time_left_ms=left // MILLI,
             )
 
     def client_left(self, key: str) -> None:
@@ -97,7 +97,7 @@
         request.on_final = None
         self.record.client_left(request.request_class)
         if request.log_step is not None:
-            request.log_step("client left", relays=len(request.attempts))
+            request.log_step("client_left", attempts=len(request.attempts))
         self._guard(key, self.abandon, self.loop.now(), key)
         self._withdraw_attempts(request)
         self._release_if_complete(request)
@@ -135,7 +135,7 @@
     def update_hosts(self, rows: Sequence[face.ListedHost], complete: bool) -> None:
         """Takes over the host list (`complete`), or a change of it."""
         now = self.loop.now()
-        self.gateway.listed(now, rows, complete)
+        self.gateway.update_hosts(now, rows, complete)
         self.start_housekeeping(now)
 
     def watch_hosts(self) -> None:
@@ -150,20 +150,19 @@
         )
 
     def _order_answered(
-        self, ordered_at: int, host: str, function: str, copies: int, result: face.Result, standing: int
+        self, ordered_at: int, host: str, function: str, copies: int, result: face.Result, copies_loaded: int
     ) -> None:
         now = self.loop.now()
         if self.record.is_traced(function):
-            self.record.log_step(
+            self.record.log_load_order(
                 function,
-                "order",
-                worker=host,
+                host=host,
                 copies=copies,
                 result=result.value,
-                stand=standing,
+                copies_loaded=copies_loaded,
                 took_ms=(now - ordered_at) // MILLI,
             )
-        self.gateway.stood(now, host, function, result, standing)
+        self.gateway.load_order_ended(now, host, function, result, copies_loaded)
 
     def probe(self, host: str) -> None:
         """Checks a host's health."""
@@ -181,4 +180,4 @@
 
     def receive_broadcast(self, payload: bytes, /) -> None:
         """Takes a payload of another gateway; one that cannot be decoded is ignored."""
-        self.gateway.told(self.loop.now(), payload)
+        self.gateway.peer_message_received(self.loop.now(), payload)
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -87,7 +87,7 @@
 
     def handle_outcome(self, now: int, outcome: face.Outcome) -> None:
         """Accounts for an attempt that has ended, then resumes the generator of its request."""
-        self.gateway.heard(now, outcome)
+        self.gateway.attempt_ended(now, outcome)
         self.resume(outcome.request, now, outcome)
 
     def abandon(self, now: int, key: str) -> None:
@@ -98,7 +98,7 @@
 
     def probe_answered(self, now: int, host: str, good: bool, report: face.Report | None) -> None:
         """Accounts for a health check that has ended; broadcasts the message that the decisions return."""
-        payload = self.gateway.probed(now, host, good, report)
+        payload = self.gateway.probe_ended(now, host, good, report)
         if payload is not None:
             self.broadcast(payload)
 
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -143,7 +143,7 @@
         """The generator of one request, from acceptance to its one final answer."""
         return self.router.serve(now, request)
 
-    def heard(self, now: int, outcome: Outcome) -> None:
+    def attempt_ended(self, now: int, outcome: Outcome) -> None:
         """Accounts for an attempt that has ended, whether or not its request is still waiting."""
         self.recorder.record(now, outcome)
 
@@ -158,12 +158,12 @@
 
     # The host list, probes and load orders
 
-    def listed(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, rows: Sequence[ListedHost], complete: bool) -> None:
         """Takes over a host list; `complete`: hosts that it does not name are gone."""
         self.hosts.update(now, rows, complete=complete)
         self.sharing.hosts_listed([host.id for host in self.hosts.active])
 
-    def list_refused(self, now: int) -> None:
+    def host_list_poll_failed(self, now: int) -> None:
         """Notes that a poll of the host list was refused: the list is polled once more."""
         self.housekeeping.host_list_wanted = True
 
@@ -171,7 +171,7 @@
         """The generator of polls, probes and cleanup, for as long as the gateway runs."""
         return self.housekeeping.run(now)
 
-    def probed(self, now: int, host_id: str, good: bool, report: Report | None) -> bytes | None:
+    def probe_ended(self, now: int, host_id: str, good: bool, report: Report | None) -> bytes | None:
         """Accounts for a probe that has ended; returns the message for all other gateways, or None."""
         host = self.hosts.by_id.get(host_id)
         if host is not None:
@@ -180,14 +180,14 @@
                 self.outliers.record(host, now, None, UNANSWERED_PROBE)
         return self.sharing.encode(host_id, report) if good else None
 
-    def told(self, now: int, message: bytes) -> None:
+    def peer_message_received(self, now: int, message: bytes) -> None:
         """Takes another gateway's message about the load of a host; one that cannot be used is ignored."""
         decoded = self.sharing.decode(message)
         if decoded is not None:
             host_id, report = decoded
             self.loads.record(self.hosts.by_id[host_id], now, report)
 
-    def stood(self, now: int, host_id: str, name: str, result: Result | None, copies: int) -> None:
+    def load_order_ended(self, now: int, host_id: str, name: str, result: Result | None, copies: int) -> None:
         """Accounts for the end of a load order.
 
         `result` is None where the answer cannot be decoded; `copies`: instances that are loaded there now.
@@ -202,26 +202,26 @@
 
     # Observations of other gateways, and of this one
 
-    def hint(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
+    def hint_instance(self, host_id: str, name: str, lanes: int, seen: int) -> bool:
         """Another gateway saw an instance of the function at the host; returns whether the hint counts."""
         return self.hints.instance(host_id, name, lanes, seen)
 
-    def hint_doubt(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
+    def hint_failures(self, host_id: str, request_class: int, harm: float, seen: int) -> bool:
         """Another gateway's attempts of the class failed at the host; returns whether the hint counts."""
         return self.hints.failure(host_id, request_class, harm, seen)
 
-    def hint_pace(self, host_id: str, slowdown: float, seen: int) -> bool:
+    def hint_slowdown(self, host_id: str, slowdown: float, seen: int) -> bool:
         """The host answered another gateway that many times slower than usual; whether the hint counts."""
         return self.hints.slowdown(host_id, slowdown, seen)
 
-    def hint_usual(self, name: str | None, took: int) -> bool:
+    def hint_usual_time(self, name: str | None, took: int) -> bool:
         """The usual answer time (ns) of a function, or of loads (`name` None); whether the hint counts."""
         return self.hints.usual_time(name, took)
 
-    def hint_mix(self, names: Sequence[str]) -> None:
+    def hint_function_mix(self, names: Sequence[str]) -> None:
         """The functions of the last requests that other gateways served."""
         self.hints.set_mix(names)
 
-    def known(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
+    def observations_since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
         """The observations that this gateway itself made since that time (ns)."""
         return self.observations.since(now, since)
--- a/gaproute/decisions/routing/load_shedder.py
+++ b/gaproute/decisions/routing/load_shedder.py
@@ -47,11 +47,11 @@
         self.tenants: deque[int] = deque(maxlen=RATE_SAMPLES)  # of the last requests
         self.waiting, self.counted_at = 0, -JUDGEMENT_INTERVAL  # see `_count_waiting`
 
-    def request_came(self, tenant: int) -> None:
+    def record_request(self, tenant: int) -> None:
         """Count a request of the tenant."""
         self.tenants.append(tenant)
 
-    def crowded(self, now: int, request: Request, request_class: RequestClass) -> bool:
+    def is_overloaded(self, now: int, request: Request, request_class: RequestClass) -> bool:
         """Whether to reject a request at once, as the expected wait is too long.
 
         The expected wait is the number of attempts in flight divided by the rate of answers. Both count only
@@ -92,7 +92,7 @@
             value *= self.over_share_value
         return BEARABLE_WAIT * self.answer_times.shortest_objective * (0.5 + 0.5 * value)
 
-    def sheds(self, now: int, request: Request, request_class: RequestClass, host: Host) -> bool:
+    def should_shed(self, now: int, request: Request, request_class: RequestClass, host: Host) -> bool:
         """Whether to reject a request because of the queue at the best host.
 
         The expected wait is the load of the host (the usual load where it has no fresh report) times what a
--- a/gaproute/decisions/routing/slow_start.py
+++ b/gaproute/decisions/routing/slow_start.py
@@ -28,7 +28,7 @@
         left = max(0, host.warm_at - now) / max(1, self.warm_up_time)
         return 1.0 - (1.0 - self.first_share) * left
 
-    def request_came(self, now: int) -> None:
+    def record_request(self, now: int) -> None:
         """Gives credit for a request where no host is warm, so that some request is tried at all.
 
         All gateways together give each host at most a fixed credit per second, as the rate of requests is no
--- a/gaproute/hollow/cells/hosts.py
+++ b/gaproute/hollow/cells/hosts.py
@@ -43,10 +43,10 @@
         """All hosts by their name."""
         return {name: host for gateway in self.gateways() for name, host in gateway.hosts_by_id.items()}
 
-    def known(self, now: int, since: int) -> Iterator[Any]:
+    def observations_since(self, now: int, since: int) -> Iterator[Any]:
         """What was observed of warm instances since then."""
         for gateway in self.gateways():
-            yield from gateway.known(now, since)
+            yield from gateway.observations_since(now, since)
 
 
 class CellHostsPart(ControlPart):
@@ -105,7 +105,7 @@
         any_change = changed or lists.keys() != self._lists.keys()
         self._lists = lists
         for cell, rows in changed.items():
-            self.cellular.listed(self._loop.now(), rows, True, cell)
+            self.cellular.update_hosts(self._loop.now(), rows, True, cell)
             self._lists_given += 1
         if any_change:
             starts = {row.host: row.started for rows in lists.values() for row in rows}
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -47,7 +47,7 @@
         counted: bool = False,
         inherited: socket.socket | None = None,
     ) -> None:
-        """`render_error(error)`: what a client is told that breaks the protocol or a limit; `counted` and
+        """`render_error(error)`: the answer to a client that breaks the protocol or a limit; `counted` and
         `inherited` as of `Acceptor`. Errors: OSError."""
         super().__init__(loop, address, counted=counted, inherited=inherited)
         self.handle, self.limits, self.render_error = handle, limits, render_error
--- a/gaproute/interface/__init__.py
+++ b/gaproute/interface/__init__.py
@@ -11,9 +11,9 @@
 A generator yields one of the actions of `actions.py` and is resumed at once with None, except for
 `Attempt`, resumed with the attempt's number, and `Wait`, resumed later with `(now, outcome)`, where the
 outcome is None when the time came first. A request's generator ends after `Reject` or `Fail`, or after an
-outcome that ended the request. Before the caller resumes a generator with an outcome, and also where the
-request has no generator any more, it hands the outcome to `Gateway.heard`. Outcomes that have arrived are
-handed over before waits whose time has come are resumed: a gateway that stalled must not treat as overdue
+outcome that ended the request.Before the caller resumes a generator with an outcome, and also where the
+request has no generator any more, it hands the outcome to `Gateway.attempt_ended`. Outcomes that have arrived
+are handed over before waits whose time has come are resumed: a gateway that stalled must not treat as overdue
 what was answered meanwhile.
 """
 
@@ -26,6 +26,7 @@
     PollHostList,
     Probe,
     Reject,
+    RejectReason,
     Wait,
 )
 from gaproute.interface.outcomes import NEVER_RAN, Found, Outcome, Report, Result
@@ -46,6 +47,7 @@
     "PollHostList",
     "Probe",
     "Reject",
+    "RejectReason",
     "Report",
     "Request",
     "RequestClass",
--- a/gaproute/interface/call.py
+++ b/gaproute/interface/call.py
@@ -46,8 +46,8 @@
     """How a request ended; the values are those of counters and log lines."""
 
     DELIVERED = "delivered"
-    REJECTED = "declined"  # a retry is safe
-    FAILED = "scrapped"  # the request may have run
+    REJECTED = "rejected"  # a retry is safe
+    FAILED = "failed"  # the request may have run
 
 
 class Final(NamedTuple):
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -20,13 +20,13 @@
     def __init__(self, serve):
         self.serve, self.outcomes = serve, []
 
-    def heard(self, now, outcome):
+    def attempt_ended(self, now, outcome):
         self.outcomes.append(outcome)
 
     def housekeep(self, now):
         yield face.Wait(now + SECOND)
 
-    def listed(self, now, rows, complete):
+    def update_hosts(self, now, rows, complete):
         pass
 
 
@@ -207,7 +207,7 @@
     made.attempt_ended("a", 0, face.Result.RESET)
     made.attempt_ended("b", 0, face.Result.OK)
     made.forget_host("a")
-    assert made.snapshot() == {"relay": {"b": {"ok": 1}}}
+    assert made.snapshot() == {"attempts": {"b": {"ok": 1}}}
 
 
 def test_the_housekeeper_starts_again_with_the_next_host_list_after_an_error():
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -28,7 +28,7 @@
     """The same, with a table of several cells; it knows the hosts of one."""
     made = bare(**options)
     made.adopt(0, table(cells(count, entries=entries)))
-    made.listed(0, [row(f"cell0-{host}") for host in "abc"], True, "cell0")
+    made.update_hosts(0, [row(f"cell0-{host}") for host in "abc"], True, "cell0")
     return made
 
 
@@ -47,14 +47,14 @@
 
 
 def test_an_entry_without_a_table_does_not_know_the_cell():
-    assert forwarded(bare(), "cell0") == CellUnknown(ADVICE, "cell not known")
+    assert forwarded(bare(), "cell0") == CellUnknown(ADVICE, face.RejectReason.CELL_UNKNOWN)
 
 
 def test_an_entry_of_another_single_cell_does_not_know_the_cell():
     made = bare()
     made.adopt(0, table([cell("only")]))
     assert isinstance(forwarded(made, "only"), CellUnknown)  # its host list has not come
-    made.listed(0, [row("a")], True, "only")
+    made.update_hosts(0, [row("a")], True, "only")
     assert isinstance(forwarded(made, "cell7"), CellUnknown)
     assert forwarded(made, "only").host == "a"
 
@@ -67,7 +67,7 @@
     refused = forwarded(made, "cell0")
     assert isinstance(refused, face.Reject)
     assert not isinstance(refused, CellUnknown)
-    made.listed(0, [], True, "cell0")
+    made.update_hosts(0, [], True, "cell0")
     made.health.faults.clear()
     assert isinstance(forwarded(made, "cell0"), CellUnknown)  # no host to send it to
 
@@ -92,7 +92,7 @@
     while isinstance(wish, face.Attempt):
         serve.send(relays)
         outcome = face.Outcome("t", relays, wish.host, result, MILLI, False, face.Found.UNKNOWN, None, None)
-        made.heard(MILLI, outcome)
+        made.attempt_ended(MILLI, outcome)
         wish, relays = serve.send((MILLI, outcome)), relays + 1
     assert isinstance(wish, CellUnknown) == unknown
     assert wish.retry_after == ADVICE
@@ -178,7 +178,9 @@
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
         made.health.record_unreachable(0, name)
-    assert Drive(made, task("t", request_class=NON_IDEMPOTENT)).wishes == [face.Reject(ADVICE, "no cell")]
+    assert Drive(made, task("t", request_class=NON_IDEMPOTENT)).wishes == [
+        face.Reject(ADVICE, face.RejectReason.NO_CELL_AVAILABLE)
+    ]
 
 
 def test_loads_of_forwarded_calls_are_no_usual_answer_times():
--- a/tests/decisions/routing/test_request_router.py
+++ b/tests/decisions/routing/test_request_router.py
@@ -65,7 +65,7 @@
 def test_drains_stop_requests_and_orders_at_once(change):
     made = gateway(row("a"))
     drive = Drive(made, task())
-    made.listed(1, change, False)
+    made.update_hosts(1, change, False)
     assert not any(
         isinstance(wish, (face.Attempt, face.LoadOrder)) for wish in drive.hears(2, Result.NOT_LOADED)
     )
@@ -79,4 +79,6 @@
     made.throughput.refusals.extend([(SECOND, True)] * 5)
     drive.late(SECOND)
     assert drive.ended is ended
-    assert (drive.wishes == [face.Cancel(0), face.Reject(SECOND, "late")]) is ended
+    assert (
+        drive.wishes == [face.Cancel(0), face.Reject(SECOND, face.RejectReason.LATENCY_OBJECTIVE_MISSED)]
+    ) is ended
