--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 from gaproute import interface as face
 from gaproute.core.completion import MILLI, RequestCompletion
@@ -117,7 +116,7 @@
             self._attempt_ended(key, number, AttemptResult(result, None))
 
 
-def _log_outcome(log_step: Callable[..., Any], outcome: face.Outcome) -> None:
+def _log_outcome(log_step: Callable[..., None], outcome: face.Outcome) -> None:
     """Logs the outcome of an attempt of a traced request."""
     log_step(
         "attempt_ended",
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -2,7 +2,6 @@
 
 from abc import abstractmethod
 from collections.abc import Callable
-from typing import Any
 
 from gaproute import interface as face
 from gaproute.core.driver import HOUSEKEEPING, Driver
@@ -131,7 +130,7 @@
 
     # Errors
 
-    def _guard(self, key: str, step: Callable[..., Any], *arguments: Any) -> None:
+    def _guard(self, key: str, step: Callable[..., object], *arguments: object) -> None:
         """Calls a step of one request's decisions; an error ends that request alone."""
         try:
             step(*arguments)
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -1,7 +1,7 @@
 """A request in flight, its attempts, and what the hosts report of each attempt."""
 
 from collections.abc import Callable
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
 from gaproute import interface as face
 from gaproute.interface.call import Answer, Call, Final
@@ -85,4 +85,4 @@
         self.may_have_run = False  # by an attempt that has ended
         self.cell_unknown = False  # rejected because this gateway does not know its cell
         self.found = face.Found.UNKNOWN  # by the attempt that delivered the answer
-        self.log_step: Callable[..., Any] | None = None  # where its steps are logged
+        self.log_step: Callable[..., None] | None = None  # where its steps are logged
--- a/gaproute/decisions/routing/observations.py
+++ b/gaproute/decisions/routing/observations.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 from statistics import median
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.functions import Function
@@ -17,8 +17,8 @@
     """One fact that this gateway saw; kinds and values as in `decisions/reports/observation_kinds.py`."""
 
     kind: str
-    names: tuple[Any, ...]  # the host, function or request class that the fact is about
-    value: tuple[Any, ...]
+    names: tuple[str | int, ...]  # the host, function or request class that the fact is about
+    value: tuple[float, ...]  # as its kind defines it
     at: int  # ns
 
 
--- a/gaproute/loop/loop.py
+++ b/gaproute/loop/loop.py
@@ -60,7 +60,7 @@
     def __init__(self, clock: Clock = time.monotonic_ns) -> None:
         super().__init__(clock)
         self.poll: Callable[[select.epoll, int], Events] = getattr(clock, "poll", None) or wait
-        self.callbacks: deque[tuple[Callback, tuple[Any, ...]]] = deque()  # of `soon`
+        self.callbacks: deque[tuple[Callback, tuple[object, ...]]] = deque()  # of `soon`
         self.running = False
         self.signals = SignalHandlers()
         self.errors: list[BaseException] = []  # the last few that escaped a callback
@@ -84,7 +84,7 @@
 
     # Calls
 
-    def soon(self, call: Callback, *args: Any) -> None:
+    def soon(self, call: Callback, *args: object) -> None:
         """Calls `call(*args)` in this turn or the next, after the descriptors that are readable."""
         self.callbacks.append((call, args))
 
@@ -112,7 +112,7 @@
         else:
             traceback.print_exception(error)
 
-    def guard(self, call: Callback, *args: Any) -> None:
+    def guard(self, call: Callback, *args: object) -> None:
         """Calls `call(*args)`; an error is reported, so that other callbacks are still called."""
         try:
             call(*args)
--- a/gaproute/loop/timers.py
+++ b/gaproute/loop/timers.py
@@ -4,7 +4,7 @@
 
 import heapq
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import Protocol
 
 Callback = Callable[..., object]
 Clock = Callable[[], int]
@@ -23,11 +23,11 @@
 
     __slots__ = ("when", "call", "args", "loop")
 
-    def __init__(self, loop: TimerOwner, when: int, call: Callback, args: tuple[Any, ...]) -> None:
+    def __init__(self, loop: TimerOwner, when: int, call: Callback, args: tuple[object, ...]) -> None:
         self.loop = loop
         self.when = when
         self.call: Callback | None = call
-        self.args: tuple[Any, ...] = args
+        self.args = args
 
     def cancel(self) -> None:
         """Cancels the timer; without effect if it has fired already."""
@@ -51,7 +51,7 @@
         """The time, ns."""
         return self.clock()
 
-    def at(self, when: int, call: Callback, *args: Any) -> Timer:
+    def at(self, when: int, call: Callback, *args: object) -> Timer:
         """Calls `call(*args)` at the time `when` (ns), never early; returns the timer."""
         timer = Timer(self, when, call, args)
         self.timer_count += 1
@@ -60,7 +60,7 @@
             self._compact()
         return timer
 
-    def after(self, span: int, call: Callback, *args: Any) -> Timer:
+    def after(self, span: int, call: Callback, *args: object) -> Timer:
         """Calls `call(*args)` after `span` ns; returns the timer."""
         return self.at(self.clock() + span, call, *args)
 
--- a/gaproute/platform/log.py
+++ b/gaproute/platform/log.py
@@ -3,7 +3,6 @@
 import os
 import time
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
@@ -26,19 +25,19 @@
         self.dropped = 0  # lines that were left out since the last one that was written
         self.unwritten = b""  # the rest of the last line, where the pipe took only a part of it
 
-    def info(self, event: str, /, **fields: Any) -> None:
+    def info(self, event: str, /, **fields: object) -> None:
         """Logs an event of ordinary operation."""
         self.write_line("info", event, fields)
 
-    def warning(self, event: str, /, **fields: Any) -> None:
+    def warning(self, event: str, /, **fields: object) -> None:
         """Logs an event that an operator may have to look into."""
         self.write_line("warning", event, fields)
 
-    def error(self, event: str, /, **fields: Any) -> None:
+    def error(self, event: str, /, **fields: object) -> None:
         """Logs an error."""
         self.write_line("error", event, fields)
 
-    def write_line(self, level: str, event: str, fields: dict[str, Any]) -> None:
+    def write_line(self, level: str, event: str, fields: dict[str, object]) -> None:
         """Writes a line, unless the limit of this second is reached or the pipe is full."""
         if not self._admits_line():
             self.dropped += 1
--- a/gaproute/platform/process.py
+++ b/gaproute/platform/process.py
@@ -81,11 +81,11 @@
         )
 
     def _make_core(self) -> None:
-        gateway = Gateway(self.seed, self.terms, self.loop.now())
-        longest = gateway.load_order_limiter.travel_time
+        self.gateway = Gateway(self.seed, self.terms, self.loop.now())
+        longest = self.gateway.load_order_limiter.travel_time
         if longest:
             self.hosts.order_timeout = min(self.hosts.order_timeout, longest)
-        self.core = Core(self.loop, gateway, self.terms, self.hosts, self.record, self.name)
+        self.core = Core(self.loop, self.gateway, self.terms, self.hosts, self.record, self.name)
 
     # Start
 
@@ -104,6 +104,7 @@
             self.loop,
             self.log,
             core=self.core,
+            gateway=self.gateway,
             front=front,
             hosts=self.hosts,
             host_list=self.host_list,
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -2,10 +2,11 @@
 
 import os
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from gaproute.connections import AcceptedConnections
 from gaproute.core.core import Core
+from gaproute.decisions.routing import Gateway
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
@@ -28,19 +29,20 @@
         log: Log,
         *,
         core: Core,
+        gateway: Gateway,
         front: JsonRpcFront,
         hosts: JsonLinesClient,
         host_list: HostList,
     ) -> None:
         self.loop, self.log, self.core, self.front = loop, log, core, front
-        self.hosts, self.host_list = hosts, host_list
+        self.gateway, self.hosts, self.host_list = gateway, hosts, host_list
 
     def write(self) -> None:
         """Writes a line now and sets the timer of the next one."""
         self.loop.after(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
         self.log.info("status", **self._fields())
 
-    def _fields(self) -> dict[str, Any]:
+    def _fields(self) -> dict[str, object]:
         return {
             "requests_in_flight": len(self.core.in_flight),
             "counts": self.core.record.snapshot(),
@@ -62,15 +64,14 @@
 
     def _estimates(self) -> dict[str, list[float]]:
         """By host: [queue, slowdown, own attempts in flight], for hosts that are in use or slow."""
-        gateway: Any = self.core.gateway
-        now = self.loop.now()
+        gateway, now = self.gateway, self.loop.now()
         return {
             host.id: [round(gateway.queued(host, 1, now), 1), round(host.slowdown, 1), len(host.in_flight)]
             for host in gateway.active_hosts
             if host.in_flight or host.slowdown > 1
         }
 
-    def _client_fields(self) -> dict[str, Any]:
+    def _client_fields(self) -> dict[str, int]:
         front, connections = self.front, AcceptedConnections.of(self.loop)
         return {
             "client_connections": connections.client_count,
@@ -81,7 +82,7 @@
             "evicted_idle": connections.evicted,
         }
 
-    def _host_fields(self) -> dict[str, Any]:
+    def _host_fields(self) -> dict[str, int]:
         hosts = self.hosts
         return {
             "host_connections_opened": hosts.opened,
@@ -91,7 +92,7 @@
             "unmatched_responses": hosts.unmatched,
         }
 
-    def _process_fields(self) -> dict[str, Any]:
+    def _process_fields(self) -> dict[str, float | None]:
         return {
             "late_loop_turns": self.loop.late_turns,
             "open_descriptors": _if_readable(open_descriptors),
@@ -99,7 +100,7 @@
             "cpu_s": round(sum(os.times()[:2]), 2),
         }
 
-    def _list_fields(self) -> dict[str, Any]:
+    def _list_fields(self) -> dict[str, object]:
         watcher, rejected = self.host_list.watcher, self.host_list.converter.rejected
         if watcher is None:
             return {"rejected_members": rejected}
