--- a/benchmarks/scale/cells/borne.py
+++ b/benchmarks/scale/cells/borne.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from benchmarks.scale.costs.forwarding import KINDS
-from benchmarks.scale.forwarding import CELLS, Fleet
+from benchmarks.scale.forwarding import CELLS, ForwardingFleet
 
 SECONDS, WARM_UP = 3, 1
 WARM_UP_RATE = 100
@@ -14,7 +14,7 @@
 
 def play(kind: str, seed: int) -> dict[str, Any]:
     """One play of a fleet of its own. "at one core": calls a second over the share of a core they took."""
-    fleet = Fleet(seed)
+    fleet = ForwardingFleet(seed)
     try:
         fleet.play(KINDS[kind], WARM_UP_RATE, WARM_UP, seed)
         run = fleet.play(KINDS[kind], 0, SECONDS, seed)
--- a/benchmarks/scale/costs/forwarding.py
+++ b/benchmarks/scale/costs/forwarding.py
@@ -3,7 +3,7 @@
 import os
 from functools import lru_cache, partial
 
-from benchmarks.scale.forwarding import CELLS, HOSTS, MODELS, Fleet, Run
+from benchmarks.scale.forwarding import CELLS, HOSTS, MODELS, ForwardingFleet, Run
 from benchmarks.scale.measurement import PLAYS, measure
 
 RATES = (24, 48, 97, 194)  # calls a second of a gateway's own clients
@@ -22,7 +22,7 @@
     """{(kind, rate, seed): run}, and the machine's load as they began and ended."""
     runs, before = {}, os.getloadavg()[0]
     for seed in range(1, PLAYS + 1):
-        fleet = Fleet(seed)
+        fleet = ForwardingFleet(seed)
         try:
             for homes in KINDS.values():
                 fleet.play(homes, RATES[0], WARM_UP, seed)
--- a/benchmarks/scale/dissemination.py
+++ b/benchmarks/scale/dissemination.py
@@ -4,12 +4,16 @@
 network (`fleet_net`).
 """
 
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from functools import cache
 
-from benchmarks.scale.fleet_net import FleetNet
+from benchmarks.scale.fleet_net import FleetNet, Node
 from benchmarks.scale.stub_document import change_from
 from gaproute.decisions.cells.version import Version
+from gaproute.errors import GaprouteError
 from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
 from gaproute.shared.dissemination.messages import NOTHING
 
@@ -25,7 +29,7 @@
 CUT_REGION = 2
 
 
-class PlayError(RuntimeError):
+class PlayError(GaprouteError):
     """A play did not come to its end."""
 
 
@@ -58,7 +62,7 @@
 
 
 @cache
-def spread(count: int, seed: int, loss: int = 0, slow: int = 0, killed: bool = False) -> Spread:
+def spread(count: int, seed: int, loss: int = 0, slow: int = 0, *, killed: bool = False) -> Spread:
     """One change; `killed`: its source dies after one push. `loss` and `slow` in parts of a thousand."""
     net = FleetNet(count, seed, loss, slow)
     source, start = net.nodes[PUBLISHER], net.now
@@ -68,7 +72,7 @@
         source.alive = False
     else:
         net.publish(source)
-    _play_until(net, lambda: _all_hold(net, net.nodes, Version(1, 2)))
+    _play_until(net, lambda: _all_hold(net.nodes, Version(1, 2)))
     times = sorted((node.taken_at - start) / MILLISECOND for node in net.nodes if node.alive)
     return Spread(times[len(times) // 2], times[len(times) * 99 // 100], times[-1])
 
@@ -92,7 +96,7 @@
 def newcomer(count: int, seed: int, loss: int = 0) -> Recovery:
     """One gateway that holds nothing joins while changes come at the usual pace."""
     net = FleetNet(count, seed, loss)
-    net.nodes[NEWCOMER].disseminator.document.version = NOTHING
+    net.nodes[NEWCOMER].document.version = NOTHING
     return _recovery(net, [net.nodes[NEWCOMER]])
 
 
@@ -108,17 +112,17 @@
     return _recovery(net, behind)
 
 
-def _publish_on(net, changes):
+def _publish_on(net: FleetNet, changes: int) -> None:
     for _ in range(changes):
         net.publish(net.nodes[PUBLISHER])
         net.run(net.now + CHANGE_INTERVAL)
 
 
-def _counted(net, act):
-    """What is sent and received while it acts."""
+def _counted(net: FleetNet, play: Callable[[], None]) -> Traffic:
+    """What is sent and received in a play."""
     sent, received, messages = list(net.sent), list(net.received), sum(net.messages)
     start = net.now
-    act()
+    play()
     seconds, count = (net.now - start) / SECOND, len(net.nodes)
     both = [net.sent[place] - sent[place] + net.received[place] - received[place] for place in range(count)]
     return Traffic(
@@ -128,7 +132,7 @@
     )
 
 
-def _recovery(net, behind):
+def _recovery(net: FleetNet, behind: list[Node]) -> Recovery:
     """Play on with changes until those behind are as far as the publisher was one change ago."""
     start, publisher = net.now, net.nodes[PUBLISHER].disseminator
     received = sum(net.received[node.index] for node in behind)
@@ -138,13 +142,13 @@
         published = net.now
         while net.now - published < CHANGE_INTERVAL:
             net.run(min(net.now + STEP, published + CHANGE_INTERVAL))
-            if _all_hold(net, behind, wanted):
+            if _all_hold(behind, wanted):
                 received = sum(net.received[node.index] for node in behind) - received
                 return Recovery((net.now - start) / SECOND, received / len(behind), _greatest_second(net))
     raise PlayError(f"{len(behind)} gateways have not caught up after {LONGEST_PLAY} s")
 
 
-def _greatest_second(net):
+def _greatest_second(net: FleetNet) -> int:
     """The most bytes that a gateway sent and received within a second."""
     return max(
         max(map(sum, zip(net.sent_in[second], net.received_in[second], strict=True)))
@@ -152,11 +156,11 @@
     )
 
 
-def _all_hold(net, nodes, version):
+def _all_hold(nodes: Iterable[Node], version: Version) -> bool:
     return all(node.disseminator.document.version >= version for node in nodes if node.alive)
 
 
-def _play_until(net, done):
+def _play_until(net: FleetNet, done: Callable[[], bool]) -> None:
     start = net.now
     while not done():
         if net.now - start > LONGEST_PLAY * SECOND:
--- a/benchmarks/scale/fleet_net.py
+++ b/benchmarks/scale/fleet_net.py
@@ -5,16 +5,20 @@
 timeout, doubled each time. Bytes are counted with headers, at the sender and at the receiver.
 """
 
+from __future__ import annotations
+
 import heapq
 from array import array
 from collections import defaultdict
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from typing import Any
 
 from benchmarks.scale.stub_document import StubDocument, change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
-from gaproute.shared.dissemination import Candidates, Disseminator, Peer
+from gaproute.shared.dissemination import Candidates, Disseminator, Peer, Send
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME, LOG_CHANGES, MILLISECOND, SECOND
-from gaproute.shared.dissemination.messages import Busy, Pull, wire_size
+from gaproute.shared.dissemination.messages import Busy, Changes, Part, Pull, wire_size
 
 REGIONS, ZONES = 5, 13
 CELL_GATEWAYS, CELL_ENTRIES = 33, 3  # 16,000 gateways in 490 cells
@@ -23,41 +27,50 @@
 DATA_TIMEOUT = 200 * MILLISECOND  # of TCP at least, for a lost segment
 SEGMENT = 1_400
 
+Answer = Changes | Part | Busy
+Event = tuple[int, int, Callable[..., object], tuple[Any, ...]]  # when, in which order made, call, arguments
+BySecond = defaultdict[int, "array[int]"]  # bytes by node
+
 
 class Node:
     """One gateway: its place in the fleet, its disseminator, when its timer is due."""
 
-    def __init__(self, index, cells, seed, now, version):
+    def __init__(self, index: int, cells: int, seed: int, now: int, version: Version) -> None:
         self.index, self.cell = index, index % cells
         self.zone = self.cell % ZONES
         self.region = self.zone % REGIONS
         self.peer = Peer(f"gateway{index}", f"10.0.{index >> 8}.{index & 255}:7000")
         chance = Chance(seed * 1_000_003 + index)
-        self.disseminator = Disseminator(self.peer.name, StubDocument(version), chance, now)
-        self.timer, self.alive, self.slow = None, True, False
+        self.document = StubDocument(version)
+        self.disseminator = Disseminator(self.peer.name, self.document, chance, now)
+        self.timer: int | None = None
+        self.alive, self.slow = True, False
         self.taken_at = 0  # when the version that it holds was taken
 
 
 class FleetNet:
     """`count` gateways that all hold version 1.1 and know their peers."""
 
-    def __init__(self, count, seed, loss=0, slow=0):
+    def __init__(self, count: int, seed: int, loss: int = 0, slow: int = 0) -> None:
         """`loss` of messages and `slow` gateways in parts of a thousand."""
-        self.now, self.number = SECOND, 0
+        self.now, self._scheduled = SECOND, 0
         self.loss, self.chance = loss, Chance(seed)
-        self.events, self.nodes = [], []
-        self.cut = None  # (node, node) -> whether nothing gets from the one to the other
+        self._events: list[Event] = []  # a heap
+        self.nodes: list[Node] = []
+        # Whether nothing gets from the one to the other.
+        self.cut: Callable[[Node, Node], bool] | None = None
         self.cells = max(1, -(-count // CELL_GATEWAYS))
         self.sent, self.received = array("Q"), array("Q")  # bytes by node
         self.messages = array("Q")  # sent, by node
         self.sent_in, self.received_in = self._by_second(), self._by_second()  # second: bytes by node
-        self.after_hear = None  # called with each node that handled something
+        # Called with each node that has handled something.
+        self.after_handling: Callable[[Node], object] | None = None
         for _ in range(count):
             self.add(Version(1, 1), seed, slow)
-        self._list()
+        self._set_all_candidates()
 
-    def add(self, version, seed, slow=0):
-        """One more gateway; its peers are listed by `listed`."""
+    def add(self, version: Version, seed: int, slow: int = 0) -> Node:
+        """One more gateway, without peers."""
         node = Node(len(self.nodes), self.cells, seed, self.now, version)
         node.slow = slow > 0 and self.chance.below(PERMILLE) < slow
         self.nodes.append(node)
@@ -66,100 +79,99 @@
         self.schedule(node)
         return node
 
-    def _list(self):
-        members = defaultdict(list)
+    def _set_all_candidates(self) -> None:
+        members: dict[int, list[Peer]] = defaultdict(list)
         for node in self.nodes:
             members[node.cell].append(node.peer)
         for cell, peers in members.items():
-            entries = defaultdict(list)
+            entries: dict[str, list[Peer]] = defaultdict(list)
             for other, theirs in members.items():
                 if other != cell:
                     entries[f"zone{other % ZONES}"] += theirs[:CELL_ENTRIES]
-            entries = {zone: tuple(theirs) for zone, theirs in entries.items()}
-            self._list_cell(cell, tuple(peers), entries)
+            self._set_candidates(peers, {zone: tuple(theirs) for zone, theirs in entries.items()})
 
-    def _list_cell(self, cell, peers, entries):
-        listed = Candidates(peers, entries, (), len(self.nodes))
+    def _set_candidates(self, peers: Sequence[Peer], entries: Mapping[str, tuple[Peer, ...]]) -> None:
+        candidates = Candidates(tuple(peers), entries, (), len(self.nodes))
         for peer in peers:
-            self.node(peer).disseminator.set_candidates(listed)
+            self.node(peer).disseminator.set_candidates(candidates)
 
-    def node(self, peer):
+    def node(self, peer: Peer) -> Node:
         """The gateway of that name."""
         return self.nodes[int(peer.name[len("gateway") :])]
 
     # Running
 
-    def publish(self, node):
+    def publish(self, node: Node) -> Version:
         """A change made at that gateway; returns its version."""
         change = change_from(node.disseminator.document.version)
         self.handle(node, node.disseminator.publish(self.now, change))
         node.taken_at = self.now
         return change.version
 
-    def run(self, until, stop=lambda: False):
+    def run(self, until: int, stop: Callable[[], bool] = lambda: False) -> None:
         """Play until that time, or until `stop` is true."""
-        while self.events and self.events[0][0] <= until and not stop():
-            self.now, _, act, *told = heapq.heappop(self.events)
-            act(*told)
+        while self._events and self._events[0][0] <= until and not stop():
+            self.now, _, call, arguments = heapq.heappop(self._events)
+            call(*arguments)
         if not stop():
             self.now = max(self.now, until)
 
-    def at(self, when, act, *told):
-        """Call `act` then."""
-        self.number += 1
-        heapq.heappush(self.events, (when, self.number, act, *told))
+    def at(self, when: int, call: Callable[..., object], *arguments: Any) -> None:
+        """Call `call(*arguments)` then."""
+        self._scheduled += 1
+        heapq.heappush(self._events, (when, self._scheduled, call, arguments))
 
-    def schedule(self, node):
+    def schedule(self, node: Node) -> None:
         """Set the gateway's timer to when it is due."""
         due = node.disseminator.due
         if node.timer is None or due < node.timer:
             node.timer = due
             self.at(max(due, self.now), self._tick, node, due)
 
-    def _tick(self, node, when):
+    def _tick(self, node: Node, when: int) -> None:
         if node.timer != when:
             return
         node.timer = None
         if node.alive:
             self.handle(node, node.disseminator.tick(self.now))
 
-    def handle(self, node, sends):
+    def handle(self, node: Node, sends: Iterable[Send]) -> None:
         """Send what a gateway returned."""
         for send in sends:
             self._send(node, send)
         self.schedule(node)
-        if self.after_hear is not None:
-            self.after_hear(node)
+        if self.after_handling is not None:
+            self.after_handling(node)
 
-    def _version_step(self, node, act, *told):
+    def _handle_message(self, node: Node, call: Callable[..., Iterable[Send]], *arguments: Any) -> None:
         """Let the gateway handle something, and note when it took a newer version."""
         if not node.alive:
             return
         before = node.disseminator.document.version
-        sends = act(self.now, *told)
+        sends = call(self.now, *arguments)
         if node.disseminator.document.version > before:
             node.taken_at = self.now
         self.handle(node, sends)
 
     # The network
 
-    def _by_second(self):
+    def _by_second(self) -> BySecond:
         return defaultdict(lambda: array("Q", bytes(8 * len(self.nodes))))
 
-    def forget_seconds(self):
+    def forget_seconds(self) -> None:
         """Count the bytes of each second anew."""
         self.sent_in.clear()
         self.received_in.clear()
 
-    def _count_sent(self, node, amount):
+    def _count_sent(self, node: Node, amount: int) -> None:
         self.sent[node.index] += amount
         self.sent_in[self.now // SECOND][node.index] += amount
 
-    def _count_received(self, node, amount):
+    def _count_received(self, node: Node, amount: int) -> None:
         self.received[node.index] += amount
         self.received_in[self.now // SECOND][node.index] += amount
 
-    def _delay(self, one, other):
+    def _delay(self, one: Node, other: Node) -> int:
         if one.zone == other.zone:
             delay = MILLISECOND + self.chance.below(2 * MILLISECOND)
         elif one.region == other.region:
@@ -168,50 +180,51 @@
             delay = 40 * MILLISECOND + self.chance.below(60 * MILLISECOND)
         return delay + SLOW_DELAY * (one.slow + other.slow)
 
-    def _lost(self):
-        return self.loss and self.chance.below(PERMILLE) < self.loss
+    def _is_lost(self) -> bool:
+        return self.loss > 0 and self.chance.below(PERMILLE) < self.loss
 
-    def _cut(self, one, other):
+    def _is_cut(self, one: Node, other: Node) -> bool:
         return self.cut is not None and self.cut(one, other)
 
-    def _send(self, node, send):
+    def _send(self, node: Node, send: Send) -> None:
         target = self.node(send.to)
         if isinstance(send.message, Pull):
             self._exchange(node, target, send.message)
             return
         self.messages[node.index] += 1
         self._count_sent(node, wire_size(send.message))
-        if not self._lost() and not self._cut(node, target):
+        if not self._is_lost() and not self._is_cut(node, target):
             self.at(self.now + self._delay(node, target), self._deliver, node, target, send.message)
 
-    def _deliver(self, sender, node, message):
+    def _deliver(self, sender: Node, node: Node, message: Any) -> None:
         self._count_received(node, wire_size(message))
         if node.alive and node.disseminator.admits(self.now, sender.peer.name):
-            self._version_step(node, node.disseminator.receive, sender.peer, message)
+            self._handle_message(node, node.disseminator.receive, sender.peer, message)
 
-    def _retries(self, timeout, segments):
+    def _retries(self, timeout: int, segments: int) -> int:
         """What lost segments add; those that were lost are sent again until none is."""
         added = 0
-        while segments := sum([bool(self._lost()) for _ in range(segments)]):
+        while segments := sum([self._is_lost() for _ in range(segments)]):
             added, timeout = added + timeout, 2 * timeout
         return added
 
-    def _exchange(self, node, target, pull):
+    def _exchange(self, node: Node, target: Node, pull: Pull) -> None:
         self.messages[node.index] += 1
         self._count_sent(node, wire_size(pull) // 2)
         self._count_received(node, wire_size(pull) - wire_size(pull) // 2)
-        if self._cut(node, target) or self._cut(target, node):
+        if self._is_cut(node, target) or self._is_cut(target, node):
             self.at(self.now + EXCHANGE_TIME, self._pulled, node, target, None)
             return
         asked = self.now + 3 * self._delay(node, target) + self._retries(SECOND, 2)
         asked += self._retries(DATA_TIMEOUT, 1)
         self.at(asked, self._answer, node, target, pull, self.now + EXCHANGE_TIME)
 
-    def _answer(self, node, target, pull, ends):
+    def _answer(self, node: Node, target: Node, pull: Pull, ends: int) -> None:
         if not target.alive or self.now > ends:
             self.at(max(self.now, ends), self._pulled, node, target, None)
             return
         answer = target.disseminator.answer(self.now, pull)
+        assert answer is not None  # only a pull of another fleet gets none
         self.messages[target.index] += 1
         self._count_sent(target, wire_size(answer))
         arrives = self.now + self._delay(target, node)
@@ -219,14 +232,14 @@
         arrives += self._retries(DATA_TIMEOUT, segments)
         self.at(min(arrives, ends), self._pulled, node, target, answer if arrives <= ends else None)
 
-    def _pulled(self, node, target, answer):
+    def _pulled(self, node: Node, target: Node, answer: Answer | None) -> None:
         if answer is not None:
             self._count_received(node, wire_size(answer))
-        self._version_step(node, node.disseminator.receive_answer, target.peer, answer)
+        self._handle_message(node, node.disseminator.receive_answer, target.peer, answer)
 
     # States that would take long to play
 
-    def advance(self, nodes, changes):
+    def advance(self, nodes: Sequence[Node], changes: int) -> Version:
         """These gateways took so many changes and have long been at rest."""
         log, version = [], nodes[0].disseminator.document.version
         for _ in range(changes):
@@ -234,7 +247,7 @@
             version = log[-1].version
         for node in nodes:
             replica = node.disseminator.replica
-            replica.document.version, replica.document.digest = version, log[-1].digest
+            node.document.version, node.document.digest = version, log[-1].digest
             for change in log[-LOG_CHANGES:]:
                 replica.log.append(change)
         return version
--- a/benchmarks/scale/forwarding.py
+++ b/benchmarks/scale/forwarding.py
@@ -5,25 +5,38 @@
 Every call is of another function, as rare functions are at the size that is coming.
 """
 
+from __future__ import annotations
+
 import json
 import socket
 import subprocess
 import sys
 import tempfile
+from collections import Counter
+from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 from benchmarks.scale import forwarding_clients
 from gaproute.config.cell_files import read_table
 from gaproute.decisions.cells.homes import HomeCells
+from gaproute.errors import GaprouteError
 
 ADDRESS = "127.0.0.2"  # of gateways: nobody connects from there, so that a port found free stays free
-RELAY = Path(__file__).parents[1] / "relay.py"  # which has the hosts
+RELAY = Path(__file__).parents[1] / "relay.py"  # whose hosts these are
 CELLS = ("a1", "b1")  # in one region, a zone each
 HOSTS = 51  # of each cell
-HOSTS_TOLD = 300  # by the table: so that neither gateway takes the other's cell into its view
+HOSTS_OF_TABLE = 300  # of each cell by the table: neither gateway takes the other's cell into its view
 MODELS = 16_000  # about half of them have their home in either cell
-MOST_CALLS = 2  # of a function at one gateway: from the third on a function gets further homes
+MAX_CALLS = 2  # of a function at one gateway: from the third on a function gets further homes
+
+
+Process = subprocess.Popen[bytes]
+
+
+class GatewayStartError(GaprouteError):
+    """A gateway ended before it served; the text has the last lines of its log."""
 
 
 @dataclass(frozen=True)
@@ -32,92 +45,100 @@
 
     calls: int  # a second, of each gateway that had clients
     failed: int  # calls that were not answered 200
-    forwarded: int  # relays to entry gateways a second, of each gateway that had clients
+    forwarded: int  # attempts at entry gateways a second, of each gateway that had clients
     cpu: dict[str, float]  # gateway: ms of processor time a second
     p50: float  # ms, of all calls
     p99: float
     failures: tuple[str, ...] = ()  # what failed calls got in place of an answer 200, of some of them
 
 
-class Fleet:
-    """The processes; `close` ends them."""
+class ForwardingFleet:
+    """The processes; `close` ends them. `models`: how many functions the gateways know."""
 
-    def __init__(self, seed: int, models: int = MODELS):
+    def __init__(self, seed: int, models: int = MODELS) -> None:
         self.models = models
         self.folder = tempfile.TemporaryDirectory()
         self.path = Path(self.folder.name)
-        self.processes = []
-        self.used = {}  # (gateway's cell, home): calls so far
+        self._processes: list[Process] = []
+        self._calls: Counter[tuple[str, str]] = Counter()  # so far, by the gateway's cell and the home
         try:
             self._start(seed)
         except BaseException:
             self.close()
             raise
 
-    def _start(self, seed):
+    def _start(self, seed: int) -> None:
         command = [sys.executable, str(RELAY), "hosts", str(HOSTS * len(CELLS))]
-        self.hosts = json.loads(self._started(command, stdout=subprocess.PIPE).stdout.readline())
+        hosts = self._start_process(command, stdout=subprocess.PIPE)
+        assert hosts.stdout is not None
+        self.hosts: list[str] = json.loads(hosts.stdout.readline())
         ports = free_ports(2 * len(CELLS))
         self.clients = dict(zip(CELLS, ports[::2], strict=True))
         self.peers = dict(zip(CELLS, ports[1::2], strict=True))
         self._write_cells()
-        self.gateways = {cell: self._gateway(cell, seed) for cell in CELLS}
+        self.gateways = {cell: self._start_gateway(cell, seed) for cell in CELLS}
         for gateway in self.gateways.values():
             _wait_started(gateway)
         homes = HomeCells(read_table(self.path / "cells.table"))
-        self.functions = {cell: [] for cell in CELLS}
+        self.functions: dict[str, list[str]] = {cell: [] for cell in CELLS}
         for number in range(self.models):
-            self.functions[homes.first(f"m{number}")].append(f"m{number}")
+            home = homes.first(f"m{number}")
+            assert home is not None
+            self.functions[home].append(f"m{number}")
 
     def play(self, homes: dict[str, str], rate: float, seconds: float, seed: int) -> Run:
-        """Calls to the gateways of some cells, {cell: home of the functions called}, so many a second each;
-        rate 0: as fast as they are answered."""
-        out = sum(self._forwarded_out(cell) for cell in homes)
+        """Play calls to gateways of some cells: `homes` of the functions called, by the gateway's cell.
+
+        `rate`: so many a second at each; 0: as fast as they are answered. Errors: ValueError for more calls
+        than the fleet has functions for.
+        """
+        forwarded = sum(self._forwarded_so_far(cell) for cell in homes)
         before = {cell: _cpu_ns(gateway.pid) for cell, gateway in self.gateways.items()}
-        asked = {
-            f"{ADDRESS}:{self.clients[cell]}": self._take(cell, home, rate, seconds)
+        functions = {
+            f"{ADDRESS}:{self.clients[cell]}": self._take_functions(cell, home, rate, seconds)
             for cell, home in homes.items()
         }
-        told = forwarding_clients.run(asked, rate, seconds, seed)
+        figures = forwarding_clients.run(functions, rate, seconds, seed)
         cpu = {
-            cell: (_cpu_ns(gateway.pid) - before[cell]) / 1e6 / told["seconds"]
+            cell: (_cpu_ns(gateway.pid) - before[cell]) / 1e6 / figures["seconds"]
             for cell, gateway in self.gateways.items()
         }
-        each = told["seconds"] * len(homes)
-        forwarded = round((sum(self._forwarded_out(cell) for cell in homes) - out) / each)
+        span = figures["seconds"] * len(homes)
+        forwarded = sum(self._forwarded_so_far(cell) for cell in homes) - forwarded
         return Run(
-            round(told["calls"] / each),
-            told["failed"],
-            forwarded,
-            cpu,
-            told["p50_ms"],
-            told["p99_ms"],
-            tuple(told["failures"]),
+            calls=round(figures["calls"] / span),
+            failed=figures["failed"],
+            forwarded=round(forwarded / span),
+            cpu=cpu,
+            p50=figures["p50_ms"],
+            p99=figures["p99_ms"],
+            failures=tuple(figures["failures"]),
         )
 
-    def _forwarded_out(self, cell):
-        """Relays to entry gateways so far."""
+    def _forwarded_so_far(self, cell: str) -> int:
+        """Attempts of a gateway at entry gateways."""
         with socket.socket(socket.AF_UNIX) as operator:
             operator.connect(str(self.path / f"{cell}.op"))
             operator.sendall(b"GET /status HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n")
             answer = b"".join(iter(lambda: operator.recv(65536), b""))
-        return json.loads(answer.partition(b"\r\n\r\n")[2])["cells"]["forwarded_out"]
+        status: dict[str, Any] = json.loads(answer.partition(b"\r\n\r\n")[2])
+        return int(status["cells"]["forwarded_out"])
 
-    def _take(self, cell, home, rate, seconds):
+    def _take_functions(self, cell: str, home: str, rate: float, seconds: float) -> list[str]:
         """Functions for one play, none more often than allowed."""
-        count = forwarding_clients.most_calls(rate, seconds)
+        count = forwarding_clients.max_calls(rate, seconds)
         known = self.functions[home]
-        first = self.used.get((cell, home), 0)
-        self.used[cell, home] = first + count
-        if first + count > MOST_CALLS * len(known):
+        first = self._calls[cell, home]
+        self._calls[cell, home] += count
+        if first + count > MAX_CALLS * len(known):
             raise ValueError(f"{first + count} calls of {len(known)} functions are too many for one fleet")
         return [known[number % len(known)] for number in range(first, first + count)]
 
-    def _write_cells(self):
+    def _write_cells(self) -> None:
         lines = ["table north term 1 number 1"]
         for place, cell in enumerate(CELLS):
             lines.append(
-                f"cell {cell} region r zone {cell} capacity 100 hosts {HOSTS_TOLD} points {cell}:0+32"
+                f"cell {cell} region r zone {cell} capacity 100 hosts {HOSTS_OF_TABLE} points {cell}:0+32"
                 f" entries {cell}={ADDRESS}:{self.peers[cell]}"
             )
             hosts = self.hosts[place * HOSTS : (place + 1) * HOSTS]
@@ -125,7 +146,7 @@
             (self.path / f"{cell}.hosts").write_text("\n".join(listed) + "\n")
         (self.path / "cells.table").write_text("\n".join([*lines, "end"]) + "\n")
 
-    def _gateway(self, cell, seed):
+    def _start_gateway(self, cell: str, seed: int) -> Process:
         lines = [
             f"name {cell}",
             f"listen kserve {ADDRESS}:{self.clients[cell]}",
@@ -139,16 +160,18 @@
         file = self.path / f"{cell}.conf"
         file.write_text("\n".join(lines) + "\n")
         command = [sys.executable, "-m", "gaproute", "serve", str(file), "--seed", str(seed)]
-        return self._started(command, stderr=subprocess.PIPE)
+        return self._start_process(command, stderr=subprocess.PIPE)
 
-    def _started(self, command, **told):
-        process = subprocess.Popen(command, **told)
-        self.processes.append(process)
+    def _start_process(
+        self, command: Sequence[str], *, stdout: int | None = None, stderr: int | None = None
+    ) -> Process:
+        process = subprocess.Popen(command, stdout=stdout, stderr=stderr)
+        self._processes.append(process)
         return process
 
-    def close(self):
-        """Ends every process, by its own id."""
-        for process in self.processes:
+    def close(self) -> None:
+        """End every process, by its own id."""
+        for process in self._processes:
             process.kill()
             process.wait()
             for pipe in (process.stdout, process.stderr):
@@ -157,16 +180,17 @@
         self.folder.cleanup()
 
 
-def _wait_started(gateway):
-    told = []
+def _wait_started(gateway: Process) -> None:
+    lines: list[str] = []
+    assert gateway.stderr is not None
     for line in gateway.stderr:
         if b'"event": "started"' in line:
             return
-        told.append(line.decode())
-    raise RuntimeError(f"a gateway ended as it started: {''.join(told[-5:])}")
+        lines.append(line.decode())
+    raise GatewayStartError(f"a gateway ended as it started: {''.join(lines[-5:])}")
 
 
-def free_ports(count):
+def free_ports(count: int) -> list[int]:
     """So many ports of `ADDRESS` that nothing listens on."""
     sockets = [socket.socket() for _ in range(count)]
     for each in sockets:
@@ -177,6 +201,6 @@
     return ports
 
 
-def _cpu_ns(pid):
+def _cpu_ns(pid: int) -> int:
     """Processor time of a process of one thread."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0])
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -3,15 +3,19 @@
 Latency counts from when a call was meant to start. A play ends once every call has its answer.
 """
 
+from __future__ import annotations
+
 import json
 import random
+import socket
 import subprocess
 import sys
-from collections.abc import Iterator
+from collections.abc import Callable, Generator, Iterable, Iterator
 from math import ceil, sqrt
+from typing import Any
 
-from gaproute.http1 import ClientConnection, Exchange
-from gaproute.loop import Loop, connect
+from gaproute.http1 import ClientConnection, Exchange, NoResponseError, Response
+from gaproute.loop import Loop, Promise, connect
 from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
@@ -26,7 +30,7 @@
 )
 
 
-def most_calls(rate: float, seconds: float) -> int:
+def max_calls(rate: float, seconds: float) -> int:
     """How many calls of a play may come at most; `rate` as of `run`."""
     mean = (rate or FASTEST) * seconds
     return ceil(mean + DEVIATIONS * sqrt(mean) + DEVIATIONS) if rate else ceil(mean)
@@ -40,27 +44,28 @@
         at += round(chance.expovariate(rate) * SECOND)
 
 
-def run(asked: dict[str, list[str]], rate: float, seconds: float, seed: int) -> dict:
-    """Asks at each address for its functions in turn; returns counts and times of all calls."""
-    told = json.dumps({"asked": asked, "rate": rate, "seconds": seconds, "seed": seed})
+def run(asked: dict[str, list[str]], rate: float, seconds: float, seed: int) -> dict[str, Any]:
+    """Counts and times of all calls; each address is asked for its functions in turn."""
+    play = json.dumps({"asked": asked, "rate": rate, "seconds": seconds, "seed": seed})
     command = [sys.executable, "-m", "benchmarks.scale.forwarding_clients"]
-    made = subprocess.run(command, input=told.encode(), capture_output=True, check=True)
-    return json.loads(made.stdout)
+    done = subprocess.run(command, input=play.encode(), capture_output=True, check=True)
+    figures: dict[str, Any] = json.loads(done.stdout)
+    return figures
 
 
 class Clients:
     """All clients of one gateway."""
 
-    def __init__(self, crowd, where, functions, seed):
+    def __init__(self, crowd: Crowd, where: str, functions: Iterable[str], seed: int) -> None:
         self.crowd, self.loop, self.where, self.functions = crowd, crowd.loop, where, iter(functions)
         self.chance = random.Random(f"{seed} {where}")
-        self.idle = []
+        self.idle: list[ClientConnection] = []
 
-    def connect(self, ready):
-        """Opens the connections; `ready()` once all stand."""
+    def connect(self, ready: Callable[[], None]) -> None:
+        """Open the connections; `ready()` once all stand."""
 
-        def linked(sock, error):
-            if error is not None:
+        def linked(sock: socket.socket | None, error: OSError | None) -> None:
+            if sock is None:
                 raise OSError(error)
             self.idle.append(ClientConnection(self.loop, sock, 65536, 1 << 20))
             if len(self.idle) == LINKS:
@@ -69,12 +74,12 @@
         for _ in range(LINKS):
             connect(self.loop, address(self.where), SECOND, linked)
 
-    def close(self):
-        """Ends the connections that are idle; those at work end with the process."""
+    def close(self) -> None:
+        """End the connections that are idle; those at work end with the process."""
         while self.idle:
             self.idle.pop().abort()
 
-    def idle_link(self):
+    def idle_link(self) -> ClientConnection | None:
         """An idle connection that the gateway has not closed meanwhile, or None."""
         while self.idle:
             link = self.idle.pop()
@@ -83,8 +88,8 @@
             link.abort()
         return None
 
-    def ask(self, meant):
-        """One call, on a connection that is idle; without one it has failed.
+    def ask(self, meant: int) -> None:
+        """Make one call, on a connection that is idle; without one it has failed.
 
         Errors: RuntimeError where no function is left, as then the play is not the one that was meant.
         """
@@ -95,9 +100,8 @@
         if link is None:
             self.crowd.fail(function, "no idle connection")
             return
-        exchange = None
 
-        def came(answer, undelivered):
+        def came(answer: Response | None, undelivered: NoResponseError | None) -> None:
             del self.crowd.open[exchange]
             if answer is None or answer.status != 200:
                 self.crowd.fail(function, undelivered if answer is None else _described(answer))
@@ -114,8 +118,8 @@
         self.crowd.open[exchange] = function
         exchange.send_on(link)
 
-    def pace(self):
-        """Calls at the crowd's rate, by chance."""
+    def pace(self) -> Generator[Promise, Any, None]:
+        """Call at the crowd's rate, by chance."""
         for at in arrivals(self.chance, self.crowd.rate, self.loop.now(), self.crowd.end):
             if at > self.loop.now():
                 yield self.loop.sleep(at - self.loop.now())
@@ -127,33 +131,35 @@
 class Crowd:
     """The clients of all gateways."""
 
-    def __init__(self, asked, rate, seconds, seed):
+    def __init__(self, asked: dict[str, list[str]], rate: float, seconds: float, seed: int) -> None:
         self.loop, self.rate, self.seconds = Loop(), rate, seconds
-        self.times, self.failed, self.failures, self.end = [], 0, [], 0
+        self.times: list[int] = []
+        self.failed, self.end = 0, 0
+        self.failures: list[str] = []
         self.pacing = len(asked) if rate else 0  # clients that are still to ask
-        self.open = {}  # exchange: function, of calls without an answer so far
+        self.open: dict[Exchange, str] = {}  # exchange: function, of calls without an answer so far
         self.loop.on_error = self._stop_at_error
-        self.error = None
+        self.error: BaseException | None = None
         self.clients = [Clients(self, where, functions, seed) for where, functions in asked.items()]
         self.waiting = len(self.clients)
 
-    def stop_when_over(self):
-        """Ends the play once its time is over, all calls have been asked and each has its answer."""
+    def stop_when_over(self) -> None:
+        """End the play once its time is over, all calls have been asked and each has its answer."""
         if not self.open and not self.pacing and self.loop.now() >= self.end:
             self.loop.stop()
 
-    def _stop_at_error(self, error):
+    def _stop_at_error(self, error: BaseException) -> None:
         self.error = error
         self.loop.stop()
 
-    def fail(self, function, what):
-        """A call that was not answered 200, and what came instead."""
+    def fail(self, function: str, what: object) -> None:
+        """Count a call that was not answered 200, and what came instead."""
         self.failed += 1
         if len(self.failures) < FAILURES_TOLD:
             self.failures.append(f"{function}: {what}")
 
-    def play(self):
-        """Runs the play; returns what is told of it. Errors: what went wrong in the clients themselves."""
+    def play(self) -> dict[str, Any]:
+        """Run the play and return its figures. Errors: what went wrong in the clients themselves."""
         for each in self.clients:
             each.connect(self._ready)
         self.loop.run()
@@ -162,9 +168,8 @@
         if self.error is not None:
             raise self.error
         for exchange, function in self.open.items():
-            self.fail(
-                function, f"no answer, its connection {'open' if exchange.connection.open else 'ended'}"
-            )
+            link = exchange.connection
+            self.fail(function, f"no answer, its connection {'open' if link and link.open else 'ended'}")
         times = sorted(self.times)
         return {
             "calls": len(times),
@@ -175,7 +180,7 @@
             "p99_ms": times[len(times) * 99 // 100] / 1e6,
         }
 
-    def _ready(self):
+    def _ready(self) -> None:
         self.waiting -= 1
         if self.waiting:
             return
@@ -190,7 +195,7 @@
                     each.ask(self.loop.now())
 
 
-def _described(answer):
+def _described(answer: Response) -> str:
     """An answer's status, headers and body as text."""
     return f"{answer.status} {dict(answer.headers)} {bytes(answer.body[:400])!r}"
 
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -5,8 +5,8 @@
 import pytest
 
 from benchmarks.scale import forwarding_clients
-from benchmarks.scale.forwarding import Fleet
-from benchmarks.scale.forwarding_clients import LINKS, SECOND, Crowd, arrivals, most_calls
+from benchmarks.scale.forwarding import ForwardingFleet
+from benchmarks.scale.forwarding_clients import LINKS, SECOND, Crowd, arrivals, max_calls
 from gaproute.http1 import Server
 from gaproute.loop.addresses import address
 
@@ -14,7 +14,7 @@
 @pytest.fixture
 def fleet():
     """Gateways with few functions, so that they start at once."""
-    made = Fleet(1, models=600)
+    made = ForwardingFleet(1, models=600)
     yield made
     made.close()
 
@@ -36,7 +36,7 @@
     counts = [
         sum(1 for _ in arrivals(random.Random(seed), rate, 0, seconds * SECOND)) for seed in range(2000)
     ]
-    assert max(counts) <= most_calls(rate, seconds)
+    assert max(counts) <= max_calls(rate, seconds)
     assert abs(sum(counts) / len(counts) - rate * seconds) < 0.01 * rate * seconds
 
 
