--- a/benchmarks/scale/cell_rung.py
+++ b/benchmarks/scale/cell_rung.py
@@ -16,8 +16,8 @@
 from typing import Any, NamedTuple
 
 from benchmarks.scale.base_rung import CALM, SECOND, BaseRung, Condition, Counters, Growth
-from benchmarks.scale.held import held_bytes
 from benchmarks.scale.limits import MEGABYTE, Limits
+from benchmarks.scale.reachable_memory import reachable_bytes
 from benchmarks.scale.size import CHANGES_A_SECOND
 from gaproute.decisions.cells.version import Version
 from gaproute.hollow.cells import CELL_PARTS, CellFleet
@@ -135,7 +135,7 @@
         fleet = self.fleet
         shared: list[Any] = [fleet, fleet.loop, fleet.network, fleet.plan, fleet.rows, fleet.shared_tables]
         shared += [fleet.shared_candidates, fleet.initial_table, *fleet.configurations]
-        held = [held_bytes(gateway, shared) / MEGABYTE for gateway in fleet.full_gateways()[:WEIGHED]]
+        held = [reachable_bytes(gateway, shared) / MEGABYTE for gateway in fleet.full_gateways()[:WEIGHED]]
         self.figures["memory_mb"], self.figures["memory_most_mb"] = sum(held) / len(held), max(held)
         self.figures["resident_mb"] = self.resident_megabytes()
 
--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -7,7 +7,7 @@
 
 from benchmarks.scale.costs import change_log
 from benchmarks.scale.measurement import measure
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, retained_bytes
 from gaproute.appliance import Appliance
 from gaproute.config import read_configuration
 from gaproute.discovery.changelog.sse import EventReader
@@ -132,14 +132,14 @@
         spent += time.process_time() - begun
         assert known.state() == state
     known.close()
-    return spent / CHANGES * MILLISECONDS
+    return spent / CHANGES * MS_PER_SECOND
 
 
 def followed_memory(hosts, seed):
     """Bytes that a known cell adds: of the lists, the connections' table and the decisions."""
     KnownCells(1, seed, True).close()  # what is made once
     kept = []
-    held = held_bytes(lambda: kept.append(KnownCells(int(hosts), seed, True)))
+    held = retained_bytes(lambda: kept.append(KnownCells(int(hosts), seed, True)))
     kept.pop().close()
     return held / KNOWN
 
--- a/benchmarks/scale/costs/cell_hosts_rest.py
+++ b/benchmarks/scale/costs/cell_hosts_rest.py
@@ -8,7 +8,7 @@
 
 from benchmarks.scale.costs.cell_hosts import lines, members, names
 from benchmarks.scale.measurement import measure
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND
 from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.config.directives.fleet import CellHostsLine
@@ -28,7 +28,7 @@
     """Milliseconds of CPU a second of a loop on which nothing changes."""
     begun = time.process_time()
     loop.run(until=loop.sleep(int(seconds * SECOND)))
-    return (time.process_time() - begun) / seconds * MILLISECONDS
+    return (time.process_time() - begun) / seconds * MS_PER_SECOND
 
 
 def _line(**told):
--- a/benchmarks/scale/costs/change_log.py
+++ b/benchmarks/scale/costs/change_log.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from benchmarks.scale.measurement import measure
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, cpu_seconds, once
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds, cpu_seconds_once
 from gaproute.decisions.chance import Chance
 from gaproute.discovery.changelog.members import MemberConverter
 from gaproute.discovery.changelog.sse import EventReader
@@ -81,10 +81,10 @@
 def whole_cpu(hosts, seed):
     """Milliseconds of CPU to follow a whole list."""
     followed, data = FollowedLog(), whole_event(hosts, seed)
-    spent = once(lambda: followed.feed(data))
+    spent = cpu_seconds_once(lambda: followed.feed(data))
     assert followed.rows == hosts
     followed.close()
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def change_bytes(changed, seed):
@@ -103,7 +103,7 @@
     spent = cpu_seconds(lambda: [followed.feed(next(events)) for _ in range(CHANGED)], least=0)
     assert followed.rows == hosts + CHANGED
     followed.close()
-    return spent / CHANGED * MILLISECONDS
+    return spent / CHANGED * MS_PER_SECOND
 
 
 def change_log_whole_bytes_by_hosts():
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -6,7 +6,7 @@
 
 from benchmarks import kept_connections
 from benchmarks.scale.deferred import deferred
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes, once
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, cpu_seconds_once, retained_bytes
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve import messages
@@ -63,22 +63,22 @@
 def new_connections_cpu(count, seed):
     """Milliseconds of CPU of a first probe of each."""
     probed = ProbedHosts(count)
-    spent = once(probed.probe_all)
+    spent = cpu_seconds_once(probed.probe_all)
     opened, good = probed.hosts.opened, probed.good
     probed.close()
     assert (opened, good) == (count, count), (opened, good)
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def kept_connections_cpu(count, seed):
     """Milliseconds of CPU of a second probe of each."""
     probed = ProbedHosts(count)
     probed.probe_all()
-    spent = once(probed.probe_all)
+    spent = cpu_seconds_once(probed.probe_all)
     reused, good = probed.hosts.reused, probed.good
     probed.close()
     assert (reused, good) == (count, 2 * count), (reused, good)
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def memory(count, seed):
@@ -89,7 +89,7 @@
         probed.append(ProbedHosts(count))
         probed[0].probe_all()
 
-    held = held_bytes(build)
+    held = retained_bytes(build)
     assert probed[0].good == count
     probed[0].close()
     return held
--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from benchmarks.scale.deferred import deferred
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND
 from gaproute.http1 import render
 from gaproute.peers.raft import wire
 from gaproute.peers.raft.transport import TARGET
@@ -125,7 +125,7 @@
 
 def leader_cpu(group):
     """Milliseconds of CPU a second of the leader."""
-    return group.spent[group.leading()] / PLAYED * MILLISECONDS
+    return group.spent[group.leading()] / PLAYED * MS_PER_SECOND
 
 
 def cpu_by_holders(holders, seed):
--- a/benchmarks/scale/costs/consensus_state.py
+++ b/benchmarks/scale/costs/consensus_state.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from benchmarks.scale.deferred import deferred
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, held_bytes, once
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, cpu_seconds_once, retained_bytes
 from gaproute.decisions.chance import Chance
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.commands import AcquireLease, RenewLease, decode_result, encode
@@ -42,12 +42,12 @@
 
 def memory_by_leases(leases, seed):
     """Bytes of the state machine."""
-    return held_bytes(lambda: machine_of(leases))
+    return retained_bytes(lambda: machine_of(leases))
 
 
 def memory_by_holders(holders, seed):
     """Bytes of the table of sessions."""
-    return held_bytes(lambda: sessions_of(holders))
+    return retained_bytes(lambda: sessions_of(holders))
 
 
 def snapshot_bytes(leases, seed):
@@ -90,7 +90,7 @@
         self.disk.close()
 
 
-class KeptLog:
+class LogOnDisk:
     """A file that holds a log of so many entries."""
 
     def __init__(self, entries, seed):
@@ -110,23 +110,23 @@
 
 def log_bytes(entries, seed):
     """Bytes on disk."""
-    kept = KeptLog(entries, seed)
+    kept = LogOnDisk(entries, seed)
     return kept.path.stat().st_size
 
 
 def replay_cpu(entries, seed):
     """Milliseconds of CPU of a restart."""
-    kept, members = KeptLog(entries, seed), []
-    spent = once(lambda: members.append(kept.restarted()))
+    kept, members = LogOnDisk(entries, seed), []
+    spent = cpu_seconds_once(lambda: members.append(kept.restarted()))
     assert members[0].node.last_applied >= entries
     members[0].close()
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def log_memory(entries, seed):
     """Bytes of a member in memory after its restart."""
-    kept = KeptLog(entries, seed)
-    return held_bytes(kept.restarted)
+    kept = LogOnDisk(entries, seed)
+    return retained_bytes(kept.restarted)
 
 
 OF_ONE = "a group of one on a file of its own; entries renew one lease"
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 from benchmarks.scale.gateways import CAPACITY, MEGABYTE, REPORT, SECOND, TERMS, Caller, row, rows
-from benchmarks.scale.meters import held_bytes
+from benchmarks.scale.meters import retained_bytes
 from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, grown
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Wait
@@ -101,7 +101,7 @@
 
 def list_memory(hosts: int, seed: int) -> float:
     """Megabytes that a gateway with the list holds."""
-    return held_bytes(lambda: Caller(hosts, seed)) / MEGABYTE
+    return retained_bytes(lambda: Caller(hosts, seed)) / MEGABYTE
 
 
 def function_memory(hosts: int, seed: int) -> float:
@@ -114,7 +114,7 @@
         for number in range(kept):
             caller.call(f"rare-{number}")
 
-    return held_bytes(call_each) / kept
+    return retained_bytes(call_each) / kept
 
 
 def housekeeping_round(hosts: int, seed: int) -> float:
--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -6,7 +6,7 @@
 from benchmarks.gossip_bytes import wrapped
 from benchmarks.gossip_traffic import FUNCTIONS, HOSTS
 from benchmarks.scale.deferred import deferred
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, UDP_HEADERS, held_bytes
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, UDP_HEADERS, retained_bytes
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
 from gaproute.peers.gossip import decode, encode
@@ -32,7 +32,7 @@
     functions: int = FUNCTIONS
 
 
-class OneOfMany:
+class MeasuredGateway:
     """One teller whose peers each tell it what it tells them."""
 
     def __init__(self, fleet, seed):
@@ -89,7 +89,7 @@
 
 def played(fleet, seed):
     """A gateway after the span that is measured, the first seconds of it left out."""
-    one = OneOfMany(fleet, seed)
+    one = MeasuredGateway(fleet, seed)
     one.see()
     one.now = 2 * SECOND  # the first step of arrivals is over
     return one.play(PLAYED)
@@ -102,17 +102,17 @@
 
 def cpu(gateways, seed):
     """Milliseconds of CPU a second."""
-    return played(Fleet(gateways), seed).spent / PLAYED * MILLISECONDS
+    return played(Fleet(gateways), seed).spent / PLAYED * MS_PER_SECOND
 
 
 def memory(gateways, seed):
     """Bytes that one gateway holds."""
-    return held_bytes(lambda: OneOfMany(Fleet(gateways), seed).play(HELD))
+    return retained_bytes(lambda: MeasuredGateway(Fleet(gateways), seed).play(HELD))
 
 
 def round_seconds(gateways, seed):
     """Seconds until each other gateway was told once more."""
-    one = OneOfMany(Fleet(gateways), seed)
+    one = MeasuredGateway(Fleet(gateways), seed)
     one.play(PLAYED)
     one.node.peers.remaining = []  # a round begins
     first, told = one.now, set()
--- a/benchmarks/scale/costs/gossip_content.py
+++ b/benchmarks/scale/costs/gossip_content.py
@@ -3,7 +3,7 @@
 from benchmarks.gossip_traffic import FUNCTIONS, HOSTS
 from benchmarks.scale.costs.gossip import PLAYED, SOME, SPENT, Fleet, played
 from benchmarks.scale.deferred import deferred
-from benchmarks.scale.meters import MILLISECONDS, TRACED, held_bytes
+from benchmarks.scale.meters import MS_PER_SECOND, TRACED, retained_bytes
 
 WORD_HOSTS = (4, 16, 32, 64)  # a page holds 64; more does not make it longer
 WORD_FUNCTIONS = (4, 16, 64, 256)  # 24 of demand and 256 copies; more does not make it longer
@@ -11,13 +11,13 @@
 FEW = 2  # gateways among which the budget cuts nothing
 
 
-def word_bytes_by_hosts(hosts, seed):
+def message_bytes_by_hosts(hosts, seed):
     """Bytes of a word in the mean."""
     one = played(Fleet(FEW, hosts=hosts), seed)
     return one.out / one.words
 
 
-def word_bytes_by_functions(functions, seed):
+def message_bytes_by_functions(functions, seed):
     """Bytes of a word in the mean."""
     one = played(Fleet(FEW, functions=functions), seed)
     return one.out / one.words
@@ -25,22 +25,22 @@
 
 def cpu_by_hosts(hosts, seed):
     """Milliseconds of CPU a second."""
-    return played(Fleet(hosts=hosts), seed).spent / PLAYED * MILLISECONDS
+    return played(Fleet(hosts=hosts), seed).spent / PLAYED * MS_PER_SECOND
 
 
 def cpu_by_functions(functions, seed):
     """Milliseconds of CPU a second."""
-    return played(Fleet(functions=functions), seed).spent / PLAYED * MILLISECONDS
+    return played(Fleet(functions=functions), seed).spent / PLAYED * MS_PER_SECOND
 
 
 def memory_by_hosts(hosts, seed):
     """Bytes that one gateway holds."""
-    return held_bytes(lambda: played(Fleet(hosts=hosts), seed))
+    return retained_bytes(lambda: played(Fleet(hosts=hosts), seed))
 
 
 def memory_by_functions(functions, seed):
     """Bytes that one gateway holds."""
-    return held_bytes(lambda: played(Fleet(functions=functions), seed))
+    return retained_bytes(lambda: played(Fleet(functions=functions), seed))
 
 
 BESIDE = f"{SOME} gateways"
@@ -52,7 +52,7 @@
         "bytes",
         "hosts with tasks in hand",
         WORD_HOSTS,
-        word_bytes_by_hosts,
+        message_bytes_by_hosts,
         f"with 28 of headers; {FUNCTIONS} functions; constant above 64 hosts, a page's bound",
     ),
     **deferred(
@@ -61,7 +61,7 @@
         "bytes",
         "functions asked for each second",
         WORD_FUNCTIONS,
-        word_bytes_by_functions,
+        message_bytes_by_functions,
         f"with 28 of headers; {HOSTS} hosts; constant above 256 functions, the pages' bound",
     ),
     **deferred(
--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from benchmarks.scale.measurement import measure
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, once
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds_once
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
@@ -83,10 +83,10 @@
 def whole_read(hosts, seed):
     """Milliseconds of CPU of the first reading."""
     followed = FollowedList(hosts, seed)
-    spent = once(followed.read_first)
+    spent = cpu_seconds_once(followed.read_first)
     assert followed.lists == 1 and len(followed.connections.hosts) == hosts
     followed.close()
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def changed_line(hosts, seed):
@@ -94,10 +94,10 @@
     followed = FollowedList(hosts, seed)
     followed.read_first()
     followed.change_one()
-    spent = once(followed.watch.check)
+    spent = cpu_seconds_once(followed.watch.check)
     assert followed.lists == 2
     followed.close()
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def host_list_bytes_by_hosts():
--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -3,7 +3,7 @@
 import io
 
 from benchmarks.scale.deferred import deferred
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, once
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds_once
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.http1 import render
@@ -72,7 +72,7 @@
         self.loop.close()
 
 
-def told_bytes(facts, seed):
+def transfer_bytes(facts, seed):
     """Bytes both ways."""
     told = Told(facts)
     told.give()
@@ -85,18 +85,18 @@
 def giver_cpu(facts, seed):
     """Milliseconds of CPU to tell all."""
     told = Told(facts)
-    spent = once(told.give)
+    spent = cpu_seconds_once(told.give)
     told.close()
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def learner_cpu(facts, seed):
     """Milliseconds of CPU to take all."""
     told = Told(facts)
     told.give()
-    spent = once(told.learn)
+    spent = cpu_seconds_once(told.learn)
     told.close()
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 CHUNKS = "chunks of 256 facts; the giver's slices of 1 ms and its share of 1% of a core are not applied"
@@ -108,7 +108,7 @@
         "bytes",
         "facts",
         FACTS,
-        told_bytes,
+        transfer_bytes,
         f"HTTP heads in, TCP's not; {CHUNKS}",
     ),
     **deferred(
--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -4,7 +4,7 @@
 
 from benchmarks.membership import Bytes
 from benchmarks.scale.measurement import measure
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, TRACED, UDP_HEADERS, held_bytes
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, UDP_HEADERS, retained_bytes
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import Membership, MembershipMessage, MemberState, MemberUpdate, MessageKind
@@ -36,7 +36,7 @@
     return {f"gate-{number:04}": address(number) for number in range(count)}
 
 
-class OneOfMany:
+class MeasuredMember:
     """One real member whose neighbours are played: each of its probes is answered, and each second one of
     the others probes it."""
 
@@ -95,12 +95,12 @@
 
 def bytes_sent(count, seed):
     """Bytes that one member sends a second."""
-    return OneOfMany(count, seed).play().out / PLAYED
+    return MeasuredMember(count, seed).play().out / PLAYED
 
 
 def cpu(count, seed):
     """Milliseconds of CPU a second."""
-    return OneOfMany(count, seed).play().spent / PLAYED * MILLISECONDS
+    return MeasuredMember(count, seed).play().spent / PLAYED * MS_PER_SECOND
 
 
 def memory(count, seed):
@@ -114,13 +114,13 @@
             made.receive(0, decode(encode(MembershipMessage(MessageKind.ACK, 0, news))))
         return made
 
-    return held_bytes(build)
+    return retained_bytes(build)
 
 
 def table_bytes(count, seed):
     """Bytes that go to and fro until a newcomer has the whole table."""
     giver, newcomer = (
-        OneOfMany(count, seed).member,
+        MeasuredMember(count, seed).member,
         MemberUpdate("newcomer", address(9_000), MemberState.ALIVE, SINCE_1970),
     )
     place, moved, now = 0, 0, 0
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from benchmarks.scale.deferred import deferred
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, cpu_seconds
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds
 from gaproute.appliance import Appliance
 from gaproute.appliance.status import host_table, status, warm_instances
 from gaproute.config import read_configuration
@@ -65,7 +65,7 @@
     running = Running(hosts, functions)
     spent = cpu_seconds(lambda: running.body(table))
     running.close()
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def status_bytes(hosts, seed):
--- a/benchmarks/scale/dissemination.py
+++ b/benchmarks/scale/dissemination.py
@@ -1,13 +1,13 @@
 """Plays of the dissemination on a simulated fleet: how soon all gateways hold a change, and what it costs.
 
 Each play is fixed by the number of gateways and a seed. Bytes include headers, as counted by the simulated
-network (`fleet_net`).
+network (`dissemination_fleet`).
 """
 
 from dataclasses import dataclass
 from functools import cache
 
-from benchmarks.scale.fleet_net import FleetNet
+from benchmarks.scale.dissemination_fleet import DisseminationFleet
 from benchmarks.scale.stub_document import change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
@@ -60,7 +60,7 @@
 @cache
 def spread(count: int, seed: int, loss: int = 0, slow: int = 0, killed: bool = False) -> Spread:
     """One change; `killed`: its source dies after one push. `loss` and `slow` in parts of a thousand."""
-    net = FleetNet(count, seed, loss, slow)
+    net = DisseminationFleet(count, seed, loss, slow)
     source, start = net.nodes[PUBLISHER], net.now
     if killed:
         sends = source.disseminator.publish(net.now, change_from(Version(1, 1)))
@@ -76,7 +76,7 @@
 @cache
 def load(count: int, seed: int, loss: int = 0) -> Traffic:
     """46,000 changes a day, once that pace has lasted a while."""
-    net = FleetNet(count, seed, loss)
+    net = DisseminationFleet(count, seed, loss)
     _publish_on(net, WARM_CHANGES)
     return _counted(net, lambda: _publish_on(net, LOAD_CHANGES))
 
@@ -84,14 +84,14 @@
 @cache
 def rest(count: int, seed: int) -> Traffic:
     """No changes at all."""
-    net = FleetNet(count, seed)
+    net = DisseminationFleet(count, seed)
     return _counted(net, lambda: net.run(net.now + REST_SECONDS * SECOND))
 
 
 @cache
 def newcomer(count: int, seed: int, loss: int = 0) -> Recovery:
     """One gateway that holds nothing joins while changes come at the usual pace."""
-    net = FleetNet(count, seed, loss)
+    net = DisseminationFleet(count, seed, loss)
     net.nodes[NEWCOMER].disseminator.document.version = NOTHING
     return _recovery(net, [net.nodes[NEWCOMER]])
 
@@ -102,7 +102,7 @@
 
     The hour itself is not played: those outside are set to hold its changes.
     """
-    net = FleetNet(count, seed, loss)
+    net = DisseminationFleet(count, seed, loss)
     behind = [node for node in net.nodes if node.region == CUT_REGION]
     net.advance([node for node in net.nodes if node.region != CUT_REGION], HOUR_CHANGES)
     return _recovery(net, behind)
--- a/benchmarks/scale/fleet_net.py
+++ b/benchmarks/scale/dissemination_fleet.py
@@ -38,7 +38,7 @@
         self.taken_at = 0  # when the version that it holds was taken
 
 
-class FleetNet:
+class DisseminationFleet:
     """`count` gateways that all hold version 1.1 and know their peers."""
 
     def __init__(self, count, seed, loss=0, slow=0):
@@ -51,7 +51,7 @@
         self.sent, self.received = array("Q"), array("Q")  # bytes by node
         self.messages = array("Q")  # sent, by node
         self.sent_in, self.received_in = self._by_second(), self._by_second()  # second: bytes by node
-        self.after_hear = None  # called with each node that handled something
+        self.after_handling = None  # called with each node that handled something
         for _ in range(count):
             self.add(Version(1, 1), seed, slow)
         self._list()
@@ -128,8 +128,8 @@
         for send in sends:
             self._send(node, send)
         self.schedule(node)
-        if self.after_hear is not None:
-            self.after_hear(node)
+        if self.after_handling is not None:
+            self.after_handling(node)
 
     def _version_step(self, node, act, *told):
         """Let the gateway handle something, and note when it took a newer version."""
--- a/benchmarks/scale/meters.py
+++ b/benchmarks/scale/meters.py
@@ -6,13 +6,13 @@
 import tracemalloc
 
 UDP_HEADERS = 28  # bytes of IPv4 and UDP around a datagram
-LEAST_TIME = 0.02  # seconds that a call is repeated for, so that the clock's steps do not show
-MILLISECONDS = 1e3  # in a second
+MIN_MEASURED_TIME = 0.02  # seconds that a call is repeated for, so that the clock's steps do not show
+MS_PER_SECOND = 1e3  # in a second
 TRACED = "memory: Python's own objects by tracemalloc, without the kernel's buffers"
 CPU_TIME = "CPU: processor time of the process, on a machine shared with other work"
 
 
-def cpu_seconds(call, least=LEAST_TIME):
+def cpu_seconds(call, least=MIN_MEASURED_TIME):
     """Processor seconds of one `call()`, the mean of as many as `least` seconds hold; one at least."""
     calls, begun = 0, time.process_time()
     while True:
@@ -23,7 +23,7 @@
             return spent / calls
 
 
-def once(call):
+def cpu_seconds_once(call):
     """Processor seconds of `call()` alone, for what cannot be done twice."""
     gc.collect()
     begun = time.process_time()
@@ -59,7 +59,7 @@
     return count
 
 
-def held_bytes(build):
+def retained_bytes(build):
     """Bytes of Python's objects that stand because of `build()`, whose result is kept meanwhile."""
     gc.collect()
     tracemalloc.start()
--- a/benchmarks/scale/held.py
+++ b/benchmarks/scale/reachable_memory.py
@@ -14,7 +14,7 @@
 NOT_FOLLOWED = (type, ModuleType, CodeType)
 
 
-def held_bytes(root: Any, shared: Iterable[Any] = ()) -> int:
+def reachable_bytes(root: Any, shared: Iterable[Any] = ()) -> int:
     """Bytes of the objects reached from `root`; those of `shared`, and what only they reach, are left out."""
     seen, waiting, total = {id(each) for each in shared}, [root], 0
     while waiting:
--- a/tests/benchmarks/test_cell_rung.py
+++ b/tests/benchmarks/test_cell_rung.py
@@ -9,9 +9,9 @@
 from benchmarks.scale import cell_rung, cell_work, rung
 from benchmarks.scale.base_rung import Growth
 from benchmarks.scale.cell_rung import CellRung
-from benchmarks.scale.held import held_bytes
 from benchmarks.scale.limits import LimitReachedError, Limits
 from benchmarks.scale.plain_rung import PlainRung
+from benchmarks.scale.reachable_memory import reachable_bytes
 
 SIZE, FULL, HOSTS = 66, 1, 4
 SPAN = 2  # simulated seconds of a counting
@@ -107,16 +107,16 @@
 
 def test_memory_held_is_counted_once_and_without_what_is_shared():
     data, shared = bytes(100_000), bytes(1_000_000)
-    once, twice = held_bytes(Holder(data)), held_bytes(Holder(data, data))
+    once, twice = reachable_bytes(Holder(data)), reachable_bytes(Holder(data, data))
     assert sys.getsizeof(data) < once < twice < once + 100
-    assert held_bytes(Holder(data, shared), [shared]) == twice
+    assert reachable_bytes(Holder(data, shared), [shared]) == twice
 
 
 def test_memory_held_by_a_closure_or_a_bound_method_is_counted():
     data = bytes(100_000)
     for holder in (lambda: data, Holder(data).__init__, [data].append):
-        assert 100_000 < held_bytes(holder) < 101_000
-    assert held_bytes(Holder) == held_bytes(sys) == 0
+        assert 100_000 < reachable_bytes(holder) < 101_000
+    assert reachable_bytes(Holder) == reachable_bytes(sys) == 0
 
 
 def test_calls_of_functions_are_counted_alike_in_each_play(monkeypatch):
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.fit import fit
 from benchmarks.scale.gateways import Caller, CallError, row, rows
 from benchmarks.scale.measurement import UNITS, Measurement, MeasurementError, Point, measure
-from benchmarks.scale.meters import held_bytes
+from benchmarks.scale.meters import retained_bytes
 from benchmarks.scale.plays import cpu_ms, grown
 from gaproute.decisions.routing import ranking
 
@@ -119,8 +119,8 @@
 
 
 def test_memory_held_is_that_of_what_was_made():
-    assert held_bytes(lambda: bytearray(1_000_000)) == pytest.approx(1_000_000, rel=0.02)
-    assert held_bytes(lambda: len(bytearray(1_000_000))) < 10_000
+    assert retained_bytes(lambda: bytearray(1_000_000)) == pytest.approx(1_000_000, rel=0.02)
+    assert retained_bytes(lambda: len(bytearray(1_000_000))) < 10_000
 
 
 def test_processor_time_is_of_one_repeat():
--- a/tests/dissemination/test_dissemination.py
+++ b/tests/dissemination/test_dissemination.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from benchmarks.scale.fleet_net import FleetNet
+from benchmarks.scale.dissemination_fleet import DisseminationFleet
 from benchmarks.scale.stub_document import FLEET, WHOLE_BYTES, change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import bounds
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("loss", [0, 50, 200])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_all_hold_a_change_within_three_seconds(loss, seed):
-    net = FleetNet(COUNT, seed, loss)
+    net = DisseminationFleet(COUNT, seed, loss)
     net.run(net.now + 2 * SECOND)
     version = net.publish(net.nodes[17])
     play_until_all_hold(net, version, 3)
@@ -42,14 +42,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_tenth_of_slow_gateways_keeps_nobody_beyond_three_seconds(seed):
-    net = FleetNet(COUNT, seed, 50, slow=100)
+    net = DisseminationFleet(COUNT, seed, 50, slow=100)
     assert sum(node.slow for node in net.nodes) > 10
     play_until_all_hold(net, net.publish(net.nodes[17]), 3)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_source_that_dies_after_one_push_left_nobody_behind(seed):
-    net = FleetNet(COUNT, seed)
+    net = DisseminationFleet(COUNT, seed)
     source = net.nodes[40]
     sends = source.disseminator.publish(net.now, change_from(Version(1, 1)))
     net.handle(source, sends[:1])
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_at_46000_changes_a_day_no_gateway_spends_more_than_its_budget(seed):
-    net = FleetNet(COUNT, seed, 50)
+    net = DisseminationFleet(COUNT, seed, 50)
     start, changes = net.now, 16
     for number in range(changes):
         net.run(start + number * CHANGE_INTERVAL)
@@ -73,7 +73,7 @@
 
 
 def test_at_rest_a_gateway_says_one_short_thing_a_second():
-    net = FleetNet(COUNT, 1)
+    net = DisseminationFleet(COUNT, 1)
     net.run(net.now + 20 * SECOND)
     assert sum(net.messages) / COUNT / 20 < 1.1
     assert max(net.sent) / 20 < 110
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("loss", [0, 200])
 def test_a_newcomer_takes_the_whole_document_while_changes_come(loss):
-    net = FleetNet(COUNT, 4, loss)
+    net = DisseminationFleet(COUNT, 4, loss)
     newcomer = net.nodes[7].disseminator
     newcomer.document.version = NOTHING
     start = net.now
@@ -95,7 +95,7 @@
 
 
 def test_a_region_cut_off_catches_up_without_a_storm():
-    net = FleetNet(COUNT, 5)
+    net = DisseminationFleet(COUNT, 5)
     net.cut = lambda one, other: (one.region == 2) != (other.region == 2)
     cut_off = [node for node in net.nodes if node.region == 2]
     start, changes = net.now, 2 * bounds.LOG_CHANGES
@@ -117,7 +117,7 @@
 
 
 def test_each_gateway_knows_who_is_behind_and_that_nobody_is():
-    net = FleetNet(COUNT, 6)
+    net = DisseminationFleet(COUNT, 6)
     version = net.publish(net.nodes[0])
     play_until_all_hold(net, version, 3)
     net.run(net.now + 12 * SECOND)
@@ -132,7 +132,7 @@
 
 
 def test_a_newcomer_whose_source_dies_amid_the_parts_takes_them_from_another():
-    net = FleetNet(COUNT, 8)
+    net = DisseminationFleet(COUNT, 8)
     newcomer = net.nodes[7].disseminator
     newcomer.document.version = NOTHING
     start = net.now
