--- a/benchmarks/scale/dissemination.py
+++ b/benchmarks/scale/dissemination.py
@@ -4,12 +4,14 @@
 network (`dissemination_fleet`).
 """
 
+from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 from functools import cache
 
-from benchmarks.scale.dissemination_fleet import DisseminationFleet
+from benchmarks.scale.dissemination_fleet import DisseminationFleet, FleetGateway
 from benchmarks.scale.stub_document import change_from
 from gaproute.decisions.cells.version import Version
+from gaproute.errors import GaprouteError
 from gaproute.shared.dissemination.bounds import MILLISECOND, SECOND
 from gaproute.shared.dissemination.messages import NOTHING
 
@@ -25,13 +27,13 @@
 CUT_REGION = 2
 
 
-class PlayError(RuntimeError):
-    """A play did not come to its end."""
+class PlayError(GaprouteError, RuntimeError):
+    """A play did not come to its end in time."""
 
 
 @dataclass(frozen=True)
 class Spread:
-    """Milliseconds from a change until so many of all living gateways held it."""
+    """Milliseconds from a change until so many of all running gateways had it."""
 
     half: float
     most: float  # 99 of 100
@@ -49,8 +51,11 @@
 
 @dataclass(frozen=True)
 class Recovery:
-    """Seconds until all that were behind hold the newest version, bytes that each of them received, and the
-    greatest bytes that any gateway sent and received within one second."""
+    """How gateways that were behind caught up.
+
+    Seconds until all of them had the newest version, the bytes that each of them received, and the most bytes
+    that any gateway sent and received within one second.
+    """
 
     seconds: float
     received: float
@@ -58,42 +63,42 @@
 
 
 @cache
-def spread(count: int, seed: int, loss: int = 0, slow: int = 0, killed: bool = False) -> Spread:
+def spread(count: int, seed: int, *, loss: int = 0, slow: int = 0, killed: bool = False) -> Spread:
     """One change; `killed`: its source dies after one push. `loss` and `slow` in parts of a thousand."""
-    net = DisseminationFleet(count, seed, loss, slow)
-    source, start = net.nodes[PUBLISHER], net.now
+    fleet = DisseminationFleet(count, seed, loss, slow)
+    source, start = fleet.gateways[PUBLISHER], fleet.now
     if killed:
-        sends = source.disseminator.publish(net.now, change_from(Version(1, 1)))
-        net.handle(source, sends[:1])
+        sends = source.disseminator.publish(fleet.now, change_from(Version(1, 1)))
+        fleet.handle(source, sends[:1])
         source.alive = False
     else:
-        net.publish(source)
-    _play_until(net, lambda: _all_hold(net, net.nodes, Version(1, 2)))
-    times = sorted((node.taken_at - start) / MILLISECOND for node in net.nodes if node.alive)
+        fleet.publish(source)
+    _play_until(fleet, lambda: _all_have(fleet.gateways, Version(1, 2)))
+    times = sorted((gateway.taken_at - start) / MILLISECOND for gateway in fleet.gateways if gateway.alive)
     return Spread(times[len(times) // 2], times[len(times) * 99 // 100], times[-1])
 
 
 @cache
 def load(count: int, seed: int, loss: int = 0) -> Traffic:
     """46,000 changes a day, once that pace has lasted a while."""
-    net = DisseminationFleet(count, seed, loss)
-    _publish_on(net, WARM_CHANGES)
-    return _counted(net, lambda: _publish_on(net, LOAD_CHANGES))
+    fleet = DisseminationFleet(count, seed, loss)
+    _publish_on(fleet, WARM_CHANGES)
+    return _counted(fleet, lambda: _publish_on(fleet, LOAD_CHANGES))
 
 
 @cache
 def rest(count: int, seed: int) -> Traffic:
     """No changes at all."""
-    net = DisseminationFleet(count, seed)
-    return _counted(net, lambda: net.run(net.now + REST_SECONDS * SECOND))
+    fleet = DisseminationFleet(count, seed)
+    return _counted(fleet, lambda: fleet.run(fleet.now + REST_SECONDS * SECOND))
 
 
 @cache
 def newcomer(count: int, seed: int, loss: int = 0) -> Recovery:
     """One gateway that holds nothing joins while changes come at the usual pace."""
-    net = DisseminationFleet(count, seed, loss)
-    net.nodes[NEWCOMER].disseminator.document.version = NOTHING
-    return _recovery(net, [net.nodes[NEWCOMER]])
+    fleet = DisseminationFleet(count, seed, loss)
+    fleet.gateways[NEWCOMER].document.version = NOTHING
+    return _recovery(fleet, [fleet.gateways[NEWCOMER]])
 
 
 @cache
@@ -102,63 +107,66 @@
 
     The hour itself is not played: those outside are set to hold its changes.
     """
-    net = DisseminationFleet(count, seed, loss)
-    behind = [node for node in net.nodes if node.region == CUT_REGION]
-    net.advance([node for node in net.nodes if node.region != CUT_REGION], HOUR_CHANGES)
-    return _recovery(net, behind)
+    fleet = DisseminationFleet(count, seed, loss)
+    behind = [gateway for gateway in fleet.gateways if gateway.region == CUT_REGION]
+    fleet.advance([gateway for gateway in fleet.gateways if gateway.region != CUT_REGION], HOUR_CHANGES)
+    return _recovery(fleet, behind)
 
 
-def _publish_on(net, changes):
+def _publish_on(fleet: DisseminationFleet, changes: int) -> None:
+    """Publish so many changes at the usual pace."""
     for _ in range(changes):
-        net.publish(net.nodes[PUBLISHER])
-        net.run(net.now + CHANGE_INTERVAL)
+        fleet.publish(fleet.gateways[PUBLISHER])
+        fleet.run(fleet.now + CHANGE_INTERVAL)
 
 
-def _counted(net, act):
-    """What is sent and received while it acts."""
-    sent, received, messages = list(net.sent), list(net.received), sum(net.messages)
-    start = net.now
+def _counted(fleet: DisseminationFleet, act: Callable[[], None]) -> Traffic:
+    """What is sent and received during `act()`."""
+    traffic = fleet.traffic
+    sent, received, messages = list(traffic.sent), list(traffic.received), sum(traffic.messages)
+    start = fleet.now
     act()
-    seconds, count = (net.now - start) / SECOND, len(net.nodes)
-    both = [net.sent[place] - sent[place] + net.received[place] - received[place] for place in range(count)]
+    seconds, count = (fleet.now - start) / SECOND, len(fleet.gateways)
+    both = [
+        traffic.sent[place] - sent[place] + traffic.received[place] - received[place]
+        for place in range(count)
+    ]
     return Traffic(
-        (sum(net.messages) - messages) / count / seconds,
-        (sum(net.sent) - sum(sent)) / count / seconds,
+        (sum(traffic.messages) - messages) / count / seconds,
+        (sum(traffic.sent) - sum(sent)) / count / seconds,
         max(both) / seconds,
     )
 
 
-def _recovery(net, behind):
+def _recovery(fleet: DisseminationFleet, behind: Sequence[FleetGateway]) -> Recovery:
     """Play on with changes until those behind are as far as the publisher was one change ago."""
-    start, publisher = net.now, net.nodes[PUBLISHER].disseminator
-    received = sum(net.received[node.index] for node in behind)
-    while net.now - start < LONGEST_PLAY * SECOND:
+    start, publisher = fleet.now, fleet.gateways[PUBLISHER]
+    received = _received(fleet, behind)
+    while fleet.now - start < LONGEST_PLAY * SECOND:
         wanted = publisher.document.version
-        net.publish(net.nodes[PUBLISHER])
-        published = net.now
-        while net.now - published < CHANGE_INTERVAL:
-            net.run(min(net.now + STEP, published + CHANGE_INTERVAL))
-            if _all_hold(net, behind, wanted):
-                received = sum(net.received[node.index] for node in behind) - received
-                return Recovery((net.now - start) / SECOND, received / len(behind), _greatest_second(net))
+        fleet.publish(publisher)
+        published = fleet.now
+        while fleet.now - published < CHANGE_INTERVAL:
+            fleet.run(min(fleet.now + STEP, published + CHANGE_INTERVAL))
+            if _all_have(behind, wanted):
+                each = (_received(fleet, behind) - received) / len(behind)
+                return Recovery((fleet.now - start) / SECOND, each, fleet.traffic.greatest_second())
     raise PlayError(f"{len(behind)} gateways have not caught up after {LONGEST_PLAY} s")
 
 
-def _greatest_second(net):
-    """The most bytes that a gateway sent and received within a second."""
-    return max(
-        max(map(sum, zip(net.sent_in[second], net.received_in[second], strict=True)))
-        for second in sorted(net.sent_in.keys() | net.received_in.keys())
-    )
+def _received(fleet: DisseminationFleet, gateways: Iterable[FleetGateway]) -> int:
+    """Bytes that these gateways together have received so far."""
+    return sum(fleet.traffic.received[gateway.index] for gateway in gateways)
 
 
-def _all_hold(net, nodes, version):
-    return all(node.disseminator.document.version >= version for node in nodes if node.alive)
+def _all_have(gateways: Iterable[FleetGateway], version: Version) -> bool:
+    """Whether all of these that run have the version, or a newer one."""
+    return all(gateway.document.version >= version for gateway in gateways if gateway.alive)
 
 
-def _play_until(net, done):
-    start = net.now
+def _play_until(fleet: DisseminationFleet, done: Callable[[], bool]) -> None:
+    start = fleet.now
     while not done():
-        if net.now - start > LONGEST_PLAY * SECOND:
+        if fleet.now - start > LONGEST_PLAY * SECOND:
             raise PlayError(f"not done after {LONGEST_PLAY} s")
-        net.run(net.now + STEP)
+        fleet.run(fleet.now + STEP)
--- a/benchmarks/scale/dissemination_fleet.py
+++ b/benchmarks/scale/dissemination_fleet.py
@@ -6,235 +6,218 @@
 """
 
 import heapq
-from array import array
 from collections import defaultdict
+from collections.abc import Callable, Iterable, Sequence
+from functools import partial
 
+from benchmarks.scale.dissemination_links import PERMILLE, Links, Place
+from benchmarks.scale.dissemination_traffic import TrafficCounts
 from benchmarks.scale.stub_document import StubDocument, change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.decisions.chance import Chance
-from gaproute.shared.dissemination import Candidates, Disseminator, Peer
+from gaproute.shared.dissemination import Candidates, Change, Disseminator, Peer, Send
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME, LOG_CHANGES, MILLISECOND, SECOND
-from gaproute.shared.dissemination.messages import Busy, Pull, wire_size
+from gaproute.shared.dissemination.messages import Announcement, Busy, Changes, Part, Pull, Push, wire_size
 
 REGIONS, ZONES = 5, 13
 CELL_GATEWAYS, CELL_ENTRIES = 33, 3  # 16,000 gateways in 490 cells
-PERMILLE = 1_000
-SLOW_DELAY = 250 * MILLISECOND  # that a slow gateway takes for each message in and out
+SEED_FACTOR = 1_000_003  # by which the gateways' seeds of two fleets lie apart
+CONNECT_TIMEOUT = SECOND  # of TCP, for a lost SYN
 DATA_TIMEOUT = 200 * MILLISECOND  # of TCP at least, for a lost segment
-SEGMENT = 1_400
+SEGMENT = 1_400  # bytes
 
+PullAnswer = Changes | Part | Busy | None
 
-class Node:
+
+class FleetGateway:
     """One gateway: its place in the fleet, its disseminator, when its timer is due."""
 
-    def __init__(self, index, cells, seed, now, version):
-        self.index, self.cell = index, index % cells
-        self.zone = self.cell % ZONES
-        self.region = self.zone % REGIONS
+    def __init__(self, index: int, place: Place, disseminator: Disseminator, document: StubDocument) -> None:
+        self.index, self.place = index, place
+        self.disseminator, self.document = disseminator, document
         self.peer = Peer(f"gateway{index}", f"10.0.{index >> 8}.{index & 255}:7000")
-        chance = Chance(seed * 1_000_003 + index)
-        self.disseminator = Disseminator(self.peer.name, StubDocument(version), chance, now)
-        self.timer, self.alive, self.slow = None, True, False
-        self.taken_at = 0  # when the version that it holds was taken
+        self.timer: int | None = None  # when it fires, ns; None: it is not set
+        self.alive = True
+        self.taken_at = 0  # when it took the version that it has, ns
+
+    @property
+    def region(self) -> int:
+        """The region that it stands in."""
+        return self.place.region
+
+    @property
+    def slow(self) -> bool:
+        """Whether it delays each message."""
+        return self.place.slow
 
 
 class DisseminationFleet:
-    """`count` gateways that all hold version 1.1 and know their peers."""
-
-    def __init__(self, count, seed, loss=0, slow=0):
-        """`loss` of messages and `slow` gateways in parts of a thousand."""
-        self.now, self.number = SECOND, 0
-        self.loss, self.chance = loss, Chance(seed)
-        self.events, self.nodes = [], []
-        self.cut = None  # (node, node) -> whether nothing gets from the one to the other
+    """`count` gateways that all have version 1.1 and know their peers.
+
+    `loss` of messages and `slow` gateways in parts of a thousand.
+    """
+
+    def __init__(self, count: int, seed: int, loss: int = 0, slow: int = 0) -> None:
+        self.now, self.scheduled = SECOND, 0
+        self.chance = Chance(seed)
+        self.links, self.traffic = Links(loss, self.chance), TrafficCounts()
+        self.events: list[tuple[int, int, Callable[[], None]]] = []  # (when, number, action)
+        self.gateways: list[FleetGateway] = []
         self.cells = max(1, -(-count // CELL_GATEWAYS))
-        self.sent, self.received = array("Q"), array("Q")  # bytes by node
-        self.messages = array("Q")  # sent, by node
-        self.sent_in, self.received_in = self._by_second(), self._by_second()  # second: bytes by node
-        self.after_handling = None  # called with each node that handled something
         for _ in range(count):
-            self.add(Version(1, 1), seed, slow)
-        self._list()
-
-    def add(self, version, seed, slow=0):
-        """One more gateway; its peers are listed by `listed`."""
-        node = Node(len(self.nodes), self.cells, seed, self.now, version)
-        node.slow = slow > 0 and self.chance.below(PERMILLE) < slow
-        self.nodes.append(node)
-        for counts in (self.sent, self.received, self.messages):
-            counts.append(0)
-        self.schedule(node)
-        return node
-
-    def _list(self):
-        members = defaultdict(list)
-        for node in self.nodes:
-            members[node.cell].append(node.peer)
+            self._add(Version(1, 1), seed, slow)
+        self._set_candidates()
+
+    def _add(self, version: Version, seed: int, slow: int) -> None:
+        """Start one more gateway, which knows no peers yet."""
+        index = len(self.gateways)
+        cell = index % self.cells
+        zone = cell % ZONES
+        is_slow = slow > 0 and self.chance.below(PERMILLE) < slow
+        document = StubDocument(version)
+        chance = Chance(seed * SEED_FACTOR + index)
+        disseminator = Disseminator(f"gateway{index}", document, chance, self.now)
+        gateway = FleetGateway(index, Place(cell, zone, zone % REGIONS, is_slow), disseminator, document)
+        self.gateways.append(gateway)
+        self.traffic.add_gateway()
+        self._set_timer(gateway)
+
+    def _set_candidates(self) -> None:
+        """Tell each gateway the members of its own cell and the entry gateways of the others."""
+        members: defaultdict[int, list[Peer]] = defaultdict(list)
+        for gateway in self.gateways:
+            members[gateway.place.cell].append(gateway.peer)
         for cell, peers in members.items():
-            entries = defaultdict(list)
-            for other, theirs in members.items():
+            entries: defaultdict[str, list[Peer]] = defaultdict(list)
+            for other, others in members.items():
                 if other != cell:
-                    entries[f"zone{other % ZONES}"] += theirs[:CELL_ENTRIES]
-            entries = {zone: tuple(theirs) for zone, theirs in entries.items()}
-            self._list_cell(cell, tuple(peers), entries)
-
-    def _list_cell(self, cell, peers, entries):
-        listed = Candidates(peers, entries, (), len(self.nodes))
-        for peer in peers:
-            self.node(peer).disseminator.set_candidates(listed)
+                    entries[f"zone{other % ZONES}"] += others[:CELL_ENTRIES]
+            by_zone = {zone: tuple(listed) for zone, listed in entries.items()}
+            candidates = Candidates(tuple(peers), by_zone, (), len(self.gateways))
+            for peer in peers:
+                self.gateway_of(peer).disseminator.set_candidates(candidates)
 
-    def node(self, peer):
+    def gateway_of(self, peer: Peer) -> FleetGateway:
         """The gateway of that name."""
-        return self.nodes[int(peer.name[len("gateway") :])]
+        return self.gateways[int(peer.name.removeprefix("gateway"))]
 
     # Running
 
-    def publish(self, node):
-        """A change made at that gateway; returns its version."""
-        change = change_from(node.disseminator.document.version)
-        self.handle(node, node.disseminator.publish(self.now, change))
-        node.taken_at = self.now
+    def publish(self, gateway: FleetGateway) -> Version:
+        """Make a change at that gateway; returns its version."""
+        change = change_from(gateway.document.version)
+        self.handle(gateway, gateway.disseminator.publish(self.now, change))
+        gateway.taken_at = self.now
         return change.version
 
-    def run(self, until, stop=lambda: False):
-        """Play until that time, or until `stop` is true."""
-        while self.events and self.events[0][0] <= until and not stop():
-            self.now, _, act, *told = heapq.heappop(self.events)
-            act(*told)
-        if not stop():
-            self.now = max(self.now, until)
-
-    def at(self, when, act, *told):
-        """Call `act` then."""
-        self.number += 1
-        heapq.heappush(self.events, (when, self.number, act, *told))
-
-    def schedule(self, node):
-        """Set the gateway's timer to when it is due."""
-        due = node.disseminator.due
-        if node.timer is None or due < node.timer:
-            node.timer = due
-            self.at(max(due, self.now), self._tick, node, due)
-
-    def _tick(self, node, when):
-        if node.timer != when:
-            return
-        node.timer = None
-        if node.alive:
-            self.handle(node, node.disseminator.tick(self.now))
+    def run(self, until: int) -> None:
+        """Play until that time, ns."""
+        while self.events and self.events[0][0] <= until:
+            self.now, _, action = heapq.heappop(self.events)
+            action()
+        self.now = max(self.now, until)
 
-    def handle(self, node, sends):
-        """Send what a gateway returned."""
+    def handle(self, gateway: FleetGateway, sends: Iterable[Send]) -> None:
+        """Send what a gateway returned, and set its timer."""
         for send in sends:
-            self._send(node, send)
-        self.schedule(node)
-        if self.after_handling is not None:
-            self.after_handling(node)
-
-    def _version_step(self, node, act, *told):
-        """Let the gateway handle something, and note when it took a newer version."""
-        if not node.alive:
+            self._send(gateway, send)
+        self._set_timer(gateway)
+
+    def _at(self, when: int, action: Callable[[], None]) -> None:
+        """Call `action` at that time, ns; actions of one time are called in the order of their scheduling."""
+        self.scheduled += 1
+        heapq.heappush(self.events, (when, self.scheduled, action))
+
+    def _set_timer(self, gateway: FleetGateway) -> None:
+        due = gateway.disseminator.due
+        if gateway.timer is None or due < gateway.timer:
+            gateway.timer = due
+            self._at(max(due, self.now), partial(self._tick, gateway, due))
+
+    def _tick(self, gateway: FleetGateway, when: int) -> None:
+        if gateway.timer != when:
             return
-        before = node.disseminator.document.version
-        sends = act(self.now, *told)
-        if node.disseminator.document.version > before:
-            node.taken_at = self.now
-        self.handle(node, sends)
-
-    # The network
-
-    def _by_second(self):
-        return defaultdict(lambda: array("Q", bytes(8 * len(self.nodes))))
-
-    def forget_seconds(self):
-        """Count the bytes of each second anew."""
-        self.sent_in.clear()
-        self.received_in.clear()
-
-    def _count_sent(self, node, amount):
-        self.sent[node.index] += amount
-        self.sent_in[self.now // SECOND][node.index] += amount
-
-    def _count_received(self, node, amount):
-        self.received[node.index] += amount
-        self.received_in[self.now // SECOND][node.index] += amount
-
-    def _delay(self, one, other):
-        if one.zone == other.zone:
-            delay = MILLISECOND + self.chance.below(2 * MILLISECOND)
-        elif one.region == other.region:
-            delay = 5 * MILLISECOND
-        else:
-            delay = 40 * MILLISECOND + self.chance.below(60 * MILLISECOND)
-        return delay + SLOW_DELAY * (one.slow + other.slow)
-
-    def _lost(self):
-        return self.loss and self.chance.below(PERMILLE) < self.loss
-
-    def _cut(self, one, other):
-        return self.cut is not None and self.cut(one, other)
-
-    def _send(self, node, send):
-        target = self.node(send.to)
+        gateway.timer = None
+        if gateway.alive:
+            self.handle(gateway, gateway.disseminator.tick(self.now))
+
+    def _receive(self, gateway: FleetGateway, receive: Callable[[int], list[Send]]) -> None:
+        """Let the gateway handle what arrived, and note when it took a newer version."""
+        if not gateway.alive:
+            return
+        before = gateway.document.version
+        sends = receive(self.now)
+        if gateway.document.version > before:
+            gateway.taken_at = self.now
+        self.handle(gateway, sends)
+
+    # Messages
+
+    def _send(self, sender: FleetGateway, send: Send) -> None:
+        receiver = self.gateway_of(send.to)
         if isinstance(send.message, Pull):
-            self._exchange(node, target, send.message)
+            self._start_exchange(sender, receiver, send.message)
             return
-        self.messages[node.index] += 1
-        self._count_sent(node, wire_size(send.message))
-        if not self._lost() and not self._cut(node, target):
-            self.at(self.now + self._delay(node, target), self._deliver, node, target, send.message)
-
-    def _deliver(self, sender, node, message):
-        self._count_received(node, wire_size(message))
-        if node.alive and node.disseminator.admits(self.now, sender.peer.name):
-            self._version_step(node, node.disseminator.receive, sender.peer, message)
-
-    def _retries(self, timeout, segments):
-        """What lost segments add; those that were lost are sent again until none is."""
-        added = 0
-        while segments := sum([bool(self._lost()) for _ in range(segments)]):
-            added, timeout = added + timeout, 2 * timeout
-        return added
-
-    def _exchange(self, node, target, pull):
-        self.messages[node.index] += 1
-        self._count_sent(node, wire_size(pull) // 2)
-        self._count_received(node, wire_size(pull) - wire_size(pull) // 2)
-        if self._cut(node, target) or self._cut(target, node):
-            self.at(self.now + EXCHANGE_TIME, self._pulled, node, target, None)
+        self.traffic.count_message(sender.index)
+        self.traffic.count_sent(sender.index, self.now, wire_size(send.message))
+        if not self.links.is_lost() and not self.links.is_cut(sender.place, receiver.place):
+            arrival = self.now + self.links.delay(sender.place, receiver.place)
+            self._at(arrival, partial(self._deliver, sender, receiver, send.message))
+
+    def _deliver(self, sender: FleetGateway, receiver: FleetGateway, message: Announcement | Push) -> None:
+        self.traffic.count_received(receiver.index, self.now, wire_size(message))
+        if receiver.alive and receiver.disseminator.admits(self.now, sender.peer.name):
+            self._receive(receiver, lambda now: receiver.disseminator.receive(now, sender.peer, message))
+
+    # Exchanges: a pull and its answer
+
+    def _start_exchange(self, client: FleetGateway, server: FleetGateway, pull: Pull) -> None:
+        self.traffic.count_message(client.index)
+        sent = wire_size(pull) // 2
+        self.traffic.count_sent(client.index, self.now, sent)
+        self.traffic.count_received(client.index, self.now, wire_size(pull) - sent)
+        end = self.now + EXCHANGE_TIME
+        cut = self.links.is_cut(client.place, server.place) or self.links.is_cut(server.place, client.place)
+        if cut:
+            self._at(end, partial(self._end_exchange, client, server, None))
             return
-        asked = self.now + 3 * self._delay(node, target) + self._retries(SECOND, 2)
-        asked += self._retries(DATA_TIMEOUT, 1)
-        self.at(asked, self._answer, node, target, pull, self.now + EXCHANGE_TIME)
-
-    def _answer(self, node, target, pull, ends):
-        if not target.alive or self.now > ends:
-            self.at(max(self.now, ends), self._pulled, node, target, None)
+        arrival = self.now + 3 * self.links.delay(client.place, server.place)
+        arrival += self.links.retransmission_delay(CONNECT_TIMEOUT, 2)
+        arrival += self.links.retransmission_delay(DATA_TIMEOUT, 1)
+        self._at(arrival, partial(self._answer, client, server, pull, end))
+
+    def _answer(self, client: FleetGateway, server: FleetGateway, pull: Pull, end: int) -> None:
+        if not server.alive or self.now > end:
+            self._at(max(self.now, end), partial(self._end_exchange, client, server, None))
             return
-        answer = target.disseminator.answer(self.now, pull)
-        self.messages[target.index] += 1
-        self._count_sent(target, wire_size(answer))
-        arrives = self.now + self._delay(target, node)
-        segments = 1 if isinstance(answer, Busy) else -(-wire_size(answer) // SEGMENT)
-        arrives += self._retries(DATA_TIMEOUT, segments)
-        self.at(min(arrives, ends), self._pulled, node, target, answer if arrives <= ends else None)
-
-    def _pulled(self, node, target, answer):
+        answer = server.disseminator.answer(self.now, pull)
+        assert answer is not None, f"{server.peer.name} rejected {pull!r}"
+        size = wire_size(answer)
+        self.traffic.count_message(server.index)
+        self.traffic.count_sent(server.index, self.now, size)
+        arrival = self.now + self.links.delay(server.place, client.place)
+        segments = 1 if isinstance(answer, Busy) else -(-size // SEGMENT)
+        arrival += self.links.retransmission_delay(DATA_TIMEOUT, segments)
+        received = answer if arrival <= end else None
+        self._at(min(arrival, end), partial(self._end_exchange, client, server, received))
+
+    def _end_exchange(self, client: FleetGateway, server: FleetGateway, answer: PullAnswer) -> None:
         if answer is not None:
-            self._count_received(node, wire_size(answer))
-        self._version_step(node, node.disseminator.receive_answer, target.peer, answer)
+            self.traffic.count_received(client.index, self.now, wire_size(answer))
+        self._receive(client, lambda now: client.disseminator.receive_answer(now, server.peer, answer))
 
     # States that would take long to play
 
-    def advance(self, nodes, changes):
-        """These gateways took so many changes and have long been at rest."""
-        log, version = [], nodes[0].disseminator.document.version
-        for _ in range(changes):
+    def advance(self, gateways: Sequence[FleetGateway], count: int) -> Version:
+        """Put these gateways where `count` changes and a long rest would have; returns their version."""
+        log: list[Change] = []
+        version = gateways[0].document.version
+        for _ in range(count):
             log.append(change_from(version))
             version = log[-1].version
-        for node in nodes:
-            replica = node.disseminator.replica
-            replica.document.version, replica.document.digest = version, log[-1].digest
+        for gateway in gateways:
+            replica = gateway.disseminator.replica
+            gateway.document.version, gateway.document.digest = version, log[-1].digest
             for change in log[-LOG_CHANGES:]:
                 replica.log.append(change)
         return version
