--- a/benchmarks/scale/deferred.py
+++ b/benchmarks/scale/deferred.py
@@ -1,8 +1,13 @@
 """A measurement that is described now and made when it is asked for."""
 
-from benchmarks.scale.measurement import measure
+from collections.abc import Sequence
+from functools import partial
 
+from benchmarks.scale.measurement import Measure, Play, measure
 
-def deferred(name, meaning, unit, parameter, sizes, play, conditions):
-    """{name: function that makes the measurement}, for a module's MEASUREMENTS."""
-    return {name: lambda: measure(name, meaning, unit, parameter, sizes, play, conditions)}
+
+def deferred(
+    name: str, meaning: str, unit: str, parameter: str, sizes: Sequence[int], play: Play, conditions: str
+) -> dict[str, Measure]:
+    """{name: function that makes the measurement}, for a module's MEASUREMENTS; arguments as of `measure`."""
+    return {name: partial(measure, name, meaning, unit, parameter, sizes, play, conditions)}
--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -1,4 +1,4 @@
-"""Single figures in a page's text, each told by a file's name and a few words."""
+"""Single figures in a page's text, each named by a file and a few words."""
 
 from pathlib import Path
 
@@ -11,7 +11,7 @@
 
 
 def figure(file: str, words: str, folder: Path) -> str:
-    """The figure as text. Errors: PageError, MeasurementError."""
+    """The figure as text. Raises PageError and MeasurementError."""
     if file == "size.py":
         name, _, unit = words.partition(" ")
         if unit not in ("", "share"):
@@ -24,42 +24,40 @@
     raise PageError(f"no figures come from {file}")
 
 
-def _of_row(words, folder):
+def _of_row(words: str, folder: Path) -> str:
     """`KEY predicted`, `KEY budget`, `KEY factor` or `KEY state`."""
     key, _, what = words.partition(" ")
     row = next((row for row in roles.ROWS if row.key == key), None)
     if row is None:
         raise PageError(f"no such row: {key}")
     verdict = judged(row, folder)
-    if verdict.predicted is None and what in ("predicted", "factor"):
-        raise PageError(f"{key} is missing: nothing is predicted for it")
-    if what == "predicted":
-        return f"{number(verdict.predicted)} {row.unit}"
     if what == "budget":
         return f"{number(row.budget)} {row.unit}"
-    if what == "factor":
-        return times(verdict.factor)
     if what == "state":
         return verdict.state
+    if what in ("predicted", "factor"):
+        if verdict.predicted is None or verdict.factor is None:
+            raise PageError(f"{key} is missing: nothing is predicted for it")
+        return f"{number(verdict.predicted)} {row.unit}" if what == "predicted" else times(verdict.factor)
     raise PageError(f"a row has no {what or 'nothing'}")
 
 
-def _of_measurement(kept, words):
+def _of_measurement(measurement: Measurement, words: str) -> str:
     """`measured at SIZE`, `predicted at SIZE`, `stretch at SIZE`, `residual` or `spread`."""
-    found = fit(kept)
+    found = fit(measurement)
     if words == "residual":
         return share(found.residual)
     if words == "spread":
-        return share(max(point.spread for point in kept.points))
-    what, _, at = words.partition(" at ")
-    at = size_named(at)
+        return share(max(point.spread for point in measurement.points))
+    what, _, named = words.partition(" at ")
+    at = size_named(named)
     if what == "predicted":
-        return f"{number(found.predict(at))} {kept.unit}"
+        return f"{number(found.predict(at))} {measurement.unit}"
     if what == "stretch":
         return f"{number(found.stretch(at), digits=2)} times"
     if what != "measured":
         raise PageError(f"a measurement has no {words}")
-    values = [point.value for point in kept.points if point.size == at]
+    values = [point.value for point in measurement.points if point.size == at]
     if not values:
-        raise PageError(f"{kept.name} was not measured at {number(at)}")
-    return f"{number(values[0])} {kept.unit}"
+        raise PageError(f"{measurement.name} was not measured at {number(at)}")
+    return f"{number(values[0])} {measurement.unit}"
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -1,6 +1,7 @@
 """Fits of a cost by size: which form describes it, how well, and how far a prediction is stretched."""
 
 import math
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from statistics import linear_regression
 
@@ -13,7 +14,8 @@
 class Fit:
     """`form` names the curve; `residual` is the root mean square of the relative errors at the points.
 
-    `last_ratio` is the measured value at the largest size over the curve's there."""
+    `last_ratio` is the measured value at the largest size over the curve's there.
+    """
 
     form: str
     first: float
@@ -24,8 +26,11 @@
     last_ratio: float = 1.0
 
     def predict(self, size: float) -> float:
-        """The curve's value within the range; from the largest size on, the curve goes on from what was
-        measured there, lest a cost that turns steeper be predicted as less than it already was."""
+        """The curve's value within the range.
+
+        From the largest size on, the curve goes on from what was measured there, lest a cost that turns
+        steeper be predicted as less than it already was.
+        """
         value = FORMS[self.form](self.first, self.second, size)
         return value * self.last_ratio if size >= self.largest else value
 
@@ -39,7 +44,7 @@
         return FORMULAS[self.form].format(self.first, self.second)
 
 
-FORMS = {
+FORMS: dict[str, Callable[[float, float, float], float]] = {
     "constant": lambda first, second, size: first,
     "linear": lambda first, second, size: first + second * size,
     "power": lambda first, second, size: first * size**second,
@@ -57,26 +62,17 @@
     """The form with the least residual; a simpler one wins where it is nearly as good."""
     sizes = [point.size for point in measurement.points]
     values = [point.value for point in measurement.points]
-    fits = [_made(form, sizes, values) for form in FORMS]
+    fits = [_fit_of(form, sizes, values) for form in FORMS]
     best = min(found.residual for found in fits if found is not None)
     return next(found for found in fits if found is not None and found.residual <= best * 1.1 + 0.01)
 
 
-def _made(form, sizes, values):
+def _fit_of(form: str, sizes: Sequence[float], values: Sequence[float]) -> Fit | None:
     """The fit of one form, or None where the values do not allow it."""
-    if form == "constant":
-        first, second = sum(values) / len(values), 0.0
-    elif form == "linear":
-        first, second = _line(sizes, values)
-    elif form == "logarithmic":
-        first, second = _line([math.log2(size) for size in sizes], values)
-    else:
-        if min(values) <= 0:
-            return None
-        second, first = linear_regression(
-            [math.log(size) for size in sizes], [math.log(value) for value in values]
-        )
-        first = math.exp(first)
+    coefficients = _coefficients(form, sizes, values)
+    if coefficients is None:
+        return None
+    first, second = coefficients
     curve = FORMS[form]
     errors = [
         (curve(first, second, size) - value) / value if value else curve(first, second, size)
@@ -89,8 +85,27 @@
     return Fit(form, first, second, residual, min(sizes), last, last_ratio)
 
 
-def _line(sizes, values):
-    """Least squares of the relative errors: sizes differ by hundreds, and the small ones count as much."""
+def _coefficients(form: str, sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float] | None:
+    """The curve's two figures, or None where the values do not allow this form."""
+    if form == "constant":
+        return sum(values) / len(values), 0.0
+    if form == "linear":
+        return _line(sizes, values)
+    if form == "logarithmic":
+        return _line([math.log2(size) for size in sizes], values)
+    if min(values) <= 0:
+        return None
+    exponent, logarithm = linear_regression(
+        [math.log(size) for size in sizes], [math.log(value) for value in values]
+    )
+    return math.exp(logarithm), exponent
+
+
+def _line(sizes: Sequence[float], values: Sequence[float]) -> tuple[float, float]:
+    """Offset and slope of least squares of the relative errors.
+
+    Sizes differ by hundreds, and the small ones are to count as much as the large ones.
+    """
     weights = [1 / value**2 if value else 1.0 for value in values]
     total = sum(weights)
     mean_size = sum(w * x for w, x in zip(weights, sizes, strict=True)) / total
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -1,8 +1,12 @@
-"""Gateways' decisions to be measured: terms, host lists, and a caller that answers each relay at once."""
+"""Gateways' decisions to be measured: terms, host lists, and a caller that answers each attempt at once."""
+
+from collections.abc import Generator, Iterator
+from typing import Any
 
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.parameters import MIX_SIZE
+from gaproute.errors import GaprouteError
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 ZONES, CELLS = 13, 640
@@ -43,8 +47,8 @@
 REPORT = face.Report(in_hand=1, waiting=0, cpu_busy=0.3, memory_busy=0.4)
 
 
-class CallError(RuntimeError):
-    """A call was not relayed and answered: it would not be the cost that is measured."""
+class CallError(GaprouteError, RuntimeError):
+    """A call was not attempted and answered: it would not be the cost that is measured."""
 
 
 def row(
@@ -63,7 +67,7 @@
 
 
 class Caller:
-    """One gateway's decisions and the clock that they are handed; every answer tells the host's `report`."""
+    """One gateway's decisions, with their clock; every answer contains the host's `report`."""
 
     def __init__(self, hosts: int, seed: int, report: face.Report | None = None):
         self.now, self.calls, self.report = SECOND, 0, report
@@ -71,32 +75,34 @@
         self.gateway.listed(self.now, rows(hosts), True)
 
     def call(self, function: str) -> str:
-        """One call from acceptance to its delivered answer; the host. Errors: CallError."""
+        """Make one call, from acceptance to its delivered answer; returns the host. Raises CallError."""
         self.now += GAP
         self.calls += 1
         name = f"call-{self.calls}"
-        task = face.Request(name, 0, 4 * SECOND, function, LANES, None, 0)
-        serve = self.gateway.serve(self.now, task)
-        relay = next(serve)
-        if not isinstance(relay, face.Attempt):
-            raise CallError(f"{name} of {function}: {relay!r} came in place of a relay")
+        request = face.Request(name, 0, 4 * SECOND, function, LANES, None, 0)
+        serve = self.gateway.serve(self.now, request)
+        attempt = next(serve)
+        if not isinstance(attempt, face.Attempt):
+            raise CallError(f"{name} of {function}: {attempt!r} came in place of an attempt")
         serve.send(0)
         outcome = face.Outcome(
-            name, 0, relay.host, face.Result.OK, TOOK, True, face.Found.WARM, 0, self.report
+            name, 0, attempt.host, face.Result.OK, TOOK, True, face.Found.WARM, 0, self.report
         )
         self.gateway.heard(self.now + TOOK, outcome)
         if next(_rest(serve, (self.now + TOOK, outcome)), None) is not None:
             raise CallError(f"{name} of {function} goes on after its answer")
-        return relay.host
+        return attempt.host
 
     def crowd_mix(self) -> None:
-        """Fills the last calls' functions with others, as many calls of a large fleet's traffic would: the
-        function called next is then rare."""
+        """Fill the last calls' functions with others, as many calls of a large fleet's traffic would.
+
+        The function called next is then rare.
+        """
         self.gateway.mix.recent.extend(f"other-{number}" for number in range(MIX_SIZE))
 
 
-def _rest(serve, heard):
-    """What a task's generator still yields once it has heard."""
+def _rest(serve: Generator[face.Action, Any, None], heard: tuple[int, face.Outcome]) -> Iterator[face.Action]:
+    """What a request's generator still yields once it has the outcome."""
     try:
         yield serve.send(heard)
     except StopIteration:
--- a/benchmarks/scale/ladder_table.py
+++ b/benchmarks/scale/ladder_table.py
@@ -1,11 +1,15 @@
 """A ladder's rungs as a table: what was measured at each, and how far off the predictions were."""
 
 import json
+from collections.abc import Mapping, Sequence
 from pathlib import Path
+from typing import Any, TypeAlias
 
 from benchmarks.scale.cell_work import FILE as WORK
 from benchmarks.scale.text import number, table
 
+Rung: TypeAlias = Mapping[str, Any]  # one rung of a ladder as its file has it
+
 FIGURES = (
     ("bytes_per_s", "bytes sent a gateway and second"),
     ("busiest_bytes_per_s", "bytes sent by the busiest in a second"),
@@ -50,21 +54,24 @@
 
 
 def ladder(words: list[str], folder: Path) -> list[str]:
-    """`NAME`: the ladder kept under that name. Errors: OSError, KeyError where it is not kept or not one."""
+    """`NAME`: the ladder stored under that name.
+
+    Raises OSError where there is none, KeyError where the file contains no ladder.
+    """
     (name,) = words
-    kept = json.loads((folder / "ladders" / f"ladder-{name}.json").read_text())
-    whole = [rung for rung in kept["rungs"] if rung["measured"] and not rung["stopped"]]
-    if kept.get("cells"):
-        return _with_cells(whole, folder / "ladders" / WORK)
-    head = ["figure", *(number(rung["size"]) for rung in whole), "predicted for the last", "error"]
-    return table(head, [_row(key, meaning, whole) for key, meaning in FIGURES if _known(key, whole)])
+    stored = json.loads((folder / "ladders" / f"ladder-{name}.json").read_text())
+    complete = [rung for rung in stored["rungs"] if rung["measured"] and not rung["stopped"]]
+    if stored.get("cells"):
+        return _with_cells(complete, folder / "ladders" / WORK)
+    head = ["figure", *(number(rung["size"]) for rung in complete), "predicted for the last", "error"]
+    return table(head, [_row(key, meaning, complete) for key, meaning in FIGURES if _known(key, complete)])
 
 
-def _known(key, rungs):
+def _known(key: str, rungs: Sequence[Rung]) -> bool:
     return all(rung["measured"].get(key) is not None for rung in rungs)
 
 
-def _row(key, meaning, rungs):
+def _row(key: str, meaning: str, rungs: Sequence[Rung]) -> list[str]:
     """One figure over all rungs."""
     last = rungs[-1]
     predicted, error = last["predicted"].get(key), last["error_percent"].get(key)
@@ -76,7 +83,7 @@
     ]
 
 
-def _with_cells(rungs, work):
+def _with_cells(rungs: Sequence[Rung], work: Path) -> list[str]:
     """Each rung's prediction stands beside what was measured."""
     sizes = [rung["size"] for rung in rungs]
     rows = [
@@ -87,22 +94,22 @@
     played = json.loads(work.read_text())["rungs"] if work.exists() else []
     for key, meaning in WORK_FIGURES if played else ():
         values = {rung["size"]: rung[key] for rung in played}
-        shown = (number(values[size]) if size in values else "-" for size in sizes)
-        rows.append([meaning, *shown, grown(values)])
+        cells = (number(values[size]) if size in values else "-" for size in sizes)
+        rows.append([meaning, *cells, grown(values)])
     return table(["figure", *map(number, sizes), f"{number(FLAT_FROM)} to the last"], rows)
 
 
-def _values(key, rungs):
+def _values(key: str, rungs: Sequence[Rung]) -> dict[int, float]:
     return {rung["size"]: rung["measured"][key] for rung in rungs}
 
 
-def _beside(rung, key):
+def _beside(rung: Rung, key: str) -> str:
     """What was measured, and in brackets what was predicted."""
-    shown, predicted = number(rung["measured"][key]), rung["predicted"].get(key)
+    measured, predicted = number(rung["measured"][key]), rung["predicted"].get(key)
     if predicted is None:
-        return shown
+        return measured
     error = rung["error_percent"].get(key)
-    return f"{shown} ({number(predicted['value'])}" + (")" if error is None else f", {error:+.0f}%)")
+    return f"{measured} ({number(predicted['value'])}" + (")" if error is None else f", {error:+.0f}%)")
 
 
 def grown(values: dict[int, float]) -> str:
--- a/benchmarks/scale/measurement.py
+++ b/benchmarks/scale/measurement.py
@@ -1,14 +1,18 @@
-"""One measured cost: its sizes, the plays at each, and the file that keeps them."""
+"""One measured cost: its sizes, the plays at each, and the file in which it is stored."""
 
 import json
+from collections.abc import Callable, Sequence
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 from statistics import median
+from typing import TypeAlias
+
+from gaproute.errors import GaprouteError
 
 MEASURED = Path(__file__).parents[2] / "docs" / "measured" / "scale"
 LADDERS = MEASURED / "ladders"  # runs of whole fleets, which are no costs by size
-LEAST_SIZES = 4
-PLAYS = 3
+LEAST_SIZES = 4  # that a measurement needs
+PLAYS = 3  # of each size, with seeds from 1 on
 UNITS = (
     "us",
     "ms",
@@ -25,8 +29,8 @@
 )
 
 
-class MeasurementError(ValueError):
-    """A measurement's file is missing, or holds something else than a measurement."""
+class MeasurementError(GaprouteError, ValueError):
+    """A measurement is incomplete, or its file is missing or contains something else."""
 
 
 @dataclass(frozen=True)
@@ -59,7 +63,7 @@
     conditions: str = ""
 
     def save(self, folder: Path = MEASURED) -> Path:
-        """Writes the measurement's file. Errors: MeasurementError with too few sizes, or an unknown unit."""
+        """Write the measurement's file. Raises MeasurementError for too few sizes or an unknown unit."""
         if self.unit not in UNITS:
             raise MeasurementError(f"{self.name}: {self.unit!r} is none of {', '.join(UNITS)}")
         if len(self.points) < LEAST_SIZES:
@@ -73,7 +77,7 @@
 
     @classmethod
     def load(cls, name: str, folder: Path = MEASURED) -> "Measurement":
-        """Reads a measurement by its name. Errors: MeasurementError."""
+        """Read a measurement by its name. Raises MeasurementError."""
         path = folder / f"{name}.json"
         try:
             content = json.loads(path.read_text())
@@ -83,7 +87,20 @@
             raise MeasurementError(f"{path}: {fault!r}") from fault
 
 
-def measure(name, meaning, unit, parameter, sizes, play, conditions="", plays=PLAYS) -> Measurement:
-    """Calls `play(size, seed)` for each size and seed; each call gives one value in `unit`."""
+Play: TypeAlias = Callable[[int, int], float]  # of size and seed: one value of the cost
+Measure: TypeAlias = Callable[[], Measurement]
+
+
+def measure(
+    name: str,
+    meaning: str,
+    unit: str,
+    parameter: str,
+    sizes: Sequence[int],
+    play: Play,
+    conditions: str = "",
+    plays: int = PLAYS,
+) -> Measurement:
+    """Call `play(size, seed)` for each size and seed; each call gives one value in `unit`."""
     points = [Point(size, [play(size, seed) for seed in range(1, plays + 1)]) for size in sizes]
     return Measurement(name, meaning, unit, parameter, points, conditions)
--- a/benchmarks/scale/meters.py
+++ b/benchmarks/scale/meters.py
@@ -1,19 +1,25 @@
-"""How a cost is metered: processor time of a call, bytes that objects hold, headers of what is sent."""
+"""How a cost is measured: processor time, instructions and function calls of a call, bytes of objects."""
 
 import gc
 import sys
 import time
 import tracemalloc
+from collections.abc import Callable
+from types import FrameType
+from typing import Any
+
+Action = Callable[[], object]  # what is measured; its result is not looked at
 
 UDP_HEADERS = 28  # bytes of IPv4 and UDP around a datagram
 MIN_MEASURED_TIME = 0.02  # seconds that a call is repeated for, so that the clock's steps do not show
-MS_PER_SECOND = 1e3  # in a second
+MS_PER_SECOND = 1e3
+NS_PER_US = 1_000
 TRACED = "memory: Python's own objects by tracemalloc, without the kernel's buffers"
 CPU_TIME = "CPU: processor time of the process, on a machine shared with other work"
 
 
-def cpu_seconds(call, least=MIN_MEASURED_TIME):
-    """Processor seconds of one `call()`, the mean of as many as `least` seconds hold; one at least."""
+def cpu_seconds(call: Action, least: float = MIN_MEASURED_TIME) -> float:
+    """Processor seconds of one `call()`, the mean of at least one call and of at least `least` seconds."""
     calls, begun = 0, time.process_time()
     while True:
         call()
@@ -23,27 +29,29 @@
             return spent / calls
 
 
-def cpu_seconds_once(call):
-    """Processor seconds of `call()` alone, for what cannot be done twice."""
+def cpu_seconds_once(call: Action) -> float:
+    """Processor seconds of a single `call()`, for what cannot be repeated."""
     gc.collect()
     begun = time.process_time()
     call()
     return time.process_time() - begun
 
 
-def processor_us(call):
-    """Processor time of `call()` alone, microseconds."""
+def processor_us(call: Action) -> float:
+    """Processor time of a single `call()`, microseconds, without a garbage collection before it."""
     begun = time.process_time_ns()
     call()
-    return (time.process_time_ns() - begun) / 1_000
+    return (time.process_time_ns() - begun) / NS_PER_US
+
 
+def instructions(call: Action) -> int:
+    """Bytecode instructions that `call()` executes: the same whatever else the machine does.
 
-def instructions(call):
-    """Bytecode instructions that `call()` executes: the same whatever else the machine does. Work within
-    functions written in C is not seen, but for the instructions that lead to it."""
+    Work within functions written in C is not seen, but for the instructions that lead to it.
+    """
     count = 0
 
-    def trace(frame, event, arg):
+    def trace(frame: FrameType, event: str, arg: Any) -> Any:
         nonlocal count
         frame.f_trace_opcodes, frame.f_trace_lines = True, False
         if event == "opcode":
@@ -59,8 +67,8 @@
     return count
 
 
-def retained_bytes(build):
-    """Bytes of Python's objects that stand because of `build()`, whose result is kept meanwhile."""
+def retained_bytes(build: Callable[[], object]) -> int:
+    """Bytes of Python's objects that `build()` left allocated, its result included."""
     gc.collect()
     tracemalloc.start()
     try:
@@ -74,12 +82,14 @@
     return after - before
 
 
-def function_calls(call):
-    """How many functions `call()` calls, those written in C among them: the same whatever else the machine
-    does."""
+def function_calls(call: Action) -> int:
+    """How many functions `call()` calls, those written in C included.
+
+    The count is the same whatever else the machine does.
+    """
     count = 0
 
-    def profile(frame, event, arg):
+    def profile(frame: FrameType, event: str, arg: Any) -> None:
         nonlocal count
         count += event in ("call", "c_call")
 
--- a/benchmarks/scale/plays.py
+++ b/benchmarks/scale/plays.py
@@ -1,10 +1,10 @@
-"""How one play is measured: processor time, memory held, and sizes that grow until a play takes too long."""
+"""Measuring by sizes that grow until a play takes too long, and the processor time of repeated calls."""
 
 import gc
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 
-from benchmarks.scale.measurement import LEAST_SIZES, PLAYS, Measurement, Point
+from benchmarks.scale.measurement import LEAST_SIZES, PLAYS, Measurement, Play, Point
 
 LONG_PLAY = 5.0  # seconds of processor time of one play, after which no larger size is measured
 CPU = "processor time of the process, garbage collection as the program runs it"
@@ -19,13 +19,17 @@
     return (time.process_time_ns() - begun) / 1e6 / repeats
 
 
-def grown(name, meaning, unit, parameter, sizes, play, conditions) -> Measurement:
-    """Calls `play(size, seed)` for each size and seed, up to the size at which a play takes `LONG_PLAY`.
+def grown(
+    name: str, meaning: str, unit: str, parameter: str, sizes: Sequence[int], play: Play, conditions: str
+) -> Measurement:
+    """Call `play(size, seed)` for each size and seed, up to the size at which a play takes `LONG_PLAY`.
 
-    At least as many sizes are measured as a fit needs."""
-    points = []
+    At least as many sizes are measured as a fit needs.
+    """
+    points: list[Point] = []
     for size in sizes:
-        values, longest = [], 0.0
+        values: list[float] = []
+        longest = 0.0
         for seed in range(1, PLAYS + 1):
             gc.collect()
             begun = time.process_time()
@@ -34,12 +38,11 @@
         points.append(Point(size, values))
         if longest > LONG_PLAY and len(points) >= LEAST_SIZES:
             break
-    return Measurement(name, meaning, unit, parameter, points, _told(conditions, points, sizes))
+    return Measurement(name, meaning, unit, parameter, points, with_omitted(conditions, sizes[len(points) :]))
 
 
-def _told(conditions, points, sizes):
-    """The conditions, with the sizes that were left out."""
-    left = sizes[len(points) :]
-    if not left:
+def with_omitted(conditions: str, omitted: Sequence[int]) -> str:
+    """The conditions, with the sizes that were not measured."""
+    if not omitted:
         return conditions
-    return f"{conditions}; not measured as plays grew too long: {', '.join(f'{size:,}' for size in left)}"
+    return f"{conditions}; not measured as plays grew too long: {', '.join(f'{size:,}' for size in omitted)}"
--- a/benchmarks/scale/predictions.py
+++ b/benchmarks/scale/predictions.py
@@ -38,18 +38,18 @@
     return found
 
 
-def main(prefix):
-    """Predicts for all measurements of that prefix, prints and keeps the result."""
-    kept = {}
+def main(prefix: str) -> None:
+    """Predict for all measurements of that prefix; print and store the result."""
+    stored = {}
     for path in sorted(MEASURED.glob(f"{prefix}-*.json")):
         measurement = Measurement.load(path.stem)
         made = predictions(measurement)
-        kept[measurement.name] = [asdict(each) | {"factor": round(each.factor, 3)} for each in made]
+        stored[measurement.name] = [asdict(each) | {"factor": round(each.factor, 3)} for each in made]
         factors = ", ".join(f"{each.size:.0f}: {each.factor:.2f}" for each in made)
         print(f"{measurement.name}: measured over predicted {factors}")
     folder = MEASURED / "predictions"
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / f"{prefix}.json").write_text(json.dumps(kept, indent=1) + "\n")
+    (folder / f"{prefix}.json").write_text(json.dumps(stored, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/tables.py
+++ b/benchmarks/scale/tables.py
@@ -1,6 +1,7 @@
-"""The tables that a page can ask for, each made of the kept measurements alone."""
+"""The tables that a page can ask for, each made of the stored measurements alone."""
 
 import fnmatch
+from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
 
 from benchmarks.scale import arithmetic, cold_start, ladder_table, machines, roles, size
@@ -8,26 +9,29 @@
 from benchmarks.scale.fit import WIDE_STRETCH, fit
 from benchmarks.scale.measurement import Measurement
 from benchmarks.scale.text import number, share, table
+from gaproute.errors import GaprouteError
 
 
-class PageError(ValueError):
+class PageError(GaprouteError, ValueError):
     """A page asks for something that does not exist; the message names it."""
 
 
-def size_named(told: str) -> float:
-    """A size given as a number, or as the name of a constant of `size`. Errors: PageError."""
+def size_named(name: str) -> float:
+    """A size given as a number, or as the name of a constant of `size`. Raises PageError."""
     try:
-        return float(told.replace(",", ""))
+        return float(name.replace(",", ""))
     except ValueError:
-        value = getattr(size, told, None)
-    if not told.isupper() or not isinstance(value, int | float):
-        raise PageError(f"no such size: {told}")
+        value = getattr(size, name, None)
+    if not name.isupper() or not isinstance(value, int | float):
+        raise PageError(f"no such size: {name}")
     return value
 
 
 def slopes(words: list[str], folder: Path) -> list[str]:
-    """`NAME@SIZE ...`: each measurement, its fit, and what it predicts at the size; `*` in a name stands for
-    anything."""
+    """`NAME@SIZE ...`: each measurement, its fit, and what it predicts at the size.
+
+    `*` in a name matches anything.
+    """
     head = [
         "measurement",
         "cost",
@@ -39,11 +43,11 @@
         "last size over the curve",
         "predicted",
     ]
-    return table(head, [_slope(name, at, folder) for name, at in _asked(words, folder)])
+    return table(head, [_slope(name, at, folder) for name, at in _requested(words, folder)])
 
 
-def _asked(words, folder):
-    """(name of a measurement, size) of each that is asked for."""
+def _requested(words: Sequence[str], folder: Path) -> Iterator[tuple[str, float]]:
+    """(name of a measurement, size) of each that the page asks for."""
     known = sorted(path.stem for path in folder.glob("*.json"))
     for word in words:
         pattern, marked, at = word.partition("@")
@@ -55,23 +59,23 @@
         yield from ((name, size_named(at)) for name in names)
 
 
-def _slope(name, at, folder):
+def _slope(name: str, at: float, folder: Path) -> list[str]:
     """One row of `slopes`."""
-    kept = Measurement.load(name, folder)
-    found = fit(kept)
+    measurement = Measurement.load(name, folder)
+    found = fit(measurement)
     stretch = found.stretch(at)
     predicted = f"{number(found.predict(at))} at {number(at)}"
     if stretch > 1:
         stretched = "**stretched**" if stretch > WIDE_STRETCH else "stretched"
         predicted += f", {stretched} {number(stretch, digits=2)} times"
-    spread = max(point.spread for point in kept.points)
-    sizes = f"{number(found.smallest)} to {number(found.largest)} {kept.parameter}"
+    spread = max(point.spread for point in measurement.points)
+    sizes = f"{number(found.smallest)} to {number(found.largest)} {measurement.parameter}"
     fitted = f"{found.formula}, {found.form}"
     ratio = number(found.last_ratio, digits=2)
     return [
         name,
-        kept.meaning,
-        kept.unit,
+        measurement.meaning,
+        measurement.unit,
         sizes,
         fitted,
         share(found.residual),
@@ -90,7 +94,7 @@
     return table(head, [_budgeted(row, folder) for row in roles.ROWS if not words or row.role in words])
 
 
-def _budgeted(row, folder):
+def _budgeted(row: roles.Row, folder: Path) -> list[str]:
     """One row of `budget`."""
     verdict = judged(row, folder)
     predicted = "-" if verdict.predicted is None else f"{number(verdict.predicted)} {row.unit}"
@@ -112,16 +116,16 @@
         raise PageError(f"breaks-first takes no words: {' '.join(words)}")
     verdicts = [judged(row, folder) for row in roles.ROWS]
     missing = [verdict for verdict in verdicts if verdict.factor is None]
-    over = [verdict for verdict in verdicts if verdict.factor is not None and verdict.factor > 1]
-    over.sort(key=lambda verdict: -verdict.factor)
+    over = [(verdict.factor, verdict) for verdict in verdicts if verdict.factor is not None]
     rows = [[each.row.role, each.row.cost, "-", each.state] for each in missing]
-    for each in over:
-        factor = f"{times(each.factor)}, {each.stretched}" if each.stretched else times(each.factor)
-        rows.append([each.row.role, each.row.cost, factor, each.state])
+    for factor, each in sorted(over, key=lambda pair: -pair[0]):
+        if factor > 1:
+            text = f"{times(factor)}, {each.stretched}" if each.stretched else times(factor)
+            rows.append([each.row.role, each.row.cost, text, each.state])
     return table(["role", "cost", "over the budget", "state"], rows)
 
 
-TABLES = {
+TABLES: dict[str, Callable[[list[str], Path], list[str]]] = {
     "slopes": slopes,
     "budget": budget,
     "breaks-first": breaks_first,
