--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -15,14 +15,14 @@
 
 from benchmarks.scale import costs
 from benchmarks.scale.fit import fit
-from benchmarks.scale.measurement import MEASURED, Measure, Measurement
+from benchmarks.scale.measurement import MEASURED, Measurement, Measurements
 from benchmarks.scale.page import PAGE, Disagreement, rewritten
 from benchmarks.scale.tables import PageError
 
 
-def registry() -> dict[str, Measure]:
+def registry() -> Measurements:
     """{name: function that measures it}, over all modules of `costs`."""
-    found: dict[str, Measure] = {}
+    found: Measurements = {}
     for module in iter_modules(costs.__path__):
         found |= import_module(f"{costs.__name__}.{module.name}").MEASUREMENTS
     return found
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -123,14 +123,14 @@
         """A host drains: seconds until the last real gateway has logged it."""
         began = time.time()
         self.fleet.drain(DRAINED_HOST)
-        known_at = self.wait_until(lambda: self.fleet.last_logged("host", DRAINED_HOST, "draining"))
+        known_at = self.wait_until(lambda: self.fleet.last_logged("host_changed", DRAINED_HOST, "draining"))
         self.figures["change_known_real_s"] = _since(began, known_at)
 
     def measure_death(self, kind: str, kill: Callable[[], str]) -> None:
         """A gateway is killed: seconds until all hollow ones, and all real ones, hold it dead."""
         began, name = time.time(), kill()
         hollow = self.wait_until(lambda: self.fleet.hollow.last_noticed(name, DEAD))
-        real = self.wait_until(lambda: self.fleet.last_logged("gateway", name, DEAD))
+        real = self.wait_until(lambda: self.fleet.last_logged("member_changed", name, DEAD))
         self.figures[f"{kind}_death_known_hollow_s"] = _since(began, hollow)
         self.figures[f"{kind}_death_known_real_s"] = _since(began, real)
 
@@ -138,7 +138,7 @@
         """The hollow gateway that was killed is back, empty: seconds until all hold it alive."""
         began, name = time.time(), self.fleet.hollow.start_killed()
         hollow = self.wait_until(lambda: self.fleet.hollow.last_noticed(name, ALIVE, began))
-        real = self.wait_until(lambda: self.fleet.last_logged("gateway", name, ALIVE, began))
+        real = self.wait_until(lambda: self.fleet.last_logged("member_changed", name, ALIVE, began))
         self.figures["back_known_hollow_s"] = _since(began, hollow)
         self.figures["back_known_real_s"] = _since(began, real)
 
--- a/benchmarks/scale/measurement.py
+++ b/benchmarks/scale/measurement.py
@@ -89,6 +89,7 @@
 
 Play: TypeAlias = Callable[[int, int], float]  # of size and seed: one value of the cost
 Measure: TypeAlias = Callable[[], Measurement]
+Measurements: TypeAlias = dict[str, Measure]  # by the name of the measurement that each one makes
 
 
 def measure(
--- a/benchmarks/scale/meters.py
+++ b/benchmarks/scale/meters.py
@@ -20,11 +20,11 @@
 
 def cpu_seconds(call: Action, least: float = MIN_MEASURED_TIME) -> float:
     """Processor seconds of one `call()`, the mean of at least one call and of at least `least` seconds."""
-    calls, begun = 0, time.process_time()
+    calls, began = 0, time.process_time()
     while True:
         call()
         calls += 1
-        spent = time.process_time() - begun
+        spent = time.process_time() - began
         if spent >= least:
             return spent / calls
 
@@ -32,16 +32,16 @@
 def cpu_seconds_once(call: Action) -> float:
     """Processor seconds of a single `call()`, for what cannot be repeated."""
     gc.collect()
-    begun = time.process_time()
+    began = time.process_time()
     call()
-    return time.process_time() - begun
+    return time.process_time() - began
 
 
 def processor_us(call: Action) -> float:
     """Processor time of a single `call()`, microseconds, without a garbage collection before it."""
-    begun = time.process_time_ns()
+    began = time.process_time_ns()
     call()
-    return (time.process_time_ns() - begun) / NS_PER_US
+    return (time.process_time_ns() - began) / NS_PER_US
 
 
 def instructions(call: Action) -> int:
--- a/benchmarks/scale/plays.py
+++ b/benchmarks/scale/plays.py
@@ -13,10 +13,10 @@
 
 def cpu_ms(action: Callable[[], object], repeats: int = 1) -> float:
     """Milliseconds of processor time of one of `repeats` runs."""
-    begun = time.process_time_ns()
+    began = time.process_time_ns()
     for _ in range(repeats):
         action()
-    return (time.process_time_ns() - begun) / 1e6 / repeats
+    return (time.process_time_ns() - began) / 1e6 / repeats
 
 
 def grown(
@@ -32,9 +32,9 @@
         longest = 0.0
         for seed in range(1, PLAYS + 1):
             gc.collect()
-            begun = time.process_time()
+            began = time.process_time()
             values.append(play(size, seed))
-            longest = max(longest, time.process_time() - begun)
+            longest = max(longest, time.process_time() - began)
         points.append(Point(size, values))
         if longest > LONG_PLAY and len(points) >= LEAST_SIZES:
             break
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -1,11 +1,13 @@
 """The tables of a running gateway that operators read, as plain data for JSON.
 
-The keys are older than the names in the code, and stay.
+The keys are older than the names in the code, and stay; those of counters and events are mapped by
+`legacy_names.py`.
 """
 
 from collections.abc import Iterator
 from typing import Any
 
+from gaproute.appliance.legacy_names import legacy_counts, legacy_event
 from gaproute.appliance.peer_services import PeerServices
 from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.connections.descriptors import descriptors
@@ -26,7 +28,7 @@
         "up_ms": (appliance.loop.now() - appliance.started) // MILLI,
         "held": len(appliance.core.in_flight),
         "late_turns": appliance.loop.late_turns,
-        "counts": appliance.record.snapshot(),
+        "counts": legacy_counts(appliance.record.counts),
         "clients": _clients(appliance),
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
         "gateways": membership_transport and membership_transport.membership.live_count(),
@@ -40,7 +42,7 @@
 
 def host_table(appliance: RunningGateway) -> list[JsonObject]:
     """The hosts of the list, by name."""
-    attempts = appliance.record.snapshot().get("relay", {})
+    attempts = legacy_counts(appliance.record.counts).get("relay", {})
     table = []
     for name, row in sorted(appliance.rows.items()):
         host = appliance.hosts.hosts.get(name)
@@ -60,7 +62,7 @@
 def warm_instances(appliance: RunningGateway) -> list[JsonObject]:
     """Warm instances as they are believed to be, the latest use first.
 
-    `by`: what speaks for each: an answer, a request sent there, or the gateway that told of it; `tried`:
+    `by`: what speaks for each: an answer, a request sent there, or the gateway that reported it; `tried`:
     whether that was followed yet.
     """
     functions = (pair for gateway in decisions(appliance) for pair in gateway.functions_by_name.items())
@@ -87,7 +89,7 @@
 
 def event_table(appliance: RunningGateway) -> list[JsonObject]:
     """The last events of the log."""
-    return [{"what": what, **details} for what, details in appliance.record.events]
+    return [legacy_event(event, fields) for event, fields in appliance.record.events]
 
 
 def decisions(appliance: RunningGateway) -> list[Any]:
@@ -124,7 +126,7 @@
 
 
 def _observations_given(peer_services: PeerServices) -> JsonObject | None:
-    """What other gateways were told when they asked."""
+    """What other gateways were sent when they asked."""
     server = peer_services.peer_server
     if server is None:
         return None
--- a/gaproute/cluster/lease_clients.py
+++ b/gaproute/cluster/lease_clients.py
@@ -30,7 +30,7 @@
 # For so long a gateway renews a lease that nobody extends: a client that is not heard of again has a
 # resource for it, and a lease request waits for it.
 RENEWED_FOR = 1200 * MILLI
-BREACH = b'"event":"breach"'  # in a gateway's log: one of its own checks does not hold
+BREACH = b'"event":"raft_invariant_violated"'  # in a gateway's log: one of its own checks does not hold
 MAX_LOG_TEXT = 300  # characters of such a line in the verdict
 # What a client does when its work is done, drawn: of ten leases five are released, two are extended, three
 # are left to expire as if the client had died.
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -26,6 +26,7 @@
     LoadOrder,
     Outcome,
     Reject,
+    RejectReason,
     Request,
     Result,
     Terms,
@@ -36,14 +37,8 @@
 RETRY_AFTER_SHARE = 1.0  # of the latency objective: the Retry-After of a rejected client
 ANSWER_BY = 4 * MILLI  # before the time is up: the final answer leaves a tick early
 
-# Why a request is rejected, as the log has it.
-CROWDED = "crowded"  # it would wait too long for an answer,
-QUEUE = "queue"  # or in the queue of the best host
-FULL = "full"  # a host rejected it in a crowded fleet
-LATE = "late"  # it took too long, and the fleet is crowded
-NO_HOST = "nobody"  # no host may get it
-
-Steps = Generator[Action, Any, str | None]  # ends with the reason to reject, or None: the request is over
+# Ends with the reason to reject, or None: the request is over.
+Steps = Generator[Action, Any, RejectReason | None]
 
 
 class RequestRouter:
@@ -78,12 +73,14 @@
         if function.hinted_at:
             self.hints.consider(now, request.function, function)
         self.mix.add(request.function)
-        self.shedder.request_came(request.tenant)
-        self.slow_start.request_came(now)
+        self.shedder.record_request(request.tenant)
+        self.slow_start.record_request(now)
         request_class = self.request_classes[request.request_class]
         attempts = RequestAttempts()
-        reason: str | None = CROWDED
-        if not self.shedder.crowded(now, request, request_class):
+        reason: RejectReason | None
+        if self.shedder.is_overloaded(now, request, request_class):
+            reason = RejectReason.OVERLOADED
+        else:
             reason = yield from _RequestRun(self, now, request, function, attempts).steps()
         if self.cancel_allowed:
             for attempt in attempts.in_flight:
@@ -129,7 +126,7 @@
         self.end = now + request.time_left - ANSWER_BY
         self.give_up_at = now + self.request_class.latency_objective  # looking for a first host
         self.look_at: Any = now  # when to look for a host again; ns, a fraction where it comes of a median
-        self.reason: str | None = None  # to reject the request
+        self.reason: RejectReason | None = None  # to reject the request
         self.settled_host: Host | None = None  # of the attempt that ended last, where it was in flight
 
     def steps(self) -> Steps:
@@ -147,7 +144,7 @@
             give_up_at = self.give_up_at if self.now < self.give_up_at else self.end
             self.now, outcome = yield Wait(min(self.look_at, self.end, give_up_at))
             if outcome is None:
-                self._time_came()
+                self._wait_elapsed()
             elif outcome.result is Result.STREAM_STARTED:
                 yield from self._follow_stream(outcome)
                 return None
@@ -158,36 +155,38 @@
                 if outcome.ended:
                     return None
                 yield from self._not_delivered(outcome)
-        return self.reason or NO_HOST
+        return self.reason or RejectReason.NO_HOST_AVAILABLE
 
-    def _crowded(self) -> bool:
-        return self.router.shedder.crowded(self.now, self.request, self.request_class)
+    def _is_overloaded(self) -> bool:
+        return self.router.shedder.is_overloaded(self.now, self.request, self.request_class)
 
     def _choose_host(self) -> Host | None:
         """The host that gets the request now; None: wait, or reject where there is a `reason`."""
         router, now, attempts = self.router, self.now, self.attempts
         host = router.selector.choose(now, self.request, attempts)
         if host is not None:
-            if attempts.started or not router.shedder.sheds(now, self.request, self.request_class, host):
+            if attempts.started or not router.shedder.should_shed(
+                now, self.request, self.request_class, host
+            ):
                 return host
-            self.reason = QUEUE
+            self.reason = RejectReason.QUEUE_TOO_LONG
         elif attempts.in_flight:
             self.look_at = now + router.answer_times.usual(self.function)
         elif now < self.give_up_at and router.selector.any_allowed(now, self.request_class, attempts):
             self.look_at = now + PAUSE
         else:
-            self.reason = NO_HOST
+            self.reason = RejectReason.NO_HOST_AVAILABLE
         return None
 
-    def _time_came(self) -> None:
+    def _wait_elapsed(self) -> None:
         """No outcome came in time: holds overdue attempts against their hosts, or rejects."""
         now, attempts = self.now, self.attempts
         if not attempts.in_flight:
             return
-        # Late work holds up the rest of a crowded fleet and is worth little: it is given up where it may be.
+        # Late work delays the rest of an overloaded fleet and is worth little, so it is given up.
         idempotent = self.request_class.idempotency is Idempotency.IDEMPOTENT
-        if now >= self.give_up_at and idempotent and self._crowded():
-            self.reason = LATE
+        if now >= self.give_up_at and idempotent and self._is_overloaded():
+            self.reason = RejectReason.LATENCY_OBJECTIVE_MISSED
         elif self.look_at <= now < self.end:
             tracker = self.router.tracker
             self.look_at = tracker.hold_overdue_against_hosts(now, self.request, attempts, self.function)
@@ -215,14 +214,15 @@
         load_orders = self.router.load_orders
         load_orders.limiter.delivered(self.now, self.arrived_at)
         self.router.sharing.request_delivered()
-        return load_orders.for_crowd(self.now, self.request, self.function, host, outcome)
+        return load_orders.for_busy_function(self.now, self.request, self.function, host, outcome)
 
     def _not_delivered(self, outcome: Outcome) -> Generator[Action, Any, None]:
         """Look for another host at once, or reject; order an instance where there was none."""
         now, host = self.now, self.settled_host
         self.look_at = now
-        if outcome.result is Result.FULL and not self.attempts.in_flight and self._crowded():
-            self.reason = FULL  # one refusal in a full fleet is proof enough; the client is answered at once
+        if outcome.result is Result.FULL and not self.attempts.in_flight and self._is_overloaded():
+            # One refusal in a full fleet is proof enough; the client is answered at once.
+            self.reason = RejectReason.HOST_FULL
         elif outcome.result is Result.NOT_LOADED and host is not None:
             order = self.router.load_orders.after_miss(now, self.request, self.function, host)
             if order is not None:
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -119,7 +119,7 @@
     assert failing.failed == 3
     assert sorted(family.children.by_slot) == [0, 1]
     assert not family.loop.errors
-    assert family.log.lines.count(("warning", "child not started")) == 3
+    assert family.log.lines.count(("warning", "child_start_failed")) == 3
 
 
 def test_a_roll_goes_on_though_a_child_cannot_be_started_at_once(family):
@@ -156,14 +156,14 @@
     family.loop.run(until=family.loop.sleep(SECOND))
     assert failing.failed == 2
     assert not before & set(family.children.by_slot.values())
-    assert ("error", "configuration refused") not in family.log.lines
+    assert ("error", "configuration_rejected") not in family.log.lines
     assert family.reloads.retry_timer is None
 
 
 def test_a_new_configuration_that_is_wrong_is_refused_at_once(family):
     family.text.write_text("nonsense\n")
     family.reloads.reload()
-    assert ("error", "configuration refused") in family.log.lines
+    assert ("error", "configuration_rejected") in family.log.lines
     assert family.reloads.retry_timer is None
 
 
@@ -186,7 +186,7 @@
     family.text.write_text(f"{CONFIGURATION}host a 127.0.0.1:1\nlisten kserve 192.0.2.1:80\n")
     family.reloads.reload()
     family.loop.run(until=family.loop.sleep(3 * SECOND))
-    assert family.log.lines.count(("error", "configuration refused")) == 1
+    assert family.log.lines.count(("error", "configuration_rejected")) == 1
     assert family.listeners.by_address == before
     assert family.children.by_slot == children
 
