--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -115,7 +115,7 @@
         """Hand the host list to all gateways."""
         rows = self.host_rows()
         for gateway in self.gateways:
-            gateway.gateway.listed(self.clock.now, rows, True)
+            gateway.gateway.update_hosts(self.clock.now, rows, True)
 
     def restart(self, number: int) -> None:
         """Kill a gateway with all that it knows and has in flight, and start another in its place."""
@@ -133,7 +133,7 @@
         began = process_time_ns()
         for receiver in self.gateways:
             if self.delivery_filter is None or self.delivery_filter(self, sender, receiver, payload):
-                receiver.gateway.told(self.clock.now, payload)
+                receiver.gateway.peer_message_received(self.clock.now, payload)
         self.cpu_time += process_time_ns() - began
 
     def attempt_started(self, gateway: FleetGateway, function: str, host_name: str, host: FleetHost) -> None:
--- a/benchmarks/scale/cells/gateways.py
+++ b/benchmarks/scale/cells/gateways.py
@@ -135,7 +135,7 @@
         outcome = face.Outcome(
             held.request.id, number, host, result, now - sent, has_ended, found, None, report
         )
-        self.decisions.heard(now, outcome)
+        self.decisions.attempt_ended(now, outcome)
         held.waits += 1
         self._advance(held, (now, outcome))
         self._forget(held)
@@ -164,13 +164,13 @@
                 if number in held.in_flight:
                     clock.at(clock.now, self.attempt_ended, held, number, face.Result.CANCELLED)
             case CellUnknown(_, reason) if held.forwarded is not None:
-                self._end(held, CallEnd.UNKNOWN, reason)
+                self._end(held, CallEnd.UNKNOWN, reason.value if reason else "")
             case face.Reject(_, reason):
-                self._end(held, CallEnd.REJECTED, reason)
+                self._end(held, CallEnd.REJECTED, reason.value if reason else "")
             case face.Fail():
                 self._end(held, CallEnd.FAILED, "")
             case face.LoadOrder(host, function, _):
-                self.decisions.stood(clock.now, host, function, face.Result.OK, 1)
+                self.decisions.load_order_ended(clock.now, host, function, face.Result.OK, 1)
         return None
 
     def _send(self, held: HeldRequest, action: face.Attempt) -> int:
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -3,7 +3,7 @@
 from functools import partial
 
 from benchmarks.scale.gateways import CAPACITY, MEGABYTE, REPORT, SECOND, TERMS, Caller, row, rows
-from benchmarks.scale.meters import held_bytes
+from benchmarks.scale.meters import retained_bytes
 from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, grown
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Wait
@@ -57,7 +57,7 @@
     caller = Caller(hosts, seed)
     caller.crowd_mix()
     started = row(0, started=caller.now)
-    caller.gateway.listed(caller.now, [started], False)
+    caller.gateway.update_hosts(caller.now, [started], False)
     names = [f"rare-{number}" for number in range(repeats(hosts))]
     for name in names:
         caller.call(name)
@@ -79,7 +79,7 @@
 def whole_list(hosts: int, seed: int) -> float:
     """Milliseconds of the first whole list."""
     gateway, told = Gateway(seed, TERMS, 0), rows(hosts)
-    return cpu_ms(lambda: gateway.listed(0, told, True))
+    return cpu_ms(lambda: gateway.update_hosts(0, told, True))
 
 
 def reported_warm_call(hosts: int, seed: int) -> float:
@@ -89,7 +89,7 @@
 
 def change(caller: Caller, capacity: float) -> None:
     """One host's line changes."""
-    caller.gateway.listed(caller.now, [row(0, capacity=capacity)], False)
+    caller.gateway.update_hosts(caller.now, [row(0, capacity=capacity)], False)
 
 
 def changed_line(hosts: int, seed: int) -> float:
@@ -101,7 +101,7 @@
 
 def list_memory(hosts: int, seed: int) -> float:
     """Megabytes that a gateway with the list holds."""
-    return held_bytes(lambda: Caller(hosts, seed)) / MEGABYTE
+    return retained_bytes(lambda: Caller(hosts, seed)) / MEGABYTE
 
 
 def function_memory(hosts: int, seed: int) -> float:
@@ -114,7 +114,7 @@
         for number in range(kept):
             caller.call(f"rare-{number}")
 
-    return held_bytes(call_each) / kept
+    return retained_bytes(call_each) / kept
 
 
 def housekeeping_round(hosts: int, seed: int) -> float:
--- a/benchmarks/scale/costs/status.py
+++ b/benchmarks/scale/costs/status.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from benchmarks.scale.deferred import deferred
-from benchmarks.scale.meters import CPU_TIME, MILLISECONDS, cpu_seconds
+from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds
 from gaproute.appliance import Appliance
 from gaproute.appliance.status import host_table, status, warm_instances
 from gaproute.config import read_configuration
@@ -40,7 +40,7 @@
             self.gate.record.attempt_ended(f"host-{number:04}", 0, Result.OK)
         gateway, now = self.gate.core.gateway, self.loop.now()
         for number in range(functions):
-            gateway.hint(f"host-{number % hosts:04}", f"model-{number:04}", 4, now)
+            gateway.hint_instance(f"host-{number % hosts:04}", f"model-{number:04}", 4, now)
 
     def body(self, table):
         """The bytes of an answer that tells the table."""
@@ -65,7 +65,7 @@
     running = Running(hosts, functions)
     spent = cpu_seconds(lambda: running.body(table))
     running.close()
-    return spent * MILLISECONDS
+    return spent * MS_PER_SECOND
 
 
 def status_bytes(hosts, seed):
--- a/benchmarks/scale/logs.py
+++ b/benchmarks/scale/logs.py
@@ -6,6 +6,8 @@
 from datetime import datetime
 from pathlib import Path
 
+SUBJECTS = {"host_changed": "host", "member_changed": "member"}  # the field that names the subject, by event
+
 
 def logged_at(path: Path, event: str, name: str, state: str, since: float) -> float | None:
     """When a real gateway last logged the state of a host or gateway, after `since`; None: not yet.
@@ -17,7 +19,7 @@
         if b'"%b"' % name.encode() not in line or b'"%b"' % event.encode() not in line:
             continue
         entry = json.loads(line)
-        if entry.get("event") == event and entry.get("name") == name and entry.get("state") == state:
+        if entry.get("event") == event and entry.get(SUBJECTS[event]) == name and entry.get("state") == state:
             at = datetime.fromisoformat(entry["timestamp"]).timestamp()
             found = at if at > since else found
     return found
--- a/benchmarks/scale/stub_document.py
+++ b/benchmarks/scale/stub_document.py
@@ -1,7 +1,5 @@
 """A document for simulations of its dissemination, of which only the version matters."""
 
-from __future__ import annotations
-
 from gaproute.decisions.cells.version import Version
 from gaproute.shared.dissemination import Change, DocumentError
 from gaproute.shared.dissemination.messages import NOTHING
@@ -17,26 +15,26 @@
 
 
 class StubDocument:
-    """A document of which only the version matters."""
+    """A document whose content is the same in each version."""
 
     def __init__(self, version: Version = NOTHING, whole_bytes: int = WHOLE_BYTES) -> None:
         self.fleet, self.version, self.digest = FLEET, version, digest_of(version)
         self.data = bytes(whole_bytes)
 
     def apply(self, change: Change) -> None:
-        """Take a change; one whose digest is another's is rejected."""
+        """Apply a change. Raises DocumentError for one whose digest is not that of its version."""
         if change.digest != digest_of(change.version):
             raise DocumentError("digest")
         self.version, self.digest = change.version, change.digest
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
-        """Take a whole document."""
+        """Take a complete document. Raises DocumentError where digest or data are not those expected."""
         if digest != digest_of(version) or data != self.data:
             raise DocumentError("digest")
         self.version, self.digest = version, digest
 
     def whole(self) -> bytes:
-        """The document's bytes."""
+        """The complete document's bytes."""
         return self.data
 
 
--- a/gaproute/hollow/member_changes.py
+++ b/gaproute/hollow/member_changes.py
@@ -8,7 +8,7 @@
 from gaproute.hollow.environment import EventCounter
 
 MAX_CHANGES = 65_536  # whose times are kept
-MEMBER_CHANGED = "gateway"  # the event that membership logs
+MEMBER_CHANGED = "member_changed"  # the event that membership logs
 
 
 class MemberChange(NamedTuple):
@@ -38,7 +38,7 @@
         """Count the event, and the sighting where it is a change of a member."""
         super().event(level, name, **fields)
         if name == MEMBER_CHANGED and len(self.sightings) < MAX_CHANGES:
-            change, now = MemberChange(fields["name"], fields["state"], fields["incarnation"]), time.time()
+            change, now = MemberChange(fields["member"], fields["state"], fields["incarnation"]), time.time()
             count, first, _ = self.sightings.get(change, Sightings(0, now, now))
             self.sightings[change] = Sightings(count + 1, first, now)
 
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -1,6 +1,6 @@
 """The cell table on sockets: the dissemination's messages by the membership's datagrams and by pulls.
 
-Nothing of the gateway rests on it: while no peer is heard the last table serves on. The members that the
+Nothing of the gateway rests on it: while no peer answers the last table serves on. The members that the
 membership knows are taken for the gateways of the own cell. Times are in ns.
 """
 
@@ -121,7 +121,7 @@
         self._finish_turn(self.disseminator.publish(self.loop.now(), encoded))
 
     def propagation(self, version: Version) -> Propagation:
-        """How far that version has come, as far as this gateway heard."""
+        """How far that version has come, by the reports that came here."""
         return self.disseminator.version_reports.propagation(self.loop.now(), version)
 
     def candidates(self, near: tuple[Peer, ...]) -> Candidates:
@@ -201,7 +201,7 @@
         for reason in self.disseminator.rejections:
             if reason not in self._logged_rejections:
                 self._logged_rejections.add(reason)
-                self.record.event("warning", "cell table refused", reason=reason)
+                self.record.event("warning", "peer_cell_table_rejected", error=reason)
 
     def _report_storage(self, text: str) -> None:
-        self.record.event("warning", "cell table on disk", text=text)
+        self.record.event("warning", "cell_table_file_fault", message=text)
--- a/tests/appliance/test_cell_table_exchange.py
+++ b/tests/appliance/test_cell_table_exchange.py
@@ -48,7 +48,7 @@
     replicas.fleet.write_table()
     replicas.fleet.up(*NAMES)
     assert all(replicas.reaches(name, "check") for name in NAMES)
-    assert not any(replicas.fleet.events(name, "fault") for name in NAMES)
+    assert not any(replicas.fleet.events(name, "internal_error") for name in NAMES)
 
 
 def test_a_gateway_restarted_alone_serves_by_the_table_stored_on_disk(replicas):
--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -203,7 +203,7 @@
     sent = len(made.seen("task", id="gone"))
     made.rest(300 * MILLI)
     assert len(made.seen("task", id="gone")) == sent == 1
-    assert made.gate.record.counts["left", "check"] == 1
+    assert made.gate.record.counts["client_left", "check"] == 1
 
 
 def test_a_draining_host_gets_neither_task_nor_order_though_its_connections_are_kept(rig):
@@ -250,7 +250,7 @@
     made = rig(hosts=2)
     good = made.list.read_text()
     made.relist("host h0 nowhere", *good.splitlines()[1:])
-    made.until(lambda: any(what == "host list refused" for what, _ in made.gate.record.events))
+    made.until(lambda: any(what == "host_list_rejected" for what, _ in made.gate.record.events))
     assert set(made.gate.rows) == {"h0", "h1"}
     assert outcome(made.wait(made.ask())) == "delivered"
 
@@ -383,8 +383,8 @@
     """The first outcome that the module hears of an effectful task relayed to `where`."""
     heard = Promise()
     gateway = made.gate.core.gateway
-    inner = gateway.heard
-    gateway.heard = lambda now, outcome: (heard.set(outcome.result), inner(now, outcome))
+    inner = gateway.attempt_ended
+    gateway.attempt_ended = lambda now, outcome: (heard.set(outcome.result), inner(now, outcome))
     made.relist(f"host x {where}")
     made.until(lambda: "x" in made.gate.rows)
     asked = made.ask("crew")
