--- a/gaproute/shared/leases/invariants.py
+++ b/gaproute/shared/leases/invariants.py
@@ -1,17 +1,12 @@
 """What must always hold of leases. Every check returns the breaches as text, each with its name first."""
 
-from __future__ import annotations
-
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
+from gaproute.shared.leases.client import LeaseClient
 from gaproute.shared.leases.commands import MAX_LEASES_PER_CLIENT
+from gaproute.shared.leases.requests import LeaseRequest
 from gaproute.shared.leases.table import MAX_LEASES, MAX_POOLS, SINGLE, LeaseTable
 
-if TYPE_CHECKING:  # it imports Raft's messages, and Raft's checks import these
-    from gaproute.shared.leases.client import LeaseClient
-    from gaproute.shared.leases.requests import LeaseRequest
-
 MAX_QUEUED = 3 * MAX_LEASES_PER_CLIENT  # commands: an acquisition, a renewal, a release of each lease
 
 
--- a/tests/maintenance/test_driven.py
+++ b/tests/maintenance/test_driven.py
@@ -1,4 +1,4 @@
-"""Simulated rounds: with fixed seeds the true floor is kept; faults planted in the code are detected."""
+"""Simulated rounds: with fixed seeds the true floor is met; faults planted in the code are detected."""
 
 from functools import cache
 
@@ -20,9 +20,9 @@
 from gaproute.simulation.units import SECOND
 
 
-def verdict(seed, kind, **told):
+def verdict(seed, kind, **options):
     """The name of what was broken, or ""."""
-    run, breach = play(seed, kind, **told)
+    run, breach = play(seed, kind, **options)
     return breach.name if breach else broken(run)
 
 
