--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -126,7 +126,7 @@
         interface.ListedHost(f"h{number}", number % 3, number % 5, active, 4.0, None)
         for number in range(hosts)
     ]
-    gateway.listed(0, rows, True)
+    gateway.update_hosts(0, rows, True)
     return gateway
 
 
@@ -178,7 +178,7 @@
     interface = revision.interface
     result, found, report = interface.Result.OK, interface.Found.WARM, interface.Report(1, 0, 0.3, 0.4)
     outcome = interface.Outcome(sent.id, 0, sent.host, result, now - sent.sent, True, found, 0, report)
-    gateway.heard(now, outcome)
+    gateway.attempt_ended(now, outcome)
     with suppress(StopIteration):
         sent.generator.send((now, outcome))
 
--- a/benchmarks/relay_processes.py
+++ b/benchmarks/relay_processes.py
@@ -232,5 +232,5 @@
             event = json.loads(self._process.stderr.readline())
             if event["event"] == "started":
                 os.set_blocking(self._process.stderr.fileno(), False)
-                addresses: list[str] = event["listens"]
+                addresses: list[str] = event["listen_addresses"]
                 return addresses
--- a/benchmarks/scale/cells/baselines.py
+++ b/benchmarks/scale/cells/baselines.py
@@ -47,7 +47,7 @@
         self._hosts: list[str] = []
         self._reported: dict[str, float] = {}  # calls in flight by host
 
-    def listed(self, now: int, rows: Sequence[face.ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, rows: Sequence[face.ListedHost], complete: bool) -> None:
         """Take all hosts."""
         self._hosts = [row.host for row in rows]
 
@@ -59,9 +59,9 @@
             _, outcome = yield face.Wait(now + request.time_left)
             if outcome is None or outcome.ended:
                 return
-        yield face.Reject(0, "refused")
+        yield face.Reject(0, face.RejectReason.HOST_FULL)
 
-    def heard(self, now: int, outcome: face.Outcome) -> None:
+    def attempt_ended(self, now: int, outcome: face.Outcome) -> None:
         """Keep the queue that the host reported."""
         if outcome.report is not None and outcome.report.in_hand is not None:
             self._reported[outcome.host] = outcome.report.in_hand
@@ -91,7 +91,7 @@
             gateway = CellGateway(self, location.name, location.zone, decisions)
             self.gateways[location.name] = gateway
             hosts = choose_hosts(random, list(self.hosts.values()))
-            decisions.listed(0, [self.host_row(host) for host in hosts], True)
+            decisions.update_hosts(0, [self.host_row(host) for host in hosts], True)
             gateway.housekeep()
 
 
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -126,7 +126,7 @@
             event = json.loads(self._process.stderr.readline())
             if event["event"] == "started":
                 os.set_blocking(self._process.stderr.fileno(), False)
-                return str(event["listens"][0])
+                return str(event["listen_addresses"][0])
 
 
 def play(where: str, folder: str, connections: int, *, storm: bool, seed: int) -> LoadResult:
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -79,7 +79,7 @@
         return dict(self.rejected) | sent
 
     def stop(self) -> None:
-        """Looks at no file, and neither tells nor hears any more."""
+        """Looks at no file, and neither sends nor receives any more."""
         if self.watch is not None:
             self.watch.close()
         self.carrier.stop()
@@ -120,4 +120,4 @@
     def _reject(self, reason: str, mistakes: Iterable[object]) -> None:
         self.rejected[reason] += 1
         for mistake in mistakes:
-            self.record.event("error", "cell table refused", mistake=str(mistake))
+            self.record.event("error", "cell_table_rejected", error=str(mistake))
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -11,7 +11,7 @@
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 
-NO_START = 0  # ns since 1970, of a host whose start the list does not tell
+NO_START = 0  # ns since 1970, of a host whose start the list does not have
 
 
 class HostList:
@@ -46,10 +46,12 @@
         gone = [name for name in before if name not in self.rows]
         for name in sorted(changed + gone):
             row = self.rows.get(name)
-            self.record.event("info", "host", name=name, state=row.listed.state.value if row else "gone")
+            self.record.event(
+                "info", "host_changed", host=name, state=row.listed.state.value if row else "gone"
+            )
 
     def states(self) -> dict[str, tuple[str, int]]:
-        """Of each host its state, and its start as the list tells it, ns since 1970 or `NO_START`."""
+        """Of each host its state, and its start by the list, ns since 1970 or `NO_START`."""
         start_times = self.listing.start_times
         return {
             name: (row.listed.state.value, start_times.reported(name) or NO_START)
@@ -59,7 +61,7 @@
     def log_rejected(self, mistakes: Iterable[Mistake]) -> None:
         """Logs why the list that was read last is not used."""
         for mistake in mistakes:
-            self.record.event("error", "host list refused", mistake=str(mistake))
+            self.record.event("error", "host_list_rejected", error=str(mistake))
 
     def reload(self) -> None:
         """Reads the file again, where there is one."""
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -56,12 +56,12 @@
             super().start_attempt(key, number, attempt, now)
 
     def reject(self, key: str, rejection: face.Reject) -> None:
-        """Rejects a request; its final answer tells where this gateway does not know the cell."""
+        """Rejects a request; its final answer says so where this gateway does not know the cell."""
         self.in_flight[key].cell_unknown = isinstance(rejection, CellUnknown)
         super().reject(key, rejection)
 
     def update_cell_hosts(self, cell: str, rows: Sequence[face.ListedHost]) -> None:
         """Takes the whole host list of a cell."""
         now = self.loop.now()
-        self.gateway.listed(now, rows, True, cell=cell)
+        self.gateway.update_hosts(now, rows, True, cell=cell)
         self.start_housekeeping(now)
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -47,7 +47,7 @@
             self.housekeepers.pop(name, None)
             self.loads.pop(name, None)
 
-    def listed(self, now: int, name: str, rows: Sequence[ListedHost], complete: bool) -> None:
+    def update_hosts(self, now: int, name: str, rows: Sequence[ListedHost], complete: bool) -> None:
         """Host list of a cell in the view, or changes to it; changes before the whole list are left out."""
         gateway = self.gateways.get(name)
         if gateway is None:
@@ -55,7 +55,7 @@
                 return
             gateway = self.new_gateway(now)
             self.add(name, gateway)
-        gateway.listed(now, rows, complete)
+        gateway.update_hosts(now, rows, complete)
 
     def new_gateway(self, now: int) -> Gateway:
         """A gateway that shares the limit on load orders and the end of the process."""
@@ -90,7 +90,7 @@
         return cached.load
 
     def report(self, now: int, name: str) -> Report | None:
-        """What an entry tells of its cell with each answer; None of a cell that it does not know."""
+        """The load of the cell that an entry sends with each answer; None of a cell that it does not know."""
         return Report(in_hand=self.load(now, name)) if name in self.gateways else None
 
     def housekeep(self, now: int) -> Iterator[Action]:
--- a/gaproute/standins/false_reports.py
+++ b/gaproute/standins/false_reports.py
@@ -20,10 +20,10 @@
 
     SHARE: ClassVar[float] = 1.0
 
-    def known(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
+    def observations_since(self, now: int, since: int = BEFORE_ALL) -> Iterator[Observation]:
         """What this gateway saw since then, some of it falsified."""
         active = [host.id for host in self.active_hosts]
-        for observation in super().known(now, since):
+        for observation in super().observations_since(now, since):
             falsified = observation.kind == WARM_INSTANCE and len(active) > 1 and self._draws_falsehood()
             yield self._falsified(observation, active) if falsified else observation
 
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.fit import fit
 from benchmarks.scale.gateways import Caller, CallError, row, rows
 from benchmarks.scale.measurement import UNITS, Measurement, MeasurementError, Point, measure
-from benchmarks.scale.meters import held_bytes
+from benchmarks.scale.meters import retained_bytes
 from benchmarks.scale.plays import cpu_ms, grown
 from gaproute.decisions.routing import ranking
 
@@ -119,8 +119,8 @@
 
 
 def test_memory_held_is_that_of_what_was_made():
-    assert held_bytes(lambda: bytearray(1_000_000)) == pytest.approx(1_000_000, rel=0.02)
-    assert held_bytes(lambda: len(bytearray(1_000_000))) < 10_000
+    assert retained_bytes(lambda: bytearray(1_000_000)) == pytest.approx(1_000_000, rel=0.02)
+    assert retained_bytes(lambda: len(bytearray(1_000_000))) < 10_000
 
 
 def test_processor_time_is_of_one_repeat():
@@ -140,7 +140,7 @@
 
 def test_a_call_that_no_host_can_take_is_no_measurement():
     caller = Caller(3, 1)
-    caller.gateway.listed(caller.now, [], True)
+    caller.gateway.update_hosts(caller.now, [], True)
     with pytest.raises(CallError):
         caller.call("f")
 
@@ -234,6 +234,6 @@
 
 def test_a_cold_host_is_cold_for_the_gateway():
     caller = Caller(10, 1)
-    caller.gateway.listed(caller.now, [row(0, started=caller.now)], False)
+    caller.gateway.update_hosts(caller.now, [row(0, started=caller.now)], False)
     assert caller.gateway.hosts.all_warm_at > caller.now
     assert caller.gateway.hosts_by_id["host-000000"].warm_at == caller.gateway.hosts.all_warm_at
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -69,7 +69,7 @@
 
 def gateway(*rows, **terms):
     made = Gateway(7, TERMS._replace(**terms), 0)
-    made.listed(0, rows or [row("a"), row("b"), row("c")], True)
+    made.update_hosts(0, rows or [row("a"), row("b"), row("c")], True)
     return made
 
 
@@ -114,7 +114,7 @@
             fields.get("same_function_requests"),
             None,
         )
-        self.gateway.heard(now, heard)
+        self.gateway.attempt_ended(now, heard)
         return self.go((now, heard))
 
     def late(self, now):
--- a/tests/support/routing_scenes.py
+++ b/tests/support/routing_scenes.py
@@ -33,7 +33,7 @@
 def answered(made, worker, now, sent, result=Result.OK, track=0):
     hands(made, worker, sent, track=track)
     took, warm = now - sent, face.Found.WARM
-    made.heard(now, face.Outcome(f"t{sent}", 0, worker, result, took, True, warm, None, None))
+    made.attempt_ended(now, face.Outcome(f"t{sent}", 0, worker, result, took, True, warm, None, None))
 
 
 def ranked(made, *order, function="f"):
@@ -55,4 +55,4 @@
 
 def heard(made, name, now, sent, result=Result.OK, took=100 * MILLI, of="t", found=face.Found.WARM):
     made.tracker.in_flight[of, sent] = InFlightAttempt(name, "f", 0, sent, True)
-    made.heard(now, face.Outcome(of, sent, name, result, took, True, found, None, None))
+    made.attempt_ended(now, face.Outcome(of, sent, name, result, took, True, found, None, None))
