--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -43,7 +43,7 @@
 
 
 class PeerListObserver(Protocol):
-    """What is told who the peers are: see `CellServices`."""
+    """What is notified of the peers: see `CellServices`."""
 
     def update_peers(self, addresses: Mapping[str, str]) -> None:
         """Takes the addresses of all other gateways, by name."""
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -71,7 +71,7 @@
 
 
 def peer_table(appliance: RunningGateway) -> list[JsonObject]:
-    """The gateways that are known: membership's view, and what each told at the start."""
+    """The gateways that are known: membership's view, and what each sent at the start."""
     fetcher = appliance.peers.observation_client
     fetched = fetcher.state if fetcher else {}
     membership_transport = appliance.peers.membership_transport
@@ -146,7 +146,7 @@
 
 
 def _instances(appliance: RunningGateway, name: str, function: Any) -> Iterator[JsonObject]:
-    """Those of one function: of own attempts, then those that others told of."""
+    """Those of one function: of own attempts, then those that others reported."""
     now = appliance.loop.now()
     for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
         for host, used_at in last_used.items():
--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -1,4 +1,4 @@
-"""Which kept connection a request may go out on: decisions only, no sockets, the clock handed in.
+"""Which open connection a request may go out on: decisions only, no sockets, the clock handed in.
 
 A host may close an idle connection at the very moment at which a request goes out on it. The kernel has taken
 the bytes then, so nothing proves that the request did not run: an idempotent one is retried, a non-idempotent
@@ -36,7 +36,7 @@
 # After a request was sent; a connection that ends unanswered within it was stale. A process that dies at work
 # ends all of its connections at any time.
 STALE_END_TIME = 50 * MILLI
-STALE_MEMORY = 10 * SECOND  # after which such an end says nothing: kept connections are tried again
+STALE_MEMORY = 10 * SECOND  # after which such an end says nothing: open connections are tried again
 # Of the last `OBSERVATIONS` at a host; above it, idempotent requests too take new connections.
 MAX_STALE_ENDS = 1
 # Requests of a connection that may yet be answered once more, until it takes no further one: a long-lived
@@ -52,7 +52,7 @@
 
 
 class PooledConnection(Protocol):
-    """What is read of a kept connection that carries several requests at once."""
+    """What is read of an open connection that carries several requests at once."""
 
     @property
     def reusable(self) -> bool:
@@ -79,7 +79,7 @@
 
     def __init__(self) -> None:
         self._closes: dict[str, deque[ObservedClose]] = {}  # by host
-        self._stale_ends: dict[str, deque[int]] = {}  # by host: when kept connections ended at their next use
+        self._stale_ends: dict[str, deque[int]] = {}  # by host: when open connections ended at their next use
 
     def record_close(self, now: int, host: str, idle: int) -> None:
         """The host closed a connection that had been idle for that long, ns."""
@@ -100,9 +100,9 @@
             self._stale_ends.setdefault(host, deque(maxlen=OBSERVATIONS)).append(now)
 
     def allows_reuse(self, now: int, host: str, idempotency: Idempotency) -> bool:
-        """Whether kept connections to that host may be used at all.
+        """Whether open connections to that host may be used at all.
 
-        Guards against hosts, and what stands before them, that end a kept connection at its next use: an
+        Guards against hosts, and what stands before them, that end an open connection at its next use: an
         idempotent request loses a round trip there and a non-idempotent one all. It costs a handshake a
         request where a few connections died by chance.
         """
--- a/gaproute/decisions/routing/parameters.py
+++ b/gaproute/decisions/routing/parameters.py
@@ -3,7 +3,7 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 NEVER = 1 << 62  # a time that never comes
 
-SAMPLES = 8  # samples kept of each thing measured: a median that two odd ones do not move
+SAMPLES = 8  # samples of each thing measured: a median that two odd ones do not move
 EVIDENCE_LIFETIME = 5 * SECOND  # older samples are no evidence: a suspect is tried again after it
 REPORT_LIFETIME = 8 * SECOND  # older load reports are ignored: crowds by the stable hash last as long
 JUDGEMENT_INTERVAL = 40 * MILLI  # between judgements of hosts and of the requests in flight, to spare CPU:
--- a/gaproute/fronts/jsonrpc/connection_owner.py
+++ b/gaproute/fronts/jsonrpc/connection_owner.py
@@ -38,7 +38,7 @@
         """The clients' ids of open requests."""
 
     def handle_message(self, connection: Connection, body: bytes) -> None:
-        """Handles a message of a client. Errors: ProtocolError, which the client is to be told."""
+        """Handles a message of a client. Errors: ProtocolError, which the client is to get."""
 
     def client_left(self, request: OpenRequest) -> None:
         """The client of a request waits no longer."""
--- a/gaproute/hosts/kserve/client.py
+++ b/gaproute/hosts/kserve/client.py
@@ -1,6 +1,6 @@
-"""The client of hosts that speak KServe v2: attempts, load orders and probes on kept connections.
+"""The client of hosts that speak KServe v2: attempts, load orders and probes on open connections.
 
-It reports what it sees and chooses nothing: `decisions.connections.pooling` says which kept connection may be
+It reports what it sees and chooses nothing: `decisions.connections.pooling` says which open connection may be
 used, `gaproute.hosts.results` what an end proves. `update` brings the endpoint list.
 """
 
@@ -30,7 +30,7 @@
 OK_STATUS = 200
 REFUSED_STATUSES = (404, 409, 429)  # of a load order: there is no space for it, or no such model
 SWEEP_INTERVAL = SECOND
-REUSE_RACE_WINDOW = SECOND  # a kept connection that ends within it was perhaps closed just as it was used
+REUSE_RACE_WINDOW = SECOND  # an open connection that ends within it was perhaps closed just as it was used
 
 OnExchangeEnded: TypeAlias = Callable[[Response | NoResponseError], object]
 RequestBytes: TypeAlias = bytes | Callable[[int], bytes]  # or what makes them at a time of the loop's clock
@@ -202,7 +202,7 @@
         until: int | None = None,
         wanted: Callable[[], bool] | None = None,
     ) -> Exchange | None:
-        """Send a request on a kept connection that may be trusted with it, else on a new one.
+        """Send a request on an open connection that may be trusted with it, else on a new one.
 
         None where the host has as many connections as it may. `on_ended` is called once, never at once.
         """
