--- a/benchmarks/scale/figures.py
+++ b/benchmarks/scale/figures.py
@@ -1,6 +1,4 @@
-"""Single figures in a page's text, each told by a file's name and a few words."""
-
-from __future__ import annotations
+"""Single figures in a page's text, each named by a file and a few words."""
 
 from pathlib import Path
 
@@ -13,7 +11,7 @@
 
 
 def figure(file: str, words: str, folder: Path) -> str:
-    """The figure as text. Errors: PageError, MeasurementError."""
+    """The figure as text. Raises PageError and MeasurementError."""
     if file == "size.py":
         name, _, unit = words.partition(" ")
         if unit not in ("", "share"):
@@ -33,35 +31,33 @@
     if row is None:
         raise PageError(f"no such row: {key}")
     verdict = judged(row, folder)
-    if what in ("predicted", "factor") and (verdict.predicted is None or verdict.factor is None):
-        raise PageError(f"{key} is missing: nothing is predicted for it")
-    if what == "predicted" and verdict.predicted is not None:
-        return f"{number(verdict.predicted)} {row.unit}"
     if what == "budget":
         return f"{number(row.budget)} {row.unit}"
-    if what == "factor" and verdict.factor is not None:
-        return times(verdict.factor)
     if what == "state":
         return verdict.state
+    if what in ("predicted", "factor"):
+        if verdict.predicted is None or verdict.factor is None:
+            raise PageError(f"{key} is missing: nothing is predicted for it")
+        return f"{number(verdict.predicted)} {row.unit}" if what == "predicted" else times(verdict.factor)
     raise PageError(f"a row has no {what or 'nothing'}")
 
 
-def _of_measurement(measured: Measurement, words: str) -> str:
+def _of_measurement(measurement: Measurement, words: str) -> str:
     """`measured at SIZE`, `predicted at SIZE`, `stretch at SIZE`, `residual` or `spread`."""
-    fitted = fit(measured)
+    found = fit(measurement)
     if words == "residual":
-        return share(fitted.residual)
+        return share(found.residual)
     if words == "spread":
-        return share(max(point.spread for point in measured.points))
-    what, _, size_name = words.partition(" at ")
-    at = size_named(size_name)
+        return share(max(point.spread for point in measurement.points))
+    what, _, named = words.partition(" at ")
+    at = size_named(named)
     if what == "predicted":
-        return f"{number(fitted.predict(at))} {measured.unit}"
+        return f"{number(found.predict(at))} {measurement.unit}"
     if what == "stretch":
-        return f"{number(fitted.stretch(at), digits=2)} times"
+        return f"{number(found.stretch(at), digits=2)} times"
     if what != "measured":
         raise PageError(f"a measurement has no {words}")
-    values = [point.value for point in measured.points if point.size == at]
+    values = [point.value for point in measurement.points if point.size == at]
     if not values:
-        raise PageError(f"{measured.name} was not measured at {number(at)}")
-    return f"{number(values[0])} {measured.unit}"
+        raise PageError(f"{measurement.name} was not measured at {number(at)}")
+    return f"{number(values[0])} {measurement.unit}"
--- a/benchmarks/scale/predictions.py
+++ b/benchmarks/scale/predictions.py
@@ -3,12 +3,9 @@
 `python -m benchmarks.scale.predictions PREFIX` writes docs/measured/scale/predictions/PREFIX.json.
 """
 
-from __future__ import annotations
-
 import json
 import sys
 from dataclasses import asdict, dataclass, replace
-from typing import Any
 
 from benchmarks.scale.fit import fit
 from benchmarks.scale.measurement import MEASURED, Measurement
@@ -42,17 +39,17 @@
 
 
 def main(prefix: str) -> None:
-    """Predicts for all measurements of that prefix, prints and keeps the result."""
-    kept: dict[str, Any] = {}
+    """Predict for all measurements of that prefix; print and store the result."""
+    stored = {}
     for path in sorted(MEASURED.glob(f"{prefix}-*.json")):
         measurement = Measurement.load(path.stem)
         made = predictions(measurement)
-        kept[measurement.name] = [asdict(each) | {"factor": round(each.factor, 3)} for each in made]
+        stored[measurement.name] = [asdict(each) | {"factor": round(each.factor, 3)} for each in made]
         factors = ", ".join(f"{each.size:.0f}: {each.factor:.2f}" for each in made)
         print(f"{measurement.name}: measured over predicted {factors}")
     folder = MEASURED / "predictions"
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / f"{prefix}.json").write_text(json.dumps(kept, indent=1) + "\n")
+    (folder / f"{prefix}.json").write_text(json.dumps(stored, indent=1) + "\n")
 
 
 if __name__ == "__main__":
