--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,19 +1,19 @@
-"""A Markdown page whose figures are made of the kept measurements.
+"""A Markdown page whose figures are made of the stored measurements.
 
-Two things of a page are rewritten, all else stays as its author wrote it:
+Two things of a page are rewritten; all else stays as its author wrote it:
 
 - a block, everything between `<!-- table: KIND WORD ... -->` and `<!-- end -->`, both on lines of their own;
   the kinds are those of `tables.TABLES`;
-- a figure in the text, written as a link whose title tells what it is:
+- a figure in the text, written as a link whose title says what it is:
   `[161 ms](measured/scale/NAME.json "measured at 25600")`, or "predicted at" a size, "residual", "spread",
   "stretch at" a size; `[16,000](../benchmarks/scale/size.py "GATEWAYS")`, per cent by "CONTROL_CPU share";
   `[58 times](../benchmarks/scale/roles.py "gateway-list-memory factor")`, or "predicted", "budget", "state".
 """
 
-from __future__ import annotations
-
 import re
+from collections.abc import Sequence
 from dataclasses import dataclass
+from itertools import zip_longest
 from pathlib import Path
 
 from benchmarks.scale.figures import figure
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Disagreement:
-    """What a page shows and the measurements do not."""
+    """A table or figure of a page that differs from the measurements. `line` counts from 1."""
 
     line: int
     what: str
@@ -40,44 +40,45 @@
 
 
 def rewritten(text: str, folder: Path = MEASURED) -> tuple[str, list[Disagreement]]:
-    """The page with its blocks and figures made anew, and where it differed. Errors: PageError."""
+    """The page with its blocks and figures made anew, and where it differed. Raises PageError."""
     lines: list[str] = []
     differing: list[Disagreement] = []
-    place, old_lines = 0, text.split("\n")
-    while place < len(old_lines):
-        block = BEGIN.fullmatch(old_lines[place])
-        if block is None:
-            lines.append(_with_figures(old_lines[place], place + 1, folder, differing))
+    place, current = 0, text.split("\n")
+    while place < len(current):
+        begun = BEGIN.fullmatch(current[place])
+        if begun is None:
+            lines.append(_with_figures(current[place], place + 1, folder, differing))
             place += 1
             continue
-        if END not in old_lines[place:]:
-            raise PageError(f"line {place + 1}: {old_lines[place]} has no {END}")
-        end = old_lines.index(END, place)
-        made = _block(block, place + 1, folder)
-        differing += _differing(block, place + 1, old_lines[place + 1 : end], made)
-        lines += [old_lines[place], *made, END]
+        if END not in current[place:]:
+            raise PageError(f"line {place + 1}: {current[place]} has no {END}")
+        end = current.index(END, place)
+        made = _block(begun, place + 1, folder)
+        differing += _differing(begun, place + 1, current[place + 1 : end], made)
+        lines += [current[place], *made, END]
         place = end + 1
     return "\n".join(lines), differing
 
 
-def _block(block: re.Match[str], line: int, folder: Path) -> list[str]:
+def _block(begun: re.Match[str], line: int, folder: Path) -> list[str]:
     """The lines that belong into a block."""
-    if block["kind"] not in TABLES:
-        raise PageError(f"line {line}: no such table: {block['kind']}")
+    if begun["kind"] not in TABLES:
+        raise PageError(f"line {line}: no such table: {begun['kind']}")
     try:
-        return TABLES[block["kind"]](block["words"].split(), folder)
+        return TABLES[begun["kind"]](begun["words"].split(), folder)
     except (PageError, MeasurementError) as fault:
-        raise PageError(f"line {line}, table {block['kind']}: {fault}") from fault
+        raise PageError(f"line {line}, table {begun['kind']}: {fault}") from fault
 
 
-def _differing(block: re.Match[str], line: int, shown: list[str], made: list[str]) -> list[Disagreement]:
+def _differing(
+    begun: re.Match[str], line: int, shown: Sequence[str], made: Sequence[str]
+) -> list[Disagreement]:
     """The first line of a block that differs, if any does."""
     if shown == made:
         return []
-    longest = max(len(shown), len(made))
-    pairs = zip(shown + [""] * (longest - len(shown)), made + [""] * (longest - len(made)), strict=True)
+    pairs = zip_longest(shown, made, fillvalue="")
     was, now = next(pair for pair in pairs if pair[0] != pair[1])
-    return [Disagreement(line, f"table {block['kind']}{block['words']}", was, now)]
+    return [Disagreement(line, f"table {begun['kind']}{begun['words']}", was, now)]
 
 
 def _with_figures(text: str, line: int, folder: Path, differing: list[Disagreement]) -> str:
--- a/benchmarks/scale/tables.py
+++ b/benchmarks/scale/tables.py
@@ -1,16 +1,13 @@
-"""The tables that a page can ask for, each made of the kept measurements alone."""
-
-from __future__ import annotations
+"""The tables that a page can ask for, each made of the stored measurements alone."""
 
 import fnmatch
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
 
 from benchmarks.scale import arithmetic, cold_start, ladder_table, machines, roles, size
 from benchmarks.scale.budget import judged
 from benchmarks.scale.fit import WIDE_STRETCH, fit
 from benchmarks.scale.measurement import Measurement
-from benchmarks.scale.row import Row
 from benchmarks.scale.text import number, share, table
 from gaproute.errors import GaprouteError
 
@@ -20,7 +17,7 @@
 
 
 def size_named(name: str) -> float:
-    """A size given as a number, or as the name of a constant of `size`. Errors: PageError."""
+    """A size given as a number, or as the name of a constant of `size`. Raises PageError."""
     try:
         return float(name.replace(",", ""))
     except ValueError:
@@ -31,8 +28,10 @@
 
 
 def slopes(words: list[str], folder: Path) -> list[str]:
-    """`NAME@SIZE ...`: each measurement, its fit, and what it predicts at the size; `*` in a name stands for
-    anything."""
+    """`NAME@SIZE ...`: each measurement, its fit, and what it predicts at the size.
+
+    `*` in a name matches anything.
+    """
     head = [
         "measurement",
         "cost",
@@ -47,8 +46,8 @@
     return table(head, [_slope(name, at, folder) for name, at in _requested(words, folder)])
 
 
-def _requested(words: list[str], folder: Path) -> Iterator[tuple[str, float]]:
-    """The name of each measurement that is asked for, and the size."""
+def _requested(words: Sequence[str], folder: Path) -> Iterator[tuple[str, float]]:
+    """(name of a measurement, size) of each that the page asks for."""
     known = sorted(path.stem for path in folder.glob("*.json"))
     for word in words:
         pattern, marked, at = word.partition("@")
@@ -62,24 +61,24 @@
 
 def _slope(name: str, at: float, folder: Path) -> list[str]:
     """One row of `slopes`."""
-    measured = Measurement.load(name, folder)
-    fitted = fit(measured)
-    stretch = fitted.stretch(at)
-    predicted = f"{number(fitted.predict(at))} at {number(at)}"
+    measurement = Measurement.load(name, folder)
+    found = fit(measurement)
+    stretch = found.stretch(at)
+    predicted = f"{number(found.predict(at))} at {number(at)}"
     if stretch > 1:
         stretched = "**stretched**" if stretch > WIDE_STRETCH else "stretched"
         predicted += f", {stretched} {number(stretch, digits=2)} times"
-    spread = max(point.spread for point in measured.points)
-    sizes = f"{number(fitted.smallest)} to {number(fitted.largest)} {measured.parameter}"
-    curve = f"{fitted.formula}, {fitted.form}"
-    ratio = number(fitted.last_ratio, digits=2)
+    spread = max(point.spread for point in measurement.points)
+    sizes = f"{number(found.smallest)} to {number(found.largest)} {measurement.parameter}"
+    fitted = f"{found.formula}, {found.form}"
+    ratio = number(found.last_ratio, digits=2)
     return [
         name,
-        measured.meaning,
-        measured.unit,
+        measurement.meaning,
+        measurement.unit,
         sizes,
-        curve,
-        share(fitted.residual),
+        fitted,
+        share(found.residual),
         share(spread),
         ratio,
         predicted,
@@ -95,7 +94,7 @@
     return table(head, [_budgeted(row, folder) for row in roles.ROWS if not words or row.role in words])
 
 
-def _budgeted(row: Row, folder: Path) -> list[str]:
+def _budgeted(row: roles.Row, folder: Path) -> list[str]:
     """One row of `budget`."""
     verdict = judged(row, folder)
     predicted = "-" if verdict.predicted is None else f"{number(verdict.predicted)} {row.unit}"
@@ -117,12 +116,12 @@
         raise PageError(f"breaks-first takes no words: {' '.join(words)}")
     verdicts = [judged(row, folder) for row in roles.ROWS]
     missing = [verdict for verdict in verdicts if verdict.factor is None]
-    over = [(verdict.factor, verdict) for verdict in verdicts if verdict.factor and verdict.factor > 1]
-    over.sort(key=lambda pair: -pair[0])
+    over = [(verdict.factor, verdict) for verdict in verdicts if verdict.factor is not None]
     rows = [[each.row.role, each.row.cost, "-", each.state] for each in missing]
-    for factor, each in over:
-        shown = f"{times(factor)}, {each.stretched}" if each.stretched else times(factor)
-        rows.append([each.row.role, each.row.cost, shown, each.state])
+    for factor, each in sorted(over, key=lambda pair: -pair[0]):
+        if factor > 1:
+            text = f"{times(factor)}, {each.stretched}" if each.stretched else times(factor)
+            rows.append([each.row.role, each.row.cost, text, each.state])
     return table(["role", "cost", "over the budget", "state"], rows)
 
 
