--- a/gaproute/decisions/connections/pooling.py
+++ b/gaproute/decisions/connections/pooling.py
@@ -154,15 +154,15 @@
         shared: Connection | None = None
         if not self.allows_reuse(now, host, idempotency):
             announced = 0
-        for link in connections:
-            if not link.reusable or request_id in link.pending or request_id in link.retired_ids:
+        for each in connections:
+            if not each.reusable or request_id in each.pending or request_id in each.retired_ids:
                 continue
-            if len(link.retired_ids) >= MAX_RETIRED_IDS:
+            if len(each.retired_ids) >= MAX_RETIRED_IDS:
                 continue
-            if not link.pending:
-                is_latest = free is None or link.last_used > free.last_used
-                if is_latest and now - link.last_used <= self.max_idle(now, host, idempotency, announced):
-                    free = link
-            elif len(link.pending) < max_open and (shared is None or len(link.pending) < len(shared.pending)):
-                shared = link
+            if not each.pending:
+                is_latest = free is None or each.last_used > free.last_used
+                if is_latest and now - each.last_used <= self.max_idle(now, host, idempotency, announced):
+                    free = each
+            elif len(each.pending) < max_open and (shared is None or len(each.pending) < len(shared.pending)):
+                shared = each
         return free or shared
--- a/gaproute/decisions/routing/gateway.py
+++ b/gaproute/decisions/routing/gateway.py
@@ -25,7 +25,7 @@
 from gaproute.decisions.routing.outlier_detector import OutlierDetector
 from gaproute.decisions.routing.parameters import SECOND
 from gaproute.decisions.routing.ranking import Ranking
-from gaproute.decisions.routing.request_router import RequestRouter
+from gaproute.decisions.routing.request_router import RequestRouter, RouterParts
 from gaproute.decisions.routing.retry_rules import RetryRules
 from gaproute.decisions.routing.scorer import Scorer
 from gaproute.decisions.routing.silent_zones import SilentZones
@@ -102,19 +102,19 @@
         self.recorder = OutcomeRecorder(
             self.tables, self.measurements, self.tracker, self.slow_start, self.hints
         )
-        self.router = RequestRouter(
-            terms,
-            self.tables,
-            self.answer_times,
-            self.tracker,
-            self.retry_rules,
-            self.selector,
-            self.shedder,
-            self.slow_start,
-            self.load_orders,
-            self.sharing,
-            self.hints,
+        parts = RouterParts(
+            tables=self.tables,
+            answer_times=self.answer_times,
+            tracker=self.tracker,
+            retry_rules=self.retry_rules,
+            selector=self.selector,
+            shedder=self.shedder,
+            slow_start=self.slow_start,
+            load_orders=self.load_orders,
+            sharing=self.sharing,
+            hints=self.hints,
         )
+        self.router = RequestRouter(terms, parts)
 
     # State that other modules read
 
--- a/gaproute/decisions/routing/request_router.py
+++ b/gaproute/decisions/routing/request_router.py
@@ -1,7 +1,7 @@
 """One request, from acceptance to its one final answer."""
 
 from collections.abc import Generator
-from typing import Any
+from typing import Any, NamedTuple
 
 from gaproute.decisions.routing.answer_times import AnswerTimes
 from gaproute.decisions.routing.attempt_tracker import AttemptTracker
@@ -41,29 +41,32 @@
 Steps = Generator[Action, Any, RejectReason | None]
 
 
+class RouterParts(NamedTuple):
+    """The parts of a gateway that the router of its requests uses."""
+
+    tables: Tables
+    answer_times: AnswerTimes
+    tracker: AttemptTracker
+    retry_rules: RetryRules
+    selector: HostSelector
+    shedder: LoadShedder
+    slow_start: SlowStart
+    load_orders: LoadOrders
+    sharing: LoadReportSharing
+    hints: Hints
+
+
 class RequestRouter:
-    """Serves each request by a generator; owns the parts that all requests use."""
+    """Serves each request by a generator; has the parts that all requests use."""
 
-    def __init__(
-        self,
-        terms: Terms,
-        tables: Tables,
-        answer_times: AnswerTimes,
-        tracker: AttemptTracker,
-        retry_rules: RetryRules,
-        selector: HostSelector,
-        shedder: LoadShedder,
-        slow_start: SlowStart,
-        load_orders: LoadOrders,
-        sharing: LoadReportSharing,
-        hints: Hints,
-    ) -> None:
+    def __init__(self, terms: Terms, parts: RouterParts) -> None:
         self.request_classes = terms.request_classes
         self.cancel_allowed, self.retry_after_limit = terms.cancel_allowed, terms.retry_after_limit
-        self.functions, self.mix, self.answer_times = tables.functions, tables.mix, answer_times
-        self.tracker, self.retry_rules, self.selector = tracker, retry_rules, selector
-        self.shedder, self.slow_start = shedder, slow_start
-        self.load_orders, self.sharing, self.hints = load_orders, sharing, hints
+        self.functions, self.mix = parts.tables.functions, parts.tables.mix
+        self.answer_times, self.tracker = parts.answer_times, parts.tracker
+        self.retry_rules, self.selector = parts.retry_rules, parts.selector
+        self.shedder, self.slow_start = parts.shedder, parts.slow_start
+        self.load_orders, self.sharing, self.hints = parts.load_orders, parts.sharing, parts.hints
         self.end_by = NEVER  # when every request must have its final answer, as the process stops
 
     def serve(self, now: int, request: Request) -> Generator[Action, Any, None]:
