--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -8,8 +8,7 @@
 from functools import wraps
 from typing import TypeVar, cast
 
-from gaproute import interface as face
-from gaproute import settings
+from gaproute import interface, settings
 from gaproute.benchlink.lines import (
     ABSENT,
     AttemptEnded,
@@ -23,17 +22,17 @@
 
 MICRO = 1_000
 MICROS_PER_MILLI = 1_000
-STATES = {"active": face.State.ACTIVE, "leaving": face.State.DRAINING, "left": face.State.GONE}
+STATES = {"active": interface.State.ACTIVE, "leaving": interface.State.DRAINING, "left": interface.State.GONE}
 RESULTS = {
-    "0": face.Result.OK,
-    "1": face.Result.ERROR,
-    "2": face.Result.FULL,
-    "3": face.Result.TIMEOUT,
-    "4": face.Result.CONNECT_FAILED,
-    "5": face.Result.RESET,
-    "6": face.Result.CANCELLED,
-    "7": face.Result.NOT_SENT,
-    "8": face.Result.NOT_LOADED,
+    "0": interface.Result.OK,
+    "1": interface.Result.ERROR,
+    "2": interface.Result.FULL,
+    "3": interface.Result.TIMEOUT,
+    "4": interface.Result.CONNECT_FAILED,
+    "5": interface.Result.RESET,
+    "6": interface.Result.CANCELLED,
+    "7": interface.Result.NOT_SENT,
+    "8": interface.Result.NOT_LOADED,
 }
 OK = "0"
 FLAGS = {"0": False, "1": True, ABSENT: False}
@@ -72,17 +71,17 @@
 
 
 @decoder
-def decode_terms(text: str) -> face.Terms:
+def decode_terms(text: str) -> interface.Terms:
     """The settings of an instance."""
     return settings.read_terms(json.loads(text))
 
 
 @decoder
-def decode_host(row: ListRow) -> face.ListedHost:
+def decode_host(row: ListRow) -> interface.ListedHost:
     """A host of a list."""
     if row.state not in STATES:
         raise WireFormatError(f"unknown state {row.state!r}")
-    return face.ListedHost(
+    return interface.ListedHost(
         row.host,
         _integer(row.zone),
         _integer(row.cell),
@@ -93,9 +92,9 @@
 
 
 @decoder
-def decode_request(line: RequestReceived) -> face.Request:
+def decode_request(line: RequestReceived) -> interface.Request:
     """A client's request."""
-    return face.Request(
+    return interface.Request(
         line.id,
         _integer(line.tenant),
         _nanoseconds(line.time_left) or 0,
@@ -107,45 +106,45 @@
 
 
 @decoder
-def decode_outcome(line: AttemptEnded, same_function_counted: bool) -> face.Outcome | None:
+def decode_outcome(line: AttemptEnded, same_function_counted: bool) -> interface.Outcome | None:
     """The outcome of an attempt; None where its result is unknown."""
     result = RESULTS.get(line.result)
     if result is None:
         return None
     remark = _integer(line.remark)
     found = remark & ((1 << FOUND_BITS) - 1)
-    counted = same_function_counted and result in (face.Result.OK, face.Result.FULL)
-    return face.Outcome(
+    counted = same_function_counted and result in (interface.Result.OK, interface.Result.FULL)
+    return interface.Outcome(
         line.request,
         _integer(line.attempt),
         line.host,
         result,
         _nanoseconds(line.elapsed) or 0,
         _flag(line.ended),
-        face.Found(found if found <= MAX_FOUND else 0),
+        interface.Found(found if found <= MAX_FOUND else 0),
         remark >> FOUND_BITS if counted else None,
         _report(line.report),
     )
 
 
 @decoder
-def decode_stream_start(line: StreamStarted) -> face.Outcome:
+def decode_stream_start(line: StreamStarted) -> interface.Outcome:
     """The outcome that says that a streamed answer has begun."""
-    return face.Outcome(
+    return interface.Outcome(
         line.request,
         _integer(line.attempt),
         line.host,
-        face.Result.STREAM_STARTED,
+        interface.Result.STREAM_STARTED,
         _nanoseconds(line.elapsed) or 0,
         False,
-        face.Found.UNKNOWN,
+        interface.Found.UNKNOWN,
         None,
         None,
     )
 
 
 @decoder
-def decode_probe_report(line: ProbeAnswered) -> face.Report | None:
+def decode_probe_report(line: ProbeAnswered) -> interface.Report | None:
     """The load report in the answer to a health check."""
     return _report(line.report)
 
@@ -176,7 +175,7 @@
     return FLAGS[text]
 
 
-def _report(text: str) -> face.Report | None:
+def _report(text: str) -> interface.Report | None:
     if text in (ABSENT, ""):
         return None
     pairs = dict(pair.split(":", 1) for pair in text.split(","))
@@ -184,4 +183,4 @@
     def figure(name: str) -> float | None:
         return float(pairs[name]) if pairs.get(name, ABSENT) != ABSENT else None
 
-    return face.Report(figure("busy_reqs"), figure("pending"), figure("cpu_share"), figure("x0"))
+    return interface.Report(figure("busy_reqs"), figure("pending"), figure("cpu_share"), figure("x0"))
--- a/gaproute/benchlink/hub.py
+++ b/gaproute/benchlink/hub.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.benchlink import decoding, lines
 from gaproute.benchlink.events import EVENT_HANDLERS
 from gaproute.benchlink.instance import Instance, MakeGateway
@@ -34,7 +34,7 @@
     def __init__(self, make_gateway: MakeGateway = Gateway) -> None:
         self.make_gateway = make_gateway
         self.instances: dict[int, Instance] = {}
-        self.host_lists: dict[str, list[face.ListedHost]] = {}  # by number
+        self.host_lists: dict[str, list[interface.ListedHost]] = {}  # by number
         self.unfinished: UnfinishedList | None = None
         self.now = 0
         self.sequence = "0"  # of the batch
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -2,18 +2,18 @@
 
 from collections.abc import Callable
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.benchlink.decoding import encode_milliseconds
 from gaproute.core.driver import Driver
 from gaproute.core.ports import DecisionModule
 
-MakeGateway = Callable[[int, face.Terms, int], DecisionModule]  # of seed, terms and now
+MakeGateway = Callable[[int, interface.Terms, int], DecisionModule]  # of seed, terms and now
 
 
 class Instance(Driver):
     """One gateway of the simulator. Timers cannot be cancelled on the wire, so each wait has a number."""
 
-    def __init__(self, make_gateway: MakeGateway, seed: int, terms: face.Terms, now: int) -> None:
+    def __init__(self, make_gateway: MakeGateway, seed: int, terms: interface.Terms, now: int) -> None:
         super().__init__(make_gateway(seed, terms, now))
         self.same_function_counted = terms.same_function_counted
         self.wait_numbers: dict[str, str] = {}  # of the current wait, by key
@@ -37,7 +37,7 @@
         """The key waits no more; its timer will be passed over."""
         self.wait_numbers.pop(key, None)
 
-    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+    def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host."""
         self.lines.append(f"ATTEMPT {key} {attempt.host} 0")
 
@@ -61,7 +61,7 @@
         """Asks for the host list and its changes."""
         self.lines.append("LISTEN 1")
 
-    def reject(self, key: str, rejection: face.Reject) -> None:
+    def reject(self, key: str, rejection: interface.Reject) -> None:
         """Gives the final answer that nothing ran."""
         self.lines.append(f"BOUNCE {key} {encode_milliseconds(rejection.retry_after)}")
 
--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from functools import partial
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.completion import MILLI, RequestCompletion
 from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts, RequestSender
@@ -21,18 +21,20 @@
         loop: Loop,
         record: Record,
         hosts: Hosts,
-        request_classes: tuple[face.RequestClass, ...],
+        request_classes: tuple[interface.RequestClass, ...],
     ) -> None:
         super().__init__(gateway, loop, record)
         self.hosts, self.request_classes = hosts, request_classes
 
     # Start
 
-    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+    def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host."""
         self._send(self.hosts, key, number, attempt, now)
 
-    def _send(self, hosts: RequestSender, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+    def _send(
+        self, hosts: RequestSender, key: str, number: int, attempt: interface.Attempt, now: int
+    ) -> None:
         """Sends a request through `hosts` and registers the attempt."""
         request = self.in_flight[key]
         request.attempt_count += 1
@@ -63,13 +65,13 @@
         request, now = self.in_flight[key], self.loop.now()
         host, sent_at, _ = request.attempts.pop(number)
         result, took = attempt_result.result, now - sent_at
-        if result not in face.NEVER_RAN:
+        if result not in interface.NEVER_RAN:
             request.may_have_run = True
-        if result is face.Result.OK and request.on_final is not None:
+        if result is interface.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
             self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
         self.record.attempt_ended(host, request.request_class, result)
-        outcome = face.Outcome(
+        outcome = interface.Outcome(
             key,
             number,
             host,
@@ -88,7 +90,7 @@
     def _time_out_attempts(self, request: RequestInFlight) -> None:
         """Ends all attempts of a request whose deadline has passed."""
         for number, (_, _, handle) in list(request.attempts.items()):
-            result = face.Result.TIMEOUT if handle.started else face.Result.NOT_SENT
+            result = interface.Result.TIMEOUT if handle.started else interface.Result.NOT_SENT
             handle.cancel()
             self._attempt_withdrawn(request.id, number, result)
 
@@ -106,17 +108,17 @@
     def _withdraw(self, request: RequestInFlight, number: int) -> None:
         """Cancels an attempt at once and accounts for it in a later callback of the loop."""
         handle = request.attempts[number].handle
-        result = face.Result.CANCELLED if handle.started else face.Result.NOT_SENT
+        result = interface.Result.CANCELLED if handle.started else interface.Result.NOT_SENT
         handle.cancel()
         self.loop.soon(self._attempt_withdrawn, request.id, number, result)
 
-    def _attempt_withdrawn(self, key: str, number: int, result: face.Result) -> None:
+    def _attempt_withdrawn(self, key: str, number: int, result: interface.Result) -> None:
         request = self.in_flight.get(key)
         if request is not None and number in request.attempts:
             self._attempt_ended(key, number, AttemptResult(result, None))
 
 
-def _log_outcome(log_step: Callable[..., None], outcome: face.Outcome) -> None:
+def _log_outcome(log_step: Callable[..., None], outcome: interface.Outcome) -> None:
     """Logs the outcome of an attempt of a traced request."""
     log_step(
         "attempt_ended",
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import Protocol, cast
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.core import Core
 from gaproute.core.ports import Actions, Hosts, RequestSender
 from gaproute.decisions.cells.cellular import CellularGateway
@@ -28,7 +28,7 @@
         self,
         loop: Loop,
         gateway: CellularGateway,
-        terms: face.Terms,
+        terms: interface.Terms,
         hosts: Hosts,
         record: Record,
         name: str,
@@ -39,7 +39,7 @@
         self.forwarded_in = 0  # requests that other gateways forwarded here
         self.forwarded_out = 0  # attempts at other gateways
 
-    def serve(self, now: int, request: face.Request) -> Actions:
+    def serve(self, now: int, request: interface.Request) -> Actions:
         """The generator of a request, which is given whether another gateway forwarded the request."""
         forwarded = cast("Forwarded | None", self.in_flight[request.id].call.forwarded)
         if forwarded is not None:
@@ -47,7 +47,7 @@
         generator: Actions = self.gateway.serve(now, request, forwarded)
         return generator
 
-    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+    def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host, or to an entry gateway of another cell."""
         if isinstance(attempt, ForwardAttempt):
             self.forwarded_out += 1
@@ -55,12 +55,12 @@
         else:
             super().start_attempt(key, number, attempt, now)
 
-    def reject(self, key: str, rejection: face.Reject) -> None:
+    def reject(self, key: str, rejection: interface.Reject) -> None:
         """Rejects a request; the final answer says whether this gateway does not know the cell."""
         self.in_flight[key].cell_unknown = isinstance(rejection, CellUnknown)
         super().reject(key, rejection)
 
-    def update_cell_hosts(self, cell: str, rows: Sequence[face.ListedHost]) -> None:
+    def update_cell_hosts(self, cell: str, rows: Sequence[interface.ListedHost]) -> None:
         """Takes over the complete host list of a cell."""
         now = self.loop.now()
         self.gateway.update_hosts(now, rows, True, cell=cell)
--- a/gaproute/core/completion.py
+++ b/gaproute/core/completion.py
@@ -3,7 +3,7 @@
 from abc import abstractmethod
 from collections.abc import Callable
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.driver import HOUSEKEEPING, Driver
 from gaproute.core.in_flight import RequestInFlight
 from gaproute.core.ports import DecisionModule
@@ -39,7 +39,7 @@
 
     # The final answer
 
-    def reject(self, key: str, rejection: face.Reject) -> None:
+    def reject(self, key: str, rejection: interface.Reject) -> None:
         """Gives the final answer that the request did not run, or may run again, so that a retry is safe."""
         request = self.in_flight[key]
         self._finish(
@@ -58,7 +58,7 @@
         *,
         answer: Answer | None = None,
         retry_after: int = 0,
-        cause: face.RejectReason | None = None,
+        cause: interface.RejectReason | None = None,
     ) -> None:
         """Gives the one final answer; a second one is a fault of the decision module and reaches nobody."""
         on_final, request.on_final = request.on_final, None
@@ -83,7 +83,9 @@
         self.loop.soon(on_final, final)
         self._withdraw_attempts(request)
 
-    def _record_end(self, request: RequestInFlight, ending: Ending, cause: face.RejectReason | None) -> None:
+    def _record_end(
+        self, request: RequestInFlight, ending: Ending, cause: interface.RejectReason | None
+    ) -> None:
         now = self.loop.now()
         took = now - request.first_byte_at
         self.record.request_ended(request.request_class, ending)
--- a/gaproute/core/core.py
+++ b/gaproute/core/core.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from functools import partial
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.attempts import AttemptRunner
 from gaproute.core.completion import MILLI
 from gaproute.core.in_flight import RequestInFlight
@@ -25,7 +25,7 @@
         self,
         loop: Loop,
         gateway: DecisionModule,
-        terms: face.Terms,
+        terms: interface.Terms,
         hosts: Hosts,
         record: Record,
         name: str,
@@ -68,7 +68,7 @@
         self._record_arrival(request, now, left)
         try:
             self.start_request(
-                now, face.Request(key, tenant, left, call.function, lanes, load_time, request_class)
+                now, interface.Request(key, tenant, left, call.function, lanes, load_time, request_class)
             )
         except Exception as error:  # noqa: BLE001 - whatever it is, the other requests go on
             self._decisions_failed(key, error)
@@ -132,7 +132,7 @@
 
     # Hosts
 
-    def update_hosts(self, rows: Sequence[face.ListedHost], complete: bool) -> None:
+    def update_hosts(self, rows: Sequence[interface.ListedHost], complete: bool) -> None:
         """Takes over the host list (`complete`), or a change of it."""
         now = self.loop.now()
         self.gateway.update_hosts(now, rows, complete)
@@ -150,7 +150,13 @@
         )
 
     def _order_answered(
-        self, ordered_at: int, host: str, function: str, copies: int, result: face.Result, copies_loaded: int
+        self,
+        ordered_at: int,
+        host: str,
+        function: str,
+        copies: int,
+        result: interface.Result,
+        copies_loaded: int,
     ) -> None:
         now = self.loop.now()
         if self.record.is_traced(function):
@@ -168,7 +174,7 @@
         """Checks a host's health."""
         self.hosts.probe(host, partial(self._probe_answered, host))
 
-    def _probe_answered(self, host: str, good: bool, report: face.Report | None) -> None:
+    def _probe_answered(self, host: str, good: bool, report: interface.Report | None) -> None:
         self.probe_answered(self.loop.now(), host, good, report)
 
     # Other gateways
--- a/gaproute/core/driver.py
+++ b/gaproute/core/driver.py
@@ -2,7 +2,7 @@
 
 from abc import ABC, abstractmethod
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.ports import Action, Actions, DecisionModule, Resumption
 
 HOUSEKEEPING = ""  # the key of the housekeeper's generator, beside the ids of requests
@@ -31,7 +31,7 @@
         """Cancels the wait of the key, if there is one."""
 
     @abstractmethod
-    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+    def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host as its attempt `number`."""
 
     @abstractmethod
@@ -55,7 +55,7 @@
         """Asks for the host list and its changes."""
 
     @abstractmethod
-    def reject(self, key: str, rejection: face.Reject) -> None:
+    def reject(self, key: str, rejection: interface.Reject) -> None:
         """Gives the final answer that the request did not run, or may run again."""
 
     @abstractmethod
@@ -70,14 +70,14 @@
             self.housekeeper = self.gateway.housekeep(now)
             self.advance(HOUSEKEEPING, self.housekeeper, None, now)
 
-    def start_request(self, now: int, request: face.Request) -> None:
+    def start_request(self, now: int, request: interface.Request) -> None:
         """Starts a request's generator."""
         generator = self.serve(now, request)
         self.generators[request.id] = generator
         self.attempt_counts[request.id] = 0
         self.advance(request.id, generator, None, now)
 
-    def serve(self, now: int, request: face.Request) -> Actions:
+    def serve(self, now: int, request: interface.Request) -> Actions:
         """The generator of a request."""
         return self.gateway.serve(now, request)
 
@@ -85,7 +85,7 @@
         """Resumes a generator whose wait has ended by its time, before any outcome."""
         self.resume(key, now, None)
 
-    def handle_outcome(self, now: int, outcome: face.Outcome) -> None:
+    def handle_outcome(self, now: int, outcome: interface.Outcome) -> None:
         """Accounts for an attempt that has ended, then resumes the generator of its request."""
         self.gateway.attempt_ended(now, outcome)
         self.resume(outcome.request, now, outcome)
@@ -96,7 +96,7 @@
             self.resume(key, now, _departed(key))
             self.forget(key)
 
-    def probe_answered(self, now: int, host: str, good: bool, report: face.Report | None) -> None:
+    def probe_answered(self, now: int, host: str, good: bool, report: interface.Report | None) -> None:
         """Accounts for a health check that has ended; broadcasts the message that the decisions return."""
         payload = self.gateway.probe_ended(now, host, good, report)
         if payload is not None:
@@ -104,7 +104,7 @@
 
     # Generators
 
-    def resume(self, key: str, now: int, outcome: face.Outcome | None) -> None:
+    def resume(self, key: str, now: int, outcome: interface.Outcome | None) -> None:
         """Ends a generator's wait by an outcome, or by its time (None); does nothing without a generator."""
         generator = self.housekeeper if key == HOUSEKEEPING else self.generators.get(key)
         if generator is not None:
@@ -121,10 +121,10 @@
                 return
             value = None
             match action:
-                case face.Wait(until):
+                case interface.Wait(until):
                     self.wait(key, until, now)
                     return
-                case face.Attempt():
+                case interface.Attempt():
                     value = self.attempt_counts[key]
                     self.attempt_counts[key] = value + 1
                     self.start_attempt(key, value, action, now)
@@ -134,17 +134,17 @@
     def _carry_out(self, key: str, action: Action) -> None:
         """Carries out an action that the generator does not wait for."""
         match action:
-            case face.Cancel(number):
+            case interface.Cancel(number):
                 self.cancel(key, number)
-            case face.LoadOrder(host, function, copies):
+            case interface.LoadOrder(host, function, copies):
                 self.order(host, function, copies)
-            case face.Probe(host):
+            case interface.Probe(host):
                 self.probe(host)
-            case face.Reject():
+            case interface.Reject():
                 self.reject(key, action)
-            case face.Fail():
+            case interface.Fail():
                 self.fail(key)
-            case face.PollHostList():
+            case interface.PollHostList():
                 self.watch_hosts()
             case _:
                 raise TypeError(f"unknown action {action!r}")
@@ -156,6 +156,8 @@
         self.cancel_wait(key)
 
 
-def _departed(request_id: str) -> face.Outcome:
+def _departed(request_id: str) -> interface.Outcome:
     """The outcome by which a generator learns that the client has left."""
-    return face.Outcome(request_id, -1, "", face.Result.CLIENT_LEFT, 0, True, face.Found.UNKNOWN, None, None)
+    return interface.Outcome(
+        request_id, -1, "", interface.Result.CLIENT_LEFT, 0, True, interface.Found.UNKNOWN, None, None
+    )
--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.interface.call import Answer, Call, Final
 from gaproute.loop.timers import Timer
 
@@ -11,11 +11,11 @@
 class AttemptResult(NamedTuple):
     """How an attempt ended, in the terms of the decision module."""
 
-    result: face.Result
+    result: interface.Result
     answer: Answer | None  # with Result.OK
-    found: face.Found = face.Found.UNKNOWN
+    found: interface.Found = interface.Found.UNKNOWN
     same_function_requests: int | None = None
-    report: face.Report | None = None
+    report: interface.Report | None = None
 
 
 class AttemptHandle(Protocol):
@@ -84,5 +84,5 @@
         self.attempt_count = 0  # started so far
         self.may_have_run = False  # by an attempt that has ended
         self.cell_unknown = False  # rejected because this gateway does not know its cell
-        self.found = face.Found.UNKNOWN  # by the attempt that delivered the answer
+        self.found = interface.Found.UNKNOWN  # by the attempt that delivered the answer
         self.log_step: Callable[..., None] | None = None  # where its steps are logged
--- a/gaproute/core/ports.py
+++ b/gaproute/core/ports.py
@@ -3,22 +3,22 @@
 from collections.abc import Callable, Generator, Sequence
 from typing import Protocol
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.in_flight import AttemptHandle, AttemptResult
 from gaproute.interface.call import Call
 
 Action = (
-    face.Attempt
-    | face.Wait
-    | face.Cancel
-    | face.LoadOrder
-    | face.Probe
-    | face.PollHostList
-    | face.Reject
-    | face.Fail
+    interface.Attempt
+    | interface.Wait
+    | interface.Cancel
+    | interface.LoadOrder
+    | interface.Probe
+    | interface.PollHostList
+    | interface.Reject
+    | interface.Fail
 )
 # What a generator is resumed with: nothing, an attempt's number, or the time and what ended its wait.
-Resumption = tuple[int, face.Outcome | None] | int | None
+Resumption = tuple[int, interface.Outcome | None] | int | None
 Actions = Generator[Action, Resumption, None]
 
 
@@ -27,29 +27,31 @@
 
     end_by: int  # when each request must have its final answer
 
-    def serve(self, now: int, request: face.Request, /) -> Actions:
+    def serve(self, now: int, request: interface.Request, /) -> Actions:
         """The generator of one request, up to its final answer."""
 
     def housekeep(self, now: int, /) -> Actions:
         """The generator of health checks and cleanup, for as long as the gateway runs."""
 
-    def attempt_ended(self, now: int, outcome: face.Outcome, /) -> None:
+    def attempt_ended(self, now: int, outcome: interface.Outcome, /) -> None:
         """Accounts for the outcome of an attempt."""
 
-    def probe_ended(self, now: int, host: str, good: bool, report: face.Report | None, /) -> bytes | None:
+    def probe_ended(
+        self, now: int, host: str, good: bool, report: interface.Report | None, /
+    ) -> bytes | None:
         """Accounts for a health check. Returns the message for all other gateways, or None."""
 
     def peer_message_received(self, now: int, payload: bytes, /) -> None:
         """Takes a message of another gateway; one that cannot be decoded is ignored."""
 
-    def update_hosts(self, now: int, rows: Sequence[face.ListedHost], complete: bool, /) -> None:
+    def update_hosts(self, now: int, rows: Sequence[interface.ListedHost], complete: bool, /) -> None:
         """Takes over the host list (`complete`) or a change of it."""
 
     def host_list_poll_failed(self, now: int, /) -> None:
         """Notes that a poll of the host list was refused."""
 
     def load_order_ended(
-        self, now: int, host: str, function: str, result: face.Result | None, copies: int, /
+        self, now: int, host: str, function: str, result: interface.Result | None, copies: int, /
     ) -> None:
         """Accounts for the end of a load order; `copies`: instances that are loaded at the host now."""
 
@@ -61,7 +63,7 @@
         self,
         host: str,
         call: Call,
-        idempotency: face.Idempotency,
+        idempotency: interface.Idempotency,
         request: str,
         limit: int,
         until: int,
@@ -78,9 +80,9 @@
     """Sends requests, load orders and health checks to hosts; `done` as for `RequestSender`."""
 
     def order(
-        self, host: str, function: str, copies: int, done: Callable[[face.Result, int], None], /
+        self, host: str, function: str, copies: int, done: Callable[[interface.Result, int], None], /
     ) -> None:
         """Orders a host to load a function; `done` gets the result and how many instances are loaded."""
 
-    def probe(self, host: str, done: Callable[[bool, face.Report | None], None], /) -> None:
+    def probe(self, host: str, done: Callable[[bool, interface.Report | None], None], /) -> None:
         """Checks a host's health; `done` is not called where the check could not be sent."""
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -8,14 +8,14 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from gaproute import interface as face
+from gaproute import interface
 
 MICRO = 1_000
 MICROS_PER_MILLI = 1_000
 IDEMPOTENCY = {
-    "free": face.Idempotency.IDEMPOTENT,
-    "guarded": face.Idempotency.IDEMPOTENT_WITH_KEY,
-    "single_shot": face.Idempotency.NON_IDEMPOTENT,
+    "free": interface.Idempotency.IDEMPOTENT,
+    "guarded": interface.Idempotency.IDEMPOTENT_WITH_KEY,
+    "single_shot": interface.Idempotency.NON_IDEMPOTENT,
 }
 # The fields of a load report, each with the names that it may have.
 FIGURES = {
@@ -42,13 +42,13 @@
     cancel_allowed: bool = True  # hosts may be notified of a cancelled request
 
 
-def read_terms(settings: Mapping[str, Any]) -> face.Terms:
+def read_terms(settings: Mapping[str, Any]) -> interface.Terms:
     """The terms of the decisions."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     rules, prices = _section(settings, "rules"), _section(settings, "prices")
     report = _section(settings, "report")
     report_names = set(report.get("names") or ())
-    return face.Terms(
+    return interface.Terms(
         request_classes=tuple(_request_class(each) for each in settings.get("lanes") or ()),
         tenant_shares=tuple(float(each.get("share") or 0.0) for each in settings.get("tenants") or ()),
         over_share_value=float(settings.get("over_share_worth", 1.0)),
@@ -72,7 +72,9 @@
         retry_after_limit=_duration(limits, "max_retry_after") if limits.get("retry_after") else 0,
         warm_up_share=float(rules.get("cold_from") or 0),
         warm_up_time=_duration(rules, "cold"),
-        warm_up_overload=float(rules.get("fall_multiple") or face.Terms._field_defaults["warm_up_overload"]),
+        warm_up_overload=float(
+            rules.get("fall_multiple") or interface.Terms._field_defaults["warm_up_overload"]
+        ),
         host_list_polled=settings.get("membership_mode") == LIST_POLLED,
         zone=settings["az"] if isinstance(settings.get("az"), int) else -1,
         crossing_price=float(prices.get("cross_zone") or 0),
@@ -95,10 +97,10 @@
     )
 
 
-def read_report(figures: Mapping[str, float | None]) -> face.Report | None:
+def read_report(figures: Mapping[str, float | None]) -> interface.Report | None:
     """A load report by the names of its figures; None where none of them is known."""
     fields = [next((figures[name] for name in names if name in figures), None) for names in FIGURES.values()]
-    return face.Report(*fields) if any(field is not None for field in fields) else None
+    return interface.Report(*fields) if any(field is not None for field in fields) else None
 
 
 def _section(settings: Mapping[str, Any], key: str) -> Mapping[str, Any]:
@@ -107,10 +109,10 @@
     return section
 
 
-def _request_class(fields: Mapping[str, Any]) -> face.RequestClass:
-    return face.RequestClass(
+def _request_class(fields: Mapping[str, Any]) -> interface.RequestClass:
+    return interface.RequestClass(
         idempotency=IDEMPOTENCY[fields["effect"]],
-        group=face.Group(fields.get("group") or "all"),
+        group=interface.Group(fields.get("group") or "all"),
         repeat_window=_duration(fields, "dedup_window"),
         latency_objective=_duration(fields, "aim"),
         hard_limit=_duration(fields, "deadline"),
