--- a/benchmarks/scale/costs/cell_hosts_rest.py
+++ b/benchmarks/scale/costs/cell_hosts_rest.py
@@ -3,13 +3,14 @@
 import multiprocessing
 import tempfile
 import time
+from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
 
 from benchmarks.scale.costs.cell_hosts import lines, members, names
-from benchmarks.scale.measurement import measure
+from benchmarks.scale.measurement import Measurements, measure
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND
-from gaproute.appliance.cell_lists import CellLists
+from gaproute.appliance.cell_lists import CellLists, Lists
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.config.directives.fleet import CellHostsLine
 from gaproute.decisions.chance import Chance
@@ -21,80 +22,84 @@
 CELLS = (1, 4, 16, 64)
 RESTING = 3  # seconds that rest is metered for
 HOSTS = 16  # of a cell
-COMMENT, TCP_HEADERS = 3, 52  # bytes of a sign of life; of IPv4 and TCP with timestamps around it
+LOOK = SECOND // 20  # ns between two looks at a file
+COMMENT, TCP_HEADERS = 3, 52  # bytes of a comment; of IPv4 and TCP with timestamps around it
 
 
-def _resting(loop, seconds):
+def _resting(loop: Loop, seconds: float) -> float:
     """Milliseconds of CPU a second of a loop on which nothing changes."""
-    begun = time.process_time()
+    began = time.process_time()
     loop.run(until=loop.sleep(int(seconds * SECOND)))
-    return (time.process_time() - begun) / seconds * MS_PER_SECOND
+    return (time.process_time() - began) / seconds * MS_PER_SECOND
 
 
-def _line(**told):
-    return CellHostsLine(look=SECOND // 20, **told)
+def _ignore(*event: object) -> None:
+    """Do nothing: no list is rejected here, and the source does not fail."""
 
 
-def files_rest_cpu(cells, seed, seconds=RESTING):
-    """Of looks at the files of so many cells."""
-    loop, told = Loop(), []
+def files_rest_cpu(cells: int, seed: int, seconds: float = RESTING) -> float:
+    """Milliseconds of CPU a second of looking at the files of so many cells."""
+    loop = Loop()
+    changes: list[Lists] = []
     with tempfile.TemporaryDirectory(prefix="cell-hosts-") as folder:
         for place, cell in enumerate(names(cells)):
             Path(folder, f"{cell}.hosts").write_text(lines(place, HOSTS, seed))
-        lists = CellLists(loop, _line(folder=folder), told.append, lambda *wrong: None)
+        lists = CellLists(
+            loop, CellHostsLine.model_validate({"look": LOOK, "folder": folder}), changes.append, _ignore
+        )
         lists.set_cells(dict.fromkeys(names(cells), "z"))
         spent = _resting(loop, seconds)
         lists.close()
-    assert len(told[-1]) == cells
+    assert len(changes[-1]) == cells
     loop.close()
     return spent
 
 
-def _serve(cells, seed, wheres):
-    """A source as a process of its own, which signs of life leave each second."""
+def _serve(cells: int, seed: int, addresses: "multiprocessing.Queue[str]") -> None:
+    """Run a source of host lists, a process of its own, that sends a comment each second."""
     loop = Loop()
     source = CellSource(loop, "north", comment=SECOND)
     for place, cell in enumerate(names(cells)):
         source.publish(cell, *members(place, HOSTS, seed))
-    wheres.put(source.address)
+    addresses.put(source.address)
     loop.run()
 
 
 @contextmanager
-def served(cells, seed):
-    """The address of a source of so many cells."""
+def served(cells: int, seed: int) -> Iterator[str]:
+    """Run a source of so many cells; gives its address."""
     context = multiprocessing.get_context("spawn")
-    wheres = context.Queue()
-    process = context.Process(target=_serve, args=(cells, seed, wheres), daemon=True)
+    addresses = context.Queue()
+    process = context.Process(target=_serve, args=(cells, seed, addresses), daemon=True)
     process.start()
-    yield wheres.get()
+    yield addresses.get()
     process.kill()
     process.join()
 
 
-def followed_rest_cpu(cells, seed, seconds=RESTING):
-    """Of connections to a source that tells signs of life alone."""
-    loop, told = Loop(), []
+def followed_rest_cpu(cells: int, seed: int, seconds: float = RESTING) -> float:
+    """Milliseconds of CPU a second of connections to a source that sends comments alone."""
+    loop = Loop()
+    changes: list[Lists] = []
     with served(cells, seed) as where:
-        line = _line(**{"from": where})
-        nothing = [lambda *wrong: None] * 2
-        lists = FollowedLists(loop, "north", line, told.append, *nothing, Chance(seed))
+        line = CellHostsLine.model_validate({"look": LOOK, "from": where})
+        lists = FollowedLists(loop, "north", line, changes.append, _ignore, _ignore, Chance(seed))
         lists.set_cells(dict.fromkeys(names(cells), "z"))
-        while not told or len(told[-1]) < cells:
-            loop.run(until=loop.sleep(SECOND // 20))
+        while not changes or len(changes[-1]) < cells:
+            loop.run(until=loop.sleep(LOOK))
         spent = _resting(loop, seconds)
         lists.close()
-    assert len(told[-1]) == cells
+    assert len(changes[-1]) == cells
     loop.close()
     return spent
 
 
-def followed_rest_bytes(cells, seed):
-    """Bytes a second of signs of life, received, and of their acknowledgements, sent."""
+def followed_rest_bytes(cells: int, seed: int) -> float:
+    """Bytes a second of comments, received, and of their acknowledgements, sent."""
     return cells * (COMMENT + TCP_HEADERS + TCP_HEADERS)
 
 
-MEASUREMENTS = {
+MEASUREMENTS: Measurements = {
     "cell-files-rest-cpu-by-cells": lambda: measure(
         "cell-files-rest-cpu-by-cells",
         "CPU of looking at the host files of cells that do not change",
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -1,4 +1,4 @@
-"""Probes and kept connections to hosts, on loopback: processor time, bytes, memory."""
+"""Health checks and pooled connections to hosts, on loopback: processor time, bytes, memory."""
 
 import json
 import subprocess
@@ -6,13 +6,14 @@
 
 from benchmarks import kept_connections
 from benchmarks.scale.deferred import deferred
+from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, cpu_seconds_once, retained_bytes
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve import messages
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.http1 import render
-from gaproute.interface import ListedHost, State
+from gaproute.interface import ListedHost, Report, State
 from gaproute.loop import Loop, Promise
 
 SECOND = 1_000_000_000
@@ -23,86 +24,89 @@
 
 
 class ProbedHosts:
-    """Hosts behind one listener, a process of its own, each with its own kept connection."""
+    """Hosts behind one listener, a process of its own, each with a pooled connection of its own."""
 
-    def __init__(self, count):
+    def __init__(self, count: int) -> None:
         command = [sys.executable, kept_connections.__file__, "listeners", "1", "0", str(IDLE)]
         self.listener = subprocess.Popen(command, stdout=subprocess.PIPE)
-        (where,) = json.loads(self.listener.stdout.readline())
-        self.loop, self.good = Loop(), 0
+        assert self.listener.stdout is not None
+        self.output = self.listener.stdout
+        (where,) = json.loads(self.output.readline())
+        self.loop = Loop()
+        self.ready = 0  # probes that found their host ready
+        self.waiting, self.ended = 0, Promise()  # probes in flight, and what is set once none is
         self.hosts = KServeClient(self.loop, Pooling())
         self.names = [f"host-{number:04}" for number in range(count)]
         rows = [Endpoint(ListedHost(name, 0, 0, State.ACTIVE, 1.0, None), where) for name in self.names]
         self.hosts.update(rows, complete=True)
 
-    def probe_all(self):
-        """Probes each host once, a few at a time."""
+    def probe_all(self) -> None:
+        """Probe each host once, a few at a time."""
         for first in range(0, len(self.names), TOGETHER):
-            names, ended = self.names[first : first + TOGETHER], Promise()
-            left = [len(names)]
-
-            def done(good, report, left=left, ended=ended):
-                self.good += good
-                left[0] -= 1
-                if not left[0]:
-                    ended.set(None)
-
+            names = self.names[first : first + TOGETHER]
+            self.waiting, self.ended = len(names), Promise()
             for name in names:
-                self.hosts.probe(name, done)
-            self.loop.run(until=ended)
+                self.hosts.probe(name, self._probe_ended)
+            self.loop.run(until=self.ended)
+
+    def _probe_ended(self, ready: bool, report: Report | None) -> None:
+        self.ready += ready
+        self.waiting -= 1
+        if not self.waiting:
+            self.ended.set(None)
 
-    def close(self):
-        """Ends connections and listener."""
+    def close(self) -> None:
+        """Close the connections and end the listener."""
         self.hosts.close()
         self.loop.close()
         self.listener.kill()
         self.listener.wait()
-        self.listener.stdout.close()
+        self.output.close()
 
 
-def new_connections_cpu(count, seed):
-    """Milliseconds of CPU of a first probe of each."""
+def new_connections_cpu(count: int, seed: int) -> float:
+    """Milliseconds of CPU of a first probe of each host."""
     probed = ProbedHosts(count)
     spent = cpu_seconds_once(probed.probe_all)
-    opened, good = probed.hosts.opened, probed.good
+    opened, ready = probed.hosts.opened, probed.ready
     probed.close()
-    assert (opened, good) == (count, count), (opened, good)
+    assert (opened, ready) == (count, count), (opened, ready)
     return spent * MS_PER_SECOND
 
 
-def kept_connections_cpu(count, seed):
-    """Milliseconds of CPU of a second probe of each."""
+def kept_connections_cpu(count: int, seed: int) -> float:
+    """Milliseconds of CPU of a second probe of each host."""
     probed = ProbedHosts(count)
     probed.probe_all()
     spent = cpu_seconds_once(probed.probe_all)
-    reused, good = probed.hosts.reused, probed.good
+    reused, ready = probed.hosts.reused, probed.ready
     probed.close()
-    assert (reused, good) == (count, 2 * count), (reused, good)
+    assert (reused, ready) == (count, 2 * count), (reused, ready)
     return spent * MS_PER_SECOND
 
 
-def memory(count, seed):
-    """Bytes that hosts and their kept connections hold."""
-    probed = []
+def memory(count: int, seed: int) -> float:
+    """Bytes of the hosts and their pooled connections."""
+    probed: list[ProbedHosts] = []
 
-    def build():
+    def build() -> None:
         probed.append(ProbedHosts(count))
         probed[0].probe_all()
 
-    held = retained_bytes(build)
-    assert probed[0].good == count
+    size = retained_bytes(build)
+    assert probed[0].ready == count
     probed[0].close()
-    return held
+    return size
 
 
-def probe_bytes(count, seed):
-    """Bytes of a probe of each and its answer."""
+def probe_bytes(count: int, seed: int) -> float:
+    """Bytes of a probe of each host and its answer."""
     return count * (len(messages.encode_ready(WHERE)) + len(render(200, (), b"{}", close=False)))
 
 
 LOOPBACK = "one listener in a process of its own, on loopback"
 
-MEASUREMENTS = {
+MEASUREMENTS: Measurements = {
     **deferred(
         "probe-new-connection-cpu-by-hosts",
         "CPU to probe each host once on a new connection, the handshake in it",
--- a/benchmarks/scale/costs/consensus.py
+++ b/benchmarks/scale/costs/consensus.py
@@ -1,26 +1,33 @@
-"""The Raft group of three and its leases: what holders that keep leases up cost it."""
+"""The Raft group of three and its leases: what holders that renew leases cost it."""
 
 import time
-from collections import Counter
+from collections import defaultdict
+from typing import Any
 
 from benchmarks.scale.deferred import deferred
+from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND
 from gaproute.http1 import render
 from gaproute.peers.raft import wire
 from gaproute.peers.raft.transport import TARGET
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import RaftNode
+from gaproute.shared.raft.messages import RaftMessage
+from gaproute.simulation.disk import SimulatedDisk
 from gaproute.simulation.fault_schedule import FaultSchedule
 from gaproute.simulation.options import MessageCodec, SimulationOptions
-from gaproute.simulation.simulation import Simulation
+from gaproute.simulation.process_slot import ProcessFactory, ProcessSlot
+from gaproute.simulation.seeded_random import SeededRandom
+from gaproute.simulation.simulation import Simulation, SlotCall
 
 SECOND = 1_000_000_000
 HOLDERS = (4, 16, 64, 256)
 LEASES = (1, 4, 16, 64)  # of each holder
 FEW, SOME = 8, 1
 GROUP = ("k1", "k2", "k3")
+END = 1 << 62  # ns: no run comes to the end of the schedule
 SPAN = 20 * SECOND  # of a lease; it is renewed after half of it
-FOUNDED = 5  # s until the group has a leader
+ELECTION_TIME = 5  # s until the group has a leader
 PLAYED = 20  # s that are measured: each lease is renewed twice
 SIMULATED = (
     f"a group of {len(GROUP)} simulated by gaproute/simulation without faults; "
@@ -29,123 +36,126 @@
 POSTED = "each message counted as a POST and its answer of their own, HTTP heads in, TCP's not"
 
 
-def encoded(message):
+def encoded(message: Any) -> bytes:
     """The message as a batch of its own."""
     return wire.batch(GROUP[0], [wire.pack(message)])
 
 
-def decoded(data):
+def decoded(data: Any) -> RaftMessage:
     """The message of such a batch."""
     return wire.read(data)[1][0]
 
 
-def posted(data):
+def posted(data: bytes) -> int:
     """Bytes of the exchange that carries a batch."""
     head = b"POST %s HTTP/1.1\r\nHost: peer\r\nContent-Length: %d\r\n\r\n" % (TARGET, len(data))
     return len(head) + len(data) + len(render(204, (), b"", close=False))
 
 
-class Group(Simulation):
-    """Counts what is sent, and the CPU of each actor's calls with their messages' bytes made and read."""
+class SimulatedRaftGroup(Simulation):
+    """Counts what is sent, and the CPU of each process's calls, with its messages' encoding and decoding."""
 
-    def __init__(self, holders, seed):
-        self.messages, self.sent, self.spent = 0, 0, Counter()
-        makes = {name: self.keeper for name in GROUP}
-        makes |= {f"h{number}": self.holder for number in range(holders)}
-        options = SimulationOptions(drifts=dict.fromkeys(makes, 0), codec=MessageCodec(encoded, decoded))
-        super().__init__(FaultSchedule(seed, 1 << 62), makes, options=options)
+    def __init__(self, holders: int, seed: int) -> None:
+        self.messages = self.sent = 0  # messages and bytes of all
+        self.spent: defaultdict[str, float] = defaultdict(float)  # CPU seconds by process
+        factories: dict[str, ProcessFactory] = dict.fromkeys(GROUP, self.raft_node)
+        factories |= {f"h{number}": self.holder for number in range(holders)}
+        options = SimulationOptions(drifts=dict.fromkeys(factories, 0), codec=MessageCodec(encoded, decoded))
+        super().__init__(FaultSchedule(seed, END), factories, options=options)
 
-    def keeper(self, name, disk, chance, now):
-        """A member of the group."""
+    def raft_node(self, name: str, disk: SimulatedDisk, chance: SeededRandom, now: int) -> RaftNode:
+        """Make a member of the group."""
         return RaftNode(name, GROUP, disk, chance, now, LeaseTable(initial_wait=False))
 
-    def holder(self, name, disk, chance, now):
-        """A gateway that wants leases."""
+    def holder(self, name: str, disk: SimulatedDisk, chance: SeededRandom, now: int) -> LeaseClient:
+        """Make a gateway that wants leases."""
         return LeaseClient(name, GROUP, chance, now)
 
-    def call(self, slot, call):
-        """As a simulation's, metered."""
-        begun = time.process_time()
+    def call(self, slot: ProcessSlot, call: SlotCall) -> None:
+        """As in a `Simulation`, with its CPU time counted."""
+        began = time.process_time()
         super().call(slot, call)
-        self.spent[slot.name] += time.process_time() - begun
+        self.spent[slot.name] += time.process_time() - began
 
-    def send(self, slot, to, message):
-        """As a simulation's, counted."""
+    def send(self, slot: ProcessSlot, to: str, message: object) -> None:
+        """As in a `Simulation`, with messages and bytes counted."""
         self.messages += 1
         self.sent += posted(encoded(message))
         super().send(slot, to, message)
 
-    def play(self, seconds):
-        """Plays so long, second by second: the simulation's bound on steps is one of a hunt's whole run."""
+    def play(self, seconds: int) -> None:
+        """Run so long, second by second: the simulation's bound on steps is meant for a whole run."""
         for _ in range(seconds):
             self.timeline.step = 0
             self.run(self.now + SECOND)
 
-    def take(self, holder, resource):
+    def request_lease(self, holder: str, resource: str) -> None:
         """The holder wants this lease from now on."""
 
-        def acquire(client, now):
+        def acquire(client: LeaseClient, now: int) -> None:
             client.acquire(now, resource, SPAN)
 
         self.ask(holder, acquire)
 
-    def leading(self):
-        """The name of the group's leader."""
-        return next(name for name in GROUP if self.slots[name].process.is_leader)
+    def leader(self) -> RaftNode:
+        """The group's leader."""
+        nodes = [self.slots[name].process for name in GROUP]
+        return next(node for node in nodes if isinstance(node, RaftNode) and node.is_leader)
 
 
-def played(holders, leases, seed):
-    """A group whose holders keep up so many leases each, after the span that is measured."""
-    group = Group(holders, seed)
-    group.play(FOUNDED)
+def played(holders: int, leases: int, seed: int) -> SimulatedRaftGroup:
+    """A group whose holders renew so many leases each, after the span that is measured."""
+    group = SimulatedRaftGroup(holders, seed)
+    group.play(ELECTION_TIME)
     between = SPAN // 2 // (holders * leases)
     for place in range(leases):
         for number in range(holders):
-            group.take(f"h{number}", f"host-{number:04}-{place:02}")
+            group.request_lease(f"h{number}", f"host-{number:04}-{place:02}")
             group.run(group.now + between)
             group.timeline.step = 0
     group.play(PLAYED)
     group.messages, group.sent = 0, 0
     group.spent.clear()
     group.play(PLAYED)
-    machine = group.slots[group.leading()].process.machine
+    machine = group.leader().machine
+    assert isinstance(machine, LeaseTable)
     assert len(machine.leases) == holders * leases, len(machine.leases)
     return group
 
 
-def bytes_by_holders(holders, seed):
+def bytes_by_holders(holders: int, seed: int) -> float:
     """Bytes a second of all."""
     return played(holders, SOME, seed).sent / PLAYED
 
 
-def messages_by_holders(holders, seed):
+def messages_by_holders(holders: int, seed: int) -> float:
     """Messages a second of all."""
     return played(holders, SOME, seed).messages / PLAYED
 
 
-def leader_cpu(group):
+def leader_cpu(group: SimulatedRaftGroup) -> float:
     """Milliseconds of CPU a second of the leader."""
-    return group.spent[group.leading()] / PLAYED * MS_PER_SECOND
+    return group.spent[group.leader().name] / PLAYED * MS_PER_SECOND
 
 
-def cpu_by_holders(holders, seed):
+def cpu_by_holders(holders: int, seed: int) -> float:
     """Milliseconds of CPU a second of the leader."""
     return leader_cpu(played(holders, SOME, seed))
 
 
-def bytes_by_leases(leases, seed):
+def bytes_by_leases(leases: int, seed: int) -> float:
     """Bytes a second of all."""
     return played(FEW, leases, seed).sent / PLAYED
 
 
-def cpu_by_leases(leases, seed):
+def cpu_by_leases(leases: int, seed: int) -> float:
     """Milliseconds of CPU a second of the leader."""
     return leader_cpu(played(FEW, leases, seed))
 
 
 SPENT = f"{SIMULATED}. {CPU_TIME}; sockets and disks not in"
 
-MEASUREMENTS = {
+MEASUREMENTS: Measurements = {
     **deferred(
         "consensus-bytes-by-holders",
         "bytes that group and holders send, one lease a holder",
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -1,15 +1,17 @@
-"""The gateway's decisions by hosts: calls, the list, memory, tidying."""
+"""The gateway's decisions by hosts: calls, the list, memory, housekeeping."""
 
+from collections.abc import Callable
 from functools import partial
 
 from benchmarks.scale.gateways import CAPACITY, MEGABYTE, REPORT, SECOND, TERMS, Caller, row, rows
+from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import retained_bytes
 from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, grown
 from gaproute.decisions.routing import Gateway
-from gaproute.interface import Wait
+from gaproute.interface import Report, Wait
 
 HOSTS = (100, 400, 1_600, 6_400, 25_600)
-FEWER_HOSTS = HOSTS[:-1]  # where the largest would take long and tell little more
+FEWER_HOSTS = HOSTS[:-1]  # where the largest would take long and show little more
 BY = "hosts in the list"
 WARM_FUNCTIONS = 200
 WARM_ROUNDS = 3  # calls of each before the measured ones
@@ -21,7 +23,7 @@
     return max(4, min(64, 25_600 // hosts))
 
 
-def rare_calls(hosts: int, seed: int, between) -> float:
+def rare_calls(hosts: int, seed: int, between: Callable[[Caller], None]) -> float:
     """Milliseconds of a call of functions known, `between(caller)` having been done since their first one."""
     caller = Caller(hosts, seed)
     caller.crowd_mix()
@@ -66,8 +68,8 @@
     return cpu_ms(lambda: caller.call(next(called)), len(names))
 
 
-def warm_call(hosts: int, seed: int, report=None) -> float:
-    """Milliseconds of a call where many functions are called in turn; each answer tells the report."""
+def warm_call(hosts: int, seed: int, report: Report | None = None) -> float:
+    """Milliseconds of a call where many functions are called in turn; each answer contains the report."""
     caller = Caller(hosts, seed, report)
     names = [f"warm-{number}" for number in range(WARM_FUNCTIONS)]
     for name in names * WARM_ROUNDS:
@@ -78,12 +80,12 @@
 
 def whole_list(hosts: int, seed: int) -> float:
     """Milliseconds of the first whole list."""
-    gateway, told = Gateway(seed, TERMS, 0), rows(hosts)
-    return cpu_ms(lambda: gateway.update_hosts(0, told, True))
+    gateway, listed = Gateway(seed, TERMS, 0), rows(hosts)
+    return cpu_ms(lambda: gateway.update_hosts(0, listed, True))
 
 
 def reported_warm_call(hosts: int, seed: int) -> float:
-    """The same where every answer tells the host's load and memory."""
+    """The same where every answer contains the host's load and memory."""
     return warm_call(hosts, seed, REPORT)
 
 
@@ -100,34 +102,34 @@
 
 
 def list_memory(hosts: int, seed: int) -> float:
-    """Megabytes that a gateway with the list holds."""
+    """Megabytes of a gateway with the list."""
     return retained_bytes(lambda: Caller(hosts, seed)) / MEGABYTE
 
 
 def function_memory(hosts: int, seed: int) -> float:
-    """Bytes for each function kept after one call."""
-    caller, kept = Caller(hosts, seed), repeats(hosts)
+    """Bytes for each function known after one call."""
+    caller, count = Caller(hosts, seed), repeats(hosts)
     caller.call("before")
     caller.crowd_mix()
 
-    def call_each():
-        for number in range(kept):
+    def call_each() -> None:
+        for number in range(count):
             caller.call(f"rare-{number}")
 
-    return retained_bytes(call_each) / kept
+    return retained_bytes(call_each) / count
 
 
 def housekeeping_round(hosts: int, seed: int) -> float:
     """Milliseconds of one second's round, without probes and with nothing to forget."""
     caller = Caller(hosts, seed)
     for number in range(4):
-        caller.call(f"kept-{number}")
-    keeper = caller.gateway.housekeep(caller.now)
-    assert isinstance(next(keeper), Wait)
+        caller.call(f"known-{number}")
+    housekeeping = caller.gateway.housekeep(caller.now)
+    assert isinstance(next(housekeeping), Wait)
 
-    def turn():
+    def turn() -> None:
         caller.now += SECOND
-        keeper.send((caller.now, None))
+        housekeeping.send((caller.now, None))
 
     return cpu_ms(turn, repeats(hosts))
 
@@ -174,7 +176,7 @@
         f"{CPU}; no probes, 4 functions",
     ),
 )
-MEASUREMENTS = {
+MEASUREMENTS: Measurements = {
     name: partial(grown, name, meaning, unit, BY, HOSTS, play, conditions)
     for name, meaning, unit, play, conditions in PLAYED
 }
--- a/benchmarks/scale/costs/dissemination.py
+++ b/benchmarks/scale/costs/dissemination.py
@@ -1,9 +1,11 @@
-"""What the dissemination of the cell table takes, by the number of gateways, on a simulated network."""
+"""Time and traffic of the cell table's dissemination, by the number of gateways, on a simulated network."""
 
+from collections.abc import Callable, Iterator
 from functools import partial
+from typing import Any
 
 from benchmarks.scale import dissemination
-from benchmarks.scale.measurement import measure
+from benchmarks.scale.measurement import Measure, Measurement, measure
 
 SIZES = (250, 500, 1_000, 2_000, 4_000, 16_000)
 GATEWAYS = "gateways"
@@ -28,26 +30,34 @@
 }
 
 
-def _measured(name, meaning, unit, play, field, conditions):
-    def value(size, seed):
-        return getattr(play(size, seed), field)
+Figures = dissemination.Spread | dissemination.Traffic | dissemination.Recovery
+FleetPlay = Callable[[int, int], Figures]  # of the number of gateways and a seed
+
+
+def _measured(
+    name: str, meaning: str, unit: str, play: FleetPlay, field: str, conditions: str
+) -> Measurement:
+    def value(size: int, seed: int) -> float:
+        return float(getattr(play(size, seed), field))
 
     return measure(name, meaning, unit, GATEWAYS, SIZES, value, f"{NETWORK}; {conditions}")
 
 
-def _spreads():
-    cases = {f"loss{loss // 10}": (dict(loss=loss), f"{loss / 10:.0f} % loss") for loss in (0, 50, 200)}
+def _spreads() -> Iterator[tuple[str, Measure]]:
+    cases: dict[str, tuple[dict[str, Any], str]] = {
+        f"loss{loss // 10}": (dict(loss=loss), f"{loss / 10:.0f} % loss") for loss in (0, 50, 200)
+    }
     cases["slow"] = dict(loss=50, slow=100), "5 % loss, a tenth of the gateways 250 ms slow each way"
     cases["killed"] = dict(killed=True), "no loss, the source dies after its first push"
-    for case, (told, conditions) in cases.items():
-        play = partial(dissemination.spread, **told)
+    for case, (faults, conditions) in cases.items():
+        play = partial(dissemination.spread, **faults)
         for field, meaning in SPREAD.items():
             name = f"dissemination-{case}-{field}"
             yield name, partial(_measured, name, meaning, "ms", play, field, conditions)
 
 
-def _others():
-    cases = {
+def _others() -> Iterator[tuple[str, Measure]]:
+    cases: dict[str, tuple[FleetPlay, dict[str, tuple[str, str]], str]] = {
         "day": (partial(dissemination.load, loss=50), TRAFFIC, "46,000 changes a day, 5 % loss"),
         "rest": (dissemination.rest, TRAFFIC, "no changes"),
         "newcomer": (
--- a/benchmarks/scale/costs/forwarding.py
+++ b/benchmarks/scale/costs/forwarding.py
@@ -4,7 +4,7 @@
 from functools import lru_cache, partial
 
 from benchmarks.scale.forwarding import CELLS, HOSTS, MODELS, Fleet, Run
-from benchmarks.scale.measurement import PLAYS, measure
+from benchmarks.scale.measurement import PLAYS, Measurement, Measurements, Play, measure
 
 RATES = (24, 48, 97, 194)  # calls a second of a gateway's own clients
 SECONDS, WARM_UP = 4, 1
@@ -35,25 +35,24 @@
     return runs, f"{before:.1f} to {os.getloadavg()[0]:.1f}"
 
 
-def cpu_of_both(kind, rate, seed):
+def cpu_of_both(kind: str, rate: int, seed: int) -> float:
     """Milliseconds a second, the mean of the two gateways."""
     return sum(plays()[0][kind, rate, seed].cpu.values()) / len(CELLS)
 
 
-def cpu_one_way(cell, rate, seed):
+def cpu_one_way(cell: str, rate: int, seed: int) -> float:
     """Milliseconds a second of one gateway where the first one forwards to the second."""
     return plays()[0]["one way", rate, seed].cpu[cell]
 
 
-def added(percentile, rate, seed):
+def added(percentile: str, rate: int, seed: int) -> float:
     """Milliseconds, over calls of functions whose home is the gateway's own cell."""
     runs = plays()[0]
-    return getattr(runs["both", rate, seed], percentile) - getattr(
-        runs["unforwarded", rate, seed], percentile
-    )
+    forwarded = getattr(runs["both", rate, seed], percentile)
+    return float(forwarded - getattr(runs["unforwarded", rate, seed], percentile))
 
 
-def _measured(name, meaning, unit, play):
+def _measured(name: str, meaning: str, unit: str, play: Play) -> Measurement:
     made = partial(measure, name, meaning, unit, "calls a second of a gateway's own clients", RATES, play)
     runs = plays()[0]
     failed = sum(run.failed for run in runs.values())
@@ -99,4 +98,4 @@
         partial(added, "p99"),
     ),
 }
-MEASUREMENTS = {name: partial(_measured, name, *case) for name, case in CASES.items()}
+MEASUREMENTS: Measurements = {name: partial(_measured, name, *case) for name, case in CASES.items()}
--- a/benchmarks/scale/costs/functions.py
+++ b/benchmarks/scale/costs/functions.py
@@ -1,14 +1,16 @@
-"""The gateway's decisions by functions kept, all rare, in a fleet of one size: memory, a call, tidying."""
+"""The gateway's decisions by functions known, all rare, in a fleet of one size: memory, a call, cleanup."""
 
 import gc
 import time
 import tracemalloc
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from functools import cache, partial
+from functools import cache
+from typing import TypeVar
 
 from benchmarks.scale.gateways import MEGABYTE, SECOND, Caller, row
-from benchmarks.scale.measurement import PLAYS, Measurement, Point
-from benchmarks.scale.plays import CPU, MEMORY, cpu_ms
+from benchmarks.scale.measurement import PLAYS, Measurement, Measurements, Point
+from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, with_omitted
 from gaproute.interface import State
 
 HOSTS = 1_600
@@ -19,86 +21,90 @@
 LONG_STEP = 20.0  # seconds of processor time until the next size, beyond which it is left out
 
 
+T = TypeVar("T")
+
+
 @dataclass(frozen=True)
 class Sample:
-    """What is measured with so many functions kept."""
+    """What is measured with so many functions known, all in milliseconds."""
 
     call: float
-    tidy: float
-    tidy_host_left: float
+    cleanup: float
+    cleanup_host_left: float
 
 
-def _fill(caller, kept, functions):
-    """Calls functions not called before, up to so many. False if it would take too long."""
-    begun = time.process_time()
-    for number in range(kept, functions):
+def _fill(caller: Caller, known: int, functions: int) -> bool:
+    """Call functions not called before, up to so many. False if it would take too long."""
+    began = time.process_time()
+    for number in range(known, functions):
         caller.call(f"rare-{number}")
-        done = number + 1 - kept
-        if done == CALLS and (time.process_time() - begun) * (functions - kept) / done > LONG_STEP:
+        done = number + 1 - known
+        if done == CALLS and (time.process_time() - began) * (functions - known) / done > LONG_STEP:
             return False
     return True
 
 
-def _steps(seed):
+def _steps(seed: int) -> Iterator[tuple[int, Caller]]:
     """(functions, caller) at each size, one gateway growing, until the next would take too long."""
-    caller, kept = Caller(HOSTS, seed), 0
+    caller, known = Caller(HOSTS, seed), 0
     caller.crowd_mix()
     for functions in FUNCTIONS:
-        if not _fill(caller, kept, functions):
+        if not _fill(caller, known, functions):
             return
         yield functions, caller
-        kept = functions
+        known = functions
 
 
-def _call(caller, kept, functions):
+def _call(caller: Caller, known: int, functions: int) -> float:
     """Milliseconds of a call of functions called before, and since the list last changed."""
-    stride = (functions - kept) // CALLS
-    names = iter([f"rare-{kept + number * stride}" for number in range(CALLS)])
+    stride = (functions - known) // CALLS
+    names = iter([f"rare-{known + number * stride}" for number in range(CALLS)])
     return cpu_ms(lambda: caller.call(next(names)), CALLS)
 
 
-def _tidy(caller):
+def _cleanup(caller: Caller) -> float:
     """Milliseconds of a round of housekeeping."""
-    keeper, now = caller.gateway.housekeep(caller.now), caller.now + SECOND
-    next(keeper)
-    return cpu_ms(lambda: keeper.send((now, None)))
+    housekeeping, now = caller.gateway.housekeep(caller.now), caller.now + SECOND
+    next(housekeeping)
+    return cpu_ms(lambda: housekeeping.send((now, None)))
 
 
-def _host_leaves(caller, number):
+def _host_leaves(caller: Caller, number: int) -> float:
     """Milliseconds of a round before which a host left the list; it is listed again afterwards."""
     caller.gateway.update_hosts(caller.now, [row(number, State.GONE)], False)
-    spent = _tidy(caller)
+    spent = _cleanup(caller)
     caller.gateway.update_hosts(caller.now, [row(number)], False)
     return spent
 
 
 @cache
-def _played(seed):
+def _played(seed: int) -> dict[int, Sample]:
     """{functions: Sample} of one play."""
-    found, kept = {}, 0
+    found: dict[int, Sample] = {}
+    known = 0
     for functions, caller in _steps(seed):
-        call, kept = _call(caller, kept, functions), functions
-        tidy = sum(_tidy(caller) for _ in range(ROUNDS)) / ROUNDS
+        call, known = _call(caller, known, functions), functions
+        cleanup = sum(_cleanup(caller) for _ in range(ROUNDS)) / ROUNDS
         left = sum(_host_leaves(caller, number) for number in range(ROUNDS)) / ROUNDS
-        found[functions] = Sample(call, tidy, left)
+        found[functions] = Sample(call, cleanup, left)
     return found
 
 
 @cache
-def _memory(seed):
-    """{functions: megabytes that they hold} of one play."""
-    found = {}
+def _memory(seed: int) -> dict[int, float]:
+    """{functions: megabytes that they take} of one play."""
+    found: dict[int, float] = {}
     gc.collect()
     tracemalloc.start()
     try:
         caller = Caller(HOSTS, seed)
         caller.crowd_mix()
         caller.call("before")
-        empty, kept = tracemalloc.get_traced_memory()[0], 0
+        empty, known = tracemalloc.get_traced_memory()[0], 0
         for functions in FUNCTIONS:
-            if not _fill(caller, kept, functions):
+            if not _fill(caller, known, functions):
                 break
-            kept = functions
+            known = functions
             gc.collect()
             found[functions] = (tracemalloc.get_traced_memory()[0] - empty) / MEGABYTE
         return found
@@ -106,52 +112,68 @@
         tracemalloc.stop()
 
 
-def _measured(name, meaning, unit, played, value, conditions):
-    """The measurement of the sizes that every play reached."""
+def _measured(
+    name: str,
+    meaning: str,
+    unit: str,
+    played: Callable[[int], dict[int, T]],
+    value: Callable[[T], float],
+    conditions: str,
+) -> Measurement:
+    """The measurement of the sizes that every play reached.
+
+    `played(seed)` gives what one play found by size, `value` takes the cost from it.
+    """
     plays = [played(seed) for seed in range(1, PLAYS + 1)]
     sizes = [size for size in FUNCTIONS if all(size in play for play in plays)]
-    left = FUNCTIONS[len(sizes) :]
-    if left:
-        told = ", ".join(f"{size:,}" for size in left)
-        conditions = f"{conditions}; not measured as plays grew too long: {told}"
     points = [Point(size, [value(play[size]) for play in plays]) for size in sizes]
-    return Measurement(name, meaning, unit, BY, points, conditions)
-
-
-MEASUREMENTS = {
-    name: partial(_measured, name, meaning, unit, played, value, conditions)
-    for name, meaning, unit, played, value, conditions in (
-        (
-            "decisions-memory-by-functions",
-            "memory of the rare functions kept",
-            "MB",
-            _memory,
-            float,
-            f"{MEMORY}; one call of each function",
-        ),
-        (
-            "decisions-later-call-by-functions",
-            "later call of a rare function",
-            "ms",
-            _played,
-            lambda sample: sample.call,
-            CPU,
-        ),
-        (
-            "decisions-tidying-by-functions",
-            "a second's round of housekeeping, nothing to forget",
-            "ms",
-            _played,
-            lambda sample: sample.tidy,
-            CPU,
-        ),
-        (
-            "decisions-tidying-host-left-by-functions",
-            "a second's round of housekeeping after a host left the list",
-            "ms",
-            _played,
-            lambda sample: sample.tidy_host_left,
-            CPU,
-        ),
-    )
+    omitted = FUNCTIONS[len(sizes) :]
+    return Measurement(name, meaning, unit, BY, points, with_omitted(conditions, omitted))
+
+
+def _deferred(
+    name: str,
+    meaning: str,
+    unit: str,
+    played: Callable[[int], dict[int, T]],
+    value: Callable[[T], float],
+    conditions: str,
+) -> Measurements:
+    """{name: function that makes the measurement}; arguments as of `_measured`."""
+    return {name: lambda: _measured(name, meaning, unit, played, value, conditions)}
+
+
+MEASUREMENTS: Measurements = {
+    **_deferred(
+        "decisions-memory-by-functions",
+        "memory of the rare functions kept",
+        "MB",
+        _memory,
+        float,
+        f"{MEMORY}; one call of each function",
+    ),
+    **_deferred(
+        "decisions-later-call-by-functions",
+        "later call of a rare function",
+        "ms",
+        _played,
+        lambda sample: sample.call,
+        CPU,
+    ),
+    **_deferred(
+        "decisions-tidying-by-functions",
+        "a second's round of housekeeping, nothing to forget",
+        "ms",
+        _played,
+        lambda sample: sample.cleanup,
+        CPU,
+    ),
+    **_deferred(
+        "decisions-tidying-host-left-by-functions",
+        "a second's round of housekeeping after a host left the list",
+        "ms",
+        _played,
+        lambda sample: sample.cleanup_host_left,
+        CPU,
+    ),
 }
--- a/benchmarks/scale/costs/gossip.py
+++ b/benchmarks/scale/costs/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip of demand: what one gateway tells and hears, by the number of gateways."""
+"""Gossip of demand: what one gateway sends and receives, by the number of gateways."""
 
 import time
 from dataclasses import dataclass
@@ -6,6 +6,7 @@
 from benchmarks.gossip_bytes import wrapped
 from benchmarks.gossip_traffic import FUNCTIONS, HOSTS
 from benchmarks.scale.deferred import deferred
+from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, UDP_HEADERS, retained_bytes
 from gaproute.decisions.chance import Chance
 from gaproute.peers import word_pb2
@@ -16,7 +17,7 @@
 GATEWAYS = (16, 64, 256, 1_024, 4_096)
 SOME = 64  # gateways, where something else is varied
 PLAYED = 20  # s
-HELD = 300  # s after which a reader holds all that it ever will: the longest life of a page
+FULL_AFTER = 300  # s after which a receiver has all entries that it ever will: the longest time to live
 NOTHING_LOST = (
     "one gateway's decisions and bytes on a clock handed in; as many words of others come in as go out, "
     "alike; bytes with 28 of headers a word, out"
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Fleet:
-    """How many there are of each."""
+    """How many gateways, hosts and functions there are."""
 
     gateways: int = SOME
     hosts: int = HOSTS
@@ -33,22 +34,26 @@
 
 
 class MeasuredGateway:
-    """One teller whose peers each tell it what it tells them."""
+    """One sender whose peers each send it what it sends them."""
 
-    def __init__(self, fleet, seed):
+    def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet, self.chance = fleet, Chance(seed)
         self.names = [f"gate-{number:04}" for number in range(1, fleet.gateways)]
         self.node = GossipNode("gate-0000", 1, Chance(seed), 0)
         self.node.set_peers(0, self.names)
         self.node.set_hosts(0, dict.fromkeys(self.hosts(), 1))
-        self.now, self.out, self.spent, self.words, self.turn = 0, 0, 0.0, 0, 0
+        self.now, self.turn = 0, 0  # ns; messages received so far
+        self.out, self.spent, self.messages = 0, 0.0, 0  # bytes sent; CPU seconds; messages sent
 
-    def hosts(self):
+    def hosts(self) -> list[str]:
         """Names of the hosts."""
         return [f"host-{number:04}" for number in range(self.fleet.hosts)]
 
-    def see(self):
-        """What this gateway sees in a second: a task of each function, one in hand at each host."""
+    def observe(self) -> None:
+        """Record what this gateway sees in a second.
+
+        That is a request of each function and some requests in flight at each host.
+        """
         for number in range(self.fleet.functions):
             function = f"model-{number:04}"
             self.node.record_arrival(self.now, function, 0)
@@ -56,29 +61,29 @@
         for number, host in enumerate(self.hosts()):
             self.node.record_in_flight(host, 1 + (number + self.now // SECOND) % 8)
 
-    def tick(self):
-        """The next word, and one of the next peer that is alike."""
-        begun = time.process_time()
-        words = [wrapped(encode(word)) for _, word in self.node.tick(self.now)]
-        self.spent += time.process_time() - begun
-        for data in words:
-            self.words += 1
+    def tick(self) -> None:
+        """Send the next message, and receive one of the next peer with the same content."""
+        began = time.process_time()
+        datagrams = [wrapped(encode(message)) for _, message in self.node.tick(self.now)]
+        self.spent += time.process_time() - began
+        for data in datagrams:
+            self.messages += 1
             self.out += len(data) + UDP_HEADERS
-            self.hear(data)
+            self.receive(data)
 
-    def hear(self, data):
-        """Hears a word of its own as that of the next peer."""
+    def receive(self, data: bytes) -> None:
+        """Receive a message of its own as that of the next peer."""
         self.turn += 1
         sender = self.names[self.turn % len(self.names)]
-        begun = time.process_time()
-        told = word_pb2.Word.FromString(data)
-        self.node.receive_encoded(self.now, sender, lambda: decode(told.weak))
-        self.spent += time.process_time() - begun
+        began = time.process_time()
+        envelope = word_pb2.Word.FromString(data)
+        self.node.receive_encoded(self.now, sender, lambda: decode(envelope.weak))
+        self.spent += time.process_time() - began
 
-    def play(self, seconds):
-        """Plays so many seconds."""
+    def play(self, seconds: int) -> "MeasuredGateway":
+        """Play so many seconds."""
         for second in range(seconds):
-            self.see()
+            self.observe()
             end = (second + 1) * SECOND
             while self.node.due < end:
                 self.now = max(self.now, self.node.due)
@@ -87,45 +92,46 @@
         return self
 
 
-def played(fleet, seed):
+def played(fleet: Fleet, seed: int) -> MeasuredGateway:
     """A gateway after the span that is measured, the first seconds of it left out."""
     one = MeasuredGateway(fleet, seed)
-    one.see()
+    one.observe()
     one.now = 2 * SECOND  # the first step of arrivals is over
     return one.play(PLAYED)
 
 
-def bytes_sent(gateways, seed):
+def bytes_sent(gateways: int, seed: int) -> float:
     """Bytes that one gateway sends a second."""
     return played(Fleet(gateways), seed).out / PLAYED
 
 
-def cpu(gateways, seed):
+def cpu(gateways: int, seed: int) -> float:
     """Milliseconds of CPU a second."""
     return played(Fleet(gateways), seed).spent / PLAYED * MS_PER_SECOND
 
 
-def memory(gateways, seed):
-    """Bytes that one gateway holds."""
-    return retained_bytes(lambda: MeasuredGateway(Fleet(gateways), seed).play(HELD))
+def memory(gateways: int, seed: int) -> float:
+    """Bytes of one gateway's state."""
+    return retained_bytes(lambda: MeasuredGateway(Fleet(gateways), seed).play(FULL_AFTER))
 
 
-def round_seconds(gateways, seed):
-    """Seconds until each other gateway was told once more."""
+def round_seconds(gateways: int, seed: int) -> float:
+    """Seconds until each other gateway was sent one more message."""
     one = MeasuredGateway(Fleet(gateways), seed)
     one.play(PLAYED)
     one.node.peers.remaining = []  # a round begins
-    first, told = one.now, set()
-    while len(told) < gateways - 1:
+    first = one.now
+    reached: set[str] = set()
+    while len(reached) < gateways - 1:
         one.now = max(one.now, one.node.due)
-        told.update(name for name, _ in one.node.tick(one.now))
+        reached.update(name for name, _ in one.node.tick(one.now))
     return (one.now - first) / SECOND
 
 
 OTHERS = f"{HOSTS} hosts, {FUNCTIONS} functions"
 SPENT = f"{NOTHING_LOST}. {CPU_TIME}, sockets not in"
 
-MEASUREMENTS = {
+MEASUREMENTS: Measurements = {
     **deferred(
         "gossip-bytes-by-gateways",
         "bytes that one gateway sends",
@@ -151,7 +157,7 @@
         "gateways",
         GATEWAYS,
         memory,
-        f"after {HELD} s; {OTHERS}. {TRACED}",
+        f"after {FULL_AFTER} s; {OTHERS}. {TRACED}",
     ),
     **deferred(
         "gossip-round-seconds-by-gateways",
--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -1,10 +1,14 @@
 """The appliance's host file: bytes of the list, and processor time to follow it."""
 
 import tempfile
+from collections.abc import Collection
 from pathlib import Path
 
-from benchmarks.scale.measurement import measure
+from benchmarks.scale.deferred import deferred
+from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds_once
+from gaproute.config.directives.fleet import HostLine
+from gaproute.config.errors import Mistake
 from gaproute.decisions.connections.pooling import Pooling
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.discovery.host_lines import HostLineConverter
@@ -20,12 +24,12 @@
 )
 
 
-def host_list(hosts, seed):
+def host_list(hosts: int, seed: int) -> str:
     """The text of a list, one line a host; `seed` shifts the addresses."""
     return "\n".join(line(number, seed, "active") for number in range(hosts)) + "\n"
 
 
-def line(number, seed, state):
+def line(number: int, seed: int, state: str) -> str:
     """The line of one host."""
     address = f"10.{seed}.{number // 250}.{number % 250 + 1}:9001"
     rack = number // RACK
@@ -37,7 +41,7 @@
 class FollowedList:
     """A host file in a folder of its own, followed as a running gateway does."""
 
-    def __init__(self, hosts, seed):
+    def __init__(self, hosts: int, seed: int) -> None:
         self.hosts, self.seed = hosts, seed
         self.folder = tempfile.TemporaryDirectory(prefix="host-list-")
         self.path = Path(self.folder.name, "hosts.list")
@@ -46,28 +50,28 @@
         self.listing = HostLineConverter(self.loop)
         self.connections = KServeClient(self.loop, Pooling())
         self.lists = 0
-        self.watch = None
+        self.watch: FileWatch | None = None
 
-    def read_first(self):
-        """Begins to watch, which reads the whole list."""
-        self.watch = FileWatch(self.loop, self.path, LOOK, self.listed, self.refused)
+    def read_first(self) -> None:
+        """Begin to watch, which reads the complete list."""
+        self.watch = FileWatch(self.loop, self.path, LOOK, self.on_change, self.on_rejected)
 
-    def change_one(self):
-        """Writes the list anew with one host draining; not yet read."""
+    def change_one(self) -> None:
+        """Write the list anew with one host draining, without reading it."""
         changed = host_list(self.hosts, self.seed).replace("state active", "state draining", 1)
         self.path.write_text(changed)
 
-    def listed(self, lines):
-        """Takes a whole list."""
+    def on_change(self, lines: Collection[HostLine]) -> None:
+        """Put a complete list in force."""
         self.lists += 1
         self.connections.update(self.listing.endpoints(lines), complete=True)
 
-    def refused(self, mistakes):
-        """The list is this module's own: a mistake in it is one of the measurement."""
+    def on_rejected(self, mistakes: list[Mistake]) -> None:
+        """Raise: the list is this module's own, and a mistake in it is one of the measurement."""
         raise AssertionError(mistakes)
 
-    def close(self):
-        """Ends the watch and removes the file."""
+    def close(self) -> None:
+        """Close the watch and remove the file."""
         if self.watch is not None:
             self.watch.close()
         self.connections.close()
@@ -75,34 +79,35 @@
         self.folder.cleanup()
 
 
-def list_bytes(hosts, seed):
+def list_bytes(hosts: int, seed: int) -> float:
     """Bytes of the list."""
     return len(host_list(hosts, seed).encode())
 
 
-def whole_read(hosts, seed):
+def whole_read(hosts: int, seed: int) -> float:
     """Milliseconds of CPU of the first reading."""
     followed = FollowedList(hosts, seed)
     spent = cpu_seconds_once(followed.read_first)
-    assert followed.lists == 1 and len(followed.connections.hosts) == hosts
+    assert followed.lists == 1
+    assert len(followed.connections.hosts) == hosts
     followed.close()
     return spent * MS_PER_SECOND
 
 
-def changed_line(hosts, seed):
+def changed_line(hosts: int, seed: int) -> float:
     """Milliseconds of CPU to follow a list of which one line changed."""
     followed = FollowedList(hosts, seed)
     followed.read_first()
     followed.change_one()
+    assert followed.watch is not None
     spent = cpu_seconds_once(followed.watch.check)
     assert followed.lists == 2
     followed.close()
     return spent * MS_PER_SECOND
 
 
-def host_list_bytes_by_hosts():
-    """Measures the size of the file."""
-    return measure(
+MEASUREMENTS: Measurements = {
+    **deferred(
         "host-list-bytes-by-hosts",
         "bytes of the host file",
         "bytes",
@@ -110,12 +115,8 @@
         SIZES,
         list_bytes,
         "a line names zone, rack, capacity and state",
-    )
-
-
-def host_list_read_cpu_by_hosts():
-    """Measures a start."""
-    return measure(
+    ),
+    **deferred(
         "host-list-read-cpu-by-hosts",
         "CPU to read a whole host file at a start",
         "ms",
@@ -123,12 +124,8 @@
         SIZES,
         whole_read,
         f"{FOLLOWED}. {CPU_TIME}",
-    )
-
-
-def host_list_change_cpu_by_hosts():
-    """Measures a change."""
-    return measure(
+    ),
+    **deferred(
         "host-list-change-cpu-by-hosts",
         "CPU to follow a host file of which one line changed",
         "ms",
@@ -136,11 +133,5 @@
         SIZES,
         changed_line,
         f"{FOLLOWED}. {CPU_TIME}",
-    )
-
-
-MEASUREMENTS = {
-    "host-list-bytes-by-hosts": host_list_bytes_by_hosts,
-    "host-list-read-cpu-by-hosts": host_list_read_cpu_by_hosts,
-    "host-list-change-cpu-by-hosts": host_list_change_cpu_by_hosts,
+    ),
 }
--- a/benchmarks/scale/costs/learning.py
+++ b/benchmarks/scale/costs/learning.py
@@ -1,8 +1,10 @@
-"""Learning at a start: bytes and processor time of what one peer tells, by the facts told."""
+"""Transfer of observations to a gateway that starts: bytes and processor time, by the observations sent."""
 
 import io
+from collections.abc import Iterator
 
 from benchmarks.scale.deferred import deferred
+from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, cpu_seconds_once
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.shared_observations import SharedObservations
@@ -18,90 +20,104 @@
 PROTOBUF = ((b"Content-Type", b"application/x-protobuf"),)
 
 
-class Known:
-    """Stands for the decisions of a gateway that saw so many copies."""
+# kind, the names of host and function, values, when it was observed (ns)
+Observation = tuple[str, tuple[str, str], tuple[int, ...], int]
 
-    def __init__(self, facts):
+
+class StandInDecisions:
+    """Stands for the decisions of a gateway that observed so many loaded copies."""
+
+    def __init__(self, facts: int) -> None:
         self.facts = facts
 
-    def observations_since(self, now, since):
+    def observations_since(self, now: int, since: int) -> Iterator[Observation]:
         """Copies, each of one host and one function."""
         for number in range(self.facts):
             names = (f"host-{number % HOSTS:04}", f"model-{number // HOSTS:04}")
             yield "warm", names, (4,), now - 1_000_000
 
 
-class Told:
-    """A giver, and a learner that takes its answers, without sockets between them and without the giver's
-    budget of time."""
+class Transfer:
+    """A sender and a receiver of observations.
+
+    There are no sockets between them, and the sender's budget of time is not applied.
+    """
 
-    def __init__(self, facts):
+    def __init__(self, facts: int) -> None:
         self.facts, self.loop = facts, Loop()
         self.peer_server = PeerServer(
-            self.loop, address("127.0.0.1:0"), Known(facts), HostHistory(), ["std"], cpu_clock=lambda: 0
+            self.loop,
+            address("127.0.0.1:0"),
+            StandInDecisions(facts),
+            HostHistory(),
+            ["std"],
+            cpu_clock=lambda: 0,
         )
         record = Record(logger(io.StringIO()), ["std"])
         self.client = ObservationClient(
             self.loop, (), SharedObservations(), lambda subjects: 0, lambda: None, record
         )
-        self.answers, self.asks = [], []
+        self.answers: list[bytes] = []
+        self.requests: list[bytes] = []
 
-    def give(self):
-        """Makes all answers of a snapshot."""
+    def send(self) -> None:
+        """Make all answers of a snapshot."""
         cursor = 0
         while True:
-            self.asks.append(observation_wire.encode_request(cursor, 0, 0))
+            self.requests.append(observation_wire.encode_request(cursor, 0, 0))
             body = self.peer_server.transfers.answer(
-                self.loop.now(), observation_wire.decode_request(self.asks[-1]), 0
+                self.loop.now(), observation_wire.decode_request(self.requests[-1]), 0
             )
             self.answers.append(body)
-            cursor = observation_wire.decode_answer(body).next
+            answer = observation_wire.decode_answer(body)
+            assert answer is not None
+            cursor = answer.next
             if not cursor:
                 return
 
-    def learn(self):
-        """Reads and merges all answers; the module's booking is not in."""
+    def receive(self) -> None:
+        """Decode and merge all answers; what the decisions do with them is not included."""
         for body in self.answers:
             self.client.take("peer", self.loop.now(), observation_wire.decode_answer(body))
         assert len(self.client.observations.by_subject) == self.facts
 
-    def close(self):
-        """Ends both sides."""
+    def close(self) -> None:
+        """Close both sides."""
         self.client.close()
         self.peer_server.close()
         self.loop.close()
 
 
-def transfer_bytes(facts, seed):
+def transfer_bytes(facts: int, seed: int) -> float:
     """Bytes both ways."""
-    told = Told(facts)
-    told.give()
-    told.close()
+    transfer = Transfer(facts)
+    transfer.send()
+    transfer.close()
     head = b"POST /lore HTTP/1.1\r\nHost: peer\r\nConnection: close\r\nContent-Length: %d\r\n\r\n"
-    asks = sum(len(head % len(ask)) + len(ask) for ask in told.asks)
-    return asks + sum(len(render(200, PROTOBUF, body, close=True)) for body in told.answers)
+    requests = sum(len(head % len(request)) + len(request) for request in transfer.requests)
+    return requests + sum(len(render(200, PROTOBUF, body, close=True)) for body in transfer.answers)
 
 
-def giver_cpu(facts, seed):
-    """Milliseconds of CPU to tell all."""
-    told = Told(facts)
-    spent = cpu_seconds_once(told.give)
-    told.close()
+def sender_cpu(facts: int, seed: int) -> float:
+    """Milliseconds of CPU to send all."""
+    transfer = Transfer(facts)
+    spent = cpu_seconds_once(transfer.send)
+    transfer.close()
     return spent * MS_PER_SECOND
 
 
-def learner_cpu(facts, seed):
-    """Milliseconds of CPU to take all."""
-    told = Told(facts)
-    told.give()
-    spent = cpu_seconds_once(told.learn)
-    told.close()
+def receiver_cpu(facts: int, seed: int) -> float:
+    """Milliseconds of CPU to receive all."""
+    transfer = Transfer(facts)
+    transfer.send()
+    spent = cpu_seconds_once(transfer.receive)
+    transfer.close()
     return spent * MS_PER_SECOND
 
 
 CHUNKS = "chunks of 256 facts; the giver's slices of 1 ms and its share of 1% of a core are not applied"
 
-MEASUREMENTS = {
+MEASUREMENTS: Measurements = {
     **deferred(
         "learning-bytes-by-facts",
         "bytes of what one peer tells and is asked",
@@ -117,7 +133,7 @@
         "ms",
         "facts",
         FACTS,
-        giver_cpu,
+        sender_cpu,
         f"HTTP not in; {CHUNKS}. {CPU_TIME}",
     ),
     **deferred(
@@ -126,7 +142,7 @@
         "ms",
         "facts",
         FACTS,
-        learner_cpu,
+        receiver_cpu,
         f"HTTP not in. {CPU_TIME}",
     ),
 }
--- a/benchmarks/scale/costs/sharing.py
+++ b/benchmarks/scale/costs/sharing.py
@@ -1,8 +1,9 @@
-"""What stands beside a call: the load ration by the calls in its window, the choice of a host to probe."""
+"""Work beside a call: the load orders' limiter by the calls in its window, the choice of a host to probe."""
 
 from functools import partial
 
 from benchmarks.scale.gateways import MILLI, SECOND, TERMS, Caller
+from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.plays import CPU, cpu_ms, grown
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
@@ -19,8 +20,8 @@
 )
 
 
-def _full_limiter(calls):
-    """A limiter whose window holds so many delivered calls; the time; the time between two calls."""
+def _full_limiter(calls: int) -> tuple[LoadOrderLimiter, int, int]:
+    """A limiter with so many delivered calls in its window; the time, ns; the time between two calls, ns."""
     limiter = LoadOrderLimiter(TERMS.load_orders_free, TERMS.load_order_share, WINDOW)
     gap = WINDOW // calls
     for number in range(calls):
@@ -50,7 +51,7 @@
         sharing.request_delivered()
     times = iter(range(SECOND, 2 * SECOND, MILLI))
 
-    def choose():
+    def choose() -> None:
         sharing.request_delivered()
         if sharing.host_to_probe(next(times), active, 0, chance) is None:
             raise RuntimeError("no host was chosen")
@@ -58,7 +59,7 @@
     return cpu_ms(choose, PICKS)
 
 
-MEASUREMENTS = {
+MEASUREMENTS: Measurements = {
     "ration-may-order-by-calls": partial(
         grown,
         "ration-may-order-by-calls",
