--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,10 +1,8 @@
-"""Measures costs by size, and keeps a page's figures as the measurements are.
+"""Measures costs by size, and renews a page's figures from the measurements.
 
 python -m benchmarks.scale list | measure [--label LABEL] [NAME ...] | fits | page [--page PATH] | check [...]
 """
 
-from __future__ import annotations
-
 import argparse
 import platform
 import subprocess
@@ -16,15 +14,14 @@
 from pkgutil import iter_modules
 
 from benchmarks.scale import costs
-from benchmarks.scale.deferred import Measurements
 from benchmarks.scale.fit import fit
-from benchmarks.scale.measurement import MEASURED, Measurement
+from benchmarks.scale.measurement import MEASURED, Measurement, Measurements
 from benchmarks.scale.page import PAGE, Disagreement, rewritten
 from benchmarks.scale.tables import PageError
 
 
 def registry() -> Measurements:
-    """What makes each measurement by its name, over all modules of `costs`."""
+    """{name: function that measures it}, over all modules of `costs`."""
     found: Measurements = {}
     for module in iter_modules(costs.__path__):
         found |= import_module(f"{costs.__name__}.{module.name}").MEASUREMENTS
@@ -32,9 +29,10 @@
 
 
 def measure(names: Sequence[str], label: str) -> None:
-    """Measures and keeps what is named, or all; `label` tells the program measured.
+    """Measure and store what is named, or all; `label` names the program measured.
 
-    Errors: SystemExit for a name that does not exist."""
+    Raises SystemExit for a name that does not exist.
+    """
     known = registry()
     unknown = [name for name in names if name not in known]
     if unknown:
@@ -55,36 +53,33 @@
 
 
 def fits() -> None:
-    """Prints each kept measurement's fit."""
+    """Print each stored measurement's fit."""
     for path in sorted(MEASURED.glob("*.json")):
-        measured = Measurement.load(path.stem)
-        fitted = fit(measured)
-        print(
-            f"{measured.name}: {fitted.formula} {measured.unit}, {fitted.form}, "
-            f"residual {fitted.residual:.1%}"
-        )
+        stored = Measurement.load(path.stem)
+        found = fit(stored)
+        print(f"{stored.name}: {found.formula} {stored.unit}, {found.form}, residual {found.residual:.1%}")
 
 
 def rewrite(page: Path) -> None:
-    """Makes the page's tables and figures anew. Errors: SystemExit."""
-    text, differing = _made(page)
+    """Make the page's tables and figures anew. Raises SystemExit."""
+    text, differing = _renewed(page)
     page.write_text(text)
     print(f"{page}: {len(differing)} tables and figures made anew")
 
 
 def check(page: Path) -> None:
-    """Ends with status 1, naming each table and figure that disagrees with the measurements."""
-    _, differing = _made(page)
+    """End with status 1, naming each table and figure that disagrees with the measurements."""
+    _, differing = _renewed(page)
     if differing:
         sys.exit("\n".join(f"{page}, {each}" for each in differing))
 
 
-def _made(page: Path) -> tuple[str, list[Disagreement]]:
+def _renewed(page: Path) -> tuple[str, list[Disagreement]]:
     """The page as the measurements have it, and where it differs."""
     try:
         return rewritten(page.read_text())
-    except (OSError, PageError) as fault:
-        sys.exit(f"{page}: {fault}")
+    except (OSError, PageError) as error:
+        sys.exit(f"{page}: {error}")
 
 
 def main() -> None:
--- a/benchmarks/scale/plays.py
+++ b/benchmarks/scale/plays.py
@@ -1,11 +1,8 @@
-"""How one play is measured: processor time, memory held, and sizes that grow until a play takes too long."""
-
-from __future__ import annotations
+"""Measuring by sizes that grow until a play takes too long, and the processor time of repeated calls."""
 
 import gc
 import time
 from collections.abc import Callable, Sequence
-from typing import Any
 
 from benchmarks.scale.measurement import LEAST_SIZES, PLAYS, Measurement, Play, Point
 
@@ -23,20 +20,16 @@
 
 
 def grown(
-    name: str,
-    meaning: str,
-    unit: str,
-    parameter: str,
-    sizes: Sequence[Any],
-    play: Play,
-    conditions: str,
+    name: str, meaning: str, unit: str, parameter: str, sizes: Sequence[int], play: Play, conditions: str
 ) -> Measurement:
-    """Calls `play(size, seed)` for each size and seed, up to the size at which a play takes `LONG_PLAY`.
+    """Call `play(size, seed)` for each size and seed, up to the size at which a play takes `LONG_PLAY`.
 
-    At least as many sizes are measured as a fit needs."""
+    At least as many sizes are measured as a fit needs.
+    """
     points: list[Point] = []
     for size in sizes:
-        values, longest = [], 0.0
+        values: list[float] = []
+        longest = 0.0
         for seed in range(1, PLAYS + 1):
             gc.collect()
             began = time.process_time()
@@ -45,12 +38,11 @@
         points.append(Point(size, values))
         if longest > LONG_PLAY and len(points) >= LEAST_SIZES:
             break
-    return Measurement(name, meaning, unit, parameter, points, _all_conditions(conditions, points, sizes))
+    return Measurement(name, meaning, unit, parameter, points, with_omitted(conditions, sizes[len(points) :]))
 
 
-def _all_conditions(conditions: str, points: Sequence[Point], sizes: Sequence[Any]) -> str:
-    """The conditions, with the sizes that were left out."""
-    left = sizes[len(points) :]
-    if not left:
+def with_omitted(conditions: str, omitted: Sequence[int]) -> str:
+    """The conditions, with the sizes that were not measured."""
+    if not omitted:
         return conditions
-    return f"{conditions}; not measured as plays grew too long: {', '.join(f'{size:,}' for size in left)}"
+    return f"{conditions}; not measured as plays grew too long: {', '.join(f'{size:,}' for size in omitted)}"
