--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -51,7 +51,7 @@
     ramp: int = 0  # over which the functions come back
 
 
-class Outcome(NamedTuple):
+class CallOutcome(NamedTuple):
     """Whether a request was rejected."""
 
     at: int
@@ -65,7 +65,7 @@
     ratio: float
 
 
-def _recent_outcomes() -> deque[Outcome]:
+def _recent_outcomes() -> deque[CallOutcome]:
     return deque(maxlen=OUTCOMES)
 
 
@@ -79,7 +79,7 @@
 
     last_heard: int = -1  # ns
     overdue: dict[str, int] = field(default_factory=dict)  # host or entry: when the overdue request was sent
-    outcomes: deque[Outcome] = field(default_factory=_recent_outcomes)
+    outcomes: deque[CallOutcome] = field(default_factory=_recent_outcomes)
     paces: deque[Pace] = field(default_factory=_recent_paces)
 
     def awaited_since(self, last_heard: int) -> bool:
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -20,13 +20,13 @@
 
 from gaproute.decisions.cells.faults import (
     OUTCOMES,
+    CallOutcome,
     CellRecord,
     CircuitState,
     Fault,
     FaultDomain,
     FaultKind,
     FaultScope,
-    Outcome,
     Pace,
 )
 from gaproute.decisions.cells.location import GatewayLocation
@@ -161,7 +161,7 @@
             record.last_heard = now
             self.silence.record_answer(now, self.cells[name])
             record.overdue.clear()
-            record.outcomes.append(Outcome(now, rejected))
+            record.outcomes.append(CallOutcome(now, rejected))
         if answered:
             self._recover(now, name)
         if pace is not None:
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -10,7 +10,7 @@
 from gaproute.decisions.reports.observation_kinds import (
     ListedState,
     ObservationKind,
-    RejectionReason,
+    ObservationRejection,
     SharedObservation,
     Subject,
 )
@@ -103,7 +103,7 @@
             reason = self._void_reason(host, observation, started, starts)
             seen = min(observation.observed_at, now - self._random_age())
             if reason is None and now - seen >= self._keep_alive:
-                reason = RejectionReason.EXPIRED
+                reason = ObservationRejection.EXPIRED
             if reason is None:
                 candidates.append(_Candidate(observation.observed_at, WarmHint(host, function, lanes, seen)))
             else:
@@ -116,22 +116,22 @@
 
     def _void_reason(
         self, host: str, observation: SharedObservation, started: int | None, starts: Starts
-    ) -> RejectionReason | None:
+    ) -> ObservationRejection | None:
         """Why an observation of a host is not to be followed, or None.
 
         `started`: the host's start by the origin's list, None where the kind has none.
         """
         if host not in starts:
-            return RejectionReason.NOT_LISTED
+            return ObservationRejection.NOT_LISTED
         if started is not None and starts[host] != started:
-            return RejectionReason.OTHER_INCARNATION
+            return ObservationRejection.OTHER_INCARNATION
         listed = self.observations.by_subject.get((ObservationKind.LISTED_STATE, host))
         if (
             listed is not None
             and listed.value[0] != ListedState.ACTIVE
             and listed.observed_at >= observation.observed_at
         ):
-            return RejectionReason.GONE_SINCE
+            return ObservationRejection.GONE_SINCE
         return None
 
     def _follow_one(
@@ -148,7 +148,7 @@
         if reason is None and kind == ObservationKind.SLOWDOWN:
             return int(gateway.hint_slowdown(names[0], min(value, MAX_SLOWDOWN), observation.observed_at))
         if reason is None and names[1] not in self._request_classes:
-            reason = RejectionReason.REQUEST_CLASS
+            reason = ObservationRejection.REQUEST_CLASS
         if reason is not None:
             self.observations.rejections[reason] += 1
             return 0
--- a/gaproute/decisions/reports/observation_kinds.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -37,7 +37,7 @@
     GONE = "gone"
 
 
-class RejectionReason(StrEnum):
+class ObservationRejection(StrEnum):
     """Why an observation was not taken, or not followed; the texts are shown to operators."""
 
     AGE = "age"
@@ -70,31 +70,31 @@
     """How many names a subject of the kind has, and why a value cannot be; None where it can."""
 
     names: int
-    invalid: Callable[..., RejectionReason | None]
+    invalid: Callable[..., ObservationRejection | None]
 
 
-def _invalid_instance(lanes: int, started: int) -> RejectionReason | None:
+def _invalid_instance(lanes: int, started: int) -> ObservationRejection | None:
     if started < 0:
-        return RejectionReason.START
-    return None if 1 <= lanes <= MAX_LANES else RejectionReason.LANES
+        return ObservationRejection.START
+    return None if 1 <= lanes <= MAX_LANES else ObservationRejection.LANES
 
 
-def _invalid_listed(state: str, started: int) -> RejectionReason | None:
+def _invalid_listed(state: str, started: int) -> ObservationRejection | None:
     if state not in tuple(ListedState):
-        return RejectionReason.STATE
-    return RejectionReason.START if started < 0 else None
+        return ObservationRejection.STATE
+    return ObservationRejection.START if started < 0 else None
 
 
-def _invalid_time(duration: float) -> RejectionReason | None:
-    return None if 0 < duration <= MAX_AGE else RejectionReason.TIME
+def _invalid_time(duration: float) -> ObservationRejection | None:
+    return None if 0 < duration <= MAX_AGE else ObservationRejection.TIME
 
 
-def _invalid_share(share: float) -> RejectionReason | None:
-    return None if 0 < share <= 1 else RejectionReason.SHARE
+def _invalid_share(share: float) -> ObservationRejection | None:
+    return None if 0 < share <= 1 else ObservationRejection.SHARE
 
 
-def _invalid_slowdown(times: float) -> RejectionReason | None:
-    return None if 1 <= times < float("inf") else RejectionReason.SLOWDOWN
+def _invalid_slowdown(times: float) -> ObservationRejection | None:
+    return None if 1 <= times < float("inf") else ObservationRejection.SLOWDOWN
 
 
 KIND_RULES: Mapping[str, KindRule] = {
--- a/gaproute/decisions/reports/shared_observations.py
+++ b/gaproute/decisions/reports/shared_observations.py
@@ -14,7 +14,7 @@
     KIND_RULES,
     MAX_AGE,
     ObservationKind,
-    RejectionReason,
+    ObservationRejection,
     SharedObservation,
     Subject,
 )
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.by_subject: dict[Subject, SharedObservation] = {}
         self.warm_hosts: dict[str, list[str]] = {}  # by function: hosts where an instance was seen
-        self.rejections: Counter[RejectionReason] = Counter()
+        self.rejections: Counter[ObservationRejection] = Counter()
 
     def observed_at(self, asked: int, age: int) -> int | None:
         """The earliest time that an observation of that age can be of; None where the age is rejected.
@@ -40,7 +40,7 @@
         observation older, never younger.
         """
         if not 0 <= age <= MAX_AGE:
-            self.rejections[RejectionReason.AGE] += 1
+            self.rejections[ObservationRejection.AGE] += 1
             return None
         return asked - age
 
@@ -49,7 +49,7 @@
         known = self.by_subject.get(subject)
         reason = _rejection_reason(subject, observation)
         if reason is None and known is None and len(self.by_subject) >= MAX_OBSERVATIONS:
-            reason = RejectionReason.TOO_MANY
+            reason = ObservationRejection.TOO_MANY
         if reason is not None:
             self.rejections[reason] += 1
             return
@@ -94,11 +94,11 @@
                 yield subject[1], observation.value[0]
 
 
-def _rejection_reason(subject: Subject, observation: SharedObservation) -> RejectionReason | None:
+def _rejection_reason(subject: Subject, observation: SharedObservation) -> ObservationRejection | None:
     kind, *names = subject
     rule = KIND_RULES.get(kind)
     if rule is None:
-        return RejectionReason.KIND
+        return ObservationRejection.KIND
     if len(names) != rule.names or not all(0 < len(name) <= MAX_NAME for name in names):
-        return RejectionReason.NAME
+        return ObservationRejection.NAME
     return rule.invalid(*observation.value)
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -16,7 +16,7 @@
 from gaproute.discovery.changelog.member_records import (
     DECODING_ERRORS,
     STATES,
-    Member,
+    MemberRecord,
     capacity_of,
     decode_member,
     decode_member_state,
@@ -81,7 +81,7 @@
         return None
 
 
-def _host_line(member: Member) -> HostLine:
+def _host_line(member: MemberRecord) -> HostLine:
     """The member as a line of a host list. Errors: MemberError."""
     state = STATES.get(member.phase)
     if state is None:
--- a/gaproute/discovery/changelog/member_records.py
+++ b/gaproute/discovery/changelog/member_records.py
@@ -12,7 +12,7 @@
 DEFAULT_CAPACITY = 1.0  # of a host whose size makes no sense
 
 
-class Member(msgspec.Struct):
+class MemberRecord(msgspec.Struct):
     """A member of a list as the log has it; the fields' names are those on the wire."""
 
     id: str
@@ -37,7 +37,7 @@
     phase: Any = None
 
 
-decode_member = msgspec.json.Decoder(Member, strict=False).decode  # a number may come as a string
+decode_member = msgspec.json.Decoder(MemberRecord, strict=False).decode  # a number may come as a string
 decode_member_name = msgspec.json.Decoder(MemberName).decode
 _decode_state = msgspec.json.Decoder(MemberState).decode
 
@@ -59,13 +59,13 @@
         return bytes(raw)
 
 
-def capacity_of(member: Member) -> float:
+def capacity_of(member: MemberRecord) -> float:
     """The member's size, where it is a capacity."""
     size = member.size
     return size if size is not None and 0 < size < math.inf else DEFAULT_CAPACITY
 
 
-def reported_start_of(member: Member) -> int | None:
+def reported_start_of(member: MemberRecord) -> int | None:
     """The member's start, ns since 1970, to the millisecond; None where it makes no sense."""
     start = member.up_since_ms
     return int(start) * MILLI or None if start is not None and 0 < start < math.inf else None
--- a/gaproute/discovery/changelog/members.py
+++ b/gaproute/discovery/changelog/members.py
@@ -9,7 +9,7 @@
 from gaproute.discovery.changelog.member_records import (
     DECODING_ERRORS,
     STATES,
-    Member,
+    MemberRecord,
     capacity_of,
     decode_member,
     decode_member_name,
@@ -60,7 +60,7 @@
         except DECODING_ERRORS:
             return None
 
-    def _convert(self, member: Member, absent_at: int | None) -> Endpoint:
+    def _convert(self, member: MemberRecord, absent_at: int | None) -> Endpoint:
         """Errors: ValueError, KeyError."""
         address(member.host_port)
         state = STATES[member.phase]
--- a/gaproute/faultinjection/play/far_client.py
+++ b/gaproute/faultinjection/play/far_client.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Request:
+class FarRequest:
     """A request as its client knows it."""
 
     number: int
@@ -48,7 +48,7 @@
 
     def __init__(self, loop: FarLoop, where: tuple[str, int]) -> None:
         self.loop = loop
-        self.requests: dict[int, Request] = {}
+        self.requests: dict[int, FarRequest] = {}
         self.strays: list[dict[str, Any]] = []  # answers that nobody asked for
         self.garbled: list[bytes] = []  # what cannot be read
         self.leaving = False  # nothing more is asked on it
@@ -65,7 +65,7 @@
         """Whether a request may be sent on it."""
         return self.connection.open
 
-    def ask(self, request: Request, pieces: int = 1) -> None:
+    def ask(self, request: FarRequest, pieces: int = 1) -> None:
         """Sends the request, its bytes in so many writes a few milliseconds apart."""
         self.requests[request.number] = request
         data = framed(
@@ -101,7 +101,7 @@
         if self._unsent:
             self._send_piece()
 
-    def leave(self, request: Request, departure: Departure) -> None:
+    def leave(self, request: FarRequest, departure: Departure) -> None:
         """The client no longer waits; all that is open on the connection goes with it, but for an abort."""
         if not self.open or request.answers:
             return
@@ -120,7 +120,7 @@
                 params = {"id": request.number}
                 self._send([framed({"jsonrpc": "2.0", "method": "abort", "params": params})])
 
-    def waiting(self) -> list[Request]:
+    def waiting(self) -> list[FarRequest]:
         """Requests whose client waits for an answer."""
         return [each for each in self.requests.values() if not each.answers and each.left is None]
 
--- a/gaproute/faultinjection/play/far_host.py
+++ b/gaproute/faultinjection/play/far_host.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Attempt:
+class ReceivedAttempt:
     """A request as a host read it, whole."""
 
     host: str
@@ -52,7 +52,7 @@
     def __init__(self, loop: FarLoop, name: str, seed: str) -> None:
         super().__init__(loop)
         self.name, self.reliable = name, False
-        self.attempts: list[Attempt] = []
+        self.attempts: list[ReceivedAttempt] = []
         self.cut_short: list[int] = []  # when a connection ended within a command
         self.garbled: list[bytes] = []  # commands that cannot be read
         self.load_orders: list[int] = []  # when each came
@@ -97,7 +97,7 @@
 
     def _go(self, connection: FarConnection, command: dict[str, Any]) -> None:
         limit = command["meta"]["limit"] * MILLI
-        attempt = Attempt(self.name, command["req"], self.loop.clock.now, limit)
+        attempt = ReceivedAttempt(self.name, command["req"], self.loop.clock.now, limit)
         self.attempts.append(attempt)
         drawn = self._random.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
         behaviour = Behaviour.SERVE if self.reliable else drawn
@@ -107,7 +107,11 @@
         self.loop.after(span, self._done, connection, command, attempt, behaviour)
 
     def _done(
-        self, connection: FarConnection, command: dict[str, Any], attempt: Attempt, behaviour: Behaviour
+        self,
+        connection: FarConnection,
+        command: dict[str, Any],
+        attempt: ReceivedAttempt,
+        behaviour: Behaviour,
     ) -> None:
         if behaviour is Behaviour.RESET:
             connection.reset()
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from gaproute.connections import AcceptedConnections
-from gaproute.faultinjection.play.far_client import FarClient, Request
-from gaproute.faultinjection.play.far_host import NEVER_RAN, Attempt
+from gaproute.faultinjection.play.far_client import FarClient, FarRequest
+from gaproute.faultinjection.play.far_host import NEVER_RAN, ReceivedAttempt
 from gaproute.faultinjection.play.scene import GUARDED, REPEAT_WINDOW, SINGLE_SHOT, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 from gaproute.loop.addresses import address
@@ -90,7 +90,7 @@
 def judge_far_ends(scene: Scene) -> Iterator[Finding]:
     """The five rules, from what clients, hosts and the change log saw."""
     excuse(scene)
-    attempts: dict[str, list[Attempt]] = {}
+    attempts: dict[str, list[ReceivedAttempt]] = {}
     for host in scene.hosts:
         for attempt in host.attempts:
             attempts.setdefault(attempt.mark, []).append(attempt)
@@ -111,7 +111,7 @@
     yield from _draining(scene)
 
 
-def _answers(client: FarClient, request: Request) -> Iterator[Finding]:
+def _answers(client: FarClient, request: FarRequest) -> Iterator[Finding]:
     name = f"request {request.number} ({request.lane})"
     if len(request.answers) > 1:
         yield Finding(Check.ONE_ANSWER, f"{name} has {len(request.answers)} answers: {request.answers}")
@@ -126,7 +126,7 @@
         yield Finding(Check.IN_TIME, f"{name} was answered {late // MILLI} ms after its deadline")
 
 
-def _attempts(request: Request, attempts: list[Attempt]) -> Iterator[Finding]:
+def _attempts(request: FarRequest, attempts: list[ReceivedAttempt]) -> Iterator[Finding]:
     gone = min((at for at in (request.left, request.lost) if at is not None), default=None)
     for attempt in attempts:
         name = f"request {request.number} at {attempt.host}"
@@ -140,7 +140,7 @@
             yield Finding(Check.DEADLINE_TOLD, f"{name} was told {over // MILLI} ms too much")
 
 
-def _repeats(request: Request, attempts: list[Attempt]) -> Iterator[Finding]:
+def _repeats(request: FarRequest, attempts: list[ReceivedAttempt]) -> Iterator[Finding]:
     ran = [attempt for attempt in attempts if attempt.said not in NEVER_RAN]
     hosts = [attempt.host for attempt in ran]
     if request.lane == SINGLE_SHOT and len(ran) > 1:
@@ -149,7 +149,7 @@
         yield Finding(Check.NOT_TWICE, f"request {request.number} ran at {hosts}, the last past its window")
 
 
-def _never_sent(scene: Scene, request: Request) -> Iterator[Finding]:
+def _never_sent(scene: Scene, request: FarRequest) -> Iterator[Finding]:
     """A command that was cut short may have been this one's: the host cannot tell."""
     for at, text in request.answers:
         cut = [when for host in scene.hosts for when in host.cut_short if request.asked <= when <= at]
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -11,7 +11,7 @@
 from gaproute.faultinjection.catalog import FAULTS
 from gaproute.faultinjection.plan import FaultPlan, FaultSource, InjectedFault, RandomFaults, Script
 from gaproute.faultinjection.play import rules
-from gaproute.faultinjection.play.far_client import Request
+from gaproute.faultinjection.play.far_client import FarRequest
 from gaproute.faultinjection.play.rules import Check, Finding
 from gaproute.faultinjection.play.scene import LANES, Scene, StuckError
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
@@ -128,7 +128,7 @@
     asked = []
     heard = len(scene.peer.heard)
     for number, lane in enumerate(LANES, 1_000_000):
-        request = Request(number, lane, scene.clock.now, RECOVERY_SPAN, key=f"key-{number}")
+        request = FarRequest(number, lane, scene.clock.now, RECOVERY_SPAN, key=f"key-{number}")
         scene.client().ask(request)
         asked.append(request)
     scene.passes(RECOVERY_SPAN)
--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from gaproute.faultinjection.catalog import STEPS
-from gaproute.faultinjection.play.far_client import Departure, FarClient, Request
+from gaproute.faultinjection.play.far_client import Departure, FarClient, FarRequest
 from gaproute.faultinjection.play.scene import FREE, GUARDED, LANES, SINGLE_SHOT, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 
@@ -41,7 +41,7 @@
 
     def __init__(self, scene: Scene, seed: int, conditions: Conditions) -> None:
         self.scene = scene
-        self.requests: list[tuple[FarClient, Request]] = []
+        self.requests: list[tuple[FarClient, FarRequest]] = []
         self._random = random.Random(f"{seed}/traffic")
         self._stopped = False
         for number in range(1, conditions.requests + 1):
@@ -56,7 +56,7 @@
 
     def _plan_request(self, number: int, conditions: Conditions) -> None:
         draw = self._random
-        request = Request(number, draw.choices(LANES, [WEIGHTS[lane] for lane in LANES])[0], 0, 0)
+        request = FarRequest(number, draw.choices(LANES, [WEIGHTS[lane] for lane in LANES])[0], 0, 0)
         request.span = draw.choice(SPANS)
         request.key = f"key-{number}" if request.lane == GUARDED else ""
         place = draw.random() if draw.random() < REUSED else None
@@ -76,7 +76,7 @@
     def _publish(self, name: str, phase: str) -> None:
         self.scene.publish(**{name: phase})
 
-    def _ask(self, request: Request, place: float | None, pieces: int) -> None:
+    def _ask(self, request: FarRequest, place: float | None, pieces: int) -> None:
         client = self._client(place)
         if client is not None:
             request.asked = self.scene.clock.now
@@ -90,7 +90,7 @@
             return usable[int(place * len(usable))]
         return None if self._stopped else self.scene.client()
 
-    def _leave(self, request: Request, departure: Departure) -> None:
+    def _leave(self, request: FarRequest, departure: Departure) -> None:
         for client, asked in self.requests:
             if asked is request:
                 client.leave(request, departure)
--- a/gaproute/fronts/jsonrpc/connection.py
+++ b/gaproute/fronts/jsonrpc/connection.py
@@ -6,7 +6,7 @@
 
 from gaproute.fronts.jsonrpc import responses
 from gaproute.fronts.jsonrpc.cancellation import RequestName, drop_cancelled
-from gaproute.fronts.jsonrpc.connection_owner import ConnectionOwner, OpenRequest
+from gaproute.fronts.jsonrpc.connection_owner import OpenRequest, RpcConnectionOwner
 from gaproute.fronts.jsonrpc.errors import ErrorCode, FramingError, ProtocolError
 from gaproute.fronts.jsonrpc.framing import MessageReader
 from gaproute.fronts.jsonrpc.presence import ClientPresence
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        front: ConnectionOwner[ClientConnection],
+        front: RpcConnectionOwner[ClientConnection],
         sock: socket.socket,
         address_id: int,
         request_count: int,
--- a/gaproute/fronts/jsonrpc/connection_owner.py
+++ b/gaproute/fronts/jsonrpc/connection_owner.py
@@ -19,7 +19,7 @@
     request_id: str  # the client's
 
 
-class ConnectionOwner(Protocol[Connection]):
+class RpcConnectionOwner(Protocol[Connection]):
     """The part of `JsonRpcFront` that its connections use."""
 
     loop: Loop
--- a/gaproute/hosts/jsonlines/connection_owner.py
+++ b/gaproute/hosts/jsonlines/connection_owner.py
@@ -11,7 +11,7 @@
 Connection = TypeVar("Connection", contravariant=True)
 
 
-class ConnectionOwner(Protocol):
+class HostConnectionOwner(Protocol):
     """The part of `ConnectionPool` that its connections use.
 
     `connect_timeout`: ns; `cancel_allowed`: whether hosts take cancellations. `malformed`: connections that
@@ -40,7 +40,7 @@
     address: Address
 
     @property
-    def pool(self) -> ConnectionOwner:
+    def pool(self) -> HostConnectionOwner:
         """The pool of all connections."""
 
     @property
--- a/gaproute/hosts/jsonlines/host.py
+++ b/gaproute/hosts/jsonlines/host.py
@@ -2,7 +2,7 @@
 
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.jsonlines.connection import Connection
-from gaproute.hosts.jsonlines.connection_owner import ConnectionOwner
+from gaproute.hosts.jsonlines.connection_owner import HostConnectionOwner
 from gaproute.loop.addresses import address as parse_address
 
 
@@ -33,7 +33,7 @@
         "started",
     )
 
-    def __init__(self, pool: ConnectionOwner, endpoint: Endpoint) -> None:
+    def __init__(self, pool: HostConnectionOwner, endpoint: Endpoint) -> None:
         self.pool, self.name = pool, endpoint.listed.host
         self.connections = ConnectionSet()
         self.active = self.listed = True
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -11,7 +11,7 @@
 import socket
 from collections.abc import Iterable
 
-from gaproute.http1.connection_owner import ConnectionOwner
+from gaproute.http1.connection_owner import ServerConnectionOwner
 from gaproute.http1.deadlines import DeadlineConnection
 from gaproute.http1.errors import HttpError
 from gaproute.http1.message import PendingAnswer, Request
@@ -35,11 +35,11 @@
         "read_delay",
     )
 
-    server: ConnectionOwner[ServerConnection]
+    server: ServerConnectionOwner[ServerConnection]
 
     def __init__(
         self,
-        server: ConnectionOwner[ServerConnection],
+        server: ServerConnectionOwner[ServerConnection],
         sock: socket.socket,
         address_id: int,
         request_count: int,
--- a/gaproute/http1/connection_owner.py
+++ b/gaproute/http1/connection_owner.py
@@ -13,7 +13,7 @@
 Connection = TypeVar("Connection", contravariant=True)
 
 
-class ConnectionOwner(DeadlineOwner, Protocol[Connection]):
+class ServerConnectionOwner(DeadlineOwner, Protocol[Connection]):
     """The part of `Server` that its connections use.
 
     `handle`: called with each whole request; `render_error`: what a client is told of an error.
--- a/gaproute/load/connection.py
+++ b/gaproute/load/connection.py
@@ -18,7 +18,7 @@
 UNEXPECTED_ANSWERS = "strays"  # key of the counts: answers that no request waits for
 
 
-class ConnectionOwner(Protocol):
+class LoadConnectionOwner(Protocol):
     """What a connection needs of the load that it is part of."""
 
     loop: Loop
@@ -47,7 +47,7 @@
 
     __slots__ = ("owner", "stream", "reader", "pending", "traffic", "source", "idle_index", "in_storm")
 
-    def __init__(self, owner: ConnectionOwner, source: str | None, traffic: Traffic | None) -> None:
+    def __init__(self, owner: LoadConnectionOwner, source: str | None, traffic: Traffic | None) -> None:
         self.owner, self.source, self.traffic = owner, source, traffic
         self.stream: Stream | None = None
         self.reader: ResponseReader | None = None  # only while answers are awaited: it costs memory
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.log import ReplicatedLog
 from gaproute.shared.raft.messages import (
     AppendEntries,
     AppendEntriesResponse,
@@ -71,7 +71,7 @@
     return True
 
 
-def _conflict_hint(log: Log, index: int) -> int:
+def _conflict_hint(log: ReplicatedLog, index: int) -> int:
     """Where the leader is to try next: before the term that differs, so that it skips it whole."""
     if index > log.last_index:
         return log.last_index
--- a/gaproute/shared/raft/log.py
+++ b/gaproute/shared/raft/log.py
@@ -29,7 +29,7 @@
     members: tuple[Member, ...]
 
 
-class Log:
+class ReplicatedLog:
     """The entries `snapshot_index` + 1 to `last_index`; indexes begin at 1.
 
     `membership_history`: the memberships that the log has, the last one in force.
--- a/gaproute/shared/raft/node_state.py
+++ b/gaproute/shared/raft/node_state.py
@@ -5,7 +5,7 @@
 
 from gaproute.shared.raft.disk import Disk
 from gaproute.shared.raft.leader_state import LeaderState
-from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.log import ReplicatedLog
 from gaproute.shared.raft.membership import distinct_names
 from gaproute.shared.raft.messages import Entry, EntryKind, Member
 from gaproute.shared.raft.role import Role
@@ -62,7 +62,7 @@
         return self.store.incarnation
 
     @property
-    def log(self) -> Log:
+    def log(self) -> ReplicatedLog:
         """Its log."""
         return self.store.log
 
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -10,7 +10,7 @@
 
 from gaproute.shared.messages import HIGHEST
 from gaproute.shared.raft.disk import Disk, UnusableDiskError
-from gaproute.shared.raft.log import Log
+from gaproute.shared.raft.log import ReplicatedLog
 from gaproute.shared.raft.messages import Entry, Member
 from gaproute.shared.raft.records import (
     EntryRecord,
@@ -41,7 +41,7 @@
         self.name, self.disk, self.chance, self.restore = name, disk, chance, restore
         self.incarnation = self.term = 0
         self.voted_for = NOBODY  # in this term
-        self.log = Log()
+        self.log = ReplicatedLog()
         self.snapshot: bytes | None = None  # the machine's state at the log's `snapshot_index`
         self.failure = ""  # why the disk cannot be written to
         self.discard_reason = ""  # why what was on the disk could not be used
@@ -136,7 +136,7 @@
         if self.log.term_at(index) == term:
             self.log.compact(index)
         else:
-            self.log = Log(index, term, members)
+            self.log = ReplicatedLog(index, term, members)
         self.snapshot = state
         self.rewrite()
 
@@ -167,7 +167,7 @@
 
     def __init__(self, name: str) -> None:
         self.name, self.incarnation, self.term, self.voted_for = name, 0, 0, NOBODY
-        self.log = Log()
+        self.log = ReplicatedLog()
         self.snapshot: bytes | None = None
 
     def take(self, record: Record) -> None:
@@ -181,7 +181,7 @@
                 raise UnusableDiskError("terms fall")
             self.term, self.voted_for = record.term, Candidate(record.name, record.incarnation)
         elif isinstance(record, SnapshotRecord):
-            self.log = Log(record.last_included_index, record.last_included_term, record.members)
+            self.log = ReplicatedLog(record.last_included_index, record.last_included_term, record.members)
             self.snapshot = record.state
         else:
             self.log.append(record.index, record.entry)
--- a/gaproute/simulation/rounds/fleet_check.py
+++ b/gaproute/simulation/rounds/fleet_check.py
@@ -6,7 +6,7 @@
 from gaproute.maintenance import capacity_floor
 from gaproute.simulation.process_slot import ProcessSlot
 from gaproute.simulation.rounds.host import MaintainedHost
-from gaproute.simulation.rounds.scene import Scene
+from gaproute.simulation.rounds.scene import RoundsScene
 from gaproute.simulation.rounds.scheduler import SimulatedScheduler
 from gaproute.simulation.simulation import Simulation
 
@@ -24,7 +24,7 @@
 class FleetCheck:
     """A check after each step; the floor is judged only where something has changed."""
 
-    def __init__(self, scene: Scene) -> None:
+    def __init__(self, scene: RoundsScene) -> None:
         self.scene = scene
         self._states: dict[str, HostState] = {}  # by host, as last seen
         self._running: list[bool] = []  # of each host
--- a/gaproute/simulation/rounds/host.py
+++ b/gaproute/simulation/rounds/host.py
@@ -5,13 +5,13 @@
 from gaproute.simulation.rounds.messages import (
     Drain,
     LoadCopy,
-    Probe,
+    ProbeMessage,
     ProbeReply,
     Restart,
     RunRequest,
     Serve,
 )
-from gaproute.simulation.rounds.scene import HostMemory, Scene
+from gaproute.simulation.rounds.scene import HostMemory, RoundsScene
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.units import SECOND
 
@@ -28,7 +28,7 @@
     simulation a new one is made, without any copies.
     """
 
-    def __init__(self, scene: Scene, name: str, random: SeededRandom, now: int) -> None:
+    def __init__(self, scene: RoundsScene, name: str, random: SeededRandom, now: int) -> None:
         self.spec, self.scene, self.random = scene.fleet.hosts[name], scene, random
         first = name not in scene.memories
         self.memory = scene.memories.setdefault(name, HostMemory())
@@ -66,7 +66,7 @@
         if self.down_until is not None:
             return []
         match message:
-            case Probe():
+            case ProbeMessage():
                 return [(sender, ProbeReply(message.number, self._report(now)))]
             case RunRequest():
                 if not self.draining:
--- a/gaproute/simulation/rounds/interventions.py
+++ b/gaproute/simulation/rounds/interventions.py
@@ -6,7 +6,7 @@
 from gaproute.simulation.rounds.fleet_check import FleetCheck
 from gaproute.simulation.rounds.host import MaintainedHost
 from gaproute.simulation.rounds.kinds import RunKind
-from gaproute.simulation.rounds.scene import Scene
+from gaproute.simulation.rounds.scene import RoundsScene
 from gaproute.simulation.rounds.scheduler import SimulatedScheduler
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.simulation import Simulation
@@ -26,7 +26,7 @@
 class Interventions:
     """The interventions of one run, the first one first."""
 
-    def __init__(self, scene: Scene, check: FleetCheck, random: SeededRandom) -> None:
+    def __init__(self, scene: RoundsScene, check: FleetCheck, random: SeededRandom) -> None:
         self.scene, self.check, self.random = scene, check, random
         self._pending = sorted(self._draw(), key=lambda each: each.at)
 
--- a/gaproute/simulation/rounds/messages.py
+++ b/gaproute/simulation/rounds/messages.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class ProbeMessage:
     """Asks a host for its state."""
 
     number: int
--- a/gaproute/simulation/rounds/observer.py
+++ b/gaproute/simulation/rounds/observer.py
@@ -8,8 +8,8 @@
 from gaproute.shared.gossip import GossipMessage, GossipNode
 from gaproute.simulation.process_slot import Outbox, OutgoingMessages
 from gaproute.simulation.rounds.kinds import GATEWAYS
-from gaproute.simulation.rounds.messages import DemandReport, Probe, ProbeReply, RunRequest
-from gaproute.simulation.rounds.scene import Scene
+from gaproute.simulation.rounds.messages import DemandReport, ProbeMessage, ProbeReply, RunRequest
+from gaproute.simulation.rounds.scene import RoundsScene
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.units import MILLISECOND, SECOND
 
@@ -23,7 +23,13 @@
     """Probes the hosts in turn. `reports`: what each host last reported; `incarnation`: of this process."""
 
     def __init__(
-        self, scene: Scene, name: str, random: SeededRandom, now: int, incarnation: int, peers: Sequence[str]
+        self,
+        scene: RoundsScene,
+        name: str,
+        random: SeededRandom,
+        now: int,
+        incarnation: int,
+        peers: Sequence[str],
     ) -> None:
         self.scene, self.name, self.random = scene, name, random
         self.hosts = list(scene.fleet.hosts)
@@ -51,7 +57,7 @@
             host = self.hosts[self._probe_count % len(self.hosts)]
             self._probe_count += 1
             self._probes[host] = self._probe_count, now
-            outgoing.append((host, Probe(self._probe_count)))
+            outgoing.append((host, ProbeMessage(self._probe_count)))
         return outgoing
 
     def hear(self, now: int, sender: str, message: object) -> OutgoingMessages:
@@ -82,7 +88,9 @@
 class ReportingGateway(HostObserver):
     """Reports demand to the schedulers, and sends requests to any host, also to one that drains."""
 
-    def __init__(self, scene: Scene, name: str, random: SeededRandom, now: int, incarnation: int) -> None:
+    def __init__(
+        self, scene: RoundsScene, name: str, random: SeededRandom, now: int, incarnation: int
+    ) -> None:
         peers = [other for other in (*GATEWAYS, *scene.kind.schedulers) if other != name]
         super().__init__(scene, name, random, now, incarnation, peers)
 
--- a/gaproute/simulation/rounds/run.py
+++ b/gaproute/simulation/rounds/run.py
@@ -21,7 +21,7 @@
 from gaproute.simulation.rounds.judge import FloorJudge
 from gaproute.simulation.rounds.kinds import GATEWAYS, RAFT_NODES, WORKER, RunKind
 from gaproute.simulation.rounds.observer import ReportingGateway
-from gaproute.simulation.rounds.scene import Scene
+from gaproute.simulation.rounds.scene import RoundsScene
 from gaproute.simulation.rounds.scheduler import LEASE_DURATION, ControllerFactory, SimulatedScheduler
 from gaproute.simulation.rounds.worker import MaintenanceWorker
 from gaproute.simulation.seeded_random import SeededRandom
@@ -82,7 +82,7 @@
 
     def _draw_scene(
         self, random: SeededRandom, hosts: tuple[int, int], out_time: int, change: RoundChange | None
-    ) -> Scene:
+    ) -> RoundsScene:
         fleet = draw_fleet(random, random.between(*hosts))
         demand = draw_demand(random, fleet)
         rounds = [
@@ -92,7 +92,7 @@
         if change is not None:
             rounds = [change(spec) for spec in rounds]
         judge = FloorJudge(fleet.hosts, lambda: self.simulation.now)
-        return Scene(self.kind, fleet, rounds, out_time, demand, judge)
+        return RoundsScene(self.kind, fleet, rounds, out_time, demand, judge)
 
     # Processes
 
--- a/gaproute/simulation/rounds/scene.py
+++ b/gaproute/simulation/rounds/scene.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Scene:
+class RoundsScene:
     """`out_time`: ns that a host is away for maintenance. `demand`: the true one, lanes by function."""
 
     kind: RunKind
--- a/gaproute/simulation/rounds/scheduler.py
+++ b/gaproute/simulation/rounds/scheduler.py
@@ -20,7 +20,7 @@
     Serve,
 )
 from gaproute.simulation.rounds.observer import HostObserver
-from gaproute.simulation.rounds.scene import Scene
+from gaproute.simulation.rounds.scene import RoundsScene
 from gaproute.simulation.seeded_random import SeededRandom
 from gaproute.simulation.units import MILLISECOND, SECOND
 
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        scene: Scene,
+        scene: RoundsScene,
         name: str,
         random: SeededRandom,
         now: int,
--- a/gaproute/standins/kserve/host.py
+++ b/gaproute/standins/kserve/host.py
@@ -15,9 +15,9 @@
     HostRequest,
     HostSetup,
     IncomingRequest,
-    LoadOrder,
     ModelProfile,
     ModelServer,
+    ReceivedLoadOrder,
     RequestEnd,
 )
 from gaproute.standins.model_server.faults import HostFault
@@ -138,7 +138,7 @@
             self.server.answer(request, 400, (), b'{"error":"parameters.copies is a number"}')
             return
         gateway = request.headers.get(b"gaproute-gateway", b"").decode("latin-1")
-        order = LoadOrder(name, count, gateway, id(request.connection))
+        order = ReceivedLoadOrder(name, count, gateway, id(request.connection))
         loaded = self.model_server.order_load(order)
         if loaded is None:
             self.server.answer(request, 409, (), b'{"error":"no room"}')
--- a/gaproute/standins/model_server/__init__.py
+++ b/gaproute/standins/model_server/__init__.py
@@ -6,7 +6,7 @@
     HostLoad,
     HostRequest,
     IncomingRequest,
-    LoadOrder,
+    ReceivedLoadOrder,
     RequestEnd,
 )
 from gaproute.standins.model_server.server import ModelServer
@@ -18,7 +18,7 @@
     "HostRequest",
     "HostSetup",
     "IncomingRequest",
-    "LoadOrder",
+    "ReceivedLoadOrder",
     "ModelProfile",
     "ModelServer",
     "RequestEnd",
--- a/gaproute/standins/model_server/requests.py
+++ b/gaproute/standins/model_server/requests.py
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadOrder:
+class ReceivedLoadOrder:
     """A gateway's order to have so many instances of a model."""
 
     model: str
--- a/gaproute/standins/model_server/server.py
+++ b/gaproute/standins/model_server/server.py
@@ -29,7 +29,7 @@
     HostLoad,
     HostRequest,
     IncomingRequest,
-    LoadOrder,
+    ReceivedLoadOrder,
     RequestEnd,
 )
 from gaproute.standins.model_server.warm_up import WarmUp
@@ -200,7 +200,7 @@
             request.found = FoundInstance.LOAD_FAILED
             request.end(RequestEnd.LOAD_FAILED)
 
-    def order_load(self, order: LoadOrder) -> Promise | None:
+    def order_load(self, order: ReceivedLoadOrder) -> Promise | None:
         """Takes a load order: a promise of the instances that are loaded at its end (None where the host
         dies first); None where memory is short."""
         self.note_order(order)
@@ -208,7 +208,7 @@
             return None
         return self.coroutines.spawn(self._await_loads(self.pool.instances[order.model], order.count))
 
-    def note_order(self, order: LoadOrder) -> None:
+    def note_order(self, order: ReceivedLoadOrder) -> None:
         """Notes a load order that came."""
         self.tap.note(
             "order",
--- a/gaproute/standins/platform/host.py
+++ b/gaproute/standins/platform/host.py
@@ -14,8 +14,8 @@
     HostRequest,
     HostSetup,
     IncomingRequest,
-    LoadOrder,
     ModelServer,
+    ReceivedLoadOrder,
     RequestEnd,
 )
 from gaproute.standins.model_server.faults import HostFault
@@ -172,14 +172,14 @@
         if count <= 0:
             connection.send(AnswerKind.SERVED, order_id, {"copies": pool.loaded_count(name)})
             return
-        loaded = self._accept_order(LoadOrder(name, count, connection.gateway, connection.number))
+        loaded = self._accept_order(ReceivedLoadOrder(name, count, connection.gateway, connection.number))
         if loaded is None:
             connection.send(AnswerKind.OVERLOAD, order_id, {"copies": pool.of(name).loaded})
             return
         connection.load_orders.add(order_id)  # the connection is not idle meanwhile
         loaded.then(partial(self._order_ended, connection, order_id, count))
 
-    def _accept_order(self, order: LoadOrder) -> Promise | None:
+    def _accept_order(self, order: ReceivedLoadOrder) -> Promise | None:
         """The order's promise; None where the host is draining or has no memory for it."""
         if self.model_server.faults.is_active(HostFault.DRAIN):
             self.model_server.note_order(order)
--- a/tests/standins/test_model_server.py
+++ b/tests/standins/test_model_server.py
@@ -10,9 +10,9 @@
     HostProfile,
     HostSetup,
     IncomingRequest,
-    LoadOrder,
     ModelProfile,
     ModelServer,
+    ReceivedLoadOrder,
     RequestEnd,
     invariants,
 )
@@ -44,7 +44,7 @@
         )
 
     def order(self, model, count):
-        return self.model_server.order_load(LoadOrder(model, count, "g", 1))
+        return self.model_server.order_load(ReceivedLoadOrder(model, count, "g", 1))
 
     def rest(self, span):
         end = self.loop.now() + span
