--- a/gaproute/core/in_flight.py
+++ b/gaproute/core/in_flight.py
@@ -1,7 +1,7 @@
-"""A request in flight, its attempts, and what the hosts give for each of them."""
+"""A request in flight, its attempts, and what the hosts report of each attempt."""
 
 from collections.abc import Callable
-from typing import Any, NamedTuple, Protocol
+from typing import NamedTuple, Protocol
 
 from gaproute import interface as face
 from gaproute.interface.call import Answer, Call, Final
@@ -9,7 +9,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """What an attempt came to, in the terms of the decision module."""
+    """How an attempt ended, in the terms of the decision module."""
 
     result: face.Result
     answer: Answer | None  # with Result.OK
@@ -23,21 +23,24 @@
 
     @property
     def started(self) -> bool:
-        """Whether its host may have got any of it."""
+        """Whether the host may have received any byte of the request."""
 
     @property
     def cancellable(self) -> bool:
-        """Whether it may be withdrawn though it has begun, as it cannot run yet; read only once it has."""
+        """Whether a started attempt may still be withdrawn, as the host cannot run it yet.
+
+        It is read only once `started` is true.
+        """
 
     def cancel(self) -> None:
-        """Ends it: its result is not reported any more."""
+        """Ends the attempt; its result is not reported any more."""
 
 
 class AttemptInFlight(NamedTuple):
     """An attempt that has not ended."""
 
     host: str
-    sent_at: int
+    sent_at: int  # ns
     handle: AttemptHandle
 
 
@@ -82,4 +85,4 @@
         self.may_have_run = False  # by an attempt that has ended
         self.cell_unknown = False  # rejected because this gateway does not know its cell
         self.found = face.Found.UNKNOWN  # by the attempt that delivered the answer
-        self.log_step: Callable[..., Any] | None = None  # where its steps are logged
+        self.log_step: Callable[..., None] | None = None  # where its steps are logged
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -1,11 +1,12 @@
-"""The status line of the platform's process: what an operator sees of it every few seconds."""
+"""The status line that the platform process logs for operators every few seconds."""
 
 import os
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from gaproute.connections import AcceptedConnections
 from gaproute.core.core import Core
+from gaproute.decisions.routing import Gateway
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
@@ -14,7 +15,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MEBIBYTE = 1 << 20
-STATUS_INTERVAL = 5 * SECOND  # a few lines in the shortest day
+STATUS_INTERVAL = 5 * SECOND
 
 Figure = TypeVar("Figure")
 
@@ -28,19 +29,20 @@
         log: Log,
         *,
         core: Core,
+        gateway: Gateway,
         front: JsonRpcFront,
         hosts: JsonLinesClient,
         host_list: HostList,
     ) -> None:
         self.loop, self.log, self.core, self.front = loop, log, core, front
-        self.hosts, self.host_list = hosts, host_list
+        self.gateway, self.hosts, self.host_list = gateway, hosts, host_list
 
     def write(self) -> None:
-        """Writes a line now, and the next one later."""
+        """Writes a line now and sets the timer of the next one."""
         self.loop.after(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
         self.log.info("status", **self._fields())
 
-    def _fields(self) -> dict[str, Any]:
+    def _fields(self) -> dict[str, object]:
         return {
             "requests_in_flight": len(self.core.in_flight),
             "counts": self.core.record.snapshot(),
@@ -53,7 +55,7 @@
         }
 
     def _connections_in_use(self) -> dict[str, list[int]]:
-        """Connections and open requests by host, of hosts that have any."""
+        """By host: [connections, requests on them], for hosts that have a connection."""
         return {
             name: [len(host.connections), sum(len(connection.pending) for connection in host.connections)]
             for name, host in self.hosts.hosts.items()
@@ -61,16 +63,15 @@
         }
 
     def _estimates(self) -> dict[str, list[float]]:
-        """Queue, slowness and own attempts in flight, of hosts that are in use or slow."""
-        gateway: Any = self.core.gateway
-        now = self.loop.now()
+        """By host: [queue, slowdown, own attempts in flight], for hosts that are in use or slow."""
+        gateway, now = self.gateway, self.loop.now()
         return {
             host.id: [round(gateway.queued(host, 1, now), 1), round(host.slowdown, 1), len(host.in_flight)]
             for host in gateway.active_hosts
             if host.in_flight or host.slowdown > 1
         }
 
-    def _client_fields(self) -> dict[str, Any]:
+    def _client_fields(self) -> dict[str, int]:
         front, connections = self.front, AcceptedConnections.of(self.loop)
         return {
             "client_connections": connections.client_count,
@@ -81,7 +82,7 @@
             "evicted_idle": connections.evicted,
         }
 
-    def _host_fields(self) -> dict[str, Any]:
+    def _host_fields(self) -> dict[str, int]:
         hosts = self.hosts
         return {
             "host_connections_opened": hosts.opened,
@@ -91,7 +92,7 @@
             "unmatched_responses": hosts.unmatched,
         }
 
-    def _process_fields(self) -> dict[str, Any]:
+    def _process_fields(self) -> dict[str, float | None]:
         return {
             "late_loop_turns": self.loop.late_turns,
             "open_descriptors": _if_readable(open_descriptors),
@@ -99,7 +100,7 @@
             "cpu_s": round(sum(os.times()[:2]), 2),
         }
 
-    def _list_fields(self) -> dict[str, Any]:
+    def _list_fields(self) -> dict[str, object]:
         watcher, rejected = self.host_list.watcher, self.host_list.converter.rejected
         if watcher is None:
             return {"rejected_members": rejected}
@@ -114,12 +115,12 @@
 
 
 def open_descriptors() -> int:
-    """How many descriptors this process has open. Errors: OSError where none is free to count them with."""
+    """How many descriptors this process has open. Errors: OSError where none is free to count them."""
     return len(os.listdir("/proc/self/fd"))
 
 
 def resident_memory() -> float:
-    """MiB by the kernel's count. Errors: OSError where no descriptor is free to read it with."""
+    """The resident memory of this process, MiB. Errors: OSError where no descriptor is free to read it."""
     with open("/proc/self/statm") as file:
         pages = int(file.read().split()[1])
     return round(pages * os.sysconf("SC_PAGESIZE") / MEBIBYTE, 1)
