--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,4 @@
+import io
 from functools import partial
 
 import pytest
@@ -42,7 +43,7 @@
     def start(name, *lines, listen=True):
         text = f"{CONFIGURATION.replace('name g', f'name {name}')}hosts-file {made.list} look 5ms\n"
         text += "\n".join(["listen peers 127.0.0.1:0"] * listen + list(lines)) + "\n"
-        other = Appliance(read_configuration(name, text), made.loop, 9, logger(open("/dev/null", "w")))
+        other = Appliance(read_configuration(name, text), made.loop, 9, logger(io.StringIO()))
         other.start()
         started.append(other)
         return other
