--- a/gaproute/appliance/__init__.py
+++ b/gaproute/appliance/__init__.py
@@ -1,4 +1,4 @@
-"""The running gateway: wiring of all parts, start, reload of the host list, stop."""
+"""The gateway process: makes all parts, starts and stops them, and reloads the host list."""
 
 from gaproute.appliance.gateway import Appliance
 
--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -1,8 +1,8 @@
-"""The host lists of the cells that a gateway knows: files `CELL.hosts` of one folder, watched while needed.
+"""The host lists of the cells that a gateway knows: files `CELL.hosts` of one folder, watched for changes.
 
-Invariants: the lists in force never name a host twice, nor one in another zone than its cell's; a list that
-does is rejected and the cell's last good one stays. Lists are judged together, so that a host may move from
-one cell to another whichever file changes first.
+Invariants: the lists in force never name a host twice, nor one in another zone than its cell's. A list that
+does is rejected, and the last good list of its cell stays in force. All lists are checked together, so that a
+host may move from one cell to another whichever file changes first.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -18,7 +18,7 @@
 
 
 class CellLists:
-    """Follows the files of the cells given by `set_cells`; `in_force` are the lists that are used now.
+    """Follows the files of the cells given by `set_cells`; `in_force` has the lists that are used now.
 
     `on_change(lists)` is called with all lists in force each time that they change, `on_rejected(cell,
     mistakes)` for each list that is not used.
@@ -31,7 +31,7 @@
         on_change: Callable[[Lists], None],
         on_rejected: Callable[[str, Sequence[Mistake]], None],
     ) -> None:
-        """Raises ValueError where the line names no folder."""
+        """Errors: ValueError where the line names no folder."""
         if line.folder is None:
             raise ValueError("host lists of files need a folder")
         self.loop, self.folder, self.poll_interval = loop, line.folder, line.look
@@ -40,7 +40,7 @@
         self.watches: dict[str, FileWatch] = {}  # by cell
         self.last_read: Lists = {}
         self.in_force: Lists = {}
-        self.conflicts: dict[str, Mistake] = {}  # cell: why the list read last is not in force
+        self.conflicts: dict[str, Mistake] = {}  # by cell: why the list that was read last is not in force
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
         """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
@@ -58,21 +58,21 @@
             self._put_in_force(changed=True)
 
     def reload(self) -> None:
-        """Reads every file at once."""
+        """Reads every file now."""
         for watch in list(self.watches.values()):
             watch.read()
 
     def current_at(self) -> dict[str, int | None]:
-        """{cell: when its file was last seen to be as it is in force, before the change at hand}, ns."""
+        """By cell: when its file was last seen unchanged, before the change that is being handled; ns."""
         return {cell: watch.current_at for cell, watch in self.watches.items()}
 
     def close(self) -> None:
-        """Watches nothing any more."""
+        """Ends all watches."""
         for watch in self.watches.values():
             watch.close()
 
     def _watch(self, cell: str) -> None:
-        # A watch reads its file as it is made, before it can be stored.
+        # A watch reads its file while it is being made, before it is stored in `watches`.
         self.watches[cell] = FileWatch(
             self.loop,
             path_of(self.folder, cell),
@@ -97,7 +97,9 @@
         self._put_in_force()
 
     def _put_in_force(self, *, changed: bool = False) -> None:
-        """Uses the newest lists that go together; `changed`: they differ from the last call's anyway."""
+        """Uses the newest lists that are consistent; `changed`: they differ from those of the last call
+        anyway.
+        """
         lists, conflicts = self._consistent()
         for cell, mistake in conflicts.items():
             if self.conflicts.get(cell) != mistake:
@@ -108,11 +110,14 @@
             self.on_change(lists)
 
     def _consistent(self) -> tuple[Lists, dict[str, Mistake]]:
-        """The newest lists that go together, and why others do not: these stay as they are in force."""
+        """The newest lists that are consistent, and why others are not used; of those the list in force
+        stays.
+        """
         unchanged = {
             cell: lines for cell, lines in self.last_read.items() if self.in_force.get(cell) == lines
         }
-        lists = unchanged | self.last_read  # those in force come first: the newer of two is rejected
+        # those in force come first, so that the newer of two conflicting lists is rejected
+        lists = unchanged | self.last_read
         paths = {cell: path_of(self.folder, cell) for cell in lists}
         conflicts: dict[str, Mistake] = {}
         while (conflict := first_clash(paths, lists)) is not None:
--- a/gaproute/appliance/cell_rows.py
+++ b/gaproute/appliance/cell_rows.py
@@ -1,4 +1,4 @@
-"""Host lines of cells as rows; of a list that changes, only the lines that did are made rows anew."""
+"""Converts host lines of cells to endpoints; of a changed list only the changed lines are converted again."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 
 
 class LineRow(NamedTuple):
-    """A line of a list, and the row that was made of it."""
+    """A line of a list, and the endpoint that was made of it."""
 
     line: HostLine
     row: Endpoint
 
 
 class CellList(NamedTuple):
-    """A cell's list with its rows."""
+    """The list of a cell with its endpoints."""
 
     zone: str
     lines: list[HostLine]
@@ -26,7 +26,7 @@
 
 
 class CellRows:
-    """The rows of the lists in force. `sizes`: whether the capacities of the lines count."""
+    """The endpoints of the lists in force. `sizes`: whether the capacities in the lines are used."""
 
     def __init__(self, loop: Loop, sizes: bool) -> None:
         self.listing = HostLineConverter(loop, use_capacities=sizes)
@@ -38,9 +38,10 @@
         zones: Mapping[str, str],
         current_at: Mapping[str, int | None] | None = None,
     ) -> dict[str, list[Endpoint]]:
-        """{cell: rows} of {cell: lines}; a host whose line names no zone is in that of its cell.
+        """The endpoints by cell, of the lines by cell; a host whose line names no zone is in the zone of its
+        cell.
 
-        `current_at`: {cell: when its list before was last known to be in force, ns of the loop's clock}.
+        `current_at`: by cell, when its former list was last known to be in force, ns of the loop's clock.
         """
         current_at = current_at or {}
         self.lists = {
@@ -52,7 +53,7 @@
 
     def _list_of(self, cell: str, lines: list[HostLine], zone: str, current_at: int | None) -> CellList:
         before = self.lists.get(cell)
-        absent_at = current_at if before is not None else None  # a cell's first list has none before it
+        absent_at = current_at if before is not None else None  # the first list of a cell has none before it
         if before is not None and before.zone == zone and before.lines is lines:
             return before
         known = before.by_host if before is not None and before.zone == zone else {}
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -16,10 +16,10 @@
 
 
 class ContradictionError(TableError):
-    """A table of the version that is held, but with other content."""
+    """A table has the version of the current one, but other content."""
 
 
-# Why a table of the file is rejected, as the status counts it.
+# Why a table of the file is rejected, by the names in the status.
 REASONS: dict[type[Exception], str] = {
     OtherFleetError: "other fleet",
     StaleVersionError: "older",
@@ -29,17 +29,17 @@
 
 
 def change_between(before: CellTable, after: CellTable) -> TableChange:
-    """The change that leads from one table to the other."""
+    """The change that makes the table `after` of the table `before`."""
     rows = tuple(cell for cell in after.cells if before.by_name.get(cell.name) != cell)
     removed = tuple(name for name in before.by_name if name not in after.by_name)
     return TableChange(after.fleet, before.version, after.version, rows, removed)
 
 
 class CellTableSource:
-    """Calls `on_table(table)` for each newer one, wherever it came from.
+    """Calls `on_table(table)` for each newer table, from the file or from other gateways.
 
-    `carrier` disseminates it among the gateways. `rejected` counts by reason the tables of the file that
-    were not taken.
+    `carrier` disseminates the table among the gateways. `rejected` counts, by reason, the tables of the file
+    that were rejected.
     """
 
     def __init__(
@@ -57,11 +57,13 @@
 
     @property
     def table(self) -> CellTable | None:
-        """The last good table, None before the first."""
+        """The last good table, None before the first one."""
         return self.carrier.table()
 
     def start(self) -> None:
-        """Takes what was stored on disk, then looks into the file and listens to others."""
+        """Takes the table that was stored on disk, then checks the file and receives tables of other
+        gateways.
+        """
         self.carrier.start()
         line = self.line
         self.watch = FileWatch(
@@ -69,23 +71,23 @@
         )
 
     def reload(self) -> None:
-        """Reads the file at once."""
+        """Reads the file now."""
         if self.watch is not None:
             self.watch.read()
 
     def rejections(self) -> dict[str, int]:
-        """{reason: how often}, of the file and of what other gateways sent."""
+        """By reason: how many tables of the file and of other gateways were rejected."""
         sent = {f"sent: {reason}": count for reason, count in self.carrier.disseminator.rejections.items()}
         return dict(self.rejected) | sent
 
     def stop(self) -> None:
-        """Looks at no file, and neither sends nor receives any more."""
+        """Ends watching the file, sending and receiving."""
         if self.watch is not None:
             self.watch.close()
         self.carrier.stop()
 
     def _publish_newer(self, table: CellTable) -> None:
-        """Takes the file's table and disseminates it, if it is newer than the one held; else rejects it."""
+        """Takes over and disseminates the file's table if it is newer than the current one, or rejects it."""
         held = self.table
         if held is not None and table.version == held.version and table.cells == held.cells:
             return
@@ -106,7 +108,9 @@
             raise StaleVersionError(held.version, table.version)
 
     def _publish(self, table: CellTable, held: CellTable | None) -> None:
-        """Sends what differs; the whole where that is most of it, or nothing is held."""
+        """Sends the difference to the current table; the whole table where most of it differs or there is
+        none.
+        """
         if held is not None:
             change = change_between(held, table)
             if len(change.rows) + len(change.removed) <= len(held.cells) // 2:
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -1,5 +1,7 @@
-"""The cells of a running gateway: its table, the host lists that it needs by that table, and its part in
-forwarding. Parts wired, nothing decided."""
+"""The cells of a running gateway: the cell table, the host lists that are needed by it, and forwarding.
+
+This module connects the parts; the decisions are in `gaproute.decisions.cells`.
+"""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
@@ -31,20 +33,20 @@
 from gaproute.shared.dissemination import Peer
 from gaproute.telemetry.record import Record
 
-# Added to the seed: each part draws from a chance of its own.
+# Added to the seed, so that no two parts draw the same random numbers.
 CARRIER_SEED = 6  # which gateways are sent a table
-SOURCES_SEED = 8  # the order of sources and the waits between attempts
-WRONG_LIST = "wrong host list"  # as operators read it
+SOURCES_SEED = 8  # the order of change log sources and the waits between attempts
+WRONG_LIST = "wrong host list"  # as operators read it in the status
 WRONG_MEMBER = "wrong host of a source"
 
 
 class CellServices:
-    """The parts that a gateway in a fleet of cells has in place of a whole fleet's.
+    """The parts that a gateway in a fleet of cells has instead of one host list for the whole fleet.
 
     `gateway`, `hosts` and `core` are the decisions, the connections to hosts and the request driver.
-    `hosts_changed(rows)` is called with all hosts known each time that they change, before the decisions.
-    `placeholder_gateway` knows no host: what gateways of a fleet without cells tell each other of hosts is
-    not sent for cells.
+    `hosts_changed(rows)` is called with all known hosts each time that they change, before the decisions.
+    `placeholder_gateway` knows no host: gateways in a fleet of cells do not exchange the host observations
+    that are exchanged in a fleet without cells.
     """
 
     def __init__(
@@ -57,7 +59,7 @@
         run: str,
         hosts_changed: Callable[[Sequence[Endpoint]], None],
     ) -> None:
-        """`run`: the name of this run of the process. Raises ValueError without cells configured."""
+        """`run`: the name of this run of the process. Errors: ValueError where no cells are configured."""
         if configuration.cells is None or configuration.cell_hosts is None:
             raise ValueError("the configuration has no cells")
         self.loop, self.configuration, self.record, self.seed = loop, configuration, record, seed
@@ -74,15 +76,14 @@
         )
         self.rows = CellRows(loop, configuration.capacities_reported)
         self.lists = self._make_lists()
-        self.lists_given: Lists = {}  # what the decisions were given last
+        self.lists_given: Lists = {}  # the lists that the decisions were given last
         self.lists_rejected = self.members_rejected = 0
         self.table: CellTableSource | None = None  # None until `listen`
         self.timer: Timer | None = None
 
     def listen(self, peer_services: PeerServices, ready: Callable[[], bool]) -> EntryFront:
-        """Takes requests that other gateways forward, and the table that they send, at the peers' address.
-
-        Returns the front of those requests.
+        """Opens the front for requests that other gateways forward, and receives their tables; returns the
+        front.
         """
         server = peer_services.peer_server
         membership_transport = peer_services.membership_transport
@@ -104,25 +105,25 @@
         return front
 
     def start(self) -> None:
-        """Reads the table and the lists, and goes on looking."""
+        """Reads the table and the lists, and watches them from now on."""
         if self.table is not None:
             self.table.start()
         self._look()
 
     def update_peers(self, addresses: Mapping[str, str]) -> None:
-        """Takes the other gateways of the configuration, {name: address}."""
+        """Takes over the addresses of the other gateways by name."""
         if self.table is not None:
             peers = tuple(Peer(name, where) for name, where in addresses.items())
             self.table.carrier.set_peers(peers)
 
     def reload(self) -> None:
-        """Reads all files at once."""
+        """Reads all files now."""
         if self.table is not None:
             self.table.reload()
         self.lists.reload()
 
     def gateways(self) -> list[Any]:
-        """The decisions of each cell known."""
+        """The decisions of each known cell."""
         single = self.gateway.single
         return [single] if single is not None else list(self.gateway.local.gateways.values())
 
@@ -132,7 +133,7 @@
         return table is not None and any(self.gateway.entries.order(cell) for cell in table.cells)
 
     def status(self) -> dict[str, Any]:
-        """What an operator reads; the keys are older than the names here."""
+        """The status for operators; its keys are older than the names in the code."""
         table = self._held_table()
         status: dict[str, Any] = {
             "version": str(table.version) if table else None,
@@ -147,14 +148,14 @@
         return status
 
     def stop(self) -> None:
-        """Neither sends nor takes tables any more, nor follows the lists of other cells than now."""
+        """Stops sending and taking tables, and follows the lists of the present cells only."""
         if self.table is not None:
             self.table.stop()
         if self.timer is not None:
             self.timer.cancel()
 
     def close(self) -> None:
-        """Ends all connections to entry gateways; those to hosts are the appliance's."""
+        """Closes the connections to entry gateways; the appliance closes those to hosts."""
         self.stop()
         self.lists.close()
         self.entries.close()
@@ -171,7 +172,7 @@
         self.core.start_housekeeping(now)
 
     def _look(self) -> None:
-        """The decisions need other cells now and then, by the functions that are requested."""
+        """Follows the cells that the decisions need now, which depend on the functions that are requested."""
         self.timer = self.loop.after(self.hosts_line.look, self._look)
         self._follow_wanted_cells()
 
@@ -184,12 +185,12 @@
             self.lists.set_cells(zones)
         if self.gateway.single is None:
             known = self.gateway.local.gateways
-            if any(cell not in known for cell in self.lists_given):  # let go and wanted again meanwhile
+            if any(cell not in known for cell in self.lists_given):  # a cell was released and is wanted again
                 self.lists_given = {cell: lines for cell, lines in self.lists_given.items() if cell in known}
                 self._apply_lists(self.lists.in_force)
 
     def _apply_lists(self, lists: Lists) -> None:
-        """Takes all lists in force. The connections come first: the decisions may use a new host at once."""
+        """Applies all lists in force, first to the connections: the decisions may use a new host at once."""
         rows = self.rows.of(lists, self.lists.zones, self.lists.current_at())
         self.hosts_changed([row for of_cell in rows.values() for row in of_cell])
         before, self.lists_given = self.lists_given, dict(lists)
@@ -198,7 +199,7 @@
                 self.core.update_cell_hosts(cell, [row.listed for row in of_cell])
 
     def _make_lists(self) -> CellLists | FollowedLists:
-        """The host lists, from files or from sources."""
+        """Makes the host lists, from files or from change logs."""
         if self.hosts_line.folder is not None:
             return CellLists(self.loop, self.hosts_line, self._apply_lists, self._list_rejected)
         return FollowedLists(
--- a/gaproute/appliance/child_process.py
+++ b/gaproute/appliance/child_process.py
@@ -1,8 +1,8 @@
 """One gateway process under a parent: started, watched until it serves, asked to end or killed.
 
-Two pipes join the processes. The child writes to the ready pipe once it serves. The parent has the writing
-end of the liveness pipe and never writes: its end of file tells the child that the parent has ended, or that
-all children are to end together.
+Two pipes connect the processes. The child writes to the ready pipe once it serves. The parent has the writing
+end of the liveness pipe and never writes to it: its end of file means that the parent has ended, or that all
+children are to end together.
 """
 
 import os
@@ -16,15 +16,15 @@
 from gaproute.loop.timers import Timer
 
 SECOND = 1_000_000_000
-MAX_START_TIME = 30 * SECOND  # until a child serves, on a crowded machine; then it is killed
-READY_MESSAGE_BYTES = 16  # more than a child writes
+MAX_START_TIME = 30 * SECOND  # until a child serves, on a busy machine; then it is killed
+READY_MESSAGE_BYTES = 16  # longer than the message of a child
 
 
 class ChildProcess:
-    """One process. Raises OSError where it cannot be started; nothing of it is left then.
+    """One process. Errors: OSError where it cannot be started; then nothing of it is left.
 
-    `ready` is settled with True once it serves, with False where it ended before; `ended` with its return
-    code. `started`: when, ns of the loop's clock.
+    `ready` is settled with True once the process serves, with False if it ended before; `ended` with its
+    return code. `started`: when it was started, ns of the loop's clock.
     """
 
     def __init__(self, loop: Loop, command: Sequence[str], descriptors: Iterable[int]) -> None:
@@ -42,18 +42,18 @@
             rollback.pop_all()
 
     def stop(self) -> None:
-        """Asks it to end alone: the others go on accepting clients."""
+        """Asks this process to end, while others go on accepting clients."""
         if not self.ended.ready:
             self.process.send_signal(signal.SIGTERM)
 
     def stop_with_all(self) -> None:
-        """Asks it to end with all others, so that nobody else takes the clients in the queue."""
+        """Asks the process to end together with all others, so that it accepts the clients in the queue."""
         self._close_liveness_pipe()
         if not self.ready.ready:
-            self.stop()  # it does not watch the pipe yet, and has accepted nobody
+            self.stop()  # it does not watch the pipe yet, and has accepted no client
 
     def kill(self) -> None:
-        """Ends it at once."""
+        """Kills the process."""
         if not self.ended.ready:
             self.process.kill()
 
@@ -79,7 +79,7 @@
         except (BlockingIOError, InterruptedError):
             return
         self._close_ready_pipe()
-        if message:  # else it ended without a message
+        if message:  # without a message the process has ended
             self.start_timer.cancel()
             self.ready.set(True)
 
@@ -117,7 +117,7 @@
 def _spawn(
     command: Sequence[str], liveness_end: int, ready_end: int, descriptors: Iterable[int]
 ) -> subprocess.Popen[bytes]:
-    """The process, with its ends of the pipes and the listening sockets."""
+    """Starts the process with its ends of the pipes and the listening sockets."""
     inherited = (liveness_end, ready_end, *descriptors)
     for descriptor in inherited:
         os.set_inheritable(descriptor, True)
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -1,4 +1,4 @@
-"""The children of a parent by process slot: started, and started again after they died."""
+"""The children of a parent by process slot; a child that dies is started again."""
 
 import os
 import socket
@@ -15,19 +15,19 @@
 from gaproute.telemetry.record import Log
 
 MILLI = 1_000_000
-SEEDS_PER_PARENT = 1000  # so that the children of parents with neighbouring seeds have seeds of their own
+SEEDS_PER_PARENT = 1000  # so that children of parents with neighbouring seeds have different seeds
 
 
 @dataclass(frozen=True, slots=True)
 class ServeCommand:
-    """The command line of a child, but for its slot and its sockets."""
+    """The command line of a child, except for its slot and its sockets."""
 
-    file: str  # the configuration
-    count: int  # children at once
-    seed: int | None  # of the decisions' chance; None: each child draws its own
+    file: str  # path of the configuration
+    count: int  # number of children
+    seed: int | None  # of the decisions' random numbers; None: each child draws its own
 
     def arguments(self, slot: int, sockets: Mapping[str, socket.socket]) -> list[str]:
-        """The whole command line; `sockets` by address."""
+        """The complete command line; `sockets`: by address."""
         serve = [sys.executable, "-m", "gaproute", "serve", self.file]
         arguments = [*serve, "--seat", str(slot), str(self.count)]
         for where, sock in sockets.items():
@@ -38,9 +38,10 @@
 
 
 class ChildProcesses:
-    """The children `by_slot`. Slots are numbered from 0, one more than children for a roll.
+    """The children `by_slot`. Slots are numbered from 0; a rolling reload uses one slot more than there are
+    children.
 
-    `configuration`: the one that new children are started with. `on_all_ended`: called once none is left
+    `configuration`: the one with which new children are started. `on_all_ended`: called once no child is left
     after `stop`.
     """
 
@@ -61,7 +62,7 @@
         self.stopping = False
 
     def start(self, slot: int) -> ChildProcess:
-        """Starts a child. Raises OSError where that, or one of its sockets, cannot be had."""
+        """Starts a child. Errors: OSError where the process, or one of its sockets, cannot be opened."""
         sockets = self.listeners.open(self.configuration)
         descriptors = [sock.fileno() for sock in sockets.values()]
         child = ChildProcess(self.loop, self.command.arguments(slot, sockets), descriptors)
@@ -70,7 +71,7 @@
         return child
 
     def start_missing(self) -> None:
-        """Starts a child in each slot that has none. Raises OSError; it may be called again then."""
+        """Starts a child in each empty slot. Errors: OSError; then it may be called again."""
         for slot in range(self.command.count):
             if slot not in self.by_slot:
                 self.start(slot)
@@ -80,7 +81,7 @@
         return next(slot for slot in range(self.command.count + 1) if slot not in self.by_slot)
 
     def stop(self) -> None:
-        """Asks all to end together."""
+        """Asks all children to end together."""
         self.stopping = True
         for child in self.by_slot.values():
             child.stop_with_all()
@@ -88,13 +89,13 @@
             self.on_all_ended()
 
     def kill(self) -> None:
-        """Ends at once what is left."""
+        """Kills the children that are left."""
         for child in self.by_slot.values():
             child.kill()
 
     def _on_ended(self, slot: int, child: ChildProcess, code: int) -> None:
         if self.by_slot.get(slot) is not child:
-            return  # replaced in a roll
+            return  # it was replaced in a rolling reload
         del self.by_slot[slot]
         if self.stopping:
             if not self.by_slot:
@@ -104,7 +105,9 @@
         self.log.warning("child_exited", process_slot=slot, exit_code=code, restart_in_ms=wait // MILLI)
 
     def _schedule_restart(self, slot: int, lived: int) -> int:
-        """Has the slot filled again after a backoff, its child having lived so long; how long that is, ns."""
+        """Fills the slot again after a backoff; `lived`: how long its child ran. Returns the backoff. Times
+        are ns.
+        """
         now = self.loop.now()
         restart_at = self.restarts.schedule_restart(now, slot, lived)
         self.loop.at(restart_at, self._restart, slot)
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -1,8 +1,9 @@
-"""The host lists of the cells that a gateway knows, each followed by a change log while needed.
+"""The host lists of the cells that a gateway knows, each followed by a change log.
 
-One connection for each cell, opened when the cell is first needed and closed when it is let go. Whatever
-the sources do, the last good list of a cell serves on. Bounded: cells followed, hosts of all of them, bytes
-of an event, how often events are taken in, and lines logged for each connection.
+There is one connection for each cell, opened when the cell is first needed and closed when it is released. If
+the sources fail, the last good list of a cell stays in force. Bounded are the followed cells, the hosts of
+all of them, the bytes of an event, how often events are applied, and the lines that are logged for each
+connection.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -19,7 +20,7 @@
 from gaproute.loop.timers import Timer
 from gaproute.shared.randomness import RandomSource
 
-MAX_CELLS = 64  # followed at once; a view of 512 hosts has fewer, unless its cells are tiny
+MAX_CELLS = 64  # followed at a time; a view of 512 hosts has fewer, unless its cells are tiny
 MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS  # of all cells: four times what a view has by its table
 MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; all are counted
 
@@ -27,19 +28,20 @@
 
 
 class FollowedCell:
-    """One cell: who follows its log, what came from there, and which rejections were logged."""
+    """One cell: the watcher of its change log, what it reported, and which rejections were logged."""
 
-    follower: CellWatcher  # set as soon as it is made: it may call back while it is
+    follower: CellWatcher  # set as soon as it is made, as it may call back while it is being made
 
     def __init__(self) -> None:
         self.members = CellMembers()
-        self.rejected: dict[str, str] = {}  # {host: reason} of members
-        self.conflicts: dict[str, str] = {}  # {host: reason} of hosts not in force
-        self.logged, self.connection = 0, 0  # rejections logged, and of which connection
+        self.rejected: dict[str, str] = {}  # by host: why its member is rejected
+        self.conflicts: dict[str, str] = {}  # by host: why it is not in force
+        # rejections that were logged, and the number of the connection that they came on
+        self.logged, self.connection = 0, 0
         self.failing = False
 
     def to_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
-        """Those of the rejected members that are to be logged: once each, and so many for a connection."""
+        """The rejected members to be logged: each one once, and a limited number for a connection."""
         unlogged = [member for member in rejected if self.rejected.get(member.host) != member.reason]
         if len(self.rejected) + len(unlogged) > MAX_HOSTS:
             self.rejected = {}
@@ -47,7 +49,7 @@
         return self.within_limit(unlogged)
 
     def within_limit(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
-        """As many as may still be logged for this connection."""
+        """As many of the members as may still be logged for this connection."""
         if self.connection != self.follower.connection_count:
             self.connection, self.logged = self.follower.connection_count, 0
         allowed = rejected[: MAX_LOGGED_REJECTIONS - self.logged]
@@ -55,15 +57,16 @@
         return allowed
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         self.follower.close()
 
 
 class FollowedLists:
-    """As `CellLists`: `on_change(lists)` with all lists in force, each time that they change.
+    """As `CellLists`: `on_change(lists)` is called with all lists in force, each time that they change.
 
-    `on_rejected(cell, count, members)`: so many were rejected, of which these are to be logged.
-    `on_source(cell, error)`: a cell's sources begin to fail; `error` None: one is back.
+    `on_rejected(cell, count, members)`: that many members were rejected, of which `members` are to be logged.
+    `on_source(cell, error)`: the sources of a cell begin to fail; with `error` None one of them answers
+    again.
     """
 
     def __init__(
@@ -84,7 +87,7 @@
         self.followed: dict[str, FollowedCell] = {}  # by cell
         self.cells_in_force = CellReconciler()
         self.timer: Timer | None = None
-        self.pending = False  # events came that are not in force yet
+        self.pending = False  # whether events have come that are not applied yet
         loop.on_late_turn.append(self._take_in_late)
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
@@ -99,14 +102,16 @@
         self._put_in_force()
 
     def reload(self) -> None:
-        """Nothing to do: a log sends by itself, where files would be read anew."""
+        """Does nothing: a change log sends changes by itself."""
 
     def current_at(self) -> dict[str, int | None]:
-        """{cell: when its list was last known to be as it is in force, before the change at hand}, ns."""
+        """By cell: when its list was last known to be unchanged, before the change at hand; ns."""
         return {cell: followed.follower.current_at for cell, followed in self.followed.items()}
 
     def status(self) -> dict[str, Any]:
-        """What an operator reads: cells followed, those whose sources fail, connections tried."""
+        """The status for operators: followed cells, those whose sources fail, and connections that were
+        tried.
+        """
         followed = self.followed.values()
         return {
             "followed": len(self.followed),
@@ -116,7 +121,7 @@
         }
 
     def close(self) -> None:
-        """Follows nothing any more."""
+        """Ends following all cells."""
         if self._take_in_late in self.loop.on_late_turn:
             self.loop.on_late_turn.remove(self._take_in_late)
         for followed in self.followed.values():
@@ -139,7 +144,7 @@
     def _on_event(self, cell: str, event: Event) -> None:
         followed = self.followed.get(cell)
         if followed is None:
-            return  # let go by what an earlier event of the same bytes brought about
+            return  # the cell was released as a result of an earlier event in the same bytes
         others = sum(len(each.members.reported) for name, each in self.followed.items() if name != cell)
         rejected = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - others)
         if rejected:
@@ -147,7 +152,9 @@
         self._schedule()
 
     def _schedule(self) -> None:
-        """Events are taken in at once, but no more often than the interval: a flood costs no more."""
+        """Schedules applying the events: at once, but no more often than an interval, so that a flood is
+        cheap.
+        """
         self.pending = True
         if self.timer is None:
             self._take_in()
@@ -160,7 +167,7 @@
             self._put_in_force()
 
     def _take_in_late(self) -> None:
-        """After a stall, events that wait come before the requests that came meanwhile."""
+        """After a stall, applies the waiting events before the requests that came in the meantime."""
         for followed in list(self.followed.values()):
             followed.follower.read_now()
         if self.pending:
@@ -169,7 +176,7 @@
             self._take_in()
 
     def _put_in_force(self) -> None:
-        """Uses the hosts that go together."""
+        """Uses the hosts that are consistent."""
         offered = {
             cell: followed.members.reported
             for cell, followed in self.followed.items()
@@ -188,7 +195,7 @@
             self.on_change(in_force)
 
     def _lines(self, cell: str, lines: Mapping[str, HostLine], *, unchanged: bool) -> list[HostLine]:
-        """The list object of before where nothing has changed, so that it is not compared."""
+        """The list object of before where nothing has changed, so that it need not be compared."""
         if unchanged and cell in self.in_force:
             return self.in_force[cell]
         return list(lines.values())
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway as a process: its parts wired, started and stopped. Decides nothing."""
+"""One gateway process: makes, starts and stops its parts."""
 
 import secrets
 import signal
@@ -30,7 +30,7 @@
 from gaproute.telemetry.record import Log, Record
 
 SEED_BITS = 64
-ADMISSION_SEED = 3  # added to the seed: each part draws from a chance of its own
+ADMISSION_SEED = 3  # added to the seed, so that no two parts draw the same random numbers
 
 
 class Appliance:
@@ -47,7 +47,7 @@
         log: Log | None = None,
         inherited: Mapping[str, socket.socket] | Iterable[tuple[str, socket.socket]] = (),
     ) -> None:
-        """`inherited`: listening sockets that a parent opened, by the address as configured."""
+        """`inherited`: listening sockets that a parent has opened, by the address as configured."""
         self.configuration, self.inherited = configuration, dict(inherited)
         self.loop = loop or Loop()
         self.started: int = self.loop.now()  # ns of the loop's clock
@@ -57,7 +57,8 @@
         self.record = Record(self.log, [line.name for line in configuration.request_classes])
         self.host_list = HostList(self.loop, configuration, self.record)
         self.stopping = False
-        self.address_shared = False  # others serve at the clients' addresses, also after this one's stop
+        # whether other processes serve at the clients' addresses, even after this one has stopped
+        self.address_shared = False
         self.fronts: list[Any] = []
         self.client_fronts: list[Any] = []
         self.cells: CellServices | None = None
@@ -66,9 +67,9 @@
         self.peers = self._make_peer_services()
 
     def _make_core(self) -> None:
-        """The request driver with its decisions and its connections to hosts."""
+        """Makes the request driver with its decisions and its connections to hosts."""
         configuration = self.configuration
-        run = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids stay apart over restarts
+        run = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids of two runs differ
         line = configuration.host_limits
         reach = ClientSettings(line.connect, line.probe, line.order, line.connections, line.answer)
         self.hosts: KServeClient
@@ -99,7 +100,7 @@
     def start(self) -> None:
         """Listens and begins to serve.
 
-        Raises OSError where an address cannot be listened on; nothing listens then, and it may be called
+        Errors: OSError where an address cannot be listened on. Then nothing listens, and it may be called
         again.
         """
         self._listen()
@@ -145,7 +146,7 @@
         )
 
     def _close_fronts(self) -> None:
-        """Leaves things as they were before the start."""
+        """Closes the fronts that were opened, after a failed start."""
         for front in [*self.fronts, self.peers]:
             front.close()
         self.fronts, self.client_fronts = [], []
@@ -155,22 +156,22 @@
 
     @property
     def rows(self) -> dict[str, Endpoint]:
-        """The hosts that are known, by name."""
+        """The known hosts, by name."""
         return self.host_list.rows
 
     def update_hosts(self, rows: Sequence[Endpoint]) -> None:
-        """Takes a whole host list. The connections come first: the decisions may use a new host at once."""
+        """Applies a complete host list, to the connections first: decisions may use a new host at once."""
         self.hosts_changed(rows)
         self.core.update_hosts([row.listed for row in rows], True)
         self.peers.update_hosts(self.host_list.states())
 
     def hosts_changed(self, rows: Sequence[Endpoint]) -> None:
-        """Takes all hosts that are known now to the connections and the log."""
+        """Hands all hosts that are known now to the connections and the log."""
         self.hosts.update(rows, complete=True)
         self.host_list.replace(rows)
 
     def reload_host_lists(self) -> None:
-        """Reads the files of hosts again."""
+        """Reads the files of hosts now."""
         if self.cells is not None:
             self.cells.reload()
         else:
@@ -179,12 +180,11 @@
     # Readiness
 
     def ready(self) -> bool:
-        """Whether this process serves and has a host, or a gateway to forward to."""
+        """Whether this process serves and has a host, or a gateway to which it can forward."""
         return not self.stopping and self._has_active_host()
 
     def address_ready(self) -> bool:
-        """Whether the clients' addresses are served; where others accept there too, also while this process
-        stops."""
+        """Whether the clients' addresses are served, by this process or by others that share them."""
         return (self.address_shared or not self.stopping) and self._has_active_host()
 
     def _has_active_host(self) -> bool:
@@ -194,18 +194,19 @@
     # Signals and the parent
 
     def handle_signals(self) -> None:
-        """SIGTERM and SIGINT stop, SIGHUP reads the host list again. Before `start`, so that none is missed.
+        """Sets the handlers: SIGTERM and SIGINT stop the process, SIGHUP reads the host list again.
 
-        Raises OSError.
+        It is called before `start`, so that no signal is missed. Errors: OSError.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.on_signal(number, self.stop)
         self.loop.on_signal(signal.SIGHUP, self.reload_host_lists)
 
     def attach_to_parent(self, liveness_pipe: int, ready_pipe: int) -> None:
-        """Tells the parent that this process serves, and stops when the liveness pipe ends.
+        """Reports to the parent that this process serves, and stops it when the liveness pipe ends.
 
-        That is the end of all processes at the addresses. A stop before it is this process's alone.
+        The end of the pipe means that all processes at the addresses end; any earlier stop is of this process
+        alone.
         """
         self.address_shared = True
         watch_parent(self.loop, liveness_pipe, self._stop_with_all)
@@ -228,7 +229,7 @@
         GracefulShutdown(self).begin()
 
     def run(self) -> None:
-        """Runs the loop until `stop` has ended it, then closes all."""
+        """Runs the loop until `stop` has ended it, then closes all parts."""
         self.loop.run()
         self.close()
         lived = max(1, self.loop.now() - self.started)
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -1,4 +1,4 @@
-"""The hosts that a gateway knows, and the file or the configuration that lists them."""
+"""The hosts that a gateway knows, and the file or configuration that lists them."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -11,13 +11,13 @@
 from gaproute.loop import Loop
 from gaproute.telemetry.record import Record
 
-NO_START = 0  # ns since 1970, of a host whose start the list does not have
+NO_START = 0  # ns since 1970, for a host whose start the list does not give
 
 
 class HostList:
-    """All hosts known: `rows` by name. `watch` follows the file of hosts, where there is one.
+    """All known hosts: `rows` by name. `watch` follows the file of hosts, if there is one.
 
-    A gateway in a fleet of cells gives it the rows of all cells that it knows, and follows no file here.
+    In a fleet of cells the rows of all known cells are handed in, and no file is followed here.
     """
 
     def __init__(self, loop: Loop, configuration: Configuration, record: Record) -> None:
@@ -27,7 +27,7 @@
         self.watch: FileWatch | None = None
 
     def follow(self, on_list: Callable[[Sequence[Endpoint]], None]) -> None:
-        """Calls `on_list` with the whole list, now and each time that its file has changed."""
+        """Calls `on_list` with the complete list, now and each time that its file has changed."""
 
         def take(lines: Sequence[HostLine]) -> None:
             known_at = self.watch.current_at if self.watch is not None else None
@@ -40,7 +40,7 @@
             self.watch = FileWatch(self.loop, source.path, source.look, take, self.log_rejected)
 
     def replace(self, rows: Iterable[Endpoint]) -> None:
-        """Takes all hosts that are known now, and logs those that have changed."""
+        """Takes over all hosts that are known now, and logs the changes."""
         before, self.rows = self.rows, {row.listed.host: row for row in rows}
         changed = [name for name, row in self.rows.items() if before.get(name) != row]
         gone = [name for name in before if name not in self.rows]
@@ -51,7 +51,7 @@
             )
 
     def states(self) -> dict[str, tuple[str, int]]:
-        """Of each host its state, and its start by the list, ns since 1970 or `NO_START`."""
+        """By host: its state, and its start by the list, in ns since 1970 or `NO_START`."""
         start_times = self.listing.start_times
         return {
             name: (row.listed.state.value, start_times.reported(name) or NO_START)
@@ -64,11 +64,11 @@
             self.record.event("error", "host_list_rejected", error=str(mistake))
 
     def reload(self) -> None:
-        """Reads the file again, where there is one."""
+        """Reads the file now, if there is one."""
         if self.watch is not None:
             self.watch.read()
 
     def close(self) -> None:
-        """Follows the file no more."""
+        """Ends following the file."""
         if self.watch is not None:
             self.watch.close()
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -1,6 +1,6 @@
-"""The leases of one gateway: its part in the Raft group, and the requests at the operators' address.
+"""The leases of one gateway: its node of the Raft group, and lease requests at the operators' address.
 
-Wires parts together and decides nothing.
+This module connects the parts and makes no decisions.
 """
 
 import secrets
@@ -25,16 +25,16 @@
 from gaproute.telemetry.record import Record
 
 MILLI = 1_000_000
-# A run of the gateway draws where the numbers of its requests begin: with them, all fit JSON's 2^53.
+# Each run draws the first number of its requests from this range; all numbers stay below JSON's 2^53.
 RUN_BITS = 40
 REQUEST_BITS = 12
 
 
 class LeaseService:
-    """A gateway's lease client, and its node of the group where `line` names it.
+    """A gateway's lease client, and its node of the Raft group if `line` names the gateway as a member.
 
-    `line`: the configuration's `keepers`. Raises OSError where the Raft log file cannot be had. A disk that
-    fails for a while is no such error: the node is silent until it answers.
+    `line`: the configuration's line `keepers`. Errors: OSError where the Raft log file cannot be opened. A
+    disk that fails for a while raises none: the node does nothing until the disk works.
     """
 
     def __init__(
@@ -70,27 +70,27 @@
         except OSError as error:
             if error.errno not in TRANSIENT_ERRNOS:
                 raise
-            # the group's node opens it with its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
+            # the node opens the file at its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
         return log_file
 
     def update_peers(self, peers: dict[str, str]) -> None:
-        """The addresses by name of all gateways that may ask. Changed in place, as the carrier holds it."""
+        """Takes over the addresses, by name, of all gateways that may request leases."""
         for name in [name for name in self.peers if name not in peers]:
             del self.peers[name]
         self.peers.update(peers)
 
     def handle(self, server: Server, request: Request) -> None:
-        """A batch of messages from another gateway."""
+        """Handles a batch of messages from another gateway."""
         self.hosted_node.transport.handle(server, request)
 
     def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
-        """Carries out an operator's command. Raises `LeaseRequestError`."""
+        """Carries out an operator's command. Errors: `LeaseRequestError`."""
         status = self.requests.execute(self.loop.now(), command)
         self._act()
         return status
 
     def table(self) -> dict[str, Any]:
-        """What the operators' address shows; the JSON keys are older than the names here."""
+        """The lease table at the operators' address; its JSON keys are older than the names in the code."""
         return {"errands": self.requests.table(self.loop.now()), **self.hosted_node.status()}
 
     def _act(self) -> None:
@@ -102,11 +102,11 @@
         self.timer = None if due is None else self.loop.at(max(due, self.loop.now() + MILLI), self._act)
 
     def stop(self) -> None:
-        """Releases all leases; `close` ends it."""
+        """Releases all leases; call `close` afterwards."""
         self.hosted_node.stop()
 
     def close(self) -> None:
-        """Ends it: timer, sockets, disk."""
+        """Closes the timer, the sockets and the disk."""
         if self.timer is not None:
             self.timer.cancel()
         self.hosted_node.close()
--- a/gaproute/appliance/legacy_names.py
+++ b/gaproute/appliance/legacy_names.py
@@ -1,7 +1,7 @@
-"""Names at the operators' address that are older than those of the code and of the log.
+"""The names at the operators' address that are older than those of the code and of the log.
 
-Tools of operators read its counters and events, so these keep the names that they had at first. This module
-alone knows them; `docs/glossary.md` says so.
+Operators' tools read the counters and events there, so these have the names that they had at first. No other
+module uses the old names; `docs/glossary.md` lists them.
 """
 
 from collections.abc import Mapping
--- a/gaproute/appliance/listening_sockets.py
+++ b/gaproute/appliance/listening_sockets.py
@@ -1,8 +1,8 @@
-"""The clients' listening sockets of a parent, which all its children accept from.
+"""The listening sockets for clients that a parent opens and from which all its children accept.
 
-Considered: SO_REUSEPORT, a queue for each child. A child that stands still would then keep its share of the
-new clients, and one that ends would reset those in its queue; with one queue the others take them.
-`benchmarks/processes.py` has both.
+The alternative, SO_REUSEPORT with a queue for each child, has two faults: a child that stands still would
+keep its part of the new clients, and one that ends would reset the clients in its queue. With one queue the
+other children accept them. `benchmarks/processes.py` measures both.
 """
 
 import os
@@ -22,9 +22,9 @@
         self.by_address: dict[str, socket.socket] = {}
 
     def open(self, configuration: Configuration) -> dict[str, socket.socket]:
-        """The sockets of a configuration, by address; those that are open already stay.
+        """Opens the sockets of a configuration; those that are open already stay. Returns them by address.
 
-        Raises OSError where an address cannot be listened on; nothing has changed then.
+        Errors: OSError where an address cannot be listened on; then nothing has changed.
         """
         wanted = _client_addresses(configuration)
         opened: dict[str, socket.socket] = {}
@@ -40,12 +40,12 @@
         return {where: self.by_address[where] for where in wanted}
 
     def close_unused(self, configuration: Configuration) -> None:
-        """Closes those that the configuration does not name."""
+        """Closes the sockets that the configuration does not name."""
         for where in self.by_address.keys() - set(_client_addresses(configuration)):
             self.by_address.pop(where).close()
 
     def close(self) -> None:
-        """Accepts nobody here any more; what the children inherited stays open there."""
+        """Closes all sockets of this process; those that children have inherited stay open there."""
         for sock in self.by_address.values():
             sock.close()
 
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -1,7 +1,7 @@
 """Writes what this gateway observed to its store on disk, in the background, a slice at a time.
 
-While the disk fails nothing is gathered for it; once it answers everything is written, since the changes
-meanwhile were passed over.
+While the disk fails, no observations are gathered. Once it works again everything is written, as the changes
+in between were left out.
 """
 
 import time
@@ -17,14 +17,15 @@
 from gaproute.storage import ObservationStore
 from gaproute.storage.observation_rows import Subject, Value
 
-MAX_ROWS_PER_WRITE = 256  # in one transaction: about a millisecond
-EVERYTHING = -1  # written_until of a round that writes all observations, not only what changed
+MAX_ROWS_PER_WRITE = 256  # in one transaction, which takes about a millisecond
+# the value of `written_until` for a round that writes all observations, not only changed ones
+EVERYTHING = -1
 
 Observations = Iterator[tuple[Subject, Value, int]]  # (subject, value, time by the loop's clock in ns)
 
 
 class ObservationWriter:
-    """Writes what changed every WRITE_INTERVAL, and everything each ROUNDS_PER_FULL_WRITE rounds, so that
+    """Writes changes every WRITE_INTERVAL, and all observations every ROUNDS_PER_FULL_WRITE rounds, so that
     figures that change slowly are stored too.
 
     `request_classes`: their names. `spent` and `longest_slice`: the CPU time (ns) of all slices and of the
@@ -50,7 +51,7 @@
         self.routine = loop.spawn(self._run())
 
     def write_slice(self, observations: Observations) -> bool:
-        """Write some of the observations within the CPU budget. Returns whether those were the last."""
+        """Write some of the observations within the CPU budget; return whether they were the last ones."""
         now = self.loop.now()
         if not self.cpu_budget.may_spend(now):
             return False
@@ -63,7 +64,7 @@
         return exhausted
 
     def close(self) -> None:
-        """Stop; what changed since the last round is written in one last slice."""
+        """Stop; changes since the last round are written in one last slice."""
         self.routine.cancel()
         changed = self._observations(self.loop.now(), self.written_until)
         self.store.write(islice(changed, MAX_ROWS_PER_WRITE))
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -1,4 +1,4 @@
-"""The operators' address of a gateway: its tables over HTTP (`status.py`), and leases for who asks."""
+"""The operators' address of a gateway: its tables over HTTP (`status.py`), and lease requests."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -25,11 +25,11 @@
 
 
 class LeasesUnavailableError(GaprouteError, ValueError):
-    """A lease was requested of a gateway that belongs to no Raft group."""
+    """A lease was requested at a gateway that belongs to no Raft group."""
 
 
 class Operator:
-    """Serves what the command line reads. Raises OSError where the address cannot be listened on."""
+    """Serves what the command line reads. Errors: OSError where the address cannot be listened on."""
 
     def __init__(self, loop: Any, where: Any, appliance: RunningGateway) -> None:
         self.appliance = appliance
@@ -48,7 +48,7 @@
             self._answer(request, HTTPStatus.OK, table(self.appliance))
 
     def _execute(self, request: Request) -> None:
-        """A lease requested, extended or released for whoever asks (`docs/leases.md`)."""
+        """Requests, extends or releases a lease for an operator (`docs/leases.md`)."""
         leases = self.appliance.peers.leases
         try:
             if leases is None:
@@ -63,10 +63,10 @@
         self.server.answer(request, code.value, JSON_HEADERS, msgspec.json.encode(body))
 
     def stop(self) -> None:
-        """Goes on answering while the last requests end; `close` ends it."""
+        """Stops accepting; answers go on until `close`."""
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the address."""
         self.server.close()
 
 
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -1,8 +1,9 @@
-"""One parent, several gateways behind the same addresses: started, started again, rolled, stopped together.
+"""One parent with several gateway processes at the same addresses, which it starts, restarts, rolls and
+stops.
 
 The parent opens the clients' listening sockets and hands them to each child, so that all accept from one
 queue (`listening_sockets.py`). Each child is a gateway of its own: its own decisions, counts, load order
-limit, operator and peers addresses.
+limit, operators' address and peers' address.
 """
 
 import signal
@@ -17,7 +18,9 @@
 
 
 class Parent:
-    """`count` gateways by the configuration, which was read from `file` and is read from there again."""
+    """`count` gateways by a configuration that was read from `file`, and is read from there again at a
+    reload.
+    """
 
     def __init__(
         self,
@@ -47,8 +50,8 @@
     def start(self) -> None:
         """Listens and starts all children.
 
-        Raises OSError where an address cannot be listened on, or a child cannot be started; it may be called
-        again then.
+        Errors: OSError where an address cannot be listened on, or a child cannot be started. Then it may be
+        called again.
         """
         self.listeners.open(self.children.configuration)
         for number in (signal.SIGTERM, signal.SIGINT):
--- a/gaproute/appliance/parent_pipes.py
+++ b/gaproute/appliance/parent_pipes.py
@@ -1,4 +1,4 @@
-"""A child's side of the two pipes to its parent (`child_process.py` is the other side)."""
+"""A child's side of the two pipes to its parent (`child_process.py` has the other side)."""
 
 import os
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 def report_ready(ready_pipe: int) -> None:
-    """Tells the parent that this process serves, and closes the pipe."""
-    with suppress(OSError):  # nobody reads where the parent has ended, which the other pipe tells
+    """Reports to the parent that this process serves, and closes the pipe."""
+    with suppress(OSError):  # the parent has ended, which the liveness pipe shows
         os.write(ready_pipe, READY_MESSAGE)
     os.close(ready_pipe)
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -1,7 +1,7 @@
-"""What one gateway has to do with the other gateways and with its own last run: parts wired, nothing decided.
+"""What one gateway exchanges with other gateways and takes over from its own last run; connects the parts.
 
-Through the address of the peers go the membership, the gossip, observations that others ask for, leases and
-forwarded requests. Observations also come from the store that this gateway wrote in its last run.
+At the address for peers are served: membership, gossip, observations for other gateways, leases and forwarded
+requests. Observations also come from the store that this gateway wrote in its last run.
 """
 
 from __future__ import annotations
@@ -33,26 +33,26 @@
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.telemetry.record import Record
 
-# Added to the seed: each part draws from a chance of its own.
+# Added to the seed, so that no two parts draw the same random numbers.
 OBSERVATIONS_SEED, MEMBERSHIP_SEED, GOSSIP_SEED, LEASES_SEED = 1, 2, 4, 5
-LAST_RUN = "past life"  # the origin of what the store holds, as operators read it
-FORWARDED_HEADER_BYTES = 4096  # of headers that a gateway adds to a client's
-# Of those that ask at a gateway that takes part in leases: batches are long, and every gateway of a large
-# fleet may have a connection to each member of the group.
+LAST_RUN = "past life"  # the origin of observations from the store, as operators read it
+FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
+# Connections of gateways that request leases from a member of the Raft group: batches are long, and every
+# gateway of a large fleet may have a connection to each member.
 LEASE_PEER_LIMITS = Limits(body=MAX_BATCH_BYTES, pipelined=1, connections=4096, buffered=4 * MAX_BATCH_BYTES)
 
 
 class PeerListObserver(Protocol):
-    """What is notified of the peers: see `CellServices`."""
+    """The part of `CellServices` that is notified of the peers."""
 
     def update_peers(self, addresses: Mapping[str, str]) -> None:
-        """Takes the addresses of all other gateways, by name."""
+        """Takes over the addresses of all other gateways, by name."""
 
 
 class PeerServices:
-    """The parts that speak with other gateways; those that the configuration does not ask for are None.
+    """The parts that communicate with other gateways; those that are not configured are None.
 
-    `gateway`: the decisions, which are given and asked for observations. `cells`: notified of the peers.
+    `gateway`: the decisions, which give and take observations. `cells`: notified of the peers.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         )
 
     def listen(self, where: str) -> PeerServer:
-        """The front at which other gateways ask. Raises OSError."""
+        """Opens the address for other gateways. Errors: OSError."""
         server = PeerServer(
             self.loop, address(where), self.gateway, self.host_history, self.request_classes, self._limits()
         )
@@ -110,7 +110,7 @@
         return server
 
     def start(self) -> None:
-        """Takes over the observations of the last run, then asks the peers for theirs."""
+        """Applies the observations of the last run, then asks the peers for theirs."""
         self.open_observation_store()
         if self.configuration.peers or self.configuration.peers_file:
             self.observation_client = ObservationClient(
@@ -129,14 +129,14 @@
             )
 
     def update_hosts(self, states: Mapping[str, tuple[str, int]]) -> None:
-        """Takes the whole host list, {host: (state, its start in ns since 1970)}."""
+        """Takes over the complete host list: by host its state and its start (ns since 1970)."""
         self.host_history.update(self.loop.now(), states)
         if self.gossip is not None:
             history = self.host_history.entries
             self.gossip.listed({name: entry.started for name, entry in history.items() if name in states})
 
     def update_peers(self, peers: Sequence[PeerLine]) -> None:
-        """Takes the whole list of gateways, this one among them or not."""
+        """Takes over the complete list of gateways, which may include this one."""
         others = [peer for peer in peers if peer.name != self.configuration.name]
         addresses = {peer.name: peer.where for peer in others}
         if self.membership_transport is not None:
@@ -154,9 +154,9 @@
             self.record.event("error", "peer_list_rejected", error=str(mistake))
 
     def open_observation_store(self) -> None:
-        """Opens the store on disk, where there is one, and applies what it holds of the last run.
+        """Opens the store on disk, if there is one, and applies what it has of the last run.
 
-        One that cannot be opened is tried again while the gateway serves, and written to from then on.
+        A store that cannot be opened is tried again while the gateway serves, and written to from then on.
         """
         if self.configuration.observation_file is None:
             return
@@ -171,21 +171,21 @@
         )
 
     def apply_observations(self, subjects: Collection[Subject]) -> int:
-        """Hands the observations of these subjects to the decisions, as hints; how many were of use."""
+        """Hands the observations of these subjects to the decisions as hints; returns how many were used."""
         starts = self.host_history.active_starts()
         return self.follower.follow(self.gateway, self.loop.now(), starts, subjects)
 
     def observations_complete(self) -> None:
-        """All that one source sends has come: the mix of functions is known now."""
+        """Notes that one source has sent all its observations: the mix of functions is known now."""
         self.gateway.hint_function_mix(self.observations.request_mix())
 
     def cpu_spent(self) -> int:
-        """CPU that giving and storing observations took, ns."""
+        """CPU time that sending and storing observations took, ns."""
         parts = (self.peer_server, self.observation_writer)
         return sum(part.spent for part in parts if part is not None)
 
     def stop(self) -> None:
-        """Leaves the membership and releases all leases; others are still answered until `close`."""
+        """Leaves the membership and releases all leases; other gateways are still answered until `close`."""
         for part in (self.membership_transport, self.leases):
             if part is not None:
                 part.stop()
@@ -193,7 +193,7 @@
             self.peer_list_watch.close()
 
     def close(self) -> None:
-        """Ends all but the front of `listen`."""
+        """Closes all parts except the front that `listen` opened."""
         for part in (
             self.peer_list_watch,
             self.observation_client,
@@ -236,7 +236,7 @@
 
 
 def _with_forwarded_requests(limits: Limits, clients: ClientLimitsLine) -> Limits:
-    """Limits where other gateways also forward requests: as large as those of clients."""
+    """Limits where other gateways also forward requests: as large as the limits for clients."""
     return limits._replace(
         head=clients.head + FORWARDED_HEADER_BYTES,
         body=max(limits.body, clients.body),
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -1,7 +1,6 @@
-"""A new configuration brought to all children of a parent, one after the other, so that no request is lost.
+"""Brings a new configuration to all children of a parent, one after the other, so that no request is lost.
 
-A configuration that is wrong changes nothing. Failures that may pass by themselves are tried again for a
-bounded time.
+An invalid configuration changes nothing. Failures that may pass are retried for a bounded time.
 """
 
 from collections.abc import Generator
@@ -20,13 +19,13 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MIN_BACKOFF, MAX_BACKOFF = 50 * MILLI, SECOND  # between attempts to reload, or to start a child
-MAX_START_ATTEMPTS = 8  # to start a child of a new configuration, some 4 s in all
+MAX_START_ATTEMPTS = 8  # to start a child with the new configuration, about 4 s in all
 
 
 class RollingReload:
-    """Reads the configuration `file` again when asked to and rolls it through the children.
+    """Reads the configuration `file` again at a reload and replaces the children one by one.
 
-    `rolling`: whether children are being replaced now; `retry_timer`: of a reload that failed for a moment.
+    `rolling`: whether children are being replaced now; `retry_timer`: set after a failure that may pass.
     """
 
     def __init__(
@@ -40,11 +39,13 @@
         self.loop, self.log, self.file = loop, log, file
         self.children, self.listeners = children, listeners
         self.rolling = False
-        self.requested = False  # a reload was asked for while one was under way
+        self.requested = False  # a reload was requested during another one
         self.retry_timer: Timer | None = None
 
     def reload(self) -> None:
-        """Reads the configuration and begins to roll it; after the roll that is under way, if one is."""
+        """Reads the configuration and begins to replace the children, after the present reload if there is
+        one.
+        """
         if self.rolling:
             self.requested = True
             return
@@ -66,7 +67,7 @@
         self.loop.spawn(self._roll(configuration))
 
     def _failed(self, error: ConfigurationError | OSError, backoff: Backoff, began: int) -> None:
-        """Tries it again where the failure may pass within its time, and else logs it."""
+        """Retries a failure that may pass until its time is over, and logs any other."""
         if self.loop.now() + backoff.pause <= began + retry_time(cause_of(error)):
             self.retry_timer = self.loop.after(backoff.next_pause(), self._attempt, backoff, began)
             return
@@ -91,9 +92,9 @@
             self.reload()
 
     def _replace(self, slot: int) -> Generator[Promise, Any, bool]:
-        """Starts a new child beside the one of the slot, which is asked to end only when the new one serves.
+        """Starts a new child beside that of the slot, which is asked to end only once the new one serves.
 
-        Returns whether it does.
+        Returns whether the new child serves.
         """
         free_slot = self.children.free_slot()
         replacement = yield from self._start(free_slot)
@@ -108,7 +109,7 @@
         return True
 
     def _start(self, slot: int) -> Generator[Promise, Any, ChildProcess | None]:
-        """A new child of the slot, tried again where that fails; None in the end."""
+        """Starts a new child of the slot, with retries; returns None where all fail."""
         backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
         for _ in range(MAX_START_ATTEMPTS):
             try:
--- a/gaproute/appliance/running_gateway.py
+++ b/gaproute/appliance/running_gateway.py
@@ -1,4 +1,4 @@
-"""What the operators' address and the shutdown need of a gateway process: see `Appliance`."""
+"""The interface of a gateway process for the operators' address and the shutdown: see `Appliance`."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, Protocol
@@ -34,15 +34,15 @@
 
     @property
     def fronts(self) -> Sequence[Any]:
-        """All that listens."""
+        """All addresses that this process listens on."""
 
     @property
     def client_fronts(self) -> Sequence[Any]:
-        """Those of the fronts that take requests."""
+        """The fronts that take requests, from clients or forwarded by other gateways."""
 
     @property
     def rows(self) -> Mapping[str, Endpoint]:
-        """The hosts that are known, by name."""
+        """The known hosts, by name."""
 
     def ready(self) -> bool:
-        """Whether this process serves and has a host, or a gateway to forward to."""
+        """Whether this process serves and has a host, or a gateway to which it can forward."""
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -9,25 +9,29 @@
 
 MILLI = 1_000_000
 
-LATE_REQUEST_TIME = 1_500 * MILLI  # in which requests on connections accepted before may still come in:
-#                                    more than until a connection that was at work is parked
-LEAVE_TIME = 200 * MILLI  # after the last client's connection, for messages to other gateways to leave
+# in which requests may still come on connections accepted before: longer than until an active connection is
+# parked
+LATE_REQUEST_TIME = 1_500 * MILLI
+LEAVE_TIME = 200 * MILLI  # after the last client's connection, for messages to other gateways to be sent
 ANSWER_MARGIN = 100 * MILLI  # before SIGKILL may come, by which every request in flight has its answer
 
 
 def answer_time(configuration: Configuration) -> int:
-    """For how long requests are in flight at most: what then has no answer gets one at once."""
+    """How long requests may be in flight; after that the others get a final answer immediately."""
     return kill_delay(configuration.max_deadline) - ANSWER_MARGIN - configuration.client_limits.way_back
 
 
 def max_duration(configuration: Configuration) -> int:
-    """After which the process ends whatever is still open."""
+    """The time after which the process ends, whatever is still open."""
     return LATE_REQUEST_TIME + configuration.max_deadline + LEAVE_TIME
 
 
 class GracefulShutdown:
-    """Accepts nothing new, and brings what is in flight and what comes in on connections accepted before to a
-    final answer; then ends the loop. Host lists are followed to the end: a host may drain meanwhile."""
+    """Stops accepting, answers all requests that are in flight or still arrive on open connections, then ends
+    the loop.
+
+    Host lists are followed to the end, as a host may drain in the meantime.
+    """
 
     def __init__(self, appliance: RunningGateway) -> None:
         self.appliance, self.loop = appliance, appliance.loop
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -1,7 +1,7 @@
 """The tables of a running gateway that operators read, as plain data for JSON.
 
-The keys are older than the names in the code, and stay; those of counters and events are mapped by
-`legacy_names.py`.
+The JSON keys are older than the names in the code and do not change; those of counters and events are mapped
+by `legacy_names.py`.
 """
 
 from collections.abc import Iterator
@@ -60,10 +60,10 @@
 
 
 def warm_instances(appliance: RunningGateway) -> list[JsonObject]:
-    """Warm instances as they are believed to be, the latest use first.
+    """The warm instances that the decisions expect, the last used first.
 
-    `by`: what speaks for each: an answer, a request sent there, or the gateway that reported it; `tried`:
-    whether that was followed yet.
+    `by`: the evidence for each: an answer, a request sent there, or the gateway that reported it; `tried`:
+    whether a reported one was used yet.
     """
     functions = (pair for gateway in decisions(appliance) for pair in gateway.functions_by_name.items())
     rows = [row for name, function in functions for row in _instances(appliance, name, function)]
@@ -71,7 +71,7 @@
 
 
 def peer_table(appliance: RunningGateway) -> list[JsonObject]:
-    """The gateways that are known: membership's view, and what each sent at the start."""
+    """The known gateways: their state by the membership, and what each sent at the start."""
     fetcher = appliance.peers.observation_client
     fetched = fetcher.state if fetcher else {}
     membership_transport = appliance.peers.membership_transport
@@ -82,7 +82,7 @@
 
 
 def lease_table(appliance: RunningGateway) -> JsonObject | None:
-    """The leases of this gateway, and its part in the Raft group; None where it has none."""
+    """The leases of this gateway, and its node of the Raft group; None where it has none."""
     leases = appliance.peers.leases
     return None if leases is None else leases.table()
 
@@ -93,7 +93,7 @@
 
 
 def decisions(appliance: RunningGateway) -> list[Any]:
-    """The decisions of the whole fleet, or of each cell known."""
+    """The decisions for the whole fleet, or for each known cell."""
     return [appliance.core.gateway] if appliance.cells is None else appliance.cells.gateways()
 
 
@@ -112,7 +112,7 @@
 
 
 def _observations_taken(appliance: RunningGateway) -> JsonObject:
-    """What was taken over from other gateways and the last run, and how much of it proved right."""
+    """Observations taken over from other gateways and from the last run, and how many proved right."""
     observations = appliance.peers.observations
     fetcher = appliance.peers.observation_client
     return {
@@ -126,7 +126,7 @@
 
 
 def _observations_given(peer_services: PeerServices) -> JsonObject | None:
-    """What other gateways were sent when they asked."""
+    """Observations that other gateways were sent at their request."""
     server = peer_services.peer_server
     if server is None:
         return None
@@ -146,7 +146,7 @@
 
 
 def _instances(appliance: RunningGateway, name: str, function: Any) -> Iterator[JsonObject]:
-    """Those of one function: of own attempts, then those that others reported."""
+    """The instances of one function: first by own attempts, then those that others reported."""
     now = appliance.loop.now()
     for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
         for host, used_at in last_used.items():
