--- a/gaproute/decisions/cells/actions.py
+++ b/gaproute/decisions/cells/actions.py
@@ -1,11 +1,12 @@
-"""The type of the generators by which the cells' decisions are driven."""
+"""The type of the generators of the decisions on cells."""
 
 from collections.abc import Generator
 from typing import NamedTuple, TypeVar
 
 from gaproute.interface import Action, Fail, Outcome, Reject
 
-# What a generator is resumed with: the number of an attempt; (now, outcome or None) after a wait; else None.
+# A generator is resumed with the number of an attempt, with (now, outcome or None) after a wait, else with
+# None.
 Resumption = int | tuple[int, Outcome | None] | None
 Returned = TypeVar("Returned")
 Actions = Generator[Action, Resumption, Returned]
@@ -13,7 +14,7 @@
 
 
 class Wakeup(NamedTuple):
-    """What ended a wait: an outcome, or None for the time; and when, ns."""
+    """The end of a wait: when it ended (ns), and the outcome that ended it, None if the time did."""
 
     now: int
     outcome: Outcome | None
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -1,4 +1,4 @@
-"""What attempts show of cells, entries and functions: outcomes taken to health, demand, loads and entries."""
+"""Records what the outcomes of attempts show: to health, demand, loads and entries."""
 
 from typing import NamedTuple
 
@@ -14,21 +14,22 @@
 
 MILLI = 1_000_000
 
-MIN_MEAN_DURATION = 25 * MILLI  # by which paces are taken: stalls of a gateway are no slow cell
+# shortest mean time by which paces are measured, so that a stall of this gateway is not taken for a slow cell
+MIN_MEAN_DURATION = 25 * MILLI
 
 
 class CellAttempt(NamedTuple):
-    """An attempt that has no outcome yet."""
+    """An attempt without an outcome so far."""
 
     cell: str
-    gateway: Gateway | None  # that sent it to a host; None: it went to an entry
+    gateway: Gateway | None  # that sent it to a host; None: it was sent to an entry gateway
     function: str
     sent_at: int
-    own: bool  # the request came from a client of this gateway
+    own: bool  # whether the request came from a client of this gateway
 
 
 class AttemptRecorder:
-    """Holds the `attempts` in flight, {(request, number): attempt}, and records what came of them."""
+    """Has the `attempts` in flight, by (request, number), and records their outcomes."""
 
     def __init__(
         self,
@@ -44,15 +45,15 @@
         self.attempts: dict[tuple[str, int], CellAttempt] = {}
 
     def adopt(self, table: CellTable) -> None:
-        """Goes by a newer table."""
+        """Uses a newer table from now on."""
         self.table = table
 
     def sent(self, request: str, number: int, attempt: CellAttempt) -> None:
-        """An attempt has been sent."""
+        """Registers an attempt that was sent."""
         self.attempts[request, number] = attempt
 
     def record(self, now: int, outcome: Outcome) -> bool:
-        """Records an attempt's outcome, whether or not its request is still in flight.
+        """Records the outcome of an attempt, whether or not its request is still in flight.
 
         Returns whether the attempt was sent by way of cells.
         """
@@ -74,12 +75,13 @@
         return True
 
     def record_overdue(self, now: int, attempt: AttemptInFlight) -> None:
-        """An attempt is overdue; once for each."""
+        """Records that an attempt is overdue; called once for each."""
         via = attempt.host
         if attempt.cell not in self.local.gateways:
             self.entries.record_overdue(now, attempt.host, attempt.sent_at)
             if self.entries.has_answered_since(attempt.host, attempt.sent_at):
-                # It answers for others: the cell is silent, and each attempt counts for itself.
+                # The entry has answered other requests, so the cell is silent, and each attempt counts by
+                # itself.
                 via = f"{attempt.host} at {attempt.sent_at}"
         self.health.record_overdue(now, attempt.cell, attempt.sent_at, via)
 
@@ -113,6 +115,8 @@
 
 
 def _tells_of_cell(result: Result, attempt: CellAttempt) -> bool:
-    """Whether a result says something of its cell: a full host is no full cell, and an entry that does not
-    know the cell says nothing of it."""
+    """Whether a result shows something about its cell.
+
+    A full host does not mean a full cell, and an entry that does not know the cell shows nothing about it.
+    """
     return result is not (Result.NOT_LOADED if attempt.gateway is None else Result.FULL)
--- a/gaproute/decisions/cells/cell_router.py
+++ b/gaproute/decisions/cells/cell_router.py
@@ -23,25 +23,25 @@
 
 SECOND = 1_000_000_000
 
-MAX_CELLS_TRIED = 3  # for one request: what three cells rejected, a fourth would reject as well
-OVERDUE_FACTOR = 4  # mean durations before an attempt is overdue,
-OVERDUE_LOADS = 2  # and load times
+MAX_CELLS_TRIED = 3  # for one request: what three cells rejected, a fourth would probably reject too
+OVERDUE_FACTOR = 4  # mean durations after which an attempt is overdue
+OVERDUE_LOADS = 2  # load times that are added to them
 DEFAULT_LOAD_TIME = SECOND  # where the request has none
 
-# Why a cell rejected other than for its load.
+# Reasons of a cell for rejecting a request, other than its load.
 UNABLE_REASONS = (
     RejectReason.NO_HOST_AVAILABLE,
     RejectReason.CELL_UNREACHABLE,
     RejectReason.NO_ACTIVE_HOST,
 )
-# Of a known cell; they count as a rejection by the whole cell.
+# Reasons of a known cell that count as a rejection by the whole cell.
 FULL_REASONS = (RejectReason.NO_HOST_AVAILABLE, RejectReason.HOST_FULL)
 
 
 class CellRouter:
-    """Routes requests, each by the table that is the newest at every step.
+    """Routes requests; each step uses the table that is the newest then.
 
-    `selector` chooses the cells of the requests that clients of this gateway sent.
+    `selector` chooses the cells for requests that clients of this gateway sent.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self.demand, self.health = selector.demand, selector.health
 
     def serve(self, progress: RequestProgress, forwarded: Forwarded | None) -> Actions[None]:
-        """One request, from acceptance to its one final answer."""
+        """The generator of one request, from acceptance to its one final answer."""
         answer: FinalAnswer | None = self._without_cell(progress, forwarded)
         for choice in self._choices(progress, forwarded):
             answer = yield from self._in_cell(progress, choice)
@@ -71,13 +71,15 @@
             yield answer
 
     def _without_cell(self, progress: RequestProgress, forwarded: Forwarded | None) -> Reject:
-        """The final answer where there is no cell that the request may go to."""
+        """The final answer where there is no cell to which the request may go."""
         if forwarded is not None and forwarded.cell not in self.table.by_name:
             return CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
         return Reject(progress.retry_after, RejectReason.NO_CELL_AVAILABLE)
 
     def _choices(self, progress: RequestProgress, forwarded: Forwarded | None) -> Iterator[CellChoice]:
-        """The cells for a request, in turn. The cell of a forwarded one was chosen by its first gateway."""
+        """The cells for a request, in turn; the cell of a forwarded request was chosen by its first
+        gateway.
+        """
         function = progress.request.function
         if forwarded is not None:
             yield from self._forwarded_choice(progress, forwarded.cell)
@@ -86,12 +88,14 @@
         self.spill.record_arrival()
         choices = self.selector.cells(progress.now, function, may_repeat=progress.is_idempotent)
         for choice in islice(choices, MAX_CELLS_TRIED):
-            if choice.cell in self.table.by_name:  # a newer table may have come meanwhile
+            if choice.cell in self.table.by_name:  # a newer table may have come in the meantime
                 self.view.record_use(progress.now, choice.cell)
                 yield choice
 
     def _forwarded_choice(self, progress: RequestProgress, name: str) -> Iterator[CellChoice]:
-        """The cell that a forwarded request names, unless this gateway knows it and found a fault."""
+        """The cell that a forwarded request names, unless this gateway knows the cell and found a fault in
+        it.
+        """
         if name not in self.local.gateways:
             if name in self.table.by_name:
                 yield CellChoice(name)
@@ -105,11 +109,13 @@
             yield CellChoice(name, trial=True)
 
     def _worth_leaving(self, answer: Reject) -> bool:
-        """What was rejected for load goes elsewhere within a bounded share of requests: no wave."""
+        """Whether a rejected request may go to another cell: after a rejection for load only a bounded share
+        may.
+        """
         return answer.reason in UNABLE_REASONS or self.spill.try_spend()
 
     def _in_cell(self, progress: RequestProgress, choice: CellChoice) -> Actions[FinalAnswer | None]:
-        """The request in one cell; returns its final answer there, or None where it was given."""
+        """Serves the request in one cell; returns its final answer there, or None if it was given already."""
         name = choice.cell
         if choice.trial:
             self.health.trial_sent(progress.now, name)
@@ -129,7 +135,7 @@
     def _drive(
         self, progress: RequestProgress, name: str, actions: Actions[None], gateway: Gateway | None
     ) -> Actions[FinalAnswer | None]:
-        """Passes on the actions of a cell for the request, and keeps account of its attempts."""
+        """Passes on the actions of a cell for the request, and tracks its attempts."""
         value: Resumption = None
         while True:
             try:
@@ -161,7 +167,7 @@
         self.recorder.sent(request.id, number, attempt)
 
     def _wait(self, progress: RequestProgress, action: Wait) -> Actions[Wakeup]:
-        """Waits, but looks at attempts that become overdue."""
+        """Waits, and checks attempts that become overdue."""
         resumed = yield Wait(min(action.until, progress.next_look()))
         wakeup = wakeup_of(resumed)
         progress.now = wakeup.now
@@ -172,7 +178,7 @@
         return wakeup
 
     def _due(self, progress: RequestProgress) -> int:
-        """When an attempt that is sent now is overdue."""
+        """When an attempt that is sent now becomes overdue, ns."""
         load_time = progress.request.load_time or DEFAULT_LOAD_TIME
         mean = self.demand.mean_duration(progress.request.function)
         return progress.now + int(OVERDUE_FACTOR * mean) + OVERDUE_LOADS * load_time
--- a/gaproute/decisions/cells/cellular.py
+++ b/gaproute/decisions/cells/cellular.py
@@ -1,10 +1,10 @@
 """A gateway of a fleet of cells: it picks the cell of each request, then leaves the request to that cell.
 
-`CellularGateway` is driven as `gaproute.decisions.routing.Gateway` is, and is one for as long as its
-table has at most one cell: the requests go straight through. With several cells it has a `routing.Gateway`
-for each cell that it knows, and forwards the requests of all others to their entry gateways.
+`CellularGateway` has the interface of `gaproute.decisions.routing.Gateway`. While its table has at most one
+cell it passes requests to one such gateway. With several cells it has a `routing.Gateway` for each cell that
+it knows, and forwards the requests of all other cells to their entry gateways.
 
-Invariant: all cells known share one limit on load orders.
+Invariant: all known cells share one limit on load orders.
 """
 
 from collections.abc import Sequence
@@ -31,18 +31,18 @@
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import ListedHost, Outcome, RejectReason, Report, Request, Result, Terms, Wait
 
-CHANCE_SALT = 0x63656C6C  # the chance that picks cells is another than that which picks hosts
+CHANCE_SALT = 0x63656C6C  # makes the random numbers that pick cells differ from those that pick hosts
 
 
 class CellularGateway:
-    """The decisions of one gateway; times are ns of the clock that `now` is read from.
+    """The decisions of one gateway; times are ns of the clock of `now`.
 
-    `single`: the gateway that decides alone while there is at most one cell, else None; `previous_single`:
-    the one before the fleet had several. `homes`, `selector` and `router` decide while `single` is None.
+    `single`: the gateway that decides while there is at most one cell, else None; `previous_single`: the one
+    before the fleet had several. `homes`, `selector` and `router` decide while `single` is None.
     """
 
     def __init__(self, seed: int, terms: Terms, now: int, location: GatewayLocation | None = None) -> None:
-        """Without a location it can never have several cells."""
+        """Without a `location` the gateway can never have several cells."""
         self.terms, self.location = terms, location
         self.single: Gateway | None = Gateway(seed, terms, now)
         self.previous_single: Gateway | None = None
@@ -61,7 +61,7 @@
         self.router: CellRouter | None = None
 
     def __getattr__(self, name: str) -> Any:
-        # What else drivers and carriers ask of a gateway is that of the one cell.
+        # Other attributes that drivers and transports read are those of the gateway of the one cell.
         single = self.__dict__.get("single")
         if single is None:
             raise AttributeError(f"{name!r} is of one cell's gateway, and there are several cells")
@@ -70,7 +70,7 @@
     # The table and the host lists
 
     def adopt(self, now: int, table: CellTable) -> None:
-        """Goes by a newer cell table. Raises ValueError for several cells without a location."""
+        """Uses a newer cell table from now on. Errors: ValueError for several cells without a location."""
         several = len(table.cells) > 1
         if several and self.view is None:
             raise ValueError("a gateway without a place cannot go by several cells")
@@ -94,7 +94,7 @@
     def update_hosts(
         self, now: int, rows: Sequence[ListedHost], complete: bool, cell: str | None = None
     ) -> None:
-        """Hosts of a cell, or of the whole fleet while there is one cell."""
+        """Takes over the hosts of a cell, or those of the whole fleet while there is one cell."""
         if self.single is not None:
             self.single.update_hosts(now, rows, complete)
         elif cell is not None and cell in self._cells_in_view():
@@ -127,7 +127,9 @@
         self.router.selector = self.selector
 
     def _divide(self, table: CellTable) -> None:
-        """From one cell to several. Its gateway goes on where its cell is still there and in view."""
+        """Changes from one cell to several; the gateway of the one goes on if its cell is still there and in
+        view.
+        """
         single = self.single
         if self.table is not None and self.table.cells[0].name in table.by_name and single is not None:
             self.local.add(self.table.cells[0].name, single)
@@ -135,7 +137,7 @@
         self.previous_single, self.single = single, None
 
     def _unite(self, now: int, table: CellTable) -> None:
-        """From several cells to one."""
+        """Changes from several cells to one."""
         known = self.local.gateways.get(table.cells[0].name)
         self.single = known if known is not None else self.local.new_gateway(now)
         self.previous_single = self.homes = self.selector = None
@@ -149,7 +151,9 @@
     # Requests
 
     def serve(self, now: int, request: Request, forwarded: Forwarded | None = None) -> Actions[None]:
-        """One request, from acceptance to its one final answer; `forwarded` where another gateway sent it."""
+        """The generator of one request, up to its final answer; `forwarded`: set if another gateway sent
+        it.
+        """
         if self.single is None:
             assert self.router is not None
             return self.router.serve(RequestProgress(now, request, self.terms, forwarded), forwarded)
@@ -159,15 +163,15 @@
         return actions
 
     def attempt_ended(self, now: int, outcome: Outcome) -> None:
-        """Records one attempt's outcome, whether or not its request is still in flight."""
+        """Records the outcome of an attempt, whether or not its request is still in flight."""
         if self.recorder.record(now, outcome):
             return
-        gateway = self.single or self.previous_single  # sent while there was one cell
+        gateway = self.single or self.previous_single  # the attempt was sent while there was one cell
         if gateway is not None:
             gateway.attempt_ended(now, outcome)
 
     def probe_ended(self, now: int, host: str, good: bool, report: Report | None) -> bytes | None:
-        """A health check's answer; returns the message for all other gateways, or None."""
+        """Accounts for a health check; returns the message for all other gateways, or None."""
         gateway = self.single or self.local.of_host(host)
         if gateway is None:
             return None
@@ -177,31 +181,31 @@
     def load_order_ended(
         self, now: int, host: str, function: str, result: Result | None, copies: int
     ) -> None:
-        """A load order's answer."""
+        """Accounts for the end of a load order."""
         gateway = self.single or self.local.of_host(host)
         if gateway is not None:
             gateway.load_order_ended(now, host, function, result, copies)
 
     def peer_message_received(self, now: int, payload: bytes, cell: str | None = None) -> None:
-        """Another gateway's message about a host's load."""
+        """Takes another gateway's message about the load of a host."""
         gateway = self.single or (self.local.gateways.get(cell) if cell is not None else None)
         if gateway is not None:
             gateway.peer_message_received(now, payload)
 
     def _knows_hosts_of(self, cell: str) -> bool:
-        """Whether, with one cell at most, that is the cell and a host of it is known."""
+        """Whether the only cell is that one and a host of it is known."""
         assert self.single is not None
         return self.table is not None and cell in self.table.by_name and bool(self.single.active_hosts)
 
     def _reject_unknown(self, progress: RequestProgress) -> Actions[None]:
-        """A request that was forwarded here for a cell which this gateway does not know."""
+        """Rejects a request that was forwarded here for a cell which this gateway does not know."""
         yield CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
 
-    # Beside the requests
+    # Upkeep
 
     @property
     def end_by(self) -> int:
-        """When every request must have its answer, as the process ends."""
+        """When every request must have its final answer, as the process ends (ns)."""
         end_by: int = self.single.end_by if self.single is not None else self.local.end_by
         return end_by
 
@@ -212,7 +216,9 @@
         self.local.set_end(when)
 
     def housekeep(self, now: int) -> Actions[None]:
-        """Health checks, lists and cleanup, of all cells known, and the review of the view."""
+        """The generator of health checks, lists and cleanup of all known cells, and of reviews of the
+        view.
+        """
         housekeeper: Housekeeper | None = None  # of the single cell
         while True:
             if self.single is not None:
--- a/gaproute/decisions/cells/change.py
+++ b/gaproute/decisions/cells/change.py
@@ -1,7 +1,7 @@
-"""Changes to the cell table, and the one table that a gateway holds.
+"""Changes to the cell table, and the one table that a gateway uses.
 
-Invariants: the version held only grows within one fleet; a table or change that is rejected leaves the table
-held as it was; a change is applied whole or not at all.
+Invariants: within one fleet the current version only grows; a table or change that is rejected leaves the
+current table as it was; a change is applied completely or not at all.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TableChange:
-    """What leads from the table of version `base` to that of `version`: rows set anew and cells removed."""
+    """The difference between the tables of versions `base` and `version`: rows that are set, and removed
+    cells.
+    """
 
     fleet: str
     base: Version
@@ -41,7 +43,7 @@
 def apply_change(
     table: CellTable, change: TableChange, trim: Callable[[Cell], Cell] | None = None
 ) -> CellTable:
-    """The table after the change; raises `TableError` where it cannot be applied as a whole."""
+    """The table after the change. Errors: `TableError` where it cannot be applied completely."""
     if change.fleet != table.fleet:
         raise OtherFleetError(table.fleet, change.fleet)
     if change.version <= table.version:
@@ -73,7 +75,7 @@
 
 
 def _set(cells: dict[str, Cell], change: TableChange) -> dict[str, int]:
-    """Sets the cells of the change's rows; returns {cell: its row}, counted from 1."""
+    """Sets the cells of the change's rows; returns the row of each cell, counted from 1."""
     if len(change.rows) > bounds.MAX_CELLS:
         raise TooManyCellsError(bounds.MAX_CELLS)
     rows: dict[str, int] = {}
@@ -88,19 +90,19 @@
 
 
 class TableHolder:
-    """The table that a gateway decides by: `table` is the last good one, None before the first.
+    """The table by which a gateway decides: `table` is the last good one, None before the first.
 
-    `needs_full_table`: nothing was taken yet, or a change did not fit.
+    `needs_full_table`: no table has come yet, or a change did not fit.
     """
 
     def __init__(self, fleet: str, trim: Callable[[Cell], Cell] | None = None) -> None:
-        """`trim` makes of a checked row what is held of it."""
+        """`trim` makes the row that is stored of a checked row."""
         self.fleet, self.trim = fleet, trim
         self.table: CellTable | None = None
         self.needs_full_table = True
 
     def replace(self, table: CellTable) -> None:
-        """Takes a whole table, as `validate` made it. Raises `TableError` where it is rejected."""
+        """Takes over a complete table, as `validate` made it. Errors: `TableError` where it is rejected."""
         if table.fleet != self.fleet:
             raise OtherFleetError(self.fleet, table.fleet)
         if self.table is not None and table.version <= self.table.version:
@@ -113,7 +115,7 @@
     def apply(self, change: TableChange) -> None:
         """Applies a change.
 
-        Raises `TableError`; `FullTableNeededError` where the whole table must be asked for.
+        Errors: `TableError`; `FullTableNeededError` where the complete table must be requested.
         """
         if change.fleet != self.fleet:
             raise OtherFleetError(self.fleet, change.fleet)
--- a/gaproute/decisions/cells/choice.py
+++ b/gaproute/decisions/cells/choice.py
@@ -1,11 +1,11 @@
-"""Which cell a request goes to, and which after that.
+"""Chooses the cell for a request, and the further cells in turn.
 
-The function's homes come first, one of them drawn by load; then the next cells in its order, for requests
-that provably did not run there. A home with a fault is left out, but for its one trial; a suspected one by
-requests that must not run twice, unless nothing else is left.
+The function's home cells come first, one of them drawn by load; then the next cells in the function's order,
+for requests that provably did not run. A home with a fault is left out, except for its one trial request.
+Requests that must not run twice also avoid a suspected home, unless no other is left.
 
-Invariants: a cell is given at most once for a request; a trial goes to a function's own home only; with no
-fault and no suspicion the first cell is one of the homes.
+Invariants: a cell is given at most once for a request; a trial goes to one of the function's own homes only;
+without fault or suspicion the first cell is one of the homes.
 """
 
 from collections.abc import Iterator, Sequence
@@ -20,19 +20,19 @@
 from gaproute.decisions.cells.table import CellTable
 from gaproute.shared.randomness import RandomSource
 
-FIRST_PART = 4  # cells of an order that are looked at first;
-PART_GROWTH = 4  # then so many times more
+FIRST_PART = 4  # cells of an order that are considered first
+PART_GROWTH = 4  # factor by which that number grows
 
 
 class CellChoice(NamedTuple):
-    """A cell for a request. `trial`: it is the one trial of a domain with a fault."""
+    """A cell for a request. `trial`: the request is the one trial of a domain with a fault."""
 
     cell: str
     trial: bool = False
 
 
 class CellSelector:
-    """Puts together homes, demand, loads and health, which all go by one table."""
+    """Combines homes, demand, loads and health, which all use one table."""
 
     def __init__(
         self,
@@ -47,11 +47,11 @@
         self.loads, self.health, self.chance = loads, health, chance
         self.capacities: dict[str, float] = {}  # by cell
         self.regions: set[str] = set()
-        self.regional_cells = 0.0  # cells of mean capacity in the own region
+        self.regional_cells = 0.0  # capacity of the own region, in cells of mean capacity
         self.adopt(homes.table)
 
     def adopt(self, table: CellTable) -> None:
-        """Goes by a newer table, which `homes` has taken before."""
+        """Uses a newer table from now on; `homes` has adopted it before."""
         self.capacities = {cell.name: cell.capacity for cell in table.cells}
         self.regions = {cell.region for cell in table.cells}
         mean = sum(self.capacities.values()) / len(self.capacities)
@@ -59,7 +59,9 @@
         self.regional_cells = regional / mean
 
     def cells(self, now: int, function: str, *, may_repeat: bool = True) -> Iterator[CellChoice]:
-        """Yields the cells for a request of the function, in turn. `may_repeat`: it may be sent again."""
+        """Yields the cells for a request of the function, in turn. `may_repeat`: the request may be sent
+        again.
+        """
         regional, count = self.placement(now, function)
         region = self.location.region if regional else None
         homes = self.homes.order(function, count, region)[:count]
@@ -75,14 +77,14 @@
             yield from self._last_resort(function, region)
 
     def placement(self, now: int, function: str) -> Placement:
-        """Where the function has its homes, as this gateway sees it."""
+        """Where the function has its homes, as this gateway estimates it."""
         placement = self.demand.placement(now, function, len(self.capacities), self.regional_cells)
         if not placement.regional and self._is_cut_off(now, function):
             return placement._replace(regional=True)
         return placement
 
     def _is_cut_off(self, now: int, function: str) -> bool:
-        """Whether most other regions have a fault: then the own one serves all functions alone."""
+        """Whether most other regions have a fault: then the own region serves all functions alone."""
         if self.regional_cells <= 0 or not self.health.faults:
             return False
         others = [region for region in self.regions if region != self.location.region]
@@ -90,7 +92,9 @@
         return 2 * unusable > len(others) > 0
 
     def _first(self, now: int, function: str, homes: Sequence[str], *, may_repeat: bool) -> CellChoice | None:
-        """One of the homes that may be sent to, drawn by load, but a trial first; None: none may be."""
+        """One of the homes that are usable: one that needs a trial first, else one drawn by load; None: no
+        home.
+        """
         if not self.health.is_fault_free():
             states = {
                 name: self.health.circuit_state(now, name, function, may_repeat=may_repeat) for name in homes
@@ -108,7 +112,7 @@
     def _next(
         self, now: int, function: str, region: str | None, given: set[str], *, may_repeat: bool
     ) -> Iterator[CellChoice]:
-        """The cells of the order that may be sent to, but for those already given."""
+        """The usable cells of the order, except those already given."""
         count, start = FIRST_PART, 0
         while True:
             order = self.homes.order(function, count, region)
@@ -124,8 +128,11 @@
             start, count = len(order), PART_GROWTH * count
 
     def _last_resort(self, function: str, region: str | None) -> Iterator[CellChoice]:
-        """Where nothing else is left: the first home that has recovered, before the function's turn, or else
-        the first that is slow: a late answer is better than none."""
+        """The cell where no other is left.
+
+        It is the first home that has recovered but where the function is not due yet, or else the first that
+        is slow: a late answer is better than none.
+        """
         slow = None
         for name in self.homes.order(function, len(self.capacities), region):
             if name not in self.health.cells:
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -1,13 +1,13 @@
-"""How many homes a function has, and whether within the own region: from what this gateway alone sees of it.
+"""How many homes a function has, and whether they lie in the own region, from this gateway's requests alone.
 
-Arrivals are counted with exponential decay, over a short and a long time. Counts are taken a few deviations
-low, so that a function seen once or twice stays what nearly all are: rare, with one home in the whole fleet,
-where the requests of all gateways meet at one instance. One that the own region alone keeps loaded goes to
-homes of that region; one that makes much of a cell's work gets more homes, by powers of two so that gateways
-with slightly different estimates mostly agree.
+Arrivals are counted with exponential decay, over a short and a long time. Counts are estimated low, by a few
+standard deviations, so that a function that was seen once or twice counts as rare, as most functions are: it
+has one home in the whole fleet, where the requests of all gateways meet at one instance. A function that the
+own region alone keeps loaded has its homes in that region. A function with a large share of the work has more
+homes, in powers of two, so that gateways with slightly different estimates mostly agree.
 
-Invariants: a placement changes for one function at most once in `MIN_PLACEMENT_TIME`, but for growth; what
-makes it grow lies well above what makes it shrink; the functions remembered are bounded.
+Invariants: the placement of a function changes at most once in `MIN_PLACEMENT_TIME`, except to grow; the
+threshold for growing lies well above that for shrinking; the number of stored functions is bounded.
 """
 
 from math import exp, sqrt
@@ -15,25 +15,27 @@
 
 SECOND = 1_000_000_000
 
-SHORT_MEMORY = 60 * SECOND  # of the short count: it follows a function that becomes hot
-LONG_MEMORY = 1_800 * SECOND  # of the long one: tells what is requested often from what is rare
-CAUTION = 1.5  # deviations by which a count is taken low: three arrivals at the least are evidence
-HOME_SHARE = 0.01  # of a mean cell's work that one home of a function may make
-SHRINK_FACTOR = 4  # times fewer homes needed than there are before they are halved
-WARM_REQUESTS = 4.0  # expected in a keep-alive at each home: an instance is then found gone once in 55 times
-MIN_PLACEMENT_TIME = 60 * SECOND  # between two changes of one placement, but for more homes
-DEFAULT_DURATION = SECOND // 10  # of a request before any was seen
+SHORT_MEMORY = 60 * SECOND  # of the short count, which follows a function that becomes hot
+# of the long count, which separates functions that are requested often from rare ones
+LONG_MEMORY = 1_800 * SECOND
+CAUTION = 1.5  # standard deviations by which a count is estimated low: fewer than three arrivals show nothing
+HOME_SHARE = 0.01  # share of a mean cell's work that one home of a function may get
+SHRINK_FACTOR = 4  # the homes are halved when this many times fewer are needed
+# expected in a keep-alive at each home: then an instance is found unloaded once in 55 times
+WARM_REQUESTS = 4.0
+MIN_PLACEMENT_TIME = 60 * SECOND  # between two changes of one placement, except to more homes
+DEFAULT_DURATION = SECOND // 10  # of a request before any was measured
 DURATION_WEIGHT = 0.1  # of the newest request in the mean duration of a function
 FLEET_DURATION_WEIGHT = DURATION_WEIGHT / 10  # the same in the mean of all functions
-MAX_FUNCTIONS = 32_768  # remembered; the one seen longest ago goes first
+MAX_FUNCTIONS = 32_768  # stored functions; the one that was seen longest ago is dropped first
 
 
 class FleetScope(NamedTuple):
-    """What a gateway knows of the fleet that it is part of."""
+    """What a gateway knows of the fleet to which it belongs."""
 
     gateways: int  # in the whole fleet
     regional_gateways: int  # in the own region
-    keep_alive: int  # an idle instance stays at least this long, ns
+    keep_alive: int  # an idle instance stays loaded at least this long, ns
 
 
 class Placement(NamedTuple):
@@ -47,7 +49,7 @@
 
 
 class DecayingCount:
-    """Arrivals, or their work, with decay over two times."""
+    """Arrivals, or their work, that decay over two times."""
 
     __slots__ = ("long_term", "short_term", "updated_at")
 
@@ -56,7 +58,7 @@
         self.updated_at = now
 
     def add(self, now: int, amount: float) -> None:
-        """Decays to now and adds."""
+        """Decays the counts until now and adds the amount."""
         passed = now - self.updated_at
         self.short_term = self.short_term * exp(-passed / SHORT_MEMORY) + amount
         self.long_term = self.long_term * exp(-passed / LONG_MEMORY) + amount
@@ -64,18 +66,18 @@
 
 
 class FunctionDemand(DecayingCount):
-    """What is remembered of one function: its arrivals, its work and its homes."""
+    """What is stored of one function: its arrivals, its work and its homes."""
 
     __slots__ = ("changed_at", "duration", "placement")
 
     def __init__(self, now: int) -> None:
         super().__init__(now)
-        self.duration = 0.0  # mean time that a request takes, ns; 0: none seen
+        self.duration = 0.0  # mean time that a request takes, ns; 0: none measured
         self.placement, self.changed_at = RARE, now - MIN_PLACEMENT_TIME
 
 
 class Demand:
-    """Own arrivals by function. `now` at making is when this gateway began to count."""
+    """Own arrivals by function. `now`: when this gateway begins to count."""
 
     def __init__(self, now: int, scope: FleetScope, max_functions: int = MAX_FUNCTIONS) -> None:
         self.started_at, self.scope, self.max_functions = now, scope, max_functions
@@ -84,7 +86,7 @@
         self.fleet_duration = float(DEFAULT_DURATION)  # mean of all functions, ns
 
     def record_arrival(self, now: int, function: str) -> None:
-        """A request of the function came from a client of this gateway."""
+        """Counts a request of the function from a client of this gateway."""
         demand = self.functions.pop(function, None) or FunctionDemand(now)
         self.functions[function] = demand
         demand.add(now, 1.0)
@@ -93,7 +95,7 @@
             del self.functions[next(iter(self.functions))]
 
     def record_duration(self, function: str, duration: int) -> None:
-        """A request was answered after that time, ns."""
+        """Records that a request was answered after that time, ns."""
         self.fleet_duration += FLEET_DURATION_WEIGHT * (duration - self.fleet_duration)
         demand = self.functions.get(function)
         if demand is None:
@@ -132,7 +134,9 @@
         return demand.duration or self.fleet_duration
 
     def _is_regional(self, now: int, demand: FunctionDemand) -> bool:
-        """Whether the region's own requests keep an instance loaded: cautious to enter, patient to leave."""
+        """Whether the region's own requests keep an instance loaded; to become regional takes more than to
+        stay so.
+        """
         count = demand.long_term * exp((demand.updated_at - now) / LONG_MEMORY)
         keep_alives = self.scope.regional_gateways * self.scope.keep_alive / self._counted(now, LONG_MEMORY)
         if demand.placement.regional:
@@ -140,7 +144,7 @@
         return _lower_estimate(count) * keep_alives >= WARM_REQUESTS
 
     def _homes(self, now: int, demand: FunctionDemand, current: Placement, cells: float) -> int:
-        """How many homes the work asks for, of those that its requests keep loaded."""
+        """How many homes the function's work needs, but no more than its requests keep loaded."""
         share, rate = self._share_and_rate(now, demand)
         gateways = self.scope.regional_gateways if current.regional else self.scope.gateways
         kept_loaded = rate * gateways * self.scope.keep_alive / WARM_REQUESTS
@@ -153,7 +157,9 @@
         return current.homes
 
     def _share_and_rate(self, now: int, demand: FunctionDemand) -> tuple[float, float]:
-        """The function's share of all own work and its requests a nanosecond, by the count that has more."""
+        """The function's share of all own work, and its requests per nanosecond, by the larger of the two
+        counts.
+        """
         total = self.total_work
         share, rate = 0.0, 0.0
         for function_count, work, memory in (
@@ -167,7 +173,7 @@
         return share, rate
 
     def _counted(self, now: int, memory: int) -> float:
-        """Over how long a count reaches back, ns: at first no further than the gateway's start."""
+        """The time over which a count reaches back, ns; at first only to the gateway's start."""
         age = max(now - self.started_at, SECOND)
         return memory * (1 - exp(-age / memory))
 
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -1,9 +1,9 @@
-"""Which entry gateway a request for a cell is forwarded to whose hosts this gateway does not know.
+"""Chooses the entry gateway for a request to a cell whose hosts this gateway does not know.
 
-The order of a cell's entries is this gateway's own (rendezvous hashing of its name and the entry's), so that
-the gateways of a fleet spread over the entries, and one gateway keeps to one entry of each cell: few
-connections, and they are in use. An entry that cannot be reached or is silent is left out for a while; one
-that does not know a cell is left out for that cell.
+Each gateway has its own order of a cell's entries (rendezvous hashing of its name and the entry's), so that
+the gateways of a fleet use different entries, and one gateway mostly the same entry of each cell: it needs
+few connections, and these are in use. An entry that cannot be reached or is silent is avoided for a while; an
+entry that does not know a cell is avoided for that cell.
 
 Invariants: a request goes to an entry at most once; it is forwarded `MAX_HOPS` times at most.
 """
@@ -19,20 +19,21 @@
 
 SECOND = 1_000_000_000
 
-MAX_HOPS = 2  # from the gateway that took the request to an entry, and once more where that lacks the cell
+# from the gateway that took the request to an entry, and once more if that does not know the cell
+MAX_HOPS = 2
 MAX_ENTRIES_PER_CELL = 4  # in this gateway's order: two are tried for one request
-ENTRIES_KEPT_PER_CELL = 4  # remembered for each cell before those that the table lacks are sought out
-MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # for which an entry is left out
-NEVER = -1  # when an entry answered that has not
+ENTRIES_KEPT_PER_CELL = 4  # stored for each cell, above which those that the table lacks are forgotten
+MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # for which an entry is avoided
+NEVER = -1  # the time of the last answer of an entry that has not answered
 
 Key = TypeVar("Key")
 
 
 def trim_entries(cell: Cell, own_name: str) -> Cell:
-    """The row with the entries that this gateway may come to use, and itself where it is one.
+    """The row with only those entries that this gateway may use, and itself if it is one.
 
-    For `TableHolder`, in a fleet whose gateways do not hand the table on to each other: most of a table is
-    entries, and their number grows with the gateways.
+    It is given to `TableHolder` in a fleet whose gateways do not pass the table on to each other: entries are
+    the largest part of a table, and their number grows with the gateways.
     """
     if len(cell.entries) <= MAX_ENTRIES_PER_CELL:
         return cell
@@ -41,7 +42,7 @@
 
 
 def _ordered(own_name: str, cell: Cell) -> list[EntryGateway]:
-    """The cell's entries in this gateway's order, without itself."""
+    """The cell's entries in this gateway's order, except itself."""
     return sorted(
         [entry for entry in cell.entries if entry.name != own_name],
         key=lambda entry: (-xxh3_64_intdigest(f"{own_name}\0{entry.name}".encode()), entry.name),
@@ -49,10 +50,10 @@
 
 
 class Forwarded(NamedTuple):
-    """What a forwarded request says beside its content."""
+    """The data of a forwarded request beside its content."""
 
     cell: str
-    hops: int  # times that it has been forwarded
+    hops: int  # how often the request has been forwarded
 
 
 class ForwardAttempt(Attempt):
@@ -62,26 +63,28 @@
     forwarded: Forwarded
 
     def __new__(cls, entry: EntryGateway, until: int, forwarded: Forwarded) -> Self:
-        """An action as `Attempt`, with what the other gateway must know."""
+        """Makes an action like `Attempt`, with the data for the other gateway."""
         attempt = super().__new__(cls, entry.name, until)
         attempt.address, attempt.forwarded = entry.address, forwarded
         return attempt
 
 
 class CellUnknown(Reject):
-    """The rejection by a gateway that cannot reach the cell: nothing ran, and another entry may know more."""
+    """The rejection by a gateway that cannot reach the cell: nothing ran, and another entry may know the
+    cell.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class EntryBackoff:
-    """An entry that failed, or does not know a cell: left out until then; ns."""
+    """Until when an entry is avoided that failed or does not know a cell; ns."""
 
     retry_at: int
     duration: int
 
 
 class _CachedOrder(NamedTuple):
-    """A cell's entries in order, by that row of the table."""
+    """A cell's entries in order, and the row of the table from which the order was computed."""
 
     cell: Cell
     entries: tuple[EntryGateway, ...]
@@ -98,7 +101,7 @@
         self.orders: dict[str, _CachedOrder] = {}  # by cell
 
     def adopt(self, table: CellTable) -> None:
-        """Forgets what the table has no more."""
+        """Forgets entries and cells that the table lacks."""
         self.orders = {name: order for name, order in self.orders.items() if name in table.by_name}
         self.unknown_cells = {
             key: backoff for key, backoff in self.unknown_cells.items() if _is_entry(table, *key)
@@ -109,39 +112,41 @@
             self.last_answered = {name: at for name, at in self.last_answered.items() if name in named}
 
     def order(self, cell: Cell) -> tuple[EntryGateway, ...]:
-        """The cell's entries in this gateway's order, without itself."""
+        """The cell's entries in this gateway's order, except itself."""
         cached = self.orders.get(cell.name)
         if cached is None or cached.cell is not cell:
             cached = self.orders[cell.name] = _CachedOrder(cell, tuple(_ordered(self.own_name, cell)))
         return cached.entries
 
     def pick(self, now: int, cell: Cell, tried: Collection[str] = ()) -> EntryGateway | None:
-        """The entry to use, or None: all are left out or were tried."""
+        """The entry to use; None where all are avoided or were tried."""
         for entry in self.order(cell):
             if entry.name not in tried and self._is_usable(now, entry.name, cell.name):
                 return entry
         return None
 
     def none_available(self, now: int, cell: Cell) -> bool:
-        """Whether no entry of the cell can be used for now."""
+        """Whether no entry of the cell can be used now."""
         return self.pick(now, cell) is None
 
     def record_failure(self, now: int, name: str) -> None:
-        """The entry could not be reached, broke off, or is silent."""
+        """Notes that the entry could not be reached, broke the connection, or is silent."""
         _back_off(self.backoffs, name, now)
 
     def record_cell_unknown(self, now: int, name: str, cell: str) -> None:
-        """The entry answers, but does not know the cell of that name."""
+        """Notes that the entry answers, but does not know the cell of that name."""
         self.record_answer(now, name)
         _back_off(self.unknown_cells, (name, cell), now)
 
     def record_overdue(self, now: int, name: str, sent: int) -> None:
-        """A request sent then has no answer in time: a failure if the entry answered no other since."""
+        """Notes a request, sent at `sent`, without answer in time: a failure if the entry answered no other
+        since.
+        """
         if not self.has_answered_since(name, sent):
             self.record_failure(now, name)
 
     def record_answer(self, now: int, name: str, cell: str | None = None) -> None:
-        """The entry answers; `cell`: one that it thereby showed to know."""
+        """Notes an answer of the entry; `cell`: one that the entry has shown to know."""
         self.last_answered[name] = now
         self.backoffs.pop(name, None)
         if cell is not None:
@@ -152,13 +157,13 @@
         return self.last_answered.get(name, NEVER) >= time
 
     def _is_usable(self, now: int, name: str, cell: str) -> bool:
-        """Whether the entry is not left out, neither for all cells nor for this one."""
+        """Whether the entry is not avoided, neither for all cells nor for this one."""
         backoffs = self.backoffs.get(name), self.unknown_cells.get((name, cell))
         return all(backoff is None or now >= backoff.retry_at for backoff in backoffs)
 
 
 def _back_off(backoffs: dict[Key, EntryBackoff], key: Key, now: int) -> None:
-    """Leaves out what the key names, for longer each time."""
+    """Avoids the entry that the key names, for longer each time."""
     backoff = backoffs.get(key)
     if backoff is None:
         backoffs[key] = EntryBackoff(now + MIN_BACKOFF, MIN_BACKOFF)
--- a/gaproute/decisions/cells/errors.py
+++ b/gaproute/decisions/cells/errors.py
@@ -5,11 +5,11 @@
 
 
 class TableError(GaprouteError, ValueError):
-    """A table or change that cannot be taken; the last good table stands."""
+    """A table or change is rejected; the last good table stays in use."""
 
 
 class RowError(TableError):
-    """One row of a table is wrong. `row` counts from 1 in the order given."""
+    """One row of a table is invalid. `row` counts from 1, in the order given."""
 
     def __init__(self, row: int, cell: str, reason: str) -> None:
         super().__init__(f"row {row}, cell {cell!r}: {reason}")
@@ -17,7 +17,7 @@
 
 
 class TooManyCellsError(TableError):
-    """More rows than a table may hold; reading stopped at the first one too many."""
+    """A table has more rows than allowed; reading stopped at the first row too many."""
 
     def __init__(self, bound: int) -> None:
         super().__init__(f"more than {bound} cells")
@@ -33,7 +33,7 @@
 
 
 class StaleVersionError(TableError):
-    """The version is not above the one held: of an earlier term, or seen before."""
+    """The version is not above the current one: it is of an earlier term, or was seen before."""
 
     def __init__(self, held: Version, offered: Version) -> None:
         super().__init__(f"version {offered} is not above {held}")
@@ -41,7 +41,7 @@
 
 
 class FullTableNeededError(TableError):
-    """The change starts from a version that is not the one held: only the whole table can help."""
+    """The change starts from a version other than the current one, so the complete table is needed."""
 
     def __init__(self, held: Version | None, base: Version) -> None:
         super().__init__(f"a change from version {base}, but {held} is held: ask for the whole table")
--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -1,18 +1,18 @@
-"""What is recorded of cells, zones and regions that have or may have a fault."""
+"""The records of cells, zones and regions that have a fault or may have one."""
 
 from collections import deque
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import NamedTuple
 
-OUTCOMES = 8  # the last ones of a cell, by which rejections and slowness are judged
+OUTCOMES = 8  # last outcomes of a cell that are stored, by which rejections and slowness are judged
 
 
 class CircuitState(Enum):
-    """Whether a function's requests may go to a cell now."""
+    """Whether requests of a function may go to a cell now."""
 
     CLOSED = "closed"
-    HALF_OPEN = "half-open"  # as the one trial
+    HALF_OPEN = "half-open"  # one request may go, as a trial
     OPEN = "open"
 
 
@@ -26,7 +26,9 @@
 
 
 class FaultScope(Enum):
-    """The kinds of fault domains: by the field of `Cell` that names them, and all outside the own one."""
+    """The kinds of fault domains: named by a field of `Cell`, or all that lies outside the own zone or
+    region.
+    """
 
     REGION = "region"
     ZONE = "zone"
@@ -35,20 +37,23 @@
     OTHER_REGIONS = "other regions"  # named by its own region
 
 
-FaultDomain = tuple[FaultScope, str]  # what fails as one; a plain tuple, as many are made for each outcome
+# hosts that fail together; a plain tuple, as many are made for each outcome
+FaultDomain = tuple[FaultScope, str]
 
 
 @dataclass(slots=True)
 class Fault:
-    """The fault of a domain, or its recovery ramp, on which its functions come back. All times are ns."""
+    """The fault of a domain, and its recovery, during which its functions return one by one. All times are
+    ns.
+    """
 
     kind: FaultKind
     since: int
     backoff: int
     next_trial_at: int
-    trial_sent_at: int | None = None  # of the one that is out
+    trial_sent_at: int | None = None  # when the trial that has no answer yet was sent
     recovered_at: int | None = None  # when a trial succeeded
-    ramp: int = 0  # over which the functions come back
+    ramp: int = 0  # the time over which the functions return
 
 
 class CallOutcome(NamedTuple):
@@ -59,7 +64,7 @@
 
 
 class Pace(NamedTuple):
-    """The time that a request took, over the mean of its function."""
+    """The time that a request took, divided by the mean of its function."""
 
     at: int
     ratio: float
@@ -75,7 +80,7 @@
 
 @dataclass(slots=True)
 class CellRecord:
-    """What was received from a cell of late."""
+    """What has been received from a cell lately."""
 
     last_heard: int = -1  # ns
     overdue: dict[str, int] = field(default_factory=dict)  # host or entry: when the overdue request was sent
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -1,16 +1,16 @@
-"""Which cells requests may be sent to, by this gateway's own proof alone: circuit breakers for cells.
+"""Circuit breakers for cells: which cells may be sent requests, judged by this gateway's own requests alone.
 
-A cell has a fault when none of its hosts or entries can be reached, when requests by two of them are overdue
-and nothing came from it since, when it rejects most requests, or when it answers from warm instances far
-slower than is usual. Zones, regions and all that lies outside the own zone or region have one when they are
-silent (`silence`). Errors are no proof: a function may fail everywhere.
+A cell has a fault when none of its hosts or entries can be reached, when requests by way of two of them are
+overdue and nothing was received from the cell since, when it rejects most requests, or when its warm
+instances answer far slower than usual. A zone, a region, or all that lies outside the own zone or region has
+a fault when it is silent (`silence`). Errors prove nothing: a function may fail everywhere.
 
-A domain with a fault gets one trial at a time, each after a longer backoff. Once a trial succeeds its
-functions come back one by one over a recovery ramp, in an order that all gateways nearly share, so that the
-instances lost meanwhile are loaded at a steady pace.
+A domain with a fault gets one trial request at a time, each after a longer backoff. Once a trial succeeds,
+its functions return one by one over a recovery ramp, in an order that all gateways nearly share, so that the
+instances lost in the meantime are loaded at a steady pace.
 
-Invariants: a domain with a fault has at most one trial out; backoffs grow up to `MAX_BACKOFF`; no message
-of other gateways makes or ends a fault.
+Invariants: a domain with a fault has at most one trial in flight; backoffs grow up to `MAX_BACKOFF`; no
+message of other gateways begins or ends a fault.
 """
 
 from collections.abc import Mapping
@@ -38,15 +38,17 @@
 SECOND = 1_000_000_000
 
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # before trials
-BACKOFF_JITTER = 0.25  # of a backoff, added by chance: gateways do not all try at one moment
-IDEMPOTENT_TRIAL_WAIT = 120 * SECOND  # for an idempotent request; then any is a trial, and may be lost
-TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without any answer has failed
-OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes say nothing of now; a gateway calls most cells twice in 5 s
-MAX_REJECTED_SHARE = 0.5  # of the last outcomes; more are a fault
-MIN_OUTCOMES = 4  # by which rejections are judged
+# share of a backoff that is added at random, so that gateways do not all try at one moment
+BACKOFF_JITTER = 0.25
+# how long to wait for an idempotent request; after that any request is a trial, and may be lost
+IDEMPOTENT_TRIAL_WAIT = 120 * SECOND
+TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without an answer has failed
+OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes do not count; a gateway sends to most cells twice in 5 s
+MAX_REJECTED_SHARE = 0.5  # of the last outcomes, above which the cell has a fault
+MIN_OUTCOMES = 4  # outcomes that are needed to judge rejections
 SLOW = 4.0  # times slower than usual that is a fault
-MIN_RECOVERY_RAMP, MAX_RECOVERY_RAMP = 5 * SECOND, 60 * SECOND  # over which functions come back
-RAMP_JITTER = 0.1  # of the ramp, by which gateways differ for one function
+MIN_RECOVERY_RAMP, MAX_RECOVERY_RAMP = 5 * SECOND, 60 * SECOND  # over which functions return
+RAMP_JITTER = 0.1  # share of the ramp by which gateways differ for one function
 HASH_RANGE = 1 << 64
 
 ANSWERS = (Result.OK, Result.ERROR, Result.STREAM_STARTED)
@@ -55,7 +57,7 @@
 
 
 class CellHealth:
-    """The `faults` of regions, zones and cells. Times are ns of the clock that `now` is read from."""
+    """The `faults` of regions, zones and cells. Times are ns of the clock of `now`."""
 
     def __init__(
         self, own_name: str, chance: RandomSource, own_location: GatewayLocation | None = None
@@ -67,7 +69,7 @@
         self.faults: dict[FaultDomain, Fault] = {}
 
     def adopt(self, table: CellTable) -> None:
-        """Goes by a newer table; what it has no more is forgotten."""
+        """Uses a newer table from now on; what it lacks is forgotten."""
         self.cells = table.by_name
         self.silence.adopt(table.by_name)
         self.records = {name: record for name, record in self.records.items() if name in self.cells}
@@ -75,12 +77,12 @@
             domains = {domain for cell in table.cells for domain in self.silence.domains(cell)}
             self.faults = {domain: fault for domain, fault in self.faults.items() if domain in domains}
 
-    # What requests may do
+    # What may be sent
 
     def circuit_state(self, now: int, name: str, function: str, *, may_repeat: bool = True) -> CircuitState:
-        """Whether the function's request may go to the cell; open where a newer table lacks it.
+        """Whether a request of the function may go to the cell; open if a newer table lacks the cell.
 
-        `may_repeat`: the request may be sent again elsewhere; others avoid domains that are suspected.
+        `may_repeat`: the request may be sent again elsewhere; other requests avoid suspected domains.
         """
         cell = self.cells.get(name)
         if cell is None or not may_repeat and self.silence.suspects(now, cell):
@@ -95,11 +97,11 @@
         return state
 
     def is_fault_free(self) -> bool:
-        """Whether every request may go everywhere."""
+        """Whether nothing has a fault, so that every request may go everywhere."""
         return not self.faults and not self.silence.suspected
 
     def region_usable(self, now: int, name: str, function: str) -> bool:
-        """Whether the region has no fault, or has recovered and the function's turn there has come."""
+        """Whether the region has no fault, or has recovered and the function is due there again."""
         domains = (FaultScope.REGION, name), *self.silence.outside_by_region(name)
         faults = [self.faults[domain] for domain in domains if domain in self.faults]
         return all(self._has_returned(now, fault, function) for fault in faults)
@@ -110,34 +112,36 @@
         return fault is not None and fault.recovered_at is None
 
     def is_faulty(self, name: str) -> bool:
-        """Whether the cell or what it lies in has a fault and has not recovered."""
+        """Whether the cell, or its zone or region, has a fault and has not recovered."""
         return bool(self.faults) and name in self.cells and bool(self._current_faults(name))
 
     def is_only_slow(self, name: str) -> bool:
-        """Whether the cell answers, though slowly, and what it lies in has no fault."""
+        """Whether the cell answers, though slowly, and its zone and region have no fault."""
         faults = self._current_faults(name) if name in self.cells else []
         return bool(faults) and all(fault.kind is FaultKind.SLOW for fault in faults)
 
     def accepts_any_trial(self, now: int, name: str) -> bool:
-        """Whether no idempotent request came to be the trial, long after one was due."""
+        """Whether a trial is long overdue because no idempotent request has come for it."""
         return all(now >= fault.next_trial_at + IDEMPOTENT_TRIAL_WAIT for fault in self._current_faults(name))
 
-    # What is received
+    # What was received
 
     def trial_sent(self, now: int, name: str) -> None:
-        """A trial goes to the cell; one that went before had no answer."""
+        """Notes that a trial goes to the cell; an earlier one had no answer."""
         self._trial_failed(now, name)
         for fault in self._current_faults(name):
             fault.trial_sent_at = now
 
     def record_unreachable(self, now: int, name: str) -> None:
-        """No host or entry of the cell can be reached, or no host of it is active."""
+        """Notes that no host or entry of the cell can be reached, or no host of it is active."""
         if name in self.cells:
             self._fault_found(now, (FaultScope.CELL, name), FaultKind.UNREACHABLE)
             self._trial_failed(now, name)
 
     def record_overdue(self, now: int, name: str, sent: int, via: str) -> None:
-        """A request to the cell, `via` that host or entry, is overdue; once for each request."""
+        """Notes that a request to the cell, by way of the host or entry `via`, is overdue; once for each
+        request.
+        """
         if name not in self.cells:
             return
         record = self.records.setdefault(name, CellRecord())
@@ -152,7 +156,10 @@
             self._fault_found(now, domain, FaultKind.SILENT)
 
     def record_outcome(self, now: int, name: str, result: Result, pace: float | None = None) -> None:
-        """A request's outcome. `pace`: its time over the mean of its function, where an instance was warm."""
+        """Records the outcome of a request.
+
+        `pace`: its time divided by the mean of its function, where an instance was warm.
+        """
         if name not in self.cells:
             return
         record = self.records.setdefault(name, CellRecord())
@@ -171,7 +178,7 @@
         self._judge_cell(now, name, record)
 
     def _judge_cell(self, now: int, name: str, record: CellRecord) -> None:
-        """Finds the faults that show in the last outcomes: rejections and slowness."""
+        """Finds the faults that the last outcomes show: rejections and slowness."""
         rejected = [outcome.rejected for outcome in record.outcomes if now - outcome.at < OUTCOME_MAX_AGE]
         ratios = [pace.ratio for pace in record.paces if now - pace.at < OUTCOME_MAX_AGE]
         if len(rejected) >= MIN_OUTCOMES and sum(rejected) > MAX_REJECTED_SHARE * len(rejected):
@@ -198,7 +205,7 @@
         return CircuitState.CLOSED if self._has_returned(now, fault, function) else CircuitState.OPEN
 
     def _current_faults(self, name: str) -> list[Fault]:
-        """Of the cell and of what it lies in, those that have not recovered."""
+        """The faults of the cell, its zone and its region that have not recovered."""
         found = [self.faults.get(domain) for domain in self.silence.domains(self.cells[name])]
         return [fault for fault in found if fault is not None and fault.recovered_at is None]
 
@@ -223,20 +230,22 @@
         return backoff + self.chance.below(int(BACKOFF_JITTER * backoff))
 
     def _recover(self, now: int, name: str) -> None:
-        """Any answer ends silence, of zone and region too; a cell that rejected or was slow needs a trial."""
+        """Ends faults after an answer: any answer ends silence, of zone and region too; other faults need a
+        trial.
+        """
         for fault in self._current_faults(name) if self.faults else ():
             if fault.kind is FaultKind.SILENT or fault.trial_sent_at is not None:
                 fault.recovered_at, fault.trial_sent_at = now, None
                 fault.ramp = min(MAX_RECOVERY_RAMP, max(MIN_RECOVERY_RAMP, now - fault.since))
 
     def _has_returned(self, now: int, fault: Fault, function: str) -> bool:
-        """Whether the function's turn on the recovery ramp has come."""
+        """Whether the function is due again on the recovery ramp."""
         if fault.recovered_at is None:
             return False
         return self._turn(function) * fault.ramp <= now - fault.recovered_at
 
     def _turn(self, function: str) -> float:
-        """0 to 1: when on a ramp the function comes; gateways differ little for the same function."""
+        """0 to 1: when on a recovery ramp the function returns; nearly the same at all gateways."""
         shared = xxh3_64_intdigest(function.encode())
         own = xxh3_64_intdigest(f"{self.own_name}\0{function}".encode())
         return ((1 - RAMP_JITTER) * shared + RAMP_JITTER * own) / HASH_RANGE
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -1,7 +1,7 @@
 """The home cells of a function: an order that every gateway computes alone from the cell table.
 
-Invariants: gateways with equal tables agree on every order, whatever they saw before; the second home lies
-in another zone than the first wherever the table has one; an order names each cell once.
+Invariants: gateways with equal tables agree on every order, whatever they saw before; the second home lies in
+another zone than the first if the table has one; an order names each cell once.
 """
 
 from collections.abc import Iterable
@@ -11,12 +11,12 @@
 from gaproute.decisions.cells.table import Cell, CellTable
 from gaproute.decisions.cells.version import Version
 
-MAX_ORDERS = 8_192  # cached: the order of a first request is computed in far less than a millisecond
-MIN_ORDER_LENGTH = 4  # homes in a cached order: one for each of the usual reasons to go on to the next
+MAX_ORDERS = 8_192  # cached orders; computing one takes far less than a millisecond
+MIN_ORDER_LENGTH = 4  # homes in a cached order: one for each usual reason to use the next cell
 
 
 class _CachedOrder(NamedTuple):
-    """An order by the table of that version; None: none yet."""
+    """An order, and the version of the table it was computed from; None: not computed yet."""
 
     version: Version | None
     cells: tuple[str, ...]
@@ -28,20 +28,22 @@
 class HomeCells:
     """Orders by one table, over the whole fleet or within one region; a bounded number is cached.
 
-    `regions`: those that will be asked for; the ring of any other is made when it first is.
+    `regions`: those that will be needed; the ring of any other is made when it is first used.
     """
 
     def __init__(self, table: CellTable, max_orders: int = MAX_ORDERS, regions: Iterable[str] = ()) -> None:
         self.table = table
         self.max_orders = max_orders
-        # (function, region): the one used last comes last
+        # by (function, region); the one used last comes last
         self._orders: dict[tuple[str, str | None], _CachedOrder] = {}
         self._rings: dict[str | None, HashRing] = {None: HashRing(table.cells)}  # None: the whole fleet
         for region in regions:
             self._ring(region)
 
     def adopt(self, table: CellTable) -> None:
-        """Goes by a newer table. Costs what differs; cached orders are computed anew when next asked for."""
+        """Uses a newer table from now on. The cost is that of the changes; orders are computed again when
+        needed.
+        """
         before, after = self.table.by_name, table.by_name
         names = {name for name, cell in after.items() if before.get(name) is not cell}
         names |= before.keys() - after.keys()
@@ -52,7 +54,7 @@
         self.table = table
 
     def order(self, function: str, count: int, region: str | None = None) -> tuple[str, ...]:
-        """The first `count` homes, or more where more are cached; fewer where there are no more cells."""
+        """The first `count` homes, or more if more are cached; fewer if there are no more cells."""
         key = function, region
         version, order = self._orders.pop(key, _NO_ORDER)
         ring = self._ring(region)
@@ -64,7 +66,7 @@
         return order
 
     def first(self, function: str, region: str | None = None) -> str | None:
-        """The function's first home; None where the region has no cells."""
+        """The function's first home; None if the region has no cells."""
         order = self.order(function, 1, region)
         return order[0] if order else None
 
@@ -85,7 +87,7 @@
 
 
 def _compute(ring: HashRing, function: str, count: int) -> tuple[str, ...]:
-    """The ring's order, but for cells of the first one's zone: none of them comes second."""
+    """The ring's order, in which the second cell is the first one of another zone."""
     if not ring.cells:
         return ()
     several_zones = len(ring.zones) > 1
@@ -110,7 +112,7 @@
 
 
 def _same_on_ring(before: Cell | None, after: Cell | None) -> bool:
-    """Whether two rows of a cell are the same for the order of homes."""
+    """Whether two rows of a cell give the same order of homes."""
     if before is None or after is None:
         return before is after
     return (before.points, before.zone, before.region) == (after.points, after.zone, after.region)
--- a/gaproute/decisions/cells/invariants.py
+++ b/gaproute/decisions/cells/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold of a cellular gateway: named checks that return breaches as text."""
+"""The invariants of a cellular gateway, as named checks that return breaches as text."""
 
 from collections.abc import Iterable, Iterator
 
@@ -12,7 +12,7 @@
 
 
 def view_bounded(gateway: CellularGateway) -> Iterator[str]:
-    """The hosts of the cells in view, and all that is remembered of cells and functions, are bounded."""
+    """The number of hosts in view, and what is stored of cells and functions, is bounded."""
     view = gateway.view
     assert view is not None
     assert gateway.homes is not None
@@ -32,7 +32,7 @@
 
 
 def homes_agree(gateway: CellularGateway, functions: Iterable[str]) -> Iterator[str]:
-    """The homes are those that any gateway computes anew from the same table."""
+    """The homes are those that any gateway computes from the same table."""
     assert gateway.location is not None
     assert gateway.homes is not None
     assert gateway.table is not None
@@ -66,19 +66,19 @@
 
 
 def hops_bounded(attempt: Attempt) -> Iterator[str]:
-    """A forwarded request says that it was forwarded at most `MAX_HOPS` times."""
+    """A forwarded request was forwarded at most `MAX_HOPS` times."""
     if isinstance(attempt, ForwardAttempt) and not 1 <= attempt.forwarded.hops <= MAX_HOPS:
         yield f"forwarded {attempt.forwarded.hops} times"
 
 
 def version_grows(before: CellTable | None, after: CellTable) -> Iterator[str]:
-    """Of two tables held one after the other: the version never falls."""
+    """The version of a gateway's table never falls."""
     if before is not None and after.version < before.version:
         yield f"version {after.version} came after {before.version}"
 
 
 def check(gateway: CellularGateway, functions: Iterable[str] = ()) -> list[str]:
-    """Breaches of a gateway with several cells, as text; none where all is well."""
+    """The breaches of all invariants of a gateway with several cells, as text; empty if there are none."""
     return [
         *view_bounded(gateway),
         *homes_agree(gateway, functions),
--- a/gaproute/decisions/cells/loads.py
+++ b/gaproute/decisions/cells/loads.py
@@ -1,9 +1,9 @@
 """How loaded the cells are, by the reports of the last seconds, and the draw between two of them.
 
-Each request of a function with several homes draws two of them, in proportion to capacity, and takes the less
-loaded the more likely, the more their loads differ (the power of two choices, Mitzenmacher 2001, with a
-slope for loads that are old). Bounded loads (Mirrokni and others, 2018) would need a count of the requests at
-each home that all gateways share.
+For each request of a function with several homes, two homes are drawn in proportion to capacity. The less
+loaded one is taken, the more likely the more their loads differ (the power of two choices, Mitzenmacher 2001,
+with a slope because loads may be old). Bounded loads (Mirrokni and others, 2018) would need a count of the
+requests at each home that all gateways share.
 
 Invariant: a load is forgotten `LOAD_MAX_AGE` after it was reported, and then counts as the mean.
 """
@@ -15,17 +15,18 @@
 
 SECOND = 1_000_000_000
 
-LOAD_MEMORY = 10 * SECOND  # over which reports of a cell are averaged
-LOAD_MAX_AGE = 60 * SECOND  # an older load says nothing
-MIN_REPORT_INTERVAL = SECOND // 10  # as which shorter intervals between reports count
-MEAN_WEIGHT = 1 / 256  # of one report in the mean of all
-SLOPE = 12.0  # of the probability by the difference of two loads over the mean: a tenth shifts it by 0.6
-MIN_PROBABILITY = 0.05  # of the more loaded one: its reports still come
-MAX_DRAWS = 8  # until one passes by its capacity
+LOAD_MEMORY = 10 * SECOND  # time over which the reports of a cell are averaged
+LOAD_MAX_AGE = 60 * SECOND  # an older load does not count
+MIN_REPORT_INTERVAL = SECOND // 10  # shorter intervals between reports count as this
+MEAN_WEIGHT = 1 / 256  # weight of one report in the mean of all
+# of the probability by the difference of two loads divided by the mean: a tenth shifts it by 0.6
+SLOPE = 12.0
+MIN_PROBABILITY = 0.05  # of taking the more loaded one, so that its reports still come
+MAX_DRAWS = 8  # draws by capacity before one is taken anyway
 
 
 class _CellLoad:
-    """The load of one cell over its capacity, and when it was reported."""
+    """The load of one cell divided by its capacity, and when it was reported."""
 
     __slots__ = ("reported_at", "value")
 
@@ -34,14 +35,16 @@
 
 
 class CellLoads:
-    """Loads by cell, for cells of one table. `mean`: of the reports, each cell by how often it reports."""
+    """Loads by cell, for the cells of one table. `mean`: of all reports, so cells that report often count
+    more.
+    """
 
     def __init__(self) -> None:
         self.cells: dict[str, _CellLoad] = {}  # by name
         self.mean = 0.0
 
     def adopt(self, names: Collection[str]) -> None:
-        """Forgets cells that the table has no more."""
+        """Forgets cells that the table lacks."""
         self.cells = {name: load for name, load in self.cells.items() if name in names}
 
     def record(self, now: int, name: str, value: float) -> None:
@@ -57,7 +60,7 @@
         self.mean += (load.value - self.mean) * MEAN_WEIGHT
 
     def relative_load(self, now: int, name: str) -> float:
-        """The cell's load over the mean: 1 where nothing is known."""
+        """The cell's load divided by the mean; 1 where nothing is known."""
         load = self.cells.get(name)
         if load is None or now - load.reported_at > LOAD_MAX_AGE or self.mean <= 0:
             return 1.0
@@ -82,7 +85,7 @@
 def _draw_by_capacity(
     names: Sequence[str], capacities: Mapping[str, float], largest: float, chance: RandomSource
 ) -> str:
-    """A cell drawn about in proportion to its capacity; `largest` is that of the largest of a few."""
+    """Draws a cell, about in proportion to its capacity; `largest`: the largest capacity among them."""
     for _ in range(MAX_DRAWS):
         name = names[chance.below(len(names))]
         if chance.below(SECOND) * largest < capacities[name] * SECOND:
--- a/gaproute/decisions/cells/local_cells.py
+++ b/gaproute/decisions/cells/local_cells.py
@@ -1,7 +1,7 @@
-"""The cells of which this gateway knows the hosts: a `routing.Gateway` for each.
+"""The cells whose hosts this gateway knows: a `routing.Gateway` for each.
 
-Invariants: all of them share one limit on load orders, so that knowing more cells orders no more loads; what
-came of an attempt goes to the gateway that sent it, also after its cell has left the view.
+Invariants: all of them share one limit on load orders, so that knowing more cells does not allow more loads;
+the outcome of an attempt goes to the gateway that sent it, even after its cell has left the view.
 """
 
 from collections.abc import Collection, Iterator, Sequence
@@ -15,8 +15,8 @@
 
 SECOND = 1_000_000_000
 
-LOAD_MAX_AGE = SECOND  # for which the sum over a cell's hosts is cached
-HOUSEKEEPING_INTERVAL = SECOND  # at which it is looked for what is due, at the latest
+LOAD_MAX_AGE = SECOND  # for which the sum of the loads of a cell's hosts is cached
+HOUSEKEEPING_INTERVAL = SECOND  # the longest time between two checks for housekeeping that is due
 
 
 class _CachedLoad(NamedTuple):
@@ -27,9 +27,9 @@
 
 
 class LocalCells:
-    """Gateways by cell. A cell counts as known once its whole host list has come.
+    """Gateways by cell. A cell counts as known once its complete host list has come.
 
-    `end_by`: when every request must have its answer as the process ends, ns; `NEVER` while it does not.
+    `end_by`: when every request must have its answer as the process ends, ns; `NEVER` while it does not end.
     """
 
     def __init__(self, seed: int, terms: Terms) -> None:
@@ -41,14 +41,16 @@
         self.end_by: int = NEVER
 
     def retain(self, names: Collection[str]) -> None:
-        """Lets go of all other cells."""
+        """Forgets all other cells."""
         for name in [name for name in self.gateways if name not in names]:
             del self.gateways[name]
             self.housekeepers.pop(name, None)
             self.loads.pop(name, None)
 
     def update_hosts(self, now: int, name: str, rows: Sequence[ListedHost], complete: bool) -> None:
-        """Host list of a cell in the view, or changes to it; changes before the whole list are left out."""
+        """Takes over the host list of a cell in view, or changes to it; changes before the first list are
+        ignored.
+        """
         gateway = self.gateways.get(name)
         if gateway is None:
             if not complete:
@@ -58,17 +60,17 @@
         gateway.update_hosts(now, rows, complete)
 
     def new_gateway(self, now: int) -> Gateway:
-        """A gateway that shares the limit on load orders and the end of the process."""
+        """Makes a gateway that shares the limit on load orders and the end of the process."""
         gateway = Gateway(self.seed, self.terms, now, self.load_order_limiter)
         gateway.end_by = self.end_by
         return gateway
 
     def add(self, name: str, gateway: Gateway) -> None:
-        """Knows a cell by a gateway that was made for it."""
+        """Adds a cell with a gateway that was made for it."""
         self.gateways[name] = gateway
 
     def set_end(self, when: int) -> None:
-        """The process ends: every request has its answer by then."""
+        """Sets the time by which every request must have its answer, as the process ends."""
         self.end_by = when
         for gateway in self.gateways.values():
             gateway.end_by = when
@@ -81,7 +83,7 @@
         return None
 
     def load(self, now: int, name: str) -> float:
-        """Requests in flight at a known cell's hosts, as far as this gateway knows."""
+        """Requests in flight at the hosts of a known cell, as far as this gateway knows."""
         cached = self.loads.get(name)
         if cached is None or now - cached.counted_at >= LOAD_MAX_AGE:
             gateway = self.gateways[name]
@@ -90,11 +92,13 @@
         return cached.load
 
     def report(self, now: int, name: str) -> Report | None:
-        """The load of the cell that an entry sends with each answer; None of a cell that it does not know."""
+        """The load of the cell, which an entry sends with each answer; None for a cell that it does not
+        know.
+        """
         return Report(in_hand=self.load(now, name)) if name in self.gateways else None
 
     def housekeep(self, now: int) -> Iterator[Action]:
-        """Advances every cell's housekeeping that is due; yields its actions."""
+        """Advances the housekeeping of every cell where it is due; yields its actions."""
         for name, gateway in list(self.gateways.items()):
             housekeeper = self.housekeepers.get(name)
             if housekeeper is None:
--- a/gaproute/decisions/cells/remote_cells.py
+++ b/gaproute/decisions/cells/remote_cells.py
@@ -1,14 +1,14 @@
-"""A request's path into a cell that this gateway knows by its entry gateways alone.
+"""The path of a request into a cell that this gateway knows by its entry gateways alone.
 
-The entry decides within the cell, with the retries that its rules allow, so little is left to do here:
-another entry where one cannot be reached or does not know the cell (NOT_LOADED); a rejection (FULL) means
-that the cell rejected it, and the caller goes on to the next cell.
+The entry decides within the cell, with the retries that the rules allow, so little is left to decide here:
+another entry is used where one cannot be reached or does not know the cell (NOT_LOADED); a rejection (FULL)
+means that the cell rejected the request, and the caller tries the next cell.
 
-What may have run is not repeated unless it is idempotent, or deduplicated by key among all hosts and sure to
-be dropped: then it goes to one more entry of the cell where the connection to the first broke off. The first
-entry, and one that it forwarded the request to, may still be sending it to hosts; so its whole time must lie
-within the window of the first sending, whoever sends it. Groups of a zone or a rack are left out: a cell has
-several racks, and tables that differ may have it in two zones.
+A request that may have run is repeated only if it is idempotent, or has an idempotency key that all hosts
+share and that they still remember: then it goes to one more entry of the cell if the connection to the first
+broke. The first entry, and one to which that forwarded the request, may still be sending it to hosts, so all
+of its time must lie within the window of the first sending. Keys that only a zone or a rack shares are not
+enough: a cell has several racks, and tables that differ may have it in two zones.
 """
 
 from gaproute.decisions.cells.actions import Actions, wakeup_of
@@ -37,8 +37,8 @@
 class RemoteCells:
     """Serves requests by way of entry gateways.
 
-    `local` knows when every request must have its answer as the process ends. `cancel_allowed`: attempts
-    that nobody waits for may be cancelled.
+    `local` knows when every request must have its answer as the process ends. `cancel_allowed`: attempts for
+    which nobody waits may be cancelled.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self.cancel_allowed = cancel_allowed
 
     def serve(self, progress: RequestProgress, cell: Cell) -> Actions[None]:
-        """Yields actions as `routing.Gateway.serve` does; ends without a final answer where one was given."""
+        """Yields actions as `routing.Gateway.serve` does; ends without a final answer if one was given."""
         if progress.hops >= MAX_HOPS:
             yield CellUnknown(progress.retry_after, RejectReason.CELL_UNKNOWN)
             return
@@ -72,7 +72,7 @@
         yield from self._give_up(progress, cell)
 
     def _give_up(self, progress: RequestProgress, cell: Cell) -> Actions[None]:
-        """The final answer where no entry can be asked any more."""
+        """The final answer where no further entry can be used."""
         if self.entries.none_available(progress.now, cell):
             self.health.record_unreachable(progress.now, cell.name)
         answer = progress.final_answer(RejectReason.CELL_UNREACHABLE)
@@ -81,15 +81,16 @@
         yield answer
 
     def _answer_by(self, progress: RequestProgress) -> int:
-        """When the request must have its answer here, before its deadline and the process's end."""
+        """When the request must have its answer here: by its deadline and by the end of the process (ns)."""
         end: int = min(progress.deadline, self.local.end_by)
         return end - ANSWER_BY
 
     def _await_outcome(self, progress: RequestProgress, number: int, cell: Cell) -> Actions[Outcome | None]:
-        """The outcome of the attempt, or None where the request is over.
+        """The outcome of the attempt, or None if the request is over.
 
-        An idempotent request that waits for a cell with a fault found meanwhile is cancelled, to go on
-        elsewhere, unless the cell is only slow: it has waited there for a part of the answer's time.
+        An idempotent request that waits for a cell in which a fault was found is cancelled, to be sent
+        elsewhere, unless the cell is only slow: then it has already waited there for a part of the usual
+        time.
         """
         cancelled = False
         while True:
@@ -115,25 +116,25 @@
                 return None
 
     def _is_lost(self, cell: Cell) -> bool:
-        """Whether no answer is to be expected from the cell."""
+        """Whether no answer can be expected from the cell."""
         return self.health.is_faulty(cell.name) and not self.health.is_only_slow(cell.name)
 
 
 def _may_repeat(progress: RequestProgress, result: Result) -> bool:
-    """Whether the request may go to another entry of the cell after this result."""
+    """Whether the request may be sent to another entry of the cell after this result."""
     if not progress.may_have_run or progress.is_idempotent:
         return True
     request_class = progress.request_class
     has_key = request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
     if not (has_key and request_class.group is Group.ALL and result is Result.RESET):
         return False
-    assert progress.first_sent_at is not None  # something was sent, as it may have run
+    assert progress.first_sent_at is not None  # it was sent, as it may have run
     forgotten_at: int = progress.first_sent_at + request_class.repeat_window
     return progress.deadline + TRANSIT <= forgotten_at
 
 
 def _await_end(now: int, outcome: Outcome | None) -> Actions[None]:
-    """A stream that has begun has no deadline here."""
+    """Waits for the end of a streamed answer, which has no deadline."""
     while outcome is None or not outcome.ended:
         resumed = yield Wait(now + SECOND)
         now, outcome = wakeup_of(resumed)
--- a/gaproute/decisions/cells/request_progress.py
+++ b/gaproute/decisions/cells/request_progress.py
@@ -1,7 +1,7 @@
-"""One request on its way through cells: what is in flight, what may have run, and what may still be done.
+"""The state of one request on its way through cells: its attempts, what may have run, what may still be done.
 
 Invariants: the request has attempts in flight in one cell at a time; a cell is left only when nothing is in
-flight; a request that must not run twice leaves a cell only when every attempt of it provably did not run.
+flight; a request that must not run twice leaves a cell only if every attempt of it provably did not run.
 """
 
 from collections.abc import Iterator
@@ -22,20 +22,20 @@
     Terms,
 )
 
-LOOK_INTERVAL = 500 * MILLI  # between looks at a request with an overdue attempt
+LOOK_INTERVAL = 500 * MILLI  # between checks of a request with an overdue attempt
 
 
 class AttemptInFlight(NamedTuple):
-    """An attempt that has no outcome yet; times are ns."""
+    """An attempt without an outcome so far; times are ns."""
 
     cell: str
-    host: str  # or the entry gateway
+    host: str  # the name of the host, or of the entry gateway
     sent_at: int
     due: int  # when it is overdue
 
 
 class RequestProgress:
-    """The state of one request. `now` is the time of the last thing that happened to it."""
+    """The state of one request. `now` is the time of its last event."""
 
     def __init__(self, now: int, request: Request, terms: Terms, forwarded: Forwarded | None = None) -> None:
         self.request, self.now = request, now
@@ -47,7 +47,7 @@
         self.attempts = 0
         self.first_sent_at: int | None = None
         self.in_flight: dict[int, AttemptInFlight] = {}  # by number
-        self.overdue: set[int] = set()  # numbers of attempts in flight that were found overdue
+        self.overdue: set[int] = set()  # numbers of the attempts in flight that are overdue
         self.may_have_run = False
 
     @property
@@ -56,20 +56,20 @@
         return self.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def remaining_request(self) -> Request:
-        """The request as the next cell takes it."""
+        """The request as the next cell gets it, with the time that is left."""
         if not self.attempts:
             return self.request
         return self.request._replace(time_left=max(0, self.deadline - self.now))
 
     def attempt_sent(self, number: int, cell: str, host: str, due: int) -> None:
-        """An attempt has been sent."""
+        """Registers an attempt that was sent."""
         self.attempts += 1
         if self.first_sent_at is None:
             self.first_sent_at = self.now
         self.in_flight[number] = AttemptInFlight(cell, host, self.now, due)
 
     def record_outcome(self, outcome: Outcome) -> None:
-        """The outcome of one of the attempts, or of the whole request."""
+        """Records the outcome of one attempt, or of the whole request."""
         if outcome.result is Result.STREAM_STARTED:
             return
         if self.in_flight.pop(outcome.attempt, None) is not None:
@@ -77,26 +77,26 @@
             self.may_have_run |= outcome.result not in NEVER_RAN
 
     def next_look(self) -> int:
-        """When to look again at the attempts in flight: when one is overdue, and then now and then."""
+        """When to check the attempts in flight: when one becomes overdue, and at intervals after that."""
         if self.overdue:
             return self.now + LOOK_INTERVAL
         return min((attempt.due for attempt in self.in_flight.values()), default=NEVER)
 
     def newly_overdue(self) -> Iterator[AttemptInFlight]:
-        """Attempts that have just become overdue."""
+        """The attempts that have become overdue since the last call."""
         for number, attempt in self.in_flight.items():
             if attempt.due <= self.now and number not in self.overdue:
                 self.overdue.add(number)
                 yield attempt
 
     def may_leave_cell(self) -> bool:
-        """Whether the request may go on in another cell."""
+        """Whether the request may be sent to another cell."""
         if self.in_flight or self.may_have_run and not self.is_idempotent:
             return False
         return self.attempts < self.attempt_limit and self.now < self.deadline
 
     def final_answer(self, reason: RejectReason) -> FinalAnswer:
-        """The final answer where nothing more can be done."""
+        """The final answer where nothing more can be tried."""
         if self.is_idempotent or not (self.may_have_run or self.in_flight):
             return Reject(self.retry_after, reason)
         return Fail()
--- a/gaproute/decisions/cells/ring.py
+++ b/gaproute/decisions/cells/ring.py
@@ -1,12 +1,12 @@
 """A hash ring with several probes for each key (Appleton and O'Reilly, Multi-probe consistent hashing, 2015).
 
-A cell owns points on the ring. A function is hashed to `PROBES` positions; the cell whose point follows one
-of them at the least distance is its first home, that of the next distance the second, and so on. Evenness
-comes from the probes, so few points for each cell do, and the cost is that of the probes: it does not grow
-with the fleet but for the logarithm of the points.
+A cell owns points on the ring. A function is hashed to `PROBES` positions. The cell with the point that
+follows one of them at the least distance is its first home, the cell at the next distance the second, and so
+on. The probes make the load even, so few points for each cell are enough; the cost is that of the probes, and
+grows with the fleet only by the logarithm of the points.
 
-Invariants: equal cells give equal orders, however the ring came about; a cell that comes or goes leaves the
-order of all others as it was, within one round of probes; a split leaves every point where it was.
+Invariants: equal cells give equal orders, however the ring was made; a cell that is added or removed leaves
+the order of all others as it was, within one round of probes; a split leaves every point where it was.
 """
 
 from bisect import bisect_left
@@ -17,8 +17,8 @@
 
 from gaproute.decisions.cells.table import Cell
 
-PROBES = 21  # of a function: the fullest point has then about 1.05 of the mean
-ROUNDS = 4  # of so many probes, before the cells not met by any are ordered one by one
+PROBES = 21  # positions of a function; the fullest point then has about 1.05 of the mean
+ROUNDS = 4  # rounds of so many probes, before the cells that no probe has met are ordered one by one
 RING_SIZE = 1 << 64  # positions on the ring
 
 
@@ -32,7 +32,7 @@
 
     def __init__(self, cells: Iterable[Cell] = ()) -> None:
         self.cells = {cell.name: cell for cell in cells}
-        self.zones = Counter(cell.zone for cell in self.cells.values())  # zone: its cells
+        self.zones = Counter(cell.zone for cell in self.cells.values())  # cells by zone
         points = sorted(
             (position, cell.name) for cell in self.cells.values() for position in _positions(cell)
         )
@@ -40,7 +40,7 @@
         self.owners = [owner for _, owner in points]
 
     def change(self, cells: Mapping[str, Cell], names: Iterable[str]) -> None:
-        """Takes over the cells named as they are in `cells`; those missing there are removed."""
+        """Takes over the named cells as they are in `cells`; those missing there are removed."""
         names = sorted(names)
         for name in names:
             if name in self.cells:
@@ -51,7 +51,7 @@
             self._replace(name, cells.get(name))
 
     def order(self, function: str) -> Iterator[str]:
-        """All cells, one by one, in the function's order."""
+        """All cells, in the function's order."""
         key, given = function.encode(), set()
         for start in range(0, ROUNDS * PROBES, PROBES):
             for _, name in sorted(self._probe(key, seed) for seed in range(start, start + PROBES)):
@@ -73,7 +73,7 @@
         return (self.positions[at] - position) % RING_SIZE, self.owners[at]
 
     def _replace(self, name: str, cell: Cell | None) -> None:
-        """Holds the new row of a cell, or none."""
+        """Stores the new row of a cell, or removes it (None)."""
         if name in self.cells:
             self.zones -= Counter((self.cells.pop(name).zone,))  # a zone without cells is dropped
         if cell is not None:
@@ -81,7 +81,7 @@
             self.zones[cell.zone] += 1
 
     def _add_points(self, cell: Cell, before: Cell | None) -> None:
-        """Adds the points that the cell had not before."""
+        """Adds the points that the cell did not have before."""
         for position in _positions(cell) - _positions(before):
             at = bisect_left(self.positions, position)
             while at < len(self.positions) and self.positions[at] == position and self.owners[at] < cell.name:
@@ -90,7 +90,7 @@
             self.owners.insert(at, cell.name)
 
     def _remove_points(self, cell: Cell, after: Cell | None) -> None:
-        """Removes the points that the cell has no more."""
+        """Removes the points that the cell does not have any more."""
         for position in _positions(cell) - _positions(after):
             at = bisect_left(self.positions, position)
             while self.owners[at] != cell.name:
@@ -99,7 +99,7 @@
 
 
 def _positions(cell: Cell | None) -> set[int]:
-    """The positions of a cell's points; none of no cell."""
+    """The positions of a cell's points; empty for None."""
     return {
         point_position(points.origin, index)
         for points in (cell.points if cell is not None else ())
--- a/gaproute/decisions/cells/silence.py
+++ b/gaproute/decisions/cells/silence.py
@@ -1,17 +1,16 @@
-"""Which zones and regions are silent, by requests to their cells that are overdue.
+"""Detects silent zones and regions, by overdue requests to their cells.
 
-Overdue requests to two cells of a zone, with no answer from the zone since, show that the zone is silent,
-and two such zones of a region that the region is: else each of their cells would cost requests of its own. In
-the same way overdue requests to three zones, with no answer from any zone but the own one since, show
-that the own zone is cut off; three zones of other regions, with no answer from any of these, that the own
-region is. One domain may be lost or slow; that all fall silent at one moment is the fault of the own side.
+If requests to two cells of a zone are overdue and nothing has come from the zone since, the zone is silent;
+if two zones of a region are, the region is. Otherwise each of their cells would cost requests of its own. In
+the same way, overdue requests to three zones, with no answer from any zone but the own one since, show that
+the own zone is cut off; three zones of other regions, with no answer from any of these, that the own region
+is. One domain may fail by itself; if all fall silent at one moment, the own side has the fault.
 
 A single overdue request makes its zone, and all outside the own zone or region, suspected until an answer
-comes from there: requests that must not run twice avoid a suspected domain, as they would be lost with it,
-and the proof is left to those that may be sent again.
+comes from there. Requests that must not run twice avoid a suspected domain, as they could be lost in it; the
+other requests prove whether it is silent.
 
-Invariant: any answer from a domain ends its suspicion, which lasts `MAX_SUSPICION` at most after a
-request.
+Invariant: any answer from a domain ends its suspicion, which lasts `MAX_SUSPICION` at most after a request.
 """
 
 from collections.abc import Iterator, Mapping
@@ -26,10 +25,11 @@
 MAX_SUSPICION = (
     10 * SECOND
 )  # after an overdue request, also where no request may show that the domain is well
-MAX_DOMAINS = 256  # of which the last answer is remembered before those that the table lacks are sought out
-MIN_SILENT_PARTS = 2  # hosts or entries of a cell, cells of a zone, zones of a region: one may be slow work
-MIN_SILENT_ZONES = 3  # by which the own zone or region is cut off: a region that is lost has two or three
-NEVER = -1  # when there was no answer
+MAX_DOMAINS = 256  # whose last answer is stored, above which those that the table lacks are forgotten
+# hosts or entries of a cell, cells of a zone, zones of a region: one alone may be slow work
+MIN_SILENT_PARTS = 2
+MIN_SILENT_ZONES = 3  # by which the own zone or region is cut off: a region that fails has two or three
+NEVER = -1  # the time of the last answer where there was none
 
 
 class _KnownCell(NamedTuple):
@@ -42,7 +42,7 @@
 class SilenceDetector:
     """Judges domains by the records of their cells. `own`: where this gateway is, if that is known.
 
-    `last_heard` and `suspected` are by zone and by what lies outside the own zone or region: when the last
+    `last_heard` and `suspected` have, by zone and by what lies outside the own zone or region, when the last
     answer came from there, and when a request to it was found overdue.
     """
 
@@ -51,10 +51,10 @@
         self.cells: Mapping[str, Cell] = {}
         self.last_heard: dict[FaultDomain, int] = {}
         self.suspected: dict[FaultDomain, int] = {}
-        self._zones: dict[FaultDomain, set[str]] | None = None  # by domain, once asked for
+        self._zones: dict[FaultDomain, set[str]] | None = None  # by domain; None until it is first needed
 
     def adopt(self, cells: Mapping[str, Cell]) -> None:
-        """Goes by a newer table. Costs nothing by its cells but where something is suspected."""
+        """Uses a newer table from now on. The cost depends on the cells only while something is suspected."""
         self.cells, self._zones = cells, None
         if self.suspected or len(self.last_heard) > MAX_DOMAINS:
             known = self._zones_by_domain()
@@ -62,43 +62,43 @@
             self.suspected = {domain: at for domain, at in self.suspected.items() if domain in known}
 
     def outside(self, region: str, zone: str) -> tuple[FaultDomain, ...]:
-        """The domains outside the own zone and outside the own region that a zone belongs to."""
+        """The domains outside the own zone and the own region to which a zone belongs."""
         if self.own is None or zone == self.own.zone:
             return ()
         return self.outside_by_region(region) or ((FaultScope.OTHER_ZONES, self.own.zone),)
 
     def outside_by_region(self, region: str) -> tuple[FaultDomain, ...]:
-        """The same for all zones of a region; none for those of the own one."""
+        """The same for all zones of a region; empty for the own one."""
         if self.own is None or region == self.own.region:
             return ()
         return (FaultScope.OTHER_ZONES, self.own.zone), (FaultScope.OTHER_REGIONS, self.own.region)
 
     def domains(self, cell: Cell) -> tuple[FaultDomain, ...]:
-        """All that a cell belongs to, and the cell itself."""
+        """All domains to which a cell belongs, and the cell itself."""
         around = (FaultScope.REGION, cell.region), (FaultScope.ZONE, cell.zone), (FaultScope.CELL, cell.name)
         return *self.outside(cell.region, cell.zone), *around
 
     def record_answer(self, now: int, cell: Cell) -> None:
-        """An answer came from the cell."""
+        """Notes an answer from the cell."""
         for domain in self._wide_domains(cell):
             self.last_heard[domain] = now
             self.suspected.pop(domain, None)
 
     def record_overdue(self, now: int, cell: Cell, sent: int) -> None:
-        """A request to the cell, sent at that time, is overdue."""
+        """Notes that a request to the cell, sent at the time `sent`, is overdue."""
         for domain in self._wide_domains(cell):
             if sent > self.last_heard.get(domain, NEVER):
                 self.suspected[domain] = now
 
     def suspects(self, now: int, cell: Cell) -> bool:
-        """Whether the cell's zone or what lies around it is suspected."""
+        """Whether the cell's zone, or a domain around it, is suspected."""
         if not self.suspected:
             return False
         found = [self.suspected[domain] for domain in self._wide_domains(cell) if domain in self.suspected]
         return any(now - at < MAX_SUSPICION for at in found)
 
     def silent_around(self, cell: Cell, records: Mapping[str, CellRecord]) -> Iterator[FaultDomain]:
-        """The domains around a cell with an overdue request that are shown to be silent."""
+        """The domains around a cell with an overdue request that are silent."""
         for domain in self.outside(cell.region, cell.zone):
             if self._is_cut_off_from(domain, records):
                 yield domain
@@ -128,7 +128,7 @@
         return len(silent_zones) >= max(MIN_SILENT_PARTS, min(MIN_SILENT_ZONES, zones))
 
     def _wide_domains(self, cell: Cell) -> tuple[FaultDomain, ...]:
-        """The cell's zone, and the domains outside the own zone and region that it belongs to."""
+        """The cell's zone, and the domains outside the own zone and region to which it belongs."""
         return *self.outside(cell.region, cell.zone), (FaultScope.ZONE, cell.zone)
 
     def _zones_by_domain(self) -> dict[FaultDomain, set[str]]:
--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -1,6 +1,6 @@
-"""The cell table: which cells the fleet has, where they lie and which gateways take requests for them.
+"""The cell table: which cells the fleet has, where they lie, and which gateways take requests for them.
 
-A table is immutable and has a version, so that gateways can say which one they decided by. `validate` is the
+A table is immutable and has a version, so that gateways can say by which one they decided. `validate` is the
 only way to make one from rows that came from outside.
 """
 
@@ -17,10 +17,10 @@
 
 
 class PointRange(NamedTuple):
-    """`size` ring points from `first` on, of those that the name `origin` gives.
+    """`size` ring points from number `first` on, of the sequence that the name `origin` defines.
 
-    A cell begins with points of its own name; the origin stays when a split hands points to a new cell, so
-    that no point moves on the ring.
+    A new cell has points of its own name. The origin stays when a split gives points to a new cell, so that
+    no point moves on the ring.
     """
 
     origin: str
@@ -29,7 +29,7 @@
 
 
 class EntryGateway(NamedTuple):
-    """A gateway that knows the hosts of a cell and takes requests for it from others."""
+    """A gateway that knows the hosts of a cell and takes requests for it from other gateways."""
 
     name: str
     address: str
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """One cell. `capacity` is in a unit of the fleet's choice, the same for all cells."""
+    """One cell. `capacity` is in any unit that is the same for all cells."""
 
     name: str
     region: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CellTable:
-    """A whole valid table: `cells` in the order of their names, by name in `by_name`."""
+    """A complete valid table: `cells` in the order of their names; `by_name`."""
 
     fleet: str
     version: Version
@@ -59,15 +59,15 @@
 
 
 def initial_points(name: str, capacity: float, mean_capacity: float) -> tuple[PointRange, ...]:
-    """Ring points of a new cell, in proportion to its capacity."""
+    """The ring points of a new cell, in proportion to its capacity."""
     count = round(bounds.POINTS_PER_MEAN_CELL * capacity / mean_capacity)
     return (PointRange(name, 0, min(max(1, count), bounds.MAX_CELL_POINTS)),)
 
 
 def split_cell(cell: Cell, name: str, entries: tuple[EntryGateway, ...] = ()) -> tuple[Cell, Cell]:
-    """The cell and a new one that takes half of its ring points, hosts and capacity.
+    """The cell, and a new one that takes half of its ring points, hosts and capacity.
 
-    Functions move from the old cell to the new one only, and about half of them do.
+    Functions move only from the old cell to the new one, and about half of them do.
     """
     total = sum(points.size for points in cell.points)
     if total < 2 or cell.hosts < 2:
@@ -98,7 +98,7 @@
 
 
 def validate(fleet: str, version: Version, rows: Iterable[Cell]) -> CellTable:
-    """The table of these rows. Raises `TableError`; a `RowError` names the row by its number, from 1 on."""
+    """The table of these rows. Errors: `TableError`; a `RowError` names the row by its number, from 1 on."""
     _check_head(fleet, version)
     cells: dict[str, Cell] = {}
     row_numbers: dict[str, int] = {}
@@ -117,7 +117,7 @@
 
 
 def make_table(fleet: str, version: Version, cells: dict[str, Cell]) -> CellTable:
-    """A table of cells that have been checked."""
+    """Makes a table of cells that have been checked."""
     ordered = dict(sorted(cells.items()))
     return CellTable(fleet, version, tuple(ordered.values()), MappingProxyType(ordered))
 
@@ -130,7 +130,7 @@
 
 
 def check_cell(row: int, cell: Cell) -> None:
-    """Raises `RowError` where a cell taken alone is wrong; `row` counts from 1."""
+    """Checks one cell by itself; `row` counts from 1. Errors: `RowError`."""
     reason = _wrong_names(cell) or _wrong_sizes(cell) or _wrong_points(cell) or _wrong_entries(cell)
     if reason is not None:
         raise RowError(row, str(cell.name)[: bounds.MAX_NAME], reason)
@@ -190,9 +190,9 @@
 def check_zones(
     rows: Mapping[str, int], cells: Iterable[Cell], regions: Mapping[str, str] | None = None
 ) -> None:
-    """Raises `RowError` where a zone lies in two regions.
+    """Checks that no zone lies in two regions. Errors: `RowError`.
 
-    `rows`: {cell: its row}; `regions`: those of zones known before.
+    `rows`: by cell, its row; `regions`: of the zones that are known already.
     """
     region_of = dict(regions or {})
     for cell in cells:
@@ -203,7 +203,7 @@
 
 
 class _TakenRange(NamedTuple):
-    """Ring points of one origin that a cell has."""
+    """The ring points of one origin that a cell has."""
 
     first: int
     size: int
@@ -213,9 +213,10 @@
 def check_points(
     rows: Mapping[str, int], cells: Iterable[Cell], origins: Collection[str] | None = None
 ) -> None:
-    """Raises `TableError` where two cells have the same ring point, or all have too many.
+    """Checks that no two cells have the same ring point and that there are not too many. Errors:
+    `TableError`.
 
-    `rows`: {cell: its row}; `origins`: only points of these are looked at.
+    `rows`: by cell, its row; `origins`: only points of these are checked.
     """
     ranges: dict[str, list[_TakenRange]] = {}
     total = 0
@@ -232,7 +233,9 @@
 
 
 def _check_overlaps(rows: Mapping[str, int], origin: str, ranges: list[_TakenRange]) -> None:
-    """Raises `RowError` for the later row of two that have the same point; `ranges` are sorted."""
+    """Checks that no two ranges overlap; `ranges` are sorted. Errors: `RowError` for the later row of the
+    two.
+    """
     for taken, following in pairwise(ranges):
         if following.first < taken.first + taken.size:
             owner, blamed = sorted((taken.cell, following.cell), key=lambda name: rows.get(name, 0))
--- a/gaproute/decisions/cells/version.py
+++ b/gaproute/decisions/cells/version.py
@@ -4,7 +4,7 @@
 
 
 class Version(NamedTuple):
-    """Versions are ordered: whoever begins a new term outranks all writers of earlier ones."""
+    """Versions are ordered; a new term is above all versions of earlier terms."""
 
     term: int
     number: int
--- a/gaproute/decisions/cells/views.py
+++ b/gaproute/decisions/cells/views.py
@@ -1,11 +1,11 @@
-"""Which cells a gateway knows by their hosts; all others it reaches through their entry gateways.
+"""Which cells a gateway knows by their hosts; it reaches all others through their entry gateways.
 
 It is assigned a few cells of its own zone, by rendezvous hashing of its name, and those that name it as an
-entry: so each cell has some tens of gateways that know its hosts well. It adds further cells that it sends
-much to, and removes them when they are no longer used.
+entry: so each cell has some tens of gateways that know its hosts well. It adds further cells to which it
+sends many requests, and removes them when it sends few.
 
-Invariants: the hosts of all cells in the view stay within `MAX_HOSTS_IN_VIEW`, but for one assigned cell,
-which always stays; a cell is added and removed by rates that lie apart, so that the view is steady.
+Invariants: the hosts of all cells in the view number at most `MAX_HOSTS_IN_VIEW`, except that one assigned
+cell always stays; the rates for adding and for removing a cell differ, so that the view is steady.
 """
 
 from collections.abc import Iterable, Mapping
@@ -18,33 +18,34 @@
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import Cell, CellTable
 
-ASSIGNED_CELLS = 2  # of the own zone: with a thousand gateways and 38 cells in a zone, 50 to a cell
+# of the own zone; with a thousand gateways and 38 cells in a zone, 50 gateways know a cell
+ASSIGNED_CELLS = 2
 MAX_HOSTS_IN_VIEW = 512  # whatever the fleet's size
-ADD_RATE = 10.0  # requests a second to a cell for which its host list is worth following
-REMOVE_FACTOR = 4  # times fewer, at which it is not
-REVIEW_INTERVAL = 10 * SECOND  # between two looks at what is used
+ADD_RATE = 10.0  # requests per second to a cell above which its host list is worth following
+REMOVE_FACTOR = 4  # a cell is removed at that many times fewer requests
+REVIEW_INTERVAL = 10 * SECOND  # between two reviews of the view
 
 
 class RequestRates(NamedTuple):
-    """Own requests a second to a cell."""
+    """Own requests per second to a cell."""
 
     recent: float
     long_term: float
 
 
 class CellView:
-    """The cells that this gateway should know: `assigned` and `extra`, names in a stable order."""
+    """The cells that this gateway should know: names `assigned` and `extra`, in a stable order."""
 
     def __init__(self, now: int, location: GatewayLocation, max_hosts: int = MAX_HOSTS_IN_VIEW) -> None:
         self.started_at, self.location, self.max_hosts = now, location, max_hosts
         self.cells: Mapping[str, Cell] = {}  # of the table
         self.assigned: tuple[str, ...] = ()
         self.extra: tuple[str, ...] = ()
-        self.used: dict[str, DecayingCount] = {}  # cell: own requests
+        self.used: dict[str, DecayingCount] = {}  # by cell: own requests
         self.reviewed_at = now
 
     def adopt(self, table: CellTable) -> None:
-        """Goes by a newer table."""
+        """Uses a newer table from now on."""
         self.cells = table.by_name
         self.used = {name: count for name, count in self.used.items() if name in self.cells}
         self.assigned = self._assigned(table)
@@ -56,18 +57,18 @@
         return self.assigned + self.extra
 
     def hosts(self) -> int:
-        """Hosts of all cells in the view, by the table."""
+        """The number of hosts of all cells in the view, by the table."""
         return sum(self.cells[name].hosts for name in self.names())
 
     def record_use(self, now: int, name: str) -> None:
-        """An own request goes to the cell."""
+        """Counts an own request to the cell."""
         count = self.used.get(name)
         if count is None:
             count = self.used[name] = DecayingCount(now)
         count.add(now, 1.0)
 
     def review(self, now: int) -> bool:
-        """Adds and removes cells; whether the view changed. Cheap unless a review is due."""
+        """Adds and removes cells; returns whether the view changed. Cheap unless a review is due."""
         if not self.cells or now - self.reviewed_at < REVIEW_INTERVAL:
             return False
         self.reviewed_at, before = now, self.extra
@@ -76,7 +77,7 @@
         return self.extra != before
 
     def _worth_adding(self, now: int, known: set[str]) -> list[str]:
-        """Further cells in steady use, those with the most requests for each host first."""
+        """Further cells in steady use, those with the most requests per host first."""
         ranked = [
             (-min(self._rates(now, name)) / self.cells[name].hosts, name)
             for name in self.used
@@ -94,7 +95,7 @@
         )
 
     def _rate(self, now: int, updated_at: int, count: float, memory: int) -> float:
-        """Requests a second of a count that decays with that memory."""
+        """Requests per second, from a count that decays over the time `memory` (ns)."""
         age, passed = max(now - self.started_at, SECOND), now - updated_at
         return count * exp(-passed / memory) / (memory * (1 - exp(-age / memory))) * SECOND
 
@@ -113,7 +114,7 @@
         return tuple(chosen)
 
     def _within_bound(self, names: Iterable[str]) -> tuple[str, ...]:
-        """The first of the names that fit beside the assigned cells."""
+        """The first of the names that fit in the view beside the assigned cells."""
         left = self.max_hosts - sum(self.cells[name].hosts for name in self.assigned)
         fitting = []
         for name in names:
