--- a/gaproute/decisions/cells/loads.py
+++ b/gaproute/decisions/cells/loads.py
@@ -69,7 +69,7 @@
     def draw(
         self, now: int, names: Sequence[str], capacities: Mapping[str, float], chance: RandomSource
     ) -> str:
-        """One of the cells named. `capacities`: {name: capacity}."""
+        """Draws one of the named cells. `capacities`: by name."""
         if len(names) == 1:
             return names[0]
         largest = max(capacities[name] for name in names[:MAX_DRAWS])
--- a/gaproute/decisions/reports/__init__.py
+++ b/gaproute/decisions/reports/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other of what they observed, and how far it is believed; no I/O."""
+"""What gateways report to each other about hosts and functions, and how far they rely on it; no I/O."""
--- a/gaproute/decisions/reports/cpu_budget.py
+++ b/gaproute/decisions/reports/cpu_budget.py
@@ -1,23 +1,26 @@
-"""How much CPU the exchange and the storage of observations may take; the clock is handed in."""
+"""Limits the CPU time that exchanging and storing observations may take; times are handed in."""
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 CPU_SHARE = 0.01  # of a core
-CPU_BURST = 10 * MILLI  # at once: a dozen chunks, less than one slow turn
-SLICE = MILLI  # of CPU that one answer may take: a request in the same turn waits no longer for it
+# CPU time that may be spent at a time: a dozen chunks, less than one slow turn of the loop
+CPU_BURST = 10 * MILLI
+SLICE = MILLI  # CPU time that one answer may take: a request in the same turn waits no longer for it
 REST = 5 * MILLI  # between two slices: several turns of a busy loop
 MIN_WAIT = MILLI
 
 
 class CpuBudget:
-    """A share of the time that passes, a small burst at most, and never two slices on end, so that a request
-    waits for one of them at most. Times are in ns."""
+    """A share of the elapsed time, with a small burst at most and a rest after each slice.
+
+    So a request waits for one slice at most. Times are ns.
+    """
 
     def __init__(self, now: int) -> None:
-        self.available: float = CPU_BURST  # below 0 where more was spent than there was
+        self.available: float = CPU_BURST  # below 0 if more was spent than was available
         self._filled_at = now
         self._next_slice_at = now
-        self._last_turn = now  # when the last of those that were put off comes again
+        self._last_turn = now  # when the latest of the requests that were put off may come again
 
     def may_spend(self, now: int) -> bool:
         """Whether a slice may be spent now."""
@@ -26,15 +29,15 @@
         return self.available > 0 and now >= self._next_slice_at
 
     def spend(self, now: int, duration: int) -> None:
-        """Takes the CPU time that a slice took."""
+        """Deducts the CPU time that a slice took."""
         self.available -= duration
         self._next_slice_at = now + REST
 
     def wait(self, now: int) -> int:
-        """How long one that is put off should wait.
+        """How long a request that is put off should wait before it comes again.
 
-        Each comes after the one before, so that many that wait do not all come at once and cost more by
-        asking than by being answered.
+        Each one comes after the one before. If all came together, turning them away would cost more than
+        answering.
         """
         refill = round(max(0, -self.available) / CPU_SHARE)
         ready = max(self._next_slice_at, now + refill)
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -1,7 +1,7 @@
-"""Which shared observations are followed, and how they reach the decisions.
+"""Decides which shared observations are used as hints, and hands them to the decisions.
 
-The host list of this gateway beats all of it, and whatever it observed itself beats every hint. Nothing here
-orders a load, marks a host as active or lifts a limit of the rules. Times are in ns.
+The host list of this gateway, and whatever it observed itself, takes precedence over every hint. No hint
+orders a load, makes a host active or lifts a limit. Times are ns.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -17,17 +17,19 @@
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.shared.randomness import RandomSource
 
-# Ages that a hint has, as shares of the keep-alive. At least, however fresh it is: what another gateway
-# observed counts for less than an observation of one's own; the decay leaves it 0.985 of its weight.
+# The ages that are given to hints, as shares of the keep-alive. The minimum: another gateway's observation
+# counts for less than one of this gateway, however fresh; the decay leaves it 0.985 of its weight.
 MIN_AGE_SHARE = 0.35
-# Further, by chance: gateways that learn the same at one moment rank the warm hosts differently, and do not
-# all send to one.
+# A random addition, so that gateways which learn the same at one moment rank the warm hosts differently and
+# do not all send to one.
 RANDOM_AGE_SHARE = 0.35
 RANDOM_STEPS = 1000
-MIN_INSTANCES = 4  # of a function that are hinted at least, the freshest: the stable hash picks among them,
-#                    and origins that err mostly err differently
-INSTANCE_SPREAD = 2.5  # instances believed for each host that a function could fill, as the decisions spread
-MAX_SLOWDOWN = 8.0  # times slower than usual that a host is believed to be
+# of a function that are hinted at least, the freshest ones: the stable hash picks among them, and wrong
+# observations of several origins mostly differ
+MIN_INSTANCES = 4
+# instances hinted for each host that a function could fill: about as many as the decisions use
+INSTANCE_SPREAD = 2.5
+MAX_SLOWDOWN = 8.0  # largest slowdown of a host that is believed
 
 NOT_FOLLOWED_SINGLY = (
     ObservationKind.WARM_INSTANCE,
@@ -35,16 +37,16 @@
     ObservationKind.REQUEST_SHARE,
 )
 
-Starts = Mapping[str, int]  # active hosts by this gateway's list, with their starts since 1970; 0: none known
+Starts = Mapping[str, int]  # by active host of this gateway's list: its start, ns since 1970; 0: unknown
 
 
 class WarmHint(NamedTuple):
-    """A warm instance that may be believed."""
+    """A warm instance that the decisions may be given as a hint."""
 
     host: str
     function: str
     lanes: int
-    seen: int  # taken for the time of its last use
+    seen: int  # ns; used as the time of the last use of the instance
 
 
 class _Candidate(NamedTuple):
@@ -53,10 +55,10 @@
 
 
 class ObservationFollower:
-    """Draws hints from shared observations.
+    """Makes hints of shared observations.
 
-    `request_classes`: by name the number that the decisions know it by; `keep_alive`: how long an instance
-    stays warm unused.
+    `request_classes`: by name, the number of the class in the decisions; `keep_alive`: how long an idle
+    instance stays loaded, ns.
     """
 
     def __init__(
@@ -70,7 +72,7 @@
         self._keep_alive, self._request_classes, self._random = keep_alive, request_classes, random
 
     def follow(self, gateway: Any, now: int, starts: Starts, subjects: Collection[Subject]) -> int:
-        """Tells the decisions what may be believed of the subjects that came; how many hints they took."""
+        """Hands the decisions hints on the subjects that came; returns how many hints were taken."""
         functions = [subject[2] for subject in subjects if subject[0] == ObservationKind.WARM_INSTANCE]
         taken = sum([int(gateway.hint_instance(*hint)) for hint in self.warm_hints(now, starts, functions)])
         for subject in subjects:
@@ -80,9 +82,9 @@
         return taken
 
     def warm_hints(self, now: int, starts: Starts, functions: Iterable[str] | None = None) -> list[WarmHint]:
-        """Instances that may be believed, of all functions where none are named.
+        """Instances that may be hinted, of all functions if none are named.
 
-        Of each function only the freshest, as many as its share of the requests could fill and
+        Of each function these are the freshest ones: as many as its share of the requests could fill, and
         `MIN_INSTANCES` at least.
         """
         warm_hosts = self.observations.warm_hosts
@@ -117,9 +119,9 @@
     def _void_reason(
         self, host: str, observation: SharedObservation, started: int | None, starts: Starts
     ) -> ObservationRejection | None:
-        """Why an observation of a host is not to be followed, or None.
+        """Why an observation of a host is not to be used, or None.
 
-        `started`: the host's start by the origin's list, None where the kind has none.
+        `started`: the host's start by the list of the observing gateway, None if the kind has none.
         """
         if host not in starts:
             return ObservationRejection.NOT_LISTED
@@ -137,7 +139,7 @@
     def _follow_one(
         self, gateway: Any, starts: Starts, subject: Subject, observation: SharedObservation
     ) -> int:
-        """Follows one observation that is not of an instance; how many hints were taken."""
+        """Uses one observation that is not of an instance; returns how many hints were taken."""
         kind, *names = subject
         value = observation.value[0]
         if kind == ObservationKind.USUAL_TIME:
--- a/gaproute/decisions/reports/host_history.py
+++ b/gaproute/decisions/reports/host_history.py
@@ -1,24 +1,24 @@
-"""What a gateway tells of its own: its host list over time, and what it observed itself. Times are in ns."""
+"""What a gateway reports of its own: its host list over time, and its observations. Times are ns."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from typing import Any, NamedTuple
 
 from gaproute.decisions.reports.observation_kinds import ListedState, ObservationKind, Subject, Value
 
-MAX_GONE = 1024  # hosts remembered as gone: more than a fleet replaces in a rolling restart
-EVERYTHING = -1  # as the time since when observations are asked for
+MAX_GONE = 1024  # stored hosts that are gone: more than a fleet replaces in a rolling restart
+EVERYTHING = -1  # the value of `since` that asks for all observations
 
 
 class HostEntry(NamedTuple):
-    """What the list says of a host."""
+    """What the host list says of a host."""
 
     state: str  # a `ListedState`
-    started: int  # start of the host, ns since 1970; 0 where the list has none
-    listed_at: int  # when that was listed first
+    started: int  # start of the host, ns since 1970; 0: unknown
+    listed_at: int  # when the list first had this state and start
 
 
 class OwnObservation(NamedTuple):
-    """What this gateway observed itself of one subject."""
+    """One observation of this gateway itself."""
 
     subject: Subject
     value: Value
@@ -26,13 +26,15 @@
 
 
 class HostHistory:
-    """What a gateway's own host list said of each host, and when; hosts that left it are gone."""
+    """What the gateway's host list said of each host, and when; hosts that left the list are marked as
+    gone.
+    """
 
     def __init__(self) -> None:
-        self.entries: dict[str, HostEntry] = {}  # by host, those that changed last at the end
+        self.entries: dict[str, HostEntry] = {}  # by host; those that changed last are at the end
 
     def update(self, now: int, hosts: Mapping[str, tuple[str, int]]) -> None:
-        """Takes the whole list: by host its state and start."""
+        """Takes over the complete list: by host its state and start."""
         for name, (state, started) in hosts.items():
             entry = self.entries.get(name)
             if entry is None or (entry.state, entry.started) != (state, started):
@@ -43,7 +45,7 @@
         self._drop_oldest_gone(hosts)
 
     def active_starts(self) -> dict[str, int]:
-        """The active hosts and their starts."""
+        """The active hosts and their starts, ns since 1970."""
         return {
             name: entry.started for name, entry in self.entries.items() if entry.state == ListedState.ACTIVE
         }
@@ -65,9 +67,9 @@
 def own_observations(
     gateway: Any, history: HostHistory, request_classes: Sequence[str], now: int, since: int = EVERYTHING
 ) -> Iterator[OwnObservation]:
-    """What a gateway observed itself since then, one by one; it may be read over many turns.
+    """The observations of a gateway itself since that time; the iterator may be read in parts.
 
-    `request_classes`: their names, by the numbers that the decisions know them by.
+    `request_classes`: their names, by their number in the decisions.
     """
     for name, entry in list(history.entries.items()):
         if entry.listed_at > since:
--- a/gaproute/decisions/reports/observation_kinds.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -1,7 +1,7 @@
-"""What gateways tell each other they observed: the kinds of observations, and which are rejected.
+"""The kinds of observations that gateways exchange, and which observations are rejected.
 
-A subject is a tuple of the kind and the names that it is about; subjects and values are stored on disk and
-sent as they are here. Times are in ns.
+A subject is a tuple of the kind and the names that the observation is about; subjects and values have the
+same form on disk and on the wire. Times are ns.
 """
 
 from collections.abc import Callable, Mapping
@@ -10,8 +10,9 @@
 
 SECOND = 1_000_000_000
 
-MAX_AGE = 300 * SECOND  # older observations are rejected: no instance is kept so long, no clock is so right
-MAX_LANES = 1024  # requests that one instance serves at once
+# older observations are rejected: no instance stays loaded so long, and clocks are not accurate enough
+MAX_AGE = 300 * SECOND
+MAX_LANES = 1024  # requests that one instance runs at a time
 
 Subject = tuple[str, ...]  # (kind, name, ...)
 Value = tuple[Any, ...]
@@ -30,7 +31,7 @@
 
 
 class ListedState(StrEnum):
-    """The state of a host by the list of who observed it."""
+    """The state of a host by the list of the gateway that observed it."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -38,7 +39,7 @@
 
 
 class ObservationRejection(StrEnum):
-    """Why an observation was not taken, or not followed; the texts are shown to operators."""
+    """Why an observation was not taken, or not used; the texts are shown to operators."""
 
     AGE = "age"
     KIND = "kind"
@@ -58,16 +59,16 @@
 
 
 class SharedObservation(NamedTuple):
-    """An observation of one subject; the newer is the greater."""
+    """An observation of one subject; the newer one is the greater."""
 
-    observed_at: int  # by this gateway's clock
-    origin: str  # who observed it
+    observed_at: int  # by this gateway's clock, ns
+    origin: str  # the gateway that observed it
     hops: int  # 0: this gateway in its last run, 1: a peer itself
     value: Value
 
 
 class KindRule(NamedTuple):
-    """How many names a subject of the kind has, and why a value cannot be; None where it can."""
+    """How many names a subject of the kind has, and a check of its value: why it is invalid, or None."""
 
     names: int
     invalid: Callable[..., ObservationRejection | None]
--- a/gaproute/decisions/reports/shared_observations.py
+++ b/gaproute/decisions/reports/shared_observations.py
@@ -1,10 +1,11 @@
-"""What other gateways and this gateway's last run observed of the fleet, merged.
-
-An observation has a subject, a value, the time by this gateway's clock, who observed it, and over how many
-hops it came: 0 for this gateway's own last run, 1 for a peer. Only what a gateway observed itself is sent, so
-nothing travels further, and nothing that a host's end has made void comes back by a third gateway. Merging
-takes the greater of two by one total order, so it is commutative, associative and idempotent. A host that is
-gone is remembered as such (a tombstone), never as an absence. Times are in ns.
+"""The merged observations of other gateways and of this gateway's last run.
+
+An observation has a subject, a value, the time by this gateway's clock, the gateway that observed it, and the
+number of hops over which it came: 0 from this gateway's last run, 1 from a peer. Gateways send only what they
+observed themselves, so observations travel no further, and an observation that a host's end has made invalid
+cannot return by way of a third gateway. Merging takes the greater of two observations in one total order, so
+it is commutative, associative and idempotent. A host that is gone is stored as such (a tombstone). Times are
+ns.
 """
 
 from collections import Counter
@@ -19,25 +20,25 @@
     Subject,
 )
 
-MAX_OBSERVATIONS = 50_000  # 300 hosts with 160 functions each; beyond it new subjects are rejected
-MAX_NAME = 256  # characters: what is longer was never a host or a model
-MIX_SIZE = 128  # names that stand for the mix of requests: half of what the decisions keep of their own
-MIX_STRIDE = 37  # shares no factor with a power of two: no function's requests stand together
+MAX_OBSERVATIONS = 50_000  # 300 hosts with 160 functions each; above it new subjects are rejected
+MAX_NAME = 256  # characters; no host or model has a longer name
+MIX_SIZE = 128  # names that represent the mix of functions: half of what the decisions store of their own
+MIX_STRIDE = 37  # has no factor in common with a power of two, so that the names of a function are spread
 
 
 class SharedObservations:
-    """Observations of many origins, one of each subject. What cannot be is rejected and counted."""
+    """Observations of many origins, one for each subject. Invalid ones are rejected and counted."""
 
     def __init__(self) -> None:
         self.by_subject: dict[Subject, SharedObservation] = {}
-        self.warm_hosts: dict[str, list[str]] = {}  # by function: hosts where an instance was seen
+        self.warm_hosts: dict[str, list[str]] = {}  # by function: hosts at which an instance was seen
         self.rejections: Counter[ObservationRejection] = Counter()
 
     def observed_at(self, asked: int, age: int) -> int | None:
-        """The earliest time that an observation of that age can be of; None where the age is rejected.
+        """The earliest time that an observation of that age can have; None if the age is rejected.
 
-        `asked`: when it was asked for. The answer was written after that, so a long round trip makes an
-        observation older, never younger.
+        `asked`: when the observation was requested. The answer was written later, so a long round trip makes
+        an observation seem older, never younger.
         """
         if not 0 <= age <= MAX_AGE:
             self.rejections[ObservationRejection.AGE] += 1
@@ -45,7 +46,7 @@
         return asked - age
 
     def add(self, subject: Subject, observation: SharedObservation) -> None:
-        """Takes an observation where it is newer than what is known."""
+        """Stores an observation if it is newer than that of its subject."""
         known = self.by_subject.get(subject)
         reason = _rejection_reason(subject, observation)
         if reason is None and known is None and len(self.by_subject) >= MAX_OBSERVATIONS:
@@ -62,13 +63,13 @@
             self.warm_hosts.setdefault(function, []).append(host)
 
     def merge(self, other: "SharedObservations") -> None:
-        """Takes all that another one holds, and its counts."""
+        """Takes over the observations and counts of another object."""
         self.rejections.update(other.rejections)
         for subject, observation in other.by_subject.items():
             self.add(subject, observation)
 
     def rejected(self) -> dict[str, int]:
-        """How many were rejected or not followed, by the reason's text."""
+        """By reason: how many observations were rejected or not used."""
         return {reason.value: count for reason, count in self.rejections.items()}
 
     def share(self, function: str) -> float:
@@ -77,7 +78,9 @@
         return observation.value[0] if observation else 0.0
 
     def request_mix(self, size: int = MIX_SIZE) -> list[str]:
-        """`size` names that stand for the mix of functions, "" for those not known, evenly mixed."""
+        """`size` names that represent the mix of functions, evenly mixed; "" for functions that are not
+        known.
+        """
         shares = sorted(self._shares())
         total = max(1.0, sum(share for _, share in shares))
         names: list[str] = []
--- a/gaproute/peers/__init__.py
+++ b/gaproute/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Other gateways: the address at which they ask, what is asked of them, and datagrams between all."""
+"""Communication with other gateways: the server for their requests, and datagrams between all gateways."""
 
 from gaproute.peers.membership import MembershipTransport
 from gaproute.peers.observation_client import ObservationClient
--- a/gaproute/peers/gossip/__init__.py
+++ b/gaproute/peers/gossip/__init__.py
@@ -1,4 +1,4 @@
-"""Gossip on datagrams: `GossipTransport` sends and receives by the membership's socket; `wire`: its bytes."""
+"""Gossip by datagrams: `GossipTransport` sends and receives on the membership's socket; `wire` encodes."""
 
 from gaproute.peers.gossip.transport import GossipTransport
 from gaproute.peers.gossip.wire import decode, encode
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -1,7 +1,7 @@
-"""Gossip carried by the membership's datagrams.
+"""Sends and receives gossip by the membership's datagrams.
 
-Who is up is taken from the membership, once a second at most; what this gateway observes is looked up from
-its decisions at a pace, so that no request's path grows longer.
+The members that are up are read from the membership once a second at most. What this gateway observes is read
+from its decisions at intervals, outside the path of requests.
 """
 
 from collections.abc import Mapping
@@ -15,16 +15,18 @@
 from gaproute.shared.gossip.scheduler import RATE
 from gaproute.shared.randomness import RandomSource
 
-OBSERVATION_INTERVAL = SECOND // 2  # between two looks at the decisions: as often as one peer is sent to
+# between two reads of the decisions: as often as a message is sent to one peer
+OBSERVATION_INTERVAL = SECOND // 2
 MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
-PEERS_INTERVAL = SECOND  # between two takes of the members: a storm of updates must not be one of lists
+# between two reads of the members, so that many updates of members do not cause as many reads
+PEERS_INTERVAL = SECOND
 
 
 class GossipTransport:
-    """Feeds a `GossipNode` and carries its messages.
+    """Feeds a `GossipNode` with observations and carries its messages.
 
-    `gateway`: the decisions' state, whose `hosts_by_id` hold the attempts in flight and whose `known`
-    tells warm instances. `rate`: bytes a second that may be sent.
+    `gateway`: the decisions, whose `hosts_by_id` have the attempts in flight and whose observations include
+    warm instances. `rate`: bytes per second that may be sent.
     """
 
     def __init__(
@@ -39,29 +41,29 @@
         now: int = loop.now()
         self.loop, self.transport, self.gateway = loop, transport, gateway
         self.node = GossipNode(name, transport.membership.incarnation, random, now, rate)
-        self._in_flight: dict[str, int] = {}  # by host: requests as recorded last
+        self._in_flight: dict[str, int] = {}  # by host: the number of requests that was recorded last
         self._observe_at = self._peers_at = now
-        self._observed_until = now  # warm instances seen until then are recorded
+        self._observed_until = now  # the time until which warm instances are recorded
         transport.register(PayloadKind.GOSSIP, self._received)
         self._timer = loop.at(now, self._tick)
 
     def arrived(self, now: int, function: str, request_class: int) -> None:
-        """A request came."""
+        """Records a request that arrived."""
         self.node.record_arrival(now, function, request_class)
 
     def listed(self, hosts: Mapping[str, object]) -> None:
-        """Takes the hosts that are listed now, by name their start."""
+        """Takes over the listed hosts: by name, their start."""
         self.node.set_hosts(self.loop.now(), hosts)
 
     def close(self) -> None:
-        """Sends no more."""
+        """Ends sending and receiving."""
         self._timer.cancel()
 
     def _tick(self) -> None:
         now = self.loop.now()
         try:
             self._turn(now)
-        finally:  # a fault in one turn is logged by the loop, and must not end all later ones
+        finally:  # an error in one turn is logged by the loop and must not end the later turns
             self._timer = self.loop.at(max(self.node.due, now + MIN_TURN_INTERVAL), self._tick)
 
     def _turn(self, now: int) -> None:
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -1,5 +1,7 @@
-"""Membership on datagrams, beside the address at which a gateway serves its peers: for UDP by the same
-address, for Unix sockets by the path with `.words` added."""
+"""Membership by datagrams, at an address that follows from the address for peers.
+
+For UDP it is the same address; for Unix sockets `.words` is appended to the path.
+"""
 
 import time
 from collections.abc import Callable, Iterable
@@ -13,34 +15,35 @@
 from gaproute.shared.randomness import RandomSource
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-MAX_DATAGRAMS = 2000  # read in a second: 20 times what comes at 1,000 gateways. In a flood it harms, as
-#                             other members' messages are dropped with it
-UNIX_SUFFIX = ".words"  # of the socket's path
+# read in a second: 20 times the usual number at 1,000 gateways. In a flood, messages of other members are
+# dropped as well
+MAX_DATAGRAMS = 2000
+UNIX_SUFFIX = ".words"  # appended to the path of the Unix socket
 
 PayloadHandler = Callable[[str, bytes], None]  # takes the sender's name and the data
 
 
 class Peer(Protocol):
-    """A configured gateway."""
+    """A configured gateway: its name and address."""
 
     name: str
     where: str
 
 
 class EventLog(Protocol):
-    """Where changes of members are logged."""
+    """The log of changes of members."""
 
     def event(self, level: str, name: str, /, **fields: object) -> None:
         """Logs one event."""
 
 
 def datagram_address(address: str) -> str:
-    """Where the datagrams of the gateway with this peer address go."""
+    """The address for datagrams of the gateway that has this address for peers."""
     return address + UNIX_SUFFIX if address.startswith("unix:") else address
 
 
 class MembershipTransport:
-    """Sends and receives what `Membership` decides, and carries the payloads of other parts.
+    """Sends and receives the messages of `Membership`, and the payloads of other parts.
 
     `datagrams(loop, address, received)` opens the socket, `wall` returns ns since 1970: a simulation hands in
     its own. Errors: OSError where the address cannot be bound.
@@ -61,26 +64,26 @@
         self.datagrams = datagrams(loop, datagram_address(address), self._received)
         self.sent = self.bytes = 0
         self.undecodable = self.rate_limited = 0
-        self.read, self.second = 0, 0  # datagrams read in the second that began then, ns
-        self.handlers: dict[PayloadKind, PayloadHandler] = {}  # by the kind of payload
+        self.read, self.second = 0, 0  # datagrams read in the present second, and when that second began (ns)
+        self.handlers: dict[PayloadKind, PayloadHandler] = {}  # by kind of payload
         self._timer: Any = None
         self._schedule()
 
     def configure(self, peers: Iterable[Peer]) -> None:
-        """Takes the configured gateways; they are never forgotten."""
+        """Takes over the configured gateways, which are never forgotten."""
         self.membership.configure(self.loop.now(), {peer.name: peer.where for peer in peers})
         self._log_changes()
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
-        """The handler gets each payload of that kind."""
+        """Has the handler called with each payload of that kind."""
         self.handlers[kind] = handler
 
     def unregister(self, kind: PayloadKind) -> None:
-        """Payloads of that kind count as undecodable again."""
+        """From now on payloads of that kind count as undecodable."""
         self.handlers.pop(kind, None)
 
     def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> None:
-        """Sends another part's payload to the gateway with that address."""
+        """Sends a payload of another part to the gateway at that address."""
         self._send_datagram(address, encode_payload(kind, self.membership.name, data))
 
     def table(self) -> list[dict[str, object]]:
@@ -88,7 +91,7 @@
         return [self._row(member) for _, member in sorted(self.membership.members.items())]
 
     def stop(self) -> None:
-        """Tells a few members that this gateway shuts down."""
+        """Announces to a few members that this gateway shuts down."""
         self._send(self.membership.leave())
 
     def close(self) -> None:
--- a/gaproute/peers/membership_wire.py
+++ b/gaproute/peers/membership_wire.py
@@ -1,4 +1,4 @@
-"""The datagrams of membership as protobuf (`word.proto`), and other parts' payloads in the same envelope."""
+"""Encodes the datagrams of membership as protobuf, and payloads of other parts in the same envelope."""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -12,19 +12,19 @@
 
 
 class PayloadKind(IntEnum):
-    """Other parts whose payloads go by the same datagrams; numbered as on the wire, after `MessageKind`."""
+    """The other parts whose payloads use the same datagrams; numbered as on the wire, after `MessageKind`."""
 
     GOSSIP = 6
     CELL_TABLE = 7
 
 
-# By their numbers: a look-up costs less than the call of an Enum.
+# By number: a look-up costs less than a call of the Enum.
 MESSAGE_KINDS = {kind.value: kind for kind in MessageKind}
 PAYLOAD_KINDS = {kind.value: kind for kind in PayloadKind}
 
 
 class Payload(NamedTuple):
-    """Bytes of another part."""
+    """A payload of another part."""
 
     kind: PayloadKind
     sender: str  # the name of a gateway
@@ -50,8 +50,10 @@
 
 
 def decode_datagram(data: bytes) -> MembershipMessage | Payload | None:
-    """What the datagram holds, None where it is not understood. A version one apart is, a kind unknown to
-    this one is not."""
+    """The content of a datagram; None if it cannot be decoded.
+
+    A message of a version one above or below this one's can be decoded; one of an unknown kind cannot.
+    """
     try:
         envelope = word_pb2.Word.FromString(data)
     except DecodeError:
@@ -72,6 +74,6 @@
 
 
 def decode(data: bytes) -> MembershipMessage | None:
-    """The message of membership in the datagram, None for any other."""
+    """The message of membership in the datagram; None for any other datagram."""
     message = decode_datagram(data)
     return message if isinstance(message, MembershipMessage) else None
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -1,7 +1,7 @@
-"""Asks peers for what they observed: at the start chunk by chunk, then for what changed.
+"""Requests observations from peers: after the start all of them, chunk by chunk, then the changes.
 
-What has come from a peer that dies or stalls in the middle stays usable. Answers are followed as they come,
-so that the first chunk, which holds what was used last, helps while the rest is on its way. Times are in ns.
+What was received from a peer stays usable if that peer dies or stalls. Each answer is used as it arrives, so
+that the first chunk, which has what was used last, helps while the rest is on its way. Times are ns.
 """
 
 from collections.abc import Callable, Collection, Generator, Iterable
@@ -28,30 +28,30 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-PUT_OFF = 503  # HTTP status of a peer that has no CPU to spare
-DEFAULT_PAUSE = 100 * MILLI  # where it does not say when to ask again
+PUT_OFF = 503  # HTTP status of a peer that has no CPU time left for the answer
+DEFAULT_PAUSE = 100 * MILLI  # until the next request, if the peer does not say when
 MAX_PAUSE = SECOND
 RETRY_AFTER_HEADER = b"gaproute-retry-after-ms"
 MAX_HEAD_BYTES = 16_384  # of an answer
-ASKED = "asked"  # state of a peer that has not sent all yet, as operators see it
+ASKED = "asked"  # the state of a peer that has not sent all observations yet, as operators see it
 
 
 @dataclass
 class PeerProgress:
-    """How far one peer was asked."""
+    """How much one peer has sent so far."""
 
-    cursor: int = 0  # of the next chunk; 0 before the first and after the last
-    run_id: int = 0  # of the peer's process, by which it knows its marks
-    mark: int = 0  # after which changes are asked for; 0 before the snapshot has come whole
-    received: int = 0  # observations
+    cursor: int = 0  # of the next chunk; 0 before the first one and after the last one
+    run_id: int = 0  # of the peer's process; its marks are valid for this process only
+    mark: int = 0  # the changes after this mark are requested; 0 before the first complete snapshot
+    received: int = 0  # number of observations
     retries: int = 0
 
 
 class ObservationClient:
-    """Learns from peers.
+    """Gets observations from peers.
 
-    `follow(subjects)` notifies the decisions of what is now known of them and returns how many
-    hints were taken; `completed()` is called at the end of each snapshot.
+    `follow(subjects)` hands the decisions what is known of the subjects and returns how many hints were
+    taken; `completed()` is called at the end of each snapshot.
     """
 
     def __init__(
@@ -73,9 +73,9 @@
         self.set_peers(peers)
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
-        """Takes the peers as they are configured now.
+        """Takes over the configured peers.
 
-        Those not asked yet are asked, while there is time and there are not too many.
+        New ones are asked, as long as it is soon after the start and they are few.
         """
         for peer in peers:
             if peer.name in self.state or self._loop.now() >= self._ends_at:
@@ -86,22 +86,22 @@
             self._tasks.append(self._loop.spawn(self._learn(peer)))
 
     def close(self) -> None:
-        """Asks no more."""
+        """Ends all requests."""
         for task in self._tasks:
             task.cancel()
 
     def take(self, origin: str, asked: int, answer: observation_wire.Answer) -> int:
-        """Merges an answer and follows what it brought; how many observations it had."""
+        """Merges an answer and uses its observations; returns how many it had."""
         received = SharedObservations()
         observation_wire.read_observations(answer, asked, origin, received)
         self.observations.merge(received)
-        # Only this answer's subjects are looked at, by what all peers sent of them: that a host is gone is
-        # true whoever sent it.
+        # Only the subjects of this answer are used, but with what all peers sent of them: a host is gone
+        # whoever reports it.
         self.hints_taken += self._follow(received.by_subject)
         return len(received.by_subject)
 
     def _learn(self, peer: Peer) -> Generator[Any, Any, None]:
-        """Asks one peer until there is nothing more to learn from it."""
+        """Asks one peer until it has sent everything."""
         progress = PeerProgress()
         for _ in range(MAX_CHUNKS):
             asked = self._loop.now()
@@ -123,11 +123,11 @@
                 continue
             self._end_round(peer, progress, answer)
             if not progress.mark:
-                return  # version 1 sends no changes
+                return  # a peer of version 1 sends no changes
             yield self._loop.sleep(POLL_INTERVAL)
 
     def _end_round(self, peer: Peer, progress: PeerProgress, answer: observation_wire.Answer) -> None:
-        """The last chunk of a snapshot or of changes has come."""
+        """Handles the last chunk of a snapshot or of changes."""
         if not progress.mark:
             self._completed()
             self._record.event(
@@ -166,13 +166,13 @@
 
 
 def _pause(progress: PeerProgress, response: Any, *, timed_out: bool) -> int | None:
-    """How long to wait before the peer is asked the same again; None where it is not."""
+    """How long to wait before the same request is repeated; None if it is not."""
     if response is not None and response.status == PUT_OFF:
         wait_ms = response.headers.get(RETRY_AFTER_HEADER, b"")
         return min(MAX_PAUSE, int(wait_ms) * MILLI) if wait_ms.isdigit() else DEFAULT_PAUSE
     absent = response is None and not timed_out and not progress.received
     if absent and progress.retries < MAX_RETRIES:
-        progress.retries += 1  # it may be starting as well
+        progress.retries += 1  # the peer may be starting as well
         return RETRY_INTERVAL
     return None
 
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -1,8 +1,7 @@
-"""What this gateway observed, sent to others in chunks.
+"""Sends the observations of this gateway to others, in chunks.
 
-A snapshot is read on from where the last answer stopped, function by function, so that no answer takes longer
-than its slice however much is known. What changed since is asked for by the mark of the snapshot's answer.
-Times are in ns.
+A snapshot is read in parts, each from where the last answer stopped, so that no answer takes longer than its
+slice of CPU time. Later changes are requested by the mark in the snapshot's last answer. Times are ns.
 """
 
 import secrets
@@ -21,40 +20,41 @@
 
 MILLI = 1_000_000
 
-MAX_TRANSFERS = 16  # kept for peers; one that comes back for an older one begins anew
-MAX_CHUNK_BYTES = 4 << 20  # of chunks kept for them
-SHARED_TIME = 250 * MILLI  # after it began, a snapshot is given to others that begin: after a restart of all
-#                            many do
-CURSOR_BASE = 1 << 20  # a cursor is the transfer's number times this, plus the chunk's
+MAX_TRANSFERS = 16  # stored for peers; a peer that asks for an older one must begin again
+MAX_CHUNK_BYTES = 4 << 20  # of all stored chunks
+# after its begin, in which a snapshot is also given to other gateways that begin: after a restart of all
+# gateways many do
+SHARED_TIME = 250 * MILLI
+CURSOR_BASE = 1 << 20  # a cursor is the transfer's number times this, plus the number of the chunk
 RUN_ID_BITS = 63
 
 
 class Chunk(NamedTuple):
-    """Some observations as they were encoded."""
+    """Some observations, encoded."""
 
     built_at: int
     data: bytes
 
 
 class Transfer:
-    """A snapshot, or what changed since a mark; read as far as it was asked for."""
+    """A snapshot, or the changes since a mark, read as far as it was requested."""
 
     def __init__(self, begun_at: int, observations: Iterator[OwnObservation], *, whole: bool) -> None:
         self.begun_at, self.observations, self.whole = begun_at, observations, whole
         self.chunks: list[Chunk] = []
-        self.bytes = 0  # of the chunks
-        self.ended = False  # nothing is left to be read
+        self.bytes = 0  # of all chunks
+        self.ended = False  # whether everything was read
 
     def has_more_after(self, position: int) -> bool:
-        """Whether another chunk follows that one."""
+        """Whether another chunk follows the one at the position."""
         return not self.ended or position + 1 < len(self.chunks)
 
     def can_give(self, position: int) -> bool:
-        """Whether the chunk at the position is there or comes next."""
+        """Whether the chunk at the position exists or is the next one."""
         return position < len(self.chunks) or position == len(self.chunks) and not self.ended
 
     def append(self, chunk: Chunk) -> None:
-        """Keeps a chunk that was read."""
+        """Stores a chunk."""
         self.chunks.append(chunk)
         self.bytes += len(chunk.data)
 
@@ -62,8 +62,8 @@
 class ObservationTransfers:
     """Answers requests for observations, chunk by chunk.
 
-    `gateway`: the decisions, which tell what they know; `request_classes`: their names; `cpu_clock`: CPU
-    spent so far, ns.
+    `gateway`: the decisions whose observations are sent; `request_classes`: their names; `cpu_clock`: CPU
+    time so far, ns.
     """
 
     def __init__(
@@ -73,15 +73,15 @@
         request_classes: Sequence[str],
         cpu_clock: Callable[[], int],
     ) -> None:
-        self.run_id = secrets.randbits(RUN_ID_BITS) | 1  # the marks are of this process's clock alone
+        self.run_id = secrets.randbits(RUN_ID_BITS) | 1  # the marks are times of this process's clock
         self.transfers: dict[int, Transfer] = {}  # by number
-        self.encoded = 0  # observations
+        self.encoded = 0  # number of observations
         self.gateway, self._history, self._request_classes = gateway, history, request_classes
         self._cpu_clock = cpu_clock
         self._last_number = 0
 
     def answer(self, now: int, request: observation_wire.Request, begun: int) -> bytes:
-        """The chunk asked for as it was built, with what the asker must know beside it.
+        """The requested chunk, encoded, with what the asking gateway needs for the next request.
 
         `begun`: when work on the request began, by the CPU clock.
         """
@@ -99,12 +99,12 @@
             next=number * CURSOR_BASE + position + 1 if more else 0,
             held_us=(now - chunk.built_at) // observation_wire.MICROSECOND,
         )
-        # Serialized messages that follow one another are one message: the chunk need not be built again.
+        # Protobuf messages that follow one another are one message, so the chunk need not be encoded again.
         data: bytes = chunk.data + tail.SerializeToString()
         return data
 
     def _begin(self, now: int, since: int) -> int:
-        """The number of a transfer of what came since then, or of a whole one that was begun just now."""
+        """Begins a transfer of the changes since that time, or of everything; returns its number."""
         whole = since < 0
         if whole:
             shared = self._shared(now)
@@ -123,7 +123,7 @@
         return None
 
     def _drop_oldest(self) -> None:
-        """Keeps the bounds; the newest transfer stays in any case."""
+        """Drops the oldest transfers above the limits, but never the newest."""
         while len(self.transfers) > 1 and (
             len(self.transfers) > MAX_TRANSFERS
             or sum(transfer.bytes for transfer in self.transfers.values()) > MAX_CHUNK_BYTES
@@ -131,7 +131,7 @@
             del self.transfers[next(iter(self.transfers))]
 
     def _read_chunk(self, now: int, transfer: Transfer, begun: int) -> None:
-        """Reads on until the chunk is full or the slice of CPU is spent."""
+        """Reads observations until the chunk is full or the slice of CPU time is spent."""
         answer = lore_pb2.Told(version=observation_wire.VERSION, life=self.run_id, mark=transfer.begun_at)
         names = 0
         for count, (subject, value, observed_at) in enumerate(transfer.observations, 1):
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -1,4 +1,4 @@
-"""Shared observations as protobuf messages (`lore.proto`) and back; no I/O. Ages are sent in microseconds."""
+"""Encodes and decodes shared observations as protobuf messages; no I/O. Ages are sent in microseconds."""
 
 import math
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 VERSION = 2
 MICROSECOND = 1000  # ns
 PEER_HOPS = 1
-NOT_FINITE = -1  # stands for a time that is no number: it is rejected as any that cannot be
+NOT_FINITE = -1  # stands for a time that is not finite, and is rejected as any invalid time
 FIGURES = (  # kinds that are sent as names and one number
     ObservationKind.FAILURE,
     ObservationKind.SLOWDOWN,
@@ -32,22 +32,23 @@
 
 Answer = Any  # lore_pb2.Told
 Request = Any  # lore_pb2.Ask
-AddObservation = Callable[[Subject, Value, int], None]  # takes subject, value and age in microseconds
+# is called with subject, value and age in microseconds
+AddObservation = Callable[[Subject, Value, int], None]
 
 
 def encode_request(cursor: int = 0, run_id: int = 0, mark: int = 0) -> bytes:
-    """Bytes of a request, see `lore.proto`."""
+    """The bytes of a request for observations."""
     request = lore_pb2.Ask(version=VERSION, cursor=cursor, life=run_id, mark=mark)
     return bytes(request.SerializeToString())
 
 
 def decode_request(data: bytes) -> Request:
-    """The request. Errors: DecodeError."""
+    """Decodes a request. Errors: DecodeError."""
     return lore_pb2.Ask.FromString(data)
 
 
 def decode_answer(data: bytes) -> Answer | None:
-    """The answer, or None where it is none of a version that is understood."""
+    """Decodes an answer; None if its version is not supported or it cannot be decoded."""
     if len(data) > MAX_ANSWER_BYTES:
         return None
     try:
@@ -58,7 +59,7 @@
 
 
 def add_observation(answer: Answer, subject: Subject, value: Value, age: int) -> int:
-    """Appends one observation to the answer; `age` in ns. Returns the length of its names."""
+    """Appends an observation to the answer; `age`: ns. Returns the length of its names."""
     kind, *names = subject
     age_us = max(0, age) // MICROSECOND
     if kind == ObservationKind.WARM_INSTANCE:
@@ -80,7 +81,7 @@
 
 
 def read_observations(answer: Answer, asked: int, origin: str, observations: SharedObservations) -> None:
-    """Adds every observation of the answer, which was asked for at `asked` (ns) of the peer `origin`."""
+    """Adds every observation of an answer that was requested at `asked` (ns) from the peer `origin`."""
 
     def add(subject: Subject, value: Value, age_us: int) -> None:
         observed_at = observations.observed_at(asked, (age_us + answer.held_us) * MICROSECOND)
--- a/gaproute/peers/payload_transport.py
+++ b/gaproute/peers/payload_transport.py
@@ -1,4 +1,4 @@
-"""What parts that send datagrams need of the membership's transport."""
+"""The interface of the membership's transport for parts that send datagrams."""
 
 from typing import Protocol
 
@@ -15,10 +15,10 @@
         """Who is up."""
 
     def register(self, kind: PayloadKind, handler: PayloadHandler) -> None:
-        """The handler gets each payload of that kind."""
+        """Has the handler called with each payload of that kind."""
 
     def unregister(self, kind: PayloadKind) -> None:
-        """Payloads of that kind are passed over again."""
+        """From now on payloads of that kind are ignored."""
 
     def send_payload(self, address: str, kind: PayloadKind, data: bytes) -> None:
         """Sends a payload to the gateway with that address."""
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -1,7 +1,7 @@
-"""The address at which other gateways ask.
+"""The server for requests of other gateways.
 
-`POST /lore` is answered with a chunk of what this gateway observed, within a budget of CPU and bytes; other
-parts register what else is served here.
+It answers requests for observations in chunks, within a budget of CPU time and bytes; other parts register
+further routes.
 """
 
 import time
@@ -20,14 +20,16 @@
 FORWARDED_PREFIX = b"/v2/"  # what the targets of forwarded requests begin with
 PROTOBUF = (b"Content-Type", b"application/x-protobuf")
 RETRY_AFTER_HEADER = b"Gaproute-Retry-After-Ms"
-# Of those that ask for observations: a restart of all gateways starts hundreds at once.
+# Connections for observations: after a restart of all gateways, hundreds ask at the same time.
 LIMITS = Limits(body=4096, pipelined=1, connections=1024)
 
-Route = Callable[[Any, Any], None]  # takes the HTTP server and the request
+Route = Callable[[Any, Any], None]  # is called with the HTTP server and the request
 
 
 class PeerServer:
-    """Serves peers. `cpu_clock`: CPU time of this thread, ns. Errors: OSError where it cannot listen."""
+    """Serves other gateways. `cpu_clock`: CPU time of this thread, ns. Errors: OSError where it cannot
+    listen.
+    """
 
     def __init__(
         self,
@@ -39,18 +41,18 @@
         limits: Limits = LIMITS,
         cpu_clock: Callable[[], int] = time.thread_time_ns,
     ) -> None:
-        self.routes: dict[bytes, Route] = {}  # by target: what other parts serve here
-        self.forwarded: Callable[[Any], None] | None = None  # takes requests that other gateways forward
+        self.routes: dict[bytes, Route] = {}  # by target: the routes of other parts
+        self.forwarded: Callable[[Any], None] | None = None  # takes the requests that other gateways forward
         self.transfers = ObservationTransfers(gateway, history, request_classes, cpu_clock)
         self.cpu_budget = CpuBudget(loop.now())
-        self.put_off = 0  # requests for observations
-        self.spent = 0  # CPU for observations, ns
+        self.put_off = 0  # requests for observations that were put off
+        self.spent = 0  # CPU time for observations, ns
         self.loop, self._cpu_clock = loop, cpu_clock
         self.server = Server(loop, where, self.handle, limits)
         self.address = self.server.address
 
     def handle(self, request: Any) -> None:
-        """Answers one request, or hands it to who serves it."""
+        """Answers one request, or passes it to the part that serves its target."""
         route = self.routes.get(request.target)
         if route is not None:
             route(self.server, request)
@@ -62,10 +64,10 @@
             self._handle_observations(request)
 
     def stop(self) -> None:
-        """Goes on answering while the last requests end; `close` ends it."""
+        """Stops accepting; answers go on until `close`."""
 
     def close(self) -> None:
-        """Listens no more."""
+        """Closes the address."""
         self.server.close()
 
     def _handle_observations(self, request: Any) -> None:
--- a/gaproute/peers/raft/__init__.py
+++ b/gaproute/peers/raft/__init__.py
@@ -1,7 +1,7 @@
-"""Raft messages and lease requests between gateways; nothing runs unless it is made.
+"""Raft messages and lease requests between gateways.
 
-`HostedNode` runs a gateway's lease client and, where the configuration names it a member, its `RaftNode`.
-`RaftTransport` brings their messages to the other gateways and takes theirs.
+`HostedNode` runs a gateway's lease client and, if the configuration names the gateway as a member, its
+`RaftNode`. `RaftTransport` sends their messages to other gateways and receives those.
 """
 
 from gaproute.peers.raft.hosted_node import HostedNode
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -1,4 +1,6 @@
-"""A gateway's lease client and its node of the Raft group: clock, transport and log lines; no decisions."""
+"""Runs a gateway's lease client and its node of the Raft group: clock, transport and log lines, no
+decisions.
+"""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
@@ -12,18 +14,18 @@
 
 MILLI = 1_000_000
 
-REJECTIONS_INTERVAL = 60_000 * MILLI  # between log lines, so that a flood is no flood of lines
-SLOW_TURN = 50 * MILLI  # of the node; above it its disk holds up the gateway's requests
+# between log lines about rejected messages, so that a flood of them is not a flood of lines
+REJECTIONS_INTERVAL = 60_000 * MILLI
+SLOW_TURN = 50 * MILLI  # duration of a turn of the node above which its disk delays the gateway's requests
 NO_NODE = "refused: no keeper here"
 
 
 class HostedNode:
-    """Runs the lease client `client` and, where there is a disk and `name` is a member, the `node`.
+    """Runs the lease client `client` and, if there is a disk and `name` is a member, the `node`.
 
-    `members`: the configured names; `peers`: addresses of all gateways that may ask, by name;
-    `record.event(level, what, ...)` takes log lines; `disk`: opened; `machine`: the node's;
-    `fencing_base`: as of `RaftNode`; `make_transport(loop, name, peers, receive)`: a simulation hands in its
-    own.
+    `members`: the configured names; `peers`: addresses, by name, of all gateways that may send requests;
+    `record.event(level, what, ...)` takes log lines; `disk`: opened; `machine`: the node's; `fencing_base`:
+    as of `RaftNode`; `make_transport(loop, name, peers, receive)`: a simulation hands in its own.
     """
 
     def __init__(
@@ -57,14 +59,14 @@
         return [self.client] if self.node is None else [self.client, self.node]
 
     def set_configured_members(self, members: Iterable[str]) -> None:
-        """The names that the configuration has now."""
+        """Takes over the names of the members in the configuration."""
         members = tuple(members)
         for part in self._parts():
             part.set_configured_members(self.loop.now(), members)
         self.run_due()
 
     def receive(self, sender: str, message: RaftMessage) -> None:
-        """Takes a message that came from a peer, or from here."""
+        """Handles a message from a peer, or from this gateway."""
         part = self.client if isinstance(message, Reply) else self.node
         if part is None:
             self.transport.counts[NO_NODE] += 1
@@ -74,7 +76,7 @@
         self._after_turn(begun)
 
     def run_due(self) -> None:
-        """Does what is due now; to be called after every call of the client."""
+        """Runs what is due now; is called after every call of the client."""
         begun = self.loop.now()
         for part in self._parts():
             if part.due is not None and part.due <= begun:
@@ -100,7 +102,7 @@
             self.log.turn(self.node, begun, self.loop.now(), self.transport.counts)
 
     def status(self) -> dict[str, Any]:
-        """For the operators' address, whose keys these are."""
+        """The status at the operators' address, with its JSON keys."""
         return {
             "holds": [
                 {
@@ -129,29 +131,29 @@
         }
 
     def stop(self) -> None:
-        """Releases all leases; `close` ends it."""
+        """Releases all leases; call `close` afterwards."""
         self.client.release_all(self.loop.now())
         self.run_due()
 
     def close(self) -> None:
-        """Neither sends nor receives any more."""
+        """Ends sending and receiving."""
         if self.timer is not None:
             self.timer.cancel()
         self.transport.close()
 
 
 class NodeLog:
-    """Log lines of a node for what an operator wants to know, each change once."""
+    """Logs changes of a node that an operator should know, each once."""
 
     def __init__(self, record: Any, now: int) -> None:
         self.record = record
-        self.logged: dict[str, Any] = {}  # the last value, by what it is
+        self.logged: dict[str, Any] = {}  # by name of the figure: the last logged value
         self.rejections: dict[str, int] = {}
         self.rejections_looked_at = now
-        self.breaches = 0  # logged so far
+        self.breaches = 0  # how many were logged so far
 
     def turn(self, node: RaftNode, begun: int, now: int, counts: Mapping[str, int]) -> None:
-        """After a turn of the node from `begun` to `now`; `counts`: the transport's."""
+        """Logs after a turn of the node from `begun` to `now`; `counts`: those of the transport."""
         if now - begun > SLOW_TURN:
             self.record.event("warning", "raft_turn_slow", took_ms=(now - begun) // MILLI)
         self._log_changes(node)
@@ -164,7 +166,7 @@
             self._rejections({**node.rejections, **refused})
 
     def _log_changes(self, node: RaftNode) -> None:
-        """Logs the role, a failure of the disk and the members, each where it has changed."""
+        """Logs the role, failures of the disk, and the members, each if it has changed."""
         role, failure = node.role.value, node.storage_failure
         members = [member.name for member in node.members]
         if node.role in (Role.LEADER, Role.FOLLOWER) and self._has_changed("role", role):
@@ -179,7 +181,7 @@
             )
 
     def _has_changed(self, what: str, value: Any) -> bool:
-        """Whether the value is another one than that of the last call, and not empty."""
+        """Whether a value is not empty and differs from that of the last call."""
         changed = self.logged.get(what) != value
         self.logged[what] = value
         return changed and bool(value)
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -1,11 +1,11 @@
 """Batches of messages between gateways: `POST /keepers`.
 
-They go to the address where a gateway listens for its peers, or to one of their own. One exchange at a time
-with each peer, on a connection that stays open. A message that finds no room or nobody is lost, as Raft bears
-it.
+They are sent to the address where a gateway listens for its peers, or to one of their own. There is one
+exchange at a time with each peer, on a connection that stays open. A message is dropped if the queue is full
+or the peer cannot be reached, which Raft tolerates.
 
-A sender is believed to be who it says, as in all exchange of peers (a private network, see
-docs/operators.md); a name that is no peer's is rejected.
+The name of a sender is not verified, as in all exchanges between gateways (they need a private network, see
+docs/operators.md); a batch under a name that is no peer's is rejected.
 """
 
 from collections import Counter, deque
@@ -19,32 +19,34 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-MAX_QUEUED = 256  # messages that wait for one peer; beyond it the oldest is dropped: it is the stalest
+# messages that wait for one peer; above it the oldest is dropped, which is the most outdated
+MAX_QUEUED = 256
 MAX_QUEUED_BYTES = 2 * wire.MAX_BATCH_BYTES
-EXCHANGE_TIMEOUT = 2 * SECOND  # a snapshot over a slow link; a dead peer costs an attempt in that
-RETRY_DELAY = 200 * MILLI  # after a failed exchange: a heartbeat
-RATE = 500  # messages a second that one peer may send: a busy leader's share, ten times over
-BURST = 1000  # messages beyond that at once
+# enough for a snapshot over a slow link; a peer that is down costs one attempt in that time
+EXCHANGE_TIMEOUT = 2 * SECOND
+RETRY_DELAY = 200 * MILLI  # after a failed exchange: about a heartbeat interval
+RATE = 500  # messages per second that one peer may send: ten times those of a busy leader
+BURST = 1000  # messages above that at one moment
 MAX_CONNECTIONS = 256
-MAX_RESPONSE_BYTES = 4096  # heads, and bodies
+MAX_RESPONSE_BYTES = 4096  # of headers, and of the body
 TARGET = b"/keepers"
 
 
 class PeerState:
-    """What waits for one peer, the exchange with it, and the token bucket of what it sends."""
+    """The queue for one peer, the exchange with it, and the token bucket for what it sends."""
 
     def __init__(self, now: int) -> None:
         self.queue: deque[bytes] = deque()
         self.queued_bytes = 0
         self.connection: Any = None
         self.exchange: Any = None
-        self.timer: Any = None  # of the next batch, or of the exchange's timeout
-        self.retry_at = now  # until then nothing is sent
+        self.timer: Any = None  # for the next batch, or for the timeout of the exchange
+        self.retry_at = now  # nothing is sent before this time, ns
         self.tokens: float = BURST
         self.refilled_at = now
 
     def push(self, data: bytes) -> int:
-        """Queues a message; how many older ones were dropped for it."""
+        """Queues a message; returns how many older ones were dropped for it."""
         self.queue.append(data)
         self.queued_bytes += len(data)
         dropped = 0
@@ -54,7 +56,7 @@
         return dropped
 
     def pop_batch(self) -> list[bytes]:
-        """The messages that go together next."""
+        """The messages that are sent together next."""
         packed: list[bytes] = []
         size = 0
         while self.queue and len(packed) < wire.MAX_MESSAGES:
@@ -66,7 +68,7 @@
         return packed
 
     def spend_tokens(self, now: int, messages: int) -> bool:
-        """Whether the peer may send so many messages now."""
+        """Whether the peer may send that many messages now."""
         self.tokens = min(BURST, self.tokens + (now - self.refilled_at) * RATE / SECOND)
         self.refilled_at = now
         if self.tokens < messages:
@@ -75,7 +77,7 @@
         return True
 
     def close(self) -> None:
-        """Ends the exchange and the connection."""
+        """Ends the exchange and closes the connection."""
         if self.timer is not None:
             self.timer.cancel()
         if self.exchange is not None:
@@ -85,10 +87,10 @@
 
 
 class RaftTransport:
-    """Sends messages to peers and hands on theirs.
+    """Sends messages to peers and passes on theirs.
 
     `peers`: addresses as text by name, may be changed in place; `receive(sender, message)` is called for each
-    message that comes. `counts`: messages sent, received (`heard`), lost, and what was refused by reason.
+    message. `counts`: messages that were sent, received or lost, and those rejected, by reason.
     """
 
     def __init__(
@@ -103,7 +105,7 @@
     # Receiving
 
     def listen(self, where: str) -> Any:
-        """Listens on an address of its own, which is returned as text. Raises OSError."""
+        """Listens at an address of its own, which is returned as text. Errors: OSError."""
         limits = Limits(
             body=wire.MAX_BATCH_BYTES,
             pipelined=1,
@@ -116,7 +118,7 @@
         return self.server.address
 
     def handle(self, server: Any, request: Any) -> None:
-        """Answers a request that a server took."""
+        """Answers a request that a server received."""
         if request.target != TARGET or request.method != b"POST":
             server.answer(request, 404, (), b"POST /keepers\n")
             return
@@ -156,7 +158,7 @@
         state = self._state(to)
         self.counts["lost"] += state.push(wire.pack(message))
         if state.exchange is None and state.timer is None:
-            # Behind what is at work now, so that all that one turn sends goes in one batch.
+            # After the present callbacks, so that all messages of one turn are sent in one batch.
             state.timer = self.loop.at(max(self.loop.now(), state.retry_at), self._flush, to, state)
 
     def _flush(self, to: str, state: PeerState) -> None:
@@ -183,7 +185,7 @@
         )
 
     def _finish(self, to: str, state: PeerState, messages: int, answer: Any) -> None:
-        """The exchange ended, or its time did (`answer` is None)."""
+        """Handles the end of an exchange; `answer` is None if its time was up."""
         exchange, state.exchange = state.exchange, None
         if state.timer is not None:
             state.timer.cancel()
@@ -201,7 +203,7 @@
             state.timer = self.loop.at(state.retry_at, self._flush, to, state)
 
     def close(self) -> None:
-        """Sends and listens no more."""
+        """Ends sending and listening."""
         self.closed = True
         for state in self.states.values():
             state.close()
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -1,7 +1,7 @@
-"""Messages of a Raft group and its clients as bytes and back: MessagePack, strict and bounded.
+"""Encodes messages of a Raft group and its clients as MessagePack, and decodes them strictly and bounded.
 
-A batch is [version, sender's name, [messages]]. One malformed message makes the whole batch malformed: no
-peer that is in its right mind sends one.
+A batch is [version, sender's name, [messages]]. One malformed message makes the whole batch malformed, as no
+working peer sends one.
 """
 
 from collections.abc import Sequence
@@ -16,9 +16,10 @@
 
 VERSION = 1
 MAX_MESSAGES = 64  # in a batch: those of a few heartbeats
-FULL_BATCH_BYTES = 512 << 10  # after which no further message joins a batch
-MAX_BATCH_BYTES = MAX_SNAPSHOT_BYTES + FULL_BATCH_BYTES  # one snapshot and what went with it
-ARRAY_OF_THREE = b"\x93"  # MessagePack's mark
+FULL_BATCH_BYTES = 512 << 10  # above which no further message joins a batch
+# one snapshot and the messages that were sent with it
+MAX_BATCH_BYTES = MAX_SNAPSHOT_BYTES + FULL_BATCH_BYTES
+ARRAY_OF_THREE = b"\x93"  # the first byte of such an array in MessagePack
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(
@@ -31,21 +32,21 @@
 
 
 class MalformedBatchError(GaprouteError, ValueError):
-    """Bytes that are no batch; the text is the reason under which the transport counts them."""
+    """Bytes that are no batch; the text is the reason by which the transport counts them."""
 
 
 def pack(message: RaftMessage) -> bytes:
-    """One message as bytes."""
+    """Encodes one message."""
     return _encoder.encode(message)
 
 
 def batch(sender: str, packed: Sequence[bytes]) -> bytes:
-    """The bytes of a batch; `packed`: messages by `pack`."""
+    """Encodes a batch; `packed`: messages by `pack`."""
     return _encoder.encode((VERSION, sender, [msgspec.Raw(each) for each in packed]))
 
 
 def read(data: bytes) -> tuple[str, list[RaftMessage]]:
-    """The sender and the messages. Errors: MalformedBatchError."""
+    """Decodes a batch: the sender and the messages. Errors: MalformedBatchError."""
     if len(data) > MAX_BATCH_BYTES:
         raise MalformedBatchError("too long")
     if data[:1] != ARRAY_OF_THREE:
--- a/gaproute/peers/tables/__init__.py
+++ b/gaproute/peers/tables/__init__.py
@@ -1,6 +1,6 @@
-"""The cell table between gateways. Face: `CellTableTransport`.
+"""The cell table between gateways, see `CellTableTransport`.
 
-It is announced and pushed by the membership's datagrams, and pulled by `POST /tables` at the peers' address.
+It is announced and pushed by the membership's datagrams, and pulled by HTTP from the peers' server.
 """
 
 from gaproute.peers.tables.transport import CellTableTransport
--- a/gaproute/peers/tables/document.py
+++ b/gaproute/peers/tables/document.py
@@ -1,4 +1,4 @@
-"""The cell table as the document that is disseminated."""
+"""The cell table as a document that is disseminated."""
 
 from gaproute.decisions.cells.change import TableChange, TableHolder, apply_change
 from gaproute.decisions.cells.errors import TableError
@@ -10,10 +10,10 @@
 
 
 class TableDocument:
-    """Keeps the holder's table; nothing else may change that.
+    """Stores the current table in a holder, which nothing else may change.
 
-    The holder must not trim: others are served from it, and all digests are of whole rows. Whoever wants less
-    takes it from the tables of the callbacks.
+    The holder must not trim rows: other gateways are served from it, and all digests are of complete rows.
+    Callers that need smaller rows get the table in callbacks.
     """
 
     def __init__(self, holder: TableHolder) -> None:
@@ -31,7 +31,7 @@
         return NOTHING if self.holder.table is None else self.holder.table.version
 
     def apply(self, change: Change) -> None:
-        """Takes a change. Errors: DocumentError."""
+        """Applies a change. Errors: DocumentError."""
         current = self.holder.table
         if current is None:
             raise DocumentError("a change without a table")
@@ -43,7 +43,7 @@
             raise DocumentError("invalid change") from fault
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
-        """Takes a whole table. Errors: DocumentError."""
+        """Takes over a complete table. Errors: DocumentError."""
         try:
             table = encoding.decode_table(self.fleet, version, data)
             self._take(table, encoding.cells_digest(table.cells), digest)
@@ -51,7 +51,7 @@
             raise DocumentError("invalid table") from fault
 
     def whole(self) -> bytes:
-        """The whole table, encoded. Errors: DocumentError where there is none."""
+        """The complete table, encoded. Errors: DocumentError if there is none."""
         if self.holder.table is None:
             raise DocumentError("no table")
         return encoding.encode_table(self.holder.table)
@@ -64,7 +64,7 @@
 
 
 def encode_table_change(current: CellTable | None, digest: int, change: TableChange) -> Change:
-    """A change of the current table, which has that digest, as it is sent.
+    """Encodes a change of the current table, which has that digest.
 
     Errors: TableError where it cannot be applied.
     """
--- a/gaproute/peers/tables/encoding.py
+++ b/gaproute/peers/tables/encoding.py
@@ -1,7 +1,7 @@
-"""Cell tables and their changes as bytes: MessagePack, a whole table compressed; strict and bounded.
+"""Encodes cell tables and their changes as MessagePack, a complete table compressed; strict and bounded.
 
-The digest of a table is the sum of its rows' hashes, so that a change costs what it changes. It tells tables
-apart that differ by mistake; it is no proof against forgery.
+The digest of a table is the sum of its rows' hashes, so that the cost of updating it is that of the change.
+It detects tables that differ by mistake; it is no protection against forgery.
 """
 
 import zlib
@@ -33,7 +33,7 @@
 
 
 class ChangeBody(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """What a change does; its versions travel beside it."""
+    """The content of a change; its versions are sent beside it."""
 
     rows: list[Row]
     removed: list[str]
@@ -62,19 +62,19 @@
 
 
 def digest_after(digest: int, before: CellTable, change: TableChange) -> int:
-    """The digest of a table to which that change is applied."""
+    """The digest of a table after that change."""
     names = [*change.removed, *(cell.name for cell in change.rows)]
     gone = [before.by_name[name] for name in names if name in before.by_name]
     return (digest - cells_digest(gone) + cells_digest(change.rows)) % MODULUS
 
 
 def encode_table(table: CellTable) -> bytes:
-    """The rows of a table."""
+    """Encodes the rows of a table."""
     return zlib.compress(_encode([_row(cell) for cell in table.cells]))
 
 
 def decode_table(fleet: str, version: Version, data: bytes) -> CellTable:
-    """A valid table. Errors: TableError."""
+    """Decodes and checks a table. Errors: TableError."""
     inflater = zlib.decompressobj()
     try:
         plain = inflater.decompress(data, MAX_TABLE)
@@ -87,12 +87,12 @@
 
 
 def encode_change(change: TableChange) -> bytes:
-    """What a change does, without its versions."""
+    """Encodes a change without its versions."""
     return _encode(ChangeBody([_row(cell) for cell in change.rows], list(change.removed)))
 
 
 def decode_change(fleet: str, base: Version, version: Version, data: bytes) -> TableChange:
-    """A change, not yet checked against a table. Errors: TableError."""
+    """Decodes a change, which is not checked against a table yet. Errors: TableError."""
     try:
         body = _decode_change(data)
     except (msgspec.DecodeError, RecursionError) as fault:
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -1,4 +1,6 @@
-"""Pulls by `POST /tables` at the peers' address: the asking side, one at a time, and the answering side."""
+"""Pulls of the cell table by HTTP from the peers' server: the client, one pull at a time, and the server's
+route.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,15 +21,18 @@
 
 
 class PullClient:
-    """Asks one peer at a time; a new question drops the one before."""
+    """Sends a pull to one peer at a time; a new one replaces the one before."""
 
     def __init__(self, loop: Any) -> None:
         self.loop = loop
-        self.exchange: Any = None  # that is open
+        self.exchange: Any = None  # the open one
         self._timer: Any = None
 
     def ask(self, where: str, pull: Pull, done: AnswerCallback) -> None:
-        """`done(answer)` once, None where none came; never at once. A dropped question calls nothing."""
+        """Sends a pull; `done(answer)` is called once, later; with None if no answer came.
+
+        It is not called for a pull that is replaced or dropped.
+        """
         self.drop()
         body = wire.encode_pull(pull)
         head = b"POST %s HTTP/1.1\r\nHost: peer\r\nConnection: close\r\n" % TARGET
@@ -43,7 +48,7 @@
         exchange.connect(target, EXCHANGE_TIME, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
 
     def drop(self) -> None:
-        """Ends the question that is open."""
+        """Ends the open pull."""
         if self._timer is not None:
             self._timer.cancel()
         if self.exchange is not None:
@@ -59,7 +64,7 @@
 
 
 def pull_route(loop: Any, disseminator: Disseminator) -> Callable[[Any, Any], None]:
-    """The route of pulls for the peers' address."""
+    """The route of pulls at the peers' server."""
 
     def handle(server: Any, request: Any) -> None:
         now = loop.now()
--- a/gaproute/peers/tables/table_storage.py
+++ b/gaproute/peers/tables/table_storage.py
@@ -1,4 +1,4 @@
-"""The cell table of a gateway on disk: read at the start, written as newer tables come. Times are in ns."""
+"""Stores a gateway's cell table on disk: reads it at the start, writes newer tables. Times are ns."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -9,12 +9,12 @@
 from gaproute.shared.dissemination.messages import NOTHING
 from gaproute.storage.cell_table_file import CellTableFile, StoredTable
 
-WRITE_INTERVAL = 60 * SECOND  # between two writes: each waits for the disk
-RETRY_INTERVAL = 5 * SECOND  # until a read or write that failed is tried again
+WRITE_INTERVAL = 60 * SECOND  # between two writes, as each waits for the disk
+RETRY_INTERVAL = 5 * SECOND  # until a failed read or write is tried again
 
 
 class TableStorage:
-    """`path`: the file, None for none; `report(text)` is called with what an operator should know."""
+    """`path`: the file, None for none; `report(text)` is called with messages for operators."""
 
     def __init__(
         self,
@@ -25,19 +25,19 @@
     ) -> None:
         self.file = None if path is None else CellTableFile(path, fleet, report)
         self.written = NOTHING  # the version on disk
-        self.write_at = clock()  # when `write` is to be called
+        self.write_at = clock()  # when `write` is to be called next
         self._clock = clock
 
     def restore(self, disseminator: Disseminator) -> None:
-        """Takes the table of the file, where there is one that can be used."""
+        """Reads the table of the file, if there is a usable one."""
         stored = None if self.file is None else self.file.read(disseminator.document.version)
         if stored is not None:
             self._take(disseminator, stored)
 
     def write(self, disseminator: Disseminator) -> None:
-        """Writes the current table, if it is newer than that on disk.
+        """Writes the current table if it is newer than that on disk.
 
-        A file that could not be read at the start is read before it is written over.
+        A file that could not be read at the start is read before it is overwritten.
         """
         if self.file is None:
             return
@@ -48,7 +48,7 @@
             return
         document = disseminator.document
         if document.version <= self.written:
-            return  # what is new after a quiet time is written in the next turn
+            return  # a table that comes after a quiet time is written in the next turn
         self.write_at = self._clock() + WRITE_INTERVAL
         term, number = document.version
         if self.file.write(StoredTable(document.fleet, term, number, document.digest, document.whole())):
@@ -57,7 +57,9 @@
             self.write_at = self._clock() + RETRY_INTERVAL
 
     def _restore_late(self, disseminator: Disseminator, file: CellTableFile) -> None:
-        """What could not be read at the start: taken if it is newer than what came meanwhile."""
+        """Reads the table that could not be read at the start, and takes it if it is newer than the current
+        one.
+        """
         stored = file.read()
         if stored is not None and (stored.term, stored.number) > disseminator.document.version:
             self._take(disseminator, stored)
--- a/gaproute/peers/tables/transport.py
+++ b/gaproute/peers/tables/transport.py
@@ -1,7 +1,7 @@
-"""The cell table on sockets: the dissemination's messages by the membership's datagrams and by pulls.
+"""Disseminates the cell table on sockets, by the membership's datagrams and by pulls.
 
-Nothing of the gateway rests on it: while no peer answers the last table serves on. The members that the
-membership knows are taken for the gateways of the own cell. Times are in ns.
+The gateway does not depend on it: while no peer answers, the last table stays in use. The members in the
+membership count as the gateways of the own cell. Times are ns.
 """
 
 from collections.abc import Callable, Iterable
@@ -28,13 +28,13 @@
 from gaproute.shared.randomness import RandomSource
 
 MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
-LIST_INTERVAL = 5 * SECOND  # between two looks at the members
+LIST_INTERVAL = 5 * SECOND  # between two reads of the members
 
 TableCallback = Callable[[CellTable], object]
 
 
 class _Listed(NamedTuple):
-    """What the candidates were made of."""
+    """The state from which the candidates were computed."""
 
     neighbours: tuple[Peer, ...]
     configured: tuple[Peer, ...]
@@ -44,8 +44,8 @@
 class CellTableTransport:
     """Disseminates the cell table of `fleet`.
 
-    `transport` and `peer_server` are the gateway's membership and peers' address; `cell`: the own one;
-    `path`: the file that keeps the table, None for none. `record` takes events for operators.
+    `transport` and `peer_server` are the gateway's membership and peers' server; `cell`: the own one; `path`:
+    the file for the table, None for none. `record` takes events for operators.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self.storage = TableStorage(loop.now, path, fleet, self._report_storage)
         self.timer: Any = None
         self._callbacks: list[TableCallback] = []
-        self._reported_version = NOTHING  # of the table that the callbacks were called with
+        self._reported_version = NOTHING  # the version for which the callbacks were called last
         self._listed: _Listed | None = None
         self._list_at: int = loop.now()
         self._logged_rejections: set[str] = set()
@@ -77,7 +77,7 @@
     # For the gateway
 
     def start(self) -> None:
-        """Takes the table that is on disk, then receives and sends."""
+        """Reads the table on disk, then begins to receive and send."""
         self.storage.restore(self.disseminator)
         self.transport.register(PayloadKind.CELL_TABLE, self._received)
         self.peer_server.routes[TARGET] = pull_route(self.loop, self.disseminator)
@@ -85,7 +85,7 @@
         self._finish_turn(())
 
     def stop(self) -> None:
-        """Neither receives nor sends any more; a newer table than that on disk is written."""
+        """Ends receiving and sending; a table that is newer than that on disk is written."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -99,16 +99,18 @@
         return self.holder.table
 
     def on_table(self, callback: TableCallback) -> None:
-        """Calls back with each newer table from now on."""
+        """Has the callback called with each newer table from now on."""
         self._callbacks.append(callback)
 
     def set_peers(self, configured: Iterable[Peer]) -> None:
-        """Takes the peers to speak with besides the members and those that the table names."""
+        """Takes over configured peers, beside the members and the gateways in the table."""
         self.configured = tuple(configured)
         self._list_candidates()
 
     def publish(self, table: CellTable) -> None:
-        """A whole table made here. Errors: DocumentError, also where its version is not above the current."""
+        """Publishes a complete table that was made here. Errors: DocumentError, also for a version that is
+        not new.
+        """
         if table.fleet != self.holder.fleet:
             raise DocumentError("other fleet")
         digest = encoding.cells_digest(table.cells)
@@ -116,19 +118,19 @@
         self._finish_turn(self.disseminator.publish_whole(self.loop.now(), table.version, digest, data))
 
     def publish_change(self, change: TableChange) -> None:
-        """A change made here of the current table. Errors: TableError, DocumentError."""
+        """Publishes a change of the current table that was made here. Errors: TableError, DocumentError."""
         encoded = encode_table_change(self.holder.table, self.disseminator.document.digest, change)
         self._finish_turn(self.disseminator.publish(self.loop.now(), encoded))
 
     def propagation(self, version: Version) -> Propagation:
-        """How far that version has come, by the reports that came here."""
+        """How far that version has spread, by the reports received here."""
         return self.disseminator.version_reports.propagation(self.loop.now(), version)
 
     def candidates(self, near: tuple[Peer, ...]) -> Candidates:
-        """Whom to speak with, by the current table; `near`: members that are up."""
+        """The peers to exchange with, by the current table; `near`: members that are up."""
         return candidates(self.holder.table, self.cell, near, self.configured)
 
-    # What comes
+    # Received messages
 
     def _received(self, sender: str, data: bytes) -> None:
         now = self.loop.now()
@@ -151,13 +153,13 @@
             if now >= self.storage.write_at:
                 self.storage.write(self.disseminator)
             sends = self.disseminator.tick(now)
-        finally:  # a fault in one turn is logged by the loop, and must not end all later ones
+        finally:  # an error in one turn is logged by the loop and must not end the later turns
             self._finish_turn(sends)
 
-    # What follows
+    # The end of a turn
 
     def _finish_turn(self, sends: Iterable[Send]) -> None:
-        """Sends what is to be sent, reports what is new, sets the timer."""
+        """Sends messages, reports a new table, and sets the timer."""
         for send in sends:
             self._send(send)
         self._log_rejections()
@@ -180,13 +182,13 @@
         if table is None or table.version <= self._reported_version:
             return
         if self._reported_version == NOTHING:
-            self._list_candidates()  # of later tables by the timer alone: it costs a millisecond
+            self._list_candidates()  # for later tables by the timer only, as it costs a millisecond
         self._reported_version = table.version
         for callback in self._callbacks:
             callback(table)
 
     def _list_candidates(self) -> None:
-        """Whom to speak with, where that has changed."""
+        """Computes the peers to exchange with, if something has changed."""
         self._list_at = self.loop.now() + LIST_INTERVAL
         membership = self.transport.membership
         up = sorted([name for name in membership.members if name in membership.table.alive])
@@ -197,7 +199,7 @@
             self.disseminator.set_candidates(self.candidates(neighbours))
 
     def _log_rejections(self) -> None:
-        """Each reason once."""
+        """Logs each reason for rejections once."""
         for reason in self.disseminator.rejections:
             if reason not in self._logged_rejections:
                 self._logged_rejections.add(reason)
--- a/gaproute/peers/tables/wire.py
+++ b/gaproute/peers/tables/wire.py
@@ -1,4 +1,4 @@
-"""Messages of the dissemination as bytes and back: MessagePack, strict and bounded; no sockets."""
+"""Encodes and decodes messages of the dissemination as MessagePack, strict and bounded; no sockets."""
 
 from collections.abc import Callable
 from typing import Annotated, TypeVar
@@ -83,14 +83,14 @@
 
 
 def encode_datagram(message: Announcement | Push, address: str) -> bytes:
-    """Bytes of a datagram; `address`: where its sender is reached."""
+    """Encodes a datagram; `address`: where its sender is reached."""
     if isinstance(message, Push):
         return _encode(_Push(message.fleet, address, _encode_changes(message.changes)))
     return _encode(_Announcement(message.fleet, address, message.version, message.digest))
 
 
 def decode_datagram(data: bytes) -> tuple[str, Announcement | Push] | None:
-    """The sender's address and the message; None where it is none."""
+    """The sender's address and the message of a datagram; None if it cannot be decoded."""
     decoded = _read(_datagram, data, MAX_DATAGRAM_BYTES)
     if isinstance(decoded, _Push):
         return decoded.address, Push(decoded.fleet, _decode_changes(decoded.changes))
@@ -100,12 +100,12 @@
 
 
 def encode_pull(pull: Pull) -> bytes:
-    """Bytes of a pull."""
+    """Encodes a pull."""
     return _encode(_Pull(pull.fleet, pull.current, pull.whole, pull.target, pull.offset))
 
 
 def decode_pull(data: bytes) -> Pull | None:
-    """The pull; None where it is none."""
+    """Decodes a pull; None if it cannot be."""
     decoded = _read(_pull, data, MAX_DATAGRAM_BYTES)
     if decoded is None:
         return None
@@ -114,7 +114,7 @@
 
 
 def encode_answer(answer: Changes | Part | Busy) -> bytes:
-    """Bytes of an answer to a pull."""
+    """Encodes an answer to a pull."""
     if isinstance(answer, Changes):
         return _encode(_Changes(answer.fleet, _encode_changes(answer.changes)))
     if isinstance(answer, Part):
@@ -124,7 +124,7 @@
 
 
 def decode_answer(data: bytes) -> Changes | Part | Busy | None:
-    """The answer; None where it is none."""
+    """Decodes an answer; None if it cannot be."""
     decoded = _read(_answer, data, MAX_ANSWER_BYTES)
     if isinstance(decoded, _Changes):
         return Changes(decoded.fleet, _decode_changes(decoded.changes))
@@ -147,7 +147,7 @@
 
 
 def _read(decode: Callable[[bytes], Decoded], data: bytes, max_bytes: int) -> Decoded | None:
-    """What the bytes say, None where they are too long or have nothing that is understood."""
+    """Decodes the bytes; None if they are too long or cannot be decoded."""
     if len(data) > max_bytes:
         return None
     try:
