--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -1,4 +1,4 @@
-"""A kept connection of a client: one exchange at a time; tells what a failure proves."""
+"""A client's connection that is used for one exchange after the other, and what its failures prove."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 SECOND = 1_000_000_000
 NO_CONTENT = 204
-FIRST_FINAL_STATUS = 200  # below it are responses that announce another
+FIRST_FINAL_STATUS = 200  # lower ones are of interim responses
 
 
 class PendingExchange(Protocol):
-    """What a connection needs of the exchange at work: see `Exchange`."""
+    """The part of `Exchange` that its connection uses."""
 
     def finish(self, response: Response | None, failure: NoResponseError | None) -> None:
-        """Ends it with one of the two."""
+        """Ends the exchange with a response or a failure."""
 
 
 class ClientConnection:
-    """A kept connection to one server. An idle one notices when the other side closes."""
+    """A connection to one server that stays open between exchanges, and notices when the server closes it."""
 
     __slots__ = (
         "loop",
@@ -44,17 +44,19 @@
         self.loop = loop
         self.reader = ResponseReader(head_limit, body_limit)
         self.stream = Stream(loop, sock, self._receive, self._on_closed)
-        self.exchange: PendingExchange | None = None  # the one at work
-        self.sent_before = 0  # bytes handed over before its request
+        self.exchange: PendingExchange | None = None  # the exchange that waits for its response
+        self.sent_before = 0  # bytes sent before the request of the exchange
         self.last_used: int = loop.now()
-        self.on_idle_end: Callable[[ClientConnection], object] | None = None  # where it ends while idle
+        # called when the connection ends while idle
+        self.on_idle_end: Callable[[ClientConnection], object] | None = None
         self.responses = 0
-        self.keep_alive_timeout: int | None = None  # how long the server said it keeps an idle one, ns
-        self.unrequested_response = False  # a response came that nobody asked for
+        # for how long the server said that it keeps an idle connection, ns
+        self.keep_alive_timeout: int | None = None
+        self.unrequested_response = False  # whether a response came without a request
 
     @property
     def open(self) -> bool:
-        """Whether it can be used."""
+        """Whether the connection can be used."""
         return self.stream.open
 
     @property
@@ -63,7 +65,9 @@
         return self.stream.bytes_sent > self.sent_before
 
     def send(self, exchange: PendingExchange, data: bytes) -> None:
-        """The request begins now, with what is true now, or its exchange fails soon and never ran."""
+        """Sends the request, if it may still begin; otherwise its exchange fails soon, as one that never
+        ran.
+        """
         self.exchange, self.sent_before = exchange, self.stream.bytes_sent
         if not self.stream.try_begin(data):
             self.loop.soon(self._fail, "the connection takes no bytes")
@@ -79,7 +83,7 @@
                 return
 
     def _take_response(self, response: Response) -> bool:
-        """Ends the exchange with its response; whether the connection may go on."""
+        """Ends the exchange with its response; returns whether the connection can be used again."""
         if not _has_length(response):
             self._fail("an answer without a length")
             return False
@@ -100,7 +104,7 @@
         self._fail(f"the connection ended: {error or 'closed by the server'}", error)
 
     def _fail(self, text: str, error: OSError | None = None) -> None:
-        """Ends the connection, and its exchange without a response."""
+        """Closes the connection and ends its exchange with a failure."""
         exchange, self.exchange = self.exchange, None
         any_byte_sent = self.any_byte_sent
         self.stream.abort()
@@ -111,19 +115,19 @@
             self.on_idle_end(self)
 
     def abort(self) -> None:
-        """Ends the connection and whatever is on its way; nothing is called."""
+        """Resets the connection; no callback is called."""
         self.exchange = None
         self.stream.abort()
 
 
 def _has_length(response: Response) -> bool:
-    """Whether the length of the body was given in advance."""
+    """Whether the head of the response gave the length of the body."""
     headers = response.headers
     return response.status == NO_CONTENT or CONTENT_LENGTH in headers or TRANSFER_ENCODING in headers
 
 
 def _keep_alive_timeout(value: bytes | None) -> int | None:
-    """`Keep-Alive: timeout=5` as nanoseconds, else None."""
+    """The timeout of a header `Keep-Alive: timeout=5` in ns, or None."""
     for parameter in (value or b"").split(b","):
         name, _, figure = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and figure.strip().isdigit():
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -1,9 +1,9 @@
-"""A connection of the server at work: reads requests, writes the answers in the order of the requests.
+"""A server's connection that is in use: reads requests, writes the answers in the order of the requests.
 
-A client that closes its side has left: HTTP/1.1 cannot tell a half-closed client from a gone one before
-bytes are written to it, and a request that nobody waits for must end at once. What is answered then is still
-written, so that one that only closed half gets a clear answer. A request whose client has closed behind it is
-handed over as `client_closed`: the handler answers it and begins nothing for it.
+A client that closes its side counts as gone: HTTP/1.1 cannot distinguish a half-closed client from one that
+is gone before bytes are written to it, and a request for which nobody waits must end at once. Answers are
+still written then, for a client that has closed its sending side only. A request whose client has closed
+after it is handed over as `client_closed`: the handler answers it and begins nothing for it.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class ServerConnection(DeadlineConnection):
-    """A connection at work, from its first byte until it has been quiet for a while."""
+    """A connection in use, from its first byte until it has been quiet for a while and is parked."""
 
     __slots__ = (
         "address_id",
@@ -47,22 +47,22 @@
         self.server, self.address_id, self.request_count = server, address_id, request_count
         self.queue, self.closing, self.client_closed = [], False, False
         self.timer, self.deadline, self.idle_end, self.in_quiet_queue = None, None, 0, False
-        self.presence_checked_at = 0  # when the client was last seen not to have closed
-        self.buffered_bytes = 0  # of a request that has not come in whole
-        self.read_delay = 0  # how long what is read may have lain unread, ns
+        self.presence_checked_at = 0  # when the client was last known not to have closed, ns
+        self.buffered_bytes = 0  # bytes of an incomplete request
+        self.read_delay = 0  # how long the bytes that are being read may have lain unread, ns
         limits = server.limits
         self.reader = RequestReader(self._sent_at, limits.head, limits.body)
         self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
         self.stream.on_half_close, self.stream.on_writable = self._on_client_closed, self._on_taken
 
     def _sent_at(self) -> int:
-        """When what is read now came: requests count from then."""
+        """When the bytes that are being read came, from which the time of requests counts; ns."""
         return self.server.loop.now() - self.read_delay
 
     # Reading
 
     def receive(self, data: bytes) -> None:
-        """Feeds received bytes to the parser and hands over the requests that they complete."""
+        """Decodes received bytes and hands over the requests that they complete."""
         if self.closing:
             return
         self.read_delay = max(self.server.loop.read_delay, self.stream.unread_age())
@@ -75,7 +75,7 @@
         self._note_buffered(self.reader.size if self.reader.mid_message else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
-            if not self.queue:  # one that pipelines behind an answer still owed waits for it anyway
+            if not self.queue:  # a request behind an answer that is still owed waits for that anyway
                 self.stream.write(CONTINUE)
         if self.stream.open:
             self._set_deadline()
@@ -83,7 +83,7 @@
                 self.stream.pause()
 
     def _take_all(self, requests: Iterable[Request]) -> None:
-        """Takes whole requests, once it has been asked whether their client is still there."""
+        """Hands over complete requests, after asking the kernel whether their client is still connected."""
         if not requests:
             return
         client_closed = self.stream.hung_up()
@@ -97,7 +97,7 @@
         server = self.server
         request.connection = self
         if self.closing or request.client_closed and server.loop.read_delay and not server.counted:
-            return  # one that came and left while this process stood still is not taken
+            return  # the client has left while this process stood still, so the request is dropped
         self.request_count += 1
         if not request.keep_alive or server.says_close():
             self.closing = True
@@ -105,8 +105,10 @@
         server.handle(request)
 
     def client_present(self) -> bool:
-        """Whether the client has neither closed its side nor left, asked when something begins for it: a loop
-        in a long turn reads of that later."""
+        """Whether the client has neither closed its side nor left; called when an attempt begins.
+
+        The kernel is asked, as a loop in a long turn reads of a close only later.
+        """
         if self.client_closed or not self.stream.open:
             return False
         now = self.server.loop.now()
@@ -118,7 +120,7 @@
         return True
 
     def _note_buffered(self, size: int) -> None:
-        """So many bytes of a request that is not whole are held now."""
+        """Takes account of the memory of an incomplete request."""
         server = self.server
         server.buffered_bytes += size - self.buffered_bytes
         self.buffered_bytes = size
@@ -126,11 +128,13 @@
             server.enforce_memory_limit()
 
     def _is_saturated(self) -> bool:
-        """Whether nothing more is read: enough requests are open, or the client takes no answers."""
+        """Whether nothing more is read: enough requests are open, or the client receives no answers."""
         return len(self.queue) >= self.server.limits.pipelined or self.stream.bytes_unsent >= WRITE_HIGH_WATER
 
     def _refuse(self, error: HttpError) -> None:
-        """Answers what cannot be read and closes; what was whole before it is answered first."""
+        """Answers a request that cannot be decoded and closes; complete requests before it are answered
+        first.
+        """
         self.server.protocol_errors += 1
         self._take_all(self.reader.take_completed())
         headers, body = self.server.render_error(error)
@@ -139,14 +143,14 @@
         self._write_answers()
 
     def refuse_unfinished(self) -> None:
-        """Refuses the unfinished request, to free the memory that it takes up."""
+        """Rejects the incomplete request, to free its memory."""
         self._note_buffered(0)
         self._refuse(HttpError(408, "too much is coming in, and this request takes longest"))
 
     # Writing
 
     def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """Renders the answer to one request and writes all answers whose turn has come.
+        """Encodes the answer to a request, and writes all answers that are next in order.
 
         Errors: RuntimeError for a second answer to one request.
         """
@@ -160,12 +164,14 @@
         is_last = place == len(self.queue) - 1 and (self.closing or self.server.stopping)
         close = is_last or self.client_closed
         if close:
-            self.closing = True  # announced with the answer: nothing more is taken
+            self.closing = True  # the answer announces the close, so no further request is taken
         pending.data = render(status, headers, body, close=close)
         self._write_answers()
 
     def _write_answers(self) -> None:
-        """Writes the answers whose turn has come; the connection closes after the last where it is to."""
+        """Writes the answers that are next in order, and closes the connection after the last one if it is
+        closing.
+        """
         wrote = False
         while self.queue and (data := self.queue[0].data) is not None:
             wrote = True
@@ -177,7 +183,7 @@
             self._on_taken()
 
     def _on_taken(self) -> None:
-        """The client has taken answers: reading goes on."""
+        """Called when the client has received answers: reads again."""
         if not self.stream.reading and not self._is_saturated() and not self.client_closed:
             self.stream.resume()
         self._set_deadline()
@@ -185,8 +191,10 @@
     # The end
 
     def park(self) -> None:
-        """Parks the connection; closes it where its idle time is over or the server stops, and not before a
-        request that lies unread has been answered."""
+        """Parks the connection, or closes it if its idle time is over or the server stops.
+
+        A request that lies unread is answered before a close.
+        """
         server = self.server
         if server.loop.now() < self.idle_end and self.stream.open and not server.stopping:
             self._clear_deadline()
@@ -197,10 +205,10 @@
             self.close_gracefully()
 
     def stop(self) -> None:
-        """Closes a quiet connection; one on which a request lies unread or is coming in is answered first.
+        """Closes a quiet connection; one with an unread or incomplete request is closed after its answer.
 
-        With grace a quiet one is closed when it would be parked: the next request of a busy client, on its
-        way already, is answered and the close announced with that answer.
+        With grace, a quiet connection is closed only when it would be parked: the next request of a busy
+        client may be on its way, and its answer then announces the close.
         """
         if self.reader.mid_message:
             self._set_deadline()
@@ -208,7 +216,9 @@
             self.close_gracefully()
 
     def _on_client_closed(self) -> None:
-        """The client closed its side: its requests end now, with answers for one that closed half."""
+        """Handles a client that has closed its side: its requests end now, with answers if it closed half
+        only.
+        """
         self._abandon_requests()
         if not self.queue:
             self.close_gracefully()
@@ -218,7 +228,7 @@
         self.unregister()
 
     def _abandon_requests(self) -> None:
-        """Tells the handlers of open requests that nobody waits for their answers."""
+        """Notifies the handlers of open requests that nobody waits for their answers."""
         self.client_closed = True
         self._clear_deadline()
         for pending in list(self.queue):
@@ -228,26 +238,26 @@
                 on_client_left()
 
     def close_gracefully(self) -> None:
-        """Closes once what was written has been taken. Until its descriptor is given back it counts."""
+        """Closes after all that was written is sent. The connection counts until its descriptor is free."""
         self._clear_deadline()
         self.closing = True
         self.stream.close(lambda error: self.unregister())
 
     def close_at_once(self) -> None:
-        """Ends the connection without waiting for answers still owed."""
+        """Ends the connection without waiting for answers that are still owed."""
         if self.stream.closing:
-            self.stream.finish_close()  # its last bytes are with the kernel
+            self.stream.finish_close()  # all bytes were given to the kernel
             self.unregister()
         else:
             self.abort()
 
     def abort(self) -> None:
-        """Resets the connection; nothing is called."""
+        """Resets the connection; no callback is called."""
         self.stream.abort()
         self.unregister()
 
     def unregister(self) -> None:
-        """The socket is closed: cancels the timer and removes the connection from the server."""
+        """Handles a closed socket: cancels the timer and removes the connection from the server."""
         self._clear_deadline()
         if self in self.server.active_connections:
             self._note_buffered(0)
--- a/gaproute/http1/connection_owner.py
+++ b/gaproute/http1/connection_owner.py
@@ -1,4 +1,4 @@
-"""What a connection of the server needs of the server that it belongs to."""
+"""The interface of a server for its connections."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class ServerConnectionOwner(DeadlineOwner, Protocol[Connection]):
     """The part of `Server` that its connections use.
 
-    `handle`: called with each whole request; `render_error`: what a client is told of an error.
-    `buffered_bytes`: of all requests that have not come in whole; `protocol_errors`: of all connections.
+    `handle`: called with each complete request; `render_error`: makes the answer for an error.
+    `buffered_bytes`: of all incomplete requests; `protocol_errors`: of all connections.
     """
 
     counted: bool
@@ -29,16 +29,16 @@
 
     @property
     def active_connections(self) -> Container[object]:
-        """The connections at work."""
+        """The connections that are in use."""
 
     def says_close(self) -> bool:
-        """Whether answers say that the connection closes."""
+        """Whether answers announce that the connection closes."""
 
     def enforce_memory_limit(self) -> None:
-        """Ends an unfinished request, as all together take up too much."""
+        """Ends an incomplete request if all together use too much memory."""
 
     def park(self, connection: Connection, due: int) -> None:
-        """Parks a quiet connection until it sends something, or is closed at `due`."""
+        """Parks a quiet connection, which is closed at `due` (ns) if it sends nothing until then."""
 
     def unregister(self, connection: Connection) -> None:
-        """A connection at work was closed."""
+        """Forgets a connection in use that was closed."""
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline of a connection at work: for a request to arrive, for a client to read, or for parking."""
+"""The deadline of a connection in use: for a request to arrive, for a client to read, or for parking."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from gaproute.loop.timers import Timer
 
 SECOND = 1_000_000_000
-QUIET_TIME = SECOND  # after its last answer until a connection is parked: a busy one stays as it is
-SWEEP_INTERVAL = SECOND // 4  # between looks for quiet ones: one wake-up for all of them, not one each
+QUIET_TIME = SECOND  # after its last answer until a connection is parked
+SWEEP_INTERVAL = SECOND // 4  # between checks for quiet connections: one timer for all of them
 
 
 class DeadlineOwner(Protocol):
@@ -21,19 +21,19 @@
 
     loop: Loop
     limits: Limits
-    last_request_by: int | None  # after a stop with grace: when the last request must be whole
+    last_request_by: int | None  # after a stop with grace: when the last request must be complete, ns
 
     def idle_end(self, now: int) -> int:
-        """When a connection that is idle from `now` on is closed."""
+        """When a connection that is idle from `now` on is closed, ns."""
 
     def enqueue_quiet(self, connection: DeadlineConnection, due: int) -> None:
         """Queues a quiet connection for parking."""
 
 
 class DeadlineConnection:
-    """The base of a server's connection: its one timer and what happens when it fires.
+    """The base of a server's connection: its one timer, and what happens when that fires.
 
-    A subclass sets all fields, and gives `park`, `_refuse` and `_on_closed`.
+    A subclass sets all fields, and implements `park`, `_refuse` and `_on_closed`.
     """
 
     __slots__ = (
@@ -52,14 +52,16 @@
     stream: Stream
     reader: RequestReader
     queue: list[PendingAnswer]  # in the order of the requests
-    closing: bool  # nothing more is taken; it closes after the answers that it is owed
+    # whether no further request is taken and the connection closes after the answers that are owed
+    closing: bool
     timer: Timer | None
-    deadline: int | None  # of the timer or of the queue of quiet ones, by the loop's clock
-    idle_end: int  # when it is closed where no more requests come
-    in_quiet_queue: bool  # of the server: it is parked at its deadline, where nothing comes until then
+    deadline: int | None  # of the timer, or of the queue of quiet connections; ns of the loop's clock
+    idle_end: int  # when the connection is closed if no further request comes
+    # whether the server's queue has it, to park it at its deadline if it is still quiet then
+    in_quiet_queue: bool
 
     def park(self) -> None:
-        """Parks the connection, or closes it where its time is over."""
+        """Parks the connection, or closes it if its idle time is over."""
         raise NotImplementedError
 
     def _refuse(self, error: HttpError) -> None:
@@ -69,10 +71,10 @@
         raise NotImplementedError
 
     def _set_deadline(self) -> None:
-        """Sets until when the request that is coming in must be whole, or the client must take bytes, or the
-        quiet connection is parked; none while an answer is owed.
+        """Sets the deadline: for an incomplete request, for the client to read, or for parking; none while an
+        answer is owed.
 
-        There is one timer, moved only when it fires: the deadline is nearly always moved before.
+        The one timer is moved only when it fires, as most deadlines move before that.
         """
         server = self.server
         read_time = server.limits.read_time
@@ -92,7 +94,9 @@
             self._start_timer(self.deadline)
 
     def _wait_for_parking(self) -> bool:
-        """The connection is quiet: it waits to be parked; whether in the server's queue, without a timer."""
+        """Has a quiet connection parked later; returns whether the server's queue does so, without a
+        timer.
+        """
         server = self.server
         now = server.loop.now()
         if server.limits.idle_time <= 2 * QUIET_TIME:
@@ -124,12 +128,12 @@
         elif self._rest_has_come():
             return
         elif self.queue:
-            self.closing = True  # the answers still owed go out first
+            self.closing = True  # answers that are owed are sent first
         else:
             self._refuse(HttpError(408, "the request did not come in whole in time"))
 
     def _rest_has_come(self) -> bool:
-        """Whether the rest of the overdue request had come since the loop last looked: it is taken then."""
+        """Reads now; returns whether the rest of the overdue request had already arrived."""
         self.stream.read_now()
         return not self.stream.open or not self.reader.mid_message
 
--- a/gaproute/http1/errors.py
+++ b/gaproute/http1/errors.py
@@ -1,10 +1,10 @@
-"""Errors of an exchange: what came is wrong, or no response came at all."""
+"""Errors of an exchange: an invalid message, or no response."""
 
 from gaproute.errors import GaprouteError
 
 
 class HttpError(GaprouteError):
-    """What the other side sent breaks the protocol or a limit: `status` and `text` to answer it with."""
+    """A message breaks the protocol or a limit; `status` and `text` are those of the answer."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -12,11 +12,11 @@
 
 
 class NoResponseError(GaprouteError):
-    """No full response came.
+    """No complete response came.
 
     `any_byte_sent`: whether the kernel took any byte of the request; if not, it never ran. `connected`:
-    whether a connection stood. `error`: what the dial or the connection ended with, where it was an error.
-    `lapsed`: the request was not to begin any more, which is no fault of the other side.
+    whether there was a connection. `error`: how dialing or the connection ended, if with an error. `lapsed`:
+    the request was not allowed to begin any more, which is no fault of the server.
     """
 
     def __init__(
@@ -33,5 +33,5 @@
 
     @property
     def reset(self) -> bool:
-        """Whether the connection was reset, as by a server that closes it with bytes unread."""
+        """Whether the connection was reset, as by a server that closes it while bytes lie unread."""
         return isinstance(self.error, (ConnectionResetError, BrokenPipeError))
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client and its response, on a connection that stands or is opened for it."""
+"""One request of a client and its response, on an open connection or on a new one."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Exchange:
-    """One request. `on_done(response, failure)`, one of them None, is called once and never at once."""
+    """One request. `on_done(response, failure)`, with one of them None, is called once, later."""
 
     __slots__ = (
         "loop",
@@ -40,20 +40,20 @@
         start_before: int | None = None,
         still_wanted: Callable[[], bool] | None = None,
     ) -> None:
-        """`request`: its bytes, or a call(now) that makes them as they are handed over.
+        """`request`: its bytes, or a function of the time `now` that makes them when they are sent.
 
-        `start_before`: until when it may begin; `still_wanted()`: whether it still may. A connection that
-        stands later is not used for it, and it has `lapsed`.
+        `start_before`: when the request may begin at the latest, ns; `still_wanted()`: whether it may still
+        begin. Otherwise it fails as `lapsed`.
         """
         self.loop, self.request, self.on_done = loop, request, on_done
         self.start_before, self.still_wanted = start_before, still_wanted
-        self.connection: ClientConnection | None = None  # once its request has begun
+        self.connection: ClientConnection | None = None  # set once the request has begun
         self.started_at: int = loop.now()
         self.finished = False
-        self._cancel_connect: Callable[[], object] | None = None  # while a connection is opened
+        self._cancel_connect: Callable[[], object] | None = None  # set while a connection is being opened
 
     def send_on(self, connection: ClientConnection) -> Exchange:
-        """Begins on a connection that stands."""
+        """Sends the request on an open connection."""
         self.connection = connection
         request = self.request
         connection.send(self, request(self.loop.now()) if callable(request) else request)
@@ -67,7 +67,9 @@
         body_limit: int,
         on_connection: OnConnection | None = None,
     ) -> Exchange:
-        """Begins on a new connection, `on_connection(connection)` first; limits as of `ClientConnection`."""
+        """Opens a connection, calls `on_connection(connection)`, and sends; limits as of
+        `ClientConnection`.
+        """
         connected = partial(self._connected, head_limit, body_limit, on_connection)
         self._cancel_connect = connect(self.loop, address, timeout, connected)
         return self
@@ -95,7 +97,7 @@
 
     @property
     def lapsed(self) -> bool:
-        """Whether it may no longer begin."""
+        """Whether the request is not allowed to begin any more."""
         if self.start_before is not None and self.loop.now() >= self.start_before:
             return True
         return self.still_wanted is not None and not self.still_wanted()
@@ -113,10 +115,10 @@
     # Ends
 
     def finish(self, response: Response | None, failure: NoResponseError | None) -> None:
-        """Ends it with one of the two; nothing where it has ended."""
+        """Ends the exchange with a response or a failure; does nothing if it has ended already."""
         if not self.finished:
             self.finished = True
-            # a closure that holds this exchange: no cycle is left behind
+            # the closure refers to this exchange, so it is dropped to break the cycle
             on_done, self.on_done = self.on_done, _ignore
             on_done(response, failure)
 
@@ -125,12 +127,12 @@
         self.finish(None, failure)
 
     def fail_if_unsent(self, text: str) -> None:
-        """Ends it where it still waits for its connection: it fails soon, and never ran."""
+        """Fails the exchange if it still waits for its connection; its request never ran."""
         if self._stop_connecting():
             self.loop.soon(self._fail_unsent, text)
 
     def cancel(self) -> bool:
-        """Ends it and its connection without `on_done`; whether any byte was handed over."""
+        """Ends the exchange and its connection without `on_done`; returns whether any byte was sent."""
         any_byte_sent = self.any_byte_sent
         self.finished, self.on_done = True, _ignore
         if self._stop_connecting():
@@ -140,7 +142,7 @@
         return any_byte_sent
 
     def _stop_connecting(self) -> bool:
-        """Gives up the connection that is opened for it; whether there was one."""
+        """Stops opening a connection; returns whether one was being opened."""
         if self._cancel_connect is None:
             return False
         self._cancel_connect()
@@ -149,4 +151,4 @@
 
 
 def _ignore(response: Response | None, failure: NoResponseError | None) -> None:
-    """Stands for `on_done` after the end."""
+    """Replaces `on_done` after the end."""
--- a/gaproute/http1/message.py
+++ b/gaproute/http1/message.py
@@ -1,4 +1,4 @@
-"""Requests and responses as they came, and the answers to requests until their turn has come."""
+"""Received requests and responses, and the answers to requests that wait for their turn."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 
 
 class RequestConnection(Protocol):
-    """What who answers a request needs of its connection: see `ServerConnection`."""
+    """The part of `ServerConnection` that handlers of requests use."""
 
     stream: Stream
 
     def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """Writes the answer to one request when its turn has come."""
+        """Writes the answer to one request when it is next in order."""
 
     def client_present(self) -> bool:
         """Whether the client has neither closed its side nor left."""
 
     def close_gracefully(self) -> None:
-        """Closes once what was written has been taken."""
+        """Closes after all that was written is sent."""
 
     def abort(self) -> None:
-        """Resets the connection; nothing is called."""
+        """Resets the connection; no callback is called."""
 
 
 class Message:
-    """What requests and responses have in common.
+    """The common part of requests and responses.
 
-    Header names are lower case; a name that came twice is joined by a comma.
+    Header names are lower case; the values of a name that occurs several times are joined by a comma.
     """
 
     __slots__ = ("headers", "body", "keep_alive")
@@ -41,18 +41,19 @@
 
 
 class Request(Message):
-    """One request, and who sent it."""
+    """One request, and the connection that it came on."""
 
     __slots__ = ("method", "target", "arrived_at", "connection", "on_client_left", "client_closed")
 
     connection: RequestConnection
 
     def __init__(self, arrived_at: int) -> None:
-        """`arrived_at`: when its first byte came, by the loop's clock."""
+        """`arrived_at`: when its first byte came, ns of the loop's clock."""
         self.arrived_at = arrived_at
         self.method, self.target, self.headers, self.body, self.keep_alive = b"", b"", {}, b"", True
-        self.on_client_left: Callable[[], object] | None = None  # when the client leaves before the answer
-        self.client_closed = False  # its client had closed its side when it was read
+        # called if the client leaves before the answer
+        self.on_client_left: Callable[[], object] | None = None
+        self.client_closed = False  # whether its client had closed its side when the request was read
 
 
 class Response(Message):
@@ -65,10 +66,10 @@
 
 
 class PendingAnswer:
-    """A place in the order of answers; `data`: the answer as bytes, once it is there."""
+    """A place in the order of answers; `data`: the encoded answer, once there is one."""
 
     __slots__ = ("request", "data")
 
     def __init__(self, request: Request | None, data: bytes | None = None) -> None:
-        """`request`: None for what cannot be read."""
+        """`request`: None for a message that cannot be decoded."""
         self.request, self.data = request, data
--- a/gaproute/http1/reader.py
+++ b/gaproute/http1/reader.py
@@ -1,6 +1,6 @@
-"""Bytes in, whole messages out; never touches a socket. Parsing is httptools' (llhttp, strict mode).
+"""Decodes bytes to messages; does no I/O. The parser is httptools (llhttp, strict mode).
 
-httptools was picked over h11 by `benchmarks/parsers.py`: a typical request costs it 6 us, h11 about 100.
+httptools was chosen over h11 by `benchmarks/parsers.py`: it needs 6 us for a typical request, h11 about 100.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from gaproute.http1.errors import HttpError
 from gaproute.http1.message import Request, Response
 
-MAX_TARGET_BYTES = 8192  # longer ones are no name of a model
-HEADER_OVERHEAD = 4  # bytes of a header line beside its name and value
+MAX_TARGET_BYTES = 8192  # longer ones cannot name a model
+HEADER_OVERHEAD = 4  # bytes of a header line beside its name and its value
 
 CONTENT_LENGTH, TRANSFER_ENCODING = b"content-length", b"transfer-encoding"
 
@@ -22,7 +22,7 @@
 
 
 class MessageReader(Generic[MessageType]):
-    """Reads the messages of one connection within limits of a head and a body, in bytes.
+    """Reads the messages of one connection within limits of head and body, in bytes.
 
     The methods whose names begin with `on_` are called by the parser.
     """
@@ -33,25 +33,28 @@
         self.parser = parser
         self.head_limit, self.body_limit = head_limit, body_limit
         self.message: MessageType | None = None  # the one being read
-        self.headers: dict[bytes, bytes] = {}  # of it
+        self.headers: dict[bytes, bytes] = {}  # of `message`
         self.in_head = False
-        self.head_bytes = 0  # received of heads that are not whole
+        self.head_bytes = 0  # received of incomplete heads
         self.size = 0  # bytes of the head's fields, then of the body
-        self.length_count = 0  # fields of the head that tell the body's length
+        self.length_count = 0  # fields of the head that give the length of the body
         self.parts: list[bytes] = []  # of the body
         self.completed: list[MessageType] = []
-        self.wants_continue = False  # the head of a request asks for a 100 before its body is sent
-        self.error: HttpError | None = None  # raised within a callback, which the parser replaces
+        # whether the head of a request asks for a response 100 before its body is sent
+        self.wants_continue = False
+        # set in a callback, as the parser replaces errors that are raised there
+        self.error: HttpError | None = None
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has come in part."""
+        """Whether a part of a message has come."""
         return self.message is not None
 
     def feed(self, data: bytes) -> list[MessageType]:
-        """The messages that the bytes complete.
+        """The messages that these bytes complete.
 
-        Errors: HttpError, after which nothing more may be fed; what was whole before it is in `completed`.
+        Errors: HttpError, after which no further bytes may be fed; complete messages before it are in
+        `completed`.
         """
         if self.in_head or self.message is None:
             self.head_bytes += len(data)
@@ -69,7 +72,7 @@
         return completed
 
     def take_completed(self) -> list[MessageType]:
-        """The messages that were whole before an error."""
+        """The messages that were complete before an error."""
         completed, self.completed = self.completed, []
         return completed
 
@@ -83,7 +86,7 @@
         self.wants_continue = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A field of the head, or of the trailer."""
+        """Called for a field of the head or of the trailer."""
         name = name.lower()
         self.size += len(name) + len(value) + HEADER_OVERHEAD
         if self.size > self.head_limit:
@@ -103,13 +106,13 @@
             self._fail(413, f"the body is over {self.body_limit} bytes")
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
+        """Called when the head is complete."""
         assert self.message is not None
         self.in_head, self.head_bytes, self.size = False, 0, 0
         self.message.keep_alive = self.parser.should_keep_alive()
 
     def on_body(self, body: bytes) -> None:
-        """A part of the body."""
+        """Called for a part of the body."""
         self.wants_continue = False
         self.size += len(body)
         if self.size > self.body_limit:
@@ -117,7 +120,7 @@
         self.parts.append(body)
 
     def on_message_complete(self) -> None:
-        """The message is whole."""
+        """Called when the message is complete."""
         message, self.message, self.wants_continue = self.message, None, False
         assert message is not None
         message.body = b"".join(self.parts) if len(self.parts) != 1 else self.parts[0]
@@ -126,7 +129,7 @@
 
 
 class RequestReader(MessageReader[Request]):
-    """Reads requests. `clock()`: when the bytes that are fed came, ns."""
+    """Reads requests. `clock()`: when the present bytes came, ns."""
 
     UNSUPPORTED_CODING = 501
 
@@ -135,11 +138,11 @@
         self.clock = clock
 
     def on_message_begin(self) -> None:
-        """The first byte of a request."""
+        """Called for the first byte of a request."""
         self._begin(Request(self.clock()))
 
     def on_url(self, url: bytes) -> None:
-        """A part of the request's target."""
+        """Called for a part of the request's target."""
         request = self.message
         assert request is not None
         request.target += url
@@ -147,7 +150,7 @@
             self._fail(414, f"the target is over {MAX_TARGET_BYTES} bytes")
 
     def on_headers_complete(self) -> None:
-        """The head is whole: checks what a request must and must not have."""
+        """Called when the head is complete; checks what a request must and must not have."""
         super().on_headers_complete()
         request = self.message
         assert request is not None
@@ -169,11 +172,11 @@
         super().__init__(httptools.HttpResponseParser(self), head_limit, body_limit)
 
     def on_message_begin(self) -> None:
-        """The first byte of a response."""
+        """Called for the first byte of a response."""
         self._begin(Response())
 
     def on_headers_complete(self) -> None:
-        """The head is whole."""
+        """Called when the head is complete."""
         super().on_headers_complete()
         assert self.message is not None
         self.message.status = self.parser.get_status_code()
--- a/gaproute/http1/rendering.py
+++ b/gaproute/http1/rendering.py
@@ -1,4 +1,4 @@
-"""Responses as bytes, with the reason phrases of RFC 9110."""
+"""Encodes responses, with the reason phrases of RFC 9110."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class ErrorAnswer(NamedTuple):
-    """The headers and the body by which a client is told of an error."""
+    """The headers and the body of the answer for an error."""
 
     headers: tuple[Header, ...]
     body: bytes
@@ -36,7 +36,7 @@
 
 
 def render(status: int, headers: Iterable[Header], body: bytes, *, close: bool) -> bytes:
-    """The bytes of a response; `close`: whether it says that the connection closes."""
+    """Encodes a response; `close`: whether it announces that the connection closes."""
     lines = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, UNKNOWN_REASON).encode())]
     lines += [b"%s: %s\r\n" % header for header in headers]
     lines.append(b"Content-Length: %d\r\n%s\r\n" % (len(body), b"Connection: close\r\n" if close else b""))
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1: listens, wakes and parks connections, hands whole requests to a handler."""
+"""An HTTP/1.1 server: listens, resumes and parks connections, and hands complete requests to a handler."""
 
 from __future__ import annotations
 
@@ -22,19 +22,21 @@
 
 
 class QuietConnection(NamedTuple):
-    """A connection that is parked at `due`, where that is still its deadline."""
+    """A connection that is parked at `due` if that is still its deadline."""
 
     due: int
     connection: DeadlineConnection
 
 
 def plain_error(error: HttpError) -> ErrorAnswer:
-    """An error as a line of text."""
+    """The answer for an error as a line of text."""
     return ErrorAnswer((), error.text.encode() + b"\n")
 
 
 class Server(Acceptor[ServerConnection]):
-    """Listens on one address. `handle(request)` for each whole request, to be answered once by `answer`."""
+    """Listens on one address. `handle(request)` is called for each complete request and answers it once by
+    `answer`.
+    """
 
     def __init__(
         self,
@@ -47,14 +49,18 @@
         counted: bool = False,
         inherited: socket.socket | None = None,
     ) -> None:
-        """`render_error(error)`: the answer to a client that breaks the protocol or a limit; `counted` and
-        `inherited` as of `Acceptor`. Errors: OSError."""
+        """Listens at the address. Errors: OSError.
+
+        `render_error(error)`: the answer to a client that breaks the protocol or a limit; `counted` and
+        `inherited` as of `Acceptor`.
+        """
         super().__init__(loop, address, counted=counted, inherited=inherited)
         self.handle, self.limits, self.render_error = handle, limits, render_error
-        self.buffered_bytes = 0  # of all requests that have not come in whole
+        self.buffered_bytes = 0  # bytes of incomplete requests of all connections
         self.quiet_connections: deque[QuietConnection] = deque()
         self.sweep_timer: Timer | None = None
-        self.last_request_by: int | None = None  # after a stop with grace: when the last one must be whole
+        # after a stop with grace: when the last request must be complete, ns
+        self.last_request_by: int | None = None
 
     # Accepting
 
@@ -68,21 +74,23 @@
         return ServerConnection(self, sock, address_id, request_count)
 
     def _reject(self, sock: socket.socket) -> None:
-        """Answers what a connection that finds no capacity may ask, and closes it. What lies there is read
-        first: a socket closed with bytes unread is reset, which can destroy the answer."""
+        """Answers the request of a connection for which there is no capacity, and closes the connection.
+
+        Unread bytes are read first: closing a socket with unread bytes resets it, which can lose the answer.
+        """
         answer = self.render_error(HttpError(503, "there is no room for one more connection"))
-        with contextlib.suppress(OSError):  # nothing to be read, or its client has left
+        with contextlib.suppress(OSError):  # there is nothing to read, or the client has left
             sock.send(render(503, answer.headers, answer.body, close=True))
             sock.shutdown(socket.SHUT_WR)
             sock.recv(READ_SIZE)
         sock.close()
 
     def idle_end(self, now: int) -> int:
-        """When a connection that is idle from `now` on is closed."""
+        """When a connection that is idle from `now` on is closed, ns."""
         return self.connections.admission.idle_deadline(now, self.limits.idle_time, self.limits.spread)
 
     def says_close(self) -> bool:
-        """Whether answers say that the connection closes, as there are too many connections."""
+        """Whether answers announce that the connection closes, as there are too many connections."""
         return self.counted and self.connections.admission.announces_close(self.connections.client_count)
 
     # Limits
@@ -94,7 +102,7 @@
             self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
-        """Parks those that have been quiet since they were queued."""
+        """Parks the connections that have been quiet since they were queued."""
         now = self.loop.now()
         while self.quiet_connections and self.quiet_connections[0].due <= now:
             due, connection = self.quiet_connections.popleft()
@@ -103,9 +111,9 @@
         self.sweep_timer = self.loop.after(SWEEP_INTERVAL, self._sweep) if self.quiet_connections else None
 
     def enforce_memory_limit(self) -> None:
-        """Ends the unfinished request that has been coming in longest: all together take up too much.
+        """Ends the incomplete request that has been arriving longest, if all together use too much memory.
 
-        Guards against thousands that each send slowly; it harms one honest slow sender before its time.
+        This guards against thousands of clients that send slowly; an honest slow client may be ended early.
         """
         slowest, arrived_at = None, 0
         for connection in self.active_connections:
@@ -120,18 +128,18 @@
     # Answers
 
     def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """The one answer to a request; what comes after the client left for good is dropped."""
+        """Answers a request, once; the answer is dropped if the client has left."""
         request.connection.answer(request, status, headers, body)
 
     # Stop
 
     def stop(self, grace: int | None = None) -> None:
-        """Accepts no more; kept connections close after the answers they are owed. What has been sent
-        already is still answered, and its connection closed then.
+        """Stops accepting; open connections close after the answers that are owed.
 
-        `grace`: for so long, in ns, a connection that has brought no request yet may bring it, as no other
-        process can take it over, and a request may come in whole. One that has just been answered stays until
-        it has been quiet for a while.
+        Requests that were sent already are answered before their connection closes. `grace` (ns): for that
+        long, a connection that has brought no request yet may bring one, as no other process can take it
+        over, and a request may arrive completely. A connection with a recent answer stays until it has been
+        quiet for a while.
         """
         if self.stopping:
             return
