--- a/gaproute/discovery/__init__.py
+++ b/gaproute/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the endpoint list comes from: a watched file, or a change log that is followed."""
+"""The sources of the host list: a watched file, or a change log that is followed."""
--- a/gaproute/discovery/cell_members.py
+++ b/gaproute/discovery/cell_members.py
@@ -1,7 +1,7 @@
-"""The hosts of a cell as a change log reports them: each member is checked by itself.
+"""Converts the members in a cell's change log to lines of a host list; each member is checked by itself.
 
-A member that is rejected leaves its host as it was; but a host that is reported draining is draining,
-whatever else is wrong with its member.
+A rejected member leaves its host as it was; but a host that is reported as draining is draining, whatever
+else is wrong with its member.
 """
 
 import math
@@ -26,25 +26,27 @@
 
 MILLIS_PER_SECOND = 1_000
 MAX_REASON_CHARS = 200
-UNKNOWN_NAME = "?"  # of a member that does not even say its name
+UNKNOWN_NAME = "?"  # in place of the name of a member that has none
 EMPTY_LIST = "a whole list without hosts"
 PHASES = {state: phase for phase, state in STATES.items()}
 GONE, DRAINING = PHASES[State.GONE], PHASES[State.DRAINING]
 
 
 class MemberError(GaprouteError, ValueError):
-    """A member of a cell's host list that cannot be taken over; the message says why."""
+    """A member of a cell's host list is rejected; the message says why."""
 
 
 class RejectedMember(NamedTuple):
-    """A member that is not taken over, or a host that is not in force, and why."""
+    """A member that is not taken over, or a host that is not in force, and the reason."""
 
     host: str
     reason: str
 
 
 class CellMembers:
-    """What the log of one cell reports: `reported`, {host: its line}, of which not all need be in force."""
+    """What the change log of one cell reports: `reported`, the lines by host, of which not all need be in
+    force.
+    """
 
     __slots__ = ("reported",)
 
@@ -52,7 +54,9 @@
         self.reported: dict[str, HostLine] = {}
 
     def apply(self, update: FleetUpdate, max_hosts: int = MAX_HOSTS) -> list[RejectedMember]:
-        """Take over an event, by which the cell has at most `max_hosts` hosts; the members rejected."""
+        """Applies an event, after which the cell has at most `max_hosts` hosts; returns the rejected
+        members.
+        """
         if update.complete and not update.members:
             return [RejectedMember(UNKNOWN_NAME, EMPTY_LIST)]
         after = {} if update.complete else dict(self.reported)
@@ -82,7 +86,7 @@
 
 
 def _host_line(member: MemberRecord) -> HostLine:
-    """The member as a line of a host list. Errors: MemberError."""
+    """Converts a member to a line of a host list. Errors: MemberError."""
     state = STATES.get(member.phase)
     if state is None:
         raise MemberError(f"unknown phase {member.phase!r}")
@@ -95,7 +99,7 @@
         rack=str(member.cell)[:MAX_REASON_CHARS],
         capacity=capacity_of(member),
         state=state.value,
-        started=seconds,  # type: ignore[arg-type]  # which the line makes ns
+        started=seconds,  # type: ignore[arg-type]  # the line converts it to ns
     )
 
 
@@ -108,5 +112,5 @@
 
 
 def with_state(line: HostLine, state: str) -> HostLine:
-    """The line with that state."""
+    """The line with another state."""
     return line if line.state == state else line.model_copy(update={"state": state})
--- a/gaproute/discovery/cell_reconciler.py
+++ b/gaproute/discovery/cell_reconciler.py
@@ -1,8 +1,8 @@
-"""Which of the hosts that the logs of several cells report are in force together.
+"""Decides which of the hosts that the change logs of several cells report are in force together.
 
-Invariants: the hosts in force never name a host or an address twice, nor does a host come into force in
-another zone than its cell's. A host stays in the cell that it is in until that cell lets go of it. One in
-force that is reported draining is draining, also where its member is rejected.
+Invariants: the hosts in force never name a host or an address twice, and no host comes into force in another
+zone than its cell's. A host stays in its cell until that cell's log removes it. A host in force that is
+reported as draining is draining, even if its member is rejected.
 """
 
 from collections.abc import Mapping
@@ -14,11 +14,11 @@
 
 HostLines: TypeAlias = dict[str, HostLine]  # by host
 CellLines: TypeAlias = dict[str, HostLines]  # by cell
-Owners: TypeAlias = dict[str, dict[str, str]]  # by cell: by name or address, the host that has it
+Owners: TypeAlias = dict[str, dict[str, str]]  # by cell: by name or address, the host that uses it
 
 
 class Candidate(NamedTuple):
-    """A reported line of a cell, and what stays in force of its host where the line is rejected."""
+    """A reported line of a cell, and the line that stays in force if the reported one is rejected."""
 
     cell: str
     line: HostLine
@@ -26,20 +26,22 @@
 
 
 class CellReconciler:
-    """`active`: {cell: {host: line}} in force; `rejected`: {cell: {host: why it is not}}."""
+    """`active`: by cell and host, the lines in force; `rejected`: by cell and host, why it is not in
+    force.
+    """
 
     def __init__(self) -> None:
         self.active: CellLines = {}
         self.rejected: dict[str, dict[str, str]] = {}
-        # What `reconcile` was given last.
+        # The arguments of the last `reconcile`.
         self.reported: CellLines = {}
         self.zones: dict[str, str] = {}
         self.owners: Owners = {}
 
     def reconcile(self, reported: CellLines, zones: Mapping[str, str]) -> None:
-        """Put in force what is reported, {cell: {host: line}}, without what clashes.
+        """Puts in force what is reported (by cell and host), except lines that conflict.
 
-        A cell of which the same object is reported as before is not gone through again.
+        A cell for which the same object is reported as before is not processed again.
         """
         changed = {
             cell: lines for cell, lines in reported.items() if not self._is_reconciled(cell, lines, zones)
@@ -55,7 +57,7 @@
         self.owners, self.reported, self.zones = owners, dict(reported), dict(zones)
 
     def _is_reconciled(self, cell: str, lines: HostLines, zones: Mapping[str, str]) -> bool:
-        """Whether all of the cell is in force as it is reported now."""
+        """Whether everything in the cell is in force as it is reported now."""
         return (
             self.reported.get(cell) is lines
             and self.zones.get(cell) == zones[cell]
@@ -66,7 +68,8 @@
 def _choose(
     candidates: list[Candidate], owners: Owners, zones: Mapping[str, str]
 ) -> tuple[CellLines, dict[str, dict[str, str]]]:
-    """(lines in force by cell, reasons by cell and host); the first that has a name or an address keeps it.
+    """(lines in force by cell, reasons by cell and host); the first line that uses a name or an address has
+    it.
 
     `owners` of the candidates' cells are filled in.
     """
@@ -86,7 +89,7 @@
 
 
 def _candidates(reported: CellLines, active: CellLines) -> list[Candidate]:
-    """First hosts that are where they were, then those in force that changed, then others."""
+    """The order of lines: first hosts that are unchanged, then those in force that changed, then others."""
     same, changed, fresh = [], [], []
     for cell, lines in reported.items():
         before = active.get(cell, {})
@@ -104,7 +107,7 @@
 
 
 def _clash(cell: str, line: HostLine, owners: Owners) -> str | None:
-    """Why the line cannot be beside those that are in force, or None."""
+    """Why the line conflicts with those that are in force, or None."""
     for other, owned in owners.items():
         for key in (line.name, line.where):
             host = owned.get(key)
--- a/gaproute/discovery/file_watch.py
+++ b/gaproute/discovery/file_watch.py
@@ -1,4 +1,4 @@
-"""A file, such as a host list, that is watched for changes."""
+"""Watches a file, such as a host list, for changes."""
 
 import os
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class FileStamp(NamedTuple):
-    """By which a change of the file is known."""
+    """The properties of a file by which a change is recognized."""
 
     modified: int  # ns
     inode: int
@@ -25,13 +25,13 @@
 class FileWatch:
     """Checks a file at an interval, and reads it when it has changed.
 
-    `on_change(content)` is called at once when it has. A wrong or missing file is rejected whole:
-    `on_rejected(mistakes)` is called once for it, and the content accepted last stays in force. A file that
-    cannot be read for a transient reason is read at the next check; that is reported once too, when it lasts.
+    `on_change(content)` is called immediately when it has. An invalid or missing file is rejected:
+    `on_rejected(mistakes)` is called once for it, and the last accepted content stays in force. A file that
+    cannot be read for a transient reason is read at the next check; if that lasts, it is reported once.
 
-    `current_at`: when the file was last seen to be as `on_change` got it; None before the first. During
-    `on_change` it is still the time before that. A change is recognized by the file's time being another, not
-    a later one, so a wall clock that is set back hides none.
+    `current_at`: when the file was last seen unchanged since `on_change`; None before the first call. During
+    `on_change` it is still the time before the change. A change is recognized by a different time of the
+    file, not a later one, so a wall clock that is set back hides none.
     """
 
     def __init__(
@@ -43,15 +43,17 @@
         on_rejected: Callable[[list[Mistake]], object],
         reader: Callable[[Any], Any] = read_hosts,
     ) -> None:
-        """`interval`: ns; `reader(path)` gives the file's content. Errors of it: ConfigurationError."""
+        """`interval`: ns; `reader(path)` returns the content of the file. Errors of `reader`:
+        ConfigurationError.
+        """
         self.loop, self.path, self.interval = loop, path, interval
         self.on_change, self.on_rejected, self.reader = on_change, on_rejected, reader
-        self.stamp: FileStamp | int | None = None  # or the error number of the last check
+        self.stamp: FileStamp | int | None = None  # or the errno of the last check
         self.current_at: int | None = None
-        self.accepted = False  # whether the content last read was accepted
+        self.accepted = False  # whether the content that was read last was accepted
         self.failed_reads = 0  # in a row, for a transient reason
         self.timer: Timer | None = None
-        # After a stop the file is read before the requests that came meanwhile.
+        # After a stall the file is read before the requests that came in the meantime.
         loop.on_late_turn.append(self.check)
         self._check_again()
 
@@ -77,7 +79,7 @@
             self.current_at = checked_at
 
     def read(self) -> None:
-        """Read the file, whether or not it has changed."""
+        """Reads the file, whether or not it has changed."""
         read_at, self.accepted = self.loop.now(), False
         try:
             content = self.reader(self.path)
@@ -90,7 +92,7 @@
         self.accepted, self.current_at = True, read_at
 
     def _is_reported(self, error: ConfigurationError) -> bool:
-        """Whether the error is to be reported; what may pass by itself is checked again first."""
+        """Whether the error is reported; a transient one is checked again first."""
         cause = cause_of(error)
         if cause is None or not is_transient_read(cause):
             self.failed_reads = 0
@@ -100,7 +102,7 @@
         return self.failed_reads == FAILURES_BEFORE_REPORT
 
     def close(self) -> None:
-        """Check no more."""
+        """Ends the watch."""
         if self.timer is not None:
             self.timer.cancel()
         if self.check in self.loop.on_late_turn:
--- a/gaproute/discovery/host_lines.py
+++ b/gaproute/discovery/host_lines.py
@@ -1,4 +1,4 @@
-"""Lines of a host list as endpoints."""
+"""Converts lines of a host list to endpoints."""
 
 import time
 from collections.abc import Callable, Collection, Iterable
@@ -11,13 +11,14 @@
 from gaproute.loop import Loop
 
 STATES = {state.value: state for state in State}
-SAME_CAPACITY = 1.0  # of all hosts, where their capacities are not used
+SAME_CAPACITY = 1.0  # of all hosts, if capacities are not used
 
 
 class HostLineConverter:
-    """Makes lines endpoints. Zones and racks are numbered in the order in which they are first named.
+    """Converts lines to endpoints. Zones and racks are numbered in the order in which they first occur.
 
-    Start times come by the wall clock and leave by the loop's (`StartTimes`); they go with their hosts.
+    Start times are read by the wall clock and returned by the loop's clock (`StartTimes`); they are stored
+    with their hosts.
     """
 
     def __init__(
@@ -28,17 +29,17 @@
         self.zones, self.racks = NameNumbers(), NameNumbers()
 
     def endpoints(self, lines: Collection[HostLine], absent_at: int | None = None) -> list[Endpoint]:
-        """The endpoints of a whole list.
+        """The endpoints of a complete list.
 
-        `absent_at`: when the list before it was last known to be in force, by the loop's clock; None where
-        this is the first.
+        `absent_at`: when the former list was last known to be in force, ns of the loop's clock; None if this
+        is the first list.
         """
         endpoints = [self.endpoint(line, line.zone, absent_at) for line in lines]
         self.retain(lines)
         return endpoints
 
     def retain(self, lines: Iterable[HostLine]) -> None:
-        """Keep of hosts and racks only what these lines name."""
+        """Forgets hosts and racks that these lines do not name."""
         lines = list(lines)
         self.start_times.retain({line.name for line in lines})
         self.racks.retain(line.rack for line in lines)
--- a/gaproute/discovery/name_numbers.py
+++ b/gaproute/discovery/name_numbers.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Iterable
 
-MAX_NUMBERED_NAMES = 4096  # above it those that no line has any more are forgotten
+MAX_NUMBERED_NAMES = 4096  # above which names that no line has are forgotten
 
 
 class NameNumbers:
-    """Numbers names in the order in which they are first named; no number is given twice."""
+    """Numbers names in the order in which they first occur; no number is used twice."""
 
     __slots__ = ("by_name", "next")
 
@@ -23,7 +23,7 @@
         return number
 
     def retain(self, names: Iterable[str]) -> None:
-        """Above the bound, forget all other names."""
+        """Forgets all other names, if there are too many."""
         if len(self.by_name) > MAX_NUMBERED_NAMES:
             named = set(names)
             self.by_name = {name: number for name, number in self.by_name.items() if name in named}
--- a/gaproute/storage/cell_table_file.py
+++ b/gaproute/storage/cell_table_file.py
@@ -24,14 +24,14 @@
 CHECKSUM_LENGTH = 8  # bytes
 BODY_OFFSET = len(MAGIC) + CHECKSUM_LENGTH
 MAX_FILE_LENGTH = 5 << 20  # bytes: a whole encoded table and its header
-ANY_VERSION = (-1, -1)  # lower than that of any table
-MAX_FAILED_READS = 12  # in a row, before the file is quarantined: the disk answers, but has a bad block there
+ANY_VERSION = (-1, -1)  # lower than the version of any table
+MAX_FAILED_READS = 12  # in a row, before the file is quarantined: the disk works, but has a bad block there
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 
 
 class StoredTable(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """An encoded cell table with its version and what it is checked by."""
+    """An encoded cell table with its version and the values by which it is checked."""
 
     fleet: str
     term: Count
@@ -41,12 +41,12 @@
 
 
 class UnusableTableError(GaprouteError):
-    """The file holds no table that this gateway can use; the text says what was found and expected."""
+    """The file has no table that this gateway can use; the text says what was found and expected."""
 
 
 @dataclass
 class CellTableFileCounts:
-    """What happened to the file since the start."""
+    """What happened to the file since the start of the process."""
 
     written: int = 0
     failed: int = 0  # reads and writes
@@ -56,9 +56,9 @@
 class CellTableFile:
     """The file of one gateway.
 
-    `report(text)` is called with what an operator should know, once an outage. `wall_clock` returns ns since
-    1970 and only names quarantined files. `failed_reads` counts the reads that failed for a transient reason
-    since the last that did not; nothing should be written until it is 0.
+    `report(text)` is called with messages for operators, once in an outage. `wall_clock` returns ns since
+    1970 and only names quarantined files. `failed_reads` counts the reads in a row that failed for a
+    transient reason; nothing should be written until it is 0.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
         self.report, self.wall_clock = report, wall_clock
         self.counts = CellTableFileCounts()
         self.failed_reads = 0
-        self.failing = False  # an outage was reported and has not ended
+        self.failing = False  # whether an outage was reported and has not ended
 
     def read(self, newest_known: tuple[int, int] = ANY_VERSION) -> StoredTable | None:
         """Return the stored table, None where there is none that can be used.
@@ -91,7 +91,7 @@
         return table
 
     def write(self, table: StoredTable) -> bool:
-        """Store this table in place of the one before. Returns whether it is durable."""
+        """Store this table in place of the present one. Returns whether it is durable."""
         body = msgspec.msgpack.encode(table)
         content = MAGIC + _checksum(body) + body
         try:
@@ -106,7 +106,7 @@
         return True
 
     def quarantine(self, reason: str) -> None:
-        """Keep a file that cannot be used under another name for the operator."""
+        """Rename a file that cannot be used, for the operator to inspect."""
         self.counts.quarantined += 1
         target = f"{self.path}.broken-{self.wall_clock()}"
         try:
--- a/gaproute/storage/log_records.py
+++ b/gaproute/storage/log_records.py
@@ -19,19 +19,19 @@
 from gaproute.errors import GaprouteError
 
 RECORD_MAGIC, SEAL_MAGIC = b"\x9evR1", b"\x9evS1"
-MAGIC_PREFIX = RECORD_MAGIC[:2]  # of both: what a search behind a bad record looks for
-MAX_PAYLOAD = 16 << 20  # bytes: a whole snapshot; a greater length is a damaged one
+MAGIC_PREFIX = RECORD_MAGIC[:2]  # of both kinds; a search for later records after a bad one looks for it
+MAX_PAYLOAD = 16 << 20  # bytes: a complete snapshot; a greater length means a damaged record
 HEADER = struct.Struct("<4sIQQQ")
 CHECKED_FIELDS = struct.Struct("<4sIQQ")  # the header without its checksum
 NO_RECORD = -1  # number of the last record of an empty file
 
 
 class CorruptRecordError(GaprouteError):
-    """A record that was synced is not what was written; the text says at which byte."""
+    """A record that was synced is damaged; the text says at which byte."""
 
 
 class DecodedRecords(NamedTuple):
-    """What `decode_records` found. Bytes behind `valid_length` are a torn tail."""
+    """The result of `decode_records`. Bytes after `valid_length` are a torn tail."""
 
     payloads: list[bytes]
     valid_length: int  # bytes
@@ -42,7 +42,7 @@
     number: int
     batch_start: int
     payload: bytes | None  # None for a seal
-    end: int  # offset of the byte behind it
+    end: int  # offset of the first byte after it
 
 
 def encode_record(number: int, batch_start: int, payload: bytes, magic: bytes = RECORD_MAGIC) -> bytes:
--- a/gaproute/storage/observation_database.py
+++ b/gaproute/storage/observation_database.py
@@ -6,8 +6,8 @@
 
 from gaproute.errors import GaprouteError
 
-LOCK_TIMEOUT = 0  # s to wait for SQLite's lock: not at all, requests may be waiting for this thread
-PRIMARY_CODE = 0xFF  # mask of SQLite's extended result codes: the kind of failure
+LOCK_TIMEOUT = 0  # s; 0: do not wait for SQLite's lock, as requests may be waiting for this thread
+PRIMARY_CODE = 0xFF  # mask of SQLite's extended result codes that gives the kind of failure
 TRANSIENT_CODES = frozenset(
     {
         sqlite3.SQLITE_FULL,
@@ -50,7 +50,7 @@
         connection.execute(CREATE_TABLE)
         connection.execute(CHECK_COLUMNS).fetchall()
     except BaseException:
-        with suppress(sqlite3.Error):  # it must not hide what went wrong before
+        with suppress(sqlite3.Error):  # an error here must not hide the first one
             connection.close()
         raise
     return connection
--- a/gaproute/storage/observation_rows.py
+++ b/gaproute/storage/observation_rows.py
@@ -14,7 +14,7 @@
 from gaproute.errors import GaprouteError
 
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
-UNKNOWN_BOOT = ""  # equal to no boot: the wall clock is believed
+UNKNOWN_BOOT = ""  # equal to no boot; then the wall clock is used
 SIGNED_OFFSET = 1 << 63  # SQLite's integers are signed
 
 Subject = tuple[Any, ...]  # (kind, name, ...), see decisions/reports/observation_kinds.py
@@ -22,7 +22,7 @@
 
 
 class TornRowError(GaprouteError):
-    """A row is not what was written."""
+    """A row differs from what was written."""
 
 
 class StoredRow(NamedTuple):
@@ -35,7 +35,7 @@
 
 
 class Observation(NamedTuple):
-    """What was read of one subject; a row that claims to be of the future has a negative age."""
+    """What was read about one subject; a row with a time in the future has a negative age."""
 
     subject: Subject
     value: Value
--- a/gaproute/storage/observation_store.py
+++ b/gaproute/storage/observation_store.py
@@ -48,7 +48,7 @@
 
 
 class ObservationStoreError(GaprouteError):
-    """The file cannot be used now; the text says which and why."""
+    """The file cannot be used now; the text says which file and why."""
 
 
 class ObservationStore:
@@ -76,8 +76,9 @@
         self.lock: int | None = None  # descriptor of the lock file
         self.torn_rows = self.written = self.failed = 0
         self.damage = ""  # what was found wrong with the file since it was opened
-        self.checked = False  # whether the whole file was checked: once a process, as it takes long
-        self.backoff = 0  # ns; 0: no attempt failed since the last write
+        # whether the complete file was checked, which is done once for each process, as it takes long
+        self.checked = False
+        self.backoff = 0  # ns; 0: no attempt has failed since the last write
         self.retry_at = self.clock()
 
     def open(self) -> None:
@@ -97,7 +98,7 @@
     def ready(self) -> bool:
         """Return whether it can be written to, after opening it where the backoff is over."""
         if self.connection is None and self.clock() >= self.retry_at:
-            with suppress(ObservationStoreError):  # the outage was reported before
+            with suppress(ObservationStoreError):  # the outage was reported already
                 self.open()
         return self.connection is not None
 
@@ -207,7 +208,7 @@
         return True
 
     def _note_outage(self, error: sqlite3.Error) -> None:
-        """Close the connection, to be opened again after the backoff. Reported once an outage."""
+        """Close the connection, to be opened again after the backoff. Reported once in an outage."""
         if not self.backoff:
             self.report(f"{self.path}: {error}; nothing is written until it answers again")
         if not is_transient(error):
@@ -222,6 +223,6 @@
     def _disconnect(self) -> None:
         """Close the connection, which rolls back what was not committed."""
         if self.connection is not None:
-            with suppress(sqlite3.Error):  # it is not used any more
+            with suppress(sqlite3.Error):  # the connection is not used any more
                 self.connection.close()
             self.connection = None
--- a/gaproute/storage/raft_log_file.py
+++ b/gaproute/storage/raft_log_file.py
@@ -35,10 +35,11 @@
 
 
 class RaftLogFile:
-    """The file of one Raft node, locked against other processes. Call `open`, then `read`, before all else.
+    """The file of one Raft node, locked against other processes. Call `open`, then `read`, before anything
+    else.
 
-    `report(text)` is called with what an operator should know, an outage once. `wall_clock` returns ns since
-    1970 and only names quarantined files. `torn_tails` counts the tails cut off.
+    `report(text)` is called with messages for operators, once in an outage. `wall_clock` returns ns since
+    1970 and only names quarantined files. `torn_tails` counts the tails that were cut off.
     """
 
     def __init__(
@@ -51,8 +52,8 @@
         self.report, self.wall_clock = report, wall_clock
         self.descriptor: int | None = None
         self.lock: int | None = None  # descriptor of the lock file
-        self.failure: OSError | None = None  # the last one since everything was written
-        self.next_number = 0  # of the next record
+        self.failure: OSError | None = None  # the last failure since everything was written
+        self.next_number = 0  # number of the next record
         self.batch_start = 0  # number of the first record that is not synced
         self.torn_tails = 0
 
@@ -109,7 +110,7 @@
             self._write_everything(records)
 
     def quarantine(self, reason: str) -> None:
-        """Keep the file under another name for the operator; afterwards there is none. Errors: OSError."""
+        """Rename the file, for the operator to inspect; afterwards there is none. Errors: OSError."""
         with self._failures_noted():
             self._close_file()
             target = f"{self.path}.broken-{self.wall_clock()}"
@@ -134,7 +135,7 @@
         descriptor = files.replace_file(self.path, encode_replacement(map(bytes, records)))
         self._close_file()
         self.descriptor = descriptor
-        self.next_number = self.batch_start = len(records) + 1  # the seal is one
+        self.next_number = self.batch_start = len(records) + 1  # the seal counts as one
         self.failure = None
 
     def _report_torn_tail(self, decoded: DecodedRecords, length: int) -> None:
