--- a/gaproute/benchlink/__init__.py
+++ b/gaproute/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter of the bench's simulator: `python -m gaproute.benchlink` answers batches of its wire."""
+"""The adapter for the bench's simulator: `python -m gaproute.benchlink` answers batches of its protocol."""
--- a/gaproute/benchlink/__main__.py
+++ b/gaproute/benchlink/__main__.py
@@ -9,7 +9,7 @@
 from gaproute.benchlink.hub import Hub
 
 EXIT_OK, EXIT_MALFORMED_LINE = 0, 2
-LOGGED_CHARACTERS = 200  # of a line that cannot be read
+LOGGED_CHARACTERS = 200  # logged of a line that cannot be decoded
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
--- a/gaproute/benchlink/decoding.py
+++ b/gaproute/benchlink/decoding.py
@@ -1,6 +1,7 @@
-"""Fields of the simulator's lines as types of the decisions; the wire's words stop here.
+"""Converts fields of the simulator's lines to types of the decisions; no other module uses the wire's words.
 
-Every public function raises `WireFormatError` for what it cannot read: that is no error of the decisions.
+Every public function raises `WireFormatError` for a value that cannot be decoded, which is no error of the
+decisions.
 """
 
 import json
@@ -36,7 +37,8 @@
 }
 OK = "0"
 FLAGS = {"0": False, "1": True, ABSENT: False}
-# A remark: the lower bits say what the attempt found, the others count requests of the same function.
+# The remark of an outcome: the lower bits say what the attempt found, the others count requests of the
+# function.
 FOUND_BITS = 3
 MAX_FOUND = 4
 
@@ -44,7 +46,7 @@
 
 
 def decoder(decode: Decode) -> Decode:
-    """Makes `WireFormatError` of whatever a value that cannot be read raises."""
+    """Decorates a decoder: any error that a value causes is raised as a `WireFormatError`."""
 
     @wraps(decode)
     def checked(*arguments: object) -> object:
@@ -66,13 +68,13 @@
 
 @decoder
 def decode_integer(text: str) -> int:
-    """A whole number; 0 where it is absent."""
+    """A whole number; 0 if it is absent."""
     return _integer(text)
 
 
 @decoder
 def decode_terms(text: str) -> interface.Terms:
-    """The settings of an instance."""
+    """The settings of an instance, as terms of the decisions."""
     return settings.read_terms(json.loads(text))
 
 
@@ -107,7 +109,7 @@
 
 @decoder
 def decode_outcome(line: AttemptEnded, same_function_counted: bool) -> interface.Outcome | None:
-    """The outcome of an attempt; None where its result is unknown."""
+    """The outcome of an attempt; None if its result is unknown."""
     result = RESULTS.get(line.result)
     if result is None:
         return None
@@ -129,7 +131,7 @@
 
 @decoder
 def decode_stream_start(line: StreamStarted) -> interface.Outcome:
-    """The outcome that says that a streamed answer has begun."""
+    """The outcome by which a streamed answer begins."""
     return interface.Outcome(
         line.request,
         _integer(line.attempt),
@@ -151,17 +153,17 @@
 
 @decoder
 def decode_payload(line: PeerMessage) -> bytes:
-    """What another instance sent."""
+    """The payload of another instance's message."""
     return bytes.fromhex(line.payload)
 
 
 def encode_milliseconds(duration: int) -> str:
-    """A duration in ns as the wire's milliseconds, rounded up to its microseconds."""
+    """A duration in ns as milliseconds on the wire, rounded up to whole microseconds."""
     return f"{-(-duration // MICRO) / MICROS_PER_MILLI:.3f}"
 
 
 def _nanoseconds(text: str) -> int | None:
-    """Milliseconds on the wire, rounded to its microseconds, as ns; None where they are absent."""
+    """Milliseconds on the wire, rounded to whole microseconds, as ns; None if absent."""
     return None if text == ABSENT else round(float(text) * MICROS_PER_MILLI) * MICRO
 
 
--- a/gaproute/benchlink/events.py
+++ b/gaproute/benchlink/events.py
@@ -1,4 +1,4 @@
-"""Hands the events of an instance to its decisions: one function for each kind of line."""
+"""Handles the events of an instance: one function for each kind of line."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,45 +8,45 @@
 
 
 def on_request(instance: Instance, now: int, line: lines.RequestReceived) -> None:
-    """A client's request."""
+    """Starts a client's request."""
     instance.start_request(now, decoding.decode_request(line))
 
 
 def on_attempt_ended(instance: Instance, now: int, line: lines.AttemptEnded) -> None:
-    """The outcome of an attempt; an unknown result is passed over."""
+    """Handles the outcome of an attempt; an unknown result is ignored."""
     outcome = decoding.decode_outcome(line, instance.same_function_counted)
     if outcome is not None:
         instance.handle_outcome(now, outcome)
 
 
 def on_stream_started(instance: Instance, now: int, line: lines.StreamStarted) -> None:
-    """A streamed answer has begun; the decisions account for it when it ends."""
+    """Handles the begin of a streamed answer, which the decisions account for when it ends."""
     instance.resume(line.request, now, decoding.decode_stream_start(line))
 
 
 def on_client_left(instance: Instance, now: int, line: lines.ClientLeft) -> None:
-    """No final answer is owed any more."""
+    """Ends a request for which no final answer is owed any more."""
     instance.abandon(now, line.request)
 
 
 def on_timer_fired(instance: Instance, now: int, line: lines.TimerFired) -> None:
-    """A timer is due."""
+    """Fires a timer."""
     instance.timer_fired(now, line.tag)
 
 
 def on_probe_answered(instance: Instance, now: int, line: lines.ProbeAnswered) -> None:
-    """The answer to a health check."""
+    """Handles the answer to a health check."""
     report = decoding.decode_probe_report(line)
     instance.probe_answered(now, line.host, line.result == decoding.OK, report)
 
 
 def on_peer_message(instance: Instance, now: int, line: lines.PeerMessage) -> None:
-    """What another instance sent."""
+    """Handles a message of another instance."""
     instance.gateway.peer_message_received(now, decoding.decode_payload(line))
 
 
 def on_load_order_answered(instance: Instance, now: int, line: lines.LoadOrderAnswered) -> None:
-    """The answer to a load order."""
+    """Handles the answer to a load order."""
     result, copies = decoding.RESULTS.get(line.result), decoding.decode_integer(line.copies)
     instance.gateway.load_order_ended(now, line.host, line.function, result, copies)
 
--- a/gaproute/benchlink/hub.py
+++ b/gaproute/benchlink/hub.py
@@ -1,4 +1,4 @@
-"""Hands the lines of the simulator's batches to its instances and gathers their replies."""
+"""Passes the lines of the simulator's batches to its instances and collects their replies."""
 
 import traceback
 from collections.abc import Callable
@@ -15,21 +15,21 @@
 
 
 class UnfinishedList(NamedTuple):
-    """A host list of which rows are still to come."""
+    """A host list of which further rows follow."""
 
     number: str
     missing: int
 
 
 class DueTimer(NamedTuple):
-    """A timer of an instance that is due in this batch."""
+    """A timer of an instance that fires in this batch."""
 
     instance: int
     line: lines.TimerFired
 
 
 class Hub:
-    """All instances of the process; they share nothing but the wire and its numbered host lists."""
+    """All instances of the process; they share only the wire and its numbered host lists."""
 
     def __init__(self, make_gateway: MakeGateway = Gateway) -> None:
         self.make_gateway = make_gateway
@@ -38,9 +38,9 @@
         self.unfinished: UnfinishedList | None = None
         self.now = 0
         self.sequence = "0"  # of the batch
-        self.selected: int | None = None  # the instance that lines are for
-        self.failures: dict[int, str] = {}  # of the decisions in this batch, by instance
-        self.due_timers: list[DueTimer] = []  # they fire last, when all that came in is accounted for
+        self.selected: int | None = None  # the instance that the following lines are for
+        self.failures: dict[int, str] = {}  # by instance: an error of its decisions in this batch
+        self.due_timers: list[DueTimer] = []  # they fire last, after all events of the batch
         self.batch_handlers: dict[type, Callable[[Any], None]] = {
             lines.Sync: self._begin_batch,
             lines.SelectInstance: self._select,
@@ -49,9 +49,9 @@
         }
 
     def line(self, text: str) -> list[str] | None:
-        """Takes one line. Returns the reply's lines when it ends a batch, else None.
+        """Handles one line; returns the lines of the reply if it ends a batch, else None.
 
-        Errors: ValueError, `WireFormatError` among them, for a line that breaks the wire format.
+        Errors: ValueError, including `WireFormatError`, for a line that breaks the wire format.
         """
         name, line = lines.split_line(text)
         kind = type(line)
@@ -69,7 +69,7 @@
             self._handle_event(self.selected, line)
         return None
 
-    # Lines of no instance
+    # Lines that are for no instance
 
     def _begin_batch(self, line: lines.Sync) -> None:
         self.now, self.sequence = decoding.decode_clock(line.clock), line.sequence
@@ -95,7 +95,7 @@
     # Events of an instance
 
     def _handle_event(self, number: int, line: lines.Line) -> None:
-        """Hands an event to an instance; an error of its decisions is reported, and ends nothing else."""
+        """Passes an event to an instance; an error of its decisions is reported and affects nothing else."""
         try:
             if isinstance(line, lines.OpenInstance):
                 self._open(number, line)
--- a/gaproute/benchlink/instance.py
+++ b/gaproute/benchlink/instance.py
@@ -1,4 +1,4 @@
-"""Drives one gateway's decisions by the wire's events and collects the lines of its actions."""
+"""Drives one gateway's decisions by events of the wire and collects the lines of its actions."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from gaproute.core.driver import Driver
 from gaproute.core.ports import DecisionModule
 
-MakeGateway = Callable[[int, interface.Terms, int], DecisionModule]  # of seed, terms and now
+MakeGateway = Callable[[int, interface.Terms, int], DecisionModule]  # of seed, terms and the present time
 
 
 class Instance(Driver):
@@ -16,25 +16,25 @@
     def __init__(self, make_gateway: MakeGateway, seed: int, terms: interface.Terms, now: int) -> None:
         super().__init__(make_gateway(seed, terms, now))
         self.same_function_counted = terms.same_function_counted
-        self.wait_numbers: dict[str, str] = {}  # of the current wait, by key
+        self.wait_numbers: dict[str, str] = {}  # by key: the number of the current wait
         self.timer_count = 0
         self.lines: list[str] = []  # of the reply
 
     def timer_fired(self, now: int, tag: str) -> None:
-        """A timer is due; it may be of a wait that is over."""
+        """Fires a timer; nothing happens if its wait is over."""
         key, _, number = tag.rpartition("|")
         if self.wait_numbers.get(key) == number:
             self.wait_elapsed(key, now)
 
     def wait(self, key: str, until: int, now: int) -> None:
-        """Sets a timer."""
+        """Sets a timer for a wait."""
         self.timer_count += 1
         self.wait_numbers[key] = str(self.timer_count)
         duration = encode_milliseconds(max(0, until - now))
         self.lines.append(f"WAKE_AT {duration} {key}|{self.timer_count}")
 
     def cancel_wait(self, key: str) -> None:
-        """The key waits no more; its timer will be passed over."""
+        """Cancels the wait of the key; its timer is ignored when it fires."""
         self.wait_numbers.pop(key, None)
 
     def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
@@ -62,9 +62,9 @@
         self.lines.append("LISTEN 1")
 
     def reject(self, key: str, rejection: interface.Reject) -> None:
-        """Gives the final answer that nothing ran."""
+        """Gives the final answer that the request did not run, or may run again."""
         self.lines.append(f"BOUNCE {key} {encode_milliseconds(rejection.retry_after)}")
 
     def fail(self, key: str) -> None:
-        """Gives the final answer that promises nothing."""
+        """Gives the final answer that the request has failed: it may have run."""
         self.lines.append(f"LOSE {key}")
--- a/gaproute/benchlink/lines.py
+++ b/gaproute/benchlink/lines.py
@@ -1,53 +1,53 @@
-"""The lines that the simulator sends, split into their fields; values are still text."""
+"""The lines that the simulator sends, split into their fields; the values are still text."""
 
 from typing import NamedTuple
 
 from gaproute.errors import GaprouteError
 
-ABSENT = "-"  # in place of a value
+ABSENT = "-"  # stands for a missing value
 
 
 class WireFormatError(GaprouteError, ValueError):
-    """A line that breaks the wire format."""
+    """A line breaks the wire format."""
 
 
 class Sync(NamedTuple):
-    """A batch begins."""
+    """The begin of a batch."""
 
     clock: str
     sequence: str
 
 
 class EndOfBatch(NamedTuple):
-    """The batch is complete and wants its reply."""
+    """The end of a batch, which is to be answered."""
 
 
 class SelectInstance(NamedTuple):
-    """The events that follow are for this instance."""
+    """The instance for which the next events are."""
 
     instance: str
 
 
 class OpenInstance(NamedTuple):
-    """An instance starts."""
+    """The start of an instance."""
 
     seed: str
     settings: str
 
 
 class KillInstance(NamedTuple):
-    """The instance is killed, with all that it knew."""
+    """An instance is killed with all its state."""
 
 
 class DefineList(NamedTuple):
-    """A host list begins; so many rows follow."""
+    """The begin of a host list with that many rows."""
 
     number: str
     row_count: str
 
 
 class ListRow(NamedTuple):
-    """A host of the list."""
+    """A host in the list."""
 
     host: str
     zone: str
@@ -59,7 +59,7 @@
 
 
 class HostListUpdate(NamedTuple):
-    """The instance is given a host list, or its changes."""
+    """A host list, or its changes, for the instance."""
 
     revision: str
     kind: str
@@ -82,7 +82,7 @@
 
 
 class StreamStarted(NamedTuple):
-    """A streamed answer has begun."""
+    """The begin of a streamed answer."""
 
     request: str
     host: str
@@ -91,7 +91,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """What became of an attempt."""
+    """The outcome of an attempt."""
 
     request: str
     attempt: str
@@ -104,7 +104,7 @@
 
 
 class ClientLeft(NamedTuple):
-    """The client has left, or its deadline is over."""
+    """The client has left, or its deadline has passed."""
 
     request: str
 
@@ -125,7 +125,7 @@
 
 
 class PeerMessage(NamedTuple):
-    """What another instance sent."""
+    """A message of another instance."""
 
     sender: str
     payload: str
@@ -177,7 +177,8 @@
     "PEER_DATA": PeerMessage,
     "STANDS": LoadOrderAnswered,
 }
-FREE_TEXT_LAST = frozenset(("OPEN_INSTANCE", "ALARM"))  # their last field goes on to the line's end
+# lines whose last field goes on to the end of the line
+FREE_TEXT_LAST = frozenset(("OPEN_INSTANCE", "ALARM"))
 
 
 class LineFormat(NamedTuple):
--- a/gaproute/cli/common.py
+++ b/gaproute/cli/common.py
@@ -1,4 +1,4 @@
-"""What several commands share: exit codes, errors for a person, tables, the options of more than one."""
+"""What several commands share: exit codes, errors, tables, and common options."""
 
 import sys
 from collections.abc import Iterable, Sequence
@@ -15,12 +15,12 @@
 
 
 class ExitCode(IntEnum):
-    """What a command ends with."""
+    """The exit codes of commands."""
 
     OK = 0
-    NOT_WELL = 1  # what was asked about: a broken rule, a gateway that is not ready
+    NOT_WELL = 1  # the command found something wrong: a broken rule, a gateway that is not ready
     WRONG_INPUT = 2  # arguments or configuration
-    IMPOSSIBLE = 3  # it could not be done
+    IMPOSSIBLE = 3  # the command could not be carried out
 
 
 def fail(message: str, code: ExitCode = ExitCode.WRONG_INPUT) -> NoReturn:
@@ -30,7 +30,7 @@
 
 
 def reject(error: ConfigurationError, consequence: str) -> NoReturn:
-    """Ends the command with every mistake, and what follows of them."""
+    """Ends the command with all mistakes and what follows from them."""
     for mistake in error.mistakes:
         click.echo(str(mistake), err=True)
     count = len(error.mistakes)
@@ -38,7 +38,7 @@
 
 
 def show_table(columns: Sequence[str], rows: Iterable[Iterable[str]]) -> None:
-    """Prints rows of texts under their columns' names."""
+    """Prints rows of texts under the names of their columns."""
     table = Table()
     for column in columns:
         table.add_column(column)
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -1,6 +1,6 @@
-"""Commands that play: scripted days on loopback, and load against a gateway.
+"""Commands that run experiments: scripted days on loopback, and load against a gateway.
 
-What they play with is imported by each of them: the other commands should not wait for it.
+Each command imports what it runs, so that other commands start fast.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 def _cluster_play(parsed: Any) -> tuple[Callable[..., Any], Callable[..., None]]:
-    """What plays a cluster script, and what shows its verdict."""
+    """The functions that play a cluster script and that show its verdict."""
     from gaproute.cluster.platform.harness import harness_class
     from gaproute.cluster.show import show
 
@@ -68,7 +68,7 @@
 
 
 def _day_play() -> tuple[Callable[..., Any], Callable[..., None]]:
-    """The same of a scripted day."""
+    """The functions that play a scripted day and that show its verdict."""
     from gaproute.scenarios.result_table import print_result
     from gaproute.scenarios.trial import Trial
 
@@ -109,7 +109,7 @@
 
 
 def _load_rows(generator: LoadGenerator) -> list[Row]:
-    """The figures of each traffic."""
+    """The figures of each kind of traffic."""
     return [
         {
             "traffic": name,
--- a/gaproute/cli/queries.py
+++ b/gaproute/cli/queries.py
@@ -1,4 +1,4 @@
-"""Commands that ask a running gateway at its operator address."""
+"""Commands that query a running gateway at its operators' address."""
 
 import json
 import socket
@@ -22,7 +22,7 @@
 
 
 def ask(where: str, path: bytes) -> Any:
-    """What a gateway tells at the path of its operator address; ends the command where nobody answers."""
+    """The answer of a gateway at the path of its operators' address; ends the command if none comes."""
     try:
         return json.loads(_get(where, path))
     except (OSError, ValueError) as error:
@@ -30,7 +30,7 @@
 
 
 def _get(where: str, path: bytes) -> bytes:
-    """The body of one answer. Raises OSError."""
+    """The body of an answer. Errors: OSError."""
     family, target = address(where)
     with socket.socket(family, socket.SOCK_STREAM) as sock:
         sock.settimeout(TIMEOUT)
@@ -51,7 +51,7 @@
     *,
     as_json: bool,
 ) -> None:
-    """Prints what the operator address tells at the path: as JSON, or a row of `cells` for each object."""
+    """Prints the objects at the path: as JSON, or as a row of `cells` for each object."""
     objects = ask(where, path)
     if as_json:
         click.echo(json.dumps(objects))
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -1,4 +1,4 @@
-"""Commands about a configuration file: run a gateway by it, check it."""
+"""Commands about a configuration file: run a gateway by it, or check it."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from gaproute.appliance import Appliance
 
 MAX_PROCESSES = 64
-GC_THRESHOLDS = (10_000, 50, 100)  # a request leaves no cycles behind
+GC_THRESHOLDS = (10_000, 50, 100)  # few collections, as a request leaves no reference cycles
 
 Result = TypeVar("Result")
 
 
 def load_configuration(file: str, *, with_cells: bool = False) -> Configuration:
-    """The configuration of a file; ends the command where it cannot be used.
+    """Reads a configuration file; ends the command if it cannot be used.
 
     `with_cells`: the files of its cells are read as well; a gateway starts without them and waits.
     """
@@ -38,7 +38,7 @@
 
 
 def _read(file: str, *, with_cells: bool) -> Configuration:
-    """Raises `ConfigurationError` for any of the files."""
+    """Errors: `ConfigurationError` for any of the files."""
     configuration = read_configuration(file)
     if configuration.hosts_file is not None:
         read_hosts(configuration.hosts_file.path)
@@ -50,7 +50,7 @@
 
 
 def attempt(patience: StartupRetries, step: Callable[[], Result], failed: str = "cannot start") -> Result:
-    """What a step of the start returns; ends the command where the operating system does not let it."""
+    """The result of a step of the start; ends the command if the operating system does not allow the step."""
     try:
         result: Result = patience.call(step)
     except OSError as error:
@@ -109,7 +109,7 @@
 def _make_appliance(
     patience: StartupRetries, configuration: Configuration, seed: int | None, inherited: Iterable[str]
 ) -> Appliance:
-    """The gateway, with its signals handled. `inherited`: `DESCRIPTOR=ADDRESS` of sockets that listen."""
+    """Makes the gateway with its signal handlers. `inherited`: `DESCRIPTOR=ADDRESS` of listening sockets."""
     from gaproute.appliance import Appliance
 
     sockets = {}
@@ -124,7 +124,7 @@
 
 def _tune_garbage_collection() -> None:
     gc.collect()
-    gc.freeze()  # what stays for good is not looked through again and again: pauses of 20 ms and more
+    gc.freeze()  # objects that live as long as the process are not examined, which takes 20 ms and more
     gc.set_threshold(*GC_THRESHOLDS)
 
 
