--- a/gaproute/shared/__init__.py
+++ b/gaproute/shared/__init__.py
@@ -1,5 +1,5 @@
-"""What processes share, decided without I/O.
+"""State that processes share, without I/O.
 
-Gossip fades and only advises (`gossip/`, over `membership/`). Leases are what the members of a Raft group
-agreed on (`raft/`: the agreement; `leases/`: the state machine and the holder's side).
+Gossip expires and is only a hint (`gossip/`, over `membership/`). Leases are agreed on by the members of a
+Raft group (`raft/`: the agreement; `leases/`: the state machine and the holder's side).
 """
--- a/gaproute/shared/dissemination/__init__.py
+++ b/gaproute/shared/dissemination/__init__.py
@@ -1,10 +1,10 @@
 """Epidemic dissemination of one small versioned document to every gateway of a fleet.
 
-A newer version is pushed at once to a few peers, drawn from a bounded partial view. Anti-entropy mends what
-pushes miss: now and then one peer is sent the current version, and whoever has an older one fetches the
-changes or the whole document. No I/O here: the clock and the chance are handed in, messages come through
-methods and go as return values. Nothing rests on it but freshness: a gateway that hears nobody keeps the
-version that it has. Face: `Disseminator`.
+A newer version is pushed at once to a few peers, drawn from a bounded partial view. Anti-entropy repairs what
+pushes miss: at intervals one peer is sent the current version, and the side with the older one fetches the
+changes or the complete document. No I/O here: time and random numbers are handed in, messages come through
+methods and are returned. A gateway that reaches no peer uses the version that it has. The entry point is
+`Disseminator`.
 """
 
 from gaproute.shared.dissemination.disseminator import Disseminator
--- a/gaproute/shared/dissemination/assembly.py
+++ b/gaproute/shared/dissemination/assembly.py
@@ -1,22 +1,22 @@
-"""A whole document that comes part by part."""
+"""Assembles a complete document that arrives in parts."""
 
 from gaproute.shared.dissemination.bounds import MAX_WHOLE
 from gaproute.shared.dissemination.messages import NOTHING, Part
 
 
 class Assembly:
-    """Parts of one version, taken in order; a part of another version begins anew."""
+    """The parts of one version, taken in order; a part of another version starts again."""
 
     def __init__(self) -> None:
         self.clear()
 
     def clear(self) -> None:
-        """Forgets what came."""
+        """Drops the parts."""
         self.version, self.digest, self.size = NOTHING, 0, 0
         self.data = bytearray()
 
     def take(self, part: Part) -> bool:
-        """Whether the part was the next one."""
+        """Takes a part; returns whether it was the next one."""
         if not 0 < part.size <= MAX_WHOLE or not part.data:
             return False
         if (part.version, part.digest, part.size) != (self.version, self.digest, self.size):
@@ -31,10 +31,10 @@
 
     @property
     def begun(self) -> bool:
-        """Whether parts came, and not yet all."""
+        """Whether some parts have come, but not all."""
         return bool(self.data)
 
     @property
     def complete(self) -> bool:
-        """Whether the last part came."""
+        """Whether the last part has come."""
         return 0 < self.size == len(self.data)
--- a/gaproute/shared/dissemination/cell_peers.py
+++ b/gaproute/shared/dissemination/cell_peers.py
@@ -10,7 +10,7 @@
 def candidates(
     table: CellTable | None, own_cell: str, neighbours: Iterable[Peer], configured: Iterable[Peer]
 ) -> Candidates:
-    """Who may be spoken with. `neighbours`: gateways of the own cell that are known besides the table."""
+    """The peers to exchange with. `neighbours`: gateways of the own cell that are known beside the table."""
     own = {peer.name: peer for peer in neighbours}
     if table is None:
         return Candidates(tuple(own.values()), {}, tuple(configured))
--- a/gaproute/shared/dissemination/disseminator.py
+++ b/gaproute/shared/dissemination/disseminator.py
@@ -1,7 +1,8 @@
-"""One gateway's part in the dissemination: what it sends, to whom, and what it does with what it receives.
+"""One gateway's part in the dissemination: which messages it sends, and how it handles those that it
+receives.
 
-Invariants: the current version only grows; whatever is received costs bounded memory, CPU and bytes; what is
-rejected is counted by its reason and leaves the document as it was. Times are in ns.
+Invariants: the current version only grows; handling a message costs bounded memory, CPU time and bytes; a
+rejected message is counted by its reason and leaves the document as it was. Times are ns.
 """
 
 from collections import Counter
@@ -37,9 +38,10 @@
 
 
 class Disseminator:
-    """`tick` at the time `due`, `receive` for each datagram, `answer` for each pull, and `receive_answer`.
+    """Call `tick` at the time `due`, `receive` for each datagram, `answer` for each pull, and
+    `receive_answer`.
 
-    All but `answer` return what to send. `document` may be changed by nobody else.
+    All but `answer` return the messages to send. Only this class may change `document`.
     """
 
     def __init__(self, name: str, document: Document, random: RandomSource, now: int) -> None:
@@ -54,7 +56,7 @@
         self._eager_until = now
 
     def set_candidates(self, candidates: Candidates) -> None:
-        """Whom this gateway may speak with from now on."""
+        """Takes over the peers with which this gateway may exchange."""
         self.view.set_candidates(candidates)
         self.receive_limits.set_peers(self.view.names)
 
@@ -66,11 +68,11 @@
 
     @property
     def rejections(self) -> Counter[str]:
-        """How often something was rejected, by the reason."""
+        """By reason: how many messages were rejected."""
         return self.replica.rejections
 
     def tick(self, now: int) -> list[Send]:
-        """Announces to one peer, and asks again for what did not come."""
+        """Announces the version to one peer, and repeats a request that was not answered."""
         sends: list[Send] = []
         if now >= self._next_announcement:
             self._schedule_announcement(now)
@@ -85,26 +87,26 @@
     # Publishing
 
     def publish(self, now: int, change: Change) -> list[Send]:
-        """A change made at this gateway. Errors: DocumentError."""
+        """Publishes a change that was made at this gateway. Errors: DocumentError."""
         self.replica.apply(change)
         return self._taken(now, "", (change,))
 
     def publish_whole(self, now: int, version: Version, digest: int, data: bytes) -> list[Send]:
-        """A whole document made at this gateway, or read from disk. Errors: DocumentError."""
+        """Publishes a complete document that was made here or read from disk. Errors: DocumentError."""
         self.replica.replace(version, digest, data)
         return self._taken(now, "", ())
 
     # Datagrams
 
     def admits(self, now: int, sender: str) -> bool:
-        """Whether to read a datagram of that sender; what is not read is counted."""
+        """Whether a datagram of that sender may be decoded; one that may not is counted."""
         if self.receive_limits.allows(now, sender, is_peer=sender in self.view.names):
             return True
         self.replica.reject(RejectionReason.RATE_LIMITED)
         return False
 
     def receive(self, now: int, sender: Peer, message: object) -> list[Send]:
-        """Takes a datagram, as decoded; None where it could not be."""
+        """Handles a decoded datagram; None if it could not be decoded."""
         if not isinstance(message, Announcement | Push):
             self.replica.reject(RejectionReason.UNDECODABLE)
         elif message.fleet != self.document.fleet:
@@ -130,12 +132,13 @@
         return self.message_sender.announce(now, sender)
 
     def _fetch_from(self, now: int, sender: Peer, version: Version) -> list[Send]:
-        """The sender has a newer version."""
+        """Fetches from a sender that has a newer version."""
         current, known = self.document.version, self.fetch.knows(sender)
         if self.fetch.announced(now, sender, version, current):
             return self._ask(now)
-        # Its push may come where the source's was lost. Asked once: who holds no changes to push announces
-        # again, and two that answer each other's announcements would never end.
+        # The sender's push may arrive if the source's was lost. The sender is asked only once: one that has
+        # no changes to push announces again, and two gateways that answer each other's announcements would
+        # never stop.
         if not known and self.fetch.is_near(current):
             return self.message_sender.announce(now, sender)
         return []
@@ -152,7 +155,7 @@
         return sends
 
     def _check_held(self, change: Change) -> None:
-        """A change that is not news: whether it contradicts the current document."""
+        """Checks a change that is not new: whether it contradicts the current document."""
         current = self.document.version
         if change.version < current:
             self.replica.reject(RejectionReason.LOWER_VERSION)
@@ -162,7 +165,7 @@
     # Pulls
 
     def answer(self, now: int, pull: object) -> Changes | Part | Busy | None:
-        """The answer to one who pulls; None where it is rejected."""
+        """The answer to a pull; None if the pull is rejected."""
         if not isinstance(pull, Pull):
             self.replica.reject(RejectionReason.UNDECODABLE)
         elif pull.fleet != self.document.fleet:
@@ -172,10 +175,10 @@
         return None
 
     def receive_answer(self, now: int, peer: Peer, answer: Changes | Part | Busy | None) -> list[Send]:
-        """Takes the answer to a pull; None where none came or it was not understood."""
+        """Handles the answer to a pull; None if none came or it could not be decoded."""
         fetch = self.fetch
         if fetch.source != peer or not fetch.by_exchange or fetch.waiting:
-            return []  # it came too late: another was asked
+            return []  # too late: another peer was asked
         if answer is not None and answer.fleet != self.document.fleet:
             self.replica.reject(RejectionReason.OTHER_FLEET)
         elif isinstance(answer, Changes):
@@ -199,7 +202,7 @@
         return self._take_whole(now) if self.assembly.complete else self._ask(now)
 
     def _take_whole(self, now: int) -> list[Send]:
-        """All parts of a whole document came."""
+        """Takes over a complete document once all its parts have come."""
         assembly, data = self.assembly, bytes(self.assembly.data)
         version, digest = assembly.version, assembly.digest
         assembly.clear()
@@ -214,7 +217,7 @@
     # Sending
 
     def _taken(self, now: int, sender: str, changes: tuple[Change, ...]) -> list[Send]:
-        """A newer version was taken: fetches on where there is more, and tells others."""
+        """Handles a newer version that was taken: pushes it, and goes on fetching if there is more."""
         more = self.fetch.progressed(now, self.document.version)
         sends = self._ask(now) if more else []
         self._eager_until = now + EAGER_TIME
@@ -230,7 +233,7 @@
         self._next_announcement = now + interval * 3 // 4 + self._random.below(interval // 2)
 
     def _ask(self, now: int) -> list[Send]:
-        """The open question, to the source."""
+        """Sends the open request to the source."""
         source, current = self.fetch.source, self.document.version
         if source is None:
             return []
--- a/gaproute/shared/dissemination/document.py
+++ b/gaproute/shared/dissemination/document.py
@@ -1,4 +1,4 @@
-"""The document that is disseminated, as the dissemination sees it."""
+"""The interface of the document that is disseminated."""
 
 from typing import Protocol
 
@@ -8,16 +8,16 @@
 
 
 class DocumentError(GaprouteError, ValueError):
-    """A change or a whole document that cannot be taken; the text is a short reason.
+    """A change or a complete document is rejected; the text is a short reason.
 
-    The current document stays.
+    The current document is unchanged.
     """
 
 
 class Document(Protocol):
-    """The one copy that a gateway has. `version` is `NOTHING` before the first; it only grows.
+    """A gateway's one copy of the document. `version` is `NOTHING` before the first one, and only grows.
 
-    Equal documents have equal digests; others of the same version have not.
+    Equal documents have equal digests; different documents of one version have different digests.
     """
 
     fleet: str
@@ -28,10 +28,10 @@
         """The current version."""
 
     def apply(self, change: Change) -> None:
-        """Takes a change whose base is the current version. Errors: DocumentError."""
+        """Applies a change whose base is the current version. Errors: DocumentError."""
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
-        """Takes a whole document of a higher version. Errors: DocumentError."""
+        """Takes over a complete document of a higher version. Errors: DocumentError."""
 
     def whole(self) -> bytes:
-        """The whole document, encoded; at most `MAX_WHOLE` bytes."""
+        """The complete document, encoded; at most `MAX_WHOLE` bytes."""
--- a/gaproute/shared/dissemination/fetch.py
+++ b/gaproute/shared/dissemination/fetch.py
@@ -1,10 +1,11 @@
-"""How a gateway that is behind gets what it lacks: whom it asks, how, and when it asks another.
+"""How a gateway that is behind fetches what it lacks: which peer it asks, in which way, and when the next.
 
-One fetch at a time. A little behind, it announces its own version to whoever announced the newer one, which
-then pushes the changes; further behind, or where that fails, it pulls by exchanges. Times are in ns.
+There is one fetch at a time. A gateway that is a little behind announces its own version to the peer that
+announced the newer one, which then pushes the changes. If it is further behind, or that fails, it pulls by
+exchanges. Times are ns.
 
-Invariants: at most one exchange is open; at most `MAX_SOURCES` others are remembered; each fetch ends after
-`MAX_FAILURES`, and an answer that brings nothing is a failure.
+Invariants: at most one exchange is open; at most `MAX_SOURCES` other sources are stored; a fetch ends after
+`MAX_FAILURES`, and an answer without anything new is a failure.
 """
 
 from gaproute.decisions.cells.version import Version
@@ -24,44 +25,48 @@
 from gaproute.shared.dissemination.messages import NOTHING, Peer
 from gaproute.shared.dissemination.replica import Replica
 
-DATAGRAM_FAILURES = 2  # after which an exchange is tried also where a datagram could hold what is lacking
+DATAGRAM_FAILURES = 2  # after which an exchange is used even if the changes would fit in a datagram
 
 
 class Fetch:
-    """`source` is the peer asked, None while nothing is fetched."""
+    """`source`: the peer that is asked; None while nothing is fetched."""
 
     def __init__(self, replica: Replica) -> None:
         self.source: Peer | None = None
         self.target = NOTHING  # the newest version that was announced
-        self.other_sources: dict[str, Peer] = {}  # by name; they have the target or nearly so
-        self.by_exchange = False  # the open question is a pull, not an announcement
-        self.waiting = False  # for the time to ask; no question is open
+        self.other_sources: dict[str, Peer] = {}  # by name; they have the target version, or nearly
+        self.by_exchange = False  # the open request is a pull, not an announcement
+        self.waiting = False  # no request is open: the time for the next one has not come
         self.failures = 0
         self._replica = replica
         self._deadline = 0
 
     @property
     def due(self) -> int | None:
-        """When `deadline_passed` is to be called, None while nothing is fetched."""
+        """When `deadline_passed` is to be called, ns; None while nothing is fetched."""
         return None if self.source is None else self._deadline
 
     def wants_whole(self, current: Version) -> bool:
-        """Whether to ask for the whole document: others' logs do not reach back so far, or did not help."""
+        """Whether to request the complete document, as stored changes of others do not reach back or did not
+        help.
+        """
         if self._replica.needs_whole or current == NOTHING or self.failures >= MAX_CHANGES_FAILURES:
             return True
         return current.term == self.target.term and self.target.number - current.number > LOG_CHANGES
 
     def is_near(self, current: Version) -> bool:
-        """Whether a datagram can hold what is lacking."""
+        """Whether the lacking changes may fit in a datagram."""
         few = current.term == self.target.term and self.target.number - current.number <= MAX_DATAGRAM_GAP
         return few and not self._replica.needs_whole
 
     def knows(self, peer: Peer) -> bool:
-        """Whether the peer announced a newer version since this fetch began."""
+        """Whether the peer has announced a newer version since this fetch began."""
         return self.source is not None and (peer.name == self.source.name or peer.name in self.other_sources)
 
     def announced(self, now: int, peer: Peer, version: Version, current: Version) -> bool:
-        """A peer announced a version above the current one. Returns whether to ask the source now."""
+        """Handles an announcement of a version above the current one; returns whether to ask the source
+        now.
+        """
         self.target = max(self.target, version)
         if self.source is None:
             self.failures, self.source = 0, peer
@@ -70,13 +75,13 @@
         if peer.name == self.source.name:
             if self.by_exchange or self.waiting:
                 return False
-            self._open(now, by_exchange=True)  # it could not push what was asked for
+            self._open(now, by_exchange=True)  # the source could not push the requested changes
             return True
         self._remember(peer)
         return False
 
     def progressed(self, now: int, current: Version) -> bool:
-        """Something was taken. Returns whether to ask the source on."""
+        """Handles progress; returns whether to ask the source for more."""
         if self.source is None:
             return False
         if current >= self.target:
@@ -87,22 +92,22 @@
         return True
 
     def busy(self, now: int, wait: int) -> None:
-        """The source is busy: ask another one soon, or the same when it has time."""
+        """Handles a busy source: asks another one soon, or the same once it has time."""
         if self.other_sources:
             self._next_source(now, BUSY_PAUSE)
         else:
             self._wait(now, min(max(BUSY_PAUSE, wait), MAX_WAIT))
 
     def part_received(self, now: int) -> None:
-        """The source gave a part of the whole document: it is asked for the next."""
+        """Handles a part of the complete document: the source is asked for the next one."""
         self.failures = 0
         self._open(now, by_exchange=True)
 
     def failed(self, now: int, pause: int = FAILURE_PAUSE, *, amid_parts: bool = False) -> None:
-        """The question came to nothing: the next source is asked after a pause.
+        """Handles a failed request: the next source is asked after a pause.
 
-        Amid the parts of a whole document the same source is asked a few times more: another one most
-        likely gives them of another version, from the beginning.
+        Between the parts of a complete document the same source is asked a few times more, as another one
+        would probably give the parts of another version, from the beginning.
         """
         self.failures += 1
         if self.failures >= MAX_FAILURES:
@@ -113,7 +118,7 @@
             self._next_source(now, pause)
 
     def deadline_passed(self, now: int, current: Version, *, amid_parts: bool = False) -> bool:
-        """The time `due` has come. Returns whether to ask the source now."""
+        """Handles the time `due`; returns whether to ask the source now."""
         if not self.waiting:
             self.failed(now, 0, amid_parts=amid_parts)
             if self.source is None:
@@ -122,14 +127,14 @@
         return True
 
     def _remember(self, peer: Peer) -> None:
-        """The latest are the likeliest to have time."""
+        """Stores a further source; those that announced last are the likeliest to have time."""
         self.other_sources.pop(peer.name, None)
         self.other_sources[peer.name] = peer
         if len(self.other_sources) > MAX_SOURCES:
             del self.other_sources[next(iter(self.other_sources))]
 
     def _next_source(self, now: int, pause: int) -> None:
-        """The peer that announced last is next; the one that failed comes after all others."""
+        """Asks the peer that announced last next; the one that failed comes after all others."""
         if self.other_sources and self.source is not None:
             _, following = self.other_sources.popitem()
             self.other_sources = {self.source.name: self.source, **self.other_sources}
--- a/gaproute/shared/dissemination/invariants.py
+++ b/gaproute/shared/dissemination/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold of a gateway's dissemination: named checks that return violations as text."""
+"""The invariants of a gateway's dissemination, as named checks that return violations as text."""
 
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
@@ -49,7 +49,7 @@
 
 
 def chained(disseminator: Disseminator) -> Iterator[str]:
-    """The log is one chain that ends at the current version."""
+    """The stored changes form one chain that ends at the current version."""
     log = disseminator.replica.log
     changes = list(log.changes)
     for earlier, later in zip(changes, changes[1:], strict=False):
@@ -69,12 +69,12 @@
 
 
 def check(disseminator: Disseminator) -> list[str]:
-    """Violations as text, none where all is well."""
+    """The violations as text; empty if there are none."""
     return [*bounded(disseminator), *chained(disseminator), *settled(disseminator)]
 
 
 class Watch:
-    """Calls `check` again and again, and sees that the current version never falls."""
+    """Calls `check` repeatedly, and checks that the current version never falls."""
 
     def __init__(self, disseminator: Disseminator) -> None:
         self._disseminator = disseminator
--- a/gaproute/shared/dissemination/message_sender.py
+++ b/gaproute/shared/dissemination/message_sender.py
@@ -1,5 +1,7 @@
-"""Messages within a budget of bytes a second. What finds no room is dropped and counted; the announcements
-of anti-entropy mend it."""
+"""Sends messages within a budget of bytes per second.
+
+A message above the budget is dropped and counted; later announcements make up for it.
+"""
 
 from gaproute.shared.dissemination.bounds import FANOUT, MESSAGE_BURST, MESSAGE_RATE, PUSH_BYTES
 from gaproute.shared.dissemination.document import Document
@@ -18,25 +20,25 @@
 
 
 class MessageSender:
-    """Each method returns the messages to send: none where the budget is spent."""
+    """Each method returns the messages to send; none if the budget is spent."""
 
     def __init__(self, document: Document, view: PartialView, now: int) -> None:
         self.document, self.view = document, view
         self.budget = TokenBucket(MESSAGE_RATE, MESSAGE_BURST, now)
         self.sent = self.bytes = 0
-        self.dropped = 0  # messages that found no room
+        self.dropped = 0  # messages above the budget
 
     def announce(self, now: int, peer: Peer) -> list[Send]:
-        """The current version."""
+        """Announces the current version."""
         document = self.document
         return self.send(now, peer, Announcement(document.fleet, document.version, document.digest))
 
     def push(self, now: int, peer: Peer, changes: tuple[Change, ...]) -> list[Send]:
-        """Changes, which must fit one datagram."""
+        """Pushes changes, which must fit in one datagram."""
         return self.send(now, peer, Push(self.document.fleet, changes))
 
     def spread(self, now: int, changes: tuple[Change, ...], excluded: str) -> list[Send]:
-        """Tells a few peers but the excluded of a version just taken, by its changes where they fit."""
+        """Sends a new version to a few peers except the excluded one, with its changes if they fit."""
         fits = changes and changes_size(changes) <= PUSH_BYTES
         sends: list[Send] = []
         for peer in self.view.sample(FANOUT, excluded):
@@ -44,7 +46,7 @@
         return sends
 
     def send(self, now: int, peer: Peer, message: Announcement | Push | Pull) -> list[Send]:
-        """Any message, within the budget."""
+        """Sends any message within the budget."""
         size = wire_size(message)
         if not self.budget.take(now, size):
             self.dropped += 1
--- a/gaproute/shared/dissemination/messages.py
+++ b/gaproute/shared/dissemination/messages.py
@@ -1,4 +1,4 @@
-"""What gateways send each other, and what that costs on the wire."""
+"""The messages that gateways exchange, and their size on the wire."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,16 +6,16 @@
 
 from gaproute.decisions.cells.version import Version
 
-NOTHING = Version(-1, -1)  # the version of one that has no document: below every other
+NOTHING = Version(-1, -1)  # the version of a gateway without a document: below every other
 
 DATAGRAM_HEADERS = 28  # IPv4 and UDP
-ENVELOPE_BYTES = 40  # beside a body: kind, lengths, sender's name and address where they are as long as usual
-EXCHANGE_HEADERS = 700  # a TCP connection opened and closed, HTTP heads of both directions
-VERSION_BYTES = 19  # a version and a digest, where neither part of the version is beyond 65,535
+ENVELOPE_BYTES = 40  # beside a body: kind, lengths, and the sender's name and address at their usual lengths
+EXCHANGE_HEADERS = 700  # of a TCP connection that is opened and closed, with HTTP headers in both directions
+VERSION_BYTES = 19  # a version and a digest, if neither part of the version is above 65,535
 
 
 class Peer(NamedTuple):
-    """A gateway, with the address that others reach it by."""
+    """A gateway, with the address at which others reach it."""
 
     name: str
     address: str
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One encoded change: leads from version `base` to `version`; `digest` is that of the document after."""
+    """One encoded change from version `base` to `version`; `digest`: of the document after it."""
 
     base: Version
     version: Version
@@ -33,7 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """The version that the sender holds. Whoever holds an older one asks by announcing that."""
+    """The version that the sender has. A gateway with an older one requests the changes by announcing
+    that.
+    """
 
     fleet: str
     version: Version
@@ -50,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Pull:
-    """By an exchange: the changes that follow version `current`, or the `whole` document.
+    """A request by an exchange: the changes after version `current`, or the `whole` document.
 
-    `offset`: where to go on in the whole document of version `target`.
+    `offset`: where to go on in the complete document of version `target`.
     """
 
     fleet: str
@@ -64,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Answer to a pull: changes that follow the asker's version, none where the log has none."""
+    """The answer to a pull with the changes after the requested version; none if they are not stored."""
 
     fleet: str
     changes: tuple[Change, ...]
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Answer to a pull: `data` from `offset` on, of the `size` bytes of the whole document."""
+    """The answer to a pull with `data` from `offset` on, of the `size` bytes of the complete document."""
 
     fleet: str
     version: Version
@@ -84,26 +86,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Busy:
-    """Answer to a pull: ask again after `wait` nanoseconds."""
+    """The answer to a pull that it is to be repeated after `wait` ns."""
 
     fleet: str
     wait: int
 
 
 class Send(NamedTuple):
-    """A message on its way: a `Pull` by an exchange whose answer comes back, all others as datagrams."""
+    """A message to send: a `Pull` by an exchange, whose answer is awaited; all others as datagrams."""
 
     to: Peer
     message: Announcement | Push | Pull
 
 
 def changes_size(changes: Iterable[Change]) -> int:
-    """Bytes of changes within a message."""
+    """The size of changes within a message, bytes."""
     return sum(len(change.data) + 2 * VERSION_BYTES for change in changes)
 
 
 def wire_size(message: Announcement | Push | Pull | Changes | Part | Busy) -> int:
-    """Bytes on the wire, headers included; exchanges are charged to the pull."""
+    """The size on the wire with headers, bytes; the size of an exchange counts for the pull."""
     body = ENVELOPE_BYTES + len(message.fleet) + VERSION_BYTES
     if isinstance(message, Pull):
         return EXCHANGE_HEADERS + body
--- a/gaproute/shared/dissemination/partial_view.py
+++ b/gaproute/shared/dissemination/partial_view.py
@@ -1,7 +1,7 @@
-"""The peers that a gateway speaks with: a bounded sample of the fleet, spread over its zones.
+"""The peers with which a gateway exchanges messages: a bounded sample of the fleet, spread over its zones.
 
-Most messages stay within the own cell, whose gateways are near. A small share goes to entry gateways of
-other cells, such that these hear about half as much again as others and each cell still hears of every
+Most messages stay within the own cell, whose gateways are near. A small share goes to entry gateways of other
+cells, such that these receive about half as many messages more than others, and each cell receives every
 change from several sides.
 """
 
@@ -18,13 +18,13 @@
 from gaproute.shared.dissemination.messages import Peer
 from gaproute.shared.randomness import RandomSource
 
-SHARE_UNITS = 1 << 20  # shares are counted in these
-ATTEMPTS_PER_PEER = 3  # a draw may give a peer twice; a few attempts too many cost nothing
+SHARE_UNITS = 1 << 20  # the unit of shares
+ATTEMPTS_PER_PEER = 3  # draws for each peer, as a draw may give a peer twice; unneeded draws cost nothing
 
 
 @dataclass(frozen=True)
 class Candidates:
-    """Who may be spoken with. `gateways`: about how many the fleet has, 0 where nobody knows."""
+    """The peers that may be used. `gateways`: about how many the fleet has, 0 if unknown."""
 
     neighbours: tuple[Peer, ...] = ()  # of the own cell; this gateway may be among them
     entries: Mapping[str, tuple[Peer, ...]] = field(default_factory=dict)  # by zone, of the other cells
@@ -33,7 +33,7 @@
 
 
 class PartialView:
-    """Draws peers by chance from a bounded sample of the candidates."""
+    """Draws peers at random from a bounded sample of the candidates."""
 
     def __init__(self, name: str, random: RandomSource) -> None:
         self.name = name
@@ -44,7 +44,7 @@
         self._outside_share = SHARE_UNITS
 
     def set_candidates(self, candidates: Candidates) -> None:
-        """Takes over who there is now; the sample is drawn anew."""
+        """Takes over the present candidates; the sample is drawn again."""
         self.inside = self._draw_some(candidates.neighbours, VIEW_NEIGHBOURS)
         outside = self._draw_some(candidates.configured, VIEW_CONFIGURED)
         outside += self._draw_entries(candidates.entries)
@@ -74,7 +74,7 @@
         return peers[self._random.below(len(peers))] if peers else None
 
     def _draw_some(self, candidates: Iterable[Peer], count: int) -> list[Peer]:
-        """Up to `count` of the candidates, this gateway not among them."""
+        """Up to `count` of the candidates, except this gateway."""
         peers = [peer for peer in candidates if peer.name != self.name]
         for position in range(min(count, len(peers))):
             other = position + self._random.below(len(peers) - position)
@@ -82,7 +82,7 @@
         return peers[:count]
 
     def _draw_entries(self, entries: Mapping[str, tuple[Peer, ...]]) -> list[Peer]:
-        """A sample of the entries in which no zone has two peers more than another that has any left."""
+        """A sample of the entries, in which no zone has two peers more than another one with peers left."""
         by_zone = [self._draw_some(peers, VIEW_ENTRIES) for _, peers in sorted(entries.items())]
         zones = self._shuffled([peers for peers in by_zone if peers])
         found: list[Peer] = []
@@ -96,7 +96,9 @@
         return found
 
     def _shuffled(self, zones: list[list[Peer]]) -> list[list[Peer]]:
-        """The zones in another order for each gateway: where there are many, each speaks with others."""
+        """The zones in an order that differs between gateways, so that they use different zones if there are
+        many.
+        """
         for position in range(len(zones)):
             other = position + self._random.below(len(zones) - position)
             zones[position], zones[other] = zones[other], zones[position]
@@ -104,7 +106,7 @@
 
 
 def _outside_share(candidates: Candidates) -> int:
-    """The share of messages that leave the own cell, in `SHARE_UNITS`."""
+    """The share of messages that are sent outside the own cell, in `SHARE_UNITS`."""
     if not candidates.neighbours:
         return SHARE_UNITS
     entries = sum(len(peers) for peers in candidates.entries.values())
--- a/gaproute/shared/dissemination/pull_server.py
+++ b/gaproute/shared/dissemination/pull_server.py
@@ -1,8 +1,8 @@
-"""Answers to pulls: changes from the log, or the whole document in parts, at a bounded pace.
+"""Answers pulls: changes, or the complete document in parts, at a bounded rate.
 
-A whole document is encoded once and given to all who ask within `SNAPSHOT_TIME`; what changed since, they
-take from the log. Whoever gets the first part is granted the others: one asker is done quickly and serves
-others then, which is sooner for all than many slow transfers side by side. Times are in ns.
+A complete document is encoded once and given to all who request it within `SNAPSHOT_TIME`; later changes are
+sent separately. A gateway that got the first part is granted the others: to serve one gateway after the other
+is sooner for all than many slow transfers at a time, as each one serves others then. Times are ns.
 """
 
 from dataclasses import dataclass
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """A whole document as it was at `made_at`."""
+    """A complete document as of `made_at`."""
 
     version: Version
     digest: int
@@ -33,15 +33,15 @@
 
 
 class PullServer:
-    """Serves from the document and the log, which its owner changes."""
+    """Answers from the document and its stored changes, which the owner updates."""
 
     def __init__(self, document: Document, log: RecentChanges, now: int) -> None:
         self.snapshots: list[Snapshot] = []  # the latest last
         self.bytes = 0  # of answers
-        self.busy = 0  # answers that put the asker off
+        self.busy = 0  # answers that the server is busy
         self._document, self._log = document, log
         self._budget = TokenBucket(SERVE_RATE, SERVE_BURST, now)
-        self._granted = 0  # bytes of parts that are paid for and were not asked for yet
+        self._granted = 0  # bytes of parts that were granted and not requested yet
 
     def answer(self, now: int, pull: Pull) -> Changes | Part | Busy:
         """The answer to a pull."""
@@ -62,13 +62,13 @@
         return answer
 
     def _pay(self, now: int, size: int) -> int:
-        """How long the asker must wait; 0 where there was room."""
+        """How long the asking gateway must wait for the budget; 0 if it need not."""
         if self._budget.borrow(now, size):
             return 0
         return max(1, self._budget.wait(now, size))
 
     def _pay_part(self, now: int, part: Part) -> int:
-        """The same for a part; the first one pays for all."""
+        """The same for a part; the first part pays for all."""
         size = wire_size(part)
         if part.offset == 0 or self._granted < size:
             remaining = part.size - part.offset
@@ -89,7 +89,7 @@
         return Part(fleet, snapshot.version, snapshot.digest, size, offset, data)
 
     def _snapshot(self, now: int, pull: Pull) -> Snapshot:
-        """One that the asker has begun with, else one from which the log leads on."""
+        """The snapshot that the asking gateway has begun with, else one from which stored changes lead on."""
         for snapshot in self.snapshots:
             if pull.offset > 0 and snapshot.version == pull.target:
                 return snapshot
@@ -101,7 +101,7 @@
         return self.snapshots[-1]
 
     def _serves(self, now: int, pull: Pull, latest: Snapshot) -> bool:
-        """Whether the latest snapshot leads the asker to the current version."""
+        """Whether the latest snapshot and the stored changes lead to the current version."""
         if latest.version == self._document.version:
             return True
         fresh = now - latest.made_at <= SNAPSHOT_TIME
--- a/gaproute/shared/dissemination/receive_limits.py
+++ b/gaproute/shared/dissemination/receive_limits.py
@@ -1,4 +1,4 @@
-"""How much is read of whom: what is beyond is dropped before it is decoded."""
+"""Limits on received messages; a message above them is dropped before it is decoded."""
 
 from collections.abc import Iterable
 
@@ -7,18 +7,18 @@
 
 
 class ReceiveLimits:
-    """A bucket of messages for each peer of the view, and one for all unknown senders together."""
+    """A token bucket for each peer of the view, and one for all other senders together."""
 
     def __init__(self, now: int) -> None:
         self.unknown_senders = TokenBucket(UNKNOWN_SENDER_RATE, UNKNOWN_SENDER_RATE, now)
         self.peers: dict[str, TokenBucket] = {}
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """Takes the peers of the view as they are now."""
+        """Takes over the present peers of the view."""
         self.peers = {name: self.peers[name] for name in names if name in self.peers}
 
     def allows(self, now: int, sender: str, *, is_peer: bool) -> bool:
-        """Whether a message of that sender is to be read."""
+        """Whether a message of that sender may be decoded."""
         if not is_peer:
             return self.unknown_senders.take(now, 1)
         bucket = self.peers.get(sender)
--- a/gaproute/shared/dissemination/recent_changes.py
+++ b/gaproute/shared/dissemination/recent_changes.py
@@ -1,6 +1,7 @@
-"""The last changes of the document, for those who are a little behind.
+"""The last changes of the document, for gateways that are a little behind.
 
-Invariants: each change begins where the one before ended; the last one leads to the current version.
+Invariants: each change begins at the version where the one before ended; the last one leads to the current
+version.
 """
 
 from collections import deque
@@ -11,14 +12,14 @@
 
 
 class RecentChanges:
-    """A bounded run of changes, the oldest first."""
+    """A bounded sequence of changes, the oldest first."""
 
     def __init__(self) -> None:
         self.changes: deque[Change] = deque()
         self.bytes = 0
 
     def append(self, change: Change) -> None:
-        """Adds the change that was just applied."""
+        """Adds a change that was just applied."""
         if self.changes and self.changes[-1].version != change.base:
             self.clear()
         self.changes.append(change)
@@ -27,12 +28,12 @@
             self.bytes -= changes_size((self.changes.popleft(),))
 
     def clear(self) -> None:
-        """Forgets all: a whole document was taken."""
+        """Drops all changes, as a complete document was taken over."""
         self.changes.clear()
         self.bytes = 0
 
     def since(self, version: Version, max_bytes: int) -> tuple[Change, ...]:
-        """Changes from that version on, so many bytes at most; none where they do not lead on from it."""
+        """The changes from that version on, at most so many bytes; empty if they do not begin there."""
         found: list[Change] = []
         remaining, reached = max_bytes, False
         for change in self.changes:
--- a/gaproute/shared/dissemination/replica.py
+++ b/gaproute/shared/dissemination/replica.py
@@ -1,6 +1,6 @@
-"""The replica of the document that a gateway has, and the changes that were applied to it last.
+"""A gateway's replica of the document, and the last changes that were applied to it.
 
-Invariants: the version only grows; what is rejected leaves the replica as it was and is counted by its
+Invariants: the version only grows; a rejected change leaves the replica as it was and is counted by its
 reason.
 """
 
@@ -15,7 +15,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why something was not taken, besides the reasons of the document; the texts are logged."""
+    """Reasons for rejections beside those of the document; the texts are logged."""
 
     RATE_LIMITED = "flood"
     UNDECODABLE = "not understood"
@@ -26,7 +26,7 @@
 
 
 class Replica:
-    """`needs_whole`: a change did not fit, only a whole document of a higher version can mend it."""
+    """`needs_whole`: a change did not fit, so that a complete document of a higher version is needed."""
 
     def __init__(self, document: Document) -> None:
         self.document = document
@@ -59,7 +59,7 @@
         return tuple(applied)
 
     def replace(self, version: Version, digest: int, data: bytes) -> None:
-        """Takes a whole document. Errors: DocumentError."""
+        """Takes over a complete document. Errors: DocumentError."""
         if version <= self.document.version:
             raise DocumentError("not above the version held")
         self.document.replace(version, digest, data)
@@ -67,7 +67,7 @@
         self.needs_whole = False
 
     def reject(self, reason: str) -> None:
-        """Counts a rejection; reasons come from the code alone, the bound is a safeguard."""
+        """Counts a rejection. All reasons are constants of the code; the bound is a safeguard."""
         if reason not in self.rejections and len(self.rejections) >= MAX_REASONS - 1:
             reason = RejectionReason.OTHER
         self.rejections[str(reason)] += 1
--- a/gaproute/shared/dissemination/version_reports.py
+++ b/gaproute/shared/dissemination/version_reports.py
@@ -1,9 +1,9 @@
-"""Which versions other gateways announced to have, and for how long.
+"""Which versions other gateways have announced, and for how long.
 
 This is a sample: the gateways that happened to announce to this one within the last seconds, at most
-`MAX_REPORTERS`. That all of them have a version makes it likely, and does not prove, that all of the fleet
-do; of a gateway that is cut off or that speaks with others only, it says nothing. Each is believed without a
-check. Times are in ns.
+`MAX_REPORTERS`. If all of them have a version, the whole fleet probably has it; that is no proof, and nothing
+is known about a gateway that is cut off or that announces to others only. Announcements are not verified.
+Times are ns.
 """
 
 from dataclasses import dataclass
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True)
 class Propagation:
-    """How far one version has come.
+    """How far one version has spread.
 
     `reporters` gateways announced within the last seconds, versions from `oldest` to `newest`; `behind` of
-    them have less than the version asked about. `agreed_for`: the time in which each announcement was of that
-    version or above; None where there was none, or while one who is behind still counts.
+    them have an older version than the one in question. `agreed_for`: for how long every announcement has
+    been of that version or a newer one; None if there was none, or while one that is behind still counts.
     """
 
     reporters: int
@@ -37,7 +37,7 @@
 
 
 class AnnouncedTimes(NamedTuple):
-    """When a version was announced first and last."""
+    """When a version was first and last announced."""
 
     first: int
     last: int
@@ -47,11 +47,11 @@
     """The last announcement of each gateway, and when each version was announced."""
 
     def __init__(self) -> None:
-        self.by_name: dict[str, Report] = {}  # the latest last
+        self.by_name: dict[str, Report] = {}  # the latest announcement comes last
         self.times: dict[Version, AnnouncedTimes] = {}
 
     def record(self, now: int, name: str, version: Version) -> None:
-        """That gateway announced that version."""
+        """Records that the gateway announced that version."""
         self.by_name.pop(name, None)
         self.by_name[name] = Report(version, now)
         if len(self.by_name) > MAX_REPORTERS:
@@ -62,7 +62,7 @@
             del self.times[min(self.times)]
 
     def propagation(self, now: int, version: Version) -> Propagation:
-        """How far that version has come, as far as is known here."""
+        """How far that version has spread, as far as this gateway knows."""
         reports = self.by_name.values()
         current = [report.version for report in reports if now - report.received_at <= REPORT_TIME]
         behind = sum(each < version for each in current)
--- a/gaproute/shared/gossip/__init__.py
+++ b/gaproute/shared/gossip/__init__.py
@@ -1,7 +1,7 @@
-"""Gossip: what each gateway observes of demand and hosts, sent to all others. Face: `GossipNode`.
+"""Gossip: observations of demand and hosts that each gateway sends to all others; see `GossipNode`.
 
-Demand, requests in flight, available capacity and warm instances are observed by one gateway and sent to all;
-what is received expires and only advises.
+Demand, requests in flight, available capacity and warm instances are observed by one gateway and sent to all.
+What is received expires, and is only a hint.
 """
 
 from gaproute.shared.gossip.estimates import FleetEstimate
--- a/gaproute/shared/gossip/arrivals.py
+++ b/gaproute/shared/gossip/arrivals.py
@@ -1,4 +1,6 @@
-"""Own arrivals by function and request class: their rate over the last buckets, and how far these differ."""
+"""Own arrivals by function and request class: their rate over the last buckets, and its standard
+deviation.
+"""
 
 from collections import deque
 from math import sqrt
@@ -6,41 +8,43 @@
 
 from gaproute.shared.gossip.messages import LIMITS, SECOND, DemandEntry, EntryKind
 
-BUCKET = 2 * SECOND  # arrivals are counted by it: a spread over shorter ones is that of chance alone
-BUCKETS = 10  # kept: 20 s, a burst shows within some seconds
-MAX_FUNCTIONS = 4096  # counted by name in a bucket; the arrivals of others count as the rest
+BUCKET = 2 * SECOND  # of one bucket; the spread over shorter ones would be mostly chance
+BUCKETS = 10  # stored buckets: 20 s, so that a burst shows within some seconds
+MAX_FUNCTIONS = 4096  # counted by name in a bucket; arrivals of other functions count as the rest
 MAX_NAMED = LIMITS[EntryKind.DEMAND].max_entries
 
 FunctionClass = tuple[int, int]  # the function's key, and the number of its request class
 
 
 class Bucket(NamedTuple):
-    """Arrivals of one span of time. `unnamed`: of functions beyond the bound."""
+    """Arrivals of one bucket of time. `unnamed`: of functions beyond the bound."""
 
     counts: dict[FunctionClass, int]
     unnamed: int
 
 
 class Rate(NamedTuple):
-    """Arrivals a second, and the standard deviation of a bucket's rate."""
+    """Arrivals per second, and the standard deviation of the rates of the buckets."""
 
     mean: float
     deviation: float
 
 
 class MostWanted(NamedTuple):
-    """The functions with the most arrivals; `remainder`: arrivals a second of all others together."""
+    """The functions with the most arrivals; `remainder`: arrivals per second of all other functions."""
 
     remainder: float
     entries: tuple[DemandEntry, ...]
 
 
 class ArrivalRates:
-    """Counts arrivals in buckets, and keeps sums over those that ended, so that nothing walks them all."""
+    """Counts arrivals in buckets, with sums over the buckets that ended, so that no call reads all of
+    them.
+    """
 
     def __init__(self, now: int) -> None:
-        self.counted_until = now  # ns: when the bucket that is being counted began
-        self.counts: dict[FunctionClass, int] = {}  # of the bucket that is being counted
+        self.counted_until = now  # ns: when the present bucket began
+        self.counts: dict[FunctionClass, int] = {}  # of the present bucket
         self.unnamed = 0
         self.past: deque[Bucket] = deque()
         self.sums: dict[FunctionClass, int] = {}
@@ -58,7 +62,7 @@
             self.unnamed += count
 
     def advance(self, now: int) -> None:
-        """Ends the buckets that are over."""
+        """Ends the buckets whose time has passed."""
         ended = (now - self.counted_until) // BUCKET
         for _ in range(min(BUCKETS + 1, ended)):
             self._end_bucket()
@@ -77,11 +81,11 @@
         return Rate(mean / seconds, sqrt(variance) / seconds)
 
     def total(self) -> float:
-        """Arrivals a second of all functions."""
+        """Arrivals per second of all functions."""
         return (sum(self.sums.values()) + self._unnamed_sum) * SECOND / BUCKET / max(1, len(self.past))
 
     def most_wanted(self, now: int) -> MostWanted:
-        """The functions that have the most arrivals, ends the buckets that are over."""
+        """The functions with the most arrivals; ends the buckets whose time has passed first."""
         self.advance(now)
         if not self.past:
             return MostWanted(0.0, ())
--- a/gaproute/shared/gossip/entry_sets.py
+++ b/gaproute/shared/gossip/entry_sets.py
@@ -1,4 +1,4 @@
-"""The sets of entries that this gateway sends, made from what it observed itself."""
+"""The sets of entries that this gateway sends, made from its own observations."""
 
 from typing import NamedTuple
 
@@ -14,8 +14,8 @@
     WarmInstanceEntry,
 )
 
-# By kind, ns in which a set is sent again unchanged, only older: 25 messages a second must not sort a
-# thousand hosts 25 times.
+# By kind: how long a set is sent again unchanged, only with a greater age, ns. Otherwise 25 messages per
+# second would sort a thousand hosts 25 times.
 REUSE_TIME = (SECOND // 10, SECOND // 2, SECOND, 0)
 
 
@@ -32,14 +32,15 @@
     def __init__(self, observations: LocalObservations) -> None:
         self.cached: dict[int, CachedSet] = {}  # by kind
         self._observations = observations
-        self._sequences: dict[tuple[int, int], int] = {}  # by kind and partition: of the last set
+        # by kind and partition: the sequence number of the last set
+        self._sequences: dict[tuple[int, int], int] = {}
 
     def clear(self) -> None:
-        """Makes all sets anew when they are asked for."""
+        """Drops the cached sets."""
         self.cached.clear()
 
     def get(self, now: int, kind: EntryKind, partition: int = 0) -> EntrySet:
-        """The set to be sent: made now, or lately and older by that."""
+        """The set to send: a new one, or a cached one with its present age."""
         cached = self.cached.get(kind)
         if cached is None or now - cached.made_at >= REUSE_TIME[kind]:
             cached = self.cached[kind] = CachedSet(now, self._make(now, kind, partition))
--- a/gaproute/shared/gossip/fleet_view.py
+++ b/gaproute/shared/gossip/fleet_view.py
@@ -1,4 +1,4 @@
-"""Figures of the fleet as one gateway sees them: own observations with those that other gateways sent."""
+"""Estimates for the fleet by one gateway: its own observations with those that other gateways sent."""
 
 from statistics import median
 from typing import NamedTuple, cast
@@ -19,27 +19,29 @@
 from gaproute.shared.gossip.peer_rounds import PeerRounds
 from gaproute.shared.gossip.table import GossipTable
 
-REUSE_TIME = SECOND // 2  # ns that sums serve: a figure of the fleet is seconds old anyway
-MAX_WITNESSES = 8  # gateways named for one instance
+REUSE_TIME = SECOND // 2  # ns for which sums are cached; their figures are seconds old anyway
+MAX_WITNESSES = 8  # gateways that are named for one instance
 
 
 class CapacityEstimate(NamedTuple):
-    """What is believed available at a host: a median, as beliefs of one thing do not add up."""
+    """The estimated available capacity of a host: a median, as several estimates of one figure do not add
+    up.
+    """
 
     median: float
-    origins: int  # how many believe something, this gateway among them
+    origins: int  # gateways that have an estimate, including this one
     age: int  # mean, ns
 
 
 class WarmSighting(NamedTuple):
-    """A warm instance: how long ago it was seen last, ns, and by which gateways, the latest first."""
+    """A warm instance: how long ago it was last seen (ns), and by which gateways, the latest first."""
 
     age: int
     origins: tuple[str, ...]
 
 
 class FleetView:
-    """Reads what the other parts of a gateway's gossip own. Sums are cached for a moment."""
+    """Reads the state of the other parts of a gateway's gossip. Sums are cached for a moment."""
 
     def __init__(
         self,
@@ -53,17 +55,17 @@
         self._name = name
         self._keys, self._local, self._table = keys, local, table
         self._hosts, self._peers = hosts, peers
-        self._in_flight_sums: tuple[int, FleetSums[int]] | None = None  # when made
+        self._in_flight_sums: tuple[int, FleetSums[int]] | None = None  # (when they were made, sums)
         self._demand_sums: tuple[int, FleetSums[FunctionClass]] | None = None
 
     @property
     def clipped(self) -> int:
-        """Sets that the sums at hand scale down."""
+        """Sets that the present sums scale down."""
         cached = (self._in_flight_sums, self._demand_sums)
         return sum([entry[1].clipped for entry in cached if entry is not None])
 
     def clear(self) -> None:
-        """Sums up anew what is asked for next."""
+        """Drops the cached sums."""
         self._in_flight_sums = self._demand_sums = None
 
     def in_flight(self, now: int, host: str) -> FleetEstimate:
@@ -73,9 +75,11 @@
         return self._in_flight(now).estimate(key, local, len(self._peers))
 
     def demand(self, now: int, function: str, request_class: int) -> FleetEstimate:
-        """Arrivals a second in the whole fleet, the deviation as if gateways' arrivals were independent.
+        """Arrivals per second in the whole fleet; the deviation assumes that the gateways' arrivals are
+        independent.
 
-        Of a function that few gateways have among their most it is a lower bound: see `unnamed_demand`.
+        For a function that only few gateways have among their most frequent ones it is a lower bound: see
+        `unnamed_demand`.
         """
         subject = self._keys.key(function), request_class
         self._local.arrivals.advance(now)
@@ -83,14 +87,14 @@
         return self._demand(now).estimate(subject, local, len(self._peers), deviation)
 
     def unnamed_demand(self, now: int, local: float) -> FleetEstimate:
-        """Arrivals a second of functions that their origins do not name. `local`: those of this gateway."""
+        """Arrivals per second of functions that their origins do not name. `local`: those of this gateway."""
         sums = self._demand(now)
         return FleetEstimate(local, sums.remainder, sums.origins, len(self._peers), sums.age)
 
     def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
-        """What is believed available at the host; None where nobody tells."""
+        """The estimated available capacity of the host; None if no gateway has an estimate."""
         key = self._keys.key(host)
-        beliefs: list[tuple[float, int]] = []  # capacity and age
+        beliefs: list[tuple[float, int]] = []  # (capacity, age)
         for _, received in self._table.current(now, EntryKind.AVAILABLE_CAPACITY):
             if self._hosts.is_current(key, received.observed_at):
                 entries = cast(tuple[HostEntry, ...], received.entries)
@@ -104,9 +108,9 @@
         return CapacityEstimate(median([capacity for capacity, _ in beliefs]), len(beliefs), mean_age)
 
     def warm_instances(self, now: int, function: str) -> dict[str, WarmSighting]:
-        """By host: a lower bound of the instances that are warm, as gateways name only those seen last."""
+        """By host: warm instances; a lower bound, as gateways name only those that they saw last."""
         key = self._keys.key(function)
-        sightings: dict[str, list[tuple[int, str]]] = {}  # by host: age and origin
+        sightings: dict[str, list[tuple[int, str]]] = {}  # by host: (age, origin)
         partition = key % WARM_PARTITIONS
         for origin, received in self._table.current(now, EntryKind.WARM_INSTANCES, partition):
             for entry in cast(tuple[WarmInstanceEntry, ...], received.entries):
--- a/gaproute/shared/gossip/hosts.py
+++ b/gaproute/shared/gossip/hosts.py
@@ -1,22 +1,25 @@
-"""The hosts that are listed here, by their keys, and from when on gossip about each counts."""
+"""The listed hosts by key, and the time from which on gossip about each counts."""
 
 from collections.abc import Callable, Mapping
 
-MAX_TOMBSTONES = 8192  # hosts that went or restarted, kept until all that was seen before has expired
+# hosts that are gone or have restarted, stored until all earlier observations have expired
+MAX_TOMBSTONES = 8192
 
 
 class ListedHosts:
-    """Which keys gossip may name. Times are ns on this gateway's clock."""
+    """The keys that gossip may name. Times are ns of this gateway's clock."""
 
     def __init__(self) -> None:
         self.names: dict[int, str] = {}  # by key
         self._starts: dict[int, object] = {}  # by key: the host's start as listed
-        self.tombstones: dict[int, int] = {}  # by key: what was seen until then is void, the oldest first
-        self.key_collisions = 0  # names left out, as another has the same key
+        self.tombstones: dict[int, int] = {}  # by key: observations until then are invalid; the oldest first
+        self.key_collisions = 0  # names that were left out because another has the same key
 
     def update(self, now: int, hosts: Mapping[str, object], key: Callable[[str], int]) -> list[int]:
-        """Takes the list. `hosts`: by name the start, any value that changes with it. Returns the keys of the
-        hosts that went or restarted."""
+        """Takes over the host list; returns the keys of hosts that are gone or have restarted.
+
+        `hosts`: by name, the start, as any value that changes at a restart.
+        """
         names: dict[int, str] = {}
         starts: dict[int, object] = {}
         self.key_collisions = 0
@@ -32,13 +35,13 @@
         return gone
 
     def expire(self, now: int, retention: int) -> None:
-        """Drops the oldest tombstone once it is older than `retention` ns."""
+        """Drops the oldest tombstone if it is older than `retention` ns."""
         oldest = next(iter(self.tombstones), None)
         if oldest is not None and now - self.tombstones[oldest] > retention:
             del self.tombstones[oldest]
 
     def is_current(self, host: int, seen: int) -> bool:
-        """Whether the host is listed and did not restart since something was seen of it."""
+        """Whether the host is listed and has not restarted since the time `seen`."""
         return host in self.names and seen > self.tombstones.get(host, seen - 1)
 
     def _bury(self, now: int, hosts: list[int]) -> None:
--- a/gaproute/shared/gossip/invariants.py
+++ b/gaproute/shared/gossip/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold of a gateway's gossip: named checks that return violations as text."""
+"""The invariants of a gateway's gossip, as named checks that return violations as text."""
 
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
@@ -28,7 +28,7 @@
 
 
 def bounded(node: GossipNode) -> Iterator[str]:
-    """Every map is bounded. Cheap: call it always."""
+    """Every map is bounded. This check is cheap and can always be called."""
     for name, size, limit in (*_peer_bounds(node), *_local_bounds(node)):
         if size > limit:
             yield f"{size} {name}, {limit} at most"
@@ -60,7 +60,7 @@
 
 
 def no_set_after_its_tombstone(node: GossipNode) -> Iterator[str]:
-    """What a tombstone bars is not stored."""
+    """No set is stored that a tombstone bars."""
     for origin, sets in node.table.received.items():
         tombstone = node.table.tombstones.get(origin)
         ended = 0 if tombstone is None else tombstone.incarnation
@@ -70,7 +70,7 @@
 
 
 def origins_are_peers(node: GossipNode) -> Iterator[str]:
-    """Nothing received stands under this gateway's name, and nothing is stored of one that is no peer."""
+    """No received set is of this gateway, or of a gateway that is no peer."""
     if node.name in node.table.received:
         yield "a set of this gateway's own was taken from another"
     for origin in node.table.received:
@@ -79,7 +79,7 @@
 
 
 def sets_are_plausible(node: GossipNode) -> Iterator[str]:
-    """Only sets that an origin can have are stored."""
+    """Only sets that an origin can have made are stored."""
     for origin, sets in node.table.received.items():
         if len(sets) > MAX_SETS:
             yield f"{len(sets)} sets of {origin}"
@@ -90,7 +90,7 @@
 
 
 class AgesOnlyGrow:
-    """Of one version nothing is ever stored as observed later than before. Remembers the last call."""
+    """No set of one version is stored as observed later than before. Stores the state of the last call."""
 
     def __init__(self) -> None:
         self.observed: dict[tuple[str, SetName, Version], int] = {}
@@ -109,7 +109,7 @@
 
 
 def own_observations_alone(node: GossipNode, message: GossipMessage) -> Iterator[str]:
-    """A message that is to be sent holds own observations alone, of now or as a set was made lately."""
+    """A message contains only own observations, of now or of a cached set."""
     for entries in message.sets:
         for entry in () if _is_cached(node, entries) else entries.entries:
             if not _was_observed(node, entry):
@@ -133,7 +133,7 @@
 
 
 def check(node: GossipNode, *, thorough: bool = False) -> list[str]:
-    """Violations as text, none where all is well. The thorough ones walk all that is stored."""
+    """The violations as text; empty if there are none. `thorough`: also checks that read all stored sets."""
     found = [*bounded(node)]
     if thorough:
         for each in (no_set_after_its_tombstone, origins_are_peers, sets_are_plausible):
--- a/gaproute/shared/gossip/local_observations.py
+++ b/gaproute/shared/gossip/local_observations.py
@@ -1,4 +1,4 @@
-"""What this gateway observed itself: the only content of the messages that it sends. Times are in ns."""
+"""The observations of this gateway itself, which alone are sent in its messages. Times are ns."""
 
 from collections.abc import Container
 
@@ -6,34 +6,34 @@
 from gaproute.shared.gossip.messages import MAX_AMOUNT, WARM_PARTITIONS
 
 MAX_HOSTS = 8192  # hosts of which requests in flight or available capacity are stored
-MAX_INSTANCES = 512  # warm instances stored of each partition, those seen last
+MAX_INSTANCES = 512  # warm instances stored of each partition, those that were seen last
 
 Instance = tuple[int, int]  # keys of host and function
 
 
 class LocalObservations:
-    """Observations of this gateway by the keys of hosts and functions, each map bounded."""
+    """Observations of this gateway by the keys of hosts and functions; each map is bounded."""
 
     def __init__(self, now: int) -> None:
         self.arrivals = ArrivalRates(now)
-        self.in_flight: dict[int, float] = {}  # by host: requests of this gateway; none that has no request
-        self.available_capacity: dict[int, float] = {}  # by host: capacity believed available
+        self.in_flight: dict[int, float] = {}  # by host: requests of this gateway, for hosts that have any
+        self.available_capacity: dict[int, float] = {}  # by host: estimated available capacity
         self.warm_instances: list[dict[Instance, int]] = [{} for _ in range(WARM_PARTITIONS)]
         # by partition: when each was seen last, the latest last
 
     def record_in_flight(self, host: int, requests: float) -> None:
-        """Requests of this gateway that are in flight at the host now."""
+        """Records the requests of this gateway that are in flight at the host now."""
         if requests <= 0:
             self.in_flight.pop(host, None)
         else:
             _put_bounded(self.in_flight, host, requests)
 
     def record_available_capacity(self, host: int, capacity: float) -> None:
-        """Capacity that is believed available at the host."""
+        """Records the estimated available capacity of the host."""
         _put_bounded(self.available_capacity, host, capacity)
 
     def record_warm_instance(self, now: int, host: int, function: int) -> None:
-        """The instance was just seen."""
+        """Records that the instance was seen now."""
         instances, instance = self.warm_instances[function % WARM_PARTITIONS], (host, function)
         instances.pop(instance, None)
         instances[instance] = now
@@ -41,7 +41,7 @@
             del instances[next(iter(instances))]
 
     def record_unloaded_instance(self, host: int, function: int) -> None:
-        """There is no instance of the function at the host."""
+        """Records that the host has no instance of the function."""
         self.warm_instances[function % WARM_PARTITIONS].pop((host, function), None)
 
     def forget_hosts(self, hosts: Container[int]) -> None:
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -1,8 +1,8 @@
 """The messages of gossip: sets of entries of one kind, which the sender observed itself.
 
-A set is sent and replaced whole; it has a version and an age. Names travel as 32-bit keys: among 1,000 names
-two are alike once in 8,000 fleets, and gossip only advises. Amounts travel as one byte on a logarithmic
-scale. Times and ages are in ns.
+A set is sent and replaced as a whole; it has a version and an age. Names are sent as 32-bit keys: among 1,000
+names two have the same key once in 8,000 fleets, which is acceptable as gossip is only a hint. Amounts are
+sent as one byte on a logarithmic scale. Times and ages are ns.
 """
 
 from enum import IntEnum, StrEnum
@@ -16,20 +16,21 @@
 
 HEADER_BYTES = 10  # of a message
 SET_HEADER_BYTES = 11  # of each set in it
-ENVELOPE_BYTES = 60  # around a message: IP and UDP, the sender's name, the marks of the envelope's fields
-TRAVEL_TIME = 5_000_000  # ns that a message takes, as nobody's clock tells it
+# around a message: IP and UDP headers, the sender's name, the tags of the envelope's fields
+ENVELOPE_BYTES = 60
+TRAVEL_TIME = 5_000_000  # assumed travel time of a message, ns, as clocks of gateways are not compared
 
 MAX_INCARNATION = HIGHEST
 MAX_SEQUENCE = (1 << 32) - 1
-REQUEST_CLASSES = 256  # that an entry can tell apart
+REQUEST_CLASSES = 256  # number of request classes that an entry can name
 
-SCALE_STEPS = 12  # in an octave: an amount is exact within 3%
-AMOUNT_SCALE = tuple(2 ** (code / SCALE_STEPS) - 1 for code in range(256))  # the amount of each byte
+SCALE_STEPS = 12  # steps per octave: an amount is exact within 3%
+AMOUNT_SCALE = tuple(2 ** (code / SCALE_STEPS) - 1 for code in range(256))  # by byte: the amount
 MAX_AMOUNT = AMOUNT_SCALE[-1]  # 2.4 million
 
 
 class EntryKind(IntEnum):
-    """What the entries of a set tell; numbered as on the wire."""
+    """The kinds of sets; numbered as on the wire."""
 
     IN_FLIGHT = 0
     AVAILABLE_CAPACITY = 1
@@ -38,16 +39,16 @@
 
 
 class KindLimits(NamedTuple):
-    """The bounds of the sets of one kind."""
+    """The limits of the sets of one kind."""
 
-    label: str  # at the operators' address
-    partitions: int  # sets that one gateway sends; warm instances are divided by function
-    max_entries: int  # of a set: the greatest, or those seen last
+    label: str  # the name at the operators' address
+    partitions: int  # sets of one gateway; warm instances are divided by function
+    max_entries: int  # entries of a set: the greatest amounts, or the instances that were seen last
     entry_bytes: int
-    max_age: int  # ns after which a set counts for nothing
+    max_age: int  # age after which a set does not count, ns
 
 
-LIMITS = (  # by kind. Requests end within seconds; demand holds for minutes, idle instances as long
+LIMITS = (  # by kind: requests end within seconds; demand lasts for minutes, as do idle instances
     KindLimits("hands", 1, 64, 5, 15 * SECOND),
     KindLimits("room", 1, 64, 5, 20 * SECOND),
     KindLimits("demand", 1, 24, 8, 120 * SECOND),
@@ -59,14 +60,14 @@
 
 
 class HostEntry(NamedTuple):
-    """Requests in flight at a host, or the capacity believed available there."""
+    """Requests in flight at a host, or its estimated available capacity."""
 
     host: int  # key
     amount: float
 
 
 class DemandEntry(NamedTuple):
-    """Arrivals a second of a function in a request class, and their standard deviation."""
+    """Arrivals per second of a function in a request class, and their standard deviation."""
 
     function: int  # key
     request_class: int
@@ -88,23 +89,23 @@
 class EntrySet(NamedTuple):
     """Entries of one kind."""
 
-    kind: int  # an `EntryKind`, unless the sender errs
+    kind: int  # an `EntryKind`, unless the sender is faulty
     partition: int
-    sequence: int  # grows with each set of the kind and partition that its sender makes
+    sequence: int  # increases with each set of the kind and partition that its sender makes
     age: int
-    remainder: float  # sum of the amounts of subjects beyond the bound of entries
+    remainder: float  # sum of the amounts of subjects for which there was no entry left
     entries: Entries
 
 
 class GossipMessage(NamedTuple):
-    """What its sender observed itself; it tells nothing of others."""
+    """The observations of its sender."""
 
     incarnation: int
     sets: tuple[EntrySet, ...]
 
 
 class RejectionReason(StrEnum):
-    """Why a message or a set was not used; the texts are those of the operators' page."""
+    """Why a message or a set was rejected; the texts are those at the operators' address."""
 
     UNKNOWN_SENDER = "stranger"
     RATE_LIMITED = "flood"
@@ -116,7 +117,7 @@
 
 
 def name_key(name: str) -> int:
-    """The key by which a host or function is named."""
+    """The key of the name of a host or function."""
     return xxh32_intdigest(name.encode("utf-8", "backslashreplace"))
 
 
@@ -127,7 +128,7 @@
 
 
 def rejection_reason(entries: EntrySet) -> RejectionReason | None:
-    """Why a set cannot be used; None where it can."""
+    """Why a set is invalid; None if it is valid."""
     if not 0 <= entries.kind < len(LIMITS):
         return RejectionReason.INVALID
     limits = LIMITS[entries.kind]
@@ -153,5 +154,5 @@
 
 
 def _is_amount(amount: float) -> bool:
-    """NaN is none: it fails every comparison."""
+    """Whether the amount is valid; NaN is not, as it fails every comparison."""
     return 0 <= amount <= MAX_AMOUNT
--- a/gaproute/shared/gossip/name_keys.py
+++ b/gaproute/shared/gossip/name_keys.py
@@ -1,4 +1,4 @@
-"""The keys of names that were used lately, so that a request does not hash the same names each time."""
+"""Caches the keys of names, so that the names of a request need not be hashed each time."""
 
 from gaproute.shared.gossip.messages import name_key
 
--- a/gaproute/shared/gossip/node.py
+++ b/gaproute/shared/gossip/node.py
@@ -1,6 +1,7 @@
-"""One gateway's gossip: it observes, sends, receives and estimates; no I/O, clock and chance are handed in.
+"""One gateway's gossip: it observes, sends, receives and estimates. No I/O; time and random numbers are
+handed in.
 
-Nothing in it raises on what others send; what cannot be used is counted by its reason. Times are in ns.
+No received message raises an error; an invalid one is counted by its reason. Times are ns.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -25,16 +26,16 @@
 from gaproute.shared.randomness import RandomSource
 from gaproute.shared.token_bucket import TokenBucket
 
-SENDER_RATE = 8  # messages of one sender a second, four times what an honest one sends
+SENDER_RATE = 8  # messages per second of one sender: four times what a correct one sends
 SENDER_BURST = 16
-EXPIRY_TURNS = 64  # turns between two removals of what counts no more: every few seconds
+EXPIRY_TURNS = 64  # turns between two removals of expired sets, which is every few seconds
 STATUS_KINDS = (EntryKind.IN_FLIGHT, EntryKind.AVAILABLE_CAPACITY, EntryKind.DEMAND)
 
 
 class GossipNode:
-    """`tick` at the time `due` returns the messages to be sent; `receive` takes each that a peer sent.
+    """`tick`, at the time `due`, returns the messages to send; `receive` takes each message of a peer.
 
-    `rate`: bytes a second that it may send.
+    `rate`: bytes per second that may be sent.
     """
 
     def __init__(self, name: str, incarnation: int, random: RandomSource, now: int, rate: int = RATE) -> None:
@@ -51,34 +52,34 @@
         self.received = 0  # messages
         self._turns = 0
 
-    # What this gateway observes
+    # Own observations
 
     def record_arrival(self, now: int, function: str, request_class: int, count: int = 1) -> None:
-        """Requests came. `request_class`: its number, 0 to 255."""
+        """Records requests that arrived. `request_class`: its number, 0 to 255."""
         self.local.arrivals.record(now, self.keys.key(function), request_class % REQUEST_CLASSES, count)
 
     def record_in_flight(self, host: str, requests: float) -> None:
-        """Requests of this gateway that are in flight at the host now."""
+        """Records the requests of this gateway that are in flight at the host now."""
         self.local.record_in_flight(self.keys.key(host), requests)
 
     def record_available_capacity(self, host: str, capacity: float) -> None:
-        """Capacity that is believed available at the host."""
+        """Records the estimated available capacity of the host."""
         self.local.record_available_capacity(self.keys.key(host), capacity)
 
     def record_warm_instance(self, now: int, host: str, function: str) -> None:
-        """An answer or a health check just showed an instance."""
+        """Records an instance that an answer or a health check has just shown."""
         self.local.record_warm_instance(now, self.keys.key(host), self.keys.key(function))
 
     def record_unloaded_instance(self, host: str, function: str) -> None:
-        """There is no instance of the function at the host."""
+        """Records that the host has no instance of the function."""
         self.local.record_unloaded_instance(self.keys.key(host), self.keys.key(function))
 
-    # Who is there
+    # Peers and hosts
 
     def set_peers(self, now: int, names: Iterable[str]) -> None:
-        """Takes the gateways that are up, with or without this one.
+        """Takes over the gateways that are up, with or without this one.
 
-        What one that went had sent counts no more; it counts again once it is back under a higher
+        Sets of a gateway that is not up any more do not count; later sets count once it is back with a higher
         incarnation.
         """
         others = [name for name in names if name != self.name]
@@ -89,7 +90,7 @@
         self.peers.set_peers(others)
 
     def set_hosts(self, now: int, hosts: Mapping[str, object]) -> None:
-        """Takes the listed hosts, by name their start: what was seen before it is void."""
+        """Takes over the listed hosts: by name, their start. Observations before the start are invalid."""
         gone = self.hosts.update(now, hosts, self.keys.key)
         if gone:
             self.local.forget_hosts(frozenset(gone))
@@ -97,18 +98,18 @@
             self.view.clear()
 
     def raise_incarnation(self, incarnation: int) -> None:
-        """This gateway goes on under another incarnation: others took it for dead."""
+        """Goes on with another incarnation, as other gateways took this one for dead."""
         self.incarnation = max(self.incarnation, incarnation)
 
     # Sending and receiving
 
     @property
     def due(self) -> int:
-        """When `tick` is to be called."""
+        """When `tick` is to be called, ns."""
         return self.scheduler.due
 
     def tick(self, now: int) -> list[Outgoing]:
-        """The messages to be sent now."""
+        """The messages to send now."""
         if self._turns % EXPIRY_TURNS == 0:
             self.table.expire(now)
         self._turns += 1
@@ -116,13 +117,13 @@
         return self.scheduler.tick(now, self.incarnation, self.local_sets)
 
     def receive(self, now: int, sender: str, message: GossipMessage) -> int:
-        """Takes a peer's message; how many of its sets were news."""
+        """Takes a peer's message; returns how many of its sets were new."""
         return self.receive_encoded(now, sender, lambda: message)
 
     def receive_encoded(self, now: int, sender: str, decode: Callable[[], GossipMessage | None]) -> int:
-        """The same for bytes, which are decoded only where the sender may still speak.
+        """Takes the bytes of a message, which are decoded only if the sender is within its rate.
 
-        `decode` returns None where they are no message.
+        `decode` returns None if they are no message.
         """
         reason = self._sender_rejection(now, sender)
         if reason is not None:
@@ -135,30 +136,30 @@
         self.received += 1
         return sum([self.table.merge(now, sender, message.incarnation, each) for each in message.sets])
 
-    # Figures of the fleet
+    # Estimates for the fleet
 
     def in_flight(self, now: int, host: str) -> FleetEstimate:
         """Requests in flight at the host, of the whole fleet."""
         return self.view.in_flight(now, host)
 
     def demand(self, now: int, function: str, request_class: int) -> FleetEstimate:
-        """Arrivals a second in the whole fleet, see `FleetView.demand`."""
+        """Arrivals per second in the whole fleet, see `FleetView.demand`."""
         return self.view.demand(now, function, request_class)
 
     def unnamed_demand(self, now: int) -> FleetEstimate:
-        """Arrivals a second of functions that their origins do not name."""
+        """Arrivals per second of functions that their origins do not name."""
         return self.view.unnamed_demand(now, self.local_sets.get(now, EntryKind.DEMAND).remainder)
 
     def available_capacity(self, now: int, host: str) -> CapacityEstimate | None:
-        """What is believed available at the host; None where nobody tells."""
+        """The estimated available capacity of the host; None if no gateway has an estimate."""
         return self.view.available_capacity(now, host)
 
     def warm_instances(self, now: int, function: str) -> dict[str, WarmSighting]:
-        """By host: the instances of a function that were seen, a lower bound."""
+        """By host: the instances of a function that were seen; a lower bound."""
         return self.view.warm_instances(now, function)
 
     def status(self, now: int) -> dict[str, object]:
-        """For operators: what is sent and received, and on how many origins each kind rests."""
+        """The status for operators: what is sent and received, and how many origins each kind has."""
         origins = {LIMITS[kind].label: len(self.table.current(now, kind)) for kind in STATUS_KINDS}
         return {
             "peers": len(self.peers),
--- a/gaproute/shared/gossip/peer_rounds.py
+++ b/gaproute/shared/gossip/peer_rounds.py
@@ -1,4 +1,4 @@
-"""Which peer is sent the next message: each once in a round, in random order."""
+"""Chooses the peer that gets the next message: each one once in a round, in random order."""
 
 from collections.abc import Iterable
 
@@ -6,11 +6,11 @@
 
 
 class PeerRounds:
-    """The other gateways that are up, and those that the round has not come to yet."""
+    """The other gateways that are up, and those that are still to be sent to in this round."""
 
     def __init__(self, random: RandomSource) -> None:
         self.names: list[str] = []
-        self.remaining: list[str] = []  # of this round; the last comes next
+        self.remaining: list[str] = []  # of this round; the last one is next
         self.round_length = 0  # peers at the beginning of this round
         self._random = random
         self._members: dict[str, None] = {}
@@ -22,12 +22,12 @@
         return len(self.names)
 
     def set_peers(self, names: Iterable[str]) -> None:
-        """Takes the peers that are up; the round goes on with those that still are."""
+        """Takes over the peers that are up; the round goes on with those of its peers that still are."""
         self.names = list(names)
         self._members = dict.fromkeys(self.names)
 
     def next(self) -> str | None:
-        """The next peer; None where there is none."""
+        """The next peer; None if there is none."""
         for _ in range(2):
             while self.remaining:
                 name = self.remaining.pop()
--- a/gaproute/shared/gossip/scheduler.py
+++ b/gaproute/shared/gossip/scheduler.py
@@ -1,7 +1,7 @@
-"""When a message is sent and which sets it holds, by a budget of bytes that does not grow with the fleet.
+"""Decides when a message is sent and which sets it has, by a byte rate that does not grow with the fleet.
 
-A message holds the requests in flight, which change fast, and at a slower pace one other set in turn. In a
-large fleet a round takes longer, and a receiver holds a sample of the origins by which it scales.
+Each message has the requests in flight, which change fast, and at longer intervals one other set in turn. In
+a large fleet a round takes longer, and a receiver has sets of a sample of the origins, by which it scales.
 """
 
 from typing import NamedTuple
@@ -17,9 +17,11 @@
 )
 from gaproute.shared.gossip.peer_rounds import PeerRounds
 
-RATE = 3_000  # bytes a second, headers included: under 4 kB with bursts and membership's beside it
-RATE_IN_CELLS = 2_200  # where the table of cells takes a share of the 4 kB: 0.9 kB at 46,000 changes a day
-PEER_INTERVAL = SECOND // 2  # at least, between two messages to one peer: small fleets need not spend all
+RATE = 3_000  # bytes per second with headers: under 4 kB with bursts and with membership's messages
+# in a fleet of cells, where the cell table uses a share of the 4 kB: 0.9 kB at 46,000 changes a day
+RATE_IN_CELLS = 2_200
+# shortest time between two messages to one peer, so that small fleets need not use the whole rate
+PEER_INTERVAL = SECOND // 2
 SLOW_INTERVAL = SECOND // 4  # between two sets other than the requests in flight
 SLOW_KINDS = (
     EntryKind.DEMAND,
@@ -34,14 +36,14 @@
 
 
 class Outgoing(NamedTuple):
-    """A message and the peer that it is for."""
+    """A message and the peer to which it is sent."""
 
     peer: str
     message: GossipMessage
 
 
 class MessageScheduler:
-    """Composes the messages in time. `rate`: bytes a second. Times are in ns."""
+    """Composes the messages. `rate`: bytes per second. Times are ns."""
 
     def __init__(self, peers: PeerRounds, now: int, rate: int = RATE) -> None:
         self.due = now  # when the next message may be sent
@@ -53,7 +55,7 @@
         self._warm_partition = 0
 
     def tick(self, now: int, incarnation: int, sets: LocalEntrySets) -> list[Outgoing]:
-        """The message that is due, if any; sets `due` anew."""
+        """The message that is due, if any; sets `due` for the next one."""
         if now < self.due:
             return []
         peer = self._peers.next()
--- a/gaproute/shared/gossip/table.py
+++ b/gaproute/shared/gossip/table.py
@@ -1,9 +1,9 @@
-"""What other gateways sent, merged: of each origin and set the newest version by (incarnation, sequence).
+"""The merged sets of other gateways: for each origin and set the newest version by (incarnation, sequence).
 
-Taking the newest is commutative, associative and idempotent, so messages may come in any order, twice or
-late. Of one version that came twice with two ages the greater age holds. A tombstone bars an origin's
-incarnations up to the one that ended; what is barred never comes back, in whatever order the tombstone and
-the sets come. Times are ns on this gateway's clock.
+Taking the newest is commutative, associative and idempotent, so messages may arrive in any order, twice or
+late. If one version arrives with two ages, the greater age is stored. A tombstone bars an origin's
+incarnations up to the one that ended; a barred set is never stored again, in whatever order the tombstone and
+the sets arrive. Times are ns of this gateway's clock.
 """
 
 from collections import Counter
@@ -21,27 +21,27 @@
 )
 
 MAX_TOMBSTONES = 8192
-TOMBSTONE_TIME = 2 * MAX_AGE  # a tombstone outlives all sets of its origin, then it may go
+TOMBSTONE_TIME = 2 * MAX_AGE  # a tombstone is stored for longer than any set of its origin can count
 
 SetName = tuple[int, int]  # kind and partition
 
 
 class Version(NamedTuple):
-    """Of a set: the newer is the greater."""
+    """The version of a set; the newer one is the greater."""
 
     incarnation: int
     sequence: int
 
 
 class Tombstone(NamedTuple):
-    """An incarnation of an origin that ended, and when that was known."""
+    """An incarnation of an origin that has ended, and when this gateway learned that."""
 
     incarnation: int
     created_at: int
 
 
 class ReceivedSet:
-    """One set as it is stored; `observed_at`: when what it tells was so."""
+    """A stored set; `observed_at`: when its content was observed."""
 
     __slots__ = ("version", "observed_at", "remainder", "entries")
 
@@ -53,7 +53,7 @@
 
 
 class GossipTable:
-    """Owns the sets of all other gateways, their tombstones, and the counts of what was rejected."""
+    """Owns the sets of all other gateways, their tombstones, and the counts of rejections."""
 
     def __init__(self) -> None:
         self.received: dict[str, dict[SetName, ReceivedSet]] = {}  # by origin
@@ -61,7 +61,7 @@
         self.rejections: Counter[RejectionReason] = Counter()
 
     def merge(self, now: int, origin: str, incarnation: int, entries: EntrySet) -> bool:
-        """Merges one set; whether it was newer than what is stored. What cannot be used is counted."""
+        """Merges one set; returns whether it was newer than the stored one. An invalid set is counted."""
         reason = self._rejection_reason(origin, incarnation, entries)
         if reason is not None:
             self.rejections[reason] += 1
@@ -80,7 +80,7 @@
         return False
 
     def add_tombstone(self, now: int, origin: str, incarnation: int) -> None:
-        """No set of this incarnation or an older one counts from now on."""
+        """Bars sets of this incarnation and of older ones from now on."""
         earlier = self.tombstones.pop(origin, None)
         if earlier is not None:
             incarnation = max(incarnation, earlier.incarnation)
@@ -94,18 +94,18 @@
             del self.tombstones[next(iter(self.tombstones))]
 
     def latest_incarnation(self, origin: str) -> int:
-        """The latest incarnation of which a set is stored; 0 where none is."""
+        """The latest incarnation of which a set is stored; 0 if there is none."""
         sets = self.received.get(origin, {})
         return max([stored.version.incarnation for stored in sets.values()], default=0)
 
     def expire(self, now: int) -> None:
-        """Drops sets that count no more, and for each origin at most one tombstone that outlived all sets."""
+        """Drops expired sets, and for each origin at most one tombstone that has expired."""
         for origin in list(self.received):
             self._expire_sets(now, origin)
             self._expire_oldest_tombstone(now)
 
     def current(self, now: int, kind: int, partition: int = 0) -> list[tuple[str, ReceivedSet]]:
-        """(origin, set) of a kind where it still counts, in the order in which origins became known."""
+        """(origin, set) for the sets of a kind that count now, in the order in which origins became known."""
         name, max_age = (kind, partition), LIMITS[kind].max_age
         return [
             (origin, stored)
--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -1,9 +1,9 @@
-"""The side that wants leases: one command at a time, sent again until some member's leader answers.
+"""The lease client: one command at a time, sent again until the leader answers.
 
-A lease is valid by the client's own clock from when its command was FIRST sent: whatever was granted was
-granted later. If nobody answers it expires here before the group lets it expire (`commands.expiry_wait`).
-What is done under a lease carries its fencing token, as a process may be stopped between looking at
-`valid_at` and acting. Times are ns of the client's clock.
+A lease is valid, by the client's own clock, from when its command was FIRST sent, as it was granted later in
+any case. If nobody answers, the lease expires here before the group lets it expire (`commands.expiry_wait`).
+Every action under a lease carries its fencing token, as a process may be stopped between checking `valid_at`
+and acting. Times are ns of the client's clock.
 """
 
 from collections import Counter, deque
@@ -34,38 +34,41 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-RESEND_AFTER = 500 * MILLI  # to the next member: above a sync and a round trip, below an election
-RETRY_PAUSE = 100 * MILLI  # before the next member is tried by one that knows no leader
-MAX_REDIRECTS = 2  # followed at once: members that name one another must not cause a flood
+# to the next member; longer than a sync and a round trip, shorter than an election
+RESEND_AFTER = 500 * MILLI
+RETRY_PAUSE = 100 * MILLI  # before the next member is tried after one that knows no leader
+# followed without a pause, so that members that name one another do not cause a flood of messages
+MAX_REDIRECTS = 2
 
 
 class LeaseClient:
-    """Acquires leases for the holder `name` from the group `members` and renews them until released.
+    """Acquires leases for the holder `name` from the group `members`, and renews them until they are
+    released.
 
-    `requests` has those that are requested or held. `due`, `tick` and `hear` are as of a member of the group.
+    `requests` has those that are requested or held. `due`, `tick` and `hear` are as of `RaftNode`.
     """
 
     def __init__(self, name: str, members: Iterable[str], chance: RandomSource, now: int) -> None:
         self.name, self.chance = name, chance
         self.session = self.nonce = 0  # session 0: none is open
-        self.urgent: deque[QueuedCommand] = deque()  # renewals and releases go before new requests
+        self.urgent: deque[QueuedCommand] = deque()  # renewals and releases are sent before new requests
         self.queue: deque[QueuedCommand] = deque()
         self.outstanding: OutstandingCommand | None = None
         self.resend_at, self.redirects = now, 0
         self.requests: list[LeaseRequest] = []
-        self.rejected: Counter[str] = Counter()  # messages, by reason
+        self.rejected: Counter[str] = Counter()  # by reason: rejected messages
         self.members: tuple[str, ...] = ()
-        self.target = ""  # the member that is spoken to
+        self.target = ""  # the member to which commands are sent
         self.set_configured_members(now, members)
 
     def set_configured_members(self, now: int, members: Iterable[str]) -> None:
-        """The names of the group's members by the configuration."""
+        """Takes over the names of the group's members in the configuration."""
         self.members = tuple(sorted(set(members)))
         if self.target not in self.members:
             self.target = self.members[self.chance.below(len(self.members))]
 
     def acquire(self, now: int, resource: str, duration: int, amount: int = 1) -> LeaseRequest:
-        """Requests a lease of `duration` ns. Raises `LeaseRequestError`."""
+        """Requests a lease of `duration` ns. Errors: `LeaseRequestError`."""
         if not MIN_DURATION <= duration <= MAX_DURATION or not 1 <= amount <= HIGHEST:
             raise LeaseRequestError(f"a lease of {amount} of {resource} for {duration} ns")
         if len(self.requests) >= MAX_LEASES_PER_CLIENT:
@@ -76,7 +79,7 @@
         return request
 
     def release(self, now: int, request: LeaseRequest) -> None:
-        """The lease is not valid from here on; the group hears of it or lets it expire."""
+        """Ends the validity of the lease now; the group is sent a release, or lets the lease expire."""
         if request.state == LeaseState.HELD:
             self._queue_release(request.fencing_token)
         self.queue = deque(queued for queued in self.queue if queued.request is not request)
@@ -84,19 +87,19 @@
             self._end(request, LeaseState.RELEASED)
 
     def release_all(self, now: int) -> None:
-        """Releases every lease, as the gateway stops. What the group does not hear of expires."""
+        """Releases every lease, as the gateway stops; those whose release does not arrive expire."""
         for request in list(self.requests):
             self.release(now, request)
 
     def resize_pool(self, now: int, resource: str, amount: int) -> None:
-        """Sets how much of the resource may be held. Raises `LeaseRequestError` for too many commands."""
+        """Sets how much of the resource may be held. Errors: `LeaseRequestError` for too many commands."""
         if len(self.queue) >= 2 * MAX_LEASES_PER_CLIENT:
             raise LeaseRequestError(f"{len(self.queue)} commands wait")
         self.queue.append(QueuedCommand(ResizePool(resource, self.name, amount)))
 
     @property
     def due(self) -> int | None:
-        """When `tick` is to be called next; None while there is nothing to do."""
+        """When `tick` is to be called next; None while nothing is to be done."""
         times = [
             time
             for request in self.requests
@@ -109,7 +112,7 @@
         return min(times, default=None)
 
     def tick(self, now: int) -> list[tuple[str, Request]]:
-        """Expires, renews and sends what is due: (member, message)."""
+        """Expires and renews leases and sends what is due; returns (member, message) pairs."""
         self._release_expired(now)
         self._renew(now)
         if now < self.resend_at:
@@ -121,7 +124,7 @@
         return self._send(now, self.outstanding)
 
     def hear(self, now: int, sender: str, message: object) -> list[tuple[str, Request]]:
-        """A member's reply; what is to be sent then."""
+        """Handles a member's reply; returns the messages to send."""
         if sender not in self.members or not isinstance(message, Reply):
             self.rejected["stranger"] += 1
             return []
@@ -133,7 +136,8 @@
             return self._redirect(now, sender, message.leader, command)
         if message.state == "busy" or message.state == "done" and not (command.session or message.opened):
             self.resend_at = now + RETRY_PAUSE + self.chance.below(RETRY_PAUSE)
-            self.target = self.members[self.members.index(sender) - 1]  # so that the next one is the sender
+            # so that the next member is the sender
+            self.target = self.members[self.members.index(sender) - 1]
             return []
         self.target, self.outstanding, self.resend_at = sender, None, now
         if message.state == "forgotten":
@@ -204,12 +208,14 @@
         return []
 
     def _session_lost(self, lost: OutstandingCommand) -> None:
-        """The group has forgotten the session: whether the command was carried out is not known."""
+        """Handles a session that the group has forgotten: it is unknown whether the command was carried
+        out.
+        """
         self.session = 0
         if isinstance(lost.command, AcquireLease):
             if lost.request is not None and lost.request.state == LeaseState.REQUESTED:
                 self._end(lost.request, LeaseState.REJECTED, "outcome unknown")
-        elif lost.command is not None:  # idempotent
+        elif lost.command is not None:  # a repeated command is harmless
             self.urgent.append(QueuedCommand(lost.command, lost.request))
 
     def _completed(self, now: int, command: OutstandingCommand, result: CommandResult) -> None:
@@ -235,12 +241,12 @@
             request.state = LeaseState.HELD
             self._extend(request, first_sent)
             return
-        self._queue_release(result.fencing_token)  # too late, or not wanted any more
+        self._queue_release(result.fencing_token)  # granted too late, or not wanted any more
         if wanted:
             self._end(request, LeaseState.EXPIRED, "answered too late")
 
     @staticmethod
     def _extend(request: LeaseRequest, first_sent: int) -> None:
-        """Granted or renewed by a command that was first sent then."""
+        """Extends the lease, which a command granted or renewed that was first sent at `first_sent`."""
         request.expires_at = first_sent + request.duration
         request.renew_at = first_sent + request.duration // 2
--- a/gaproute/shared/leases/commands.py
+++ b/gaproute/shared/leases/commands.py
@@ -1,6 +1,6 @@
-"""The commands of the lease table and their results, as the bytes of log entries.
+"""The commands of the lease table and their results, and their encoding in log entries.
 
-The tags, the order of the fields and the bounds are a stored form: logs and snapshots on disk hold them.
+The tags, the order of the fields and the bounds are a stored form: logs and snapshots on disk contain them.
 All durations are ns.
 """
 
@@ -14,10 +14,11 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-MAX_DURATION = 600 * SECOND  # how long a resource stays taken, at most, by a holder that died
-MIN_DURATION = 100 * MILLI  # below it the renewals cost more than the lease is worth
+MAX_DURATION = 600 * SECOND  # longest time for which a resource stays taken by a holder that died
+MIN_DURATION = 100 * MILLI  # with shorter durations the renewals would cost too much
 CLOCK_ERROR = 10  # per mille by which any clock's rate may differ from true time (1%)
-MAX_LEASES_PER_CLIENT = 1024  # the hosts of a large fleet; bounds what one client makes all hold
+# the number of hosts in a large fleet; bounds the state that one client can cause
+MAX_LEASES_PER_CLIENT = 1024
 
 Amount = Annotated[int, Meta(ge=0, le=HIGHEST)]
 Duration = Annotated[int, Meta(ge=MIN_DURATION, le=MAX_DURATION)]
@@ -25,7 +26,7 @@
 
 
 class AcquireLease(Message, frozen=True, tag=1):
-    """Grants `amount` of the resource (1 of one that is no pool) for `duration` ns."""
+    """Grants `amount` of the resource (1 if it is no pool) for `duration` ns."""
 
     resource: Name
     holder: Name
@@ -34,7 +35,7 @@
 
 
 class RenewLease(Message, frozen=True, tag=2):
-    """The lease lasts for `duration` ns from now on."""
+    """Renews the lease for `duration` ns from now on."""
 
     fencing_token: FencingToken
     holder: Name
@@ -42,14 +43,14 @@
 
 
 class ReleaseLease(Message, frozen=True, tag=3):
-    """The holder does not need the lease any more."""
+    """Ends a lease that the holder does not need any more."""
 
     fencing_token: FencingToken
     holder: Name
 
 
 class ResizePool(Message, frozen=True, tag=4):
-    """The pool has `amount`. Less than is held: nothing new is granted until enough has been released."""
+    """Sets the size of the pool. If more is held, nothing new is granted until enough has been released."""
 
     resource: Name
     holder: Name
@@ -57,15 +58,16 @@
 
 
 class ExpireLease(Message, frozen=True, tag=5):
-    """From the leader alone: the lease last granted or renewed by the entry at `log_index` has expired by the
-    leader's clock."""
+    """From the leader alone: a lease, last granted or renewed by the entry at `log_index`, has expired by its
+    clock.
+    """
 
     fencing_token: FencingToken
     log_index: Amount
 
 
 class CommandResult(Message, frozen=True):
-    """`error` is empty where the command was carried out."""
+    """`error` is empty if the command was carried out."""
 
     error: Name = ""
     fencing_token: FencingToken = 0
@@ -74,7 +76,7 @@
 ClientCommand: TypeAlias = AcquireLease | RenewLease | ReleaseLease | ResizePool
 Command: TypeAlias = ClientCommand | ExpireLease
 
-# Each raises ValueError (`msgspec.ValidationError`) for bytes that are out of the bounds above.
+# Each function raises ValueError (`msgspec.ValidationError`) for values outside the bounds above.
 decode_client_command: Callable[[bytes], ClientCommand] = msgspec.msgpack.Decoder(ClientCommand).decode
 decode_command: Callable[[bytes], Command] = msgspec.msgpack.Decoder(Command).decode
 decode_result: Callable[[bytes], CommandResult] = msgspec.msgpack.Decoder(CommandResult).decode
@@ -82,9 +84,10 @@
 
 
 def expiry_wait(duration: int, error_per_mille: int = CLOCK_ERROR) -> int:
-    """How long the group holds a resource taken that was granted for `duration`, both ns by own clocks.
+    """How long the group keeps a resource taken that was granted for `duration`; both ns of the own clocks.
 
-    The holder's clock runs at 1-b at least, so its lease lasts duration/(1-b) at most; the leader's runs at
-    1+b at most, so its wait lasts expiry_wait/(1+b) at least. (1+3b)(1-b) >= 1+b for every b <= 1/3.
+    With a clock error of b, the holder's clock runs at 1-b at least, so its lease lasts duration/(1-b) at
+    most; the leader's clock runs at 1+b at most, so its wait lasts expiry_wait/(1+b) at least. (1+3b)(1-b) >=
+    1+b for every b <= 1/3.
     """
     return duration + -(-duration * 3 * error_per_mille // 1000)
--- a/gaproute/shared/leases/expiry.py
+++ b/gaproute/shared/leases/expiry.py
@@ -1,14 +1,14 @@
-"""When leases expire, by the leader's own clock.
+"""Expires leases by the leader's own clock.
 
-Only a leader has these timers. They begin anew with each leader, so that no time is ever carried from one
-clock to another.
+Only a leader has these timers. A new leader starts them again, so that no time is carried from one clock to
+another.
 """
 
 import heapq
 from collections.abc import Iterable
 from typing import NamedTuple
 
-SPARE_HEAP_ENTRIES = 64  # outdated entries that the heap may hold however few leases there are
+SPARE_HEAP_ENTRIES = 64  # outdated entries that the heap may have even if there are few leases
 
 
 class LeaseVersion(NamedTuple):
@@ -19,7 +19,7 @@
 
 
 class ExpiryUpdate(NamedTuple):
-    """The lease was granted or renewed at `log_index` and expires `wait` ns later; None: it has ended."""
+    """A lease that was granted or renewed at `log_index` and expires `wait` ns later; None: it has ended."""
 
     fencing_token: int
     log_index: int
@@ -27,16 +27,16 @@
 
 
 class ExpiryTimers:
-    """One timer for each lease, in ns of the clock that `now` is read from."""
+    """One timer for each lease, in ns of the clock of `now`."""
 
     def __init__(self, now: int, updates: Iterable[ExpiryUpdate]) -> None:
-        self.deadlines: dict[int, tuple[int, int]] = {}  # fencing token: (log index, expiry time)
+        self.deadlines: dict[int, tuple[int, int]] = {}  # by fencing token: (log index, expiry time)
         self.heap: list[tuple[int, int, int]] = []  # (expiry time, fencing token, log index)
         for fencing_token, log_index, wait in updates:
             self.update(now, fencing_token, log_index, wait)
 
     def update(self, now: int, fencing_token: int, log_index: int, wait: int | None) -> None:
-        """The entry at `log_index`, applied now, granted, renewed or ended (`wait` None) the lease."""
+        """Sets the timer after the entry at `log_index` granted, renewed or ended (`wait` None) the lease."""
         self.deadlines.pop(fencing_token, None)
         if wait is None:
             return
@@ -46,7 +46,7 @@
             self._drop_outdated()
 
     def _drop_outdated(self) -> None:
-        """Renewals leave their former expiry times in the heap."""
+        """Rebuilds the heap without former expiry times, which renewals leave in it."""
         self.heap = [(expires_at, token, index) for token, (index, expires_at) in self.deadlines.items()]
         heapq.heapify(self.heap)
 
@@ -56,7 +56,7 @@
         return self.heap[0][0] if self.heap else None
 
     def pop_expired(self, now: int, limit: int) -> list[LeaseVersion]:
-        """The leases that expired, `limit` of them; the rest stays for the next call."""
+        """The leases that have expired, at most `limit`; the rest is returned by the next call."""
         expired: list[LeaseVersion] = []
         while self.heap and self.heap[0][0] <= now and len(expired) < limit:
             expires_at, fencing_token, log_index = heapq.heappop(self.heap)
--- a/gaproute/shared/leases/group_invariants.py
+++ b/gaproute/shared/leases/group_invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold of a whole Raft group whose state machine is a `LeaseTable`, and of its clients."""
+"""The invariants of a whole Raft group with `LeaseTable` as its state machine, and of its clients."""
 
 from collections.abc import Iterable, Sequence
 
@@ -10,15 +10,15 @@
 
 
 class GroupHistory(History):
-    """What was seen before, held by the driver for a whole play."""
+    """The state of earlier checks, which the caller stores for a whole run."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.given: dict[int, tuple[str, str]] = {}  # resource and holder by fencing token
+        self.given: dict[int, tuple[str, str]] = {}  # by fencing token: (resource, holder)
 
 
 def table_of(node: RaftNode) -> LeaseTable:
-    """The node's state machine. Raises TypeError where it is another one."""
+    """The node's state machine. Errors: TypeError if it is no `LeaseTable`."""
     if not isinstance(node.machine, LeaseTable):
         raise TypeError(f"the machine of {node.name} is a {type(node.machine).__name__}, not a LeaseTable")
     return node.machine
@@ -27,7 +27,7 @@
 def check_group(
     nodes: Sequence[RaftNode], clients: Iterable[tuple[LeaseClient, int]], history: GroupHistory
 ) -> list[str]:
-    """The breaches at the nodes that are up. `clients`: each with its own clock's time."""
+    """The violations at the nodes that are up. `clients`: each with the time of its own clock."""
     breaches = check_all(nodes, history)
     for node in nodes:
         table = table_of(node)
--- a/gaproute/shared/leases/invariants.py
+++ b/gaproute/shared/leases/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold of leases. Every check returns the breaches as text, each with its name first."""
+"""The invariants of leases. Every check returns the violations as text that begins with the check's name."""
 
 from collections.abc import Iterable
 
@@ -7,11 +7,11 @@
 from gaproute.shared.leases.requests import LeaseRequest
 from gaproute.shared.leases.table import MAX_LEASES, MAX_POOLS, SINGLE, LeaseTable
 
-MAX_QUEUED = 3 * MAX_LEASES_PER_CLIENT  # commands: an acquisition, a renewal, a release of each lease
+MAX_QUEUED = 3 * MAX_LEASES_PER_CLIENT  # commands: an acquisition, a renewal and a release of each lease
 
 
 def check_table(table: LeaseTable) -> list[str]:
-    """Of one member's table; expensive, as it walks all of it."""
+    """Checks the table of one member; expensive, as it reads all of it."""
     held: dict[str, int] = {}
     breaches: list[str] = []
     for token, lease in table.leases.items():
@@ -27,7 +27,7 @@
 
 
 def check_client(client: LeaseClient) -> list[str]:
-    """Of one client alone; cheap."""
+    """Checks one client by itself; cheap."""
     breaches: list[str] = []
     queued = max(len(client.queue), len(client.urgent))
     if len(client.requests) > MAX_LEASES_PER_CLIENT or queued > MAX_QUEUED:
@@ -38,7 +38,9 @@
 
 
 def check_clients(table: LeaseTable, clients: Iterable[tuple[LeaseClient, int]]) -> list[str]:
-    """Of all clients against the table that applied most. `clients`: each with its own clock's time."""
+    """Checks all clients against the table that has applied the most. `clients`: each with its own clock's
+    time.
+    """
     spent: dict[str, int] = {}
     holders: dict[int, str] = {}  # by fencing token
     breaches: list[str] = []
@@ -46,7 +48,7 @@
         breaches += check_client(client)
         for request in client.requests:
             if not request.valid_at(now) or request.fencing_token > table.last_token:
-                continue  # what this member has not applied yet it cannot judge
+                continue  # this member has not applied the entry yet
             spent[request.resource] = spent.get(request.resource, 0) + request.amount
             breaches += _check_valid(table, client, request, holders)
     return breaches + _overspent(table, spent, "one holder, no pool overspent")
@@ -55,7 +57,7 @@
 def _check_valid(
     table: LeaseTable, client: LeaseClient, request: LeaseRequest, holders: dict[int, str]
 ) -> list[str]:
-    """Of a lease that its client takes for valid; `holders`: those of the clients before."""
+    """Checks a lease that its client considers valid; `holders`: those of the earlier clients."""
     token, breaches = request.fencing_token, []
     if token in holders:
         breaches.append(f"one holder: {client.name} and {holders[token]} by lease {token}")
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -23,8 +23,9 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-MAX_REQUESTS = 1024  # at once: as many as the client takes
-SHOWN_AFTER_END = 60 * SECOND  # that a request which has ended is still shown: time to read why
+MAX_REQUESTS = 1024  # at a time: as many as the client takes
+# how long a request that has ended is still shown, so that the reason can be read
+SHOWN_AFTER_END = 60 * SECOND
 
 Resource = Annotated[str, Meta(max_length=NAME)]
 
@@ -34,8 +35,8 @@
 class OperatorCommand(msgspec.Struct, forbid_unknown_fields=True, rename=JSON_KEYS):
     """One of `acquire` (a resource), `extend` or `release` (a request's number), `resize` (a resource).
 
-    `span_ms`: the lease's duration: how long the resource stays taken at most if this gateway dies.
-    `for_ms`: until the gateway releases it unasked; 0: the duration.
+    `span_ms`: the lease's duration, which is how long the resource stays taken at most if this gateway dies.
+    `for_ms`: the time after which the gateway releases it without a command; 0: the duration.
     """
 
     acquire: Resource = ""
@@ -51,7 +52,9 @@
 
 
 class RequestStatus(TypedDict):
-    """A request as JSON at the operators' address. `ms_left`: that the asker may act, from when it asked."""
+    """A request as JSON at the operators' address. `ms_left`: how long the requester may act, from its
+    request on.
+    """
 
     errand: int
     resource: str
@@ -71,8 +74,9 @@
 
 @dataclass
 class OperatorRequest:
-    """A lease request with a deadline of its own. `ended_at`: when it was seen to be neither requested nor
-    held any more."""
+    """A lease request with a deadline of its own. `ended_at`: when it was found to be neither requested nor
+    held.
+    """
 
     request: LeaseRequest
     deadline: int
@@ -80,11 +84,11 @@
 
 
 class OperatorRequests:
-    """The requests by their numbers.
+    """The requests by number.
 
-    `max_duration`: ns of a lease, by the configuration. `last_number`: the numbers of this run of the gateway
-    are above it, drawn anew at each start: who was away meanwhile must not take another's request for its
-    own. `due` and `tick` are as of the client.
+    `max_duration`: of a lease by the configuration, ns. `last_number`: the numbers in this run of the gateway
+    are above it. It is drawn at each start, so that a requester from an earlier run does not take another's
+    request for its own. `due` and `tick` are as of the client.
     """
 
     def __init__(self, client: LeaseClient, max_duration: int = MAX_DURATION, last_number: int = 0) -> None:
@@ -93,7 +97,7 @@
         self.last_number = last_number
 
     def execute(self, now: int, command: OperatorCommand) -> RequestStatus | PoolStatus:
-        """Carries out the command. Raises `LeaseRequestError` with what is wrong."""
+        """Carries out the command. Errors: `LeaseRequestError`, whose text says what is wrong."""
         fields = [name for name in JSON_KEYS if getattr(command, name)]
         if len(fields) != 1:
             raise LeaseRequestError("one of take, keep, give and size is asked for at a time")
@@ -125,7 +129,7 @@
         return self.status(now, self.last_number)
 
     def status(self, now: int, number: int) -> RequestStatus:
-        """What the operators' address shows of one request."""
+        """The status of one request at the operators' address."""
         held = self.requests[number]
         request, left = held.request, 0
         if request.valid_at(now) and request.expires_at is not None:
@@ -144,7 +148,7 @@
         }
 
     def table(self, now: int) -> list[RequestStatus]:
-        """All requests by number, those that ended lately among them."""
+        """All requests by number, including those that ended lately."""
         return [self.status(now, number) for number in sorted(self.requests)]
 
     @property
@@ -153,7 +157,7 @@
         return min(map(_due, self.requests.values()), default=None)
 
     def tick(self, now: int) -> None:
-        """Releases what nobody extended, forgets what has ended long ago."""
+        """Releases leases that were not extended, and forgets requests that ended long ago."""
         for number, held in list(self.requests.items()):
             if held.ended_at is None and now >= held.deadline:
                 self.client.release(now, held.request)
@@ -168,7 +172,7 @@
 
 
 def _duration(milliseconds: int, longest: int) -> int:
-    """In ns. Raises `LeaseRequestError` where it is out of bounds."""
+    """The duration in ns. Errors: `LeaseRequestError` if it is out of bounds."""
     if not MIN_DURATION <= milliseconds * MILLI <= longest:
         raise LeaseRequestError(
             f"{milliseconds} ms: {MIN_DURATION // MILLI} to {longest // MILLI} are possible"
--- a/gaproute/shared/leases/requests.py
+++ b/gaproute/shared/leases/requests.py
@@ -7,15 +7,15 @@
 from gaproute.shared.leases.commands import ClientCommand, CommandResult, decode_result
 from gaproute.shared.raft.messages import Reply
 
-REASON_LENGTH = 64  # characters of a rejection's reason that are kept
+REASON_LENGTH = 64  # characters of a rejection's reason that are stored
 
 
 class LeaseRequestError(GaprouteError, ValueError):
-    """What no member of the group would grant, or what the client has no place for."""
+    """A request that no member of the group would grant, or for which the client has no capacity."""
 
 
 class LeaseState(StrEnum):
-    """Of a lease request. The values are shown at the operators' address."""
+    """The states of a lease request. The values are shown at the operators' address."""
 
     REQUESTED = "asked"
     HELD = "held"
@@ -29,7 +29,7 @@
 
 @dataclass(eq=False)
 class LeaseRequest:
-    """A lease that is requested, held, or over. `reason`: why it was rejected or expired."""
+    """A lease that is requested or held, or was. `reason`: why it was rejected or expired."""
 
     resource: str
     amount: int
@@ -38,7 +38,7 @@
     reason: str = ""
     fencing_token: int = 0
     expires_at: int | None = None
-    renew_at: int | None = None  # None while a renewal is under way
+    renew_at: int | None = None  # None while a renewal is in progress
 
     def valid_at(self, now: int) -> bool:
         """Whether the lease is held and has not expired by the client's clock."""
@@ -46,13 +46,13 @@
 
     @property
     def open(self) -> bool:
-        """Whether it is requested or held."""
+        """Whether the lease is requested or held."""
         return self.state in OPEN_STATES
 
 
 @dataclass
 class QueuedCommand:
-    """A command that waits for its turn, and the lease request that it is for."""
+    """A command that waits to be sent, and its lease request."""
 
     command: ClientCommand
     request: LeaseRequest | None = None
@@ -60,7 +60,7 @@
 
 @dataclass
 class OutstandingCommand:
-    """The command that is sent until it is answered. `command` None opens the session."""
+    """A command that is sent until it is answered. `command` None opens the session."""
 
     command: ClientCommand | None
     request: LeaseRequest | None
@@ -71,7 +71,7 @@
 
 
 def result_of(reply: Reply) -> CommandResult:
-    """What a final reply says of the command; a reply without a result is an error."""
+    """The result of the command in a final reply; a reply without a result is an error."""
     if reply.state == "done":
         try:
             return decode_result(reply.body)
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -1,8 +1,8 @@
-"""The lease table: the state machine that the members of the Raft group apply their log to.
+"""The lease table: the state machine to which the members of the Raft group apply their log.
 
 It has no clock and no randomness, so the state is the same at all members. A lease ends here only by an
-entry: released by its holder, or expired by the leader. The leader's command names the entry that last
-granted or renewed the lease, so that a renewal that came first in the log wins.
+entry: its holder releases it, or the leader expires it. The leader's command names the entry that last
+granted or renewed the lease, so that a renewal that is earlier in the log wins.
 """
 
 from typing import NamedTuple
@@ -26,12 +26,13 @@
 from gaproute.shared.leases.expiry import ExpiryTimers, ExpiryUpdate
 from gaproute.shared.messages import Message
 
-MAX_LEASES = 4096  # at once: hosts out and room lent of a large fleet; 200 bytes each
-MAX_POOLS = 4096  # resources with a size of their own: hosts whose room is lent
-INITIAL_WAIT_TOKEN = 0  # what `ExpireLease` names to end the initial wait; no lease has it
+# at a time: the maintenance of hosts and the lent capacity of a large fleet; 200 bytes each
+MAX_LEASES = 4096
+MAX_POOLS = 4096  # resources with a size of their own: hosts whose capacity is lent
+INITIAL_WAIT_TOKEN = 0  # the token with which `ExpireLease` ends the initial wait; no lease has it
 
-# Errors of results. They are kept in the replicated table of sessions: members of two versions must give the
-# same, so the texts stay as they are.
+# Error texts of results. They are stored in the replicated table of sessions, and members of two versions
+# must give the same ones, so they never change.
 NOT_UNDERSTOOD = "not understood"
 NOT_THE_HOLDERS = "not the holder's own"
 TOO_LONG = "too long a span"
@@ -56,17 +57,19 @@
 
 
 class Pool(NamedTuple):
-    """A resource of which `size` may be held. `excess`: what was held when it shrank below that, or 0."""
+    """A resource of which `size` may be held. `excess`: the amount that was held when it shrank below that,
+    or 0.
+    """
 
     size: int
     excess: int
 
 
-SINGLE = Pool(1, 0)  # a resource that never was resized
+SINGLE = Pool(1, 0)  # a resource that was never resized
 
 
 class TableState(Message, frozen=True):
-    """The table as a snapshot has it; a stored form."""
+    """The table as it is stored in a snapshot."""
 
     last_token: int
     initial_wait: bool
@@ -78,26 +81,26 @@
 
 
 class LeaseTable:
-    """`initial_wait`: no lease is granted until the leader has waited the longest duration.
+    """`initial_wait`: no lease is granted until the leader has waited for the longest duration.
 
-    A log is begun anew only when all disks are lost, and then leases of before may still be held. The wait
-    costs the first start alone. `max_duration`: ns of a lease. Both must be the same at all members.
+    A log is begun again only if all disks were lost; leases from before may still be held then. Only the
+    first start pays for the wait. `max_duration`: of a lease, ns. Both must be the same at all members.
     """
 
     def __init__(self, *, initial_wait: bool = True, max_duration: int = MAX_DURATION) -> None:
         self.initial_wait, self.max_duration = initial_wait, max_duration
-        self.last_token = 0  # the last fencing token given
+        self.last_token = 0  # the last fencing token that was given
         self.leases: dict[int, Lease] = {}  # by fencing token
         self.amounts_held: dict[str, int] = {}  # by resource
         self.pools: dict[str, Pool] = {}  # by resource
-        self.last_change: ExpiryUpdate | None = None  # to a lease, by the last entry
+        self.last_change: ExpiryUpdate | None = None  # the change to a lease by the last entry
 
     def pool_size(self, resource: str) -> int:
-        """How much of the resource may be held in all."""
+        """How much of the resource may be held in total."""
         return self.pools.get(resource, SINGLE).size
 
     def check(self, sender: str, body: bytes) -> str:
-        """Why the leader does not even put this command of `sender` into its log, or ''."""
+        """Why the leader rejects this command of `sender` before logging it; '' if it does not."""
         try:
             command = decode_client_command(body)
         except ValueError:
@@ -107,13 +110,13 @@
         return TOO_LONG if getattr(command, "duration", 0) > self.max_duration else ""
 
     def raise_last_token(self, lowest: int) -> None:
-        """Fencing tokens given from here on are above `lowest`."""
+        """Has later fencing tokens be above `lowest`."""
         self.last_token = max(self.last_token, lowest)
 
     def apply(self, index: int, body: bytes, owner: str = "") -> bytes:
-        """Applies the entry at `index`; the encoded `CommandResult`.
+        """Applies the entry at `index`; returns the encoded `CommandResult`.
 
-        `owner`: of the session that the command came by; empty for the leader's own commands.
+        `owner`: the owner of the session by which the command came; empty for the leader's own commands.
         """
         self.last_change = None
         try:
@@ -159,7 +162,7 @@
         return CommandResult("", self.last_token)
 
     def _put(self, lease: Lease) -> None:
-        """The lease as it was granted or renewed."""
+        """Stores a lease that was granted or renewed."""
         self.leases[lease.fencing_token] = lease
         self.last_change = ExpiryUpdate(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
 
@@ -174,12 +177,12 @@
         held = self.amounts_held.get(resource, 0)
         size = self.pool_size(resource)
         if size == 1 and held <= 1:
-            self.pools.pop(resource, None)  # as one that never was resized
+            self.pools.pop(resource, None)  # as a resource that was never resized
         elif resource in self.pools:
             self.pools[resource] = Pool(size, held if held > size else 0)
 
     def _expire(self, command: ExpireLease) -> bool:
-        """Whether it has expired: False where a renewal came first, or it is gone."""
+        """Expires a lease; returns False if it was renewed earlier in the log, or is gone."""
         if command.fencing_token == INITIAL_WAIT_TOKEN:
             expired, self.initial_wait = self.initial_wait, False
             return expired
@@ -200,16 +203,16 @@
         self._update_excess(lease.resource)
 
     def pop_change(self) -> ExpiryUpdate | None:
-        """What the entries since the last call changed last, if any; it is returned once."""
+        """The last change by the entries since the last call, if any; each change is returned once."""
         change, self.last_change = self.last_change, None
         return change
 
     def start_timers(self, now: int) -> ExpiryTimers:
-        """Timers of a new leader for all leases, counted from now."""
+        """Makes the timers of a new leader for all leases, counted from now."""
         return ExpiryTimers(now, self.expiry_waits())
 
     def expiry_waits(self) -> list[ExpiryUpdate]:
-        """How long a leader waits, from when it became leader, before it lets each lease expire."""
+        """For each lease, how long a new leader waits before it lets the lease expire."""
         waits = [
             ExpiryUpdate(lease.fencing_token, lease.log_index, expiry_wait(lease.duration))
             for lease in self.leases.values()
@@ -220,16 +223,16 @@
 
     @staticmethod
     def expire_command(fencing_token: int, log_index: int) -> bytes:
-        """The entry with which a leader lets a lease expire."""
+        """The entry by which a leader expires a lease."""
         return encode(ExpireLease(fencing_token, log_index))
 
     def pack(self) -> bytes:
-        """The whole state, for a snapshot."""
+        """Encodes the complete state for a snapshot."""
         pools = [(resource, *pool) for resource, pool in self.pools.items()]
         return encode(TableState(self.last_token, self.initial_wait, list(self.leases.values()), pools))
 
     def unpack(self, data: bytes) -> None:
-        """Takes on the state of a snapshot. Raises ValueError where `data` is none."""
+        """Takes over the state of a snapshot. Errors: ValueError if `data` is none."""
         state = _decode_state(data)
         self.last_token, self.initial_wait = state.last_token, state.initial_wait
         self.leases = {lease.fencing_token: lease for lease in state.leases}
--- a/gaproute/shared/membership/__init__.py
+++ b/gaproute/shared/membership/__init__.py
@@ -1,4 +1,6 @@
-"""Which gateways are up, after SWIM: `Membership` takes messages and the time, and returns what to send."""
+"""Failure detection among gateways, after SWIM: `Membership` takes messages and the time, and returns
+messages.
+"""
 
 from gaproute.shared.membership.membership import Membership
 from gaproute.shared.membership.messages import MembershipMessage, MemberState, MemberUpdate, MessageKind
--- a/gaproute/shared/membership/dissemination.py
+++ b/gaproute/shared/membership/dissemination.py
@@ -1,5 +1,6 @@
-"""Makes messages, with the updates that ride on them: the least sent first, then entries of the table in
-turn."""
+"""Makes messages with piggybacked updates: first those that were sent least often, then entries of the
+table.
+"""
 
 from typing import NamedTuple
 
@@ -15,18 +16,18 @@
 )
 from gaproute.shared.membership.table import MemberTable
 
-SENDS = 3  # of each update, for every power of two of the members
-MAX_MESSAGE_BYTES = 1200  # fits an unfragmented datagram everywhere
-HEADER_BYTES = 32  # of a message beside the sender's names, the target and the updates, at most
+SENDS = 3  # of each update, for every power of two of the number of members
+MAX_MESSAGE_BYTES = 1200  # fits in a datagram that is not fragmented on any network
+HEADER_BYTES = 32  # of a message, beside the sender's names, the target and the updates; upper bound
 FILL_BYTES = (
     320  # up to which a message with few updates is filled with entries in turn, which mends what was
 )
 #                          lost or held back; more of it costs bytes only
-PING_REQUEST_BYTES = 400  # at most: three go out at once where a path is lossy
+PING_REQUEST_BYTES = 400  # at most, as three are sent at a time if a path loses messages
 
 
 class Outgoing(NamedTuple):
-    """A message to be sent and where to."""
+    """A message and the address to which it is sent."""
 
     address: str
     message: MembershipMessage
@@ -37,7 +38,7 @@
 
     def __init__(self, identity: Identity, table: MemberTable) -> None:
         self._identity, self._table = identity, table
-        self._turn = 0  # position in the table of the entry that is next in turn
+        self._turn = 0  # position in the table of the entry that is sent next
 
     def ping(self, receiver: Member, sequence: int) -> Outgoing:
         """Probes the receiver."""
@@ -48,22 +49,24 @@
         return self._to(receiver, MessageKind.PING_REQUEST, sequence, target=target)
 
     def ack(self, receiver: Member, sequence: int, target: str, *, stale: bool = False) -> Outgoing:
-        """Answers a probe. `stale`: the receiver must learn what is held of it, even where that is alive."""
+        """Answers a probe. `stale`: the receiver must learn what this gateway has stored about it, even if
+        that is alive.
+        """
         return self._to(receiver, MessageKind.ACK, sequence, target=target, stale=stale)
 
     def leave(self, receiver: Member) -> Outgoing:
-        """Tells the receiver that this gateway shuts down."""
+        """Announces to the receiver that this gateway shuts down."""
         address, message = self._to(receiver, MessageKind.ACK, 0)
         return Outgoing(address, message._replace(sender=self._identity.update(MemberState.LEFT)))
 
     def pull(self, receiver: Member, position: int) -> Outgoing:
-        """Asks for the part of the receiver's table that begins at the position."""
+        """Requests the part of the receiver's table that begins at the position."""
         return Outgoing(
             receiver.address, MembershipMessage(MessageKind.PULL, position, self._identity.update())
         )
 
     def chunk(self, position: int) -> MembershipMessage:
-        """The part of the whole table that begins at the position."""
+        """The part of the complete table that begins at the position."""
         sender = self._identity.update()
         bytes_left = MAX_MESSAGE_BYTES - HEADER_BYTES - encoded_size(sender)
         updates: list[MemberUpdate] = []
@@ -81,7 +84,7 @@
     def message(
         self, kind: MessageKind, sequence: int, *, target: str = "", first: Member | None = None
     ) -> MembershipMessage:
-        """A message with as many updates as it holds. `first`: what its receiver must refute."""
+        """A message with as many updates as fit. `first`: the update that its receiver must refute."""
         sender = self._identity.update()
         limit = PING_REQUEST_BYTES if kind is MessageKind.PING_REQUEST else MAX_MESSAGE_BYTES
         bytes_left = limit - HEADER_BYTES - encoded_size(sender) - len(target.encode())
@@ -101,8 +104,10 @@
         return Outgoing(receiver.address, self.message(kind, sequence, target=target, first=first))
 
     def _add_pending(self, chosen: dict[str, MemberUpdate], bytes_left: int) -> int:
-        """Adds pending updates, the least sent first. Returns the bytes left, under 0 where one more was
-        too long."""
+        """Adds pending updates, those sent least often first.
+
+        Returns the bytes that are left; a negative number if one more update was too long.
+        """
         pending = self._table.pending_updates
         for name in pending:
             member = self._table.members[name]
@@ -116,7 +121,7 @@
         return bytes_left
 
     def _fill(self, chosen: dict[str, MemberUpdate], bytes_left: int) -> None:
-        """Adds entries of the table in turn."""
+        """Adds entries of the table, continuing where the last message ended."""
         names = self._table.all_names.names
         for _ in range(min(len(names), FILL_BYTES // ENTRY_BYTES)):
             member = self._table.members[names[self._turn % len(names)]]
--- a/gaproute/shared/membership/identity.py
+++ b/gaproute/shared/membership/identity.py
@@ -1,4 +1,4 @@
-"""This gateway as a member that others hear of."""
+"""This gateway as a member."""
 
 from gaproute.shared.membership.messages import MemberState, MemberUpdate
 
@@ -11,12 +11,13 @@
         self.refutations = 0
 
     def update(self, state: MemberState = MemberState.ALIVE) -> MemberUpdate:
-        """What this gateway says of itself."""
+        """The update in which this gateway announces itself."""
         return MemberUpdate(self.name, self.address, state, self.incarnation)
 
     def refute(self, update: MemberUpdate) -> None:
-        """Raises the incarnation over an update about this gateway that is of an earlier start, or says that
-        it is not alive."""
+        """Raises the incarnation above that of an update about this gateway that is of an earlier start, or
+        not alive.
+        """
         if (update.incarnation, update.state) > (self.incarnation, MemberState.ALIVE):
             self.refutations += update.state != MemberState.ALIVE
             self.incarnation = update.incarnation + 1
--- a/gaproute/shared/membership/invariants.py
+++ b/gaproute/shared/membership/invariants.py
@@ -1,4 +1,4 @@
-"""What must always hold of a gateway's membership: named checks that return breaches as text."""
+"""The invariants of a gateway's membership, as named checks that return violations as text."""
 
 from collections.abc import Iterator
 
@@ -9,7 +9,7 @@
 
 
 def sizes_are_bounded(membership: Membership) -> Iterator[str]:
-    """Every map is bounded. Cheap: call it always."""
+    """Every map is bounded. This check is cheap and can always be called."""
     table, prober, count = membership.table, membership.prober, len(membership.members)
     unknown = count - MAX_MEMBERS
     if unknown > 0 and unknown > sum(member.configured for member in membership.members.values()):
@@ -25,7 +25,7 @@
 
 
 def lists_match_states(membership: Membership) -> Iterator[str]:
-    """Each member is in the lists of its state and in no other. Expensive: walks all."""
+    """Each member is in the lists of its state and in no other. Expensive, as it reads all members."""
     table = membership.table
     for name, member in membership.members.items():
         found = (name in table.alive, name in table.suspects, name in table.dead, name in table.all_names)
@@ -47,7 +47,7 @@
 
 
 def check(membership: Membership, *, thorough: bool = False) -> list[str]:
-    """Breaches as text, none where all is well. `thorough`: the expensive checks as well."""
+    """The violations as text; empty if there are none. `thorough`: the expensive checks as well."""
     breaches = list(sizes_are_bounded(membership))
     if thorough:
         breaches += lists_match_states(membership)
--- a/gaproute/shared/membership/membership.py
+++ b/gaproute/shared/membership/membership.py
@@ -1,18 +1,19 @@
-"""Which gateways are up: decisions only, no sockets, the clock and the random numbers handed in.
+"""Decides which gateways are up. No I/O; time and random numbers are handed in.
 
-After SWIM (Das, Gupta, Motivala 2002): each period one other member is probed, directly and then through
-others; one that does not answer is suspected, and dead once the suspicion has lasted. A suspect that lives
-refutes with a higher incarnation. Updates ride on the probes. Departures from the paper:
+After SWIM (Das, Gupta, Motivala 2002): in each period one other member is probed, directly and then through
+others; one that does not answer is suspected, and counts as dead once the suspicion has lasted for some time.
+A suspect that lives refutes with a higher incarnation. Updates are piggybacked on the probes. Differences
+from the paper:
 
-- a probe is tried again, directly and through others, twice within its period: at a fifth of the messages
-  lost a thousand members would otherwise make more suspects than updates can carry;
+- a probe is retried, directly and through others, twice within its period: at a loss of a fifth of the
+  messages a thousand members would otherwise make more suspects than updates can carry;
 - a message with few updates carries some entries of the table in turn;
-- a newcomer asks one member for the state of all, and so does one that finds a dead member back
-  (`state_transfer`);
-- a gateway that was itself stalled judges nobody by that time.
+- a gateway that joins requests the complete state from one member, as does one that finds a dead member alive
+  again (`state_transfer`);
+- a gateway that was itself stalled does not count that time against others.
 
-Nothing walks all members but a new round and a new list: a period costs the same whatever their number.
-Nothing that the rules rest on uses any of this.
+Only a new round and a new list read all members: the cost of a period does not depend on their number. No
+rule on requests depends on membership.
 """
 
 from collections.abc import Mapping
@@ -34,16 +35,16 @@
 
 SECOND = 1_000_000_000
 
-SUSPICION_PERIODS = 3  # times the power of two of the members, until a suspect is dead
-DEAD_RETENTION = 600 * SECOND  # after it a dead one that nobody configured is forgotten
+SUSPICION_PERIODS = 3  # times the power of two of the number of members, until a suspect counts as dead
+DEAD_RETENTION = 600 * SECOND  # after which a dead member that is not configured is forgotten
 
 
 class Membership:
-    """The failure detector of one gateway: `tick` at the time `due`, `receive` with each message; both return
-    what to send.
+    """The failure detector of one gateway: `tick` at the time `due` and `receive` return the messages to
+    send.
 
-    `incarnation` should be above that of any earlier start (ms since 1970 serve); where it is not, the first
-    answers tell.
+    `incarnation` should be above that of any earlier start, such as the time in ms since 1970; if it is not,
+    the first answers raise it.
     """
 
     def __init__(self, name: str, address: str, random: RandomSource, now: int, incarnation: int = 1) -> None:
@@ -55,22 +56,22 @@
         self.builder = MessageBuilder(self.identity, self.table)
         self.prober = Prober(self.table, self.builder, random, now)
         self.state_transfer = StateTransfer()
-        self.stalled_time = 0  # ns in which this gateway did not run: they count for no suspicion
+        self.stalled_time = 0  # ns in which this gateway did not run, which count for no suspicion
         self.suspicions = 0
 
     @property
     def incarnation(self) -> int:
-        """Of this gateway now."""
+        """The present incarnation of this gateway."""
         return self.identity.incarnation
 
     @property
     def refutations(self) -> int:
-        """How often this gateway refuted that it is not alive."""
+        """How often this gateway refuted an update that it is not alive."""
         return self.identity.refutations
 
     @property
     def rejected(self) -> int:
-        """Messages and updates that were out of their bounds, and unknown members beyond the table's."""
+        """Messages and updates that were invalid, and unknown members for which the table had no room."""
         return self.table.rejected
 
     @property
@@ -80,17 +81,19 @@
         return self.prober.due if transfer_due is None else min(self.prober.due, transfer_due)
 
     def configure(self, now: int, addresses: Mapping[str, str]) -> None:
-        """Takes the addresses of the configured gateways by name."""
+        """Takes over the addresses of the configured gateways by name."""
         self.table.configure(now - self.stalled_time, self.name, addresses)
 
     def live_count(self) -> int:
-        """Gateways that share the fleet, this one among them: suspects count, as most suspicions err."""
+        """The number of gateways that are up, including this one and suspects, as most suspicions are
+        wrong.
+        """
         return 1 + self.table.live_count()
 
     # Messages
 
     def receive(self, now: int, message: MembershipMessage) -> list[Outgoing]:
-        """Takes a message and returns the answers to it."""
+        """Handles a message; returns the answers to it."""
         if not self._is_acceptable(message.sender):
             self.table.rejected += 1
             return []
@@ -110,7 +113,9 @@
                 return self._start_transfer(now, member) + self.prober.ack_received(member, message)
 
     def apply(self, now: int, update: MemberUpdate) -> None:
-        """Takes an update: of another member into the table; one of this gateway is refuted where it errs."""
+        """Handles an update: about another member it goes into the table, a wrong one about this gateway is
+        refuted.
+        """
         if update.name == self.name and is_valid(update):
             self.identity.refute(update)
         else:
@@ -124,7 +129,7 @@
         )
 
     def _learn(self, now: int, message: MembershipMessage) -> Member | None:
-        """Takes the updates of the message. Returns its sender's entry."""
+        """Takes the updates of the message; returns the entry of its sender."""
         known = self.members.get(message.sender.name)
         was_dead = known is not None and known.state >= MemberState.DEAD
         for update in (message.sender, *message.updates):
@@ -173,12 +178,14 @@
         return outgoing + self.prober.retry(now)
 
     def leave(self) -> list[Outgoing]:
-        """Messages that tell a few members that this gateway shuts down."""
+        """The messages that announce to a few members that this gateway shuts down."""
         names = self.table.alive.sample(self._random, HELPERS)
         return [self.builder.leave(self.members[name]) for name in names]
 
     def _resume_after_stall(self, now: int) -> None:
-        """Answers may lie unread, and no suspect had a chance to refute: nobody is judged by that time."""
+        """Ends the present probe after a stall: answers may lie unread, and no suspect could refute in that
+        time.
+        """
         self.stalled_time += now - self.due
         self.prober.abandon(now)
         self.state_transfer.restart_timeout(now)
@@ -201,7 +208,9 @@
             self.apply(now, member.update._replace(state=MemberState.SUSPECT))
 
     def _expire(self, now: int) -> None:
-        """Suspects that did not refute in time are dead; the dead are forgotten in time."""
+        """Marks suspects as dead that did not refute in time, and forgets those that have been dead for
+        long.
+        """
         running_time = now - self.stalled_time
         timeout = self.table.scaled(SUSPICION_PERIODS) * PERIOD
         for member in self.table.expired_suspects(running_time, timeout):
@@ -210,12 +219,12 @@
 
 
 def _is_stale(member: Member, sender: MemberUpdate) -> bool:
-    """Whether the sender is back with a lower incarnation than is held of it, and must learn that."""
+    """Whether the sender is back with a lower incarnation than the stored one, and must learn that."""
     return sender.incarnation < member.incarnation
 
 
 def _reply_address(member: Member, sender: MemberUpdate) -> str:
-    """Where an answer goes: a stale sender may be back at another address than is held."""
+    """The address for an answer: a stale sender may be back at another address than the stored one."""
     if _is_stale(member, sender) and not member.configured:
         return sender.address
     return member.address
--- a/gaproute/shared/membership/name_set.py
+++ b/gaproute/shared/membership/name_set.py
@@ -4,7 +4,7 @@
 
 
 class NameSet:
-    """Adds, discards and draws in constant time, however many names there are. The order means nothing."""
+    """Adds, discards and draws in constant time, whatever the number of names. The order has no meaning."""
 
     def __init__(self) -> None:
         self.names: list[str] = []
@@ -17,13 +17,13 @@
         return name in self._positions
 
     def add(self, name: str) -> None:
-        """Adds the name if it is not there."""
+        """Adds the name; no effect if it is in the set."""
         if name not in self._positions:
             self._positions[name] = len(self.names)
             self.names.append(name)
 
     def discard(self, name: str) -> None:
-        """Removes the name if it is there: the last one takes its position."""
+        """Removes the name, if it is in the set, by moving the last one to its position."""
         position = self._positions.pop(name, None)
         if position is None:
             return
@@ -33,13 +33,13 @@
             self._positions[last] = position
 
     def choose(self, random: RandomSource) -> str:
-        """One name at random. Errors: IndexError where there is none."""
+        """A random name. Errors: IndexError if the set is empty."""
         return self.names[random.below(len(self.names))]
 
     def sample(self, random: RandomSource, count: int, *, excluding: str | None = None) -> list[str]:
-        """Up to `count` different names at random, sometimes fewer than there are."""
+        """Up to `count` different random names; sometimes fewer than there are."""
         found: dict[str, None] = {}
-        for _ in range(3 * count):  # a draw may repeat one; a few draws too many cost nothing
+        for _ in range(3 * count):  # a draw may repeat a name; some unneeded draws cost nothing
             if len(found) >= min(count, len(self.names)):
                 break
             name = self.choose(random)
--- a/gaproute/shared/membership/probe_order.py
+++ b/gaproute/shared/membership/probe_order.py
@@ -1,23 +1,24 @@
-"""Whom to probe next."""
+"""Chooses the member to probe next."""
 
 from gaproute.shared.membership.messages import Member
 from gaproute.shared.membership.table import MemberTable
 from gaproute.shared.randomness import RandomSource, shuffle
 
-DEAD_PROBE_INTERVAL = 5  # every so many periods a dead one is probed instead: finds a partition that healed
+# in one of so many periods a dead member is probed instead, to find a partition that has healed
+DEAD_PROBE_INTERVAL = 5
 
 
 class ProbeOrder:
-    """Live members in rounds, each round in another random order; now and then one that is dead."""
+    """Live members in rounds, each round in another random order; at intervals a dead member."""
 
     def __init__(self, table: MemberTable, random: RandomSource) -> None:
         self._table, self._random = table, random
-        self.remaining: list[str] = []  # names still to be probed in this round, the next one last
-        self.remaining_names: set[str] = set()  # the same, to look them up
+        self.remaining: list[str] = []  # names to probe in this round, the next one last
+        self.remaining_names: set[str] = set()  # the same names, for look-ups
         self._periods = 0
 
     def next(self) -> Member | None:
-        """The member to probe in a new period, None where there is none."""
+        """The member to probe in a new period; None if there is none."""
         self._periods += 1
         self._add_joined()
         table = self._table
@@ -30,7 +31,7 @@
         return member
 
     def _add_joined(self) -> None:
-        """New live members get a random position in this round."""
+        """Puts new live members at random positions of this round."""
         for name in self._table.joined:
             if name not in self.remaining_names:
                 self.remaining_names.add(name)
--- a/gaproute/shared/membership/prober.py
+++ b/gaproute/shared/membership/prober.py
@@ -1,4 +1,4 @@
-"""The probes of one gateway: its own, one each period, and those that it sends for others."""
+"""The probes of one gateway: its own one in each period, and those that it sends for others."""
 
 from typing import NamedTuple
 
@@ -10,11 +10,12 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-PERIOD = SECOND  # between probes: n gateways cost each 2 small messages a period whatever n is
-PROBE_TIMEOUT = 300 * MILLI  # for the answer to a probe: many round trips, and a few late turns
+# between probes; each gateway costs 2 small messages in a period, whatever the number of gateways
+PERIOD = SECOND
+PROBE_TIMEOUT = 300 * MILLI  # for the answer to a probe: many round trips, and some late turns
 RETRIES = 2  # of a probe, each PROBE_TIMEOUT after the last
-HELPERS = 3  # asked to probe for us: one lossy path of our own must not make a suspect
-MAX_INDIRECT_PROBES = 64  # under way for others at once
+HELPERS = 3  # members asked to probe for this one, so that one lossy path does not make a suspect
+MAX_INDIRECT_PROBES = 64  # in progress for others at a time
 
 
 class Probe(NamedTuple):
@@ -25,7 +26,7 @@
 
 
 class IndirectProbe(NamedTuple):
-    """A probe sent for another member; `sequence`: of that member's own probe."""
+    """A probe that is sent for another member; `sequence`: of that member's own probe."""
 
     requester: str
     sequence: int
@@ -33,20 +34,20 @@
 
 
 class Prober:
-    """When to probe whom, and which answers are awaited."""
+    """Decides when which member is probed, and which answers are awaited."""
 
     def __init__(self, table: MemberTable, builder: MessageBuilder, random: RandomSource, now: int) -> None:
         self._table, self._builder, self._random = table, builder, random
         self.order = ProbeOrder(table, random)
-        self.indirect_probes: dict[int, IndirectProbe] = {}  # by the sequence number of our ping
+        self.indirect_probes: dict[int, IndirectProbe] = {}  # by the sequence number of this gateway's ping
         self.next_period = now + PERIOD
         self._sequence = 0
         self._probe: Probe | None = None
-        self._retries = 0  # of that probe, made so far
+        self._retries = 0  # retries of the present probe so far
 
     @property
     def due(self) -> int:
-        """When a period begins or the probe is to be retried, ns."""
+        """When a period begins or the probe is retried, ns."""
         return self._retry_at if self._probe and self._retries < RETRIES else self.next_period
 
     @property
@@ -55,7 +56,7 @@
         return None if self._probe is None else self._table.members.get(self._probe.target)
 
     def start_period(self, now: int) -> list[Outgoing]:
-        """Probes the next member; an earlier probe is given up."""
+        """Probes the next member; an earlier probe ends."""
         self.next_period, self._retries, self._probe = now + PERIOD, 0, None
         target = self.order.next()
         if target is None:
@@ -66,7 +67,7 @@
         return [self._builder.ping(target, self._sequence)]
 
     def retry(self, now: int) -> list[Outgoing]:
-        """Sends the probe again, directly and through others, where its answer is late."""
+        """Retries the probe, directly and through others, if its answer is late."""
         if self._probe is None or self._retries >= RETRIES or now < self._retry_at:
             return []
         self._retries += 1
@@ -79,7 +80,7 @@
         ]
 
     def abandon(self, now: int) -> None:
-        """The probe is given up without a verdict, and a new period begins."""
+        """Ends the probe without a result and begins a new period."""
         self._probe, self.next_period = None, now + PERIOD
 
     def probe_for(self, requester: Member, message: MembershipMessage) -> list[Outgoing]:
@@ -94,7 +95,7 @@
         return [self._builder.ping(target, self._sequence)]
 
     def ack_received(self, member: Member, message: MembershipMessage) -> list[Outgoing]:
-        """Takes an answer, and passes it on where the probe was for another member."""
+        """Handles an answer; it is passed on if the probe was for another member."""
         if self._probe in ((message.sequence, member.name), (message.sequence, message.target)):
             self._probe = None
         indirect = self.indirect_probes.pop(message.sequence, None)
--- a/gaproute/shared/membership/state_transfer.py
+++ b/gaproute/shared/membership/state_transfer.py
@@ -1,25 +1,25 @@
-"""When one member is asked for the state of all members, chunk by chunk.
+"""Decides when the state of all members is requested from one member, chunk by chunk.
 
-That is at the start, when a member that was held dead is back, and now and then. Each chunk is asked for when
-the last one has come, so the source is never flooded.
+That is at the start, when a member that counted as dead is back, and at long intervals. Each chunk is
+requested when the last one has come, so that the source is never flooded.
 """
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-CHUNK_TIMEOUT = 300 * MILLI  # then the chunk is asked for again
-MAX_ATTEMPTS = 6  # for one chunk, then another member is asked at once
-INTERVAL = 300 * SECOND  # between two transfers where nothing calls for one: mends what updates missed
-MIN_INTERVAL = 20 * SECOND  # between two starts: one healed partition brings back hundreds of members
-CHUNKS_PER_PERIOD = 64  # sent to all that ask, at most: 80 kB a second; who asks for more waits
+CHUNK_TIMEOUT = 300 * MILLI  # after which the chunk is requested again
+MAX_ATTEMPTS = 6  # for one chunk, after which another member is asked
+INTERVAL = 300 * SECOND  # between two transfers without a reason, which repair what updates missed
+MIN_INTERVAL = 20 * SECOND  # between two starts, as one healed partition brings back hundreds of members
+CHUNKS_PER_PERIOD = 64  # sent at most in a period, 80 kB per second; further requests must wait
 NEVER = -(1 << 62)
 
 
 class StateTransfer:
-    """The transfer under way, if any, and the chunks that this gateway sends to others."""
+    """The transfer in progress, if any, and the chunks that this gateway sends to others."""
 
     def __init__(self) -> None:
         self.source: str | None = None  # the member that is asked
-        self.position = 0  # of the chunk that is asked for
+        self.position = 0  # of the chunk that is requested
         self.requested_at, self.attempts = 0, 0
         self.started_at = self.finished_at = NEVER
         self.wanted = True
@@ -28,23 +28,23 @@
 
     @property
     def due(self) -> int | None:
-        """When a chunk is late, ns; None where none is awaited."""
+        """When a chunk is late, ns; None if none is awaited."""
         return None if self.source is None else self.requested_at + CHUNK_TIMEOUT
 
     def should_start(self, now: int) -> bool:
-        """Whether a transfer is wanted now and none is under way."""
+        """Whether a transfer should start now; False while one is in progress."""
         if self.source is not None or now - self.started_at < MIN_INTERVAL:
             return False
         return self.wanted or now - self.finished_at >= INTERVAL
 
     def start(self, now: int, source: str) -> None:
-        """The first chunk is asked for."""
+        """Starts a transfer; its first chunk is requested."""
         self.source, self.position = source, 0
         self.started_at = self.requested_at = now
         self.attempts = 0
 
     def chunk_received(self, now: int, sender: str, next_position: int) -> bool:
-        """Takes note of a chunk; `next_position`: 0 in the last. Returns whether to ask for the next."""
+        """Notes a chunk; `next_position`: 0 in the last one. Returns whether to request the next chunk."""
         if sender != self.source or 0 < next_position <= self.position:
             return False
         if next_position == 0:
@@ -55,7 +55,7 @@
         return True
 
     def should_retry(self, now: int) -> bool:
-        """Whether to ask for the same chunk again; after the last attempt the source is given up."""
+        """Whether to request the same chunk again; after the last attempt the transfer ends."""
         if self.source is None or now < self.requested_at + CHUNK_TIMEOUT:
             return False
         self.attempts, self.requested_at = self.attempts + 1, now
@@ -64,14 +64,16 @@
         return self.source is not None
 
     def restart_timeout(self, now: int) -> None:
-        """The chunk awaited counts as asked for now, as this gateway was stalled and may not have read it."""
+        """Restarts the timeout of the awaited chunk, as this gateway was stalled and may not have read it."""
         self.requested_at = now
 
     def start_period(self) -> None:
-        """Chunks may be sent again."""
+        """Begins a period, in which chunks may be sent again."""
         self.chunks_sent = 0
 
     def may_send_chunk(self) -> bool:
-        """Counts a chunk that another member asks for; whether it is within the bound of this period."""
+        """Counts a chunk that another member requests; returns whether it is within the limit of this
+        period.
+        """
         self.chunks_sent += 1
         return self.chunks_sent <= CHUNKS_PER_PERIOD
--- a/gaproute/shared/membership/table.py
+++ b/gaproute/shared/membership/table.py
@@ -1,8 +1,8 @@
-"""What is held of all members, and the one rule by which updates are merged.
+"""The stored state of all members, and the rule by which updates are merged.
 
-One order decides between two updates about a member: (incarnation, state, address). So merging is taking the
-greater, and updates may come in any order, twice, or late. Each state has a list of its own, so that nothing
-walks all members.
+Two updates about a member are ordered by (incarnation, state, address), and merging takes the greater one. So
+updates may come in any order, twice, or late. Each state has a list of its own, so that no call reads all
+members.
 """
 
 from collections.abc import Mapping
@@ -13,34 +13,38 @@
 from gaproute.shared.membership.name_set import NameSet
 from gaproute.shared.membership.update_queue import UpdateQueue
 
-MAX_MEMBERS = 4096  # unknown ones are refused beyond it: 8 MB with the longest names; lists know no cap
-REMOVALS = 8  # departed members looked at in one call of `remove_departed`
+# unknown members above it are rejected; 8 MB with the longest names. Configured members are not limited
+MAX_MEMBERS = 4096
+REMOVALS = 8  # departed members checked in one call of `remove_departed`
 
 
 class MemberTable:
-    """The members, this gateway not among them. Times are ns on a clock that stands while the gateway is
-    stalled, so that nobody is judged by such a time."""
+    """The members, except this gateway. Times are ns of a clock that stands still while the gateway is
+    stalled.
+    """
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
         self.all_names, self.alive, self.dead = NameSet(), NameSet(), NameSet()  # dead: or left
-        self.suspects: dict[str, int] = {}  # name: since when, the longest first
-        self.departed: dict[str, int] = {}  # name: since when dead or left, the longest first
+        self.suspects: dict[str, int] = {}  # by name: since when, the longest first
+        self.departed: dict[str, int] = {}  # by name: since when dead or left, the longest first
         self.pending_updates = UpdateQueue()
-        self.changed: dict[str, None] = {}  # names whose state changed since the reader last cleared them
+        self.changed: dict[str, None] = {}  # names whose state changed since the reader last cleared this
         self.joined: dict[str, None] = {}  # names that became alive since the last order of probes
-        self.rejected = 0  # messages and updates out of their bounds
+        self.rejected = 0  # messages and updates that were invalid
 
     def scaled(self, count: int) -> int:
-        """The count, times the power of two of the members."""
+        """The count times the power of two of the number of members."""
         return count * max(1, ceil(log2(len(self.members) + 1)))
 
     def live_count(self) -> int:
-        """Members that are alive or suspects."""
+        """The number of members that are alive or suspected."""
         return len(self.alive) + len(self.suspects)
 
     def configure(self, now: int, own_name: str, addresses: Mapping[str, str]) -> None:
-        """`addresses`: of the configured gateways by name; the only members that are never forgotten."""
+        """`addresses`: of the configured gateways by name, which are the only members that are never
+        forgotten.
+        """
         for name, address in addresses.items():
             if name == own_name:
                 continue
@@ -55,7 +59,7 @@
                     self.departed[name] = now
 
     def apply(self, now: int, update: MemberUpdate) -> None:
-        """Takes an update where it overrides what is held."""
+        """Stores an update if it overrides the stored one."""
         if not is_valid(update):
             self.rejected += 1
             return
@@ -69,7 +73,7 @@
             self._override(now, member, update, address)
 
     def expired_suspects(self, now: int, timeout: int) -> list[Member]:
-        """The members that have been suspects for so many ns."""
+        """The members that have been suspected for at least `timeout` ns."""
         found = []
         for name, since in self.suspects.items():
             if now - since < timeout:
@@ -78,7 +82,7 @@
         return found
 
     def remove_departed(self, now: int, retention: int) -> None:
-        """Forgets members that were dead for more than so many ns and that nobody configured."""
+        """Forgets members that were dead for more than `retention` ns and are not configured."""
         for name, since in list(islice(self.departed.items(), REMOVALS)):
             if now - since <= retention:
                 break
@@ -95,7 +99,7 @@
 
     def _override(self, now: int, member: Member, update: MemberUpdate, address: str) -> None:
         state_changed = update.state != member.state
-        # Of a configured member the first incarnation is no news to anybody.
+        # The first incarnation of a configured member is no change that others need to learn.
         if state_changed or member.incarnation:
             self.pending_updates.put(update.name)
         member.state, member.incarnation = MEMBER_STATES[update.state], update.incarnation
@@ -111,7 +115,7 @@
         self._index(now, member)
 
     def _index(self, now: int, member: Member) -> None:
-        """Puts the member into the lists of its state and takes it out of all others."""
+        """Puts the member into the lists of its state, and removes it from all others."""
         name = member.name
         self.suspects.pop(name, None)
         self.departed.pop(name, None)
--- a/gaproute/shared/membership/update_queue.py
+++ b/gaproute/shared/membership/update_queue.py
@@ -1,13 +1,14 @@
-"""The names whose updates are still to be sent."""
+"""The names of members whose updates are still to be sent."""
 
 from collections.abc import Iterator
 
 
 class UpdateQueue:
-    """Names by how often their update was sent. Iterates over the least sent first, then the oldest."""
+    """Names by how often their update was sent. Iterates over the least often sent first, then the oldest."""
 
     def __init__(self) -> None:
-        self._by_sends: list[dict[str, None]] = [{}]  # at index n: the names sent n times, the oldest first
+        # at index n: the names whose update was sent n times, the oldest first
+        self._by_sends: list[dict[str, None]] = [{}]
         self._sends: dict[str, int] = {}
 
     def __len__(self) -> int:
@@ -18,18 +19,18 @@
             yield from names
 
     def put(self, name: str) -> None:
-        """The name has a new update, which was never sent."""
+        """Adds a name with a new update, which was never sent."""
         self.discard(name)
         self._insert(name, 0)
 
     def discard(self, name: str) -> None:
-        """Removes the name if it is there."""
+        """Removes the name; no effect if it is not in the queue."""
         sends = self._sends.pop(name, None)
         if sends is not None:
             del self._by_sends[sends][name]
 
     def sent(self, name: str, max_sends: int) -> None:
-        """The update went out once more; after `max_sends` times the name leaves the queue."""
+        """Notes that the update was sent once more; after `max_sends` times the name is removed."""
         sends = self._sends.get(name)
         if sends is None:
             return
--- a/gaproute/shared/messages.py
+++ b/gaproute/shared/messages.py
@@ -1,13 +1,13 @@
 """The base of all messages and records that gateways exchange or store, and the bounds of their fields.
 
-A decoder refuses what is out of these bounds, so no peer can make a gateway hold more than it should.
+A decoder rejects values outside these bounds, so that no peer can make a gateway store too much.
 """
 
 from typing import Annotated
 
 from msgspec import Meta, Struct
 
-HIGHEST = 1 << 48  # of a term, an index, an incarnation: no fleet gets there; above it is nonsense
+HIGHEST = 1 << 48  # of a term, an index or an incarnation: no correct value comes near it
 NAME = 128  # characters of a name
 
 Count = Annotated[int, Meta(ge=0, le=HIGHEST)]
--- a/gaproute/shared/raft/__init__.py
+++ b/gaproute/shared/raft/__init__.py
@@ -1,11 +1,13 @@
-"""Raft (Ongaro and Ousterhout, 2014) among a few gateways, sans-I/O.
+"""Raft (Ongaro and Ousterhout, 2014) among a few gateways, without I/O.
 
-`RaftNode` is one node: `due` says when `tick` wants to be called, `hear` takes a message, both return what is
-to be sent as (receiver's name, message). It owns its `Store` (term, vote, log, on a `Disk`), its `Sessions`
-(what clients asked, on a `StateMachine` that is handed in) and, while it leads, its `LeaderState`.
+`RaftNode` is one node: `due` is the time at which `tick` is to be called, `hear` takes a message, and both
+return the messages to send as (receiver's name, message). A node owns its `Store` (term, vote and log, on a
+`Disk`), its `Sessions` (commands of clients, on a `StateMachine` that is handed in) and, while it is leader,
+its `LeaderState`.
 
-Nothing is sent before it is durable: `tick` and `hear` sync first and return nothing where that fails. A
-crash: drop the node, make a new one with the same disk. An unsynced tail may be cut by a crash at any record.
+Nothing is sent before it is durable: `tick` and `hear` sync first, and return nothing if that fails. To
+simulate a crash, drop the node and make a new one with the same disk; a crash may cut off unsynced records at
+any point.
 """
 
 from gaproute.shared.raft.disk import Disk, UnusableDiskError
--- a/gaproute/shared/raft/bootstrap.py
+++ b/gaproute/shared/raft/bootstrap.py
@@ -1,9 +1,9 @@
-"""How the first log begins without anybody's memory being taken for granted.
+"""How the first log begins, although any node may have lost its disk.
 
-Only the first by name of the configured members begins one, and only when every other one has said, in
-answer to this very incarnation, that it never voted and never took an entry. So a node that lost its disk
-begins nothing while any other remembers anything. And while the first one is the one that lost it, no leader
-of an older log can have been elected, as that takes another's vote, and a vote ends being blank.
+Only the first of the configured members, by name, begins a log, and only if every other one has reported, in
+answer to this incarnation, that it never voted and never took an entry. So a node that lost its disk begins
+no log while any other node has state. If the first member is the one that lost its disk, no leader of an
+older log can have been elected, as that takes the vote of another node, which is not blank after it.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def on_probe(node: NodeState, now: int, sender: str, message: BootstrapProbe, outbox: Outbox) -> None:
-    """Answers a probe, or takes the answer to an own one."""
+    """Answers a probe, or handles the answer to an own one."""
     if not message.echoed_incarnation:
         outbox.append((sender, BootstrapProbe(node.incarnation, message.incarnation, node.store.is_blank)))
     elif message.echoed_incarnation != node.incarnation or not _may_bootstrap(node):
--- a/gaproute/shared/raft/committed.py
+++ b/gaproute/shared/raft/committed.py
@@ -1,4 +1,4 @@
-"""What becomes of committed entries: they are applied, and in time a snapshot takes their place."""
+"""Applies committed entries, and replaces them by a snapshot from time to time."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.requests import reply_to
 
-COMPACT_AFTER = 1024  # entries applied that the log holds before a snapshot takes their place
-COMPACT_ANYWAY = 4  # times that many: then also while a follower that answers lacks some of them
+COMPACT_AFTER = 1024  # applied entries in the log, above which a snapshot replaces them
+# times as many: above that a snapshot is made even if a follower that answers lacks some of them
+COMPACT_ANYWAY = 4
 
 
 def apply_entries(node: NodeState, now: int, outbox: Outbox) -> None:
-    """What is committed and durable here comes into force; a leader replies to the clients."""
+    """Applies the entries that are committed and durable here; a leader replies to their clients."""
     while node.last_applied < node.commit_index:
         node.last_applied += 1
         entry = node.log.entry_at(node.last_applied)
@@ -28,9 +29,9 @@
 
 
 def compact_log(node: NodeState, now: int) -> None:
-    """Puts a snapshot in place of what is applied once that is much.
+    """Replaces the applied entries by a snapshot if there are many.
 
-    Not while a follower that answers would have to fetch the snapshot, unless it is very much.
+    While a follower that answers would need the snapshot, this is done only if there are very many.
     """
     applied, leader = node.last_applied - node.log.snapshot_index, node.leader_state
     if applied < COMPACT_AFTER:
--- a/gaproute/shared/raft/election.py
+++ b/gaproute/shared/raft/election.py
@@ -1,7 +1,7 @@
-"""Elections (Raft 5.2, 5.4.1), with pre-vote and votes refused while a leader is heard.
+"""Elections (Raft 5.2, 5.4.1), with pre-vote, and votes refused while the leader is alive.
 
-The latter two are of Ongaro's dissertation, 9.6 and 4.2.3. A vote is given once a term, to a log that is at
-least as up-to-date as the own one, and is durable before it is sent.
+The latter two are of Ongaro's dissertation, 9.6 and 4.2.3. A vote is given once in a term, to a log that is
+at least as up-to-date as the own one, and is durable before it is sent.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 def start_pre_vote(node: NodeState, outbox: Outbox) -> None:
     """Asks whether a majority would vote for this node.
 
-    Only then is the term raised, so that a node which was cut off disturbs nobody when it is back.
+    Only then is the term raised, so that a node that was cut off does not disturb the others when it is back.
     """
     node.role, node.leader = Role.PRE_CANDIDATE, ""
     node.granted_votes = {node.name: node.incarnation}
@@ -30,7 +30,9 @@
 
 
 def on_majority(node: NodeState, now: int, outbox: Outbox) -> None:
-    """A majority granted the pre-vote: the election begins. Or it granted the vote: this node leads."""
+    """Handles the consent of a majority: after a pre-vote the election begins, after a vote this node is
+    leader.
+    """
     if node.role is Role.PRE_CANDIDATE:
         node.role = Role.CANDIDATE
         node.store.save_vote(node.term + 1, node.name, node.incarnation)
@@ -38,12 +40,12 @@
         _request_votes(node, outbox, node.term, pre_vote=False)
         return
     node.become_leader(now)
-    # Entries of past terms are committed by one of the own term only (5.4.2).
+    # Entries of earlier terms are committed only by one of the own term (5.4.2).
     node.propose(EntryKind.NOOP)
 
 
 def on_request_vote(node: NodeState, now: int, sender: str, request: RequestVote, outbox: Outbox) -> None:
-    """Grants the vote or not; no answer while a leader is heard."""
+    """Answers whether the vote is granted; no answer while a leader's messages arrive."""
     leader_heard = node.is_leader or now - node.leader_heard_at < ELECTION_TIMEOUT
     if leader_heard and request.term > node.term:
         node.reject("asked while a leader is heard")
@@ -66,7 +68,7 @@
 def on_vote_response(
     node: NodeState, now: int, sender: str, response: RequestVoteResponse, outbox: Outbox
 ) -> None:
-    """Counts a vote of the election that is going on; `NodeState` draws what a majority means."""
+    """Counts a vote of the present election; `RaftNode` handles a majority."""
     if response.term > node.term:
         node.enter_term(now, response.term)
         return
--- a/gaproute/shared/raft/follower.py
+++ b/gaproute/shared/raft/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side: entries and snapshots from the leader of the term (Raft 5.3, 7)."""
+"""The follower's part: entries and snapshots from the leader of the term (Raft 5.3, 7)."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def _follow(
     node: NodeState, now: int, sender: str, message: AppendEntries | InstallSnapshot, outbox: Outbox
 ) -> bool:
-    """Whether the sender leads a term that is not over; then it is followed."""
+    """Whether the sender leads a term that is not over; if so, this node follows it."""
     if message.term < node.term:
         _respond(node, sender, outbox, 0, success=False)
         return False
@@ -37,11 +37,11 @@
 
 
 def on_append_entries(node: NodeState, now: int, sender: str, message: AppendEntries, outbox: Outbox) -> None:
-    """Takes the leader's entries where they follow from what the log has."""
+    """Takes the leader's entries if they follow an entry of the log."""
     if not _follow(node, now, sender, message, outbox):
         return
     log, index, entries = node.log, message.prev_log_index, message.entries
-    if index < log.snapshot_index:  # what the snapshot holds is committed: as the leader's
+    if index < log.snapshot_index:  # the entries in the snapshot are committed, so they equal the leader's
         entries = entries[log.snapshot_index - index :]
         index = log.snapshot_index
     elif log.term_at(index) != message.prev_log_term:
@@ -55,7 +55,7 @@
 
 
 def _append(node: NodeState, sender: str, prev_index: int, entries: tuple[Entry, ...]) -> bool:
-    """Puts those entries into the log that it does not have; False where that cannot be."""
+    """Appends the entries that the log lacks; returns False where that is not possible."""
     log = node.log
     for at, entry in enumerate(entries, prev_index + 1):
         if log.term_at(at) == entry.term:
@@ -72,7 +72,9 @@
 
 
 def _conflict_hint(log: ReplicatedLog, index: int) -> int:
-    """Where the leader is to try next: before the term that differs, so that it skips it whole."""
+    """The index that the leader should try next: before the term that differs, so that all of that is
+    skipped.
+    """
     if index > log.last_index:
         return log.last_index
     term, at = log.term_at(index), index
@@ -84,7 +86,7 @@
 def on_install_snapshot(
     node: NodeState, now: int, sender: str, message: InstallSnapshot, outbox: Outbox
 ) -> None:
-    """Takes the leader's state where it is ahead of what is committed here."""
+    """Takes over the leader's snapshot if it is ahead of what is committed here."""
     if not _follow(node, now, sender, message, outbox):
         return
     index = message.last_included_index
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -1,7 +1,7 @@
-"""What must always hold of the nodes of a group; every check returns breaches as text, named first.
+"""The invariants of the nodes of a group; every check returns violations as text that begins with its name.
 
-`NodeCheck` looks at one node alone and is cheap: the node calls it after all that it hears. `check_all` looks
-at all nodes at once, as only a driver can. What must hold of the state machine is the machine's to say.
+`NodeCheck` checks one node by itself and is cheap: the node calls it after every message. `check_all`
+compares all nodes. The state machine has checks of its own.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class _Seen(NamedTuple):
-    """What a node had at its last check."""
+    """The state of a node at its last check."""
 
     incarnation: int
     term: int
@@ -30,13 +30,13 @@
 
 
 class NodeCheck:
-    """A few comparisons with what was seen last time."""
+    """Compares a node with its state at the last check."""
 
     def __init__(self) -> None:
         self.seen: _Seen | None = None
 
     def run(self, node: NodeState) -> list[str]:
-        """The breaches at this node."""
+        """The violations at this node."""
         store, log = node.store, node.log
         breaches = self._compare(node)
         if not log.snapshot_index <= node.last_applied <= node.commit_index <= log.last_index:
@@ -77,7 +77,7 @@
 
 
 def check_deep(node: NodeState) -> list[str]:
-    """Expensive: walks the log and all sessions."""
+    """Expensive checks, which read the log and all sessions."""
     log = node.log
     terms = [log.snapshot_term, *(entry.term for entry in log.entries)]
     breaches = [] if terms == sorted(terms) else [f"terms grow along the log: {node.name}"]
@@ -90,17 +90,18 @@
 
 
 class History:
-    """What was seen before, held by the driver for a whole play."""
+    """The state of earlier checks, which the caller stores for a whole run."""
 
     def __init__(self) -> None:
-        self.leaders: dict[int, tuple[str, int]] = {}  # by term: name and incarnation
-        self.committed: dict[int, Entry] = {}  # by index: what some node had as committed
-        self.compared: dict[tuple[str, int], int] = {}  # by name and incarnation: up to which index
+        self.leaders: dict[int, tuple[str, int]] = {}  # by term: (name, incarnation)
+        self.committed: dict[int, Entry] = {}  # by index: the entry that some node had committed
+        # by (name, incarnation): the index up to which it was compared
+        self.compared: dict[tuple[str, int], int] = {}
         self.states: dict[int, bytes] = {}  # by last applied index: digest of the state
 
 
 def check_all(nodes: Iterable[NodeState], history: History) -> list[str]:
-    """Of the nodes that are up."""
+    """Checks the nodes that are up against each other."""
     up = list(nodes)
     breaches: list[str] = []
     for node in up:
@@ -115,7 +116,7 @@
 
 
 def _check_committed(node: NodeState, history: History) -> list[str]:
-    """Committed entries are the same for ever, at every node."""
+    """Committed entries are the same at every node, for ever."""
     log, itself = node.log, (node.name, node.incarnation)
     breaches: list[str] = []
     compared = history.compared.get(itself)
@@ -133,7 +134,7 @@
 
 
 def _check_matching(nodes: Sequence[NodeState]) -> list[str]:
-    """Log matching: the same term at an index, the same entries up to there."""
+    """Log matching: with the same term at an index, the entries up to there are the same."""
     breaches: list[str] = []
     for one, other in combinations(nodes, 2):
         first = max(one.log.snapshot_index, other.log.snapshot_index)
@@ -151,7 +152,7 @@
 
 
 def replay(node: NodeState) -> str:
-    """A line of JSON with all that is needed to look into a breach."""
+    """A line of JSON with everything that is needed to investigate a violation."""
     return msgspec.json.encode(
         {
             "name": node.name,
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -1,6 +1,6 @@
-"""The leader's side: entries to all, and commits by majority (Raft 5.3, 5.4.2).
+"""The leader's part: replicates entries and commits them by majority (Raft 5.3, 5.4.2).
 
-A leader that does not hear a majority any more steps down (dissertation 6.2), so that clients go elsewhere.
+A leader without answers of a majority steps down (dissertation 6.2), so that clients use another one.
 """
 
 from gaproute.shared.raft.leader_state import LeaderState
@@ -28,7 +28,7 @@
 
 
 def _answering_incarnations(node: NodeState, leader: LeaderState, now: int) -> dict[str, int]:
-    """Of those that answered lately, by name, itself among them."""
+    """By name: the incarnations of the nodes that answered lately, including itself."""
     answering = {
         name: progress.incarnation
         for name, progress in leader.followers.items()
@@ -38,7 +38,7 @@
 
 
 def tick(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
-    """Heartbeats, deadlines, a change of the members, or the end of the leadership."""
+    """Does what is due: heartbeats, deadlines, a change of members, or stepping down."""
     answering = _answering_incarnations(node, leader, now)
     if now - leader.elected_at >= QUORUM_TIMEOUT and not is_majority(node.members, answering):
         node.step_down(now)
@@ -58,10 +58,10 @@
 
 
 def _change_membership(node: NodeState, leader: LeaderState, now: int) -> None:
-    """One step of the members towards the configuration.
+    """Takes one step of the members towards the configuration.
 
-    Not before the last one is committed and so is an entry of the own term: the flaw of single-server
-    changes that Ongaro published in 2015.
+    It waits until the last step and an entry of the own term are committed: otherwise single-server changes
+    have a flaw, which Ongaro published in 2015.
     """
     uncommitted = node.log.membership_history[-1].log_index > node.commit_index
     if uncommitted or node.commit_index < leader.first_index:
@@ -81,7 +81,7 @@
 
 
 def advance_commit_index(node: NodeState, leader: LeaderState) -> None:
-    """Commits what a majority of the members has on disk, itself by what is synced."""
+    """Commits what a majority of the members has on disk; its own part is what is synced."""
     matched = sorted((_match_index(node, leader, member) for member in node.members), reverse=True)
     index = matched[len(matched) // 2]
     if index > node.commit_index and node.log.term_at(index) == node.term:
@@ -97,7 +97,7 @@
 
 
 def replicate(node: NodeState, leader: LeaderState, now: int, outbox: Outbox) -> None:
-    """New entries to all that have none in flight."""
+    """Sends new entries to all followers that have none in flight."""
     for name in node.peer_names():
         progress = leader.follower(name)
         if not progress.in_flight and node.log.snapshot_index < progress.next_index <= node.log.last_index:
@@ -105,7 +105,7 @@
 
 
 def _send_entries(node: NodeState, leader: LeaderState, now: int, name: str, outbox: Outbox) -> None:
-    """What the follower lacks: a snapshot, entries, or nothing but a heartbeat."""
+    """Sends a follower what it lacks: a snapshot, entries, or only a heartbeat."""
     progress, log = leader.follower(name), node.log
     entries: tuple[Entry, ...] = ()
     if progress.next_index > log.snapshot_index:
@@ -116,7 +116,8 @@
         outbox.append((name, _snapshot_message(node)))
         return
     else:
-        previous = log.snapshot_index  # it must not stand for election while it unpacks the snapshot
+        # heartbeats go on, so that the follower starts no election while it decodes the snapshot
+        previous = log.snapshot_index
     previous_term = log.term_at(previous) or 0
     message = AppendEntries(node.term, node.incarnation, previous, previous_term, node.commit_index, entries)
     outbox.append((name, message))
@@ -133,7 +134,7 @@
 def on_append_response(
     node: NodeState, now: int, sender: str, response: AppendEntriesResponse, outbox: Outbox
 ) -> None:
-    """A follower took entries, or lacks what comes before them."""
+    """Handles a follower's answer: it has taken entries, or lacks those before them."""
     leader = node.leader_state
     if response.term > node.term:
         node.enter_term(now, response.term)
--- a/gaproute/shared/raft/log.py
+++ b/gaproute/shared/raft/log.py
@@ -1,4 +1,4 @@
-"""The log of a node in memory: entries behind a snapshot, and who the members are by each of them."""
+"""The log of a node in memory: entries after a snapshot, and the members by each of them."""
 
 from typing import NamedTuple
 
@@ -6,33 +6,33 @@
 
 from gaproute.shared.raft.messages import MAX_ENTRIES, Entry, EntryKind, Member, Membership
 
-# Of the bodies in one message: several turns of commands, far from a socket's buffer.
+# Of the bodies in one message: the commands of several turns, far below the size of a socket's buffer.
 MAX_BATCH_BYTES = 128 << 10
 
 _membership_decoder = msgspec.msgpack.Decoder(Membership)
 
 
 def decode_membership(body: bytes) -> Membership:
-    """The body of a membership entry. Raises ValueError where it is none."""
+    """Decodes the body of a membership entry. Errors: ValueError."""
     return _membership_decoder.decode(body)
 
 
 def encode_membership(membership: Membership) -> bytes:
-    """The body of a membership entry."""
+    """Encodes the body of a membership entry."""
     return msgspec.msgpack.encode(membership)
 
 
 class MembersFrom(NamedTuple):
-    """The members by the entry at `log_index`, in force from its being logged on."""
+    """The members by the entry at `log_index`, in force from when it is logged."""
 
     log_index: int
     members: tuple[Member, ...]
 
 
 class ReplicatedLog:
-    """The entries `snapshot_index` + 1 to `last_index`; indexes begin at 1.
+    """The entries from `snapshot_index` + 1 to `last_index`; indexes begin at 1.
 
-    `membership_history`: the memberships that the log has, the last one in force.
+    `membership_history`: the memberships in the log, of which the last one is in force.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         return self.membership_history[-1].members
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry there; None where the log does not hold it, or no more."""
+        """The term of the entry there; None if the log does not have it, or not any more."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_index:
@@ -66,13 +66,13 @@
         return None
 
     def entry_at(self, index: int) -> Entry:
-        """The entry there, which the log must hold."""
+        """The entry there, which the log must have."""
         return self.entries[index - self.snapshot_index - 1]
 
     def append(self, index: int, entry: Entry) -> None:
-        """Puts the entry behind the last one, or in place of one and all behind it.
+        """Puts an entry after the last one, or replaces an entry and all after it.
 
-        Raises ValueError where it would leave a gap or fall into the snapshot, or is no membership.
+        Errors: ValueError if it would leave a gap, is within the snapshot, or is an invalid membership.
         """
         if not self.snapshot_index < index <= self.last_index + 1:
             raise ValueError(f"entry {index} does not follow {self.snapshot_index} to {self.last_index}")
@@ -85,7 +85,7 @@
             self.membership_history.append(MembersFrom(index, membership.members))
 
     def entries_from(self, index: int) -> tuple[Entry, ...]:
-        """The entries from `index` on, as many as one message takes."""
+        """The entries from `index` on, as many as fit in one message."""
         batch: list[Entry] = []
         size = 0
         for entry in self.entries[index - self.snapshot_index - 1 :][:MAX_ENTRIES]:
@@ -100,14 +100,14 @@
         return [each.members for each in self.membership_history if each.log_index <= index][-1]
 
     def memberships_since(self, index: int) -> list[tuple[Member, ...]]:
-        """The members as of the entry at `index`, and by all memberships behind it."""
+        """The members as of the entry at `index`, and by all later memberships."""
         later = [each.members for each in self.membership_history if each.log_index > index]
         return [self.members_at(index), *later]
 
     def compact(self, index: int) -> None:
-        """Drops the entries up to `index`: a snapshot holds what they did.
+        """Drops the entries up to `index`, which a snapshot replaces.
 
-        Raises ValueError where the log does not hold that one.
+        Errors: ValueError if the log does not have that entry.
         """
         members, term = self.members_at(index), self.term_at(index)
         if term is None:
--- a/gaproute/shared/raft/membership.py
+++ b/gaproute/shared/raft/membership.py
@@ -1,6 +1,6 @@
-"""The next step of the members towards the configuration: one joins or one leaves, never both.
+"""The next step of the members towards the configuration: one member joins or one leaves.
 
-These are Raft's single-server changes: any majority before and any after a step share a node.
+These are Raft's single-server changes: any majority before a step and any majority after it share a node.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -12,7 +12,7 @@
 
 
 class MatchedLog(NamedTuple):
-    """How far the log of a node, under this incarnation, is known to be the leader's."""
+    """The index up to which the log of a node, under this incarnation, is known to equal the leader's."""
 
     incarnation: int
     match_index: int
@@ -22,7 +22,7 @@
 
 
 def distinct_names(names: Iterable[str]) -> tuple[str, ...]:
-    """The configured names, sorted. Raises ValueError where there are none or too many."""
+    """The configured names, sorted. Errors: ValueError if there are none or too many."""
     distinct = tuple(sorted(set(names)))
     if not 1 <= len(distinct) <= MAX_MEMBERS:
         raise ValueError(f"1 to {MAX_MEMBERS} members are configured, not {len(distinct)}")
@@ -36,12 +36,12 @@
     matches: Mapping[str, tuple[int, int]],
     commit_index: int,
 ) -> Members | None:
-    """The members after the next step, or None where there is none to take.
+    """The members after the next step; None if there is none to take.
 
-    `incarnations`: of those that answered lately, by name; `matches`: a `MatchedLog` by name;
-    `commit_index`: what a newcomer must have, so that the majority that it enlarges can go on at once.
+    `incarnations`: by name, of the nodes that answered lately; `matches`: by name, a `MatchedLog`;
+    `commit_index`: what a new member must have, so that the larger majority can go on at once.
     """
-    for member in members:  # a member that came back with another disk: the old one is no more
+    for member in members:  # a member that is back with another disk: the old one is removed
         if member.name in incarnations and incarnations[member.name] != member.incarnation:
             return _without(members, member, incarnations)
     known = {member.name for member in members}
@@ -51,19 +51,21 @@
         if ready and name not in known and len(members) < MAX_MEMBERS:
             return tuple(sorted((*members, Member(name, incarnation)), key=lambda member: member.name))
     for member in members:
-        # Not before whoever takes its place has joined: fewer members bear fewer losses meanwhile.
+        # Only after its replacement has joined, as fewer members tolerate fewer failures.
         if member.name not in configured and len(members) > len(configured):
             return _without(members, member, incarnations)
     return None
 
 
 def _without(members: Members, gone: Member, incarnations: Mapping[str, int]) -> Members | None:
-    """None where those that would be left could not agree on it: then it would stop all."""
+    """The members without one; None if those that are left could not agree on it, which would stop the
+    group.
+    """
     left = tuple(member for member in members if member != gone)
     return left if is_majority(left, incarnations) else None
 
 
 def is_majority(members: Members, incarnations: Mapping[str, int]) -> bool:
-    """Whether those of `incarnations` are a majority of the members, each under its own incarnation."""
+    """Whether the nodes in `incarnations` are a majority of the members, each under its own incarnation."""
     present = sum(incarnations.get(member.name) == member.incarnation for member in members)
     return 2 * present > len(members)
--- a/gaproute/shared/raft/messages.py
+++ b/gaproute/shared/raft/messages.py
@@ -1,10 +1,10 @@
-"""The messages among the nodes of a group and between its clients and its leader.
+"""The messages between the nodes of a group, and between its clients and its leader.
 
-Every message is an immutable value. All numbers are bounded here, so that a decoder refuses what no node
-could have sent. Tags and the order of the fields are the form on the wire and never change.
+Every message is an immutable value. All numbers are bounded, so that a decoder rejects what no node can have
+sent. Tags and the order of the fields are the form on the wire and never change.
 
 `incarnation` is the sender's: the number that its disk got when it was empty. To the group a node is (name,
-incarnation); one that lost its disk is another node, whose votes and answers are not taken for the old one's.
+incarnation); one that lost its disk is another node, whose votes and answers do not count for the old one.
 """
 
 from enum import IntEnum, StrEnum
@@ -14,16 +14,16 @@
 
 from gaproute.shared.messages import Count, Message, Name
 
-MAX_ENTRIES = 64  # in one message: a heartbeat's worth of work, small next to a snapshot
-MAX_COMMAND_BYTES = 2048  # of one command: names and a few numbers take a tenth of it
-MAX_SNAPSHOT_BYTES = 4 << 20  # of a snapshot: all leases and sessions at their bounds take less
-MAX_MEMBERS = 9  # of a group: 3 or 5 are meant, one is added before another goes
+MAX_ENTRIES = 64  # in one message: those of about a heartbeat interval, small compared with a snapshot
+MAX_COMMAND_BYTES = 2048  # of one command; names and a few numbers take a tenth of it
+MAX_SNAPSHOT_BYTES = 4 << 20  # of a snapshot; all leases and sessions at their bounds take less
+MAX_MEMBERS = 9  # of a group; 3 or 5 are intended, and one is added before another is removed
 
 Body = Annotated[bytes, Meta(max_length=MAX_COMMAND_BYTES)]
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log is; the numbers are those on the wire and on disk."""
+    """The kinds of log entries; the numbers are those on the wire and on disk."""
 
     NOOP = 0
     MEMBERSHIP = 1
@@ -42,9 +42,9 @@
 
 
 class Membership(Message, frozen=True):
-    """The body of an entry of kind MEMBERSHIP: who the members are from here on. A stored form.
+    """The body of an entry of kind MEMBERSHIP: the members from this entry on. A stored form.
 
-    `fencing_base`: the fencing tokens of a new log begin above it; 0 leaves them as they are.
+    `fencing_base`: the fencing tokens of a new log begin above it; 0 does not change them.
     """
 
     members: Members
@@ -52,7 +52,7 @@
 
 
 class Entry(Message, frozen=True):
-    """An entry of the log. `session` and `nonce`: of the client's request; 0 where a node made the entry."""
+    """An entry of the log. `session` and `nonce`: of the client's request; 0 if a node made the entry."""
 
     term: Count
     kind: EntryKind
@@ -62,10 +62,10 @@
 
 
 class BootstrapProbe(Message, frozen=True, tag=1):
-    """From a node with an empty disk that may begin a log, and the answer to it.
+    """From a node with an empty disk that may begin a log; also the answer to it.
 
-    The answer echoes the asker's incarnation, so that it is from after that incarnation began. `blank`: the
-    sender never voted and never took an entry.
+    The answer repeats the asking node's incarnation, which proves that it was made after that began. `blank`:
+    the sender never voted and never took an entry.
     """
 
     incarnation: Count
@@ -74,7 +74,7 @@
 
 
 class RequestVote(Message, frozen=True, tag=2):
-    """A candidate asks for a vote. `pre_vote`: only whether it would be granted."""
+    """A candidate requests a vote. `pre_vote`: only the question whether it would be granted."""
 
     term: Count
     incarnation: Count
@@ -93,7 +93,7 @@
 
 
 class AppendEntries(Message, frozen=True, tag=4):
-    """The leader's entries behind the entry `prev_log_index`; without entries a heartbeat."""
+    """The leader's entries after the entry `prev_log_index`; without entries a heartbeat."""
 
     term: Count
     incarnation: Count
@@ -106,8 +106,8 @@
 class AppendEntriesResponse(Message, frozen=True, tag=5):
     """The answer to AppendEntries and InstallSnapshot.
 
-    `success`: all up to `match_index` is as the leader's and durable. Otherwise the leader is to try behind
-    `match_index`.
+    `success`: the log up to `match_index` equals the leader's and is durable. Otherwise the leader should try
+    the entries after `match_index`.
     """
 
     term: Count
@@ -128,7 +128,9 @@
 
 
 class Request(Message, frozen=True, tag=7):
-    """From a client. Session 0 opens one, with an empty body. A nonce is of one command of a session."""
+    """From a client. Session 0 opens a session, with an empty body. A nonce identifies a command of a
+    session.
+    """
 
     session: Count
     nonce: Count
@@ -136,7 +138,7 @@
 
 
 class ReplyStatus(StrEnum):
-    """What became of a request; the texts are those on the wire."""
+    """The result of a request; the texts are those on the wire."""
 
     DONE = "done"  # the body is the machine's result; `opened` is the session where one was asked for
     NOT_LEADER = "elsewhere"  # `leader` may name it
@@ -146,7 +148,7 @@
 
 
 class Reply(Message, frozen=True, tag=8):
-    """To a client. `state`: a `ReplyStatus`. `opened`: 0, or the session that was opened."""
+    """To a client. `state`: a `ReplyStatus`. `opened`: the session that was opened, or 0."""
 
     session: Count
     nonce: Count
