--- a/gaproute/shared/raft/node.py
+++ b/gaproute/shared/raft/node.py
@@ -1,4 +1,4 @@
-"""A node of a Raft group, sans-I/O: what comes in goes to the module that decides on it.
+"""A node of a Raft group, without I/O: each message goes to the module that handles it.
 
 Nothing is sent before it is durable.
 """
@@ -26,7 +26,7 @@
 from gaproute.shared.raft.timing import STORAGE_RETRY_INTERVAL
 from gaproute.shared.randomness import RandomSource
 
-MAX_TERM_JUMP = 1 << 30  # a term so far above the own is nonsense: an election a second for 30 years
+MAX_TERM_JUMP = 1 << 30  # a term so far above the own one is invalid: an election per second for 30 years
 
 _HANDLERS: dict[type, Callable[..., None]] = {
     RequestVote: election.on_request_vote,
@@ -41,13 +41,14 @@
 class RaftNode(NodeState):
     """A node called `name` of the group of `configured_members`.
 
-    `now`: ns of its own monotonic clock, here and in all calls. `machine`: what the entries act on, a new one
-    for every node. `fencing_base`: where a node that begins a log lets fencing tokens begin, Unix time in
-    ms, so that they grow even when all disks were lost.
+    `now`: ns of its own monotonic clock, here and in all calls. `machine`: the state machine of the entries,
+    a new one for every node. `fencing_base`: where fencing tokens begin if this node begins a log: Unix time
+    in ms, so that they increase even if all disks were lost.
 
-    After a failure of the disk the node is silent, as it may not promise what it cannot keep:
-    `storage_failure` says why. It writes all anew every few seconds until that succeeds. `rejections`:
-    messages that were rejected, by a fixed few reasons; `breaches`: what the invariants found, the first few.
+    After a failure of the disk the node sends nothing, as it must not promise what it cannot store:
+    `storage_failure` says why. It writes everything again every few seconds until that succeeds.
+    `rejections`: by a fixed set of reasons, the messages that were rejected; `breaches`: the first violations
+    that the invariants found.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         self.check = NodeCheck()
 
     def tick(self, now: int) -> Outbox:
-        """Does what is due; the messages to be sent."""
+        """Does what is due; returns the messages to send."""
         if self.storage_failure:
             self._retry_storage(now)
             return []
@@ -81,7 +82,7 @@
         return self._flush(now, outbox)
 
     def hear(self, now: int, sender: str, message: RaftMessage) -> Outbox:
-        """Takes a message; those to be sent."""
+        """Handles a message; returns the messages to send."""
         if self.storage_failure:
             return []
         outbox: Outbox = []
@@ -98,7 +99,9 @@
         return self._flush(now, outbox)
 
     def _retry_storage(self, now: int) -> None:
-        """Nothing was sent since the disk failed, so what memory holds may go there as a whole."""
+        """Writes everything again; as nothing was sent since the disk failed, the state in memory may be
+        written.
+        """
         if now < self.storage_retry_at:
             return
         self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
@@ -110,14 +113,14 @@
         self.storage_failure = self.store.failure
 
     def _flush(self, now: int, outbox: Outbox) -> Outbox:
-        """Syncs, then draws what rests on it: a won election, commits, replies.
+        """Syncs, then does what requires it: wins an election, commits, replies.
 
-        Returns nothing to be sent where the disk failed.
+        Returns no messages if the disk failed.
         """
         while self.store.sync():
             campaigning = self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE)
             if campaigning and is_majority(self.members, self.granted_votes):
-                election.on_majority(self, now, outbox)  # writes: has to be synced in its turn
+                election.on_majority(self, now, outbox)  # it writes, which has to be synced as well
                 continue
             if self.leader_state is not None:
                 leader.advance_commit_index(self, self.leader_state)
--- a/gaproute/shared/raft/node_state.py
+++ b/gaproute/shared/raft/node_state.py
@@ -1,4 +1,4 @@
-"""The state of a Raft node, and the changes of it that are more than one value."""
+"""The state of a Raft node, and the changes to it that concern more than one value."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -15,12 +15,12 @@
 from gaproute.shared.raft.timing import ELECTION_TIMEOUT, STORAGE_RETRY_INTERVAL
 from gaproute.shared.randomness import RandomSource
 
-MAX_BREACHES = 16  # kept by a node: the first ones tell
-MAX_UNCOMMITTED = 512  # entries: a megabyte at most; beyond it clients are told that the leader is busy
+MAX_BREACHES = 16  # stored by a node; the first ones are the most useful
+MAX_UNCOMMITTED = 512  # entries, a megabyte at most; above it clients get the answer that the leader is busy
 
 
 class NodeState:
-    """What a node knows and has promised: see `RaftNode`, which lets the modules beside it act on this."""
+    """The state and the promises of a node: see `RaftNode`, whose other modules act on this."""
 
     def __init__(
         self,
@@ -40,11 +40,12 @@
         self.storage_failure = self.store.failure
         self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
         self.role, self.leader, self.leader_heard_at = Role.FOLLOWER, "", now - 2 * ELECTION_TIMEOUT
-        self.granted_votes: dict[str, int] = {}  # in this election, incarnation by name
-        self.blank_peers: dict[str, int] = {}  # that may take part in a bootstrap, incarnation by name
-        # A crash left what the store has, and nothing else.
+        self.granted_votes: dict[str, int] = {}  # by name: incarnation; in this election
+        # by name: incarnation; of nodes that may take part in a bootstrap
+        self.blank_peers: dict[str, int] = {}
+        # After a crash there is only what the store has.
         self.commit_index = self.last_applied = self.log.snapshot_index
-        self.leader_state: LeaderState | None = None  # while it leads
+        self.leader_state: LeaderState | None = None  # set while it is leader
         self.rejections: Counter[str] = Counter()
         self.breaches: list[str] = []
         self.configured_members: tuple[str, ...] = ()
@@ -58,17 +59,17 @@
 
     @property
     def incarnation(self) -> int:
-        """The number of its disk; 0 while that was never read."""
+        """The incarnation of its disk; 0 until that was read."""
         return self.store.incarnation
 
     @property
     def log(self) -> ReplicatedLog:
-        """Its log."""
+        """The log."""
         return self.store.log
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The members by its log."""
+        """The members by the log."""
         return self.log.members
 
     @property
@@ -78,50 +79,50 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether it is among the members, under the incarnation that its disk has."""
+        """Whether it is among the members, with the incarnation of its disk."""
         return Member(self.name, self.incarnation) in self.members
 
     @property
     def may_campaign(self) -> bool:
-        """Whether it asks for votes: a member by the last committed membership or by any behind it.
+        """Whether it may request votes: it is a member by the last committed membership or a later one.
 
-        One whose leaving is not committed may know more than all that stay (dissertation 4.2.2); its own vote
-        counts by the last membership only, as any.
+        A member whose removal is not committed may have more entries than all that stay (dissertation 4.2.2);
+        its own vote counts by the last membership only.
         """
         itself = Member(self.name, self.incarnation)
         return any(itself in members for members in self.log.memberships_since(self.commit_index))
 
     def set_configured_members(self, now: int, names: Iterable[str]) -> None:
-        """The names that the configuration has now; members follow one at a time.
+        """Takes over the names in the configuration; the members change one at a time.
 
-        Raises ValueError where there are none or too many.
+        Errors: ValueError if there are none or too many.
         """
         self.configured_members = distinct_names(names)
 
     def peer_names(self) -> list[str]:
-        """The names of all that this one speaks with, sorted."""
+        """The names of all nodes with which this one exchanges messages, sorted."""
         return sorted({*self.configured_members, *(member.name for member in self.members)} - {self.name})
 
     def reset_election_timer(self, now: int) -> None:
-        """No election begins for an election timeout."""
+        """Restarts the election timeout."""
         self.election_due = now + ELECTION_TIMEOUT + self.chance.below(ELECTION_TIMEOUT)
 
     def record_breaches(self, breaches: list[str]) -> None:
-        """Keeps the first few."""
+        """Stores the first few violations."""
         self.breaches += breaches[: MAX_BREACHES - len(self.breaches)]
 
     def reject(self, reason: str) -> None:
-        """Counts a message that changed nothing."""
+        """Counts a message that was rejected."""
         self.rejections[reason] += 1
 
     def enter_term(self, now: int, term: int) -> None:
-        """Enters a term above its own: no leader is known, no vote given yet."""
+        """Enters a term above the own one, without a leader or a vote."""
         self.store.save_vote(term)
         self.step_down(now)
-        self.leader = ""  # a follower's as well
+        self.leader = ""  # the leader that is followed is forgotten as well
 
     def step_down(self, now: int) -> None:
-        """Is a follower from here on."""
+        """Becomes a follower."""
         if self.role is not Role.FOLLOWER:
             self._follow_nobody()
             self.reset_election_timer(now)
@@ -130,15 +131,15 @@
         self.role, self.leader_state, self.leader = Role.FOLLOWER, None, ""
 
     def become_leader(self, now: int) -> None:
-        """Leads its term from here on."""
+        """Becomes the leader of its term."""
         self.role, self.leader = Role.LEADER, self.name
         self.leader_state = LeaderState(now, self.log.last_index + 1, self.machine.start_timers(now))
 
     def propose(self, kind: EntryKind, session: int = 0, nonce: int = 0, body: bytes = b"") -> int:
-        """Puts an entry into the leader's log; its index, or 0 where too many are uncommitted.
+        """Appends an entry to the leader's log; returns its index, or 0 if too many are uncommitted.
 
-        The entry with which a term begins is always taken: after a restart of all, nothing of a long log is
-        known to be committed, and it is this entry that commits the others (5.4.2).
+        The entry with which a term begins is always appended: after a restart of all nodes no entry of a long
+        log is known to be committed, and this entry commits the others (5.4.2).
         """
         index = self.log.last_index + 1
         if kind != EntryKind.NOOP and index - self.commit_index > MAX_UNCOMMITTED:
--- a/gaproute/shared/raft/records.py
+++ b/gaproute/shared/raft/records.py
@@ -1,7 +1,4 @@
-"""The records that a node writes to its disk, and how they are read back.
-
-Tags and the order of the fields are a stored form and never change.
-"""
+"""The records that a node writes to its disk, and how they are decoded."""
 
 from typing import TypeAlias
 
@@ -12,14 +9,16 @@
 
 
 class IdentityRecord(Message, frozen=True, tag=1):
-    """The first record of every disk: whose it is. The incarnation is drawn once for an empty disk."""
+    """The first record of every disk: the node that owns it. The incarnation is drawn once, for an empty
+    disk.
+    """
 
     name: Name
     incarnation: Count
 
 
 class VoteRecord(Message, frozen=True, tag=2):
-    """The term, and the candidate that got the vote in it; an empty name: nobody yet."""
+    """The term, and the candidate that got the vote in it; an empty name: none yet."""
 
     term: Count
     name: Name
@@ -27,14 +26,14 @@
 
 
 class EntryRecord(Message, frozen=True, tag=3):
-    """An entry at its index; whatever was at this index and behind it is replaced."""
+    """An entry at its index; it replaces the entry at this index and all later ones."""
 
     index: Count
     entry: Entry
 
 
 class SnapshotRecord(Message, frozen=True, tag=4):
-    """The state after the entry `last_included_index`; entries up to it are gone."""
+    """The state after the entry `last_included_index`; entries up to it are dropped."""
 
     last_included_index: Count
     last_included_term: Count
@@ -48,10 +47,10 @@
 
 
 def encode(record: Record) -> bytes:
-    """The record as bytes."""
+    """Encodes a record."""
     return msgspec.msgpack.encode(record)
 
 
 def decode(data: bytes) -> Record:
-    """The record of these bytes. Raises ValueError where there is none (msgspec's errors are ValueErrors)."""
+    """Decodes a record. Errors: ValueError (msgspec's errors are ValueErrors)."""
     return _decoder.decode(data)
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -1,4 +1,4 @@
-"""What clients ask of the leader: checked, logged once, answered when it is committed."""
+"""Requests of clients to the leader: checked, logged once, answered when they are committed."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from gaproute.shared.raft.node_state import NodeState
 from gaproute.shared.raft.sessions import OLD_NONCE, Outcome
 
-MAX_PENDING_PER_CLIENT = 4  # requests that wait to be committed: a client sends one at a time
+MAX_PENDING_PER_CLIENT = 4  # requests that wait to be committed; a client sends one at a time
 NOT_THE_OWNER = "not the holder's own"
 
 
 def on_request(node: NodeState, sender: str, request: Request, outbox: Outbox) -> None:
-    """Logs the request, or answers it at once."""
+    """Logs a request, or answers it immediately."""
     if not 0 < len(sender) <= NAME or not request.nonce:
         node.reject("request not understood")
         return
@@ -31,8 +31,9 @@
 
 
 def _answer_at_once(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
-    """What needs no entry; None where one is needed."""
-    if node.commit_index < leader.first_index:  # what was committed before may not be known here yet
+    """The outcome of a request that needs no entry; None if it needs one."""
+    # entries that were committed earlier may not be known here yet
+    if node.commit_index < leader.first_index:
         return Outcome(ReplyStatus.BUSY)
     if not request.session:
         return None
@@ -51,11 +52,11 @@
 
 
 def _log(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
-    """Puts the request into the log; None: it is answered once it is committed."""
+    """Appends the request to the log; returns None, as it is answered once it is committed."""
     pending = PendingReply(sender, request.session, request.nonce)
     own = [each for each in leader.pending_replies.values() if each.client == sender]
     if pending in own:
-        return None  # logged already: the answer is on its way
+        return None  # it is in the log already and will be answered
     kind, body = EntryKind.COMMAND, request.body
     if not request.session:
         kind, body = EntryKind.OPEN_SESSION, sender.encode()
@@ -70,7 +71,7 @@
 
 
 def reply_to(leader: LeaderState, index: int, outcome: Outcome, outbox: Outbox) -> None:
-    """Answers the client whose request the entry at `index` was, if any."""
+    """Answers the client of the entry at `index`, if it has one."""
     pending = leader.pending_replies.pop(index, None)
     if pending is not None:
         client, session, nonce = pending
--- a/gaproute/shared/raft/role.py
+++ b/gaproute/shared/raft/role.py
@@ -1,4 +1,4 @@
-"""The part that a node of the group plays in its term."""
+"""The role of a node in its term."""
 
 from enum import Enum
 
--- a/gaproute/shared/raft/sessions.py
+++ b/gaproute/shared/raft/sessions.py
@@ -1,7 +1,7 @@
-"""Exactly-once commands (Ongaro's dissertation, 6.3): each session's last nonce and its result.
+"""Exactly-once commands (Ongaro's dissertation, 6.3): the last nonce of each session and its result.
 
-The table is part of the replicated state, so every node knows after any change of leader what was done
-already. A command of a session that the table has lost is refused: it may have been done.
+The table is part of the replicated state, so every node knows after a change of leader which commands were
+carried out. A command of a session that the table has lost is rejected, as it may have been carried out.
 """
 
 from typing import NamedTuple
@@ -13,14 +13,14 @@
 from gaproute.shared.raft.state_machine import StateMachine
 
 MAX_SESSIONS = 4096  # a thousand gateways that restarted a few times; 200 bytes each
-MAX_SESSIONS_PER_CLIENT = 4  # a gateway needs one, lost openings make more of them
+MAX_SESSIONS_PER_CLIENT = 4  # a gateway needs one; lost answers to openings make more
 OLD_NONCE = "an old nonce"
 
 _decoder = msgspec.msgpack.Decoder(tuple[list[tuple[int, str, int, bytes]], bytes])
 
 
 class Session(NamedTuple):
-    """A client's session: the last command's nonce and what it was answered."""
+    """A client's session: the nonce of the last command, and its result."""
 
     owner: str
     nonce: int
@@ -28,7 +28,7 @@
 
 
 class Outcome(NamedTuple):
-    """What an entry came to. `opened`: the session that it opened, or 0."""
+    """The result of an entry. `opened`: the session that it opened, or 0."""
 
     status: ReplyStatus
     body: bytes = b""
@@ -36,9 +36,9 @@
 
 
 class Sessions:
-    """The sessions and the machine on which their commands act, the same at every node.
+    """The sessions, and the machine to which their commands are applied; the same at every node.
 
-    `table`: by number, the longest unused first; `owned`: the numbers of a client's sessions.
+    `table`: by number, the longest unused first; `owned`: by client, the numbers of its sessions.
     """
 
     def __init__(self, machine: StateMachine) -> None:
@@ -54,7 +54,7 @@
             self._open(index, entry.body.decode("utf-8", "replace"))
             return Outcome(ReplyStatus.DONE, opened=index)
         elif entry.kind == EntryKind.COMMAND and not entry.session:
-            self.machine.apply(index, entry.body)  # the leader's own
+            self.machine.apply(index, entry.body)  # a command of the leader itself
         elif entry.kind == EntryKind.COMMAND:
             return self._command(index, entry)
         return Outcome(ReplyStatus.DONE)
@@ -88,12 +88,12 @@
             del self.owned[owner]
 
     def pack(self) -> bytes:
-        """The whole state, for a snapshot. A stored form."""
+        """Encodes the complete state for a snapshot. A stored form."""
         rows = [(number, *session) for number, session in self.table.items()]
         return msgspec.msgpack.encode((rows, self.machine.pack()))
 
     def unpack(self, data: bytes) -> None:
-        """Takes on a packed state. Raises ValueError where `data` is none."""
+        """Takes over an encoded state. Errors: ValueError if `data` is none."""
         rows, state = _decoder.decode(data)
         self.machine.unpack(state)
         self.table = {number: Session(owner, nonce, result) for number, owner, nonce, result in rows}
--- a/gaproute/shared/raft/state_machine.py
+++ b/gaproute/shared/raft/state_machine.py
@@ -1,4 +1,4 @@
-"""What a node needs of the state machine that its log is applied to.
+"""The interface of the state machine to which a node applies its log.
 
 The machine is deterministic: the same entries give the same state at every node. Besides commands it has
 deadlines, which only the leader counts, by its own clock; a deadline takes effect by an entry of the log.
@@ -9,46 +9,52 @@
 
 
 class DeadlineTimers(Protocol):
-    """The leader's timers. A deadline is known by its token and the index of the entry that last set it."""
+    """The leader's timers. A deadline is identified by its token and the index of the entry that last set
+    it.
+    """
 
     @property
     def due(self) -> int | None:
         """The earliest deadline, ns; None while there is none."""
 
     def update(self, now: int, token: int, log_index: int, wait: int | None, /) -> None:
-        """Counts `wait` ns from now; None removes the deadline."""
+        """Sets a deadline to `wait` ns from now; None removes it."""
 
     def pop_expired(self, now: int, limit: int, /) -> Sequence[tuple[int, int]]:
-        """At most `limit` of (token, log index) that have passed."""
+        """The (token, log index) of deadlines that have passed, at most `limit`."""
 
 
 class StateMachine(Protocol):
-    """What commands act on."""
+    """The state machine to which commands are applied."""
 
     @property
     def last_token(self) -> int:
-        """The last fencing token given; it only grows."""
+        """The last fencing token that was given; it only increases."""
 
     def raise_last_token(self, lowest: int, /) -> None:
-        """Tokens given from here on are above `lowest`."""
+        """Has later tokens be above `lowest`."""
 
     def check(self, sender: str, body: bytes, /) -> str:
-        """Why the leader does not even log this command, or ''."""
+        """Why the leader rejects this command before logging it; '' if it does not."""
 
     def apply(self, index: int, body: bytes, owner: str = "", /) -> bytes:
-        """Applies a command; its result. `owner`: of the session, empty for the leader's own commands."""
+        """Applies a command; returns its result. `owner`: of the session, empty for commands of the leader
+        itself.
+        """
 
     def pop_change(self) -> tuple[int, int, int | None] | None:
-        """What the commands since the last call changed last: a deadline's (token, log index, wait in ns)."""
+        """The last change by the commands since the last call: (token, log index, wait in ns) of a
+        deadline.
+        """
 
     def start_timers(self, now: int, /) -> DeadlineTimers:
         """Timers of a new leader for all deadlines, counted from now."""
 
     def expire_command(self, token: int, log_index: int, /) -> bytes:
-        """The command by which the leader says that a deadline has passed."""
+        """The command by which the leader records that a deadline has passed."""
 
     def pack(self) -> bytes:
-        """The whole state."""
+        """Encodes the complete state."""
 
     def unpack(self, data: bytes, /) -> None:
-        """Takes on a packed state. Raises ValueError where `data` is none."""
+        """Takes over an encoded state. Errors: ValueError if `data` is none."""
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -1,8 +1,8 @@
 """The persistent state of a node: incarnation, term, vote, log and snapshot, in memory and on its disk.
 
-Memory goes ahead of the disk until `sync` says that they agree; nothing may be sent before. After an error
-the disk is not written to any more until `rewrite` has put all of memory there anew: what lies there may
-end in the middle of a record, and a record behind a gap would be read as if nothing were missing.
+Memory is ahead of the disk until `sync` returns that they agree; nothing may be sent before. After an error
+nothing is written until `rewrite` has written the whole state again: the file may end in the middle of a
+record, and a record after a gap would be read as if nothing were missing.
 """
 
 from collections.abc import Callable, Sequence
@@ -25,7 +25,7 @@
 
 
 class Candidate(NamedTuple):
-    """Who has a vote."""
+    """The candidate that has a vote."""
 
     name: str
     incarnation: int
@@ -35,26 +35,26 @@
 
 
 class Store:
-    """`restore(state)` brings the machine to a snapshot's state; it raises ValueError where it is none."""
+    """`restore(state)` restores the machine from a snapshot; errors of it: ValueError."""
 
     def __init__(self, name: str, disk: Disk, chance: RandomSource, restore: Callable[[bytes], None]) -> None:
         self.name, self.disk, self.chance, self.restore = name, disk, chance, restore
         self.incarnation = self.term = 0
-        self.voted_for = NOBODY  # in this term
+        self.voted_for = NOBODY  # in the present term
         self.log = ReplicatedLog()
         self.snapshot: bytes | None = None  # the machine's state at the log's `snapshot_index`
-        self.failure = ""  # why the disk cannot be written to
-        self.discard_reason = ""  # why what was on the disk could not be used
+        self.failure = ""  # why the disk cannot be written, or ''
+        self.discard_reason = ""  # why the content of the disk could not be used, or ''
         self.is_open = self.dirty = False
         self.open()
 
     @property
     def is_blank(self) -> bool:
-        """Whether it never voted and never took an entry: the memory of a disk that was empty."""
+        """Whether the node never voted and never took an entry since its disk was empty."""
         return self.is_open and not (self.term or self.log.last_index)
 
     def open(self) -> None:
-        """Reads the disk. `failure` says where it cannot be read or written at the moment."""
+        """Reads the disk. `failure` is set if it cannot be read or written at the moment."""
         unusable = ""
         try:
             self._load(self.disk.read())
@@ -67,7 +67,7 @@
             if unusable:
                 self.disk.quarantine(unusable)
             if not self.incarnation:
-                # A new disk is a new node: whatever the name promised or voted before, it does not know it.
+                # A new disk means a new node: it does not know what the name promised or voted before.
                 incarnation = 1 + self.chance.below(HIGHEST)
                 self.disk.replace([encode(IdentityRecord(self.name, incarnation))])
                 self.incarnation = incarnation
@@ -77,7 +77,7 @@
         self.failure, self.is_open = "", True
 
     def _load(self, records: Sequence[bytes]) -> None:
-        """Takes on what the records say. Raises UnusableDiskError; then nothing of them was taken."""
+        """Takes over the records. Errors: UnusableDiskError, after which nothing was taken over."""
         loaded = LoadedState(self.name)
         try:
             for place, record in enumerate(map(decode, records)):
@@ -87,7 +87,8 @@
             if loaded.log.last_term > loaded.term:
                 raise UnusableDiskError("entries of terms that it never entered")
             if loaded.snapshot is not None:
-                self.restore(loaded.snapshot)  # last: the machine of a disk that cannot be used stays empty
+                # last, so that the machine stays empty if the disk cannot be used
+                self.restore(loaded.snapshot)
         except ValueError as fault:
             raise UnusableDiskError(f"not understood: {fault}") from fault
         self.incarnation, self.term, self.voted_for = loaded.incarnation, loaded.term, loaded.voted_for
@@ -103,17 +104,17 @@
             self.failure = f"not written: {fault}"
 
     def save_vote(self, term: int, name: str = "", incarnation: int = 0) -> None:
-        """Enters a term or votes in it; an empty name: no vote is given yet."""
+        """Enters a term or votes in it; an empty name: no vote yet."""
         self.term, self.voted_for = term, Candidate(name, incarnation)
         self._write(VoteRecord(term, name, incarnation))
 
     def append(self, index: int, entry: Entry) -> None:
-        """Puts an entry into the log. Raises ValueError as `Log.append` does."""
+        """Appends an entry to the log. Errors: ValueError as of `ReplicatedLog.append`."""
         self.log.append(index, entry)
         self._write(EntryRecord(index, entry))
 
     def sync(self) -> bool:
-        """Makes all durable; whether memory and disk agree."""
+        """Makes everything durable; returns whether memory and disk agree."""
         if self.dirty and not self.failure:
             try:
                 self.disk.sync()
@@ -123,15 +124,15 @@
         return not self.failure
 
     def compact(self, index: int, state: bytes) -> None:
-        """Puts `state`, that after the entry at `index`, in place of the entries up to it."""
+        """Replaces the entries up to `index` by the snapshot `state`, which is the state after that entry."""
         self.log.compact(index)
         self.snapshot = state
         self.rewrite()
 
     def install(self, index: int, term: int, members: tuple[Member, ...], state: bytes) -> None:
-        """Takes on a snapshot of the leader's: the state after the entry at `index` of `term`.
+        """Takes over a snapshot of the leader: the state after the entry at `index` of `term`.
 
-        Entries behind it stay where they follow from it: the leader may count on them already.
+        Later entries stay if they follow from it, as the leader may rely on them already.
         """
         if self.log.term_at(index) == term:
             self.log.compact(index)
@@ -141,7 +142,7 @@
         self.rewrite()
 
     def rewrite(self) -> bool:
-        """Puts all of memory on the disk anew; whether that succeeded."""
+        """Writes the complete state to the disk again; returns whether that succeeded."""
         log = self.log
         records: list[Record] = [
             IdentityRecord(self.name, self.incarnation),
@@ -163,7 +164,7 @@
 
 
 class LoadedState:
-    """What the records read so far come to."""
+    """The state by the records that were read so far."""
 
     def __init__(self, name: str) -> None:
         self.name, self.incarnation, self.term, self.voted_for = name, 0, 0, NOBODY
@@ -171,7 +172,9 @@
         self.snapshot: bytes | None = None
 
     def take(self, record: Record) -> None:
-        """Raises UnusableDiskError, and ValueError for an entry that has no place in the log."""
+        """Applies a record. Errors: UnusableDiskError; ValueError for an entry that does not fit in the
+        log.
+        """
         if isinstance(record, IdentityRecord):
             if record.name != self.name:
                 raise UnusableDiskError(f"of another gateway: {record.name}")
--- a/gaproute/shared/raft/timing.py
+++ b/gaproute/shared/raft/timing.py
@@ -1,4 +1,4 @@
-"""The times of the group, in ns. They decide how soon it acts, never what is safe."""
+"""The times of the group, in ns. They affect how soon it acts, never its safety."""
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
--- a/gaproute/shared/randomness.py
+++ b/gaproute/shared/randomness.py
@@ -1,4 +1,4 @@
-"""What the shared parts need of a source of random numbers: it is handed in, so that runs can be repeated."""
+"""The interface of a source of random numbers, which is handed in so that runs can be repeated."""
 
 from collections.abc import MutableSequence
 from typing import Protocol, TypeVar
@@ -10,7 +10,7 @@
     """A seeded generator, such as `gaproute.decisions.chance.Chance`."""
 
     def below(self, bound: int, /) -> int:
-        """A number from 0 to `bound` - 1, each as likely as the others."""
+        """A number from 0 to `bound` - 1, all equally likely."""
 
 
 def shuffle(items: MutableSequence[Item], random: RandomSource) -> None:
--- a/gaproute/shared/token_bucket.py
+++ b/gaproute/shared/token_bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket: so much a second, a burst at most. Times are in ns."""
+"""A token bucket: a rate, and a bounded burst. Times are ns."""
 
 SECOND = 1_000_000_000
 
 
 class TokenBucket:
-    """`rate` tokens a second, `burst` at most at once; full at the beginning."""
+    """`rate` tokens per second, at most `burst` of them saved; full at the beginning."""
 
     __slots__ = ("rate", "burst", "tokens", "filled_at")
 
@@ -13,7 +13,7 @@
         self.tokens, self.filled_at = float(burst), now
 
     def take(self, now: int, tokens: int) -> bool:
-        """Whether there were so many; they are spent then."""
+        """Spends that many tokens if there are enough; returns whether there were."""
         self._fill(now)
         if self.tokens < tokens:
             return False
@@ -21,7 +21,7 @@
         return True
 
     def borrow(self, now: int, tokens: int) -> bool:
-        """Like `take`, but more than the burst may be taken where that is there: it is paid off later."""
+        """Like `take`, but with a full bucket more than the burst may be taken, as a debt."""
         self._fill(now)
         if self.tokens < min(tokens, self.burst):
             return False
@@ -29,7 +29,7 @@
         return True
 
     def wait(self, now: int, tokens: int) -> int:
-        """Nanoseconds until there are so many."""
+        """The time until there are that many tokens, ns."""
         self._fill(now)
         return max(0, round((min(tokens, self.burst) - self.tokens) * SECOND / self.rate))
 
