--- a/benchmarks/scale/cold_start.py
+++ b/benchmarks/scale/cold_start.py
@@ -8,54 +8,64 @@
 
 WITHIN_REGION = 5.0  # ms there and back between zones, assumed
 BETWEEN_REGIONS = 100.0  # ms there and back, assumed, the longest
+ASSUMED = "assumed"  # where a figure comes from
 FRONT = 0.8  # ms through a gateway without its decisions: 0.43 to the first attempt, 0.36 back
 
 
 def cold_start(words: list[str], folder: Path) -> list[str]:
     """What the choice, the way and the answer take, and what is left for the load itself."""
-    whole = predicted("decisions-first-call-by-hosts", size.HOSTS_AT_20, folder)
+    every_host = predicted("decisions-first-call-by-hosts", size.HOSTS_AT_20, folder)
     in_cell = predicted("decisions-first-call-by-hosts", CELL_HOSTS, folder)
-    dial, order, forward = WITHIN_REGION, WITHIN_REGION, BETWEEN_REGIONS
-    near = in_cell.value + 2 * FRONT + 3 * WITHIN_REGION
-    far = near + forward
-    today = whole.value + FRONT + 3 * WITHIN_REGION
-    assumed, measured = "assumed", "`figures.md`, medians on sockets"
     return rows_of(
         [
-            Derived("choice, every host known", "fit", f"{number(whole.value)} ms", whole.source),
+            Derived("choice, every host known", "fit", f"{number(every_host.value)} ms", every_host.source),
             Derived("choice in a cell", "fit", f"{number(in_cell.value)} ms", in_cell.source),
-            Derived(
-                "through a gateway, without the choice",
-                "twice with an entry gateway",
-                f"{number(FRONT)} ms",
-                measured,
-            ),
-            Derived(
-                "waiting for a cold host's budget or a lane", "none where the fleet has room", "0 ms", assumed
-            ),
-            Derived(
-                "forwarded to an entry gateway of another region",
-                "a round trip",
-                f"{number(forward)} ms",
-                assumed,
-            ),
-            Derived("dial to the host", "a round trip", f"{number(dial)} ms", assumed),
-            Derived("load order, or the call that loads", "a round trip", f"{number(order)} ms", assumed),
-            Derived("answer", "a round trip", f"{number(WITHIN_REGION)} ms", assumed),
-            Derived(
-                "left for the load, every host known",
-                "440 ms less the above",
-                f"{number(size.COLD_START - today)} ms",
-            ),
-            Derived(
-                "left for the load, a cell of the own region",
-                "440 ms less the above",
-                f"{number(size.COLD_START - near)} ms",
-            ),
-            Derived(
-                "left for the load, a cell of another region",
-                "440 ms less the above",
-                f"{number(size.COLD_START - far)} ms",
-            ),
+            *_ways(),
+            *_left_for_the_load(every_host.value, in_cell.value),
         ]
     )
+
+
+def _ways() -> list[Derived]:
+    """Waiting, and the ways between gateways and hosts."""
+    return [
+        Derived(
+            "through a gateway, without the choice",
+            "twice with an entry gateway",
+            f"{number(FRONT)} ms",
+            "`figures.md`, medians on sockets",
+        ),
+        Derived(
+            "waiting for a cold host's budget or a lane", "none where the fleet has room", "0 ms", ASSUMED
+        ),
+        Derived(
+            "forwarded to an entry gateway of another region",
+            "a round trip",
+            f"{number(BETWEEN_REGIONS)} ms",
+            ASSUMED,
+        ),
+        Derived("dial to the host", "a round trip", f"{number(WITHIN_REGION)} ms", ASSUMED),
+        Derived("load order, or the call that loads", "a round trip", f"{number(WITHIN_REGION)} ms", ASSUMED),
+        Derived("answer", "a round trip", f"{number(WITHIN_REGION)} ms", ASSUMED),
+    ]
+
+
+def _left_for_the_load(every_host: float, in_cell: float) -> list[Derived]:
+    """What of the cold start is left; the arguments are the times of the choice, ms."""
+    ways = 3 * WITHIN_REGION  # dial, load order, answer
+    today = every_host + FRONT + ways
+    near = in_cell + 2 * FRONT + ways
+    far = near + BETWEEN_REGIONS
+    cases = (
+        ("every host known", today),
+        ("a cell of the own region", near),
+        ("a cell of another region", far),
+    )
+    return [
+        Derived(
+            f"left for the load, {case}",
+            "440 ms less the above",
+            f"{number(size.COLD_START - taken)} ms",
+        )
+        for case, taken in cases
+    ]
--- a/benchmarks/scale/tables.py
+++ b/benchmarks/scale/tables.py
@@ -4,7 +4,16 @@
 from collections.abc import Callable, Iterator, Sequence
 from pathlib import Path
 
-from benchmarks.scale import arithmetic, cold_start, ladder_table, machines, roles, size
+from benchmarks.scale import (
+    assumption_figures,
+    cold_start,
+    failure_figures,
+    ladder_table,
+    machines,
+    roles,
+    size,
+    time_figures,
+)
 from benchmarks.scale.budget import judged
 from benchmarks.scale.fit import WIDE_STRETCH, fit
 from benchmarks.scale.measurement import Measurement
@@ -129,9 +138,9 @@
     "slopes": slopes,
     "budget": budget,
     "breaks-first": breaks_first,
-    "time": arithmetic.time,
-    "failure": arithmetic.failure,
-    "assumptions": arithmetic.assumptions,
+    "time": time_figures.time,
+    "failure": failure_figures.failure,
+    "assumptions": assumption_figures.assumptions,
     "cold-start": cold_start.cold_start,
     "machines": machines.machines,
     "ladder": ladder_table.ladder,
