--- a/benchmarks/scale/watched.py
+++ b/benchmarks/scale/watched.py
@@ -1,4 +1,4 @@
-"""A simulated fleet with what the fault scenarios look at: who is held dead, bytes, leases, invariants."""
+"""A simulated fleet with what the fault scenarios look at: who counts as dead, bytes, leases, invariants."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 # For long plays: gossip of demand is nine tenths of all events.
 CHEAP_PARTS = {name: PARTS[name] for name in ("membership", "hosts", "leases")}
 HOSTS = 240
+SETTLE, CALM = 20, 10  # simulated seconds before what is measured, and of a calm measurement
 FIRST_SECONDS = 10  # of a healing, whose bytes are counted
 LONGEST = 400  # simulated seconds until which a healing is waited for
 
 Figures = dict[str, Any]
 Condition = Callable[[], object]
+Scenario = Callable[[int, int], Figures]  # of a size and a seed
 
 
 class WatchedFleet:
