--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -44,9 +44,11 @@
 def days(tmp_path_factory):
     """{name: (exit code, result)} of the planned days, three played at a time."""
 
+    # Made before the threads start: pytest makes its base folder at the first call, which several may not do.
+    folders = {name: tmp_path_factory.mktemp("day") for name in DAYS}
+
     def play(name):
         script, decisions = DAYS[name]
-        out = tmp_path_factory.mktemp("day")
         played = subprocess.run(
             [
                 sys.executable,
@@ -58,7 +60,7 @@
                 "--decisions",
                 decisions,
                 "--out",
-                str(out),
+                str(folders[name]),
             ],
             capture_output=True,
             timeout=90,
