--- a/benchmarks/campaign_ends.py
+++ b/benchmarks/campaign_ends.py
@@ -7,7 +7,8 @@
 from campaign_figures import HOST_LANES, Row, spare_course, spread
 
 from gaproute.rollouts.campaign import RolloutHost
-from gaproute.rollouts.forecast import COURSE, SLOT, CompletionEstimate, FleetForecast
+from gaproute.rollouts.completion import CompletionEstimate
+from gaproute.rollouts.forecast import DAY_FACTORS, SLOT, DemandReading, FleetForecast
 from gaproute.simulation.units import SECOND
 
 END_HOSTS = 40
@@ -39,7 +40,7 @@
     @property
     def course(self) -> list[float]:
         """The factor of demand in each half hour."""
-        return [1.0 + self.rises * min(1, max(0, half - 16) / 8) for half in range(COURSE)]
+        return [1.0 + self.rises * min(1, max(0, half - 16) / 8) for half in range(DAY_FACTORS)]
 
 
 class EndPrediction:
@@ -51,7 +52,7 @@
         self.hosts = [RolloutHost(f"h{number}", "a", HOST_LANES, 1) for number in range(END_HOSTS)]
         all_lanes, course = END_HOSTS * HOST_LANES, day.course
         self.demand = [
-            all_lanes * (1 - part) * (course[slot // 60 % COURSE] if day.rises else 1.0)
+            all_lanes * (1 - part) * (course[slot // 60 % DAY_FACTORS] if day.rises else 1.0)
             for slot, part in enumerate(spare_course(self.random, END_SLOTS, 0.65, 0.05))
         ]
         self.spare = [max(0.0, all_lanes - lanes) for lanes in self.demand]
@@ -69,8 +70,8 @@
                 done += lanes * SLOT / (MEAN_TASK_SECONDS * SECOND) * self.random.uniform(0.9, 1.0)
                 if done >= work:
                     break
-                estimate.saw(now, int(done), lanes)
-            forecast.read(slot * SLOT, {"p": (demand, 0.0, 1.0)})
+                estimate.record(now, int(done), lanes)
+            forecast.record(slot * SLOT, {"p": DemandReading(demand, 0.0, 1.0)})
             if predicted is None and done >= work / 10:
                 predicted = self._predict(forecast, estimate, slot + 1)
         assert predicted is not None, "the campaign ended before its first tenth"
@@ -78,9 +79,10 @@
 
     def _predict(self, forecast: FleetForecast, estimate: CompletionEstimate, slot: int) -> float | None:
         lendable = {host.name: HOST_LANES for host in self.hosts}
-        spare = forecast.spare(slot * SLOT, self.hosts, lendable, 2 * CAMPAIGN_SLOTS, sure=0.0)
-        end: float | None = estimate.at_end([sum(lanes) for lanes in zip(*spare.values(), strict=True)])
-        return end
+        spare = forecast.spare_lanes(
+            slot * SLOT, self.hosts, lendable, slots=2 * CAMPAIGN_SLOTS, deviations=0.0
+        )
+        return estimate.end([sum(lanes) for lanes in zip(*spare.values(), strict=True)])
 
 
 DAYS = (Day(0, False, 0), Day(0, False, 2), Day(0, False, 8), Day(0.5, True, 8), Day(0.5, False, 8))
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -10,15 +10,15 @@
 from gaproute.decisions.reports.observation_kinds import (
     ListedState,
     ObservationKind,
-    RejectionReason,
+    ObservationRejection,
     SharedObservation,
     Subject,
 )
 from gaproute.decisions.reports.shared_observations import SharedObservations
 from gaproute.shared.randomness import RandomSource
 
-# Ages that a hint has, as shares of the keep-alive. At least, however fresh it is: another's word is weaker
-# than one's own eyes; the decay leaves it 0.985 of its weight.
+# Ages that a hint has, as shares of the keep-alive. At least, however fresh it is: what another gateway
+# observed counts for less than an observation of one's own; the decay leaves it 0.985 of its weight.
 MIN_AGE_SHARE = 0.35
 # Further, by chance: gateways that learn the same at one moment rank the warm hosts differently, and do not
 # all send to one.
@@ -72,7 +72,7 @@
     def follow(self, gateway: Any, now: int, starts: Starts, subjects: Collection[Subject]) -> int:
         """Tells the decisions what may be believed of the subjects that came; how many hints they took."""
         functions = [subject[2] for subject in subjects if subject[0] == ObservationKind.WARM_INSTANCE]
-        taken = sum([int(gateway.hint(*hint)) for hint in self.warm_hints(now, starts, functions)])
+        taken = sum([int(gateway.hint_instance(*hint)) for hint in self.warm_hints(now, starts, functions)])
         for subject in subjects:
             observation = self.observations.by_subject.get(subject)
             if observation is not None and subject[0] not in NOT_FOLLOWED_SINGLY:
@@ -103,7 +103,7 @@
             reason = self._void_reason(host, observation, started, starts)
             seen = min(observation.observed_at, now - self._random_age())
             if reason is None and now - seen >= self._keep_alive:
-                reason = RejectionReason.EXPIRED
+                reason = ObservationRejection.EXPIRED
             if reason is None:
                 candidates.append(_Candidate(observation.observed_at, WarmHint(host, function, lanes, seen)))
             else:
@@ -116,22 +116,22 @@
 
     def _void_reason(
         self, host: str, observation: SharedObservation, started: int | None, starts: Starts
-    ) -> RejectionReason | None:
+    ) -> ObservationRejection | None:
         """Why an observation of a host is not to be followed, or None.
 
         `started`: the host's start by the origin's list, None where the kind has none.
         """
         if host not in starts:
-            return RejectionReason.NOT_LISTED
+            return ObservationRejection.NOT_LISTED
         if started is not None and starts[host] != started:
-            return RejectionReason.OTHER_INCARNATION
+            return ObservationRejection.OTHER_INCARNATION
         listed = self.observations.by_subject.get((ObservationKind.LISTED_STATE, host))
         if (
             listed is not None
             and listed.value[0] != ListedState.ACTIVE
             and listed.observed_at >= observation.observed_at
         ):
-            return RejectionReason.GONE_SINCE
+            return ObservationRejection.GONE_SINCE
         return None
 
     def _follow_one(
@@ -141,16 +141,16 @@
         kind, *names = subject
         value = observation.value[0]
         if kind == ObservationKind.USUAL_TIME:
-            return int(gateway.hint_usual(names[0], value))
+            return int(gateway.hint_usual_time(names[0], value))
         if kind == ObservationKind.LOAD_TIME:
-            return int(gateway.hint_usual(None, value))
+            return int(gateway.hint_usual_time(None, value))
         reason = self._void_reason(names[0], observation, None, starts)
         if reason is None and kind == ObservationKind.SLOWDOWN:
-            return int(gateway.hint_pace(names[0], min(value, MAX_SLOWDOWN), observation.observed_at))
+            return int(gateway.hint_slowdown(names[0], min(value, MAX_SLOWDOWN), observation.observed_at))
         if reason is None and names[1] not in self._request_classes:
-            reason = RejectionReason.REQUEST_CLASS
+            reason = ObservationRejection.REQUEST_CLASS
         if reason is not None:
             self.observations.rejections[reason] += 1
             return 0
         request_class = self._request_classes[names[1]]
-        return int(gateway.hint_doubt(names[0], request_class, value, observation.observed_at))
+        return int(gateway.hint_failures(names[0], request_class, value, observation.observed_at))
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -10,8 +10,8 @@
 
 import socket
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
 
+from gaproute.http1.connection_owner import ServerConnectionOwner
 from gaproute.http1.deadlines import DeadlineConnection
 from gaproute.http1.errors import HttpError
 from gaproute.http1.message import PendingAnswer, Request
@@ -20,9 +20,6 @@
 from gaproute.loop import Stream
 from gaproute.loop.streams import HANGUP_CHECK_INTERVAL, WRITE_HIGH_WATER
 
-if TYPE_CHECKING:
-    from gaproute.http1.server import Server
-
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -38,7 +35,15 @@
         "read_delay",
     )
 
-    def __init__(self, server: Server, sock: socket.socket, address_id: int, request_count: int) -> None:
+    server: ServerConnectionOwner[ServerConnection]
+
+    def __init__(
+        self,
+        server: ServerConnectionOwner[ServerConnection],
+        sock: socket.socket,
+        address_id: int,
+        request_count: int,
+    ) -> None:
         self.server, self.address_id, self.request_count = server, address_id, request_count
         self.queue, self.closing, self.client_closed = [], False, False
         self.timer, self.deadline, self.idle_end, self.in_quiet_queue = None, None, 0, False
@@ -155,7 +160,7 @@
         is_last = place == len(self.queue) - 1 and (self.closing or self.server.stopping)
         close = is_last or self.client_closed
         if close:
-            self.closing = True  # told with the answer: nothing more is taken
+            self.closing = True  # announced with the answer: nothing more is taken
         pending.data = render(status, headers, body, close=close)
         self._write_answers()
 
@@ -195,7 +200,7 @@
         """Closes a quiet connection; one on which a request lies unread or is coming in is answered first.
 
         With grace a quiet one is closed when it would be parked: the next request of a busy client, on its
-        way already, is answered and the close told with that answer.
+        way already, is answered and the close announced with that answer.
         """
         if self.reader.mid_message:
             self._set_deadline()
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -14,20 +14,13 @@
 from gaproute.http1.errors import HttpError
 from gaproute.http1.limits import LIMITS, Limits
 from gaproute.http1.message import Request
-from gaproute.http1.rendering import Header, render
+from gaproute.http1.rendering import ErrorAnswer, Header, render
 from gaproute.loop import Loop
 from gaproute.loop.addresses import Address
 from gaproute.loop.streams import READ_SIZE
 from gaproute.loop.timers import Timer
 
 
-class ErrorAnswer(NamedTuple):
-    """The headers and the body by which a client is told of an error."""
-
-    headers: tuple[Header, ...]
-    body: bytes
-
-
 class QuietConnection(NamedTuple):
     """A connection that is parked at `due`, where that is still its deadline."""
 
@@ -54,7 +47,7 @@
         counted: bool = False,
         inherited: socket.socket | None = None,
     ) -> None:
-        """`render_error(error)`: what a client is told that breaks the protocol or a limit; `counted` and
+        """`render_error(error)`: the answer to a client that breaks the protocol or a limit; `counted` and
         `inherited` as of `Acceptor`. Errors: OSError."""
         super().__init__(loop, address, counted=counted, inherited=inherited)
         self.handle, self.limits, self.render_error = handle, limits, render_error
--- a/gaproute/platform/reload.py
+++ b/gaproute/platform/reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration file again while the process runs."""
+"""Reloads the configuration file while the process runs."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 class ConfigurationReloader:
-    """A file that cannot be used changes nothing; one that cannot be read for a moment is read again."""
+    """Reloads the file. An invalid one changes nothing; after a transient error the file is read again."""
 
     def __init__(self, loop: Loop, log: Log, path: str, on_reloaded: Callable[[Configuration], None]) -> None:
         self.loop, self.log, self.path, self.on_reloaded = loop, log, path, on_reloaded
@@ -26,12 +26,12 @@
         self.backoff = Backoff(READ_BACKOFF, MAX_READ_BACKOFF)
 
     def reload(self) -> None:
-        """Reads the file, now or by a later retry."""
+        """Reads the file; after a transient error it is retried with backoff."""
         self.backoff.reset()
         self._read()
 
     def cancel(self) -> None:
-        """Gives up a retry."""
+        """Ends retries."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
@@ -43,14 +43,14 @@
         except ConfigurationRefusedError as error:
             self._failed(error)
             return
-        self.log.info("configuration", changelog=configuration.changelog)
+        self.log.info("configuration_reloaded", change_log=configuration.changelog)
         self.on_reloaded(configuration)
 
     def _failed(self, error: ConfigurationRefusedError) -> None:
         if isinstance(error, ConfigurationUnreadableError) and is_transient_read(error.cause):
             if error.cause.errno in SHORTAGE_ERRNOS:
                 self.loop.relieve_shortage()
-            self.log.warning("configuration not read yet", text=str(error))
+            self.log.warning("configuration_read_failed", error=str(error))
             self.retry_timer = self.loop.after(self.backoff.next_pause(), self._read)
         else:
-            self.log.error("configuration refused", text=str(error))
+            self.log.error("configuration_rejected", error=str(error))
--- a/gaproute/platform/status.py
+++ b/gaproute/platform/status.py
@@ -1,11 +1,12 @@
-"""The status line of the platform's process: what an operator sees of it every few seconds."""
+"""The status line that the platform process logs for operators every few seconds."""
 
 import os
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from gaproute.connections import AcceptedConnections
 from gaproute.core.core import Core
+from gaproute.decisions.routing import Gateway
 from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.hosts.jsonlines.client import JsonLinesClient
 from gaproute.loop import Loop
@@ -14,7 +15,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 MEBIBYTE = 1 << 20
-STATUS_INTERVAL = 5 * SECOND  # a few lines in the shortest day
+STATUS_INTERVAL = 5 * SECOND
 
 Figure = TypeVar("Figure")
 
@@ -28,24 +29,25 @@
         log: Log,
         *,
         core: Core,
+        gateway: Gateway,
         front: JsonRpcFront,
         hosts: JsonLinesClient,
         host_list: HostList,
     ) -> None:
         self.loop, self.log, self.core, self.front = loop, log, core, front
-        self.hosts, self.host_list = hosts, host_list
+        self.gateway, self.hosts, self.host_list = gateway, hosts, host_list
 
     def write(self) -> None:
-        """Writes a line now, and the next one later."""
+        """Writes a line now and sets the timer of the next one."""
         self.loop.after(STATUS_INTERVAL, self.write)  # first: a line that fails must not be the last
         self.log.info("status", **self._fields())
 
-    def _fields(self) -> dict[str, Any]:
+    def _fields(self) -> dict[str, object]:
         return {
-            "held": len(self.core.in_flight),
+            "requests_in_flight": len(self.core.in_flight),
             "counts": self.core.record.snapshot(),
-            "links": self._connections_in_use(),
-            "believed": self._estimates(),
+            "host_connections": self._connections_in_use(),
+            "host_estimates": self._estimates(),
             **self._client_fields(),
             **self._host_fields(),
             **self._process_fields(),
@@ -53,7 +55,7 @@
         }
 
     def _connections_in_use(self) -> dict[str, list[int]]:
-        """Connections and open requests by host, of hosts that have any."""
+        """By host: [connections, requests on them], for hosts that have a connection."""
         return {
             name: [len(host.connections), sum(len(connection.pending) for connection in host.connections)]
             for name, host in self.hosts.hosts.items()
@@ -61,65 +63,64 @@
         }
 
     def _estimates(self) -> dict[str, list[float]]:
-        """Queue, slowness and own attempts in flight, of hosts that are in use or slow."""
-        gateway: Any = self.core.gateway
-        now = self.loop.now()
+        """By host: [queue, slowdown, own attempts in flight], for hosts that are in use or slow."""
+        gateway, now = self.gateway, self.loop.now()
         return {
             host.id: [round(gateway.queued(host, 1, now), 1), round(host.slowdown, 1), len(host.in_flight)]
             for host in gateway.active_hosts
             if host.in_flight or host.slowdown > 1
         }
 
-    def _client_fields(self) -> dict[str, Any]:
+    def _client_fields(self) -> dict[str, int]:
         front, connections = self.front, AcceptedConnections.of(self.loop)
         return {
-            "clients": connections.client_count,
-            "parked": front.parked,
-            "faults": front.protocol_errors,
-            "turned_away": front.rejected_connections,
-            "deaf": front.unresponsive,
-            "displaced": connections.evicted,
+            "client_connections": connections.client_count,
+            "parked_connections": front.parked,
+            "protocol_errors": front.protocol_errors,
+            "rejected_connections": front.rejected_connections,
+            "unresponsive_clients": front.unresponsive,
+            "evicted_idle": connections.evicted,
         }
 
-    def _host_fields(self) -> dict[str, Any]:
+    def _host_fields(self) -> dict[str, int]:
         hosts = self.hosts
         return {
-            "opened": hosts.opened,
-            "reused": hosts.reused,
-            "doubled": hosts.multiplexed,
-            "spoilt": hosts.malformed,
-            "strays": hosts.unmatched,
+            "host_connections_opened": hosts.opened,
+            "host_connections_reused": hosts.reused,
+            "host_connections_multiplexed": hosts.multiplexed,
+            "malformed_responses": hosts.malformed,
+            "unmatched_responses": hosts.unmatched,
         }
 
-    def _process_fields(self) -> dict[str, Any]:
+    def _process_fields(self) -> dict[str, float | None]:
         return {
-            "late_turns": self.loop.late_turns,
-            "descriptors": _if_readable(open_descriptors),
-            "memory_mb": _if_readable(resident_memory),
+            "late_loop_turns": self.loop.late_turns,
+            "open_descriptors": _if_readable(open_descriptors),
+            "resident_memory_mb": _if_readable(resident_memory),
             "cpu_s": round(sum(os.times()[:2]), 2),
         }
 
-    def _list_fields(self) -> dict[str, Any]:
+    def _list_fields(self) -> dict[str, object]:
         watcher, rejected = self.host_list.watcher, self.host_list.converter.rejected
         if watcher is None:
-            return {"members_refused": rejected}
+            return {"rejected_members": rejected}
         return {
-            "members_refused": rejected,
-            "log_asked": watcher.connection_count,
-            "log_anew": watcher.restarts,
-            "log_fault": watcher.last_error,
-            "log_seq": watcher.last_seq,
-            "log_silent_ms": (self.loop.now() - watcher.last_message_at) // MILLI,
+            "rejected_members": rejected,
+            "change_log_connections": watcher.connection_count,
+            "change_log_restarts": watcher.restarts,
+            "change_log_error": watcher.last_error,
+            "change_log_seq": watcher.last_seq,
+            "change_log_silent_ms": (self.loop.now() - watcher.last_message_at) // MILLI,
         }
 
 
 def open_descriptors() -> int:
-    """How many descriptors this process has open. Errors: OSError where none is free to count them with."""
+    """How many descriptors this process has open. Errors: OSError where none is free to count them."""
     return len(os.listdir("/proc/self/fd"))
 
 
 def resident_memory() -> float:
-    """MiB by the kernel's count. Errors: OSError where no descriptor is free to read it with."""
+    """The resident memory of this process, MiB. Errors: OSError where no descriptor is free to read it."""
     with open("/proc/self/statm") as file:
         pages = int(file.read().split()[1])
     return round(pages * os.sysconf("SC_PAGESIZE") / MEBIBYTE, 1)
--- a/gaproute/scenarios/gateways.py
+++ b/gaproute/scenarios/gateways.py
@@ -124,7 +124,7 @@
     """Where a gateway serves clients, by its log; None before it has started."""
     for event in _logged_events(log):
         if event.get("event") == "started":
-            return str(event["listens"][0])
+            return str(event["listen_addresses"][0])
     return None
 
 
--- a/gaproute/simulation/rounds/fleet_check.py
+++ b/gaproute/simulation/rounds/fleet_check.py
@@ -6,7 +6,7 @@
 from gaproute.maintenance import capacity_floor
 from gaproute.simulation.process_slot import ProcessSlot
 from gaproute.simulation.rounds.host import MaintainedHost
-from gaproute.simulation.rounds.scene import Scene
+from gaproute.simulation.rounds.scene import RoundsScene
 from gaproute.simulation.rounds.scheduler import SimulatedScheduler
 from gaproute.simulation.simulation import Simulation
 
@@ -24,7 +24,7 @@
 class FleetCheck:
     """A check after each step; the floor is judged only where something has changed."""
 
-    def __init__(self, scene: Scene) -> None:
+    def __init__(self, scene: RoundsScene) -> None:
         self.scene = scene
         self._states: dict[str, HostState] = {}  # by host, as last seen
         self._running: list[bool] = []  # of each host
@@ -58,7 +58,7 @@
             {name: host.warm_lanes() if host is not None else {} for name, host in hosts},
             self._cold_hosts(simulation),
             [
-                (spec, capacity_floor.need(spec, scene.demand, zones))
+                (spec, capacity_floor.required_lanes(spec, scene.demand, zones))
                 for spec in scene.rounds
                 if spec.name not in judge.ends
             ],
@@ -98,4 +98,4 @@
         if not isinstance(slot.process, SimulatedScheduler):
             return []
         own_time = slot.clock.own_time(simulation.now)
-        return [each.asked.name for each in slot.process.rounds if each.holds(own_time)]
+        return [each.spec.name for each in slot.process.rounds if each.holds_turn(own_time)]
--- a/gaproute/simulation/rounds/messages.py
+++ b/gaproute/simulation/rounds/messages.py
@@ -3,13 +3,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from gaproute.maintenance.warm_capacity import HostReport
-
-Mark = tuple[int, int]  # of a drain or serve order: the turn's fencing token, a number in the turn
+from gaproute.maintenance.host_report import HostReport, OrderMark
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class ProbeMessage:
     """Asks a host for its state."""
 
     number: int
@@ -17,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeReply:
-    """The answer to the probe of this number; the report's `asked` is for the receiver to fill in."""
+    """The answer to the probe of this number; the report's `asked_at` is for the receiver to fill in."""
 
     number: int
     report: HostReport
@@ -34,14 +32,14 @@
 class Drain:
     """The host is to take no new requests."""
 
-    mark: Mark
+    mark: OrderMark
 
 
 @dataclass(frozen=True, slots=True)
 class Serve:
     """The host is to take requests again."""
 
-    mark: Mark
+    mark: OrderMark
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +54,7 @@
     """A worker restarts the host, which must still drain by `mark`."""
 
     fencing_token: int
-    mark: Mark
+    mark: OrderMark
     round_name: str
 
 
@@ -84,6 +82,6 @@
     number: int
     host: str
     fencing_token: int
-    mark: Mark
+    mark: OrderMark
     time_left: int
     round_name: str
--- a/gaproute/simulation/rounds/scene.py
+++ b/gaproute/simulation/rounds/scene.py
@@ -3,6 +3,7 @@
 from dataclasses import dataclass, field
 
 from gaproute.maintenance import RoundSpec
+from gaproute.maintenance.host_report import NO_ORDER, OrderMark
 from gaproute.simulation.rounds.fleet import DrawnFleet
 from gaproute.simulation.rounds.judge import FloorJudge
 from gaproute.simulation.rounds.kinds import RunKind
@@ -17,12 +18,12 @@
     """
 
     fencing_token: int = 0
-    mark: tuple[int, int] = (0, 0)
+    mark: OrderMark = NO_ORDER
     restarted_for: str = ""
 
 
 @dataclass(slots=True)
-class Scene:
+class RoundsScene:
     """`out_time`: ns that a host is away for maintenance. `demand`: the true one, lanes by function."""
 
     kind: RunKind
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import SECOND, Drive, gateway, row, task
 
-from benchmarks.cold import HARD, Day, day, play
+from benchmarks.cold import HARD, ColdDay, day, play
 from gaproute.decisions.routing.request_attempts import RequestAttempts
 from gaproute.interface import Result
 from gaproute.settings import read_terms
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(("kind", "gateways"), [("all", 3), ("all", 30), ("all", 200), ("join", 30)])
 def test_no_cold_host_falls_by_the_sum_over_the_fleet(kind, gateways):
     """They gain nothing until they are warm, the least that the settings promise."""
-    found = play(Day(kind, gateways, 12, 0.6, 0.17, "step", True, False, False, False), 4)
+    found = play(ColdDay(kind, gateways, 12, 0.6, 0.17, "step", True, False, False, False), 4)
     assert not found["broken"]
     assert found["served"] > (0.2 if kind == "all" else 0.8)
 
@@ -100,7 +100,7 @@
     made = gateway(*[row(f"c{number}", started=0) for number in range(4)], gateways=2)
     worker, earned = made.hosts_by_id["c0"], 0.0
     for now in range(0, SECOND, SECOND // 1000):
-        made.slow_start.request_came(now)
+        made.slow_start.record_request(now)
         earned, worker.credit = earned + worker.credit, 0.0  # spent at once
     assert 0.4 < earned <= 0.5  # half of one: the other gateway earns as much
 
@@ -127,7 +127,7 @@
     made = gateway(row("cold", started=0))
     made.hosts_by_id["cold"].credit = 1.0
     drive = Drive(made, task())
-    made.listed(1, [], True)
+    made.update_hosts(1, [], True)
     drive.hears(2, Result.OK)
     assert drive.ended
     assert not made.active_hosts
--- a/tests/standins/test_model_server.py
+++ b/tests/standins/test_model_server.py
@@ -10,9 +10,9 @@
     HostProfile,
     HostSetup,
     IncomingRequest,
-    LoadOrder,
     ModelProfile,
     ModelServer,
+    ReceivedLoadOrder,
     RequestEnd,
     invariants,
 )
@@ -27,7 +27,7 @@
         self.loop = Loop(Stepped(SECOND))
         self.tap, self.ends, self.fetched, self.fetches = ListTap(self.loop.clock), [], fetched, 0
         profile = HostProfile("h", **{"cores": 2, "copies": 5, **dict(make)})
-        setup = HostSetup(profile, MODELS, seed=1, warm=warm)
+        setup = HostSetup(profile=profile, models=MODELS, seed=1, warm=warm)
         self.model_server = ModelServer(self.loop, setup, self.fetch, self.tap)
         self.model_server.start()
 
@@ -44,7 +44,7 @@
         )
 
     def order(self, model, count):
-        return self.model_server.order_load(LoadOrder(model, count, "g", 1))
+        return self.model_server.order_load(ReceivedLoadOrder(model, count, "g", 1))
 
     def rest(self, span):
         end = self.loop.now() + span
