--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -27,8 +27,8 @@
     Measurement(name, "cost of things", unit, "hosts", points, "by hand").save(folder)
 
 
-def row(**told):
-    """A row of the budget on the kept line."""
+def row(**changes):
+    """A row of the budget that stays within its limit."""
     fields = {
         "key": "gate-things",
         "role": "gate",
@@ -40,7 +40,7 @@
         "unit": "ms a second",
         "mechanism": "a list",
     }
-    return Row(**(fields | told))
+    return Row(**(fields | changes))
 
 
 def command(*words):
@@ -105,9 +105,9 @@
     assert command("check", "--page", str(copy)) == (0, "")
     kind, page = next((kind, page) for kind, page in altered(copy.read_text()) if kind == "budget")
     copy.write_text(page)
-    status, told = command("check", "--page", str(copy))
+    status, output = command("check", "--page", str(copy))
     assert status == 1
-    assert "table budget cells: the page shows" in told
+    assert "table budget cells: the page shows" in output
     assert command("page", "--page", str(copy))[0] == 0
     assert copy.read_text() == PAGE.read_text()
 
@@ -116,9 +116,16 @@
     folder = tmp_path / "scale"
     shutil.copytree(MEASURED, folder)
     name = roles.ROWS[0].measurement
-    kept = Measurement.load(name, folder)
-    points = [Point(point.size, [2 * each for each in point.plays]) for point in kept.points]
-    Measurement(kept.name, kept.meaning, kept.unit, kept.parameter, points, kept.conditions).save(folder)
+    measurement = Measurement.load(name, folder)
+    points = [Point(point.size, [2 * each for each in point.plays]) for point in measurement.points]
+    Measurement(
+        measurement.name,
+        measurement.meaning,
+        measurement.unit,
+        measurement.parameter,
+        points,
+        measurement.conditions,
+    ).save(folder)
     _, differing = rewritten(PAGE.read_text(), folder)
     assert any(each.what.startswith("table slopes") for each in differing)
     assert any(each.what.startswith("table budget") for each in differing)
@@ -198,9 +205,9 @@
     assert command("check", "--page", str(tmp_path / "none.md"))[0] == 1
     (tmp_path / "page.md").write_text("<!-- table: nothing -->\n<!-- end -->")
     for act in ("check", "page"):
-        status, told = command(act, "--page", str(tmp_path / "page.md"))
+        status, output = command(act, "--page", str(tmp_path / "page.md"))
         assert status == 1
-        assert "no such table: nothing" in told
+        assert "no such table: nothing" in output
 
 
 def test_a_slope_tells_its_fit_and_its_stretch(tmp_path):
@@ -259,8 +266,8 @@
     costs = {"within": 6_400, "twice": 1_600, "thrice": 1_066, "at": 3_200}
     rows = tuple(row(key=key, cost=key, budget=limit) for key, limit in costs.items())
     monkeypatch.setattr(roles, "ROWS", (*rows, row(cost="none", measurement=None)))
-    told = [line.split(" | ")[1:3] for line in breaks_first([], tmp_path)[2:]]
-    assert told == [["none", "-"], ["thrice", "3 times"], ["twice", "2 times"]]
+    rows = [line.split(" | ")[1:3] for line in breaks_first([], tmp_path)[2:]]
+    assert rows == [["none", "-"], ["thrice", "3 times"], ["twice", "2 times"]]
 
 
 def test_the_rows_are_whole():
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -75,10 +75,10 @@
 def test_what_a_failed_call_was_answered_is_told(crowd_at):
     """Calls go out on connections of their own: the kernel decides which is read first."""
     crowd = crowd_at([503, 200], [f"m{number}" for number in range(100)], 200)
-    told = crowd.play()
-    assert told["failed"] == 1
-    assert told["calls"] > 2
-    (failure,) = told["failures"]
+    figures = crowd.play()
+    assert figures["failed"] == 1
+    assert figures["calls"] > 2
+    (failure,) = figures["failures"]
     (refused,) = crowd.server.targets_by_status[503]
     function = refused.split("/")[3]
     assert failure.startswith(f"{function}: 503")
@@ -87,19 +87,19 @@
 
 
 def test_a_call_that_is_answered_after_the_play_is_waited_for(crowd_at):
-    told = crowd_at([200], [f"m{number}" for number in range(100)], 200, after=SECOND // 2).play()
-    assert told["failed"] == 0
-    assert told["calls"] > 2
-    assert told["p50_ms"] >= 500
+    figures = crowd_at([200], [f"m{number}" for number in range(100)], 200, after=SECOND // 2).play()
+    assert figures["failed"] == 0
+    assert figures["calls"] > 2
+    assert figures["p50_ms"] >= 500
 
 
 def test_a_call_that_begins_as_the_play_ends_is_waited_for(crowd_at, monkeypatch):
     """Its timer fires just behind that of the end, when no other call is open."""
     monkeypatch.setattr(forwarding_clients, "arrivals", lambda chance, rate, begin, end: [end - 1])
     crowd = crowd_at([200], ["m0"], 200)
-    told = crowd.play()
-    assert told["failed"] == 0
-    assert told["calls"] == 1
+    figures = crowd.play()
+    assert figures["failed"] == 0
+    assert figures["calls"] == 1
     assert crowd.open == {}
 
 
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -87,9 +87,9 @@
 
 
 def test_a_file_is_read_as_it_was_written(tmp_path):
-    kept = made(CURVES["power"])
-    kept.save(tmp_path)
-    assert Measurement.load("made", tmp_path) == kept
+    measurement = made(CURVES["power"])
+    measurement.save(tmp_path)
+    assert Measurement.load("made", tmp_path) == measurement
 
 
 @pytest.mark.parametrize("content", ["", "[]", '{"name": "made"}', '{"name": 1, "points": [{"size": 1}]}'])
@@ -106,16 +106,16 @@
 
 def test_sizes_whose_plays_would_take_too_long_are_left_out_and_named(monkeypatch):
     monkeypatch.setattr("benchmarks.scale.plays.LONG_PLAY", 0.0)
-    kept = grown("long", "", "ms", "things", SIZES, lambda size, seed: sum(range(20_000)), "on this")
-    assert [point.size for point in kept.points] == list(SIZES[:4])
-    assert kept.conditions == "on this; not measured as plays grew too long: 25,600"
+    measurement = grown("long", "", "ms", "things", SIZES, lambda size, seed: sum(range(20_000)), "on this")
+    assert [point.size for point in measurement.points] == list(SIZES[:4])
+    assert measurement.conditions == "on this; not measured as plays grew too long: 25,600"
 
 
 def test_all_sizes_are_measured_where_plays_are_short():
-    kept = grown("short", "", "ms", "things", SIZES, lambda size, seed: size, "on this")
-    assert [point.size for point in kept.points] == list(SIZES)
-    assert all(len(point.plays) == 3 for point in kept.points)
-    assert kept.conditions == "on this"
+    measurement = grown("short", "", "ms", "things", SIZES, lambda size, seed: size, "on this")
+    assert [point.size for point in measurement.points] == list(SIZES)
+    assert all(len(point.plays) == 3 for point in measurement.points)
+    assert measurement.conditions == "on this"
 
 
 def test_memory_held_is_that_of_what_was_made():
@@ -156,9 +156,9 @@
     """The hosts hashed for functions from now on, as a list that grows."""
     counted, hashing = [], ranking.blake2b
 
-    def counting(data, **told):
+    def counting(data, **options):
         counted.append(data)
-        return hashing(data, **told)
+        return hashing(data, **options)
 
     monkeypatch.setattr(ranking, "blake2b", counting)
     return counted
@@ -200,19 +200,19 @@
 
 def test_kept_measurements_are_registered_and_whole():
     for path in sorted(command.MEASURED.glob("*.json")):
-        kept = Measurement.load(path.stem)
-        assert kept.name == path.stem
-        assert kept.name in command.registry(), f"{kept.name} can no longer be measured"
-        assert len(kept.points) >= 4
-        assert all(len(point.plays) >= 3 for point in kept.points)
-        assert kept.conditions
-        assert kept.meaning
-        assert kept.unit in UNITS
+        measurement = Measurement.load(path.stem)
+        assert measurement.name == path.stem
+        assert measurement.name in command.registry(), f"{measurement.name} can no longer be measured"
+        assert len(measurement.points) >= 4
+        assert all(len(point.plays) >= 3 for point in measurement.points)
+        assert measurement.conditions
+        assert measurement.meaning
+        assert measurement.unit in UNITS
 
 
 def test_measuring_tells_the_program_measured(tmp_path, monkeypatch, capsys):
-    kept = made(CURVES["linear"])
-    monkeypatch.setattr(command, "registry", lambda: {"made": lambda: kept})
+    measurement = made(CURVES["linear"])
+    monkeypatch.setattr(command, "registry", lambda: {"made": lambda: measurement})
     monkeypatch.setattr(Measurement.save, "__defaults__", (tmp_path,))
     command.measure(["made"], "before the change")
     assert json.loads((tmp_path / "made.json").read_text())["conditions"] == "before the change"
@@ -226,7 +226,7 @@
 
 def test_a_label_may_stand_before_the_names(monkeypatch):
     asked = []
-    monkeypatch.setattr(command, "measure", lambda *told: asked.append(told))
+    monkeypatch.setattr(command, "measure", lambda *options: asked.append(options))
     monkeypatch.setattr("sys.argv", ["scale", "measure", "--label", "before", "made", "other"])
     command.main()
     assert asked == [(["made", "other"], "before")]
--- a/tests/fronts/test_departed_attempts.py
+++ b/tests/fronts/test_departed_attempts.py
@@ -47,7 +47,7 @@
 
 
 def dialled(where):
-    """A connection that has come up, as `connect` hands it over."""
+    """A connection that has come up, as `connect` passes it on."""
     sock = socket.create_connection(address(where)[1])
     sock.setblocking(False)
     return sock
@@ -56,8 +56,8 @@
 def silent_at_requests(stream, command):
     """A host that answers probes alone."""
     if command["type"] != "go":
-        told = {"type": "green", "req": command["req"], "meta": {"meter": "util:0.25;x0:0.5"}}
-        stream.write(json.dumps(told).encode() + b"\n")
+        reply = {"type": "green", "req": command["req"], "meta": {"meter": "util:0.25;x0:0.5"}}
+        stream.write(json.dumps(reply).encode() + b"\n")
 
 
 @leaves
@@ -133,16 +133,16 @@
 def test_a_request_is_not_begun_whose_abort_lies_behind_more_than_one_read(gate):
     made = gate(clock=Handed())
     made.process.front.listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-    told = made.client()
+    client = made.client()
     for number in range(1, 11):
-        told.ask(number, arg=arg(b"x" * 10_000))
+        client.ask(number, arg=arg(b"x" * 10_000))
     for number in range(1, 10):
-        told.message(abort(id=number))
-    data = b"".join(told.waiting)
+        client.message(abort(id=number))
+    data = b"".join(client.waiting)
     assert len(data) > 2 * READ_SIZE
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(data)
-    told.waiting = []
+    client.waiting = []
     made.until(lambda: not made.process.core.in_flight and made.process.core.submitted)
     made.turns()
     assert [command["req"] for command in made.hosts[0].seen("go")] == [f"{10:016x}"]
@@ -237,17 +237,17 @@
 
 
 def test_over_http_what_may_not_begin_on_a_connection_that_came_up_has_lapsed():
-    loop, told = Loop(), []
+    loop, results = Loop(), []
     with socket.create_server(("127.0.0.1", 0)) as server:
-        exchange = Exchange(loop, b"x", lambda *each: told.append(each), still_wanted=lambda: False)
+        exchange = Exchange(loop, b"x", lambda *each: results.append(each), still_wanted=lambda: False)
         exchange.connect((socket.AF_INET, server.getsockname()), SECOND, 1024, 1024)
-        while not told:
+        while not results:
             loop.after(MILLI, lambda: None)
             loop.turn()
         came, _ = server.accept()
         assert came.recv(1) == b""
         came.close()
-    assert told[0][0] is None
-    assert told[0][1].lapsed
-    assert not told[0][1].any_byte_sent
+    assert results[0][0] is None
+    assert results[0][1].lapsed
+    assert not results[0][1].any_byte_sent
     loop.close()
--- a/tests/fronts/test_leaving.py
+++ b/tests/fronts/test_leaving.py
@@ -113,7 +113,7 @@
 
 def test_an_abort_reaches_no_request_of_another_connection_and_a_second_one_nothing(gate):
     held = []
-    made = gate(lambda *told: told[1]["type"] == "go" and held.append(told))
+    made = gate(lambda *arguments: arguments[1]["type"] == "go" and held.append(arguments))
     one, other = made.client(), made.client()
     one.ask(1)
     other.ask(1, i="f" * 16)
@@ -248,9 +248,11 @@
 
 @pytest.mark.parametrize("closes", [True, False])
 def test_the_process_ends_when_its_last_answer_is_taken_and_no_sooner(gate, closes, monkeypatch):
-    monkeypatch.setattr("fcntl.ioctl", lambda *told: bytes(4))  # acknowledged, as far as the kernel knows
+    monkeypatch.setattr(
+        "fcntl.ioctl", lambda *arguments: bytes(4)
+    )  # acknowledged, as far as the kernel knows
     held = []
-    made = gate(lambda *told: told[1]["type"] == "go" and held.append(told), clock=Handed())
+    made = gate(lambda *arguments: arguments[1]["type"] == "go" and held.append(arguments), clock=Handed())
     client = made.client()
     client.ask(1)
     made.until(lambda: held)
@@ -371,7 +373,7 @@
 @pytest.mark.parametrize("open_before", [False, True])
 def test_a_request_that_lies_unread_when_its_connection_would_close_is_answered(gate, open_before):
     held = []
-    made = gate(lambda *told: told[1]["type"] == "go" and held.append(told), clock=Handed())
+    made = gate(lambda *arguments: arguments[1]["type"] == "go" and held.append(arguments), clock=Handed())
     client = made.client()
     client.ask(1)
     made.until(lambda: held)
@@ -466,19 +468,21 @@
 def test_a_dial_that_finds_no_descriptor_twice_makes_room_and_is_dialled_in_it(gate, exhausted):
     take, give = exhausted
     made = gate(clock=Handed())
-    idle, told = made.client(), []
+    idle, dialed = made.client(), []
     made.turns()
     made.passes(110 * MILLI)
     take()
-    connect(made.loop, address(made.hosts[0].address), SECOND, lambda sock, error: told.append((sock, error)))
+    connect(
+        made.loop, address(made.hosts[0].address), SECOND, lambda sock, error: dialed.append((sock, error))
+    )
     made.turns()
-    assert not told
+    assert not dialed
     assert not idle.ended
     made.passes(FIRST_DIAL_PAUSE)
     made.passes(2 * FIRST_DIAL_PAUSE)
     give()
-    made.until(lambda: told and idle.ended)
-    sock, error = told[0]
+    made.until(lambda: dialed and idle.ended)
+    sock, error = dialed[0]
     assert error is None
     sock.close()
 
@@ -486,13 +490,13 @@
 def test_a_dial_for_which_no_room_can_be_made_tells_so_within_some_ms(gate, exhausted):
     take, give = exhausted
     made = gate(clock=Handed())
-    told = []
+    errors = []
     take()
-    connect(made.loop, address(made.hosts[0].address), SECOND, lambda sock, error: told.append(error))
+    connect(made.loop, address(made.hosts[0].address), SECOND, lambda sock, error: errors.append(error))
     for _ in range(40):
         made.passes(MILLI)
     give()
-    assert [error.errno for error in told] == [errno.EMFILE]
+    assert [error.errno for error in errors] == [errno.EMFILE]
 
 
 @pytest.mark.parametrize("sockets", [32, 64, 90, 256, 1024])
--- a/tests/fronts/test_messages.py
+++ b/tests/fronts/test_messages.py
@@ -22,8 +22,8 @@
 }
 
 
-def asked(**told):
-    return decode_request(7, "fault-check", json.dumps(GOOD | told).encode(), 5_000_000_000)
+def asked(**fields):
+    return decode_request(7, "fault-check", json.dumps(GOOD | fields).encode(), 5_000_000_000)
 
 
 @pytest.mark.parametrize("cut", range(1, 60, 7))
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "fields",
     [
         {"i": "XYZ"},
         {"i": 5},
@@ -96,9 +96,9 @@
         {"extras": 5},
     ],
 )
-def test_figures_that_cannot_be_are_refused_by_name(told):
+def test_figures_that_cannot_be_are_refused_by_name(fields):
     with pytest.raises(ProtocolError) as wrong:
-        asked(**told)
+        asked(**fields)
     assert wrong.value.code == ErrorCode.INVALID_PARAMS
     assert wrong.value.request_number == 7
 
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -95,7 +95,9 @@
     made = gate(clock=Handed())
     task = fronts.JsonRpcFront.start_request
     monkeypatch.setattr(
-        fronts.JsonRpcFront, "start_request", lambda *told: 1 / 0 if told[2].number == 1 else task(*told)
+        fronts.JsonRpcFront,
+        "start_request",
+        lambda *arguments: 1 / 0 if arguments[2].number == 1 else task(*arguments),
     )
     client = made.client()
     said_in_one(client, lambda: client.ask(1), lambda: client.ask(2))
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -1,4 +1,4 @@
-"""The limit told with a forwarded call is at most what its client has left when its bytes are written."""
+"""The limit sent with a forwarded call is at most what its client has left when its bytes are written."""
 
 import socket
 import time
@@ -54,7 +54,7 @@
 
 
 def test_a_forwarded_call_waits_in_no_connections_buffer(way, monkeypatch):
-    """A kept connection that takes no byte is not used: the call goes again, with what is left then."""
+    """A connection kept open that takes no byte is not used: the call goes again, with what is left then."""
     way.forward()
     way.until(lambda: way.came)
     way.server.answer(way.came[0], 200, (), b"")
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -1,4 +1,4 @@
-"""The limit told to a host of lines is at most what its client has left when its bytes are written."""
+"""The limit passed to a host of lines is at most what its client has left when its bytes are written."""
 
 import json
 import socket
@@ -14,7 +14,7 @@
 from gaproute.loop.addresses import address
 
 SLACK = 150  # ms, by the operators' terms
-D = 2000  # ms that a client waits, told with its request
+D = 2000  # ms that a client waits, sent with its request
 
 
 def limits(made):
@@ -22,7 +22,7 @@
 
 
 def told_limit(made, elapsed):
-    """The one limit told keeps what has gone by since the request was sent, ms."""
+    """The one limit passed on keeps what has gone by since the request was sent, ms."""
     (limit,) = limits(made)
     return D - elapsed - 500 <= limit <= D - elapsed + SLACK
 
@@ -98,8 +98,8 @@
     made.clock.now += WRITE_TIMEOUT - 10 * MILLI
     made.clog.emptied()
     made.until(lambda: made.came() == 2)
-    told = {command["req"]: command["meta"]["limit"] for command in made.hosts[0].seen("go")}
-    assert told["f" * 16] <= D - WRITE_TIMEOUT // MILLI + 20
+    limits = {command["req"]: command["meta"]["limit"] for command in made.hosts[0].seen("go")}
+    assert limits["f" * 16] <= D - WRITE_TIMEOUT // MILLI + 20
 
 
 @pytest.mark.parametrize("track", ["fault-check", "repair-order"])
@@ -119,13 +119,13 @@
 def test_a_probe_or_an_order_written_in_part_ends_no_connection(gate):
     made, link = one_connection(gate)
     full = fill_after(link, 10)
-    told = []
-    made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: told.append(each))
+    results = []
+    made.process.hosts.order("s-0", "7f3a9c21e0b4d655", 1, lambda *each: results.append(each))
     made.passes(WRITE_TIMEOUT + 50 * MILLI)
     full.emptied()
-    made.until(lambda: told)
+    made.until(lambda: results)
     assert link.stream.open
-    assert told[0][0].value == "ok", json.dumps(str(told))
+    assert results[0][0].value == "ok", json.dumps(str(results))
 
 
 def test_a_kernel_clock_that_runs_otherwise_than_the_loops_makes_no_request_old(gate, monkeypatch):
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -24,14 +24,14 @@
 }
 
 
-def settings(cancel=True, **told):
+def settings(cancel=True, **options):
     return (
         SETTINGS
         | {
             "lanes": [*SETTINGS["lanes"], KEYED],
             "limits": SETTINGS["limits"] | {"cancel": cancel, "connect_timeout": 1000.0},
         }
-        | told
+        | options
     )
 
 
@@ -39,21 +39,21 @@
 def slow(gate, monkeypatch):
     """A gateway on a held clock whose dials come up when the test lets them; only tasks are counted."""
 
-    def make(*args, cancel=True, probes=False, **told):
+    def make(*args, cancel=True, probes=False, **options):
         dials = HeldDials()
         monkeypatch.setattr(connections, "connect", dials)
         limits = SETTINGS["limits"] | {"cancel": cancel, "probes": probes, "connect_timeout": 1000.0}
-        made = gate(*args, clock=Handed(), settings=settings() | {"limits": limits}, **told)
+        made = gate(*args, clock=Handed(), settings=settings() | {"limits": limits}, **options)
         made.dials = dials
         return made
 
     return make
 
 
-def asked(made, *args, **told):
+def asked(made, *args, **options):
     """A client that has asked, its task in hand and its dial under way."""
     client, before = made.client(), made.dials.waiting
-    client.ask(*args, **told)
+    client.ask(*args, **options)
     made.until(lambda: made.dials.waiting > before)
     return client
 
@@ -142,10 +142,10 @@
     old.pending["x"] = connections.PendingRequest(old, "x", None, 0, None, 0)  # still at work there
     old.pending["x"].end_offset = 0
     where = made.hosts[1 if change == "address" else 0].address
-    told = event(2, (name, where, "Ready"))
+    watch_event = event(2, (name, where, "Ready"))
     if change == "start":
-        told["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
-    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [told]})[1][0])
+        watch_event["fleet"]["members"][0]["up_since_ms"] = 1_700_000_000_000
+    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
     assert old in known[name].connections
     assert not old.reusable
     old.on_bytes(b'{"type":"served","req":"x","data":""}\n')
@@ -277,8 +277,8 @@
     name = "s-0" if made.hosts[0].seen("go") else "s-1"
     (other,) = [each for each in made.process.hosts.hosts if each != name]
     where = made.process.hosts.hosts[other].address_text
-    told = event(2, (other, where, "Ready"), complete=True)
-    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [told]})[1][0])
+    watch_event = event(2, (other, where, "Ready"), complete=True)
+    made.process.host_list.apply(events.decode_initial({"seq": 2, "results": [watch_event]})[1][0])
     for host in made.hosts:
         for stream in host.streams:
             stream.abort()
@@ -294,7 +294,7 @@
     made = gate()
     made.until(lambda: any(link.answered for link in made.process.hosts.hosts["s-0"].connections))
     done = []
-    made.process.hosts.order("s-0", "m", 1, lambda *told: done.append(told))
+    made.process.hosts.order("s-0", "m", 1, lambda *result: done.append(result))
     made.until(lambda: done)
     assert made.hosts[0].seen("stat")
     assert not any(link.retired_ids for link in made.process.hosts.hosts["s-0"].connections)
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -29,9 +29,9 @@
 CALL = Call("7f3a9c21e0b4d655", "", (), b"Ym9keQ==", "9b1f03aa5c7e2d41", "fault-check")
 
 
-def reply(**told):
-    told = {"type": "served", "req": "a", "data": ""} | told
-    return line_reader.LineReader().feed(json.dumps(told).encode() + b"\n")[0]
+def reply(**fields):
+    fields = {"type": "served", "req": "a", "data": ""} | fields
+    return line_reader.LineReader().feed(json.dumps(fields).encode() + b"\n")[0]
 
 
 @pytest.mark.parametrize("cut", range(1, 50, 7))
@@ -282,8 +282,8 @@
 
 def test_orders_and_probes_under_tags_of_their_own(bench):
     made, said = bench(), []
-    made.hosts.order("h", CALL.model, 2, lambda *told: said.append(told))
-    made.hosts.probe("h", lambda *told: said.append(told))
+    made.hosts.order("h", CALL.model, 2, lambda *result: said.append(result))
+    made.hosts.probe("h", lambda *result: said.append(result))
     made.until(lambda: len(said) == 2)
     assert (Result.OK, 2) in said
     assert any(good is True and report.cpu_busy == 0.25 for good, report in said if good is True)
@@ -293,7 +293,7 @@
 def test_a_lost_order_ends_once_as_timed_out(bench):
     made, said = bench(answer=lambda stream, command: None), []
     made.hosts.order_timeout = 20 * MILLI
-    made.hosts.order("h", CALL.model, 2, lambda *told: said.append(told))
+    made.hosts.order("h", CALL.model, 2, lambda *result: said.append(result))
     made.until(lambda: said)
     assert said == [(Result.TIMEOUT, 0)]
 
@@ -322,7 +322,7 @@
             made.host.serve(stream, command)
 
     used, made = [], bench(answer=answer)
-    for number in range(4):  # the first is served, the next ends a kept connection
+    for number in range(4):  # the first is served, the next ends a connection kept open
         made.send(mark=f"{number:016x}")
         made.results(number + 1)
     made.send(Idempotency.NON_IDEMPOTENT, "e" * 16)
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -1,4 +1,4 @@
-"""What is told of hosts while this machine's own system calls fail, and the log while its pipe is full."""
+"""What the decisions learn of hosts while system calls fail here, and the log while its pipe is full."""
 
 import errno
 import json
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def hosts(monkeypatch):
-    """Connections to one host by KServe's form, whose dials fail as told."""
+    """Connections to one host by KServe's form, whose dials fail as scripted."""
     loops = []
 
     def make(code):
@@ -55,24 +55,24 @@
 
 @pytest.mark.parametrize("code", OWN)
 def test_what_this_machine_lacks_for_a_dial_is_held_against_no_host(hosts, code):
-    made, told = hosts(code), []
+    made, results = hosts(code), []
     call = Call("f", "", (), b"")
     end = made.loop.now() + SECOND
-    made.send("a", call, face.Idempotency.NON_IDEMPOTENT, "t", end, end, lambda heard: told.append(heard))
-    made.order("a", "f", 1, lambda result, copies: told.append((result, copies)))
-    made.probe("a", lambda good, report: told.append((good, report)))
+    made.send("a", call, face.Idempotency.NON_IDEMPOTENT, "t", end, end, lambda heard: results.append(heard))
+    made.order("a", "f", 1, lambda result, copies: results.append((result, copies)))
+    made.probe("a", lambda good, report: results.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
-    assert sorted(told, key=len) == [(face.Result.NOT_SENT, 0), AttemptResult(face.Result.NOT_SENT, None)]
+    assert sorted(results, key=len) == [(face.Result.NOT_SENT, 0), AttemptResult(face.Result.NOT_SENT, None)]
     assert not made.hosts["a"].open
     assert not made.hosts["a"].connecting
 
 
 def test_a_network_that_is_not_there_counts_as_no_connection_to_the_host(hosts):
-    made, told = hosts(errno.EHOSTUNREACH), []
-    made.order("a", "f", 1, lambda result, copies: told.append((result, copies)))
-    made.probe("a", lambda good, report: told.append((good, report)))
+    made, results = hosts(errno.EHOSTUNREACH), []
+    made.order("a", "f", 1, lambda result, copies: results.append((result, copies)))
+    made.probe("a", lambda good, report: results.append((good, report)))
     made.loop.run(until=made.loop.sleep(SECOND))
-    assert told == [(face.Result.CONNECT_FAILED, 0), (False, None)]
+    assert results == [(face.Result.CONNECT_FAILED, 0), (False, None)]
 
 
 @pytest.mark.parametrize("code", OWN)
@@ -123,20 +123,20 @@
 
 
 def test_a_probe_that_could_not_be_sent_from_here_says_nothing_of_the_host(gate, monkeypatch):
-    made, told = gate(clock=Handed()), []
+    made, results = gate(clock=Handed()), []
     drop_all(made)
     monkeypatch.setattr(dialing, "socket", Sockets(errno.EMFILE))
-    made.process.hosts.probe("s-0", lambda good, report: told.append(good))
-    made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
+    made.process.hosts.probe("s-0", lambda good, report: results.append(good))
+    made.process.hosts.order("s-0", "f", 1, lambda result, copies: results.append(result))
     for _ in range(50):
         made.passes(MILLI)
-    assert told == [face.Result.NOT_SENT]
+    assert results == [face.Result.NOT_SENT]
     drop_all(made)
     made.process.hosts.max_connections = 0
-    made.process.hosts.probe("s-0", lambda good, report: told.append(good))
-    made.process.hosts.order("s-0", "f", 1, lambda result, copies: told.append(result))
+    made.process.hosts.probe("s-0", lambda good, report: results.append(good))
+    made.process.hosts.order("s-0", "f", 1, lambda result, copies: results.append(result))
     made.turns()
-    assert told == [face.Result.NOT_SENT, face.Result.NOT_SENT]
+    assert results == [face.Result.NOT_SENT, face.Result.NOT_SENT]
 
 
 # The log
@@ -159,7 +159,7 @@
     write = os.write
     monkeypatch.setattr(logs.os, "write", lambda fd, data: write(fd, data[:1]))
     log = Log(writer)
-    log.info("first", told=1)
+    log.info("first", number=1)
     log.info("second")
     assert lines(reader) == ["first", "second"]
 
--- a/tests/platform/test_platform.py
+++ b/tests/platform/test_platform.py
@@ -25,8 +25,8 @@
 
 def test_the_start_object_is_read_alike_for_the_wire_and_for_the_node():
     assert decode_terms(json.dumps(SETTINGS)) == read_terms(SETTINGS)
-    told = read_deployment(SETTINGS)
-    assert (told.class_names, told.requests_per_connection, told.idle_time) == (
+    deployment = read_deployment(SETTINGS)
+    assert (deployment.class_names, deployment.requests_per_connection, deployment.idle_time) == (
         ("fault-check", "repair-order"),
         100,
         15 * SECOND,
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "code"),
+    ("fields", "code"),
     [
         ({"method": "no-such-class"}, ErrorCode.METHOD_NOT_FOUND),
         ({"d": -1}, ErrorCode.INVALID_PARAMS),
@@ -65,10 +65,10 @@
         ({"i": "short"}, ErrorCode.INVALID_PARAMS),
     ],
 )
-def test_bad_input_gets_an_error_and_reaches_no_host(gate, told, code):
+def test_bad_input_gets_an_error_and_reaches_no_host(gate, fields, code):
     made = gate()
     client = made.client()
-    client.ask(1, **told)
+    client.ask(1, **fields)
     client.ask(2)
     made.until(lambda: len(client.answers) == 2)
     assert client.answers[0]["error"]["code"] == code
@@ -167,9 +167,9 @@
     )
     made.lines.clear()
     made.process.status.write()
-    told = dict(made.lines)["status"]
+    status = dict(made.lines)["status"]
     assert len(made.process.hosts.hosts) >= 1000
-    assert len(told["host_estimates"]) + len(told["host_connections"]) <= 1
+    assert len(status["host_estimates"]) + len(status["host_connections"]) <= 1
 
 
 def test_a_connection_that_sends_nothing_or_half_a_message_is_closed(gate, monkeypatch):
@@ -424,9 +424,14 @@
     client = made.client()
     client.ask(1)
     made.until(lambda: client.answers)
-    steps = [told for what, told in made.lines if what == "request_step"]
-    assert [told["step"] for told in steps] == ["received", "attempt_started", "delivered", "attempt_ended"]
-    assert len({told["request_id"] for told in steps}) == 1
+    steps = [fields for what, fields in made.lines if what == "request_step"]
+    assert [fields["step"] for fields in steps] == [
+        "received",
+        "attempt_started",
+        "delivered",
+        "attempt_ended",
+    ]
+    assert len({fields["request_id"] for fields in steps}) == 1
     assert steps[1]["host"] == "s-0"
 
 
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -133,9 +133,9 @@
 def test_new_connections_are_served_while_they_come_and_refused_at_connect_after_that(gate, deadline):
     made = gate(clock=Handed(), settings=lanes(deadline))
     began = terminated(made)
-    kept = made.client()
-    kept.ask(1, d=deadline)
-    made.until(lambda: kept.answers)
+    resting = made.client()
+    resting.ask(1, d=deadline)
+    made.until(lambda: resting.answers)
     made.passes(600 * MILLI)
     late = made.client()
     late.ask(2, d=deadline)
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -19,7 +19,7 @@
 STEP = 5 * MILLI  # of the handed clock
 PACE = 20 * MILLI  # between requests
 DEADLINE = 3 * SECOND  # of each request
-SLACK = 150 * MILLI  # by which the limit told to a host may be over what the client has left
+SLACK = 150 * MILLI  # by which the limit passed to a host may be over what the client has left
 GRACE = 500 * MILLI  # in which a draining host may still be sent to
 SERVED, LOADED = 30 * MILLI, 400 * MILLI  # time of an answer; of every 9th
 JOINS, DRAINS, ENDS = 2500 * MILLI, 4500 * MILLI, 9 * SECOND
@@ -60,7 +60,7 @@
 
 class Day:
     """Requests at a steady pace; a host joins cold at `JOINS` and another drains at `DRAINS`. What hosts and
-    client saw is kept with its time by the handed clock."""
+    client saw is recorded with its time by the handed clock."""
 
     def __init__(self, gate, monkeypatch, wall):
         self.clock = Handed()
@@ -87,21 +87,21 @@
             self.loop.after(LOADED if count % 9 == 0 else SERVED, host.serve, stream, command)
 
     def tell(self, number, name, phase, since=0):
-        told = event(number, (name, self.hosts[name].address, phase))
-        told["fleet"]["members"][0]["up_since_ms"] = since
-        self.made.log.streams[-1].write(sse(told))
+        watch_event = event(number, (name, self.hosts[name].address, phase))
+        watch_event["fleet"]["members"][0]["up_since_ms"] = since
+        self.made.log.streams[-1].write(sse(watch_event))
 
     def play(self):
-        client, number, told = self.made.client(), 0, 0
+        client, number, events_sent = self.made.client(), 0, 0
         while self.clock.now < self.begun + ENDS + DEADLINE:
             since = self.clock.now - self.begun
             if since % SECOND < STEP and self.made.log.streams:
                 self.made.log.streams[-1].write(b":\n\n")
-            if since >= JOINS and told == 0:
-                told = 1
+            if since >= JOINS and events_sent == 0:
+                events_sent = 1
                 self.tell(2, "s-2", "Ready", true_wall(self.clock.now - 200 * MILLI) // MILLI)
-            if since >= DRAINS and told == 1:
-                told, self.drained_at = 2, self.clock.now
+            if since >= DRAINS and events_sent == 1:
+                events_sent, self.drained_at = 2, self.clock.now
                 self.tell(3, "s-1", "Terminating")
             if since < ENDS and since // PACE > number:
                 number += 1
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -30,7 +30,7 @@
 
 
 class Sockets:
-    """Stands for the socket module in another one: what `call` makes fails as told."""
+    """Stands for the socket module in another one: what `call` makes fails as scripted."""
 
     def __init__(self, name, *codes):
         if name == "socket":
@@ -88,9 +88,9 @@
 )
 def test_a_step_that_goes_on_failing_is_given_up_in_time(patience, code, span):
     began = patience.clock()
-    with pytest.raises(OSError, match=rf"Errno {code}\b") as told:
+    with pytest.raises(OSError, match=rf"Errno {code}\b") as raised:
         patience.call(Failing(lambda: None, *[code] * 999))
-    assert told.value.errno == code
+    assert raised.value.errno == code
     assert span - SECOND // 4 <= patience.clock() - began <= span + MILLI
 
 
@@ -115,8 +115,8 @@
 def started(monkeypatch, tmp_path, patience):
     """Runs the program up to its loop, with waits that take no time; returns its exit code."""
     path, made = tmp_path / "config.json", []
-    told = {"name": "n1", "listen": "127.0.0.1:0", "changelog": "127.0.0.1:9", "settings": SETTINGS}
-    path.write_text(json.dumps(told))
+    configuration = {"name": "n1", "listen": "127.0.0.1:0", "changelog": "127.0.0.1:9", "settings": SETTINGS}
+    path.write_text(json.dumps(configuration))
     monkeypatch.setenv("EDGE_CONFIG", str(path))
     monkeypatch.setattr(program, "StartupRetries", lambda: patience)
     monkeypatch.setattr(program.gc, "freeze", lambda: None)
@@ -125,7 +125,7 @@
     before = open_descriptors()
 
     def run(**changes):
-        path.write_text(json.dumps(told | changes))
+        path.write_text(json.dumps(configuration | changes))
         return program.main()
 
     run.made = made
@@ -214,10 +214,10 @@
     chance, began = random.Random(seed), patience.clock()
 
     def flaky(call):
-        def called(*args, **told):
+        def called(*args, **options):
             if chance.randrange(one_in) == 0:
                 raise fault(chance.choice(SHORT))
-            return call(*args, **told)
+            return call(*args, **options)
 
         return called
 
@@ -256,8 +256,8 @@
     taken = socket.create_server(("127.0.0.1", 0))
     where = taken.getsockname()
     path = tmp_path / "config.json"
-    told = {"name": "n1", "listen": f"127.0.0.1:{where[1]}", "changelog": "127.0.0.1:9"}
-    path.write_text(json.dumps(told | {"settings": SETTINGS}))
+    configuration = {"name": "n1", "listen": f"127.0.0.1:{where[1]}", "changelog": "127.0.0.1:9"}
+    path.write_text(json.dumps(configuration | {"settings": SETTINGS}))
     environment = {**os.environ, "EDGE_CONFIG": str(path)}
     child = subprocess.Popen(
         [sys.executable, "-m", "gaproute.platform"], env=environment, stderr=subprocess.DEVNULL
@@ -315,10 +315,10 @@
     loop = Loop()
     before = open_descriptors()
     monkeypatch.setattr(loop, "watch", Failing(loop.watch, errno.EPERM))
-    with pytest.raises(PermissionError) as told:  # its traceback holds the socket, which is not left to the
+    with pytest.raises(PermissionError) as raised:  # its traceback holds the socket, which is not left to the
         datagrams.Datagrams(loop, "127.0.0.1:0", lambda data: None)  # garbage collector
     assert open_descriptors() == before
-    assert told.tb is not None
+    assert raised.tb is not None
     loop.close()
 
 
