--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -90,7 +90,7 @@
     headers = (KEEP_ALIVE,) if announced else ()
 
     def answer(request: Request) -> None:
-        request.connection.server.answer(request, 200, headers, b"{}")
+        request.connection.answer(request, 200, headers, b"{}")
 
     limits = Limits(idle_time=idle_time)
     servers = [Server(loop, address("127.0.0.1:0"), answer, limits) for _ in range(count)]
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -9,6 +9,8 @@
 host has read the attempt, so it holds the peers' own lateness, which is told beside it.
 """
 
+from __future__ import annotations
+
 import argparse
 import json
 import os
@@ -17,13 +19,14 @@
 import sys
 import tempfile
 from pathlib import Path
+from typing import Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from benchmarks.relay_processes import cpu
 from benchmarks.rows import table, write
 from gaproute.decisions.chance import Chance
-from gaproute.loop import Loop
+from gaproute.loop import Loop, Stream
 from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
 from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 from gaproute.standins.platform.scripted import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
@@ -32,6 +35,7 @@
 HOSTS, KEPT = 12, 300  # kept connections of clients
 WORK, LEAVES = 30 * MILLI, 20 * MILLI
 WARM = 2 * SECOND  # first ones, which count for nothing
+GATEWAY = "127.0.0.1:7390"
 TRACKS = (
     RequestClassSettings("check"),
     RequestClassSettings("check"),
@@ -43,8 +47,9 @@
 class Hosts:
     """In a process of their own; `seen`: id: when its last attempt was read."""
 
-    def __init__(self, seed, folder):
-        self.loop, self.chance, self.seen = Loop(), Chance(seed), {}
+    def __init__(self, seed: int, folder: str) -> None:
+        self.loop, self.chance = Loop(), Chance(seed)
+        self.seen: dict[str, int] = {}
         self.hosts = [ScriptedHost(self.loop, self.answer) for _ in range(HOSTS)]
         self.loop.on_signal(signal.SIGTERM, self.loop.stop)
         Path(folder, "part").write_text(json.dumps([host.address for host in self.hosts]))
@@ -52,7 +57,8 @@
         self.loop.run()
         Path(folder, "seen").write_text(json.dumps(self.seen))
 
-    def answer(self, stream, command):
+    def answer(self, stream: Stream, command: dict[str, Any]) -> None:
+        """Note when an attempt was read; turn one in ten away and serve the others after their work."""
         host = self.hosts[0]
         if command["type"] != "go":
             host.serve(stream, command)
@@ -64,58 +70,32 @@
             self.loop.after(WORK, host.serve, stream, command)
 
 
+def _start_hosts(seed: int, folder: str) -> int:
+    """Fork the hosts onto the core before the clients'; the process id."""
+    pid = os.fork()
+    if not pid:
+        os.sched_setaffinity(0, {max(0, min(os.sched_getaffinity(0)) - 1)})
+        Hosts(seed, folder)
+        os._exit(0)
+    return pid
+
+
 class Play:
-    def __init__(self, loop, rate, seconds, seed, core, folder):
-        self.loop, self.chance, self.rate = loop, Chance(seed), rate
-        self.left, self.late = {}, 0  # id: when its client left
-        self.sent, self.answers, log = 0, [], ScriptedChangeLog(loop)
-        hosts = os.fork()
-        if not hosts:
-            os.sched_setaffinity(0, {max(0, min(os.sched_getaffinity(0)) - 1)})
-            Hosts(seed, folder)
-            os._exit(0)
+    """The clients, who ask at a steady rate, and the gateway's process; the play is over once it is made."""
+
+    def __init__(self, loop: Loop, rate: int, seconds: int, seed: int, core: int, folder: str) -> None:
+        self.loop, self.chance, self.rate, self.folder = loop, Chance(seed), rate, folder
+        self.left: dict[str, int] = {}  # id: when its client left
+        self.late = 0  # of the clients at most, ns
+        self.sent = 0
+        self.answers: list[dict[str, Any]] = []
+        log = ScriptedChangeLog(loop)
+        hosts = _start_hosts(seed, folder)
         while not Path(folder, "hosts").exists():
             loop.run(until=loop.sleep(MILLI))
-        known = {
-            "seq": 1,
-            "results": [
-                event(
-                    1,
-                    *[
-                        (f"s-{place}", host, "Ready")
-                        for place, host in enumerate(json.loads(Path(folder, "hosts").read_text()))
-                    ],
-                    complete=True,
-                )
-            ],
-        }
-        where = "127.0.0.1:7390"
-        configuration = GatewayConfiguration(
-            name="n1",
-            listen=where,
-            change_log=log.address,
-            known=known,
-            settings=deployment_settings(TRACKS[2:]),
-            seed=seed,
-        )
-        command, told = configuration.write(folder)
-        self.node = subprocess.Popen(
-            ["taskset", "-c", str(core), *command], env=os.environ | told, stderr=subprocess.DEVNULL
-        )
+        self.node = self._start_gateway(log.address, seed, core)
         try:
-            loop.run(until=loop.sleep(SECOND))
-            self.clients = [self.client(where) for _ in range(KEPT)]
-            self.where = where
-            loop.run(until=loop.sleep(SECOND))
-            self.next = loop.now()
-            loop.soon(self.ask)
-            loop.run(until=loop.sleep(WARM))
-            self.left, self.late, first = {}, 0, self.sent
-            before, began = cpu(self.node.pid), loop.now()
-            loop.run(until=loop.sleep(seconds * SECOND))
-            self.served = sum("result" in each for each in self.answers if each["id"] > first)
-            self.asked = self.sent - first - len(self.left)
-            self.busy = (cpu(self.node.pid) - before) / ((loop.now() - began) / SECOND)
+            self._measure(seconds)
         finally:
             self.node.terminate()
             self.node.wait()
@@ -124,13 +104,45 @@
         seen = json.loads(Path(folder, "seen").read_text())
         self.lags = {name: seen[name] - at for name, at in self.left.items() if seen.get(name, 0) > at}
 
-    def client(self, where):
-        client = ScriptedClient(self.loop, where)
+    def _start_gateway(self, change_log: str, seed: int, core: int) -> subprocess.Popen[bytes]:
+        addresses = json.loads(Path(self.folder, "hosts").read_text())
+        members = [(f"s-{place}", host, "Ready") for place, host in enumerate(addresses)]
+        configuration = GatewayConfiguration(
+            name="n1",
+            listen=GATEWAY,
+            change_log=change_log,
+            known={"seq": 1, "results": [event(1, *members, complete=True)]},
+            settings=deployment_settings(TRACKS[2:]),
+            seed=seed,
+        )
+        command, environment = configuration.write(self.folder)
+        return subprocess.Popen(
+            ["taskset", "-c", str(core), *command], env=os.environ | environment, stderr=subprocess.DEVNULL
+        )
+
+    def _measure(self, seconds: int) -> None:
+        loop = self.loop
+        loop.run(until=loop.sleep(SECOND))
+        self.clients = [self._connect() for _ in range(KEPT)]
+        loop.run(until=loop.sleep(SECOND))
+        self.next = loop.now()
+        loop.soon(self._ask)
+        loop.run(until=loop.sleep(WARM))
+        self.left, self.late, first = {}, 0, self.sent
+        before, began = cpu(self.node.pid), loop.now()
+        loop.run(until=loop.sleep(seconds * SECOND))
+        self.served = sum("result" in each for each in self.answers if each["id"] > first)
+        self.asked = self.sent - first - len(self.left)
+        self.busy = (cpu(self.node.pid) - before) / ((loop.now() - began) / SECOND)
+
+    def _connect(self) -> ScriptedClient:
+        client = ScriptedClient(self.loop, GATEWAY)
         client.answers = self.answers
         client.ready.then(lambda promise: None)
         return client
 
-    def ask(self):
+    def _ask(self) -> None:
+        """Send all tasks that are due; one client in ten leaves a little later."""
         now = self.loop.now()
         self.late = max(self.late, now - self.next)
         while self.next <= now:
@@ -140,17 +152,22 @@
             client = self.clients[place]
             client.ask(self.sent, TRACKS[self.chance.below(4)].name)
             if self.chance.below(10) == 0:
-                self.clients[place] = self.client(self.where)
-                self.loop.after(self.chance.below(LEAVES), self.leave, client, f"{self.sent:016x}")
-        self.loop.at(self.next, self.ask)
+                self.clients[place] = self._connect()
+                self.loop.after(self.chance.below(LEAVES), self._leave, client, f"{self.sent:016x}")
+        self.loop.at(self.next, self._ask)
 
-    def leave(self, client, name):
-        if client.stream is not None:
-            self.left[name] = self.loop.now()
-            client.stream.abort() if self.chance.below(2) else client.stream.close()
+    def _leave(self, client: ScriptedClient, name: str) -> None:
+        if client.stream is None:
+            return
+        self.left[name] = self.loop.now()
+        if self.chance.below(2):
+            client.stream.abort()
+        else:
+            client.stream.close()
 
 
-def row(rate, play):
+def row(rate: int, play: Play) -> dict[str, Any]:
+    """The play's row of the table."""
     lags = sorted(play.lags.get(name, 0) / MILLI for name in play.left)
     share = sum(lag > 100 for lag in lags) / len(lags)
     return {
@@ -166,25 +183,26 @@
     }
 
 
-def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--rates", default="4000,5600")
-    arguments.add_argument("--seconds", type=int, default=20)
-    arguments.add_argument("--seed", type=int, default=1)
-    arguments.add_argument("--peers", type=int, default=6)
-    arguments.add_argument("--out")
-    told = arguments.parse_args()
+def main() -> None:
+    """Play each rate and print the table."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--rates", default="4000,5600")
+    parser.add_argument("--seconds", type=int, default=20)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--peers", type=int, default=6)
+    parser.add_argument("--out")
+    options = parser.parse_args()
     core = min(os.sched_getaffinity(0))
-    os.sched_setaffinity(0, {told.peers})
+    os.sched_setaffinity(0, {options.peers})
     rows = []
-    for rate in [int(rate) for rate in told.rates.split(",")]:
+    for rate in [int(rate) for rate in options.rates.split(",")]:
         with tempfile.TemporaryDirectory() as folder:
             loop = Loop()
-            rows.append(row(rate, Play(loop, rate, told.seconds, told.seed, core, folder)))
+            rows.append(row(rate, Play(loop, rate, options.seconds, options.seed, core, folder)))
             loop.close()
     print(table(rows))
-    if told.out:
-        write(told.out, "leaving", rows)
+    if options.out:
+        write(options.out, "leaving", rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -12,19 +12,23 @@
 brackets the least and the most.
 """
 
+from __future__ import annotations
+
 import argparse
 import sys
 import time
-from concurrent.futures import ProcessPoolExecutor, as_completed
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from concurrent.futures import Future, ProcessPoolExecutor, as_completed
 from pathlib import Path
 from statistics import median
+from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from benchmarks.rows import write
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership_wire import decode, encode
-from gaproute.shared.membership import MemberState
+from gaproute.shared.membership import MembershipMessage, MemberState
 from gaproute.shared.membership.invariants import check
 from gaproute.standins.membership_network import MembershipNetwork
 
@@ -32,18 +36,33 @@
 CALM = 60  # s
 LONG = 240  # s, until which something is waited for
 
+Figure = float | None  # None: not in time
+Figures = dict[str, Figure]  # of one play, by name
+
+
+class Play(NamedTuple):
+    """Which play it is."""
+
+    part: str  # calm, heal or roll
+    size: int
+    loss: float
+    seed: int
+
 
 class Bytes(MembershipNetwork):
-    """Words travel as bytes."""
+    """A network whose messages travel as bytes."""
 
-    def send(self, sender, words):
-        for to, word in words:
-            data = encode(word)
+    def send(self, sender: str, messages: Iterable[tuple[str, MembershipMessage]]) -> None:
+        """Send each message (receiver, message) as its bytes; some are lost."""
+        for receiver, message in messages:
+            data = encode(message)
             self.sizes.append(len(data))
-            if not self.is_lost(sender, to):
-                self.deliver(to, decode(data))
+            if not self.is_lost(sender, receiver):
+                decoded = decode(data)
+                assert decoded is not None
+                self.deliver(receiver, decoded)
 
-    def until(self, holds):
+    def until(self, holds: Callable[[], bool]) -> Figure:
         """Seconds until it holds, None where it did not in time."""
         began = self.now
         while self.now - began < LONG * SECOND:
@@ -52,21 +71,31 @@
             self.run(SECOND // 4)
         return None
 
-    def whole(self):
+    def whole(self) -> bool:
+        """Whether each gateway holds all others alive."""
         return all(len(node.table.alive) == len(self.nodes) - 1 for node in self.nodes.values())
 
 
-def calm_and_death(size, loss, seed):
+def calm_and_death(size: int, loss: float, seed: int) -> Figures:
+    """Figures of a calm minute, then of one gateway's death and a newcomer."""
     net, chance = Bytes(size, seed), Chance(seed)
     if loss:
         net.is_lost = lambda sender, to: chance.below(1000) < 1000 * loss
     net.run(10 * SECOND)
+    figures = _calm(net, size) | _death(net)
+    figures |= _newcomer(net, size, seed)
+    assert not [breach for node in net.nodes.values() for breach in check(node, thorough=True)]
+    return figures
+
+
+def _calm(net: Bytes, size: int) -> Figures:
+    """Traffic, processor time and errors of a minute in which nothing happens."""
     net.sizes.clear()
-    spent = time.process_time()
+    began = time.process_time()
     net.run(CALM * SECOND)
-    spent = time.process_time() - spent
+    spent = time.process_time() - began
     nodes = list(net.nodes.values())
-    told = {
+    return {
         "messages/s": len(net.sizes) / CALM / size,
         "bytes/s": sum(net.sizes) / CALM / size,
         "largest": max(net.sizes),
@@ -78,24 +107,29 @@
             for member in node.members.values()
         ),
     }
+
+
+def _death(net: Bytes) -> Figures:
+    """Seconds until the first of the others and all of them know that a gateway is dead."""
     net.down.add("g1")
     others = [node for name, node in net.nodes.items() if name != "g1"]
-    told["first knows, s"] = net.until(
-        lambda: any(node.members["g1"].state == MemberState.DEAD for node in others)
-    )
-    told["all know, s"] = (told["first knows, s"] or 0) + net.until(
-        lambda: all(node.members["g1"].state == MemberState.DEAD for node in others)
-    )
+    first = net.until(lambda: any(node.members["g1"].state == MemberState.DEAD for node in others))
+    more = net.until(lambda: all(node.members["g1"].state == MemberState.DEAD for node in others))
+    return {"first knows, s": first, "all know, s": None if more is None else (first or 0) + more}
+
+
+def _newcomer(net: Bytes, size: int, seed: int) -> Figures:
+    """Seconds until a gateway that knows one other knows all, and all know it."""
+    others = [node for name, node in net.nodes.items() if name != "g1"]
     net.start("new", 77 + seed, {"g2": "g2"})
     born = net.now
-    told["it knows, s"] = net.until(lambda: len(net.nodes["new"].table.alive) >= size * 0.99 - 1)
+    knows = net.until(lambda: len(net.nodes["new"].table.alive) >= size * 0.99 - 1)
     known = net.until(lambda: all("new" in node.members for node in others))
-    told["known, s"] = None if known is None else (net.now - born) / SECOND
-    assert not [breach for node in net.nodes.values() for breach in check(node, thorough=True)]
-    return told
+    return {"it knows, s": knows, "known, s": None if known is None else (net.now - born) / SECOND}
 
 
-def heal(size, seed):
+def heal(size: int, seed: int) -> Figure:
+    """Seconds until all hold all alive after two halves were cut off for two minutes."""
     net = Bytes(size, seed)
     half = {f"g{number}" for number in range(size // 2)}
     net.run(5 * SECOND)
@@ -105,7 +139,8 @@
     return net.until(net.whole)
 
 
-def roll(size, seed):
+def roll(size: int, seed: int) -> Figure:
+    """Seconds until all hold all alive after seven tenths were killed and started again."""
     net, chance = Bytes(size, seed), Chance(seed)
     net.run(40 * SECOND)
     peers = {f"g{number}": f"g{number}" for number in range(size)}
@@ -126,11 +161,12 @@
     )
 
 
-def told_of(found):
-    if not found:
+def summary(figures: Sequence[Figure]) -> str:
+    """The median, in brackets the least and the most, and how many plays have none."""
+    if not figures:
         return "-"
-    known = sorted(figure for figure in found if figure is not None)
-    missed = len(found) - len(known)
+    known = sorted(figure for figure in figures if figure is not None)
+    missed = len(figures) - len(known)
     if not known:
         return f"not in {LONG}"
     middle, low, high = (
@@ -140,47 +176,55 @@
     return middle + (f" ({low}-{high})" if low != high else "") + (f", {missed} never" if missed else "")
 
 
-def table(cases, found):
+def table(cases: Iterable[tuple[int, float]], found: Mapping[Play, Figures]) -> list[dict[str, Any]]:
     """A row for each case of which a play has ended; `plays` of the calm and the death."""
     rows = []
     for size, loss in cases:
-        runs = [run for (_, *case), run in found.items() if case[:2] == [size, loss]]
+        runs = [run for play, run in found.items() if (play.size, play.loss) == (size, loss)]
         calm = [run for run in runs if "largest" in run]
         if calm:
             more = {
-                name: told_of([run[name] for run in runs if name in run]) for name in ("heal, s", "roll, s")
+                name: summary([run[name] for run in runs if name in run]) for name in ("heal, s", "roll, s")
             }
             rows.append(
                 {"gateways": size, "lost": f"{loss:.0%}", "plays": len(calm)}
-                | {name: told_of([run[name] for run in calm]) for name in calm[0]}
+                | {name: summary([run[name] for run in calm]) for name in calm[0]}
                 | more
             )
     return rows
 
 
-def main():
-    arguments = argparse.ArgumentParser()
-    arguments.add_argument("--sizes", default="1000,230,60,10", help="the dearest first")
-    arguments.add_argument("--seeds", default="1,2,3,4,5")
-    arguments.add_argument("--jobs", type=int, default=4)
-    arguments.add_argument("--out", default="docs/measured")
-    told = arguments.parse_args()
-    cases = [(size, loss) for size in map(int, told.sizes.split(",")) for loss in (0.0, 0.05, 0.2)]
-    found = {}
-    with ProcessPoolExecutor(told.jobs) as pool:
-        plays = {}
-        for seed in map(int, told.seeds.split(",")):
-            for size, loss in cases:
-                plays[pool.submit(calm_and_death, size, loss, seed)] = "calm", size, loss, seed
-                for part in () if loss else (heal, roll):
-                    plays[pool.submit(part, size, seed)] = part.__name__, size, loss, seed
+def _submit(
+    pool: ProcessPoolExecutor, cases: Iterable[tuple[int, float]], seeds: Iterable[int]
+) -> dict[Future[Any], Play]:
+    plays: dict[Future[Any], Play] = {}
+    for seed in seeds:
+        for size, loss in cases:
+            plays[pool.submit(calm_and_death, size, loss, seed)] = Play("calm", size, loss, seed)
+            for part in () if loss else (heal, roll):
+                plays[pool.submit(part, size, seed)] = Play(part.__name__, size, loss, seed)
+    return plays
+
+
+def main() -> None:
+    """Play each case with each seed and write the table after each."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--sizes", default="1000,230,60,10", help="the dearest first")
+    parser.add_argument("--seeds", default="1,2,3,4,5")
+    parser.add_argument("--jobs", type=int, default=4)
+    parser.add_argument("--out", default="docs/measured")
+    options = parser.parse_args()
+    cases = [(size, loss) for size in map(int, options.sizes.split(",")) for loss in (0.0, 0.05, 0.2)]
+    found: dict[Play, Figures] = {}
+    with ProcessPoolExecutor(options.jobs) as pool:
+        plays = _submit(pool, cases, list(map(int, options.seeds.split(","))))
         for ended in as_completed(plays):
-            case = plays[ended]
-            found[case] = ended.result() if case[0] == "calm" else {f"{case[0]}, s": ended.result()}
-            print(case, found[case], flush=True)
+            play = plays[ended]
+            found[play] = ended.result() if play.part == "calm" else {f"{play.part}, s": ended.result()}
+            print(tuple(play), found[play], flush=True)
             rows = table(sorted(cases), found)
             if rows:  # what has ended is kept, whatever becomes of the rest
-                write(told.out, "membership", rows)
+                write(options.out, "membership", rows)
 
 
 if __name__ == "__main__":
--- a/benchmarks/relay_processes.py
+++ b/benchmarks/relay_processes.py
@@ -51,7 +51,7 @@
 
 def answer_at_once(request: Request) -> None:
     """The handler of a host."""
-    request.connection.server.answer(request, 200, (LOAD_REPORT,), ANSWER_BODY)
+    request.connection.answer(request, 200, (LOAD_REPORT,), ANSWER_BODY)
 
 
 def run_hosts(count: int) -> None:
--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -6,6 +6,8 @@
     python -m benchmarks.wide [--hosts 60,120,400,1000] [--seconds 15] [--plays 3]
 """
 
+from __future__ import annotations
+
 import argparse
 import json
 import os
@@ -14,9 +16,12 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable
 from pathlib import Path
 from statistics import median
+from typing import Any, NamedTuple
 
+from gaproute.errors import GaprouteError
 from gaproute.scenarios.processes import DayProcess
 from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
 from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
@@ -34,80 +39,101 @@
 ]
 
 
-def cpu(pid):
+class GatewayStartError(GaprouteError, RuntimeError):
+    """The gateway ended before it served."""
+
+
+class Costs(NamedTuple):
+    """What one play gave, in the order of the table's columns."""
+
+    start: float  # s of CPU
+    idle: float  # s of CPU a second
+    change: float  # s of CPU a changed line of the list
+    task: float  # s of CPU
+    log: float  # bytes a second
+
+
+def cpu(pid: int) -> float:
     """Seconds of CPU that the process has taken."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9  # of its one thread
 
 
 class Scene:
-    def __init__(self, folder, count):
-        self.folder, self.processes, self.listing = Path(folder), [], VersionedHostList()
-        where = {}
+    """A gateway before stand-in hosts and their change log, each a process; `end` ends them all."""
+
+    def __init__(self, folder: str, count: int) -> None:
+        self.folder, self.listing = Path(folder), VersionedHostList()
+        self.processes: list[DayProcess] = []
+        self.addresses: dict[str, str] = {}  # of the hosts, by name
         for first in range(0, count, HOSTS_EACH):
-            _, told = self.start_stand_in(
-                "platform-host",
-                {
-                    "models": MODELS,
-                    "taps": folder,
-                    "seed": 3,
-                    "hosts": [
-                        {"listen": "127.0.0.2:0", "warm": True, "make": {"name": f"s-{number}", "copies": 12}}
-                        for number in range(first, min(count, first + HOSTS_EACH))
-                    ],
-                },
-            )
-            where |= told["addresses"]
-        self.where = where
-        whole = self.listing.change(*[member(name, at) for name, at in where.items()])
-        self.log, ways = self.start_stand_in(
+            self._start_hosts(range(first, min(count, first + HOSTS_EACH)))
+        whole = self.listing.change(*[member(name, at) for name, at in self.addresses.items()])
+        self.change_log, started = self.start_stand_in(
             "platform-log", {"gateways": ["127.0.0.2:0"], "tap": f"{folder}/log"}
         )
-        self.log.send(whole)
-        self.gateway(ways["addresses"][0])
-
-    def start_stand_in(self, kind, told):
-        process = DayProcess([sys.executable, "-m", "gaproute.standins", kind], told, self.folder / "err")
+        self.change_log.send(whole)
+        self.log = self.folder / "g0.log"
+        self._start_gateway(started["addresses"][0])
+
+    def _start_hosts(self, numbers: range) -> None:
+        """One process with so many hosts."""
+        hosts = [
+            {"listen": "127.0.0.2:0", "warm": True, "make": {"name": f"s-{number}", "copies": 12}}
+            for number in numbers
+        ]
+        settings = {"models": MODELS, "taps": str(self.folder), "seed": 3, "hosts": hosts}
+        _, started = self.start_stand_in("platform-host", settings)
+        self.addresses |= started["addresses"]
+
+    def start_stand_in(self, kind: str, settings: dict[str, Any]) -> tuple[DayProcess, dict[str, Any]]:
+        """A stand-in's process and what it said once it had started."""
+        process = DayProcess([sys.executable, "-m", "gaproute.standins", kind], settings, self.folder / "err")
         self.processes.append(process)
-        return process, json.loads(process.child.stdout.readline())
+        assert process.child.stdout is not None
+        started: dict[str, Any] = json.loads(process.child.stdout.readline())
+        return process, started
 
-    def gateway(self, changelog):
+    def _start_gateway(self, change_log: str) -> None:
         configuration = GatewayConfiguration(
             name="g0",
             listen="127.0.0.2:0",
-            change_log=changelog,
+            change_log=change_log,
             known=self.listing.snapshot(),
             settings=deployment_settings(TRACKS, gateways=200),
         )
         command, environment = configuration.write(self.folder)
-        self.said = self.folder / "g0.log"
-        with open(self.said, "wb") as log:
+        with self.log.open("wb") as log:
             self.child = subprocess.Popen(command, env=os.environ | environment, stderr=log)
+        self.listens = self._wait_started()
+
+    def _wait_started(self) -> str:
+        """The address at which the gateway listens, once it does."""
         while True:
-            for line in self.said.read_bytes().split(b"\n")[:-1]:
-                told = json.loads(line)
-                if told["event"] == "started":
-                    self.listens = told["listen_address"]
-                    return
+            for line in self.log.read_bytes().split(b"\n")[:-1]:
+                event = json.loads(line)
+                if event["event"] == "started":
+                    return str(event["listen_address"])
             if self.child.poll() is not None:
-                raise RuntimeError(f"the gateway did not start; see {self.said}")
+                raise GatewayStartError(f"the gateway did not start; see {self.log}")
             time.sleep(0.01)
 
-    def spent(self, do):
-        """Seconds of CPU while `do` runs."""
+    def spent(self, action: Callable[[], object]) -> float:
+        """Seconds of CPU of the gateway while `action` runs."""
         before = cpu(self.child.pid)
-        do()
+        action()
         return cpu(self.child.pid) - before
 
-    def change(self):
-        """One host drains and another comes back, in turn, each some milliseconds after the last."""
-        names = sorted(self.where)
+    def change(self) -> None:
+        """Let one host drain and another come back, in turn, each some milliseconds after the last."""
+        names = sorted(self.addresses)
         for number in range(CHANGES):
             name = names[number // 2 % len(names)]
             state = ("draining", "active")[number % 2]
-            self.log.send(self.listing.change(member(name, self.where[name], state)))
+            self.change_log.send(self.listing.change(member(name, self.addresses[name], state)))
             time.sleep(0.05)
 
-    def serve(self, seconds):
+    def serve(self, seconds: float) -> None:
+        """Let clients send tasks for so long."""
         clients, _ = self.start_stand_in(
             "platform-clients",
             {
@@ -122,7 +148,8 @@
         )
         clients.child.wait(seconds + 40)
 
-    def end(self):
+    def end(self) -> None:
+        """End every process."""
         if self.child.poll() is None:
             self.child.send_signal(signal.SIGTERM)
             self.child.wait(15)
@@ -130,41 +157,43 @@
             process.close()
 
 
-def play(hosts, seconds):
+def play(hosts: int, seconds: float) -> Costs:
+    """Costs of a gateway before so many hosts, each part taking so long."""
     with tempfile.TemporaryDirectory() as folder:
         scene = Scene(folder, hosts)
         try:
             start = cpu(scene.child.pid)
             scene.spent(lambda: time.sleep(1))  # what the start leaves to be done
-            said = scene.said.stat().st_size
+            logged = scene.log.stat().st_size
             idle = scene.spent(lambda: time.sleep(seconds)) / seconds
-            said = (scene.said.stat().st_size - said) / seconds
+            log_rate = (scene.log.stat().st_size - logged) / seconds
             begun = time.monotonic()
             busy = scene.spent(lambda: scene.serve(seconds))
             served = busy - idle * (time.monotonic() - begun)
             # With functions known the list has something to be ranked for.
             begun = time.monotonic()
             changes = scene.spent(scene.change) - idle * (time.monotonic() - begun)
-            return start, idle, changes / CHANGES, served / (RATE * seconds), said
+            return Costs(start, idle, changes / CHANGES, served / (RATE * seconds), log_rate)
         finally:
             scene.end()
 
 
-def main():
-    asked = argparse.ArgumentParser()
-    asked.add_argument("--hosts", default="60,120,400,1000")
-    asked.add_argument("--seconds", type=float, default=15)
-    asked.add_argument("--plays", type=int, default=3)
-    told = asked.parse_args()
+def main() -> None:
+    """Print a table with a row for each number of hosts."""
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--hosts", default="60,120,400,1000")
+    parser.add_argument("--seconds", type=float, default=15)
+    parser.add_argument("--plays", type=int, default=3)
+    options = parser.parse_args()
     print("| hosts | start, CPU s | idle, % of a core | a list change, ms | a task, ms | log, bytes/s |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for hosts in map(int, told.hosts.split(",")):
-        plays = [play(hosts, told.seconds) for _ in range(told.plays)]
-        start, idle, change, task, said = (
+    for hosts in map(int, options.hosts.split(",")):
+        plays = [play(hosts, options.seconds) for _ in range(options.plays)]
+        cells = [
             f"{median(each) * factor:.2f} ({min(each) * factor:.2f} to {max(each) * factor:.2f})"
             for each, factor in zip(zip(*plays, strict=True), (1, 100, 1000, 1000, 1), strict=True)
-        )
-        print(f"| {hosts} | {start} | {idle} | {change} | {task} | {said} |", flush=True)
+        ]
+        print(f"| {hosts} | {' | '.join(cells)} |", flush=True)
 
 
 if __name__ == "__main__":
