--- a/gaproute/core/attempts.py
+++ b/gaproute/core/attempts.py
@@ -2,9 +2,8 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.completion import MILLI, RequestCompletion
 from gaproute.core.in_flight import AttemptInFlight, AttemptResult, RequestInFlight
 from gaproute.core.ports import DecisionModule, Hosts, RequestSender
@@ -22,19 +21,21 @@
         loop: Loop,
         record: Record,
         hosts: Hosts,
-        request_classes: tuple[face.RequestClass, ...],
+        request_classes: tuple[interface.RequestClass, ...],
     ) -> None:
         super().__init__(gateway, loop, record)
         self.hosts, self.request_classes = hosts, request_classes
 
     # Start
 
-    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+    def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host."""
         self._send(self.hosts, key, number, attempt, now)
 
-    def _send(self, hosts: RequestSender, key: str, number: int, attempt: face.Attempt, now: int) -> None:
-        """Sends a request through these hosts."""
+    def _send(
+        self, hosts: RequestSender, key: str, number: int, attempt: interface.Attempt, now: int
+    ) -> None:
+        """Sends a request through `hosts` and registers the attempt."""
         request = self.in_flight[key]
         request.attempt_count += 1
         host, deadline = attempt.host, request.deadline
@@ -64,13 +65,13 @@
         request, now = self.in_flight[key], self.loop.now()
         host, sent_at, _ = request.attempts.pop(number)
         result, took = attempt_result.result, now - sent_at
-        if result not in face.NEVER_RAN:
+        if result not in interface.NEVER_RAN:
             request.may_have_run = True
-        if result is face.Result.OK and request.on_final is not None:
+        if result is interface.Result.OK and request.on_final is not None:
             request.found = attempt_result.found
             self._finish(request, Ending.DELIVERED, "", answer=attempt_result.answer)
         self.record.attempt_ended(host, request.request_class, result)
-        outcome = face.Outcome(
+        outcome = interface.Outcome(
             key,
             number,
             host,
@@ -87,35 +88,37 @@
         self._release_if_complete(request)
 
     def _time_out_attempts(self, request: RequestInFlight) -> None:
+        """Ends all attempts of a request whose deadline has passed."""
         for number, (_, _, handle) in list(request.attempts.items()):
-            result = face.Result.TIMEOUT if handle.started else face.Result.NOT_SENT
+            result = interface.Result.TIMEOUT if handle.started else interface.Result.NOT_SENT
             handle.cancel()
             self._attempt_withdrawn(request.id, number, result)
 
     def _withdraw_attempts(self, request: RequestInFlight) -> None:
         """Withdraws what must not begin once the request has its final answer or its client has left.
 
-        That is what waits for its connection, whatever the settings say of cancelling: not to begin is no
-        cancellation. It is also what a host has not got whole, and what another gateway has, which may not
-        have begun it.
+        These are the attempts that still wait for a connection, those of which the host has received only a
+        part, and those that were forwarded to another gateway, which may not have started them yet. Settings
+        that forbid cancelling do not apply: they are about requests that a host has received completely.
         """
         for number, (_, _, handle) in request.attempts.items():
             if not handle.started or handle.cancellable:
                 self._withdraw(request, number)
 
     def _withdraw(self, request: RequestInFlight, number: int) -> None:
+        """Cancels an attempt at once and accounts for it in a later callback of the loop."""
         handle = request.attempts[number].handle
-        result = face.Result.CANCELLED if handle.started else face.Result.NOT_SENT
+        result = interface.Result.CANCELLED if handle.started else interface.Result.NOT_SENT
         handle.cancel()
         self.loop.soon(self._attempt_withdrawn, request.id, number, result)
 
-    def _attempt_withdrawn(self, key: str, number: int, result: face.Result) -> None:
+    def _attempt_withdrawn(self, key: str, number: int, result: interface.Result) -> None:
         request = self.in_flight.get(key)
         if request is not None and number in request.attempts:
             self._attempt_ended(key, number, AttemptResult(result, None))
 
 
-def _log_outcome(log_step: Callable[..., Any], outcome: face.Outcome) -> None:
+def _log_outcome(log_step: Callable[..., None], outcome: interface.Outcome) -> None:
     """Logs the outcome of an attempt of a traced request."""
     log_step(
         "attempt_ended",
--- a/gaproute/core/cellular.py
+++ b/gaproute/core/cellular.py
@@ -1,9 +1,9 @@
-"""The core of a gateway in a fleet of cells: it forwards requests to other gateways and takes theirs."""
+"""The core of a gateway in a fleet of cells: it forwards requests to other gateways and serves theirs."""
 
 from collections.abc import Sequence
 from typing import Protocol, cast
 
-from gaproute import interface as face
+from gaproute import interface
 from gaproute.core.core import Core
 from gaproute.core.ports import Actions, Hosts, RequestSender
 from gaproute.decisions.cells.cellular import CellularGateway
@@ -16,7 +16,7 @@
     """The connections to entry gateways of other cells."""
 
     def client_for(self, forward: ForwardAttempt, /) -> RequestSender:
-        """What sends a request through an entry gateway."""
+        """The sender for requests to the entry gateway that `forward` names."""
 
 
 class CellularCore(Core):
@@ -28,7 +28,7 @@
         self,
         loop: Loop,
         gateway: CellularGateway,
-        terms: face.Terms,
+        terms: interface.Terms,
         hosts: Hosts,
         record: Record,
         name: str,
@@ -39,15 +39,15 @@
         self.forwarded_in = 0  # requests that other gateways forwarded here
         self.forwarded_out = 0  # attempts at other gateways
 
-    def serve(self, now: int, request: face.Request) -> Actions:
-        """A request's generator, by whether another gateway forwarded the request."""
+    def serve(self, now: int, request: interface.Request) -> Actions:
+        """The generator of a request, which is given whether another gateway forwarded the request."""
         forwarded = cast("Forwarded | None", self.in_flight[request.id].call.forwarded)
         if forwarded is not None:
             self.forwarded_in += 1
         generator: Actions = self.gateway.serve(now, request, forwarded)
         return generator
 
-    def start_attempt(self, key: str, number: int, attempt: face.Attempt, now: int) -> None:
+    def start_attempt(self, key: str, number: int, attempt: interface.Attempt, now: int) -> None:
         """Sends a request to a host, or to an entry gateway of another cell."""
         if isinstance(attempt, ForwardAttempt):
             self.forwarded_out += 1
@@ -55,13 +55,13 @@
         else:
             super().start_attempt(key, number, attempt, now)
 
-    def reject(self, key: str, rejection: face.Reject) -> None:
-        """Rejects a request; its final answer says so where this gateway does not know the cell."""
+    def reject(self, key: str, rejection: interface.Reject) -> None:
+        """Rejects a request; the final answer says whether this gateway does not know the cell."""
         self.in_flight[key].cell_unknown = isinstance(rejection, CellUnknown)
         super().reject(key, rejection)
 
-    def update_cell_hosts(self, cell: str, rows: Sequence[face.ListedHost]) -> None:
-        """Takes the whole host list of a cell."""
+    def update_cell_hosts(self, cell: str, rows: Sequence[interface.ListedHost]) -> None:
+        """Takes over the complete host list of a cell."""
         now = self.loop.now()
         self.gateway.update_hosts(now, rows, True, cell=cell)
         self.start_housekeeping(now)
--- a/gaproute/settings.py
+++ b/gaproute/settings.py
@@ -1,21 +1,21 @@
-"""Reads the platform's settings object, for the bench's wire and for a gateway on sockets alike.
+"""Reads the platform's settings object, for the bench adapter and for a gateway that serves sockets.
 
-The keys of the object are the platform's; they appear nowhere else. Unknown keys are passed over, and what is
-missing or null counts as 0, no or none. Errors of `read_terms` and `read_deployment`: KeyError, ValueError,
-TypeError, AttributeError, OverflowError.
+The keys of the object are the platform's; they appear nowhere else. Unknown keys are ignored, and a value
+that is missing or null counts as 0, false or none. Errors of `read_terms` and `read_deployment`: KeyError,
+ValueError, TypeError, AttributeError, OverflowError.
 """
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from gaproute import interface as face
+from gaproute import interface
 
 MICRO = 1_000
 MICROS_PER_MILLI = 1_000
 IDEMPOTENCY = {
-    "free": face.Idempotency.IDEMPOTENT,
-    "guarded": face.Idempotency.IDEMPOTENT_WITH_KEY,
-    "single_shot": face.Idempotency.NON_IDEMPOTENT,
+    "free": interface.Idempotency.IDEMPOTENT,
+    "guarded": interface.Idempotency.IDEMPOTENT_WITH_KEY,
+    "single_shot": interface.Idempotency.NON_IDEMPOTENT,
 }
 # The fields of a load report, each with the names that it may have.
 FIGURES = {
@@ -29,7 +29,7 @@
 
 
 class DeploymentSettings(NamedTuple):
-    """What a gateway on sockets is given beside the terms; times are ns."""
+    """What a gateway that serves sockets is given beside the terms; times are ns."""
 
     class_names: tuple[str, ...]  # of the request classes, in the order of the terms
     zones: tuple[str, ...]
@@ -42,13 +42,13 @@
     cancel_allowed: bool = True  # hosts may be notified of a cancelled request
 
 
-def read_terms(settings: Mapping[str, Any]) -> face.Terms:
+def read_terms(settings: Mapping[str, Any]) -> interface.Terms:
     """The terms of the decisions."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     rules, prices = _section(settings, "rules"), _section(settings, "prices")
     report = _section(settings, "report")
     report_names = set(report.get("names") or ())
-    return face.Terms(
+    return interface.Terms(
         request_classes=tuple(_request_class(each) for each in settings.get("lanes") or ()),
         tenant_shares=tuple(float(each.get("share") or 0.0) for each in settings.get("tenants") or ()),
         over_share_value=float(settings.get("over_share_worth", 1.0)),
@@ -72,7 +72,9 @@
         retry_after_limit=_duration(limits, "max_retry_after") if limits.get("retry_after") else 0,
         warm_up_share=float(rules.get("cold_from") or 0),
         warm_up_time=_duration(rules, "cold"),
-        warm_up_overload=float(rules.get("fall_multiple") or face.Terms._field_defaults["warm_up_overload"]),
+        warm_up_overload=float(
+            rules.get("fall_multiple") or interface.Terms._field_defaults["warm_up_overload"]
+        ),
         host_list_polled=settings.get("membership_mode") == LIST_POLLED,
         zone=settings["az"] if isinstance(settings.get("az"), int) else -1,
         crossing_price=float(prices.get("cross_zone") or 0),
@@ -80,7 +82,7 @@
 
 
 def read_deployment(settings: Mapping[str, Any]) -> DeploymentSettings:
-    """What a gateway on sockets is given beside the terms."""
+    """What a gateway that serves sockets is given beside the terms."""
     family, limits = _section(settings, "family_info"), _section(settings, "limits")
     return DeploymentSettings(
         class_names=tuple(each["name"] for each in settings.get("lanes") or ()),
@@ -95,25 +97,26 @@
     )
 
 
-def read_report(figures: Mapping[str, float | None]) -> face.Report | None:
+def read_report(figures: Mapping[str, float | None]) -> interface.Report | None:
     """A load report by the names of its figures; None where none of them is known."""
     fields = [next((figures[name] for name in names if name in figures), None) for names in FIGURES.values()]
-    return face.Report(*fields) if any(field is not None for field in fields) else None
+    return interface.Report(*fields) if any(field is not None for field in fields) else None
 
 
 def _section(settings: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+    """The object under a key of the settings; an empty one where it is missing or null."""
     section: Mapping[str, Any] = settings.get(key) or {}
     return section
 
 
-def _request_class(lane: Mapping[str, Any]) -> face.RequestClass:
-    return face.RequestClass(
-        idempotency=IDEMPOTENCY[lane["effect"]],
-        group=face.Group(lane.get("group") or "all"),
-        repeat_window=_duration(lane, "dedup_window"),
-        latency_objective=_duration(lane, "aim"),
-        hard_limit=_duration(lane, "deadline"),
-        priority_weight=float(lane.get("worth") or 1.0),
+def _request_class(fields: Mapping[str, Any]) -> interface.RequestClass:
+    return interface.RequestClass(
+        idempotency=IDEMPOTENCY[fields["effect"]],
+        group=interface.Group(fields.get("group") or "all"),
+        repeat_window=_duration(fields, "dedup_window"),
+        latency_objective=_duration(fields, "aim"),
+        hard_limit=_duration(fields, "deadline"),
+        priority_weight=float(fields.get("worth") or 1.0),
     )
 
 
