--- a/gaproute/connections/accepted.py
+++ b/gaproute/connections/accepted.py
@@ -56,8 +56,6 @@
         """The accepted connections of the loop; they are made at the first call."""
         return loop.connections if isinstance(loop.connections, cls) else cls(loop)
 
-    # Accepting
-
     def enqueue_listener(self, listener: Listener, owner: ConnectionOwner) -> None:
         """Notes that the listener has connections to accept."""
         self.ready_listeners[listener] = owner
