--- a/benchmarks/bad_day.py
+++ b/benchmarks/bad_day.py
@@ -6,12 +6,16 @@
 """
 
 import argparse
+import sys
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 from statistics import median
+from typing import Any
 
-from rows import table, write
-from trial_command import play_trial
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
+
+from benchmarks.rows import table, write
+from benchmarks.trial_command import play_trial
 
 WAYS = {
     "module": "gaproute.decisions.routing:Gateway",
@@ -20,23 +24,27 @@
 }
 
 
-def play(way, seed, script):
+def play(way: str, seed: int, script: str) -> dict[str, Any]:
+    """The result of one day; `way`: a key of `WAYS`."""
     result = play_trial(script, seed=seed, decisions=WAYS[way])
     print(way, seed, result["service"], flush=True)
     return result
 
 
-def main():
+def main() -> None:
+    """Plays all days, and writes their figures and the chart."""
     arguments = argparse.ArgumentParser()
     arguments.add_argument("--seeds", default="1,2,3")
     arguments.add_argument("--script", default="bad-day")
     arguments.add_argument("--jobs", type=int, default=2)
     arguments.add_argument("--out", default="docs/measured")
-    told = arguments.parse_args()
-    seeds = [int(seed) for seed in told.seeds.split(",")]
+    options = arguments.parse_args()
+    seeds = [int(seed) for seed in options.seeds.split(",")]
     plays = [(way, seed) for seed in seeds for way in WAYS]
-    with ThreadPoolExecutor(told.jobs) as pool:
-        results = dict(zip(plays, pool.map(lambda each: play(*each, told.script), plays), strict=True))
+    with ThreadPoolExecutor(options.jobs) as pool:
+        results = dict(
+            zip(plays, pool.map(lambda each: play(each[0], each[1], options.script), plays), strict=True)
+        )
     rows = []
     for way in WAYS:
         runs = [results[way, seed] for seed in seeds]
@@ -51,9 +59,9 @@
                 "rules broken": sum(len(run["broken"]) for run in runs),
             }
         )
-    name = Path(told.script).stem
+    name = Path(options.script).stem
     folder = write(
-        told.out,
+        options.out,
         name,
         rows,
         broken={way: [results[way, seed]["broken"] for seed in seeds] for way in WAYS},
@@ -61,7 +69,7 @@
     )
     print(table(rows))
     try:
-        from matplotlib import pyplot
+        from matplotlib import pyplot  # type: ignore[import-not-found]  # of requirements-bench.txt
     except ImportError:
         print("no chart: requirements-bench.txt is not installed")
         return
--- a/benchmarks/campaign_ends.py
+++ b/benchmarks/campaign_ends.py
@@ -4,8 +4,7 @@
 from concurrent.futures import Executor
 from dataclasses import dataclass
 
-from campaign_figures import HOST_LANES, Row, spare_course, spread
-
+from benchmarks.campaign_figures import HOST_LANES, Row, spare_course, spread
 from gaproute.rollouts.campaign import RolloutHost
 from gaproute.rollouts.completion import CompletionEstimate
 from gaproute.rollouts.forecast import DAY_FACTORS, SLOT, DemandReading, FleetForecast
--- a/benchmarks/campaign_plans.py
+++ b/benchmarks/campaign_plans.py
@@ -6,8 +6,7 @@
 from concurrent.futures import Executor
 from typing import NamedTuple
 
-from campaign_figures import HOST_LANES, Row, spare_course, spread
-
+from benchmarks.campaign_figures import HOST_LANES, Row, spare_course, spread
 from gaproute.rollouts.greedy import greedy_plan
 from gaproute.rollouts.plan import CampaignDemand, CopyPlan, PlanningProblem
 from gaproute.rollouts.plan_evaluation import find_violations, plan_value
@@ -35,15 +34,15 @@
             for slot, lanes in enumerate(truth[host])
         ]
     problem = PlanningProblem(
-        spare=spare,
-        room={host: 2 for host in spare},
-        wants=[
+        spare_lanes=spare,
+        copy_capacity={host: 2 for host in spare},
+        demands=[
             CampaignDemand("a", 1, 2, 2 * count),
             CampaignDemand("b", 2, 1, 2 * count),
             CampaignDemand("c", 1, 1, count),
         ],
-        standing=[("abc"[number % 3], f"h{number:03}") for number in range(0, count, 3)],
-        loads=max(2, count // 8),
+        loaded=[("abc"[number % 3], f"h{number:03}") for number in range(0, count, 3)],
+        max_loads=max(2, count // 8),
     )
     return problem, truth
 
--- a/benchmarks/campaigns.py
+++ b/benchmarks/campaigns.py
@@ -22,11 +22,10 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from campaign_ends import ends
-from campaign_figures import Row, spread
-from campaign_plans import plans
-from rows import table, write
-
+from benchmarks.campaign_ends import ends
+from benchmarks.campaign_figures import Row, spread
+from benchmarks.campaign_plans import plans
+from benchmarks.rows import table, write
 from gaproute.simulation.campaigns import CASES, play
 
 FLOORS = (1, 2, 3)  # lanes of each host that are never lent
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -14,11 +14,13 @@
 import json
 import statistics
 import subprocess
+import sys
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from trial_command import trial_command
+sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from benchmarks.trial_command import trial_command
 from gaproute.cluster.script import read_script
 
 FAULT_LINES = ("fault", "strike", "list", "trouble")  # first words of the lines of a script's faults
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -16,21 +16,22 @@
 import json
 import sys
 import tempfile
+from collections.abc import Sequence
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from statistics import median
+from statistics import fmean, median
+from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from rows import write
-from trial_command import play_trial
-
+from benchmarks.rows import write
+from benchmarks.trial_command import play_trial
 from gaproute.standins.tap import read_tap
 
 SECOND = 1_000_000_000
 KILL = 24  # by then the store is calm: copies stand where the gateways want them
 SCRIPT = """
-day length {length}s rate {rate} hosts {hosts} gateways 4 models {models} retries 0 impatient 0 {told}
+day length {length}s rate {rate} hosts {hosts} gateways 4 models {models} retries 0 impatient 0 {sources}
 kind std share 1 cores 4 speed 1 copies 10
 track fault-check pure contract 1200ms limit 5s earnings 3
 track repair-order effectful contract 600ms limit 4s earnings 3
@@ -46,6 +47,7 @@
 """
 
 
+BEFORE = 8 * SECOND  # the first kill, in which warm instances and fetches are counted
 AFTER = 30 * SECOND  # from the first kill, in which fetches are counted
 MODES = {"nothing": (False, False), "disk": (False, True), "peers": (True, False), "both": (True, True)}
 LIARS = {
@@ -56,88 +58,142 @@
 }
 
 
-def play(hosts, mode, seed, struck, decisions=LIARS["0%"]):
-    troubles = "\n".join(
-        f"trouble gateway-kill at {KILL + 2 * place}s back 500ms gateway {place}" for place in range(struck)
-    )
-    peers, memory = ("yes" if each else "no" for each in MODES[mode])
-    how = f"peers {peers} memory {memory}"
-    with tempfile.TemporaryDirectory(prefix="gl-") as folder:
-        script, out = Path(folder, "day.script"), Path(folder, "o")
-        script.write_text(
-            SCRIPT.format(
-                length=KILL + 30, rate=8 * hosts, hosts=hosts, models=3 * hosts, troubles=troubles, told=how
-            )
-        )
-        result = play_trial(script, seed=seed, decisions=decisions, out=out)
-        ran = [event for path in out.glob("host-*.tap") for event in read_tap(path) if event["what"] == "ran"]
-        run = read_tap(out / "run.tap")
-        logs = [
-            json.loads(line)
-            for path in out.glob("g*.log")
-            for line in path.read_text().splitlines()
-            if line.startswith("{")
+Row = dict[str, Any]
+TapEvent = dict[str, Any]
+
+
+class Day(NamedTuple):
+    """What is played: `mode` is a key of `MODES`, `killed` says how many of the four gateways are killed."""
+
+    hosts: int
+    mode: str
+    killed: int
+    decisions: str
+
+
+class Taps:
+    """What the taps and logs of a played day say of the gateways that were killed."""
+
+    def __init__(self, folder: Path) -> None:
+        """`folder`: where the trial wrote its taps and logs."""
+        self.ran = [
+            event for path in folder.glob("host-*.tap") for event in read_tap(path) if event["what"] == "ran"
         ]
-        fetches = [event["at"] for event in read_tap(out / "store.tap") if event["what"] == "fetch"]
-        ends = [
+        run = read_tap(folder / "run.tap")
+        self.kills = {event["gateway"]: event["at"] for event in run if event["what"] == "killed"}
+        self.starts = {event["gateway"]: event["at"] for event in run if event["what"] == "started"}
+        self.first_kill = min(self.kills.values())
+        fetches = [event for event in read_tap(folder / "store.tap") if event["what"] == "fetch"]
+        self.fetched_at = [event["at"] for event in fetches]
+        self.ends = [
             event
-            for event in read_tap(out / "clients.tap")
+            for event in read_tap(folder / "clients.tap")
             if event["what"] in ("answer", "broken", "overdue")
         ]
-    kills = {event["gateway"]: event["at"] for event in run if event["what"] == "killed"}
-    starts = {event["gateway"]: event["at"] for event in run if event["what"] == "started"}
-    first = min(kills.values())
+        self.cpu_shares = [
+            line["observation_cpu_share"] for line in read_logs(folder) if line.get("event") == "stopped"
+        ]
 
-    def warm(gateway, begin, end):
+    def warm_share(self, gateway: int, begin: int, end: int) -> float:
+        """The share of the gateway's requests that found a warm instance, of those that ran in this span."""
         found = [
-            event["found"] == 1
-            for event in ran
+            bool(event["found"] == 1)
+            for event in self.ran
             if event["mark"].startswith(f"g{gateway}-") and begin <= event["at"] < end
         ]
         return sum(found) / max(1, len(found))
 
-    def mean(values):
-        values = list(values)
-        return sum(values) / len(values)
+    def warm_before(self, gateway: int) -> float:
+        """The same in the last seconds before the first kill."""
+        return self.warm_share(gateway, self.first_kill - BEFORE, self.first_kill)
 
-    soon = [
-        event
-        for event in ends
-        if event["gateway"] in starts
-        and kills.get(event["gateway"]) is not None
-        and 0 <= event["asked"] - starts[event["gateway"]] < 10 * SECOND
-    ]
-    good = [
-        event["what"] == "answer"
-        and event["outcome"] == "delivered"
-        and event["at"] - event["asked"] < (1200 if event["track"] == "fault-check" else 600) * 1_000_000
-        for event in soon
-    ]
+    def warm_after(self, gateway: int, span: int) -> float:
+        """The same in a span after the gateway started again."""
+        return self.warm_share(gateway, self.starts[gateway], self.starts[gateway] + span)
 
-    def recovery(gateway):
-        """Seconds until two seconds in a row had 95% of the old share."""
-        old = warm(gateway, first - 8 * SECOND, first)
+    def recovery(self, gateway: int) -> float:
+        """Seconds until two seconds in a row had 95% of the share before."""
+        before = self.warm_before(gateway)
         for tenth in range(0, 150, 5):
-            begin = starts[gateway] + tenth * SECOND // 10
-            if warm(gateway, begin, begin + 2 * SECOND) >= 0.95 * old:
+            begin = self.starts[gateway] + tenth * SECOND // 10
+            if self.warm_share(gateway, begin, begin + 2 * SECOND) >= 0.95 * before:
                 return tenth / 10
         return 15.0
 
-    stopped = [event for event in logs if event.get("event") == "stopped"]
+    def fetch_count(self, begin: int, end: int) -> int:
+        """How many instances were fetched from the store in this span."""
+        return sum(begin <= at < end for at in self.fetched_at)
+
+    def service_after_start(self) -> float:
+        """The share in time, of the requests of the first ten seconds after each start."""
+        in_time = [is_in_time(event) for event in self.ends if self._follows_a_start(event)]
+        return sum(in_time) / max(1, len(in_time))
+
+    def _follows_a_start(self, event: TapEvent) -> bool:
+        gateway = event["gateway"]
+        if gateway not in self.starts or self.kills.get(gateway) is None:
+            return False
+        return bool(0 <= event["asked"] - self.starts[gateway] < 10 * SECOND)
+
+
+def read_logs(folder: Path) -> list[TapEvent]:
+    """The log lines of all gateways."""
+    return [
+        json.loads(line)
+        for path in folder.glob("g*.log")
+        for line in path.read_text().splitlines()
+        if line.startswith("{")
+    ]
+
+
+def is_in_time(event: TapEvent) -> bool:
+    """Whether the request was delivered within its latency objective."""
+    if event["what"] != "answer" or event["outcome"] != "delivered":
+        return False
+    objective_ms = 1200 if event["track"] == "fault-check" else 600
+    return bool(event["at"] - event["asked"] < objective_ms * 1_000_000)
+
+
+def day_script(day: Day) -> str:
+    """The script of the day."""
+    troubles = "\n".join(
+        f"trouble gateway-kill at {KILL + 2 * place}s back 500ms gateway {place}"
+        for place in range(day.killed)
+    )
+    peers, memory = ("yes" if each else "no" for each in MODES[day.mode])
+    return SCRIPT.format(
+        length=KILL + 30,
+        rate=8 * day.hosts,
+        hosts=day.hosts,
+        models=3 * day.hosts,
+        troubles=troubles,
+        sources=f"peers {peers} memory {memory}",
+    )
+
+
+def play(day: Day, seed: int) -> Row:
+    """The figures of one played day."""
+    with tempfile.TemporaryDirectory(prefix="gl-") as folder:
+        script, out = Path(folder, "day.script"), Path(folder, "o")
+        script.write_text(day_script(day))
+        result = play_trial(script, seed=seed, decisions=day.decisions, out=out)
+        taps = Taps(out)
+    killed, first = list(taps.kills), taps.first_kill
     return {
-        "before": mean(warm(each, first - 8 * SECOND, first) for each in kills),
-        "2 s": mean(warm(each, starts[each], starts[each] + 2 * SECOND) for each in kills),
-        "10 s": mean(warm(each, starts[each], starts[each] + 10 * SECOND) for each in kills),
-        "recovery, s": mean(recovery(each) for each in kills),
-        "fetches/s before": sum(first - 8 * SECOND <= at < first for at in fetches) / 8,
-        "fetches in 30 s": sum(first <= at < first + AFTER for at in fetches),
-        "service": sum(good) / max(1, len(good)),
+        "before": fmean(taps.warm_before(each) for each in killed),
+        "2 s": fmean(taps.warm_after(each, 2 * SECOND) for each in killed),
+        "10 s": fmean(taps.warm_after(each, 10 * SECOND) for each in killed),
+        "recovery, s": fmean(taps.recovery(each) for each in killed),
+        "fetches/s before": taps.fetch_count(first - BEFORE, first) / (BEFORE // SECOND),
+        "fetches in 30 s": taps.fetch_count(first, first + AFTER),
+        "service": taps.service_after_start(),
         "broken": len(result["broken"]),
-        "telling, % of a core": 100 * max([event["observation_cpu_share"] for event in stopped], default=0),
+        "telling, % of a core": 100 * max(taps.cpu_shares, default=0),
     }
 
 
-def row_of(head, runs):
+def row_of(head: Row, runs: Sequence[Row]) -> Row:
+    """A row of the table: medians of the runs."""
     row = dict(head)
     for name in runs[0]:
         if name not in ("broken", "all"):
@@ -148,7 +204,28 @@
     }
 
 
-def main():
+def planned_days(options: argparse.Namespace) -> list[tuple[Row, Day]]:
+    """The head of each row with its day."""
+    if options.wrong:
+        honest = LIARS["0%"]
+        return [
+            ({"restarted": "4 of 4", "told": "nothing"}, Day(options.hosts, "nothing", 4, honest)),
+            *(
+                (
+                    {"restarted": "4 of 4", "told": f"{wrong} wrong"},
+                    Day(options.hosts, "peers", 4, decisions),
+                )
+                for wrong, decisions in LIARS.items()
+            ),
+        ]
+    return [
+        ({"restarted": f"{killed} of 4", "told by": mode}, Day(options.hosts, mode, killed, LIARS["0%"]))
+        for killed, mode in itertools.product(map(int, options.struck.split(",")), options.modes.split(","))
+    ]
+
+
+def main() -> None:
+    """Plays all days and writes the table."""
     arguments = argparse.ArgumentParser()
     arguments.add_argument("--seeds", default="1,2,3")
     arguments.add_argument("--hosts", type=int, default=20)
@@ -157,38 +234,19 @@
     arguments.add_argument("--wrong", action="store_true")
     arguments.add_argument("--at-once", type=int, default=2)
     arguments.add_argument("--out", default="docs/measured")
-    told = arguments.parse_args()
-    seeds = [int(seed) for seed in told.seeds.split(",")]
-    if told.wrong:
-        days = [
-            ({"restarted": "4 of 4", "told": "nothing"}, (told.hosts, "nothing", 4, LIARS["0%"])),
-            *(
-                ({"restarted": "4 of 4", "told": f"{wrong} wrong"}, (told.hosts, "peers", 4, LIARS[wrong]))
-                for wrong in LIARS
-            ),
-        ]
-    else:
-        days = [
-            ({"restarted": f"{struck} of 4", "told by": mode}, (told.hosts, mode, struck, LIARS["0%"]))
-            for struck, mode in itertools.product(map(int, told.struck.split(",")), told.modes.split(","))
-        ]
-
-    def one(work):
-        (_, (hosts, mode, struck, decisions)), seed = work
-        return play(hosts, mode, seed, struck, decisions)
-
-    with ThreadPoolExecutor(told.at_once) as pool:
-        # Seed by seed, so that what the machine does meanwhile falls on all rows alike.
-        works = [(day, seed) for seed in seeds for day in days]
-        results = list(pool.map(one, works))
+    options = arguments.parse_args()
+    days = planned_days(options)
+    # Seed by seed, so that what the machine does meanwhile falls on all rows alike.
+    jobs = [(place, int(seed)) for seed in options.seeds.split(",") for place in range(len(days))]
+    with ThreadPoolExecutor(options.at_once) as pool:
+        results = list(pool.map(lambda job: play(days[job[0]][1], job[1]), jobs))
     rows = []
-    for day in days:
-        rows.append(
-            row_of(day[0], [result for work, result in zip(works, results, strict=True) if work[0] is day])
-        )
+    for place, (head, _) in enumerate(days):
+        runs = [result for job, result in zip(jobs, results, strict=True) if job[0] == place]
+        rows.append(row_of(head, runs))
         print(rows[-1], flush=True)
-    name = ("learning-wrong" if told.wrong else "learning") + ("" if told.hosts == 20 else f"-{told.hosts}")
-    write(told.out, name, rows)
+    size = "" if options.hosts == 20 else f"-{options.hosts}"
+    write(options.out, ("learning-wrong" if options.wrong else "learning") + size, rows)
 
 
 if __name__ == "__main__":
