--- a/benchmarks/fleet/cold_cases.py
+++ b/benchmarks/fleet/cold_cases.py
@@ -6,7 +6,7 @@
 
 Case = dict[str, Any]  # fields of a day
 
-# Hosts gain nothing until they are warm, the least that the settings promise; all gateways are told at once.
+# Hosts gain nothing until they are warm, the least that the settings promise; all gateways get lists at once.
 LEAST: Case = {"share": 0.17, "gain": "step", "uneven": False, "idle": False, "restart": False, "late": False}
 STRONG: Case = {"pace": 60.0, "hosts": 12}
 SIZES = (0.4, 1.0, 1.6)
@@ -45,8 +45,8 @@
     "cold twice, lists late": {"kind": "twice", "late": True},
     "seven in ten killed in slow start": {"restart": True, "reasked": True},
     "all cold, seven in ten killed": {"kind": "all", "restart": True, "reasked": True},
-    "a tenth restarts at a time": {"roll": True, "reasked": True},
-    "all cold, a tenth at a time": {"kind": "all", "roll": True, "reasked": True},
+    "a tenth restarts at a time": {"rolling_restart": True, "reasked": True},
+    "all cold, a tenth at a time": {"kind": "all", "rolling_restart": True, "reasked": True},
     "lists late": {"late": True},
     "clients ask again": {"reasked": True, "busy": 0.9},
     "all cold, clients ask again": {"kind": "all", "reasked": True, "busy": 0.9},
@@ -68,7 +68,7 @@
     },
     "hosts of three sizes": {"sizes": (0.4, 1.0, 1.6)},
     "strong hosts of three sizes": {"sizes": (0.4, 1.0, 1.6), "pace": 60.0, "hosts": 12},
-    "hosts of three sizes, not told": {"sizes": (0.7, 1.0, 1.3), "sizes_told": False},
+    "hosts of three sizes, not told": {"sizes": (0.7, 1.0, 1.3), "sizes_listed": False},
     "heavy functions": {"heavy_functions": True},
     "heavy functions, 1 gateway": {"heavy_functions": True, "gateways": 1},
     "hosts gain unlike, all cold": {"kind": "all", "gain": "unlike", "busy": 0.5},
--- a/benchmarks/fleet/cold_days.py
+++ b/benchmarks/fleet/cold_days.py
@@ -39,8 +39,8 @@
     late: bool  # lists come up to 4 s late
     pace: float = PACE
     sizes: tuple[float, ...] = (1.0,)  # dealt out to the hosts
-    sizes_told: bool = True  # by the list
-    roll: bool = False  # a tenth of the gateways restarts each 0.4 s from the begin on
+    sizes_listed: bool = True  # by the list
+    rolling_restart: bool = False  # a tenth of the gateways restarts each 0.4 s from the begin on
     reasked: bool = False  # clients ask again for what was rejected, and for what a killed gateway had
     surge: bool = False  # little traffic, then a burst
     stall: bool = False  # no answer comes in for a while
--- a/benchmarks/fleet/cold_play.py
+++ b/benchmarks/fleet/cold_play.py
@@ -31,7 +31,7 @@
 
 
 class ColdPlay(FleetWorld):
-    """`with_hints`: with each list every gateway is told, wrongly, that each warming host has each function.
+    """`with_hints`: with each list every gateway gets a wrong hint: all warming hosts have all functions.
 
     `begin` and `end`: ns between which hosts warm up and traffic comes.
     """
@@ -61,7 +61,7 @@
         if self.day.restart:
             for number in self.random.sample(range(count), int(RESTARTED_SHARE * count)):
                 self.clock.at(self.begin + self.random.randrange(2 * SECOND), self.restart, number)
-        if self.day.roll:
+        if self.day.rolling_restart:
             for number in range(count):
                 step = 1 + 10 * number // count
                 self.clock.at(self.begin + step * RESTART_STEP, self.restart, number)
@@ -128,7 +128,7 @@
     def host_rows(self) -> list[face.ListedHost]:
         """The host list, with the capacities of the hosts where the day has that."""
         rows = super().host_rows()
-        return rows if self.day.sizes_told else [row._replace(capacity=CAPACITY) for row in rows]
+        return rows if self.day.sizes_listed else [row._replace(capacity=CAPACITY) for row in rows]
 
     def publish_host_list(self) -> None:
         """Each gateway gets a list at a time of its own, with what holds then."""
--- a/benchmarks/fleet/measures.py
+++ b/benchmarks/fleet/measures.py
@@ -105,7 +105,7 @@
         """Something happens now after which these hosts may get more than their share."""
         self.events.append((self.world.clock.now, tuple(hosts)))
 
-    # What the world tells
+    # What the world reports
 
     def report_sent(self, now: int, sender: FleetGateway, payload: bytes) -> None:
         """See `Watcher`."""
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -15,7 +15,7 @@
 from gaproute.decisions.routing import Gateway
 
 ZONES = 3
-HISTORY_STEP, HISTORY_STEPS = 25 * MILLI, 48  # between samples of the requests in flight; samples kept
+HISTORY_STEP, HISTORY_STEPS = 25 * MILLI, 48  # between samples of the requests in flight; samples stored
 COUNTED = ("tasks", "delivered", "probes", "words", "orders", "connections", "loads")
 
 # Makes one gateway's decisions: takes the world, a seed, the terms and the time.
@@ -30,7 +30,7 @@
 
 
 class Watcher(Protocol):
-    """Is told of what happens in a play, with its time in ns."""
+    """Is notified of what happens in a play, with its time in ns."""
 
     def report_sent(self, now: int, sender: FleetGateway, payload: bytes) -> None:
         """A gateway sent a load report to all."""
@@ -68,7 +68,7 @@
     """A fleet of `gateways` gateways before `hosts` hosts, whose `sizes` are dealt out in turn.
 
     `cpu_time`: ns that the gateways' decisions took. `delivery_filter` decides which messages between
-    gateways are handed over, None: all. `watchers` are told of what happens.
+    gateways are handed over, None: all. `watchers` are notified of what happens.
     """
 
     def __init__(
--- a/benchmarks/scale/budget.py
+++ b/benchmarks/scale/budget.py
@@ -27,12 +27,12 @@
 
     @property
     def stretched(self) -> str:
-        """Told where the prediction lies far beyond what was measured."""
+        """Says so where the prediction lies far beyond what was measured; else empty."""
         return f"stretched {number(self.stretch)} times" if self.stretch > WIDE_STRETCH else ""
 
 
 def judged(row: Row, folder: Path = MEASURED) -> Verdict:
-    """The row's prediction and state. Errors: MeasurementError for a measurement that is not kept."""
+    """The row's prediction and state. Raises MeasurementError for a measurement that is not stored."""
     if row.measurement is None:
         return Verdict(row, None, None, "missing", 1.0)
     found = fit(Measurement.load(row.measurement, folder))
--- a/benchmarks/scale/cell_faults.py
+++ b/benchmarks/scale/cell_faults.py
@@ -54,11 +54,11 @@
         """Those in full."""
         return {gateway.name: gateway for gateway in self.fleet.full_gateways()}
 
-    def all_hold_alive(self) -> bool:
-        """Whether all in full hold the running gateways of their cell alive."""
+    def all_consider_all_alive(self) -> bool:
+        """Whether all in full consider the running gateways of their cell alive."""
         plan, running = self.fleet.plan, self.fleet.gateways
         return all(
-            _holds_alive(membership, other.name)
+            _considers_alive(membership, other.name)
             for name, membership in self.memberships().items()
             for other in plan.gateways(plan.cell_of(name))
             if other.name != name and other.name in running
@@ -93,7 +93,7 @@
         """The share of the whole fleet's gateways that have the version."""
         gateways = self.fleet.gateways.values()
         versions: list[Version] = [gateway.parts["tables"].version for gateway in gateways]
-        return round(sum(held >= version for held in versions) / len(versions), 4)
+        return round(sum(present >= version for present in versions) / len(versions), 4)
 
     def run_until_all_have(self, version: Version) -> float | None:
         """Simulated seconds until all of the fleet have the version."""
@@ -105,7 +105,7 @@
         return {figure: totals[f"hosts.{figure}"] for figure in ROUTES}
 
 
-def _holds_alive(membership: Membership, name: str) -> bool:
+def _considers_alive(membership: Membership, name: str) -> bool:
     return name in membership.members and membership.members[name].state == MemberState.ALIVE
 
 
@@ -128,7 +128,7 @@
         fleet.start(row, has_table=False)
     watched.measure_healing(
         figures,
-        whole_again_s=watched.all_hold_alive,
+        whole_again_s=watched.all_consider_all_alive,
         fleet_holds_again_s=lambda: fleet.all_have_version(version),
         ready_again_s=watched.all_ready,
     )
@@ -151,7 +151,7 @@
     watched.measure_healing(
         figures,
         fleet_holds_s=lambda: fleet.all_have_version(version),
-        whole_again_s=watched.all_hold_alive,
+        whole_again_s=watched.all_consider_all_alive,
     )
     return watched.finish(figures)
 
--- a/benchmarks/scale/cell_rung.py
+++ b/benchmarks/scale/cell_rung.py
@@ -5,9 +5,10 @@
 
 - CPU: of the gateway's own callbacks, by the loop that each has (`MeteredLoop`); reading what the network
   brings is part of it, the simulation's own cost and garbage collections are not.
-- Memory: of a gateway's own objects (`held.py`); the process's resident memory beside it, all gateways in it.
+- Memory: of a gateway's own objects (`reachable_memory.py`); the process's resident memory beside it, of all
+  gateways together.
 - Rest: nothing happens. Day: a row of the table changes as often as the configuration does on a day.
-- Times: until a change is held by all gateways of the fleet; a death, a newcomer: by the own cell.
+- Times: until all gateways of the fleet have a change; a death, a newcomer: by the own cell.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 SETTLE = 20  # simulated seconds before the counting: each has sent each of its cell its demand
 KILLED_CELL, KILLED_PLACE = 1, 4  # the gateway that dies: of a cell played in full, none of its entries
 SEEDS = 3  # that a newcomer knows
-FINE_STEP = SECOND // 50  # between checks whether all hold a change
+FINE_STEP = SECOND // 50  # between checks whether all have a change
 WEIGHED = 33  # gateways whose memory is counted
 
 
@@ -135,8 +136,8 @@
         fleet = self.fleet
         shared: list[Any] = [fleet, fleet.loop, fleet.network, fleet.plan, fleet.rows, fleet.shared_tables]
         shared += [fleet.shared_candidates, fleet.initial_table, *fleet.configurations]
-        held = [reachable_bytes(gateway, shared) / MEGABYTE for gateway in fleet.full_gateways()[:WEIGHED]]
-        self.figures["memory_mb"], self.figures["memory_most_mb"] = sum(held) / len(held), max(held)
+        sizes = [reachable_bytes(gateway, shared) / MEGABYTE for gateway in fleet.full_gateways()[:WEIGHED]]
+        self.figures["memory_mb"], self.figures["memory_most_mb"] = sum(sizes) / len(sizes), max(sizes)
         self.figures["resident_mb"] = self.resident_megabytes()
 
     def publish(self) -> Version:
--- a/benchmarks/scale/cells/failure_kinds.py
+++ b/benchmarks/scale/cells/failure_kinds.py
@@ -62,7 +62,7 @@
         for host in self.hosts():
             host.come_back()
         for gateway in self.gateways():
-            gateway.is_up, gateway.held = True, {}
+            gateway.is_up, gateway.requests = True, {}
             gateway.decisions.recorder.attempts.clear()
             gateway.restart_housekeeping()
         self.world.clock.after(LIST_DELAY, self.publish_hosts)
--- a/benchmarks/scale/cells/gateways.py
+++ b/benchmarks/scale/cells/gateways.py
@@ -31,7 +31,7 @@
     sent: int
 
 
-class HeldRequest:
+class ServedRequest:
     """A request that a gateway has: `forwarded` is what another gateway said that sent it, None for a client.
 
     `attempts` are counted, `in_flight` are by their numbers; `waits` numbers the waits of the generator.
@@ -63,10 +63,12 @@
     def clock(self) -> EventClock:
         """The clock of the play."""
 
-    def send_to_host(self, gateway: CellGateway, held: HeldRequest, number: int, host: str) -> None:
+    def send_to_host(self, gateway: CellGateway, served: ServedRequest, number: int, host: str) -> None:
         """Send an attempt to a host of a cell that the gateway knows."""
 
-    def forward(self, gateway: CellGateway, held: HeldRequest, number: int, action: ForwardAttempt) -> None:
+    def forward(
+        self, gateway: CellGateway, served: ServedRequest, number: int, action: ForwardAttempt
+    ) -> None:
         """Send an attempt to an entry gateway."""
 
     def check(self, gateway: CellGateway, action: Any) -> None:
@@ -74,11 +76,11 @@
 
 
 class CellGateway:
-    """A gateway of a play. `decisions` decide, `network` carries attempts; `held`: requests by id."""
+    """A gateway of a play. `decisions` decide, `network` carries attempts; `served`: requests by id."""
 
     def __init__(self, network: GatewayNetwork, name: str, zone: str, decisions: Any) -> None:
         self.network, self.name, self.zone, self.decisions = network, name, zone, decisions
-        self.held: dict[str, HeldRequest] = {}
+        self.requests: dict[str, ServedRequest] = {}
         self.is_up = True
         self._housekeeper: Generator[Any, Any, None] | None = None
 
@@ -88,10 +90,10 @@
         generator = (
             self.decisions.serve(now, request, forwarded) if forwarded else self.decisions.serve(now, request)
         )
-        held = HeldRequest(request, generator, on_end, now + request.time_left, forwarded)
-        self.held[request.id] = held
-        self.network.clock.at(held.ends_at, self._time_is_up, held)
-        self._advance(held, None)
+        served = ServedRequest(request, generator, on_end, now + request.time_left, forwarded)
+        self.requests[request.id] = served
+        self.network.clock.at(served.ends_at, self._time_is_up, served)
+        self._advance(served, None)
 
     # Housekeeping
 
@@ -118,94 +120,94 @@
 
     def attempt_ended(
         self,
-        held: HeldRequest,
+        served: ServedRequest,
         number: int,
         result: face.Result,
         found: face.Found = face.Found.UNKNOWN,
         report: face.Report | None = None,
     ) -> None:
         """An attempt has ended; a second end of one, or one at a gateway that is down, is dropped."""
-        if not self.is_up or number not in held.in_flight:
+        if not self.is_up or number not in served.in_flight:
             return
-        host, sent = held.in_flight.pop(number)
+        host, sent = served.in_flight.pop(number)
         now = self.network.clock.now
-        if result is face.Result.OK and held.on_end is not None:
-            self._end(held, CallEnd.DELIVERED, "", found)
-        has_ended = held.on_end is None
+        if result is face.Result.OK and served.on_end is not None:
+            self._end(served, CallEnd.DELIVERED, "", found)
+        has_ended = served.on_end is None
         outcome = face.Outcome(
-            held.request.id, number, host, result, now - sent, has_ended, found, None, report
+            served.request.id, number, host, result, now - sent, has_ended, found, None, report
         )
         self.decisions.attempt_ended(now, outcome)
-        held.waits += 1
-        self._advance(held, (now, outcome))
-        self._forget(held)
+        served.waits += 1
+        self._advance(served, (now, outcome))
+        self._forget(served)
 
-    def _advance(self, held: HeldRequest, value: Any) -> None:
+    def _advance(self, served: ServedRequest, value: Any) -> None:
         """Resume the request's generator with the value, up to its next wait or its end."""
         while True:
             try:
-                action = held.generator.send(value)
+                action = served.generator.send(value)
             except StopIteration:
                 return
             self.network.check(self, action)
             if isinstance(action, face.Wait):
-                held.waits += 1
-                self.network.clock.at(action.until, self._wait_elapsed, held, held.waits)
+                served.waits += 1
+                self.network.clock.at(action.until, self._wait_elapsed, served, served.waits)
                 return
-            value = self._carry_out(held, action)
+            value = self._carry_out(served, action)
 
-    def _carry_out(self, held: HeldRequest, action: Any) -> int | None:
+    def _carry_out(self, served: ServedRequest, action: Any) -> int | None:
         """Carry out an action; the number of an attempt."""
         clock = self.network.clock
         match action:
             case face.Attempt():
-                return self._send(held, action)
+                return self._send(served, action)
             case face.Cancel(number):
-                if number in held.in_flight:
-                    clock.at(clock.now, self.attempt_ended, held, number, face.Result.CANCELLED)
-            case CellUnknown(_, reason) if held.forwarded is not None:
-                self._end(held, CallEnd.UNKNOWN, reason.value if reason else "")
+                if number in served.in_flight:
+                    clock.at(clock.now, self.attempt_ended, served, number, face.Result.CANCELLED)
+            case CellUnknown(_, reason) if served.forwarded is not None:
+                self._end(served, CallEnd.UNKNOWN, reason.value if reason else "")
             case face.Reject(_, reason):
-                self._end(held, CallEnd.REJECTED, reason.value if reason else "")
+                self._end(served, CallEnd.REJECTED, reason.value if reason else "")
             case face.Fail():
-                self._end(held, CallEnd.FAILED, "")
+                self._end(served, CallEnd.FAILED, "")
             case face.LoadOrder(host, function, _):
                 self.decisions.load_order_ended(clock.now, host, function, face.Result.OK, 1)
         return None
 
-    def _send(self, held: HeldRequest, action: face.Attempt) -> int:
-        number = held.attempts
-        held.attempts += 1
-        held.in_flight[number] = SentAttempt(action.host, self.network.clock.now)
+    def _send(self, served: ServedRequest, action: face.Attempt) -> int:
+        number = served.attempts
+        served.attempts += 1
+        served.in_flight[number] = SentAttempt(action.host, self.network.clock.now)
         self.network.counts["relays"] += 1
         if isinstance(action, ForwardAttempt):
-            self.network.forward(self, held, number, action)
+            self.network.forward(self, served, number, action)
         else:
-            self.network.send_to_host(self, held, number, action.host)
+            self.network.send_to_host(self, served, number, action.host)
         return number
 
-    def _wait_elapsed(self, held: HeldRequest, wait: int) -> None:
-        if self.is_up and held.waits == wait:
-            self._advance(held, (self.network.clock.now, None))
-            self._forget(held)
+    def _wait_elapsed(self, served: ServedRequest, wait: int) -> None:
+        if self.is_up and served.waits == wait:
+            self._advance(served, (self.network.clock.now, None))
+            self._forget(served)
 
-    def _time_is_up(self, held: HeldRequest) -> None:
+    def _time_is_up(self, served: ServedRequest) -> None:
         if not self.is_up:
             return
-        for number in list(held.in_flight):
-            self.attempt_ended(held, number, face.Result.TIMEOUT)
-        if held.on_end is not None:
-            self._end(held, CallEnd.FAILED, "time up")
-        self._forget(held)
+        for number in list(served.in_flight):
+            self.attempt_ended(served, number, face.Result.TIMEOUT)
+        if served.on_end is not None:
+            self._end(served, CallEnd.FAILED, "time up")
+        self._forget(served)
 
     def _end(
-        self, held: HeldRequest, end: CallEnd, reason: str, found: face.Found = face.Found.UNKNOWN
+        self, served: ServedRequest, end: CallEnd, reason: str, found: face.Found = face.Found.UNKNOWN
     ) -> None:
-        on_end, held.on_end = held.on_end, None
+        on_end, served.on_end = served.on_end, None
         if on_end is not None:
             on_end(end, reason, found)
 
-    def _forget(self, held: HeldRequest) -> None:
-        if held.on_end is None and not held.in_flight:
-            held.generator.close()
-            self.held.pop(held.request.id, None)
+    def _forget(self, served: ServedRequest) -> None:
+        if served.on_end is None and not served.in_flight:
+            served.generator.close()
+            self.requests.pop(served.request.id, None)
--- a/benchmarks/scale/cells/world.py
+++ b/benchmarks/scale/cells/world.py
@@ -10,7 +10,7 @@
 
 from benchmarks.fleet.clock import MILLI, SECOND, EventClock
 from benchmarks.scale.cells.fleet import Shape, location_of
-from benchmarks.scale.cells.gateways import CallEnd, CellGateway, HeldRequest
+from benchmarks.scale.cells.gateways import CallEnd, CellGateway, ServedRequest
 from benchmarks.scale.cells.hosts import CallService, CellHost
 from benchmarks.scale.cells.network import ZoneNetwork
 from benchmarks.scale.cells.terms import CALL_TIME, IDEMPOTENT, NON_IDEMPOTENT, cell_terms
@@ -21,7 +21,7 @@
 from gaproute.decisions.cells.table import Cell, CellTable
 
 MAX_LOAD = 4  # times its capacity at which a host rejects calls
-LATENCIES_KEPT = 1_000_000
+MAX_LATENCIES = 1_000_000
 HOP_MARK = ">"  # in the id of a request, for each time that it was forwarded
 LANES = 4
 ENTRY_RESULTS = {
@@ -37,9 +37,15 @@
     """Brings what became of an attempt back to the gateway that sent it."""
 
     def __init__(
-        self, world: CellWorld, gateway: CellGateway, held: HeldRequest, number: int, zone: str, delay: int
+        self,
+        world: CellWorld,
+        gateway: CellGateway,
+        served: ServedRequest,
+        number: int,
+        zone: str,
+        delay: int,
     ) -> None:
-        self.gateway, self.held, self.number = gateway, held, number
+        self.gateway, self.served, self.number = gateway, served, number
         self._world, self._zone, self.delay = world, zone, delay
 
     def send(
@@ -50,7 +56,7 @@
     ) -> None:
         """Send it from the zone that the attempt went to, unless it is lost or cut off."""
         if self._world.network.delay(self.gateway.zone, self._zone) is not None:
-            ended = partial(self.gateway.attempt_ended, self.held, self.number, result, found, report)
+            ended = partial(self.gateway.attempt_ended, self.served, self.number, result, found, report)
             self._world.clock.after(self.delay, ended)
 
 
@@ -76,7 +82,7 @@
         self.network = ZoneNetwork(shape, Random(seed))
         self.counts: Counter[str] = Counter()
         self.counts_by_second: dict[int, Counter[str]] = {}
-        self.latencies: deque[int] = deque(maxlen=LATENCIES_KEPT)
+        self.latencies: deque[int] = deque(maxlen=MAX_LATENCIES)
         self.violations: list[str] = []
         self._runs: Counter[str] = Counter()  # of calls that must not run twice, by their id
         self.hosts: dict[str, CellHost] = {}
@@ -135,12 +141,12 @@
 
     # Attempts at hosts
 
-    def send_to_host(self, gateway: CellGateway, held: HeldRequest, number: int, host: str) -> None:
+    def send_to_host(self, gateway: CellGateway, served: ServedRequest, number: int, host: str) -> None:
         """Send an attempt to a host of a cell that the gateway knows."""
         target = self.hosts[host]
         delay = self.network.delay(gateway.zone, target.zone)
         if delay is not None:
-            reply = AttemptReply(self, gateway, held, number, target.zone, delay)
+            reply = AttemptReply(self, gateway, served, number, target.zone, delay)
             self.clock.after(delay, self._at_host, reply, target)
 
     def _at_host(self, reply: AttemptReply, host: CellHost) -> None:
@@ -150,7 +156,7 @@
         if host.in_flight >= MAX_LOAD * host.capacity:
             reply.send(face.Result.FULL, report=face.Report(in_hand=host.in_flight))
             return
-        request = reply.held.request
+        request = reply.served.request
         self._count_run(request)
         service = host.accept(self.clock.now, request.function)
         self.count("runs")
@@ -171,16 +177,18 @@
 
     # Attempts at entry gateways
 
-    def forward(self, gateway: CellGateway, held: HeldRequest, number: int, action: ForwardAttempt) -> None:
+    def forward(
+        self, gateway: CellGateway, served: ServedRequest, number: int, action: ForwardAttempt
+    ) -> None:
         """Send an attempt to an entry gateway."""
         self.count("forwards")
         entry = self.gateways.get(action.host)
         if entry is None:
-            self.clock.after(MILLI, gateway.attempt_ended, held, number, face.Result.CONNECT_FAILED)
+            self.clock.after(MILLI, gateway.attempt_ended, served, number, face.Result.CONNECT_FAILED)
             return
         delay = self.network.delay(gateway.zone, entry.zone)
         if delay is not None:
-            reply = AttemptReply(self, gateway, held, number, entry.zone, delay)
+            reply = AttemptReply(self, gateway, served, number, entry.zone, delay)
             self.clock.after(delay, self._at_entry, reply, action, entry)
 
     def _at_entry(self, reply: AttemptReply, action: ForwardAttempt, entry: CellGateway) -> None:
@@ -192,9 +200,9 @@
             report = entry.decisions.local.report(self.clock.now, action.forwarded.cell)
             reply.send(ENTRY_RESULTS.get(end, face.Result.ERROR), found, report)
 
-        request = reply.held.request
+        request = reply.served.request
         serial = self.next_serial()
-        time_left = max(MILLI, reply.held.ends_at - self.clock.now - reply.delay)
+        time_left = max(MILLI, reply.served.ends_at - self.clock.now - reply.delay)
         if request.id.count(HOP_MARK) >= MAX_HOPS:
             self.violations.append(f"{request.id} is forwarded once more")
         forwarded = request._replace(id=f"{request.id}{HOP_MARK}{serial}", time_left=time_left)
--- a/benchmarks/scale/climbing.py
+++ b/benchmarks/scale/climbing.py
@@ -66,8 +66,8 @@
     """Print a rung as lines."""
     print(f"\n{rung['size']} gateways" + (f", stopped: {rung['stopped']}" if rung["stopped"] else ""))
     for name, value in rung["measured"].items():
-        shown = "never" if value is None else format(value, ".4g")
-        print(f"  {name:<28} {shown}{_prediction_text(rung, name)}")
+        text = "never" if value is None else format(value, ".4g")
+        print(f"  {name:<28} {text}{_prediction_text(rung, name)}")
     sys.stdout.flush()
 
 
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True)
 class LadderFile:
-    """Where the rungs of a ladder are kept, with its conditions and limits."""
+    """Where the rungs of a ladder are stored, with its conditions and limits."""
 
     folder: Path
     name: str
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -74,7 +74,7 @@
     return spent * MS_PER_SECOND
 
 
-def kept_connections_cpu(count: int, seed: int) -> float:
+def pooled_connections_cpu(count: int, seed: int) -> float:
     """Milliseconds of CPU of a second probe of each host."""
     probed = ProbedHosts(count)
     probed.probe_all()
@@ -122,7 +122,7 @@
         "ms",
         "hosts",
         SIZES,
-        kept_connections_cpu,
+        pooled_connections_cpu,
         f"{LOOPBACK}. {CPU_TIME}",
     ),
     **deferred(
--- a/benchmarks/scale/dissemination.py
+++ b/benchmarks/scale/dissemination.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from functools import cache
 
-from benchmarks.scale.dissemination_fleet import DisseminationFleet, FleetGateway
+from benchmarks.scale.dissemination_fleet import DisseminationFleet, DisseminationGateway
 from benchmarks.scale.stub_document import change_from
 from gaproute.decisions.cells.version import Version
 from gaproute.errors import GaprouteError
@@ -105,7 +105,7 @@
 def heal(count: int, seed: int, loss: int = 0) -> Recovery:
     """A region that was cut off for an hour is reached again, while changes come on.
 
-    The hour itself is not played: those outside are set to hold its changes.
+    The hour itself is not played: those outside are set to have its changes.
     """
     fleet = DisseminationFleet(count, seed, loss)
     behind = [gateway for gateway in fleet.gateways if gateway.region == CUT_REGION]
@@ -138,7 +138,7 @@
     )
 
 
-def _recovery(fleet: DisseminationFleet, behind: Sequence[FleetGateway]) -> Recovery:
+def _recovery(fleet: DisseminationFleet, behind: Sequence[DisseminationGateway]) -> Recovery:
     """Play on with changes until those behind are as far as the publisher was one change ago."""
     start, publisher = fleet.now, fleet.gateways[PUBLISHER]
     received = _received(fleet, behind)
@@ -154,12 +154,12 @@
     raise PlayError(f"{len(behind)} gateways have not caught up after {LONGEST_PLAY} s")
 
 
-def _received(fleet: DisseminationFleet, gateways: Iterable[FleetGateway]) -> int:
+def _received(fleet: DisseminationFleet, gateways: Iterable[DisseminationGateway]) -> int:
     """Bytes that these gateways together have received so far."""
     return sum(fleet.traffic.received[gateway.index] for gateway in gateways)
 
 
-def _all_have(gateways: Iterable[FleetGateway], version: Version) -> bool:
+def _all_have(gateways: Iterable[DisseminationGateway], version: Version) -> bool:
     """Whether all of these that run have the version, or a newer one."""
     return all(gateway.document.version >= version for gateway in gateways if gateway.alive)
 
--- a/benchmarks/scale/dissemination_fleet.py
+++ b/benchmarks/scale/dissemination_fleet.py
@@ -29,7 +29,7 @@
 PullAnswer = Changes | Part | Busy | None
 
 
-class FleetGateway:
+class DisseminationGateway:
     """One gateway: its place in the fleet, its disseminator, when its timer is due."""
 
     def __init__(self, index: int, place: Place, disseminator: Disseminator, document: StubDocument) -> None:
@@ -62,7 +62,7 @@
         self.chance = Chance(seed)
         self.links, self.traffic = Links(loss, self.chance), TrafficCounts()
         self.events: list[tuple[int, int, Callable[[], None]]] = []  # (when, number, action)
-        self.gateways: list[FleetGateway] = []
+        self.gateways: list[DisseminationGateway] = []
         self.cells = max(1, -(-count // CELL_GATEWAYS))
         for _ in range(count):
             self._add(Version(1, 1), seed, slow)
@@ -77,7 +77,9 @@
         document = StubDocument(version)
         chance = Chance(seed * SEED_FACTOR + index)
         disseminator = Disseminator(f"gateway{index}", document, chance, self.now)
-        gateway = FleetGateway(index, Place(cell, zone, zone % REGIONS, is_slow), disseminator, document)
+        gateway = DisseminationGateway(
+            index, Place(cell, zone, zone % REGIONS, is_slow), disseminator, document
+        )
         self.gateways.append(gateway)
         self.traffic.add_gateway()
         self._set_timer(gateway)
@@ -97,13 +99,13 @@
             for peer in peers:
                 self.gateway_of(peer).disseminator.set_candidates(candidates)
 
-    def gateway_of(self, peer: Peer) -> FleetGateway:
+    def gateway_of(self, peer: Peer) -> DisseminationGateway:
         """The gateway of that name."""
         return self.gateways[int(peer.name.removeprefix("gateway"))]
 
     # Running
 
-    def publish(self, gateway: FleetGateway) -> Version:
+    def publish(self, gateway: DisseminationGateway) -> Version:
         """Make a change at that gateway; returns its version."""
         change = change_from(gateway.document.version)
         self.handle(gateway, gateway.disseminator.publish(self.now, change))
@@ -117,7 +119,7 @@
             action()
         self.now = max(self.now, until)
 
-    def handle(self, gateway: FleetGateway, sends: Iterable[Send]) -> None:
+    def handle(self, gateway: DisseminationGateway, sends: Iterable[Send]) -> None:
         """Send what a gateway returned, and set its timer."""
         for send in sends:
             self._send(gateway, send)
@@ -128,20 +130,20 @@
         self.scheduled += 1
         heapq.heappush(self.events, (when, self.scheduled, action))
 
-    def _set_timer(self, gateway: FleetGateway) -> None:
+    def _set_timer(self, gateway: DisseminationGateway) -> None:
         due = gateway.disseminator.due
         if gateway.timer is None or due < gateway.timer:
             gateway.timer = due
             self._at(max(due, self.now), partial(self._tick, gateway, due))
 
-    def _tick(self, gateway: FleetGateway, when: int) -> None:
+    def _tick(self, gateway: DisseminationGateway, when: int) -> None:
         if gateway.timer != when:
             return
         gateway.timer = None
         if gateway.alive:
             self.handle(gateway, gateway.disseminator.tick(self.now))
 
-    def _receive(self, gateway: FleetGateway, receive: Callable[[int], list[Send]]) -> None:
+    def _receive(self, gateway: DisseminationGateway, receive: Callable[[int], list[Send]]) -> None:
         """Let the gateway handle what arrived, and note when it took a newer version."""
         if not gateway.alive:
             return
@@ -153,7 +155,7 @@
 
     # Messages
 
-    def _send(self, sender: FleetGateway, send: Send) -> None:
+    def _send(self, sender: DisseminationGateway, send: Send) -> None:
         receiver = self.gateway_of(send.to)
         if isinstance(send.message, Pull):
             self._start_exchange(sender, receiver, send.message)
@@ -164,14 +166,16 @@
             arrival = self.now + self.links.delay(sender.place, receiver.place)
             self._at(arrival, partial(self._deliver, sender, receiver, send.message))
 
-    def _deliver(self, sender: FleetGateway, receiver: FleetGateway, message: Announcement | Push) -> None:
+    def _deliver(
+        self, sender: DisseminationGateway, receiver: DisseminationGateway, message: Announcement | Push
+    ) -> None:
         self.traffic.count_received(receiver.index, self.now, wire_size(message))
         if receiver.alive and receiver.disseminator.admits(self.now, sender.peer.name):
             self._receive(receiver, lambda now: receiver.disseminator.receive(now, sender.peer, message))
 
     # Exchanges: a pull and its answer
 
-    def _start_exchange(self, client: FleetGateway, server: FleetGateway, pull: Pull) -> None:
+    def _start_exchange(self, client: DisseminationGateway, server: DisseminationGateway, pull: Pull) -> None:
         self.traffic.count_message(client.index)
         sent = wire_size(pull) // 2
         self.traffic.count_sent(client.index, self.now, sent)
@@ -186,7 +190,9 @@
         arrival += self.links.retransmission_delay(DATA_TIMEOUT, 1)
         self._at(arrival, partial(self._answer, client, server, pull, end))
 
-    def _answer(self, client: FleetGateway, server: FleetGateway, pull: Pull, end: int) -> None:
+    def _answer(
+        self, client: DisseminationGateway, server: DisseminationGateway, pull: Pull, end: int
+    ) -> None:
         if not server.alive or self.now > end:
             self._at(max(self.now, end), partial(self._end_exchange, client, server, None))
             return
@@ -201,14 +207,16 @@
         received = answer if arrival <= end else None
         self._at(min(arrival, end), partial(self._end_exchange, client, server, received))
 
-    def _end_exchange(self, client: FleetGateway, server: FleetGateway, answer: PullAnswer) -> None:
+    def _end_exchange(
+        self, client: DisseminationGateway, server: DisseminationGateway, answer: PullAnswer
+    ) -> None:
         if answer is not None:
             self.traffic.count_received(client.index, self.now, wire_size(answer))
         self._receive(client, lambda now: client.disseminator.receive_answer(now, server.peer, answer))
 
     # States that would take long to play
 
-    def advance(self, gateways: Sequence[FleetGateway], count: int) -> Version:
+    def advance(self, gateways: Sequence[DisseminationGateway], count: int) -> Version:
         """Put these gateways where `count` changes and a long rest would have; returns their version."""
         log: list[Change] = []
         version = gateways[0].document.version
--- a/benchmarks/scale/fleet_faults.py
+++ b/benchmarks/scale/fleet_faults.py
@@ -28,7 +28,7 @@
     figures["lost_gateways"], figures["lost_hosts"] = len(lost), len(hosts)
     began = watched.now
     figures["deaths_known_s"] = fleet.run_until(
-        lambda: watched.all_hold_dead([row.name for row in lost]), LONGEST
+        lambda: watched.all_consider_dead([row.name for row in lost]), LONGEST
     )
     figures["leases_held_share"] = watched.leases_held()
     fleet.run(max(0, RETURN_TIME - (watched.now - began)))
@@ -38,7 +38,7 @@
     for row in lost:
         fleet.start(row)
     watched.measure_healing(
-        figures, whole_again_s=watched.all_hold_alive, leases_again_s=watched.all_leases_held
+        figures, whole_again_s=watched.all_consider_all_alive, leases_again_s=watched.all_leases_held
     )
     return watched.finish(figures)
 
@@ -60,7 +60,7 @@
     figures["parted_leases_held_share"] = watched.leases_held()
     fleet.network.blocked = None
     watched.measure_healing(
-        figures, whole_again_s=watched.all_hold_alive, leases_again_s=watched.all_leases_held
+        figures, whole_again_s=watched.all_consider_all_alive, leases_again_s=watched.all_leases_held
     )
     fleet.run(2 * CALM)
     figures["after_entries"] = watched.entries()
@@ -89,7 +89,7 @@
     figures["restarts"] = count
     figures["bytes_per_s"] = (sum(watched.bytes_sent().values()) - before) / DAY / size
     figures["least_leases_held_share"] = min(held)
-    figures["whole_again_s"] = fleet.run_until(watched.all_hold_alive, LONGEST)
+    figures["whole_again_s"] = fleet.run_until(watched.all_consider_all_alive, LONGEST)
     figures["leases_held_share_after"] = watched.leases_held()
     return watched.finish(figures)
 
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -20,9 +20,9 @@
 
 SECOND = 1_000_000_000
 LINKS = 128  # connections to each gateway
-TOGETHER = 16  # of them in use where no rate is told: a longer queue makes the cells slow ones
-FAILURES_TOLD = 20  # failed calls of which is told what came in place of an answer
-FASTEST = 1_800  # calls a second for which functions are set aside where no rate is told
+TOGETHER = 16  # of them in use where no rate is given: a longer queue makes the cells slow ones
+MAX_FAILURES_DESCRIBED = 20  # failed calls of which the result has what came in place of an answer
+FASTEST = 1_800  # calls a second for which functions are set aside where no rate is given
 DEVIATIONS = 7  # of the number of calls that come by chance above its mean: more come once in 1e12 plays
 ANSWER_TIME = 6 * SECOND  # after the last call: above the hard limit of the fleet's track
 BODY = json.dumps(
@@ -155,7 +155,7 @@
     def fail(self, function: str, what: object) -> None:
         """Count a call that was not answered 200, and what came instead."""
         self.failed += 1
-        if len(self.failures) < FAILURES_TOLD:
+        if len(self.failures) < MAX_FAILURES_DESCRIBED:
             self.failures.append(f"{function}: {what}")
 
     def play(self) -> dict[str, Any]:
--- a/benchmarks/scale/ladder.py
+++ b/benchmarks/scale/ladder.py
@@ -5,7 +5,7 @@
 
 Each rung runs in a process of its own, which ends with this one whatever ends it, and leaves nothing
 behind. The ladder stops by itself at half of the machine's memory, or when its time is over, and says where
-and why. What has ended is kept in docs/measured/scale/ladders/ladder-NAME.json after each rung.
+and why. Results are stored in docs/measured/scale/ladders/ladder-NAME.json after each rung.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale/limits.py
+++ b/benchmarks/scale/limits.py
@@ -10,7 +10,7 @@
 
 MEGABYTE = 1 << 20
 PAGE = 4096  # bytes
-KEPT_FREE = 1500  # MB that the machine is left: others run on it
+MIN_FREE_MEMORY = 1500  # MB that the machine is left: others run on it
 
 
 class LimitReachedError(GaprouteError):
@@ -46,9 +46,9 @@
         if memory > self.memory:
             raise LimitReachedError(f"memory: {memory:.0f} MB in use, {self.memory:.0f} are allowed")
         left = machine_memory("MemAvailable") / MEGABYTE
-        if left < KEPT_FREE:
+        if left < MIN_FREE_MEMORY:
             raise LimitReachedError(
-                f"memory: the machine has {left:.0f} MB left, {KEPT_FREE} are to stay free"
+                f"memory: the machine has {left:.0f} MB left, {MIN_FREE_MEMORY} are to stay free"
             )
         if processes > self.processes:
             raise LimitReachedError(f"processes: {processes}, {self.processes} are allowed")
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -6,7 +6,7 @@
 to a process, which all know one another by one peers file. A rung is void where the parent or a process of
 hollow gateways ran late, or where the median gateway waited for a core (bounds below): it measured the
 machine then. The ladder stops at the limits of `limits.py` and at a void rung, as a larger one cannot keep
-time either. What has ended is kept in docs/measured/scale/ladders/ladder-loopback.json.
+time either. Results are stored in docs/measured/scale/ladders/ladder-loopback.json.
 """
 
 from __future__ import annotations
--- a/benchmarks/scale/machines.py
+++ b/benchmarks/scale/machines.py
@@ -20,7 +20,7 @@
 
 
 GATEWAYS_A_REGION = size.GATEWAYS / size.REGIONS
-SEEDS = 8  # gateways of each region that a source tells a change to first; they tell the others
+SEEDS = 8  # gateways of each region that a source sends a change to first; they send it to the others
 
 ROLES = (
     Role(
--- a/benchmarks/scale/measurement.py
+++ b/benchmarks/scale/measurement.py
@@ -83,8 +83,8 @@
             content = json.loads(path.read_text())
             points = [Point(**point) for point in content.pop("points")]
             return cls(**content, points=points)
-        except (OSError, ValueError, TypeError, KeyError) as fault:
-            raise MeasurementError(f"{path}: {fault!r}") from fault
+        except (OSError, ValueError, TypeError, KeyError) as error:
+            raise MeasurementError(f"{path}: {error!r}") from error
 
 
 Play: TypeAlias = Callable[[int, int], float]  # of size and seed: one value of the cost
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -45,40 +45,40 @@
     differing: list[Disagreement] = []
     place, current = 0, text.split("\n")
     while place < len(current):
-        begun = BEGIN.fullmatch(current[place])
-        if begun is None:
+        opening = BEGIN.fullmatch(current[place])
+        if opening is None:
             lines.append(_with_figures(current[place], place + 1, folder, differing))
             place += 1
             continue
         if END not in current[place:]:
             raise PageError(f"line {place + 1}: {current[place]} has no {END}")
         end = current.index(END, place)
-        made = _block(begun, place + 1, folder)
-        differing += _differing(begun, place + 1, current[place + 1 : end], made)
+        made = _block(opening, place + 1, folder)
+        differing += _differing(opening, place + 1, current[place + 1 : end], made)
         lines += [current[place], *made, END]
         place = end + 1
     return "\n".join(lines), differing
 
 
-def _block(begun: re.Match[str], line: int, folder: Path) -> list[str]:
+def _block(opening: re.Match[str], line: int, folder: Path) -> list[str]:
     """The lines that belong into a block."""
-    if begun["kind"] not in TABLES:
-        raise PageError(f"line {line}: no such table: {begun['kind']}")
+    if opening["kind"] not in TABLES:
+        raise PageError(f"line {line}: no such table: {opening['kind']}")
     try:
-        return TABLES[begun["kind"]](begun["words"].split(), folder)
-    except (PageError, MeasurementError) as fault:
-        raise PageError(f"line {line}, table {begun['kind']}: {fault}") from fault
+        return TABLES[opening["kind"]](opening["words"].split(), folder)
+    except (PageError, MeasurementError) as error:
+        raise PageError(f"line {line}, table {opening['kind']}: {error}") from error
 
 
 def _differing(
-    begun: re.Match[str], line: int, shown: Sequence[str], made: Sequence[str]
+    opening: re.Match[str], line: int, shown: Sequence[str], made: Sequence[str]
 ) -> list[Disagreement]:
     """The first line of a block that differs, if any does."""
     if shown == made:
         return []
     pairs = zip_longest(shown, made, fillvalue="")
     was, now = next(pair for pair in pairs if pair[0] != pair[1])
-    return [Disagreement(line, f"table {begun['kind']}{begun['words']}", was, now)]
+    return [Disagreement(line, f"table {opening['kind']}{opening['words']}", was, now)]
 
 
 def _with_figures(text: str, line: int, folder: Path, differing: list[Disagreement]) -> str:
@@ -87,8 +87,8 @@
     def renew(link: re.Match[str]) -> str:
         try:
             made = figure(Path(link["path"]).name, link["title"], folder)
-        except (PageError, MeasurementError) as fault:
-            raise PageError(f"line {line}, figure {link['title']}: {fault}") from fault
+        except (PageError, MeasurementError) as error:
+            raise PageError(f"line {line}, figure {link['title']}: {error}") from error
         if made != link["shown"]:
             differing.append(Disagreement(line, f"figure {link['title']}", link["shown"], made))
         return f'[{made}]({link["path"]} "{link["title"]}")'
--- a/benchmarks/scale/plain_rung.py
+++ b/benchmarks/scale/plain_rung.py
@@ -114,13 +114,13 @@
         )
 
     def measure_death(self) -> None:
-        """A gateway ends: seconds until the first, and until all hold it dead."""
+        """A gateway ends: seconds until the first, and until all consider it dead."""
         name = self.fleet.rows[self.size // 2].name
         self.fleet.kill(name)
         others = self.memberships(but=name)
         began = self.fleet.loop.time
-        first = self.run_until(lambda: any(_hold_dead(others, name)))
-        last = self.run_until(lambda: all(_hold_dead(others, name)))
+        first = self.run_until(lambda: any(_consider_dead(others, name)))
+        last = self.run_until(lambda: all(_consider_dead(others, name)))
         self.figures["death_first_s"] = first
         self.figures["death_known_s"] = None if None in (first, last) else self.seconds_since(began)
 
@@ -149,8 +149,8 @@
     return member is not None and member.incarnation >= incarnation
 
 
-def _hold_dead(memberships: Iterable[Membership], name: str) -> Iterator[bool]:
-    """Whether each of those that know the member holds it dead."""
+def _consider_dead(memberships: Iterable[Membership], name: str) -> Iterator[bool]:
+    """Whether each of those that know the member considers it dead."""
     for membership in memberships:
         if name in membership.members:
             yield membership.members[name].state >= MemberState.DEAD
--- a/benchmarks/scale/reachable_memory.py
+++ b/benchmarks/scale/reachable_memory.py
@@ -1,8 +1,8 @@
-"""Memory that one gateway of many in a process holds: the sizes of all objects reached from it, added up.
+"""Memory of one gateway of many in a process: the sizes of all objects reached from it, added up.
 
 What a process has once is left out: modules, classes, functions, and what the caller names as shared. An
-object that several gateways hold counts for each, as it would in processes of their own. Lacking are memory
-of C libraries that Python does not know of, and what the allocator wastes.
+object that several gateways refer to counts for each, as it would in processes of their own. Memory of
+C libraries that Python does not know of, and what the allocator wastes, are not counted.
 """
 
 import gc
--- a/benchmarks/scale/rows_shared.py
+++ b/benchmarks/scale/rows_shared.py
@@ -1,4 +1,4 @@
-"""Rows of what gateways share: the Raft group, and what an operator is told."""
+"""Rows of what gateways share: the Raft group, and what an operator reads."""
 
 from benchmarks.scale import size
 from benchmarks.scale.row import Row
--- a/benchmarks/scale/size.py
+++ b/benchmarks/scale/size.py
@@ -1,4 +1,4 @@
-"""The size the operators told of, as named constants; what is assumed in place of what they did not tell."""
+"""The size that the operators gave, as named constants, and what is assumed where they gave none."""
 
 GATEWAYS = 16_000
 INSTANCES = 2_500_000  # of functions, standing
@@ -18,7 +18,7 @@
 CONTROL_MEMORY = 32  # MB
 CONTROL_BYTES = 4  # KB a second
 
-# Assumed: the operators told of instances, not of hosts.
+# Assumed: the operators gave the number of instances, not of hosts.
 INSTANCES_A_HOST = (20, 50, 100)
 HOSTS_AT_20, HOSTS_AT_50, HOSTS_AT_100 = (INSTANCES // each for each in INSTANCES_A_HOST)
 # Assumed: what decisions on calls may take of a gateway, which the control budget does not count.
--- a/benchmarks/scale/watched.py
+++ b/benchmarks/scale/watched.py
@@ -60,7 +60,7 @@
         return {name: gateway.parts["membership"].membership for name, gateway in self.gateways().items()}
 
     def measure_healing(self, figures: Figures, **conditions: Condition) -> None:
-        """Play until all conditions hold. The seconds until each, and the first bytes, become figures."""
+        """Play until all conditions are met. The seconds until each, and the first bytes, become figures."""
         before, waiting, began = self.bytes_sent(), dict(conditions), self.now
         while waiting or self.now - began < FIRST_SECONDS:
             if self.now - began >= LONGEST:
@@ -98,24 +98,24 @@
         return round(max(after[name] - before.get(name, 0) for name in after if name) / span, 1)
 
     def entries(self) -> float:
-        """Entries of state that a gateway holds."""
+        """Entries of state of a gateway."""
         totals = self.fleet.totals(self.gateways().values())
         entries = sum(value for name, value in totals.items() if name.endswith(".entries"))
         return round(entries / len(self.gateways()), 1)
 
     def leases_held(self) -> float:
         """The share of the gateways that run whose lease is held."""
-        held: list[bool] = [each.parts["leases"].is_held for each in self.fleet.gateways.values()]
-        return round(sum(held) / len(held), 4)
+        leases: list[bool] = [each.parts["leases"].is_held for each in self.fleet.gateways.values()]
+        return round(sum(leases) / len(leases), 4)
 
     def all_leases_held(self) -> bool:
         """Whether the lease of each gateway that runs is held."""
         return self.leases_held() == 1
 
-    # Who is held what
+    # Who counts as alive and as dead
 
-    def all_hold_dead(self, names: Iterable[str]) -> bool:
-        """Whether all that run hold all of these dead."""
+    def all_consider_dead(self, names: Iterable[str]) -> bool:
+        """Whether all that run consider all of these dead."""
         dead = list(names)
         return all(
             membership.members[name].state >= MemberState.DEAD
@@ -123,21 +123,21 @@
             for name in dead
         )
 
-    def all_hold_alive(self) -> bool:
-        """Whether all that run hold one another alive."""
+    def all_consider_all_alive(self) -> bool:
+        """Whether all that run consider one another alive."""
         memberships = self.memberships()
         return all(
-            name == other or (other in held.members and held.members[other].state == MemberState.ALIVE)
-            for name, held in memberships.items()
+            name == other or (other in known.members and known.members[other].state == MemberState.ALIVE)
+            for name, known in memberships.items()
             for other in memberships
         )
 
     def wrongly_dead(self) -> int:
-        """Pairs of running gateways of which one holds the other dead."""
+        """Pairs of running gateways of which one considers the other dead."""
         memberships = self.memberships()
         return sum(
-            other in held.members and held.members[other].state >= MemberState.DEAD
-            for held in memberships.values()
+            other in known.members and known.members[other].state >= MemberState.DEAD
+            for known in memberships.values()
             for other in memberships
         )
 
--- a/tests/benchmarks/test_cells_world.py
+++ b/tests/benchmarks/test_cells_world.py
@@ -99,7 +99,7 @@
         assert not invariants.check(gateway.decisions, ["f1", "f2"])
         if gateway.name not in ever_down:
             assert ended[gateway.name] == asked[gateway.name]
-            assert not gateway.held
+            assert not gateway.requests
             assert not gateway.decisions.recorder.attempts
 
 
--- a/tests/benchmarks/test_scale_costs.py
+++ b/tests/benchmarks/test_scale_costs.py
@@ -67,7 +67,7 @@
     "consensus-leader-cpu-by-holders": (consensus.cpu_by_holders, 4),
     "consensus-leader-cpu-by-leases": (consensus.cpu_by_leases, 1),
     "probe-new-connection-cpu-by-hosts": (connections.new_connections_cpu, 64),
-    "probe-cpu-by-hosts": (connections.kept_connections_cpu, 64),
+    "probe-cpu-by-hosts": (connections.pooled_connections_cpu, 64),
     "learning-giver-cpu-by-facts": (learning.sender_cpu, 256),
     "learning-learner-cpu-by-facts": (learning.receiver_cpu, 256),
     "status-cpu-by-hosts": (status.status_cpu, 16),
