--- a/gaproute/appliance/cell_rows.py
+++ b/gaproute/appliance/cell_rows.py
@@ -28,7 +28,7 @@
 class CellRows:
     """The rows of the lists in force. `sizes`: whether the capacities of the lines count."""
 
-    def __init__(self, loop: Loop, sizes: bool) -> None:
+    def __init__(self, loop: Loop, *, sizes: bool) -> None:
         self.listing = HostLineConverter(loop, use_capacities=sizes)
         self.lists: dict[str, CellList] = {}  # by cell
 
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -72,7 +72,7 @@
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
         )
-        self.rows = CellRows(loop, configuration.capacities_reported)
+        self.rows = CellRows(loop, sizes=configuration.capacities_reported)
         self.lists = self._make_lists()
         self.lists_given: Lists = {}  # what the decisions were given last
         self.lists_rejected = self.members_rejected = 0
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -34,7 +34,7 @@
 )
 @click.option("--out", type=click.Path(file_okay=False), help="Folder for taps, logs and result.json.")
 @json_option
-def trial(script: str, seed: int, decisions: str, out: str | None, as_json: bool) -> None:
+def trial(script: str, seed: int, decisions: str, out: str | None, *, as_json: bool) -> None:
     """Play the scripted day SCRIPT (a name that comes with the program, or a file) on loopback and judge
     it. A cluster script (docs/cluster.md) that could not be measured in time is void: exit 3."""
     from gaproute.cluster.script import read_script
@@ -80,7 +80,7 @@
 @click.option("--seed", default=1, help="Seed of the load's chance.")
 @click.option("--out", type=click.Path(dir_okay=False), help="File for the result.")
 @json_option
-def load(script: str, seed: int, out: str | None, as_json: bool) -> None:
+def load(script: str, seed: int, out: str | None, *, as_json: bool) -> None:
     """Play the load SCRIPT (docs/load.md) against its targets. Exits 1 where a task did not end well."""
     from gaproute.load import LoadGenerator, read_load_script
     from gaproute.load.results import write_result
@@ -123,7 +123,7 @@
 @click.command("load-report")
 @click.argument("results", nargs=-1, required=True, type=click.Path(dir_okay=False))
 @json_option
-def load_report(results: tuple[str, ...], as_json: bool) -> None:
+def load_report(results: tuple[str, ...], *, as_json: bool) -> None:
     """The results of one or more loads side by side."""
     from gaproute.load import summary_rows
 
--- a/gaproute/cli/migration.py
+++ b/gaproute/cli/migration.py
@@ -20,7 +20,7 @@
 )
 @click.option("--dry-run", is_flag=True, help="Print the result; write nothing.")
 @click.option("--replace", is_flag=True, help="Write NEW even where such a file stands.")
-def migrate(old: str, new: str, shape: str, dry_run: bool, replace: bool) -> None:
+def migrate(old: str, new: str, shape: str, *, dry_run: bool, replace: bool) -> None:
     """Write NEW, the counterpart of the configuration OLD for a deployment of another shape, and tell each
     line that could not be carried over. Exits 0 with all carried over, 1 with lines left behind, 2 where it
     is refused."""
--- a/gaproute/cli/queries.py
+++ b/gaproute/cli/queries.py
@@ -62,7 +62,7 @@
 @click.command()
 @at_option
 @json_option
-def status(where: str, as_json: bool) -> None:
+def status(where: str, *, as_json: bool) -> None:
     """What a running gateway holds and has answered. Exits 1 where it is not ready."""
     answer = ask(where, b"/status")
     if as_json:
@@ -98,7 +98,7 @@
 @click.command()
 @at_option
 @json_option
-def hosts(where: str, as_json: bool) -> None:
+def hosts(where: str, *, as_json: bool) -> None:
     """The hosts that a running gateway knows."""
     columns = ("host", "address", "state", "capacity", "connections", "relays by outcome")
     list_objects(where, b"/hosts", columns, _host_cells, as_json=as_json)
@@ -118,7 +118,7 @@
 @click.command()
 @at_option
 @json_option
-def knows(where: str, as_json: bool) -> None:
+def knows(where: str, *, as_json: bool) -> None:
     """The copies that a running gateway believes to stand, the latest use first."""
     columns = ("host", "function", "last use", "known by")
     list_objects(where, b"/knows", columns, _instance_cells, as_json=as_json)
@@ -136,7 +136,7 @@
 @click.command()
 @at_option
 @json_option
-def peers(where: str, as_json: bool) -> None:
+def peers(where: str, *, as_json: bool) -> None:
     """The other gateways that a running one knows: who is up, and what each told at the start."""
     columns = ("gateway", "address", "state", "for", "last heard", "told at the start")
     list_objects(where, b"/peers", columns, _peer_cells, as_json=as_json)
--- a/gaproute/faultinjection/disk.py
+++ b/gaproute/faultinjection/disk.py
@@ -109,7 +109,7 @@
         existed = os.path.lexists(name)
         descriptor: int = self._call("open", lambda: os.open(path, flags, mode))
         if os.path.dirname(name) == self.folder:
-            self._descriptors[descriptor] = self._open_file(name, flags, existed)
+            self._descriptors[descriptor] = self._open_file(name, flags, existed=existed)
         elif name == self.folder:
             self._descriptors[descriptor] = OpenDescriptor(None)
         self._end_call()
@@ -192,7 +192,7 @@
 
     # What is cached and durable
 
-    def _open_file(self, name: str, flags: int, existed: bool) -> OpenDescriptor:
+    def _open_file(self, name: str, flags: int, *, existed: bool) -> OpenDescriptor:
         file = self._directory.names.get(name)
         if file is None or not existed:
             file = CachedFile()
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -161,14 +161,14 @@
     broken = address(scene.log.address)[1] in scene.faults.connections.broken
     for host in scene.hosts:
         begun = [attempt.at for attempt in host.attempts] + host.load_orders
-        for start, end in _drained(scene, host.name, broken):
+        for start, end in _drained(scene, host.name, broken=broken):
             late = [at for at in begun if start + DRAIN_GRACE < at < end]
             if late:
                 span = (late[0] - start) // MILLI
                 yield Finding(Check.DRAINING_KEPT, f"{host.name} was sent to {span} ms after it drained")
 
 
-def _drained(scene: Scene, host: str, broken: bool) -> Iterator[tuple[int, int]]:
+def _drained(scene: Scene, host: str, *, broken: bool) -> Iterator[tuple[int, int]]:
     """From when to when the gateway knew that the host drains."""
     start = None
     for published, _ in scene.log.events:
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -96,7 +96,7 @@
             "known": {"seq": 1, "results": [self._event(1, phases, complete=True)]},
         }
 
-    def _event(self, number: int, phases: dict[str, str], complete: bool = False) -> dict[str, Any]:
+    def _event(self, number: int, phases: dict[str, str], *, complete: bool = False) -> dict[str, Any]:
         addresses = {host.name: host.address for host in self.hosts}
         members = [
             {
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -179,7 +179,7 @@
         health = made(name=f"gateway{number}")
         now = healed(health, 600 * SECOND)
         for function in FUNCTIONS[:50]:
-            for step in range(0, 61):
+            for step in range(61):
                 if health.circuit_state(now + step * SECOND, "cell0", function) is CircuitState.CLOSED:
                     times.setdefault(function, []).append(step)
                     break
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -100,7 +100,7 @@
 
 
 def test_only_lines_that_changed_are_made_rows_anew():
-    rows = CellRows(Loop(), True)
+    rows = CellRows(Loop(), sizes=True)
     lists = {"a1": [line("u", 1), line("v", 2)], "b1": [line("w", 3)]}
     before = rows.of(lists, ZONES)
     lists = {"a1": [line("u", 1), line("v", 2, state="draining")], "b1": lists["b1"]}
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -340,7 +340,7 @@
 
 
 def test_hosts_of_a_cell_are_bounded_by_the_list_of_that_cell_before(clock, wall):
-    rows = CellRows(Loop(clock), True)
+    rows = CellRows(Loop(clock), sizes=True)
     rows.listing = HostLineConverter(rows.listing.start_times.loop, wall)
     wall.ahead = HOUR
     rows.listing.start_times.offset = BEGUN + HOUR
--- a/tests/faultinjection/test_fault_plan.py
+++ b/tests/faultinjection/test_fault_plan.py
@@ -12,7 +12,7 @@
 def injected(plan, call, times):
     found = []
     for _ in range(times):
-        found.append(plan.inject(call))
+        found.append(plan.inject(call))  # noqa: PERF401  # the plan logs this function's name
     return found
 
 
