--- a/benchmarks/scale/cells/__main__.py
+++ b/benchmarks/scale/cells/__main__.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import Any
 
-from benchmarks.scale.cells import baselines, borne, evenness, failures, meetings, moves
+from benchmarks.scale.cells import baselines, evenness, failures, meetings, moves, throughput
 from benchmarks.scale.cells.fleet import Shape
 from benchmarks.scale.measurement import MEASURED
 
@@ -70,11 +70,11 @@
             yield f"{way}, seed {seed}", partial(baselines.play, way, seed)
 
 
-def borne_plays() -> Iterator[NamedPlay]:
+def throughput_plays() -> Iterator[NamedPlay]:
     """Forwarding as fast as it goes, and the same without, in turn: the machine's drift strikes both."""
     for seed in (1, 2, 3):
         for kind in ("both", "unforwarded"):
-            yield f"{kind}, seed {seed}", partial(borne.play, kind, seed)
+            yield f"{kind}, seed {seed}", partial(throughput.play, kind, seed)
 
 
 TABLES: dict[str, Callable[[], Iterator[NamedPlay]]] = {
@@ -84,7 +84,7 @@
     "failures": failures_plays,
     "alone": alone_plays,
     "baselines": baselines_plays,
-    "borne": borne_plays,
+    "borne": throughput_plays,
 }
 
 
--- a/benchmarks/scale/cells/borne.py
+++ b/benchmarks/scale/cells/throughput.py
@@ -1,4 +1,4 @@
-"""What one gateway bears a second with forwarding: two processes, asked as fast as they answer."""
+"""The throughput of one gateway that forwards: two processes, asked as fast as they answer."""
 
 from __future__ import annotations
 
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -26,11 +26,11 @@
 def rare_calls(hosts: int, seed: int, between: Callable[[Caller], None]) -> float:
     """Milliseconds of a call of functions known, `between(caller)` having been done since their first one."""
     caller = Caller(hosts, seed)
-    caller.crowd_mix()
+    caller.fill_mix()
     names = [f"rare-{number}" for number in range(repeats(hosts))]
     for name in names:
         caller.call(name)
-    caller.crowd_mix()
+    caller.fill_mix()
     between(caller)
     called = iter(names)
     return cpu_ms(lambda: caller.call(next(called)), len(names))
@@ -39,7 +39,7 @@
 def first_call(hosts: int, seed: int) -> float:
     """Milliseconds of the first call of a function."""
     caller = Caller(hosts, seed)
-    caller.crowd_mix()
+    caller.fill_mix()
     names = iter(f"rare-{number}" for number in range(repeats(hosts)))
     return cpu_ms(lambda: caller.call(next(names)), repeats(hosts))
 
@@ -57,13 +57,13 @@
 def call_host_cold(hosts: int, seed: int) -> float:
     """Milliseconds of a call of a function called before, one host of the fleet having just started."""
     caller = Caller(hosts, seed)
-    caller.crowd_mix()
+    caller.fill_mix()
     started = row(0, started=caller.now)
     caller.gateway.update_hosts(caller.now, [started], False)
     names = [f"rare-{number}" for number in range(repeats(hosts))]
     for name in names:
         caller.call(name)
-    caller.crowd_mix()
+    caller.fill_mix()
     called = iter(names)
     return cpu_ms(lambda: caller.call(next(called)), len(names))
 
@@ -110,7 +110,7 @@
     """Bytes for each function known after one call."""
     caller, count = Caller(hosts, seed), repeats(hosts)
     caller.call("before")
-    caller.crowd_mix()
+    caller.fill_mix()
 
     def call_each() -> None:
         for number in range(count):
--- a/benchmarks/scale/costs/functions.py
+++ b/benchmarks/scale/costs/functions.py
@@ -47,7 +47,7 @@
 def _steps(seed: int) -> Iterator[tuple[int, Caller]]:
     """(functions, caller) at each size, one gateway growing, until the next would take too long."""
     caller, known = Caller(HOSTS, seed), 0
-    caller.crowd_mix()
+    caller.fill_mix()
     for functions in FUNCTIONS:
         if not _fill(caller, known, functions):
             return
@@ -98,7 +98,7 @@
     tracemalloc.start()
     try:
         caller = Caller(HOSTS, seed)
-        caller.crowd_mix()
+        caller.fill_mix()
         caller.call("before")
         empty, known = tracemalloc.get_traced_memory()[0], 0
         for functions in FUNCTIONS:
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -19,7 +19,7 @@
 from gaproute.loop.addresses import address
 
 SECOND = 1_000_000_000
-LINKS = 128  # connections to each gateway
+CONNECTIONS = 128  # connections to each gateway
 TOGETHER = 16  # of them in use where no rate is given: a longer queue makes the cells slow ones
 MAX_FAILURES_DESCRIBED = 20  # failed calls of which the result has what came in place of an answer
 FASTEST = 1_800  # calls a second for which functions are set aside where no rate is given
@@ -44,107 +44,113 @@
         at += round(chance.expovariate(rate) * SECOND)
 
 
-def run(asked: dict[str, list[str]], rate: float, seconds: float, seed: int) -> dict[str, Any]:
-    """Counts and times of all calls; each address is asked for its functions in turn."""
-    play = json.dumps({"asked": asked, "rate": rate, "seconds": seconds, "seed": seed})
+def run(functions_by_address: dict[str, list[str]], rate: float, seconds: float, seed: int) -> dict[str, Any]:
+    """Counts and times of all calls; each address gets calls of its functions in turn."""
+    play = json.dumps(
+        {"functions_by_address": functions_by_address, "rate": rate, "seconds": seconds, "seed": seed}
+    )
     command = [sys.executable, "-m", "benchmarks.scale.forwarding_clients"]
     done = subprocess.run(command, input=play.encode(), capture_output=True, check=True)
     figures: dict[str, Any] = json.loads(done.stdout)
     return figures
 
 
-class Clients:
+class GatewayClients:
     """All clients of one gateway."""
 
-    def __init__(self, crowd: Crowd, where: str, functions: Iterable[str], seed: int) -> None:
-        self.crowd, self.loop, self.where, self.functions = crowd, crowd.loop, where, iter(functions)
+    def __init__(self, group: ClientGroup, where: str, functions: Iterable[str], seed: int) -> None:
+        self.group, self.loop, self.where, self.functions = group, group.loop, where, iter(functions)
         self.chance = random.Random(f"{seed} {where}")
         self.idle: list[ClientConnection] = []
 
     def connect(self, ready: Callable[[], None]) -> None:
         """Open the connections; `ready()` once all stand."""
 
-        def linked(sock: socket.socket | None, error: OSError | None) -> None:
+        def on_connected(sock: socket.socket | None, error: OSError | None) -> None:
             if sock is None:
                 raise OSError(error)
             self.idle.append(ClientConnection(self.loop, sock, 65536, 1 << 20))
-            if len(self.idle) == LINKS:
+            if len(self.idle) == CONNECTIONS:
                 ready()
 
-        for _ in range(LINKS):
-            connect(self.loop, address(self.where), SECOND, linked)
+        for _ in range(CONNECTIONS):
+            connect(self.loop, address(self.where), SECOND, on_connected)
 
     def close(self) -> None:
         """End the connections that are idle; those at work end with the process."""
         while self.idle:
             self.idle.pop().abort()
 
-    def idle_link(self) -> ClientConnection | None:
+    def idle_connection(self) -> ClientConnection | None:
         """An idle connection that the gateway has not closed meanwhile, or None."""
         while self.idle:
-            link = self.idle.pop()
-            if link.open and link.stream.is_quiet():
-                return link
-            link.abort()
+            connection = self.idle.pop()
+            if connection.open and connection.stream.is_quiet():
+                return connection
+            connection.abort()
         return None
 
-    def ask(self, meant: int) -> None:
+    def call(self, meant: int) -> None:
         """Make one call, on a connection that is idle; without one it has failed.
 
-        Errors: RuntimeError where no function is left, as then the play is not the one that was meant.
+        Raises RuntimeError where no function is left, as then the play is not the one that was meant.
         """
         function = next(self.functions, None)
         if function is None:
             raise RuntimeError(f"no function is left for one more call to {self.where}")
-        link = self.idle_link()
-        if link is None:
-            self.crowd.fail(function, "no idle connection")
+        connection = self.idle_connection()
+        if connection is None:
+            self.group.fail(function, "no idle connection")
             return
 
-        def came(answer: Response | None, undelivered: NoResponseError | None) -> None:
-            del self.crowd.open[exchange]
+        def on_end(answer: Response | None, undelivered: NoResponseError | None) -> None:
+            del self.group.open[exchange]
             if answer is None or answer.status != 200:
-                self.crowd.fail(function, undelivered if answer is None else _described(answer))
-            self.crowd.times.append(self.loop.now() - meant)
-            if link.open:
-                self.idle.append(link)
-            if answer is not None and not self.crowd.rate and self.loop.now() < self.crowd.end:
-                self.ask(self.loop.now())
-            self.crowd.stop_when_over()
+                self.group.fail(function, undelivered if answer is None else _described(answer))
+            self.group.times.append(self.loop.now() - meant)
+            if connection.open:
+                self.idle.append(connection)
+            if answer is not None and not self.group.rate and self.loop.now() < self.group.end:
+                self.call(self.loop.now())
+            self.group.stop_when_over()
 
         head = f"POST /v2/models/{function}/infer HTTP/1.1\r\nHost: g\r\nContent-Type: application/json\r\n"
         data = f"{head}Content-Length: {len(BODY)}\r\n\r\n{BODY}".encode()
-        exchange = Exchange(self.loop, data, came)
-        self.crowd.open[exchange] = function
-        exchange.send_on(link)
+        exchange = Exchange(self.loop, data, on_end)
+        self.group.open[exchange] = function
+        exchange.send_on(connection)
 
     def pace(self) -> Generator[Promise, Any, None]:
-        """Call at the crowd's rate, by chance."""
-        for at in arrivals(self.chance, self.crowd.rate, self.loop.now(), self.crowd.end):
+        """Make calls at the group's rate, by chance."""
+        for at in arrivals(self.chance, self.group.rate, self.loop.now(), self.group.end):
             if at > self.loop.now():
                 yield self.loop.sleep(at - self.loop.now())
-            self.ask(at)
-        self.crowd.pacing -= 1
-        self.crowd.stop_when_over()
+            self.call(at)
+        self.group.pacing -= 1
+        self.group.stop_when_over()
 
 
-class Crowd:
+class ClientGroup:
     """The clients of all gateways."""
 
-    def __init__(self, asked: dict[str, list[str]], rate: float, seconds: float, seed: int) -> None:
+    def __init__(
+        self, functions_by_address: dict[str, list[str]], rate: float, seconds: float, seed: int
+    ) -> None:
         self.loop, self.rate, self.seconds = Loop(), rate, seconds
         self.times: list[int] = []
         self.failed, self.end = 0, 0
         self.failures: list[str] = []
-        self.pacing = len(asked) if rate else 0  # clients that are still to ask
+        self.pacing = len(functions_by_address) if rate else 0  # clients that still make calls
         self.open: dict[Exchange, str] = {}  # exchange: function, of calls without an answer so far
         self.loop.on_error = self._stop_at_error
         self.error: BaseException | None = None
-        self.clients = [Clients(self, where, functions, seed) for where, functions in asked.items()]
+        self.clients = [
+            GatewayClients(self, where, functions, seed) for where, functions in functions_by_address.items()
+        ]
         self.waiting = len(self.clients)
 
     def stop_when_over(self) -> None:
-        """End the play once its time is over, all calls have been asked and each has its answer."""
+        """End the play once its time is over, all calls were made and each has its answer."""
         if not self.open and not self.pacing and self.loop.now() >= self.end:
             self.loop.stop()
 
@@ -159,7 +165,7 @@
             self.failures.append(f"{function}: {what}")
 
     def play(self) -> dict[str, Any]:
-        """Run the play and return its figures. Errors: what went wrong in the clients themselves."""
+        """Run the play and return its figures. Raises what went wrong in the clients themselves."""
         for each in self.clients:
             each.connect(self._ready)
         self.loop.run()
@@ -168,8 +174,10 @@
         if self.error is not None:
             raise self.error
         for exchange, function in self.open.items():
-            link = exchange.connection
-            self.fail(function, f"no answer, its connection {'open' if link and link.open else 'ended'}")
+            connection = exchange.connection
+            self.fail(
+                function, f"no answer, its connection {'open' if connection and connection.open else 'ended'}"
+            )
         times = sorted(self.times)
         return {
             "calls": len(times),
@@ -192,7 +200,7 @@
                 self.loop.spawn(each.pace())
             else:
                 for _ in range(TOGETHER):
-                    each.ask(self.loop.now())
+                    each.call(self.loop.now())
 
 
 def _described(answer: Response) -> str:
@@ -201,4 +209,4 @@
 
 
 if __name__ == "__main__":
-    print(json.dumps(Crowd(**json.load(sys.stdin)).play()))
+    print(json.dumps(ClientGroup(**json.load(sys.stdin)).play()))
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -93,7 +93,7 @@
             raise CallError(f"{name} of {function} goes on after its answer")
         return attempt.host
 
-    def crowd_mix(self) -> None:
+    def fill_mix(self) -> None:
         """Fill the last calls' functions with others, as many calls of a large fleet's traffic would.
 
         The function called next is then rare.
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -6,7 +6,7 @@
 
 from benchmarks.scale import forwarding_clients
 from benchmarks.scale.forwarding import ForwardingFleet
-from benchmarks.scale.forwarding_clients import LINKS, SECOND, Crowd, arrivals, max_calls
+from benchmarks.scale.forwarding_clients import CONNECTIONS, SECOND, ClientGroup, arrivals, max_calls
 from gaproute.http1 import Server
 from gaproute.loop.addresses import address
 
@@ -43,10 +43,10 @@
 class Answering:
     """A server that gives each call the answer of its turn, the last one to all that follow."""
 
-    def __init__(self, crowd, *statuses, after=0):
-        self.loop, self.statuses, self.after = crowd.loop, list(statuses), after
+    def __init__(self, group, *statuses, after=0):
+        self.loop, self.statuses, self.after = group.loop, list(statuses), after
         self.targets_by_status = {}  # status: targets of the requests that got it
-        self.server = Server(crowd.loop, address("127.0.0.1:0"), self.handle)
+        self.server = Server(group.loop, address("127.0.0.1:0"), self.handle)
 
     def handle(self, request):
         status = self.statuses.pop(0) if len(self.statuses) > 1 else self.statuses[0]
@@ -55,16 +55,16 @@
 
 
 @pytest.fixture
-def crowd_at():
-    """`crowd_at(statuses, functions, rate)`: clients of a server of their own, who ask for 0.1 s."""
+def group_at():
+    """`group_at(statuses, functions, rate)`: clients of a server of their own, who ask for 0.1 s."""
     made = []
 
     def make(statuses, functions, rate, after=0):
-        crowd = Crowd({"127.0.0.1:1": functions}, rate, 0.1, 1)
-        made.append(Answering(crowd, *statuses, after=after))
-        crowd.server = made[-1]
-        crowd.clients[0].where = made[-1].server.address
-        return crowd
+        group = ClientGroup({"127.0.0.1:1": functions}, rate, 0.1, 1)
+        made.append(Answering(group, *statuses, after=after))
+        group.server = made[-1]
+        group.clients[0].where = made[-1].server.address
+        return group
 
     yield make
     for each in made:
@@ -72,41 +72,41 @@
         each.loop.close()
 
 
-def test_what_a_failed_call_was_answered_is_told(crowd_at):
+def test_what_a_failed_call_was_answered_is_told(group_at):
     """Calls go out on connections of their own: the kernel decides which is read first."""
-    crowd = crowd_at([503, 200], [f"m{number}" for number in range(100)], 200)
-    figures = crowd.play()
+    group = group_at([503, 200], [f"m{number}" for number in range(100)], 200)
+    figures = group.play()
     assert figures["failed"] == 1
     assert figures["calls"] > 2
     (failure,) = figures["failures"]
-    (refused,) = crowd.server.targets_by_status[503]
+    (refused,) = group.server.targets_by_status[503]
     function = refused.split("/")[3]
     assert failure.startswith(f"{function}: 503")
     assert "busy" in failure
     assert "told" in failure
 
 
-def test_a_call_that_is_answered_after_the_play_is_waited_for(crowd_at):
-    figures = crowd_at([200], [f"m{number}" for number in range(100)], 200, after=SECOND // 2).play()
+def test_a_call_that_is_answered_after_the_play_is_waited_for(group_at):
+    figures = group_at([200], [f"m{number}" for number in range(100)], 200, after=SECOND // 2).play()
     assert figures["failed"] == 0
     assert figures["calls"] > 2
     assert figures["p50_ms"] >= 500
 
 
-def test_a_call_that_begins_as_the_play_ends_is_waited_for(crowd_at, monkeypatch):
+def test_a_call_that_begins_as_the_play_ends_is_waited_for(group_at, monkeypatch):
     """Its timer fires just behind that of the end, when no other call is open."""
     monkeypatch.setattr(forwarding_clients, "arrivals", lambda chance, rate, begin, end: [end - 1])
-    crowd = crowd_at([200], ["m0"], 200)
-    figures = crowd.play()
+    group = group_at([200], ["m0"], 200)
+    figures = group.play()
     assert figures["failed"] == 0
     assert figures["calls"] == 1
-    assert crowd.open == {}
+    assert group.open == {}
 
 
-def test_clients_that_run_out_of_functions_are_an_error_and_no_failed_call(crowd_at):
+def test_clients_that_run_out_of_functions_are_an_error_and_no_failed_call(group_at):
     with pytest.raises(RuntimeError, match="no function is left"):
-        crowd_at([200], ["m0", "m1"], 400).play()
-    assert LINKS > 2  # else it were the connections that ran out
+        group_at([200], ["m0", "m1"], 400).play()
+    assert CONNECTIONS > 2  # else it were the connections that ran out
 
 
 def test_a_play_that_would_call_functions_too_often_is_refused(fleet):
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -147,7 +147,7 @@
 
 def test_a_function_is_rare_after_the_mix_is_crowded():
     caller = Caller(100, 1)
-    caller.crowd_mix()
+    caller.fill_mix()
     caller.call("f")
     assert caller.gateway.mix.breadth("f") < 1
 
