--- a/gaproute/appliance/cell_rows.py
+++ b/gaproute/appliance/cell_rows.py
@@ -28,7 +28,7 @@
 class CellRows:
     """The endpoints of the lists in force. `sizes`: whether the capacities in the lines are used."""
 
-    def __init__(self, loop: Loop, sizes: bool) -> None:
+    def __init__(self, loop: Loop, *, sizes: bool) -> None:
         self.listing = HostLineConverter(loop, use_capacities=sizes)
         self.lists: dict[str, CellList] = {}  # by cell
 
