--- a/gaproute/faultinjection/play/far_client.py
+++ b/gaproute/faultinjection/play/far_client.py
@@ -49,7 +49,7 @@
     def __init__(self, loop: FarLoop, where: tuple[str, int]) -> None:
         self.loop = loop
         self.requests: dict[int, FarRequest] = {}
-        self.strays: list[dict[str, Any]] = []  # answers that nobody asked for
+        self.unmatched_answers: list[dict[str, Any]] = []  # answers that nobody asked for
         self.garbled: list[bytes] = []  # what cannot be read
         self.leaving = False  # nothing more is asked on it
         self._buffer = b""
@@ -143,7 +143,7 @@
     def _answered(self, answer: dict[str, Any]) -> None:
         request = self.requests.get(answer["id"]) if answer["id"] is not None else None
         if request is None:
-            self.strays.append(answer)
+            self.unmatched_answers.append(answer)
             return
         text = "result" if "result" in answer else answer["error"]["message"]
         request.answers.append((self.loop.clock.now, text))
--- a/gaproute/faultinjection/play/far_host.py
+++ b/gaproute/faultinjection/play/far_host.py
@@ -117,9 +117,9 @@
             connection.reset()
         elif behaviour is not Behaviour.SILENT:
             attempt.said = behaviour.value
-            told = {"meta": {"tell": "w"}, "data": command["data"]} if behaviour is Behaviour.SERVE else {}
-            self._say(connection, command, behaviour.value, **told)
+            fields = {"meta": {"tell": "w"}, "data": command["data"]} if behaviour is Behaviour.SERVE else {}
+            self._say(connection, command, behaviour.value, **fields)
 
     @staticmethod
-    def _say(connection: FarConnection, command: dict[str, Any], kind: str, **told: Any) -> None:
-        connection.write(json.dumps({"type": kind, "req": command["req"]} | told).encode() + b"\n")
+    def _say(connection: FarConnection, command: dict[str, Any], kind: str, **fields: Any) -> None:
+        connection.write(json.dumps({"type": kind, "req": command["req"]} | fields).encode() + b"\n")
--- a/gaproute/faultinjection/play/far_others.py
+++ b/gaproute/faultinjection/play/far_others.py
@@ -22,7 +22,7 @@
     number: int
     phases: dict[str, str]  # of the hosts that it names
     at: int
-    told: int | None = None  # when it was first written to the gateway
+    first_sent_at: int | None = None  # when it was first written to the gateway, ns
 
 
 class FarChangeLog(FarServer):
@@ -51,24 +51,24 @@
     def _asked(self, connection: FarConnection, last: int) -> None:
         self._following = [connection]
         connection.write(HEAD)
-        for published, told in self.events:
+        for published, data in self.events:
             if published.number > last:
-                self._send(connection, published, told)
+                self._send(connection, published, data)
 
-    def _send(self, connection: FarConnection, published: Published, told: bytes) -> None:
-        if published.told is None:
-            published.told = self.loop.clock.now
-        connection.write(told)
+    def _send(self, connection: FarConnection, published: Published, data: bytes) -> None:
+        if published.first_sent_at is None:
+            published.first_sent_at = self.loop.clock.now
+        connection.write(data)
 
     def publish(self, event: dict[str, Any]) -> None:
         """A further event, in the form of the log."""
         phases = {member["id"]: member["phase"] for member in event["fleet"]["members"]}
         published = Published(event["seq"], phases, self.loop.clock.now)
-        told = b"id: %d\ndata: %b\n\n" % (event["seq"], json.dumps(event).encode())
-        self.events.append((published, told))
+        data = b"id: %d\ndata: %b\n\n" % (event["seq"], json.dumps(event).encode())
+        self.events.append((published, data))
         for connection in self._following:
             if connection.open:
-                self._send(connection, published, told)
+                self._send(connection, published, data)
 
     def _comment(self) -> None:
         for connection in self._following:
@@ -77,11 +77,11 @@
 
 
 class FarPeer:
-    """Another gateway: hears what this one tells, and tells it the same."""
+    """Another gateway: it sends each datagram of this one back."""
 
     def __init__(self, loop: FarLoop) -> None:
         self.loop = loop
-        self.heard: list[bytes] = []
+        self.received: list[bytes] = []
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(("127.0.0.1", 0))
         self._sock.setblocking(False)
@@ -89,13 +89,13 @@
         loop.watch(self._sock.fileno(), select.EPOLLIN, self._ready)
 
     def _ready(self, _: int) -> None:
-        words, source = self._sock.recvfrom(CHUNK)
-        self.heard.append(words)
-        self.tell(words, source)
+        payload, source = self._sock.recvfrom(CHUNK)
+        self.received.append(payload)
+        self.send(payload, source)
 
-    def tell(self, words: bytes, where: tuple[str, int]) -> None:
-        """One datagram."""
-        self._sock.sendto(words, where)
+    def send(self, payload: bytes, where: tuple[str, int]) -> None:
+        """Sends one datagram."""
+        self._sock.sendto(payload, where)
 
     def close(self) -> None:
         """Closes."""
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -22,9 +22,9 @@
 GRACE = 50 * MILLI  # by which an answer may be late
 LEFT_GRACE = 100 * MILLI  # after its client left, within which an attempt may still begin
 ANSWERED_GRACE = 20 * MILLI  # the same after the final answer: for what was on its way
-DEADLINE_SLACK = 150 * MILLI  # of the limit that a host is told
-DRAIN_GRACE = 500 * MILLI  # after the gateway was told that a host drains
-TOLD_AT_LAST = 4 * SECOND  # after which an event counts as told, whatever became of the connection
+DEADLINE_SLACK = 150 * MILLI  # of the time limit that a host is sent
+DRAIN_GRACE = 500 * MILLI  # after the gateway has received that a host drains
+RECEIVED_AT_LAST = 4 * SECOND  # after which an event counts as received, even if its connection broke
 PROBING = 1  # connections to each host, by which an unused gateway goes on probing
 MAY_HAVE_RUN = "it may have run"  # in the reason of a final answer
 # Timers of a gateway that nobody uses, each at most once.
@@ -50,9 +50,9 @@
     NOT_FOR_NOBODY = "nothing begins over 0.1 s after its client left"
     NOT_AFTER_ANSWER = "nothing begins after the final answer"
     TRIED_AGAIN = "what no host was sent does not end as what may have run"
-    DEADLINE_TOLD = "the deadline passed to a host is at most what the client has left"
+    DEADLINE_SENT = "the deadline passed to a host is at most what the client has left"
     READABLE = "what the far ends are sent can be read"
-    DRAINING_KEPT = "nothing goes to a host past the grace after it was told draining"
+    DRAINING_RESPECTED = "nothing goes to a host past the grace after it was reported draining"
     DESCRIPTORS = "no descriptor is left over"
     WATCHED = "no descriptor is watched for nobody"
     TIMERS = "no timer is left over"
@@ -99,8 +99,8 @@
     for data in garbled:
         yield Finding(Check.READABLE, repr(data[:200]))
     for client in scene.clients:
-        for stray in client.strays:
-            yield Finding(Check.ONE_ANSWER, f"an answer that nobody asked for: {stray}")
+        for answer in client.unmatched_answers:
+            yield Finding(Check.ONE_ANSWER, f"an answer that nobody asked for: {answer}")
         for request in client.requests.values():
             begun = sorted(attempts.get(request.mark, ()), key=lambda attempt: attempt.at)
             yield from _answers(client, request)
@@ -137,7 +137,7 @@
             yield Finding(Check.NOT_AFTER_ANSWER, f"{name} began after the final answer")
         over = attempt.at + attempt.limit - request.asked - request.span
         if over > DEADLINE_SLACK:
-            yield Finding(Check.DEADLINE_TOLD, f"{name} was told {over // MILLI} ms too much")
+            yield Finding(Check.DEADLINE_SENT, f"{name} was sent {over // MILLI} ms too much")
 
 
 def _repeats(request: FarRequest, attempts: list[ReceivedAttempt]) -> Iterator[Finding]:
@@ -165,7 +165,7 @@
             late = [at for at in begun if start + DRAIN_GRACE < at < end]
             if late:
                 span = (late[0] - start) // MILLI
-                yield Finding(Check.DRAINING_KEPT, f"{host.name} was sent to {span} ms after it drained")
+                yield Finding(Check.DRAINING_RESPECTED, f"{host.name} was sent to {span} ms after it drained")
 
 
 def _drained(scene: Scene, host: str, *, broken: bool) -> Iterator[tuple[int, int]]:
@@ -174,8 +174,8 @@
     for published, _ in scene.log.events:
         phase = published.phases.get(host)
         if phase == "Terminating":
-            sure = published.told if published.told is not None and not broken else None
-            start = sure if sure is not None else published.at + TOLD_AT_LAST
+            sure = published.first_sent_at if published.first_sent_at is not None and not broken else None
+            start = sure if sure is not None else published.at + RECEIVED_AT_LAST
         elif phase is not None and start is not None:
             yield start, published.at
             start = None
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -126,7 +126,7 @@
     for host in scene.hosts:
         host.reliable = True
     asked = []
-    heard = len(scene.peer.heard)
+    received = len(scene.peer.received)
     for number, lane in enumerate(LANES, 1_000_000):
         request = FarRequest(number, lane, scene.clock.now, RECOVERY_SPAN, key=f"key-{number}")
         scene.client().ask(request)
@@ -135,20 +135,20 @@
     for request in asked:
         if [text for _, text in request.answers] != ["result"]:
             yield Finding(Check.RECOVERS, f"a {request.lane} request got {request.answers}")
-    if len(scene.peer.heard) == heard:
-        yield Finding(Check.PEERS_RECOVER, "it tells other gateways nothing any more")
+    if len(scene.peer.received) == received:
+        yield Finding(Check.PEERS_RECOVER, "it sends other gateways nothing any more")
     yield from _hears_peers(scene)
 
 
 def _hears_peers(scene: Scene) -> Iterator[Finding]:
-    datagrams, before = scene.process.peers.datagrams, scene.words_heard
+    datagrams, before = scene.process.peers.datagrams, scene.peer_messages
     if datagrams is None:
         yield Finding(Check.PEERS_RECOVER, "it listens for other gateways no more")
         return
-    for words in scene.peer.heard[-1:]:
-        scene.peer.tell(words, datagrams.sock.getsockname())
+    for payload in scene.peer.received[-1:]:
+        scene.peer.send(payload, datagrams.sock.getsockname())
     scene.passes(100 * MILLI)
-    if scene.words_heard == before:
+    if scene.peer_messages == before:
         yield Finding(Check.PEERS_RECOVER, "it hears other gateways no more")
 
 
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -73,12 +73,12 @@
         with plan.pause():
             self.loop = Loop(self.clock)
             log = Log(-1)
-            told = read_configuration(str(self._path))
+            loaded = read_configuration(str(self._path))
             self.process: Any = Process(
-                str(self._path), told, loop=self.loop, log=log
+                str(self._path), loaded, loop=self.loop, log=log
             )  # its parts come at its start
-        self.words_heard = 0  # of other gateways
-        self.process.core.receive_broadcast = self._heard  # type: ignore[method-assign]
+        self.peer_messages = 0  # received from other gateways
+        self.process.core.receive_broadcast = self._peer_message_received  # type: ignore[method-assign]
         self.loop.on_error = self.errors.append
         self.loop.running = True
 
@@ -113,9 +113,9 @@
         ]
         return {"seq": number, "fleet": {"revision": number, "complete": complete, "members": members}}
 
-    def _heard(self, words: bytes) -> None:
-        self.words_heard += 1
-        type(self.process.core).receive_broadcast(self.process.core, words)
+    def _peer_message_received(self, payload: bytes) -> None:
+        self.peer_messages += 1
+        type(self.process.core).receive_broadcast(self.process.core, payload)
 
     # Driving
 
--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -23,7 +23,7 @@
     """What a play is like, beside its faults.
 
     `departures`: share of the requests that are left before their answer; `clock_steps`: how often the wall
-    clock is stepped; `stop`: the gateway is told to stop in the middle; `faulty_start`: faults come from its
+    clock is stepped; `stop`: the gateway is asked to stop in the middle; `faulty_start`: faults come from its
     start on.
     """
 
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -191,7 +191,7 @@
         Check.NOT_TWICE, Periodic(NetworkCall.RECV, BROKEN, 6)
     ),
     wall_clock_used_for_waits: Played(Check.NO_SPIN, Periodic(NetworkCall.RECV, SHORT, 50)),
-    wall_clock_used_for_deadlines: Played(Check.DEADLINE_TOLD, Periodic(NetworkCall.RECV, SHORT, 50), seed=2),
+    wall_clock_used_for_deadlines: Played(Check.DEADLINE_SENT, Periodic(NetworkCall.RECV, SHORT, 50), seed=2),
     short_write_taken_for_a_whole_one: Played(Check.ONE_ANSWER, Periodic(NetworkCall.SEND, SHORT, 5)),
     short_write_begun_anew: Played(Check.READABLE, Periodic(NetworkCall.SEND, SHORT, 5)),
     interruption_taken_for_an_error: Played(
