--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -116,7 +116,7 @@
         unchanged = {
             cell: lines for cell, lines in self.last_read.items() if self.in_force.get(cell) == lines
         }
-        # those in force come first, so that the newer of two conflicting lists is rejected
+        # Those in force come first, so that the newer of two conflicting lists is rejected
         lists = unchanged | self.last_read
         paths = {cell: path_of(self.folder, cell) for cell in lists}
         conflicts: dict[str, Mistake] = {}
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -36,7 +36,7 @@
         self.members = CellMembers()
         self.rejected: dict[str, str] = {}  # by host: why its member is rejected
         self.conflicts: dict[str, str] = {}  # by host: why it is not in force
-        # rejections that were logged, and the number of the connection that they came on
+        # Rejections that were logged, and the number of the connection that they came on
         self.logged, self.connection = 0, 0
         self.failing = False
 
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -57,7 +57,7 @@
         self.record = Record(self.log, [line.name for line in configuration.request_classes])
         self.host_list = HostList(self.loop, configuration, self.record)
         self.stopping = False
-        # whether other processes serve at the clients' addresses, even after this one has stopped
+        # Whether other processes serve at the clients' addresses, even after this one has stopped
         self.address_shared = False
         self.fronts: list[Any] = []
         self.client_fronts: list[Any] = []
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -70,7 +70,7 @@
         except OSError as error:
             if error.errno not in TRANSIENT_ERRNOS:
                 raise
-            # the node opens the file at its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
+            # The node opens the file at its first read, which it repeats (`STORAGE_RETRY_INTERVAL`)
         return log_file
 
     def update_peers(self, peers: dict[str, str]) -> None:
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -18,7 +18,7 @@
 from gaproute.storage.observation_rows import Subject, Value
 
 MAX_ROWS_PER_WRITE = 256  # in one transaction, which takes about a millisecond
-# the value of `written_until` for a round that writes all observations, not only changed ones
+# The value of `written_until` for a round that writes all observations, not only changed ones
 EVERYTHING = -1
 
 Observations = Iterator[tuple[Subject, Value, int]]  # (subject, value, time by the loop's clock in ns)
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -9,7 +9,7 @@
 
 MILLI = 1_000_000
 
-# in which requests may still come on connections accepted before: longer than until an active connection is
+# In which requests may still come on connections accepted before: longer than until an active connection is
 # parked
 LATE_REQUEST_TIME = 1_500 * MILLI
 LEAVE_TIME = 200 * MILLI  # after the last client's connection, for messages to other gateways to be sent
--- a/gaproute/benchlink/lines.py
+++ b/gaproute/benchlink/lines.py
@@ -177,7 +177,7 @@
     "PEER_DATA": PeerMessage,
     "STANDS": LoadOrderAnswered,
 }
-# lines whose last field goes on to the end of the line
+# Lines whose last field goes on to the end of the line
 FREE_TEXT_LAST = frozenset(("OPEN_INSTANCE", "ALARM"))
 
 
--- a/gaproute/decisions/cells/attempt_recorder.py
+++ b/gaproute/decisions/cells/attempt_recorder.py
@@ -14,7 +14,7 @@
 
 MILLI = 1_000_000
 
-# shortest mean time by which paces are measured, so that a stall of this gateway is not taken for a slow cell
+# Shortest mean time by which paces are measured, so that a stall of this gateway is not taken for a slow cell
 MIN_MEAN_DURATION = 25 * MILLI
 
 
--- a/gaproute/decisions/cells/demand.py
+++ b/gaproute/decisions/cells/demand.py
@@ -16,12 +16,12 @@
 SECOND = 1_000_000_000
 
 SHORT_MEMORY = 60 * SECOND  # of the short count, which follows a function that becomes hot
-# of the long count, which separates functions that are requested often from rare ones
+# Of the long count, which separates functions that are requested often from rare ones
 LONG_MEMORY = 1_800 * SECOND
 CAUTION = 1.5  # standard deviations by which a count is estimated low: fewer than three arrivals show nothing
 HOME_SHARE = 0.01  # share of a mean cell's work that one home of a function may get
 SHRINK_FACTOR = 4  # the homes are halved when this many times fewer are needed
-# expected in a keep-alive at each home: then an instance is found unloaded once in 55 times
+# Expected in a keep-alive at each home: then an instance is found unloaded once in 55 times
 WARM_REQUESTS = 4.0
 MIN_PLACEMENT_TIME = 60 * SECOND  # between two changes of one placement, except to more homes
 DEFAULT_DURATION = SECOND // 10  # of a request before any was measured
--- a/gaproute/decisions/cells/entries.py
+++ b/gaproute/decisions/cells/entries.py
@@ -19,7 +19,7 @@
 
 SECOND = 1_000_000_000
 
-# from the gateway that took the request to an entry, and once more if that does not know the cell
+# From the gateway that took the request to an entry, and once more if that does not know the cell
 MAX_HOPS = 2
 MAX_ENTRIES_PER_CELL = 4  # in this gateway's order: two are tried for one request
 ENTRIES_KEPT_PER_CELL = 4  # stored for each cell, above which those that the table lacks are forgotten
--- a/gaproute/decisions/cells/faults.py
+++ b/gaproute/decisions/cells/faults.py
@@ -37,7 +37,7 @@
     OTHER_REGIONS = "other regions"  # named by its own region
 
 
-# hosts that fail together; a plain tuple, as many are made for each outcome
+# Hosts that fail together; a plain tuple, as many are made for each outcome
 FaultDomain = tuple[FaultScope, str]
 
 
--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -1,16 +1,14 @@
 """Circuit breakers for cells: which cells may be sent requests, judged by this gateway's own requests alone.
 
 A cell has a fault when none of its hosts or entries can be reached, when requests by way of two of them are
-overdue and nothing was received from the cell since, when it rejects most requests, or when its warm
-instances answer far slower than usual. A zone, a region, or all that lies outside the own zone or region has
-a fault when it is silent (`silence`). Errors prove nothing: a function may fail everywhere.
+overdue and nothing came from the cell since, when it rejects most requests, or when its warm instances are
+far slower than usual. A zone, a region, or all outside the own zone or region has a fault when it is silent
+(`silence`). Errors prove nothing: a function may fail everywhere.
 
-A domain with a fault gets one trial request at a time, each after a longer backoff. Once a trial succeeds,
-its functions return one by one over a recovery ramp, in an order that all gateways nearly share, so that the
-instances lost in the meantime are loaded at a steady pace.
+A domain with a fault gets one trial request at a time, each after a longer backoff. After a successful trial
+its functions return one by one over a recovery ramp, in an order that all gateways nearly share.
 
-Invariants: a domain with a fault has at most one trial in flight; backoffs grow up to `MAX_BACKOFF`; no
-message of other gateways begins or ends a fault.
+Invariants: one trial of a domain at a time; backoffs are at most `MAX_BACKOFF`; messages make or end no fault.
 """
 
 from collections.abc import Mapping
@@ -38,10 +36,8 @@
 SECOND = 1_000_000_000
 
 MIN_BACKOFF, MAX_BACKOFF = SECOND, 30 * SECOND  # before trials
-# share of a backoff that is added at random, so that gateways do not all try at one moment
-BACKOFF_JITTER = 0.25
-# how long to wait for an idempotent request; after that any request is a trial, and may be lost
-IDEMPOTENT_TRIAL_WAIT = 120 * SECOND
+BACKOFF_JITTER = 0.25  # share of a backoff that is added at random, so that gateways differ
+IDEMPOTENT_TRIAL_WAIT = 120 * SECOND  # for an idempotent request as a trial; then any is taken
 TRIAL_TIMEOUT = 5 * SECOND  # after which a trial without an answer has failed
 OUTCOME_MAX_AGE = 30 * SECOND  # older outcomes do not count; a gateway sends to most cells twice in 5 s
 MAX_REJECTED_SHARE = 0.5  # of the last outcomes, above which the cell has a fault
@@ -80,10 +76,7 @@
     # What may be sent
 
     def circuit_state(self, now: int, name: str, function: str, *, may_repeat: bool = True) -> CircuitState:
-        """Whether a request of the function may go to the cell; open if a newer table lacks the cell.
-
-        `may_repeat`: the request may be sent again elsewhere; other requests avoid suspected domains.
-        """
+        """Whether the function's request may go to the cell; `may_repeat`: others avoid suspected domains."""
         cell = self.cells.get(name)
         if cell is None or not may_repeat and self.silence.suspects(now, cell):
             return CircuitState.OPEN
--- a/gaproute/decisions/cells/homes.py
+++ b/gaproute/decisions/cells/homes.py
@@ -34,7 +34,7 @@
     def __init__(self, table: CellTable, max_orders: int = MAX_ORDERS, regions: Iterable[str] = ()) -> None:
         self.table = table
         self.max_orders = max_orders
-        # by (function, region); the one used last comes last
+        # By (function, region); the one used last comes last
         self._orders: dict[tuple[str, str | None], _CachedOrder] = {}
         self._rings: dict[str | None, HashRing] = {None: HashRing(table.cells)}  # None: the whole fleet
         for region in regions:
--- a/gaproute/decisions/cells/loads.py
+++ b/gaproute/decisions/cells/loads.py
@@ -19,7 +19,7 @@
 LOAD_MAX_AGE = 60 * SECOND  # an older load does not count
 MIN_REPORT_INTERVAL = SECOND // 10  # shorter intervals between reports count as this
 MEAN_WEIGHT = 1 / 256  # weight of one report in the mean of all
-# of the probability by the difference of two loads divided by the mean: a tenth shifts it by 0.6
+# Of the probability by the difference of two loads divided by the mean: a tenth shifts it by 0.6
 SLOPE = 12.0
 MIN_PROBABILITY = 0.05  # of taking the more loaded one, so that its reports still come
 MAX_DRAWS = 8  # draws by capacity before one is taken anyway
--- a/gaproute/decisions/cells/silence.py
+++ b/gaproute/decisions/cells/silence.py
@@ -26,7 +26,7 @@
     10 * SECOND
 )  # after an overdue request, also where no request may show that the domain is well
 MAX_DOMAINS = 256  # whose last answer is stored, above which those that the table lacks are forgotten
-# hosts or entries of a cell, cells of a zone, zones of a region: one alone may be slow work
+# Hosts or entries of a cell, cells of a zone, zones of a region: one alone may be slow work
 MIN_SILENT_PARTS = 2
 MIN_SILENT_ZONES = 3  # by which the own zone or region is cut off: a region that fails has two or three
 NEVER = -1  # the time of the last answer where there was none
--- a/gaproute/decisions/cells/views.py
+++ b/gaproute/decisions/cells/views.py
@@ -18,7 +18,7 @@
 from gaproute.decisions.cells.location import GatewayLocation
 from gaproute.decisions.cells.table import Cell, CellTable
 
-# of the own zone; with a thousand gateways and 38 cells in a zone, 50 gateways know a cell
+# Of the own zone; with a thousand gateways and 38 cells in a zone, 50 gateways know a cell
 ASSIGNED_CELLS = 2
 MAX_HOSTS_IN_VIEW = 512  # whatever the fleet's size
 ADD_RATE = 10.0  # requests per second to a cell above which its host list is worth following
--- a/gaproute/decisions/reports/follower.py
+++ b/gaproute/decisions/reports/follower.py
@@ -24,10 +24,10 @@
 # do not all send to one.
 RANDOM_AGE_SHARE = 0.35
 RANDOM_STEPS = 1000
-# of a function that are hinted at least, the freshest ones: the stable hash picks among them, and wrong
+# Of a function that are hinted at least, the freshest ones: the stable hash picks among them, and wrong
 # observations of several origins mostly differ
 MIN_INSTANCES = 4
-# instances hinted for each host that a function could fill: about as many as the decisions use
+# Instances hinted for each host that a function could fill: about as many as the decisions use
 INSTANCE_SPREAD = 2.5
 MAX_SLOWDOWN = 8.0  # largest slowdown of a host that is believed
 
--- a/gaproute/decisions/reports/observation_kinds.py
+++ b/gaproute/decisions/reports/observation_kinds.py
@@ -10,7 +10,7 @@
 
 SECOND = 1_000_000_000
 
-# older observations are rejected: no instance stays loaded so long, and clocks are not accurate enough
+# Older observations are rejected: no instance stays loaded so long, and clocks are not accurate enough
 MAX_AGE = 300 * SECOND
 MAX_LANES = 1024  # requests that one instance runs at a time
 
--- a/gaproute/http1/client.py
+++ b/gaproute/http1/client.py
@@ -47,10 +47,10 @@
         self.exchange: PendingExchange | None = None  # the exchange that waits for its response
         self.sent_before = 0  # bytes sent before the request of the exchange
         self.last_used: int = loop.now()
-        # called when the connection ends while idle
+        # Called when the connection ends while idle
         self.on_idle_end: Callable[[ClientConnection], object] | None = None
         self.responses = 0
-        # for how long the server said that it keeps an idle connection, ns
+        # For how long the server said that it keeps an idle connection, ns
         self.keep_alive_timeout: int | None = None
         self.unrequested_response = False  # whether a response came without a request
 
--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -1,9 +1,8 @@
 """A server's connection that is in use: reads requests, writes the answers in the order of the requests.
 
-A client that closes its side counts as gone: HTTP/1.1 cannot distinguish a half-closed client from one that
-is gone before bytes are written to it, and a request for which nobody waits must end at once. Answers are
-still written then, for a client that has closed its sending side only. A request whose client has closed
-after it is handed over as `client_closed`: the handler answers it and begins nothing for it.
+A client that closes its side counts as gone: HTTP/1.1 cannot tell it from a half-closed one before bytes are
+written to it, and a request for which nobody waits must end at once. Answers are still written then. The
+handler of a request whose client has closed after it (`client_closed`) answers it and begins nothing.
 """
 
 from __future__ import annotations
@@ -105,10 +104,7 @@
         server.handle(request)
 
     def client_present(self) -> bool:
-        """Whether the client has neither closed its side nor left; called when an attempt begins.
-
-        The kernel is asked, as a loop in a long turn reads of a close only later.
-        """
+        """Whether the client has not closed, by asking the kernel; called when an attempt begins."""
         if self.client_closed or not self.stream.open:
             return False
         now = self.server.loop.now()
@@ -132,9 +128,7 @@
         return len(self.queue) >= self.server.limits.pipelined or self.stream.bytes_unsent >= WRITE_HIGH_WATER
 
     def _refuse(self, error: HttpError) -> None:
-        """Answers a request that cannot be decoded and closes; complete requests before it are answered
-        first.
-        """
+        """Answers an invalid request and closes; complete requests before it are answered first."""
         self.server.protocol_errors += 1
         self._take_all(self.reader.take_completed())
         headers, body = self.server.render_error(error)
@@ -150,9 +144,8 @@
     # Writing
 
     def answer(self, request: Request, status: int, headers: Iterable[Header], body: bytes) -> None:
-        """Encodes the answer to a request, and writes all answers that are next in order.
-
-        Errors: RuntimeError for a second answer to one request.
+        """Writes the answer to a request, in order. Errors: RuntimeError for a second answer to one
+        request.
         """
         place = next((place for place, each in enumerate(self.queue) if each.request is request), None)
         if place is None:
@@ -169,9 +162,7 @@
         self._write_answers()
 
     def _write_answers(self) -> None:
-        """Writes the answers that are next in order, and closes the connection after the last one if it is
-        closing.
-        """
+        """Writes the answers that are next in order; closes after the last one if it is to close."""
         wrote = False
         while self.queue and (data := self.queue[0].data) is not None:
             wrote = True
@@ -191,10 +182,7 @@
     # The end
 
     def park(self) -> None:
-        """Parks the connection, or closes it if its idle time is over or the server stops.
-
-        A request that lies unread is answered before a close.
-        """
+        """Parks the connection, or closes it if its time is over; an unread request is answered first."""
         server = self.server
         if server.loop.now() < self.idle_end and self.stream.open and not server.stopping:
             self._clear_deadline()
@@ -207,8 +195,8 @@
     def stop(self) -> None:
         """Closes a quiet connection; one with an unread or incomplete request is closed after its answer.
 
-        With grace, a quiet connection is closed only when it would be parked: the next request of a busy
-        client may be on its way, and its answer then announces the close.
+        With grace, a quiet one is closed when it would be parked, so that a busy client's next request is
+        answered.
         """
         if self.reader.mid_message:
             self._set_deadline()
@@ -216,9 +204,7 @@
             self.close_gracefully()
 
     def _on_client_closed(self) -> None:
-        """Handles a client that has closed its side: its requests end now, with answers if it closed half
-        only.
-        """
+        """Ends the requests of a client that has closed its side; a half-closed one gets answers."""
         self._abandon_requests()
         if not self.queue:
             self.close_gracefully()
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -52,12 +52,12 @@
     stream: Stream
     reader: RequestReader
     queue: list[PendingAnswer]  # in the order of the requests
-    # whether no further request is taken and the connection closes after the answers that are owed
+    # Whether no further request is taken and the connection closes after the answers that are owed
     closing: bool
     timer: Timer | None
     deadline: int | None  # of the timer, or of the queue of quiet connections; ns of the loop's clock
     idle_end: int  # when the connection is closed if no further request comes
-    # whether the server's queue has it, to park it at its deadline if it is still quiet then
+    # Whether the server's queue has it, to park it at its deadline if it is still quiet then
     in_quiet_queue: bool
 
     def park(self) -> None:
--- a/gaproute/http1/exchange.py
+++ b/gaproute/http1/exchange.py
@@ -118,7 +118,7 @@
         """Ends the exchange with a response or a failure; does nothing if it has ended already."""
         if not self.finished:
             self.finished = True
-            # the closure refers to this exchange, so it is dropped to break the cycle
+            # The closure refers to this exchange, so it is dropped to break the cycle
             on_done, self.on_done = self.on_done, _ignore
             on_done(response, failure)
 
--- a/gaproute/http1/message.py
+++ b/gaproute/http1/message.py
@@ -51,7 +51,7 @@
         """`arrived_at`: when its first byte came, ns of the loop's clock."""
         self.arrived_at = arrived_at
         self.method, self.target, self.headers, self.body, self.keep_alive = b"", b"", {}, b"", True
-        # called if the client leaves before the answer
+        # Called if the client leaves before the answer
         self.on_client_left: Callable[[], object] | None = None
         self.client_closed = False  # whether its client had closed its side when the request was read
 
--- a/gaproute/http1/reader.py
+++ b/gaproute/http1/reader.py
@@ -40,9 +40,9 @@
         self.length_count = 0  # fields of the head that give the length of the body
         self.parts: list[bytes] = []  # of the body
         self.completed: list[MessageType] = []
-        # whether the head of a request asks for a response 100 before its body is sent
+        # Whether the head of a request asks for a response 100 before its body is sent
         self.wants_continue = False
-        # set in a callback, as the parser replaces errors that are raised there
+        # Set in a callback, as the parser replaces errors that are raised there
         self.error: HttpError | None = None
 
     @property
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -59,7 +59,7 @@
         self.buffered_bytes = 0  # bytes of incomplete requests of all connections
         self.quiet_connections: deque[QuietConnection] = deque()
         self.sweep_timer: Timer | None = None
-        # after a stop with grace: when the last request must be complete, ns
+        # After a stop with grace: when the last request must be complete, ns
         self.last_request_by: int | None = None
 
     # Accepting
--- a/gaproute/peers/gossip/transport.py
+++ b/gaproute/peers/gossip/transport.py
@@ -15,10 +15,10 @@
 from gaproute.shared.gossip.scheduler import RATE
 from gaproute.shared.randomness import RandomSource
 
-# between two reads of the decisions: as often as a message is sent to one peer
+# Between two reads of the decisions: as often as a message is sent to one peer
 OBSERVATION_INTERVAL = SECOND // 2
 MIN_TURN_INTERVAL = SECOND // 200  # between two turns of the timer
-# between two reads of the members, so that many updates of members do not cause as many reads
+# Between two reads of the members, so that many updates of members do not cause as many reads
 PEERS_INTERVAL = SECOND
 
 
--- a/gaproute/peers/membership.py
+++ b/gaproute/peers/membership.py
@@ -15,7 +15,7 @@
 from gaproute.shared.randomness import RandomSource
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-# read in a second: 20 times the usual number at 1,000 gateways. In a flood, messages of other members are
+# Read in a second: 20 times the usual number at 1,000 gateways. In a flood, messages of other members are
 # dropped as well
 MAX_DATAGRAMS = 2000
 UNIX_SUFFIX = ".words"  # appended to the path of the Unix socket
--- a/gaproute/peers/observation_transfers.py
+++ b/gaproute/peers/observation_transfers.py
@@ -22,7 +22,7 @@
 
 MAX_TRANSFERS = 16  # stored for peers; a peer that asks for an older one must begin again
 MAX_CHUNK_BYTES = 4 << 20  # of all stored chunks
-# after its begin, in which a snapshot is also given to other gateways that begin: after a restart of all
+# After its begin, in which a snapshot is also given to other gateways that begin: after a restart of all
 # gateways many do
 SHARED_TIME = 250 * MILLI
 CURSOR_BASE = 1 << 20  # a cursor is the transfer's number times this, plus the number of the chunk
--- a/gaproute/peers/observation_wire.py
+++ b/gaproute/peers/observation_wire.py
@@ -32,7 +32,7 @@
 
 Answer = Any  # lore_pb2.Told
 Request = Any  # lore_pb2.Ask
-# is called with subject, value and age in microseconds
+# Is called with subject, value and age in microseconds
 AddObservation = Callable[[Subject, Value, int], None]
 
 
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -14,7 +14,7 @@
 
 MILLI = 1_000_000
 
-# between log lines about rejected messages, so that a flood of them is not a flood of lines
+# Between log lines about rejected messages, so that a flood of them is not a flood of lines
 REJECTIONS_INTERVAL = 60_000 * MILLI
 SLOW_TURN = 50 * MILLI  # duration of a turn of the node above which its disk delays the gateway's requests
 NO_NODE = "refused: no keeper here"
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -19,10 +19,10 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-# messages that wait for one peer; above it the oldest is dropped, which is the most outdated
+# Messages that wait for one peer; above it the oldest is dropped, which is the most outdated
 MAX_QUEUED = 256
 MAX_QUEUED_BYTES = 2 * wire.MAX_BATCH_BYTES
-# enough for a snapshot over a slow link; a peer that is down costs one attempt in that time
+# Enough for a snapshot over a slow link; a peer that is down costs one attempt in that time
 EXCHANGE_TIMEOUT = 2 * SECOND
 RETRY_DELAY = 200 * MILLI  # after a failed exchange: about a heartbeat interval
 RATE = 500  # messages per second that one peer may send: ten times those of a busy leader
--- a/gaproute/peers/raft/wire.py
+++ b/gaproute/peers/raft/wire.py
@@ -17,7 +17,7 @@
 VERSION = 1
 MAX_MESSAGES = 64  # in a batch: those of a few heartbeats
 FULL_BATCH_BYTES = 512 << 10  # above which no further message joins a batch
-# one snapshot and the messages that were sent with it
+# One snapshot and the messages that were sent with it
 MAX_BATCH_BYTES = MAX_SNAPSHOT_BYTES + FULL_BATCH_BYTES
 ARRAY_OF_THREE = b"\x93"  # the first byte of such an array in MessagePack
 
--- a/gaproute/shared/dissemination/bounds.py
+++ b/gaproute/shared/dissemination/bounds.py
@@ -34,7 +34,7 @@
 MESSAGE_RATE = 2_000  # per second, for datagrams and pulls
 MESSAGE_BURST = 8_000
 SERVE_RATE = 2_000  # per second, for answers to pulls
-# two complete tables of 490 cells: after a long partition the number of gateways that have it doubles each
+# Two complete tables of 490 cells: after a long partition the number of gateways that have it doubles each
 # time
 SERVE_BURST = 48_000
 
@@ -47,7 +47,7 @@
 # Receiving
 MAX_REASONS = 32  # reasons for rejection that are counted separately
 PEER_RATE = 20  # messages per second from one peer of the view, and as many again at one moment
-# messages per second from all other senders together, and as many again at one moment
+# Messages per second from all other senders together, and as many again at one moment
 UNKNOWN_SENDER_RATE = 100
 
 # Announced versions of others
--- a/gaproute/shared/gossip/entry_sets.py
+++ b/gaproute/shared/gossip/entry_sets.py
@@ -32,7 +32,7 @@
     def __init__(self, observations: LocalObservations) -> None:
         self.cached: dict[int, CachedSet] = {}  # by kind
         self._observations = observations
-        # by kind and partition: the sequence number of the last set
+        # By kind and partition: the sequence number of the last set
         self._sequences: dict[tuple[int, int], int] = {}
 
     def clear(self) -> None:
--- a/gaproute/shared/gossip/hosts.py
+++ b/gaproute/shared/gossip/hosts.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Mapping
 
-# hosts that are gone or have restarted, stored until all earlier observations have expired
+# Hosts that are gone or have restarted, stored until all earlier observations have expired
 MAX_TOMBSTONES = 8192
 
 
--- a/gaproute/shared/gossip/messages.py
+++ b/gaproute/shared/gossip/messages.py
@@ -16,7 +16,7 @@
 
 HEADER_BYTES = 10  # of a message
 SET_HEADER_BYTES = 11  # of each set in it
-# around a message: IP and UDP headers, the sender's name, the tags of the envelope's fields
+# Around a message: IP and UDP headers, the sender's name, the tags of the envelope's fields
 ENVELOPE_BYTES = 60
 TRAVEL_TIME = 5_000_000  # assumed travel time of a message, ns, as clocks of gateways are not compared
 
--- a/gaproute/shared/gossip/scheduler.py
+++ b/gaproute/shared/gossip/scheduler.py
@@ -18,9 +18,9 @@
 from gaproute.shared.gossip.peer_rounds import PeerRounds
 
 RATE = 3_000  # bytes per second with headers: under 4 kB with bursts and with membership's messages
-# in a fleet of cells, where the cell table uses a share of the 4 kB: 0.9 kB at 46,000 changes a day
+# In a fleet of cells, where the cell table uses a share of the 4 kB: 0.9 kB at 46,000 changes a day
 RATE_IN_CELLS = 2_200
-# shortest time between two messages to one peer, so that small fleets need not use the whole rate
+# Shortest time between two messages to one peer, so that small fleets need not use the whole rate
 PEER_INTERVAL = SECOND // 2
 SLOW_INTERVAL = SECOND // 4  # between two sets other than the requests in flight
 SLOW_KINDS = (
--- a/gaproute/shared/leases/client.py
+++ b/gaproute/shared/leases/client.py
@@ -1,9 +1,9 @@
 """The lease client: one command at a time, sent again until the leader answers.
 
-A lease is valid, by the client's own clock, from when its command was FIRST sent, as it was granted later in
-any case. If nobody answers, the lease expires here before the group lets it expire (`commands.expiry_wait`).
-Every action under a lease carries its fencing token, as a process may be stopped between checking `valid_at`
-and acting. Times are ns of the client's clock.
+A lease is valid, by the client's own clock, from when its command was FIRST sent, as it was granted later. If
+nobody answers, it expires here before the group lets it expire (`commands.expiry_wait`). Every action under a
+lease carries its fencing token, as a process may be stopped between checking `valid_at` and acting. Times are
+ns of the client's clock.
 """
 
 from collections import Counter, deque
@@ -34,11 +34,9 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-# to the next member; longer than a sync and a round trip, shorter than an election
-RESEND_AFTER = 500 * MILLI
+RESEND_AFTER = 500 * MILLI  # to the next member; above a sync and a round trip, below an election
 RETRY_PAUSE = 100 * MILLI  # before the next member is tried after one that knows no leader
-# followed without a pause, so that members that name one another do not cause a flood of messages
-MAX_REDIRECTS = 2
+MAX_REDIRECTS = 2  # followed without a pause: members that name one another must not cause a flood
 
 
 class LeaseClient:
@@ -136,7 +134,7 @@
             return self._redirect(now, sender, message.leader, command)
         if message.state == "busy" or message.state == "done" and not (command.session or message.opened):
             self.resend_at = now + RETRY_PAUSE + self.chance.below(RETRY_PAUSE)
-            # so that the next member is the sender
+            # So that the next member is the sender
             self.target = self.members[self.members.index(sender) - 1]
             return []
         self.target, self.outstanding, self.resend_at = sender, None, now
--- a/gaproute/shared/leases/commands.py
+++ b/gaproute/shared/leases/commands.py
@@ -17,7 +17,7 @@
 MAX_DURATION = 600 * SECOND  # longest time for which a resource stays taken by a holder that died
 MIN_DURATION = 100 * MILLI  # with shorter durations the renewals would cost too much
 CLOCK_ERROR = 10  # per mille by which any clock's rate may differ from true time (1%)
-# the number of hosts in a large fleet; bounds the state that one client can cause
+# The number of hosts in a large fleet; bounds the state that one client can cause
 MAX_LEASES_PER_CLIENT = 1024
 
 Amount = Annotated[int, Meta(ge=0, le=HIGHEST)]
--- a/gaproute/shared/leases/operator_requests.py
+++ b/gaproute/shared/leases/operator_requests.py
@@ -24,7 +24,7 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
 MAX_REQUESTS = 1024  # at a time: as many as the client takes
-# how long a request that has ended is still shown, so that the reason can be read
+# How long a request that has ended is still shown, so that the reason can be read
 SHOWN_AFTER_END = 60 * SECOND
 
 Resource = Annotated[str, Meta(max_length=NAME)]
--- a/gaproute/shared/leases/table.py
+++ b/gaproute/shared/leases/table.py
@@ -26,7 +26,7 @@
 from gaproute.shared.leases.expiry import ExpiryTimers, ExpiryUpdate
 from gaproute.shared.messages import Message
 
-# at a time: the maintenance of hosts and the lent capacity of a large fleet; 200 bytes each
+# At a time: the maintenance of hosts and the lent capacity of a large fleet; 200 bytes each
 MAX_LEASES = 4096
 MAX_POOLS = 4096  # resources with a size of their own: hosts whose capacity is lent
 INITIAL_WAIT_TOKEN = 0  # the token with which `ExpireLease` ends the initial wait; no lease has it
--- a/gaproute/shared/membership/probe_order.py
+++ b/gaproute/shared/membership/probe_order.py
@@ -4,7 +4,7 @@
 from gaproute.shared.membership.table import MemberTable
 from gaproute.shared.randomness import RandomSource, shuffle
 
-# in one of so many periods a dead member is probed instead, to find a partition that has healed
+# In one of so many periods a dead member is probed instead, to find a partition that has healed
 DEAD_PROBE_INTERVAL = 5
 
 
--- a/gaproute/shared/membership/prober.py
+++ b/gaproute/shared/membership/prober.py
@@ -10,7 +10,7 @@
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
 
-# between probes; each gateway costs 2 small messages in a period, whatever the number of gateways
+# Between probes; each gateway costs 2 small messages in a period, whatever the number of gateways
 PERIOD = SECOND
 PROBE_TIMEOUT = 300 * MILLI  # for the answer to a probe: many round trips, and some late turns
 RETRIES = 2  # of a probe, each PROBE_TIMEOUT after the last
--- a/gaproute/shared/membership/table.py
+++ b/gaproute/shared/membership/table.py
@@ -13,7 +13,7 @@
 from gaproute.shared.membership.name_set import NameSet
 from gaproute.shared.membership.update_queue import UpdateQueue
 
-# unknown members above it are rejected; 8 MB with the longest names. Configured members are not limited
+# Unknown members above it are rejected; 8 MB with the longest names. Configured members are not limited
 MAX_MEMBERS = 4096
 REMOVALS = 8  # departed members checked in one call of `remove_departed`
 
--- a/gaproute/shared/membership/update_queue.py
+++ b/gaproute/shared/membership/update_queue.py
@@ -7,7 +7,7 @@
     """Names by how often their update was sent. Iterates over the least often sent first, then the oldest."""
 
     def __init__(self) -> None:
-        # at index n: the names whose update was sent n times, the oldest first
+        # At index n: the names whose update was sent n times, the oldest first
         self._by_sends: list[dict[str, None]] = [{}]
         self._sends: dict[str, int] = {}
 
--- a/gaproute/shared/raft/committed.py
+++ b/gaproute/shared/raft/committed.py
@@ -7,7 +7,7 @@
 from gaproute.shared.raft.requests import reply_to
 
 COMPACT_AFTER = 1024  # applied entries in the log, above which a snapshot replaces them
-# times as many: above that a snapshot is made even if a follower that answers lacks some of them
+# Times as many: above that a snapshot is made even if a follower that answers lacks some of them
 COMPACT_ANYWAY = 4
 
 
--- a/gaproute/shared/raft/invariants.py
+++ b/gaproute/shared/raft/invariants.py
@@ -95,7 +95,7 @@
     def __init__(self) -> None:
         self.leaders: dict[int, tuple[str, int]] = {}  # by term: (name, incarnation)
         self.committed: dict[int, Entry] = {}  # by index: the entry that some node had committed
-        # by (name, incarnation): the index up to which it was compared
+        # By (name, incarnation): the index up to which it was compared
         self.compared: dict[tuple[str, int], int] = {}
         self.states: dict[int, bytes] = {}  # by last applied index: digest of the state
 
--- a/gaproute/shared/raft/leader.py
+++ b/gaproute/shared/raft/leader.py
@@ -116,7 +116,7 @@
         outbox.append((name, _snapshot_message(node)))
         return
     else:
-        # heartbeats go on, so that the follower starts no election while it decodes the snapshot
+        # Heartbeats go on, so that the follower starts no election while it decodes the snapshot
         previous = log.snapshot_index
     previous_term = log.term_at(previous) or 0
     message = AppendEntries(node.term, node.incarnation, previous, previous_term, node.commit_index, entries)
--- a/gaproute/shared/raft/node_state.py
+++ b/gaproute/shared/raft/node_state.py
@@ -41,7 +41,7 @@
         self.storage_retry_at = now + STORAGE_RETRY_INTERVAL
         self.role, self.leader, self.leader_heard_at = Role.FOLLOWER, "", now - 2 * ELECTION_TIMEOUT
         self.granted_votes: dict[str, int] = {}  # by name: incarnation; in this election
-        # by name: incarnation; of nodes that may take part in a bootstrap
+        # By name: incarnation; of nodes that may take part in a bootstrap
         self.blank_peers: dict[str, int] = {}
         # After a crash there is only what the store has.
         self.commit_index = self.last_applied = self.log.snapshot_index
--- a/gaproute/shared/raft/requests.py
+++ b/gaproute/shared/raft/requests.py
@@ -32,7 +32,7 @@
 
 def _answer_at_once(node: NodeState, leader: LeaderState, sender: str, request: Request) -> Outcome | None:
     """The outcome of a request that needs no entry; None if it needs one."""
-    # entries that were committed earlier may not be known here yet
+    # Entries that were committed earlier may not be known here yet
     if node.commit_index < leader.first_index:
         return Outcome(ReplyStatus.BUSY)
     if not request.session:
--- a/gaproute/shared/raft/store.py
+++ b/gaproute/shared/raft/store.py
@@ -87,7 +87,7 @@
             if loaded.log.last_term > loaded.term:
                 raise UnusableDiskError("entries of terms that it never entered")
             if loaded.snapshot is not None:
-                # last, so that the machine stays empty if the disk cannot be used
+                # Last, so that the machine stays empty if the disk cannot be used
                 self.restore(loaded.snapshot)
         except ValueError as fault:
             raise UnusableDiskError(f"not understood: {fault}") from fault
--- a/gaproute/storage/observation_store.py
+++ b/gaproute/storage/observation_store.py
@@ -76,7 +76,7 @@
         self.lock: int | None = None  # descriptor of the lock file
         self.torn_rows = self.written = self.failed = 0
         self.damage = ""  # what was found wrong with the file since it was opened
-        # whether the complete file was checked, which is done once for each process, as it takes long
+        # Whether the complete file was checked, which is done once for each process, as it takes long
         self.checked = False
         self.backoff = 0  # ns; 0: no attempt has failed since the last write
         self.retry_at = self.clock()
