--- a/gaproute/decisions/cells/health.py
+++ b/gaproute/decisions/cells/health.py
@@ -8,7 +8,7 @@
 A domain with a fault gets one trial request at a time, each after a longer backoff. After a successful trial
 its functions return one by one over a recovery ramp, in an order that all gateways nearly share.
 
-Invariants: one trial of a domain at a time; backoffs are at most `MAX_BACKOFF`; messages make or end no fault.
+Invariants: one trial of a domain at a time; backoffs up to `MAX_BACKOFF`; messages make or end no fault.
 """
 
 from collections.abc import Mapping
