--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Callable
 from http import HTTPStatus
-from typing import Any
 
 import msgspec
 
@@ -10,10 +9,12 @@
 from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.errors import GaprouteError
 from gaproute.http1 import Request, Server
+from gaproute.loop import Loop
+from gaproute.loop.addresses import Address
 from gaproute.shared.leases.operator_requests import decode_command
 
 LEASES = b"/permits"
-TABLES: dict[bytes, Callable[[RunningGateway], Any]] = {
+TABLES: dict[bytes, Callable[[RunningGateway], object]] = {
     b"/status": status.status,
     b"/hosts": status.host_table,
     b"/knows": status.warm_instances,
@@ -31,7 +32,7 @@
 class Operator:
     """Serves what the command line reads. Errors: OSError where the address cannot be listened on."""
 
-    def __init__(self, loop: Any, where: Any, appliance: RunningGateway) -> None:
+    def __init__(self, loop: Loop, where: Address, appliance: RunningGateway) -> None:
         self.appliance = appliance
         self.server = Server(loop, where, self.handle)
         self.address: str = self.server.address
@@ -59,7 +60,7 @@
         else:
             self._answer(request, HTTPStatus.OK, result)
 
-    def _answer(self, request: Request, code: HTTPStatus, body: Any) -> None:
+    def _answer(self, request: Request, code: HTTPStatus, body: object) -> None:
         self.server.answer(request, code.value, JSON_HEADERS, msgspec.json.encode(body))
 
     def stop(self) -> None:
--- a/gaproute/peers/observation_client.py
+++ b/gaproute/peers/observation_client.py
@@ -20,7 +20,7 @@
 )
 from gaproute.decisions.reports.observation_kinds import Subject
 from gaproute.decisions.reports.shared_observations import SharedObservations
-from gaproute.http1 import Exchange
+from gaproute.http1 import Exchange, Response
 from gaproute.loop import Promise
 from gaproute.loop.addresses import address
 from gaproute.peers import observation_wire
@@ -165,7 +165,7 @@
         return promise
 
 
-def _pause(progress: PeerProgress, response: Any, *, timed_out: bool) -> int | None:
+def _pause(progress: PeerProgress, response: Response | None, *, timed_out: bool) -> int | None:
     """How long to wait before the same request is repeated; None if it is not."""
     if response is not None and response.status == PUT_OFF:
         wait_ms = response.headers.get(RETRY_AFTER_HEADER, b"")
@@ -177,7 +177,7 @@
     return None
 
 
-def _decoded(response: Any) -> observation_wire.Answer | None:
+def _decoded(response: Response | None) -> observation_wire.Answer | None:
     if response is None or response.status != 200:
         return None
     return observation_wire.decode_answer(response.body)
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -12,7 +12,9 @@
 
 from gaproute.decisions.reports.cpu_budget import MILLI, CpuBudget
 from gaproute.decisions.reports.host_history import HostHistory
-from gaproute.http1 import Limits, Server
+from gaproute.http1 import Limits, Request, Server
+from gaproute.loop import Loop
+from gaproute.loop.addresses import Address
 from gaproute.peers import observation_wire
 from gaproute.peers.observation_transfers import ObservationTransfers
 
@@ -23,7 +25,7 @@
 # Connections for observations: after a restart of all gateways, hundreds ask at the same time.
 LIMITS = Limits(body=4096, pipelined=1, connections=1024)
 
-Route = Callable[[Any, Any], None]  # is called with the HTTP server and the request
+Route = Callable[[Any, Any], None]  # is called with the server, a real or a simulated one, and the request
 
 
 class PeerServer:
@@ -33,8 +35,8 @@
 
     def __init__(
         self,
-        loop: Any,
-        where: Any,
+        loop: Loop,
+        where: Address,
         gateway: Any,
         history: HostHistory,
         request_classes: Sequence[str],
@@ -42,7 +44,9 @@
         cpu_clock: Callable[[], int] = time.thread_time_ns,
     ) -> None:
         self.routes: dict[bytes, Route] = {}  # by target: the routes of other parts
-        self.forwarded: Callable[[Any], None] | None = None  # takes the requests that other gateways forward
+        self.forwarded: Callable[[Request], None] | None = (
+            None  # takes the requests that other gateways forward
+        )
         self.transfers = ObservationTransfers(gateway, history, request_classes, cpu_clock)
         self.cpu_budget = CpuBudget(loop.now())
         self.put_off = 0  # requests for observations that were put off
@@ -51,7 +55,7 @@
         self.server = Server(loop, where, self.handle, limits)
         self.address = self.server.address
 
-    def handle(self, request: Any) -> None:
+    def handle(self, request: Request) -> None:
         """Answers one request, or passes it to the part that serves its target."""
         route = self.routes.get(request.target)
         if route is not None:
@@ -70,7 +74,7 @@
         """Closes the address."""
         self.server.close()
 
-    def _handle_observations(self, request: Any) -> None:
+    def _handle_observations(self, request: Request) -> None:
         now = self.loop.now()
         if not self.cpu_budget.may_spend(now):
             self._put_off(request, now)
@@ -86,7 +90,7 @@
         self.spent += spent
         self.cpu_budget.spend(now, spent)
 
-    def _put_off(self, request: Any, now: int) -> None:
+    def _put_off(self, request: Request, now: int) -> None:
         self.put_off += 1
         wait_ms = -(-self.cpu_budget.wait(now) // MILLI)  # rounded up
         self.server.answer(request, 503, ((RETRY_AFTER_HEADER, b"%d" % wait_ms),), b"")
--- a/gaproute/peers/raft/transport.py
+++ b/gaproute/peers/raft/transport.py
@@ -10,10 +10,12 @@
 
 from collections import Counter, deque
 from collections.abc import Callable, Mapping
-from typing import Any
 
-from gaproute.http1 import Exchange, Limits, Server
+from gaproute.http1 import Exchange, Limits, Request, Response, Server
+from gaproute.http1.client import ClientConnection
+from gaproute.loop import Loop
 from gaproute.loop.addresses import address
+from gaproute.loop.timers import Timer
 from gaproute.peers.raft import wire
 from gaproute.shared.raft.messages import RaftMessage
 
@@ -38,9 +40,9 @@
     def __init__(self, now: int) -> None:
         self.queue: deque[bytes] = deque()
         self.queued_bytes = 0
-        self.connection: Any = None
-        self.exchange: Any = None
-        self.timer: Any = None  # for the next batch, or for the timeout of the exchange
+        self.connection: ClientConnection | None = None
+        self.exchange: Exchange | None = None
+        self.timer: Timer | None = None  # for the next batch, or for the timeout of the exchange
         self.retry_at = now  # nothing is sent before this time, ns
         self.tokens: float = BURST
         self.refilled_at = now
@@ -94,17 +96,17 @@
     """
 
     def __init__(
-        self, loop: Any, name: str, peers: Mapping[str, str], receive: Callable[[str, RaftMessage], None]
+        self, loop: Loop, name: str, peers: Mapping[str, str], receive: Callable[[str, RaftMessage], None]
     ) -> None:
         self.loop, self.name, self.peers, self.receive = loop, name, peers, receive
         self.states: dict[str, PeerState] = {}  # by name
         self.counts: Counter[str] = Counter()
-        self.server: Any = None
+        self.server: Server | None = None
         self.closed = False
 
     # Receiving
 
-    def listen(self, where: str) -> Any:
+    def listen(self, where: str) -> str:
         """Listens at an address of its own, which is returned as text. Errors: OSError."""
         limits = Limits(
             body=wire.MAX_BATCH_BYTES,
@@ -112,12 +114,13 @@
             connections=MAX_CONNECTIONS,
             buffered=4 * wire.MAX_BATCH_BYTES,
         )
-        self.server = Server(
-            self.loop, address(where), lambda request: self.handle(self.server, request), limits
+        server: Server = Server(
+            self.loop, address(where), lambda request: self.handle(server, request), limits
         )
-        return self.server.address
+        self.server = server
+        return server.address
 
-    def handle(self, server: Any, request: Any) -> None:
+    def handle(self, server: Server, request: Request) -> None:
         """Answers a request that a server received."""
         if request.target != TARGET or request.method != b"POST":
             server.answer(request, 404, (), b"POST /keepers\n")
@@ -184,7 +187,7 @@
             lambda connection: setattr(state, "connection", connection),
         )
 
-    def _finish(self, to: str, state: PeerState, messages: int, answer: Any) -> None:
+    def _finish(self, to: str, state: PeerState, messages: int, answer: Response | None) -> None:
         """Handles the end of an exchange; `answer` is None if its time was up."""
         exchange, state.exchange = state.exchange, None
         if state.timer is not None:
@@ -192,7 +195,8 @@
             state.timer = None
         now = self.loop.now()
         if answer is None:
-            exchange.cancel()
+            if exchange is not None:
+                exchange.cancel()
             if state.connection is not None:
                 state.connection.abort()
             state.connection = None
--- a/gaproute/peers/tables/pull_exchange.py
+++ b/gaproute/peers/tables/pull_exchange.py
@@ -5,8 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from gaproute.http1 import Exchange
+from gaproute.http1 import Exchange, Response
+from gaproute.loop import Loop
 from gaproute.loop.addresses import address
+from gaproute.loop.timers import Timer
 from gaproute.peers.tables import wire
 from gaproute.shared.dissemination import Disseminator
 from gaproute.shared.dissemination.bounds import EXCHANGE_TIME
@@ -23,10 +25,10 @@
 class PullClient:
     """Sends a pull to one peer at a time; a new one replaces the one before."""
 
-    def __init__(self, loop: Any) -> None:
+    def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.exchange: Any = None  # the open one
-        self._timer: Any = None
+        self.exchange: Exchange | None = None  # the open one
+        self._timer: Timer | None = None
 
     def ask(self, where: str, pull: Pull, done: AnswerCallback) -> None:
         """Sends a pull; `done(answer)` is called once, later; with None if no answer came.
@@ -42,7 +44,9 @@
         except ValueError:
             self._timer = self.loop.after(0, done, None)
             return
-        exchange: Any = Exchange(self.loop, data, lambda response, fault: self._end(exchange, response, done))
+        exchange: Exchange = Exchange(
+            self.loop, data, lambda response, fault: self._end(exchange, response, done)
+        )
         self.exchange = exchange
         self._timer = self.loop.after(EXCHANGE_TIME, self._end, exchange, None, done)
         exchange.connect(target, EXCHANGE_TIME, MAX_HEAD_BYTES, wire.MAX_ANSWER_BYTES)
@@ -55,16 +59,15 @@
             self.exchange.cancel()
         self.exchange = self._timer = None
 
-    def _end(self, exchange: Any, response: Any, done: AnswerCallback) -> None:
+    def _end(self, exchange: Exchange, response: Response | None, done: AnswerCallback) -> None:
         if self.exchange is not exchange:
             return
         self.drop()
-        answered = response is not None and response.status == 200
-        done(wire.decode_answer(response.body) if answered else None)
+        done(wire.decode_answer(response.body) if response is not None and response.status == 200 else None)
 
 
-def pull_route(loop: Any, disseminator: Disseminator) -> Callable[[Any, Any], None]:
-    """The route of pulls at the peers' server."""
+def pull_route(loop: Loop, disseminator: Disseminator) -> Callable[[Any, Any], None]:
+    """The route of pulls at the peers' server, or at a simulated one."""
 
     def handle(server: Any, request: Any) -> None:
         now = loop.now()
