--- a/gaproute/decisions/cells/table.py
+++ b/gaproute/decisions/cells/table.py
@@ -72,10 +72,10 @@
     total = sum(points.size for points in cell.points)
     if total < 2 or cell.hosts < 2:
         raise TableError(f"cell {cell.name!r} has too few hosts or ring points to be split")
-    kept, given = _split_points(cell.points, total - total // 2)
+    retained, given = _split_points(cell.points, total - total // 2)
     half = cell.hosts // 2
     capacity = cell.capacity * half / cell.hosts
-    old = replace(cell, points=kept, hosts=cell.hosts - half, capacity=cell.capacity - capacity)
+    old = replace(cell, points=retained, hosts=cell.hosts - half, capacity=cell.capacity - capacity)
     new = replace(cell, name=name, points=given, hosts=half, capacity=capacity, entries=entries)
     return old, new
 
--- a/gaproute/decisions/cells/views.py
+++ b/gaproute/decisions/cells/views.py
@@ -72,8 +72,8 @@
         if not self.cells or now - self.reviewed_at < REVIEW_INTERVAL:
             return False
         self.reviewed_at, before = now, self.extra
-        kept = [name for name in self.extra if max(self._rates(now, name)) >= ADD_RATE / REMOVE_FACTOR]
-        self.extra = self._within_bound(kept + self._worth_adding(now, {*self.assigned, *kept}))
+        retained = [name for name in self.extra if max(self._rates(now, name)) >= ADD_RATE / REMOVE_FACTOR]
+        self.extra = self._within_bound(retained + self._worth_adding(now, {*self.assigned, *retained}))
         return self.extra != before
 
     def _worth_adding(self, now: int, known: set[str]) -> list[str]:
--- a/gaproute/faultinjection/catalog.py
+++ b/gaproute/faultinjection/catalog.py
@@ -54,7 +54,7 @@
     errno.EOPNOTSUPP,
     errno.ENETUNREACH,
 )
-# The connection is at its end, whichever call tells.
+# The connection has ended, whichever call reports it.
 BROKEN = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 ERRNOS: Mapping[str, Sequence[int]] = {
--- a/gaproute/faultinjection/play/far_connection.py
+++ b/gaproute/faultinjection/play/far_connection.py
@@ -44,7 +44,7 @@
             sent = 0
         except OSError:
             self._out = b""
-            return  # reading tells of the end
+            return  # reading reports the end
         self._out = self._out[sent:]
         events = select.EPOLLIN | (select.EPOLLOUT if self._out else 0)
         self.loop.rewatch(self.sock.fileno(), events)
--- a/gaproute/faultinjection/sockets.py
+++ b/gaproute/faultinjection/sockets.py
@@ -1,6 +1,6 @@
 """Sockets, epoll and descriptors that ask a fault plan before each system call.
 
-A connection that is made to break is shut down for good, so that the kernel tells of it as of a real one: the
+A connection that is made to break is shut down for good, so that the kernel reports it as a real one: the
 error is shown once, then the end. A read that fails loses what was on its way; after a write that fails what
 had come in before can still be read.
 """
--- a/gaproute/storage/files.py
+++ b/gaproute/storage/files.py
@@ -58,7 +58,7 @@
 def close(descriptor: int) -> None:
     """Close a descriptor and ignore the result.
 
-    Linux releases it whatever close(2) reports, and only fsync tells whether the data reached the disk. An
+    Linux releases it whatever close(2) reports, and only fsync shows whether the data reached the disk. An
     error here says nothing new and must not hide an earlier one.
     """
     with suppress(OSError):
--- a/gaproute/storage/log_records.py
+++ b/gaproute/storage/log_records.py
@@ -4,7 +4,7 @@
 (4), record number (8), batch start (8), checksum (8, XXH3 of the header's other fields and the payload).
 
 The record number counts the records of the file from 0. The batch start is the number of the first record
-of the batch that was synced together. It tells a tail that a crash tore from a record that went bad later:
+of the batch that was synced together. It separates a torn tail after a crash from a record damaged later:
 only the last batch can be torn, since the next one is not begun before the sync of this one returned. A file
 that was replaced as a whole cannot be torn: there each record is a batch of its own, and a seal, a record
 without payload, follows the last one so that damage to the last record is recognized too.
--- a/gaproute/storage/raft_log_file.py
+++ b/gaproute/storage/raft_log_file.py
@@ -3,7 +3,7 @@
 Not SQLite, though observation_store.py uses it and `synchronous = FULL` would sync as well: SQLite has
 checksums in its write-ahead log only, and a damaged frame there ends the log silently. Votes committed after
 it would be forgotten, and the node would vote a second time in a term; SQLite's pages have no checksum at
-all. Here each record has one, a record that went bad after its sync is told from a tail that a crash tore
+all. Here each record has one, a record damaged after its sync is distinguished from a tail that a crash tore
 (log_records.py), and the log of a Raft node is small and read once. What no file can detect: that its last
 synced batch went bad, or that an older copy of the whole file was put back.
 
