--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -23,6 +23,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from benchmarks.connection_processes import LAST_ANSWERS, SECOND, hold, serve
+from benchmarks.processor_time import main_thread_cpu
 from benchmarks.rows import write
 
 FORMS = ("plain", "parked")
@@ -39,9 +40,9 @@
 class ChildProcess:
     """A process of this program, given orders as lines of JSON. A context manager that ends it."""
 
-    def __init__(self, *words: object) -> None:
+    def __init__(self, *arguments: object) -> None:
         self._process = subprocess.Popen(
-            [sys.executable, __file__, *map(str, words)], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+            [sys.executable, __file__, *map(str, arguments)], stdin=subprocess.PIPE, stdout=subprocess.PIPE
         )
 
     def __enter__(self) -> ChildProcess:
@@ -83,7 +84,7 @@
 
     def cpu(self) -> int:
         """CPU time of the process, ns."""
-        return int(Path(f"/proc/{self._process.pid}/schedstat").read_text().split()[0])
+        return main_thread_cpu(self._process.pid)
 
 
 def kernel_memory() -> int:
--- a/benchmarks/kept_connections.py
+++ b/benchmarks/kept_connections.py
@@ -1,4 +1,4 @@
-"""How often a host closes a kept connection just as a request goes out on it, for each way to choose
+"""How often a host closes an idle connection just as a request goes out on it, for each way to choose
 connections.
 
     python benchmarks/kept_connections.py [--seconds 20] [--hosts 60] [--out docs/measured]
@@ -11,28 +11,26 @@
 from __future__ import annotations
 
 import argparse
-import json
 import random
-import subprocess
 import sys
 from collections import Counter
 from collections.abc import Generator
 from pathlib import Path
-from types import TracebackType
 from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from benchmarks.host_processes import HostsProcess, serve_hosts
 from benchmarks.rows import write
 from gaproute.decisions.connections.pooling import MAX_IDLE, Pooling
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
-from gaproute.http1 import Limits, Request, Server
+from gaproute.http1 import Limits, Request
 from gaproute.interface import Idempotency, ListedHost, Result, State
 from gaproute.interface.call import Call
 from gaproute.loop import Loop, Promise
-from gaproute.loop.addresses import address
 
+COMMAND = Path(__file__).resolve()
 MILLI, SECOND = 1_000_000, 1_000_000_000
 IDLE_TIME = SECOND  # after which a host closes a connection
 INTERVAL, JITTER = SECOND, 4 * MILLI  # between two requests to a host
@@ -44,7 +42,7 @@
 
 
 class AnyIdleTime(Pooling):
-    """The common way: a kept connection is used as long as it looks open."""
+    """The common way: an idle connection is used as long as it looks open."""
 
     def max_idle(self, now: int, host: str, idempotency: Idempotency, announced: int | None) -> int:
         """See `Pooling`."""
@@ -84,40 +82,19 @@
 )
 
 
-def run_hosts(count: int, idle_time: int = IDLE_TIME, *, announced: bool) -> None:
-    """A process with `count` hosts, whose addresses it prints; it never ends by itself."""
-    loop = Loop()
+def serve_closing_hosts(count: int, idle_time: int, *, announced: bool) -> None:
+    """A process with hosts that close idle connections after `idle_time` ns, and say so where `announced`."""
     headers = (KEEP_ALIVE,) if announced else ()
 
     def answer(request: Request) -> None:
         request.connection.answer(request, 200, headers, b"{}")
 
-    limits = Limits(idle_time=idle_time)
-    servers = [Server(loop, address("127.0.0.1:0"), answer, limits) for _ in range(count)]
-    print(json.dumps([server.address for server in servers]), flush=True)
-    loop.run()
+    serve_hosts(count, answer, Limits(idle_time=idle_time))
 
 
-class HostsProcess:
-    """A process with hosts; `addresses` are theirs. A context manager that ends it."""
-
-    def __init__(self, count: int, *, announced: bool) -> None:
-        words = ["listeners", str(count), str(int(announced))]
-        self._process = subprocess.Popen([sys.executable, __file__, *words], stdout=subprocess.PIPE)
-        assert self._process.stdout is not None
-        self.addresses: list[str] = json.loads(self._process.stdout.readline())
-
-    def __enter__(self) -> HostsProcess:
-        return self
-
-    def __exit__(
-        self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
-        trace: TracebackType | None,
-    ) -> None:
-        self._process.kill()
-        self._process.wait()
+def start_hosts(count: int, *, announced: bool, idle_time: int = IDLE_TIME) -> HostsProcess:
+    """So many hosts in a process of their own, as of `serve_closing_hosts`."""
+    return HostsProcess(COMMAND, "listeners", count, int(announced), idle_time)
 
 
 class Play:
@@ -163,7 +140,7 @@
     announced: bool = False,
 ) -> Row:
     """The counts of one play before so many hosts."""
-    with HostsProcess(count, announced=announced) as hosts:
+    with start_hosts(count, announced=announced) as hosts:
         played = Play(pooling, hosts.addresses, idempotency)
         played.run(seconds)
     requests, opened = played.results.total(), played.client.opened
@@ -192,6 +169,6 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["listeners"]:
-        run_hosts(int(sys.argv[2]), *map(int, sys.argv[4:]), announced=sys.argv[3] == "1")
+        serve_closing_hosts(int(sys.argv[2]), int(sys.argv[4]), announced=sys.argv[3] == "1")
     else:
         main()
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -23,7 +23,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from benchmarks.relay_processes import cpu
+from benchmarks.processor_time import cpu_seconds
 from benchmarks.rows import table, write
 from gaproute.decisions.chance import Chance
 from gaproute.loop import Loop, Stream
@@ -129,11 +129,11 @@
         loop.soon(self._ask)
         loop.run(until=loop.sleep(WARM))
         self.left, self.late, first = {}, 0, self.sent
-        before, began = cpu(self.node.pid), loop.now()
+        before, began = cpu_seconds(self.node.pid), loop.now()
         loop.run(until=loop.sleep(seconds * SECOND))
         self.served = sum("result" in each for each in self.answers if each["id"] > first)
         self.asked = self.sent - first - len(self.left)
-        self.busy = (cpu(self.node.pid) - before) / ((loop.now() - began) / SECOND)
+        self.busy = (cpu_seconds(self.node.pid) - before) / ((loop.now() - began) / SECOND)
 
     def _connect(self) -> ScriptedClient:
         client = ScriptedClient(self.loop, GATEWAY)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -18,19 +18,20 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from benchmarks.host_processes import serve_hosts
 from benchmarks.relay_processes import (
     CONNECTIONS,
     Figures,
     GatewayProcess,
-    HostsProcess,
+    answer_at_once,
     play,
     run_clients,
-    run_hosts,
+    start_hosts,
 )
 from benchmarks.rows import write
 
 WARM_UP = 2  # seconds: connections, tables
-ROUNDS = 3  # in turn, so that the machine's drift strikes both decisions
+ROUNDS = 3  # in turn, so that the machine's drift affects both decisions alike
 DECISIONS = {
     "module": "gaproute.decisions.routing:Gateway",
     "next in turn": "next_in_turn:NextInTurn",
@@ -39,7 +40,7 @@
 
 def measure(hosts: int, seconds: float) -> list[Figures]:
     """A row for each of the decisions, before so many hosts."""
-    with HostsProcess(hosts) as host_process, tempfile.TemporaryDirectory() as folder:
+    with start_hosts(hosts) as host_process, tempfile.TemporaryDirectory() as folder:
         gateways = {
             name: GatewayProcess(host_process.addresses, decisions, folder)
             for name, decisions in DECISIONS.items()
@@ -96,7 +97,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["hosts"]:
-        run_hosts(int(sys.argv[2]))
+        serve_hosts(int(sys.argv[2]), answer_at_once)
     elif sys.argv[1:2] == ["load"]:
         run_clients(json.loads(sys.argv[2]), float(sys.argv[3]), float(sys.argv[4]), int(sys.argv[5]))
     else:
--- a/benchmarks/relay_processes.py
+++ b/benchmarks/relay_processes.py
@@ -10,10 +10,12 @@
 import sys
 from collections.abc import Generator, Sequence
 from pathlib import Path
-from types import TracebackType
 from typing import Any
 
-from gaproute.http1 import ClientConnection, Exchange, Request, Server
+from benchmarks.gateway_processes import wait_started
+from benchmarks.host_processes import HostsProcess
+from benchmarks.processor_time import cpu_seconds
+from gaproute.http1 import ClientConnection, Exchange, Request
 from gaproute.http1.message import Response
 from gaproute.loop import Loop, Promise, connect
 from gaproute.loop.addresses import address
@@ -26,7 +28,6 @@
 REQUESTS = 20_000  # drawn in advance, and sent in turn
 MAX_HEAD, MAX_BODY = 65536, 1 << 20  # bytes of an answer
 LAST_ANSWERS = SECOND // 2  # waited for after the last request
-TICKS = os.sysconf("SC_CLK_TCK")
 REQUEST_BODY = json.dumps(
     {"id": "x", "inputs": [{"name": "in", "shape": [1], "datatype": "BYTES", "data": ["x" * 200]}]}
 )
@@ -54,14 +55,6 @@
     request.connection.answer(request, 200, (LOAD_REPORT,), ANSWER_BODY)
 
 
-def run_hosts(count: int) -> None:
-    """A process with `count` hosts, whose addresses it prints; it never ends by itself."""
-    loop = Loop()
-    servers = [Server(loop, address("127.0.0.1:0"), answer_at_once) for _ in range(count)]
-    print(json.dumps([server.address for server in servers]), flush=True)
-    loop.run()
-
-
 def encode_request(model: int) -> bytes:
     """An inference request for the model with that number."""
     return (
@@ -157,39 +150,15 @@
 
 def play(targets: Sequence[str], seconds: float, rate: float = 0, seed: int = 1) -> Figures:
     """The figures of clients in a process of their own."""
-    words = ["load", json.dumps(targets), str(seconds), str(rate), str(seed)]
-    printed = subprocess.run([sys.executable, str(COMMAND), *words], capture_output=True, check=True)
+    arguments = ["load", json.dumps(targets), str(seconds), str(rate), str(seed)]
+    printed = subprocess.run([sys.executable, str(COMMAND), *arguments], capture_output=True, check=True)
     figures: Figures = json.loads(printed.stdout)
     return figures
 
 
-def cpu(pid: int) -> float:
-    """CPU time of a process, s."""
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
-
-
-class HostsProcess:
-    """A process with hosts; `addresses` are theirs. A context manager that ends it."""
-
-    def __init__(self, count: int) -> None:
-        self._process = subprocess.Popen(
-            [sys.executable, str(COMMAND), "hosts", str(count)], stdout=subprocess.PIPE
-        )
-        assert self._process.stdout is not None
-        self.addresses: list[str] = json.loads(self._process.stdout.readline())
-
-    def __enter__(self) -> HostsProcess:
-        return self
-
-    def __exit__(
-        self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
-        trace: TracebackType | None,
-    ) -> None:
-        self._process.kill()
-        self._process.wait()
+def start_hosts(count: int) -> HostsProcess:
+    """So many hosts in a process of their own, which `relay.py` runs."""
+    return HostsProcess(COMMAND, "hosts", count)
 
 
 class GatewayProcess:
@@ -209,13 +178,13 @@
             stderr=subprocess.PIPE,
             env=os.environ | {"PYTHONPATH": f"{FOLDER}:{FOLDER.parent}"},
         )
-        self.addresses = self._wait_started()
+        self.addresses = wait_started(self._process)
 
     def measure(self, seconds: float, rate: float = 0, seed: int = 1) -> Figures:
         """The figures of clients, with `cpu_ms`, the gateway's CPU time for each request."""
-        before = cpu(self._process.pid)
+        before = cpu_seconds(self._process.pid)
         figures = play(self.addresses, seconds, rate, seed)
-        figures["cpu_ms"] = (cpu(self._process.pid) - before) / max(1, figures["tasks"]) * 1000
+        figures["cpu_ms"] = (cpu_seconds(self._process.pid) - before) / max(1, figures["tasks"]) * 1000
         return figures
 
     def end(self) -> None:
@@ -224,13 +193,3 @@
         self._process.terminate()
         self._process.wait()
         self._process.stderr.close()
-
-    def _wait_started(self) -> list[str]:
-        """Read the log until the gateway has started; the addresses that it names."""
-        assert self._process.stderr is not None
-        while True:
-            event = json.loads(self._process.stderr.readline())
-            if event["event"] == "started":
-                os.set_blocking(self._process.stderr.fileno(), False)
-                addresses: list[str] = event["listen_addresses"]
-                return addresses
--- a/benchmarks/scale/costs/connections.py
+++ b/benchmarks/scale/costs/connections.py
@@ -1,9 +1,5 @@
 """Health checks and pooled connections to hosts, on loopback: processor time, bytes, memory."""
 
-import json
-import subprocess
-import sys
-
 from benchmarks import kept_connections
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.measurement import Measurements
@@ -27,11 +23,8 @@
     """Hosts behind one listener, a process of its own, each with a pooled connection of its own."""
 
     def __init__(self, count: int) -> None:
-        command = [sys.executable, kept_connections.__file__, "listeners", "1", "0", str(IDLE)]
-        self.listener = subprocess.Popen(command, stdout=subprocess.PIPE)
-        assert self.listener.stdout is not None
-        self.output = self.listener.stdout
-        (where,) = json.loads(self.output.readline())
+        self.listener = kept_connections.start_hosts(1, announced=False, idle_time=IDLE)
+        (where,) = self.listener.addresses
         self.loop = Loop()
         self.ready = 0  # probes that found their host ready
         self.waiting, self.ended = 0, Promise()  # probes in flight, and what is set once none is
@@ -59,9 +52,7 @@
         """Close the connections and end the listener."""
         self.hosts.close()
         self.loop.close()
-        self.listener.kill()
-        self.listener.wait()
-        self.output.close()
+        self.listener.close()
 
 
 def new_connections_cpu(count: int, seed: int) -> float:
--- a/benchmarks/scale/forwarding.py
+++ b/benchmarks/scale/forwarding.py
@@ -16,12 +16,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
+from benchmarks.gateway_processes import read_status, wait_started
+from benchmarks.processor_time import main_thread_cpu
 from benchmarks.scale import forwarding_clients
 from gaproute.config.cell_files import read_table
 from gaproute.decisions.cells.homes import HomeCells
-from gaproute.errors import GaprouteError
 
 ADDRESS = "127.0.0.2"  # of gateways: nobody connects from there, so that a port found free stays free
 RELAY = Path(__file__).parents[1] / "relay.py"  # whose hosts these are
@@ -35,10 +35,6 @@
 Process = subprocess.Popen[bytes]
 
 
-class GatewayStartError(GaprouteError):
-    """A gateway ended before it served; the text has the last lines of its log."""
-
-
 @dataclass(frozen=True)
 class Run:
     """What one play gave."""
@@ -78,7 +74,7 @@
         self._write_cells()
         self.gateways = {cell: self._start_gateway(cell, seed) for cell in CELLS}
         for gateway in self.gateways.values():
-            _wait_started(gateway)
+            wait_started(gateway)
         homes = HomeCells(read_table(self.path / "cells.table"))
         self.functions: dict[str, list[str]] = {cell: [] for cell in CELLS}
         for number in range(self.models):
@@ -93,14 +89,14 @@
         than the fleet has functions for.
         """
         forwarded = sum(self._forwarded_so_far(cell) for cell in homes)
-        before = {cell: _cpu_ns(gateway.pid) for cell, gateway in self.gateways.items()}
+        before = {cell: main_thread_cpu(gateway.pid) for cell, gateway in self.gateways.items()}
         functions = {
             f"{ADDRESS}:{self.clients[cell]}": self._take_functions(cell, home, rate, seconds)
             for cell, home in homes.items()
         }
         figures = forwarding_clients.run(functions, rate, seconds, seed)
         cpu = {
-            cell: (_cpu_ns(gateway.pid) - before[cell]) / 1e6 / figures["seconds"]
+            cell: (main_thread_cpu(gateway.pid) - before[cell]) / 1e6 / figures["seconds"]
             for cell, gateway in self.gateways.items()
         }
         span = figures["seconds"] * len(homes)
@@ -117,11 +113,7 @@
 
     def _forwarded_so_far(self, cell: str) -> int:
         """Attempts of a gateway at entry gateways."""
-        with socket.socket(socket.AF_UNIX) as operator:
-            operator.connect(str(self.path / f"{cell}.op"))
-            operator.sendall(b"GET /status HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n")
-            answer = b"".join(iter(lambda: operator.recv(65536), b""))
-        status: dict[str, Any] = json.loads(answer.partition(b"\r\n\r\n")[2])
+        status = read_status(self.path / f"{cell}.op")
         return int(status["cells"]["forwarded_out"])
 
     def _take_functions(self, cell: str, home: str, rate: float, seconds: float) -> list[str]:
@@ -180,16 +172,6 @@
         self.folder.cleanup()
 
 
-def _wait_started(gateway: Process) -> None:
-    lines: list[str] = []
-    assert gateway.stderr is not None
-    for line in gateway.stderr:
-        if b'"event": "started"' in line:
-            return
-        lines.append(line.decode())
-    raise GatewayStartError(f"a gateway ended as it started: {''.join(lines[-5:])}")
-
-
 def free_ports(count: int) -> list[int]:
     """So many ports of `ADDRESS` that nothing listens on."""
     sockets = [socket.socket() for _ in range(count)]
@@ -199,8 +181,3 @@
     for each in sockets:
         each.close()
     return ports
-
-
-def _cpu_ns(pid: int) -> int:
-    """Processor time of a process of one thread."""
-    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0])
--- a/benchmarks/scale/loopback_fleet.py
+++ b/benchmarks/scale/loopback_fleet.py
@@ -14,6 +14,7 @@
 from pathlib import Path
 from types import TracebackType
 
+from benchmarks.processor_time import cpu_seconds
 from benchmarks.scale.children import command
 from benchmarks.scale.hollow_processes import HollowProcesses
 from benchmarks.scale.limits import resident_bytes
@@ -22,7 +23,6 @@
 from gaproute.hollow.simulation.host_lists import HostLists
 
 RAFT_MEMBERS = 3
-TICKS = os.sysconf("SC_CLK_TCK")
 PEERS_PORT, CLIENTS_PORT = 7461, 7462
 START_INTERVAL = 0.1  # s between the starts of two processes
 NANOSECONDS = 1e9  # in a second
@@ -108,9 +108,9 @@
         configuration = self._folder / "hollow.conf"
         configuration.write_text("name hollow\n" + self._common_lines("127.0.0.1", ""))
         for first, count in self.hollow.ranges:
-            words: list[object] = ["gaproute.hollow", configuration, "--first", first, "--count", count]
+            arguments: list[object] = ["gaproute.hollow", configuration, "--first", first, "--count", count]
             process = self._start_process(
-                f"hollow-{first}", [*words, "--seed", self._seed], takes_orders=True
+                f"hollow-{first}", [*arguments, "--seed", self._seed], takes_orders=True
             )
             self.hollow.add(first, process)
             time.sleep(START_INTERVAL)
@@ -129,14 +129,16 @@
         configuration = self._folder / f"{name}.conf"
         listen = f"name {name}\nlisten kserve {where}:{CLIENTS_PORT}\n"
         configuration.write_text(listen + self._common_lines(where, votes))
-        words = ["gaproute", "serve", configuration, "--seed", self._seed * 1000 + number]
-        self.real[name] = self._start_process(name, words)
+        arguments = ["gaproute", "serve", configuration, "--seed", self._seed * 1000 + number]
+        self.real[name] = self._start_process(name, arguments)
 
-    def _start_process(self, name: str, words: Iterable[object], *, takes_orders: bool = False) -> Process:
+    def _start_process(
+        self, name: str, arguments: Iterable[object], *, takes_orders: bool = False
+    ) -> Process:
         """A process that ends with this one; its log goes into the folder."""
         stdin = subprocess.PIPE if takes_orders else None
         with (self._folder / f"{name}.log").open("wb") as log:
-            return subprocess.Popen(command(words), stdin=stdin, stdout=subprocess.PIPE, stderr=log)
+            return subprocess.Popen(command(arguments), stdin=stdin, stdout=subprocess.PIPE, stderr=log)
 
     def real_processes(self) -> list[Process]:
         """Of the real gateways that were not killed."""
@@ -165,7 +167,7 @@
 
     def cpu(self) -> dict[int, float]:
         """Seconds of CPU by process id."""
-        return {process.pid: _cpu(process.pid) for process in self.processes()}
+        return {process.pid: cpu_seconds(process.pid) for process in self.processes()}
 
     def waited(self) -> dict[int, float]:
         """Seconds for which each process was ready to run and had no core, by process id."""
@@ -205,8 +207,3 @@
                 return None
             times.append(at)
         return max(times)
-
-
-def _cpu(pid: int) -> float:
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
--- a/benchmarks/storm.py
+++ b/benchmarks/storm.py
@@ -11,8 +11,6 @@
 from __future__ import annotations
 
 import argparse
-import json
-import os
 import subprocess
 import sys
 import tempfile
@@ -25,7 +23,9 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from benchmarks.relay_processes import HostsProcess, cpu
+from benchmarks.gateway_processes import wait_started
+from benchmarks.processor_time import cpu_seconds
+from benchmarks.relay_processes import start_hosts
 from benchmarks.rows import write
 from gaproute.load import LoadResult, read_result
 from gaproute.load.results import TrafficResult
@@ -100,7 +100,7 @@
         self._process = subprocess.Popen(
             [sys.executable, str(COMMAND), "serve", str(file), admission], stderr=subprocess.PIPE, cwd=ROOT
         )
-        self.address = self._wait_started()
+        self.address = wait_started(self._process)[0]
 
     def __enter__(self) -> Gateway:
         return self
@@ -118,15 +118,7 @@
 
     def cpu(self) -> float:
         """CPU time of the process, s."""
-        return cpu(self._process.pid)
-
-    def _wait_started(self) -> str:
-        assert self._process.stderr is not None
-        while True:
-            event = json.loads(self._process.stderr.readline())
-            if event["event"] == "started":
-                os.set_blocking(self._process.stderr.fileno(), False)
-                return str(event["listen_addresses"][0])
+        return cpu_seconds(self._process.pid)
 
 
 def play(where: str, folder: str, connections: int, *, storm: bool, seed: int) -> LoadResult:
@@ -142,8 +134,8 @@
             checks=",".join(f"/v2/models/c{number}/infer" for number in range(CHECKS)),
         )
     )
-    words = ["load", str(script), "--seed", str(seed), "--out", str(out), "--json"]
-    subprocess.run([sys.executable, "-m", "gaproute", *words], capture_output=True, cwd=ROOT)
+    arguments = ["load", str(script), "--seed", str(seed), "--out", str(out), "--json"]
+    subprocess.run([sys.executable, "-m", "gaproute", *arguments], capture_output=True, cwd=ROOT)
     return read_result(out)
 
 
@@ -196,7 +188,7 @@
     options.add_argument("--out", default="docs/measured")
     arguments = options.parse_args()
     rows = []
-    with HostsProcess(HOSTS) as hosts:
+    with start_hosts(HOSTS) as hosts:
         for count in map(int, arguments.connections.split(",")):
             for admission in (ONE_LINE, AS_IT_IS):
                 rows.append(measure(admission, hosts.addresses, count, arguments.runs))
--- a/benchmarks/telling.py
+++ b/benchmarks/telling.py
@@ -11,7 +11,6 @@
 
 import argparse
 import json
-import socket
 import subprocess
 import sys
 import tempfile
@@ -23,7 +22,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from benchmarks.relay_processes import GatewayProcess, HostsProcess
+from benchmarks.gateway_processes import read_status
+from benchmarks.relay_processes import GatewayProcess, start_hosts
 from benchmarks.rows import write
 from gaproute.config import read_peers
 from gaproute.loop import Loop
@@ -54,7 +54,7 @@
         return {}
 
     def merge(self, observations: object) -> None:
-        """Not kept."""
+        """Nothing is stored."""
 
     def event(self, level: str, name: str, **fields: object) -> None:
         """Not logged."""
@@ -106,17 +106,12 @@
         self._process.end()
 
     def _start_learners(self, seconds: float) -> subprocess.Popen[bytes]:
-        words = ["learn", self._peers_address, str(seconds)]
-        return subprocess.Popen([sys.executable, __file__, *words], stdout=subprocess.PIPE)
+        command = [sys.executable, __file__, "learn", self._peers_address, str(seconds)]
+        return subprocess.Popen(command, stdout=subprocess.PIPE)
 
     def _transfers(self) -> Figures:
         """What the gateway counted of its answers to learners."""
-        with socket.socket(socket.AF_UNIX) as sock:
-            sock.connect(self._operators_path)
-            sock.sendall(b"GET /status HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-            with sock.makefile("rb") as answer:
-                status = json.loads(answer.read().partition(b"\r\n\r\n")[2])
-        transfers: Figures = status["telling"]
+        transfers: Figures = read_status(self._operators_path)["telling"]
         return transfers
 
 
@@ -140,7 +135,7 @@
     options.add_argument("--out", default="docs/measured")
     arguments = options.parse_args()
     windows: dict[bool, list[Figures]] = {False: [], True: []}
-    with HostsProcess(arguments.hosts) as hosts, tempfile.TemporaryDirectory() as folder:
+    with start_hosts(arguments.hosts) as hosts, tempfile.TemporaryDirectory() as folder:
         gateway = MeasuredGateway(hosts.addresses, folder)
         for pair in range(arguments.pairs):
             for learners in (False, True) if pair % 2 else (True, False):
--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -21,13 +21,14 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from gaproute.errors import GaprouteError
+from benchmarks.gateway_processes import GatewayStartError
+from benchmarks.processor_time import main_thread_cpu
 from gaproute.scenarios.processes import DayProcess
 from gaproute.standins.platform.deployment_settings import RequestClassSettings, deployment_settings
 from gaproute.standins.platform.gateway_configuration import GatewayConfiguration
 from gaproute.standins.platform.host_list import VersionedHostList, member
 
-MILLI = 1_000_000
+MILLI, SECOND = 1_000_000, 1_000_000_000
 RATE = 3.0  # tasks a second
 FUNCTIONS = 400
 CHANGES = 40  # of a line of the list
@@ -39,10 +40,6 @@
 ]
 
 
-class GatewayStartError(GaprouteError, RuntimeError):
-    """The gateway ended before it served."""
-
-
 class Costs(NamedTuple):
     """What one play gave, in the order of the table's columns."""
 
@@ -53,11 +50,6 @@
     log: float  # bytes a second
 
 
-def cpu(pid: int) -> float:
-    """Seconds of CPU that the process has taken."""
-    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9  # of its one thread
-
-
 class Scene:
     """A gateway before stand-in hosts and their change log, each a process; `end` ends them all."""
 
@@ -119,9 +111,9 @@
 
     def spent(self, action: Callable[[], object]) -> float:
         """Seconds of CPU of the gateway while `action` runs."""
-        before = cpu(self.child.pid)
+        before = main_thread_cpu(self.child.pid) / SECOND
         action()
-        return cpu(self.child.pid) - before
+        return main_thread_cpu(self.child.pid) / SECOND - before
 
     def change(self) -> None:
         """Let one host drain and another come back, in turn, each some milliseconds after the last."""
@@ -162,7 +154,7 @@
     with tempfile.TemporaryDirectory() as folder:
         scene = Scene(folder, hosts)
         try:
-            start = cpu(scene.child.pid)
+            start = main_thread_cpu(scene.child.pid) / SECOND
             scene.spent(lambda: time.sleep(1))  # what the start leaves to be done
             logged = scene.log.stat().st_size
             idle = scene.spent(lambda: time.sleep(seconds)) / seconds
--- a/benchmarks/wire.py
+++ b/benchmarks/wire.py
@@ -140,7 +140,7 @@
 
 
 def _place_callers(link: MeasuredLink, socks: Sequence[socket.socket]) -> None:
-    """Tell the emulator by which socket each caller sends."""
+    """Inform the emulator by which socket each caller sends."""
     addresses = ["{}:{}".format(*sock.getsockname()) for sock in socks]
     slots = {
         caller: {"name": f"g{caller}", "kind": "gateway", "udp": addresses[number % len(socks)]}
--- a/benchmarks/wire_processes.py
+++ b/benchmarks/wire_processes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import os
 import socket
 import subprocess
 import sys
@@ -12,12 +11,12 @@
 from types import TracebackType
 from typing import Any
 
+from benchmarks.processor_time import cpu_seconds
 from gaproute.loop import Listener, Loop, Stream
 from gaproute.loop.datagrams import READS
 from gaproute.loop.descriptors import READ
 
 ROOT = Path(__file__).resolve().parent.parent
-TICKS = os.sysconf("SC_CLK_TCK")
 FIRST_HOST, HOSTS = 16, 120  # slots of the link: hosts from FIRST_HOST on, callers behind them
 DATAGRAM_SIZE = 2048  # bytes read at once
 RECEIVE_BUFFER = 1 << 22  # bytes
@@ -126,8 +125,7 @@
 
     def cpu(self) -> float:
         """CPU time of the emulator, s."""
-        fields = Path(f"/proc/{self._emulator.pid}/stat").read_text().rsplit(")", 1)[1].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return cpu_seconds(self._emulator.pid)
 
     def cpu_spent(self) -> float:
         """CPU time of the emulator since this was last called, s."""
@@ -145,9 +143,9 @@
         return int(status.split("VmRSS:")[1].split()[0])
 
 
-def _start(words: list[str]) -> subprocess.Popen[str]:
+def _start(arguments: list[str]) -> subprocess.Popen[str]:
     return subprocess.Popen(
-        [sys.executable, *words],
+        [sys.executable, *arguments],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
