--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -3,10 +3,11 @@
 from collections.abc import Callable
 from functools import partial
 
-from benchmarks.scale.gateways import CAPACITY, MEGABYTE, REPORT, SECOND, TERMS, Caller, row, rows
+from benchmarks.scale.gateways import CAPACITY, MEGABYTE, REPORT, SECOND, Caller, row, rows
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.meters import retained_bytes
 from benchmarks.scale.plays import CPU, MEMORY, cpu_ms, grown
+from benchmarks.terms import SINGLE_GATEWAY_TERMS
 from gaproute.decisions.routing import Gateway
 from gaproute.interface import Report, Wait
 
@@ -80,7 +81,7 @@
 
 def whole_list(hosts: int, seed: int) -> float:
     """Milliseconds of the first whole list."""
-    gateway, listed = Gateway(seed, TERMS, 0), rows(hosts)
+    gateway, listed = Gateway(seed, SINGLE_GATEWAY_TERMS, 0), rows(hosts)
     return cpu_ms(lambda: gateway.update_hosts(0, listed, True))
 
 
--- a/benchmarks/scale/costs/sharing.py
+++ b/benchmarks/scale/costs/sharing.py
@@ -2,9 +2,10 @@
 
 from functools import partial
 
-from benchmarks.scale.gateways import MILLI, SECOND, TERMS, Caller
+from benchmarks.scale.gateways import MILLI, SECOND, Caller
 from benchmarks.scale.measurement import Measurements
 from benchmarks.scale.plays import CPU, cpu_ms, grown
+from benchmarks.terms import SINGLE_GATEWAY_TERMS
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.routing.load_order_limiter import LoadOrderLimiter
 from gaproute.decisions.routing.load_report_sharing import LoadReportSharing
@@ -15,14 +16,15 @@
 REPEATS = 2_000
 PICKS = 20
 LATE = 4 * SECOND  # answers come so long after their calls at the most, in no order
-TELLING = TERMS._replace(
+REPORT_SHARING_TERMS = SINGLE_GATEWAY_TERMS._replace(
     reported_figures=("cpu_busy", "memory_busy"), probe_price=1e-6, peers_allowed=True, gateways=2
 )
 
 
 def _full_limiter(calls: int) -> tuple[LoadOrderLimiter, int, int]:
     """A limiter with so many delivered calls in its window; the time, ns; the time between two calls, ns."""
-    limiter = LoadOrderLimiter(TERMS.load_orders_free, TERMS.load_order_share, WINDOW)
+    terms = SINGLE_GATEWAY_TERMS
+    limiter = LoadOrderLimiter(terms.load_orders_free, terms.load_order_share, WINDOW)
     gap = WINDOW // calls
     for number in range(calls):
         limiter.delivered(number * gap, number * gap)
@@ -46,7 +48,7 @@
 def pick(hosts: int, seed: int) -> float:
     """Milliseconds of choosing the host to probe."""
     active, chance = Caller(hosts, seed).gateway.active_hosts, Chance(seed)
-    sharing = LoadReportSharing(TELLING)
+    sharing = LoadReportSharing(REPORT_SHARING_TERMS)
     for _ in range(PICKS):
         sharing.request_delivered()
     times = iter(range(SECOND, 2 * SECOND, MILLI))
--- a/benchmarks/scale/gateways.py
+++ b/benchmarks/scale/gateways.py
@@ -3,6 +3,7 @@
 from collections.abc import Generator, Iterator
 from typing import Any
 
+from benchmarks.terms import SINGLE_GATEWAY_TERMS
 from gaproute import interface as face
 from gaproute.decisions.routing import Gateway
 from gaproute.decisions.routing.parameters import MIX_SIZE
@@ -14,36 +15,6 @@
 MEGABYTE = 1 << 20
 TOOK = 100 * MILLI  # every answer's time
 GAP = MILLI // 10  # between two calls
-TERMS = face.Terms(
-    request_classes=(
-        face.RequestClass(face.Idempotency.IDEMPOTENT, face.Group.ALL, 0, SECOND, 4 * SECOND, 1.0),
-    ),
-    tenant_shares=(),
-    over_share_value=1.0,
-    keep_alive=10 * SECOND,
-    load_orders_allowed=True,
-    load_orders_free=6,
-    load_order_share=0.3,
-    load_order_window=10 * SECOND,
-    same_function_counted=True,
-    warmth_reported=True,
-    probes_allowed=True,
-    reports_by_probe=False,
-    reported_figures=(),
-    probe_price=0.0,
-    peer_price=0.0,
-    peers_allowed=False,
-    gateways=1,
-    cancel_allowed=True,
-    hedging_allowed=True,
-    attempt_limit=4,
-    retry_after_limit=SECOND,
-    warm_up_share=0.2,
-    warm_up_time=10 * SECOND,
-    host_list_polled=False,
-    zone=-1,
-    crossing_price=0.0,
-)
 REPORT = face.Report(in_hand=1, waiting=0, cpu_busy=0.3, memory_busy=0.4)
 
 
@@ -71,7 +42,7 @@
 
     def __init__(self, hosts: int, seed: int, report: face.Report | None = None):
         self.now, self.calls, self.report = SECOND, 0, report
-        self.gateway = Gateway(seed, TERMS, self.now)
+        self.gateway = Gateway(seed, SINGLE_GATEWAY_TERMS, self.now)
         self.gateway.update_hosts(self.now, rows(hosts), True)
 
     def call(self, function: str) -> str:
