--- a/benchmarks/cold.py
+++ b/benchmarks/cold.py
@@ -8,7 +8,7 @@
 gateways, some with ten times or a thirtieth of the mean traffic; the load; whether a minute without traffic
 comes before, seven in ten gateways restart, lists come up to 4 s late. `step`: a cold host stays at its first
 share until it is warm, the least that the settings promise; `even`: it gains evenly. `--named`: with each
-list every gateway is told, wrongly, that each cold host has an instance of each function and nothing to do.
+list every gateway learns, wrongly, that each cold host has an instance of each function and nothing to do.
 `--cases NAMES`: a row for each of CASES, by semicolons; 'all' of them, or the 'hard' ones, in which hosts
 gain nothing and every gateway gets the list at once: fleets of 1, 30 and 230, hosts of several sizes, storms.
 The budget is that of the standing test: N + 2 x root of N + 2, with N under 30 N + 3 x root of N + 3, in
--- a/benchmarks/connection_processes.py
+++ b/benchmarks/connection_processes.py
@@ -142,7 +142,7 @@
             self._obey(json.loads(line))
 
 
-def say(answer: Mapping[str, Any]) -> None:
+def print_answer(answer: Mapping[str, Any]) -> None:
     """Print an answer for the parent process."""
     print(json.dumps(answer), flush=True)
 
@@ -173,17 +173,17 @@
         if "idle" in order:
             server.set_idle_time(order["idle"])
         elif order.get("late"):
-            say(lateness(server.late))
+            print_answer(lateness(server.late))
         else:
-            say({"held": server.held})
+            print_answer({"held": server.held})
 
     OrderReader(loop, obey)
-    say({"at": server.address})
+    print_answer({"at": server.address})
     loop.run()
 
 
 class Clients:
-    """`count` connections to the server at `where`, some of which send requests when told to."""
+    """`count` connections to the server at `where`, some of which send requests on order."""
 
     def __init__(self, loop: Loop, where: str, count: int) -> None:
         opening_time = max(1, count // CONNECTIONS_A_SECOND)
@@ -201,7 +201,7 @@
         yield from self._generator.open_connections()
         self._generator.started_at = self._loop.now()
         self._loop.spawn(self._generator.watch_deadlines())
-        say({"open": self._count})
+        print_answer({"open": self._count})
 
     def send_requests(self, rate: float, seconds: float) -> Generator[Promise, None, None]:
         """Coroutine: send requests at a rate (a second) for a time, then say what came of them."""
@@ -212,7 +212,7 @@
             traffic = self._traffic.model_copy(update={"rate": rate})
             self._loop.spawn(self._generator.arrivals(traffic))
         yield self._loop.sleep(span + LAST_ANSWERS)
-        say(result.summary() if rate else {})
+        print_answer(result.summary() if rate else {})
 
 
 def hold(where: str, count: int) -> None:
--- a/benchmarks/fault_hunt.py
+++ b/benchmarks/fault_hunt.py
@@ -5,9 +5,8 @@
 
 A failure is printed with its seed, its findings and the faults that were injected, each with its call, its
 number and the place in the code. `--reduce` plays it again with ever fewer faults and prints the few that
-matter. `--replay SEED ODDS` plays one seed alone. Each fourth play has the gateway told to stop, each
-third has faults from its start on. Exit code 1
-where a rule broke.
+matter. `--replay SEED ODDS` plays one seed alone. In every fourth play the gateway is asked to stop; every
+third has faults from its start on. Exit code 1 where a rule broke.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 from gaproute.faultinjection.play.runner import Verdict, by_chance, play, reduce_faults
 from gaproute.faultinjection.play.traffic import Conditions
 
-STOP_EACH, START_EACH = 4, 3  # one play of so many has the gateway told to stop, has faults from its start
+STOP_EACH, START_EACH = 4, 3  # one play in so many: the gateway is asked to stop, faults from its start
 
 
 def conditions_of(seed: int) -> Conditions:
@@ -41,12 +40,12 @@
         "--without", default="", help="calls that never fail, by their names in the catalogue"
     )
     parser.add_argument("--replay", type=int, nargs=2, metavar=("SEED", "ODDS"))
-    told = parser.parse_args()
-    without = told.without.split(",")
-    if told.replay:
-        return hunt([told.replay[0]], told.replay[1], without, reduce=told.reduce)
-    seeds = list(range(told.first, told.first + told.seeds))
-    return max(hunt(seeds, int(odds), without, reduce=told.reduce) for odds in told.odds.split(","))
+    options = parser.parse_args()
+    without = options.without.split(",")
+    if options.replay:
+        return hunt([options.replay[0]], options.replay[1], without, reduce=options.reduce)
+    seeds = list(range(options.first, options.first + options.seeds))
+    return max(hunt(seeds, int(odds), without, reduce=options.reduce) for odds in options.odds.split(","))
 
 
 def hunt(seeds: list[int], odds: int, without: list[str], *, reduce: bool) -> int:
@@ -58,7 +57,7 @@
         requests, injected = requests + verdict.requests, injected + len(verdict.injected)
         if verdict.findings:
             broken += 1
-            say(verdict, odds, conditions, reduce=reduce)
+            print_failure(verdict, odds, conditions, reduce=reduce)
     took = time.monotonic() - began
     print(
         f"one call in {odds}: {len(seeds)} plays, {requests} requests, {injected} faults injected, "
@@ -68,7 +67,7 @@
     return 1 if broken else 0
 
 
-def say(verdict: Verdict, odds: int, conditions: Conditions, *, reduce: bool) -> None:
+def print_failure(verdict: Verdict, odds: int, conditions: Conditions, *, reduce: bool) -> None:
     """Prints a failure so that it can be played again."""
     if not reduce:
         print(f"odds {odds}, {verdict}", flush=True)
--- a/benchmarks/fleet/candidates.py
+++ b/benchmarks/fleet/candidates.py
@@ -62,7 +62,7 @@
 
 
 class TiesByCapacity(EqualFirstChoices):
-    """(c) Near-ties by chance in proportion to the free capacity that reports tell of."""
+    """(c) Near-ties by chance in proportion to the free capacity that reports show."""
 
     slack = NEAR_TIE
 
--- a/benchmarks/fleet/measures.py
+++ b/benchmarks/fleet/measures.py
@@ -146,7 +146,7 @@
         return own / (total / total_size) if total else 0.0
 
     def herd_figures(self) -> HerdFigures:
-        """Of a part of the reports that told of no more than the median load, and of all events."""
+        """Of a part of the reports that showed no more than the median load, and of all events."""
         reported = sorted(report.cpu_busy for report in self.reports)
         middle = reported[len(reported) // 2] if reported else 0.0
         low = [report for report in self.reports if report.cpu_busy <= middle][::REPORTS_TAKEN]
--- a/benchmarks/fleet/world.py
+++ b/benchmarks/fleet/world.py
@@ -137,16 +137,16 @@
         self.cpu_time += process_time_ns() - began
 
     def attempt_started(self, gateway: FleetGateway, function: str, host_name: str, host: FleetHost) -> None:
-        """Tell the watchers of an attempt."""
+        """Notify the watchers of an attempt."""
         for watcher in self.watchers:
             watcher.attempt_started(self.clock.now, gateway, function, host_name, host)
 
     def request_answered(self, request: FleetRequest) -> None:
-        """Tell the watchers of a request that was delivered."""
+        """Notify the watchers of a request that was delivered."""
         for watcher in self.watchers:
             watcher.request_answered(self.clock.now, request)
 
     def request_unanswered(self, request: FleetRequest) -> None:
-        """Tell the watchers of a request that was rejected or has failed."""
+        """Notify the watchers of a request that was rejected or has failed."""
         for watcher in self.watchers:
             watcher.request_unanswered(self.clock.now, request)
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -13,8 +13,8 @@
 CPU       of sending, receiving and their bytes, % of a core a gateway; read: us to read requests of all hosts
 hands     mean error of a host's requests in flight over the fleet against their mean of the last 5 s, in % of
           the mean host; `alone`: by own requests times the gateways; `now`: by all true counts at that moment
-age       of the requests in flight that others sent, s; tellers: how many such messages a reader holds
-demand    mean error of the ten most popular functions' arrivals a second, %; spread: told, over the true one
+age       of the requests in flight that others sent, s; tellers: from how many gateways a reader has them
+demand    mean error of the ten most popular functions' arrivals a second, %; spread: estimate over truth
 warm      instances used within 60 s that a reader can name, %; false: named, but never there
 """
 
--- a/benchmarks/gossip_readings.py
+++ b/benchmarks/gossip_readings.py
@@ -43,7 +43,7 @@
 
 
 def demand_errors(node: GossipNode, traffic: GossipTraffic, now: int) -> dict[str, float]:
-    """Of the most popular functions: mean error in %, and the deviation that is told over the true one."""
+    """Of the most popular functions: mean error in %, and the estimated deviation over the true one."""
     errors, spreads = [], []
     for rank, function in enumerate(traffic.functions[:POPULAR]):
         estimate, true = node.demand(now, function, 0), traffic.true_demand(rank)
--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -1,18 +1,17 @@
-"""What a restarted gateway gains by what it is told: the same day without, by peers, by its own disk, by
+"""What a restarted gateway gains by what it learns: the same day without, by peers, by its own disk, by
 both.
 
     python benchmarks/learning.py [--seeds 1,2,3] [--hosts 20] [--at-once 2] [--out docs/measured]
-    python benchmarks/learning.py --wrong         peers that tell wrong copies: none, 20, 50 and 100% of them
+    python benchmarks/learning.py --wrong     peers that report wrongly: none, 20, 50 and 100% of the copies
 
 Four gateways before the hosts; one of them, or all in turn, are killed and start again half a second later.
-From the hosts' taps: the share of a gateway's tasks that found a copy standing, in its first two and ten
+From the hosts' taps: the share of a gateway's requests that found a warm instance, in its first two and ten
 seconds beside the eight before the first kill, and the time until two seconds in a row had 95% of that share;
 store fetches in the 30 s after the first kill; from the clients' taps the service of the restarted gateways'
-first ten seconds; from the gateways' logs the CPU that telling and remembering took.
+first ten seconds; from the gateways' logs the CPU that sharing and storing observations took.
 """
 
 import argparse
-import itertools
 import json
 import sys
 import tempfile
@@ -29,7 +28,7 @@
 from gaproute.standins.tap import read_tap
 
 SECOND = 1_000_000_000
-KILL = 24  # by then the store is calm: copies stand where the gateways want them
+FIRST_KILL = 24  # s: by then the store is calm, as instances are loaded where the gateways want them
 SCRIPT = """
 day length {length}s rate {rate} hosts {hosts} gateways 4 models {models} retries 0 impatient 0 {sources}
 kind std share 1 cores 4 speed 1 copies 10
@@ -43,19 +42,20 @@
 relays limit 4 twins yes cancel yes
 reports answer
 cold share 0.17 time 12s
-{troubles}
+{kills}
 """
 
 
 BEFORE = 8 * SECOND  # the first kill, in which warm instances and fetches are counted
 AFTER = 30 * SECOND  # from the first kill, in which fetches are counted
 MODES = {"nothing": (False, False), "disk": (False, True), "peers": (True, False), "both": (True, True)}
-LIARS = {
+FALSE_REPORTERS = {
     "0%": "gaproute.decisions.routing:Gateway",
     "20%": "gaproute.standins.false_reports:ReportsFalselyAtTimes",
     "50%": "gaproute.standins.false_reports:ReportsFalselyByHalf",
     "100%": "gaproute.standins.false_reports:ReportsFalselyAlways",
 }
+HONEST = FALSE_REPORTERS["0%"]
 
 
 Row = dict[str, Any]
@@ -156,17 +156,17 @@
 
 def day_script(day: Day) -> str:
     """The script of the day."""
-    troubles = "\n".join(
-        f"trouble gateway-kill at {KILL + 2 * place}s back 500ms gateway {place}"
+    kills = "\n".join(
+        f"trouble gateway-kill at {FIRST_KILL + 2 * place}s back 500ms gateway {place}"
         for place in range(day.killed)
     )
     peers, memory = ("yes" if each else "no" for each in MODES[day.mode])
     return SCRIPT.format(
-        length=KILL + 30,
+        length=FIRST_KILL + 30,
         rate=8 * day.hosts,
         hosts=day.hosts,
         models=3 * day.hosts,
-        troubles=troubles,
+        kills=kills,
         sources=f"peers {peers} memory {memory}",
     )
 
@@ -192,7 +192,7 @@
     }
 
 
-def row_of(head: Row, runs: Sequence[Row]) -> Row:
+def make_row(head: Row, runs: Sequence[Row]) -> Row:
     """A row of the table: medians of the runs."""
     row = dict(head)
     for name in runs[0]:
@@ -206,22 +206,28 @@
 
 def planned_days(options: argparse.Namespace) -> list[tuple[Row, Day]]:
     """The head of each row with its day."""
-    if options.wrong:
-        honest = LIARS["0%"]
-        return [
-            ({"restarted": "4 of 4", "told": "nothing"}, Day(options.hosts, "nothing", 4, honest)),
-            *(
-                (
-                    {"restarted": "4 of 4", "told": f"{wrong} wrong"},
-                    Day(options.hosts, "peers", 4, decisions),
-                )
-                for wrong, decisions in LIARS.items()
-            ),
-        ]
-    return [
-        ({"restarted": f"{killed} of 4", "told by": mode}, Day(options.hosts, mode, killed, LIARS["0%"]))
-        for killed, mode in itertools.product(map(int, options.struck.split(",")), options.modes.split(","))
+    return _days_of_wrong_reports(options) if options.wrong else _days_by_source(options)
+
+
+def _days_of_wrong_reports(options: argparse.Namespace) -> list[tuple[Row, Day]]:
+    """All gateways are killed: without reports of peers, then with reports of which so many are wrong."""
+    days: list[tuple[Row, Day]] = [
+        ({"restarted": "4 of 4", "told": "nothing"}, Day(options.hosts, "nothing", 4, HONEST))
     ]
+    for wrong, decisions in FALSE_REPORTERS.items():
+        head = {"restarted": "4 of 4", "told": f"{wrong} wrong"}
+        days.append((head, Day(options.hosts, "peers", 4, decisions)))
+    return days
+
+
+def _days_by_source(options: argparse.Namespace) -> list[tuple[Row, Day]]:
+    """So many gateways are killed, and learn from each of the sources."""
+    days: list[tuple[Row, Day]] = []
+    for killed in map(int, options.struck.split(",")):
+        for mode in options.modes.split(","):
+            head = {"restarted": f"{killed} of 4", "told by": mode}
+            days.append((head, Day(options.hosts, mode, killed, HONEST)))
+    return days
 
 
 def main() -> None:
@@ -243,7 +249,7 @@
     rows = []
     for place, (head, _) in enumerate(days):
         runs = [result for job, result in zip(jobs, results, strict=True) if job[0] == place]
-        rows.append(row_of(head, runs))
+        rows.append(make_row(head, runs))
         print(rows[-1], flush=True)
     size = "" if options.hosts == 20 else f"-{options.hosts}"
     write(options.out, ("learning-wrong" if options.wrong else "learning") + size, rows)
--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -1,12 +1,12 @@
-"""How long after its client left an attempt for a task still begins, at a gateway whose loop is full.
+"""How long after its client left an attempt for a request still begins, at a gateway whose loop is full.
 
     taskset -c 7 python benchmarks/leaving.py [--rates 4000,5600] [--seconds 20] [--seed 1] [--peers 6]
 
 One gateway of the platform in a process of its own on the core that this is started on; its clients share a
-process on the core `--peers`, its hosts one on the core before that. Of the tasks, which come at a steady
-rate over kept connections, one in ten loses its client within 20 ms, by a close or a reset. Hosts take 30 ms,
-and turn one attempt in ten away, so that it is sent on. The lag runs from just before the close to when the
-host has read the attempt, so it holds the peers' own lateness, which is told beside it.
+process on the core `--peers`, its hosts one on the core before that. Of the requests, which come at a steady
+rate over open connections, one in ten loses its client within 20 ms, by a close or a reset. Hosts take 30 ms,
+and reject one attempt in ten, so that it is tried again. The lag runs from just before the close to when the
+host has read the attempt, so it holds the peers' own lateness, which has a column of its own.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from gaproute.standins.platform.scripted import ScriptedChangeLog, ScriptedClient, ScriptedHost, event
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-HOSTS, KEPT = 12, 300  # kept connections of clients
-WORK, LEAVES = 30 * MILLI, 20 * MILLI
-WARM = 2 * SECOND  # first ones, which count for nothing
+HOSTS, CONNECTIONS = 12, 300  # connections of clients, which stay open
+WORK_TIME, MAX_LEAVE_TIME = 30 * MILLI, 20 * MILLI
+WARM_UP_TIME = 2 * SECOND  # nothing is counted before it is over
 GATEWAY = "127.0.0.1:7390"
-TRACKS = (
+REQUEST_CLASSES = (
     RequestClassSettings("check"),
     RequestClassSettings("check"),
     RequestClassSettings("check"),
@@ -58,7 +58,7 @@
         Path(folder, "seen").write_text(json.dumps(self.seen))
 
     def answer(self, stream: Stream, command: dict[str, Any]) -> None:
-        """Note when an attempt was read; turn one in ten away and serve the others after their work."""
+        """Note when an attempt was read; reject one in ten and serve the others after their work."""
         host = self.hosts[0]
         if command["type"] != "go":
             host.serve(stream, command)
@@ -67,7 +67,7 @@
         if self.chance.below(10) == 0:
             host.reply(stream, command, "overload")
         else:
-            self.loop.after(WORK, host.serve, stream, command)
+            self.loop.after(WORK_TIME, host.serve, stream, command)
 
 
 def _start_hosts(seed: int, folder: str) -> int:
@@ -112,7 +112,7 @@
             listen=GATEWAY,
             change_log=change_log,
             known={"seq": 1, "results": [event(1, *members, complete=True)]},
-            settings=deployment_settings(TRACKS[2:]),
+            settings=deployment_settings(REQUEST_CLASSES[2:]),
             seed=seed,
         )
         command, environment = configuration.write(self.folder)
@@ -123,11 +123,11 @@
     def _measure(self, seconds: int) -> None:
         loop = self.loop
         loop.run(until=loop.sleep(SECOND))
-        self.clients = [self._connect() for _ in range(KEPT)]
+        self.clients = [self._connect() for _ in range(CONNECTIONS)]
         loop.run(until=loop.sleep(SECOND))
         self.next = loop.now()
         loop.soon(self._ask)
-        loop.run(until=loop.sleep(WARM))
+        loop.run(until=loop.sleep(WARM_UP_TIME))
         self.left, self.late, first = {}, 0, self.sent
         before, began = cpu_seconds(self.node.pid), loop.now()
         loop.run(until=loop.sleep(seconds * SECOND))
@@ -142,18 +142,18 @@
         return client
 
     def _ask(self) -> None:
-        """Send all tasks that are due; one client in ten leaves a little later."""
+        """Send all requests that are due; one client in ten leaves a little later."""
         now = self.loop.now()
         self.late = max(self.late, now - self.next)
         while self.next <= now:
             self.next += SECOND // self.rate
             self.sent += 1
-            place = self.chance.below(KEPT)
+            place = self.chance.below(CONNECTIONS)
             client = self.clients[place]
-            client.ask(self.sent, TRACKS[self.chance.below(4)].name)
+            client.ask(self.sent, REQUEST_CLASSES[self.chance.below(4)].name)
             if self.chance.below(10) == 0:
                 self.clients[place] = self._connect()
-                self.loop.after(self.chance.below(LEAVES), self._leave, client, f"{self.sent:016x}")
+                self.loop.after(self.chance.below(MAX_LEAVE_TIME), self._leave, client, f"{self.sent:016x}")
         self.loop.at(self.next, self._ask)
 
     def _leave(self, client: ScriptedClient, name: str) -> None:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -71,7 +71,7 @@
             self.run(SECOND // 4)
         return None
 
-    def whole(self) -> bool:
+    def all_alive(self) -> bool:
         """Whether each gateway holds all others alive."""
         return all(len(node.table.alive) == len(self.nodes) - 1 for node in self.nodes.values())
 
@@ -128,7 +128,7 @@
     return {"it knows, s": knows, "known, s": None if known is None else (net.now - born) / SECOND}
 
 
-def heal(size: int, seed: int) -> Figure:
+def time_to_heal(size: int, seed: int) -> Figure:
     """Seconds until all hold all alive after two halves were cut off for two minutes."""
     net = Bytes(size, seed)
     half = {f"g{number}" for number in range(size // 2)}
@@ -136,10 +136,10 @@
     net.is_lost = lambda sender, to: (sender in half) != (to in half)
     net.run(120 * SECOND)
     net.is_lost = lambda sender, to: False
-    return net.until(net.whole)
+    return net.until(net.all_alive)
 
 
-def roll(size: int, seed: int) -> Figure:
+def time_to_restart(size: int, seed: int) -> Figure:
     """Seconds until all hold all alive after seven tenths were killed and started again."""
     net, chance = Bytes(size, seed), Chance(seed)
     net.run(40 * SECOND)
@@ -151,7 +151,7 @@
         net.start(name, chance.below(1 << 30), peers)
     return net.until(
         lambda: (
-            net.whole()
+            net.all_alive()
             and all(
                 member.state == MemberState.ALIVE
                 for node in net.nodes.values()
@@ -161,6 +161,9 @@
     )
 
 
+REPAIRS = {"heal": time_to_heal, "roll": time_to_restart}  # by the part of a play; without loss alone
+
+
 def summary(figures: Sequence[Figure]) -> str:
     """The median, in brackets the least and the most, and how many plays have none."""
     if not figures:
@@ -201,8 +204,8 @@
     for seed in seeds:
         for size, loss in cases:
             plays[pool.submit(calm_and_death, size, loss, seed)] = Play("calm", size, loss, seed)
-            for part in () if loss else (heal, roll):
-                plays[pool.submit(part, size, seed)] = Play(part.__name__, size, loss, seed)
+            for part, measure in () if loss else REPAIRS.items():
+                plays[pool.submit(measure, size, seed)] = Play(part, size, loss, seed)
     return plays
 
 
@@ -223,7 +226,7 @@
             found[play] = ended.result() if play.part == "calm" else {f"{play.part}, s": ended.result()}
             print(tuple(play), found[play], flush=True)
             rows = table(sorted(cases), found)
-            if rows:  # what has ended is kept, whatever becomes of the rest
+            if rows:  # stored after each play, so that a run which is ended early has its rows
                 write(options.out, "membership", rows)
 
 
--- a/benchmarks/module.py
+++ b/benchmarks/module.py
@@ -28,7 +28,7 @@
 MILLI, SECOND = 1_000_000, 1_000_000_000
 FUNCTIONS = 300
 IN_FLIGHT = 40  # requests
-ROUNDS = 3  # in turn, so that the machine's drift strikes all revisions
+ROUNDS = 3  # in turn, so that the machine's drift affects all revisions alike
 PROFILE_LINES = 18
 # Where a revision has its decisions and their chance.
 MODULES = (
@@ -185,8 +185,10 @@
 
 def play_in_process(root: str, hosts: int, requests: int) -> float:
     """One play in a process of its own, by the decisions of that tree."""
-    words = ["--once", root, "--hosts", str(hosts), "--tasks", str(requests)]
-    printed = subprocess.run([sys.executable, __file__, *words], capture_output=True, check=True, text=True)
+    arguments = ["--once", root, "--hosts", str(hosts), "--tasks", str(requests)]
+    printed = subprocess.run(
+        [sys.executable, __file__, *arguments], capture_output=True, check=True, text=True
+    )
     return float(printed.stdout)
 
 
--- a/benchmarks/rounds.py
+++ b/benchmarks/rounds.py
@@ -197,7 +197,7 @@
     parser.add_argument("--timed", type=int, default=60)
     parser.add_argument("--processes", type=int, default=8)
     parser.add_argument(
-        "--most", type=int, default=3600, help="s after which it tells what was done until then"
+        "--most", type=int, default=3600, help="seconds after which it ends with what was done until then"
     )
     parser.add_argument("--out", default="")
     options, began = parser.parse_args(), time.time()
--- a/benchmarks/scale/arithmetic.py
+++ b/benchmarks/scale/arithmetic.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Predicted:
-    """A measurement's prediction at a size, with the words that name where it comes from."""
+    """A measurement's prediction at a size, with a text that names where it comes from."""
 
     value: float
     source: str
--- a/benchmarks/scale/assumption_figures.py
+++ b/benchmarks/scale/assumption_figures.py
@@ -7,7 +7,7 @@
 from benchmarks.scale.text import number, table
 
 
-def assumptions(words: list[str], folder: Path) -> list[str]:
+def assumptions(arguments: list[str], folder: Path) -> list[str]:
     """What changes with the instances a host: the fleet, today's costs by it, and the cells."""
     rows = []
     for instances in size.INSTANCES_A_HOST:
--- a/benchmarks/scale/cells/__main__.py
+++ b/benchmarks/scale/cells/__main__.py
@@ -71,7 +71,7 @@
 
 
 def throughput_plays() -> Iterator[NamedPlay]:
-    """Forwarding as fast as it goes, and the same without, in turn: the machine's drift strikes both."""
+    """Forwarding as fast as it goes, and without, in turn: the machine's drift affects both alike."""
     for seed in (1, 2, 3):
         for kind in ("both", "unforwarded"):
             yield f"{kind}, seed {seed}", partial(throughput.play, kind, seed)
--- a/benchmarks/scale/children.py
+++ b/benchmarks/scale/children.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 
-def command(words: Iterable[object]) -> list[str]:
-    """The command for `words`, a module and its arguments: the kernel ends it when this process ends."""
+def command(arguments: Iterable[object]) -> list[str]:
+    """The command for a module and its arguments: the kernel ends that process when this one ends."""
     bind = ("-m", "gaproute.cluster.child", "--parent-death", "--parent", str(os.getpid()), "--")
-    return [sys.executable, *bind, *map(str, words)]
+    return [sys.executable, *bind, *map(str, arguments)]
--- a/benchmarks/scale/cold_start.py
+++ b/benchmarks/scale/cold_start.py
@@ -12,7 +12,7 @@
 FRONT = 0.8  # ms through a gateway without its decisions: 0.43 to the first attempt, 0.36 back
 
 
-def cold_start(words: list[str], folder: Path) -> list[str]:
+def cold_start(arguments: list[str], folder: Path) -> list[str]:
     """What the choice, the way and the answer take, and what is left for the load itself."""
     every_host = predicted("decisions-first-call-by-hosts", size.HOSTS_AT_20, folder)
     in_cell = predicted("decisions-first-call-by-hosts", CELL_HOSTS, folder)
--- a/benchmarks/scale/dissemination_fleet.py
+++ b/benchmarks/scale/dissemination_fleet.py
@@ -85,7 +85,7 @@
         self._set_timer(gateway)
 
     def _set_candidates(self) -> None:
-        """Tell each gateway the members of its own cell and the entry gateways of the others."""
+        """Give each gateway the members of its own cell and the entry gateways of the others."""
         members: defaultdict[int, list[Peer]] = defaultdict(list)
         for gateway in self.gateways:
             members[gateway.place.cell].append(gateway.peer)
--- a/benchmarks/scale/failure_figures.py
+++ b/benchmarks/scale/failure_figures.py
@@ -22,7 +22,7 @@
 from benchmarks.scale.text import number
 
 
-def failure(words: list[str], folder: Path) -> list[str]:
+def failure(arguments: list[str], folder: Path) -> list[str]:
     """The table of failures: what each one brings."""
     return rows_of(
         [
--- a/benchmarks/scale/fit.py
+++ b/benchmarks/scale/fit.py
@@ -40,7 +40,7 @@
 
     @property
     def formula(self) -> str:
-        """The curve in words, with its figures."""
+        """The curve as text, with its figures."""
         return FORMULAS[self.form].format(self.first, self.second)
 
 
--- a/benchmarks/scale/ladder.py
+++ b/benchmarks/scale/ladder.py
@@ -29,12 +29,12 @@
 
 def play(size: int, arguments: argparse.Namespace, limits: Limits) -> PlayedRung:
     """Play a rung in a process of its own."""
-    words: list[object] = ["benchmarks.scale.rung", size, "--seed", arguments.seed]
-    words += ["--parts", arguments.parts, "--memory", limits.memory, "--seconds", limits.seconds_left()]
+    child: list[object] = ["benchmarks.scale.rung", size, "--seed", arguments.seed]
+    child += ["--parts", arguments.parts, "--memory", limits.memory, "--seconds", limits.seconds_left()]
     for option in ("hosts", "cells"):
         if getattr(arguments, option) is not None:
-            words += [f"--{option}", getattr(arguments, option)]
-    process = subprocess.Popen(command(words), stdout=subprocess.PIPE, text=True)
+            child += [f"--{option}", getattr(arguments, option)]
+    process = subprocess.Popen(command(child), stdout=subprocess.PIPE, text=True)
     try:
         printed, _ = process.communicate()
     finally:
@@ -73,7 +73,7 @@
     parser = argparse.ArgumentParser(prog="python -m benchmarks.scale.ladder", description=__doc__)
     climbing.add_arguments(parser, rungs=RUNGS, seconds=1200, name="simulated")
     add_arguments(parser)
-    parser.add_argument("--after", help="the name of a kept ladder, whose rungs are not played again")
+    parser.add_argument("--after", help="the name of a stored ladder, whose rungs are not played again")
     arguments = parser.parse_args()
     limits = climbing.limits_of(arguments)
     rungs = climbing.complete_rungs(LADDERS, arguments.after) if arguments.after else []
--- a/benchmarks/scale/ladder_table.py
+++ b/benchmarks/scale/ladder_table.py
@@ -53,12 +53,12 @@
 FLAT_FROM = 1_000  # gateways from which on a gateway's costs are not to grow
 
 
-def ladder(words: list[str], folder: Path) -> list[str]:
+def ladder(arguments: list[str], folder: Path) -> list[str]:
     """`NAME`: the ladder stored under that name.
 
     Raises OSError where there is none, KeyError where the file contains no ladder.
     """
-    (name,) = words
+    (name,) = arguments
     stored = json.loads((folder / "ladders" / f"ladder-{name}.json").read_text())
     complete = [rung for rung in stored["rungs"] if rung["measured"] and not rung["stopped"]]
     if stored.get("cells"):
--- a/benchmarks/scale/machines.py
+++ b/benchmarks/scale/machines.py
@@ -63,7 +63,7 @@
 )
 
 
-def machines(words: list[str], folder: Path) -> list[str]:
+def machines(arguments: list[str], folder: Path) -> list[str]:
     """The roles, and how many machines are left."""
     head = ["role", "machines", "where", "what each bears", "what is lost with one, a zone, a region"]
     rows = [[role.name, str(role.copies), role.where, role.bears, role.lost] for role in ROLES]
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -2,7 +2,7 @@
 
 Two things of a page are rewritten; all else stays as its author wrote it:
 
-- a block, everything between `<!-- table: KIND WORD ... -->` and `<!-- end -->`, both on lines of their own;
+- a block, everything between `<!-- table: KIND ARGUMENT ... -->` and `<!-- end -->`, each on its own line;
   the kinds are those of `tables.TABLES`;
 - a figure in the text, written as a link whose title says what it is:
   `[161 ms](measured/scale/NAME.json "measured at 25600")`, or "predicted at" a size, "residual", "spread",
@@ -21,7 +21,7 @@
 from benchmarks.scale.tables import TABLES, PageError
 
 PAGE = Path(__file__).parents[2] / "docs" / "CAPACITY.md"
-BEGIN = re.compile(r"<!-- table: (?P<kind>\S+)(?P<words>( \S+)*) -->")
+BEGIN = re.compile(r"<!-- table: (?P<kind>\S+)(?P<arguments>( \S+)*) -->")
 END = "<!-- end -->"
 LINK = re.compile(r'\[(?P<shown>[^]]*)\]\((?P<path>[^ )]*\.(json|py)) "(?P<title>[^"]*)"\)')
 
@@ -65,7 +65,7 @@
     if opening["kind"] not in TABLES:
         raise PageError(f"line {line}: no such table: {opening['kind']}")
     try:
-        return TABLES[opening["kind"]](opening["words"].split(), folder)
+        return TABLES[opening["kind"]](opening["arguments"].split(), folder)
     except (PageError, MeasurementError) as error:
         raise PageError(f"line {line}, table {opening['kind']}: {error}") from error
 
@@ -78,7 +78,7 @@
         return []
     pairs = zip_longest(shown, made, fillvalue="")
     was, now = next(pair for pair in pairs if pair[0] != pair[1])
-    return [Disagreement(line, f"table {opening['kind']}{opening['words']}", was, now)]
+    return [Disagreement(line, f"table {opening['kind']}{opening['arguments']}", was, now)]
 
 
 def _with_figures(text: str, line: int, folder: Path, differing: list[Disagreement]) -> str:
--- a/benchmarks/scale/tables.py
+++ b/benchmarks/scale/tables.py
@@ -36,7 +36,7 @@
     return value
 
 
-def slopes(words: list[str], folder: Path) -> list[str]:
+def slopes(arguments: list[str], folder: Path) -> list[str]:
     """`NAME@SIZE ...`: each measurement, its fit, and what it predicts at the size.
 
     `*` in a name matches anything.
@@ -52,16 +52,16 @@
         "last size over the curve",
         "predicted",
     ]
-    return table(head, [_slope(name, at, folder) for name, at in _requested(words, folder)])
+    return table(head, [_slope(name, at, folder) for name, at in _requested(arguments, folder)])
 
 
-def _requested(words: Sequence[str], folder: Path) -> Iterator[tuple[str, float]]:
+def _requested(arguments: Sequence[str], folder: Path) -> Iterator[tuple[str, float]]:
     """(name of a measurement, size) of each that the page asks for."""
     known = sorted(path.stem for path in folder.glob("*.json"))
-    for word in words:
-        pattern, marked, at = word.partition("@")
+    for argument in arguments:
+        pattern, marked, at = argument.partition("@")
         if not marked:
-            raise PageError(f"{word}: a size is needed, as in {pattern}@25600")
+            raise PageError(f"{argument}: a size is needed, as in {pattern}@25600")
         names = fnmatch.filter(known, pattern)
         if not names:
             raise PageError(f"no measurement is named {pattern}")
@@ -94,13 +94,15 @@
     ]
 
 
-def budget(words: list[str], folder: Path) -> list[str]:
+def budget(arguments: list[str], folder: Path) -> list[str]:
     """`[ROLE ...]`: the rows of these roles, or all, against their budgets."""
-    unknown = set(words) - {row.role for row in roles.ROWS}
+    unknown = set(arguments) - {row.role for row in roles.ROWS}
     if unknown:
         raise PageError(f"no such role: {', '.join(sorted(unknown))}")
     head = ["role", "cost", "at", "predicted", "budget", "of the budget", "mechanism", "state"]
-    return table(head, [_budgeted(row, folder) for row in roles.ROWS if not words or row.role in words])
+    return table(
+        head, [_budgeted(row, folder) for row in roles.ROWS if not arguments or row.role in arguments]
+    )
 
 
 def _budgeted(row: roles.Row, folder: Path) -> list[str]:
@@ -115,14 +117,14 @@
 
 
 def times(factor: float) -> str:
-    """A factor of the budget in words."""
+    """A factor of the budget as text."""
     return f"{number(factor)} times" if factor > 1 else share(factor)
 
 
-def breaks_first(words: list[str], folder: Path) -> list[str]:
+def breaks_first(arguments: list[str], folder: Path) -> list[str]:
     """What is missing, then what is over its budget, the furthest over first."""
-    if words:
-        raise PageError(f"breaks-first takes no words: {' '.join(words)}")
+    if arguments:
+        raise PageError(f"breaks-first takes no words: {' '.join(arguments)}")
     verdicts = [judged(row, folder) for row in roles.ROWS]
     missing = [verdict for verdict in verdicts if verdict.factor is None]
     over = [(verdict.factor, verdict) for verdict in verdicts if verdict.factor is not None]
--- a/benchmarks/scale/time_figures.py
+++ b/benchmarks/scale/time_figures.py
@@ -16,7 +16,7 @@
 from benchmarks.scale.text import number
 
 
-def time(words: list[str], folder: Path) -> list[str]:
+def time(arguments: list[str], folder: Path) -> list[str]:
     """How often things happen, and how long today's ways of spreading them take."""
     return rows_of(
         [
