--- a/tests/appliance/test_cell_faults.py
+++ b/tests/appliance/test_cell_faults.py
@@ -210,7 +210,7 @@
     assert pair.wait(pair.ask("ga", pair.homed("order", "b1"), "t3")).status == OK
 
 
-def test_a_gateway_restarted_while_the_table_is_gone_is_told_it_by_another_one(pair):
+def test_a_gateway_restarted_while_the_table_is_gone_gets_it_from_another_one(pair):
     restarted_without_a_table(pair)
     assert pair.cell_status("gc")["version"] == "1.1"
     assert pair.wait(pair.ask("gc", pair.homed("order", "b1"), "t1")).status == OK
--- a/tests/appliance/test_cell_table_exchange.py
+++ b/tests/appliance/test_cell_table_exchange.py
@@ -99,7 +99,7 @@
     assert list(fleet.folder.glob("gc.kept.broken-*"))
 
 
-def test_two_tables_of_one_version_are_told_apart_and_a_newer_one_ends_it(cells):
+def test_two_tables_of_one_version_are_distinguished_until_a_newer_one_comes(cells):
     fleet = cells(CELLS)
     fleet.write_table()
     other = fleet.folder / "other.table"
--- a/tests/appliance/test_parent.py
+++ b/tests/appliance/test_parent.py
@@ -236,7 +236,7 @@
     made.until(lambda: made.events("rolling_reload_completed"))
 
 
-def test_who_waits_in_the_queue_when_all_are_told_to_stop_is_served(fleet):
+def test_who_waits_in_the_queue_when_all_are_asked_to_stop_is_served(fleet):
     made = fleet()
     children = made.children()
     for child in children:
@@ -266,7 +266,7 @@
     assert made.rig.wait(made.ask("t")).status == 200
 
 
-def test_a_configuration_that_checks_but_does_not_start_ends_the_roll(fleet):
+def test_a_configuration_that_checks_but_does_not_start_ends_the_rolling_reload(fleet):
     made = fleet()
     before = set(made.children())
     with socket.socket() as taken:
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR_MS, HOUR_MS])
-def test_a_kept_cell_table_holds_no_time_and_goes_by_its_version(tmp_path, step):
+def test_a_stored_cell_table_holds_no_time_and_goes_by_its_version(tmp_path, step):
     files = []
     for name, wall in (("one", BEGUN_MS), ("two", BEGUN_MS + step)):
         messages = []
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -120,7 +120,7 @@
     assert lasted < LATE_REQUEST_TIME + LEAVE_TIME + made.gate.configuration.max_deadline
 
 
-def test_a_request_that_lies_unread_on_a_kept_connection_is_served(rig, clients, monkeypatch):
+def test_a_request_that_lies_unread_on_a_persistent_connection_is_served(rig, clients, monkeypatch):
     monkeypatch.setattr("gaproute.http1.deadlines.QUIET_TIME", 10 * SECOND)  # it is not parked meanwhile
     made = rig(hosts=1)
     client = clients(made)
@@ -155,7 +155,7 @@
     assert QUIET_TIME / 2 < lasted < LATE_REQUEST_TIME + LEAVE_TIME + CLOSE_WAIT + SECOND
 
 
-def test_a_kept_connection_that_rests_is_closed_at_once(rig, clients):
+def test_an_idle_connection_is_closed_at_once(rig, clients):
     made = rig(hosts=1)
     client = clients(made)
     asked_and_answered(made, client)
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize(("others", "status"), [(True, 200), (False, 503)])
-def test_readiness_is_told_of_the_address_which_others_serve_on_under_a_parent(rig, clients, others, status):
+def test_readiness_is_that_of_the_address_which_others_serve_on_under_a_parent(rig, clients, others, status):
     made = rig(hosts=1)
     life, parent = os.pipe()
     ready, says = os.pipe()
@@ -197,7 +197,7 @@
         os.close(fd)
 
 
-def test_a_host_told_draining_after_the_stop_gets_no_more_requests(rig, clients):
+def test_a_host_listed_as_draining_after_the_stop_gets_no_more_requests(rig, clients):
     made = rig(hosts=2)
     connections = [clients(made) for _ in range(4)]
     asked_and_answered(made, clients(made))
--- a/tests/appliance/test_syscalls.py
+++ b/tests/appliance/test_syscalls.py
@@ -122,7 +122,7 @@
     assert family.log.lines.count(("warning", "child_start_failed")) == 3
 
 
-def test_a_roll_goes_on_though_a_child_cannot_be_started_at_once(family):
+def test_a_rolling_reload_goes_on_though_a_child_cannot_be_started_at_once(family):
     before = set(family.children.by_slot.values())
     FakeChild.failing = failing = Failing(lambda: None, *[errno.EMFILE] * 3)
     family.reloads.reload()
@@ -134,7 +134,9 @@
     assert not before & set(family.children.by_slot.values())
 
 
-def test_a_roll_whose_children_cannot_be_started_is_given_up_and_the_next_one_is_not_held_up(family):
+def test_a_rolling_reload_whose_children_cannot_be_started_is_given_up_and_the_next_one_goes_on(
+    family,
+):
     before = set(family.children.by_slot.values())
     FakeChild.failing = Failing(lambda: None, *[errno.EMFILE] * MAX_START_ATTEMPTS)
     family.reloads.reload()
@@ -285,7 +287,7 @@
     assert "cannot start" in result.output
 
 
-def test_a_ready_word_that_nobody_reads_does_not_end_the_gateway(monkeypatch):
+def test_a_readiness_message_that_nobody_reads_does_not_end_the_gateway(monkeypatch):
     made = Appliance(
         read_configuration("g", f"{CONFIGURATION}host a 127.0.0.1:1\n"), Loop(), 5, logger(io.StringIO())
     )
@@ -330,7 +332,7 @@
     assert not watched.wrong
 
 
-def test_a_list_that_cannot_be_read_for_long_is_told_once_and_read_in_the_end(watched, monkeypatch):
+def test_a_list_that_cannot_be_read_for_long_is_reported_once_and_read_in_the_end(watched, monkeypatch):
     failing = Failing(pathlib.Path.read_text, *[errno.EMFILE] * 20)
     monkeypatch.setattr(pathlib.Path, "read_text", lambda path: failing(path))
     watched.file.write_text("host b 127.0.0.1:1\n")
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -141,7 +141,7 @@
         assert made == text
 
 
-def test_words_outside_blocks_stay_as_they_are(tmp_path):
+def test_text_outside_blocks_stays_as_it_is(tmp_path):
     keep(tmp_path)
     text = "# Title\n\nSome 12 words, [a link](page.md), [one](other.json).\n"
     assert rewritten(text, tmp_path) == (text, [])
@@ -210,7 +210,7 @@
         assert "no such table: nothing" in output
 
 
-def test_a_slope_tells_its_fit_and_its_stretch(tmp_path):
+def test_a_slope_shows_its_fit_and_its_stretch(tmp_path):
     keep(tmp_path)
     near, far = slopes(["made@12800", "made@128000"], tmp_path)[2:]
     assert near.startswith("| made | cost of things | ms | 100 to 6,400 hosts |")
@@ -242,7 +242,7 @@
     assert verdict.factor == pytest.approx(0.8)
 
 
-def test_a_budget_below_the_smallest_size_is_told_so(tmp_path):
+def test_a_budget_below_the_smallest_size_is_marked(tmp_path):
     keep(tmp_path)
     assert judged(row(budget=10), tmp_path).state == "exists to under 100"
 
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -72,7 +72,7 @@
         each.loop.close()
 
 
-def test_what_a_failed_call_was_answered_is_told(group_at):
+def test_what_a_failed_call_was_answered_is_reported(group_at):
     """Calls go out on connections of their own: the kernel decides which is read first."""
     group = group_at([503, 200], [f"m{number}" for number in range(100)], 200)
     figures = group.play()
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -198,7 +198,7 @@
         assert set(name) <= set("abcdefghijklmnopqrstuvwxyz0123456789-")
 
 
-def test_kept_measurements_are_registered_and_whole():
+def test_stored_measurements_are_registered_and_complete():
     for path in sorted(command.MEASURED.glob("*.json")):
         measurement = Measurement.load(path.stem)
         assert measurement.name == path.stem
@@ -210,7 +210,7 @@
         assert measurement.unit in UNITS
 
 
-def test_measuring_tells_the_program_measured(tmp_path, monkeypatch, capsys):
+def test_measuring_prints_the_program_measured(tmp_path, monkeypatch, capsys):
     measurement = made(CURVES["linear"])
     monkeypatch.setattr(command, "registry", lambda: {"made": lambda: measurement})
     monkeypatch.setattr(Measurement.save, "__defaults__", (tmp_path,))
--- a/tests/cli/test_queries.py
+++ b/tests/cli/test_queries.py
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("command", ROWS)
-def test_json_is_printed_as_the_gateway_told_it(run, command):
+def test_json_is_printed_as_the_gateway_sent_it(run, command):
     assert json.loads(run(command, "--json").output) == ANSWERS[f"/{command}".encode()]
 
 
@@ -85,7 +85,7 @@
         ({"ready": False, "stopping": True}, "g: stopping, up 12 s, 3 tasks held", ExitCode.NOT_WELL),
     ],
 )
-def test_status_tells_whether_the_gateway_is_ready(run, changes, first, code):
+def test_status_shows_whether_the_gateway_is_ready(run, changes, first, code):
     result = run("status", **changes)
     assert result.output.splitlines()[0] == first
     assert result.exit_code == code
--- a/tests/cluster/test_conditions.py
+++ b/tests/cluster/test_conditions.py
@@ -47,7 +47,7 @@
     return conditions.stream_due(Link(a, b), size, now=now, not_before=not_before)
 
 
-def test_addresses_tell_who_calls_whom():
+def test_addresses_show_who_calls_whom():
     for link in ((16, 16), (16, 4000), (4000, 16), (255, 256), (4000, 4000)):
         assert link_of_address(link_address(*link)) == link
     assert link_address(16, 17) == "127.1.0.17"
@@ -147,7 +147,7 @@
     assert [stream(conditions, A, B, 9, now, 0) for now in range(50)] == list(range(50))
 
 
-def test_lost_shares_are_kept_and_streams_wait_for_what_is_sent_again():
+def test_the_share_of_lost_messages_is_as_set_and_streams_wait_for_retransmissions():
     again = RETRANSMISSION_TIMEOUT
     conditions = made(x={"kind": "lose", "share": 0.1})
     lost = sum(datagram(conditions, A, B, now) == () for now in range(10_000))
--- a/tests/cluster/test_harness.py
+++ b/tests/cluster/test_harness.py
@@ -24,7 +24,7 @@
 MILLI = 1_000_000
 
 
-def test_the_rules_are_kept_while_links_and_processes_fail_and_the_folder_has_all(tmp_path):
+def test_the_rules_hold_while_links_and_processes_fail_and_the_folder_has_all(tmp_path):
     code, verdict = play(tmp_path, "small-cluster", "--seed", "3")
     assert verdict["faulty"] == []
     assert verdict["void"] == []
--- a/tests/cluster/test_platform.py
+++ b/tests/cluster/test_platform.py
@@ -44,7 +44,7 @@
     return [each for path in folder.glob("host-*.tap") for each in read_tap(path) if each["what"] == "order"]
 
 
-def test_the_rules_are_kept_over_links(played):
+def test_the_rules_hold_over_links(played):
     out, verdict = played
     assert verdict["faulty"] == []
     assert verdict["verdict"] in ("well", "void")
--- a/tests/cluster/test_script.py
+++ b/tests/cluster/test_script.py
@@ -83,7 +83,7 @@
     assert sum(line == 8 for line in lines) == 2  # no such gateway, and no span
 
 
-def test_the_scripts_that_come_with_the_program_can_be_read_and_tell_days_from_clusters(tmp_path):
+def test_the_scripts_that_come_with_the_program_can_be_read_as_days_or_clusters(tmp_path):
     assert read_script("small-cluster").cluster.emulators == 1
     assert read_script("fleet-cluster").day.gateways == 200
     assert read_script("short-day").cluster is None
@@ -130,7 +130,7 @@
     assert day(*run, gateway=1, at=1500) == [1, 3]
 
 
-def test_what_a_fault_may_have_kept_back_is_excused_and_nothing_else(tmp_path):
+def test_what_a_fault_may_have_delayed_is_excused_and_nothing_else(tmp_path):
     line = script(tmp_path, "fault hold at 1s for 1s from mh00 to g0 what streams").link_faults[0]
     allowance = allowance_of(line)
     fault = {
--- a/tests/cluster/test_stream_faults.py
+++ b/tests/cluster/test_stream_faults.py
@@ -71,7 +71,7 @@
     assert network.received(far) == b"slow"
 
 
-def test_what_comes_when_a_fault_has_ended_stays_behind_what_it_kept_back(network):
+def test_what_comes_when_a_fault_has_ended_stays_behind_what_it_delayed(network):
     near, far, _ = network.connected()
     network.command(fault="x", on={"kind": "delay", "delay_ms": 100})
     near.send(b"slow ")
--- a/tests/config/test_cells.py
+++ b/tests/config/test_cells.py
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize(("source", "code"), [("127.0.0.1:7000", 0), ("localhost:7000", 2)])
-def test_check_reads_no_lists_where_sources_tell_them(tmp_path, source, code):
+def test_check_reads_no_lists_where_sources_send_them(tmp_path, source, code):
     ended, said = check(tmp_path, {"a1": "no host list\n"}, source=source)
     assert ended == code
     assert len(said.splitlines()) == (1 if code == 0 else 2)
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -243,6 +243,6 @@
     assert [worker.capacity for worker in made.gate.core.gateway.active_hosts] == [4.0, 4.0]
 
 
-def test_hosts_that_tell_by_probe_alone_cannot_forbid_them():
+def test_hosts_that_report_by_probe_alone_cannot_forbid_probes():
     with pytest.raises(ConfigurationError, match="cannot go without probes"):
         read_configuration("f", OLD + "reports probe probes no\n")
--- a/tests/connections/test_admission.py
+++ b/tests/connections/test_admission.py
@@ -21,7 +21,7 @@
 LIMITS = Limits(idle_time=60 * SECOND)
 
 
-def test_clients_can_never_take_what_is_kept_for_hosts_and_operators():
+def test_clients_can_never_take_what_is_reserved_for_hosts_and_operators():
     assert admission(most=10**6, descriptors=20_000).max_connections == 20_000 - RESERVED_DESCRIPTORS - int(
         20_000 * HOST_DESCRIPTOR_SHARE
     )
--- a/tests/connections/test_stop.py
+++ b/tests/connections/test_stop.py
@@ -39,7 +39,7 @@
     made.turns(lambda: made.connections.client_count == 0)
 
 
-def test_all_who_have_spoken_before_a_stop_are_answered_though_one_look_tells_of_few(serving, monkeypatch):
+def test_all_who_have_spoken_before_a_stop_are_answered_though_one_poll_reports_few(serving, monkeypatch):
     monkeypatch.setattr(accepted, "MAX_PARKED_EVENTS", 1)
     made = serving()
     clients = [made.client() for _ in range(3)]
--- a/tests/connections/test_syscalls.py
+++ b/tests/connections/test_syscalls.py
@@ -147,7 +147,7 @@
     assert not stepped.connections.unregistered
 
 
-def test_one_that_the_epoll_cannot_take_at_all_is_closed_and_told(stepped):
+def test_one_that_the_epoll_cannot_take_at_all_is_closed_and_reported(stepped):
     stepped.loop.parked_epoll.fail("register", errno.EPERM)
     stepped.client(HEAD)
     stepped.passes(10 * MILLI)
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.EINTR, errno.EIO])
-def test_a_close_that_tells_an_error_leaves_no_count_behind(stepped, monkeypatch, code):
+def test_a_close_that_raises_an_error_leaves_no_count_behind(stepped, monkeypatch, code):
     client = stepped.client()
     stepped.passes(5 * MILLI)
     close = os.close
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -76,7 +76,7 @@
     _, outcome = yield face.Wait(now + 10 * SECOND)
 
 
-def test_a_delivered_answer_is_final_and_the_decisions_are_told_that_it_ended():
+def test_a_delivered_answer_is_final_and_the_decisions_are_notified_of_its_end():
     made = core(attempt_and_wait)
     submit(made)
     made.hosts.sent[0](DONE)
@@ -133,7 +133,7 @@
     assert not made.in_flight
 
 
-def test_when_the_client_leaves_the_decisions_are_told_and_nobody_is_answered():
+def test_when_the_client_leaves_the_decisions_are_notified_and_nobody_is_answered():
     def serve(now, request):
         yield face.Attempt("w")
         _, outcome = yield face.Wait(now + SECOND)
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -76,7 +76,7 @@
     assert fleet.came("known") == []
 
 
-def test_a_forwarded_call_tells_the_cells_load_and_keeps_its_limit(cells):
+def test_a_forwarded_call_reports_the_cells_load_and_retains_its_limit(cells):
     fleet = cells(CELLS)
     fleet.write_table()
     fleet.start("ga", "a1", more="clients way-back 400ms\n")  # a busy machine's share of the limit
@@ -148,7 +148,7 @@
     return EntrySelector(gateway).order(replace(cell("b1"), entries=ways))[0].name == one
 
 
-def test_forwarded_answers_tell_what_the_call_found_at_the_host(cells):
+def test_forwarded_answers_report_what_the_call_found_at_the_host(cells):
     """Also where an entry that does not know the cell forwarded it once more."""
     fleet = cells(CELLS)
     fleet.write_table()
--- a/tests/decisions/cells/test_views.py
+++ b/tests/decisions/cells/test_views.py
@@ -146,7 +146,7 @@
     assert "entry1" in ways.backoffs
 
 
-def test_no_entry_left_is_told():
+def test_no_entry_left_is_reported():
     ways = EntrySelector("entry0")
     one = replace(CELL, entries=WAYS[:1])
     assert ways.pick(0, one) is None
--- a/tests/decisions/routing/test_load_order_limiter.py
+++ b/tests/decisions/routing/test_load_order_limiter.py
@@ -51,7 +51,7 @@
         assert count <= free + share * sum(arrival - WINDOW < came <= arrival for came in taken)
 
 
-def test_the_limit_is_not_kept_tighter_than_it_must():
+def test_the_limit_is_no_tighter_than_it_must_be():
     made = LoadOrderLimiter(2, 0.3, WINDOW)
     for _ in range(10):
         made.delivered(SECOND, SECOND)
--- a/tests/decisions/routing/test_load_report_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -43,7 +43,7 @@
     return probed
 
 
-def test_a_report_told_is_a_report_heard():
+def test_a_load_report_sent_is_a_load_report_received():
     one, other = shared(), shared()
     words = one.probe_ended(0, "a", True, Report(cpu_busy=0.5, memory_busy=0.2))
     assert len(words) == 4
@@ -56,17 +56,17 @@
 
 
 @pytest.mark.parametrize("told", [{"peers_allowed": False}, {"gateways": 1}, {"reported_figures": ()}])
-def test_nothing_is_told_where_there_is_no_way_nobody_or_nothing(told):
+def test_nothing_is_sent_without_a_way_a_receiver_or_a_figure(told):
     assert shared(**told).probe_ended(0, "a", True, Report(cpu_busy=0.5)) is None
 
 
-def test_a_failed_probe_and_an_unknown_host_are_not_told():
+def test_a_failed_probe_and_an_unknown_host_are_not_sent():
     made = shared()
     assert made.probe_ended(0, "a", False, Report(cpu_busy=0.5)) is None
     assert made.probe_ended(0, "x", True, Report(cpu_busy=0.5)) is None
 
 
-def test_two_hosts_of_one_mark_are_neither_told_nor_heard(monkeypatch):
+def test_two_hosts_of_one_mark_are_neither_sent_nor_received(monkeypatch):
     monkeypatch.setattr(
         load_report_codec, "host_mark", lambda name: b"zz" if name in "ab" else host_mark(name)
     )
@@ -78,13 +78,13 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_heard_unharmed(words):
+def test_any_bytes_are_received_unharmed(words):
     made = shared()
     made.peer_message_received(0, words)
     made.peer_message_received(0, host_mark("a") + words)
 
 
-def test_a_host_that_is_gone_is_no_longer_told_of():
+def test_a_removed_host_is_no_longer_sent():
     made = shared()
     words = made.probe_ended(0, "a", True, Report(cpu_busy=0.5))
     made.update_hosts(0, [row("a", state=face.State.GONE)], False)
--- a/tests/decisions/routing/test_load_shedder.py
+++ b/tests/decisions/routing/test_load_shedder.py
@@ -82,7 +82,7 @@
     assert len(drive.sent) == 2
 
 
-def test_the_pace_of_queues_is_forgotten_when_no_queue_has_told_it_lately():
+def test_the_pace_of_queues_is_forgotten_when_no_queue_has_shown_it_lately():
     made = gateway()
     queues(made, 12)
     late = SECOND + EVIDENCE_LIFETIME
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -67,7 +67,7 @@
 
 @settings(max_examples=80)
 @given(some.lists(CHANGES, max_size=6))
-def test_what_is_in_force_stays_while_nothing_is_told(changes):
+def test_what_is_in_force_stays_while_no_event_comes(changes):
     cells, force = {cell: CellMembers() for cell in ZONES}, CellReconciler()
     for cell, complete, rows in changes:
         cells[cell].apply(fleet(complete, rows))
--- a/tests/discovery/test_cell_source_faults.py
+++ b/tests/discovery/test_cell_source_faults.py
@@ -11,7 +11,7 @@
 from gaproute.standins.event_stream import RESPONSE_HEAD
 
 
-def test_a_source_killed_while_it_tells_is_followed_again_when_it_comes_back_in_other_numbers(followed_cells):
+def test_a_source_killed_while_it_sends_is_followed_again_when_it_comes_back_in_other_numbers(followed_cells):
     made = followed_cells()
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     source = made.sources[0]
@@ -35,7 +35,7 @@
     assert made.count == 0
 
 
-def test_a_source_that_kept_its_numbers_tells_only_what_was_missed(followed_cells):
+def test_a_source_that_retained_its_numbers_sends_only_what_was_missed(followed_cells):
     made = followed_cells()
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     source = made.sources[0]
@@ -46,7 +46,7 @@
     assert sorted(source.polls[2:]) == [("a1", 1), ("b1", 1)]
 
 
-def test_sources_are_tried_in_turn_and_each_tells_its_whole_list(followed_cells):
+def test_sources_are_tried_in_turn_and_each_sends_its_complete_list(followed_cells):
     made = followed_cells(sources=3)
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     for number in range(3):
@@ -78,7 +78,7 @@
     made.until(lambda: made.names("a1") == "wx", 15 * SECOND)
 
 
-def test_a_source_of_another_fleet_tells_nothing(followed_cells):
+def test_a_source_of_another_fleet_changes_nothing(followed_cells):
     made = followed_cells(zones={"a1": "a"})
     made.sources[0].fleet = "south"
     made.sources[0].publish("a1", *hosts("wx"))
@@ -186,7 +186,7 @@
     assert made.adoptions - before <= 6
 
 
-def test_a_source_that_tells_and_ends_at_once_is_in_trouble_once_and_asked_at_its_pace(followed_cells):
+def test_a_source_that_sends_and_ends_at_once_is_faulty_once_and_polled_at_its_pace(followed_cells):
     made = followed_cells(zones={"a1": "a"})
     made.begin(a1=hosts("wx"))
     source = made.sources[0]
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -44,7 +44,7 @@
     assert fleet.listed("gb") == {"b1-h0": "active"}
 
 
-def test_a_source_killed_while_it_tells_and_started_anew(followed):
+def test_a_source_killed_while_it_sends_and_started_anew(followed):
     fleet = followed(PAIR)
     fleet.serving("ga", "gb")
     killed = fleet.sources.pop()
--- a/tests/discovery/test_cells_followed.py
+++ b/tests/discovery/test_cells_followed.py
@@ -31,7 +31,7 @@
     assert made.count == 0
 
 
-def test_a_change_is_told_by_host_and_nothing_is_told_that_changes_nothing(followed_cells):
+def test_a_change_is_reported_by_host_and_nothing_is_reported_that_changes_nothing(followed_cells):
     made = followed_cells()
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     source, adoptions = made.sources[0], made.adoptions
@@ -116,7 +116,7 @@
         [[]],
     ],
 )
-def test_a_wrong_member_spoils_no_other_and_is_told_once(followed_cells, wrong):
+def test_a_wrong_member_spoils_no_other_and_is_reported_once(followed_cells, wrong):
     made = followed_cells()
     made.begin(a1=hosts("wx"), b1=hosts("y"))
     for seq, state in enumerate(("draining", "active", "draining"), 2):
--- a/tests/discovery/test_changelog.py
+++ b/tests/discovery/test_changelog.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("data", [b"{", b'{"seq":"x"}', b'{"seq":1,"fleet":5}', b"\xff", b"[" * 9999])
-def test_what_is_no_event_is_told_and_those_behind_it_are_read(data):
+def test_what_is_no_event_is_reported_and_those_behind_it_are_read(data):
     one, two = sse_reader.EventReader().feed(HEAD + b"\r\ndata: " + data + b"\n\n" + sse(TWO))
     assert one is None
     assert two.seq == 2
--- a/tests/dissemination/test_asking.py
+++ b/tests/dissemination/test_asking.py
@@ -52,7 +52,7 @@
     assert not mesh.nodes[1].replica.needs_whole
 
 
-def test_two_contradicting_writers_are_told_and_a_higher_version_mends_it():
+def test_two_contradicting_writers_are_notified_and_a_higher_version_resolves_it():
     mesh = Mesh(3)
     mesh.nodes[1].document.version = Version(1, 5)
     mesh.nodes[1].document.digest = digest_of(Version(1, 5), salt=7)
@@ -67,7 +67,7 @@
     assert len({(node.document.version, node.document.digest) for node in mesh.nodes}) == 1
 
 
-def test_a_publisher_that_is_not_at_the_base_is_told():
+def test_a_publisher_that_is_not_at_the_base_is_notified():
     mesh = Mesh(1)
     for change in (change_from(Version(1, 0)), Change(Version(1, 1), Version(1, 1), 0, b"")):
         with pytest.raises(DocumentError):
--- a/tests/faultinjection/test_fault_network.py
+++ b/tests/faultinjection/test_fault_network.py
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("number", ERRNOS[NetworkCall.CONNECT])
-def test_connect_tells_the_errno_and_after_an_interruption_it_comes_about(install, number):
+def test_connect_raises_the_errno_and_succeeds_after_an_interruption(install, number):
     install((NetworkCall.CONNECT, 1, Failure(number)))
     far = socket.create_server(("127.0.0.1", 0))
     sock = dialing.socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
@@ -200,7 +200,7 @@
     assert far.recv(100) == b""
 
 
-def test_epoll_fails_by_operation_and_an_interrupted_wait_is_told(install):
+def test_epoll_fails_by_operation_and_an_interrupted_wait_is_raised(install):
     install(
         (NetworkCall.EPOLL_ADD, 1, Failure(errno.ENOSPC)),
         (NetworkCall.EPOLL_MODIFY, 1, Failure(errno.ENOMEM)),
--- a/tests/faultinjection/test_fault_plan.py
+++ b/tests/faultinjection/test_fault_plan.py
@@ -76,7 +76,7 @@
     assert not plan.paused
 
 
-def test_the_log_tells_call_number_fault_and_place_and_plays_again():
+def test_the_log_has_call_number_fault_and_place_and_can_be_replayed():
     plan = FaultPlan(RandomFaults(3, 4, {"accept": (FULL, ShortTransfer(1))}))
     first = injected(plan, "accept", 40)
     assert injected(FaultPlan(Script(plan.log)), "accept", 40) == first
@@ -87,6 +87,6 @@
     assert plan.report().splitlines()[0] == f"accept #{line.occurrence}: {line.fault} at {line.site}"
 
 
-def test_faults_tell_their_errno_by_name():
+def test_faults_name_their_errno():
     assert str(FULL) == "EMFILE"
     assert str(ShortTransfer(7)) == "at most 7 bytes"
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -149,7 +149,7 @@
     patch.setattr(Stream, "pending", lambda stream: unread.NOTHING)
 
 
-def request_of_a_broken_connection_kept(patch):
+def request_of_a_broken_connection_retained(patch):
     patch.setattr(JsonRpcFront, "client_left", lambda front, key, mark: None)
 
 
@@ -208,7 +208,7 @@
     client_that_left_not_noticed: Played(
         Check.NOT_FOR_NOBODY, Periodic(NetworkCall.ACCEPT, FULL, 30, 10), conditions=HASTY
     ),
-    request_of_a_broken_connection_kept: Played(Check.HELD, Periodic(NetworkCall.RECV, BROKEN, 20)),
+    request_of_a_broken_connection_retained: Played(Check.HELD, Periodic(NetworkCall.RECV, BROKEN, 20)),
     final_answer_sent_late: Played(Check.IN_TIME, Periodic(NetworkCall.RECV, SHORT, 50)),
 }
 
--- a/tests/fronts/test_messages.py
+++ b/tests/fronts/test_messages.py
@@ -118,7 +118,7 @@
         (b'{"jsonrpc":"2.0","id":1.5,"method":"x"}', ErrorCode.INVALID_REQUEST),
     ],
 )
-def test_what_is_no_request_is_told_so(body, code):
+def test_what_is_no_request_gets_an_error(body, code):
     with pytest.raises(ProtocolError) as wrong:
         decode_message(body)
     assert wrong.value.code == code
@@ -132,7 +132,7 @@
     assert cancelled_request(b"") is None
 
 
-def test_a_refusal_tells_when_to_come_back():
+def test_a_rejection_says_when_to_retry():
     head, _, body = encode_error(7, ErrorCode.REJECTED, "no", 200_400_000).partition(b"\r\n\r\n")
     assert json.loads(body)["error"]["data"] == {"w": 201}
     assert head == b"Content-Length: %d" % len(body)
--- a/tests/fronts/test_unanswered_requests.py
+++ b/tests/fronts/test_unanswered_requests.py
@@ -91,7 +91,7 @@
     assert not made.loop.errors
 
 
-def test_an_error_of_the_gateway_over_one_request_is_told_and_spoils_no_other(gate, monkeypatch):
+def test_an_error_of_the_gateway_over_one_request_is_reported_and_spoils_no_other(gate, monkeypatch):
     made = gate(clock=Handed())
     task = fronts.JsonRpcFront.start_request
     monkeypatch.setattr(
--- a/tests/hollow/test_costs.py
+++ b/tests/hollow/test_costs.py
@@ -120,7 +120,7 @@
     assert 0 < many <= STEEPER * few
 
 
-def test_a_keepers_bytes_grow_no_faster_than_the_fleet(lease_costs):
+def test_a_raft_members_bytes_grow_no_faster_than_the_fleet(lease_costs):
     few, many = [costs.busiest for costs in lease_costs]
     assert few < many <= STEEPER * few * LARGE / SMALL
 
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -81,7 +81,7 @@
     assert not made.process.core.in_flight
 
 
-def test_the_limit_told_to_a_host_is_what_is_left_when_the_request_is_written(slow):
+def test_the_limit_sent_to_a_host_is_what_is_left_when_the_request_is_written(slow):
     made = slow()
     asked(made, 1, d=2000)
     made.passes(900 * MILLI)
@@ -269,7 +269,7 @@
     }
 
 
-def test_what_came_of_a_gone_hosts_last_relays_is_not_kept_for_ever(gate):
+def test_the_results_of_a_removed_hosts_last_attempts_are_not_retained_for_ever(gate):
     made = gate(nothing, hosts=2, clock=Handed())
     client = made.client()
     client.ask(1, "repair-order")
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -270,7 +270,7 @@
     assert not made.hosts.connection_count()
 
 
-def test_an_effectful_relay_leaves_a_kept_connection_that_shows_a_word_not_asked_for(bench):
+def test_a_non_idempotent_attempt_avoids_an_idle_connection_that_has_unrequested_bytes(bench):
     made = bench()
     made.send()
     made.results(1)
@@ -313,7 +313,7 @@
     assert made.hosts.reused == 1
 
 
-def test_hosts_that_end_kept_connections_at_their_next_use_get_new_ones_for_a_while(bench):
+def test_hosts_that_end_idle_connections_at_their_next_use_get_new_ones_for_a_while(bench):
     def answer(stream, command):
         if stream in used:
             stream.abort()
@@ -333,7 +333,7 @@
     assert made.results(6)[5] is Result.OK
 
 
-def test_kept_connections_are_tried_again_after_a_while_and_one_end_matters_to_effectful_tasks_alone():
+def test_idle_connections_are_used_again_after_a_while_and_one_end_matters_to_non_idempotent_requests():
     pooling = Pooling()
     pooling.record_stale_end(0, "h", 100 * MILLI, MILLI)
     assert pooling.allows_reuse(SECOND, "h", Idempotency.IDEMPOTENT)
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -184,7 +184,7 @@
     assert lines(reader) == ["cut", "next"]
 
 
-def test_a_line_that_nobody_takes_is_lost_and_not_kept(pipe, monkeypatch):
+def test_a_line_that_nobody_takes_is_lost_and_not_buffered(pipe, monkeypatch):
     monkeypatch.setattr(logs.os, "write", Failing(os.write, errno.EAGAIN, errno.EPIPE))
     log = Log(pipe[1])
     log.info("lost")
--- a/tests/http1/test_http1.py
+++ b/tests/http1/test_http1.py
@@ -179,7 +179,7 @@
     turns(loop, lambda: not server.connection_count)
 
 
-def test_a_slow_request_is_told_so_and_an_idle_connection_closed(served):
+def test_a_slow_request_gets_an_answer_and_an_idle_connection_is_closed(served):
     loop, server, held, client = served
     client.sendall(HEAD)
     turns(loop, lambda: server.connection_count)
--- a/tests/loop/test_streams.py
+++ b/tests/loop/test_streams.py
@@ -22,7 +22,7 @@
     made.close()
 
 
-def test_what_the_kernel_does_not_take_waits_and_the_writer_is_told(real):
+def test_what_the_kernel_does_not_take_waits_and_the_writer_is_notified(real):
     stream, there = pair(real)
     room, got = Promise(), []
     stream.on_writable = room.set
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("half", [False, True])
-def test_a_paused_stream_is_told_of_the_end_at_once_and_once(loop, half):
+def test_a_paused_stream_is_notified_of_the_end_at_once_and_once(loop, half):
     ends = []
     stream, there = pair(loop, on_end=ends.append)
     if half:
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("before", [b"", b"unread"])
-def test_close_hands_over_what_was_written_and_bytes_that_cross_it_do_not_reset_it(real, before):
+def test_close_sends_what_was_written_and_bytes_that_cross_it_do_not_reset_it(real, before):
     """The other side reads to the end although it wrote before, across and after the close."""
     closed, size = [], 1 << 20  # more than the socket takes at once
     stream, there = tcp(real)
@@ -159,7 +159,7 @@
     assert where[:4] != "unix" or not os.path.exists(f"{tmp_path}/s")
 
 
-def test_a_refused_connection_is_told_not_raised(real):
+def test_a_refused_connection_is_reported_not_raised(real):
     failed = Promise()
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))  # bound and not listening: refuses
@@ -167,7 +167,7 @@
         assert isinstance(real.run(until=failed), ConnectionRefusedError)
 
 
-def test_a_dial_without_a_descriptor_that_is_given_up_tells_nothing(real, monkeypatch):
+def test_a_dial_without_a_descriptor_that_is_given_up_reports_nothing(real, monkeypatch):
     def none_left(*_):
         raise OSError(errno.EMFILE, "none left")
 
--- a/tests/loop/test_syscalls_dialing.py
+++ b/tests/loop/test_syscalls_dialing.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("code", OWN)
-def test_what_goes_on_failing_is_told_after_some_tries_and_leaves_nothing(loop, there, sockets, code):
+def test_what_goes_on_failing_is_reported_after_some_attempts_and_leaves_nothing(loop, there, sockets, code):
     sockets("connect_ex", *[code] * 99)
     begun, results = loop.now(), []
     connect(loop, there, SECOND, lambda sock, error: results.append((loop.now() - begun, error.errno)))
@@ -50,7 +50,7 @@
     assert results == [(30 * MILLI, code)]
 
 
-def test_a_dial_whose_time_ends_between_two_tries_tells_the_failure(loop, there, sockets):
+def test_a_dial_whose_time_ends_between_two_attempts_reports_the_failure(loop, there, sockets):
     sockets("connect_ex", *[errno.EADDRNOTAVAIL] * 99)
     assert dial(loop, there, 5 * MILLI).errno == errno.EADDRNOTAVAIL
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("code", [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.EACCES, errno.ETIMEDOUT])
-def test_what_the_other_side_says_is_told_at_once(loop, there, sockets, code):
+def test_what_the_other_side_says_is_reported_at_once(loop, there, sockets, code):
     sockets("connect_ex", *[code] * 99)
     begun, results = loop.now(), []
     connect(loop, there, SECOND, lambda sock, error: results.append((loop.now(), error.errno)))
--- a/tests/loop/test_syscalls_listening.py
+++ b/tests/loop/test_syscalls_listening.py
@@ -122,7 +122,7 @@
         assert len(listener.came) == 1
 
 
-def test_draining_goes_past_failed_connections_and_tells_whether_nobody_waits(loop, listener):
+def test_draining_goes_past_failed_connections_and_returns_whether_nobody_waits(loop, listener):
     taken = []
     listener.sock.fail("accept", errno.ECONNABORTED, None, errno.EMFILE)
     with (
@@ -146,7 +146,7 @@
     Listener(loop, address("127.0.0.1:0"), lambda sock: None).close()
 
 
-def test_closing_a_socket_that_tells_an_error_is_closed_all_the_same(loop, listener):
+def test_a_socket_whose_close_raises_an_error_is_closed_all_the_same(loop, listener):
     class Telling(FailingSocket):
         def close(self):
             self.real.close()
--- a/tests/loop/test_syscalls_loop.py
+++ b/tests/loop/test_syscalls_loop.py
@@ -125,7 +125,7 @@
     assert not loop.watched
 
 
-def test_a_descriptor_that_cannot_be_watched_at_all_is_told_so_and_not_kept(loop, tmp_path):
+def test_a_descriptor_that_cannot_be_watched_at_all_is_reported_and_not_retained(loop, tmp_path):
     with open(tmp_path / "file", "w") as file, pytest.raises(PermissionError):
         loop.watch(file.fileno(), READ, lambda events: None)
     assert not loop.watched
@@ -217,7 +217,7 @@
         signal.signal(signal.SIGUSR1, signal.SIG_DFL)
 
 
-def test_a_signal_is_told_though_its_descriptor_could_not_be_registered_at_once(loop):
+def test_a_signal_is_delivered_though_its_descriptor_could_not_be_registered_at_once(loop):
     came = []
     loop.epoll.fail("register", errno.ENOSPC, errno.ENOSPC)
     try:
--- a/tests/loop/test_syscalls_streams.py
+++ b/tests/loop/test_syscalls_streams.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("code", MEMORY)
-def test_what_a_momentary_failure_kept_from_being_sent_has_not_begun(stream, code):
+def test_what_a_momentary_failure_delayed_has_not_begun(stream, code):
     stream.sock.fail("send", code)
     rooms = []
     stream.on_writable = lambda: rooms.append(1)
@@ -140,7 +140,7 @@
     assert not stream.is_quiet()
 
 
-def test_a_stream_whose_close_tells_an_error_has_ended_all_the_same(stream):
+def test_a_stream_whose_close_raises_an_error_has_ended_all_the_same(stream):
     close = stream.sock.real.close
 
     def closing():
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -142,7 +142,7 @@
     assert net.states_of("g3") == {MemberState.ALIVE}
 
 
-def test_a_dead_member_that_nobody_configured_is_forgotten_and_a_configured_one_kept():
+def test_a_dead_member_that_nobody_configured_is_forgotten_and_a_configured_one_stays():
     made = membership("kept")
     for name in ("kept", "stray"):
         made.apply(0, MemberUpdate(name, "w", MemberState.ALIVE, 1))
--- a/tests/peers/test_tables_transport.py
+++ b/tests/peers/test_tables_transport.py
@@ -265,7 +265,7 @@
     assert answers[2].changes == ()
 
 
-def test_a_stopped_transport_neither_tells_nor_takes(fleet):
+def test_a_stopped_transport_neither_sends_nor_receives(fleet):
     one, two = fleet.add("one"), fleet.add("two")
     published(fleet)
     two.transport.stop()
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -23,7 +23,7 @@
     assert read_deployment({}).requests_per_connection == 1
 
 
-def test_clients_are_told_when_to_retry_only_where_that_is_allowed():
+def test_clients_learn_when_to_retry_only_where_that_is_allowed():
     assert read_terms({"limits": {"max_retry_after": 500}}).retry_after_limit == 0
     assert (
         read_terms({"limits": {"max_retry_after": 500, "retry_after": True}}).retry_after_limit == 500 * MILLI
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -246,7 +246,7 @@
     assert not made.loop.running
 
 
-def test_a_process_told_to_stop_answers_on_its_open_connections_until_it_closes_them(tmp_path):
+def test_a_process_asked_to_stop_answers_on_its_open_connections_until_it_closes_them(tmp_path):
     """The program itself, on the machine's own clock, with deadlines of 0.3 s."""
     made = Gate(tmp_path, settings=lanes(300))
     environment = os.environ | {
--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -102,7 +102,7 @@
     assert patience.clock() - began <= START_TIME < 10 * SECOND
 
 
-def test_what_is_no_failure_of_a_system_call_is_told_at_once(patience):
+def test_what_is_no_failure_of_a_system_call_is_raised_at_once(patience):
     with pytest.raises(ZeroDivisionError):
         patience.call(lambda: 1 / 0)
     assert not patience.waits
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -37,7 +37,7 @@
     assert "known red" not in result.stdout.str()
 
 
-def test_just_the_tests_named_are_passed_over_and_told_above_the_closing_line(play):
+def test_just_the_tests_named_are_passed_over_and_listed_above_the_closing_line(play):
     result = play(RED, KIND)
     result.assert_outcomes(passed=2, deselected=2)
     assert result.ret == 0
--- a/tests/raft/test_node.py
+++ b/tests/raft/test_node.py
@@ -134,7 +134,7 @@
     assert one.tick(one.due) == []
 
 
-def test_a_stale_leader_is_told_so_and_one_that_is_not_heard_steps_down():
+def test_a_stale_leader_is_notified_and_one_that_is_not_heard_steps_down():
     one, _ = lead()
     now = one.election_due
     assert one.hear(now, "a", AppendEntries(1, 1, 1, 0, 0)) == [("a", AppendEntriesResponse(2, 2, False, 0))]
--- a/tests/rollouts/test_campaign.py
+++ b/tests/rollouts/test_campaign.py
@@ -80,7 +80,7 @@
     assert "campaign c: name: c twice" in find_mistakes([campaign(), campaign()], HOSTS, {"f"})
 
 
-def test_reservations_of_hosts_and_zones_are_kept_by_each_pool_alone():
+def test_reservations_of_hosts_and_zones_hold_for_each_pool_alone():
     two = [
         campaign(reserved_lanes={"h0": 3, "a": 7}),
         campaign("d", reserved_lanes={"b": 20, "h0": 2}),
--- a/tests/rollouts/test_dispatcher.py
+++ b/tests/rollouts/test_dispatcher.py
@@ -137,7 +137,7 @@
     assert server.table.amounts_held[POOL] == 6
 
 
-def test_a_host_that_warms_up_gets_a_quarter_and_a_rate_is_kept():
+def test_a_host_that_warms_up_gets_a_quarter_and_a_rate_is_not_exceeded():
     dispatcher, server = new_dispatcher(), LeaseServer(8)
     dispatcher.set_targets(0, {"h": {"c": 8}})
     server.serve(0, dispatcher)
--- a/tests/simulation/test_planted_faults.py
+++ b/tests/simulation/test_planted_faults.py
@@ -30,7 +30,7 @@
     pytest.fail(f"{fault.name}: {others}")
 
 
-def test_a_fault_is_gone_afterwards_and_one_without_its_words_is_an_error():
+def test_a_fault_is_gone_afterwards_and_one_whose_text_is_missing_is_an_error():
     fault = PLANTED_FAULTS[0]
     edit = fault.edits[0]
     code = edit.function.__code__
--- a/tests/storage/test_cell_table_file.py
+++ b/tests/storage/test_cell_table_file.py
@@ -32,7 +32,7 @@
     return made
 
 
-def test_what_was_kept_is_read_and_the_last_one_stands(path):
+def test_what_was_stored_is_read_and_the_last_one_stands(path):
     file, messages = opened(path)
     assert file.read() == STORED
     newer = StoredTable("north", 3, 18, 5, b"")
@@ -101,7 +101,7 @@
     assert opened(path)[0].read() == STORED
 
 
-def test_a_disk_that_cannot_be_written_is_counted_and_told_once(path, tmp_path):
+def test_a_disk_that_cannot_be_written_is_counted_and_reported_once(path, tmp_path):
     file, messages = opened(tmp_path / "missing" / "cells.table")
     for _ in range(3):
         assert not file.write(STORED)
@@ -117,7 +117,7 @@
     assert len(messages) == 1
 
 
-def test_an_outage_is_told_once_and_the_next_one_again(path):
+def test_an_outage_is_reported_once_and_the_next_one_again(path):
     disk = FaultyDisk(path.parent, FaultPlan(Script.of(*[("write", each, DISK_FULL) for each in (1, 2, 4)])))
     file, messages = opened(path)
     with disk.installed(files):
@@ -154,7 +154,7 @@
     assert f"not read {MAX_FAILED_READS} times" in messages[1]
 
 
-def test_why_a_table_cannot_be_used_is_told_also_where_it_cannot_be_quarantined(path):
+def test_why_a_table_cannot_be_used_is_reported_also_where_it_cannot_be_quarantined(path):
     path.write_bytes(b"no table")
     file, messages = opened(path)
     with FaultyDisk(path.parent, FaultPlan(Script.of(("rename", 1, IO_ERROR)))).installed(cell_table_module):
--- a/tests/storage/test_raft_log_file.py
+++ b/tests/storage/test_raft_log_file.py
@@ -259,7 +259,7 @@
     assert one.read() == []
 
 
-def test_a_full_device_is_told(log_file):
+def test_a_full_device_is_reported(log_file):
     one = log_file()
     one.read()
     full = os.open("/dev/full", os.O_WRONLY)
--- a/tests/telemetry/test_record.py
+++ b/tests/telemetry/test_record.py
@@ -44,7 +44,7 @@
     }
 
 
-def test_an_internal_error_is_logged_and_kept_for_the_operators(record, lines):
+def test_an_internal_error_is_logged_and_recorded_for_the_operators(record, lines):
     record.internal_error("a second answer", "g-1")
     assert list(record.events) == [
         ("internal_error", {"message": "a second answer", "gateway_request_id": "g-1"})
@@ -53,7 +53,7 @@
     assert (line["level"], line["event"], line["gateway_request_id"]) == ("error", "internal_error", "g-1")
 
 
-def test_only_the_last_events_are_kept(record):
+def test_only_the_last_events_are_recorded(record):
     for number in range(MAX_EVENTS + 1):
         record.event("info", "host_changed", number=number)
     assert [fields["number"] for _, fields in record.events] == list(range(1, MAX_EVENTS + 1))
