--- a/tests/appliance/test_cell_faults.py
+++ b/tests/appliance/test_cell_faults.py
@@ -196,7 +196,7 @@
 
 
 def test_a_gateway_restarted_while_the_table_is_gone_declines_and_serves_when_it_is_back(pair):
-    pair.stop("gc")  # which would tell it the table
+    pair.stop("gc")  # which would send it the table
     text = restarted_without_a_table(pair)
     for cell in PAIR:
         answer = pair.wait(pair.ask("ga", pair.homed("order", cell), "t1"))
--- a/tests/appliance/test_cell_table_exchange.py
+++ b/tests/appliance/test_cell_table_exchange.py
@@ -26,7 +26,11 @@
         peers = [f"peer {other} {fleet.entries[other]}" for other in NAMES if other != name]
         table = fleet.table if name == "ga" else fleet.folder / "none"
         fleet.start(
-            name, ZONES[name], table=table, table_file=fleet.folder / f"{name}.kept", more="\n".join(peers)
+            name,
+            ZONES[name],
+            table=table,
+            table_file=fleet.folder / f"{name}.copy",
+            more="\n".join(peers),
         )
 
     def reaches(self, name, track):
@@ -91,12 +95,12 @@
 def test_a_stored_table_that_is_torn_is_quarantined_and_the_gateway_asks_others(replicas):
     fleet = replicas.fleet
     fleet.stop("gc")
-    table_file = fleet.folder / "gc.kept"
+    table_file = fleet.folder / "gc.copy"
     table_file.write_bytes(table_file.read_bytes()[:-3])
     replicas.start("gc")
     fleet.up("gc")
     assert replicas.reaches("gc", "order")
-    assert list(fleet.folder.glob("gc.kept.broken-*"))
+    assert list(fleet.folder.glob("gc.copy.broken-*"))
 
 
 def test_two_tables_of_one_version_are_distinguished_until_a_newer_one_comes(cells):
--- a/tests/appliance/test_stopping.py
+++ b/tests/appliance/test_stopping.py
@@ -220,8 +220,8 @@
     "contract 600ms limit 1200ms": "contract 200ms limit 300ms",
 }
 SHORT = CONFIGURATION
-for words, shorter in SHORT_LIMITS.items():
-    SHORT = SHORT.replace(words, shorter)
+for limits, shorter in SHORT_LIMITS.items():
+    SHORT = SHORT.replace(limits, shorter)
 
 
 @pytest.mark.parametrize(
--- a/tests/benchlink/test_benchlink.py
+++ b/tests/benchlink/test_benchlink.py
@@ -75,7 +75,7 @@
 
 
 class Recorder:
-    """Decisions that note what they are told, in order."""
+    """Decisions that note their calls, in order."""
 
     def __init__(self, *_):
         self.steps = []
--- a/tests/benchmarks/test_capacity_page.py
+++ b/tests/benchmarks/test_capacity_page.py
@@ -43,10 +43,10 @@
     return Row(**(fields | changes))
 
 
-def command(*words):
+def command(*arguments):
     """The command line's status and what it printed."""
     ran = subprocess.run(
-        [sys.executable, "-m", "benchmarks.scale", *words], cwd=ROOT, capture_output=True, text=True
+        [sys.executable, "-m", "benchmarks.scale", *arguments], cwd=ROOT, capture_output=True, text=True
     )
     return ran.returncode, ran.stdout + ran.stderr
 
@@ -143,12 +143,12 @@
 
 def test_text_outside_blocks_stays_as_it_is(tmp_path):
     keep(tmp_path)
-    text = "# Title\n\nSome 12 words, [a link](page.md), [one](other.json).\n"
+    text = "# Title\n\nSome 12 lines, [a link](page.md), [one](other.json).\n"
     assert rewritten(text, tmp_path) == (text, [])
 
 
 @pytest.mark.parametrize(
-    ("words", "shown"),
+    ("description", "shown"),
     [
         ("measured at 400", "200 ms"),
         ("predicted at 12,800", "6,400 ms"),
@@ -158,10 +158,10 @@
         ("spread", "10%"),
     ],
 )
-def test_a_figure_of_a_measurement(tmp_path, words, shown):
+def test_a_figure_of_a_measurement(tmp_path, description, shown):
     keep(tmp_path)
-    made, _ = rewritten(f'[?](measured/scale/made.json "{words}")', tmp_path)
-    assert made == f'[{shown}](measured/scale/made.json "{words}")'
+    made, _ = rewritten(f'[?](measured/scale/made.json "{description}")', tmp_path)
+    assert made == f'[{shown}](measured/scale/made.json "{description}")'
 
 
 def test_a_figure_of_the_size_and_of_a_row(tmp_path, monkeypatch):
--- a/tests/benchmarks/test_scale_forwarding.py
+++ b/tests/benchmarks/test_scale_forwarding.py
@@ -51,7 +51,7 @@
     def handle(self, request):
         status = self.statuses.pop(0) if len(self.statuses) > 1 else self.statuses[0]
         self.targets_by_status.setdefault(status, []).append(bytes(request.target).decode())
-        self.loop.after(self.after, self.server.answer, request, status, ((b"Why", b"busy"),), b"told")
+        self.loop.after(self.after, self.server.answer, request, status, ((b"Why", b"busy"),), b"details")
 
 
 @pytest.fixture
@@ -83,7 +83,7 @@
     function = refused.split("/")[3]
     assert failure.startswith(f"{function}: 503")
     assert "busy" in failure
-    assert "told" in failure
+    assert "details" in failure
 
 
 def test_a_call_that_is_answered_after_the_play_is_waited_for(group_at):
--- a/tests/cluster/test_child.py
+++ b/tests/cluster/test_child.py
@@ -82,7 +82,7 @@
 
 
 def test_it_does_not_outlive_its_parent(tmp_path):
-    """The parent starts it, hands on the reading end of its life, and is killed: the pipe ends with it."""
+    """The parent starts it, passes on a pipe, and is killed: the child ends with the pipe."""
     (tmp_path / "asked_module.py").write_text("print('up', flush=True)\nimport signal\nsignal.pause()")
     parent = """
 import os, subprocess, sys
--- a/tests/cluster/test_conditions.py
+++ b/tests/cluster/test_conditions.py
@@ -38,12 +38,12 @@
 
 
 def datagram(conditions, a, b, now=0, size=100):
-    """When each copy of a datagram is due; None while it is kept back."""
+    """When each copy of a datagram is due; None while it is held back."""
     return conditions.datagram_dues(Link(a, b), size, now)
 
 
 def stream(conditions, a, b, size, now, not_before):
-    """When bytes of a stream are due; None while they are kept back."""
+    """When bytes of a stream are due; None while they are held back."""
     return conditions.stream_due(Link(a, b), size, now=now, not_before=not_before)
 
 
--- a/tests/cluster/test_harness.py
+++ b/tests/cluster/test_harness.py
@@ -1,5 +1,5 @@
-"""Small clusters, played by processes: rules kept over links, a broken one found, a late harness void, and
-nothing left of a harness whose parent was killed."""
+"""Small clusters of processes: the rules hold over links, a broken one is found, a late harness is void, and
+nothing is left of a harness whose parent was killed."""
 
 import json
 import os
@@ -47,7 +47,7 @@
     code, verdict = play(
         tmp_path, "small-cluster", "--decisions", f"gaproute.standins.rule_violators:{violator}"
     )
-    # what it breaks is broken on a late machine as well; that nothing else is, a void play does not tell
+    # what it breaks is broken on a late machine as well; that nothing else is, a void play does not show
     assert code in (1, 3)
     assert rule in {broken["rule"] for broken in verdict["broken"]}
 
--- a/tests/cluster/test_lease_clients.py
+++ b/tests/cluster/test_lease_clients.py
@@ -91,7 +91,7 @@
     looked, broken = leases.judge_progress(run)
     assert looked == 2
     assert [breach.check for breach in broken] == ["progress", "progress"]
-    # a permit that is only held on is no grant; a new one is
+    # a lease that is only renewed is no grant; a new one is
     assert len(leases.judge_progress(run + [hold(4, "a", 5, 6)])[1]) == 2
     assert leases.judge_progress(run + [hold(6, "b", 6, 7)])[1] == []
 
--- a/tests/cluster/test_script.py
+++ b/tests/cluster/test_script.py
@@ -149,7 +149,7 @@
             fault | {"on": False, "at": 850 * MILLI},
         ]
 
-    # sent before the grace was over, for all that the arrival tells; or surely after it
+    # sent before the grace was over, for all that the arrival shows; or surely after it
     assert day(*held(400)) == []
     assert day(*held(400), gateway=1) == [3]
     assert day(*held(800)) == [3]
--- a/tests/cluster/test_stream_faults.py
+++ b/tests/cluster/test_stream_faults.py
@@ -44,7 +44,7 @@
     network.command(fault="x", off=True)
     assert network.received(far) == b"one two three"
     assert network.received(far) == b""
-    assert network.emulator.report().late_most_ns == 0, "kept back is not late"
+    assert network.emulator.report().late_most_ns == 0, "held back is not late"
 
 
 def test_a_reset_does_not_get_through_a_cut_either(network):
--- a/tests/connections/conftest.py
+++ b/tests/connections/conftest.py
@@ -66,7 +66,7 @@
 
 
 class SteppedServer:
-    """A server on a loop of its own whose clock moves as told, and clients that are plain sockets."""
+    """A server on a loop of its own whose clock the test moves, and clients that are plain sockets."""
 
     def __init__(self):
         self.before = open_descriptors()
--- a/tests/connections/test_connections.py
+++ b/tests/connections/test_connections.py
@@ -150,8 +150,8 @@
     made.loop.watch(two.fileno(), 1, lambda events: heard.append("two"))
     other.send(b"x"), far.send(b"x")
     made.loop.turn()
-    if heard and heard[0] == "two":  # epoll told them the other way round: nothing to show
-        pytest.skip("the kernel told the second first")
+    if heard and heard[0] == "two":  # epoll returned them the other way round: nothing to show
+        pytest.skip("the kernel returned the second first")
     assert "stale" not in heard[1:]
     made.loop.unwatch(heard[0].fileno())
     for each in (heard[0], one, other, far):
--- a/tests/core/test_event_orders.py
+++ b/tests/core/test_event_orders.py
@@ -100,9 +100,9 @@
         if self.open:
             self.on_writable()
 
-    def say(self, kind, name, **told):
+    def say(self, kind, name, **fields):
         if self.open:
-            self.on_bytes(json.dumps({"type": kind, "req": name} | told).encode() + b"\n")
+            self.on_bytes(json.dumps({"type": kind, "req": name} | fields).encode() + b"\n")
 
     def is_quiet(self):
         return True
@@ -134,7 +134,9 @@
         )
         self.hosts = JsonLinesClient(self.loop, Pooling(), site, 64)
         terms = TERMS._replace(request_classes=TRACKS, cancel_allowed=cancel, hedging_allowed=twins)
-        self.record = Record(SimpleNamespace(error=lambda what, **told: self.errors.append(told)), "pgs", 0)
+        self.record = Record(
+            SimpleNamespace(error=lambda what, **fields: self.errors.append(fields)), "pgs", 0
+        )
         self.hosts.on_removed = self.record.forget_host
         self.core = Core(self.loop, Gateway(7, terms, self.loop.now()), terms, self.hosts, self.record, "g")
         self.rows = {name: row(name, started=0) for name in HOSTS}
@@ -304,7 +306,7 @@
         self.loop.run(until=self.loop.sleep(span))
 
     def ends(self):
-        """Nothing more comes from anywhere; each task has had its one answer and nothing is kept."""
+        """Nothing more comes from anywhere; each task has had its one answer and nothing is left."""
         self.room = 1 << 20
         self.passes(LEFT)
         for task in self.tasks:
@@ -328,7 +330,7 @@
         named = {name for name in HOSTS if self.rows[name].state is not face.State.GONE}
         assert set(self.hosts.hosts) == named
         assert {key[1] for key in self.record.counts if key[0] in ("attempts", "load_orders")} <= named
-        assert sum(timer.call is not None for _, _, timer in self.loop.timers) == 2, "timers are kept"
+        assert sum(timer.call is not None for _, _, timer in self.loop.timers) == 2, "timers are left"
         assert not self.errors, self.errors
 
 
@@ -364,7 +366,7 @@
 
 def test_an_answer_on_its_way_when_its_request_was_taken_back_answers_no_later_one_of_that_id(gate):
     held = []
-    made = gate(lambda *told: told[1]["type"] == "go" and held.append(told))
+    made = gate(lambda *arrival: arrival[1]["type"] == "go" and held.append(arrival))
     client = made.client()
     client.ask(1)
     made.until(lambda: held)
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -184,7 +184,7 @@
 
 
 def test_loads_of_forwarded_calls_are_no_usual_answer_times():
-    """A cell that loads is not taken for a slow one once its entries tell what calls found there."""
+    """A cell that loads is not taken for a slow one once its entries report what calls found there."""
     made = fleet()
     name = homed(made, "cell7")[0]
     for number in range(20):
--- a/tests/decisions/cells/test_forwarded.py
+++ b/tests/decisions/cells/test_forwarded.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of forwarded calls: the header, and the statuses that prove something."""
+"""What gateways send each other with forwarded calls: the header, and the statuses that prove something."""
 
 from dataclasses import replace
 
--- a/tests/decisions/cells/test_health.py
+++ b/tests/decisions/cells/test_health.py
@@ -116,7 +116,7 @@
     health = made()
     for number in range(50):
         health.record_outcome(number, "cell0", Result.ERROR)
-        health.record_outcome(number, "cell1", Result.OK)  # loads: they tell no pace
+        health.record_outcome(number, "cell1", Result.OK)  # loads: they show no pace
         health.record_outcome(number, "cell2", Result.OK, 3.0)
     assert not health.faults
     for number in range(OUTCOMES):
--- a/tests/decisions/cells/test_homes.py
+++ b/tests/decisions/cells/test_homes.py
@@ -148,7 +148,7 @@
 
 
 def test_a_first_call_costs_the_same_at_any_number_of_cells():
-    """The sizes are timed in turn, so that other work on the machine strikes all of them."""
+    """The sizes are timed in turn, so that other work on the machine affects all of them."""
     played = {count: (HomeCells(table(cells(count))), iter(FUNCTIONS)) for count in (100, 500, 4000)}
     costs = dict.fromkeys(played, MILLI)
     for _ in range(20):
--- a/tests/decisions/cells/test_views.py
+++ b/tests/decisions/cells/test_views.py
@@ -64,7 +64,7 @@
     assert made.extra == ("cell1",)
     assert made.names() == made.assigned + ("cell1",)
     send(made, "cell2", 0.5, 120, 200)  # reviews go on
-    assert made.extra == ("cell1",)  # the long count still tells of use
+    assert made.extra == ("cell1",)  # the long count still shows use
     send(made, "cell2", 0.5, 320, 7200)
     assert made.extra == ()
 
--- a/tests/decisions/routing/test_determinism.py
+++ b/tests/decisions/routing/test_determinism.py
@@ -86,9 +86,9 @@
         capacity = self.random.choice([1.0, 1.0, 2.0, 3.5])
         return face.ListedHost(name, zone, cell, face.State.ACTIVE, capacity, started)
 
-    def note(self, *told):
-        self.kinds[told[1]] = self.kinds.get(told[1], 0) + 1
-        self.digest.update(repr((self.now, *told)).encode())
+    def note(self, *fields):
+        self.kinds[fields[1]] = self.kinds.get(fields[1], 0) + 1
+        self.digest.update(repr((self.now, *fields)).encode())
 
     def at(self, when, does, *arguments):
         self.count += 1
@@ -226,13 +226,14 @@
 
     def probe(self, which, host):
         good = host in self.hosts and self.sick.get(host) != "silent"
-        words = self.gateways[which].probe_ended(self.now, host, good, self.report(host) if good else None)
-        self.note(which, "words", words)
-        for other in range(GATEWAYS) if words is not None else ():
+        payload = self.gateways[which].probe_ended(self.now, host, good, self.report(host) if good else None)
+        self.note(which, "words", payload)
+        arrival = self.now + MILLI
+        for other in range(GATEWAYS) if payload is not None else ():
             if other != which:
-                self.at(self.now + MILLI, self.gateways[other].peer_message_received, self.now + MILLI, words)
+                self.at(arrival, self.gateways[other].peer_message_received, arrival, payload)
 
-    # The list, faults, and what others tell
+    # The host list, faults, and what others report
 
     def list_comes(self, which):
         if self.random.random() < 0.1:
@@ -267,7 +268,7 @@
         self.hint(self.random.randrange(GATEWAYS))
 
     def hint(self, which):
-        """What others told, also of hosts and functions that are not known."""
+        """What others report, also of hosts and functions that are not known."""
         gateway, draw = self.gateways[which], self.random
         taken = []
         for _ in range(12):
--- a/tests/decisions/routing/test_load_order_limiter.py
+++ b/tests/decisions/routing/test_load_order_limiter.py
@@ -35,16 +35,16 @@
         key=lambda each: each[:2],
     )
     arrivals, ends = [], []
-    for now, kind, told in happened:
+    for now, kind, detail in happened:
         for end in sorted(end for end in ends if end <= now):
             made.ended(end)
         ends = [end for end in ends if end > now]
         if kind == 0:
-            made.delivered(now, told)
+            made.delivered(now, detail)
         elif made.allows(now):
             made.sent()
-            arrivals.append(now + told[0])
-            ends.append(now + told[0] + told[1])
+            arrivals.append(now + detail[0])
+            ends.append(now + detail[0] + detail[1])
     taken = [came for came, _, real in tasks if real]
     for arrival in arrivals:
         count = sum(arrival - WINDOW <= other <= arrival for other in arrivals)
--- a/tests/decisions/routing/test_load_report_sharing.py
+++ b/tests/decisions/routing/test_load_report_sharing.py
@@ -1,4 +1,4 @@
-"""Loads that gateways tell each other, and what probes may cost."""
+"""Load reports that gateways send each other, and what probes may cost."""
 
 import pytest
 from helpers import SECOND, TERMS, Drive, gateway, row, task
@@ -14,7 +14,7 @@
 from gaproute.decisions.routing.load_report_sharing import COST_SHARE, SAVED_PROBES
 from gaproute.interface import Report, Result
 
-TOLD = {
+SHARING_TERMS = {
     "probes_allowed": True,
     "reports_by_probe": True,
     "probe_price": 0.025,
@@ -25,39 +25,39 @@
 }
 
 
-def shared(*rows, **told):
-    return gateway(*rows, **TOLD | told)
+def shared(*rows, **changes):
+    return gateway(*rows, **SHARING_TERMS | changes)
 
 
 def play(made, until, now=0):
-    """The housekeeper's wishes until then: workers probed."""
-    keeper, probed = made.housekeep(now), []
-    wish = keeper.send(None)
+    """The hosts that housekeeping probes until then."""
+    housekeeping, probed = made.housekeep(now), []
+    action = housekeeping.send(None)
     while now < until:
-        if isinstance(wish, face.Probe):
-            probed.append(wish.host)
-            wish = keeper.send(None)
+        if isinstance(action, face.Probe):
+            probed.append(action.host)
+            action = housekeeping.send(None)
         else:
-            now = wish.until
-            wish = keeper.send((now, None))
+            now = action.until
+            action = housekeeping.send((now, None))
     return probed
 
 
 def test_a_load_report_sent_is_a_load_report_received():
     one, other = shared(), shared()
-    words = one.probe_ended(0, "a", True, Report(cpu_busy=0.5, memory_busy=0.2))
-    assert len(words) == 4
-    other.peer_message_received(SECOND, words)
-    worker = other.hosts_by_id["a"]
-    assert worker.reported_at == SECOND
-    assert worker.report.in_hand is None
-    assert worker.report.cpu_busy == pytest.approx(0.5, abs=0.01)
-    assert worker.memory_busy == pytest.approx(0.2, abs=0.01)
+    payload = one.probe_ended(0, "a", True, Report(cpu_busy=0.5, memory_busy=0.2))
+    assert len(payload) == 4
+    other.peer_message_received(SECOND, payload)
+    host = other.hosts_by_id["a"]
+    assert host.reported_at == SECOND
+    assert host.report.in_hand is None
+    assert host.report.cpu_busy == pytest.approx(0.5, abs=0.01)
+    assert host.memory_busy == pytest.approx(0.2, abs=0.01)
 
 
-@pytest.mark.parametrize("told", [{"peers_allowed": False}, {"gateways": 1}, {"reported_figures": ()}])
-def test_nothing_is_sent_without_a_way_a_receiver_or_a_figure(told):
-    assert shared(**told).probe_ended(0, "a", True, Report(cpu_busy=0.5)) is None
+@pytest.mark.parametrize("changes", [{"peers_allowed": False}, {"gateways": 1}, {"reported_figures": ()}])
+def test_nothing_is_sent_without_a_way_a_receiver_or_a_figure(changes):
+    assert shared(**changes).probe_ended(0, "a", True, Report(cpu_busy=0.5)) is None
 
 
 def test_a_failed_probe_and_an_unknown_host_are_not_sent():
@@ -78,30 +78,30 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_received_unharmed(words):
+def test_any_bytes_are_received_unharmed(payload):
     made = shared()
-    made.peer_message_received(0, words)
-    made.peer_message_received(0, host_mark("a") + words)
+    made.peer_message_received(0, payload)
+    made.peer_message_received(0, host_mark("a") + payload)
 
 
 def test_a_removed_host_is_no_longer_sent():
     made = shared()
-    words = made.probe_ended(0, "a", True, Report(cpu_busy=0.5))
+    payload = made.probe_ended(0, "a", True, Report(cpu_busy=0.5))
     made.update_hosts(0, [row("a", state=face.State.GONE)], False)
-    made.peer_message_received(1, words)
+    made.peer_message_received(1, payload)
     assert made.hosts_by_id["a"].reported_at < 1
     assert made.probe_ended(1, "a", True, Report(cpu_busy=0.5)) is None
 
 
 @pytest.mark.parametrize("gateways", [2, 20, 200])
 def test_probes_and_reports_cost_no_more_than_their_worth_of_the_requests(gateways):
-    made, tasks = shared(gateways=gateways), 400
+    made, requests = shared(gateways=gateways), 400
     probes = 0
-    for number in range(tasks):
+    for number in range(requests):
         Drive(made, task(str(number)), number * SECOND).hears(number * SECOND, Result.OK)
         probes += len(play(made, (number + 1) * SECOND, number * SECOND))
     cost = 0.025 + 0.01 * gateways * 4 / 256
-    assert 0.9 * COST_SHARE * tasks <= probes * cost <= COST_SHARE * tasks + SAVED_PROBES * cost
+    assert 0.9 * COST_SHARE * requests <= probes * cost <= COST_SHARE * requests + SAVED_PROBES * cost
 
 
 def test_probes_that_cost_nothing_are_made_without_requests():
@@ -123,7 +123,7 @@
     rows = [row(str(number)) for number in range(40)]
     picked = set()
     for seed in range(40):
-        one = Gateway(seed * 7919, TERMS._replace(**TOLD), 0)
+        one = Gateway(seed * 7919, TERMS._replace(**SHARING_TERMS), 0)
         one.update_hosts(0, rows, True)
         one.sharing.paid_probes = 1
         picked.add(one.sharing.host_to_probe(SECOND, one.active_hosts, PROBE_INTERVAL, one.chance).id)
--- a/tests/decisions/routing/test_outlier_detector.py
+++ b/tests/decisions/routing/test_outlier_detector.py
@@ -40,7 +40,7 @@
 def test_a_class_that_fails_is_doubted_apart_from_one_that_goes_well():
     made = gateway()
     for sent in range(4):
-        answered(made, "a", 9, sent, Result.ERROR if sent % 2 else Result.OK, track=sent % 2)
+        answered(made, "a", 9, sent, Result.ERROR if sent % 2 else Result.OK, request_class=sent % 2)
     assert (
         made.outliers.doubt(made.hosts_by_id["a"], 1, JUDGEMENT_INTERVAL)
         > 0.2
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -36,7 +36,7 @@
 
 
 def test_a_cold_host_counts_for_no_more_than_it_surely_bears():
-    """How it gains is not told: it may have nothing but its first share until the last moment."""
+    """How it gains is not known: it may have nothing but its first share until the last moment."""
     made = gateway(row("a"), row("cold", started=0))
     late = made.hosts_by_id["cold"].warm_at - 1
     made.slow_start.answered(late, made.hosts_by_id["a"])
@@ -55,7 +55,7 @@
 
 
 def hard(case, seed):
-    """A play of one of the hard cases, told by its name."""
+    """A play of one of the hard cases, by its name."""
     return play(day(seed)._replace(**HARD[case]), seed)
 
 
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -1,4 +1,4 @@
-"""Which hosts of cells are in force, whatever logs tell in whatever order."""
+"""Which hosts of cells are in force, whatever change logs send in whatever order."""
 
 import json
 
--- a/tests/discovery/test_cell_sources.py
+++ b/tests/discovery/test_cell_sources.py
@@ -1,5 +1,5 @@
 """Cells by several processes of the program that follow their host lists from sources: what sources' faults
-leave in force, and that no attempt reaches a host past the grace after it was told draining or gone."""
+leave in force, and that no attempt reaches a host past the grace after it was listed as draining or gone."""
 
 import signal
 import socket
--- a/tests/dissemination/test_parts.py
+++ b/tests/dissemination/test_parts.py
@@ -139,7 +139,7 @@
 
 
 def fetch_whole(served, now, after_part=lambda: None):
-    """(bytes taken, time it took, version) of one asker that waits when told to."""
+    """(bytes taken, time it took, version) of one asker that waits where it is asked to."""
     begun, data, wanted = now, b"", NOTHING
     while True:
         answer = served.answer(now, Pull(FLEET, NOTHING, True, wanted, len(data)))
--- a/tests/faultinjection/test_fault_network.py
+++ b/tests/faultinjection/test_fault_network.py
@@ -190,12 +190,12 @@
 def test_a_connection_broken_at_a_write_goes_on_failing_and_what_had_come_in_is_read(install, pair):
     install((NetworkCall.SEND, 1, Failure(errno.EHOSTUNREACH)))
     near, far = pair()
-    far.send(b"last words")
+    far.send(b"last bytes")
     with pytest.raises(OSError, match="No route to host"):
         near.send(b"x")
     with pytest.raises(BrokenPipeError):
         near.send(b"x")
-    assert near.recv(100) == b"last words"
+    assert near.recv(100) == b"last bytes"
     assert near.recv(100) == b""
     assert far.recv(100) == b""
 
@@ -244,11 +244,11 @@
     sock = datagrams.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.bind(("127.0.0.1", 0))
     with pytest.raises(PermissionError):
-        sock.sendto(b"word", sock.getsockname())
-    sock.sendto(b"word", sock.getsockname())
+        sock.sendto(b"data", sock.getsockname())
+    sock.sendto(b"data", sock.getsockname())
     with pytest.raises(OSError, match="Cannot allocate"):
         sock.recv(100)
-    assert sock.recv(100) == b"word"
+    assert sock.recv(100) == b"data"
     sock.close()
 
 
--- a/tests/faultinjection/test_fault_plan.py
+++ b/tests/faultinjection/test_fault_plan.py
@@ -61,10 +61,10 @@
     assert injected(plan, "connect", 5) == [REFUSED] * 5
 
 
-@pytest.mark.parametrize("told", [{"odds": 0}, {"odds": 5, "odds_of": {"accept": 0}}])
-def test_odds_below_one_are_an_error(told):
+@pytest.mark.parametrize("odds", [{"odds": 0}, {"odds": 5, "odds_of": {"accept": 0}}])
+def test_odds_below_one_are_an_error(odds):
     with pytest.raises(ValueError, match="one in 1 or more"):
-        RandomFaults(1, faults={}, **told)
+        RandomFaults(1, faults={}, **odds)
 
 
 def test_while_it_is_paused_calls_are_neither_failed_nor_counted():
--- a/tests/faultinjection/test_planted_faults.py
+++ b/tests/faultinjection/test_planted_faults.py
@@ -53,14 +53,14 @@
 def lack_at_connect_taken_for_what_may_have_run(patch):
     honest = results.of_ended_connection
 
-    def of_ended_connection(error, **told):
-        return Result.RESET if isinstance(error, OSError) else honest(error, **told)
+    def of_ended_connection(error, **details):
+        return Result.RESET if isinstance(error, OSError) else honest(error, **details)
 
     patch.setattr(results, "of_ended_connection", of_ended_connection)
 
 
 def broken_connection_taken_for_what_never_ran(patch):
-    patch.setattr(results, "of_ended_connection", lambda error, **told: Result.CONNECT_FAILED)
+    patch.setattr(results, "of_ended_connection", lambda error, **details: Result.CONNECT_FAILED)
 
 
 def wall_clock_used_for_waits(patch):
@@ -73,9 +73,9 @@
 def wall_clock_used_for_deadlines(patch):
     honest = Core.submit
 
-    def submit(core, call, track, tenant, lanes, load_time, taken, *told):
+    def submit(core, call, track, tenant, lanes, load_time, taken, *others):
         taken += loops.time.time_ns() - EPOCH - core.loop.now()
-        return honest(core, call, track, tenant, lanes, load_time, taken, *told)
+        return honest(core, call, track, tenant, lanes, load_time, taken, *others)
 
     patch.setattr(Core, "submit", submit)
 
@@ -156,8 +156,8 @@
 def final_answer_sent_late(patch):
     honest = Core._finish
 
-    def final(core, held, *told):
-        core.loop.after(2 * SECOND, honest, core, held, *told)
+    def final(core, held, *others):
+        core.loop.after(2 * SECOND, honest, core, held, *others)
 
     patch.setattr(Core, "_finish", final)
 
--- a/tests/hollow/test_costs.py
+++ b/tests/hollow/test_costs.py
@@ -15,7 +15,7 @@
 BUDGET = 4096  # bytes a second that a gateway may spend
 HOSTS = 60
 STEEPER = 1.1  # times the small fleet's figure, for a cost that does not depend on the size
-KEEPERS = ("gateway-0", "gateway-1", "gateway-2")
+RAFT_MEMBERS = ("gateway-0", "gateway-1", "gateway-2")
 
 
 class Costs:
@@ -91,12 +91,12 @@
 @pytest.mark.parametrize("size", ["small", "large"])
 def test_a_gateway_sends_less_than_its_budget(request, size):
     costs = request.getfixturevalue(size)
-    others = [sent for name, sent in costs.sent_by.items() if name not in KEEPERS]
+    others = [sent for name, sent in costs.sent_by.items() if name not in RAFT_MEMBERS]
     assert max(others) < BUDGET
 
 
 class LeaseCosts:
-    """Of gateways with leases alone, over one renewal of each lease; the busiest leads the keepers."""
+    """Of gateways with leases alone, over one renewal of each lease; the busiest leads the Raft group."""
 
     def __init__(self, size):
         fleet = SimulatedFleet(size, seed=SEED, part_factories={"leases": PARTS["leases"]}, hosts=1)
--- a/tests/hollow/test_ladder.py
+++ b/tests/hollow/test_ladder.py
@@ -121,8 +121,8 @@
 
 
 def test_a_killed_ladder_leaves_no_process(tmp_path):
-    words = [sys.executable, "-c", SAVED_ELSEWHERE, tmp_path, "--rungs", "400", "--seconds", "60"]
-    started = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL)
+    command = [sys.executable, "-c", SAVED_ELSEWHERE, tmp_path, "--rungs", "400", "--seconds", "60"]
+    started = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL)
     try:
         assert wait_for(lambda: children(started.pid))
         (rung,) = children(started.pid)
--- a/tests/hollow/test_process.py
+++ b/tests/hollow/test_process.py
@@ -33,7 +33,7 @@
     (tmp_path / "peers.list").write_text(peers)
     (tmp_path / "hosts.list").write_text("host h1 127.88.0.1:9001\nhost h2 127.88.0.2:9001\n")
     (tmp_path / "hollow.conf").write_text(PROCESS_CONFIG.format(folder=tmp_path))
-    words = [
+    command = [
         sys.executable,
         "-m",
         "gaproute.hollow",
@@ -44,7 +44,7 @@
         "4",
     ]
     process = subprocess.Popen(
-        words, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE
+        command, cwd=ROOT, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE
     )
 
     def snapshot():
@@ -54,17 +54,17 @@
 
     try:
         assert wait_for(lambda: snapshot()["totals"].get("demand.tellers", 0) == 4 * 3)
-        told = snapshot()
-        assert told["errors"] == 0, told["last_error"]
-        assert told["gateways"] == 4
-        assert told["least_up"] >= 4
-        assert told["totals"]["hosts.entries"] == 4 * 4
-        assert told["totals"]["membership.refused"] == told["totals"]["demand.refused"] == 0
-        assert told["totals"]["leases.held"] == 0  # nobody keeps here
+        status = snapshot()
+        assert status["errors"] == 0, status["last_error"]
+        assert status["gateways"] == 4
+        assert status["least_up"] >= 4
+        assert status["totals"]["hosts.entries"] == 4 * 4
+        assert status["totals"]["membership.refused"] == status["totals"]["demand.refused"] == 0
+        assert status["totals"]["leases.held"] == 0  # no Raft member is here
         process.stdin.write(b'{"changes": "g3"}\n')
         process.stdin.flush()
-        told = json.loads(process.stdout.readline())
-        assert {tuple(change[:2]) for change in told["changes"]} == {("g3", "alive")}
+        status = json.loads(process.stdout.readline())
+        assert {tuple(change[:2]) for change in status["changes"]} == {("g3", "alive")}
         process.stdin.write(b'{"kill": "g1"}\n')
         assert snapshot()["gateways"] == 3
         process.stdin.close()
--- a/tests/hosts/test_deadline_http.py
+++ b/tests/hosts/test_deadline_http.py
@@ -54,7 +54,7 @@
 
 
 def test_a_forwarded_call_waits_in_no_connections_buffer(way, monkeypatch):
-    """A connection kept open that takes no byte is not used: the call goes again, with what is left then."""
+    """An idle connection that takes no byte is not used: the call goes again, with what is left then."""
     way.forward()
     way.until(lambda: way.came)
     way.server.answer(way.came[0], 200, (), b"")
--- a/tests/hosts/test_deadline_lines.py
+++ b/tests/hosts/test_deadline_lines.py
@@ -21,22 +21,22 @@
     return [command["meta"]["limit"] for host in made.hosts for command in host.seen("go")]
 
 
-def told_limit(made, elapsed):
-    """The one limit passed on keeps what has gone by since the request was sent, ms."""
+def limit_allows_for(made, elapsed):
+    """Whether the one limit passed on leaves out the time since the request was sent, ms."""
     (limit,) = limits(made)
     return D - elapsed - 500 <= limit <= D - elapsed + SLACK
 
 
 @pytest.mark.parametrize("waits", [0, 300, 1200])
 def test_a_request_that_lay_in_the_queue_of_those_to_be_accepted(gate, waits):
-    """The loop stands still meanwhile, by the system's own clock: the kernel tells how old the bytes are."""
+    """The loop stands still meanwhile, by the system's own clock: the kernel knows how old the bytes are."""
     made = gate()
     data = requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D)
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(data)
     time.sleep(waits / 1000)
     made.until(made.came)
-    assert told_limit(made, waits)
+    assert limit_allows_for(made, waits)
     sock.close()
 
 
@@ -51,7 +51,7 @@
     client.ask(2, d=D)
     time.sleep(waits / 1000)
     made.until(made.came)
-    assert told_limit(made, waits)
+    assert limit_allows_for(made, waits)
 
 
 def test_a_request_that_lay_unread_as_its_client_takes_no_answers(gate, monkeypatch):
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("age", [0, 10 * SECOND])
 def test_a_request_that_lay_in_the_queue_while_none_were_accepted(gate, monkeypatch, age):
-    """The loop goes on turning: what it polls meanwhile does not tell of the connection."""
+    """The loop goes on turning: what it polls meanwhile does not show the connection."""
     kernels = unread.age_of_last_bytes
     monkeypatch.setattr(unread, "age_of_last_bytes", lambda sock: max(age, kernels(sock)))
     made = gate()
@@ -148,5 +148,5 @@
     sock = socket.create_connection(address(made.where)[1])
     sock.sendall(requests(made, 1, 10).replace(b'"d": 3000', b'"d": %d' % D))
     made.until(made.came)
-    assert told_limit(made, 600)
+    assert limit_allows_for(made, 600)
     sock.close()
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -322,7 +322,7 @@
             made.host.serve(stream, command)
 
     used, made = [], bench(answer=answer)
-    for number in range(4):  # the first is served, the next ends a connection kept open
+    for number in range(4):  # the first is served, the next ends an idle connection
         made.send(mark=f"{number:016x}")
         made.results(number + 1)
     made.send(Idempotency.NON_IDEMPOTENT, "e" * 16)
--- a/tests/http1/test_unanswered_http1.py
+++ b/tests/http1/test_unanswered_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: a connection kept open is not closed over a request that has come by then."""
+"""HTTP/1.1: a persistent connection is not closed over a request that has come by then."""
 
 import socket
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -26,8 +26,8 @@
 class Log:
     """A lease table and the entries that it is given."""
 
-    def __init__(self, **words):
-        self.machine, self.index = LeaseTable(**{"initial_wait": False, **words}), 0
+    def __init__(self, **options):
+        self.machine, self.index = LeaseTable(**{"initial_wait": False, **options}), 0
 
     def __call__(self, command, owner=None):
         self.index += 1
@@ -73,7 +73,7 @@
     log(AcquireLease("host", "a", 1, SECOND))
     assert log(RenewLease(1, "a", SECOND)).error == ""
     assert log(ExpireLease(1, 1)).error == "not over"
-    assert log(ExpireLease(1, 2), "a").error == "not over"  # a holder's word
+    assert log(ExpireLease(1, 2), "a").error == "not over"  # as the holder says
     assert log(ExpireLease(1, 2)).error == ""
     assert not log.machine.leases
 
@@ -280,8 +280,8 @@
 def test_a_leader_bounds_what_one_holder_and_all_holders_leave_waiting():
     net = settled(0)
     leader = net.leader
-    told = [leader.hear(net.now, "h", Request(0, nonce, b"")) for nonce in range(1, 10)]
-    states = [message.state for each in told for _, message in each if isinstance(message, Reply)]
+    answers = [leader.hear(net.now, "h", Request(0, nonce, b"")) for nonce in range(1, 10)]
+    states = [message.state for each in answers for _, message in each if isinstance(message, Reply)]
     assert states == ["busy"] * 5
     for number in range(2000):
         leader.hear(net.now, f"g{number}", Request(0, 1, b""))
--- a/tests/loop/test_loop.py
+++ b/tests/loop/test_loop.py
@@ -31,10 +31,10 @@
     fired = []
     for timer in [loop.after(SECOND, fired.append, number) for number in range(5000)]:
         timer.cancel()
-    loop.after(SECOND, fired.append, "kept")
+    loop.after(SECOND, fired.append, "fired")
     assert len(loop.timers) < 3000
     loop.run(until=loop.sleep(2 * SECOND))
-    assert fired == ["kept"]
+    assert fired == ["fired"]
 
 
 def test_a_coroutine_is_resumed_with_values_and_errors_and_returns(loop):
--- a/tests/loop/test_streams.py
+++ b/tests/loop/test_streams.py
@@ -131,9 +131,9 @@
 def test_who_does_not_close_is_waited_for_a_while_and_who_takes_nothing_is_reset(loop):
     closed = []
     stream, there = pair(loop)
-    stream.write(b"last words")
+    stream.write(b"last bytes")
     stream.close(closed.append)
-    assert there.recv(100) == b"last words"
+    assert there.recv(100) == b"last bytes"
     assert there.recv(1) == b""
     deaf, far = pair(loop)
     deaf.write(b"x" * (4 << 20))
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -143,15 +143,15 @@
 
 
 def test_a_dead_member_that_nobody_configured_is_forgotten_and_a_configured_one_stays():
-    made = membership("kept")
-    for name in ("kept", "stray"):
+    made = membership("configured")
+    for name in ("configured", "unconfigured"):
         made.apply(0, MemberUpdate(name, "w", MemberState.ALIVE, 1))
         made.apply(0, MemberUpdate(name, "w", MemberState.DEAD, 1))
     now = 0
     while now < 700 * SECOND:
         now = max(made.due, now + 1)
         made.tick(now)
-    assert set(made.members) == {"kept"}
+    assert set(made.members) == {"configured"}
 
 
 def test_an_unknown_dead_member_is_not_added_and_unknown_members_are_bounded():
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Gateways beside each other on sockets: what they tell, who is up, lists of them, versions one apart."""
+"""Gateways beside each other on sockets: what they share, who is up, lists of them, versions one apart."""
 
 import json
 import socket
--- a/tests/platform/test_sigterm_requests.py
+++ b/tests/platform/test_sigterm_requests.py
@@ -214,7 +214,7 @@
 
     time_passes()
     made.loop.run()
-    late = 100 * MILLI  # a sweep is due by then: the first timer that tells of the stall
+    late = 100 * MILLI  # a sweep is due by then: the first timer that shows the stall
     assert made.process.shutdown.times.exit_at <= max(began + late + killed(3000), stalled + 200 * MILLI)
     made.process.front.close()  # as the process does at its end
     made.turns()
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -86,7 +86,7 @@
         else:
             self.loop.after(LOADED if count % 9 == 0 else SERVED, host.serve, stream, command)
 
-    def tell(self, number, name, phase, since=0):
+    def send_event(self, number, name, phase, since=0):
         watch_event = event(number, (name, self.hosts[name].address, phase))
         watch_event["fleet"]["members"][0]["up_since_ms"] = since
         self.made.log.streams[-1].write(sse(watch_event))
@@ -99,10 +99,10 @@
                 self.made.log.streams[-1].write(b":\n\n")
             if since >= JOINS and events_sent == 0:
                 events_sent = 1
-                self.tell(2, "s-2", "Ready", true_wall(self.clock.now - 200 * MILLI) // MILLI)
+                self.send_event(2, "s-2", "Ready", true_wall(self.clock.now - 200 * MILLI) // MILLI)
             if since >= DRAINS and events_sent == 1:
                 events_sent, self.drained_at = 2, self.clock.now
-                self.tell(3, "s-1", "Terminating")
+                self.send_event(3, "s-1", "Terminating")
             if since < ENDS and since // PACE > number:
                 number += 1
                 method = "repair-order" if number % 3 == 0 else "fault-check"
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests that KNOWN-RED.txt names are passed over and told; all others count."""
+"""Tests that KNOWN-RED.txt names are passed over and listed; all others count."""
 
 import pytest
 
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -148,7 +148,7 @@
     assert entries > MAX_UNCOMMITTED
     for name in made.names:
         made.crash(name)
-    made.flying.clear()  # else what the old leader had sent would still tell how far all agreed
+    made.flying.clear()  # else what the old leader had sent would still show how far all agreed
     for name in made.names:
         made.start(name)
     made.run(10 * SECOND)
--- a/tests/standins/test_platform_clients.py
+++ b/tests/standins/test_platform_clients.py
@@ -201,8 +201,8 @@
 
     made, gates = day(bench, [closes_second], length=1)
     bench.until(lambda: bench.seen("answer"))
-    kept = list(made.pool.gateways[0].connections)
-    assert [link.answered for link in kept] == [True]
+    links = list(made.pool.gateways[0].connections)
+    assert [link.answered for link in links] == [True]
     made.start_request()
     bench.until(lambda: len(bench.seen("answer")) == 2)
     assert len(gates[0].came) == 3
--- a/tests/support/cell_fleet.py
+++ b/tests/support/cell_fleet.py
@@ -173,15 +173,15 @@
         return came
 
     def cell_status(self, name):
-        """What a gateway tells of its cells; {} where it does not answer."""
+        """What a gateway reports of its cells; {} where it does not answer."""
         return (self.status(name) or {}).get("cells", {})
 
     def status(self, name):
-        """What a gateway tells of itself; None where it does not answer."""
+        """What a gateway reports of itself; None where it does not answer."""
         return self.operator(name, "status")
 
     def operator(self, name, path):
-        """What the operators' address tells; None where nobody answers."""
+        """What the operators' address answers; None where nobody answers."""
         head = f"GET /{path} HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n"
         answer = self.wait(self.exchange(f"unix:{self.folder}/{name}.op", head.encode()))
         return json.loads(answer.body) if answer is not None else None
--- a/tests/support/failing.py
+++ b/tests/support/failing.py
@@ -1,4 +1,4 @@
-"""System calls that fail as a test tells them: stand-ins for a call, a socket, a listener and an epoll."""
+"""System calls that fail as a test orders it: stand-ins for a call, a socket, a listener and an epoll."""
 
 import gc
 import os
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -61,7 +61,7 @@
         self.failures.append((cell, why))
 
     def begin(self, **lists):
-        """All sources tell these lists, and the cells of the zones are wanted."""
+        """All sources send these lists, and the cells of the zones are wanted."""
         for source in self.sources:
             for cell, members in lists.items():
                 source.publish(cell, *members)
--- a/tests/support/followed_fleet.py
+++ b/tests/support/followed_fleet.py
@@ -10,7 +10,7 @@
 
 
 class FollowedFleet(CellFleet):
-    """As `CellFleet`, with `sources` that tell the lists of all cells."""
+    """As `CellFleet`, with `sources` that send the lists of all cells."""
 
     def __init__(self, folder, cells, sources=1, hosts=2):
         super().__init__(folder, cells, hosts)
--- a/tests/support/helpers.py
+++ b/tests/support/helpers.py
@@ -78,7 +78,7 @@
 
 
 class Drive:
-    """Plays the caller for one task: numbers its relays, keeps its wishes, hands over its outcomes."""
+    """Plays the caller for one task: numbers its attempts, records its actions, passes on their outcomes."""
 
     def __init__(self, made, asked, now=0):
         self.gateway, self.name, self.sent, self.ended = made, asked.id, [], False
--- a/tests/support/routing_scenes.py
+++ b/tests/support/routing_scenes.py
@@ -24,16 +24,16 @@
     return attempts
 
 
-def hands(made, worker, sent, relay=0, track=0):
-    """A relay out at the worker, in the gateway's books."""
-    made.hosts_by_id[worker].in_flight[f"t{sent}", relay] = sent
-    made.tracker.in_flight[f"t{sent}", relay] = InFlightAttempt(worker, "f", track, sent, True)
+def add_in_flight(made, host, sent, attempt=0, request_class=0):
+    """An attempt in flight at the host, as the gateway counts it."""
+    made.hosts_by_id[host].in_flight[f"t{sent}", attempt] = sent
+    made.tracker.in_flight[f"t{sent}", attempt] = InFlightAttempt(host, "f", request_class, sent, True)
 
 
-def answered(made, worker, now, sent, result=Result.OK, track=0):
-    hands(made, worker, sent, track=track)
+def answered(made, host, now, sent, result=Result.OK, request_class=0):
+    add_in_flight(made, host, sent, request_class=request_class)
     took, warm = now - sent, face.Found.WARM
-    made.attempt_ended(now, face.Outcome(f"t{sent}", 0, worker, result, took, True, warm, None, None))
+    made.attempt_ended(now, face.Outcome(f"t{sent}", 0, host, result, took, True, warm, None, None))
 
 
 def ranked(made, *order, function="f"):
--- a/tests/support/scripted.py
+++ b/tests/support/scripted.py
@@ -1,5 +1,5 @@
 """The platform's gateway with scripted peers on loopback: a host, a client and a change log that speak,
-stall, half-close and reset byte for byte as a test tells them, on a clock that the test may hold."""
+stall, half-close and reset byte for byte as a test orders it, on a clock that the test may hold."""
 
 import json
 import socket
