--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -36,11 +36,11 @@
     def list(self, state):
         self.hosts.update([Endpoint(row("h", state=state), self.host.address)], complete=True)
 
-    def send(self, effect=Idempotency.IDEMPOTENT, mark=CALL.request_id, left=SECOND):
+    def send(self, idempotency=Idempotency.IDEMPOTENT, request_id=CALL.request_id, left=SECOND):
         return self.hosts.send(
             "h",
-            CALL._replace(request_id=mark),
-            effect,
+            CALL._replace(request_id=request_id),
+            idempotency,
             "t",
             self.loop.now() + left,
             self.loop.now() + left,
@@ -65,7 +65,7 @@
     yield from makers(Bench)
 
 
-def test_a_relay_passes_id_class_function_and_body_unchanged(bench):
+def test_an_attempt_passes_id_class_function_and_body_unchanged(bench):
     made = bench()
     made.send()
     assert made.results(1) == [Result.OK]
@@ -77,16 +77,16 @@
     assert 900 <= sent["meta"]["limit"] <= 1000
 
 
-def test_each_relay_has_a_connection_of_its_own_while_there_is_room_then_they_share(bench):
+def test_each_attempt_has_a_connection_of_its_own_while_there_is_room_then_they_share(bench):
     made = bench(answer=lambda stream, command: None, room=2)
     for number in range(4):
-        made.send(mark=f"{number:016x}")
+        made.send(request_id=f"{number:016x}")
     made.until(lambda: len(made.host.came) == 4)
     assert len(made.host.streams) == 2
     assert made.hosts.multiplexed == 2
 
 
-def test_a_second_relay_of_a_task_never_shares_a_connection_with_the_first(bench):
+def test_a_second_attempt_of_a_request_never_shares_a_connection_with_the_first(bench):
     made = bench(answer=lambda stream, command: None, room=1)
     made.send()
     made.send()
@@ -98,11 +98,11 @@
     assert len(made.host.streams) == 2
 
 
-def test_a_late_answer_to_a_halted_relay_is_passed_over(bench):
+def test_a_late_answer_to_a_cancelled_attempt_is_ignored(bench):
     made, late = bench(answer=lambda stream, command: late.append((stream, command))), []
-    take_back = made.send()
+    cancel = made.send()
     made.until(lambda: late)
-    take_back()
+    cancel()
     made.until(lambda: len(late) == 2)
     assert late[1][1] == {"type": "halt", "req": CALL.request_id}
     made.send()  # the same id: on another connection
@@ -126,7 +126,7 @@
     assert made.results(1) == [Result.OK]
     assert made.heard[0].answer.body == CALL.body
     made.until(lambda: made.hosts.unmatched == 2)
-    made.send(mark="1" * 16)
+    made.send(request_id="1" * 16)
     assert made.results(2) == [Result.OK, Result.OK]
     assert len(made.host.streams) == 1
 
@@ -148,9 +148,9 @@
     made = bench(answer=lambda stream, command: held.append((stream, command)))
     made.send()
     made.until(lambda: held)
-    made.send(mark="1" * 16)  # its connection is still being opened
+    made.send(request_id="1" * 16)  # its connection is still being opened
     made.list(State.DRAINING)
-    made.send(mark="2" * 16)
+    made.send(request_id="2" * 16)
     made.results(2)
     made.host.serve(*held[0])
     assert sorted(result.value for result in made.results(3)) == ["connect_failed", "connect_failed", "ok"]
@@ -169,12 +169,12 @@
     assert made.results(2) == [Result.OK, Result.OK]
 
 
-def test_a_connection_that_was_silent_when_a_relay_was_given_up_is_not_used_again(bench):
+def test_a_connection_that_was_silent_when_an_attempt_was_given_up_is_not_used_again(bench):
     made = bench(answer=lambda stream, command: None)
     made.hosts.pooling.is_silent = lambda now, since: True
-    take_back = made.send()
+    cancel = made.send()
     made.until(lambda: made.host.came)
-    take_back()
+    cancel()
     assert not made.hosts.connection_count()
 
 
@@ -209,13 +209,13 @@
 def test_connections_that_end_at_rest_do_not_make_the_next_ones_distrusted(bench):
     made = bench()
     for number in range(3):
-        made.send(mark=f"{number:016x}")
+        made.send(request_id=f"{number:016x}")
         made.results(number + 1)
         made.host.streams[-1].close()
         made.until(lambda: not made.hosts.connection_count())
-    made.send(mark="a" * 16)
+    made.send(request_id="a" * 16)
     made.results(4)
-    made.send(mark="b" * 16)
+    made.send(request_id="b" * 16)
     made.results(5)
     assert made.hosts.opened == 4
     assert made.hosts.reused == 1
@@ -231,13 +231,13 @@
 
     used, made = [], bench(answer=answer)
     for number in range(4):  # the first is served, the next ends an idle connection
-        made.send(mark=f"{number:016x}")
+        made.send(request_id=f"{number:016x}")
         made.results(number + 1)
     made.send(Idempotency.NON_IDEMPOTENT, "e" * 16)
     results = made.results(5)
     assert results.count(Result.RESET) == 2
     assert results[4] is Result.OK
-    made.send(mark="f" * 16)
+    made.send(request_id="f" * 16)
     assert made.results(6)[5] is Result.OK
 
 
@@ -259,13 +259,13 @@
 
 
 @pytest.mark.parametrize(
-    ("effect", "rest"), [(Idempotency.IDEMPOTENT, 13.5), (Idempotency.NON_IDEMPOTENT, 3.75)]
+    ("idempotency", "rest"), [(Idempotency.IDEMPOTENT, 13.5), (Idempotency.NON_IDEMPOTENT, 3.75)]
 )
 def test_a_connection_rests_as_long_as_the_host_says_it_keeps_one_and_far_less_where_nothing_may_go_twice(
-    effect, rest
+    idempotency, rest
 ):
-    assert Pooling().max_idle(0, "h", effect, 15 * SECOND) == rest * SECOND
-    assert Pooling().max_idle(0, "h", effect, 0) == 0
+    assert Pooling().max_idle(0, "h", idempotency, 15 * SECOND) == rest * SECOND
+    assert Pooling().max_idle(0, "h", idempotency, 0) == 0
 
 
 def test_an_order_that_a_silent_host_may_still_get_never_arrives(bench):
