--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership at one gateway: updates as a lattice, messages and their encoding, bounds, the state transfer."""
+"""Membership at one gateway: updates as a lattice, messages and their encoding, bounds, state transfer."""
 
 import pytest
 from hypothesis import given
