--- a/tests/platform/test_syscalls_start.py
+++ b/tests/platform/test_syscalls_start.py
@@ -1,4 +1,4 @@
-"""The start and the reload of the platform's gateway while system calls fail for a moment."""
+"""The start of the platform's gateway while system calls fail for a moment."""
 
 import builtins
 import errno
@@ -13,49 +13,21 @@
 import time
 
 import pytest
-from failing import Failing, fault, open_descriptors
+from failing import SHORT_OF_RESOURCES, Failing, FailingSocketModule, fault, open_descriptors
 from scripted import MILLI, SECOND, SETTINGS, Handed
 
-from gaproute.loop import Loop, datagrams, dialing, listening
+from gaproute.loop import dialing, listening
 from gaproute.loop.faults import cause_of
 from gaproute.loop.starting import ADDRESS_TIME, START_TIME, StartupRetries
 from gaproute.platform import __main__ as program
 from gaproute.platform import configuration as platform_configuration
 from gaproute.platform.log import Log
-from gaproute.platform.peers import MAX_BIND_BACKOFF
 from gaproute.platform.process import Process
-from gaproute.platform.reload import MAX_READ_BACKOFF, READ_BACKOFF
-
-SHORT = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-
-
-class Sockets:
-    """Stands for the socket module in another one: what `call` makes fails as scripted."""
-
-    def __init__(self, name, *codes):
-        if name == "socket":
-            self.socket = Failing(socket.socket, *codes)
-            return
-        left = list(codes)
-
-        class Made(socket.socket):
-            pass
-
-        def failing(sock, *args):
-            if left:
-                raise fault(left.pop(0))
-            return getattr(socket.socket, name)(sock, *args)
-
-        setattr(Made, name, failing)
-        self.socket, self.left = Made, left
-
-    def __getattr__(self, name):
-        return getattr(socket, name)
 
 
 @pytest.fixture
-def patience():
-    """A patience whose waits take no time, and the waits that it took in seconds."""
+def retries():
+    """Startup retries whose pauses take no time; `waits`: the pauses in seconds."""
     clock = Handed()
 
     def sleep(span):
@@ -70,10 +42,10 @@
 # StartupRetries
 
 
-def test_a_step_is_called_again_with_pauses_that_grow(patience):
-    step = Failing(lambda: "done", *SHORT, errno.EINTR, errno.EAGAIN, errno.ENOSPC)
-    assert patience.call(step) == "done"
-    assert patience.waits == [0.005, 0.01, 0.02, 0.04, 0.05, 0.05, 0.05]
+def test_a_step_is_called_again_with_pauses_that_grow(retries):
+    step = Failing(lambda: "done", *SHORT_OF_RESOURCES, errno.EINTR, errno.EAGAIN, errno.ENOSPC)
+    assert retries.call(step) == "done"
+    assert retries.waits == [0.005, 0.01, 0.02, 0.04, 0.05, 0.05, 0.05]
 
 
 @pytest.mark.parametrize(
@@ -86,39 +58,39 @@
         (errno.EAFNOSUPPORT, 0),
     ],
 )
-def test_a_step_that_goes_on_failing_is_given_up_in_time(patience, code, span):
-    began = patience.clock()
+def test_a_step_that_goes_on_failing_is_given_up_in_time(retries, code, span):
+    began = retries.clock()
     with pytest.raises(OSError, match=rf"Errno {code}\b") as raised:
-        patience.call(Failing(lambda: None, *[code] * 999))
+        retries.call(Failing(lambda: None, *[code] * 999))
     assert raised.value.errno == code
-    assert span - SECOND // 4 <= patience.clock() - began <= span + MILLI
+    assert span - SECOND // 4 <= retries.clock() - began <= span + MILLI
 
 
-def test_all_steps_have_one_time_together_and_it_is_under_ten_seconds(patience):
-    began = patience.clock()
-    patience.call(Failing(lambda: None, *[errno.EMFILE] * 100))
+def test_all_steps_have_one_time_together_and_it_is_under_ten_seconds(retries):
+    began = retries.clock()
+    retries.call(Failing(lambda: None, *[errno.EMFILE] * 100))
     with pytest.raises(OSError, match=rf"Errno {errno.EMFILE}\b"):
-        patience.call(Failing(lambda: None, *[errno.EMFILE] * 999))
-    assert patience.clock() - began <= START_TIME < 10 * SECOND
+        retries.call(Failing(lambda: None, *[errno.EMFILE] * 999))
+    assert retries.clock() - began <= START_TIME < 10 * SECOND
 
 
-def test_what_is_no_failure_of_a_system_call_is_raised_at_once(patience):
+def test_what_is_no_failure_of_a_system_call_is_raised_at_once(retries):
     with pytest.raises(ZeroDivisionError):
-        patience.call(lambda: 1 / 0)
-    assert not patience.waits
+        retries.call(lambda: 1 / 0)
+    assert not retries.waits
 
 
 # The program
 
 
 @pytest.fixture
-def started(monkeypatch, tmp_path, patience):
+def started(monkeypatch, tmp_path, retries):
     """Runs the program up to its loop, with waits that take no time; returns its exit code."""
     path, made = tmp_path / "config.json", []
     configuration = {"name": "n1", "listen": "127.0.0.1:0", "changelog": "127.0.0.1:9", "settings": SETTINGS}
     path.write_text(json.dumps(configuration))
     monkeypatch.setenv("EDGE_CONFIG", str(path))
-    monkeypatch.setattr(program, "StartupRetries", lambda: patience)
+    monkeypatch.setattr(program, "StartupRetries", lambda: retries)
     monkeypatch.setattr(program.gc, "freeze", lambda: None)
     monkeypatch.setattr(Process, "run", lambda process: made.append(process))
     monkeypatch.setattr(Log, "write_line", lambda *_: None)
@@ -145,46 +117,46 @@
     assert len(open_descriptors() - before) <= (len(made) or 4)
 
 
-def test_a_start_without_failures_does_not_wait(started, patience):
+def test_a_start_without_failures_does_not_wait(started, retries):
     assert started() == 0
     assert len(started.made) == 1
-    assert not patience.waits
+    assert not retries.waits
 
 
-@pytest.mark.parametrize("code", SHORT)
+@pytest.mark.parametrize("code", SHORT_OF_RESOURCES)
 @pytest.mark.parametrize("name", ["socket", "bind", "listen", "getsockname"])
 def test_a_listener_that_cannot_be_had_at_once_is_had_a_moment_later(started, monkeypatch, name, code):
-    monkeypatch.setattr(listening, "socket", Sockets(name, code, code, code))
+    monkeypatch.setattr(listening, "socket", FailingSocketModule(name, code, code, code))
     assert started() == 0
     assert started.made[0].front.address.startswith("127.0.0.1:")
     assert len(started.made[0].front.connections.owners) == 1
 
 
-def test_an_address_in_use_by_one_that_ends_is_had_when_it_is_free(started, patience):
+def test_an_address_in_use_by_one_that_ends_is_had_when_it_is_free(started, retries):
     taken = socket.create_server(("127.0.0.1", 0))
     where = f"127.0.0.1:{taken.getsockname()[1]}"
-    wait = patience.sleep
+    wait = retries.sleep
 
     def sleep(span):
         wait(span)
-        if len(patience.waits) == 4:
+        if len(retries.waits) == 4:
             taken.close()
 
-    patience.sleep = sleep
+    retries.sleep = sleep
     assert started(listen=where) == 0
     assert started.made[0].front.address == where
 
 
 @pytest.mark.parametrize("where", ["192.0.2.1:80", "taken"])
 def test_an_address_that_cannot_be_had_ends_the_start_with_3_and_says_so_soon(
-    started, patience, capsys, where
+    started, retries, capsys, where
 ):
-    began = patience.clock()
+    began = retries.clock()
     with socket.create_server(("127.0.0.1", 0)) as taken:
         where = f"127.0.0.1:{taken.getsockname()[1]}" if where == "taken" else where
         assert started(listen=where) == 3
     assert f"cannot listen on {where}" in capsys.readouterr().err
-    assert patience.clock() - began <= ADDRESS_TIME + MILLI
+    assert retries.clock() - began <= ADDRESS_TIME + MILLI
     assert not started.made
 
 
@@ -209,14 +181,14 @@
 @pytest.mark.parametrize("one_in", [8, 3])
 @pytest.mark.parametrize("seed", range(40))
 def test_a_start_succeeds_though_each_of_its_calls_fails_by_chance(
-    started, monkeypatch, patience, one_in, seed
+    started, monkeypatch, retries, one_in, seed
 ):
-    chance, began = random.Random(seed), patience.clock()
+    chance, began = random.Random(seed), retries.clock()
 
     def flaky(call):
         def called(*args, **options):
             if chance.randrange(one_in) == 0:
-                raise fault(chance.choice(SHORT))
+                raise fault(chance.choice(SHORT_OF_RESOURCES))
             return call(*args, **options)
 
         return called
@@ -226,7 +198,7 @@
         setsockopt, getsockname = flaky(socket.socket.setsockopt), flaky(socket.socket.getsockname)
         connect_ex = flaky(socket.socket.connect_ex)
 
-    sockets = Sockets("socket")
+    sockets = FailingSocketModule("socket")
     sockets.socket = flaky(Flaky)
     monkeypatch.setattr(listening, "socket", sockets)
     monkeypatch.setattr(dialing, "socket", sockets)
@@ -234,22 +206,22 @@
     monkeypatch.setattr(os, "pipe2", flaky(os.pipe2))
     monkeypatch.setattr(platform_configuration, "open", flaky(builtins.open), raising=False)
     assert started() == 0
-    assert patience.clock() - began < START_TIME
+    assert retries.clock() - began < START_TIME
 
 
-def test_a_configuration_that_is_not_there_ends_the_start_at_once(started, monkeypatch, patience, capsys):
+def test_a_configuration_that_is_not_there_ends_the_start_at_once(started, monkeypatch, retries, capsys):
     monkeypatch.setenv("EDGE_CONFIG", "/nowhere/config.json")
     assert started() == 2
-    assert not patience.waits
+    assert not retries.waits
     assert "/nowhere" in capsys.readouterr().err
 
 
-def test_a_machine_that_gives_no_epoll_at_all_ends_the_start_in_time(started, monkeypatch, patience, capsys):
-    began = patience.clock()
+def test_a_machine_that_gives_no_epoll_at_all_ends_the_start_in_time(started, monkeypatch, retries, capsys):
+    began = retries.clock()
     monkeypatch.setattr(select, "epoll", Failing(select.epoll, *[errno.EMFILE] * 999))
     assert started() == 3
     assert "cannot start" in capsys.readouterr().err
-    assert patience.clock() - began <= START_TIME
+    assert retries.clock() - began <= START_TIME
 
 
 def test_the_real_program_waits_for_its_address_and_then_serves(tmp_path):
@@ -279,78 +251,6 @@
         child.wait()
 
 
-# Peers, reload
-
-
-@pytest.mark.parametrize("code", [*SHORT, errno.EADDRINUSE])
-@pytest.mark.parametrize("name", ["socket", "bind"])
-def test_peers_that_cannot_be_heard_at_the_start_are_heard_later(gate, monkeypatch, name, code):
-    made = gate(clock=Handed(), peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
-    monkeypatch.setattr(datagrams, "socket", Sockets(name, *[code] * 3))
-    made.process.peers.open()
-    assert made.process.peers.datagrams is None
-    for _ in range(30):
-        made.passes(50 * MILLI)
-    assert made.process.peers.datagrams is not None
-    assert made.process.peers.retry_timer is None
-    assert [what for what, _ in made.lines if "peer_socket" in what] == [
-        "peer_socket_unavailable",
-        "peer_socket_bound",
-    ]
-    made.process.core.broadcast(b"x")
-
-
-def test_peers_that_can_never_be_heard_are_tried_less_and_less_often_and_logged_once(gate, monkeypatch):
-    made = gate(clock=Handed(), peer_listen="127.0.0.1:0", peers_all="127.0.0.1:9")
-    sockets = Sockets("socket", *[errno.EMFILE] * 999)
-    monkeypatch.setattr(datagrams, "socket", sockets)
-    made.process.peers.open()
-    for _ in range(60):
-        made.passes(MAX_BIND_BACKOFF // 5)
-    assert 15 <= sockets.socket.failed <= 25
-    assert [what for what, _ in made.lines].count("peer_socket_unavailable") == 1
-
-
-def test_datagrams_that_cannot_be_watched_leave_no_descriptor(monkeypatch):
-    loop = Loop()
-    before = open_descriptors()
-    monkeypatch.setattr(loop, "watch", Failing(loop.watch, errno.EPERM))
-    with pytest.raises(PermissionError) as raised:  # its traceback holds the socket, which is not left to the
-        datagrams.Datagrams(loop, "127.0.0.1:0", lambda data: None)  # garbage collector
-    assert open_descriptors() == before
-    assert raised.tb is not None
-    loop.close()
-
-
-@pytest.mark.parametrize("code", [errno.EMFILE, errno.ENOMEM, errno.EINTR, errno.EIO])
-def test_a_reload_that_cannot_be_read_is_tried_again_less_and_less_often(gate, monkeypatch, code):
-    made = gate(clock=Handed())
-    made.configuration["changelog"] = "127.0.0.1:9"
-    made.write()
-    failing = Failing(builtins.open, *[code] * 999)
-    monkeypatch.setattr(platform_configuration, "open", failing, raising=False)
-    made.process.reload()
-    made.passes(READ_BACKOFF)
-    made.passes(2 * READ_BACKOFF)
-    assert failing.failed == 3
-    for _ in range(MAX_READ_BACKOFF // READ_BACKOFF):
-        made.passes(READ_BACKOFF)
-    assert 4 <= failing.failed <= 6
-    failing.codes.clear()
-    made.passes(MAX_READ_BACKOFF)
-    made.passes(MAX_READ_BACKOFF)
-    assert made.process.configuration.changelog == "127.0.0.1:9"
-    assert made.process.reloader.retry_timer is None
-
-
-def test_a_reload_that_is_refused_is_not_tried_again(gate):
-    made = gate(clock=Handed())
-    made.path.write_text("no JSON")
-    made.process.reload()
-    assert made.lines[-1][0] == "configuration_rejected"
-    assert made.process.reloader.retry_timer is None
-
-
 def _raise_from_a_cause():
     try:
         raise fault(errno.EMFILE)
--- a/tests/support/failing.py
+++ b/tests/support/failing.py
@@ -1,7 +1,11 @@
-"""System calls that fail as a test orders it: stand-ins for a call, a socket, a listener and an epoll."""
+"""System calls that fail as a test orders it: stand-ins for a call, a socket and its module, an epoll."""
 
+import errno
 import gc
 import os
+import socket
+
+SHORT_OF_RESOURCES = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
 def fault(code):
@@ -44,6 +48,33 @@
     """Stands for a socket of which some calls fail."""
 
 
+class FailingSocketModule:
+    """Stands for the socket module in another one: its sockets fail in the call `name` with these numbers.
+
+    `name`: "socket" for the making of one, or a method.
+    """
+
+    def __init__(self, name, *codes):
+        if name == "socket":
+            self.socket = Failing(socket.socket, *codes)
+            return
+        left = list(codes)
+
+        class Made(socket.socket):
+            pass
+
+        def failing(sock, *args):
+            if left:
+                raise fault(left.pop(0))
+            return getattr(socket.socket, name)(sock, *args)
+
+        setattr(Made, name, failing)
+        self.socket, self.left = Made, left
+
+    def __getattr__(self, name):
+        return getattr(socket, name)
+
+
 class FailingEpoll(FailingObject):
     """Stands for an epoll of which some calls fail."""
 
