--- a/tests/support/event_world.py
+++ b/tests/support/event_world.py
@@ -173,7 +173,7 @@
         task = SimpleNamespace(
             finals=[],
             left=False,
-            effect=REQUEST_CLASSES[place % 3].idempotency,
+            idempotency=REQUEST_CLASSES[place % 3].idempotency,
             end=self.loop.now() + CLIENT_LIMIT,
         )
         self.named[name] = task
