--- a/benchmarks/leaving.py
+++ b/benchmarks/leaving.py
@@ -19,7 +19,7 @@
 import sys
 import tempfile
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -36,6 +36,7 @@
 WORK_TIME, MAX_LEAVE_TIME = 30 * MILLI, 20 * MILLI
 WARM_UP_TIME = 2 * SECOND  # nothing is counted before it is over
 GATEWAY = "127.0.0.1:7390"
+ADDRESSES_FILE, SEEN_FILE = "hosts", "seen"  # written by the hosts' process
 REQUEST_CLASSES = (
     RequestClassSettings("check"),
     RequestClassSettings("check"),
@@ -45,141 +46,193 @@
 
 
 class Hosts:
-    """In a process of their own; `seen`: id: when its last attempt was read."""
+    """Hosts that reject one attempt in ten. `seen`: when a request's last attempt was read, by its id."""
 
-    def __init__(self, seed: int, folder: str) -> None:
-        self.loop, self.chance = Loop(), Chance(seed)
+    def __init__(self, loop: Loop, seed: int) -> None:
         self.seen: dict[str, int] = {}
-        self.hosts = [ScriptedHost(self.loop, self.answer) for _ in range(HOSTS)]
-        self.loop.on_signal(signal.SIGTERM, self.loop.stop)
-        Path(folder, "part").write_text(json.dumps([host.address for host in self.hosts]))
-        Path(folder, "part").rename(Path(folder, "hosts"))
-        self.loop.run()
-        Path(folder, "seen").write_text(json.dumps(self.seen))
-
-    def answer(self, stream: Stream, command: dict[str, Any]) -> None:
+        self._loop, self._chance = loop, Chance(seed)
+        self._hosts = [ScriptedHost(loop, self._answer) for _ in range(HOSTS)]
+
+    @property
+    def addresses(self) -> list[str]:
+        """Where each listens."""
+        return [host.address for host in self._hosts]
+
+    def _answer(self, stream: Stream, command: dict[str, Any]) -> None:
         """Note when an attempt was read; reject one in ten and serve the others after their work."""
-        host = self.hosts[0]
+        host = self._hosts[0]
         if command["type"] != "go":
             host.serve(stream, command)
             return
-        self.seen[command["req"]] = self.loop.now()
-        if self.chance.below(10) == 0:
+        self.seen[command["req"]] = self._loop.now()
+        if self._chance.below(10) == 0:
             host.reply(stream, command, "overload")
         else:
-            self.loop.after(WORK_TIME, host.serve, stream, command)
+            self._loop.after(WORK_TIME, host.serve, stream, command)
+
 
+def run_hosts(seed: int, folder: Path) -> None:
+    """Serve until SIGTERM; the hosts' addresses are written at the start, what they have seen at the end."""
+    loop = Loop()
+    hosts = Hosts(loop, seed)
+    loop.on_signal(signal.SIGTERM, loop.stop)
+    part = folder / "part"
+    part.write_text(json.dumps(hosts.addresses))
+    part.rename(folder / ADDRESSES_FILE)
+    loop.run()
+    (folder / SEEN_FILE).write_text(json.dumps(hosts.seen))
 
-def _start_hosts(seed: int, folder: str) -> int:
+
+def _start_hosts(seed: int, folder: Path) -> int:
     """Fork the hosts onto the core before the clients'; the process id."""
     pid = os.fork()
     if not pid:
         os.sched_setaffinity(0, {max(0, min(os.sched_getaffinity(0)) - 1)})
-        Hosts(seed, folder)
+        run_hosts(seed, folder)
         os._exit(0)
     return pid
 
 
-class Play:
-    """The clients, who ask at a steady rate, and the gateway's process; the play is over once it is made."""
-
-    def __init__(self, loop: Loop, rate: int, seconds: int, seed: int, core: int, folder: str) -> None:
-        self.loop, self.chance, self.rate, self.folder = loop, Chance(seed), rate, folder
-        self.left: dict[str, int] = {}  # id: when its client left
-        self.late = 0  # of the clients at most, ns
-        self.sent = 0
-        self.answers: list[dict[str, Any]] = []
-        log = ScriptedChangeLog(loop)
-        hosts = _start_hosts(seed, folder)
-        while not Path(folder, "hosts").exists():
-            loop.run(until=loop.sleep(MILLI))
-        self.node = self._start_gateway(log.address, seed, core)
-        try:
-            self._measure(seconds)
-        finally:
-            self.node.terminate()
-            self.node.wait()
-            os.kill(hosts, signal.SIGTERM)
-            os.waitpid(hosts, 0)
-        seen = json.loads(Path(folder, "seen").read_text())
-        self.lags = {name: seen[name] - at for name, at in self.left.items() if seen.get(name, 0) > at}
-
-    def _start_gateway(self, change_log: str, seed: int, core: int) -> subprocess.Popen[bytes]:
-        addresses = json.loads(Path(self.folder, "hosts").read_text())
-        members = [(f"s-{place}", host, "Ready") for place, host in enumerate(addresses)]
-        configuration = GatewayConfiguration(
-            name="n1",
-            listen=GATEWAY,
-            change_log=change_log,
-            known={"seq": 1, "results": [event(1, *members, complete=True)]},
-            settings=deployment_settings(REQUEST_CLASSES[2:]),
-            seed=seed,
-        )
-        command, environment = configuration.write(self.folder)
-        return subprocess.Popen(
-            ["taskset", "-c", str(core), *command], env=os.environ | environment, stderr=subprocess.DEVNULL
-        )
-
-    def _measure(self, seconds: int) -> None:
-        loop = self.loop
-        loop.run(until=loop.sleep(SECOND))
-        self.clients = [self._connect() for _ in range(CONNECTIONS)]
-        loop.run(until=loop.sleep(SECOND))
-        self.next = loop.now()
-        loop.soon(self._ask)
-        loop.run(until=loop.sleep(WARM_UP_TIME))
-        self.left, self.late, first = {}, 0, self.sent
-        before, began = cpu_seconds(self.node.pid), loop.now()
-        loop.run(until=loop.sleep(seconds * SECOND))
-        self.served = sum("result" in each for each in self.answers if each["id"] > first)
-        self.asked = self.sent - first - len(self.left)
-        self.busy = (cpu_seconds(self.node.pid) - before) / ((loop.now() - began) / SECOND)
+def _start_gateway(folder: Path, change_log: str, seed: int, core: int) -> subprocess.Popen[bytes]:
+    """The gateway's process on that core, before the hosts whose addresses are in the folder."""
+    addresses = json.loads((folder / ADDRESSES_FILE).read_text())
+    members = [(f"s-{place}", host, "Ready") for place, host in enumerate(addresses)]
+    configuration = GatewayConfiguration(
+        name="n1",
+        listen=GATEWAY,
+        change_log=change_log,
+        known={"seq": 1, "results": [event(1, *members, complete=True)]},
+        settings=deployment_settings(REQUEST_CLASSES[2:]),
+        seed=seed,
+    )
+    command, environment = configuration.write(folder)
+    return subprocess.Popen(
+        ["taskset", "-c", str(core), *command], env=os.environ | environment, stderr=subprocess.DEVNULL
+    )
+
+
+class Clients:
+    """Clients that send requests at a steady rate; one in ten leaves a little after its request.
+
+    `left`: when the client of a request left, by the request's id; `late`: the greatest lateness of a
+    request's sending, ns; `sent`: how many were sent.
+    """
+
+    def __init__(self, loop: Loop, rate: int, seed: int) -> None:
+        self.left: dict[str, int] = {}
+        self.late = self.sent = 0
+        self._loop, self._chance, self._interval = loop, Chance(seed), SECOND // rate
+        self._answers: list[dict[str, Any]] = []
+        self._clients: list[ScriptedClient] = []
+        self._next = self._first_counted = 0
+
+    def connect(self) -> None:
+        """Open the connections."""
+        self._clients = [self._connect() for _ in range(CONNECTIONS)]
+
+    def start(self) -> None:
+        """Send requests from now on."""
+        self._next = self._loop.now()
+        self._loop.soon(self._send_due)
+
+    def reset_counts(self) -> None:
+        """Count from now on."""
+        self.left, self.late, self._first_counted = {}, 0, self.sent
+
+    def served_share(self) -> float:
+        """The share with a result, of the requests whose client stayed."""
+        served = sum("result" in each for each in self._answers if each["id"] > self._first_counted)
+        return served / (self.sent - self._first_counted - len(self.left))
 
     def _connect(self) -> ScriptedClient:
-        client = ScriptedClient(self.loop, GATEWAY)
-        client.answers = self.answers
+        client = ScriptedClient(self._loop, GATEWAY)
+        client.answers = self._answers
         client.ready.then(lambda promise: None)
         return client
 
-    def _ask(self) -> None:
+    def _send_due(self) -> None:
         """Send all requests that are due; one client in ten leaves a little later."""
-        now = self.loop.now()
-        self.late = max(self.late, now - self.next)
-        while self.next <= now:
-            self.next += SECOND // self.rate
+        now = self._loop.now()
+        self.late = max(self.late, now - self._next)
+        while self._next <= now:
+            self._next += self._interval
             self.sent += 1
-            place = self.chance.below(CONNECTIONS)
-            client = self.clients[place]
-            client.ask(self.sent, REQUEST_CLASSES[self.chance.below(4)].name)
-            if self.chance.below(10) == 0:
-                self.clients[place] = self._connect()
-                self.loop.after(self.chance.below(MAX_LEAVE_TIME), self._leave, client, f"{self.sent:016x}")
-        self.loop.at(self.next, self._ask)
-
-    def _leave(self, client: ScriptedClient, name: str) -> None:
+            place = self._chance.below(CONNECTIONS)
+            client = self._clients[place]
+            client.ask(self.sent, REQUEST_CLASSES[self._chance.below(4)].name)
+            if self._chance.below(10) == 0:
+                self._clients[place] = self._connect()
+                self._loop.after(self._chance.below(MAX_LEAVE_TIME), self._leave, client, f"{self.sent:016x}")
+        self._loop.at(self._next, self._send_due)
+
+    def _leave(self, client: ScriptedClient, request_id: str) -> None:
         if client.stream is None:
             return
-        self.left[name] = self.loop.now()
-        if self.chance.below(2):
+        self.left[request_id] = self._loop.now()
+        if self._chance.below(2):
             client.stream.abort()
         else:
             client.stream.close()
 
 
-def row(rate: int, play: Play) -> dict[str, Any]:
+class Figures(NamedTuple):
+    """What one play gave."""
+
+    busy: float  # share of a core that the gateway took
+    served: float  # share of the requests whose client stayed
+    lags: list[
+        int
+    ]  # ns from a client's leaving to the begin of its request's last attempt, 0 for none; sorted
+    late: int  # ns, of the clients at most
+
+
+def play(loop: Loop, rate: int, seconds: int, seed: int, core: int, folder: Path) -> Figures:
+    """Play clients at that rate for so long; `core`: the gateway's."""
+    log = ScriptedChangeLog(loop)
+    hosts = _start_hosts(seed, folder)
+    while not (folder / ADDRESSES_FILE).exists():
+        loop.run(until=loop.sleep(MILLI))
+    gateway = _start_gateway(folder, log.address, seed, core)
+    clients = Clients(loop, rate, seed)
+    try:
+        busy = _share_of_core(loop, clients, gateway.pid, seconds)
+    finally:
+        gateway.terminate()
+        gateway.wait()
+        os.kill(hosts, signal.SIGTERM)
+        os.waitpid(hosts, 0)
+    seen = json.loads((folder / SEEN_FILE).read_text())
+    lags = sorted(max(0, seen.get(name, 0) - at) for name, at in clients.left.items())
+    return Figures(busy, clients.served_share(), lags, clients.late)
+
+
+def _share_of_core(loop: Loop, clients: Clients, gateway_pid: int, seconds: int) -> float:
+    """Let the clients warm up and be counted for so long; the share of a core that the gateway took."""
+    loop.run(until=loop.sleep(SECOND))
+    clients.connect()
+    loop.run(until=loop.sleep(SECOND))
+    clients.start()
+    loop.run(until=loop.sleep(WARM_UP_TIME))
+    clients.reset_counts()
+    before, began = cpu_seconds(gateway_pid), loop.now()
+    loop.run(until=loop.sleep(seconds * SECOND))
+    return (cpu_seconds(gateway_pid) - before) / ((loop.now() - began) / SECOND)
+
+
+def make_row(rate: int, figures: Figures) -> dict[str, Any]:
     """The play's row of the table."""
-    lags = sorted(play.lags.get(name, 0) / MILLI for name in play.left)
+    lags = [lag / MILLI for lag in figures.lags]
     share = sum(lag > 100 for lag in lags) / len(lags)
     return {
         "tasks/s": rate,
-        "loop, of a core": f"{play.busy:.2f}",
-        "served": f"{play.served / play.asked:.0%}",
+        "loop, of a core": f"{figures.busy:.2f}",
+        "served": f"{figures.served:.0%}",
         "left": len(lags),
-        "begun after": len(play.lags),
+        "begun after": sum(lag > 0 for lag in lags),
         "99th, ms": f"{lags[int(0.99 * len(lags))]:.1f}",
         "latest, ms": f"{lags[-1]:.1f}",
         "over 0.1 s": f"{share:.2%}",
-        "peers late by, ms": f"{play.late / MILLI:.1f}",
+        "peers late by, ms": f"{figures.late / MILLI:.1f}",
     }
 
 
@@ -198,8 +251,9 @@
     for rate in [int(rate) for rate in options.rates.split(",")]:
         with tempfile.TemporaryDirectory() as folder:
             loop = Loop()
-            rows.append(row(rate, Play(loop, rate, options.seconds, options.seed, core, folder)))
+            figures = play(loop, rate, options.seconds, options.seed, core, Path(folder))
             loop.close()
+        rows.append(make_row(rate, figures))
     print(table(rows))
     if options.out:
         write(options.out, "leaving", rows)
