--- a/benchmarks/wide.py
+++ b/benchmarks/wide.py
@@ -1,7 +1,7 @@
 """What one gateway of the platform costs as its host list grows: processes on loopback.
 
-One `gaproute.platform` with 3 tasks a second, as a gateway of a large fleet sees them, before stand-in hosts:
-CPU of the start, of an idle second, of a change of one line of the list, of a task; bytes of its log.
+One `gaproute.platform` before stand-in hosts, with 3 requests a second, as a gateway of a large fleet has:
+CPU of the start, of an idle second, of a change of one line of the list, of a request; bytes of its log.
 
     python -m benchmarks.wide [--hosts 60,120,400,1000] [--seconds 15] [--plays 3]
 """
@@ -29,13 +29,19 @@
 from gaproute.standins.platform.host_list import VersionedHostList, member
 
 MILLI, SECOND = 1_000_000, 1_000_000_000
-RATE = 3.0  # tasks a second
+RATE = 3.0  # requests a second
 FUNCTIONS = 400
 CHANGES = 40  # of a line of the list
 HOSTS_EACH = 250  # in one stand-in process
-TRACKS = [RequestClassSettings("fault-check", priority_weight=3.0)]
+REQUEST_CLASSES = [RequestClassSettings("fault-check", priority_weight=3.0)]
 MODELS = [
-    {"name": f"{number:016x}", "track": TRACKS[0].name, "lanes": 4, "work": 40 * MILLI, "start": 100 * MILLI}
+    {
+        "name": f"{number:016x}",
+        "track": REQUEST_CLASSES[0].name,
+        "lanes": 4,
+        "work": 40 * MILLI,
+        "start": 100 * MILLI,
+    }
     for number in range(1, FUNCTIONS + 1)
 ]
 
@@ -46,7 +52,7 @@
     start: float  # s of CPU
     idle: float  # s of CPU a second
     change: float  # s of CPU a changed line of the list
-    task: float  # s of CPU
+    request: float  # s of CPU
     log: float  # bytes a second
 
 
@@ -59,11 +65,11 @@
         self.addresses: dict[str, str] = {}  # of the hosts, by name
         for first in range(0, count, HOSTS_EACH):
             self._start_hosts(range(first, min(count, first + HOSTS_EACH)))
-        whole = self.listing.change(*[member(name, at) for name, at in self.addresses.items()])
+        complete_list = self.listing.change(*[member(name, at) for name, at in self.addresses.items()])
         self.change_log, started = self.start_stand_in(
             "platform-log", {"gateways": ["127.0.0.2:0"], "tap": f"{folder}/log"}
         )
-        self.change_log.send(whole)
+        self.change_log.send(complete_list)
         self.log = self.folder / "g0.log"
         self._start_gateway(started["addresses"][0])
 
@@ -91,12 +97,12 @@
             listen="127.0.0.2:0",
             change_log=change_log,
             known=self.listing.snapshot(),
-            settings=deployment_settings(TRACKS, gateways=200),
+            settings=deployment_settings(REQUEST_CLASSES, gateways=200),
         )
         command, environment = configuration.write(self.folder)
         with self.log.open("wb") as log:
-            self.child = subprocess.Popen(command, env=os.environ | environment, stderr=log)
-        self.listens = self._wait_started()
+            self.gateway = subprocess.Popen(command, env=os.environ | environment, stderr=log)
+        self.gateway_address = self._wait_started()
 
     def _wait_started(self) -> str:
         """The address at which the gateway listens, once it does."""
@@ -105,15 +111,15 @@
                 event = json.loads(line)
                 if event["event"] == "started":
                     return str(event["listen_address"])
-            if self.child.poll() is not None:
+            if self.gateway.poll() is not None:
                 raise GatewayStartError(f"the gateway did not start; see {self.log}")
             time.sleep(0.01)
 
     def spent(self, action: Callable[[], object]) -> float:
         """Seconds of CPU of the gateway while `action` runs."""
-        before = main_thread_cpu(self.child.pid) / SECOND
+        before = main_thread_cpu(self.gateway.pid) / SECOND
         action()
-        return main_thread_cpu(self.child.pid) / SECOND - before
+        return main_thread_cpu(self.gateway.pid) / SECOND - before
 
     def change(self) -> None:
         """Let one host drain and another come back, in turn, each some milliseconds after the last."""
@@ -125,15 +131,17 @@
             time.sleep(0.05)
 
     def serve(self, seconds: float) -> None:
-        """Let clients send tasks for so long."""
+        """Let clients send requests for so long."""
         clients, _ = self.start_stand_in(
             "platform-clients",
             {
-                "gateways": [self.listens],
+                "gateways": [self.gateway_address],
                 "models": MODELS,
                 "seed": 5,
                 "tap": f"{self.folder}/clients",
-                "kinds": [{"name": TRACKS[0].name, "share": 1.0, "limit": 5000 * MILLI, "pure": True}],
+                "kinds": [
+                    {"name": REQUEST_CLASSES[0].name, "share": 1.0, "limit": 5000 * MILLI, "pure": True}
+                ],
                 "habits": {"rate": RATE},
                 "length": int(seconds * 1000) * MILLI,
             },
@@ -142,9 +150,9 @@
 
     def end(self) -> None:
         """End every process."""
-        if self.child.poll() is None:
-            self.child.send_signal(signal.SIGTERM)
-            self.child.wait(15)
+        if self.gateway.poll() is None:
+            self.gateway.send_signal(signal.SIGTERM)
+            self.gateway.wait(15)
         for process in self.processes:
             process.close()
 
@@ -154,17 +162,17 @@
     with tempfile.TemporaryDirectory() as folder:
         scene = Scene(folder, hosts)
         try:
-            start = main_thread_cpu(scene.child.pid) / SECOND
+            start = main_thread_cpu(scene.gateway.pid) / SECOND
             scene.spent(lambda: time.sleep(1))  # what the start leaves to be done
             logged = scene.log.stat().st_size
             idle = scene.spent(lambda: time.sleep(seconds)) / seconds
             log_rate = (scene.log.stat().st_size - logged) / seconds
-            begun = time.monotonic()
+            began = time.monotonic()
             busy = scene.spent(lambda: scene.serve(seconds))
-            served = busy - idle * (time.monotonic() - begun)
-            # With functions known the list has something to be ranked for.
-            begun = time.monotonic()
-            changes = scene.spent(scene.change) - idle * (time.monotonic() - begun)
+            served = busy - idle * (time.monotonic() - began)
+            # Only now are functions known, for which a changed list is ranked anew.
+            began = time.monotonic()
+            changes = scene.spent(scene.change) - idle * (time.monotonic() - began)
             return Costs(start, idle, changes / CHANGES, served / (RATE * seconds), log_rate)
         finally:
             scene.end()
