--- a/benchmarks/fleet/cold_cases.py
+++ b/benchmarks/fleet/cold_cases.py
@@ -9,20 +9,21 @@
 # Hosts gain nothing until they are warm, the least that the settings promise; all gateways get lists at once.
 LEAST: Case = {"share": 0.17, "gain": "step", "uneven": False, "idle": False, "restart": False, "late": False}
 STRONG: Case = {"pace": 60.0, "hosts": 12}
+KILLED: Case = {"kind": "join", "restart": True, "clients_retry": True}
 SIZES = (0.4, 1.0, 1.6)
 HARD_DAYS: dict[str, Case] = {
     "small hosts among large ones": LEAST | STRONG | {"kind": "join", "sizes": SIZES, "busy": 0.9},
     "hosts crowded": LEAST | STRONG | {"kind": "join", "busy": 0.9},
     "weak hosts crowded": LEAST | {"kind": "join", "busy": 0.9, "hosts": 24},
-    "all cold, a storm": LEAST | {"kind": "all", "busy": 2.0, "reasked": True, "hosts": 24},
-    "all cold, strong, a storm": LEAST | STRONG | {"kind": "all", "busy": 1.5, "reasked": True},
+    "all cold, a storm": LEAST | {"kind": "all", "busy": 2.0, "clients_retry": True, "hosts": 24},
+    "all cold, strong, a storm": LEAST | STRONG | {"kind": "all", "busy": 1.5, "clients_retry": True},
     "answers stall": LEAST | STRONG | {"kind": "join", "busy": 0.6, "stall": True},
     "weak hosts, answers stall": LEAST | {"kind": "join", "busy": 0.6, "stall": True, "hosts": 24},
     "quiet, then a burst": LEAST | STRONG | {"kind": "join", "busy": 0.7, "surge": True},
     "all cold, they gain unlike": LEAST | STRONG | {"kind": "all", "busy": 0.8, "gain": "unlike"},
     "all replaced, they gain unlike": LEAST | STRONG | {"kind": "row", "busy": 0.6, "gain": "unlike"},
     "heavy functions": LEAST | STRONG | {"kind": "join", "busy": 0.6, "heavy_functions": True},
-    "killed in slow start": LEAST | STRONG | {"kind": "join", "busy": 0.6, "restart": True, "reasked": True},
+    "killed in slow start": LEAST | STRONG | KILLED | {"busy": 0.6},
     "cold twice": LEAST | STRONG | {"kind": "twice", "busy": 0.4},
 }
 
@@ -43,13 +44,13 @@
     "one of sixteen warm": {"kind": "most"},
     "cold twice": {"kind": "twice"},
     "cold twice, lists late": {"kind": "twice", "late": True},
-    "seven in ten killed in slow start": {"restart": True, "reasked": True},
-    "all cold, seven in ten killed": {"kind": "all", "restart": True, "reasked": True},
-    "a tenth restarts at a time": {"rolling_restart": True, "reasked": True},
-    "all cold, a tenth at a time": {"kind": "all", "rolling_restart": True, "reasked": True},
+    "seven in ten killed in slow start": {"restart": True, "clients_retry": True},
+    "all cold, seven in ten killed": {"kind": "all", "restart": True, "clients_retry": True},
+    "a tenth restarts at a time": {"rolling_restart": True, "clients_retry": True},
+    "all cold, a tenth at a time": {"kind": "all", "rolling_restart": True, "clients_retry": True},
     "lists late": {"late": True},
-    "clients ask again": {"reasked": True, "busy": 0.9},
-    "all cold, clients ask again": {"kind": "all", "reasked": True, "busy": 0.9},
+    "clients ask again": {"clients_retry": True, "busy": 0.9},
+    "all cold, clients ask again": {"kind": "all", "clients_retry": True, "busy": 0.9},
     "probes and orders": {"probes": True},
     "all cold, probes and orders": {"kind": "all", "probes": True},
     "230 gateways, free probes": {"gateways": 230, "probes": True, "free_probes": True},
--- a/benchmarks/fleet/cold_days.py
+++ b/benchmarks/fleet/cold_days.py
@@ -41,7 +41,7 @@
     sizes: tuple[float, ...] = (1.0,)  # dealt out to the hosts
     sizes_listed: bool = True  # by the list
     rolling_restart: bool = False  # a tenth of the gateways restarts each 0.4 s from the begin on
-    reasked: bool = False  # clients ask again for what was rejected, and for what a killed gateway had
+    clients_retry: bool = False  # clients retry what was rejected and what a killed gateway had in flight
     surge: bool = False  # little traffic, then a burst
     stall: bool = False  # no answer comes in for a while
     probes: bool = False  # probes and load orders are allowed, and count at the hosts
--- a/benchmarks/fleet/cold_play.py
+++ b/benchmarks/fleet/cold_play.py
@@ -84,16 +84,16 @@
         return WarmingHostGateway(self, number, decisions, rows)
 
     def restart(self, number: int) -> None:
-        """Kill a gateway and start another in its place; clients may ask again for what it had in flight."""
+        """Kill a gateway and start another in its place; clients may retry what it had in flight."""
         killed: WarmingHostGateway = self.gateways[number]
         super().restart(number)
         for key, request in killed.requests.items():
-            self.ask_again(request.function, killed.asked[key])
+            self.retry_later(request.function, killed.client_attempts[key])
 
-    def ask_again(self, function: str, attempts: int) -> None:
-        """A client whose request was not served asks again, at any gateway, where the day has that."""
-        if self.day.reasked and attempts < MAX_ATTEMPTS:
-            self.clock.after(RETRY_DELAY, self._ask, function, attempts + 1)
+    def retry_later(self, function: str, attempts: int) -> None:
+        """A client whose request was not served retries at any gateway, where the day has that."""
+        if self.day.clients_retry and attempts < MAX_ATTEMPTS:
+            self.clock.after(RETRY_DELAY, self._send_request, function, attempts + 1)
 
     def delivery_time(self, now: int) -> int:
         """When an answer that comes now gets through, ns."""
@@ -107,7 +107,7 @@
         mean_size = sum(self.day.sizes) / len(self.day.sizes)
         rate = self._relative_load() * self.day.pace * mean_size * self.day.hosts
         gap = self.random.expovariate(rate)
-        self._ask()
+        self._send_request()
         self.clock.after(max(1, int(gap * SECOND)), self._arrive, until)
 
     def _relative_load(self) -> float:
@@ -117,11 +117,11 @@
             return self.day.busy
         return self.day.busy * (1 / 3 if since < SURGE_BEGIN else 2.0)
 
-    def _ask(self, function: str | None = None, attempts: int = 1) -> None:
+    def _send_request(self, function: str | None = None, attempts: int = 1) -> None:
         gateway = self.random.choices(self.gateways, self._weights)[0]
         if function is None:
             function = f"f{int(FUNCTIONS * self.random.random() * self.random.random())}"
-        gateway.ask(function, 0, attempts)
+        gateway.take(function, 0, attempts)
 
     # The host list
 
--- a/benchmarks/fleet/gateways.py
+++ b/benchmarks/fleet/gateways.py
@@ -76,7 +76,7 @@
         self.gateway.update_hosts(world.clock.now, host_rows, True)
         self.start_housekeeping(world.clock.now)
 
-    def ask(self, function: str, request_class: int) -> None:
+    def take(self, function: str, request_class: int) -> None:
         """Take a client's request. `request_class`: its index."""
         world = self.world
         world.counts["tasks"] += 1
--- a/benchmarks/fleet/traffic.py
+++ b/benchmarks/fleet/traffic.py
@@ -43,7 +43,7 @@
         if self._one_third_same and chance.below(POPULAR_EACH) == 0:
             number = 0
         gateway = self._world.gateways[self._draw_gateway()]
-        gateway.ask(f"f{number}", int(chance.below(NON_IDEMPOTENT_EACH) == 0))
+        gateway.take(f"f{number}", int(chance.below(NON_IDEMPOTENT_EACH) == 0))
         self._world.clock.after(2 * (1 + chance.below(self._mean_gap)), self._arrive)
 
     def _draw_gateway(self) -> int:
--- a/benchmarks/fleet/warming_gateways.py
+++ b/benchmarks/fleet/warming_gateways.py
@@ -14,7 +14,7 @@
 
 LIGHT, HEAVY, HEAVY_EACH = 0.6, 2.6, 5  # work of requests; one in so many is heavy: the mean is 1
 PROBE_WORK = 0.006  # in requests of mean work: half a millisecond of 85
-LOAD_ORDER_WORK = 1.0  # at the host: the settings do not say, so it counts as a whole request
+LOAD_ORDER_WORK = 1.0  # at the host: the settings do not say, so it counts as one request
 
 
 class WarmingWorld(GatewayWorld, Protocol):
@@ -23,34 +23,34 @@
     day: ColdDay
     random: Random
 
-    def ask_again(self, function: str, attempts: int) -> None:
-        """A client's request was not served; it has asked so often."""
+    def retry_later(self, function: str, attempts: int) -> None:
+        """A client's request was not served; it has been sent `attempts` times."""
 
     def delivery_time(self, now: int) -> int:
         """When an answer that comes now gets through, ns."""
 
 
 class WarmingHostGateway(FleetGateway):
-    """A gateway before hosts that warm up. `asked`: how often a request's client has asked, by its id."""
+    """A gateway before hosts that warm up. `client_attempts`: how often a request was sent, by its id."""
 
     world: WarmingWorld
 
     def __init__(
         self, world: WarmingWorld, number: int, decisions: Any, host_rows: Sequence[face.ListedHost]
     ) -> None:
-        self.asked: dict[str, int] = {}
+        self.client_attempts: dict[str, int] = {}
         super().__init__(world, number, decisions, host_rows)
 
-    def ask(self, function: str, request_class: int, attempts: int = 1) -> None:
+    def take(self, function: str, request_class: int, attempts: int = 1) -> None:
         """Take a client's request, which it sends for the `attempts`th time."""
-        self.asked[str(self.world.counts["tasks"] + 1)] = attempts
-        super().ask(function, request_class)
+        self.client_attempts[str(self.world.counts["tasks"] + 1)] = attempts
+        super().take(function, request_class)
 
     def reject(self, key: str, rejection: face.Reject) -> None:
         """See `Driver`."""
         function = self.requests[key].function
         super().reject(key, rejection)
-        self.world.ask_again(function, self.asked[key])
+        self.world.retry_later(function, self.client_attempts[key])
 
     def order(self, host: str, function: str, copies: int) -> None:
         """See `Driver`."""
