--- a/tests/appliance/test_departed_forwarded.py
+++ b/tests/appliance/test_departed_forwarded.py
@@ -30,9 +30,9 @@
         self.entries = EntryGateways(self.loop, DEFAULT_SETTINGS, "ga")
 
     def forward(self, call=CALL, within=SECOND):
-        wish = ForwardAttempt(EntryGateway("gb", self.server.address), 0, Forwarded("b1", 1))
+        action = ForwardAttempt(EntryGateway("gb", self.server.address), 0, Forwarded("b1", 1))
         now = self.loop.now()
-        return self.entries.client_for(wish).send(
+        return self.entries.client_for(action).send(
             "gb", call, Idempotency.IDEMPOTENT, "t", now + within, now + within, self.heard.append
         )
 
--- a/tests/appliance/test_stepped_clock_restart.py
+++ b/tests/appliance/test_stepped_clock_restart.py
@@ -123,12 +123,12 @@
 def test_nodes_that_restart_give_no_token_and_no_session_a_second_time(step):
     net = Voters(3, clients=1)
     held, sessions = [], []
-    for life in range(3):
+    for restart in range(3):
         net.clients = {"h0": LeaseClient("h0", net.names, net.chance, net.now)}  # a new process each time
-        wish = net.clients["h0"].acquire(net.now, f"room-{life}", 30 * SECOND)
+        lease = net.clients["h0"].acquire(net.now, f"room-{restart}", 30 * SECOND)
         net.run(10 * SECOND)
-        assert wish.valid_at(net.now)
-        held.append(wish.fencing_token)
+        assert lease.valid_at(net.now)
+        held.append(lease.fencing_token)
         sessions.append(net.clients["h0"].session)
         for name in net.names:
             net.crash(name)
--- a/tests/benchmarks/test_scale_measurements.py
+++ b/tests/benchmarks/test_scale_measurements.py
@@ -135,7 +135,7 @@
     assert caller.call("f") == host  # the copy that was seen to stand
     assert list(caller.gateway.functions_by_name) == ["f"]
     assert not caller.gateway.tracker.in_flight
-    assert not any(worker.in_flight for worker in caller.gateway.hosts_by_id.values())
+    assert not any(each.in_flight for each in caller.gateway.hosts_by_id.values())
 
 
 def test_a_call_that_no_host_can_take_is_no_measurement():
--- a/tests/config/test_migrate.py
+++ b/tests/config/test_migrate.py
@@ -233,14 +233,14 @@
     assert made.wait(made.ask()).headers[b"gaproute-outcome"] == b"delivered"
     made.rest(800 * MILLI)
     assert not seen
-    assert [worker.capacity for worker in made.gate.core.gateway.active_hosts] == [1.0, 1.0]
+    assert [host.capacity for host in made.gate.core.gateway.active_hosts] == [1.0, 1.0]
 
 
 def test_the_same_hosts_are_probed_where_reports_come_by_probe(rig):
     made = rig(more="reports probe\n")
     seen = probes(made)
     made.until(lambda: seen)
-    assert [worker.capacity for worker in made.gate.core.gateway.active_hosts] == [4.0, 4.0]
+    assert [host.capacity for host in made.gate.core.gateway.active_hosts] == [4.0, 4.0]
 
 
 def test_hosts_that_report_by_probe_alone_cannot_forbid_probes():
--- a/tests/decisions/cells/test_all_slow.py
+++ b/tests/decisions/cells/test_all_slow.py
@@ -59,6 +59,6 @@
     drive = Drive(slow, task("t", "f", track), NOW)
     assert len(drive.sent) == 1
     for waited in (500 * MILLI, 2_500 * MILLI, 3_000 * MILLI):
-        assert not any(isinstance(wish, face.Cancel) for wish in drive.late(NOW + waited))
+        assert not any(isinstance(action, face.Cancel) for action in drive.late(NOW + waited))
     drive.hears(NOW + 3_100 * MILLI, Result.OK)
     assert len(drive.sent) == 1
--- a/tests/decisions/cells/test_entries.py
+++ b/tests/decisions/cells/test_entries.py
@@ -39,7 +39,7 @@
 
 
 def forwarded(made, name, hops=1, asked=None):
-    """The first wish for a task that was forwarded here for the cell."""
+    """The first action for a request that was forwarded here for the cell."""
     return next(made.serve(0, asked or task("t"), Forwarded(name, hops)))
 
 
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize(
-    ("track", "result", "unknown"),
+    ("request_class", "result", "unknown"),
     [
         (IDEMPOTENT, face.Result.CONNECT_FAILED, True),
         (NON_IDEMPOTENT, face.Result.NOT_LOADED, True),
@@ -85,26 +85,30 @@
         (IDEMPOTENT, face.Result.FULL, False),
     ],
 )
-def test_an_entry_that_cannot_lead_on_does_not_know_the_cell_where_nothing_ran(track, result, unknown):
+def test_an_entry_that_cannot_forward_does_not_know_the_cell_where_nothing_ran(
+    request_class, result, unknown
+):
     made = fleet()
-    serve = made.serve(0, task("t", request_class=track), Forwarded("cell7", 1))
-    wish, relays = next(serve), 0
-    while isinstance(wish, face.Attempt):
-        serve.send(relays)
-        outcome = face.Outcome("t", relays, wish.host, result, MILLI, False, face.Found.UNKNOWN, None, None)
+    serve = made.serve(0, task("t", request_class=request_class), Forwarded("cell7", 1))
+    action, attempts = next(serve), 0
+    while isinstance(action, face.Attempt):
+        serve.send(attempts)
+        outcome = face.Outcome(
+            "t", attempts, action.host, result, MILLI, False, face.Found.UNKNOWN, None, None
+        )
         made.attempt_ended(MILLI, outcome)
-        wish, relays = serve.send((MILLI, outcome)), relays + 1
-    assert isinstance(wish, CellUnknown) == unknown
-    assert wish.retry_after == ADVICE
+        action, attempts = serve.send((MILLI, outcome)), attempts + 1
+    assert isinstance(action, CellUnknown) == unknown
+    assert action.retry_after == ADVICE
 
 
 # The gateway that forwards
 
 
-@pytest.mark.parametrize("track", [IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
-def test_where_an_entry_does_not_know_the_cell_the_next_one_of_the_cell_is_asked(track):
+@pytest.mark.parametrize("request_class", [IDEMPOTENT, IDEMPOTENT_WITH_KEY, NON_IDEMPOTENT])
+def test_where_an_entry_does_not_know_the_cell_the_next_one_of_the_cell_is_asked(request_class):
     made = fleet()
-    drive = Drive(made, task("t", homed(made, "cell7")[0], track))
+    drive = Drive(made, task("t", homed(made, "cell7")[0], request_class))
     drive.hears(10 * MILLI, face.Result.NOT_LOADED)
     assert drive.wishes[0].forwarded.cell == "cell7"
     assert len(set(drive.sent)) == 2
@@ -136,8 +140,8 @@
     made.spill.tokens = 0  # nothing may move that was refused for load
     name = homed(made, "cell7")[0]
     drive = Drive(made, task("t", name, NON_IDEMPOTENT))
-    for relay in range(2):
-        drive.hears(10 * MILLI, face.Result.NOT_LOADED, relay)
+    for attempt in range(2):
+        drive.hears(10 * MILLI, face.Result.NOT_LOADED, attempt)
     assert drive.wishes[0].forwarded.cell == made.homes.order(name, 2)[1]
     assert made.health.is_faulty("cell7")
     assert not made.health.records
@@ -163,18 +167,18 @@
 
 
 @pytest.mark.parametrize("result", [face.Result.FULL, face.Result.NOT_LOADED, face.Result.CONNECT_FAILED])
-def test_a_call_that_all_cells_refused_ends_with_the_advice_of_its_track(result):
-    made, relay = fleet(), 0
+def test_a_call_that_all_cells_rejected_ends_with_the_retry_after_of_its_class(result):
+    made, attempt = fleet(), 0
     drive = Drive(made, task("t", homed(made, "cell7")[0], NON_IDEMPOTENT))
     while not drive.ended:
-        drive.hears(10 * MILLI, result, relay)
-        relay += 1
+        drive.hears(10 * MILLI, result, attempt)
+        attempt += 1
     (ending,) = drive.wishes
     assert isinstance(ending, face.Reject)
     assert ending.retry_after == ADVICE > 0
 
 
-def test_a_call_that_no_cell_may_take_ends_with_the_advice_of_its_track():
+def test_a_call_that_no_cell_may_take_ends_with_the_retry_after_of_its_class():
     made = fleet(count=2)
     for name in ("cell0", "cell1"):
         made.health.record_unreachable(0, name)
--- a/tests/decisions/cells/test_repeats.py
+++ b/tests/decisions/cells/test_repeats.py
@@ -43,7 +43,7 @@
 )
 def test_a_deduplicated_call_that_broke_off_stays_in_its_cell_and_is_never_declined(result):
     drive = broken_off()
-    assert [type(wish) for wish in drive.hears(20 * MILLI, result, 1)] == [face.Fail]
+    assert [type(action) for action in drive.hears(20 * MILLI, result, 1)] == [face.Fail]
     assert drive.ended
     assert len(drive.sent) == 2
 
@@ -61,7 +61,7 @@
 )
 def test_else_a_call_that_broke_off_is_not_sent_again(options):
     drive = broken_off(**options)
-    assert [type(wish) for wish in drive.wishes] == [face.Fail]
+    assert [type(action) for action in drive.wishes] == [face.Fail]
     assert len(drive.sent) == 1
 
 
--- a/tests/decisions/routing/test_host_selector.py
+++ b/tests/decisions/routing/test_host_selector.py
@@ -83,8 +83,8 @@
     made.ranking.ranks("f", function)
     own = function.ranked_hosts[made.scorer.own_choice % 2]
     other = function.ranked_hosts[1 - made.scorer.own_choice % 2]
-    for worker in made.active_hosts:
-        made.loads.record(worker, 0, face.Report(cpu_busy=0.3, memory_busy=0.2))
+    for host in made.active_hosts:
+        made.loads.record(host, 0, face.Report(cpu_busy=0.3, memory_busy=0.2))
     made.loads.record(other, 0, face.Report(cpu_busy=0.1, memory_busy=0.2))
     assert made.selector.choose(0, task(), RequestAttempts()) is own
     made.loads.record(own, 0, face.Report(cpu_busy=1.0, memory_busy=0.2))
--- a/tests/decisions/routing/test_host_table.py
+++ b/tests/decisions/routing/test_host_table.py
@@ -13,7 +13,7 @@
 def test_a_host_missing_from_a_whole_list_is_gone():
     made = gateway()
     made.update_hosts(1, [row("a")], True)
-    assert [worker.id for worker in made.hosts_by_id.values() if worker.active] == ["a"]
+    assert [host.id for host in made.hosts_by_id.values() if host.active] == ["a"]
 
 
 def test_a_host_that_left_the_list_is_forgotten_once_nothing_is_out_to_it():
--- a/tests/decisions/routing/test_load_order_limiter.py
+++ b/tests/decisions/routing/test_load_order_limiter.py
@@ -1,4 +1,4 @@
-"""The load ration as the far side counts it."""
+"""The limit on load orders as hosts count it."""
 
 from helpers import SECOND, Drive, gateway, task
 from hypothesis import example, given, settings
@@ -24,14 +24,14 @@
     free=st.integers(0, 1),
 )
 def test_no_arrival_is_over_the_limit_whatever_waits_travels_is_lost_or_faulty(bursts, orders, free):
-    """`bursts`: (came, served after, whether real ones, how many); `orders`: (wished, way, answered after it,
+    """`bursts`: (came, served after, whether real ones, how many); `orders`: (requested, way, answered after,
     how many)."""
     tasks = [(came, took, real) for came, took, real, count in bursts for _ in range(count)]
-    wishes = [(when, way, took) for when, way, took, count in orders for _ in range(count)]
+    requested = [(when, way, took) for when, way, took, count in orders for _ in range(count)]
     made, share = LoadOrderLimiter(free, 0.3, WINDOW), 0.3
     happened = sorted(
         [(came + took, 0, came) for came, took, real in tasks if real]
-        + [(when, 1, (way, took)) for when, way, took in wishes],
+        + [(when, 1, (way, took)) for when, way, took in requested],
         key=lambda each: each[:2],
     )
     arrivals, ends = [], []
@@ -93,13 +93,13 @@
 
 
 def orders(made, answered_after, tries=200):
-    """Orders that go out as tasks crowd at a worker, each answered so long after."""
+    """Orders that are sent as requests crowd at a host, each answered so long after."""
     function, went, now = made.functions.find_or_add("f", 4), 0, 0
     for number in range(tries):
         now += SECOND
         drive = Drive(made, task(str(number)), now)
         drive.hears(now, Result.OK, same_function_requests=9)
-        if any(isinstance(wish, face.LoadOrder) for wish in drive.wishes):
+        if any(isinstance(action, face.LoadOrder) for action in drive.wishes):
             went += 1
             made.load_order_ended(now + answered_after, "a", "f", Result.OK, 3)
             assert not function.load_order_open
--- a/tests/decisions/routing/test_load_shedder.py
+++ b/tests/decisions/routing/test_load_shedder.py
@@ -62,13 +62,10 @@
     assert not any(Drive(made, task(f"t{number}"), SECOND).ended for number in range(20))
     made = gateway(*(row(name) for name in "abcd"))
     queues(made, 40)
-    worker = made.hosts_by_id["d"]
+    host = made.hosts_by_id["d"]
     assert (
         sum(
-            [
-                made.shedder.should_shed(SECOND, task(), made.terms.request_classes[0], worker)
-                for _ in range(20)
-            ]
+            [made.shedder.should_shed(SECOND, task(), made.terms.request_classes[0], host) for _ in range(20)]
         )
         > 15
     )
@@ -105,8 +102,8 @@
     made = gateway()
     made.functions.find_or_add("f", 4).answer_times.extend([100 * MILLI] * SAMPLES)
     for slow in (0, 1):
-        worker = made.hosts_by_id["ab"[slow]]
-        worker.paces.extend([(SECOND, 9.0 if slow else 1.0)] * 4)
-        crowd(made, worker.id, 12, SECOND)
-        heard(made, worker.id, SECOND, 0, took=900 * MILLI if slow else 100 * MILLI)
+        host = made.hosts_by_id["ab"[slow]]
+        host.paces.extend([(SECOND, 9.0 if slow else 1.0)] * 4)
+        crowd(made, host.id, 12, SECOND)
+        heard(made, host.id, SECOND, 0, took=900 * MILLI if slow else 100 * MILLI)
         assert len(made.throughput.drain_times) == 1
--- a/tests/decisions/routing/test_outlier_detector.py
+++ b/tests/decisions/routing/test_outlier_detector.py
@@ -74,11 +74,11 @@
 
 def test_good_answers_of_other_classes_do_not_push_out_a_classes_failures():
     made = gateway()
-    worker = made.hosts_by_id["a"]
+    host = made.hosts_by_id["a"]
     for _ in range(2):
-        made.outliers.record(worker, SECOND, 2, 1.0)
+        made.outliers.record(host, SECOND, 2, 1.0)
     for _ in range(3 * SAMPLES):
-        made.outliers.record(worker, SECOND, 0, 0.0)
-    assert made.outliers.doubt(worker, 2, SECOND) > 0.5
-    assert made.outliers.doubt(worker, 0, SECOND) == 0
-    assert len(worker.results) == 2 + SAMPLES
+        made.outliers.record(host, SECOND, 0, 0.0)
+    assert made.outliers.doubt(host, 2, SECOND) > 0.5
+    assert made.outliers.doubt(host, 0, SECOND) == 0
+    assert len(host.results) == 2 + SAMPLES
--- a/tests/decisions/routing/test_request_attempts.py
+++ b/tests/decisions/routing/test_request_attempts.py
@@ -26,11 +26,11 @@
 
 
 @pytest.mark.parametrize("result", MAY_HAVE_RUN)
-def test_a_attempt_that_may_have_run_binds_the_request_after_an_earlier_one_is_disproved(result):
+def test_an_attempt_that_may_have_run_binds_the_request_after_an_earlier_one_is_disproved(result):
     made = gateway(row("a"), row("b"), row("other", cell=1))
     track, attempts = IDEMPOTENT_WITH_KEY._replace(group=face.Group.CELL), RequestAttempts()
-    for relay, name in enumerate("ab"):
-        made.tracker.sent(relay, task(request_class=1), relay, made.hosts_by_id[name], attempts)
+    for attempt, name in enumerate("ab"):
+        made.tracker.sent(attempt, task(request_class=1), attempt, made.hosts_by_id[name], attempts)
     attempts.settle(1, result)
     attempts.settle(0, Result.FULL)
     assert attempts.first_run == (made.hosts_by_id["b"], 1)
--- a/tests/decisions/routing/test_request_router.py
+++ b/tests/decisions/routing/test_request_router.py
@@ -67,7 +67,7 @@
     drive = Drive(made, task())
     made.update_hosts(1, change, False)
     assert not any(
-        isinstance(wish, (face.Attempt, face.LoadOrder)) for wish in drive.hears(2, Result.NOT_LOADED)
+        isinstance(action, (face.Attempt, face.LoadOrder)) for action in drive.hears(2, Result.NOT_LOADED)
     )
     assert Drive(made, task("u"), 3).sent == []
 
--- a/tests/decisions/routing/test_silent_zones.py
+++ b/tests/decisions/routing/test_silent_zones.py
@@ -20,10 +20,10 @@
     made = gateway(*(row(f"{zone}{number}", zone=zone) for zone in (0, 1) for number in range(3)))
     made.silent_zones.answered_at[1] = 0
     for number in range(2):
-        worker = made.hosts_by_id[f"1{number}"]
-        worker.in_flight["x", number] = 1
-        made.tracker.in_flight["x", number] = InFlightAttempt(worker.id, "g", 0, 1, True)
-        worker.overdue["x", number] = False
+        host = made.hosts_by_id[f"1{number}"]
+        host.in_flight["x", number] = 1
+        made.tracker.in_flight["x", number] = InFlightAttempt(host.id, "g", 0, 1, True)
+        host.overdue["x", number] = False
     return made
 
 
--- a/tests/decisions/routing/test_slow_start.py
+++ b/tests/decisions/routing/test_slow_start.py
@@ -11,10 +11,10 @@
 
 def test_a_fleet_all_cold_is_looked_through_once_a_choice():
     made = gateway(*[row(f"h{number}", started=0) for number in range(1200)])
-    for worker in made.active_hosts:
-        worker.credit = 1 / SECOND  # each is passed over
+    for host in made.active_hosts:
+        host.credit = 1 / SECOND  # each is passed over
     assert made.selector.choose(0, task(), RequestAttempts()) is None
-    assert not any(worker.credit for worker in made.active_hosts)
+    assert not any(host.credit for host in made.active_hosts)
 
 
 @pytest.mark.parametrize(("kind", "gateways"), [("all", 3), ("all", 30), ("all", 200), ("join", 30)])
@@ -27,9 +27,9 @@
 
 def test_with_few_warm_answers_of_cold_hosts_earn_so_that_none_starve():
     made = gateway(row("a"), *[row(f"c{number}", started=0) for number in range(9)])
-    cold = [worker for worker in made.active_hosts if worker.id != "a"]
+    cold = [host for host in made.active_hosts if host.id != "a"]
     made.slow_start.answered(1, cold[0])
-    assert sum([worker.credit for worker in cold]) == pytest.approx(0.8)  # one warm, five would do
+    assert sum([host.credit for host in cold]) == pytest.approx(0.8)  # one warm, five would do
     half = gateway(row("a"), row("b", started=0))
     half.slow_start.answered(1, half.hosts_by_id["b"])
     assert half.hosts_by_id["b"].credit == 0
@@ -98,10 +98,10 @@
 
 def test_a_storm_of_requests_earns_cold_hosts_no_more_than_calls_a_second():
     made = gateway(*[row(f"c{number}", started=0) for number in range(4)], gateways=2)
-    worker, earned = made.hosts_by_id["c0"], 0.0
+    host, earned = made.hosts_by_id["c0"], 0.0
     for now in range(0, SECOND, SECOND // 1000):
         made.slow_start.record_request(now)
-        earned, worker.credit = earned + worker.credit, 0.0  # spent at once
+        earned, host.credit = earned + host.credit, 0.0  # spent at once
     assert 0.4 < earned <= 0.5  # half of one: the other gateway earns as much
 
 
@@ -176,5 +176,5 @@
 
 def test_a_fresh_gateway_does_not_burst_on_cold_hosts():
     made = gateway(row("a"), row("cold", started=0))
-    sent = [worker for number in range(8) for worker in Drive(made, task(str(number), str(number)), 1).sent]
+    sent = [host for number in range(8) for host in Drive(made, task(str(number), str(number)), 1).sent]
     assert sent.count("cold") <= 2
--- a/tests/hosts/test_host_crossings.py
+++ b/tests/hosts/test_host_crossings.py
@@ -196,8 +196,8 @@
     for entry in list(made.dials.held):
         entry[3](None, OSError(errno.EMFILE, "too many open files"))
     made.turns()
-    worker = made.process.core.gateway.hosts_by_id["s-0"]
-    assert not worker.bad_results
+    host = made.process.core.gateway.hosts_by_id["s-0"]
+    assert not host.bad_results
     assert not made.came()
     made.passes(4 * SECOND)
     made.until(lambda: client.answers)
@@ -207,9 +207,9 @@
     made, heard = slow(hosts=2), []
     hosts, end = made.process.hosts, made.loop.now() + SECOND
     hosts.max_connections = 1
-    for worker in ("s-0", "s-1"):
-        call = Call("7f3a9c21e0b4d655", "", (), b"", f"{worker:>16}", "fault-check")
-        hosts.send(worker, call, Idempotency.IDEMPOTENT, worker, end, end, heard.append)
+    for host in ("s-0", "s-1"):
+        call = Call("7f3a9c21e0b4d655", "", (), b"", f"{host:>16}", "fault-check")
+        hosts.send(host, call, Idempotency.IDEMPOTENT, host, end, end, heard.append)
     made.turns()
     assert made.dials.waiting == 1
     assert [each.result for each in heard] == [Result.NOT_SENT]
--- a/tests/hosts/test_jsonlines.py
+++ b/tests/hosts/test_jsonlines.py
@@ -269,7 +269,7 @@
 
 
 def test_an_order_that_a_silent_host_may_still_get_never_arrives(bench):
-    """The ration counts on it: an order comes within a bound or not at all."""
+    """The limit on load orders counts on it: an order comes within a bound or not at all."""
     made, ends = bench(lambda stream, command: None), []
     made.hosts.order_timeout = 20 * MILLI
     made.hosts.order("h", "f", 1, lambda result, copies: ends.append(result))
--- a/tests/hosts/test_syscalls.py
+++ b/tests/hosts/test_syscalls.py
@@ -111,9 +111,9 @@
     client.ask(1)
     for _ in range(20):
         made.passes(MILLI)
-    worker = made.process.core.gateway.hosts_by_id["s-0"]
+    host = made.process.core.gateway.hosts_by_id["s-0"]
     assert failing.socket.failed > 1
-    assert not worker.bad_results
+    assert not host.bad_results
     assert not made.came()
     monkeypatch.setattr(dialing, "socket", real)
     for _ in range(20):
--- a/tests/platform/test_stepped_clock.py
+++ b/tests/platform/test_stepped_clock.py
@@ -144,10 +144,10 @@
 @pytest.mark.parametrize("wall", [true_wall, swinging, swinging_behind, ahead])
 def test_a_wall_clock_that_steps_changes_nothing_that_clients_and_hosts_see(day, wall):
     made = day(wall).play()
-    worker = made.made.process.core.gateway.hosts_by_id["s-2"]
+    host = made.made.process.core.gateway.hosts_by_id["s-2"]
     joined = made.begun + JOINS
     assert made.faults() == Counter()
-    assert joined - SECOND - 4 * STEP <= worker.started <= joined + 4 * STEP
+    assert joined - SECOND - 4 * STEP <= host.started <= joined + 4 * STEP
     assert 0 < made.to_cold() < MOST_TO_COLD
 
 
--- a/tests/raft/test_node.py
+++ b/tests/raft/test_node.py
@@ -164,15 +164,15 @@
 
 
 def test_a_snapshot_takes_the_place_of_what_is_behind_and_keeps_what_follows():
-    giver, _ = lead(noop(1))
-    giver.hear(0, "a", AppendEntriesResponse(2, 1, True, 3))
-    giver.store.compact(3, giver.sessions.pack())
-    sent = dict(giver.tick(giver.due))
-    giver.hear(giver.due, "c", AppendEntriesResponse(2, 3, False, 0))
-    sent = [message for to, message in giver.hear(giver.due, "c", AppendEntriesResponse(2, 3, False, 0))] or [
-        sent["c"]
-    ]
-    state = InstallSnapshot(2, 2, 3, 2, MEMBERS, giver.store.snapshot)
+    leader, _ = lead(noop(1))
+    leader.hear(0, "a", AppendEntriesResponse(2, 1, True, 3))
+    leader.store.compact(3, leader.sessions.pack())
+    sent = dict(leader.tick(leader.due))
+    leader.hear(leader.due, "c", AppendEntriesResponse(2, 3, False, 0))
+    sent = [
+        message for to, message in leader.hear(leader.due, "c", AppendEntriesResponse(2, 3, False, 0))
+    ] or [sent["c"]]
+    state = InstallSnapshot(2, 2, 3, 2, MEMBERS, leader.store.snapshot)
     assert all(isinstance(message, (InstallSnapshot, AppendEntries)) for message in sent)
     one, stored_log = node(name="c")
     assert one.hear(0, "b", state) == [("b", AppendEntriesResponse(2, 3, True, 3))]
