--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -204,7 +204,9 @@
     for seed in seeds:
         for size, loss in cases:
             plays[pool.submit(calm_and_death, size, loss, seed)] = Play("calm", size, loss, seed)
-            for part, measure in () if loss else REPAIRS.items():
+            if loss:
+                continue
+            for part, measure in REPAIRS.items():
                 plays[pool.submit(measure, size, seed)] = Play(part, size, loss, seed)
     return plays
 
