--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -49,7 +49,7 @@
     seed: int
 
 
-class Bytes(MembershipNetwork):
+class EncodingNetwork(MembershipNetwork):
     """A network whose messages travel as bytes."""
 
     def send(self, sender: str, messages: Iterable[tuple[str, MembershipMessage]]) -> None:
@@ -78,7 +78,7 @@
 
 def calm_and_death(size: int, loss: float, seed: int) -> Figures:
     """Figures of a calm minute, then of one gateway's death and a newcomer."""
-    net, chance = Bytes(size, seed), Chance(seed)
+    net, chance = EncodingNetwork(size, seed), Chance(seed)
     if loss:
         net.is_lost = lambda sender, to: chance.below(1000) < 1000 * loss
     net.run(10 * SECOND)
@@ -88,7 +88,7 @@
     return figures
 
 
-def _calm(net: Bytes, size: int) -> Figures:
+def _calm(net: EncodingNetwork, size: int) -> Figures:
     """Traffic, processor time and errors of a minute in which nothing happens."""
     net.sizes.clear()
     began = time.process_time()
@@ -109,7 +109,7 @@
     }
 
 
-def _death(net: Bytes) -> Figures:
+def _death(net: EncodingNetwork) -> Figures:
     """Seconds until the first of the others and all of them know that a gateway is dead."""
     net.down.add("g1")
     others = [node for name, node in net.nodes.items() if name != "g1"]
@@ -118,7 +118,7 @@
     return {"first knows, s": first, "all know, s": None if more is None else (first or 0) + more}
 
 
-def _newcomer(net: Bytes, size: int, seed: int) -> Figures:
+def _newcomer(net: EncodingNetwork, size: int, seed: int) -> Figures:
     """Seconds until a gateway that knows one other knows all, and all know it."""
     others = [node for name, node in net.nodes.items() if name != "g1"]
     net.start("new", 77 + seed, {"g2": "g2"})
@@ -130,7 +130,7 @@
 
 def time_to_heal(size: int, seed: int) -> Figure:
     """Seconds until all hold all alive after two halves were cut off for two minutes."""
-    net = Bytes(size, seed)
+    net = EncodingNetwork(size, seed)
     half = {f"g{number}" for number in range(size // 2)}
     net.run(5 * SECOND)
     net.is_lost = lambda sender, to: (sender in half) != (to in half)
@@ -141,7 +141,7 @@
 
 def time_to_restart(size: int, seed: int) -> Figure:
     """Seconds until all hold all alive after seven tenths were killed and started again."""
-    net, chance = Bytes(size, seed), Chance(seed)
+    net, chance = EncodingNetwork(size, seed), Chance(seed)
     net.run(40 * SECOND)
     peers = {f"g{number}": f"g{number}" for number in range(size)}
     killed = [name for name in peers if chance.below(10) < 7]
--- a/benchmarks/scale/costs/change_log.py
+++ b/benchmarks/scale/costs/change_log.py
@@ -73,19 +73,19 @@
         self.loop.close()
 
 
-def whole_event(hosts: int, seed: int) -> bytes:
-    """The bytes of a whole list."""
+def complete_list_event(hosts: int, seed: int) -> bytes:
+    """The event of a complete list, as bytes."""
     return sent(VersionedHostList().change(*members(hosts, seed)))
 
 
-def whole_bytes(hosts: int, seed: int) -> float:
-    """Bytes of a whole list as an event."""
-    return len(whole_event(hosts, seed))
+def complete_list_bytes(hosts: int, seed: int) -> float:
+    """Bytes of a complete list as an event."""
+    return len(complete_list_event(hosts, seed))
 
 
-def whole_cpu(hosts: int, seed: int) -> float:
-    """Milliseconds of CPU to follow a whole list."""
-    followed, data = FollowedLog(), whole_event(hosts, seed)
+def complete_list_cpu(hosts: int, seed: int) -> float:
+    """Milliseconds of CPU to follow a complete list."""
+    followed, data = FollowedLog(), complete_list_event(hosts, seed)
     spent = cpu_seconds_once(lambda: followed.feed(data))
     assert followed.rows == hosts
     followed.close()
@@ -123,7 +123,7 @@
         "bytes",
         "hosts",
         SIZES,
-        whole_bytes,
+        complete_list_bytes,
         "the body of the stream; its head comes once a connection",
     ),
     **deferred(
@@ -132,7 +132,7 @@
         "ms",
         "hosts",
         SIZES,
-        whole_cpu,
+        complete_list_cpu,
         f"{FOLLOWED}. {CPU_TIME}",
     ),
     **deferred(
--- a/benchmarks/scale/costs/decisions.py
+++ b/benchmarks/scale/costs/decisions.py
@@ -18,16 +18,25 @@
 WARM_ROUNDS = 3  # calls of each before the measured ones
 RARE = "the last 256 calls were of other functions"
 
+CallerChange = Callable[[Caller], None]
+
 
 def repeats(hosts: int) -> int:
     """How often a call is repeated in a play: less often in a large fleet."""
     return max(4, min(64, 25_600 // hosts))
 
 
-def rare_calls(hosts: int, seed: int, between: Callable[[Caller], None]) -> float:
-    """Milliseconds of a call of functions known, `between(caller)` having been done since their first one."""
+def do_nothing(caller: Caller) -> None:
+    """Nothing happens to the caller."""
+
+
+def rare_calls(
+    hosts: int, seed: int, *, before: CallerChange = do_nothing, between: CallerChange = do_nothing
+) -> float:
+    """Milliseconds of the second call of a rare function; changes come before and after the first calls."""
     caller = Caller(hosts, seed)
     caller.fill_mix()
+    before(caller)
     names = [f"rare-{number}" for number in range(repeats(hosts))]
     for name in names:
         caller.call(name)
@@ -47,26 +56,17 @@
 
 def later_call(hosts: int, seed: int) -> float:
     """Milliseconds of a call of a function called before."""
-    return rare_calls(hosts, seed, lambda caller: None)
+    return rare_calls(hosts, seed)
 
 
 def call_after_change(hosts: int, seed: int) -> float:
     """Milliseconds of a call of a function called before, one line of the list having changed since."""
-    return rare_calls(hosts, seed, lambda caller: change(caller, CAPACITY / 2))
+    return rare_calls(hosts, seed, between=lambda caller: change(caller, CAPACITY / 2))
 
 
 def call_host_cold(hosts: int, seed: int) -> float:
     """Milliseconds of a call of a function called before, one host of the fleet having just started."""
-    caller = Caller(hosts, seed)
-    caller.fill_mix()
-    started = row(0, started=caller.now)
-    caller.gateway.update_hosts(caller.now, [started], False)
-    names = [f"rare-{number}" for number in range(repeats(hosts))]
-    for name in names:
-        caller.call(name)
-    caller.fill_mix()
-    called = iter(names)
-    return cpu_ms(lambda: caller.call(next(called)), len(names))
+    return rare_calls(hosts, seed, before=start_host)
 
 
 def warm_call(hosts: int, seed: int, report: Report | None = None) -> float:
@@ -79,8 +79,8 @@
     return cpu_ms(lambda: caller.call(next(called)), len(names))
 
 
-def whole_list(hosts: int, seed: int) -> float:
-    """Milliseconds of the first whole list."""
+def first_list(hosts: int, seed: int) -> float:
+    """Milliseconds of the first complete list."""
     gateway, listed = Gateway(seed, SINGLE_GATEWAY_TERMS, 0), rows(hosts)
     return cpu_ms(lambda: gateway.update_hosts(0, listed, True))
 
@@ -90,6 +90,11 @@
     return warm_call(hosts, seed, REPORT)
 
 
+def start_host(caller: Caller) -> None:
+    """One host of the fleet has just started."""
+    caller.gateway.update_hosts(caller.now, [row(0, started=caller.now)], False)
+
+
 def change(caller: Caller, capacity: float) -> None:
     """One host's line changes."""
     caller.gateway.update_hosts(caller.now, [row(0, capacity=capacity)], False)
@@ -159,7 +164,7 @@
         warm_call,
         f"{CPU}; {WARM_ROUNDS} calls of each before, one of each measured; no host tells its memory",
     ),
-    ("decisions-whole-list-by-hosts", "first whole list", "ms", whole_list, CPU),
+    ("decisions-whole-list-by-hosts", "first whole list", "ms", first_list, CPU),
     ("decisions-changed-line-by-hosts", "one changed line of the list", "ms", changed_line, CPU),
     ("decisions-list-memory-by-hosts", "memory of a gateway with its list", "MB", list_memory, MEMORY),
     (
--- a/benchmarks/scale/costs/host_list.py
+++ b/benchmarks/scale/costs/host_list.py
@@ -84,7 +84,7 @@
     return len(host_list(hosts, seed).encode())
 
 
-def whole_read(hosts: int, seed: int) -> float:
+def first_read_cpu(hosts: int, seed: int) -> float:
     """Milliseconds of CPU of the first reading."""
     followed = FollowedList(hosts, seed)
     spent = cpu_seconds_once(followed.read_first)
@@ -122,7 +122,7 @@
         "ms",
         PARAMETER,
         SIZES,
-        whole_read,
+        first_read_cpu,
         f"{FOLLOWED}. {CPU_TIME}",
     ),
     **deferred(
--- a/benchmarks/scale/costs/membership.py
+++ b/benchmarks/scale/costs/membership.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Iterable, Sequence
 
-from benchmarks.membership import Bytes
+from benchmarks.membership import EncodingNetwork
 from benchmarks.scale.deferred import deferred
 from benchmarks.scale.measurement import Measurements, Play
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND, TRACED, UDP_HEADERS, retained_bytes
@@ -14,7 +14,7 @@
 
 SECOND = 1_000_000_000
 MEMBERS = (16, 64, 256, 1_024, 4_096)
-FLEETS = (16, 64, 256, 1_024)  # simulated whole: 4,096 tables of 4,096 rows are beyond one process
+FLEETS = (16, 64, 256, 1_024)  # simulated completely: 4,096 tables of 4,096 rows are beyond one process
 SETTLED = 5  # s until what is measured begins
 PLAYED = 60  # s that are measured
 PARAMETER = "members"
@@ -132,8 +132,8 @@
 
 
 def table_bytes(count: int, seed: int) -> float:
-    """Bytes that go to and fro until a newcomer has the whole table."""
-    giver, newcomer = (
+    """Bytes both ways until a newcomer has the complete table."""
+    sender, newcomer = (
         MeasuredMember(count, seed).member,
         MemberUpdate("newcomer", address(9_000), MemberState.ALIVE, SINCE_1970),
     )
@@ -141,10 +141,10 @@
     while True:
         pull = encode(MembershipMessage(MessageKind.PULL, place, newcomer))
         moved += len(pull) + UDP_HEADERS
-        answers = giver.receive(now, decoded(pull))
+        answers = sender.receive(now, decoded(pull))
         if not answers:  # so many chunks a period: asked again in the next
             now += SECOND
-            giver.tick(now)
+            sender.tick(now)
             continue
         ((_, part),) = answers
         moved += len(encode(part)) + UDP_HEADERS
@@ -153,9 +153,9 @@
             return moved
 
 
-def steady_fleet(size: int, seed: int) -> Bytes:
+def steady_fleet(size: int, seed: int) -> EncodingNetwork:
     """A fleet that has run for long: each member knows the incarnation of every other."""
-    net = Bytes(size, seed)
+    net = EncodingNetwork(size, seed)
     for node in net.nodes.values():
         for other in net.nodes.values():
             node.apply(0, MemberUpdate(other.name, other.address, MemberState.ALIVE, other.incarnation))
--- a/tests/benchmarks/test_scale_costs.py
+++ b/tests/benchmarks/test_scale_costs.py
@@ -22,7 +22,7 @@
 # name: (play, small size, large size, most that one more of the size may add)
 COUNTED = {
     "host-list-bytes-by-hosts": (host_list.list_bytes, 100, 400, 90),
-    "change-log-whole-bytes-by-hosts": (change_log.whole_bytes, 100, 400, 150),
+    "change-log-whole-bytes-by-hosts": (change_log.complete_list_bytes, 100, 400, 150),
     "change-log-change-bytes-by-changes": (change_log.change_bytes, 1, 4, 150),
     "membership-bytes-by-members": (membership.bytes_sent, 16, 64, 0),
     "membership-memory-by-members": (membership.memory, 16, 64, 700),
@@ -56,9 +56,9 @@
 }
 # name: (play, smallest size); each asserts itself what it counts
 TIMED = {
-    "host-list-read-cpu-by-hosts": (host_list.whole_read, 100),
+    "host-list-read-cpu-by-hosts": (host_list.first_read_cpu, 100),
     "host-list-change-cpu-by-hosts": (host_list.changed_line, 100),
-    "change-log-whole-cpu-by-hosts": (change_log.whole_cpu, 100),
+    "change-log-whole-cpu-by-hosts": (change_log.complete_list_cpu, 100),
     "change-log-change-cpu-by-hosts": (change_log.change_cpu, 100),
     "membership-cpu-by-members": (membership.cpu, 16),
     "gossip-cpu-by-gateways": (gossip.cpu, 16),
