--- a/benchmarks/parsers.py
+++ b/benchmarks/parsers.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import json
 import sys
 import time
 from collections.abc import Callable, Sequence
@@ -16,14 +15,12 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from benchmarks.inference_requests import BODY
 from gaproute.http1 import RequestReader
 
 ROUNDS, REQUESTS = 5, 3000  # in turn; requests in a round
 CUT = 90  # bytes of the first part
 MAX_HEAD, MAX_BODY = 32768, 1 << 20  # bytes
-BODY = json.dumps(
-    {"id": "x", "inputs": [{"name": "in", "shape": [1], "datatype": "BYTES", "data": ["x" * 200]}]}
-)
 REQUEST = (
     f"POST /v2/models/lamp/infer HTTP/1.1\r\nHost: gateway:8080\r\nUser-Agent: python\r\n"
     f"Content-Type: application/json\r\nAccept: */*\r\nContent-Length: {len(BODY)}\r\n\r\n{BODY}"
--- a/benchmarks/relay_processes.py
+++ b/benchmarks/relay_processes.py
@@ -14,6 +14,7 @@
 
 from benchmarks.gateway_processes import wait_started
 from benchmarks.host_processes import HostsProcess
+from benchmarks.inference_requests import encode_request
 from benchmarks.processor_time import cpu_seconds
 from gaproute.http1 import ClientConnection, Exchange, Request
 from gaproute.http1.message import Response
@@ -28,9 +29,6 @@
 REQUESTS = 20_000  # drawn in advance, and sent in turn
 MAX_HEAD, MAX_BODY = 65536, 1 << 20  # bytes of an answer
 LAST_ANSWERS = SECOND // 2  # waited for after the last request
-REQUEST_BODY = json.dumps(
-    {"id": "x", "inputs": [{"name": "in", "shape": [1], "datatype": "BYTES", "data": ["x" * 200]}]}
-)
 ANSWER_BODY = json.dumps(
     {"model_name": "m", "outputs": [{"name": "o", "shape": [1], "datatype": "BYTES", "data": ["y" * 100]}]}
 ).encode()
@@ -55,14 +53,6 @@
     request.connection.answer(request, 200, (LOAD_REPORT,), ANSWER_BODY)
 
 
-def encode_request(model: int) -> bytes:
-    """An inference request for the model with that number."""
-    return (
-        f"POST /v2/models/m{model}/infer HTTP/1.1\r\nHost: g\r\nContent-Type: application/json\r\n"
-        f"Content-Length: {len(REQUEST_BODY)}\r\n\r\n{REQUEST_BODY}"
-    ).encode()
-
-
 class Clients:
     """Connections that send requests for a time, once all of them are open.
 
@@ -74,7 +64,7 @@
         self.loop, self._random = Loop(), random.Random(seed)
         popularity = [1 / (rank + 1) for rank in range(MODELS)]
         models = self._random.choices(range(MODELS), popularity, k=REQUESTS)
-        self._requests = [encode_request(model) for model in models]
+        self._requests = [encode_request(f"m{model}") for model in models]
         self._seconds, self._rate = seconds, rate
         self._idle: list[ClientConnection] = []
         self._latencies: list[int] = []  # ns
--- a/benchmarks/scale/forwarding_clients.py
+++ b/benchmarks/scale/forwarding_clients.py
@@ -14,6 +14,7 @@
 from math import ceil, sqrt
 from typing import Any
 
+from benchmarks.inference_requests import encode_request
 from gaproute.http1 import ClientConnection, Exchange, NoResponseError, Response
 from gaproute.loop import Loop, Promise, connect
 from gaproute.loop.addresses import address
@@ -25,9 +26,6 @@
 FASTEST = 1_800  # calls a second for which functions are set aside where no rate is given
 DEVIATIONS = 7  # of the number of calls that come by chance above its mean: more come once in 1e12 plays
 ANSWER_TIME = 6 * SECOND  # after the last call: above the hard limit of the fleet's track
-BODY = json.dumps(
-    {"id": "x", "inputs": [{"name": "in", "shape": [1], "datatype": "BYTES", "data": ["x" * 200]}]}
-)
 
 
 def max_calls(rate: float, seconds: float) -> int:
@@ -114,9 +112,7 @@
                 self.call(self.loop.now())
             self.group.stop_when_over()
 
-        head = f"POST /v2/models/{function}/infer HTTP/1.1\r\nHost: g\r\nContent-Type: application/json\r\n"
-        data = f"{head}Content-Length: {len(BODY)}\r\n\r\n{BODY}".encode()
-        exchange = Exchange(self.loop, data, on_end)
+        exchange = Exchange(self.loop, encode_request(function), on_end)
         self.group.open[exchange] = function
         exchange.send_on(connection)
 
