--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -25,7 +25,7 @@
 from collections.abc import Sequence
 from concurrent.futures import Future, ProcessPoolExecutor
 from pathlib import Path
-from statistics import mean, median
+from statistics import mean
 from typing import Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
@@ -33,7 +33,7 @@
 from benchmarks.gossip_fleet import CASES, GossipFleet
 from benchmarks.gossip_readings import read_at
 from benchmarks.gossip_traffic import SECOND
-from benchmarks.rows import write
+from benchmarks.rows import median_with_range, write
 
 LENGTH, FIRST, INTERVAL = 45, 20, 5  # s: of a play, until figures are counted, and between two readings
 READERS = 10  # gateways at which is read
@@ -64,16 +64,6 @@
     return costs | {name: mean([each[name] for each in readings]) for name in readings[0]}
 
 
-def summary(values: Sequence[float]) -> str:
-    """The median, with the least and the greatest in brackets."""
-    ordered = sorted(values)
-    middle, low, high = (
-        f"{value:.3g}" if value < 1000 else f"{value:.0f}"
-        for value in (median(ordered), ordered[0], ordered[-1])
-    )
-    return middle + (f" ({low}-{high})" if low != high else "")
-
-
 def play_all(sizes: Sequence[int], seeds: Sequence[int], *, jobs: int, folder: str) -> None:
     """Play all sizes and cases, `jobs` plays at once; prints and writes each row when its plays are over."""
     cases = [(size, case) for size in sizes for case in CASES]
@@ -84,7 +74,7 @@
         }
         for size, case in cases:
             runs = [plays[size, case, seed].result() for seed in seeds]
-            figures = {name: summary([run[name] for run in runs]) for name in runs[0]}
+            figures = {name: median_with_range([run[name] for run in runs]) for name in runs[0]}
             rows.append({"gateways": size, "faults": case} | figures)
             print(rows[-1], flush=True)
             write(folder, "gossip", rows, plays=len(seeds))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -20,12 +20,11 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from concurrent.futures import Future, ProcessPoolExecutor, as_completed
 from pathlib import Path
-from statistics import median
 from typing import Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from benchmarks.rows import write
+from benchmarks.rows import median_with_range, write
 from gaproute.decisions.chance import Chance
 from gaproute.peers.membership_wire import decode, encode
 from gaproute.shared.membership import MembershipMessage, MemberState
@@ -172,11 +171,7 @@
     missed = len(figures) - len(known)
     if not known:
         return f"not in {LONG}"
-    middle, low, high = (
-        f"{figure:.3g}" if figure < 1000 else f"{figure:.0f}"
-        for figure in (median(known), known[0], known[-1])
-    )
-    return middle + (f" ({low}-{high})" if low != high else "") + (f", {missed} never" if missed else "")
+    return median_with_range(known) + (f", {missed} never" if missed else "")
 
 
 def table(cases: Iterable[tuple[int, float]], found: Mapping[Play, Figures]) -> list[dict[str, Any]]:
--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -1,4 +1,4 @@
-"""Rows of a measurement as a table in Markdown and as JSON."""
+"""Rows of a measurement: their figures as text, the table in Markdown and as JSON."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import time
 from collections.abc import Mapping, Sequence
 from pathlib import Path
+from statistics import median
 from typing import Any
 
 Row = Mapping[str, Any]
@@ -30,3 +31,13 @@
     (folder / f"{name}.md").write_text(table(rows))
     (folder / f"{name}.json").write_text(json.dumps(document, indent=1))
     return folder
+
+
+def median_with_range(values: Sequence[float]) -> str:
+    """The median, with the least and the greatest in brackets where they differ; three digits of each."""
+    ordered = sorted(values)
+    middle, low, high = (
+        f"{value:.3g}" if value < 1000 else f"{value:.0f}"
+        for value in (median(ordered), ordered[0], ordered[-1])
+    )
+    return middle + (f" ({low}-{high})" if low != high else "")
