--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -11,7 +11,7 @@
 from gaproute.http1 import Request, Server
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
-from gaproute.peers.raft import HostedNode
+from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.operator_requests import (
     OperatorCommand,
@@ -46,15 +46,9 @@
         if name in line.names and line.votes is not None:
             self.disk = self._open_raft_log(line.votes, record)
         self.hosted_node = HostedNode(
-            loop,
-            name,
-            line.names,
-            self.peers,
-            record,
-            chance,
-            disk=self.disk,
-            fencing_base=time.time_ns() // MILLI,
-            machine=LeaseTable(max_duration=line.longest),
+            NodeEnvironment(loop, record, chance),
+            RaftGroupView(name, line.names, self.peers),
+            NodeStorage(LeaseTable(max_duration=line.longest), self.disk, time.time_ns() // MILLI),
         )
         last_number = secrets.randbits(RUN_BITS) << REQUEST_BITS
         self.requests = OperatorRequests(self.hosted_node.client, line.longest, last_number)
--- a/gaproute/hollow/leases.py
+++ b/gaproute/hollow/leases.py
@@ -6,7 +6,7 @@
 
 from gaproute.hollow.environment import GatewayEnvironment, RandomStream
 from gaproute.hollow.parts import ConfiguredGateway, ControlPart, Parts
-from gaproute.peers.raft import HostedNode
+from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.leases.requests import LeaseRequest, LeaseState
 
@@ -28,16 +28,18 @@
         assert line is not None
         self._peer_addresses: dict[str, str] = {}  # changed in place: the transport holds it too
         self.hosted_node = HostedNode(
-            self._loop,
-            self._name,
-            line.names,
-            self._peer_addresses,
-            environment.record,
-            environment.random(RandomStream.LEASES),
-            disk=environment.open_raft_disk(self._name) if self._name in line.names else None,
-            fencing_base=environment.wall_clock() // 1_000_000,
-            machine=LeaseTable(initial_wait=False),
-            make_transport=environment.open_raft_transport,
+            NodeEnvironment(
+                self._loop,
+                environment.record,
+                environment.random(RandomStream.LEASES),
+                environment.open_raft_transport,
+            ),
+            RaftGroupView(self._name, line.names, self._peer_addresses),
+            NodeStorage(
+                LeaseTable(initial_wait=False),
+                disk=environment.open_raft_disk(self._name) if self._name in line.names else None,
+                fencing_base=environment.wall_clock() // 1_000_000,
+            ),
         )
         self._request: LeaseRequest | None = None
         self._rejected = self._expired = 0
--- a/gaproute/peers/raft/__init__.py
+++ b/gaproute/peers/raft/__init__.py
@@ -4,7 +4,7 @@
 `RaftNode`. `RaftTransport` sends their messages to other gateways and receives those.
 """
 
-from gaproute.peers.raft.hosted_node import HostedNode
+from gaproute.peers.raft.hosted_node import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView
 from gaproute.peers.raft.transport import RaftTransport
 
-__all__ = ["HostedNode", "RaftTransport"]
+__all__ = ["HostedNode", "NodeEnvironment", "NodeStorage", "RaftGroupView", "RaftTransport"]
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -3,8 +3,11 @@
 """
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, Protocol
 
+from gaproute.loop.timers import Timer
+from gaproute.peers.membership import EventLog
 from gaproute.peers.raft.transport import RaftTransport
 from gaproute.shared.leases import LeaseClient, LeaseTable
 from gaproute.shared.raft import Disk, RaftNode, Role
@@ -20,41 +23,86 @@
 NO_NODE = "refused: no keeper here"
 
 
-class HostedNode:
-    """Runs the lease client `client` and, if there is a disk and `name` is a member, the `node`.
+class NodeLoop(Protocol):
+    """What a hosted node needs of `gaproute.loop.Loop`. Times are ns."""
+
+    def now(self) -> int:
+        """The time."""
+
+    def at(self, when: int, call: Callable[..., object], *args: object) -> Timer:
+        """Calls `call(*args)` at that time."""
+
+    def soon(self, call: Callable[..., object], *args: object) -> object:
+        """Calls `call(*args)` after the present callback has returned."""
+
+
+@dataclass(frozen=True, slots=True)
+class NodeEnvironment:
+    """What a hosted node runs on; a simulation hands in parts of its own.
 
-    `members`: the configured names; `peers`: addresses, by name, of all gateways that may send requests;
-    `record.event(level, what, ...)` takes log lines; `disk`: opened; `machine`: the node's; `fencing_base`:
-    as of `RaftNode`; `make_transport(loop, name, peers, receive)`: a simulation hands in its own.
+    `make_transport(loop, name, peers, receive)` makes what `RaftTransport` is on sockets.
     """
 
-    def __init__(
-        self,
-        loop: Any,
-        name: str,
-        members: Iterable[str],
-        peers: Mapping[str, str],
-        record: Any,
-        chance: RandomSource,
-        *,
-        machine: LeaseTable,
-        disk: Disk | None = None,
-        fencing_base: int = 0,
-        make_transport: Callable[..., Any] = RaftTransport,
-    ) -> None:
-        self.loop, self.name, self.record, self.machine = loop, name, record, machine
-        members = tuple(members)
-        self.transport = make_transport(loop, name, peers, self.receive)
-        self.client = LeaseClient(name, members, chance, loop.now())
-        self.node: RaftNode | None = None
-        if disk is not None and name in members:
-            self.node = RaftNode(name, members, disk, chance, loop.now(), machine, fencing_base=fencing_base)
-            if self.node.store.discard_reason:
-                record.event("error", "raft_log_discarded", reason=self.node.store.discard_reason)
-        self.log = NodeLog(record, loop.now())
-        self.timer: Any = None
+    loop: NodeLoop
+    record: EventLog
+    random: RandomSource
+    make_transport: Callable[..., Any] = RaftTransport
+
+
+@dataclass(frozen=True, slots=True)
+class RaftGroupView:
+    """The gateways of a Raft group and its clients, as one of them is configured.
+
+    `name`: of this gateway; `members`: the names of the group; `peers`: addresses, by name, of all gateways
+    that may send requests, changed in place by the owner.
+    """
+
+    name: str
+    members: tuple[str, ...]
+    peers: Mapping[str, str]
+
+
+@dataclass(frozen=True, slots=True)
+class NodeStorage:
+    """What a node's log is applied to, and where it is stored.
+
+    `disk` is opened; None at a gateway that stores no log. `fencing_base`: as of `RaftNode`.
+    """
+
+    machine: LeaseTable
+    disk: Disk | None = None
+    fencing_base: int = 0
+
+
+class HostedNode:
+    """Runs the lease client `client` and, if there is a disk and this gateway is a member, the `node`."""
+
+    def __init__(self, environment: NodeEnvironment, group: RaftGroupView, storage: NodeStorage) -> None:
+        self.loop, self.record = environment.loop, environment.record
+        self.name, self.machine = group.name, storage.machine
+        self.transport = environment.make_transport(self.loop, self.name, group.peers, self.receive)
+        self.client = LeaseClient(self.name, group.members, environment.random, self.loop.now())
+        self.node = self._make_node(environment.random, group, storage)
+        self.log = NodeLog(self.record, self.loop.now())
+        self.timer: Timer | None = None
         self._schedule()
 
+    def _make_node(self, random: RandomSource, group: RaftGroupView, storage: NodeStorage) -> RaftNode | None:
+        if storage.disk is None or group.name not in group.members:
+            return None
+        node = RaftNode(
+            group.name,
+            group.members,
+            storage.disk,
+            random,
+            self.loop.now(),
+            storage.machine,
+            fencing_base=storage.fencing_base,
+        )
+        if node.store.discard_reason:
+            self.record.event("error", "raft_log_discarded", reason=node.store.discard_reason)
+        return node
+
     def _parts(self) -> list[LeaseClient | RaftNode]:
         return [self.client] if self.node is None else [self.client, self.node]
 
@@ -145,9 +193,9 @@
 class NodeLog:
     """Logs changes of a node that an operator should know, each once."""
 
-    def __init__(self, record: Any, now: int) -> None:
+    def __init__(self, record: EventLog, now: int) -> None:
         self.record = record
-        self.logged: dict[str, Any] = {}  # by name of the figure: the last logged value
+        self.logged: dict[str, object] = {}  # by name of the figure: the last logged value
         self.rejections: dict[str, int] = {}
         self.rejections_looked_at = now
         self.breaches = 0  # how many were logged so far
@@ -162,8 +210,8 @@
         self.breaches = len(node.breaches)
         if now - self.rejections_looked_at >= REJECTIONS_INTERVAL:
             self.rejections_looked_at = now
-            refused = {what: count for what, count in counts.items() if what.startswith("refused")}
-            self._rejections({**node.rejections, **refused})
+            rejected = {what: count for what, count in counts.items() if what.startswith("refused")}
+            self._log_rejections({**node.rejections, **rejected})
 
     def _log_changes(self, node: RaftNode) -> None:
         """Logs the role, failures of the disk, and the members, each if it has changed."""
@@ -180,13 +228,13 @@
                 "info", "raft_members_changed", members=members, term=node.term, leader=node.leader
             )
 
-    def _has_changed(self, what: str, value: Any) -> bool:
+    def _has_changed(self, figure: str, value: object) -> bool:
         """Whether a value is not empty and differs from that of the last call."""
-        changed = self.logged.get(what) != value
-        self.logged[what] = value
+        changed = self.logged.get(figure) != value
+        self.logged[figure] = value
         return changed and bool(value)
 
-    def _rejections(self, by_reason: dict[str, int]) -> None:
+    def _log_rejections(self, by_reason: dict[str, int]) -> None:
         if by_reason != self.rejections:
             self.rejections = by_reason
             self.record.event("warning", "raft_messages_rejected", by_reason=by_reason)
--- a/tests/raft/test_transport.py
+++ b/tests/raft/test_transport.py
@@ -7,7 +7,7 @@
 from gaproute.http1 import Exchange
 from gaproute.loop import Loop
 from gaproute.loop.addresses import address
-from gaproute.peers.raft import HostedNode, wire
+from gaproute.peers.raft import HostedNode, NodeEnvironment, NodeStorage, RaftGroupView, wire
 from gaproute.peers.raft.transport import BURST
 from gaproute.shared.leases import LeaseTable
 from gaproute.shared.raft.messages import (
@@ -39,14 +39,9 @@
     def start(self, name, number=9):
         disk = RaftLogFile(self.folder / name, lambda text: None).open() if name in self.names else None
         host = HostedNode(
-            self.loop,
-            name,
-            self.names,
-            self.peers,
-            Record(),
-            Chance(number),
-            disk=disk,
-            machine=LeaseTable(initial_wait=False),
+            NodeEnvironment(self.loop, Record(), Chance(number)),
+            RaftGroupView(name, self.names, self.peers),
+            NodeStorage(LeaseTable(initial_wait=False), disk),
         )
         host.disk = disk
         self.peers[name] = host.transport.listen(self.peers.get(name, "127.0.0.1:0"))
