--- a/gaproute/telemetry/record.py
+++ b/gaproute/telemetry/record.py
@@ -1,49 +1,49 @@
 """Counters and recent events of one gateway, and the log steps of traced requests."""
 
 from collections import Counter, deque
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from typing import Any, Protocol
 from zlib import crc32
 
 from gaproute.interface import Result
 from gaproute.interface.call import Ending
 
-MAX_EVENTS = 256  # kept for the operators' address
+MAX_EVENTS = 256  # the latest ones, which operators can read
 TRACE_ONE_IN = 32  # requests of which one is traced, by its id: the same one at every gateway
 
+CounterTree = dict[str, Any]  # {what: {subject: count, or {detail: count}}}
+
 
 class Log(Protocol):
     """A structured log: one line for each event, with its fields."""
 
-    def info(self, event: str, /, **fields: Any) -> Any:
-        """Logs what happens in ordinary work."""
+    def info(self, event: str, /, **fields: object) -> object:
+        """Logs an event of ordinary operation."""
 
-    def warning(self, event: str, /, **fields: Any) -> Any:
-        """Logs what may need an operator's look."""
+    def warning(self, event: str, /, **fields: object) -> object:
+        """Logs an event that an operator may have to look into."""
 
-    def error(self, event: str, /, **fields: Any) -> Any:
-        """Logs what went wrong."""
+    def error(self, event: str, /, **fields: object) -> object:
+        """Logs an error."""
 
 
 class Record:
     """What has happened at one gateway since its start."""
 
-    def __init__(
-        self, log: Log, class_names: tuple[str, ...] | list[str], trace_one_in: int = TRACE_ONE_IN
-    ) -> None:
+    def __init__(self, log: Log, class_names: Sequence[str], trace_one_in: int = TRACE_ONE_IN) -> None:
         """`class_names`: of the request classes, by index; `trace_one_in`: 1 traces all requests, 0 none."""
         self.log, self.class_names = log, class_names
         self.trace_one_in = trace_one_in
         self.counts: Counter[tuple[str, ...]] = Counter()  # (what, class or host, ...): how often
-        self.events: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MAX_EVENTS)
+        self.events: deque[tuple[str, dict[str, object]]] = deque(maxlen=MAX_EVENTS)
 
-    def event(self, level: str, event: str, /, **fields: Any) -> None:
-        """Logs an event and keeps it for the operators' address; `level` is a method of the log."""
+    def event(self, level: str, event: str, /, **fields: object) -> None:
+        """Logs an event by the log's method `level`, and stores it for the operators' address."""
         self.events.append((event, fields))
         getattr(self.log, level)(event, **fields)
 
     def internal_error(self, message: str, gateway_request_id: str) -> None:
-        """Logs an error of the gateway itself, met in the request that it knows by this id."""
+        """Logs an error of the gateway itself in one of its requests; the id is the gateway's own."""
         self.event("error", "internal_error", message=message, gateway_request_id=gateway_request_id)
 
     # Counters
@@ -71,11 +71,11 @@
         self.counts["load_orders", host] += 1
 
     def forget_host(self, host: str) -> None:
-        """Drops the counters of a host that has gone for good."""
+        """Drops the counters of a host that was removed from the fleet."""
         for key in [key for key in self.counts if host in key]:
             del self.counts[key]
 
-    def snapshot(self) -> dict[str, Any]:
+    def snapshot(self) -> CounterTree:
         """The counters as nested plain data."""
         return nested(self.counts)
 
@@ -87,18 +87,18 @@
             return False
         return crc32(request_id.encode()) % self.trace_one_in == 0
 
-    def log_step(self, request_id: str, step: str, /, **fields: Any) -> None:
+    def log_step(self, request_id: str, step: str, /, **fields: object) -> None:
         """Logs one step of a traced request; `request_id` is the client's own."""
         self.log.info("request_step", request_id=request_id, step=step, **fields)
 
-    def log_load_order(self, function: str, /, **fields: Any) -> None:
-        """Logs the end of a load order for a traced function."""
+    def log_load_order(self, function: str, /, **fields: object) -> None:
+        """Logs the end of a load order of a traced function."""
         self.log.info("load_order_ended", function=function, **fields)
 
 
-def nested(counts: Mapping[tuple[str, ...], int]) -> dict[str, Any]:
-    """Counters as nested plain data: {what: {subject: count or {detail: count}}}."""
-    tree: dict[str, Any] = {}
+def nested(counts: Mapping[tuple[str, ...], int]) -> CounterTree:
+    """Counters as nested plain data, sorted by their keys."""
+    tree: CounterTree = {}
     for (what, *path), count in sorted(counts.items()):
         node = tree.setdefault(what, {})
         for part in path[:-1]:
