--- a/gaproute/appliance/cell_rows.py
+++ b/gaproute/appliance/cell_endpoints.py
@@ -9,30 +9,30 @@
 from gaproute.loop import Loop
 
 
-class LineRow(NamedTuple):
+class ConvertedLine(NamedTuple):
     """A line of a list, and the endpoint that was made of it."""
 
     line: HostLine
-    row: Endpoint
+    endpoint: Endpoint
 
 
-class CellList(NamedTuple):
+class ConvertedList(NamedTuple):
     """The list of a cell with its endpoints."""
 
     zone: str
     lines: list[HostLine]
-    by_host: dict[str, LineRow]
-    rows: list[Endpoint]
+    by_host: dict[str, ConvertedLine]
+    endpoints: list[Endpoint]
 
 
-class CellRows:
-    """The endpoints of the lists in force. `sizes`: whether the capacities in the lines are used."""
+class CellEndpoints:
+    """The endpoints of the lists in force. `use_capacities`: whether the capacities in the lines are used."""
 
-    def __init__(self, loop: Loop, *, sizes: bool) -> None:
-        self.listing = HostLineConverter(loop, use_capacities=sizes)
-        self.lists: dict[str, CellList] = {}  # by cell
+    def __init__(self, loop: Loop, *, use_capacities: bool) -> None:
+        self.converter = HostLineConverter(loop, use_capacities=use_capacities)
+        self.lists: dict[str, ConvertedList] = {}  # by cell
 
-    def of(
+    def convert(
         self,
         lists: Mapping[str, list[HostLine]],
         zones: Mapping[str, str],
@@ -45,22 +45,28 @@
         """
         current_at = current_at or {}
         self.lists = {
-            cell: self._list_of(cell, lines, zones[cell], current_at.get(cell))
+            cell: self._convert_list(cell, lines, zones[cell], current_at.get(cell))
             for cell, lines in lists.items()
         }
-        self.listing.retain([line for lines in lists.values() for line in lines])
-        return {cell: cell_list.rows for cell, cell_list in self.lists.items()}
+        self.converter.retain([line for lines in lists.values() for line in lines])
+        return {cell: converted.endpoints for cell, converted in self.lists.items()}
 
-    def _list_of(self, cell: str, lines: list[HostLine], zone: str, current_at: int | None) -> CellList:
+    def _convert_list(
+        self, cell: str, lines: list[HostLine], zone: str, current_at: int | None
+    ) -> ConvertedList:
         before = self.lists.get(cell)
         absent_at = current_at if before is not None else None  # the first list of a cell has none before it
         if before is not None and before.zone == zone and before.lines is lines:
             return before
         known = before.by_host if before is not None and before.zone == zone else {}
-        by_host = {line.name: self._row(line, zone, known.get(line.name), absent_at) for line in lines}
-        return CellList(zone, lines, by_host, [line_row.row for line_row in by_host.values()])
+        by_host = {
+            line.name: self._convert_line(line, zone, known.get(line.name), absent_at) for line in lines
+        }
+        return ConvertedList(zone, lines, by_host, [converted.endpoint for converted in by_host.values()])
 
-    def _row(self, line: HostLine, zone: str, known: LineRow | None, absent_at: int | None) -> LineRow:
+    def _convert_line(
+        self, line: HostLine, zone: str, known: ConvertedLine | None, absent_at: int | None
+    ) -> ConvertedLine:
         if known is not None and (known.line is line or known.line == line):
             return known
-        return LineRow(line, self.listing.endpoint(line, zone, absent_at))
+        return ConvertedLine(line, self.converter.endpoint(line, zone, absent_at))
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from gaproute.appliance.cell_lists import CellLists, Lists
-from gaproute.appliance.cell_rows import CellRows
+from gaproute.appliance.cell_endpoints import CellEndpoints
 from gaproute.appliance.cell_table import CellTableSource
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.appliance.peer_services import PeerServices
@@ -74,9 +74,9 @@
         self.core = CellularCore(
             loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
         )
-        self.rows = CellRows(loop, sizes=configuration.capacities_reported)
+        self.endpoints = CellEndpoints(loop, use_capacities=configuration.capacities_reported)
         self.lists = self._make_lists()
-        self.lists_given: Lists = {}  # the lists that the decisions were given last
+        self.applied_lists: Lists = {}  # the lists that the decisions were given last
         self.lists_rejected = self.members_rejected = 0
         self.table: CellTableSource | None = None  # None until `listen`
         self.timer: Timer | None = None
@@ -185,18 +185,22 @@
             self.lists.set_cells(zones)
         if self.gateway.single is None:
             known = self.gateway.local.gateways
-            if any(cell not in known for cell in self.lists_given):  # a cell was released and is wanted again
-                self.lists_given = {cell: lines for cell, lines in self.lists_given.items() if cell in known}
+            if any(
+                cell not in known for cell in self.applied_lists
+            ):  # a cell was released and is wanted again
+                self.applied_lists = {
+                    cell: lines for cell, lines in self.applied_lists.items() if cell in known
+                }
                 self._apply_lists(self.lists.in_force)
 
     def _apply_lists(self, lists: Lists) -> None:
         """Applies all lists in force, first to the connections: the decisions may use a new host at once."""
-        rows = self.rows.of(lists, self.lists.zones, self.lists.current_at())
-        self.hosts_changed([row for of_cell in rows.values() for row in of_cell])
-        before, self.lists_given = self.lists_given, dict(lists)
-        for cell, of_cell in rows.items():
+        endpoints = self.endpoints.convert(lists, self.lists.zones, self.lists.current_at())
+        self.hosts_changed([endpoint for of_cell in endpoints.values() for endpoint in of_cell])
+        before, self.applied_lists = self.applied_lists, dict(lists)
+        for cell, of_cell in endpoints.items():
             if before.get(cell) != lists[cell]:
-                self.core.update_cell_hosts(cell, [row.listed for row in of_cell])
+                self.core.update_cell_hosts(cell, [endpoint.listed for endpoint in of_cell])
 
     def _make_lists(self) -> CellLists | FollowedLists:
         """Makes the host lists, from files or from change logs."""
--- a/tests/discovery/test_cell_members.py
+++ b/tests/discovery/test_cell_members.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from gaproute.appliance.cell_rows import CellRows
+from gaproute.appliance.cell_endpoints import CellEndpoints
 from gaproute.config.directives.fleet import HostLine
 from gaproute.discovery.cell_members import CellMembers
 from gaproute.discovery.cell_reconciler import CellReconciler
@@ -100,18 +100,18 @@
 
 
 def test_only_lines_that_changed_are_made_rows_anew():
-    rows = CellRows(Loop(), sizes=True)
+    endpoints = CellEndpoints(Loop(), use_capacities=True)
     lists = {"a1": [line("u", 1), line("v", 2)], "b1": [line("w", 3)]}
-    before = rows.of(lists, ZONES)
+    before = endpoints.convert(lists, ZONES)
     lists = {"a1": [line("u", 1), line("v", 2, state="draining")], "b1": lists["b1"]}
-    after = rows.of(lists, ZONES)
+    after = endpoints.convert(lists, ZONES)
     assert after["b1"] is before["b1"]
     assert after["a1"][0] is before["a1"][0]
     assert [row.listed.state.value for row in after["a1"]] == ["active", "draining"]
-    moved = rows.of(lists, ZONES | {"b1": "a"})  # a newer table has the cell in another zone
+    moved = endpoints.convert(lists, ZONES | {"b1": "a"})  # a newer table has the cell in another zone
     assert moved["b1"][0].listed.zone == before["a1"][0].listed.zone != before["b1"][0].listed.zone
-    assert rows.of({"b1": lists["b1"]}, ZONES) == {"b1": before["b1"]}
-    assert list(rows.lists) == ["b1"]
+    assert endpoints.convert({"b1": lists["b1"]}, ZONES) == {"b1": before["b1"]}
+    assert list(endpoints.lists) == ["b1"]
 
 
 def test_racks_that_no_host_has_any_more_are_forgotten_and_no_number_is_given_twice():
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -12,7 +12,7 @@
 
 import gaproute
 from gaproute.appliance.cell_lists import CellLists
-from gaproute.appliance.cell_rows import CellRows
+from gaproute.appliance.cell_endpoints import CellEndpoints
 from gaproute.appliance.cells import CellServices
 from gaproute.config import read_hosts
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
@@ -340,20 +340,20 @@
 
 
 def test_hosts_of_a_cell_are_bounded_by_the_list_of_that_cell_before(clock, wall):
-    rows = CellRows(Loop(clock), sizes=True)
-    rows.listing = HostLineConverter(rows.listing.start_times.loop, wall)
+    endpoints = CellEndpoints(Loop(clock), use_capacities=True)
+    endpoints.converter = HostLineConverter(endpoints.converter.start_times.loop, wall)
     wall.ahead = HOUR
-    rows.listing.start_times.offset = BEGUN + HOUR
+    endpoints.converter.start_times.offset = BEGUN + HOUR
     zones = {"a1": "a", "b1": "b"}
 
     def line(name, started):
         return HostLine(name=name, where="127.0.0.1:1", started=str(started / SECOND))
 
     old = line("u", wall.true() - HOUR)
-    rows.of({"a1": [old]}, zones, {"a1": None})
+    endpoints.convert({"a1": [old]}, zones, {"a1": None})
     absent_at = clock.now
     clock.now += SECOND
-    made = rows.of(
+    made = endpoints.convert(
         {"a1": [old, line("v", wall.true())], "b1": [line("w", wall.true() - HOUR)]},
         zones,
         {"a1": absent_at, "b1": clock.now},
@@ -364,9 +364,11 @@
 
 def test_a_gateway_of_cells_hands_on_when_each_list_was_known():
     given = []
-    rows = SimpleNamespace(of=lambda *arguments: given.append(arguments) or {})
+    endpoints = SimpleNamespace(convert=lambda *arguments: given.append(arguments) or {})
     lists = SimpleNamespace(zones={"a1": "a"}, current_at=lambda: {"a1": 5})
-    CellServices._apply_lists(SimpleNamespace(rows=rows, lists=lists, hosts_changed=list, lists_given={}), {})
+    CellServices._apply_lists(
+        SimpleNamespace(endpoints=endpoints, lists=lists, hosts_changed=list, applied_lists={}), {}
+    )
     assert given == [({}, {"a1": "a"}, {"a1": 5})]
 
 
