--- a/benchmarks/scale/costs/cell_hosts.py
+++ b/benchmarks/scale/costs/cell_hosts.py
@@ -100,18 +100,18 @@
 
     def _begin(self, place: int) -> None:
         """Hand over the complete list of one cell, as though a connection brought it."""
-        follower = self.lists.followed[names(KNOWN)[place]].follower
-        follower.disconnect()
-        follower.reader, follower.awaits_first_event = EventReader(), True
+        watcher = self.lists.followed[names(KNOWN)[place]].watcher
+        watcher.disconnect()
+        watcher.reader, watcher.awaits_first_event = EventReader(), True
         event = self.logs[place].change(*members(place, self.hosts, self.seed))
         self.feed(place, change_log.HEAD + change_log.sent(event))
 
     def feed(self, place: int, data: bytes) -> None:
         """Hand over bytes of one cell's log and put their events in force."""
-        self.lists.followed[names(KNOWN)[place]].follower.on_bytes(data)
+        self.lists.followed[names(KNOWN)[place]].watcher.on_bytes(data)
         if self.lists.timer is not None:
             self.lists.timer.cancel()
-        self.lists._take_in()
+        self.lists._apply_pending()
 
     def state(self) -> str:
         """The state of the first cell's first host, as the gateway has it."""
--- a/benchmarks/scale/costs/cell_hosts_rest.py
+++ b/benchmarks/scale/costs/cell_hosts_rest.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.costs.cell_hosts import lines, members, names
 from benchmarks.scale.measurement import Measurements, measure
 from benchmarks.scale.meters import CPU_TIME, MS_PER_SECOND
-from gaproute.appliance.cell_lists import CellLists, Lists
+from gaproute.appliance.cell_lists import CellLists, ListsByCell
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.config.directives.fleet import CellHostsLine
 from gaproute.decisions.chance import Chance
@@ -40,7 +40,7 @@
 def files_rest_cpu(cells: int, seed: int, seconds: float = RESTING) -> float:
     """Milliseconds of CPU a second of looking at the files of so many cells."""
     loop = Loop()
-    changes: list[Lists] = []
+    changes: list[ListsByCell] = []
     with tempfile.TemporaryDirectory(prefix="cell-hosts-") as folder:
         for place, cell in enumerate(names(cells)):
             Path(folder, f"{cell}.hosts").write_text(lines(place, HOSTS, seed))
@@ -80,7 +80,7 @@
 def followed_rest_cpu(cells: int, seed: int, seconds: float = RESTING) -> float:
     """Milliseconds of CPU a second of connections to a source that sends comments alone."""
     loop = Loop()
-    changes: list[Lists] = []
+    changes: list[ListsByCell] = []
     with served(cells, seed) as where:
         line = CellHostsLine.model_validate({"look": LOOK, "from": where})
         lists = FollowedLists(loop, "north", line, changes.append, _ignore, _ignore, Chance(seed))
--- a/gaproute/appliance/cell_lists.py
+++ b/gaproute/appliance/cell_lists.py
@@ -14,7 +14,7 @@
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.loop import Loop
 
-Lists = dict[str, list[HostLine]]  # by cell
+ListsByCell = dict[str, list[HostLine]]  # by cell
 
 
 class CellLists:
@@ -28,7 +28,7 @@
         self,
         loop: Loop,
         line: CellHostsLine,
-        on_change: Callable[[Lists], None],
+        on_change: Callable[[ListsByCell], None],
         on_rejected: Callable[[str, Sequence[Mistake]], None],
     ) -> None:
         """Errors: ValueError where the line names no folder."""
@@ -38,8 +38,8 @@
         self.on_change, self.on_rejected = on_change, on_rejected
         self.zones: dict[str, str] = {}  # by cell
         self.watches: dict[str, FileWatch] = {}  # by cell
-        self.last_read: Lists = {}
-        self.in_force: Lists = {}
+        self.last_read: ListsByCell = {}
+        self.in_force: ListsByCell = {}
         self.conflicts: dict[str, Mistake] = {}  # by cell: why the list that was read last is not in force
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
@@ -109,7 +109,7 @@
             self.in_force = lists
             self.on_change(lists)
 
-    def _consistent(self) -> tuple[Lists, dict[str, Mistake]]:
+    def _consistent(self) -> tuple[ListsByCell, dict[str, Mistake]]:
         """The newest lists that are consistent, and why others are not used; of those the list in force
         stays.
         """
--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -38,8 +38,8 @@
 class CellTableSource:
     """Calls `on_table(table)` for each newer table, from the file or from other gateways.
 
-    `carrier` disseminates the table among the gateways. `rejected` counts, by reason, the tables of the file
-    that were rejected.
+    `transport` disseminates the table among the gateways. `rejected` counts, by reason, the tables of the
+    file that were rejected.
     """
 
     def __init__(
@@ -47,24 +47,24 @@
         loop: Loop,
         line: CellsLine,
         record: Record,
-        carrier: CellTableTransport,
+        transport: CellTableTransport,
         on_table: Callable[[CellTable], None],
     ) -> None:
-        self.loop, self.line, self.record, self.carrier = loop, line, record, carrier
+        self.loop, self.line, self.record, self.transport = loop, line, record, transport
         self.rejected: Counter[str] = Counter()
         self.watch: FileWatch | None = None
-        carrier.on_table(on_table)
+        transport.on_table(on_table)
 
     @property
     def table(self) -> CellTable | None:
         """The last good table, None before the first one."""
-        return self.carrier.table()
+        return self.transport.table()
 
     def start(self) -> None:
         """Takes the table that was stored on disk, then checks the file and receives tables of other
         gateways.
         """
-        self.carrier.start()
+        self.transport.start()
         line = self.line
         self.watch = FileWatch(
             self.loop, line.file, line.look, self._publish_newer, self._file_rejected, read_table
@@ -77,46 +77,46 @@
 
     def rejections(self) -> dict[str, int]:
         """By reason: how many tables of the file and of other gateways were rejected."""
-        sent = {f"sent: {reason}": count for reason, count in self.carrier.disseminator.rejections.items()}
+        sent = {f"sent: {reason}": count for reason, count in self.transport.disseminator.rejections.items()}
         return dict(self.rejected) | sent
 
     def stop(self) -> None:
         """Ends watching the file, sending and receiving."""
         if self.watch is not None:
             self.watch.close()
-        self.carrier.stop()
+        self.transport.stop()
 
     def _publish_newer(self, table: CellTable) -> None:
         """Takes over and disseminates the file's table if it is newer than the current one, or rejects it."""
-        held = self.table
-        if held is not None and table.version == held.version and table.cells == held.cells:
+        current = self.table
+        if current is not None and table.version == current.version and table.cells == current.cells:
             return
         try:
-            self._check(table, held)
-            self._publish(table, held)
+            self._check(table, current)
+            self._publish(table, current)
         except (TableError, DocumentError) as error:
             self._reject(REASONS.get(type(error), WRONG_FILE), [error])
 
-    def _check(self, table: CellTable, held: CellTable | None) -> None:
+    def _check(self, table: CellTable, current: CellTable | None) -> None:
         if table.fleet != self.line.fleet:
             raise OtherFleetError(self.line.fleet, table.fleet)
-        if held is None:
+        if current is None:
             return
-        if table.version == held.version:
+        if table.version == current.version:
             raise ContradictionError(f"version {table.version} is held with other content")
-        if table.version < held.version:
-            raise StaleVersionError(held.version, table.version)
+        if table.version < current.version:
+            raise StaleVersionError(current.version, table.version)
 
-    def _publish(self, table: CellTable, held: CellTable | None) -> None:
+    def _publish(self, table: CellTable, current: CellTable | None) -> None:
         """Sends the difference to the current table; the whole table where most of it differs or there is
         none.
         """
-        if held is not None:
-            change = change_between(held, table)
-            if len(change.rows) + len(change.removed) <= len(held.cells) // 2:
-                self.carrier.publish_change(change)
+        if current is not None:
+            change = change_between(current, table)
+            if len(change.rows) + len(change.removed) <= len(current.cells) // 2:
+                self.transport.publish_change(change)
                 return
-        self.carrier.publish(table)
+        self.transport.publish(table)
 
     def _file_rejected(self, mistakes: Iterable[object]) -> None:
         self._reject(WRONG_FILE, mistakes)
--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from gaproute.appliance.cell_lists import CellLists, Lists
 from gaproute.appliance.cell_endpoints import CellEndpoints
+from gaproute.appliance.cell_lists import CellLists, ListsByCell
 from gaproute.appliance.cell_table import CellTableSource
 from gaproute.appliance.followed_lists import FollowedLists
 from gaproute.appliance.peer_services import PeerServices
@@ -34,7 +34,7 @@
 from gaproute.telemetry.record import Record
 
 # Added to the seed, so that no two parts draw the same random numbers.
-CARRIER_SEED = 6  # which gateways are sent a table
+TABLE_SEED = 6  # which gateways are sent a table
 SOURCES_SEED = 8  # the order of change log sources and the waits between attempts
 WRONG_LIST = "wrong host list"  # as operators read it in the status
 WRONG_MEMBER = "wrong host of a source"
@@ -55,31 +55,31 @@
         configuration: Configuration,
         record: Record,
         seed: int,
-        reach: ClientSettings,
-        run: str,
+        client_settings: ClientSettings,
+        run_name: str,
         hosts_changed: Callable[[Sequence[Endpoint]], None],
     ) -> None:
-        """`run`: the name of this run of the process. Errors: ValueError where no cells are configured."""
+        """`run_name` identifies this run of the process. Errors: ValueError where no cells are configured."""
         if configuration.cells is None or configuration.cell_hosts is None:
             raise ValueError("the configuration has no cells")
         self.loop, self.configuration, self.record, self.seed = loop, configuration, record, seed
-        self.line: CellsLine = configuration.cells
-        self.hosts_line: CellHostsLine = configuration.cell_hosts
+        self.cells_line: CellsLine = configuration.cells
+        self.cell_hosts_line: CellHostsLine = configuration.cell_hosts
         self.hosts_changed = hosts_changed
-        location = GatewayLocation(configuration.name, self.line.region, self.line.zone)
+        location = GatewayLocation(configuration.name, self.cells_line.region, self.cells_line.zone)
         self.gateway = CellularGateway(seed, configuration.terms, loop.now(), location)
         self.placeholder_gateway = Gateway(seed, configuration.terms, loop.now())
-        self.hosts = CellHostClient(loop, Pooling(), reach, configuration.name)
-        self.entries = EntryGateways(loop, reach, configuration.name)
+        self.hosts = CellHostClient(loop, Pooling(), client_settings, configuration.name)
+        self.entries = EntryGateways(loop, client_settings, configuration.name)
         self.core = CellularCore(
-            loop, self.gateway, configuration.terms, self.hosts, record, run, self.entries
+            loop, self.gateway, configuration.terms, self.hosts, record, run_name, self.entries
         )
         self.endpoints = CellEndpoints(loop, use_capacities=configuration.capacities_reported)
         self.lists = self._make_lists()
-        self.applied_lists: Lists = {}  # the lists that the decisions were given last
-        self.lists_rejected = self.members_rejected = 0
+        self.applied_lists: ListsByCell = {}  # the lists that the decisions were given last
+        self.rejected_lists = self.rejected_members = 0
         self.table: CellTableSource | None = None  # None until `listen`
-        self.timer: Timer | None = None
+        self.poll_timer: Timer | None = None
 
     def listen(self, peer_services: PeerServices, ready: Callable[[], bool]) -> EntryFront:
         """Opens the front for requests that other gateways forward, and receives their tables; returns the
@@ -91,30 +91,30 @@
             raise ValueError("the address of the peers is not listened on")
         front = EntryFront(server.server, self.core, self.configuration, ready, self._load_report)
         server.forwarded = front.handle
-        carrier = CellTableTransport(
+        transport = CellTableTransport(
             self.loop,
             self.configuration.name,
-            self.line.fleet,
+            self.cells_line.fleet,
             membership_transport,
             server,
-            Chance(self.seed + CARRIER_SEED),
+            Chance(self.seed + TABLE_SEED),
             self.record,
-            path=self.line.stored_table,
+            path=self.cells_line.stored_table,
         )
-        self.table = CellTableSource(self.loop, self.line, self.record, carrier, self._table_adopted)
+        self.table = CellTableSource(self.loop, self.cells_line, self.record, transport, self._table_adopted)
         return front
 
     def start(self) -> None:
         """Reads the table and the lists, and watches them from now on."""
         if self.table is not None:
             self.table.start()
-        self._look()
+        self._poll_wanted_cells()
 
     def update_peers(self, addresses: Mapping[str, str]) -> None:
         """Takes over the addresses of the other gateways by name."""
         if self.table is not None:
             peers = tuple(Peer(name, where) for name, where in addresses.items())
-            self.table.carrier.set_peers(peers)
+            self.table.transport.set_peers(peers)
 
     def reload(self) -> None:
         """Reads all files now."""
@@ -129,12 +129,12 @@
 
     def can_forward(self) -> bool:
         """Whether requests can be forwarded to another gateway."""
-        table = self._held_table()
+        table = self._current_table()
         return table is not None and any(self.gateway.entries.order(cell) for cell in table.cells)
 
     def status(self) -> dict[str, Any]:
         """The status for operators; its keys are older than the names in the code."""
-        table = self._held_table()
+        table = self._current_table()
         status: dict[str, Any] = {
             "version": str(table.version) if table else None,
             "cells": len(table.cells) if table else 0,
@@ -143,7 +143,7 @@
             "forwarded_out": self.core.forwarded_out,
             "refused": self._rejections(),
         }
-        if isinstance(self.lists, FollowedLists) and self.hosts_line.sources:
+        if isinstance(self.lists, FollowedLists) and self.cell_hosts_line.sources:
             status["sources"] = self.lists.status()
         return status
 
@@ -151,8 +151,8 @@
         """Stops sending and taking tables, and follows the lists of the present cells only."""
         if self.table is not None:
             self.table.stop()
-        if self.timer is not None:
-            self.timer.cancel()
+        if self.poll_timer is not None:
+            self.poll_timer.cancel()
 
     def close(self) -> None:
         """Closes the connections to entry gateways; the appliance closes those to hosts."""
@@ -160,7 +160,7 @@
         self.lists.close()
         self.entries.close()
 
-    def _held_table(self) -> CellTable | None:
+    def _current_table(self) -> CellTable | None:
         return None if self.table is None else self.table.table
 
     def _table_adopted(self, table: CellTable) -> None:
@@ -171,13 +171,13 @@
         self._follow_wanted_cells()
         self.core.start_housekeeping(now)
 
-    def _look(self) -> None:
+    def _poll_wanted_cells(self) -> None:
         """Follows the cells that the decisions need now, which depend on the functions that are requested."""
-        self.timer = self.loop.after(self.hosts_line.look, self._look)
+        self.poll_timer = self.loop.after(self.cell_hosts_line.look, self._poll_wanted_cells)
         self._follow_wanted_cells()
 
     def _follow_wanted_cells(self) -> None:
-        table = self._held_table()
+        table = self._current_table()
         if table is None:
             return
         zones = {name: table.by_name[name].zone for name in self.gateway.wanted()}
@@ -193,7 +193,7 @@
                 }
                 self._apply_lists(self.lists.in_force)
 
-    def _apply_lists(self, lists: Lists) -> None:
+    def _apply_lists(self, lists: ListsByCell) -> None:
         """Applies all lists in force, first to the connections: the decisions may use a new host at once."""
         endpoints = self.endpoints.convert(lists, self.lists.zones, self.lists.current_at())
         self.hosts_changed([endpoint for of_cell in endpoints.values() for endpoint in of_cell])
@@ -204,12 +204,12 @@
 
     def _make_lists(self) -> CellLists | FollowedLists:
         """Makes the host lists, from files or from change logs."""
-        if self.hosts_line.folder is not None:
-            return CellLists(self.loop, self.hosts_line, self._apply_lists, self._list_rejected)
+        if self.cell_hosts_line.folder is not None:
+            return CellLists(self.loop, self.cell_hosts_line, self._apply_lists, self._list_rejected)
         return FollowedLists(
             self.loop,
-            self.line.fleet,
-            self.hosts_line,
+            self.cells_line.fleet,
+            self.cell_hosts_line,
             self._apply_lists,
             self._members_rejected,
             self._source_changed,
@@ -217,12 +217,12 @@
         )
 
     def _list_rejected(self, cell: str, mistakes: Sequence[Mistake]) -> None:
-        self.lists_rejected += 1
+        self.rejected_lists += 1
         for mistake in mistakes:
             self.record.event("error", "host_list_rejected", cell=cell, error=str(mistake))
 
     def _members_rejected(self, cell: str, count: int, members: Sequence[RejectedMember]) -> None:
-        self.members_rejected += count
+        self.rejected_members += count
         for host, reason in members:
             self.record.event("error", "cell_host_rejected", cell=cell, host=host, error=reason)
 
@@ -234,10 +234,10 @@
 
     def _rejections(self) -> dict[str, int]:
         rejections = {} if self.table is None else self.table.rejections()
-        if self.lists_rejected:
-            rejections[WRONG_LIST] = self.lists_rejected
-        if self.members_rejected:
-            rejections[WRONG_MEMBER] = self.members_rejected
+        if self.rejected_lists:
+            rejections[WRONG_LIST] = self.rejected_lists
+        if self.rejected_members:
+            rejections[WRONG_MEMBER] = self.rejected_members
         return rejections
 
     def _load_report(self, cell: str) -> Any:
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -24,41 +24,41 @@
 MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS  # of all cells: four times what a view has by its table
 MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; all are counted
 
-Lists = dict[str, list[HostLine]]  # by cell
+ListsByCell = dict[str, list[HostLine]]  # by cell
 
 
 class FollowedCell:
     """One cell: the watcher of its change log, what it reported, and which rejections were logged."""
 
-    follower: CellWatcher  # set as soon as it is made, as it may call back while it is being made
+    watcher: CellWatcher  # set as soon as it is made, as it may call back while it is being made
 
     def __init__(self) -> None:
         self.members = CellMembers()
         self.rejected: dict[str, str] = {}  # by host: why its member is rejected
         self.conflicts: dict[str, str] = {}  # by host: why it is not in force
         # Rejections that were logged, and the number of the connection that they came on
-        self.logged, self.connection = 0, 0
+        self.logged_count, self.connection = 0, 0
         self.failing = False
 
-    def to_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
+    def select_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
         """The rejected members to be logged: each one once, and a limited number for a connection."""
         unlogged = [member for member in rejected if self.rejected.get(member.host) != member.reason]
         if len(self.rejected) + len(unlogged) > MAX_HOSTS:
             self.rejected = {}
         self.rejected.update(unlogged[:MAX_HOSTS])
-        return self.within_limit(unlogged)
+        return self.limit_for_log(unlogged)
 
-    def within_limit(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
+    def limit_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
         """As many of the members as may still be logged for this connection."""
-        if self.connection != self.follower.connection_count:
-            self.connection, self.logged = self.follower.connection_count, 0
-        allowed = rejected[: MAX_LOGGED_REJECTIONS - self.logged]
-        self.logged += len(allowed)
+        if self.connection != self.watcher.connection_count:
+            self.connection, self.logged_count = self.watcher.connection_count, 0
+        allowed = rejected[: MAX_LOGGED_REJECTIONS - self.logged_count]
+        self.logged_count += len(allowed)
         return allowed
 
     def close(self) -> None:
         """Closes the connection."""
-        self.follower.close()
+        self.watcher.close()
 
 
 class FollowedLists:
@@ -74,7 +74,7 @@
         loop: Loop,
         fleet: str,
         line: CellHostsLine,
-        on_change: Callable[[Lists], None],
+        on_change: Callable[[ListsByCell], None],
         on_rejected: Callable[[str, int, Sequence[RejectedMember]], None],
         on_source: Callable[[str, str | None], None],
         chance: RandomSource,
@@ -83,12 +83,12 @@
         self.on_change, self.on_rejected, self.on_source = on_change, on_rejected, on_source
         self.chance = chance
         self.zones: dict[str, str] = {}  # by cell
-        self.in_force: Lists = {}
+        self.in_force: ListsByCell = {}
         self.followed: dict[str, FollowedCell] = {}  # by cell
         self.cells_in_force = CellReconciler()
         self.timer: Timer | None = None
         self.pending = False  # whether events have come that are not applied yet
-        loop.on_late_turn.append(self._take_in_late)
+        loop.on_late_turn.append(self._apply_after_stall)
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
         """Follows the lists of these cells and no others; `zones`: {cell: its zone}."""
@@ -106,7 +106,7 @@
 
     def current_at(self) -> dict[str, int | None]:
         """By cell: when its list was last known to be unchanged, before the change at hand; ns."""
-        return {cell: followed.follower.current_at for cell, followed in self.followed.items()}
+        return {cell: followed.watcher.current_at for cell, followed in self.followed.items()}
 
     def status(self) -> dict[str, Any]:
         """The status for operators: followed cells, those whose sources fail, and connections that were
@@ -116,14 +116,14 @@
         return {
             "followed": len(self.followed),
             "failing": sorted(cell for cell, each in self.followed.items() if each.failing),
-            "asked": sum(each.follower.connection_count for each in followed),
-            "begun_anew": sum(each.follower.restarts for each in followed),
+            "asked": sum(each.watcher.connection_count for each in followed),
+            "begun_anew": sum(each.watcher.restarts for each in followed),
         }
 
     def close(self) -> None:
         """Ends following all cells."""
-        if self._take_in_late in self.loop.on_late_turn:
-            self.loop.on_late_turn.remove(self._take_in_late)
+        if self._apply_after_stall in self.loop.on_late_turn:
+            self.loop.on_late_turn.remove(self._apply_after_stall)
         for followed in self.followed.values():
             followed.close()
         if self.timer is not None:
@@ -131,7 +131,7 @@
 
     def _follow(self, cell: str) -> None:
         followed = self.followed[cell] = FollowedCell()
-        followed.follower = CellWatcher(
+        followed.watcher = CellWatcher(
             self.loop,
             self.sources,
             cell_path(self.fleet, cell),
@@ -148,7 +148,7 @@
         others = sum(len(each.members.reported) for name, each in self.followed.items() if name != cell)
         rejected = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - others)
         if rejected:
-            self.on_rejected(cell, len(rejected), followed.to_log(rejected))
+            self.on_rejected(cell, len(rejected), followed.select_for_log(rejected))
         self._schedule()
 
     def _schedule(self) -> None:
@@ -157,23 +157,23 @@
         """
         self.pending = True
         if self.timer is None:
-            self._take_in()
+            self._apply_pending()
 
-    def _take_in(self) -> None:
+    def _apply_pending(self) -> None:
         self.timer = None
         if self.pending:
             self.pending = False
-            self.timer = self.loop.after(self.interval, self._take_in)
+            self.timer = self.loop.after(self.interval, self._apply_pending)
             self._put_in_force()
 
-    def _take_in_late(self) -> None:
+    def _apply_after_stall(self) -> None:
         """After a stall, applies the waiting events before the requests that came in the meantime."""
         for followed in list(self.followed.values()):
-            followed.follower.read_now()
+            followed.watcher.read_now()
         if self.pending:
             if self.timer is not None:
                 self.timer.cancel()
-            self._take_in()
+            self._apply_pending()
 
     def _put_in_force(self) -> None:
         """Uses the hosts that are consistent."""
@@ -205,7 +205,7 @@
             before, followed.conflicts = followed.conflicts, self.cells_in_force.rejected.get(cell, {})
             new = [RejectedMember(*each) for each in followed.conflicts.items() if each not in before.items()]
             if new:
-                self.on_rejected(cell, len(new), followed.within_limit(new))
+                self.on_rejected(cell, len(new), followed.limit_for_log(new))
 
     def _source_changed(self, cell: str, error: str | None) -> None:
         followed = self.followed.get(cell)
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -22,7 +22,7 @@
 
     def __init__(self, loop: Loop, configuration: Configuration, record: Record) -> None:
         self.loop, self.configuration, self.record = loop, configuration, record
-        self.listing = HostLineConverter(loop, use_capacities=configuration.capacities_reported)
+        self.converter = HostLineConverter(loop, use_capacities=configuration.capacities_reported)
         self.rows: dict[str, Endpoint] = {}
         self.watch: FileWatch | None = None
 
@@ -31,7 +31,7 @@
 
         def take(lines: Sequence[HostLine]) -> None:
             known_at = self.watch.current_at if self.watch is not None else None
-            on_list(self.listing.endpoints(lines, known_at))
+            on_list(self.converter.endpoints(lines, known_at))
 
         source = self.configuration.hosts_file
         if source is None:
@@ -52,7 +52,7 @@
 
     def states(self) -> dict[str, tuple[str, int]]:
         """By host: its state, and its start by the list, in ns since 1970 or `NO_START`."""
-        start_times = self.listing.start_times
+        start_times = self.converter.start_times
         return {
             name: (row.listed.state.value, start_times.reported(name) or NO_START)
             for name, row in self.rows.items()
--- a/tests/discovery/test_stepped_clock.py
+++ b/tests/discovery/test_stepped_clock.py
@@ -11,8 +11,8 @@
 from scripted import MILLI, SECOND, Followed, Handed
 
 import gaproute
-from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.cell_endpoints import CellEndpoints
+from gaproute.appliance.cell_lists import CellLists
 from gaproute.appliance.cells import CellServices
 from gaproute.config import read_hosts
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
@@ -322,7 +322,7 @@
 
 def test_the_gateway_hands_on_when_its_file_was_last_seen(rig):
     made = rig(hosts=2)
-    converter = made.gate.host_list.listing
+    converter = made.gate.host_list.converter
     converter.start_times.wall = lambda: BEGUN + HOUR + made.loop.now()
     converter.start_times.offset = BEGUN + HOUR  # ahead from the start: no step to be seen
     both = made.list.read_text().splitlines()
--- a/tests/support/followed_cells.py
+++ b/tests/support/followed_cells.py
@@ -90,7 +90,7 @@
 
     def follower(self, cell):
         """Who follows the cell."""
-        return self.lists.followed[cell].follower
+        return self.lists.followed[cell].watcher
 
     def close(self):
         """Ends all."""
