--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -63,9 +63,6 @@
     def _answer(self, request: Request, code: HTTPStatus, body: object) -> None:
         self.server.answer(request, code.value, JSON_HEADERS, msgspec.json.encode(body))
 
-    def stop(self) -> None:
-        """Stops accepting; answers go on until `close`."""
-
     def close(self) -> None:
         """Closes the address."""
         self.server.close()
--- a/gaproute/appliance/shutdown.py
+++ b/gaproute/appliance/shutdown.py
@@ -9,15 +9,15 @@
 
 MILLI = 1_000_000
 
-# In which requests may still come on connections accepted before: longer than until an active connection is
-# parked
+# After the stop, while connections that were accepted before may still bring requests: longer than an active
+# connection takes to be parked
 LATE_REQUEST_TIME = 1_500 * MILLI
-LEAVE_TIME = 200 * MILLI  # after the last client's connection, for messages to other gateways to be sent
-ANSWER_MARGIN = 100 * MILLI  # before SIGKILL may come, by which every request in flight has its answer
+LEAVE_TIME = 200 * MILLI  # after the last client's connection, so that messages to other gateways are sent
+ANSWER_MARGIN = 100 * MILLI  # between the answers to the last requests in flight and the earliest SIGKILL
 
 
 def answer_time(configuration: Configuration) -> int:
-    """How long requests may be in flight; after that the others get a final answer immediately."""
+    """How long requests may be in flight; then the remaining ones get a final answer at once."""
     return kill_delay(configuration.max_deadline) - ANSWER_MARGIN - configuration.client_limits.way_back
 
 
@@ -39,7 +39,8 @@
     def begin(self) -> None:
         """Stops all parts; the loop ends once nothing is left."""
         appliance = self.appliance
-        self._stop_fronts()
+        for front in appliance.client_fronts:
+            front.stop(LATE_REQUEST_TIME)
         appliance.peers.stop()
         if appliance.cells is not None:
             appliance.cells.stop()
@@ -50,18 +51,9 @@
         self.loop.after(max_duration(appliance.configuration), self.loop.stop)
         self._end_if_empty()
 
-    def _stop_fronts(self) -> None:
-        client_fronts = self.appliance.client_fronts
-        for front in client_fronts:
-            front.stop(LATE_REQUEST_TIME)
-        for front in self.appliance.fronts:
-            if front not in client_fronts:
-                front.stop()
-
     def _end_if_empty(self) -> None:
         """Ends the loop once no request is in flight and no client's connection is left."""
-        if self.appliance.core.in_flight or any(
-            front.connection_count for front in self.appliance.client_fronts
-        ):
+        appliance = self.appliance
+        if appliance.core.in_flight or any(front.connection_count for front in appliance.client_fronts):
             return
         self.loop.after(LEAVE_TIME, self.loop.stop)
--- a/gaproute/peers/peer_server.py
+++ b/gaproute/peers/peer_server.py
@@ -67,9 +67,6 @@
         else:
             self._handle_observations(request)
 
-    def stop(self) -> None:
-        """Stops accepting; answers go on until `close`."""
-
     def close(self) -> None:
         """Closes the address."""
         self.server.close()
