--- a/gaproute/appliance/cells.py
+++ b/gaproute/appliance/cells.py
@@ -4,13 +4,14 @@
 """
 
 from collections.abc import Callable, Mapping, Sequence
-from typing import Any
 
 from gaproute.appliance.cell_endpoints import CellEndpoints
 from gaproute.appliance.cell_lists import CellLists, ListsByCell
 from gaproute.appliance.cell_table import CellTableSource
 from gaproute.appliance.followed_lists import FollowedLists
+from gaproute.appliance.json_object import JsonObject
 from gaproute.appliance.peer_services import PeerServices
+from gaproute.appliance.seed_offsets import SeedOffset
 from gaproute.config.configuration import Configuration
 from gaproute.config.directives.fleet import CellHostsLine, CellsLine
 from gaproute.config.errors import Mistake
@@ -27,15 +28,13 @@
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.entry_gateways import EntryGateways
 from gaproute.hosts.kserve.settings import ClientSettings
+from gaproute.interface import Report
 from gaproute.loop import Loop
 from gaproute.loop.timers import Timer
 from gaproute.peers.tables import CellTableTransport
 from gaproute.shared.dissemination import Peer
 from gaproute.telemetry.record import Record
 
-# Added to the seed, so that no two parts draw the same random numbers.
-TABLE_SEED = 6  # which gateways are sent a table
-SOURCES_SEED = 8  # the order of change log sources and the waits between attempts
 WRONG_LIST = "wrong host list"  # as operators read it in the status
 WRONG_MEMBER = "wrong host of a source"
 
@@ -97,7 +96,7 @@
             self.cells_line.fleet,
             membership_transport,
             server,
-            Chance(self.seed + TABLE_SEED),
+            Chance(self.seed + SeedOffset.CELL_TABLE),
             self.record,
             path=self.cells_line.stored_table,
         )
@@ -122,7 +121,7 @@
             self.table.reload()
         self.lists.reload()
 
-    def gateways(self) -> list[Any]:
+    def gateways(self) -> list[Gateway]:
         """The decisions of each known cell."""
         single = self.gateway.single
         return [single] if single is not None else list(self.gateway.local.gateways.values())
@@ -132,10 +131,10 @@
         table = self._current_table()
         return table is not None and any(self.gateway.entries.order(cell) for cell in table.cells)
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> JsonObject:
         """The status for operators; its keys are older than the names in the code."""
         table = self._current_table()
-        status: dict[str, Any] = {
+        status: JsonObject = {
             "version": str(table.version) if table else None,
             "cells": len(table.cells) if table else 0,
             "known": sorted(self.lists.in_force),
@@ -148,7 +147,7 @@
         return status
 
     def stop(self) -> None:
-        """Stops sending and taking tables, and follows the lists of the present cells only."""
+        """Stops sending and receiving tables, and follows the lists of the present cells only."""
         if self.table is not None:
             self.table.stop()
         if self.poll_timer is not None:
@@ -183,15 +182,17 @@
         zones = {name: table.by_name[name].zone for name in self.gateway.wanted()}
         if zones != self.lists.zones:
             self.lists.set_cells(zones)
-        if self.gateway.single is None:
-            known = self.gateway.local.gateways
-            if any(
-                cell not in known for cell in self.applied_lists
-            ):  # a cell was released and is wanted again
-                self.applied_lists = {
-                    cell: lines for cell, lines in self.applied_lists.items() if cell in known
-                }
-                self._apply_lists(self.lists.in_force)
+        self._reapply_released_lists()
+
+    def _reapply_released_lists(self) -> None:
+        """Gives the decisions their lists again if they released a cell and want it again."""
+        if self.gateway.single is not None:
+            return
+        known = self.gateway.local.gateways
+        if all(cell in known for cell in self.applied_lists):
+            return
+        self.applied_lists = {cell: lines for cell, lines in self.applied_lists.items() if cell in known}
+        self._apply_lists(self.lists.in_force)
 
     def _apply_lists(self, lists: ListsByCell) -> None:
         """Applies all lists in force, first to the connections: the decisions may use a new host at once."""
@@ -213,7 +214,7 @@
             self._apply_lists,
             self._members_rejected,
             self._source_changed,
-            Chance(self.seed + SOURCES_SEED),
+            Chance(self.seed + SeedOffset.CELL_SOURCES),
         )
 
     def _list_rejected(self, cell: str, mistakes: Sequence[Mistake]) -> None:
@@ -240,5 +241,5 @@
             rejections[WRONG_MEMBER] = self.rejected_members
         return rejections
 
-    def _load_report(self, cell: str) -> Any:
+    def _load_report(self, cell: str) -> Report | None:
         return self.gateway.local.report(self.loop.now(), cell)
--- a/gaproute/appliance/child_processes.py
+++ b/gaproute/appliance/child_processes.py
@@ -101,15 +101,15 @@
             if not self.by_slot:
                 self.on_all_ended()
             return
-        wait = self._schedule_restart(slot, self.loop.now() - child.started)
-        self.log.warning("child_exited", process_slot=slot, exit_code=code, restart_in_ms=wait // MILLI)
+        backoff = self._schedule_restart(slot, self.loop.now() - child.started)
+        self.log.warning("child_exited", process_slot=slot, exit_code=code, restart_in_ms=backoff // MILLI)
 
-    def _schedule_restart(self, slot: int, lived: int) -> int:
-        """Fills the slot again after a backoff; `lived`: how long its child ran. Returns the backoff. Times
+    def _schedule_restart(self, slot: int, uptime: int) -> int:
+        """Fills the slot again after a backoff; `uptime`: how long its child ran. Returns the backoff. Times
         are ns.
         """
         now = self.loop.now()
-        restart_at = self.restarts.schedule_restart(now, slot, lived)
+        restart_at = self.restarts.schedule_restart(now, slot, uptime)
         self.loop.at(restart_at, self._restart, slot)
         return int(restart_at - now)
 
@@ -119,7 +119,7 @@
         try:
             self.start(slot)
         except OSError as error:
-            wait = self._schedule_restart(slot, 0)
+            backoff = self._schedule_restart(slot, 0)
             self.log.warning(
-                "child_start_failed", process_slot=slot, error=str(error), restart_in_ms=wait // MILLI
+                "child_start_failed", process_slot=slot, error=str(error), restart_in_ms=backoff // MILLI
             )
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -8,8 +8,9 @@
 
 from collections.abc import Callable, Mapping, Sequence
 from functools import partial
-from typing import Any
 
+from gaproute.appliance.cell_lists import ListsByCell
+from gaproute.appliance.json_object import JsonObject
 from gaproute.config.directives.fleet import CellHostsLine, HostLine
 from gaproute.decisions.cells.bounds import MAX_HOSTS
 from gaproute.discovery.cell_members import CellMembers, RejectedMember
@@ -24,8 +25,6 @@
 MAX_HOSTS_FOLLOWED = 2 * MAX_HOSTS  # of all cells: four times what a view has by its table
 MAX_LOGGED_REJECTIONS = 16  # for each cell and connection; all are counted
 
-ListsByCell = dict[str, list[HostLine]]  # by cell
-
 
 class FollowedCell:
     """One cell: the watcher of its change log, what it reported, and which rejections were logged."""
@@ -36,8 +35,8 @@
         self.members = CellMembers()
         self.rejected: dict[str, str] = {}  # by host: why its member is rejected
         self.conflicts: dict[str, str] = {}  # by host: why it is not in force
-        # Rejections that were logged, and the number of the connection that they came on
-        self.logged_count, self.connection = 0, 0
+        # How many rejections were logged, and the number of the connection that brought them
+        self.logged_count, self.logged_connection = 0, 0
         self.failing = False
 
     def select_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
@@ -50,8 +49,8 @@
 
     def limit_for_log(self, rejected: Sequence[RejectedMember]) -> Sequence[RejectedMember]:
         """As many of the members as may still be logged for this connection."""
-        if self.connection != self.watcher.connection_count:
-            self.connection, self.logged_count = self.watcher.connection_count, 0
+        if self.logged_connection != self.watcher.connection_count:
+            self.logged_connection, self.logged_count = self.watcher.connection_count, 0
         allowed = rejected[: MAX_LOGGED_REJECTIONS - self.logged_count]
         self.logged_count += len(allowed)
         return allowed
@@ -105,10 +104,10 @@
         """Does nothing: a change log sends changes by itself."""
 
     def current_at(self) -> dict[str, int | None]:
-        """By cell: when its list was last known to be unchanged, before the change at hand; ns."""
+        """By cell: when its list was last known to be unchanged, before the change being applied; ns."""
         return {cell: followed.watcher.current_at for cell, followed in self.followed.items()}
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> JsonObject:
         """The status for operators: followed cells, those whose sources fail, and connections that were
         tried.
         """
@@ -145,8 +144,10 @@
         followed = self.followed.get(cell)
         if followed is None:
             return  # the cell was released as a result of an earlier event in the same bytes
-        others = sum(len(each.members.reported) for name, each in self.followed.items() if name != cell)
-        rejected = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - others)
+        hosts_of_others = sum(
+            len(each.members.reported) for name, each in self.followed.items() if name != cell
+        )
+        rejected = followed.members.apply(event.fleet, MAX_HOSTS_FOLLOWED - hosts_of_others)
         if rejected:
             self.on_rejected(cell, len(rejected), followed.select_for_log(rejected))
         self._schedule()
@@ -195,7 +196,7 @@
             self.on_change(in_force)
 
     def _lines(self, cell: str, lines: Mapping[str, HostLine], *, unchanged: bool) -> list[HostLine]:
-        """The list object of before where nothing has changed, so that it need not be compared."""
+        """The lines as a list; the former list object where they are unchanged, which is compared quickly."""
         if unchanged and cell in self.in_force:
             return self.in_force[cell]
         return list(lines.values())
--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -4,13 +4,15 @@
 import signal
 import socket
 from collections.abc import Iterable, Mapping, Sequence
-from typing import Any
 
 from gaproute.appliance.cells import CellServices
 from gaproute.appliance.host_list import HostList
+from gaproute.appliance.listening_sockets import CLIENT_PROTOCOL, PEER_PROTOCOL
 from gaproute.appliance.operator import Operator
 from gaproute.appliance.parent_pipes import report_ready, watch_parent
 from gaproute.appliance.peer_services import PeerServices
+from gaproute.appliance.running_gateway import Front
+from gaproute.appliance.seed_offsets import SeedOffset
 from gaproute.appliance.shutdown import GracefulShutdown
 from gaproute.config.configuration import Configuration
 from gaproute.connections import AcceptedConnections
@@ -19,7 +21,9 @@
 from gaproute.decisions.admission.admission import Admission
 from gaproute.decisions.chance import Chance
 from gaproute.decisions.connections.pooling import Pooling
+from gaproute.decisions.routing import Gateway
 from gaproute.fronts.kserve import KServeFront
+from gaproute.fronts.kserve.rest import RestFront
 from gaproute.hosts.endpoints import Endpoint
 from gaproute.hosts.kserve.client import KServeClient
 from gaproute.hosts.kserve.settings import ClientSettings
@@ -30,13 +34,14 @@
 from gaproute.telemetry.record import Log, Record
 
 SEED_BITS = 64
-ADMISSION_SEED = 3  # added to the seed, so that no two parts draw the same random numbers
 
 
 class Appliance:
     """A gateway process.
 
     `fronts`: all that listens; `client_fronts`: those of them that take requests, from clients or forwarded.
+    `gateway` exchanges observations with other gateways; in a fleet of cells it knows no host, and each known
+    cell has decisions of its own.
     """
 
     def __init__(
@@ -52,48 +57,62 @@
         self.loop = loop or Loop()
         self.started: int = self.loop.now()  # ns of the loop's clock
         self.seed = secrets.randbits(SEED_BITS) if seed is None else seed
-        self.log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
+        self.log: Log = log or logger(level=configuration.log_level).bind(gateway=configuration.name)
         self.loop.on_error = self._log_error
         self.record = Record(self.log, [line.name for line in configuration.request_classes])
         self.host_list = HostList(self.loop, configuration, self.record)
         self.stopping = False
         # Whether other processes serve at the clients' addresses, even after this one has stopped
         self.address_shared = False
-        self.fronts: list[Any] = []
-        self.client_fronts: list[Any] = []
+        self.fronts: list[Front] = []
+        self.client_fronts: list[RestFront] = []
         self.cells: CellServices | None = None
         self._make_core()
         self.connections = self._make_connections()
         self.peers = self._make_peer_services()
 
     def _make_core(self) -> None:
-        """Makes the request driver with its decisions and its connections to hosts."""
+        """Makes the decisions, the connections to hosts and the request driver."""
         configuration = self.configuration
-        run = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids of two runs differ
-        line = configuration.host_limits
-        reach = ClientSettings(line.connect, line.probe, line.order, line.connections, line.answer)
+        run_name = f"{configuration.name}-{secrets.token_hex(3)}"  # request ids of two runs differ
+        limits = configuration.host_limits
+        client_settings = ClientSettings(
+            limits.connect, limits.probe, limits.order, limits.connections, limits.answer
+        )
         self.hosts: KServeClient
         self.core: Core
+        self.gateway: Gateway
         if configuration.cells is not None:
             self.cells = CellServices(
-                self.loop, configuration, self.record, self.seed, reach, run, self.hosts_changed
+                self.loop,
+                configuration,
+                self.record,
+                self.seed,
+                client_settings,
+                run_name,
+                self.hosts_changed,
             )
             self.hosts, self.core = self.cells.hosts, self.cells.core
+            self.gateway = self.cells.placeholder_gateway
             return
-        gateway = configuration.decisions(self.seed, configuration.terms, self.loop.now())
-        self.hosts = KServeClient(self.loop, Pooling(), reach, configuration.name)
-        self.core = Core(self.loop, gateway, configuration.terms, self.hosts, self.record, run)
+        self.gateway = configuration.decisions(self.seed, configuration.terms, self.loop.now())
+        self.hosts = KServeClient(self.loop, Pooling(), client_settings, configuration.name)
+        self.core = Core(self.loop, self.gateway, configuration.terms, self.hosts, self.record, run_name)
 
     def _make_connections(self) -> AcceptedConnections:
         connections = AcceptedConnections.of(self.loop)
         clients = self.configuration.client_limits
-        chance = Chance(self.seed + ADMISSION_SEED)
+        chance = Chance(self.seed + SeedOffset.ADMISSION)
         connections.admission = Admission(clients.connections, clients.per_address, descriptors(), chance)
         return connections
 
     def _make_peer_services(self) -> PeerServices:
-        gateway = self.core.gateway if self.cells is None else self.cells.placeholder_gateway
-        return PeerServices(self.loop, self.configuration, gateway, self.record, self.seed, self.cells)
+        return PeerServices(self.loop, self.configuration, self.gateway, self.record, self.seed, self.cells)
+
+    @property
+    def decisions(self) -> Sequence[Gateway]:
+        """The decisions for the whole fleet, or for each known cell."""
+        return [self.gateway] if self.cells is None else self.cells.gateways()
 
     # Start
 
@@ -128,11 +147,11 @@
                 raise OSError(error.errno, f"{where}: {error.strerror}") from error
 
     def _open_front(self, kind: str, where: str) -> None:
-        if kind == "kserve":
+        if kind == CLIENT_PROTOCOL:
             front = self._client_front(where)
             self.fronts.append(front)
             self.client_fronts.append(front)
-        elif kind == "peers":
+        elif kind == PEER_PROTOCOL:
             self.fronts.append(self.peers.listen(where))
             if self.cells is not None:
                 self.client_fronts.append(self.cells.listen(self.peers, self.ready))
@@ -147,8 +166,9 @@
 
     def _close_fronts(self) -> None:
         """Closes the fronts that were opened, after a failed start."""
-        for front in [*self.fronts, self.peers]:
+        for front in self.fronts:
             front.close()
+        self.peers.close()
         self.fronts, self.client_fronts = [], []
         self.peers = self._make_peer_services()
 
@@ -166,7 +186,7 @@
         self.peers.update_hosts(self.host_list.states())
 
     def hosts_changed(self, rows: Sequence[Endpoint]) -> None:
-        """Hands all hosts that are known now to the connections and the log."""
+        """Passes all hosts that are known now to the connections and the host list."""
         self.hosts.update(rows, complete=True)
         self.host_list.replace(rows)
 
@@ -232,9 +252,12 @@
         """Runs the loop until `stop` has ended it, then closes all parts."""
         self.loop.run()
         self.close()
-        lived = max(1, self.loop.now() - self.started)
-        share = round(self.peers.cpu_spent() / lived, 6)
-        self.log.info("stopped", requests_in_flight=len(self.core.in_flight), observation_cpu_share=share)
+        uptime = max(1, self.loop.now() - self.started)
+        self.log.info(
+            "stopped",
+            requests_in_flight=len(self.core.in_flight),
+            observation_cpu_share=round(self.peers.cpu_spent() / uptime, 6),
+        )
 
     def close(self) -> None:
         """Closes all sockets and files."""
--- a/gaproute/appliance/host_list.py
+++ b/gaproute/appliance/host_list.py
@@ -17,7 +17,7 @@
 class HostList:
     """All known hosts: `rows` by name. `watch` follows the file of hosts, if there is one.
 
-    In a fleet of cells the rows of all known cells are handed in, and no file is followed here.
+    In a fleet of cells `CellServices` follows the lists, and `replace` is given the hosts of all known cells.
     """
 
     def __init__(self, loop: Loop, configuration: Configuration, record: Record) -> None:
@@ -29,15 +29,15 @@
     def follow(self, on_list: Callable[[Sequence[Endpoint]], None]) -> None:
         """Calls `on_list` with the complete list, now and each time that its file has changed."""
 
-        def take(lines: Sequence[HostLine]) -> None:
-            known_at = self.watch.current_at if self.watch is not None else None
-            on_list(self.converter.endpoints(lines, known_at))
+        def convert(lines: Sequence[HostLine]) -> None:
+            current_at = self.watch.current_at if self.watch is not None else None
+            on_list(self.converter.endpoints(lines, current_at))
 
         source = self.configuration.hosts_file
         if source is None:
-            take(self.configuration.hosts)
+            convert(self.configuration.hosts)
         else:
-            self.watch = FileWatch(self.loop, source.path, source.look, take, self.log_rejected)
+            self.watch = FileWatch(self.loop, source.path, source.look, convert, self.log_rejected)
 
     def replace(self, rows: Iterable[Endpoint]) -> None:
         """Takes over all hosts that are known now, and logs the changes."""
--- a/gaproute/appliance/leases.py
+++ b/gaproute/appliance/leases.py
@@ -5,8 +5,8 @@
 
 import secrets
 import time
-from typing import Any
 
+from gaproute.appliance.json_object import JsonObject
 from gaproute.config.directives.fleet import RaftGroupLine
 from gaproute.http1 import Request, Server
 from gaproute.loop import Loop
@@ -80,20 +80,20 @@
     def execute(self, command: OperatorCommand) -> RequestStatus | PoolStatus:
         """Carries out an operator's command. Errors: `LeaseRequestError`."""
         status = self.requests.execute(self.loop.now(), command)
-        self._act()
+        self._run_due()
         return status
 
-    def table(self) -> dict[str, Any]:
+    def table(self) -> JsonObject:
         """The lease table at the operators' address; its JSON keys are older than the names in the code."""
         return {"errands": self.requests.table(self.loop.now()), **self.hosted_node.status()}
 
-    def _act(self) -> None:
+    def _run_due(self) -> None:
         self.requests.tick(self.loop.now())
         self.hosted_node.run_due()
         if self.timer is not None:
             self.timer.cancel()
         due = self.requests.due
-        self.timer = None if due is None else self.loop.at(max(due, self.loop.now() + MILLI), self._act)
+        self.timer = None if due is None else self.loop.at(max(due, self.loop.now() + MILLI), self._run_due)
 
     def stop(self) -> None:
         """Releases all leases; call `close` afterwards."""
--- a/gaproute/appliance/legacy_names.py
+++ b/gaproute/appliance/legacy_names.py
@@ -6,8 +6,9 @@
 
 from collections.abc import Mapping
 from types import MappingProxyType
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from gaproute.appliance.json_object import JsonObject
 from gaproute.interface import Result
 from gaproute.telemetry.record import nested
 
@@ -69,12 +70,12 @@
 }
 
 
-def legacy_counts(counts: Mapping[tuple[str, ...], int]) -> dict[str, Any]:
+def legacy_counts(counts: Mapping[tuple[str, ...], int]) -> JsonObject:
     """Counters as nested plain data, by their old names."""
     return nested({_legacy_key(key): count for key, count in counts.items()})
 
 
-def legacy_event(event: str, fields: Mapping[str, Any]) -> dict[str, Any]:
+def legacy_event(event: str, fields: Mapping[str, object]) -> JsonObject:
     """An event that was recorded, as plain data by its old names."""
     name, old_fields = EVENTS.get(event, LegacyEvent(event))
     return {"what": name, **{old_fields.get(field, field): value for field, value in fields.items()}}
--- a/gaproute/appliance/listening_sockets.py
+++ b/gaproute/appliance/listening_sockets.py
@@ -12,7 +12,9 @@
 from gaproute.loop.addresses import address
 from gaproute.loop.listening import open_listening_socket
 
-CLIENT_PROTOCOL = "kserve"  # the kind of `listen` line whose addresses the children share
+# Kinds of `listen` lines; the children of a parent share the addresses of the first kind
+CLIENT_PROTOCOL = "kserve"
+PEER_PROTOCOL = "peers"
 
 
 class ListeningSockets:
--- a/gaproute/appliance/observation_writer.py
+++ b/gaproute/appliance/observation_writer.py
@@ -7,21 +7,21 @@
 import time
 from collections.abc import Callable, Generator, Iterator, Sequence
 from itertools import islice
-from typing import Any
 
 from gaproute.decisions.reports.cpu_budget import SLICE, CpuBudget
 from gaproute.decisions.reports.exchange_limits import ROUNDS_PER_FULL_WRITE, WRITE_INTERVAL
-from gaproute.decisions.reports.host_history import HostHistory, own_observations
+from gaproute.decisions.reports.host_history import (
+    EVERYTHING,
+    HostHistory,
+    OwnObservation,
+    own_observations,
+)
 from gaproute.decisions.reports.observation_kinds import MAX_AGE
-from gaproute.loop import Loop
+from gaproute.decisions.routing import Gateway
+from gaproute.loop import Loop, Promise
 from gaproute.storage import ObservationStore
-from gaproute.storage.observation_rows import Subject, Value
 
 MAX_ROWS_PER_WRITE = 256  # in one transaction, which takes about a millisecond
-# The value of `written_until` for a round that writes all observations, not only changed ones
-EVERYTHING = -1
-
-Observations = Iterator[tuple[Subject, Value, int]]  # (subject, value, time by the loop's clock in ns)
 
 
 class ObservationWriter:
@@ -36,7 +36,7 @@
         self,
         loop: Loop,
         store: ObservationStore,
-        gateway: Any,
+        gateway: Gateway,
         host_history: HostHistory,
         request_classes: Sequence[str],
         cpu_clock: Callable[[], int] = time.thread_time_ns,
@@ -45,13 +45,14 @@
         self.gateway, self.host_history, self.request_classes = gateway, host_history, request_classes
         self.cpu_budget = CpuBudget(loop.now())
         self.rounds = 0
-        self.written_until = EVERYTHING  # ns: what was observed before is on disk
+        # What was observed before this time (ns) is on disk; EVERYTHING: nothing is
+        self.written_until = EVERYTHING
         self.round_written = True  # whether all slices of this round were written
         self.spent = self.longest_slice = 0
         self.routine = loop.spawn(self._run())
 
-    def write_slice(self, observations: Observations) -> bool:
-        """Write some of the observations within the CPU budget; return whether they were the last ones."""
+    def write_slice(self, observations: Iterator[OwnObservation]) -> bool:
+        """Writes some of the observations within the CPU budget; returns whether they were the last ones."""
         now = self.loop.now()
         if not self.cpu_budget.may_spend(now):
             return False
@@ -64,13 +65,13 @@
         return exhausted
 
     def close(self) -> None:
-        """Stop; changes since the last round are written in one last slice."""
+        """Stops; changes since the last round are written in one last slice."""
         self.routine.cancel()
         changed = self._observations(self.loop.now(), self.written_until)
         self.store.write(islice(changed, MAX_ROWS_PER_WRITE))
         self.store.close()
 
-    def _run(self) -> Generator[Any, Any, None]:
+    def _run(self) -> Generator[Promise, object, None]:
         while True:
             yield self.loop.sleep(WRITE_INTERVAL)
             if not self.store.ready():
@@ -78,19 +79,21 @@
                 continue
             yield from self._write_round()
 
-    def _write_round(self) -> Generator[Any, Any, None]:
-        whole = self.rounds % ROUNDS_PER_FULL_WRITE == 0
+    def _write_round(self) -> Generator[Promise, object, None]:
+        full = self.rounds % ROUNDS_PER_FULL_WRITE == 0
         begun, self.round_written = self.loop.now(), True
-        observations = self._observations(begun, EVERYTHING if whole else self.written_until)
+        observations = self._observations(begun, EVERYTHING if full else self.written_until)
         while not self.write_slice(observations):
             yield self.loop.sleep(self.cpu_budget.wait(self.loop.now()))
-        if whole:
+        if full:
             self.store.forget(MAX_AGE)
         self.written_until = begun if self.round_written else EVERYTHING
         self.rounds += 1
 
-    def _next_batch(self, observations: Observations, begun: int) -> tuple[list[Any], bool]:
-        """Return the observations of one slice, and whether there are no more."""
+    def _next_batch(
+        self, observations: Iterator[OwnObservation], begun: int
+    ) -> tuple[list[OwnObservation], bool]:
+        """The observations of one slice, and whether there are no more. `begun`: CPU time, ns."""
         batch = []
         for observation in observations:
             batch.append(observation)
@@ -98,5 +101,5 @@
                 return batch, False
         return batch, True
 
-    def _observations(self, now: int, since: int) -> Observations:
-        return iter(own_observations(self.gateway, self.host_history, self.request_classes, now, since))
+    def _observations(self, now: int, since: int) -> Iterator[OwnObservation]:
+        return own_observations(self.gateway, self.host_history, self.request_classes, now, since)
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -1,12 +1,13 @@
 """One parent with several gateway processes at the same addresses, which it starts, restarts, rolls and
 stops.
 
-The parent opens the clients' listening sockets and hands them to each child, so that all accept from one
+The parent opens the clients' listening sockets and passes them to each child, so that all accept from one
 queue (`listening_sockets.py`). Each child is a gateway of its own: its own decisions, counts, load order
 limit, operators' address and peers' address.
 """
 
 import signal
+from pathlib import Path
 
 from gaproute.appliance.child_processes import ChildProcesses, ServeCommand
 from gaproute.appliance.listening_sockets import ListeningSockets
@@ -24,7 +25,7 @@
 
     def __init__(
         self,
-        file: str,
+        file: str | Path,
         configuration: Configuration,
         count: int,
         seed: int | None = None,
--- a/gaproute/appliance/peer_services.py
+++ b/gaproute/appliance/peer_services.py
@@ -7,13 +7,14 @@
 from __future__ import annotations
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
-from typing import Any, Protocol
+from typing import Protocol
 
 from gaproute.appliance.leases import LeaseService
 from gaproute.appliance.observation_writer import ObservationWriter
+from gaproute.appliance.seed_offsets import SeedOffset
 from gaproute.config import read_peers
 from gaproute.config.configuration import Configuration
-from gaproute.config.directives.fleet import PeerLine, RaftGroupLine
+from gaproute.config.directives.fleet import PeerLine
 from gaproute.config.directives.process import ClientLimitsLine
 from gaproute.config.errors import Mistake
 from gaproute.decisions.chance import Chance
@@ -21,6 +22,7 @@
 from gaproute.decisions.reports.host_history import HostHistory
 from gaproute.decisions.reports.observation_kinds import SharedObservation, Subject
 from gaproute.decisions.reports.shared_observations import MAX_OBSERVATIONS, SharedObservations
+from gaproute.decisions.routing import Gateway
 from gaproute.discovery.file_watch import FileWatch
 from gaproute.http1 import Limits
 from gaproute.loop import Loop
@@ -33,8 +35,6 @@
 from gaproute.storage import ObservationStore, ObservationStoreError
 from gaproute.telemetry.record import Record
 
-# Added to the seed, so that no two parts draw the same random numbers.
-OBSERVATIONS_SEED, MEMBERSHIP_SEED, GOSSIP_SEED, LEASES_SEED = 1, 2, 4, 5
 LAST_RUN = "past life"  # the origin of observations from the store, as operators read it
 FORWARDED_HEADER_BYTES = 4096  # bytes of headers that a gateway adds to a client's
 # Connections of gateways that request leases from a member of the Raft group: batches are long, and every
@@ -59,7 +59,7 @@
         self,
         loop: Loop,
         configuration: Configuration,
-        gateway: Any,
+        gateway: Gateway,
         record: Record,
         seed: int,
         cells: PeerListObserver | None = None,
@@ -79,38 +79,27 @@
             self.observations,
             configuration.terms.keep_alive,
             {name: number for number, name in enumerate(self.request_classes)},
-            Chance(seed + OBSERVATIONS_SEED),
+            Chance(seed + SeedOffset.OBSERVATIONS),
         )
 
     def listen(self, where: str) -> PeerServer:
-        """Opens the address for other gateways. Errors: OSError."""
+        """Opens the address for other gateways. Errors: OSError; `close` is to be called then."""
         server = PeerServer(
             self.loop, address(where), self.gateway, self.host_history, self.request_classes, self._limits()
         )
         self.peer_server = server
         try:
-            self.membership_transport = MembershipTransport(
-                self.loop,
-                self.configuration.name,
-                server.address,
-                Chance(self.seed + MEMBERSHIP_SEED),
-                self.record,
-            )
-            if self.configuration.raft_group is not None:
-                self.leases = self._lease_service(self.configuration.raft_group)
-                server.routes[TARGET] = self.leases.handle
+            self.membership_transport = self._open_membership(server)
+            self._open_leases(server)
         except OSError:
             server.close()
             raise
         if self.configuration.gossip_enabled:
-            chance = Chance(self.seed + GOSSIP_SEED)
-            self.gossip = GossipTransport(
-                self.loop, self.configuration.name, self.membership_transport, self.gateway, chance
-            )
+            self.gossip = self._make_gossip(self.membership_transport)
         return server
 
     def start(self) -> None:
-        """Applies the observations of the last run, then asks the peers for theirs."""
+        """Applies the observations of the last run, then requests those of the peers."""
         self.open_observation_store()
         if self.configuration.peers or self.configuration.peers_file:
             self.observation_client = ObservationClient(
@@ -171,7 +160,7 @@
         )
 
     def apply_observations(self, subjects: Collection[Subject]) -> int:
-        """Hands the observations of these subjects to the decisions as hints; returns how many were used."""
+        """Passes the observations of these subjects to the decisions as hints; returns how many were used."""
         starts = self.host_history.active_starts()
         return self.follower.follow(self.gateway, self.loop.now(), starts, subjects)
 
@@ -205,16 +194,27 @@
             if part is not None:
                 part.close()
 
+    def _open_membership(self, server: PeerServer) -> MembershipTransport:
+        chance = Chance(self.seed + SeedOffset.MEMBERSHIP)
+        return MembershipTransport(self.loop, self.configuration.name, server.address, chance, self.record)
+
+    def _open_leases(self, server: PeerServer) -> None:
+        line = self.configuration.raft_group
+        if line is not None:
+            chance = Chance(self.seed + SeedOffset.LEASES)
+            self.leases = LeaseService(self.loop, self.configuration.name, line, self.record, chance)
+            server.routes[TARGET] = self.leases.handle
+
+    def _make_gossip(self, transport: MembershipTransport) -> GossipTransport:
+        chance = Chance(self.seed + SeedOffset.GOSSIP)
+        return GossipTransport(self.loop, self.configuration.name, transport, self.gateway, chance)
+
     def _limits(self) -> Limits:
         limits = LIMITS if self.configuration.raft_group is None else LEASE_PEER_LIMITS
         if self.configuration.cells is None:
             return limits
         return _with_forwarded_requests(limits, self.configuration.client_limits)
 
-    def _lease_service(self, line: RaftGroupLine) -> LeaseService:
-        chance = Chance(self.seed + LEASES_SEED)
-        return LeaseService(self.loop, self.configuration.name, line, self.record, chance)
-
     def _restore(self, store: ObservationStore) -> None:
         now = self.loop.now()
         for subject, value, age in store.read(MAX_OBSERVATIONS):
--- a/gaproute/appliance/rolling_reload.py
+++ b/gaproute/appliance/rolling_reload.py
@@ -4,7 +4,6 @@
 """
 
 from collections.abc import Generator
-from typing import Any
 
 from gaproute.appliance.child_process import ChildProcess
 from gaproute.appliance.child_processes import ChildProcesses
@@ -74,7 +73,7 @@
         for mistake in error.mistakes if isinstance(error, ConfigurationError) else [error]:
             self.log.error("configuration_rejected", error=str(mistake))
 
-    def _roll(self, configuration: Configuration) -> Generator[Promise, Any, None]:
+    def _roll(self, configuration: Configuration) -> Generator[Promise, object, None]:
         previous, self.children.configuration = self.children.configuration, configuration
         for slot in sorted(self.children.by_slot):
             if self.children.stopping:
@@ -91,7 +90,7 @@
             self.requested = False
             self.reload()
 
-    def _replace(self, slot: int) -> Generator[Promise, Any, bool]:
+    def _replace(self, slot: int) -> Generator[Promise, object, bool]:
         """Starts a new child beside that of the slot, which is asked to end only once the new one serves.
 
         Returns whether the new child serves.
@@ -108,7 +107,7 @@
             yield old.ended
         return True
 
-    def _start(self, slot: int) -> Generator[Promise, Any, ChildProcess | None]:
+    def _start(self, slot: int) -> Generator[Promise, object, ChildProcess | None]:
         """Starts a new child of the slot, with retries; returns None where all fail."""
         backoff = Backoff(MIN_BACKOFF, MAX_BACKOFF)
         for _ in range(MAX_START_ATTEMPTS):
--- a/gaproute/appliance/status.py
+++ b/gaproute/appliance/status.py
@@ -5,22 +5,21 @@
 """
 
 from collections.abc import Iterator
-from typing import Any
 
+from gaproute.appliance.json_object import JsonObject
 from gaproute.appliance.legacy_names import legacy_counts, legacy_event
 from gaproute.appliance.peer_services import PeerServices
 from gaproute.appliance.running_gateway import RunningGateway
 from gaproute.connections.descriptors import descriptors
+from gaproute.decisions.routing.functions import Function
 
 MILLI = 1_000_000
 
-JsonObject = dict[str, Any]
-
 
 def status(appliance: RunningGateway) -> JsonObject:
     """The gateway as a whole: its state and its counts."""
     peer_services, hosts = appliance.peers, appliance.hosts
-    membership_transport, carrier = peer_services.membership_transport, peer_services.gossip
+    membership_transport, gossip = peer_services.membership_transport, peer_services.gossip
     return {
         "name": appliance.configuration.name,
         "stopping": appliance.stopping,
@@ -33,7 +32,7 @@
         "connections": {"opened": hosts.opened, "reused": hosts.reused, "raced": hosts.reuse_races},
         "gateways": membership_transport and membership_transport.membership.live_count(),
         "cells": appliance.cells and appliance.cells.status(),
-        "weak_word": carrier and carrier.node.status(appliance.loop.now()),
+        "weak_word": gossip and gossip.node.status(appliance.loop.now()),
         "learnt": _observations_taken(appliance),
         "telling": _observations_given(peer_services),
         "memory": _observation_store(peer_services),
@@ -65,20 +64,24 @@
     `by`: the evidence for each: an answer, a request sent there, or the gateway that reported it; `tried`:
     whether a reported one was used yet.
     """
-    functions = (pair for gateway in decisions(appliance) for pair in gateway.functions_by_name.items())
-    rows = [row for name, function in functions for row in _instances(appliance, name, function)]
+    rows = [
+        row
+        for gateway in appliance.decisions
+        for name, function in gateway.functions_by_name.items()
+        for row in _instances(appliance, name, function)
+    ]
     return sorted(rows, key=lambda row: int(row["age_ms"]))
 
 
 def peer_table(appliance: RunningGateway) -> list[JsonObject]:
     """The known gateways: their state by the membership, and what each sent at the start."""
-    fetcher = appliance.peers.observation_client
-    fetched = fetcher.state if fetcher else {}
+    observation_client = appliance.peers.observation_client
+    progress = observation_client.state if observation_client else {}
     membership_transport = appliance.peers.membership_transport
-    rows: list[JsonObject] = [{"name": name, "state": None} for name in fetched]
+    rows: list[JsonObject] = [{"name": name, "state": None} for name in progress]
     if membership_transport is not None:
         rows = membership_transport.table()
-    return [row | {"learnt": fetched.get(row["name"])} for row in rows]
+    return [row | {"learnt": progress.get(row["name"])} for row in rows]
 
 
 def lease_table(appliance: RunningGateway) -> JsonObject | None:
@@ -92,11 +95,6 @@
     return [legacy_event(event, fields) for event, fields in appliance.record.events]
 
 
-def decisions(appliance: RunningGateway) -> list[Any]:
-    """The decisions for the whole fleet, or for each known cell."""
-    return [appliance.core.gateway] if appliance.cells is None else appliance.cells.gateways()
-
-
 def _clients(appliance: RunningGateway) -> JsonObject:
     connections = appliance.connections
     return {
@@ -114,14 +112,14 @@
 def _observations_taken(appliance: RunningGateway) -> JsonObject:
     """Observations taken over from other gateways and from the last run, and how many proved right."""
     observations = appliance.peers.observations
-    fetcher = appliance.peers.observation_client
+    client = appliance.peers.observation_client
     return {
         "facts": len(observations.by_subject),
         "refused": observations.rejected(),
-        "peers": fetcher.state if fetcher else {},
-        "booked": fetcher.hints_taken if fetcher else 0,
-        "right": sum(gateway.hints.right for gateway in decisions(appliance)),
-        "wrong": sum(gateway.hints.wrong for gateway in decisions(appliance)),
+        "peers": client.state if client else {},
+        "booked": client.hints_taken if client else 0,
+        "right": sum(gateway.hints.right for gateway in appliance.decisions),
+        "wrong": sum(gateway.hints.wrong for gateway in appliance.decisions),
     }
 
 
@@ -145,7 +143,7 @@
     }
 
 
-def _instances(appliance: RunningGateway, name: str, function: Any) -> Iterator[JsonObject]:
+def _instances(appliance: RunningGateway, name: str, function: Function) -> Iterator[JsonObject]:
     """The instances of one function: first by own attempts, then those that others reported."""
     now = appliance.loop.now()
     for tried, last_used in ((True, function.last_used), (False, function.hinted_at)):
@@ -159,8 +157,8 @@
             }
 
 
-def _evidence(appliance: RunningGateway, host: str, name: str, function: Any) -> str:
+def _evidence(appliance: RunningGateway, host: str, name: str, function: Function) -> str:
     if host in function.proven_at:
         return "an answer"
-    fact = appliance.peers.observations.by_subject.get(("warm", host, name))
-    return fact.origin if fact else "a task sent"
+    observation = appliance.peers.observations.by_subject.get(("warm", host, name))
+    return observation.origin if observation else "a task sent"
--- a/gaproute/peers/raft/hosted_node.py
+++ b/gaproute/peers/raft/hosted_node.py
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEnvironment:
-    """What a hosted node runs on; a simulation hands in parts of its own.
+    """What a hosted node runs on; a simulation has parts of its own.
 
     `make_transport(loop, name, peers, receive)` makes what `RaftTransport` is on sockets.
     """
