--- a/gaproute/cli/common.py
+++ b/gaproute/cli/common.py
@@ -3,7 +3,7 @@
 import sys
 from collections.abc import Iterable, Sequence
 from enum import IntEnum
-from typing import NoReturn
+from typing import Any, NoReturn
 
 import click
 from rich.console import Console
@@ -11,6 +11,8 @@
 
 from gaproute.config import ConfigurationError
 
+JsonObject = dict[str, Any]  # an object of an answer or of a result, whose keys are its author's
+
 json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
 
--- a/gaproute/cli/experiments.py
+++ b/gaproute/cli/experiments.py
@@ -8,23 +8,23 @@
 import json
 import sys
 import tempfile
-from collections.abc import Callable
 from pathlib import Path
-from typing import IO, TYPE_CHECKING, Any
+from typing import IO, TYPE_CHECKING
 
 import click
 from rich.console import Console
 
-from gaproute.cli.common import ExitCode, fail, json_option, show_table
+from gaproute.cli.common import ExitCode, JsonObject, fail, json_option, show_table
 from gaproute.config import ConfigurationError
 
 if TYPE_CHECKING:
+    from gaproute.cluster.script import ClusterScript
     from gaproute.load import LoadGenerator
+    from gaproute.scenarios.result import DayResult
+    from gaproute.scenarios.trial import Trial
 
 WIDTH = 80  # columns of a verdict
 
-Row = dict[str, Any]
-
 
 @click.command()
 @click.argument("script", default="bad-day")
@@ -44,35 +44,47 @@
     except ConfigurationError as error:
         fail(str(error))
     out = out or tempfile.mkdtemp(prefix="gaproute-trial-")
-    is_cluster = parsed.cluster is not None
-    play, show = _cluster_play(parsed) if is_cluster else _day_play()
-    result = play(parsed, out, seed, decisions, None if as_json else click.echo).run()
-    if not is_cluster:
+    trial_class = _trial_class(parsed)
+    result = trial_class(parsed, out, seed, decisions, None if as_json else click.echo).run()
+    if parsed.cluster is None:
         Path(out, "result.json").write_text(json.dumps(result.plain(), indent=1))
     if as_json:
         click.echo(json.dumps(result.plain()))
     else:
-        show(result, Console(width=WIDTH))
+        _show_result(result)
         click.echo(f"all of it: {out}")
-    if result.well:
-        sys.exit(ExitCode.OK)
-    sys.exit(ExitCode.IMPOSSIBLE if is_cluster and result.void else ExitCode.NOT_WELL)
+    sys.exit(_exit_code(result))
 
 
-def _cluster_play(parsed: Any) -> tuple[Callable[..., Any], Callable[..., None]]:
-    """The functions that play a cluster script and that show its verdict."""
+def _trial_class(script: ClusterScript) -> type[Trial]:
+    """The class that plays the script: as a cluster, or as a day without links between the processes."""
+    if script.cluster is None:
+        from gaproute.scenarios.trial import Trial
+
+        return Trial
     from gaproute.cluster.platform.harness import harness_class
-    from gaproute.cluster.show import show
 
-    return harness_class(parsed), show
+    return harness_class(script)
 
 
-def _day_play() -> tuple[Callable[..., Any], Callable[..., None]]:
-    """The functions that play a scripted day and that show its verdict."""
+def _show_result(result: DayResult) -> None:
+    from gaproute.cluster.show import show
+    from gaproute.cluster.verdict import ClusterVerdict
     from gaproute.scenarios.result_table import print_result
-    from gaproute.scenarios.trial import Trial
 
-    return Trial, print_result
+    console = Console(width=WIDTH)
+    if isinstance(result, ClusterVerdict):
+        show(result, console)
+    else:
+        print_result(result, console)
+
+
+def _exit_code(result: DayResult) -> ExitCode:
+    from gaproute.cluster.verdict import ClusterVerdict
+
+    if result.well:
+        return ExitCode.OK
+    return ExitCode.IMPOSSIBLE if isinstance(result, ClusterVerdict) and result.void else ExitCode.NOT_WELL
 
 
 @click.command()
@@ -108,14 +120,10 @@
     click.echo(text, err=True)
 
 
-def _load_rows(generator: LoadGenerator) -> list[Row]:
+def _load_rows(generator: LoadGenerator) -> list[JsonObject]:
     """The figures of each kind of traffic."""
     return [
-        {
-            "traffic": name,
-            **result.summary(),
-            "not well": result.unsuccessful,
-        }
+        {"traffic": name, **result.summary(), "not well": result.unsuccessful}
         for name, result in generator.results.items()
     ]
 
@@ -137,13 +145,13 @@
         _show_load(rows)
 
 
-def _show_load(rows: list[Row]) -> None:
+def _show_load(rows: list[JsonObject]) -> None:
     """Prints a load's rows as a table."""
     columns = list(rows[0]) if rows else []
     show_table(columns, (map(_load_cell, row.values()) for row in rows))
 
 
-def _load_cell(value: Any) -> str:
+def _load_cell(value: object) -> str:
     if isinstance(value, dict):
         return ", ".join(f"{key} {count}" for key, count in value.items())
     return f"{value:g}" if isinstance(value, float) else str(value)
--- a/gaproute/cli/main.py
+++ b/gaproute/cli/main.py
@@ -1,5 +1,4 @@
-"""The group of all commands. The exit codes are those of `ExitCode`: 0 well, 1 the thing asked about is not
-well, 2 wrong arguments or configuration, 3 it could not be done."""
+"""The group of all commands; `ExitCode` has their exit codes."""
 
 import click
 
--- a/gaproute/cli/migration.py
+++ b/gaproute/cli/migration.py
@@ -34,13 +34,13 @@
         _write(new, text, (old, shape), replace=replace)
     for line in left_behind:
         click.echo(str(line), err=True)
-    done = "nothing is written" if dry_run else f"written: {new}"
-    click.echo(f"{len(left_behind)} left behind; {done}", err=True)
+    outcome = "nothing is written" if dry_run else f"written: {new}"
+    click.echo(f"{len(left_behind)} left behind; {outcome}", err=True)
     sys.exit(ExitCode.NOT_WELL if left_behind else ExitCode.OK)
 
 
 def _write(path: str, text: str, preserved: tuple[str, ...], *, replace: bool) -> None:
-    """Writes the file, or ends the command with what to do about it."""
+    """Writes the file; if that fails, ends the command with what the operator can do."""
     try:
         write_whole(path, text, replace=replace, preserved=preserved)
     except FileExistsError:
--- a/gaproute/cli/queries.py
+++ b/gaproute/cli/queries.py
@@ -10,14 +10,12 @@
 from rich.console import Console
 from rich.table import Table
 
-from gaproute.cli.common import ExitCode, fail, json_option, show_table
+from gaproute.cli.common import ExitCode, JsonObject, fail, json_option, show_table
 from gaproute.loop.addresses import address
 
 TIMEOUT = 5  # seconds
 STATUS_COUNTS = ("taken", "delivered", "declined", "scrapped", "left")  # as the gateway names them
 
-JsonObject = dict[str, Any]
-
 at_option = click.option("--at", "where", required=True, help="Its `listen operator` address.")
 
 
--- a/gaproute/cli/serving.py
+++ b/gaproute/cli/serving.py
@@ -22,7 +22,7 @@
 MAX_PROCESSES = 64
 GC_THRESHOLDS = (10_000, 50, 100)  # few collections, as a request leaves no reference cycles
 
-Result = TypeVar("Result")
+StepResult = TypeVar("StepResult")
 
 
 def load_configuration(file: str, *, with_cells: bool = False) -> Configuration:
@@ -31,13 +31,13 @@
     `with_cells`: the files of its cells are read as well; a gateway starts without them and waits.
     """
     try:
-        configuration: Configuration = StartupRetries().call(lambda: _read(file, with_cells=with_cells))
+        configuration: Configuration = StartupRetries().call(lambda: _read_files(file, with_cells=with_cells))
     except ConfigurationError as error:
         reject(error, "nothing of it is used")
     return configuration
 
 
-def _read(file: str, *, with_cells: bool) -> Configuration:
+def _read_files(file: str, *, with_cells: bool) -> Configuration:
     """Errors: `ConfigurationError` for any of the files."""
     configuration = read_configuration(file)
     if configuration.hosts_file is not None:
@@ -49,12 +49,14 @@
     return configuration
 
 
-def attempt(patience: StartupRetries, step: Callable[[], Result], failed: str = "cannot start") -> Result:
-    """The result of a step of the start; ends the command if the operating system does not allow the step."""
+def attempt(
+    retries: StartupRetries, step: Callable[[], StepResult], message: str = "cannot start"
+) -> StepResult:
+    """The result of a step of the start; ends the command with the message if the step raises OSError."""
     try:
-        result: Result = patience.call(step)
+        result: StepResult = retries.call(step)
     except OSError as error:
-        fail(f"{failed}: {error}", ExitCode.IMPOSSIBLE)
+        fail(f"{message}: {error}", ExitCode.IMPOSSIBLE)
     return result
 
 
@@ -81,14 +83,14 @@
 ) -> None:
     """Run a gateway by the configuration FILE until SIGTERM; with --processes several, under one parent that
     starts a dead one again and, at SIGHUP, rolls a new configuration through them."""
-    configuration, patience = load_configuration(file), StartupRetries()
+    configuration, retries = load_configuration(file), StartupRetries()
     if processes is not None:
-        _serve_by_children(patience, file, configuration, processes, seed)
+        _serve_by_children(retries, file, configuration, processes, seed)
         return
     if process_slot is not None:
         configuration.assign_process_slot(*process_slot)
-    appliance = _make_appliance(patience, configuration, seed, inherited)
-    attempt(patience, appliance.start, "cannot listen")
+    appliance = _make_appliance(retries, configuration, seed, inherited)
+    attempt(retries, appliance.start, "cannot listen")
     if liveness_pipe is not None and ready_pipe is not None:
         appliance.attach_to_parent(liveness_pipe, ready_pipe)
     _tune_garbage_collection()
@@ -96,18 +98,18 @@
 
 
 def _serve_by_children(
-    patience: StartupRetries, file: str, configuration: Configuration, processes: int, seed: int | None
+    retries: StartupRetries, file: str, configuration: Configuration, processes: int, seed: int | None
 ) -> None:
-    from gaproute.appliance.parent import Parent  # here, as most commands need neither program
+    from gaproute.appliance.parent import Parent  # here, as most commands run no gateway
 
-    parent = Parent(file, configuration, processes, seed, loop=attempt(patience, Loop))
-    attempt(patience, parent.start, "cannot listen")
+    parent = Parent(file, configuration, processes, seed, loop=attempt(retries, Loop))
+    attempt(retries, parent.start, "cannot listen")
     _tune_garbage_collection()
     parent.run()
 
 
 def _make_appliance(
-    patience: StartupRetries, configuration: Configuration, seed: int | None, inherited: Iterable[str]
+    retries: StartupRetries, configuration: Configuration, seed: int | None, inherited: Iterable[str]
 ) -> Appliance:
     """Makes the gateway with its signal handlers. `inherited`: `DESCRIPTOR=ADDRESS` of listening sockets."""
     from gaproute.appliance import Appliance
@@ -116,15 +118,15 @@
     for text in inherited:
         descriptor, _, where = text.partition("=")
         sockets[where] = socket.socket(fileno=int(descriptor))
-    loop = attempt(patience, Loop)
+    loop = attempt(retries, Loop)
     appliance = Appliance(configuration, loop=loop, seed=seed, inherited=sockets)
-    attempt(patience, appliance.handle_signals)
+    attempt(retries, appliance.handle_signals)
     return appliance
 
 
 def _tune_garbage_collection() -> None:
     gc.collect()
-    gc.freeze()  # objects that live as long as the process are not examined, which takes 20 ms and more
+    gc.freeze()  # so that no collection examines the objects of the start, which would take 20 ms and more
     gc.set_threshold(*GC_THRESHOLDS)
 
 
