--- a/tests/appliance/test_gateway.py
+++ b/tests/appliance/test_gateway.py
@@ -1,5 +1,4 @@
-"""A whole path on loopback sockets: clients, a gateway, stand-in hosts. What happened is counted at the
-hosts."""
+"""A whole path on loopback sockets: clients, a gateway, stand-in hosts. What clients send and get."""
 
 import json
 import random
@@ -8,13 +7,11 @@
 import sys
 
 import pytest
+from gateway_answers import outcome
 from helpers import MILLI, SECOND
 
-from gaproute import interface as face
-from gaproute.hosts import orca, results
 from gaproute.http1 import Exchange
-from gaproute.loop import Listener, Promise, Stream
-from gaproute.loop.addresses import address
+from gaproute.loop import Promise, Stream
 
 TRITON = """
 import sys, numpy, tritonclient.http as http
@@ -36,10 +33,6 @@
 """
 
 
-def outcome(answer):
-    return answer.headers[b"gaproute-outcome"].decode()
-
-
 def test_an_unmodified_kserve_client_reaches_a_host(rig):
     made = rig()
     where = made.gate.fronts[0].address
@@ -121,63 +114,6 @@
     assert not made.seen("task")
 
 
-def test_an_effectful_task_whose_answer_never_returns_goes_to_no_second_host_and_is_scrapped_in_time(rig):
-    made = rig(hosts=3)
-    for host in made.hosts:
-        host.command({"trouble": "lost"})
-    asked = made.loop.now()
-    answer = made.wait(made.ask("crew", "r1"))
-    assert answer.status == 504
-    assert outcome(answer) == "scrapped"
-    assert "scrapped" in json.loads(answer.body)["error"]
-    assert made.loop.now() - asked < 1200 * MILLI
-    made.rest(200 * MILLI)
-    assert len(made.seen("task", id="r1")) == 1
-
-
-@pytest.mark.parametrize("trouble", ["reset", "cut", "fail"])
-def test_an_effectful_task_that_may_have_run_is_not_sent_again(rig, trouble):
-    made = rig(hosts=3)
-    for host in made.hosts:
-        host.command({"trouble": trouble})
-    answer = made.wait(made.ask("crew", "r2"))
-    assert outcome(answer) == "scrapped"
-    assert len(made.seen("task", id="r2")) == 1
-
-
-def test_an_effectful_task_that_a_host_refused_may_go_on_and_be_declined(rig):
-    made = rig(hosts=3)
-    for host in made.hosts:
-        host.command({"trouble": "refuse"})
-    answer = made.wait(made.ask("crew", "r3"))
-    assert answer.status == 503
-    assert outcome(answer) == "declined"
-    assert int(answer.headers[b"retry-after"]) >= 1
-    assert int(answer.headers[b"gaproute-retry-after-ms"]) == 600
-    assert {event["status"] for event in made.seen("said", id="r3")} == {429}
-
-
-def test_a_pure_task_goes_to_another_host_after_a_failure(rig):
-    made = rig(hosts=3)
-    first = made.wait(made.ask("lamp", "a"))
-    served = json.loads(first.body)["outputs"][0]["data"][0]
-    made.hosts[int(served[1:])].command({"trouble": "reset"})
-    answer = made.wait(made.ask("lamp", "b"))
-    assert outcome(answer) == "delivered"
-    assert answer.headers[b"gaproute-relays"] == b"2"
-
-
-def test_a_receipted_task_stays_in_its_group_with_its_mark(rig):
-    made = rig(hosts=3)  # each a rack of its own
-    for host in made.hosts:
-        host.command({"trouble": "reset"})
-    made.wait(made.ask("dim", "d"))
-    seen = made.seen("task", id="d")
-    assert len(seen) > 1
-    assert len({event["mark"] for event in seen}) == 1
-    assert sum(any(event["what"] == "task" for event in tap.events) for tap in made.taps) == 1
-
-
 def test_a_client_shortens_its_limit_and_never_lengthens_it(rig):
     made = rig(hosts=2)
     for host in made.hosts:
@@ -206,66 +142,6 @@
     assert made.gate.record.counts["client_left", "check"] == 1
 
 
-def test_a_draining_host_gets_neither_task_nor_order_though_its_connections_are_kept(rig):
-    made = rig(hosts=2)
-    made.wait(made.ask("lamp", "a"))
-    rows = made.list.read_text().splitlines()
-    made.relist(rows[0] + " state draining", rows[1])
-    made.until(lambda: made.gate.rows["h0"].listed.state.value != "active")
-    reported_at = made.loop.now()
-    for number in range(30):
-        assert outcome(made.wait(made.ask("lamp", f"b{number}"))) == "delivered"
-    assert not [
-        event
-        for event in made.taps[0].events
-        if event["at"] > reported_at and event["what"] in ("task", "order")
-    ]
-    assert not made.gate.hosts.hosts["h0"].idle
-
-
-def test_a_relay_that_waits_for_its_connection_is_not_sent_once_the_host_drains(rig):
-    made = rig(hosts=1)
-    with socket.socket() as full:  # its backlog is full: connections to it neither come about nor fail
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        fillers = [socket.socket() for _ in range(4)]
-        for filler in fillers:
-            filler.setblocking(False)
-            filler.connect_ex(full.getsockname())
-        row = "host slow {}:{} rack r0".format(*full.getsockname())
-        made.relist(row)
-        made.until(lambda: "slow" in made.gate.rows)
-        asked = made.ask("crew", "w")
-        made.until(lambda: made.gate.hosts.hosts["slow"].connecting)
-        begun = made.loop.now()
-        made.relist(row + " state draining")
-        answer = made.wait(asked)
-        assert outcome(answer) == "declined"
-        assert made.loop.now() - begun < 200 * MILLI
-        for filler in fillers:
-            filler.close()
-
-
-def test_a_wrong_host_list_is_refused_whole_and_the_old_one_stays(rig):
-    made = rig(hosts=2)
-    good = made.list.read_text()
-    made.relist("host h0 nowhere", *good.splitlines()[1:])
-    made.until(lambda: any(what == "host_list_rejected" for what, _ in made.gate.record.events))
-    assert set(made.gate.rows) == {"h0", "h1"}
-    assert outcome(made.wait(made.ask())) == "delivered"
-
-
-def test_a_host_that_restarts_at_its_address_is_cold_once(rig):
-    made = rig(hosts=1)
-    row = made.list.read_text().strip()
-    made.relist(f"{row} started 1000.5")
-    made.until(lambda: made.gate.rows["h0"].listed.started is not None)
-    first = made.gate.rows["h0"].listed.started
-    made.relist(f"{row} started 1000.5 zone other")
-    made.until(lambda: made.gate.rows["h0"].listed.zone != 0)
-    assert made.gate.rows["h0"].listed.started == first
-
-
 def test_stopping_answers_what_is_held_and_takes_nothing_new(rig):
     made = rig(hosts=1)
     made.hosts[0].command({"trouble": "slow", "factor": 40})
@@ -315,106 +191,3 @@
     made.until(lambda: made.gate.fronts[0].server.connection_count <= 1)
     assert len(made.gate.core.gateway.functions_by_name) == functions + 1
     assert not made.loop.errors
-
-
-# What each end of a relay proves: every row of the proof table, on sockets
-
-
-def scripted_host(loop, act):
-    """Listens and lets `act(stream, data)` answer what comes."""
-
-    def accepted(sock):
-        stream = Stream(loop, sock, lambda data: act(stream, data), lambda error: None)
-
-    return Listener(loop, address("127.0.0.1:0"), accepted)
-
-
-def reply(text):
-    return lambda stream, data: stream.write(text.encode())
-
-
-FULL = "HTTP/1.1 {} X\r\nContent-Length: 2\r\n\r\n{{}}"
-
-
-@pytest.mark.parametrize(
-    ("act", "result"),
-    [
-        (reply(FULL.format(200)), face.Result.OK),
-        (reply(FULL.format(400)), face.Result.OK),
-        (reply(FULL.format(429)), face.Result.FULL),
-        (reply(FULL.format(404)), face.Result.NOT_LOADED),
-        (reply(FULL.format(500)), face.Result.ERROR),
-        (reply(FULL.format(503)), face.Result.ERROR),
-        (reply(FULL.format(408)), face.Result.ERROR),
-        (reply(FULL.format(302)), face.Result.ERROR),
-        (lambda stream, data: stream.abort(), face.Result.RESET),
-        (lambda stream, data: stream.close(), face.Result.RESET),
-        (
-            lambda stream, data: (
-                stream.write(b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nhalf"),
-                stream.close(),
-            ),
-            face.Result.RESET,
-        ),
-        (
-            lambda stream, data: (stream.write(b"HTTP/1.1 200 X\r\n\r\nno length"), stream.close()),
-            face.Result.RESET,
-        ),
-        (reply("nonsense\r\n\r\n"), face.Result.RESET),
-        (reply("HTTP/1.1 200 X\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n{}x"), face.Result.RESET),
-    ],
-)
-def test_what_an_end_of_a_relay_proves(rig, act, result):
-    made = rig(hosts=0)
-    listener = scripted_host(made.loop, act)
-    assert heard_of(made, listener.address) is result
-    listener.close()
-
-
-def test_a_refused_connection_proves_that_it_never_ran(rig):
-    made = rig(hosts=0)
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        assert heard_of(made, "{}:{}".format(*taken.getsockname())) is face.Result.CONNECT_FAILED
-    assert results.of_unanswered(started=False) is face.Result.CONNECT_FAILED
-
-
-def heard_of(made, where):
-    """The first outcome that the module hears of an effectful task relayed to `where`."""
-    heard = Promise()
-    gateway = made.gate.core.gateway
-    inner = gateway.attempt_ended
-    gateway.attempt_ended = lambda now, outcome: (heard.set(outcome.result), inner(now, outcome))
-    made.relist(f"host x {where}")
-    made.until(lambda: "x" in made.gate.rows)
-    asked = made.ask("crew")
-    result = made.wait(heard)
-    made.wait(asked)
-    return result
-
-
-@pytest.mark.parametrize(
-    ("value", "report", "found", "alike"),
-    [
-        (
-            b'JSON {"cpu_utilization": 0.5, "mem_utilization": 0.25, '
-            b'"named_metrics": {"queue": 3, "copy": 2, "alike": 4}}',
-            face.Report(None, 3, 0.5, 0.25),
-            face.Found.BEGAN_LOAD,
-            4,
-        ),
-        (
-            b"TEXT cpu_utilization=0.5, named_metrics.in_hand=7",
-            face.Report(7, None, 0.5, None),
-            face.Found.UNKNOWN,
-            None,
-        ),
-        (b'JSON {"cpu_utilization": -1}', None, face.Found.UNKNOWN, None),
-        (b'JSON {"named_metrics": {"copy": 9}}', None, face.Found.UNKNOWN, None),
-        (b"JSON {", None, face.Found.UNKNOWN, None),
-        (b"TEXT cpu_utilization=nan,named_metrics.queue=inf", None, face.Found.UNKNOWN, None),
-        (b"BIN xxxx", None, face.Found.UNKNOWN, None),
-    ],
-)
-def test_load_reports_in_the_published_forms(value, report, found, alike):
-    assert orca.decode_headers({orca.HEADER: value}) == (report, found, alike)
--- a/tests/decisions/reports/test_shared_observations.py
+++ b/tests/decisions/reports/test_shared_observations.py
@@ -501,7 +501,7 @@
 
 @pytest.mark.parametrize("act", ["stalls", "nonsense", "future"])
 def test_a_peer_that_is_no_help_is_dropped_and_nothing_waits_for_it(beside, act):
-    from tests.appliance.test_gateway import reply, scripted_host
+    from scripted_hosts import reply, scripted_host
 
     made, start = beside
     body = {"nonsense": b"\xff\xff", "future": Told(version=9).SerializeToString()}.get(act, b"")
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -5,6 +5,7 @@
 
 import pytest
 from helpers import CONFIGURATION, MILLI, SECOND, gateway, row
+from scripted_hosts import scripted_host
 
 from gaproute.appliance.status import peer_table, status
 from gaproute.config import ConfigurationError, read_configuration, read_peers
@@ -17,7 +18,6 @@
 from gaproute.loop.datagrams import Datagrams
 from gaproute.peers import PeerServer, observation_wire
 from gaproute.peers.lore_pb2 import Ask, Told
-from tests.appliance.test_gateway import scripted_host
 
 
 def where(appliance):
