--- a/gaproute/appliance/cell_table.py
+++ b/gaproute/appliance/cell_table.py
@@ -45,12 +45,12 @@
     def __init__(
         self,
         loop: Loop,
-        line: CellsLine,
+        cells_line: CellsLine,
         record: Record,
         transport: CellTableTransport,
         on_table: Callable[[CellTable], None],
     ) -> None:
-        self.loop, self.line, self.record, self.transport = loop, line, record, transport
+        self.loop, self.cells_line, self.record, self.transport = loop, cells_line, record, transport
         self.rejected: Counter[str] = Counter()
         self.watch: FileWatch | None = None
         transport.on_table(on_table)
@@ -65,9 +65,9 @@
         gateways.
         """
         self.transport.start()
-        line = self.line
+        line = self.cells_line
         self.watch = FileWatch(
-            self.loop, line.file, line.look, self._publish_newer, self._file_rejected, read_table
+            self.loop, line.file, line.look, self._publish_newer, self._reject_file, read_table
         )
 
     def reload(self) -> None:
@@ -98,8 +98,8 @@
             self._reject(REASONS.get(type(error), WRONG_FILE), [error])
 
     def _check(self, table: CellTable, current: CellTable | None) -> None:
-        if table.fleet != self.line.fleet:
-            raise OtherFleetError(self.line.fleet, table.fleet)
+        if table.fleet != self.cells_line.fleet:
+            raise OtherFleetError(self.cells_line.fleet, table.fleet)
         if current is None:
             return
         if table.version == current.version:
@@ -118,7 +118,7 @@
                 return
         self.transport.publish(table)
 
-    def _file_rejected(self, mistakes: Iterable[object]) -> None:
+    def _reject_file(self, mistakes: Iterable[object]) -> None:
         self._reject(WRONG_FILE, mistakes)
 
     def _reject(self, reason: str, mistakes: Iterable[object]) -> None:
--- a/gaproute/appliance/followed_lists.py
+++ b/gaproute/appliance/followed_lists.py
@@ -64,8 +64,8 @@
     """As `CellLists`: `on_change(lists)` is called with all lists in force, each time that they change.
 
     `on_rejected(cell, count, members)`: that many members were rejected, of which `members` are to be logged.
-    `on_source(cell, error)`: the sources of a cell begin to fail; with `error` None one of them answers
-    again.
+    `on_source_changed(cell, error)`: the sources of a cell begin to fail, or, with `error` None, one of them
+    answers again.
     """
 
     def __init__(
@@ -75,18 +75,18 @@
         line: CellHostsLine,
         on_change: Callable[[ListsByCell], None],
         on_rejected: Callable[[str, int, Sequence[RejectedMember]], None],
-        on_source: Callable[[str, str | None], None],
+        on_source_changed: Callable[[str, str | None], None],
         chance: RandomSource,
     ) -> None:
-        self.loop, self.fleet, self.sources, self.interval = loop, fleet, line.sources, line.look
-        self.on_change, self.on_rejected, self.on_source = on_change, on_rejected, on_source
+        self.loop, self.fleet, self.sources, self.apply_interval = loop, fleet, line.sources, line.look
+        self.on_change, self.on_rejected, self.on_source_changed = on_change, on_rejected, on_source_changed
         self.chance = chance
         self.zones: dict[str, str] = {}  # by cell
         self.in_force: ListsByCell = {}
         self.followed: dict[str, FollowedCell] = {}  # by cell
-        self.cells_in_force = CellReconciler()
+        self.reconciler = CellReconciler()
         self.timer: Timer | None = None
-        self.pending = False  # whether events have come that are not applied yet
+        self.events_pending = False  # whether events have come that are not applied yet
         loop.on_late_turn.append(self._apply_after_stall)
 
     def set_cells(self, zones: Mapping[str, str]) -> None:
@@ -156,22 +156,22 @@
         """Schedules applying the events: at once, but no more often than an interval, so that a flood is
         cheap.
         """
-        self.pending = True
+        self.events_pending = True
         if self.timer is None:
             self._apply_pending()
 
     def _apply_pending(self) -> None:
         self.timer = None
-        if self.pending:
-            self.pending = False
-            self.timer = self.loop.after(self.interval, self._apply_pending)
+        if self.events_pending:
+            self.events_pending = False
+            self.timer = self.loop.after(self.apply_interval, self._apply_pending)
             self._put_in_force()
 
     def _apply_after_stall(self) -> None:
         """After a stall, applies the waiting events before the requests that came in the meantime."""
         for followed in list(self.followed.values()):
             followed.watcher.read_now()
-        if self.pending:
+        if self.events_pending:
             if self.timer is not None:
                 self.timer.cancel()
             self._apply_pending()
@@ -181,14 +181,14 @@
         offered = {
             cell: followed.members.reported
             for cell, followed in self.followed.items()
-            if followed.members.reported or cell in self.cells_in_force.active
+            if followed.members.reported or cell in self.reconciler.active
         }
-        before = self.cells_in_force.active
-        self.cells_in_force.reconcile(offered, self.zones)
+        before = self.reconciler.active
+        self.reconciler.reconcile(offered, self.zones)
         self._report_conflicts()
         in_force = {
             cell: self._lines(cell, lines, unchanged=before.get(cell) is lines)
-            for cell, lines in self.cells_in_force.active.items()
+            for cell, lines in self.reconciler.active.items()
             if lines or cell in self.in_force
         }
         if in_force != self.in_force:
@@ -203,7 +203,7 @@
 
     def _report_conflicts(self) -> None:
         for cell, followed in self.followed.items():
-            before, followed.conflicts = followed.conflicts, self.cells_in_force.rejected.get(cell, {})
+            before, followed.conflicts = followed.conflicts, self.reconciler.rejected.get(cell, {})
             new = [RejectedMember(*each) for each in followed.conflicts.items() if each not in before.items()]
             if new:
                 self.on_rejected(cell, len(new), followed.limit_for_log(new))
@@ -212,4 +212,4 @@
         followed = self.followed.get(cell)
         if followed is not None:
             followed.failing = error is not None
-            self.on_source(cell, error)
+            self.on_source_changed(cell, error)
