--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -3,7 +3,7 @@
 import secrets
 import signal
 import socket
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
 
 from gaproute.appliance.cells import CellServices
 from gaproute.appliance.host_list import HostList
@@ -50,10 +50,10 @@
         loop: Loop | None = None,
         seed: int | None = None,
         log: Log | None = None,
-        inherited: Mapping[str, socket.socket] | Iterable[tuple[str, socket.socket]] = (),
+        inherited: Mapping[str, socket.socket] | None = None,
     ) -> None:
         """`inherited`: listening sockets that a parent has opened, by the address as configured."""
-        self.configuration, self.inherited = configuration, dict(inherited)
+        self.configuration, self.inherited = configuration, dict(inherited or {})
         self.loop = loop or Loop()
         self.started: int = self.loop.now()  # ns of the loop's clock
         self.seed = secrets.randbits(SEED_BITS) if seed is None else seed
--- a/gaproute/appliance/parent.py
+++ b/gaproute/appliance/parent.py
@@ -35,7 +35,7 @@
         self.count = count
         self.loop = loop or Loop()
         name = f"{configuration.name}, parent"
-        self.log = log or logger(level=configuration.log_level).bind(gateway=name)
+        self.log: Log = log or logger(level=configuration.log_level).bind(gateway=name)
         self.listeners = ListeningSockets()
         command = ServeCommand(str(file), count, seed)
         self.children = ChildProcesses(
