--- a/gaproute/appliance/gateway.py
+++ b/gaproute/appliance/gateway.py
@@ -8,7 +8,7 @@
 from gaproute.appliance.cells import CellServices
 from gaproute.appliance.host_list import HostList
 from gaproute.appliance.listening_sockets import CLIENT_PROTOCOL, PEER_PROTOCOL
-from gaproute.appliance.operator import Operator
+from gaproute.appliance.operator import OperatorFront
 from gaproute.appliance.parent_pipes import report_ready, watch_parent
 from gaproute.appliance.peer_services import PeerServices
 from gaproute.appliance.running_gateway import Front
@@ -156,7 +156,7 @@
             if self.cells is not None:
                 self.client_fronts.append(self.cells.listen(self.peers, self.ready))
         else:
-            self.fronts.append(Operator(self.loop, address(where), self))
+            self.fronts.append(OperatorFront(self.loop, address(where), self))
 
     def _client_front(self, where: str) -> KServeFront:
         inherited = self.inherited.get(where)
--- a/gaproute/appliance/operator.py
+++ b/gaproute/appliance/operator.py
@@ -29,7 +29,7 @@
     """A lease was requested at a gateway that belongs to no Raft group."""
 
 
-class Operator:
+class OperatorFront:
     """Serves what the command line reads. Errors: OSError where the address cannot be listened on."""
 
     def __init__(self, loop: Loop, where: Address, appliance: RunningGateway) -> None:
--- a/tests/appliance/test_leases.py
+++ b/tests/appliance/test_leases.py
@@ -57,7 +57,7 @@
 
     def ask(self, name, **command):
         """(status, answer) of one command at that gateway's operators' address."""
-        front = next(front for front in self.gates[name].fronts if type(front).__name__ == "Operator")
+        front = next(front for front in self.gates[name].fronts if type(front).__name__ == "OperatorFront")
         self.made.at = address(front.address)
         answer = self.made.wait(self.made.ask(path="/permits", body=json.dumps(command).encode()))
         return answer.status, json.loads(answer.body)
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -371,7 +371,7 @@
     made, start = fleet
     second = start("second", f"peer g {where(made.gate)}", "listen operator 127.0.0.1:0")
     made.until(lambda: peer_table(second)[0]["learnt"] != "asked")
-    made.at = address(next(each.address for each in second.fronts if type(each).__name__ == "Operator"))
+    made.at = address(next(each.address for each in second.fronts if type(each).__name__ == "OperatorFront"))
     (peer,) = json.loads(made.wait(made.get("/peers")).body)
     assert peer["name"] == "g"
     assert peer["state"] == "alive"
