--- a/gaproute/telemetry/logs.py
+++ b/gaproute/telemetry/logs.py
@@ -1,20 +1,28 @@
 """The log of the KServe gateway: lines of JSON by structlog."""
 
 import sys
-from typing import TextIO
+from typing import Protocol, TextIO
 
 import structlog
-from structlog.typing import FilteringBoundLogger
+
+from gaproute.telemetry.record import Log
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 
 
-def logger(stream: TextIO | None = None, level: str = "info") -> FilteringBoundLogger:
+class BindableLog(Log, Protocol):
+    """A log to which fields can be bound that are part of each line."""
+
+    def bind(self, **fields: object) -> Log:
+        """A log that adds these fields to each line."""
+
+
+def logger(stream: TextIO | None = None, level: str = "info") -> BindableLog:
     """A structlog logger that writes lines of JSON to `stream`, by default standard error.
 
     Lines below `level` are left out. Errors: KeyError for an unknown level.
     """
-    log: FilteringBoundLogger = structlog.wrap_logger(
+    log: BindableLog = structlog.wrap_logger(
         structlog.WriteLogger(stream or sys.stderr),
         processors=[
             structlog.processors.add_log_level,
