--- a/gaproute/faultinjection/catalog.py
+++ b/gaproute/faultinjection/catalog.py
@@ -41,10 +41,10 @@
     WALL_CLOCK = "wall_clock"  # a reading of it
 
 
-DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
-MEMORY = (errno.ENOBUFS, errno.ENOMEM)
+DESCRIPTOR_SHORTAGE = (errno.EMFILE, errno.ENFILE)
+MEMORY_SHORTAGE = (errno.ENOBUFS, errno.ENOMEM)
 # Errors of the network that were pending on the new socket: accept(2) asks to treat them like EAGAIN.
-HANDED_ON = (
+PENDING_NETWORK_ERRORS = (
     errno.ENETDOWN,
     errno.EPROTO,
     errno.ENOPROTOOPT,
@@ -55,11 +55,17 @@
     errno.ENETUNREACH,
 )
 # The connection has ended, whichever call reports it.
-BROKEN = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+CONNECTION_LOST = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 ERRNOS: Mapping[str, Sequence[int]] = {
-    NetworkCall.ACCEPT: (errno.ECONNABORTED, errno.EPERM, *DESCRIPTORS, *MEMORY, *HANDED_ON),
-    NetworkCall.SOCKET: (*DESCRIPTORS, *MEMORY),
+    NetworkCall.ACCEPT: (
+        errno.ECONNABORTED,
+        errno.EPERM,
+        *DESCRIPTOR_SHORTAGE,
+        *MEMORY_SHORTAGE,
+        *PENDING_NETWORK_ERRORS,
+    ),
+    NetworkCall.SOCKET: (*DESCRIPTOR_SHORTAGE, *MEMORY_SHORTAGE),
     NetworkCall.CONNECT: (
         errno.EADDRNOTAVAIL,
         errno.ENETUNREACH,
@@ -67,30 +73,32 @@
         errno.ETIMEDOUT,
         errno.ECONNREFUSED,
         errno.EINTR,
-        *MEMORY,
+        *MEMORY_SHORTAGE,
     ),
-    NetworkCall.SO_ERROR: (errno.ECONNREFUSED, errno.ENETUNREACH, *BROKEN),
+    NetworkCall.SO_ERROR: (errno.ECONNREFUSED, errno.ENETUNREACH, *CONNECTION_LOST),
     NetworkCall.BIND: (errno.EADDRINUSE, errno.EADDRNOTAVAIL, errno.ENOMEM),
     NetworkCall.LISTEN: (errno.EADDRINUSE,),
-    NetworkCall.SETSOCKOPT: MEMORY,
-    NetworkCall.GETSOCKOPT: MEMORY,
-    NetworkCall.RECV: BROKEN,
-    NetworkCall.SEND: (*BROKEN, errno.EAGAIN),
+    NetworkCall.SETSOCKOPT: MEMORY_SHORTAGE,
+    NetworkCall.GETSOCKOPT: MEMORY_SHORTAGE,
+    NetworkCall.RECV: CONNECTION_LOST,
+    NetworkCall.SEND: (*CONNECTION_LOST, errno.EAGAIN),
     NetworkCall.RECV_DATAGRAM: (errno.ECONNREFUSED, errno.ENOMEM),
-    NetworkCall.SEND_DATAGRAM: (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EPERM, *MEMORY),
-    NetworkCall.EPOLL_CREATE: (*DESCRIPTORS, errno.ENOMEM),
+    NetworkCall.SEND_DATAGRAM: (errno.ECONNREFUSED, errno.ENETUNREACH, errno.EPERM, *MEMORY_SHORTAGE),
+    NetworkCall.EPOLL_CREATE: (*DESCRIPTOR_SHORTAGE, errno.ENOMEM),
     NetworkCall.EPOLL_ADD: (errno.ENOSPC, errno.ENOMEM),
     NetworkCall.EPOLL_MODIFY: (errno.ENOMEM,),
     NetworkCall.EPOLL_WAIT: (errno.EINTR,),
-    NetworkCall.PIPE: DESCRIPTORS,
+    NetworkCall.PIPE: DESCRIPTOR_SHORTAGE,
     NetworkCall.PIPE_READ: (errno.EAGAIN, errno.EINTR),
 }
 
-SHORT_SIZES = (1, 1, 7, 100)  # bytes that a short read or write moves at most
-STEPS = (1, 5, 60, 3600)  # seconds by which the wall clock is stepped, either way
+SHORT_TRANSFER_SIZES = (1, 1, 7, 100)  # bytes that a short read or write moves at most
+CLOCK_STEP_SIZES = (1, 5, 60, 3600)  # seconds by which the wall clock is stepped, either way
 
-CLOCK_STEPS: Sequence[Fault] = tuple(ClockStep(sign * span * SECOND) for span in STEPS for sign in (1, -1))
-SHORT_TRANSFERS: Sequence[Fault] = tuple(ShortTransfer(size) for size in SHORT_SIZES)
+CLOCK_STEPS: Sequence[Fault] = tuple(
+    ClockStep(sign * span * SECOND) for span in CLOCK_STEP_SIZES for sign in (1, -1)
+)
+SHORT_TRANSFERS: Sequence[Fault] = tuple(ShortTransfer(size) for size in SHORT_TRANSFER_SIZES)
 
 FAILURES: Mapping[str, Sequence[Fault]] = {
     call: tuple(Failure(number) for number in numbers) for call, numbers in ERRNOS.items()
--- a/gaproute/faultinjection/network.py
+++ b/gaproute/faultinjection/network.py
@@ -23,7 +23,7 @@
 
 from gaproute.faultinjection.catalog import NetworkCall
 from gaproute.faultinjection.plan import ClockStep, FaultPlan
-from gaproute.faultinjection.sockets import Connections, FaultyEpoll, FaultySocket, Wait
+from gaproute.faultinjection.sockets import CallFaults, EpollWait, FaultyEpoll, FaultySocket
 
 SECOND = 1_000_000_000
 # Of a gateway of the platform. A module that is imported later than the injector is installed is not seen.
@@ -84,14 +84,14 @@
         plan: FaultPlan,
         *,
         wall: Callable[[], int] = time.time_ns,
-        wait: Wait = select.epoll.poll,
+        wait: EpollWait = select.epoll.poll,
         packages: Sequence[str] = PACKAGES,
     ) -> None:
         self.plan = plan
         self.wall_clock = WallClock(plan, wall)
-        self.connections = Connections(plan, wait)
+        self.call_faults = CallFaults(plan, wait)
         self._packages = packages
-        self._pipes: set[int] = set()  # descriptors to read from
+        self._pipe_readers: set[int] = set()  # descriptors to read from
         self._restore: list[Callable[[], None]] = []
 
     def __enter__(self) -> NetworkFaults:
@@ -119,11 +119,11 @@
             self._restore.pop()()
 
     def _stand_ins(self) -> dict[ModuleType, ModuleStandIn]:
-        connections = self.connections
-        faulty_socket = type("FaultySocket", (FaultySocket,), {"connections": connections})
+        call_faults = self.call_faults
+        faulty_socket = type("FaultySocket", (FaultySocket,), {"call_faults": call_faults})
         return {
             socket: ModuleStandIn(socket, socket=faulty_socket),
-            select: ModuleStandIn(select, epoll=lambda *args: FaultyEpoll(connections, *args)),
+            select: ModuleStandIn(select, epoll=lambda *args: FaultyEpoll(call_faults, *args)),
             os: ModuleStandIn(os, read=self._read, close=self._close, pipe2=self._pipe2),
             time: ModuleStandIn(time, time=self.wall_clock.time, time_ns=self.wall_clock.time_ns),
         }
@@ -143,20 +143,20 @@
             self._replace(function, "__defaults__", changed)
 
     def _read(self, descriptor: int, size: int) -> bytes:
-        if descriptor in self._pipes:
-            self.connections.fail(NetworkCall.PIPE_READ)
+        if descriptor in self._pipe_readers:
+            self.call_faults.raise_fault(NetworkCall.PIPE_READ)
             return os.read(descriptor, size)
-        size = self.connections.before_transfer(NetworkCall.RECV, descriptor, size)
+        size = self.call_faults.transfer_size(NetworkCall.RECV, descriptor, size)
         return os.read(descriptor, size)
 
     def _close(self, descriptor: int) -> None:
-        self._pipes.discard(descriptor)
+        self._pipe_readers.discard(descriptor)
         os.close(descriptor)
 
     def _pipe2(self, flags: int) -> tuple[int, int]:
-        self.connections.fail(NetworkCall.PIPE)
+        self.call_faults.raise_fault(NetworkCall.PIPE)
         reader, writer = os.pipe2(flags)
-        self._pipes.add(reader)
+        self._pipe_readers.add(reader)
         return reader, writer
 
 
--- a/gaproute/faultinjection/play/far_connection.py
+++ b/gaproute/faultinjection/play/far_connection.py
@@ -10,7 +10,7 @@
 
 from gaproute.faultinjection.play.timeline import FarLoop
 
-CHUNK = 65536  # bytes of one read
+READ_SIZE = 65536  # bytes of one read
 
 
 class FarConnection:
@@ -57,7 +57,7 @@
 
     def _read(self) -> None:
         try:
-            data = self.sock.recv(CHUNK)
+            data = self.sock.recv(READ_SIZE)
         except BlockingIOError:
             return
         except OSError:
--- a/gaproute/faultinjection/play/far_others.py
+++ b/gaproute/faultinjection/play/far_others.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from gaproute.faultinjection.play.far_connection import CHUNK, FarConnection, FarServer
+from gaproute.faultinjection.play.far_connection import READ_SIZE, FarConnection, FarServer
 from gaproute.faultinjection.play.timeline import SECOND, FarLoop
 
 COMMENT = SECOND  # between the change log's signs of life
@@ -89,7 +89,7 @@
         loop.watch(self._sock.fileno(), select.EPOLLIN, self._ready)
 
     def _ready(self, _: int) -> None:
-        payload, source = self._sock.recvfrom(CHUNK)
+        payload, source = self._sock.recvfrom(READ_SIZE)
         self.received.append(payload)
         self.send(payload, source)
 
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -82,7 +82,7 @@
 def excuse(scene: Scene) -> None:
     """Marks the requests whose own connection an injected fault has broken, as the network would."""
     for client in scene.clients:
-        if client.name in scene.faults.connections.broken:
+        if client.name in scene.faults.call_faults.broken_peers:
             for request in client.requests.values():
                 request.excused = True
 
@@ -158,7 +158,7 @@
 
 
 def _draining(scene: Scene) -> Iterator[Finding]:
-    broken = address(scene.log.address)[1] in scene.faults.connections.broken
+    broken = address(scene.log.address)[1] in scene.faults.call_faults.broken_peers
     for host in scene.hosts:
         begun = [attempt.at for attempt in host.attempts] + host.load_orders
         for start, end in _drained(scene, host.name, broken=broken):
--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from gaproute.faultinjection.catalog import STEPS
+from gaproute.faultinjection.catalog import CLOCK_STEP_SIZES
 from gaproute.faultinjection.play.far_client import Departure, FarClient, FarRequest
 from gaproute.faultinjection.play.scene import FREE, GUARDED, LANES, SINGLE_SHOT, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
@@ -49,7 +49,7 @@
         if conditions.hosts > 1:
             self._plan_drain(conditions.length)
         for _ in range(conditions.clock_steps):
-            span = self._random.choice(STEPS) * self._random.choice((SECOND, -SECOND))
+            span = self._random.choice(CLOCK_STEP_SIZES) * self._random.choice((SECOND, -SECOND))
             scene.far.after(self._random.randrange(conditions.length), scene.faults.wall_clock.step, span)
         if conditions.stop:
             scene.far.after(conditions.length // 2, self._stop)
--- a/tests/faultinjection/test_fault_network.py
+++ b/tests/faultinjection/test_fault_network.py
@@ -184,7 +184,7 @@
     assert raised.value.errno == number
     assert near.recv(100) == b""
     assert far.recv(100) == b""
-    assert faults.connections.broken == {name}
+    assert faults.call_faults.broken_peers == {name}
 
 
 def test_a_connection_broken_at_a_write_goes_on_failing_and_what_had_come_in_is_read(install, pair):
