--- a/gaproute/faultinjection/catalog.py
+++ b/gaproute/faultinjection/catalog.py
@@ -1,7 +1,7 @@
 """The event loop's system calls and the ways in which Linux documents that each of them fails.
 
 Sources: the manual pages accept(2), socket(2), connect(2), bind(2), listen(2), setsockopt(2), getsockopt(2),
-epoll_ctl(2), epoll_wait(2), pipe(2), recv(2), send(2) and tcp(7). `FAULTS` holds what is drawn by chance; a
+epoll_ctl(2), epoll_wait(2), pipe(2), recv(2), send(2) and tcp(7). Faults by chance are drawn from `FAULTS`; a
 script may inject any other errno as well.
 """
 
@@ -17,17 +17,17 @@
 
 
 class NetworkCall(StrEnum):
-    """A call as the plan names it."""
+    """The names by which plans refer to calls."""
 
     ACCEPT = "accept"
     SOCKET = "socket"
     CONNECT = "connect"
-    SO_ERROR = "so_error"  # how a connection attempt ended, read by getsockopt
+    SO_ERROR = "so_error"  # the result of a connection attempt, as getsockopt reads it
     BIND = "bind"
     LISTEN = "listen"
     SETSOCKOPT = "setsockopt"
     GETSOCKOPT = "getsockopt"
-    RECV = "recv"  # of a stream, also read(2) of its descriptor
+    RECV = "recv"  # of a stream, or read(2) of its descriptor
     SEND = "send"
     RECV_DATAGRAM = "recv_datagram"
     SEND_DATAGRAM = "send_datagram"
@@ -38,12 +38,12 @@
     EPOLL_WAIT = "epoll_wait"
     PIPE = "pipe"
     PIPE_READ = "pipe_read"
-    WALL_CLOCK = "wall_clock"  # a reading of it
+    WALL_CLOCK = "wall_clock"  # reading it
 
 
 DESCRIPTOR_SHORTAGE = (errno.EMFILE, errno.ENFILE)
 MEMORY_SHORTAGE = (errno.ENOBUFS, errno.ENOMEM)
-# Errors of the network that were pending on the new socket: accept(2) asks to treat them like EAGAIN.
+# Errors that were pending on the new connection; by accept(2) they are to be treated like EAGAIN.
 PENDING_NETWORK_ERRORS = (
     errno.ENETDOWN,
     errno.EPROTO,
@@ -54,7 +54,7 @@
     errno.EOPNOTSUPP,
     errno.ENETUNREACH,
 )
-# The connection has ended, whichever call reports it.
+# Reported by whichever call comes next on a connection that was lost.
 CONNECTION_LOST = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 ERRNOS: Mapping[str, Sequence[int]] = {
@@ -92,7 +92,12 @@
     NetworkCall.PIPE_READ: (errno.EAGAIN, errno.EINTR),
 }
 
-SHORT_TRANSFER_SIZES = (1, 1, 7, 100)  # bytes that a short read or write moves at most
+SHORT_TRANSFER_SIZES = (
+    1,
+    1,
+    7,
+    100,
+)  # bytes that a short read or write moves at most; 1 is drawn twice as often
 CLOCK_STEP_SIZES = (1, 5, 60, 3600)  # seconds by which the wall clock is stepped, either way
 
 CLOCK_STEPS: Sequence[Fault] = tuple(
@@ -101,10 +106,10 @@
 SHORT_TRANSFERS: Sequence[Fault] = tuple(ShortTransfer(size) for size in SHORT_TRANSFER_SIZES)
 
 FAILURES: Mapping[str, Sequence[Fault]] = {
-    call: tuple(Failure(number) for number in numbers) for call, numbers in ERRNOS.items()
+    call: tuple(map(Failure, numbers)) for call, numbers in ERRNOS.items()
 }
 
-# Short transfers come as often as broken connections, so that these do not end most of the traffic.
+# Reads and writes may also be short: if all their faults lost the connection, little traffic would be left.
 FAULTS: Mapping[str, Sequence[Fault]] = {
     **FAILURES,
     NetworkCall.RECV: (*FAILURES[NetworkCall.RECV], *SHORT_TRANSFERS),
--- a/gaproute/faultinjection/disk.py
+++ b/gaproute/faultinjection/disk.py
@@ -1,16 +1,17 @@
 """A faulty disk for the tests of storage: calls that fail or are short, and what a kill leaves behind.
 
 `FaultyDisk.installed(module, ...)` replaces the name `os` in modules that write files. Calls go through to
-real files in one folder, so that the modules read what they wrote; beside them the disk keeps account of
-what would be durable: the bytes that an fsync covered, and the names that a sync of the folder covered.
+real files in one folder, so that the modules read what they wrote. In addition, the disk records what would
+be durable: the bytes that an fsync covered, and the names that an fsync of the folder covered.
 
-- A fault of the plan makes a call fail, or a read or write short.
-- A failed fsync drops what it should have made durable: it can still be read, as from the page cache, but no
-  later fsync brings it to the disk. Only writing the bytes again does.
+- A fault of the plan makes a call fail, or makes a read or write short.
+- A failed fsync drops what it should have made durable: that can still be read, as from the page cache, but
+  no later fsync makes it durable (Linux marks the pages clean); only writing the bytes again does.
 - A kill at the n-th call raises `ProcessKilled` before, after or, for a write, in the middle of that call.
-  `end_process` then leaves what a killed process leaves: the page cache, perhaps in part evicted.
-  `fail_power` leaves what a power failure leaves: what is durable, and any prefix of the rest, perhaps with
-  zeros in place of the bytes; of renames, creations and removals any prefix too.
+  `end_process` then leaves what a killed process leaves: the content of the page cache, or what is read once
+  its clean pages were evicted.
+  `fail_power` leaves what a power failure leaves: what is durable, and any prefix of the other changes,
+  perhaps with zeros in place of written bytes; the same holds for renames, creations and removals.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 from types import ModuleType
-from typing import Any
+from typing import TYPE_CHECKING, TypeVar
 
 from gaproute.faultinjection.durability import (
     CachedDirectory,
@@ -31,16 +32,21 @@
     OpenDescriptor,
     Truncate,
 )
-from gaproute.faultinjection.faulty_os import FaultyOs
+from gaproute.faultinjection.faulty_os import FaultyOs, FilePath
 from gaproute.faultinjection.kills import KillPoint, Moment, ProcessKilled
 from gaproute.faultinjection.plan import Failure, Fault, FaultPlan, Script, ShortTransfer
 
+if TYPE_CHECKING:
+    from _typeshed import ReadableBuffer
+
+Result = TypeVar("Result")
+
 
 class FaultyDisk:
     """One folder on a faulty disk.
 
-    `plan` decides which calls fail, `kill` at which call the process ends, `chance` what a crash leaves.
-    `calls` counts the calls, `counts` by name.
+    `plan` decides which calls fail, `kill` at which call the process ends; what a crash leaves is drawn from
+    `chance`. `calls`: how many calls were made; `counts`: the same by name.
     """
 
     def __init__(
@@ -64,7 +70,7 @@
 
     @contextmanager
     def installed(self, *modules: ModuleType) -> Iterator[FaultyDisk]:
-        """Inside the block these modules' `os` is this disk."""
+        """Inside the block, the name `os` of these modules stands for this disk."""
         originals = [vars(module)["os"] for module in modules]
         for module in modules:
             vars(module)["os"] = FaultyOs(self)
@@ -76,14 +82,13 @@
 
     @property
     def open_descriptors(self) -> int:
-        """Descriptors that were opened here and not closed."""
+        """How many descriptors were opened on this disk and not closed."""
         return len(self._descriptors)
 
     def end_process(self) -> None:
-        """End the process; the machine runs on.
+        """Ends the process but not the machine; the next process may use the disk then.
 
-        Descriptors are closed. Pages that a failed sync marked clean may be evicted. The next process may use
-        the disk.
+        Descriptors are closed. Pages that a failed fsync has marked clean may be evicted.
         """
         self._close_all()
         if self.chance.randrange(2):
@@ -92,7 +97,7 @@
                 Path(name).write_bytes(file.cached)
 
     def fail_power(self) -> None:
-        """End the machine: the folder then holds what its disk may hold. The next process may use it."""
+        """Ends the machine; the folder then has what its disk may have. The next process may use it."""
         self._close_all()
         contents = self._directory.after_power_failure(self.chance)
         for name in self._directory.names:
@@ -103,11 +108,11 @@
 
     # Calls, for `FaultyOs`
 
-    def open(self, path: Any, flags: int, mode: int = 0o777) -> int:
+    def open(self, path: FilePath, flags: int, mode: int = 0o777) -> int:
         """See open(2)."""
-        name = os.path.abspath(os.fspath(path))
+        name = os.path.abspath(path)
         existed = os.path.lexists(name)
-        descriptor: int = self._call("open", lambda: os.open(path, flags, mode))
+        descriptor = self._call("open", lambda: os.open(path, flags, mode))
         if os.path.dirname(name) == self.folder:
             self._descriptors[descriptor] = self._open_file(name, flags, existed=existed)
         elif name == self.folder:
@@ -123,7 +128,7 @@
         self._end_call()
         return data
 
-    def write(self, descriptor: int, data: Any) -> int:
+    def write(self, descriptor: int, data: ReadableBuffer) -> int:
         """See write(2)."""
         fault = self._begin_call("write")
         view = memoryview(data)
@@ -139,7 +144,7 @@
         return written
 
     def fsync(self, descriptor: int) -> None:
-        """See fsync(2). A failure drops what was to be made durable, all of it or from some point on."""
+        """See fsync(2). A failure drops all the changes that were to become durable, or the last ones."""
         opened = self._descriptors.get(descriptor)
         try:
             self._begin_call("fsync")
@@ -158,7 +163,7 @@
         self._end_call()
 
     def close(self, descriptor: int) -> None:
-        """See close(2): the descriptor is released also where this fails."""
+        """See close(2): a failure releases the descriptor, too."""
         try:
             self._begin_call("close")
         except OSError:
@@ -167,27 +172,27 @@
         self._release(descriptor)
         self._end_call()
 
-    def rename(self, source: Any, target: Any, call: str = "rename") -> None:
+    def rename(self, source: FilePath, target: FilePath, call: str = "rename") -> None:
         """See rename(2)."""
         self._call(call, lambda: os.rename(source, target))
-        old, new = os.path.abspath(os.fspath(source)), os.path.abspath(os.fspath(target))
+        old, new = os.path.abspath(source), os.path.abspath(target)
         file = self._directory.names.get(old)
         if file is not None:
             self._directory.change(NameChange(new, file, gone=old))
         self._end_call()
 
-    def link(self, source: Any, target: Any) -> None:
+    def link(self, source: FilePath, target: FilePath) -> None:
         """See link(2)."""
         self._call("link", lambda: os.link(source, target))
-        file = self._directory.names.get(os.path.abspath(os.fspath(source)))
+        file = self._directory.names.get(os.path.abspath(source))
         if file is not None:
-            self._directory.change(NameChange(os.path.abspath(os.fspath(target)), file))
+            self._directory.change(NameChange(os.path.abspath(target), file))
         self._end_call()
 
-    def unlink(self, path: Any) -> None:
+    def unlink(self, path: FilePath) -> None:
         """See unlink(2)."""
         self._call("unlink", lambda: os.unlink(path))
-        self._directory.change(NameChange(os.path.abspath(os.fspath(path)), None))
+        self._directory.change(NameChange(os.path.abspath(path), None))
         self._end_call()
 
     # What is cached and durable
@@ -202,7 +207,7 @@
         return OpenDescriptor(file, bool(flags & os.O_APPEND))
 
     def _sync(self, opened: OpenDescriptor | None, *, complete: bool) -> None:
-        """What was pending is durable, or only a first part of it is and the rest is dropped."""
+        """Makes the pending changes durable; if not `complete`, only the first few, and drops the others."""
         if opened is None:
             return
         target = self._directory if opened.file is None else opened.file
@@ -220,12 +225,12 @@
 
     # Faults and the kill
 
-    def _call(self, name: str, effect: Callable[[], Any]) -> Any:
+    def _call(self, name: str, effect: Callable[[], Result]) -> Result:
         self._begin_call(name)
         return effect()
 
     def _begin_call(self, name: str) -> Fault | None:
-        if self.killed:  # a killed process does not run its `finally` blocks
+        if self.killed:  # so that `finally` blocks have no effect, which a killed process does not run
             raise ProcessKilled(f"{name} after the kill")
         self.calls += 1
         self.counts[name] += 1
--- a/gaproute/faultinjection/disk_faults.py
+++ b/gaproute/faultinjection/disk_faults.py
@@ -9,7 +9,7 @@
 
 DISK_FULL, QUOTA_EXCEEDED, IO_ERROR = Failure(errno.ENOSPC), Failure(errno.EDQUOT), Failure(errno.EIO)
 
-# How each call may go wrong, for plans by chance.
+# The faults from which plans by chance draw, by call.
 DISK_FAULTS: Mapping[str, Sequence[Fault]] = {
     "open": (DISK_FULL, QUOTA_EXCEEDED, IO_ERROR, Failure(errno.EMFILE), Failure(errno.ENFILE)),
     "read": (IO_ERROR, ShortTransfer(1)),
--- a/gaproute/faultinjection/kills.py
+++ b/gaproute/faultinjection/kills.py
@@ -1,4 +1,4 @@
-"""When a test ends the process that uses a faulty disk."""
+"""The moment at which a test kills the process that uses a faulty disk."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class ProcessKilled(BaseException):
-    """The process ended in the middle of a call. Not an Exception, so that no `except Exception` lives on."""
+    """The process was killed at a call. Not an Exception, so that no `except Exception` goes on after it."""
 
 
 class Moment(Enum):
-    """When the kill comes, seen from the call's effect."""
+    """When the kill comes, relative to the effect of the call."""
 
     BEFORE = "before"
-    WITHIN = "within"  # of a write a part was done; any other call is whole or not begun
+    WITHIN = "within"  # a part of a write has been done; other calls are atomic and have not begun
     AFTER = "after"
 
 
--- a/gaproute/faultinjection/network.py
+++ b/gaproute/faultinjection/network.py
@@ -1,12 +1,12 @@
-"""Puts faulty system calls in place of the real ones in the modules that use them, for a while.
+"""Puts faulty system calls in place of the real ones in the modules of a gateway, for a while.
 
     plan = FaultPlan(Script.of((NetworkCall.ACCEPT, 3, Failure(errno.EMFILE))))
     with NetworkFaults(plan):
-        ...  # what is made in here fails as the plan says
+        ...  # sockets, epolls and pipes that are opened in here fail as the plan says
 
-Each module of `PACKAGES` that holds the module `socket`, `select`, `os` or `time` under its name gets a
-stand-in for it. Sockets that others open directly, such as the far ends of a test, are untouched, and
-nothing is paid where no injector is installed.
+A module that imports the module `socket`, `select`, `os` or `time` has it under a name of its own; that name
+is given a stand-in. Other modules keep the real one: the far ends of a test are untouched, and a gateway
+without an installation runs no code of this package.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 import select
 import socket
 import time
-from collections.abc import Callable, Iterator, Sequence
-from types import FunctionType, ModuleType, TracebackType
+from collections.abc import Callable, Iterator, Mapping, Sequence
+from functools import partial
+from types import FunctionType, ModuleType
 from typing import Any
 
 from gaproute.faultinjection.catalog import NetworkCall
@@ -26,7 +27,8 @@
 from gaproute.faultinjection.sockets import CallFaults, EpollWait, FaultyEpoll, FaultySocket
 
 SECOND = 1_000_000_000
-# Of a gateway of the platform. A module that is imported later than the injector is installed is not seen.
+# All that a gateway of the platform runs. Modules outside, and those imported after the installation, keep
+# the real calls.
 PACKAGES = (
     "gaproute.loop",
     "gaproute.connections",
@@ -37,11 +39,13 @@
     "gaproute.platform",
 )
 
+ClockFunction = Callable[[], float]  # `time.time` or `time.time_ns`
+
 
 class ModuleStandIn:
     """Looks like a module, with some of its names replaced."""
 
-    def __init__(self, module: ModuleType, **replaced: Any) -> None:
+    def __init__(self, module: ModuleType, **replaced: object) -> None:
         self._module = module
         self.__dict__.update(replaced)
 
@@ -50,91 +54,98 @@
 
 
 class WallClock:
-    """The wall clock that a plan steps; `step` does so by hand. `real` gives nanoseconds."""
+    """A wall clock that a plan, or a call of `step`, moves. `base_clock()`: the time without any step, ns."""
 
-    def __init__(self, plan: FaultPlan, real: Callable[[], int]) -> None:
-        self._plan, self._real = plan, real
-        self.offset = 0  # ns by which all steps so far have moved it
+    def __init__(self, plan: FaultPlan, base_clock: Callable[[], int]) -> None:
+        self._plan, self._base_clock = plan, base_clock
+        self.offset = 0  # the sum of all steps so far, ns
 
     def step(self, span: int) -> None:
-        """From now on it shows `span` ns more."""
+        """Moves the clock by `span` ns, from now on."""
         self.offset += span
 
     def time_ns(self) -> int:
-        """In place of `time.time_ns`."""
+        """Replaces `time.time_ns`."""
         fault = self._plan.inject(NetworkCall.WALL_CLOCK)
         if isinstance(fault, ClockStep):
             self.step(fault.span)
-        return self._real() + self.offset
+        return self._base_clock() + self.offset
 
     def time(self) -> float:
-        """In place of `time.time`."""
+        """Replaces `time.time`."""
         return self.time_ns() / SECOND
 
 
 class NetworkFaults:
     """Installs the faults of a plan in all modules of `packages`, as a context manager.
 
-    Errors on entering: RuntimeError where another is installed. `wall`: the wall clock, ns, that the plan's
-    steps are added to. `wait` takes the place of an epoll's wait, where time is not the real one.
+    `base_clock`: the wall clock (ns) to which the steps of the plan are added. `wait`: replaces the wait of
+    an epoll where time is simulated.
     """
 
     def __init__(
         self,
         plan: FaultPlan,
         *,
-        wall: Callable[[], int] = time.time_ns,
+        base_clock: Callable[[], int] = time.time_ns,
         wait: EpollWait = select.epoll.poll,
         packages: Sequence[str] = PACKAGES,
     ) -> None:
         self.plan = plan
-        self.wall_clock = WallClock(plan, wall)
+        self.wall_clock = WallClock(plan, base_clock)
         self.call_faults = CallFaults(plan, wait)
         self._packages = packages
-        self._pipe_readers: set[int] = set()  # descriptors to read from
+        self._pipe_readers: set[int] = set()  # the descriptors of pipes that are read from
         self._restore: list[Callable[[], None]] = []
 
     def __enter__(self) -> NetworkFaults:
+        self.install()
+        return self
+
+    def __exit__(self, *error: object) -> None:
+        self.uninstall()
+
+    def install(self) -> None:
+        """Puts the stand-ins in place. Errors: RuntimeError if another installation is in place."""
         modules = list(modules_of(self._packages))
         if any(isinstance(value, ModuleStandIn) for module in modules for value in vars(module).values()):
             raise RuntimeError("faults are installed already")
         stand_ins = self._stand_ins()
-        clocks = {time.time: self.wall_clock.time, time.time_ns: self.wall_clock.time_ns}
+        clocks: dict[ClockFunction, ClockFunction] = {
+            time.time: self.wall_clock.time,
+            time.time_ns: self.wall_clock.time_ns,
+        }
         for module in modules:
             for name, value in list(vars(module).items()):
                 if isinstance(value, ModuleType) and value in stand_ins:
                     self._replace(module, name, stand_ins[value])
             for function in functions_of(module):
-                self._replace_defaults(function, clocks)
-        return self
+                self._replace_default_clocks(function, clocks)
 
-    def __exit__(
-        self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
-        trace: TracebackType | None,
-    ) -> None:
-        self.plan.paused = True  # sockets made meanwhile may outlast the installation
+    def uninstall(self) -> None:
+        """Puts everything back. Sockets that were opened meanwhile stay, and fail no more."""
+        self.plan.paused = True
         while self._restore:
             self._restore.pop()()
 
     def _stand_ins(self) -> dict[ModuleType, ModuleStandIn]:
-        call_faults = self.call_faults
-        faulty_socket = type("FaultySocket", (FaultySocket,), {"call_faults": call_faults})
+        faulty_socket = type("FaultySocket", (FaultySocket,), {"call_faults": self.call_faults})
         return {
             socket: ModuleStandIn(socket, socket=faulty_socket),
-            select: ModuleStandIn(select, epoll=lambda *args: FaultyEpoll(call_faults, *args)),
+            select: ModuleStandIn(select, epoll=partial(FaultyEpoll, self.call_faults)),
             os: ModuleStandIn(os, read=self._read, close=self._close, pipe2=self._pipe2),
             time: ModuleStandIn(time, time=self.wall_clock.time, time_ns=self.wall_clock.time_ns),
         }
 
-    def _replace(self, holder: Any, name: str, value: Any) -> None:
-        before = getattr(holder, name)
+    def _replace(self, holder: ModuleType | FunctionType, name: str, value: object) -> None:
+        original = getattr(holder, name)
         setattr(holder, name, value)
-        self._restore.append(lambda: setattr(holder, name, before))
+        self._restore.append(lambda: setattr(holder, name, original))
 
-    def _replace_defaults(self, function: FunctionType, clocks: dict[Any, Any]) -> None:
-        """A clock that stands as a default was read when the function was defined."""
+    def _replace_default_clocks(
+        self, function: FunctionType, clocks: Mapping[ClockFunction, ClockFunction]
+    ) -> None:
+        """Replaces clocks among a function's defaults, which were read when the function was defined."""
         defaults = function.__defaults__ or ()
         if any(default in clocks for default in defaults if callable(default)):
             changed = tuple(
@@ -161,7 +172,7 @@
 
 
 def modules_of(packages: Sequence[str]) -> Iterator[ModuleType]:
-    """The packages and all modules below them, imported where they were not; not those run as commands."""
+    """The packages and all modules in them, imported if need be; without `__main__`, which runs a command."""
     for name in packages:
         package = importlib.import_module(name)
         yield package
@@ -171,11 +182,11 @@
 
 
 def functions_of(module: ModuleType) -> Iterator[FunctionType]:
-    """The functions that the module defines, also those in its classes."""
+    """The functions and methods that the module defines."""
     for value in vars(module).values():
         if getattr(value, "__module__", None) != module.__name__:
             continue
         if isinstance(value, FunctionType):
             yield value
         elif isinstance(value, type):
-            yield from (each for each in vars(value).values() if isinstance(each, FunctionType))
+            yield from (member for member in vars(value).values() if isinstance(member, FunctionType))
--- a/gaproute/faultinjection/plan.py
+++ b/gaproute/faultinjection/plan.py
@@ -1,6 +1,6 @@
 """Which system call fails, and how: by a script, or by seeded chance, with a log that can be played again.
 
-A `FaultPlan` is asked once for each call that a test double of the operating system is about to make. It
+A test double of the operating system asks its `FaultPlan` before each call that it makes. The plan
 numbers the calls of each name from 1, asks its source for a fault, and logs what it injected. The log is a
 script: `Script(plan.log)` injects the same faults at the same calls.
 """
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-PACKAGE = __name__.rpartition(".")[0]  # frames of this package are not where a call was made
+PACKAGE = __name__.rpartition(".")[0]  # its frames are left out when a call's site is looked for
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShortTransfer(Fault):
-    """A read or write moves at most so many bytes."""
+    """A read or write moves at most `limit` bytes."""
 
     limit: int
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClockStep(Fault):
-    """The wall clock is stepped by so many nanoseconds from this reading on; monotonic time is not."""
+    """The wall clock is stepped by `span` ns from this reading on; the monotonic clock is not."""
 
     span: int
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptedFault:
-    """One line of a script: the `occurrence`th call of that name, counted from 1, goes wrong."""
+    """One line of a script: the `occurrence`th call of that name, counted from 1, has this fault."""
 
     call: str
     occurrence: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InjectedFault:
-    """One line of a plan's log. `site` is the file, line and function that made the call."""
+    """One line of a plan's log. `site`: the file, line and function that made the call."""
 
     call: str
     occurrence: int
@@ -77,21 +77,21 @@
 
 
 class FaultSource(Protocol):
-    """Decides for each call whether it goes wrong."""
+    """Decides for each call whether it has a fault."""
 
     def fault(self, call: str, occurrence: int) -> Fault | None:
-        """The fault of the `occurrence`th call of that name, or None where it goes well."""
+        """The fault of the `occurrence`th call of that name, or None if it has none."""
 
 
 class Script:
-    """Faults at calls named beforehand: "the 3rd accept fails with EMFILE"."""
+    """Faults at chosen calls, such as "the 3rd accept fails with EMFILE"."""
 
     def __init__(self, lines: Iterable[ScriptedFault | InjectedFault]) -> None:
         self._faults = {(line.call, line.occurrence): line.fault for line in lines}
 
     @classmethod
     def of(cls, *lines: tuple[str, int, Fault]) -> Script:
-        """From (call, occurrence, fault) triples."""
+        """A script of lines that are given as (call, occurrence, fault)."""
         return cls(ScriptedFault(*line) for line in lines)
 
     def fault(self, call: str, occurrence: int) -> Fault | None:
@@ -100,7 +100,7 @@
 
 
 class Periodic:
-    """Of every `every` calls of one name the last `burst` show the same fault, whatever else is called."""
+    """The last `burst` of each `every` calls of one name have the same fault; other calls have none."""
 
     def __init__(self, call: str, fault: Fault, every: int, burst: int = 1) -> None:
         self._call, self._fault = call, fault
@@ -108,15 +108,15 @@
 
     def fault(self, call: str, occurrence: int) -> Fault | None:
         """See `FaultSource`."""
-        shown = call == self._call and (occurrence - 1) % self._every >= self._every - self._burst
-        return self._fault if shown else None
+        in_burst = (occurrence - 1) % self._every >= self._every - self._burst
+        return self._fault if call == self._call and in_burst else None
 
 
 class RandomFaults:
-    """Each call goes wrong with a probability of one in `odds`, in one of the faults that its name has.
+    """Each call has a fault with a probability of one in `odds`, drawn from the faults of its name.
 
-    Every name draws from a generator of its own, seeded by (seed, name): what one call draws does not depend
-    on how often others were made. `odds_of` gives single names other odds.
+    Every name draws from a generator of its own, seeded by (seed, name), so that what one call draws does not
+    depend on how often others are made. `odds_of`: the odds of names that have other ones.
     """
 
     def __init__(
@@ -147,10 +147,10 @@
 
 
 class FaultPlan:
-    """Numbers the calls of each name, asks the source about each, and logs the faults it hands out.
+    """Numbers the calls of each name, asks the source about each, and logs the faults that it injects.
 
-    While it is paused calls are neither numbered nor failed: setting up and clearing away are no part of
-    what is played.
+    While it is paused, calls are neither numbered nor failed, so that what a test does to set up and to clean
+    up does not shift the faults of what it tests.
     """
 
     def __init__(self, source: FaultSource) -> None:
@@ -160,7 +160,7 @@
         self._source = source
 
     def inject(self, call: str) -> Fault | None:
-        """The fault that the call about to be made must show, or None where it goes well."""
+        """The fault that the call about to be made must have, or None."""
         if self.paused:
             return None
         self.occurrences[call] += 1
@@ -171,15 +171,15 @@
 
     @contextmanager
     def pause(self) -> Iterator[None]:
-        """No faults inside this block."""
-        before, self.paused = self.paused, True
+        """Pauses the plan inside this block."""
+        was_paused, self.paused = self.paused, True
         try:
             yield
         finally:
-            self.paused = before
+            self.paused = was_paused
 
     def report(self) -> str:
-        """The log as text, a line for each fault."""
+        """The log as text, one line for each fault."""
         return "\n".join(str(line) for line in self.log)
 
 
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -60,7 +60,7 @@
     def __init__(self, folder: Path, plan: FaultPlan, seed: int, hosts: int = 3) -> None:
         self.before = open_descriptors()
         self.plan, self.clock = plan, PlayClock()
-        self.faults = NetworkFaults(plan, wall=lambda: self.clock.now + EPOCH, wait=self.clock.wait)
+        self.faults = NetworkFaults(plan, base_clock=lambda: self.clock.now + EPOCH, wait=self.clock.wait)
         self.far = FarLoop(self.clock)
         self.hosts = [FarHost(self.far, f"s-{number}", str(seed)) for number in range(hosts)]
         self.log, self.peer = FarChangeLog(self.far), FarPeer(self.far)
