--- a/gaproute/faultinjection/play/far_client.py
+++ b/gaproute/faultinjection/play/far_client.py
@@ -27,18 +27,18 @@
     """A request as its client knows it."""
 
     number: int
-    lane: str
-    asked: int
-    span: int  # ns that the client waits
-    key: str = ""  # by which hosts know a repeat
+    request_class: str
+    sent_at: int
+    timeout: int  # ns that the client waits
+    idempotency_key: str = ""  # by which hosts know a repeat
     answers: list[tuple[int, str]] = field(default_factory=list)  # (when, "result" or the error's text)
-    left: int | None = None  # when its client left
-    lost: int | None = None  # when its connection ended unasked
+    left_at: int | None = None  # when its client left
+    lost_at: int | None = None  # when its connection ended unasked
     departure: Departure | None = None
-    excused: bool = False  # an injected fault ended its connection
+    broken_by_fault: bool = False  # an injected fault ended its connection
 
     @property
-    def mark(self) -> str:
+    def request_id(self) -> str:
         """Its id on the way to the hosts."""
         return f"{self.number:016x}"
 
@@ -46,40 +46,40 @@
 class FarClient:
     """One connection of a client, with any number of requests on it."""
 
-    def __init__(self, loop: FarLoop, where: tuple[str, int]) -> None:
+    def __init__(self, loop: FarLoop, address: tuple[str, int]) -> None:
         self.loop = loop
         self.requests: dict[int, FarRequest] = {}
         self.unmatched_answers: list[dict[str, Any]] = []  # answers that nobody asked for
         self.garbled: list[bytes] = []  # what cannot be read
-        self.leaving = False  # nothing more is asked on it
+        self.departing = False  # nothing more is asked on it
         self._buffer = b""
         self._unsent: list[bytes] = []  # pieces; one request after the other
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
-        sock.connect_ex(where)
-        self.name = sock.getsockname()
-        self.connection = FarConnection(loop, sock, self._came, self._ended)
+        sock.connect_ex(address)
+        self.local_address = sock.getsockname()
+        self.connection = FarConnection(loop, sock, self._receive, self._on_end)
 
     @property
     def open(self) -> bool:
         """Whether a request may be sent on it."""
         return self.connection.open
 
-    def ask(self, request: FarRequest, pieces: int = 1) -> None:
+    def send_request(self, request: FarRequest, pieces: int = 1) -> None:
         """Sends the request, its bytes in so many writes a few milliseconds apart."""
         self.requests[request.number] = request
-        data = framed(
+        data = frame_message(
             {
                 "jsonrpc": "2.0",
                 "id": request.number,
-                "method": request.lane,
+                "method": request.request_class,
                 "params": {
-                    "i": request.mark,
-                    "d": request.span // MILLI,
+                    "i": request.request_id,
+                    "d": request.timeout // MILLI,
                     "o": "7f3a9c21e0b4d655",
                     "arg": base64.b64encode(b"body %d" % request.number).decode(),
                     "extras": "memory_mb:512;lanes:2;load_ms:640",
-                    "k": request.key,
+                    "k": request.idempotency_key,
                 },
             }
         )
@@ -107,8 +107,8 @@
             return
         leaving = [request] if departure is Departure.ABORT else self.waiting()
         for each in leaving:
-            each.left, each.departure = self.loop.clock.now, departure
-        self.leaving = self.leaving or departure is not Departure.ABORT
+            each.left_at, each.departure = self.loop.clock.now, departure
+        self.departing = self.departing or departure is not Departure.ABORT
         match departure:
             case Departure.CLOSE:
                 self.connection.close()
@@ -118,13 +118,13 @@
                 self.connection.half_close()
             case Departure.ABORT:
                 params = {"id": request.number}
-                self._send([framed({"jsonrpc": "2.0", "method": "abort", "params": params})])
+                self._send([frame_message({"jsonrpc": "2.0", "method": "abort", "params": params})])
 
     def waiting(self) -> list[FarRequest]:
         """Requests whose client waits for an answer."""
-        return [each for each in self.requests.values() if not each.answers and each.left is None]
+        return [each for each in self.requests.values() if not each.answers and each.left_at is None]
 
-    def _came(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         self._buffer += data
         while b"\r\n\r\n" in self._buffer:
             head, _, rest = self._buffer.partition(b"\r\n\r\n")
@@ -138,9 +138,9 @@
                 self._buffer = b""
                 return
             self._buffer = rest[size:]
-            self._answered(answer)
+            self._record_answer(answer)
 
-    def _answered(self, answer: dict[str, Any]) -> None:
+    def _record_answer(self, answer: dict[str, Any]) -> None:
         request = self.requests.get(answer["id"]) if answer["id"] is not None else None
         if request is None:
             self.unmatched_answers.append(answer)
@@ -148,12 +148,12 @@
         text = "result" if "result" in answer else answer["error"]["message"]
         request.answers.append((self.loop.clock.now, text))
 
-    def _ended(self) -> None:
+    def _on_end(self) -> None:
         for request in self.waiting():
-            request.lost = self.loop.clock.now
+            request.lost_at = self.loop.clock.now
 
 
-def framed(message: dict[str, Any]) -> bytes:
+def frame_message(message: dict[str, Any]) -> bytes:
     """A message with its head."""
     body = json.dumps(message).encode()
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/gaproute/faultinjection/play/far_connection.py
+++ b/gaproute/faultinjection/play/far_connection.py
@@ -101,11 +101,11 @@
     def _ready(self, _: int) -> None:
         try:
             while True:
-                self.accepted(self._sock.accept()[0])
+                self.accept_connection(self._sock.accept()[0])
         except BlockingIOError:
             pass
 
-    def accepted(self, sock: socket.socket) -> None:
+    def accept_connection(self, sock: socket.socket) -> None:
         """A connection has come in."""
         raise NotImplementedError
 
--- a/gaproute/faultinjection/play/far_host.py
+++ b/gaproute/faultinjection/play/far_host.py
@@ -12,7 +12,7 @@
 from gaproute.faultinjection.play.far_connection import FarConnection, FarServer
 from gaproute.faultinjection.play.timeline import MILLI, FarLoop
 
-NEVER_RAN = ("overload", "not_here")  # answers of a host that prove it
+NEVER_RAN_ANSWERS = ("overload", "not_here")  # answers of a host that prove it
 
 
 @dataclass
@@ -20,10 +20,10 @@
     """A request as a host read it, whole."""
 
     host: str
-    mark: str
-    at: int
-    limit: int  # ns that the gateway said it waits
-    said: str | None = None  # what the host answered
+    request_id: str
+    received_at: int
+    timeout: int  # ns that the gateway said it waits
+    answer: str | None = None  # what the host answered
 
 
 class Behaviour(Enum):
@@ -36,7 +36,7 @@
     SILENT = "silent"
 
 
-WEIGHTS = {
+BEHAVIOUR_WEIGHTS = {
     Behaviour.SERVE: 80,
     Behaviour.OVERLOAD: 10,
     Behaviour.CRASH: 4,
@@ -58,7 +58,7 @@
         self.load_orders: list[int] = []  # when each came
         self._random = random.Random(f"{seed}/{name}")
 
-    def accepted(self, sock: socket.socket) -> None:
+    def accept_connection(self, sock: socket.socket) -> None:
         """A connection of the gateway."""
         buffer = bytearray()
 
@@ -67,7 +67,7 @@
             *lines, rest = bytes(buffer).split(b"\n")
             buffer[:] = rest
             for line in lines:
-                self._read(connection, line)
+                self._read_command(connection, line)
 
         def ended() -> None:
             if buffer:
@@ -76,37 +76,37 @@
         connection = FarConnection(self.loop, sock, came, ended)
         self.connections.append(connection)
 
-    def _read(self, connection: FarConnection, line: bytes) -> None:
+    def _read_command(self, connection: FarConnection, line: bytes) -> None:
         try:
             command = json.loads(line)
         except ValueError:
             self.garbled.append(line)
             connection.close()
         else:
-            self._command(connection, command)
+            self._handle_command(connection, command)
 
-    def _command(self, connection: FarConnection, command: dict[str, Any]) -> None:
+    def _handle_command(self, connection: FarConnection, command: dict[str, Any]) -> None:
         match command["type"]:
             case "go":
-                self._go(connection, command)
+                self._run(connection, command)
             case "stat" | "ping":
-                self._say(connection, command, "green", meta={"meter": "util:0.25;x0:0.5"})
+                self._write_answer(connection, command, "green", meta={"meter": "util:0.25;x0:0.5"})
             case "stage":
                 self.load_orders.append(self.loop.clock.now)
-                self._say(connection, command, "served", meta={"copies": command["meta"]["copies"]})
+                self._write_answer(connection, command, "served", meta={"copies": command["meta"]["copies"]})
 
-    def _go(self, connection: FarConnection, command: dict[str, Any]) -> None:
+    def _run(self, connection: FarConnection, command: dict[str, Any]) -> None:
         limit = command["meta"]["limit"] * MILLI
         attempt = ReceivedAttempt(self.name, command["req"], self.loop.clock.now, limit)
         self.attempts.append(attempt)
-        drawn = self._random.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
+        drawn = self._random.choices(list(BEHAVIOUR_WEIGHTS), list(BEHAVIOUR_WEIGHTS.values()))[0]
         behaviour = Behaviour.SERVE if self.reliable else drawn
         span = self._random.randrange(2, 40) * MILLI
         if behaviour is Behaviour.OVERLOAD:
             span = 0  # refused before it runs
-        self.loop.after(span, self._done, connection, command, attempt, behaviour)
+        self.loop.after(span, self._finish, connection, command, attempt, behaviour)
 
-    def _done(
+    def _finish(
         self,
         connection: FarConnection,
         command: dict[str, Any],
@@ -116,10 +116,10 @@
         if behaviour is Behaviour.RESET:
             connection.reset()
         elif behaviour is not Behaviour.SILENT:
-            attempt.said = behaviour.value
+            attempt.answer = behaviour.value
             fields = {"meta": {"tell": "w"}, "data": command["data"]} if behaviour is Behaviour.SERVE else {}
-            self._say(connection, command, behaviour.value, **fields)
+            self._write_answer(connection, command, behaviour.value, **fields)
 
     @staticmethod
-    def _say(connection: FarConnection, command: dict[str, Any], kind: str, **fields: Any) -> None:
+    def _write_answer(connection: FarConnection, command: dict[str, Any], kind: str, **fields: Any) -> None:
         connection.write(json.dumps({"type": kind, "req": command["req"]} | fields).encode() + b"\n")
--- a/gaproute/faultinjection/play/far_others.py
+++ b/gaproute/faultinjection/play/far_others.py
@@ -11,17 +11,17 @@
 from gaproute.faultinjection.play.far_connection import READ_SIZE, FarConnection, FarServer
 from gaproute.faultinjection.play.timeline import SECOND, FarLoop
 
-COMMENT = SECOND  # between the change log's signs of life
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"  # of the change log's answer
+COMMENT_INTERVAL = SECOND  # between the change log's signs of life
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"  # of the change log's answer
 
 
 @dataclass
-class Published:
+class PublishedEvent:
     """An event of the change log."""
 
-    number: int
+    seq: int
     phases: dict[str, str]  # of the hosts that it names
-    at: int
+    published_at: int
     first_sent_at: int | None = None  # when it was first written to the gateway, ns
 
 
@@ -30,11 +30,11 @@
 
     def __init__(self, loop: FarLoop) -> None:
         super().__init__(loop)
-        self.events: list[tuple[Published, bytes]] = []
-        self._following: list[FarConnection] = []
-        self.loop.after(COMMENT, self._comment)
+        self.events: list[tuple[PublishedEvent, bytes]] = []
+        self._followers: list[FarConnection] = []
+        self.loop.after(COMMENT_INTERVAL, self._comment)
 
-    def accepted(self, sock: socket.socket) -> None:
+    def accept_connection(self, sock: socket.socket) -> None:
         """The gateway follows."""
         buffer = bytearray()
 
@@ -43,19 +43,19 @@
             if b"\r\n\r\n" in buffer:
                 last = bytes(buffer).lower().partition(b"last-event-id:")[2].partition(b"\r\n")[0]
                 buffer.clear()
-                self._asked(connection, int(last))
+                self._follow_from(connection, int(last))
 
         connection = FarConnection(self.loop, sock, came, lambda: None)
         self.connections.append(connection)
 
-    def _asked(self, connection: FarConnection, last: int) -> None:
-        self._following = [connection]
-        connection.write(HEAD)
+    def _follow_from(self, connection: FarConnection, last: int) -> None:
+        self._followers = [connection]
+        connection.write(RESPONSE_HEAD)
         for published, data in self.events:
-            if published.number > last:
+            if published.seq > last:
                 self._send(connection, published, data)
 
-    def _send(self, connection: FarConnection, published: Published, data: bytes) -> None:
+    def _send(self, connection: FarConnection, published: PublishedEvent, data: bytes) -> None:
         if published.first_sent_at is None:
             published.first_sent_at = self.loop.clock.now
         connection.write(data)
@@ -63,17 +63,17 @@
     def publish(self, event: dict[str, Any]) -> None:
         """A further event, in the form of the log."""
         phases = {member["id"]: member["phase"] for member in event["fleet"]["members"]}
-        published = Published(event["seq"], phases, self.loop.clock.now)
+        published = PublishedEvent(event["seq"], phases, self.loop.clock.now)
         data = b"id: %d\ndata: %b\n\n" % (event["seq"], json.dumps(event).encode())
         self.events.append((published, data))
-        for connection in self._following:
+        for connection in self._followers:
             if connection.open:
                 self._send(connection, published, data)
 
     def _comment(self) -> None:
-        for connection in self._following:
+        for connection in self._followers:
             connection.write(b":\n\n")
-        self.loop.after(COMMENT, self._comment)
+        self.loop.after(COMMENT_INTERVAL, self._comment)
 
 
 class FarPeer:
@@ -93,9 +93,9 @@
         self.received.append(payload)
         self.send(payload, source)
 
-    def send(self, payload: bytes, where: tuple[str, int]) -> None:
+    def send(self, payload: bytes, address: tuple[str, int]) -> None:
         """Sends one datagram."""
-        self._sock.sendto(payload, where)
+        self._sock.sendto(payload, address)
 
     def close(self) -> None:
         """Closes."""
--- a/gaproute/faultinjection/play/rules.py
+++ b/gaproute/faultinjection/play/rules.py
@@ -13,20 +13,20 @@
 
 from gaproute.connections import AcceptedConnections
 from gaproute.faultinjection.play.far_client import FarClient, FarRequest
-from gaproute.faultinjection.play.far_host import NEVER_RAN, ReceivedAttempt
-from gaproute.faultinjection.play.scene import GUARDED, REPEAT_WINDOW, SINGLE_SHOT, Scene
+from gaproute.faultinjection.play.far_host import NEVER_RAN_ANSWERS, ReceivedAttempt
+from gaproute.faultinjection.play.scene import KEYED, NON_IDEMPOTENT, REPEAT_WINDOW, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 from gaproute.loop.addresses import address
 
 PACKAGE = "faultinjection"  # frames of these files are not the gateway's
 GRACE = 50 * MILLI  # by which an answer may be late
-LEFT_GRACE = 100 * MILLI  # after its client left, within which an attempt may still begin
+DEPARTURE_GRACE = 100 * MILLI  # after its client left, within which an attempt may still begin
 ANSWERED_GRACE = 20 * MILLI  # the same after the final answer: for what was on its way
 DEADLINE_SLACK = 150 * MILLI  # of the time limit that a host is sent
 DRAIN_GRACE = 500 * MILLI  # after the gateway has received that a host drains
-RECEIVED_AT_LAST = 4 * SECOND  # after which an event counts as received, even if its connection broke
-PROBING = 1  # connections to each host, by which an unused gateway goes on probing
-MAY_HAVE_RUN = "it may have run"  # in the reason of a final answer
+MAX_EVENT_DELAY = 4 * SECOND  # after which an event counts as received, even if its connection broke
+PROBE_CONNECTIONS = 1  # connections to each host, by which an unused gateway goes on probing
+MAY_HAVE_RUN_TEXT = "it may have run"  # in the reason of a final answer
 # Timers of a gateway that nobody uses, each at most once.
 STANDING_TIMERS = frozenset(
     (
@@ -79,21 +79,21 @@
 # From the far ends
 
 
-def excuse(scene: Scene) -> None:
+def mark_broken_requests(scene: Scene) -> None:
     """Marks the requests whose own connection an injected fault has broken, as the network would."""
     for client in scene.clients:
-        if client.name in scene.faults.call_faults.broken_peers:
+        if client.local_address in scene.faults.call_faults.broken_peers:
             for request in client.requests.values():
-                request.excused = True
+                request.broken_by_fault = True
 
 
 def judge_far_ends(scene: Scene) -> Iterator[Finding]:
     """The five rules, from what clients, hosts and the change log saw."""
-    excuse(scene)
+    mark_broken_requests(scene)
     attempts: dict[str, list[ReceivedAttempt]] = {}
     for host in scene.hosts:
         for attempt in host.attempts:
-            attempts.setdefault(attempt.mark, []).append(attempt)
+            attempts.setdefault(attempt.request_id, []).append(attempt)
     garbled = [data for client in scene.clients for data in client.garbled]
     garbled += [data for host in scene.hosts for data in host.garbled]
     for data in garbled:
@@ -102,82 +102,86 @@
         for answer in client.unmatched_answers:
             yield Finding(Check.ONE_ANSWER, f"an answer that nobody asked for: {answer}")
         for request in client.requests.values():
-            begun = sorted(attempts.get(request.mark, ()), key=lambda attempt: attempt.at)
-            yield from _answers(client, request)
-            yield from _attempts(request, begun)
-            yield from _repeats(request, begun)
+            begun = sorted(attempts.get(request.request_id, ()), key=lambda attempt: attempt.received_at)
+            yield from _check_answers(client, request)
+            yield from _check_attempts(request, begun)
+            yield from _check_repeats(request, begun)
             if not begun:
-                yield from _never_sent(scene, request)
-    yield from _draining(scene)
+                yield from _check_unsent(scene, request)
+    yield from _check_draining(scene)
 
 
-def _answers(client: FarClient, request: FarRequest) -> Iterator[Finding]:
-    name = f"request {request.number} ({request.lane})"
+def _check_answers(client: FarClient, request: FarRequest) -> Iterator[Finding]:
+    name = f"request {request.number} ({request.request_class})"
     if len(request.answers) > 1:
         yield Finding(Check.ONE_ANSWER, f"{name} has {len(request.answers)} answers: {request.answers}")
-    if request.excused or request.left is not None:
+    if request.broken_by_fault or request.left_at is not None:
         return
     if not request.answers:
-        how = "its connection was closed" if request.lost else f"nothing came on {client.name}"
+        how = "its connection was closed" if request.lost_at else f"nothing came on {client.local_address}"
         yield Finding(Check.ONE_ANSWER, f"{name} has no answer: {how}")
         return
-    late = request.answers[0][0] - request.asked - request.span
+    late = request.answers[0][0] - request.sent_at - request.timeout
     if late > GRACE:
         yield Finding(Check.IN_TIME, f"{name} was answered {late // MILLI} ms after its deadline")
 
 
-def _attempts(request: FarRequest, attempts: list[ReceivedAttempt]) -> Iterator[Finding]:
-    gone = min((at for at in (request.left, request.lost) if at is not None), default=None)
+def _check_attempts(request: FarRequest, attempts: list[ReceivedAttempt]) -> Iterator[Finding]:
+    gone = min((at for at in (request.left_at, request.lost_at) if at is not None), default=None)
     for attempt in attempts:
         name = f"request {request.number} at {attempt.host}"
-        if gone is not None and attempt.at > gone + LEFT_GRACE:
-            span = (attempt.at - gone) // MILLI
+        if gone is not None and attempt.received_at > gone + DEPARTURE_GRACE:
+            span = (attempt.received_at - gone) // MILLI
             yield Finding(Check.NOT_FOR_NOBODY, f"{name} began {span} ms after its client left")
-        if request.answers and attempt.at > request.answers[0][0] + ANSWERED_GRACE:
+        if request.answers and attempt.received_at > request.answers[0][0] + ANSWERED_GRACE:
             yield Finding(Check.NOT_AFTER_ANSWER, f"{name} began after the final answer")
-        over = attempt.at + attempt.limit - request.asked - request.span
+        over = attempt.received_at + attempt.timeout - request.sent_at - request.timeout
         if over > DEADLINE_SLACK:
             yield Finding(Check.DEADLINE_SENT, f"{name} was sent {over // MILLI} ms too much")
 
 
-def _repeats(request: FarRequest, attempts: list[ReceivedAttempt]) -> Iterator[Finding]:
-    ran = [attempt for attempt in attempts if attempt.said not in NEVER_RAN]
+def _check_repeats(request: FarRequest, attempts: list[ReceivedAttempt]) -> Iterator[Finding]:
+    ran = [attempt for attempt in attempts if attempt.answer not in NEVER_RAN_ANSWERS]
     hosts = [attempt.host for attempt in ran]
-    if request.lane == SINGLE_SHOT and len(ran) > 1:
+    if request.request_class == NON_IDEMPOTENT and len(ran) > 1:
         yield Finding(Check.NOT_TWICE, f"request {request.number} ran at {hosts}")
-    if request.lane == GUARDED and ran and ran[-1].at > ran[0].at + REPEAT_WINDOW + ANSWERED_GRACE:
+    if (
+        request.request_class == KEYED
+        and ran
+        and ran[-1].received_at > ran[0].received_at + REPEAT_WINDOW + ANSWERED_GRACE
+    ):
         yield Finding(Check.NOT_TWICE, f"request {request.number} ran at {hosts}, the last past its window")
 
 
-def _never_sent(scene: Scene, request: FarRequest) -> Iterator[Finding]:
+def _check_unsent(scene: Scene, request: FarRequest) -> Iterator[Finding]:
     """A command that was cut short may have been this one's: the host cannot tell."""
     for at, text in request.answers:
-        cut = [when for host in scene.hosts for when in host.cut_short if request.asked <= when <= at]
-        if MAY_HAVE_RUN in text and not cut:
-            yield Finding(Check.TRIED_AGAIN, f"request {request.number} ({request.lane}): {text}")
+        cut = [when for host in scene.hosts for when in host.cut_short if request.sent_at <= when <= at]
+        if MAY_HAVE_RUN_TEXT in text and not cut:
+            yield Finding(Check.TRIED_AGAIN, f"request {request.number} ({request.request_class}): {text}")
 
 
-def _draining(scene: Scene) -> Iterator[Finding]:
-    broken = address(scene.log.address)[1] in scene.faults.call_faults.broken_peers
+def _check_draining(scene: Scene) -> Iterator[Finding]:
+    broken = address(scene.change_log.address)[1] in scene.faults.call_faults.broken_peers
     for host in scene.hosts:
-        begun = [attempt.at for attempt in host.attempts] + host.load_orders
-        for start, end in _drained(scene, host.name, broken=broken):
+        begun = [attempt.received_at for attempt in host.attempts] + host.load_orders
+        for start, end in _draining_periods(scene, host.name, broken=broken):
             late = [at for at in begun if start + DRAIN_GRACE < at < end]
             if late:
                 span = (late[0] - start) // MILLI
                 yield Finding(Check.DRAINING_RESPECTED, f"{host.name} was sent to {span} ms after it drained")
 
 
-def _drained(scene: Scene, host: str, *, broken: bool) -> Iterator[tuple[int, int]]:
+def _draining_periods(scene: Scene, host: str, *, broken: bool) -> Iterator[tuple[int, int]]:
     """From when to when the gateway knew that the host drains."""
     start = None
-    for published, _ in scene.log.events:
+    for published, _ in scene.change_log.events:
         phase = published.phases.get(host)
         if phase == "Terminating":
             sure = published.first_sent_at if published.first_sent_at is not None and not broken else None
-            start = sure if sure is not None else published.at + RECEIVED_AT_LAST
+            start = sure if sure is not None else published.published_at + MAX_EVENT_DELAY
         elif phase is not None and start is not None:
-            yield start, published.at
+            yield start, published.published_at
             start = None
     if start is not None:
         yield start, scene.clock.now
@@ -186,7 +190,7 @@
 # From what the gateway holds
 
 
-def judge_rest(scene: Scene) -> Iterator[Finding]:
+def judge_idle_gateway(scene: Scene) -> Iterator[Finding]:
     """Of a gateway that runs and that nobody has used for a while."""
     core, front, connections = scene.process.core, scene.process.front, AcceptedConnections.of(scene.loop)
     held = {
@@ -196,7 +200,9 @@
         "streams that close": len(scene.loop.closing_streams),
     }
     for host in scene.process.hosts.hosts.values():
-        held[f"connections to {host.name} beside its probes'"] = max(0, len(host.connections) - PROBING)
+        held[f"connections to {host.name} beside its probes'"] = max(
+            0, len(host.connections) - PROBE_CONNECTIONS
+        )
     for name, count in held.items():
         if count:
             yield Finding(Check.HELD, f"{name}: {count}")
@@ -204,13 +210,13 @@
     extra = [name for name in timers if name not in STANDING_TIMERS or timers.count(name) > 1]
     if extra:
         yield Finding(Check.TIMERS, f"{extra}")
-    yield from _watched(scene)
+    yield from _check_watched(scene)
     unknown = scene.unaccounted_descriptors()
     if unknown:
         yield Finding(Check.DESCRIPTORS, f"{len(unknown)} open that belong to nobody")
 
 
-def _watched(scene: Scene) -> Iterator[Finding]:
+def _check_watched(scene: Scene) -> Iterator[Finding]:
     process = scene.process
     wanted = {process.front.listener.sock.fileno()}
     if process.peers.datagrams is not None:
@@ -226,11 +232,11 @@
 
 def judge_errors(scene: Scene) -> Iterator[Finding]:
     """Errors that escaped a callback or a turn of the loop, each kind of them once."""
-    for text in dict.fromkeys(map(_described, scene.errors)):
+    for text in dict.fromkeys(map(_describe, scene.errors)):
         yield Finding(Check.NO_ERROR, text)
 
 
-def _described(error: BaseException) -> str:
+def _describe(error: BaseException) -> str:
     """The error and the way to it through the gateway, the innermost call last."""
     frames = [frame for frame in traceback.extract_tb(error.__traceback__) if PACKAGE not in frame.filename]
     way = " > ".join(f"{Path(frame.filename).name}:{frame.lineno} {frame.name}" for frame in frames)
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -13,14 +13,14 @@
 from gaproute.faultinjection.play import rules
 from gaproute.faultinjection.play.far_client import FarRequest
 from gaproute.faultinjection.play.rules import Check, Finding
-from gaproute.faultinjection.play.scene import LANES, Scene, StuckError
+from gaproute.faultinjection.play.scene import REQUEST_CLASSES, Scene, StuckError
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 from gaproute.faultinjection.play.traffic import Conditions, Traffic
 
-AFTERMATH = 4 * SECOND  # without faults: all requests are over, an ejected host is tried again
-QUIET = 18 * SECOND  # after the last client: idle connections have come to their ends
-RECOVERY_SPAN = 1500 * MILLI  # of a request once the faults are over
-MOST_STARTS = 20
+RECOVERY_TIME = 4 * SECOND  # without faults: all requests are over, an ejected host is tried again
+IDLE_TIME = 18 * SECOND  # after the last client: idle connections have come to their ends
+RECOVERY_TIMEOUT = 1500 * MILLI  # of a request once the faults are over
+MAX_STARTS = 20
 STOP_TIME = 4 * SECOND  # after the stop: the longest deadline, and what SIGTERM grants beyond it
 
 
@@ -65,45 +65,45 @@
         scene = Scene(Path(folder), FaultPlan(source), seed, conditions.hosts)
         try:
             before_start(scene)
-            verdict.findings += _played(scene, seed, conditions)
+            verdict.findings += _play_and_judge(scene, seed, conditions)
         except StuckError as error:
             verdict.findings.append(Finding(Check.NO_SPIN, str(error)))
         finally:
             scene.close()
         verdict.injected = scene.plan.log
-        _count(scene, verdict)
+        _count_requests(scene, verdict)
         scene.errors.clear()  # their frames hold sockets
         gc.collect()
     return verdict
 
 
-def _count(scene: Scene, verdict: Verdict) -> None:
+def _count_requests(scene: Scene, verdict: Verdict) -> None:
     for client in scene.clients:
         for request in client.requests.values():
             verdict.requests += 1
             verdict.delivered += any(text == "result" for _, text in request.answers)
 
 
-def _played(scene: Scene, seed: int, conditions: Conditions) -> Iterator[Finding]:
+def _play_and_judge(scene: Scene, seed: int, conditions: Conditions) -> Iterator[Finding]:
     scene.plan.paused = not conditions.faulty_start
-    yield from _started(scene)
+    yield from _start_gateway(scene)
     scene.plan.paused = False
     Traffic(scene, seed, conditions)
-    scene.passes(conditions.length)
+    scene.run_for(conditions.length)
     scene.plan.paused = True
     if conditions.stop:
-        yield from _stopped(scene)
+        yield from _check_stop(scene)
     else:
-        scene.passes(AFTERMATH)
-        yield from _recovered(scene)
-        yield from _at_rest(scene)
+        scene.run_for(RECOVERY_TIME)
+        yield from _check_recovery(scene)
+        yield from _check_idle(scene)
     yield from rules.judge_far_ends(scene)
     yield from rules.judge_errors(scene)
 
 
-def _started(scene: Scene) -> Iterator[Finding]:
+def _start_gateway(scene: Scene) -> Iterator[Finding]:
     """A start that failed is begun anew, as the program does; it must have left nothing behind."""
-    for _ in range(MOST_STARTS):
+    for _ in range(MAX_STARTS):
         try:
             scene.process.start()
             return
@@ -112,51 +112,51 @@
     yield Finding(Check.STARTS, repr(last))
 
 
-def _stopped(scene: Scene) -> Iterator[Finding]:
-    scene.passes(STOP_TIME)
+def _check_stop(scene: Scene) -> Iterator[Finding]:
+    scene.run_for(STOP_TIME)
     if scene.loop.running:
         yield Finding(Check.STOPS, f"it holds {len(scene.process.core.in_flight)} requests")
     scene.close_gateway()
     scene.loop.running = True  # the far ends' last timers
-    scene.passes(RECOVERY_SPAN)
+    scene.run_for(RECOVERY_TIMEOUT)
 
 
-def _recovered(scene: Scene) -> Iterator[Finding]:
+def _check_recovery(scene: Scene) -> Iterator[Finding]:
     """A request of each class, on a connection of its own, is delivered; gateways hear each other."""
     for host in scene.hosts:
         host.reliable = True
     asked = []
     received = len(scene.peer.received)
-    for number, lane in enumerate(LANES, 1_000_000):
-        request = FarRequest(number, lane, scene.clock.now, RECOVERY_SPAN, key=f"key-{number}")
-        scene.client().ask(request)
+    for number, lane in enumerate(REQUEST_CLASSES, 1_000_000):
+        request = FarRequest(number, lane, scene.clock.now, RECOVERY_TIMEOUT, idempotency_key=f"key-{number}")
+        scene.connect_client().send_request(request)
         asked.append(request)
-    scene.passes(RECOVERY_SPAN)
+    scene.run_for(RECOVERY_TIMEOUT)
     for request in asked:
         if [text for _, text in request.answers] != ["result"]:
-            yield Finding(Check.RECOVERS, f"a {request.lane} request got {request.answers}")
+            yield Finding(Check.RECOVERS, f"a {request.request_class} request got {request.answers}")
     if len(scene.peer.received) == received:
         yield Finding(Check.PEERS_RECOVER, "it sends other gateways nothing any more")
-    yield from _hears_peers(scene)
+    yield from _check_peers(scene)
 
 
-def _hears_peers(scene: Scene) -> Iterator[Finding]:
+def _check_peers(scene: Scene) -> Iterator[Finding]:
     datagrams, before = scene.process.peers.datagrams, scene.peer_messages
     if datagrams is None:
         yield Finding(Check.PEERS_RECOVER, "it listens for other gateways no more")
         return
     for payload in scene.peer.received[-1:]:
         scene.peer.send(payload, datagrams.sock.getsockname())
-    scene.passes(100 * MILLI)
+    scene.run_for(100 * MILLI)
     if scene.peer_messages == before:
         yield Finding(Check.PEERS_RECOVER, "it hears other gateways no more")
 
 
-def _at_rest(scene: Scene) -> Iterator[Finding]:
+def _check_idle(scene: Scene) -> Iterator[Finding]:
     for client in scene.clients:
         client.connection.close()
-    scene.passes(QUIET)
-    yield from rules.judge_rest(scene)
+    scene.run_for(IDLE_TIME)
+    yield from rules.judge_idle_gateway(scene)
 
 
 def reduce_faults(
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -27,17 +27,17 @@
 EPOCH = 1_800_000_000 * SECOND  # that the wall clock is ahead of the play's monotonic one
 HOSTS_AGE = 86_400 * SECOND  # more than the wall clock is stepped: the hosts are warm
 TURN_TIME = 20 * MICRO  # that a turn with something to do takes
-MOST_TURNS = 20_000  # of a play, which has some 2,000; one that needs more is stuck
+MAX_TURNS = 20_000  # of a play, which has some 2,000; one that needs more is stuck
 REPEAT_WINDOW = 700 * MILLI  # for which hosts know a request by its key
 
-FREE, SINGLE_SHOT, GUARDED = "fault-check", "repair-order", "plan"
-LANES = (FREE, SINGLE_SHOT, GUARDED)
+IDEMPOTENT, NON_IDEMPOTENT, KEYED = "fault-check", "repair-order", "plan"
+REQUEST_CLASSES = (IDEMPOTENT, NON_IDEMPOTENT, KEYED)
 SETTINGS: dict[str, Any] = sample_settings(
     [
-        {"name": FREE, "effect": "free", "aim": 500.0, "deadline": 3000.0, "worth": 3.0},
-        {"name": SINGLE_SHOT, "effect": "single_shot", "aim": 500.0, "deadline": 3000.0},
+        {"name": IDEMPOTENT, "effect": "free", "aim": 500.0, "deadline": 3000.0, "worth": 3.0},
+        {"name": NON_IDEMPOTENT, "effect": "single_shot", "aim": 500.0, "deadline": 3000.0},
         {
-            "name": GUARDED,
+            "name": KEYED,
             "effect": "guarded",
             "group": "all",
             "dedup_window": REPEAT_WINDOW / MILLI,
@@ -58,12 +58,12 @@
     the gateway's loop. The gateway is made paused: `start` may be played under faults or not."""
 
     def __init__(self, folder: Path, plan: FaultPlan, seed: int, hosts: int = 3) -> None:
-        self.before = open_descriptors()
+        self.descriptors_before = open_descriptors()
         self.plan, self.clock = plan, PlayClock()
         self.faults = NetworkFaults(plan, base_clock=lambda: self.clock.now + EPOCH, wait=self.clock.wait)
-        self.far = FarLoop(self.clock)
-        self.hosts = [FarHost(self.far, f"s-{number}", str(seed)) for number in range(hosts)]
-        self.log, self.peer = FarChangeLog(self.far), FarPeer(self.far)
+        self.far_loop = FarLoop(self.clock)
+        self.hosts = [FarHost(self.far_loop, f"s-{number}", str(seed)) for number in range(hosts)]
+        self.change_log, self.peer = FarChangeLog(self.far_loop), FarPeer(self.far_loop)
         self.clients: list[FarClient] = []
         self.errors: list[BaseException] = []
         self.turns, self._events = 0, 1  # the first is in the configuration
@@ -88,7 +88,7 @@
             "name": "n1",
             "listen": "127.0.0.1:0",
             "seed": "8c1f",
-            "changelog": self.log.address,
+            "changelog": self.change_log.address,
             "peer_listen": "127.0.0.1:0",
             "peers_all": self.peer.address,
             "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256},
@@ -120,22 +120,22 @@
     # Driving
 
     @property
-    def where(self) -> Any:
+    def gateway_address(self) -> Any:
         """Where the gateway listens, as a socket address."""
         return address(self.process.front.address)[1]
 
-    def client(self) -> FarClient:
+    def connect_client(self) -> FarClient:
         """A new connection of a client."""
-        self.clients.append(FarClient(self.far, self.where))
+        self.clients.append(FarClient(self.far_loop, self.gateway_address))
         return self.clients[-1]
 
     def publish(self, **phases: str) -> None:
         """An event of the change log; host names with `_` for `-`."""
         self._events += 1
         named = {name.replace("_", "-"): phase for name, phase in phases.items()}
-        self.log.publish(self._event(self._events, named))
+        self.change_log.publish(self._event(self._events, named))
 
-    def passes(self, span: int) -> None:
+    def run_for(self, span: int) -> None:
         """So much time goes by, or less where the gateway's loop stops. Errors: StuckError."""
         until = self.clock.now + span
         while self.clock.now < until and self.loop.running:
@@ -144,9 +144,9 @@
     def _turn(self, until: int) -> None:
         self.turns += 1
         self.clock.now += TURN_TIME
-        if self.turns > MOST_TURNS:
-            raise StuckError(f"{MOST_TURNS} turns at {self.clock.now}")
-        worked = self.far.turn()
+        if self.turns > MAX_TURNS:
+            raise StuckError(f"{MAX_TURNS} turns at {self.clock.now}")
+        worked = self.far_loop.turn()
         self.clock.idle = True
         try:
             self.loop.turn()
@@ -155,10 +155,10 @@
             return
         if worked or not self.clock.idle or self.loop.callbacks or self.loop.admission_pending:
             return
-        if arrives_soon(self.loop.epoll.fileno(), self.far.epoll.fileno()):
+        if arrives_soon(self.loop.epoll.fileno(), self.far_loop.epoll.fileno()):
             return
         timers = self.loop.timers
-        due = min(until, math.ceil(timers[0][0]) if timers else until, self.far.next_due() or until)
+        due = min(until, math.ceil(timers[0][0]) if timers else until, self.far_loop.next_due() or until)
         self.clock.now = max(self.clock.now, due)
 
     # What is there
@@ -176,7 +176,7 @@
         connections = AcceptedConnections.of(self.loop)
         parked = {descriptor for descriptor, state in enumerate(connections.states) if state != NOT_PARKED}
         known = parked | set(self.loop.watched) | {self.loop.epoll.fileno(), self.loop.parked_epoll.fileno()}
-        return open_descriptors() - self.before - known - self.far.descriptors()
+        return open_descriptors() - self.descriptors_before - known - self.far_loop.descriptors()
 
     # The end
 
@@ -193,9 +193,9 @@
             client.connection.close()
         for host in self.hosts:
             host.close()
-        self.log.close()
+        self.change_log.close()
         self.peer.close()
-        self.far.close()
+        self.far_loop.close()
         self._path.unlink()
 
 
--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -7,14 +7,14 @@
 
 from gaproute.faultinjection.catalog import CLOCK_STEP_SIZES
 from gaproute.faultinjection.play.far_client import Departure, FarClient, FarRequest
-from gaproute.faultinjection.play.scene import FREE, GUARDED, LANES, SINGLE_SHOT, Scene
+from gaproute.faultinjection.play.scene import IDEMPOTENT, KEYED, NON_IDEMPOTENT, REQUEST_CLASSES, Scene
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 
-WEIGHTS = {FREE: 2, SINGLE_SHOT: 2, GUARDED: 1}
-SPANS = (400 * MILLI, 1000 * MILLI, 1500 * MILLI)  # that clients wait
-REUSED = 0.6  # of the requests go on a connection that is open
+CLASS_WEIGHTS = {IDEMPOTENT: 2, NON_IDEMPOTENT: 2, KEYED: 1}
+TIMEOUTS = (400 * MILLI, 1000 * MILLI, 1500 * MILLI)  # that clients wait
+REUSED_SHARE = 0.6  # of the requests go on a connection that is open
 LATEST_DEPARTURE = 60 * MILLI  # after the request
-MOST_PIECES = 3  # that a request is sent in
+MAX_PIECES = 3  # that a request is sent in
 DRAIN_TIME = SECOND
 
 
@@ -50,25 +50,29 @@
             self._plan_drain(conditions.length)
         for _ in range(conditions.clock_steps):
             span = self._random.choice(CLOCK_STEP_SIZES) * self._random.choice((SECOND, -SECOND))
-            scene.far.after(self._random.randrange(conditions.length), scene.faults.wall_clock.step, span)
+            scene.far_loop.after(
+                self._random.randrange(conditions.length), scene.faults.wall_clock.step, span
+            )
         if conditions.stop:
-            scene.far.after(conditions.length // 2, self._stop)
+            scene.far_loop.after(conditions.length // 2, self._stop)
 
     def _plan_request(self, number: int, conditions: Conditions) -> None:
         draw = self._random
-        request = FarRequest(number, draw.choices(LANES, [WEIGHTS[lane] for lane in LANES])[0], 0, 0)
-        request.span = draw.choice(SPANS)
-        request.key = f"key-{number}" if request.lane == GUARDED else ""
-        place = draw.random() if draw.random() < REUSED else None
-        pieces = draw.randint(1, MOST_PIECES)
+        request = FarRequest(
+            number, draw.choices(REQUEST_CLASSES, [CLASS_WEIGHTS[lane] for lane in REQUEST_CLASSES])[0], 0, 0
+        )
+        request.timeout = draw.choice(TIMEOUTS)
+        request.idempotency_key = f"key-{number}" if request.request_class == KEYED else ""
+        place = draw.random() if draw.random() < REUSED_SHARE else None
+        pieces = draw.randint(1, MAX_PIECES)
         departure = draw.choice(list(Departure)) if draw.random() < conditions.departures else None
         at, leaves = draw.randrange(conditions.length), draw.randrange(LATEST_DEPARTURE)
-        self.scene.far.after(at, self._ask, request, place, pieces)
+        self.scene.far_loop.after(at, self._ask, request, place, pieces)
         if departure is not None:
-            self.scene.far.after(at + leaves, self._leave, request, departure)
+            self.scene.far_loop.after(at + leaves, self._leave, request, departure)
 
     def _plan_drain(self, length: int) -> None:
-        far, name = self.scene.far, self._random.choice([host.name for host in self.scene.hosts])
+        far, name = self.scene.far_loop, self._random.choice([host.name for host in self.scene.hosts])
         at = self._random.randrange(length // 2)
         far.after(at, self._publish, name, "Terminating")
         far.after(at + DRAIN_TIME, self._publish, name, "Ready")
@@ -79,16 +83,16 @@
     def _ask(self, request: FarRequest, place: float | None, pieces: int) -> None:
         client = self._client(place)
         if client is not None:
-            request.asked = self.scene.clock.now
+            request.sent_at = self.scene.clock.now
             self.requests.append((client, request))
-            client.ask(request, pieces)
+            client.send_request(request, pieces)
 
     def _client(self, place: float | None) -> FarClient | None:
         """An open connection by that share of them, else a new one; None where nobody listens any more."""
-        usable = [client for client in self.scene.clients if client.open and not client.leaving]
+        usable = [client for client in self.scene.clients if client.open and not client.departing]
         if place is not None and usable:
             return usable[int(place * len(usable))]
-        return None if self._stopped else self.scene.client()
+        return None if self._stopped else self.scene.connect_client()
 
     def _leave(self, request: FarRequest, departure: Departure) -> None:
         for client, asked in self.requests:
