--- a/gaproute/faultinjection/play/far_client.py
+++ b/gaproute/faultinjection/play/far_client.py
@@ -1,4 +1,4 @@
-"""A client's connection on a plain socket: its requests, how they are left, and what was answered."""
+"""A client's connection on a plain socket: its requests, how it leaves them, and their answers."""
 
 from __future__ import annotations
 
@@ -7,14 +7,16 @@
 import socket
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
 
-from gaproute.faultinjection.play.far_connection import FarConnection
+from gaproute.faultinjection.play.far_connection import FarConnection, JsonObject
 from gaproute.faultinjection.play.timeline import MILLI, FarLoop
+from gaproute.loop.addresses import SocketAddress
+
+HEADER_END = b"\r\n\r\n"
 
 
 class Departure(Enum):
-    """How a client leaves a request before its answer."""
+    """How a client leaves a request that has no answer yet."""
 
     CLOSE = "close"
     RESET = "reset"
@@ -24,36 +26,36 @@
 
 @dataclass
 class FarRequest:
-    """A request as its client knows it."""
+    """A request as its client sees it. Times are ns of the play's clock."""
 
     number: int
     request_class: str
     sent_at: int
     timeout: int  # ns that the client waits
-    idempotency_key: str = ""  # by which hosts know a repeat
-    answers: list[tuple[int, str]] = field(default_factory=list)  # (when, "result" or the error's text)
-    left_at: int | None = None  # when its client left
-    lost_at: int | None = None  # when its connection ended unasked
+    idempotency_key: str = ""  # by which a host recognizes a repeated request
+    answers: list[tuple[int, str]] = field(default_factory=list)  # (when, "result" or the text of the error)
+    left_at: int | None = None  # when its client left it
+    lost_at: int | None = None  # when the other side ended its connection
     departure: Departure | None = None
-    broken_by_fault: bool = False  # an injected fault ended its connection
+    broken_by_fault: bool = False  # whether an injected fault has ended its connection
 
     @property
     def request_id(self) -> str:
-        """Its id on the way to the hosts."""
+        """The id by which hosts know it."""
         return f"{self.number:016x}"
 
 
 class FarClient:
     """One connection of a client, with any number of requests on it."""
 
-    def __init__(self, loop: FarLoop, address: tuple[str, int]) -> None:
+    def __init__(self, loop: FarLoop, address: SocketAddress) -> None:
         self.loop = loop
         self.requests: dict[int, FarRequest] = {}
-        self.unmatched_answers: list[dict[str, Any]] = []  # answers that nobody asked for
-        self.garbled: list[bytes] = []  # what cannot be read
-        self.departing = False  # nothing more is asked on it
+        self.unmatched_answers: list[JsonObject] = []  # to no request of this connection
+        self.garbled: list[bytes] = []  # bytes that are no answer
+        self.departing = False  # whether no further request is sent on it
         self._buffer = b""
-        self._unsent: list[bytes] = []  # pieces; one request after the other
+        self._unsent: list[bytes] = []  # pieces of messages, in their order
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.connect_ex(address)
@@ -62,27 +64,13 @@
 
     @property
     def open(self) -> bool:
-        """Whether a request may be sent on it."""
+        """Whether the connection is open."""
         return self.connection.open
 
     def send_request(self, request: FarRequest, pieces: int = 1) -> None:
-        """Sends the request, its bytes in so many writes a few milliseconds apart."""
+        """Sends the request, its bytes split over `pieces` writes, one each millisecond."""
         self.requests[request.number] = request
-        data = frame_message(
-            {
-                "jsonrpc": "2.0",
-                "id": request.number,
-                "method": request.request_class,
-                "params": {
-                    "i": request.request_id,
-                    "d": request.timeout // MILLI,
-                    "o": "7f3a9c21e0b4d655",
-                    "arg": base64.b64encode(b"body %d" % request.number).decode(),
-                    "extras": "memory_mb:512;lanes:2;load_ms:640",
-                    "k": request.idempotency_key,
-                },
-            }
-        )
+        data = frame_message(request_message(request))
         size = -(-len(data) // pieces)
         self._send([data[place : place + size] for place in range(0, len(data), size)])
 
@@ -94,15 +82,15 @@
 
     def _send_piece(self) -> None:
         self.connection.write(self._unsent[0])
-        self.loop.after(MILLI, self._sent_piece)
+        self.loop.after(MILLI, self._finish_piece)
 
-    def _sent_piece(self) -> None:
+    def _finish_piece(self) -> None:
         self._unsent.pop(0)
         if self._unsent:
             self._send_piece()
 
     def leave(self, request: FarRequest, departure: Departure) -> None:
-        """The client no longer waits; all that is open on the connection goes with it, but for an abort."""
+        """The client leaves the request; unless by an abort, it leaves all open ones of the connection."""
         if not self.open or request.answers:
             return
         leaving = [request] if departure is Departure.ABORT else self.waiting()
@@ -121,13 +109,13 @@
                 self._send([frame_message({"jsonrpc": "2.0", "method": "abort", "params": params})])
 
     def waiting(self) -> list[FarRequest]:
-        """Requests whose client waits for an answer."""
+        """The requests for whose answers the client waits."""
         return [each for each in self.requests.values() if not each.answers and each.left_at is None]
 
     def _receive(self, data: bytes) -> None:
         self._buffer += data
-        while b"\r\n\r\n" in self._buffer:
-            head, _, rest = self._buffer.partition(b"\r\n\r\n")
+        while HEADER_END in self._buffer:
+            head, _, rest = self._buffer.partition(HEADER_END)
             try:
                 size = int(head.split(b":")[1])
                 if len(rest) < size:
@@ -140,7 +128,7 @@
             self._buffer = rest[size:]
             self._record_answer(answer)
 
-    def _record_answer(self, answer: dict[str, Any]) -> None:
+    def _record_answer(self, answer: JsonObject) -> None:
         request = self.requests.get(answer["id"]) if answer["id"] is not None else None
         if request is None:
             self.unmatched_answers.append(answer)
@@ -153,7 +141,24 @@
             request.lost_at = self.loop.clock.now
 
 
-def frame_message(message: dict[str, Any]) -> bytes:
-    """A message with its head."""
+def request_message(request: FarRequest) -> JsonObject:
+    """The message that sends a request, in the protocol of the platform."""
+    return {
+        "jsonrpc": "2.0",
+        "id": request.number,
+        "method": request.request_class,
+        "params": {
+            "i": request.request_id,
+            "d": request.timeout // MILLI,
+            "o": "7f3a9c21e0b4d655",
+            "arg": base64.b64encode(b"body %d" % request.number).decode(),
+            "extras": "memory_mb:512;lanes:2;load_ms:640",
+            "k": request.idempotency_key,
+        },
+    }
+
+
+def frame_message(message: JsonObject) -> bytes:
+    """The bytes of a message, with its header."""
     body = json.dumps(message).encode()
     return b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
--- a/gaproute/faultinjection/play/far_connection.py
+++ b/gaproute/faultinjection/play/far_connection.py
@@ -1,4 +1,4 @@
-"""A connected socket and a listening one, plain ones, on the far ends' loop."""
+"""A connected socket and a listening one on the loop of the far ends. No fault is injected into them."""
 
 from __future__ import annotations
 
@@ -7,14 +7,19 @@
 import socket
 import struct
 from collections.abc import Callable
+from typing import Any
 
 from gaproute.faultinjection.play.timeline import FarLoop
 
+JsonObject = dict[str, Any]  # a message in one of the protocols of the far ends
 READ_SIZE = 65536  # bytes of one read
 
 
 class FarConnection:
-    """A connected plain socket. `on_bytes(data)`, `on_end()` once."""
+    """A connected plain socket.
+
+    `on_bytes(data)` is called with what arrives, `on_end()` once if the other side ends the connection.
+    """
 
     def __init__(
         self,
@@ -28,11 +33,11 @@
         self.open = True
         self._out = b""
         self.sock.setblocking(False)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # the kernel's timers are real ones
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # Nagle delays by real time
         loop.watch(sock.fileno(), select.EPOLLIN, self._ready)
 
     def write(self, data: bytes) -> None:
-        """Sends the bytes, as the kernel takes them."""
+        """Sends the bytes, as soon as the kernel takes them."""
         if self.open:
             self._out += data
             self._flush()
@@ -44,7 +49,7 @@
             sent = 0
         except OSError:
             self._out = b""
-            return  # reading reports the end
+            return  # the next read finds the end of the connection
         self._out = self._out[sent:]
         events = select.EPOLLIN | (select.EPOLLOUT if self._out else 0)
         self.loop.rewatch(self.sock.fileno(), events)
@@ -69,26 +74,26 @@
             self.on_end()
 
     def half_close(self) -> None:
-        """Sends no more, and reads on."""
+        """Closes the sending side; reading goes on."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_WR)
 
     def close(self) -> None:
-        """Closes; `on_end` is not called."""
+        """Closes the connection; `on_end` is not called."""
         if self.open:
             self.open = False
             self.loop.unwatch(self.sock.fileno())
             self.sock.close()
 
     def reset(self) -> None:
-        """Closes with a reset; `on_end` is not called."""
+        """Resets the connection; `on_end` is not called."""
         if self.open:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self.close()
 
 
 class FarServer:
-    """Listens on loopback and hands over what it accepts."""
+    """Listens on loopback; a subclass decides by `accept_connection` what becomes of each connection."""
 
     def __init__(self, loop: FarLoop) -> None:
         self.loop = loop
@@ -106,11 +111,11 @@
             pass
 
     def accept_connection(self, sock: socket.socket) -> None:
-        """A connection has come in."""
+        """Called with each accepted socket."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Closes all."""
+        """Closes the listening socket and all connections."""
         self.loop.unwatch(self._sock.fileno())
         self._sock.close()
         for connection in self.connections:
--- a/gaproute/faultinjection/play/far_host.py
+++ b/gaproute/faultinjection/play/far_host.py
@@ -1,4 +1,4 @@
-"""A host of lines on plain sockets: serves, rejects, crashes, resets and falls silent; notes what it read."""
+"""A host that takes lines of JSON, on plain sockets: serves, rejects, crashes or stays silent by chance."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 import socket
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
 
-from gaproute.faultinjection.play.far_connection import FarConnection, FarServer
+from gaproute.faultinjection.play.far_connection import FarConnection, FarServer, JsonObject
 from gaproute.faultinjection.play.timeline import MILLI, FarLoop
 
-NEVER_RAN_ANSWERS = ("overload", "not_here")  # answers of a host that prove it
+NEVER_RAN_ANSWERS = ("overload", "not_here")  # answers of a host that prove that a request never ran
+SERVICE_TIMES = (2, 40)  # ms, from the first to below the second
 
 
 @dataclass
 class ReceivedAttempt:
-    """A request as a host read it, whole."""
+    """A complete request as a host received it. Times are ns."""
 
     host: str
     request_id: str
     received_at: int
-    timeout: int  # ns that the gateway said it waits
-    answer: str | None = None  # what the host answered
+    timeout: int  # for how long the gateway waits, as it said
+    answer: str | None = None  # the type of the host's answer
 
 
 class Behaviour(Enum):
-    """What a host does with an attempt."""
+    """What a host does with an attempt; the value is the type of its answer, if it gives one."""
 
     SERVE = "served"
     OVERLOAD = "overload"
@@ -46,34 +46,33 @@
 
 
 class FarHost(FarServer):
-    """A host that serves, rejects, crashes, resets and says nothing, by its own seed; `reliable` ones only
-    serve."""
+    """A host whose behaviour and service times are drawn from its seed; a `reliable` one only serves."""
 
     def __init__(self, loop: FarLoop, name: str, seed: str) -> None:
         super().__init__(loop)
         self.name, self.reliable = name, False
         self.attempts: list[ReceivedAttempt] = []
         self.cut_short: list[int] = []  # when a connection ended within a command
-        self.garbled: list[bytes] = []  # commands that cannot be read
+        self.garbled: list[bytes] = []  # lines that are no command
         self.load_orders: list[int] = []  # when each came
         self._random = random.Random(f"{seed}/{name}")
 
     def accept_connection(self, sock: socket.socket) -> None:
-        """A connection of the gateway."""
+        """Reads the commands of one connection of the gateway."""
         buffer = bytearray()
 
-        def came(data: bytes) -> None:
+        def receive(data: bytes) -> None:
             buffer.extend(data)
             *lines, rest = bytes(buffer).split(b"\n")
             buffer[:] = rest
             for line in lines:
                 self._read_command(connection, line)
 
-        def ended() -> None:
+        def on_end() -> None:
             if buffer:
                 self.cut_short.append(self.loop.clock.now)
 
-        connection = FarConnection(self.loop, sock, came, ended)
+        connection = FarConnection(self.loop, sock, receive, on_end)
         self.connections.append(connection)
 
     def _read_command(self, connection: FarConnection, line: bytes) -> None:
@@ -85,7 +84,7 @@
         else:
             self._handle_command(connection, command)
 
-    def _handle_command(self, connection: FarConnection, command: dict[str, Any]) -> None:
+    def _handle_command(self, connection: FarConnection, command: JsonObject) -> None:
         match command["type"]:
             case "go":
                 self._run(connection, command)
@@ -93,23 +92,25 @@
                 self._write_answer(connection, command, "green", meta={"meter": "util:0.25;x0:0.5"})
             case "stage":
                 self.load_orders.append(self.loop.clock.now)
-                self._write_answer(connection, command, "served", meta={"copies": command["meta"]["copies"]})
+                copies = command["meta"]["copies"]
+                self._write_answer(connection, command, "served", meta={"copies": copies})
 
-    def _run(self, connection: FarConnection, command: dict[str, Any]) -> None:
-        limit = command["meta"]["limit"] * MILLI
-        attempt = ReceivedAttempt(self.name, command["req"], self.loop.clock.now, limit)
+    def _run(self, connection: FarConnection, command: JsonObject) -> None:
+        timeout = command["meta"]["limit"] * MILLI
+        attempt = ReceivedAttempt(self.name, command["req"], self.loop.clock.now, timeout)
         self.attempts.append(attempt)
+        # Both are drawn in any case, so that a reliable host goes on with the same numbers
         drawn = self._random.choices(list(BEHAVIOUR_WEIGHTS), list(BEHAVIOUR_WEIGHTS.values()))[0]
+        service_time = self._random.randrange(*SERVICE_TIMES) * MILLI
         behaviour = Behaviour.SERVE if self.reliable else drawn
-        span = self._random.randrange(2, 40) * MILLI
         if behaviour is Behaviour.OVERLOAD:
-            span = 0  # refused before it runs
-        self.loop.after(span, self._finish, connection, command, attempt, behaviour)
+            service_time = 0  # the request is rejected before it runs
+        self.loop.after(service_time, self._finish, connection, command, attempt, behaviour)
 
     def _finish(
         self,
         connection: FarConnection,
-        command: dict[str, Any],
+        command: JsonObject,
         attempt: ReceivedAttempt,
         behaviour: Behaviour,
     ) -> None:
@@ -121,5 +122,8 @@
             self._write_answer(connection, command, behaviour.value, **fields)
 
     @staticmethod
-    def _write_answer(connection: FarConnection, command: dict[str, Any], kind: str, **fields: Any) -> None:
-        connection.write(json.dumps({"type": kind, "req": command["req"]} | fields).encode() + b"\n")
+    def _write_answer(
+        connection: FarConnection, command: JsonObject, answer_type: str, **fields: object
+    ) -> None:
+        answer = {"type": answer_type, "req": command["req"]} | fields
+        connection.write(json.dumps(answer).encode() + b"\n")
--- a/gaproute/faultinjection/play/far_others.py
+++ b/gaproute/faultinjection/play/far_others.py
@@ -6,53 +6,52 @@
 import select
 import socket
 from dataclasses import dataclass
-from typing import Any
 
-from gaproute.faultinjection.play.far_connection import READ_SIZE, FarConnection, FarServer
+from gaproute.faultinjection.play.far_connection import READ_SIZE, FarConnection, FarServer, JsonObject
 from gaproute.faultinjection.play.timeline import SECOND, FarLoop
+from gaproute.standins.event_stream import COMMENT, HEAD_END, RESPONSE_HEAD, last_event_id
 
 COMMENT_INTERVAL = SECOND  # between the change log's signs of life
-RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"  # of the change log's answer
 
 
 @dataclass
 class PublishedEvent:
-    """An event of the change log."""
+    """An event of the change log. Times are ns."""
 
     seq: int
-    phases: dict[str, str]  # of the hosts that it names
+    phases: dict[str, str]  # by host, of those that the event has
     published_at: int
-    first_sent_at: int | None = None  # when it was first written to the gateway, ns
+    first_sent_at: int | None = None  # when it was first written to a connection of the gateway
 
 
 class FarChangeLog(FarServer):
-    """The change log: events, comments, and each event anew where the gateway asks from before it."""
+    """The change log: sends events and comments, and to each request all events after the number it gives."""
 
     def __init__(self, loop: FarLoop) -> None:
         super().__init__(loop)
-        self.events: list[tuple[PublishedEvent, bytes]] = []
-        self._followers: list[FarConnection] = []
+        self.events: list[tuple[PublishedEvent, bytes]] = []  # with their bytes
+        self._followers: list[FarConnection] = []  # the connection of the last request, if any
         self.loop.after(COMMENT_INTERVAL, self._comment)
 
     def accept_connection(self, sock: socket.socket) -> None:
-        """The gateway follows."""
+        """Waits for a request of the gateway."""
         buffer = bytearray()
 
-        def came(data: bytes) -> None:
+        def receive(data: bytes) -> None:
             buffer.extend(data)
-            if b"\r\n\r\n" in buffer:
-                last = bytes(buffer).lower().partition(b"last-event-id:")[2].partition(b"\r\n")[0]
+            if HEAD_END in buffer:
+                last_seq = int(last_event_id(bytes(buffer)))
                 buffer.clear()
-                self._follow_from(connection, int(last))
+                self._send_after(connection, last_seq)
 
-        connection = FarConnection(self.loop, sock, came, lambda: None)
+        connection = FarConnection(self.loop, sock, receive, lambda: None)
         self.connections.append(connection)
 
-    def _follow_from(self, connection: FarConnection, last: int) -> None:
+    def _send_after(self, connection: FarConnection, last_seq: int) -> None:
         self._followers = [connection]
         connection.write(RESPONSE_HEAD)
         for published, data in self.events:
-            if published.seq > last:
+            if published.seq > last_seq:
                 self._send(connection, published, data)
 
     def _send(self, connection: FarConnection, published: PublishedEvent, data: bytes) -> None:
@@ -60,8 +59,8 @@
             published.first_sent_at = self.loop.clock.now
         connection.write(data)
 
-    def publish(self, event: dict[str, Any]) -> None:
-        """A further event, in the form of the log."""
+    def publish(self, event: JsonObject) -> None:
+        """Adds an event, in the form of the log, and sends it to the gateway if it follows."""
         phases = {member["id"]: member["phase"] for member in event["fleet"]["members"]}
         published = PublishedEvent(event["seq"], phases, self.loop.clock.now)
         data = b"id: %d\ndata: %b\n\n" % (event["seq"], json.dumps(event).encode())
@@ -72,12 +71,12 @@
 
     def _comment(self) -> None:
         for connection in self._followers:
-            connection.write(b":\n\n")
+            connection.write(COMMENT)
         self.loop.after(COMMENT_INTERVAL, self._comment)
 
 
 class FarPeer:
-    """Another gateway: it sends each datagram of this one back."""
+    """Another gateway: it sends each datagram back to the gateway it came from."""
 
     def __init__(self, loop: FarLoop) -> None:
         self.loop = loop
@@ -98,6 +97,6 @@
         self._sock.sendto(payload, address)
 
     def close(self) -> None:
-        """Closes."""
+        """Closes the socket."""
         self.loop.unwatch(self._sock.fileno())
         self._sock.close()
--- a/gaproute/faultinjection/play/runner.py
+++ b/gaproute/faultinjection/play/runner.py
@@ -17,16 +17,18 @@
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 from gaproute.faultinjection.play.traffic import Conditions, Traffic
 
-RECOVERY_TIME = 4 * SECOND  # without faults: all requests are over, an ejected host is tried again
-IDLE_TIME = 18 * SECOND  # after the last client: idle connections have come to their ends
-RECOVERY_TIMEOUT = 1500 * MILLI  # of a request once the faults are over
+RECOVERY_TIME = 4 * SECOND  # without faults, until all requests are answered and ejected hosts are used again
+IDLE_TIME = 18 * SECOND  # without clients, until idle connections are closed
+RECOVERY_TIMEOUT = 1500 * MILLI  # of a request that checks the recovery
+FIRST_RECOVERY_NUMBER = 1_000_000  # of these requests, beyond the numbers of the traffic
+PEER_ANSWER_TIME = 100 * MILLI  # within which a datagram of another gateway is handled
 MAX_STARTS = 20
-STOP_TIME = 4 * SECOND  # after the stop: the longest deadline, and what SIGTERM grants beyond it
+STOP_TIME = 4 * SECOND  # after a stop: the longest deadline, and the time that SIGTERM grants beyond it
 
 
 @dataclass
 class Verdict:
-    """What became of a play."""
+    """The result of a play."""
 
     seed: int
     findings: list[Finding] = field(default_factory=list)
@@ -46,7 +48,7 @@
 
 
 def by_chance(seed: int, odds: int, without: Collection[str] = ()) -> RandomFaults:
-    """Every call of the catalogue fails one in `odds`, but for those named."""
+    """Lets one in `odds` calls of the catalogue fail, except the calls `without`."""
     faults = {call: ways for call, ways in FAULTS.items() if call not in without}
     return RandomFaults(seed, odds, faults)
 
@@ -58,9 +60,9 @@
     *,
     before_start: Callable[[Scene], None] = lambda scene: None,
 ) -> Verdict:
-    """One play. `before_start` is called first: tests plant their faults there."""
+    """Plays one seed and judges it. `before_start(scene)` is called first: tests plant their faults there."""
     verdict = Verdict(seed)
-    gc.collect()  # what earlier plays left in cycles holds descriptors
+    gc.collect()  # closes descriptors that objects of earlier plays hold in reference cycles
     with tempfile.TemporaryDirectory(prefix="gaproute-faults-") as folder:
         scene = Scene(Path(folder), FaultPlan(source), seed, conditions.hosts)
         try:
@@ -72,7 +74,7 @@
             scene.close()
         verdict.injected = scene.plan.log
         _count_requests(scene, verdict)
-        scene.errors.clear()  # their frames hold sockets
+        scene.errors.clear()  # the frames of their tracebacks hold sockets
         gc.collect()
     return verdict
 
@@ -102,7 +104,7 @@
 
 
 def _start_gateway(scene: Scene) -> Iterator[Finding]:
-    """A start that failed is begun anew, as the program does; it must have left nothing behind."""
+    """Starts the gateway, again after a failure, as the program does; a failed start must leave nothing."""
     for _ in range(MAX_STARTS):
         try:
             scene.process.start()
@@ -117,38 +119,40 @@
     if scene.loop.running:
         yield Finding(Check.STOPS, f"it holds {len(scene.process.core.in_flight)} requests")
     scene.close_gateway()
-    scene.loop.running = True  # the far ends' last timers
+    scene.loop.running = True  # so that the far ends go on and read what was sent last
     scene.run_for(RECOVERY_TIMEOUT)
 
 
 def _check_recovery(scene: Scene) -> Iterator[Finding]:
-    """A request of each class, on a connection of its own, is delivered; gateways hear each other."""
+    """Checks that a request of each class, each on a new connection, and messages of peers are delivered."""
     for host in scene.hosts:
         host.reliable = True
-    asked = []
-    received = len(scene.peer.received)
-    for number, lane in enumerate(REQUEST_CLASSES, 1_000_000):
-        request = FarRequest(number, lane, scene.clock.now, RECOVERY_TIMEOUT, idempotency_key=f"key-{number}")
+    requests = []
+    peer_received = len(scene.peer.received)
+    for number, request_class in enumerate(REQUEST_CLASSES, FIRST_RECOVERY_NUMBER):
+        request = FarRequest(
+            number, request_class, scene.clock.now, RECOVERY_TIMEOUT, idempotency_key=f"key-{number}"
+        )
         scene.connect_client().send_request(request)
-        asked.append(request)
+        requests.append(request)
     scene.run_for(RECOVERY_TIMEOUT)
-    for request in asked:
+    for request in requests:
         if [text for _, text in request.answers] != ["result"]:
             yield Finding(Check.RECOVERS, f"a {request.request_class} request got {request.answers}")
-    if len(scene.peer.received) == received:
+    if len(scene.peer.received) == peer_received:
         yield Finding(Check.PEERS_RECOVER, "it sends other gateways nothing any more")
-    yield from _check_peers(scene)
+    yield from _check_receives_peers(scene)
 
 
-def _check_peers(scene: Scene) -> Iterator[Finding]:
-    datagrams, before = scene.process.peers.datagrams, scene.peer_messages
+def _check_receives_peers(scene: Scene) -> Iterator[Finding]:
+    datagrams, received = scene.process.peers.datagrams, scene.peer_messages
     if datagrams is None:
         yield Finding(Check.PEERS_RECOVER, "it listens for other gateways no more")
         return
     for payload in scene.peer.received[-1:]:
         scene.peer.send(payload, datagrams.sock.getsockname())
-    scene.run_for(100 * MILLI)
-    if scene.peer_messages == before:
+    scene.run_for(PEER_ANSWER_TIME)
+    if scene.peer_messages == received:
         yield Finding(Check.PEERS_RECOVER, "it hears other gateways no more")
 
 
@@ -165,8 +169,11 @@
     wanted: set[Check],
     conditions: Conditions = Conditions(),  # noqa: B008 - frozen
 ) -> list[InjectedFault]:
-    """A small part of the faults that still breaks one of the wanted checks: halves are left out first, then
-    ever smaller pieces."""
+    """A few of the faults that still break one of the wanted checks.
+
+    Parts of the list are left out in turn, first halves, then ever smaller parts, and stay out if a check
+    still breaks without them.
+    """
 
     def breaks(faults: list[InjectedFault]) -> bool:
         return bool(play(seed, Script(faults), conditions).checks & wanted)
--- a/gaproute/faultinjection/play/scene.py
+++ b/gaproute/faultinjection/play/scene.py
@@ -1,12 +1,12 @@
-"""A gateway of the platform and its far ends, wired, driven turn by turn on one clock, and closed."""
+"""A gateway of the platform and its far ends, connected, driven turn by turn on one clock, and closed."""
 
 from __future__ import annotations
 
 import json
 import math
 import os
+from collections.abc import Mapping
 from pathlib import Path
-from typing import Any
 
 from gaproute.connections import AcceptedConnections
 from gaproute.connections.parked import NOT_PARKED
@@ -14,25 +14,28 @@
 from gaproute.faultinjection.network import NetworkFaults
 from gaproute.faultinjection.plan import FaultPlan
 from gaproute.faultinjection.play.far_client import FarClient
+from gaproute.faultinjection.play.far_connection import JsonObject
 from gaproute.faultinjection.play.far_host import FarHost
 from gaproute.faultinjection.play.far_others import FarChangeLog, FarPeer
 from gaproute.faultinjection.play.timeline import MICRO, MILLI, SECOND, FarLoop, PlayClock, arrives_soon
+from gaproute.fronts.jsonrpc.front import JsonRpcFront
 from gaproute.loop import Loop
-from gaproute.loop.addresses import address
+from gaproute.loop.addresses import SocketAddress, address
 from gaproute.platform.configuration import read_configuration
 from gaproute.platform.log import Log
 from gaproute.platform.process import Process
 from gaproute.standins.platform.deployment_settings import sample_settings
 
-EPOCH = 1_800_000_000 * SECOND  # that the wall clock is ahead of the play's monotonic one
-HOSTS_AGE = 86_400 * SECOND  # more than the wall clock is stepped: the hosts are warm
-TURN_TIME = 20 * MICRO  # that a turn with something to do takes
-MAX_TURNS = 20_000  # of a play, which has some 2,000; one that needs more is stuck
-REPEAT_WINDOW = 700 * MILLI  # for which hosts know a request by its key
+EPOCH = 1_800_000_000 * SECOND  # by which the wall clock is ahead of the play's monotonic clock
+HOSTS_AGE = 86_400 * SECOND  # longer than any step of the wall clock, so that the hosts are warm
+TURN_TIME = 20 * MICRO  # which a turn with something to do takes
+MAX_TURNS = 20_000  # of a play, which needs some 2,000; one that needs more is stuck
+REPEAT_WINDOW = 700 * MILLI  # for which hosts know a request by its idempotency key
+NO_LOG = -1  # a descriptor to which a log writes nothing
 
 IDEMPOTENT, NON_IDEMPOTENT, KEYED = "fault-check", "repair-order", "plan"
 REQUEST_CLASSES = (IDEMPOTENT, NON_IDEMPOTENT, KEYED)
-SETTINGS: dict[str, Any] = sample_settings(
+SETTINGS: JsonObject = sample_settings(
     [
         {"name": IDEMPOTENT, "effect": "free", "aim": 500.0, "deadline": 3000.0, "worth": 3.0},
         {"name": NON_IDEMPOTENT, "effect": "single_shot", "aim": 500.0, "deadline": 3000.0},
@@ -50,12 +53,16 @@
 
 
 class StuckError(GaprouteError):
-    """A play did not come to its end within its turns."""
+    """A play has not ended within its turns."""
 
 
 class Scene:
-    """`plan` decides on the gateway's system calls. `errors` are those that escaped a callback or a turn of
-    the gateway's loop. The gateway is made paused: `start` may be played under faults or not."""
+    """A gateway that is made but not started, its far ends, and their common clock.
+
+    Faults are installed from the beginning, and the plan decides on the gateway's system calls: the start of
+    the gateway may be played under faults or not. `errors`: those that escaped a callback or a turn of the
+    gateway's loop.
+    """
 
     def __init__(self, folder: Path, plan: FaultPlan, seed: int, hosts: int = 3) -> None:
         self.descriptors_before = open_descriptors()
@@ -66,23 +73,22 @@
         self.change_log, self.peer = FarChangeLog(self.far_loop), FarPeer(self.far_loop)
         self.clients: list[FarClient] = []
         self.errors: list[BaseException] = []
-        self.turns, self._events = 0, 1  # the first is in the configuration
+        self.turns = 0
+        self._events = 1  # published so far; the configuration has the first
         self._path = folder / f"gateway-{seed}.json"
         self._path.write_text(json.dumps(self._configuration()))
-        self.faults.__enter__()
+        self.faults.install()
         with plan.pause():
             self.loop = Loop(self.clock)
-            log = Log(-1)
             loaded = read_configuration(str(self._path))
-            self.process: Any = Process(
-                str(self._path), loaded, loop=self.loop, log=log
-            )  # its parts come at its start
+            self.process = Process(str(self._path), loaded, loop=self.loop, log=Log(NO_LOG))
         self.peer_messages = 0  # received from other gateways
-        self.process.core.receive_broadcast = self._peer_message_received  # type: ignore[method-assign]
+        self._receive_broadcast = self.process.core.receive_broadcast
+        self.process.core.receive_broadcast = self._count_peer_message  # type: ignore[method-assign]
         self.loop.on_error = self.errors.append
         self.loop.running = True
 
-    def _configuration(self) -> dict[str, Any]:
+    def _configuration(self) -> JsonObject:
         phases = {host.name: "Ready" for host in self.hosts}
         return {
             "name": "n1",
@@ -96,7 +102,7 @@
             "known": {"seq": 1, "results": [self._event(1, phases, complete=True)]},
         }
 
-    def _event(self, number: int, phases: dict[str, str], *, complete: bool = False) -> dict[str, Any]:
+    def _event(self, seq: int, phases: Mapping[str, str], *, complete: bool = False) -> JsonObject:
         addresses = {host.name: host.address for host in self.hosts}
         members = [
             {
@@ -111,37 +117,43 @@
             }
             for name, phase in phases.items()
         ]
-        return {"seq": number, "fleet": {"revision": number, "complete": complete, "members": members}}
+        return {"seq": seq, "fleet": {"revision": seq, "complete": complete, "members": members}}
 
-    def _peer_message_received(self, payload: bytes) -> None:
+    def _count_peer_message(self, payload: bytes) -> None:
         self.peer_messages += 1
-        type(self.process.core).receive_broadcast(self.process.core, payload)
+        self._receive_broadcast(payload)
 
     # Driving
 
     @property
-    def gateway_address(self) -> Any:
-        """Where the gateway listens, as a socket address."""
-        return address(self.process.front.address)[1]
+    def front(self) -> JsonRpcFront:
+        """The gateway's server for clients; only after the gateway's start."""
+        assert self.process.front is not None
+        return self.process.front
+
+    @property
+    def gateway_address(self) -> SocketAddress:
+        """The socket address at which the gateway listens for clients."""
+        return address(self.front.address).target
 
     def connect_client(self) -> FarClient:
         """A new connection of a client."""
         self.clients.append(FarClient(self.far_loop, self.gateway_address))
         return self.clients[-1]
 
-    def publish(self, **phases: str) -> None:
-        """An event of the change log; host names with `_` for `-`."""
+    def publish(self, phases: Mapping[str, str]) -> None:
+        """Publishes an event of the change log with the new phases of some hosts."""
         self._events += 1
-        named = {name.replace("_", "-"): phase for name, phase in phases.items()}
-        self.change_log.publish(self._event(self._events, named))
+        self.change_log.publish(self._event(self._events, phases))
 
     def run_for(self, span: int) -> None:
-        """So much time goes by, or less where the gateway's loop stops. Errors: StuckError."""
+        """Lets `span` ns pass, or less if the gateway's loop stops. Errors: StuckError."""
         until = self.clock.now + span
         while self.clock.now < until and self.loop.running:
             self._turn(until)
 
     def _turn(self, until: int) -> None:
+        """One turn of both sides; if neither had anything to do, the clock moves on to the next timer."""
         self.turns += 1
         self.clock.now += TURN_TIME
         if self.turns > MAX_TURNS:
@@ -150,7 +162,7 @@
         self.clock.idle = True
         try:
             self.loop.turn()
-        except Exception as error:  # noqa: BLE001 - whatever it is, it would have ended the gateway
+        except Exception as error:  # noqa: BLE001 - any error would have ended the gateway
             self.errors.append(error)
             return
         if worked or not self.clock.idle or self.loop.callbacks or self.loop.admission_pending:
@@ -161,10 +173,10 @@
         due = min(until, math.ceil(timers[0][0]) if timers else until, self.far_loop.next_due() or until)
         self.clock.now = max(self.clock.now, due)
 
-    # What is there
+    # What the gateway holds
 
     def live_timers(self) -> list[str]:
-        """What the gateway's timers would call."""
+        """The qualified names of what the gateway's timers would call."""
         return sorted(
             getattr(timer.call, "__qualname__", repr(timer.call))
             for _, _, timer in self.loop.timers
@@ -172,7 +184,7 @@
         )
 
     def unaccounted_descriptors(self) -> set[int]:
-        """Open descriptors that belong to nobody known."""
+        """The open descriptors of which neither the gateway's loop nor a far end knows."""
         connections = AcceptedConnections.of(self.loop)
         parked = {descriptor for descriptor, state in enumerate(connections.states) if state != NOT_PARKED}
         known = parked | set(self.loop.watched) | {self.loop.epoll.fileno(), self.loop.parked_epoll.fileno()}
@@ -181,13 +193,13 @@
     # The end
 
     def close_gateway(self) -> None:
-        """As `Process.run` does at its end."""
+        """Closes the gateway, as `Process.run` does at its end."""
         self.process.close()
 
     def close(self) -> None:
-        """Gives all descriptors back and puts the real system calls in place again."""
+        """Closes all descriptors and puts the real system calls back."""
         self.close_gateway()
-        self.faults.__exit__(None, None, None)
+        self.faults.uninstall()
         self.loop.close()
         for client in self.clients:
             client.connection.close()
@@ -200,5 +212,5 @@
 
 
 def open_descriptors() -> set[int]:
-    """Of this process, but for the one that the look itself takes."""
+    """The open descriptors of this process, without the one by which they are listed."""
     return {int(name) for name in os.listdir("/proc/self/fd") if os.path.exists(f"/proc/self/fd/{name}")}
--- a/gaproute/faultinjection/play/traffic.py
+++ b/gaproute/faultinjection/play/traffic.py
@@ -1,4 +1,4 @@
-"""What clients and the change log do in a play, by a seed: arrivals, departures, hosts that drain."""
+"""What clients and the change log do in a play, drawn from a seed: requests, departures, a drain."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from gaproute.faultinjection.play.timeline import MILLI, SECOND
 
 CLASS_WEIGHTS = {IDEMPOTENT: 2, NON_IDEMPOTENT: 2, KEYED: 1}
-TIMEOUTS = (400 * MILLI, 1000 * MILLI, 1500 * MILLI)  # that clients wait
-REUSED_SHARE = 0.6  # of the requests go on a connection that is open
-LATEST_DEPARTURE = 60 * MILLI  # after the request
-MAX_PIECES = 3  # that a request is sent in
+TIMEOUTS = (400 * MILLI, 1000 * MILLI, 1500 * MILLI)  # for which clients wait, ns
+REUSED_SHARE = 0.6  # of the requests are sent on a connection that is open already
+MAX_DEPARTURE_DELAY = 60 * MILLI  # from a request to its departure, ns
+MAX_PIECES = 3  # writes that a request is split over
 DRAIN_TIME = SECOND
 
 
 @dataclass(frozen=True)
 class Conditions:
-    """What a play is like, beside its faults.
+    """What a play is like, apart from its faults.
 
-    `departures`: share of the requests that are left before their answer; `clock_steps`: how often the wall
-    clock is stepped; `stop`: the gateway is asked to stop in the middle; `faulty_start`: faults come from its
-    start on.
+    `length`: ns in which requests are sent; `departures`: the share of the requests that their clients leave;
+    `clock_steps`: how often the wall clock is stepped; `stop`: whether the gateway is asked to stop in the
+    middle; `faulty_start`: whether the start of the gateway has faults, too.
     """
 
     requests: int = 40
@@ -37,7 +37,7 @@
 
 
 class Traffic:
-    """Sends the requests of a play. All its draws come from `seed`, whatever the gateway answers."""
+    """Sends the requests of a play. It is drawn from `seed` beforehand, whatever the gateway answers."""
 
     def __init__(self, scene: Scene, seed: int, conditions: Conditions) -> None:
         self.scene = scene
@@ -49,54 +49,58 @@
         if conditions.hosts > 1:
             self._plan_drain(conditions.length)
         for _ in range(conditions.clock_steps):
-            span = self._random.choice(CLOCK_STEP_SIZES) * self._random.choice((SECOND, -SECOND))
-            scene.far_loop.after(
-                self._random.randrange(conditions.length), scene.faults.wall_clock.step, span
-            )
+            self._plan_clock_step(conditions.length)
         if conditions.stop:
             scene.far_loop.after(conditions.length // 2, self._stop)
 
     def _plan_request(self, number: int, conditions: Conditions) -> None:
         draw = self._random
-        request = FarRequest(
-            number, draw.choices(REQUEST_CLASSES, [CLASS_WEIGHTS[lane] for lane in REQUEST_CLASSES])[0], 0, 0
-        )
-        request.timeout = draw.choice(TIMEOUTS)
-        request.idempotency_key = f"key-{number}" if request.request_class == KEYED else ""
-        place = draw.random() if draw.random() < REUSED_SHARE else None
+        weights = [CLASS_WEIGHTS[request_class] for request_class in REQUEST_CLASSES]
+        request_class = draw.choices(REQUEST_CLASSES, weights)[0]
+        request = FarRequest(number, request_class, sent_at=0, timeout=draw.choice(TIMEOUTS))
+        request.idempotency_key = f"key-{number}" if request_class == KEYED else ""
+        position = draw.random() if draw.random() < REUSED_SHARE else None
         pieces = draw.randint(1, MAX_PIECES)
         departure = draw.choice(list(Departure)) if draw.random() < conditions.departures else None
-        at, leaves = draw.randrange(conditions.length), draw.randrange(LATEST_DEPARTURE)
-        self.scene.far_loop.after(at, self._ask, request, place, pieces)
+        sent_at, departure_delay = draw.randrange(conditions.length), draw.randrange(MAX_DEPARTURE_DELAY)
+        self.scene.far_loop.after(sent_at, self._send, request, position, pieces)
         if departure is not None:
-            self.scene.far_loop.after(at + leaves, self._leave, request, departure)
+            self.scene.far_loop.after(sent_at + departure_delay, self._leave, request, departure)
 
     def _plan_drain(self, length: int) -> None:
-        far, name = self.scene.far_loop, self._random.choice([host.name for host in self.scene.hosts])
-        at = self._random.randrange(length // 2)
-        far.after(at, self._publish, name, "Terminating")
-        far.after(at + DRAIN_TIME, self._publish, name, "Ready")
+        far_loop, host = self.scene.far_loop, self._random.choice([host.name for host in self.scene.hosts])
+        drains_at = self._random.randrange(length // 2)
+        far_loop.after(drains_at, self._publish, host, "Terminating")
+        far_loop.after(drains_at + DRAIN_TIME, self._publish, host, "Ready")
 
-    def _publish(self, name: str, phase: str) -> None:
-        self.scene.publish(**{name: phase})
+    def _plan_clock_step(self, length: int) -> None:
+        span = self._random.choice(CLOCK_STEP_SIZES) * self._random.choice((SECOND, -SECOND))
+        stepped_at = self._random.randrange(length)
+        self.scene.far_loop.after(stepped_at, self.scene.faults.wall_clock.step, span)
 
-    def _ask(self, request: FarRequest, place: float | None, pieces: int) -> None:
-        client = self._client(place)
+    def _publish(self, host: str, phase: str) -> None:
+        self.scene.publish({host: phase})
+
+    def _send(self, request: FarRequest, position: float | None, pieces: int) -> None:
+        client = self._client_for(position)
         if client is not None:
             request.sent_at = self.scene.clock.now
             self.requests.append((client, request))
             client.send_request(request, pieces)
 
-    def _client(self, place: float | None) -> FarClient | None:
-        """An open connection by that share of them, else a new one; None where nobody listens any more."""
+    def _client_for(self, position: float | None) -> FarClient | None:
+        """The open connection at that position among all (0 to 1), else a new one.
+
+        None if there is no open one and the gateway does not listen any more.
+        """
         usable = [client for client in self.scene.clients if client.open and not client.departing]
-        if place is not None and usable:
-            return usable[int(place * len(usable))]
+        if position is not None and usable:
+            return usable[int(position * len(usable))]
         return None if self._stopped else self.scene.connect_client()
 
     def _leave(self, request: FarRequest, departure: Departure) -> None:
-        for client, asked in self.requests:
-            if asked is request:
+        for client, sent in self.requests:
+            if sent is request:
                 client.leave(request, departure)
 
     def _stop(self) -> None:
