--- a/gaproute/http1/connection.py
+++ b/gaproute/http1/connection.py
@@ -52,7 +52,7 @@
         limits = server.limits
         self.reader = RequestReader(self._sent_at, limits.head, limits.body)
         self.stream = Stream(server.loop, sock, self.receive, self._on_closed, hangup_first=True)
-        self.stream.on_half_close, self.stream.on_writable = self._on_client_closed, self._on_taken
+        self.stream.on_half_close, self.stream.on_writable = self._on_client_closed, self._resume_reading
 
     def _sent_at(self) -> int:
         """When the bytes that are being read came, from which the time of requests counts; ns."""
@@ -68,9 +68,9 @@
         try:
             requests = self.reader.feed(data)
         except HttpError as error:
-            self._refuse(error)
+            self._reject(error)
             return
-        self._take_all(requests)
+        self._dispatch_all(requests)
         self._note_buffered(self.reader.size if self.reader.mid_message else 0)
         if self.reader.wants_continue:
             self.reader.wants_continue = False
@@ -81,7 +81,7 @@
             if self._is_saturated():
                 self.stream.pause()
 
-    def _take_all(self, requests: Iterable[Request]) -> None:
+    def _dispatch_all(self, requests: Iterable[Request]) -> None:
         """Hands over complete requests, after asking the kernel whether their client is still connected."""
         if not requests:
             return
@@ -90,9 +90,9 @@
             self.presence_checked_at = self.server.loop.now()
         for request in requests:
             request.client_closed = client_closed
-            self._take(request)
+            self._dispatch(request)
 
-    def _take(self, request: Request) -> None:
+    def _dispatch(self, request: Request) -> None:
         server = self.server
         request.connection = self
         if self.closing or request.client_closed and server.loop.read_delay and not server.counted:
@@ -127,19 +127,19 @@
         """Whether nothing more is read: enough requests are open, or the client receives no answers."""
         return len(self.queue) >= self.server.limits.pipelined or self.stream.bytes_unsent >= WRITE_HIGH_WATER
 
-    def _refuse(self, error: HttpError) -> None:
+    def _reject(self, error: HttpError) -> None:
         """Answers an invalid request and closes; complete requests before it are answered first."""
         self.server.protocol_errors += 1
-        self._take_all(self.reader.take_completed())
+        self._dispatch_all(self.reader.take_completed())
         headers, body = self.server.render_error(error)
         self.closing = True
         self.queue.append(PendingAnswer(None, render(error.status, headers, body, close=True)))
         self._write_answers()
 
-    def refuse_unfinished(self) -> None:
+    def reject_incomplete(self) -> None:
         """Rejects the incomplete request, to free its memory."""
         self._note_buffered(0)
-        self._refuse(HttpError(408, "too much is coming in, and this request takes longest"))
+        self._reject(HttpError(408, "too much is coming in, and this request takes longest"))
 
     # Writing
 
@@ -171,9 +171,9 @@
         if not self.queue and (self.closing or self.client_closed or self.server.stopping):
             self.close_gracefully()
         elif wrote and self.stream.open:
-            self._on_taken()
+            self._resume_reading()
 
-    def _on_taken(self) -> None:
+    def _resume_reading(self) -> None:
         """Called when the client has received answers: reads again."""
         if not self.stream.reading and not self._is_saturated() and not self.client_closed:
             self.stream.resume()
--- a/gaproute/http1/deadlines.py
+++ b/gaproute/http1/deadlines.py
@@ -33,7 +33,7 @@
 class DeadlineConnection:
     """The base of a server's connection: its one timer, and what happens when that fires.
 
-    A subclass sets all fields, and implements `park`, `_refuse` and `_on_closed`.
+    A subclass sets all fields, and implements `park`, `_reject` and `_on_closed`.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
         """Parks the connection, or closes it if its idle time is over."""
         raise NotImplementedError
 
-    def _refuse(self, error: HttpError) -> None:
+    def _reject(self, error: HttpError) -> None:
         raise NotImplementedError
 
     def _on_closed(self, error: OSError | None) -> None:
@@ -125,14 +125,14 @@
             self._on_closed(None)
         elif not self.reader.mid_message:
             self.park()
-        elif self._rest_has_come():
+        elif self._rest_arrived():
             return
         elif self.queue:
             self.closing = True  # answers that are owed are sent first
         else:
-            self._refuse(HttpError(408, "the request did not come in whole in time"))
+            self._reject(HttpError(408, "the request did not come in whole in time"))
 
-    def _rest_has_come(self) -> bool:
+    def _rest_arrived(self) -> bool:
         """Reads now; returns whether the rest of the overdue request had already arrived."""
         self.stream.read_now()
         return not self.stream.open or not self.reader.mid_message
--- a/gaproute/http1/server.py
+++ b/gaproute/http1/server.py
@@ -123,7 +123,7 @@
             if slowest is None or message.arrived_at < arrived_at:
                 slowest, arrived_at = connection, message.arrived_at
         if slowest is not None:
-            slowest.refuse_unfinished()
+            slowest.reject_incomplete()
 
     # Answers
 
